--- a/inquiry/bench_test.go
+++ b/inquiry/bench_test.go
@@ -8,7 +8,7 @@
 )
 
 func BenchmarkSearchChart(b *testing.B) {
-	cp := snapshot(12, 4)
+	cp := newSnapshot(12, 4)
 	d := desk(cp)
 	reply := Reply{Class: ReplyOK, Records: []Record{{ID: "a", Score: 3}, {ID: "b", Score: 2}, {ID: "c", Score: 1}}}
 	now := int64(0)
@@ -22,7 +22,7 @@
 }
 
 func BenchmarkTraceOfASearch(b *testing.B) {
-	cp := snapshot(12, 4)
+	cp := newSnapshot(12, 4)
 	r := newTraces()
 	in := &Inquiry{Kind: Search, Index: "a"}
 	choice := Choice{Server: cp.Indexes["a"].Shards[0][0], Drawn: []string{"x", "y"}, Tier: "usable"}
--- a/inquiry/chart_test.go
+++ b/inquiry/chart_test.go
@@ -15,7 +15,7 @@
 	"wallport/wire"
 )
 
-func snapshot(perShard, shards int) *table.Snapshot {
+func newSnapshot(perShard, shards int) *table.Snapshot {
 	svc := &sheetpb.Service{Index: "a", Capacity: 10000, RequiredShare: 75, DeadlineUs: 500_000, MaxDeadlineUs: 1_000_000, HedgeUs: 40_000, RampUs: 1_000_000}
 	x := &table.Index{Name: "a", Cut: wire.LiveCut{Name: "c1", Shards: shards}, Service: svc, Limits: map[string]table.Limit{}, Capacity: 10000}
 	for sh := range shards {
@@ -53,7 +53,7 @@
 
 func TestWrittenCorrectionIsNeverSentAgain(t *testing.T) {
 	for _, class := range []string{ReplyFailed, ReplyGarbage} {
-		c := NewChart(desk(snapshot(3, 2)), Inquiry{Kind: Correct, Index: "a", Record: "r"}, 0)
+		c := NewChart(desk(newSnapshot(3, 2)), Inquiry{Kind: Correct, Index: "a", Record: "r"}, 0)
 		a := asks(c.Step(0, Begin{}))
 		must.Len(t, 1, a)
 		acts := c.Step(1000, Replied{N: a[0].N, Reply: Reply{Class: class, Why: "reset"}})
@@ -66,7 +66,7 @@
 }
 
 func TestUnwrittenCorrectionGoesElsewhere(t *testing.T) {
-	d := desk(snapshot(3, 2))
+	d := desk(newSnapshot(3, 2))
 	c := NewChart(d, Inquiry{Kind: Correct, Index: "a", Record: "r"}, 0)
 	first := asks(c.Step(0, Begin{}))
 	second := asks(c.Step(1000, Replied{N: 0, Reply: Reply{Class: ReplyNotWritten}}))
@@ -81,7 +81,7 @@
 }
 
 func TestCorrectionIsNotHedgedAndEndsUnknownAtItsDeadline(t *testing.T) {
-	c := NewChart(desk(snapshot(3, 2)), Inquiry{Kind: Part, Index: "a", Record: "r", Deadline: 400_000}, 0)
+	c := NewChart(desk(newSnapshot(3, 2)), Inquiry{Kind: Part, Index: "a", Record: "r", Deadline: 400_000}, 0)
 	c.Step(0, Begin{})
 	acts := c.Step(200_000, Due{})
 	must.SliceEmpty(t, asks(acts))
@@ -92,7 +92,7 @@
 }
 
 func TestSearchIsGivenUpAtOnceWhenItCannotReachItsShare(t *testing.T) {
-	c := NewChart(desk(snapshot(1, 4)), Inquiry{Kind: Search, Index: "a", Limit: 5}, 0)
+	c := NewChart(desk(newSnapshot(1, 4)), Inquiry{Kind: Search, Index: "a", Limit: 5}, 0)
 	c.Step(0, Begin{})
 	must.Nil(t, outcome(c.Step(1000, Replied{N: 0, Reply: Reply{Class: ReplyFailed}})), must.Sprint("three of four are still enough"))
 	o := outcome(c.Step(2000, Replied{N: 1, Reply: Reply{Class: ReplyFailed}}))
@@ -102,7 +102,7 @@
 }
 
 func TestPartialSearchNamesItsMissingShards(t *testing.T) {
-	cp := snapshot(1, 4)
+	cp := newSnapshot(1, 4)
 	c := NewChart(desk(cp), Inquiry{Kind: Search, Index: "a", Limit: 3}, 0)
 	a := asks(c.Step(0, Begin{}))
 	var acts []Act
@@ -120,7 +120,7 @@
 }
 
 func TestLeavingAndEmptiedAreNeverPickedEvenInPanic(t *testing.T) {
-	cp := snapshot(3, 1)
+	cp := newSnapshot(3, 1)
 	list := cp.Indexes["a"].Shards[0]
 	list[0].Verdict, list[1].Verdict, list[2].Verdict = table.Leaving, table.Drained, table.Lost
 	r := rnd(1)
@@ -134,7 +134,7 @@
 }
 
 func TestColdServerIsDrawnAsItsRampAllows(t *testing.T) {
-	cp := snapshot(10, 1)
+	cp := newSnapshot(10, 1)
 	list := cp.Indexes["a"].Shards[0]
 	list[0].Born = 0
 	for _, s := range list {
@@ -154,7 +154,7 @@
 }
 
 func TestWhollyColdShardIsServedAtOnce(t *testing.T) {
-	cp := snapshot(4, 1)
+	cp := newSnapshot(4, 1)
 	for _, s := range cp.Indexes["a"].Shards[0] {
 		s.Born = 0
 	}
@@ -173,7 +173,7 @@
 // TestBudgetNeverExceedsAnyTenSeconds has traffic that stops dead now and then,
 // for what was earned before a window began must not be spent within it.
 func TestBudgetNeverExceedsAnyTenSeconds(t *testing.T) {
-	cp := snapshot(1, 1)
+	cp := newSnapshot(1, 1)
 	d := desk(cp)
 	extras, firsts := map[int64]int64{}, map[int64]int64{}
 	for now := int64(0); now < 90_000_000; now += 10_000 {
@@ -203,7 +203,7 @@
 }
 
 func TestExplainTellsEveryCandidate(t *testing.T) {
-	cp := snapshot(3, 2)
+	cp := newSnapshot(3, 2)
 	cp.Indexes["a"].Shards[0][1].Verdict = table.Lost
 	d := desk(cp)
 	c := NewChart(d, Inquiry{Kind: Search, Index: "a", Limit: 3}, 0)
