--- a/backend/backend.go
+++ b/backend/backend.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // Names are the header names that a platform uses.
--- a/backend/cancel_test.go
+++ b/backend/cancel_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/forward"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 func TestSilence(t *testing.T) {
--- a/backend/conn_test.go
+++ b/backend/conn_test.go
@@ -11,10 +11,10 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/forward"
-	"wallport/kernel"
 	"wallport/routingpb"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 func run(t *testing.T, k *Client, a forward.Ask, class forward.Class) forward.Reply {
--- a/backend/cost_test.go
+++ b/backend/cost_test.go
@@ -15,8 +15,8 @@
 
 	"wallport/forward"
 	"wallport/routingpb"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // lean answers each request with a body, and the id that it came with.
--- a/backend/exchange_test.go
+++ b/backend/exchange_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/forward"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 func TestClasses(t *testing.T) {
--- a/backend/fake_test.go
+++ b/backend/fake_test.go
@@ -16,10 +16,10 @@
 	"golang.org/x/sys/unix"
 
 	"wallport/forward"
-	"wallport/kernel"
 	"wallport/routingpb"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // call is one request at the fake, the nth of all, on the connth of its connections.
--- a/cmd/wallport/clients.go
+++ b/cmd/wallport/clients.go
@@ -8,9 +8,9 @@
 	"wallport/backend"
 	"wallport/forward"
 	"wallport/gateway"
-	"wallport/kernel"
 	"wallport/platform"
-	"wallport/process"
+	"wallport/runtime/kernel"
+	"wallport/runtime/process"
 	"wallport/serve"
 	"wallport/table"
 )
--- a/cmd/wallport/control.go
+++ b/cmd/wallport/control.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 
 	"wallport/platform"
-	"wallport/process"
-	"wallport/wire"
+	"wallport/runtime/process"
+	"wallport/runtime/wire"
 )
 
 // Bounds of the operators' connections.
--- a/cmd/wallport/history.go
+++ b/cmd/wallport/history.go
@@ -10,9 +10,9 @@
 	"strings"
 
 	"wallport/gen/operator"
+	"wallport/runtime/wire"
 	"wallport/sheet"
 	"wallport/sheetpb"
-	"wallport/wire"
 )
 
 type sheetDiff struct {
--- a/cmd/wallport/leaving.go
+++ b/cmd/wallport/leaving.go
@@ -4,9 +4,9 @@
 import (
 	"time"
 
-	"wallport/kernel"
-	"wallport/process"
 	"wallport/replica"
+	"wallport/runtime/kernel"
+	"wallport/runtime/process"
 )
 
 const (
--- a/cmd/wallport/onplatform.go
+++ b/cmd/wallport/onplatform.go
@@ -13,10 +13,10 @@
 
 	"go.uber.org/zap"
 
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/platform"
-	"wallport/process"
+	"wallport/runtime/kernel"
+	"wallport/runtime/process"
+	"wallport/runtime/settings"
 	"wallport/serve"
 )
 
@@ -30,7 +30,7 @@
 // watchEvery is how often the settings file is looked at.
 const watchEvery = time.Second
 
-func bound(m env.Machine) {
+func bound(m settings.Machine) {
 	runtime.GOMAXPROCS(1)
 	if m.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapPart * float64(m.MemoryMB<<20)))
--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/roles.go
@@ -12,24 +12,24 @@
 	"go.uber.org/zap/zapcore"
 
 	// The plug-ins register themselves.
-	"wallport/asynclog"
 	_ "wallport/configsync"
 	_ "wallport/cutmove"
-	"wallport/env"
 	_ "wallport/health"
 	_ "wallport/idempotency"
 	_ "wallport/listing"
 	_ "wallport/operate"
 	"wallport/platform"
-	"wallport/process"
 	_ "wallport/replica"
+	"wallport/runtime/asynclog"
+	"wallport/runtime/process"
+	"wallport/runtime/settings"
 	"wallport/serve"
 	_ "wallport/table"
 	_ "wallport/usage"
 )
 
 type daemonCmd struct {
-	env.Env
+	settings.Env
 	OnPlatform  bool   `long:"on-platform" description:"take everything from the platform's settings file, which WALLPORT_CONFIG names"`
 	MetricsPort uint16 `long:"metrics-port" description:"port of the machine's address on which a role on the platform tells its figures, at /metrics; 0 is none"`
 }
@@ -56,12 +56,12 @@
 }
 
 func (c *checkEnv) Execute([]string) error {
-	e := env.Env{File: c.Args.File, LogLevel: "info", PollsPer: 20}
-	found := env.Findings(nil)
+	e := settings.Env{File: c.Args.File, LogLevel: "info", PollsPer: 20}
+	found := settings.Findings(nil)
 	if c.OnPlatform {
 		_, found = platform.ReadSettings(c.Args.File, c.Role)
 	} else {
-		found = env.Load(&e, c.Role)
+		found = settings.Load(&e, c.Role)
 	}
 	if len(found) > 0 {
 		return coded{exitInvalid, found.Error()}
@@ -84,8 +84,8 @@
 // linesLost is the line that tells how many others were dropped since nobody read the log.
 func linesLost(n int) []byte { return fmt.Appendf(nil, "level=warn event=log_lines_lost n=%d\n", n) }
 
-func daemon(e env.Env, role string) error {
-	if found := env.Load(&e, role); len(found) > 0 {
+func daemon(e settings.Env, role string) error {
+	if found := settings.Load(&e, role); len(found) > 0 {
 		return coded{exitInvalid, found.Error()}
 	}
 	log := logger(e.LogLevel, e.Name)
--- a/configsync/choice_test.go
+++ b/configsync/choice_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 )
 
 func puller() *Sync {
 	return &Sync{
 		liveAt: map[string]int64{}, zones: map[string]string{}, asked: map[string]int64{}, sent: map[uint64]sentPull{}, contact: contact{without: map[string]bool{}},
-		place: env.Env{Mesh: "10.0.0.1:1", Zone: "z1"},
+		place: settings.Env{Mesh: "10.0.0.1:1", Zone: "z1"},
 	}
 }
 
--- a/configsync/contact.go
+++ b/configsync/contact.go
@@ -6,9 +6,9 @@
 import (
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // Bounds of confirmation, in microseconds.
--- a/configsync/cores.go
+++ b/configsync/cores.go
@@ -8,7 +8,7 @@
 	"hash/fnv"
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // Figures of the choice.
--- a/configsync/sync.go
+++ b/configsync/sync.go
@@ -5,12 +5,12 @@
 package configsync
 
 import (
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // Every is the time between two pulls; EmptyEvery is that of a core that knows no version yet.
@@ -44,7 +44,7 @@
 	known   []string
 	liveAt  map[string]int64
 	zones   map[string]string
-	place   env.Env
+	place   settings.Env
 	core    bool
 
 	// asked is when a core was first asked without having answered since.
--- a/cutmove/cutmove.go
+++ b/cutmove/cutmove.go
@@ -6,12 +6,12 @@
 
 import (
 	"wallport/configsync"
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // Figures of a move.
--- a/forward/budget.go
+++ b/forward/budget.go
@@ -7,7 +7,7 @@
 
 import (
 	"wallport/bucket"
-	"wallport/random"
+	"wallport/runtime/random"
 	"wallport/table"
 )
 
--- a/forward/chart.go
+++ b/forward/chart.go
@@ -2,8 +2,8 @@
 package forward
 
 import (
-	"wallport/random"
 	"wallport/routing"
+	"wallport/runtime/random"
 	"wallport/table"
 )
 
--- a/forward/chart_test.go
+++ b/forward/chart_test.go
@@ -10,8 +10,8 @@
 
 	"wallport/routing"
 	"wallport/routingpb"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // fixture is a desk with a table that tests may change.
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -4,7 +4,7 @@
 package forward
 
 import (
-	"wallport/random"
+	"wallport/runtime/random"
 	"wallport/table"
 )
 
--- a/forward/desk.go
+++ b/forward/desk.go
@@ -6,9 +6,9 @@
 	"sync"
 	"sync/atomic"
 
-	"wallport/invariant"
-	"wallport/kernel"
-	"wallport/random"
+	"wallport/runtime/invariant"
+	"wallport/runtime/kernel"
+	"wallport/runtime/random"
 	"wallport/table"
 )
 
--- a/forward/eject.go
+++ b/forward/eject.go
@@ -2,7 +2,7 @@
 // trials bring it back.
 package forward
 
-import "wallport/random"
+import "wallport/runtime/random"
 
 // failure is what an ask came to that began at a moment; silent tells that nothing came at all.
 type failure struct {
--- a/forward/fleet_test.go
+++ b/forward/fleet_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
-	"wallport/random"
+	"wallport/runtime/kernel"
+	"wallport/runtime/random"
 	"wallport/table"
 )
 
--- a/forward/invariants.go
+++ b/forward/invariants.go
@@ -2,7 +2,7 @@
 package forward
 
 import (
-	"wallport/invariant"
+	"wallport/runtime/invariant"
 	"wallport/table"
 )
 
--- a/forward/invariants_test.go
+++ b/forward/invariants_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/invariant"
 	"wallport/lab/violation"
+	"wallport/runtime/invariant"
 	"wallport/table"
 )
 
--- a/forward/ramp.go
+++ b/forward/ramp.go
@@ -7,7 +7,7 @@
 import (
 	"sync/atomic"
 
-	"wallport/random"
+	"wallport/runtime/random"
 )
 
 // rampShare of the bound is handed out; a token lapses after rampLapse.
--- a/forward/world_test.go
+++ b/forward/world_test.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"math/rand/v2"
 
-	"wallport/kernel"
 	"wallport/routing"
 	"wallport/routingpb"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 type event struct {
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -19,11 +19,11 @@
 
 	"wallport/backend"
 	"wallport/forward"
-	"wallport/kernel"
 	"wallport/routing"
 	"wallport/routingpb"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 const peerVar = "WALLPORT_BENCH_PEER"
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -15,7 +15,7 @@
 
 	"wallport/backend"
 	"wallport/forward"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 	"wallport/table"
 )
 
--- a/gateway/run_test.go
+++ b/gateway/run_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/forward"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // held makes the backend hold each request until it is let go, by its ask's path.
--- a/gateway/world_test.go
+++ b/gateway/world_test.go
@@ -20,11 +20,11 @@
 
 	"wallport/backend"
 	"wallport/forward"
-	"wallport/kernel"
 	"wallport/routing"
 	"wallport/routingpb"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 var testNames = Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Target: "Meant-For", Parts: "Stamps", Missing: "Parts-Missing", ReadyPath: "/ready"}
--- a/generate.sh
+++ b/generate.sh
@@ -3,6 +3,6 @@
 set -eu
 cd "$(dirname "$0")"
 go tool goa gen wallport/design >/dev/null
-(cd wire && go generate ./...)
+(cd runtime/wire && go generate ./...)
 go run ./tools/gen_proto
-gofmt -w gen wire sheetpb routingpb
+gofmt -w gen runtime/wire sheetpb routingpb
--- a/health/health.go
+++ b/health/health.go
@@ -9,10 +9,10 @@
 	"hash/fnv"
 	"slices"
 
-	"wallport/kernel"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // Figures of the probes.
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/listing"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 const sick = "s1"
@@ -30,7 +30,7 @@
 }
 
 func newNode(neighbours byte) *node {
-	e := env.Env{Name: "a", Mesh: "10.0.0.1:1", PassiveHealth: true}
+	e := settings.Env{Name: "a", Mesh: "10.0.0.1:1", PassiveHealth: true}
 	n := &node{k: kernel.New(kernel.Boot{Env: e, Role: "node", Seed: 1, Key: keyOf(0)}), now: 5_000_000}
 	n.feed(kernel.Start{})
 	for i := range neighbours {
--- a/idempotency/admission.go
+++ b/idempotency/admission.go
@@ -8,9 +8,9 @@
 	"slices"
 
 	"wallport/inquiry"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 type admission struct {
--- a/idempotency/epochs.go
+++ b/idempotency/epochs.go
@@ -9,10 +9,10 @@
 import (
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
 	"wallport/table"
-	"wallport/wire"
 )
 
 type epoch struct {
--- a/idempotency/fresh_test.go
+++ b/idempotency/fresh_test.go
@@ -7,13 +7,13 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 )
 
 func TestNodeThatJustStartedAsksNoOwnersBeforeItKnowsThem(t *testing.T) {
-	k := kernel.New(kernel.Boot{Env: env.Env{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	c := kernel.Find[*Coordinator](k)
 	now := int64(1_000_000)
 	k.Step(now, now, kernel.Start{})
--- a/idempotency/handover.go
+++ b/idempotency/handover.go
@@ -5,9 +5,9 @@
 	"maps"
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 func places(roster []table.Node) []wire.Place {
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -10,10 +10,10 @@
 
 	"wallport/configsync"
 	"wallport/inquiry"
-	"wallport/kernel"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // Figures of the claims.
--- a/idempotency/model_callers_test.go
+++ b/idempotency/model_callers_test.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"wallport/inquiry"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // callers send a key through several nodes, some before they have heard of an answer.
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -14,10 +14,10 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/inquiry"
-	"wallport/kernel"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 const (
--- a/idempotency/owner.go
+++ b/idempotency/owner.go
@@ -2,8 +2,8 @@
 package idempotency
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // claim is an owner's answer.
--- a/idempotency/repeats.go
+++ b/idempotency/repeats.go
@@ -8,8 +8,8 @@
 	"fmt"
 
 	"wallport/inquiry"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of repeats.
--- a/idempotency/roster_test.go
+++ b/idempotency/roster_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
 	"wallport/inquiry"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // node is one process under test that has just started, and its clock.
@@ -27,7 +27,7 @@
 
 func newNode(t *testing.T) *node {
 	t.Helper()
-	k := kernel.New(kernel.Boot{Env: env.Env{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	n := &node{k: k, c: kernel.Find[*Coordinator](k), now: 1_000_000}
 	n.step(kernel.Start{})
 	n.step(kernel.Tick{Plugin: "table", Key: "build"})
--- a/inquiry/chart_test.go
+++ b/inquiry/chart_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
 	"wallport/table"
 	"wallport/usage"
-	"wallport/wire"
 )
 
 func newSnapshot(perShard, shards int) *table.Snapshot {
@@ -29,7 +29,7 @@
 }
 
 func desk(cp *table.Snapshot) *Desk {
-	k := kernel.New(kernel.Boot{Env: env.Env{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Env: settings.Env{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
 	return &Desk{Table: func() *table.Snapshot { return cp }, Usage: &usage.Usage{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
 }
 
--- a/inquiry/desk.go
+++ b/inquiry/desk.go
@@ -10,8 +10,8 @@
 	"sync"
 	"sync/atomic"
 
-	"wallport/kernel"
-	"wallport/random"
+	"wallport/runtime/kernel"
+	"wallport/runtime/random"
 	"wallport/table"
 	"wallport/usage"
 )
--- a/lab/check/first_test.go
+++ b/lab/check/first_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // An order on a version that no order made is explained only where the fleet began with that version.
--- a/lab/check/histories.go
+++ b/lab/check/histories.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"wallport/lab/history"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // NotLinearizable is the point that no order of the operators' calls explains their answers.
--- a/lab/check/histories_test.go
+++ b/lab/check/histories_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func at(seq uint64) wire.Version { return wire.Version{Term: 1, Seq: seq} }
--- a/lab/check/sheets.go
+++ b/lab/check/sheets.go
@@ -4,7 +4,7 @@
 // compare-and-set register, checked exactly).
 package check
 
-import "wallport/wire"
+import "wallport/runtime/wire"
 
 // Try is one edit of the sheet by an operator.
 type Try struct {
--- a/lab/fleet/configure.go
+++ b/lab/fleet/configure.go
@@ -10,7 +10,7 @@
 	"net/http"
 	"time"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func (f *Fleet) tellPlatform(ctx context.Context) error {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -16,7 +16,7 @@
 
 	"wallport/lab/platform"
 	"wallport/lab/relay"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Options say what to start and where.
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"wallport/lab/check"
+	"wallport/runtime/wire"
 	"wallport/sheet"
-	"wallport/wire"
 )
 
 type operators struct {
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"wallport/lab/script"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Shape is the size of a deployment.
--- a/lab/model/apply.go
+++ b/lab/model/apply.go
@@ -5,7 +5,7 @@
 	"errors"
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 const noSource = -1
--- a/lab/model/frames.go
+++ b/lab/model/frames.go
@@ -6,8 +6,8 @@
 
 	"github.com/tinylib/msgp/msgp"
 
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // frameKind classifies a frame between processes.
--- a/lab/model/invariants.go
+++ b/lab/model/invariants.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"wallport/lab/history"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Invariant names a rule that must hold in every state.
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // statesMost bounds each configuration; all of them end within it. A short run, which CI makes with
--- a/lab/model/operators.go
+++ b/lab/model/operators.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"slices"
 
-	"wallport/kernel"
 	"wallport/lab/history"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // OrderKind is what an order does.
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -10,8 +10,8 @@
 	"fmt"
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // pendingWrite is a file that a process asked for and that is not synced yet.
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -11,15 +11,15 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wallport/diskfile"
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
 	"wallport/replica"
 	"wallport/routingpb"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // pluginName is the plug-in under test; inputs go to it alone.
@@ -32,9 +32,9 @@
 
 // bootKernel makes a replica's process on the files of its disk.
 func bootKernel(replica int, files map[string][]byte) *kernel.Kernel {
-	e := env.Env{
+	e := settings.Env{
 		Name: replicaName(replica), Zone: fmt.Sprintf("zone-%d", replica+1), Mesh: replicaAddress(replica), Data: "disk",
-		BootstrapKnown: true, Tolerance: env.Tolerance{Machines: 1},
+		BootstrapKnown: true, Tolerance: settings.Tolerance{Machines: 1},
 	}
 	return kernel.New(kernel.Boot{Env: e, Role: "core", Seed: uint64(replica), Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
 }
--- a/lab/model/record.go
+++ b/lab/model/record.go
@@ -8,7 +8,7 @@
 	"maps"
 	"slices"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // reading is what a read returned.
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Config is what is explored.
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Config is the platform's manner.
--- a/lab/scale/backends.go
+++ b/lab/scale/backends.go
@@ -8,7 +8,7 @@
 	"net/http"
 
 	"wallport/lab/backend"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // BackendsConfig says which hollow backends to run.
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -17,14 +17,14 @@
 	// The plug-ins register themselves.
 	_ "wallport/configsync"
 	_ "wallport/cutmove"
-	"wallport/env"
 	_ "wallport/health"
 	_ "wallport/idempotency"
-	"wallport/kernel"
 	_ "wallport/listing"
 	_ "wallport/operate"
-	"wallport/process"
 	_ "wallport/replica"
+	"wallport/runtime/kernel"
+	"wallport/runtime/process"
+	"wallport/runtime/settings"
 	"wallport/table"
 	_ "wallport/usage"
 )
@@ -80,7 +80,7 @@
 
 func (h *Hollow) start(i int) (*hollowNode, error) {
 	c := h.c
-	e := env.Env{
+	e := settings.Env{
 		Name: fmt.Sprintf("%s-%d", c.Role, i), Zone: fmt.Sprintf("z%d", i%c.Zones+1), Seeds: c.Seeds, PollsPer: 20,
 		LogLevel: "error", Fleet: "scale",
 	}
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func until(t *testing.T, what string, ok func() bool) {
--- a/lab/scale/start.go
+++ b/lab/scale/start.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"wallport/lab/fleet"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // tries is how often a real process is started anew on another port.
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"wallport/operate"
+	"wallport/runtime/wire"
 	"wallport/state"
 	"wallport/table"
-	"wallport/wire"
 )
 
 // Seen is one thing that a hollow node came to see, at a time of this machine's clock in
--- a/lab/sim/behind.go
+++ b/lab/sim/behind.go
@@ -3,8 +3,8 @@
 
 import (
 	"wallport/mesh"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // countBehind counts, over all partitions, the voters that lack the newest committed version.
--- a/lab/sim/bookings.go
+++ b/lab/sim/bookings.go
@@ -9,9 +9,9 @@
 
 	"wallport/lab/check"
 	"wallport/operate"
+	"wallport/runtime/wire"
 	"wallport/sheet"
 	"wallport/state"
-	"wallport/wire"
 )
 
 type booking struct {
--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"math"
 
-	"wallport/env"
 	"wallport/lab/rules"
+	"wallport/runtime/settings"
 )
 
 // leadUs is from the start of the machines to the begin of the traffic.
@@ -19,7 +19,7 @@
 type day struct {
 	w        *World
 	site     siteShape
-	env      env.Env
+	env      settings.Env
 	journal  *rules.Journal
 	machines []*machine
 	byName   map[string]*machine
@@ -50,16 +50,16 @@
 		RetryWindowUs: 10_000_000, RampOverrun: 1.5, RampTolerance: 5,
 	}
 	d.journal = &rules.Journal{Bounds: b}
-	d.env = env.Env{
+	d.env = settings.Env{
 		Fleet: "sim", Platform: "http://platform/list", PollsPer: 440, ListEvery: 1_000_000, LogLevel: "info",
-		BootstrapKnown: true, Bootstrap: true, Tolerance: env.Tolerance{Machines: site.tolerance[0], Zones: site.tolerance[1]},
-		Machine: env.Machine{CPUShare: 0.4, MemoryMB: 284, MaxFds: 4100, LinkMbps: 1000, DiskMB: 64},
-		Bounds: env.Bounds{
+		BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: site.tolerance[0], Zones: site.tolerance[1]},
+		Machine: settings.Machine{CPUShare: 0.4, MemoryMB: 284, MaxFds: 4100, LinkMbps: 1000, DiskMB: 64},
+		Bounds: settings.Bounds{
 			DrainUs: b.DrainUs, GraceUs: b.GraceUs, ApplyUs: b.ApplyUs, EmptyUs: b.EmptyUs, AckUs: b.AckUs, ContactUs: b.ContactUs,
 			SyncUs: 4_000_000, AddressReuseUs: reuseUs, LossUs: b.LossUs, RecoverUs: b.RecoverUs, SeedLagUs: 3_000_000, ListLagUs: listLagUs,
 		},
-		Retries: env.Retries{Ratio: b.RetryRatio, Allowance: b.RetryAllowance, WindowUs: b.RetryWindowUs},
-		Ramp:    env.Ramp{Overrun: b.RampOverrun, Tolerance: b.RampTolerance},
+		Retries: settings.Retries{Ratio: b.RetryRatio, Allowance: b.RetryAllowance, WindowUs: b.RetryWindowUs},
+		Ramp:    settings.Ramp{Overrun: b.RampOverrun, Tolerance: b.RampTolerance},
 	}
 	d.backends.init(d)
 	d.clients.init(d)
--- a/lab/sim/day_acks.go
+++ b/lab/sim/day_acks.go
@@ -5,9 +5,9 @@
 import (
 	"fmt"
 
-	"wallport/kernel"
 	"wallport/lab/rules"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // pin is the machine that an order goes to first; only tells that it goes there until it answers.
--- a/lab/sim/day_backend.go
+++ b/lab/sim/day_backend.go
@@ -8,7 +8,7 @@
 	"hash/fnv"
 
 	"wallport/lab/rules"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 type life struct {
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -8,9 +8,9 @@
 	"slices"
 
 	"wallport/health"
-	"wallport/kernel"
 	"wallport/lab/rules"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of the platform and of backends.
--- a/lab/sim/day_conns.go
+++ b/lab/sim/day_conns.go
@@ -5,7 +5,7 @@
 import (
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 const (
--- a/lab/sim/day_mishaps.go
+++ b/lab/sim/day_mishaps.go
@@ -5,11 +5,11 @@
 import (
 	"slices"
 
-	"wallport/kernel"
 	"wallport/lab/rules"
 	"wallport/operate"
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Points that the orders below are judged by.
--- a/lab/sim/day_network.go
+++ b/lab/sim/day_network.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // write gives a write to the disk; where there is none it fails.
--- a/lab/sim/day_orders.go
+++ b/lab/sim/day_orders.go
@@ -11,7 +11,7 @@
 	"wallport/lab/rules"
 	"wallport/operate"
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Figures of operators' calls, as the platform's control address has them.
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -5,8 +5,8 @@
 import (
 	"wallport/lab/rules"
 	"wallport/operate"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // confirmedReadUs is how often it is read; the first read is as late.
--- a/lab/sim/day_turns.go
+++ b/lab/sim/day_turns.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"slices"
 
-	"wallport/kernel"
 	"wallport/lab/rules"
+	"wallport/runtime/kernel"
 )
 
 var stopping = kernel.Stopping{}
--- a/lab/sim/disk.go
+++ b/lab/sim/disk.go
@@ -3,7 +3,7 @@
 package sim
 
 import (
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 type disk struct {
--- a/lab/sim/growth.go
+++ b/lab/sim/growth.go
@@ -7,9 +7,9 @@
 import (
 	"fmt"
 
-	"wallport/kernel"
 	"wallport/lab/script"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
 )
 
 // Growth says what to simulate.
--- a/lab/sim/healing.go
+++ b/lab/sim/healing.go
@@ -5,8 +5,8 @@
 
 import (
 	"wallport/inquiry"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 type healing struct{ came, good, shed int64 }
--- a/lab/sim/network.go
+++ b/lab/sim/network.go
@@ -8,8 +8,8 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 type side struct {
--- a/lab/sim/operators.go
+++ b/lab/sim/operators.go
@@ -9,10 +9,10 @@
 
 	"wallport/lab/check"
 	"wallport/operate"
+	"wallport/runtime/wire"
 	"wallport/sheet"
 	"wallport/sheetpb"
 	"wallport/state"
-	"wallport/wire"
 )
 
 const markBase = rampUs
--- a/lab/sim/platform.go
+++ b/lab/sim/platform.go
@@ -5,7 +5,7 @@
 import (
 	"encoding/json"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 type shownList struct {
--- a/lab/sim/play.go
+++ b/lab/sim/play.go
@@ -4,8 +4,8 @@
 import (
 	"fmt"
 
-	"wallport/invariant"
 	"wallport/lab/script"
+	"wallport/runtime/invariant"
 )
 
 // Result is what one run came to.
--- a/lab/sim/power.go
+++ b/lab/sim/power.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"maps"
 
-	"wallport/kernel"
 	"wallport/lab/script"
+	"wallport/runtime/kernel"
 )
 
 // PowerSteps are the moments of a write at which the power can go.
--- a/lab/sim/proc.go
+++ b/lab/sim/proc.go
@@ -7,14 +7,14 @@
 
 	_ "wallport/configsync"
 	_ "wallport/cutmove"
-	"wallport/env"
 	_ "wallport/health"
 	_ "wallport/idempotency"
 	"wallport/inquiry"
-	"wallport/kernel"
 	_ "wallport/listing"
 	_ "wallport/operate"
 	"wallport/replica"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/table"
 	"wallport/usage"
 )
@@ -28,7 +28,7 @@
 	w         *World
 	name      string
 	role      string
-	env       env.Env
+	env       settings.Env
 	index     int64
 	life      int
 	up        bool
@@ -66,7 +66,7 @@
 
 func (w *World) add(role string, i int, addr string) *proc {
 	name := fmt.Sprintf("%s-%d", role, i)
-	e := env.Env{
+	e := settings.Env{
 		Name: name, Zone: w.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: w.seeds, Fleet: "sim",
 		PollsPer: w.plat.allowed, LogLevel: "info",
 	}
--- a/lab/sim/scale.go
+++ b/lab/sim/scale.go
@@ -7,7 +7,7 @@
 	"fmt"
 
 	"wallport/lab/script"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Scaled is the measurement of one fleet size.
--- a/lab/sim/server.go
+++ b/lab/sim/server.go
@@ -8,10 +8,10 @@
 
 	"wallport/health"
 	"wallport/inquiry"
-	"wallport/kernel"
 	"wallport/lab/backend"
 	"wallport/lab/records"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 type server struct {
--- a/lab/sim/stops.go
+++ b/lab/sim/stops.go
@@ -2,8 +2,8 @@
 package sim
 
 import (
-	"wallport/kernel"
 	"wallport/replica"
+	"wallport/runtime/kernel"
 )
 
 // stop is the planned stop: nothing new, what was read is finished, then the end.
--- a/lab/sim/traffic.go
+++ b/lab/sim/traffic.go
@@ -5,8 +5,8 @@
 import (
 	"golang.org/x/sys/unix"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Kinds is more than the number of frame kinds.
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -10,8 +10,8 @@
 	"wallport/lab/check"
 	"wallport/lab/fleet"
 	"wallport/lab/script"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 type event struct {
--- a/lab/violation/violation.go
+++ b/lab/violation/violation.go
@@ -1,7 +1,7 @@
 // Package violation lets tests bring the violation of an invariant about and see it.
 package violation
 
-import "wallport/invariant"
+import "wallport/runtime/invariant"
 
 // By runs a function and returns the invariant that it violated; empty is none.
 func By(f func()) (name invariant.Name) {
--- a/listing/first.go
+++ b/listing/first.go
@@ -3,7 +3,7 @@
 // The few machines that count read at once, the others only if those did not.
 package listing
 
-import "wallport/kernel"
+import "wallport/runtime/kernel"
 
 // Times of the first reading, in microseconds.
 const (
--- a/listing/lease.go
+++ b/listing/lease.go
@@ -5,11 +5,11 @@
 import (
 	"fmt"
 
-	"wallport/invariant"
-	"wallport/kernel"
 	"wallport/mesh"
+	"wallport/runtime/invariant"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // asksMost is how many asks a grant may still answer.
--- a/listing/lease_test.go
+++ b/listing/lease_test.go
@@ -6,12 +6,12 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/invariant"
-	"wallport/kernel"
 	"wallport/lab/violation"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/invariant"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 // asks lets time pass until the node has asked for the duty once more, and gives the ask's id.
@@ -28,7 +28,7 @@
 }
 
 func TestLeaseCountsFromWhenItWasAskedFor(t *testing.T) {
-	r := newRig(t, env.Env{PollsPer: 20})
+	r := newRig(t, settings.Env{PollsPer: 20})
 	r.owned()
 	id := r.asks()
 	asked := r.now
@@ -41,7 +41,7 @@
 
 // A grant on its way while the lease is given up, or the process stands still, is not taken.
 func TestLeaseGivenUpIsNotTakenUpAgain(t *testing.T) {
-	r := newRig(t, env.Env{PollsPer: 20})
+	r := newRig(t, settings.Env{PollsPer: 20})
 	r.owned()
 	id := r.asks()
 	r.feed(kernel.Thawed{Gap: 2 * second})
@@ -51,7 +51,7 @@
 
 // While a node holds the duty nobody else reads under a later grant.
 func TestViolationOfOneHolder(t *testing.T) {
-	r := newRig(t, env.Env{PollsPer: 20})
+	r := newRig(t, settings.Env{PollsPer: 20})
 	r.owned()
 	r.grant(r.asks())
 	reads := func(turn uint64) invariant.Name {
--- a/listing/listing.go
+++ b/listing/listing.go
@@ -9,11 +9,11 @@
 	"net/http"
 
 	"wallport/configsync"
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // Figures of the duty.
--- a/listing/listing_test.go
+++ b/listing/listing_test.go
@@ -10,11 +10,11 @@
 	"github.com/shoenig/test/must"
 	"github.com/tinylib/msgp/msgp"
 
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/members"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 const second = int64(1_000_000)
@@ -37,9 +37,9 @@
 	mail [][]byte
 }
 
-func newRig(t *testing.T, e env.Env) *rig { return newNode(t, e, 0) }
+func newRig(t *testing.T, e settings.Env) *rig { return newNode(t, e, 0) }
 
-func newNode(t *testing.T, e env.Env, n byte) *rig {
+func newNode(t *testing.T, e settings.Env, n byte) *rig {
 	e.Name, e.Mesh, e.Platform = "n"+string('0'+n), "10.0.0."+string('1'+n)+":1", "http://platform/list"
 	r := &rig{t: t, status: 200, list: wire.Listing{Whole: true, Servers: []wire.Server{{ID: "s", State: "ready"}}}}
 	r.k = kernel.New(kernel.Boot{Env: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{n}, 32))})
@@ -147,7 +147,7 @@
 		// No period asked for: five eighths of the allowance.
 		{0, 20, 0, 12, 13},
 	} {
-		r := newRig(t, env.Env{ListEvery: c.every, PollsPer: c.polls})
+		r := newRig(t, settings.Env{ListEvery: c.every, PollsPer: c.polls})
 		r.grants, r.list.Calls = true, c.calls
 		r.owned()
 		r.run(2 * second)
@@ -158,7 +158,7 @@
 }
 
 func TestASilentHolderIsFollowedInTime(t *testing.T) {
-	r := newRig(t, env.Env{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440})
 	// A reading was heard of before; who knows of none reads at once (first_test.go).
 	r.l.blank = false
 	r.run(StaleAfter)
@@ -171,8 +171,8 @@
 
 func TestAHolderWithoutAnyAnswerGivesWay(t *testing.T) {
 	for _, status := range []int{0, 429, 500} {
-		r := newRig(t, env.Env{ListEvery: second, PollsPer: 440})
-		meet(r, newNode(t, env.Env{ListEvery: second, PollsPer: 440}, 1))
+		r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440})
+		meet(r, newNode(t, settings.Env{ListEvery: second, PollsPer: 440}, 1))
 		r.grants = true
 		r.owned()
 		r.run(2 * second)
@@ -198,7 +198,7 @@
 }
 
 func TestAHolderWithNobodyElseGoesOn(t *testing.T) {
-	r := newRig(t, env.Env{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440})
 	r.grants, r.status = true, 0
 	r.owned()
 	r.run(10 * second)
@@ -206,7 +206,7 @@
 }
 
 func TestADrainingNodeAsksForNothing(t *testing.T) {
-	r := newRig(t, env.Env{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440})
 	r.grants = true
 	r.owned()
 	r.run(second)
--- a/listing/news.go
+++ b/listing/news.go
@@ -6,7 +6,7 @@
 	"hash/fnv"
 	"slices"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // news tells whether a reading says anything that the last one did not: cold times that only run down are none.
--- a/members/members.go
+++ b/members/members.go
@@ -9,9 +9,9 @@
 	"maps"
 	"slices"
 
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Row is one member as seen from here.
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 // process is one process with its mesh and members alone.
@@ -22,7 +22,7 @@
 }
 
 func newProcess(others int) *process {
-	k := kernel.New(kernel.Boot{Env: env.Env{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Env: settings.Env{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	p := &process{k: k, m: kernel.Find[*Members](k), now: 5_000_000}
 	p.feed(kernel.Start{})
 	for i := range others {
--- a/mesh/announce.go
+++ b/mesh/announce.go
@@ -2,8 +2,8 @@
 package mesh
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Announce signs, stores and floods an entry of this process's own.
--- a/mesh/digest.go
+++ b/mesh/digest.go
@@ -5,8 +5,8 @@
 package mesh
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of catching up.
--- a/mesh/fleet_test.go
+++ b/mesh/fleet_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 func settled(t testing.TB, n, zones int, seed uint64) *fleet {
--- a/mesh/flood.go
+++ b/mesh/flood.go
@@ -5,8 +5,8 @@
 import (
 	"crypto/ed25519"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Which frames of an entry are news and which come of catching up; the number travels in the
--- a/mesh/heartbeat.go
+++ b/mesh/heartbeat.go
@@ -7,8 +7,8 @@
 	"crypto/ed25519"
 	"encoding/binary"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 func (m *Mesh) beat(t *kernel.Context) {
--- a/mesh/large_test.go
+++ b/mesh/large_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // queued is how long a frame waits for its process's link.
--- a/mesh/links.go
+++ b/mesh/links.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of links.
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -7,8 +7,8 @@
 import (
 	"crypto/ed25519"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of the mesh; docs/mesh.md says how they were come by.
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 func key(b byte) kernel.Key {
@@ -25,7 +25,7 @@
 }
 
 func newRig(t testing.TB) *rig {
-	k := kernel.New(kernel.Boot{Env: env.Env{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: key(1)})
+	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: key(1)})
 	r := &rig{k: k, m: kernel.Find[*Mesh](k), now: 1_000_000}
 	r.feed(kernel.Start{})
 	r.feed(kernel.ChannelUp{Chan: 7, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(key(2).Public), Mesh: true})
--- a/mesh/net_test.go
+++ b/mesh/net_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 type happening struct {
@@ -105,7 +105,7 @@
 	for i := range seed {
 		seed[i] = byte(f.rnd.Uint32())
 	}
-	e := env.Env{Mesh: p.addr, Zone: p.zone}
+	e := settings.Env{Mesh: p.addr, Zone: p.zone}
 	for i := range min(3, len(f.procs)) {
 		e.Seeds = append(e.Seeds, f.procs[i].addr)
 	}
--- a/mesh/notice.go
+++ b/mesh/notice.go
@@ -4,8 +4,8 @@
 package mesh
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of large entries.
--- a/mesh/outbox.go
+++ b/mesh/outbox.go
@@ -4,8 +4,8 @@
 package mesh
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // ForwardEvery is the least time between two batches of forwarded entries.
--- a/mesh/overlay.go
+++ b/mesh/overlay.go
@@ -6,7 +6,7 @@
 import (
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // Figures of the overlay.
--- a/mesh/peers.go
+++ b/mesh/peers.go
@@ -7,8 +7,8 @@
 	"maps"
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 type dial struct {
--- a/mesh/prune.go
+++ b/mesh/prune.go
@@ -5,7 +5,7 @@
 	"cmp"
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // prune gives up a link that is one too many, one at a time, and none that its other end needs.
--- a/mesh/reach.go
+++ b/mesh/reach.go
@@ -7,8 +7,8 @@
 import (
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of reaching.
--- a/mesh/seeds_test.go
+++ b/mesh/seeds_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 func TestChangedSeedsAreDialledAtOnce(t *testing.T) {
--- a/mesh/seen.go
+++ b/mesh/seen.go
@@ -7,7 +7,7 @@
 	"hash/fnv"
 	"hash/maphash"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 type seenSet struct {
--- a/mesh/store.go
+++ b/mesh/store.go
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Bounds of what is held, and how long an entry that was taken back is remembered.
--- a/operate/binding.go
+++ b/operate/binding.go
@@ -4,8 +4,8 @@
 package operate
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // versionRead marks the ids of frames that ask for a zone's version, so that a reply to one is
--- a/operate/binding_test.go
+++ b/operate/binding_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 func drain() wire.Edit { return wire.Edit{Op: "empty", Name: "z1"} }
--- a/operate/call.go
+++ b/operate/call.go
@@ -3,8 +3,8 @@
 
 import (
 	"wallport/routingpb"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // ReadRouting asks for the routing table in force, confirmed by a majority after the question
--- a/operate/carrying.go
+++ b/operate/carrying.go
@@ -6,9 +6,9 @@
 import (
 	"fmt"
 
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // answer ends a call.
--- a/operate/operate.go
+++ b/operate/operate.go
@@ -7,12 +7,12 @@
 	"fmt"
 
 	"wallport/configsync"
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
 	"wallport/replica"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // Figures of an operator's call.
--- a/operate/operate_test.go
+++ b/operate/operate_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 type node struct {
@@ -31,7 +31,7 @@
 
 // newNode is a node that has heard from a core that "owner" leads partition 0.
 func newNode(t *testing.T) *node {
-	k := kernel.New(kernel.Boot{Env: env.Env{Mesh: "10.0.0.1:1", Zone: "z1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1", Zone: "z1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	n := &node{t: t, k: k, now: 1_000_000, answers: map[uint64]any{}}
 	n.step(kernel.Start{})
 	n.receive(wire.KindPullReply, 0, &wire.PullReply{Leaders: []wire.Leader{{Partition: 0, Term: 3, Replica: "s", Addr: "owner"}}})
@@ -109,7 +109,7 @@
 
 func TestNobodyToSendToIsShed(t *testing.T) {
 	k := newNode(t)
-	k.k = kernel.New(kernel.Boot{Env: env.Env{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k.k = kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	k.call(1, Carry{Edit: edit(), GiveUpUs: 800_000})
 	k.pass(800_000)
 	must.Eq(t, "shed", k.code(1))
--- a/operate/rebuild.go
+++ b/operate/rebuild.go
@@ -5,11 +5,11 @@
 import (
 	"fmt"
 
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
 	"wallport/replica"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Rebuild is an operator's word to make a partition's group anew.
--- a/operate/rebuild_test.go
+++ b/operate/rebuild_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 func liveCores(zones ...string) (out []wire.Replica) {
@@ -45,7 +45,7 @@
 
 func TestWantedVotersFollowTheTolerance(t *testing.T) {
 	k := kernel.New(kernel.Boot{
-		Env: env.Env{Mesh: "10.0.0.1:1", BootstrapKnown: true, Tolerance: env.Tolerance{Machines: 2}}, Role: "node", Key: kernel.KeyFrom(make([]byte, 32)),
+		Env: settings.Env{Mesh: "10.0.0.1:1", BootstrapKnown: true, Tolerance: settings.Tolerance{Machines: 2}}, Role: "node", Key: kernel.KeyFrom(make([]byte, 32)),
 	})
 	must.Eq(t, 5, kernel.Find[*Operate](k).wantedVoters)
 }
--- a/operate/status.go
+++ b/operate/status.go
@@ -5,10 +5,10 @@
 import (
 	"fmt"
 
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // StatusWithin is how long the cores have to tell the state of their replicas, in microseconds.
--- a/operate/status_test.go
+++ b/operate/status_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // hears has the node hear of cores, by their names.
--- a/operate/zones.go
+++ b/operate/zones.go
@@ -4,7 +4,7 @@
 import (
 	"slices"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // CodeUnknownZone refuses to drain a zone in which there is nothing. Nothing was sent.
--- a/replica/bootstrap.go
+++ b/replica/bootstrap.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of bootstrap.
--- a/replica/bootstrap_choice.go
+++ b/replica/bootstrap_choice.go
@@ -6,8 +6,8 @@
 import (
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of bootstrap on a platform, in microseconds from the start.
--- a/replica/catch_up.go
+++ b/replica/catch_up.go
@@ -3,10 +3,10 @@
 package replica
 
 import (
-	"wallport/kernel"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // Figures of versions on their way; times in microseconds, sizes in bytes.
--- a/replica/clock_test.go
+++ b/replica/clock_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 func TestAnOwnersOwnJumpOfTheClockMovesNoBooking(t *testing.T) {
--- a/replica/cluster_checks_test.go
+++ b/replica/cluster_checks_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"slices"
 
-	"wallport/diskfile"
 	"wallport/mesh"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // check looks at a process after a step: whatever it newly proposes or has committed keeps what was acknowledged.
--- a/replica/cluster_machine_test.go
+++ b/replica/cluster_machine_test.go
@@ -4,9 +4,9 @@
 import (
 	"fmt"
 
-	"wallport/env"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 // simMachine is a machine with a disk and, while it is up, a process on it.
@@ -56,7 +56,7 @@
 		files[name] = content
 	}
 	m.kernel = kernel.New(kernel.Boot{
-		Env: env.Env{
+		Env: settings.Env{
 			Name: m.addr, Mesh: m.addr, Zone: m.zone, Data: "disk", Seeds: seeds,
 			BootstrapKnown: true, Bootstrap: m.first, Tolerance: c.shape.tolerance,
 		},
--- a/replica/cluster_test.go
+++ b/replica/cluster_test.go
@@ -10,12 +10,12 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/routing"
 	"wallport/routingpb"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // Figures of the simulated cluster, in microseconds.
@@ -32,7 +32,7 @@
 type simShape struct {
 	name      string
 	zones     []string
-	tolerance env.Tolerance
+	tolerance settings.Tolerance
 }
 
 type simCluster struct {
--- a/replica/contact.go
+++ b/replica/contact.go
@@ -7,9 +7,9 @@
 	"slices"
 
 	"wallport/configsync"
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Bounds of contact, in microseconds.
--- a/replica/contact_cluster_test.go
+++ b/replica/contact_cluster_test.go
@@ -8,10 +8,10 @@
 	"math/rand/v2"
 	"testing"
 
-	"wallport/diskfile"
-	"wallport/env"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 const (
@@ -66,7 +66,7 @@
 }
 
 func (c *cluster) start(m *member) {
-	e := env.Env{Mesh: m.addr, Zone: "z" + m.name[1:], BootstrapKnown: true}
+	e := settings.Env{Mesh: m.addr, Zone: "z" + m.name[1:], BootstrapKnown: true}
 	e.Tolerance.Machines = (len(c.members) - 1) / 2
 	for _, other := range c.members {
 		e.Seeds = append(e.Seeds, other.addr)
--- a/replica/contact_rules_test.go
+++ b/replica/contact_rules_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 // pulled is what the core answers to a pull of one that has nothing.
@@ -115,7 +115,7 @@
 	again.heartbeat(t, clock, v.Version)
 	must.Zero(t, again.pulled(t).Contact)
 	must.Between(t, 1, first.s.clockOrigin, clockOrigins)
-	other := kernel.New(kernel.Boot{Env: env.Env{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 2, Key: kernel.KeyFrom(make([]byte, 32))})
+	other := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 2, Key: kernel.KeyFrom(make([]byte, 32))})
 	other.Step(1, 1, kernel.Start{})
 	must.NotEq(t, first.s.clockOrigin, kernel.Find[*Host](other).clockOrigin)
 }
--- a/replica/contact_test.go
+++ b/replica/contact_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 const (
--- a/replica/disk.go
+++ b/replica/disk.go
@@ -5,8 +5,8 @@
 import (
 	"fmt"
 
-	"wallport/diskfile"
-	"wallport/kernel"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/kernel"
 )
 
 // identify gives an empty disk its replica; it is none before that is synced.
--- a/replica/election.go
+++ b/replica/election.go
@@ -6,9 +6,9 @@
 	"cmp"
 	"slices"
 
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // scheduleElection puts the next try for a term off: the replicas take turns, each partition beginning with another.
--- a/replica/election_test.go
+++ b/replica/election_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/diskfile"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // A leader that others elected before its own vote was synced would, killed and started again,
--- a/replica/fence_test.go
+++ b/replica/fence_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/diskfile"
-	"wallport/env"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 type core struct {
@@ -26,7 +26,7 @@
 	for k, v := range more {
 		files[k] = v
 	}
-	k := kernel.New(kernel.Boot{Env: env.Env{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
+	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
 	c := &core{k: k, s: kernel.Find[*Host](k), now: 1_000_000}
 	c.feed(kernel.Start{})
 	return c
--- a/replica/follower.go
+++ b/replica/follower.go
@@ -5,9 +5,9 @@
 import (
 	"slices"
 
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // accept syncs a version and says so, unless a newer term was voted.
--- a/replica/group.go
+++ b/replica/group.go
@@ -6,8 +6,8 @@
 package replica
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of the groups.
--- a/replica/host.go
+++ b/replica/host.go
@@ -10,11 +10,11 @@
 	"slices"
 	"strings"
 
-	"wallport/diskfile"
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Host is the plug-in.
--- a/replica/invariants.go
+++ b/replica/invariants.go
@@ -5,10 +5,10 @@
 	"bytes"
 	"fmt"
 
-	"wallport/invariant"
-	"wallport/kernel"
+	"wallport/runtime/invariant"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // heardLeader is the leader that a replica heard last, and in which term.
--- a/replica/invariants_test.go
+++ b/replica/invariants_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/invariant"
-	"wallport/kernel"
 	"wallport/lab/violation"
 	"wallport/routingpb"
+	"wallport/runtime/invariant"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // configured is a version of the configuration with a routing table of some revision.
--- a/replica/known_cores.go
+++ b/replica/known_cores.go
@@ -3,9 +3,9 @@
 package replica
 
 import (
-	"wallport/kernel"
 	"wallport/members"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of what is known of cores.
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -3,9 +3,9 @@
 package replica
 
 import (
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 func (g *Group) becomeLeader(t *kernel.Context, best wire.Versioned) {
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 const renewEvery = 200 * millisecond
--- a/replica/leases.go
+++ b/replica/leases.go
@@ -8,8 +8,8 @@
 import (
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // LeaseDuration is how long a lease lasts at most.
--- a/replica/leaving.go
+++ b/replica/leaving.go
@@ -5,8 +5,8 @@
 package replica
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of leaving.
--- a/replica/leaving_test.go
+++ b/replica/leaving_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // isVoterAnywhere tells whether a replica votes in a partition by the newest version that a leader has committed.
--- a/replica/member_change.go
+++ b/replica/member_change.go
@@ -8,9 +8,9 @@
 import (
 	"slices"
 
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of membership changes.
--- a/replica/membership.go
+++ b/replica/membership.go
@@ -6,8 +6,8 @@
 import (
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // substitute is the change that gives a voter's place to a learner.
--- a/replica/membership_test.go
+++ b/replica/membership_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 func ids(seats []wire.Replica) (out []string) {
--- a/replica/narrow_links_test.go
+++ b/replica/narrow_links_test.go
@@ -10,12 +10,12 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/diskfile"
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/routingpb"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 const (
@@ -69,7 +69,7 @@
 	m := c.members[id]
 	m.up, m.replies, m.bytesIn = true, map[uint64]wire.EditReply{}, 0
 	m.life++
-	boot := kernel.Boot{Env: env.Env{Name: id, Mesh: id, Zone: "z" + id, Data: "disk"}, Role: "core", Seed: uint64(id[0]), Key: kernel.KeyFrom(bytes.Repeat([]byte(id), 32)), Files: map[string][]byte{}}
+	boot := kernel.Boot{Env: settings.Env{Name: id, Mesh: id, Zone: "z" + id, Data: "disk"}, Role: "core", Seed: uint64(id[0]), Key: kernel.KeyFrom(bytes.Repeat([]byte(id), 32)), Files: map[string][]byte{}}
 	for name, b := range m.files {
 		boot.Files[name] = b
 	}
--- a/replica/orders_test.go
+++ b/replica/orders_test.go
@@ -8,11 +8,11 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/diskfile"
-	"wallport/kernel"
 	"wallport/routingpb"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // order is a routing table under a number, told apart from others by a limit.
--- a/replica/proposals.go
+++ b/replica/proposals.go
@@ -4,9 +4,9 @@
 package replica
 
 import (
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // handleEdit takes an operator's or another plug-in's change, or a confirmed read.
--- a/replica/proposals_test.go
+++ b/replica/proposals_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // owns makes the core the leader of partition 0 by the votes and answers of replica "a".
--- a/replica/pull_large_test.go
+++ b/replica/pull_large_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // A large version is in the answer to one pull, not to each one while it is under way.
--- a/replica/quorum.go
+++ b/replica/quorum.go
@@ -1,7 +1,7 @@
 // Majorities of replicas, also across a change of replicas.
 package replica
 
-import "wallport/wire"
+import "wallport/runtime/wire"
 
 func contains(seats []wire.Replica, id string) bool {
 	for _, s := range seats {
--- a/replica/quorum_test.go
+++ b/replica/quorum_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func seats(ids ...string) (out []wire.Replica) {
--- a/replica/rebuild.go
+++ b/replica/rebuild.go
@@ -4,9 +4,9 @@
 package replica
 
 import (
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // LeaderlessFor is how long no leader must have been heard of.
--- a/replica/route.go
+++ b/replica/route.go
@@ -7,9 +7,9 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"wallport/configsync"
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Step takes one input.
--- a/replica/second_loss_test.go
+++ b/replica/second_loss_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
+	"wallport/runtime/settings"
 )
 
 // Figures of the losses, in microseconds.
@@ -25,9 +25,9 @@
 )
 
 var simShapes = []simShape{
-	{name: "3 of 3", zones: []string{"z1", "z2", "z3"}, tolerance: env.Tolerance{Machines: 1, Zones: 1}},
-	{name: "3 of 4", zones: []string{"z1", "z2", "z3", "z4"}, tolerance: env.Tolerance{Machines: 1, Zones: 1}},
-	{name: "5 of 8", zones: []string{"z1", "z2", "z3", "z4", "z1", "z2", "z3", "z4"}, tolerance: env.Tolerance{Machines: 2, Zones: 1}},
+	{name: "3 of 3", zones: []string{"z1", "z2", "z3"}, tolerance: settings.Tolerance{Machines: 1, Zones: 1}},
+	{name: "3 of 4", zones: []string{"z1", "z2", "z3", "z4"}, tolerance: settings.Tolerance{Machines: 1, Zones: 1}},
+	{name: "5 of 8", zones: []string{"z1", "z2", "z3", "z4", "z1", "z2", "z3", "z4"}, tolerance: settings.Tolerance{Machines: 2, Zones: 1}},
 }
 
 // simLoss takes machines away, and brings them or their successors back after a while.
--- a/replica/snapshot_test.go
+++ b/replica/snapshot_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // linkOf10Mbit is the bandwidth of a link of 10 Mbit/s in bytes a second.
--- a/replica/state_machine.go
+++ b/replica/state_machine.go
@@ -3,9 +3,9 @@
 package replica
 
 import (
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // Partitions is the number of partitions.
--- a/replica/status.go
+++ b/replica/status.go
@@ -3,8 +3,8 @@
 package replica
 
 import (
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // States of a replica, as operators are shown them.
--- a/replica/status_test.go
+++ b/replica/status_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/diskfile"
-	"wallport/wire"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/wire"
 )
 
 // shown is the state of partition 0 as the core tells it.
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -6,8 +6,8 @@
 	"cmp"
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // bestSuccessor picks the healthy replica that answered last.
--- a/replica/vote_held_test.go
+++ b/replica/vote_held_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // A replica that holds an older version does not stand against one with a newer one.
--- a/routing/check.go
+++ b/routing/check.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 type checker struct {
--- a/segment/assembler.go
+++ b/runtime/chunk/assembler.go
@@ -1,5 +1,5 @@
 // The receiver's side: one assembly for each connection, all of them bounded together.
-package segment
+package chunk
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Figures of assembling.
--- a/segment/queue.go
+++ b/runtime/chunk/queue.go
@@ -1,12 +1,12 @@
 // The messages that wait for one destination.
-package segment
+package chunk
 
 import (
 	"bytes"
 	"crypto/sha256"
 	"slices"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // queue holds the messages for one destination; the first one is under way.
--- a/segment/segment_test.go
+++ b/runtime/chunk/segment_test.go
@@ -1,6 +1,6 @@
 // Messages in pieces: whatever the way does to the pieces, a message arrives as it was
 // sent or not at all, and what is held is bounded.
-package segment
+package chunk
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // way is what happens to pieces and acknowledgements: the chance in 100 of each.
--- a/segment/sender.go
+++ b/runtime/chunk/sender.go
@@ -1,4 +1,4 @@
-// Package segment carries messages larger than a frame between two processes: the
+// Package chunk carries messages larger than a frame between two processes: the
 // sender cuts them into pieces, the assembler puts them together and checks the whole
 // by its digest. Both are state machines: they are given what happened and the time in
 // microseconds, and give the pieces and acknowledgements to send.
@@ -7,12 +7,12 @@
 // any moment, so that small frames pass between the pieces. A transfer is begun again
 // when the receiver asks for it, as it does after a reconnect. A transfer that makes
 // no progress is given up: whoever sent the message sends it again if it still matters.
-package segment
+package chunk
 
 import (
 	"bytes"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Figures of sending; times in microseconds, sizes in bytes.
--- a/segment/sender_test.go
+++ b/runtime/chunk/sender_test.go
@@ -1,5 +1,5 @@
 // The sender: few bytes under way, no message twice, and nothing that hangs.
-package segment
+package chunk
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func TestFewBytesAreUnacknowledged(t *testing.T) {
--- a/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -11,8 +11,8 @@
 	"sort"
 	"sync/atomic"
 
-	"wallport/env"
-	"wallport/wire"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 // Plugin is one concern of a process. Step must not block, sleep or read clocks.
@@ -39,7 +39,7 @@
 
 // Boot is all that a process is given at its start.
 type Boot struct {
-	Env   env.Env
+	Env   settings.Env
 	Role  string
 	Seed  uint64
 	Key   Key
--- a/kernel/pieces.go
+++ b/runtime/kernel/pieces.go
@@ -5,8 +5,8 @@
 import (
 	"errors"
 
-	"wallport/segment"
-	"wallport/wire"
+	"wallport/runtime/chunk"
+	"wallport/runtime/wire"
 )
 
 // piecesName is the timer's name; no plug-in has it.
@@ -14,13 +14,13 @@
 
 // pieces is the kernel's side of segmented messages.
 type pieces struct {
-	sender    *segment.Sender
-	assembler *segment.Assembler
+	sender    *chunk.Sender
+	assembler *chunk.Assembler
 	ticking   bool
 }
 
 func newPieces() *pieces {
-	return &pieces{sender: segment.NewSender(0), assembler: segment.NewAssembler()}
+	return &pieces{sender: chunk.NewSender(0), assembler: chunk.NewAssembler()}
 }
 
 // keepsOrder tells of the kinds of which a small frame must not pass a large one: the last
@@ -31,13 +31,13 @@
 func (p *pieces) send(t *Context) {
 	sends := t.Out.Sends[:0]
 	for _, s := range t.Out.Sends {
-		to := segment.Destination{Conn: s.Chan, Addr: s.Addr}
+		to := chunk.Destination{Conn: s.Chan, Addr: s.Addr}
 		behind := keepsOrder(wire.KindOf(s.Data)) && p.sender.Sending(to)
 		if len(s.Data) <= wire.WholeMost && !behind {
 			sends = append(sends, s)
 			continue
 		}
-		if !p.sender.Enqueue(t.Now, segment.Message{To: to, Slot: s.Slot, Data: s.Data}) {
+		if !p.sender.Enqueue(t.Now, chunk.Message{To: to, Slot: s.Slot, Data: s.Data}) {
 			t.Counts.Add("transfers_dropped", 1)
 		}
 	}
@@ -61,9 +61,9 @@
 	}
 	switch {
 	case p.sender.Busy():
-		t.After(segment.RetryAfter/2, piecesName, "")
+		t.After(chunk.RetryAfter/2, piecesName, "")
 	case p.assembler.Busy():
-		t.After(segment.IdleAfter, piecesName, "")
+		t.After(chunk.IdleAfter, piecesName, "")
 	default:
 		return
 	}
@@ -111,7 +111,7 @@
 func (p *pieces) piece(t *Context, conn uint64, piece wire.Piece) (*wire.Frame, error) {
 	taken, err := p.assembler.Take(t.Now, conn, piece)
 	if err != nil {
-		if errors.Is(err, segment.ErrDigest) {
+		if errors.Is(err, chunk.ErrDigest) {
 			t.Counts.Add("transfers_corrupt", 1)
 		}
 		t.Log(1, "transfer_refused", "why", err.Error())
--- a/kernel/pieces_test.go
+++ b/runtime/kernel/pieces_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 	"github.com/tinylib/msgp/msgp"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // recorder is a plug-in that takes edits and votes.
--- a/kernel/turn.go
+++ b/runtime/kernel/turn.go
@@ -7,8 +7,8 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"wallport/invariant"
-	"wallport/wire"
+	"wallport/runtime/invariant"
+	"wallport/runtime/wire"
 )
 
 // Input is one of the types below.
--- a/process/blocked_test.go
+++ b/runtime/process/blocked_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 )
 
 // hangs is how long a test waits for what must not wait: only a hang lasts so long.
@@ -50,7 +50,7 @@
 }
 
 func TestACallEndsWithItsTimeWhenTheLoopIsHeldUp(t *testing.T) {
-	p := start(t, env.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
 	holdUp(t, p)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
@@ -60,14 +60,14 @@
 // Frames wait for a connection that is being opened. Their number is bounded, and the end of what is
 // not open yet is no other than that of an open one.
 func TestAConnectionThatIsNotOpenYetCanBeGivenUp(t *testing.T) {
-	p := start(t, env.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
 	wait := newChannel(p.channels, nil, "127.0.0.1:1", false, true)
 	defer func() { must.Nil(t, recover()) }()
 	wait.close()
 }
 
 func TestFramesForAnAddressThatDoesNotAnswerAreBounded(t *testing.T) {
-	p := start(t, env.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
 	// It takes connections and says nothing, as the machine of a frozen process does.
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -94,7 +94,7 @@
 }
 
 func TestBacklogIsBoundedInBytes(t *testing.T) {
-	p := start(t, env.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
 	wait := newChannel(p.channels, nil, "127.0.0.1:1", false, true)
 	frame := make([]byte, 1<<20)
 	for range 3 * backlogBytes / len(frame) {
@@ -109,7 +109,7 @@
 
 // A request that finds the process frozen waits for it to judge anew, but no longer than it may.
 func TestWaitingForAThawEndsWhenTheLoopIsHeldUp(t *testing.T) {
-	p := start(t, env.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
 	holdUp(t, p)
 	p.lastRun.Store(p.Now() - 2*FreezeGap)
 	must.True(t, returns(func() { p.AwaitThaw(50 * time.Millisecond) }))
--- a/process/call.go
+++ b/runtime/process/call.go
@@ -7,7 +7,7 @@
 	"errors"
 	"time"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // Call asks a plug-in and waits for its answer. The plug-in is told when nobody waits any more.
--- a/process/call_test.go
+++ b/runtime/process/call_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 func TestPluginIsToldThatACallerHasGone(t *testing.T) {
--- a/process/channel.go
+++ b/runtime/process/channel.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // backlogMost bounds a channel's waiting frames, and backlogBytes what they hold together; a peer that
--- a/process/channels.go
+++ b/runtime/process/channels.go
@@ -17,8 +17,8 @@
 	"github.com/samber/oops"
 	"go.uber.org/zap"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of the transport.
--- a/process/dial.go
+++ b/runtime/process/dial.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 func (c *channels) dial(addr string, mesh bool) (*channel, error) {
--- a/process/disk.go
+++ b/runtime/process/disk.go
@@ -12,7 +12,7 @@
 
 	"github.com/samber/oops"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 type disk struct {
--- a/process/disk_test.go
+++ b/runtime/process/disk_test.go
@@ -9,13 +9,13 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 )
 
 // A process that is to end does not wait for a disk that hangs: what is written aside counts for nothing.
 func TestTheEndDoesNotWaitForADiskThatHangs(t *testing.T) {
-	p := start(t, env.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
 	dir := t.TempDir()
 	d, _, err := openDisk(dir)
 	must.NoError(t, err)
--- a/process/fetch.go
+++ b/runtime/process/fetch.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // Fetcher gets what a URL names: a status, a body in the product's own format, or what went wrong.
--- a/process/field_test.go
+++ b/runtime/process/field_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap/zapcore"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func TestNoFieldNeedsReflection(t *testing.T) {
--- a/process/flood_test.go
+++ b/runtime/process/flood_test.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 	"testing"
 
-	"wallport/env"
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 )
 
 func TestALoopThatDropsAChannelNeverWaitsForItself(t *testing.T) {
-	a := start(t, env.Env{Mesh: free(t), Fleet: "s"})
-	b := start(t, env.Env{Mesh: free(t), Fleet: "s", Seeds: []string{a.Kernel.Boot.Env.Mesh}})
+	a := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
+	b := start(t, settings.Env{Mesh: free(t), Fleet: "s", Seeds: []string{a.Kernel.Boot.Env.Mesh}})
 	until(t, "they meet", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	var dropped atomic.Bool
 	go a.Do(func(int64) {
--- a/process/loop.go
+++ b/runtime/process/loop.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"wallport/env"
-	"wallport/invariant"
-	"wallport/kernel"
+	"wallport/runtime/invariant"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 )
 
 // FreezeGap is how long the loop must not have run to count as thawed.
@@ -51,7 +51,7 @@
 
 // Config is what a process is started with.
 type Config struct {
-	Env  env.Env
+	Env  settings.Env
 	Role string
 	Log  *zap.Logger
 	// Fetchers carry out the fetches of the plug-ins they are named after, in place of a plain GET:
--- a/process/schedule.go
+++ b/runtime/process/schedule.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 func (p *Process) run() {
--- a/env/env.go
+++ b/runtime/settings/env.go
@@ -1,7 +1,7 @@
-// Package env is a process's own place: addresses, zone, seeds, data folder.
+// Package settings is a process's own place: addresses, zone, seeds, data folder.
 // It comes from flags and an optional file of key=value lines, is checked as a
 // whole before any port is opened, and every finding names its place.
-package env
+package settings
 
 import (
 	"bufio"
--- a/env/env_test.go
+++ b/runtime/settings/env_test.go
@@ -1,5 +1,5 @@
 // Findings of an env file: all together, each with its place.
-package env
+package settings
 
 import (
 	"os"
--- a/env/place.go
+++ b/runtime/settings/place.go
@@ -1,6 +1,6 @@
 // What a platform tells of the deployment that a process is part of: how much
 // may be lost at once, and whether the whole system starts for the first time.
-package env
+package settings
 
 // Tolerance is what the fleet may lose at once and still keep its promises.
 type Tolerance struct {
--- a/serve/ask_test.go
+++ b/serve/ask_test.go
@@ -16,8 +16,8 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/inquiry"
+	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/wire"
 )
 
 func correction(addr string) *inquiry.Ask {
--- a/serve/carry.go
+++ b/serve/carry.go
@@ -9,8 +9,8 @@
 
 	"wallport/gen/operator"
 	"wallport/operate"
+	"wallport/runtime/wire"
 	"wallport/sheet"
-	"wallport/wire"
 )
 
 // callWithin is how long an operator's call may take.
--- a/serve/explain.go
+++ b/serve/explain.go
@@ -17,8 +17,8 @@
 	"wallport/gen/http/operator/client"
 	"wallport/gen/operator"
 	"wallport/inquiry"
-	"wallport/kernel"
 	"wallport/members"
+	"wallport/runtime/kernel"
 	"wallport/sheet"
 	"wallport/table"
 )
--- a/serve/http.go
+++ b/serve/http.go
@@ -22,7 +22,7 @@
 	callersrv "wallport/gen/http/caller/server"
 	operatorsrv "wallport/gen/http/operator/server"
 	"wallport/gen/operator"
-	"wallport/process"
+	"wallport/runtime/process"
 	"wallport/sheet"
 )
 
--- a/serve/operator.go
+++ b/serve/operator.go
@@ -7,13 +7,13 @@
 	"encoding/json"
 
 	"wallport/gen/operator"
-	"wallport/kernel"
 	"wallport/members"
 	"wallport/operate"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/sheet"
 	"wallport/state"
 	"wallport/table"
-	"wallport/wire"
 )
 
 type operatorAPI struct{ f *Front }
--- a/serve/run.go
+++ b/serve/run.go
@@ -11,8 +11,8 @@
 
 	"wallport/idempotency"
 	"wallport/inquiry"
-	"wallport/kernel"
-	"wallport/process"
+	"wallport/runtime/kernel"
+	"wallport/runtime/process"
 	"wallport/table"
 	"wallport/usage"
 )
--- a/serve/scopes.go
+++ b/serve/scopes.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 
 	"wallport/gen/operator"
-	"wallport/process"
+	"wallport/runtime/process"
 	"wallport/sheet"
 	"wallport/sheetpb"
 )
--- a/serve/shape.go
+++ b/serve/shape.go
@@ -15,8 +15,8 @@
 
 	"wallport/gen/caller"
 	"wallport/gen/operator"
+	"wallport/runtime/wire"
 	"wallport/sheet"
-	"wallport/wire"
 )
 
 // plain is the shape of every fault on the wire.
--- a/serve/status.go
+++ b/serve/status.go
@@ -6,9 +6,9 @@
 
 	"wallport/gen/operator"
 	"wallport/operate"
+	"wallport/runtime/wire"
 	"wallport/sheet"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // Replicas asks every known core for the state of its replicas.
--- a/serve/stop.go
+++ b/serve/stop.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
 )
 
 // Drain begins a planned stop: the process says that it is leaving and gives up what it holds for others.
--- a/sheet/check.go
+++ b/sheet/check.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"slices"
 
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
-	"wallport/wire"
 )
 
 // Kinds are the kinds of inquiries.
--- a/sheet/clash.go
+++ b/sheet/clash.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
-	"wallport/wire"
 )
 
 // Clash lists the rows that the edits name and that are not now what they were in
--- a/sheet/read.go
+++ b/sheet/read.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
-	"wallport/wire"
 )
 
 // StampText writes a stamp for people and headers.
--- a/sheet/sheet_test.go
+++ b/sheet/sheet_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
-	"wallport/wire"
 )
 
 const good = `{
--- a/sheet/tokens.go
+++ b/sheet/tokens.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"slices"
 
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
-	"wallport/wire"
 )
 
 // Scopes of tokens, each with what the one before it allows.
--- a/sheet/twice.go
+++ b/sheet/twice.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 	"fmt"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Twice lists every name that an object anywhere in a JSON text gives twice.
--- a/state/config.go
+++ b/state/config.go
@@ -12,9 +12,9 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wallport/runtime/wire"
 	"wallport/sheet"
 	"wallport/sheetpb"
-	"wallport/wire"
 )
 
 // Bounds of what orders about zones may leave behind.
--- a/state/index.go
+++ b/state/index.go
@@ -5,7 +5,7 @@
 import (
 	"maps"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // ReadIndex decodes an index partition's body; nil is the empty one.
--- a/state/layout.go
+++ b/state/layout.go
@@ -6,7 +6,7 @@
 import (
 	"hash/fnv"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Partitions is the number of partitions: partition 0 holds the configuration, the others the indexes.
--- a/state/ledger.go
+++ b/state/ledger.go
@@ -11,7 +11,7 @@
 
 	"wallport/routing"
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Bounds of a ledger. A day of the largest deployments has 530 changes.
--- a/state/limits.go
+++ b/state/limits.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // Bounds of a partition's body and ledger in bytes. A replica keeps three versions of each partition
--- a/state/orders_test.go
+++ b/state/orders_test.go
@@ -11,7 +11,7 @@
 
 	"wallport/routing"
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 const sheetText = `{"services":[{"index":"a","capacity":%d,"required_share":75,"deadline_us":"500000","max_deadline_us":1000000,"hedge_us":40000,"ramp_us":1000000}],
--- a/state/partition_test.go
+++ b/state/partition_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 type part0 struct {
--- a/state/read.go
+++ b/state/read.go
@@ -1,7 +1,7 @@
 // What a leader answers to the operations that only read.
 package state
 
-import "wallport/wire"
+import "wallport/runtime/wire"
 
 // Reads tells whether an operation only reads.
 func Reads(op string) bool {
--- a/state/routing.go
+++ b/state/routing.go
@@ -10,7 +10,7 @@
 
 	"wallport/routing"
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // RoutingOf decodes the routing table of a configuration; nil is none.
--- a/state/routing_test.go
+++ b/state/routing_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func route(name, prefix, pool string) *routingpb.Route {
--- a/table/configured.go
+++ b/table/configured.go
@@ -4,12 +4,12 @@
 import (
 	"fmt"
 
-	"wallport/invariant"
-	"wallport/kernel"
 	"wallport/mesh"
+	"wallport/runtime/invariant"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
 	"wallport/state"
-	"wallport/wire"
 )
 
 // config is the configuration as it was last read.
--- a/table/invariants_test.go
+++ b/table/invariants_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/invariant"
-	"wallport/kernel"
 	"wallport/lab/violation"
-	"wallport/wire"
+	"wallport/runtime/invariant"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 func TestViolationOfRisingConfigurations(t *testing.T) {
--- a/table/opinions.go
+++ b/table/opinions.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // opinion is what one observer says of a server.
--- a/table/opinions_test.go
+++ b/table/opinions_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func told(origin, server, state string, gone bool) mesh.Stored {
--- a/table/ready_test.go
+++ b/table/ready_test.go
@@ -13,10 +13,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/configsync"
-	"wallport/env"
-	"wallport/kernel"
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 const second = int64(1_000_000)
@@ -66,7 +66,7 @@
 }
 
 func startNode(t *testing.T, cores map[string]*fakeCore) *node {
-	e := env.Env{Mesh: "10.0.9.1:1", Zone: "z1", Platform: "http://platform/list", ListEvery: second, PollsPer: 20, Counted: true}
+	e := settings.Env{Mesh: "10.0.9.1:1", Zone: "z1", Platform: "http://platform/list", ListEvery: second, PollsPer: 20, Counted: true}
 	e.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	n := &node{t: t, cores: cores, later: map[int64][]func(){}, now: second}
 	n.kernel = kernel.New(kernel.Boot{Env: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{1}, 32))})
--- a/table/residents_test.go
+++ b/table/residents_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 const zones = 4
--- a/table/roster.go
+++ b/table/roster.go
@@ -7,8 +7,8 @@
 	"hash/fnv"
 	"slices"
 
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // RosterFor is how long a silent node still counts as a home of claims.
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -9,8 +9,8 @@
 
 	"wallport/routing"
 	"wallport/routingpb"
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
-	"wallport/wire"
 )
 
 // Verdicts on a server, from best to worst. Leaving and emptied are never picked.
--- a/table/table.go
+++ b/table/table.go
@@ -7,12 +7,12 @@
 	"sync/atomic"
 
 	"wallport/configsync"
-	"wallport/kernel"
 	"wallport/listing"
 	"wallport/members"
 	"wallport/mesh"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/usage"
-	"wallport/wire"
 )
 
 // BuildWithin is how long a change other than a partition's may wait for the next snapshot, and
--- a/table/verdict.go
+++ b/table/verdict.go
@@ -6,10 +6,10 @@
 import (
 	"slices"
 
-	"wallport/kernel"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 	"wallport/sheetpb"
 	"wallport/state"
-	"wallport/wire"
 )
 
 type votes struct {
--- a/test.sh
+++ b/test.sh
@@ -18,7 +18,7 @@
 [ -z "$long" ] || { echo "over 250 lines: $long"; exit 1; }
 
 step "generated code is fresh"
-sums() { find gen sheetpb routingpb wire -type f | sort | xargs sha256sum; }
+sums() { find gen sheetpb routingpb runtime/wire -type f | sort | xargs sha256sum; }
 old=$(sums); ./generate.sh; new=$(sums)
 [ "$old" = "$new" ] || { echo "generated code is stale: run ./generate.sh and commit"; diff <(echo "$old") <(echo "$new") || true; exit 1; }
 
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -10,9 +10,9 @@
 	"sync"
 	"sync/atomic"
 
-	"wallport/kernel"
 	"wallport/mesh"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
 )
 
 // Figures of the telling: how often, by what part a rate must have moved, and what
