--- a/gen/caller/endpoints.go
+++ b/api/gen/caller/endpoints.go
@@ -3,7 +3,7 @@
 // caller endpoints
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package caller
 
--- a/gen/caller/service.go
+++ b/api/gen/caller/service.go
@@ -3,7 +3,7 @@
 // caller service
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package caller
 
--- a/gen/http/caller/client/cli.go
+++ b/api/gen/http/caller/client/cli.go
@@ -3,7 +3,7 @@
 // caller HTTP client CLI support package
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package client
 
@@ -12,7 +12,7 @@
 	"fmt"
 	"strconv"
 	"unicode/utf8"
-	caller "wallport/gen/caller"
+	caller "wallport/api/gen/caller"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/gen/http/caller/client/types.go
+++ b/api/gen/http/caller/client/types.go
@@ -3,12 +3,12 @@
 // caller HTTP client types
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package client
 
 import (
-	caller "wallport/gen/caller"
+	caller "wallport/api/gen/caller"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/gen/http/caller/server/server.go
+++ b/api/gen/http/caller/server/server.go
@@ -3,14 +3,14 @@
 // caller HTTP server
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package server
 
 import (
 	"context"
 	"net/http"
-	caller "wallport/gen/caller"
+	caller "wallport/api/gen/caller"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/gen/http/caller/server/types.go
+++ b/api/gen/http/caller/server/types.go
@@ -3,13 +3,13 @@
 // caller HTTP server types
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package server
 
 import (
 	"unicode/utf8"
-	caller "wallport/gen/caller"
+	caller "wallport/api/gen/caller"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/gen/http/operator/client/types.go
+++ b/api/gen/http/operator/client/types.go
@@ -3,12 +3,12 @@
 // operator HTTP client types
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package client
 
 import (
-	operator "wallport/gen/operator"
+	operator "wallport/api/gen/operator"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/gen/http/operator/server/paths.go
+++ b/api/gen/http/operator/server/paths.go
@@ -3,7 +3,7 @@
 // HTTP request path constructors for the operator service.
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package server
 
--- a/gen/http/operator/server/server.go
+++ b/api/gen/http/operator/server/server.go
@@ -3,14 +3,14 @@
 // operator HTTP server
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package server
 
 import (
 	"context"
 	"net/http"
-	operator "wallport/gen/operator"
+	operator "wallport/api/gen/operator"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/gen/http/operator/server/types.go
+++ b/api/gen/http/operator/server/types.go
@@ -3,13 +3,13 @@
 // operator HTTP server types
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package server
 
 import (
 	"unicode/utf8"
-	operator "wallport/gen/operator"
+	operator "wallport/api/gen/operator"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/gen/operator/client.go
+++ b/api/gen/operator/client.go
@@ -3,7 +3,7 @@
 // operator client
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package operator
 
--- a/gen/operator/endpoints.go
+++ b/api/gen/operator/endpoints.go
@@ -3,7 +3,7 @@
 // operator endpoints
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package operator
 
--- a/gen/operator/service.go
+++ b/api/gen/operator/service.go
@@ -3,7 +3,7 @@
 // operator service
 //
 // Command:
-// $ goa gen wallport/design
+// $ goa gen wallport/api/design -o api
 
 package operator
 
--- a/backend/conn_test.go
+++ b/backend/conn_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/api/routingpb"
 	"wallport/forward"
-	"wallport/routingpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/backend/cost_test.go
+++ b/backend/cost_test.go
@@ -13,8 +13,8 @@
 	"github.com/shoenig/test/must"
 	"golang.org/x/sys/unix"
 
+	"wallport/api/routingpb"
 	"wallport/forward"
-	"wallport/routingpb"
 	"wallport/runtime/wire"
 	"wallport/table"
 )
--- a/backend/fake_test.go
+++ b/backend/fake_test.go
@@ -15,8 +15,8 @@
 	"github.com/shoenig/test/must"
 	"golang.org/x/sys/unix"
 
+	"wallport/api/routingpb"
 	"wallport/forward"
-	"wallport/routingpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/cmd/wallport/admin.go
+++ b/cmd/wallport/admin.go
@@ -14,8 +14,8 @@
 
 	goahttp "goa.design/goa/v3/http"
 
-	"wallport/gen/http/operator/client"
-	"wallport/gen/operator"
+	"wallport/api/gen/http/operator/client"
+	"wallport/api/gen/operator"
 )
 
 type remote struct {
--- a/cmd/wallport/fleet.go
+++ b/cmd/wallport/fleet.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"wallport/gen/operator"
+	"wallport/api/gen/operator"
 	"wallport/operate"
 )
 
--- a/cmd/wallport/history.go
+++ b/cmd/wallport/history.go
@@ -9,10 +9,10 @@
 	"sort"
 	"strings"
 
-	"wallport/gen/operator"
+	"wallport/api/configpb"
+	"wallport/api/gen/operator"
 	"wallport/runtime/wire"
 	"wallport/sheet"
-	"wallport/sheetpb"
 )
 
 type sheetDiff struct {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func parsed(v any) (*sheetpb.Sheet, error) {
+func parsed(v any) (*configpb.Sheet, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	if err != nil {
 		return told(err)
 	}
-	var before *sheetpb.Sheet
+	var before *configpb.Sheet
 	for _, p := range list {
 		s, err := parsed(p.Sheet)
 		if err != nil {
--- a/docs/example/main.go
+++ b/docs/example/main.go
@@ -12,8 +12,8 @@
 
 	goahttp "goa.design/goa/v3/http"
 
-	"wallport/gen/caller"
-	"wallport/gen/http/caller/client"
+	"wallport/api/gen/caller"
+	"wallport/api/gen/http/caller/client"
 )
 
 func main() {
--- a/forward/chart_test.go
+++ b/forward/chart_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/api/routingpb"
 	"wallport/routing"
-	"wallport/routingpb"
 	"wallport/runtime/wire"
 	"wallport/table"
 )
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // slack is what an ask may take on its way after its node has been told.
--- a/forward/troubles_test.go
+++ b/forward/troubles_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // some are that share of the backends of pools with a prefix, one at least.
--- a/forward/world_test.go
+++ b/forward/world_test.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"math/rand/v2"
 
+	"wallport/api/routingpb"
 	"wallport/routing"
-	"wallport/routingpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -17,10 +17,10 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
+	"wallport/api/routingpb"
 	"wallport/backend"
 	"wallport/forward"
 	"wallport/routing"
-	"wallport/routingpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/gateway/clients_test.go
+++ b/gateway/clients_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // Limits that come and go leave no more behind than there are different ones.
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 const (
--- a/gateway/once_test.go
+++ b/gateway/once_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/api/routingpb"
 	"wallport/forward"
 	"wallport/routing"
-	"wallport/routingpb"
 	"wallport/table"
 )
 
--- a/generate.sh
+++ b/generate.sh
@@ -2,7 +2,7 @@
 # Makes all generated code anew: the API from design, messages from wire, the sheet from proto.
 set -eu
 cd "$(dirname "$0")"
-go tool goa gen wallport/design >/dev/null
+go tool goa gen wallport/api/design -o api >/dev/null
 (cd runtime/wire && go generate ./...)
 go run ./tools/gen_proto
-gofmt -w gen runtime/wire sheetpb routingpb
+gofmt -w api/gen runtime/wire api/configpb api/routingpb
--- a/idempotency/model_node_test.go
+++ b/idempotency/model_node_test.go
@@ -5,11 +5,11 @@
 import (
 	"fmt"
 
+	"wallport/api/configpb"
 	"wallport/inquiry"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
-	"wallport/sheetpb"
 	"wallport/table"
 )
 
@@ -66,7 +66,7 @@
 	n.peak = max(n.peak, live)
 	n.view = &table.Snapshot{
 		Homes: owners, Roster: owners, Peers: live, Divisor: n.peak,
-		Sheet: &sheetpb.Sheet{Services: []*sheetpb.Service{{MaxDeadlineUs: 5 * second}}},
+		Sheet: &configpb.Sheet{Services: []*configpb.Service{{MaxDeadlineUs: 5 * second}}},
 	}
 }
 
--- a/inquiry/chart_test.go
+++ b/inquiry/chart_test.go
@@ -7,16 +7,16 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/api/configpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 	"wallport/table"
 	"wallport/usage"
 )
 
 func newSnapshot(perShard, shards int) *table.Snapshot {
-	svc := &sheetpb.Service{Index: "a", Capacity: 10000, RequiredShare: 75, DeadlineUs: 500_000, MaxDeadlineUs: 1_000_000, HedgeUs: 40_000, RampUs: 1_000_000}
+	svc := &configpb.Service{Index: "a", Capacity: 10000, RequiredShare: 75, DeadlineUs: 500_000, MaxDeadlineUs: 1_000_000, HedgeUs: 40_000, RampUs: 1_000_000}
 	x := &table.Index{Name: "a", Cut: wire.LiveCut{Name: "c1", Shards: shards}, Service: svc, Limits: map[string]table.Limit{}, Capacity: 10000}
 	for sh := range shards {
 		var list []*table.Server
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -11,10 +11,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/routingpb"
 	"wallport/members"
 	"wallport/mesh"
 	"wallport/replica"
-	"wallport/routingpb"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
--- a/lab/rules/answers.go
+++ b/lab/rules/answers.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 const recordSize = 16
--- a/lab/rules/config.go
+++ b/lab/rules/config.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // possible are the versions by which a machine may handle a request that was sent when it was: those that
--- a/lab/rules/journal.go
+++ b/lab/rules/journal.go
@@ -7,7 +7,7 @@
 import (
 	"math"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // Never is a moment that has not come.
--- a/lab/rules/judge.go
+++ b/lab/rules/judge.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strings"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // Judge runs every rule over the journal and fills in its findings.
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 const second = int64(1_000_000)
--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -4,8 +4,8 @@
 import (
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/routingpb"
 	"wallport/lab/rules"
-	"wallport/routingpb"
 )
 
 // badWays are the ways in which a configuration is no good, as the platform names them.
--- a/lab/sim/day_configs.go
+++ b/lab/sim/day_configs.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/routingpb"
 	"wallport/lab/rules"
-	"wallport/routingpb"
 )
 
 const idleRoutesMost = 24
--- a/lab/sim/day_drafts.go
+++ b/lab/sim/day_drafts.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // draft makes a change of the newest version.
--- a/lab/sim/day_mishaps.go
+++ b/lab/sim/day_mishaps.go
@@ -5,9 +5,9 @@
 import (
 	"slices"
 
+	"wallport/api/routingpb"
 	"wallport/lab/rules"
 	"wallport/operate"
-	"wallport/routingpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/lab/sim/day_orders.go
+++ b/lab/sim/day_orders.go
@@ -8,9 +8,9 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/routingpb"
 	"wallport/lab/rules"
 	"wallport/operate"
-	"wallport/routingpb"
 	"wallport/runtime/wire"
 )
 
--- a/lab/sim/operators.go
+++ b/lab/sim/operators.go
@@ -7,11 +7,11 @@
 	"encoding/json"
 	"fmt"
 
+	"wallport/api/configpb"
 	"wallport/lab/check"
 	"wallport/operate"
 	"wallport/runtime/wire"
 	"wallport/sheet"
-	"wallport/sheetpb"
 	"wallport/state"
 )
 
@@ -49,7 +49,7 @@
 }
 
 // sheet is the shape's sheet under a new mark, with the bookings of the one it is based on.
-func (o *operators) sheet(mark int64, on *sheetpb.Sheet) []byte {
+func (o *operators) sheet(mark int64, on *configpb.Sheet) []byte {
 	var s map[string]any
 	if json.Unmarshal(o.w.Shape.Sheet(), &s) != nil {
 		return nil
@@ -136,7 +136,7 @@
 // reading is a sheet as an operator read it from some node.
 type reading struct {
 	stamp wire.Version
-	sheet *sheetpb.Sheet
+	sheet *configpb.Sheet
 }
 
 func (o *operators) now() reading {
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"strings"
 
+	"wallport/api/routingpb"
 	"wallport/platform"
 	"wallport/routing"
-	"wallport/routingpb"
 )
 
 // siteHost is the host of all routes.
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"wallport/api/routingpb"
 	"wallport/lab/rules"
-	"wallport/routingpb"
 )
 
 // operators send the orders of a run.
--- a/operate/call.go
+++ b/operate/call.go
@@ -2,7 +2,7 @@
 package operate
 
 import (
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 	"wallport/runtime/wire"
 	"wallport/state"
 )
--- a/operate/operate_test.go
+++ b/operate/operate_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
--- a/replica/cluster_test.go
+++ b/replica/cluster_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/routingpb"
 	"wallport/routing"
-	"wallport/routingpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
--- a/replica/invariants_test.go
+++ b/replica/invariants_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/routingpb"
 	"wallport/lab/violation"
-	"wallport/routingpb"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
--- a/replica/narrow_links_test.go
+++ b/replica/narrow_links_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
--- a/routing/check.go
+++ b/routing/check.go
@@ -7,7 +7,7 @@
 	"math"
 	"strings"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 	"wallport/runtime/wire"
 )
 
--- a/routing/edit.go
+++ b/routing/edit.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // Apply gives the table after an edit. Items are replaced in place by name, new ones come at the
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 )
 
 // Table is one revision, compiled. It is never changed.
--- a/serve/caller.go
+++ b/serve/caller.go
@@ -4,7 +4,7 @@
 import (
 	"context"
 
-	"wallport/gen/caller"
+	"wallport/api/gen/caller"
 	"wallport/inquiry"
 )
 
--- a/serve/carry.go
+++ b/serve/carry.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"wallport/gen/operator"
+	"wallport/api/gen/operator"
 	"wallport/operate"
 	"wallport/runtime/wire"
 	"wallport/sheet"
--- a/serve/http.go
+++ b/serve/http.go
@@ -18,10 +18,10 @@
 	"go.uber.org/zap"
 	goahttp "goa.design/goa/v3/http"
 
-	"wallport/gen/caller"
-	callersrv "wallport/gen/http/caller/server"
-	operatorsrv "wallport/gen/http/operator/server"
-	"wallport/gen/operator"
+	"wallport/api/gen/caller"
+	callersrv "wallport/api/gen/http/caller/server"
+	operatorsrv "wallport/api/gen/http/operator/server"
+	"wallport/api/gen/operator"
 	"wallport/runtime/process"
 	"wallport/sheet"
 )
--- a/serve/operator.go
+++ b/serve/operator.go
@@ -6,7 +6,7 @@
 	"context"
 	"encoding/json"
 
-	"wallport/gen/operator"
+	"wallport/api/gen/operator"
 	"wallport/members"
 	"wallport/operate"
 	"wallport/runtime/kernel"
--- a/serve/scopes.go
+++ b/serve/scopes.go
@@ -13,17 +13,17 @@
 
 	"go.uber.org/zap"
 
-	"wallport/gen/operator"
+	"wallport/api/configpb"
+	"wallport/api/gen/operator"
 	"wallport/runtime/process"
 	"wallport/sheet"
-	"wallport/sheetpb"
 )
 
 type scopes struct {
 	p    *process.Process
 	file string
 	last string
-	now  atomic.Pointer[sheetpb.Tokens]
+	now  atomic.Pointer[configpb.Tokens]
 }
 
 // openScopes reads the file before anything is served: one with faults ends the start.
@@ -77,7 +77,7 @@
 	if master == "" && list == nil || same(master) {
 		return "", nil
 	}
-	var mine *sheetpb.Token
+	var mine *configpb.Token
 	for _, t := range list.GetTokens() {
 		if same(t.Token) {
 			mine = t
@@ -101,6 +101,6 @@
 	return mine.Who, nil
 }
 
-func lacks(t *sheetpb.Token, scope string) *operator.Failure {
+func lacks(t *configpb.Token, scope string) *operator.Failure {
 	return fail("out_of_scope", "the token of "+t.Who+" has the scope "+t.Scope+" and lacks "+scope)
 }
--- a/serve/shape.go
+++ b/serve/shape.go
@@ -13,8 +13,8 @@
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
 
-	"wallport/gen/caller"
-	"wallport/gen/operator"
+	"wallport/api/gen/caller"
+	"wallport/api/gen/operator"
 	"wallport/runtime/wire"
 	"wallport/sheet"
 )
--- a/serve/status.go
+++ b/serve/status.go
@@ -4,7 +4,7 @@
 import (
 	"context"
 
-	"wallport/gen/operator"
+	"wallport/api/gen/operator"
 	"wallport/operate"
 	"wallport/runtime/wire"
 	"wallport/sheet"
--- a/sheet/check.go
+++ b/sheet/check.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"slices"
 
+	"wallport/api/configpb"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 )
 
 // Kinds are the kinds of inquiries.
@@ -15,7 +15,7 @@
 const longest = 60_000_000
 
 // Check lists every fault of a sheet.
-func Check(s *sheetpb.Sheet) []wire.Finding {
+func Check(s *configpb.Sheet) []wire.Finding {
 	f := &finder{}
 	known := map[string]int{}
 	for i, v := range s.Services {
@@ -31,7 +31,7 @@
 	return f.found
 }
 
-func (f *finder) service(at string, v *sheetpb.Service) {
+func (f *finder) service(at string, v *configpb.Service) {
 	if v.Index == "" {
 		f.add(at+".index", "is needed")
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (f *finder) rows(s *sheetpb.Sheet, known map[string]int) {
+func (f *finder) rows(s *configpb.Sheet, known map[string]int) {
 	sum := map[string]int32{}
 	seen := map[string]int{}
 	for i, r := range s.Rows {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (f *finder) bookings(s *sheetpb.Sheet, known map[string]int) {
+func (f *finder) bookings(s *configpb.Sheet, known map[string]int) {
 	seen := map[string]int{}
 	for i, b := range s.Bookings {
 		at := fmt.Sprintf("bookings[%d]", i)
--- a/sheet/clash.go
+++ b/sheet/clash.go
@@ -8,13 +8,13 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/configpb"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 )
 
 // Clash lists the rows that the edits name and that are not now what they were in
 // the sheet that the edits are based on. Edits that cannot be read clash with nothing.
-func Clash(base, now *sheetpb.Sheet, body []byte) []wire.Finding {
+func Clash(base, now *configpb.Sheet, body []byte) []wire.Finding {
 	var edits []RowEdit
 	if json.Unmarshal(body, &edits) != nil {
 		return nil
@@ -23,7 +23,7 @@
 	f := &finder{}
 	seen := map[string]bool{}
 	for _, e := range edits {
-		tmp := new(sheetpb.Sheet)
+		tmp := new(configpb.Sheet)
 		(&finder{}).row("", e.Row, newRow(tmp, e.Table))
 		for key := range tables(tmp) {
 			a, had := was[key]
--- a/sheet/diff.go
+++ b/sheet/diff.go
@@ -9,12 +9,12 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"wallport/sheetpb"
+	"wallport/api/configpb"
 )
 
 type rows map[string]proto.Message
 
-func tables(s *sheetpb.Sheet) rows {
+func tables(s *configpb.Sheet) rows {
 	out := rows{}
 	for _, r := range s.Services {
 		out["services "+r.Index] = r
@@ -29,7 +29,7 @@
 }
 
 // Diff lists the rows that are new, gone or changed, and in which fields.
-func Diff(from, to *sheetpb.Sheet) []string {
+func Diff(from, to *configpb.Sheet) []string {
 	a, b := tables(from), tables(to)
 	var out []string
 	for k, r := range b {
--- a/sheet/read.go
+++ b/sheet/read.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
+	"wallport/api/configpb"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 )
 
 // StampText writes a stamp for people and headers.
@@ -30,7 +30,7 @@
 }
 
 // JSON writes a sheet.
-func JSON(s *sheetpb.Sheet) json.RawMessage {
+func JSON(s *configpb.Sheet) json.RawMessage {
 	b, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(s)
 	if err != nil {
 		return json.RawMessage("{}")
@@ -49,9 +49,9 @@
 }
 
 // Read decodes a whole sheet.
-func Read(body []byte) (*sheetpb.Sheet, []wire.Finding) {
+func Read(body []byte) (*configpb.Sheet, []wire.Finding) {
 	f := &finder{}
-	s := new(sheetpb.Sheet)
+	s := new(configpb.Sheet)
 	tables, ok := f.object("sheet", body)
 	if !ok {
 		return s, f.found
@@ -73,18 +73,18 @@
 	return s, f.found
 }
 
-func newRow(s *sheetpb.Sheet, table string) proto.Message {
+func newRow(s *configpb.Sheet, table string) proto.Message {
 	switch table {
 	case "services":
-		r := new(sheetpb.Service)
+		r := new(configpb.Service)
 		s.Services = append(s.Services, r)
 		return r
 	case "rows":
-		r := new(sheetpb.Row)
+		r := new(configpb.Row)
 		s.Rows = append(s.Rows, r)
 		return r
 	default:
-		r := new(sheetpb.Booking)
+		r := new(configpb.Booking)
 		s.Bookings = append(s.Bookings, r)
 		return r
 	}
@@ -174,17 +174,17 @@
 }
 
 // Apply makes a new sheet of one and a list of row edits; all of them or none.
-func Apply(s *sheetpb.Sheet, body []byte) (*sheetpb.Sheet, []wire.Finding) {
+func Apply(s *configpb.Sheet, body []byte) (*configpb.Sheet, []wire.Finding) {
 	f := &finder{}
 	var edits []RowEdit
 	if err := json.Unmarshal(body, &edits); err != nil {
 		f.add("edits", "cannot be read: %v", err)
 		return s, f.found
 	}
-	out := proto.Clone(s).(*sheetpb.Sheet)
+	out := proto.Clone(s).(*configpb.Sheet)
 	for i, e := range edits {
 		place := fmt.Sprintf("edits[%d]", i)
-		tmp := new(sheetpb.Sheet)
+		tmp := new(configpb.Sheet)
 		if !slices.Contains([]string{"services", "rows", "bookings"}, e.Table) || e.Op != "set" && e.Op != "remove" {
 			f.add(place, "op is set or remove; table is services, rows or bookings")
 			continue
@@ -197,11 +197,11 @@
 		var done bool
 		switch e.Table {
 		case "services":
-			out.Services, done = put(out.Services, tmp.Services[0], e.Op, func(r *sheetpb.Service) string { return r.Index })
+			out.Services, done = put(out.Services, tmp.Services[0], e.Op, func(r *configpb.Service) string { return r.Index })
 		case "rows":
-			out.Rows, done = put(out.Rows, tmp.Rows[0], e.Op, func(r *sheetpb.Row) string { return r.Index + "\x00" + r.Kind })
+			out.Rows, done = put(out.Rows, tmp.Rows[0], e.Op, func(r *configpb.Row) string { return r.Index + "\x00" + r.Kind })
 		case "bookings":
-			out.Bookings, done = put(out.Bookings, tmp.Bookings[0], e.Op, func(r *sheetpb.Booking) string { return r.Id })
+			out.Bookings, done = put(out.Bookings, tmp.Bookings[0], e.Op, func(r *configpb.Booking) string { return r.Id })
 		}
 		if !done {
 			f.add(place+".row", "there is no such row to remove")
--- a/sheet/sheet_test.go
+++ b/sheet/sheet_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/api/configpb"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 )
 
 const good = `{
@@ -91,7 +91,7 @@
 	_, found = Apply(s, []byte(`[{"op":"set","table":"rows","row":{"index":"a","kind":"read","share":20}},
 		{"op":"remove","table":"bookings","row":{"id":"nope"}},{"op":"paint","table":"rows","row":{}},{"op":"set","table":"rows","row":{"q":1}}]`))
 	must.Eq(t, "edits[1].row edits[2] edits[3].row.q", places(found))
-	_, found = Apply(new(sheetpb.Sheet), []byte(`{}`))
+	_, found = Apply(new(configpb.Sheet), []byte(`{}`))
 	must.Eq(t, "edits", places(found))
 }
 
--- a/sheet/tokens.go
+++ b/sheet/tokens.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"slices"
 
+	"wallport/api/configpb"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 )
 
 // Scopes of tokens, each with what the one before it allows.
@@ -21,9 +21,9 @@
 const tokenLeast = 8
 
 // ReadTokens decodes and checks a file of tokens.
-func ReadTokens(body []byte) (*sheetpb.Tokens, []wire.Finding) {
+func ReadTokens(body []byte) (*configpb.Tokens, []wire.Finding) {
 	f := &finder{found: Twice(body)}
-	out := new(sheetpb.Tokens)
+	out := new(configpb.Tokens)
 	var file struct {
 		Tokens []json.RawMessage `json:"tokens"`
 	}
@@ -34,7 +34,7 @@
 	seen := map[string]int{}
 	for i, raw := range file.Tokens {
 		at := fmt.Sprintf("tokens[%d]", i)
-		t := new(sheetpb.Token)
+		t := new(configpb.Token)
 		f.row(at, raw, t)
 		out.Tokens = append(out.Tokens, t)
 		if len(t.Token) < tokenLeast {
@@ -61,7 +61,7 @@
 
 // Indexes lists the indexes whose rows the edits name, an empty name where one
 // cannot be told.
-func Indexes(s *sheetpb.Sheet, body []byte) []string {
+func Indexes(s *configpb.Sheet, body []byte) []string {
 	var edits []RowEdit
 	if json.Unmarshal(body, &edits) != nil {
 		return []string{""}
--- a/sheet/tokens_test.go
+++ b/sheet/tokens_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/sheetpb"
+	"wallport/api/configpb"
 )
 
 func TestTokensAreCheckedAsAWhole(t *testing.T) {
@@ -28,7 +28,7 @@
 }
 
 func TestIndexesThatRowEditsTouch(t *testing.T) {
-	s := &sheetpb.Sheet{Bookings: []*sheetpb.Booking{{Id: "mine", Index: "a"}}}
+	s := &configpb.Sheet{Bookings: []*configpb.Booking{{Id: "mine", Index: "a"}}}
 	cases := map[string][]string{
 		`[{"op":"set","table":"rows","row":{"index":"a"}},{"op":"set","table":"services","row":{"index":"b"}}]`: {"a", "b"},
 		`[{"op":"remove","table":"bookings","row":{"id":"mine"}}]`:                                              {"a"},
--- a/state/config.go
+++ b/state/config.go
@@ -12,9 +12,9 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/configpb"
 	"wallport/runtime/wire"
 	"wallport/sheet"
-	"wallport/sheetpb"
 )
 
 // Bounds of what orders about zones may leave behind.
@@ -34,10 +34,10 @@
 }
 
 // SheetOf decodes the sheet of a configuration.
-func SheetOf(c wire.ConfigBody) *sheetpb.Sheet {
-	s := new(sheetpb.Sheet)
+func SheetOf(c wire.ConfigBody) *configpb.Sheet {
+	s := new(configpb.Sheet)
 	if proto.Unmarshal(c.Sheet, s) != nil {
-		return new(sheetpb.Sheet)
+		return new(configpb.Sheet)
 	}
 	return s
 }
@@ -84,7 +84,7 @@
 			return r
 		}
 	}
-	var s *sheetpb.Sheet
+	var s *configpb.Sheet
 	var found []wire.Finding
 	switch e.Op {
 	case "put":
--- a/state/ledger.go
+++ b/state/ledger.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"slices"
 
+	"wallport/api/routingpb"
 	"wallport/routing"
-	"wallport/routingpb"
 	"wallport/runtime/wire"
 )
 
--- a/state/routing.go
+++ b/state/routing.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/routingpb"
 	"wallport/routing"
-	"wallport/routingpb"
 	"wallport/runtime/wire"
 )
 
--- a/state/routing_test.go
+++ b/state/routing_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/routingpb"
+	"wallport/api/routingpb"
 	"wallport/runtime/wire"
 )
 
--- a/table/configured.go
+++ b/table/configured.go
@@ -4,11 +4,11 @@
 import (
 	"fmt"
 
+	"wallport/api/configpb"
 	"wallport/mesh"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 	"wallport/state"
 )
 
@@ -16,7 +16,7 @@
 type config struct {
 	stamp wire.Version
 	body  wire.ConfigBody
-	sheet *sheetpb.Sheet
+	sheet *configpb.Sheet
 }
 
 // configure fills in the configuration in force, read once for each version.
--- a/table/pools.go
+++ b/table/pools.go
@@ -5,8 +5,8 @@
 import (
 	"google.golang.org/protobuf/proto"
 
+	"wallport/api/routingpb"
 	"wallport/routing"
-	"wallport/routingpb"
 )
 
 // pools fills in the routing table in force and its pools.
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -7,10 +7,10 @@
 	"sync"
 	"sync/atomic"
 
+	"wallport/api/configpb"
+	"wallport/api/routingpb"
 	"wallport/routing"
-	"wallport/routingpb"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 )
 
 // Verdicts on a server, from best to worst. Leaving and emptied are never picked.
@@ -63,7 +63,7 @@
 	Cut        wire.LiveCut
 	Shards     [][]*Server
 	NextShards [][]*Server
-	Service    *sheetpb.Service
+	Service    *configpb.Service
 	Limits     map[string]Limit
 	Capacity   float64
 }
@@ -86,7 +86,7 @@
 	At      int64
 	Version wire.Version
 	Config  wire.ConfigBody
-	Sheet   *sheetpb.Sheet
+	Sheet   *configpb.Sheet
 	Indexes map[string]*Index
 	// Roster is all nodes, those that died of late too; Homes are those of them that claims may live at.
 	Roster  []Node
--- a/table/verdict.go
+++ b/table/verdict.go
@@ -6,9 +6,9 @@
 import (
 	"slices"
 
+	"wallport/api/configpb"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/sheetpb"
 	"wallport/state"
 )
 
@@ -101,7 +101,7 @@
 	return OK
 }
 
-func (b *Table) index(c *Snapshot, s *sheetpb.Service) *Index {
+func (b *Table) index(c *Snapshot, s *configpb.Service) *Index {
 	x := &Index{Name: s.Index, Service: s, Limits: map[string]Limit{}, Capacity: float64(s.Capacity)}
 	if v, ok := b.mesh.Partition(state.PartitionOf(s.Index)); ok {
 		if body, err := state.ReadIndex(v.Body); err == nil {
--- a/test.sh
+++ b/test.sh
@@ -14,11 +14,11 @@
 [ -z "$bad" ] || { echo "not formatted: $bad"; exit 1; }
 
 step "file lengths"
-long=$(git ls-files '*.go' '*.sh' | grep -v -e '^gen/' -e '^sheetpb/' -e '^routingpb/' -e '_gen\.go$' | xargs wc -l | awk '$2 != "total" && $1 > 250 { print $2 ": " $1 " lines" }')
+long=$(git ls-files '*.go' '*.sh' | grep -v -e '^api/gen/' -e '^api/configpb/' -e '^api/routingpb/' -e '_gen\.go$' | xargs wc -l | awk '$2 != "total" && $1 > 250 { print $2 ": " $1 " lines" }')
 [ -z "$long" ] || { echo "over 250 lines: $long"; exit 1; }
 
 step "generated code is fresh"
-sums() { find gen sheetpb routingpb runtime/wire -type f | sort | xargs sha256sum; }
+sums() { find api/gen api/configpb api/routingpb runtime/wire -type f | sort | xargs sha256sum; }
 old=$(sums); ./generate.sh; new=$(sums)
 [ "$old" = "$new" ] || { echo "generated code is stale: run ./generate.sh and commit"; diff <(echo "$old") <(echo "$new") || true; exit 1; }
 
--- a/tools/gen_proto/main.go
+++ b/tools/gen_proto/main.go
@@ -19,7 +19,7 @@
 
 func main() {
 	c := protocompile.Compiler{
-		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{"proto"}},
+		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{"api/proto"}},
 		SourceInfoMode: protocompile.SourceInfoStandard,
 	}
 	names := []string{"sheet.proto", "routing.proto"}
