--- a/cmd/wallport/fleet.go
+++ b/cmd/wallport/fleet.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"wallport/api/gen/operator"
-	"wallport/operate"
+	"wallport/control/operations"
 )
 
 type bookingCmd struct {
@@ -131,7 +131,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\nPART\tCORE\tSTATE\tCONTACT\tTERM\tVERSION\tBEHIND\tVOTERS\tCHANGE")
 	for _, r := range list {
-		if r.State == operate.StateSilent {
+		if r.State == operations.StateSilent {
 			fmt.Fprintf(w, "%d\t%s\t%s\t-\t-\t-\t-\t-\t-\n", r.Part, r.Core, r.State)
 			continue
 		}
--- a/cmd/wallport/history.go
+++ b/cmd/wallport/history.go
@@ -11,8 +11,8 @@
 
 	"wallport/api/configpb"
 	"wallport/api/gen/operator"
+	"wallport/control/config"
 	"wallport/runtime/wire"
-	"wallport/sheet"
 )
 
 type sheetDiff struct {
@@ -25,9 +25,9 @@
 	if err != nil {
 		return err
 	}
-	want, found := sheet.Read(b)
+	want, found := config.Read(b)
 	if len(found) == 0 {
-		found = sheet.Check(want)
+		found = config.Check(want)
 	}
 	if len(found) > 0 {
 		return coded{exitInvalid, lines(found)}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	diff := sheet.Diff(have, want)
+	diff := config.Diff(have, want)
 	if len(diff) == 0 {
 		fmt.Println("no difference")
 	}
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, found := sheet.Read(b)
+	s, found := config.Read(b)
 	if len(found) > 0 {
 		return nil, coded{exitFailed, "the node's sheet cannot be read: " + lines(found)}
 	}
@@ -86,7 +86,7 @@
 		}
 		fmt.Printf("stamp=%s by=%q\n", p.Stamp, p.By)
 		if before != nil {
-			for _, l := range sheet.Diff(before, s) {
+			for _, l := range config.Diff(before, s) {
 				fmt.Println("  " + l)
 			}
 		}
--- a/cmd/wallport/leaving.go
+++ b/cmd/wallport/leaving.go
@@ -4,7 +4,7 @@
 import (
 	"time"
 
-	"wallport/replica"
+	"wallport/control/replica"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
 )
--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/roles.go
@@ -12,14 +12,14 @@
 	"go.uber.org/zap/zapcore"
 
 	// The plug-ins register themselves.
-	_ "wallport/configsync"
-	_ "wallport/cutmove"
+	_ "wallport/control/configsync"
+	_ "wallport/control/operations"
+	_ "wallport/control/replica"
+	_ "wallport/control/reshard"
 	_ "wallport/health"
 	_ "wallport/idempotency"
 	_ "wallport/listing"
-	_ "wallport/operate"
 	"wallport/platform"
-	_ "wallport/replica"
 	"wallport/runtime/asynclog"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
--- a/sheet/clash_test.go
+++ b/control/config/clash_test.go
@@ -1,5 +1,5 @@
 // Row edits that race.
-package sheet
+package config
 
 import (
 	"testing"
--- a/sheet/diff.go
+++ b/control/config/diff.go
@@ -1,5 +1,5 @@
 // The difference of two sheets, row by row.
-package sheet
+package config
 
 import (
 	"fmt"
--- a/sheet/read.go
+++ b/control/config/read.go
@@ -1,7 +1,7 @@
-// Package sheet reads, edits and checks the operator's configuration. Protobuf
+// Package config reads, edits and checks the operator's configuration. Protobuf
 // types are read with protojson, field by field, so that every fault is found
 // in one go and each comes with its row and field.
-package sheet
+package config
 
 import (
 	"bytes"
--- a/sheet/sheet_test.go
+++ b/control/config/sheet_test.go
@@ -1,5 +1,5 @@
 // Findings: every fault with its place, all of them together.
-package sheet
+package config
 
 import (
 	"strings"
--- a/sheet/tokens_test.go
+++ b/control/config/tokens_test.go
@@ -1,5 +1,5 @@
 // The file of operators' tokens.
-package sheet
+package config
 
 import (
 	"testing"
--- a/configsync/contact.go
+++ b/control/configsync/contact.go
@@ -6,9 +6,9 @@
 import (
 	"slices"
 
+	"wallport/control/state"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // Bounds of confirmation, in microseconds.
--- a/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -5,12 +5,12 @@
 package configsync
 
 import (
+	"wallport/control/state"
 	"wallport/members"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // Every is the time between two pulls; EmptyEvery is that of a core that knows no version yet.
--- a/operate/call.go
+++ b/control/operations/call.go
@@ -1,10 +1,10 @@
 // What an operator can ask for, what came of it, and a call while it is under way.
-package operate
+package operations
 
 import (
 	"wallport/api/routingpb"
+	"wallport/control/state"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // ReadRouting asks for the routing table in force, confirmed by a majority after the question
--- a/operate/cutoff_test.go
+++ b/control/operations/cutoff_test.go
@@ -1,12 +1,12 @@
 // A control machine that led and is cut off: what it tells an operator, and by when.
-package operate
+package operations
 
 import (
 	"testing"
 
 	"github.com/shoenig/test/must"
 
-	"wallport/replica"
+	"wallport/control/replica"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
--- a/operate/operate.go
+++ b/control/operations/operate.go
@@ -1,18 +1,18 @@
-// Package operate carries an operator's change from the node that took it to
+// Package operations carries an operator's change from the node that took it to
 // the leader of the partition, and waits a bounded while for the fleet to have it in
 // force. When the outcome cannot be known it says so, never 'refused'.
-package operate
+package operations
 
 import (
 	"fmt"
 
-	"wallport/configsync"
+	"wallport/control/configsync"
+	"wallport/control/replica"
+	"wallport/control/state"
 	"wallport/members"
 	"wallport/mesh"
-	"wallport/replica"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // Figures of an operator's call.
--- a/operate/rebuild.go
+++ b/control/operations/rebuild.go
@@ -1,13 +1,13 @@
 // The node's side of rebuilding a partition's group: ask every live core which version it
 // holds, fetch the newest one where this node lacks it, and have three cores hold it.
-package operate
+package operations
 
 import (
 	"fmt"
 
+	"wallport/control/replica"
 	"wallport/members"
 	"wallport/mesh"
-	"wallport/replica"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/operate/zones.go
+++ b/control/operations/zones.go
@@ -1,5 +1,5 @@
 // Which zones there are, as far as this process knows.
-package operate
+package operations
 
 import (
 	"slices"
--- a/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -3,10 +3,10 @@
 package replica
 
 import (
+	"wallport/control/state"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // Figures of versions on their way; times in microseconds, sizes in bytes.
--- a/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/control/state"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // wholeWithin is how long a replica that comes back may take: to listen, to be found and made a
--- a/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"slices"
 
+	"wallport/control/state"
 	"wallport/mesh"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // check looks at a process after a step: whatever it newly proposes or has committed keeps what was acknowledged.
--- a/replica/cluster_test.go
+++ b/control/replica/cluster_test.go
@@ -11,11 +11,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
-	"wallport/routing"
+	"wallport/control/routing"
+	"wallport/control/state"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // Figures of the simulated cluster, in microseconds.
--- a/replica/contact.go
+++ b/control/replica/contact.go
@@ -6,7 +6,7 @@
 import (
 	"slices"
 
-	"wallport/configsync"
+	"wallport/control/configsync"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
--- a/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -5,10 +5,10 @@
 	"bytes"
 	"fmt"
 
+	"wallport/control/state"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // heardLeader is the leader that a replica heard last, and in which term.
--- a/replica/invariants_test.go
+++ b/control/replica/invariants_test.go
@@ -8,11 +8,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/control/state"
 	"wallport/lab/violation"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // configured is a version of the configuration with a routing table of some revision.
--- a/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -11,11 +11,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/control/state"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 const (
--- a/replica/orders_test.go
+++ b/control/replica/orders_test.go
@@ -9,10 +9,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/control/state"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // order is a routing table under a number, told apart from others by a limit.
--- a/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -4,9 +4,9 @@
 package replica
 
 import (
+	"wallport/control/state"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // handleEdit takes an operator's or another plug-in's change, or a confirmed read.
--- a/replica/route.go
+++ b/control/replica/route.go
@@ -6,7 +6,7 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"wallport/configsync"
+	"wallport/control/configsync"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
--- a/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/control/state"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // linkOf10Mbit is the bandwidth of a link of 10 Mbit/s in bytes a second.
--- a/replica/state_machine.go
+++ b/control/replica/state_machine.go
@@ -3,9 +3,9 @@
 package replica
 
 import (
+	"wallport/control/state"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // Partitions is the number of partitions.
--- a/replica/synced.go
+++ b/control/replica/synced.go
@@ -5,10 +5,10 @@
 import (
 	"bytes"
 
+	"wallport/control/state"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // syncedVersion is the newest version that a replica said it has synced, and the newest round of
--- a/cutmove/cutmove.go
+++ b/control/reshard/cutmove.go
@@ -1,16 +1,16 @@
-// Package cutmove flips an index to its next cut once every new shard has
+// Package reshard flips an index to its next cut once every new shard has
 // enough warm servers. Any node may ask for the flip and they take turns; the
 // flip is an edit that names the move it ends and is judged by the leader of
 // the index's partition, so that a second one, or a late one, changes nothing.
-package cutmove
+package reshard
 
 import (
-	"wallport/configsync"
+	"wallport/control/configsync"
+	"wallport/control/state"
 	"wallport/members"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 	"wallport/table"
 )
 
--- a/state/config.go
+++ b/control/state/config.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/configpb"
+	"wallport/control/config"
 	"wallport/runtime/wire"
-	"wallport/sheet"
 )
 
 // Bounds of what orders about zones may leave behind.
@@ -88,18 +88,18 @@
 	var found []wire.Finding
 	switch e.Op {
 	case "put":
-		s, found = sheet.Read(e.Body)
+		s, found = config.Read(e.Body)
 	case "rows":
-		s, found = sheet.Apply(SheetOf(*c), e.Body)
+		s, found = config.Apply(SheetOf(*c), e.Body)
 	case "return":
-		i := slices.IndexFunc(ledger.History, func(p wire.Past) bool { return sheet.VersionText(p.Version) == e.Name })
+		i := slices.IndexFunc(ledger.History, func(p wire.Past) bool { return config.VersionText(p.Version) == e.Name })
 		if i < 0 {
 			return invalid("stamp", "not in the history: "+e.Name)
 		}
 		s = SheetOf(wire.ConfigBody{Sheet: ledger.History[i].Sheet})
 	}
 	if len(found) == 0 {
-		found = sheet.Check(s)
+		found = config.Check(s)
 	}
 	if len(found) > 0 {
 		return wire.EditReply{Code: "invalid", Findings: found}
@@ -121,7 +121,7 @@
 	if e.Op != "rows" || i < 0 {
 		return lost, true
 	}
-	lost.Findings = sheet.Clash(SheetOf(wire.ConfigBody{Sheet: ledger.History[i].Sheet}), SheetOf(*c), e.Body)
+	lost.Findings = config.Clash(SheetOf(wire.ConfigBody{Sheet: ledger.History[i].Sheet}), SheetOf(*c), e.Body)
 	return lost, len(lost.Findings) > 0
 }
 
--- a/state/ledger.go
+++ b/control/state/ledger.go
@@ -10,7 +10,7 @@
 	"slices"
 
 	"wallport/api/routingpb"
-	"wallport/routing"
+	"wallport/control/routing"
 	"wallport/runtime/wire"
 )
 
--- a/state/orders_test.go
+++ b/control/state/orders_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
-	"wallport/routing"
+	"wallport/control/routing"
 	"wallport/runtime/wire"
 )
 
--- a/forward/chart.go
+++ b/forward/chart.go
@@ -2,7 +2,7 @@
 package forward
 
 import (
-	"wallport/routing"
+	"wallport/control/routing"
 	"wallport/runtime/random"
 	"wallport/table"
 )
--- a/forward/chart_test.go
+++ b/forward/chart_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/api/routingpb"
-	"wallport/routing"
+	"wallport/control/routing"
 	"wallport/runtime/wire"
 	"wallport/table"
 )
--- a/forward/stats.go
+++ b/forward/stats.go
@@ -6,7 +6,7 @@
 import (
 	"sync/atomic"
 
-	"wallport/routing"
+	"wallport/control/routing"
 )
 
 type statsKey struct{ pool, route string }
--- a/forward/view.go
+++ b/forward/view.go
@@ -6,7 +6,7 @@
 import (
 	"sync"
 
-	"wallport/routing"
+	"wallport/control/routing"
 	"wallport/table"
 )
 
--- a/forward/world_test.go
+++ b/forward/world_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 
 	"wallport/api/routingpb"
-	"wallport/routing"
+	"wallport/control/routing"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -19,8 +19,8 @@
 
 	"wallport/api/routingpb"
 	"wallport/backend"
+	"wallport/control/routing"
 	"wallport/forward"
-	"wallport/routing"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/gateway/once_test.go
+++ b/gateway/once_test.go
@@ -14,8 +14,8 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/api/routingpb"
+	"wallport/control/routing"
 	"wallport/forward"
-	"wallport/routing"
 	"wallport/table"
 )
 
--- a/gateway/world_test.go
+++ b/gateway/world_test.go
@@ -20,8 +20,8 @@
 
 	"wallport/api/routingpb"
 	"wallport/backend"
+	"wallport/control/routing"
 	"wallport/forward"
-	"wallport/routing"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/idempotency/epochs.go
+++ b/idempotency/epochs.go
@@ -9,9 +9,9 @@
 import (
 	"slices"
 
+	"wallport/control/state"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 	"wallport/table"
 )
 
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -8,7 +8,7 @@
 import (
 	"fmt"
 
-	"wallport/configsync"
+	"wallport/control/configsync"
 	"wallport/inquiry"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
--- a/idempotency/owners.go
+++ b/idempotency/owners.go
@@ -7,7 +7,7 @@
 	"hash/fnv"
 	"slices"
 
-	"wallport/state"
+	"wallport/control/state"
 	"wallport/table"
 )
 
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -16,9 +16,9 @@
 	"sync/atomic"
 	"time"
 
+	"wallport/control/config"
 	"wallport/lab/check"
 	"wallport/runtime/wire"
-	"wallport/sheet"
 )
 
 type operators struct {
@@ -108,7 +108,7 @@
 	body.Services = slices.Clone(body.Services)
 	body.Services[0] = maps.Clone(body.Services[0])
 	body.Services[0]["ramp_us"] = mark
-	stamp, _ := sheet.ParseVersion(0, base.Stamp)
+	stamp, _ := config.ParseVersion(0, base.Stamp)
 	t := check.Try{Mark: mark, Base: stamp, Began: o.now(), Ended: 1 << 62, Code: "open"}
 	o.tell(func(j *check.Judge) { j.Tried(t) })
 	code, taken := o.send(node, body, base.Stamp)
@@ -134,7 +134,7 @@
 	raw, _ := io.ReadAll(resp.Body)
 	var got struct{ Stamp, Name string }
 	json.Unmarshal(raw, &got)
-	stamp, _ := sheet.ParseVersion(0, got.Stamp)
+	stamp, _ := config.ParseVersion(0, got.Stamp)
 	if resp.StatusCode == http.StatusOK {
 		return "ok", stamp
 	}
@@ -174,7 +174,7 @@
 	if o.up[node] == 0 {
 		o.up[node] = o.now()
 	}
-	stamp, _ := sheet.ParseVersion(0, s.Stamp)
+	stamp, _ := config.ParseVersion(0, s.Stamp)
 	j.InForce(node, stamp, s.mark(), asked, o.up[node])
 }
 
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -9,8 +9,8 @@
 	"net/http"
 	"time"
 
+	"wallport/control/config"
 	"wallport/lab/check"
-	"wallport/sheet"
 )
 
 // Operators other than those that edit the sheet, as clients of the history.
@@ -63,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		stamp, _ := sheet.ParseVersion(0, first.Stamp)
+		stamp, _ := config.ParseVersion(0, first.Stamp)
 		o.tell(func(j *check.Judge) { j.BeganWith(stamp) })
 		return nil
 	})
@@ -90,7 +90,7 @@
 		return
 	}
 	newest := past[len(past)-1]
-	stamp, _ := sheet.ParseVersion(0, newest.Stamp)
+	stamp, _ := config.ParseVersion(0, newest.Stamp)
 	o.tell(func(j *check.Judge) { j.SheetRead(readingClient, stamp, newest.mark(), began, ended) })
 }
 
--- a/lab/model/frames.go
+++ b/lab/model/frames.go
@@ -6,8 +6,8 @@
 
 	"github.com/tinylib/msgp/msgp"
 
+	"wallport/control/state"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // frameKind classifies a frame between processes.
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -12,14 +12,14 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/control/replica"
+	"wallport/control/state"
 	"wallport/members"
 	"wallport/mesh"
-	"wallport/replica"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // pluginName is the plug-in under test; inputs go to it alone.
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -15,13 +15,13 @@
 	"go.uber.org/zap"
 
 	// The plug-ins register themselves.
-	_ "wallport/configsync"
-	_ "wallport/cutmove"
+	_ "wallport/control/configsync"
+	_ "wallport/control/operations"
+	_ "wallport/control/replica"
+	_ "wallport/control/reshard"
 	_ "wallport/health"
 	_ "wallport/idempotency"
 	_ "wallport/listing"
-	_ "wallport/operate"
-	_ "wallport/replica"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"wallport/operate"
+	"wallport/control/operations"
+	"wallport/control/state"
 	"wallport/runtime/wire"
-	"wallport/state"
 	"wallport/table"
 )
 
@@ -148,11 +148,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), editWithin)
 	defer cancel()
 	r := Edited{SentUs: wallUs()}
-	v, err := n.p.Call(ctx, "operate", operate.Carry{Edit: e})
+	v, err := n.p.Call(ctx, "operate", operations.Carry{Edit: e})
 	if err != nil {
 		return Told{Err: err.Error()}
 	}
-	reply := v.(operate.Result).Reply
+	reply := v.(operations.Result).Reply
 	r.AtUs, r.Code, r.Stamp = wallUs(), reply.Code, reply.Version
 	return Told{Edited: &r}
 }
--- a/lab/sim/behind.go
+++ b/lab/sim/behind.go
@@ -2,9 +2,9 @@
 package sim
 
 import (
+	"wallport/control/state"
 	"wallport/mesh"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // countBehind counts, over all partitions, the voters that lack the newest committed version.
--- a/lab/sim/bookings.go
+++ b/lab/sim/bookings.go
@@ -7,11 +7,11 @@
 	"fmt"
 	"slices"
 
+	"wallport/control/config"
+	"wallport/control/operations"
+	"wallport/control/state"
 	"wallport/lab/check"
-	"wallport/operate"
 	"wallport/runtime/wire"
-	"wallport/sheet"
-	"wallport/state"
 )
 
 type booking struct {
@@ -27,7 +27,7 @@
 		"id": id, "index": w.Shape.Index, "kind": kind, "slice": slice,
 		"starts_us": fmt.Sprint(epoch + from*1_000_000), "ends_us": fmt.Sprint(epoch + to*1_000_000),
 	})
-	body, _ := json.Marshal([]sheet.RowEdit{{Op: "set", Table: "bookings", Row: row}})
+	body, _ := json.Marshal([]config.RowEdit{{Op: "set", Table: "bookings", Row: row}})
 	// Other edits go on meanwhile; the row is this operator's alone, so none of them is in its way.
 	o.insist(func() wire.Edit { return wire.Edit{Op: "rows", Strict: true, Base: o.now().stamp, Body: body} }, func(code string) bool {
 		w.note("booking " + id + " " + code)
@@ -65,8 +65,8 @@
 		return
 	}
 	p.feed(func() {
-		p.call("operate", operate.Rebuild{Partition: part}, func(v any) {
-			r := v.(operate.Result).Reply
+		p.call("operate", operations.Rebuild{Partition: part}, func(v any) {
+			r := v.(operations.Result).Reply
 			o.w.note(fmt.Sprint("rebuild ", part, " ", r.Code, " ", r.Findings))
 			o.w.Judge.Count("rebuilds."+r.Code, 1)
 		})
--- a/lab/sim/callers.go
+++ b/lab/sim/callers.go
@@ -5,9 +5,9 @@
 import (
 	"fmt"
 
+	"wallport/control/config"
 	"wallport/inquiry"
 	"wallport/lab/records"
-	"wallport/sheet"
 )
 
 type callers struct {
@@ -144,7 +144,7 @@
 	r := c.w.rnd.Int64N(sum)
 	for i, n := range c.mix {
 		if r -= n; r < 0 {
-			return sheet.Kinds[i]
+			return config.Kinds[i]
 		}
 	}
 	return inquiry.Search
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"wallport/replica"
+	"wallport/control/replica"
 )
 
 // restartUs is how soon an ended process is started again.
--- a/lab/sim/day_mishaps.go
+++ b/lab/sim/day_mishaps.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"wallport/api/routingpb"
+	"wallport/control/operations"
 	"wallport/lab/rules"
-	"wallport/operate"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -106,7 +106,7 @@
 		}
 		d.w.Judge.Count("late_evacuate.given", 1)
 		p.feed(func() {
-			p.call("operate", operate.Carry{Edit: wire.Edit{Op: "empty", Name: e.zone}, Wait: true, WaitUs: waitUs, GiveUpUs: answerUs}, nil)
+			p.call("operate", operations.Carry{Edit: wire.Edit{Op: "empty", Name: e.zone}, Wait: true, WaitUs: waitUs, GiveUpUs: answerUs}, nil)
 			id := p.nextCall
 			// The end of the connection follows the order at once where the operator has gone.
 			after := int64(silentUs)
--- a/lab/sim/day_orders.go
+++ b/lab/sim/day_orders.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/control/operations"
 	"wallport/lab/rules"
-	"wallport/operate"
 	"wallport/runtime/wire"
 )
 
@@ -116,12 +116,12 @@
 	d.w.after(silentUs, next)
 }
 
-func editCode(v any) string { return v.(operate.Result).Reply.Code }
+func editCode(v any) string { return v.(operations.Result).Reply.Code }
 
 // carry is an order that changes something.
 func (o *orders) carry(e wire.Edit, at pin, left func(), done func(code string, m *machine)) {
 	o.send(&order{
-		ask:  func() any { return operate.Carry{Edit: e, Wait: true, WaitUs: waitUs, GiveUpUs: answerUs} },
+		ask:  func() any { return operations.Carry{Edit: e, Wait: true, WaitUs: waitUs, GiveUpUs: answerUs} },
 		code: editCode, done: done, pin: at, left: left,
 	})
 }
@@ -232,8 +232,8 @@
 	var got *routingpb.RoutingTable
 	asked := d.w.now
 	o.send(&order{
-		ask: func() any { asked = d.w.now; return operate.ReadRouting{GiveUpUs: answerUs} }, until: d.end(),
-		code: func(v any) string { got = v.(operate.Routing).Table; return v.(operate.Routing).Code },
+		ask: func() any { asked = d.w.now; return operations.ReadRouting{GiveUpUs: answerUs} }, until: d.end(),
+		code: func(v any) string { got = v.(operations.Routing).Table; return v.(operations.Routing).Code },
 		done: func(string, *machine) {
 			d.w.Judge.Count("read_back", 1)
 			d.w.note(fmt.Sprintf("revision %d is read back", got.GetRevision()))
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -3,10 +3,10 @@
 package sim
 
 import (
+	"wallport/control/operations"
+	"wallport/control/state"
 	"wallport/lab/rules"
-	"wallport/operate"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // confirmedReadUs is how often it is read; the first read is as late.
@@ -27,9 +27,9 @@
 		return
 	}
 	sent := d.w.now
-	ask := operate.Carry{Edit: wire.Edit{Partition: state.Config, Op: "read"}, GiveUpUs: answerUs}
+	ask := operations.Carry{Edit: wire.Edit{Partition: state.Config, Op: "read"}, GiveUpUs: answerUs}
 	p.feed(func() {
-		p.call("operate", ask, func(v any) { o.confirmed(sent, v.(operate.Result).Reply) })
+		p.call("operate", ask, func(v any) { o.confirmed(sent, v.(operations.Result).Reply) })
 	})
 }
 
--- a/lab/sim/healing.go
+++ b/lab/sim/healing.go
@@ -4,9 +4,9 @@
 package sim
 
 import (
+	"wallport/control/state"
 	"wallport/inquiry"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 type healing struct{ came, good, shed int64 }
--- a/lab/sim/operators.go
+++ b/lab/sim/operators.go
@@ -8,11 +8,11 @@
 	"fmt"
 
 	"wallport/api/configpb"
+	"wallport/control/config"
+	"wallport/control/operations"
+	"wallport/control/state"
 	"wallport/lab/check"
-	"wallport/operate"
 	"wallport/runtime/wire"
-	"wallport/sheet"
-	"wallport/state"
 )
 
 const markBase = rampUs
@@ -65,7 +65,7 @@
 	o.w.sheetOther(s)
 	if on != nil {
 		var was map[string]any
-		if json.Unmarshal(sheet.JSON(on), &was) == nil {
+		if json.Unmarshal(config.JSON(on), &was) == nil {
 			s["bookings"] = was["bookings"]
 		}
 	}
@@ -120,8 +120,8 @@
 	t := check.Try{Mark: mark, Base: on.stamp, Began: w.now, Ended: 1 << 62, Code: "open", EditID: e.EditID, Invalid: kind == "invalid"}
 	w.Judge.Tried(t)
 	p.feed(func() {
-		p.call("operate", operate.Carry{Edit: e}, func(v any) {
-			r := v.(operate.Result).Reply
+		p.call("operate", operations.Carry{Edit: e}, func(v any) {
+			r := v.(operations.Result).Reply
 			t.Ended, t.Code, t.Stamp = w.now, r.Code, r.Version
 			w.note(fmt.Sprintf("edit %d %s %v", mark, r.Code, r.Version))
 			w.Judge.Retried(t)
@@ -187,12 +187,12 @@
 		return
 	}
 	p.feed(func() {
-		p.call("operate", operate.Carry{Edit: make()}, func(v any) {
+		p.call("operate", operations.Carry{Edit: make()}, func(v any) {
 			if answered {
 				return
 			}
 			answered = true
-			if code := v.(operate.Result).Reply.Code; !ended(code) {
+			if code := v.(operations.Result).Reply.Code; !ended(code) {
 				again(100_000)
 			}
 		})
--- a/lab/sim/proc.go
+++ b/lab/sim/proc.go
@@ -5,14 +5,14 @@
 import (
 	"fmt"
 
-	_ "wallport/configsync"
-	_ "wallport/cutmove"
+	_ "wallport/control/configsync"
+	_ "wallport/control/operations"
+	"wallport/control/replica"
+	_ "wallport/control/reshard"
 	_ "wallport/health"
 	_ "wallport/idempotency"
 	"wallport/inquiry"
 	_ "wallport/listing"
-	_ "wallport/operate"
-	"wallport/replica"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/table"
--- a/lab/sim/stops.go
+++ b/lab/sim/stops.go
@@ -2,7 +2,7 @@
 package sim
 
 import (
-	"wallport/replica"
+	"wallport/control/replica"
 	"wallport/runtime/kernel"
 )
 
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -7,11 +7,11 @@
 	"container/heap"
 	"math/rand/v2"
 
+	"wallport/control/state"
 	"wallport/lab/check"
 	"wallport/lab/fleet"
 	"wallport/lab/script"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 type event struct {
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"wallport/api/routingpb"
+	"wallport/control/routing"
 	"wallport/platform"
-	"wallport/routing"
 )
 
 // siteHost is the host of all routes.
--- a/lab/soak/config_test.go
+++ b/lab/soak/config_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/routing"
+	"wallport/control/routing"
 )
 
 func TestEveryChangeIsAnotherOne(t *testing.T) {
--- a/listing/lease.go
+++ b/listing/lease.go
@@ -5,11 +5,11 @@
 import (
 	"fmt"
 
+	"wallport/control/state"
 	"wallport/mesh"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // asksMost is how many asks a grant may still answer.
--- a/listing/listing.go
+++ b/listing/listing.go
@@ -8,12 +8,12 @@
 	"encoding/json"
 	"net/http"
 
-	"wallport/configsync"
+	"wallport/control/configsync"
+	"wallport/control/state"
 	"wallport/members"
 	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // Figures of the duty.
--- a/listing/listing_test.go
+++ b/listing/listing_test.go
@@ -10,11 +10,11 @@
 	"github.com/shoenig/test/must"
 	"github.com/tinylib/msgp/msgp"
 
+	"wallport/control/state"
 	"wallport/members"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 const second = int64(1_000_000)
--- a/serve/carry.go
+++ b/serve/carry.go
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 
 	"wallport/api/gen/operator"
-	"wallport/operate"
+	"wallport/control/config"
+	"wallport/control/operations"
 	"wallport/runtime/wire"
-	"wallport/sheet"
 )
 
 // callWithin is how long an operator's call may take.
@@ -18,14 +18,14 @@
 
 // Rebuild makes a part's group anew on the operator's word.
 func (a operatorAPI) Rebuild(ctx context.Context, p *operator.RebuildPayload) (*operator.Taken, error) {
-	who, err := a.f.scopes.may(p.Token, sheet.ScopeAll, nil)
+	who, err := a.f.scopes.may(p.Token, config.ScopeAll, nil)
 	if err != nil {
 		return nil, err
 	}
 	if who == "" {
 		who = deref(p.By)
 	}
-	return a.carry(ctx, wire.Edit{Op: "rebuild", Partition: p.Part, By: who}, operate.Rebuild{Partition: p.Part})
+	return a.carry(ctx, wire.Edit{Op: "rebuild", Partition: p.Part, By: who}, operations.Rebuild{Partition: p.Part})
 }
 
 // carry asks the kernel and leaves a line for the audit.
@@ -36,14 +36,14 @@
 	if err != nil {
 		return nil, &operator.Failure{Name: "outcome_unknown", Message: err.Error(), Ran: "unknown"}
 	}
-	res := v.(operate.Result)
-	stamp := sheet.VersionText(res.Reply.Version)
+	res := v.(operations.Result)
+	stamp := config.VersionText(res.Reply.Version)
 	a.f.p.Log.Info("audit", zap.String("op", e.Op), zap.Int("part", e.Partition), zap.String("name", e.Name), zap.String("by", e.By), zap.String("edit_id", e.EditID),
 		zap.String("result", res.Reply.Code), zap.String("stamp", stamp), zap.Int("findings", len(res.Reply.Findings)))
 	switch res.Reply.Code {
 	case "ok":
 		return &operator.Taken{Stamp: stamp, InForce: res.InForce, Laggards: append([]string{}, res.Laggards...)}, nil
-	case "invalid", operate.CodeUnknownZone:
+	case "invalid", operations.CodeUnknownZone:
 		return nil, findings("malformed", res.Reply.Findings)
 	case "conflict":
 		return nil, findings("conflict", res.Reply.Findings)
--- a/serve/explain.go
+++ b/serve/explain.go
@@ -16,10 +16,10 @@
 
 	"wallport/api/gen/http/operator/client"
 	"wallport/api/gen/operator"
+	"wallport/control/config"
 	"wallport/inquiry"
 	"wallport/members"
 	"wallport/runtime/kernel"
-	"wallport/sheet"
 	"wallport/table"
 )
 
@@ -43,7 +43,7 @@
 		if !ok {
 			return nil, fail("unknown", "no such inquiry, or it is no longer kept")
 		}
-		return inquiry.Explain(t, func(c *table.Snapshot) string { return sheet.VersionText(c.Version) }), nil
+		return inquiry.Explain(t, func(c *table.Snapshot) string { return config.VersionText(c.Version) }), nil
 	}
 	if addr := a.operatorOf(name); addr != "" {
 		return a.elsewhere(ctx, name, addr, p)
--- a/serve/http.go
+++ b/serve/http.go
@@ -22,8 +22,8 @@
 	callersrv "wallport/api/gen/http/caller/server"
 	operatorsrv "wallport/api/gen/http/operator/server"
 	"wallport/api/gen/operator"
+	"wallport/control/config"
 	"wallport/runtime/process"
-	"wallport/sheet"
 )
 
 // Limits on what is read.
@@ -183,7 +183,7 @@
 	ready, why, stamp := true, "", ""
 	if s.front != nil {
 		cp := s.front.table.Now()
-		stamp = sheet.VersionText(cp.Version)
+		stamp = config.VersionText(cp.Version)
 		switch {
 		case s.drains.Load():
 			ready, why = false, "draining"
--- a/serve/operator.go
+++ b/serve/operator.go
@@ -7,12 +7,12 @@
 	"encoding/json"
 
 	"wallport/api/gen/operator"
+	"wallport/control/config"
+	"wallport/control/operations"
+	"wallport/control/state"
 	"wallport/members"
-	"wallport/operate"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/sheet"
-	"wallport/state"
 	"wallport/table"
 )
 
@@ -24,7 +24,7 @@
 
 // allowed tells whether a token may look.
 func (a operatorAPI) allowed(token *string) error {
-	_, err := a.f.scopes.may(token, sheet.ScopeRead, nil)
+	_, err := a.f.scopes.may(token, config.ScopeRead, nil)
 	return err
 }
 
@@ -34,9 +34,9 @@
 
 // change carries an edit and tells what became of it, with a line for the audit.
 func (a operatorAPI) change(ctx context.Context, c changing, e wire.Edit) (*operator.Taken, error) {
-	scope, indexes := sheet.ScopeAll, []string(nil)
+	scope, indexes := config.ScopeAll, []string(nil)
 	if e.Op == "rows" {
-		scope, indexes = sheet.ScopeRows, sheet.Indexes(a.f.table.Now().Sheet, e.Body)
+		scope, indexes = config.ScopeRows, config.Indexes(a.f.table.Now().Sheet, e.Body)
 	}
 	who, err := a.f.scopes.may(c.token, scope, indexes)
 	if err != nil {
@@ -48,7 +48,7 @@
 		e.By = who
 	}
 	if e.Strict {
-		stamp, ok := sheet.ParseVersion(e.Partition, deref(c.basedOn))
+		stamp, ok := config.ParseVersion(e.Partition, deref(c.basedOn))
 		if !ok && deref(c.basedOn) != "0.0" {
 			return nil, findings("malformed", []wire.Finding{{Place: "If-Match", Text: "needs the stamp that the edit is based on, as GET /v1/sheet shows it"}})
 		}
@@ -57,7 +57,7 @@
 			e.Base = wire.Version{}
 		}
 	}
-	return a.carry(ctx, e, operate.Carry{Edit: e, Wait: true})
+	return a.carry(ctx, e, operations.Carry{Edit: e, Wait: true})
 }
 
 func findings(code string, list []wire.Finding) *operator.Failure {
@@ -84,7 +84,7 @@
 	if cp.Version.Term == 0 {
 		return nil, fail("shed", "this node has no configuration yet")
 	}
-	return &operator.SheetNow{Stamp: sheet.VersionText(cp.Config.SheetAt), Sheet: sheet.JSON(cp.Sheet)}, nil
+	return &operator.SheetNow{Stamp: config.VersionText(cp.Config.SheetAt), Sheet: config.JSON(cp.Sheet)}, nil
 }
 
 func (a operatorAPI) PutSheet(ctx context.Context, p *operator.PutSheetPayload) (*operator.Taken, error) {
@@ -95,9 +95,9 @@
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	s, found := sheet.Read(raw(p.Sheet))
+	s, found := config.Read(raw(p.Sheet))
 	if len(found) == 0 {
-		found = sheet.Check(s)
+		found = config.Check(s)
 	}
 	return append([]*operator.Finding{}, findings("", found).Findings...), nil
 }
@@ -108,15 +108,15 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	v, err := a.f.p.Call(ctx, "operate", operate.ReadHistory{})
-	history, known := v.(operate.History)
+	v, err := a.f.p.Call(ctx, "operate", operations.ReadHistory{})
+	history, known := v.(operations.History)
 	if err != nil || !known || history.Code != "ok" {
 		return nil, fail("shed", "no leader of the configuration can be reached")
 	}
 	out := []*operator.PastSheet{}
 	for _, h := range history.Sheets {
 		s := state.SheetOf(wire.ConfigBody{Sheet: h.Sheet})
-		out = append(out, &operator.PastSheet{Stamp: sheet.VersionText(h.Version), By: h.By, Sheet: sheet.JSON(s)})
+		out = append(out, &operator.PastSheet{Stamp: config.VersionText(h.Version), By: h.By, Sheet: config.JSON(s)})
 	}
 	return out, nil
 }
@@ -126,9 +126,9 @@
 }
 
 func (a operatorAPI) EditSheet(ctx context.Context, p *operator.EditSheetPayload) (*operator.Taken, error) {
-	edits := make([]sheet.RowEdit, 0, len(p.Edits))
+	edits := make([]config.RowEdit, 0, len(p.Edits))
 	for _, e := range p.Edits {
-		edits = append(edits, sheet.RowEdit{Op: e.Op, Table: e.Table, Row: raw(e.Row)})
+		edits = append(edits, config.RowEdit{Op: e.Op, Table: e.Table, Row: raw(e.Row)})
 	}
 	return a.change(ctx, changing{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "rows", Strict: true, Body: raw(edits)})
 }
@@ -162,7 +162,7 @@
 	}
 	for _, st := range r.InForce {
 		if st.Partition == state.Config {
-			s.InForce = sheet.VersionText(st)
+			s.InForce = config.VersionText(st)
 		}
 	}
 	return s
--- a/serve/scopes.go
+++ b/serve/scopes.go
@@ -15,8 +15,8 @@
 
 	"wallport/api/configpb"
 	"wallport/api/gen/operator"
+	"wallport/control/config"
 	"wallport/runtime/process"
-	"wallport/sheet"
 )
 
 type scopes struct {
@@ -59,7 +59,7 @@
 	if string(b) == s.last {
 		return nil
 	}
-	t, found := sheet.ReadTokens(b)
+	t, found := config.ReadTokens(b)
 	s.last = string(b)
 	if len(found) > 0 {
 		return tokenFaults(s.file, found)
@@ -87,8 +87,8 @@
 	switch {
 	case mine == nil:
 		return "", fail("forbidden", "the operator token is missing or wrong")
-	case mine.Scope == sheet.ScopeAll, scope == sheet.ScopeRead:
-	case scope == sheet.ScopeAll || mine.Scope == sheet.ScopeRead:
+	case mine.Scope == config.ScopeAll, scope == config.ScopeRead:
+	case scope == config.ScopeAll || mine.Scope == config.ScopeRead:
 		return "", lacks(mine, scope)
 	default:
 		for _, x := range indexes {
--- a/serve/shape.go
+++ b/serve/shape.go
@@ -15,8 +15,8 @@
 
 	"wallport/api/gen/caller"
 	"wallport/api/gen/operator"
+	"wallport/control/config"
 	"wallport/runtime/wire"
-	"wallport/sheet"
 )
 
 // plain is the shape of every fault on the wire.
@@ -53,7 +53,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		found := sheet.Twice(body)
+		found := config.Twice(body)
 		if err != nil || len(found) == 0 {
 			next.ServeHTTP(w, r)
 			return
--- a/serve/status.go
+++ b/serve/status.go
@@ -5,10 +5,10 @@
 	"context"
 
 	"wallport/api/gen/operator"
-	"wallport/operate"
+	"wallport/control/config"
+	"wallport/control/operations"
+	"wallport/control/state"
 	"wallport/runtime/wire"
-	"wallport/sheet"
-	"wallport/state"
 )
 
 // Replicas asks every known core for the state of its replicas.
@@ -18,8 +18,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	v, err := a.f.p.Call(ctx, "operate", operate.ReadStatus{})
-	status, known := v.(operate.Status)
+	v, err := a.f.p.Call(ctx, "operate", operations.ReadStatus{})
+	status, known := v.(operations.Status)
 	if err != nil || !known {
 		return nil, fail("shed", "the cores were not asked in time")
 	}
@@ -27,7 +27,7 @@
 }
 
 // replicaRows orders what the cores told by partition.
-func replicaRows(status operate.Status) []*operator.ReplicaStatus {
+func replicaRows(status operations.Status) []*operator.ReplicaStatus {
 	newest := status.Newest()
 	rows := []*operator.ReplicaStatus{}
 	for part := range state.Partitions {
@@ -41,8 +41,8 @@
 }
 
 // replicaRow is a core's row for a partition; nil where it answered and has none.
-func replicaRow(core operate.CoreStatus, part int, newest wire.Version) *operator.ReplicaStatus {
-	row := &operator.ReplicaStatus{Core: core.Name, Zone: core.Zone, Part: part, State: operate.StateSilent}
+func replicaRow(core operations.CoreStatus, part int, newest wire.Version) *operator.ReplicaStatus {
+	row := &operator.ReplicaStatus{Core: core.Name, Zone: core.Zone, Part: part, State: operations.StateSilent}
 	if !core.Answered {
 		return row
 	}
@@ -51,7 +51,7 @@
 			continue
 		}
 		row.State, row.Contact, row.Term, row.Leader = r.State, r.Contact, r.Term, r.Leader
-		row.Version, row.Held = sheet.VersionText(r.Committed), sheet.VersionText(r.Held)
+		row.Version, row.Held = config.VersionText(r.Committed), config.VersionText(r.Held)
 		row.Voters, row.Change, row.Leaving = r.Voters, r.Change, r.Leaving
 		if newest.Seq > r.Committed.Seq {
 			row.Behind = newest.Seq - r.Committed.Seq
--- a/smoke/replicas_test.go
+++ b/smoke/replicas_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/state"
+	"wallport/control/state"
 )
 
 // Waiting for every partition to have a leader: a loaded machine may be in the middle of an election.
--- a/table/configured.go
+++ b/table/configured.go
@@ -5,11 +5,11 @@
 	"fmt"
 
 	"wallport/api/configpb"
+	"wallport/control/state"
 	"wallport/mesh"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 // config is the configuration as it was last read.
--- a/table/pools.go
+++ b/table/pools.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
-	"wallport/routing"
+	"wallport/control/routing"
 )
 
 // pools fills in the routing table in force and its pools.
--- a/table/ready_test.go
+++ b/table/ready_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
-	"wallport/configsync"
+	"wallport/control/configsync"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -9,7 +9,7 @@
 
 	"wallport/api/configpb"
 	"wallport/api/routingpb"
-	"wallport/routing"
+	"wallport/control/routing"
 	"wallport/runtime/wire"
 )
 
--- a/table/table.go
+++ b/table/table.go
@@ -6,7 +6,7 @@
 import (
 	"sync/atomic"
 
-	"wallport/configsync"
+	"wallport/control/configsync"
 	"wallport/listing"
 	"wallport/members"
 	"wallport/mesh"
--- a/table/verdict.go
+++ b/table/verdict.go
@@ -7,9 +7,9 @@
 	"slices"
 
 	"wallport/api/configpb"
+	"wallport/control/state"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/state"
 )
 
 type votes struct {
