--- a/listing/lease.go
+++ b/cluster/discovery/lease.go
@@ -1,12 +1,12 @@
 // The lease of the duty as its holder sees it: it lasts from when it was asked
 // for, and what is given up, or was held before a freeze, is not taken up again.
-package listing
+package discovery
 
 import (
 	"fmt"
 
+	"wallport/cluster/mesh"
 	"wallport/control/state"
-	"wallport/mesh"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
--- a/listing/lease_test.go
+++ b/cluster/discovery/lease_test.go
@@ -1,13 +1,13 @@
 // The lease of the duty as its holder counts it.
-package listing
+package discovery
 
 import (
 	"testing"
 
 	"github.com/shoenig/test/must"
 
+	"wallport/cluster/mesh"
 	"wallport/lab/violation"
-	"wallport/mesh"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
--- a/listing/listing.go
+++ b/cluster/discovery/listing.go
@@ -1,17 +1,17 @@
-// Package listing reads the platform's list of backends. One node does it at
+// Package discovery reads the platform's list of backends. One node does it at
 // a time, within the fleet's call allowance, by a lease that the leader of the
 // duty's partition grants; where no core can be reached, the nodes take turns by
 // rank. An empty or failing answer proves nothing.
-package listing
+package discovery
 
 import (
 	"encoding/json"
 	"net/http"
 
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/control/configsync"
 	"wallport/control/state"
-	"wallport/members"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -37,7 +37,7 @@
 type Lister struct {
 	k          *kernel.Kernel
 	mesh       *mesh.Mesh
-	members    *members.Members
+	members    *membership.Members
 	configSync *configsync.Sync
 	until      int64
 	// lease is the turn of the duty as it was granted to this node last; asked is when each ask was
@@ -65,7 +65,7 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Lister{calls: 1, blank: true, asked: map[uint64]int64{}, polled: -TellEvery, k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*members.Members](k), configSync: kernel.Find[*configsync.Sync](k)}
+		return &Lister{calls: 1, blank: true, asked: map[uint64]int64{}, polled: -TellEvery, k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), configSync: kernel.Find[*configsync.Sync](k)}
 	}})
 }
 
--- a/listing/listing_test.go
+++ b/cluster/discovery/listing_test.go
@@ -1,6 +1,6 @@
 // The duty on simulated time: how often the list is read, who reads when the
 // holder falls silent, and what of a reading is news.
-package listing
+package discovery
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 	"github.com/tinylib/msgp/msgp"
 
+	"wallport/cluster/membership"
 	"wallport/control/state"
-	"wallport/members"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
@@ -210,7 +210,7 @@
 	r.grants = true
 	r.owned()
 	r.run(second)
-	kernel.Find[*members.Members](r.k).Update(func(m *wire.Member) { m.Draining = true })
+	kernel.Find[*membership.Members](r.k).Update(func(m *wire.Member) { m.Draining = true })
 	asked := len(r.holds)
 	r.run(5 * second)
 	must.Eq(t, asked, len(r.holds))
--- a/listing/news.go
+++ b/cluster/discovery/news.go
@@ -1,5 +1,5 @@
 // What of a reading is news: everything but cold times that only run down.
-package listing
+package discovery
 
 import (
 	"cmp"
--- a/usage/usage.go
+++ b/cluster/loadreport/usage.go
@@ -1,8 +1,8 @@
-// Package usage spreads each node's own rate of inquiries over the mesh, so
+// Package loadreport spreads each node's own rate of inquiries over the mesh, so
 // that fleet-wide shares and ceilings can be split by who is really asked. It
 // tells only when the rate moved by a fifth, or near a limit by less, and at most
 // once a second.
-package usage
+package loadreport
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"sync"
 	"sync/atomic"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/members/members.go
+++ b/cluster/membership/members.go
@@ -1,7 +1,7 @@
-// Package members keeps the table of the fleet's processes as the mesh tells
+// Package membership keeps the table of the fleet's processes as the mesh tells
 // it, and tells the mesh about this one. Liveness is the mesh's judgement of
 // each origin's beat; a restarted process is a new member.
-package members
+package membership
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/members/members_test.go
+++ b/cluster/membership/members_test.go
@@ -1,6 +1,6 @@
 // When a process's own row is told: at once after a pause, what else changed soon, and versions in
 // force together, the later the more members there are.
-package members
+package membership
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/roles.go
@@ -12,20 +12,20 @@
 	"go.uber.org/zap/zapcore"
 
 	// The plug-ins register themselves.
+	_ "wallport/cluster/discovery"
+	_ "wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
 	_ "wallport/control/operations"
 	_ "wallport/control/replica"
 	_ "wallport/control/reshard"
 	_ "wallport/health"
 	_ "wallport/idempotency"
-	_ "wallport/listing"
 	"wallport/platform"
 	"wallport/runtime/asynclog"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
 	"wallport/serve"
 	_ "wallport/table"
-	_ "wallport/usage"
 )
 
 type daemonCmd struct {
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -5,9 +5,9 @@
 package configsync
 
 import (
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/control/state"
-	"wallport/members"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
@@ -37,7 +37,7 @@
 // Sync is the plug-in of a node, and of a core, which may have no replica and then hears no leader otherwise.
 type Sync struct {
 	mesh    *mesh.Mesh
-	members *members.Members
+	members *membership.Members
 	leaders [state.Partitions]wire.Leader
 	ownerAt [state.Partitions]int64
 	turn    int
@@ -63,7 +63,7 @@
 func init() {
 	kernel.Register(kernel.Registration{Rank: 40, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Sync{
-			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*members.Members](k), liveAt: map[string]int64{},
+			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), liveAt: map[string]int64{},
 			zones: map[string]string{}, place: k.Boot.Env, core: k.Boot.Role == "core", asked: map[string]int64{}, sent: map[uint64]sentPull{},
 			contact: contact{without: map[string]bool{}},
 		}
--- a/control/operations/carrying.go
+++ b/control/operations/carrying.go
@@ -6,7 +6,7 @@
 import (
 	"fmt"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/operations/operate.go
+++ b/control/operations/operate.go
@@ -6,11 +6,11 @@
 import (
 	"fmt"
 
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/control/configsync"
 	"wallport/control/replica"
 	"wallport/control/state"
-	"wallport/members"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -49,7 +49,7 @@
 	mesh       *mesh.Mesh
 	configSync *configsync.Sync
 	host       *replica.Host
-	members    *members.Members
+	members    *membership.Members
 	calls      map[uint64]*call
 	// zones are the zones that the settings name, with their regions; empty where they name none.
 	zones map[string]string
@@ -64,7 +64,7 @@
 	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Operate{
 			mesh: kernel.Find[*mesh.Mesh](k), configSync: kernel.Find[*configsync.Sync](k), host: kernel.Find[*replica.Host](k),
-			zones: k.Boot.Env.Regions, members: kernel.Find[*members.Members](k), calls: map[uint64]*call{}, rebuilds: map[uint64]*rebuilding{},
+			zones: k.Boot.Env.Regions, members: kernel.Find[*membership.Members](k), calls: map[uint64]*call{}, rebuilds: map[uint64]*rebuilding{},
 			statusReads:  map[uint64]*statusRead{},
 			wantedVoters: k.Boot.Env.Voters(),
 		}
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -5,9 +5,9 @@
 import (
 	"fmt"
 
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/control/replica"
-	"wallport/members"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -70,8 +70,8 @@
 	}
 }
 
-func (o *Operate) cores(now int64) []members.Row {
-	var out []members.Row
+func (o *Operate) cores(now int64) []membership.Row {
+	var out []membership.Row
 	for _, c := range o.members.Live(now, "core") {
 		if c.Replica != "" && c.Sick == "" && !c.Draining {
 			out = append(out, c)
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -5,8 +5,8 @@
 import (
 	"fmt"
 
-	"wallport/members"
-	"wallport/mesh"
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -33,7 +33,7 @@
 
 // statusRead is such a question on its way.
 type statusRead struct {
-	asked []members.Row
+	asked []membership.Row
 	// told is what the cores told, by their mesh addresses.
 	told map[string][]wire.ReplicaStatus
 }
@@ -55,8 +55,8 @@
 
 // knownCores are the cores among the members, one for each address: of one that has started again
 // its earlier life may still be known.
-func knownCores(all []members.Row) []members.Row {
-	var cores []members.Row
+func knownCores(all []membership.Row) []membership.Row {
+	var cores []membership.Row
 	at := map[string]int{}
 	for _, row := range all {
 		if row.Role != "core" {
--- a/control/operations/status_test.go
+++ b/control/operations/status_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/members"
-	"wallport/mesh"
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -87,15 +87,15 @@
 }
 
 func TestACoreThatHasStartedAgainIsListedOnce(t *testing.T) {
-	row := func(name, addr, origin string, live bool) members.Row {
-		return members.Row{Member: wire.Member{Name: name, Role: "core", Addr: addr}, Origin: origin, Live: live}
+	row := func(name, addr, origin string, live bool) membership.Row {
+		return membership.Row{Member: wire.Member{Name: name, Role: "core", Addr: addr}, Origin: origin, Live: live}
 	}
-	node := members.Row{Member: wire.Member{Name: "n", Role: "node", Addr: "n:1"}, Live: true}
-	cores := knownCores([]members.Row{row("a", "a:1", "before", false), row("a", "a:1", "now", true), row("b", "b:1", "gone", false), node})
+	node := membership.Row{Member: wire.Member{Name: "n", Role: "node", Addr: "n:1"}, Live: true}
+	cores := knownCores([]membership.Row{row("a", "a:1", "before", false), row("a", "a:1", "now", true), row("b", "b:1", "gone", false), node})
 	must.Len(t, 2, cores)
 	must.Eq(t, "now", cores[0].Origin)
 	must.Eq(t, "gone", cores[1].Origin)
-	cores = knownCores([]members.Row{row("a", "a:1", "now", true), row("a", "a:1", "before", false)})
+	cores = knownCores([]membership.Row{row("a", "a:1", "now", true), row("a", "a:1", "before", false)})
 	must.Len(t, 1, cores)
 	must.Eq(t, "now", cores[0].Origin)
 }
--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -3,8 +3,8 @@
 package replica
 
 import (
+	"wallport/cluster/mesh"
 	"wallport/control/state"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"slices"
 
+	"wallport/cluster/mesh"
 	"wallport/control/state"
-	"wallport/mesh"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/wire"
 )
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -6,8 +6,8 @@
 import (
 	"slices"
 
+	"wallport/cluster/mesh"
 	"wallport/control/configsync"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -6,7 +6,7 @@
 	"cmp"
 	"slices"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -5,7 +5,7 @@
 import (
 	"slices"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -10,8 +10,8 @@
 	"slices"
 	"strings"
 
-	"wallport/members"
-	"wallport/mesh"
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
@@ -21,7 +21,7 @@
 type Host struct {
 	k            *kernel.Kernel
 	mesh         *mesh.Mesh
-	members      *members.Members
+	members      *membership.Members
 	replicaID    string
 	groups       []*Group
 	diskDamaged  bool
@@ -48,14 +48,14 @@
 	probeAt     int64
 
 	pullers map[string]puller
-	rowsNow []members.Row
+	rowsNow []membership.Row
 	rowsAt  int64
 }
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 30, Roles: []string{"core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		s := &Host{
-			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*members.Members](k),
+			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
 			writes: map[string]func(*kernel.Context, string){}, writeSince: map[string]int64{}, consents: map[string]bool{},
 			refused: map[string]bool{}, pullers: map[string]puller{},
 		}
--- a/control/replica/known_cores.go
+++ b/control/replica/known_cores.go
@@ -3,7 +3,7 @@
 package replica
 
 import (
-	"wallport/members"
+	"wallport/cluster/membership"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -23,20 +23,20 @@
 }
 
 // rows lists the live cores as the mesh tells, looked up afresh a few times a second.
-func (s *Host) rows(now int64) []members.Row {
+func (s *Host) rows(now int64) []membership.Row {
 	if s.rowsAt == 0 || now-s.rowsAt >= rowsInterval {
 		s.rowsAt, s.rowsNow = now, s.members.Live(now, "core")
 	}
 	return s.rowsNow
 }
 
-func (s *Host) row(id string, now int64) (members.Row, bool) {
+func (s *Host) row(id string, now int64) (membership.Row, bool) {
 	for _, r := range s.rows(now) {
 		if r.Replica == id && id != "" {
 			return r, true
 		}
 	}
-	return members.Row{}, false
+	return membership.Row{}, false
 }
 
 // pulled takes note of a core that pulls.
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -3,7 +3,7 @@
 package replica
 
 import (
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -8,7 +8,7 @@
 import (
 	"slices"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -4,7 +4,7 @@
 package replica
 
 import (
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/replica/route.go
+++ b/control/replica/route.go
@@ -6,8 +6,8 @@
 
 	"github.com/tinylib/msgp/msgp"
 
+	"wallport/cluster/mesh"
 	"wallport/control/configsync"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/replica/synced.go
+++ b/control/replica/synced.go
@@ -5,8 +5,8 @@
 import (
 	"bytes"
 
+	"wallport/cluster/mesh"
 	"wallport/control/state"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
--- a/control/reshard/cutmove.go
+++ b/control/reshard/cutmove.go
@@ -5,10 +5,10 @@
 package reshard
 
 import (
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/control/configsync"
 	"wallport/control/state"
-	"wallport/members"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
@@ -24,7 +24,7 @@
 // CutMove is the plug-in of a node.
 type CutMove struct {
 	mesh       *mesh.Mesh
-	members    *members.Members
+	members    *membership.Members
 	configSync *configsync.Sync
 	table      *table.Table
 	rank       int
@@ -34,7 +34,7 @@
 func init() {
 	kernel.Register(kernel.Registration{Rank: 90, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &CutMove{
-			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*members.Members](k),
+			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
 			configSync: kernel.Find[*configsync.Sync](k), table: kernel.Find[*table.Table](k),
 		}
 	}})
--- a/health/health.go
+++ b/health/health.go
@@ -9,7 +9,7 @@
 	"hash/fnv"
 	"slices"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/listing"
-	"wallport/mesh"
+	"wallport/cluster/discovery"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
@@ -36,7 +36,7 @@
 	for i := range neighbours {
 		n.feed(kernel.ChannelUp{Chan: uint64(i) + 1, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(keyOf(i + 1).Public), Mesh: true})
 	}
-	n.hears(1, "listing", listing.Duty, &wire.Listing{Turn: 1, Whole: true, Servers: []wire.Server{{ID: sick}}})
+	n.hears(1, "listing", discovery.Duty, &wire.Listing{Turn: 1, Whole: true, Servers: []wire.Server{{ID: sick}}})
 	return n
 }
 
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -8,9 +8,9 @@
 import (
 	"fmt"
 
+	"wallport/cluster/mesh"
 	"wallport/control/configsync"
 	"wallport/inquiry"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/idempotency/model_node_test.go
+++ b/idempotency/model_node_test.go
@@ -6,8 +6,8 @@
 	"fmt"
 
 	"wallport/api/configpb"
+	"wallport/cluster/mesh"
 	"wallport/inquiry"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/table"
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/cluster/mesh"
 	"wallport/inquiry"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
--- a/inquiry/chart_test.go
+++ b/inquiry/chart_test.go
@@ -8,11 +8,11 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/api/configpb"
+	"wallport/cluster/loadreport"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 	"wallport/table"
-	"wallport/usage"
 )
 
 func newSnapshot(perShard, shards int) *table.Snapshot {
@@ -30,7 +30,7 @@
 
 func desk(cp *table.Snapshot) *Desk {
 	k := kernel.New(kernel.Boot{Env: settings.Env{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
-	return &Desk{Table: func() *table.Snapshot { return cp }, Usage: &usage.Usage{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
+	return &Desk{Table: func() *table.Snapshot { return cp }, Usage: &loadreport.Usage{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
 }
 
 func asks(acts []Act) (out []Ask) {
--- a/inquiry/desk.go
+++ b/inquiry/desk.go
@@ -10,16 +10,16 @@
 	"sync"
 	"sync/atomic"
 
+	"wallport/cluster/loadreport"
 	"wallport/runtime/kernel"
 	"wallport/runtime/random"
 	"wallport/table"
-	"wallport/usage"
 )
 
 // Desk is what all charts of one node share. Everything on it may be used by many threads.
 type Desk struct {
 	Table  func() *table.Snapshot
-	Usage  *usage.Usage
+	Usage  *loadreport.Usage
 	Counts *kernel.Counts
 	Traces *Traces
 	Name   string
@@ -35,7 +35,7 @@
 // Config is what a desk is made of.
 type Config struct {
 	Table  *table.Table
-	Usage  *usage.Usage
+	Usage  *loadreport.Usage
 	Counts *kernel.Counts
 	Name   string
 	Seed   uint64
--- a/inquiry/limits.go
+++ b/inquiry/limits.go
@@ -9,8 +9,8 @@
 
 import (
 	"wallport/bucket"
+	"wallport/cluster/loadreport"
 	"wallport/table"
-	"wallport/usage"
 )
 
 // burst is how much, in seconds of its rate, a gate may save.
@@ -24,7 +24,7 @@
 
 // pass takes one place of a limit of which this node has a part, in a fleet of so
 // many nodes; force takes it anyway and lets the gate owe as much as it may save.
-func (g *gate) pass(now int64, limit float64, m *usage.Meter, nodes int, force bool) bool {
+func (g *gate) pass(now int64, limit float64, m *loadreport.Meter, nodes int, force bool) bool {
 	part := m.Part(limit, nodes)
 	most := max(bucket.One, int64(burst*bucket.One*max(part, limit/float64(max(1, nodes)))))
 	g.Refill(now, int64(bucket.One*part), most)
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -12,10 +12,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/control/replica"
 	"wallport/control/state"
-	"wallport/members"
-	"wallport/mesh"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
@@ -45,7 +45,7 @@
 // stateOf flattens all of a process that its replica reads: the state machine itself and the table
 // of members, whose rows it looks up.
 func stateOf(k *kernel.Kernel) []byte {
-	return append(fingerprint(replicaOf(k)), fingerprint(kernel.Find[*members.Members](k))...)
+	return append(fingerprint(replicaOf(k)), fingerprint(kernel.Find[*membership.Members](k))...)
 }
 
 // fixRandom has the next step draw the same numbers whatever was drawn before: two histories
--- a/lab/scale/events.go
+++ b/lab/scale/events.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 )
 
 // changesEvery is the time between two changes.
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -15,18 +15,18 @@
 	"go.uber.org/zap"
 
 	// The plug-ins register themselves.
+	_ "wallport/cluster/discovery"
+	_ "wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
 	_ "wallport/control/operations"
 	_ "wallport/control/replica"
 	_ "wallport/control/reshard"
 	_ "wallport/health"
 	_ "wallport/idempotency"
-	_ "wallport/listing"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
 	"wallport/table"
-	_ "wallport/usage"
 )
 
 // HollowConfig says which hollow processes to run.
--- a/lab/sim/behind.go
+++ b/lab/sim/behind.go
@@ -2,8 +2,8 @@
 package sim
 
 import (
+	"wallport/cluster/mesh"
 	"wallport/control/state"
-	"wallport/mesh"
 	"wallport/runtime/wire"
 )
 
--- a/lab/sim/growth.go
+++ b/lab/sim/growth.go
@@ -7,8 +7,8 @@
 import (
 	"fmt"
 
+	"wallport/cluster/mesh"
 	"wallport/lab/script"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 )
 
--- a/lab/sim/proc.go
+++ b/lab/sim/proc.go
@@ -5,6 +5,8 @@
 import (
 	"fmt"
 
+	_ "wallport/cluster/discovery"
+	"wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
 	_ "wallport/control/operations"
 	"wallport/control/replica"
@@ -12,11 +14,9 @@
 	_ "wallport/health"
 	_ "wallport/idempotency"
 	"wallport/inquiry"
-	_ "wallport/listing"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/table"
-	"wallport/usage"
 )
 
 func coreAddr(i int) string { return fmt.Sprintf("10.0.1.%d:4001", i+1) }
@@ -116,7 +116,7 @@
 		w.day.newGate(p, b.Seed)
 	case p.role == "node":
 		p.desk = inquiry.NewDesk(inquiry.Config{
-			Table: p.table, Usage: kernel.Find[*usage.Usage](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
+			Table: p.table, Usage: kernel.Find[*loadreport.Usage](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
 		})
 		p.front = newFront(p)
 	default:
--- a/runtime/process/process_test.go
+++ b/runtime/process/process_test.go
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 )
--- a/serve/explain.go
+++ b/serve/explain.go
@@ -16,9 +16,9 @@
 
 	"wallport/api/gen/http/operator/client"
 	"wallport/api/gen/operator"
+	"wallport/cluster/membership"
 	"wallport/control/config"
 	"wallport/inquiry"
-	"wallport/members"
 	"wallport/runtime/kernel"
 	"wallport/table"
 )
@@ -66,7 +66,7 @@
 func (a operatorAPI) liveNodes() map[string]string {
 	out := map[string]string{}
 	a.f.p.Do(func(now int64) {
-		for _, r := range kernel.Find[*members.Members](a.f.p.Kernel).Live(now, "node") {
+		for _, r := range kernel.Find[*membership.Members](a.f.p.Kernel).Live(now, "node") {
 			out[r.Name] = r.Operator
 		}
 	})
--- a/serve/operator.go
+++ b/serve/operator.go
@@ -7,10 +7,10 @@
 	"encoding/json"
 
 	"wallport/api/gen/operator"
+	"wallport/cluster/membership"
 	"wallport/control/config"
 	"wallport/control/operations"
 	"wallport/control/state"
-	"wallport/members"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 	"wallport/table"
@@ -148,14 +148,14 @@
 	}
 	out := []*operator.Status{}
 	a.f.p.Do(func(now int64) {
-		for _, r := range kernel.Find[*members.Members](a.f.p.Kernel).All(now) {
+		for _, r := range kernel.Find[*membership.Members](a.f.p.Kernel).All(now) {
 			out = append(out, status(r))
 		}
 	})
 	return out, nil
 }
 
-func status(r members.Row) *operator.Status {
+func status(r membership.Row) *operator.Status {
 	s := &operator.Status{Name: r.Name, Role: r.Role, Zone: r.Zone, Addr: r.Addr, Live: r.Live, Draining: &r.Draining, Sick: &r.Sick, InForce: "none"}
 	if r.Role == "core" {
 		s.Formed = &r.Formed
--- a/serve/run.go
+++ b/serve/run.go
@@ -9,12 +9,12 @@
 	"sync/atomic"
 	"time"
 
+	"wallport/cluster/loadreport"
 	"wallport/idempotency"
 	"wallport/inquiry"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
 	"wallport/table"
-	"wallport/usage"
 )
 
 // Front is the request path of one node.
@@ -33,7 +33,7 @@
 	b := kernel.Find[*table.Table](p.Kernel)
 	f := &Front{p: p, table: b, asker: newAsker()}
 	f.desk = inquiry.NewDesk(inquiry.Config{
-		Table: b, Usage: kernel.Find[*usage.Usage](p.Kernel), Counts: p.Kernel.Counts,
+		Table: b, Usage: kernel.Find[*loadreport.Usage](p.Kernel), Counts: p.Kernel.Counts,
 		Name: p.Kernel.Boot.Env.Name, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 	})
 	return f
--- a/table/configured.go
+++ b/table/configured.go
@@ -5,8 +5,8 @@
 	"fmt"
 
 	"wallport/api/configpb"
+	"wallport/cluster/mesh"
 	"wallport/control/state"
-	"wallport/mesh"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
--- a/table/opinions.go
+++ b/table/opinions.go
@@ -5,7 +5,7 @@
 	"cmp"
 	"slices"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/wire"
 )
 
--- a/table/pace_test.go
+++ b/table/pace_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/mesh"
+	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 )
--- a/table/table.go
+++ b/table/table.go
@@ -6,13 +6,13 @@
 import (
 	"sync/atomic"
 
+	"wallport/cluster/discovery"
+	"wallport/cluster/loadreport"
+	"wallport/cluster/membership"
+	"wallport/cluster/mesh"
 	"wallport/control/configsync"
-	"wallport/listing"
-	"wallport/members"
-	"wallport/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/usage"
 )
 
 // BuildWithin is how long a change other than a partition's may wait for the next snapshot, and
@@ -26,8 +26,8 @@
 type Table struct {
 	k          *kernel.Kernel
 	mesh       *mesh.Mesh
-	members    *members.Members
-	usage      *usage.Usage
+	members    *membership.Members
+	usage      *loadreport.Usage
 	configSync *configsync.Sync
 	Gauges     *Gauges
 	now        atomic.Pointer[Snapshot]
@@ -62,7 +62,7 @@
 func init() {
 	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Table{
-			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*members.Members](k), usage: kernel.Find[*usage.Usage](k),
+			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), usage: kernel.Find[*loadreport.Usage](k),
 			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, left: map[string]int64{}, births: map[string]birth{}, liveAt: map[string]int64{}, absent: map[string]int64{}, opinions: opinions{}, cuts: map[string]wire.LiveCut{},
 		}
 	}})
@@ -227,6 +227,6 @@
 func (b *Table) inherit(t *kernel.Context, gone string) {
 	live := b.members.Live(t.Now, "node")
 	if gone == b.from && len(live) > 0 && live[0].Origin == b.mesh.Self() {
-		b.mesh.Announce(t, "listing", listing.Duty, wire.Encode(&b.listing), false)
+		b.mesh.Announce(t, "listing", discovery.Duty, wire.Encode(&b.listing), false)
 	}
 }
