--- a/cmd/wallport/clients.go
+++ b/cmd/wallport/clients.go
@@ -5,22 +5,22 @@
 import (
 	"time"
 
-	"wallport/backend"
-	"wallport/forward"
-	"wallport/gateway"
 	"wallport/platform"
+	"wallport/request/backend"
+	"wallport/request/dispatch"
+	"wallport/request/gateway"
+	"wallport/request/httpapi"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
-	"wallport/serve"
-	"wallport/table"
 )
 
 // openClients serves clients and readiness until stop is called.
-func openClients(p *process.Process, operators *serve.Server, place platform.Place, failed chan<- error) (stop func(), err error) {
-	e, b := p.Kernel.Boot.Env, kernel.Find[*table.Table](p.Kernel)
-	desk := forward.NewDesk(forward.Config{
+func openClients(p *process.Process, operators *httpapi.Server, place platform.Place, failed chan<- error) (stop func(), err error) {
+	e, b := p.Kernel.Boot.Env, kernel.Find[*snapshot.Table](p.Kernel)
+	desk := dispatch.NewDesk(dispatch.Config{
 		Table: b.Now, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
-		Retry:      forward.RetryConfig{Ratio: e.Retries.Ratio, Allowance: e.Retries.Allowance, WindowUs: e.Retries.WindowUs},
+		Retry:      dispatch.RetryConfig{Ratio: e.Retries.Ratio, Allowance: e.Retries.Allowance, WindowUs: e.Retries.WindowUs},
 		Invariants: p.Invariants(), Ended: requestLog(p.Sampled()),
 	})
 	operators.ExplainBy(func(id string) (any, bool) { return desk.Traces.Get(id) })
@@ -37,7 +37,7 @@
 		Addr: place.HTTP, ReadyAddr: place.Readiness, Names: platform.GatewayNames(), Log: p.Log, Sampled: p.Sampled(), Counts: p.Kernel.Counts,
 		Backends: client, Table: b.Now, Now: p.Now, GraceUs: e.Bounds.GraceUs,
 		Refresh: func() { p.AwaitThaw(thawWait) },
-		Chart:   func(r forward.Request, now int64) gateway.Chart { return forward.NewChart(desk, r, now) },
+		Chart:   func(r dispatch.Request, now int64) gateway.Chart { return dispatch.NewChart(desk, r, now) },
 	})
 	if err != nil {
 		client.Close()
--- a/cmd/wallport/metrics.go
+++ b/cmd/wallport/metrics.go
@@ -8,14 +8,14 @@
 
 	"go.uber.org/zap"
 
+	"wallport/request/httpapi"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
-	"wallport/serve"
 )
 
 // openMetrics tells the figures on a port of the machine's address. A port that cannot be had is
 // logged: a process is not ended for its figures, which the operators' address has, too.
-func openMetrics(p *process.Process, s *serve.Server, e settings.Env, port uint16) {
+func openMetrics(p *process.Process, s *httpapi.Server, e settings.Env, port uint16) {
 	if port == 0 {
 		return
 	}
--- a/cmd/wallport/onplatform.go
+++ b/cmd/wallport/onplatform.go
@@ -14,10 +14,10 @@
 	"go.uber.org/zap"
 
 	"wallport/platform"
+	"wallport/request/httpapi"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
-	"wallport/serve"
 )
 
 // Of the machine's memory the heap may take this share; the rest is for stacks,
@@ -65,7 +65,7 @@
 	if err != nil {
 		return coded{exitFailed, err.Error()}
 	}
-	s, err := serve.Open(p)
+	s, err := httpapi.Open(p)
 	if err != nil {
 		p.Stop()
 		return coded{exitFailed, err.Error()}
@@ -109,7 +109,7 @@
 }
 
 // openRole opens what the platform calls: on a node clients' server and readiness, on a core the control address.
-func openRole(p *process.Process, operators *serve.Server, place platform.Place, role string, failed chan<- error) (stop func(), err error) {
+func openRole(p *process.Process, operators *httpapi.Server, place platform.Place, role string, failed chan<- error) (stop func(), err error) {
 	if role == "core" {
 		return openControl(p, place.Control, failed)
 	}
--- a/cmd/wallport/request_log.go
+++ b/cmd/wallport/request_log.go
@@ -5,12 +5,12 @@
 import (
 	"go.uber.org/zap"
 
-	"wallport/forward"
+	"wallport/request/dispatch"
 )
 
 // requestLog writes the lines.
-func requestLog(log *zap.Logger) func(t *forward.Trace) {
-	return func(t *forward.Trace) {
+func requestLog(log *zap.Logger) func(t *dispatch.Trace) {
+	return func(t *dispatch.Trace) {
 		if !t.Failed() {
 			return
 		}
@@ -25,7 +25,7 @@
 }
 
 // requestEvent names the line: refusals, of which there may be many, hide no failures.
-func requestEvent(t *forward.Trace) string {
+func requestEvent(t *dispatch.Trace) string {
 	switch t.Code {
 	case "refused":
 		return "request_refused"
--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/roles.go
@@ -18,14 +18,14 @@
 	_ "wallport/control/operations"
 	_ "wallport/control/replica"
 	_ "wallport/control/reshard"
-	_ "wallport/health"
-	_ "wallport/idempotency"
 	"wallport/platform"
+	_ "wallport/request/healthcheck"
+	"wallport/request/httpapi"
+	_ "wallport/request/idempotency"
+	_ "wallport/request/snapshot"
 	"wallport/runtime/asynclog"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
-	"wallport/serve"
-	_ "wallport/table"
 )
 
 type daemonCmd struct {
@@ -96,7 +96,7 @@
 	if err != nil {
 		return coded{exitFailed, err.Error()}
 	}
-	s, err := serve.Open(p)
+	s, err := httpapi.Open(p)
 	if err != nil {
 		p.Stop()
 		return coded{exitFailed, err.Error()}
--- a/control/reshard/cutmove.go
+++ b/control/reshard/cutmove.go
@@ -9,9 +9,9 @@
 	"wallport/cluster/mesh"
 	"wallport/control/configsync"
 	"wallport/control/state"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // Figures of a move.
@@ -26,7 +26,7 @@
 	mesh       *mesh.Mesh
 	members    *membership.Members
 	configSync *configsync.Sync
-	table      *table.Table
+	table      *snapshot.Table
 	rank       int
 	armed      bool
 }
@@ -35,7 +35,7 @@
 	kernel.Register(kernel.Registration{Rank: 90, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &CutMove{
 			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
-			configSync: kernel.Find[*configsync.Sync](k), table: kernel.Find[*table.Table](k),
+			configSync: kernel.Find[*configsync.Sync](k), table: kernel.Find[*snapshot.Table](k),
 		}
 	}})
 }
@@ -49,7 +49,7 @@
 // Step takes one input.
 func (c *CutMove) Step(t *kernel.Context, in kernel.Input) {
 	switch in.(type) {
-	case table.Built:
+	case snapshot.Built:
 		c.arm(t)
 	case kernel.Tick:
 		c.armed = false
@@ -106,7 +106,7 @@
 
 // Ready tells whether every shard of the next cut has enough good, warm
 // servers: two, or as many as the live cut's thinnest shard has.
-func Ready(x *table.Index, now int64) bool {
+func Ready(x *snapshot.Index, now int64) bool {
 	need := EnoughN
 	for _, s := range x.Shards {
 		need = min(need, max(1, len(s)))
@@ -114,7 +114,7 @@
 	for _, s := range x.NextShards {
 		n := 0
 		for _, v := range s {
-			if v.Verdict == table.OK && v.Incarnation != 0 && v.Warm(now, x.Service.RampUs) >= WarmAt {
+			if v.Verdict == snapshot.OK && v.Incarnation != 0 && v.Warm(now, x.Service.RampUs) >= WarmAt {
 				n++
 			}
 		}
@@ -125,7 +125,7 @@
 	return len(x.NextShards) > 0
 }
 
-func sortedIndexes(cp *table.Snapshot) []string {
+func sortedIndexes(cp *snapshot.Snapshot) []string {
 	var out []string
 	for _, s := range cp.Sheet.Services {
 		out = append(out, s.Index)
--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -15,10 +15,10 @@
 	"sync/atomic"
 	"time"
 
-	"wallport/health"
-	"wallport/inquiry"
 	"wallport/lab/records"
-	"wallport/serve"
+	"wallport/request/healthcheck"
+	"wallport/request/httpapi"
+	"wallport/request/search"
 )
 
 // Config is a server's place and manner.
@@ -108,7 +108,7 @@
 		<-r.Context().Done()
 		return
 	}
-	json.NewEncoder(w).Encode(health.Report{
+	json.NewEncoder(w).Encode(healthcheck.Report{
 		ID: s.c.ID, Incarnation: s.began.UnixMicro(), UpUs: time.Since(s.began).Microseconds(), Usage: s.busy.Load(), Cut: s.c.Cut,
 	})
 }
@@ -120,7 +120,7 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	var m serve.Message
+	var m httpapi.Message
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil || json.Unmarshal(body, &m) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -135,9 +135,9 @@
 		s.send(w, 503, &m)
 		return
 	}
-	if m.Kind == inquiry.Search {
+	if m.Kind == search.Search {
 		s.searches.Add(1)
-	} else if m.Kind != inquiry.Read {
+	} else if m.Kind != search.Read {
 		key := m.Key
 		if key == "" {
 			key = m.Inquiry
@@ -161,16 +161,16 @@
 			c.Close()
 		}
 		return
-	case m.Kind == inquiry.Search:
+	case m.Kind == search.Search:
 		s.spoil(w, f, &m, records.Top(m.Index, m.Query, m.Limit, m.Shard, s.c.Shards))
 		return
 	}
 	rec, ok := records.Of(m.Record)
-	if !ok || inquiry.ShardOf(m.Record, s.c.Shards) != s.c.Shard {
+	if !ok || search.ShardOf(m.Record, s.c.Shards) != s.c.Shard {
 		s.send(w, 404, &m)
 		return
 	}
-	s.spoil(w, f, &m, []inquiry.Record{rec})
+	s.spoil(w, f, &m, []search.Record{rec})
 }
 
 // takes is longer while cold, and as long as the fault says when slow.
@@ -185,11 +185,11 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-func (s *Server) sealed(m *serve.Message, recs []inquiry.Record) inquiry.Sealed {
-	return inquiry.Sealed{Inquiry: m.Inquiry, Cut: s.c.Cut, Shard: s.c.Shard, Incarnation: s.began.UnixMicro(), Usage: s.busy.Load(), Records: recs}
+func (s *Server) sealed(m *httpapi.Message, recs []search.Record) search.Sealed {
+	return search.Sealed{Inquiry: m.Inquiry, Cut: s.c.Cut, Shard: s.c.Shard, Incarnation: s.began.UnixMicro(), Usage: s.busy.Load(), Records: recs}
 }
 
-func (s *Server) send(w http.ResponseWriter, status int, m *serve.Message) {
+func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.Message) {
 	raw, _ := Spoil("", status, s.sealed(m, nil))
 	w.Header().Set("Content-Digest", raw.Digest)
 	w.Header().Set("Content-Type", "application/json")
@@ -198,7 +198,7 @@
 }
 
 // spoil answers, or spoils the answer in the way the fault says.
-func (s *Server) spoil(w http.ResponseWriter, f *Fault, m *serve.Message, recs []inquiry.Record) {
+func (s *Server) spoil(w http.ResponseWriter, f *Fault, m *httpapi.Message, recs []search.Record) {
 	raw, closed := Spoil(f.Mode, 200, s.sealed(m, recs))
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/lab/backend/spoil.go
+++ b/lab/backend/spoil.go
@@ -7,12 +7,12 @@
 	"fmt"
 	"slices"
 
-	"wallport/inquiry"
+	"wallport/request/search"
 )
 
 // Spoil makes the raw answer of a sealed one, spoiled as the mode says; closed
 // tells that the connection ends before the announced length.
-func Spoil(mode string, status int, s inquiry.Sealed) (raw inquiry.Raw, closed bool) {
+func Spoil(mode string, status int, s search.Sealed) (raw search.Raw, closed bool) {
 	switch mode {
 	case "foreign":
 		s.Inquiry = "somebody-else-1.aa"
@@ -29,7 +29,7 @@
 			s.Records = slices.Clone(s.Records)
 			for n := 0; ; n++ {
 				s.Records[0].ID = fmt.Sprintf("alien-%d", n)
-				if inquiry.ShardOf(s.Records[0].ID, 4) == s.Shard {
+				if search.ShardOf(s.Records[0].ID, 4) == s.Shard {
 					break
 				}
 			}
@@ -40,7 +40,7 @@
 		for i := range s.Records {
 			for n := 0; ; n++ {
 				s.Records[i].ID = fmt.Sprintf("alien-%d-%d", i, n)
-				if inquiry.ShardOf(s.Records[i].ID, 4) != s.Shard {
+				if search.ShardOf(s.Records[i].ID, 4) != s.Shard {
 					break
 				}
 			}
@@ -48,9 +48,9 @@
 	}
 	b, err := json.Marshal(s)
 	if err != nil {
-		return inquiry.Raw{Status: 500}, false
+		return search.Raw{Status: 500}, false
 	}
-	raw = inquiry.Raw{Status: status, Length: int64(len(b)), Digest: inquiry.Digest(b), Body: b}
+	raw = search.Raw{Status: status, Length: int64(len(b)), Digest: search.Digest(b), Body: b}
 	switch mode {
 	case "garbage":
 		raw.Body = []byte("\x00\xff{{{")
--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"wallport/inquiry"
 	"wallport/lab/platform"
 	"wallport/lab/records"
+	"wallport/request/search"
 )
 
 // Config is the callers' manner.
@@ -148,18 +148,18 @@
 func (k *Caller) plan(n int) order {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	o := order{kind: inquiry.Search, limit: 10 + k.rnd.IntN(20), query: fmt.Sprintf("q%d", k.rnd.IntN(1000)), record: records.ID(k.rnd.IntN(records.Size))}
+	o := order{kind: search.Search, limit: 10 + k.rnd.IntN(20), query: fmt.Sprintf("q%d", k.rnd.IntN(1000)), record: records.ID(k.rnd.IntN(records.Size))}
 	o.deadline = k.c.Least + k.rnd.Int64N(k.c.Most-k.c.Least+1)
 	switch r := k.rnd.Float64(); {
 	case r < 2.0/3:
 	case r < 2.0/3+1.0/6:
-		o.kind = inquiry.Read
+		o.kind = search.Read
 	case r < 2.0/3+1.0/4:
-		o.kind = inquiry.Correct
+		o.kind = search.Correct
 	default:
-		o.kind = inquiry.Part
+		o.kind = search.Part
 	}
-	if o.kind == inquiry.Correct || o.kind == inquiry.Part {
+	if o.kind == search.Correct || o.kind == search.Part {
 		o.key = fmt.Sprintf("key-%d-%d", k.c.Seed, n)
 		o.repeat = k.rnd.Float64() < k.c.Repeat
 	}
@@ -193,11 +193,11 @@
 		req.Header.Set("Content-Type", "application/json")
 	}
 	switch o.kind {
-	case inquiry.Search:
+	case search.Search:
 		post("/search", map[string]any{"query": o.query, "limit": o.limit})
-	case inquiry.Read:
+	case search.Read:
 		req, _ = http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s/records/%s?deadline_us=%d", base, o.record, o.deadline), nil)
-	case inquiry.Correct:
+	case search.Correct:
 		post("/records/"+o.record+"/corrections", map[string]any{"body": "correction " + o.key})
 	default:
 		post("/records/"+o.record+"/parts/3", map[string]any{})
--- a/lab/caller/judge.go
+++ b/lab/caller/judge.go
@@ -8,24 +8,24 @@
 	"slices"
 	"time"
 
-	"wallport/inquiry"
 	"wallport/lab/platform"
 	"wallport/lab/records"
+	"wallport/request/search"
 )
 
 type merged struct {
-	Inquiry string           `json:"inquiry"`
-	Cut     string           `json:"cut"`
-	Shards  []int            `json:"shards"`
-	Missing []int            `json:"missing"`
-	Records []inquiry.Record `json:"records"`
+	Inquiry string          `json:"inquiry"`
+	Cut     string          `json:"cut"`
+	Shards  []int           `json:"shards"`
+	Missing []int           `json:"missing"`
+	Records []search.Record `json:"records"`
 }
 
 type single struct {
-	Cut    string         `json:"cut"`
-	Shard  int            `json:"shard"`
-	Record inquiry.Record `json:"record"`
-	Repeat bool           `json:"repeat"`
+	Cut    string        `json:"cut"`
+	Shard  int           `json:"shard"`
+	Record search.Record `json:"record"`
+	Repeat bool          `json:"repeat"`
 }
 
 type fault struct {
@@ -43,11 +43,11 @@
 			return
 		}
 		k.sum.Outcomes[o.kind+" "+f.Name]++
-		retry := f.Name == inquiry.Shed || f.Name == inquiry.GivenUp || f.Name == inquiry.OverCeiling
+		retry := f.Name == search.Shed || f.Name == search.GivenUp || f.Name == search.OverCeiling
 		if retry && resp.Header.Get("Retry-After") == "" {
 			k.wrong("%s: %s without Retry-After", o.kind, f.Name)
 		}
-		if f.Ran == "no" && o.key != "" && f.Name != inquiry.Conflict && !o.repeat {
+		if f.Ran == "no" && o.key != "" && f.Name != search.Conflict && !o.repeat {
 			k.refuse[o.key] = true
 		}
 		return
@@ -55,7 +55,7 @@
 	k.sum.Outcomes[o.kind+" ok"]++
 	k.sum.Seconds[fmt.Sprintf("%03d", int(time.Since(k.began).Seconds()))]++
 	k.lat = append(k.lat, took.Microseconds())
-	if o.kind == inquiry.Search {
+	if o.kind == search.Search {
 		k.judgeSearch(o, body)
 		return
 	}
--- a/lab/check/load.go
+++ b/lab/check/load.go
@@ -5,12 +5,12 @@
 	"math"
 	"slices"
 
-	"wallport/inquiry"
 	"wallport/lab/records"
+	"wallport/request/search"
 )
 
 // Search judges a merged answer exactly.
-func (j *Judge) Search(index, query string, limit, required int, o *inquiry.Outcome, shards map[string]int, at int64) {
+func (j *Judge) Search(index, query string, limit, required int, o *search.Outcome, shards map[string]int, at int64) {
 	j.tested(BadMerge)
 	n, ok := shards[o.Cut]
 	if !ok {
@@ -25,7 +25,7 @@
 	if len(o.Shards)*100 < required*n {
 		j.Fail(BadMerge, at, "%s has %d of %d shards, %d%% are required", o.ID, len(o.Shards), n, required)
 	}
-	if !slices.IsSortedFunc(o.Records, inquiry.Before) {
+	if !slices.IsSortedFunc(o.Records, search.Before) {
 		j.Fail(BadMerge, at, "%s is out of order", o.ID)
 	}
 	j.tested(NotWhole)
@@ -35,7 +35,7 @@
 }
 
 // Single judges the answer to a single inquiry exactly.
-func (j *Judge) Single(record string, o *inquiry.Outcome, at int64) {
+func (j *Judge) Single(record string, o *search.Outcome, at int64) {
 	j.tested(NotWhole)
 	want, ok := records.Of(record)
 	if !ok || len(o.Records) != 1 || o.Records[0] != want {
@@ -138,9 +138,9 @@
 
 // Proper judges that an inquiry inside the limits is not refused by us; why
 // tells what excuses a refusal, which is counted instead.
-func (j *Judge) Proper(o *inquiry.Outcome, at int64, why string) {
+func (j *Judge) Proper(o *search.Outcome, at int64, why string) {
 	j.tested(ProperShed)
-	if o.Code != inquiry.Shed && o.Code != inquiry.OverCeiling {
+	if o.Code != search.Shed && o.Code != search.OverCeiling {
 		return
 	}
 	if why != "" {
--- a/lab/records/records.go
+++ b/lab/records/records.go
@@ -9,7 +9,7 @@
 	"sync"
 	"sync/atomic"
 
-	"wallport/inquiry"
+	"wallport/request/search"
 )
 
 // Size is the number of records of an index.
@@ -43,20 +43,20 @@
 )
 
 // Top is a shard's sorted answer to a query.
-func Top(index, query string, limit, shard, shards int) []inquiry.Record {
+func Top(index, query string, limit, shard, shards int) []search.Record {
 	k := asked{index, query, shard, shards}
 	if v, ok := kept.Load(k); ok {
-		all := v.([]inquiry.Record)
+		all := v.([]search.Record)
 		return slices.Clone(all[:min(limit, len(all))])
 	}
-	all := make([]inquiry.Record, 0, Size/max(1, shards)+1)
+	all := make([]search.Record, 0, Size/max(1, shards)+1)
 	for n := range Size {
 		id := ID(n)
-		if inquiry.ShardOf(id, shards) == shard {
-			all = append(all, inquiry.Record{ID: id, Score: Score(index, query, id)})
+		if search.ShardOf(id, shards) == shard {
+			all = append(all, search.Record{ID: id, Score: Score(index, query, id)})
 		}
 	}
-	slices.SortFunc(all, inquiry.Before)
+	slices.SortFunc(all, search.Before)
 	if keptN.Load() < keptMost {
 		kept.Store(k, all)
 		keptN.Add(1)
@@ -65,21 +65,21 @@
 }
 
 // Merged is the whole answer to a query from the given shards.
-func Merged(index, query string, limit int, from []int, shards int) []inquiry.Record {
-	var out []inquiry.Record
+func Merged(index, query string, limit int, from []int, shards int) []search.Record {
+	var out []search.Record
 	for _, s := range from {
 		out = append(out, Top(index, query, limit, s, shards)...)
 	}
-	slices.SortFunc(out, inquiry.Before)
+	slices.SortFunc(out, search.Before)
 	return out[:min(limit, len(out))]
 }
 
 // Of is the record of an id, as it stands.
-func Of(id string) (inquiry.Record, bool) {
+func Of(id string) (search.Record, bool) {
 	for n := range Size {
 		if ID(n) == id {
-			return inquiry.Record{ID: id, Score: int64(n), Body: "body of " + id}, true
+			return search.Record{ID: id, Score: int64(n), Body: "body of " + id}, true
 		}
 	}
-	return inquiry.Record{}, false
+	return search.Record{}, false
 }
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -21,12 +21,12 @@
 	_ "wallport/control/operations"
 	_ "wallport/control/replica"
 	_ "wallport/control/reshard"
-	_ "wallport/health"
-	_ "wallport/idempotency"
+	_ "wallport/request/healthcheck"
+	_ "wallport/request/idempotency"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
-	"wallport/table"
 )
 
 // HollowConfig says which hollow processes to run.
@@ -54,7 +54,7 @@
 	name string
 	p    *process.Process
 	// table is nil on a core.
-	table *table.Table
+	table *snapshot.Table
 	ended atomic.Bool
 }
 
@@ -100,7 +100,7 @@
 			last = err
 			continue
 		}
-		return &hollowNode{name: e.Name, p: p, table: kernel.Find[*table.Table](p.Kernel)}, nil
+		return &hollowNode{name: e.Name, p: p, table: kernel.Find[*snapshot.Table](p.Kernel)}, nil
 	}
 	return nil, oops.In("hollow").With("name", e.Name).Wrapf(last, "cannot start")
 }
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -10,8 +10,8 @@
 
 	"wallport/control/operations"
 	"wallport/control/state"
+	"wallport/request/snapshot"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // Seen is one thing that a hollow node came to see, at a time of this machine's clock in
@@ -65,7 +65,7 @@
 // eyes are what the watch knows of one node.
 type eyes struct {
 	n    *hollowNode
-	last *table.Snapshot
+	last *snapshot.Snapshot
 	live map[string]bool
 }
 
@@ -117,7 +117,7 @@
 	}
 	e.last = cp
 	for _, name := range names {
-		is := slices.ContainsFunc(cp.Roster, func(m table.Node) bool { return m.Name == name && m.Live })
+		is := slices.ContainsFunc(cp.Roster, func(m snapshot.Node) bool { return m.Name == name && m.Live })
 		if was, known := e.live[name]; !known || was != is {
 			out = append(out, Seen{AtUs: at, Node: e.n.name, About: name, Live: is})
 		}
--- a/lab/sim/callers.go
+++ b/lab/sim/callers.go
@@ -6,8 +6,8 @@
 	"fmt"
 
 	"wallport/control/config"
-	"wallport/inquiry"
 	"wallport/lab/records"
+	"wallport/request/search"
 )
 
 type callers struct {
@@ -64,8 +64,8 @@
 	c.n++
 	rnd := c.w.rnd
 	s := c.w.Shape
-	in := inquiry.Inquiry{
-		Index: s.Index, Kind: inquiry.Search, Query: fmt.Sprintf("q%d", rnd.IntN(200)), Limit: 5 + rnd.IntN(20),
+	in := search.Inquiry{
+		Index: s.Index, Kind: search.Search, Query: fmt.Sprintf("q%d", rnd.IntN(200)), Limit: 5 + rnd.IntN(20),
 		Record: records.ID(rnd.IntN(records.Size)), Deadline: s.Least + rnd.Int64N(s.Most-s.Least+1),
 	}
 	in.Kind = c.kind()
@@ -75,7 +75,7 @@
 	if in.Once() {
 		in.Key = fmt.Sprintf("key-%d", c.n)
 		in.Body = "correction"
-		in.Sum = inquiry.SumOf(&in)
+		in.Sum = search.SumOf(&in)
 	}
 	tries := 1
 	in.First = in.Once() && c.w.Script.Text("first_word", "") == "yes"
@@ -91,7 +91,7 @@
 
 // send asks a node; a caller that repeats does so under the same key: eagerly,
 // not waiting for the answer, or after a failure.
-func (c *callers) send(in inquiry.Inquiry, tries int, eager bool) {
+func (c *callers) send(in search.Inquiry, tries int, eager bool) {
 	w := c.w
 	p := c.node()
 	sent := w.now
@@ -120,15 +120,15 @@
 		planned := p.drains
 		c.sends[in.Key]++
 		read := w.now
-		p.front.read(in, func(o *inquiry.Outcome) {
-			w.Judge.Came(in.Kind, read, o == nil || o.Code != inquiry.OverCeiling || o.Why == inquiry.RepeatOver)
+		p.front.read(in, func(o *search.Outcome) {
+			w.Judge.Came(in.Kind, read, o == nil || o.Code != search.OverCeiling || o.Why == search.RepeatOver)
 			c.open--
 			c.judge(p, &in, o, sent, planned || p.drains)
 			switch {
 			case o == nil && in.Key != "":
 				// Cut off without a word: every caller repeats that.
 				w.after(500_000, func() { c.send(repeat, max(tries, 12), false) })
-			case !eager && (o == nil || o.Code != inquiry.OK):
+			case !eager && (o == nil || o.Code != search.OK):
 				again(500_000)
 			}
 		})
@@ -147,7 +147,7 @@
 			return config.Kinds[i]
 		}
 	}
-	return inquiry.Search
+	return search.Search
 }
 
 func (c *callers) node() *proc {
--- a/lab/sim/day_answers.go
+++ b/lab/sim/day_answers.go
@@ -4,12 +4,12 @@
 import (
 	"fmt"
 
-	"wallport/forward"
 	"wallport/lab/rules"
+	"wallport/request/dispatch"
 )
 
 // answered is the answer's last byte at the client.
-func (c *clients) answered(w *want, t *rules.Try, k link2, o *forward.Outcome) {
+func (c *clients) answered(w *want, t *rules.Try, k link2, o *dispatch.Outcome) {
 	d := c.d
 	if t.Ended != rules.Never {
 		return
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"slices"
 
-	"wallport/health"
 	"wallport/lab/rules"
+	"wallport/request/healthcheck"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -205,7 +205,7 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 	default:
 		l.probe(func(status int) {
-			r := health.Report{ID: l.row.ID, Incarnation: 1, Usage: int64(l.running + len(l.queue)), ColdUs: max(0, l.cold-d.w.now)}
+			r := healthcheck.Report{ID: l.row.ID, Incarnation: 1, Usage: int64(l.running + len(l.queue)), ColdUs: max(0, l.cold-d.w.now)}
 			body, err := json.Marshal(&r)
 			if err == nil {
 				answer(rtt, kernel.Fetched{Status: status, Body: body})
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"math"
 
-	"wallport/forward"
 	"wallport/lab/rules"
+	"wallport/request/dispatch"
 )
 
 // Figures of clients.
@@ -195,7 +195,7 @@
 		return
 	}
 	g := d.gates[p]
-	r := g.read(t, w.kind, func(o *forward.Outcome) {
+	r := g.read(t, w.kind, func(o *dispatch.Outcome) {
 		if o == nil {
 			dark := k.m.dark
 			t.Cut = t.Read > 0 && !t.GaveUp && t.Ended == rules.Never
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strings"
 
-	"wallport/forward"
 	"wallport/lab/rules"
-	"wallport/table"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 )
 
 // Figures of connections to backends.
@@ -36,7 +36,7 @@
 	l    *life
 	job  *job
 	kind *kindShape
-	ask  forward.Ask
+	ask  dispatch.Ask
 	conn *conn
 	// reused tells that the connection had served before; sent that bytes were written.
 	reused, sent, over bool
@@ -62,12 +62,12 @@
 }
 
 // ask begins an exchange.
-func (g *gate) ask(r *pass, a forward.Ask) {
+func (g *gate) ask(r *pass, a dispatch.Ask) {
 	d := g.d
 	x := &exchange{g: g, r: r, n: a.N, ask: a, kind: r.kind}
 	g.open = append(g.open, x)
 	g.p.later(a.WithinUs, func() {
-		x.end(forward.Reply{Class: x.class(), Silent: true, Reused: x.reused, Why: "no answer in time"})
+		x.end(dispatch.Reply{Class: x.class(), Silent: true, Reused: x.reused, Why: "no answer in time"})
 	})
 	s := a.Server
 	x.conn = g.idle(s)
@@ -81,12 +81,12 @@
 	there := d.latency(g.p.env.Zone, zone)
 	switch {
 	case l != nil && (l.dark || d.shut(g.p.machine, l)):
-		g.p.later(min(dialWithin, a.WithinUs), func() { x.end(forward.Reply{Class: forward.ClassNotSent, Why: "dial timed out"}) })
+		g.p.later(min(dialWithin, a.WithinUs), func() { x.end(dispatch.Reply{Class: dispatch.ClassNotSent, Why: "dial timed out"}) })
 	case l == nil || !l.up:
-		g.p.later(2*there, func() { x.end(forward.Reply{Class: forward.ClassNotSent, Why: "connection refused"}) })
+		g.p.later(2*there, func() { x.end(dispatch.Reply{Class: dispatch.ClassNotSent, Why: "connection refused"}) })
 	case l.conns >= l.shape.connections:
 		d.w.Judge.Count("connections_refused", 1)
-		g.p.later(2*there, func() { x.end(forward.Reply{Class: forward.ClassNotSent, Why: "connection reset"}) })
+		g.p.later(2*there, func() { x.end(dispatch.Reply{Class: dispatch.ClassNotSent, Why: "connection reset"}) })
 	default:
 		l.conns++
 		d.w.Judge.Count("handshakes", 1)
@@ -97,7 +97,7 @@
 				return
 			}
 			if !l.up || d.shut(g.p.machine, l) {
-				x.end(forward.Reply{Class: forward.ClassNotSent, Why: "connection reset"})
+				x.end(dispatch.Reply{Class: dispatch.ClassNotSent, Why: "connection reset"})
 				return
 			}
 			x.send(l)
@@ -105,15 +105,15 @@
 	}
 }
 
-func (x *exchange) class() forward.Class {
+func (x *exchange) class() dispatch.Class {
 	if x.sent {
-		return forward.ClassFailed
+		return dispatch.ClassFailed
 	}
-	return forward.ClassNotSent
+	return dispatch.ClassNotSent
 }
 
 // idle takes a kept connection to a backend, the newest first; those that end or hold foul bytes are closed.
-func (g *gate) idle(s *table.Server) *conn {
+func (g *gate) idle(s *snapshot.Server) *conn {
 	now := g.d.w.now
 	all := g.kept[s.ID]
 	for len(all) > 0 {
@@ -153,7 +153,7 @@
 		// A surplus answer comes where this request's own is expected; its id shows it.
 		d.w.Judge.Count("surplus_met", 1)
 		x.g.p.later(max(0, x.conn.foul-sent), func() {
-			x.end(forward.Reply{Class: forward.ClassGarbage, Reused: true, Why: "another request's answer"})
+			x.end(dispatch.Reply{Class: dispatch.ClassGarbage, Reused: true, Why: "another request's answer"})
 		})
 	}
 	rested := sent - x.conn.since
@@ -189,22 +189,22 @@
 }
 
 // end gives the chart its reply, once.
-func (x *exchange) end(r forward.Reply) {
+func (x *exchange) end(r dispatch.Reply) {
 	if x.over {
 		return
 	}
 	x.over = true
 	g := x.g
 	g.open = slices.DeleteFunc(g.open, func(o *exchange) bool { return o == x })
-	if (r.Class == forward.ClassAnswer || r.Class == forward.ClassNotRun) && !r.Leaving {
+	if (r.Class == dispatch.ClassAnswer || r.Class == dispatch.ClassNotRun) && !r.Leaving {
 		g.keep(x)
 	} else if x.conn != nil {
 		x.conn.l.conns--
 	}
-	if x.job != nil && r.Class != forward.ClassAnswer {
+	if x.job != nil && r.Class != dispatch.ClassAnswer {
 		x.job.drop()
 	}
-	g.step(x.r, forward.Replied{N: x.n, Reply: r})
+	g.step(x.r, dispatch.Replied{N: x.n, Reply: r})
 }
 
 // cancel closes the exchange's connection.
--- a/lab/sim/day_gate.go
+++ b/lab/sim/day_gate.go
@@ -7,8 +7,8 @@
 	"maps"
 	"slices"
 
-	"wallport/forward"
 	"wallport/lab/rules"
+	"wallport/request/dispatch"
 )
 
 // Figures of the clients' server, as the product has them.
@@ -20,7 +20,7 @@
 type gate struct {
 	d    *day
 	p    *proc
-	desk *forward.Desk
+	desk *dispatch.Desk
 	runs []*pass
 	open []*exchange
 	kept map[string][]*conn
@@ -32,9 +32,9 @@
 type pass struct {
 	try   *rules.Try
 	kind  *kindShape
-	chart *forward.Chart
+	chart *dispatch.Chart
 	wake  uint64
-	done  func(o *forward.Outcome)
+	done  func(o *dispatch.Outcome)
 	over  bool
 	// cut ends the client's connection at once.
 	cut func()
@@ -44,9 +44,9 @@
 func (d *day) newGate(p *proc, seed uint64) {
 	r := p.env.Retries
 	g := &gate{d: d, p: p, kept: map[string][]*conn{}}
-	g.desk = forward.NewDesk(forward.Config{
+	g.desk = dispatch.NewDesk(dispatch.Config{
 		Table: p.table.Now, Counts: p.kernel.Counts, Seed: seed, Now: 0,
-		Retry: forward.RetryConfig{Ratio: r.Ratio, Allowance: r.Allowance, WindowUs: r.WindowUs},
+		Retry: dispatch.RetryConfig{Ratio: r.Ratio, Allowance: r.Allowance, WindowUs: r.WindowUs},
 	})
 	d.gates[p] = g
 	g.look()
@@ -71,7 +71,7 @@
 func (g *gate) accepts() bool { return g.p.up && g.opened && !g.shut }
 
 // read takes a request that has come whole; done gets its outcome, or nil where it was cut.
-func (g *gate) read(t *rules.Try, k *kindShape, done func(o *forward.Outcome)) *pass {
+func (g *gate) read(t *rules.Try, k *kindShape, done func(o *dispatch.Outcome)) *pass {
 	r := &pass{try: t, kind: k, done: done}
 	g.runs = append(g.runs, r)
 	g.p.feed(func() {
@@ -80,17 +80,17 @@
 		}
 		t.Read = g.d.w.now
 		g.d.took(g.p.machine, t.Repeatable || t.Probe)
-		req := forward.Request{
+		req := dispatch.Request{
 			ID: t.ID, Method: t.Method, Target: t.Target, Path: t.Path, Host: t.Host, Body: t.Body,
 			BudgetUs: t.Deadline - t.Sent,
 		}
-		r.chart = forward.NewChart(g.desk, req, g.p.now())
-		g.step(r, forward.Begin{})
+		r.chart = dispatch.NewChart(g.desk, req, g.p.now())
+		g.step(r, dispatch.Begin{})
 	})
 	return r
 }
 
-func (g *gate) step(r *pass, ev forward.Event) {
+func (g *gate) step(r *pass, ev dispatch.Event) {
 	if r.chart == nil {
 		return
 	}
@@ -100,23 +100,23 @@
 	}
 }
 
-func (g *gate) act(r *pass, a forward.Act) {
+func (g *gate) act(r *pass, a dispatch.Act) {
 	switch v := a.(type) {
-	case forward.Ask:
+	case dispatch.Ask:
 		g.ask(r, v)
-	case forward.Cancel:
+	case dispatch.Cancel:
 		g.cancel(r, v.N)
-	case forward.Leave:
+	case dispatch.Leave:
 		// The exchange runs out by itself.
-	case forward.Wake:
+	case dispatch.Wake:
 		r.wake++
 		mine := r.wake
 		g.p.later(v.At-g.p.now(), func() {
 			if r.wake == mine {
-				g.step(r, forward.Due{})
+				g.step(r, dispatch.Due{})
 			}
 		})
-	case forward.Finish:
+	case dispatch.Finish:
 		r.wake++
 		o := v.Outcome
 		g.finish(r, &o)
@@ -131,7 +131,7 @@
 	}
 }
 
-func (g *gate) finish(r *pass, o *forward.Outcome) {
+func (g *gate) finish(r *pass, o *dispatch.Outcome) {
 	if r.over {
 		return
 	}
@@ -147,7 +147,7 @@
 	}
 	g.p.feed(func() {
 		if !r.over {
-			g.step(r, forward.Gone{})
+			g.step(r, dispatch.Gone{})
 		}
 	})
 }
--- a/lab/sim/day_replies.go
+++ b/lab/sim/day_replies.go
@@ -5,8 +5,8 @@
 import (
 	"slices"
 
-	"wallport/forward"
 	"wallport/lab/rules"
+	"wallport/request/dispatch"
 )
 
 // back brings what the backend sent to the node.
@@ -18,25 +18,25 @@
 }
 
 func (x *exchange) turnedAway(l *life, status int, why string) {
-	r := forward.Reply{Class: forward.ClassNotRun, Status: status, Load: l.load(), WrongBackend: status == 421, Leaving: l.leaving, Why: why}
+	r := dispatch.Reply{Class: dispatch.ClassNotRun, Status: status, Load: l.load(), WrongBackend: status == 421, Leaving: l.leaving, Why: why}
 	x.back(func() { x.end(r) })
 }
 
 func (x *exchange) broke(why string) {
-	x.back(func() { x.end(forward.Reply{Class: forward.ClassFailed, Reused: x.reused, Why: why}) })
+	x.back(func() { x.end(dispatch.Reply{Class: dispatch.ClassFailed, Reused: x.reused, Why: why}) })
 }
 
 func (x *exchange) spoilt(short bool) {
-	r := forward.Reply{Class: forward.ClassGarbage, Why: "bytes that are no answer"}
+	r := dispatch.Reply{Class: dispatch.ClassGarbage, Why: "bytes that are no answer"}
 	if short {
-		r = forward.Reply{Class: forward.ClassFailed, Why: "the answer was cut off"}
+		r = dispatch.Reply{Class: dispatch.ClassFailed, Why: "the answer was cut off"}
 	}
 	x.back(func() { x.end(r) })
 }
 
 func (x *exchange) answered(l *life, a *rules.Arrival, surplus bool) {
-	r := forward.Reply{
-		Class: forward.ClassAnswer, Status: a.Status, Body: slices.Clone(a.Answer), Seal: a.Seal, Load: l.load(), Leaving: l.leaving,
+	r := dispatch.Reply{
+		Class: dispatch.ClassAnswer, Status: a.Status, Body: slices.Clone(a.Answer), Seal: a.Seal, Load: l.load(), Leaving: l.leaving,
 		Reused: x.reused,
 	}
 	if surplus && x.conn != nil {
@@ -46,6 +46,6 @@
 	x.back(func() { x.end(r) })
 }
 
-func (l *life) load() forward.Load {
-	return forward.Load{Running: l.running, Waiting: len(l.queue), Slots: l.shape.slots, Known: true}
+func (l *life) load() dispatch.Load {
+	return dispatch.Load{Running: l.running, Waiting: len(l.queue), Slots: l.shape.slots, Known: true}
 }
--- a/lab/sim/front.go
+++ b/lab/sim/front.go
@@ -5,14 +5,14 @@
 import (
 	"slices"
 
-	"wallport/idempotency"
-	"wallport/inquiry"
+	"wallport/request/idempotency"
+	"wallport/request/search"
 )
 
 type run struct {
-	chart *inquiry.Chart
-	in    *inquiry.Inquiry
-	done  func(o *inquiry.Outcome)
+	chart *search.Chart
+	in    *search.Inquiry
+	done  func(o *search.Outcome)
 	wake  uint64
 }
 
@@ -25,14 +25,14 @@
 func newFront(p *proc) *front { return &front{p: p, runs: map[*run]bool{}} }
 
 // read takes an inquiry that has been read whole; done gets its outcome, or nil if it was cut.
-func (f *front) read(in inquiry.Inquiry, done func(o *inquiry.Outcome)) {
+func (f *front) read(in search.Inquiry, done func(o *search.Outcome)) {
 	r := &run{in: &in, done: done}
 	// Of a frozen process it is there, unread, until the process thaws or ends.
 	f.runs[r] = true
 	f.list = append(f.list, r)
 	f.p.feed(func() {
-		r.chart = inquiry.NewChart(f.p.desk, in, f.p.now())
-		f.step(r, inquiry.Begin{})
+		r.chart = search.NewChart(f.p.desk, in, f.p.now())
+		f.step(r, search.Begin{})
 	})
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-func (f *front) step(r *run, ev inquiry.Event) {
+func (f *front) step(r *run, ev search.Event) {
 	if !f.runs[r] {
 		return
 	}
@@ -65,36 +65,36 @@
 	}
 }
 
-func (f *front) act(r *run, a inquiry.Act) {
+func (f *front) act(r *run, a search.Act) {
 	p := f.p
 	switch v := a.(type) {
-	case inquiry.Ask:
+	case search.Ask:
 		f.seen(&v)
 		life := p.life
-		p.w.asked(p, &v, func(rep inquiry.Reply) {
+		p.w.asked(p, &v, func(rep search.Reply) {
 			if p.life == life {
-				p.feed(func() { f.step(r, inquiry.Replied{N: v.N, Reply: rep}) })
+				p.feed(func() { f.step(r, search.Replied{N: v.N, Reply: rep}) })
 			}
 		})
-	case inquiry.Wake:
+	case search.Wake:
 		r.wake++
 		mine := r.wake
 		p.later(v.At-p.now(), func() {
 			if r.wake == mine {
-				f.step(r, inquiry.Due{})
+				f.step(r, search.Due{})
 			}
 		})
-	case inquiry.Claim:
+	case search.Claim:
 		p.call("idempotency", idempotency.Admit{Key: v.Key, Index: v.Index, Sum: v.Sum, First: v.First, Within: v.Within, Again: v.Again}, func(ans any) {
-			if s, in := inquiry.LateClaim(v.Key, ans.(inquiry.Verdict)); in && !f.runs[r] {
+			if s, in := search.LateClaim(v.Key, ans.(search.Verdict)); in && !f.runs[r] {
 				f.act(r, s)
 				return
 			}
-			f.step(r, inquiry.Claimed{Verdict: ans.(inquiry.Verdict)})
+			f.step(r, search.Claimed{Verdict: ans.(search.Verdict)})
 		})
-	case inquiry.Settle:
+	case search.Settle:
 		p.call("idempotency", idempotency.Settle{Key: v.Key, Code: v.Code, Token: v.Token, Tried: v.Tried, Outcome: v.Outcome}, nil)
-	case inquiry.Finish:
+	case search.Finish:
 		delete(f.runs, r)
 		f.list = slices.DeleteFunc(f.list, func(o *run) bool { return o == r })
 		o := v.Outcome
@@ -103,7 +103,7 @@
 }
 
 // seen tells the judge of work that leaves this node.
-func (f *front) seen(a *inquiry.Ask) {
+func (f *front) seen(a *search.Ask) {
 	w := f.p.w
 	// By what reaches the servers, whatever the node takes it for.
 	again := w.calls.asked(a) || a.Again
@@ -124,7 +124,7 @@
 }
 
 // cold judges ramps where a shard has warm servers beside a cold one.
-func (w *World) cold(node *proc, a *inquiry.Ask) {
+func (w *World) cold(node *proc, a *search.Ask) {
 	good, warm := 0, 0
 	zones := map[string]int{}
 	var cold []*server
--- a/lab/sim/healing.go
+++ b/lab/sim/healing.go
@@ -5,7 +5,7 @@
 
 import (
 	"wallport/control/state"
-	"wallport/inquiry"
+	"wallport/request/search"
 	"wallport/runtime/wire"
 )
 
@@ -16,15 +16,15 @@
 func (w *World) healedFrom() int64 { return w.Script.Int("healed_from_us", 0) }
 
 // healed counts an inquiry that came after the time by which all is well again.
-func (w *World) healed(o *inquiry.Outcome, sent int64) {
+func (w *World) healed(o *search.Outcome, sent int64) {
 	if from := w.healedFrom(); from == 0 || sent < from {
 		return
 	}
 	w.calm.came++
 	switch o.Code {
-	case inquiry.OK, inquiry.Conflict:
+	case search.OK, search.Conflict:
 		w.calm.good++
-	case inquiry.Shed, inquiry.OverCeiling:
+	case search.Shed, search.OverCeiling:
 		w.calm.shed++
 	}
 }
--- a/lab/sim/judging.go
+++ b/lab/sim/judging.go
@@ -7,11 +7,11 @@
 	"slices"
 	"strings"
 
-	"wallport/inquiry"
 	"wallport/lab/check"
+	"wallport/request/search"
 )
 
-func (c *callers) judge(p *proc, in *inquiry.Inquiry, o *inquiry.Outcome, sent int64, planned bool) {
+func (c *callers) judge(p *proc, in *search.Inquiry, o *search.Outcome, sent int64, planned bool) {
 	w := c.w
 	if o == nil {
 		w.Judge.Count("outcome.cut", 1)
@@ -24,16 +24,16 @@
 	if took := w.now - sent; took > in.Deadline+100_000 {
 		w.Judge.Count("late", 1)
 	}
-	if o.Ran == "no" && in.Key != "" && (o.Code == inquiry.Shed || o.Code == inquiry.OverCeiling || o.Code == inquiry.GivenUp) && c.lone(in) {
+	if o.Ran == "no" && in.Key != "" && (o.Code == search.Shed || o.Code == search.OverCeiling || o.Code == search.GivenUp) && c.lone(in) {
 		w.Judge.Refused(in.Key, w.now)
 	}
-	if (o.Code == inquiry.Shed || o.Code == inquiry.OverCeiling || o.Code == inquiry.GivenUp) && o.Retry == 0 {
+	if (o.Code == search.Shed || o.Code == search.OverCeiling || o.Code == search.GivenUp) && o.Retry == 0 {
 		w.Judge.Fail("no_retry_after", w.now, "%s %s has no Retry-After", o.ID, o.Code)
 	}
 	w.healed(o, sent)
 	w.otherPool(in, o)
 	w.Judge.Proper(o, w.now, c.mayRefuse(in, o))
-	if o.Code != inquiry.OK {
+	if o.Code != search.OK {
 		return
 	}
 	w.Judge.Served(w.now)
@@ -41,7 +41,7 @@
 		w.Judge.Count("repeats_answered", 1)
 		return
 	}
-	if in.Kind != inquiry.Search {
+	if in.Kind != search.Search {
 		w.Judge.Single(in.Record, o, w.now)
 		return
 	}
@@ -53,32 +53,32 @@
 
 // lone tells that no other try of the same key can be under way or have run:
 // only then does a refusal bind the key.
-func (c *callers) lone(in *inquiry.Inquiry) bool {
-	return c.repeat == 0 && c.sends[in.Key] <= 1 || in.Kind == inquiry.Search
+func (c *callers) lone(in *search.Inquiry) bool {
+	return c.repeat == 0 && c.sends[in.Key] <= 1 || in.Kind == search.Search
 }
 
 // mayRefuse tells whether the world gave a reason to refuse: the scenario says
 // so, no server of a needed shard is there, or the key's homes cannot vouch.
-func (c *callers) mayRefuse(in *inquiry.Inquiry, o *inquiry.Outcome) string {
+func (c *callers) mayRefuse(in *search.Inquiry, o *search.Outcome) string {
 	w := c.w
 	if w.Script.Text("may_refuse", "") != "" {
 		return "scenario"
 	}
-	if in.Once() && in.Key != "" && strings.HasPrefix(o.Why, inquiry.ClaimsShort) {
+	if in.Once() && in.Key != "" && strings.HasPrefix(o.Why, search.ClaimsShort) {
 		return "claims"
 	}
-	if o.Why == inquiry.RepeatOver && c.sends[in.Key] > 1 {
+	if o.Why == search.RepeatOver && c.sends[in.Key] > 1 {
 		c.refused[in.Key] = true
 		return "repeat"
 	}
-	if strings.HasSuffix(o.Why, "; "+inquiry.ReplyShed) && w.refusing(in) {
+	if strings.HasSuffix(o.Why, "; "+search.ReplyShed) && w.refusing(in) {
 		// A server's own refusal, and no budget left to ask another: two rules meet here.
 		return "server"
 	}
 	for _, n := range w.cuts {
 		shard := -1
-		if in.Kind != inquiry.Search {
-			shard = inquiry.ShardOf(in.Record, n)
+		if in.Kind != search.Search {
+			shard = search.ShardOf(in.Record, n)
 		}
 		if w.noServer(in.Index, n, shard) {
 			return "no_server"
@@ -88,7 +88,7 @@
 }
 
 // asked notes that a server is asked, and tells whether one was asked the same before.
-func (c *callers) asked(a *inquiry.Ask) bool {
+func (c *callers) asked(a *search.Ask) bool {
 	key := a.Inquiry.Key
 	if key == "" {
 		return false
--- a/lab/sim/limits.go
+++ b/lab/sim/limits.go
@@ -7,12 +7,12 @@
 	"strconv"
 	"strings"
 
-	"wallport/inquiry"
 	"wallport/lab/check"
+	"wallport/request/search"
 )
 
 // shares are those of the shape's sheet, in hundredths.
-var shares = map[string]float64{inquiry.Search: 60, inquiry.Read: 20, inquiry.Correct: 10, inquiry.Part: 10}
+var shares = map[string]float64{search.Search: 60, search.Read: 20, search.Correct: 10, search.Part: 10}
 
 // load does the verbs that change the load or the limits.
 func (w *World) load(verb string, args []string) {
--- a/lab/sim/other.go
+++ b/lab/sim/other.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 	"fmt"
 
-	"wallport/inquiry"
+	"wallport/request/search"
 )
 
 const otherCut = "d1"
@@ -51,12 +51,12 @@
 }
 
 // otherPool counts what the callers of the second index get.
-func (w *World) otherPool(in *inquiry.Inquiry, o *inquiry.Outcome) {
+func (w *World) otherPool(in *search.Inquiry, o *search.Outcome) {
 	if w.other() == "" || in.Index != w.other() {
 		return
 	}
 	switch {
-	case o.Code == inquiry.OK && len(o.Missing) == 0, o.Code == inquiry.Conflict:
+	case o.Code == search.OK && len(o.Missing) == 0, o.Code == search.Conflict:
 		w.Judge.Count("other.good", 1)
 	default:
 		w.Judge.Count("other.bad", 1)
--- a/lab/sim/proc.go
+++ b/lab/sim/proc.go
@@ -11,12 +11,12 @@
 	_ "wallport/control/operations"
 	"wallport/control/replica"
 	_ "wallport/control/reshard"
-	_ "wallport/health"
-	_ "wallport/idempotency"
-	"wallport/inquiry"
+	_ "wallport/request/healthcheck"
+	_ "wallport/request/idempotency"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
-	"wallport/table"
 )
 
 func coreAddr(i int) string { return fmt.Sprintf("10.0.1.%d:4001", i+1) }
@@ -41,9 +41,9 @@
 	upAt      int64
 	skew      int64
 	kernel    *kernel.Kernel
-	table     *table.Table
+	table     *snapshot.Table
 	seats     *replica.Host
-	desk      *inquiry.Desk
+	desk      *search.Desk
 	disk      *disk
 	waiting   []func()
 	front     *front
@@ -56,7 +56,7 @@
 	// did counts what the process sent, received and stepped.
 	did Traffic
 	// freezeAt is the state of an inquiry at which this node freezes.
-	freezeAt  inquiry.State
+	freezeAt  search.State
 	freezeFor int64
 	// slowUs is what each input takes of a process that is slowed down, 0 otherwise; busyTo is when it is done.
 	slowUs, busyTo int64
@@ -109,13 +109,13 @@
 	w.Judge.Restarted(p.name)
 	w.note(p.name + " starts")
 	if p.role == "node" {
-		p.table = kernel.Find[*table.Table](p.kernel)
+		p.table = kernel.Find[*snapshot.Table](p.kernel)
 	}
 	switch {
 	case p.role == "node" && w.day != nil:
 		w.day.newGate(p, b.Seed)
 	case p.role == "node":
-		p.desk = inquiry.NewDesk(inquiry.Config{
+		p.desk = search.NewDesk(search.Config{
 			Table: p.table, Usage: kernel.Find[*loadreport.Usage](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
 		})
 		p.front = newFront(p)
--- a/lab/sim/reach.go
+++ b/lab/sim/reach.go
@@ -9,7 +9,7 @@
 	"math"
 	"slices"
 
-	"wallport/inquiry"
+	"wallport/request/search"
 )
 
 // reach works out both after every step and ten times a second.
@@ -156,9 +156,9 @@
 }
 
 // refusing tells whether a server that the inquiry could be sent to refuses by itself.
-func (w *World) refusing(in *inquiry.Inquiry) bool {
+func (w *World) refusing(in *search.Inquiry) bool {
 	for _, id := range w.serverN {
-		if s := w.servers[id]; s.mode == "refuse" && s.row.Index == in.Index && (in.Kind == inquiry.Search || s.row.Shard == inquiry.ShardOf(in.Record, s.shards)) {
+		if s := w.servers[id]; s.mode == "refuse" && s.row.Index == in.Index && (in.Kind == search.Search || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
 			return true
 		}
 	}
--- a/lab/sim/server.go
+++ b/lab/sim/server.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"strings"
 
-	"wallport/health"
-	"wallport/inquiry"
 	"wallport/lab/backend"
 	"wallport/lab/records"
+	"wallport/request/healthcheck"
+	"wallport/request/search"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -90,26 +90,26 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 		return
 	}
-	b, _ := json.Marshal(health.Report{ID: s.row.ID, Incarnation: s.inc, UpUs: w.now - s.born, Usage: s.busy, Cut: s.row.Cut})
+	b, _ := json.Marshal(healthcheck.Report{ID: s.row.ID, Incarnation: s.inc, UpUs: w.now - s.born, Usage: s.busy, Cut: s.row.Cut})
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
 // asked is the way of one ask to a server and back; done gets what the node sees.
-func (w *World) asked(p *proc, a *inquiry.Ask, done func(inquiry.Reply)) {
+func (w *World) asked(p *proc, a *search.Ask, done func(search.Reply)) {
 	s := w.srvAddr[a.Server.Addr]
 	there := w.net.latency()
 	if s == nil || !s.up && s.mode != "vanish" {
-		w.after(2*there, func() { done(inquiry.Reply{Class: inquiry.ReplyNotWritten, Why: "connection refused"}) })
+		w.after(2*there, func() { done(search.Reply{Class: search.ReplyNotWritten, Why: "connection refused"}) })
 		return
 	}
 	if !s.up || w.net.cut(p.name, s.row.ID) {
-		w.after(300_000, func() { done(inquiry.Reply{Class: inquiry.ReplyNotWritten, Why: "timed out"}) })
+		w.after(300_000, func() { done(search.Reply{Class: search.ReplyNotWritten, Why: "timed out"}) })
 		return
 	}
 	life := s.life
 	w.after(there, func() {
 		broken := func() {
-			w.after(there, func() { done(inquiry.Reply{Class: inquiry.ReplyFailed, Why: "reset"}) })
+			w.after(there, func() { done(search.Reply{Class: search.ReplyFailed, Why: "reset"}) })
 		}
 		if !s.up || s.life != life {
 			broken()
@@ -153,32 +153,32 @@
 }
 
 // answer makes the body that the real stand-in would send, and checks it as a node does.
-func (s *server) answer(a *inquiry.Ask, refuses bool) inquiry.Reply {
+func (s *server) answer(a *search.Ask, refuses bool) search.Reply {
 	in := a.Inquiry
-	sealed := inquiry.Sealed{Inquiry: a.ID, Cut: s.row.Cut, Shard: s.row.Shard, Incarnation: s.inc, Usage: s.busy}
+	sealed := search.Sealed{Inquiry: a.ID, Cut: s.row.Cut, Shard: s.row.Shard, Incarnation: s.inc, Usage: s.busy}
 	status := 200
 	switch {
 	case refuses:
 		status = 503
-	case in.Kind == inquiry.Search:
+	case in.Kind == search.Search:
 		sealed.Records = records.Top(in.Index, in.Query, in.Limit, a.Shard, s.shards)
 	default:
 		r, ok := records.Of(in.Record)
-		if !ok || inquiry.ShardOf(in.Record, s.shards) != s.row.Shard {
+		if !ok || search.ShardOf(in.Record, s.shards) != s.row.Shard {
 			status = 404
 			break
 		}
-		sealed.Records = []inquiry.Record{r}
+		sealed.Records = []search.Record{r}
 	}
 	raw, closed := backend.Spoil(s.mode, status, sealed)
 	if closed {
-		return inquiry.Reply{Class: inquiry.ReplyFailed, Why: "cut short"}
+		return search.Reply{Class: search.ReplyFailed, Why: "cut short"}
 	}
-	return inquiry.Check(a, raw)
+	return search.Check(a, raw)
 }
 
 // ran counts an execution that must happen at most once.
-func (w *World) ran(a *inquiry.Ask) {
+func (w *World) ran(a *search.Ask) {
 	if !a.Inquiry.Once() {
 		return
 	}
--- a/lab/sim/verbs.go
+++ b/lab/sim/verbs.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"strings"
 
-	"wallport/inquiry"
 	"wallport/lab/script"
+	"wallport/request/search"
 )
 
 func num(s string) int64 {
@@ -101,7 +101,7 @@
 	case "freeze-at":
 		// Freezes a node as soon as an inquiry there reaches a state, for so many milliseconds.
 		p := w.procs[arg(0)]
-		p.freezeAt, p.freezeFor = inquiry.State(arg(1)), num(arg(2))*1000
+		p.freezeAt, p.freezeFor = search.State(arg(1)), num(arg(2))*1000
 	case "rate", "skew", "mix", "limits":
 		w.load(st.Verb, st.Args)
 	case "lose-all":
--- a/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/forward"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 func TestSilence(t *testing.T) {
@@ -20,7 +20,7 @@
 	k := newTestClient(t, Config{})
 	a := f.once("a")
 	a.WithinUs = 20_000
-	rep := run(t, k, a, forward.ClassFailed)
+	rep := run(t, k, a, dispatch.ClassFailed)
 	must.True(t, rep.Silent)
 	must.Eq(t, "timed out", rep.Why)
 	must.Eq(t, 1, f.times("a"))
@@ -38,12 +38,12 @@
 	})
 	k := newTestClient(t, Config{})
 	x := k.Start(f.ask("a"))
-	back := make(chan forward.Reply)
+	back := make(chan dispatch.Reply)
 	go func() { back <- x.Run() }()
 	<-enter
 	x.Cancel()
 	rep := <-back
-	must.Eq(t, forward.ClassFailed, rep.Class)
+	must.Eq(t, dispatch.ClassFailed, rep.Class)
 	must.False(t, rep.Silent, must.Sprint("the backend is not to blame"))
 	must.Error(t, <-ended)
 }
@@ -54,11 +54,11 @@
 	must.NoError(t, err)
 	defer l.Close()
 	k := newTestClient(t, Config{})
-	a := forward.Ask{Server: &table.Server{Server: wire.Server{ID: "i-1", Addr: l.Addr().String()}}, WithinUs: 20_000_000, Request: &forward.Request{Method: "GET"}}
+	a := dispatch.Ask{Server: &snapshot.Server{Server: wire.Server{ID: "i-1", Addr: l.Addr().String()}}, WithinUs: 20_000_000, Request: &dispatch.Request{Method: "GET"}}
 	x := k.Start(a)
 	x.Cancel()
 	rep := x.Run()
-	must.Eq(t, forward.ClassNotSent, rep.Class)
+	must.Eq(t, dispatch.ClassNotSent, rep.Class)
 	must.Eq(t, 0, k.open.Load())
 }
 
@@ -73,13 +73,13 @@
 	})
 	k := newTestClient(t, Config{})
 	x := k.Start(f.ask("a"))
-	back := make(chan forward.Reply)
+	back := make(chan dispatch.Reply)
 	go func() { back <- x.Run() }()
 	<-enter
 	x.Leave()
 	leave <- true
 	rep := <-back
-	must.Eq(t, forward.ClassAnswer, rep.Class, must.Sprint(rep.Why))
+	must.Eq(t, dispatch.ClassAnswer, rep.Class, must.Sprint(rep.Why))
 	must.Eq(t, "whole", string(rep.Body))
 
 	x = k.Start(f.ask("b"))
--- a/backend/conn.go
+++ b/request/backend/conn.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 // peer is one backend at one address.
@@ -48,7 +48,7 @@
 }
 
 // part is how many connections this node may hold to one backend.
-func (k *Client) part(p *table.Pool) int {
+func (k *Client) part(p *snapshot.Pool) int {
 	if p == nil || p.Pool == nil || p.MaxConnections <= 0 {
 		return unbounded
 	}
@@ -56,7 +56,7 @@
 }
 
 // peerOf finds or makes a backend's peer and locks it.
-func (k *Client) peerOf(s *table.Server) *peer {
+func (k *Client) peerOf(s *snapshot.Server) *peer {
 	id := key{s.Addr, s.ID}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -70,7 +70,7 @@
 }
 
 // take gives an idle connection, or the right to make one where room is true.
-func (k *Client) take(s *table.Server, most int) (c *conn, p *peer, room bool) {
+func (k *Client) take(s *snapshot.Server, most int) (c *conn, p *peer, room bool) {
 	p = k.peerOf(s)
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -105,7 +105,7 @@
 	c.shut()
 }
 
-func (k *Client) dial(ctx context.Context, s *table.Server, p *peer) (*conn, error) {
+func (k *Client) dial(ctx context.Context, s *snapshot.Server, p *peer) (*conn, error) {
 	d := net.Dialer{Timeout: DialWithin, KeepAlive: -1, Control: control}
 	k.count.dials.Add(1)
 	raw, err := d.DialContext(ctx, "tcp", s.Addr)
--- a/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -11,13 +11,13 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/api/routingpb"
-	"wallport/forward"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
-func run(t *testing.T, k *Client, a forward.Ask, class forward.Class) forward.Reply {
+func run(t *testing.T, k *Client, a dispatch.Ask, class dispatch.Class) dispatch.Reply {
 	t.Helper()
 	rep := k.Start(a).Run()
 	must.Eq(t, class, rep.Class, must.Sprint(rep.Why))
@@ -29,9 +29,9 @@
 	counts := kernel.NewCounts()
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return c.n > 1 })
 	k := newTestClient(t, Config{Counts: counts})
-	run(t, k, f.once("a"), forward.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassAnswer)
 	readable(t, idleConn(t, k))
-	rep := run(t, k, f.once("b"), forward.ClassAnswer)
+	rep := run(t, k, f.once("b"), dispatch.ClassAnswer)
 	must.False(t, rep.Reused)
 	must.Eq(t, 1, counts.Of("backend_idle_dead").Load())
 	must.Eq(t, 1, f.times("b"))
@@ -49,10 +49,10 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), forward.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassAnswer)
 	go2 <- true
 	readable(t, idleConn(t, k))
-	rep := run(t, k, f.once("b"), forward.ClassAnswer)
+	rep := run(t, k, f.once("b"), dispatch.ClassAnswer)
 	must.Eq(t, "right", string(rep.Body))
 	must.False(t, rep.Reused)
 }
@@ -67,11 +67,11 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), forward.ClassAnswer)
-	rep := run(t, k, f.once("b"), forward.ClassGarbage)
+	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	rep := run(t, k, f.once("b"), dispatch.ClassGarbage)
 	must.True(t, rep.Reused)
 	must.Eq(t, 1, f.times("b"))
-	must.False(t, run(t, k, f.once("c"), forward.ClassAnswer).Reused)
+	must.False(t, run(t, k, f.once("c"), dispatch.ClassAnswer).Reused)
 }
 
 // TestResetOnReuse has the backend reset a reused connection after it read the request.
@@ -85,8 +85,8 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), forward.ClassAnswer)
-	rep := run(t, k, f.once("b"), forward.ClassFailed)
+	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	rep := run(t, k, f.once("b"), dispatch.ClassFailed)
 	must.True(t, rep.Reused)
 	must.False(t, rep.Silent)
 	must.Eq(t, 1, f.times("b"), must.Sprint("nothing is repeated here"))
@@ -105,11 +105,11 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), forward.ClassAnswer)
-	run(t, k, f.once("b"), forward.ClassGarbage)
-	run(t, k, f.ask("c"), forward.ClassAnswer)
-	must.True(t, run(t, k, f.ask("d"), forward.ClassNotRun).Reused)
-	must.False(t, run(t, k, f.ask("e"), forward.ClassAnswer).Reused)
+	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	run(t, k, f.once("b"), dispatch.ClassGarbage)
+	run(t, k, f.ask("c"), dispatch.ClassAnswer)
+	must.True(t, run(t, k, f.ask("d"), dispatch.ClassNotRun).Reused)
+	must.False(t, run(t, k, f.ask("e"), dispatch.ClassAnswer).Reused)
 }
 
 func TestNotSent(t *testing.T) {
@@ -120,24 +120,24 @@
 	for range 2 {
 		// The second time there is an idle connection.
 		frozen.Store(true)
-		must.Eq(t, "the process was frozen", run(t, k, f.once("no"), forward.ClassNotSent).Why)
+		must.Eq(t, "the process was frozen", run(t, k, f.once("no"), dispatch.ClassNotSent).Why)
 		frozen.Store(false)
 
 		x := k.Start(f.once("no"))
 		thaws.Add(1)
 		rep := x.Run()
-		must.Eq(t, forward.ClassNotSent, rep.Class, must.Sprint("decided before the freeze"))
+		must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint("decided before the freeze"))
 
 		a := f.once("no")
 		a.WithinUs = 900
-		run(t, k, a, forward.ClassNotSent)
+		run(t, k, a, dispatch.ClassNotSent)
 		a.WithinUs = -5
-		run(t, k, a, forward.ClassNotSent)
+		run(t, k, a, dispatch.ClassNotSent)
 
 		x = k.Start(f.once("no"))
 		x.Cancel()
-		must.Eq(t, forward.ClassNotSent, x.Run().Class)
-		run(t, k, f.once("yes"), forward.ClassAnswer)
+		must.Eq(t, dispatch.ClassNotSent, x.Run().Class)
+		run(t, k, f.once("yes"), dispatch.ClassAnswer)
 	}
 	must.Eq(t, 0, f.times("no"))
 	must.Eq(t, 2, f.times("yes"))
@@ -151,9 +151,9 @@
 	must.NoError(t, l.Close())
 	f := &fake{}
 	k := newTestClient(t, Config{})
-	a := forward.Ask{Server: &table.Server{Server: wire.Server{ID: "i-1", Addr: addr}}, WithinUs: 20_000_000, Once: true, Request: &forward.Request{Method: "GET"}}
+	a := dispatch.Ask{Server: &snapshot.Server{Server: wire.Server{ID: "i-1", Addr: addr}}, WithinUs: 20_000_000, Once: true, Request: &dispatch.Request{Method: "GET"}}
 	for range 3 {
-		rep := run(t, k, a, forward.ClassNotSent)
+		rep := run(t, k, a, dispatch.ClassNotSent)
 		must.StrContains(t, rep.Why, "refused")
 		must.False(t, rep.Reused)
 	}
@@ -171,20 +171,20 @@
 		return true
 	})
 	k := newTestClient(t, Config{Share: func() int { return 4 }})
-	must.Eq(t, 1, k.part(&table.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("never none"))
-	must.Eq(t, unbounded, k.part(&table.Pool{}))
-	back := make(chan forward.Reply, 2)
+	must.Eq(t, 1, k.part(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("never none"))
+	must.Eq(t, unbounded, k.part(&snapshot.Pool{}))
+	back := make(chan dispatch.Reply, 2)
 	for _, id := range []string{"a", "b"} {
 		go func() { back <- k.Start(f.ask(id)).Run() }()
 		<-enter
 	}
-	rep := run(t, k, f.ask("c"), forward.ClassNotSent)
+	rep := run(t, k, f.ask("c"), dispatch.ClassNotSent)
 	must.Eq(t, full, rep.Why)
 	must.True(t, rep.Reused, must.Sprint("no failure of the backend's"))
 	leave <- true
 	leave <- true
 	for range 2 {
-		must.Eq(t, forward.ClassAnswer, (<-back).Class)
+		must.Eq(t, dispatch.ClassAnswer, (<-back).Class)
 	}
 	must.Eq(t, 2, f.connections())
 	must.Eq(t, 0, f.times("c"))
@@ -197,13 +197,13 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), forward.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassAnswer)
 	c := idleConn(t, k)
 	must.True(t, c.usable(c.last.Add(999*time.Millisecond)))
 	must.False(t, c.usable(c.last.Add(time.Second)))
-	must.True(t, run(t, k, f.once("b"), forward.ClassAnswer).Reused)
+	must.True(t, run(t, k, f.once("b"), dispatch.ClassAnswer).Reused)
 	c.last = c.last.Add(-time.Second)
-	must.False(t, run(t, k, f.once("c"), forward.ClassAnswer).Reused)
+	must.False(t, run(t, k, f.once("c"), dispatch.ClassAnswer).Reused)
 	must.Eq(t, 1, k.open.Load())
 }
 
@@ -211,10 +211,10 @@
 func TestAddressOfAnother(t *testing.T) {
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), forward.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassAnswer)
 	b := f.once("b")
 	b.Server.ID = "i-2"
-	must.False(t, run(t, k, b, forward.ClassAnswer).Reused)
+	must.False(t, run(t, k, b, dispatch.ClassAnswer).Reused)
 	must.Eq(t, 2, f.connections())
 }
 
@@ -226,10 +226,10 @@
 	for _, id := range []string{"a", "b"} {
 		a := f.once(id)
 		a.Server.CloseAfterUse = true
-		must.False(t, run(t, k, a, forward.ClassAnswer).Reused)
+		must.False(t, run(t, k, a, dispatch.ClassAnswer).Reused)
 	}
 	must.Eq(t, 2, counts.Of("backend_dials").Load())
 	must.Eq(t, 0, k.open.Load())
-	run(t, k, f.once("c"), forward.ClassAnswer)
-	must.True(t, run(t, k, f.once("d"), forward.ClassAnswer).Reused, must.Sprint("kept where nothing forbids it"))
+	run(t, k, f.once("c"), dispatch.ClassAnswer)
+	must.True(t, run(t, k, f.once("d"), dispatch.ClassAnswer).Reused, must.Sprint("kept where nothing forbids it"))
 }
--- a/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -14,9 +14,9 @@
 	"golang.org/x/sys/unix"
 
 	"wallport/api/routingpb"
-	"wallport/forward"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // lean answers each request with a body, and the id that it came with.
@@ -66,18 +66,18 @@
 func BenchmarkExchange(b *testing.B) {
 	addr := lean(b, partBody)
 	k := newTestClient(b, Config{})
-	pool := &table.Pool{Pool: &routingpb.Pool{}}
-	server := &table.Server{Server: wire.Server{ID: "s-1", Addr: addr.String()}, Gauge: &table.Gauge{}}
-	ask := func(id string) forward.Ask {
-		return forward.Ask{
+	pool := &snapshot.Pool{Pool: &routingpb.Pool{}}
+	server := &snapshot.Server{Server: wire.Server{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
+	ask := func(id string) dispatch.Ask {
+		return dispatch.Ask{
 			Pool: pool, Server: server, WithinUs: 5_000_000,
-			Request: &forward.Request{ID: id, Method: "GET", Target: "/search", Host: "site.example", Head: []byte("Try-Id: " + id + "\r\n")},
+			Request: &dispatch.Request{ID: id, Method: "GET", Target: "/search", Host: "site.example", Head: []byte("Try-Id: " + id + "\r\n")},
 		}
 	}
 	b.ReportAllocs()
 	at := cpuUs()
 	for b.Loop() {
-		if rep := k.Start(ask("abcdef0123456789")).Run(); rep.Class != forward.ClassAnswer {
+		if rep := k.Start(ask("abcdef0123456789")).Run(); rep.Class != dispatch.ClassAnswer {
 			b.Fatal(rep.Class, rep.Why)
 		}
 	}
--- a/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
-	"wallport/forward"
+	"wallport/request/dispatch"
 )
 
 // Exchange is one request to one backend, under way.
 type Exchange struct {
 	k     *Client
-	ask   forward.Ask
+	ask   dispatch.Ask
 	thaws int64
 	began time.Time
 	until time.Time
@@ -30,7 +30,7 @@
 }
 
 // Start prepares an exchange; Run carries it out.
-func (k *Client) Start(a forward.Ask) *Exchange {
+func (k *Client) Start(a dispatch.Ask) *Exchange {
 	now := time.Now()
 	return &Exchange{k: k, ask: a, thaws: k.c.Thaws(), began: now, until: now.Add(time.Duration(a.WithinUs) * time.Microsecond)}
 }
@@ -97,13 +97,15 @@
 
 func (x *Exchange) frozen() bool { return x.k.c.Frozen() || x.k.c.Thaws() != x.thaws }
 
-func notSent(why string) forward.Reply { return forward.Reply{Class: forward.ClassNotSent, Why: why} }
+func notSent(why string) dispatch.Reply {
+	return dispatch.Reply{Class: dispatch.ClassNotSent, Why: why}
+}
 
 // full is why an ask was not sent when this node's part of a backend's connections is in use.
 const full = "no connection free"
 
 // Run carries the exchange out; it returns at the ask's time at the latest.
-func (x *Exchange) Run() forward.Reply {
+func (x *Exchange) Run() dispatch.Reply {
 	for {
 		c, why := x.connect()
 		if c == nil {
@@ -147,7 +149,7 @@
 }
 
 // on carries the exchange out on a connection; again is that an idle one was found dead before the write.
-func (x *Exchange) on(c *conn) (rep forward.Reply, again bool) {
+func (x *Exchange) on(c *conn) (rep dispatch.Reply, again bool) {
 	left := time.Until(x.until)
 	if held := x.held(c); held != "" {
 		c.give(x.release())
--- a/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -16,10 +16,10 @@
 	"golang.org/x/sys/unix"
 
 	"wallport/api/routingpb"
-	"wallport/forward"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // call is one request at the fake, the nth of all, on the connth of its connections.
@@ -153,18 +153,18 @@
 	return k
 }
 
-func (f *fake) server() *table.Server {
-	return &table.Server{Server: wire.Server{ID: "i-1", Addr: f.l.Addr().String()}}
+func (f *fake) server() *snapshot.Server {
+	return &snapshot.Server{Server: wire.Server{ID: "i-1", Addr: f.l.Addr().String()}}
 }
 
-func (f *fake) ask(id string) forward.Ask {
-	return forward.Ask{
-		Server: f.server(), Pool: &table.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, WithinUs: 20_000_000,
-		Request: &forward.Request{ID: id, Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Head: []byte("Try-Id: " + id + "\r\n")},
+func (f *fake) ask(id string) dispatch.Ask {
+	return dispatch.Ask{
+		Server: f.server(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, WithinUs: 20_000_000,
+		Request: &dispatch.Request{ID: id, Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Head: []byte("Try-Id: " + id + "\r\n")},
 	}
 }
 
-func (f *fake) once(id string) forward.Ask {
+func (f *fake) once(id string) dispatch.Ask {
 	a := f.ask(id)
 	a.Once, a.Request.Method, a.Request.Body = true, "POST", []byte("b-"+id)
 	return a
--- a/backend/judge.go
+++ b/request/backend/judge.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"wallport/forward"
+	"wallport/request/dispatch"
 )
 
 // judge classes a whole answer; keep is that its connection may be used again.
-func (x *Exchange) judge(c *conn, resp *http.Response, body []byte) (rep forward.Reply, keep bool) {
+func (x *Exchange) judge(c *conn, resp *http.Response, body []byte) (rep dispatch.Reply, keep bool) {
 	n, h := &x.k.names, resp.Header
 	ids, seals := h[n.ID], h[n.Seal]
 	switch {
@@ -26,8 +26,8 @@
 	case len(h["Content-Encoding"]) > 0:
 		return x.garbage("an encoded answer"), false
 	}
-	rep = forward.Reply{
-		Class: forward.ClassAnswer, Status: resp.StatusCode, Head: h, Body: body, Seal: h.Get(n.Seal), Load: load(h.Get(n.Load)),
+	rep = dispatch.Reply{
+		Class: dispatch.ClassAnswer, Status: resp.StatusCode, Head: h, Body: body, Seal: h.Get(n.Seal), Load: load(h.Get(n.Load)),
 		Leaving: resp.Close || resp.ProtoMinor == 0,
 	}
 	// What follows a whole answer belongs to nothing.
@@ -39,15 +39,15 @@
 	}
 	switch {
 	case rep.Status == http.StatusMisdirectedRequest:
-		rep.Class, rep.WrongBackend, rep.Why, keep = forward.ClassNotRun, true, "another backend", false
+		rep.Class, rep.WrongBackend, rep.Why, keep = dispatch.ClassNotRun, true, "another backend", false
 	case not && rep.Status >= 300:
-		rep.Class, rep.Why = forward.ClassNotRun, "turned away"
+		rep.Class, rep.Why = dispatch.ClassNotRun, "turned away"
 	case rep.Status/100 == 2 && rep.Seal == "":
 		return x.garbage("a success without a seal"), false
 	}
 	// Without the request's id it may be an earlier one's. A promise that nothing ran is then only
 	// taken for a request that may run again, or on a connection that carried no other.
-	if len(ids) == 0 && (rep.Class == forward.ClassAnswer || x.ask.Once && c.reused) {
+	if len(ids) == 0 && (rep.Class == dispatch.ClassAnswer || x.ask.Once && c.reused) {
 		return x.garbage("an answer without the request's id"), false
 	}
 	return rep, keep && len(ids) == 1
@@ -67,7 +67,7 @@
 }
 
 // load reads what a backend tells of itself: requests running, waiting, and slots.
-func load(s string) (l forward.Load) {
+func load(s string) (l dispatch.Load) {
 	parts := strings.Split(s, ",")
 	if len(parts) != 3 {
 		return l
@@ -75,7 +75,7 @@
 	for i, to := range [3]*int{&l.Running, &l.Waiting, &l.Slots} {
 		n, err := strconv.ParseUint(strings.TrimSpace(parts[i]), 10, 31)
 		if err != nil {
-			return forward.Load{}
+			return dispatch.Load{}
 		}
 		*to = int(n)
 	}
@@ -84,23 +84,23 @@
 }
 
 // broken classes an exchange without a whole answer.
-func (x *Exchange) broken(c *conn, err error) forward.Reply {
+func (x *Exchange) broken(c *conn, err error) dispatch.Reply {
 	switch {
 	case c.wrote == 0:
 		return notSent("write: " + reason(err))
 	case c.err == nil:
 		return x.garbage(err.Error())
 	}
-	rep := forward.Reply{Class: forward.ClassFailed, Why: reason(c.err)}
+	rep := dispatch.Reply{Class: dispatch.ClassFailed, Why: reason(c.err)}
 	x.mu.Lock()
 	rep.Silent = !x.ended && errors.Is(c.err, os.ErrDeadlineExceeded)
 	x.mu.Unlock()
 	return rep
 }
 
-func (x *Exchange) garbage(why string) forward.Reply {
+func (x *Exchange) garbage(why string) dispatch.Reply {
 	x.k.count.garbage.Add(1)
-	return forward.Reply{Class: forward.ClassGarbage, Why: why}
+	return dispatch.Reply{Class: dispatch.ClassGarbage, Why: why}
 }
 
 func reason(err error) string {
--- a/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/forward"
+	"wallport/request/dispatch"
 )
 
 // greeter does something to each new connection before anything was asked, when it is let go.
@@ -61,7 +61,7 @@
 			x := k.Start(f.once("a"))
 			rep, again := x.on(f.dial(t, k))
 			must.False(t, again)
-			must.Eq(t, forward.ClassNotSent, rep.Class, must.Sprint(rep.Why))
+			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Why))
 			must.Eq(t, 0, f.times("a"))
 			must.Eq(t, 0, k.open.Load())
 		})
@@ -82,7 +82,7 @@
 			x := k.Start(f.once("a"))
 			rep, again := x.on(f.dial(t, k))
 			must.False(t, again)
-			must.Eq(t, forward.ClassNotSent, rep.Class, must.Sprint(rep.Why))
+			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Why))
 			must.Eq(t, 0, f.times("a"))
 		})
 	}
@@ -100,15 +100,15 @@
 			Frozen: func() bool { return looks.Add(1) == frozenAt },
 		})
 		if reused {
-			run(t, k, f.once("first"), forward.ClassAnswer)
+			run(t, k, f.once("first"), dispatch.ClassAnswer)
 		}
 		// The first look is before the request is made up, the second right before its write.
 		frozenAt = looks.Load() + 2
-		rep := run(t, k, f.once("a"), forward.ClassNotSent)
+		rep := run(t, k, f.once("a"), dispatch.ClassNotSent)
 		must.Eq(t, "the process was frozen", rep.Why)
 		must.Eq(t, 0, f.times("a"))
 		must.Eq(t, 1, k.open.Load(), must.Sprint("nothing was written: the connection is kept"))
-		run(t, k, f.once("b"), forward.ClassAnswer)
+		run(t, k, f.once("b"), dispatch.ClassAnswer)
 		must.Eq(t, 1, f.connections())
 	}
 }
@@ -126,7 +126,7 @@
 	}})
 	x = k.Start(f.once("a"))
 	rep := x.Run()
-	must.Eq(t, forward.ClassNotSent, rep.Class, must.Sprint(rep.Why))
+	must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Why))
 	must.Eq(t, 0, f.times("a"))
 }
 
@@ -147,11 +147,11 @@
 	k := newTestClient(t, Config{})
 	a := f.once("a")
 	a.WithinUs = 20_000
-	must.True(t, run(t, k, a, forward.ClassFailed).Silent)
+	must.True(t, run(t, k, a, dispatch.ClassFailed).Silent)
 	must.Eq(t, 0, k.open.Load())
 	late <- true
 	<-wrote
-	rep := run(t, k, f.once("b"), forward.ClassAnswer)
+	rep := run(t, k, f.once("b"), dispatch.ClassAnswer)
 	must.Eq(t, "right", string(rep.Body))
 	must.False(t, rep.Reused)
 	must.Eq(t, 1, f.times("a"))
@@ -165,12 +165,12 @@
 		f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 		k := newTestClient(t, Config{})
 		if reused {
-			run(t, k, f.once("first"), forward.ClassAnswer)
+			run(t, k, f.once("first"), dispatch.ClassAnswer)
 		}
 		f.cutAfter.Store(1000)
 		a := f.once("a")
 		a.Request.Body = []byte(strings.Repeat("x", 32<<20))
-		rep := run(t, k, a, forward.ClassFailed)
+		rep := run(t, k, a, dispatch.ClassFailed)
 		must.Eq(t, reused, rep.Reused)
 		must.Eq(t, 1, f.times("a"))
 		must.Eq(t, 0, k.open.Load())
@@ -198,12 +198,12 @@
 			return true
 		})
 		k := newTestClient(t, Config{})
-		run(t, k, f.once("a"), forward.ClassAnswer)
+		run(t, k, f.once("a"), dispatch.ClassAnswer)
 		if later {
 			follow <- true
 			readable(t, idleConn(t, k))
 		}
-		rep := run(t, k, f.once("b"), forward.ClassAnswer)
+		rep := run(t, k, f.once("b"), dispatch.ClassAnswer)
 		must.False(t, rep.Reused)
 		must.Eq(t, "right", string(rep.Body))
 		must.Eq(t, 1, f.times("b"))
@@ -223,8 +223,8 @@
 		return false
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), forward.ClassAnswer)
-	rep := run(t, k, f.once("b"), forward.ClassFailed)
+	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	rep := run(t, k, f.once("b"), dispatch.ClassFailed)
 	must.True(t, rep.Reused)
 	must.Eq(t, 0, f.times("b"))
 	must.Eq(t, 1, f.connections(), must.Sprint("it was not written again elsewhere"))
--- a/forward/ask.go
+++ b/request/dispatch/ask.go
@@ -1,5 +1,5 @@
 // Asking backends, and what the end of each ask teaches.
-package forward
+package dispatch
 
 // reason is why a pool is asked: for the first time, again at the cost of the
 // budget, early while another ask is under way, or in place of one of which
--- a/forward/backend.go
+++ b/request/dispatch/backend.go
@@ -1,11 +1,11 @@
 // What this node learnt of one backend from its own asks. It outlives
 // snapshots. What a backend says of itself or others say of it comes second.
-package forward
+package dispatch
 
 import (
 	"sync/atomic"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 type backend struct {
@@ -48,7 +48,7 @@
 }
 
 // forget drops backends that no snapshot has named for long.
-func (d *Desk) forget(cp *table.Snapshot, there int) {
+func (d *Desk) forget(cp *snapshot.Snapshot, there int) {
 	n := 0
 	d.backends.Range(func(any, any) bool { n++; return true })
 	if n <= 2*there+64 {
@@ -65,7 +65,7 @@
 const forgetAfter = 60_000_000
 
 // listed takes what a snapshot says of the backend. Views are made one after another.
-func (b *backend) listed(cp *table.Snapshot, p *table.Pool, s *table.Server, began int64) {
+func (b *backend) listed(cp *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Server, began int64) {
 	first := b.seen.Load() == 0
 	b.seen.Store(max(1, cp.At))
 	if s.Slots > 0 && b.slots.Load() == 0 {
@@ -83,7 +83,7 @@
 	if told := s.Gauge.Cold.Load(); told > b.cold.Load() {
 		b.cold.Store(told)
 	}
-	out := s.Verdict == table.Drained
+	out := s.Verdict == snapshot.Drained
 	if b.emptied && !out && p.RampPerS > 0 {
 		// Those of a zone that is taken back may have turned cold meanwhile.
 		b.cold.Store(max(b.cold.Load(), cp.At+p.SlowStartUs))
--- a/forward/backend_test.go
+++ b/request/dispatch/backend_test.go
@@ -1,5 +1,5 @@
 // Backends of the world: slots and a queue, pauses, and troubles.
-package forward
+package dispatch
 
 import (
 	"encoding/binary"
--- a/forward/bench_test.go
+++ b/request/dispatch/bench_test.go
@@ -1,5 +1,5 @@
 // What a request costs a node beside HTTP.
-package forward
+package dispatch
 
 import (
 	"fmt"
--- a/forward/chart.go
+++ b/request/dispatch/chart.go
@@ -1,10 +1,10 @@
 // The chart itself: what is common to requests of one pool and to gathered ones.
-package forward
+package dispatch
 
 import (
 	"wallport/control/routing"
+	"wallport/request/snapshot"
 	"wallport/runtime/random"
-	"wallport/table"
 )
 
 type way struct {
@@ -141,7 +141,7 @@
 )
 
 func (c *Chart) begin(now int64) {
-	if cp := c.desk.cfg.Table(); cp != nil && cp.Stale && now-c.began < table.StaleMost {
+	if cp := c.desk.cfg.Table(); cp != nil && cp.Stale && now-c.began < snapshot.StaleMost {
 		c.wakeAt(now, now+staleLook)
 		return
 	}
--- a/forward/chart_test.go
+++ b/request/dispatch/chart_test.go
@@ -1,5 +1,5 @@
 // The chart's promises, one by one.
-package forward
+package dispatch
 
 import (
 	"fmt"
@@ -10,14 +10,14 @@
 
 	"wallport/api/routingpb"
 	"wallport/control/routing"
+	"wallport/request/snapshot"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // fixture is a desk with a table that tests may change.
 type fixture struct {
 	*Desk
-	cp  *table.Snapshot
+	cp  *snapshot.Snapshot
 	src *routingpb.RoutingTable
 }
 
@@ -42,15 +42,15 @@
 		one("read", &routingpb.Route{Pool: "p0", Repeatable: true, MaxBackends: 2}),
 		one("split", &routingpb.Route{Repeatable: true, MaxBackends: 2, PoolWeights: []*routingpb.PoolWeight{{Pool: "p0", Weight: 0}, {Pool: "p1", Weight: 1}, {Pool: "p2", Weight: 1}}}),
 	}
-	f.cp = &table.Snapshot{At: begun, Whole: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*table.Pool{}}
+	f.cp = &snapshot.Snapshot{At: begun, Whole: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
 	for _, p := range f.src.Pools {
-		q := &table.Pool{Pool: p}
+		q := &snapshot.Pool{Pool: p}
 		for i := range backends {
-			q.Servers = append(q.Servers, &table.Server{Server: wire.Server{ID: fmt.Sprintf("%s-%d", p.Name, i), Zone: fmt.Sprintf("z%d", i%2), Slots: 2}, Gauge: &table.Gauge{}})
+			q.Servers = append(q.Servers, &snapshot.Server{Server: wire.Server{ID: fmt.Sprintf("%s-%d", p.Name, i), Zone: fmt.Sprintf("z%d", i%2), Slots: 2}, Gauge: &snapshot.Gauge{}})
 		}
 		f.cp.Pools[p.Name] = q
 	}
-	f.Desk = NewDesk(Config{Table: func() *table.Snapshot { return f.cp }, Seed: 1, Retry: RetryConfig{Ratio: 0.2, Allowance: 60}})
+	f.Desk = NewDesk(Config{Table: func() *snapshot.Snapshot { return f.cp }, Seed: 1, Retry: RetryConfig{Ratio: 0.2, Allowance: 60}})
 	f.compile()
 	return f
 }
@@ -121,7 +121,7 @@
 func TestNoRouteOnlyWithATableInForce(t *testing.T) {
 	f := fixed(2, 2)
 	must.Eq(t, 404, finish(f.chart("nowhere").Step(begun, Begin{})).Status)
-	f.cp = &table.Snapshot{Whole: true}
+	f.cp = &snapshot.Snapshot{Whole: true}
 	o := finish(f.chart("nowhere").Step(begun, Begin{}))
 	must.Eq(t, 503, o.Status)
 	must.Positive(t, o.RetryAfterUs)
--- a/forward/choose.go
+++ b/request/dispatch/choose.go
@@ -1,11 +1,11 @@
 // The choice of a backend: the least expected time to a good answer, by what
 // this node saw of each. Pools are small, so all of one are looked at. Backends
 // that leave or stand in an evacuated zone are not in the view at all.
-package forward
+package dispatch
 
 import (
+	"wallport/request/snapshot"
 	"wallport/runtime/random"
-	"wallport/table"
 )
 
 // Standing of a backend, from best to worst.
@@ -31,7 +31,7 @@
 		out = stEjected
 	case b.stalled(now, st.silence()):
 		out = stDown
-	case s.server.Verdict >= table.Doubt && now-b.good.Load() > goodFor:
+	case s.server.Verdict >= snapshot.Doubt && now-b.good.Load() > goodFor:
 		// What others say counts while this node has no answer of its own to hold against it.
 		out = stEjected
 	default:
@@ -110,7 +110,7 @@
 	if b.stalled(now, 2*st.top.Load()) {
 		c += stallTimes * (now - b.moved.Load() + mid)
 	}
-	if s.server.Verdict == table.Slow {
+	if s.server.Verdict == snapshot.Slow {
 		c += work / 2
 	}
 	return c
@@ -136,7 +136,7 @@
 // choose finds the backend for an ask; those in tried are left out. A due trial goes first: it
 // costs the request little, since another backend can be asked soon, and is the only way back. A
 // request that may be sent only once is a trial where it would else be refused or wait for long.
-func choose(p *pool, cp *table.Snapshot, st *stats, tried []*backend, once bool, now int64, rnd *random.Source) choice {
+func choose(p *pool, cp *snapshot.Snapshot, st *stats, tried []*backend, once bool, now int64, rnd *random.Source) choice {
 	best, chance := choice{standing: stNone}, choice{standing: stNone}
 	for i := range p.seats {
 		s := &p.seats[i]
--- a/forward/desk.go
+++ b/request/dispatch/desk.go
@@ -1,15 +1,15 @@
 // The desk is what all charts of one node share: its view of the newest table,
 // what it learnt of backends and pools, and its part of the fleet's budgets.
-package forward
+package dispatch
 
 import (
 	"sync"
 	"sync/atomic"
 
+	"wallport/request/snapshot"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
 	"wallport/runtime/random"
-	"wallport/table"
 )
 
 // RetryConfig bounds the extra arrivals at a pool, for all nodes together: in any window at most
@@ -21,7 +21,7 @@
 
 // Config is what a desk is made of.
 type Config struct {
-	Table  func() *table.Snapshot
+	Table  func() *snapshot.Snapshot
 	Counts *kernel.Counts
 	Seed   uint64
 	// Now is the process's clock, in microseconds.
--- a/forward/events.go
+++ b/request/dispatch/events.go
@@ -1,14 +1,14 @@
-// Package forward is the way of one request of the routing table through a
+// Package dispatch is the way of one request of the routing table through a
 // node, as a state chart: read, matched, admitted, asked, re-asked, gathered,
 // and then answered, refused or given up. A chart takes events and returns
 // acts; a driver carries them out over real HTTP or in the simulator. Acts are
 // in the order in which they are to be carried out and hold until the next Step.
-package forward
+package dispatch
 
 import (
 	"net/http"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 // State is a named state of the chart.
@@ -111,8 +111,8 @@
 // Ask is a request to one backend.
 type Ask struct {
 	N      int
-	Server *table.Server
-	Pool   *table.Pool
+	Server *snapshot.Server
+	Pool   *snapshot.Pool
 	// WithinUs is what is left of the time, for the backend and for the driver.
 	WithinUs int64
 	// Once marks a request that must not run twice.
--- a/forward/fleet_test.go
+++ b/request/dispatch/fleet_test.go
@@ -1,5 +1,5 @@
 // What all nodes together may do: the budget of extra asks and the ramp of cold backends.
-package forward
+package dispatch
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/random"
-	"wallport/table"
 )
 
 // A process that is killed and started anew has nothing saved, however often that happens.
@@ -106,7 +106,7 @@
 	const nodes, allowance = 600, 30.0
 	for seed := range uint64(3) {
 		r := rand.New(rand.NewPCG(seed, 5))
-		cp := &table.Snapshot{Divisor: nodes}
+		cp := &snapshot.Snapshot{Divisor: nodes}
 		now := int64(60 * second)
 		var desks []*Desk
 		for range nodes {
--- a/forward/gather.go
+++ b/request/dispatch/gather.go
@@ -1,5 +1,5 @@
 // Gathered answers: one backend of every pool, and when to answer with what has come.
-package forward
+package dispatch
 
 import "math"
 
--- a/forward/gather_test.go
+++ b/request/dispatch/gather_test.go
@@ -1,5 +1,5 @@
 // Gathered answers, case by case.
-package forward
+package dispatch
 
 import (
 	"bytes"
--- a/forward/invariants_test.go
+++ b/request/dispatch/invariants_test.go
@@ -1,5 +1,5 @@
 // Every invariant of the request path is seen to be violated where it does not hold.
-package forward
+package dispatch
 
 import (
 	"testing"
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/lab/violation"
+	"wallport/request/snapshot"
 	"wallport/runtime/invariant"
-	"wallport/table"
 )
 
 // asked is a chart of a route with its first ask under way.
@@ -46,7 +46,7 @@
 
 	c, _ = asked(t, "read")
 	for i := range c.ways[0].pool.seats {
-		c.ways[0].pool.seats[i].server.Verdict = table.Leaving
+		c.ways[0].pool.seats[i].server.Verdict = snapshot.Leaving
 	}
 	must.Eq(t, invariant.NotToLeaving, asksAgain(c))
 
--- a/forward/judge_test.go
+++ b/request/dispatch/judge_test.go
@@ -1,6 +1,6 @@
 // What the world saw on its wires, and the judges of the rules. Each returns
 // what breaks its rule.
-package forward
+package dispatch
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 type arrival struct {
@@ -73,7 +73,7 @@
 		return
 	}
 	for _, s := range p.Servers {
-		if s.ID == a.Server.ID && s.Verdict < table.Leaving {
+		if s.ID == a.Server.ID && s.Verdict < snapshot.Leaving {
 			return
 		}
 	}
--- a/forward/merge.go
+++ b/request/dispatch/merge.go
@@ -1,5 +1,5 @@
 // The merge of parts: the greatest records of all of them, falling.
-package forward
+package dispatch
 
 import (
 	"cmp"
--- a/forward/merge_cost_test.go
+++ b/request/dispatch/merge_cost_test.go
@@ -1,5 +1,5 @@
 // What the merge of many parts costs, and the chart around it.
-package forward
+package dispatch
 
 import (
 	"fmt"
--- a/forward/ramp.go
+++ b/request/dispatch/ramp.go
@@ -2,7 +2,7 @@
 // requests a second. A node's part comes one whole token at a time at a moment
 // of its own, and lapses soon: nothing is saved, so that the nodes' parts never
 // meet in one second by more than chance.
-package forward
+package dispatch
 
 import (
 	"sync/atomic"
--- a/forward/replaced_test.go
+++ b/request/dispatch/replaced_test.go
@@ -1,5 +1,5 @@
 // A backend whose address has gone to another one: its answer is proof, and one is enough.
-package forward
+package dispatch
 
 import (
 	"testing"
--- a/forward/replied.go
+++ b/request/dispatch/replied.go
@@ -1,5 +1,5 @@
 // What happens as answers come or fail to come, for requests of one pool.
-package forward
+package dispatch
 
 func (c *Chart) replied(now int64, v *Replied) {
 	if v.N < 0 || v.N >= len(c.tries) || !c.tries[v.N].open {
--- a/forward/rules_test.go
+++ b/request/dispatch/rules_test.go
@@ -1,5 +1,5 @@
 // The rules, judged over whole worlds with troubles.
-package forward
+package dispatch
 
 import (
 	"testing"
--- a/forward/shared_test.go
+++ b/request/dispatch/shared_test.go
@@ -1,5 +1,5 @@
 // A desk under many threads, deadlines, and what the node's own state does to requests.
-package forward
+package dispatch
 
 import (
 	"sync"
@@ -7,14 +7,14 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 func TestDeskUnderManyThreads(t *testing.T) {
 	f := fixed(6, 5)
 	f.rich()
 	var mu sync.Mutex
-	f.Desk.cfg.Table = func() *table.Snapshot {
+	f.Desk.cfg.Table = func() *snapshot.Snapshot {
 		mu.Lock()
 		defer mu.Unlock()
 		// The table changes all the time.
--- a/forward/sites_test.go
+++ b/request/dispatch/sites_test.go
@@ -1,5 +1,5 @@
 // Deployments of other sizes.
-package forward
+package dispatch
 
 import (
 	"testing"
--- a/forward/troubles_test.go
+++ b/request/dispatch/troubles_test.go
@@ -1,5 +1,5 @@
 // Troubles of the world, and what is earned in them at least.
-package forward
+package dispatch
 
 import (
 	"cmp"
--- a/forward/view.go
+++ b/request/dispatch/view.go
@@ -1,25 +1,25 @@
 // The view is a snapshot as charts read it: each pool's backends with what
 // this node learnt of them, and each route's plan. It is made once for each
 // snapshot and then only read.
-package forward
+package dispatch
 
 import (
 	"sync"
 
 	"wallport/control/routing"
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 // seat is a backend in a pool.
 type seat struct {
-	server *table.Server
+	server *snapshot.Server
 	b      *backend
 	near   bool
 }
 
 // pool is a pool with those of its backends that may be asked.
 type pool struct {
-	*table.Pool
+	*snapshot.Pool
 	name   string
 	seats  []seat
 	budget *budget
@@ -33,7 +33,7 @@
 }
 
 type view struct {
-	cp    *table.Snapshot
+	cp    *snapshot.Snapshot
 	pools map[string]*pool
 	plans sync.Map // *routing.Route -> *plan
 }
@@ -57,7 +57,7 @@
 	return v
 }
 
-func (d *Desk) build(cp *table.Snapshot) *view {
+func (d *Desk) build(cp *snapshot.Snapshot) *view {
 	v := &view{cp: cp, pools: make(map[string]*pool, len(cp.Pools))}
 	there := 0
 	for name, p := range cp.Pools {
@@ -66,7 +66,7 @@
 			b := d.backendOf(s.ID)
 			b.listed(cp, p, s, d.cfg.Now)
 			there++
-			if s.Verdict != table.Leaving && s.Verdict != table.Drained {
+			if s.Verdict != snapshot.Leaving && s.Verdict != snapshot.Drained {
 				q.seats = append(q.seats, seat{server: s, b: b, near: s.Zone == cp.Zone})
 			}
 		}
@@ -87,7 +87,7 @@
 	add := func(name string) {
 		q := v.pools[name]
 		if q == nil {
-			q = &pool{Pool: &table.Pool{}, name: name, budget: d.budgetOf(name)}
+			q = &pool{Pool: &snapshot.Pool{}, name: name, budget: d.budgetOf(name)}
 		}
 		p.pools = append(p.pools, q)
 		p.stats = append(p.stats, d.statsOf(name, r))
--- a/forward/world_test.go
+++ b/request/dispatch/world_test.go
@@ -1,5 +1,5 @@
 // A small world on simulated time: nodes, backends, clients and what lies between them.
-package forward
+package dispatch
 
 import (
 	"container/heap"
@@ -8,9 +8,9 @@
 
 	"wallport/api/routingpb"
 	"wallport/control/routing"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 type event struct {
@@ -78,8 +78,8 @@
 	w      *world
 	zone   string
 	desk   *Desk
-	gauges *table.Gauges
-	cp     *table.Snapshot
+	gauges *snapshot.Gauges
+	cp     *snapshot.Snapshot
 	rt     *routing.Table
 	dead   bool
 	// late is how long after a change its table follows.
@@ -131,7 +131,7 @@
 }
 
 func (w *world) node(i int) *simNode {
-	n := &simNode{w: w, zone: w.zone(i), gauges: &table.Gauges{}, late: int64(w.rnd.IntN(300_000))}
+	n := &simNode{w: w, zone: w.zone(i), gauges: &snapshot.Gauges{}, late: int64(w.rnd.IntN(300_000))}
 	n.start(w.now - 60_000_000)
 	return n
 }
@@ -139,10 +139,10 @@
 // start begins a new life of the node's process.
 func (n *simNode) start(began int64) {
 	n.desk = NewDesk(Config{
-		Table: func() *table.Snapshot { return n.cp }, Counts: kernel.NewCounts(), Seed: n.w.rnd.Uint64(), Now: began,
+		Table: func() *snapshot.Snapshot { return n.cp }, Counts: kernel.NewCounts(), Seed: n.w.rnd.Uint64(), Now: began,
 		Retry: RetryConfig{Ratio: 0.2, Allowance: n.w.allowance, WindowUs: 10_000_000},
 	})
-	n.gauges, n.dead = &table.Gauges{}, false
+	n.gauges, n.dead = &snapshot.Gauges{}, false
 	n.take()
 }
 
@@ -181,20 +181,20 @@
 			live++
 		}
 	}
-	cp := &table.Snapshot{At: w.now, Zone: n.zone, Divisor: max(live, w.shape.nodes), Peers: live, Routing: n.rt, Pools: map[string]*table.Pool{}, Whole: true}
+	cp := &snapshot.Snapshot{At: w.now, Zone: n.zone, Divisor: max(live, w.shape.nodes), Peers: live, Routing: n.rt, Pools: map[string]*snapshot.Pool{}, Whole: true}
 	for name, p := range n.rt.Pools {
-		cp.Pools[name] = &table.Pool{Pool: p}
+		cp.Pools[name] = &snapshot.Pool{Pool: p}
 	}
 	for _, b := range w.backends {
 		if b.gone {
 			continue
 		}
-		s := &table.Server{Server: wire.Server{ID: b.id, Zone: b.zone, Pool: b.pool, Slots: b.slots, ColdUs: max(0, b.cold-w.now)}, Gauge: n.gauges.Of(b.id)}
+		s := &snapshot.Server{Server: wire.Server{ID: b.id, Zone: b.zone, Pool: b.pool, Slots: b.slots, ColdUs: max(0, b.cold-w.now)}, Gauge: n.gauges.Of(b.id)}
 		switch {
 		case b.leaving:
-			s.Verdict = table.Leaving
+			s.Verdict = snapshot.Leaving
 		case w.emptied[b.zone]:
-			s.Verdict = table.Drained
+			s.Verdict = snapshot.Drained
 		}
 		if p := cp.Pools[b.pool]; p != nil {
 			p.Servers = append(p.Servers, s)
--- a/gateway/answer.go
+++ b/request/gateway/answer.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"strings"
 
-	"wallport/forward"
+	"wallport/request/dispatch"
 )
 
 // answer writes what a request came to.
-func (h *handler) answer(w http.ResponseWriter, r *http.Request, o *forward.Outcome) {
+func (h *handler) answer(w http.ResponseWriter, r *http.Request, o *dispatch.Outcome) {
 	head := w.Header()
 	// Whoever reads the flag first has it: an answer that is to be the last one says so.
 	if h.s.drains.Load() {
@@ -49,7 +49,7 @@
 }
 
 // own writes an answer of the node itself.
-func own(w http.ResponseWriter, o *forward.Outcome) {
+func own(w http.ResponseWriter, o *dispatch.Outcome) {
 	b := strconv.AppendQuoteToASCII([]byte(`{"code":`), o.Code)
 	b = append(strconv.AppendQuoteToASCII(append(b, `,"why":`...), o.Why), "}\n"...)
 	head := w.Header()
--- a/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -18,12 +18,12 @@
 	"go.uber.org/zap"
 
 	"wallport/api/routingpb"
-	"wallport/backend"
 	"wallport/control/routing"
-	"wallport/forward"
+	"wallport/request/backend"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 const peerVar = "WALLPORT_BENCH_PEER"
@@ -37,17 +37,17 @@
 }
 
 // benchTable has a gathered route over some shards and a single one, four backends to a pool.
-func benchTable(shards int, addrs []string) *table.Snapshot {
+func benchTable(shards int, addrs []string) *snapshot.Snapshot {
 	src := &routingpb.RoutingTable{Revision: 1, Limits: &routingpb.Limits{}}
-	cp := &table.Snapshot{Whole: true, Divisor: 1, Peers: 1, Pools: map[string]*table.Pool{}}
+	cp := &snapshot.Snapshot{Whole: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
 	var names []string
 	for i := range len(addrs) / 4 {
 		name := fmt.Sprint("pool-", i)
 		names = append(names, name)
 		src.Pools = append(src.Pools, &routingpb.Pool{Name: name, MaxConnections: 100})
-		p := &table.Pool{Pool: src.Pools[i]}
+		p := &snapshot.Pool{Pool: src.Pools[i]}
 		for k, addr := range addrs[4*i : 4*i+4] {
-			p.Servers = append(p.Servers, &table.Server{Server: wire.Server{ID: fmt.Sprint("i-", i, "-", k), Addr: addr, Pool: name, Slots: 8, Incarnation: 1}, Gauge: new(table.Gauge)})
+			p.Servers = append(p.Servers, &snapshot.Server{Server: wire.Server{ID: fmt.Sprint("i-", i, "-", k), Addr: addr, Pool: name, Slots: 8, Incarnation: 1}, Gauge: new(snapshot.Gauge)})
 		}
 		cp.Pools[name] = p
 	}
@@ -92,14 +92,14 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	cp, counts, began := benchTable(shards, addrs), kernel.NewCounts(), time.Now()
 	now := func() int64 { return time.Since(began).Microseconds() }
-	get := func() *table.Snapshot { return cp }
-	desk := forward.NewDesk(forward.Config{Table: get, Counts: counts, Seed: 1, Retry: forward.RetryConfig{Ratio: 0.2, Allowance: 60}})
+	get := func() *snapshot.Snapshot { return cp }
+	desk := dispatch.NewDesk(dispatch.Config{Table: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
 	k := backend.New(backend.Config{Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotRun: "Did-Not-Run"}, Counts: counts})
 	defer k.Close()
 	s, err := Open(Config{
 		Addr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Parts: "Stamps", Missing: "Parts-Missing"},
 		Log: zap.NewNop(), Counts: counts, Backends: k, Table: get, Now: now, GraceUs: 1_000_000,
-		Chart: func(r forward.Request, now int64) Chart { return forward.NewChart(desk, r, now) },
+		Chart: func(r dispatch.Request, now int64) Chart { return dispatch.NewChart(desk, r, now) },
 	})
 	must.NoError(b, err)
 	defer s.Stop()
--- a/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -13,10 +13,10 @@
 
 	"go.uber.org/zap"
 
-	"wallport/backend"
-	"wallport/forward"
+	"wallport/request/backend"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
-	"wallport/table"
 )
 
 // Names are the header names and the path that a platform uses.
@@ -26,9 +26,9 @@
 	ReadyPath string
 }
 
-// Chart is one request's state chart; forward.Chart is it.
+// Chart is one request's state chart; dispatch.Chart is it.
 type Chart interface {
-	Step(now int64, ev forward.Event) []forward.Act
+	Step(now int64, ev dispatch.Event) []dispatch.Act
 	Done() bool
 }
 
@@ -43,9 +43,9 @@
 	Counts   *kernel.Counts
 	Backends *backend.Client
 	// Table is the snapshot in force.
-	Table func() *table.Snapshot
+	Table func() *snapshot.Snapshot
 	// Chart makes a request's chart.
-	Chart func(r forward.Request, now int64) Chart
+	Chart func(r dispatch.Request, now int64) Chart
 	// Ready tells whether the newest known configuration is in force; nil is that of the snapshot.
 	Ready func() bool
 	// Now is the process's clock in microseconds. Refresh, where it is set, waits after a freeze until
--- a/gateway/handler.go
+++ b/request/gateway/handler.go
@@ -15,8 +15,8 @@
 
 	"go.uber.org/zap"
 
-	"wallport/backend"
-	"wallport/forward"
+	"wallport/request/backend"
+	"wallport/request/dispatch"
 )
 
 type handler struct {
@@ -97,13 +97,13 @@
 }
 
 // handle takes a request that was read whole to its outcome.
-func (h *handler) handle(r *http.Request, req forward.Request) forward.Outcome {
+func (h *handler) handle(r *http.Request, req dispatch.Request) dispatch.Outcome {
 	s := h.s
 	s.open.Add(1)
 	defer s.open.Add(-1)
 	s.c.Refresh()
 	if c := s.c.Table(); c == nil || c.Routing == nil {
-		return forward.Outcome{Status: http.StatusServiceUnavailable, Code: "refused", Why: "no routing table yet", RetryAfterUs: comeBackUs}
+		return dispatch.Outcome{Status: http.StatusServiceUnavailable, Code: "refused", Why: "no routing table yet", RetryAfterUs: comeBackUs}
 	}
 	return s.run(r.Context(), req)
 }
@@ -114,7 +114,7 @@
 	h.s.c.Sampled.Warn("request_invalid", zap.String("from", r.RemoteAddr), zap.Strings("id", r.Header[h.names.ID]), zap.String("method", r.Method),
 		zap.String("path", r.URL.Path), zap.Int("status", status), zap.String("why", why))
 	last(w)
-	o := forward.Outcome{Status: status, Code: "invalid", Why: why}
+	o := dispatch.Outcome{Status: status, Code: "invalid", Why: why}
 	if status == http.StatusServiceUnavailable {
 		o.Code, o.RetryAfterUs = "refused", comeBackUs
 	}
@@ -165,22 +165,22 @@
 }
 
 // request is what goes on to a backend.
-func (h *handler) request(r *http.Request, body []byte) (forward.Request, string) {
+func (h *handler) request(r *http.Request, body []byte) (dispatch.Request, string) {
 	ids := r.Header[h.names.ID]
 	if len(ids) != 1 || ids[0] == "" {
-		return forward.Request{}, "one " + h.names.ID + " is needed"
+		return dispatch.Request{}, "one " + h.names.ID + " is needed"
 	}
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		_, rest, ok := strings.Cut(target, "://")
 		i := strings.IndexByte(rest, '/')
 		if !ok || i <= 0 {
-			return forward.Request{}, "the target has no path"
+			return dispatch.Request{}, "the target has no path"
 		}
 		target = rest[i:]
 	}
 	path, _, _ := strings.Cut(target, "?")
-	req := forward.Request{ID: ids[0], Method: r.Method, Target: target, Path: path, Host: r.Host, Body: body, ReadUs: h.s.c.Now()}
+	req := dispatch.Request{ID: ids[0], Method: r.Method, Target: target, Path: path, Host: r.Host, Body: body, ReadUs: h.s.c.Now()}
 	if v := r.Header[h.names.Budget]; len(v) == 1 {
 		if ms, err := strconv.ParseUint(v[0], 10, 40); err == nil {
 			req.BudgetUs = int64(ms) * 1000
--- a/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -15,8 +15,8 @@
 
 	"wallport/api/routingpb"
 	"wallport/control/routing"
-	"wallport/forward"
-	"wallport/table"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 )
 
 // longUs is a time that no test takes, briefUs one that a silent backend is to reach.
@@ -38,19 +38,19 @@
 		Limits: &routingpb.Limits{},
 	}
 	w := newWorld(t, func(w *world, c *Config) {
-		desk := forward.NewDesk(forward.Config{Table: w.cp.Load, Counts: w.counts, Seed: 1, Now: w.now(), Retry: forward.RetryConfig{Ratio: 0.2, Allowance: 60, WindowUs: 10_000_000}})
-		c.Chart = func(r forward.Request, now int64) Chart { return forward.NewChart(desk, r, now) }
+		desk := dispatch.NewDesk(dispatch.Config{Table: w.cp.Load, Counts: w.counts, Seed: 1, Now: w.now(), Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60, WindowUs: 10_000_000}})
+		c.Chart = func(r dispatch.Request, now int64) Chart { return dispatch.NewChart(desk, r, now) }
 	})
 	compiled := routing.Compile(config)
-	gauges := &table.Gauges{}
-	pool := &table.Pool{Pool: compiled.Pools["desk"]}
+	gauges := &snapshot.Gauges{}
+	pool := &snapshot.Pool{Pool: compiled.Pools["desk"]}
 	for i := range 2 {
 		s := w.server
 		s.ID = fmt.Sprintf("i-%d", i+1)
 		s.Gauge = gauges.Of(s.ID)
 		pool.Servers = append(pool.Servers, &s)
 	}
-	w.cp.Store(&table.Snapshot{Whole: true, Divisor: 1, Peers: 1, Routing: compiled, Pools: map[string]*table.Pool{"desk": pool}})
+	w.cp.Store(&snapshot.Snapshot{Whole: true, Divisor: 1, Peers: 1, Routing: compiled, Pools: map[string]*snapshot.Pool{"desk": pool}})
 	return w
 }
 
--- a/gateway/request_test.go
+++ b/request/gateway/request_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/forward"
+	"wallport/request/dispatch"
 )
 
 func TestPassedOnUnchanged(t *testing.T) {
@@ -118,52 +118,52 @@
 // TestAnswers writes each kind of outcome.
 func TestAnswers(t *testing.T) {
 	w := newWorld(t, nil)
-	var o atomic.Pointer[forward.Outcome]
-	w.step = func(*script, forward.Event) []forward.Act { return []forward.Act{finish(*o.Load())} }
+	var o atomic.Pointer[dispatch.Outcome]
+	w.step = func(*script, dispatch.Event) []dispatch.Act { return []dispatch.Act{finish(*o.Load())} }
 	c := w.dial()
-	ask := func(method string, out forward.Outcome) (*http.Response, string) {
+	ask := func(method string, out dispatch.Outcome) (*http.Response, string) {
 		o.Store(&out)
 		c.send(strings.Replace(get("a"), "GET", method, 1))
 		return c.answer(method)
 	}
-	resp, body := ask("GET", forward.Outcome{Status: 200, Code: "ok", Seals: []string{"a.1", "b.2"}, Missing: 1, Body: []byte("0123456789abcdef")})
+	resp, body := ask("GET", dispatch.Outcome{Status: 200, Code: "ok", Seals: []string{"a.1", "b.2"}, Missing: 1, Body: []byte("0123456789abcdef")})
 	must.Eq(t, 200, resp.StatusCode)
 	must.Eq(t, []string{"a.1, b.2"}, resp.Header["Stamps"])
 	must.Eq(t, []string{"1"}, resp.Header["Parts-Missing"])
 	must.Eq(t, "0123456789abcdef", body)
 	must.MapNotContainsKeys(t, resp.Header, []string{"Content-Type"})
 
-	resp, body = ask("GET", forward.Outcome{Status: 200, Code: "ok", Seals: []string{"a.1"}, Body: []byte{}})
+	resp, body = ask("GET", dispatch.Outcome{Status: 200, Code: "ok", Seals: []string{"a.1"}, Body: []byte{}})
 	must.Eq(t, []string{"a.1"}, resp.Header["Stamps"])
 	must.MapNotContainsKeys(t, resp.Header, []string{"Parts-Missing"})
 	must.Eq(t, "", body)
 
-	resp, body = ask("GET", forward.Outcome{Status: 503, Code: "refused", Why: "full \"up\"", RetryAfterUs: 123_456})
+	resp, body = ask("GET", dispatch.Outcome{Status: 503, Code: "refused", Why: "full \"up\"", RetryAfterUs: 123_456})
 	must.Eq(t, 503, resp.StatusCode)
 	must.Eq(t, "0.123", resp.Header.Get("Retry-After"))
 	must.Eq(t, "application/json", resp.Header.Get("Content-Type"))
 	must.Eq(t, "{\"code\":\"refused\",\"why\":\"full \\\"up\\\"\"}\n", body)
 
-	resp, _ = ask("GET", forward.Outcome{Status: 404, Code: "no_route"})
+	resp, _ = ask("GET", dispatch.Outcome{Status: 404, Code: "no_route"})
 	must.Eq(t, 404, resp.StatusCode)
 	must.MapNotContainsKeys(t, resp.Header, []string{"Retry-After"})
 
-	answer := &forward.Reply{Status: 500, Head: http.Header{"Date": {"then"}, "Stamp": {"s"}}, Body: []byte("no")}
-	resp, body = ask("GET", forward.Outcome{Status: 500, Code: "passed", Answer: answer})
+	answer := &dispatch.Reply{Status: 500, Head: http.Header{"Date": {"then"}, "Stamp": {"s"}}, Body: []byte("no")}
+	resp, body = ask("GET", dispatch.Outcome{Status: 500, Code: "passed", Answer: answer})
 	must.Eq(t, 500, resp.StatusCode)
 	must.Eq(t, []string{"then"}, resp.Header["Date"])
 	must.Eq(t, "no", body)
 
-	resp, body = ask("HEAD", forward.Outcome{Status: 200, Answer: &forward.Reply{Status: 200, Head: http.Header{"Content-Length": {"77"}}}})
+	resp, body = ask("HEAD", dispatch.Outcome{Status: 200, Answer: &dispatch.Reply{Status: 200, Head: http.Header{"Content-Length": {"77"}}}})
 	must.Eq(t, 77, resp.ContentLength)
 	must.Eq(t, "", body)
-	resp, _ = ask("HEAD", forward.Outcome{Status: 404, Code: "no_route"})
+	resp, _ = ask("HEAD", dispatch.Outcome{Status: 404, Code: "no_route"})
 	must.Eq(t, 404, resp.StatusCode)
 
-	resp, body = ask("GET", forward.Outcome{Status: 204, Answer: &forward.Reply{Status: 204, Head: http.Header{"Stamp": {"s"}}}})
+	resp, body = ask("GET", dispatch.Outcome{Status: 204, Answer: &dispatch.Reply{Status: 204, Head: http.Header{"Stamp": {"s"}}}})
 	must.Eq(t, 204, resp.StatusCode)
 	must.Eq(t, "", body)
-	resp, _ = ask("GET", forward.Outcome{Status: 299, Answer: &forward.Reply{Status: 299, Body: []byte("x")}})
+	resp, _ = ask("GET", dispatch.Outcome{Status: 299, Answer: &dispatch.Reply{Status: 299, Body: []byte("x")}})
 	must.Eq(t, 299, resp.StatusCode)
 }
 
--- a/gateway/run.go
+++ b/request/gateway/run.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"wallport/backend"
-	"wallport/forward"
+	"wallport/request/backend"
+	"wallport/request/dispatch"
 )
 
 type run struct {
@@ -25,7 +25,7 @@
 	open     []under
 	few      [4]under
 	finished bool
-	out      forward.Outcome
+	out      dispatch.Outcome
 }
 
 // under is an ask under way.
@@ -37,14 +37,14 @@
 }
 
 // run takes a request through its chart.
-func (s *Server) run(ctx context.Context, req forward.Request) forward.Outcome {
+func (s *Server) run(ctx context.Context, req dispatch.Request) dispatch.Outcome {
 	now := s.c.Now()
 	r := &run{s: s, over: make(chan struct{}), chart: s.c.Chart(req, now)}
 	r.open = r.few[:0]
 	r.mu.Lock()
-	asks := r.carry(r.chart.Step(now, forward.Begin{}))
+	asks := r.carry(r.chart.Step(now, dispatch.Begin{}))
 	r.mu.Unlock()
-	gone := context.AfterFunc(ctx, func() { r.step(forward.Gone{}) })
+	gone := context.AfterFunc(ctx, func() { r.step(dispatch.Gone{}) })
 	for len(asks) == 1 && asks[0].once {
 		asks = r.replied(asks[0], asks[0].x.Run())
 	}
@@ -64,16 +64,16 @@
 	}
 }
 
-func (r *run) replied(u under, rep forward.Reply) []under {
-	asks := r.advance(forward.Replied{N: u.n, Reply: rep})
+func (r *run) replied(u under, rep dispatch.Reply) []under {
+	asks := r.advance(dispatch.Replied{N: u.n, Reply: rep})
 	r.s.asks.Add(-1)
 	return asks
 }
 
-func (r *run) step(ev forward.Event) { r.begin(r.advance(ev)) }
+func (r *run) step(ev dispatch.Event) { r.begin(r.advance(ev)) }
 
 // advance gives the chart an event, carries out what it asks for and returns the asks to be begun.
-func (r *run) advance(ev forward.Event) []under {
+func (r *run) advance(ev dispatch.Event) []under {
 	r.s.c.Refresh()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,35 +81,35 @@
 }
 
 // carry carries out what the chart asks for, and returns the asks that are to be begun.
-func (r *run) carry(acts []forward.Act) []under {
+func (r *run) carry(acts []dispatch.Act) []under {
 	first := len(r.open)
 	for _, a := range acts {
 		switch v := a.(type) {
-		case forward.Ask:
+		case dispatch.Ask:
 			r.s.asks.Add(1)
 			r.open = append(r.open, under{v.N, r.s.c.Backends.Start(v), v.Once})
-		case forward.Cancel:
+		case dispatch.Cancel:
 			for _, u := range r.open {
 				if u.n == v.N {
 					u.x.Cancel()
 				}
 			}
-		case forward.Leave:
+		case dispatch.Leave:
 			for _, u := range r.open {
 				if u.n == v.N {
 					u.x.Leave()
 				}
 			}
-		case forward.Wake:
+		case dispatch.Wake:
 			r.wake(v.At)
-		case forward.Finish:
+		case dispatch.Finish:
 			r.finish(v.Outcome)
 		}
 	}
 	return r.open[first:]
 }
 
-func (r *run) finish(o forward.Outcome) {
+func (r *run) finish(o dispatch.Outcome) {
 	if r.finished {
 		return
 	}
@@ -142,7 +142,7 @@
 	}
 	r.woke = 0
 	r.mu.Unlock()
-	r.step(forward.Due{})
+	r.step(dispatch.Due{})
 }
 
 // task is an ask that a worker carries out.
--- a/gateway/run_test.go
+++ b/request/gateway/run_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/forward"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // held makes the backend hold each request until it is let go, by its ask's path.
@@ -44,7 +44,7 @@
 }
 
 // to is an ask with a path of its own, so that the backend can tell it from others.
-func (s *script) to(n int, path string, once bool) forward.Ask {
+func (s *script) to(n int, path string, once bool) dispatch.Ask {
 	a := s.ask(n, once)
 	req := *a.Request
 	req.Target = path
@@ -62,15 +62,15 @@
 			c.answer("GET")
 		}
 		h := w.hold("/first", "/second")
-		w.step = func(s *script, ev forward.Event) []forward.Act {
+		w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
 			switch v := ev.(type) {
-			case forward.Begin:
-				return []forward.Act{s.to(0, "/first", false), forward.Wake{At: w.now() + 20_000}}
-			case forward.Due:
-				return []forward.Act{s.to(1, "/second", false)}
-			case forward.Replied:
+			case dispatch.Begin:
+				return []dispatch.Act{s.to(0, "/first", false), dispatch.Wake{At: w.now() + 20_000}}
+			case dispatch.Due:
+				return []dispatch.Act{s.to(1, "/second", false)}
+			case dispatch.Replied:
 				if v.N == 1 {
-					return []forward.Act{forward.Leave{N: 0}, finish(forward.Outcome{Status: 200, Answer: &v.Reply})}
+					return []dispatch.Act{dispatch.Leave{N: 0}, finish(dispatch.Outcome{Status: 200, Answer: &v.Reply})}
 				}
 			}
 			return nil
@@ -87,8 +87,8 @@
 		// The one that was left runs out, and the chart hears of it.
 		h.leave["/first"] <- true
 		for {
-			if r := await[forward.Replied](w); r.N == 0 && string(r.Reply.Body) == "/first" {
-				must.Eq(t, forward.ClassAnswer, r.Reply.Class)
+			if r := await[dispatch.Replied](w); r.N == 0 && string(r.Reply.Body) == "/first" {
+				must.Eq(t, dispatch.ClassAnswer, r.Reply.Class)
 				break
 			}
 		}
@@ -100,15 +100,15 @@
 	w := newWorld(t, nil)
 	paths := []string{"/0", "/1", "/2", "/3", "/4", "/5"}
 	h := w.hold(paths...)
-	w.step = func(s *script, ev forward.Event) (acts []forward.Act) {
+	w.step = func(s *script, ev dispatch.Event) (acts []dispatch.Act) {
 		switch v := ev.(type) {
-		case forward.Begin:
+		case dispatch.Begin:
 			for n, p := range paths {
 				acts = append(acts, s.to(n, p, false))
 			}
-		case forward.Replied:
+		case dispatch.Replied:
 			if len(w.events[s.req.ID]) == 4 {
-				return []forward.Act{forward.Cancel{N: 4}, forward.Cancel{N: 5}, forward.Leave{N: 3}, finish(forward.Outcome{Status: 200, Seals: []string{"x"}, Missing: 3, Body: v.Reply.Body})}
+				return []dispatch.Act{dispatch.Cancel{N: 4}, dispatch.Cancel{N: 5}, dispatch.Leave{N: 3}, finish(dispatch.Outcome{Status: 200, Seals: []string{"x"}, Missing: 3, Body: v.Reply.Body})}
 			}
 		}
 		return acts
@@ -127,8 +127,8 @@
 	must.Eq(t, map[string]bool{"/4": true, "/5": true}, gone, must.Sprint("cancelled ones are broken off"))
 	h.leave["/3"] <- true
 	for {
-		if r := await[forward.Replied](w); r.N == 3 {
-			must.Eq(t, forward.ClassAnswer, r.Reply.Class, must.Sprint("the one that was left is not"))
+		if r := await[dispatch.Replied](w); r.N == 3 {
+			must.Eq(t, dispatch.ClassAnswer, r.Reply.Class, must.Sprint("the one that was left is not"))
 			return
 		}
 	}
@@ -138,14 +138,14 @@
 func TestClientGone(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.hold("/once", "/again")
-	w.step = func(s *script, ev forward.Event) []forward.Act {
+	w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
 		switch ev.(type) {
-		case forward.Begin:
-			return []forward.Act{s.to(0, "/once", true), s.to(1, "/again", false), forward.Wake{At: w.now() + 1000}}
-		case forward.Due:
-			return []forward.Act{forward.Wake{At: w.now() + 1000}}
-		case forward.Gone:
-			return []forward.Act{forward.Leave{N: 0}, forward.Cancel{N: 1}, finish(forward.Outcome{Code: "client_gone"})}
+		case dispatch.Begin:
+			return []dispatch.Act{s.to(0, "/once", true), s.to(1, "/again", false), dispatch.Wake{At: w.now() + 1000}}
+		case dispatch.Due:
+			return []dispatch.Act{dispatch.Wake{At: w.now() + 1000}}
+		case dispatch.Gone:
+			return []dispatch.Act{dispatch.Leave{N: 0}, dispatch.Cancel{N: 1}, finish(dispatch.Outcome{Code: "client_gone"})}
 		}
 		return nil
 	}
@@ -153,13 +153,13 @@
 	c.send(get("a"))
 	<-h.enter
 	<-h.enter
-	await[forward.Due](w)
+	await[dispatch.Due](w)
 	must.NoError(t, c.Close())
-	await[forward.Gone](w)
+	await[dispatch.Gone](w)
 	must.Eq(t, "/again", <-h.gone)
 	h.leave["/once"] <- true
 	for {
-		if r := await[forward.Replied](w); r.N == 0 {
+		if r := await[dispatch.Replied](w); r.N == 0 {
 			must.Eq(t, "/once", string(r.Reply.Body))
 			return
 		}
@@ -176,13 +176,13 @@
 		}
 		conn.Close()
 	}
-	nobody := table.Server{Server: wire.Server{ID: "i-1", Addr: freeAddr(t)}}
-	w.step = func(s *script, ev forward.Event) []forward.Act {
+	nobody := snapshot.Server{Server: wire.Server{ID: "i-1", Addr: freeAddr(t)}}
+	w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
 		acts := passOn(s, ev)
-		if _, ok := ev.(forward.Begin); ok && s.req.ID == "nobody" {
-			a := acts[0].(forward.Ask)
+		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "nobody" {
+			a := acts[0].(dispatch.Ask)
 			a.Server = &nobody
-			return []forward.Act{a}
+			return []dispatch.Act{a}
 		}
 		return acts
 	}
@@ -203,8 +203,8 @@
 // TestNotAnswered closes the connection where there is nothing to say.
 func TestNotAnswered(t *testing.T) {
 	w := newWorld(t, nil)
-	w.step = func(*script, forward.Event) []forward.Act {
-		return []forward.Act{finish(forward.Outcome{Code: "client_gone"})}
+	w.step = func(*script, dispatch.Event) []dispatch.Act {
+		return []dispatch.Act{finish(dispatch.Outcome{Code: "client_gone"})}
 	}
 	c := w.dial()
 	c.send(get("a"))
@@ -239,6 +239,6 @@
 	}
 	h.leave["/a"] <- true
 	thaw <- true
-	await[forward.Replied](w)
+	await[dispatch.Replied](w)
 	c.answer("GET")
 }
--- a/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/forward"
-	"wallport/table"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 )
 
 func freeAddr(t *testing.T) string {
@@ -48,7 +48,7 @@
 	c := w.dial()
 	c.send(get("a"))
 	c.answer("GET")
-	w.cp.Store(&table.Snapshot{})
+	w.cp.Store(&snapshot.Snapshot{})
 	must.Eq(t, 503, status("/ready"))
 }
 
@@ -108,11 +108,11 @@
 func TestStopLeavesNoWorkBroken(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.hold("/left")
-	w.step = func(s *script, ev forward.Event) []forward.Act {
-		if _, ok := ev.(forward.Begin); ok {
-			return []forward.Act{s.to(0, "/left", false), forward.Wake{At: w.now() + 1000}}
+	w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
+		if _, ok := ev.(dispatch.Begin); ok {
+			return []dispatch.Act{s.to(0, "/left", false), dispatch.Wake{At: w.now() + 1000}}
 		}
-		return []forward.Act{forward.Leave{N: 0}, finish(forward.Outcome{Status: 504, Code: "given_up"})}
+		return []dispatch.Act{dispatch.Leave{N: 0}, finish(dispatch.Outcome{Status: 504, Code: "given_up"})}
 	}
 	c := w.dial()
 	c.send(get("a"))
--- a/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -19,12 +19,12 @@
 	"go.uber.org/zap"
 
 	"wallport/api/routingpb"
-	"wallport/backend"
 	"wallport/control/routing"
-	"wallport/forward"
+	"wallport/request/backend"
+	"wallport/request/dispatch"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 var testNames = Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Target: "Meant-For", Parts: "Stamps", Missing: "Parts-Missing", ReadyPath: "/ready"}
@@ -32,40 +32,40 @@
 // script is a chart that does as it is told; step is called with what the chart was given so far.
 type script struct {
 	w    *world
-	req  forward.Request
-	step func(s *script, ev forward.Event) []forward.Act
+	req  dispatch.Request
+	step func(s *script, ev dispatch.Event) []dispatch.Act
 	over bool
 }
 
 func (s *script) Done() bool { return s.over }
 
-func (s *script) Step(_ int64, ev forward.Event) []forward.Act {
+func (s *script) Step(_ int64, ev dispatch.Event) []dispatch.Act {
 	s.w.note(s.req.ID, ev)
 	acts := s.step(s, ev)
 	for _, a := range acts {
-		if _, ok := a.(forward.Finish); ok {
+		if _, ok := a.(dispatch.Finish); ok {
 			s.over = true
 		}
 	}
 	return acts
 }
 
-func (s *script) ask(n int, once bool) forward.Ask {
-	return forward.Ask{N: n, Server: &s.w.server, WithinUs: 20_000_000, Once: once, Request: &s.req}
+func (s *script) ask(n int, once bool) dispatch.Ask {
+	return dispatch.Ask{N: n, Server: &s.w.server, WithinUs: 20_000_000, Once: once, Request: &s.req}
 }
 
-func finish(o forward.Outcome) forward.Finish { return forward.Finish{Outcome: o} }
+func finish(o dispatch.Outcome) dispatch.Finish { return dispatch.Finish{Outcome: o} }
 
 // passOn asks once and passes on what comes.
-func passOn(s *script, ev forward.Event) []forward.Act {
+func passOn(s *script, ev dispatch.Event) []dispatch.Act {
 	switch v := ev.(type) {
-	case forward.Begin:
-		return []forward.Act{s.ask(0, true)}
-	case forward.Replied:
-		if v.Reply.Class == forward.ClassAnswer {
-			return []forward.Act{finish(forward.Outcome{Status: v.Reply.Status, Code: "ok", Answer: &v.Reply})}
+	case dispatch.Begin:
+		return []dispatch.Act{s.ask(0, true)}
+	case dispatch.Replied:
+		if v.Reply.Class == dispatch.ClassAnswer {
+			return []dispatch.Act{finish(dispatch.Outcome{Status: v.Reply.Status, Code: "ok", Answer: &v.Reply})}
 		}
-		return []forward.Act{finish(forward.Outcome{Status: 502, Code: "unknown", Why: v.Reply.Why})}
+		return []dispatch.Act{finish(dispatch.Outcome{Status: 502, Code: "unknown", Why: v.Reply.Why})}
 	}
 	return nil
 }
@@ -79,17 +79,17 @@
 type world struct {
 	t      *testing.T
 	s      *Server
-	server table.Server
-	cp     atomic.Pointer[table.Snapshot]
+	server snapshot.Server
+	cp     atomic.Pointer[snapshot.Snapshot]
 	now    func() int64
-	step   func(s *script, ev forward.Event) []forward.Act
+	step   func(s *script, ev dispatch.Event) []dispatch.Act
 	serve  func(w http.ResponseWriter, r *http.Request)
 	counts *kernel.Counts
 
 	mu     sync.Mutex
 	seen   []seen
-	events map[string][]forward.Event
-	told   chan forward.Event
+	events map[string][]dispatch.Event
+	told   chan dispatch.Event
 }
 
 // serves has the backend serve in another way from now on.
@@ -106,7 +106,7 @@
 }
 
 func newWorld(t *testing.T, change func(w *world, c *Config)) *world {
-	w := &world{t: t, step: passOn, events: map[string][]forward.Event{}, told: make(chan forward.Event, 1000), counts: kernel.NewCounts()}
+	w := &world{t: t, step: passOn, events: map[string][]dispatch.Event{}, told: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
 	w.serve = func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") }
 	b := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -118,7 +118,7 @@
 		w.serving()(rw, r)
 	}))
 	t.Cleanup(b.Close)
-	w.server = table.Server{Server: wire.Server{ID: "i-1", Addr: b.Listener.Addr().String()}}
+	w.server = snapshot.Server{Server: wire.Server{ID: "i-1", Addr: b.Listener.Addr().String()}}
 	w.limits(&routingpb.Limits{})
 	began := time.Now()
 	w.now = func() int64 { return time.Since(began).Microseconds() }
@@ -127,7 +127,7 @@
 	c := Config{
 		Addr: "127.0.0.1:0", Names: testNames, Log: zap.NewNop(), Counts: w.counts, Backends: k, Table: w.cp.Load,
 		Now: func() int64 { return w.now() }, GraceUs: 30_000_000, AcceptUs: 1,
-		Chart: func(r forward.Request, _ int64) Chart {
+		Chart: func(r dispatch.Request, _ int64) Chart {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			return &script{w: w, req: r, step: w.step}
@@ -144,10 +144,10 @@
 }
 
 func (w *world) limits(l *routingpb.Limits) {
-	w.cp.Store(&table.Snapshot{Whole: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
+	w.cp.Store(&snapshot.Snapshot{Whole: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
 }
 
-func (w *world) note(id string, ev forward.Event) {
+func (w *world) note(id string, ev dispatch.Event) {
 	w.mu.Lock()
 	w.events[id] = append(w.events[id], ev)
 	w.mu.Unlock()
@@ -155,7 +155,7 @@
 }
 
 // await waits for a chart's event of a kind.
-func await[E forward.Event](w *world) E {
+func await[E dispatch.Event](w *world) E {
 	for {
 		if ev, ok := (<-w.told).(E); ok {
 			return ev
--- a/health/health.go
+++ b/request/healthcheck/health.go
@@ -1,8 +1,8 @@
-// Package health watches the servers. Each server is probed by a few nodes
+// Package healthcheck watches the servers. Each server is probed by a few nodes
 // chosen by rendezvous, and by any node that has it ejected; what a node sees
 // of a server, on the request path or by probes, becomes its opinion, signed
 // and told over the mesh when it changes and not too often.
-package health
+package healthcheck
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"slices"
 
 	"wallport/cluster/mesh"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // Figures of the probes.
@@ -58,17 +58,17 @@
 // Checks is the plug-in of a node.
 type Checks struct {
 	mesh  *mesh.Mesh
-	table *table.Table
+	table *snapshot.Table
 	// passive is that servers in order are not probed.
 	passive bool
 	seen    map[string]*watch
 	// cp is the snapshot by whose roster and servers the probing was last shared out.
-	cp *table.Snapshot
+	cp *snapshot.Snapshot
 }
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 70, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Checks{mesh: kernel.Find[*mesh.Mesh](k), table: kernel.Find[*table.Table](k), passive: k.Boot.Env.PassiveHealth, seen: map[string]*watch{}}
+		return &Checks{mesh: kernel.Find[*mesh.Mesh](k), table: kernel.Find[*snapshot.Table](k), passive: k.Boot.Env.PassiveHealth, seen: map[string]*watch{}}
 	}})
 }
 
@@ -97,7 +97,7 @@
 
 // share settles which servers this node probes, once for each snapshot: names are hashed
 // once, and a pair of a node and a server costs a few instructions.
-func (c *Checks) share(t *kernel.Context, cp *table.Snapshot) {
+func (c *Checks) share(t *kernel.Context, cp *snapshot.Snapshot) {
 	if c.cp == cp {
 		return
 	}
@@ -193,7 +193,7 @@
 }
 
 // opine settles what this node thinks of a server and tells it when that changed.
-func (c *Checks) opine(t *kernel.Context, s *table.Server, w *watch, medians map[shard]int64) {
+func (c *Checks) opine(t *kernel.Context, s *snapshot.Server, w *watch, medians map[shard]int64) {
 	o := wire.Opinion{State: "ok", Incarnation: w.seenInc, Up: w.up}
 	if inc := s.Gauge.Incarnation.Load(); inc > o.Incarnation {
 		o.Incarnation, o.Up = inc, 0
@@ -207,7 +207,7 @@
 	switch {
 	case s.Gauge.Bad.Load() >= 2:
 		o.State = "garbage"
-	case w.missed >= LostAfter || s.Gauge.Fails.Load() >= table.EjectAfter:
+	case w.missed >= LostAfter || s.Gauge.Fails.Load() >= snapshot.EjectAfter:
 		o.State = "lost"
 	case lat > SlowFrom && lat > SlowTimes*medians[shardKey(s)]:
 		o.State = "slow"
@@ -227,11 +227,11 @@
 	n          int
 }
 
-func shardKey(s *table.Server) shard { return shard{s.Index, s.Cut, s.Shard} }
+func shardKey(s *snapshot.Server) shard { return shard{s.Index, s.Cut, s.Shard} }
 
 // shardMedians is the latency of each shard's middle server, where some server may be slow at all.
-func shardMedians(cp *table.Snapshot) map[shard]int64 {
-	if !slices.ContainsFunc(cp.Servers, func(s *table.Server) bool { return s.Gauge.Latency.Load() > SlowFrom }) {
+func shardMedians(cp *snapshot.Snapshot) map[shard]int64 {
+	if !slices.ContainsFunc(cp.Servers, func(s *snapshot.Server) bool { return s.Gauge.Latency.Load() > SlowFrom }) {
 		return nil
 	}
 	all := map[shard][]int64{}
--- a/health/health_test.go
+++ b/request/healthcheck/health_test.go
@@ -1,5 +1,5 @@
 // What many nodes meet at once of a server is told by a few of them.
-package health
+package healthcheck
 
 import (
 	"crypto/ed25519"
@@ -9,10 +9,10 @@
 
 	"wallport/cluster/discovery"
 	"wallport/cluster/mesh"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 const sick = "s1"
@@ -64,7 +64,7 @@
 func (n *node) tells() int64 { return n.k.Counts.Of("opinions_told").Load() }
 
 func (n *node) meets(fails int64) {
-	kernel.Find[*table.Table](n.k).Gauges.Of(sick).Fails.Store(fails)
+	kernel.Find[*snapshot.Table](n.k).Gauges.Of(sick).Fails.Store(fails)
 	n.looks()
 }
 
@@ -77,11 +77,11 @@
 		{0, "lost", 1}, {Enough - 1, "lost", 1}, {Enough, "lost", 0}, {Enough, "slow", 1}, {Enough + 3, "lost", 0},
 	} {
 		n := newNode(Enough + 3)
-		must.Eq(t, 1, len(kernel.Find[*table.Table](n.k).Now().Servers))
+		must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Now().Servers))
 		for i := range c.agree {
 			n.hears(i+1, "opinion", sick, &wire.Opinion{State: c.state})
 		}
-		n.meets(table.EjectAfter)
+		n.meets(snapshot.EjectAfter)
 		must.Eq(t, c.told, n.tells(), must.Sprint(c))
 	}
 }
@@ -89,7 +89,7 @@
 // One that has told goes on doing so while others agree, and takes it back when it is over.
 func TestOneThatHasToldDoesNotFallSilent(t *testing.T) {
 	n := newNode(Enough)
-	n.meets(table.EjectAfter)
+	n.meets(snapshot.EjectAfter)
 	must.Eq(t, 1, n.tells())
 	for i := range byte(Enough) {
 		n.hears(i+1, "opinion", sick, &wire.Opinion{State: "lost"})
--- a/serve/ask.go
+++ b/request/httpapi/ask.go
@@ -2,7 +2,7 @@
 // itself: the body cannot be rewound and no header marks it as repeatable. It
 // is known whether a connection was ever had, so that "not one byte was
 // written" is only said when that is certain.
-package serve
+package httpapi
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"wallport/inquiry"
+	"wallport/request/search"
 )
 
 // answerMost bounds an answer's body.
@@ -38,7 +38,7 @@
 }
 
 // Of makes the message of an ask.
-func Of(a *inquiry.Ask) Message {
+func Of(a *search.Ask) Message {
 	in := a.Inquiry
 	return Message{
 		Inquiry: a.ID, Kind: in.Kind, Index: in.Index, Cut: a.Cut, Shard: a.Shard, Query: in.Query, Limit: in.Limit,
@@ -65,11 +65,11 @@
 func (unrewindable) Close() error { return nil }
 
 // ask sends a message and checks its answer. It is written to one connection at most.
-func (k *asker) ask(ctx context.Context, a *inquiry.Ask) inquiry.Reply {
+func (k *asker) ask(ctx context.Context, a *search.Ask) search.Reply {
 	m := Of(a)
 	body, err := json.Marshal(&m)
 	if err != nil {
-		return inquiry.Reply{Class: inquiry.ReplyNotWritten, Why: err.Error()}
+		return search.Reply{Class: search.ReplyNotWritten, Why: err.Error()}
 	}
 	for {
 		rep, again := k.once(ctx, a, m.Kind, body)
@@ -80,12 +80,12 @@
 }
 
 // once sends a message on one connection; again is that this had been given up before anything was written to it.
-func (k *asker) once(ctx context.Context, a *inquiry.Ask, kind string, body []byte) (rep inquiry.Reply, again bool) {
+func (k *asker) once(ctx context.Context, a *search.Ask, kind string, body []byte) (rep search.Reply, again bool) {
 	var had atomic.Pointer[connUse]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { had.Store(beginUse(i.Conn)) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Server.Addr+"/v1/"+kind, unrewindable{bytes.NewReader(body)})
 	if err != nil {
-		return inquiry.Reply{Class: inquiry.ReplyNotWritten, Why: err.Error()}, false
+		return search.Reply{Class: search.ReplyNotWritten, Why: err.Error()}, false
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
@@ -93,27 +93,27 @@
 	used := had.Load()
 	switch {
 	case err != nil && used == nil:
-		return inquiry.Reply{Class: inquiry.ReplyNotWritten, Why: reason(err)}, false
+		return search.Reply{Class: search.ReplyNotWritten, Why: reason(err)}, false
 	case err != nil && used.unwritten(err):
-		return inquiry.Reply{Class: inquiry.ReplyNotWritten, Why: reason(err)}, ctx.Err() == nil
+		return search.Reply{Class: search.ReplyNotWritten, Why: reason(err)}, ctx.Err() == nil
 	case err != nil:
-		return inquiry.Reply{Class: inquiry.ReplyFailed, Why: reason(err)}, false
+		return search.Reply{Class: search.ReplyFailed, Why: reason(err)}, false
 	}
 	rep = receive(a, resp)
-	if rep.Class == inquiry.ReplyGarbage && used != nil {
+	if rep.Class == search.ReplyGarbage && used != nil {
 		used.giveUp()
 	}
 	return rep, false
 }
 
 // receive reads an answer whole and checks it.
-func receive(a *inquiry.Ask, resp *http.Response) inquiry.Reply {
+func receive(a *search.Ask, resp *http.Response) search.Reply {
 	defer resp.Body.Close()
 	got, err := io.ReadAll(io.LimitReader(resp.Body, answerMost+1))
 	if err != nil || len(got) > answerMost {
-		return inquiry.Reply{Class: inquiry.ReplyFailed, Why: "answer cut short or too large"}
+		return search.Reply{Class: search.ReplyFailed, Why: "answer cut short or too large"}
 	}
-	return inquiry.Check(a, inquiry.Raw{
+	return search.Check(a, search.Raw{
 		Status: resp.StatusCode, Length: resp.ContentLength, Digest: resp.Header.Get("Content-Digest"), Body: got,
 	})
 }
--- a/serve/ask_test.go
+++ b/request/httpapi/ask_test.go
@@ -1,6 +1,6 @@
 // The transport's promise: a correction that was written once is not written
 // again by net/http itself, and "not written" is only said when it is certain.
-package serve
+package httpapi
 
 import (
 	"context"
@@ -15,15 +15,15 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/inquiry"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
-func correction(addr string) *inquiry.Ask {
-	return &inquiry.Ask{
-		ID: "n-1.aa", Server: &table.Server{Server: wire.Server{Addr: addr}}, Shards: 1, Cut: "c1", Within: 1_000_000,
-		Inquiry: &inquiry.Inquiry{Kind: inquiry.Correct, Index: "a", Record: "r", Key: "k", Body: "b"},
+func correction(addr string) *search.Ask {
+	return &search.Ask{
+		ID: "n-1.aa", Server: &snapshot.Server{Server: wire.Server{Addr: addr}}, Shards: 1, Cut: "c1", Within: 1_000_000,
+		Inquiry: &search.Inquiry{Kind: search.Correct, Index: "a", Record: "r", Key: "k", Body: "b"},
 	}
 }
 
@@ -39,8 +39,8 @@
 		peers.Store(r.RemoteAddr, true)
 		if ran.Add(1) == 1 {
 			// A good answer: after another kind the connection would not be used again.
-			body, _ := json.Marshal(inquiry.Sealed{Inquiry: m.Inquiry, Cut: m.Cut, Shard: m.Shard, Records: []inquiry.Record{{ID: m.Record}}})
-			w.Header().Set("Content-Digest", inquiry.Digest(body))
+			body, _ := json.Marshal(search.Sealed{Inquiry: m.Inquiry, Cut: m.Cut, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+			w.Header().Set("Content-Digest", search.Digest(body))
 			w.Write(body)
 			return
 		}
@@ -52,8 +52,8 @@
 	defer srv.Close()
 	a := newAsker()
 	addr := srv.Listener.Addr().String()
-	must.Eq(t, inquiry.ReplyOK, a.ask(context.Background(), correction(addr)).Class)
-	must.Eq(t, inquiry.ReplyFailed, a.ask(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ReplyOK, a.ask(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ReplyFailed, a.ask(context.Background(), correction(addr)).Class)
 	must.Eq(t, 2, ran.Load(), must.Sprint("the second was written exactly once"))
 	connections := 0
 	peers.Range(func(any, any) bool { connections++; return true })
@@ -65,7 +65,7 @@
 	must.NoError(t, err)
 	addr := l.Addr().String()
 	must.NoError(t, l.Close())
-	must.Eq(t, inquiry.ReplyNotWritten, newAsker().ask(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ReplyNotWritten, newAsker().ask(context.Background(), correction(addr)).Class)
 }
 
 func TestCancelledAfterWritingIsNotCalledUnwritten(t *testing.T) {
@@ -80,5 +80,5 @@
 	defer close(hold)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-got; cancel() }()
-	must.Eq(t, inquiry.ReplyFailed, newAsker().ask(ctx, correction(srv.Listener.Addr().String())).Class)
+	must.Eq(t, search.ReplyFailed, newAsker().ask(ctx, correction(srv.Listener.Addr().String())).Class)
 }
--- a/serve/caller.go
+++ b/request/httpapi/caller.go
@@ -1,11 +1,11 @@
 // The caller API over goa: payloads to inquiries, outcomes to answers.
-package serve
+package httpapi
 
 import (
 	"context"
 
 	"wallport/api/gen/caller"
-	"wallport/inquiry"
+	"wallport/request/search"
 )
 
 type callerAPI struct{ f *Front }
@@ -19,8 +19,8 @@
 }
 
 func (a callerAPI) Search(ctx context.Context, p *caller.SearchPayload) (*caller.Merged, error) {
-	o := a.f.Run(ctx, inquiry.Inquiry{Kind: inquiry.Search, Index: p.Index, Query: p.Query, Limit: p.Limit, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
-	if o.Code != inquiry.OK {
+	o := a.f.Run(ctx, search.Inquiry{Kind: search.Search, Index: p.Index, Query: p.Query, Limit: p.Limit, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
+	if o.Code != search.OK {
 		return nil, failure(o)
 	}
 	out := &caller.Merged{Inquiry: o.ID, Cut: o.Cut, Shards: o.Shards, Missing: o.Missing, Records: make([]*caller.Record, 0, len(o.Records))}
@@ -31,21 +31,21 @@
 }
 
 func (a callerAPI) Read(ctx context.Context, p *caller.ReadPayload) (*caller.Single, error) {
-	return a.single(ctx, inquiry.Inquiry{Kind: inquiry.Read, Index: p.Index, Record: p.ID, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
+	return a.single(ctx, search.Inquiry{Kind: search.Read, Index: p.Index, Record: p.ID, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
 }
 
 func (a callerAPI) Correct(ctx context.Context, p *caller.CorrectPayload) (*caller.Single, error) {
-	return a.single(ctx, inquiry.Inquiry{Kind: inquiry.Correct, Index: p.Index, Record: p.ID, Body: p.Body, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), First: deref(p.FirstTry)})
+	return a.single(ctx, search.Inquiry{Kind: search.Correct, Index: p.Index, Record: p.ID, Body: p.Body, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), First: deref(p.FirstTry)})
 }
 
 func (a callerAPI) Part(ctx context.Context, p *caller.PartPayload) (*caller.Single, error) {
-	return a.single(ctx, inquiry.Inquiry{Kind: inquiry.Part, Index: p.Index, Record: p.ID, Part: p.Part, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), First: deref(p.FirstTry)})
+	return a.single(ctx, search.Inquiry{Kind: search.Part, Index: p.Index, Record: p.ID, Part: p.Part, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), First: deref(p.FirstTry)})
 }
 
-func (a callerAPI) single(ctx context.Context, in inquiry.Inquiry) (*caller.Single, error) {
-	in.Sum = inquiry.SumOf(&in)
+func (a callerAPI) single(ctx context.Context, in search.Inquiry) (*caller.Single, error) {
+	in.Sum = search.SumOf(&in)
 	o := a.f.Run(ctx, in)
-	if o.Code != inquiry.OK {
+	if o.Code != search.OK {
 		return nil, failure(o)
 	}
 	out := &caller.Single{Inquiry: o.ID, Cut: o.Cut, Shard: o.Shard}
@@ -58,7 +58,7 @@
 	return out, nil
 }
 
-func record(r inquiry.Record) *caller.Record {
+func record(r search.Record) *caller.Record {
 	out := &caller.Record{ID: r.ID, Score: r.Score}
 	if r.Body != "" {
 		out.Body = &r.Body
@@ -66,7 +66,7 @@
 	return out
 }
 
-func failure(o inquiry.Outcome) *caller.Failure {
+func failure(o search.Outcome) *caller.Failure {
 	f := &caller.Failure{Name: o.Code, Message: o.Why, Ran: o.Ran, Inquiry: &o.ID}
 	if f.Ran == "" {
 		f.Ran = "no"
--- a/serve/carry.go
+++ b/request/httpapi/carry.go
@@ -1,5 +1,5 @@
 // Carrying an operator's word to the kernel, and telling what became of it.
-package serve
+package httpapi
 
 import (
 	"context"
--- a/serve/explain.go
+++ b/request/httpapi/explain.go
@@ -1,7 +1,7 @@
 // Explain, from any node: an inquiry's id begins with the name of the node that
 // served it, and that node is asked. A request on a platform has its client's id,
 // which tells of no node: all are asked.
-package serve
+package httpapi
 
 import (
 	"context"
@@ -18,9 +18,9 @@
 	"wallport/api/gen/operator"
 	"wallport/cluster/membership"
 	"wallport/control/config"
-	"wallport/inquiry"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
-	"wallport/table"
 )
 
 const explainWithin = 2 * time.Second
@@ -43,7 +43,7 @@
 		if !ok {
 			return nil, fail("unknown", "no such inquiry, or it is no longer kept")
 		}
-		return inquiry.Explain(t, func(c *table.Snapshot) string { return config.VersionText(c.Version) }), nil
+		return search.Explain(t, func(c *snapshot.Snapshot) string { return config.VersionText(c.Version) }), nil
 	}
 	if addr := a.operatorOf(name); addr != "" {
 		return a.elsewhere(ctx, name, addr, p)
--- a/serve/http.go
+++ b/request/httpapi/http.go
@@ -1,6 +1,6 @@
 // The HTTP servers: limits on bodies, headers and time, the condition and
 // metrics pages, error shapes, and when each of them opens.
-package serve
+package httpapi
 
 import (
 	"bytes"
--- a/serve/operator.go
+++ b/request/httpapi/operator.go
@@ -1,6 +1,6 @@
 // The operator API over goa. Every change goes to the owner of its part; the
 // answer says the stamp, who has it in force, and who lags.
-package serve
+package httpapi
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"wallport/control/config"
 	"wallport/control/operations"
 	"wallport/control/state"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 type operatorAPI struct{ f *Front }
@@ -181,7 +181,7 @@
 		}
 		out = append(out, &operator.ServerStatus{
 			ID: s.ID, Addr: s.Addr, Zone: s.Zone, Index: s.Index, Cut: s.Cut, Shard: s.Shard,
-			Verdict: table.VerdictNames[s.Verdict], Warm: int(s.Warm(a.f.p.Now(), ramp) / 10),
+			Verdict: snapshot.VerdictNames[s.Verdict], Warm: int(s.Warm(a.f.p.Now(), ramp) / 10),
 		})
 	}
 	return out, nil
--- a/serve/run.go
+++ b/request/httpapi/run.go
@@ -1,7 +1,7 @@
-// Package serve is a node's HTTP side: the caller and operator APIs, the
+// Package httpapi is a node's HTTP side: the caller and operator APIs, the
 // condition and metrics pages, and the driver that carries inquiries' charts
 // out over real HTTP.
-package serve
+package httpapi
 
 import (
 	"context"
@@ -10,18 +10,18 @@
 	"time"
 
 	"wallport/cluster/loadreport"
-	"wallport/idempotency"
-	"wallport/inquiry"
+	"wallport/request/idempotency"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
-	"wallport/table"
 )
 
 // Front is the request path of one node.
 type Front struct {
 	p      *process.Process
-	desk   *inquiry.Desk
-	table  *table.Table
+	desk   *search.Desk
+	table  *snapshot.Table
 	asker  *asker
 	scopes *scopes
 	// platformTrace finds the trace of a request of the platform's clients.
@@ -30,9 +30,9 @@
 
 // NewFront makes the request path over a running process.
 func NewFront(p *process.Process) *Front {
-	b := kernel.Find[*table.Table](p.Kernel)
+	b := kernel.Find[*snapshot.Table](p.Kernel)
 	f := &Front{p: p, table: b, asker: newAsker()}
-	f.desk = inquiry.NewDesk(inquiry.Config{
+	f.desk = search.NewDesk(search.Config{
 		Table: b, Usage: kernel.Find[*loadreport.Usage](p.Kernel), Counts: p.Kernel.Counts,
 		Name: p.Kernel.Boot.Env.Name, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 	})
@@ -43,10 +43,10 @@
 const thawWait = 500 * time.Millisecond
 
 // Run takes one inquiry through its chart.
-func (f *Front) Run(ctx context.Context, in inquiry.Inquiry) inquiry.Outcome {
+func (f *Front) Run(ctx context.Context, in search.Inquiry) search.Outcome {
 	f.p.AwaitThaw(thawWait)
-	c := inquiry.NewChart(f.desk, in, f.p.Now())
-	r := &run{f: f, ctx: ctx, chart: c, events: make(chan inquiry.Event, 8), over: make(chan struct{}), cancels: map[int]context.CancelFunc{}}
+	c := search.NewChart(f.desk, in, f.p.Now())
+	r := &run{f: f, ctx: ctx, chart: c, events: make(chan search.Event, 8), over: make(chan struct{}), cancels: map[int]context.CancelFunc{}}
 	defer r.end(in.Key)
 	defer close(r.over)
 	return r.loop()
@@ -55,15 +55,15 @@
 type run struct {
 	f       *Front
 	ctx     context.Context
-	chart   *inquiry.Chart
-	events  chan inquiry.Event
+	chart   *search.Chart
+	events  chan search.Event
 	over    chan struct{}
 	cancels map[int]context.CancelFunc
 	mu      sync.Mutex
 	ended   bool
 }
 
-func (r *run) post(ev inquiry.Event) {
+func (r *run) post(ev search.Event) {
 	select {
 	case r.events <- ev:
 	case <-r.over:
@@ -78,7 +78,7 @@
 	for {
 		select {
 		case ev := <-r.events:
-			if v, ok := ev.(inquiry.Claimed); ok {
+			if v, ok := ev.(search.Claimed); ok {
 				r.late(key, v.Verdict)
 			}
 		default:
@@ -87,36 +87,36 @@
 	}
 }
 
-func (r *run) late(key string, v inquiry.Verdict) {
-	if s, in := inquiry.LateClaim(key, v); in {
+func (r *run) late(key string, v search.Verdict) {
+	if s, in := search.LateClaim(key, v); in {
 		r.settle(s)
 	}
 }
 
-func (r *run) settle(v inquiry.Settle) {
+func (r *run) settle(v search.Settle) {
 	r.f.p.Post(kernel.Call{Plugin: "idempotency", Ask: idempotency.Settle{Key: v.Key, Code: v.Code, Token: v.Token, Tried: v.Tried, Outcome: v.Outcome}})
 }
 
-func (r *run) loop() inquiry.Outcome {
+func (r *run) loop() search.Outcome {
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
-	acts := r.chart.Step(r.f.p.Now(), inquiry.Begin{})
+	acts := r.chart.Step(r.f.p.Now(), search.Begin{})
 	for {
 		for _, a := range acts {
 			switch v := a.(type) {
-			case inquiry.Ask:
+			case search.Ask:
 				r.ask(v)
-			case inquiry.Cancel:
+			case search.Cancel:
 				if cancel := r.cancels[v.N]; cancel != nil {
 					cancel()
 				}
-			case inquiry.Wake:
+			case search.Wake:
 				wake.Reset(time.Duration(v.At-r.f.p.Now()) * time.Microsecond)
-			case inquiry.Claim:
+			case search.Claim:
 				go r.claim(v)
-			case inquiry.Settle:
+			case search.Settle:
 				r.settle(v)
-			case inquiry.Finish:
+			case search.Finish:
 				return v.Outcome
 			}
 		}
@@ -126,23 +126,23 @@
 			acts = r.chart.Step(r.f.p.Now(), ev)
 		case <-wake.C:
 			r.f.p.AwaitThaw(thawWait)
-			acts = r.chart.Step(r.f.p.Now(), inquiry.Due{})
+			acts = r.chart.Step(r.f.p.Now(), search.Due{})
 		}
 	}
 }
 
-func (r *run) claim(c inquiry.Claim) {
+func (r *run) claim(c search.Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	v, err := r.f.p.Call(ctx, "idempotency", idempotency.Admit{Key: c.Key, Index: c.Index, Sum: c.Sum, First: c.First, Within: c.Within, Again: c.Again})
-	verdict, ok := v.(inquiry.Verdict)
+	verdict, ok := v.(search.Verdict)
 	if err != nil || !ok {
-		verdict = inquiry.Verdict{Code: "short"}
+		verdict = search.Verdict{Code: "short"}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.ended {
-		r.events <- inquiry.Claimed{Verdict: verdict}
+		r.events <- search.Claimed{Verdict: verdict}
 		return
 	}
 	r.late(c.Key, verdict)
@@ -150,16 +150,16 @@
 
 // ask sends in a goroutine of its own; an inquiry that must not run twice is
 // not cancelled by its caller going away, so that its outcome gets known.
-func (r *run) ask(a inquiry.Ask) {
+func (r *run) ask(a search.Ask) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.Within)*time.Microsecond)
 	r.cancels[a.N] = cancel
 	thaws := r.f.p.Thaws()
 	go func() {
 		defer cancel()
 		if r.f.p.Frozen() || r.f.p.Thaws() != thaws {
-			r.post(inquiry.Replied{N: a.N, Reply: inquiry.Reply{Class: inquiry.ReplyNotWritten, Why: "the node was frozen before it wrote"}})
+			r.post(search.Replied{N: a.N, Reply: search.Reply{Class: search.ReplyNotWritten, Why: "the node was frozen before it wrote"}})
 			return
 		}
-		r.post(inquiry.Replied{N: a.N, Reply: r.f.asker.ask(ctx, &a)})
+		r.post(search.Replied{N: a.N, Reply: r.f.asker.ask(ctx, &a)})
 	}()
 }
--- a/serve/status.go
+++ b/request/httpapi/status.go
@@ -1,5 +1,5 @@
 // The operators' view of the replicas of the control state.
-package serve
+package httpapi
 
 import (
 	"context"
--- a/serve/surplus_test.go
+++ b/request/httpapi/surplus_test.go
@@ -1,6 +1,6 @@
 // An answer to another inquiry in place of the one that is waited for: it is not passed on, and the
 // connection, on which an answer is still outstanding, is not used again.
-package serve
+package httpapi
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/inquiry"
+	"wallport/request/search"
 )
 
 // oneBehind is a server that answers on each connection with the answer to the question before,
@@ -59,8 +59,8 @@
 		if behind {
 			id, before = before, id
 		}
-		body, _ := json.Marshal(inquiry.Sealed{Inquiry: id, Cut: m.Cut, Shard: m.Shard, Records: []inquiry.Record{{ID: m.Record}}})
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Digest: %s\r\nContent-Length: %d\r\n\r\n%s", inquiry.Digest(body), len(body), body)
+		body, _ := json.Marshal(search.Sealed{Inquiry: id, Cut: m.Cut, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Digest: %s\r\nContent-Length: %d\r\n\r\n%s", search.Digest(body), len(body), body)
 	}
 }
 
@@ -69,12 +69,12 @@
 	k := newAsker()
 	a := correction(s.l.Addr().String())
 	rep := k.ask(context.Background(), a)
-	must.Eq(t, inquiry.ReplyGarbage, rep.Class)
+	must.Eq(t, search.ReplyGarbage, rep.Class)
 	must.Eq(t, "answers another inquiry", rep.Why)
 	next := *a
 	next.ID = "n-1.bb"
 	rep = k.ask(context.Background(), &next)
-	must.Eq(t, inquiry.ReplyOK, rep.Class, must.Sprint(rep.Why))
+	must.Eq(t, search.ReplyOK, rep.Class, must.Sprint(rep.Why))
 	must.Eq(t, 2, s.conns.Load())
 }
 
--- a/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -7,16 +7,16 @@
 	"fmt"
 	"slices"
 
-	"wallport/inquiry"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 type admission struct {
 	id      uint64
 	ask     Admit
-	owners  []table.Node
+	owners  []snapshot.Node
 	until   int64
 	replies map[string]ownerReply
 	tried   bool
@@ -29,7 +29,7 @@
 	cp := c.snapshot()
 	if c.minority(cp, t.Now) {
 		t.Counts.Add("claims_minority", 1)
-		t.Answer(id, inquiry.Verdict{Code: "short", Why: "this node sees too few of the fleet to vouch for a key"})
+		t.Answer(id, search.Verdict{Code: "short", Why: "this node sees too few of the fleet to vouch for a key"})
 		return
 	}
 	c.next++
@@ -84,7 +84,7 @@
 	pending.tried = pending.tried || r.Tried
 	switch r.Code {
 	case "done", "running", "conflict":
-		c.end(t, n, inquiry.Verdict{Code: r.Code, Body: r.Body})
+		c.end(t, n, search.Verdict{Code: r.Code, Body: r.Body})
 		return
 	}
 	c.decide(t, n, pending)
@@ -108,7 +108,7 @@
 	case t.Now < pending.decideAt:
 		return
 	}
-	c.end(t, n, inquiry.Verdict{Code: "in", Token: c.token(n), Repeat: pending.tried})
+	c.end(t, n, search.Verdict{Code: "in", Token: c.token(n), Repeat: pending.tried})
 }
 
 // retry is a claim's timer: it decides, asks again, or gives up.
@@ -120,7 +120,7 @@
 	case pending.ask.Again:
 		// The owner is silent: what cannot be told from a first try is one.
 		delete(c.admissions, n)
-		t.Answer(pending.id, inquiry.Verdict{Code: "in"})
+		t.Answer(pending.id, search.Verdict{Code: "in"})
 		return
 	}
 	if !c.rosterUnknown(t.Now) {
@@ -140,17 +140,17 @@
 	if pending.majority(true) {
 		// Those that would know have lost what they knew, and an earlier try may have run.
 		t.Counts.Add("claims_unknown", 1)
-		c.end(t, n, inquiry.Verdict{Code: "unknown"})
+		c.end(t, n, search.Verdict{Code: "unknown"})
 		return
 	}
 	t.Counts.Add("claims_short", 1)
-	c.end(t, n, inquiry.Verdict{Code: "short", Why: fmt.Sprintf("%d of the key's %d home nodes answered", pending.agreed(), len(pending.owners))})
+	c.end(t, n, search.Verdict{Code: "short", Why: fmt.Sprintf("%d of the key's %d home nodes answered", pending.agreed(), len(pending.owners))})
 }
 
 // widen adds owners that this node has learned of meanwhile. None is left out: it may hold the claim.
-func (a *admission) widen(owners []table.Node) {
+func (a *admission) widen(owners []snapshot.Node) {
 	for _, h := range owners {
-		if !slices.ContainsFunc(a.owners, func(o table.Node) bool { return o.Name == h.Name }) {
+		if !slices.ContainsFunc(a.owners, func(o snapshot.Node) bool { return o.Name == h.Name }) {
 			a.owners = append(a.owners, h)
 		}
 	}
@@ -160,7 +160,7 @@
 // must not release each other.
 func (c *Coordinator) token(n uint64) string { return fmt.Sprintf("%s#%d", c.mesh.Self(), n) }
 
-func (c *Coordinator) end(t *kernel.Context, n uint64, v inquiry.Verdict) {
+func (c *Coordinator) end(t *kernel.Context, n uint64, v search.Verdict) {
 	pending := c.admissions[n]
 	delete(c.admissions, n)
 	t.Answer(pending.id, v)
@@ -191,7 +191,7 @@
 	c.broadcast(t, Owners(a.Key, c.snapshot().Homes), m)
 }
 
-func (c *Coordinator) broadcast(t *kernel.Context, owners []table.Node, m wire.Settle) {
+func (c *Coordinator) broadcast(t *kernel.Context, owners []snapshot.Node, m wire.Settle) {
 	for _, h := range owners {
 		if h.Origin == c.mesh.Self() {
 			c.settle(t, m)
--- a/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -10,9 +10,9 @@
 	"slices"
 
 	"wallport/control/state"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 type epoch struct {
@@ -20,7 +20,7 @@
 	at int64
 	// before is the roster that this process was not owner in; nil where it may
 	// have lost what it knew itself.
-	before []table.Node
+	before []snapshot.Node
 	heard  map[string]bool
 	// owners is the most owners that any of those counts.
 	owners int
@@ -44,7 +44,7 @@
 	c.epochs = []*epoch{c.epoch(t, nil)}
 }
 
-func (c *Coordinator) epoch(t *kernel.Context, before []table.Node) *epoch {
+func (c *Coordinator) epoch(t *kernel.Context, before []snapshot.Node) *epoch {
 	c.next++
 	return &epoch{n: c.next, at: t.Now, before: before, heard: map[string]bool{}}
 }
@@ -104,7 +104,7 @@
 		c.loseRecords(t)
 		clear(c.first)
 	}
-	same := slices.EqualFunc(c.roster, cp.Homes, func(a, b table.Node) bool { return a.Name == b.Name && a.Zone == b.Zone })
+	same := slices.EqualFunc(c.roster, cp.Homes, func(a, b snapshot.Node) bool { return a.Name == b.Name && a.Zone == b.Zone })
 	if !same && len(c.roster) > 0 {
 		c.epochs = append(c.epochs, c.epoch(t, c.roster))
 	}
@@ -161,7 +161,7 @@
 }
 
 // learnDeadline keeps the longest time that an inquiry may take.
-func (c *Coordinator) learnDeadline(cp *table.Snapshot, now int64) {
+func (c *Coordinator) learnDeadline(cp *snapshot.Snapshot, now int64) {
 	if cp.Sheet == nil {
 		return
 	}
--- a/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -5,12 +5,12 @@
 	"maps"
 	"slices"
 
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
-func places(roster []table.Node) []wire.Place {
+func places(roster []snapshot.Node) []wire.Place {
 	out := make([]wire.Place, 0, len(roster))
 	for _, n := range roster {
 		out = append(out, wire.Place{Name: n.Name, Zone: n.Zone})
@@ -18,10 +18,10 @@
 	return out
 }
 
-func nodes(places []wire.Place) []table.Node {
-	out := make([]table.Node, 0, len(places))
+func nodes(places []wire.Place) []snapshot.Node {
+	out := make([]snapshot.Node, 0, len(places))
 	for _, p := range places {
-		out = append(out, table.Node{Name: p.Name, Zone: p.Zone})
+		out = append(out, snapshot.Node{Name: p.Name, Zone: p.Zone})
 	}
 	return out
 }
@@ -36,7 +36,7 @@
 	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.before == nil && !e.settled(t.Now) && !c.startedBeforeAll() }) {
 		return
 	}
-	if !slices.ContainsFunc(c.roster, func(n table.Node) bool { return n.Name == m.Name }) {
+	if !slices.ContainsFunc(c.roster, func(n snapshot.Node) bool { return n.Name == m.Name }) {
 		return
 	}
 	before, now := nodes(m.Before), nodes(m.Now)
--- a/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -10,10 +10,10 @@
 
 	"wallport/cluster/mesh"
 	"wallport/control/configsync"
-	"wallport/inquiry"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // Figures of the claims.
@@ -60,7 +60,7 @@
 	Code    string
 	Token   string
 	Tried   bool
-	Outcome inquiry.Outcome
+	Outcome search.Outcome
 }
 
 type record struct {
@@ -76,15 +76,15 @@
 // Coordinator is the plug-in of a node.
 type Coordinator struct {
 	mesh       *mesh.Mesh
-	table      *table.Table
+	table      *snapshot.Table
 	configSync *configsync.Sync
 	// snapshot is the table's newest snapshot.
-	snapshot   func() *table.Snapshot
+	snapshot   func() *snapshot.Snapshot
 	records    map[string]*record
 	order      []string
 	admissions map[uint64]*admission
 	next       uint64
-	roster     []table.Node
+	roster     []snapshot.Node
 	epochs     []*epoch
 	longest    int64
 	// began is when this process started, caught when it first had all that a peer has.
@@ -99,7 +99,7 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 80, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		built := kernel.Find[*table.Table](k)
+		built := kernel.Find[*snapshot.Table](k)
 		return &Coordinator{
 			mesh: kernel.Find[*mesh.Mesh](k), table: built, configSync: kernel.Find[*configsync.Sync](k), snapshot: built.Now,
 			records: map[string]*record{}, admissions: map[uint64]*admission{}, seen: seenKeys{at: map[string]int64{}}, first: map[int]map[string]bool{},
@@ -130,7 +130,7 @@
 		c.loseRecords(t)
 		clear(c.first)
 		c.arm(t, FollowAt)
-	case table.Built:
+	case snapshot.Built:
 		c.arm(t, FollowAt)
 	case mesh.Stored:
 		if v.Entry.Type == "part" {
--- a/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"wallport/inquiry"
+	"wallport/request/search"
 	"wallport/runtime/kernel"
 )
 
@@ -32,7 +32,7 @@
 	}
 	m.lastCall++
 	here := n.life()
-	m.calls[m.lastCall] = func(v inquiry.Verdict) {
+	m.calls[m.lastCall] = func(v search.Verdict) {
 		if v.Code != "in" {
 			again()
 			return
@@ -66,7 +66,7 @@
 			delete(m.letIn, key)
 			here.node.step(kernel.Call{Plugin: "idempotency", Ask: Settle{Key: key, Code: "released", Token: token}})
 		default:
-			here.node.step(kernel.Call{Plugin: "idempotency", Ask: Settle{Key: key, Code: "done", Outcome: inquiry.Outcome{Code: inquiry.OK}}})
+			here.node.step(kernel.Call{Plugin: "idempotency", Ask: Settle{Key: key, Code: "done", Outcome: search.Outcome{Code: search.OK}}})
 		}
 	})
 }
--- a/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -7,10 +7,10 @@
 
 	"wallport/api/configpb"
 	"wallport/cluster/mesh"
-	"wallport/inquiry"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
-	"wallport/table"
 )
 
 // modelNode is a node with its process of now, or its last one.
@@ -22,7 +22,7 @@
 	// upAt is when its process started, downAt when its last one ended.
 	upAt, downAt int64
 	coordinator  *Coordinator
-	view         *table.Snapshot
+	view         *snapshot.Snapshot
 	peak         int
 }
 
@@ -37,7 +37,7 @@
 	key := fmt.Sprintf("%-32s", fmt.Sprintf("%s/%d", n.name, n.count))
 	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: n.name, Name: n.name}, Role: "node", Seed: 1, Key: kernel.KeyFrom([]byte(key))})
 	n.coordinator = kernel.Find[*Coordinator](k)
-	n.coordinator.snapshot = func() *table.Snapshot { return n.view }
+	n.coordinator.snapshot = func() *snapshot.Snapshot { return n.view }
 	n.peak = 0
 	n.look([]*modelNode{n})
 	n.step(kernel.Start{})
@@ -46,14 +46,14 @@
 // sees has the node's roster follow what is told of others.
 func (n *modelNode) sees(others []*modelNode) {
 	n.look(others)
-	n.step(table.Built{})
+	n.step(snapshot.Built{})
 }
 
 func (n *modelNode) look(others []*modelNode) {
 	live := 0
-	var owners []table.Node
+	var owners []snapshot.Node
 	for _, o := range others {
-		gone := !o.up && n.m.now-o.downAt > table.RosterFor
+		gone := !o.up && n.m.now-o.downAt > snapshot.RosterFor
 		if gone && o != n {
 			continue
 		}
@@ -61,10 +61,10 @@
 		if isLive {
 			live++
 		}
-		owners = append(owners, table.Node{Name: o.name, Addr: o.name, Origin: o.coordinator.mesh.Self(), Live: isLive})
+		owners = append(owners, snapshot.Node{Name: o.name, Addr: o.name, Origin: o.coordinator.mesh.Self(), Live: isLive})
 	}
 	n.peak = max(n.peak, live)
-	n.view = &table.Snapshot{
+	n.view = &snapshot.Snapshot{
 		Homes: owners, Roster: owners, Peers: live, Divisor: n.peak,
 		Sheet: &configpb.Sheet{Services: []*configpb.Service{{MaxDeadlineUs: 5 * second}}},
 	}
@@ -88,7 +88,7 @@
 	for _, a := range t.Out.Answers {
 		answered := n.m.calls[a.ID]
 		delete(n.m.calls, a.ID)
-		answered(a.Value.(inquiry.Verdict))
+		answered(a.Value.(search.Verdict))
 	}
 }
 
--- a/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -14,10 +14,10 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/cluster/mesh"
-	"wallport/inquiry"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 const (
@@ -71,7 +71,7 @@
 	letIn    map[string]bool
 	admitted int
 	twice    []string
-	calls    map[uint64]func(v inquiry.Verdict)
+	calls    map[uint64]func(v search.Verdict)
 	lastCall uint64
 }
 
@@ -86,7 +86,7 @@
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{
 		t: t, rand: rand.New(rand.NewPCG(seed, 3)), now: second, chans: map[uint64]route{}, arrives: map[[2]life]int64{},
-		letIn: map[string]bool{}, calls: map[uint64]func(inquiry.Verdict){},
+		letIn: map[string]bool{}, calls: map[uint64]func(search.Verdict){},
 	}
 	for i := range modelNodes {
 		m.nodes = append(m.nodes, &modelNode{m: m, name: fmt.Sprintf("node-%d", i)})
@@ -152,14 +152,14 @@
 	m.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	away := m.between(200*ms, 2*second)
 	if m.rand.IntN(3) == 0 {
-		away += table.RosterFor
+		away += snapshot.RosterFor
 	}
 	for _, n := range all[:1+m.rand.IntN(modelLoss)] {
 		n.up, n.downAt = false, m.now
 		m.after(away+m.between(0, 300*ms), n.comeBack)
 	}
 	m.told()
-	m.after(table.RosterFor, m.told)
+	m.after(snapshot.RosterFor, m.told)
 	m.after(away+m.between(4*second, 6*second), m.lose)
 }
 
--- a/idempotency/owners.go
+++ b/request/idempotency/owners.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"wallport/control/state"
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 // ownersMost is odd, and at least the size of the fleets of today: where all nodes are
@@ -16,10 +16,10 @@
 const ownersMost = 11
 
 // Owners lists a key's owner nodes, the weightiest first.
-func Owners(key string, roster []table.Node) []table.Node {
+func Owners(key string, roster []snapshot.Node) []snapshot.Node {
 	type ranked struct {
 		w uint64
-		n table.Node
+		n snapshot.Node
 	}
 	all := make([]ranked, 0, len(roster))
 	for _, n := range roster {
@@ -36,7 +36,7 @@
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.w, a.w) })
 	want := min(ownersMost, len(all))
 	// In each round a zone gives one owner: so no zone has more than it must.
-	out := make([]table.Node, 0, want)
+	out := make([]snapshot.Node, 0, want)
 	taken := make([]bool, len(all))
 	for len(out) < want {
 		zones := map[string]bool{}
@@ -51,11 +51,11 @@
 	return out
 }
 
-func isOwner(key, name string, roster []table.Node) bool {
+func isOwner(key, name string, roster []snapshot.Node) bool {
 	if len(roster) > ownersMost {
 		roster = Owners(key, roster)
 	}
-	return slices.ContainsFunc(roster, func(n table.Node) bool { return n.Name == name })
+	return slices.ContainsFunc(roster, func(n snapshot.Node) bool { return n.Name == name })
 }
 
 // quorum is how many of so many owners let a key in; others is how many of them share
@@ -66,7 +66,7 @@
 // minority tells that this node is not on the side of a split that may go on letting
 // keys in: the one with more than half of the nodes. Of two equal halves it is the one
 // that hears the owner of the configuration, which a majority of the cores follows.
-func (c *Coordinator) minority(cp *table.Snapshot, now int64) bool {
+func (c *Coordinator) minority(cp *snapshot.Snapshot, now int64) bool {
 	votes := 2 * cp.Peers
 	if c.configSync.HearsLeader(state.Config, now) {
 		votes++
--- a/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -7,7 +7,7 @@
 import (
 	"fmt"
 
-	"wallport/inquiry"
+	"wallport/request/search"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -70,7 +70,7 @@
 func (c *Coordinator) askSeen(t *kernel.Context, id uint64, a Admit) {
 	addr, ok := c.seenOwner(a.Key)
 	if !ok || addr == "" {
-		t.Answer(id, inquiry.Verdict{Code: "in", Repeat: ok && c.seen.add(a.Key, t.Now)})
+		t.Answer(id, search.Verdict{Code: "in", Repeat: ok && c.seen.add(a.Key, t.Now)})
 		return
 	}
 	c.next++
@@ -88,7 +88,7 @@
 	if m.Before {
 		t.Counts.Add("repeats_seen", 1)
 	}
-	t.Answer(pending.id, inquiry.Verdict{Code: "in", Repeat: m.Before})
+	t.Answer(pending.id, search.Verdict{Code: "in", Repeat: m.Before})
 }
 
 // unseen takes a key back that came to nothing.
--- a/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/inquiry"
+	"wallport/request/search"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
 // node is one process under test that has just started, and its clock.
@@ -44,24 +44,24 @@
 }
 
 // otherNodes are so many nodes of a fleet beside the one under test.
-func otherNodes(count int) (out []table.Node) {
+func otherNodes(count int) (out []snapshot.Node) {
 	for i := range count {
 		name := string(rune('b' + i))
-		out = append(out, table.Node{Name: name, Zone: "z" + name, Addr: "10.0.1." + name + ":1", Origin: "origin-" + name, Live: true})
+		out = append(out, snapshot.Node{Name: name, Zone: "z" + name, Addr: "10.0.1." + name + ":1", Origin: "origin-" + name, Live: true})
 	}
 	return out
 }
 
 // self is the node under test as its roster has it.
-func (n *node) self() table.Node { return n.c.table.Now().Homes[0] }
+func (n *node) self() snapshot.Node { return n.c.table.Now().Homes[0] }
 
 // ask begins a claim, by a caller's first try, at the node under test and other owners, and returns its number.
-func (n *node) ask(t *testing.T, others []table.Node) uint64 {
+func (n *node) ask(t *testing.T, others []snapshot.Node) uint64 {
 	t.Helper()
 	n.step(kernel.Call{Plugin: "idempotency", ID: 1, Ask: Admit{Key: "k", Sum: 5, First: true, Within: 5_000_000}})
 	must.MapLen(t, 1, n.c.admissions)
 	for id, w := range n.c.admissions {
-		w.owners = append([]table.Node{n.self()}, others...)
+		w.owners = append([]snapshot.Node{n.self()}, others...)
 		n.now += AskEvery
 		must.SliceEmpty(t, n.tick(id).Answers, must.Sprint("one of several owners let it in"))
 		return id
@@ -74,10 +74,10 @@
 	return n.step(kernel.Tick{Plugin: "idempotency", Key: fmt.Sprint(id)})
 }
 
-func verdict(t *testing.T, out kernel.Out) inquiry.Verdict {
+func verdict(t *testing.T, out kernel.Out) search.Verdict {
 	t.Helper()
 	must.Len(t, 1, out.Answers)
-	return out.Answers[0].Value.(inquiry.Verdict)
+	return out.Answers[0].Value.(search.Verdict)
 }
 
 // A node that has just started may see two others of eight. What those two and itself let in
@@ -134,7 +134,7 @@
 // An owner says how many owners it counts.
 func TestOwnerTellsHowManyOwnersItCounts(t *testing.T) {
 	n := newNode(t)
-	n.c.roster = append([]table.Node{n.self()}, otherNodes(7)...)
+	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(7)...)
 	out := n.receive(wire.KindClaim, 3, &wire.Claim{Key: "k", From: "p#1"})
 	must.Len(t, 1, out.Sends)
 	f, err := wire.Open(out.Sends[0].Data)
@@ -149,10 +149,10 @@
 func TestRecordsAreHandedOverOnlyToAnOwnerThatIsCounted(t *testing.T) {
 	n := newNode(t)
 	n.c.epochs = nil
-	n.c.roster = append([]table.Node{n.self()}, otherNodes(2)...)
-	ask := &wire.HandOver{N: 4, Name: "z", Now: places(append([]table.Node{{Name: "z"}}, n.c.roster...))}
+	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
+	ask := &wire.HandOver{N: 4, Name: "z", Now: places(append([]snapshot.Node{{Name: "z"}}, n.c.roster...))}
 	must.SliceEmpty(t, n.receive(wire.KindHandOver, 0, ask).Sends)
-	n.c.roster = append(n.c.roster, table.Node{Name: "z"})
+	n.c.roster = append(n.c.roster, snapshot.Node{Name: "z"})
 	must.Len(t, 1, n.receive(wire.KindHandOver, 0, ask).Sends)
 }
 
@@ -161,13 +161,13 @@
 func TestOwnerIsSureOnlyOnceEnoughOfTheGreatestRosterHandedOver(t *testing.T) {
 	n := newNode(t)
 	all := otherNodes(7)
-	n.c.roster = append([]table.Node{n.self()}, all[:2]...)
+	n.c.roster = append([]snapshot.Node{n.self()}, all[:2]...)
 	n.c.loseRecords(&kernel.Context{Now: n.now})
 	lost := n.c.epochs[0]
 	for i, o := range all[:4] {
 		must.False(t, n.c.canVouch("k", "index", n.now), must.Sprintf("%d of seven others", i))
 		if i == 2 {
-			n.c.roster = append([]table.Node{n.self()}, all...)
+			n.c.roster = append([]snapshot.Node{n.self()}, all...)
 		}
 		n.receive(wire.KindHanded, 0, &wire.Handed{N: lost.n, Name: o.Name, All: true, Homes: 8})
 	}
@@ -177,7 +177,7 @@
 // A claim that came while the owner could not vouch for the key hides none that was let in before.
 func TestRecordOfAnUnsureOwnerHidesNoneThatIsHandedOver(t *testing.T) {
 	n := newNode(t)
-	n.c.roster = append([]table.Node{n.self()}, otherNodes(2)...)
+	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
 	n.c.loseRecords(&kernel.Context{Now: n.now})
 	lost := n.c.epochs[0]
 	claim := wire.Claim{Key: "k", From: "later#1", Sum: 5}
--- a/inquiry/asks.go
+++ b/request/search/asks.go
@@ -1,5 +1,5 @@
 // Asking servers, and what each ask's end teaches their gauges.
-package inquiry
+package search
 
 // again says why a shard is asked: for the first time, once more at the cost of
 // the budget, or in place of a try of which nothing was written. The last adds
--- a/inquiry/bench_test.go
+++ b/request/search/bench_test.go
@@ -1,10 +1,10 @@
 // What a search costs a node beside HTTP, and how much of it explain's trace is.
-package inquiry
+package search
 
 import (
 	"testing"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 func BenchmarkSearchChart(b *testing.B) {
@@ -28,7 +28,7 @@
 	choice := Choice{Server: cp.Indexes["a"].Shards[0][0], Drawn: []string{"x", "y"}, Tier: "usable"}
 	for b.Loop() {
 		t := newTrace("n-1", in, 0)
-		t.cp = (*table.Snapshot)(cp)
+		t.cp = (*snapshot.Snapshot)(cp)
 		for _, s := range []State{StClassified, StLetIn, StLetIn, StPicked, StPicked, StPicked, StPicked, StGathered, StAnswered} {
 			t.add(1, s, "")
 		}
--- a/inquiry/chart.go
+++ b/request/search/chart.go
@@ -1,12 +1,12 @@
 // The chart itself: what is common to all kinds of inquiries. What a search
 // does with its shards and a single inquiry with its one is beside it.
-package inquiry
+package search
 
 import (
 	"slices"
 	"sync/atomic"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 // Figures of the chart.
@@ -21,7 +21,7 @@
 
 type try struct {
 	shard  int
-	server *table.Server
+	server *snapshot.Server
 	at     int64
 	open   bool
 }
@@ -43,8 +43,8 @@
 type Chart struct {
 	desk  *Desk
 	in    Inquiry
-	cp    *table.Snapshot
-	x     *table.Index
+	cp    *snapshot.Snapshot
+	x     *snapshot.Index
 	cut   string
 	state State
 	began int64
@@ -114,7 +114,7 @@
 
 func (c *Chart) begin(now int64) {
 	c.cp = c.desk.Table()
-	if c.cp != nil && c.cp.Stale && now-c.began < table.StaleMost {
+	if c.cp != nil && c.cp.Stale && now-c.began < snapshot.StaleMost {
 		c.act(Wake{At: now + staleLook})
 		return
 	}
--- a/inquiry/chart_test.go
+++ b/request/search/chart_test.go
@@ -1,5 +1,5 @@
 // The chart's promises where scenarios would need luck to reach them.
-package inquiry
+package search
 
 import (
 	"fmt"
@@ -9,28 +9,28 @@
 
 	"wallport/api/configpb"
 	"wallport/cluster/loadreport"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
-	"wallport/table"
 )
 
-func newSnapshot(perShard, shards int) *table.Snapshot {
+func newSnapshot(perShard, shards int) *snapshot.Snapshot {
 	svc := &configpb.Service{Index: "a", Capacity: 10000, RequiredShare: 75, DeadlineUs: 500_000, MaxDeadlineUs: 1_000_000, HedgeUs: 40_000, RampUs: 1_000_000}
-	x := &table.Index{Name: "a", Cut: wire.LiveCut{Name: "c1", Shards: shards}, Service: svc, Limits: map[string]table.Limit{}, Capacity: 10000}
+	x := &snapshot.Index{Name: "a", Cut: wire.LiveCut{Name: "c1", Shards: shards}, Service: svc, Limits: map[string]snapshot.Limit{}, Capacity: 10000}
 	for sh := range shards {
-		var list []*table.Server
+		var list []*snapshot.Server
 		for i := range perShard {
-			list = append(list, &table.Server{Server: wire.Server{ID: fmt.Sprintf("s%d-%d", sh, i), Zone: fmt.Sprintf("z%d", i%2), Incarnation: 1}, Born: -10_000_000, Gauge: &table.Gauge{}})
+			list = append(list, &snapshot.Server{Server: wire.Server{ID: fmt.Sprintf("s%d-%d", sh, i), Zone: fmt.Sprintf("z%d", i%2), Incarnation: 1}, Born: -10_000_000, Gauge: &snapshot.Gauge{}})
 		}
 		x.Shards = append(x.Shards, list)
 	}
-	return &table.Snapshot{Whole: true, Zone: "z0", Divisor: 1, Peers: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*table.Index{"a": x}}
+	return &snapshot.Snapshot{Whole: true, Zone: "z0", Divisor: 1, Peers: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*snapshot.Index{"a": x}}
 }
 
-func desk(cp *table.Snapshot) *Desk {
+func desk(cp *snapshot.Snapshot) *Desk {
 	k := kernel.New(kernel.Boot{Env: settings.Env{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
-	return &Desk{Table: func() *table.Snapshot { return cp }, Usage: &loadreport.Usage{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
+	return &Desk{Table: func() *snapshot.Snapshot { return cp }, Usage: &loadreport.Usage{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
 }
 
 func asks(acts []Act) (out []Ask) {
@@ -122,7 +122,7 @@
 func TestLeavingAndEmptiedAreNeverPickedEvenInPanic(t *testing.T) {
 	cp := newSnapshot(3, 1)
 	list := cp.Indexes["a"].Shards[0]
-	list[0].Verdict, list[1].Verdict, list[2].Verdict = table.Leaving, table.Drained, table.Lost
+	list[0].Verdict, list[1].Verdict, list[2].Verdict = snapshot.Leaving, snapshot.Drained, snapshot.Lost
 	r := rnd(1)
 	for range 50 {
 		c, ok := pick(cp, cp.Indexes["a"], list, nil, 0, &r)
@@ -204,7 +204,7 @@
 
 func TestExplainTellsEveryCandidate(t *testing.T) {
 	cp := newSnapshot(3, 2)
-	cp.Indexes["a"].Shards[0][1].Verdict = table.Lost
+	cp.Indexes["a"].Shards[0][1].Verdict = snapshot.Lost
 	d := desk(cp)
 	c := NewChart(d, Inquiry{Kind: Search, Index: "a", Limit: 3}, 0)
 	for _, v := range asks(c.Step(0, Begin{})) {
@@ -212,7 +212,7 @@
 	}
 	tr, ok := d.Traces.Get(c.ID())
 	must.True(t, ok)
-	e := Explain(tr, func(*table.Snapshot) string { return "1.1" })
+	e := Explain(tr, func(*snapshot.Snapshot) string { return "1.1" })
 	must.Len(t, 6, e.Candidates)
 	picked := 0
 	for _, k := range e.Candidates {
--- a/inquiry/desk.go
+++ b/request/search/desk.go
@@ -1,8 +1,8 @@
-// Package inquiry is the way of one inquiry through a node, as a state chart:
+// Package search is the way of one inquiry through a node, as a state chart:
 // read, classified, let in, picked, asked, re-asked, gathered, and then
 // answered, shed or given up. A chart takes events and returns acts; a driver
 // carries them out over real HTTP or in the simulator.
-package inquiry
+package search
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	"sync/atomic"
 
 	"wallport/cluster/loadreport"
+	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/random"
-	"wallport/table"
 )
 
 // Desk is what all charts of one node share. Everything on it may be used by many threads.
 type Desk struct {
-	Table  func() *table.Snapshot
+	Table  func() *snapshot.Snapshot
 	Usage  *loadreport.Usage
 	Counts *kernel.Counts
 	Traces *Traces
@@ -34,7 +34,7 @@
 
 // Config is what a desk is made of.
 type Config struct {
-	Table  *table.Table
+	Table  *snapshot.Table
 	Usage  *loadreport.Usage
 	Counts *kernel.Counts
 	Name   string
--- a/inquiry/events.go
+++ b/request/search/events.go
@@ -1,7 +1,7 @@
 // The events a chart takes and the acts it returns.
-package inquiry
+package search
 
-import "wallport/table"
+import "wallport/request/snapshot"
 
 // State is a named state of the chart.
 type State string
@@ -79,7 +79,7 @@
 type Ask struct {
 	N       int
 	ID      string
-	Server  *table.Server
+	Server  *snapshot.Server
 	Shard   int
 	Shards  int
 	Cut     string
--- a/inquiry/keyed.go
+++ b/request/search/keyed.go
@@ -1,5 +1,5 @@
 // What an inquiry under a key waits for before it is let in.
-package inquiry
+package search
 
 import "encoding/json"
 
--- a/inquiry/limits.go
+++ b/request/search/limits.go
@@ -5,12 +5,12 @@
 // asked. Sums of parts are one, so that a fleet asked for more than the limit lets
 // in the limit. What a node has saved, up to its equal part, is for callers who move
 // to it before the others know.
-package inquiry
+package search
 
 import (
-	"wallport/bucket"
 	"wallport/cluster/loadreport"
-	"wallport/table"
+	"wallport/request/snapshot"
+	"wallport/request/tokenbucket"
 )
 
 // burst is how much, in seconds of its rate, a gate may save.
@@ -20,18 +20,18 @@
 const full = -60_000_000
 
 // gate is one limit's part of this node.
-type gate struct{ bucket.Bucket }
+type gate struct{ tokenbucket.Bucket }
 
 // pass takes one place of a limit of which this node has a part, in a fleet of so
 // many nodes; force takes it anyway and lets the gate owe as much as it may save.
 func (g *gate) pass(now int64, limit float64, m *loadreport.Meter, nodes int, force bool) bool {
 	part := m.Part(limit, nodes)
-	most := max(bucket.One, int64(burst*bucket.One*max(part, limit/float64(max(1, nodes)))))
-	g.Refill(now, int64(bucket.One*part), most)
+	most := max(tokenbucket.One, int64(burst*tokenbucket.One*max(part, limit/float64(max(1, nodes)))))
+	g.Refill(now, int64(tokenbucket.One*part), most)
 	if force {
-		return g.Take(bucket.One, bucket.One-most, most)
+		return g.Take(tokenbucket.One, tokenbucket.One-most, most)
 	}
-	return limit > 0 && g.Take(bucket.One, bucket.One, most)
+	return limit > 0 && g.Take(tokenbucket.One, tokenbucket.One, most)
 }
 
 type gates struct {
@@ -58,7 +58,7 @@
 }
 
 // letIn decides whether an inquiry is inside the limits, and says why.
-func (d *Desk) letIn(cp *table.Snapshot, x *table.Index, kind string, now int64) (bool, string) {
+func (d *Desk) letIn(cp *snapshot.Snapshot, x *snapshot.Index, kind string, now int64) (bool, string) {
 	m, all := d.Usage.Of(x.Name, kind), d.Usage.Of(x.Name, "")
 	m.Came()
 	all.Came()
--- a/inquiry/pick.go
+++ b/request/search/pick.go
@@ -3,17 +3,17 @@
 // any. If every server looks bad, the least bad tier is used. A cold server is
 // drawn only as often as its ramp allows, which holds fleet-wide without any
 // counting, unless the whole tier is cold.
-package inquiry
+package search
 
 import (
 	"slices"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 // Choice tells of a pick, for explain.
 type Choice struct {
-	Server *table.Server
+	Server *snapshot.Server
 	Drawn  []string
 	Tier   string
 	Cold   bool
@@ -22,24 +22,24 @@
 var tierNames = []string{"usable", "slow", "doubtful", "lost", "garbage"}
 
 // tier sorts a server by how good it looks; below zero it is never picked.
-func tier(s *table.Server, now int64) int {
+func tier(s *snapshot.Server, now int64) int {
 	switch {
-	case s.Verdict == table.Leaving || s.Verdict == table.Drained:
+	case s.Verdict == snapshot.Leaving || s.Verdict == snapshot.Drained:
 		return -1
-	case s.Verdict == table.Garbage:
+	case s.Verdict == snapshot.Garbage:
 		return 4
-	case s.Verdict == table.Lost:
+	case s.Verdict == snapshot.Lost:
 		return 3
-	case s.Verdict == table.Doubt || s.Gauge.Ejected.Load() > now:
+	case s.Verdict == snapshot.Doubt || s.Gauge.Ejected.Load() > now:
 		return 2
-	case s.Verdict == table.Slow:
+	case s.Verdict == snapshot.Slow:
 		return 1
 	}
 	return 0
 }
 
-func pick(cp *table.Snapshot, x *table.Index, servers []*table.Server, tried []string, now int64, r *rnd) (Choice, bool) {
-	var best []*table.Server
+func pick(cp *snapshot.Snapshot, x *snapshot.Index, servers []*snapshot.Server, tried []string, now int64, r *rnd) (Choice, bool) {
+	var best []*snapshot.Server
 	at := len(tierNames)
 	for _, s := range servers {
 		if slices.Contains(tried, s.ID) {
@@ -81,12 +81,12 @@
 
 // ramped leaves each cold server in with the chance that its warmth gives it.
 // Where all are cold, warmth only counts against the warmest.
-func ramped(all []*table.Server, now, ramp int64, r *rnd) []*table.Server {
+func ramped(all []*snapshot.Server, now, ramp int64, r *rnd) []*snapshot.Server {
 	most := int64(1)
 	for _, s := range all {
 		most = max(most, s.Warm(now, ramp))
 	}
-	out := make([]*table.Server, 0, len(all))
+	out := make([]*snapshot.Server, 0, len(all))
 	for _, s := range all {
 		w := s.Warm(now, ramp)
 		if w >= most || int64(r.N(int(most))) < w {
@@ -96,8 +96,8 @@
 	return out
 }
 
-func near(all []*table.Server, zone string) []*table.Server {
-	var out []*table.Server
+func near(all []*snapshot.Server, zone string) []*snapshot.Server {
+	var out []*snapshot.Server
 	for _, s := range all {
 		if s.Zone == zone {
 			out = append(out, s)
@@ -109,11 +109,11 @@
 	return out
 }
 
-func draw(all []*table.Server, r *rnd) *table.Server { return all[r.N(len(all))] }
+func draw(all []*snapshot.Server, r *rnd) *snapshot.Server { return all[r.N(len(all))] }
 
 // cost is the expected wait: what is outstanding here and reported there,
 // times what an answer takes; another zone costs a quarter more.
-func cost(s *table.Server, zone string) int64 {
+func cost(s *snapshot.Server, zone string) int64 {
 	lat := s.Gauge.Latency.Load() + 500
 	c := (s.Gauge.Outstanding.Load()*4 + s.Gauge.Usage.Load() + 4) * lat
 	if s.Zone != zone {
--- a/inquiry/trace.go
+++ b/request/search/trace.go
@@ -1,13 +1,13 @@
 // Traces of the last inquiries, for explain: a ring that costs one slot per
 // inquiry and keeps the snapshot each was decided by.
-package inquiry
+package search
 
 import (
 	"strconv"
 	"strings"
 	"sync/atomic"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 const tracesMost = 2048
@@ -44,7 +44,7 @@
 	Picks   []Pick  `json:"picks"`
 	Outcome Outcome `json:"-"`
 	Took    int64   `json:"took_us"`
-	cp      *table.Snapshot
+	cp      *snapshot.Snapshot
 }
 
 func newTrace(id string, in *Inquiry, now int64) *Trace {
@@ -126,7 +126,7 @@
 }
 
 // Explain tells a trace with the candidates of every shard it picked for.
-func Explain(t *Trace, stamp func(*table.Snapshot) string) Explained {
+func Explain(t *Trace, stamp func(*snapshot.Snapshot) string) Explained {
 	e := Explained{Trace: t, Outcome: t.Outcome, Candidates: []Candidate{}}
 	if t.cp == nil {
 		return e
@@ -152,10 +152,10 @@
 	return e
 }
 
-func candidate(t *Trace, shard int, s *table.Server, x *table.Index) Candidate {
-	c := Candidate{Shard: shard, Server: s.ID, Zone: s.Zone, Verdict: table.VerdictNames[s.Verdict], Warm: s.Warm(t.Began, x.Service.RampUs)}
+func candidate(t *Trace, shard int, s *snapshot.Server, x *snapshot.Index) Candidate {
+	c := Candidate{Shard: shard, Server: s.ID, Zone: s.Zone, Verdict: snapshot.VerdictNames[s.Verdict], Warm: s.Warm(t.Began, x.Service.RampUs)}
 	c.Why = "in the draw, not drawn"
-	if s.Verdict != table.OK {
+	if s.Verdict != snapshot.OK {
 		c.Why = "condition is " + c.Verdict
 	}
 	for _, p := range t.Picks {
--- a/table/configured.go
+++ b/request/snapshot/configured.go
@@ -1,5 +1,5 @@
 // The configuration as a snapshot shows it, and whether it may be served from.
-package table
+package snapshot
 
 import (
 	"fmt"
--- a/table/invariants_test.go
+++ b/request/snapshot/invariants_test.go
@@ -1,5 +1,5 @@
 // What a node has in force never goes back.
-package table
+package snapshot
 
 import (
 	"testing"
--- a/table/opinions_test.go
+++ b/request/snapshot/opinions_test.go
@@ -1,5 +1,5 @@
 // Opinions by server: kept in the order of their observers, replaced, taken back, forgotten.
-package table
+package snapshot
 
 import (
 	"testing"
--- a/table/residents_test.go
+++ b/request/snapshot/residents_test.go
@@ -1,5 +1,5 @@
 // Idle connections where a backend allows fewer than there are nodes.
-package table
+package snapshot
 
 import (
 	"fmt"
--- a/table/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -1,7 +1,7 @@
-// Package table builds the immutable snapshot that the request path reads
+// Package snapshot builds the immutable snapshot that the request path reads
 // through one atomic pointer: who serves which shard of which cut, in what
 // condition, within which limits, and which nodes are there to ask.
-package table
+package snapshot
 
 import (
 	"sync"
--- a/bucket/bucket.go
+++ b/request/tokenbucket/bucket.go
@@ -1,6 +1,6 @@
-// Package bucket is a token bucket, in thousandths of tokens, that many threads
+// Package tokenbucket is a token bucket, in thousandths of tokens, that many threads
 // fill and take from.
-package bucket
+package tokenbucket
 
 import "sync/atomic"
 
