--- a/cluster/discovery/first.go
+++ b/cluster/discovery/first.go
@@ -13,24 +13,24 @@
 )
 
 // first plans the first reading, where a platform says how often the list may be read.
-func (p *Lister) first(t *kernel.Context) {
+func (p *Lister) first(ctx *kernel.Context) {
 	e := &p.k.Boot.Env
 	switch {
 	case e.ListEvery <= 0:
 	case e.Counted:
-		t.After(t.Rand.Int64N(FirstWithin), "listing", "first")
+		ctx.After(ctx.Rand.Int64N(FirstWithin), "listing", "first")
 	default:
-		t.After(OthersAfter+t.Rand.Int64N(OthersOver), "listing", "first")
+		ctx.After(OthersAfter+ctx.Rand.Int64N(OthersOver), "listing", "first")
 	}
 }
 
 // readFirst reads unless a reading has come meanwhile; one that fails is made again, each time later.
-func (p *Lister) readFirst(t *kernel.Context) {
+func (p *Lister) readFirst(ctx *kernel.Context) {
 	if !p.blank {
 		return
 	}
-	if !p.under && t.Now-p.polled >= p.every(t) {
-		p.read(t)
+	if !p.under && ctx.Now-p.polled >= p.every(ctx) {
+		p.read(ctx)
 	}
-	t.After(OthersAfter*max(1, p.slower)+t.Rand.Int64N(OthersOver), "listing", "first")
+	ctx.After(OthersAfter*max(1, p.slower)+ctx.Rand.Int64N(OthersOver), "listing", "first")
 }
--- a/cluster/discovery/lease.go
+++ b/cluster/discovery/lease.go
@@ -28,9 +28,9 @@
 }
 
 // checkHolder sees that nobody else was granted the duty while this node still holds it.
-func (p *Lister) checkHolder(t *kernel.Context, v mesh.Stored, l *wire.Listing) {
-	if !v.Own && t.Now < p.until && l.Turn > p.lease {
-		t.Violated(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under turn %d while turn %d is held here for %d us yet", v.Origin, l.Turn, p.lease, p.until-t.Now))
+func (p *Lister) checkHolder(ctx *kernel.Context, v mesh.Stored, l *wire.Listing) {
+	if !v.Own && ctx.Now < p.until && l.Turn > p.lease {
+		ctx.Violated(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under turn %d while turn %d is held here for %d us yet", v.Origin, l.Turn, p.lease, p.until-ctx.Now))
 	}
 }
 
@@ -41,15 +41,15 @@
 }
 
 // drop gives the duty up to the next node by rank, if this node has it and there is another.
-func (p *Lister) drop(t *kernel.Context) bool {
+func (p *Lister) drop(ctx *kernel.Context) bool {
 	partition := state.PartitionOf(Duty)
 	addr := p.configSync.Leader(partition)
-	if addr == "" || t.Now >= p.until {
+	if addr == "" || ctx.Now >= p.until {
 		return false
 	}
-	for _, r := range p.members.Live(t.Now, "node") {
+	for _, r := range p.members.Live(ctx.Now, "node") {
 		if r.Origin != p.mesh.Self() && !r.Draining {
-			t.SendTo(addr, wire.KindLeaseRequest, 0, &wire.LeaseRequest{Partition: partition, Task: Duty, From: p.mesh.Self(), Release: true, Next: r.Origin, LeaseID: p.lease})
+			ctx.SendTo(addr, wire.KindLeaseRequest, 0, &wire.LeaseRequest{Partition: partition, Task: Duty, From: p.mesh.Self(), Release: true, Next: r.Origin, LeaseID: p.lease})
 			p.release()
 			return true
 		}
--- a/cluster/discovery/listing.go
+++ b/cluster/discovery/listing.go
@@ -76,22 +76,22 @@
 func (p *Lister) Kinds() []uint8 { return []uint8{wire.KindLeaseReply} }
 
 // Step takes one input.
-func (p *Lister) Step(t *kernel.Context, in kernel.Input) {
+func (p *Lister) Step(ctx *kernel.Context, in kernel.Input) {
 	if p.k.Boot.Env.Platform == "" {
 		return
 	}
 	switch v := in.(type) {
 	case kernel.Start:
-		p.heard = t.Now
-		t.After(t.Rand.Int64N(RenewEvery), "listing", "renew")
-		p.first(t)
+		p.heard = ctx.Now
+		ctx.After(ctx.Rand.Int64N(RenewEvery), "listing", "renew")
+		p.first(ctx)
 	case kernel.Tick:
 		if v.Key == "first" {
-			p.readFirst(t)
+			p.readFirst(ctx)
 			return
 		}
-		t.After(RenewEvery, "listing", "renew")
-		p.renew(t)
+		ctx.After(RenewEvery, "listing", "renew")
+		p.renew(ctx)
 	case kernel.Message:
 		var r wire.LeaseReply
 		if wire.Decode(v.Body, &r) != nil {
@@ -99,27 +99,27 @@
 		}
 		p.granted(v.ID, r)
 	case kernel.Fetched:
-		p.fetched(t, v)
+		p.fetched(ctx, v)
 	case kernel.Thawed:
 		p.release()
 	case kernel.Stopping:
-		p.drop(t)
+		p.drop(ctx)
 	case mesh.Stored:
-		p.stored(t, v)
+		p.stored(ctx, v)
 	}
 }
 
 // stored notes whose reading was heard of last, and the newest holder's turn:
 // a reading made without a hold must not look older than what is known.
-func (p *Lister) stored(t *kernel.Context, v mesh.Stored) {
+func (p *Lister) stored(ctx *kernel.Context, v mesh.Stored) {
 	if v.Entry.Type != "listing" && v.Entry.Type != "polled" {
 		return
 	}
-	p.heard, p.alone = t.Now, v.Own
+	p.heard, p.alone = ctx.Now, v.Own
 	p.blank = p.blank && v.Entry.Type != "listing"
 	var l wire.Listing
 	if v.Entry.Type == "listing" && wire.Decode(v.Entry.Body, &l) == nil {
-		p.checkHolder(t, v, &l)
+		p.checkHolder(ctx, v, &l)
 		p.turn = max(p.turn, l.Turn)
 	}
 }
@@ -128,10 +128,10 @@
 // part of the fleet, has five eighths of the allowance and never gives way. A node that
 // sees half of the fleet or less reads for itself with a third of it, and less and less
 // of it for as long as the platform says that it is too much: others are alone as well.
-func (p *Lister) every(t *kernel.Context) int64 {
+func (p *Lister) every(ctx *kernel.Context) int64 {
 	per, nodes := 10_000_000*p.calls/p.k.Boot.Env.PollsPer, p.members.Divisor()
 	least := p.k.Boot.Env.ListEvery
-	if t.Now < p.until || p.mesh.Peers() > 0 && (nodes == 1 || 2*len(p.members.Live(t.Now, "node")) > nodes) {
+	if ctx.Now < p.until || p.mesh.Peers() > 0 && (nodes == 1 || 2*len(p.members.Live(ctx.Now, "node")) > nodes) {
 		p.slower = 1
 		return max(least, per*8/5)
 	}
@@ -141,50 +141,50 @@
 // slowerMost bounds how far a node that is alone gives way.
 const slowerMost = 16
 
-func (p *Lister) renew(t *kernel.Context) {
-	p.ask(t)
-	if p.under || !(t.Now < p.until || p.orphaned(t)) || t.Now-p.polled < p.every(t) {
+func (p *Lister) renew(ctx *kernel.Context) {
+	p.ask(ctx)
+	if p.under || !(ctx.Now < p.until || p.orphaned(ctx)) || ctx.Now-p.polled < p.every(ctx) {
 		return
 	}
-	p.read(t)
+	p.read(ctx)
 }
 
-func (p *Lister) read(t *kernel.Context) {
-	p.polled, p.under = t.Now, true
-	t.Counts.Add("platform_polls", 1)
-	t.Fetch("listing", "list", p.k.Boot.Env.Platform, FetchWithin)
+func (p *Lister) read(ctx *kernel.Context) {
+	p.polled, p.under = ctx.Now, true
+	ctx.Counts.Add("platform_polls", 1)
+	ctx.Fetch("listing", "list", p.k.Boot.Env.Platform, FetchWithin)
 }
 
 // ask renews the duty, or asks for it: the more nodes there are, the more rarely each does.
-func (p *Lister) ask(t *kernel.Context) {
+func (p *Lister) ask(ctx *kernel.Context) {
 	partition := state.PartitionOf(Duty)
 	addr := p.configSync.Leader(partition)
-	if addr == "" || t.Now < p.idleTo || t.Now >= p.until && t.Now < p.askAt || p.members.SelfRow().Draining {
+	if addr == "" || ctx.Now < p.idleTo || ctx.Now >= p.until && ctx.Now < p.askAt || p.members.SelfRow().Draining {
 		return
 	}
-	if t.Now >= p.until {
-		gap := RenewEvery * int64(min(len(p.members.Live(t.Now, "node")), AskMost))
-		p.askAt = t.Now + gap/2 + t.Rand.Int64N(gap+1)
+	if ctx.Now >= p.until {
+		gap := RenewEvery * int64(min(len(p.members.Live(ctx.Now, "node")), AskMost))
+		p.askAt = ctx.Now + gap/2 + ctx.Rand.Int64N(gap+1)
 	}
 	p.nextAsk++
-	p.asked[p.nextAsk] = t.Now
+	p.asked[p.nextAsk] = ctx.Now
 	delete(p.asked, p.nextAsk-asksMost)
-	t.SendTo(addr, wire.KindLeaseRequest, p.nextAsk, &wire.LeaseRequest{Partition: partition, Task: Duty, From: p.mesh.Self()})
+	ctx.SendTo(addr, wire.KindLeaseRequest, p.nextAsk, &wire.LeaseRequest{Partition: partition, Task: Duty, From: p.mesh.Self()})
 }
 
 // orphaned tells that nobody's reading was heard of for so long that it is this node's turn
 // by rank. Origins are drawn at each start, so that a zone's nodes do not rank side by side.
-func (p *Lister) orphaned(t *kernel.Context) bool {
+func (p *Lister) orphaned(ctx *kernel.Context) bool {
 	if p.alone {
 		// Nobody else reads: go on at the usual pace until a holder is heard.
 		return true
 	}
-	silent := t.Now - p.heard - StaleAfter
+	silent := ctx.Now - p.heard - StaleAfter
 	if silent <= 0 {
 		return false
 	}
 	rank := int64(0)
-	for _, r := range p.members.Live(t.Now, "node") {
+	for _, r := range p.members.Live(ctx.Now, "node") {
 		if r.Origin < p.mesh.Self() {
 			rank++
 		}
@@ -192,29 +192,29 @@
 	return silent > rank*RankStep
 }
 
-func (p *Lister) fetched(t *kernel.Context, v kernel.Fetched) {
+func (p *Lister) fetched(ctx *kernel.Context, v kernel.Fetched) {
 	p.under = false
 	var l wire.Listing
 	if v.Err != "" || v.Status != 200 || json.Unmarshal(v.Body, &l) != nil || len(l.Servers) == 0 {
-		t.Counts.Add("platform_failed", 1)
+		ctx.Counts.Add("platform_failed", 1)
 		if v.Status == http.StatusTooManyRequests {
 			p.slower = min(2*max(1, p.slower), slowerMost)
 		}
-		t.Log(1, "platform_failed", "status", v.Status, "err", v.Err)
+		ctx.Log(1, "platform_failed", "status", v.Status, "err", v.Err)
 		// Not even a refusal: another node may have a way to the platform.
-		if v.Status == 0 && p.drop(t) {
-			p.idleTo = t.Now + GiveUpFor
+		if v.Status == 0 && p.drop(ctx) {
+			p.idleTo = ctx.Now + GiveUpFor
 		}
 		// Told all the same: the others must not all try what fails.
-		p.mesh.Announce(t, "polled", Duty, nil, false)
+		p.mesh.Announce(ctx, "polled", Duty, nil, false)
 		return
 	}
 	p.calls, l.Calls = max(1, l.Calls), 0
-	l.Turn, p.heard = p.turn, t.Now
-	if !p.news(t.Now, &l) && t.Now-p.told < TellEvery {
-		p.mesh.Announce(t, "polled", Duty, nil, false)
+	l.Turn, p.heard = p.turn, ctx.Now
+	if !p.news(ctx.Now, &l) && ctx.Now-p.told < TellEvery {
+		p.mesh.Announce(ctx, "polled", Duty, nil, false)
 		return
 	}
-	p.told = t.Now
-	p.mesh.Announce(t, "listing", Duty, wire.Encode(&l), false)
+	p.told = ctx.Now
+	p.mesh.Announce(ctx, "listing", Duty, wire.Encode(&l), false)
 }
--- a/cluster/loadreport/usage.go
+++ b/cluster/loadreport/usage.go
@@ -90,13 +90,13 @@
 func (u *Usage) Kinds() []uint8 { return nil }
 
 // Step takes one input.
-func (u *Usage) Step(t *kernel.Context, in kernel.Input) {
+func (u *Usage) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		t.After(tellEvery, "usage", "tell")
+		ctx.After(tellEvery, "usage", "tell")
 	case kernel.Tick:
-		t.After(tellEvery, "usage", "tell")
-		u.tell(t)
+		ctx.After(tellEvery, "usage", "tell")
+		u.tell(ctx)
 	case mesh.Stored:
 		if v.Entry.Type == "usage" && !v.Own {
 			var r wire.UsageReport
@@ -109,7 +109,7 @@
 	}
 }
 
-func (u *Usage) tell(t *kernel.Context) {
+func (u *Usage) tell(ctx *kernel.Context) {
 	report := wire.UsageReport{Rates: map[string]int64{}}
 	moved := false
 	u.meters.Range(func(k, v any) bool {
@@ -130,18 +130,18 @@
 		report.Rates[key] = int64(m.rate * 10)
 		var other int64
 		for origin, rates := range u.others {
-			if u.mesh.Live(origin, t.Now) {
+			if u.mesh.Live(origin, ctx.Now) {
 				other += rates[key]
 			}
 		}
 		m.mine.Store(int64(m.rate * 10))
 		m.other.Store(other)
-		t.Counts.Set(fmt.Sprintf("inquiries_per_10s{what=%q}", key), int64(m.rate*10))
+		ctx.Counts.Set(fmt.Sprintf("inquiries_per_10s{what=%q}", key), int64(m.rate*10))
 		return true
 	})
 	if !moved {
 		return
 	}
 	u.meters.Range(func(_, v any) bool { m := v.(*Meter); m.told = m.rate; return true })
-	u.mesh.Announce(t, "usage", u.mesh.Self(), wire.Encode(&report), false)
+	u.mesh.Announce(ctx, "usage", u.mesh.Self(), wire.Encode(&report), false)
 }
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -72,19 +72,19 @@
 func (m *Members) Kinds() []uint8 { return nil }
 
 // Step takes one input.
-func (m *Members) Step(t *kernel.Context, in kernel.Input) {
+func (m *Members) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		m.self.Started = t.Wall
-		m.started = t.Now
+		m.self.Started = ctx.Wall
+		m.started = ctx.Now
 		m.dirty = true
-		m.tell(t)
+		m.tell(ctx)
 	case kernel.Tick:
 		m.due = 0
-		m.soon(t)
+		m.soon(ctx)
 	case kernel.Stopping:
 		m.Update(func(s *wire.Member) { s.Draining = true })
-		m.tell(t)
+		m.tell(ctx)
 	case mesh.Stored:
 		if v.Entry.Type == "member" {
 			row := new(wire.Member)
@@ -100,9 +100,9 @@
 		delete(m.rows, v.Origin)
 		m.order = nil
 	case mesh.Pulse:
-		n := m.Count(t.Now, "node")
-		if n >= m.peak || t.Now-m.peakAt > PeakFor {
-			m.peak, m.peakAt = n, t.Now
+		n := m.Count(ctx.Now, "node")
+		if n >= m.peak || ctx.Now-m.peakAt > PeakFor {
+			m.peak, m.peakAt = n, ctx.Now
 		}
 	}
 }
@@ -115,17 +115,17 @@
 }
 
 // soon tells what changed, at once if nothing was told of late.
-func (m *Members) soon(t *kernel.Context) {
+func (m *Members) soon(ctx *kernel.Context) {
 	if !m.dirty {
 		return
 	}
-	at := m.told + m.pause(t.Now)
+	at := m.told + m.pause(ctx.Now)
 	switch {
-	case at <= t.Now:
-		m.tell(t)
+	case at <= ctx.Now:
+		m.tell(ctx)
 	case m.due == 0 || at < m.due:
 		m.due = at
-		t.After(at-t.Now, "members", "tell")
+		ctx.After(at-ctx.Now, "members", "tell")
 	}
 }
 
@@ -148,12 +148,12 @@
 // SelfRow is what this process tells of itself.
 func (m *Members) SelfRow() wire.Member { return m.self }
 
-func (m *Members) tell(t *kernel.Context) {
+func (m *Members) tell(ctx *kernel.Context) {
 	if !m.dirty {
 		return
 	}
-	m.dirty, m.told, m.toldRow = false, t.Now, m.self
-	m.mesh.Announce(t, "member", m.mesh.Self(), wire.Encode(&m.self), false)
+	m.dirty, m.told, m.toldRow = false, ctx.Now, m.self
+	m.mesh.Announce(ctx, "member", m.mesh.Self(), wire.Encode(&m.self), false)
 }
 
 // All lists the members, by name.
--- a/cluster/mesh/announce.go
+++ b/cluster/mesh/announce.go
@@ -7,96 +7,96 @@
 )
 
 // Announce signs, stores and floods an entry of this process's own.
-func (m *Mesh) Announce(t *kernel.Context, typ, id string, body []byte, gone bool) {
+func (m *Mesh) Announce(ctx *kernel.Context, typ, id string, body []byte, gone bool) {
 	m.count++
-	e := &wire.Entry{Type: typ, ID: id, Origin: m.k.Boot.Key.Public, Count: m.count, At: t.Wall, Gone: gone, Body: body}
+	e := &wire.Entry{Type: typ, ID: id, Origin: m.k.Boot.Key.Public, Count: m.count, At: ctx.Wall, Gone: gone, Body: body}
 	sign(e, m.k.Boot.Key)
-	m.seen.add(seenKey(e), t.Now)
-	m.store.put(e, m.self, t.Now)
-	m.changedAt = t.Now
-	t.Emit(Stored{Entry: e, Origin: m.self, Own: true})
-	m.flood(t, e, 0)
+	m.seen.add(seenKey(e), ctx.Now)
+	m.store.put(e, m.self, ctx.Now)
+	m.changedAt = ctx.Now
+	ctx.Emit(Stored{Entry: e, Origin: m.self, Own: true})
+	m.flood(ctx, e, 0)
 }
 
 // AnnounceVersion floods a committed version of a partition; any process may do so.
-func (m *Mesh) AnnounceVersion(t *kernel.Context, v wire.Versioned) {
-	if e := m.takeVersion(t, v); e != nil {
-		m.flood(t, e, 0)
+func (m *Mesh) AnnounceVersion(ctx *kernel.Context, v wire.Versioned) {
+	if e := m.takeVersion(ctx, v); e != nil {
+		m.flood(ctx, e, 0)
 	}
 }
 
 // HoldVersion takes a version that came another way; heartbeats hand it on.
-func (m *Mesh) HoldVersion(t *kernel.Context, v wire.Versioned) { m.takeVersion(t, v) }
+func (m *Mesh) HoldVersion(ctx *kernel.Context, v wire.Versioned) { m.takeVersion(ctx, v) }
 
-func (m *Mesh) takeVersion(t *kernel.Context, v wire.Versioned) *wire.Entry {
+func (m *Mesh) takeVersion(ctx *kernel.Context, v wire.Versioned) *wire.Entry {
 	if held, ok := m.store.parts[v.Version.Partition]; ok && !Newer(v.Version, held.Version) {
 		return nil
 	}
 	m.count++
-	e := &wire.Entry{Type: "part", Origin: m.k.Boot.Key.Public, Count: m.count, At: t.Wall, Version: v.Version, Body: v.Body}
+	e := &wire.Entry{Type: "part", Origin: m.k.Boot.Key.Public, Count: m.count, At: ctx.Wall, Version: v.Version, Body: v.Body}
 	sign(e, m.k.Boot.Key)
-	m.seen.add(seenKey(e), t.Now)
+	m.seen.add(seenKey(e), ctx.Now)
 	m.store.putVersion(e)
-	m.changedAt = t.Now
-	t.Emit(Stored{Entry: e, Origin: m.self, Own: true})
+	m.changedAt = ctx.Now
+	ctx.Emit(Stored{Entry: e, Origin: m.self, Own: true})
 	return e
 }
 
-func (m *Mesh) message(t *kernel.Context, v kernel.Message) {
+func (m *Mesh) message(ctx *kernel.Context, v kernel.Message) {
 	p := m.peers[v.Chan]
 	if p == nil {
-		t.Counts.Add("mesh_dropped_stranger", 1)
+		ctx.Counts.Add("mesh_dropped_stranger", 1)
 		return
 	}
-	p.lastSeen = t.Now
+	p.lastSeen = ctx.Now
 	switch v.Kind {
 	case wire.KindHeartbeat:
 		var hb wire.Heartbeat
 		if wire.Decode(v.Body, &hb) != nil {
-			m.bad(t, p, "heartbeat")
+			m.bad(ctx, p, "heartbeat")
 			return
 		}
-		t.Counts.Add("mesh_heartbeats_in", 1)
-		m.heartbeat(t, p, &hb)
+		ctx.Counts.Add("mesh_heartbeats_in", 1)
+		m.heartbeat(ctx, p, &hb)
 	case wire.KindGossip:
-		m.gossip(t, p, v)
+		m.gossip(ctx, p, v)
 	case wire.KindNotice:
 		var n wire.Notice
 		if wire.Decode(v.Body, &n) != nil {
-			m.bad(t, p, "notice")
+			m.bad(ctx, p, "notice")
 			return
 		}
-		m.noticed(t, p, n)
+		m.noticed(ctx, p, n)
 	}
 }
 
 // gossip takes an entry's frame; one that was seen is not decoded again.
-func (m *Mesh) gossip(t *kernel.Context, p *peer, v kernel.Message) {
-	t.Counts.Add("mesh_entries_in", 1)
+func (m *Mesh) gossip(ctx *kernel.Context, p *peer, v kernel.Message) {
+	ctx.Counts.Add("mesh_entries_in", 1)
 	frame := m.seen.frame(v.Body)
-	if key, ok := m.seen.known(frame, t.Now); ok {
-		m.duplicate(t, p, key)
+	if key, ok := m.seen.known(frame, ctx.Now); ok {
+		m.duplicate(ctx, p, key)
 		return
 	}
 	e := new(wire.Entry)
 	if wire.Decode(v.Body, e) != nil {
-		m.bad(t, p, "entry")
+		m.bad(ctx, p, "entry")
 		return
 	}
-	m.receive(t, p, e, v.ID)
+	m.receive(ctx, p, e, v.ID)
 	m.seen.learn(frame, seenKey(e))
 }
 
 // duplicate drops an entry that was seen; its sender needs it no more.
-func (m *Mesh) duplicate(t *kernel.Context, p *peer, key uint64) {
-	t.Counts.Add("mesh_dropped_seen", 1)
+func (m *Mesh) duplicate(ctx *kernel.Context, p *peer, key uint64) {
+	ctx.Counts.Add("mesh_dropped_seen", 1)
 	if p.outbox.has(key) {
-		t.Counts.Add("mesh_forwards_spared", 1)
+		ctx.Counts.Add("mesh_forwards_spared", 1)
 	}
 }
 
-func (m *Mesh) bad(t *kernel.Context, p *peer, what string) {
-	t.Counts.Add("mesh_dropped_malformed", 1)
-	t.Log(1, "mesh_malformed", "what", what, "peer", p.key)
-	t.Drop(p.chanID)
+func (m *Mesh) bad(ctx *kernel.Context, p *peer, what string) {
+	ctx.Counts.Add("mesh_dropped_malformed", 1)
+	ctx.Log(1, "mesh_malformed", "what", what, "peer", p.key)
+	ctx.Drop(p.chanID)
 }
--- a/cluster/mesh/digest.go
+++ b/cluster/mesh/digest.go
@@ -54,16 +54,16 @@
 func bucketBit(fp string) uint64 { return 1 << (hash(fp) % Buckets) }
 
 // compare looks at a peer's digest, and does what its frame asks for.
-func (m *Mesh) compare(t *kernel.Context, p *peer, hb *wire.Heartbeat) {
+func (m *Mesh) compare(ctx *kernel.Context, p *peer, hb *wire.Heartbeat) {
 	mine := m.digest()
 	switch {
 	case hb.Scope != 0:
-		m.marked(t, p, hb)
+		m.marked(ctx, p, hb)
 	case hb.Digest == mine:
 		p.differed = false
-		m.inStep(t)
+		m.inStep(ctx)
 		if hb.Echo {
-			t.SendSlot(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Digest: mine}, "answer")
+			ctx.SendSlot(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Digest: mine}, "answer")
 		}
 	case len(hb.Buckets) == Buckets:
 		scope := uint64(partsBit)
@@ -72,103 +72,103 @@
 				scope |= 1 << i
 			}
 		}
-		m.sendMarks(t, p, scope, true)
+		m.sendMarks(ctx, p, scope, true)
 	default:
-		m.differs(t, p, hb.Digest)
+		m.differs(ctx, p, hb.Digest)
 	}
 }
 
 // differs asks a peer whose digest is another, unless what differs is still under way, or
 // is known to be of no use to either.
-func (m *Mesh) differs(t *kernel.Context, p *peer, theirs uint64) {
+func (m *Mesh) differs(ctx *kernel.Context, p *peer, theirs uint64) {
 	first := !p.differed
 	p.differed = true
 	switch {
 	case p.mine == m.digest() && p.theirs == theirs:
-	case first && t.Now-m.changedAt < StillFor:
-	case t.Now-p.askedAt < AskEvery || t.Now-m.askedAt < AskEvery:
-	case m.k.Receiving() && t.Now-m.askedAt < AskReceiving:
+	case first && ctx.Now-m.changedAt < StillFor:
+	case ctx.Now-p.askedAt < AskEvery || ctx.Now-m.askedAt < AskEvery:
+	case m.k.Receiving() && ctx.Now-m.askedAt < AskReceiving:
 	default:
-		m.ask(t, p)
+		m.ask(ctx, p)
 	}
 }
 
 // ask sends the sums of the buckets.
-func (m *Mesh) ask(t *kernel.Context, p *peer) {
-	p.askedAt, m.askedAt, p.gained, p.again = t.Now, t.Now, false, false
-	t.Counts.Add("mesh_asked", 1)
-	hb := &wire.Heartbeat{Addrs: m.someAddrs(t, p.zone, greetAddrs), Digest: m.digest(), Buckets: m.store.buckets[:], Echo: true}
-	t.SendSlot(p.chanID, wire.KindHeartbeat, hb, "buckets")
+func (m *Mesh) ask(ctx *kernel.Context, p *peer) {
+	p.askedAt, m.askedAt, p.gained, p.again = ctx.Now, ctx.Now, false, false
+	ctx.Counts.Add("mesh_asked", 1)
+	hb := &wire.Heartbeat{Addrs: m.someAddrs(ctx, p.zone, greetAddrs), Digest: m.digest(), Buckets: m.store.buckets[:], Echo: true}
+	ctx.SendSlot(p.chanID, wire.KindHeartbeat, hb, "buckets")
 }
 
 // marked takes the marks of some buckets: what the other side lacks of them is sent, and, if
 // it asks, then this side's marks, so that whoever has read them has all.
-func (m *Mesh) marked(t *kernel.Context, p *peer, hb *wire.Heartbeat) {
+func (m *Mesh) marked(ctx *kernel.Context, p *peer, hb *wire.Heartbeat) {
 	theirs := make(map[string]wire.Mark, len(hb.Marks))
 	for _, mk := range hb.Marks {
 		theirs[mk.Origin] = mk
 	}
-	left := min(PushMost, m.mayServe(t.Now))
+	left := min(PushMost, m.mayServe(ctx.Now))
 	was := left
 	for _, fp := range sortedKeys(m.store.origins) {
 		if left > 0 && hb.Scope&bucketBit(fp) != 0 {
-			left -= m.catchUp(t, p, m.store.origins[fp], theirs[fp], left)
+			left -= m.catchUp(ctx, p, m.store.origins[fp], theirs[fp], left)
 		}
 	}
-	left -= m.pushParts(t, p, hb.Partitions)
+	left -= m.pushParts(ctx, p, hb.Partitions)
 	m.served -= was - left
 	lacks := m.lacks(hb)
 	if !lacks {
-		m.inStep(t)
+		m.inStep(ctx)
 		if left == was {
 			p.mine, p.theirs = m.digest(), hb.Digest
 		}
 	}
 	switch {
 	case hb.Echo:
-		m.sendMarks(t, p, hb.Scope, lacks)
+		m.sendMarks(ctx, p, hb.Scope, lacks)
 	case lacks && p.gained && !p.old:
-		m.askAgain(t, p)
+		m.askAgain(ctx, p)
 	}
 }
 
 // askAgain asks a peer for what one round did not bring, not at once but soon: while a flood
 // goes on, something is always lacking.
-func (m *Mesh) askAgain(t *kernel.Context, p *peer) {
-	wait := p.askedAt + AgainEvery - t.Now
+func (m *Mesh) askAgain(ctx *kernel.Context, p *peer) {
+	wait := p.askedAt + AgainEvery - ctx.Now
 	switch {
 	case wait <= 0:
-		m.ask(t, p)
+		m.ask(ctx, p)
 	case !p.again:
 		p.again = true
-		t.After(wait, "mesh", "again")
+		ctx.After(wait, "mesh", "again")
 	}
 }
 
 // askDue asks the peers that are due to be asked again.
-func (m *Mesh) askDue(t *kernel.Context) {
+func (m *Mesh) askDue(ctx *kernel.Context) {
 	for _, id := range sortedKeys(m.peers) {
-		if p := m.peers[id]; p.again && t.Now >= p.askedAt+AgainEvery {
-			m.ask(t, p)
+		if p := m.peers[id]; p.again && ctx.Now >= p.askedAt+AgainEvery {
+			m.ask(ctx, p)
 		}
 	}
 }
 
-func (m *Mesh) sendMarks(t *kernel.Context, p *peer, scope uint64, echo bool) {
+func (m *Mesh) sendMarks(ctx *kernel.Context, p *peer, scope uint64, echo bool) {
 	hb := &wire.Heartbeat{Digest: m.digest(), Scope: scope, Echo: echo, Partitions: m.stamps()}
 	for _, fp := range sortedKeys(m.store.origins) {
 		if o := m.store.origins[fp]; scope&bucketBit(fp) != 0 && o.max > 0 {
 			hb.Marks = append(hb.Marks, wire.Mark{Origin: fp, Max: o.max, Sum: o.sum})
 		}
 	}
-	t.Counts.Add("mesh_marks_out", int64(len(hb.Marks)))
-	t.Send(p.chanID, wire.KindHeartbeat, 0, hb)
+	ctx.Counts.Add("mesh_marks_out", int64(len(hb.Marks)))
+	ctx.Send(p.chanID, wire.KindHeartbeat, 0, hb)
 }
 
 // inStep notes that nothing is lacking here that a peer has.
-func (m *Mesh) inStep(t *kernel.Context) {
+func (m *Mesh) inStep(ctx *kernel.Context) {
 	m.caught = true
-	t.Emit(CaughtUp{})
+	ctx.Emit(CaughtUp{})
 }
 
 // mayServe is how much may be sent to those that catch up, in bytes.
@@ -188,7 +188,7 @@
 
 // pushParts sends the versions that the other side lacks. Of a large one it is told, and asks for it
 // unless another already sends it.
-func (m *Mesh) pushParts(t *kernel.Context, p *peer, theirs []wire.Version) (sent int) {
+func (m *Mesh) pushParts(ctx *kernel.Context, p *peer, theirs []wire.Version) (sent int) {
 	stamps := map[int]wire.Version{}
 	for _, s := range theirs {
 		stamps[s.Partition] = s
@@ -197,11 +197,11 @@
 		e := m.store.parts[partition]
 		if s, ok := stamps[partition]; !ok || Newer(e.Version, s) {
 			if isLarge(e) {
-				m.notify(t, p.chanID, e)
+				m.notify(ctx, p.chanID, e)
 				continue
 			}
-			t.Counts.Add("mesh_caught_up", 1)
-			sent += m.send(t, p.chanID, e, caughtUp)
+			ctx.Counts.Add("mesh_caught_up", 1)
+			sent += m.send(ctx, p.chanID, e, caughtUp)
 		}
 	}
 	return sent
@@ -231,7 +231,7 @@
 
 // catchUp sends what the other side lacks of an origin: what is past its counter, or, where
 // the counters agree and the sums do not, everything.
-func (m *Mesh) catchUp(t *kernel.Context, p *peer, o *origin, theirs wire.Mark, most int) (sent int) {
+func (m *Mesh) catchUp(ctx *kernel.Context, p *peer, o *origin, theirs wire.Mark, most int) (sent int) {
 	if o.sum == theirs.Sum || len(o.entries) == 0 || o.max < theirs.Max {
 		return 0
 	}
@@ -241,8 +241,8 @@
 	}
 	for _, key := range sortedKeys(o.entries) {
 		if e := o.entries[key]; e.Count > from && sent < most {
-			t.Counts.Add("mesh_caught_up", 1)
-			sent += m.send(t, p.chanID, e, caughtUp)
+			ctx.Counts.Add("mesh_caught_up", 1)
+			sent += m.send(ctx, p.chanID, e, caughtUp)
 		}
 	}
 	return sent
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -25,90 +25,90 @@
 
 func sign(e *wire.Entry, key kernel.Key) { e.Sig = ed25519.Sign(key.Private, signed(e)) }
 
-func (m *Mesh) receive(t *kernel.Context, p *peer, e *wire.Entry, way uint64) {
+func (m *Mesh) receive(ctx *kernel.Context, p *peer, e *wire.Entry, way uint64) {
 	k := seenKey(e)
-	if m.seen.has(k, t.Now) {
-		m.duplicate(t, p, k)
+	if m.seen.has(k, ctx.Now) {
+		m.duplicate(ctx, p, k)
 		return
 	}
 	if len(e.Origin) != ed25519.PublicKeySize || !ed25519.Verify(e.Origin, signed(e), e.Sig) {
-		t.Counts.Add("mesh_dropped_signature", 1)
-		t.Log(1, "mesh_signature", "peer", p.key, "type", e.Type, "id", e.ID)
+		ctx.Counts.Add("mesh_dropped_signature", 1)
+		ctx.Log(1, "mesh_signature", "peer", p.key, "type", e.Type, "id", e.ID)
 		return
 	}
 	fp := kernel.Fingerprint(e.Origin)
-	if !m.lawful(t, e, fp) {
+	if !m.lawful(ctx, e, fp) {
 		return
 	}
 	if e.Hops >= MaxHops {
-		t.Counts.Add("mesh_dropped_hops", 1)
+		ctx.Counts.Add("mesh_dropped_hops", 1)
 		return
 	}
-	o := m.store.origin(fp, t.Now)
-	if o == nil || !o.spend(t.Now) {
-		t.Counts.Add("mesh_dropped_rate", 1)
+	o := m.store.origin(fp, ctx.Now)
+	if o == nil || !o.spend(ctx.Now) {
+		ctx.Counts.Add("mesh_dropped_rate", 1)
 		return
 	}
-	m.seen.add(k, t.Now)
-	if !m.keep(t, e, fp) {
-		t.Counts.Add("mesh_dropped_old", 1)
+	m.seen.add(k, ctx.Now)
+	if !m.keep(ctx, e, fp) {
+		ctx.Counts.Add("mesh_dropped_old", 1)
 		return
 	}
 	p.gained = p.gained || way == caughtUp
-	m.learn(t, o, e)
-	t.Emit(Stored{Entry: e, Origin: fp})
+	m.learn(ctx, o, e)
+	ctx.Emit(Stored{Entry: e, Origin: fp})
 	if way == news || m.caught {
-		m.flood(t, e, p.chanID)
+		m.flood(ctx, e, p.chanID)
 	}
 }
 
 // lawful is the origin check. An entry's id belongs to the origin that signed
 // it, for its key is part of the id; a process's word about itself must come
 // under its own key; and nobody may speak with this process's key.
-func (m *Mesh) lawful(t *kernel.Context, e *wire.Entry, fp string) bool {
+func (m *Mesh) lawful(ctx *kernel.Context, e *wire.Entry, fp string) bool {
 	if fp == m.self || (e.Type == "member" || e.Type == "links") && e.ID != fp {
-		t.Counts.Add("mesh_dropped_origin", 1)
+		ctx.Counts.Add("mesh_dropped_origin", 1)
 		return false
 	}
 	if g, dead := m.store.buried[fp]; dead && e.Type != "part" {
 		if o := m.store.origins[fp]; o == nil || o.beat <= g.beat {
-			t.Counts.Add("mesh_dropped_buried", 1)
+			ctx.Counts.Add("mesh_dropped_buried", 1)
 			return false
 		}
 	}
 	return true
 }
 
-func (m *Mesh) keep(t *kernel.Context, e *wire.Entry, fp string) bool {
-	m.changedAt = t.Now
+func (m *Mesh) keep(ctx *kernel.Context, e *wire.Entry, fp string) bool {
+	m.changedAt = ctx.Now
 	if e.Type != "part" {
-		return m.store.put(e, fp, t.Now)
+		return m.store.put(e, fp, ctx.Now)
 	}
 	return m.store.putVersion(e)
 }
 
-func (m *Mesh) flood(t *kernel.Context, e *wire.Entry, except uint64) {
+func (m *Mesh) flood(ctx *kernel.Context, e *wire.Entry, except uint64) {
 	if e.Hops+1 > MaxHops {
 		return
 	}
 	if len(e.Body) <= NoticeOver {
-		m.forward(t, e, except)
+		m.forward(ctx, e, except)
 		return
 	}
 	for _, id := range sortedKeys(m.peers) {
 		if id != except {
-			m.notify(t, id, e)
+			m.notify(ctx, id, e)
 		}
 	}
 }
 
 // send gives the size of the frame that it sends.
-func (m *Mesh) send(t *kernel.Context, ch uint64, e *wire.Entry, way uint64) int {
+func (m *Mesh) send(ctx *kernel.Context, ch uint64, e *wire.Entry, way uint64) int {
 	c := *e
 	c.Hops++
-	t.Counts.Add("mesh_entries_out", 1)
+	ctx.Counts.Add("mesh_entries_out", 1)
 	s := kernel.Send{Chan: ch, Data: wire.Seal(wire.KindGossip, way, &c), Slot: slot(e)}
-	t.Out.Sends = append(t.Out.Sends, s)
+	ctx.Out.Sends = append(ctx.Out.Sends, s)
 	return len(s.Data)
 }
 
--- a/cluster/mesh/heartbeat.go
+++ b/cluster/mesh/heartbeat.go
@@ -11,55 +11,55 @@
 	"wallport/runtime/wire"
 )
 
-func (m *Mesh) beat(t *kernel.Context) {
-	t.After(HeartbeatEvery, "mesh", "beat")
+func (m *Mesh) beat(ctx *kernel.Context) {
+	ctx.After(HeartbeatEvery, "mesh", "beat")
 	self := m.store.origins[m.self]
 	self.beat++
-	self.beatAt = t.Now
+	self.beatAt = ctx.Now
 	for _, id := range sortedKeys(m.peers) {
 		p := m.peers[id]
 		if p == nil {
 			// Given up since the loop began.
 			continue
 		}
-		silent := t.Now - p.lastSeen
+		silent := ctx.Now - p.lastSeen
 		switch {
 		case silent > SilentAfter:
-			t.Counts.Add("mesh_peers_silent", 1)
-			m.lose(t, p)
-			t.Drop(id)
+			ctx.Counts.Add("mesh_peers_silent", 1)
+			m.lose(ctx, p)
+			ctx.Drop(id)
 		case silent > HeartbeatEvery && silent < LiveFor:
 			// At its moment, not at the next beat.
-			t.After(LiveFor-silent, "mesh", "links")
+			ctx.After(LiveFor-silent, "mesh", "links")
 		}
 	}
-	m.relink(t)
-	m.forget(t)
-	hb := &wire.Heartbeat{Addrs: m.someAddrs(t, "", beatAddrs), Digest: m.digest()}
+	m.relink(ctx)
+	m.forget(ctx)
+	hb := &wire.Heartbeat{Addrs: m.someAddrs(ctx, "", beatAddrs), Digest: m.digest()}
 	if m.old = m.upgrading(); m.old {
 		self.key, self.sig = m.k.Boot.Key.Public, ed25519.Sign(m.k.Boot.Key.Private, beatText(self.beat))
 		hb = m.marks()
 	}
 	for _, id := range sortedKeys(m.peers) {
-		t.SendSlot(id, wire.KindHeartbeat, hb, "heartbeat")
+		ctx.SendSlot(id, wire.KindHeartbeat, hb, "heartbeat")
 	}
-	m.tend(t)
-	t.Counts.Set("mesh_peers", int64(len(m.peers)))
-	t.Counts.Set("mesh_origins", int64(len(m.store.origins)))
-	t.Emit(Pulse{})
+	m.tend(ctx)
+	ctx.Counts.Set("mesh_peers", int64(len(m.peers)))
+	ctx.Counts.Set("mesh_origins", int64(len(m.store.origins)))
+	ctx.Emit(Pulse{})
 }
 
 // forget drops those that nobody has reached for long, and what was taken back long ago.
-func (m *Mesh) forget(t *kernel.Context) {
+func (m *Mesh) forget(ctx *kernel.Context) {
 	for _, fp := range sortedKeys(m.store.origins) {
 		o := m.store.origins[fp]
-		o.prune(t.Now)
-		if m.Live(fp, t.Now) {
-			o.liveAt = t.Now
+		o.prune(ctx.Now)
+		if m.Live(fp, ctx.Now) {
+			o.liveAt = ctx.Now
 		}
-		if t.Now-max(o.liveAt, o.beatAt) > ForgetAfter {
-			m.store.bury(fp, t.Now)
-			t.Emit(Forgotten{Origin: fp})
+		if ctx.Now-max(o.liveAt, o.beatAt) > ForgetAfter {
+			m.store.bury(fp, ctx.Now)
+			ctx.Emit(Forgotten{Origin: fp})
 		}
 	}
 }
@@ -92,27 +92,27 @@
 	return hb
 }
 
-func (m *Mesh) heartbeat(t *kernel.Context, p *peer, hb *wire.Heartbeat) {
+func (m *Mesh) heartbeat(ctx *kernel.Context, p *peer, hb *wire.Heartbeat) {
 	for _, a := range hb.Addrs {
 		m.know(a)
 	}
 	for _, mk := range hb.Marks {
-		m.takeBeat(t, p.key, mk)
+		m.takeBeat(ctx, p.key, mk)
 	}
 	if p.old = hb.Digest == 0; !p.old {
-		m.compare(t, p, hb)
+		m.compare(ctx, p, hb)
 		return
 	}
 	whole := *hb
 	whole.Scope, whole.Echo = wholeMask, false
-	m.marked(t, p, &whole)
+	m.marked(ctx, p, &whole)
 	if hb.Echo {
 		// After what was lacking, on the same channel: whoever reads this has all.
-		t.Send(p.chanID, wire.KindHeartbeat, 0, m.marks())
+		ctx.Send(p.chanID, wire.KindHeartbeat, 0, m.marks())
 	}
 }
 
-func (m *Mesh) takeBeat(t *kernel.Context, from string, mk wire.Mark) {
+func (m *Mesh) takeBeat(ctx *kernel.Context, from string, mk wire.Mark) {
 	if mk.Origin == m.self || mk.Beat == 0 {
 		return
 	}
@@ -123,18 +123,18 @@
 		return
 	}
 	if !m.proved(mk) {
-		t.Counts.Add("mesh_dropped_beat", 1)
+		ctx.Counts.Add("mesh_dropped_beat", 1)
 		return
 	}
-	o := m.store.origin(mk.Origin, t.Now)
+	o := m.store.origin(mk.Origin, ctx.Now)
 	if o == nil {
 		return
 	}
 	first := o.beat == 0
-	o.beat, o.beatAt, o.key, o.sig = mk.Beat, t.Now, mk.Key, mk.Sig
+	o.beat, o.beatAt, o.key, o.sig = mk.Beat, ctx.Now, mk.Key, mk.Sig
 	if first && mk.Origin != from {
 		// Heard of from another: it may be long gone, and counts once its beat rises.
-		o.beatAt = t.Now - LiveFor
+		o.beatAt = ctx.Now - LiveFor
 	}
 	delete(m.store.buried, mk.Origin)
 }
--- a/cluster/mesh/large_test.go
+++ b/cluster/mesh/large_test.go
@@ -23,7 +23,7 @@
 
 // commit has a process flood a version of a partition.
 func (f *fleet) commit(p *process, v wire.Versioned) {
-	p.k.Later(func(t *kernel.Context) { p.m.AnnounceVersion(t, v) })
+	p.k.Later(func(ctx *kernel.Context) { p.m.AnnounceVersion(ctx, v) })
 	f.step(p, kernel.Tick{Plugin: "nobody"})
 }
 
@@ -93,8 +93,8 @@
 func TestALargeVersionIsSentToThreeAtOnce(t *testing.T) {
 	r := newRig(t)
 	at := wire.Version{Partition: 0, Term: 1, Seq: 9}
-	r.m.k.Later(func(t *kernel.Context) {
-		r.m.AnnounceVersion(t, wire.Versioned{Version: at, Body: make([]byte, 1<<20)})
+	r.m.k.Later(func(ctx *kernel.Context) {
+		r.m.AnnounceVersion(ctx, wire.Versioned{Version: at, Body: make([]byte, 1<<20)})
 	})
 	r.feed(kernel.Tick{Plugin: "nobody"})
 	served := map[uint64]bool{}
--- a/cluster/mesh/links.go
+++ b/cluster/mesh/links.go
@@ -44,12 +44,12 @@
 }
 
 // heard lists those that are heard directly, in order.
-func (m *Mesh) heard(t *kernel.Context) []string {
+func (m *Mesh) heard(ctx *kernel.Context) []string {
 	var out []string
 	open := map[string]bool{}
 	for _, p := range m.peers {
 		open[p.key] = true
-		if t.Now-p.lastSeen < LiveFor {
+		if ctx.Now-p.lastSeen < LiveFor {
 			out = append(out, p.key)
 		}
 	}
@@ -57,7 +57,7 @@
 		switch {
 		case open[fp]:
 			delete(m.links.ended, fp)
-		case t.Now-e.at < LinkGrace && t.Now-e.seen < LiveFor:
+		case ctx.Now-e.at < LinkGrace && ctx.Now-e.seen < LiveFor:
 			out = append(out, fp)
 		default:
 			delete(m.links.ended, fp)
@@ -76,18 +76,18 @@
 }
 
 // relink looks at the own links, tells them if they changed and works out who is reached.
-func (m *Mesh) relink(t *kernel.Context) {
+func (m *Mesh) relink(ctx *kernel.Context) {
 	was := m.links.now
-	m.links.now = m.heard(t)
+	m.links.now = m.heard(ctx)
 	for fp, count := range m.links.lost {
 		if o := m.store.origins[fp]; o == nil || o.max > count || slices.Contains(m.links.now, fp) {
 			delete(m.links.lost, fp)
 		}
 	}
 	if !slices.Equal(was, m.links.now) {
-		m.reach(t)
+		m.reach(ctx)
 	}
-	m.tellLinks(t)
+	m.tellLinks(ctx)
 }
 
 // loses tells whether something that was told is no longer so, or a member fell silent since.
@@ -107,7 +107,7 @@
 }
 
 // tellLinks tells the own links, a loss soon and a gain together with others.
-func (m *Mesh) tellLinks(t *kernel.Context) {
+func (m *Mesh) tellLinks(ctx *kernel.Context) {
 	l := &m.links
 	now := strings.Join(l.now, " ") + "|" + strings.Join(sortedKeys(l.lost), " ")
 	if now == l.told && !l.again {
@@ -115,7 +115,7 @@
 		return
 	}
 	if l.since == 0 {
-		l.since = t.Now
+		l.since = ctx.Now
 	}
 	at := max(l.toldAt+LinkEvery, l.since+LinkFirst)
 	if l.again || l.loses() {
@@ -124,14 +124,14 @@
 	if l.toldAt == 0 {
 		at = l.since + LinkFirst
 	}
-	if t.Now < at {
+	if ctx.Now < at {
 		if l.due == 0 || at < l.due {
 			l.due = at
-			t.After(at-t.Now, "mesh", "links")
+			ctx.After(at-ctx.Now, "mesh", "links")
 		}
 		return
 	}
-	l.due, l.since, l.told, l.toldAt, l.again = 0, 0, now, t.Now, false
+	l.due, l.since, l.told, l.toldAt, l.again = 0, 0, now, ctx.Now, false
 	body := wire.Links{}
 	for _, fp := range l.now {
 		b, _ := hex.DecodeString(fp)
@@ -140,15 +140,15 @@
 	for _, fp := range sortedKeys(l.lost) {
 		body.Lost = append(body.Lost, wire.Suspect{Origin: fp, Count: l.lost[fp]})
 	}
-	t.Counts.Add("mesh_links_told", 1)
-	m.Announce(t, "links", m.self, wire.Encode(&body), false)
+	ctx.Counts.Add("mesh_links_told", 1)
+	m.Announce(ctx, "links", m.self, wire.Encode(&body), false)
 }
 
 // linked takes in what another tells of its links.
-func (m *Mesh) linked(t *kernel.Context, o *origin, e *wire.Entry) {
+func (m *Mesh) linked(ctx *kernel.Context, o *origin, e *wire.Entry) {
 	var l wire.Links
 	if wire.Decode(e.Body, &l) != nil || len(l.Peers)%8 != 0 || len(l.Peers) > 8*LinksMost || len(l.Lost) > LostMost {
-		t.Counts.Add("mesh_dropped_malformed", 1)
+		ctx.Counts.Add("mesh_dropped_malformed", 1)
 		return
 	}
 	o.links = o.links[:0]
@@ -158,23 +158,23 @@
 		m.store.lift(fp)
 	}
 	for _, s := range l.Lost {
-		m.suspected(t, s)
+		m.suspected(ctx, s)
 	}
-	m.reachSoon(t)
+	m.reachSoon(ctx)
 }
 
 // suspected takes note of one that another has lost. This process itself says that it is there.
-func (m *Mesh) suspected(t *kernel.Context, s wire.Suspect) {
+func (m *Mesh) suspected(ctx *kernel.Context, s wire.Suspect) {
 	if s.Origin == m.self {
 		if s.Count >= m.count {
-			t.Counts.Add("mesh_refuted", 1)
+			ctx.Counts.Add("mesh_refuted", 1)
 			m.links.again = true
-			m.tellLinks(t)
+			m.tellLinks(ctx)
 		}
 		return
 	}
 	if o := m.store.origins[s.Origin]; o != nil && s.Count >= o.max && s.Count > o.suspect {
-		o.suspect, o.suspectAt = s.Count, t.Now
-		t.After(SuspectFor, "mesh", "reach")
+		o.suspect, o.suspectAt = s.Count, ctx.Now
+		ctx.After(SuspectFor, "mesh", "reach")
 	}
 }
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -125,57 +125,57 @@
 func (m *Mesh) Self() string { return m.self }
 
 // Step takes one input.
-func (m *Mesh) Step(t *kernel.Context, in kernel.Input) {
+func (m *Mesh) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		m.begin(t)
-		t.After(t.Rand.Int64N(HeartbeatEvery), "mesh", "beat")
+		m.begin(ctx)
+		ctx.After(ctx.Rand.Int64N(HeartbeatEvery), "mesh", "beat")
 	case kernel.Tick:
-		m.tick(t, v.Key)
+		m.tick(ctx, v.Key)
 	case kernel.SeedsChanged:
-		m.seedsAre(t, v.Seeds)
+		m.seedsAre(ctx, v.Seeds)
 	case kernel.ChannelUp:
 		if v.Mesh {
-			m.up(t, v)
+			m.up(ctx, v)
 		}
 	case kernel.ChannelDown:
 		if v.Mesh {
-			m.down(t, v)
+			m.down(ctx, v)
 		}
 	case kernel.Stopping:
 		m.stopping = true
-		m.forwardAll(t)
+		m.forwardAll(ctx)
 	case kernel.Thawed:
-		m.thawed(t, v.Gap)
+		m.thawed(ctx, v.Gap)
 	case kernel.Message:
-		m.message(t, v)
+		m.message(ctx, v)
 	}
 }
 
-func (m *Mesh) tick(t *kernel.Context, key string) {
+func (m *Mesh) tick(ctx *kernel.Context, key string) {
 	switch key {
 	case "beat":
-		m.beat(t)
+		m.beat(ctx)
 	case "reach":
 		m.reachArmed = false
-		m.reach(t)
+		m.reach(ctx)
 	case "links":
 		m.links.due = 0
-		m.relink(t)
+		m.relink(ctx)
 	case "forward":
 		m.forwardArmed = false
-		m.forwardAll(t)
+		m.forwardAll(ctx)
 	case "again":
-		m.askDue(t)
+		m.askDue(ctx)
 	case "dial":
-		m.tend(t)
+		m.tend(ctx)
 	}
 }
 
 // thawed: what happened meanwhile is asked for; how long others were silent counts from now on.
-func (m *Mesh) thawed(t *kernel.Context, gap int64) {
+func (m *Mesh) thawed(ctx *kernel.Context, gap int64) {
 	for _, p := range m.peers {
-		p.lastSeen = t.Now
+		p.lastSeen = ctx.Now
 	}
 	for _, o := range m.store.origins {
 		o.beatAt += gap
@@ -187,10 +187,10 @@
 		if m.old {
 			hb := m.marks()
 			hb.Echo = true
-			t.SendSlot(id, wire.KindHeartbeat, hb, "echo")
+			ctx.SendSlot(id, wire.KindHeartbeat, hb, "echo")
 			continue
 		}
-		m.ask(t, m.peers[id])
+		m.ask(ctx, m.peers[id])
 	}
 }
 
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -112,17 +112,17 @@
 	p.k = kernel.New(kernel.Boot{Env: e, Role: "node", Seed: f.rnd.Uint64(), Key: kernel.KeyFrom(seed[:])})
 	p.m, p.up, p.frozen = kernel.Find[*Mesh](p.k), true, false
 	f.step(p, kernel.Start{})
-	t := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
+	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
 	row := wire.Member{Name: p.addr, Role: "node", Zone: p.zone, Addr: p.addr, Mesh: Release}
-	p.m.Announce(t, "member", p.m.self, wire.Encode(&row), false)
-	f.carry(p, t.Out)
+	p.m.Announce(ctx, "member", p.m.self, wire.Encode(&row), false)
+	f.carry(p, ctx.Out)
 }
 
 // announce has a process tell something.
 func (f *fleet) announce(p *process, typ, id string, body []byte) {
-	t := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
-	p.m.Announce(t, typ, id, body, false)
-	f.carry(p, t.Out)
+	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
+	p.m.Announce(ctx, typ, id, body, false)
+	f.carry(p, ctx.Out)
 }
 
 func (f *fleet) step(p *process, in kernel.Input) {
--- a/cluster/mesh/notice.go
+++ b/cluster/mesh/notice.go
@@ -30,11 +30,11 @@
 	conn uint64
 }
 
-func (m *Mesh) notify(t *kernel.Context, ch uint64, e *wire.Entry) {
+func (m *Mesh) notify(ctx *kernel.Context, ch uint64, e *wire.Entry) {
 	n := noticeOf(e)
 	n.Hops = e.Hops + 1
-	t.Counts.Add("mesh_notices_out", 1)
-	t.SendSlot(ch, wire.KindNotice, &n, "notice\x00"+slot(e))
+	ctx.Counts.Add("mesh_notices_out", 1)
+	ctx.SendSlot(ch, wire.KindNotice, &n, "notice\x00"+slot(e))
 }
 
 // noticeOf names an entry. A partition's version is the same whoever tells of it.
@@ -46,11 +46,11 @@
 }
 
 // noticed asks for an entry that is lacking, or sends one that is asked for.
-func (m *Mesh) noticed(t *kernel.Context, p *peer, n wire.Notice) {
+func (m *Mesh) noticed(ctx *kernel.Context, p *peer, n wire.Notice) {
 	e := m.held(n)
 	if n.Want {
 		if e != nil && !(isLarge(e) && m.k.Sending() >= LargeSendsMost) {
-			m.send(t, p.chanID, e, news)
+			m.send(ctx, p.chanID, e, news)
 		}
 		return
 	}
@@ -61,14 +61,14 @@
 		return
 	}
 	n.Hops, n.Want = 0, true
-	if w, ok := m.wants[n]; ok && (t.Now-w.at < WantFor || m.k.ReceivingOn(w.conn)) {
+	if w, ok := m.wants[n]; ok && (ctx.Now-w.at < WantFor || m.k.ReceivingOn(w.conn)) {
 		return
 	}
 	if len(m.wants) >= WantsMost {
 		clear(m.wants)
 	}
-	m.wants[n] = want{t.Now, p.chanID}
-	t.Send(p.chanID, wire.KindNotice, 0, &n)
+	m.wants[n] = want{ctx.Now, p.chanID}
+	ctx.Send(p.chanID, wire.KindNotice, 0, &n)
 }
 
 // held is the entry of a notice, or a newer one; nil where this process lacks it.
--- a/cluster/mesh/outbox.go
+++ b/cluster/mesh/outbox.go
@@ -35,41 +35,41 @@
 }
 
 // forward sends an entry to all peers but one, now or with the next batch.
-func (m *Mesh) forward(t *kernel.Context, e *wire.Entry, except uint64) {
-	now := m.stopping || t.Now-m.forwardedAt >= ForwardEvery
+func (m *Mesh) forward(ctx *kernel.Context, e *wire.Entry, except uint64) {
+	now := m.stopping || ctx.Now-m.forwardedAt >= ForwardEvery
 	key := seenKey(e)
 	for _, id := range sortedKeys(m.peers) {
 		switch {
 		case id == except:
 		case now:
-			m.send(t, id, e, news)
+			m.send(ctx, id, e, news)
 		default:
 			m.peers[id].outbox.add(key, e)
 		}
 	}
 	if now {
-		m.forwardedAt = t.Now
+		m.forwardedAt = ctx.Now
 		return
 	}
 	if !m.forwardArmed {
 		m.forwardArmed = true
-		t.After(m.forwardedAt+ForwardEvery-t.Now, "mesh", "forward")
+		ctx.After(m.forwardedAt+ForwardEvery-ctx.Now, "mesh", "forward")
 	}
 }
 
 // forwardAll sends what waits for every peer.
-func (m *Mesh) forwardAll(t *kernel.Context) {
-	m.forwardedAt = t.Now
+func (m *Mesh) forwardAll(ctx *kernel.Context) {
+	m.forwardedAt = ctx.Now
 	for _, id := range sortedKeys(m.peers) {
-		m.empty(t, m.peers[id])
+		m.empty(ctx, m.peers[id])
 	}
 }
 
 // empty sends what waits for one peer, in its order.
-func (m *Mesh) empty(t *kernel.Context, p *peer) {
+func (m *Mesh) empty(ctx *kernel.Context, p *peer) {
 	for _, key := range p.outbox.order {
 		if e := p.outbox.waiting[key]; e != nil {
-			m.send(t, p.chanID, e, news)
+			m.send(ctx, p.chanID, e, news)
 		}
 	}
 	p.outbox = outbox{}
--- a/cluster/mesh/overlay.go
+++ b/cluster/mesh/overlay.go
@@ -31,21 +31,21 @@
 )
 
 // begin dials one of the seeds, and the others soon after if that leads nowhere.
-func (m *Mesh) begin(t *kernel.Context) {
-	m.beganAt = t.Now
+func (m *Mesh) begin(ctx *kernel.Context) {
+	m.beganAt = ctx.Now
 	m.seeds = slices.Clone(m.k.Boot.Env.Seeds)
 	for _, s := range m.seeds {
 		m.know(s)
 	}
 	if len(m.seeds) > 0 {
-		m.tryDial(t, m.seeds[t.Rand.IntN(len(m.seeds))])
-		t.After(SecondSeed, "mesh", "dial")
+		m.tryDial(ctx, m.seeds[ctx.Rand.IntN(len(m.seeds))])
+		ctx.After(SecondSeed, "mesh", "dial")
 	}
 }
 
 // seedsAre takes the list of seeds and dials them. Those of before stay known as
 // addresses of processes like any other.
-func (m *Mesh) seedsAre(t *kernel.Context, seeds []string) {
+func (m *Mesh) seedsAre(ctx *kernel.Context, seeds []string) {
 	m.seeds = slices.Clone(seeds)
 	for _, s := range m.seeds {
 		if m.dials[s] == nil && len(m.dials) >= AddrMost {
@@ -56,8 +56,8 @@
 			d.next, d.wait = 0, BackoffFirst
 		}
 	}
-	m.lastSeed = t.Now - SeedEvery
-	m.tend(t)
+	m.lastSeed = ctx.Now - SeedEvery
+	m.tend(ctx)
 }
 
 // view is the fleet as it is known when links are looked after.
@@ -99,9 +99,9 @@
 }
 
 // tend sees to the links: dials what is lacking, gives up what is too many.
-func (m *Mesh) tend(t *kernel.Context) {
+func (m *Mesh) tend(ctx *kernel.Context) {
 	v := m.view()
-	m.tendSeeds(t, v)
+	m.tendSeeds(ctx, v)
 	open := map[string]int{}
 	n := 0
 	for _, p := range m.peers {
@@ -116,21 +116,21 @@
 			}
 		}
 	}
-	for open[v.zone] < ZonePeers && (n < PeersEasy || open[v.zone] == 0) && m.dialOne(t, v.zones[v.zone]) {
+	for open[v.zone] < ZonePeers && (n < PeersEasy || open[v.zone] == 0) && m.dialOne(ctx, v.zones[v.zone]) {
 		open[v.zone]++
 		n++
 	}
-	knows := n == 0 || t.Now-m.beganAt >= BridgeAfter
+	knows := n == 0 || ctx.Now-m.beganAt >= BridgeAfter
 	for _, z := range sortedKeys(v.zones) {
-		if knows && z != v.zone && open[z] == 0 && m.first(v.zones[v.zone], hash(z), Bridges) && m.dialOne(t, v.zones[z]) {
+		if knows && z != v.zone && open[z] == 0 && m.first(v.zones[v.zone], hash(z), Bridges) && m.dialOne(ctx, v.zones[z]) {
 			n++
 		}
 	}
-	for n < PeersLeast && (m.dialOne(t, v.zones[v.zone]) || m.dialOne(t, v.reached) || m.dialAny(t)) {
+	for n < PeersLeast && (m.dialOne(ctx, v.zones[v.zone]) || m.dialOne(ctx, v.reached) || m.dialAny(ctx)) {
 		n++
 	}
-	m.tendLost(t, v)
-	m.prune(t, v, open)
+	m.tendLost(ctx, v)
+	m.prune(ctx, v, open)
 }
 
 func (m *Mesh) zoneOf(p *peer) string {
@@ -141,14 +141,14 @@
 }
 
 // dialOne dials one of some: of three drawn by chance the one with the fewest links.
-func (m *Mesh) dialOne(t *kernel.Context, of []*origin) bool {
+func (m *Mesh) dialOne(ctx *kernel.Context, of []*origin) bool {
 	var best *origin
-	from := t.Rand.IntN(max(1, len(of)))
+	from := ctx.Rand.IntN(max(1, len(of)))
 	drawn := 0
 	for i := range of {
 		o := of[(from+i)%len(of)]
 		d := m.dials[o.row.Addr]
-		if d != nil && (d.under || t.Now < d.next) || m.connected(o.row.Addr) {
+		if d != nil && (d.under || ctx.Now < d.next) || m.connected(o.row.Addr) {
 			continue
 		}
 		if best == nil || len(o.links) < len(best.links) {
@@ -161,24 +161,24 @@
 	if best == nil {
 		return false
 	}
-	m.dialKnown(t, best.row.Addr)
+	m.dialKnown(ctx, best.row.Addr)
 	return true
 }
 
-func (m *Mesh) dialKnown(t *kernel.Context, addr string) bool {
+func (m *Mesh) dialKnown(ctx *kernel.Context, addr string) bool {
 	if m.dials[addr] == nil && len(m.dials) >= AddrMost {
 		m.forgetAddr()
 	}
 	m.know(addr)
-	return m.tryDial(t, addr)
+	return m.tryDial(ctx, addr)
 }
 
 // dialAny dials an address of which nothing more is known.
-func (m *Mesh) dialAny(t *kernel.Context) bool {
+func (m *Mesh) dialAny(ctx *kernel.Context) bool {
 	addrs := sortedKeys(m.dials)
-	from := t.Rand.IntN(max(1, len(addrs)))
+	from := ctx.Rand.IntN(max(1, len(addrs)))
 	for i := range addrs {
-		if m.tryDial(t, addrs[(from+i)%len(addrs)]) {
+		if m.tryDial(ctx, addrs[(from+i)%len(addrs)]) {
 			return true
 		}
 	}
@@ -188,27 +188,27 @@
 // tendSeeds: seeds that are not linked with the fleet are tried again and again by a few,
 // now and then by all: whoever comes back there, with an empty disk perhaps, has to hear of
 // this fleet before it takes itself for the first.
-func (m *Mesh) tendSeeds(t *kernel.Context, v view) {
-	all := t.Now-m.lastSeed >= SeedEvery || len(m.peers) == 0
+func (m *Mesh) tendSeeds(ctx *kernel.Context, v view) {
+	all := ctx.Now-m.lastSeed >= SeedEvery || len(m.peers) == 0
 	if all {
-		m.lastSeed = t.Now
+		m.lastSeed = ctx.Now
 	}
 	for _, s := range m.seeds {
 		if o := v.there[s]; o != nil && len(m.peers) > 0 {
 			continue
 		}
 		if all || m.first(v.reached, hash(s), Watchers) {
-			m.dialKnown(t, s)
+			m.dialKnown(ctx, s)
 		}
 	}
 }
 
 // tendLost tries one of the members that are known but not reached: it may have been cut off.
-func (m *Mesh) tendLost(t *kernel.Context, v view) {
-	from := t.Rand.IntN(max(1, len(v.lost)))
+func (m *Mesh) tendLost(ctx *kernel.Context, v view) {
+	from := ctx.Rand.IntN(max(1, len(v.lost)))
 	for i := range v.lost {
 		o := v.lost[(from+i)%len(v.lost)]
-		if v.there[o.row.Addr] == nil && m.first(v.reached, o.hash, Watchers) && m.dialKnown(t, o.row.Addr) {
+		if v.there[o.row.Addr] == nil && m.first(v.reached, o.hash, Watchers) && m.dialKnown(ctx, o.row.Addr) {
 			return
 		}
 	}
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -54,10 +54,10 @@
 }
 
 // someAddrs are the own address and some of those reached, of a zone first.
-func (m *Mesh) someAddrs(t *kernel.Context, zone string, n int) []string {
+func (m *Mesh) someAddrs(ctx *kernel.Context, zone string, n int) []string {
 	out := []string{m.addr}
 	all := sortedKeys(m.store.origins)
-	from := t.Rand.IntN(max(1, len(all)))
+	from := ctx.Rand.IntN(max(1, len(all)))
 	for pass := range 2 {
 		for i := range all {
 			o := m.store.origins[all[(from+i)%len(all)]]
@@ -81,24 +81,24 @@
 	return false
 }
 
-func (m *Mesh) tryDial(t *kernel.Context, addr string) bool {
+func (m *Mesh) tryDial(ctx *kernel.Context, addr string) bool {
 	d := m.dials[addr]
-	if d == nil || d.under || t.Now < d.next || m.connected(addr) {
+	if d == nil || d.under || ctx.Now < d.next || m.connected(addr) {
 		return false
 	}
 	d.under = true
-	d.next = t.Now + d.wait + t.Rand.Int64N(d.wait/4+1)
+	d.next = ctx.Now + d.wait + ctx.Rand.Int64N(d.wait/4+1)
 	most := int64(BackoffMost)
 	if slices.Contains(m.seeds, addr) {
 		most = SeedBackoff
 	}
 	d.wait = min(2*d.wait, most)
-	t.Counts.Add("mesh_dials", 1)
-	t.Dial(addr)
+	ctx.Counts.Add("mesh_dials", 1)
+	ctx.Dial(addr)
 	return true
 }
 
-func (m *Mesh) up(t *kernel.Context, v kernel.ChannelUp) {
+func (m *Mesh) up(ctx *kernel.Context, v kernel.ChannelUp) {
 	if v.Dialed {
 		if d := m.dials[v.Addr]; d != nil {
 			d.under, d.tries, d.failed = false, 0, false
@@ -106,7 +106,7 @@
 	}
 	if v.Peer == m.self {
 		delete(m.dials, v.Addr)
-		t.Drop(v.Chan)
+		ctx.Drop(v.Chan)
 		return
 	}
 	m.know(v.Addr)
@@ -118,25 +118,25 @@
 		// Of two channels between one pair, the one that the lesser key dialled stays.
 		if v.Dialed == (m.self < v.Peer) {
 			delete(m.peers, id)
-			t.Drop(id)
+			ctx.Drop(id)
 			break
 		}
-		t.Drop(v.Chan)
+		ctx.Drop(v.Chan)
 		return
 	}
-	p := &peer{chanID: v.Chan, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: t.Now, lastSeen: t.Now}
+	p := &peer{chanID: v.Chan, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
 	m.peers[v.Chan] = p
-	t.Log(-1, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
-	m.evict(t, v.Chan)
+	ctx.Log(-1, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
+	m.evict(ctx, v.Chan)
 	back := m.store.lift(v.Peer)
 	m.links.again = m.links.again || back
-	m.relink(t)
+	m.relink(ctx)
 	if v.Dialed || back {
-		m.ask(t, p)
+		m.ask(ctx, p)
 	}
 }
 
-func (m *Mesh) evict(t *kernel.Context, newest uint64) {
+func (m *Mesh) evict(ctx *kernel.Context, newest uint64) {
 	for len(m.peers) > PeerCap {
 		ids := sortedKeys(m.peers)
 		oldest := slices.MinFunc(ids, func(a, b uint64) int {
@@ -145,14 +145,14 @@
 		if oldest == newest {
 			return
 		}
-		t.Counts.Add("mesh_peers_evicted", 1)
-		m.leave(t, m.peers[oldest])
+		ctx.Counts.Add("mesh_peers_evicted", 1)
+		m.leave(ctx, m.peers[oldest])
 	}
 }
 
-func (m *Mesh) down(t *kernel.Context, v kernel.ChannelDown) {
+func (m *Mesh) down(ctx *kernel.Context, v kernel.ChannelDown) {
 	if p := m.peers[v.Chan]; p != nil {
-		m.lose(t, p)
+		m.lose(ctx, p)
 		return
 	}
 	if d := m.dials[v.Addr]; d != nil && d.under && v.Chan == 0 {
@@ -165,26 +165,26 @@
 }
 
 // lose ends a channel whose peer may be gone: the link holds on for a grace.
-func (m *Mesh) lose(t *kernel.Context, p *peer) {
+func (m *Mesh) lose(ctx *kernel.Context, p *peer) {
 	delete(m.peers, p.chanID)
-	t.Log(-1, "mesh_peer_down", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
+	ctx.Log(-1, "mesh_peer_down", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
 	count := uint64(0)
 	if o := m.store.origins[p.key]; o != nil {
 		count = o.max
 	}
-	m.links.ended[p.key] = ended{at: t.Now, seen: p.lastSeen, count: count}
-	t.After(LinkGrace, "mesh", "links")
-	if d := m.dials[p.addr]; d != nil && t.Now-p.since > BackoffMost {
-		d.wait, d.next = BackoffFirst, t.Now
+	m.links.ended[p.key] = ended{at: ctx.Now, seen: p.lastSeen, count: count}
+	ctx.After(LinkGrace, "mesh", "links")
+	if d := m.dials[p.addr]; d != nil && ctx.Now-p.since > BackoffMost {
+		d.wait, d.next = BackoffFirst, ctx.Now
 	}
-	m.tend(t)
+	m.tend(ctx)
 }
 
 // leave ends a channel that is one too many; its peer is there.
-func (m *Mesh) leave(t *kernel.Context, p *peer) {
+func (m *Mesh) leave(ctx *kernel.Context, p *peer) {
 	delete(m.peers, p.chanID)
-	t.Log(-1, "mesh_peer_left", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
-	m.empty(t, p)
-	t.SendSlot(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.someAddrs(t, p.zone, greetAddrs), Digest: m.digest()}, "heartbeat")
-	t.Drop(p.chanID)
+	ctx.Log(-1, "mesh_peer_left", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
+	m.empty(ctx, p)
+	ctx.SendSlot(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.someAddrs(ctx, p.zone, greetAddrs), Digest: m.digest()}, "heartbeat")
+	ctx.Drop(p.chanID)
 }
--- a/cluster/mesh/prune.go
+++ b/cluster/mesh/prune.go
@@ -9,15 +9,15 @@
 )
 
 // prune gives up a link that is one too many, one at a time, and none that its other end needs.
-func (m *Mesh) prune(t *kernel.Context, v view, open map[string]int) {
-	if len(m.peers) <= PeersLeast || t.Now-m.prunedAt < PruneEvery {
+func (m *Mesh) prune(ctx *kernel.Context, v view, open map[string]int) {
+	if len(m.peers) <= PeersLeast || ctx.Now-m.prunedAt < PruneEvery {
 		return
 	}
 	var spare []*peer
 	for _, id := range sortedKeys(m.peers) {
 		p := m.peers[id]
 		o := m.store.origins[p.key]
-		if o == nil || o.row == nil || t.Now-p.since < PruneAfter || len(o.links) <= PeersLeast {
+		if o == nil || o.row == nil || ctx.Now-p.since < PruneAfter || len(o.links) <= PeersLeast {
 			continue
 		}
 		z := o.row.Zone
@@ -33,12 +33,12 @@
 	if len(spare) == 0 {
 		return
 	}
-	m.prunedAt = t.Now
-	t.Counts.Add("mesh_peers_pruned", 1)
-	m.leave(t, slices.MaxFunc(spare, func(a, b *peer) int {
+	m.prunedAt = ctx.Now
+	ctx.Counts.Add("mesh_peers_pruned", 1)
+	m.leave(ctx, slices.MaxFunc(spare, func(a, b *peer) int {
 		return cmp.Compare(len(m.store.origins[a.key].links), len(m.store.origins[b.key].links))
 	}))
-	m.relink(t)
+	m.relink(ctx)
 }
 
 // rank is how many of some come before one of them in a matter.
--- a/cluster/mesh/reach.go
+++ b/cluster/mesh/reach.go
@@ -42,16 +42,16 @@
 }
 
 // reachSoon has it worked out once for all links that come within a while.
-func (m *Mesh) reachSoon(t *kernel.Context) {
+func (m *Mesh) reachSoon(ctx *kernel.Context) {
 	if !m.reachArmed {
 		m.reachArmed = true
-		t.After(max(ReachWithin, m.reachAt+ReachEvery-t.Now), "mesh", "reach")
+		ctx.After(max(ReachWithin, m.reachAt+ReachEvery-ctx.Now), "mesh", "reach")
 	}
 }
 
 // reach works out who is reached from here, and tells the process's other plug-ins if that changed.
-func (m *Mesh) reach(t *kernel.Context) {
-	m.reachAt = t.Now
+func (m *Mesh) reach(ctx *kernel.Context) {
+	m.reachAt = ctx.Now
 	m.reachTurn++
 	todo := make([]*origin, 0, len(m.store.origins))
 	find := func(o *origin) {
@@ -68,7 +68,7 @@
 		from := todo[at]
 		for _, fp := range from.links {
 			q := m.store.origins[fp]
-			if q != nil && q.foundAt != m.reachTurn && slices.Contains(q.links, from.fp) && !q.silent(t.Now) {
+			if q != nil && q.foundAt != m.reachTurn && slices.Contains(q.links, from.fp) && !q.silent(ctx.Now) {
 				find(q)
 			}
 		}
@@ -78,14 +78,14 @@
 		was := o.reached
 		if o.reached = o.foundAt == m.reachTurn; o.reached {
 			n++
-			o.liveAt = t.Now
+			o.liveAt = ctx.Now
 		}
 		changed = changed || was != o.reached
 	}
-	t.Counts.Set("mesh_reached", n)
+	ctx.Counts.Set("mesh_reached", n)
 	if changed {
 		m.turn++
-		t.Emit(Pulse{})
+		ctx.Emit(Pulse{})
 	}
 }
 
@@ -99,7 +99,7 @@
 }
 
 // learn takes what the mesh itself needs of an entry that was taken in.
-func (m *Mesh) learn(t *kernel.Context, o *origin, e *wire.Entry) {
+func (m *Mesh) learn(ctx *kernel.Context, o *origin, e *wire.Entry) {
 	if len(e.Body) > NoticeOver {
 		n := noticeOf(e)
 		n.Want = true
@@ -107,7 +107,7 @@
 	}
 	switch e.Type {
 	case "links":
-		m.linked(t, o, e)
+		m.linked(ctx, o, e)
 	case "member":
 		row := new(wire.Member)
 		if wire.Decode(e.Body, row) == nil {
--- a/control/configsync/choice_test.go
+++ b/control/configsync/choice_test.go
@@ -21,14 +21,14 @@
 
 // tries counts by zone which cores a thousand pulls go to.
 func (p *Sync) tries(now int64) (byZone, byCore map[string]int) {
-	t := &kernel.Context{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
+	ctx := &kernel.Context{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
 	byZone, byCore = map[string]int{}, map[string]int{}
 	var all []string
 	for a := range p.zones {
 		all = append(all, a)
 	}
 	for range 1000 {
-		a := p.choose(t, all)[0]
+		a := p.choose(ctx, all)[0]
 		byZone[p.zones[a]]++
 		byCore[a]++
 	}
--- a/control/configsync/contact.go
+++ b/control/configsync/contact.go
@@ -81,17 +81,17 @@
 }
 
 // answered takes note of the contact that a core's answer tells of, and passes it on.
-func (p *Sync) answered(t *kernel.Context, asked sentPull, r *wire.PullReply) {
+func (p *Sync) answered(ctx *kernel.Context, asked sentPull, r *wire.PullReply) {
 	contact := r.Contact | r.Relayed
-	if t.Now-asked.at > AnswerWithin {
-		t.Counts.Add("pulls_answered_late", 1)
+	if ctx.Now-asked.at > AnswerWithin {
+		ctx.Counts.Add("pulls_answered_late", 1)
 		r.Contact, contact = 0, 0
 	}
 	delete(p.contact.without, asked.addr)
 	if contact&partitionBit(state.Config) == 0 {
 		p.contact.without[asked.addr] = true
-		t.Counts.Add("pulls_without_contact", 1)
+		ctx.Counts.Add("pulls_without_contact", 1)
 	}
 	p.contact.confirmed |= contact
-	t.Emit(Pulled{AskedAt: asked.at, Contact: r.Contact, Confirmed: contact})
+	ctx.Emit(Pulled{AskedAt: asked.at, Contact: r.Contact, Confirmed: contact})
 }
--- a/control/configsync/cores.go
+++ b/control/configsync/cores.go
@@ -97,7 +97,7 @@
 }
 
 // choose picks the one core to ask now.
-func (p *Sync) choose(t *kernel.Context, cores []string) []string {
+func (p *Sync) choose(ctx *kernel.Context, cores []string) []string {
 	if len(cores) == 0 {
 		return nil
 	}
@@ -106,7 +106,7 @@
 	for _, a := range slices.SortedFunc(slices.Values(cores), p.rank) {
 		at, open := p.asked[a]
 		switch {
-		case open && t.Now-at > silentAfter, p.contact.without[a]:
+		case open && ctx.Now-at > silentAfter, p.contact.without[a]:
 			silent = append(silent, a)
 		case p.zones[a] == p.place.Zone && len(near) < nearMost:
 			near = append(near, a)
@@ -121,6 +121,6 @@
 	case len(near) == 0 || len(far) > 0 && p.turn%farEvery == 0:
 		from = far
 	}
-	i := t.Rand.IntN(len(from))
+	i := ctx.Rand.IntN(len(from))
 	return from[i : i+1]
 }
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -88,30 +88,30 @@
 }
 
 // Step takes one input.
-func (p *Sync) Step(t *kernel.Context, in kernel.Input) {
+func (p *Sync) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		t.After(t.Rand.Int64N(p.every(t.Now)), "pulls", "pull")
+		ctx.After(ctx.Rand.Int64N(p.every(ctx.Now)), "pulls", "pull")
 	case kernel.Tick:
-		t.After(p.every(t.Now), "pulls", "pull")
-		p.pull(t)
+		ctx.After(p.every(ctx.Now), "pulls", "pull")
+		p.pull(ctx)
 	case kernel.Thawed:
 		clear(p.asked)
-		p.pull(t)
+		p.pull(ctx)
 	case kernel.SeedsChanged:
 		p.place.Seeds = v.Seeds
 	case kernel.Message:
-		p.replied(t, v)
+		p.replied(ctx, v)
 	case mesh.Stored:
 		if v.Entry.Type == "part" {
-			p.held(t)
+			p.held(ctx)
 		}
 	}
 }
 
 // held notes that there is a new version of a partition. The first one that the mesh brings to a process
 // that has just started is confirmed at once, if a core can be asked.
-func (p *Sync) held(t *kernel.Context) {
+func (p *Sync) held(ctx *kernel.Context) {
 	if !p.core {
 		stamps := p.stamps()
 		p.members.Update(func(s *wire.Member) { s.InForce = stamps })
@@ -119,16 +119,16 @@
 	if p.contact.heldAt > 0 {
 		return
 	}
-	p.contact.heldAt = max(t.Now, 1)
-	if len(p.sent) == 0 && p.fresh(t.Now) {
-		p.pull(t)
+	p.contact.heldAt = max(ctx.Now, 1)
+	if len(p.sent) == 0 && p.fresh(ctx.Now) {
+		p.pull(ctx)
 	}
 }
 
-func (p *Sync) replied(t *kernel.Context, v kernel.Message) {
+func (p *Sync) replied(ctx *kernel.Context, v kernel.Message) {
 	var r wire.PullReply
 	if wire.Decode(v.Body, &r) != nil {
-		t.Counts.Add("frames_malformed", 1)
+		ctx.Counts.Add("frames_malformed", 1)
 		return
 	}
 	asked, open := p.sent[v.ID]
@@ -137,14 +137,14 @@
 		delete(p.sent, v.ID)
 	}
 	for _, ver := range r.Versions {
-		p.mesh.HoldVersion(t, ver)
+		p.mesh.HoldVersion(ctx, ver)
 	}
 	if open {
-		p.answered(t, asked, &r)
+		p.answered(ctx, asked, &r)
 	}
 	for _, o := range r.Leaders {
 		if o.Partition >= 0 && o.Partition < state.Partitions && o.Term >= p.leaders[o.Partition].Term && o.Addr != "" {
-			p.leaders[o.Partition], p.ownerAt[o.Partition] = o, t.Now
+			p.leaders[o.Partition], p.ownerAt[o.Partition] = o, ctx.Now
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	return Every
 }
 
-func (p *Sync) pull(t *kernel.Context) {
+func (p *Sync) pull(ctx *kernel.Context) {
 	req := wire.Pull{Have: p.stamps()}
 	if p.core {
 		self := p.members.SelfRow()
@@ -184,21 +184,21 @@
 			req.Replica = self.Replica
 		}
 	}
-	cores := p.cores(t.Now)
+	cores := p.cores(ctx.Now)
 	switch {
 	case p.empty():
-	case p.fresh(t.Now):
+	case p.fresh(ctx.Now):
 		cores = p.several(cores)
 	default:
-		cores = p.choose(t, cores)
+		cores = p.choose(ctx, cores)
 	}
 	for _, a := range cores {
 		p.nextID++
-		p.sent[p.nextID] = sentPull{a, t.Now}
+		p.sent[p.nextID] = sentPull{a, ctx.Now}
 		if _, ok := p.asked[a]; !ok {
-			p.asked[a] = t.Now
+			p.asked[a] = ctx.Now
 		}
-		t.SendTo(a, wire.KindPull, p.nextID, &req)
+		ctx.SendTo(a, wire.KindPull, p.nextID, &req)
 	}
 	for id := range p.sent {
 		if id+sentMost < p.nextID {
--- a/control/operations/binding.go
+++ b/control/operations/binding.go
@@ -22,33 +22,33 @@
 }
 
 // versionReplied binds the order and sends it.
-func (o *Operate) versionReplied(t *kernel.Context, id uint64, r wire.EditReply) {
+func (o *Operate) versionReplied(ctx *kernel.Context, id uint64, r wire.EditReply) {
 	c := o.calls[id]
 	if c == nil || c.reply != nil || c.bound {
 		return
 	}
 	switch r.Code {
 	case "not_owner":
-		o.handOn(t, id, c, r.Addr)
+		o.handOn(ctx, id, c, r.Addr)
 	case wire.CodeVersion:
 		c.bound, c.req.Edit.Base = true, r.Version
-		o.handOn(t, id, c, r.Addr)
+		o.handOn(ctx, id, c, r.Addr)
 	case "invalid":
 		// A leader of a release before 3 has no versions, and takes the order without one. A later
 		// leader refuses it then, unless no order about the zone was ever taken.
 		c.bound, c.req.Edit.Base = true, wire.Version{}
-		o.handOn(t, id, c, o.leaderAddress(t, c))
+		o.handOn(ctx, id, c, o.leaderAddress(ctx, c))
 	}
 }
 
 // stale has an order read the zone's version again: another order about that zone came first.
-func (o *Operate) stale(t *kernel.Context, id uint64, c *call) {
+func (o *Operate) stale(ctx *kernel.Context, id uint64, c *call) {
 	c.open--
 	if !c.bound {
 		return
 	}
 	c.bound = false
-	if addr := o.leaderAddress(t, c); addr != "" {
-		o.send(t, id, c, addr)
+	if addr := o.leaderAddress(ctx, c); addr != "" {
+		o.send(ctx, id, c, addr)
 	}
 }
--- a/control/operations/binding_test.go
+++ b/control/operations/binding_test.go
@@ -166,6 +166,6 @@
 
 // announce has the node's own mesh hold an entry.
 func (n *node) announce(typ string, body []byte) {
-	n.k.Later(func(t *kernel.Context) { kernel.Find[*mesh.Mesh](n.k).Announce(t, typ, typ, body, false) })
+	n.k.Later(func(ctx *kernel.Context) { kernel.Find[*mesh.Mesh](n.k).Announce(ctx, typ, typ, body, false) })
 	n.step(kernel.Tick{Plugin: "operate", Key: "none"})
 }
--- a/control/operations/carrying.go
+++ b/control/operations/carrying.go
@@ -12,41 +12,41 @@
 )
 
 // answer ends a call.
-func (o *Operate) answer(t *kernel.Context, id uint64, c *call, res Result) {
+func (o *Operate) answer(ctx *kernel.Context, id uint64, c *call, res Result) {
 	delete(o.calls, id)
-	t.Answer(id, c.outcome(res))
+	ctx.Answer(id, c.outcome(res))
 }
 
 // try sends the edit; its id, or its base and digest, make a second sending harmless.
-func (o *Operate) try(t *kernel.Context, id uint64) {
+func (o *Operate) try(ctx *kernel.Context, id uint64) {
 	c := o.calls[id]
 	if c == nil {
 		return
 	}
 	if c.reply != nil {
-		o.watch(t, id, c)
+		o.watch(ctx, id, c)
 		return
 	}
-	left := c.began + c.giveUp() - t.Now
+	left := c.began + c.giveUp() - ctx.Now
 	if left <= 0 {
 		code := "shed"
 		if c.open > 0 {
 			code = "unknown"
 		}
-		o.answer(t, id, c, Result{Reply: wire.EditReply{Code: code}})
+		o.answer(ctx, id, c, Result{Reply: wire.EditReply{Code: code}})
 		return
 	}
-	if addr := o.leaderAddress(t, c); addr != "" {
-		o.send(t, id, c, addr)
+	if addr := o.leaderAddress(ctx, c); addr != "" {
+		o.send(ctx, id, c, addr)
 	}
 	c.tries++
-	t.After(min(TryEvery, c.giveUp()/triesLeast, left), "operate", fmt.Sprint(id))
+	ctx.After(min(TryEvery, c.giveUp()/triesLeast, left), "operate", fmt.Sprint(id))
 }
 
 // send sends the order, or the question for the version that it is to be bound to. Nothing is
 // sent for a call that nobody waits for any more: the order would act late.
-func (o *Operate) send(t *kernel.Context, id uint64, c *call, addr string) {
-	if c.expired(t.Now) {
+func (o *Operate) send(ctx *kernel.Context, id uint64, c *call, addr string) {
+	if c.expired(ctx.Now) {
 		return
 	}
 	edit := c.req.Edit
@@ -56,28 +56,28 @@
 		c.open++
 	}
 	if o.host != nil && addr == o.members.SelfRow().Addr {
-		o.host.Edit(t, id, edit)
+		o.host.Edit(ctx, id, edit)
 		return
 	}
-	t.SendTo(addr, wire.KindEdit, id, &edit)
+	ctx.SendTo(addr, wire.KindEdit, id, &edit)
 }
 
 // handOn sends what a call sends next to an address that a reply named.
-func (o *Operate) handOn(t *kernel.Context, id uint64, c *call, addr string) {
+func (o *Operate) handOn(ctx *kernel.Context, id uint64, c *call, addr string) {
 	if addr == "" || c.hops >= hopsMost {
 		return
 	}
 	c.hops++
-	o.send(t, id, c, addr)
+	o.send(ctx, id, c, addr)
 }
 
 // leader is where to send a call next: to the partition's leader as last heard, and every other time to
 // some live core, which knows a newer one once a leader is gone.
-func (o *Operate) leaderAddress(t *kernel.Context, c *call) string {
+func (o *Operate) leaderAddress(ctx *kernel.Context, c *call) string {
 	partition := c.req.Edit.Partition
 	addr := ""
 	if o.host != nil {
-		addr = o.host.Leader(partition, t.Now)
+		addr = o.host.Leader(partition, ctx.Now)
 	}
 	if addr == "" {
 		addr = o.configSync.Leader(partition)
@@ -85,16 +85,16 @@
 	if addr != "" && c.tries%2 == 0 {
 		return addr
 	}
-	cores := o.members.Live(t.Now, "core")
+	cores := o.members.Live(ctx.Now, "core")
 	if len(cores) == 0 {
 		return addr
 	}
-	return cores[t.Rand.IntN(len(cores))].Addr
+	return cores[ctx.Rand.IntN(len(cores))].Addr
 }
 
-func (o *Operate) replied(t *kernel.Context, id uint64, r wire.EditReply) {
+func (o *Operate) replied(ctx *kernel.Context, id uint64, r wire.EditReply) {
 	if id&versionRead != 0 {
-		o.versionReplied(t, id&^versionRead, r)
+		o.versionReplied(ctx, id&^versionRead, r)
 		return
 	}
 	c := o.calls[id]
@@ -104,10 +104,10 @@
 	switch r.Code {
 	case "not_owner":
 		c.open--
-		o.handOn(t, id, c, r.Addr)
+		o.handOn(ctx, id, c, r.Addr)
 		return
 	case wire.CodeStale:
-		o.stale(t, id, c)
+		o.stale(ctx, id, c)
 		return
 	case "shed":
 		c.open--
@@ -116,18 +116,18 @@
 		// The edit id lets the next try learn what came of this one.
 		return
 	}
-	c.reply, c.at = &r, t.Now
+	c.reply, c.at = &r, ctx.Now
 	if r.Code != "ok" || !c.req.Wait {
-		o.answer(t, id, c, Result{Reply: r})
+		o.answer(ctx, id, c, Result{Reply: r})
 		return
 	}
-	o.watch(t, id, c)
+	o.watch(ctx, id, c)
 }
 
 // watch waits until every live node reports the version, or long enough.
-func (o *Operate) watch(t *kernel.Context, id uint64, c *call) {
+func (o *Operate) watch(ctx *kernel.Context, id uint64, c *call) {
 	res := Result{Reply: *c.reply}
-	for _, n := range o.members.Live(t.Now, "node") {
+	for _, n := range o.members.Live(ctx.Now, "node") {
 		in := false
 		for _, s := range n.InForce {
 			in = in || s.Partition == c.reply.Version.Partition && !mesh.Newer(c.reply.Version, s)
@@ -138,9 +138,9 @@
 			res.Laggards = append(res.Laggards, n.Name)
 		}
 	}
-	if len(res.Laggards) == 0 || t.Now-c.at >= c.waits() {
-		o.answer(t, id, c, res)
+	if len(res.Laggards) == 0 || ctx.Now-c.at >= c.waits() {
+		o.answer(ctx, id, c, res)
 		return
 	}
-	t.After(min(50_000, c.at+c.waits()-t.Now), "operate", fmt.Sprint(id))
+	ctx.After(min(50_000, c.at+c.waits()-ctx.Now), "operate", fmt.Sprint(id))
 }
--- a/control/operations/operate.go
+++ b/control/operations/operate.go
@@ -80,10 +80,10 @@
 }
 
 // Step takes one input.
-func (o *Operate) Step(t *kernel.Context, in kernel.Input) {
+func (o *Operate) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Call:
-		o.called(t, v)
+		o.called(ctx, v)
 	case kernel.Abandoned:
 		// What is under way may be taken; nothing more is sent for it.
 		delete(o.calls, v.ID)
@@ -94,49 +94,49 @@
 			return
 		}
 		if r := o.rebuilds[id]; r != nil {
-			o.rebuildTick(t, id, r)
+			o.rebuildTick(ctx, id, r)
 			return
 		}
 		if read := o.statusReads[id]; read != nil {
-			o.endStatus(t, id, read)
+			o.endStatus(ctx, id, read)
 			return
 		}
-		o.try(t, id)
+		o.try(ctx, id)
 	case replica.Replied:
-		o.replied(t, v.ID, v.Reply)
+		o.replied(ctx, v.ID, v.Reply)
 	case kernel.Message:
-		o.message(t, v)
+		o.message(ctx, v)
 	}
 }
 
-func (o *Operate) message(t *kernel.Context, v kernel.Message) {
+func (o *Operate) message(ctx *kernel.Context, v kernel.Message) {
 	switch v.Kind {
 	case wire.KindRebuildReply:
 		var reply wire.RebuildReply
 		if wire.Decode(v.Body, &reply) == nil {
-			o.rebuildReplied(t, v.ID, reply)
+			o.rebuildReplied(ctx, v.ID, reply)
 		}
 	case wire.KindStatusReply:
 		var reply wire.StatusReply
 		if wire.Decode(v.Body, &reply) == nil {
-			o.statusReplied(t, v.ID, reply)
+			o.statusReplied(ctx, v.ID, reply)
 		}
 	default:
 		var reply wire.EditReply
 		if wire.Decode(v.Body, &reply) == nil {
-			o.replied(t, v.ID, reply)
+			o.replied(ctx, v.ID, reply)
 		}
 	}
 }
 
-func (o *Operate) called(t *kernel.Context, v kernel.Call) {
-	c := &call{began: t.Now}
+func (o *Operate) called(ctx *kernel.Context, v kernel.Call) {
+	c := &call{began: ctx.Now}
 	switch ask := v.Ask.(type) {
 	case Rebuild:
-		o.rebuild(t, v.ID, ask.Partition)
+		o.rebuild(ctx, v.ID, ask.Partition)
 		return
 	case ReadStatus:
-		o.readStatus(t, v.ID)
+		o.readStatus(ctx, v.ID)
 		return
 	case ReadRouting:
 		c.outcome = routingOutcome
@@ -145,19 +145,19 @@
 		c.outcome = historyOutcome
 		c.req = Carry{Edit: wire.Edit{Partition: state.Config, Op: wire.OpHistory}}
 	case Carry:
-		if ask.Edit.Op == "empty" && ask.Edit.Name != "" && !o.knowsZone(ask.Edit.Name, t.Now) {
-			t.Answer(v.ID, unknownZone(ask.Edit.Name))
+		if ask.Edit.Op == "empty" && ask.Edit.Name != "" && !o.knowsZone(ask.Edit.Name, ctx.Now) {
+			ctx.Answer(v.ID, unknownZone(ask.Edit.Name))
 			return
 		}
 		c.outcome = func(res Result) any { return res }
 		c.req = ask
 		if c.req.Edit.EditID == "" {
-			c.req.Edit.EditID = fmt.Sprintf("%016x%016x", t.Rand.Uint64(), t.Rand.Uint64())
+			c.req.Edit.EditID = fmt.Sprintf("%016x%016x", ctx.Rand.Uint64(), ctx.Rand.Uint64())
 		}
 	default:
-		t.Answer(v.ID, Result{Reply: wire.EditReply{Code: "invalid"}})
+		ctx.Answer(v.ID, Result{Reply: wire.EditReply{Code: "invalid"}})
 		return
 	}
 	o.calls[v.ID] = c
-	o.try(t, v.ID)
+	o.try(ctx, v.ID)
 }
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -45,28 +45,28 @@
 	dueAt int64
 }
 
-func (o *Operate) rebuild(t *kernel.Context, id uint64, partition int) {
+func (o *Operate) rebuild(ctx *kernel.Context, id uint64, partition int) {
 	r := &rebuilding{partition: partition, yes: map[string]bool{}}
 	if v, ok := o.mesh.Partition(partition); ok {
 		r.version = v
 	}
 	o.rebuilds[id] = r
-	for _, c := range o.cores(t.Now) {
-		t.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: partition, Brief: true})
+	for _, c := range o.cores(ctx.Now) {
+		ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: partition, Brief: true})
 	}
-	o.rebuildDue(t, id, r, AskedFor)
+	o.rebuildDue(ctx, id, r, AskedFor)
 }
 
 // rebuildDue has the step under way end after a while.
-func (o *Operate) rebuildDue(t *kernel.Context, id uint64, r *rebuilding, after int64) {
-	r.dueAt = t.Now + after
-	t.After(after, "operate", fmt.Sprint(id))
+func (o *Operate) rebuildDue(ctx *kernel.Context, id uint64, r *rebuilding, after int64) {
+	r.dueAt = ctx.Now + after
+	ctx.After(after, "operate", fmt.Sprint(id))
 }
 
 // rebuildTick ends the step under way, unless the timer was that of an earlier one.
-func (o *Operate) rebuildTick(t *kernel.Context, id uint64, r *rebuilding) {
-	if t.Now >= r.dueAt {
-		o.rebuildStep(t, id, r)
+func (o *Operate) rebuildTick(ctx *kernel.Context, id uint64, r *rebuilding) {
+	if ctx.Now >= r.dueAt {
+		o.rebuildStep(ctx, id, r)
 	}
 }
 
@@ -80,7 +80,7 @@
 	return out
 }
 
-func (o *Operate) rebuildReplied(t *kernel.Context, id uint64, m wire.RebuildReply) {
+func (o *Operate) rebuildReplied(ctx *kernel.Context, id uint64, m wire.RebuildReply) {
 	r := o.rebuilds[id]
 	if r == nil || m.Partition != r.partition {
 		return
@@ -99,23 +99,23 @@
 		if mesh.Newer(m.Held.Version, r.version.Version) {
 			r.version = m.Held
 		}
-		o.rebuildStep(t, id, r)
+		o.rebuildStep(ctx, id, r)
 	}
 }
 
 // fetch asks the core that holds the newest version for it; false where none is to be had or it came.
 // What the mesh brought may be newer, but has no ledger.
-func (o *Operate) fetch(t *kernel.Context, id uint64, r *rebuilding) bool {
+func (o *Operate) fetch(ctx *kernel.Context, id uint64, r *rebuilding) bool {
 	if r.fetched || r.newest.Term == 0 {
 		return false
 	}
 	r.fetching = true
-	for _, c := range o.cores(t.Now) {
+	for _, c := range o.cores(ctx.Now) {
 		if c.Replica == r.holder {
-			t.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: r.partition})
+			ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: r.partition})
 		}
 	}
-	o.rebuildDue(t, id, r, FetchFor)
+	o.rebuildDue(ctx, id, r, FetchFor)
 	return true
 }
 
@@ -133,14 +133,14 @@
 }
 
 // rebuildStep ends one of the steps.
-func (o *Operate) rebuildStep(t *kernel.Context, id uint64, r *rebuilding) {
+func (o *Operate) rebuildStep(ctx *kernel.Context, id uint64, r *rebuilding) {
 	end := func(code, text string) {
 		delete(o.rebuilds, id)
 		reply := wire.EditReply{Code: code, Version: r.version.Version}
 		if text != "" {
 			reply.Findings = []wire.Finding{{Place: fmt.Sprintf("part %d", r.partition), Text: text}}
 		}
-		t.Answer(id, Result{Reply: reply})
+		ctx.Answer(id, Result{Reply: reply})
 	}
 	if r.doing {
 		if 2*len(r.yes) > len(r.picked) {
@@ -157,11 +157,11 @@
 	case r.fetching:
 		end("invalid", "the newest version did not arrive from "+r.holder)
 		return
-	case o.fetch(t, id, r):
+	case o.fetch(ctx, id, r):
 		return
 	}
 	var agreed []wire.Replica
-	for _, c := range o.cores(t.Now) {
+	for _, c := range o.cores(ctx.Now) {
 		if r.yes[c.Replica] {
 			agreed = append(agreed, wire.Replica{ID: c.Replica, Zone: c.Zone, Addr: c.Addr})
 		}
@@ -176,7 +176,7 @@
 	r.version.Voters, r.version.PreviousVoters, r.version.Ledger = r.picked, nil, r.ledger
 	r.doing, r.yes = true, map[string]bool{}
 	for _, c := range r.picked {
-		t.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: r.partition, Do: true, Versioned: r.version})
+		ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: r.partition, Do: true, Versioned: r.version})
 	}
-	o.rebuildDue(t, id, r, AskedFor+int64(len(r.version.Body)+len(r.version.Ledger))*1_000_000/slowestHold)
+	o.rebuildDue(ctx, id, r, AskedFor+int64(len(r.version.Body)+len(r.version.Ledger))*1_000_000/slowestHold)
 }
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -39,18 +39,18 @@
 }
 
 // readStatus asks every known core, this process itself without a message.
-func (o *Operate) readStatus(t *kernel.Context, id uint64) {
-	read := &statusRead{asked: knownCores(o.members.All(t.Now)), told: map[string][]wire.ReplicaStatus{}}
+func (o *Operate) readStatus(ctx *kernel.Context, id uint64) {
+	read := &statusRead{asked: knownCores(o.members.All(ctx.Now)), told: map[string][]wire.ReplicaStatus{}}
 	o.statusReads[id] = read
 	for _, core := range read.asked {
 		if o.host != nil && core.Addr == o.members.SelfRow().Addr {
-			read.told[core.Addr] = o.host.Status(t.Now).Replicas
+			read.told[core.Addr] = o.host.Status(ctx.Now).Replicas
 			continue
 		}
-		t.SendTo(core.Addr, wire.KindStatusRequest, id, &wire.StatusRequest{})
+		ctx.SendTo(core.Addr, wire.KindStatusRequest, id, &wire.StatusRequest{})
 	}
-	t.After(StatusWithin, "operate", fmt.Sprint(id))
-	o.endStatusIfWhole(t, id, read)
+	ctx.After(StatusWithin, "operate", fmt.Sprint(id))
+	o.endStatusIfWhole(ctx, id, read)
 }
 
 // knownCores are the cores among the members, one for each address: of one that has started again
@@ -75,33 +75,33 @@
 }
 
 // statusReplied takes note of one core's answer.
-func (o *Operate) statusReplied(t *kernel.Context, id uint64, reply wire.StatusReply) {
+func (o *Operate) statusReplied(ctx *kernel.Context, id uint64, reply wire.StatusReply) {
 	read := o.statusReads[id]
 	if read == nil {
 		return
 	}
 	read.told[reply.Addr] = reply.Replicas
-	o.endStatusIfWhole(t, id, read)
+	o.endStatusIfWhole(ctx, id, read)
 }
 
-func (o *Operate) endStatusIfWhole(t *kernel.Context, id uint64, read *statusRead) {
+func (o *Operate) endStatusIfWhole(ctx *kernel.Context, id uint64, read *statusRead) {
 	for _, core := range read.asked {
 		if _, told := read.told[core.Addr]; !told {
 			return
 		}
 	}
-	o.endStatus(t, id, read)
+	o.endStatus(ctx, id, read)
 }
 
 // endStatus answers with what was told so far.
-func (o *Operate) endStatus(t *kernel.Context, id uint64, read *statusRead) {
+func (o *Operate) endStatus(ctx *kernel.Context, id uint64, read *statusRead) {
 	delete(o.statusReads, id)
 	status := Status{Cores: make([]CoreStatus, 0, len(read.asked))}
 	for _, core := range read.asked {
 		replicas, told := read.told[core.Addr]
 		status.Cores = append(status.Cores, CoreStatus{Name: core.Name, Zone: core.Zone, Addr: core.Addr, Answered: told, Replicas: replicas})
 	}
-	t.Answer(id, status)
+	ctx.Answer(id, status)
 }
 
 // Newest gives the newest version of each partition that any core knows to be committed.
--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -24,7 +24,7 @@
 	WithdrawAfter = 2_500_000
 )
 
-func (s *Host) bootstrapStep(t *kernel.Context) {
+func (s *Host) bootstrapStep(ctx *kernel.Context) {
 	if s.replicaID == "" || s.diskProblem != "" || s.stopping {
 		return
 	}
@@ -32,114 +32,114 @@
 	// its group is rebuilt by an operator's word or not at all.
 	for partition := range Partitions {
 		if v, ok := s.mesh.Partition(partition); ok && v.Version.Term > 0 {
-			s.joinFleet(t)
+			s.joinFleet(ctx)
 			return
 		}
 	}
 	e := &s.k.Boot.Env
-	for _, c := range s.rows(t.Now) {
+	for _, c := range s.rows(ctx.Now) {
 		if !c.Formed {
 			continue
 		}
 		// While a platform has its fleet formed, the replicas learn of it one by one; who is not
 		// among them is a standby once a version is there.
 		if !e.BootstrapKnown {
-			s.joinFleet(t)
+			s.joinFleet(ctx)
 		}
 		return
 	}
 	switch {
 	case s.formation.Formation == "":
-		if at := t.Now - s.started; e.BootstrapKnown || at >= BootstrapAfter {
-			s.planFormation(t)
+		if at := ctx.Now - s.started; e.BootstrapKnown || at >= BootstrapAfter {
+			s.planFormation(ctx)
 		}
-	case s.formation.By.ID == s.replicaID && t.Now-s.proposedAt >= ProposeInterval:
-		if t.Now-s.plannedAt > WithdrawAfter && !s.completing {
-			s.withdraw(t)
+	case s.formation.By.ID == s.replicaID && ctx.Now-s.proposedAt >= ProposeInterval:
+		if ctx.Now-s.plannedAt > WithdrawAfter && !s.completing {
+			s.withdraw(ctx)
 			return
 		}
-		s.propose(t)
+		s.propose(ctx)
 	}
 }
 
 // joinFleet makes an unformed core a standby of the fleet that it found. Where the
 // found fleet is the one it consented to, its leaders bring it the versions.
-func (s *Host) joinFleet(t *kernel.Context) {
+func (s *Host) joinFleet(ctx *kernel.Context) {
 	if s.bootstrapped {
 		return
 	}
 	s.bootstrapped = true
 	s.publishMember()
-	t.Log(0, "core_spare", "seat", s.replicaID)
+	ctx.Log(0, "core_spare", "seat", s.replicaID)
 }
 
 // planFormation proposes a formation, if this core is the one to do so and enough others are known.
-func (s *Host) planFormation(t *kernel.Context) {
-	cores := s.standbys(t.Now)
+func (s *Host) planFormation(ctx *kernel.Context) {
+	cores := s.standbys(ctx.Now)
 	cores = slices.DeleteFunc(cores, func(c wire.Replica) bool { return s.refused[c.ID] })
 	slices.SortFunc(cores, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	seats, ok := s.chooseFormation(t, cores)
+	seats, ok := s.chooseFormation(ctx, cores)
 	if !ok {
 		return
 	}
-	f := wire.Bootstrap{Formation: fmt.Sprintf("%016x", t.Rand.Uint64()), Voters: seats}
+	f := wire.Bootstrap{Formation: fmt.Sprintf("%016x", ctx.Rand.Uint64()), Voters: seats}
 	f.By = wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Env.Zone, Addr: s.k.Boot.Env.Mesh}
-	s.plannedAt = t.Now
-	t.Log(0, "formation_planned", "formation", f.Formation, "seats", len(seats))
-	s.consent(t, f, func(t *kernel.Context, ok bool) {
+	s.plannedAt = ctx.Now
+	ctx.Log(0, "formation_planned", "formation", f.Formation, "seats", len(seats))
+	s.consent(ctx, f, func(ctx *kernel.Context, ok bool) {
 		if ok && s.formation.Formation == f.Formation {
-			s.propose(t)
+			s.propose(ctx)
 		}
 	})
 }
 
 // consent syncs that this disk consents to a formation; an empty one takes the consent back.
-func (s *Host) consent(t *kernel.Context, f wire.Bootstrap, done func(t *kernel.Context, ok bool)) {
+func (s *Host) consent(ctx *kernel.Context, f wire.Bootstrap, done func(ctx *kernel.Context, ok bool)) {
 	s.formation, s.consents, s.synced = f, map[string]bool{}, false
-	s.save(t, "formation", wire.Encode(&f), func(t *kernel.Context, err string) {
+	s.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
 		if s.formation.Formation == f.Formation {
 			s.synced = err == ""
 			if err != "" {
 				s.formation = wire.Bootstrap{}
 			}
 		}
-		done(t, err == "")
+		done(ctx, err == "")
 	})
 }
 
-func (s *Host) propose(t *kernel.Context) {
-	s.proposedAt = t.Now
+func (s *Host) propose(ctx *kernel.Context) {
+	s.proposedAt = ctx.Now
 	for _, member := range s.formation.Voters {
 		if member.ID != s.replicaID {
-			s.sendReplica(t, member, wire.KindBootstrap, &s.formation)
+			s.sendReplica(ctx, member, wire.KindBootstrap, &s.formation)
 			continue
 		}
-		s.handleFormReply(t, wire.BootstrapReply{Formation: s.formation.Formation, From: s.replicaID, OK: true})
+		s.handleFormReply(ctx, wire.BootstrapReply{Formation: s.formation.Formation, From: s.replicaID, OK: true})
 	}
 }
 
 // withdraw gives up this replica's own proposal, for another one or for none. It is synced before
 // anyone is told: whoever consented to it is free only once it can never be complete.
-func (s *Host) withdraw(t *kernel.Context) {
+func (s *Host) withdraw(ctx *kernel.Context) {
 	was := s.formation
-	t.Log(1, "formation_withdrawn", "formation", was.Formation)
-	s.consent(t, wire.Bootstrap{}, func(t *kernel.Context, ok bool) {
+	ctx.Log(1, "formation_withdrawn", "formation", was.Formation)
+	s.consent(ctx, wire.Bootstrap{}, func(ctx *kernel.Context, ok bool) {
 		if !ok {
 			return
 		}
 		was.Withdrawn = true
 		for _, member := range was.Voters {
 			if member.ID != s.replicaID {
-				s.sendReplica(t, member, wire.KindBootstrap, &was)
+				s.sendReplica(ctx, member, wire.KindBootstrap, &was)
 			}
 		}
 	})
 }
 
-func (s *Host) handleForm(t *kernel.Context, ch uint64, f wire.Bootstrap) {
-	reply := func(t *kernel.Context, r wire.BootstrapReply) {
+func (s *Host) handleForm(ctx *kernel.Context, ch uint64, f wire.Bootstrap) {
+	reply := func(ctx *kernel.Context, r wire.BootstrapReply) {
 		r.Formation, r.From = f.Formation, s.replicaID
-		t.Send(ch, wire.KindBootstrapReply, 0, &r)
+		ctx.Send(ch, wire.KindBootstrapReply, 0, &r)
 	}
 	e := &s.k.Boot.Env
 	mine, in := s.formation, contains(f.Voters, s.replicaID)
@@ -147,31 +147,31 @@
 	case s.replicaID == "" || s.diskDamaged:
 	case f.Withdrawn:
 		if mine.Formation == f.Formation && mine.By.ID != s.replicaID && !s.bootstrapped && !s.completing {
-			s.consent(t, wire.Bootstrap{}, func(*kernel.Context, bool) {})
+			s.consent(ctx, wire.Bootstrap{}, func(*kernel.Context, bool) {})
 		}
 	case f.Go:
 		if f.Formation == mine.Formation {
-			s.complete(t)
+			s.complete(ctx)
 		}
 	case s.bootstrapped:
-		reply(t, wire.BootstrapReply{Formed: true})
+		reply(ctx, wire.BootstrapReply{Formed: true})
 	case mine.Formation == f.Formation:
 		if s.synced {
-			reply(t, wire.BootstrapReply{OK: true})
+			reply(ctx, wire.BootstrapReply{OK: true})
 		}
 	case mine.Formation != "" && mine.By.ID == s.replicaID && f.By.ID < s.replicaID && !s.completing:
 		// Of two proposals the one of the lesser replica goes on; that replica asks again soon.
-		s.withdraw(t)
+		s.withdraw(ctx)
 	case mine.Formation != "":
-		reply(t, wire.BootstrapReply{By: mine.By})
+		reply(ctx, wire.BootstrapReply{By: mine.By})
 	case e.BootstrapKnown && !e.Bootstrap:
-		reply(t, wire.BootstrapReply{Never: true})
+		reply(ctx, wire.BootstrapReply{Never: true})
 	case in && s.diskProblem == "":
-		s.consent(t, f, func(t *kernel.Context, ok bool) { reply(t, wire.BootstrapReply{OK: ok}) })
+		s.consent(ctx, f, func(ctx *kernel.Context, ok bool) { reply(ctx, wire.BootstrapReply{OK: ok}) })
 	}
 }
 
-func (s *Host) handleFormReply(t *kernel.Context, r wire.BootstrapReply) {
+func (s *Host) handleFormReply(ctx *kernel.Context, r wire.BootstrapReply) {
 	f := s.formation
 	if s.bootstrapped || f.Formation == "" || r.Formation != f.Formation || f.By.ID != s.replicaID || s.completing {
 		return
@@ -180,17 +180,17 @@
 	case r.OK:
 		s.consents[r.From] = true
 		if !slices.ContainsFunc(f.Voters, func(seat wire.Replica) bool { return !s.consents[seat.ID] }) {
-			s.complete(t)
+			s.complete(ctx)
 		}
 	case r.Formed:
-		s.joinFleet(t)
+		s.joinFleet(ctx)
 	case r.Never:
 		s.refused[r.From] = true
-		s.withdraw(t)
+		s.withdraw(ctx)
 	case r.By.ID != "" && r.By.ID < s.replicaID:
-		s.withdraw(t)
+		s.withdraw(ctx)
 	case r.By.ID != "":
-		s.sendReplica(t, r.By, wire.KindBootstrap, &f)
+		s.sendReplica(ctx, r.By, wire.KindBootstrap, &f)
 	}
 }
 
@@ -206,24 +206,24 @@
 
 // complete makes a consenting replica a voter, once that is synced; the one that proposed the
 // formation then tells the others, who may have nobody else to tell them.
-func (s *Host) complete(t *kernel.Context) {
+func (s *Host) complete(ctx *kernel.Context) {
 	f := s.formation
 	if f.Go || s.completing {
 		return
 	}
 	f.Go, s.completing = true, true
-	s.save(t, "formation", wire.Encode(&f), func(t *kernel.Context, err string) {
+	s.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
 		s.completing = false
 		if err != "" || s.formation.Go {
 			return
 		}
 		s.formation, s.bootstrapped = f, true
 		s.adoptFormation()
-		t.Log(0, "fleet_formed", "formation", f.Formation, "seat", s.replicaID)
+		ctx.Log(0, "fleet_formed", "formation", f.Formation, "seat", s.replicaID)
 		s.publishMember()
 		for _, member := range f.Voters {
 			if f.By.ID == s.replicaID && member.ID != s.replicaID {
-				s.sendReplica(t, member, wire.KindBootstrap, &f)
+				s.sendReplica(ctx, member, wire.KindBootstrap, &f)
 			}
 		}
 	})
--- a/control/replica/bootstrap_choice.go
+++ b/control/replica/bootstrap_choice.go
@@ -24,13 +24,13 @@
 )
 
 // chooseFormation gives the replicas of the formation that this core should propose now, if any.
-func (s *Host) chooseFormation(t *kernel.Context, cores []wire.Replica) ([]wire.Replica, bool) {
+func (s *Host) chooseFormation(ctx *kernel.Context, cores []wire.Replica) ([]wire.Replica, bool) {
 	e, want := &s.k.Boot.Env, s.wantedVoters()
 	if !e.BootstrapKnown {
 		return PickVoters(cores, want), len(cores) >= want && cores[0].ID == s.replicaID
 	}
-	at := t.Now - s.started
-	all := !slices.ContainsFunc(e.Seeds, func(a string) bool { return !s.reaches(a, t.Now) })
+	at := ctx.Now - s.started
+	all := !slices.ContainsFunc(e.Seeds, func(a string) bool { return !s.reaches(a, ctx.Now) })
 	if !e.Bootstrap || len(cores) == 0 || !all && at < SeedTimeout || s.proposer(cores) != s.replicaID {
 		return nil, false
 	}
--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -60,19 +60,19 @@
 }
 
 // refuseTooLarge turns an order down whose outcome is larger than the product takes.
-func (g *Group) refuseTooLarge(t *kernel.Context, w *pendingEdit, before, after state.Value) {
+func (g *Group) refuseTooLarge(ctx *kernel.Context, w *pendingEdit, before, after state.Value) {
 	if !w.taken {
 		return
 	}
 	if reply, tooLarge := state.TooLarge(g.partition, before, after); tooLarge {
 		w.reply, w.taken = reply, false
-		t.Counts.Add("orders_too_large", 1)
+		ctx.Counts.Add("orders_too_large", 1)
 	}
 }
 
 // catchUp sends the newest committed version to a replica whose heartbeat reply shows that it
 // lacks it. While another version is under way to it, a large one is not sent as well.
-func (g *Group) catchUp(t *kernel.Context, r wire.LeaderHeartbeatReply) {
+func (g *Group) catchUp(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
 	size := sizeOf(g.committed)
 	underWay := g.proposal != nil && (r.Held == g.proposal.Version || isLarge(size))
 	if !g.ready || underWay || !mesh.Newer(g.committed.Version, r.Held) {
@@ -82,19 +82,19 @@
 	if isLarge(size) {
 		interval = LargeInterval
 	}
-	if at := g.caughtUpAt[r.From]; at != 0 && t.Now-at < interval {
+	if at := g.caughtUpAt[r.From]; at != 0 && ctx.Now-at < interval {
 		return
 	}
 	for _, voter := range allVoters(g.committed) {
 		if voter.ID != r.From {
 			continue
 		}
-		g.caughtUpAt[r.From] = t.Now
-		t.Counts.Add("part_handed_over", 1)
-		t.Counts.Add("snapshot_bytes_sent", int64(size))
-		t.Log(0, "snapshot_sent", "part", g.partition, "to", r.From, "had_term", r.Held.Term, "had_seq", r.Held.Seq,
+		g.caughtUpAt[r.From] = ctx.Now
+		ctx.Counts.Add("part_handed_over", 1)
+		ctx.Counts.Add("snapshot_bytes_sent", int64(size))
+		ctx.Log(0, "snapshot_sent", "part", g.partition, "to", r.From, "had_term", r.Held.Term, "had_seq", r.Held.Seq,
 			"term", g.committed.Version.Term, "seq", g.committed.Version.Seq, "bytes", size)
-		g.sendVersion(t, voter, g.committed)
+		g.sendVersion(ctx, voter, g.committed)
 	}
 }
 
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -141,12 +141,12 @@
 func (s *Host) clock(now int64) int64 { return s.clockOrigin + now }
 
 // noteContact logs and counts when a leader loses its contact with a majority.
-func (g *Group) noteContact(t *kernel.Context) {
-	since := t.Now - max(g.leaderSince, g.contact.confirmedAt)
+func (g *Group) noteContact(ctx *kernel.Context) {
+	since := ctx.Now - max(g.leaderSince, g.contact.confirmedAt)
 	lost := g.ready && since > ContactFor
 	if lost && !g.contactLost {
-		t.Counts.Add("part_contact_lost", 1)
-		t.Log(1, "leader_without_contact", "part", g.partition, "term", g.term, "since_us", since)
+		ctx.Counts.Add("part_contact_lost", 1)
+		ctx.Log(1, "leader_without_contact", "part", g.partition, "term", g.term, "since_us", since)
 	}
 	g.contactLost = lost
 }
--- a/control/replica/disk.go
+++ b/control/replica/disk.go
@@ -10,11 +10,11 @@
 )
 
 // identify gives an empty disk its replica; it is none before that is synced.
-func (s *Host) identify(t *kernel.Context) {
-	id := fmt.Sprintf("%016x", t.Rand.Uint64())
+func (s *Host) identify(ctx *kernel.Context) {
+	id := fmt.Sprintf("%016x", ctx.Rand.Uint64())
 	s.probing = true
-	s.save(t, "seat", []byte(id), func(t *kernel.Context, err string) {
-		s.probing, s.probeAt = false, t.Now
+	s.save(ctx, "seat", []byte(id), func(ctx *kernel.Context, err string) {
+		s.probing, s.probeAt = false, ctx.Now
 		if err == "" {
 			s.replicaID = id
 			s.publishMember()
@@ -22,58 +22,58 @@
 	})
 }
 
-func (s *Host) setSick(t *kernel.Context, why string) {
+func (s *Host) setSick(ctx *kernel.Context, why string) {
 	if s.diskProblem == why {
 		return
 	}
-	t.Log(1, "disk_condition", "was", s.diskProblem, "is", why)
+	ctx.Log(1, "disk_condition", "was", s.diskProblem, "is", why)
 	s.diskProblem = why
 	s.publishMember()
 }
 
 // save writes a file and calls back when it is synced or has failed.
-func (s *Host) save(t *kernel.Context, file string, content []byte, done func(t *kernel.Context, err string)) {
+func (s *Host) save(ctx *kernel.Context, file string, content []byte, done func(ctx *kernel.Context, err string)) {
 	s.nextWrite++
 	key := fmt.Sprintf("w%d", s.nextWrite)
-	s.writes[key], s.writeSince[key] = done, t.Now
-	t.Counts.Add("disk_writes", 1)
-	t.Write("seats", key, file, diskfile.Pack(content))
+	s.writes[key], s.writeSince[key] = done, ctx.Now
+	ctx.Counts.Add("disk_writes", 1)
+	ctx.Write("seats", key, file, diskfile.Pack(content))
 }
 
-func (s *Host) remove(t *kernel.Context, file string) { t.Write("seats", "", file, nil) }
+func (s *Host) remove(ctx *kernel.Context, file string) { ctx.Write("seats", "", file, nil) }
 
-func (s *Host) written(t *kernel.Context, v kernel.Written) {
+func (s *Host) written(ctx *kernel.Context, v kernel.Written) {
 	done := s.writes[v.Key]
-	slow := t.Now-s.writeSince[v.Key] > SlowDiskAfter
+	slow := ctx.Now-s.writeSince[v.Key] > SlowDiskAfter
 	delete(s.writes, v.Key)
 	delete(s.writeSince, v.Key)
 	switch {
 	case v.Err != "":
-		t.Counts.Add("disk_errors", 1)
-		s.setSick(t, v.Err)
+		ctx.Counts.Add("disk_errors", 1)
+		s.setSick(ctx, v.Err)
 	case slow:
-		s.setSick(t, "slow")
+		s.setSick(ctx, "slow")
 	default:
-		s.setSick(t, "")
+		s.setSick(ctx, "")
 	}
 	if done != nil {
-		done(t, v.Err)
+		done(ctx, v.Err)
 	}
 }
 
 // checkDisk notices a stalled disk, and tries a sick one again.
-func (s *Host) checkDisk(t *kernel.Context) {
+func (s *Host) checkDisk(ctx *kernel.Context) {
 	for _, at := range s.writeSince {
-		if t.Now-at > SlowDiskAfter {
-			s.setSick(t, "stalled")
+		if ctx.Now-at > SlowDiskAfter {
+			s.setSick(ctx, "stalled")
 		}
 	}
-	if s.diskProblem != "" && !s.probing && len(s.writes) == 0 && t.Now-s.probeAt >= DiskProbeInterval {
-		s.probing, s.probeAt = true, t.Now
+	if s.diskProblem != "" && !s.probing && len(s.writes) == 0 && ctx.Now-s.probeAt >= DiskProbeInterval {
+		s.probing, s.probeAt = true, ctx.Now
 		if s.replicaID == "" {
-			s.identify(t)
+			s.identify(ctx)
 			return
 		}
-		s.save(t, "probe", []byte("probe"), func(*kernel.Context, string) { s.probing = false })
+		s.save(ctx, "probe", []byte("probe"), func(*kernel.Context, string) { s.probing = false })
 	}
 }
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -12,9 +12,9 @@
 )
 
 // scheduleElection puts the next try for a term off: the replicas take turns, each partition beginning with another.
-func (g *Group) scheduleElection(t *kernel.Context) {
+func (g *Group) scheduleElection(ctx *kernel.Context) {
 	rank, after := int64(0), int64(ElectionTimeout)
-	if g.justStarted(t) {
+	if g.justStarted(ctx) {
 		after = ElectionTimeoutAtStart
 	}
 	seats := allVoters(g.accepted)
@@ -22,60 +22,60 @@
 	for i := range seats {
 		switch seats[(i+g.partition)%len(seats)].ID {
 		case g.self():
-			g.electionAt = t.Now + after + rank*ElectionStagger + t.Rand.Int64N(ElectionJitter)
+			g.electionAt = ctx.Now + after + rank*ElectionStagger + ctx.Rand.Int64N(ElectionJitter)
 			return
 		case g.leader:
 		default:
 			rank++
 		}
 	}
-	g.electionAt = t.Now + ElectionTimeout + t.Rand.Int64N(ElectionTimeout)
+	g.electionAt = ctx.Now + ElectionTimeout + ctx.Rand.Int64N(ElectionTimeout)
 }
 
 // justStarted tells that this process has just started, on a platform, and has heard no leader yet:
 // after a loss of everything there is none to wait for, and where there is one the other replicas,
 // who hear it, deny the first question, which binds nobody.
-func (g *Group) justStarted(t *kernel.Context) bool {
-	return g.host.k.Boot.Env.BootstrapKnown && g.leader == "" && g.role != leader && t.Now-g.host.started < StartPeriod
+func (g *Group) justStarted(ctx *kernel.Context) bool {
+	return g.host.k.Boot.Env.BootstrapKnown && g.leader == "" && g.role != leader && ctx.Now-g.host.started < StartPeriod
 }
 
 // startElection begins a try: first whether a term would be given, then for the term.
-func (g *Group) startElection(t *kernel.Context, named bool) {
-	g.scheduleElection(t)
+func (g *Group) startElection(ctx *kernel.Context, named bool) {
+	g.scheduleElection(ctx)
 	g.role = preCandidate
 	g.term = g.votedTerm + 1
 	g.replies = map[string]wire.VoteReply{}
 	if named {
-		g.requestVotes(t, true)
+		g.requestVotes(ctx, true)
 		return
 	}
 	for _, s := range allVoters(g.accepted) {
 		v := wire.Vote{Partition: g.partition, Term: g.term, From: g.self(), Pre: true, Held: g.accepted.Version}
 		if s.ID == g.self() {
-			g.voteReply(t, wire.VoteReply{Partition: g.partition, Term: g.term, From: s.ID, Pre: true, Granted: true, Held: g.accepted})
+			g.voteReply(ctx, wire.VoteReply{Partition: g.partition, Term: g.term, From: s.ID, Pre: true, Granted: true, Held: g.accepted})
 			continue
 		}
-		g.host.sendReplica(t, s, wire.KindVote, &v)
+		g.host.sendReplica(ctx, s, wire.KindVote, &v)
 	}
 }
 
-func (g *Group) requestVotes(t *kernel.Context, named bool) {
+func (g *Group) requestVotes(ctx *kernel.Context, named bool) {
 	g.role = candidate
 	g.replies = map[string]wire.VoteReply{}
-	t.Counts.Add("part_elections", 1)
+	ctx.Counts.Add("part_elections", 1)
 	for _, s := range allVoters(g.accepted) {
 		v := wire.Vote{Partition: g.partition, Term: g.term, From: g.self(), Named: named, Held: g.accepted.Version}
 		if s.ID == g.self() {
-			g.vote(t, 0, 0, v)
+			g.vote(ctx, 0, 0, v)
 			continue
 		}
-		g.host.sendReplica(t, s, wire.KindVote, &v)
+		g.host.sendReplica(ctx, s, wire.KindVote, &v)
 	}
 }
 
 // vote answers a request for a term, after the vote is synced.
-func (g *Group) vote(t *kernel.Context, ch, id uint64, v wire.Vote) {
-	reply := func(t *kernel.Context, granted bool) {
+func (g *Group) vote(ctx *kernel.Context, ch, id uint64, v wire.Vote) {
+	reply := func(ctx *kernel.Context, granted bool) {
 		r := wire.VoteReply{Partition: g.partition, Term: v.Term, From: g.self(), Pre: v.Pre, Granted: granted, Held: g.accepted, TakesBase: true}
 		if !granted {
 			r.Term = g.votedTerm
@@ -86,32 +86,32 @@
 			r.Held.Body, r.Held.Ledger = nil, nil
 		}
 		if v.From == g.self() {
-			g.voteReply(t, r)
+			g.voteReply(ctx, r)
 			return
 		}
-		t.Send(ch, wire.KindVoteReply, id, &r)
+		ctx.Send(ch, wire.KindVoteReply, id, &r)
 	}
 	if g.host.diskDamaged {
 		return
 	}
 	fresh := v.Term > g.votedTerm || v.Term == g.votedTerm && g.votedFor == v.From
 	if v.Pre {
-		quiet := g.role != leader && t.Now-g.leaderSeen > ElectionTimeout/2
-		reply(t, v.Term > g.votedTerm && quiet && !g.outranks(v) && (g.host.diskProblem == "" || g.host.diskProblem == "slow"))
+		quiet := g.role != leader && ctx.Now-g.leaderSeen > ElectionTimeout/2
+		reply(ctx, v.Term > g.votedTerm && quiet && !g.outranks(v) && (g.host.diskProblem == "" || g.host.diskProblem == "slow"))
 		return
 	}
 	if !fresh {
-		reply(t, false)
+		reply(ctx, false)
 		return
 	}
 	if v.From != g.self() {
-		g.stepDown(t, "promised another")
+		g.stepDown(ctx, "promised another")
 	}
 	g.votedTerm, g.votedFor = v.Term, v.From
-	g.scheduleElection(t)
-	g.host.save(t, voteFile(g.partition), wire.Encode(&wire.Vote{Term: v.Term, From: v.From}), func(t *kernel.Context, err string) {
+	g.scheduleElection(ctx)
+	g.host.save(ctx, voteFile(g.partition), wire.Encode(&wire.Vote{Term: v.Term, From: v.From}), func(ctx *kernel.Context, err string) {
 		if err == "" && g.votedTerm == v.Term && g.votedFor == v.From {
-			reply(t, true)
+			reply(ctx, true)
 		}
 	})
 }
@@ -122,7 +122,7 @@
 	return mesh.Newer(g.accepted.Version, v.Held) && g.isVoter() && !g.host.stopping
 }
 
-func (g *Group) voteReply(t *kernel.Context, r wire.VoteReply) {
+func (g *Group) voteReply(ctx *kernel.Context, r wire.VoteReply) {
 	if r.Pre && g.role != preCandidate || !r.Pre && g.role != candidate {
 		return
 	}
@@ -133,7 +133,7 @@
 		}
 		if mesh.Newer(r.Held.Version, g.accepted.Version) && !contains(allVoters(r.Held), g.self()) {
 			// Most likely this replica was replaced meanwhile: it need not ask again at once.
-			g.electionAt = t.Now + ReplaceAfter
+			g.electionAt = ctx.Now + ReplaceAfter
 		}
 		return
 	}
@@ -151,16 +151,16 @@
 		return
 	}
 	if r.Pre {
-		g.requestVotes(t, false)
+		g.requestVotes(ctx, false)
 		return
 	}
 	if _, synced := g.replies[g.self()]; !synced {
 		// Killed now, it would ask for the same term again and give one number to two versions.
 		return
 	}
-	if g.isSuperseded(t, best) {
+	if g.isSuperseded(ctx, best) {
 		g.role = follower
 		return
 	}
-	g.becomeLeader(t, best)
+	g.becomeLeader(ctx, best)
 }
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -11,35 +11,35 @@
 )
 
 // accept syncs a version and says so, unless a newer term was voted.
-func (g *Group) accept(t *kernel.Context, ch, id uint64, a wire.Accept) {
-	reply := func(t *kernel.Context, r wire.AcceptReply) {
+func (g *Group) accept(ctx *kernel.Context, ch, id uint64, a wire.Accept) {
+	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
 		r.Partition, r.From, r.TakesBase = g.partition, g.self(), true
 		if a.From == g.self() {
-			g.acceptReply(t, r)
+			g.acceptReply(ctx, r)
 			return
 		}
-		t.Send(ch, wire.KindAcceptReply, id, &r)
+		ctx.Send(ch, wire.KindAcceptReply, id, &r)
 	}
 	if g.host.diskDamaged {
 		return
 	}
 	if g.host.stopping && !g.isVoter() && !contains(allVoters(a.Versioned), g.self()) {
 		// It would be gone before it could be a voter.
-		reply(t, wire.AcceptReply{Term: a.Term, Err: "leaving"})
+		reply(ctx, wire.AcceptReply{Term: a.Term, Err: "leaving"})
 		return
 	}
 	if a.Term < g.votedTerm || a.Versioned.Version.Term > a.Term {
-		reply(t, wire.AcceptReply{Term: g.votedTerm})
+		reply(ctx, wire.AcceptReply{Term: g.votedTerm})
 		return
 	}
 	if a.From != g.self() {
-		g.follow(t, a.From, a.Term)
+		g.follow(ctx, a.From, a.Term)
 	}
 	g.votedTerm = a.Term
 	v := a.Versioned
 	if v.Version == g.accepted.Version {
-		g.checkSameContent(t, a)
-		reply(t, wire.AcceptReply{OK: true, Term: a.Term, Version: v.Version})
+		g.checkSameContent(ctx, a)
+		reply(ctx, wire.AcceptReply{OK: true, Term: a.Term, Version: v.Version})
 		return
 	}
 	if !mesh.Newer(v.Version, g.accepted.Version) || !mesh.Newer(v.Version, g.pending) {
@@ -47,30 +47,30 @@
 	}
 	if a.Base != (wire.Version{}) {
 		if a.Base != g.accepted.Version {
-			reply(t, wire.AcceptReply{Term: a.Term, Version: v.Version, LacksBase: true})
+			reply(ctx, wire.AcceptReply{Term: a.Term, Version: v.Version, LacksBase: true})
 			return
 		}
 		v.Body, v.Ledger = g.accepted.Body, g.accepted.Ledger
 	}
 	g.pending = v.Version
-	g.host.save(t, versionFile(v.Version), wire.Encode(&v), func(t *kernel.Context, err string) {
+	g.host.save(ctx, versionFile(v.Version), wire.Encode(&v), func(ctx *kernel.Context, err string) {
 		if err != "" {
 			if g.pending == v.Version {
 				g.pending = g.accepted.Version
 			}
-			reply(t, wire.AcceptReply{Term: a.Term, Err: err})
+			reply(ctx, wire.AcceptReply{Term: a.Term, Err: err})
 			return
 		}
 		if mesh.Newer(v.Version, g.accepted.Version) {
 			g.accepted = v
 		}
 		g.versionFiles = append(g.versionFiles, v.Version)
-		g.removeOldVersions(t)
-		reply(t, wire.AcceptReply{OK: true, Term: a.Term, Version: v.Version})
+		g.removeOldVersions(ctx)
+		reply(ctx, wire.AcceptReply{OK: true, Term: a.Term, Version: v.Version})
 	})
 }
 
-func (g *Group) removeOldVersions(t *kernel.Context) {
+func (g *Group) removeOldVersions(ctx *kernel.Context) {
 	slices.SortFunc(g.versionFiles, func(a, b wire.Version) int {
 		if mesh.Newer(a, b) {
 			return -1
@@ -80,44 +80,44 @@
 	for len(g.versionFiles) > VersionsKept {
 		last := g.versionFiles[len(g.versionFiles)-1]
 		g.versionFiles = g.versionFiles[:len(g.versionFiles)-1]
-		g.host.remove(t, versionFile(last))
+		g.host.remove(ctx, versionFile(last))
 	}
 }
 
 // follow takes a replica for the leader of a term.
-func (g *Group) follow(t *kernel.Context, from string, term uint64) {
-	g.checkOneLeader(t, from, term)
+func (g *Group) follow(ctx *kernel.Context, from string, term uint64) {
+	g.checkOneLeader(ctx, from, term)
 	if g.role != follower && term >= g.term {
-		g.stepDown(t, "another owner")
+		g.stepDown(ctx, "another owner")
 	}
 	if g.leader != from {
 		g.leader = from
-		g.leaderAddress = g.host.addressOf(from, t.Now)
+		g.leaderAddress = g.host.addressOf(from, ctx.Now)
 	}
-	g.leaderSeen = t.Now
-	g.scheduleElection(t)
+	g.leaderSeen = ctx.Now
+	g.scheduleElection(ctx)
 }
 
-func (g *Group) handleHeartbeat(t *kernel.Context, ch, id uint64, b wire.LeaderHeartbeat) {
-	r := wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: b.Round, Held: g.accepted.Version, Wall: t.Wall, Clock: g.host.clock(t.Now), DiskProblem: g.host.diskProblem != ""}
+func (g *Group) handleHeartbeat(ctx *kernel.Context, ch, id uint64, b wire.LeaderHeartbeat) {
+	r := wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: b.Round, Held: g.accepted.Version, Wall: ctx.Wall, Clock: g.host.clock(ctx.Now), DiskProblem: g.host.diskProblem != ""}
 	if b.Term < g.votedTerm || g.host.diskDamaged {
-		t.Send(ch, wire.KindLeaderHeartbeatReply, id, &r)
+		ctx.Send(ch, wire.KindLeaderHeartbeatReply, id, &r)
 		return
 	}
 	if b.TransferTo != "" {
 		g.leaderSeen, g.leader, g.leaderAddress = 0, "", ""
 		g.votedTerm = max(g.votedTerm, b.Term)
 		if b.TransferTo == g.self() && g.isVoter() && g.host.diskProblem == "" && !g.host.stopping {
-			g.startElection(t, true)
+			g.startElection(ctx, true)
 		}
 		return
 	}
-	g.follow(t, b.From, b.Term)
+	g.follow(ctx, b.From, b.Term)
 	g.votedTerm = b.Term
-	g.contact.proven(b.ContactAt-g.host.clockOrigin, t.Now, b.Committed)
+	g.contact.proven(b.ContactAt-g.host.clockOrigin, ctx.Now, b.Committed)
 	r.OK, r.Term = true, b.Term
 	if b.Committed == g.accepted.Version {
-		g.commit(t, g.accepted)
+		g.commit(ctx, g.accepted)
 	}
-	t.Send(ch, wire.KindLeaderHeartbeatReply, id, &r)
+	ctx.Send(ch, wire.KindLeaderHeartbeatReply, id, &r)
 }
--- a/control/replica/group.go
+++ b/control/replica/group.go
@@ -131,27 +131,27 @@
 
 func (g *Group) isVoter() bool { return contains(allVoters(g.accepted), g.self()) }
 
-func (g *Group) tick(t *kernel.Context) {
+func (g *Group) tick(ctx *kernel.Context) {
 	if !g.isVoter() {
 		return
 	}
 	if g.role == leader {
-		g.leaderTick(t)
+		g.leaderTick(ctx)
 		return
 	}
 	if g.host.stopping {
-		g.requestLeave(t)
+		g.requestLeave(ctx)
 		return
 	}
 	if g.electionAt == 0 {
-		g.scheduleElection(t)
+		g.scheduleElection(ctx)
 	}
 	at := g.electionAt
 	if g.host.diskProblem != "" {
 		// A healthy replica goes first; where there is none, a slow leader is better than none.
 		at += 2 * ElectionTimeout
 	}
-	if t.Now >= at && t.Now-g.host.started >= g.host.listenPeriod() {
-		g.startElection(t, false)
+	if ctx.Now >= at && ctx.Now-g.host.started >= g.host.listenPeriod() {
+		g.startElection(ctx, false)
 	}
 }
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -42,7 +42,7 @@
 	nextWrite    uint64
 	// clockOrigin is where the clock begins that leaders are told.
 	clockOrigin int64
-	writes      map[string]func(t *kernel.Context, err string)
+	writes      map[string]func(ctx *kernel.Context, err string)
 	writeSince  map[string]int64
 	probing     bool
 	probeAt     int64
@@ -85,7 +85,7 @@
 }
 
 // Load reads the disk as it was at the start of the process.
-func (s *Host) load(t *kernel.Context) {
+func (s *Host) load(ctx *kernel.Context) {
 	for _, name := range sortedKeys(s.k.Boot.Files) {
 		b, err := diskfile.Unpack(s.k.Boot.Files[name])
 		if f, ok := err.(diskfile.ErrFuture); ok {
@@ -94,8 +94,8 @@
 		}
 		isStamped := strings.Contains(name, ".stamp-")
 		if err != nil {
-			t.Counts.Add("disk_torn", 1)
-			t.Log(1, "disk_torn", "file", name)
+			ctx.Counts.Add("disk_torn", 1)
+			ctx.Log(1, "disk_torn", "file", name)
 			// A version that was not whole was never acknowledged; any other file is needed whole.
 			s.diskDamaged = s.diskDamaged || !isStamped
 			continue
@@ -156,25 +156,25 @@
 	return ListenBeforeElection
 }
 
-func (s *Host) start(t *kernel.Context) {
-	s.started, s.clockOrigin = t.Now, 1+t.Rand.Int64N(clockOrigins)
+func (s *Host) start(ctx *kernel.Context) {
+	s.started, s.clockOrigin = ctx.Now, 1+ctx.Rand.Int64N(clockOrigins)
 	if s.k.Boot.Env.Data == "" && len(s.k.Boot.Files) == 0 {
 		// Without a disk it has no replica; it hands on what it is asked.
-		t.Log(0, "core_without_disk")
+		ctx.Log(0, "core_without_disk")
 		return
 	}
-	s.load(t)
+	s.load(ctx)
 	if s.diskDamaged {
-		s.setSick(t, "damaged")
-		t.Log(2, "disk_damaged", "do", "stop this core, empty its data folder, start it again: it comes back as a new seat", "why", s.futureFormat)
+		s.setSick(ctx, "damaged")
+		ctx.Log(2, "disk_damaged", "do", "stop this core, empty its data folder, start it again: it comes back as a new seat", "why", s.futureFormat)
 		return
 	}
 	if s.replicaID == "" {
-		s.identify(t)
+		s.identify(ctx)
 	} else {
 		s.publishMember()
 	}
-	t.After(TickInterval, "seats", "tick")
+	ctx.After(TickInterval, "seats", "tick")
 }
 
 func (s *Host) publishMember() {
--- a/control/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -18,36 +18,36 @@
 }
 
 // checkOneLeader sees that no two replicas lead one term.
-func (g *Group) checkOneLeader(t *kernel.Context, from string, term uint64) {
+func (g *Group) checkOneLeader(ctx *kernel.Context, from string, term uint64) {
 	heard := heardLeader{id: from, term: term}
 	if g.heardLeader.term == term && g.heardLeader.id != from {
-		t.Violated(invariant.OneLeader, fmt.Sprintf("partition %d, term %d: %s and %s", g.partition, term, g.heardLeader.id, from))
+		ctx.Violated(invariant.OneLeader, fmt.Sprintf("partition %d, term %d: %s and %s", g.partition, term, g.heardLeader.id, from))
 	}
 	g.heardLeader = heard
 }
 
 // checkSameContent sees that a version which is brought again is the one that is held.
-func (g *Group) checkSameContent(t *kernel.Context, a wire.Accept) {
+func (g *Group) checkSameContent(ctx *kernel.Context, a wire.Accept) {
 	if a.Base == (wire.Version{}) && !bytes.Equal(a.Versioned.Body, g.accepted.Body) {
-		t.Violated(invariant.VersionContent, fmt.Sprintf("partition %d, version %d.%d", g.partition, a.Versioned.Version.Term, a.Versioned.Version.Seq))
+		ctx.Violated(invariant.VersionContent, fmt.Sprintf("partition %d, version %d.%d", g.partition, a.Versioned.Version.Term, a.Versioned.Version.Seq))
 	}
 }
 
 // checkLeads sees that a leader commits in its own term alone, before any later one that it knows of.
-func (g *Group) checkLeads(t *kernel.Context, v wire.Versioned) {
+func (g *Group) checkLeads(ctx *kernel.Context, v wire.Versioned) {
 	if v.Version.Term != g.term || g.votedTerm != g.term {
-		t.Violated(invariant.LeaderInItsTerm, fmt.Sprintf("partition %d, version of term %d, leads term %d, voted term %d", g.partition, v.Version.Term, g.term, g.votedTerm))
+		ctx.Violated(invariant.LeaderInItsTerm, fmt.Sprintf("partition %d, version of term %d, leads term %d, voted term %d", g.partition, v.Version.Term, g.term, g.votedTerm))
 	}
 }
 
 // checkCarriesOn sees that a committed configuration has no older routing table than the one before it.
-func (g *Group) checkCarriesOn(t *kernel.Context, before, after wire.Versioned) {
+func (g *Group) checkCarriesOn(ctx *kernel.Context, before, after wire.Versioned) {
 	if g.partition != state.Config || bytes.Equal(before.Body, after.Body) {
 		return
 	}
 	was, is := revisionOf(before), revisionOf(after)
 	if is < was {
-		t.Violated(invariant.RevisionRises, fmt.Sprintf("revision %d after %d, version %d.%d", is, was, after.Version.Term, after.Version.Seq))
+		ctx.Violated(invariant.RevisionRises, fmt.Sprintf("revision %d after %d, version %d.%d", is, was, after.Version.Term, after.Version.Seq))
 	}
 }
 
--- a/control/replica/known_cores.go
+++ b/control/replica/known_cores.go
@@ -40,13 +40,13 @@
 }
 
 // pulled takes note of a core that pulls.
-func (s *Host) pulled(t *kernel.Context, p wire.Pull) {
+func (s *Host) pulled(ctx *kernel.Context, p wire.Pull) {
 	if p.Addr == "" || p.Addr == s.k.Boot.Env.Mesh {
 		return
 	}
 	if _, ok := s.pullers[p.Addr]; !ok && len(s.pullers) >= maxPullers {
 		for a, v := range s.pullers {
-			if t.Now-v.at > pullerTimeout {
+			if ctx.Now-v.at > pullerTimeout {
 				delete(s.pullers, a)
 			}
 		}
@@ -54,7 +54,7 @@
 			return
 		}
 	}
-	s.pullers[p.Addr] = puller{member: wire.Replica{ID: p.Replica, Zone: p.Zone, Addr: p.Addr}, at: t.Now}
+	s.pullers[p.Addr] = puller{member: wire.Replica{ID: p.Replica, Zone: p.Zone, Addr: p.Addr}, at: ctx.Now}
 }
 
 // standbys lists the cores whose disks are well, this one included, as replicas that they could have.
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -8,52 +8,52 @@
 	"wallport/runtime/wire"
 )
 
-func (g *Group) becomeLeader(t *kernel.Context, best wire.Versioned) {
+func (g *Group) becomeLeader(ctx *kernel.Context, best wire.Versioned) {
 	g.role, g.leader, g.leaderAddress = leader, g.self(), g.host.k.Boot.Env.Mesh
 	g.ready, g.transferring = false, g.host.stopping
 	g.confirmedRounds, g.clockOffsets = map[string]uint64{}, map[string]int64{}
 	g.synced = map[string]syncedVersion{}
 	g.diskProblem, g.successors, g.caughtUpAt, g.steadySince = map[string]bool{}, map[string]wire.Replica{}, map[string]int64{}, map[string]int64{}
-	g.heartbeatAt, g.leaderSince = 0, t.Now
+	g.heartbeatAt, g.leaderSince = 0, ctx.Now
 	g.contact.lead()
 	g.leases = map[string]*lease{}
 	g.change, g.learnerFailedAt, g.leavingAt = nil, map[string]int64{}, map[string]int64{}
 	for _, s := range allVoters(best) {
-		g.heardAt[s.ID] = t.Now
+		g.heardAt[s.ID] = ctx.Now
 	}
-	t.Log(0, "part_owner", "part", g.partition, "term", g.term, "adopts_term", best.Version.Term, "adopts_seq", best.Version.Seq)
-	t.Counts.Add("part_owned", 1)
+	ctx.Log(0, "part_owner", "part", g.partition, "term", g.term, "adopts_term", best.Version.Term, "adopts_seq", best.Version.Seq)
+	ctx.Counts.Add("part_owned", 1)
 	v := best
 	v.Version = wire.Version{Partition: g.partition, Term: g.term, Seq: best.Version.Seq + 1}
 	g.noteHeld(g.replies)
-	g.propose(t, v, best.Version)
-	g.leaderTick(t)
+	g.propose(ctx, v, best.Version)
+	g.leaderTick(ctx)
 }
 
 // stepDown ends leadership or candidature. What was in flight has an unknown outcome.
-func (g *Group) stepDown(t *kernel.Context, why string) {
+func (g *Group) stepDown(ctx *kernel.Context, why string) {
 	if g.role == leader {
-		t.Log(1, "part_retired", "part", g.partition, "term", g.term, "why", why)
+		ctx.Log(1, "part_retired", "part", g.partition, "term", g.term, "why", why)
 		for _, w := range g.proposedEdits {
-			g.answer(t, w.conn, w.id, wire.EditReply{Code: "unknown"})
+			g.answer(ctx, w.conn, w.id, wire.EditReply{Code: "unknown"})
 		}
 		for _, w := range append(g.queue, g.unconfirmed...) {
-			g.answer(t, w.conn, w.id, wire.EditReply{Code: "not_owner"})
+			g.answer(ctx, w.conn, w.id, wire.EditReply{Code: "not_owner"})
 		}
 		g.leader, g.leaderAddress = "", ""
 	}
 	g.proposedEdits, g.queue, g.unconfirmed, g.proposal = nil, nil, nil, nil
 	g.role = follower
 	g.ready = false
-	g.scheduleElection(t)
+	g.scheduleElection(ctx)
 }
 
 // propose has the voters hold a version. Its body is that of the version base, if that is one:
 // who holds that already needs not be sent it.
-func (g *Group) propose(t *kernel.Context, v wire.Versioned, base wire.Version) {
-	g.proposal, g.proposedAt = &v, t.Now
+func (g *Group) propose(ctx *kernel.Context, v wire.Versioned, base wire.Version) {
+	g.proposal, g.proposedAt = &v, ctx.Now
 	g.acks = map[string]bool{}
-	g.sendProposal(t, base)
+	g.sendProposal(ctx, base)
 }
 
 // acceptFor is the message that brings a version to a replica, in this leader's term.
@@ -62,49 +62,49 @@
 }
 
 // sendVersion brings a version, whole, to a replica.
-func (g *Group) sendVersion(t *kernel.Context, to wire.Replica, v wire.Versioned) {
+func (g *Group) sendVersion(ctx *kernel.Context, to wire.Replica, v wire.Versioned) {
 	a := g.acceptFor(v)
-	g.host.sendReplica(t, to, wire.KindAccept, &a)
+	g.host.sendReplica(ctx, to, wire.KindAccept, &a)
 }
 
 // sendProposal sends the version under way to those who have not synced it yet.
-func (g *Group) sendProposal(t *kernel.Context, base wire.Version) {
-	g.sentAt = t.Now
+func (g *Group) sendProposal(ctx *kernel.Context, base wire.Version) {
+	g.sentAt = ctx.Now
 	a := g.acceptFor(*g.proposal)
 	for _, s := range allVoters(*g.proposal) {
 		if g.acks[s.ID] {
 			continue
 		}
 		if s.ID == g.self() {
-			g.accept(t, 0, 0, a)
+			g.accept(ctx, 0, 0, a)
 			continue
 		}
 		one := g.withBase(a, s.ID, base)
-		g.host.sendReplica(t, s, wire.KindAccept, &one)
+		g.host.sendReplica(ctx, s, wire.KindAccept, &one)
 	}
-	g.sendToLearners(t, *g.proposal)
+	g.sendToLearners(ctx, *g.proposal)
 }
 
-func (g *Group) acceptReply(t *kernel.Context, r wire.AcceptReply) {
+func (g *Group) acceptReply(ctx *kernel.Context, r wire.AcceptReply) {
 	if g.role != leader {
 		return
 	}
 	if !r.OK {
 		if r.Term > g.term {
 			g.votedTerm = max(g.votedTerm, r.Term)
-			g.stepDown(t, "fenced by a newer term")
+			g.stepDown(ctx, "fenced by a newer term")
 			return
 		}
 		if r.LacksBase {
-			g.sendBody(t, r)
+			g.sendBody(ctx, r)
 			return
 		}
-		g.handleLearnerReply(t, r)
+		g.handleLearnerReply(ctx, r)
 		return
 	}
-	g.heardAt[r.From] = t.Now
+	g.heardAt[r.From] = ctx.Now
 	g.noteSynced(r)
-	g.handleLearnerReply(t, r)
+	g.handleLearnerReply(ctx, r)
 	if g.proposal == nil || r.Version != g.proposal.Version {
 		return
 	}
@@ -117,58 +117,58 @@
 	done := g.proposedEdits
 	g.proposedEdits = nil
 	g.ready = true
-	g.checkLeads(t, v)
-	g.commit(t, v)
+	g.checkLeads(ctx, v)
+	g.commit(ctx, v)
 	for _, w := range done {
 		if w.taken {
 			w.reply.Version = v.Version
 		}
-		g.answer(t, w.conn, w.id, w.reply)
+		g.answer(ctx, w.conn, w.id, w.reply)
 	}
-	g.sendHeartbeats(t)
-	g.proposeNext(t)
+	g.sendHeartbeats(ctx)
+	g.proposeNext(ctx)
 }
 
 // commit takes note that a version is committed.
-func (g *Group) commit(t *kernel.Context, v wire.Versioned) {
+func (g *Group) commit(ctx *kernel.Context, v wire.Versioned) {
 	if !mesh.Newer(v.Version, g.committed.Version) {
 		return
 	}
 	before := g.committed
-	g.checkCarriesOn(t, before, v)
+	g.checkCarriesOn(ctx, before, v)
 	g.committed = v
 	if g.role == leader {
-		g.endChange(t, before, v)
+		g.endChange(ctx, before, v)
 	}
-	t.Emit(Committed{Version: v})
+	ctx.Emit(Committed{Version: v})
 }
 
-func (g *Group) leaderTick(t *kernel.Context) {
-	g.noteContact(t)
+func (g *Group) leaderTick(ctx *kernel.Context) {
+	g.noteContact(ctx)
 	switch {
-	case g.isSuperseded(t, g.newestVersion()):
-		g.stepDown(t, "another group has committed a newer version")
+	case g.isSuperseded(ctx, g.newestVersion()):
+		g.stepDown(ctx, "another group has committed a newer version")
 		return
-	case t.Now-max(g.leaderSince, g.contact.confirmedAt) > StepDownAfter:
-		g.stepDown(t, "no majority answers")
+	case ctx.Now-max(g.leaderSince, g.contact.confirmedAt) > StepDownAfter:
+		g.stepDown(ctx, "no majority answers")
 		return
-	case g.proposalIsOverdue(t.Now):
-		g.stepDown(t, "the version under way was not taken in time")
+	case g.proposalIsOverdue(ctx.Now):
+		g.stepDown(ctx, "the version under way was not taken in time")
 		return
-	case (g.host.diskProblem != "" || g.transferring) && g.proposal == nil && g.bestSuccessor(t) != "":
-		g.transferLeadership(t)
+	case (g.host.diskProblem != "" || g.transferring) && g.proposal == nil && g.bestSuccessor(ctx) != "":
+		g.transferLeadership(ctx)
 		return
-	case t.Now-g.heartbeatAt >= HeartbeatInterval:
-		g.sendHeartbeats(t)
+	case ctx.Now-g.heartbeatAt >= HeartbeatInterval:
+		g.sendHeartbeats(ctx)
 	}
-	if to := g.preferredLeader(t); to != "" {
-		g.transferTo(t, to)
+	if to := g.preferredLeader(ctx); to != "" {
+		g.transferTo(ctx, to)
 		return
 	}
-	if g.proposal != nil && t.Now-g.sentAt > resendInterval(sizeOf(*g.proposal)) {
-		g.sendProposal(t, wire.Version{})
+	if g.proposal != nil && ctx.Now-g.sentAt > resendInterval(sizeOf(*g.proposal)) {
+		g.sendProposal(ctx, wire.Version{})
 	}
-	g.proposeNext(t)
+	g.proposeNext(ctx)
 }
 
 // newestVersion is the version whose replicas a leader must hear from.
@@ -179,21 +179,21 @@
 	return g.committed
 }
 
-func (g *Group) sendHeartbeats(t *kernel.Context) {
-	g.heartbeatAt = t.Now
+func (g *Group) sendHeartbeats(ctx *kernel.Context) {
+	g.heartbeatAt = ctx.Now
 	g.round++
-	g.contact.sent(g.round, t.Now)
+	g.contact.sent(g.round, ctx.Now)
 	g.confirmRounds()
 	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Round: g.round, Committed: g.committed.Version}
 	for _, s := range allVoters(g.newestVersion()) {
 		if s.ID != g.self() {
 			b.ContactAt = g.contact.proofFor(s.ID)
-			g.host.sendReplica(t, s, wire.KindLeaderHeartbeat, &b)
+			g.host.sendReplica(ctx, s, wire.KindLeaderHeartbeat, &b)
 		}
 	}
 }
 
-func (g *Group) handleHeartbeatReply(t *kernel.Context, r wire.LeaderHeartbeatReply) {
+func (g *Group) handleHeartbeatReply(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
 	if g.role != leader {
 		return
 	}
@@ -204,7 +204,7 @@
 	if !r.OK {
 		if r.Term > g.term {
 			g.votedTerm = max(g.votedTerm, r.Term)
-			g.stepDown(t, "fenced by a newer term")
+			g.stepDown(ctx, "fenced by a newer term")
 		}
 		return
 	}
@@ -212,15 +212,15 @@
 		// It answers a heartbeat of an earlier term, held up on its way.
 		return
 	}
-	if t.Now-g.heardAt[r.From] > StepDownAfter || g.steadySince[r.From] == 0 {
-		g.steadySince[r.From] = t.Now
+	if ctx.Now-g.heardAt[r.From] > StepDownAfter || g.steadySince[r.From] == 0 {
+		g.steadySince[r.From] = ctx.Now
 	}
-	g.heardAt[r.From], g.diskProblem[r.From] = t.Now, r.DiskProblem
-	g.clockOffsets[r.From] = r.Wall - t.Now
+	g.heardAt[r.From], g.diskProblem[r.From] = ctx.Now, r.DiskProblem
+	g.clockOffsets[r.From] = r.Wall - ctx.Now
 	g.confirmedRounds[r.From] = max(g.confirmedRounds[r.From], r.Round)
-	g.noticeRollback(t, r)
-	g.contact.answered(r, t.Now)
+	g.noticeRollback(ctx, r)
+	g.contact.answered(r, ctx.Now)
 	g.confirmRounds()
-	g.catchUp(t, r)
-	g.confirm(t)
+	g.catchUp(ctx, r)
+	g.confirm(ctx)
 }
--- a/control/replica/leases.go
+++ b/control/replica/leases.go
@@ -21,10 +21,10 @@
 	turn   uint64
 }
 
-func (g *Group) renewLease(t *kernel.Context, ch, id uint64, h wire.LeaseRequest) {
+func (g *Group) renewLease(ctx *kernel.Context, ch, id uint64, h wire.LeaseRequest) {
 	until := g.contact.confirmedAt + LeaseDuration
-	if g.role != leader || !g.ready || g.transferring || until <= t.Now {
-		t.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task})
+	if g.role != leader || !g.ready || g.transferring || until <= ctx.Now {
+		ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task})
 		return
 	}
 	gr := g.leases[h.Task]
@@ -34,35 +34,35 @@
 		g.leases[h.Task] = gr
 	}
 	if h.Release {
-		g.dropLease(t, gr, h, until)
+		g.dropLease(ctx, gr, h, until)
 		return
 	}
-	if t.Now >= gr.until && gr.holder != h.From {
+	if ctx.Now >= gr.until && gr.holder != h.From {
 		g.leaseCount++
 		gr.holder, gr.turn = h.From, g.term<<24|g.leaseCount
 	}
 	if gr.holder == h.From {
 		gr.until = max(gr.until, until)
 	}
-	t.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task, Holder: gr.holder, For: gr.until - t.Now, LeaseID: gr.turn})
+	ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task, Holder: gr.holder, For: gr.until - ctx.Now, LeaseID: gr.turn})
 }
 
 // dropLease ends a lease that its holder gives up. One that it got since is not meant.
-func (g *Group) dropLease(t *kernel.Context, gr *lease, h wire.LeaseRequest, until int64) {
+func (g *Group) dropLease(ctx *kernel.Context, gr *lease, h wire.LeaseRequest, until int64) {
 	if gr.holder != h.From || h.LeaseID != 0 && h.LeaseID != gr.turn {
 		return
 	}
 	g.leaseCount++
-	*gr = lease{until: t.Now, turn: g.term<<24 | g.leaseCount}
+	*gr = lease{until: ctx.Now, turn: g.term<<24 | g.leaseCount}
 	if h.Next != "" {
 		gr.holder, gr.until = h.Next, until
 	}
 }
 
-func (g *Group) leaseHolders(t *kernel.Context) map[string]string {
+func (g *Group) leaseHolders(ctx *kernel.Context) map[string]string {
 	out := map[string]string{}
 	for d, gr := range g.leases {
-		if gr.holder != "" && t.Now < gr.until {
+		if gr.holder != "" && ctx.Now < gr.until {
 			out[d] = gr.holder
 		}
 	}
@@ -75,11 +75,11 @@
 // agreedTime is the time that a majority of the replicas agrees on, as the lowest clock
 // of the largest group that agrees; without such a majority it is not known, and
 // no booking starts or ends by a guess.
-func (g *Group) agreedTime(t *kernel.Context) (int64, bool) {
+func (g *Group) agreedTime(ctx *kernel.Context) (int64, bool) {
 	// Offsets from this process's steady clock: its time of day may jump like any other.
-	offs := []int64{t.Wall - t.Now}
+	offs := []int64{ctx.Wall - ctx.Now}
 	for _, s := range g.committed.Voters {
-		if off, ok := g.clockOffsets[s.ID]; ok && t.Now-g.heardAt[s.ID] < StepDownAfter {
+		if off, ok := g.clockOffsets[s.ID]; ok && ctx.Now-g.heardAt[s.ID] < StepDownAfter {
 			offs = append(offs, off)
 		}
 	}
@@ -96,5 +96,5 @@
 			best, from = n, off
 		}
 	}
-	return t.Now + from, best > len(g.committed.Voters)/2
+	return ctx.Now + from, best > len(g.committed.Voters)/2
 }
--- a/control/replica/leaving.go
+++ b/control/replica/leaving.go
@@ -33,36 +33,36 @@
 }
 
 // requestLeave asks the leader, or whoever may be the leader, to move this voter out.
-func (g *Group) requestLeave(t *kernel.Context) {
-	if g.role == leader || !g.isVoter() || g.leaveSentAt > 0 && t.Now-g.leaveSentAt < LeaveInterval {
+func (g *Group) requestLeave(ctx *kernel.Context) {
+	if g.role == leader || !g.isVoter() || g.leaveSentAt > 0 && ctx.Now-g.leaveSentAt < LeaveInterval {
 		return
 	}
-	g.leaveSentAt = t.Now
-	leaderKnown := g.leader != "" && t.Now-g.leaderSeen < StepDownAfter
+	g.leaveSentAt = ctx.Now
+	leaderKnown := g.leader != "" && ctx.Now-g.leaderSeen < StepDownAfter
 	for _, voter := range allVoters(g.accepted) {
 		if voter.ID != g.self() && (!leaderKnown || voter.ID == g.leader) {
-			g.host.sendReplica(t, voter, wire.KindLeave, &wire.Leave{Partition: g.partition, From: g.self()})
+			g.host.sendReplica(ctx, voter, wire.KindLeave, &wire.Leave{Partition: g.partition, From: g.self()})
 		}
 	}
 }
 
 // handleLeave takes note that a voter stops; one that is no voter any more is told so.
-func (g *Group) handleLeave(t *kernel.Context, ch uint64, m wire.Leave) {
+func (g *Group) handleLeave(ctx *kernel.Context, ch uint64, m wire.Leave) {
 	if g.role != leader || !g.ready || m.From == g.self() {
 		return
 	}
 	if !contains(allVoters(g.newestVersion()), m.From) {
 		a := g.acceptFor(g.committed)
 		a.To = m.From
-		t.Send(ch, wire.KindAccept, 0, &a)
+		ctx.Send(ch, wire.KindAccept, 0, &a)
 		return
 	}
-	g.leavingAt[m.From] = t.Now
-	g.proposeNext(t)
+	g.leavingAt[m.From] = ctx.Now
+	g.proposeNext(ctx)
 }
 
 // isLeaving tells whether a replica has asked to be moved out of late.
-func (g *Group) isLeaving(t *kernel.Context, id string) bool {
+func (g *Group) isLeaving(ctx *kernel.Context, id string) bool {
 	at, asked := g.leavingAt[id]
-	return asked && t.Now-at < LeaveRequestLife
+	return asked && ctx.Now-at < LeaveRequestLife
 }
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -72,94 +72,94 @@
 }
 
 // nextMembers gives the voters of the next version, and whether they alone are a reason to propose one.
-func (g *Group) nextMembers(t *kernel.Context) ([]wire.Replica, bool) {
+func (g *Group) nextMembers(ctx *kernel.Context) ([]wire.Replica, bool) {
 	if isJoint(g.committed) {
 		return g.committed.Voters, true
 	}
-	g.reviewChange(t)
+	g.reviewChange(ctx)
 	if g.change == nil {
-		g.beginChange(t)
+		g.beginChange(ctx)
 	}
 	change := g.change
 	if change == nil {
 		return g.committed.Voters, false
 	}
 	if !change.caughtUp(g.committed.Version) {
-		if t.Now-change.sentAt >= g.learnerResendInterval() {
-			g.sendToLearners(t, g.committed)
+		if ctx.Now-change.sentAt >= g.learnerResendInterval() {
+			g.sendToLearners(ctx, g.committed)
 		}
 		return g.committed.Voters, false
 	}
 	g.change = nil
 	for _, learner := range change.learners {
-		g.heardAt[learner.ID] = t.Now
+		g.heardAt[learner.ID] = ctx.Now
 	}
-	t.Counts.Add("part_seats_changed", 1)
+	ctx.Counts.Add("part_seats_changed", 1)
 	if counter := changeCounters[change.reason]; counter != "" {
-		t.Counts.Add(counter, 1)
+		ctx.Counts.Add(counter, 1)
 	}
 	return change.voters, true
 }
 
 // beginChange looks for a change that is due and has its learners catch up.
-func (g *Group) beginChange(t *kernel.Context) {
+func (g *Group) beginChange(ctx *kernel.Context) {
 	plans := []func(*kernel.Context) *memberChange{g.replaceWiped, g.replaceLeaving, g.replaceSilent, g.addVoters, g.rebalance}
 	for _, plan := range plans {
-		if change := plan(t); change != nil {
-			change.synced, change.begunAt = map[string]wire.Version{}, t.Now
+		if change := plan(ctx); change != nil {
+			change.synced, change.begunAt = map[string]wire.Version{}, ctx.Now
 			g.change = change
-			t.Log(0, "membership_change_begun", "part", g.partition, "reason", string(change.reason), "removed", change.removed,
+			ctx.Log(0, "membership_change_begun", "part", g.partition, "reason", string(change.reason), "removed", change.removed,
 				"learners", replicaIDs(change.learners))
-			g.sendToLearners(t, g.committed)
+			g.sendToLearners(ctx, g.committed)
 			return
 		}
 	}
 }
 
 // reviewChange gives a change up whose reason is gone or whose learners are too slow.
-func (g *Group) reviewChange(t *kernel.Context) {
+func (g *Group) reviewChange(ctx *kernel.Context) {
 	change := g.change
 	switch {
 	case change == nil:
-	case !g.isStillDue(t, change):
-		g.abandonChange(t, "no longer due")
-	case !change.caughtUp(g.committed.Version) && t.Now-change.begunAt > LearnerTimeout+transferTime(sizeOf(g.committed)):
+	case !g.isStillDue(ctx, change):
+		g.abandonChange(ctx, "no longer due")
+	case !change.caughtUp(g.committed.Version) && ctx.Now-change.begunAt > LearnerTimeout+transferTime(sizeOf(g.committed)):
 		for _, learner := range change.learners {
 			if change.synced[learner.ID] != g.committed.Version {
-				g.learnerFailedAt[learner.ID] = t.Now
+				g.learnerFailedAt[learner.ID] = ctx.Now
 			}
 		}
-		g.abandonChange(t, "learner too slow")
+		g.abandonChange(ctx, "learner too slow")
 	}
 }
 
-func (g *Group) isStillDue(t *kernel.Context, change *memberChange) bool {
+func (g *Group) isStillDue(ctx *kernel.Context, change *memberChange) bool {
 	switch change.reason {
 	case reasonDiskLost:
 		return g.successors[change.removed].ID == change.learners[0].ID
 	case reasonLeaving:
-		return g.isLeaving(t, change.removed)
+		return g.isLeaving(ctx, change.removed)
 	case reasonSilent:
-		return g.isSilent(t, change.removed)
+		return g.isSilent(ctx, change.removed)
 	}
 	return true
 }
 
-func (g *Group) abandonChange(t *kernel.Context, why string) {
-	t.Log(1, "membership_change_abandoned", "part", g.partition, "reason", string(g.change.reason), "learners", replicaIDs(g.change.learners), "why", why)
-	t.Counts.Add("part_changes_abandoned", 1)
+func (g *Group) abandonChange(ctx *kernel.Context, why string) {
+	ctx.Log(1, "membership_change_abandoned", "part", g.partition, "reason", string(g.change.reason), "learners", replicaIDs(g.change.learners), "why", why)
+	ctx.Counts.Add("part_changes_abandoned", 1)
 	g.change = nil
 }
 
 // sendToLearners sends a version to the learners that have not synced it.
-func (g *Group) sendToLearners(t *kernel.Context, v wire.Versioned) {
+func (g *Group) sendToLearners(ctx *kernel.Context, v wire.Versioned) {
 	if g.change == nil {
 		return
 	}
-	g.change.sentAt = t.Now
+	g.change.sentAt = ctx.Now
 	for _, learner := range g.change.learners {
 		if g.change.synced[learner.ID] != v.Version {
-			g.sendVersion(t, learner, v)
+			g.sendVersion(ctx, learner, v)
 		}
 	}
 }
@@ -174,46 +174,46 @@
 }
 
 // handleLearnerReply takes note of what a learner has synced, or that it will not.
-func (g *Group) handleLearnerReply(t *kernel.Context, r wire.AcceptReply) {
+func (g *Group) handleLearnerReply(ctx *kernel.Context, r wire.AcceptReply) {
 	change := g.change
 	if change == nil || !contains(change.learners, r.From) {
 		return
 	}
 	if !r.OK {
-		g.learnerFailedAt[r.From] = t.Now
-		g.abandonChange(t, "learner refused: "+r.Err)
+		g.learnerFailedAt[r.From] = ctx.Now
+		g.abandonChange(ctx, "learner refused: "+r.Err)
 		return
 	}
 	if mesh.Newer(r.Version, change.synced[r.From]) {
 		change.synced[r.From] = r.Version
 	}
 	if g.proposal == nil && change.caughtUp(g.committed.Version) {
-		g.proposeNext(t)
+		g.proposeNext(ctx)
 	}
 }
 
 // awaitsLearners holds edits back for a moment while the learners sync the newest version.
-func (g *Group) awaitsLearners(t *kernel.Context) bool {
+func (g *Group) awaitsLearners(ctx *kernel.Context) bool {
 	change := g.change
 	if change == nil || !change.answered() || change.caughtUp(g.committed.Version) {
 		return false
 	}
 	if change.pauseUntil == 0 {
-		change.pauseUntil = t.Now + LearnerPause
+		change.pauseUntil = ctx.Now + LearnerPause
 	}
-	return t.Now < change.pauseUntil
+	return ctx.Now < change.pauseUntil
 }
 
 // endChange logs that a change is in force and tells those that it removed, who would
 // otherwise go on as voters of a group that does without them.
-func (g *Group) endChange(t *kernel.Context, before, now wire.Versioned) {
+func (g *Group) endChange(ctx *kernel.Context, before, now wire.Versioned) {
 	if before.Version.Term == 0 || isJoint(now) || !isJoint(before) && sameMembers(before.Voters, now.Voters) {
 		return
 	}
-	t.Log(0, "membership_change_ended", "part", g.partition, "term", now.Version.Term, "seq", now.Version.Seq, "voters", replicaIDs(now.Voters))
+	ctx.Log(0, "membership_change_ended", "part", g.partition, "term", now.Version.Term, "seq", now.Version.Seq, "voters", replicaIDs(now.Voters))
 	for _, voter := range allVoters(before) {
 		if !contains(now.Voters, voter.ID) {
-			g.sendVersion(t, voter, now)
+			g.sendVersion(ctx, voter, now)
 		}
 	}
 }
--- a/control/replica/membership.go
+++ b/control/replica/membership.go
@@ -22,20 +22,20 @@
 }
 
 // candidates are the standbys that can be learners now.
-func (g *Group) candidates(t *kernel.Context) []wire.Replica {
-	return slices.DeleteFunc(g.host.standbys(t.Now), func(r wire.Replica) bool { return !g.canLearn(t, r.ID) })
+func (g *Group) candidates(ctx *kernel.Context) []wire.Replica {
+	return slices.DeleteFunc(g.host.standbys(ctx.Now), func(r wire.Replica) bool { return !g.canLearn(ctx, r.ID) })
 }
 
-func (g *Group) canLearn(t *kernel.Context, id string) bool {
+func (g *Group) canLearn(ctx *kernel.Context, id string) bool {
 	failedAt, failed := g.learnerFailedAt[id]
-	return !g.isLeaving(t, id) && !(failed && t.Now-failedAt < LearnerRetryAfter)
+	return !g.isLeaving(ctx, id) && !(failed && ctx.Now-failedAt < LearnerRetryAfter)
 }
 
 // replaceWiped gives the place of a voter whose disk is lost to the replica that is at its address now.
-func (g *Group) replaceWiped(t *kernel.Context) *memberChange {
+func (g *Group) replaceWiped(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
 		now, ok := g.successors[voter.ID]
-		if ok && !contains(g.committed.Voters, now.ID) && g.canLearn(t, now.ID) {
+		if ok && !contains(g.committed.Voters, now.ID) && g.canLearn(ctx, now.ID) {
 			return g.substitute(reasonDiskLost, voter.ID, wire.Replica{ID: now.ID, Zone: now.Zone, Addr: voter.Addr})
 		}
 	}
@@ -44,13 +44,13 @@
 
 // replaceLeaving gives the place of a voter that is stopping to a standby, unless the loss of
 // one zone would then take a majority that it does not take now.
-func (g *Group) replaceLeaving(t *kernel.Context) *memberChange {
+func (g *Group) replaceLeaving(ctx *kernel.Context) *memberChange {
 	zones := g.host.k.Boot.Env.Tolerance.Zones
 	for _, voter := range g.committed.Voters {
-		if voter.ID == g.self() || !g.isLeaving(t, voter.ID) {
+		if voter.ID == g.self() || !g.isLeaving(ctx, voter.ID) {
 			continue
 		}
-		standby, ok := leastUsedZone(g.candidates(t), g.committed.Voters, voter.ID)
+		standby, ok := leastUsedZone(g.candidates(ctx), g.committed.Voters, voter.ID)
 		if !ok {
 			return nil
 		}
@@ -62,17 +62,17 @@
 	return nil
 }
 
-func (g *Group) isSilent(t *kernel.Context, id string) bool {
-	return id != g.self() && t.Now-g.heardAt[id] >= ReplaceAfter
+func (g *Group) isSilent(ctx *kernel.Context, id string) bool {
+	return id != g.self() && ctx.Now-g.heardAt[id] >= ReplaceAfter
 }
 
 // replaceSilent gives the place of a voter that was not heard for long to a standby.
-func (g *Group) replaceSilent(t *kernel.Context) *memberChange {
+func (g *Group) replaceSilent(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
-		if !g.isSilent(t, voter.ID) {
+		if !g.isSilent(ctx, voter.ID) {
 			continue
 		}
-		if standby, ok := leastUsedZone(g.candidates(t), g.committed.Voters, voter.ID); ok {
+		if standby, ok := leastUsedZone(g.candidates(ctx), g.committed.Voters, voter.ID); ok {
 			return g.substitute(reasonSilent, voter.ID, standby)
 		}
 	}
@@ -80,12 +80,12 @@
 }
 
 // addVoters adds two voters to a group that has fewer than it should; with one it would bear no more.
-func (g *Group) addVoters(t *kernel.Context) *memberChange {
-	if len(g.committed.Voters)+2 > g.host.wantedVoters() || t.Now-g.leaderSince < RebalanceAfter {
+func (g *Group) addVoters(ctx *kernel.Context) *memberChange {
+	if len(g.committed.Voters)+2 > g.host.wantedVoters() || ctx.Now-g.leaderSince < RebalanceAfter {
 		return nil
 	}
 	change := &memberChange{reason: reasonTooFew, voters: slices.Clone(g.committed.Voters)}
-	candidates := g.candidates(t)
+	candidates := g.candidates(ctx)
 	for range 2 {
 		standby, ok := leastUsedZone(candidates, change.voters, "")
 		if !ok {
@@ -99,13 +99,13 @@
 
 // rebalance moves a voter out of a zone that has two more of them than another one with a
 // standby: the loss of one zone must not take a majority.
-func (g *Group) rebalance(t *kernel.Context) *memberChange {
+func (g *Group) rebalance(ctx *kernel.Context) *memberChange {
 	voters := g.committed.Voters
 	crowded := slices.ContainsFunc(voters, func(r wire.Replica) bool { return countInZone(voters, r.Zone, "") > 1 })
-	if !crowded || t.Now-g.leaderSince < RebalanceAfter {
+	if !crowded || ctx.Now-g.leaderSince < RebalanceAfter {
 		return nil
 	}
-	candidates := g.candidates(t)
+	candidates := g.candidates(ctx)
 	for _, voter := range voters {
 		standby, ok := leastUsedZone(candidates, voters, voter.ID)
 		if ok && voter.ID != g.self() && countInZone(voters, voter.Zone, voter.ID) > countInZone(voters, standby.Zone, voter.ID) {
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -12,53 +12,53 @@
 // LeaderlessFor is how long no leader must have been heard of.
 const LeaderlessFor = 5_000_000
 
-func (g *Group) rebuild(t *kernel.Context, ch, id uint64, m wire.Rebuild) {
-	reply := func(t *kernel.Context, why string) {
+func (g *Group) rebuild(ctx *kernel.Context, ch, id uint64, m wire.Rebuild) {
+	reply := func(ctx *kernel.Context, why string) {
 		held := g.accepted
 		if m.Brief || m.Do {
 			held.Body, held.Ledger = nil, nil
 		}
-		t.Send(ch, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: why == "", Why: why, Held: held})
+		ctx.Send(ch, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: why == "", Why: why, Held: held})
 	}
 	switch {
 	case g.host.diskProblem != "":
-		reply(t, "the disk is "+g.host.diskProblem)
+		reply(ctx, "the disk is "+g.host.diskProblem)
 		return
-	case g.role == leader || g.leaderSeen > 0 && t.Now-g.leaderSeen < LeaderlessFor:
-		reply(t, "the part has an owner")
+	case g.role == leader || g.leaderSeen > 0 && ctx.Now-g.leaderSeen < LeaderlessFor:
+		reply(ctx, "the part has an owner")
 		return
 	case !m.Do:
-		reply(t, "")
+		reply(ctx, "")
 		return
 	case !mesh.Newer(m.Versioned.Version, g.accepted.Version) || m.Versioned.Version.Term <= g.votedTerm:
-		reply(t, "it holds or has promised something newer")
+		reply(ctx, "it holds or has promised something newer")
 		return
 	}
 	v := m.Versioned
 	g.votedTerm = v.Version.Term
-	t.Log(1, "part_rebuilt", "part", g.partition, "term", v.Version.Term, "seq", v.Version.Seq)
-	g.host.save(t, versionFile(v.Version), wire.Encode(&v), func(t *kernel.Context, err string) {
+	ctx.Log(1, "part_rebuilt", "part", g.partition, "term", v.Version.Term, "seq", v.Version.Seq)
+	g.host.save(ctx, versionFile(v.Version), wire.Encode(&v), func(ctx *kernel.Context, err string) {
 		if err != "" {
-			reply(t, err)
+			reply(ctx, err)
 			return
 		}
 		if mesh.Newer(v.Version, g.accepted.Version) {
 			g.accepted = v
 		}
 		g.versionFiles = append(g.versionFiles, v.Version)
-		g.host.joinFleet(t)
-		reply(t, "")
+		g.host.joinFleet(ctx)
+		reply(ctx, "")
 	})
 }
 
 // isSuperseded tells that a version was committed which no majority of this group holds:
 // the group was rebuilt without it, and it stands aside until it is given the newer one.
-func (g *Group) isSuperseded(t *kernel.Context, best wire.Versioned) bool {
+func (g *Group) isSuperseded(ctx *kernel.Context, best wire.Versioned) bool {
 	v, ok := g.host.mesh.Partition(g.partition)
 	if !ok || !mesh.Newer(v.Version, best.Version) {
 		return false
 	}
-	t.Counts.Add("part_superseded", 1)
-	t.Log(1, "part_superseded", "part", g.partition, "holds_term", best.Version.Term, "newer_term", v.Version.Term)
+	ctx.Counts.Add("part_superseded", 1)
+	ctx.Log(1, "part_superseded", "part", g.partition, "holds_term", best.Version.Term, "newer_term", v.Version.Term)
 	return true
 }
--- a/control/replica/route.go
+++ b/control/replica/route.go
@@ -13,78 +13,78 @@
 )
 
 // Step takes one input.
-func (s *Host) Step(t *kernel.Context, in kernel.Input) {
+func (s *Host) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		s.start(t)
+		s.start(ctx)
 	case kernel.Tick:
-		s.tick(t)
+		s.tick(ctx)
 	case kernel.Written:
-		s.written(t, v)
+		s.written(ctx, v)
 	case kernel.Thawed:
 		for _, g := range s.groups {
-			g.thawed(t)
+			g.thawed(ctx)
 		}
 	case kernel.Stopping:
 		s.stopping = true
 		for _, g := range s.groups {
-			g.stop(t)
+			g.stop(ctx)
 		}
 	case kernel.Message:
-		s.message(t, v)
+		s.message(ctx, v)
 	case configsync.Pulled:
 		s.relay(v)
 	case Committed:
-		s.mesh.AnnounceVersion(t, v.Version)
+		s.mesh.AnnounceVersion(ctx, v.Version)
 		if v.Version.Version.Partition == 0 {
 			s.members.Update(func(m *wire.Member) { m.InForce = []wire.Version{v.Version.Version} })
 		}
 	}
 }
 
-func (s *Host) tick(t *kernel.Context) {
-	t.After(TickInterval, "seats", "tick")
-	s.checkDisk(t)
+func (s *Host) tick(ctx *kernel.Context) {
+	ctx.After(TickInterval, "seats", "tick")
+	s.checkDisk(ctx)
 	if !s.bootstrapped {
-		s.bootstrapStep(t)
+		s.bootstrapStep(ctx)
 		return
 	}
 	ledPartitions, inContact := int64(0), int64(0)
 	for _, g := range s.groups {
-		g.tick(t)
+		g.tick(ctx)
 		if g.role == leader {
 			ledPartitions++
 		}
-		if g.inContact(t.Now, g.committed.Version) {
+		if g.inContact(ctx.Now, g.committed.Version) {
 			inContact++
 		}
 	}
-	t.Counts.Set("part_owned_now", ledPartitions)
-	t.Counts.Set("part_in_contact_now", inContact)
+	ctx.Counts.Set("part_owned_now", ledPartitions)
+	ctx.Counts.Set("part_in_contact_now", inContact)
 }
 
 // thawed: a leader that did not run for a while cannot know that it still is one.
-func (g *Group) thawed(t *kernel.Context) {
+func (g *Group) thawed(ctx *kernel.Context) {
 	if g.role != follower {
-		g.stepDown(t, "did not run for a while")
+		g.stepDown(ctx, "did not run for a while")
 	}
-	g.scheduleElection(t)
+	g.scheduleElection(ctx)
 }
 
 func decode[T any, P interface {
 	*T
 	msgp.Unmarshaler
-}](t *kernel.Context, v kernel.Message, f func(m T)) {
+}](ctx *kernel.Context, v kernel.Message, f func(m T)) {
 	var m T
 	if wire.Decode(v.Body, P(&m)) != nil {
-		t.Counts.Add("frames_malformed", 1)
-		t.Drop(v.Chan)
+		ctx.Counts.Add("frames_malformed", 1)
+		ctx.Drop(v.Chan)
 		return
 	}
 	f(m)
 }
 
-func (s *Host) message(t *kernel.Context, v kernel.Message) {
+func (s *Host) message(ctx *kernel.Context, v kernel.Message) {
 	g := func(partition int, f func(g *Group)) {
 		if partition >= 0 && partition < len(s.groups) && !s.diskDamaged {
 			f(s.groups[partition])
@@ -94,60 +94,60 @@
 	// what is meant for the old one is not for it.
 	to := func(id string, partition int, f func(g *Group)) {
 		if id != "" && id != s.replicaID {
-			t.Counts.Add("part_misdirected", 1)
-			s.reportReplacement(t, v, id, partition)
+			ctx.Counts.Add("part_misdirected", 1)
+			s.reportReplacement(ctx, v, id, partition)
 			return
 		}
 		g(partition, f)
 	}
 	switch v.Kind {
 	case wire.KindVote:
-		decode(t, v, func(m wire.Vote) { to(m.To, m.Partition, func(g *Group) { g.vote(t, v.Chan, v.ID, m) }) })
+		decode(ctx, v, func(m wire.Vote) { to(m.To, m.Partition, func(g *Group) { g.vote(ctx, v.Chan, v.ID, m) }) })
 	case wire.KindVoteReply:
-		decode(t, v, func(m wire.VoteReply) { g(m.Partition, func(g *Group) { g.voteReply(t, m) }) })
+		decode(ctx, v, func(m wire.VoteReply) { g(m.Partition, func(g *Group) { g.voteReply(ctx, m) }) })
 	case wire.KindAccept:
-		decode(t, v, func(m wire.Accept) {
-			to(m.To, m.Partition, func(g *Group) { s.joinFleet(t); g.accept(t, v.Chan, v.ID, m) })
+		decode(ctx, v, func(m wire.Accept) {
+			to(m.To, m.Partition, func(g *Group) { s.joinFleet(ctx); g.accept(ctx, v.Chan, v.ID, m) })
 		})
 	case wire.KindAcceptReply:
-		decode(t, v, func(m wire.AcceptReply) { g(m.Partition, func(g *Group) { g.acceptReply(t, m) }) })
+		decode(ctx, v, func(m wire.AcceptReply) { g(m.Partition, func(g *Group) { g.acceptReply(ctx, m) }) })
 	case wire.KindLeaderHeartbeat:
-		decode(t, v, func(m wire.LeaderHeartbeat) {
-			to(m.To, m.Partition, func(g *Group) { g.handleHeartbeat(t, v.Chan, v.ID, m) })
+		decode(ctx, v, func(m wire.LeaderHeartbeat) {
+			to(m.To, m.Partition, func(g *Group) { g.handleHeartbeat(ctx, v.Chan, v.ID, m) })
 		})
 	case wire.KindLeaderHeartbeatReply:
-		decode(t, v, func(m wire.LeaderHeartbeatReply) { g(m.Partition, func(g *Group) { g.handleHeartbeatReply(t, m) }) })
+		decode(ctx, v, func(m wire.LeaderHeartbeatReply) { g(m.Partition, func(g *Group) { g.handleHeartbeatReply(ctx, m) }) })
 	case wire.KindBootstrap:
-		decode(t, v, func(m wire.Bootstrap) { s.handleForm(t, v.Chan, m) })
+		decode(ctx, v, func(m wire.Bootstrap) { s.handleForm(ctx, v.Chan, m) })
 	case wire.KindBootstrapReply:
-		decode(t, v, func(m wire.BootstrapReply) { s.handleFormReply(t, m) })
+		decode(ctx, v, func(m wire.BootstrapReply) { s.handleFormReply(ctx, m) })
 	case wire.KindPull:
-		decode(t, v, func(m wire.Pull) { s.pull(t, v.Chan, v.ID, m) })
+		decode(ctx, v, func(m wire.Pull) { s.pull(ctx, v.Chan, v.ID, m) })
 	case wire.KindEdit:
-		decode(t, v, func(m wire.Edit) { g(m.Partition, func(g *Group) { g.handleEdit(t, v.Chan, v.ID, m) }) })
+		decode(ctx, v, func(m wire.Edit) { g(m.Partition, func(g *Group) { g.handleEdit(ctx, v.Chan, v.ID, m) }) })
 	case wire.KindRebuild:
-		decode(t, v, func(m wire.Rebuild) { g(m.Partition, func(g *Group) { g.rebuild(t, v.Chan, v.ID, m) }) })
+		decode(ctx, v, func(m wire.Rebuild) { g(m.Partition, func(g *Group) { g.rebuild(ctx, v.Chan, v.ID, m) }) })
 	case wire.KindLeave:
-		decode(t, v, func(m wire.Leave) { to(m.To, m.Partition, func(g *Group) { g.handleLeave(t, v.Chan, m) }) })
+		decode(ctx, v, func(m wire.Leave) { to(m.To, m.Partition, func(g *Group) { g.handleLeave(ctx, v.Chan, m) }) })
 	case wire.KindStatusRequest:
-		s.sendStatus(t, v)
+		s.sendStatus(ctx, v)
 	case wire.KindLeaseRequest:
-		decode(t, v, func(m wire.LeaseRequest) { g(m.Partition, func(g *Group) { g.renewLease(t, v.Chan, v.ID, m) }) })
+		decode(ctx, v, func(m wire.LeaseRequest) { g(m.Partition, func(g *Group) { g.renewLease(ctx, v.Chan, v.ID, m) }) })
 	}
 }
 
 // reportReplacement tells a leader that heartbeats a lost disk's replica who is at its address now, and could have its place.
-func (s *Host) reportReplacement(t *kernel.Context, v kernel.Message, id string, partition int) {
+func (s *Host) reportReplacement(ctx *kernel.Context, v kernel.Message, id string, partition int) {
 	if v.Kind != wire.KindLeaderHeartbeat || partition < 0 || partition >= len(s.groups) || s.groups[partition].isVoter() || s.replicaID == "" || s.diskProblem != "" || s.stopping {
 		return
 	}
-	t.Send(v.Chan, wire.KindLeaderHeartbeatReply, v.ID, &wire.LeaderHeartbeatReply{Partition: partition, From: id, Successor: s.replicaID, Zone: s.k.Boot.Env.Zone})
+	ctx.Send(v.Chan, wire.KindLeaderHeartbeatReply, v.ID, &wire.LeaderHeartbeatReply{Partition: partition, From: id, Successor: s.replicaID, Zone: s.k.Boot.Env.Zone})
 }
 
 // pull answers with every committed version newer than what the asker has.
-func (s *Host) pull(t *kernel.Context, ch, id uint64, p wire.Pull) {
+func (s *Host) pull(ctx *kernel.Context, ch, id uint64, p wire.Pull) {
 	var r wire.PullReply
-	s.pulled(t, p)
+	s.pulled(ctx, p)
 	have := map[int]wire.Version{}
 	for _, st := range p.Have {
 		have[st.Partition] = st
@@ -158,19 +158,19 @@
 			// A core that has no replica here hands on what the mesh brought it.
 			v = m
 		}
-		g.tellContact(t.Now, v.Version, &r)
+		g.tellContact(ctx.Now, v.Version, &r)
 		if st, ok := have[g.partition]; v.Version.Term > 0 && (!ok || mesh.Newer(v.Version, st)) {
 			r.Versions = append(r.Versions, wire.Versioned{Version: v.Version, Body: v.Body})
 		}
-		if g.leader != "" && g.followsLeader(t.Now) {
-			r.Leaders = append(r.Leaders, wire.Leader{Partition: g.partition, Term: g.votedTerm, Replica: g.leader, Addr: g.host.addressOf(g.leader, t.Now)})
+		if g.leader != "" && g.followsLeader(ctx.Now) {
+			r.Leaders = append(r.Leaders, wire.Leader{Partition: g.partition, Term: g.votedTerm, Replica: g.leader, Addr: g.host.addressOf(g.leader, ctx.Now)})
 		}
 	}
-	s.limitPull(t.Now, ch, &r)
-	t.Send(ch, wire.KindPullReply, id, &r)
+	s.limitPull(ctx.Now, ch, &r)
+	ctx.Send(ch, wire.KindPullReply, id, &r)
 }
 
-func (s *Host) sendReplica(t *kernel.Context, replicaID wire.Replica, kind uint8, m msgp.Marshaler) {
+func (s *Host) sendReplica(ctx *kernel.Context, replicaID wire.Replica, kind uint8, m msgp.Marshaler) {
 	addr := replicaID.Addr
 	switch v := m.(type) {
 	case *wire.Vote:
@@ -182,14 +182,14 @@
 	case *wire.Leave:
 		v.To = replicaID.ID
 	}
-	if a := s.addressOf(replicaID.ID, t.Now); a != "" {
+	if a := s.addressOf(replicaID.ID, ctx.Now); a != "" {
 		addr = a
 	}
-	t.Counts.Add("part_messages", 1)
+	ctx.Counts.Add("part_messages", 1)
 	if accept, ok := m.(*wire.Accept); ok {
 		// A replica that is slow or away needs the newest version only.
-		t.SendSlotTo(addr, kind, m, fmt.Sprintf("version %d", accept.Partition))
+		ctx.SendSlotTo(addr, kind, m, fmt.Sprintf("version %d", accept.Partition))
 		return
 	}
-	t.SendTo(addr, kind, 0, m)
+	ctx.SendTo(addr, kind, 0, m)
 }
--- a/control/replica/state_machine.go
+++ b/control/replica/state_machine.go
@@ -38,12 +38,12 @@
 }
 
 // Edit takes an edit, or a confirmed read, of this same process; Replied follows.
-func (s *Host) Edit(t *kernel.Context, id uint64, e wire.Edit) {
+func (s *Host) Edit(ctx *kernel.Context, id uint64, e wire.Edit) {
 	if e.Partition < 0 || e.Partition >= Partitions || s.diskDamaged {
-		t.Emit(Replied{ID: id, Reply: wire.EditReply{Code: "not_owner"}})
+		ctx.Emit(Replied{ID: id, Reply: wire.EditReply{Code: "not_owner"}})
 		return
 	}
-	s.groups[e.Partition].handleEdit(t, 0, id, e)
+	s.groups[e.Partition].handleEdit(ctx, 0, id, e)
 }
 
 // Leader is the address of the core that leads a partition, where this replica has heard it of late.
@@ -56,10 +56,10 @@
 }
 
 // answer sends the reply to an edit where it came from; channel 0 is this process.
-func (g *Group) answer(t *kernel.Context, ch, id uint64, r wire.EditReply) {
+func (g *Group) answer(ctx *kernel.Context, ch, id uint64, r wire.EditReply) {
 	if ch == 0 {
-		t.Emit(Replied{ID: id, Reply: r})
+		ctx.Emit(Replied{ID: id, Reply: r})
 		return
 	}
-	t.Send(ch, wire.KindEditReply, id, &r)
+	ctx.Send(ch, wire.KindEditReply, id, &r)
 }
--- a/control/replica/status.go
+++ b/control/replica/status.go
@@ -30,8 +30,8 @@
 }
 
 // sendStatus answers a question for it.
-func (s *Host) sendStatus(t *kernel.Context, v kernel.Message) {
-	t.Send(v.Chan, wire.KindStatusReply, v.ID, s.Status(t.Now))
+func (s *Host) sendStatus(ctx *kernel.Context, v kernel.Message) {
+	ctx.Send(v.Chan, wire.KindStatusReply, v.ID, s.Status(ctx.Now))
 }
 
 func (g *Group) status(now int64) wire.ReplicaStatus {
--- a/control/replica/synced.go
+++ b/control/replica/synced.go
@@ -28,14 +28,14 @@
 
 // noticeRollback tells of a replica that holds an older version than it has acknowledged: its disk
 // was put back to an older state. The protocol assumes that this does not happen.
-func (g *Group) noticeRollback(t *kernel.Context, r wire.LeaderHeartbeatReply) {
+func (g *Group) noticeRollback(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
 	was, known := g.synced[r.From]
 	if !known || r.Round <= was.round || !mesh.Newer(was.stamp, r.Held) {
 		return
 	}
 	delete(g.synced, r.From)
-	t.Counts.Add("replicas_rolled_back", 1)
-	t.Log(2, "replica_rolled_back", "part", g.partition, "replica", r.From, "had_seq", was.stamp.Seq, "has_seq", r.Held.Seq,
+	ctx.Counts.Add("replicas_rolled_back", 1)
+	ctx.Log(2, "replica_rolled_back", "part", g.partition, "replica", r.From, "had_seq", was.stamp.Seq, "has_seq", r.Held.Seq,
 		"do", "stop this core, empty its data folder, start it again: it comes back as a new replica")
 }
 
@@ -64,14 +64,14 @@
 }
 
 // sendBody sends the version under way whole to a replica that lacks the version that its body is of.
-func (g *Group) sendBody(t *kernel.Context, r wire.AcceptReply) {
+func (g *Group) sendBody(ctx *kernel.Context, r wire.AcceptReply) {
 	if g.proposal == nil || r.Version != g.proposal.Version {
 		return
 	}
 	delete(g.synced, r.From)
 	for _, voter := range allVoters(*g.proposal) {
 		if voter.ID == r.From {
-			g.sendVersion(t, voter, *g.proposal)
+			g.sendVersion(ctx, voter, *g.proposal)
 		}
 	}
 }
--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -11,10 +11,10 @@
 )
 
 // bestSuccessor picks the healthy replica that answered last.
-func (g *Group) bestSuccessor(t *kernel.Context) string {
+func (g *Group) bestSuccessor(ctx *kernel.Context) string {
 	best, at := "", int64(0)
 	for _, s := range g.committed.Voters {
-		if s.ID != g.self() && g.steadySince[s.ID] > 0 && g.heardAt[s.ID] > at && t.Now-g.heardAt[s.ID] < 2*HeartbeatInterval && !g.diskProblem[s.ID] && !g.isLeaving(t, s.ID) {
+		if s.ID != g.self() && g.steadySince[s.ID] > 0 && g.heardAt[s.ID] > at && ctx.Now-g.heardAt[s.ID] < 2*HeartbeatInterval && !g.diskProblem[s.ID] && !g.isLeaving(ctx, s.ID) {
 			best, at = s.ID, g.heardAt[s.ID]
 		}
 	}
@@ -23,48 +23,48 @@
 
 // preferredLeader names the replica that should own the partition so that the partitions are spread, once
 // this leader has served a while, nothing is under way, and that replica has long been well.
-func (g *Group) preferredLeader(t *kernel.Context) string {
-	if !g.ready || g.proposal != nil || len(g.queue)+len(g.unconfirmed) > 0 || t.Now-g.leaderSince < RebalanceAfter {
+func (g *Group) preferredLeader(ctx *kernel.Context) string {
+	if !g.ready || g.proposal != nil || len(g.queue)+len(g.unconfirmed) > 0 || ctx.Now-g.leaderSince < RebalanceAfter {
 		return ""
 	}
 	seats := slices.Clone(g.committed.Voters)
 	slices.SortFunc(seats, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
 	want := seats[g.partition%len(seats)].ID
-	if want == g.self() || t.Now-g.heardAt[want] > 2*HeartbeatInterval || t.Now-g.steadySince[want] < RebalanceAfter || g.diskProblem[want] || g.isLeaving(t, want) {
+	if want == g.self() || ctx.Now-g.heardAt[want] > 2*HeartbeatInterval || ctx.Now-g.steadySince[want] < RebalanceAfter || g.diskProblem[want] || g.isLeaving(ctx, want) {
 		return ""
 	}
-	if r, live := g.host.row(want, t.Now); !live || r.Sick != "" || r.Draining {
+	if r, live := g.host.row(want, ctx.Now); !live || r.Sick != "" || r.Draining {
 		return ""
 	}
 	return want
 }
 
 // stop hands the partition on in a planned stop, once the version under way is committed.
-func (g *Group) stop(t *kernel.Context) {
+func (g *Group) stop(ctx *kernel.Context) {
 	g.transferring = true
 	if g.role == leader {
-		g.leaderTick(t)
+		g.leaderTick(ctx)
 	}
-	g.requestLeave(t)
+	g.requestLeave(ctx)
 }
 
 // transfer hands the partition to the best successor there is.
-func (g *Group) transferLeadership(t *kernel.Context) {
-	if next := g.bestSuccessor(t); g.role == leader && next != "" {
-		g.transferTo(t, next)
+func (g *Group) transferLeadership(ctx *kernel.Context) {
+	if next := g.bestSuccessor(ctx); g.role == leader && next != "" {
+		g.transferTo(ctx, next)
 	}
 }
 
 // transferTo hands the partition to a named successor.
-func (g *Group) transferTo(t *kernel.Context, next string) {
+func (g *Group) transferTo(ctx *kernel.Context, next string) {
 	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Committed: g.committed.Version, TransferTo: next}
 	for _, s := range allVoters(g.committed) {
 		if s.ID != g.self() {
-			g.host.sendReplica(t, s, wire.KindLeaderHeartbeat, &b)
+			g.host.sendReplica(ctx, s, wire.KindLeaderHeartbeat, &b)
 		}
 	}
-	t.Counts.Add("part_yielded", 1)
-	g.stepDown(t, "handed to "+next)
+	ctx.Counts.Add("part_yielded", 1)
+	g.stepDown(ctx, "handed to "+next)
 	// Whoever asks meanwhile is sent to the successor.
-	g.leader, g.leaderAddress, g.leaderSeen = next, g.host.addressOf(next, t.Now), t.Now
+	g.leader, g.leaderAddress, g.leaderSeen = next, g.host.addressOf(next, ctx.Now), ctx.Now
 }
--- a/control/reshard/cutmove.go
+++ b/control/reshard/cutmove.go
@@ -47,26 +47,26 @@
 func (c *CutMove) Kinds() []uint8 { return nil }
 
 // Step takes one input.
-func (c *CutMove) Step(t *kernel.Context, in kernel.Input) {
+func (c *CutMove) Step(ctx *kernel.Context, in kernel.Input) {
 	switch in.(type) {
 	case snapshot.Built:
-		c.arm(t)
+		c.arm(ctx)
 	case kernel.Tick:
 		c.armed = false
-		c.arm(t)
-		c.look(t)
+		c.arm(ctx)
+		c.look(ctx)
 	}
 }
 
 // arm has it looked again for as long as some index is being moved.
-func (c *CutMove) arm(t *kernel.Context) {
+func (c *CutMove) arm(ctx *kernel.Context) {
 	if c.armed {
 		return
 	}
 	for _, x := range c.table.Now().Indexes {
 		if x.Cut.Next != "" {
 			c.armed = true
-			t.After(Every, "cutmove", "look")
+			ctx.After(Every, "cutmove", "look")
 			return
 		}
 	}
@@ -75,12 +75,12 @@
 // look asks for the flip of every move that is ready. The first live node by
 // name does it, and the others after it in turn where nothing came of it; the
 // edit is judged by the partition's leader, so that two who try flip once.
-func (c *CutMove) look(t *kernel.Context) {
+func (c *CutMove) look(ctx *kernel.Context) {
 	cp := c.table.Now()
 	if cp == nil || cp.Sheet == nil || cp.Drains {
 		return
 	}
-	live := c.members.Live(t.Now, "node")
+	live := c.members.Live(ctx.Now, "node")
 	if len(live) == 0 {
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	for _, name := range sortedIndexes(cp) {
 		x := cp.Indexes[name]
-		if x.Cut.Next == "" || !Ready(x, t.Now) {
+		if x.Cut.Next == "" || !Ready(x, ctx.Now) {
 			continue
 		}
 		partition := state.PartitionOf(name)
@@ -98,9 +98,9 @@
 		if addr == "" {
 			continue
 		}
-		t.Counts.Add("cut_flips_asked", 1)
-		t.Log(0, "cut_flip", "index", name, "from", x.Cut.Name, "to", x.Cut.Next)
-		t.SendTo(addr, wire.KindEdit, 0, &wire.Edit{Partition: partition, Op: "flip", Name: name, Body: wire.Encode(&x.Cut)})
+		ctx.Counts.Add("cut_flips_asked", 1)
+		ctx.Log(0, "cut_flip", "index", name, "from", x.Cut.Name, "to", x.Cut.Next)
+		ctx.SendTo(addr, wire.KindEdit, 0, &wire.Edit{Partition: partition, Op: "flip", Name: name, Body: wire.Encode(&x.Cut)})
 	}
 }
 
--- a/request/healthcheck/health.go
+++ b/request/healthcheck/health.go
@@ -79,15 +79,15 @@
 func (c *Checks) Kinds() []uint8 { return nil }
 
 // Step takes one input.
-func (c *Checks) Step(t *kernel.Context, in kernel.Input) {
+func (c *Checks) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		t.After(t.Rand.Int64N(TickEvery), "health", "watch")
+		ctx.After(ctx.Rand.Int64N(TickEvery), "health", "watch")
 	case kernel.Tick:
-		t.After(TickEvery, "health", "watch")
-		c.round(t)
+		ctx.After(TickEvery, "health", "watch")
+		c.round(ctx)
 	case kernel.Fetched:
-		c.fetched(t, v)
+		c.fetched(ctx, v)
 	case kernel.Thawed:
 		for _, w := range c.seen {
 			w.missed = 0
@@ -97,7 +97,7 @@
 
 // share settles which servers this node probes, once for each snapshot: names are hashed
 // once, and a pair of a node and a server costs a few instructions.
-func (c *Checks) share(t *kernel.Context, cp *snapshot.Snapshot) {
+func (c *Checks) share(ctx *kernel.Context, cp *snapshot.Snapshot) {
 	if c.cp == cp {
 		return
 	}
@@ -115,7 +115,7 @@
 	for _, s := range cp.Servers {
 		w := c.seen[s.ID]
 		if w == nil {
-			w = &watch{probed: t.Now - t.Rand.Int64N(ProbeEvery)}
+			w = &watch{probed: ctx.Now - ctx.Rand.Int64N(ProbeEvery)}
 		}
 		there[s.ID] = w
 		w.probing = !c.passive && observes(hash(s.ID), mine, others)
@@ -149,25 +149,25 @@
 	return x
 }
 
-func (c *Checks) round(t *kernel.Context) {
+func (c *Checks) round(ctx *kernel.Context) {
 	cp := c.table.Now()
 	if cp == nil {
 		return
 	}
-	c.share(t, cp)
+	c.share(ctx, cp)
 	medians := shardMedians(cp)
 	for _, s := range cp.Servers {
 		w := c.seen[s.ID]
-		if (w.probing || s.Gauge.Ejected.Load() > 0) && !w.under && t.Now-w.probed >= ProbeEvery-TickEvery/2 {
-			w.probed, w.under = t.Now, true
-			t.Counts.Add("condition_probes", 1)
-			t.Fetch("health", s.ID, "http://"+s.Addr+"/condition", ProbeWithin)
+		if (w.probing || s.Gauge.Ejected.Load() > 0) && !w.under && ctx.Now-w.probed >= ProbeEvery-TickEvery/2 {
+			w.probed, w.under = ctx.Now, true
+			ctx.Counts.Add("condition_probes", 1)
+			ctx.Fetch("health", s.ID, "http://"+s.Addr+"/condition", ProbeWithin)
 		}
-		c.opine(t, s, w, medians)
+		c.opine(ctx, s, w, medians)
 	}
 }
 
-func (c *Checks) fetched(t *kernel.Context, v kernel.Fetched) {
+func (c *Checks) fetched(ctx *kernel.Context, v kernel.Fetched) {
 	w := c.seen[v.Key]
 	if w == nil {
 		return
@@ -188,17 +188,17 @@
 	g.Incarnation.Store(r.Incarnation)
 	g.Usage.Store(r.Usage)
 	if r.ColdUs > 0 {
-		g.Cold.Store(t.Now + r.ColdUs)
+		g.Cold.Store(ctx.Now + r.ColdUs)
 	}
 }
 
 // opine settles what this node thinks of a server and tells it when that changed.
-func (c *Checks) opine(t *kernel.Context, s *snapshot.Server, w *watch, medians map[shard]int64) {
+func (c *Checks) opine(ctx *kernel.Context, s *snapshot.Server, w *watch, medians map[shard]int64) {
 	o := wire.Opinion{State: "ok", Incarnation: w.seenInc, Up: w.up}
 	if inc := s.Gauge.Incarnation.Load(); inc > o.Incarnation {
 		o.Incarnation, o.Up = inc, 0
 	}
-	if s.Gauge.Bad.Load() > 0 && t.Now > s.Gauge.Ejected.Load()+ForgiveAfter {
+	if s.Gauge.Bad.Load() > 0 && ctx.Now > s.Gauge.Ejected.Load()+ForgiveAfter {
 		// A server that sent garbage gets a trial now and then.
 		s.Gauge.Bad.Store(0)
 		s.Gauge.Ejected.Store(0)
@@ -213,13 +213,13 @@
 		o.State = "slow"
 	}
 	same := o.State == w.told.State && o.Incarnation == w.told.Incarnation
-	telling := w.probing && o.Incarnation != 0 || o.State != "ok" && (w.tells || c.table.Agreeing(s.ID, o, t.Now) < Enough)
-	if telling == w.tells && (same || !telling) || t.Now-w.toldAt < TellEvery {
+	telling := w.probing && o.Incarnation != 0 || o.State != "ok" && (w.tells || c.table.Agreeing(s.ID, o, ctx.Now) < Enough)
+	if telling == w.tells && (same || !telling) || ctx.Now-w.toldAt < TellEvery {
 		return
 	}
-	w.told, w.toldAt, w.tells = o, t.Now, telling
-	t.Counts.Add("opinions_told", 1)
-	c.mesh.Announce(t, "opinion", s.ID, wire.Encode(&o), !telling)
+	w.told, w.toldAt, w.tells = o, ctx.Now, telling
+	ctx.Counts.Add("opinions_told", 1)
+	c.mesh.Announce(ctx, "opinion", s.ID, wire.Encode(&o), !telling)
 }
 
 type shard struct {
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -25,23 +25,23 @@
 }
 
 // admit claims a key at its owners.
-func (c *Coordinator) admit(t *kernel.Context, id uint64, a Admit) {
+func (c *Coordinator) admit(ctx *kernel.Context, id uint64, a Admit) {
 	cp := c.snapshot()
-	if c.minority(cp, t.Now) {
-		t.Counts.Add("claims_minority", 1)
-		t.Answer(id, search.Verdict{Code: "short", Why: "this node sees too few of the fleet to vouch for a key"})
+	if c.minority(cp, ctx.Now) {
+		ctx.Counts.Add("claims_minority", 1)
+		ctx.Answer(id, search.Verdict{Code: "short", Why: "this node sees too few of the fleet to vouch for a key"})
 		return
 	}
 	c.next++
 	n := c.next
-	pending := &admission{id: id, ask: a, until: t.Now + min(a.Within, GiveUp), replies: map[string]ownerReply{}}
+	pending := &admission{id: id, ask: a, until: ctx.Now + min(a.Within, GiveUp), replies: map[string]ownerReply{}}
 	c.admissions[n] = pending
-	if !c.rosterUnknown(t.Now) {
+	if !c.rosterUnknown(ctx.Now) {
 		pending.owners = Owners(a.Key, cp.Homes)
-		c.send(t, n, pending)
+		c.send(ctx, n, pending)
 	}
 	if c.admissions[n] != nil {
-		t.After(min(AskEvery, pending.until-t.Now), "idempotency", fmt.Sprint(n))
+		ctx.After(min(AskEvery, pending.until-ctx.Now), "idempotency", fmt.Sprint(n))
 	}
 }
 
@@ -55,7 +55,7 @@
 }
 
 // send asks every owner that has not let the key in yet.
-func (c *Coordinator) send(t *kernel.Context, n uint64, pending *admission) {
+func (c *Coordinator) send(ctx *kernel.Context, n uint64, pending *admission) {
 	m := wire.Claim{Key: pending.ask.Key, Index: pending.ask.Index, From: c.token(n), Sum: pending.ask.Sum}
 	for _, h := range pending.owners {
 		switch {
@@ -63,14 +63,14 @@
 			return
 		case pending.replies[h.Name].code == "in":
 		case h.Origin == c.mesh.Self():
-			c.replied(t, n, c.answerClaim(t, m))
+			c.replied(ctx, n, c.answerClaim(ctx, m))
 		default:
-			t.SendTo(h.Addr, wire.KindClaim, n, &m)
+			ctx.SendTo(h.Addr, wire.KindClaim, n, &m)
 		}
 	}
 }
 
-func (c *Coordinator) replied(t *kernel.Context, n uint64, r wire.ClaimReply) {
+func (c *Coordinator) replied(ctx *kernel.Context, n uint64, r wire.ClaimReply) {
 	pending := c.admissions[n]
 	if pending == nil || pending.ask.Key != r.Key {
 		return
@@ -84,15 +84,15 @@
 	pending.tried = pending.tried || r.Tried
 	switch r.Code {
 	case "done", "running", "conflict":
-		c.end(t, n, search.Verdict{Code: r.Code, Body: r.Body})
+		c.end(ctx, n, search.Verdict{Code: r.Code, Body: r.Body})
 		return
 	}
-	c.decide(t, n, pending)
+	c.decide(ctx, n, pending)
 }
 
 // decide lets a key in that a majority of its owners let in. A caller's word that this
 // is its first try makes up for owners that cannot be sure.
-func (c *Coordinator) decide(t *kernel.Context, n uint64, pending *admission) {
+func (c *Coordinator) decide(ctx *kernel.Context, n uint64, pending *admission) {
 	if len(pending.owners) == 0 {
 		return
 	}
@@ -102,17 +102,17 @@
 		return
 	case len(pending.replies) == len(pending.owners):
 	case pending.decideAt == 0:
-		pending.decideAt = t.Now + LastWait
-		t.After(LastWait, "idempotency", fmt.Sprint(n))
+		pending.decideAt = ctx.Now + LastWait
+		ctx.After(LastWait, "idempotency", fmt.Sprint(n))
 		return
-	case t.Now < pending.decideAt:
+	case ctx.Now < pending.decideAt:
 		return
 	}
-	c.end(t, n, search.Verdict{Code: "in", Token: c.token(n), Repeat: pending.tried})
+	c.end(ctx, n, search.Verdict{Code: "in", Token: c.token(n), Repeat: pending.tried})
 }
 
 // retry is a claim's timer: it decides, asks again, or gives up.
-func (c *Coordinator) retry(t *kernel.Context, n uint64) {
+func (c *Coordinator) retry(ctx *kernel.Context, n uint64) {
 	pending := c.admissions[n]
 	switch {
 	case pending == nil:
@@ -120,31 +120,31 @@
 	case pending.ask.Again:
 		// The owner is silent: what cannot be told from a first try is one.
 		delete(c.admissions, n)
-		t.Answer(pending.id, search.Verdict{Code: "in"})
+		ctx.Answer(pending.id, search.Verdict{Code: "in"})
 		return
 	}
-	if !c.rosterUnknown(t.Now) {
+	if !c.rosterUnknown(ctx.Now) {
 		pending.widen(Owners(pending.ask.Key, c.snapshot().Homes))
 	}
-	if c.decide(t, n, pending); c.admissions[n] == nil || pending.decideAt > t.Now {
+	if c.decide(ctx, n, pending); c.admissions[n] == nil || pending.decideAt > ctx.Now {
 		return
 	}
-	if t.Now < pending.until {
-		t.Counts.Add("claims_asked_again", 1)
-		c.send(t, n, pending)
+	if ctx.Now < pending.until {
+		ctx.Counts.Add("claims_asked_again", 1)
+		c.send(ctx, n, pending)
 		if c.admissions[n] != nil {
-			t.After(min(AskEvery, pending.until-t.Now), "idempotency", fmt.Sprint(n))
+			ctx.After(min(AskEvery, pending.until-ctx.Now), "idempotency", fmt.Sprint(n))
 		}
 		return
 	}
 	if pending.majority(true) {
 		// Those that would know have lost what they knew, and an earlier try may have run.
-		t.Counts.Add("claims_unknown", 1)
-		c.end(t, n, search.Verdict{Code: "unknown"})
+		ctx.Counts.Add("claims_unknown", 1)
+		c.end(ctx, n, search.Verdict{Code: "unknown"})
 		return
 	}
-	t.Counts.Add("claims_short", 1)
-	c.end(t, n, search.Verdict{Code: "short", Why: fmt.Sprintf("%d of the key's %d home nodes answered", pending.agreed(), len(pending.owners))})
+	ctx.Counts.Add("claims_short", 1)
+	c.end(ctx, n, search.Verdict{Code: "short", Why: fmt.Sprintf("%d of the key's %d home nodes answered", pending.agreed(), len(pending.owners))})
 }
 
 // widen adds owners that this node has learned of meanwhile. None is left out: it may hold the claim.
@@ -160,26 +160,26 @@
 // must not release each other.
 func (c *Coordinator) token(n uint64) string { return fmt.Sprintf("%s#%d", c.mesh.Self(), n) }
 
-func (c *Coordinator) end(t *kernel.Context, n uint64, v search.Verdict) {
+func (c *Coordinator) end(ctx *kernel.Context, n uint64, v search.Verdict) {
 	pending := c.admissions[n]
 	delete(c.admissions, n)
-	t.Answer(pending.id, v)
+	ctx.Answer(pending.id, v)
 	switch v.Code {
 	case "in":
 	case "unknown":
 		// It stays unknown: what was not let in now must not be let in later either.
-		c.broadcast(t, pending.owners, wire.Settle{Key: pending.ask.Key, Code: "done"})
+		c.broadcast(ctx, pending.owners, wire.Settle{Key: pending.ask.Key, Code: "done"})
 	default:
-		c.broadcast(t, pending.owners, wire.Settle{Key: pending.ask.Key, Code: "released", Body: []byte(c.token(n))})
+		c.broadcast(ctx, pending.owners, wire.Settle{Key: pending.ask.Key, Code: "released", Body: []byte(c.token(n))})
 	}
 }
 
 // tellOutcome settles a key that this node was let in with.
-func (c *Coordinator) tellOutcome(t *kernel.Context, a Settle) {
+func (c *Coordinator) tellOutcome(ctx *kernel.Context, a Settle) {
 	m := wire.Settle{Key: a.Key, Code: a.Code}
 	switch {
 	case a.Code == "unseen":
-		c.unseen(t, a.Key)
+		c.unseen(ctx, a.Key)
 		return
 	case a.Code == "released":
 		m.Body, m.Tried = []byte(a.Token), a.Tried
@@ -188,15 +188,15 @@
 			m.Body = b
 		}
 	}
-	c.broadcast(t, Owners(a.Key, c.snapshot().Homes), m)
+	c.broadcast(ctx, Owners(a.Key, c.snapshot().Homes), m)
 }
 
-func (c *Coordinator) broadcast(t *kernel.Context, owners []snapshot.Node, m wire.Settle) {
+func (c *Coordinator) broadcast(ctx *kernel.Context, owners []snapshot.Node, m wire.Settle) {
 	for _, h := range owners {
 		if h.Origin == c.mesh.Self() {
-			c.settle(t, m)
+			c.settle(ctx, m)
 			continue
 		}
-		t.SendTo(h.Addr, wire.KindSettle, 0, &m)
+		ctx.SendTo(h.Addr, wire.KindSettle, 0, &m)
 	}
 }
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -40,13 +40,13 @@
 func (e *epoch) settled(now int64) bool { return e.whole && now-e.at >= SettleFor }
 
 // loseRecords opens an epoch in which this process is sure of nothing.
-func (c *Coordinator) loseRecords(t *kernel.Context) {
-	c.epochs = []*epoch{c.epoch(t, nil)}
+func (c *Coordinator) loseRecords(ctx *kernel.Context) {
+	c.epochs = []*epoch{c.epoch(ctx, nil)}
 }
 
-func (c *Coordinator) epoch(t *kernel.Context, before []snapshot.Node) *epoch {
+func (c *Coordinator) epoch(ctx *kernel.Context, before []snapshot.Node) *epoch {
 	c.next++
-	return &epoch{n: c.next, at: t.Now, before: before, heard: map[string]bool{}}
+	return &epoch{n: c.next, at: ctx.Now, before: before, heard: map[string]bool{}}
 }
 
 // uncertain is for how long an inquiry of before may still be under way.
@@ -92,35 +92,35 @@
 }
 
 // followRoster notices a changed roster, and asks for what is still to be handed over.
-func (c *Coordinator) followRoster(t *kernel.Context) {
+func (c *Coordinator) followRoster(ctx *kernel.Context) {
 	cp := c.snapshot()
 	if cp == nil {
 		return
 	}
-	c.learnDeadline(cp, t.Now)
-	small := c.minority(cp, t.Now)
+	c.learnDeadline(cp, ctx.Now)
+	small := c.minority(cp, ctx.Now)
 	if small {
 		// What the others let in meanwhile is not told here.
-		c.loseRecords(t)
+		c.loseRecords(ctx)
 		clear(c.first)
 	}
 	same := slices.EqualFunc(c.roster, cp.Homes, func(a, b snapshot.Node) bool { return a.Name == b.Name && a.Zone == b.Zone })
 	if !same && len(c.roster) > 0 {
-		c.epochs = append(c.epochs, c.epoch(t, c.roster))
+		c.epochs = append(c.epochs, c.epoch(ctx, c.roster))
 	}
 	c.roster = cp.Homes
-	c.epochs = slices.DeleteFunc(c.epochs, func(e *epoch) bool { return t.Now-e.at >= c.uncertainFor() })
+	c.epochs = slices.DeleteFunc(c.epochs, func(e *epoch) bool { return ctx.Now-e.at >= c.uncertainFor() })
 	if len(c.epochs) > epochsMost {
-		c.loseRecords(t)
+		c.loseRecords(ctx)
 	}
 	if cp.Sheet != nil {
-		c.askAll(t)
+		c.askAll(ctx)
 	}
-	c.prune(t.Now)
-	if small || slices.ContainsFunc(c.epochs, func(e *epoch) bool { return !e.settled(t.Now) }) {
-		c.arm(t, FollowAt)
+	c.prune(ctx.Now)
+	if small || slices.ContainsFunc(c.epochs, func(e *epoch) bool { return !e.settled(ctx.Now) }) {
+		c.arm(ctx, FollowAt)
 	} else {
-		c.arm(t, CalmAt)
+		c.arm(ctx, CalmAt)
 	}
 }
 
@@ -132,7 +132,7 @@
 )
 
 // askAll asks for what is still to be handed over. Where there is no sheet no key was ever let in.
-func (c *Coordinator) askAll(t *kernel.Context) {
+func (c *Coordinator) askAll(ctx *kernel.Context) {
 	asks := 0
 	for _, e := range c.epochs {
 		// In a fleet whose nodes are all owners of all keys so many are enough for every key.
@@ -148,13 +148,13 @@
 		// A process that sees nobody else has heard of nothing.
 		e.whole = len(c.roster) > 1 && left <= 0
 		// Others each time: one that is itself not sure does not answer.
-		from := t.Rand.IntN(max(1, len(c.roster)))
+		from := ctx.Rand.IntN(max(1, len(c.roster)))
 		for i := range c.roster {
 			n := c.roster[(i+from)%len(c.roster)]
 			if n.Name != c.name() && !e.heard[n.Name] && n.Live && left > 0 && (asks < asksMost || len(c.roster) <= ownersMost) {
 				left--
 				asks++
-				t.SendTo(n.Addr, wire.KindHandOver, 0, &wire.HandOver{N: e.n, Name: c.name(), Before: places(e.before), Now: places(c.roster)})
+				ctx.SendTo(n.Addr, wire.KindHandOver, 0, &wire.HandOver{N: e.n, Name: c.name(), Before: places(e.before), Now: places(c.roster)})
 			}
 		}
 	}
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -32,8 +32,8 @@
 // handOver gives an owner what it should have had; a process that is itself not
 // sure of all that it lost, or does not count the asker among the owners yet, says nothing and
 // is asked again: what it lets in afterwards by a smaller roster would be missing.
-func (c *Coordinator) handOver(t *kernel.Context, ch uint64, m wire.HandOver) {
-	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.before == nil && !e.settled(t.Now) && !c.startedBeforeAll() }) {
+func (c *Coordinator) handOver(ctx *kernel.Context, ch uint64, m wire.HandOver) {
+	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.before == nil && !e.settled(ctx.Now) && !c.startedBeforeAll() }) {
 		return
 	}
 	if !slices.ContainsFunc(c.roster, func(n snapshot.Node) bool { return n.Name == m.Name }) {
@@ -56,19 +56,19 @@
 			s.Code, s.Body = "done", rec.body
 		}
 		out.Records = append(out.Records, s)
-		t.Counts.Add("claims_handed_over", 1)
+		ctx.Counts.Add("claims_handed_over", 1)
 		if size += len(key) + len(s.Body) + 32; size > handedMost {
-			t.Send(ch, wire.KindHanded, 0, &out)
+			ctx.Send(ch, wire.KindHanded, 0, &out)
 			out.Records, size = nil, 0
 		}
 	}
 	out.All = true
-	t.Send(ch, wire.KindHanded, 0, &out)
+	ctx.Send(ch, wire.KindHanded, 0, &out)
 }
 
-func (c *Coordinator) handed(t *kernel.Context, m wire.Handed) {
+func (c *Coordinator) handed(ctx *kernel.Context, m wire.Handed) {
 	for _, s := range m.Records {
-		c.settle(t, s)
+		c.settle(ctx, s)
 	}
 	for _, e := range c.epochs {
 		if e.n == m.N && m.All {
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -116,71 +116,71 @@
 }
 
 // Step takes one input.
-func (c *Coordinator) Step(t *kernel.Context, in kernel.Input) {
+func (c *Coordinator) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		c.began = t.Now
-		c.loseRecords(t)
-		c.arm(t, FollowAt)
+		c.began = ctx.Now
+		c.loseRecords(ctx)
+		c.arm(ctx, FollowAt)
 	case mesh.CaughtUp:
 		if c.caught == 0 {
-			c.caught = t.Now
+			c.caught = ctx.Now
 		}
 	case kernel.Thawed:
-		c.loseRecords(t)
+		c.loseRecords(ctx)
 		clear(c.first)
-		c.arm(t, FollowAt)
+		c.arm(ctx, FollowAt)
 	case snapshot.Built:
-		c.arm(t, FollowAt)
+		c.arm(ctx, FollowAt)
 	case mesh.Stored:
 		if v.Entry.Type == "part" {
 			c.firstSeen(v.Entry)
 		}
 	case kernel.Tick:
 		if v.Key == "roster" {
-			if t.Now >= c.dueAt {
+			if ctx.Now >= c.dueAt {
 				c.dueAt = 0
-				c.followRoster(t)
+				c.followRoster(ctx)
 			}
 			return
 		}
 		var id uint64
 		if _, err := fmt.Sscan(v.Key, &id); err == nil {
-			c.retry(t, id)
+			c.retry(ctx, id)
 		}
 	case kernel.Call:
 		switch a := v.Ask.(type) {
 		case Admit:
 			if a.Again {
-				c.askSeen(t, v.ID, a)
+				c.askSeen(ctx, v.ID, a)
 				return
 			}
-			c.admit(t, v.ID, a)
+			c.admit(ctx, v.ID, a)
 		case Settle:
-			c.tellOutcome(t, a)
+			c.tellOutcome(ctx, a)
 		}
 	case kernel.Message:
-		c.message(t, v)
+		c.message(ctx, v)
 	}
 }
 
-func (c *Coordinator) message(t *kernel.Context, v kernel.Message) {
+func (c *Coordinator) message(ctx *kernel.Context, v kernel.Message) {
 	switch v.Kind {
 	case wire.KindClaim:
 		var m wire.Claim
 		if wire.Decode(v.Body, &m) == nil {
-			r := c.answerClaim(t, m)
-			t.Send(v.Chan, wire.KindClaimReply, v.ID, &r)
+			r := c.answerClaim(ctx, m)
+			ctx.Send(v.Chan, wire.KindClaimReply, v.ID, &r)
 		}
 	case wire.KindClaimReply:
 		var m wire.ClaimReply
 		if wire.Decode(v.Body, &m) == nil {
-			c.replied(t, v.ID, m)
+			c.replied(ctx, v.ID, m)
 		}
 	case wire.KindSettle:
 		var m wire.Settle
 		if wire.Decode(v.Body, &m) == nil {
-			c.settle(t, m)
+			c.settle(ctx, m)
 		}
 	case wire.KindSeen:
 		var m wire.Seen
@@ -191,29 +191,29 @@
 			c.seen.forget(m.Key)
 			return
 		}
-		t.Send(v.Chan, wire.KindSeenReply, v.ID, &wire.SeenReply{Key: m.Key, Before: c.seen.add(m.Key, t.Now)})
+		ctx.Send(v.Chan, wire.KindSeenReply, v.ID, &wire.SeenReply{Key: m.Key, Before: c.seen.add(m.Key, ctx.Now)})
 	case wire.KindSeenReply:
 		var m wire.SeenReply
 		if wire.Decode(v.Body, &m) == nil {
-			c.seenReply(t, v.ID, m)
+			c.seenReply(ctx, v.ID, m)
 		}
 	case wire.KindHandOver:
 		var m wire.HandOver
 		if wire.Decode(v.Body, &m) == nil {
-			c.handOver(t, v.Chan, m)
+			c.handOver(ctx, v.Chan, m)
 		}
 	case wire.KindHanded:
 		var m wire.Handed
 		if wire.Decode(v.Body, &m) == nil {
-			c.handed(t, m)
+			c.handed(ctx, m)
 		}
 	}
 }
 
 // arm has the roster looked at within a while; an earlier look takes the place of a later one.
-func (c *Coordinator) arm(t *kernel.Context, within int64) {
-	if at := t.Now + within; c.dueAt == 0 || at < c.dueAt {
+func (c *Coordinator) arm(ctx *kernel.Context, within int64) {
+	if at := ctx.Now + within; c.dueAt == 0 || at < c.dueAt {
 		c.dueAt = at
-		t.After(within, "idempotency", "roster")
+		ctx.After(within, "idempotency", "roster")
 	}
 }
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -72,20 +72,20 @@
 
 // step gives the node's process an input and carries out what it asks for.
 func (n *modelNode) step(in kernel.Input) {
-	t := &kernel.Context{Now: n.m.now, Rand: n.m.rand, Counts: kernel.NewCounts()}
-	n.coordinator.Step(t, in)
+	ctx := &kernel.Context{Now: n.m.now, Rand: n.m.rand, Counts: kernel.NewCounts()}
+	n.coordinator.Step(ctx, in)
 	here := n.life()
-	for _, s := range t.Out.Sends {
+	for _, s := range ctx.Out.Sends {
 		n.m.send(here, s)
 	}
-	for _, timer := range t.Out.Timers {
+	for _, timer := range ctx.Out.Timers {
 		n.m.after(timer.At-n.m.now, func() {
 			if here.there() {
 				n.step(kernel.Tick{Plugin: timer.Plugin, Key: timer.Key})
 			}
 		})
 	}
-	for _, a := range t.Out.Answers {
+	for _, a := range ctx.Out.Answers {
 		answered := n.m.calls[a.ID]
 		delete(n.m.calls, a.ID)
 		answered(a.Value.(search.Verdict))
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -7,25 +7,25 @@
 )
 
 // claim is an owner's answer.
-func (c *Coordinator) answerClaim(t *kernel.Context, m wire.Claim) wire.ClaimReply {
+func (c *Coordinator) answerClaim(ctx *kernel.Context, m wire.Claim) wire.ClaimReply {
 	r := wire.ClaimReply{Key: m.Key, From: c.mesh.Self(), Name: c.name(), Homes: c.countsOwners()}
 	rec := c.records[m.Key]
 	switch {
 	case rec == nil || !rec.done && rec.from == m.From:
 		if rec == nil {
-			rec = &record{sum: m.Sum, from: m.From, at: t.Now}
+			rec = &record{sum: m.Sum, from: m.From, at: ctx.Now}
 			c.keep(m.Key, rec)
 		}
-		r.Code, r.Tried = "in", c.seen.has(m.Key, t.Now)
-		if rec.unsure = !c.canVouch(m.Key, m.Index, t.Now); rec.unsure {
-			t.Counts.Add("claims_unsure", 1)
+		r.Code, r.Tried = "in", c.seen.has(m.Key, ctx.Now)
+		if rec.unsure = !c.canVouch(m.Key, m.Index, ctx.Now); rec.unsure {
+			ctx.Counts.Add("claims_unsure", 1)
 			r.Code = "unsure"
 		}
 	case rec.sum != 0 && rec.sum != m.Sum:
 		r.Code = "conflict"
 	case rec.done:
 		r.Code, r.Body = "done", rec.body
-	case t.Now-rec.at > c.uncertainFor():
+	case ctx.Now-rec.at > c.uncertainFor():
 		// Whoever ran it never told: its outcome stays unknown.
 		r.Code = "done"
 	default:
@@ -36,19 +36,19 @@
 
 func (c *Coordinator) name() string { return c.table.Self() }
 
-func (c *Coordinator) settle(t *kernel.Context, m wire.Settle) {
+func (c *Coordinator) settle(ctx *kernel.Context, m wire.Settle) {
 	rec := c.records[m.Key]
 	switch m.Code {
 	case "released":
 		if rec != nil && !rec.done && rec.from == string(m.Body) {
 			delete(c.records, m.Key)
 			if m.Tried {
-				c.seen.add(m.Key, t.Now)
+				c.seen.add(m.Key, ctx.Now)
 			}
 		}
 	case "done":
 		if rec == nil {
-			rec = &record{at: t.Now}
+			rec = &record{at: ctx.Now}
 			c.keep(m.Key, rec)
 		}
 		if !rec.done || len(rec.body) == 0 {
@@ -57,7 +57,7 @@
 	case "running":
 		switch {
 		case rec == nil:
-			c.keep(m.Key, &record{sum: uint64(m.Status), from: string(m.Body), at: t.Now})
+			c.keep(m.Key, &record{sum: uint64(m.Status), from: string(m.Body), at: ctx.Now})
 		case rec.unsure && !rec.done && rec.from != string(m.Body):
 			// Either claim may have been let in: nobody's release frees the key.
 			rec.from = contested
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -67,34 +67,34 @@
 }
 
 // askSeen asks whether a search or read was sent before.
-func (c *Coordinator) askSeen(t *kernel.Context, id uint64, a Admit) {
+func (c *Coordinator) askSeen(ctx *kernel.Context, id uint64, a Admit) {
 	addr, ok := c.seenOwner(a.Key)
 	if !ok || addr == "" {
-		t.Answer(id, search.Verdict{Code: "in", Repeat: ok && c.seen.add(a.Key, t.Now)})
+		ctx.Answer(id, search.Verdict{Code: "in", Repeat: ok && c.seen.add(a.Key, ctx.Now)})
 		return
 	}
 	c.next++
 	c.admissions[c.next] = &admission{id: id, ask: a}
-	t.SendTo(addr, wire.KindSeen, c.next, &wire.Seen{Key: a.Key})
-	t.After(SeenWait, "idempotency", fmt.Sprint(c.next))
+	ctx.SendTo(addr, wire.KindSeen, c.next, &wire.Seen{Key: a.Key})
+	ctx.After(SeenWait, "idempotency", fmt.Sprint(c.next))
 }
 
-func (c *Coordinator) seenReply(t *kernel.Context, n uint64, m wire.SeenReply) {
+func (c *Coordinator) seenReply(ctx *kernel.Context, n uint64, m wire.SeenReply) {
 	pending := c.admissions[n]
 	if pending == nil || !pending.ask.Again || pending.ask.Key != m.Key {
 		return
 	}
 	delete(c.admissions, n)
 	if m.Before {
-		t.Counts.Add("repeats_seen", 1)
+		ctx.Counts.Add("repeats_seen", 1)
 	}
-	t.Answer(pending.id, search.Verdict{Code: "in", Repeat: m.Before})
+	ctx.Answer(pending.id, search.Verdict{Code: "in", Repeat: m.Before})
 }
 
 // unseen takes a key back that came to nothing.
-func (c *Coordinator) unseen(t *kernel.Context, key string) {
+func (c *Coordinator) unseen(ctx *kernel.Context, key string) {
 	if addr, ok := c.seenOwner(key); ok && addr != "" {
-		t.SendTo(addr, wire.KindSeen, 0, &wire.Seen{Key: key, Forget: true})
+		ctx.SendTo(addr, wire.KindSeen, 0, &wire.Seen{Key: key, Forget: true})
 		return
 	}
 	c.seen.forget(key)
--- a/request/snapshot/configured.go
+++ b/request/snapshot/configured.go
@@ -20,7 +20,7 @@
 }
 
 // configure fills in the configuration in force, read once for each version.
-func (b *Table) configure(t *kernel.Context, c *Snapshot) {
+func (b *Table) configure(ctx *kernel.Context, c *Snapshot) {
 	v, ok := b.mesh.Partition(state.Config)
 	if !ok {
 		return
@@ -28,29 +28,29 @@
 	if v.Version != b.config.stamp {
 		body, err := state.ReadConfig(v.Body)
 		if err != nil {
-			t.Log(2, "config_unreadable", "err", err.Error())
+			ctx.Log(2, "config_unreadable", "err", err.Error())
 			return
 		}
-		b.checkRises(t, v.Version)
+		b.checkRises(ctx, v.Version)
 		b.config = config{v.Version, body, state.SheetOf(body)}
 	}
 	c.Version, c.Config, c.Sheet = b.config.stamp, b.config.body, b.config.sheet
 }
 
 // checkRises sees that the configuration in force never goes back.
-func (b *Table) checkRises(t *kernel.Context, next wire.Version) {
+func (b *Table) checkRises(ctx *kernel.Context, next wire.Version) {
 	if was := b.config.stamp; mesh.Newer(was, next) {
-		t.Violated(invariant.ConfigRises, fmt.Sprintf("version %d.%d after %d.%d", next.Term, next.Seq, was.Term, was.Seq))
+		ctx.Violated(invariant.ConfigRises, fmt.Sprintf("version %d.%d after %d.%d", next.Term, next.Seq, was.Term, was.Seq))
 	}
 }
 
 // whole tells whether the table may be served from: it is all there, and confirmed. Once it may,
 // it stays so: what is lost later is judged server by server.
-func (b *Table) whole(t *kernel.Context, c *Snapshot) bool {
+func (b *Table) whole(ctx *kernel.Context, c *Snapshot) bool {
 	if was := b.now.Load(); was != nil && was.Whole {
 		return true
 	}
-	if !b.configSync.Confirmed(state.Config, t.Now) {
+	if !b.configSync.Confirmed(state.Config, ctx.Now) {
 		return false
 	}
 	if c.Routing != nil && len(b.listing.Servers) > 0 {
@@ -62,7 +62,7 @@
 	cut := false
 	for name, x := range c.Indexes {
 		partition := state.PartitionOf(name)
-		if _, ok := b.mesh.Partition(partition); !ok || !b.configSync.Confirmed(partition, t.Now) {
+		if _, ok := b.mesh.Partition(partition); !ok || !b.configSync.Confirmed(partition, ctx.Now) {
 			return false
 		}
 		cut = cut || x.Cut.Name != ""
@@ -72,23 +72,23 @@
 }
 
 // await has the table built once state that no majority confirmed may be served from; see configsync.UnconfirmedAfter.
-func (b *Table) await(t *kernel.Context) {
+func (b *Table) await(ctx *kernel.Context) {
 	switch {
 	case b.now.Load().Whole:
-	case b.configSync.Confirmed(state.Config, t.Now):
-		b.build(t)
+	case b.configSync.Confirmed(state.Config, ctx.Now):
+		b.build(ctx)
 	default:
-		t.After(awaitEvery, "table", awaitKey)
+		ctx.After(awaitEvery, "table", awaitKey)
 	}
 }
 
 // noteUnconfirmed tells that this process begins to serve from state that no majority confirmed.
-func (b *Table) noteUnconfirmed(t *kernel.Context, c *Snapshot) {
+func (b *Table) noteUnconfirmed(ctx *kernel.Context, c *Snapshot) {
 	if was := b.now.Load(); !c.Whole || was != nil && was.Whole || b.configSync.InContact() {
 		return
 	}
-	t.Counts.Add("table_unconfirmed", 1)
-	t.Log(1, "serves_unconfirmed_state", "why", "no core that is reached is in contact with a majority", "term", c.Version.Term, "seq", c.Version.Seq)
+	ctx.Counts.Add("table_unconfirmed", 1)
+	ctx.Log(1, "serves_unconfirmed_state", "why", "no core that is reached is in contact with a majority", "term", c.Version.Term, "seq", c.Version.Seq)
 }
 
 // The timer of a process that waits for confirmed state.
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -55,14 +55,14 @@
 }
 
 // roster lists the nodes, dead ones for a while too.
-func (b *Table) roster(t *kernel.Context) []Node {
+func (b *Table) roster(ctx *kernel.Context) []Node {
 	var out []Node
-	b.members.Each(t.Now, func(origin string, r *wire.Member, live bool) {
+	b.members.Each(ctx.Now, func(origin string, r *wire.Member, live bool) {
 		if r.Role != "node" {
 			return
 		}
 		at, ok := b.liveAt[origin]
-		if !ok || t.Now-at > RosterFor {
+		if !ok || ctx.Now-at > RosterFor {
 			return
 		}
 		n := Node{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Origin: origin, Live: live}
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -78,84 +78,84 @@
 func (b *Table) Now() *Snapshot { return b.now.Load() }
 
 // Step takes one input.
-func (b *Table) Step(t *kernel.Context, in kernel.Input) {
+func (b *Table) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		t.After(configsync.UnconfirmedAfter, "table", awaitKey)
-		b.build(t)
+		ctx.After(configsync.UnconfirmedAfter, "table", awaitKey)
+		b.build(ctx)
 	case kernel.Tick:
 		if v.Key == awaitKey {
-			b.await(t)
+			b.await(ctx)
 			return
 		}
 		b.armed = b.armed && v.Key != "build"
-		b.build(t)
+		b.build(ctx)
 	case kernel.Thawed:
-		b.stale = stale{until: t.Now + StaleMost}
-		b.build(t)
-		t.After(StaleMost, "table", "stale")
+		b.stale = stale{until: ctx.Now + StaleMost}
+		b.build(ctx)
+		ctx.After(StaleMost, "table", "stale")
 	case mesh.CaughtUp:
-		b.heard(t, func(s *stale) { s.mesh = true })
+		b.heard(ctx, func(s *stale) { s.mesh = true })
 	case configsync.Pulled:
-		b.pulled(t, v)
+		b.pulled(ctx, v)
 	case kernel.Stopping:
-		b.build(t)
+		b.build(ctx)
 	case mesh.Pulse:
-		if b.lives(t.Now) != b.alive {
-			b.build(t)
+		if b.lives(ctx.Now) != b.alive {
+			b.build(ctx)
 		}
 	case mesh.Forgotten:
 		delete(b.liveAt, v.Origin)
 		b.opinions.forget(v.Origin)
-		b.soon(t)
-		b.inherit(t, v.Origin)
+		b.soon(ctx)
+		b.inherit(ctx, v.Origin)
 	case mesh.Stored:
 		switch v.Entry.Type {
 		case "part":
-			b.build(t)
+			b.build(ctx)
 		case "listing":
-			b.list(t, v)
+			b.list(ctx, v)
 		case "opinion":
 			b.opinions.take(v)
-			b.soon(t)
+			b.soon(ctx)
 		case "member":
-			b.soon(t)
+			b.soon(ctx)
 		}
 	}
 }
 
 // soon has a snapshot built shortly, for all that changes until then.
-func (b *Table) soon(t *kernel.Context) {
+func (b *Table) soon(ctx *kernel.Context) {
 	if !b.armed {
 		b.armed = true
-		t.After(max(BuildWithin, b.builtAt+BuildEvery-t.Now), "table", "build")
+		ctx.After(max(BuildWithin, b.builtAt+BuildEvery-ctx.Now), "table", "build")
 	}
 }
 
 // heard notes one of the things that a thawed process waits for.
-func (b *Table) heard(t *kernel.Context, f func(s *stale)) {
-	if was := b.stale.at(t.Now); was {
+func (b *Table) heard(ctx *kernel.Context, f func(s *stale)) {
+	if was := b.stale.at(ctx.Now); was {
 		f(&b.stale)
-		if !b.stale.at(t.Now) {
-			b.build(t)
+		if !b.stale.at(ctx.Now) {
+			b.build(ctx)
 		}
 	}
 }
 
 // pulled notes that a core answered a pull: what a process serves from that has just started, or was
 // thawed, needs an answer of a core in contact with a majority.
-func (b *Table) pulled(t *kernel.Context, v configsync.Pulled) {
+func (b *Table) pulled(ctx *kernel.Context, v configsync.Pulled) {
 	if v.Confirmed == 0 {
 		return
 	}
-	b.heard(t, func(s *stale) { s.pulled = true })
+	b.heard(ctx, func(s *stale) { s.pulled = true })
 	if !b.now.Load().Whole {
-		b.build(t)
+		b.build(ctx)
 	}
 }
 
 // list takes a reading of the platform's list, unless an older holder made it.
-func (b *Table) list(t *kernel.Context, v mesh.Stored) {
+func (b *Table) list(ctx *kernel.Context, v mesh.Stored) {
 	var l wire.Listing
 	if wire.Decode(v.Entry.Body, &l) != nil || l.Turn < b.listing.Turn {
 		return
@@ -175,9 +175,9 @@
 		if !there[s.ID] && !l.Whole {
 			// Absence from such a list proves nothing; the server stays until it is absent for long.
 			if _, ok := b.absent[s.ID]; !ok {
-				b.absent[s.ID] = t.Now
+				b.absent[s.ID] = ctx.Now
 			}
-			if t.Now-b.absent[s.ID] < AbsentFor {
+			if ctx.Now-b.absent[s.ID] < AbsentFor {
 				l.Servers = append(l.Servers, s)
 			}
 		}
@@ -186,37 +186,37 @@
 		delete(b.absent, id)
 	}
 	b.listing, b.from, b.count = l, v.Origin, v.Entry.Count
-	b.build(t)
+	b.build(ctx)
 }
 
 // AbsentFor is how long a server that left the list without a word is kept.
 const AbsentFor = 60_000_000
 
-func (b *Table) build(t *kernel.Context) {
+func (b *Table) build(ctx *kernel.Context) {
 	c := &Snapshot{
-		At: t.Now, Indexes: map[string]*Index{}, Zone: b.k.Boot.Env.Zone, Divisor: b.members.Divisor(),
-		Drains: b.members.SelfRow().Draining, Stale: b.stale.at(t.Now),
+		At: ctx.Now, Indexes: map[string]*Index{}, Zone: b.k.Boot.Env.Zone, Divisor: b.members.Divisor(),
+		Drains: b.members.SelfRow().Draining, Stale: b.stale.at(ctx.Now),
 	}
-	b.configure(t, c)
-	b.alive = b.lives(t.Now)
+	b.configure(ctx, c)
+	b.alive = b.lives(ctx.Now)
 	for _, z := range c.Config.DrainedZones {
 		c.Emptied = c.Emptied || z == c.Zone
 	}
-	c.Roster = b.roster(t)
+	c.Roster = b.roster(ctx)
 	c.Homes = homes(c.Roster)
-	c.Peers = b.members.Count(t.Now, "node")
-	c.Servers = b.judge(t, c)
+	c.Peers = b.members.Count(ctx.Now, "node")
+	c.Servers = b.judge(ctx, c)
 	if c.Sheet != nil {
 		for _, s := range c.Sheet.Services {
 			c.Indexes[s.Index] = b.index(c, s)
 		}
 	}
 	b.pools(c)
-	c.Whole = b.whole(t, c)
-	b.noteUnconfirmed(t, c)
+	c.Whole = b.whole(ctx, c)
+	b.noteUnconfirmed(ctx, c)
 	b.now.Store(c)
-	b.builtAt = t.Now
-	t.Emit(Built{})
+	b.builtAt = ctx.Now
+	ctx.Emit(Built{})
 }
 
 // Built is emitted when a new snapshot has been published.
@@ -224,9 +224,9 @@
 
 // inherit tells the list again that a forgotten node had told, so that nodes
 // which start later still find it. The first live node by name does so.
-func (b *Table) inherit(t *kernel.Context, gone string) {
-	live := b.members.Live(t.Now, "node")
+func (b *Table) inherit(ctx *kernel.Context, gone string) {
+	live := b.members.Live(ctx.Now, "node")
 	if gone == b.from && len(live) > 0 && live[0].Origin == b.mesh.Self() {
-		b.mesh.Announce(t, "listing", discovery.Duty, wire.Encode(&b.listing), false)
+		b.mesh.Announce(ctx, "listing", discovery.Duty, wire.Encode(&b.listing), false)
 	}
 }
