--- a/request/snapshot/verdict.go
+++ b/request/snapshot/verdict.go
@@ -55,16 +55,16 @@
 	}
 }
 
-func (b *Table) judge(t *kernel.Context, c *Snapshot) []*Server {
+func (b *Table) judge(ctx *kernel.Context, c *Snapshot) []*Server {
 	out := make([]*Server, 0, len(b.listing.Servers))
 	for _, row := range b.listing.Servers {
 		s := &Server{Server: row, Gauge: b.Gauges.Of(row.ID)}
-		if v := b.votes(row.ID, t.Now); v != nil {
+		if v := b.votes(row.ID, ctx.Now); v != nil {
 			s.Incarnation = max(s.Incarnation, v.incarnation)
 			s.Verdict = v.verdict()
-			b.bear(t, s, v.up)
+			b.bear(ctx, s, v.up)
 		} else {
-			b.bear(t, s, 0)
+			b.bear(ctx, s, 0)
 		}
 		if left, ok := b.left[row.ID]; ok && (row.State == "leaving" || row.Incarnation <= left) {
 			s.Verdict = Leaving
@@ -77,10 +77,10 @@
 }
 
 // bear fixes when an incarnation began, on this process's clock.
-func (b *Table) bear(t *kernel.Context, s *Server, up int64) {
+func (b *Table) bear(ctx *kernel.Context, s *Server, up int64) {
 	was, ok := b.births[s.ID]
 	if !ok || was.incarnation < s.Incarnation {
-		was = birth{s.Incarnation, t.Now - up}
+		was = birth{s.Incarnation, ctx.Now - up}
 		b.births[s.ID] = was
 	}
 	s.Born = was.born
--- a/runtime/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -19,7 +19,7 @@
 type Plugin interface {
 	Name() string
 	Kinds() []uint8
-	Step(t *Context, in Input)
+	Step(ctx *Context, in Input)
 }
 
 // Registration says where a plug-in belongs and how it is made. Plug-ins of
@@ -53,7 +53,7 @@
 	plugins []Plugin
 	byName  map[string]Plugin
 	byKind  map[uint8]Plugin
-	later   []func(t *Context)
+	later   []func(ctx *Context)
 	Counts  *Counts
 	steps   *atomic.Int64
 	pieces  *pieces
@@ -96,66 +96,66 @@
 // Step feeds one input and returns everything that the plug-ins asked for.
 func (k *Kernel) Step(now, wall int64, in Input) Out {
 	k.steps.Add(1)
-	t := &Context{Now: now, Wall: wall, Rand: k.Rand, Counts: k.Counts}
-	k.route(t, in)
-	for len(t.events) > 0 || len(k.later) > 0 {
-		if len(t.events) == 0 {
+	ctx := &Context{Now: now, Wall: wall, Rand: k.Rand, Counts: k.Counts}
+	k.route(ctx, in)
+	for len(ctx.events) > 0 || len(k.later) > 0 {
+		if len(ctx.events) == 0 {
 			f := k.later[0]
 			k.later = k.later[1:]
-			f(t)
+			f(ctx)
 			continue
 		}
-		ev := t.events[0]
-		t.events = t.events[1:]
+		ev := ctx.events[0]
+		ctx.events = ctx.events[1:]
 		for _, p := range k.plugins {
-			p.Step(t, ev)
+			p.Step(ctx, ev)
 		}
 	}
-	k.pieces.send(t)
-	return t.Out
+	k.pieces.send(ctx)
+	return ctx.Out
 }
 
 // Later has f run at the end of this step, or of the next one between steps: for a plug-in
 // that others change by plain calls and that must act on it without looking again and again.
-func (k *Kernel) Later(f func(t *Context)) { k.later = append(k.later, f) }
+func (k *Kernel) Later(f func(ctx *Context)) { k.later = append(k.later, f) }
 
-func (k *Kernel) route(t *Context, in Input) {
+func (k *Kernel) route(ctx *Context, in Input) {
 	switch v := in.(type) {
 	case Received:
-		if err := k.received(t, v); err != nil {
+		if err := k.received(ctx, v); err != nil {
 			k.Counts.Add("frames_malformed", 1)
-			t.Drop(v.Chan)
+			ctx.Drop(v.Chan)
 		}
 	case ChannelDown:
 		k.pieces.closed(v.Chan)
-		k.each(t, in)
+		k.each(ctx, in)
 	case Tick:
 		if v.Plugin == piecesName {
-			k.pieces.tick(t)
+			k.pieces.tick(ctx)
 			return
 		}
-		k.to(t, v.Plugin, in)
+		k.to(ctx, v.Plugin, in)
 	case Written:
-		k.to(t, v.Plugin, in)
+		k.to(ctx, v.Plugin, in)
 	case Fetched:
-		k.to(t, v.Plugin, in)
+		k.to(ctx, v.Plugin, in)
 	case Call:
-		k.to(t, v.Plugin, in)
+		k.to(ctx, v.Plugin, in)
 	case Abandoned:
-		k.to(t, v.Plugin, in)
+		k.to(ctx, v.Plugin, in)
 	default:
-		k.each(t, in)
+		k.each(ctx, in)
 	}
 }
 
-func (k *Kernel) each(t *Context, in Input) {
+func (k *Kernel) each(ctx *Context, in Input) {
 	for _, p := range k.plugins {
-		p.Step(t, in)
+		p.Step(ctx, in)
 	}
 }
 
 // received takes a frame; an error means that it is not one that this process can read.
-func (k *Kernel) received(t *Context, in Received) error {
+func (k *Kernel) received(ctx *Context, in Received) error {
 	f, err := wire.Open(in.Data)
 	if err != nil {
 		return err
@@ -166,35 +166,35 @@
 		if err := wire.Decode(f.Body, &ack); err != nil {
 			return err
 		}
-		k.pieces.acked(t, ack)
+		k.pieces.acked(ctx, ack)
 	case wire.KindPiece:
 		var piece wire.Piece
 		if err := wire.Decode(f.Body, &piece); err != nil {
 			return err
 		}
-		whole, err := k.pieces.piece(t, in.Chan, piece)
+		whole, err := k.pieces.piece(ctx, in.Chan, piece)
 		if whole == nil || err != nil {
 			return err
 		}
-		k.deliver(t, in.Chan, *whole)
+		k.deliver(ctx, in.Chan, *whole)
 	default:
-		k.deliver(t, in.Chan, f)
+		k.deliver(ctx, in.Chan, f)
 	}
 	return nil
 }
 
 // deliver hands a message to the plug-in of its kind.
-func (k *Kernel) deliver(t *Context, conn uint64, f wire.Frame) {
+func (k *Kernel) deliver(ctx *Context, conn uint64, f wire.Frame) {
 	p, ok := k.byKind[f.Kind]
 	if !ok {
 		k.Counts.Add("frames_unknown_kind", 1)
 		return
 	}
-	p.Step(t, Message{Chan: conn, Kind: f.Kind, ID: f.ID, Body: f.Body})
+	p.Step(ctx, Message{Chan: conn, Kind: f.Kind, ID: f.ID, Body: f.Body})
 }
 
-func (k *Kernel) to(t *Context, name string, in Input) {
+func (k *Kernel) to(ctx *Context, name string, in Input) {
 	if p, ok := k.byName[name]; ok {
-		p.Step(t, in)
+		p.Step(ctx, in)
 	}
 }
--- a/runtime/kernel/pieces.go
+++ b/runtime/kernel/pieces.go
@@ -28,42 +28,42 @@
 func keepsOrder(kind uint8) bool { return kind == wire.KindHanded }
 
 // send takes the large messages out of a step's sends and adds the pieces that may leave now.
-func (p *pieces) send(t *Context) {
-	sends := t.Out.Sends[:0]
-	for _, s := range t.Out.Sends {
+func (p *pieces) send(ctx *Context) {
+	sends := ctx.Out.Sends[:0]
+	for _, s := range ctx.Out.Sends {
 		to := chunk.Destination{Conn: s.Chan, Addr: s.Addr}
 		behind := keepsOrder(wire.KindOf(s.Data)) && p.sender.Sending(to)
 		if len(s.Data) <= wire.WholeMost && !behind {
 			sends = append(sends, s)
 			continue
 		}
-		if !p.sender.Enqueue(t.Now, chunk.Message{To: to, Slot: s.Slot, Data: s.Data}) {
-			t.Counts.Add("transfers_dropped", 1)
+		if !p.sender.Enqueue(ctx.Now, chunk.Message{To: to, Slot: s.Slot, Data: s.Data}) {
+			ctx.Counts.Add("transfers_dropped", 1)
 		}
 	}
-	t.Out.Sends = sends
-	p.pump(t)
-	p.tickSoon(t)
+	ctx.Out.Sends = sends
+	p.pump(ctx)
+	p.tickSoon(ctx)
 }
 
-func (p *pieces) pump(t *Context) {
-	for _, o := range p.sender.Pump(t.Now) {
-		t.Counts.Add("transfer_bytes_out", int64(len(o.Piece.Data)))
+func (p *pieces) pump(ctx *Context) {
+	for _, o := range p.sender.Pump(ctx.Now) {
+		ctx.Counts.Add("transfer_bytes_out", int64(len(o.Piece.Data)))
 		frame := wire.Seal(wire.KindPiece, 0, &o.Piece)
-		t.Out.Sends = append(t.Out.Sends, Send{Chan: o.To.Conn, Addr: o.To.Addr, Data: frame})
+		ctx.Out.Sends = append(ctx.Out.Sends, Send{Chan: o.To.Conn, Addr: o.To.Addr, Data: frame})
 	}
 }
 
 // tickSoon sets the timer while anything is on its way.
-func (p *pieces) tickSoon(t *Context) {
+func (p *pieces) tickSoon(ctx *Context) {
 	if p.ticking {
 		return
 	}
 	switch {
 	case p.sender.Busy():
-		t.After(chunk.RetryAfter/2, piecesName, "")
+		ctx.After(chunk.RetryAfter/2, piecesName, "")
 	case p.assembler.Busy():
-		t.After(chunk.IdleAfter, piecesName, "")
+		ctx.After(chunk.IdleAfter, piecesName, "")
 	default:
 		return
 	}
@@ -71,13 +71,13 @@
 }
 
 // tick sends again, gives up and forgets; the pieces leave at the end of the step.
-func (p *pieces) tick(t *Context) {
+func (p *pieces) tick(ctx *Context) {
 	p.ticking = false
-	if given := p.sender.Expire(t.Now); given > 0 {
-		t.Counts.Add("transfers_abandoned", int64(given))
-		t.Log(1, "transfer_abandoned", "transfers", given)
+	if given := p.sender.Expire(ctx.Now); given > 0 {
+		ctx.Counts.Add("transfers_abandoned", int64(given))
+		ctx.Log(1, "transfer_abandoned", "transfers", given)
 	}
-	p.assembler.Expire(t.Now)
+	p.assembler.Expire(ctx.Now)
 }
 
 // Receiving tells whether a large message is coming in, on any connection.
@@ -96,34 +96,34 @@
 }
 
 // acked takes an acknowledgement.
-func (p *pieces) acked(t *Context, ack wire.PieceAck) {
-	done, again := p.sender.Acked(t.Now, ack)
+func (p *pieces) acked(ctx *Context, ack wire.PieceAck) {
+	done, again := p.sender.Acked(ctx.Now, ack)
 	if done {
-		t.Counts.Add("transfers_sent", 1)
+		ctx.Counts.Add("transfers_sent", 1)
 	}
 	if again {
-		t.Counts.Add("transfers_restarted", 1)
+		ctx.Counts.Add("transfers_restarted", 1)
 	}
 }
 
 // piece takes a piece, and gives the message that is whole by it. An error means that the
 // connection should be dropped.
-func (p *pieces) piece(t *Context, conn uint64, piece wire.Piece) (*wire.Frame, error) {
-	taken, err := p.assembler.Take(t.Now, conn, piece)
+func (p *pieces) piece(ctx *Context, conn uint64, piece wire.Piece) (*wire.Frame, error) {
+	taken, err := p.assembler.Take(ctx.Now, conn, piece)
 	if err != nil {
 		if errors.Is(err, chunk.ErrDigest) {
-			t.Counts.Add("transfers_corrupt", 1)
+			ctx.Counts.Add("transfers_corrupt", 1)
 		}
-		t.Log(1, "transfer_refused", "why", err.Error())
+		ctx.Log(1, "transfer_refused", "why", err.Error())
 		return nil, err
 	}
 	if taken.Reply {
-		t.Send(conn, wire.KindPieceAck, 0, &taken.Ack)
+		ctx.Send(conn, wire.KindPieceAck, 0, &taken.Ack)
 	}
 	if taken.Whole == nil {
 		return nil, nil
 	}
-	t.Counts.Add("transfers_received", 1)
+	ctx.Counts.Add("transfers_received", 1)
 	frame, err := wire.OpenMessage(taken.Whole)
 	return &frame, err
 }
--- a/runtime/kernel/pieces_test.go
+++ b/runtime/kernel/pieces_test.go
@@ -25,7 +25,7 @@
 
 // sendNow has a kernel send a message on connection 1.
 func (k *Kernel) sendNow(now int64, kind uint8, m msgp.Marshaler) Out {
-	k.Later(func(t *Context) { t.Send(1, kind, 7, m) })
+	k.Later(func(ctx *Context) { ctx.Send(1, kind, 7, m) })
 	return k.Step(now, now, Stopping{})
 }
 
--- a/runtime/kernel/turn.go
+++ b/runtime/kernel/turn.go
@@ -135,62 +135,62 @@
 }
 
 // Emit hands an event to every plug-in of this process, later in this turn.
-func (t *Context) Emit(in Input) { t.events = append(t.events, in) }
+func (ctx *Context) Emit(in Input) { ctx.events = append(ctx.events, in) }
 
 // Send queues a message on a channel.
-func (t *Context) Send(ch uint64, kind uint8, id uint64, m msgp.Marshaler) {
-	t.Out.Sends = append(t.Out.Sends, Send{Chan: ch, Data: wire.Seal(kind, id, m)})
+func (ctx *Context) Send(ch uint64, kind uint8, id uint64, m msgp.Marshaler) {
+	ctx.Out.Sends = append(ctx.Out.Sends, Send{Chan: ch, Data: wire.Seal(kind, id, m)})
 }
 
 // SendSlot is Send for frames of which only the newest of a slot matters.
-func (t *Context) SendSlot(ch uint64, kind uint8, m msgp.Marshaler, slot string) {
-	t.Out.Sends = append(t.Out.Sends, Send{Chan: ch, Data: wire.Seal(kind, 0, m), Slot: slot})
+func (ctx *Context) SendSlot(ch uint64, kind uint8, m msgp.Marshaler, slot string) {
+	ctx.Out.Sends = append(ctx.Out.Sends, Send{Chan: ch, Data: wire.Seal(kind, 0, m), Slot: slot})
 }
 
 // SendSlotTo is SendSlot on the direct channel to an address.
-func (t *Context) SendSlotTo(addr string, kind uint8, m msgp.Marshaler, slot string) {
-	t.Out.Sends = append(t.Out.Sends, Send{Addr: addr, Data: wire.Seal(kind, 0, m), Slot: slot})
+func (ctx *Context) SendSlotTo(addr string, kind uint8, m msgp.Marshaler, slot string) {
+	ctx.Out.Sends = append(ctx.Out.Sends, Send{Addr: addr, Data: wire.Seal(kind, 0, m), Slot: slot})
 }
 
 // SendTo queues a message on the direct channel to an address.
-func (t *Context) SendTo(addr string, kind uint8, id uint64, m msgp.Marshaler) {
-	t.Out.Sends = append(t.Out.Sends, Send{Addr: addr, Data: wire.Seal(kind, id, m)})
+func (ctx *Context) SendTo(addr string, kind uint8, id uint64, m msgp.Marshaler) {
+	ctx.Out.Sends = append(ctx.Out.Sends, Send{Addr: addr, Data: wire.Seal(kind, id, m)})
 }
 
 // Dial asks for a mesh channel to an address.
-func (t *Context) Dial(addr string) { t.Out.Dials = append(t.Out.Dials, addr) }
+func (ctx *Context) Dial(addr string) { ctx.Out.Dials = append(ctx.Out.Dials, addr) }
 
 // Drop closes a channel.
-func (t *Context) Drop(ch uint64) { t.Out.Drops = append(t.Out.Drops, ch) }
+func (ctx *Context) Drop(ch uint64) { ctx.Out.Drops = append(ctx.Out.Drops, ch) }
 
 // After sets a timer.
-func (t *Context) After(d int64, plugin, key string) {
-	t.Out.Timers = append(t.Out.Timers, Timer{At: t.Now + d, Plugin: plugin, Key: key})
+func (ctx *Context) After(d int64, plugin, key string) {
+	ctx.Out.Timers = append(ctx.Out.Timers, Timer{At: ctx.Now + d, Plugin: plugin, Key: key})
 }
 
 // Write asks for a durable file.
-func (t *Context) Write(plugin, key, file string, data []byte) {
-	t.Out.Writes = append(t.Out.Writes, Write{Plugin: plugin, Key: key, File: file, Data: data})
+func (ctx *Context) Write(plugin, key, file string, data []byte) {
+	ctx.Out.Writes = append(ctx.Out.Writes, Write{Plugin: plugin, Key: key, File: file, Data: data})
 }
 
 // Fetch asks for an HTTP GET.
-func (t *Context) Fetch(plugin, key, url string, timeout int64) {
-	t.Out.Fetches = append(t.Out.Fetches, Fetch{Plugin: plugin, Key: key, URL: url, Timeout: timeout})
+func (ctx *Context) Fetch(plugin, key, url string, timeout int64) {
+	ctx.Out.Fetches = append(ctx.Out.Fetches, Fetch{Plugin: plugin, Key: key, URL: url, Timeout: timeout})
 }
 
 // Answer replies to a Call.
-func (t *Context) Answer(id uint64, v any) {
-	t.Out.Answers = append(t.Out.Answers, Answer{ID: id, Value: v})
+func (ctx *Context) Answer(id uint64, v any) {
+	ctx.Out.Answers = append(ctx.Out.Answers, Answer{ID: id, Value: v})
 }
 
 // Violated takes note of an invariant that does not hold; detail says of what.
-func (t *Context) Violated(name invariant.Name, detail string) {
-	t.Counts.Add(invariant.Counter(name), 1)
-	t.Log(2, invariant.Event, "invariant", string(name), "detail", detail)
+func (ctx *Context) Violated(name invariant.Name, detail string) {
+	ctx.Counts.Add(invariant.Counter(name), 1)
+	ctx.Log(2, invariant.Event, "invariant", string(name), "detail", detail)
 	invariant.End(name, detail)
 }
 
 // Note logs an event with key=value pairs. Level -1 is debug, 0 info, 1 a warning, 2 an error.
-func (t *Context) Log(level int8, event string, kv ...any) {
-	t.Out.Notes = append(t.Out.Notes, Note{Level: level, Event: event, KV: kv})
+func (ctx *Context) Log(level int8, event string, kv ...any) {
+	ctx.Out.Notes = append(ctx.Out.Notes, Note{Level: level, Event: event, KV: kv})
 }
