--- a/cluster/discovery/listing.go
+++ b/cluster/discovery/listing.go
@@ -200,7 +200,7 @@
 		if v.Status == http.StatusTooManyRequests {
 			p.slower = min(2*max(1, p.slower), slowerMost)
 		}
-		ctx.Log(1, "platform_failed", "status", v.Status, "err", v.Err)
+		ctx.Log(kernel.LevelWarn, "platform_failed", "status", v.Status, "err", v.Err)
 		// Not even a refusal: another node may have a way to the platform.
 		if v.Status == 0 && p.drop(ctx) {
 			p.idleTo = ctx.Now + GiveUpFor
--- a/cluster/mesh/announce.go
+++ b/cluster/mesh/announce.go
@@ -97,6 +97,6 @@
 
 func (m *Mesh) bad(ctx *kernel.Context, p *peer, what string) {
 	ctx.Counts.Add("mesh_dropped_malformed", 1)
-	ctx.Log(1, "mesh_malformed", "what", what, "peer", p.key)
+	ctx.Log(kernel.LevelWarn, "mesh_malformed", "what", what, "peer", p.key)
 	ctx.Drop(p.chanID)
 }
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -33,7 +33,7 @@
 	}
 	if len(e.Origin) != ed25519.PublicKeySize || !ed25519.Verify(e.Origin, signed(e), e.Sig) {
 		ctx.Counts.Add("mesh_dropped_signature", 1)
-		ctx.Log(1, "mesh_signature", "peer", p.key, "type", e.Type, "id", e.ID)
+		ctx.Log(kernel.LevelWarn, "mesh_signature", "peer", p.key, "type", e.Type, "id", e.ID)
 		return
 	}
 	fp := kernel.Fingerprint(e.Origin)
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -126,7 +126,7 @@
 	}
 	p := &peer{chanID: v.Chan, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
 	m.peers[v.Chan] = p
-	ctx.Log(-1, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
+	ctx.Log(kernel.LevelDebug, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
 	m.evict(ctx, v.Chan)
 	back := m.store.lift(v.Peer)
 	m.links.again = m.links.again || back
@@ -167,7 +167,7 @@
 // lose ends a channel whose peer may be gone: the link holds on for a grace.
 func (m *Mesh) lose(ctx *kernel.Context, p *peer) {
 	delete(m.peers, p.chanID)
-	ctx.Log(-1, "mesh_peer_down", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
+	ctx.Log(kernel.LevelDebug, "mesh_peer_down", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
 	count := uint64(0)
 	if o := m.store.origins[p.key]; o != nil {
 		count = o.max
@@ -183,7 +183,7 @@
 // leave ends a channel that is one too many; its peer is there.
 func (m *Mesh) leave(ctx *kernel.Context, p *peer) {
 	delete(m.peers, p.chanID)
-	ctx.Log(-1, "mesh_peer_left", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
+	ctx.Log(kernel.LevelDebug, "mesh_peer_left", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
 	m.empty(ctx, p)
 	ctx.SendSlot(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.someAddrs(ctx, p.zone, greetAddrs), Digest: m.digest()}, "heartbeat")
 	ctx.Drop(p.chanID)
--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -70,7 +70,7 @@
 	}
 	s.bootstrapped = true
 	s.publishMember()
-	ctx.Log(0, "core_spare", "seat", s.replicaID)
+	ctx.Log(kernel.LevelInfo, "core_spare", "seat", s.replicaID)
 }
 
 // planFormation proposes a formation, if this core is the one to do so and enough others are known.
@@ -85,7 +85,7 @@
 	f := wire.Bootstrap{Formation: fmt.Sprintf("%016x", ctx.Rand.Uint64()), Voters: seats}
 	f.By = wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Env.Zone, Addr: s.k.Boot.Env.Mesh}
 	s.plannedAt = ctx.Now
-	ctx.Log(0, "formation_planned", "formation", f.Formation, "seats", len(seats))
+	ctx.Log(kernel.LevelInfo, "formation_planned", "formation", f.Formation, "seats", len(seats))
 	s.consent(ctx, f, func(ctx *kernel.Context, ok bool) {
 		if ok && s.formation.Formation == f.Formation {
 			s.propose(ctx)
@@ -122,7 +122,7 @@
 // anyone is told: whoever consented to it is free only once it can never be complete.
 func (s *Host) withdraw(ctx *kernel.Context) {
 	was := s.formation
-	ctx.Log(1, "formation_withdrawn", "formation", was.Formation)
+	ctx.Log(kernel.LevelWarn, "formation_withdrawn", "formation", was.Formation)
 	s.consent(ctx, wire.Bootstrap{}, func(ctx *kernel.Context, ok bool) {
 		if !ok {
 			return
@@ -219,7 +219,7 @@
 		}
 		s.formation, s.bootstrapped = f, true
 		s.adoptFormation()
-		ctx.Log(0, "fleet_formed", "formation", f.Formation, "seat", s.replicaID)
+		ctx.Log(kernel.LevelInfo, "fleet_formed", "formation", f.Formation, "seat", s.replicaID)
 		s.publishMember()
 		for _, member := range f.Voters {
 			if f.By.ID == s.replicaID && member.ID != s.replicaID {
--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -92,7 +92,7 @@
 		g.caughtUpAt[r.From] = ctx.Now
 		ctx.Counts.Add("part_handed_over", 1)
 		ctx.Counts.Add("snapshot_bytes_sent", int64(size))
-		ctx.Log(0, "snapshot_sent", "part", g.partition, "to", r.From, "had_term", r.Held.Term, "had_seq", r.Held.Seq,
+		ctx.Log(kernel.LevelInfo, "snapshot_sent", "part", g.partition, "to", r.From, "had_term", r.Held.Term, "had_seq", r.Held.Seq,
 			"term", g.committed.Version.Term, "seq", g.committed.Version.Seq, "bytes", size)
 		g.sendVersion(ctx, voter, g.committed)
 	}
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -146,7 +146,7 @@
 	lost := g.ready && since > ContactFor
 	if lost && !g.contactLost {
 		ctx.Counts.Add("part_contact_lost", 1)
-		ctx.Log(1, "leader_without_contact", "part", g.partition, "term", g.term, "since_us", since)
+		ctx.Log(kernel.LevelWarn, "leader_without_contact", "part", g.partition, "term", g.term, "since_us", since)
 	}
 	g.contactLost = lost
 }
--- a/control/replica/disk.go
+++ b/control/replica/disk.go
@@ -26,7 +26,7 @@
 	if s.diskProblem == why {
 		return
 	}
-	ctx.Log(1, "disk_condition", "was", s.diskProblem, "is", why)
+	ctx.Log(kernel.LevelWarn, "disk_condition", "was", s.diskProblem, "is", why)
 	s.diskProblem = why
 	s.publishMember()
 }
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -95,7 +95,7 @@
 		isStamped := strings.Contains(name, ".stamp-")
 		if err != nil {
 			ctx.Counts.Add("disk_torn", 1)
-			ctx.Log(1, "disk_torn", "file", name)
+			ctx.Log(kernel.LevelWarn, "disk_torn", "file", name)
 			// A version that was not whole was never acknowledged; any other file is needed whole.
 			s.diskDamaged = s.diskDamaged || !isStamped
 			continue
@@ -160,13 +160,13 @@
 	s.started, s.clockOrigin = ctx.Now, 1+ctx.Rand.Int64N(clockOrigins)
 	if s.k.Boot.Env.Data == "" && len(s.k.Boot.Files) == 0 {
 		// Without a disk it has no replica; it hands on what it is asked.
-		ctx.Log(0, "core_without_disk")
+		ctx.Log(kernel.LevelInfo, "core_without_disk")
 		return
 	}
 	s.load(ctx)
 	if s.diskDamaged {
 		s.setSick(ctx, "damaged")
-		ctx.Log(2, "disk_damaged", "do", "stop this core, empty its data folder, start it again: it comes back as a new seat", "why", s.futureFormat)
+		ctx.Log(kernel.LevelError, "disk_damaged", "do", "stop this core, empty its data folder, start it again: it comes back as a new seat", "why", s.futureFormat)
 		return
 	}
 	if s.replicaID == "" {
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -21,7 +21,7 @@
 	for _, s := range allVoters(best) {
 		g.heardAt[s.ID] = ctx.Now
 	}
-	ctx.Log(0, "part_owner", "part", g.partition, "term", g.term, "adopts_term", best.Version.Term, "adopts_seq", best.Version.Seq)
+	ctx.Log(kernel.LevelInfo, "part_owner", "part", g.partition, "term", g.term, "adopts_term", best.Version.Term, "adopts_seq", best.Version.Seq)
 	ctx.Counts.Add("part_owned", 1)
 	v := best
 	v.Version = wire.Version{Partition: g.partition, Term: g.term, Seq: best.Version.Seq + 1}
@@ -33,7 +33,7 @@
 // stepDown ends leadership or candidature. What was in flight has an unknown outcome.
 func (g *Group) stepDown(ctx *kernel.Context, why string) {
 	if g.role == leader {
-		ctx.Log(1, "part_retired", "part", g.partition, "term", g.term, "why", why)
+		ctx.Log(kernel.LevelWarn, "part_retired", "part", g.partition, "term", g.term, "why", why)
 		for _, w := range g.proposedEdits {
 			g.answer(ctx, w.conn, w.id, wire.EditReply{Code: "unknown"})
 		}
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -108,7 +108,7 @@
 		if change := plan(ctx); change != nil {
 			change.synced, change.begunAt = map[string]wire.Version{}, ctx.Now
 			g.change = change
-			ctx.Log(0, "membership_change_begun", "part", g.partition, "reason", string(change.reason), "removed", change.removed,
+			ctx.Log(kernel.LevelInfo, "membership_change_begun", "part", g.partition, "reason", string(change.reason), "removed", change.removed,
 				"learners", replicaIDs(change.learners))
 			g.sendToLearners(ctx, g.committed)
 			return
@@ -146,7 +146,7 @@
 }
 
 func (g *Group) abandonChange(ctx *kernel.Context, why string) {
-	ctx.Log(1, "membership_change_abandoned", "part", g.partition, "reason", string(g.change.reason), "learners", replicaIDs(g.change.learners), "why", why)
+	ctx.Log(kernel.LevelWarn, "membership_change_abandoned", "part", g.partition, "reason", string(g.change.reason), "learners", replicaIDs(g.change.learners), "why", why)
 	ctx.Counts.Add("part_changes_abandoned", 1)
 	g.change = nil
 }
@@ -210,7 +210,7 @@
 	if before.Version.Term == 0 || isJoint(now) || !isJoint(before) && sameMembers(before.Voters, now.Voters) {
 		return
 	}
-	ctx.Log(0, "membership_change_ended", "part", g.partition, "term", now.Version.Term, "seq", now.Version.Seq, "voters", replicaIDs(now.Voters))
+	ctx.Log(kernel.LevelInfo, "membership_change_ended", "part", g.partition, "term", now.Version.Term, "seq", now.Version.Seq, "voters", replicaIDs(now.Voters))
 	for _, voter := range allVoters(before) {
 		if !contains(now.Voters, voter.ID) {
 			g.sendVersion(ctx, voter, now)
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -36,7 +36,7 @@
 	}
 	v := m.Versioned
 	g.votedTerm = v.Version.Term
-	ctx.Log(1, "part_rebuilt", "part", g.partition, "term", v.Version.Term, "seq", v.Version.Seq)
+	ctx.Log(kernel.LevelWarn, "part_rebuilt", "part", g.partition, "term", v.Version.Term, "seq", v.Version.Seq)
 	g.host.save(ctx, versionFile(v.Version), wire.Encode(&v), func(ctx *kernel.Context, err string) {
 		if err != "" {
 			reply(ctx, err)
@@ -59,6 +59,6 @@
 		return false
 	}
 	ctx.Counts.Add("part_superseded", 1)
-	ctx.Log(1, "part_superseded", "part", g.partition, "holds_term", best.Version.Term, "newer_term", v.Version.Term)
+	ctx.Log(kernel.LevelWarn, "part_superseded", "part", g.partition, "holds_term", best.Version.Term, "newer_term", v.Version.Term)
 	return true
 }
--- a/control/replica/synced.go
+++ b/control/replica/synced.go
@@ -35,7 +35,7 @@
 	}
 	delete(g.synced, r.From)
 	ctx.Counts.Add("replicas_rolled_back", 1)
-	ctx.Log(2, "replica_rolled_back", "part", g.partition, "replica", r.From, "had_seq", was.stamp.Seq, "has_seq", r.Held.Seq,
+	ctx.Log(kernel.LevelError, "replica_rolled_back", "part", g.partition, "replica", r.From, "had_seq", was.stamp.Seq, "has_seq", r.Held.Seq,
 		"do", "stop this core, empty its data folder, start it again: it comes back as a new replica")
 }
 
--- a/control/reshard/cutmove.go
+++ b/control/reshard/cutmove.go
@@ -99,7 +99,7 @@
 			continue
 		}
 		ctx.Counts.Add("cut_flips_asked", 1)
-		ctx.Log(0, "cut_flip", "index", name, "from", x.Cut.Name, "to", x.Cut.Next)
+		ctx.Log(kernel.LevelInfo, "cut_flip", "index", name, "from", x.Cut.Name, "to", x.Cut.Next)
 		ctx.SendTo(addr, wire.KindEdit, 0, &wire.Edit{Partition: partition, Op: "flip", Name: name, Body: wire.Encode(&x.Cut)})
 	}
 }
--- a/request/snapshot/configured.go
+++ b/request/snapshot/configured.go
@@ -28,7 +28,7 @@
 	if v.Version != b.config.stamp {
 		body, err := state.ReadConfig(v.Body)
 		if err != nil {
-			ctx.Log(2, "config_unreadable", "err", err.Error())
+			ctx.Log(kernel.LevelError, "config_unreadable", "err", err.Error())
 			return
 		}
 		b.checkRises(ctx, v.Version)
@@ -88,7 +88,7 @@
 		return
 	}
 	ctx.Counts.Add("table_unconfirmed", 1)
-	ctx.Log(1, "serves_unconfirmed_state", "why", "no core that is reached is in contact with a majority", "term", c.Version.Term, "seq", c.Version.Seq)
+	ctx.Log(kernel.LevelWarn, "serves_unconfirmed_state", "why", "no core that is reached is in contact with a majority", "term", c.Version.Term, "seq", c.Version.Seq)
 }
 
 // The timer of a process that waits for confirmed state.
--- a/runtime/kernel/pieces.go
+++ b/runtime/kernel/pieces.go
@@ -75,7 +75,7 @@
 	p.ticking = false
 	if given := p.sender.Expire(ctx.Now); given > 0 {
 		ctx.Counts.Add("transfers_abandoned", int64(given))
-		ctx.Log(1, "transfer_abandoned", "transfers", given)
+		ctx.Log(LevelWarn, "transfer_abandoned", "transfers", given)
 	}
 	p.assembler.Expire(ctx.Now)
 }
@@ -114,7 +114,7 @@
 		if errors.Is(err, chunk.ErrDigest) {
 			ctx.Counts.Add("transfers_corrupt", 1)
 		}
-		ctx.Log(1, "transfer_refused", "why", err.Error())
+		ctx.Log(LevelWarn, "transfer_refused", "why", err.Error())
 		return nil, err
 	}
 	if taken.Reply {
--- a/runtime/kernel/turn.go
+++ b/runtime/kernel/turn.go
@@ -104,14 +104,25 @@
 		ID    uint64
 		Value any
 	}
-	// Note is a line for the log; Level is as in Turn.Note.
+	// Note is one structured line for the log.
 	Note struct {
-		Level int8
+		Level Level
 		Event string
 		KV    []any
 	}
 )
 
+// Level is the severity of a log event.
+type Level int8
+
+// The severities, least first. Their numbers are those of zap's levels.
+const (
+	LevelDebug Level = iota - 1
+	LevelInfo
+	LevelWarn
+	LevelError
+)
+
 // Out is all that one step asks of its driver.
 type Out struct {
 	Sends   []Send
@@ -124,7 +135,7 @@
 	Notes   []Note
 }
 
-// Turn is one step under way.
+// Context is one step under way: what the step may read, and what it has asked for so far.
 type Context struct {
 	Now    int64
 	Wall   int64
@@ -186,11 +197,11 @@
 // Violated takes note of an invariant that does not hold; detail says of what.
 func (ctx *Context) Violated(name invariant.Name, detail string) {
 	ctx.Counts.Add(invariant.Counter(name), 1)
-	ctx.Log(2, invariant.Event, "invariant", string(name), "detail", detail)
+	ctx.Log(LevelError, invariant.Event, "invariant", string(name), "detail", detail)
 	invariant.End(name, detail)
 }
 
-// Note logs an event with key=value pairs. Level -1 is debug, 0 info, 1 a warning, 2 an error.
-func (ctx *Context) Log(level int8, event string, kv ...any) {
+// Log records an event with alternating keys and values.
+func (ctx *Context) Log(level Level, event string, kv ...any) {
 	ctx.Out.Notes = append(ctx.Out.Notes, Note{Level: level, Event: event, KV: kv})
 }
--- a/runtime/process/loop.go
+++ b/runtime/process/loop.go
@@ -159,7 +159,7 @@
 var levels = []zapcore.Level{zapcore.DebugLevel, zapcore.InfoLevel, zapcore.WarnLevel, zapcore.ErrorLevel}
 
 func (p *Process) note(n kernel.Note) {
-	line := p.notes.Check(levels[min(max(n.Level, -1), 2)+1], n.Event)
+	line := p.notes.Check(levels[min(max(n.Level, kernel.LevelDebug), kernel.LevelError)-kernel.LevelDebug], n.Event)
 	if line == nil {
 		return
 	}
