--- /dev/null
+++ b/control/replica/stored_driver_test.go
@@ -0,0 +1,163 @@
+// A core on a data folder: every write is carried out at once, in order, on the files that the
+// next process starts on.
+package replica
+
+import (
+	"maps"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"wallport/env"
+	"wallport/kernel"
+	"wallport/wire"
+)
+
+const storedFolder = "testdata/stored"
+
+// storedCore is a core whose files are kept; its peers are replicas "a", "b" and those that join.
+type storedCore struct {
+	t     *testing.T
+	k     *kernel.Kernel
+	host  *Host
+	now   int64
+	files map[string][]byte
+	// full has every write fail, as on a disk without room.
+	full bool
+}
+
+// startStored starts a process on files. What it writes changes a copy of them.
+func startStored(t *testing.T, files map[string][]byte) *storedCore {
+	t.Helper()
+	k := kernel.New(kernel.Boot{
+		Env:  env.Env{Mesh: "10.0.0.1:1", Zone: "z1", Data: "disk"},
+		Role: "core", Seed: 7, Key: kernel.KeyFrom(make([]byte, 32)), Files: maps.Clone(files),
+	})
+	c := &storedCore{t: t, k: k, host: kernel.Find[*Host](k), now: 1_000_000, files: maps.Clone(files)}
+	if c.files == nil {
+		c.files = map[string][]byte{}
+	}
+	c.step(kernel.Start{})
+	return c
+}
+
+// step feeds an input, carries out what it writes and gives all that is sent.
+func (c *storedCore) step(in kernel.Input) []kernel.Send {
+	out := c.k.Step(c.now, c.now, in)
+	sends := out.Sends
+	for _, w := range out.Writes {
+		written := kernel.Written{Plugin: w.Plugin, Key: w.Key}
+		switch {
+		case c.full:
+			written.Err = "no space left on device"
+		case w.Data == nil:
+			delete(c.files, w.File)
+		default:
+			c.files[w.File] = w.Data
+		}
+		if w.Key != "" {
+			sends = append(sends, c.step(written)...)
+		}
+	}
+	return sends
+}
+
+func (c *storedCore) send(kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) kernel.Out {
+	return kernel.Out{Sends: c.step(kernel.Received{Chan: 5, Data: wire.Seal(kind, 0, m)})}
+}
+
+func (c *storedCore) tick(us int64) {
+	c.now += us
+	c.step(kernel.Tick{Plugin: "seats", Key: "tick"})
+}
+
+// stand has the core ask the others whether they would give it the next term of a partition.
+func (c *storedCore) stand(partition int) *Group {
+	c.t.Helper()
+	g := c.host.groups[partition]
+	for range 100 {
+		if g.role == preCandidate {
+			break
+		}
+		c.tick(TickInterval)
+	}
+	must.Eq(c.t, preCandidate, g.role)
+	return g
+}
+
+// lead has the core win the next term of a partition by the votes of others, who hold nothing newer.
+func (c *storedCore) lead(partition int, voters ...string) *Group {
+	c.t.Helper()
+	g := c.stand(partition)
+	for _, pre := range []bool{true, false} {
+		for _, id := range voters {
+			c.send(wire.KindVoteReply, &wire.VoteReply{Partition: partition, Term: g.term, From: id, Pre: pre, Granted: true})
+		}
+	}
+	must.Eq(c.t, leader, g.role)
+	c.commit(g, voters...)
+	must.True(c.t, g.ready)
+	return g
+}
+
+// commit has others sync the version under way.
+func (c *storedCore) commit(g *Group, voters ...string) {
+	c.t.Helper()
+	must.NotNil(c.t, g.proposal)
+	at := g.proposal.Version
+	for _, id := range voters {
+		c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: id, Version: at, OK: true})
+	}
+	must.Eq(c.t, at, g.committed.Version)
+}
+
+// beat has another voter answer the newest heartbeat, with a clock that agrees.
+func (c *storedCore) beat(g *Group, id string) kernel.Out {
+	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{
+		Partition: g.partition, Term: g.term, From: id, Round: g.round, Held: g.accepted.Version, OK: true, Wall: c.now,
+	})
+}
+
+// ask sends an edit, has it committed or confirmed by others, and gives its answer.
+func (c *storedCore) ask(g *Group, e wire.Edit, voters ...string) wire.EditReply {
+	c.t.Helper()
+	e.Partition = g.partition
+	all := c.send(wire.KindEdit, &e)
+	for _, id := range voters {
+		var out kernel.Out
+		if g.proposal != nil {
+			out = c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: id, Version: g.proposal.Version, OK: true})
+		} else {
+			out = c.beat(g, id)
+		}
+		all.Sends = append(all.Sends, out.Sends...)
+	}
+	answers := sent[wire.EditReply](c.t, all, wire.KindEditReply)
+	must.Len(c.t, 1, answers)
+	return answers[0]
+}
+
+func readStored(t *testing.T, folder string) map[string][]byte {
+	t.Helper()
+	list, err := os.ReadDir(filepath.Join(storedFolder, folder))
+	must.NoError(t, err)
+	files := map[string][]byte{}
+	for _, e := range list {
+		b, err := os.ReadFile(filepath.Join(storedFolder, folder, e.Name()))
+		must.NoError(t, err)
+		files[e.Name()] = b
+	}
+	return files
+}
+
+func writeStored(t *testing.T, folder string, files map[string][]byte) {
+	t.Helper()
+	path := filepath.Join(storedFolder, folder)
+	must.NoError(t, os.RemoveAll(path))
+	must.NoError(t, os.MkdirAll(path, 0o755))
+	for name, b := range files {
+		must.NoError(t, os.WriteFile(filepath.Join(path, name), b, 0o644))
+	}
+}
--- /dev/null
+++ b/control/replica/stored_make_test.go
@@ -0,0 +1,206 @@
+// How the folders of testdata/stored were made: by the process itself where this release still
+// writes what they hold, else field by field as the release before it did.
+package replica
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"testing"
+
+	"github.com/shoenig/test/must"
+	"google.golang.org/protobuf/proto"
+
+	"wallport/diskfile"
+	"wallport/routing"
+	"wallport/routingpb"
+	"wallport/wire"
+)
+
+// updateStored is given, with -run StoredData, only to add a folder: those that are there stand for
+// earlier releases and are never written anew to get a pass.
+var updateStored = flag.Bool("update-stored", false, "write the folders of stored data anew")
+
+// storedSheet is a sheet with one service, told apart by its capacity, and a booking that runs.
+const storedSheet = `{"services":[{"index":"a","capacity":%d,"required_share":75,"deadline_us":"500000","max_deadline_us":1000000,"hedge_us":40000,"ramp_us":1000000}],
+ "rows":[{"index":"a","kind":"search","share":70},{"index":"a","kind":"read","share":30,"ceiling":50}],"bookings":[{"id":"b1","index":"a","kind":"search","slice":60,"starts_us":1,"ends_us":4000000000000000}]}`
+
+func storedPut(base wire.Version, capacity int, id string) wire.Edit {
+	return wire.Edit{Op: "put", Strict: true, Base: base, Body: fmt.Appendf(nil, storedSheet, capacity), EditID: id, By: "ann"}
+}
+
+func storedCut(op, id string, cut wire.LiveCut) wire.Edit {
+	return wire.Edit{Op: op, Name: "docs", EditID: id, Body: wire.Encode(&cut)}
+}
+
+var (
+	storedFirstCut  = wire.LiveCut{Next: "c1", NextShards: 4}
+	storedSecondCut = wire.LiveCut{Next: "c2", NextShards: 8}
+)
+
+// storedIndexPartition is the partition in which the folders have an index.
+const storedIndexPartition = 1
+
+// storedVoters are the voters of the folders: this core, "a" and "b".
+func storedVoters(own string) []wire.Replica {
+	return []wire.Replica{{ID: own, Zone: "z1", Addr: "10.0.0.1:1"}, {ID: "a", Zone: "z2", Addr: "10.0.0.2:1"}, {ID: "b", Zone: "z3", Addr: "10.0.0.3:1"}}
+}
+
+func storedFormation(own string) wire.Bootstrap {
+	return wire.Bootstrap{Formation: "first", Voters: storedVoters(own), By: storedVoters(own)[1]}
+}
+
+// makeConsented is a core that has consented to a formation that is not complete.
+func makeConsented(t *testing.T) *storedCore {
+	t.Helper()
+	c := startStored(t, nil)
+	form := storedFormation(c.host.replicaID)
+	replies := sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &form), wire.KindBootstrapReply)
+	must.Len(t, 1, replies)
+	must.True(t, replies[0].OK)
+	return c
+}
+
+// makeSettled is a core with every kind of file: partition 0 has a sheet with a booking that runs, its
+// history, a routing table and drained zones, partition 1 an index that moves and the holder of that
+// task, 2 a vote alone, 3 the version of another leader, and 4 nothing. Its disk was full for a while.
+func makeSettled(t *testing.T) *storedCore {
+	t.Helper()
+	c := makeConsented(t)
+	form := storedFormation(c.host.replicaID)
+	form.Go = true
+	c.send(wire.KindBootstrap, &form)
+	g := c.lead(0, "a", "b")
+	ok := func(g *Group, e wire.Edit) wire.Version {
+		r := c.ask(g, e, "a", "b")
+		must.Eq(t, "ok", r.Code, must.Sprint(e.Op, r.Findings))
+		return r.Version
+	}
+	first := ok(g, storedPut(wire.Version{}, 100, "sheet-1"))
+	ok(g, storedPut(first, 200, "sheet-2"))
+	ok(g, order(t, 0, 5, 1))
+	ok(g, order(t, 5, 7, 1))
+	ok(g, wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"})
+	ok(g, wire.Edit{Op: "empty", Name: "z8", EditID: "drain-2"})
+	must.Eq(t, 7, g.committed.Version.Seq)
+	must.Eq(t, []string{"b1"}, storedConfig(t, g.committed).Running, must.Sprint("the clocks agree that the booking has begun"))
+	c.send(wire.KindVote, &wire.Vote{Partition: 2, Term: 6, From: "b"})
+	v := wire.Versioned{Version: wire.Version{Partition: 3, Term: 4, Seq: 9}, Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&wire.IndexBody{
+		Cuts: map[string]wire.LiveCut{"maps": {Name: "m1", Shards: 3}},
+	})}
+	c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 4, From: "b", Versioned: v})
+	g = c.lead(storedIndexPartition, "a", "b")
+	ok(g, storedCut("cut", "cut-1", storedFirstCut))
+	ok(g, storedCut("cut", "cut-2", storedSecondCut))
+	// The node's lease is granted once that of any leader before has ended, and written down then.
+	for range 30 {
+		c.tick(TickInterval)
+		c.beat(g, "a")
+		c.send(wire.KindLeaseRequest, &wire.LeaseRequest{Partition: g.partition, Task: "move docs", From: "node-1"})
+		if g.proposal != nil {
+			c.commit(g, "a", "b")
+		}
+	}
+	must.Eq(t, 4, g.committed.Version.Seq)
+	// The vote of partition 4 can't be synced; the disk is tried, and well again.
+	c.full = true
+	c.send(wire.KindVote, &wire.Vote{Partition: 4, Term: 3, From: "b"})
+	c.full = false
+	c.tick(DiskProbeInterval)
+	must.MapContainsKey(t, c.files, "probe")
+	return c
+}
+
+// makeJoint is the settled core once replica "b2", on the emptied disk of "b", has caught up: the
+// version that binds the voters before and after the change is the newest.
+func makeJoint(t *testing.T) *storedCore {
+	t.Helper()
+	c := startStored(t, makeSettled(t).files)
+	g := c.lead(0, "a", "b")
+	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{From: "b", Successor: "b2", Zone: "z3"})
+	c.tick(TickInterval)
+	must.NotNil(t, g.change)
+	c.send(wire.KindAcceptReply, &wire.AcceptReply{Term: g.term, From: "b2", Version: g.committed.Version, OK: true})
+	must.NotNil(t, g.proposal)
+	must.True(t, isJoint(*g.proposal))
+	must.Eq(t, g.proposal.Version, g.accepted.Version)
+	return c
+}
+
+// makeBeforeRelease3 is a folder of release 1: the formation doesn't say who proposed it, and the
+// bodies hold what the ledger does since release 3.
+func makeBeforeRelease3(t *testing.T) *storedCore {
+	t.Helper()
+	own := "0123456789abcdef"
+	form := wire.Bootstrap{Formation: "old", Voters: storedVoters(own), Go: true}
+	at := func(seq uint64) wire.Version { return wire.Version{Term: 2, Seq: seq} }
+	indexAt := wire.Version{Partition: storedIndexPartition, Term: 3, Seq: 4}
+	settled := makeSettled(t).host.groups[0].committed
+	config := storedConfig(t, settled)
+	history := storedLedger(t, settled).History
+	must.Len(t, 2, history)
+	history[0].Version, history[1].Version = at(2), at(3)
+	config.SheetAt, config.History = at(3), history
+	config.Recent = []wire.Done{
+		{EditID: "sheet-1", Sum: legacySum(storedPut(wire.Version{}, 100, "")), Version: at(2)},
+		{EditID: "sheet-2", Sum: legacySum(storedPut(wire.Version{}, 200, "")), Version: at(3)},
+	}
+	for i, e := range []wire.Edit{order(t, 0, 5, 1), order(t, 5, 7, 1)} {
+		var sent routingpb.RoutingEdit
+		must.NoError(t, proto.Unmarshal(e.Body, &sent))
+		config.Revisions = append(config.Revisions, wire.Revision{Number: sent.Revision, Sum: routing.LegacyDigest(&sent), Base: sent.Base, Version: at(4 + uint64(i))})
+	}
+	index := wire.IndexBody{
+		Cuts:    map[string]wire.LiveCut{"docs": {Name: "c1", Shards: 4, Next: "c2", NextShards: 8}},
+		Holders: map[string]wire.Holder{"move docs": {Node: "node-1", Turn: 1}},
+		Recent:  []wire.Done{{EditID: "cut-1", Sum: legacySum(storedCut("cut", "", storedFirstCut)), Version: indexAt}},
+	}
+	versions := []wire.Versioned{
+		{Version: at(6), Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&config)},
+		{Version: indexAt, Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&index)},
+	}
+	files := map[string][]byte{
+		"seat": diskfile.Pack([]byte(own)), "formation": diskfile.Pack(wire.Encode(&form)),
+		"part-0.promise":                         diskfile.Pack(wire.Encode(&wire.Vote{Term: 2, From: own})),
+		"part-0.stamp-000000000002-000000000006": diskfile.Pack(wire.Encode(&versions[0])),
+		"part-1.stamp-000000000003-000000000004": diskfile.Pack(wire.Encode(&versions[1])),
+	}
+	return startStored(t, files)
+}
+
+// legacySum is the digest of an edit that releases before 3 wrote down.
+func legacySum(e wire.Edit) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(e.Op + "\x00" + e.Name + "\x00"))
+	h.Write(e.Body)
+	return h.Sum64()
+}
+
+// storedFolders are the folders and how they were made.
+var storedFolders = []struct {
+	name string
+	make func(*testing.T) *storedCore
+}{
+	{"consented", makeConsented},
+	{"settled", makeSettled},
+	{"joint", makeJoint},
+	{"before-release-3", makeBeforeRelease3},
+}
+
+// TestStoredDataIsWrittenAsBefore makes the folders again: this release writes the same files.
+func TestStoredDataIsWrittenAsBefore(t *testing.T) {
+	for _, folder := range storedFolders {
+		t.Run(folder.name, func(t *testing.T) {
+			made := folder.make(t).files
+			if *updateStored {
+				writeStored(t, folder.name, made)
+			}
+			stored := readStored(t, folder.name)
+			must.Eq(t, sortedKeys(stored), sortedKeys(made))
+			for name := range stored {
+				must.True(t, bytes.Equal(stored[name], made[name]), must.Sprint(name))
+			}
+		})
+	}
+}
--- /dev/null
+++ b/control/replica/stored_resume_test.go
@@ -0,0 +1,143 @@
+// What a process does on stored data: it answers the edits that are known there, votes as it is
+// bound to, and takes on what is new.
+package replica
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"wallport/state"
+	"wallport/wire"
+)
+
+// storedReplica is the replica of the folders that this code wrote from an empty disk.
+const storedReplica = "b5e38c12376b5207"
+
+// storedAnswer is an edit, and what must be answered to it.
+type storedAnswer struct {
+	name string
+	edit wire.Edit
+	code string
+	// term and seq are those of the version in the answer.
+	term, seq uint64
+}
+
+// answers sends edits to a leader, one after the other.
+func (c *storedCore) answers(g *Group, voters []string, list []storedAnswer) {
+	c.t.Helper()
+	for _, a := range list {
+		r := c.ask(g, a.edit, voters...)
+		must.Eq(c.t, a.code, r.Code, must.Sprint(a.name, r.Findings))
+		must.Eq(c.t, wire.Version{Partition: g.partition, Term: a.term, Seq: a.seq}, r.Version, must.Sprint(a.name))
+	}
+}
+
+func TestStoredConsentIsCompleted(t *testing.T) {
+	c := startStored(t, readStored(t, "consented"))
+	must.Eq(t, storedReplica, c.host.ReplicaID())
+	before := string(c.files["formation"])
+	answer := func(f wire.Bootstrap) []wire.BootstrapReply {
+		return sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &f), wire.KindBootstrapReply)
+	}
+	form := storedFormation(storedReplica)
+	must.Eq(t, []wire.BootstrapReply{{Formation: "first", From: storedReplica, OK: true}}, answer(form))
+	other := wire.Bootstrap{Formation: "second", Voters: form.Voters, By: form.Voters[2]}
+	must.Eq(t, []wire.BootstrapReply{{Formation: "second", From: storedReplica, By: form.Voters[1]}}, answer(other))
+	must.Eq(t, before, string(c.files["formation"]))
+	form.Go = true
+	must.SliceEmpty(t, answer(form))
+	must.Eq(t, []wire.BootstrapReply{{Formation: "second", From: storedReplica, Formed: true}}, answer(other))
+	must.True(t, startStored(t, c.files).host.bootstrapped)
+	must.True(t, c.lead(0, "a").ready)
+}
+
+func TestStoredEditsAreKnown(t *testing.T) {
+	c := startStored(t, readStored(t, "settled"))
+	g := c.lead(0, "a")
+	must.Eq(t, wire.Version{Term: 2, Seq: 8}, c.host.CommittedVersion(0))
+	sheetAt := wire.Version{Term: 1, Seq: 3}
+	c.answers(g, []string{"a"}, []storedAnswer{
+		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
+		{"second sheet again", storedPut(wire.Version{Term: 1, Seq: 2}, 200, "sheet-2"), "ok", 1, 3},
+		{"its id for another one", storedPut(sheetAt, 300, "sheet-2"), "conflict", 2, 8},
+		{"a sheet on an earlier one", storedPut(wire.Version{Term: 1, Seq: 2}, 300, "sheet-3"), "lost_race", 1, 3},
+		{"first table again", order(t, 0, 5, 1), "ok", 1, 4},
+		{"second table again", order(t, 5, 7, 1), "ok", 1, 5},
+		{"another table of that number", order(t, 5, 7, 2), "lost_race", 2, 8},
+		{"zone drained again", wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"}, "ok", 1, 6},
+		{"when the zone was drained", wire.Edit{Op: wire.OpZoneVersion, Name: "z9"}, wire.CodeVersion, 1, 6},
+		{"a late order about the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "late"}, wire.CodeStale, 2, 8},
+		{"a new order about the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "timely", Base: wire.Version{Term: 1, Seq: 6}}, "ok", 2, 9},
+		{"a new table", order(t, 7, 9, 1), "ok", 2, 10},
+		{"a new sheet", storedPut(sheetAt, 300, "sheet-3"), "ok", 2, 11},
+		{"the first sheet restored", wire.Edit{Op: "return", Name: "1.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 11}}, "ok", 2, 12},
+	})
+	config := storedConfig(t, g.committed)
+	must.Eq(t, []string{"b1"}, config.Running)
+	must.Eq(t, []string{"z8"}, config.DrainedZones)
+	must.Eq(t, 100, int(state.SheetOf(config).Services[0].Capacity))
+
+	g = c.lead(storedIndexPartition, "a")
+	c.answers(g, []string{"a"}, []storedAnswer{
+		{"first cut again", storedCut("cut", "cut-1", storedFirstCut), "ok", 1, 2},
+		{"second cut again", storedCut("cut", "cut-2", storedSecondCut), "ok", 1, 3},
+		{"its id for another one", storedCut("cut", "cut-2", wire.LiveCut{Next: "c3", NextShards: 1}), "conflict", 2, 5},
+		{"flip", storedCut("flip", "flip-1", wire.LiveCut{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
+	})
+	index, err := state.ReadIndex(g.committed.Body)
+	must.NoError(t, err)
+	must.Eq(t, map[string]wire.LiveCut{"docs": {Name: "c2", Shards: 8}}, index.Cuts)
+	must.Eq(t, map[string]wire.Holder{"move docs": {Node: "node-1", Turn: 1}}, index.Holders)
+}
+
+func TestStoredVotesBind(t *testing.T) {
+	c := startStored(t, readStored(t, "settled"))
+	vote := func(v wire.Vote) wire.VoteReply {
+		replies := sent[wire.VoteReply](t, c.send(wire.KindVote, &v), wire.KindVoteReply)
+		must.Len(t, 1, replies)
+		return replies[0]
+	}
+	must.False(t, vote(wire.Vote{Partition: 2, Term: 5, From: "b"}).Granted)
+	denied := vote(wire.Vote{Partition: 2, Term: 6, From: "a"})
+	must.False(t, denied.Granted)
+	must.Eq(t, uint64(6), denied.Term)
+	must.True(t, vote(wire.Vote{Partition: 2, Term: 6, From: "b"}).Granted)
+	must.True(t, vote(wire.Vote{Partition: 2, Term: 7, From: "a"}).Granted)
+	must.False(t, vote(wire.Vote{Partition: 3, Term: 3, From: "a"}).Granted)
+	late := wire.Versioned{Version: wire.Version{Partition: 3, Term: 3, Seq: 20}, Voters: storedVoters(storedReplica)}
+	refused := accepted(t, c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 3, From: "a", Versioned: late}))
+	must.False(t, refused.OK)
+	must.Eq(t, uint64(4), refused.Term)
+	must.Eq(t, wire.Version{Partition: 3, Term: 4, Seq: 9}, vote(wire.Vote{Partition: 3, Term: 5, From: "a"}).Held.Version)
+}
+
+func TestStoredBodiesBeforeTheLedgerAreAdopted(t *testing.T) {
+	c := startStored(t, readStored(t, "before-release-3"))
+	must.Eq(t, "0123456789abcdef", c.host.ReplicaID())
+	must.Eq(t, "0123456789abcdef", c.host.formation.By.ID, must.Sprint("the first voter proposed it"))
+	g := c.lead(0, "a")
+	c.answers(g, []string{"a"}, []storedAnswer{
+		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
+		{"its id for another one", storedPut(wire.Version{Term: 2, Seq: 3}, 300, "sheet-2"), "conflict", 3, 7},
+		{"first table again", order(t, 0, 5, 1), "ok", 2, 4},
+		{"second table again", order(t, 5, 7, 1), "ok", 2, 5},
+		{"another table of that number", order(t, 5, 7, 2), "lost_race", 3, 7},
+		{"a new table", order(t, 7, 9, 1), "ok", 3, 8},
+		{"second sheet again", storedPut(wire.Version{}, 200, "sheet-2"), "ok", 2, 3},
+		{"the first sheet restored", wire.Edit{Op: "return", Name: "2.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 3}}, "ok", 3, 9},
+	})
+	config, ledger := storedConfig(t, g.committed), storedLedger(t, g.committed)
+	must.True(t, config.Recent == nil && config.Revisions == nil && config.History == nil)
+	must.Eq(t, []string{"z8", "z9"}, config.DrainedZones)
+	must.Len(t, 3, ledger.Orders)
+	must.Len(t, 3, ledger.Edits)
+	must.Len(t, 3, ledger.History)
+
+	g = c.lead(storedIndexPartition, "a")
+	c.answers(g, []string{"a"}, []storedAnswer{
+		{"first cut again", storedCut("cut", "cut-1", storedFirstCut), "ok", 3, 4},
+		{"its id for another one", storedCut("cut", "cut-1", storedSecondCut), "conflict", 4, 5},
+		{"another cut", storedCut("cut", "cut-3", wire.LiveCut{Next: "c3", NextShards: 2}), "ok", 4, 6},
+	})
+}
--- /dev/null
+++ b/control/replica/stored_test.go
@@ -0,0 +1,119 @@
+// Data that an earlier release stored: a process of this release starts on it and goes on where
+// that one ended. How the folders were made is in stored_make_test.go.
+package replica
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"wallport/diskfile"
+	"wallport/state"
+	"wallport/wire"
+)
+
+func storedConfig(t *testing.T, v wire.Versioned) wire.ConfigBody {
+	t.Helper()
+	config, err := state.ReadConfig(v.Body)
+	must.NoError(t, err)
+	return config
+}
+
+func storedLedger(t *testing.T, v wire.Versioned) wire.Ledger {
+	t.Helper()
+	ledger, err := state.ReadLedger(v.Ledger)
+	must.NoError(t, err)
+	return ledger
+}
+
+// describe tells what a process has loaded, in words that don't rest on any Go name.
+func describe(t *testing.T, host *Host) string {
+	t.Helper()
+	var b strings.Builder
+	line := func(format string, values ...any) { fmt.Fprintf(&b, format+"\n", values...) }
+	voters := func(list []wire.Replica) (text string) {
+		for _, r := range list {
+			text += " " + r.ID + "/" + r.Zone + "/" + r.Addr
+		}
+		return text
+	}
+	version := func(v wire.Version) string { return fmt.Sprintf("%d:%d.%d", v.Partition, v.Term, v.Seq) }
+	line("replica %s formed %t damaged %t", host.replicaID, host.bootstrapped, host.diskDamaged)
+	f := host.formation
+	line("formation %q complete %t by %s voters%s", f.Formation, f.Go, f.By.ID, voters(f.Voters))
+	for _, g := range host.groups {
+		v := g.accepted
+		line("partition %d voted %d for %q holds %s files %d", g.partition, g.votedTerm, g.votedFor, version(v.Version), len(g.versionFiles))
+		line("  voters%s before%s", voters(v.Voters), voters(v.PreviousVoters))
+		if g.partition != state.Config {
+			index, err := state.ReadIndex(v.Body)
+			must.NoError(t, err)
+			for _, name := range sortedKeys(index.Cuts) {
+				cut := index.Cuts[name]
+				line("  index %s cut %s/%d next %s/%d", name, cut.Name, cut.Shards, cut.Next, cut.NextShards)
+			}
+			for _, task := range sortedKeys(index.Holders) {
+				line("  task %q holder %s/%d", task, index.Holders[task].Node, index.Holders[task].Turn)
+			}
+			for _, done := range index.Recent {
+				line("  body edit %s %x %s", done.EditID, done.Sum, version(done.Version))
+			}
+		} else {
+			config := storedConfig(t, v)
+			line("  sheet at %s %x", version(config.SheetAt), config.Sheet)
+			line("  routing %x drained %v running %v", config.Routing, config.DrainedZones, config.Running)
+			for _, done := range config.Recent {
+				line("  body edit %s %x %s", done.EditID, done.Sum, version(done.Version))
+			}
+			for _, r := range config.Revisions {
+				line("  body revision %d on %d %x %s", r.Number, r.Base, r.Sum, version(r.Version))
+			}
+			for _, past := range config.History {
+				line("  body sheet %s by %s %x", version(past.Version), past.By, past.Sheet)
+			}
+		}
+		ledger := storedLedger(t, v)
+		for _, o := range ledger.Orders {
+			line("  order %x %d.%d", o.Digest, o.Term, o.Seq)
+		}
+		for _, e := range ledger.Edits {
+			line("  edit %s %x %d.%d", e.EditID, e.Digest, e.Term, e.Seq)
+		}
+		for _, past := range ledger.History {
+			line("  past sheet %s by %s %x", version(past.Version), past.By, past.Sheet)
+		}
+		for _, z := range ledger.Zones {
+			line("  zone %s %d.%d", z.Zone, z.Term, z.Seq)
+		}
+		line("  zone floor %s", version(ledger.ZoneFloor))
+	}
+	return b.String()
+}
+
+func TestStoredDataOfEarlierRelease(t *testing.T) {
+	for _, folder := range storedFolders {
+		t.Run(folder.name, func(t *testing.T) {
+			files := readStored(t, folder.name)
+			must.Positive(t, len(files))
+			for name, b := range files {
+				must.Eq(t, "wallport\x01", string(b[:9]), must.Sprint(name))
+				_, err := diskfile.Unpack(b)
+				must.NoError(t, err, must.Sprint(name))
+			}
+			c := startStored(t, files)
+			must.Eq(t, sortedKeys(files), sortedKeys(c.files), must.Sprint("a start writes nothing"))
+			path := filepath.Join(storedFolder, folder.name+".golden")
+			got := describe(t, c.host)
+			if *updateStored {
+				must.NoError(t, os.WriteFile(path, []byte(got), 0o644))
+			}
+			want, err := os.ReadFile(path)
+			must.NoError(t, err)
+			must.Eq(t, string(want), got)
+		})
+	}
+}
