--- a/cluster/mesh/golden_test.go
+++ b/cluster/mesh/golden_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 // goldenEntry is an announcement as an earlier release signed it.
--- a/control/replica/stored_change_test.go
+++ b/control/replica/stored_change_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/wire"
+	"wallport/runtime/wire"
 )
 
 func TestStoredMembershipChangeGoesOn(t *testing.T) {
--- a/control/replica/stored_driver_test.go
+++ b/control/replica/stored_driver_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/env"
-	"wallport/kernel"
-	"wallport/wire"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+	"wallport/runtime/wire"
 )
 
 const storedFolder = "testdata/stored"
@@ -32,7 +32,7 @@
 func startStored(t *testing.T, files map[string][]byte) *storedCore {
 	t.Helper()
 	k := kernel.New(kernel.Boot{
-		Env:  env.Env{Mesh: "10.0.0.1:1", Zone: "z1", Data: "disk"},
+		Env:  settings.Env{Mesh: "10.0.0.1:1", Zone: "z1", Data: "disk"},
 		Role: "core", Seed: 7, Key: kernel.KeyFrom(make([]byte, 32)), Files: maps.Clone(files),
 	})
 	c := &storedCore{t: t, k: k, host: kernel.Find[*Host](k), now: 1_000_000, files: maps.Clone(files)}
--- a/control/replica/stored_make_test.go
+++ b/control/replica/stored_make_test.go
@@ -12,10 +12,10 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"wallport/diskfile"
-	"wallport/routing"
-	"wallport/routingpb"
-	"wallport/wire"
+	"wallport/api/routingpb"
+	"wallport/control/routing"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/wire"
 )
 
 // updateStored is given, with -run StoredData, only to add a folder: those that are there stand for
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/state"
-	"wallport/wire"
+	"wallport/control/state"
+	"wallport/runtime/wire"
 )
 
 // storedReplica is the replica of the folders that this code wrote from an empty disk.
--- a/control/replica/stored_test.go
+++ b/control/replica/stored_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/diskfile"
-	"wallport/state"
-	"wallport/wire"
+	"wallport/control/state"
+	"wallport/runtime/diskfile"
+	"wallport/runtime/wire"
 )
 
 func storedConfig(t *testing.T, v wire.Versioned) wire.ConfigBody {
--- a/request/idempotency/golden_test.go
+++ b/request/idempotency/golden_test.go
@@ -6,14 +6,14 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/table"
+	"wallport/request/snapshot"
 )
 
 // Nodes of two releases agree on which of them own a key.
 func TestOwnersAreThoseOfEarlierReleases(t *testing.T) {
-	var roster []table.Node
+	var roster []snapshot.Node
 	for i := range 14 {
-		roster = append(roster, table.Node{Name: fmt.Sprint("node-", i), Zone: fmt.Sprint("z", i%3)})
+		roster = append(roster, snapshot.Node{Name: fmt.Sprint("node-", i), Zone: fmt.Sprint("z", i%3)})
 	}
 	for key, want := range map[string]string{
 		"":        " node-6 node-5 node-7 node-3 node-11 node-10 node-9 node-13 node-8 node-1 node-12",
--- a/request/search/golden_test.go
+++ b/request/search/golden_test.go
@@ -1,4 +1,4 @@
-package inquiry
+package search
 
 import (
 	"testing"
