--- a/cluster/discovery/first.go
+++ b/cluster/discovery/first.go
@@ -14,7 +14,7 @@
 
 // first plans the first reading, where a platform says how often the list may be read.
 func (p *Lister) first(ctx *kernel.Context) {
-	e := &p.k.Boot.Env
+	e := &p.k.Boot.Settings
 	switch {
 	case e.ListEvery <= 0:
 	case e.Counted:
--- a/cluster/discovery/first_test.go
+++ b/cluster/discovery/first_test.go
@@ -19,7 +19,7 @@
 		{true, 0, FirstWithin},
 		{false, OthersAfter, OthersAfter + OthersOver},
 	} {
-		r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440, Counted: c.counted})
+		r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: c.counted})
 		r.run(c.to)
 		must.Len(t, 1, r.fetches)
 		must.Between(t, c.from, r.fetches[0], c.to)
@@ -27,8 +27,8 @@
 }
 
 func TestFirstReadingIsLeftOutOnceOneIsHeard(t *testing.T) {
-	a := newRig(t, settings.Env{ListEvery: second, PollsPer: 440, Counted: true})
-	b := newNode(t, settings.Env{ListEvery: second, PollsPer: 440}, 1)
+	a := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: true})
+	b := newNode(t, settings.Settings{ListEvery: second, PollsPer: 440}, 1)
 	meet(a, b)
 	a.run(OthersAfter + OthersOver)
 	must.Positive(t, len(a.fetches))
@@ -37,7 +37,7 @@
 }
 
 func TestFirstReadingsThatFailKeepThePace(t *testing.T) {
-	r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440, Counted: true})
+	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: true})
 	r.status = 429
 	r.run(10 * second)
 	must.Between(t, 2, len(r.fetches), 10)
--- a/cluster/discovery/lease_test.go
+++ b/cluster/discovery/lease_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestLeaseCountsFromWhenItWasAskedFor(t *testing.T) {
-	r := newRig(t, settings.Env{PollsPer: 20})
+	r := newRig(t, settings.Settings{PollsPer: 20})
 	r.owned()
 	id := r.asks()
 	asked := r.now
@@ -41,7 +41,7 @@
 
 // A grant on its way while the lease is given up, or the process stands still, is not taken.
 func TestLeaseGivenUpIsNotTakenUpAgain(t *testing.T) {
-	r := newRig(t, settings.Env{PollsPer: 20})
+	r := newRig(t, settings.Settings{PollsPer: 20})
 	r.owned()
 	id := r.asks()
 	r.feed(kernel.Thawed{Gap: 2 * second})
@@ -51,7 +51,7 @@
 
 // While a node holds the duty nobody else reads under a later grant.
 func TestViolationOfOneHolder(t *testing.T) {
-	r := newRig(t, settings.Env{PollsPer: 20})
+	r := newRig(t, settings.Settings{PollsPer: 20})
 	r.owned()
 	r.grant(r.asks())
 	reads := func(turn uint64) invariant.Name {
--- a/cluster/discovery/listing_test.go
+++ b/cluster/discovery/listing_test.go
@@ -37,12 +37,12 @@
 	mail [][]byte
 }
 
-func newRig(t *testing.T, e settings.Env) *rig { return newNode(t, e, 0) }
+func newRig(t *testing.T, e settings.Settings) *rig { return newNode(t, e, 0) }
 
-func newNode(t *testing.T, e settings.Env, n byte) *rig {
+func newNode(t *testing.T, e settings.Settings, n byte) *rig {
 	e.Name, e.Mesh, e.Platform = "n"+string('0'+n), "10.0.0."+string('1'+n)+":1", "http://platform/list"
 	r := &rig{t: t, status: 200, list: wire.Listing{Whole: true, Servers: []wire.Server{{ID: "s", State: "ready"}}}}
-	r.k = kernel.New(kernel.Boot{Env: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{n}, 32))})
+	r.k = kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{n}, 32))})
 	r.l = kernel.Find[*Lister](r.k)
 	r.feed(kernel.Start{})
 	return r
@@ -64,7 +64,7 @@
 	for _, s := range out.Sends {
 		f, err := wire.Open(s.Data)
 		must.NoError(r.t, err)
-		if r.peer != nil && s.Chan == 1 {
+		if r.peer != nil && s.Conn == 1 {
 			r.peer.mail = append(r.peer.mail, s.Data)
 			continue
 		}
@@ -92,8 +92,8 @@
 // meet opens a mesh channel between two nodes.
 func meet(a, b *rig) {
 	a.peer, b.peer = b, a
-	a.feed(kernel.ChannelUp{Chan: 1, Addr: b.k.Boot.Env.Mesh, Peer: b.l.mesh.Self(), Dialed: true, Mesh: true})
-	b.feed(kernel.ChannelUp{Chan: 1, Addr: a.k.Boot.Env.Mesh, Peer: a.l.mesh.Self(), Mesh: true})
+	a.feed(kernel.ConnUp{Conn: 1, Addr: b.k.Boot.Settings.Mesh, Peer: b.l.mesh.Self(), Dialed: true, Mesh: true})
+	b.feed(kernel.ConnUp{Conn: 1, Addr: a.k.Boot.Settings.Mesh, Peer: a.l.mesh.Self(), Mesh: true})
 }
 
 // run lets the clock go on, with the peer's side by side.
@@ -109,7 +109,7 @@
 			mail := q.mail
 			q.mail = nil
 			for _, data := range mail {
-				q.feed(kernel.Received{Chan: 1, Data: data})
+				q.feed(kernel.Received{Conn: 1, Data: data})
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 		// No period asked for: five eighths of the allowance.
 		{0, 20, 0, 12, 13},
 	} {
-		r := newRig(t, settings.Env{ListEvery: c.every, PollsPer: c.polls})
+		r := newRig(t, settings.Settings{ListEvery: c.every, PollsPer: c.polls})
 		r.grants, r.list.Calls = true, c.calls
 		r.owned()
 		r.run(2 * second)
@@ -158,7 +158,7 @@
 }
 
 func TestASilentHolderIsFollowedInTime(t *testing.T) {
-	r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
 	// A reading was heard of before; who knows of none reads at once (first_test.go).
 	r.l.blank = false
 	r.run(StaleAfter)
@@ -171,8 +171,8 @@
 
 func TestAHolderWithoutAnyAnswerGivesWay(t *testing.T) {
 	for _, status := range []int{0, 429, 500} {
-		r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440})
-		meet(r, newNode(t, settings.Env{ListEvery: second, PollsPer: 440}, 1))
+		r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
+		meet(r, newNode(t, settings.Settings{ListEvery: second, PollsPer: 440}, 1))
 		r.grants = true
 		r.owned()
 		r.run(2 * second)
@@ -198,7 +198,7 @@
 }
 
 func TestAHolderWithNobodyElseGoesOn(t *testing.T) {
-	r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
 	r.grants, r.status = true, 0
 	r.owned()
 	r.run(10 * second)
@@ -206,7 +206,7 @@
 }
 
 func TestADrainingNodeAsksForNothing(t *testing.T) {
-	r := newRig(t, settings.Env{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
 	r.grants = true
 	r.owned()
 	r.run(second)
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -58,7 +58,7 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 20, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		e := k.Boot.Env
+		e := k.Boot.Settings
 		return &Members{k: k, mesh: kernel.Find[*mesh.Mesh](k), rows: map[string]*wire.Member{}, self: wire.Member{
 			Name: e.Name, Role: k.Boot.Role, Zone: e.Zone, Addr: e.Mesh, Caller: e.Caller, Operator: e.Operator, Mesh: mesh.Release,
 		}}
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -22,7 +22,7 @@
 }
 
 func newProcess(others int) *process {
-	k := kernel.New(kernel.Boot{Env: settings.Env{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	p := &process{k: k, m: kernel.Find[*Members](k), now: 5_000_000}
 	p.feed(kernel.Start{})
 	for i := range others {
--- a/cluster/mesh/announce.go
+++ b/cluster/mesh/announce.go
@@ -43,7 +43,7 @@
 }
 
 func (m *Mesh) message(ctx *kernel.Context, v kernel.Message) {
-	p := m.peers[v.Chan]
+	p := m.peers[v.Conn]
 	if p == nil {
 		ctx.Counts.Add("mesh_dropped_stranger", 1)
 		return
--- a/cluster/mesh/beat_test.go
+++ b/cluster/mesh/beat_test.go
@@ -12,7 +12,7 @@
 )
 
 func (r *rig) heartbeat(mk wire.Mark) {
-	r.feed(kernel.Received{Chan: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Marks: []wire.Mark{mk}})})
+	r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Marks: []wire.Mark{mk}})})
 }
 
 func mark(k kernel.Key, beat uint64) wire.Mark {
@@ -51,7 +51,7 @@
 	mk.Key, mk.Sig = nil, nil
 	r.heartbeat(mk)
 	must.False(t, r.m.Live(mk.Origin, r.now))
-	r.k.Boot.Env.UnsignedBeats = true
+	r.k.Boot.Settings.UnsignedBeats = true
 	r.heartbeat(mk)
 	mk.Beat++
 	r.heartbeat(mk)
--- a/cluster/mesh/digest.go
+++ b/cluster/mesh/digest.go
@@ -63,7 +63,7 @@
 		p.differed = false
 		m.inStep(ctx)
 		if hb.Echo {
-			ctx.SendSlot(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Digest: mine}, "answer")
+			ctx.SendLatest(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Digest: mine}, "answer")
 		}
 	case len(hb.Buckets) == Buckets:
 		scope := uint64(partsBit)
@@ -98,7 +98,7 @@
 	p.askedAt, m.askedAt, p.gained, p.again = ctx.Now, ctx.Now, false, false
 	ctx.Counts.Add("mesh_asked", 1)
 	hb := &wire.Heartbeat{Addrs: m.someAddrs(ctx, p.zone, greetAddrs), Digest: m.digest(), Buckets: m.store.buckets[:], Echo: true}
-	ctx.SendSlot(p.chanID, wire.KindHeartbeat, hb, "buckets")
+	ctx.SendLatest(p.chanID, wire.KindHeartbeat, hb, "buckets")
 }
 
 // marked takes the marks of some buckets: what the other side lacks of them is sent, and, if
--- a/cluster/mesh/fleet_test.go
+++ b/cluster/mesh/fleet_test.go
@@ -131,10 +131,10 @@
 
 func TestNeighbourThatFailsToSendALargeEntryIsPassedOver(t *testing.T) {
 	r := newRig(t)
-	r.feed(kernel.ChannelUp{Chan: 8, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
+	r.feed(kernel.ConnUp{Conn: 8, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
 	n := wire.Notice{Type: "listing", ID: "l", Origin: kernel.Fingerprint(key(4).Public), Count: 3, Hops: 2}
 	tell := func(ch uint64) int {
-		return len(r.feed(kernel.Received{Chan: ch, Data: wire.Seal(wire.KindNotice, 0, &n)}).Sends)
+		return len(r.feed(kernel.Received{Conn: ch, Data: wire.Seal(wire.KindNotice, 0, &n)}).Sends)
 	}
 	must.Eq(t, 1, tell(7), must.Sprint("it is asked for"))
 	must.Eq(t, 0, tell(8), must.Sprint("and not from another at the same time"))
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -107,7 +107,7 @@
 	c := *e
 	c.Hops++
 	ctx.Counts.Add("mesh_entries_out", 1)
-	s := kernel.Send{Chan: ch, Data: wire.Seal(wire.KindGossip, way, &c), Slot: slot(e)}
+	s := kernel.Send{Conn: ch, Data: wire.Seal(wire.KindGossip, way, &c), ReplaceKey: slot(e)}
 	ctx.Out.Sends = append(ctx.Out.Sends, s)
 	return len(s.Data)
 }
--- a/cluster/mesh/heartbeat.go
+++ b/cluster/mesh/heartbeat.go
@@ -41,7 +41,7 @@
 		hb = m.marks()
 	}
 	for _, id := range sortedKeys(m.peers) {
-		ctx.SendSlot(id, wire.KindHeartbeat, hb, "heartbeat")
+		ctx.SendLatest(id, wire.KindHeartbeat, hb, "heartbeat")
 	}
 	m.tend(ctx)
 	ctx.Counts.Set("mesh_peers", int64(len(m.peers)))
@@ -149,7 +149,7 @@
 // them; while a fleet is upgraded from one, a setting lets those pass.
 func (m *Mesh) proved(mk wire.Mark) bool {
 	if len(mk.Sig) == 0 {
-		return m.k.Boot.Env.UnsignedBeats
+		return m.k.Boot.Settings.UnsignedBeats
 	}
 	return len(mk.Key) == ed25519.PublicKeySize && kernel.Fingerprint(mk.Key) == mk.Origin && ed25519.Verify(mk.Key, beatText(mk.Beat), mk.Sig)
 }
--- a/cluster/mesh/large_test.go
+++ b/cluster/mesh/large_test.go
@@ -100,11 +100,11 @@
 	served := map[uint64]bool{}
 	for i := range uint64(5) {
 		conn := 20 + i
-		r.feed(kernel.ChannelUp{Chan: conn, Addr: fmt.Sprintf("10.0.1.%d:1", i), Peer: kernel.Fingerprint(key(byte(40 + i)).Public), Mesh: true})
+		r.feed(kernel.ConnUp{Conn: conn, Addr: fmt.Sprintf("10.0.1.%d:1", i), Peer: kernel.Fingerprint(key(byte(40 + i)).Public), Mesh: true})
 		want := wire.Notice{Type: "part", Version: at, Want: true}
-		for _, s := range r.feed(kernel.Received{Chan: conn, Data: wire.Seal(wire.KindNotice, 0, &want)}).Sends {
-			if wire.KindOf(s.Data) == wire.KindPiece {
-				served[s.Chan] = true
+		for _, s := range r.feed(kernel.Received{Conn: conn, Data: wire.Seal(wire.KindNotice, 0, &want)}).Sends {
+			if wire.KindOf(s.Data) == wire.KindChunk {
+				served[s.Conn] = true
 			}
 		}
 		r.now += 1_000_000 // those that do not answer leave room for others
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -106,7 +106,7 @@
 // New makes the mesh of one process.
 func New(k *kernel.Kernel) *Mesh {
 	m := &Mesh{
-		k: k, self: kernel.Fingerprint(k.Boot.Key.Public), addr: k.Boot.Env.Mesh,
+		k: k, self: kernel.Fingerprint(k.Boot.Key.Public), addr: k.Boot.Settings.Mesh,
 		peers: map[uint64]*peer{}, store: newStore(), seen: newSeenSet(), dials: map[string]*dial{},
 		wants: map[wire.Notice]want{}, links: links{lost: map[string]uint64{}, ended: map[string]ended{}}, served: ServeMost,
 	}
@@ -134,11 +134,11 @@
 		m.tick(ctx, v.Key)
 	case kernel.SeedsChanged:
 		m.seedsAre(ctx, v.Seeds)
-	case kernel.ChannelUp:
+	case kernel.ConnUp:
 		if v.Mesh {
 			m.up(ctx, v)
 		}
-	case kernel.ChannelDown:
+	case kernel.ConnDown:
 		if v.Mesh {
 			m.down(ctx, v)
 		}
@@ -187,7 +187,7 @@
 		if m.old {
 			hb := m.marks()
 			hb.Echo = true
-			ctx.SendSlot(id, wire.KindHeartbeat, hb, "echo")
+			ctx.SendLatest(id, wire.KindHeartbeat, hb, "echo")
 			continue
 		}
 		m.ask(ctx, m.peers[id])
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -25,17 +25,17 @@
 }
 
 func newRig(t testing.TB) *rig {
-	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: key(1)})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: key(1)})
 	r := &rig{k: k, m: kernel.Find[*Mesh](k), now: 1_000_000}
 	r.feed(kernel.Start{})
-	r.feed(kernel.ChannelUp{Chan: 7, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(key(2).Public), Mesh: true})
+	r.feed(kernel.ConnUp{Conn: 7, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(key(2).Public), Mesh: true})
 	return r
 }
 
 func (r *rig) feed(in kernel.Input) kernel.Out { return r.k.Step(r.now, r.now, in) }
 
 func (r *rig) gossip(e *wire.Entry) kernel.Out {
-	return r.feed(kernel.Received{Chan: 7, Data: wire.Seal(wire.KindGossip, 0, e)})
+	return r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindGossip, 0, e)})
 }
 
 func entry(k kernel.Key, typ, id string, count uint64) *wire.Entry {
@@ -53,11 +53,11 @@
 
 func TestGoodEntryIsStoredAndForwarded(t *testing.T) {
 	r := newRig(t)
-	r.feed(kernel.ChannelUp{Chan: 8, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
+	r.feed(kernel.ConnUp{Conn: 8, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
 	out := r.gossip(entry(key(2), "opinion", "s1", 1))
 	must.Eq(t, 1, r.holds("opinion"))
 	must.Len(t, 1, out.Sends)
-	must.Eq(t, uint64(8), out.Sends[0].Chan, must.Sprint("forwarded to all but the sender"))
+	must.Eq(t, uint64(8), out.Sends[0].Conn, must.Sprint("forwarded to all but the sender"))
 }
 
 func TestBadEntriesAreDroppedAndCounted(t *testing.T) {
@@ -122,7 +122,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			out := r.feed(kernel.Received{Chan: 7, Data: data})
+			out := r.feed(kernel.Received{Conn: 7, Data: data})
 			must.Eq(t, []uint64{7}, out.Drops)
 			must.Eq(t, 1, r.count("frames_malformed")+r.count("mesh_dropped_malformed"))
 			must.Eq(t, 0, r.holds("opinion"))
@@ -151,7 +151,7 @@
 	}
 	fp := kernel.Fingerprint(key(3).Public)
 	mark := func(max, sum uint64) int {
-		out := r.feed(kernel.Received{Chan: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Marks: []wire.Mark{{Origin: fp, Max: max, Sum: sum, Beat: 1}}})})
+		out := r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Marks: []wire.Mark{{Origin: fp, Max: max, Sum: sum, Beat: 1}}})})
 		return len(out.Sends)
 	}
 	o := r.m.store.origins[fp]
@@ -186,7 +186,7 @@
 	r := newRig(t)
 	for i := range PeerCap {
 		r.now += 1000
-		r.feed(kernel.ChannelUp{Chan: uint64(100 + i), Addr: "x", Peer: kernel.Fingerprint(key(byte(10 + i)).Public), Mesh: true})
+		r.feed(kernel.ConnUp{Conn: uint64(100 + i), Addr: "x", Peer: kernel.Fingerprint(key(byte(10 + i)).Public), Mesh: true})
 	}
 	must.Eq(t, PeerCap, r.m.Peers())
 	must.Eq(t, 1, r.count("mesh_peers_evicted"))
@@ -195,9 +195,9 @@
 
 func TestSelfAndDuplicateChannels(t *testing.T) {
 	r := newRig(t)
-	out := r.feed(kernel.ChannelUp{Chan: 9, Addr: "self", Peer: r.m.self, Dialed: true, Mesh: true})
+	out := r.feed(kernel.ConnUp{Conn: 9, Addr: "self", Peer: r.m.self, Dialed: true, Mesh: true})
 	must.Eq(t, []uint64{9}, out.Drops)
-	out = r.feed(kernel.ChannelUp{Chan: 10, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(key(2).Public), Dialed: true, Mesh: true})
+	out = r.feed(kernel.ConnUp{Conn: 10, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(key(2).Public), Dialed: true, Mesh: true})
 	must.Len(t, 1, out.Drops, must.Sprint("of two channels of a pair one goes"))
 	must.Eq(t, 1, r.m.Peers())
 }
@@ -208,7 +208,7 @@
 	f.Add([]byte{1, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := newRig(t)
-		r.feed(kernel.Received{Chan: 7, Data: data})
+		r.feed(kernel.Received{Conn: 7, Data: data})
 		must.LessEq(t, 1, r.holds("opinion"))
 	})
 }
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -105,11 +105,11 @@
 	for i := range seed {
 		seed[i] = byte(f.rnd.Uint32())
 	}
-	e := settings.Env{Mesh: p.addr, Zone: p.zone}
+	e := settings.Settings{Mesh: p.addr, Zone: p.zone}
 	for i := range min(3, len(f.procs)) {
 		e.Seeds = append(e.Seeds, f.procs[i].addr)
 	}
-	p.k = kernel.New(kernel.Boot{Env: e, Role: "node", Seed: f.rnd.Uint64(), Key: kernel.KeyFrom(seed[:])})
+	p.k = kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: f.rnd.Uint64(), Key: kernel.KeyFrom(seed[:])})
 	p.m, p.up, p.frozen = kernel.Find[*Mesh](p.k), true, false
 	f.step(p, kernel.Start{})
 	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
@@ -150,7 +150,7 @@
 		f.dial(p, a)
 	}
 	for _, s := range out.Sends {
-		e, ok := f.chans[s.Chan]
+		e, ok := f.chans[s.Conn]
 		if !ok {
 			continue
 		}
@@ -160,9 +160,9 @@
 			p.across += int64(len(s.Data))
 		}
 		f.after(500+f.queued(p, len(s.Data)), func() {
-			if _, open := f.chans[s.Chan]; open && !f.cut(p, e.p) {
+			if _, open := f.chans[s.Conn]; open && !f.cut(p, e.p) {
 				e.p.in += int64(len(s.Data))
-				f.step(e.p, kernel.Received{Chan: e.other, Data: s.Data})
+				f.step(e.p, kernel.Received{Conn: e.other, Data: s.Data})
 			}
 		})
 	}
@@ -179,14 +179,14 @@
 			return
 		}
 		if q == nil || !q.up || q.frozen || f.cut(p, q) || f.cut(q, p) {
-			f.after(100_000, func() { f.step(p, kernel.ChannelDown{Addr: addr, Mesh: true}) })
+			f.after(100_000, func() { f.step(p, kernel.ConnDown{Addr: addr, Mesh: true}) })
 			return
 		}
 		f.next += 2
 		a, b := f.next, f.next+1
 		f.chans[a], f.chans[b] = end{q, b}, end{p, a}
-		f.step(p, kernel.ChannelUp{Chan: a, Addr: addr, Peer: q.m.self, Zone: q.zone, Dialed: true, Mesh: true})
-		f.step(q, kernel.ChannelUp{Chan: b, Addr: p.addr, Peer: p.m.self, Zone: p.zone, Mesh: true})
+		f.step(p, kernel.ConnUp{Conn: a, Addr: addr, Peer: q.m.self, Zone: q.zone, Dialed: true, Mesh: true})
+		f.step(q, kernel.ConnUp{Conn: b, Addr: p.addr, Peer: p.m.self, Zone: p.zone, Mesh: true})
 	})
 }
 
@@ -199,7 +199,7 @@
 	mine := f.chans[e.other].p
 	delete(f.chans, ch)
 	delete(f.chans, e.other)
-	f.after(500, func() { f.step(e.p, kernel.ChannelDown{Chan: e.other, Addr: mine.addr, Mesh: true}) })
+	f.after(500, func() { f.step(e.p, kernel.ConnDown{Conn: e.other, Addr: mine.addr, Mesh: true}) })
 }
 
 func (f *fleet) kill(p *process) {
--- a/cluster/mesh/notice.go
+++ b/cluster/mesh/notice.go
@@ -34,7 +34,7 @@
 	n := noticeOf(e)
 	n.Hops = e.Hops + 1
 	ctx.Counts.Add("mesh_notices_out", 1)
-	ctx.SendSlot(ch, wire.KindNotice, &n, "notice\x00"+slot(e))
+	ctx.SendLatest(ch, wire.KindNotice, &n, "notice\x00"+slot(e))
 }
 
 // noticeOf names an entry. A partition's version is the same whoever tells of it.
--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -19,13 +19,13 @@
 // pair is a mesh with two peers that has just forwarded an entry.
 func pair(t testing.TB) *rig {
 	r := newRig(t)
-	r.feed(kernel.ChannelUp{Chan: secondPeer, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
+	r.feed(kernel.ConnUp{Conn: secondPeer, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
 	must.Len(t, 1, r.gossip(entry(key(2), "opinion", "first", 1)).Sends)
 	return r
 }
 
 func (r *rig) gossipFrom(peer uint64, e *wire.Entry) kernel.Out {
-	return r.feed(kernel.Received{Chan: peer, Data: wire.Seal(wire.KindGossip, news, e)})
+	return r.feed(kernel.Received{Conn: peer, Data: wire.Seal(wire.KindGossip, news, e)})
 }
 
 func (r *rig) forwardTick() kernel.Out {
@@ -43,7 +43,7 @@
 	sends := r.forwardTick().Sends
 	must.Len(t, 2, sends)
 	for _, s := range sends {
-		must.Eq(t, secondPeer, s.Chan)
+		must.Eq(t, secondPeer, s.Conn)
 	}
 	must.SliceEmpty(t, r.forwardTick().Sends, must.Sprint("once"))
 }
--- a/cluster/mesh/overlay.go
+++ b/cluster/mesh/overlay.go
@@ -33,7 +33,7 @@
 // begin dials one of the seeds, and the others soon after if that leads nowhere.
 func (m *Mesh) begin(ctx *kernel.Context) {
 	m.beganAt = ctx.Now
-	m.seeds = slices.Clone(m.k.Boot.Env.Seeds)
+	m.seeds = slices.Clone(m.k.Boot.Settings.Seeds)
 	for _, s := range m.seeds {
 		m.know(s)
 	}
@@ -70,7 +70,7 @@
 }
 
 func (m *Mesh) view() view {
-	v := view{zone: m.k.Boot.Env.Zone, zones: map[string][]*origin{}, there: map[string]*origin{}}
+	v := view{zone: m.k.Boot.Settings.Zone, zones: map[string][]*origin{}, there: map[string]*origin{}}
 	for _, fp := range sortedKeys(m.store.origins) {
 		o := m.store.origins[fp]
 		if fp == m.self || o.row == nil || o.row.Addr == m.addr {
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -98,7 +98,7 @@
 	return true
 }
 
-func (m *Mesh) up(ctx *kernel.Context, v kernel.ChannelUp) {
+func (m *Mesh) up(ctx *kernel.Context, v kernel.ConnUp) {
 	if v.Dialed {
 		if d := m.dials[v.Addr]; d != nil {
 			d.under, d.tries, d.failed = false, 0, false
@@ -106,7 +106,7 @@
 	}
 	if v.Peer == m.self {
 		delete(m.dials, v.Addr)
-		ctx.Drop(v.Chan)
+		ctx.Drop(v.Conn)
 		return
 	}
 	m.know(v.Addr)
@@ -121,13 +121,13 @@
 			ctx.Drop(id)
 			break
 		}
-		ctx.Drop(v.Chan)
+		ctx.Drop(v.Conn)
 		return
 	}
-	p := &peer{chanID: v.Chan, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
-	m.peers[v.Chan] = p
+	p := &peer{chanID: v.Conn, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
+	m.peers[v.Conn] = p
 	ctx.Log(kernel.LevelDebug, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
-	m.evict(ctx, v.Chan)
+	m.evict(ctx, v.Conn)
 	back := m.store.lift(v.Peer)
 	m.links.again = m.links.again || back
 	m.relink(ctx)
@@ -150,12 +150,12 @@
 	}
 }
 
-func (m *Mesh) down(ctx *kernel.Context, v kernel.ChannelDown) {
-	if p := m.peers[v.Chan]; p != nil {
+func (m *Mesh) down(ctx *kernel.Context, v kernel.ConnDown) {
+	if p := m.peers[v.Conn]; p != nil {
 		m.lose(ctx, p)
 		return
 	}
-	if d := m.dials[v.Addr]; d != nil && d.under && v.Chan == 0 {
+	if d := m.dials[v.Addr]; d != nil && d.under && v.Conn == 0 {
 		d.under, d.failed = false, true
 		d.tries++
 		if d.tries > 20 && !slices.Contains(m.seeds, v.Addr) {
@@ -185,6 +185,6 @@
 	delete(m.peers, p.chanID)
 	ctx.Log(kernel.LevelDebug, "mesh_peer_left", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
 	m.empty(ctx, p)
-	ctx.SendSlot(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.someAddrs(ctx, p.zone, greetAddrs), Digest: m.digest()}, "heartbeat")
+	ctx.SendLatest(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.someAddrs(ctx, p.zone, greetAddrs), Digest: m.digest()}, "heartbeat")
 	ctx.Drop(p.chanID)
 }
--- a/cluster/mesh/seeds_test.go
+++ b/cluster/mesh/seeds_test.go
@@ -15,8 +15,8 @@
 	r := newRig(t)
 	out := r.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.8:1", "10.0.0.9:1"}})
 	must.Eq(t, []string{"10.0.0.8:1", "10.0.0.9:1"}, out.Dials)
-	r.feed(kernel.ChannelDown{Addr: "10.0.0.8:1", Mesh: true})
-	r.feed(kernel.ChannelDown{Addr: "10.0.0.9:1", Mesh: true})
+	r.feed(kernel.ConnDown{Addr: "10.0.0.8:1", Mesh: true})
+	r.feed(kernel.ConnDown{Addr: "10.0.0.9:1", Mesh: true})
 	r.now += BackoffFirst * 2
 	out = r.feed(kernel.Tick{Plugin: "mesh", Key: "beat"})
 	must.SliceContains(t, out.Dials, "10.0.0.8:1", must.Sprint("down at first, it is tried again"))
--- a/cmd/wallport/clients.go
+++ b/cmd/wallport/clients.go
@@ -17,7 +17,7 @@
 
 // openClients serves clients and readiness until stop is called.
 func openClients(p *process.Process, operators *httpapi.Server, place platform.Place, failed chan<- error) (stop func(), err error) {
-	e, b := p.Kernel.Boot.Env, kernel.Find[*snapshot.Table](p.Kernel)
+	e, b := p.Kernel.Boot.Settings, kernel.Find[*snapshot.Table](p.Kernel)
 	desk := dispatch.NewDesk(dispatch.Config{
 		Table: b.Now, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 		Retry:      dispatch.RetryConfig{Ratio: e.Retries.Ratio, Allowance: e.Retries.Allowance, WindowUs: e.Retries.WindowUs},
--- a/cmd/wallport/metrics.go
+++ b/cmd/wallport/metrics.go
@@ -15,7 +15,7 @@
 
 // openMetrics tells the figures on a port of the machine's address. A port that cannot be had is
 // logged: a process is not ended for its figures, which the operators' address has, too.
-func openMetrics(p *process.Process, s *httpapi.Server, e settings.Env, port uint16) {
+func openMetrics(p *process.Process, s *httpapi.Server, e settings.Settings, port uint16) {
 	if port == 0 {
 		return
 	}
--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/roles.go
@@ -29,7 +29,7 @@
 )
 
 type daemonCmd struct {
-	settings.Env
+	settings.Settings
 	OnPlatform  bool   `long:"on-platform" description:"take everything from the platform's settings file, which WALLPORT_CONFIG names"`
 	MetricsPort uint16 `long:"metrics-port" description:"port of the machine's address on which a role on the platform tells its figures, at /metrics; 0 is none"`
 }
@@ -44,7 +44,7 @@
 	if c.OnPlatform {
 		return onPlatform(role, platformFlags{metricsPort: c.MetricsPort, meshListen: c.MeshListen})
 	}
-	return daemon(c.Env, role)
+	return daemon(c.Settings, role)
 }
 
 type checkEnv struct {
@@ -56,7 +56,7 @@
 }
 
 func (c *checkEnv) Execute([]string) error {
-	e := settings.Env{File: c.Args.File, LogLevel: "info", PollsPer: 20}
+	e := settings.Settings{File: c.Args.File, LogLevel: "info", PollsPer: 20}
 	found := settings.Findings(nil)
 	if c.OnPlatform {
 		_, found = platform.ReadSettings(c.Args.File, c.Role)
@@ -84,7 +84,7 @@
 // linesLost is the line that tells how many others were dropped since nobody read the log.
 func linesLost(n int) []byte { return fmt.Appendf(nil, "level=warn event=log_lines_lost n=%d\n", n) }
 
-func daemon(e settings.Env, role string) error {
+func daemon(e settings.Settings, role string) error {
 	if found := settings.Load(&e, role); len(found) > 0 {
 		return coded{exitInvalid, found.Error()}
 	}
--- a/control/configsync/choice_test.go
+++ b/control/configsync/choice_test.go
@@ -15,7 +15,7 @@
 func puller() *Sync {
 	return &Sync{
 		liveAt: map[string]int64{}, zones: map[string]string{}, asked: map[string]int64{}, sent: map[uint64]sentPull{}, contact: contact{without: map[string]bool{}},
-		place: settings.Env{Mesh: "10.0.0.1:1", Zone: "z1"},
+		place: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1"},
 	}
 }
 
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -44,7 +44,7 @@
 	known   []string
 	liveAt  map[string]int64
 	zones   map[string]string
-	place   settings.Env
+	place   settings.Settings
 	core    bool
 
 	// asked is when a core was first asked without having answered since.
@@ -64,7 +64,7 @@
 	kernel.Register(kernel.Registration{Rank: 40, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Sync{
 			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), liveAt: map[string]int64{},
-			zones: map[string]string{}, place: k.Boot.Env, core: k.Boot.Role == "core", asked: map[string]int64{}, sent: map[uint64]sentPull{},
+			zones: map[string]string{}, place: k.Boot.Settings, core: k.Boot.Role == "core", asked: map[string]int64{}, sent: map[uint64]sentPull{},
 			contact: contact{without: map[string]bool{}},
 		}
 	}})
--- a/control/operations/binding_test.go
+++ b/control/operations/binding_test.go
@@ -53,7 +53,7 @@
 func TestNothingIsSentForACallThatIsOver(t *testing.T) {
 	for name, over := range map[string]func(n *node){
 		"old":       func(n *node) { n.now += 800_000 },
-		"abandoned": func(n *node) { n.step(kernel.Abandoned{Plugin: "operate", ID: 1}) },
+		"abandoned": func(n *node) { n.step(kernel.Canceled{Plugin: "operate", ID: 1}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newNode(t)
--- a/control/operations/operate.go
+++ b/control/operations/operate.go
@@ -64,9 +64,9 @@
 	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Operate{
 			mesh: kernel.Find[*mesh.Mesh](k), configSync: kernel.Find[*configsync.Sync](k), host: kernel.Find[*replica.Host](k),
-			zones: k.Boot.Env.Regions, members: kernel.Find[*membership.Members](k), calls: map[uint64]*call{}, rebuilds: map[uint64]*rebuilding{},
+			zones: k.Boot.Settings.Regions, members: kernel.Find[*membership.Members](k), calls: map[uint64]*call{}, rebuilds: map[uint64]*rebuilding{},
 			statusReads:  map[uint64]*statusRead{},
-			wantedVoters: k.Boot.Env.Voters(),
+			wantedVoters: k.Boot.Settings.Voters(),
 		}
 	}})
 }
@@ -84,7 +84,7 @@
 	switch v := in.(type) {
 	case kernel.Call:
 		o.called(ctx, v)
-	case kernel.Abandoned:
+	case kernel.Canceled:
 		// What is under way may be taken; nothing more is sent for it.
 		delete(o.calls, v.ID)
 		delete(o.statusReads, v.ID)
@@ -131,7 +131,7 @@
 
 func (o *Operate) called(ctx *kernel.Context, v kernel.Call) {
 	c := &call{began: ctx.Now}
-	switch ask := v.Ask.(type) {
+	switch ask := v.Request.(type) {
 	case Rebuild:
 		o.rebuild(ctx, v.ID, ask.Partition)
 		return
--- a/control/operations/operate_test.go
+++ b/control/operations/operate_test.go
@@ -31,7 +31,7 @@
 
 // newNode is a node that has heard from a core that "owner" leads partition 0.
 func newNode(t *testing.T) *node {
-	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1", Zone: "z1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	n := &node{t: t, k: k, now: 1_000_000, answers: map[uint64]any{}}
 	n.step(kernel.Start{})
 	n.receive(wire.KindPullReply, 0, &wire.PullReply{Leaders: []wire.Leader{{Partition: 0, Term: 3, Replica: "s", Addr: "owner"}}})
@@ -59,12 +59,12 @@
 }
 
 func (n *node) receive(kind uint8, id uint64, m interface{ MarshalMsg([]byte) ([]byte, error) }) {
-	n.step(kernel.Received{Chan: 4, Data: wire.Seal(kind, id, m)})
+	n.step(kernel.Received{Conn: 4, Data: wire.Seal(kind, id, m)})
 }
 
 func (n *node) reply(id uint64, r wire.EditReply) { n.receive(wire.KindEditReply, id, &r) }
 
-func (n *node) call(id uint64, ask any) { n.step(kernel.Call{Plugin: "operate", ID: id, Ask: ask}) }
+func (n *node) call(id uint64, ask any) { n.step(kernel.Call{Plugin: "operate", ID: id, Request: ask}) }
 
 // pass lets time go by, timers in order.
 func (n *node) pass(us int64) {
@@ -109,7 +109,7 @@
 
 func TestNobodyToSendToIsShed(t *testing.T) {
 	k := newNode(t)
-	k.k = kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k.k = kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	k.call(1, Carry{Edit: edit(), GiveUpUs: 800_000})
 	k.pass(800_000)
 	must.Eq(t, "shed", k.code(1))
--- a/control/operations/rebuild_test.go
+++ b/control/operations/rebuild_test.go
@@ -45,7 +45,7 @@
 
 func TestWantedVotersFollowTheTolerance(t *testing.T) {
 	k := kernel.New(kernel.Boot{
-		Env: settings.Env{Mesh: "10.0.0.1:1", BootstrapKnown: true, Tolerance: settings.Tolerance{Machines: 2}}, Role: "node", Key: kernel.KeyFrom(make([]byte, 32)),
+		Settings: settings.Settings{Mesh: "10.0.0.1:1", BootstrapKnown: true, Tolerance: settings.Tolerance{Machines: 2}}, Role: "node", Key: kernel.KeyFrom(make([]byte, 32)),
 	})
 	must.Eq(t, 5, kernel.Find[*Operate](k).wantedVoters)
 }
--- a/control/operations/status_test.go
+++ b/control/operations/status_test.go
@@ -79,7 +79,7 @@
 	n := newNode(t)
 	n.hears("a")
 	n.call(1, ReadStatus{})
-	n.step(kernel.Abandoned{Plugin: "operate", ID: 1})
+	n.step(kernel.Canceled{Plugin: "operate", ID: 1})
 	n.tells(1, "a", 7)
 	n.pass(StatusWithin)
 	_, answered := n.status(1)
--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -36,7 +36,7 @@
 			return
 		}
 	}
-	e := &s.k.Boot.Env
+	e := &s.k.Boot.Settings
 	for _, c := range s.rows(ctx.Now) {
 		if !c.Formed {
 			continue
@@ -83,7 +83,7 @@
 		return
 	}
 	f := wire.Bootstrap{Formation: fmt.Sprintf("%016x", ctx.Rand.Uint64()), Voters: seats}
-	f.By = wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Env.Zone, Addr: s.k.Boot.Env.Mesh}
+	f.By = wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Settings.Zone, Addr: s.k.Boot.Settings.Mesh}
 	s.plannedAt = ctx.Now
 	ctx.Log(kernel.LevelInfo, "formation_planned", "formation", f.Formation, "seats", len(seats))
 	s.consent(ctx, f, func(ctx *kernel.Context, ok bool) {
@@ -141,7 +141,7 @@
 		r.Formation, r.From = f.Formation, s.replicaID
 		ctx.Send(ch, wire.KindBootstrapReply, 0, &r)
 	}
-	e := &s.k.Boot.Env
+	e := &s.k.Boot.Settings
 	mine, in := s.formation, contains(f.Voters, s.replicaID)
 	switch {
 	case s.replicaID == "" || s.diskDamaged:
--- a/control/replica/bootstrap_choice.go
+++ b/control/replica/bootstrap_choice.go
@@ -25,7 +25,7 @@
 
 // chooseFormation gives the replicas of the formation that this core should propose now, if any.
 func (s *Host) chooseFormation(ctx *kernel.Context, cores []wire.Replica) ([]wire.Replica, bool) {
-	e, want := &s.k.Boot.Env, s.wantedVoters()
+	e, want := &s.k.Boot.Settings, s.wantedVoters()
 	if !e.BootstrapKnown {
 		return PickVoters(cores, want), len(cores) >= want && cores[0].ID == s.replicaID
 	}
@@ -47,9 +47,9 @@
 // proposer is the core at the least seed address. All have the same seeds when a fleet starts,
 // but for themselves: a core that is not given as many as there can be is one of them.
 func (s *Host) proposer(cores []wire.Replica) string {
-	seeds := s.k.Boot.Env.Seeds
+	seeds := s.k.Boot.Settings.Seeds
 	if len(seeds) < maxSeeds {
-		seeds = append(slices.Clone(seeds), s.k.Boot.Env.Mesh)
+		seeds = append(slices.Clone(seeds), s.k.Boot.Settings.Mesh)
 	}
 	best := cores[0]
 	for _, c := range cores {
--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -15,14 +15,14 @@
 )
 
 // emptyCore is a core on a platform with replica "m" and nothing else on its disk.
-func emptyCore(t *testing.T, change func(e *settings.Env)) *core {
-	e := settings.Env{Mesh: "10.0.0.5:1", Zone: "z5", Data: "disk", BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: 1, Zones: 1}}
+func emptyCore(t *testing.T, change func(e *settings.Settings)) *core {
+	e := settings.Settings{Mesh: "10.0.0.5:1", Zone: "z5", Data: "disk", BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: 1, Zones: 1}}
 	e.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	if change != nil {
 		change(&e)
 	}
 	k := kernel.New(kernel.Boot{
-		Env: e, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: map[string][]byte{"seat": diskfile.Pack([]byte("m"))},
+		Settings: e, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: map[string][]byte{"seat": diskfile.Pack([]byte("m"))},
 	})
 	c := &core{k: k, s: kernel.Find[*Host](k), now: 1_000_000}
 	c.feed(kernel.Start{})
@@ -82,7 +82,7 @@
 }
 
 func TestEmptyDiskInAFleetThatExistsNeitherFormsNorConsents(t *testing.T) {
-	c := emptyCore(t, func(e *settings.Env) { e.Bootstrap = false })
+	c := emptyCore(t, func(e *settings.Settings) { e.Bootstrap = false })
 	out := c.send(wire.KindBootstrap, proposal("f1", "a", "a", "b", "m"))
 	must.SliceEmpty(t, out.Writes)
 	must.True(t, formReplies(t, out)[0].Never)
@@ -99,7 +99,7 @@
 }
 
 func TestTheCoreAtTheLeastSeedAddressProposesAtOnce(t *testing.T) {
-	c := emptyCore(t, func(e *settings.Env) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
+	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	c.tick()
 	must.Eq(t, "", c.s.formation.Formation, must.Sprint("nobody else is known yet"))
 	others(c, 3)
@@ -129,7 +129,7 @@
 }
 
 func TestSmallerGroupOnlyWhenEverySeedIsHeard(t *testing.T) {
-	c := emptyCore(t, func(e *settings.Env) {
+	c := emptyCore(t, func(e *settings.Settings) {
 		e.Mesh, e.Zone, e.Seeds, e.Tolerance.Machines = "10.0.0.0:1", "z0", e.Seeds[:2], 2
 	})
 	c.now += SmallerGroupAfter
@@ -141,7 +141,7 @@
 }
 
 func TestOfTwoProposalsThatOfTheLesserSeatGoesOn(t *testing.T) {
-	c := emptyCore(t, func(e *settings.Env) { e.Mesh, e.Seeds = "10.0.0.0:1", e.Seeds[:2] })
+	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Seeds = "10.0.0.0:1", e.Seeds[:2] })
 	others(c, 3)
 	out := c.sync(c.tick())
 	mine := c.s.formation
@@ -160,7 +160,7 @@
 }
 
 func TestRefuserIsLeftOut(t *testing.T) {
-	c := emptyCore(t, func(e *settings.Env) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
+	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	others(c, 3)
 	c.sync(c.tick())
 	f := c.s.formation
@@ -173,7 +173,7 @@
 }
 
 func TestCoreWithoutADiskHoldsNoSeatAndHandsOn(t *testing.T) {
-	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.5:1", BootstrapKnown: true}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.5:1", BootstrapKnown: true}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	c := &core{k: k, s: kernel.Find[*Host](k), now: 1_000_000}
 	must.SliceEmpty(t, c.feed(kernel.Start{}).Writes)
 	must.Eq(t, "", c.s.ReplicaID())
--- a/control/replica/cluster_machine_test.go
+++ b/control/replica/cluster_machine_test.go
@@ -56,7 +56,7 @@
 		files[name] = content
 	}
 	m.kernel = kernel.New(kernel.Boot{
-		Env: settings.Env{
+		Settings: settings.Settings{
 			Name: m.addr, Mesh: m.addr, Zone: m.zone, Data: "disk", Seeds: seeds,
 			BootstrapKnown: true, Bootstrap: m.first, Tolerance: c.shape.tolerance,
 		},
@@ -128,8 +128,8 @@
 func (m *simMachine) step(in kernel.Input) {
 	c := m.cluster
 	out := m.kernel.Step(m.clock(), simWallStart+c.now, in)
-	for _, n := range out.Notes {
-		c.note(m.addr + " " + n.Event + " " + fmt.Sprint(n.KV...))
+	for _, n := range out.LogEvents {
+		c.note(m.addr + " " + n.Event + " " + fmt.Sprint(n.Fields...))
 	}
 	for _, timer := range out.Timers {
 		m.later(timer.At-m.clock(), func() { m.step(kernel.Tick{Plugin: timer.Plugin, Key: timer.Key}) })
@@ -169,11 +169,11 @@
 
 func (m *simMachine) send(s kernel.Send) {
 	c := m.cluster
-	if s.Chan == operatorChanID {
+	if s.Conn == operatorChanID {
 		c.answered(s.Data)
 		return
 	}
-	link := c.links[s.Chan]
+	link := c.links[s.Conn]
 	if s.Addr != "" {
 		key := m.addr + ">" + s.Addr
 		link = c.direct[key]
@@ -200,7 +200,7 @@
 	l.last[i] = max(l.last[i], c.now+simLatency+c.random.Int64N(simLatency))
 	c.after(l.last[i]-c.now, func() {
 		if l.alive() {
-			l.ends[1-i].step(kernel.Received{Chan: l.ids[1-i], Data: data})
+			l.ends[1-i].step(kernel.Received{Conn: l.ids[1-i], Data: data})
 		}
 	})
 }
--- a/control/replica/cluster_test.go
+++ b/control/replica/cluster_test.go
@@ -128,7 +128,7 @@
 		must.NoError(c.t, proto.Unmarshal(edit.Body, &sent))
 		digest := routing.Digest(&sent)
 		c.edits[c.nextEdit] = string(digest[:])
-		leader.step(kernel.Received{Chan: operatorChanID, Data: wire.Seal(wire.KindEdit, c.nextEdit, &edit)})
+		leader.step(kernel.Received{Conn: operatorChanID, Data: wire.Seal(wire.KindEdit, c.nextEdit, &edit)})
 	}
 }
 
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -66,7 +66,7 @@
 }
 
 func (c *cluster) start(m *member) {
-	e := settings.Env{Mesh: m.addr, Zone: "z" + m.name[1:], BootstrapKnown: true}
+	e := settings.Settings{Mesh: m.addr, Zone: "z" + m.name[1:], BootstrapKnown: true}
 	e.Tolerance.Machines = (len(c.members) - 1) / 2
 	for _, other := range c.members {
 		e.Seeds = append(e.Seeds, other.addr)
@@ -77,7 +77,7 @@
 	}
 	m.life++
 	m.frozen, m.waiting, m.startedAt = false, nil, c.now
-	m.kernel = kernel.New(kernel.Boot{Env: e, Role: "core", Seed: c.rnd.Uint64(), Key: kernel.KeyFrom(bytes.Repeat([]byte{m.name[1]}, 32)), Files: files})
+	m.kernel = kernel.New(kernel.Boot{Settings: e, Role: "core", Seed: c.rnd.Uint64(), Key: kernel.KeyFrom(bytes.Repeat([]byte{m.name[1]}, 32)), Files: files})
 	m.host = kernel.Find[*Host](m.kernel)
 	c.step(m, kernel.Start{})
 }
--- a/control/replica/contact_net_test.go
+++ b/control/replica/contact_net_test.go
@@ -49,7 +49,7 @@
 }
 
 func (c *cluster) send(m *member, s kernel.Send) {
-	id := s.Chan
+	id := s.Conn
 	if s.Addr != "" {
 		key := fmt.Sprint(m.name, m.life, ">", s.Addr)
 		to := c.at(s.Addr)
@@ -97,7 +97,7 @@
 			conn.reply(f)
 			return
 		}
-		c.feed(to, conn.lives[side], kernel.Received{Chan: id, Data: data})
+		c.feed(to, conn.lives[side], kernel.Received{Conn: id, Data: data})
 	})
 }
 
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -115,7 +115,7 @@
 	again.heartbeat(t, clock, v.Version)
 	must.Zero(t, again.pulled(t).Contact)
 	must.Between(t, 1, first.s.clockOrigin, clockOrigins)
-	other := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 2, Key: kernel.KeyFrom(make([]byte, 32))})
+	other := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 2, Key: kernel.KeyFrom(make([]byte, 32))})
 	other.Step(1, 1, kernel.Start{})
 	must.NotEq(t, first.s.clockOrigin, kernel.Find[*Host](other).clockOrigin)
 }
@@ -162,7 +162,7 @@
 	must.Positive(t, asked)
 	at := c.now
 	c.now += 50_000
-	c.feed(kernel.Received{Chan: 5, Data: wire.Seal(wire.KindPullReply, asked, &wire.PullReply{Contact: 1, Relayed: 2})})
+	c.feed(kernel.Received{Conn: 5, Data: wire.Seal(wire.KindPullReply, asked, &wire.PullReply{Contact: 1, Relayed: 2})})
 	must.Eq(t, 1, c.pulled(t).Relayed, must.Sprint("what was relayed is not relayed again"))
 	must.Zero(t, c.pulled(t).Contact)
 	c.now = at + RelayedFor + 1
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -36,7 +36,7 @@
 // after a loss of everything there is none to wait for, and where there is one the other replicas,
 // who hear it, deny the first question, which binds nobody.
 func (g *Group) justStarted(ctx *kernel.Context) bool {
-	return g.host.k.Boot.Env.BootstrapKnown && g.leader == "" && g.role != leader && ctx.Now-g.host.started < StartPeriod
+	return g.host.k.Boot.Settings.BootstrapKnown && g.leader == "" && g.role != leader && ctx.Now-g.host.started < StartPeriod
 }
 
 // startElection begins a try: first whether a term would be given, then for the term.
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -75,7 +75,7 @@
 		{false, "", 0, ElectionTimeout, 2 * ElectionTimeout},
 	} {
 		k := newCore(t, nil)
-		k.k.Boot.Env.BootstrapKnown = c.known
+		k.k.Boot.Settings.BootstrapKnown = c.known
 		g := k.s.groups[0]
 		g.accepted.Voters = seats("a", "b", k.s.replicaID)
 		g.leader = c.leader
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -26,7 +26,7 @@
 	for k, v := range more {
 		files[k] = v
 	}
-	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
 	c := &core{k: k, s: kernel.Find[*Host](k), now: 1_000_000}
 	c.feed(kernel.Start{})
 	return c
@@ -35,7 +35,7 @@
 func (c *core) feed(in kernel.Input) kernel.Out { return c.k.Step(c.now, c.now, in) }
 
 func (c *core) send(kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) kernel.Out {
-	return c.feed(kernel.Received{Chan: 5, Data: wire.Seal(kind, 0, m)})
+	return c.feed(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})
 }
 
 // sync carries out the writes of an output and gives what followed.
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -146,11 +146,11 @@
 }
 
 // wantedVoters is how many replicas a partition's group should have.
-func (s *Host) wantedVoters() int { return s.k.Boot.Env.Voters() }
+func (s *Host) wantedVoters() int { return s.k.Boot.Settings.Voters() }
 
 // listenPeriod is how long a process that just started does not stand for leader.
 func (s *Host) listenPeriod() int64 {
-	if s.k.Boot.Env.BootstrapKnown {
+	if s.k.Boot.Settings.BootstrapKnown {
 		return ListenOnPlatform
 	}
 	return ListenBeforeElection
@@ -158,7 +158,7 @@
 
 func (s *Host) start(ctx *kernel.Context) {
 	s.started, s.clockOrigin = ctx.Now, 1+ctx.Rand.Int64N(clockOrigins)
-	if s.k.Boot.Env.Data == "" && len(s.k.Boot.Files) == 0 {
+	if s.k.Boot.Settings.Data == "" && len(s.k.Boot.Files) == 0 {
 		// Without a disk it has no replica; it hands on what it is asked.
 		ctx.Log(kernel.LevelInfo, "core_without_disk")
 		return
@@ -184,7 +184,7 @@
 // addressOf is where a replica's disk is now, as the mesh tells it.
 func (s *Host) addressOf(id string, now int64) string {
 	if id == s.replicaID {
-		return s.k.Boot.Env.Mesh
+		return s.k.Boot.Settings.Mesh
 	}
 	if r, ok := s.row(id, now); ok {
 		return r.Addr
--- a/control/replica/known_cores.go
+++ b/control/replica/known_cores.go
@@ -41,7 +41,7 @@
 
 // pulled takes note of a core that pulls.
 func (s *Host) pulled(ctx *kernel.Context, p wire.Pull) {
-	if p.Addr == "" || p.Addr == s.k.Boot.Env.Mesh {
+	if p.Addr == "" || p.Addr == s.k.Boot.Settings.Mesh {
 		return
 	}
 	if _, ok := s.pullers[p.Addr]; !ok && len(s.pullers) >= maxPullers {
@@ -61,9 +61,9 @@
 func (s *Host) standbys(now int64) []wire.Replica {
 	var out []wire.Replica
 	if s.replicaID != "" && s.diskProblem == "" && !s.stopping {
-		out = append(out, wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Env.Zone, Addr: s.k.Boot.Env.Mesh})
+		out = append(out, wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Settings.Zone, Addr: s.k.Boot.Settings.Mesh})
 	}
-	told := map[string]bool{s.k.Boot.Env.Mesh: true}
+	told := map[string]bool{s.k.Boot.Settings.Mesh: true}
 	for _, a := range sortedKeys(s.pullers) {
 		if v := s.pullers[a]; now-v.at < pullerTimeout {
 			told[a] = true
@@ -83,7 +83,7 @@
 
 // reaches tells whether a core at an address, with a disk or without, has been heard of.
 func (s *Host) reaches(addr string, now int64) bool {
-	if v, ok := s.pullers[addr]; addr == s.k.Boot.Env.Mesh || ok && now-v.at < pullerTimeout {
+	if v, ok := s.pullers[addr]; addr == s.k.Boot.Settings.Mesh || ok && now-v.at < pullerTimeout {
 		return true
 	}
 	for _, r := range s.rows(now) {
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -9,7 +9,7 @@
 )
 
 func (g *Group) becomeLeader(ctx *kernel.Context, best wire.Versioned) {
-	g.role, g.leader, g.leaderAddress = leader, g.self(), g.host.k.Boot.Env.Mesh
+	g.role, g.leader, g.leaderAddress = leader, g.self(), g.host.k.Boot.Settings.Mesh
 	g.ready, g.transferring = false, g.host.stopping
 	g.confirmedRounds, g.clockOffsets = map[string]uint64{}, map[string]int64{}
 	g.synced = map[string]syncedVersion{}
--- a/control/replica/membership.go
+++ b/control/replica/membership.go
@@ -45,7 +45,7 @@
 // replaceLeaving gives the place of a voter that is stopping to a standby, unless the loss of
 // one zone would then take a majority that it does not take now.
 func (g *Group) replaceLeaving(ctx *kernel.Context) *memberChange {
-	zones := g.host.k.Boot.Env.Tolerance.Zones
+	zones := g.host.k.Boot.Settings.Tolerance.Zones
 	for _, voter := range g.committed.Voters {
 		if voter.ID == g.self() || !g.isLeaving(ctx, voter.ID) {
 			continue
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -151,7 +151,7 @@
 
 func TestGroupThatIsTooSmallGrowsByTwo(t *testing.T) {
 	c := newCore(t, nil)
-	e := &c.s.k.Boot.Env
+	e := &c.s.k.Boot.Settings
 	e.BootstrapKnown, e.Tolerance.Machines = true, 2
 	g := owns(t, c)
 	pull := func(id string) {
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -69,7 +69,7 @@
 	m := c.members[id]
 	m.up, m.replies, m.bytesIn = true, map[uint64]wire.EditReply{}, 0
 	m.life++
-	boot := kernel.Boot{Env: settings.Env{Name: id, Mesh: id, Zone: "z" + id, Data: "disk"}, Role: "core", Seed: uint64(id[0]), Key: kernel.KeyFrom(bytes.Repeat([]byte(id), 32)), Files: map[string][]byte{}}
+	boot := kernel.Boot{Settings: settings.Settings{Name: id, Mesh: id, Zone: "z" + id, Data: "disk"}, Role: "core", Seed: uint64(id[0]), Key: kernel.KeyFrom(bytes.Repeat([]byte(id), 32)), Files: map[string][]byte{}}
 	for name, b := range m.files {
 		boot.Files[name] = b
 	}
@@ -121,7 +121,7 @@
 
 // send puts a frame on its connection, as the channels do: what is too large is dropped.
 func (c *narrowCluster) send(m *narrowMember, s kernel.Send) {
-	if s.Chan == clientConn {
+	if s.Conn == clientConn {
 		f, err := wire.Open(s.Data)
 		must.NoError(c.t, err)
 		var r wire.EditReply
@@ -129,7 +129,7 @@
 		m.replies[f.ID] = r
 		return
 	}
-	conn := s.Chan
+	conn := s.Conn
 	if s.Addr != "" {
 		conn = c.connect(m.id, s.Addr)
 	}
@@ -151,7 +151,7 @@
 	c.after(at-c.now+linkDelay, func() {
 		if to.life == life && to.up {
 			to.bytesIn += int64(len(s.Data))
-			c.step(to, kernel.Received{Chan: conn, Data: s.Data})
+			c.step(to, kernel.Received{Conn: conn, Data: s.Data})
 		}
 	})
 }
@@ -205,7 +205,7 @@
 	c.nextEdit++
 	id := c.nextEdit
 	edit := wire.Edit{Op: "routing", Body: b, EditID: fmt.Sprint(id)}
-	c.step(m, kernel.Received{Chan: clientConn, Data: wire.Seal(wire.KindEdit, id, &edit)})
+	c.step(m, kernel.Received{Conn: clientConn, Data: wire.Seal(wire.KindEdit, id, &edit)})
 	c.run(within, "an answer to the order", func() bool { _, ok := m.replies[id]; return ok })
 	return m.replies[id]
 }
--- a/control/replica/proposals_test.go
+++ b/control/replica/proposals_test.go
@@ -56,7 +56,7 @@
 }
 
 func (c *core) edit(id uint64, e wire.Edit) kernel.Out {
-	return c.feed(kernel.Received{Chan: 9, Data: wire.Seal(wire.KindEdit, id, &e)})
+	return c.feed(kernel.Received{Conn: 9, Data: wire.Seal(wire.KindEdit, id, &e)})
 }
 
 func TestNothingIsAnsweredFromWhatIsNotCommitted(t *testing.T) {
--- a/control/replica/pull_large_test.go
+++ b/control/replica/pull_large_test.go
@@ -65,14 +65,14 @@
 		for _, s := range out.Sends {
 			f, err := wire.Open(s.Data)
 			must.NoError(t, err)
-			if f.Kind != wire.KindPiece {
+			if f.Kind != wire.KindChunk {
 				return f.Body
 			}
-			var p wire.Piece
+			var p wire.Chunk
 			must.NoError(t, wire.Decode(f.Body, &p))
 			whole = append(whole, p.Data...)
-			ack := wire.PieceAck{Transfer: p.Transfer, Next: len(whole)}
-			next.Sends = append(next.Sends, c.send(wire.KindPieceAck, &ack).Sends...)
+			ack := wire.ChunkAck{Transfer: p.Transfer, Next: len(whole)}
+			next.Sends = append(next.Sends, c.send(wire.KindChunkAck, &ack).Sends...)
 		}
 		out = next
 	}
--- a/control/replica/route.go
+++ b/control/replica/route.go
@@ -78,7 +78,7 @@
 	var m T
 	if wire.Decode(v.Body, P(&m)) != nil {
 		ctx.Counts.Add("frames_malformed", 1)
-		ctx.Drop(v.Chan)
+		ctx.Drop(v.Conn)
 		return
 	}
 	f(m)
@@ -102,37 +102,37 @@
 	}
 	switch v.Kind {
 	case wire.KindVote:
-		decode(ctx, v, func(m wire.Vote) { to(m.To, m.Partition, func(g *Group) { g.vote(ctx, v.Chan, v.ID, m) }) })
+		decode(ctx, v, func(m wire.Vote) { to(m.To, m.Partition, func(g *Group) { g.vote(ctx, v.Conn, v.ID, m) }) })
 	case wire.KindVoteReply:
 		decode(ctx, v, func(m wire.VoteReply) { g(m.Partition, func(g *Group) { g.voteReply(ctx, m) }) })
 	case wire.KindAccept:
 		decode(ctx, v, func(m wire.Accept) {
-			to(m.To, m.Partition, func(g *Group) { s.joinFleet(ctx); g.accept(ctx, v.Chan, v.ID, m) })
+			to(m.To, m.Partition, func(g *Group) { s.joinFleet(ctx); g.accept(ctx, v.Conn, v.ID, m) })
 		})
 	case wire.KindAcceptReply:
 		decode(ctx, v, func(m wire.AcceptReply) { g(m.Partition, func(g *Group) { g.acceptReply(ctx, m) }) })
 	case wire.KindLeaderHeartbeat:
 		decode(ctx, v, func(m wire.LeaderHeartbeat) {
-			to(m.To, m.Partition, func(g *Group) { g.handleHeartbeat(ctx, v.Chan, v.ID, m) })
+			to(m.To, m.Partition, func(g *Group) { g.handleHeartbeat(ctx, v.Conn, v.ID, m) })
 		})
 	case wire.KindLeaderHeartbeatReply:
 		decode(ctx, v, func(m wire.LeaderHeartbeatReply) { g(m.Partition, func(g *Group) { g.handleHeartbeatReply(ctx, m) }) })
 	case wire.KindBootstrap:
-		decode(ctx, v, func(m wire.Bootstrap) { s.handleForm(ctx, v.Chan, m) })
+		decode(ctx, v, func(m wire.Bootstrap) { s.handleForm(ctx, v.Conn, m) })
 	case wire.KindBootstrapReply:
 		decode(ctx, v, func(m wire.BootstrapReply) { s.handleFormReply(ctx, m) })
 	case wire.KindPull:
-		decode(ctx, v, func(m wire.Pull) { s.pull(ctx, v.Chan, v.ID, m) })
+		decode(ctx, v, func(m wire.Pull) { s.pull(ctx, v.Conn, v.ID, m) })
 	case wire.KindEdit:
-		decode(ctx, v, func(m wire.Edit) { g(m.Partition, func(g *Group) { g.handleEdit(ctx, v.Chan, v.ID, m) }) })
+		decode(ctx, v, func(m wire.Edit) { g(m.Partition, func(g *Group) { g.handleEdit(ctx, v.Conn, v.ID, m) }) })
 	case wire.KindRebuild:
-		decode(ctx, v, func(m wire.Rebuild) { g(m.Partition, func(g *Group) { g.rebuild(ctx, v.Chan, v.ID, m) }) })
+		decode(ctx, v, func(m wire.Rebuild) { g(m.Partition, func(g *Group) { g.rebuild(ctx, v.Conn, v.ID, m) }) })
 	case wire.KindLeave:
-		decode(ctx, v, func(m wire.Leave) { to(m.To, m.Partition, func(g *Group) { g.handleLeave(ctx, v.Chan, m) }) })
+		decode(ctx, v, func(m wire.Leave) { to(m.To, m.Partition, func(g *Group) { g.handleLeave(ctx, v.Conn, m) }) })
 	case wire.KindStatusRequest:
 		s.sendStatus(ctx, v)
 	case wire.KindLeaseRequest:
-		decode(ctx, v, func(m wire.LeaseRequest) { g(m.Partition, func(g *Group) { g.renewLease(ctx, v.Chan, v.ID, m) }) })
+		decode(ctx, v, func(m wire.LeaseRequest) { g(m.Partition, func(g *Group) { g.renewLease(ctx, v.Conn, v.ID, m) }) })
 	}
 }
 
@@ -141,7 +141,7 @@
 	if v.Kind != wire.KindLeaderHeartbeat || partition < 0 || partition >= len(s.groups) || s.groups[partition].isVoter() || s.replicaID == "" || s.diskProblem != "" || s.stopping {
 		return
 	}
-	ctx.Send(v.Chan, wire.KindLeaderHeartbeatReply, v.ID, &wire.LeaderHeartbeatReply{Partition: partition, From: id, Successor: s.replicaID, Zone: s.k.Boot.Env.Zone})
+	ctx.Send(v.Conn, wire.KindLeaderHeartbeatReply, v.ID, &wire.LeaderHeartbeatReply{Partition: partition, From: id, Successor: s.replicaID, Zone: s.k.Boot.Settings.Zone})
 }
 
 // pull answers with every committed version newer than what the asker has.
@@ -188,7 +188,7 @@
 	ctx.Counts.Add("part_messages", 1)
 	if accept, ok := m.(*wire.Accept); ok {
 		// A replica that is slow or away needs the newest version only.
-		ctx.SendSlotTo(addr, kind, m, fmt.Sprintf("version %d", accept.Partition))
+		ctx.SendLatestTo(addr, kind, m, fmt.Sprintf("version %d", accept.Partition))
 		return
 	}
 	ctx.SendTo(addr, kind, 0, m)
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -180,7 +180,7 @@
 	c.run(5_000_000, "it follows", func() bool { return g.leader == l.id || g.isVoter() })
 	must.False(t, away.holds(was))
 	c.stop(l.id)
-	c.step(away, kernel.Received{Chan: 1 << 41, Data: wire.Seal(wire.KindLeaderHeartbeat, 0, &wire.LeaderHeartbeat{Partition: state.Config, Term: g.votedTerm + 1, From: l.id, TransferTo: away.id})})
+	c.step(away, kernel.Received{Conn: 1 << 41, Data: wire.Seal(wire.KindLeaderHeartbeat, 0, &wire.LeaderHeartbeat{Partition: state.Config, Term: g.votedTerm + 1, From: l.id, TransferTo: away.id})})
 	c.run(30_000_000, "a leader", func() bool { return c.leader() != nil })
 	must.True(t, c.leader().holds(was))
 }
--- a/control/replica/status.go
+++ b/control/replica/status.go
@@ -22,7 +22,7 @@
 
 // Status is the state of this process's replicas.
 func (s *Host) Status(now int64) *wire.StatusReply {
-	reply := &wire.StatusReply{Addr: s.k.Boot.Env.Mesh}
+	reply := &wire.StatusReply{Addr: s.k.Boot.Settings.Mesh}
 	for _, g := range s.groups {
 		reply.Replicas = append(reply.Replicas, g.status(now))
 	}
@@ -31,7 +31,7 @@
 
 // sendStatus answers a question for it.
 func (s *Host) sendStatus(ctx *kernel.Context, v kernel.Message) {
-	ctx.Send(v.Chan, wire.KindStatusReply, v.ID, s.Status(ctx.Now))
+	ctx.Send(v.Conn, wire.KindStatusReply, v.ID, s.Status(ctx.Now))
 }
 
 func (g *Group) status(now int64) wire.ReplicaStatus {
--- a/control/replica/stored_driver_test.go
+++ b/control/replica/stored_driver_test.go
@@ -32,8 +32,8 @@
 func startStored(t *testing.T, files map[string][]byte) *storedCore {
 	t.Helper()
 	k := kernel.New(kernel.Boot{
-		Env:  settings.Env{Mesh: "10.0.0.1:1", Zone: "z1", Data: "disk"},
-		Role: "core", Seed: 7, Key: kernel.KeyFrom(make([]byte, 32)), Files: maps.Clone(files),
+		Settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1", Data: "disk"},
+		Role:     "core", Seed: 7, Key: kernel.KeyFrom(make([]byte, 32)), Files: maps.Clone(files),
 	})
 	c := &storedCore{t: t, k: k, host: kernel.Find[*Host](k), now: 1_000_000, files: maps.Clone(files)}
 	if c.files == nil {
@@ -65,7 +65,7 @@
 }
 
 func (c *storedCore) send(kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) kernel.Out {
-	return kernel.Out{Sends: c.step(kernel.Received{Chan: 5, Data: wire.Seal(kind, 0, m)})}
+	return kernel.Out{Sends: c.step(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})}
 }
 
 func (c *storedCore) tick(us int64) {
--- a/lab/model/apply.go
+++ b/lab/model/apply.go
@@ -122,7 +122,7 @@
 	if a.Kind == Lose || a.Kind == Delay {
 		return nil
 	}
-	return w.feed(s, a.Peer, kernel.Received{Chan: m.connection, Data: m.data})
+	return w.feed(s, a.Peer, kernel.Received{Conn: m.connection, Data: m.data})
 }
 
 // sync ends the first pending write of a replica and tells it so.
@@ -215,7 +215,7 @@
 	if identity == "" || s.frozenAt[to] != 0 {
 		return nil
 	}
-	return w.feed(s, to, kernel.Received{Chan: replicaConnection(i), Data: announceFrame(i, identity)})
+	return w.feed(s, to, kernel.Received{Conn: replicaConnection(i), Data: announceFrame(i, identity)})
 }
 
 // call sends an order to a replica.
--- a/lab/model/operators.go
+++ b/lab/model/operators.go
@@ -104,7 +104,7 @@
 }
 
 func (w *World) callInput(number, to int) kernel.Input {
-	return kernel.Received{Chan: w.callConnection(number, to), Data: orderFrame(uint64(number)+1, &w.orders[number])}
+	return kernel.Received{Conn: w.callConnection(number, to), Data: orderFrame(uint64(number)+1, &w.orders[number])}
 }
 
 // callConnection is that of an order to a replica: each call has one of its own.
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -218,7 +218,7 @@
 
 func inputBytes(input kernel.Input) []byte {
 	if v, ok := input.(kernel.Received); ok {
-		return append(appendNumber([]byte("received"), int64(v.Chan)), v.Data...)
+		return append(appendNumber([]byte("received"), int64(v.Conn)), v.Data...)
 	}
 	return fmt.Appendf(nil, "%T%v", input, input)
 }
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -207,8 +207,8 @@
 	switch {
 	case f.kind == frameIgnored:
 		return nil
-	case f.kind == frameAnswer && send.Chan >= clientConnection:
-		return w.answered(s, send.Chan, f.answer)
+	case f.kind == frameAnswer && send.Conn >= clientConnection:
+		return w.answered(s, send.Conn, f.answer)
 	}
 	to := w.target(send)
 	if to < 0 || to == from {
@@ -225,7 +225,7 @@
 
 func (w *World) target(send kernel.Send) int {
 	for i := range w.replicas {
-		if send.Addr == replicaAddress(i) || send.Addr == "" && send.Chan == replicaConnection(i) {
+		if send.Addr == replicaAddress(i) || send.Addr == "" && send.Conn == replicaConnection(i) {
 			return i
 		}
 	}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -80,7 +80,7 @@
 
 func (h *Hollow) start(i int) (*hollowNode, error) {
 	c := h.c
-	e := settings.Env{
+	e := settings.Settings{
 		Name: fmt.Sprintf("%s-%d", c.Role, i), Zone: fmt.Sprintf("z%d", i%c.Zones+1), Seeds: c.Seeds, PollsPer: 20,
 		LogLevel: "error", Fleet: "scale",
 	}
@@ -118,7 +118,7 @@
 // Up tells where they listen.
 func (h *Hollow) Up() (out []Up) {
 	for _, n := range h.nodes {
-		out = append(out, Up{n.name, n.p.Kernel.Boot.Env.Mesh})
+		out = append(out, Up{n.name, n.p.Kernel.Boot.Settings.Mesh})
 	}
 	return out
 }
--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -19,7 +19,7 @@
 type day struct {
 	w        *World
 	site     siteShape
-	env      settings.Env
+	env      settings.Settings
 	journal  *rules.Journal
 	machines []*machine
 	byName   map[string]*machine
@@ -50,7 +50,7 @@
 		RetryWindowUs: 10_000_000, RampOverrun: 1.5, RampTolerance: 5,
 	}
 	d.journal = &rules.Journal{Bounds: b}
-	d.env = settings.Env{
+	d.env = settings.Settings{
 		Fleet: "sim", Platform: "http://platform/list", PollsPer: 440, ListEvery: 1_000_000, LogLevel: "info",
 		BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: site.tolerance[0], Zones: site.tolerance[1]},
 		Machine: settings.Machine{CPUShare: 0.4, MemoryMB: 284, MaxFds: 4100, LinkMbps: 1000, DiskMB: 64},
--- a/lab/sim/day_acks.go
+++ b/lab/sim/day_acks.go
@@ -108,7 +108,7 @@
 		if *over && p.calls[id] != nil {
 			o.d.w.Judge.Count("orders.abandoned", 1)
 			p.w.note(fmt.Sprintf("%s: the operator that called at %d us has gone", p.name, sent))
-			p.step(kernel.Abandoned{Plugin: "operate", ID: id})
+			p.step(kernel.Canceled{Plugin: "operate", ID: id})
 		}
 	})
 }
--- a/lab/sim/day_mishaps.go
+++ b/lab/sim/day_mishaps.go
@@ -113,7 +113,7 @@
 			if !e.is("core") {
 				after = 100
 			}
-			p.later(after, func() { p.step(kernel.Abandoned{Plugin: "operate", ID: id}) })
+			p.later(after, func() { p.step(kernel.Canceled{Plugin: "operate", ID: id}) })
 		})
 	}
 	if e.is("core") {
--- a/lab/sim/network.go
+++ b/lab/sim/network.go
@@ -67,7 +67,7 @@
 	fail := func(d int64) {
 		p.later(d, func() {
 			if mesh {
-				p.step(kernel.ChannelDown{Addr: addr, Mesh: true})
+				p.step(kernel.ConnDown{Addr: addr, Mesh: true})
 			} else if then != nil {
 				then(nil)
 			}
@@ -110,7 +110,7 @@
 
 func (n *network) send(p *proc, s kernel.Send) {
 	if s.Addr == "" {
-		if l := n.links[s.Chan]; l != nil {
+		if l := n.links[s.Conn]; l != nil {
 			n.carry(l, p, s.Data)
 		}
 		return
@@ -176,7 +176,7 @@
 	}
 	to.p.feed(func() {
 		if !l.dead {
-			to.p.step(kernel.Received{Chan: to.id, Data: data})
+			to.p.step(kernel.Received{Conn: to.id, Data: data})
 		}
 	})
 }
@@ -213,7 +213,7 @@
 			if i == 1 {
 				addr = l.sides[0].p.env.Mesh
 			}
-			s.p.later(n.latency(), func() { s.p.step(kernel.ChannelDown{Chan: s.id, Addr: addr, Mesh: true}) })
+			s.p.later(n.latency(), func() { s.p.step(kernel.ConnDown{Conn: s.id, Addr: addr, Mesh: true}) })
 		}
 	}
 }
--- a/lab/sim/proc.go
+++ b/lab/sim/proc.go
@@ -28,7 +28,7 @@
 	w         *World
 	name      string
 	role      string
-	env       settings.Env
+	env       settings.Settings
 	index     int64
 	life      int
 	up        bool
@@ -66,7 +66,7 @@
 
 func (w *World) add(role string, i int, addr string) *proc {
 	name := fmt.Sprintf("%s-%d", role, i)
-	e := settings.Env{
+	e := settings.Settings{
 		Name: name, Zone: w.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: w.seeds, Fleet: "sim",
 		PollsPer: w.plat.allowed, LogLevel: "info",
 	}
@@ -101,7 +101,7 @@
 	for i := range seed {
 		seed[i] = byte(w.rnd.Uint32())
 	}
-	b := kernel.Boot{Env: p.env, Role: p.role, Seed: w.rnd.Uint64(), Key: kernel.KeyFrom(seed[:]), Files: map[string][]byte{}}
+	b := kernel.Boot{Settings: p.env, Role: p.role, Seed: w.rnd.Uint64(), Key: kernel.KeyFrom(seed[:]), Files: map[string][]byte{}}
 	if p.disk != nil {
 		b.Files = p.disk.load()
 	}
@@ -207,8 +207,8 @@
 func (p *proc) step(in kernel.Input) {
 	p.did.Steps++
 	out := p.kernel.Step(p.now(), epoch+p.w.now+p.skew, in)
-	for _, n := range out.Notes {
-		p.w.note(p.name + " " + n.Event + " " + fmt.Sprint(n.KV...))
+	for _, n := range out.LogEvents {
+		p.w.note(p.name + " " + n.Event + " " + fmt.Sprint(n.Fields...))
 	}
 	for _, t := range out.Timers {
 		p.later(t.At-p.now(), func() { p.step(kernel.Tick{Plugin: t.Plugin, Key: t.Key}) })
@@ -244,5 +244,5 @@
 	if f != nil {
 		p.calls[id] = f
 	}
-	p.step(kernel.Call{Plugin: plugin, ID: id, Ask: ask})
+	p.step(kernel.Call{Plugin: plugin, ID: id, Request: ask})
 }
--- a/lab/sim/traffic.go
+++ b/lab/sim/traffic.go
@@ -50,7 +50,7 @@
 	wire.KindEdit: "edit", wire.KindEditReply: "edit_reply", wire.KindLeaseRequest: "hold", wire.KindLeaseReply: "hold_reply",
 	wire.KindClaim: "claim", wire.KindClaimReply: "claim_reply", wire.KindSettle: "settle", wire.KindRebuild: "rebuild",
 	wire.KindRebuildReply: "rebuild_reply", wire.KindHandOver: "hand_over", wire.KindHanded: "handed", wire.KindSeen: "seen",
-	wire.KindSeenReply: "seen_reply", wire.KindNotice: "notice", wire.KindPiece: "piece", wire.KindPieceAck: "piece_ack",
+	wire.KindSeenReply: "seen_reply", wire.KindNotice: "notice", wire.KindChunk: "piece", wire.KindChunkAck: "piece_ack",
 	wire.KindStatusRequest: "status_request", wire.KindStatusReply: "status_reply",
 }
 
@@ -65,6 +65,6 @@
 
 // meets tells a process of a mesh channel to another that has just opened.
 func (p *proc) meets(q *proc, id uint64, addr string, dialed bool) {
-	in := kernel.ChannelUp{Chan: id, Addr: addr, Peer: kernel.Fingerprint(q.kernel.Boot.Key.Public), Zone: q.env.Zone, Dialed: dialed, Mesh: true}
+	in := kernel.ConnUp{Conn: id, Addr: addr, Peer: kernel.Fingerprint(q.kernel.Boot.Key.Public), Zone: q.env.Zone, Dialed: dialed, Mesh: true}
 	p.feed(func() { p.step(in) })
 }
--- a/request/healthcheck/health.go
+++ b/request/healthcheck/health.go
@@ -68,7 +68,7 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 70, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Checks{mesh: kernel.Find[*mesh.Mesh](k), table: kernel.Find[*snapshot.Table](k), passive: k.Boot.Env.PassiveHealth, seen: map[string]*watch{}}
+		return &Checks{mesh: kernel.Find[*mesh.Mesh](k), table: kernel.Find[*snapshot.Table](k), passive: k.Boot.Settings.PassiveHealth, seen: map[string]*watch{}}
 	}})
 }
 
--- a/request/healthcheck/health_test.go
+++ b/request/healthcheck/health_test.go
@@ -30,11 +30,11 @@
 }
 
 func newNode(neighbours byte) *node {
-	e := settings.Env{Name: "a", Mesh: "10.0.0.1:1", PassiveHealth: true}
-	n := &node{k: kernel.New(kernel.Boot{Env: e, Role: "node", Seed: 1, Key: keyOf(0)}), now: 5_000_000}
+	e := settings.Settings{Name: "a", Mesh: "10.0.0.1:1", PassiveHealth: true}
+	n := &node{k: kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: keyOf(0)}), now: 5_000_000}
 	n.feed(kernel.Start{})
 	for i := range neighbours {
-		n.feed(kernel.ChannelUp{Chan: uint64(i) + 1, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(keyOf(i + 1).Public), Mesh: true})
+		n.feed(kernel.ConnUp{Conn: uint64(i) + 1, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(keyOf(i + 1).Public), Mesh: true})
 	}
 	n.hears(1, "listing", discovery.Duty, &wire.Listing{Turn: 1, Whole: true, Servers: []wire.Server{{ID: sick}}})
 	return n
@@ -50,7 +50,7 @@
 	key := keyOf(neighbour)
 	e := &wire.Entry{Type: typ, ID: id, Origin: key.Public, Count: 1, Body: b}
 	e.Sig = ed25519.Sign(key.Private, wire.Encode(e))
-	n.feed(kernel.Received{Chan: uint64(neighbour), Data: wire.Seal(wire.KindGossip, 0, e)})
+	n.feed(kernel.Received{Conn: uint64(neighbour), Data: wire.Seal(wire.KindGossip, 0, e)})
 }
 
 // looks has the node look at its servers once more.
--- a/request/httpapi/explain.go
+++ b/request/httpapi/explain.go
@@ -38,7 +38,7 @@
 			return t, nil
 		}
 	}
-	if name == a.f.p.Kernel.Boot.Env.Name {
+	if name == a.f.p.Kernel.Boot.Settings.Name {
 		t, ok := a.f.desk.Traces.Get(p.ID)
 		if !ok {
 			return nil, fail("unknown", "no such inquiry, or it is no longer kept")
@@ -86,7 +86,7 @@
 	var group sync.WaitGroup
 	slots := make(chan struct{}, askedAtOnce)
 	for name, addr := range a.liveNodes() {
-		if name == a.f.p.Kernel.Boot.Env.Name {
+		if name == a.f.p.Kernel.Boot.Settings.Name {
 			continue
 		}
 		group.Go(func() {
--- a/request/httpapi/http.go
+++ b/request/httpapi/http.go
@@ -110,10 +110,10 @@
 	mux.Handle(http.MethodGet, "/condition", s.condition)
 	mux.Handle(http.MethodGet, "/metrics", s.metrics)
 	var err error
-	if s.oper, err = s.listen(p.Kernel.Boot.Env.Operator, bounded(sheetMost, new(atomic.Int64), onceEach(mux))); err != nil {
+	if s.oper, err = s.listen(p.Kernel.Boot.Settings.Operator, bounded(sheetMost, new(atomic.Int64), onceEach(mux))); err != nil {
 		return nil, err
 	}
-	if s.front == nil || p.Kernel.Boot.Env.Caller == "" {
+	if s.front == nil || p.Kernel.Boot.Settings.Caller == "" {
 		return s, nil
 	}
 	cmux := goahttp.NewMuxer()
@@ -150,12 +150,12 @@
 		case <-time.After(readyEvery):
 		}
 	}
-	srv, err := s.listen(s.p.Kernel.Boot.Env.Caller, h)
+	srv, err := s.listen(s.p.Kernel.Boot.Settings.Caller, h)
 	if err != nil {
 		s.errs <- err
 		return
 	}
-	s.p.Log.Info("caller_api_open", zap.String("caller", s.p.Kernel.Boot.Env.Caller))
+	s.p.Log.Info("caller_api_open", zap.String("caller", s.p.Kernel.Boot.Settings.Caller))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.caller = srv
@@ -197,7 +197,7 @@
 	if !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	fmt.Fprintf(w, `{"name":%q,"role":%q,"ready":%t,"why":%q,"in_force":%q}`+"\n", s.p.Kernel.Boot.Env.Name, s.p.Kernel.Boot.Role, ready, why, stamp)
+	fmt.Fprintf(w, `{"name":%q,"role":%q,"ready":%t,"why":%q,"in_force":%q}`+"\n", s.p.Kernel.Boot.Settings.Name, s.p.Kernel.Boot.Role, ready, why, stamp)
 }
 
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
--- a/request/httpapi/run.go
+++ b/request/httpapi/run.go
@@ -34,7 +34,7 @@
 	f := &Front{p: p, table: b, asker: newAsker()}
 	f.desk = search.NewDesk(search.Config{
 		Table: b, Usage: kernel.Find[*loadreport.Usage](p.Kernel), Counts: p.Kernel.Counts,
-		Name: p.Kernel.Boot.Env.Name, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
+		Name: p.Kernel.Boot.Settings.Name, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 	})
 	return f
 }
@@ -94,7 +94,7 @@
 }
 
 func (r *run) settle(v search.Settle) {
-	r.f.p.Post(kernel.Call{Plugin: "idempotency", Ask: idempotency.Settle{Key: v.Key, Code: v.Code, Token: v.Token, Tried: v.Tried, Outcome: v.Outcome}})
+	r.f.p.Post(kernel.Call{Plugin: "idempotency", Request: idempotency.Settle{Key: v.Key, Code: v.Code, Token: v.Token, Tried: v.Tried, Outcome: v.Outcome}})
 }
 
 func (r *run) loop() search.Outcome {
--- a/request/httpapi/stop.go
+++ b/request/httpapi/stop.go
@@ -42,7 +42,7 @@
 
 // note logs a step of the stop, with what was read, unless another server has the clients.
 func (s *Server) note(event string) {
-	if s.front == nil || s.p.Kernel.Boot.Env.Caller != "" {
+	if s.front == nil || s.p.Kernel.Boot.Settings.Caller != "" {
 		s.p.Log.Info(event, zap.Int64("read", s.p.Kernel.Counts.Of("inquiries_read").Load()), zap.Int64("open", s.open.Load()))
 	}
 }
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -13,13 +13,13 @@
 )
 
 func TestNodeThatJustStartedAsksNoOwnersBeforeItKnowsThem(t *testing.T) {
-	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	c := kernel.Find[*Coordinator](k)
 	now := int64(1_000_000)
 	k.Step(now, now, kernel.Start{})
 	k.Step(now, now, kernel.Tick{Plugin: "table", Key: "build"})
 	must.Len(t, 1, c.table.Now().Homes, must.Sprint("itself, as far as it knows"))
-	k.Step(now, now, kernel.Call{Plugin: "idempotency", ID: 1, Ask: Admit{Key: "k", First: true, Within: 5_000_000}})
+	k.Step(now, now, kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", First: true, Within: 5_000_000}})
 	must.MapLen(t, 1, c.admissions)
 	for n, w := range c.admissions {
 		must.SliceEmpty(t, w.owners)
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -149,7 +149,7 @@
 			c.retry(ctx, id)
 		}
 	case kernel.Call:
-		switch a := v.Ask.(type) {
+		switch a := v.Request.(type) {
 		case Admit:
 			if a.Again {
 				c.askSeen(ctx, v.ID, a)
@@ -170,7 +170,7 @@
 		var m wire.Claim
 		if wire.Decode(v.Body, &m) == nil {
 			r := c.answerClaim(ctx, m)
-			ctx.Send(v.Chan, wire.KindClaimReply, v.ID, &r)
+			ctx.Send(v.Conn, wire.KindClaimReply, v.ID, &r)
 		}
 	case wire.KindClaimReply:
 		var m wire.ClaimReply
@@ -191,7 +191,7 @@
 			c.seen.forget(m.Key)
 			return
 		}
-		ctx.Send(v.Chan, wire.KindSeenReply, v.ID, &wire.SeenReply{Key: m.Key, Before: c.seen.add(m.Key, ctx.Now)})
+		ctx.Send(v.Conn, wire.KindSeenReply, v.ID, &wire.SeenReply{Key: m.Key, Before: c.seen.add(m.Key, ctx.Now)})
 	case wire.KindSeenReply:
 		var m wire.SeenReply
 		if wire.Decode(v.Body, &m) == nil {
@@ -200,7 +200,7 @@
 	case wire.KindHandOver:
 		var m wire.HandOver
 		if wire.Decode(v.Body, &m) == nil {
-			c.handOver(ctx, v.Chan, m)
+			c.handOver(ctx, v.Conn, m)
 		}
 	case wire.KindHanded:
 		var m wire.Handed
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -39,7 +39,7 @@
 		}
 		m.admit(here, key, v.Token)
 	}
-	n.step(kernel.Call{Plugin: "idempotency", ID: m.lastCall, Ask: Admit{Key: key, Index: "index", Sum: 7, Within: 2 * second}})
+	n.step(kernel.Call{Plugin: "idempotency", ID: m.lastCall, Request: Admit{Key: key, Index: "index", Sum: 7, Within: 2 * second}})
 }
 
 // front is a node that a caller comes to: every other time one that has just started, if there is one.
@@ -64,9 +64,9 @@
 		case !here.there():
 		case refused:
 			delete(m.letIn, key)
-			here.node.step(kernel.Call{Plugin: "idempotency", Ask: Settle{Key: key, Code: "released", Token: token}})
+			here.node.step(kernel.Call{Plugin: "idempotency", Request: Settle{Key: key, Code: "released", Token: token}})
 		default:
-			here.node.step(kernel.Call{Plugin: "idempotency", Ask: Settle{Key: key, Code: "done", Outcome: search.Outcome{Code: search.OK}}})
+			here.node.step(kernel.Call{Plugin: "idempotency", Request: Settle{Key: key, Code: "done", Outcome: search.Outcome{Code: search.OK}}})
 		}
 	})
 }
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -35,7 +35,7 @@
 	n.count++
 	n.up, n.upAt = true, n.m.now
 	key := fmt.Sprintf("%-32s", fmt.Sprintf("%s/%d", n.name, n.count))
-	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: n.name, Name: n.name}, Role: "node", Seed: 1, Key: kernel.KeyFrom([]byte(key))})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: n.name, Name: n.name}, Role: "node", Seed: 1, Key: kernel.KeyFrom([]byte(key))})
 	n.coordinator = kernel.Find[*Coordinator](k)
 	n.coordinator.snapshot = func() *snapshot.Snapshot { return n.view }
 	n.peak = 0
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -121,7 +121,7 @@
 
 // send brings a message to a node's process of then, or back on the channel of a question.
 func (m *model) send(from life, s kernel.Send) {
-	to := m.chans[s.Chan].from
+	to := m.chans[s.Conn].from
 	if s.Addr != "" {
 		i := slices.IndexFunc(m.nodes, func(n *modelNode) bool { return n.name == s.Addr })
 		to = m.nodes[i].life()
@@ -141,7 +141,7 @@
 		m.chans[m.lastChan] = route{from: from, to: to}
 		f, err := wire.Open(s.Data)
 		must.NoError(m.t, err)
-		to.node.step(kernel.Message{Chan: m.lastChan, Kind: f.Kind, ID: f.ID, Body: f.Body})
+		to.node.step(kernel.Message{Conn: m.lastChan, Kind: f.Kind, ID: f.ID, Body: f.Body})
 	})
 }
 
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -27,7 +27,7 @@
 
 func newNode(t *testing.T) *node {
 	t.Helper()
-	k := kernel.New(kernel.Boot{Env: settings.Env{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	n := &node{k: k, c: kernel.Find[*Coordinator](k), now: 1_000_000}
 	n.step(kernel.Start{})
 	n.step(kernel.Tick{Plugin: "table", Key: "build"})
@@ -40,7 +40,7 @@
 func (n *node) receive(kind uint8, id uint64, m interface {
 	MarshalMsg([]byte) ([]byte, error)
 }) kernel.Out {
-	return n.step(kernel.Received{Chan: peerChan, Data: wire.Seal(kind, id, m)})
+	return n.step(kernel.Received{Conn: peerChan, Data: wire.Seal(kind, id, m)})
 }
 
 // otherNodes are so many nodes of a fleet beside the one under test.
@@ -58,7 +58,7 @@
 // ask begins a claim, by a caller's first try, at the node under test and other owners, and returns its number.
 func (n *node) ask(t *testing.T, others []snapshot.Node) uint64 {
 	t.Helper()
-	n.step(kernel.Call{Plugin: "idempotency", ID: 1, Ask: Admit{Key: "k", Sum: 5, First: true, Within: 5_000_000}})
+	n.step(kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", Sum: 5, First: true, Within: 5_000_000}})
 	must.MapLen(t, 1, n.c.admissions)
 	for id, w := range n.c.admissions {
 		w.owners = append([]snapshot.Node{n.self()}, others...)
--- a/request/search/chart_test.go
+++ b/request/search/chart_test.go
@@ -29,7 +29,7 @@
 }
 
 func desk(cp *snapshot.Snapshot) *Desk {
-	k := kernel.New(kernel.Boot{Env: settings.Env{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
 	return &Desk{Table: func() *snapshot.Snapshot { return cp }, Usage: &loadreport.Usage{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
 }
 
--- a/request/snapshot/pace_test.go
+++ b/request/snapshot/pace_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestSnapshotsOfABurstAreFew(t *testing.T) {
-	k := kernel.New(kernel.Boot{Env: settings.Env{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	b, now, due, built := kernel.Find[*Table](k), int64(5_000_000), int64(0), 0
 	k.Step(now, now, kernel.Start{})
 	k.Step(now, now, kernel.Tick{Plugin: "table", Key: "build"})
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -44,4 +44,4 @@
 }
 
 // Self is the name of this process.
-func (b *Table) Self() string { return b.k.Boot.Env.Name }
+func (b *Table) Self() string { return b.k.Boot.Settings.Name }
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -66,10 +66,10 @@
 }
 
 func startNode(t *testing.T, cores map[string]*fakeCore) *node {
-	e := settings.Env{Mesh: "10.0.9.1:1", Zone: "z1", Platform: "http://platform/list", ListEvery: second, PollsPer: 20, Counted: true}
+	e := settings.Settings{Mesh: "10.0.9.1:1", Zone: "z1", Platform: "http://platform/list", ListEvery: second, PollsPer: 20, Counted: true}
 	e.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	n := &node{t: t, cores: cores, later: map[int64][]func(){}, now: second}
-	n.kernel = kernel.New(kernel.Boot{Env: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{1}, 32))})
+	n.kernel = kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{1}, 32))})
 	n.table = kernel.Find[*Table](n.kernel)
 	n.feed(kernel.Start{})
 	return n
@@ -101,7 +101,7 @@
 	}
 	data := wire.Seal(wire.KindPullReply, id, core.answers())
 	at := n.now + max(core.delay, 1)
-	n.later[at] = append(n.later[at], func() { n.feed(kernel.Received{Chan: 1, Data: data}) })
+	n.later[at] = append(n.later[at], func() { n.feed(kernel.Received{Conn: 1, Data: data}) })
 	heap.Push(&n.timers, kernel.Timer{At: at})
 }
 
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -194,7 +194,7 @@
 
 func (b *Table) build(ctx *kernel.Context) {
 	c := &Snapshot{
-		At: ctx.Now, Indexes: map[string]*Index{}, Zone: b.k.Boot.Env.Zone, Divisor: b.members.Divisor(),
+		At: ctx.Now, Indexes: map[string]*Index{}, Zone: b.k.Boot.Settings.Zone, Divisor: b.members.Divisor(),
 		Drains: b.members.SelfRow().Draining, Stale: b.stale.at(ctx.Now),
 	}
 	b.configure(ctx, c)
--- a/runtime/chunk/assembler.go
+++ b/runtime/chunk/assembler.go
@@ -62,12 +62,12 @@
 // message, once it is whole and is what its sender announced.
 type Taken struct {
 	Reply bool
-	Ack   wire.PieceAck
+	Ack   wire.ChunkAck
 	Whole []byte
 }
 
 // Take takes a piece that came on a connection.
-func (a *Assembler) Take(now int64, conn uint64, p wire.Piece) (Taken, error) {
+func (a *Assembler) Take(now int64, conn uint64, p wire.Chunk) (Taken, error) {
 	if err := check(p); err != nil {
 		return Taken{}, err
 	}
@@ -101,7 +101,7 @@
 }
 
 // check refuses what no sender sends.
-func check(p wire.Piece) error {
+func check(p wire.Chunk) error {
 	switch {
 	case p.Total <= 0 || p.Total > wire.MaxMessage:
 		return fmt.Errorf("%w: a message of %d bytes", ErrMalformed, p.Total)
@@ -114,7 +114,7 @@
 }
 
 func acknowledge(transfer uint64, next int) Taken {
-	return Taken{Reply: true, Ack: wire.PieceAck{Transfer: transfer, Next: next}}
+	return Taken{Reply: true, Ack: wire.ChunkAck{Transfer: transfer, Next: next}}
 }
 
 // arrived is how much of the message has arrived in order.
@@ -126,7 +126,7 @@
 }
 
 // begin makes an assembly, in place of the connection's last one.
-func (a *Assembler) begin(now int64, conn uint64, p wire.Piece) *assembly {
+func (a *Assembler) begin(now int64, conn uint64, p wire.Chunk) *assembly {
 	a.Closed(conn)
 	if len(a.byConn) >= AssembliesMost {
 		a.Closed(a.oldest())
--- a/runtime/chunk/queue.go
+++ b/runtime/chunk/queue.go
@@ -62,13 +62,13 @@
 
 // hasRoom tells whether a further piece fits into the destination's window.
 func (q *queue) hasRoom() bool {
-	return q.sent < len(q.messages[0].Data) && q.sent-q.acked+wire.PieceBytes <= DestinationWindow
+	return q.sent < len(q.messages[0].Data) && q.sent-q.acked+wire.ChunkBytes <= DestinationWindow
 }
 
-func (q *queue) piece() wire.Piece {
+func (q *queue) piece() wire.Chunk {
 	data := q.messages[0].Data
-	end := min(q.sent+wire.PieceBytes, len(data))
-	p := wire.Piece{Transfer: q.transfer, Offset: q.sent, Total: len(data), Digest: q.digest, Data: data[q.sent:end]}
+	end := min(q.sent+wire.ChunkBytes, len(data))
+	p := wire.Chunk{Transfer: q.transfer, Offset: q.sent, Total: len(data), Digest: q.digest, Data: data[q.sent:end]}
 	q.sent = end
 	return p
 }
--- a/runtime/chunk/segment_test.go
+++ b/runtime/chunk/segment_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func (x *transport) take(conn uint64, p wire.Piece) {
+func (x *transport) take(conn uint64, p wire.Chunk) {
 	taken, err := x.assembler.Take(x.now, conn, p)
 	must.NoError(x.t, err)
 	if taken.Whole != nil {
@@ -101,15 +101,15 @@
 }
 
 // pieceOf cuts one piece out of a message.
-func pieceOf(transfer uint64, data []byte, offset int) wire.Piece {
+func pieceOf(transfer uint64, data []byte, offset int) wire.Chunk {
 	digest := sha256.Sum256(data)
 	return pieceWith(transfer, data, digest[:], offset)
 }
 
-func pieceWith(transfer uint64, data, digest []byte, offset int) wire.Piece {
-	return wire.Piece{
+func pieceWith(transfer uint64, data, digest []byte, offset int) wire.Chunk {
+	return wire.Chunk{
 		Transfer: transfer, Offset: offset, Total: len(data), Digest: digest,
-		Data: data[offset:min(offset+wire.PieceBytes, len(data))],
+		Data: data[offset:min(offset+wire.ChunkBytes, len(data))],
 	}
 }
 
@@ -146,7 +146,7 @@
 
 func TestAfterAReconnectATransferBeginsAgain(t *testing.T) {
 	x := newTransport(t, 1, way{})
-	m := message(1, 10*wire.PieceBytes)
+	m := message(1, 10*wire.ChunkBytes)
 	x.sender.Enqueue(x.now, Message{To: Destination{Addr: "a"}, Data: m})
 	x.run(20_000)
 	must.Positive(t, x.assembler.Held())
@@ -156,38 +156,38 @@
 }
 
 func TestPiecesOfTwoMessagesAndOfTwoSendersDoNotMix(t *testing.T) {
-	a, b := message(1, 3*wire.PieceBytes), message(2, 3*wire.PieceBytes)
+	a, b := message(1, 3*wire.ChunkBytes), message(2, 3*wire.ChunkBytes)
 	as := NewAssembler()
-	take := func(conn uint64, p wire.Piece) Taken {
+	take := func(conn uint64, p wire.Chunk) Taken {
 		taken, err := as.Take(0, conn, p)
 		must.NoError(t, err)
 		return taken
 	}
 	take(1, pieceOf(1, a, 0))
 	take(2, pieceOf(1, b, 0))
-	take(1, pieceOf(1, a, wire.PieceBytes))
-	must.Eq(t, wire.PieceAck{Transfer: 1, Next: wire.PieceBytes}, take(2, pieceOf(1, b, 2*wire.PieceBytes)).Ack)
-	same(t, [][]byte{a}, [][]byte{take(1, pieceOf(1, a, 2*wire.PieceBytes)).Whole})
+	take(1, pieceOf(1, a, wire.ChunkBytes))
+	must.Eq(t, wire.ChunkAck{Transfer: 1, Next: wire.ChunkBytes}, take(2, pieceOf(1, b, 2*wire.ChunkBytes)).Ack)
+	same(t, [][]byte{a}, [][]byte{take(1, pieceOf(1, a, 2*wire.ChunkBytes)).Whole})
 
 	// A piece of the next message in the middle of this one, and then a late one of this.
-	must.Eq(t, wire.PieceAck{Transfer: 2, Next: 0}, take(2, pieceOf(2, a, wire.PieceBytes)).Ack)
+	must.Eq(t, wire.ChunkAck{Transfer: 2, Next: 0}, take(2, pieceOf(2, a, wire.ChunkBytes)).Ack)
 	take(2, pieceOf(2, a, 0))
-	must.False(t, take(2, pieceOf(1, b, wire.PieceBytes)).Reply, must.Sprint("the sender has gone on"))
-	take(2, pieceOf(2, a, wire.PieceBytes))
-	same(t, [][]byte{a}, [][]byte{take(2, pieceOf(2, a, 2*wire.PieceBytes)).Whole})
+	must.False(t, take(2, pieceOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("the sender has gone on"))
+	take(2, pieceOf(2, a, wire.ChunkBytes))
+	same(t, [][]byte{a}, [][]byte{take(2, pieceOf(2, a, 2*wire.ChunkBytes)).Whole})
 
 	// Pieces of another message under the same number.
 	take(3, pieceOf(7, a, 0))
-	_, err := as.Take(0, 3, pieceOf(7, b, wire.PieceBytes))
+	_, err := as.Take(0, 3, pieceOf(7, b, wire.ChunkBytes))
 	must.ErrorIs(t, err, ErrMalformed)
 }
 
 func TestAMessageThatDiffersFromItsDigestIsNotDelivered(t *testing.T) {
-	m := message(1, 2*wire.PieceBytes)
+	m := message(1, 2*wire.ChunkBytes)
 	as := NewAssembler()
 	_, err := as.Take(0, 1, pieceOf(1, m, 0))
 	must.NoError(t, err)
-	last := pieceOf(1, m, wire.PieceBytes)
+	last := pieceOf(1, m, wire.ChunkBytes)
 	last.Data = append([]byte(nil), last.Data...)
 	last.Data[5] ^= 1
 	taken, err := as.Take(0, 1, last)
@@ -197,14 +197,14 @@
 }
 
 func TestPiecesThatNoSenderSendsAreRefused(t *testing.T) {
-	good := pieceOf(1, message(1, 2*wire.PieceBytes), 0)
-	for name, spoil := range map[string]func(p *wire.Piece){
-		"too large":       func(p *wire.Piece) { p.Total = wire.MaxMessage + 1 },
-		"of no size":      func(p *wire.Piece) { p.Total = 0 },
-		"short digest":    func(p *wire.Piece) { p.Digest = p.Digest[1:] },
-		"empty":           func(p *wire.Piece) { p.Data = nil },
-		"before the head": func(p *wire.Piece) { p.Offset = -1 },
-		"past the end":    func(p *wire.Piece) { p.Offset = p.Total - 1 },
+	good := pieceOf(1, message(1, 2*wire.ChunkBytes), 0)
+	for name, spoil := range map[string]func(p *wire.Chunk){
+		"too large":       func(p *wire.Chunk) { p.Total = wire.MaxMessage + 1 },
+		"of no size":      func(p *wire.Chunk) { p.Total = 0 },
+		"short digest":    func(p *wire.Chunk) { p.Digest = p.Digest[1:] },
+		"empty":           func(p *wire.Chunk) { p.Data = nil },
+		"before the head": func(p *wire.Chunk) { p.Offset = -1 },
+		"past the end":    func(p *wire.Chunk) { p.Offset = p.Total - 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, as := good, NewAssembler()
@@ -227,7 +227,7 @@
 	}
 	var whole int
 	next := make([]int, senders)
-	for range 3 * (2 << 20) / wire.PieceBytes {
+	for range 3 * (2 << 20) / wire.ChunkBytes {
 		for i, m := range messages {
 			taken, err := as.Take(0, uint64(i), pieceWith(1, m, digests[i][:], next[i]))
 			must.NoError(t, err)
--- a/runtime/chunk/sender.go
+++ b/runtime/chunk/sender.go
@@ -19,8 +19,8 @@
 const (
 	// DestinationWindow bounds what is unacknowledged to one destination, and
 	// ProcessWindow to all together: 105 ms on a link of 10 Mbit/s.
-	DestinationWindow = 2 * wire.PieceBytes
-	ProcessWindow     = 4 * wire.PieceBytes
+	DestinationWindow = 2 * wire.ChunkBytes
+	ProcessWindow     = 4 * wire.ChunkBytes
 	// RetryAfter is how long a transfer goes without progress before its pieces are sent
 	// again from the last one that was acknowledged.
 	RetryAfter = 1_000_000
@@ -50,7 +50,7 @@
 // Outgoing is a piece for a destination.
 type Outgoing struct {
 	To    Destination
-	Piece wire.Piece
+	Piece wire.Chunk
 }
 
 // Sender holds the messages that are on their way in pieces.
@@ -162,7 +162,7 @@
 
 // Acked takes an acknowledgement. It tells whether a transfer has ended by it, and
 // whether it began again.
-func (s *Sender) Acked(now int64, ack wire.PieceAck) (done, again bool) {
+func (s *Sender) Acked(now int64, ack wire.ChunkAck) (done, again bool) {
 	for to, q := range s.queues {
 		if q.transfer != ack.Transfer {
 			continue
--- a/runtime/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -39,11 +39,11 @@
 
 // Boot is all that a process is given at its start.
 type Boot struct {
-	Env   settings.Env
-	Role  string
-	Seed  uint64
-	Key   Key
-	Files map[string][]byte
+	Settings settings.Settings
+	Role     string
+	Seed     uint64
+	Key      Key
+	Files    map[string][]byte
 }
 
 // Kernel owns the plug-ins of one process and routes inputs to them.
@@ -56,14 +56,14 @@
 	later   []func(ctx *Context)
 	Counts  *Counts
 	steps   *atomic.Int64
-	pieces  *pieces
+	chunks  *chunks
 }
 
 // New makes a kernel with every registered plug-in of the boot's role.
 func New(b Boot) *Kernel {
 	k := &Kernel{
 		Boot: b, Rand: rand.New(rand.NewPCG(b.Seed, 0x77616c6c)), Counts: NewCounts(),
-		byName: map[string]Plugin{}, byKind: map[uint8]Plugin{}, pieces: newPieces(),
+		byName: map[string]Plugin{}, byKind: map[uint8]Plugin{}, chunks: newChunks(),
 	}
 	k.steps = k.Counts.Of("steps")
 	regs := append([]Registration(nil), registered...)
@@ -111,7 +111,7 @@
 			p.Step(ctx, ev)
 		}
 	}
-	k.pieces.send(ctx)
+	k.chunks.send(ctx)
 	return ctx.Out
 }
 
@@ -124,14 +124,14 @@
 	case Received:
 		if err := k.received(ctx, v); err != nil {
 			k.Counts.Add("frames_malformed", 1)
-			ctx.Drop(v.Chan)
+			ctx.Drop(v.Conn)
 		}
-	case ChannelDown:
-		k.pieces.closed(v.Chan)
+	case ConnDown:
+		k.chunks.closed(v.Conn)
 		k.each(ctx, in)
 	case Tick:
-		if v.Plugin == piecesName {
-			k.pieces.tick(ctx)
+		if v.Plugin == chunksTimer {
+			k.chunks.tick(ctx)
 			return
 		}
 		k.to(ctx, v.Plugin, in)
@@ -141,7 +141,7 @@
 		k.to(ctx, v.Plugin, in)
 	case Call:
 		k.to(ctx, v.Plugin, in)
-	case Abandoned:
+	case Canceled:
 		k.to(ctx, v.Plugin, in)
 	default:
 		k.each(ctx, in)
@@ -161,24 +161,24 @@
 		return err
 	}
 	switch f.Kind {
-	case wire.KindPieceAck:
-		var ack wire.PieceAck
+	case wire.KindChunkAck:
+		var ack wire.ChunkAck
 		if err := wire.Decode(f.Body, &ack); err != nil {
 			return err
 		}
-		k.pieces.acked(ctx, ack)
-	case wire.KindPiece:
-		var piece wire.Piece
+		k.chunks.acked(ctx, ack)
+	case wire.KindChunk:
+		var piece wire.Chunk
 		if err := wire.Decode(f.Body, &piece); err != nil {
 			return err
 		}
-		whole, err := k.pieces.piece(ctx, in.Chan, piece)
+		whole, err := k.chunks.received(ctx, in.Conn, piece)
 		if whole == nil || err != nil {
 			return err
 		}
-		k.deliver(ctx, in.Chan, *whole)
+		k.deliver(ctx, in.Conn, *whole)
 	default:
-		k.deliver(ctx, in.Chan, f)
+		k.deliver(ctx, in.Conn, f)
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 		k.Counts.Add("frames_unknown_kind", 1)
 		return
 	}
-	p.Step(ctx, Message{Chan: conn, Kind: f.Kind, ID: f.ID, Body: f.Body})
+	p.Step(ctx, Message{Conn: conn, Kind: f.Kind, ID: f.ID, Body: f.Body})
 }
 
 func (k *Kernel) to(ctx *Context, name string, in Input) {
--- a/runtime/kernel/pieces.go
+++ b/runtime/kernel/pieces.go
@@ -9,18 +9,18 @@
 	"wallport/runtime/wire"
 )
 
-// piecesName is the timer's name; no plug-in has it.
-const piecesName = "pieces"
+// chunksTimer is the timer's name; no plug-in has it.
+const chunksTimer = "pieces"
 
-// pieces is the kernel's side of segmented messages.
-type pieces struct {
+// chunks is the kernel's side of segmented messages.
+type chunks struct {
 	sender    *chunk.Sender
 	assembler *chunk.Assembler
-	ticking   bool
+	timerSet  bool
 }
 
-func newPieces() *pieces {
-	return &pieces{sender: chunk.NewSender(0), assembler: chunk.NewAssembler()}
+func newChunks() *chunks {
+	return &chunks{sender: chunk.NewSender(0), assembler: chunk.NewAssembler()}
 }
 
 // keepsOrder tells of the kinds of which a small frame must not pass a large one: the last
@@ -28,51 +28,51 @@
 func keepsOrder(kind uint8) bool { return kind == wire.KindHanded }
 
 // send takes the large messages out of a step's sends and adds the pieces that may leave now.
-func (p *pieces) send(ctx *Context) {
+func (p *chunks) send(ctx *Context) {
 	sends := ctx.Out.Sends[:0]
 	for _, s := range ctx.Out.Sends {
-		to := chunk.Destination{Conn: s.Chan, Addr: s.Addr}
+		to := chunk.Destination{Conn: s.Conn, Addr: s.Addr}
 		behind := keepsOrder(wire.KindOf(s.Data)) && p.sender.Sending(to)
 		if len(s.Data) <= wire.WholeMost && !behind {
 			sends = append(sends, s)
 			continue
 		}
-		if !p.sender.Enqueue(ctx.Now, chunk.Message{To: to, Slot: s.Slot, Data: s.Data}) {
+		if !p.sender.Enqueue(ctx.Now, chunk.Message{To: to, Slot: s.ReplaceKey, Data: s.Data}) {
 			ctx.Counts.Add("transfers_dropped", 1)
 		}
 	}
 	ctx.Out.Sends = sends
 	p.pump(ctx)
-	p.tickSoon(ctx)
+	p.armTimer(ctx)
 }
 
-func (p *pieces) pump(ctx *Context) {
+func (p *chunks) pump(ctx *Context) {
 	for _, o := range p.sender.Pump(ctx.Now) {
 		ctx.Counts.Add("transfer_bytes_out", int64(len(o.Piece.Data)))
-		frame := wire.Seal(wire.KindPiece, 0, &o.Piece)
-		ctx.Out.Sends = append(ctx.Out.Sends, Send{Chan: o.To.Conn, Addr: o.To.Addr, Data: frame})
+		frame := wire.Seal(wire.KindChunk, 0, &o.Piece)
+		ctx.Out.Sends = append(ctx.Out.Sends, Send{Conn: o.To.Conn, Addr: o.To.Addr, Data: frame})
 	}
 }
 
-// tickSoon sets the timer while anything is on its way.
-func (p *pieces) tickSoon(ctx *Context) {
-	if p.ticking {
+// armTimer sets the timer while anything is on its way.
+func (p *chunks) armTimer(ctx *Context) {
+	if p.timerSet {
 		return
 	}
 	switch {
 	case p.sender.Busy():
-		ctx.After(chunk.RetryAfter/2, piecesName, "")
+		ctx.After(chunk.RetryAfter/2, chunksTimer, "")
 	case p.assembler.Busy():
-		ctx.After(chunk.IdleAfter, piecesName, "")
+		ctx.After(chunk.IdleAfter, chunksTimer, "")
 	default:
 		return
 	}
-	p.ticking = true
+	p.timerSet = true
 }
 
 // tick sends again, gives up and forgets; the pieces leave at the end of the step.
-func (p *pieces) tick(ctx *Context) {
-	p.ticking = false
+func (p *chunks) tick(ctx *Context) {
+	p.timerSet = false
 	if given := p.sender.Expire(ctx.Now); given > 0 {
 		ctx.Counts.Add("transfers_abandoned", int64(given))
 		ctx.Log(LevelWarn, "transfer_abandoned", "transfers", given)
@@ -81,22 +81,22 @@
 }
 
 // Receiving tells whether a large message is coming in, on any connection.
-func (k *Kernel) Receiving() bool { return k.pieces.assembler.Held() > 0 }
+func (k *Kernel) Receiving() bool { return k.chunks.assembler.Held() > 0 }
 
 // ReceivingOn tells whether one is coming in on a connection.
-func (k *Kernel) ReceivingOn(conn uint64) bool { return k.pieces.assembler.Receiving(conn) }
+func (k *Kernel) ReceivingOn(conn uint64) bool { return k.chunks.assembler.Receiving(conn) }
 
 // Sending is the number of destinations that large messages are under way to.
-func (k *Kernel) Sending() int { return k.pieces.sender.Destinations() }
+func (k *Kernel) Sending() int { return k.chunks.sender.Destinations() }
 
 // closed drops what was under way on a connection that has ended.
-func (p *pieces) closed(conn uint64) {
+func (p *chunks) closed(conn uint64) {
 	p.sender.Closed(conn)
 	p.assembler.Closed(conn)
 }
 
 // acked takes an acknowledgement.
-func (p *pieces) acked(ctx *Context, ack wire.PieceAck) {
+func (p *chunks) acked(ctx *Context, ack wire.ChunkAck) {
 	done, again := p.sender.Acked(ctx.Now, ack)
 	if done {
 		ctx.Counts.Add("transfers_sent", 1)
@@ -106,9 +106,9 @@
 	}
 }
 
-// piece takes a piece, and gives the message that is whole by it. An error means that the
+// received takes a piece, and gives the message that is whole by it. An error means that the
 // connection should be dropped.
-func (p *pieces) piece(ctx *Context, conn uint64, piece wire.Piece) (*wire.Frame, error) {
+func (p *chunks) received(ctx *Context, conn uint64, piece wire.Chunk) (*wire.Frame, error) {
 	taken, err := p.assembler.Take(ctx.Now, conn, piece)
 	if err != nil {
 		if errors.Is(err, chunk.ErrDigest) {
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	if taken.Reply {
-		ctx.Send(conn, wire.KindPieceAck, 0, &taken.Ack)
+		ctx.Send(conn, wire.KindChunkAck, 0, &taken.Ack)
 	}
 	if taken.Whole == nil {
 		return nil, nil
--- a/runtime/kernel/pieces_test.go
+++ b/runtime/kernel/pieces_test.go
@@ -42,10 +42,10 @@
 		for _, s := range out.Sends {
 			must.LessEq(t, wire.WholeMost, len(s.Data))
 			frames++
-			back.Sends = append(back.Sends, to.Step(now, now, Received{Chan: 1, Data: s.Data}).Sends...)
+			back.Sends = append(back.Sends, to.Step(now, now, Received{Conn: 1, Data: s.Data}).Sends...)
 		}
 		for _, s := range back.Sends {
-			on.Sends = append(on.Sends, from.Step(now, now, Received{Chan: 1, Data: s.Data}).Sends...)
+			on.Sends = append(on.Sends, from.Step(now, now, Received{Conn: 1, Data: s.Data}).Sends...)
 		}
 		out = on
 	}
@@ -74,7 +74,7 @@
 	for _, s := range large.Sends {
 		size += len(s.Data)
 	}
-	must.LessEq(t, 2*wire.PieceBytes+512, size, must.Sprint("what a heartbeat may have to wait for"))
+	must.LessEq(t, 2*wire.ChunkBytes+512, size, must.Sprint("what a heartbeat may have to wait for"))
 	beat := a.sendNow(0, wire.KindLeaderHeartbeat, &wire.LeaderHeartbeat{})
 	exchange(t, 0, a, b, beat)
 	must.Len(t, 1, got.got)
@@ -95,7 +95,7 @@
 
 func TestAPieceThatIsNotOneDropsTheConnection(t *testing.T) {
 	b, got := newRecording()
-	out := b.Step(0, 0, Received{Chan: 1, Data: wire.Seal(wire.KindPiece, 0, &wire.Piece{Transfer: 1, Total: 9})})
+	out := b.Step(0, 0, Received{Conn: 1, Data: wire.Seal(wire.KindChunk, 0, &wire.Chunk{Transfer: 1, Total: 9})})
 	must.Eq(t, []uint64{1}, out.Drops)
 	must.Len(t, 0, got.got)
 }
@@ -108,7 +108,7 @@
 	at := int64(0)
 	for range 4 {
 		at += 500_000
-		exchange(t, at, a, b, a.Step(at, at, Tick{Plugin: piecesName}))
+		exchange(t, at, a, b, a.Step(at, at, Tick{Plugin: chunksTimer}))
 	}
 	must.Len(t, 1, got.got)
 }
--- a/runtime/kernel/turn.go
+++ b/runtime/kernel/turn.go
@@ -17,29 +17,29 @@
 type (
 	// Start is the first input of a process.
 	Start struct{}
-	// ChannelUp tells of a new channel; Peer is the other side's key, proved by TLS.
-	ChannelUp struct {
-		Chan   uint64
+	// ConnUp tells of a new channel; Peer is the other side's key, proved by TLS.
+	ConnUp struct {
+		Conn   uint64
 		Addr   string
 		Peer   string
 		Zone   string
 		Dialed bool
 		Mesh   bool
 	}
-	// ChannelDown tells that a channel, or a try to open one, ended.
-	ChannelDown struct {
-		Chan uint64
+	// ConnDown tells that a channel, or a try to open one, ended.
+	ConnDown struct {
+		Conn uint64
 		Addr string
 		Mesh bool
 	}
 	// Received is one frame off a channel, still encoded.
 	Received struct {
-		Chan uint64
+		Conn uint64
 		Data []byte
 	}
 	// Message is a frame after decoding of its envelope.
 	Message struct {
-		Chan uint64
+		Conn uint64
 		Kind uint8
 		ID   uint64
 		Body []byte
@@ -57,12 +57,12 @@
 	}
 	// Call is a question of this same process's API side.
 	Call struct {
-		Plugin string
-		ID     uint64
-		Ask    any
+		Plugin  string
+		ID      uint64
+		Request any
 	}
-	// Abandoned tells that whoever made a Call is gone: what was not sent for it need not be.
-	Abandoned struct {
+	// Canceled tells that whoever made a Call is gone: what was not sent for it need not be.
+	Canceled struct {
 		Plugin string
 		ID     uint64
 	}
@@ -78,11 +78,11 @@
 type (
 	// Send is a frame for an open channel, or, by Addr, for a direct channel opened on demand.
 	Send struct {
-		Chan uint64
+		Conn uint64
 		Addr string
 		Data []byte
 		// Slot, when set, lets a newer frame of the same slot take the place of one still in the backlog.
-		Slot string
+		ReplaceKey string
 	}
 	// Timer asks for a Tick at a moment.
 	Timer struct {
@@ -104,11 +104,11 @@
 		ID    uint64
 		Value any
 	}
-	// Note is one structured line for the log.
-	Note struct {
-		Level Level
-		Event string
-		KV    []any
+	// LogEvent is one structured line for the log.
+	LogEvent struct {
+		Level  Level
+		Event  string
+		Fields []any
 	}
 )
 
@@ -125,14 +125,14 @@
 
 // Out is all that one step asks of its driver.
 type Out struct {
-	Sends   []Send
-	Dials   []string
-	Drops   []uint64
-	Timers  []Timer
-	Writes  []Write
-	Fetches []Fetch
-	Answers []Answer
-	Notes   []Note
+	Sends     []Send
+	Dials     []string
+	Drops     []uint64
+	Timers    []Timer
+	Writes    []Write
+	Fetches   []Fetch
+	Answers   []Answer
+	LogEvents []LogEvent
 }
 
 // Context is one step under way: what the step may read, and what it has asked for so far.
@@ -149,18 +149,18 @@
 func (ctx *Context) Emit(in Input) { ctx.events = append(ctx.events, in) }
 
 // Send queues a message on a channel.
-func (ctx *Context) Send(ch uint64, kind uint8, id uint64, m msgp.Marshaler) {
-	ctx.Out.Sends = append(ctx.Out.Sends, Send{Chan: ch, Data: wire.Seal(kind, id, m)})
+func (ctx *Context) Send(conn uint64, kind uint8, id uint64, m msgp.Marshaler) {
+	ctx.Out.Sends = append(ctx.Out.Sends, Send{Conn: conn, Data: wire.Seal(kind, id, m)})
 }
 
-// SendSlot is Send for frames of which only the newest of a slot matters.
-func (ctx *Context) SendSlot(ch uint64, kind uint8, m msgp.Marshaler, slot string) {
-	ctx.Out.Sends = append(ctx.Out.Sends, Send{Chan: ch, Data: wire.Seal(kind, 0, m), Slot: slot})
+// SendLatest is Send for frames of which only the newest of a slot matters.
+func (ctx *Context) SendLatest(conn uint64, kind uint8, m msgp.Marshaler, slot string) {
+	ctx.Out.Sends = append(ctx.Out.Sends, Send{Conn: conn, Data: wire.Seal(kind, 0, m), ReplaceKey: slot})
 }
 
-// SendSlotTo is SendSlot on the direct channel to an address.
-func (ctx *Context) SendSlotTo(addr string, kind uint8, m msgp.Marshaler, slot string) {
-	ctx.Out.Sends = append(ctx.Out.Sends, Send{Addr: addr, Data: wire.Seal(kind, 0, m), Slot: slot})
+// SendLatestTo is SendLatest on the direct channel to an address.
+func (ctx *Context) SendLatestTo(addr string, kind uint8, m msgp.Marshaler, slot string) {
+	ctx.Out.Sends = append(ctx.Out.Sends, Send{Addr: addr, Data: wire.Seal(kind, 0, m), ReplaceKey: slot})
 }
 
 // SendTo queues a message on the direct channel to an address.
@@ -172,7 +172,7 @@
 func (ctx *Context) Dial(addr string) { ctx.Out.Dials = append(ctx.Out.Dials, addr) }
 
 // Drop closes a channel.
-func (ctx *Context) Drop(ch uint64) { ctx.Out.Drops = append(ctx.Out.Drops, ch) }
+func (ctx *Context) Drop(conn uint64) { ctx.Out.Drops = append(ctx.Out.Drops, conn) }
 
 // After sets a timer.
 func (ctx *Context) After(d int64, plugin, key string) {
@@ -203,5 +203,5 @@
 
 // Log records an event with alternating keys and values.
 func (ctx *Context) Log(level Level, event string, kv ...any) {
-	ctx.Out.Notes = append(ctx.Out.Notes, Note{Level: level, Event: event, KV: kv})
+	ctx.Out.LogEvents = append(ctx.Out.LogEvents, LogEvent{Level: level, Event: event, Fields: kv})
 }
--- a/runtime/process/blocked_test.go
+++ b/runtime/process/blocked_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestACallEndsWithItsTimeWhenTheLoopIsHeldUp(t *testing.T) {
-	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
 	holdUp(t, p)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
@@ -60,14 +60,14 @@
 // Frames wait for a connection that is being opened. Their number is bounded, and the end of what is
 // not open yet is no other than that of an open one.
 func TestAConnectionThatIsNotOpenYetCanBeGivenUp(t *testing.T) {
-	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
 	wait := newChannel(p.channels, nil, "127.0.0.1:1", false, true)
 	defer func() { must.Nil(t, recover()) }()
 	wait.close()
 }
 
 func TestFramesForAnAddressThatDoesNotAnswerAreBounded(t *testing.T) {
-	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
 	// It takes connections and says nothing, as the machine of a frozen process does.
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -94,22 +94,22 @@
 }
 
 func TestBacklogIsBoundedInBytes(t *testing.T) {
-	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
 	wait := newChannel(p.channels, nil, "127.0.0.1:1", false, true)
 	frame := make([]byte, 1<<20)
 	for range 3 * backlogBytes / len(frame) {
 		wait.enlist(kernel.Send{Data: frame})
 	}
 	must.Eq(t, backlogBytes, wait.bytes)
-	wait.enlist(kernel.Send{Data: frame[:0], Slot: "s"})
-	wait.enlist(kernel.Send{Data: []byte("newer"), Slot: "s"})
+	wait.enlist(kernel.Send{Data: frame[:0], ReplaceKey: "s"})
+	wait.enlist(kernel.Send{Data: []byte("newer"), ReplaceKey: "s"})
 	must.Eq(t, backlogBytes/len(frame)+1, len(wait.take()))
 	must.Eq(t, 0, wait.bytes)
 }
 
 // A request that finds the process frozen waits for it to judge anew, but no longer than it may.
 func TestWaitingForAThawEndsWhenTheLoopIsHeldUp(t *testing.T) {
-	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
 	holdUp(t, p)
 	p.lastRun.Store(p.Now() - 2*FreezeGap)
 	must.True(t, returns(func() { p.AwaitThaw(50 * time.Millisecond) }))
--- a/runtime/process/call.go
+++ b/runtime/process/call.go
@@ -16,7 +16,7 @@
 	ch := make(chan any, 1)
 	p.calls.Store(id, ch)
 	defer p.calls.Delete(id)
-	if err := p.postWithin(ctx, kernel.Call{Plugin: plugin, ID: id, Ask: ask}); err != nil {
+	if err := p.postWithin(ctx, kernel.Call{Plugin: plugin, ID: id, Request: ask}); err != nil {
 		return nil, err
 	}
 	select {
@@ -24,7 +24,7 @@
 		return v, nil
 	case <-ctx.Done():
 		// Not here: whoever called does not wait for room in the inbox.
-		go p.Post(kernel.Abandoned{Plugin: plugin, ID: id})
+		go p.Post(kernel.Canceled{Plugin: plugin, ID: id})
 		return nil, ctx.Err()
 	case <-p.stop:
 		return nil, errStopping
--- a/runtime/process/call_test.go
+++ b/runtime/process/call_test.go
@@ -17,5 +17,5 @@
 	_, err := p.Call(ctx, "operate", "a question")
 	must.ErrorIs(t, err, context.Canceled)
 	asked := (<-p.inbox).(kernel.Call)
-	must.Eq(t, kernel.Abandoned{Plugin: "operate", ID: asked.ID}, (<-p.inbox).(kernel.Abandoned))
+	must.Eq(t, kernel.Canceled{Plugin: "operate", ID: asked.ID}, (<-p.inbox).(kernel.Canceled))
 }
--- a/runtime/process/channel.go
+++ b/runtime/process/channel.go
@@ -71,7 +71,7 @@
 
 // put puts a frame into the backlog; full is that there is no room for it.
 func (ch *channel) put(s kernel.Send) (full bool) {
-	if i, ok := ch.slots[s.Slot]; ok && s.Slot != "" && i >= ch.base {
+	if i, ok := ch.slots[s.ReplaceKey]; ok && s.ReplaceKey != "" && i >= ch.base {
 		was := &ch.frames[i-ch.base]
 		ch.bytes += len(s.Data) - len(was.Data)
 		*was = s
@@ -81,8 +81,8 @@
 	if len(ch.frames) >= backlogMost || ch.bytes+len(s.Data) > backlogBytes {
 		return true
 	}
-	if s.Slot != "" {
-		ch.slots[s.Slot] = ch.base + len(ch.frames)
+	if s.ReplaceKey != "" {
+		ch.slots[s.ReplaceKey] = ch.base + len(ch.frames)
 	}
 	ch.frames = append(ch.frames, s)
 	ch.bytes += len(s.Data)
@@ -154,7 +154,7 @@
 		}
 		ch.c.in.Add(1)
 		ch.c.bytesIn.Add(int64(len(b)))
-		ch.c.p.Post(kernel.Received{Chan: ch.id, Data: b})
+		ch.c.p.Post(kernel.Received{Conn: ch.id, Data: b})
 	}
 }
 
--- a/runtime/process/channels.go
+++ b/runtime/process/channels.go
@@ -63,7 +63,7 @@
 	}
 	n := p.Kernel.Counts
 	c.in, c.bytesIn, c.out, c.bytesOut = n.Of("frames_in"), n.Of("frame_bytes_in"), n.Of("frames_out"), n.Of("frame_bytes_out")
-	addr := p.Kernel.Boot.Env.ListenAddress()
+	addr := p.Kernel.Boot.Settings.ListenAddress()
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, oops.In("mesh").With("address", addr).Wrapf(err, "cannot listen")
@@ -100,7 +100,7 @@
 // accepts tells whether a proof was made with the fleet's secret, or with the second
 // one that is accepted while the secret is being changed.
 func (c *channels) accepts(proof []byte, from, to string) bool {
-	e := c.p.Kernel.Boot.Env
+	e := c.p.Kernel.Boot.Settings
 	return hmac.Equal(proof, prove(e.Fleet, from, to)) || e.FleetToo != "" && hmac.Equal(proof, prove(e.FleetToo, from, to))
 }
 
@@ -133,7 +133,7 @@
 		lane = "mesh"
 	}
 	conn.SetDeadline(time.Now().Add(helloWithin))
-	mine := wire.Hello{Addr: c.p.Kernel.Boot.Env.Mesh, Zone: c.p.Kernel.Boot.Env.Zone, Fleet: lane, Proof: prove(c.p.Kernel.Boot.Env.Fleet, self, other)}
+	mine := wire.Hello{Addr: c.p.Kernel.Boot.Settings.Mesh, Zone: c.p.Kernel.Boot.Settings.Zone, Fleet: lane, Proof: prove(c.p.Kernel.Boot.Settings.Fleet, self, other)}
 	if err := wire.WriteTo(conn, wire.Seal(wire.KindHello, 0, &mine)); err != nil {
 		return fail(err)
 	}
@@ -166,7 +166,7 @@
 	c.open[ch.id] = ch
 	c.mu.Unlock()
 	if mesh {
-		c.p.Post(kernel.ChannelUp{Chan: ch.id, Addr: addr, Peer: other, Zone: theirs.Zone, Dialed: dialed, Mesh: true})
+		c.p.Post(kernel.ConnUp{Conn: ch.id, Addr: addr, Peer: other, Zone: theirs.Zone, Dialed: dialed, Mesh: true})
 	}
 	go ch.write()
 	go ch.read()
@@ -177,7 +177,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.Addr == "" {
-		if ch := c.open[s.Chan]; ch != nil {
+		if ch := c.open[s.Conn]; ch != nil {
 			ch.enlist(s)
 		}
 		return
@@ -225,7 +225,7 @@
 	}
 	c.mu.Unlock()
 	if ch.mesh {
-		c.p.Post(kernel.ChannelDown{Chan: ch.id, Addr: ch.addr, Mesh: true})
+		c.p.Post(kernel.ConnDown{Conn: ch.id, Addr: ch.addr, Mesh: true})
 	}
 }
 
--- a/runtime/process/dial.go
+++ b/runtime/process/dial.go
@@ -22,7 +22,7 @@
 // dialer opens connections that leave from the address that the mesh listens on, if that is set.
 func (c *channels) dialer() *net.Dialer {
 	d := &net.Dialer{Timeout: dialWithin}
-	if ip := c.p.Kernel.Boot.Env.SourceIP(); ip.IsValid() {
+	if ip := c.p.Kernel.Boot.Settings.SourceIP(); ip.IsValid() {
 		d.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()}
 	}
 	return d
@@ -32,7 +32,7 @@
 	go func() {
 		if _, err := c.dial(addr, true); err != nil {
 			c.p.Log.Debug("mesh_dial_failed", zap.String("addr", addr), zap.Error(err))
-			c.p.Post(kernel.ChannelDown{Addr: addr, Mesh: true})
+			c.p.Post(kernel.ConnDown{Addr: addr, Mesh: true})
 		}
 	}()
 }
--- a/runtime/process/disk_test.go
+++ b/runtime/process/disk_test.go
@@ -15,7 +15,7 @@
 
 // A process that is to end does not wait for a disk that hangs: what is written aside counts for nothing.
 func TestTheEndDoesNotWaitForADiskThatHangs(t *testing.T) {
-	p := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
+	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
 	dir := t.TempDir()
 	d, _, err := openDisk(dir)
 	must.NoError(t, err)
--- a/runtime/process/flood_test.go
+++ b/runtime/process/flood_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestALoopThatDropsAChannelNeverWaitsForItself(t *testing.T) {
-	a := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
-	b := start(t, settings.Env{Mesh: free(t), Fleet: "s", Seeds: []string{a.Kernel.Boot.Env.Mesh}})
+	a := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
+	b := start(t, settings.Settings{Mesh: free(t), Fleet: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "they meet", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	var dropped atomic.Bool
 	go a.Do(func(int64) {
--- a/runtime/process/loop.go
+++ b/runtime/process/loop.go
@@ -51,7 +51,7 @@
 
 // Config is what a process is started with.
 type Config struct {
-	Env  settings.Env
+	Env  settings.Settings
 	Role string
 	Log  *zap.Logger
 	// Fetchers carry out the fetches of the plug-ins they are named after, in place of a plain GET:
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	key := kernel.KeyFrom(seed[:32])
-	k := kernel.New(kernel.Boot{Env: c.Env, Role: c.Role, Seed: binary.BigEndian.Uint64(seed[32:]), Key: key, Files: files})
+	k := kernel.New(kernel.Boot{Settings: c.Env, Role: c.Role, Seed: binary.BigEndian.Uint64(seed[32:]), Key: key, Files: files})
 	p := &Process{
 		Kernel: k, Log: c.Log, fetchers: c.Fetchers, began: time.Now(), inbox: make(chan kernel.Input, inboxMost), disk: d,
 		fetcher: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
@@ -125,7 +125,7 @@
 
 func (p *Process) step(at clocks, in kernel.Input) {
 	out := p.Kernel.Step(at.now, at.wall, in)
-	for _, n := range out.Notes {
+	for _, n := range out.LogEvents {
 		p.note(n)
 	}
 	for _, t := range out.Timers {
@@ -158,14 +158,14 @@
 
 var levels = []zapcore.Level{zapcore.DebugLevel, zapcore.InfoLevel, zapcore.WarnLevel, zapcore.ErrorLevel}
 
-func (p *Process) note(n kernel.Note) {
+func (p *Process) note(n kernel.LogEvent) {
 	line := p.notes.Check(levels[min(max(n.Level, kernel.LevelDebug), kernel.LevelError)-kernel.LevelDebug], n.Event)
 	if line == nil {
 		return
 	}
-	fields := make([]zap.Field, 0, len(n.KV)/2)
-	for i := 0; i+1 < len(n.KV); i += 2 {
-		fields = append(fields, field(fmt.Sprint(n.KV[i]), n.KV[i+1]))
+	fields := make([]zap.Field, 0, len(n.Fields)/2)
+	for i := 0; i+1 < len(n.Fields); i += 2 {
+		fields = append(fields, field(fmt.Sprint(n.Fields[i]), n.Fields[i+1]))
 	}
 	line.Write(fields...)
 }
--- a/runtime/process/process_test.go
+++ b/runtime/process/process_test.go
@@ -28,7 +28,7 @@
 	return l.Addr().String()
 }
 
-func start(t *testing.T, e settings.Env) *Process {
+func start(t *testing.T, e settings.Settings) *Process {
 	t.Helper()
 	p, err := Start(Config{Env: e, Role: "node", Log: zap.NewNop()})
 	must.NoError(t, err)
@@ -53,8 +53,8 @@
 }
 
 func TestTwoProcessesMeet(t *testing.T) {
-	a := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
-	b := start(t, settings.Env{Mesh: free(t), Fleet: "s", Seeds: []string{a.Kernel.Boot.Env.Mesh}})
+	a := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
+	b := start(t, settings.Settings{Mesh: free(t), Fleet: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "both have one peer", func() bool { return a.peers() == 1 && b.peers() == 1 })
 }
 
@@ -63,11 +63,11 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	announced := listener.Addr().String()
-	a := start(t, settings.Env{Mesh: announced, MeshListen: behind, Fleet: "s"})
+	a := start(t, settings.Settings{Mesh: announced, MeshListen: behind, Fleet: "s"})
 	callers := make(chan string, 8)
 	go forwardTo(listener, behind, callers)
 	t.Cleanup(func() { listener.Close() })
-	b := start(t, settings.Env{Mesh: free(t), MeshListen: "127.0.0.2:0", Fleet: "s", Seeds: []string{announced}})
+	b := start(t, settings.Settings{Mesh: free(t), MeshListen: "127.0.0.2:0", Fleet: "s", Seeds: []string{announced}})
 	until(t, "both have one peer", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	host, _, err := net.SplitHostPort(<-callers)
 	must.NoError(t, err)
@@ -96,8 +96,8 @@
 }
 
 func TestAnotherFleetsSecretIsKeptOut(t *testing.T) {
-	a := start(t, settings.Env{Mesh: free(t), Fleet: "s"})
-	b := start(t, settings.Env{Mesh: free(t), Fleet: "other", Seeds: []string{a.Kernel.Boot.Env.Mesh}})
+	a := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
+	b := start(t, settings.Settings{Mesh: free(t), Fleet: "other", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "it is refused", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
@@ -105,7 +105,7 @@
 
 func TestSecretIsChangedWithoutAStop(t *testing.T) {
 	// Both secrets stand side by side: one process at a time goes from the old to the new.
-	steps := [][2]settings.Env{
+	steps := [][2]settings.Settings{
 		{{Fleet: "old", FleetToo: "new"}, {Fleet: "old"}},
 		{{Fleet: "new", FleetToo: "old"}, {Fleet: "old", FleetToo: "new"}},
 		{{Fleet: "new"}, {Fleet: "new", FleetToo: "old"}},
@@ -118,22 +118,22 @@
 		until(t, "they meet", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	}
 	// A process that was not given the new secret is shut out for good.
-	a := start(t, settings.Env{Mesh: free(t), Fleet: "new"})
-	b := start(t, settings.Env{Mesh: free(t), Fleet: "old", Seeds: []string{a.Kernel.Boot.Env.Mesh}})
+	a := start(t, settings.Settings{Mesh: free(t), Fleet: "new"})
+	b := start(t, settings.Settings{Mesh: free(t), Fleet: "old", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "it is refused", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
 }
 
 func TestStrangersBytesEndOnlyTheirConnection(t *testing.T) {
-	a := start(t, settings.Env{Mesh: free(t)})
-	c, err := net.Dial("tcp", a.Kernel.Boot.Env.Mesh)
+	a := start(t, settings.Settings{Mesh: free(t)})
+	c, err := net.Dial("tcp", a.Kernel.Boot.Settings.Mesh)
 	must.NoError(t, err)
 	_, err = c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	must.NoError(t, err)
 	until(t, "it is counted", func() bool { return a.Kernel.Counts.Of("channels_failed").Load() == 1 })
 	c.Close()
-	b := start(t, settings.Env{Mesh: free(t), Seeds: []string{a.Kernel.Boot.Env.Mesh}})
+	b := start(t, settings.Settings{Mesh: free(t), Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "others still get in", func() bool { return b.peers() == 1 })
 }
 
--- a/runtime/settings/env.go
+++ b/runtime/settings/env.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// Env is the place of one process. Flags win over the file.
-type Env struct {
+// Settings is the place of one process. Flags win over the file.
+type Settings struct {
 	File          string   `long:"env-file" description:"file of key=value lines, the keys being these flags' names"`
 	Name          string   `long:"name" description:"name in logs and tables; made from the mesh address when absent"`
 	Zone          string   `long:"zone" description:"zone of this machine"`
@@ -56,7 +56,7 @@
 }
 
 // ListenAddress is where the mesh listens.
-func (e Env) ListenAddress() string {
+func (e Settings) ListenAddress() string {
 	if e.MeshListen != "" {
 		return e.MeshListen
 	}
@@ -65,7 +65,7 @@
 
 // SourceIP is the IP from which connections to other processes leave; not valid where the system
 // is to choose it.
-func (e Env) SourceIP() netip.Addr {
+func (e Settings) SourceIP() netip.Addr {
 	listen, err := netip.ParseAddrPort(e.MeshListen)
 	if err != nil || listen.Addr().IsUnspecified() {
 		return netip.Addr{}
@@ -89,7 +89,7 @@
 }
 
 // Load fills what the flags left open from the file and checks the whole.
-func Load(e *Env, role string) Findings {
+func Load(e *Settings, role string) Findings {
 	var out Findings
 	if e.File != "" {
 		out = append(out, e.read()...)
@@ -101,14 +101,14 @@
 	return out
 }
 
-func (e *Env) fields() map[string]*string {
+func (e *Settings) fields() map[string]*string {
 	return map[string]*string{
 		"name": &e.Name, "zone": &e.Zone, "mesh": &e.Mesh, "mesh-listen": &e.MeshListen, "caller": &e.Caller, "operator": &e.Operator,
 		"data": &e.Data, "platform": &e.Platform, "operator-token": &e.Token, "operator-tokens": &e.Tokens, "fleet-secret": &e.Fleet, "fleet-secret-too": &e.FleetToo,
 	}
 }
 
-func (e *Env) read() Findings {
+func (e *Settings) read() Findings {
 	f, err := os.Open(e.File)
 	if err != nil {
 		return Findings{{e.File, err.Error()}}
@@ -157,7 +157,7 @@
 	return out
 }
 
-func (e *Env) check(role string) Findings {
+func (e *Settings) check(role string) Findings {
 	var out Findings
 	need := map[string]string{"mesh": e.Mesh, "operator": e.Operator}
 	if role == "node" {
--- a/runtime/settings/place.go
+++ b/runtime/settings/place.go
@@ -9,7 +9,7 @@
 }
 
 // Seats is the number of seats that a part's group should have.
-func (e *Env) Voters() int {
+func (e *Settings) Voters() int {
 	if !e.BootstrapKnown {
 		return 3
 	}
--- a/runtime/wire/golden_test.go
+++ b/runtime/wire/golden_test.go
@@ -60,8 +60,8 @@
 	{KindSeenReply, "seen reply", &SeenReply{}},
 	{KindNotice, "notice", &Notice{}},
 	{KindLeave, "leave", &Leave{}},
-	{KindPiece, "piece", &Piece{}},
-	{KindPieceAck, "piece ack", &PieceAck{}},
+	{KindChunk, "piece", &Chunk{}},
+	{KindChunkAck, "piece ack", &ChunkAck{}},
 	{KindStatusRequest, "status request", &StatusRequest{}},
 	{KindStatusReply, "status reply", &StatusReply{}},
 }
--- a/runtime/wire/messages.go
+++ b/runtime/wire/messages.go
@@ -31,8 +31,8 @@
 	KindSeenReply
 	KindNotice
 	KindLeave
-	KindPiece
-	KindPieceAck
+	KindChunk
+	KindChunkAck
 	KindStatusRequest
 	KindStatusReply
 )
--- a/runtime/wire/pieces.go
+++ b/runtime/wire/pieces.go
@@ -8,15 +8,15 @@
 	// WholeMost is the largest frame that is sent as it is. A larger one would hold up
 	// the heartbeats behind it: 64 KiB take 52 ms at 10 Mbit/s.
 	WholeMost = 64 << 10
-	// PieceBytes is what one piece carries.
-	PieceBytes = 32 << 10
+	// ChunkBytes is what one piece carries.
+	ChunkBytes = 32 << 10
 	// MaxMessage bounds a message that travels in pieces: the largest body and ledger of
 	// a partition, and room for their envelope.
 	MaxMessage = 6 << 20
 )
 
-// Piece is one part of a message. Transfers of a process are numbered upwards.
-type Piece struct {
+// Chunk is one part of a message. Transfers of a process are numbered upwards.
+type Chunk struct {
 	Transfer uint64 `msg:"t"`
 	Offset   int    `msg:"o"`
 	Total    int    `msg:"n"`
@@ -25,8 +25,8 @@
 	Data   []byte `msg:"d"`
 }
 
-// PieceAck says how much of a transfer has arrived in order. Zero asks to begin again.
-type PieceAck struct {
+// ChunkAck says how much of a transfer has arrived in order. Zero asks to begin again.
+type ChunkAck struct {
 	Transfer uint64 `msg:"t"`
 	Next     int    `msg:"x"`
 }
--- a/runtime/wire/pieces_gen.go
+++ b/runtime/wire/pieces_gen.go
@@ -7,7 +7,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Piece) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Chunk) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -66,7 +66,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Piece) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *Chunk) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 5
 	// write "t"
 	err = en.Append(0x85, 0xa1, 0x74)
@@ -122,7 +122,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Piece) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Chunk) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "t"
@@ -144,7 +144,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Piece) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Chunk) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -204,13 +204,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Piece) Msgsize() (s int) {
+func (z *Chunk) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Digest) + 2 + msgp.BytesPrefixSize + len(z.Data)
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *PieceAck) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ChunkAck) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -251,7 +251,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z PieceAck) EncodeMsg(en *msgp.Writer) (err error) {
+func (z ChunkAck) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
 	// write "t"
 	err = en.Append(0x82, 0xa1, 0x74)
@@ -277,7 +277,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z PieceAck) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ChunkAck) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "t"
@@ -290,7 +290,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PieceAck) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ChunkAck) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -332,7 +332,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z PieceAck) Msgsize() (s int) {
+func (z ChunkAck) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.IntSize
 	return
 }
