--- /dev/null
+++ b/surface/golden_test.go
@@ -0,0 +1,88 @@
+// Package surface holds golden lists of what others see of the program: flags, settings, calls,
+// formats, figures and file names. They are read from sources, generated files and the built
+// commands, so that they do not depend on where code stands or what it is called in Go.
+//
+// After a change of the surface that is meant: go test ./surface -update
+package surface
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// root is the module's folder: the nearest one above with a go.mod.
+func root(t *testing.T) string {
+	t.Helper()
+	dir, err := os.Getwd()
+	must.NoError(t, err)
+	for {
+		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
+			return dir
+		}
+		must.NotEq(t, dir, filepath.Dir(dir), must.Sprint("no go.mod above the test's folder"))
+		dir = filepath.Dir(dir)
+	}
+}
+
+// goldenSet compares a sorted set of lines with a file in testdata.
+func goldenSet(t *testing.T, name string, lines []string) {
+	t.Helper()
+	slices.Sort(lines)
+	goldenLines(t, name, slices.Compact(lines))
+}
+
+func goldenLines(t *testing.T, name string, lines []string) {
+	t.Helper()
+	must.SliceNotEmpty(t, lines)
+	golden(t, name, strings.Join(lines, "\n")+"\n")
+}
+
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		must.NoError(t, os.WriteFile(path, []byte(got), 0o644))
+		return
+	}
+	want, err := os.ReadFile(path)
+	must.NoError(t, err)
+	if string(want) != got {
+		t.Errorf("the surface differs from %s (- golden, + now; none where just the order differs):\n%s", path, diff(string(want), got))
+	}
+}
+
+// diff shows the lines that only one of two texts has.
+func diff(want, got string) string {
+	only := func(a, b, sign string) (out string) {
+		there := map[string]int{}
+		for _, l := range strings.Split(b, "\n") {
+			there[l]++
+		}
+		for i, l := range strings.Split(a, "\n") {
+			if there[l]--; there[l] < 0 {
+				out += fmt.Sprintf("%s%d: %s\n", sign, i+1, l)
+			}
+		}
+		return out
+	}
+	return only(want, got, "-") + only(got, want, "+")
+}
+
+func TestDiffShowsLinesOfOneSideOnly(t *testing.T) {
+	must.Eq(t, "-2: b\n-4: c\n+3: d\n", diff("a\nb\nc\nc", "a\nc\nd"))
+}
+
+func TestDeployFileIsUnchanged(t *testing.T) {
+	b, err := os.ReadFile(filepath.Join(root(t), "deploy", "system.toml"))
+	must.NoError(t, err)
+	golden(t, "system.toml", string(b))
+}
