--- a/surface/schema_test.go
+++ b/surface/schema_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/reflect/protoregistry"
 
-	_ "wallport/routingpb"
-	_ "wallport/sheetpb"
+	_ "wallport/api/configpb"
+	_ "wallport/api/routingpb"
 )
 
 // apiProse are the keys of an OpenAPI description that callers do not depend on.
@@ -56,7 +56,7 @@
 }
 
 func TestAPIIsUnchanged(t *testing.T) {
-	b, err := os.ReadFile(filepath.Join(root(t), "gen", "http", "openapi3.json"))
+	b, err := os.ReadFile(filepath.Join(root(t), "api", "gen", "http", "openapi3.json"))
 	must.NoError(t, err)
 	var api struct {
 		Paths      map[string]any
