--- a/cmd/wallport/admin.go
+++ b/cmd/wallport/admin.go
@@ -15,8 +15,8 @@
 
 	goahttp "goa.design/goa/v3/http"
 
-	"wallport/api/gen/http/operator/client"
-	"wallport/api/gen/operator"
+	"wallport/gen/http/operator/client"
+	"wallport/gen/operator"
 )
 
 type remote struct {
--- a/cmd/wallport/fleet.go
+++ b/cmd/wallport/fleet.go
@@ -10,8 +10,8 @@
 	"text/tabwriter"
 	"time"
 
-	"wallport/api/gen/operator"
 	"wallport/control/operations"
+	"wallport/gen/operator"
 )
 
 type bookingCmd struct {
--- a/cmd/wallport/history.go
+++ b/cmd/wallport/history.go
@@ -11,8 +11,8 @@
 	"strings"
 
 	"wallport/api/configpb"
-	"wallport/api/gen/operator"
 	"wallport/control/config"
+	"wallport/gen/operator"
 	"wallport/runtime/wire"
 )
 
--- a/docs/example/main.go
+++ b/docs/example/main.go
@@ -12,8 +12,8 @@
 
 	goahttp "goa.design/goa/v3/http"
 
-	"wallport/api/gen/caller"
-	"wallport/api/gen/http/caller/client"
+	"wallport/gen/caller"
+	"wallport/gen/http/caller/client"
 )
 
 func main() {
--- a/api/gen/caller/client.go
+++ b/gen/caller/client.go
@@ -3,7 +3,7 @@
 // caller client
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package caller
 
--- a/api/gen/caller/endpoints.go
+++ b/gen/caller/endpoints.go
@@ -3,7 +3,7 @@
 // caller endpoints
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package caller
 
--- a/api/gen/http/caller/client/cli.go
+++ b/gen/http/caller/client/cli.go
@@ -3,7 +3,7 @@
 // caller HTTP client CLI support package
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package client
 
@@ -12,7 +12,7 @@
 	"fmt"
 	"strconv"
 	"unicode/utf8"
-	caller "wallport/api/gen/caller"
+	caller "wallport/gen/caller"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/api/gen/http/caller/client/encode_decode.go
+++ b/gen/http/caller/client/encode_decode.go
@@ -3,7 +3,7 @@
 // caller HTTP client encoders and decoders
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package client
 
@@ -15,7 +15,7 @@
 	"net/http"
 	"net/url"
 	"strconv"
-	caller "wallport/api/gen/caller"
+	caller "wallport/gen/caller"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/api/gen/http/caller/client/paths.go
+++ b/gen/http/caller/client/paths.go
@@ -3,7 +3,7 @@
 // HTTP request path constructors for the caller service.
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package client
 
--- a/api/gen/http/caller/client/types.go
+++ b/gen/http/caller/client/types.go
@@ -3,12 +3,12 @@
 // caller HTTP client types
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package client
 
 import (
-	caller "wallport/api/gen/caller"
+	caller "wallport/gen/caller"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/api/gen/http/caller/server/encode_decode.go
+++ b/gen/http/caller/server/encode_decode.go
@@ -3,7 +3,7 @@
 // caller HTTP server encoders and decoders
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package server
 
@@ -14,7 +14,7 @@
 	"net/http"
 	"strconv"
 	"unicode/utf8"
-	caller "wallport/api/gen/caller"
+	caller "wallport/gen/caller"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/api/gen/http/caller/server/server.go
+++ b/gen/http/caller/server/server.go
@@ -3,14 +3,14 @@
 // caller HTTP server
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package server
 
 import (
 	"context"
 	"net/http"
-	caller "wallport/api/gen/caller"
+	caller "wallport/gen/caller"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/api/gen/http/caller/server/types.go
+++ b/gen/http/caller/server/types.go
@@ -3,13 +3,13 @@
 // caller HTTP server types
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package server
 
 import (
 	"unicode/utf8"
-	caller "wallport/api/gen/caller"
+	caller "wallport/gen/caller"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/api/gen/http/cli/wallport/cli.go
+++ b/gen/http/cli/wallport/cli.go
@@ -3,7 +3,7 @@
 // wallport HTTP client CLI support package
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package cli
 
@@ -12,8 +12,8 @@
 	"fmt"
 	"net/http"
 	"os"
-	callerc "wallport/api/gen/http/caller/client"
-	operatorc "wallport/api/gen/http/operator/client"
+	callerc "wallport/gen/http/caller/client"
+	operatorc "wallport/gen/http/operator/client"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/api/gen/http/operator/client/client.go
+++ b/gen/http/operator/client/client.go
@@ -3,7 +3,7 @@
 // operator client HTTP transport
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package client
 
--- a/api/gen/http/operator/client/encode_decode.go
+++ b/gen/http/operator/client/encode_decode.go
@@ -3,7 +3,7 @@
 // operator HTTP client encoders and decoders
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package client
 
@@ -15,7 +15,7 @@
 	"net/http"
 	"net/url"
 	"strconv"
-	operator "wallport/api/gen/operator"
+	operator "wallport/gen/operator"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/api/gen/http/operator/client/types.go
+++ b/gen/http/operator/client/types.go
@@ -3,12 +3,12 @@
 // operator HTTP client types
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package client
 
 import (
-	operator "wallport/api/gen/operator"
+	operator "wallport/gen/operator"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/api/gen/http/operator/server/encode_decode.go
+++ b/gen/http/operator/server/encode_decode.go
@@ -3,7 +3,7 @@
 // operator HTTP server encoders and decoders
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package server
 
@@ -14,7 +14,7 @@
 	"net/http"
 	"strconv"
 	"unicode/utf8"
-	operator "wallport/api/gen/operator"
+	operator "wallport/gen/operator"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/api/gen/http/operator/server/paths.go
+++ b/gen/http/operator/server/paths.go
@@ -3,7 +3,7 @@
 // HTTP request path constructors for the operator service.
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package server
 
--- a/api/gen/http/operator/server/server.go
+++ b/gen/http/operator/server/server.go
@@ -3,14 +3,14 @@
 // operator HTTP server
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package server
 
 import (
 	"context"
 	"net/http"
-	operator "wallport/api/gen/operator"
+	operator "wallport/gen/operator"
 
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
--- a/api/gen/http/operator/server/types.go
+++ b/gen/http/operator/server/types.go
@@ -3,13 +3,13 @@
 // operator HTTP server types
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package server
 
 import (
 	"unicode/utf8"
-	operator "wallport/api/gen/operator"
+	operator "wallport/gen/operator"
 
 	goa "goa.design/goa/v3/pkg"
 )
--- a/api/gen/operator/endpoints.go
+++ b/gen/operator/endpoints.go
@@ -3,7 +3,7 @@
 // operator endpoints
 //
 // Command:
-// $ goa gen wallport/api/design -o api
+// $ goa gen wallport/api/design
 
 package operator
 
--- a/request/httpapi/caller.go
+++ b/request/httpapi/caller.go
@@ -5,7 +5,7 @@
 import (
 	"context"
 
-	"wallport/api/gen/caller"
+	"wallport/gen/caller"
 	"wallport/request/search"
 )
 
--- a/request/httpapi/carry.go
+++ b/request/httpapi/carry.go
@@ -8,9 +8,9 @@
 
 	"go.uber.org/zap"
 
-	"wallport/api/gen/operator"
 	"wallport/control/config"
 	"wallport/control/operations"
+	"wallport/gen/operator"
 	"wallport/runtime/wire"
 )
 
--- a/request/httpapi/explain.go
+++ b/request/httpapi/explain.go
@@ -15,10 +15,10 @@
 
 	goahttp "goa.design/goa/v3/http"
 
-	"wallport/api/gen/http/operator/client"
-	"wallport/api/gen/operator"
 	"wallport/cluster/membership"
 	"wallport/control/config"
+	"wallport/gen/http/operator/client"
+	"wallport/gen/operator"
 	"wallport/request/search"
 	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
--- a/request/httpapi/http.go
+++ b/request/httpapi/http.go
@@ -19,11 +19,11 @@
 	"go.uber.org/zap"
 	goahttp "goa.design/goa/v3/http"
 
-	"wallport/api/gen/caller"
-	callersrv "wallport/api/gen/http/caller/server"
-	operatorsrv "wallport/api/gen/http/operator/server"
-	"wallport/api/gen/operator"
 	"wallport/control/config"
+	"wallport/gen/caller"
+	callersrv "wallport/gen/http/caller/server"
+	operatorsrv "wallport/gen/http/operator/server"
+	"wallport/gen/operator"
 	"wallport/runtime/process"
 )
 
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -7,11 +7,11 @@
 	"context"
 	"encoding/json"
 
-	"wallport/api/gen/operator"
 	"wallport/cluster/membership"
 	"wallport/control/config"
 	"wallport/control/operations"
 	"wallport/control/state"
+	"wallport/gen/operator"
 	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
--- a/request/httpapi/scopes.go
+++ b/request/httpapi/scopes.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"wallport/api/configpb"
-	"wallport/api/gen/operator"
 	"wallport/control/config"
+	"wallport/gen/operator"
 	"wallport/runtime/process"
 )
 
--- a/request/httpapi/shape.go
+++ b/request/httpapi/shape.go
@@ -14,9 +14,9 @@
 	goahttp "goa.design/goa/v3/http"
 	goa "goa.design/goa/v3/pkg"
 
-	"wallport/api/gen/caller"
-	"wallport/api/gen/operator"
 	"wallport/control/config"
+	"wallport/gen/caller"
+	"wallport/gen/operator"
 	"wallport/runtime/wire"
 )
 
--- a/request/httpapi/status.go
+++ b/request/httpapi/status.go
@@ -5,10 +5,10 @@
 import (
 	"context"
 
-	"wallport/api/gen/operator"
 	"wallport/control/config"
 	"wallport/control/operations"
 	"wallport/control/state"
+	"wallport/gen/operator"
 	"wallport/runtime/wire"
 )
 
--- a/surface/schema_test.go
+++ b/surface/schema_test.go
@@ -56,7 +56,7 @@
 }
 
 func TestAPIIsUnchanged(t *testing.T) {
-	b, err := os.ReadFile(filepath.Join(root(t), "api", "gen", "http", "openapi3.json"))
+	b, err := os.ReadFile(filepath.Join(root(t), "gen", "http", "openapi3.json"))
 	must.NoError(t, err)
 	var api struct {
 		Paths      map[string]any
--- a/test.sh
+++ b/test.sh
@@ -14,7 +14,7 @@
 [ -z "$bad" ] || { echo "not formatted: $bad"; exit 1; }
 
 step "generated code is fresh"
-sums() { find api/gen api/configpb api/routingpb runtime/wire -type f | sort | xargs sha256sum; }
+sums() { find gen api/configpb api/routingpb runtime/wire -type f | sort | xargs sha256sum; }
 old=$(sums); ./generate.sh; new=$(sums)
 [ "$old" = "$new" ] || { echo "generated code is stale: run ./generate.sh and commit"; diff <(echo "$old") <(echo "$new") || true; exit 1; }
 
