--- a/cluster/discovery/listing_test.go
+++ b/cluster/discovery/listing_test.go
@@ -132,7 +132,7 @@
 		v := r.timers[next]
 		r.timers = append(r.timers[:next], r.timers[next+1:]...)
 		r.now = max(r.now, v.At)
-		r.feed(kernel.Tick{Plugin: v.Plugin, Key: v.Key})
+		r.feed(v.Tick)
 	}
 }
 
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -143,7 +143,7 @@
 	for _, t := range out.Timers {
 		f.after(t.At-f.now, func() {
 			if p.k == life {
-				f.step(p, kernel.Tick{Plugin: t.Plugin, Key: t.Key})
+				f.step(p, t.Tick)
 			}
 		})
 	}
--- a/control/operations/carrying.go
+++ b/control/operations/carrying.go
@@ -5,8 +5,6 @@
 package operations
 
 import (
-	"fmt"
-
 	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
@@ -41,7 +39,7 @@
 		o.send(ctx, id, c, addr)
 	}
 	c.tries++
-	ctx.After(min(TryEvery, c.giveUp()/triesLeast, left), "operate", fmt.Sprint(id))
+	ctx.AfterFor(min(TryEvery, c.giveUp()/triesLeast, left), "operate", id)
 }
 
 // send sends the order, or the question for the version that it is to be bound to. Nothing is
@@ -143,5 +141,5 @@
 		o.answer(ctx, id, c, res)
 		return
 	}
-	ctx.After(min(50_000, c.at+c.waits()-ctx.Now), "operate", fmt.Sprint(id))
+	ctx.AfterFor(min(50_000, c.at+c.waits()-ctx.Now), "operate", id)
 }
--- a/control/operations/operate.go
+++ b/control/operations/operate.go
@@ -89,19 +89,15 @@
 		delete(o.calls, v.ID)
 		delete(o.statusReads, v.ID)
 	case kernel.Tick:
-		var id uint64
-		if _, err := fmt.Sscan(v.Key, &id); err != nil {
+		if r := o.rebuilds[v.ID]; r != nil {
+			o.rebuildTick(ctx, v.ID, r)
 			return
 		}
-		if r := o.rebuilds[id]; r != nil {
-			o.rebuildTick(ctx, id, r)
+		if read := o.statusReads[v.ID]; read != nil {
+			o.endStatus(ctx, v.ID, read)
 			return
 		}
-		if read := o.statusReads[id]; read != nil {
-			o.endStatus(ctx, id, read)
-			return
-		}
-		o.try(ctx, id)
+		o.try(ctx, v.ID)
 	case replica.Replied:
 		o.replied(ctx, v.ID, v.Reply)
 	case kernel.Message:
--- a/control/operations/operate_test.go
+++ b/control/operations/operate_test.go
@@ -83,7 +83,7 @@
 		v := n.timers[next]
 		n.timers = append(n.timers[:next], n.timers[next+1:]...)
 		n.now = max(n.now, v.At)
-		n.step(kernel.Tick{Plugin: v.Plugin, Key: v.Key})
+		n.step(v.Tick)
 	}
 }
 
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -61,7 +61,7 @@
 // rebuildDue has the step under way end after a while.
 func (o *Operate) rebuildDue(ctx *kernel.Context, id uint64, r *rebuilding, after int64) {
 	r.dueAt = ctx.Now + after
-	ctx.After(after, "operate", fmt.Sprint(id))
+	ctx.AfterFor(after, "operate", id)
 }
 
 // rebuildTick ends the step under way, unless the timer was that of an earlier one.
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -4,8 +4,6 @@
 package operations
 
 import (
-	"fmt"
-
 	"wallport/cluster/membership"
 	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
@@ -50,7 +48,7 @@
 		}
 		ctx.SendTo(core.Addr, wire.KindStatusRequest, id, &wire.StatusRequest{})
 	}
-	ctx.After(StatusWithin, "operate", fmt.Sprint(id))
+	ctx.AfterFor(StatusWithin, "operate", id)
 	o.endStatusIfWhole(ctx, id, read)
 }
 
--- a/control/replica/cluster_machine_test.go
+++ b/control/replica/cluster_machine_test.go
@@ -133,7 +133,7 @@
 		c.note(m.addr + " " + n.Event + " " + fmt.Sprint(n.Fields...))
 	}
 	for _, timer := range out.Timers {
-		m.later(timer.At-m.clock(), func() { m.step(kernel.Tick{Plugin: timer.Plugin, Key: timer.Key}) })
+		m.later(timer.At-m.clock(), func() { m.step(timer.Tick) })
 	}
 	m.writes = append(m.writes, out.Writes...)
 	m.write()
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -114,7 +114,7 @@
 	now, life := c.now-m.startedAt, m.life
 	out := m.kernel.Step(now, 1_700_000_000*second+c.now, in)
 	for _, v := range out.Timers {
-		c.after(v.At-now, func() { c.feed(m, life, kernel.Tick{Plugin: v.Plugin, Key: v.Key}) })
+		c.after(v.At-now, func() { c.feed(m, life, v.Tick) })
 	}
 	for _, w := range out.Writes {
 		c.write(m, w)
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -98,7 +98,7 @@
 	for _, timer := range out.Timers {
 		c.after(timer.At-c.now, func() {
 			if m.life == life {
-				c.step(m, kernel.Tick{Plugin: timer.Plugin, Key: timer.Key})
+				c.step(m, timer.Tick)
 			}
 		})
 	}
--- a/lab/sim/proc.go
+++ b/lab/sim/proc.go
@@ -212,7 +212,7 @@
 		p.w.note(p.name + " " + n.Event + " " + fmt.Sprint(n.Fields...))
 	}
 	for _, t := range out.Timers {
-		p.later(t.At-p.now(), func() { p.step(kernel.Tick{Plugin: t.Plugin, Key: t.Key}) })
+		p.later(t.At-p.now(), func() { p.step(t.Tick) })
 	}
 	for _, wr := range out.Writes {
 		p.write(wr)
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -42,7 +42,7 @@
 		c.send(ctx, n, pending)
 	}
 	if c.admissions[n] != nil {
-		ctx.After(min(AskEvery, pending.until-ctx.Now), "idempotency", fmt.Sprint(n))
+		ctx.AfterFor(min(AskEvery, pending.until-ctx.Now), "idempotency", n)
 	}
 }
 
@@ -104,7 +104,7 @@
 	case len(pending.replies) == len(pending.owners):
 	case pending.decideAt == 0:
 		pending.decideAt = ctx.Now + LastWait
-		ctx.After(LastWait, "idempotency", fmt.Sprint(n))
+		ctx.AfterFor(LastWait, "idempotency", n)
 		return
 	case ctx.Now < pending.decideAt:
 		return
@@ -134,7 +134,7 @@
 		ctx.Counts.Add("claims_asked_again", 1)
 		c.send(ctx, n, pending)
 		if c.admissions[n] != nil {
-			ctx.After(min(AskEvery, pending.until-ctx.Now), "idempotency", fmt.Sprint(n))
+			ctx.AfterFor(min(AskEvery, pending.until-ctx.Now), "idempotency", n)
 		}
 		return
 	}
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -3,7 +3,6 @@
 package idempotency
 
 import (
-	"fmt"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -25,12 +24,12 @@
 	for n, w := range c.admissions {
 		must.SliceEmpty(t, w.owners)
 		now += AskEvery
-		out := k.Step(now, now, kernel.Tick{Plugin: "idempotency", Key: fmt.Sprint(n)})
+		out := k.Step(now, now, kernel.Tick{Plugin: "idempotency", ID: n})
 		must.SliceEmpty(t, out.Answers)
 		must.SliceEmpty(t, w.owners)
 		k.Step(now, now, mesh.CaughtUp{})
 		now += RosterWait
-		out = k.Step(now, now, kernel.Tick{Plugin: "idempotency", Key: fmt.Sprint(n)})
+		out = k.Step(now, now, kernel.Tick{Plugin: "idempotency", ID: n})
 		must.Len(t, 1, w.owners, must.Sprint("now it knows, and asks"))
 	}
 }
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -6,8 +6,6 @@
 package idempotency
 
 import (
-	"fmt"
-
 	"wallport/cluster/mesh"
 	"wallport/control/configsync"
 	"wallport/request/search"
@@ -144,10 +142,7 @@
 			}
 			return
 		}
-		var id uint64
-		if _, err := fmt.Sscan(v.Key, &id); err == nil {
-			c.retry(ctx, id)
-		}
+		c.retry(ctx, v.ID)
 	case kernel.Call:
 		switch a := v.Request.(type) {
 		case Admit:
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -82,7 +82,7 @@
 	for _, timer := range ctx.Out.Timers {
 		n.m.after(timer.At-n.m.now, func() {
 			if here.there() {
-				n.step(kernel.Tick{Plugin: timer.Plugin, Key: timer.Key})
+				n.step(timer.Tick)
 			}
 		})
 	}
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -6,8 +6,6 @@
 package idempotency
 
 import (
-	"fmt"
-
 	"wallport/request/search"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
@@ -77,7 +75,7 @@
 	c.next++
 	c.admissions[c.next] = &admission{id: id, ask: a}
 	ctx.SendTo(addr, wire.KindSeen, c.next, &wire.Seen{Key: a.Key})
-	ctx.After(SeenWait, "idempotency", fmt.Sprint(c.next))
+	ctx.AfterFor(SeenWait, "idempotency", c.next)
 }
 
 func (c *Coordinator) seenReply(ctx *kernel.Context, n uint64, m wire.SeenReply) {
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -72,7 +72,7 @@
 
 // tick is the timer of a claim.
 func (n *node) tick(id uint64) kernel.Out {
-	return n.step(kernel.Tick{Plugin: "idempotency", Key: fmt.Sprint(id)})
+	return n.step(kernel.Tick{Plugin: "idempotency", ID: id})
 }
 
 func verdict(t *testing.T, out kernel.Out) search.Verdict {
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -115,7 +115,7 @@
 		v := heap.Pop(&n.timers).(kernel.Timer)
 		n.now = max(n.now, v.At)
 		if v.Plugin != "" {
-			n.feed(kernel.Tick{Plugin: v.Plugin, Key: v.Key})
+			n.feed(v.Tick)
 			continue
 		}
 		for _, f := range n.later[v.At] {
--- a/runtime/kernel/turn.go
+++ b/runtime/kernel/turn.go
@@ -8,6 +8,7 @@
 
 	"github.com/tinylib/msgp/msgp"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/invariant"
 	"wallport/runtime/wire"
 )
@@ -45,8 +46,13 @@
 		ID   uint64
 		Body []byte
 	}
-	// Tick is a timer that came due.
-	Tick struct{ Plugin, Key string }
+	// Tick is a timer that came due: for the plug-in as a whole, by Key, or for one of the
+	// things that it has under way, by ID.
+	Tick struct {
+		Plugin string
+		Key    string
+		ID     uint64
+	}
 	// Written answers a Write once the file is synced in place, or says why not.
 	Written struct{ Plugin, Key, Err string }
 	// Fetched answers a Fetch.
@@ -85,10 +91,10 @@
 		// Slot, when set, lets a newer frame of the same slot take the place of one still in the backlog.
 		ReplaceKey string
 	}
-	// Timer asks for a Tick at a moment.
+	// Timer asks for a Tick at a moment of the process's monotonic clock.
 	Timer struct {
-		At          int64
-		Plugin, Key string
+		At clock.Micros
+		Tick
 	}
 	// Write asks for a file: written aside, synced, renamed, directory synced. Nil data removes.
 	Write struct {
@@ -175,9 +181,16 @@
 // Drop closes a channel.
 func (ctx *Context) Drop(conn uint64) { ctx.Out.Drops = append(ctx.Out.Drops, conn) }
 
-// After sets a timer.
-func (ctx *Context) After(d int64, plugin, key string) {
-	ctx.Out.Timers = append(ctx.Out.Timers, Timer{At: ctx.Now + d, Plugin: plugin, Key: key})
+// After has a plug-in get a Tick with a key when delay has passed.
+func (ctx *Context) After(delay clock.Micros, plugin, key string) {
+	tick := Tick{Plugin: plugin, Key: key}
+	ctx.Out.Timers = append(ctx.Out.Timers, Timer{At: ctx.Now + delay, Tick: tick})
+}
+
+// AfterFor is After for one of the things that a plug-in has under way, named by id.
+func (ctx *Context) AfterFor(delay clock.Micros, plugin string, id uint64) {
+	tick := Tick{Plugin: plugin, ID: id}
+	ctx.Out.Timers = append(ctx.Out.Timers, Timer{At: ctx.Now + delay, Tick: tick})
 }
 
 // Write asks for a durable file.
--- a/runtime/process/schedule.go
+++ b/runtime/process/schedule.go
@@ -62,7 +62,7 @@
 func (p *Process) fire(at clocks) {
 	for len(p.timers) > 0 && p.timers[0].At <= at.now {
 		t := heap.Pop(&p.timers).(kernel.Timer)
-		p.step(at, kernel.Tick{Plugin: t.Plugin, Key: t.Key})
+		p.step(at, t.Tick)
 	}
 }
 
