--- a/cluster/discovery/news.go
+++ b/cluster/discovery/change.go
@@ -10,29 +10,29 @@
 	"wallport/runtime/wire"
 )
 
-// news reports whether a reading says anything that the last one did not: cold times that only run down are none.
-func (p *Lister) news(now int64, l *wire.Listing) bool {
+// changed reports whether a reading says anything that the last one did not: cold times that only run down are none.
+func (p *Lister) changed(now int64, l *wire.Listing) bool {
 	slices.SortFunc(l.Servers, func(a, b wire.Server) int { return cmp.Compare(a.ID, b.ID) })
-	was, fresh := p.coldTo, false
-	p.coldTo = map[string]int64{}
+	was, fresh := p.slowStartUntil, false
+	p.slowStartUntil = map[string]int64{}
 	plain := wire.Listing{Turn: l.Turn, Whole: l.Whole, Servers: slices.Clone(l.Servers)}
 	for i := range plain.Servers {
 		s := &plain.Servers[i]
 		if s.ColdUs == 0 {
-			fresh = fresh || was[s.ID]-now >= ColdSlack
+			fresh = fresh || was[s.ID]-now >= SlowStartTolerance
 			continue
 		}
 		to := now + s.ColdUs
-		if old, ok := was[s.ID]; ok && to-old < ColdSlack && old-to < ColdSlack {
+		if old, ok := was[s.ID]; ok && to-old < SlowStartTolerance && old-to < SlowStartTolerance {
 			to = old
 		} else {
 			fresh = true
 		}
-		p.coldTo[s.ID], s.ColdUs = to, 0
+		p.slowStartUntil[s.ID], s.ColdUs = to, 0
 	}
 	h := fnv.New64a()
 	h.Write(wire.Encode(&plain))
-	sum := p.sum
-	p.sum = h.Sum64()
-	return fresh || sum != p.sum
+	sum := p.announcedHash
+	p.announcedHash = h.Sum64()
+	return fresh || sum != p.announcedHash
 }
--- a/cluster/discovery/listing_test.go
+++ b/cluster/discovery/discovery_test.go
@@ -75,7 +75,7 @@
 		}
 		r.holds = append(r.holds, h)
 		if r.grants && !h.Release {
-			granted := &wire.LeaseReply{Task: Duty, Holder: r.l.mesh.Self(), For: 800_000, LeaseID: 3}
+			granted := &wire.LeaseReply{Task: LeaseTask, Holder: r.l.mesh.Self(), For: 800_000, LeaseID: 3}
 			r.feed(kernel.Received{Data: wire.Seal(wire.KindLeaseReply, f.ID, granted)})
 		}
 	}
@@ -85,9 +85,9 @@
 	r.feed(kernel.Received{Data: wire.Seal(kind, 0, m)})
 }
 
-// owned makes the node know a leader of the duty's partition.
-func (r *rig) owned() {
-	r.message(wire.KindPullReply, &wire.PullReply{Leaders: []wire.Leader{{Partition: state.PartitionOf(Duty), Term: 1, Replica: "s", Addr: "10.0.0.9:1"}}})
+// becomeLeaseHolder makes the node know a leader of the duty's partition.
+func (r *rig) becomeLeaseHolder() {
+	r.message(wire.KindPullReply, &wire.PullReply{Leaders: []wire.Leader{{Partition: state.PartitionOf(LeaseTask), Term: 1, Replica: "s", Addr: "10.0.0.9:1"}}})
 }
 
 // meet opens a mesh channel between two nodes.
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestHolderReadsAsOftenAsAskedAndAllowed(t *testing.T) {
+func TestLeaseHolderReadsAtConfiguredInterval(t *testing.T) {
 	for _, c := range []struct {
 		every, polls, calls int64
 		least, most         int
@@ -150,7 +150,7 @@
 	} {
 		r := newRig(t, settings.Settings{ListEvery: c.every, PollsPer: c.polls})
 		r.grants, r.list.Calls = true, c.calls
-		r.owned()
+		r.becomeLeaseHolder()
 		r.run(2 * second)
 		r.fetches = nil
 		r.run(10 * second)
@@ -158,24 +158,24 @@
 	}
 }
 
-func TestASilentHolderIsFollowedInTime(t *testing.T) {
+func TestTimedOutLeaseHolderIsReplaced(t *testing.T) {
 	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
 	// A reading was heard of before; who knows of none reads at once (first_test.go).
-	r.l.blank = false
+	r.l.unread = false
 	r.run(StaleAfter)
 	must.SliceEmpty(t, r.fetches, must.Sprint("nobody was silent for long yet"))
-	r.run(2 * RenewEvery)
+	r.run(2 * RenewInterval)
 	must.Len(t, 1, r.fetches, must.Sprint("first by rank"))
 	r.run(5 * second)
 	must.Between(t, 5, len(r.fetches), 6, must.Sprint("goes on once a second while nobody else reads"))
 }
 
-func TestAHolderWithoutAnyAnswerGivesWay(t *testing.T) {
+func TestLeaseHolderWithoutResponsesReleasesLease(t *testing.T) {
 	for _, status := range []int{0, 429, 500} {
 		r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
 		meet(r, newNode(t, settings.Settings{ListEvery: second, PollsPer: 440}, 1))
 		r.grants = true
-		r.owned()
+		r.becomeLeaseHolder()
 		r.run(2 * second)
 		r.status, r.holds = status, nil
 		r.run(2 * second)
@@ -193,23 +193,23 @@
 		asked := len(r.holds)
 		r.run(2 * second)
 		must.Eq(t, asked, len(r.holds), must.Sprint("leaves it to others for a while"))
-		r.run(GiveUpFor)
+		r.run(ReleaseBackoff)
 		must.Less(t, len(r.holds), asked)
 	}
 }
 
-func TestAHolderWithNobodyElseGoesOn(t *testing.T) {
+func TestLeaseHolderWithoutPeersKeepsLease(t *testing.T) {
 	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
 	r.grants, r.status = true, 0
-	r.owned()
+	r.becomeLeaseHolder()
 	r.run(10 * second)
 	must.Between(t, 9, len(r.fetches), 10)
 }
 
-func TestADrainingNodeAsksForNothing(t *testing.T) {
+func TestDrainingNodeRequestsNoLease(t *testing.T) {
 	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
 	r.grants = true
-	r.owned()
+	r.becomeLeaseHolder()
 	r.run(second)
 	kernel.Find[*membership.Members](r.k).Update(func(m *wire.Member) { m.Draining = true })
 	asked := len(r.holds)
@@ -217,10 +217,10 @@
 	must.Eq(t, asked, len(r.holds))
 }
 
-func TestWhatIsNews(t *testing.T) {
+func TestChangedReportsAllButExpiringSlowStart(t *testing.T) {
 	l := &Lister{}
 	read := func(at, cold int64, state string) bool {
-		return l.news(at, &wire.Listing{Whole: true, Servers: []wire.Server{{ID: "b", ColdUs: cold, State: "ready"}, {ID: "a", State: state}}})
+		return l.changed(at, &wire.Listing{Whole: true, Servers: []wire.Server{{ID: "b", ColdUs: cold, State: "ready"}, {ID: "a", State: state}}})
 	}
 	must.True(t, read(0, 0, "ready"))
 	must.False(t, read(second, 0, "ready"))
@@ -231,5 +231,5 @@
 	must.False(t, read(14*second, 0, "leaving"), must.Sprint("warm, as was told"))
 	must.True(t, read(15*second, 9*second, "leaving"))
 	must.True(t, read(16*second, 0, "leaving"), must.Sprint("warm sooner than was told"))
-	must.True(t, l.news(17*second, &wire.Listing{Whole: true, Servers: []wire.Server{{ID: "b"}}}), must.Sprint("one is gone"))
+	must.True(t, l.changed(17*second, &wire.Listing{Whole: true, Servers: []wire.Server{{ID: "b"}}}), must.Sprint("one is gone"))
 }
--- a/cluster/discovery/first.go
+++ b/cluster/discovery/firstread.go
@@ -8,30 +8,30 @@
 
 // Times of the first reading, in microseconds.
 const (
-	FirstWithin = 150_000
-	OthersAfter = 500_000
-	OthersOver  = 1_000_000
+	FirstReadJitter = 150_000
+	UncountedDelay  = 500_000
+	UncountedJitter = 1_000_000
 )
 
-// first plans the first reading, where a platform says how often the list may be read.
-func (p *Lister) first(ctx *kernel.Context) {
+// scheduleFirstRead plans the first reading, where a platform says how often the list may be read.
+func (p *Lister) scheduleFirstRead(ctx *kernel.Context) {
 	e := &p.k.Boot.Settings
 	switch {
 	case e.ListEvery <= 0:
 	case e.Counted:
-		ctx.After(ctx.Rand.Int64N(FirstWithin), "listing", "first")
+		ctx.After(ctx.Rand.Int64N(FirstReadJitter), "listing", "first")
 	default:
-		ctx.After(OthersAfter+ctx.Rand.Int64N(OthersOver), "listing", "first")
+		ctx.After(UncountedDelay+ctx.Rand.Int64N(UncountedJitter), "listing", "first")
 	}
 }
 
 // readFirst reads unless a reading has come meanwhile; one that fails is made again, each time later.
 func (p *Lister) readFirst(ctx *kernel.Context) {
-	if !p.blank {
+	if !p.unread {
 		return
 	}
-	if !p.under && ctx.Now-p.polled >= p.every(ctx) {
+	if !p.reading && ctx.Now-p.readAt >= p.readInterval(ctx) {
 		p.read(ctx)
 	}
-	ctx.After(OthersAfter*max(1, p.slower)+ctx.Rand.Int64N(OthersOver), "listing", "first")
+	ctx.After(UncountedDelay*max(1, p.slowdown)+ctx.Rand.Int64N(UncountedJitter), "listing", "first")
 }
--- a/cluster/discovery/first_test.go
+++ b/cluster/discovery/firstread_test.go
@@ -11,14 +11,14 @@
 	"wallport/runtime/settings"
 )
 
-func TestFirstReadingWaitsForNoDuty(t *testing.T) {
+func TestFirstReadNeedsNoLease(t *testing.T) {
 	for _, c := range []struct {
 		counted bool
 		from    int64
 		to      int64
 	}{
-		{true, 0, FirstWithin},
-		{false, OthersAfter, OthersAfter + OthersOver},
+		{true, 0, FirstReadJitter},
+		{false, UncountedDelay, UncountedDelay + UncountedJitter},
 	} {
 		r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: c.counted})
 		r.run(c.to)
@@ -27,17 +27,17 @@
 	}
 }
 
-func TestFirstReadingIsLeftOutOnceOneIsHeard(t *testing.T) {
+func TestFirstReadIsSkippedAfterHearingOne(t *testing.T) {
 	a := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: true})
 	b := newNode(t, settings.Settings{ListEvery: second, PollsPer: 440}, 1)
 	meet(a, b)
-	a.run(OthersAfter + OthersOver)
+	a.run(UncountedDelay + UncountedJitter)
 	must.Positive(t, len(a.fetches))
 	must.SliceEmpty(t, b.fetches)
-	must.False(t, b.l.blank)
+	must.False(t, b.l.unread)
 }
 
-func TestFirstReadingsThatFailKeepThePace(t *testing.T) {
+func TestFailedFirstReadsStayWithinAllowance(t *testing.T) {
 	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: true})
 	r.status = 429
 	r.run(10 * second)
--- a/cluster/discovery/lease_test.go
+++ b/cluster/discovery/lease_test.go
@@ -15,54 +15,54 @@
 	"wallport/runtime/wire"
 )
 
-// asks lets time pass until the node has asked for the duty once more, and gives the ask's id.
-func (r *rig) asks() uint64 {
-	for before := r.l.nextAsk; r.l.nextAsk == before; {
+// requests lets time pass until the node has asked for the duty once more, and gives the ask's id.
+func (r *rig) requests() uint64 {
+	for before := r.l.lastRequestID; r.l.lastRequestID == before; {
 		r.run(10_000)
 	}
-	return r.l.nextAsk
+	return r.l.lastRequestID
 }
 
 func (r *rig) grant(id uint64) {
-	granted := &wire.LeaseReply{Task: Duty, Holder: r.l.mesh.Self(), For: 800_000, LeaseID: 3}
+	granted := &wire.LeaseReply{Task: LeaseTask, Holder: r.l.mesh.Self(), For: 800_000, LeaseID: 3}
 	r.feed(kernel.Received{Data: wire.Seal(wire.KindLeaseReply, id, granted)})
 }
 
-func TestLeaseCountsFromWhenItWasAskedFor(t *testing.T) {
+func TestLeaseStartsWhenRequested(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer: 20})
-	r.owned()
-	id := r.asks()
+	r.becomeLeaseHolder()
+	id := r.requests()
 	asked := r.now
 	r.run(700_000)
 	r.grant(id)
-	must.Between(t, asked+790_000, r.l.until, asked+800_000)
+	must.Between(t, asked+790_000, r.l.leaseUntil, asked+800_000)
 	r.grant(id + 100)
-	must.Less(t, asked+800_001, r.l.until, must.Sprint("nobody asked for that one"))
+	must.Less(t, asked+800_001, r.l.leaseUntil, must.Sprint("nobody asked for that one"))
 }
 
 // A grant on its way while the lease is given up, or the process stands still, is not taken.
-func TestLeaseGivenUpIsNotTakenUpAgain(t *testing.T) {
+func TestReleasedLeaseIsNotResumed(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer: 20})
-	r.owned()
-	id := r.asks()
+	r.becomeLeaseHolder()
+	id := r.requests()
 	r.feed(kernel.Thawed{Gap: 2 * second})
 	r.grant(id)
-	must.Zero(t, r.l.until)
+	must.Zero(t, r.l.leaseUntil)
 }
 
 // While a node holds the duty nobody else reads under a later grant.
-func TestViolationOfOneHolder(t *testing.T) {
+func TestSecondLeaseHolderIsReported(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer: 20})
-	r.owned()
-	r.grant(r.asks())
+	r.becomeLeaseHolder()
+	r.grant(r.requests())
 	reads := func(turn uint64) invariant.Name {
 		body := wire.Encode(&wire.Listing{Turn: turn})
 		return violation.By(func() {
-			r.l.stored(&kernel.Context{Now: r.now, Counts: r.k.Counts}, mesh.Stored{Entry: &wire.Entry{Type: "listing", ID: Duty, Body: body}, Origin: "other"})
+			r.l.handleStored(&kernel.Context{Now: r.now, Counts: r.k.Counts}, mesh.Stored{Entry: &wire.Entry{Type: "listing", ID: LeaseTask, Body: body}, Origin: "other"})
 		})
 	}
 	must.Eq(t, "", reads(3), must.Sprint("an earlier holder, or one that reads without the duty"))
 	must.Eq(t, invariant.OneLeaseHolder, reads(4))
-	r.l.release()
+	r.l.forgetLease()
 	must.Eq(t, "", reads(5))
 }
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -14,8 +14,8 @@
 	"wallport/runtime/wire"
 )
 
-// Row is one member as seen from here.
-type Row struct {
+// Member is one member as seen from here.
+type Member struct {
 	wire.Member
 	Origin string
 	Live   bool
@@ -23,43 +23,43 @@
 
 // Members is the plug-in.
 type Members struct {
-	k    *kernel.Kernel
-	mesh *mesh.Mesh
-	self wire.Member
-	told int64
-	// toldRow is what was told then.
-	toldRow wire.Member
-	dirty   bool
-	// due is when the row is told next, 0 where nothing waits.
-	due  int64
-	rows map[string]*wire.Member
-	// order is the origins of the rows, by name; nil where a row came or went since.
-	order   []string
-	peak    int
-	peakAt  int64
-	started int64
+	k           *kernel.Kernel
+	mesh        *mesh.Mesh
+	local       wire.Member
+	announcedAt int64
+	// announced is what was told then.
+	announced wire.Member
+	dirty     bool
+	// announceDue is when the row is told next, 0 where nothing waits.
+	announceDue int64
+	rows        map[string]*wire.Member
+	// sortedOrigins is the origins of the rows, by name; nil where a row came or went since.
+	sortedOrigins []string
+	peak          int
+	peakAt        int64
+	started       int64
 }
 
-// tellEvery is the least time between two tellings of this process's row. Where only the versions
-// in force changed and there are more than inForceFew members, it is inForceEach for each of
-// them, up to inForceMost: all tell of a version at about the same time, each to all.
+// announceInterval is the least time between two tellings of this process's row. Where only the versions
+// in force changed and there are more than smallFleet members, it is announceIntervalPerMember for each of
+// them, up to maxAnnounceInterval: all tell of a version at about the same time, each to all.
 const (
-	tellEvery   = 200_000
-	inForceFew  = 32
-	inForceEach = 100_000
-	inForceMost = 10_000_000
-	// settleFor is how long after its start a process waits as long: it hears of several
+	announceInterval          = 200_000
+	smallFleet                = 32
+	announceIntervalPerMember = 100_000
+	maxAnnounceInterval       = 10_000_000
+	// startupDelay is how long after its start a process waits as long: it hears of several
 	// versions then, and does not know yet how many members there are.
-	settleFor = 1_000_000
+	startupDelay = 1_000_000
 )
 
-// PeakFor is how long a larger fleet's size still divides what is shared out.
-const PeakFor = 600_000_000
+// PeakTTL is how long a larger fleet's size still divides what is shared out.
+const PeakTTL = 600_000_000
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 20, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		e := k.Boot.Settings
-		return &Members{k: k, mesh: kernel.Find[*mesh.Mesh](k), rows: map[string]*wire.Member{}, self: wire.Member{
+		return &Members{k: k, mesh: kernel.Find[*mesh.Mesh](k), rows: map[string]*wire.Member{}, local: wire.Member{
 			Name: e.Name, Role: k.Boot.Role, Zone: e.Zone, Addr: e.Mesh, Caller: e.Caller, Operator: e.Operator, Mesh: mesh.Release,
 		}}
 	}})
@@ -75,21 +75,21 @@
 func (m *Members) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		m.self.Started = ctx.Wall
+		m.local.Started = ctx.Wall
 		m.started = ctx.Now
 		m.dirty = true
-		m.tell(ctx)
+		m.announce(ctx)
 	case kernel.Tick:
-		m.due = 0
-		m.soon(ctx)
+		m.announceDue = 0
+		m.announceSoon(ctx)
 	case kernel.Stopping:
 		m.Update(func(s *wire.Member) { s.Draining = true })
-		m.tell(ctx)
+		m.announce(ctx)
 	case mesh.Stored:
 		if v.Entry.Type == "member" {
 			row := new(wire.Member)
 			if wire.Decode(v.Entry.Body, row) == nil {
-				m.rows[v.Origin], m.order = row, nil
+				m.rows[v.Origin], m.sortedOrigins = row, nil
 			}
 		}
 	case mesh.Forgotten:
@@ -98,10 +98,10 @@
 			m.peak--
 		}
 		delete(m.rows, v.Origin)
-		m.order = nil
-	case mesh.Pulse:
+		m.sortedOrigins = nil
+	case mesh.LivenessUpdated:
 		n := m.Count(ctx.Now, "node")
-		if n >= m.peak || ctx.Now-m.peakAt > PeakFor {
+		if n >= m.peak || ctx.Now-m.peakAt > PeakTTL {
 			m.peak, m.peakAt = n, ctx.Now
 		}
 	}
@@ -109,74 +109,74 @@
 
 // Update changes what this process tells of itself; it is told soon after.
 func (m *Members) Update(f func(s *wire.Member)) {
-	f(&m.self)
+	f(&m.local)
 	m.dirty = true
-	m.k.Later(m.soon)
+	m.k.Later(m.announceSoon)
 }
 
-// soon tells what changed, at once if nothing was told of late.
-func (m *Members) soon(ctx *kernel.Context) {
+// announceSoon tells what changed, at once if nothing was told of late.
+func (m *Members) announceSoon(ctx *kernel.Context) {
 	if !m.dirty {
 		return
 	}
-	at := m.told + m.pause(ctx.Now)
+	at := m.announcedAt + m.announceDelay(ctx.Now)
 	switch {
 	case at <= ctx.Now:
-		m.tell(ctx)
-	case m.due == 0 || at < m.due:
-		m.due = at
+		m.announce(ctx)
+	case m.announceDue == 0 || at < m.announceDue:
+		m.announceDue = at
 		ctx.After(at-ctx.Now, "members", "tell")
 	}
 }
 
-// pause is how long to wait between two tellings for what changed.
-func (m *Members) pause(now int64) int64 {
-	was, is := m.toldRow, m.self
+// announceDelay is how long to wait between two tellings for what changed.
+func (m *Members) announceDelay(now int64) int64 {
+	was, is := m.announced, m.local
 	was.InForce, is.InForce = nil, nil
 	if !bytes.Equal(wire.Encode(&was), wire.Encode(&is)) {
-		return tellEvery
+		return announceInterval
 	}
-	if now-m.started < settleFor {
-		return settleFor
+	if now-m.started < startupDelay {
+		return startupDelay
 	}
-	if len(m.rows) <= inForceFew {
-		return tellEvery
+	if len(m.rows) <= smallFleet {
+		return announceInterval
 	}
-	return min(inForceMost, inForceEach*int64(len(m.rows)))
+	return min(maxAnnounceInterval, announceIntervalPerMember*int64(len(m.rows)))
 }
 
-// SelfRow is what this process tells of itself.
-func (m *Members) SelfRow() wire.Member { return m.self }
+// Local is what this process tells of itself.
+func (m *Members) Local() wire.Member { return m.local }
 
-func (m *Members) tell(ctx *kernel.Context) {
+func (m *Members) announce(ctx *kernel.Context) {
 	if !m.dirty {
 		return
 	}
-	m.dirty, m.told, m.toldRow = false, ctx.Now, m.self
-	m.mesh.Announce(ctx, "member", m.mesh.Self(), wire.Encode(&m.self), false)
+	m.dirty, m.announcedAt, m.announced = false, ctx.Now, m.local
+	m.mesh.Announce(ctx, "member", m.mesh.Self(), wire.Encode(&m.local), false)
 }
 
 // All lists the members, by name.
-func (m *Members) All(now int64) []Row {
-	out := make([]Row, 0, len(m.rows))
+func (m *Members) All(now int64) []Member {
+	out := make([]Member, 0, len(m.rows))
 	for _, fp := range m.sorted() {
 		out = append(out, m.row(fp, now))
 	}
 	return out
 }
 
-func (m *Members) row(origin string, now int64) Row {
-	return Row{Member: *m.rows[origin], Origin: origin, Live: m.mesh.Live(origin, now)}
+func (m *Members) row(origin string, now int64) Member {
+	return Member{Member: *m.rows[origin], Origin: origin, Live: m.mesh.Live(origin, now)}
 }
 
 // sorted lists the origins of all rows, by name; they are sorted only where a row changed.
 func (m *Members) sorted() []string {
-	if m.order == nil {
-		m.order = slices.SortedFunc(maps.Keys(m.rows), func(a, b string) int {
+	if m.sortedOrigins == nil {
+		m.sortedOrigins = slices.SortedFunc(maps.Keys(m.rows), func(a, b string) int {
 			return cmp.Or(cmp.Compare(m.rows[a].Name, m.rows[b].Name), cmp.Compare(a, b))
 		})
 	}
-	return m.order
+	return m.sortedOrigins
 }
 
 // Each visits the members, by name. The rows are not to be changed.
@@ -187,8 +187,8 @@
 }
 
 // Live lists the live members of a role.
-func (m *Members) Live(now int64, role string) []Row {
-	var out []Row
+func (m *Members) Live(now int64, role string) []Member {
+	var out []Member
 	for _, fp := range m.sorted() {
 		if m.rows[fp].Role == role && m.mesh.Live(fp, now) {
 			out = append(out, m.row(fp, now))
@@ -208,13 +208,13 @@
 }
 
 // Replica finds the live core that has a replica's disk.
-func (m *Members) Replica(id string, now int64) (Row, bool) {
+func (m *Members) Replica(id string, now int64) (Member, bool) {
 	for _, fp := range m.sorted() {
 		if m.rows[fp].Replica == id && m.mesh.Live(fp, now) {
 			return m.row(fp, now), true
 		}
 	}
-	return Row{}, false
+	return Member{}, false
 }
 
 // Divisor is by how many nodes a fleet-wide allowance is divided here: the
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -29,7 +29,7 @@
 	for i := range others {
 		p.m.rows[fmt.Sprint(i)] = &wire.Member{Name: fmt.Sprint("node-", i), Role: "node"}
 	}
-	p.m.order = nil
+	p.m.sortedOrigins = nil
 	return p
 }
 
@@ -41,16 +41,16 @@
 	p.feed(kernel.Tick{Plugin: "nobody"})
 }
 
-// toldWithin runs the members' own timers on and gives when the row was told again.
-func (p *process) toldWithin(most int64) int64 {
-	was, began := p.m.told, p.now
+// announcedWithin runs the members' own timers on and gives when the row was told again.
+func (p *process) announcedWithin(most int64) int64 {
+	was, began := p.m.announcedAt, p.now
 	for p.now < began+most {
 		p.now += 10_000
-		if p.m.due > 0 && p.m.due <= p.now {
+		if p.m.announceDue > 0 && p.m.announceDue <= p.now {
 			p.feed(kernel.Tick{Plugin: "members", Key: "tell"})
 		}
-		if p.m.told != was {
-			return p.m.told - was
+		if p.m.announcedAt != was {
+			return p.m.announcedAt - was
 		}
 	}
 	return -1
@@ -60,40 +60,40 @@
 	return func(m *wire.Member) { m.InForce = []wire.Version{{Seq: seq}} }
 }
 
-func TestVersionsInForceAreToldTogether(t *testing.T) {
-	for others, want := range map[int]int64{3: tellEvery, inForceFew - 1: tellEvery, 40: 41 * inForceEach, 95: 96 * inForceEach, 400: inForceMost} {
+func TestVersionsInForceAreAnnouncedTogether(t *testing.T) {
+	for others, want := range map[int]int64{3: announceInterval, smallFleet - 1: announceInterval, 40: 41 * announceIntervalPerMember, 95: 96 * announceIntervalPerMember, 400: maxAnnounceInterval} {
 		p := newProcess(others)
-		p.now += settleFor
+		p.now += startupDelay
 		p.update(version(1))
 		p.update(version(2))
-		must.Between(t, want, p.toldWithin(20_000_000), want+20_000, must.Sprint(others, " others"))
-		must.Eq(t, -1, p.toldWithin(20_000_000), must.Sprint("once"))
+		must.Between(t, want, p.announcedWithin(20_000_000), want+20_000, must.Sprint(others, " others"))
+		must.Eq(t, -1, p.announcedWithin(20_000_000), must.Sprint("once"))
 		p.update(version(3))
-		must.Eq(t, p.now, p.m.told, must.Sprint("at once after a pause"))
+		must.Eq(t, p.now, p.m.announcedAt, must.Sprint("at once after a pause"))
 	}
 }
 
-func TestVersionsOfTheFirstMomentsAreToldOnce(t *testing.T) {
+func TestVersionsDuringStartupAreAnnouncedOnce(t *testing.T) {
 	p := newProcess(0)
 	for seq := range uint64(5) {
 		p.now += 50_000
 		p.update(version(seq))
 	}
-	must.Between(t, settleFor, p.toldWithin(2_000_000), settleFor+20_000)
-	must.Eq(t, -1, p.toldWithin(2_000_000))
+	must.Between(t, startupDelay, p.announcedWithin(2_000_000), startupDelay+20_000)
+	must.Eq(t, -1, p.announcedWithin(2_000_000))
 }
 
-func TestWhatElseChangesIsNotHeldBack(t *testing.T) {
+func TestOtherChangesAreAnnouncedAtOnce(t *testing.T) {
 	p := newProcess(95)
 	p.update(version(1))
 	p.update(func(m *wire.Member) { m.Sick = "disk" })
-	must.Between(t, tellEvery, p.toldWithin(2_000_000), tellEvery+20_000)
+	must.Between(t, announceInterval, p.announcedWithin(2_000_000), announceInterval+20_000)
 	p.update(version(2))
 	p.feed(kernel.Stopping{})
-	must.Eq(t, p.now, p.m.told)
+	must.Eq(t, p.now, p.m.announcedAt)
 }
 
-func TestMembersByName(t *testing.T) {
+func TestMembersAreSortedByName(t *testing.T) {
 	p := newProcess(0)
 	for i, name := range []string{"c", "b", "d"} {
 		row := wire.Member{Name: name, Role: "core"}
--- a/cluster/mesh/announce.go
+++ b/cluster/mesh/announce.go
@@ -8,29 +8,29 @@
 )
 
 // Announce signs, stores and floods an entry of this process's own.
-func (m *Mesh) Announce(ctx *kernel.Context, typ, id string, body []byte, gone bool) {
+func (m *Mesh) Announce(ctx *kernel.Context, typ, id string, body []byte, withdrawn bool) {
 	m.count++
-	e := &wire.Entry{Type: typ, ID: id, Origin: m.k.Boot.Key.Public, Count: m.count, At: ctx.Wall, Gone: gone, Body: body}
+	e := &wire.Entry{Type: typ, ID: id, Origin: m.k.Boot.Key.Public, Count: m.count, At: ctx.Wall, Gone: withdrawn, Body: body}
 	sign(e, m.k.Boot.Key)
 	m.seen.add(seenKey(e), ctx.Now)
 	m.store.put(e, m.self, ctx.Now)
 	m.changedAt = ctx.Now
-	ctx.Emit(Stored{Entry: e, Origin: m.self, Own: true})
+	ctx.Emit(Stored{Entry: e, Origin: m.self, Local: true})
 	m.flood(ctx, e, 0)
 }
 
 // AnnounceVersion floods a committed version of a partition; any process may do so.
 func (m *Mesh) AnnounceVersion(ctx *kernel.Context, v wire.Versioned) {
-	if e := m.takeVersion(ctx, v); e != nil {
+	if e := m.storeVersion(ctx, v); e != nil {
 		m.flood(ctx, e, 0)
 	}
 }
 
-// HoldVersion takes a version that came another way; heartbeats hand it on.
-func (m *Mesh) HoldVersion(ctx *kernel.Context, v wire.Versioned) { m.takeVersion(ctx, v) }
+// StoreVersion takes a version that came another way; heartbeats hand it on.
+func (m *Mesh) StoreVersion(ctx *kernel.Context, v wire.Versioned) { m.storeVersion(ctx, v) }
 
-func (m *Mesh) takeVersion(ctx *kernel.Context, v wire.Versioned) *wire.Entry {
-	if held, ok := m.store.parts[v.Version.Partition]; ok && !Newer(v.Version, held.Version) {
+func (m *Mesh) storeVersion(ctx *kernel.Context, v wire.Versioned) *wire.Entry {
+	if held, ok := m.store.partitions[v.Version.Partition]; ok && !Newer(v.Version, held.Version) {
 		return nil
 	}
 	m.count++
@@ -39,11 +39,11 @@
 	m.seen.add(seenKey(e), ctx.Now)
 	m.store.putVersion(e)
 	m.changedAt = ctx.Now
-	ctx.Emit(Stored{Entry: e, Origin: m.self, Own: true})
+	ctx.Emit(Stored{Entry: e, Origin: m.self, Local: true})
 	return e
 }
 
-func (m *Mesh) message(ctx *kernel.Context, v kernel.Message) {
+func (m *Mesh) handleMessage(ctx *kernel.Context, v kernel.Message) {
 	p := m.peers[v.Conn]
 	if p == nil {
 		ctx.Counts.Add("mesh_dropped_stranger", 1)
@@ -54,50 +54,50 @@
 	case wire.KindHeartbeat:
 		var hb wire.Heartbeat
 		if wire.Decode(v.Body, &hb) != nil {
-			m.bad(ctx, p, "heartbeat")
+			m.dropMalformed(ctx, p, "heartbeat")
 			return
 		}
 		ctx.Counts.Add("mesh_heartbeats_in", 1)
-		m.heartbeat(ctx, p, &hb)
+		m.handleHeartbeat(ctx, p, &hb)
 	case wire.KindGossip:
-		m.gossip(ctx, p, v)
+		m.handleGossip(ctx, p, v)
 	case wire.KindNotice:
 		var n wire.Notice
 		if wire.Decode(v.Body, &n) != nil {
-			m.bad(ctx, p, "notice")
+			m.dropMalformed(ctx, p, "notice")
 			return
 		}
-		m.noticed(ctx, p, n)
+		m.handleNotice(ctx, p, n)
 	}
 }
 
-// gossip takes an entry's frame; one that was seen is not decoded again.
-func (m *Mesh) gossip(ctx *kernel.Context, p *peer, v kernel.Message) {
+// handleGossip takes an entry's frame; one that was seen is not decoded again.
+func (m *Mesh) handleGossip(ctx *kernel.Context, p *peerConn, v kernel.Message) {
 	ctx.Counts.Add("mesh_entries_in", 1)
-	frame := m.seen.frame(v.Body)
-	if key, ok := m.seen.known(frame, ctx.Now); ok {
-		m.duplicate(ctx, p, key)
+	frame := m.seen.frameHash(v.Body)
+	if key, ok := m.seen.entryOfFrame(frame, ctx.Now); ok {
+		m.dropDuplicate(ctx, p, key)
 		return
 	}
 	e := new(wire.Entry)
 	if wire.Decode(v.Body, e) != nil {
-		m.bad(ctx, p, "entry")
+		m.dropMalformed(ctx, p, "entry")
 		return
 	}
-	m.receive(ctx, p, e, v.ID)
-	m.seen.learn(frame, seenKey(e))
+	m.handleEntry(ctx, p, e, v.ID)
+	m.seen.addFrame(frame, seenKey(e))
 }
 
-// duplicate drops an entry that was seen; its sender needs it no more.
-func (m *Mesh) duplicate(ctx *kernel.Context, p *peer, key uint64) {
+// dropDuplicate drops an entry that was seen; its sender needs it no more.
+func (m *Mesh) dropDuplicate(ctx *kernel.Context, p *peerConn, key uint64) {
 	ctx.Counts.Add("mesh_dropped_seen", 1)
-	if p.outbox.has(key) {
+	if p.outbox.remove(key) {
 		ctx.Counts.Add("mesh_forwards_spared", 1)
 	}
 }
 
-func (m *Mesh) bad(ctx *kernel.Context, p *peer, what string) {
+func (m *Mesh) dropMalformed(ctx *kernel.Context, p *peerConn, what string) {
 	ctx.Counts.Add("mesh_dropped_malformed", 1)
 	ctx.Log(kernel.LevelWarn, "mesh_malformed", "what", what, "peer", p.key)
-	ctx.Drop(p.chanID)
+	ctx.Drop(p.conn)
 }
--- a/cluster/mesh/fleet_test.go
+++ b/cluster/mesh/fleet_test.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/wire"
 )
 
-func settled(t testing.TB, n, zones int, seed uint64) *fleet {
+func convergedFleet(t testing.TB, n, zones int, seed uint64) *fleet {
 	f := newFleet(t, n, zones, seed)
 	f.run(500_000)
 	f.until(10_000_000, f.met)
@@ -21,7 +21,7 @@
 	return f
 }
 
-func TestFleetMeets(t *testing.T) {
+func TestFleetConverges(t *testing.T) {
 	for _, n := range []int{2, 3, 15, 40} {
 		f := newFleet(t, n, 4, uint64(n))
 		f.run(500_000)
@@ -30,35 +30,35 @@
 	}
 }
 
-func TestLostProcessIsNoticedByAll(t *testing.T) {
-	f := settled(t, 32, 4, 1)
+func TestLostProcessIsDetectedByAll(t *testing.T) {
+	f := convergedFleet(t, 32, 4, 1)
 	dead := f.procs[25]
 	fp := dead.m.self
 	f.kill(dead)
-	must.LessEq(t, LiveFor, f.until(5_000_000, func() bool { return f.live(dead, fp) == 0 }), must.Sprint("killed"))
+	must.LessEq(t, LivenessTimeout, f.until(5_000_000, func() bool { return f.live(dead, fp) == 0 }), must.Sprint("killed"))
 	f.procs = append(f.procs[:25], f.procs[26:]...)
 	frozen := f.procs[20]
 	frozen.frozen = true
-	must.LessEq(t, LiveFor+200_000, f.until(5_000_000, func() bool { return f.live(frozen, frozen.m.self) == 0 }), must.Sprint("frozen"))
+	must.LessEq(t, LivenessTimeout+200_000, f.until(5_000_000, func() bool { return f.live(frozen, frozen.m.self) == 0 }), must.Sprint("frozen"))
 	f.thaw(frozen, 4_000_000)
 	must.Less(t, 5_000_000, f.until(6_000_000, func() bool { return f.live(frozen, frozen.m.self) == len(f.procs)-1 }), must.Sprint("awake again"))
 }
 
-func TestCutOffProcessSeesNobodyAndIsSeenByNobody(t *testing.T) {
-	f := settled(t, 24, 4, 2)
+func TestIsolatedProcessSeesNobodyAndIsSeenByNobody(t *testing.T) {
+	f := convergedFleet(t, 24, 4, 2)
 	alone := f.procs[17]
-	f.cut = func(a, b *process) bool { return a == alone || b == alone }
+	f.partitioned = func(a, b *process) bool { return a == alone || b == alone }
 	f.until(6_000_000, func() bool { return f.live(alone, alone.m.self) == 0 })
 	f.until(1_000_000, func() bool { return alone.k.Counts.Of("mesh_reached").Load() <= 1 })
-	f.cut = func(a, b *process) bool { return false }
+	f.partitioned = func(a, b *process) bool { return false }
 	f.until(6_000_000, f.met)
 }
 
-func TestHalvesPartAndMeetAgain(t *testing.T) {
+func TestFleetSplitsAndHeals(t *testing.T) {
 	for _, apart := range []int64{8_000_000, 50_000_000} {
-		f := settled(t, 24, 4, 3)
+		f := convergedFleet(t, 24, 4, 3)
 		left := func(p *process) bool { return p.i%8 < 4 }
-		f.cut = func(a, b *process) bool { return left(a) != left(b) }
+		f.partitioned = func(a, b *process) bool { return left(a) != left(b) }
 		took := f.until(6_000_000, func() bool {
 			for _, p := range f.procs {
 				if p.k.Counts.Of("mesh_reached").Load() != 12 {
@@ -67,11 +67,11 @@
 			}
 			return true
 		})
-		must.LessEq(t, LiveFor+SilentAfter/4, took)
+		must.LessEq(t, LivenessTimeout+PeerTimeout/4, took)
 		f.run(f.now + apart)
 		told := f.procs[3]
 		f.announce(told, "opinion", "s", []byte("x"))
-		f.cut = func(a, b *process) bool { return false }
+		f.partitioned = func(a, b *process) bool { return false }
 		f.until(12_000_000, f.met)
 		f.until(4_000_000, func() bool {
 			for _, p := range f.procs {
@@ -85,7 +85,7 @@
 }
 
 func TestLateProcessCatchesUp(t *testing.T) {
-	f := settled(t, 21, 3, 4)
+	f := convergedFleet(t, 21, 3, 4)
 	for i := range 200 {
 		f.announce(f.procs[i%21], "opinion", string(rune('a'+i)), []byte("x"))
 	}
@@ -104,9 +104,9 @@
 	}
 }
 
-func TestLargeEntryCrossesNoMoreThanIsNeeded(t *testing.T) {
+func TestLargeEntryIsSentOncePerReceiver(t *testing.T) {
 	const size = 20_000
-	f := settled(t, 24, 4, 5)
+	f := convergedFleet(t, 24, 4, 5)
 	told := f.procs[7]
 	var before int64
 	for _, p := range f.procs {
@@ -130,7 +130,7 @@
 	must.Less(t, 24*size*3/2, after-before)
 }
 
-func TestNeighbourThatFailsToSendALargeEntryIsPassedOver(t *testing.T) {
+func TestLargeEntryIsRequestedFromAnotherPeerAfterTimeout(t *testing.T) {
 	r := newRig(t)
 	r.feed(kernel.ConnUp{Conn: 8, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
 	n := wire.Notice{Type: "listing", ID: "l", Origin: kernel.Fingerprint(key(4).Public), Count: 3, Hops: 2}
@@ -139,7 +139,7 @@
 	}
 	must.Eq(t, 1, tell(7), must.Sprint("it is asked for"))
 	must.Eq(t, 0, tell(8), must.Sprint("and not from another at the same time"))
-	r.now += WantFor
+	r.now += EntryRequestTimeout
 	must.Eq(t, 1, tell(8), must.Sprint("but when the first did not send it"))
 	n.Count = 4
 	must.Eq(t, 1, tell(7), must.Sprint("a newer one is another"))
--- a/cluster/mesh/large_test.go
+++ b/cluster/mesh/large_test.go
@@ -45,8 +45,8 @@
 	return true
 }
 
-// holders counts those that hold a version.
-func (f *fleet) holders(at wire.Version) (n int) {
+// processesAt counts those that hold a version.
+func (f *fleet) processesAt(at wire.Version) (n int) {
 	for _, p := range f.procs {
 		if v, ok := p.m.Partition(at.Partition); ok && v.Version == at {
 			n++
@@ -55,35 +55,35 @@
 	return n
 }
 
-func TestALargeVersionReachesAllOverNarrowLinks(t *testing.T) {
+func TestLargeVersionReachesAllOverNarrowLinks(t *testing.T) {
 	const processes, size = 18, 2 << 20
-	f := settled(t, processes, 3, 6)
+	f := convergedFleet(t, processes, 3, 6)
 	f.bytesPerSecond = 10_000_000 / 8
 	at := wire.Version{Partition: 0, Term: 1, Seq: 9}
 	before := f.bytesIn()
 	f.commit(f.procs[0], wire.Versioned{Version: at, Body: make([]byte, size)})
 	took := f.until(60_000_000, func() bool {
 		must.True(t, f.met(), must.Sprint("nobody is taken for lost"))
-		return f.holders(at) == processes
+		return f.processesAt(at) == processes
 	})
 	copies := float64(f.bytesIn()-before) / size
 	t.Logf("held by all after %d ms; %.1f copies crossed the links", took/1000, copies)
 	must.Less(t, processes*1.5, copies)
 }
 
-func TestALateProcessIsBroughtALargeVersionOnce(t *testing.T) {
+func TestLateProcessReceivesLargeVersionOnce(t *testing.T) {
 	const processes, size = 12, 1 << 20
-	f := settled(t, processes, 3, 7)
+	f := convergedFleet(t, processes, 3, 7)
 	f.bytesPerSecond = 10_000_000 / 8
 	at := wire.Version{Partition: 0, Term: 1, Seq: 9}
 	f.commit(f.procs[0], wire.Versioned{Version: at, Body: make([]byte, size)})
-	f.until(60_000_000, func() bool { return f.holders(at) == processes })
+	f.until(60_000_000, func() bool { return f.processesAt(at) == processes })
 	late := f.procs[processes-1]
 	f.kill(late)
 	f.run(f.now + 5_000_000)
 	before := late.in
 	f.start(late)
-	took := f.until(20_000_000, func() bool { return f.holders(at) == processes })
+	took := f.until(20_000_000, func() bool { return f.processesAt(at) == processes })
 	f.run(f.now + 10_000_000)
 	copies := float64(late.in-before) / size
 	t.Logf("held after %d ms; %.1f copies crossed its link", took/1000, copies)
@@ -91,7 +91,7 @@
 }
 
 // Who sends a large version to three already leaves the fourth to those who have it soon.
-func TestALargeVersionIsSentToThreeAtOnce(t *testing.T) {
+func TestLargeVersionIsSentToThreePeersAtOnce(t *testing.T) {
 	r := newRig(t)
 	at := wire.Version{Partition: 0, Term: 1, Seq: 9}
 	r.m.k.Later(func(ctx *kernel.Context) {
@@ -110,5 +110,5 @@
 		}
 		r.now += 1_000_000 // those that do not answer leave room for others
 	}
-	must.MapLen(t, LargeSendsMost, served)
+	must.MapLen(t, MaxLargeSends, served)
 }
--- a/cluster/mesh/links.go
+++ b/cluster/mesh/links.go
@@ -14,88 +14,88 @@
 
 // Figures of links.
 const (
-	// LinkGrace is how long a link outlives its channel, which may be opened again.
-	LinkGrace = 700_000
-	// LinkFirst and LinkEvery are how long a new link waits for others to be told with it: since
-	// it came, and since the last telling. LossEvery is the latter for a link that is lost.
-	LinkFirst = 100_000
-	LinkEvery = 1_000_000
-	LossEvery = 100_000
-	// LostMost bounds those that are told to be lost.
-	LostMost = 64
+	// LinkGracePeriod is how long a link outlives its channel, which may be opened again.
+	LinkGracePeriod = 700_000
+	// LinkBatchDelay and LinkAnnounceInterval are how long a new link waits for others to be told with it: since
+	// it came, and since the last telling. LossAnnounceInterval is the latter for a link that is lost.
+	LinkBatchDelay       = 100_000
+	LinkAnnounceInterval = 1_000_000
+	LossAnnounceInterval = 100_000
+	// MaxLostLinks bounds those that are told to be lost.
+	MaxLostLinks = 64
 )
 
-// ended is a channel that has ended: when it did, when its peer was last heard, and the
+// closedConn is a channel that has ended: when it did, when its peer was last heard, and the
 // highest count known of it then.
-type ended struct {
-	at, seen int64
-	count    uint64
+type closedConn struct {
+	closedAt, lastSeen int64
+	maxCount           uint64
 }
 
-// links is what a process tells of its own.
-type links struct {
-	now    []string
-	told   string
-	toldAt int64
-	since  int64
-	lost   map[string]uint64
-	due    int64
-	ended  map[string]ended
-	again  bool
+// linkState is what a process tells of its own.
+type linkState struct {
+	current     []string
+	announced   string
+	announcedAt int64
+	changedAt   int64
+	lost        map[string]uint64
+	announceDue int64
+	closed      map[string]closedConn
+	reannounce  bool
 }
 
-// heard lists those that are heard directly, in order.
-func (m *Mesh) heard(ctx *kernel.Context) []string {
+// directPeers lists those that are heard directly, in order.
+func (m *Mesh) directPeers(ctx *kernel.Context) []string {
 	var out []string
 	open := map[string]bool{}
 	for _, p := range m.peers {
 		open[p.key] = true
-		if ctx.Now-p.lastSeen < LiveFor {
+		if ctx.Now-p.lastSeen < LivenessTimeout {
 			out = append(out, p.key)
 		}
 	}
-	for fp, e := range m.links.ended {
+	for fp, e := range m.links.closed {
 		switch {
 		case open[fp]:
-			delete(m.links.ended, fp)
-		case ctx.Now-e.at < LinkGrace && ctx.Now-e.seen < LiveFor:
+			delete(m.links.closed, fp)
+		case ctx.Now-e.closedAt < LinkGracePeriod && ctx.Now-e.lastSeen < LivenessTimeout:
 			out = append(out, fp)
 		default:
-			delete(m.links.ended, fp)
-			m.suspect(fp, e.count)
+			delete(m.links.closed, fp)
+			m.suspectPeer(fp, e.maxCount)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// suspect tells of one that fell silent and has said nothing since by any way.
-func (m *Mesh) suspect(fp string, count uint64) {
-	if o := m.store.origins[fp]; o != nil && o.max <= count && len(m.links.lost) < LostMost {
+// suspectPeer tells of one that fell silent and has said nothing since by any way.
+func (m *Mesh) suspectPeer(fp string, count uint64) {
+	if o := m.store.origins[fp]; o != nil && o.maxCount <= count && len(m.links.lost) < MaxLostLinks {
 		m.links.lost[fp] = count
 	}
 }
 
-// relink looks at the own links, tells them if they changed and works out who is reached.
-func (m *Mesh) relink(ctx *kernel.Context) {
-	was := m.links.now
-	m.links.now = m.heard(ctx)
+// updateLinks looks at the own links, tells them if they changed and works out who is reached.
+func (m *Mesh) updateLinks(ctx *kernel.Context) {
+	was := m.links.current
+	m.links.current = m.directPeers(ctx)
 	for fp, count := range m.links.lost {
-		if o := m.store.origins[fp]; o == nil || o.max > count || slices.Contains(m.links.now, fp) {
+		if o := m.store.origins[fp]; o == nil || o.maxCount > count || slices.Contains(m.links.current, fp) {
 			delete(m.links.lost, fp)
 		}
 	}
-	if !slices.Equal(was, m.links.now) {
-		m.reach(ctx)
+	if !slices.Equal(was, m.links.current) {
+		m.updateReachability(ctx)
 	}
-	m.tellLinks(ctx)
+	m.announceLinks(ctx)
 }
 
-// loses reports whether something that was told is no longer so, or a member fell silent since.
-func (l *links) loses() bool {
-	peers, lost, _ := strings.Cut(l.told, "|")
+// hasLoss reports whether something that was told is no longer so, or a member fell silent since.
+func (l *linkState) hasLoss() bool {
+	peers, lost, _ := strings.Cut(l.announced, "|")
 	for _, fp := range strings.Fields(peers) {
-		if !slices.Contains(l.now, fp) {
+		if !slices.Contains(l.current, fp) {
 			return true
 		}
 	}
@@ -107,34 +107,34 @@
 	return false
 }
 
-// tellLinks tells the own links, a loss soon and a gain together with others.
-func (m *Mesh) tellLinks(ctx *kernel.Context) {
+// announceLinks tells the own links, a loss soon and a gain together with others.
+func (m *Mesh) announceLinks(ctx *kernel.Context) {
 	l := &m.links
-	now := strings.Join(l.now, " ") + "|" + strings.Join(sortedKeys(l.lost), " ")
-	if now == l.told && !l.again {
-		l.since = 0
+	now := strings.Join(l.current, " ") + "|" + strings.Join(sortedKeys(l.lost), " ")
+	if now == l.announced && !l.reannounce {
+		l.changedAt = 0
 		return
 	}
-	if l.since == 0 {
-		l.since = ctx.Now
+	if l.changedAt == 0 {
+		l.changedAt = ctx.Now
 	}
-	at := max(l.toldAt+LinkEvery, l.since+LinkFirst)
-	if l.again || l.loses() {
-		at = l.toldAt + LossEvery
+	at := max(l.announcedAt+LinkAnnounceInterval, l.changedAt+LinkBatchDelay)
+	if l.reannounce || l.hasLoss() {
+		at = l.announcedAt + LossAnnounceInterval
 	}
-	if l.toldAt == 0 {
-		at = l.since + LinkFirst
+	if l.announcedAt == 0 {
+		at = l.changedAt + LinkBatchDelay
 	}
 	if ctx.Now < at {
-		if l.due == 0 || at < l.due {
-			l.due = at
+		if l.announceDue == 0 || at < l.announceDue {
+			l.announceDue = at
 			ctx.After(at-ctx.Now, "mesh", "links")
 		}
 		return
 	}
-	l.due, l.since, l.told, l.toldAt, l.again = 0, 0, now, ctx.Now, false
+	l.announceDue, l.changedAt, l.announced, l.announcedAt, l.reannounce = 0, 0, now, ctx.Now, false
 	body := wire.Links{}
-	for _, fp := range l.now {
+	for _, fp := range l.current {
 		b, _ := hex.DecodeString(fp)
 		body.Peers = append(body.Peers, b...)
 	}
@@ -145,10 +145,10 @@
 	m.Announce(ctx, "links", m.self, wire.Encode(&body), false)
 }
 
-// linked takes in what another tells of its links.
-func (m *Mesh) linked(ctx *kernel.Context, o *origin, e *wire.Entry) {
+// handleLinks takes in what another tells of its links.
+func (m *Mesh) handleLinks(ctx *kernel.Context, o *originState, e *wire.Entry) {
 	var l wire.Links
-	if wire.Decode(e.Body, &l) != nil || len(l.Peers)%8 != 0 || len(l.Peers) > 8*LinksMost || len(l.Lost) > LostMost {
+	if wire.Decode(e.Body, &l) != nil || len(l.Peers)%8 != 0 || len(l.Peers) > 8*MaxLinks || len(l.Lost) > MaxLostLinks {
 		ctx.Counts.Add("mesh_dropped_malformed", 1)
 		return
 	}
@@ -156,26 +156,26 @@
 	for i := 0; i < len(l.Peers); i += 8 {
 		fp := hex.EncodeToString(l.Peers[i : i+8])
 		o.links = append(o.links, fp)
-		m.store.lift(fp)
+		m.store.restore(fp)
 	}
 	for _, s := range l.Lost {
-		m.suspected(ctx, s)
+		m.handleSuspicion(ctx, s)
 	}
-	m.reachSoon(ctx)
+	m.scheduleReach(ctx)
 }
 
-// suspected takes note of one that another has lost. This process itself says that it is there.
-func (m *Mesh) suspected(ctx *kernel.Context, s wire.Suspect) {
+// handleSuspicion takes note of one that another has lost. This process itself says that it is there.
+func (m *Mesh) handleSuspicion(ctx *kernel.Context, s wire.Suspect) {
 	if s.Origin == m.self {
 		if s.Count >= m.count {
 			ctx.Counts.Add("mesh_refuted", 1)
-			m.links.again = true
-			m.tellLinks(ctx)
+			m.links.reannounce = true
+			m.announceLinks(ctx)
 		}
 		return
 	}
-	if o := m.store.origins[s.Origin]; o != nil && s.Count >= o.max && s.Count > o.suspect {
-		o.suspect, o.suspectAt = s.Count, ctx.Now
-		ctx.After(SuspectFor, "mesh", "reach")
+	if o := m.store.origins[s.Origin]; o != nil && s.Count >= o.maxCount && s.Count > o.suspectCount {
+		o.suspectCount, o.suspectedAt = s.Count, ctx.Now
+		ctx.After(SuspicionTimeout, "mesh", "reach")
 	}
 }
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -13,21 +13,21 @@
 
 // Figures of the mesh; docs/mesh.md says how they were come by.
 const (
-	MaxHops        = 16
-	PeerCap        = 15
-	HeartbeatEvery = 1_000_000
-	SilentAfter    = 4_000_000
-	LiveFor        = 3_500_000
-	ForgetAfter    = 30_000_000
-	SeedEvery      = 30_000_000
-	BackoffFirst   = 500_000
-	BackoffMost    = 5_000_000
-	SeedBackoff    = 1_000_000
-	SeenFor        = 60_000_000
-	SeenMost       = 1 << 16
-	OriginRate     = 30
-	OriginBurst    = 256
-	AddrMost       = 512
+	MaxHops           = 16
+	MaxPeers          = 15
+	HeartbeatInterval = 1_000_000
+	PeerTimeout       = 4_000_000
+	LivenessTimeout   = 3_500_000
+	ForgetAfter       = 30_000_000
+	SeedInterval      = 30_000_000
+	MinBackoff        = 500_000
+	MaxBackoff        = 5_000_000
+	MaxSeedBackoff    = 1_000_000
+	SeenTTL           = 60_000_000
+	MaxSeen           = 1 << 16
+	OriginRate        = 30
+	OriginBurst       = 256
+	MaxAddrs          = 512
 	// Release is that of the mesh's messages; 1 and before carried every origin's beat.
 	Release = 2
 )
@@ -36,7 +36,7 @@
 type Stored struct {
 	Entry  *wire.Entry
 	Origin string
-	Own    bool
+	Local  bool
 }
 
 // Forgotten is emitted when an origin has been silent so long that its entries are dropped.
@@ -45,20 +45,20 @@
 // CaughtUp is emitted when a peer's marks show nothing that this process lacks.
 type CaughtUp struct{}
 
-// Pulse is emitted once a heartbeat, after liveness was judged anew.
-type Pulse struct{}
+// LivenessUpdated is emitted once a heartbeat, after liveness was judged anew.
+type LivenessUpdated struct{}
 
-type peer struct {
-	chanID   uint64
+type peerConn struct {
+	conn     uint64
 	addr     string
 	zone     string
 	key      string
 	dialed   bool
 	since    int64
 	lastSeen int64
-	// old is that it speaks the messages of the release before.
-	old bool
-	catching
+	// legacy is that it speaks the messages of the release before.
+	legacy bool
+	syncState
 	outbox outbox
 }
 
@@ -68,33 +68,33 @@
 	self     string
 	addr     string
 	count    uint64
-	peers    map[uint64]*peer
+	peers    map[uint64]*peerConn
 	store    store
 	seen     *seenSet
-	dials    map[string]*dial
+	dials    map[string]*dialState
 	lastSeed int64
 	seeds    []string
-	links    links
-	wants    map[wire.Notice]want
+	links    linkState
+	requests map[wire.Notice]entryRequest
 	// turn counts the changes of who is reached.
-	turn       uint64
-	reachArmed bool
-	beganAt    int64
-	reachAt    int64
-	reachTurn  uint64
-	// old is that a process of the release before is there.
-	old bool
-	// caught is that this process has once had all that a peer had, since its start or thaw.
-	caught    bool
-	changedAt int64
-	askedAt   int64
-	served    int
-	servedAt  int64
-	prunedAt  int64
+	turn            uint64
+	reachScheduled  bool
+	startedAt       int64
+	lastReach       int64
+	reachGeneration uint64
+	// legacy is that a process of the release before is there.
+	legacy bool
+	// inSync is that this process has once had all that a peer had, since its start or thaw.
+	inSync          bool
+	changedAt       int64
+	syncRequestedAt int64
+	syncTokens      int
+	syncTokensAt    int64
+	prunedAt        int64
 	// forwardedAt is when entries were last forwarded; stopping that none may wait any more.
-	forwardedAt  int64
-	forwardArmed bool
-	stopping     bool
+	forwardedAt      int64
+	forwardScheduled bool
+	stopping         bool
 }
 
 func init() {
@@ -107,11 +107,11 @@
 func New(k *kernel.Kernel) *Mesh {
 	m := &Mesh{
 		k: k, self: kernel.Fingerprint(k.Boot.Key.Public), addr: k.Boot.Settings.Mesh,
-		peers: map[uint64]*peer{}, store: newStore(), seen: newSeenSet(), dials: map[string]*dial{},
-		wants: map[wire.Notice]want{}, links: links{lost: map[string]uint64{}, ended: map[string]ended{}}, served: ServeMost,
+		peers: map[uint64]*peerConn{}, store: newStore(), seen: newSeenSet(), dials: map[string]*dialState{},
+		requests: map[wire.Notice]entryRequest{}, links: linkState{lost: map[string]uint64{}, closed: map[string]closedConn{}}, syncTokens: SyncBytesPerSecond,
 	}
 	self := m.store.origin(m.self, 0)
-	self.beat, self.key, self.sig = 1, k.Boot.Key.Public, ed25519.Sign(k.Boot.Key.Private, beatText(1))
+	self.heartbeat, self.key, self.sig = 1, k.Boot.Key.Public, ed25519.Sign(k.Boot.Key.Private, signedHeartbeatText(1))
 	return m
 }
 
@@ -128,47 +128,47 @@
 func (m *Mesh) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		m.begin(ctx)
-		ctx.After(ctx.Rand.Int64N(HeartbeatEvery), "mesh", "beat")
+		m.start(ctx)
+		ctx.After(ctx.Rand.Int64N(HeartbeatInterval), "mesh", "beat")
 	case kernel.Tick:
 		m.tick(ctx, v.Key)
 	case kernel.SeedsChanged:
-		m.seedsAre(ctx, v.Seeds)
+		m.setSeeds(ctx, v.Seeds)
 	case kernel.ConnUp:
 		if v.Mesh {
-			m.up(ctx, v)
+			m.handleConnUp(ctx, v)
 		}
 	case kernel.ConnDown:
 		if v.Mesh {
-			m.down(ctx, v)
+			m.handleConnDown(ctx, v)
 		}
 	case kernel.Stopping:
 		m.stopping = true
-		m.forwardAll(ctx)
+		m.flushAll(ctx)
 	case kernel.Thawed:
 		m.thawed(ctx, v.Gap)
 	case kernel.Message:
-		m.message(ctx, v)
+		m.handleMessage(ctx, v)
 	}
 }
 
 func (m *Mesh) tick(ctx *kernel.Context, key string) {
 	switch key {
 	case "beat":
-		m.beat(ctx)
+		m.sendHeartbeats(ctx)
 	case "reach":
-		m.reachArmed = false
-		m.reach(ctx)
+		m.reachScheduled = false
+		m.updateReachability(ctx)
 	case "links":
-		m.links.due = 0
-		m.relink(ctx)
+		m.links.announceDue = 0
+		m.updateLinks(ctx)
 	case "forward":
-		m.forwardArmed = false
-		m.forwardAll(ctx)
+		m.forwardScheduled = false
+		m.flushAll(ctx)
 	case "again":
-		m.askDue(ctx)
+		m.requestDueSyncs(ctx)
 	case "dial":
-		m.tend(ctx)
+		m.maintainLinks(ctx)
 	}
 }
 
@@ -178,19 +178,19 @@
 		p.lastSeen = ctx.Now
 	}
 	for _, o := range m.store.origins {
-		o.beatAt += gap
-		o.liveAt += gap
-		o.suspectAt += gap
+		o.heartbeatAt += gap
+		o.lastLive += gap
+		o.suspectedAt += gap
 	}
-	m.caught = false
+	m.inSync = false
 	for _, id := range sortedKeys(m.peers) {
-		if m.old {
-			hb := m.marks()
+		if m.legacy {
+			hb := m.legacyHeartbeat()
 			hb.Echo = true
 			ctx.SendLatest(id, wire.KindHeartbeat, hb, "echo")
 			continue
 		}
-		m.ask(ctx, m.peers[id])
+		m.requestSync(ctx, m.peers[id])
 	}
 }
 
@@ -199,7 +199,7 @@
 
 // Partition gives the newest version of a partition that the mesh has brought.
 func (m *Mesh) Partition(partition int) (wire.Versioned, bool) {
-	e, ok := m.store.parts[partition]
+	e, ok := m.store.partitions[partition]
 	if !ok {
 		return wire.Versioned{}, false
 	}
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -47,7 +47,7 @@
 
 func (r *rig) count(name string) int64 { return r.k.Counts.Of(name).Load() }
 
-func (r *rig) holds(typ string) (n int) {
+func (r *rig) storedEntries(typ string) (n int) {
 	r.m.Each(typ, func(*wire.Entry, string) { n++ })
 	return n
 }
@@ -56,7 +56,7 @@
 	r := newRig(t)
 	r.feed(kernel.ConnUp{Conn: 8, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
 	out := r.gossip(entry(key(2), "opinion", "s1", 1))
-	must.Eq(t, 1, r.holds("opinion"))
+	must.Eq(t, 1, r.storedEntries("opinion"))
 	must.Len(t, 1, out.Sends)
 	must.Eq(t, uint64(8), out.Sends[0].Conn, must.Sprint("forwarded to all but the sender"))
 }
@@ -106,16 +106,16 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			e := c.spoil(r)
-			before := r.holds("opinion")
+			before := r.storedEntries("opinion")
 			out := r.gossip(e)
 			must.Eq(t, 1, r.count(c.count))
-			must.Eq(t, before, r.holds("opinion"))
+			must.Eq(t, before, r.storedEntries("opinion"))
 			must.SliceEmpty(t, out.Sends, must.Sprint("not forwarded"))
 		})
 	}
 }
 
-func TestMalformedFramesEndTheChannelOnly(t *testing.T) {
+func TestMalformedFramesOnlyCloseTheConnection(t *testing.T) {
 	good := wire.Seal(wire.KindGossip, 0, entry(key(2), "opinion", "s1", 1))
 	for name, data := range map[string][]byte{
 		"empty": {}, "future format": append([]byte{wire.Format + 1}, good[1:]...),
@@ -126,26 +126,26 @@
 			out := r.feed(kernel.Received{Conn: 7, Data: data})
 			must.Eq(t, []uint64{7}, out.Drops)
 			must.Eq(t, 1, r.count("frames_malformed")+r.count("mesh_dropped_malformed"))
-			must.Eq(t, 0, r.holds("opinion"))
+			must.Eq(t, 0, r.storedEntries("opinion"))
 		})
 	}
 }
 
-func TestFloodOfOneOriginIsLimitedAndCaughtUpLater(t *testing.T) {
+func TestOriginRateLimitIsRepairedByAntiEntropy(t *testing.T) {
 	r := newRig(t)
 	for n := uint64(1); n <= OriginBurst+50; n++ {
 		r.gossip(entry(key(2), "opinion", string(rune('a'+n)), n))
 	}
-	must.Eq(t, OriginBurst, r.holds("opinion"))
+	must.Eq(t, OriginBurst, r.storedEntries("opinion"))
 	must.Eq(t, 50, r.count("mesh_dropped_rate"))
 	r.now += 10_000_000
 	for n := uint64(OriginBurst + 1); n <= OriginBurst+50; n++ {
 		r.gossip(entry(key(2), "opinion", string(rune('a'+n)), n))
 	}
-	must.Eq(t, OriginBurst+50, r.holds("opinion"), must.Sprint("what was dropped is taken when it is sent again"))
+	must.Eq(t, OriginBurst+50, r.storedEntries("opinion"), must.Sprint("what was dropped is taken when it is sent again"))
 }
 
-func TestCatchUpSendsWhatIsMissing(t *testing.T) {
+func TestAntiEntropySendsMissingEntries(t *testing.T) {
 	r := newRig(t)
 	for n := uint64(1); n <= 3; n++ {
 		r.gossip(entry(key(3), "opinion", string(rune('a'+n)), n))
@@ -162,10 +162,10 @@
 	must.Eq(t, 0, mark(9, 0), must.Sprint("the other side is ahead"))
 }
 
-func TestBuriedOriginDoesNotComeBackFromAStaleHolder(t *testing.T) {
+func TestForgottenOriginIsNotRestoredByStalePeer(t *testing.T) {
 	r := newRig(t)
 	fp := kernel.Fingerprint(key(3).Public)
-	beat := func(n uint64) { r.heartbeat(mark(key(3), n)) }
+	beat := func(n uint64) { r.heartbeat(watermark(key(3), n)) }
 	beat(4)
 	beat(5)
 	r.gossip(entry(key(3), "opinion", "s1", 1))
@@ -173,28 +173,28 @@
 	r.now += ForgetAfter + 1
 	r.m.peers[7].lastSeen = r.now
 	r.feed(kernel.Tick{Plugin: "mesh", Key: "beat"})
-	must.Eq(t, 0, r.holds("opinion"))
+	must.Eq(t, 0, r.storedEntries("opinion"))
 	beat(5)
 	r.gossip(entry(key(3), "opinion", "s1", 2))
-	must.Eq(t, 0, r.holds("opinion"))
+	must.Eq(t, 0, r.storedEntries("opinion"))
 	must.False(t, r.m.Live(fp, r.now))
 	beat(6)
 	r.gossip(entry(key(3), "opinion", "s1", 3))
-	must.Eq(t, 1, r.holds("opinion"), must.Sprint("a fresh beat is a live origin"))
+	must.Eq(t, 1, r.storedEntries("opinion"), must.Sprint("a fresh beat is a live origin"))
 }
 
-func TestPeerCapEvictsTheOldestSeen(t *testing.T) {
+func TestMaxPeersEvictsLeastRecentlySeen(t *testing.T) {
 	r := newRig(t)
-	for i := range PeerCap {
+	for i := range MaxPeers {
 		r.now += 1000
 		r.feed(kernel.ConnUp{Conn: uint64(100 + i), Addr: "x", Peer: kernel.Fingerprint(key(byte(10 + i)).Public), Mesh: true})
 	}
-	must.Eq(t, PeerCap, r.m.Peers())
+	must.Eq(t, MaxPeers, r.m.Peers())
 	must.Eq(t, 1, r.count("mesh_peers_evicted"))
 	must.MapNotContainsKey(t, r.m.peers, uint64(7))
 }
 
-func TestSelfAndDuplicateChannels(t *testing.T) {
+func TestSelfAndDuplicateConnectionsAreClosed(t *testing.T) {
 	r := newRig(t)
 	out := r.feed(kernel.ConnUp{Conn: 9, Addr: "self", Peer: r.m.self, Dialed: true, Mesh: true})
 	must.Eq(t, []uint64{9}, out.Drops)
@@ -210,6 +210,6 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := newRig(t)
 		r.feed(kernel.Received{Conn: 7, Data: data})
-		must.LessEq(t, 1, r.holds("opinion"))
+		must.LessEq(t, 1, r.storedEntries("opinion"))
 	})
 }
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -16,21 +16,21 @@
 	"wallport/runtime/wire"
 )
 
-type happening struct {
+type event struct {
 	at  int64
 	seq int
 	run func()
 }
 
-type happenings []happening
+type eventQueue []event
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -42,14 +42,14 @@
 	t      testing.TB
 	now    int64
 	seq    int
-	queue  happenings
+	queue  eventQueue
 	rnd    *rand.Rand
 	procs  []*process
 	byAddr map[string]*process
 	chans  map[uint64]end
 	next   uint64
-	// cut tells which frames are lost on their way.
-	cut func(from, to *process) bool
+	// partitioned tells which frames are lost on their way.
+	partitioned func(from, to *process) bool
 	// bytesPerSecond is what each process's link takes; 0 is any number.
 	bytesPerSecond int64
 }
@@ -77,7 +77,7 @@
 
 func newFleet(t testing.TB, n, zones int, seed uint64) *fleet {
 	t.Logf("seed %d", seed)
-	f := &fleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), byAddr: map[string]*process{}, chans: map[uint64]end{}, cut: func(a, b *process) bool { return false }}
+	f := &fleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), byAddr: map[string]*process{}, chans: map[uint64]end{}, partitioned: func(a, b *process) bool { return false }}
 	for i := range n {
 		p := &process{i: i, addr: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), zone: fmt.Sprintf("z%d", i%zones)}
 		f.procs = append(f.procs, p)
@@ -89,12 +89,12 @@
 
 func (f *fleet) after(d int64, run func()) {
 	f.seq++
-	heap.Push(&f.queue, happening{f.now + max(d, 0), f.seq, run})
+	heap.Push(&f.queue, event{f.now + max(d, 0), f.seq, run})
 }
 
 func (f *fleet) run(until int64) {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
-		h := heap.Pop(&f.queue).(happening)
+		h := heap.Pop(&f.queue).(event)
 		f.now = h.at
 		h.run()
 	}
@@ -161,7 +161,7 @@
 			p.across += int64(len(s.Data))
 		}
 		f.after(500+f.queued(p, len(s.Data)), func() {
-			if _, open := f.chans[s.Conn]; open && !f.cut(p, e.p) {
+			if _, open := f.chans[s.Conn]; open && !f.partitioned(p, e.p) {
 				e.p.in += int64(len(s.Data))
 				f.step(e.p, kernel.Received{Conn: e.other, Data: s.Data})
 			}
@@ -179,7 +179,7 @@
 		if p.k != life || !p.up {
 			return
 		}
-		if q == nil || !q.up || q.frozen || f.cut(p, q) || f.cut(q, p) {
+		if q == nil || !q.up || q.frozen || f.partitioned(p, q) || f.partitioned(q, p) {
 			f.after(100_000, func() { f.step(p, kernel.ConnDown{Addr: addr, Mesh: true}) })
 			return
 		}
--- a/cluster/mesh/notice.go
+++ b/cluster/mesh/notice.go
@@ -11,31 +11,31 @@
 
 // Figures of large entries.
 const (
-	// NoticeOver is the size of a body beyond which a notice is sent, in bytes.
-	NoticeOver = 1024
-	// WantFor is how long one that was asked has to send the entry before another is asked.
-	WantFor = 400_000
-	// WantsMost bounds the entries that are waited for.
-	WantsMost = 256
-	// LargeSendsMost is how many large messages a process sends at once before it leaves those who
+	// NoticeThreshold is the size of a body beyond which a notice is sent, in bytes.
+	NoticeThreshold = 1024
+	// EntryRequestTimeout is how long one that was asked has to send the entry before another is asked.
+	EntryRequestTimeout = 400_000
+	// MaxEntryRequests bounds the entries that are waited for.
+	MaxEntryRequests = 256
+	// MaxLargeSends is how many large messages a process sends at once before it leaves those who
 	// ask for a large entry to others, who have it soon.
-	LargeSendsMost = 3
+	MaxLargeSends = 3
 )
 
 // isLarge reports whether an entry travels in pieces.
 func isLarge(e *wire.Entry) bool { return len(e.Body) > wire.WholeMost }
 
-// want is when an entry was asked for, and on which connection.
-type want struct {
-	at   int64
-	conn uint64
+// entryRequest is when an entry was asked for, and on which connection.
+type entryRequest struct {
+	sentAt int64
+	conn   uint64
 }
 
-func (m *Mesh) notify(ctx *kernel.Context, ch uint64, e *wire.Entry) {
+func (m *Mesh) sendNotice(ctx *kernel.Context, ch uint64, e *wire.Entry) {
 	n := noticeOf(e)
 	n.Hops = e.Hops + 1
 	ctx.Counts.Add("mesh_notices_out", 1)
-	ctx.SendLatest(ch, wire.KindNotice, &n, "notice\x00"+slot(e))
+	ctx.SendLatest(ch, wire.KindNotice, &n, "notice\x00"+replaceKey(e))
 }
 
 // noticeOf names an entry. A partition's version is the same whoever tells of it.
@@ -46,36 +46,36 @@
 	return wire.Notice{Type: e.Type, ID: e.ID, Origin: kernel.Fingerprint(e.Origin), Count: e.Count}
 }
 
-// noticed asks for an entry that is lacking, or sends one that is asked for.
-func (m *Mesh) noticed(ctx *kernel.Context, p *peer, n wire.Notice) {
-	e := m.held(n)
+// handleNotice asks for an entry that is lacking, or sends one that is asked for.
+func (m *Mesh) handleNotice(ctx *kernel.Context, p *peerConn, n wire.Notice) {
+	e := m.lookup(n)
 	if n.Want {
-		if e != nil && !(isLarge(e) && m.k.Sending() >= LargeSendsMost) {
-			m.send(ctx, p.chanID, e, news)
+		if e != nil && !(isLarge(e) && m.k.Sending() >= MaxLargeSends) {
+			m.send(ctx, p.conn, e, byFlood)
 		}
 		return
 	}
 	if e != nil || n.Origin == m.self || n.Hops >= MaxHops {
 		return
 	}
-	if _, dead := m.store.buried[n.Origin]; dead && n.Type != "part" {
+	if _, dead := m.store.forgotten[n.Origin]; dead && n.Type != "part" {
 		return
 	}
 	n.Hops, n.Want = 0, true
-	if w, ok := m.wants[n]; ok && (ctx.Now-w.at < WantFor || m.k.ReceivingOn(w.conn)) {
+	if w, ok := m.requests[n]; ok && (ctx.Now-w.sentAt < EntryRequestTimeout || m.k.ReceivingOn(w.conn)) {
 		return
 	}
-	if len(m.wants) >= WantsMost {
-		clear(m.wants)
+	if len(m.requests) >= MaxEntryRequests {
+		clear(m.requests)
 	}
-	m.wants[n] = want{ctx.Now, p.chanID}
-	ctx.Send(p.chanID, wire.KindNotice, 0, &n)
+	m.requests[n] = entryRequest{ctx.Now, p.conn}
+	ctx.Send(p.conn, wire.KindNotice, 0, &n)
 }
 
-// held is the entry of a notice, or a newer one; nil where this process lacks it.
-func (m *Mesh) held(n wire.Notice) *wire.Entry {
+// lookup is the entry of a notice, or a newer one; nil where this process lacks it.
+func (m *Mesh) lookup(n wire.Notice) *wire.Entry {
 	if n.Type == "part" {
-		if e := m.store.parts[n.Version.Partition]; e != nil && !Newer(n.Version, e.Version) {
+		if e := m.store.partitions[n.Version.Partition]; e != nil && !Newer(n.Version, e.Version) {
 			return e
 		}
 		return nil
--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -26,11 +26,11 @@
 }
 
 func (r *rig) gossipFrom(peer uint64, e *wire.Entry) kernel.Out {
-	return r.feed(kernel.Received{Conn: peer, Data: wire.Seal(wire.KindGossip, news, e)})
+	return r.feed(kernel.Received{Conn: peer, Data: wire.Seal(wire.KindGossip, byFlood, e)})
 }
 
 func (r *rig) forwardTick() kernel.Out {
-	r.now += ForwardEvery
+	r.now += ForwardInterval
 	return r.feed(kernel.Tick{Plugin: "mesh", Key: "forward"})
 }
 
@@ -60,48 +60,48 @@
 	must.SliceEmpty(t, r.forwardTick().Sends)
 }
 
-func TestNothingWaitsInAProcessThatStops(t *testing.T) {
+func TestStoppingProcessForwardsAtOnce(t *testing.T) {
 	r := pair(t)
 	r.gossip(entry(key(2), "opinion", "second", 2))
 	must.Len(t, 1, r.feed(kernel.Stopping{}).Sends)
 	must.Len(t, 1, r.gossip(entry(key(2), "opinion", "third", 3)).Sends)
 }
 
-func TestCopiesAreKnownByTheirFrame(t *testing.T) {
+func TestDuplicatesAreRecognizedByFrameHash(t *testing.T) {
 	r := pair(t)
 	e := entry(key(2), "opinion", "second", 2)
 	r.gossip(e)
 	for hops := range uint8(3) {
 		copied := *e
 		copied.Hops = hops
-		frame := r.m.seen.frame(wire.Encode(&copied))
-		seen, ok := r.m.seen.known(frame, r.now)
+		frame := r.m.seen.frameHash(wire.Encode(&copied))
+		seen, ok := r.m.seen.entryOfFrame(frame, r.now)
 		must.True(t, ok)
 		must.Eq(t, seenKey(e), seen)
 	}
 	changed := *e
 	changed.Body = []byte("y")
-	_, ok := r.m.seen.known(r.m.seen.frame(wire.Encode(&changed)), r.now)
+	_, ok := r.m.seen.entryOfFrame(r.m.seen.frameHash(wire.Encode(&changed)), r.now)
 	must.False(t, ok, must.Sprint("another body is another frame"))
 }
 
-func TestFramesAreForgottenWithTheirEntries(t *testing.T) {
+func TestFrameHashesExpireWithTheirEntries(t *testing.T) {
 	s := newSeenSet()
-	for i := range uint64(SeenMost + 10) {
+	for i := range uint64(MaxSeen + 10) {
 		s.add(i, int64(i))
-		s.learn(1000+i, i)
+		s.addFrame(1000+i, i)
 	}
-	must.MapLen(t, SeenMost, s.frames)
-	must.MapLen(t, SeenMost, s.framesOf)
-	s.add(1<<40, SeenFor+2*SeenMost)
+	must.MapLen(t, MaxSeen, s.frames)
+	must.MapLen(t, MaxSeen, s.framesOf)
+	s.add(1<<40, SeenTTL+2*MaxSeen)
 	must.MapEmpty(t, s.frames)
 }
 
 // In a burst that all processes of a fleet take part in, as when a configuration comes into
 // force, most copies of an entry are spared.
-func TestBurstOfAllProcessesCostsFewCopies(t *testing.T) {
+func TestBurstOfAllProcessesSendsFewDuplicates(t *testing.T) {
 	const processes, entries = 32, 5
-	f := settled(t, processes, 4, 6)
+	f := convergedFleet(t, processes, 4, 6)
 	f.run(f.now + 20_000_000)
 	var before int64
 	for _, p := range f.procs {
--- a/cluster/mesh/overlay.go
+++ b/cluster/mesh/overlay.go
@@ -12,69 +12,69 @@
 
 // Figures of the overlay.
 const (
-	// PeersLeast is how many links a process sees to; ZonePeers how many of them in its zone.
-	PeersLeast = 4
-	ZonePeers  = 3
-	// PeersEasy is how many it keeps without need.
-	PeersEasy = 7
+	// MinPeers is how many links a process sees to; MinZonePeers how many of them in its zone.
+	MinPeers     = 4
+	MinZonePeers = 3
+	// SoftMaxPeers is how many it keeps without need.
+	SoftMaxPeers = 7
 	// Bridges is how many processes of a zone see to a link to each other zone.
 	Bridges = 2
-	// BridgeAfter is how long a process that has a link leaves bridges to others after its start:
+	// BridgeDelay is how long a process that has a link leaves bridges to others after its start:
 	// until it knows its zone it takes itself for the first of it.
-	BridgeAfter = 3_000_000
-	// Watchers is how many try what is not reached.
-	Watchers = 3
-	// PruneEvery is the least time between two links given up, PruneAfter that after a link came.
-	PruneEvery = 2_000_000
-	PruneAfter = 8_000_000
-	// SecondSeed is when a process that starts tries the other seeds as well.
-	SecondSeed = 250_000
+	BridgeDelay = 3_000_000
+	// LostDialers is how many try what is not reached.
+	LostDialers = 3
+	// PruneInterval is the least time between two links given up, MinPeerAge that after a link came.
+	PruneInterval = 2_000_000
+	MinPeerAge    = 8_000_000
+	// SecondSeedDelay is when a process that starts tries the other seeds as well.
+	SecondSeedDelay = 250_000
 )
 
-// begin dials one of the seeds, and the others soon after if that leads nowhere.
-func (m *Mesh) begin(ctx *kernel.Context) {
-	m.beganAt = ctx.Now
+// start dials one of the seeds, and the others soon after if that leads nowhere.
+func (m *Mesh) start(ctx *kernel.Context) {
+	m.startedAt = ctx.Now
 	m.seeds = slices.Clone(m.k.Boot.Settings.Seeds)
 	for _, s := range m.seeds {
-		m.know(s)
+		m.addAddr(s)
 	}
 	if len(m.seeds) > 0 {
-		m.tryDial(ctx, m.seeds[ctx.Rand.IntN(len(m.seeds))])
-		ctx.After(SecondSeed, "mesh", "dial")
+		m.dialIfDue(ctx, m.seeds[ctx.Rand.IntN(len(m.seeds))])
+		ctx.After(SecondSeedDelay, "mesh", "dial")
 	}
 }
 
-// seedsAre takes the list of seeds and dials them. Those of before stay known as
+// setSeeds takes the list of seeds and dials them. Those of before stay known as
 // addresses of processes like any other.
-func (m *Mesh) seedsAre(ctx *kernel.Context, seeds []string) {
+func (m *Mesh) setSeeds(ctx *kernel.Context, seeds []string) {
 	m.seeds = slices.Clone(seeds)
 	for _, s := range m.seeds {
-		if m.dials[s] == nil && len(m.dials) >= AddrMost {
+		if m.dials[s] == nil && len(m.dials) >= MaxAddrs {
 			m.forgetAddr()
 		}
-		m.know(s)
+		m.addAddr(s)
 		if d := m.dials[s]; d != nil {
-			d.next, d.wait = 0, BackoffFirst
+			d.nextAt, d.backoff = 0, MinBackoff
 		}
 	}
-	m.lastSeed = ctx.Now - SeedEvery
-	m.tend(ctx)
+	m.lastSeed = ctx.Now - SeedInterval
+	m.maintainLinks(ctx)
 }
 
-// view is the fleet as it is known when links are looked after.
-type view struct {
+// fleetView is the fleet as it is known when links are looked after.
+type fleetView struct {
 	zone    string
-	zones   map[string][]*origin
-	there   map[string]*origin // by address
-	reached []*origin
-	lost    []*origin
+	zones   map[string][]*originState
+	byAddr  map[string]*originState // by address
+	reached []*originState
+	lost    []*originState
 }
 
-func (m *Mesh) view() view {
-	v := view{zone: m.k.Boot.Settings.Zone, zones: map[string][]*origin{}, there: map[string]*origin{}}
+func (m *Mesh) fleetView() fleetView {
+	v := fleetView{zone: m.k.Boot.Settings.Zone, zones: map[string][]*originState{}, byAddr: map[string]*originState{}}
 	for _, fp := range sortedKeys(m.store.origins) {
 		o := m.store.origins[fp]
-		if fp == m.self || o.row == nil || o.row.Addr == m.addr {
+		if fp == m.self || o.member == nil || o.member.Addr == m.addr {
 			continue
 		}
 		if !o.reached {
@@ -82,74 +82,74 @@
 			continue
 		}
 		v.reached = append(v.reached, o)
-		v.there[o.row.Addr] = o
-		v.zones[o.row.Zone] = append(v.zones[o.row.Zone], o)
+		v.byAddr[o.member.Addr] = o
+		v.zones[o.member.Zone] = append(v.zones[o.member.Zone], o)
 	}
 	return v
 }
 
-// first reports whether this process is among the first so many of some by rank in a matter.
-func (m *Mesh) first(of []*origin, matter uint64, most int) bool {
-	own, above := mix(hash(m.self)^matter), 0
+// ranksAmong reports whether this process is among the first so many of some by rank in a matter.
+func (m *Mesh) ranksAmong(of []*originState, topic uint64, most int) bool {
+	own, above := mix(hash(m.self)^topic), 0
 	for _, o := range of {
-		if mix(o.hash^matter) > own {
+		if mix(o.hash^topic) > own {
 			above++
 		}
 	}
 	return above < most
 }
 
-// tend sees to the links: dials what is lacking, gives up what is too many.
-func (m *Mesh) tend(ctx *kernel.Context) {
-	v := m.view()
-	m.tendSeeds(ctx, v)
-	open := map[string]int{}
+// maintainLinks sees to the links: dials what is lacking, gives up what is too many.
+func (m *Mesh) maintainLinks(ctx *kernel.Context) {
+	v := m.fleetView()
+	m.dialSeeds(ctx, v)
+	linksByZone := map[string]int{}
 	n := 0
 	for _, p := range m.peers {
-		open[m.zoneOf(p)]++
+		linksByZone[m.zoneOf(p)]++
 		n++
 	}
 	for a, d := range m.dials {
-		if d.under {
+		if d.inFlight {
 			n++
-			if o := v.there[a]; o != nil {
-				open[o.row.Zone]++
+			if o := v.byAddr[a]; o != nil {
+				linksByZone[o.member.Zone]++
 			}
 		}
 	}
-	for open[v.zone] < ZonePeers && (n < PeersEasy || open[v.zone] == 0) && m.dialOne(ctx, v.zones[v.zone]) {
-		open[v.zone]++
+	for linksByZone[v.zone] < MinZonePeers && (n < SoftMaxPeers || linksByZone[v.zone] == 0) && m.dialOne(ctx, v.zones[v.zone]) {
+		linksByZone[v.zone]++
 		n++
 	}
-	knows := n == 0 || ctx.Now-m.beganAt >= BridgeAfter
+	knows := n == 0 || ctx.Now-m.startedAt >= BridgeDelay
 	for _, z := range sortedKeys(v.zones) {
-		if knows && z != v.zone && open[z] == 0 && m.first(v.zones[v.zone], hash(z), Bridges) && m.dialOne(ctx, v.zones[z]) {
+		if knows && z != v.zone && linksByZone[z] == 0 && m.ranksAmong(v.zones[v.zone], hash(z), Bridges) && m.dialOne(ctx, v.zones[z]) {
 			n++
 		}
 	}
-	for n < PeersLeast && (m.dialOne(ctx, v.zones[v.zone]) || m.dialOne(ctx, v.reached) || m.dialAny(ctx)) {
+	for n < MinPeers && (m.dialOne(ctx, v.zones[v.zone]) || m.dialOne(ctx, v.reached) || m.dialAny(ctx)) {
 		n++
 	}
-	m.tendLost(ctx, v)
-	m.prune(ctx, v, open)
+	m.dialLost(ctx, v)
+	m.pruneLinks(ctx, v, linksByZone)
 }
 
-func (m *Mesh) zoneOf(p *peer) string {
-	if o := m.store.origins[p.key]; o != nil && o.row != nil {
-		return o.row.Zone
+func (m *Mesh) zoneOf(p *peerConn) string {
+	if o := m.store.origins[p.key]; o != nil && o.member != nil {
+		return o.member.Zone
 	}
 	return p.zone
 }
 
 // dialOne dials one of some: of three drawn by chance the one with the fewest links.
-func (m *Mesh) dialOne(ctx *kernel.Context, of []*origin) bool {
-	var best *origin
+func (m *Mesh) dialOne(ctx *kernel.Context, of []*originState) bool {
+	var best *originState
 	from := ctx.Rand.IntN(max(1, len(of)))
 	drawn := 0
 	for i := range of {
 		o := of[(from+i)%len(of)]
-		d := m.dials[o.row.Addr]
-		if d != nil && (d.under || ctx.Now < d.next) || m.connected(o.row.Addr) {
+		d := m.dials[o.member.Addr]
+		if d != nil && (d.inFlight || ctx.Now < d.nextAt) || m.connected(o.member.Addr) {
 			continue
 		}
 		if best == nil || len(o.links) < len(best.links) {
@@ -162,16 +162,16 @@
 	if best == nil {
 		return false
 	}
-	m.dialKnown(ctx, best.row.Addr)
+	m.dialKnown(ctx, best.member.Addr)
 	return true
 }
 
 func (m *Mesh) dialKnown(ctx *kernel.Context, addr string) bool {
-	if m.dials[addr] == nil && len(m.dials) >= AddrMost {
+	if m.dials[addr] == nil && len(m.dials) >= MaxAddrs {
 		m.forgetAddr()
 	}
-	m.know(addr)
-	return m.tryDial(ctx, addr)
+	m.addAddr(addr)
+	return m.dialIfDue(ctx, addr)
 }
 
 // dialAny dials an address of which nothing more is known.
@@ -179,37 +179,37 @@
 	addrs := sortedKeys(m.dials)
 	from := ctx.Rand.IntN(max(1, len(addrs)))
 	for i := range addrs {
-		if m.tryDial(ctx, addrs[(from+i)%len(addrs)]) {
+		if m.dialIfDue(ctx, addrs[(from+i)%len(addrs)]) {
 			return true
 		}
 	}
 	return false
 }
 
-// tendSeeds: seeds that are not linked with the fleet are tried again and again by a few,
+// dialSeeds: seeds that are not linked with the fleet are tried again and again by a few,
 // now and then by all: whoever comes back there, with an empty disk perhaps, has to hear of
 // this fleet before it takes itself for the first.
-func (m *Mesh) tendSeeds(ctx *kernel.Context, v view) {
-	all := ctx.Now-m.lastSeed >= SeedEvery || len(m.peers) == 0
+func (m *Mesh) dialSeeds(ctx *kernel.Context, v fleetView) {
+	all := ctx.Now-m.lastSeed >= SeedInterval || len(m.peers) == 0
 	if all {
 		m.lastSeed = ctx.Now
 	}
 	for _, s := range m.seeds {
-		if o := v.there[s]; o != nil && len(m.peers) > 0 {
+		if o := v.byAddr[s]; o != nil && len(m.peers) > 0 {
 			continue
 		}
-		if all || m.first(v.reached, hash(s), Watchers) {
+		if all || m.ranksAmong(v.reached, hash(s), LostDialers) {
 			m.dialKnown(ctx, s)
 		}
 	}
 }
 
-// tendLost tries one of the members that are known but not reached: it may have been cut off.
-func (m *Mesh) tendLost(ctx *kernel.Context, v view) {
+// dialLost tries one of the members that are known but not reached: it may have been cut off.
+func (m *Mesh) dialLost(ctx *kernel.Context, v fleetView) {
 	from := ctx.Rand.IntN(max(1, len(v.lost)))
 	for i := range v.lost {
 		o := v.lost[(from+i)%len(v.lost)]
-		if v.there[o.row.Addr] == nil && m.first(v.reached, o.hash, Watchers) && m.dialKnown(ctx, o.row.Addr) {
+		if v.byAddr[o.member.Addr] == nil && m.ranksAmong(v.reached, o.hash, LostDialers) && m.dialKnown(ctx, o.member.Addr) {
 			return
 		}
 	}
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -12,28 +12,28 @@
 	"wallport/runtime/wire"
 )
 
-type dial struct {
-	wait  int64
-	next  int64
-	under bool
-	tries int
+type dialState struct {
+	backoff  int64
+	nextAt   int64
+	inFlight bool
+	attempts int
 	// failed is that nobody answered at the last try.
 	failed bool
 }
 
-func (m *Mesh) know(addr string) {
-	if addr == "" || addr == m.addr || m.dials[addr] != nil || len(m.dials) >= AddrMost {
+func (m *Mesh) addAddr(addr string) {
+	if addr == "" || addr == m.addr || m.dials[addr] != nil || len(m.dials) >= MaxAddrs {
 		return
 	}
-	m.dials[addr] = &dial{wait: BackoffFirst}
+	m.dials[addr] = &dialState{backoff: MinBackoff}
 }
 
 // forgetAddr makes room among the known addresses: one that nobody answers at, if any.
 func (m *Mesh) forgetAddr() {
 	for _, a := range slices.SortedFunc(maps.Keys(m.dials), func(a, b string) int {
-		return cmp.Or(cmp.Compare(m.dials[b].tries, m.dials[a].tries), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(m.dials[b].attempts, m.dials[a].attempts), cmp.Compare(a, b))
 	}) {
-		if !m.dials[a].under && !m.connected(a) && !slices.Contains(m.seeds, a) {
+		if !m.dials[a].inFlight && !m.connected(a) && !slices.Contains(m.seeds, a) {
 			delete(m.dials, a)
 			return
 		}
@@ -42,8 +42,8 @@
 
 // Addresses that a heartbeat carries besides the own, and the frames with which a channel begins.
 const (
-	beatAddrs  = 2
-	greetAddrs = 12
+	heartbeatAddrs = 2
+	greetingAddrs  = 12
 )
 
 func (m *Mesh) knownAddrs() []string {
@@ -54,8 +54,8 @@
 	return addrs
 }
 
-// someAddrs are the own address and some of those reached, of a zone first.
-func (m *Mesh) someAddrs(ctx *kernel.Context, zone string, n int) []string {
+// sampleAddrs are the own address and some of those reached, of a zone first.
+func (m *Mesh) sampleAddrs(ctx *kernel.Context, zone string, n int) []string {
 	out := []string{m.addr}
 	all := sortedKeys(m.store.origins)
 	from := ctx.Rand.IntN(max(1, len(all)))
@@ -65,8 +65,8 @@
 			if len(out) > n || zone == "" && pass == 0 {
 				break
 			}
-			if o.row != nil && o.reached && (o.row.Zone == zone) == (pass == 0) {
-				out = append(out, o.row.Addr)
+			if o.member != nil && o.reached && (o.member.Zone == zone) == (pass == 0) {
+				out = append(out, o.member.Addr)
 			}
 		}
 	}
@@ -82,27 +82,27 @@
 	return false
 }
 
-func (m *Mesh) tryDial(ctx *kernel.Context, addr string) bool {
+func (m *Mesh) dialIfDue(ctx *kernel.Context, addr string) bool {
 	d := m.dials[addr]
-	if d == nil || d.under || ctx.Now < d.next || m.connected(addr) {
+	if d == nil || d.inFlight || ctx.Now < d.nextAt || m.connected(addr) {
 		return false
 	}
-	d.under = true
-	d.next = ctx.Now + d.wait + ctx.Rand.Int64N(d.wait/4+1)
-	most := int64(BackoffMost)
+	d.inFlight = true
+	d.nextAt = ctx.Now + d.backoff + ctx.Rand.Int64N(d.backoff/4+1)
+	most := int64(MaxBackoff)
 	if slices.Contains(m.seeds, addr) {
-		most = SeedBackoff
+		most = MaxSeedBackoff
 	}
-	d.wait = min(2*d.wait, most)
+	d.backoff = min(2*d.backoff, most)
 	ctx.Counts.Add("mesh_dials", 1)
 	ctx.Dial(addr)
 	return true
 }
 
-func (m *Mesh) up(ctx *kernel.Context, v kernel.ConnUp) {
+func (m *Mesh) handleConnUp(ctx *kernel.Context, v kernel.ConnUp) {
 	if v.Dialed {
 		if d := m.dials[v.Addr]; d != nil {
-			d.under, d.tries, d.failed = false, 0, false
+			d.inFlight, d.attempts, d.failed = false, 0, false
 		}
 	}
 	if v.Peer == m.self {
@@ -110,7 +110,7 @@
 		ctx.Drop(v.Conn)
 		return
 	}
-	m.know(v.Addr)
+	m.addAddr(v.Addr)
 	for _, id := range sortedKeys(m.peers) {
 		old := m.peers[id]
 		if old.key != v.Peer {
@@ -125,20 +125,20 @@
 		ctx.Drop(v.Conn)
 		return
 	}
-	p := &peer{chanID: v.Conn, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
+	p := &peerConn{conn: v.Conn, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
 	m.peers[v.Conn] = p
 	ctx.Log(kernel.LevelDebug, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
-	m.evict(ctx, v.Conn)
-	back := m.store.lift(v.Peer)
-	m.links.again = m.links.again || back
-	m.relink(ctx)
+	m.evictPeers(ctx, v.Conn)
+	back := m.store.restore(v.Peer)
+	m.links.reannounce = m.links.reannounce || back
+	m.updateLinks(ctx)
 	if v.Dialed || back {
-		m.ask(ctx, p)
+		m.requestSync(ctx, p)
 	}
 }
 
-func (m *Mesh) evict(ctx *kernel.Context, newest uint64) {
-	for len(m.peers) > PeerCap {
+func (m *Mesh) evictPeers(ctx *kernel.Context, newest uint64) {
+	for len(m.peers) > MaxPeers {
 		ids := sortedKeys(m.peers)
 		oldest := slices.MinFunc(ids, func(a, b uint64) int {
 			return int(m.peers[a].lastSeen - m.peers[b].lastSeen)
@@ -147,45 +147,45 @@
 			return
 		}
 		ctx.Counts.Add("mesh_peers_evicted", 1)
-		m.leave(ctx, m.peers[oldest])
+		m.closePeer(ctx, m.peers[oldest])
 	}
 }
 
-func (m *Mesh) down(ctx *kernel.Context, v kernel.ConnDown) {
+func (m *Mesh) handleConnDown(ctx *kernel.Context, v kernel.ConnDown) {
 	if p := m.peers[v.Conn]; p != nil {
-		m.lose(ctx, p)
+		m.losePeer(ctx, p)
 		return
 	}
-	if d := m.dials[v.Addr]; d != nil && d.under && v.Conn == 0 {
-		d.under, d.failed = false, true
-		d.tries++
-		if d.tries > 20 && !slices.Contains(m.seeds, v.Addr) {
+	if d := m.dials[v.Addr]; d != nil && d.inFlight && v.Conn == 0 {
+		d.inFlight, d.failed = false, true
+		d.attempts++
+		if d.attempts > 20 && !slices.Contains(m.seeds, v.Addr) {
 			delete(m.dials, v.Addr)
 		}
 	}
 }
 
-// lose ends a channel whose peer may be gone: the link holds on for a grace.
-func (m *Mesh) lose(ctx *kernel.Context, p *peer) {
-	delete(m.peers, p.chanID)
+// losePeer ends a channel whose peer may be gone: the link holds on for a grace.
+func (m *Mesh) losePeer(ctx *kernel.Context, p *peerConn) {
+	delete(m.peers, p.conn)
 	ctx.Log(kernel.LevelDebug, "mesh_peer_down", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
 	count := uint64(0)
 	if o := m.store.origins[p.key]; o != nil {
-		count = o.max
+		count = o.maxCount
 	}
-	m.links.ended[p.key] = ended{at: ctx.Now, seen: p.lastSeen, count: count}
-	ctx.After(LinkGrace, "mesh", "links")
-	if d := m.dials[p.addr]; d != nil && ctx.Now-p.since > BackoffMost {
-		d.wait, d.next = BackoffFirst, ctx.Now
+	m.links.closed[p.key] = closedConn{closedAt: ctx.Now, lastSeen: p.lastSeen, maxCount: count}
+	ctx.After(LinkGracePeriod, "mesh", "links")
+	if d := m.dials[p.addr]; d != nil && ctx.Now-p.since > MaxBackoff {
+		d.backoff, d.nextAt = MinBackoff, ctx.Now
 	}
-	m.tend(ctx)
+	m.maintainLinks(ctx)
 }
 
-// leave ends a channel that is one too many; its peer is there.
-func (m *Mesh) leave(ctx *kernel.Context, p *peer) {
-	delete(m.peers, p.chanID)
+// closePeer ends a channel that is one too many; its peer is there.
+func (m *Mesh) closePeer(ctx *kernel.Context, p *peerConn) {
+	delete(m.peers, p.conn)
 	ctx.Log(kernel.LevelDebug, "mesh_peer_left", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
-	m.empty(ctx, p)
-	ctx.SendLatest(p.chanID, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.someAddrs(ctx, p.zone, greetAddrs), Digest: m.digest()}, "heartbeat")
-	ctx.Drop(p.chanID)
+	m.flushPeer(ctx, p)
+	ctx.SendLatest(p.conn, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.sampleAddrs(ctx, p.zone, greetingAddrs), Digest: m.digest()}, "heartbeat")
+	ctx.Drop(p.conn)
 }
--- a/cluster/mesh/seeds_test.go
+++ b/cluster/mesh/seeds_test.go
@@ -18,19 +18,19 @@
 	must.Eq(t, []string{"10.0.0.8:1", "10.0.0.9:1"}, out.Dials)
 	r.feed(kernel.ConnDown{Addr: "10.0.0.8:1", Mesh: true})
 	r.feed(kernel.ConnDown{Addr: "10.0.0.9:1", Mesh: true})
-	r.now += BackoffFirst * 2
+	r.now += MinBackoff * 2
 	out = r.feed(kernel.Tick{Plugin: "mesh", Key: "beat"})
 	must.SliceContains(t, out.Dials, "10.0.0.8:1", must.Sprint("down at first, it is tried again"))
 	out = r.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.9:1"}})
 	must.False(t, slices.Contains(out.Dials, "10.0.0.8:1"), must.Sprint("under way already, and no longer a seed"))
 }
 
-func TestChangedSeedsFindRoomAmongTheKnownAddresses(t *testing.T) {
+func TestChangedSeedsReplaceKnownAddresses(t *testing.T) {
 	r := newRig(t)
-	for i := range AddrMost {
-		r.m.know(fmt.Sprintf("10.1.%d.%d:1", i/250, i%250))
+	for i := range MaxAddrs {
+		r.m.addAddr(fmt.Sprintf("10.1.%d.%d:1", i/250, i%250))
 	}
 	out := r.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.8:1"}})
 	must.SliceContains(t, out.Dials, "10.0.0.8:1")
-	must.LessEq(t, AddrMost, len(r.m.dials))
+	must.LessEq(t, MaxAddrs, len(r.m.dials))
 }
--- a/cluster/mesh/seen.go
+++ b/cluster/mesh/seen.go
@@ -12,16 +12,16 @@
 )
 
 type seenSet struct {
-	at     map[uint64]int64
-	order  []uint64
-	seed   maphash.Seed
-	frames map[uint64]uint64
+	addedAt     map[uint64]int64
+	oldestFirst []uint64
+	seed        maphash.Seed
+	frames      map[uint64]uint64
 	// framesOf are the frames known of an entry: one, unless it was signed twice.
 	framesOf map[uint64]uint64
 }
 
 func newSeenSet() *seenSet {
-	return &seenSet{at: map[uint64]int64{}, seed: maphash.MakeSeed(), frames: map[uint64]uint64{}, framesOf: map[uint64]uint64{}}
+	return &seenSet{addedAt: map[uint64]int64{}, seed: maphash.MakeSeed(), frames: map[uint64]uint64{}, framesOf: map[uint64]uint64{}}
 }
 
 // seenKey is the source's type + id + timestamp, and the origin and its counter besides.
@@ -42,41 +42,41 @@
 }
 
 func (s *seenSet) has(k uint64, now int64) bool {
-	at, ok := s.at[k]
-	return ok && now-at < SeenFor
+	at, ok := s.addedAt[k]
+	return ok && now-at < SeenTTL
 }
 
 func (s *seenSet) add(k uint64, now int64) {
-	if _, ok := s.at[k]; !ok {
-		s.order = append(s.order, k)
+	if _, ok := s.addedAt[k]; !ok {
+		s.oldestFirst = append(s.oldestFirst, k)
 	}
-	s.at[k] = now
-	for len(s.order) > 0 && (len(s.order) > SeenMost || now-s.at[s.order[0]] >= SeenFor) {
-		old := s.order[0]
-		delete(s.at, old)
+	s.addedAt[k] = now
+	for len(s.oldestFirst) > 0 && (len(s.oldestFirst) > MaxSeen || now-s.addedAt[s.oldestFirst[0]] >= SeenTTL) {
+		old := s.oldestFirst[0]
+		delete(s.addedAt, old)
 		if f, ok := s.framesOf[old]; ok {
 			delete(s.frames, f)
 			delete(s.framesOf, old)
 		}
-		s.order = s.order[1:]
+		s.oldestFirst = s.oldestFirst[1:]
 	}
 }
 
-// frame sums up an encoded entry without its last byte, the hops, which alone differ between
+// frameHash sums up an encoded entry without its last byte, the hops, which alone differ between
 // the copies of one entry.
-func (s *seenSet) frame(body []byte) uint64 {
+func (s *seenSet) frameHash(body []byte) uint64 {
 	return maphash.Bytes(s.seed, body[:max(0, len(body)-1)])
 }
 
-// known gives the key of an entry whose frame was seen.
-func (s *seenSet) known(frame uint64, now int64) (key uint64, ok bool) {
+// entryOfFrame gives the key of an entry whose frame was seen.
+func (s *seenSet) entryOfFrame(frame uint64, now int64) (key uint64, ok bool) {
 	key, ok = s.frames[frame]
 	return key, ok && s.has(key, now)
 }
 
-// learn notes by which frame an entry that is in the set travels.
-func (s *seenSet) learn(frame, key uint64) {
-	if _, ok := s.at[key]; !ok {
+// addFrame notes by which frame an entry that is in the set travels.
+func (s *seenSet) addFrame(frame, key uint64) {
+	if _, ok := s.addedAt[key]; !ok {
 		return
 	}
 	if old, ok := s.framesOf[key]; ok {
--- a/cluster/mesh/store.go
+++ b/cluster/mesh/store.go
@@ -15,59 +15,59 @@
 
 // Bounds of what is held, and how long an entry that was taken back is remembered.
 const (
-	OriginsMost = 4096
-	EntriesMost = 4096
-	GoneFor     = 60_000_000
+	MaxOrigins   = 4096
+	MaxEntries   = 4096
+	TombstoneTTL = 60_000_000
 )
 
-type origin struct {
-	fp      string
-	hash    uint64
-	max     uint64
-	sum     uint64
-	beat    uint64
-	beatAt  int64
-	key     []byte
-	sig     []byte
-	tokens  float64
-	tokenAt int64
-	entries map[string]*wire.Entry
-	gone    []gone
-	node
-}
-
-// gone is an entry that its origin took back.
-type gone struct {
-	key   string
-	count uint64
-	at    int64
+type originState struct {
+	fingerprint string
+	hash        uint64
+	maxCount    uint64
+	sum         uint64
+	heartbeat   uint64
+	heartbeatAt int64
+	key         []byte
+	sig         []byte
+	tokens      float64
+	tokensAt    int64
+	entries     map[string]*wire.Entry
+	tombstones  []tombstone
+	liveness
+}
+
+// tombstone is an entry that its origin took back.
+type tombstone struct {
+	key         string
+	count       uint64
+	withdrawnAt int64
 }
 
 type store struct {
-	origins map[string]*origin
-	parts   map[int]*wire.Entry
-	buried  map[string]grave
+	origins    map[string]*originState
+	partitions map[int]*wire.Entry
+	forgotten  map[string]forgottenOrigin
 	// buckets sum up the origins, a bucket by hash of the fingerprint each; versions the partitions.
-	buckets [Buckets]uint64
-	stamps  uint64
+	buckets      [DigestBuckets]uint64
+	versionsHash uint64
 }
 
-// grave is the last beat of an origin that was forgotten, and when it was.
-type grave struct {
-	beat uint64
-	at   int64
+// forgottenOrigin is the last beat of an origin that was forgotten, and when it was.
+type forgottenOrigin struct {
+	heartbeat   uint64
+	forgottenAt int64
 }
 
 func newStore() store {
-	return store{origins: map[string]*origin{}, parts: map[int]*wire.Entry{}, buried: map[string]grave{}}
+	return store{origins: map[string]*originState{}, partitions: map[int]*wire.Entry{}, forgotten: map[string]forgottenOrigin{}}
 }
 
 // origin is what is held of a fingerprint, made at first use; nil where there are too many.
-func (s *store) origin(fp string, now int64) *origin {
+func (s *store) origin(fp string, now int64) *originState {
 	o := s.origins[fp]
-	if o == nil && len(s.origins) < OriginsMost {
-		o = &origin{fp: fp, hash: hash(fp), entries: map[string]*wire.Entry{}, tokens: OriginBurst, tokenAt: now, beatAt: now}
-		o.liveAt = now
+	if o == nil && len(s.origins) < MaxOrigins {
+		o = &originState{fingerprint: fp, hash: hash(fp), entries: map[string]*wire.Entry{}, tokens: OriginBurst, tokensAt: now, heartbeatAt: now}
+		o.lastLive = now
 		s.origins[fp] = o
 	}
 	return o
@@ -109,7 +109,7 @@
 	}
 	key := entryKey(e)
 	old := o.entries[key]
-	if old != nil && old.Count >= e.Count || old == nil && len(o.entries) >= EntriesMost {
+	if old != nil && old.Count >= e.Count || old == nil && len(o.entries) >= MaxEntries {
 		return false
 	}
 	sum := o.sum
@@ -119,56 +119,56 @@
 	if !e.Gone {
 		sum ^= entryHash(e)
 	} else {
-		o.gone = append(o.gone, gone{key, e.Count, now})
+		o.tombstones = append(o.tombstones, tombstone{key, e.Count, now})
 	}
 	o.entries[key] = e
-	s.sumUp(o, sum)
-	o.max = max(o.max, e.Count)
+	s.setSum(o, sum)
+	o.maxCount = max(o.maxCount, e.Count)
 	return true
 }
 
-// sumUp gives an origin its new sum.
-func (s *store) sumUp(o *origin, sum uint64) {
-	s.buckets[o.hash%Buckets] ^= o.share() ^ mix(o.hash^sum)*nonzero(sum)
+// setSum gives an origin its new sum.
+func (s *store) setSum(o *originState, sum uint64) {
+	s.buckets[o.hash%DigestBuckets] ^= o.bucketSum() ^ mix(o.hash^sum)*nonzero(sum)
 	o.sum = sum
 }
 
-// share is an origin's part of its bucket; one of which nothing is held has none.
-func (o *origin) share() uint64 { return mix(o.hash^o.sum) * nonzero(o.sum) }
+// bucketSum is an origin's part of its bucket; one of which nothing is held has none.
+func (o *originState) bucketSum() uint64 { return mix(o.hash^o.sum) * nonzero(o.sum) }
 
 func nonzero(x uint64) uint64 { return min(x, 1) }
 
 // putVersion takes a newer version of a partition in.
 func (s *store) putVersion(e *wire.Entry) bool {
-	held, ok := s.parts[e.Version.Partition]
+	held, ok := s.partitions[e.Version.Partition]
 	if ok && !Newer(e.Version, held.Version) {
 		return false
 	}
 	if ok {
-		s.stamps ^= stampHash(held.Version)
+		s.versionsHash ^= versionHash(held.Version)
 	}
-	s.stamps ^= stampHash(e.Version)
-	s.parts[e.Version.Partition] = e
+	s.versionsHash ^= versionHash(e.Version)
+	s.partitions[e.Version.Partition] = e
 	return true
 }
 
-func stampHash(st wire.Version) uint64 { return mix(mix(st.Term^uint64(st.Partition)<<56) ^ st.Seq) }
+func versionHash(st wire.Version) uint64 { return mix(mix(st.Term^uint64(st.Partition)<<56) ^ st.Seq) }
 
-// prune drops what an origin took back long ago.
-func (o *origin) prune(now int64) {
-	for len(o.gone) > 0 && now-o.gone[0].at >= GoneFor {
-		g := o.gone[0]
-		o.gone = o.gone[1:]
+// pruneTombstones drops what an origin took back long ago.
+func (o *originState) pruneTombstones(now int64) {
+	for len(o.tombstones) > 0 && now-o.tombstones[0].withdrawnAt >= TombstoneTTL {
+		g := o.tombstones[0]
+		o.tombstones = o.tombstones[1:]
 		if e := o.entries[g.key]; e != nil && e.Gone && e.Count == g.count {
 			delete(o.entries, g.key)
 		}
 	}
 }
 
-// spend takes one token of an origin's flood allowance.
-func (o *origin) spend(now int64) bool {
-	o.tokens = min(OriginBurst, o.tokens+float64(now-o.tokenAt)*OriginRate/1e6)
-	o.tokenAt = now
+// takeToken takes one token of an origin's flood allowance.
+func (o *originState) takeToken(now int64) bool {
+	o.tokens = min(OriginBurst, o.tokens+float64(now-o.tokensAt)*OriginRate/1e6)
+	o.tokensAt = now
 	if o.tokens < 1 {
 		return false
 	}
@@ -176,34 +176,34 @@
 	return true
 }
 
-// bury drops an origin and remembers its last beat, so that a stale holder cannot bring it back.
-func (s *store) bury(fp string, now int64) {
+// forget drops an origin and remembers its last beat, so that a stale holder cannot bring it back.
+func (s *store) forget(fp string, now int64) {
 	if o := s.origins[fp]; o != nil {
-		if len(s.buried) >= OriginsMost {
-			clear(s.buried)
+		if len(s.forgotten) >= MaxOrigins {
+			clear(s.forgotten)
 		}
-		s.buried[fp] = grave{o.beat, now}
-		s.buckets[o.hash%Buckets] ^= o.share()
+		s.forgotten[fp] = forgottenOrigin{o.heartbeat, now}
+		s.buckets[o.hash%DigestBuckets] ^= o.bucketSum()
 	}
 	delete(s.origins, fp)
 }
 
-// lift gives an origin back that is there after all, and those that were forgotten with it:
+// restore gives an origin back that is there after all, and those that were forgotten with it:
 // what went at once was cut off together.
-func (s *store) lift(fp string) bool {
-	g, ok := s.buried[fp]
+func (s *store) restore(fp string) bool {
+	g, ok := s.forgotten[fp]
 	if !ok {
 		return false
 	}
-	for other, o := range s.buried {
-		if other == fp || max(o.at-g.at, g.at-o.at) < together {
-			delete(s.buried, other)
+	for other, o := range s.forgotten {
+		if other == fp || max(o.forgottenAt-g.forgottenAt, g.forgottenAt-o.forgottenAt) < forgottenTogether {
+			delete(s.forgotten, other)
 		}
 	}
 	return true
 }
 
-// together is how far apart origins may be forgotten that went at once.
-const together = 3_000_000
+// forgottenTogether is how far apart origins may be forgotten that went at once.
+const forgottenTogether = 3_000_000
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/cmd/wallport/clients.go
+++ b/cmd/wallport/clients.go
@@ -20,7 +20,7 @@
 func openClients(p *process.Process, operators *httpapi.Server, place platform.Place, failed chan<- error) (stop func(), err error) {
 	e, b := p.Kernel.Boot.Settings, kernel.Find[*snapshot.Table](p.Kernel)
 	desk := dispatch.NewDesk(dispatch.Config{
-		Table: b.Now, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
+		Table: b.Current, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 		Retry:      dispatch.RetryConfig{Ratio: e.Retries.Ratio, Allowance: e.Retries.Allowance, WindowUs: e.Retries.WindowUs},
 		Invariants: p.Invariants(), Ended: requestLog(p.Sampled()),
 	})
@@ -28,7 +28,7 @@
 	client := backend.New(backend.Config{
 		Names: platform.BackendNames(), Counts: p.Kernel.Counts, Frozen: p.Frozen, Thaws: p.Thaws,
 		Share: func() int {
-			if c := b.Now(); c != nil {
+			if c := b.Current(); c != nil {
 				return c.Divisor
 			}
 			return 1
@@ -36,7 +36,7 @@
 	})
 	s, err := gateway.Open(gateway.Config{
 		Addr: place.HTTP, ReadyAddr: place.Readiness, Names: platform.GatewayNames(), Log: p.Log, Sampled: p.Sampled(), Counts: p.Kernel.Counts,
-		Backends: client, Table: b.Now, Now: p.Now, GraceUs: e.Bounds.GraceUs,
+		Backends: client, Table: b.Current, Now: p.Now, GraceUs: e.Bounds.GraceUs,
 		Refresh: func() { p.AwaitThaw(thawWait) },
 		Chart:   func(r dispatch.Request, now int64) gateway.Chart { return dispatch.NewChart(desk, r, now) },
 	})
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -137,7 +137,7 @@
 		delete(p.sent, v.ID)
 	}
 	for _, ver := range r.Versions {
-		p.mesh.HoldVersion(ctx, ver)
+		p.mesh.StoreVersion(ctx, ver)
 	}
 	if open {
 		p.answered(ctx, asked, &r)
@@ -178,7 +178,7 @@
 func (p *Sync) pull(ctx *kernel.Context) {
 	req := wire.Pull{Have: p.stamps()}
 	if p.core {
-		self := p.members.SelfRow()
+		self := p.members.Local()
 		req.Addr, req.Zone = self.Addr, self.Zone
 		if self.Sick == "" && !self.Draining {
 			req.Replica = self.Replica
--- a/control/operations/carrying.go
+++ b/control/operations/carrying.go
@@ -54,7 +54,7 @@
 	} else {
 		c.open++
 	}
-	if o.host != nil && addr == o.members.SelfRow().Addr {
+	if o.host != nil && addr == o.members.Local().Addr {
 		o.host.Edit(ctx, id, edit)
 		return
 	}
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -71,8 +71,8 @@
 	}
 }
 
-func (o *Operate) cores(now int64) []membership.Row {
-	var out []membership.Row
+func (o *Operate) cores(now int64) []membership.Member {
+	var out []membership.Member
 	for _, c := range o.members.Live(now, "core") {
 		if c.Replica != "" && c.Sick == "" && !c.Draining {
 			out = append(out, c)
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -32,7 +32,7 @@
 
 // statusRead is such a question on its way.
 type statusRead struct {
-	asked []membership.Row
+	asked []membership.Member
 	// told is what the cores told, by their mesh addresses.
 	told map[string][]wire.ReplicaStatus
 }
@@ -42,7 +42,7 @@
 	read := &statusRead{asked: knownCores(o.members.All(ctx.Now)), told: map[string][]wire.ReplicaStatus{}}
 	o.statusReads[id] = read
 	for _, core := range read.asked {
-		if o.host != nil && core.Addr == o.members.SelfRow().Addr {
+		if o.host != nil && core.Addr == o.members.Local().Addr {
 			read.told[core.Addr] = o.host.Status(ctx.Now).Replicas
 			continue
 		}
@@ -54,8 +54,8 @@
 
 // knownCores are the cores among the members, one for each address: of one that has started again
 // its earlier life may still be known.
-func knownCores(all []membership.Row) []membership.Row {
-	var cores []membership.Row
+func knownCores(all []membership.Member) []membership.Member {
+	var cores []membership.Member
 	at := map[string]int{}
 	for _, row := range all {
 		if row.Role != "core" {
--- a/control/operations/status_test.go
+++ b/control/operations/status_test.go
@@ -88,15 +88,15 @@
 }
 
 func TestACoreThatHasStartedAgainIsListedOnce(t *testing.T) {
-	row := func(name, addr, origin string, live bool) membership.Row {
-		return membership.Row{Member: wire.Member{Name: name, Role: "core", Addr: addr}, Origin: origin, Live: live}
+	row := func(name, addr, origin string, live bool) membership.Member {
+		return membership.Member{Member: wire.Member{Name: name, Role: "core", Addr: addr}, Origin: origin, Live: live}
 	}
-	node := membership.Row{Member: wire.Member{Name: "n", Role: "node", Addr: "n:1"}, Live: true}
-	cores := knownCores([]membership.Row{row("a", "a:1", "before", false), row("a", "a:1", "now", true), row("b", "b:1", "gone", false), node})
+	node := membership.Member{Member: wire.Member{Name: "n", Role: "node", Addr: "n:1"}, Live: true}
+	cores := knownCores([]membership.Member{row("a", "a:1", "before", false), row("a", "a:1", "now", true), row("b", "b:1", "gone", false), node})
 	must.Len(t, 2, cores)
 	must.Eq(t, "now", cores[0].Origin)
 	must.Eq(t, "gone", cores[1].Origin)
-	cores = knownCores([]membership.Row{row("a", "a:1", "now", true), row("a", "a:1", "before", false)})
+	cores = knownCores([]membership.Member{row("a", "a:1", "now", true), row("a", "a:1", "before", false)})
 	must.Len(t, 1, cores)
 	must.Eq(t, "now", cores[0].Origin)
 }
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -49,7 +49,7 @@
 	probeAt     int64
 
 	pullers map[string]puller
-	rowsNow []membership.Row
+	rowsNow []membership.Member
 	rowsAt  int64
 }
 
--- a/control/replica/known_cores.go
+++ b/control/replica/known_cores.go
@@ -24,20 +24,20 @@
 }
 
 // rows lists the live cores as the mesh tells, looked up afresh a few times a second.
-func (s *Host) rows(now int64) []membership.Row {
+func (s *Host) rows(now int64) []membership.Member {
 	if s.rowsAt == 0 || now-s.rowsAt >= rowsInterval {
 		s.rowsAt, s.rowsNow = now, s.members.Live(now, "core")
 	}
 	return s.rowsNow
 }
 
-func (s *Host) row(id string, now int64) (membership.Row, bool) {
+func (s *Host) row(id string, now int64) (membership.Member, bool) {
 	for _, r := range s.rows(now) {
 		if r.Replica == id && id != "" {
 			return r, true
 		}
 	}
-	return membership.Row{}, false
+	return membership.Member{}, false
 }
 
 // pulled takes note of a core that pulls.
--- a/control/reshard/cutmove.go
+++ b/control/reshard/cutmove.go
@@ -63,7 +63,7 @@
 	if c.armed {
 		return
 	}
-	for _, x := range c.table.Now().Indexes {
+	for _, x := range c.table.Current().Indexes {
 		if x.Cut.Next != "" {
 			c.armed = true
 			ctx.After(Every, "cutmove", "look")
@@ -76,8 +76,8 @@
 // name does it, and the others after it in turn where nothing came of it; the
 // edit is judged by the partition's leader, so that two who try flip once.
 func (c *CutMove) look(ctx *kernel.Context) {
-	cp := c.table.Now()
-	if cp == nil || cp.Sheet == nil || cp.Drains {
+	cp := c.table.Current()
+	if cp == nil || cp.Configuration == nil || cp.Draining {
 		return
 	}
 	live := c.members.Live(ctx.Now, "node")
@@ -114,7 +114,7 @@
 	for _, s := range x.NextShards {
 		n := 0
 		for _, v := range s {
-			if v.Verdict == snapshot.OK && v.Incarnation != 0 && v.Warm(now, x.Service.RampUs) >= WarmAt {
+			if v.Health == snapshot.Healthy && v.Incarnation != 0 && v.SlowStartShare(now, x.Service.RampUs) >= WarmAt {
 				n++
 			}
 		}
@@ -127,7 +127,7 @@
 
 func sortedIndexes(cp *snapshot.Snapshot) []string {
 	var out []string
-	for _, s := range cp.Sheet.Services {
+	for _, s := range cp.Configuration.Services {
 		out = append(out, s.Index)
 	}
 	return out
--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -108,7 +108,7 @@
 		<-r.Context().Done()
 		return
 	}
-	json.NewEncoder(w).Encode(healthcheck.Report{
+	json.NewEncoder(w).Encode(healthcheck.Response{
 		ID: s.c.ID, Incarnation: s.began.UnixMicro(), UpUs: time.Since(s.began).Microseconds(), Usage: s.busy.Load(), Cut: s.c.Cut,
 	})
 }
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -54,7 +54,7 @@
 // allHave tells that all nodes have a change in force.
 func (h *Hollow) allHave(s wire.Version) bool {
 	for _, n := range h.nodes {
-		if cp := n.table.Now(); !n.ended.Load() && (cp == nil || cp.Config.SheetAt != s) {
+		if cp := n.table.Current(); !n.ended.Load() && (cp == nil || cp.Config.SheetAt != s) {
 			return false
 		}
 	}
@@ -63,7 +63,7 @@
 
 func (h *Hollow) liveAt(name string) (n int) {
 	for _, v := range h.nodes {
-		for _, m := range v.table.Now().Roster {
+		for _, m := range v.table.Current().Roster {
 			if !v.ended.Load() && m.Name == name && m.Live {
 				n++
 			}
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -109,7 +109,7 @@
 	if e.n.ended.Load() {
 		return nil
 	}
-	cp := e.n.table.Now()
+	cp := e.n.table.Current()
 	if cp == e.last || cp == nil {
 		return nil
 	}
@@ -143,7 +143,7 @@
 			return Told{Err: err.Error()}
 		}
 		e = wire.Edit{Partition: state.PartitionOf(a.Name), Op: "cut", Name: a.Name, Body: wire.Encode(&wire.LiveCut{Next: cut.Name, NextShards: cut.Shards})}
-	} else if cp := n.table.Now(); cp != nil {
+	} else if cp := n.table.Current(); cp != nil {
 		e.Base = cp.Config.SheetAt
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), editWithin)
--- a/lab/sim/callers.go
+++ b/lab/sim/callers.go
@@ -109,7 +109,7 @@
 	}
 	life := p.life
 	w.after(w.net.latency(), func() {
-		if !p.up || p.life != life || !p.table.Now().Ready() || p.drains && !p.frozen && w.rnd.IntN(2) == 0 {
+		if !p.up || p.life != life || !p.table.Current().Ready() || p.drains && !p.frozen && w.rnd.IntN(2) == 0 {
 			c.open--
 			w.Judge.Count("callers_refused_connection", 1)
 			if in.Key != "" && w.now < c.until {
--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -112,7 +112,7 @@
 		if !p.runs() {
 			continue
 		}
-		if cp := p.table.Now(); cp != nil && cp.Routing != nil {
+		if cp := p.table.Current(); cp != nil && cp.Routing != nil {
 			d.journal.InForce = append(d.journal.InForce, rules.InForce{Machine: m.name, Life: p.life, At: d.w.now, Revision: cp.Routing.Revision})
 		}
 	}
@@ -127,8 +127,8 @@
 	if c := j.Closing; c != nil {
 		j.Emptied = map[string][]string{}
 		for _, m := range d.machines {
-			if p := m.node; p.runs() && p.table.Now() != nil {
-				j.Emptied[m.name] = p.table.Now().Config.DrainedZones
+			if p := m.node; p.runs() && p.table.Current() != nil {
+				j.Emptied[m.name] = p.table.Current().Config.DrainedZones
 			}
 		}
 	}
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -206,7 +206,7 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 	default:
 		l.probe(func(status int) {
-			r := healthcheck.Report{ID: l.row.ID, Incarnation: 1, Usage: int64(l.running + len(l.queue)), ColdUs: max(0, l.cold-d.w.now)}
+			r := healthcheck.Response{ID: l.row.ID, Incarnation: 1, Usage: int64(l.running + len(l.queue)), SlowStart: max(0, l.cold-d.w.now)}
 			body, err := json.Marshal(&r)
 			if err == nil {
 				answer(rtt, kernel.Fetched{Status: status, Body: body})
--- a/lab/sim/day_gate.go
+++ b/lab/sim/day_gate.go
@@ -46,7 +46,7 @@
 	r := p.env.Retries
 	g := &gate{d: d, p: p, kept: map[string][]*conn{}}
 	g.desk = dispatch.NewDesk(dispatch.Config{
-		Table: p.table.Now, Counts: p.kernel.Counts, Seed: seed, Now: 0,
+		Table: p.table.Current, Counts: p.kernel.Counts, Seed: seed, Now: 0,
 		Retry: dispatch.RetryConfig{Ratio: r.Ratio, Allowance: r.Allowance, WindowUs: r.WindowUs},
 	})
 	d.gates[p] = g
@@ -64,7 +64,7 @@
 
 // ready is what the node answers when it is asked for its readiness.
 func (g *gate) ready() bool {
-	cp := g.p.table.Now()
+	cp := g.p.table.Current()
 	return g.p.up && !g.drains && cp.Ready() && cp.Routing != nil
 }
 
--- a/lab/sim/day_mishaps.go
+++ b/lab/sim/day_mishaps.go
@@ -154,11 +154,11 @@
 func (d *day) zoneIsRestored(zone string) {
 	for _, m := range d.machines {
 		p := m.node
-		if !p.runs() || p.table.Now() == nil {
+		if !p.runs() || p.table.Current() == nil {
 			continue
 		}
 		d.w.Judge.Count("late_evacuate.looked", 1)
-		if slices.Contains(p.table.Now().Config.DrainedZones, zone) {
+		if slices.Contains(p.table.Current().Config.DrainedZones, zone) {
 			d.w.Judge.Fail(pointLateOrder, d.w.now, "%s has %s drained, which was taken back after that order was given", m.name, zone)
 		}
 	}
--- a/lab/sim/growth.go
+++ b/lab/sim/growth.go
@@ -109,10 +109,10 @@
 // taken counts the other nodes that take a node for live.
 func (w *World) taken(name string) (n int) {
 	for _, p := range w.procs {
-		if p.role != "node" || !p.runs() || p.name == name || p.table.Now() == nil {
+		if p.role != "node" || !p.runs() || p.name == name || p.table.Current() == nil {
 			continue
 		}
-		for _, m := range p.table.Now().Roster {
+		for _, m := range p.table.Current().Roster {
 			if m.Name == name && m.Live {
 				n++
 			}
--- a/lab/sim/operators.go
+++ b/lab/sim/operators.go
@@ -78,7 +78,7 @@
 func (o *operators) first() {
 	o.w.after(100_000, func() {
 		p := o.via()
-		if p == nil || p.table.Now() == nil || p.table.Now().Version.Term == 0 {
+		if p == nil || p.table.Current() == nil || p.table.Current().Version.Term == 0 {
 			o.first()
 			return
 		}
@@ -142,11 +142,11 @@
 
 func (o *operators) now() reading {
 	p := o.via()
-	if p == nil || p.table.Now() == nil {
+	if p == nil || p.table.Current() == nil {
 		return reading{}
 	}
-	cp := p.table.Now()
-	return reading{cp.Config.SheetAt, cp.Sheet}
+	cp := p.table.Current()
+	return reading{cp.Config.SheetAt, cp.Configuration}
 }
 
 // race sends n edits based on one stamp through different nodes at about one time.
--- a/lab/sim/platform.go
+++ b/lab/sim/platform.go
@@ -80,7 +80,7 @@
 		if q.role != "node" || !q.runs() || q.drains {
 			continue
 		}
-		if cp := q.table.Now(); cp.Ready() && !cp.Emptied {
+		if cp := q.table.Current(); cp.Ready() && !cp.ZoneDrained {
 			out = append(out, q)
 		}
 	}
--- a/lab/sim/proc.go
+++ b/lab/sim/proc.go
@@ -117,7 +117,7 @@
 		w.day.newGate(p, b.Seed)
 	case p.role == "node":
 		p.desk = search.NewDesk(search.Config{
-			Table: p.table, Usage: kernel.Find[*loadreport.Usage](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
+			Table: p.table, Usage: kernel.Find[*loadreport.Reporter](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
 		})
 		p.front = newFront(p)
 	default:
--- a/lab/sim/scale.go
+++ b/lab/sim/scale.go
@@ -94,15 +94,15 @@
 	var newest wire.Version
 	all := true
 	for _, name := range w.names {
-		if p := w.procs[name]; p.role == "node" && p.table.Now() != nil {
-			if at := p.table.Now().Config.SheetAt; at.Term > newest.Term || at.Term == newest.Term && at.Seq > newest.Seq {
+		if p := w.procs[name]; p.role == "node" && p.table.Current() != nil {
+			if at := p.table.Current().Config.SheetAt; at.Term > newest.Term || at.Term == newest.Term && at.Seq > newest.Seq {
 				newest = at
 			}
 		}
 	}
 	for _, name := range w.names {
 		if p := w.procs[name]; p.role == "node" {
-			all = all && p.table.Now() != nil && p.table.Now().Config.SheetAt == newest
+			all = all && p.table.Current() != nil && p.table.Current().Config.SheetAt == newest
 		}
 	}
 	if all {
--- a/lab/sim/server.go
+++ b/lab/sim/server.go
@@ -91,7 +91,7 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 		return
 	}
-	b, _ := json.Marshal(healthcheck.Report{ID: s.row.ID, Incarnation: s.inc, UpUs: w.now - s.born, Usage: s.busy, Cut: s.row.Cut})
+	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.inc, UpUs: w.now - s.born, Usage: s.busy, Cut: s.row.Cut})
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -182,14 +182,14 @@
 		if p.role != "node" || !p.runs() {
 			continue
 		}
-		cp := p.table.Now()
+		cp := p.table.Current()
 		if cp == nil || cp.Version.Term == 0 {
 			continue
 		}
 		since := w.reachableSince(p)
 		mark := int64(0)
-		if cp.Sheet != nil && len(cp.Sheet.Services) > 0 {
-			mark = cp.Sheet.Services[0].RampUs
+		if cp.Configuration != nil && len(cp.Configuration.Services) > 0 {
+			mark = cp.Configuration.Services[0].RampUs
 		}
 		w.judgeBookings(p, cp.Config.Running, since)
 		w.Judge.InForce(name, cp.Config.SheetAt, mark, w.now, since)
@@ -239,7 +239,7 @@
 }
 
 func (w *World) stampOf(p *proc) wire.Version {
-	if cp := p.table.Now(); cp != nil {
+	if cp := p.table.Current(); cp != nil {
 		return cp.Version
 	}
 	return wire.Version{}
--- a/request/dispatch/ask.go
+++ b/request/dispatch/ask.go
@@ -80,7 +80,7 @@
 	}
 	b.began(now)
 	ch.seat.server.Gauge.Outstanding.Add(1)
-	ch.seat.server.Gauge.Asked.Add(1)
+	ch.seat.server.Gauge.Requested.Add(1)
 	c.desk.count.asks.Add(1)
 	c.trace.ask(now-c.began, n, i, ch, why)
 	c.act(Ask{N: n, Server: ch.seat.server, Pool: w.pool.Pool, WithinUs: left, Once: c.once(), Request: &c.req})
@@ -128,7 +128,7 @@
 		if b.took(now, took, busy, w.stats) {
 			w.pool.revived(now, &c.rnd)
 		}
-		g.Took(took)
+		g.Succeeded(took)
 	case r.Class == ClassNotRun && r.WrongBackend:
 		ejected = b.markReplaced(now)
 	case r.Class == ClassNotRun:
@@ -142,7 +142,7 @@
 	case r.Class == ClassGarbage:
 		d.count.garbage.Add(1)
 		ejected = b.failed(now, failure{t.at, 2, false}, nodes)
-		g.Garbled(now)
+		g.Corrupted(now)
 	case idle(r, took):
 		d.count.failed.Add(1)
 	default:
--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -81,10 +81,10 @@
 		// A backend that was not there before has just started, whatever the list says.
 		b.cold.Store(cp.At + p.SlowStartUs)
 	}
-	if told := s.Gauge.Cold.Load(); told > b.cold.Load() {
+	if told := s.Gauge.SlowStartUntil.Load(); told > b.cold.Load() {
 		b.cold.Store(told)
 	}
-	out := s.Verdict == snapshot.Drained
+	out := s.Health == snapshot.ZoneDrained
 	if b.emptied && !out && p.RampPerS > 0 {
 		// Those of a zone that is taken back may have turned cold meanwhile.
 		b.cold.Store(max(b.cold.Load(), cp.At+p.SlowStartUs))
--- a/request/dispatch/chart.go
+++ b/request/dispatch/chart.go
@@ -142,7 +142,7 @@
 )
 
 func (c *Chart) begin(now int64) {
-	if cp := c.desk.cfg.Table(); cp != nil && cp.Stale && now-c.began < snapshot.StaleMost {
+	if cp := c.desk.cfg.Table(); cp != nil && cp.Stale && now-c.began < snapshot.MaxStale {
 		c.wakeAt(now, now+staleLook)
 		return
 	}
--- a/request/dispatch/chart_test.go
+++ b/request/dispatch/chart_test.go
@@ -43,7 +43,7 @@
 		one("read", &routingpb.Route{Pool: "p0", Repeatable: true, MaxBackends: 2}),
 		one("split", &routingpb.Route{Repeatable: true, MaxBackends: 2, PoolWeights: []*routingpb.PoolWeight{{Pool: "p0", Weight: 0}, {Pool: "p1", Weight: 1}, {Pool: "p2", Weight: 1}}}),
 	}
-	f.cp = &snapshot.Snapshot{At: begun, Whole: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
+	f.cp = &snapshot.Snapshot{At: begun, Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
 	for _, p := range f.src.Pools {
 		q := &snapshot.Pool{Pool: p}
 		for i := range backends {
@@ -122,7 +122,7 @@
 func TestNoRouteOnlyWithATableInForce(t *testing.T) {
 	f := fixed(2, 2)
 	must.Eq(t, 404, finish(f.chart("nowhere").Step(begun, Begin{})).Status)
-	f.cp = &snapshot.Snapshot{Whole: true}
+	f.cp = &snapshot.Snapshot{Complete: true}
 	o := finish(f.chart("nowhere").Step(begun, Begin{}))
 	must.Eq(t, 503, o.Status)
 	must.Positive(t, o.RetryAfterUs)
--- a/request/dispatch/choose.go
+++ b/request/dispatch/choose.go
@@ -32,7 +32,7 @@
 		out = stEjected
 	case b.stalled(now, st.silence()):
 		out = stDown
-	case s.server.Verdict >= snapshot.Doubt && now-b.good.Load() > goodFor:
+	case s.server.Health >= snapshot.Suspect && now-b.good.Load() > goodFor:
 		// What others say counts while this node has no answer of its own to hold against it.
 		out = stEjected
 	default:
@@ -111,7 +111,7 @@
 	if b.stalled(now, 2*st.top.Load()) {
 		c += stallTimes * (now - b.moved.Load() + mid)
 	}
-	if s.server.Verdict == snapshot.Slow {
+	if s.server.Health == snapshot.Slow {
 		c += work / 2
 	}
 	return c
--- a/request/dispatch/invariants.go
+++ b/request/dispatch/invariants.go
@@ -15,7 +15,7 @@
 		r.Violated(invariant.NoAskAfterEnd, "request %s", c.req.ID)
 	case c.once() && (w.open > 0 || w.ran || w.done):
 		r.Violated(invariant.RunsOnce, "request %s: %d asks under way, may have run: %t", c.req.ID, w.open, w.ran)
-	case s.server.Verdict == snapshot.Leaving || s.server.Verdict == snapshot.Drained:
+	case s.server.Health == snapshot.Draining || s.server.Health == snapshot.ZoneDrained:
 		r.Violated(invariant.NotToLeaving, "request %s to %s", c.req.ID, s.server.ID)
 	case w.sent >= c.most():
 		r.Violated(invariant.BackendsWithinRoute, "request %s: %d backends of %s, %d may be", c.req.ID, w.sent+1, w.pool.name, c.most())
--- a/request/dispatch/invariants_test.go
+++ b/request/dispatch/invariants_test.go
@@ -47,7 +47,7 @@
 
 	c, _ = asked(t, "read")
 	for i := range c.ways[0].pool.seats {
-		c.ways[0].pool.seats[i].server.Verdict = snapshot.Leaving
+		c.ways[0].pool.seats[i].server.Health = snapshot.Draining
 	}
 	must.Eq(t, invariant.NotToLeaving, asksAgain(c))
 
--- a/request/dispatch/judge_test.go
+++ b/request/dispatch/judge_test.go
@@ -74,7 +74,7 @@
 		return
 	}
 	for _, s := range p.Servers {
-		if s.ID == a.Server.ID && s.Verdict < snapshot.Leaving {
+		if s.ID == a.Server.ID && s.Health < snapshot.Draining {
 			return
 		}
 	}
--- a/request/dispatch/shared_test.go
+++ b/request/dispatch/shared_test.go
@@ -93,7 +93,7 @@
 	f := fixed(1, 2)
 	f.src.Pools[0].RampPerS = 1
 	for _, s := range f.cp.Pools["p0"].Servers {
-		s.Gauge.Cold.Store(begun + 3*second)
+		s.Gauge.SlowStartUntil.Store(begun + 3*second)
 	}
 	sent := 0
 	for i := range 2000 {
--- a/request/dispatch/view.go
+++ b/request/dispatch/view.go
@@ -67,7 +67,7 @@
 			b := d.backendOf(s.ID)
 			b.listed(cp, p, s, d.cfg.Now)
 			there++
-			if s.Verdict != snapshot.Leaving && s.Verdict != snapshot.Drained {
+			if s.Health != snapshot.Draining && s.Health != snapshot.ZoneDrained {
 				q.seats = append(q.seats, seat{server: s, b: b, near: s.Zone == cp.Zone})
 			}
 		}
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -182,7 +182,7 @@
 			live++
 		}
 	}
-	cp := &snapshot.Snapshot{At: w.now, Zone: n.zone, Divisor: max(live, w.shape.nodes), Peers: live, Routing: n.rt, Pools: map[string]*snapshot.Pool{}, Whole: true}
+	cp := &snapshot.Snapshot{At: w.now, Zone: n.zone, Divisor: max(live, w.shape.nodes), Peers: live, Routing: n.rt, Pools: map[string]*snapshot.Pool{}, Complete: true}
 	for name, p := range n.rt.Pools {
 		cp.Pools[name] = &snapshot.Pool{Pool: p}
 	}
@@ -193,9 +193,9 @@
 		s := &snapshot.Server{Server: wire.Server{ID: b.id, Zone: b.zone, Pool: b.pool, Slots: b.slots, ColdUs: max(0, b.cold-w.now)}, Gauge: n.gauges.Of(b.id)}
 		switch {
 		case b.leaving:
-			s.Verdict = snapshot.Leaving
+			s.Health = snapshot.Draining
 		case w.emptied[b.zone]:
-			s.Verdict = snapshot.Drained
+			s.Health = snapshot.ZoneDrained
 		}
 		if p := cp.Pools[b.pool]; p != nil {
 			p.Servers = append(p.Servers, s)
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -40,7 +40,7 @@
 // benchTable has a gathered route over some shards and a single one, four backends to a pool.
 func benchTable(shards int, addrs []string) *snapshot.Snapshot {
 	src := &routingpb.RoutingTable{Revision: 1, Limits: &routingpb.Limits{}}
-	cp := &snapshot.Snapshot{Whole: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
+	cp := &snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
 	var names []string
 	for i := range len(addrs) / 4 {
 		name := fmt.Sprint("pool-", i)
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -51,7 +51,7 @@
 		s.Gauge = gauges.Of(s.ID)
 		pool.Servers = append(pool.Servers, &s)
 	}
-	w.cp.Store(&snapshot.Snapshot{Whole: true, Divisor: 1, Peers: 1, Routing: compiled, Pools: map[string]*snapshot.Pool{"desk": pool}})
+	w.cp.Store(&snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Routing: compiled, Pools: map[string]*snapshot.Pool{"desk": pool}})
 	return w
 }
 
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -145,7 +145,7 @@
 }
 
 func (w *world) limits(l *routingpb.Limits) {
-	w.cp.Store(&snapshot.Snapshot{Whole: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
+	w.cp.Store(&snapshot.Snapshot{Complete: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
 }
 
 func (w *world) note(id string, ev dispatch.Event) {
--- a/request/healthcheck/health_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -37,7 +37,7 @@
 	for i := range neighbours {
 		n.feed(kernel.ConnUp{Conn: uint64(i) + 1, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(keyOf(i + 1).Public), Mesh: true})
 	}
-	n.hears(1, "listing", discovery.Duty, &wire.Listing{Turn: 1, Whole: true, Servers: []wire.Server{{ID: sick}}})
+	n.hears(1, "listing", discovery.LeaseTask, &wire.Listing{Turn: 1, Whole: true, Servers: []wire.Server{{ID: sick}}})
 	return n
 }
 
@@ -56,50 +56,50 @@
 
 // looks has the node look at its servers once more.
 func (n *node) looks() {
-	n.now += TellEvery
+	n.now += ReportInterval
 	n.feed(kernel.Tick{Plugin: "mesh", Key: "reach"})
 	n.feed(kernel.Tick{Plugin: "table", Key: "build"})
 	n.feed(kernel.Tick{Plugin: "health", Key: "watch"})
 }
 
-func (n *node) tells() int64 { return n.k.Counts.Of("opinions_told").Load() }
+func (n *node) reports() int64 { return n.k.Counts.Of("opinions_told").Load() }
 
 func (n *node) meets(fails int64) {
-	kernel.Find[*snapshot.Table](n.k).Gauges.Of(sick).Fails.Store(fails)
+	kernel.Find[*snapshot.Table](n.k).Gauges.Of(sick).Failures.Store(fails)
 	n.looks()
 }
 
-func TestFewTellWhatAllMeet(t *testing.T) {
+func TestFewNodesReportWhatAllObserve(t *testing.T) {
 	for _, c := range []struct {
 		agree byte
 		state string
 		told  int64
 	}{
-		{0, "lost", 1}, {Enough - 1, "lost", 1}, {Enough, "lost", 0}, {Enough, "slow", 1}, {Enough + 3, "lost", 0},
+		{0, "lost", 1}, {EnoughReporters - 1, "lost", 1}, {EnoughReporters, "lost", 0}, {EnoughReporters, "slow", 1}, {EnoughReporters + 3, "lost", 0},
 	} {
-		n := newNode(Enough + 3)
-		must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Now().Servers))
+		n := newNode(EnoughReporters + 3)
+		must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Servers))
 		for i := range c.agree {
 			n.hears(i+1, "opinion", sick, &wire.Opinion{State: c.state})
 		}
-		n.meets(snapshot.EjectAfter)
-		must.Eq(t, c.told, n.tells(), must.Sprint(c))
+		n.meets(snapshot.EjectThreshold)
+		must.Eq(t, c.told, n.reports(), must.Sprint(c))
 	}
 }
 
 // One that has told goes on doing so while others agree, and takes it back when it is over.
-func TestOneThatHasToldDoesNotFallSilent(t *testing.T) {
-	n := newNode(Enough)
-	n.meets(snapshot.EjectAfter)
-	must.Eq(t, 1, n.tells())
-	for i := range byte(Enough) {
+func TestReportingNodeKeepsReporting(t *testing.T) {
+	n := newNode(EnoughReporters)
+	n.meets(snapshot.EjectThreshold)
+	must.Eq(t, 1, n.reports())
+	for i := range byte(EnoughReporters) {
 		n.hears(i+1, "opinion", sick, &wire.Opinion{State: "lost"})
 	}
 	n.looks()
 	n.looks()
-	must.Eq(t, 1, n.tells())
+	must.Eq(t, 1, n.reports())
 	n.meets(0)
-	must.Eq(t, 2, n.tells(), must.Sprint("taken back"))
+	must.Eq(t, 2, n.reports(), must.Sprint("taken back"))
 	mine := false
 	kernel.Find[*mesh.Mesh](n.k).Each("opinion", func(_ *wire.Entry, origin string) {
 		mine = mine || origin == kernel.Find[*mesh.Mesh](n.k).Self()
--- a/request/httpapi/http.go
+++ b/request/httpapi/http.go
@@ -144,7 +144,7 @@
 
 // openCaller opens the caller API once inquiries can be served.
 func (s *Server) openCaller(h http.Handler) {
-	for !s.front.table.Now().Ready() {
+	for !s.front.table.Current().Ready() {
 		select {
 		case <-s.over:
 			return
@@ -183,14 +183,14 @@
 func (s *Server) condition(w http.ResponseWriter, _ *http.Request) {
 	ready, why, stamp := true, "", ""
 	if s.front != nil {
-		cp := s.front.table.Now()
+		cp := s.front.table.Current()
 		stamp = config.VersionText(cp.Version)
 		switch {
 		case s.drains.Load():
 			ready, why = false, "draining"
 		case !cp.Ready():
 			ready, why = false, "no table yet"
-		case cp.Emptied:
+		case cp.ZoneDrained:
 			ready, why = false, "zone is emptied"
 		}
 	}
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -37,7 +37,7 @@
 func (a operatorAPI) change(ctx context.Context, c changing, e wire.Edit) (*operator.Taken, error) {
 	scope, indexes := config.ScopeAll, []string(nil)
 	if e.Op == "rows" {
-		scope, indexes = config.ScopeRows, config.Indexes(a.f.table.Now().Sheet, e.Body)
+		scope, indexes = config.ScopeRows, config.Indexes(a.f.table.Current().Configuration, e.Body)
 	}
 	who, err := a.f.scopes.may(c.token, scope, indexes)
 	if err != nil {
@@ -81,11 +81,11 @@
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	cp := a.f.table.Now()
+	cp := a.f.table.Current()
 	if cp.Version.Term == 0 {
 		return nil, fail("shed", "this node has no configuration yet")
 	}
-	return &operator.SheetNow{Stamp: config.VersionText(cp.Config.SheetAt), Sheet: config.JSON(cp.Sheet)}, nil
+	return &operator.SheetNow{Stamp: config.VersionText(cp.Config.SheetAt), Sheet: config.JSON(cp.Configuration)}, nil
 }
 
 func (a operatorAPI) PutSheet(ctx context.Context, p *operator.PutSheetPayload) (*operator.Taken, error) {
@@ -156,7 +156,7 @@
 	return out, nil
 }
 
-func status(r membership.Row) *operator.Status {
+func status(r membership.Member) *operator.Status {
 	s := &operator.Status{Name: r.Name, Role: r.Role, Zone: r.Zone, Addr: r.Addr, Live: r.Live, Draining: &r.Draining, Sick: &r.Sick, InForce: "none"}
 	if r.Role == "core" {
 		s.Formed = &r.Formed
@@ -173,7 +173,7 @@
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	cp := a.f.table.Now()
+	cp := a.f.table.Current()
 	out := []*operator.ServerStatus{}
 	for _, s := range cp.Servers {
 		ramp := int64(0)
@@ -182,7 +182,7 @@
 		}
 		out = append(out, &operator.ServerStatus{
 			ID: s.ID, Addr: s.Addr, Zone: s.Zone, Index: s.Index, Cut: s.Cut, Shard: s.Shard,
-			Verdict: snapshot.VerdictNames[s.Verdict], Warm: int(s.Warm(a.f.p.Now(), ramp) / 10),
+			Verdict: snapshot.HealthStateNames[s.Health], Warm: int(s.SlowStartShare(a.f.p.Now(), ramp) / 10),
 		})
 	}
 	return out, nil
--- a/request/httpapi/run.go
+++ b/request/httpapi/run.go
@@ -33,7 +33,7 @@
 	b := kernel.Find[*snapshot.Table](p.Kernel)
 	f := &Front{p: p, table: b, asker: newAsker()}
 	f.desk = search.NewDesk(search.Config{
-		Table: b, Usage: kernel.Find[*loadreport.Usage](p.Kernel), Counts: p.Kernel.Counts,
+		Table: b, Usage: kernel.Find[*loadreport.Reporter](p.Kernel), Counts: p.Kernel.Counts,
 		Name: p.Kernel.Boot.Settings.Name, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 	})
 	return f
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -38,7 +38,7 @@
 	pending := &admission{id: id, ask: a, until: ctx.Now + min(a.Within, GiveUp), replies: map[string]ownerReply{}}
 	c.admissions[n] = pending
 	if !c.rosterUnknown(ctx.Now) {
-		pending.owners = Owners(a.Key, cp.Homes)
+		pending.owners = Owners(a.Key, cp.KeyOwners)
 		c.send(ctx, n, pending)
 	}
 	if c.admissions[n] != nil {
@@ -125,7 +125,7 @@
 		return
 	}
 	if !c.rosterUnknown(ctx.Now) {
-		pending.widen(Owners(pending.ask.Key, c.snapshot().Homes))
+		pending.widen(Owners(pending.ask.Key, c.snapshot().KeyOwners))
 	}
 	if c.decide(ctx, n, pending); c.admissions[n] == nil || pending.decideAt > ctx.Now {
 		return
@@ -189,7 +189,7 @@
 			m.Body = b
 		}
 	}
-	c.broadcast(ctx, Owners(a.Key, c.snapshot().Homes), m)
+	c.broadcast(ctx, Owners(a.Key, c.snapshot().KeyOwners), m)
 }
 
 func (c *Coordinator) broadcast(ctx *kernel.Context, owners []snapshot.Node, m wire.Settle) {
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -105,16 +105,16 @@
 		c.loseRecords(ctx)
 		clear(c.first)
 	}
-	same := slices.EqualFunc(c.roster, cp.Homes, func(a, b snapshot.Node) bool { return a.Name == b.Name && a.Zone == b.Zone })
+	same := slices.EqualFunc(c.roster, cp.KeyOwners, func(a, b snapshot.Node) bool { return a.Name == b.Name && a.Zone == b.Zone })
 	if !same && len(c.roster) > 0 {
 		c.epochs = append(c.epochs, c.epoch(ctx, c.roster))
 	}
-	c.roster = cp.Homes
+	c.roster = cp.KeyOwners
 	c.epochs = slices.DeleteFunc(c.epochs, func(e *epoch) bool { return ctx.Now-e.at >= c.uncertainFor() })
 	if len(c.epochs) > epochsMost {
 		c.loseRecords(ctx)
 	}
-	if cp.Sheet != nil {
+	if cp.Configuration != nil {
 		c.askAll(ctx)
 	}
 	c.prune(ctx.Now)
@@ -163,11 +163,11 @@
 
 // learnDeadline keeps the longest time that an inquiry may take.
 func (c *Coordinator) learnDeadline(cp *snapshot.Snapshot, now int64) {
-	if cp.Sheet == nil {
+	if cp.Configuration == nil {
 		return
 	}
 	longest := int64(0)
-	for _, s := range cp.Sheet.Services {
+	for _, s := range cp.Configuration.Services {
 		longest = max(longest, s.MaxDeadlineUs)
 	}
 	// What was let in under a longer deadline may go on for that long.
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -18,7 +18,7 @@
 	now := int64(1_000_000)
 	k.Step(now, now, kernel.Start{})
 	k.Step(now, now, kernel.Tick{Plugin: "table", Key: "build"})
-	must.Len(t, 1, c.table.Now().Homes, must.Sprint("itself, as far as it knows"))
+	must.Len(t, 1, c.table.Current().KeyOwners, must.Sprint("itself, as far as it knows"))
 	k.Step(now, now, kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", First: true, Within: 5_000_000}})
 	must.MapLen(t, 1, c.admissions)
 	for n, w := range c.admissions {
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -99,7 +99,7 @@
 	kernel.Register(kernel.Registration{Rank: 80, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		built := kernel.Find[*snapshot.Table](k)
 		return &Coordinator{
-			mesh: kernel.Find[*mesh.Mesh](k), table: built, configSync: kernel.Find[*configsync.Sync](k), snapshot: built.Now,
+			mesh: kernel.Find[*mesh.Mesh](k), table: built, configSync: kernel.Find[*configsync.Sync](k), snapshot: built.Current,
 			records: map[string]*record{}, admissions: map[uint64]*admission{}, seen: seenKeys{at: map[string]int64{}}, first: map[int]map[string]bool{},
 		}
 	}})
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -54,7 +54,7 @@
 	live := 0
 	var owners []snapshot.Node
 	for _, o := range others {
-		gone := !o.up && n.m.now-o.downAt > snapshot.RosterFor
+		gone := !o.up && n.m.now-o.downAt > snapshot.RosterTTL
 		if gone && o != n {
 			continue
 		}
@@ -66,8 +66,8 @@
 	}
 	n.peak = max(n.peak, live)
 	n.view = &snapshot.Snapshot{
-		Homes: owners, Roster: owners, Peers: live, Divisor: n.peak,
-		Sheet: &configpb.Sheet{Services: []*configpb.Service{{MaxDeadlineUs: 5 * second}}},
+		KeyOwners: owners, Roster: owners, Peers: live, Divisor: n.peak,
+		Configuration: &configpb.Sheet{Services: []*configpb.Service{{MaxDeadlineUs: 5 * second}}},
 	}
 }
 
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -153,14 +153,14 @@
 	m.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	away := m.between(200*ms, 2*second)
 	if m.rand.IntN(3) == 0 {
-		away += snapshot.RosterFor
+		away += snapshot.RosterTTL
 	}
 	for _, n := range all[:1+m.rand.IntN(modelLoss)] {
 		n.up, n.downAt = false, m.now
 		m.after(away+m.between(0, 300*ms), n.comeBack)
 	}
 	m.told()
-	m.after(snapshot.RosterFor, m.told)
+	m.after(snapshot.RosterTTL, m.told)
 	m.after(away+m.between(4*second, 6*second), m.lose)
 }
 
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -71,7 +71,7 @@
 
 // countsOwners is how many owners a key has by what this process knows of the fleet.
 func (c *Coordinator) countsOwners() int {
-	return min(ownersMost, max(len(c.roster), len(c.snapshot().Homes)))
+	return min(ownersMost, max(len(c.roster), len(c.snapshot().KeyOwners)))
 }
 
 func (c *Coordinator) keep(key string, r *record) {
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -54,7 +54,7 @@
 // seenOwner is the address of the live owner that is asked, empty for this process
 // itself; ok is false where none is live.
 func (c *Coordinator) seenOwner(key string) (addr string, ok bool) {
-	for _, h := range Owners(key, c.snapshot().Homes) {
+	for _, h := range Owners(key, c.snapshot().KeyOwners) {
 		if h.Origin == c.mesh.Self() {
 			return "", true
 		}
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -32,7 +32,7 @@
 	n := &node{k: k, c: kernel.Find[*Coordinator](k), now: 1_000_000}
 	n.step(kernel.Start{})
 	n.step(kernel.Tick{Plugin: "table", Key: "build"})
-	must.Len(t, 1, n.c.table.Now().Homes)
+	must.Len(t, 1, n.c.table.Current().KeyOwners)
 	return n
 }
 
@@ -54,7 +54,7 @@
 }
 
 // self is the node under test as its roster has it.
-func (n *node) self() snapshot.Node { return n.c.table.Now().Homes[0] }
+func (n *node) self() snapshot.Node { return n.c.table.Current().KeyOwners[0] }
 
 // ask begins a claim, by a caller's first try, at the node under test and other owners, and returns its number.
 func (n *node) ask(t *testing.T, others []snapshot.Node) uint64 {
--- a/request/search/asks.go
+++ b/request/search/asks.go
@@ -60,7 +60,7 @@
 	left := c.end - now
 	w.hedgeAt = now + min(max(c.x.Service.HedgeUs, 3*ch.Server.Gauge.Latency.Load()), max(left/2, 1))
 	ch.Server.Gauge.Outstanding.Add(1)
-	ch.Server.Gauge.Asked.Add(1)
+	ch.Server.Gauge.Requested.Add(1)
 	c.state = StAsked
 	c.act(Ask{N: n, ID: c.ID() + "." + itoa(n), Server: ch.Server, Shard: shard, Shards: len(c.x.Shards), Cut: c.cut, Within: left, Inquiry: &c.in, Again: why == extra || why == paid, Instead: why == instead})
 }
@@ -82,10 +82,10 @@
 	}
 	switch r.Class {
 	case ReplyOK, ReplyAbsent:
-		g.Took(now - t.at)
+		g.Succeeded(now - t.at)
 		g.Usage.Store(r.Usage)
 	case ReplyGarbage:
-		g.Garbled(now)
+		g.Corrupted(now)
 		c.desk.Counts.Add("answers_garbage", 1)
 	case ReplyFailed, ReplyNotWritten, ReplyShed:
 		g.Failed(now)
--- a/request/search/chart.go
+++ b/request/search/chart.go
@@ -115,7 +115,7 @@
 
 func (c *Chart) begin(now int64) {
 	c.cp = c.desk.Table()
-	if c.cp != nil && c.cp.Stale && now-c.began < snapshot.StaleMost {
+	if c.cp != nil && c.cp.Stale && now-c.began < snapshot.MaxStale {
 		c.act(Wake{At: now + staleLook})
 		return
 	}
--- a/request/search/chart_test.go
+++ b/request/search/chart_test.go
@@ -26,12 +26,12 @@
 		}
 		x.Shards = append(x.Shards, list)
 	}
-	return &snapshot.Snapshot{Whole: true, Zone: "z0", Divisor: 1, Peers: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*snapshot.Index{"a": x}}
+	return &snapshot.Snapshot{Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*snapshot.Index{"a": x}}
 }
 
 func desk(cp *snapshot.Snapshot) *Desk {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
-	return &Desk{Table: func() *snapshot.Snapshot { return cp }, Usage: &loadreport.Usage{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
+	return &Desk{Table: func() *snapshot.Snapshot { return cp }, Usage: &loadreport.Reporter{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
 }
 
 func asks(acts []Act) (out []Ask) {
@@ -123,7 +123,7 @@
 func TestLeavingAndEmptiedAreNeverPickedEvenInPanic(t *testing.T) {
 	cp := newSnapshot(3, 1)
 	list := cp.Indexes["a"].Shards[0]
-	list[0].Verdict, list[1].Verdict, list[2].Verdict = snapshot.Leaving, snapshot.Drained, snapshot.Lost
+	list[0].Health, list[1].Health, list[2].Health = snapshot.Draining, snapshot.ZoneDrained, snapshot.Unreachable
 	r := rnd(1)
 	for range 50 {
 		c, ok := pick(cp, cp.Indexes["a"], list, nil, 0, &r)
@@ -205,7 +205,7 @@
 
 func TestExplainTellsEveryCandidate(t *testing.T) {
 	cp := newSnapshot(3, 2)
-	cp.Indexes["a"].Shards[0][1].Verdict = snapshot.Lost
+	cp.Indexes["a"].Shards[0][1].Health = snapshot.Unreachable
 	d := desk(cp)
 	c := NewChart(d, Inquiry{Kind: Search, Index: "a", Limit: 3}, 0)
 	for _, v := range asks(c.Step(0, Begin{})) {
--- a/request/search/desk.go
+++ b/request/search/desk.go
@@ -19,7 +19,7 @@
 // Desk is what all charts of one node share. Everything on it may be used by many threads.
 type Desk struct {
 	Table  func() *snapshot.Snapshot
-	Usage  *loadreport.Usage
+	Usage  *loadreport.Reporter
 	Counts *kernel.Counts
 	Traces *Traces
 	Name   string
@@ -35,7 +35,7 @@
 // Config is what a desk is made of.
 type Config struct {
 	Table  *snapshot.Table
-	Usage  *loadreport.Usage
+	Usage  *loadreport.Reporter
 	Counts *kernel.Counts
 	Name   string
 	Seed   uint64
@@ -45,7 +45,7 @@
 // NewDesk makes a desk.
 func NewDesk(c Config) *Desk {
 	return &Desk{
-		Table: c.Table.Now, Usage: c.Usage, Counts: c.Counts, Traces: newTraces(),
+		Table: c.Table.Current, Usage: c.Usage, Counts: c.Counts, Traces: newTraces(),
 		Name: c.Name, Seed: c.Seed, Began: c.Now,
 	}
 }
--- a/request/search/limits.go
+++ b/request/search/limits.go
@@ -26,7 +26,7 @@
 // pass takes one place of a limit of which this node has a part, in a fleet of so
 // many nodes; force takes it anyway and lets the gate owe as much as it may save.
 func (g *gate) pass(now int64, limit float64, m *loadreport.Meter, nodes int, force bool) bool {
-	part := m.Part(limit, nodes)
+	part := m.LocalLimit(limit, nodes)
 	most := max(tokenbucket.One, int64(burst*tokenbucket.One*max(part, limit/float64(max(1, nodes)))))
 	g.Refill(now, int64(tokenbucket.One*part), most)
 	if force {
@@ -60,24 +60,24 @@
 
 // letIn decides whether an inquiry is inside the limits, and says why.
 func (d *Desk) letIn(cp *snapshot.Snapshot, x *snapshot.Index, kind string, now int64) (bool, string) {
-	m, all := d.Usage.Of(x.Name, kind), d.Usage.Of(x.Name, "")
-	m.Came()
-	all.Came()
+	m, all := d.Usage.Meter(x.Name, kind), d.Usage.Meter(x.Name, "")
+	m.Inc()
+	all.Inc()
 	l := x.Limits[kind]
 	g := d.gatesOf(x.Name)
 	k := g.kinds[kind]
-	m.Bound(l.Ceiling, l.Share+l.Booked)
-	all.Bound(x.Capacity, 0)
-	if l.Ceiling > 0 && !k.ceiling.pass(now, l.Ceiling, m, cp.Peers, false) {
+	m.SetLimits(l.RateLimit, l.Share+l.Reserved)
+	all.SetLimits(x.Capacity, 0)
+	if l.RateLimit > 0 && !k.ceiling.pass(now, l.RateLimit, m, cp.Peers, false) {
 		return false, "ceiling"
 	}
-	if l.Booked > 0 && k.booked.pass(now, l.Booked, m, cp.Peers, false) {
+	if l.Reserved > 0 && k.booked.pass(now, l.Reserved, m, cp.Peers, false) {
 		return true, "booked slice"
 	}
 	// What is booked is kept for its kind, used or not; the rest is shared out.
 	free := x.Capacity
 	for _, o := range x.Limits {
-		free -= o.Booked
+		free -= o.Reserved
 	}
 	if k.share.pass(now, l.Share, m, cp.Peers, false) {
 		g.free.pass(now, free, all, cp.Peers, true)
--- a/request/search/pick.go
+++ b/request/search/pick.go
@@ -25,15 +25,15 @@
 // tier sorts a server by how good it looks; below zero it is never picked.
 func tier(s *snapshot.Server, now int64) int {
 	switch {
-	case s.Verdict == snapshot.Leaving || s.Verdict == snapshot.Drained:
+	case s.Health == snapshot.Draining || s.Health == snapshot.ZoneDrained:
 		return -1
-	case s.Verdict == snapshot.Garbage:
+	case s.Health == snapshot.Corrupt:
 		return 4
-	case s.Verdict == snapshot.Lost:
+	case s.Health == snapshot.Unreachable:
 		return 3
-	case s.Verdict == snapshot.Doubt || s.Gauge.Ejected.Load() > now:
+	case s.Health == snapshot.Suspect || s.Gauge.EjectedUntil.Load() > now:
 		return 2
-	case s.Verdict == snapshot.Slow:
+	case s.Health == snapshot.Slow:
 		return 1
 	}
 	return 0
@@ -76,7 +76,7 @@
 	if cost(b, cp.Zone) < cost(a, cp.Zone) {
 		c.Server = b
 	}
-	c.Cold = c.Server.Warm(now, ramp) < 1000
+	c.Cold = c.Server.SlowStartShare(now, ramp) < 1000
 	return c, true
 }
 
@@ -85,11 +85,11 @@
 func ramped(all []*snapshot.Server, now, ramp int64, r *rnd) []*snapshot.Server {
 	most := int64(1)
 	for _, s := range all {
-		most = max(most, s.Warm(now, ramp))
+		most = max(most, s.SlowStartShare(now, ramp))
 	}
 	out := make([]*snapshot.Server, 0, len(all))
 	for _, s := range all {
-		w := s.Warm(now, ramp)
+		w := s.SlowStartShare(now, ramp)
 		if w >= most || int64(r.N(int(most))) < w {
 			out = append(out, s)
 		}
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -154,9 +154,9 @@
 }
 
 func candidate(t *Trace, shard int, s *snapshot.Server, x *snapshot.Index) Candidate {
-	c := Candidate{Shard: shard, Server: s.ID, Zone: s.Zone, Verdict: snapshot.VerdictNames[s.Verdict], Warm: s.Warm(t.Began, x.Service.RampUs)}
+	c := Candidate{Shard: shard, Server: s.ID, Zone: s.Zone, Verdict: snapshot.HealthStateNames[s.Health], Warm: s.SlowStartShare(t.Began, x.Service.RampUs)}
 	c.Why = "in the draw, not drawn"
-	if s.Verdict != snapshot.OK {
+	if s.Health != snapshot.Healthy {
 		c.Why = "condition is " + c.Verdict
 	}
 	for _, p := range t.Picks {
--- a/request/snapshot/verdict.go
+++ b/request/snapshot/health.go
@@ -13,72 +13,72 @@
 	"wallport/runtime/wire"
 )
 
-type votes struct {
-	all, lost, garbage, slow int
-	own                      string
-	incarnation              int64
-	up                       int64
+type reportCounts struct {
+	total, unreachable, corrupt, slow int
+	local                             string
+	incarnation                       int64
+	uptime                            int64
 }
 
-// votes counts the opinions of live observers on one server; nil where there is none.
-func (b *Table) votes(server string, now int64) *votes {
-	var v *votes
-	for _, o := range b.opinions[server] {
+// countReports counts the opinions of live observers on one server; nil where there is none.
+func (b *Table) countReports(server string, now int64) *reportCounts {
+	var v *reportCounts
+	for _, o := range b.healthReports[server] {
 		if !b.mesh.Live(o.origin, now) {
 			continue
 		}
 		if v == nil {
-			v = &votes{}
+			v = &reportCounts{}
 		}
-		v.count(o, o.origin == b.mesh.Self())
+		v.add(o, o.origin == b.mesh.Self())
 	}
 	return v
 }
 
-func (v *votes) count(o opinion, own bool) {
+func (v *reportCounts) add(o healthReport, own bool) {
 	if o.Incarnation > v.incarnation {
 		// Opinions of an earlier incarnation say nothing of this one.
-		*v = votes{incarnation: o.Incarnation, up: o.Up}
+		*v = reportCounts{incarnation: o.Incarnation, uptime: o.Up}
 	} else if o.Incarnation < v.incarnation && o.Incarnation != 0 {
 		return
 	}
-	v.all++
+	v.total++
 	switch o.State {
 	case "lost":
-		v.lost++
+		v.unreachable++
 	case "garbage":
-		v.garbage++
+		v.corrupt++
 	case "slow":
 		v.slow++
 	}
 	if own {
-		v.own = o.State
+		v.local = o.State
 	}
 }
 
-func (b *Table) judge(ctx *kernel.Context, c *Snapshot) []*Server {
+func (b *Table) evaluateServers(ctx *kernel.Context, c *Snapshot) []*Server {
 	out := make([]*Server, 0, len(b.listing.Servers))
 	for _, row := range b.listing.Servers {
 		s := &Server{Server: row, Gauge: b.Gauges.Of(row.ID)}
-		if v := b.votes(row.ID, ctx.Now); v != nil {
+		if v := b.countReports(row.ID, ctx.Now); v != nil {
 			s.Incarnation = max(s.Incarnation, v.incarnation)
-			s.Verdict = v.verdict()
-			b.bear(ctx, s, v.up)
+			s.Health = v.healthState()
+			b.setBorn(ctx, s, v.uptime)
 		} else {
-			b.bear(ctx, s, 0)
+			b.setBorn(ctx, s, 0)
 		}
-		if left, ok := b.left[row.ID]; ok && (row.State == "leaving" || row.Incarnation <= left) {
-			s.Verdict = Leaving
+		if left, ok := b.drainingIncarnation[row.ID]; ok && (row.State == "leaving" || row.Incarnation <= left) {
+			s.Health = Draining
 		} else if slices.Contains(c.Config.DrainedZones, row.Zone) {
-			s.Verdict = Drained
+			s.Health = ZoneDrained
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-// bear fixes when an incarnation began, on this process's clock.
-func (b *Table) bear(ctx *kernel.Context, s *Server, up int64) {
+// setBorn fixes when an incarnation began, on this process's clock.
+func (b *Table) setBorn(ctx *kernel.Context, s *Server, up int64) {
 	was, ok := b.births[s.ID]
 	if !ok || was.incarnation < s.Incarnation {
 		was = birth{s.Incarnation, ctx.Now - up}
@@ -87,22 +87,22 @@
 	s.Born = was.born
 }
 
-func (v *votes) verdict() uint8 {
-	most := func(n int) bool { return n >= 2 && 2*n >= v.all }
+func (v *reportCounts) healthState() uint8 {
+	most := func(n int) bool { return n >= 2 && 2*n >= v.total }
 	switch {
-	case most(v.garbage):
-		return Garbage
-	case most(v.lost + v.garbage):
-		return Lost
-	case v.own == "lost" || v.own == "garbage":
-		return Doubt
+	case most(v.corrupt):
+		return Corrupt
+	case most(v.unreachable + v.corrupt):
+		return Unreachable
+	case v.local == "lost" || v.local == "garbage":
+		return Suspect
 	case most(v.slow):
 		return Slow
 	}
-	return OK
+	return Healthy
 }
 
-func (b *Table) index(c *Snapshot, s *configpb.Service) *Index {
+func (b *Table) buildIndex(c *Snapshot, s *configpb.Service) *Index {
 	x := &Index{Name: s.Index, Service: s, Limits: map[string]Limit{}, Capacity: float64(s.Capacity)}
 	if v, ok := b.mesh.Partition(state.PartitionOf(s.Index)); ok {
 		if body, err := state.ReadIndex(v.Body); err == nil {
@@ -113,20 +113,20 @@
 	x.Shards = shards(c.Servers, s.Index, x.Cut.Name, x.Cut.Shards)
 	x.NextShards = shards(c.Servers, s.Index, x.Cut.Next, x.Cut.NextShards)
 	booked := 0.0
-	for _, k := range c.Sheet.Bookings {
+	for _, k := range c.Configuration.Bookings {
 		if k.Index != s.Index || !slices.Contains(c.Config.Running, k.Id) {
 			continue
 		}
 		l := x.Limits[k.Kind]
-		l.Booked += x.Capacity * float64(k.Slice) / 100
+		l.Reserved += x.Capacity * float64(k.Slice) / 100
 		x.Limits[k.Kind] = l
 		booked += x.Capacity * float64(k.Slice) / 100
 	}
-	for _, r := range c.Sheet.Rows {
+	for _, r := range c.Configuration.Rows {
 		if r.Index == s.Index {
 			l := x.Limits[r.Kind]
 			l.Share = (x.Capacity - booked) * float64(r.Share) / 100
-			l.Ceiling = float64(r.Ceiling)
+			l.RateLimit = float64(r.Ceiling)
 			x.Limits[r.Kind] = l
 		}
 	}
@@ -136,18 +136,18 @@
 // servable is the live cut, or the one before it for as long as this node knows of no
 // server for some shard of the live one: the cut may come before the platform's list.
 func (b *Table) servable(all []*Server, index string, live wire.LiveCut) wire.LiveCut {
-	was := b.cuts[index]
-	if was.Name == live.Name || was.Name == "" || whole(all, index, live) || !whole(all, index, was) {
-		b.cuts[index] = live
+	was := b.servedCuts[index]
+	if was.Name == live.Name || was.Name == "" || complete(all, index, live) || !complete(all, index, was) {
+		b.servedCuts[index] = live
 		return live
 	}
 	return wire.LiveCut{Name: was.Name, Shards: was.Shards, Next: live.Name, NextShards: live.Shards}
 }
 
-// whole tells that each shard of a cut has a server that may be asked.
-func whole(all []*Server, index string, cut wire.LiveCut) bool {
+// complete tells that each shard of a cut has a server that may be asked.
+func complete(all []*Server, index string, cut wire.LiveCut) bool {
 	for _, s := range shards(all, index, cut.Name, cut.Shards) {
-		if !slices.ContainsFunc(s, func(v *Server) bool { return v.Verdict < Leaving }) {
+		if !slices.ContainsFunc(s, func(v *Server) bool { return v.Health < Draining }) {
 			return false
 		}
 	}
--- a/request/snapshot/opinions_test.go
+++ b/request/snapshot/healthreports_test.go
@@ -11,39 +11,39 @@
 	"wallport/runtime/wire"
 )
 
-func told(origin, server, state string, gone bool) mesh.Stored {
+func reportEntry(origin, server, state string, gone bool) mesh.Stored {
 	body := wire.Encode(&wire.Opinion{State: state})
 	return mesh.Stored{Origin: origin, Entry: &wire.Entry{Type: "opinion", ID: server, Gone: gone, Body: body}}
 }
 
-func states(of []opinion) (out []string) {
+func states(of []healthReport) (out []string) {
 	for _, o := range of {
 		out = append(out, o.origin+" "+o.State)
 	}
 	return out
 }
 
-func TestOpinionsAreKeptByServer(t *testing.T) {
-	all := opinions{}
-	all.take(told("b", "s1", "lost", false))
-	all.take(told("a", "s1", "ok", false))
-	all.take(told("a", "s2", "slow", false))
+func TestHealthReportsAreKeptByServer(t *testing.T) {
+	all := healthReports{}
+	all.apply(reportEntry("b", "s1", "lost", false))
+	all.apply(reportEntry("a", "s1", "ok", false))
+	all.apply(reportEntry("a", "s2", "slow", false))
 	must.Eq(t, []string{"a ok", "b lost"}, states(all["s1"]))
-	all.take(told("b", "s1", "ok", false))
+	all.apply(reportEntry("b", "s1", "ok", false))
 	must.Eq(t, []string{"a ok", "b ok"}, states(all["s1"]))
-	all.take(told("b", "s1", "ok", true))
+	all.apply(reportEntry("b", "s1", "ok", true))
 	must.Eq(t, []string{"a ok"}, states(all["s1"]))
-	all.take(told("c", "s3", "ok", true))
+	all.apply(reportEntry("c", "s3", "ok", true))
 	must.MapNotContainsKey(t, all, "s3")
 	all.forget("a")
 	must.MapEmpty(t, all)
 }
 
-func TestUnreadableOpinionCountsForNothing(t *testing.T) {
-	all := opinions{}
-	all.take(told("a", "s1", "lost", false))
-	v := told("a", "s1", "", false)
+func TestUnreadableHealthReportIsIgnored(t *testing.T) {
+	all := healthReports{}
+	all.apply(reportEntry("a", "s1", "lost", false))
+	v := reportEntry("a", "s1", "", false)
 	v.Entry.Body = []byte("x")
-	all.take(v)
+	all.apply(v)
 	must.MapEmpty(t, all)
 }
--- a/request/snapshot/invariants_test.go
+++ b/request/snapshot/invariants_test.go
@@ -13,11 +13,11 @@
 	"wallport/runtime/wire"
 )
 
-func TestViolationOfRisingConfigurations(t *testing.T) {
-	b := &Table{config: config{stamp: wire.Version{Term: 3, Seq: 9}}}
+func TestConfigVersionGoingBackIsReported(t *testing.T) {
+	b := &Table{config: configState{version: wire.Version{Term: 3, Seq: 9}}}
 	step := &kernel.Context{Counts: kernel.NewCounts()}
 	takes := func(term, seq uint64) invariant.Name {
-		return violation.By(func() { b.checkRises(step, wire.Version{Term: term, Seq: seq}) })
+		return violation.By(func() { b.checkVersionRises(step, wire.Version{Term: term, Seq: seq}) })
 	}
 	must.Eq(t, "", takes(4, 10))
 	must.Eq(t, invariant.ConfigRises, takes(3, 8))
--- a/request/snapshot/pace_test.go
+++ b/request/snapshot/pace_test.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/settings"
 )
 
-func TestSnapshotsOfABurstAreFew(t *testing.T) {
+func TestBurstOfChangesBuildsFewSnapshots(t *testing.T) {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	b, now, due, built := kernel.Find[*Table](k), int64(5_000_000), int64(0), 0
 	k.Step(now, now, kernel.Start{})
@@ -20,11 +20,11 @@
 	for range 1000 {
 		now += 1_000
 		turn := &kernel.Context{Now: now, Counts: k.Counts}
-		b.Step(turn, mesh.Stored{Entry: told("x", "s", "ok", false).Entry, Origin: "x"})
+		b.Step(turn, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
 		for _, timer := range turn.Out.Timers {
 			must.Eq(t, 0, due, must.Sprint("one timer at a time"))
 			due = timer.At
-			must.LessEq(t, BuildEvery, due-now)
+			must.LessEq(t, BuildInterval, due-now)
 		}
 		if due > 0 && now >= due {
 			due, built = 0, built+1
@@ -32,10 +32,10 @@
 		}
 	}
 	must.Between(t, 8, built, 11, must.Sprint("a second of changes"))
-	now += 2 * BuildEvery
+	now += 2 * BuildInterval
 	turn := &kernel.Context{Now: now, Counts: k.Counts}
-	b.Step(turn, mesh.Stored{Entry: told("x", "s", "ok", false).Entry, Origin: "x"})
+	b.Step(turn, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
 	if due == 0 {
-		must.Eq(t, now+BuildWithin, turn.Out.Timers[0].At, must.Sprint("soon after a pause"))
+		must.Eq(t, now+BuildDelay, turn.Out.Timers[0].At, must.Sprint("soon after a pause"))
 	}
 }
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -10,12 +10,12 @@
 	"wallport/control/routing"
 )
 
-// pools fills in the routing table in force and its pools.
-func (b *Table) pools(c *Snapshot) {
+// buildPools fills in the routing table in force and its pools.
+func (b *Table) buildPools(c *Snapshot) {
 	if len(c.Config.Routing) == 0 {
 		return
 	}
-	if was := b.now.Load(); was != nil && was.Routing != nil && was.Version == c.Version {
+	if was := b.current.Load(); was != nil && was.Routing != nil && was.Version == c.Version {
 		c.Routing = was.Routing
 	} else {
 		src := new(routingpb.RoutingTable)
@@ -33,14 +33,14 @@
 			p.Servers = append(p.Servers, s)
 		}
 	}
-	h := holder{name: b.Self(), zone: c.Zone, nodes: c.Divisor}
+	h := subsetNode{name: b.Self(), zone: c.Zone, nodes: c.Divisor}
 	for _, n := range c.Roster {
 		if n.Zone == c.Zone {
-			h.zoned++
+			h.zoneNodes++
 		}
 	}
 	for _, p := range c.Pools {
-		p.reside(h)
+		p.assignSubset(h)
 	}
 }
 
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -41,12 +41,12 @@
 	term             uint64
 	revision         int64
 	contact, relayed uint32
-	silent           bool
+	unresponsive     bool
 	delay            int64
-	asked            int
+	requested        int
 }
 
-func (f *fakeCore) answers() *wire.PullReply {
+func (f *fakeCore) pullReply() *wire.PullReply {
 	table, err := proto.Marshal(&routingpb.RoutingTable{Revision: f.revision})
 	if err != nil {
 		panic(err)
@@ -90,17 +90,17 @@
 		f, err := wire.Open(s.Data)
 		must.NoError(n.t, err)
 		if core := n.cores[s.Addr]; core != nil && f.Kind == wire.KindPull {
-			n.answer(core, f.ID)
+			n.respond(core, f.ID)
 		}
 	}
 }
 
-func (n *node) answer(core *fakeCore, id uint64) {
-	core.asked++
-	if core.silent {
+func (n *node) respond(core *fakeCore, id uint64) {
+	core.requested++
+	if core.unresponsive {
 		return
 	}
-	data := wire.Seal(wire.KindPullReply, id, core.answers())
+	data := wire.Seal(wire.KindPullReply, id, core.pullReply())
 	at := n.now + max(core.delay, 1)
 	n.later[at] = append(n.later[at], func() { n.feed(kernel.Received{Conn: 1, Data: data}) })
 	heap.Push(&n.timers, kernel.Timer{At: at})
@@ -128,7 +128,7 @@
 // readyWithin is how long it takes until the node may serve, or more than most.
 func (n *node) readyWithin(most int64) int64 {
 	for began := n.now; ; n.run(10_000) {
-		if n.table.Now().Ready() || n.now-began > most {
+		if n.table.Current().Ready() || n.now-began > most {
 			return n.now - began
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 // One of three cores is cut off and has an old configuration; it may be asked first.
-func TestNodeStartedBesideACutOffCoreGoesOnToTheOthers(t *testing.T) {
+func TestStartedNodeSkipsPartitionedCore(t *testing.T) {
 	for _, cutOff := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		cores := map[string]*fakeCore{}
 		for _, a := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
@@ -152,14 +152,14 @@
 		cores[cutOff] = old
 		n := startNode(t, cores)
 		must.Less(t, second, n.readyWithin(2*second))
-		must.Eq(t, 9, n.table.Now().Routing.Revision)
+		must.Eq(t, 9, n.table.Current().Routing.Revision)
 		n.run(10 * second)
-		must.Less(t, 10, old.asked, must.Sprint("one without contact is seldom asked"))
+		must.Less(t, 10, old.requested, must.Sprint("one without contact is seldom asked"))
 	}
 }
 
 // Of three cores one alone is in contact, as a follower that a leader is cut off with is not.
-func TestStartedNodeAsksAllCoresInTurn(t *testing.T) {
+func TestStartedNodeRequestsAllCoresInTurn(t *testing.T) {
 	for _, inContact := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		cores := map[string]*fakeCore{}
 		for _, a := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
@@ -168,67 +168,67 @@
 		cores[inContact] = &fakeCore{term: 4, revision: 9, contact: 1}
 		n := startNode(t, cores)
 		must.Less(t, second, n.readyWithin(2*second))
-		must.Eq(t, 9, n.table.Now().Routing.Revision)
+		must.Eq(t, 9, n.table.Current().Routing.Revision)
 	}
 }
 
 // A core that was slow to answer proves nothing: the answer may have been held up by a cut.
-func TestAnswerThatWasHeldUpConfirmsNothing(t *testing.T) {
+func TestDelayedReplyConfirmsNothing(t *testing.T) {
 	late := &fakeCore{term: 3, revision: 7, contact: 1, delay: configsync.AnswerWithin + second}
-	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": late, "10.0.0.2:1": {silent: true}, "10.0.0.3:1": {silent: true}})
+	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": late, "10.0.0.2:1": {unresponsive: true}, "10.0.0.3:1": {unresponsive: true}})
 	must.Greater(t, configsync.AnswerWithin+second+configsync.UnconfirmedAfter-second, n.readyWithin(30*second))
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
 // A majority of the disks is gone, or only the core that is cut off can be reached: the node serves
 // what there is, but not before it has looked for better.
-func TestWhereNoCoreHasContactANodeServesAfterAWhile(t *testing.T) {
+func TestNodeServesUnconfirmedAfterDelayWithoutContact(t *testing.T) {
 	old := &fakeCore{term: 3, revision: 7}
-	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": old, "10.0.0.2:1": {silent: true}, "10.0.0.3:1": {silent: true}})
+	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": old, "10.0.0.2:1": {unresponsive: true}, "10.0.0.3:1": {unresponsive: true}})
 	took := n.readyWithin(20 * second)
 	must.Between(t, configsync.UnconfirmedAfter, took, configsync.UnconfirmedAfter+second)
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
-	asked := old.asked
+	asked := old.requested
 	n.run(10 * second)
-	must.Between(t, 5, old.asked-asked, 60, must.Sprint("it is asked no more often than usual"))
+	must.Between(t, 5, old.requested-asked, 60, must.Sprint("it is asked no more often than usual"))
 }
 
 // While a core in contact can be reached, nothing else is served, however late it comes up.
-func TestUnconfirmedStateIsNotServedWhileACoreHasContact(t *testing.T) {
-	better := &fakeCore{term: 4, revision: 9, contact: 1, silent: true}
-	cores := map[string]*fakeCore{"10.0.0.1:1": {term: 3, revision: 7}, "10.0.0.2:1": better, "10.0.0.3:1": {silent: true}}
+func TestUnconfirmedStateIsNotServedWhileCoreHasContact(t *testing.T) {
+	better := &fakeCore{term: 4, revision: 9, contact: 1, unresponsive: true}
+	cores := map[string]*fakeCore{"10.0.0.1:1": {term: 3, revision: 7}, "10.0.0.2:1": better, "10.0.0.3:1": {unresponsive: true}}
 	n := startNode(t, cores)
 	must.Greater(t, 4*second, n.readyWithin(4*second))
-	better.silent = false
+	better.unresponsive = false
 	must.Less(t, configsync.UnconfirmedAfter-4*second, n.readyWithin(4*second))
-	must.Eq(t, 9, n.table.Now().Routing.Revision)
+	must.Eq(t, 9, n.table.Current().Routing.Revision)
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
 // What another core passed on confirms as well; a process that serves goes on when contact is lost.
-func TestRelayedContactConfirmsAndARunningNodeGoesOn(t *testing.T) {
+func TestRelayedContactConfirmsAndRunningNodeKeepsServing(t *testing.T) {
 	core := &fakeCore{term: 3, revision: 7, relayed: 1}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": core, "10.0.0.2:1": core, "10.0.0.3:1": core})
 	must.Less(t, second, n.readyWithin(second))
 	core.relayed = 0
 	n.run(30 * second)
-	must.True(t, n.table.Now().Ready())
+	must.True(t, n.table.Current().Ready())
 	// A newer version is committed by a majority, whoever brings it.
 	core.term, core.revision = 5, 8
 	n.run(5 * second)
-	must.Eq(t, 8, n.table.Now().Routing.Revision)
+	must.Eq(t, 8, n.table.Current().Routing.Revision)
 }
 
 // After a freeze requests wait for what happened meanwhile, as a core in contact tells it.
-func TestThawedNodeWaitsForACoreInContact(t *testing.T) {
+func TestThawedNodeWaitsForCoreInContact(t *testing.T) {
 	core := &fakeCore{term: 3, revision: 7, contact: 1}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": core, "10.0.0.2:1": core, "10.0.0.3:1": core})
 	must.Less(t, second, n.readyWithin(second))
 	core.contact = 0
 	n.feed(kernel.Thawed{Gap: 5 * second})
 	n.run(second / 2)
-	must.False(t, n.table.stale.pulled)
+	must.False(t, n.table.staleness.pulled)
 	core.contact = 1
 	n.run(second / 2)
-	must.True(t, n.table.stale.pulled)
+	must.True(t, n.table.staleness.pulled)
 }
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -12,16 +12,16 @@
 	"wallport/runtime/wire"
 )
 
-// RosterFor is how long a silent node still counts as a home of claims.
-const RosterFor = 6_000_000
+// RosterTTL is how long a silent node still counts as a home of claims.
+const RosterTTL = 6_000_000
 
-// HomesMost bounds the nodes that claims may live at: a change of who they are has each of
+// MaxKeyOwners bounds the nodes that claims may live at: a change of who they are has each of
 // them ask every other.
-const HomesMost = 33
+const MaxKeyOwners = 33
 
-// homes picks them out of a larger fleet: the weightiest by name, each zone in turn.
-func homes(roster []Node) []Node {
-	if len(roster) <= HomesMost {
+// keyOwners picks them out of a larger fleet: the weightiest by name, each zone in turn.
+func keyOwners(roster []Node) []Node {
+	if len(roster) <= MaxKeyOwners {
 		return roster
 	}
 	zones := map[string]int{}
@@ -39,9 +39,9 @@
 		zones[roster[i].Zone]++
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(turn[a], turn[b]) })
-	order = order[:HomesMost]
+	order = order[:MaxKeyOwners]
 	slices.Sort(order)
-	out := make([]Node, 0, HomesMost)
+	out := make([]Node, 0, MaxKeyOwners)
 	for _, i := range order {
 		out = append(out, roster[i])
 	}
@@ -62,8 +62,8 @@
 		if r.Role != "node" {
 			return
 		}
-		at, ok := b.liveAt[origin]
-		if !ok || ctx.Now-at > RosterFor {
+		at, ok := b.lastLive[origin]
+		if !ok || ctx.Now-at > RosterTTL {
 			return
 		}
 		n := Node{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Origin: origin, Live: live}
@@ -79,19 +79,19 @@
 	return out
 }
 
-// lives notes who is live, and sums up what a snapshot takes from the clock: who is, who
+// updateLive notes who is live, and sums up what a snapshot takes from the clock: who is, who
 // still counts as a home of claims, and the size of the fleet.
-func (b *Table) lives(now int64) uint64 {
+func (b *Table) updateLive(now int64) uint64 {
 	h := uint64(b.members.Divisor())
 	b.members.Each(now, func(origin string, _ *wire.Member, live bool) {
-		at, ok := b.liveAt[origin]
-		if !live && (!ok || now-at > RosterFor) {
+		at, ok := b.lastLive[origin]
+		if !live && (!ok || now-at > RosterTTL) {
 			return
 		}
 		x := fnv.New64a()
 		x.Write([]byte(origin))
 		if live {
-			b.liveAt[origin] = now
+			b.lastLive[origin] = now
 			h += x.Sum64()
 			return
 		}
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -15,22 +15,22 @@
 
 // Verdicts on a server, from best to worst. Leaving and emptied are never picked.
 const (
-	OK uint8 = iota
+	Healthy uint8 = iota
 	Slow
-	Doubt
-	Lost
-	Garbage
-	Leaving
-	Drained
+	Suspect
+	Unreachable
+	Corrupt
+	Draining
+	ZoneDrained
 )
 
-// VerdictNames are the verdicts in words.
-var VerdictNames = []string{"ok", "slow", "doubt", "lost", "garbage", "leaving", "emptied"}
+// HealthStateNames are the verdicts in words.
+var HealthStateNames = []string{"ok", "slow", "doubt", "lost", "garbage", "leaving", "emptied"}
 
 // Server is one backend as a snapshot shows it.
 type Server struct {
 	wire.Server
-	Verdict uint8
+	Health uint8
 	// Born is when, on this process's monotonic clock, the incarnation began.
 	Born  int64
 	Gauge *Gauge
@@ -38,23 +38,23 @@
 	CloseAfterUse bool
 }
 
-// Warm is how warm a server is, in thousandths, after a ramp of so many microseconds.
-func (s *Server) Warm(now, ramp int64) int64 {
-	if ramp <= 0 || s.Incarnation == 0 {
+// SlowStartShare is how warm a server is, in thousandths, after a ramp of so many microseconds.
+func (s *Server) SlowStartShare(now, slowStart int64) int64 {
+	if slowStart <= 0 || s.Incarnation == 0 {
 		return 1000
 	}
-	return max(RampStart, min(1000, (now-s.Born)*1000/ramp))
+	return max(MinSlowStartShare, min(1000, (now-s.Born)*1000/slowStart))
 }
 
-// RampStart is the share, in thousandths, that a server just started is given.
-const RampStart = 100
+// MinSlowStartShare is the share, in thousandths, that a server just started is given.
+const MinSlowStartShare = 100
 
 // Limit is what one kind of inquiry may do, in inquiries a second, fleet-wide
 // and here.
 type Limit struct {
-	Share   float64
-	Ceiling float64
-	Booked  float64
+	Share     float64
+	RateLimit float64
+	Reserved  float64
 }
 
 // Index is one index as a snapshot shows it.
@@ -83,57 +83,57 @@
 
 // Snapshot is the table at a moment. It is never changed once published.
 type Snapshot struct {
-	At      int64
-	Version wire.Version
-	Config  wire.ConfigBody
-	Sheet   *configpb.Sheet
-	Indexes map[string]*Index
+	At            int64
+	Version       wire.Version
+	Config        wire.ConfigBody
+	Configuration *configpb.Sheet
+	Indexes       map[string]*Index
 	// Roster is all nodes, those that died of late too; Homes are those of them that claims may live at.
-	Roster  []Node
-	Homes   []Node
-	Divisor int
-	Zone    string
-	Emptied bool
-	Drains  bool
+	Roster      []Node
+	KeyOwners   []Node
+	Divisor     int
+	Zone        string
+	ZoneDrained bool
+	Draining    bool
 	// Peers counts the live nodes, this one included.
 	Peers   int
 	Servers []*Server
 	// Routing is the routing table in force, nil before the first; Pools are its pools by name.
 	Routing *routing.Table
 	Pools   map[string]*Pool
-	// Whole tells that configuration, cuts and the platform's list are all there.
-	Whole bool
+	// Complete tells that configuration, cuts and the platform's list are all there.
+	Complete bool
 	// Stale tells that the process did not run for a while and has not yet heard
-	// what happened meanwhile: inquiries wait, for StaleMost at most.
+	// what happened meanwhile: inquiries wait, for MaxStale at most.
 	Stale bool
 }
 
-// StaleMost bounds that wait: a node that is alone goes on with what it has.
-const StaleMost = 1_000_000
+// MaxStale bounds that wait: a node that is alone goes on with what it has.
+const MaxStale = 1_000_000
 
 // Ready reports whether inquiries can be served from this snapshot.
-func (c *Snapshot) Ready() bool { return c != nil && c.Whole }
+func (c *Snapshot) Ready() bool { return c != nil && c.Complete }
 
 // Gauge is what this node itself sees of one server; it outlives snapshots.
 type Gauge struct {
-	Outstanding atomic.Int64
-	Latency     atomic.Int64
-	Usage       atomic.Int64
-	Fails       atomic.Int64
-	Bad         atomic.Int64
-	// Ejected is until when the request path avoids the server on its own account.
-	Ejected     atomic.Int64
-	Incarnation atomic.Int64
-	Asked       atomic.Int64
-	// Cold is until when the server stays cold by its own word, on this process's clock.
-	Cold atomic.Int64
+	Outstanding      atomic.Int64
+	Latency          atomic.Int64
+	Usage            atomic.Int64
+	Failures         atomic.Int64
+	CorruptResponses atomic.Int64
+	// EjectedUntil is until when the request path avoids the server on its own account.
+	EjectedUntil atomic.Int64
+	Incarnation  atomic.Int64
+	Requested    atomic.Int64
+	// SlowStartUntil is until when the server stays cold by its own word, on this process's clock.
+	SlowStartUntil atomic.Int64
 }
 
-// Took notes a good answer and how long it took.
-func (g *Gauge) Took(us int64) {
-	g.Fails.Store(0)
-	g.Bad.Store(0)
-	g.Ejected.Store(0)
+// Succeeded notes a good answer and how long it took.
+func (g *Gauge) Succeeded(us int64) {
+	g.Failures.Store(0)
+	g.CorruptResponses.Store(0)
+	g.EjectedUntil.Store(0)
 	old := g.Latency.Load()
 	if old == 0 {
 		g.Latency.Store(us)
@@ -144,21 +144,21 @@
 
 // Failed notes a failure; the third in a row ejects for a growing while.
 func (g *Gauge) Failed(now int64) {
-	if n := g.Fails.Add(1); n >= EjectAfter {
-		g.Ejected.Store(now + min(n, 10)*EjectFor)
+	if n := g.Failures.Add(1); n >= EjectThreshold {
+		g.EjectedUntil.Store(now + min(n, 10)*EjectTime)
 	}
 }
 
-// Garbled notes an answer that was not what it should be.
-func (g *Gauge) Garbled(now int64) {
-	g.Bad.Add(1)
-	g.Ejected.Store(now + 4*EjectFor)
+// Corrupted notes an answer that was not what it should be.
+func (g *Gauge) Corrupted(now int64) {
+	g.CorruptResponses.Add(1)
+	g.EjectedUntil.Store(now + 4*EjectTime)
 }
 
 // Figures of ejection.
 const (
-	EjectAfter = 3
-	EjectFor   = 500_000
+	EjectThreshold = 3
+	EjectTime      = 500_000
 )
 
 // Gauges holds a gauge per server id.
--- a/request/snapshot/residents.go
+++ b/request/snapshot/subset.go
@@ -11,24 +11,24 @@
 	"slices"
 )
 
-// idleShare is how many thousandths of a backend's connections may be idle, fleet-wide.
-const idleShare = 600
+// maxIdleMille is how many thousandths of a backend's connections may be idle, fleet-wide.
+const maxIdleMille = 600
 
-// scarce tells that the idle connections of all nodes would be too many for a backend.
-func scarce(connections int64, nodes int) bool {
-	return connections > 0 && int64(nodes)*1000 > connections*idleShare
+// exceedsIdleLimit tells that the idle connections of all nodes would be too many for a backend.
+func exceedsIdleLimit(connections int64, nodes int) bool {
+	return connections > 0 && int64(nodes)*1000 > connections*maxIdleMille
 }
 
-// holder is a node as it holds connections: all nodes of its zone share its zone's backends.
-type holder struct {
+// subsetNode is a node as it holds connections: all nodes of its zone share its zone's backends.
+type subsetNode struct {
 	name, zone string
 	// nodes counts all nodes, zoned those of the zone.
-	nodes, zoned int
+	nodes, zoneNodes int
 }
 
-// reside marks the backends of a pool whose connections are closed after use.
-func (p *Pool) reside(h holder) {
-	if !scarce(p.MaxConnections, h.nodes) {
+// assignSubset marks the backends of a pool whose connections are closed after use.
+func (p *Pool) assignSubset(h subsetNode) {
+	if !exceedsIdleLimit(p.MaxConnections, h.nodes) {
 		return
 	}
 	ranked := make([]rankedServer, 0, len(p.Servers))
@@ -38,7 +38,7 @@
 			ranked = append(ranked, rankedServer{rendezvous(h.name, server.ID), server})
 		}
 	}
-	kept := int(p.MaxConnections*idleShare/1000) * len(ranked) / max(1, h.zoned)
+	kept := int(p.MaxConnections*maxIdleMille/1000) * len(ranked) / max(1, h.zoneNodes)
 	if kept >= len(ranked) {
 		return
 	}
--- a/request/snapshot/residents_test.go
+++ b/request/snapshot/subset_test.go
@@ -30,7 +30,7 @@
 	fewest = backends
 	for n := range nodes {
 		p, kept := poolOf(backends, connections), 0
-		p.reside(holder{name: fmt.Sprintf("node-%d", n), zone: zoneOf(n), nodes: nodes, zoned: (nodes + zones - 1) / zones})
+		p.assignSubset(subsetNode{name: fmt.Sprintf("node-%d", n), zone: zoneOf(n), nodes: nodes, zoneNodes: (nodes + zones - 1) / zones})
 		for _, s := range p.Servers {
 			if !s.CloseAfterUse {
 				by[s.ID]++
@@ -45,7 +45,7 @@
 	return most, fewest
 }
 
-func TestIdleConnectionsStayWithinTheBound(t *testing.T) {
+func TestIdleConnectionsStayWithinLimit(t *testing.T) {
 	for _, c := range []struct {
 		backends      int
 		connections   int64
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -16,55 +16,55 @@
 	"wallport/runtime/wire"
 )
 
-// BuildWithin is how long a change other than a partition's may wait for the next snapshot, and
-// BuildEvery the least time between two snapshots that are built for such changes alone.
+// BuildDelay is how long a change other than a partition's may wait for the next snapshot, and
+// BuildInterval the least time between two snapshots that are built for such changes alone.
 const (
-	BuildWithin = 25_000
-	BuildEvery  = 100_000
+	BuildDelay    = 25_000
+	BuildInterval = 100_000
 )
 
 // Table is the plug-in.
 type Table struct {
-	k          *kernel.Kernel
-	mesh       *mesh.Mesh
-	members    *membership.Members
-	usage      *loadreport.Usage
-	configSync *configsync.Sync
-	Gauges     *Gauges
-	now        atomic.Pointer[Snapshot]
-	armed      bool
-	builtAt    int64
-	alive      uint64
-	config     config
-	listing    wire.Listing
-	from       string
-	count      uint64
-	left       map[string]int64
-	births     map[string]birth
-	liveAt     map[string]int64
-	absent     map[string]int64
-	opinions   opinions
-	// cuts are those that this node serves from.
-	cuts  map[string]wire.LiveCut
-	stale stale
+	k                   *kernel.Kernel
+	mesh                *mesh.Mesh
+	members             *membership.Members
+	loadReports         *loadreport.Reporter
+	configSync          *configsync.Sync
+	Gauges              *Gauges
+	current             atomic.Pointer[Snapshot]
+	buildScheduled      bool
+	builtAt             int64
+	liveHash            uint64
+	config              configState
+	listing             wire.Listing
+	listingOrigin       string
+	listingCount        uint64
+	drainingIncarnation map[string]int64
+	births              map[string]birth
+	lastLive            map[string]int64
+	absentSince         map[string]int64
+	healthReports       healthReports
+	// servedCuts are those that this node serves from.
+	servedCuts map[string]wire.LiveCut
+	staleness  staleness
 }
 
-// stale is what a process still has to hear after it was thawed.
-type stale struct {
+// staleness is what a process still has to hear after it was thawed.
+type staleness struct {
 	until  int64
 	mesh   bool
 	pulled bool
 }
 
-func (s stale) at(now int64) bool { return now < s.until && !(s.mesh && s.pulled) }
+func (s staleness) active(now int64) bool { return now < s.until && !(s.mesh && s.pulled) }
 
 type birth struct{ incarnation, born int64 }
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Table{
-			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), usage: kernel.Find[*loadreport.Usage](k),
-			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, left: map[string]int64{}, births: map[string]birth{}, liveAt: map[string]int64{}, absent: map[string]int64{}, opinions: opinions{}, cuts: map[string]wire.LiveCut{},
+			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), loadReports: kernel.Find[*loadreport.Reporter](k),
+			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, births: map[string]birth{}, lastLive: map[string]int64{}, absentSince: map[string]int64{}, healthReports: healthReports{}, servedCuts: map[string]wire.LiveCut{},
 		}
 	}})
 }
@@ -75,93 +75,93 @@
 // Kinds are the frames that it takes: none.
 func (b *Table) Kinds() []uint8 { return nil }
 
-// Now is the newest snapshot; any thread may ask.
-func (b *Table) Now() *Snapshot { return b.now.Load() }
+// Current is the newest snapshot; any thread may ask.
+func (b *Table) Current() *Snapshot { return b.current.Load() }
 
 // Step takes one input.
 func (b *Table) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		ctx.After(configsync.UnconfirmedAfter, "table", awaitKey)
+		ctx.After(configsync.UnconfirmedAfter, "table", awaitTimer)
 		b.build(ctx)
 	case kernel.Tick:
-		if v.Key == awaitKey {
-			b.await(ctx)
+		if v.Key == awaitTimer {
+			b.awaitConfirmed(ctx)
 			return
 		}
-		b.armed = b.armed && v.Key != "build"
+		b.buildScheduled = b.buildScheduled && v.Key != "build"
 		b.build(ctx)
 	case kernel.Thawed:
-		b.stale = stale{until: ctx.Now + StaleMost}
+		b.staleness = staleness{until: ctx.Now + MaxStale}
 		b.build(ctx)
-		ctx.After(StaleMost, "table", "stale")
+		ctx.After(MaxStale, "table", "stale")
 	case mesh.CaughtUp:
-		b.heard(ctx, func(s *stale) { s.mesh = true })
+		b.refreshed(ctx, func(s *staleness) { s.mesh = true })
 	case configsync.Pulled:
-		b.pulled(ctx, v)
+		b.handlePulled(ctx, v)
 	case kernel.Stopping:
 		b.build(ctx)
-	case mesh.Pulse:
-		if b.lives(ctx.Now) != b.alive {
+	case mesh.LivenessUpdated:
+		if b.updateLive(ctx.Now) != b.liveHash {
 			b.build(ctx)
 		}
 	case mesh.Forgotten:
-		delete(b.liveAt, v.Origin)
-		b.opinions.forget(v.Origin)
-		b.soon(ctx)
-		b.inherit(ctx, v.Origin)
+		delete(b.lastLive, v.Origin)
+		b.healthReports.forget(v.Origin)
+		b.scheduleBuild(ctx)
+		b.reannounceListing(ctx, v.Origin)
 	case mesh.Stored:
 		switch v.Entry.Type {
 		case "part":
 			b.build(ctx)
 		case "listing":
-			b.list(ctx, v)
+			b.applyListing(ctx, v)
 		case "opinion":
-			b.opinions.take(v)
-			b.soon(ctx)
+			b.healthReports.apply(v)
+			b.scheduleBuild(ctx)
 		case "member":
-			b.soon(ctx)
+			b.scheduleBuild(ctx)
 		}
 	}
 }
 
-// soon has a snapshot built shortly, for all that changes until then.
-func (b *Table) soon(ctx *kernel.Context) {
-	if !b.armed {
-		b.armed = true
-		ctx.After(max(BuildWithin, b.builtAt+BuildEvery-ctx.Now), "table", "build")
+// scheduleBuild has a snapshot built shortly, for all that changes until then.
+func (b *Table) scheduleBuild(ctx *kernel.Context) {
+	if !b.buildScheduled {
+		b.buildScheduled = true
+		ctx.After(max(BuildDelay, b.builtAt+BuildInterval-ctx.Now), "table", "build")
 	}
 }
 
-// heard notes one of the things that a thawed process waits for.
-func (b *Table) heard(ctx *kernel.Context, f func(s *stale)) {
-	if was := b.stale.at(ctx.Now); was {
-		f(&b.stale)
-		if !b.stale.at(ctx.Now) {
+// refreshed notes one of the things that a thawed process waits for.
+func (b *Table) refreshed(ctx *kernel.Context, f func(s *staleness)) {
+	if was := b.staleness.active(ctx.Now); was {
+		f(&b.staleness)
+		if !b.staleness.active(ctx.Now) {
 			b.build(ctx)
 		}
 	}
 }
 
-// pulled notes that a core answered a pull: what a process serves from that has just started, or was
+// handlePulled notes that a core answered a pull: what a process serves from that has just started, or was
 // thawed, needs an answer of a core in contact with a majority.
-func (b *Table) pulled(ctx *kernel.Context, v configsync.Pulled) {
+func (b *Table) handlePulled(ctx *kernel.Context, v configsync.Pulled) {
 	if v.Confirmed == 0 {
 		return
 	}
-	b.heard(ctx, func(s *stale) { s.pulled = true })
-	if !b.now.Load().Whole {
+	b.refreshed(ctx, func(s *staleness) { s.pulled = true })
+	if !b.current.Load().Complete {
 		b.build(ctx)
 	}
 }
 
-// list takes a reading of the platform's list, unless an older holder made it.
-func (b *Table) list(ctx *kernel.Context, v mesh.Stored) {
+// applyListing takes a reading of the platform's list, unless an older holder made it.
+func (b *Table) applyListing(ctx *kernel.Context, v mesh.Stored) {
 	var l wire.Listing
 	if wire.Decode(v.Entry.Body, &l) != nil || l.Turn < b.listing.Turn {
 		return
 	}
-	if v.Origin == b.from && v.Entry.Count < b.count {
+	if v.Origin == b.listingOrigin && v.Entry.Count < b.listingCount {
 		return
 	}
 	there := map[string]bool{}
@@ -169,53 +169,53 @@
 		there[s.ID] = true
 		if s.State == "leaving" {
 			// Sticky for the incarnation: no later reading takes it back.
-			b.left[s.ID] = max(b.left[s.ID], s.Incarnation)
+			b.drainingIncarnation[s.ID] = max(b.drainingIncarnation[s.ID], s.Incarnation)
 		}
 	}
 	for _, s := range b.listing.Servers {
 		if !there[s.ID] && !l.Whole {
 			// Absence from such a list proves nothing; the server stays until it is absent for long.
-			if _, ok := b.absent[s.ID]; !ok {
-				b.absent[s.ID] = ctx.Now
+			if _, ok := b.absentSince[s.ID]; !ok {
+				b.absentSince[s.ID] = ctx.Now
 			}
-			if ctx.Now-b.absent[s.ID] < AbsentFor {
+			if ctx.Now-b.absentSince[s.ID] < AbsentTTL {
 				l.Servers = append(l.Servers, s)
 			}
 		}
 	}
 	for id := range there {
-		delete(b.absent, id)
+		delete(b.absentSince, id)
 	}
-	b.listing, b.from, b.count = l, v.Origin, v.Entry.Count
+	b.listing, b.listingOrigin, b.listingCount = l, v.Origin, v.Entry.Count
 	b.build(ctx)
 }
 
-// AbsentFor is how long a server that left the list without a word is kept.
-const AbsentFor = 60_000_000
+// AbsentTTL is how long a server that left the list without a word is kept.
+const AbsentTTL = 60_000_000
 
 func (b *Table) build(ctx *kernel.Context) {
 	c := &Snapshot{
 		At: ctx.Now, Indexes: map[string]*Index{}, Zone: b.k.Boot.Settings.Zone, Divisor: b.members.Divisor(),
-		Drains: b.members.SelfRow().Draining, Stale: b.stale.at(ctx.Now),
+		Draining: b.members.Local().Draining, Stale: b.staleness.active(ctx.Now),
 	}
-	b.configure(ctx, c)
-	b.alive = b.lives(ctx.Now)
+	b.loadConfig(ctx, c)
+	b.liveHash = b.updateLive(ctx.Now)
 	for _, z := range c.Config.DrainedZones {
-		c.Emptied = c.Emptied || z == c.Zone
+		c.ZoneDrained = c.ZoneDrained || z == c.Zone
 	}
 	c.Roster = b.roster(ctx)
-	c.Homes = homes(c.Roster)
+	c.KeyOwners = keyOwners(c.Roster)
 	c.Peers = b.members.Count(ctx.Now, "node")
-	c.Servers = b.judge(ctx, c)
-	if c.Sheet != nil {
-		for _, s := range c.Sheet.Services {
-			c.Indexes[s.Index] = b.index(c, s)
+	c.Servers = b.evaluateServers(ctx, c)
+	if c.Configuration != nil {
+		for _, s := range c.Configuration.Services {
+			c.Indexes[s.Index] = b.buildIndex(c, s)
 		}
 	}
-	b.pools(c)
-	c.Whole = b.whole(ctx, c)
-	b.noteUnconfirmed(ctx, c)
-	b.now.Store(c)
+	b.buildPools(c)
+	c.Complete = b.complete(ctx, c)
+	b.logUnconfirmed(ctx, c)
+	b.current.Store(c)
 	b.builtAt = ctx.Now
 	ctx.Emit(Built{})
 }
@@ -223,11 +223,11 @@
 // Built is emitted when a new snapshot has been published.
 type Built struct{}
 
-// inherit tells the list again that a forgotten node had told, so that nodes
+// reannounceListing tells the list again that a forgotten node had told, so that nodes
 // which start later still find it. The first live node by name does so.
-func (b *Table) inherit(ctx *kernel.Context, gone string) {
+func (b *Table) reannounceListing(ctx *kernel.Context, forgotten string) {
 	live := b.members.Live(ctx.Now, "node")
-	if gone == b.from && len(live) > 0 && live[0].Origin == b.mesh.Self() {
-		b.mesh.Announce(ctx, "listing", discovery.Duty, wire.Encode(&b.listing), false)
+	if forgotten == b.listingOrigin && len(live) > 0 && live[0].Origin == b.mesh.Self() {
+		b.mesh.Announce(ctx, "listing", discovery.LeaseTask, wire.Encode(&b.listing), false)
 	}
 }
