--- a/cluster/discovery/change.go
+++ b/cluster/discovery/change.go
@@ -11,24 +11,24 @@
 )
 
 // changed reports whether a reading says anything that the last one did not: cold times that only run down are none.
-func (p *Lister) changed(now int64, l *wire.Listing) bool {
-	slices.SortFunc(l.Servers, func(a, b wire.Server) int { return cmp.Compare(a.ID, b.ID) })
+func (p *Lister) changed(now int64, l *wire.BackendList) bool {
+	slices.SortFunc(l.Backends, func(a, b wire.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	was, fresh := p.slowStartUntil, false
 	p.slowStartUntil = map[string]int64{}
-	plain := wire.Listing{Turn: l.Turn, Whole: l.Whole, Servers: slices.Clone(l.Servers)}
-	for i := range plain.Servers {
-		s := &plain.Servers[i]
-		if s.ColdUs == 0 {
+	plain := wire.BackendList{LeaseID: l.LeaseID, Complete: l.Complete, Backends: slices.Clone(l.Backends)}
+	for i := range plain.Backends {
+		s := &plain.Backends[i]
+		if s.WarmUpRemaining == 0 {
 			fresh = fresh || was[s.ID]-now >= SlowStartTolerance
 			continue
 		}
-		to := now + s.ColdUs
+		to := now + s.WarmUpRemaining
 		if old, ok := was[s.ID]; ok && to-old < SlowStartTolerance && old-to < SlowStartTolerance {
 			to = old
 		} else {
 			fresh = true
 		}
-		p.slowStartUntil[s.ID], s.ColdUs = to, 0
+		p.slowStartUntil[s.ID], s.WarmUpRemaining = to, 0
 	}
 	h := fnv.New64a()
 	h.Write(wire.Encode(&plain))
--- a/cluster/discovery/discovery.go
+++ b/cluster/discovery/discovery.go
@@ -117,10 +117,10 @@
 	}
 	p.heardAt, p.soleReader = ctx.Now, v.Local
 	p.unread = p.unread && v.Entry.Type != "listing"
-	var l wire.Listing
+	var l wire.BackendList
 	if v.Entry.Type == "listing" && wire.Decode(v.Entry.Body, &l) == nil {
 		p.checkSingleLeaseHolder(ctx, v, &l)
-		p.newestLeaseID = max(p.newestLeaseID, l.Turn)
+		p.newestLeaseID = max(p.newestLeaseID, l.LeaseID)
 	}
 }
 
@@ -194,8 +194,8 @@
 
 func (p *Lister) handleFetched(ctx *kernel.Context, v kernel.Fetched) {
 	p.reading = false
-	var l wire.Listing
-	if v.Err != "" || v.Status != 200 || json.Unmarshal(v.Body, &l) != nil || len(l.Servers) == 0 {
+	var l wire.BackendList
+	if v.Err != "" || v.Status != 200 || json.Unmarshal(v.Body, &l) != nil || len(l.Backends) == 0 {
 		ctx.Counts.Add("platform_failed", 1)
 		if v.Status == http.StatusTooManyRequests {
 			p.slowdown = min(2*max(1, p.slowdown), maxSlowdown)
@@ -210,7 +210,7 @@
 		return
 	}
 	p.callsPerRead, l.Calls = max(1, l.Calls), 0
-	l.Turn, p.heardAt = p.newestLeaseID, ctx.Now
+	l.LeaseID, p.heardAt = p.newestLeaseID, ctx.Now
 	if !p.changed(ctx.Now, &l) && ctx.Now-p.announcedAt < AnnounceInterval {
 		p.mesh.Announce(ctx, "polled", LeaseTask, nil, false)
 		return
--- a/cluster/discovery/discovery_test.go
+++ b/cluster/discovery/discovery_test.go
@@ -31,7 +31,7 @@
 	holds   []wire.LeaseRequest
 	// status and list are the platform's answer; leader grants the duty to asks.
 	status int
-	list   wire.Listing
+	list   wire.BackendList
 	grants bool
 	// peer is the node at the other end of channel 1; frames to it wait in mail until both have stepped.
 	peer *rig
@@ -42,7 +42,7 @@
 
 func newNode(t *testing.T, e settings.Settings, n byte) *rig {
 	e.Name, e.Mesh, e.Platform = "n"+string('0'+n), "10.0.0."+string('1'+n)+":1", "http://platform/list"
-	r := &rig{t: t, status: 200, list: wire.Listing{Whole: true, Servers: []wire.Server{{ID: "s", State: "ready"}}}}
+	r := &rig{t: t, status: 200, list: wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "s", State: "ready"}}}}
 	r.k = kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{n}, 32))})
 	r.l = kernel.Find[*Lister](r.k)
 	r.feed(kernel.Start{})
@@ -75,7 +75,7 @@
 		}
 		r.holds = append(r.holds, h)
 		if r.grants && !h.Release {
-			granted := &wire.LeaseReply{Task: LeaseTask, Holder: r.l.mesh.Self(), For: 800_000, LeaseID: 3}
+			granted := &wire.LeaseReply{Task: LeaseTask, Holder: r.l.mesh.Self(), Duration: 800_000, LeaseID: 3}
 			r.feed(kernel.Received{Data: wire.Seal(wire.KindLeaseReply, f.ID, granted)})
 		}
 	}
@@ -220,7 +220,7 @@
 func TestChangedReportsAllButExpiringSlowStart(t *testing.T) {
 	l := &Lister{}
 	read := func(at, cold int64, state string) bool {
-		return l.changed(at, &wire.Listing{Whole: true, Servers: []wire.Server{{ID: "b", ColdUs: cold, State: "ready"}, {ID: "a", State: state}}})
+		return l.changed(at, &wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "b", WarmUpRemaining: cold, State: "ready"}, {ID: "a", State: state}}})
 	}
 	must.True(t, read(0, 0, "ready"))
 	must.False(t, read(second, 0, "ready"))
@@ -231,5 +231,5 @@
 	must.False(t, read(14*second, 0, "leaving"), must.Sprint("warm, as was told"))
 	must.True(t, read(15*second, 9*second, "leaving"))
 	must.True(t, read(16*second, 0, "leaving"), must.Sprint("warm sooner than was told"))
-	must.True(t, l.changed(17*second, &wire.Listing{Whole: true, Servers: []wire.Server{{ID: "b"}}}), must.Sprint("one is gone"))
+	must.True(t, l.changed(17*second, &wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "b"}}}), must.Sprint("one is gone"))
 }
--- a/cluster/discovery/lease.go
+++ b/cluster/discovery/lease.go
@@ -24,14 +24,14 @@
 	if !open || r.Task != LeaseTask || r.Holder != p.mesh.Self() {
 		return
 	}
-	p.leaseUntil = max(p.leaseUntil, at+r.For)
+	p.leaseUntil = max(p.leaseUntil, at+r.Duration)
 	p.leaseID, p.newestLeaseID = max(p.leaseID, r.LeaseID), max(p.newestLeaseID, r.LeaseID)
 }
 
 // checkSingleLeaseHolder sees that nobody else was granted the duty while this node still holds it.
-func (p *Lister) checkSingleLeaseHolder(ctx *kernel.Context, v mesh.Stored, l *wire.Listing) {
-	if !v.Local && ctx.Now < p.leaseUntil && l.Turn > p.leaseID {
-		ctx.Violated(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under turn %d while turn %d is held here for %d us yet", v.Origin, l.Turn, p.leaseID, p.leaseUntil-ctx.Now))
+func (p *Lister) checkSingleLeaseHolder(ctx *kernel.Context, v mesh.Stored, l *wire.BackendList) {
+	if !v.Local && ctx.Now < p.leaseUntil && l.LeaseID > p.leaseID {
+		ctx.Violated(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under turn %d while turn %d is held here for %d us yet", v.Origin, l.LeaseID, p.leaseID, p.leaseUntil-ctx.Now))
 	}
 }
 
@@ -50,7 +50,7 @@
 	}
 	for _, r := range p.members.Live(ctx.Now, "node") {
 		if r.Origin != p.mesh.Self() && !r.Draining {
-			ctx.SendTo(addr, wire.KindLeaseRequest, 0, &wire.LeaseRequest{Partition: partition, Task: LeaseTask, From: p.mesh.Self(), Release: true, Next: r.Origin, LeaseID: p.leaseID})
+			ctx.SendTo(addr, wire.KindLeaseRequest, 0, &wire.LeaseRequest{Partition: partition, Task: LeaseTask, From: p.mesh.Self(), Release: true, Successor: r.Origin, LeaseID: p.leaseID})
 			p.forgetLease()
 			return true
 		}
--- a/cluster/discovery/lease_test.go
+++ b/cluster/discovery/lease_test.go
@@ -24,7 +24,7 @@
 }
 
 func (r *rig) grant(id uint64) {
-	granted := &wire.LeaseReply{Task: LeaseTask, Holder: r.l.mesh.Self(), For: 800_000, LeaseID: 3}
+	granted := &wire.LeaseReply{Task: LeaseTask, Holder: r.l.mesh.Self(), Duration: 800_000, LeaseID: 3}
 	r.feed(kernel.Received{Data: wire.Seal(wire.KindLeaseReply, id, granted)})
 }
 
@@ -56,7 +56,7 @@
 	r.becomeLeaseHolder()
 	r.grant(r.requests())
 	reads := func(turn uint64) invariant.Name {
-		body := wire.Encode(&wire.Listing{Turn: turn})
+		body := wire.Encode(&wire.BackendList{LeaseID: turn})
 		return violation.By(func() {
 			r.l.handleStored(&kernel.Context{Now: r.now, Counts: r.k.Counts}, mesh.Stored{Entry: &wire.Entry{Type: "listing", ID: LeaseTask, Body: body}, Origin: "other"})
 		})
--- a/cluster/loadreport/loadreport.go
+++ b/cluster/loadreport/loadreport.go
@@ -99,7 +99,7 @@
 		u.report(ctx)
 	case mesh.Stored:
 		if v.Entry.Type == "usage" && !v.Local {
-			var r wire.UsageReport
+			var r wire.LoadReport
 			if wire.Decode(v.Entry.Body, &r) == nil {
 				u.remoteRates[v.Origin] = r.Rates
 			}
@@ -110,7 +110,7 @@
 }
 
 func (u *Reporter) report(ctx *kernel.Context) {
-	report := wire.UsageReport{Rates: map[string]int64{}}
+	report := wire.LoadReport{Rates: map[string]int64{}}
 	moved := false
 	u.meters.Range(func(k, v any) bool {
 		key, m := k.(string), v.(*Meter)
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -86,7 +86,7 @@
 func TestOtherChangesAreAnnouncedAtOnce(t *testing.T) {
 	p := newProcess(95)
 	p.update(version(1))
-	p.update(func(m *wire.Member) { m.Sick = "disk" })
+	p.update(func(m *wire.Member) { m.UnhealthyReason = "disk" })
 	must.Between(t, announceInterval, p.announcedWithin(2_000_000), announceInterval+20_000)
 	p.update(version(2))
 	p.feed(kernel.Stopping{})
--- a/cluster/mesh/announce.go
+++ b/cluster/mesh/announce.go
@@ -10,7 +10,7 @@
 // Announce signs, stores and floods an entry of this process's own.
 func (m *Mesh) Announce(ctx *kernel.Context, typ, id string, body []byte, withdrawn bool) {
 	m.count++
-	e := &wire.Entry{Type: typ, ID: id, Origin: m.k.Boot.Key.Public, Count: m.count, At: ctx.Wall, Gone: withdrawn, Body: body}
+	e := &wire.Entry{Type: typ, ID: id, Origin: m.k.Boot.Key.Public, Count: m.count, At: ctx.Wall, Tombstone: withdrawn, Body: body}
 	sign(e, m.k.Boot.Key)
 	m.seen.add(seenKey(e), ctx.Now)
 	m.store.put(e, m.self, ctx.Now)
--- a/cluster/mesh/antientropy.go
+++ b/cluster/mesh/antientropy.go
@@ -105,8 +105,8 @@
 // handleWatermarks takes the marks of some buckets: what the other side lacks of them is sent, and, if
 // it asks, then this side's marks, so that whoever has read them has all.
 func (m *Mesh) handleWatermarks(ctx *kernel.Context, p *peerConn, hb *wire.Heartbeat) {
-	theirs := make(map[string]wire.Mark, len(hb.Marks))
-	for _, mk := range hb.Marks {
+	theirs := make(map[string]wire.OriginSummary, len(hb.Summaries))
+	for _, mk := range hb.Summaries {
 		theirs[mk.Origin] = mk
 	}
 	left := min(MaxSyncBytes, m.syncAllowance(ctx.Now))
@@ -159,10 +159,10 @@
 	hb := &wire.Heartbeat{Digest: m.digest(), Scope: scope, Echo: echo, Partitions: m.versions()}
 	for _, fp := range sortedKeys(m.store.origins) {
 		if o := m.store.origins[fp]; scope&bucketBit(fp) != 0 && o.maxCount > 0 {
-			hb.Marks = append(hb.Marks, wire.Mark{Origin: fp, Max: o.maxCount, Sum: o.sum})
+			hb.Summaries = append(hb.Summaries, wire.OriginSummary{Origin: fp, Max: o.maxCount, Sum: o.sum})
 		}
 	}
-	ctx.Counts.Add("mesh_marks_out", int64(len(hb.Marks)))
+	ctx.Counts.Add("mesh_marks_out", int64(len(hb.Summaries)))
 	ctx.Send(p.conn, wire.KindHeartbeat, 0, hb)
 }
 
@@ -210,7 +210,7 @@
 
 // isBehind reports whether the other side holds something that this one does not.
 func (m *Mesh) isBehind(hb *wire.Heartbeat) bool {
-	for _, mk := range hb.Marks {
+	for _, mk := range hb.Summaries {
 		if mk.Origin == m.self || mk.Max == 0 {
 			continue
 		}
@@ -232,7 +232,7 @@
 
 // sendMissingEntries sends what the other side lacks of an origin: what is past its counter, or, where
 // the counters agree and the sums do not, everything.
-func (m *Mesh) sendMissingEntries(ctx *kernel.Context, p *peerConn, o *originState, theirs wire.Mark, most int) (sent int) {
+func (m *Mesh) sendMissingEntries(ctx *kernel.Context, p *peerConn, o *originState, theirs wire.OriginSummary, most int) (sent int) {
 	if o.sum == theirs.Sum || len(o.entries) == 0 || o.maxCount < theirs.Max {
 		return 0
 	}
--- a/cluster/mesh/heartbeat.go
+++ b/cluster/mesh/heartbeat.go
@@ -88,7 +88,7 @@
 		if o.heartbeat == 0 {
 			continue
 		}
-		hb.Marks = append(hb.Marks, wire.Mark{Origin: fp, Max: o.maxCount, Sum: o.sum, Beat: o.heartbeat, Key: o.key, Sig: o.sig})
+		hb.Summaries = append(hb.Summaries, wire.OriginSummary{Origin: fp, Max: o.maxCount, Sum: o.sum, Heartbeat: o.heartbeat, Key: o.key, Sig: o.sig})
 	}
 	return hb
 }
@@ -97,7 +97,7 @@
 	for _, a := range hb.Addrs {
 		m.addAddr(a)
 	}
-	for _, mk := range hb.Marks {
+	for _, mk := range hb.Summaries {
 		m.applySignedHeartbeat(ctx, p.key, mk)
 	}
 	if p.legacy = hb.Digest == 0; !p.legacy {
@@ -113,14 +113,14 @@
 	}
 }
 
-func (m *Mesh) applySignedHeartbeat(ctx *kernel.Context, from string, mk wire.Mark) {
-	if mk.Origin == m.self || mk.Beat == 0 {
+func (m *Mesh) applySignedHeartbeat(ctx *kernel.Context, from string, mk wire.OriginSummary) {
+	if mk.Origin == m.self || mk.Heartbeat == 0 {
 		return
 	}
-	if g, dead := m.store.forgotten[mk.Origin]; dead && mk.Beat <= g.heartbeat {
+	if g, dead := m.store.forgotten[mk.Origin]; dead && mk.Heartbeat <= g.heartbeat {
 		return
 	}
-	if o := m.store.origins[mk.Origin]; o != nil && mk.Beat <= o.heartbeat {
+	if o := m.store.origins[mk.Origin]; o != nil && mk.Heartbeat <= o.heartbeat {
 		return
 	}
 	if !m.verifySignedHeartbeat(mk) {
@@ -132,7 +132,7 @@
 		return
 	}
 	first := o.heartbeat == 0
-	o.heartbeat, o.heartbeatAt, o.key, o.sig = mk.Beat, ctx.Now, mk.Key, mk.Sig
+	o.heartbeat, o.heartbeatAt, o.key, o.sig = mk.Heartbeat, ctx.Now, mk.Key, mk.Sig
 	if first && mk.Origin != from {
 		// Heard of from another: it may be long gone, and counts once its beat rises.
 		o.heartbeatAt = ctx.Now - LivenessTimeout
@@ -148,9 +148,9 @@
 
 // verifySignedHeartbeat reports whether the origin itself came to a beat. Releases before 2 did not sign
 // them; while a fleet is upgraded from one, a setting lets those pass.
-func (m *Mesh) verifySignedHeartbeat(mk wire.Mark) bool {
+func (m *Mesh) verifySignedHeartbeat(mk wire.OriginSummary) bool {
 	if len(mk.Sig) == 0 {
 		return m.k.Boot.Settings.UnsignedBeats
 	}
-	return len(mk.Key) == ed25519.PublicKeySize && kernel.Fingerprint(mk.Key) == mk.Origin && ed25519.Verify(mk.Key, signedHeartbeatText(mk.Beat), mk.Sig)
+	return len(mk.Key) == ed25519.PublicKeySize && kernel.Fingerprint(mk.Key) == mk.Origin && ed25519.Verify(mk.Key, signedHeartbeatText(mk.Heartbeat), mk.Sig)
 }
--- a/cluster/mesh/heartbeat_test.go
+++ b/cluster/mesh/heartbeat_test.go
@@ -12,12 +12,12 @@
 	"wallport/runtime/wire"
 )
 
-func (r *rig) heartbeat(mk wire.Mark) {
-	r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Marks: []wire.Mark{mk}})})
+func (r *rig) heartbeat(mk wire.OriginSummary) {
+	r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Summaries: []wire.OriginSummary{mk}})})
 }
 
-func watermark(k kernel.Key, beat uint64) wire.Mark {
-	return wire.Mark{Origin: kernel.Fingerprint(k.Public), Beat: beat, Key: k.Public, Sig: ed25519.Sign(k.Private, signedHeartbeatText(beat))}
+func watermark(k kernel.Key, beat uint64) wire.OriginSummary {
+	return wire.OriginSummary{Origin: kernel.Fingerprint(k.Public), Heartbeat: beat, Key: k.Public, Sig: ed25519.Sign(k.Private, signedHeartbeatText(beat))}
 }
 
 func TestHeartbeatOfDeadOriginCannotBeForgedOrReplayed(t *testing.T) {
@@ -28,9 +28,9 @@
 	r.heartbeat(watermark(key(3), 5))
 	must.True(t, r.m.Live(dead, r.now))
 	r.now += LivenessTimeout + 1
-	forged := map[string]wire.Mark{"the same again": watermark(key(3), 5), "an older one": watermark(key(3), 4)}
+	forged := map[string]wire.OriginSummary{"the same again": watermark(key(3), 5), "an older one": watermark(key(3), 4)}
 	raised := watermark(key(3), 5)
-	raised.Beat = 6
+	raised.Heartbeat = 6
 	forged["raised by a peer"] = raised
 	raised.Sig, raised.Key = nil, nil
 	forged["not signed"] = raised
@@ -54,7 +54,7 @@
 	must.False(t, r.m.Live(mk.Origin, r.now))
 	r.k.Boot.Settings.UnsignedBeats = true
 	r.heartbeat(mk)
-	mk.Beat++
+	mk.Heartbeat++
 	r.heartbeat(mk)
 	must.True(t, r.m.Live(mk.Origin, r.now))
 }
--- a/cluster/mesh/links.go
+++ b/cluster/mesh/links.go
@@ -139,7 +139,7 @@
 		body.Peers = append(body.Peers, b...)
 	}
 	for _, fp := range sortedKeys(l.lost) {
-		body.Lost = append(body.Lost, wire.Suspect{Origin: fp, Count: l.lost[fp]})
+		body.Suspects = append(body.Suspects, wire.Suspect{Origin: fp, Count: l.lost[fp]})
 	}
 	ctx.Counts.Add("mesh_links_told", 1)
 	m.Announce(ctx, "links", m.self, wire.Encode(&body), false)
@@ -148,7 +148,7 @@
 // handleLinks takes in what another tells of its links.
 func (m *Mesh) handleLinks(ctx *kernel.Context, o *originState, e *wire.Entry) {
 	var l wire.Links
-	if wire.Decode(e.Body, &l) != nil || len(l.Peers)%8 != 0 || len(l.Peers) > 8*MaxLinks || len(l.Lost) > MaxLostLinks {
+	if wire.Decode(e.Body, &l) != nil || len(l.Peers)%8 != 0 || len(l.Peers) > 8*MaxLinks || len(l.Suspects) > MaxLostLinks {
 		ctx.Counts.Add("mesh_dropped_malformed", 1)
 		return
 	}
@@ -158,7 +158,7 @@
 		o.links = append(o.links, fp)
 		m.store.restore(fp)
 	}
-	for _, s := range l.Lost {
+	for _, s := range l.Suspects {
 		m.handleSuspicion(ctx, s)
 	}
 	m.scheduleReach(ctx)
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -211,7 +211,7 @@
 	for _, fp := range sortedKeys(m.store.origins) {
 		o := m.store.origins[fp]
 		for _, key := range sortedKeys(o.entries) {
-			if e := o.entries[key]; e.Type == typ && !e.Gone {
+			if e := o.entries[key]; e.Type == typ && !e.Tombstone {
 				f(e, fp)
 			}
 		}
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -152,7 +152,7 @@
 	}
 	fp := kernel.Fingerprint(key(3).Public)
 	mark := func(max, sum uint64) int {
-		out := r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Marks: []wire.Mark{{Origin: fp, Max: max, Sum: sum, Beat: 1}}})})
+		out := r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Summaries: []wire.OriginSummary{{Origin: fp, Max: max, Sum: sum, Heartbeat: 1}}})})
 		return len(out.Sends)
 	}
 	o := r.m.store.origins[fp]
@@ -205,7 +205,7 @@
 
 func FuzzReceived(f *testing.F) {
 	f.Add(wire.Seal(wire.KindGossip, 0, entry(key(2), "opinion", "s1", 1)))
-	f.Add(wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Addrs: []string{"a"}, Marks: []wire.Mark{{Origin: "o", Max: 1, Beat: 2}}}))
+	f.Add(wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Addrs: []string{"a"}, Summaries: []wire.OriginSummary{{Origin: "o", Max: 1, Heartbeat: 2}}}))
 	f.Add([]byte{1, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := newRig(t)
--- a/cluster/mesh/notice.go
+++ b/cluster/mesh/notice.go
@@ -23,7 +23,7 @@
 )
 
 // isLarge reports whether an entry travels in pieces.
-func isLarge(e *wire.Entry) bool { return len(e.Body) > wire.WholeMost }
+func isLarge(e *wire.Entry) bool { return len(e.Body) > wire.MaxSingleFrame }
 
 // entryRequest is when an entry was asked for, and on which connection.
 type entryRequest struct {
--- a/cluster/mesh/store.go
+++ b/cluster/mesh/store.go
@@ -113,10 +113,10 @@
 		return false
 	}
 	sum := o.sum
-	if old != nil && !old.Gone {
+	if old != nil && !old.Tombstone {
 		sum ^= entryHash(old)
 	}
-	if !e.Gone {
+	if !e.Tombstone {
 		sum ^= entryHash(e)
 	} else {
 		o.tombstones = append(o.tombstones, tombstone{key, e.Count, now})
@@ -159,7 +159,7 @@
 	for len(o.tombstones) > 0 && now-o.tombstones[0].withdrawnAt >= TombstoneTTL {
 		g := o.tombstones[0]
 		o.tombstones = o.tombstones[1:]
-		if e := o.entries[g.key]; e != nil && e.Gone && e.Count == g.count {
+		if e := o.entries[g.key]; e != nil && e.Tombstone && e.Count == g.count {
 			delete(o.entries, g.key)
 		}
 	}
--- a/cmd/wallport/control.go
+++ b/cmd/wallport/control.go
@@ -63,5 +63,5 @@
 	if len(found) == 0 {
 		return ""
 	}
-	return found[0].Place + ": " + found[0].Text
+	return found[0].Path + ": " + found[0].Text
 }
--- a/cmd/wallport/history.go
+++ b/cmd/wallport/history.go
@@ -66,7 +66,7 @@
 func lines(found []wire.Finding) string {
 	var out []string
 	for _, f := range found {
-		out = append(out, f.Place+": "+f.Text)
+		out = append(out, f.Path+": "+f.Text)
 	}
 	sort.Strings(out)
 	return strings.Join(out, "\n")
--- a/control/config/read.go
+++ b/control/config/read.go
@@ -45,7 +45,7 @@
 type finder struct{ found []wire.Finding }
 
 func (f *finder) add(place, text string, args ...any) {
-	f.found = append(f.found, wire.Finding{Place: place, Text: fmt.Sprintf(text, args...)})
+	f.found = append(f.found, wire.Finding{Path: place, Text: fmt.Sprintf(text, args...)})
 }
 
 // Read decodes a whole sheet.
--- a/control/config/sheet_test.go
+++ b/control/config/sheet_test.go
@@ -20,7 +20,7 @@
 func places(f []wire.Finding) string {
 	var out []string
 	for _, v := range f {
-		out = append(out, v.Place)
+		out = append(out, v.Path)
 	}
 	return strings.Join(out, " ")
 }
--- a/control/configsync/contact.go
+++ b/control/configsync/contact.go
@@ -83,10 +83,10 @@
 
 // answered takes note of the contact that a core's answer tells of, and passes it on.
 func (p *Sync) answered(ctx *kernel.Context, asked sentPull, r *wire.PullReply) {
-	contact := r.Contact | r.Relayed
+	contact := r.ContactMask | r.RelayedMask
 	if ctx.Now-asked.at > AnswerWithin {
 		ctx.Counts.Add("pulls_answered_late", 1)
-		r.Contact, contact = 0, 0
+		r.ContactMask, contact = 0, 0
 	}
 	delete(p.contact.without, asked.addr)
 	if contact&partitionBit(state.Config) == 0 {
@@ -94,5 +94,5 @@
 		ctx.Counts.Add("pulls_without_contact", 1)
 	}
 	p.contact.confirmed |= contact
-	ctx.Emit(Pulled{AskedAt: asked.at, Contact: r.Contact, Confirmed: contact})
+	ctx.Emit(Pulled{AskedAt: asked.at, Contact: r.ContactMask, Confirmed: contact})
 }
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -180,7 +180,7 @@
 	if p.core {
 		self := p.members.Local()
 		req.Addr, req.Zone = self.Addr, self.Zone
-		if self.Sick == "" && !self.Draining {
+		if self.UnhealthyReason == "" && !self.Draining {
 			req.Replica = self.Replica
 		}
 	}
--- a/control/operations/binding_test.go
+++ b/control/operations/binding_test.go
@@ -114,7 +114,7 @@
 	n := newNode(t)
 	n.call(1, ReadHistory{})
 	must.Eq(t, wire.OpHistory, n.last().edit.Op)
-	n.reply(1, wire.EditReply{Code: "ok", Body: wire.Encode(&wire.Ledger{History: []wire.Past{{By: "someone"}}})})
+	n.reply(1, wire.EditReply{Code: "ok", Body: wire.Encode(&wire.EditLog{History: []wire.PastConfig{{By: "someone"}}})})
 	must.Eq(t, "someone", n.answers[1].(History).Sheets[0].By)
 	n.call(2, ReadHistory{})
 	n.pass(GiveUp)
@@ -125,27 +125,27 @@
 func TestUnknownZoneIsRefused(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		list   wire.Listing
+		list   wire.BackendList
 		op     string
 		zone   string
 		refuse bool
 	}{
-		{"nothing known", wire.Listing{}, "empty", "z9", false},
-		{"a list in part", wire.Listing{Servers: []wire.Server{{Zone: "z2"}}}, "empty", "z9", false},
-		{"nothing there", wire.Listing{Whole: true, Servers: []wire.Server{{Zone: "z2"}}}, "empty", "z9", true},
-		{"a backend there", wire.Listing{Whole: true, Servers: []wire.Server{{Zone: "z2"}}}, "empty", "z2", false},
-		{"a member there", wire.Listing{Whole: true, Servers: []wire.Server{{Zone: "z2"}}}, "empty", "z1", false},
-		{"taken back", wire.Listing{Whole: true, Servers: []wire.Server{{Zone: "z2"}}}, "refill", "z9", false},
+		{"nothing known", wire.BackendList{}, "empty", "z9", false},
+		{"a list in part", wire.BackendList{Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z9", false},
+		{"nothing there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z9", true},
+		{"a backend there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z2", false},
+		{"a member there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z1", false},
+		{"taken back", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "refill", "z9", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(t)
-			if len(c.list.Servers) > 0 {
+			if len(c.list.Backends) > 0 {
 				n.announce("listing", wire.Encode(&c.list))
 			}
 			n.call(1, Carry{Edit: wire.Edit{Op: c.op, Name: c.zone}})
 			if c.refuse {
 				must.Eq(t, CodeUnknownZone, n.code(1))
-				must.Eq(t, "zone", n.answers[1].(Result).Reply.Findings[0].Place)
+				must.Eq(t, "zone", n.answers[1].(Result).Reply.Findings[0].Path)
 				must.SliceEmpty(t, n.frames)
 				return
 			}
@@ -158,7 +158,7 @@
 // A zone that has lost all that was in it is still drained where the settings name it.
 func TestZoneOfTheSettingsIsDrainedThoughNothingIsInIt(t *testing.T) {
 	n := newNode(t)
-	n.announce("listing", wire.Encode(&wire.Listing{Whole: true, Servers: []wire.Server{{Zone: "z2"}}}))
+	n.announce("listing", wire.Encode(&wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}))
 	kernel.Find[*Operate](n.k).zones = map[string]string{"z1": "r1", "z9": "r1"}
 	n.call(1, Carry{Edit: wire.Edit{Op: "empty", Name: "z9"}})
 	must.Eq(t, "", n.code(1))
--- a/control/operations/call.go
+++ b/control/operations/call.go
@@ -23,7 +23,7 @@
 
 // History answers ReadHistory. Code is "ok" or "shed"; the newest sheet is the last.
 type History struct {
-	Sheets []wire.Past
+	Sheets []wire.PastConfig
 	Code   string
 }
 
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -53,7 +53,7 @@
 	}
 	o.rebuilds[id] = r
 	for _, c := range o.cores(ctx.Now) {
-		ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: partition, Brief: true})
+		ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: partition, VersionOnly: true})
 	}
 	o.rebuildDue(ctx, id, r, AskedFor)
 }
@@ -74,7 +74,7 @@
 func (o *Operate) cores(now int64) []membership.Member {
 	var out []membership.Member
 	for _, c := range o.members.Live(now, "core") {
-		if c.Replica != "" && c.Sick == "" && !c.Draining {
+		if c.Replica != "" && c.UnhealthyReason == "" && !c.Draining {
 			out = append(out, c)
 		}
 	}
@@ -86,19 +86,19 @@
 	if r == nil || m.Partition != r.partition {
 		return
 	}
-	r.top = max(r.top, m.Held.Version.Term)
+	r.top = max(r.top, m.Stored.Version.Term)
 	if !m.OK {
-		r.refused = append(r.refused, m.From+": "+m.Why)
+		r.refused = append(r.refused, m.From+": "+m.Reason)
 		return
 	}
 	r.yes[m.From] = true
-	if mesh.Newer(m.Held.Version, r.newest) {
-		r.newest, r.holder = m.Held.Version, m.From
+	if mesh.Newer(m.Stored.Version, r.newest) {
+		r.newest, r.holder = m.Stored.Version, m.From
 	}
-	if r.fetching && m.From == r.holder && m.Held.Version == r.newest {
-		r.fetching, r.fetched, r.ledger = false, true, m.Held.Ledger
-		if mesh.Newer(m.Held.Version, r.version.Version) {
-			r.version = m.Held
+	if r.fetching && m.From == r.holder && m.Stored.Version == r.newest {
+		r.fetching, r.fetched, r.ledger = false, true, m.Stored.EditLog
+		if mesh.Newer(m.Stored.Version, r.version.Version) {
+			r.version = m.Stored
 		}
 		o.rebuildStep(ctx, id, r)
 	}
@@ -139,7 +139,7 @@
 		delete(o.rebuilds, id)
 		reply := wire.EditReply{Code: code, Version: r.version.Version}
 		if text != "" {
-			reply.Findings = []wire.Finding{{Place: fmt.Sprintf("part %d", r.partition), Text: text}}
+			reply.Findings = []wire.Finding{{Path: fmt.Sprintf("part %d", r.partition), Text: text}}
 		}
 		ctx.Answer(id, Result{Reply: reply})
 	}
@@ -174,10 +174,10 @@
 	}
 	// A term past anything that the lost replicas can have promised among few of them.
 	r.version.Version = wire.Version{Partition: r.partition, Term: max(r.top, r.version.Version.Term) + 1000, Seq: r.version.Version.Seq + 1}
-	r.version.Voters, r.version.PreviousVoters, r.version.Ledger = r.picked, nil, r.ledger
+	r.version.Voters, r.version.PreviousVoters, r.version.EditLog = r.picked, nil, r.ledger
 	r.doing, r.yes = true, map[string]bool{}
 	for _, c := range r.picked {
-		ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: r.partition, Do: true, Versioned: r.version})
+		ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: r.partition, Apply: true, Versioned: r.version})
 	}
-	o.rebuildDue(ctx, id, r, AskedFor+int64(len(r.version.Body)+len(r.version.Ledger))*1_000_000/slowestHold)
+	o.rebuildDue(ctx, id, r, AskedFor+int64(len(r.version.Body)+len(r.version.EditLog))*1_000_000/slowestHold)
 }
--- a/control/operations/rebuild_fetch_test.go
+++ b/control/operations/rebuild_fetch_test.go
@@ -17,7 +17,7 @@
 	if body != "" {
 		v.Body = []byte(body)
 	}
-	return wire.RebuildReply{From: from, OK: true, Held: v}
+	return wire.RebuildReply{From: from, OK: true, Stored: v}
 }
 
 func TestTheNewestVersionIsFetchedBeforeAnyCoreHoldsIt(t *testing.T) {
--- a/control/operations/zones.go
+++ b/control/operations/zones.go
@@ -24,16 +24,16 @@
 	}
 	known, whole := false, false
 	o.mesh.Each("listing", func(e *wire.Entry, _ string) {
-		var listing wire.Listing
+		var listing wire.BackendList
 		if wire.Decode(e.Body, &listing) != nil {
 			return
 		}
-		whole = whole || listing.Whole && len(listing.Servers) > 0
-		known = known || slices.ContainsFunc(listing.Servers, func(s wire.Server) bool { return s.Zone == zone })
+		whole = whole || listing.Complete && len(listing.Backends) > 0
+		known = known || slices.ContainsFunc(listing.Backends, func(s wire.Backend) bool { return s.Zone == zone })
 	})
 	return known || !whole
 }
 
 func unknownZone(zone string) Result {
-	return Result{Reply: wire.EditReply{Code: CodeUnknownZone, Findings: []wire.Finding{{Place: "zone", Text: "nothing that is known here is in zone " + zone}}}}
+	return Result{Reply: wire.EditReply{Code: CodeUnknownZone, Findings: []wire.Finding{{Path: "zone", Text: "nothing that is known here is in zone " + zone}}}}
 }
--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -39,7 +39,7 @@
 	}
 	e := &s.k.Boot.Settings
 	for _, c := range s.rows(ctx.Now) {
-		if !c.Formed {
+		if !c.Bootstrapped {
 			continue
 		}
 		// While a platform has its fleet formed, the replicas learn of it one by one; who is not
@@ -50,11 +50,11 @@
 		return
 	}
 	switch {
-	case s.formation.Formation == "":
+	case s.formation.BootstrapID == "":
 		if at := ctx.Now - s.started; e.BootstrapKnown || at >= BootstrapAfter {
 			s.planFormation(ctx)
 		}
-	case s.formation.By.ID == s.replicaID && ctx.Now-s.proposedAt >= ProposeInterval:
+	case s.formation.Proposer.ID == s.replicaID && ctx.Now-s.proposedAt >= ProposeInterval:
 		if ctx.Now-s.plannedAt > WithdrawAfter && !s.completing {
 			s.withdraw(ctx)
 			return
@@ -83,12 +83,12 @@
 	if !ok {
 		return
 	}
-	f := wire.Bootstrap{Formation: fmt.Sprintf("%016x", ctx.Rand.Uint64()), Voters: seats}
-	f.By = wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Settings.Zone, Addr: s.k.Boot.Settings.Mesh}
+	f := wire.Bootstrap{BootstrapID: fmt.Sprintf("%016x", ctx.Rand.Uint64()), Voters: seats}
+	f.Proposer = wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Settings.Zone, Addr: s.k.Boot.Settings.Mesh}
 	s.plannedAt = ctx.Now
-	ctx.Log(kernel.LevelInfo, "formation_planned", "formation", f.Formation, "seats", len(seats))
+	ctx.Log(kernel.LevelInfo, "formation_planned", "formation", f.BootstrapID, "seats", len(seats))
 	s.consent(ctx, f, func(ctx *kernel.Context, ok bool) {
-		if ok && s.formation.Formation == f.Formation {
+		if ok && s.formation.BootstrapID == f.BootstrapID {
 			s.propose(ctx)
 		}
 	})
@@ -98,7 +98,7 @@
 func (s *Host) consent(ctx *kernel.Context, f wire.Bootstrap, done func(ctx *kernel.Context, ok bool)) {
 	s.formation, s.consents, s.synced = f, map[string]bool{}, false
 	s.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
-		if s.formation.Formation == f.Formation {
+		if s.formation.BootstrapID == f.BootstrapID {
 			s.synced = err == ""
 			if err != "" {
 				s.formation = wire.Bootstrap{}
@@ -115,7 +115,7 @@
 			s.sendReplica(ctx, member, wire.KindBootstrap, &s.formation)
 			continue
 		}
-		s.handleFormReply(ctx, wire.BootstrapReply{Formation: s.formation.Formation, From: s.replicaID, OK: true})
+		s.handleFormReply(ctx, wire.BootstrapReply{BootstrapID: s.formation.BootstrapID, From: s.replicaID, OK: true})
 	}
 }
 
@@ -123,7 +123,7 @@
 // anyone is told: whoever consented to it is free only once it can never be complete.
 func (s *Host) withdraw(ctx *kernel.Context) {
 	was := s.formation
-	ctx.Log(kernel.LevelWarn, "formation_withdrawn", "formation", was.Formation)
+	ctx.Log(kernel.LevelWarn, "formation_withdrawn", "formation", was.BootstrapID)
 	s.consent(ctx, wire.Bootstrap{}, func(ctx *kernel.Context, ok bool) {
 		if !ok {
 			return
@@ -139,7 +139,7 @@
 
 func (s *Host) handleForm(ctx *kernel.Context, ch uint64, f wire.Bootstrap) {
 	reply := func(ctx *kernel.Context, r wire.BootstrapReply) {
-		r.Formation, r.From = f.Formation, s.replicaID
+		r.BootstrapID, r.From = f.BootstrapID, s.replicaID
 		ctx.Send(ch, wire.KindBootstrapReply, 0, &r)
 	}
 	e := &s.k.Boot.Settings
@@ -147,26 +147,26 @@
 	switch {
 	case s.replicaID == "" || s.diskDamaged:
 	case f.Withdrawn:
-		if mine.Formation == f.Formation && mine.By.ID != s.replicaID && !s.bootstrapped && !s.completing {
+		if mine.BootstrapID == f.BootstrapID && mine.Proposer.ID != s.replicaID && !s.bootstrapped && !s.completing {
 			s.consent(ctx, wire.Bootstrap{}, func(*kernel.Context, bool) {})
 		}
-	case f.Go:
-		if f.Formation == mine.Formation {
+	case f.Commit:
+		if f.BootstrapID == mine.BootstrapID {
 			s.complete(ctx)
 		}
 	case s.bootstrapped:
-		reply(ctx, wire.BootstrapReply{Formed: true})
-	case mine.Formation == f.Formation:
+		reply(ctx, wire.BootstrapReply{Bootstrapped: true})
+	case mine.BootstrapID == f.BootstrapID:
 		if s.synced {
 			reply(ctx, wire.BootstrapReply{OK: true})
 		}
-	case mine.Formation != "" && mine.By.ID == s.replicaID && f.By.ID < s.replicaID && !s.completing:
+	case mine.BootstrapID != "" && mine.Proposer.ID == s.replicaID && f.Proposer.ID < s.replicaID && !s.completing:
 		// Of two proposals the one of the lesser replica goes on; that replica asks again soon.
 		s.withdraw(ctx)
-	case mine.Formation != "":
-		reply(ctx, wire.BootstrapReply{By: mine.By})
+	case mine.BootstrapID != "":
+		reply(ctx, wire.BootstrapReply{Proposer: mine.Proposer})
 	case e.BootstrapKnown && !e.Bootstrap:
-		reply(ctx, wire.BootstrapReply{Never: true})
+		reply(ctx, wire.BootstrapReply{Forbidden: true})
 	case in && s.diskProblem == "":
 		s.consent(ctx, f, func(ctx *kernel.Context, ok bool) { reply(ctx, wire.BootstrapReply{OK: ok}) })
 	}
@@ -174,7 +174,7 @@
 
 func (s *Host) handleFormReply(ctx *kernel.Context, r wire.BootstrapReply) {
 	f := s.formation
-	if s.bootstrapped || f.Formation == "" || r.Formation != f.Formation || f.By.ID != s.replicaID || s.completing {
+	if s.bootstrapped || f.BootstrapID == "" || r.BootstrapID != f.BootstrapID || f.Proposer.ID != s.replicaID || s.completing {
 		return
 	}
 	switch {
@@ -183,15 +183,15 @@
 		if !slices.ContainsFunc(f.Voters, func(seat wire.Replica) bool { return !s.consents[seat.ID] }) {
 			s.complete(ctx)
 		}
-	case r.Formed:
+	case r.Bootstrapped:
 		s.joinFleet(ctx)
-	case r.Never:
+	case r.Forbidden:
 		s.refused[r.From] = true
 		s.withdraw(ctx)
-	case r.By.ID != "" && r.By.ID < s.replicaID:
+	case r.Proposer.ID != "" && r.Proposer.ID < s.replicaID:
 		s.withdraw(ctx)
-	case r.By.ID != "":
-		s.sendReplica(ctx, r.By, wire.KindBootstrap, &f)
+	case r.Proposer.ID != "":
+		s.sendReplica(ctx, r.Proposer, wire.KindBootstrap, &f)
 	}
 }
 
@@ -209,21 +209,21 @@
 // formation then tells the others, who may have nobody else to tell them.
 func (s *Host) complete(ctx *kernel.Context) {
 	f := s.formation
-	if f.Go || s.completing {
+	if f.Commit || s.completing {
 		return
 	}
-	f.Go, s.completing = true, true
+	f.Commit, s.completing = true, true
 	s.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
 		s.completing = false
-		if err != "" || s.formation.Go {
+		if err != "" || s.formation.Commit {
 			return
 		}
 		s.formation, s.bootstrapped = f, true
 		s.adoptFormation()
-		ctx.Log(kernel.LevelInfo, "fleet_formed", "formation", f.Formation, "seat", s.replicaID)
+		ctx.Log(kernel.LevelInfo, "fleet_formed", "formation", f.BootstrapID, "seat", s.replicaID)
 		s.publishMember()
 		for _, member := range f.Voters {
-			if f.By.ID == s.replicaID && member.ID != s.replicaID {
+			if f.Proposer.ID == s.replicaID && member.ID != s.replicaID {
 				s.sendReplica(ctx, member, wire.KindBootstrap, &f)
 			}
 		}
--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -31,7 +31,7 @@
 }
 
 func proposal(id, by string, seatIDs ...string) *wire.Bootstrap {
-	return &wire.Bootstrap{Formation: id, Voters: seats(seatIDs...), By: wire.Replica{ID: by, Addr: "10.0.0.1:1"}}
+	return &wire.Bootstrap{BootstrapID: id, Voters: seats(seatIDs...), Proposer: wire.Replica{ID: by, Addr: "10.0.0.1:1"}}
 }
 
 // sent gives the frames of a kind in an output.
@@ -66,7 +66,7 @@
 	must.True(t, formReplies(t, c.send(wire.KindBootstrap, f1))[0].OK)
 	r := formReplies(t, c.send(wire.KindBootstrap, f2))[0]
 	must.False(t, r.OK)
-	must.Eq(t, "a", r.By.ID)
+	must.Eq(t, "a", r.Proposer.ID)
 	// Once the replica that proposed it has given it up, the consent is free again.
 	f1.Withdrawn = true
 	c.sync(c.send(wire.KindBootstrap, f1))
@@ -79,14 +79,14 @@
 	out := c.send(wire.KindBootstrap, f1)
 	r := formReplies(t, c.feed(kernel.Written{Plugin: "seats", Key: out.Writes[0].Key, Err: "no space left on device"}))
 	must.False(t, r[0].OK)
-	must.Eq(t, "", c.s.formation.Formation)
+	must.Eq(t, "", c.s.formation.BootstrapID)
 }
 
 func TestEmptyDiskInAFleetThatExistsNeitherFormsNorConsents(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Bootstrap = false })
 	out := c.send(wire.KindBootstrap, proposal("f1", "a", "a", "b", "m"))
 	must.SliceEmpty(t, out.Writes)
-	must.True(t, formReplies(t, out)[0].Never)
+	must.True(t, formReplies(t, out)[0].Forbidden)
 	others(c, 3)
 	must.SliceEmpty(t, c.tick().Writes)
 }
@@ -102,7 +102,7 @@
 func TestTheCoreAtTheLeastSeedAddressProposesAtOnce(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	c.tick()
-	must.Eq(t, "", c.s.formation.Formation, must.Sprint("nobody else is known yet"))
+	must.Eq(t, "", c.s.formation.BootstrapID, must.Sprint("nobody else is known yet"))
 	others(c, 3)
 	out := c.tick()
 	must.Len(t, 3, c.s.formation.Voters)
@@ -110,14 +110,14 @@
 	out = c.sync(out)
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
 	for _, member := range c.s.formation.Voters {
-		out = c.send(wire.KindBootstrapReply, &wire.BootstrapReply{Formation: c.s.formation.Formation, From: member.ID, OK: true})
+		out = c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: c.s.formation.BootstrapID, From: member.ID, OK: true})
 	}
 	must.False(t, c.s.bootstrapped)
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before it is synced that it is complete"))
 	gone := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
 	must.True(t, c.s.bootstrapped)
 	must.Len(t, 2, gone)
-	must.True(t, gone[0].Go)
+	must.True(t, gone[0].Commit)
 }
 
 func TestAnotherCoreWaitsForTheOneThatProposes(t *testing.T) {
@@ -152,12 +152,12 @@
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("nobody is freed before the withdrawal is synced"))
 	// A late consent changes nothing any more.
 	for _, member := range mine.Voters {
-		c.send(wire.KindBootstrapReply, &wire.BootstrapReply{Formation: mine.Formation, From: member.ID, OK: true})
+		c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: mine.BootstrapID, From: member.ID, OK: true})
 	}
 	must.False(t, c.s.completing)
 	freed := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
 	must.Len(t, 2, freed)
-	must.True(t, freed[0].Withdrawn && freed[0].Formation == mine.Formation)
+	must.True(t, freed[0].Withdrawn && freed[0].BootstrapID == mine.BootstrapID)
 }
 
 func TestRefuserIsLeftOut(t *testing.T) {
@@ -166,9 +166,9 @@
 	c.sync(c.tick())
 	f := c.s.formation
 	i := slices.IndexFunc(f.Voters, func(s wire.Replica) bool { return s.ID != "m" })
-	c.sync(c.send(wire.KindBootstrapReply, &wire.BootstrapReply{Formation: f.Formation, From: f.Voters[i].ID, Never: true}))
+	c.sync(c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: f.BootstrapID, From: f.Voters[i].ID, Forbidden: true}))
 	c.tick()
-	must.NotEq(t, f.Formation, c.s.formation.Formation)
+	must.NotEq(t, f.BootstrapID, c.s.formation.BootstrapID)
 	must.Len(t, 3, c.s.formation.Voters)
 	must.False(t, contains(c.s.formation.Voters, f.Voters[i].ID))
 }
--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -27,10 +27,10 @@
 )
 
 // isLarge reports whether a body travels in pieces.
-func isLarge(size int) bool { return size > wire.WholeMost }
+func isLarge(size int) bool { return size > wire.MaxSingleFrame }
 
 // sizeOf is the size of a version without its envelope.
-func sizeOf(v wire.Versioned) int { return len(v.Body) + len(v.Ledger) }
+func sizeOf(v wire.Versioned) int { return len(v.Body) + len(v.EditLog) }
 
 // transferTime is how long a version may be on its way for its size.
 func transferTime(size int) int64 { return int64(size) * 1_000_000 / SlowestTransfer }
@@ -75,8 +75,8 @@
 // lacks it. While another version is under way to it, a large one is not sent as well.
 func (g *Group) catchUp(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
 	size := sizeOf(g.committed)
-	underWay := g.proposal != nil && (r.Held == g.proposal.Version || isLarge(size))
-	if !g.ready || underWay || !mesh.Newer(g.committed.Version, r.Held) {
+	underWay := g.proposal != nil && (r.Stored == g.proposal.Version || isLarge(size))
+	if !g.ready || underWay || !mesh.Newer(g.committed.Version, r.Stored) {
 		return
 	}
 	interval := int64(CatchUpInterval)
@@ -93,7 +93,7 @@
 		g.caughtUpAt[r.From] = ctx.Now
 		ctx.Counts.Add("part_handed_over", 1)
 		ctx.Counts.Add("snapshot_bytes_sent", int64(size))
-		ctx.Log(kernel.LevelInfo, "snapshot_sent", "part", g.partition, "to", r.From, "had_term", r.Held.Term, "had_seq", r.Held.Seq,
+		ctx.Log(kernel.LevelInfo, "snapshot_sent", "part", g.partition, "to", r.From, "had_term", r.Stored.Term, "had_seq", r.Stored.Seq,
 			"term", g.committed.Version.Term, "seq", g.committed.Version.Seq, "bytes", size)
 		g.sendVersion(ctx, voter, g.committed)
 	}
@@ -110,14 +110,14 @@
 // limitPull takes large versions out of a reply that are on their way to the node already, and
 // those that do not fit into one message: the next pull brings them.
 func (s *Host) limitPull(now int64, conn uint64, r *wire.PullReply) {
-	room := wire.MaxMessage - wire.WholeMost
+	room := wire.MaxMessage - wire.MaxSingleFrame
 	versions := r.Versions
 	r.Versions = nil
 	for _, v := range versions {
 		if room < len(v.Body) || isLarge(len(v.Body)) && !s.mayPull(now, conn, v.Version) {
 			// The asker does not have all that was acknowledged before the contact.
 			withheld := uint32(1) << v.Version.Partition
-			r.Partial, r.Contact, r.Relayed = true, r.Contact&^withheld, r.Relayed&^withheld
+			r.Partial, r.ContactMask, r.RelayedMask = true, r.ContactMask&^withheld, r.RelayedMask&^withheld
 			continue
 		}
 		room -= len(v.Body)
--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -130,7 +130,7 @@
 	g := owns(t, c)
 	must.NotNil(t, g)
 	c.now += LargeInterval
-	g.committed.Body = make([]byte, wire.WholeMost+1)
+	g.committed.Body = make([]byte, wire.MaxSingleFrame+1)
 	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.round, OK: true}
 	count := func() int64 { return c.k.Counts.Of("part_handed_over").Load() }
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
@@ -149,14 +149,14 @@
 func TestADiskThatWasPutBackIsNoticed(t *testing.T) {
 	c := newCore(t, nil)
 	g := owns(t, c)
-	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.round, Held: wire.Version{}, OK: true}
+	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.round, Stored: wire.Version{}, OK: true}
 	g.synced["b"] = syncedVersion{stamp: g.committed.Version, round: g.round}
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
 	must.Eq(t, 0, c.k.Counts.Of("replicas_rolled_back").Load(), must.Sprint("sent before the acknowledgement"))
 	beat.Round++
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
 	must.Eq(t, 1, c.k.Counts.Of("replicas_rolled_back").Load())
-	beat.Held = g.committed.Version
+	beat.Stored = g.committed.Version
 	g.synced["b"] = syncedVersion{stamp: g.committed.Version, round: g.round}
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
 	must.Eq(t, 1, c.k.Counts.Of("replicas_rolled_back").Load())
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -24,13 +24,13 @@
 		return
 	}
 	c.newest = g.committed.Version
-	ledger, err := state.ReadLedger(g.committed.Ledger)
+	ledger, err := state.ReadLedger(g.committed.EditLog)
 	if err != nil {
 		c.violations = append(c.violations, "a committed ledger cannot be decoded")
 		return
 	}
 	taken := map[string]bool{}
-	for _, order := range ledger.Orders {
+	for _, order := range ledger.RoutingEdits {
 		taken[string(order.Digest)] = true
 	}
 	for _, name := range c.acknowledged {
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -121,10 +121,10 @@
 func (g *Group) tellContact(now int64, version wire.Version, r *wire.PullReply) {
 	bit := uint32(1) << uint(g.partition)
 	if g.inContact(now, version) {
-		r.Contact |= bit
+		r.ContactMask |= bit
 	}
 	if g.relayedAt > 0 && now-g.relayedAt <= RelayedFor {
-		r.Relayed |= bit
+		r.RelayedMask |= bit
 	}
 }
 
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -48,7 +48,7 @@
 // newCluster starts members m0, m1 ... of which the first ones, an odd number, form one group.
 func newCluster(t *testing.T, seed uint64, size int) *cluster {
 	c := &cluster{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), conns: map[uint64]*connection{}, direct: map[string]uint64{}}
-	form := wire.Bootstrap{Formation: "f", Go: true}
+	form := wire.Bootstrap{BootstrapID: "f", Commit: true}
 	for i := range size {
 		m := &member{name: fmt.Sprintf("m%d", i), addr: fmt.Sprintf("10.0.0.%d:1", i+1)}
 		if i < (size-1)|1 {
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -20,7 +20,7 @@
 
 // answers has one of the two other voters answer the newest round.
 func (c *core) answers(g *Group, clock int64) kernel.Out {
-	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Held: g.accepted.Version, OK: true, Clock: clock})
+	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Stored: g.accepted.Version, OK: true, Clock: clock})
 }
 
 // A process that was held up for less than a freeze is told of has not ticked: what it answers is
@@ -28,19 +28,19 @@
 func TestALeadersContactEndsByTheClockAlone(t *testing.T) {
 	c := newCore(t, nil)
 	g := owns(t, c)
-	must.Zero(t, c.pulled(t).Contact, must.Sprint("no round is answered yet"))
+	must.Zero(t, c.pulled(t).ContactMask, must.Sprint("no round is answered yet"))
 	c.now += HeartbeatInterval
 	c.tick()
 	c.answers(g, 0)
-	must.Eq(t, 1, c.pulled(t).Contact)
+	must.Eq(t, 1, c.pulled(t).ContactMask)
 	c.tick()
 	must.Eq(t, 1, c.k.Counts.Of("part_in_contact_now").Load())
 	must.Zero(t, c.k.Counts.Of("part_contact_lost").Load(), must.Sprint("a leader just elected has lost nothing"))
 	must.Len(t, 1, c.pulled(t).Leaders)
 	c.now += ContactFor
-	must.Eq(t, 1, c.pulled(t).Contact)
+	must.Eq(t, 1, c.pulled(t).ContactMask)
 	c.now++
-	must.Zero(t, c.pulled(t).Contact)
+	must.Zero(t, c.pulled(t).ContactMask)
 	must.SliceEmpty(t, c.pulled(t).Leaders, must.Sprint("nobody is sent to a leader without contact"))
 	must.Eq(t, leader, g.role, must.Sprint("it did not tick"))
 	c.tick()
@@ -57,9 +57,9 @@
 	c.tick()
 	c.now += ContactFor - HeartbeatInterval
 	c.answers(g, 0)
-	must.Eq(t, 1, c.pulled(t).Contact)
+	must.Eq(t, 1, c.pulled(t).ContactMask)
 	c.now += 2 * HeartbeatInterval
-	must.Zero(t, c.pulled(t).Contact)
+	must.Zero(t, c.pulled(t).ContactMask)
 }
 
 func TestAnswerToAnEarlierTermConfirmsNothing(t *testing.T) {
@@ -68,9 +68,9 @@
 	c.now += HeartbeatInterval
 	c.tick()
 	c.edit(1, wire.Edit{Op: "read"})
-	reply := wire.LeaderHeartbeatReply{Term: g.term - 1, From: "a", Round: g.round + 9, Held: g.accepted.Version, OK: true}
+	reply := wire.LeaderHeartbeatReply{Term: g.term - 1, From: "a", Round: g.round + 9, Stored: g.accepted.Version, OK: true}
 	must.MapEmpty(t, replies(t, c.send(wire.KindLeaderHeartbeatReply, &reply)))
-	must.Zero(t, c.pulled(t).Contact)
+	must.Zero(t, c.pulled(t).ContactMask)
 	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.answers(g, 0)))
 }
 
@@ -87,21 +87,21 @@
 	c := newCore(t, nil)
 	c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: v}))
 	clock := c.heartbeat(t, 0, v.Version).Clock
-	must.Zero(t, c.pulled(t).Contact, must.Sprint("its leader has no contact"))
+	must.Zero(t, c.pulled(t).ContactMask, must.Sprint("its leader has no contact"))
 	c.heartbeat(t, clock, v.Version)
-	must.Eq(t, 1, c.pulled(t).Contact)
+	must.Eq(t, 1, c.pulled(t).ContactMask)
 	c.now += ContactFor + 1
-	must.Zero(t, c.pulled(t).Contact)
+	must.Zero(t, c.pulled(t).ContactMask)
 	c.heartbeat(t, clock, v.Version)
-	must.Zero(t, c.pulled(t).Contact, must.Sprint("held up on its way"))
+	must.Zero(t, c.pulled(t).ContactMask, must.Sprint("held up on its way"))
 	now := c.heartbeat(t, clock+ContactFor, v.Version).Clock
-	must.Eq(t, 1, c.pulled(t).Contact)
+	must.Eq(t, 1, c.pulled(t).ContactMask)
 	// A version that it is told to be committed and lacks is not confirmed by it.
 	c.heartbeat(t, now, wire.Version{Term: 5, Seq: 2})
-	must.Zero(t, c.pulled(t).Contact)
+	must.Zero(t, c.pulled(t).ContactMask)
 	c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 2)}))
 	c.heartbeat(t, now, wire.Version{Term: 5, Seq: 2})
-	must.Eq(t, 1, c.pulled(t).Contact)
+	must.Eq(t, 1, c.pulled(t).ContactMask)
 }
 
 // A heartbeat that was meant for this machine's process before proves nothing to the one of now.
@@ -114,7 +114,7 @@
 	}
 	clock := first.heartbeat(t, 0, v.Version).Clock
 	again.heartbeat(t, clock, v.Version)
-	must.Zero(t, again.pulled(t).Contact)
+	must.Zero(t, again.pulled(t).ContactMask)
 	must.Between(t, 1, first.s.clockOrigin, clockOrigins)
 	other := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 2, Key: kernel.KeyFrom(make([]byte, 32))})
 	other.Step(1, 1, kernel.Start{})
@@ -163,9 +163,9 @@
 	must.Positive(t, asked)
 	at := c.now
 	c.now += 50_000
-	c.feed(kernel.Received{Conn: 5, Data: wire.Seal(wire.KindPullReply, asked, &wire.PullReply{Contact: 1, Relayed: 2})})
-	must.Eq(t, 1, c.pulled(t).Relayed, must.Sprint("what was relayed is not relayed again"))
-	must.Zero(t, c.pulled(t).Contact)
+	c.feed(kernel.Received{Conn: 5, Data: wire.Seal(wire.KindPullReply, asked, &wire.PullReply{ContactMask: 1, RelayedMask: 2})})
+	must.Eq(t, 1, c.pulled(t).RelayedMask, must.Sprint("what was relayed is not relayed again"))
+	must.Zero(t, c.pulled(t).ContactMask)
 	c.now = at + RelayedFor + 1
-	must.Zero(t, c.pulled(t).Relayed)
+	must.Zero(t, c.pulled(t).RelayedMask)
 }
--- a/control/replica/contact_test.go
+++ b/control/replica/contact_test.go
@@ -99,10 +99,10 @@
 			}
 		}
 		by := asked - ContactFor
-		if r.Contact&1 == 0 {
+		if r.ContactMask&1 == 0 {
 			by -= RelayedFor
 		}
-		if (r.Contact|r.Relayed)&1 == 0 {
+		if (r.ContactMask|r.RelayedMask)&1 == 0 {
 			return
 		}
 		o.confirmed[to.name]++
--- a/control/replica/disk_test.go
+++ b/control/replica/disk_test.go
@@ -27,10 +27,10 @@
 func TestSickSeatIsNoSuccessor(t *testing.T) {
 	c := newCore(t, nil)
 	g := owns(t, c)
-	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Held: g.accepted.Version, OK: true, DiskProblem: true})
+	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Stored: g.accepted.Version, OK: true, DiskProblem: true})
 	c.now++
 	must.Eq(t, "", g.bestSuccessor(&kernel.Context{Now: c.now}))
-	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.round, Held: g.accepted.Version, OK: true})
+	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.round, Stored: g.accepted.Version, OK: true})
 	must.Eq(t, "b", g.bestSuccessor(&kernel.Context{Now: c.now}))
 }
 
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -51,9 +51,9 @@
 		return
 	}
 	for _, s := range allVoters(g.accepted) {
-		v := wire.Vote{Partition: g.partition, Term: g.term, From: g.self(), Pre: true, Held: g.accepted.Version}
+		v := wire.Vote{Partition: g.partition, Term: g.term, From: g.self(), Pre: true, Stored: g.accepted.Version}
 		if s.ID == g.self() {
-			g.voteReply(ctx, wire.VoteReply{Partition: g.partition, Term: g.term, From: s.ID, Pre: true, Granted: true, Held: g.accepted})
+			g.voteReply(ctx, wire.VoteReply{Partition: g.partition, Term: g.term, From: s.ID, Pre: true, Granted: true, Stored: g.accepted})
 			continue
 		}
 		g.host.sendReplica(ctx, s, wire.KindVote, &v)
@@ -65,7 +65,7 @@
 	g.replies = map[string]wire.VoteReply{}
 	ctx.Counts.Add("part_elections", 1)
 	for _, s := range allVoters(g.accepted) {
-		v := wire.Vote{Partition: g.partition, Term: g.term, From: g.self(), Named: named, Held: g.accepted.Version}
+		v := wire.Vote{Partition: g.partition, Term: g.term, From: g.self(), Designated: named, Stored: g.accepted.Version}
 		if s.ID == g.self() {
 			g.vote(ctx, 0, 0, v)
 			continue
@@ -77,14 +77,14 @@
 // vote answers a request for a term, after the vote is synced.
 func (g *Group) vote(ctx *kernel.Context, ch, id uint64, v wire.Vote) {
 	reply := func(ctx *kernel.Context, granted bool) {
-		r := wire.VoteReply{Partition: g.partition, Term: v.Term, From: g.self(), Pre: v.Pre, Granted: granted, Held: g.accepted, TakesBase: true}
+		r := wire.VoteReply{Partition: g.partition, Term: v.Term, From: g.self(), Pre: v.Pre, Granted: granted, Stored: g.accepted, SupportsBase: true}
 		if !granted {
 			r.Term = g.votedTerm
 		}
-		if !granted || v.Pre || !mesh.Newer(g.accepted.Version, v.Held) {
+		if !granted || v.Pre || !mesh.Newer(g.accepted.Version, v.Stored) {
 			// Only who is given the term and holds an older version needs what is held; the others
 			// need to know how new it is.
-			r.Held.Body, r.Held.Ledger = nil, nil
+			r.Stored.Body, r.Stored.EditLog = nil, nil
 		}
 		if v.From == g.self() {
 			g.voteReply(ctx, r)
@@ -120,7 +120,7 @@
 // outranks tells that this replica should lead rather than the candidate: it holds a newer version,
 // which the candidate would have to be sent first, and it can stand itself.
 func (g *Group) outranks(v wire.Vote) bool {
-	return mesh.Newer(g.accepted.Version, v.Held) && g.isVoter() && !g.host.stopping
+	return mesh.Newer(g.accepted.Version, v.Stored) && g.isVoter() && !g.host.stopping
 }
 
 func (g *Group) voteReply(ctx *kernel.Context, r wire.VoteReply) {
@@ -132,7 +132,7 @@
 			g.role = follower
 			g.votedTerm = max(g.votedTerm, r.Term)
 		}
-		if mesh.Newer(r.Held.Version, g.accepted.Version) && !contains(allVoters(r.Held), g.self()) {
+		if mesh.Newer(r.Stored.Version, g.accepted.Version) && !contains(allVoters(r.Stored), g.self()) {
 			// Most likely this replica was replaced meanwhile: it need not ask again at once.
 			g.electionAt = ctx.Now + ReplaceAfter
 		}
@@ -144,8 +144,8 @@
 	g.replies[r.From] = r
 	best := g.accepted
 	for _, v := range g.replies {
-		if mesh.Newer(v.Held.Version, best.Version) {
-			best = v.Held
+		if mesh.Newer(v.Stored.Version, best.Version) {
+			best = v.Stored
 		}
 	}
 	if !quorum(best, func(id string) bool { _, ok := g.replies[id]; return ok }) {
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -54,8 +54,8 @@
 	c.tick()
 	c.now += 10_000_000
 	c.tick()
-	out := c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true, Held: theirs})
-	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Held: theirs})
+	out := c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true, Stored: theirs})
+	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: theirs})
 	c.sync(out)
 	must.Eq(t, leader, g.role)
 	must.NotNil(t, g.proposal)
@@ -94,7 +94,7 @@
 	c.now += 10_000_000
 	c.tick()
 	must.Eq(t, preCandidate, g.role)
-	c.sync(c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true, Held: mine}))
+	c.sync(c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true, Stored: mine}))
 	must.Eq(t, candidate, g.role)
 	return c, g
 }
@@ -105,10 +105,10 @@
 	c, g := campaign(t, version(3, 1))
 	newest := version(4, 7)
 	newest.Voters = seats("a", "d", "e")
-	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Held: newest})
-	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "b", Granted: true, Held: version(3, 1)})
+	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: newest})
+	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "b", Granted: true, Stored: version(3, 1)})
 	must.Eq(t, candidate, g.role, must.Sprint("all of its own voters, and one of three of the newest version"))
-	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "d", Granted: true, Held: newest})
+	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "d", Granted: true, Stored: newest})
 	must.Eq(t, leader, g.role)
 }
 
@@ -116,7 +116,7 @@
 // nothing is said that rests on it, whatever heartbeats are answered.
 func TestANewLeaderAnswersNothingBeforeItHasCommitted(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
-	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Held: version(2, 1)})
+	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: version(2, 1)})
 	must.Eq(t, leader, g.role)
 	var out kernel.Out
 	ask := func(e wire.Edit) {
@@ -136,7 +136,7 @@
 	for _, reply := range sent[wire.EditReply](t, out, wire.KindEditReply) {
 		must.Eq(t, "not_owner", reply.Code, must.Sprint("a majority answers heartbeats, and none has synced its version"))
 	}
-	must.Zero(t, c.pulled(t).Contact)
+	must.Zero(t, c.pulled(t).ContactMask)
 	must.Eq(t, stateNewLeader, c.shown(t).State)
 	c.take(g)
 	must.Eq(t, stateLeader, c.shown(t).State)
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -22,7 +22,7 @@
 
 // newCore is a formed core with replica "me" beside "a" and "b".
 func newCore(t *testing.T, more map[string][]byte) *core {
-	form := wire.Bootstrap{Formation: "f", Go: true, Voters: seats("a", "b", "me")}
+	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: seats("a", "b", "me")}
 	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
 	for k, v := range more {
 		files[k] = v
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -14,7 +14,7 @@
 // accept syncs a version and says so, unless a newer term was voted.
 func (g *Group) accept(ctx *kernel.Context, ch, id uint64, a wire.Accept) {
 	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
-		r.Partition, r.From, r.TakesBase = g.partition, g.self(), true
+		r.Partition, r.From, r.SupportsBase = g.partition, g.self(), true
 		if a.From == g.self() {
 			g.acceptReply(ctx, r)
 			return
@@ -51,7 +51,7 @@
 			reply(ctx, wire.AcceptReply{Term: a.Term, Version: v.Version, LacksBase: true})
 			return
 		}
-		v.Body, v.Ledger = g.accepted.Body, g.accepted.Ledger
+		v.Body, v.EditLog = g.accepted.Body, g.accepted.EditLog
 	}
 	g.pending = v.Version
 	g.host.save(ctx, versionFile(v.Version), wire.Encode(&v), func(ctx *kernel.Context, err string) {
@@ -100,7 +100,7 @@
 }
 
 func (g *Group) handleHeartbeat(ctx *kernel.Context, ch, id uint64, b wire.LeaderHeartbeat) {
-	r := wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: b.Round, Held: g.accepted.Version, Wall: ctx.Wall, Clock: g.host.clock(ctx.Now), DiskProblem: g.host.diskProblem != ""}
+	r := wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: b.Round, Stored: g.accepted.Version, Wall: ctx.Wall, Clock: g.host.clock(ctx.Now), DiskProblem: g.host.diskProblem != ""}
 	if b.Term < g.votedTerm || g.host.diskDamaged {
 		ctx.Send(ch, wire.KindLeaderHeartbeatReply, id, &r)
 		return
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -106,10 +106,10 @@
 			s.replicaID = string(b)
 		case name == "formation":
 			s.diskDamaged = wire.Decode(b, &s.formation) != nil || s.diskDamaged
-			s.bootstrapped, s.synced = s.formation.Go, true
-			if len(s.formation.Voters) > 0 && s.formation.By.ID == "" {
+			s.bootstrapped, s.synced = s.formation.Commit, true
+			if len(s.formation.Voters) > 0 && s.formation.Proposer.ID == "" {
 				// Releases before 2 did not write down who proposed: it was the first.
-				s.formation.By = s.formation.Voters[0]
+				s.formation.Proposer = s.formation.Voters[0]
 			}
 		case isStamped:
 			var v wire.Versioned
@@ -138,7 +138,7 @@
 		}
 		s.bootstrapped = s.bootstrapped || g.accepted.Version.Term > 0
 	}
-	if s.formation.Go {
+	if s.formation.Commit {
 		s.adoptFormation()
 	}
 	if s.replicaID == "" && len(s.k.Boot.Files) > 0 {
@@ -179,7 +179,9 @@
 }
 
 func (s *Host) publishMember() {
-	s.members.Update(func(m *wire.Member) { m.Replica, m.Formed, m.Sick = s.replicaID, s.bootstrapped, s.diskProblem })
+	s.members.Update(func(m *wire.Member) {
+		m.Replica, m.Bootstrapped, m.UnhealthyReason = s.replicaID, s.bootstrapped, s.diskProblem
+	})
 }
 
 // addressOf is where a replica's disk is now, as the mesh tells it.
--- a/control/replica/known_cores.go
+++ b/control/replica/known_cores.go
@@ -75,7 +75,7 @@
 	}
 	for _, r := range s.rows(now) {
 		// What a core says itself goes before what the mesh still tells of it.
-		if r.Replica != "" && r.Sick == "" && !r.Draining && !told[r.Addr] {
+		if r.Replica != "" && r.UnhealthyReason == "" && !r.Draining && !told[r.Addr] {
 			out = append(out, wire.Replica{ID: r.Replica, Zone: r.Zone, Addr: r.Addr})
 		}
 	}
--- a/control/replica/learner_test.go
+++ b/control/replica/learner_test.go
@@ -66,7 +66,7 @@
 	c.beats(g, 200_000, "a", "b")
 	// Of the two that answer, the one heard last would be taken.
 	c.now += 1_000
-	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: "b", Round: g.round, Held: g.accepted.Version, OK: true})
+	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: "b", Round: g.round, Stored: g.accepted.Version, OK: true})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	c.s.diskProblem = "slow"
 	c.tick()
--- a/control/replica/lease_test.go
+++ b/control/replica/lease_test.go
@@ -32,9 +32,9 @@
 	c.ask(to, wire.KindLeaseRequest, 1, &wire.LeaseRequest{Task: "task", From: h.name}, func(f wire.Frame) {
 		var r wire.LeaseReply
 		must.NoError(c.t, wire.Decode(f.Body, &r))
-		if r.Holder == h.name && r.For > 0 {
+		if r.Holder == h.name && r.Duration > 0 {
 			h.given++
-			h.until = max(h.until, asked+r.For)
+			h.until = max(h.until, asked+r.Duration)
 		}
 	})
 }
--- a/control/replica/leases.go
+++ b/control/replica/leases.go
@@ -45,7 +45,7 @@
 	if gr.holder == h.From {
 		gr.until = max(gr.until, until)
 	}
-	ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task, Holder: gr.holder, For: gr.until - ctx.Now, LeaseID: gr.turn})
+	ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task, Holder: gr.holder, Duration: gr.until - ctx.Now, LeaseID: gr.turn})
 }
 
 // dropLease ends a lease that its holder gives up. One that it got since is not meant.
@@ -55,8 +55,8 @@
 	}
 	g.leaseCount++
 	*gr = lease{until: ctx.Now, turn: g.term<<24 | g.leaseCount}
-	if h.Next != "" {
-		gr.holder, gr.until = h.Next, until
+	if h.Successor != "" {
+		gr.holder, gr.until = h.Successor, until
 	}
 }
 
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -28,7 +28,7 @@
 		c.now += TickInterval
 		c.tick()
 		for _, id := range alive {
-			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: id, Round: g.round, Held: g.accepted.Version, OK: true})
+			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: id, Round: g.round, Stored: g.accepted.Version, OK: true})
 		}
 	}
 }
--- a/control/replica/orders_test.go
+++ b/control/replica/orders_test.go
@@ -28,7 +28,7 @@
 
 // confirmed has a majority answer the newest heartbeat.
 func (c *core) confirmed(g *Group) kernel.Out {
-	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Held: g.accepted.Version, OK: true})
+	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Stored: g.accepted.Version, OK: true})
 }
 
 // leads is a core that has taken one order in each of two versions.
@@ -72,7 +72,7 @@
 			c.tick()
 			out := c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true})
 			c.sync(out)
-			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Held: held})
+			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: held})
 			must.Eq(t, leader, g.role)
 			c.take(g)
 			return c, g
@@ -111,33 +111,33 @@
 // The ledger goes from replica to replica; pulls, announcements and denied votes leave it out.
 func TestOnlyReplicasGetTheLedger(t *testing.T) {
 	c, g := leads(t)
-	must.NotNil(t, g.committed.Ledger)
+	must.NotNil(t, g.committed.EditLog)
 	out := c.send(wire.KindPull, &wire.Pull{})
 	f, err := wire.Open(out.Sends[0].Data)
 	must.NoError(t, err)
 	var pulled wire.PullReply
 	must.NoError(t, wire.Decode(f.Body, &pulled))
 	must.Len(t, 1, pulled.Versions)
-	must.Nil(t, pulled.Versions[0].Ledger)
+	must.Nil(t, pulled.Versions[0].EditLog)
 	told, ok := c.s.mesh.Partition(state.Config)
 	must.True(t, ok)
-	must.Nil(t, told.Ledger)
+	must.Nil(t, told.EditLog)
 	must.Eq(t, g.committed.Body, told.Body)
 	config, err := state.ReadConfig(told.Body)
 	must.NoError(t, err)
-	must.True(t, config.Revisions == nil && config.Recent == nil && config.History == nil)
+	must.True(t, config.LegacyRevisions == nil && config.LegacyEdits == nil && config.LegacyHistory == nil)
 
 	// A vote that is denied shows how new the voter's version is, and nothing of it.
 	held := g.committed
 	c = newCore(t, map[string][]byte{versionFile(held.Version): diskfile.Pack(wire.Encode(&held))})
-	must.Eq(t, held.Ledger, c.s.groups[0].accepted.Ledger)
+	must.Eq(t, held.EditLog, c.s.groups[0].accepted.EditLog)
 	denied := c.send(wire.KindVote, &wire.Vote{Term: held.Version.Term - 1, From: "b"})
 	f, err = wire.Open(denied.Sends[0].Data)
 	must.NoError(t, err)
 	var vote wire.VoteReply
 	must.NoError(t, wire.Decode(f.Body, &vote))
 	must.False(t, vote.Granted)
-	must.Nil(t, vote.Held.Ledger)
+	must.Nil(t, vote.Stored.EditLog)
 }
 
 // An order about a zone that was held up is refused by the leader, and the refusal is confirmed.
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -49,7 +49,7 @@
 	if g.role != leader || !g.ready || g.proposal != nil || g.transferring {
 		return
 	}
-	value := state.Value{Body: g.committed.Body, Ledger: g.committed.Ledger}
+	value := state.Value{Body: g.committed.Body, Ledger: g.committed.EditLog}
 	stamp := wire.Version{Partition: g.partition, Term: g.term, Seq: g.committed.Version.Seq + 1}
 	seats, changed := g.nextMembers(ctx)
 	if g.awaitsLearners(ctx) {
@@ -84,7 +84,7 @@
 	case changed:
 		g.proposedEdits = batch
 		ctx.Counts.Add("part_versions", 1)
-		g.propose(ctx, wire.Versioned{Version: stamp, Voters: seats, PreviousVoters: g.committed.Voters, Body: value.Body, Ledger: value.Ledger}, g.baseOf(value))
+		g.propose(ctx, wire.Versioned{Version: stamp, Voters: seats, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.Ledger}, g.baseOf(value))
 	case len(batch) > 0:
 		g.awaitConfirmation(ctx, batch...)
 	}
--- a/control/replica/proposals_test.go
+++ b/control/replica/proposals_test.go
@@ -91,8 +91,8 @@
 	g := owns(t, c)
 	must.MapEmpty(t, replies(t, c.edit(1, wire.Edit{Op: "nonsense"})))
 	round := g.round
-	out := c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: round - 1, Held: g.accepted.Version, OK: true})
+	out := c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: round - 1, Stored: g.accepted.Version, OK: true})
 	must.MapEmpty(t, replies(t, out))
-	out = c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: round, Held: g.accepted.Version, OK: true})
+	out = c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: round, Stored: g.accepted.Version, OK: true})
 	must.Eq(t, map[uint64]string{1: "invalid"}, replies(t, out))
 }
--- a/control/replica/pull_large_test.go
+++ b/control/replica/pull_large_test.go
@@ -43,16 +43,16 @@
 // What is withheld is not confirmed: a process that starts must not take its older state for the newest.
 func TestAWithheldVersionIsNotConfirmed(t *testing.T) {
 	c := newCore(t, nil)
-	v := wire.Versioned{Version: wire.Version{Partition: 1, Term: 1, Seq: 1}, Body: make([]byte, wire.WholeMost+1)}
+	v := wire.Versioned{Version: wire.Version{Partition: 1, Term: 1, Seq: 1}, Body: make([]byte, wire.MaxSingleFrame+1)}
 	for range 2 {
-		r := wire.PullReply{Versions: []wire.Versioned{v}, Contact: 0b111, Relayed: 0b110}
+		r := wire.PullReply{Versions: []wire.Versioned{v}, ContactMask: 0b111, RelayedMask: 0b110}
 		c.s.limitPull(c.now, 7, &r)
 		if len(r.Versions) == 1 {
-			must.Eq(t, 0b111, r.Contact)
+			must.Eq(t, 0b111, r.ContactMask)
 			continue
 		}
-		must.Eq(t, 0b101, r.Contact)
-		must.Eq(t, 0b100, r.Relayed)
+		must.Eq(t, 0b101, r.ContactMask)
+		must.Eq(t, 0b100, r.RelayedMask)
 	}
 }
 
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -16,10 +16,10 @@
 func (g *Group) rebuild(ctx *kernel.Context, ch, id uint64, m wire.Rebuild) {
 	reply := func(ctx *kernel.Context, why string) {
 		held := g.accepted
-		if m.Brief || m.Do {
-			held.Body, held.Ledger = nil, nil
+		if m.VersionOnly || m.Apply {
+			held.Body, held.EditLog = nil, nil
 		}
-		ctx.Send(ch, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: why == "", Why: why, Held: held})
+		ctx.Send(ch, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: why == "", Reason: why, Stored: held})
 	}
 	switch {
 	case g.host.diskProblem != "":
@@ -28,7 +28,7 @@
 	case g.role == leader || g.leaderSeen > 0 && ctx.Now-g.leaderSeen < LeaderlessFor:
 		reply(ctx, "the part has an owner")
 		return
-	case !m.Do:
+	case !m.Apply:
 		reply(ctx, "")
 		return
 	case !mesh.Newer(m.Versioned.Version, g.accepted.Version) || m.Versioned.Version.Term <= g.votedTerm:
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -87,7 +87,7 @@
 	reply := c.order(pools(revision, 400_000, "one-more"), 10_000_000)
 	must.Eq(t, "invalid", reply.Code)
 	must.Len(t, 1, reply.Findings)
-	must.Eq(t, "configuration", reply.Findings[0].Place)
+	must.Eq(t, "configuration", reply.Findings[0].Path)
 	must.StrContains(t, reply.Findings[0].Text, fmt.Sprint(state.MaxConfigBody))
 	must.Eq(t, before, c.lead().committed().Version, must.Sprint("nothing was proposed"))
 	must.Eq(t, "ok", c.order(pools(revision, 1000, "small"), 10_000_000).Code)
@@ -103,7 +103,7 @@
 	for partition := range state.Partitions {
 		most := state.MaxBody(partition) + state.MaxLedger(partition) + state.ClockRoom
 		total += (VersionsKept + 1) * most
-		must.LessEq(t, wire.MaxMessage, most+wire.WholeMost)
+		must.LessEq(t, wire.MaxMessage, most+wire.MaxSingleFrame)
 	}
 	must.LessEq(t, diskBytes*2/3, total)
 }
@@ -118,7 +118,7 @@
 	var out kernel.Out
 	for end := c.now + ProposalTimeout + 1_000_000; c.now < end && g.role == leader; c.now += TickInterval {
 		for _, id := range []string{"a", "b"} {
-			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: id, Round: g.round, Held: g.committed.Version, OK: true})
+			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: id, Round: g.round, Stored: g.committed.Version, OK: true})
 		}
 		out = c.tick()
 	}
--- a/control/replica/status.go
+++ b/control/replica/status.go
@@ -38,7 +38,7 @@
 func (g *Group) status(now int64) wire.ReplicaStatus {
 	status := wire.ReplicaStatus{
 		Partition: g.partition, State: g.stateName(), Term: max(g.term, g.votedTerm), Leader: g.host.Leader(g.partition, now),
-		Contact: g.inContact(now, g.committed.Version), Committed: g.committed.Version, Held: g.accepted.Version,
+		InContact: g.inContact(now, g.committed.Version), Committed: g.committed.Version, Stored: g.accepted.Version,
 		Voters: len(allVoters(g.accepted)), Leaving: g.host.stopping && g.isVoter(),
 	}
 	if g.role == leader {
--- a/control/replica/status_test.go
+++ b/control/replica/status_test.go
@@ -23,19 +23,19 @@
 func TestStatusFollowsALeadersContact(t *testing.T) {
 	c := newCore(t, nil)
 	must.Eq(t, stateFollower, c.shown(t).State)
-	must.False(t, c.shown(t).Contact)
+	must.False(t, c.shown(t).InContact)
 	g := owns(t, c)
 	c.now += HeartbeatInterval
 	c.tick()
 	c.answers(g, 0)
 	s := c.shown(t)
 	must.Eq(t, stateLeader, s.State)
-	must.True(t, s.Contact)
+	must.True(t, s.InContact)
 	must.Eq(t, g.term, s.Term)
 	must.Eq(t, g.committed.Version, s.Committed)
 	must.Eq(t, 3, s.Voters)
 	c.now += ContactFor + 1
-	must.False(t, c.shown(t).Contact)
+	must.False(t, c.shown(t).InContact)
 	must.Eq(t, stateLeader, c.shown(t).State, must.Sprint("it did not tick yet"))
 	c.tick()
 	must.Eq(t, stateFollower, c.shown(t).State)
@@ -58,7 +58,7 @@
 	v.Voters = seats("a", "b", "c")
 	standby := newCore(t, map[string][]byte{versionFile(v.Version): diskfile.Pack(wire.Encode(&v))})
 	must.Eq(t, stateStandby, standby.shown(t).State)
-	must.Eq(t, v.Version, standby.shown(t).Held)
+	must.Eq(t, v.Version, standby.shown(t).Stored)
 	damaged := newCore(t, map[string][]byte{voteFile(0): []byte("torn")})
 	must.Eq(t, stateDamaged, damaged.shown(t).State)
 }
--- a/control/replica/stored_change_test.go
+++ b/control/replica/stored_change_test.go
@@ -67,5 +67,5 @@
 	must.Eq(t, next.Version, c.host.CommittedVersion(0))
 	must.Eq(t, []string{storedReplica, "a", "b2"}, ids(c.host.VotersOf(0)))
 	must.Eq(t, held.Body, c.host.groups[0].committed.Body)
-	must.Eq(t, held.Ledger, c.host.groups[0].committed.Ledger)
+	must.Eq(t, held.EditLog, c.host.groups[0].committed.EditLog)
 }
--- a/control/replica/stored_driver_test.go
+++ b/control/replica/stored_driver_test.go
@@ -117,7 +117,7 @@
 // beat has another voter answer the newest heartbeat, with a clock that agrees.
 func (c *storedCore) beat(g *Group, id string) kernel.Out {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{
-		Partition: g.partition, Term: g.term, From: id, Round: g.round, Held: g.accepted.Version, OK: true, Wall: c.now,
+		Partition: g.partition, Term: g.term, From: id, Round: g.round, Stored: g.accepted.Version, OK: true, Wall: c.now,
 	})
 }
 
--- a/control/replica/stored_make_test.go
+++ b/control/replica/stored_make_test.go
@@ -31,13 +31,13 @@
 	return wire.Edit{Op: "put", Strict: true, Base: base, Body: fmt.Appendf(nil, storedSheet, capacity), EditID: id, By: "ann"}
 }
 
-func storedCut(op, id string, cut wire.LiveCut) wire.Edit {
+func storedCut(op, id string, cut wire.ShardMap) wire.Edit {
 	return wire.Edit{Op: op, Name: "docs", EditID: id, Body: wire.Encode(&cut)}
 }
 
 var (
-	storedFirstCut  = wire.LiveCut{Next: "c1", NextShards: 4}
-	storedSecondCut = wire.LiveCut{Next: "c2", NextShards: 8}
+	storedFirstCut  = wire.ShardMap{Next: "c1", NextShards: 4}
+	storedSecondCut = wire.ShardMap{Next: "c2", NextShards: 8}
 )
 
 // storedIndexPartition is the partition in which the folders have an index.
@@ -49,7 +49,7 @@
 }
 
 func storedFormation(own string) wire.Bootstrap {
-	return wire.Bootstrap{Formation: "first", Voters: storedVoters(own), By: storedVoters(own)[1]}
+	return wire.Bootstrap{BootstrapID: "first", Voters: storedVoters(own), Proposer: storedVoters(own)[1]}
 }
 
 // makeConsented is a core that has consented to a formation that is not complete.
@@ -70,7 +70,7 @@
 	t.Helper()
 	c := makeConsented(t)
 	form := storedFormation(c.host.replicaID)
-	form.Go = true
+	form.Commit = true
 	c.send(wire.KindBootstrap, &form)
 	g := c.lead(0, "a", "b")
 	ok := func(g *Group, e wire.Edit) wire.Version {
@@ -85,10 +85,10 @@
 	ok(g, wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"})
 	ok(g, wire.Edit{Op: "empty", Name: "z8", EditID: "drain-2"})
 	must.Eq(t, 7, g.committed.Version.Seq)
-	must.Eq(t, []string{"b1"}, storedConfig(t, g.committed).Running, must.Sprint("the clocks agree that the booking has begun"))
+	must.Eq(t, []string{"b1"}, storedConfig(t, g.committed).ActiveBookings, must.Sprint("the clocks agree that the booking has begun"))
 	c.send(wire.KindVote, &wire.Vote{Partition: 2, Term: 6, From: "b"})
 	v := wire.Versioned{Version: wire.Version{Partition: 3, Term: 4, Seq: 9}, Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&wire.IndexBody{
-		Cuts: map[string]wire.LiveCut{"maps": {Name: "m1", Shards: 3}},
+		ShardMaps: map[string]wire.ShardMap{"maps": {Name: "m1", Shards: 3}},
 	})}
 	c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 4, From: "b", Versioned: v})
 	g = c.lead(storedIndexPartition, "a", "b")
@@ -134,7 +134,7 @@
 func makeBeforeRelease3(t *testing.T) *storedCore {
 	t.Helper()
 	own := "0123456789abcdef"
-	form := wire.Bootstrap{Formation: "old", Voters: storedVoters(own), Go: true}
+	form := wire.Bootstrap{BootstrapID: "old", Voters: storedVoters(own), Commit: true}
 	at := func(seq uint64) wire.Version { return wire.Version{Term: 2, Seq: seq} }
 	indexAt := wire.Version{Partition: storedIndexPartition, Term: 3, Seq: 4}
 	settled := makeSettled(t).host.groups[0].committed
@@ -142,20 +142,20 @@
 	history := storedLedger(t, settled).History
 	must.Len(t, 2, history)
 	history[0].Version, history[1].Version = at(2), at(3)
-	config.SheetAt, config.History = at(3), history
-	config.Recent = []wire.Done{
+	config.ConfigVersion, config.LegacyHistory = at(3), history
+	config.LegacyEdits = []wire.LegacyEdit{
 		{EditID: "sheet-1", Sum: legacySum(storedPut(wire.Version{}, 100, "")), Version: at(2)},
 		{EditID: "sheet-2", Sum: legacySum(storedPut(wire.Version{}, 200, "")), Version: at(3)},
 	}
 	for i, e := range []wire.Edit{order(t, 0, 5, 1), order(t, 5, 7, 1)} {
 		var sent routingpb.RoutingEdit
 		must.NoError(t, proto.Unmarshal(e.Body, &sent))
-		config.Revisions = append(config.Revisions, wire.Revision{Number: sent.Revision, Sum: routing.LegacyDigest(&sent), Base: sent.Base, Version: at(4 + uint64(i))})
+		config.LegacyRevisions = append(config.LegacyRevisions, wire.LegacyRevision{Number: sent.Revision, Sum: routing.LegacyDigest(&sent), Base: sent.Base, Version: at(4 + uint64(i))})
 	}
 	index := wire.IndexBody{
-		Cuts:    map[string]wire.LiveCut{"docs": {Name: "c1", Shards: 4, Next: "c2", NextShards: 8}},
-		Holders: map[string]wire.Holder{"move docs": {Node: "node-1", Turn: 1}},
-		Recent:  []wire.Done{{EditID: "cut-1", Sum: legacySum(storedCut("cut", "", storedFirstCut)), Version: indexAt}},
+		ShardMaps:    map[string]wire.ShardMap{"docs": {Name: "c1", Shards: 4, Next: "c2", NextShards: 8}},
+		LeaseHolders: map[string]wire.LeaseHolder{"move docs": {Node: "node-1", LeaseID: 1}},
+		LegacyEdits:  []wire.LegacyEdit{{EditID: "cut-1", Sum: legacySum(storedCut("cut", "", storedFirstCut)), Version: indexAt}},
 	}
 	versions := []wire.Versioned{
 		{Version: at(6), Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&config)},
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -42,13 +42,13 @@
 		return sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &f), wire.KindBootstrapReply)
 	}
 	form := storedFormation(storedReplica)
-	must.Eq(t, []wire.BootstrapReply{{Formation: "first", From: storedReplica, OK: true}}, answer(form))
-	other := wire.Bootstrap{Formation: "second", Voters: form.Voters, By: form.Voters[2]}
-	must.Eq(t, []wire.BootstrapReply{{Formation: "second", From: storedReplica, By: form.Voters[1]}}, answer(other))
+	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "first", From: storedReplica, OK: true}}, answer(form))
+	other := wire.Bootstrap{BootstrapID: "second", Voters: form.Voters, Proposer: form.Voters[2]}
+	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Proposer: form.Voters[1]}}, answer(other))
 	must.Eq(t, before, string(c.files["formation"]))
-	form.Go = true
+	form.Commit = true
 	must.SliceEmpty(t, answer(form))
-	must.Eq(t, []wire.BootstrapReply{{Formation: "second", From: storedReplica, Formed: true}}, answer(other))
+	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Bootstrapped: true}}, answer(other))
 	must.True(t, startStored(t, c.files).host.bootstrapped)
 	must.True(t, c.lead(0, "a").ready)
 }
@@ -75,7 +75,7 @@
 		{"the first sheet restored", wire.Edit{Op: "return", Name: "1.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 11}}, "ok", 2, 12},
 	})
 	config := storedConfig(t, g.committed)
-	must.Eq(t, []string{"b1"}, config.Running)
+	must.Eq(t, []string{"b1"}, config.ActiveBookings)
 	must.Eq(t, []string{"z8"}, config.DrainedZones)
 	must.Eq(t, 100, int(state.SheetOf(config).Services[0].Capacity))
 
@@ -83,13 +83,13 @@
 	c.answers(g, []string{"a"}, []storedAnswer{
 		{"first cut again", storedCut("cut", "cut-1", storedFirstCut), "ok", 1, 2},
 		{"second cut again", storedCut("cut", "cut-2", storedSecondCut), "ok", 1, 3},
-		{"its id for another one", storedCut("cut", "cut-2", wire.LiveCut{Next: "c3", NextShards: 1}), "conflict", 2, 5},
-		{"flip", storedCut("flip", "flip-1", wire.LiveCut{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
+		{"its id for another one", storedCut("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
+		{"flip", storedCut("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
 	})
 	index, err := state.ReadIndex(g.committed.Body)
 	must.NoError(t, err)
-	must.Eq(t, map[string]wire.LiveCut{"docs": {Name: "c2", Shards: 8}}, index.Cuts)
-	must.Eq(t, map[string]wire.Holder{"move docs": {Node: "node-1", Turn: 1}}, index.Holders)
+	must.Eq(t, map[string]wire.ShardMap{"docs": {Name: "c2", Shards: 8}}, index.ShardMaps)
+	must.Eq(t, map[string]wire.LeaseHolder{"move docs": {Node: "node-1", LeaseID: 1}}, index.LeaseHolders)
 }
 
 func TestStoredVotesBind(t *testing.T) {
@@ -110,13 +110,13 @@
 	refused := accepted(t, c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 3, From: "a", Versioned: late}))
 	must.False(t, refused.OK)
 	must.Eq(t, uint64(4), refused.Term)
-	must.Eq(t, wire.Version{Partition: 3, Term: 4, Seq: 9}, vote(wire.Vote{Partition: 3, Term: 5, From: "a"}).Held.Version)
+	must.Eq(t, wire.Version{Partition: 3, Term: 4, Seq: 9}, vote(wire.Vote{Partition: 3, Term: 5, From: "a"}).Stored.Version)
 }
 
 func TestStoredBodiesBeforeTheLedgerAreAdopted(t *testing.T) {
 	c := startStored(t, readStored(t, "before-release-3"))
 	must.Eq(t, "0123456789abcdef", c.host.ReplicaID())
-	must.Eq(t, "0123456789abcdef", c.host.formation.By.ID, must.Sprint("the first voter proposed it"))
+	must.Eq(t, "0123456789abcdef", c.host.formation.Proposer.ID, must.Sprint("the first voter proposed it"))
 	g := c.lead(0, "a")
 	c.answers(g, []string{"a"}, []storedAnswer{
 		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
@@ -129,9 +129,9 @@
 		{"the first sheet restored", wire.Edit{Op: "return", Name: "2.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 3}}, "ok", 3, 9},
 	})
 	config, ledger := storedConfig(t, g.committed), storedLedger(t, g.committed)
-	must.True(t, config.Recent == nil && config.Revisions == nil && config.History == nil)
+	must.True(t, config.LegacyEdits == nil && config.LegacyRevisions == nil && config.LegacyHistory == nil)
 	must.Eq(t, []string{"z8", "z9"}, config.DrainedZones)
-	must.Len(t, 3, ledger.Orders)
+	must.Len(t, 3, ledger.RoutingEdits)
 	must.Len(t, 3, ledger.Edits)
 	must.Len(t, 3, ledger.History)
 
@@ -139,6 +139,6 @@
 	c.answers(g, []string{"a"}, []storedAnswer{
 		{"first cut again", storedCut("cut", "cut-1", storedFirstCut), "ok", 3, 4},
 		{"its id for another one", storedCut("cut", "cut-1", storedSecondCut), "conflict", 4, 5},
-		{"another cut", storedCut("cut", "cut-3", wire.LiveCut{Next: "c3", NextShards: 2}), "ok", 4, 6},
+		{"another cut", storedCut("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
 	})
 }
--- a/control/replica/stored_test.go
+++ b/control/replica/stored_test.go
@@ -24,9 +24,9 @@
 	return config
 }
 
-func storedLedger(t *testing.T, v wire.Versioned) wire.Ledger {
+func storedLedger(t *testing.T, v wire.Versioned) wire.EditLog {
 	t.Helper()
-	ledger, err := state.ReadLedger(v.Ledger)
+	ledger, err := state.ReadLedger(v.EditLog)
 	must.NoError(t, err)
 	return ledger
 }
@@ -45,7 +45,7 @@
 	version := func(v wire.Version) string { return fmt.Sprintf("%d:%d.%d", v.Partition, v.Term, v.Seq) }
 	line("replica %s formed %t damaged %t", host.replicaID, host.bootstrapped, host.diskDamaged)
 	f := host.formation
-	line("formation %q complete %t by %s voters%s", f.Formation, f.Go, f.By.ID, voters(f.Voters))
+	line("formation %q complete %t by %s voters%s", f.BootstrapID, f.Commit, f.Proposer.ID, voters(f.Voters))
 	for _, g := range host.groups {
 		v := g.accepted
 		line("partition %d voted %d for %q holds %s files %d", g.partition, g.votedTerm, g.votedFor, version(v.Version), len(g.versionFiles))
@@ -53,39 +53,39 @@
 		if g.partition != state.Config {
 			index, err := state.ReadIndex(v.Body)
 			must.NoError(t, err)
-			for _, name := range sortedKeys(index.Cuts) {
-				cut := index.Cuts[name]
+			for _, name := range sortedKeys(index.ShardMaps) {
+				cut := index.ShardMaps[name]
 				line("  index %s cut %s/%d next %s/%d", name, cut.Name, cut.Shards, cut.Next, cut.NextShards)
 			}
-			for _, task := range sortedKeys(index.Holders) {
-				line("  task %q holder %s/%d", task, index.Holders[task].Node, index.Holders[task].Turn)
+			for _, task := range sortedKeys(index.LeaseHolders) {
+				line("  task %q holder %s/%d", task, index.LeaseHolders[task].Node, index.LeaseHolders[task].LeaseID)
 			}
-			for _, done := range index.Recent {
+			for _, done := range index.LegacyEdits {
 				line("  body edit %s %x %s", done.EditID, done.Sum, version(done.Version))
 			}
 		} else {
 			config := storedConfig(t, v)
-			line("  sheet at %s %x", version(config.SheetAt), config.Sheet)
-			line("  routing %x drained %v running %v", config.Routing, config.DrainedZones, config.Running)
-			for _, done := range config.Recent {
+			line("  sheet at %s %x", version(config.ConfigVersion), config.Config)
+			line("  routing %x drained %v running %v", config.Routing, config.DrainedZones, config.ActiveBookings)
+			for _, done := range config.LegacyEdits {
 				line("  body edit %s %x %s", done.EditID, done.Sum, version(done.Version))
 			}
-			for _, r := range config.Revisions {
+			for _, r := range config.LegacyRevisions {
 				line("  body revision %d on %d %x %s", r.Number, r.Base, r.Sum, version(r.Version))
 			}
-			for _, past := range config.History {
-				line("  body sheet %s by %s %x", version(past.Version), past.By, past.Sheet)
+			for _, past := range config.LegacyHistory {
+				line("  body sheet %s by %s %x", version(past.Version), past.By, past.Config)
 			}
 		}
 		ledger := storedLedger(t, v)
-		for _, o := range ledger.Orders {
+		for _, o := range ledger.RoutingEdits {
 			line("  order %x %d.%d", o.Digest, o.Term, o.Seq)
 		}
 		for _, e := range ledger.Edits {
 			line("  edit %s %x %d.%d", e.EditID, e.Digest, e.Term, e.Seq)
 		}
 		for _, past := range ledger.History {
-			line("  past sheet %s by %s %x", version(past.Version), past.By, past.Sheet)
+			line("  past sheet %s by %s %x", version(past.Version), past.By, past.Config)
 		}
 		for _, z := range ledger.Zones {
 			line("  zone %s %d.%d", z.Zone, z.Term, z.Seq)
--- a/control/replica/synced.go
+++ b/control/replica/synced.go
@@ -23,7 +23,7 @@
 // noteSynced remembers what a replica has acknowledged.
 func (g *Group) noteSynced(r wire.AcceptReply) {
 	if mesh.Newer(r.Version, g.synced[r.From].stamp) {
-		g.synced[r.From] = syncedVersion{r.Version, g.round, r.TakesBase}
+		g.synced[r.From] = syncedVersion{r.Version, g.round, r.SupportsBase}
 	}
 }
 
@@ -31,25 +31,25 @@
 // was put back to an older state. The protocol assumes that this does not happen.
 func (g *Group) noticeRollback(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
 	was, known := g.synced[r.From]
-	if !known || r.Round <= was.round || !mesh.Newer(was.stamp, r.Held) {
+	if !known || r.Round <= was.round || !mesh.Newer(was.stamp, r.Stored) {
 		return
 	}
 	delete(g.synced, r.From)
 	ctx.Counts.Add("replicas_rolled_back", 1)
-	ctx.Log(kernel.LevelError, "replica_rolled_back", "part", g.partition, "replica", r.From, "had_seq", was.stamp.Seq, "has_seq", r.Held.Seq,
+	ctx.Log(kernel.LevelError, "replica_rolled_back", "part", g.partition, "replica", r.From, "had_seq", was.stamp.Seq, "has_seq", r.Stored.Seq,
 		"do", "stop this core, empty its data folder, start it again: it comes back as a new replica")
 }
 
 // noteHeld remembers what the voters of an election hold.
 func (g *Group) noteHeld(votes map[string]wire.VoteReply) {
 	for id, v := range votes {
-		g.synced[id] = syncedVersion{v.Held.Version, g.round, v.TakesBase}
+		g.synced[id] = syncedVersion{v.Stored.Version, g.round, v.SupportsBase}
 	}
 }
 
 // baseOf is the committed version, if a new one has its body and ledger: only the voters change.
 func (g *Group) baseOf(value state.Value) (base wire.Version) {
-	if bytes.Equal(value.Body, g.committed.Body) && bytes.Equal(value.Ledger, g.committed.Ledger) {
+	if bytes.Equal(value.Body, g.committed.Body) && bytes.Equal(value.Ledger, g.committed.EditLog) {
 		base = g.committed.Version
 	}
 	return base
@@ -59,7 +59,7 @@
 func (g *Group) withBase(a wire.Accept, id string, base wire.Version) wire.Accept {
 	held := g.synced[id]
 	if isLarge(sizeOf(a.Versioned)) && base.Term > 0 && held.takesBase && held.stamp == base {
-		a.Base, a.Versioned.Body, a.Versioned.Ledger = base, nil, nil
+		a.Base, a.Versioned.Body, a.Versioned.EditLog = base, nil, nil
 	}
 	return a
 }
--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -34,7 +34,7 @@
 	if want == g.self() || ctx.Now-g.heardAt[want] > 2*HeartbeatInterval || ctx.Now-g.steadySince[want] < RebalanceAfter || g.diskProblem[want] || g.isLeaving(ctx, want) {
 		return ""
 	}
-	if r, live := g.host.row(want, ctx.Now); !live || r.Sick != "" || r.Draining {
+	if r, live := g.host.row(want, ctx.Now); !live || r.UnhealthyReason != "" || r.Draining {
 		return ""
 	}
 	return want
--- a/control/replica/vote_held_test.go
+++ b/control/replica/vote_held_test.go
@@ -17,7 +17,7 @@
 	c := newCore(t, nil)
 	c.s.groups[0].accepted = newer
 	ask := func(held wire.Version) bool {
-		return sent[wire.VoteReply](t, c.send(wire.KindVote, &wire.Vote{Term: 9, From: "a", Pre: true, Held: held}), wire.KindVoteReply)[0].Granted
+		return sent[wire.VoteReply](t, c.send(wire.KindVote, &wire.Vote{Term: 9, From: "a", Pre: true, Stored: held}), wire.KindVoteReply)[0].Granted
 	}
 	must.False(t, ask(version(4, 6).Version))
 	must.True(t, ask(newer.Version))
@@ -31,18 +31,18 @@
 	for held, want := range map[wire.Version]int{version(4, 6).Version: len(newer.Body), newer.Version: 0, version(5, 1).Version: 0} {
 		c := newCore(t, nil)
 		c.s.groups[0].accepted = newer
-		out := c.sync(c.send(wire.KindVote, &wire.Vote{Term: 9, From: "a", Held: held}))
+		out := c.sync(c.send(wire.KindVote, &wire.Vote{Term: 9, From: "a", Stored: held}))
 		r := sent[wire.VoteReply](t, out, wire.KindVoteReply)[0]
 		must.True(t, r.Granted)
-		must.Eq(t, newer.Version, r.Held.Version)
-		must.Len(t, want, r.Held.Body)
+		must.Eq(t, newer.Version, r.Stored.Version)
+		must.Len(t, want, r.Stored.Body)
 	}
 }
 
 // large is a version whose body travels in pieces.
 func large(term, seq uint64) wire.Versioned {
 	v := version(term, seq)
-	v.Body = make([]byte, wire.WholeMost+1)
+	v.Body = make([]byte, wire.MaxSingleFrame+1)
 	return v
 }
 
--- a/control/routing/check.go
+++ b/control/routing/check.go
@@ -43,7 +43,7 @@
 
 func (c *checker) is(where string, bad bool, text string) {
 	if bad {
-		c.found = append(c.found, wire.Finding{Place: where, Text: text})
+		c.found = append(c.found, wire.Finding{Path: where, Text: text})
 	}
 }
 
--- a/control/state/config.go
+++ b/control/state/config.go
@@ -37,7 +37,7 @@
 // SheetOf decodes the sheet of a configuration.
 func SheetOf(c wire.ConfigBody) *configpb.Sheet {
 	s := new(configpb.Sheet)
-	if proto.Unmarshal(c.Sheet, s) != nil {
+	if proto.Unmarshal(c.Config, s) != nil {
 		return new(configpb.Sheet)
 	}
 	return s
@@ -79,8 +79,8 @@
 	return Value{Body: wire.Encode(&c), Ledger: wire.Encode(&ledger)}, r, true
 }
 
-func editSheet(c *wire.ConfigBody, ledger *wire.Ledger, next wire.Version, e *wire.Edit) wire.EditReply {
-	if e.Base != c.SheetAt {
+func editSheet(c *wire.ConfigBody, ledger *wire.EditLog, next wire.Version, e *wire.Edit) wire.EditReply {
+	if e.Base != c.ConfigVersion {
 		if r, lost := lostRace(c, ledger, e); lost {
 			return r
 		}
@@ -93,11 +93,11 @@
 	case "rows":
 		s, found = config.Apply(SheetOf(*c), e.Body)
 	case "return":
-		i := slices.IndexFunc(ledger.History, func(p wire.Past) bool { return config.VersionText(p.Version) == e.Name })
+		i := slices.IndexFunc(ledger.History, func(p wire.PastConfig) bool { return config.VersionText(p.Version) == e.Name })
 		if i < 0 {
 			return invalid("stamp", "not in the history: "+e.Name)
 		}
-		s = SheetOf(wire.ConfigBody{Sheet: ledger.History[i].Sheet})
+		s = SheetOf(wire.ConfigBody{Config: ledger.History[i].Config})
 	}
 	if len(found) == 0 {
 		found = config.Check(s)
@@ -109,26 +109,26 @@
 	if err != nil {
 		return invalid("sheet", err.Error())
 	}
-	c.Sheet, c.SheetAt = b, next
-	ledger.History = boundHistory(append(ledger.History, wire.Past{Version: next, By: e.By, Sheet: b}))
+	c.Config, c.ConfigVersion = b, next
+	ledger.History = boundHistory(append(ledger.History, wire.PastConfig{Version: next, By: e.By, Config: b}))
 	return wire.EditReply{Code: "ok"}
 }
 
 // lostRace judges an edit that is not based on the sheet in force: one of rows
 // alone still holds if none of its rows has changed since its base.
-func lostRace(c *wire.ConfigBody, ledger *wire.Ledger, e *wire.Edit) (wire.EditReply, bool) {
-	lost := wire.EditReply{Code: "lost_race", Version: c.SheetAt}
-	i := slices.IndexFunc(ledger.History, func(p wire.Past) bool { return p.Version == e.Base })
+func lostRace(c *wire.ConfigBody, ledger *wire.EditLog, e *wire.Edit) (wire.EditReply, bool) {
+	lost := wire.EditReply{Code: "lost_race", Version: c.ConfigVersion}
+	i := slices.IndexFunc(ledger.History, func(p wire.PastConfig) bool { return p.Version == e.Base })
 	if e.Op != "rows" || i < 0 {
 		return lost, true
 	}
-	lost.Findings = config.Clash(SheetOf(wire.ConfigBody{Sheet: ledger.History[i].Sheet}), SheetOf(*c), e.Body)
+	lost.Findings = config.Clash(SheetOf(wire.ConfigBody{Config: ledger.History[i].Config}), SheetOf(*c), e.Body)
 	return lost, len(lost.Findings) > 0
 }
 
 // editZone drains a zone or restores it. The order is bound to the version that last took one about
 // that zone, as it was read after the order came: a late copy is bound to an older one and is stale.
-func editZone(c *wire.ConfigBody, ledger *wire.Ledger, next wire.Version, e *wire.Edit) wire.EditReply {
+func editZone(c *wire.ConfigBody, ledger *wire.EditLog, next wire.Version, e *wire.Edit) wire.EditReply {
 	drains := e.Op == "empty"
 	if found := checkZone(c, e.Name, drains); len(found) > 0 {
 		return wire.EditReply{Code: "invalid", Findings: found}
@@ -162,13 +162,13 @@
 	default:
 		return nil
 	}
-	return []wire.Finding{{Place: "zone", Text: text}}
+	return []wire.Finding{{Path: "zone", Text: text}}
 }
 
 // configClock starts and ends bookings by the leader's corrected clock.
 func configClock(body []byte, _ wire.Version, wall int64, _ map[string]string) ([]byte, bool) {
 	c, err := ReadConfig(body)
-	if err != nil || len(c.Sheet) == 0 {
+	if err != nil || len(c.Config) == 0 {
 		return nil, false
 	}
 	var run []string
@@ -178,9 +178,9 @@
 		}
 	}
 	slices.Sort(run)
-	if slices.Equal(run, c.Running) {
+	if slices.Equal(run, c.ActiveBookings) {
 		return nil, false
 	}
-	c.Running = run
+	c.ActiveBookings = run
 	return wire.Encode(&c), true
 }
--- a/control/state/index.go
+++ b/control/state/index.go
@@ -16,11 +16,11 @@
 	if len(body) > 0 {
 		err = wire.Decode(body, &b)
 	}
-	if b.Cuts == nil {
-		b.Cuts = map[string]wire.LiveCut{}
+	if b.ShardMaps == nil {
+		b.ShardMaps = map[string]wire.ShardMap{}
 	}
-	if b.Holders == nil {
-		b.Holders = map[string]wire.Holder{}
+	if b.LeaseHolders == nil {
+		b.LeaseHolders = map[string]wire.LeaseHolder{}
 	}
 	return b, err
 }
@@ -34,8 +34,8 @@
 	if err != nil {
 		return value, invalid("ledger", "cannot be read: "+err.Error()), false
 	}
-	adoptEdits(&ledger, b.Recent)
-	b.Recent = nil
+	adoptEdits(&ledger, b.LegacyEdits)
+	b.LegacyEdits = nil
 	if r, ok := editTaken(&ledger, e); ok {
 		return value, r, false
 	}
@@ -57,14 +57,14 @@
 
 // startCut begins a move; the first cut of an index is in force at once.
 func startCut(b *wire.IndexBody, e *wire.Edit) wire.EditReply {
-	var want wire.LiveCut
+	var want wire.ShardMap
 	if wire.Decode(e.Body, &want) != nil || want.Next == "" || want.NextShards < 1 {
 		return invalid("cut", "needs a name and at least one shard")
 	}
-	live, ok := b.Cuts[e.Name]
+	live, ok := b.ShardMaps[e.Name]
 	switch {
 	case !ok:
-		live = wire.LiveCut{Name: want.Next, Shards: want.NextShards}
+		live = wire.ShardMap{Name: want.Next, Shards: want.NextShards}
 	case live.Name == want.Next && live.Shards == want.NextShards:
 		live.Next, live.NextShards = "", 0
 	case live.Name == want.Next:
@@ -72,18 +72,18 @@
 	default:
 		live.Next, live.NextShards = want.Next, want.NextShards
 	}
-	b.Cuts[e.Name] = live
+	b.ShardMaps[e.Name] = live
 	return wire.EditReply{Code: "ok"}
 }
 
 // flipCut makes the next cut the live one, if it is still the same move.
 func flipCut(b *wire.IndexBody, e *wire.Edit) wire.EditReply {
-	var want wire.LiveCut
-	live := b.Cuts[e.Name]
+	var want wire.ShardMap
+	live := b.ShardMaps[e.Name]
 	if wire.Decode(e.Body, &want) != nil || live.Next == "" || want != live {
 		return wire.EditReply{Code: "lost_race"}
 	}
-	b.Cuts[e.Name] = wire.LiveCut{Name: live.Next, Shards: live.NextShards}
+	b.ShardMaps[e.Name] = wire.ShardMap{Name: live.Next, Shards: live.NextShards}
 	return wire.EditReply{Code: "ok"}
 }
 
@@ -94,10 +94,10 @@
 		return nil, false
 	}
 	due := false
-	b.Holders = maps.Clone(b.Holders)
+	b.LeaseHolders = maps.Clone(b.LeaseHolders)
 	for duty, node := range holders {
-		if h := b.Holders[duty]; h.Node != node {
-			b.Holders[duty] = wire.Holder{Node: node, Turn: h.Turn + 1}
+		if h := b.LeaseHolders[duty]; h.Node != node {
+			b.LeaseHolders[duty] = wire.LeaseHolder{Node: node, LeaseID: h.LeaseID + 1}
 			due = true
 		}
 	}
--- a/control/state/layout.go
+++ b/control/state/layout.go
@@ -60,5 +60,5 @@
 }
 
 func invalid(place, text string) wire.EditReply {
-	return wire.EditReply{Code: "invalid", Findings: []wire.Finding{{Place: place, Text: text}}}
+	return wire.EditReply{Code: "invalid", Findings: []wire.Finding{{Path: place, Text: text}}}
 }
--- a/control/state/ledger.go
+++ b/control/state/ledger.go
@@ -29,8 +29,8 @@
 const legacyDigestBytes = 8
 
 // ReadLedger decodes a ledger; nil is the empty one.
-func ReadLedger(encoded []byte) (wire.Ledger, error) {
-	var ledger wire.Ledger
+func ReadLedger(encoded []byte) (wire.EditLog, error) {
+	var ledger wire.EditLog
 	if len(encoded) == 0 {
 		return ledger, nil
 	}
@@ -39,24 +39,24 @@
 }
 
 // adoptEdits moves the edits that a body of a release before 3 remembers into the ledger.
-func adoptEdits(ledger *wire.Ledger, recent []wire.Done) {
-	var edits []wire.TakenEdit
+func adoptEdits(ledger *wire.EditLog, recent []wire.LegacyEdit) {
+	var edits []wire.AppliedEdit
 	for _, d := range recent {
-		edits = append(edits, wire.TakenEdit{EditID: d.EditID, Digest: legacyDigest(d.Sum), Term: d.Version.Term, Seq: d.Version.Seq})
+		edits = append(edits, wire.AppliedEdit{EditID: d.EditID, Digest: legacyDigest(d.Sum), Term: d.Version.Term, Seq: d.Version.Seq})
 	}
 	ledger.Edits = newest(append(edits, ledger.Edits...), editsMost)
 }
 
 // adoptConfig moves all that a configuration of a release before 3 remembers into the ledger.
-func adoptConfig(ledger *wire.Ledger, config *wire.ConfigBody) {
-	adoptEdits(ledger, config.Recent)
-	var orders []wire.TakenOrder
-	for _, r := range config.Revisions {
-		orders = append(orders, wire.TakenOrder{Digest: legacyDigest(r.Sum), Term: r.Version.Term, Seq: r.Version.Seq})
+func adoptConfig(ledger *wire.EditLog, config *wire.ConfigBody) {
+	adoptEdits(ledger, config.LegacyEdits)
+	var orders []wire.RoutingEdit
+	for _, r := range config.LegacyRevisions {
+		orders = append(orders, wire.RoutingEdit{Digest: legacyDigest(r.Sum), Term: r.Version.Term, Seq: r.Version.Seq})
 	}
-	ledger.Orders = newest(append(orders, ledger.Orders...), ordersMost)
-	ledger.History = boundHistory(append(slices.Clone(config.History), ledger.History...))
-	config.Recent, config.Revisions, config.History = nil, nil, nil
+	ledger.RoutingEdits = newest(append(orders, ledger.RoutingEdits...), ordersMost)
+	ledger.History = boundHistory(append(slices.Clone(config.LegacyHistory), ledger.History...))
+	config.LegacyEdits, config.LegacyRevisions, config.LegacyHistory = nil, nil, nil
 }
 
 func legacyDigest(sum uint64) []byte { return binary.BigEndian.AppendUint64(nil, sum) }
@@ -67,11 +67,11 @@
 }
 
 // boundHistory keeps the newest sheets, within the bounds of their number and size.
-func boundHistory(history []wire.Past) []wire.Past {
+func boundHistory(history []wire.PastConfig) []wire.PastConfig {
 	history = newest(history, historyMost)
 	size := 0
 	for i := len(history) - 1; i >= 0; i-- {
-		size += len(history[i].Sheet)
+		size += len(history[i].Config)
 		if size > historyBytesMost && i < len(history)-1 {
 			return history[i+1:]
 		}
@@ -80,10 +80,10 @@
 }
 
 // orderTaken gives the version that took exactly this order.
-func orderTaken(ledger *wire.Ledger, order *routingpb.RoutingEdit) (wire.Version, bool) {
+func orderTaken(ledger *wire.EditLog, order *routingpb.RoutingEdit) (wire.Version, bool) {
 	digest := routing.Digest(order)
 	legacy := legacyDigest(routing.LegacyDigest(order))
-	for _, taken := range ledger.Orders {
+	for _, taken := range ledger.RoutingEdits {
 		known := digest[:]
 		if len(taken.Digest) == legacyDigestBytes {
 			known = legacy
@@ -95,18 +95,18 @@
 	return wire.Version{}, false
 }
 
-func rememberOrder(ledger *wire.Ledger, order *routingpb.RoutingEdit, at wire.Version) {
+func rememberOrder(ledger *wire.EditLog, order *routingpb.RoutingEdit, at wire.Version) {
 	digest := routing.Digest(order)
-	taken := wire.TakenOrder{Digest: digest[:], Term: at.Term, Seq: at.Seq}
-	ledger.Orders = newest(append(ledger.Orders, taken), ordersMost)
+	taken := wire.RoutingEdit{Digest: digest[:], Term: at.Term, Seq: at.Seq}
+	ledger.RoutingEdits = newest(append(ledger.RoutingEdits, taken), ordersMost)
 }
 
 // editTaken answers an edit whose id was taken before.
-func editTaken(ledger *wire.Ledger, edit *wire.Edit) (wire.EditReply, bool) {
+func editTaken(ledger *wire.EditLog, edit *wire.Edit) (wire.EditReply, bool) {
 	if edit.EditID == "" {
 		return wire.EditReply{}, false
 	}
-	i := slices.IndexFunc(ledger.Edits, func(taken wire.TakenEdit) bool { return taken.EditID == edit.EditID })
+	i := slices.IndexFunc(ledger.Edits, func(taken wire.AppliedEdit) bool { return taken.EditID == edit.EditID })
 	if i < 0 {
 		return wire.EditReply{}, false
 	}
@@ -116,16 +116,16 @@
 		digest = legacyDigest(legacyEditSum(edit))
 	}
 	if !bytes.Equal(taken.Digest, digest) {
-		return wire.EditReply{Code: "conflict", Findings: []wire.Finding{{Place: "Edit-Id", Text: "was used for another edit"}}}, true
+		return wire.EditReply{Code: "conflict", Findings: []wire.Finding{{Path: "Edit-Id", Text: "was used for another edit"}}}, true
 	}
 	return wire.EditReply{Code: "ok", Version: wire.Version{Partition: edit.Partition, Term: taken.Term, Seq: taken.Seq}}, true
 }
 
-func rememberEdit(ledger *wire.Ledger, edit *wire.Edit, at wire.Version) {
+func rememberEdit(ledger *wire.EditLog, edit *wire.Edit, at wire.Version) {
 	if edit.EditID == "" {
 		return
 	}
-	taken := wire.TakenEdit{EditID: edit.EditID, Digest: editDigest(edit), Term: at.Term, Seq: at.Seq}
+	taken := wire.AppliedEdit{EditID: edit.EditID, Digest: editDigest(edit), Term: at.Term, Seq: at.Seq}
 	ledger.Edits = newest(append(ledger.Edits, taken), editsMost)
 }
 
@@ -140,7 +140,7 @@
 }
 
 // zoneVersion is the version that last took an order about a zone.
-func zoneVersion(ledger *wire.Ledger, zone string) wire.Version {
+func zoneVersion(ledger *wire.EditLog, zone string) wire.Version {
 	for _, v := range ledger.Zones {
 		if v.Zone == zone {
 			return wire.Version{Partition: Config, Term: v.Term, Seq: v.Seq}
@@ -151,7 +151,7 @@
 
 // setZoneVersion notes an order about a zone. The version of a zone that is forgotten becomes the
 // floor, which every zone that is not listed has: an order bound to what was before stays stale.
-func setZoneVersion(ledger *wire.Ledger, zone string, at wire.Version) {
+func setZoneVersion(ledger *wire.EditLog, zone string, at wire.Version) {
 	zones := slices.DeleteFunc(slices.Clone(ledger.Zones), func(v wire.ZoneVersion) bool { return v.Zone == zone })
 	zones = append(zones, wire.ZoneVersion{Zone: zone, Term: at.Term, Seq: at.Seq})
 	for len(zones) > zoneVersionsMost {
--- a/control/state/orders_test.go
+++ b/control/state/orders_test.go
@@ -159,7 +159,7 @@
 	for _, zone := range []string{"", string(make([]byte, zoneNameMost+1)), "a\x00b", "a\nb", "\xff", "one more"} {
 		r := p.zone("empty", zone, "bad")
 		must.Eq(t, "invalid", r.Code, must.Sprintf("%q", zone))
-		must.Eq(t, "zone", r.Findings[0].Place)
+		must.Eq(t, "zone", r.Findings[0].Path)
 	}
 	must.Eq(t, before, p.value)
 	must.Eq(t, "ok", p.zone("empty", "zone-0", "bad").Code, must.Sprint("the next order is taken"))
@@ -176,10 +176,10 @@
 	body, err := proto.Marshal(table)
 	must.NoError(t, err)
 	p := &part0{t: t, seq: 9, value: Value{Body: wire.Encode(&wire.ConfigBody{
-		DrainedZones: []string{"z"}, Routing: body, Sheet: order, SheetAt: at,
-		Recent:    []wire.Done{{EditID: "old", Sum: legacyEditSum(&taken), Version: at}},
-		History:   []wire.Past{{Version: at, By: "someone"}},
-		Revisions: []wire.Revision{{Number: 1, Sum: routing.LegacyDigest(whole(0, 1)), Version: at}},
+		DrainedZones: []string{"z"}, Routing: body, Config: order, ConfigVersion: at,
+		LegacyEdits:     []wire.LegacyEdit{{EditID: "old", Sum: legacyEditSum(&taken), Version: at}},
+		LegacyHistory:   []wire.PastConfig{{Version: at, By: "someone"}},
+		LegacyRevisions: []wire.LegacyRevision{{Number: 1, Sum: routing.LegacyDigest(whole(0, 1)), Version: at}},
 	})}}
 	check := func() {
 		must.Eq(t, at, p.send(whole(0, 1)).Version)
@@ -188,7 +188,7 @@
 		other := whole(0, 1)
 		other.Whole.Routes[0].TimeoutUs = 2
 		must.Eq(t, "lost_race", p.send(other).Code)
-		r := Answer(wire.Versioned{Body: p.value.Body, Ledger: p.value.Ledger}, &wire.Edit{Op: wire.OpHistory})
+		r := Answer(wire.Versioned{Body: p.value.Body, EditLog: p.value.Ledger}, &wire.Edit{Op: wire.OpHistory})
 		ledger, err := ReadLedger(r.Body)
 		must.NoError(t, err)
 		must.Eq(t, "someone", ledger.History[0].By)
@@ -198,7 +198,7 @@
 	check()
 	c, err := ReadConfig(p.value.Body)
 	must.NoError(t, err)
-	must.True(t, c.Recent == nil && c.History == nil && c.Revisions == nil, must.Sprint("moved to the ledger"))
+	must.True(t, c.LegacyEdits == nil && c.LegacyHistory == nil && c.LegacyRevisions == nil, must.Sprint("moved to the ledger"))
 }
 
 // The body has the size of what is in force, however many changes there were; the ledger is bounded.
@@ -227,14 +227,14 @@
 
 func TestHistoryIsBoundedInBytes(t *testing.T) {
 	big := make([]byte, historyBytesMost/2+1)
-	var history []wire.Past
+	var history []wire.PastConfig
 	for i := range 5 {
-		history = boundHistory(append(history, wire.Past{Version: wire.Version{Seq: uint64(i)}, Sheet: big}))
+		history = boundHistory(append(history, wire.PastConfig{Version: wire.Version{Seq: uint64(i)}, Config: big}))
 		must.Len(t, 1, history)
 		must.Eq(t, uint64(i), history[0].Version.Seq, must.Sprint("the one in force stays"))
 	}
 	for i := range historyMost + 3 {
-		history = boundHistory(append(history, wire.Past{Version: wire.Version{Seq: uint64(i)}}))
+		history = boundHistory(append(history, wire.PastConfig{Version: wire.Version{Seq: uint64(i)}}))
 	}
 	must.Len(t, historyMost, history)
 }
--- a/control/state/partition_test.go
+++ b/control/state/partition_test.go
@@ -36,7 +36,7 @@
 	return r
 }
 
-func (p *part0) ledger() wire.Ledger {
+func (p *part0) ledger() wire.EditLog {
 	ledger, err := ReadLedger(p.value.Ledger)
 	must.NoError(p.t, err)
 	return ledger
@@ -49,7 +49,7 @@
 }
 
 func (p *part0) zoneVersion(zone string) wire.Version {
-	r := Answer(wire.Versioned{Body: p.value.Body, Ledger: p.value.Ledger}, &wire.Edit{Op: wire.OpZoneVersion, Name: zone})
+	r := Answer(wire.Versioned{Body: p.value.Body, EditLog: p.value.Ledger}, &wire.Edit{Op: wire.OpZoneVersion, Name: zone})
 	must.Eq(p.t, wire.CodeVersion, r.Code)
 	return r.Version
 }
--- a/control/state/read.go
+++ b/control/state/read.go
@@ -14,7 +14,7 @@
 	if read.Op == wire.OpRead {
 		return wire.EditReply{Code: "ok", Version: version.Version, Body: version.Body}
 	}
-	ledger, err := ReadLedger(version.Ledger)
+	ledger, err := ReadLedger(version.EditLog)
 	if err != nil {
 		return invalid("ledger", "cannot be read: "+err.Error())
 	}
@@ -26,5 +26,5 @@
 		return invalid("body", "cannot be read: "+err.Error())
 	}
 	adoptConfig(&ledger, &config)
-	return wire.EditReply{Code: "ok", Version: version.Version, Body: wire.Encode(&wire.Ledger{History: ledger.History})}
+	return wire.EditReply{Code: "ok", Version: version.Version, Body: wire.Encode(&wire.EditLog{History: ledger.History})}
 }
--- a/control/state/routing.go
+++ b/control/state/routing.go
@@ -26,7 +26,7 @@
 	return t, nil
 }
 
-func editRouting(c *wire.ConfigBody, ledger *wire.Ledger, next wire.Version, raw *wire.Edit) (r wire.EditReply, took bool) {
+func editRouting(c *wire.ConfigBody, ledger *wire.EditLog, next wire.Version, raw *wire.Edit) (r wire.EditReply, took bool) {
 	e := new(routingpb.RoutingEdit)
 	if err := proto.Unmarshal(raw.Body, e); err != nil {
 		return invalid("edit", "cannot be read: "+err.Error()), false
@@ -56,9 +56,9 @@
 
 // otherRevision answers an edit that is not built on the revision in force: exactly this edit
 // may have been taken before, else it lost.
-func otherRevision(ledger *wire.Ledger, e *routingpb.RoutingEdit, current int64) wire.EditReply {
+func otherRevision(ledger *wire.EditLog, e *routingpb.RoutingEdit, current int64) wire.EditReply {
 	if at, taken := orderTaken(ledger, e); taken {
 		return wire.EditReply{Code: "ok", Version: at}
 	}
-	return wire.EditReply{Code: "lost_race", Findings: []wire.Finding{{Place: "base", Text: fmt.Sprintf("revision %d is in force", current)}}}
+	return wire.EditReply{Code: "lost_race", Findings: []wire.Finding{{Path: "base", Text: fmt.Sprintf("revision %d is in force", current)}}}
 }
--- a/control/state/routing_test.go
+++ b/control/state/routing_test.go
@@ -136,7 +136,7 @@
 			r := p.send(e)
 			must.Eq(t, "invalid", r.Code)
 			must.Len(t, 1, r.Findings)
-			must.NotEq(t, "", r.Findings[0].Place)
+			must.NotEq(t, "", r.Findings[0].Path)
 			must.Nil(t, p.table())
 		})
 	}
@@ -175,7 +175,7 @@
 	for i := range int64(ordersMost + 5) {
 		must.Eq(t, "ok", p.send(whole(i, i+1)).Code)
 	}
-	must.Len(t, ordersMost, p.ledger().Orders)
+	must.Len(t, ordersMost, p.ledger().RoutingEdits)
 	must.Eq(t, "lost_race", p.send(whole(0, 1)).Code)
 	must.Eq(t, "ok", p.send(whole(100, 101)).Code)
 }
--- a/lab/fleet/configure.go
+++ b/lab/fleet/configure.go
@@ -17,9 +17,9 @@
 func (f *Fleet) tellPlatform(ctx context.Context) error {
 	return poll(ctx, "platform", func() error {
 		f.mu.Lock()
-		servers := append([]wire.Server(nil), f.servers...)
+		servers := append([]wire.Backend(nil), f.servers...)
 		f.mu.Unlock()
-		if err := f.post(f.Platform+"/lab/servers", wire.Listing{Servers: servers}); err != nil {
+		if err := f.post(f.Platform+"/lab/servers", wire.BackendList{Backends: servers}); err != nil {
 			return err
 		}
 		return f.post(f.Platform+"/lab/nodes", f.Nodes)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -59,7 +59,7 @@
 	Nodes     []platform.Node
 	Opers     map[string]string
 	Platform  string
-	servers   []wire.Server
+	servers   []wire.Backend
 	seeds     []string
 	client    *http.Client
 	left      map[string]int64
@@ -226,7 +226,7 @@
 		f.servers = append(f.servers, v)
 		f.mu.Unlock()
 		err := f.Start(&Proc{Name: v.ID, args: []string{
-			filepath.Join(f.o.Bin, "lab"), "backend", "--id", v.ID, "--addr", v.Addr, "--index", v.Index, "--cut", v.Cut,
+			filepath.Join(f.o.Bin, "lab"), "backend", "--id", v.ID, "--addr", v.Addr, "--index", v.Index, "--cut", v.ShardMap,
 			"--shard", fmt.Sprint(v.Shard), "--shards", fmt.Sprint(shards), "--journal", filepath.Join(f.o.Dir, v.ID+".ran"),
 		}})
 		if err != nil {
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -37,10 +37,10 @@
 func (s Shape) Zone(i int) string { return fmt.Sprintf("z%d", i%s.Zones+1) }
 
 // Server names and places the i-th server of a cut.
-func (s Shape) Server(i int, cut string, shards int, addr string) wire.Server {
-	return wire.Server{
+func (s Shape) Server(i int, cut string, shards int, addr string) wire.Backend {
+	return wire.Backend{
 		ID: fmt.Sprintf("%s-%d-%d", cut, i%shards, i/shards), Addr: addr, Zone: s.Zone(i / shards), Index: s.Index,
-		Cut: cut, Shard: i % shards, State: "ready",
+		ShardMap: cut, Shard: i % shards, State: "ready",
 	}
 }
 
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -69,7 +69,7 @@
 
 // formedDisk is the disk of a voter of a group that has just been formed.
 func formedDisk(replica, voters int) map[string][]byte {
-	form := wire.Bootstrap{Formation: "f", Go: true, By: memberOf(0)}
+	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Proposer: memberOf(0)}
 	for i := range voters {
 		form.Voters = append(form.Voters, memberOf(i))
 	}
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -29,7 +29,7 @@
 
 type shown struct {
 	at   time.Time
-	list wire.Listing
+	list wire.BackendList
 }
 
 // Platform is the stand-in.
@@ -57,7 +57,7 @@
 	m.HandleFunc("GET /list", p.list)
 	m.HandleFunc("GET /nodes", p.handOut)
 	m.HandleFunc("POST /lab/servers", func(w http.ResponseWriter, r *http.Request) {
-		var l wire.Listing
+		var l wire.BackendList
 		if json.NewDecoder(r.Body).Decode(&l) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -111,10 +111,10 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	case "empty":
-		json.NewEncoder(w).Encode(wire.Listing{Servers: []wire.Server{}})
+		json.NewEncoder(w).Encode(wire.BackendList{Backends: []wire.Backend{}})
 		return
 	}
-	var out wire.Listing
+	var out wire.BackendList
 	for _, s := range p.lists {
 		if now.Sub(s.at) >= time.Duration(p.c.LagMs)*time.Millisecond {
 			out = s.list
--- a/lab/scale/backends.go
+++ b/lab/scale/backends.go
@@ -27,7 +27,7 @@
 )
 
 // StartBackends starts them and gives them as a platform lists them, and what ends them.
-func StartBackends(c BackendsConfig) (list []wire.Server, stop func(), err error) {
+func StartBackends(c BackendsConfig) (list []wire.Backend, stop func(), err error) {
 	var all []*http.Server
 	stop = func() {
 		for _, s := range all {
@@ -45,8 +45,8 @@
 		s := &http.Server{Handler: b.Handler()}
 		all = append(all, s)
 		go s.Serve(l)
-		list = append(list, wire.Server{
-			ID: id, Addr: l.Addr().String(), Zone: fmt.Sprintf("z%d", i/c.Shards%c.Zones+1), Index: Index, Cut: Cut, Shard: i % c.Shards, State: "ready",
+		list = append(list, wire.Backend{
+			ID: id, Addr: l.Addr().String(), Zone: fmt.Sprintf("z%d", i/c.Shards%c.Zones+1), Index: Index, ShardMap: Cut, Shard: i % c.Shards, State: "ready",
 		})
 	}
 	return list, stop, nil
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -54,7 +54,7 @@
 // allHave tells that all nodes have a change in force.
 func (h *Hollow) allHave(s wire.Version) bool {
 	for _, n := range h.nodes {
-		if cp := n.table.Current(); !n.ended.Load() && (cp == nil || cp.Config.SheetAt != s) {
+		if cp := n.table.Current(); !n.ended.Load() && (cp == nil || cp.Config.ConfigVersion != s) {
 			return false
 		}
 	}
@@ -79,7 +79,7 @@
 	t.Cleanup(stop)
 	must.Len(t, 12, list)
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		json.NewEncoder(w).Encode(wire.Listing{Servers: list})
+		json.NewEncoder(w).Encode(wire.BackendList{Backends: list})
 	}))
 	t.Cleanup(platform.Close)
 
--- a/lab/scale/start.go
+++ b/lab/scale/start.go
@@ -44,7 +44,7 @@
 	if err := f.add(b, true); err != nil {
 		return err
 	}
-	var list []wire.Server
+	var list []wire.Backend
 	if err := b.read(ctx, &list); err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	if err := f.add(&child{name: "platform", args: []string{lab, "platform", "--addr", addr}}, false); err != nil {
 		return err
 	}
-	return f.until(ctx, "platform", func() error { return f.post(ctx, f.platform+"/lab/servers", wire.Listing{Servers: list}) })
+	return f.until(ctx, "platform", func() error { return f.post(ctx, f.platform+"/lab/servers", wire.BackendList{Backends: list}) })
 }
 
 // real starts a process of the product on ports that the system chose.
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -113,8 +113,8 @@
 	if cp == e.last || cp == nil {
 		return nil
 	}
-	if e.last == nil || e.last.Config.SheetAt != cp.Config.SheetAt {
-		out = append(out, Seen{AtUs: at, Node: e.n.name, Stamp: cp.Config.SheetAt})
+	if e.last == nil || e.last.Config.ConfigVersion != cp.Config.ConfigVersion {
+		out = append(out, Seen{AtUs: at, Node: e.n.name, Stamp: cp.Config.ConfigVersion})
 	}
 	e.last = cp
 	for _, name := range names {
@@ -142,9 +142,9 @@
 		if err := json.Unmarshal(a.Body, &cut); err != nil {
 			return Told{Err: err.Error()}
 		}
-		e = wire.Edit{Partition: state.PartitionOf(a.Name), Op: "cut", Name: a.Name, Body: wire.Encode(&wire.LiveCut{Next: cut.Name, NextShards: cut.Shards})}
+		e = wire.Edit{Partition: state.PartitionOf(a.Name), Op: "cut", Name: a.Name, Body: wire.Encode(&wire.ShardMap{Next: cut.Name, NextShards: cut.Shards})}
 	} else if cp := n.table.Current(); cp != nil {
-		e.Base = cp.Config.SheetAt
+		e.Base = cp.Config.ConfigVersion
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), editWithin)
 	defer cancel()
--- a/lab/sim/day_backend.go
+++ b/lab/sim/day_backend.go
@@ -15,7 +15,7 @@
 type life struct {
 	d     *day
 	shape *poolShape
-	row   wire.Server
+	row   wire.Backend
 	seen  *rules.Backend
 
 	up, dark, leaving, listed bool
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -98,7 +98,7 @@
 	d := b.d
 	b.nextID++
 	l := &life{d: d, shape: p, cold: d.w.now + warmUpUs, up: true, listed: true}
-	l.row = wire.Server{ID: fmt.Sprintf("i-%04d", b.nextID), Zone: zone, Pool: pool, State: "ready", Incarnation: 1, Slots: p.slots}
+	l.row = wire.Backend{ID: fmt.Sprintf("i-%04d", b.nextID), Zone: zone, Pool: pool, State: "ready", Incarnation: 1, Slots: p.slots}
 	l.row.Addr = b.address(pool, zone)
 	l.seen = &rules.Backend{ID: l.row.ID, Pool: pool, Zone: zone, Born: d.w.now, Ended: rules.Never, Shown: rules.Never, RampPerS: p.rampPerS}
 	l.speed = 90 + d.w.rnd.Int64N(21)
@@ -130,14 +130,14 @@
 // publish makes the platform know the backends as they are now; it shows them after its lag.
 func (b *backends) publish() {
 	now := b.d.w.now
-	list := wire.Listing{Whole: true, Servers: []wire.Server{}}
+	list := wire.BackendList{Complete: true, Backends: []wire.Backend{}}
 	for _, l := range b.all {
 		if !l.listed {
 			continue
 		}
 		row := l.row
-		row.ColdUs = l.cold
-		list.Servers = append(list.Servers, row)
+		row.WarmUpRemaining = l.cold
+		list.Backends = append(list.Backends, row)
 	}
 	b.lists = append(b.lists, shownList{now, list})
 }
@@ -148,14 +148,14 @@
 	for len(b.calls) > 0 && w.now-b.calls[0] >= 1_000_000 {
 		b.calls = b.calls[1:]
 	}
-	var out wire.Listing
+	var out wire.BackendList
 	for _, l := range b.lists {
 		if w.now-l.at >= listLagUs || l.at == 0 {
 			out = l.list
 		}
 	}
-	out.Servers = slices.Clone(out.Servers)
-	out.Calls = int64(len(out.Servers)/pageSize + 1)
+	out.Backends = slices.Clone(out.Backends)
+	out.Calls = int64(len(out.Backends)/pageSize + 1)
 	w.Judge.Count("platform_calls", out.Calls)
 	if len(b.calls)+int(out.Calls) > listPerS {
 		w.Judge.Count("platform_shed", 1)
@@ -167,8 +167,8 @@
 	if b.mode == "fail" {
 		return 500, nil
 	}
-	for i := range out.Servers {
-		out.Servers[i].ColdUs = max(0, out.Servers[i].ColdUs-w.now)
+	for i := range out.Backends {
+		out.Backends[i].WarmUpRemaining = max(0, out.Backends[i].WarmUpRemaining-w.now)
 	}
 	body, err := json.Marshal(&out)
 	if err != nil {
--- a/lab/sim/front.go
+++ b/lab/sim/front.go
@@ -131,7 +131,7 @@
 	var cold []*server
 	for _, id := range w.serverN {
 		s := w.servers[id]
-		if !s.up || s.row.Cut != a.Cut || s.row.Shard != a.Shard || s.mode != "" || s.row.State == "leaving" {
+		if !s.up || s.row.ShardMap != a.Cut || s.row.Shard != a.Shard || s.mode != "" || s.row.State == "leaving" {
 			continue
 		}
 		good++
--- a/lab/sim/operators.go
+++ b/lab/sim/operators.go
@@ -146,7 +146,7 @@
 		return reading{}
 	}
 	cp := p.table.Current()
-	return reading{cp.Config.SheetAt, cp.Configuration}
+	return reading{cp.Config.ConfigVersion, cp.Configuration}
 }
 
 // race sends n edits based on one stamp through different nodes at about one time.
@@ -232,7 +232,7 @@
 	w.cuts[name] = shards
 	o.cutCall[index]++
 	mine := o.cutCall[index]
-	e := wire.Edit{Partition: state.PartitionOf(index), Op: "cut", Name: index, Body: wire.Encode(&wire.LiveCut{Next: name, NextShards: shards})}
+	e := wire.Edit{Partition: state.PartitionOf(index), Op: "cut", Name: index, Body: wire.Encode(&wire.ShardMap{Next: name, NextShards: shards})}
 	o.insist(func() wire.Edit { return e }, func(code string) bool {
 		w.note("cut " + name + " " + code)
 		w.Judge.Count("cuts."+code, 1)
--- a/lab/sim/platform.go
+++ b/lab/sim/platform.go
@@ -11,7 +11,7 @@
 
 type shownList struct {
 	at   int64
-	list wire.Listing
+	list wire.BackendList
 }
 
 type platform struct {
@@ -29,12 +29,12 @@
 
 // publish makes the platform know the servers as they are now; it shows them after its lag.
 func (p *platform) publish() {
-	l := wire.Listing{}
+	l := wire.BackendList{}
 	for _, id := range p.w.serverN {
 		s := p.w.servers[id]
 		row := s.row
 		// Clones keep the listing as it was.
-		l.Servers = append(l.Servers, row)
+		l.Backends = append(l.Backends, row)
 		if row.State == "leaving" {
 			p.w.Judge.Leaves(id, p.w.now+p.lag)
 		}
@@ -59,7 +59,7 @@
 	case "empty":
 		return 200, []byte(`{"servers":[]}`)
 	}
-	var out wire.Listing
+	var out wire.BackendList
 	for _, l := range p.lists {
 		if now-l.at >= p.lag || l.at == 0 {
 			out = l.list
--- a/lab/sim/scale.go
+++ b/lab/sim/scale.go
@@ -95,14 +95,14 @@
 	all := true
 	for _, name := range w.names {
 		if p := w.procs[name]; p.role == "node" && p.table.Current() != nil {
-			if at := p.table.Current().Config.SheetAt; at.Term > newest.Term || at.Term == newest.Term && at.Seq > newest.Seq {
+			if at := p.table.Current().Config.ConfigVersion; at.Term > newest.Term || at.Term == newest.Term && at.Seq > newest.Seq {
 				newest = at
 			}
 		}
 	}
 	for _, name := range w.names {
 		if p := w.procs[name]; p.role == "node" {
-			all = all && p.table.Current() != nil && p.table.Current().Config.SheetAt == newest
+			all = all && p.table.Current() != nil && p.table.Current().Config.ConfigVersion == newest
 		}
 	}
 	if all {
--- a/lab/sim/server.go
+++ b/lab/sim/server.go
@@ -17,7 +17,7 @@
 
 type server struct {
 	w      *World
-	row    wire.Server
+	row    wire.Backend
 	shards int
 	up     bool
 	born   int64
@@ -32,7 +32,7 @@
 // rampUs is how long the sheet of the stand-ins lets a cold server ramp.
 const rampUs = 3_000_000
 
-func (w *World) addServer(row wire.Server, shards int) *server {
+func (w *World) addServer(row wire.Backend, shards int) *server {
 	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(w.servers)/200, len(w.servers)%200)
 	s := &server{w: w, row: row, shards: shards, takes: w.Script.Int("server_us", 2000)}
 	// Those that are there from the start are warm; later ones are cold.
@@ -91,7 +91,7 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 		return
 	}
-	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.inc, UpUs: w.now - s.born, Usage: s.busy, Cut: s.row.Cut})
+	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.inc, UpUs: w.now - s.born, Usage: s.busy, Cut: s.row.ShardMap})
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
@@ -156,7 +156,7 @@
 // answer makes the body that the real stand-in would send, and checks it as a node does.
 func (s *server) answer(a *search.Ask, refuses bool) search.Reply {
 	in := a.Inquiry
-	sealed := search.Sealed{Inquiry: a.ID, Cut: s.row.Cut, Shard: s.row.Shard, Incarnation: s.inc, Usage: s.busy}
+	sealed := search.Sealed{Inquiry: a.ID, Cut: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.inc, Usage: s.busy}
 	status := 200
 	switch {
 	case refuses:
--- a/lab/sim/traffic.go
+++ b/lab/sim/traffic.go
@@ -49,8 +49,8 @@
 	wire.KindAccept: "accept", wire.KindAcceptReply: "accept_reply", wire.KindLeaderHeartbeat: "beat", wire.KindLeaderHeartbeatReply: "beat_reply",
 	wire.KindBootstrap: "form", wire.KindBootstrapReply: "form_reply", wire.KindPull: "pull", wire.KindPullReply: "pull_reply",
 	wire.KindEdit: "edit", wire.KindEditReply: "edit_reply", wire.KindLeaseRequest: "hold", wire.KindLeaseReply: "hold_reply",
-	wire.KindClaim: "claim", wire.KindClaimReply: "claim_reply", wire.KindSettle: "settle", wire.KindRebuild: "rebuild",
-	wire.KindRebuildReply: "rebuild_reply", wire.KindHandOver: "hand_over", wire.KindHanded: "handed", wire.KindSeen: "seen",
+	wire.KindAdmitRequest: "claim", wire.KindAdmitReply: "claim_reply", wire.KindOutcome: "settle", wire.KindRebuild: "rebuild",
+	wire.KindRebuildReply: "rebuild_reply", wire.KindRecordsRequest: "hand_over", wire.KindRecordsReply: "handed", wire.KindSeenRequest: "seen",
 	wire.KindSeenReply: "seen_reply", wire.KindNotice: "notice", wire.KindChunk: "piece", wire.KindChunkAck: "piece_ack",
 	wire.KindStatusRequest: "status_request", wire.KindStatusReply: "status_reply",
 }
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -191,8 +191,8 @@
 		if cp.Configuration != nil && len(cp.Configuration.Services) > 0 {
 			mark = cp.Configuration.Services[0].RampUs
 		}
-		w.judgeBookings(p, cp.Config.Running, since)
-		w.Judge.InForce(name, cp.Config.SheetAt, mark, w.now, since)
+		w.judgeBookings(p, cp.Config.ActiveBookings, since)
+		w.Judge.InForce(name, cp.Config.ConfigVersion, mark, w.now, since)
 	}
 }
 
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -152,7 +152,7 @@
 	must.NoError(t, l.Close())
 	f := &fake{}
 	k := newTestClient(t, Config{})
-	a := dispatch.Ask{Server: &snapshot.Server{Server: wire.Server{ID: "i-1", Addr: addr}}, WithinUs: 20_000_000, Once: true, Request: &dispatch.Request{Method: "GET"}}
+	a := dispatch.Ask{Server: &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: addr}}, WithinUs: 20_000_000, Once: true, Request: &dispatch.Request{Method: "GET"}}
 	for range 3 {
 		rep := run(t, k, a, dispatch.ClassNotSent)
 		must.StrContains(t, rep.Why, "refused")
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -68,7 +68,7 @@
 	addr := lean(b, partBody)
 	k := newTestClient(b, Config{})
 	pool := &snapshot.Pool{Pool: &routingpb.Pool{}}
-	server := &snapshot.Server{Server: wire.Server{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
+	server := &snapshot.Server{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
 	ask := func(id string) dispatch.Ask {
 		return dispatch.Ask{
 			Pool: pool, Server: server, WithinUs: 5_000_000,
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -155,7 +155,7 @@
 }
 
 func (f *fake) server() *snapshot.Server {
-	return &snapshot.Server{Server: wire.Server{ID: "i-1", Addr: f.l.Addr().String()}}
+	return &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: f.l.Addr().String()}}
 }
 
 func (f *fake) ask(id string) dispatch.Ask {
--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -73,10 +73,10 @@
 		b.slots.Store(int64(s.Slots))
 	}
 	was := b.given
-	b.given = s.ColdUs
+	b.given = s.WarmUpRemaining
 	switch {
-	case s.ColdUs > 0 && s.ColdUs != was:
-		b.cold.Store(cp.At + s.ColdUs)
+	case s.WarmUpRemaining > 0 && s.WarmUpRemaining != was:
+		b.cold.Store(cp.At + s.WarmUpRemaining)
 	case first && cp.At-began > settleAfter:
 		// A backend that was not there before has just started, whatever the list says.
 		b.cold.Store(cp.At + p.SlowStartUs)
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -190,7 +190,7 @@
 		if b.gone {
 			continue
 		}
-		s := &snapshot.Server{Server: wire.Server{ID: b.id, Zone: b.zone, Pool: b.pool, Slots: b.slots, ColdUs: max(0, b.cold-w.now)}, Gauge: n.gauges.Of(b.id)}
+		s := &snapshot.Server{Backend: wire.Backend{ID: b.id, Zone: b.zone, Pool: b.pool, Slots: b.slots, WarmUpRemaining: max(0, b.cold-w.now)}, Gauge: n.gauges.Of(b.id)}
 		switch {
 		case b.leaving:
 			s.Health = snapshot.Draining
--- a/request/gateway/run_test.go
+++ b/request/gateway/run_test.go
@@ -177,7 +177,7 @@
 		}
 		conn.Close()
 	}
-	nobody := snapshot.Server{Server: wire.Server{ID: "i-1", Addr: freeAddr(t)}}
+	nobody := snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: freeAddr(t)}}
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
 		acts := passOn(s, ev)
 		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "nobody" {
--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -50,7 +50,7 @@
 	assigned    bool
 	uptime      int64
 	incarnation int64
-	reported    wire.Opinion
+	reported    wire.HealthReport
 	reportedAt  int64
 	reporting   bool
 }
@@ -194,9 +194,9 @@
 
 // report settles what this node thinks of a server and tells it when that changed.
 func (c *Checker) report(ctx *kernel.Context, s *snapshot.Server, w *checkState, medians map[shard]int64) {
-	o := wire.Opinion{State: "ok", Incarnation: w.incarnation, Up: w.uptime}
+	o := wire.HealthReport{State: "ok", Incarnation: w.incarnation, Uptime: w.uptime}
 	if inc := s.Gauge.Incarnation.Load(); inc > o.Incarnation {
-		o.Incarnation, o.Up = inc, 0
+		o.Incarnation, o.Uptime = inc, 0
 	}
 	if s.Gauge.CorruptResponses.Load() > 0 && ctx.Now > s.Gauge.EjectedUntil.Load()+ForgiveAfter {
 		// A server that sent garbage gets a trial now and then.
@@ -227,7 +227,7 @@
 	n          int
 }
 
-func shardKey(s *snapshot.Server) shard { return shard{s.Index, s.Cut, s.Shard} }
+func shardKey(s *snapshot.Server) shard { return shard{s.Index, s.ShardMap, s.Shard} }
 
 // shardMedians is the latency of each shard's middle server, where some server may be slow at all.
 func shardMedians(cp *snapshot.Snapshot) map[shard]int64 {
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -37,7 +37,7 @@
 	for i := range neighbours {
 		n.feed(kernel.ConnUp{Conn: uint64(i) + 1, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(keyOf(i + 1).Public), Mesh: true})
 	}
-	n.hears(1, "listing", discovery.LeaseTask, &wire.Listing{Turn: 1, Whole: true, Servers: []wire.Server{{ID: sick}}})
+	n.hears(1, "listing", discovery.LeaseTask, &wire.BackendList{LeaseID: 1, Complete: true, Backends: []wire.Backend{{ID: sick}}})
 	return n
 }
 
@@ -80,7 +80,7 @@
 		n := newNode(EnoughReporters + 3)
 		must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Servers))
 		for i := range c.agree {
-			n.hears(i+1, "opinion", sick, &wire.Opinion{State: c.state})
+			n.hears(i+1, "opinion", sick, &wire.HealthReport{State: c.state})
 		}
 		n.meets(snapshot.EjectThreshold)
 		must.Eq(t, c.told, n.reports(), must.Sprint(c))
@@ -93,7 +93,7 @@
 	n.meets(snapshot.EjectThreshold)
 	must.Eq(t, 1, n.reports())
 	for i := range byte(EnoughReporters) {
-		n.hears(i+1, "opinion", sick, &wire.Opinion{State: "lost"})
+		n.hears(i+1, "opinion", sick, &wire.HealthReport{State: "lost"})
 	}
 	n.looks()
 	n.looks()
--- a/request/httpapi/ask_test.go
+++ b/request/httpapi/ask_test.go
@@ -23,7 +23,7 @@
 
 func correction(addr string) *search.Ask {
 	return &search.Ask{
-		ID: "n-1.aa", Server: &snapshot.Server{Server: wire.Server{Addr: addr}}, Shards: 1, Cut: "c1", Within: 1_000_000,
+		ID: "n-1.aa", Server: &snapshot.Server{Backend: wire.Backend{Addr: addr}}, Shards: 1, Cut: "c1", Within: 1_000_000,
 		Inquiry: &search.Inquiry{Kind: search.Correct, Index: "a", Record: "r", Key: "k", Body: "b"},
 	}
 }
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -51,7 +51,7 @@
 	if e.Strict {
 		stamp, ok := config.ParseVersion(e.Partition, deref(c.basedOn))
 		if !ok && deref(c.basedOn) != "0.0" {
-			return nil, findings("malformed", []wire.Finding{{Place: "If-Match", Text: "needs the stamp that the edit is based on, as GET /v1/sheet shows it"}})
+			return nil, findings("malformed", []wire.Finding{{Path: "If-Match", Text: "needs the stamp that the edit is based on, as GET /v1/sheet shows it"}})
 		}
 		e.Base = stamp
 		if stamp.Term == 0 {
@@ -64,7 +64,7 @@
 func findings(code string, list []wire.Finding) *operator.Failure {
 	f := fail(code, "nothing was changed")
 	for _, v := range list {
-		f.Findings = append(f.Findings, &operator.Finding{Place: v.Place, Text: v.Text})
+		f.Findings = append(f.Findings, &operator.Finding{Place: v.Path, Text: v.Text})
 	}
 	return f
 }
@@ -85,7 +85,7 @@
 	if cp.Version.Term == 0 {
 		return nil, fail("shed", "this node has no configuration yet")
 	}
-	return &operator.SheetNow{Stamp: config.VersionText(cp.Config.SheetAt), Sheet: config.JSON(cp.Configuration)}, nil
+	return &operator.SheetNow{Stamp: config.VersionText(cp.Config.ConfigVersion), Sheet: config.JSON(cp.Configuration)}, nil
 }
 
 func (a operatorAPI) PutSheet(ctx context.Context, p *operator.PutSheetPayload) (*operator.Taken, error) {
@@ -116,7 +116,7 @@
 	}
 	out := []*operator.PastSheet{}
 	for _, h := range history.Sheets {
-		s := state.SheetOf(wire.ConfigBody{Sheet: h.Sheet})
+		s := state.SheetOf(wire.ConfigBody{Config: h.Config})
 		out = append(out, &operator.PastSheet{Stamp: config.VersionText(h.Version), By: h.By, Sheet: config.JSON(s)})
 	}
 	return out, nil
@@ -139,7 +139,7 @@
 }
 
 func (a operatorAPI) Cut(ctx context.Context, p *operator.CutPayload) (*operator.Taken, error) {
-	body := wire.Encode(&wire.LiveCut{Next: p.Cut, NextShards: p.Shards})
+	body := wire.Encode(&wire.ShardMap{Next: p.Cut, NextShards: p.Shards})
 	return a.change(ctx, changing{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Partition: state.PartitionOf(p.Index), Op: "cut", Name: p.Index, Body: body})
 }
 
@@ -157,9 +157,9 @@
 }
 
 func status(r membership.Member) *operator.Status {
-	s := &operator.Status{Name: r.Name, Role: r.Role, Zone: r.Zone, Addr: r.Addr, Live: r.Live, Draining: &r.Draining, Sick: &r.Sick, InForce: "none"}
+	s := &operator.Status{Name: r.Name, Role: r.Role, Zone: r.Zone, Addr: r.Addr, Live: r.Live, Draining: &r.Draining, Sick: &r.UnhealthyReason, InForce: "none"}
 	if r.Role == "core" {
-		s.Formed = &r.Formed
+		s.Formed = &r.Bootstrapped
 	}
 	for _, st := range r.InForce {
 		if st.Partition == state.Config {
@@ -181,7 +181,7 @@
 			ramp = x.Service.RampUs
 		}
 		out = append(out, &operator.ServerStatus{
-			ID: s.ID, Addr: s.Addr, Zone: s.Zone, Index: s.Index, Cut: s.Cut, Shard: s.Shard,
+			ID: s.ID, Addr: s.Addr, Zone: s.Zone, Index: s.Index, Cut: s.ShardMap, Shard: s.Shard,
 			Verdict: snapshot.HealthStateNames[s.Health], Warm: int(s.SlowStartShare(a.f.p.Now(), ramp) / 10),
 		})
 	}
--- a/request/httpapi/shape.go
+++ b/request/httpapi/shape.go
@@ -44,7 +44,7 @@
 func tokenFaults(file string, found []wire.Finding) error {
 	var lines []string
 	for _, f := range found {
-		lines = append(lines, file+": "+f.Place+": "+f.Text)
+		lines = append(lines, file+": "+f.Path+": "+f.Text)
 	}
 	return errors.New(strings.Join(lines, "\n"))
 }
@@ -69,7 +69,7 @@
 func placed(found []wire.Finding) []place {
 	list := make([]place, 0, len(found))
 	for _, f := range found {
-		list = append(list, place{f.Place, f.Text})
+		list = append(list, place{f.Path, f.Text})
 	}
 	return list
 }
--- a/request/httpapi/status.go
+++ b/request/httpapi/status.go
@@ -51,8 +51,8 @@
 		if r.Partition != part {
 			continue
 		}
-		row.State, row.Contact, row.Term, row.Leader = r.State, r.Contact, r.Term, r.Leader
-		row.Version, row.Held = config.VersionText(r.Committed), config.VersionText(r.Held)
+		row.State, row.Contact, row.Term, row.Leader = r.State, r.InContact, r.Term, r.Leader
+		row.Version, row.Held = config.VersionText(r.Committed), config.VersionText(r.Stored)
 		row.Voters, row.Change, row.Leaving = r.Voters, r.Change, r.Leaving
 		if newest.Seq > r.Committed.Seq {
 			row.Behind = newest.Seq - r.Committed.Seq
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -57,7 +57,7 @@
 
 // send asks every owner that has not let the key in yet.
 func (c *Coordinator) send(ctx *kernel.Context, n uint64, pending *admission) {
-	m := wire.Claim{Key: pending.ask.Key, Index: pending.ask.Index, From: c.token(n), Sum: pending.ask.Sum}
+	m := wire.AdmitRequest{Key: pending.ask.Key, Index: pending.ask.Index, From: c.token(n), Sum: pending.ask.Sum}
 	for _, h := range pending.owners {
 		switch {
 		case c.admissions[n] == nil:
@@ -66,12 +66,12 @@
 		case h.Origin == c.mesh.Self():
 			c.replied(ctx, n, c.answerClaim(ctx, m))
 		default:
-			ctx.SendTo(h.Addr, wire.KindClaim, n, &m)
+			ctx.SendTo(h.Addr, wire.KindAdmitRequest, n, &m)
 		}
 	}
 }
 
-func (c *Coordinator) replied(ctx *kernel.Context, n uint64, r wire.ClaimReply) {
+func (c *Coordinator) replied(ctx *kernel.Context, n uint64, r wire.AdmitReply) {
 	pending := c.admissions[n]
 	if pending == nil || pending.ask.Key != r.Key {
 		return
@@ -79,10 +79,10 @@
 	for _, h := range pending.owners {
 		// By name: an owner that was started anew answers for its place, as one that is unsure.
 		if h.Name == r.Name || h.Origin == r.From {
-			pending.replies[h.Name] = ownerReply{code: r.Code, owners: r.Homes}
+			pending.replies[h.Name] = ownerReply{code: r.Code, owners: r.KeyOwners}
 		}
 	}
-	pending.tried = pending.tried || r.Tried
+	pending.tried = pending.tried || r.Attempted
 	switch r.Code {
 	case "done", "running", "conflict":
 		c.end(ctx, n, search.Verdict{Code: r.Code, Body: r.Body})
@@ -169,21 +169,21 @@
 	case "in":
 	case "unknown":
 		// It stays unknown: what was not let in now must not be let in later either.
-		c.broadcast(ctx, pending.owners, wire.Settle{Key: pending.ask.Key, Code: "done"})
+		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.ask.Key, Code: "done"})
 	default:
-		c.broadcast(ctx, pending.owners, wire.Settle{Key: pending.ask.Key, Code: "released", Body: []byte(c.token(n))})
+		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.ask.Key, Code: "released", Body: []byte(c.token(n))})
 	}
 }
 
 // tellOutcome settles a key that this node was let in with.
 func (c *Coordinator) tellOutcome(ctx *kernel.Context, a Settle) {
-	m := wire.Settle{Key: a.Key, Code: a.Code}
+	m := wire.Outcome{Key: a.Key, Code: a.Code}
 	switch {
 	case a.Code == "unseen":
 		c.unseen(ctx, a.Key)
 		return
 	case a.Code == "released":
-		m.Body, m.Tried = []byte(a.Token), a.Tried
+		m.Body, m.Attempted = []byte(a.Token), a.Tried
 	default:
 		if b, err := json.Marshal(a.Outcome); err == nil {
 			m.Body = b
@@ -192,12 +192,12 @@
 	c.broadcast(ctx, Owners(a.Key, c.snapshot().KeyOwners), m)
 }
 
-func (c *Coordinator) broadcast(ctx *kernel.Context, owners []snapshot.Node, m wire.Settle) {
+func (c *Coordinator) broadcast(ctx *kernel.Context, owners []snapshot.Node, m wire.Outcome) {
 	for _, h := range owners {
 		if h.Origin == c.mesh.Self() {
 			c.settle(ctx, m)
 			continue
 		}
-		ctx.SendTo(h.Addr, wire.KindSettle, 0, &m)
+		ctx.SendTo(h.Addr, wire.KindOutcome, 0, &m)
 	}
 }
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -155,7 +155,7 @@
 			if n.Name != c.name() && !e.heard[n.Name] && n.Live && left > 0 && (asks < asksMost || len(c.roster) <= ownersMost) {
 				left--
 				asks++
-				ctx.SendTo(n.Addr, wire.KindHandOver, 0, &wire.HandOver{N: e.n, Name: c.name(), Before: places(e.before), Now: places(c.roster)})
+				ctx.SendTo(n.Addr, wire.KindRecordsRequest, 0, &wire.RecordsRequest{Epoch: e.n, Name: c.name(), OldNodes: places(e.before), NewNodes: places(c.roster)})
 			}
 		}
 	}
@@ -186,7 +186,7 @@
 		return
 	}
 	c.first[part] = map[string]bool{}
-	for index := range b.Cuts {
+	for index := range b.ShardMaps {
 		c.first[part][index] = true
 	}
 }
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -11,15 +11,15 @@
 	"wallport/runtime/wire"
 )
 
-func places(roster []snapshot.Node) []wire.Place {
-	out := make([]wire.Place, 0, len(roster))
+func places(roster []snapshot.Node) []wire.NodeLocation {
+	out := make([]wire.NodeLocation, 0, len(roster))
 	for _, n := range roster {
-		out = append(out, wire.Place{Name: n.Name, Zone: n.Zone})
+		out = append(out, wire.NodeLocation{Name: n.Name, Zone: n.Zone})
 	}
 	return out
 }
 
-func nodes(places []wire.Place) []snapshot.Node {
+func nodes(places []wire.NodeLocation) []snapshot.Node {
 	out := make([]snapshot.Node, 0, len(places))
 	for _, p := range places {
 		out = append(out, snapshot.Node{Name: p.Name, Zone: p.Zone})
@@ -33,15 +33,15 @@
 // handOver gives an owner what it should have had; a process that is itself not
 // sure of all that it lost, or does not count the asker among the owners yet, says nothing and
 // is asked again: what it lets in afterwards by a smaller roster would be missing.
-func (c *Coordinator) handOver(ctx *kernel.Context, ch uint64, m wire.HandOver) {
+func (c *Coordinator) handOver(ctx *kernel.Context, ch uint64, m wire.RecordsRequest) {
 	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.before == nil && !e.settled(ctx.Now) && !c.startedBeforeAll() }) {
 		return
 	}
 	if !slices.ContainsFunc(c.roster, func(n snapshot.Node) bool { return n.Name == m.Name }) {
 		return
 	}
-	before, now := nodes(m.Before), nodes(m.Now)
-	out := wire.Handed{N: m.N, Name: c.name(), Homes: c.countsOwners()}
+	before, now := nodes(m.OldNodes), nodes(m.NewNodes)
+	out := wire.RecordsReply{Epoch: m.Epoch, Name: c.name(), KeyOwners: c.countsOwners()}
 	size := 0
 	var keys []string
 	if len(before) == 0 || len(before) > ownersMost || !isOwner("", m.Name, before) {
@@ -52,29 +52,29 @@
 			continue
 		}
 		rec := c.records[key]
-		s := wire.Settle{Key: key, Code: "running", Status: int(rec.sum), Body: []byte(rec.from)}
+		s := wire.Outcome{Key: key, Code: "running", Status: int(rec.sum), Body: []byte(rec.from)}
 		if rec.done {
 			s.Code, s.Body = "done", rec.body
 		}
 		out.Records = append(out.Records, s)
 		ctx.Counts.Add("claims_handed_over", 1)
 		if size += len(key) + len(s.Body) + 32; size > handedMost {
-			ctx.Send(ch, wire.KindHanded, 0, &out)
+			ctx.Send(ch, wire.KindRecordsReply, 0, &out)
 			out.Records, size = nil, 0
 		}
 	}
-	out.All = true
-	ctx.Send(ch, wire.KindHanded, 0, &out)
+	out.Last = true
+	ctx.Send(ch, wire.KindRecordsReply, 0, &out)
 }
 
-func (c *Coordinator) handed(ctx *kernel.Context, m wire.Handed) {
+func (c *Coordinator) handed(ctx *kernel.Context, m wire.RecordsReply) {
 	for _, s := range m.Records {
 		c.settle(ctx, s)
 	}
 	for _, e := range c.epochs {
-		if e.n == m.N && m.All {
+		if e.n == m.Epoch && m.Last {
 			e.heard[m.Name] = true
-			e.owners = max(e.owners, m.Homes)
+			e.owners = max(e.owners, m.KeyOwners)
 		}
 	}
 }
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -110,7 +110,7 @@
 
 // Kinds are the frames that it takes.
 func (c *Coordinator) Kinds() []uint8 {
-	return []uint8{wire.KindClaim, wire.KindClaimReply, wire.KindSettle, wire.KindHandOver, wire.KindHanded, wire.KindSeen, wire.KindSeenReply}
+	return []uint8{wire.KindAdmitRequest, wire.KindAdmitReply, wire.KindOutcome, wire.KindRecordsRequest, wire.KindRecordsReply, wire.KindSeenRequest, wire.KindSeenReply}
 }
 
 // Step takes one input.
@@ -161,24 +161,24 @@
 
 func (c *Coordinator) message(ctx *kernel.Context, v kernel.Message) {
 	switch v.Kind {
-	case wire.KindClaim:
-		var m wire.Claim
+	case wire.KindAdmitRequest:
+		var m wire.AdmitRequest
 		if wire.Decode(v.Body, &m) == nil {
 			r := c.answerClaim(ctx, m)
-			ctx.Send(v.Conn, wire.KindClaimReply, v.ID, &r)
+			ctx.Send(v.Conn, wire.KindAdmitReply, v.ID, &r)
 		}
-	case wire.KindClaimReply:
-		var m wire.ClaimReply
+	case wire.KindAdmitReply:
+		var m wire.AdmitReply
 		if wire.Decode(v.Body, &m) == nil {
 			c.replied(ctx, v.ID, m)
 		}
-	case wire.KindSettle:
-		var m wire.Settle
+	case wire.KindOutcome:
+		var m wire.Outcome
 		if wire.Decode(v.Body, &m) == nil {
 			c.settle(ctx, m)
 		}
-	case wire.KindSeen:
-		var m wire.Seen
+	case wire.KindSeenRequest:
+		var m wire.SeenRequest
 		if wire.Decode(v.Body, &m) != nil {
 			return
 		}
@@ -186,19 +186,19 @@
 			c.seen.forget(m.Key)
 			return
 		}
-		ctx.Send(v.Conn, wire.KindSeenReply, v.ID, &wire.SeenReply{Key: m.Key, Before: c.seen.add(m.Key, ctx.Now)})
+		ctx.Send(v.Conn, wire.KindSeenReply, v.ID, &wire.SeenReply{Key: m.Key, Seen: c.seen.add(m.Key, ctx.Now)})
 	case wire.KindSeenReply:
 		var m wire.SeenReply
 		if wire.Decode(v.Body, &m) == nil {
 			c.seenReply(ctx, v.ID, m)
 		}
-	case wire.KindHandOver:
-		var m wire.HandOver
+	case wire.KindRecordsRequest:
+		var m wire.RecordsRequest
 		if wire.Decode(v.Body, &m) == nil {
 			c.handOver(ctx, v.Conn, m)
 		}
-	case wire.KindHanded:
-		var m wire.Handed
+	case wire.KindRecordsReply:
+		var m wire.RecordsReply
 		if wire.Decode(v.Body, &m) == nil {
 			c.handed(ctx, m)
 		}
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -8,8 +8,8 @@
 )
 
 // claim is an owner's answer.
-func (c *Coordinator) answerClaim(ctx *kernel.Context, m wire.Claim) wire.ClaimReply {
-	r := wire.ClaimReply{Key: m.Key, From: c.mesh.Self(), Name: c.name(), Homes: c.countsOwners()}
+func (c *Coordinator) answerClaim(ctx *kernel.Context, m wire.AdmitRequest) wire.AdmitReply {
+	r := wire.AdmitReply{Key: m.Key, From: c.mesh.Self(), Name: c.name(), KeyOwners: c.countsOwners()}
 	rec := c.records[m.Key]
 	switch {
 	case rec == nil || !rec.done && rec.from == m.From:
@@ -17,7 +17,7 @@
 			rec = &record{sum: m.Sum, from: m.From, at: ctx.Now}
 			c.keep(m.Key, rec)
 		}
-		r.Code, r.Tried = "in", c.seen.has(m.Key, ctx.Now)
+		r.Code, r.Attempted = "in", c.seen.has(m.Key, ctx.Now)
 		if rec.unsure = !c.canVouch(m.Key, m.Index, ctx.Now); rec.unsure {
 			ctx.Counts.Add("claims_unsure", 1)
 			r.Code = "unsure"
@@ -37,13 +37,13 @@
 
 func (c *Coordinator) name() string { return c.table.Self() }
 
-func (c *Coordinator) settle(ctx *kernel.Context, m wire.Settle) {
+func (c *Coordinator) settle(ctx *kernel.Context, m wire.Outcome) {
 	rec := c.records[m.Key]
 	switch m.Code {
 	case "released":
 		if rec != nil && !rec.done && rec.from == string(m.Body) {
 			delete(c.records, m.Key)
-			if m.Tried {
+			if m.Attempted {
 				c.seen.add(m.Key, ctx.Now)
 			}
 		}
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -74,7 +74,7 @@
 	}
 	c.next++
 	c.admissions[c.next] = &admission{id: id, ask: a}
-	ctx.SendTo(addr, wire.KindSeen, c.next, &wire.Seen{Key: a.Key})
+	ctx.SendTo(addr, wire.KindSeenRequest, c.next, &wire.SeenRequest{Key: a.Key})
 	ctx.AfterFor(SeenWait, "idempotency", c.next)
 }
 
@@ -84,16 +84,16 @@
 		return
 	}
 	delete(c.admissions, n)
-	if m.Before {
+	if m.Seen {
 		ctx.Counts.Add("repeats_seen", 1)
 	}
-	ctx.Answer(pending.id, search.Verdict{Code: "in", Repeat: m.Before})
+	ctx.Answer(pending.id, search.Verdict{Code: "in", Repeat: m.Seen})
 }
 
 // unseen takes a key back that came to nothing.
 func (c *Coordinator) unseen(ctx *kernel.Context, key string) {
 	if addr, ok := c.seenOwner(key); ok && addr != "" {
-		ctx.SendTo(addr, wire.KindSeen, 0, &wire.Seen{Key: key, Forget: true})
+		ctx.SendTo(addr, wire.KindSeenRequest, 0, &wire.SeenRequest{Key: key, Forget: true})
 		return
 	}
 	c.seen.forget(key)
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -92,8 +92,8 @@
 			n := newNode(t)
 			owners := otherNodes(2)
 			id := n.ask(t, owners)
-			n.receive(wire.KindClaimReply, id, &wire.ClaimReply{Key: "k", Name: owners[0].Name, From: owners[0].Origin, Code: "in", Homes: c.counted})
-			out := n.receive(wire.KindClaimReply, id, &wire.ClaimReply{Key: "k", Name: owners[1].Name, From: owners[1].Origin, Code: "in", Homes: c.counted})
+			n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: owners[0].Origin, Code: "in", KeyOwners: c.counted})
+			out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[1].Name, From: owners[1].Origin, Code: "in", KeyOwners: c.counted})
 			if c.in {
 				must.Eq(t, "in", verdict(t, out).Code)
 				return
@@ -110,8 +110,8 @@
 	n := newNode(t)
 	owners := otherNodes(2)
 	id := n.ask(t, owners)
-	n.receive(wire.KindClaimReply, id, &wire.ClaimReply{Key: "k", Name: owners[0].Name, From: owners[0].Origin, Code: "in", Homes: 9})
-	out := n.receive(wire.KindClaimReply, id, &wire.ClaimReply{Key: "k", Name: owners[1].Name, From: owners[1].Origin, Code: "in", Homes: 3})
+	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: owners[0].Origin, Code: "in", KeyOwners: 9})
+	out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[1].Name, From: owners[1].Origin, Code: "in", KeyOwners: 3})
 	must.Eq(t, "in", verdict(t, out).Code)
 }
 
@@ -122,27 +122,27 @@
 	id := n.ask(t, owners)
 	n.c.admissions[id].ask.First = false
 	for _, o := range owners[:3] {
-		out := n.receive(wire.KindClaimReply, id, &wire.ClaimReply{Key: "k", Name: o.Name, From: o.Origin, Code: "in"})
+		out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: o.Name, From: o.Origin, Code: "in"})
 		must.SliceEmpty(t, out.Answers)
 	}
 	must.Positive(t, n.c.admissions[id].decideAt, must.Sprint("three of five: the others are waited for"))
-	n.receive(wire.KindClaimReply, id, &wire.ClaimReply{Key: "k", Name: owners[0].Name, From: "a new process", Code: "unsure"})
+	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: "a new process", Code: "unsure"})
 	n.now += LastWait
 	must.SliceEmpty(t, n.tick(id).Answers, must.Sprint("two of five"))
-	must.Eq(t, "in", verdict(t, n.receive(wire.KindClaimReply, id, &wire.ClaimReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
+	must.Eq(t, "in", verdict(t, n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
 }
 
 // An owner says how many owners it counts.
 func TestOwnerTellsHowManyOwnersItCounts(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(7)...)
-	out := n.receive(wire.KindClaim, 3, &wire.Claim{Key: "k", From: "p#1"})
+	out := n.receive(wire.KindAdmitRequest, 3, &wire.AdmitRequest{Key: "k", From: "p#1"})
 	must.Len(t, 1, out.Sends)
 	f, err := wire.Open(out.Sends[0].Data)
 	must.NoError(t, err)
-	var r wire.ClaimReply
+	var r wire.AdmitReply
 	must.NoError(t, wire.Decode(f.Body, &r))
-	must.Eq(t, 8, r.Homes)
+	must.Eq(t, 8, r.KeyOwners)
 }
 
 // What is handed over to a node that the sender does not count yet would miss what it lets in
@@ -151,10 +151,10 @@
 	n := newNode(t)
 	n.c.epochs = nil
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
-	ask := &wire.HandOver{N: 4, Name: "z", Now: places(append([]snapshot.Node{{Name: "z"}}, n.c.roster...))}
-	must.SliceEmpty(t, n.receive(wire.KindHandOver, 0, ask).Sends)
+	ask := &wire.RecordsRequest{Epoch: 4, Name: "z", NewNodes: places(append([]snapshot.Node{{Name: "z"}}, n.c.roster...))}
+	must.SliceEmpty(t, n.receive(wire.KindRecordsRequest, 0, ask).Sends)
 	n.c.roster = append(n.c.roster, snapshot.Node{Name: "z"})
-	must.Len(t, 1, n.receive(wire.KindHandOver, 0, ask).Sends)
+	must.Len(t, 1, n.receive(wire.KindRecordsRequest, 0, ask).Sends)
 }
 
 // An owner that lost its records and sees two others of eight needs as many of them to hand over
@@ -170,7 +170,7 @@
 		if i == 2 {
 			n.c.roster = append([]snapshot.Node{n.self()}, all...)
 		}
-		n.receive(wire.KindHanded, 0, &wire.Handed{N: lost.n, Name: o.Name, All: true, Homes: 8})
+		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.n, Name: o.Name, Last: true, KeyOwners: 8})
 	}
 	must.True(t, n.c.canVouch("k", "index", n.now), must.Sprint("four of seven others"))
 }
@@ -181,13 +181,13 @@
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
 	n.c.loseRecords(&kernel.Context{Now: n.now})
 	lost := n.c.epochs[0]
-	claim := wire.Claim{Key: "k", From: "later#1", Sum: 5}
+	claim := wire.AdmitRequest{Key: "k", From: "later#1", Sum: 5}
 	must.Eq(t, "unsure", n.c.answerClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 	for _, o := range otherNodes(2) {
-		n.receive(wire.KindHanded, 0, &wire.Handed{N: lost.n, Name: o.Name, All: true, Records: []wire.Settle{{Key: "k", Code: "running", Status: 5, Body: []byte("earlier#1")}}})
+		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.n, Name: o.Name, Last: true, Records: []wire.Outcome{{Key: "k", Code: "running", Status: 5, Body: []byte("earlier#1")}}})
 	}
 	must.Eq(t, "running", n.c.answerClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 	// The one's release is not the other's.
-	n.receive(wire.KindSettle, 0, &wire.Settle{Key: "k", Code: "released", Body: []byte("later#1")})
+	n.receive(wire.KindOutcome, 0, &wire.Outcome{Key: "k", Code: "released", Body: []byte("later#1")})
 	must.Eq(t, "running", n.c.answerClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 }
--- a/request/snapshot/config.go
+++ b/request/snapshot/config.go
@@ -54,10 +54,10 @@
 	if !b.configSync.Confirmed(state.Config, ctx.Now) {
 		return false
 	}
-	if c.Routing != nil && len(b.listing.Servers) > 0 {
+	if c.Routing != nil && len(b.listing.Backends) > 0 {
 		return true
 	}
-	if c.Configuration == nil || len(c.Indexes) == 0 || len(b.listing.Servers) == 0 {
+	if c.Configuration == nil || len(c.Indexes) == 0 || len(b.listing.Backends) == 0 {
 		return false
 	}
 	cut := false
--- a/request/snapshot/health.go
+++ b/request/snapshot/health.go
@@ -38,7 +38,7 @@
 func (v *reportCounts) add(o healthReport, own bool) {
 	if o.Incarnation > v.incarnation {
 		// Opinions of an earlier incarnation say nothing of this one.
-		*v = reportCounts{incarnation: o.Incarnation, uptime: o.Up}
+		*v = reportCounts{incarnation: o.Incarnation, uptime: o.Uptime}
 	} else if o.Incarnation < v.incarnation && o.Incarnation != 0 {
 		return
 	}
@@ -57,9 +57,9 @@
 }
 
 func (b *Table) evaluateServers(ctx *kernel.Context, c *Snapshot) []*Server {
-	out := make([]*Server, 0, len(b.listing.Servers))
-	for _, row := range b.listing.Servers {
-		s := &Server{Server: row, Gauge: b.Gauges.Of(row.ID)}
+	out := make([]*Server, 0, len(b.listing.Backends))
+	for _, row := range b.listing.Backends {
+		s := &Server{Backend: row, Gauge: b.Gauges.Of(row.ID)}
 		if v := b.countReports(row.ID, ctx.Now); v != nil {
 			s.Incarnation = max(s.Incarnation, v.incarnation)
 			s.Health = v.healthState()
@@ -106,7 +106,7 @@
 	x := &Index{Name: s.Index, Service: s, Limits: map[string]Limit{}, Capacity: float64(s.Capacity)}
 	if v, ok := b.mesh.Partition(state.PartitionOf(s.Index)); ok {
 		if body, err := state.ReadIndex(v.Body); err == nil {
-			x.Cut = body.Cuts[s.Index]
+			x.Cut = body.ShardMaps[s.Index]
 		}
 	}
 	x.Cut = b.servable(c.Servers, s.Index, x.Cut)
@@ -114,7 +114,7 @@
 	x.NextShards = shards(c.Servers, s.Index, x.Cut.Next, x.Cut.NextShards)
 	booked := 0.0
 	for _, k := range c.Configuration.Bookings {
-		if k.Index != s.Index || !slices.Contains(c.Config.Running, k.Id) {
+		if k.Index != s.Index || !slices.Contains(c.Config.ActiveBookings, k.Id) {
 			continue
 		}
 		l := x.Limits[k.Kind]
@@ -135,17 +135,17 @@
 
 // servable is the live cut, or the one before it for as long as this node knows of no
 // server for some shard of the live one: the cut may come before the platform's list.
-func (b *Table) servable(all []*Server, index string, live wire.LiveCut) wire.LiveCut {
+func (b *Table) servable(all []*Server, index string, live wire.ShardMap) wire.ShardMap {
 	was := b.servedCuts[index]
 	if was.Name == live.Name || was.Name == "" || complete(all, index, live) || !complete(all, index, was) {
 		b.servedCuts[index] = live
 		return live
 	}
-	return wire.LiveCut{Name: was.Name, Shards: was.Shards, Next: live.Name, NextShards: live.Shards}
+	return wire.ShardMap{Name: was.Name, Shards: was.Shards, Next: live.Name, NextShards: live.Shards}
 }
 
 // complete tells that each shard of a cut has a server that may be asked.
-func complete(all []*Server, index string, cut wire.LiveCut) bool {
+func complete(all []*Server, index string, cut wire.ShardMap) bool {
 	for _, s := range shards(all, index, cut.Name, cut.Shards) {
 		if !slices.ContainsFunc(s, func(v *Server) bool { return v.Health < Draining }) {
 			return false
@@ -157,7 +157,7 @@
 func shards(all []*Server, index, cut string, n int) [][]*Server {
 	out := make([][]*Server, n)
 	for _, s := range all {
-		if s.Index == index && s.Cut == cut && s.Shard >= 0 && s.Shard < n {
+		if s.Index == index && s.ShardMap == cut && s.Shard >= 0 && s.Shard < n {
 			out[s.Shard] = append(out[s.Shard], s)
 		}
 	}
--- a/request/snapshot/healthreports.go
+++ b/request/snapshot/healthreports.go
@@ -12,7 +12,7 @@
 
 // healthReport is what one observer says of a server.
 type healthReport struct {
-	wire.Opinion
+	wire.HealthReport
 	origin string
 }
 
@@ -28,7 +28,7 @@
 		of = slices.Delete(of, at, at+1)
 	}
 	o := healthReport{origin: v.Origin}
-	if !v.Entry.Gone && wire.Decode(v.Entry.Body, &o.Opinion) == nil {
+	if !v.Entry.Tombstone && wire.Decode(v.Entry.Body, &o.HealthReport) == nil {
 		of = slices.Insert(of, at, o)
 	}
 	if len(of) == 0 {
@@ -39,7 +39,7 @@
 }
 
 // CountAgreeing counts the live observers other than this process that say the same of a server.
-func (b *Table) CountAgreeing(server string, o wire.Opinion, now int64) (n int) {
+func (b *Table) CountAgreeing(server string, o wire.HealthReport, now int64) (n int) {
 	for _, other := range b.healthReports[server] {
 		if other.State == o.State && other.Incarnation >= o.Incarnation && other.origin != b.mesh.Self() && b.mesh.Live(other.origin, now) {
 			n++
--- a/request/snapshot/healthreports_test.go
+++ b/request/snapshot/healthreports_test.go
@@ -12,8 +12,8 @@
 )
 
 func reportEntry(origin, server, state string, gone bool) mesh.Stored {
-	body := wire.Encode(&wire.Opinion{State: state})
-	return mesh.Stored{Origin: origin, Entry: &wire.Entry{Type: "opinion", ID: server, Gone: gone, Body: body}}
+	body := wire.Encode(&wire.HealthReport{State: state})
+	return mesh.Stored{Origin: origin, Entry: &wire.Entry{Type: "opinion", ID: server, Tombstone: gone, Body: body}}
 }
 
 func states(of []healthReport) (out []string) {
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -52,7 +52,7 @@
 		panic(err)
 	}
 	v := wire.Versioned{Version: wire.Version{Term: f.term, Seq: 1}, Body: wire.Encode(&wire.ConfigBody{Routing: table})}
-	return &wire.PullReply{Versions: []wire.Versioned{v}, Contact: f.contact, Relayed: f.relayed}
+	return &wire.PullReply{Versions: []wire.Versioned{v}, ContactMask: f.contact, RelayedMask: f.relayed}
 }
 
 // node is one node's process; the test plays the cores, by address, and the platform.
@@ -82,7 +82,7 @@
 		heap.Push(&n.timers, v)
 	}
 	for _, v := range out.Fetches {
-		body, err := json.Marshal(&wire.Listing{Whole: true, Servers: []wire.Server{{ID: "s", State: "ready"}}})
+		body, err := json.Marshal(&wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "s", State: "ready"}}})
 		must.NoError(n.t, err)
 		n.feed(kernel.Fetched{Plugin: v.Plugin, Key: v.Key, Status: 200, Body: body})
 	}
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -29,7 +29,7 @@
 
 // Server is one backend as a snapshot shows it.
 type Server struct {
-	wire.Server
+	wire.Backend
 	Health uint8
 	// Born is when, on this process's monotonic clock, the incarnation began.
 	Born  int64
@@ -60,7 +60,7 @@
 // Index is one index as a snapshot shows it.
 type Index struct {
 	Name       string
-	Cut        wire.LiveCut
+	Cut        wire.ShardMap
 	Shards     [][]*Server
 	NextShards [][]*Server
 	Service    *configpb.Service
--- a/request/snapshot/subset_test.go
+++ b/request/snapshot/subset_test.go
@@ -19,7 +19,7 @@
 func poolOf(backends int, connections int64) *Pool {
 	p := &Pool{Pool: &routingpb.Pool{MaxConnections: connections}}
 	for i := range backends {
-		p.Servers = append(p.Servers, &Server{Server: wire.Server{ID: fmt.Sprintf("s%d", i), Zone: zoneOf(i)}})
+		p.Servers = append(p.Servers, &Server{Backend: wire.Backend{ID: fmt.Sprintf("s%d", i), Zone: zoneOf(i)}})
 	}
 	return p
 }
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -36,7 +36,7 @@
 	builtAt             int64
 	liveHash            uint64
 	config              configState
-	listing             wire.Listing
+	listing             wire.BackendList
 	listingOrigin       string
 	listingCount        uint64
 	drainingIncarnation map[string]int64
@@ -45,7 +45,7 @@
 	absentSince         map[string]int64
 	healthReports       healthReports
 	// servedCuts are those that this node serves from.
-	servedCuts map[string]wire.LiveCut
+	servedCuts map[string]wire.ShardMap
 	staleness  staleness
 }
 
@@ -64,7 +64,7 @@
 	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Table{
 			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), loadReports: kernel.Find[*loadreport.Reporter](k),
-			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, births: map[string]birth{}, lastLive: map[string]int64{}, absentSince: map[string]int64{}, healthReports: healthReports{}, servedCuts: map[string]wire.LiveCut{},
+			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, births: map[string]birth{}, lastLive: map[string]int64{}, absentSince: map[string]int64{}, healthReports: healthReports{}, servedCuts: map[string]wire.ShardMap{},
 		}
 	}})
 }
@@ -157,29 +157,29 @@
 
 // applyListing takes a reading of the platform's list, unless an older holder made it.
 func (b *Table) applyListing(ctx *kernel.Context, v mesh.Stored) {
-	var l wire.Listing
-	if wire.Decode(v.Entry.Body, &l) != nil || l.Turn < b.listing.Turn {
+	var l wire.BackendList
+	if wire.Decode(v.Entry.Body, &l) != nil || l.LeaseID < b.listing.LeaseID {
 		return
 	}
 	if v.Origin == b.listingOrigin && v.Entry.Count < b.listingCount {
 		return
 	}
 	there := map[string]bool{}
-	for _, s := range l.Servers {
+	for _, s := range l.Backends {
 		there[s.ID] = true
 		if s.State == "leaving" {
 			// Sticky for the incarnation: no later reading takes it back.
 			b.drainingIncarnation[s.ID] = max(b.drainingIncarnation[s.ID], s.Incarnation)
 		}
 	}
-	for _, s := range b.listing.Servers {
-		if !there[s.ID] && !l.Whole {
+	for _, s := range b.listing.Backends {
+		if !there[s.ID] && !l.Complete {
 			// Absence from such a list proves nothing; the server stays until it is absent for long.
 			if _, ok := b.absentSince[s.ID]; !ok {
 				b.absentSince[s.ID] = ctx.Now
 			}
 			if ctx.Now-b.absentSince[s.ID] < AbsentTTL {
-				l.Servers = append(l.Servers, s)
+				l.Backends = append(l.Backends, s)
 			}
 		}
 	}
--- a/runtime/chunk/segment_test.go
+++ b/runtime/chunk/segment_test.go
@@ -125,7 +125,7 @@
 				x := newTransport(t, seed, w)
 				sent := map[[sha256.Size]byte]bool{}
 				for i := range byte(4) {
-					m := message(i, wire.WholeMost+int(i)*50_001+1)
+					m := message(i, wire.MaxSingleFrame+int(i)*50_001+1)
 					sent[sha256.Sum256(m)] = true
 					must.True(t, x.sender.Enqueue(x.now, Message{To: Destination{Conn: 1}, Data: m}))
 				}
--- a/runtime/kernel/pieces.go
+++ b/runtime/kernel/pieces.go
@@ -26,7 +26,7 @@
 
 // keepsOrder tells of the kinds of which a small frame must not pass a large one: the last
 // frame of a hand-over says that it is complete.
-func keepsOrder(kind uint8) bool { return kind == wire.KindHanded }
+func keepsOrder(kind uint8) bool { return kind == wire.KindRecordsReply }
 
 // send takes the large messages out of a step's sends and adds the pieces that may leave now.
 func (p *chunks) send(ctx *Context) {
@@ -34,7 +34,7 @@
 	for _, s := range ctx.Out.Sends {
 		to := chunk.Destination{Conn: s.Conn, Addr: s.Addr}
 		behind := keepsOrder(wire.KindOf(s.Data)) && p.sender.Sending(to)
-		if len(s.Data) <= wire.WholeMost && !behind {
+		if len(s.Data) <= wire.MaxSingleFrame && !behind {
 			sends = append(sends, s)
 			continue
 		}
--- a/runtime/kernel/pieces_test.go
+++ b/runtime/kernel/pieces_test.go
@@ -41,7 +41,7 @@
 	for len(out.Sends) > 0 {
 		var back, on Out
 		for _, s := range out.Sends {
-			must.LessEq(t, wire.WholeMost, len(s.Data))
+			must.LessEq(t, wire.MaxSingleFrame, len(s.Data))
 			frames++
 			back.Sends = append(back.Sends, to.Step(now, now, Received{Conn: 1, Data: s.Data}).Sends...)
 		}
--- a/runtime/process/field_test.go
+++ b/runtime/process/field_test.go
@@ -13,7 +13,7 @@
 
 func TestNoFieldNeedsReflection(t *testing.T) {
 	for _, value := range []any{
-		1, "a", []string{"a"}, true, uint64(7), []wire.Finding{{Place: "p"}}, map[string]int{"a": 1}, wire.Version{Term: 3}, &wire.Version{Term: 3}, nil,
+		1, "a", []string{"a"}, true, uint64(7), []wire.Finding{{Path: "p"}}, map[string]int{"a": 1}, wire.Version{Term: 3}, &wire.Version{Term: 3}, nil,
 	} {
 		must.NotEq(t, zapcore.ReflectType, field("key", value).Type, must.Sprint(value))
 	}
