--- a/runtime/wire/bodies_gen.go
+++ b/runtime/wire/bodies_gen.go
@@ -7,185 +7,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Claim) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "x":
-			z.Index, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Index")
-				return
-			}
-		case "f":
-			z.From, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "s":
-			z.Sum, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Sum")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Claim) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
-	// write "k"
-	err = en.Append(0x84, 0xa1, 0x6b)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Key)
-	if err != nil {
-		err = msgp.WrapError(err, "Key")
-		return
-	}
-	// write "x"
-	err = en.Append(0xa1, 0x78)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Index)
-	if err != nil {
-		err = msgp.WrapError(err, "Index")
-		return
-	}
-	// write "f"
-	err = en.Append(0xa1, 0x66)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.From)
-	if err != nil {
-		err = msgp.WrapError(err, "From")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Sum)
-	if err != nil {
-		err = msgp.WrapError(err, "Sum")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Claim) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "k"
-	o = append(o, 0x84, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "x"
-	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendString(o, z.Index)
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Sum)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Claim) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "x":
-			z.Index, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Index")
-				return
-			}
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "s":
-			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Sum")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Claim) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.StringPrefixSize + len(z.Index) + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *ClaimReply) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *AdmitReply) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -239,15 +61,15 @@
 				return
 			}
 		case "t":
-			z.Tried, err = dc.ReadBool()
+			z.Attempted, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Tried")
+				err = msgp.WrapError(err, "Attempted")
 				return
 			}
 		case "h":
-			z.Homes, err = dc.ReadInt()
+			z.KeyOwners, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Homes")
+				err = msgp.WrapError(err, "KeyOwners")
 				return
 			}
 		default:
@@ -262,7 +84,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *ClaimReply) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *AdmitReply) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 8
 	// write "k"
 	err = en.Append(0x88, 0xa1, 0x6b)
@@ -329,9 +151,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Tried)
+	err = en.WriteBool(z.Attempted)
 	if err != nil {
-		err = msgp.WrapError(err, "Tried")
+		err = msgp.WrapError(err, "Attempted")
 		return
 	}
 	// write "h"
@@ -339,16 +161,16 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.Homes)
+	err = en.WriteInt(z.KeyOwners)
 	if err != nil {
-		err = msgp.WrapError(err, "Homes")
+		err = msgp.WrapError(err, "KeyOwners")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *ClaimReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AdmitReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 8
 	// string "k"
@@ -371,15 +193,15 @@
 	o = msgp.AppendBytes(o, z.Body)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendBool(o, z.Tried)
+	o = msgp.AppendBool(o, z.Attempted)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendInt(o, z.Homes)
+	o = msgp.AppendInt(o, z.KeyOwners)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ClaimReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AdmitReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -433,15 +255,15 @@
 				return
 			}
 		case "t":
-			z.Tried, bts, err = msgp.ReadBoolBytes(bts)
+			z.Attempted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Tried")
+				err = msgp.WrapError(err, "Attempted")
 				return
 			}
 		case "h":
-			z.Homes, bts, err = msgp.ReadIntBytes(bts)
+			z.KeyOwners, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Homes")
+				err = msgp.WrapError(err, "KeyOwners")
 				return
 			}
 		default:
@@ -457,13 +279,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ClaimReply) Msgsize() (s int) {
+func (z *AdmitReply) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Code) + 3 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize + 2 + msgp.IntSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *ConfigBody) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *AdmitRequest) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -480,722 +302,557 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			z.Sheet, err = dc.ReadBytes(z.Sheet)
-			if err != nil {
-				err = msgp.WrapError(err, "Sheet")
-				return
-			}
-		case "e":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+		case "k":
+			z.Key, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "DrainedZones")
+				err = msgp.WrapError(err, "Key")
 				return
 			}
-			if cap(z.DrainedZones) >= int(zb0002) {
-				z.DrainedZones = (z.DrainedZones)[:zb0002]
-			} else {
-				z.DrainedZones = make([]string, zb0002)
-			}
-			for za0001 := range z.DrainedZones {
-				z.DrainedZones[za0001], err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "DrainedZones", za0001)
-					return
-				}
-			}
-		case "b":
-			var zb0003 uint32
-			zb0003, err = dc.ReadArrayHeader()
+		case "x":
+			z.Index, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Running")
+				err = msgp.WrapError(err, "Index")
 				return
 			}
-			if cap(z.Running) >= int(zb0003) {
-				z.Running = (z.Running)[:zb0003]
-			} else {
-				z.Running = make([]string, zb0003)
-			}
-			for za0002 := range z.Running {
-				z.Running[za0002], err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Running", za0002)
-					return
-				}
-			}
-		case "sa":
-			err = z.SheetAt.DecodeMsg(dc)
+		case "f":
+			z.From, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "SheetAt")
+				err = msgp.WrapError(err, "From")
 				return
 			}
-		case "ro":
-			z.Routing, err = dc.ReadBytes(z.Routing)
+		case "s":
+			z.Sum, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Routing")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "r":
-			var zb0004 uint32
-			zb0004, err = dc.ReadArrayHeader()
+		default:
+			err = dc.Skip()
 			if err != nil {
-				err = msgp.WrapError(err, "Recent")
+				err = msgp.WrapError(err)
 				return
 			}
-			if cap(z.Recent) >= int(zb0004) {
-				z.Recent = (z.Recent)[:zb0004]
-			} else {
-				z.Recent = make([]Done, zb0004)
-			}
-			for za0003 := range z.Recent {
-				var zb0005 uint32
-				zb0005, err = dc.ReadMapHeader()
-				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003)
-					return
-				}
-				for zb0005 > 0 {
-					zb0005--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "Recent", za0003)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "e":
-						z.Recent[za0003].EditID, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0003, "EditID")
-							return
-						}
-					case "s":
-						z.Recent[za0003].Sum, err = dc.ReadUint64()
-						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0003, "Sum")
-							return
-						}
-					case "t":
-						err = z.Recent[za0003].Version.DecodeMsg(dc)
-						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0003, "Version")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0003)
-							return
-						}
-					}
-				}
-			}
-		case "h":
-			var zb0006 uint32
-			zb0006, err = dc.ReadArrayHeader()
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *AdmitRequest) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 4
+	// write "k"
+	err = en.Append(0x84, 0xa1, 0x6b)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Key)
+	if err != nil {
+		err = msgp.WrapError(err, "Key")
+		return
+	}
+	// write "x"
+	err = en.Append(0xa1, 0x78)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Index)
+	if err != nil {
+		err = msgp.WrapError(err, "Index")
+		return
+	}
+	// write "f"
+	err = en.Append(0xa1, 0x66)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.From)
+	if err != nil {
+		err = msgp.WrapError(err, "From")
+		return
+	}
+	// write "s"
+	err = en.Append(0xa1, 0x73)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.Sum)
+	if err != nil {
+		err = msgp.WrapError(err, "Sum")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *AdmitRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 4
+	// string "k"
+	o = append(o, 0x84, 0xa1, 0x6b)
+	o = msgp.AppendString(o, z.Key)
+	// string "x"
+	o = append(o, 0xa1, 0x78)
+	o = msgp.AppendString(o, z.Index)
+	// string "f"
+	o = append(o, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.From)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Sum)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *AdmitRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "k":
+			z.Key, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "History")
+				err = msgp.WrapError(err, "Key")
 				return
 			}
-			if cap(z.History) >= int(zb0006) {
-				z.History = (z.History)[:zb0006]
-			} else {
-				z.History = make([]Past, zb0006)
-			}
-			for za0004 := range z.History {
-				var zb0007 uint32
-				zb0007, err = dc.ReadMapHeader()
-				if err != nil {
-					err = msgp.WrapError(err, "History", za0004)
-					return
-				}
-				for zb0007 > 0 {
-					zb0007--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "History", za0004)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "t":
-						err = z.History[za0004].Version.DecodeMsg(dc)
-						if err != nil {
-							err = msgp.WrapError(err, "History", za0004, "Version")
-							return
-						}
-					case "b":
-						z.History[za0004].By, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "History", za0004, "By")
-							return
-						}
-					case "s":
-						z.History[za0004].Sheet, err = dc.ReadBytes(z.History[za0004].Sheet)
-						if err != nil {
-							err = msgp.WrapError(err, "History", za0004, "Sheet")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "History", za0004)
-							return
-						}
-					}
-				}
-			}
-		case "rv":
-			var zb0008 uint32
-			zb0008, err = dc.ReadArrayHeader()
+		case "x":
+			z.Index, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Revisions")
+				err = msgp.WrapError(err, "Index")
 				return
 			}
-			if cap(z.Revisions) >= int(zb0008) {
-				z.Revisions = (z.Revisions)[:zb0008]
-			} else {
-				z.Revisions = make([]Revision, zb0008)
+		case "f":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
 			}
-			for za0005 := range z.Revisions {
-				err = z.Revisions[za0005].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Revisions", za0005)
-					return
-				}
+		case "s":
+			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Sum")
+				return
 			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *ConfigBody) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(8)
-	var zb0001Mask uint8 /* 8 bits */
-	_ = zb0001Mask
-	if z.Routing == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Recent == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20
-	}
-	if z.History == nil {
-		zb0001Len--
-		zb0001Mask |= 0x40
-	}
-	if z.Revisions == nil {
-		zb0001Len--
-		zb0001Mask |= 0x80
-	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *AdmitRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.StringPrefixSize + len(z.Index) + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *Backend) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
 	if err != nil {
+		err = msgp.WrapError(err)
 		return
 	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "s"
-		err = en.Append(0xa1, 0x73)
-		if err != nil {
-			return
-		}
-		err = en.WriteBytes(z.Sheet)
-		if err != nil {
-			err = msgp.WrapError(err, "Sheet")
-			return
-		}
-		// write "e"
-		err = en.Append(0xa1, 0x65)
-		if err != nil {
-			return
-		}
-		err = en.WriteArrayHeader(uint32(len(z.DrainedZones)))
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
 		if err != nil {
-			err = msgp.WrapError(err, "DrainedZones")
+			err = msgp.WrapError(err)
 			return
 		}
-		for za0001 := range z.DrainedZones {
-			err = en.WriteString(z.DrainedZones[za0001])
+		switch msgp.UnsafeString(field) {
+		case "i":
+			z.ID, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "DrainedZones", za0001)
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-		}
-		// write "b"
-		err = en.Append(0xa1, 0x62)
-		if err != nil {
-			return
-		}
-		err = en.WriteArrayHeader(uint32(len(z.Running)))
-		if err != nil {
-			err = msgp.WrapError(err, "Running")
-			return
-		}
-		for za0002 := range z.Running {
-			err = en.WriteString(z.Running[za0002])
+		case "a":
+			z.Addr, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Running", za0002)
+				err = msgp.WrapError(err, "Addr")
 				return
 			}
-		}
-		// write "sa"
-		err = en.Append(0xa2, 0x73, 0x61)
-		if err != nil {
-			return
-		}
-		err = z.SheetAt.EncodeMsg(en)
-		if err != nil {
-			err = msgp.WrapError(err, "SheetAt")
-			return
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// write "ro"
-			err = en.Append(0xa2, 0x72, 0x6f)
+		case "z":
+			z.Zone, err = dc.ReadString()
 			if err != nil {
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
-			err = en.WriteBytes(z.Routing)
+		case "x":
+			z.Index, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Routing")
+				err = msgp.WrapError(err, "Index")
 				return
 			}
-		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// write "r"
-			err = en.Append(0xa1, 0x72)
+		case "c":
+			z.ShardMap, err = dc.ReadString()
 			if err != nil {
+				err = msgp.WrapError(err, "ShardMap")
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Recent)))
+		case "s":
+			z.Shard, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Recent")
+				err = msgp.WrapError(err, "Shard")
 				return
 			}
-			for za0003 := range z.Recent {
-				// map header, size 3
-				// write "e"
-				err = en.Append(0x83, 0xa1, 0x65)
-				if err != nil {
-					return
-				}
-				err = en.WriteString(z.Recent[za0003].EditID)
-				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003, "EditID")
-					return
-				}
-				// write "s"
-				err = en.Append(0xa1, 0x73)
-				if err != nil {
-					return
-				}
-				err = en.WriteUint64(z.Recent[za0003].Sum)
-				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003, "Sum")
-					return
-				}
-				// write "t"
-				err = en.Append(0xa1, 0x74)
-				if err != nil {
-					return
-				}
-				err = z.Recent[za0003].Version.EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003, "Version")
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x40) == 0 { // if not omitted
-			// write "h"
-			err = en.Append(0xa1, 0x68)
+		case "st":
+			z.State, err = dc.ReadString()
 			if err != nil {
+				err = msgp.WrapError(err, "State")
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.History)))
+		case "n":
+			z.Incarnation, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "History")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
-			for za0004 := range z.History {
-				// map header, size 3
-				// write "t"
-				err = en.Append(0x83, 0xa1, 0x74)
-				if err != nil {
-					return
-				}
-				err = z.History[za0004].Version.EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "History", za0004, "Version")
-					return
-				}
-				// write "b"
-				err = en.Append(0xa1, 0x62)
-				if err != nil {
-					return
-				}
-				err = en.WriteString(z.History[za0004].By)
-				if err != nil {
-					err = msgp.WrapError(err, "History", za0004, "By")
-					return
-				}
-				// write "s"
-				err = en.Append(0xa1, 0x73)
-				if err != nil {
-					return
-				}
-				err = en.WriteBytes(z.History[za0004].Sheet)
-				if err != nil {
-					err = msgp.WrapError(err, "History", za0004, "Sheet")
-					return
-				}
+		case "p":
+			z.Pool, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Pool")
+				return
 			}
-		}
-		if (zb0001Mask & 0x80) == 0 { // if not omitted
-			// write "rv"
-			err = en.Append(0xa2, 0x72, 0x76)
+		case "l":
+			z.Slots, err = dc.ReadInt()
 			if err != nil {
+				err = msgp.WrapError(err, "Slots")
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Revisions)))
+		case "w":
+			z.WarmUpRemaining, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Revisions")
+				err = msgp.WrapError(err, "WarmUpRemaining")
 				return
 			}
-			for za0005 := range z.Revisions {
-				err = z.Revisions[za0005].EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "Revisions", za0005)
-					return
-				}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
 			}
 		}
 	}
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *ConfigBody) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
+// EncodeMsg implements msgp.Encodable
+func (z *Backend) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
-	zb0001Len := uint32(8)
-	var zb0001Mask uint8 /* 8 bits */
+	zb0001Len := uint32(11)
+	var zb0001Mask uint16 /* 11 bits */
 	_ = zb0001Mask
-	if z.Routing == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Recent == nil {
+	if z.Pool == "" {
 		zb0001Len--
-		zb0001Mask |= 0x20
+		zb0001Mask |= 0x100
 	}
-	if z.History == nil {
+	if z.Slots == 0 {
 		zb0001Len--
-		zb0001Mask |= 0x40
+		zb0001Mask |= 0x200
 	}
-	if z.Revisions == nil {
+	if z.WarmUpRemaining == 0 {
 		zb0001Len--
-		zb0001Mask |= 0x80
+		zb0001Mask |= 0x400
 	}
 	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
+	err = en.Append(0x80 | uint8(zb0001Len))
+	if err != nil {
+		return
+	}
 
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendBytes(o, z.Sheet)
-		// string "e"
-		o = append(o, 0xa1, 0x65)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.DrainedZones)))
-		for za0001 := range z.DrainedZones {
-			o = msgp.AppendString(o, z.DrainedZones[za0001])
+		// write "i"
+		err = en.Append(0xa1, 0x69)
+		if err != nil {
+			return
 		}
-		// string "b"
-		o = append(o, 0xa1, 0x62)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Running)))
-		for za0002 := range z.Running {
-			o = msgp.AppendString(o, z.Running[za0002])
+		err = en.WriteString(z.ID)
+		if err != nil {
+			err = msgp.WrapError(err, "ID")
+			return
 		}
-		// string "sa"
-		o = append(o, 0xa2, 0x73, 0x61)
-		o, err = z.SheetAt.MarshalMsg(o)
+		// write "a"
+		err = en.Append(0xa1, 0x61)
 		if err != nil {
-			err = msgp.WrapError(err, "SheetAt")
 			return
 		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// string "ro"
-			o = append(o, 0xa2, 0x72, 0x6f)
-			o = msgp.AppendBytes(o, z.Routing)
+		err = en.WriteString(z.Addr)
+		if err != nil {
+			err = msgp.WrapError(err, "Addr")
+			return
 		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// string "r"
-			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Recent)))
-			for za0003 := range z.Recent {
-				// map header, size 3
-				// string "e"
-				o = append(o, 0x83, 0xa1, 0x65)
-				o = msgp.AppendString(o, z.Recent[za0003].EditID)
-				// string "s"
-				o = append(o, 0xa1, 0x73)
-				o = msgp.AppendUint64(o, z.Recent[za0003].Sum)
-				// string "t"
-				o = append(o, 0xa1, 0x74)
-				o, err = z.Recent[za0003].Version.MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003, "Version")
-					return
-				}
-			}
+		// write "z"
+		err = en.Append(0xa1, 0x7a)
+		if err != nil {
+			return
 		}
-		if (zb0001Mask & 0x40) == 0 { // if not omitted
-			// string "h"
-			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.History)))
-			for za0004 := range z.History {
-				// map header, size 3
-				// string "t"
-				o = append(o, 0x83, 0xa1, 0x74)
-				o, err = z.History[za0004].Version.MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "History", za0004, "Version")
-					return
-				}
-				// string "b"
-				o = append(o, 0xa1, 0x62)
-				o = msgp.AppendString(o, z.History[za0004].By)
-				// string "s"
-				o = append(o, 0xa1, 0x73)
-				o = msgp.AppendBytes(o, z.History[za0004].Sheet)
-			}
+		err = en.WriteString(z.Zone)
+		if err != nil {
+			err = msgp.WrapError(err, "Zone")
+			return
 		}
-		if (zb0001Mask & 0x80) == 0 { // if not omitted
-			// string "rv"
-			o = append(o, 0xa2, 0x72, 0x76)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Revisions)))
-			for za0005 := range z.Revisions {
-				o, err = z.Revisions[za0005].MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Revisions", za0005)
-					return
-				}
-			}
+		// write "x"
+		err = en.Append(0xa1, 0x78)
+		if err != nil {
+			return
 		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *ConfigBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+		err = en.WriteString(z.Index)
 		if err != nil {
-			err = msgp.WrapError(err)
+			err = msgp.WrapError(err, "Index")
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "s":
-			z.Sheet, bts, err = msgp.ReadBytesBytes(bts, z.Sheet)
+		// write "c"
+		err = en.Append(0xa1, 0x63)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.ShardMap)
+		if err != nil {
+			err = msgp.WrapError(err, "ShardMap")
+			return
+		}
+		// write "s"
+		err = en.Append(0xa1, 0x73)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Shard)
+		if err != nil {
+			err = msgp.WrapError(err, "Shard")
+			return
+		}
+		// write "st"
+		err = en.Append(0xa2, 0x73, 0x74)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.State)
+		if err != nil {
+			err = msgp.WrapError(err, "State")
+			return
+		}
+		// write "n"
+		err = en.Append(0xa1, 0x6e)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt64(z.Incarnation)
+		if err != nil {
+			err = msgp.WrapError(err, "Incarnation")
+			return
+		}
+		if (zb0001Mask & 0x100) == 0 { // if not omitted
+			// write "p"
+			err = en.Append(0xa1, 0x70)
 			if err != nil {
-				err = msgp.WrapError(err, "Sheet")
 				return
 			}
-		case "e":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			err = en.WriteString(z.Pool)
 			if err != nil {
-				err = msgp.WrapError(err, "DrainedZones")
+				err = msgp.WrapError(err, "Pool")
 				return
 			}
-			if cap(z.DrainedZones) >= int(zb0002) {
-				z.DrainedZones = (z.DrainedZones)[:zb0002]
-			} else {
-				z.DrainedZones = make([]string, zb0002)
-			}
-			for za0001 := range z.DrainedZones {
-				z.DrainedZones[za0001], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "DrainedZones", za0001)
-					return
-				}
+		}
+		if (zb0001Mask & 0x200) == 0 { // if not omitted
+			// write "l"
+			err = en.Append(0xa1, 0x6c)
+			if err != nil {
+				return
 			}
-		case "b":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			err = en.WriteInt(z.Slots)
 			if err != nil {
-				err = msgp.WrapError(err, "Running")
+				err = msgp.WrapError(err, "Slots")
 				return
 			}
-			if cap(z.Running) >= int(zb0003) {
-				z.Running = (z.Running)[:zb0003]
-			} else {
-				z.Running = make([]string, zb0003)
+		}
+		if (zb0001Mask & 0x400) == 0 { // if not omitted
+			// write "w"
+			err = en.Append(0xa1, 0x77)
+			if err != nil {
+				return
 			}
-			for za0002 := range z.Running {
-				z.Running[za0002], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Running", za0002)
-					return
-				}
+			err = en.WriteInt64(z.WarmUpRemaining)
+			if err != nil {
+				err = msgp.WrapError(err, "WarmUpRemaining")
+				return
 			}
-		case "sa":
-			bts, err = z.SheetAt.UnmarshalMsg(bts)
+		}
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Backend) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(11)
+	var zb0001Mask uint16 /* 11 bits */
+	_ = zb0001Mask
+	if z.Pool == "" {
+		zb0001Len--
+		zb0001Mask |= 0x100
+	}
+	if z.Slots == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x200
+	}
+	if z.WarmUpRemaining == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x400
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "i"
+		o = append(o, 0xa1, 0x69)
+		o = msgp.AppendString(o, z.ID)
+		// string "a"
+		o = append(o, 0xa1, 0x61)
+		o = msgp.AppendString(o, z.Addr)
+		// string "z"
+		o = append(o, 0xa1, 0x7a)
+		o = msgp.AppendString(o, z.Zone)
+		// string "x"
+		o = append(o, 0xa1, 0x78)
+		o = msgp.AppendString(o, z.Index)
+		// string "c"
+		o = append(o, 0xa1, 0x63)
+		o = msgp.AppendString(o, z.ShardMap)
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendInt(o, z.Shard)
+		// string "st"
+		o = append(o, 0xa2, 0x73, 0x74)
+		o = msgp.AppendString(o, z.State)
+		// string "n"
+		o = append(o, 0xa1, 0x6e)
+		o = msgp.AppendInt64(o, z.Incarnation)
+		if (zb0001Mask & 0x100) == 0 { // if not omitted
+			// string "p"
+			o = append(o, 0xa1, 0x70)
+			o = msgp.AppendString(o, z.Pool)
+		}
+		if (zb0001Mask & 0x200) == 0 { // if not omitted
+			// string "l"
+			o = append(o, 0xa1, 0x6c)
+			o = msgp.AppendInt(o, z.Slots)
+		}
+		if (zb0001Mask & 0x400) == 0 { // if not omitted
+			// string "w"
+			o = append(o, 0xa1, 0x77)
+			o = msgp.AppendInt64(o, z.WarmUpRemaining)
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Backend) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "i":
+			z.ID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "SheetAt")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "ro":
-			z.Routing, bts, err = msgp.ReadBytesBytes(bts, z.Routing)
+		case "a":
+			z.Addr, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Routing")
+				err = msgp.WrapError(err, "Addr")
 				return
 			}
-		case "r":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "z":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Recent")
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
-			if cap(z.Recent) >= int(zb0004) {
-				z.Recent = (z.Recent)[:zb0004]
-			} else {
-				z.Recent = make([]Done, zb0004)
+		case "x":
+			z.Index, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Index")
+				return
 			}
-			for za0003 := range z.Recent {
-				var zb0005 uint32
-				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003)
-					return
-				}
-				for zb0005 > 0 {
-					zb0005--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Recent", za0003)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "e":
-						z.Recent[za0003].EditID, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0003, "EditID")
-							return
-						}
-					case "s":
-						z.Recent[za0003].Sum, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0003, "Sum")
-							return
-						}
-					case "t":
-						bts, err = z.Recent[za0003].Version.UnmarshalMsg(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0003, "Version")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0003)
-							return
-						}
-					}
-				}
+		case "c":
+			z.ShardMap, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ShardMap")
+				return
 			}
-		case "h":
-			var zb0006 uint32
-			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "s":
+			z.Shard, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "History")
+				err = msgp.WrapError(err, "Shard")
 				return
 			}
-			if cap(z.History) >= int(zb0006) {
-				z.History = (z.History)[:zb0006]
-			} else {
-				z.History = make([]Past, zb0006)
+		case "st":
+			z.State, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "State")
+				return
 			}
-			for za0004 := range z.History {
-				var zb0007 uint32
-				zb0007, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "History", za0004)
-					return
-				}
-				for zb0007 > 0 {
-					zb0007--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "History", za0004)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "t":
-						bts, err = z.History[za0004].Version.UnmarshalMsg(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "History", za0004, "Version")
-							return
-						}
-					case "b":
-						z.History[za0004].By, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "History", za0004, "By")
-							return
-						}
-					case "s":
-						z.History[za0004].Sheet, bts, err = msgp.ReadBytesBytes(bts, z.History[za0004].Sheet)
-						if err != nil {
-							err = msgp.WrapError(err, "History", za0004, "Sheet")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "History", za0004)
-							return
-						}
-					}
-				}
+		case "n":
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Incarnation")
+				return
 			}
-		case "rv":
-			var zb0008 uint32
-			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "p":
+			z.Pool, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Revisions")
+				err = msgp.WrapError(err, "Pool")
 				return
 			}
-			if cap(z.Revisions) >= int(zb0008) {
-				z.Revisions = (z.Revisions)[:zb0008]
-			} else {
-				z.Revisions = make([]Revision, zb0008)
+		case "l":
+			z.Slots, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Slots")
+				return
 			}
-			for za0005 := range z.Revisions {
-				bts, err = z.Revisions[za0005].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Revisions", za0005)
-					return
-				}
+		case "w":
+			z.WarmUpRemaining, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "WarmUpRemaining")
+				return
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -1210,32 +867,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ConfigBody) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Sheet) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.DrainedZones {
-		s += msgp.StringPrefixSize + len(z.DrainedZones[za0001])
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Running {
-		s += msgp.StringPrefixSize + len(z.Running[za0002])
-	}
-	s += 3 + z.SheetAt.Msgsize() + 3 + msgp.BytesPrefixSize + len(z.Routing) + 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Recent {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Recent[za0003].EditID) + 2 + msgp.Uint64Size + 2 + z.Recent[za0003].Version.Msgsize()
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0004 := range z.History {
-		s += 1 + 2 + z.History[za0004].Version.Msgsize() + 2 + msgp.StringPrefixSize + len(z.History[za0004].By) + 2 + msgp.BytesPrefixSize + len(z.History[za0004].Sheet)
-	}
-	s += 3 + msgp.ArrayHeaderSize
-	for za0005 := range z.Revisions {
-		s += z.Revisions[za0005].Msgsize()
-	}
+func (z *Backend) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Index) + 2 + msgp.StringPrefixSize + len(z.ShardMap) + 2 + msgp.IntSize + 3 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Pool) + 2 + msgp.IntSize + 2 + msgp.Int64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Done) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *BackendList) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1252,22 +890,35 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.EditID, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "EditID")
-				return
-			}
 		case "s":
-			z.Sum, err = dc.ReadUint64()
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "Backends")
 				return
 			}
-		case "t":
-			err = z.Version.DecodeMsg(dc)
+			if cap(z.Backends) >= int(zb0002) {
+				z.Backends = (z.Backends)[:zb0002]
+			} else {
+				z.Backends = make([]Backend, zb0002)
+			}
+			for za0001 := range z.Backends {
+				err = z.Backends[za0001].DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "Backends", za0001)
+					return
+				}
+			}
+		case "t":
+			z.LeaseID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "LeaseID")
+				return
+			}
+		case "h":
+			z.Complete, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
 		default:
@@ -1282,63 +933,106 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Done) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "e"
-	err = en.Append(0x83, 0xa1, 0x65)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.EditID)
-	if err != nil {
-		err = msgp.WrapError(err, "EditID")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Sum)
-	if err != nil {
-		err = msgp.WrapError(err, "Sum")
-		return
+func (z *BackendList) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(3)
+	var zb0001Mask uint8 /* 3 bits */
+	_ = zb0001Mask
+	if z.Complete == false {
+		zb0001Len--
+		zb0001Mask |= 0x4
 	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
 	if err != nil {
 		return
 	}
-	err = z.Version.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// write "s"
+		err = en.Append(0xa1, 0x73)
+		if err != nil {
+			return
+		}
+		err = en.WriteArrayHeader(uint32(len(z.Backends)))
+		if err != nil {
+			err = msgp.WrapError(err, "Backends")
+			return
+		}
+		for za0001 := range z.Backends {
+			err = z.Backends[za0001].EncodeMsg(en)
+			if err != nil {
+				err = msgp.WrapError(err, "Backends", za0001)
+				return
+			}
+		}
+		// write "t"
+		err = en.Append(0xa1, 0x74)
+		if err != nil {
+			return
+		}
+		err = en.WriteUint64(z.LeaseID)
+		if err != nil {
+			err = msgp.WrapError(err, "LeaseID")
+			return
+		}
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// write "h"
+			err = en.Append(0xa1, 0x68)
+			if err != nil {
+				return
+			}
+			err = en.WriteBool(z.Complete)
+			if err != nil {
+				err = msgp.WrapError(err, "Complete")
+				return
+			}
+		}
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Done) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *BackendList) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "e"
-	o = append(o, 0x83, 0xa1, 0x65)
-	o = msgp.AppendString(o, z.EditID)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Sum)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o, err = z.Version.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
+	// check for omitted fields
+	zb0001Len := uint32(3)
+	var zb0001Mask uint8 /* 3 bits */
+	_ = zb0001Mask
+	if z.Complete == false {
+		zb0001Len--
+		zb0001Mask |= 0x4
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Backends)))
+		for za0001 := range z.Backends {
+			o, err = z.Backends[za0001].MarshalMsg(o)
+			if err != nil {
+				err = msgp.WrapError(err, "Backends", za0001)
+				return
+			}
+		}
+		// string "t"
+		o = append(o, 0xa1, 0x74)
+		o = msgp.AppendUint64(o, z.LeaseID)
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// string "h"
+			o = append(o, 0xa1, 0x68)
+			o = msgp.AppendBool(o, z.Complete)
+		}
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Done) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *BackendList) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1355,22 +1049,35 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.EditID, bts, err = msgp.ReadStringBytes(bts)
+		case "s":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "EditID")
+				err = msgp.WrapError(err, "Backends")
 				return
 			}
-		case "s":
-			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
+			if cap(z.Backends) >= int(zb0002) {
+				z.Backends = (z.Backends)[:zb0002]
+			} else {
+				z.Backends = make([]Backend, zb0002)
+			}
+			for za0001 := range z.Backends {
+				bts, err = z.Backends[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Backends", za0001)
+					return
+				}
+			}
+		case "t":
+			z.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "LeaseID")
 				return
 			}
-		case "t":
-			bts, err = z.Version.UnmarshalMsg(bts)
+		case "h":
+			z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
 		default:
@@ -1386,13 +1093,17 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Done) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.EditID) + 2 + msgp.Uint64Size + 2 + z.Version.Msgsize()
+func (z *BackendList) Msgsize() (s int) {
+	s = 1 + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Backends {
+		s += z.Backends[za0001].Msgsize()
+	}
+	s += 2 + msgp.Uint64Size + 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *HandOver) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ConfigBody) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1409,114 +1120,189 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.N, err = dc.ReadUint64()
+		case "s":
+			z.Config, err = dc.ReadBytes(z.Config)
 			if err != nil {
-				err = msgp.WrapError(err, "N")
+				err = msgp.WrapError(err, "Config")
 				return
 			}
-		case "n":
-			z.Name, err = dc.ReadString()
+		case "e":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "DrainedZones")
 				return
 			}
+			if cap(z.DrainedZones) >= int(zb0002) {
+				z.DrainedZones = (z.DrainedZones)[:zb0002]
+			} else {
+				z.DrainedZones = make([]string, zb0002)
+			}
+			for za0001 := range z.DrainedZones {
+				z.DrainedZones[za0001], err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "DrainedZones", za0001)
+					return
+				}
+			}
 		case "b":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Before")
+				err = msgp.WrapError(err, "ActiveBookings")
 				return
 			}
-			if cap(z.Before) >= int(zb0002) {
-				z.Before = (z.Before)[:zb0002]
+			if cap(z.ActiveBookings) >= int(zb0003) {
+				z.ActiveBookings = (z.ActiveBookings)[:zb0003]
 			} else {
-				z.Before = make([]Place, zb0002)
+				z.ActiveBookings = make([]string, zb0003)
 			}
-			for za0001 := range z.Before {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+			for za0002 := range z.ActiveBookings {
+				z.ActiveBookings[za0002], err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Before", za0001)
+					err = msgp.WrapError(err, "ActiveBookings", za0002)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
+			}
+		case "sa":
+			err = z.ConfigVersion.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "ConfigVersion")
+				return
+			}
+		case "ro":
+			z.Routing, err = dc.ReadBytes(z.Routing)
+			if err != nil {
+				err = msgp.WrapError(err, "Routing")
+				return
+			}
+		case "r":
+			var zb0004 uint32
+			zb0004, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyEdits")
+				return
+			}
+			if cap(z.LegacyEdits) >= int(zb0004) {
+				z.LegacyEdits = (z.LegacyEdits)[:zb0004]
+			} else {
+				z.LegacyEdits = make([]LegacyEdit, zb0004)
+			}
+			for za0003 := range z.LegacyEdits {
+				var zb0005 uint32
+				zb0005, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003)
+					return
+				}
+				for zb0005 > 0 {
+					zb0005--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Before", za0001)
+						err = msgp.WrapError(err, "LegacyEdits", za0003)
 						return
 					}
 					switch msgp.UnsafeString(field) {
-					case "n":
-						z.Before[za0001].Name, err = dc.ReadString()
+					case "e":
+						z.LegacyEdits[za0003].EditID, err = dc.ReadString()
 						if err != nil {
-							err = msgp.WrapError(err, "Before", za0001, "Name")
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "EditID")
 							return
 						}
-					case "z":
-						z.Before[za0001].Zone, err = dc.ReadString()
+					case "s":
+						z.LegacyEdits[za0003].Sum, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "Before", za0001, "Zone")
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "Sum")
+							return
+						}
+					case "t":
+						err = z.LegacyEdits[za0003].Version.DecodeMsg(dc)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Before", za0001)
+							err = msgp.WrapError(err, "LegacyEdits", za0003)
 							return
 						}
 					}
 				}
 			}
-		case "w":
-			var zb0004 uint32
-			zb0004, err = dc.ReadArrayHeader()
+		case "h":
+			var zb0006 uint32
+			zb0006, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Now")
+				err = msgp.WrapError(err, "LegacyHistory")
 				return
 			}
-			if cap(z.Now) >= int(zb0004) {
-				z.Now = (z.Now)[:zb0004]
+			if cap(z.LegacyHistory) >= int(zb0006) {
+				z.LegacyHistory = (z.LegacyHistory)[:zb0006]
 			} else {
-				z.Now = make([]Place, zb0004)
+				z.LegacyHistory = make([]PastConfig, zb0006)
 			}
-			for za0002 := range z.Now {
-				var zb0005 uint32
-				zb0005, err = dc.ReadMapHeader()
+			for za0004 := range z.LegacyHistory {
+				var zb0007 uint32
+				zb0007, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Now", za0002)
+					err = msgp.WrapError(err, "LegacyHistory", za0004)
 					return
 				}
-				for zb0005 > 0 {
-					zb0005--
+				for zb0007 > 0 {
+					zb0007--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Now", za0002)
+						err = msgp.WrapError(err, "LegacyHistory", za0004)
 						return
 					}
 					switch msgp.UnsafeString(field) {
-					case "n":
-						z.Now[za0002].Name, err = dc.ReadString()
+					case "t":
+						err = z.LegacyHistory[za0004].Version.DecodeMsg(dc)
 						if err != nil {
-							err = msgp.WrapError(err, "Now", za0002, "Name")
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
 							return
 						}
-					case "z":
-						z.Now[za0002].Zone, err = dc.ReadString()
+					case "b":
+						z.LegacyHistory[za0004].By, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "By")
+							return
+						}
+					case "s":
+						z.LegacyHistory[za0004].Config, err = dc.ReadBytes(z.LegacyHistory[za0004].Config)
 						if err != nil {
-							err = msgp.WrapError(err, "Now", za0002, "Zone")
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "Config")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Now", za0002)
+							err = msgp.WrapError(err, "LegacyHistory", za0004)
 							return
 						}
 					}
 				}
 			}
+		case "rv":
+			var zb0008 uint32
+			zb0008, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyRevisions")
+				return
+			}
+			if cap(z.LegacyRevisions) >= int(zb0008) {
+				z.LegacyRevisions = (z.LegacyRevisions)[:zb0008]
+			} else {
+				z.LegacyRevisions = make([]LegacyRevision, zb0008)
+			}
+			for za0005 := range z.LegacyRevisions {
+				err = z.LegacyRevisions[za0005].DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyRevisions", za0005)
+					return
+				}
+			}
 		default:
 			err = dc.Skip()
 			if err != nil {
@@ -1529,614 +1315,704 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *HandOver) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
-	// write "e"
-	err = en.Append(0x84, 0xa1, 0x65)
-	if err != nil {
-		return
+func (z *ConfigBody) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(8)
+	var zb0001Mask uint8 /* 8 bits */
+	_ = zb0001Mask
+	if z.Routing == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
 	}
-	err = en.WriteUint64(z.N)
-	if err != nil {
-		err = msgp.WrapError(err, "N")
-		return
+	if z.LegacyEdits == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20
 	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Name)
-	if err != nil {
-		err = msgp.WrapError(err, "Name")
-		return
+	if z.LegacyHistory == nil {
+		zb0001Len--
+		zb0001Mask |= 0x40
 	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
+	if z.LegacyRevisions == nil {
+		zb0001Len--
+		zb0001Mask |= 0x80
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Before)))
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
 	if err != nil {
-		err = msgp.WrapError(err, "Before")
 		return
 	}
-	for za0001 := range z.Before {
-		// map header, size 2
-		// write "n"
-		err = en.Append(0x82, 0xa1, 0x6e)
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// write "s"
+		err = en.Append(0xa1, 0x73)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Before[za0001].Name)
+		err = en.WriteBytes(z.Config)
 		if err != nil {
-			err = msgp.WrapError(err, "Before", za0001, "Name")
+			err = msgp.WrapError(err, "Config")
 			return
 		}
-		// write "z"
-		err = en.Append(0xa1, 0x7a)
+		// write "e"
+		err = en.Append(0xa1, 0x65)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Before[za0001].Zone)
+		err = en.WriteArrayHeader(uint32(len(z.DrainedZones)))
 		if err != nil {
-			err = msgp.WrapError(err, "Before", za0001, "Zone")
+			err = msgp.WrapError(err, "DrainedZones")
 			return
 		}
-	}
-	// write "w"
-	err = en.Append(0xa1, 0x77)
-	if err != nil {
-		return
-	}
-	err = en.WriteArrayHeader(uint32(len(z.Now)))
-	if err != nil {
-		err = msgp.WrapError(err, "Now")
-		return
-	}
-	for za0002 := range z.Now {
-		// map header, size 2
-		// write "n"
-		err = en.Append(0x82, 0xa1, 0x6e)
-		if err != nil {
-			return
+		for za0001 := range z.DrainedZones {
+			err = en.WriteString(z.DrainedZones[za0001])
+			if err != nil {
+				err = msgp.WrapError(err, "DrainedZones", za0001)
+				return
+			}
 		}
-		err = en.WriteString(z.Now[za0002].Name)
+		// write "b"
+		err = en.Append(0xa1, 0x62)
 		if err != nil {
-			err = msgp.WrapError(err, "Now", za0002, "Name")
 			return
 		}
-		// write "z"
-		err = en.Append(0xa1, 0x7a)
+		err = en.WriteArrayHeader(uint32(len(z.ActiveBookings)))
 		if err != nil {
+			err = msgp.WrapError(err, "ActiveBookings")
 			return
 		}
-		err = en.WriteString(z.Now[za0002].Zone)
+		for za0002 := range z.ActiveBookings {
+			err = en.WriteString(z.ActiveBookings[za0002])
+			if err != nil {
+				err = msgp.WrapError(err, "ActiveBookings", za0002)
+				return
+			}
+		}
+		// write "sa"
+		err = en.Append(0xa2, 0x73, 0x61)
 		if err != nil {
-			err = msgp.WrapError(err, "Now", za0002, "Zone")
 			return
 		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *HandOver) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "e"
-	o = append(o, 0x84, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.N)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Before)))
-	for za0001 := range z.Before {
-		// map header, size 2
-		// string "n"
-		o = append(o, 0x82, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Before[za0001].Name)
-		// string "z"
-		o = append(o, 0xa1, 0x7a)
-		o = msgp.AppendString(o, z.Before[za0001].Zone)
-	}
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Now)))
-	for za0002 := range z.Now {
-		// map header, size 2
-		// string "n"
-		o = append(o, 0x82, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Now[za0002].Name)
-		// string "z"
-		o = append(o, 0xa1, 0x7a)
-		o = msgp.AppendString(o, z.Now[za0002].Zone)
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *HandOver) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+		err = z.ConfigVersion.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err)
+			err = msgp.WrapError(err, "ConfigVersion")
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "e":
-			z.N, bts, err = msgp.ReadUint64Bytes(bts)
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// write "ro"
+			err = en.Append(0xa2, 0x72, 0x6f)
 			if err != nil {
-				err = msgp.WrapError(err, "N")
 				return
 			}
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			err = en.WriteBytes(z.Routing)
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "Routing")
 				return
 			}
-		case "b":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		}
+		if (zb0001Mask & 0x20) == 0 { // if not omitted
+			// write "r"
+			err = en.Append(0xa1, 0x72)
 			if err != nil {
-				err = msgp.WrapError(err, "Before")
 				return
 			}
-			if cap(z.Before) >= int(zb0002) {
-				z.Before = (z.Before)[:zb0002]
-			} else {
-				z.Before = make([]Place, zb0002)
+			err = en.WriteArrayHeader(uint32(len(z.LegacyEdits)))
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyEdits")
+				return
 			}
-			for za0001 := range z.Before {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			for za0003 := range z.LegacyEdits {
+				// map header, size 3
+				// write "e"
+				err = en.Append(0x83, 0xa1, 0x65)
 				if err != nil {
-					err = msgp.WrapError(err, "Before", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Before", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.Before[za0001].Name, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Before", za0001, "Name")
-							return
-						}
-					case "z":
-						z.Before[za0001].Zone, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Before", za0001, "Zone")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Before", za0001)
-							return
-						}
-					}
+				err = en.WriteString(z.LegacyEdits[za0003].EditID)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003, "EditID")
+					return
+				}
+				// write "s"
+				err = en.Append(0xa1, 0x73)
+				if err != nil {
+					return
+				}
+				err = en.WriteUint64(z.LegacyEdits[za0003].Sum)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003, "Sum")
+					return
+				}
+				// write "t"
+				err = en.Append(0xa1, 0x74)
+				if err != nil {
+					return
+				}
+				err = z.LegacyEdits[za0003].Version.EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
+					return
 				}
 			}
-		case "w":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		}
+		if (zb0001Mask & 0x40) == 0 { // if not omitted
+			// write "h"
+			err = en.Append(0xa1, 0x68)
 			if err != nil {
-				err = msgp.WrapError(err, "Now")
 				return
 			}
-			if cap(z.Now) >= int(zb0004) {
-				z.Now = (z.Now)[:zb0004]
-			} else {
-				z.Now = make([]Place, zb0004)
+			err = en.WriteArrayHeader(uint32(len(z.LegacyHistory)))
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyHistory")
+				return
 			}
-			for za0002 := range z.Now {
-				var zb0005 uint32
-				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
+			for za0004 := range z.LegacyHistory {
+				// map header, size 3
+				// write "t"
+				err = en.Append(0x83, 0xa1, 0x74)
 				if err != nil {
-					err = msgp.WrapError(err, "Now", za0002)
 					return
 				}
-				for zb0005 > 0 {
-					zb0005--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Now", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.Now[za0002].Name, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Now", za0002, "Name")
-							return
-						}
-					case "z":
-						z.Now[za0002].Zone, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Now", za0002, "Zone")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Now", za0002)
-							return
-						}
-					}
+				err = z.LegacyHistory[za0004].Version.EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
+					return
+				}
+				// write "b"
+				err = en.Append(0xa1, 0x62)
+				if err != nil {
+					return
+				}
+				err = en.WriteString(z.LegacyHistory[za0004].By)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004, "By")
+					return
+				}
+				// write "s"
+				err = en.Append(0xa1, 0x73)
+				if err != nil {
+					return
+				}
+				err = en.WriteBytes(z.LegacyHistory[za0004].Config)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004, "Config")
+					return
 				}
 			}
-		default:
-			bts, err = msgp.Skip(bts)
+		}
+		if (zb0001Mask & 0x80) == 0 { // if not omitted
+			// write "rv"
+			err = en.Append(0xa2, 0x72, 0x76)
 			if err != nil {
-				err = msgp.WrapError(err)
 				return
 			}
+			err = en.WriteArrayHeader(uint32(len(z.LegacyRevisions)))
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyRevisions")
+				return
+			}
+			for za0005 := range z.LegacyRevisions {
+				err = z.LegacyRevisions[za0005].EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyRevisions", za0005)
+					return
+				}
+			}
 		}
 	}
-	o = bts
 	return
 }
 
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *HandOver) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Before {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Before[za0001].Name) + 2 + msgp.StringPrefixSize + len(z.Before[za0001].Zone)
+// MarshalMsg implements msgp.Marshaler
+func (z *ConfigBody) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(8)
+	var zb0001Mask uint8 /* 8 bits */
+	_ = zb0001Mask
+	if z.Routing == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
 	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Now {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Now[za0002].Name) + 2 + msgp.StringPrefixSize + len(z.Now[za0002].Zone)
+	if z.LegacyEdits == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20
 	}
-	return
-}
+	if z.LegacyHistory == nil {
+		zb0001Len--
+		zb0001Mask |= 0x40
+	}
+	if z.LegacyRevisions == nil {
+		zb0001Len--
+		zb0001Mask |= 0x80
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
 
-// DecodeMsg implements msgp.Decodable
-func (z *Handed) DecodeMsg(dc *msgp.Reader) (err error) {
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendBytes(o, z.Config)
+		// string "e"
+		o = append(o, 0xa1, 0x65)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.DrainedZones)))
+		for za0001 := range z.DrainedZones {
+			o = msgp.AppendString(o, z.DrainedZones[za0001])
+		}
+		// string "b"
+		o = append(o, 0xa1, 0x62)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.ActiveBookings)))
+		for za0002 := range z.ActiveBookings {
+			o = msgp.AppendString(o, z.ActiveBookings[za0002])
+		}
+		// string "sa"
+		o = append(o, 0xa2, 0x73, 0x61)
+		o, err = z.ConfigVersion.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "ConfigVersion")
+			return
+		}
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// string "ro"
+			o = append(o, 0xa2, 0x72, 0x6f)
+			o = msgp.AppendBytes(o, z.Routing)
+		}
+		if (zb0001Mask & 0x20) == 0 { // if not omitted
+			// string "r"
+			o = append(o, 0xa1, 0x72)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyEdits)))
+			for za0003 := range z.LegacyEdits {
+				// map header, size 3
+				// string "e"
+				o = append(o, 0x83, 0xa1, 0x65)
+				o = msgp.AppendString(o, z.LegacyEdits[za0003].EditID)
+				// string "s"
+				o = append(o, 0xa1, 0x73)
+				o = msgp.AppendUint64(o, z.LegacyEdits[za0003].Sum)
+				// string "t"
+				o = append(o, 0xa1, 0x74)
+				o, err = z.LegacyEdits[za0003].Version.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
+					return
+				}
+			}
+		}
+		if (zb0001Mask & 0x40) == 0 { // if not omitted
+			// string "h"
+			o = append(o, 0xa1, 0x68)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyHistory)))
+			for za0004 := range z.LegacyHistory {
+				// map header, size 3
+				// string "t"
+				o = append(o, 0x83, 0xa1, 0x74)
+				o, err = z.LegacyHistory[za0004].Version.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
+					return
+				}
+				// string "b"
+				o = append(o, 0xa1, 0x62)
+				o = msgp.AppendString(o, z.LegacyHistory[za0004].By)
+				// string "s"
+				o = append(o, 0xa1, 0x73)
+				o = msgp.AppendBytes(o, z.LegacyHistory[za0004].Config)
+			}
+		}
+		if (zb0001Mask & 0x80) == 0 { // if not omitted
+			// string "rv"
+			o = append(o, 0xa2, 0x72, 0x76)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyRevisions)))
+			for za0005 := range z.LegacyRevisions {
+				o, err = z.LegacyRevisions[za0005].MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyRevisions", za0005)
+					return
+				}
+			}
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ConfigBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
 	for zb0001 > 0 {
 		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "s":
+			z.Config, bts, err = msgp.ReadBytesBytes(bts, z.Config)
+			if err != nil {
+				err = msgp.WrapError(err, "Config")
+				return
+			}
 		case "e":
-			z.N, err = dc.ReadUint64()
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "N")
+				err = msgp.WrapError(err, "DrainedZones")
 				return
 			}
-		case "n":
-			z.Name, err = dc.ReadString()
+			if cap(z.DrainedZones) >= int(zb0002) {
+				z.DrainedZones = (z.DrainedZones)[:zb0002]
+			} else {
+				z.DrainedZones = make([]string, zb0002)
+			}
+			for za0001 := range z.DrainedZones {
+				z.DrainedZones[za0001], bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "DrainedZones", za0001)
+					return
+				}
+			}
+		case "b":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "ActiveBookings")
+				return
+			}
+			if cap(z.ActiveBookings) >= int(zb0003) {
+				z.ActiveBookings = (z.ActiveBookings)[:zb0003]
+			} else {
+				z.ActiveBookings = make([]string, zb0003)
+			}
+			for za0002 := range z.ActiveBookings {
+				z.ActiveBookings[za0002], bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "ActiveBookings", za0002)
+					return
+				}
+			}
+		case "sa":
+			bts, err = z.ConfigVersion.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ConfigVersion")
+				return
+			}
+		case "ro":
+			z.Routing, bts, err = msgp.ReadBytesBytes(bts, z.Routing)
+			if err != nil {
+				err = msgp.WrapError(err, "Routing")
 				return
 			}
 		case "r":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Records")
+				err = msgp.WrapError(err, "LegacyEdits")
 				return
 			}
-			if cap(z.Records) >= int(zb0002) {
-				z.Records = (z.Records)[:zb0002]
+			if cap(z.LegacyEdits) >= int(zb0004) {
+				z.LegacyEdits = (z.LegacyEdits)[:zb0004]
 			} else {
-				z.Records = make([]Settle, zb0002)
+				z.LegacyEdits = make([]LegacyEdit, zb0004)
 			}
-			for za0001 := range z.Records {
-				err = z.Records[za0001].DecodeMsg(dc)
+			for za0003 := range z.LegacyEdits {
+				var zb0005 uint32
+				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
+					err = msgp.WrapError(err, "LegacyEdits", za0003)
 					return
 				}
+				for zb0005 > 0 {
+					zb0005--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "LegacyEdits", za0003)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "e":
+						z.LegacyEdits[za0003].EditID, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "EditID")
+							return
+						}
+					case "s":
+						z.LegacyEdits[za0003].Sum, bts, err = msgp.ReadUint64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "Sum")
+							return
+						}
+					case "t":
+						bts, err = z.LegacyEdits[za0003].Version.UnmarshalMsg(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003)
+							return
+						}
+					}
+				}
 			}
-		case "a":
-			z.All, err = dc.ReadBool()
+		case "h":
+			var zb0006 uint32
+			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "All")
+				err = msgp.WrapError(err, "LegacyHistory")
 				return
 			}
-		case "h":
-			z.Homes, err = dc.ReadInt()
+			if cap(z.LegacyHistory) >= int(zb0006) {
+				z.LegacyHistory = (z.LegacyHistory)[:zb0006]
+			} else {
+				z.LegacyHistory = make([]PastConfig, zb0006)
+			}
+			for za0004 := range z.LegacyHistory {
+				var zb0007 uint32
+				zb0007, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004)
+					return
+				}
+				for zb0007 > 0 {
+					zb0007--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "LegacyHistory", za0004)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "t":
+						bts, err = z.LegacyHistory[za0004].Version.UnmarshalMsg(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
+							return
+						}
+					case "b":
+						z.LegacyHistory[za0004].By, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "By")
+							return
+						}
+					case "s":
+						z.LegacyHistory[za0004].Config, bts, err = msgp.ReadBytesBytes(bts, z.LegacyHistory[za0004].Config)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "Config")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004)
+							return
+						}
+					}
+				}
+			}
+		case "rv":
+			var zb0008 uint32
+			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Homes")
+				err = msgp.WrapError(err, "LegacyRevisions")
 				return
 			}
+			if cap(z.LegacyRevisions) >= int(zb0008) {
+				z.LegacyRevisions = (z.LegacyRevisions)[:zb0008]
+			} else {
+				z.LegacyRevisions = make([]LegacyRevision, zb0008)
+			}
+			for za0005 := range z.LegacyRevisions {
+				bts, err = z.LegacyRevisions[za0005].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyRevisions", za0005)
+					return
+				}
+			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *Handed) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "e"
-	err = en.Append(0x85, 0xa1, 0x65)
-	if err != nil {
-		return
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *ConfigBody) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Config) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.DrainedZones {
+		s += msgp.StringPrefixSize + len(z.DrainedZones[za0001])
 	}
-	err = en.WriteUint64(z.N)
-	if err != nil {
-		err = msgp.WrapError(err, "N")
-		return
+	s += 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.ActiveBookings {
+		s += msgp.StringPrefixSize + len(z.ActiveBookings[za0002])
 	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
+	s += 3 + z.ConfigVersion.Msgsize() + 3 + msgp.BytesPrefixSize + len(z.Routing) + 2 + msgp.ArrayHeaderSize
+	for za0003 := range z.LegacyEdits {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.LegacyEdits[za0003].EditID) + 2 + msgp.Uint64Size + 2 + z.LegacyEdits[za0003].Version.Msgsize()
 	}
-	err = en.WriteString(z.Name)
-	if err != nil {
-		err = msgp.WrapError(err, "Name")
-		return
+	s += 2 + msgp.ArrayHeaderSize
+	for za0004 := range z.LegacyHistory {
+		s += 1 + 2 + z.LegacyHistory[za0004].Version.Msgsize() + 2 + msgp.StringPrefixSize + len(z.LegacyHistory[za0004].By) + 2 + msgp.BytesPrefixSize + len(z.LegacyHistory[za0004].Config)
 	}
-	// write "r"
-	err = en.Append(0xa1, 0x72)
-	if err != nil {
-		return
+	s += 3 + msgp.ArrayHeaderSize
+	for za0005 := range z.LegacyRevisions {
+		s += z.LegacyRevisions[za0005].Msgsize()
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Records)))
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *HealthReport) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Records")
+		err = msgp.WrapError(err)
 		return
 	}
-	for za0001 := range z.Records {
-		err = z.Records[za0001].EncodeMsg(en)
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
 		if err != nil {
-			err = msgp.WrapError(err, "Records", za0001)
-			return
-		}
-	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.All)
-	if err != nil {
-		err = msgp.WrapError(err, "All")
-		return
-	}
-	// write "h"
-	err = en.Append(0xa1, 0x68)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.Homes)
-	if err != nil {
-		err = msgp.WrapError(err, "Homes")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Handed) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "e"
-	o = append(o, 0x85, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.N)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
-	for za0001 := range z.Records {
-		o, err = z.Records[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Records", za0001)
-			return
-		}
-	}
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendBool(o, z.All)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendInt(o, z.Homes)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Handed) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
+			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.N, bts, err = msgp.ReadUint64Bytes(bts)
+		case "s":
+			z.State, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "N")
+				err = msgp.WrapError(err, "State")
 				return
 			}
 		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			z.Incarnation, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
-		case "r":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "w":
+			z.Uptime, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Records")
+				err = msgp.WrapError(err, "Uptime")
 				return
 			}
-			if cap(z.Records) >= int(zb0002) {
-				z.Records = (z.Records)[:zb0002]
-			} else {
-				z.Records = make([]Settle, zb0002)
-			}
-			for za0001 := range z.Records {
-				bts, err = z.Records[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
-					return
-				}
-			}
-		case "a":
-			z.All, bts, err = msgp.ReadBoolBytes(bts)
+		case "u":
+			z.Load, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "All")
+				err = msgp.WrapError(err, "Load")
 				return
 			}
-		case "h":
-			z.Homes, bts, err = msgp.ReadIntBytes(bts)
+		case "c":
+			z.ShardMap, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Homes")
+				err = msgp.WrapError(err, "ShardMap")
 				return
 			}
 		default:
-			bts, err = msgp.Skip(bts)
+			err = dc.Skip()
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Handed) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Records {
-		s += z.Records[za0001].Msgsize()
-	}
-	s += 2 + msgp.BoolSize + 2 + msgp.IntSize
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *Holder) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+// EncodeMsg implements msgp.Encodable
+func (z *HealthReport) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "s"
+	err = en.Append(0x85, 0xa1, 0x73)
 	if err != nil {
-		err = msgp.WrapError(err)
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Node, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Node")
-				return
-			}
-		case "t":
-			z.Turn, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Turn")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	err = en.WriteString(z.State)
+	if err != nil {
+		err = msgp.WrapError(err, "State")
+		return
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Holder) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
 	// write "n"
-	err = en.Append(0x82, 0xa1, 0x6e)
+	err = en.Append(0xa1, 0x6e)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Node)
+	err = en.WriteInt64(z.Incarnation)
 	if err != nil {
-		err = msgp.WrapError(err, "Node")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
+	// write "w"
+	err = en.Append(0xa1, 0x77)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt64(z.Uptime)
+	if err != nil {
+		err = msgp.WrapError(err, "Uptime")
+		return
+	}
+	// write "u"
+	err = en.Append(0xa1, 0x75)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt64(z.Load)
+	if err != nil {
+		err = msgp.WrapError(err, "Load")
+		return
+	}
+	// write "c"
+	err = en.Append(0xa1, 0x63)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Turn)
+	err = en.WriteString(z.ShardMap)
 	if err != nil {
-		err = msgp.WrapError(err, "Turn")
+		err = msgp.WrapError(err, "ShardMap")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Holder) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *HealthReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
+	// map header, size 5
+	// string "s"
+	o = append(o, 0x85, 0xa1, 0x73)
+	o = msgp.AppendString(o, z.State)
 	// string "n"
-	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Node)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Turn)
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendInt64(o, z.Incarnation)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendInt64(o, z.Uptime)
+	// string "u"
+	o = append(o, 0xa1, 0x75)
+	o = msgp.AppendInt64(o, z.Load)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendString(o, z.ShardMap)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Holder) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *HealthReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2153,16 +2029,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "s":
+			z.State, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "State")
+				return
+			}
 		case "n":
-			z.Node, bts, err = msgp.ReadStringBytes(bts)
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Node")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
-		case "t":
-			z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+		case "w":
+			z.Uptime, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Uptime")
+				return
+			}
+		case "u":
+			z.Load, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Load")
+				return
+			}
+		case "c":
+			z.ShardMap, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
+				err = msgp.WrapError(err, "ShardMap")
 				return
 			}
 		default:
@@ -2178,8 +2072,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Holder) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Node) + 2 + msgp.Uint64Size
+func (z *HealthReport) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.ShardMap)
 	return
 }
 
@@ -2205,136 +2099,136 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Cuts")
+				err = msgp.WrapError(err, "ShardMaps")
 				return
 			}
-			if z.Cuts == nil {
-				z.Cuts = make(map[string]LiveCut, zb0002)
-			} else if len(z.Cuts) > 0 {
-				clear(z.Cuts)
+			if z.ShardMaps == nil {
+				z.ShardMaps = make(map[string]ShardMap, zb0002)
+			} else if len(z.ShardMaps) > 0 {
+				clear(z.ShardMaps)
 			}
 			for zb0002 > 0 {
 				zb0002--
 				var za0001 string
 				za0001, err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Cuts")
+					err = msgp.WrapError(err, "ShardMaps")
 					return
 				}
-				var za0002 LiveCut
+				var za0002 ShardMap
 				err = za0002.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Cuts", za0001)
+					err = msgp.WrapError(err, "ShardMaps", za0001)
 					return
 				}
-				z.Cuts[za0001] = za0002
+				z.ShardMaps[za0001] = za0002
 			}
 		case "h":
 			var zb0003 uint32
 			zb0003, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Holders")
+				err = msgp.WrapError(err, "LeaseHolders")
 				return
 			}
-			if z.Holders == nil {
-				z.Holders = make(map[string]Holder, zb0003)
-			} else if len(z.Holders) > 0 {
-				clear(z.Holders)
+			if z.LeaseHolders == nil {
+				z.LeaseHolders = make(map[string]LeaseHolder, zb0003)
+			} else if len(z.LeaseHolders) > 0 {
+				clear(z.LeaseHolders)
 			}
 			for zb0003 > 0 {
 				zb0003--
 				var za0003 string
 				za0003, err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Holders")
+					err = msgp.WrapError(err, "LeaseHolders")
 					return
 				}
-				var za0004 Holder
+				var za0004 LeaseHolder
 				var zb0004 uint32
 				zb0004, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Holders", za0003)
+					err = msgp.WrapError(err, "LeaseHolders", za0003)
 					return
 				}
 				for zb0004 > 0 {
 					zb0004--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Holders", za0003)
+						err = msgp.WrapError(err, "LeaseHolders", za0003)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "n":
 						za0004.Node, err = dc.ReadString()
 						if err != nil {
-							err = msgp.WrapError(err, "Holders", za0003, "Node")
+							err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
 							return
 						}
 					case "t":
-						za0004.Turn, err = dc.ReadUint64()
+						za0004.LeaseID, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "Holders", za0003, "Turn")
+							err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Holders", za0003)
+							err = msgp.WrapError(err, "LeaseHolders", za0003)
 							return
 						}
 					}
 				}
-				z.Holders[za0003] = za0004
+				z.LeaseHolders[za0003] = za0004
 			}
 		case "r":
 			var zb0005 uint32
 			zb0005, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Recent")
+				err = msgp.WrapError(err, "LegacyEdits")
 				return
 			}
-			if cap(z.Recent) >= int(zb0005) {
-				z.Recent = (z.Recent)[:zb0005]
+			if cap(z.LegacyEdits) >= int(zb0005) {
+				z.LegacyEdits = (z.LegacyEdits)[:zb0005]
 			} else {
-				z.Recent = make([]Done, zb0005)
+				z.LegacyEdits = make([]LegacyEdit, zb0005)
 			}
-			for za0005 := range z.Recent {
+			for za0005 := range z.LegacyEdits {
 				var zb0006 uint32
 				zb0006, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0005)
+					err = msgp.WrapError(err, "LegacyEdits", za0005)
 					return
 				}
 				for zb0006 > 0 {
 					zb0006--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Recent", za0005)
+						err = msgp.WrapError(err, "LegacyEdits", za0005)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "e":
-						z.Recent[za0005].EditID, err = dc.ReadString()
+						z.LegacyEdits[za0005].EditID, err = dc.ReadString()
 						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0005, "EditID")
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
 							return
 						}
 					case "s":
-						z.Recent[za0005].Sum, err = dc.ReadUint64()
+						z.LegacyEdits[za0005].Sum, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0005, "Sum")
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
 							return
 						}
 					case "t":
-						err = z.Recent[za0005].Version.DecodeMsg(dc)
+						err = z.LegacyEdits[za0005].Version.DecodeMsg(dc)
 						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0005, "Version")
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0005)
+							err = msgp.WrapError(err, "LegacyEdits", za0005)
 							return
 						}
 					}
@@ -2357,7 +2251,7 @@
 	zb0001Len := uint32(3)
 	var zb0001Mask uint8 /* 3 bits */
 	_ = zb0001Mask
-	if z.Recent == nil {
+	if z.LegacyEdits == nil {
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
@@ -2374,20 +2268,20 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteMapHeader(uint32(len(z.Cuts)))
+		err = en.WriteMapHeader(uint32(len(z.ShardMaps)))
 		if err != nil {
-			err = msgp.WrapError(err, "Cuts")
+			err = msgp.WrapError(err, "ShardMaps")
 			return
 		}
-		for za0001, za0002 := range z.Cuts {
+		for za0001, za0002 := range z.ShardMaps {
 			err = en.WriteString(za0001)
 			if err != nil {
-				err = msgp.WrapError(err, "Cuts")
+				err = msgp.WrapError(err, "ShardMaps")
 				return
 			}
 			err = za0002.EncodeMsg(en)
 			if err != nil {
-				err = msgp.WrapError(err, "Cuts", za0001)
+				err = msgp.WrapError(err, "ShardMaps", za0001)
 				return
 			}
 		}
@@ -2396,15 +2290,15 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteMapHeader(uint32(len(z.Holders)))
+		err = en.WriteMapHeader(uint32(len(z.LeaseHolders)))
 		if err != nil {
-			err = msgp.WrapError(err, "Holders")
+			err = msgp.WrapError(err, "LeaseHolders")
 			return
 		}
-		for za0003, za0004 := range z.Holders {
+		for za0003, za0004 := range z.LeaseHolders {
 			err = en.WriteString(za0003)
 			if err != nil {
-				err = msgp.WrapError(err, "Holders")
+				err = msgp.WrapError(err, "LeaseHolders")
 				return
 			}
 			// map header, size 2
@@ -2415,7 +2309,7 @@
 			}
 			err = en.WriteString(za0004.Node)
 			if err != nil {
-				err = msgp.WrapError(err, "Holders", za0003, "Node")
+				err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
 				return
 			}
 			// write "t"
@@ -2423,9 +2317,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(za0004.Turn)
+			err = en.WriteUint64(za0004.LeaseID)
 			if err != nil {
-				err = msgp.WrapError(err, "Holders", za0003, "Turn")
+				err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
 				return
 			}
 		}
@@ -2435,21 +2329,21 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Recent)))
+			err = en.WriteArrayHeader(uint32(len(z.LegacyEdits)))
 			if err != nil {
-				err = msgp.WrapError(err, "Recent")
+				err = msgp.WrapError(err, "LegacyEdits")
 				return
 			}
-			for za0005 := range z.Recent {
+			for za0005 := range z.LegacyEdits {
 				// map header, size 3
 				// write "e"
 				err = en.Append(0x83, 0xa1, 0x65)
 				if err != nil {
 					return
 				}
-				err = en.WriteString(z.Recent[za0005].EditID)
+				err = en.WriteString(z.LegacyEdits[za0005].EditID)
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0005, "EditID")
+					err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
 					return
 				}
 				// write "s"
@@ -2457,9 +2351,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.Recent[za0005].Sum)
+				err = en.WriteUint64(z.LegacyEdits[za0005].Sum)
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0005, "Sum")
+					err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
 					return
 				}
 				// write "t"
@@ -2467,9 +2361,9 @@
 				if err != nil {
 					return
 				}
-				err = z.Recent[za0005].Version.EncodeMsg(en)
+				err = z.LegacyEdits[za0005].Version.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0005, "Version")
+					err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
 					return
 				}
 			}
@@ -2485,7 +2379,7 @@
 	zb0001Len := uint32(3)
 	var zb0001Mask uint8 /* 3 bits */
 	_ = zb0001Mask
-	if z.Recent == nil {
+	if z.LegacyEdits == nil {
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
@@ -2496,19 +2390,19 @@
 	if zb0001Len != 0 {
 		// string "c"
 		o = append(o, 0xa1, 0x63)
-		o = msgp.AppendMapHeader(o, uint32(len(z.Cuts)))
-		for za0001, za0002 := range z.Cuts {
+		o = msgp.AppendMapHeader(o, uint32(len(z.ShardMaps)))
+		for za0001, za0002 := range z.ShardMaps {
 			o = msgp.AppendString(o, za0001)
 			o, err = za0002.MarshalMsg(o)
 			if err != nil {
-				err = msgp.WrapError(err, "Cuts", za0001)
+				err = msgp.WrapError(err, "ShardMaps", za0001)
 				return
 			}
 		}
 		// string "h"
 		o = append(o, 0xa1, 0x68)
-		o = msgp.AppendMapHeader(o, uint32(len(z.Holders)))
-		for za0003, za0004 := range z.Holders {
+		o = msgp.AppendMapHeader(o, uint32(len(z.LeaseHolders)))
+		for za0003, za0004 := range z.LeaseHolders {
 			o = msgp.AppendString(o, za0003)
 			// map header, size 2
 			// string "n"
@@ -2516,25 +2410,25 @@
 			o = msgp.AppendString(o, za0004.Node)
 			// string "t"
 			o = append(o, 0xa1, 0x74)
-			o = msgp.AppendUint64(o, za0004.Turn)
+			o = msgp.AppendUint64(o, za0004.LeaseID)
 		}
 		if (zb0001Mask & 0x4) == 0 { // if not omitted
 			// string "r"
 			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Recent)))
-			for za0005 := range z.Recent {
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyEdits)))
+			for za0005 := range z.LegacyEdits {
 				// map header, size 3
 				// string "e"
 				o = append(o, 0x83, 0xa1, 0x65)
-				o = msgp.AppendString(o, z.Recent[za0005].EditID)
+				o = msgp.AppendString(o, z.LegacyEdits[za0005].EditID)
 				// string "s"
 				o = append(o, 0xa1, 0x73)
-				o = msgp.AppendUint64(o, z.Recent[za0005].Sum)
+				o = msgp.AppendUint64(o, z.LegacyEdits[za0005].Sum)
 				// string "t"
 				o = append(o, 0xa1, 0x74)
-				o, err = z.Recent[za0005].Version.MarshalMsg(o)
+				o, err = z.LegacyEdits[za0005].Version.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0005, "Version")
+					err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
 					return
 				}
 			}
@@ -2565,136 +2459,136 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Cuts")
+				err = msgp.WrapError(err, "ShardMaps")
 				return
 			}
-			if z.Cuts == nil {
-				z.Cuts = make(map[string]LiveCut, zb0002)
-			} else if len(z.Cuts) > 0 {
-				clear(z.Cuts)
+			if z.ShardMaps == nil {
+				z.ShardMaps = make(map[string]ShardMap, zb0002)
+			} else if len(z.ShardMaps) > 0 {
+				clear(z.ShardMaps)
 			}
 			for zb0002 > 0 {
-				var za0002 LiveCut
+				var za0002 ShardMap
 				zb0002--
 				var za0001 string
 				za0001, bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Cuts")
+					err = msgp.WrapError(err, "ShardMaps")
 					return
 				}
 				bts, err = za0002.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Cuts", za0001)
+					err = msgp.WrapError(err, "ShardMaps", za0001)
 					return
 				}
-				z.Cuts[za0001] = za0002
+				z.ShardMaps[za0001] = za0002
 			}
 		case "h":
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Holders")
+				err = msgp.WrapError(err, "LeaseHolders")
 				return
 			}
-			if z.Holders == nil {
-				z.Holders = make(map[string]Holder, zb0003)
-			} else if len(z.Holders) > 0 {
-				clear(z.Holders)
+			if z.LeaseHolders == nil {
+				z.LeaseHolders = make(map[string]LeaseHolder, zb0003)
+			} else if len(z.LeaseHolders) > 0 {
+				clear(z.LeaseHolders)
 			}
 			for zb0003 > 0 {
-				var za0004 Holder
+				var za0004 LeaseHolder
 				zb0003--
 				var za0003 string
 				za0003, bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Holders")
+					err = msgp.WrapError(err, "LeaseHolders")
 					return
 				}
 				var zb0004 uint32
 				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Holders", za0003)
+					err = msgp.WrapError(err, "LeaseHolders", za0003)
 					return
 				}
 				for zb0004 > 0 {
 					zb0004--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Holders", za0003)
+						err = msgp.WrapError(err, "LeaseHolders", za0003)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "n":
 						za0004.Node, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Holders", za0003, "Node")
+							err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
 							return
 						}
 					case "t":
-						za0004.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+						za0004.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Holders", za0003, "Turn")
+							err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Holders", za0003)
+							err = msgp.WrapError(err, "LeaseHolders", za0003)
 							return
 						}
 					}
 				}
-				z.Holders[za0003] = za0004
+				z.LeaseHolders[za0003] = za0004
 			}
 		case "r":
 			var zb0005 uint32
 			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Recent")
+				err = msgp.WrapError(err, "LegacyEdits")
 				return
 			}
-			if cap(z.Recent) >= int(zb0005) {
-				z.Recent = (z.Recent)[:zb0005]
+			if cap(z.LegacyEdits) >= int(zb0005) {
+				z.LegacyEdits = (z.LegacyEdits)[:zb0005]
 			} else {
-				z.Recent = make([]Done, zb0005)
+				z.LegacyEdits = make([]LegacyEdit, zb0005)
 			}
-			for za0005 := range z.Recent {
+			for za0005 := range z.LegacyEdits {
 				var zb0006 uint32
 				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0005)
+					err = msgp.WrapError(err, "LegacyEdits", za0005)
 					return
 				}
 				for zb0006 > 0 {
 					zb0006--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Recent", za0005)
+						err = msgp.WrapError(err, "LegacyEdits", za0005)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "e":
-						z.Recent[za0005].EditID, bts, err = msgp.ReadStringBytes(bts)
+						z.LegacyEdits[za0005].EditID, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0005, "EditID")
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
 							return
 						}
 					case "s":
-						z.Recent[za0005].Sum, bts, err = msgp.ReadUint64Bytes(bts)
+						z.LegacyEdits[za0005].Sum, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0005, "Sum")
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
 							return
 						}
 					case "t":
-						bts, err = z.Recent[za0005].Version.UnmarshalMsg(bts)
+						bts, err = z.LegacyEdits[za0005].Version.UnmarshalMsg(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0005, "Version")
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Recent", za0005)
+							err = msgp.WrapError(err, "LegacyEdits", za0005)
 							return
 						}
 					}
@@ -2715,28 +2609,28 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *IndexBody) Msgsize() (s int) {
 	s = 1 + 2 + msgp.MapHeaderSize
-	if z.Cuts != nil {
-		for za0001, za0002 := range z.Cuts {
+	if z.ShardMaps != nil {
+		for za0001, za0002 := range z.ShardMaps {
 			_ = za0002
 			s += msgp.StringPrefixSize + len(za0001) + za0002.Msgsize()
 		}
 	}
 	s += 2 + msgp.MapHeaderSize
-	if z.Holders != nil {
-		for za0003, za0004 := range z.Holders {
+	if z.LeaseHolders != nil {
+		for za0003, za0004 := range z.LeaseHolders {
 			_ = za0004
 			s += msgp.StringPrefixSize + len(za0003) + 1 + 2 + msgp.StringPrefixSize + len(za0004.Node) + 2 + msgp.Uint64Size
 		}
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0005 := range z.Recent {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Recent[za0005].EditID) + 2 + msgp.Uint64Size + 2 + z.Recent[za0005].Version.Msgsize()
+	for za0005 := range z.LegacyEdits {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.LegacyEdits[za0005].EditID) + 2 + msgp.Uint64Size + 2 + z.LegacyEdits[za0005].Version.Msgsize()
 	}
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Listing) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LeaseHolder) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2753,35 +2647,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+		case "n":
+			z.Node, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Servers")
+				err = msgp.WrapError(err, "Node")
 				return
 			}
-			if cap(z.Servers) >= int(zb0002) {
-				z.Servers = (z.Servers)[:zb0002]
-			} else {
-				z.Servers = make([]Server, zb0002)
-			}
-			for za0001 := range z.Servers {
-				err = z.Servers[za0001].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Servers", za0001)
-					return
-				}
-			}
 		case "t":
-			z.Turn, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Turn")
-				return
-			}
-		case "h":
-			z.Whole, err = dc.ReadBool()
+			z.LeaseID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "LeaseID")
 				return
 			}
 		default:
@@ -2796,106 +2671,46 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Listing) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
-	_ = zb0001Mask
-	if z.Whole == false {
-		zb0001Len--
-		zb0001Mask |= 0x4
+func (z LeaseHolder) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "n"
+	err = en.Append(0x82, 0xa1, 0x6e)
+	if err != nil {
+		return
 	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
+	err = en.WriteString(z.Node)
+	if err != nil {
+		err = msgp.WrapError(err, "Node")
+		return
+	}
+	// write "t"
+	err = en.Append(0xa1, 0x74)
 	if err != nil {
 		return
 	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "s"
-		err = en.Append(0xa1, 0x73)
-		if err != nil {
-			return
-		}
-		err = en.WriteArrayHeader(uint32(len(z.Servers)))
-		if err != nil {
-			err = msgp.WrapError(err, "Servers")
-			return
-		}
-		for za0001 := range z.Servers {
-			err = z.Servers[za0001].EncodeMsg(en)
-			if err != nil {
-				err = msgp.WrapError(err, "Servers", za0001)
-				return
-			}
-		}
-		// write "t"
-		err = en.Append(0xa1, 0x74)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint64(z.Turn)
-		if err != nil {
-			err = msgp.WrapError(err, "Turn")
-			return
-		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// write "h"
-			err = en.Append(0xa1, 0x68)
-			if err != nil {
-				return
-			}
-			err = en.WriteBool(z.Whole)
-			if err != nil {
-				err = msgp.WrapError(err, "Whole")
-				return
-			}
-		}
-	}
-	return
-}
+	err = en.WriteUint64(z.LeaseID)
+	if err != nil {
+		err = msgp.WrapError(err, "LeaseID")
+		return
+	}
+	return
+}
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Listing) MarshalMsg(b []byte) (o []byte, err error) {
+func (z LeaseHolder) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
-	_ = zb0001Mask
-	if z.Whole == false {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Servers)))
-		for za0001 := range z.Servers {
-			o, err = z.Servers[za0001].MarshalMsg(o)
-			if err != nil {
-				err = msgp.WrapError(err, "Servers", za0001)
-				return
-			}
-		}
-		// string "t"
-		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendUint64(o, z.Turn)
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// string "h"
-			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendBool(o, z.Whole)
-		}
-	}
+	// map header, size 2
+	// string "n"
+	o = append(o, 0x82, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Node)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.LeaseID)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Listing) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LeaseHolder) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2912,35 +2727,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "n":
+			z.Node, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Servers")
+				err = msgp.WrapError(err, "Node")
 				return
 			}
-			if cap(z.Servers) >= int(zb0002) {
-				z.Servers = (z.Servers)[:zb0002]
-			} else {
-				z.Servers = make([]Server, zb0002)
-			}
-			for za0001 := range z.Servers {
-				bts, err = z.Servers[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Servers", za0001)
-					return
-				}
-			}
 		case "t":
-			z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+			z.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
-				return
-			}
-		case "h":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "LeaseID")
 				return
 			}
 		default:
@@ -2956,17 +2752,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Listing) Msgsize() (s int) {
-	s = 1 + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Servers {
-		s += z.Servers[za0001].Msgsize()
-	}
-	s += 2 + msgp.Uint64Size + 2 + msgp.BoolSize
+func (z LeaseHolder) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Node) + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *LiveCut) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LegacyEdit) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2983,28 +2775,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, err = dc.ReadString()
+		case "e":
+			z.EditID, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "EditID")
 				return
 			}
 		case "s":
-			z.Shards, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Shards")
-				return
-			}
-		case "x":
-			z.Next, err = dc.ReadString()
+			z.Sum, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Next")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "y":
-			z.NextShards, err = dc.ReadInt()
+		case "t":
+			err = z.Version.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "NextShards")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -3019,16 +2805,16 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *LiveCut) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
-	// write "n"
-	err = en.Append(0x84, 0xa1, 0x6e)
+func (z *LegacyEdit) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 3
+	// write "e"
+	err = en.Append(0x83, 0xa1, 0x65)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Name)
+	err = en.WriteString(z.EditID)
 	if err != nil {
-		err = msgp.WrapError(err, "Name")
+		err = msgp.WrapError(err, "EditID")
 		return
 	}
 	// write "s"
@@ -3036,55 +2822,46 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.Shards)
-	if err != nil {
-		err = msgp.WrapError(err, "Shards")
-		return
-	}
-	// write "x"
-	err = en.Append(0xa1, 0x78)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Next)
+	err = en.WriteUint64(z.Sum)
 	if err != nil {
-		err = msgp.WrapError(err, "Next")
+		err = msgp.WrapError(err, "Sum")
 		return
 	}
-	// write "y"
-	err = en.Append(0xa1, 0x79)
+	// write "t"
+	err = en.Append(0xa1, 0x74)
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.NextShards)
+	err = z.Version.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "NextShards")
+		err = msgp.WrapError(err, "Version")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LiveCut) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LegacyEdit) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "n"
-	o = append(o, 0x84, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
+	// map header, size 3
+	// string "e"
+	o = append(o, 0x83, 0xa1, 0x65)
+	o = msgp.AppendString(o, z.EditID)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendInt(o, z.Shards)
-	// string "x"
-	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendString(o, z.Next)
-	// string "y"
-	o = append(o, 0xa1, 0x79)
-	o = msgp.AppendInt(o, z.NextShards)
+	o = msgp.AppendUint64(o, z.Sum)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o, err = z.Version.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LiveCut) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LegacyEdit) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3101,28 +2878,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
+		case "e":
+			z.EditID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "EditID")
 				return
 			}
 		case "s":
-			z.Shards, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Shards")
-				return
-			}
-		case "x":
-			z.Next, bts, err = msgp.ReadStringBytes(bts)
+			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Next")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "y":
-			z.NextShards, bts, err = msgp.ReadIntBytes(bts)
+		case "t":
+			bts, err = z.Version.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "NextShards")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -3138,13 +2909,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LiveCut) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Next) + 2 + msgp.IntSize
+func (z *LegacyEdit) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.EditID) + 2 + msgp.Uint64Size + 2 + z.Version.Msgsize()
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LegacyRevision) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3162,163 +2933,514 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Name, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "r":
-			z.Role, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Role")
-				return
-			}
-		case "z":
-			z.Zone, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "a":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "c":
-			z.Caller, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Caller")
-				return
-			}
-		case "o":
-			z.Operator, err = dc.ReadString()
+			z.Number, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Operator")
+				err = msgp.WrapError(err, "Number")
 				return
 			}
 		case "s":
-			z.Replica, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Replica")
-				return
-			}
-		case "f":
-			z.Formed, err = dc.ReadBool()
+			z.Sum, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Formed")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "k":
-			z.Sick, err = dc.ReadString()
+		case "b":
+			z.Base, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Sick")
+				err = msgp.WrapError(err, "Base")
 				return
 			}
-		case "d":
-			z.Draining, err = dc.ReadBool()
+		case "t":
+			err = z.Version.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Draining")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-		case "i":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+		default:
+			err = dc.Skip()
 			if err != nil {
-				err = msgp.WrapError(err, "InForce")
+				err = msgp.WrapError(err)
 				return
 			}
-			if cap(z.InForce) >= int(zb0002) {
-				z.InForce = (z.InForce)[:zb0002]
-			} else {
-				z.InForce = make([]Version, zb0002)
-			}
-			for za0001 := range z.InForce {
-				err = z.InForce[za0001].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "InForce", za0001)
-					return
-				}
-			}
-		case "st":
-			z.Started, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Started")
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *LegacyRevision) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 4
+	// write "n"
+	err = en.Append(0x84, 0xa1, 0x6e)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt64(z.Number)
+	if err != nil {
+		err = msgp.WrapError(err, "Number")
+		return
+	}
+	// write "s"
+	err = en.Append(0xa1, 0x73)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.Sum)
+	if err != nil {
+		err = msgp.WrapError(err, "Sum")
+		return
+	}
+	// write "b"
+	err = en.Append(0xa1, 0x62)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt64(z.Base)
+	if err != nil {
+		err = msgp.WrapError(err, "Base")
+		return
+	}
+	// write "t"
+	err = en.Append(0xa1, 0x74)
+	if err != nil {
+		return
+	}
+	err = z.Version.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *LegacyRevision) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 4
+	// string "n"
+	o = append(o, 0x84, 0xa1, 0x6e)
+	o = msgp.AppendInt64(o, z.Number)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Sum)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendInt64(o, z.Base)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o, err = z.Version.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *LegacyRevision) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "n":
+			z.Number, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Number")
 				return
 			}
-		case "v":
-			z.Mesh, err = dc.ReadInt()
+		case "s":
+			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Mesh")
+				err = msgp.WrapError(err, "Sum")
+				return
+			}
+		case "b":
+			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Base")
+				return
+			}
+		case "t":
+			bts, err = z.Version.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(13)
-	var zb0001Mask uint16 /* 13 bits */
-	_ = zb0001Mask
-	if z.Mesh == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x1000
-	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *LegacyRevision) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + z.Version.Msgsize()
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *LoadReport) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
 	if err != nil {
+		err = msgp.WrapError(err)
 		return
 	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "n"
-		err = en.Append(0xa1, 0x6e)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Name)
-		if err != nil {
-			err = msgp.WrapError(err, "Name")
-			return
-		}
-		// write "r"
-		err = en.Append(0xa1, 0x72)
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
 		if err != nil {
+			err = msgp.WrapError(err)
 			return
 		}
-		err = en.WriteString(z.Role)
-		if err != nil {
-			err = msgp.WrapError(err, "Role")
-			return
+		switch msgp.UnsafeString(field) {
+		case "r":
+			var zb0002 uint32
+			zb0002, err = dc.ReadMapHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "Rates")
+				return
+			}
+			if z.Rates == nil {
+				z.Rates = make(map[string]int64, zb0002)
+			} else if len(z.Rates) > 0 {
+				clear(z.Rates)
+			}
+			for zb0002 > 0 {
+				zb0002--
+				var za0001 string
+				za0001, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Rates")
+					return
+				}
+				var za0002 int64
+				za0002, err = dc.ReadInt64()
+				if err != nil {
+					err = msgp.WrapError(err, "Rates", za0001)
+					return
+				}
+				z.Rates[za0001] = za0002
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
 		}
-		// write "z"
-		err = en.Append(0xa1, 0x7a)
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *LoadReport) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 1
+	// write "r"
+	err = en.Append(0x81, 0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteMapHeader(uint32(len(z.Rates)))
+	if err != nil {
+		err = msgp.WrapError(err, "Rates")
+		return
+	}
+	for za0001, za0002 := range z.Rates {
+		err = en.WriteString(za0001)
 		if err != nil {
+			err = msgp.WrapError(err, "Rates")
 			return
 		}
-		err = en.WriteString(z.Zone)
+		err = en.WriteInt64(za0002)
 		if err != nil {
-			err = msgp.WrapError(err, "Zone")
+			err = msgp.WrapError(err, "Rates", za0001)
 			return
 		}
-		// write "a"
-		err = en.Append(0xa1, 0x61)
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "r"
+	o = append(o, 0x81, 0xa1, 0x72)
+	o = msgp.AppendMapHeader(o, uint32(len(z.Rates)))
+	for za0001, za0002 := range z.Rates {
+		o = msgp.AppendString(o, za0001)
+		o = msgp.AppendInt64(o, za0002)
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
+			err = msgp.WrapError(err)
 			return
 		}
-		err = en.WriteString(z.Addr)
-		if err != nil {
-			err = msgp.WrapError(err, "Addr")
+		switch msgp.UnsafeString(field) {
+		case "r":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Rates")
+				return
+			}
+			if z.Rates == nil {
+				z.Rates = make(map[string]int64, zb0002)
+			} else if len(z.Rates) > 0 {
+				clear(z.Rates)
+			}
+			for zb0002 > 0 {
+				var za0002 int64
+				zb0002--
+				var za0001 string
+				za0001, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Rates")
+					return
+				}
+				za0002, bts, err = msgp.ReadInt64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Rates", za0001)
+					return
+				}
+				z.Rates[za0001] = za0002
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *LoadReport) Msgsize() (s int) {
+	s = 1 + 2 + msgp.MapHeaderSize
+	if z.Rates != nil {
+		for za0001, za0002 := range z.Rates {
+			_ = za0002
+			s += msgp.StringPrefixSize + len(za0001) + msgp.Int64Size
+		}
+	}
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "n":
+			z.Name, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
+			}
+		case "r":
+			z.Role, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Role")
+				return
+			}
+		case "z":
+			z.Zone, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Zone")
+				return
+			}
+		case "a":
+			z.Addr, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Addr")
+				return
+			}
+		case "c":
+			z.Caller, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Caller")
+				return
+			}
+		case "o":
+			z.Operator, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Operator")
+				return
+			}
+		case "s":
+			z.Replica, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Replica")
+				return
+			}
+		case "f":
+			z.Bootstrapped, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Bootstrapped")
+				return
+			}
+		case "k":
+			z.UnhealthyReason, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "UnhealthyReason")
+				return
+			}
+		case "d":
+			z.Draining, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Draining")
+				return
+			}
+		case "i":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "InForce")
+				return
+			}
+			if cap(z.InForce) >= int(zb0002) {
+				z.InForce = (z.InForce)[:zb0002]
+			} else {
+				z.InForce = make([]Version, zb0002)
+			}
+			for za0001 := range z.InForce {
+				err = z.InForce[za0001].DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "InForce", za0001)
+					return
+				}
+			}
+		case "st":
+			z.Started, err = dc.ReadInt64()
+			if err != nil {
+				err = msgp.WrapError(err, "Started")
+				return
+			}
+		case "v":
+			z.Mesh, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Mesh")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(13)
+	var zb0001Mask uint16 /* 13 bits */
+	_ = zb0001Mask
+	if z.Mesh == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x1000
+	}
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
+	if err != nil {
+		return
+	}
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// write "n"
+		err = en.Append(0xa1, 0x6e)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Name)
+		if err != nil {
+			err = msgp.WrapError(err, "Name")
+			return
+		}
+		// write "r"
+		err = en.Append(0xa1, 0x72)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Role)
+		if err != nil {
+			err = msgp.WrapError(err, "Role")
+			return
+		}
+		// write "z"
+		err = en.Append(0xa1, 0x7a)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Zone)
+		if err != nil {
+			err = msgp.WrapError(err, "Zone")
+			return
+		}
+		// write "a"
+		err = en.Append(0xa1, 0x61)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Addr)
+		if err != nil {
+			err = msgp.WrapError(err, "Addr")
 			return
 		}
 		// write "c"
@@ -3356,9 +3478,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteBool(z.Formed)
+		err = en.WriteBool(z.Bootstrapped)
 		if err != nil {
-			err = msgp.WrapError(err, "Formed")
+			err = msgp.WrapError(err, "Bootstrapped")
 			return
 		}
 		// write "k"
@@ -3366,9 +3488,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Sick)
+		err = en.WriteString(z.UnhealthyReason)
 		if err != nil {
-			err = msgp.WrapError(err, "Sick")
+			err = msgp.WrapError(err, "UnhealthyReason")
 			return
 		}
 		// write "d"
@@ -3463,10 +3585,10 @@
 		o = msgp.AppendString(o, z.Replica)
 		// string "f"
 		o = append(o, 0xa1, 0x66)
-		o = msgp.AppendBool(o, z.Formed)
+		o = msgp.AppendBool(o, z.Bootstrapped)
 		// string "k"
 		o = append(o, 0xa1, 0x6b)
-		o = msgp.AppendString(o, z.Sick)
+		o = msgp.AppendString(o, z.UnhealthyReason)
 		// string "d"
 		o = append(o, 0xa1, 0x64)
 		o = msgp.AppendBool(o, z.Draining)
@@ -3482,487 +3604,123 @@
 		}
 		// string "st"
 		o = append(o, 0xa2, 0x73, 0x74)
-		o = msgp.AppendInt64(o, z.Started)
-		if (zb0001Mask & 0x1000) == 0 { // if not omitted
-			// string "v"
-			o = append(o, 0xa1, 0x76)
-			o = msgp.AppendInt(o, z.Mesh)
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "r":
-			z.Role, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Role")
-				return
-			}
-		case "z":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "a":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "c":
-			z.Caller, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Caller")
-				return
-			}
-		case "o":
-			z.Operator, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Operator")
-				return
-			}
-		case "s":
-			z.Replica, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Replica")
-				return
-			}
-		case "f":
-			z.Formed, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Formed")
-				return
-			}
-		case "k":
-			z.Sick, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Sick")
-				return
-			}
-		case "d":
-			z.Draining, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Draining")
-				return
-			}
-		case "i":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "InForce")
-				return
-			}
-			if cap(z.InForce) >= int(zb0002) {
-				z.InForce = (z.InForce)[:zb0002]
-			} else {
-				z.InForce = make([]Version, zb0002)
-			}
-			for za0001 := range z.InForce {
-				bts, err = z.InForce[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "InForce", za0001)
-					return
-				}
-			}
-		case "st":
-			z.Started, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Started")
-				return
-			}
-		case "v":
-			z.Mesh, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Mesh")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Member) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Role) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Caller) + 2 + msgp.StringPrefixSize + len(z.Operator) + 2 + msgp.StringPrefixSize + len(z.Replica) + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Sick) + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.InForce {
-		s += z.InForce[za0001].Msgsize()
-	}
-	s += 3 + msgp.Int64Size + 2 + msgp.IntSize
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Opinion) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "s":
-			z.State, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-		case "n":
-			z.Incarnation, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Incarnation")
-				return
-			}
-		case "w":
-			z.Up, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Up")
-				return
-			}
-		case "u":
-			z.Usage, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Usage")
-				return
-			}
-		case "c":
-			z.Cut, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Cut")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Opinion) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "s"
-	err = en.Append(0x85, 0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.State)
-	if err != nil {
-		err = msgp.WrapError(err, "State")
-		return
-	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Incarnation)
-	if err != nil {
-		err = msgp.WrapError(err, "Incarnation")
-		return
-	}
-	// write "w"
-	err = en.Append(0xa1, 0x77)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Up)
-	if err != nil {
-		err = msgp.WrapError(err, "Up")
-		return
-	}
-	// write "u"
-	err = en.Append(0xa1, 0x75)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Usage)
-	if err != nil {
-		err = msgp.WrapError(err, "Usage")
-		return
-	}
-	// write "c"
-	err = en.Append(0xa1, 0x63)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Cut)
-	if err != nil {
-		err = msgp.WrapError(err, "Cut")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Opinion) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "s"
-	o = append(o, 0x85, 0xa1, 0x73)
-	o = msgp.AppendString(o, z.State)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendInt64(o, z.Incarnation)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendInt64(o, z.Up)
-	// string "u"
-	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendInt64(o, z.Usage)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendString(o, z.Cut)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Opinion) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "s":
-			z.State, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-		case "n":
-			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Incarnation")
-				return
-			}
-		case "w":
-			z.Up, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Up")
-				return
-			}
-		case "u":
-			z.Usage, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Usage")
-				return
-			}
-		case "c":
-			z.Cut, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Cut")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
+		o = msgp.AppendInt64(o, z.Started)
+		if (zb0001Mask & 0x1000) == 0 { // if not omitted
+			// string "v"
+			o = append(o, 0xa1, 0x76)
+			o = msgp.AppendInt(o, z.Mesh)
 		}
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Opinion) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Cut)
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *Past) DecodeMsg(dc *msgp.Reader) (err error) {
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
 	for zb0001 > 0 {
 		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
-			err = z.Version.DecodeMsg(dc)
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "b":
-			z.By, err = dc.ReadString()
+		case "r":
+			z.Role, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Role")
 				return
 			}
-		case "s":
-			z.Sheet, err = dc.ReadBytes(z.Sheet)
+		case "z":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sheet")
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
-		default:
-			err = dc.Skip()
+		case "a":
+			z.Addr, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "Addr")
 				return
 			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Past) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "t"
-	err = en.Append(0x83, 0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = z.Version.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.By)
-	if err != nil {
-		err = msgp.WrapError(err, "By")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteBytes(z.Sheet)
-	if err != nil {
-		err = msgp.WrapError(err, "Sheet")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Past) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "t"
-	o = append(o, 0x83, 0xa1, 0x74)
-	o, err = z.Version.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.By)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendBytes(o, z.Sheet)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Past) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "t":
-			bts, err = z.Version.UnmarshalMsg(bts)
+		case "c":
+			z.Caller, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "Caller")
 				return
 			}
-		case "b":
-			z.By, bts, err = msgp.ReadStringBytes(bts)
+		case "o":
+			z.Operator, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Operator")
 				return
 			}
 		case "s":
-			z.Sheet, bts, err = msgp.ReadBytesBytes(bts, z.Sheet)
+			z.Replica, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Replica")
+				return
+			}
+		case "f":
+			z.Bootstrapped, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Bootstrapped")
+				return
+			}
+		case "k":
+			z.UnhealthyReason, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "UnhealthyReason")
+				return
+			}
+		case "d":
+			z.Draining, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Draining")
+				return
+			}
+		case "i":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "InForce")
+				return
+			}
+			if cap(z.InForce) >= int(zb0002) {
+				z.InForce = (z.InForce)[:zb0002]
+			} else {
+				z.InForce = make([]Version, zb0002)
+			}
+			for za0001 := range z.InForce {
+				bts, err = z.InForce[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "InForce", za0001)
+					return
+				}
+			}
+		case "st":
+			z.Started, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Started")
+				return
+			}
+		case "v":
+			z.Mesh, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sheet")
+				err = msgp.WrapError(err, "Mesh")
 				return
 			}
 		default:
@@ -3978,13 +3736,17 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Past) Msgsize() (s int) {
-	s = 1 + 2 + z.Version.Msgsize() + 2 + msgp.StringPrefixSize + len(z.By) + 2 + msgp.BytesPrefixSize + len(z.Sheet)
+func (z *Member) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Role) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Caller) + 2 + msgp.StringPrefixSize + len(z.Operator) + 2 + msgp.StringPrefixSize + len(z.Replica) + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.UnhealthyReason) + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.InForce {
+		s += z.InForce[za0001].Msgsize()
+	}
+	s += 3 + msgp.Int64Size + 2 + msgp.IntSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Place) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *NodeLocation) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4025,7 +3787,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Place) EncodeMsg(en *msgp.Writer) (err error) {
+func (z NodeLocation) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
 	// write "n"
 	err = en.Append(0x82, 0xa1, 0x6e)
@@ -4051,7 +3813,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Place) MarshalMsg(b []byte) (o []byte, err error) {
+func (z NodeLocation) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "n"
@@ -4064,7 +3826,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Place) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *NodeLocation) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4106,13 +3868,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Place) Msgsize() (s int) {
+func (z NodeLocation) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Zone)
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Rebuild) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Outcome) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4129,98 +3891,40 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "d":
-			z.Do, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Do")
-				return
-			}
-		case "v":
-			err = z.Versioned.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Versioned")
-				return
-			}
-		case "r":
-			z.Brief, err = dc.ReadBool()
+		case "k":
+			z.Key, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Brief")
+				err = msgp.WrapError(err, "Key")
 				return
 			}
-		default:
-			err = dc.Skip()
+		case "c":
+			z.Code, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "Code")
 				return
 			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Rebuild) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(4)
-	var zb0001Mask uint8 /* 4 bits */
-	_ = zb0001Mask
-	if z.Brief == false {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
-	if err != nil {
-		return
-	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "p"
-		err = en.Append(0xa1, 0x70)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Partition)
-		if err != nil {
-			err = msgp.WrapError(err, "Partition")
-			return
-		}
-		// write "d"
-		err = en.Append(0xa1, 0x64)
-		if err != nil {
-			return
-		}
-		err = en.WriteBool(z.Do)
-		if err != nil {
-			err = msgp.WrapError(err, "Do")
-			return
-		}
-		// write "v"
-		err = en.Append(0xa1, 0x76)
-		if err != nil {
-			return
-		}
-		err = z.Versioned.EncodeMsg(en)
-		if err != nil {
-			err = msgp.WrapError(err, "Versioned")
-			return
-		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// write "r"
-			err = en.Append(0xa1, 0x72)
+		case "st":
+			z.Status, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Status")
+				return
+			}
+		case "b":
+			z.Body, err = dc.ReadBytes(z.Body)
 			if err != nil {
+				err = msgp.WrapError(err, "Body")
+				return
+			}
+		case "t":
+			z.Attempted, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Attempted")
 				return
 			}
-			err = en.WriteBool(z.Brief)
+		default:
+			err = dc.Skip()
 			if err != nil {
-				err = msgp.WrapError(err, "Brief")
+				err = msgp.WrapError(err)
 				return
 			}
 		}
@@ -4228,46 +3932,86 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *Rebuild) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(4)
-	var zb0001Mask uint8 /* 4 bits */
-	_ = zb0001Mask
-	if z.Brief == false {
-		zb0001Len--
-		zb0001Mask |= 0x8
+// EncodeMsg implements msgp.Encodable
+func (z *Outcome) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "k"
+	err = en.Append(0x85, 0xa1, 0x6b)
+	if err != nil {
+		return
 	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "p"
-		o = append(o, 0xa1, 0x70)
-		o = msgp.AppendInt(o, z.Partition)
-		// string "d"
-		o = append(o, 0xa1, 0x64)
-		o = msgp.AppendBool(o, z.Do)
-		// string "v"
-		o = append(o, 0xa1, 0x76)
-		o, err = z.Versioned.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Versioned")
-			return
-		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// string "r"
-			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendBool(o, z.Brief)
-		}
+	err = en.WriteString(z.Key)
+	if err != nil {
+		err = msgp.WrapError(err, "Key")
+		return
+	}
+	// write "c"
+	err = en.Append(0xa1, 0x63)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Code)
+	if err != nil {
+		err = msgp.WrapError(err, "Code")
+		return
+	}
+	// write "st"
+	err = en.Append(0xa2, 0x73, 0x74)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt(z.Status)
+	if err != nil {
+		err = msgp.WrapError(err, "Status")
+		return
+	}
+	// write "b"
+	err = en.Append(0xa1, 0x62)
+	if err != nil {
+		return
+	}
+	err = en.WriteBytes(z.Body)
+	if err != nil {
+		err = msgp.WrapError(err, "Body")
+		return
+	}
+	// write "t"
+	err = en.Append(0xa1, 0x74)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.Attempted)
+	if err != nil {
+		err = msgp.WrapError(err, "Attempted")
+		return
 	}
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *Outcome) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 5
+	// string "k"
+	o = append(o, 0x85, 0xa1, 0x6b)
+	o = msgp.AppendString(o, z.Key)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendString(o, z.Code)
+	// string "st"
+	o = append(o, 0xa2, 0x73, 0x74)
+	o = msgp.AppendInt(o, z.Status)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendBytes(o, z.Body)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendBool(o, z.Attempted)
+	return
+}
+
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Rebuild) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Outcome) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4284,28 +4028,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, bts, err = msgp.ReadIntBytes(bts)
+		case "k":
+			z.Key, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Partition")
+				err = msgp.WrapError(err, "Key")
 				return
 			}
-		case "d":
-			z.Do, bts, err = msgp.ReadBoolBytes(bts)
+		case "c":
+			z.Code, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Do")
+				err = msgp.WrapError(err, "Code")
 				return
 			}
-		case "v":
-			bts, err = z.Versioned.UnmarshalMsg(bts)
+		case "st":
+			z.Status, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Versioned")
+				err = msgp.WrapError(err, "Status")
 				return
 			}
-		case "r":
-			z.Brief, bts, err = msgp.ReadBoolBytes(bts)
+		case "b":
+			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
+			if err != nil {
+				err = msgp.WrapError(err, "Body")
+				return
+			}
+		case "t":
+			z.Attempted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Brief")
+				err = msgp.WrapError(err, "Attempted")
 				return
 			}
 		default:
@@ -4321,13 +4071,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Rebuild) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + z.Versioned.Msgsize() + 2 + msgp.BoolSize
+func (z *Outcome) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.StringPrefixSize + len(z.Code) + 3 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *RebuildReply) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *PastConfig) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4344,34 +4094,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "f":
-			z.From, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "ok":
-			z.OK, err = dc.ReadBool()
+		case "t":
+			err = z.Version.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "OK")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-		case "w":
-			z.Why, err = dc.ReadString()
+		case "b":
+			z.By, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "By")
 				return
 			}
-		case "h":
-			err = z.Held.DecodeMsg(dc)
+		case "s":
+			z.Config, err = dc.ReadBytes(z.Config)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Config")
 				return
 			}
 		default:
@@ -4386,89 +4124,63 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *RebuildReply) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "p"
-	err = en.Append(0x85, 0xa1, 0x70)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.Partition)
-	if err != nil {
-		err = msgp.WrapError(err, "Partition")
-		return
-	}
-	// write "f"
-	err = en.Append(0xa1, 0x66)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.From)
-	if err != nil {
-		err = msgp.WrapError(err, "From")
-		return
-	}
-	// write "ok"
-	err = en.Append(0xa2, 0x6f, 0x6b)
+func (z *PastConfig) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 3
+	// write "t"
+	err = en.Append(0x83, 0xa1, 0x74)
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.OK)
+	err = z.Version.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "OK")
+		err = msgp.WrapError(err, "Version")
 		return
 	}
-	// write "w"
-	err = en.Append(0xa1, 0x77)
+	// write "b"
+	err = en.Append(0xa1, 0x62)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Why)
+	err = en.WriteString(z.By)
 	if err != nil {
-		err = msgp.WrapError(err, "Why")
+		err = msgp.WrapError(err, "By")
 		return
 	}
-	// write "h"
-	err = en.Append(0xa1, 0x68)
+	// write "s"
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	err = z.Held.EncodeMsg(en)
+	err = en.WriteBytes(z.Config)
 	if err != nil {
-		err = msgp.WrapError(err, "Held")
+		err = msgp.WrapError(err, "Config")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *RebuildReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PastConfig) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "p"
-	o = append(o, 0x85, 0xa1, 0x70)
-	o = msgp.AppendInt(o, z.Partition)
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "ok"
-	o = append(o, 0xa2, 0x6f, 0x6b)
-	o = msgp.AppendBool(o, z.OK)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Why)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o, err = z.Held.MarshalMsg(o)
+	// map header, size 3
+	// string "t"
+	o = append(o, 0x83, 0xa1, 0x74)
+	o, err = z.Version.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Held")
+		err = msgp.WrapError(err, "Version")
 		return
 	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendString(o, z.By)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendBytes(o, z.Config)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RebuildReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PastConfig) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4477,42 +4189,30 @@
 		err = msgp.WrapError(err)
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "ok":
-			z.OK, bts, err = msgp.ReadBoolBytes(bts)
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "t":
+			bts, err = z.Version.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "OK")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-		case "w":
-			z.Why, bts, err = msgp.ReadStringBytes(bts)
+		case "b":
+			z.By, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "By")
 				return
 			}
-		case "h":
-			bts, err = z.Held.UnmarshalMsg(bts)
+		case "s":
+			z.Config, bts, err = msgp.ReadBytesBytes(bts, z.Config)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Config")
 				return
 			}
 		default:
@@ -4528,13 +4228,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RebuildReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 3 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Why) + 2 + z.Held.Msgsize()
+func (z *PastConfig) Msgsize() (s int) {
+	s = 1 + 2 + z.Version.Msgsize() + 2 + msgp.StringPrefixSize + len(z.By) + 2 + msgp.BytesPrefixSize + len(z.Config)
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Revision) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Rebuild) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4551,28 +4251,28 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Number, err = dc.ReadInt64()
+		case "p":
+			z.Partition, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Number")
+				err = msgp.WrapError(err, "Partition")
 				return
 			}
-		case "s":
-			z.Sum, err = dc.ReadUint64()
+		case "d":
+			z.Apply, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "Apply")
 				return
 			}
-		case "b":
-			z.Base, err = dc.ReadInt64()
+		case "v":
+			err = z.Versioned.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Base")
+				err = msgp.WrapError(err, "Versioned")
 				return
 			}
-		case "t":
-			err = z.Version.DecodeMsg(dc)
+		case "r":
+			z.VersionOnly, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "VersionOnly")
 				return
 			}
 		default:
@@ -4587,76 +4287,109 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Revision) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
-	// write "n"
-	err = en.Append(0x84, 0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Number)
-	if err != nil {
-		err = msgp.WrapError(err, "Number")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Sum)
-	if err != nil {
-		err = msgp.WrapError(err, "Sum")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Base)
-	if err != nil {
-		err = msgp.WrapError(err, "Base")
-		return
+func (z *Rebuild) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(4)
+	var zb0001Mask uint8 /* 4 bits */
+	_ = zb0001Mask
+	if z.VersionOnly == false {
+		zb0001Len--
+		zb0001Mask |= 0x8
 	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
 	if err != nil {
 		return
 	}
-	err = z.Version.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// write "p"
+		err = en.Append(0xa1, 0x70)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Partition)
+		if err != nil {
+			err = msgp.WrapError(err, "Partition")
+			return
+		}
+		// write "d"
+		err = en.Append(0xa1, 0x64)
+		if err != nil {
+			return
+		}
+		err = en.WriteBool(z.Apply)
+		if err != nil {
+			err = msgp.WrapError(err, "Apply")
+			return
+		}
+		// write "v"
+		err = en.Append(0xa1, 0x76)
+		if err != nil {
+			return
+		}
+		err = z.Versioned.EncodeMsg(en)
+		if err != nil {
+			err = msgp.WrapError(err, "Versioned")
+			return
+		}
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// write "r"
+			err = en.Append(0xa1, 0x72)
+			if err != nil {
+				return
+			}
+			err = en.WriteBool(z.VersionOnly)
+			if err != nil {
+				err = msgp.WrapError(err, "VersionOnly")
+				return
+			}
+		}
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Revision) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Rebuild) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "n"
-	o = append(o, 0x84, 0xa1, 0x6e)
-	o = msgp.AppendInt64(o, z.Number)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Sum)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendInt64(o, z.Base)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o, err = z.Version.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
+	// check for omitted fields
+	zb0001Len := uint32(4)
+	var zb0001Mask uint8 /* 4 bits */
+	_ = zb0001Mask
+	if z.VersionOnly == false {
+		zb0001Len--
+		zb0001Mask |= 0x8
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "p"
+		o = append(o, 0xa1, 0x70)
+		o = msgp.AppendInt(o, z.Partition)
+		// string "d"
+		o = append(o, 0xa1, 0x64)
+		o = msgp.AppendBool(o, z.Apply)
+		// string "v"
+		o = append(o, 0xa1, 0x76)
+		o, err = z.Versioned.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Versioned")
+			return
+		}
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// string "r"
+			o = append(o, 0xa1, 0x72)
+			o = msgp.AppendBool(o, z.VersionOnly)
+		}
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Revision) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Rebuild) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4673,28 +4406,28 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Number, bts, err = msgp.ReadInt64Bytes(bts)
+		case "p":
+			z.Partition, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Number")
+				err = msgp.WrapError(err, "Partition")
 				return
 			}
-		case "s":
-			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
+		case "d":
+			z.Apply, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "Apply")
 				return
 			}
-		case "b":
-			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
+		case "v":
+			bts, err = z.Versioned.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Base")
+				err = msgp.WrapError(err, "Versioned")
 				return
 			}
-		case "t":
-			bts, err = z.Version.UnmarshalMsg(bts)
+		case "r":
+			z.VersionOnly, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "VersionOnly")
 				return
 			}
 		default:
@@ -4710,13 +4443,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Revision) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + z.Version.Msgsize()
+func (z *Rebuild) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + z.Versioned.Msgsize() + 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Seen) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *RebuildReply) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4733,16 +4466,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
+		case "p":
+			z.Partition, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Partition")
 				return
 			}
 		case "f":
-			z.Forget, err = dc.ReadBool()
+			z.From, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Forget")
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		case "ok":
+			z.OK, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "OK")
+				return
+			}
+		case "w":
+			z.Reason, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Reason")
+				return
+			}
+		case "h":
+			err = z.Stored.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 		default:
@@ -4757,46 +4508,89 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Seen) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "k"
-	err = en.Append(0x82, 0xa1, 0x6b)
+func (z *RebuildReply) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "p"
+	err = en.Append(0x85, 0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt(z.Partition)
+	if err != nil {
+		err = msgp.WrapError(err, "Partition")
+		return
+	}
+	// write "f"
+	err = en.Append(0xa1, 0x66)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.From)
+	if err != nil {
+		err = msgp.WrapError(err, "From")
+		return
+	}
+	// write "ok"
+	err = en.Append(0xa2, 0x6f, 0x6b)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.OK)
+	if err != nil {
+		err = msgp.WrapError(err, "OK")
+		return
+	}
+	// write "w"
+	err = en.Append(0xa1, 0x77)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Key)
+	err = en.WriteString(z.Reason)
 	if err != nil {
-		err = msgp.WrapError(err, "Key")
+		err = msgp.WrapError(err, "Reason")
 		return
 	}
-	// write "f"
-	err = en.Append(0xa1, 0x66)
+	// write "h"
+	err = en.Append(0xa1, 0x68)
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Forget)
+	err = z.Stored.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Forget")
+		err = msgp.WrapError(err, "Stored")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Seen) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RebuildReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "k"
-	o = append(o, 0x82, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
+	// map header, size 5
+	// string "p"
+	o = append(o, 0x85, 0xa1, 0x70)
+	o = msgp.AppendInt(o, z.Partition)
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendBool(o, z.Forget)
+	o = msgp.AppendString(o, z.From)
+	// string "ok"
+	o = append(o, 0xa2, 0x6f, 0x6b)
+	o = msgp.AppendBool(o, z.OK)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendString(o, z.Reason)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o, err = z.Stored.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Stored")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Seen) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RebuildReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4813,16 +4607,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
+		case "p":
+			z.Partition, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Partition")
 				return
 			}
 		case "f":
-			z.Forget, bts, err = msgp.ReadBoolBytes(bts)
+			z.From, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Forget")
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		case "ok":
+			z.OK, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "OK")
+				return
+			}
+		case "w":
+			z.Reason, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Reason")
+				return
+			}
+		case "h":
+			bts, err = z.Stored.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 		default:
@@ -4838,13 +4650,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Seen) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BoolSize
+func (z *RebuildReply) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 3 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Reason) + 2 + z.Stored.Msgsize()
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *SeenReply) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *RecordsReply) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4861,16 +4673,47 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
+		case "e":
+			z.Epoch, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-		case "b":
-			z.Before, err = dc.ReadBool()
+		case "n":
+			z.Name, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
+			}
+		case "r":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "Records")
+				return
+			}
+			if cap(z.Records) >= int(zb0002) {
+				z.Records = (z.Records)[:zb0002]
+			} else {
+				z.Records = make([]Outcome, zb0002)
+			}
+			for za0001 := range z.Records {
+				err = z.Records[za0001].DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "Records", za0001)
+					return
+				}
+			}
+		case "a":
+			z.Last, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Before")
+				err = msgp.WrapError(err, "Last")
+				return
+			}
+		case "h":
+			z.KeyOwners, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "KeyOwners")
 				return
 			}
 		default:
@@ -4885,46 +4728,99 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z SeenReply) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "k"
-	err = en.Append(0x82, 0xa1, 0x6b)
+func (z *RecordsReply) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "e"
+	err = en.Append(0x85, 0xa1, 0x65)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Key)
+	err = en.WriteUint64(z.Epoch)
 	if err != nil {
-		err = msgp.WrapError(err, "Key")
+		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
+	// write "n"
+	err = en.Append(0xa1, 0x6e)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Name)
+	if err != nil {
+		err = msgp.WrapError(err, "Name")
+		return
+	}
+	// write "r"
+	err = en.Append(0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteArrayHeader(uint32(len(z.Records)))
+	if err != nil {
+		err = msgp.WrapError(err, "Records")
+		return
+	}
+	for za0001 := range z.Records {
+		err = z.Records[za0001].EncodeMsg(en)
+		if err != nil {
+			err = msgp.WrapError(err, "Records", za0001)
+			return
+		}
+	}
+	// write "a"
+	err = en.Append(0xa1, 0x61)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.Last)
+	if err != nil {
+		err = msgp.WrapError(err, "Last")
+		return
+	}
+	// write "h"
+	err = en.Append(0xa1, 0x68)
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Before)
+	err = en.WriteInt(z.KeyOwners)
 	if err != nil {
-		err = msgp.WrapError(err, "Before")
+		err = msgp.WrapError(err, "KeyOwners")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z SeenReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RecordsReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "k"
-	o = append(o, 0x82, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBool(o, z.Before)
+	// map header, size 5
+	// string "e"
+	o = append(o, 0x85, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+	for za0001 := range z.Records {
+		o, err = z.Records[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Records", za0001)
+			return
+		}
+	}
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendBool(o, z.Last)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendInt(o, z.KeyOwners)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *SeenReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RecordsReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4941,16 +4837,47 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-		case "b":
-			z.Before, bts, err = msgp.ReadBoolBytes(bts)
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
+			}
+		case "r":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Records")
+				return
+			}
+			if cap(z.Records) >= int(zb0002) {
+				z.Records = (z.Records)[:zb0002]
+			} else {
+				z.Records = make([]Outcome, zb0002)
+			}
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Records", za0001)
+					return
+				}
+			}
+		case "a":
+			z.Last, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Last")
+				return
+			}
+		case "h":
+			z.KeyOwners, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Before")
+				err = msgp.WrapError(err, "KeyOwners")
 				return
 			}
 		default:
@@ -4966,13 +4893,17 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z SeenReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BoolSize
+func (z *RecordsReply) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
+	}
+	s += 2 + msgp.BoolSize + 2 + msgp.IntSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Server) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *RecordsRequest) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4989,72 +4920,114 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
-			}
-		case "a":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "z":
-			z.Zone, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "x":
-			z.Index, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Index")
-				return
-			}
-		case "c":
-			z.Cut, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Cut")
-				return
-			}
-		case "s":
-			z.Shard, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Shard")
-				return
-			}
-		case "st":
-			z.State, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-		case "n":
-			z.Incarnation, err = dc.ReadInt64()
+		case "e":
+			z.Epoch, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Incarnation")
+				err = msgp.WrapError(err, "Epoch")
 				return
-			}
-		case "p":
-			z.Pool, err = dc.ReadString()
+			}
+		case "n":
+			z.Name, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Pool")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "l":
-			z.Slots, err = dc.ReadInt()
+		case "b":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Slots")
+				err = msgp.WrapError(err, "OldNodes")
 				return
 			}
+			if cap(z.OldNodes) >= int(zb0002) {
+				z.OldNodes = (z.OldNodes)[:zb0002]
+			} else {
+				z.OldNodes = make([]NodeLocation, zb0002)
+			}
+			for za0001 := range z.OldNodes {
+				var zb0003 uint32
+				zb0003, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "OldNodes", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, err = dc.ReadMapKeyPtr()
+					if err != nil {
+						err = msgp.WrapError(err, "OldNodes", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "n":
+						z.OldNodes[za0001].Name, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "OldNodes", za0001, "Name")
+							return
+						}
+					case "z":
+						z.OldNodes[za0001].Zone, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "OldNodes", za0001, "Zone")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "OldNodes", za0001)
+							return
+						}
+					}
+				}
+			}
 		case "w":
-			z.ColdUs, err = dc.ReadInt64()
+			var zb0004 uint32
+			zb0004, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "ColdUs")
+				err = msgp.WrapError(err, "NewNodes")
 				return
 			}
+			if cap(z.NewNodes) >= int(zb0004) {
+				z.NewNodes = (z.NewNodes)[:zb0004]
+			} else {
+				z.NewNodes = make([]NodeLocation, zb0004)
+			}
+			for za0002 := range z.NewNodes {
+				var zb0005 uint32
+				zb0005, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "NewNodes", za0002)
+					return
+				}
+				for zb0005 > 0 {
+					zb0005--
+					field, err = dc.ReadMapKeyPtr()
+					if err != nil {
+						err = msgp.WrapError(err, "NewNodes", za0002)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "n":
+						z.NewNodes[za0002].Name, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "NewNodes", za0002, "Name")
+							return
+						}
+					case "z":
+						z.NewNodes[za0002].Zone, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "NewNodes", za0002, "Zone")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "NewNodes", za0002)
+							return
+						}
+					}
+				}
+			}
 		default:
 			err = dc.Skip()
 			if err != nil {
@@ -5067,49 +5040,48 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Server) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(11)
-	var zb0001Mask uint16 /* 11 bits */
-	_ = zb0001Mask
-	if z.Pool == "" {
-		zb0001Len--
-		zb0001Mask |= 0x100
+func (z *RecordsRequest) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 4
+	// write "e"
+	err = en.Append(0x84, 0xa1, 0x65)
+	if err != nil {
+		return
 	}
-	if z.Slots == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x200
+	err = en.WriteUint64(z.Epoch)
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
 	}
-	if z.ColdUs == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x400
+	// write "n"
+	err = en.Append(0xa1, 0x6e)
+	if err != nil {
+		return
 	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
+	err = en.WriteString(z.Name)
 	if err != nil {
+		err = msgp.WrapError(err, "Name")
 		return
 	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "i"
-		err = en.Append(0xa1, 0x69)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.ID)
-		if err != nil {
-			err = msgp.WrapError(err, "ID")
-			return
-		}
-		// write "a"
-		err = en.Append(0xa1, 0x61)
+	// write "b"
+	err = en.Append(0xa1, 0x62)
+	if err != nil {
+		return
+	}
+	err = en.WriteArrayHeader(uint32(len(z.OldNodes)))
+	if err != nil {
+		err = msgp.WrapError(err, "OldNodes")
+		return
+	}
+	for za0001 := range z.OldNodes {
+		// map header, size 2
+		// write "n"
+		err = en.Append(0x82, 0xa1, 0x6e)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Addr)
+		err = en.WriteString(z.OldNodes[za0001].Name)
 		if err != nil {
-			err = msgp.WrapError(err, "Addr")
+			err = msgp.WrapError(err, "OldNodes", za0001, "Name")
 			return
 		}
 		// write "z"
@@ -5117,170 +5089,87 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Zone)
-		if err != nil {
-			err = msgp.WrapError(err, "Zone")
-			return
-		}
-		// write "x"
-		err = en.Append(0xa1, 0x78)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Index)
-		if err != nil {
-			err = msgp.WrapError(err, "Index")
-			return
-		}
-		// write "c"
-		err = en.Append(0xa1, 0x63)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Cut)
-		if err != nil {
-			err = msgp.WrapError(err, "Cut")
-			return
-		}
-		// write "s"
-		err = en.Append(0xa1, 0x73)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Shard)
+		err = en.WriteString(z.OldNodes[za0001].Zone)
 		if err != nil {
-			err = msgp.WrapError(err, "Shard")
+			err = msgp.WrapError(err, "OldNodes", za0001, "Zone")
 			return
 		}
-		// write "st"
-		err = en.Append(0xa2, 0x73, 0x74)
+	}
+	// write "w"
+	err = en.Append(0xa1, 0x77)
+	if err != nil {
+		return
+	}
+	err = en.WriteArrayHeader(uint32(len(z.NewNodes)))
+	if err != nil {
+		err = msgp.WrapError(err, "NewNodes")
+		return
+	}
+	for za0002 := range z.NewNodes {
+		// map header, size 2
+		// write "n"
+		err = en.Append(0x82, 0xa1, 0x6e)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.State)
+		err = en.WriteString(z.NewNodes[za0002].Name)
 		if err != nil {
-			err = msgp.WrapError(err, "State")
+			err = msgp.WrapError(err, "NewNodes", za0002, "Name")
 			return
 		}
-		// write "n"
-		err = en.Append(0xa1, 0x6e)
+		// write "z"
+		err = en.Append(0xa1, 0x7a)
 		if err != nil {
 			return
 		}
-		err = en.WriteInt64(z.Incarnation)
+		err = en.WriteString(z.NewNodes[za0002].Zone)
 		if err != nil {
-			err = msgp.WrapError(err, "Incarnation")
+			err = msgp.WrapError(err, "NewNodes", za0002, "Zone")
 			return
 		}
-		if (zb0001Mask & 0x100) == 0 { // if not omitted
-			// write "p"
-			err = en.Append(0xa1, 0x70)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Pool)
-			if err != nil {
-				err = msgp.WrapError(err, "Pool")
-				return
-			}
-		}
-		if (zb0001Mask & 0x200) == 0 { // if not omitted
-			// write "l"
-			err = en.Append(0xa1, 0x6c)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt(z.Slots)
-			if err != nil {
-				err = msgp.WrapError(err, "Slots")
-				return
-			}
-		}
-		if (zb0001Mask & 0x400) == 0 { // if not omitted
-			// write "w"
-			err = en.Append(0xa1, 0x77)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt64(z.ColdUs)
-			if err != nil {
-				err = msgp.WrapError(err, "ColdUs")
-				return
-			}
-		}
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Server) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RecordsRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(11)
-	var zb0001Mask uint16 /* 11 bits */
-	_ = zb0001Mask
-	if z.Pool == "" {
-		zb0001Len--
-		zb0001Mask |= 0x100
-	}
-	if z.Slots == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x200
-	}
-	if z.ColdUs == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x400
+	// map header, size 4
+	// string "e"
+	o = append(o, 0x84, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.OldNodes)))
+	for za0001 := range z.OldNodes {
+		// map header, size 2
+		// string "n"
+		o = append(o, 0x82, 0xa1, 0x6e)
+		o = msgp.AppendString(o, z.OldNodes[za0001].Name)
+		// string "z"
+		o = append(o, 0xa1, 0x7a)
+		o = msgp.AppendString(o, z.OldNodes[za0001].Zone)
 	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "i"
-		o = append(o, 0xa1, 0x69)
-		o = msgp.AppendString(o, z.ID)
-		// string "a"
-		o = append(o, 0xa1, 0x61)
-		o = msgp.AppendString(o, z.Addr)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.NewNodes)))
+	for za0002 := range z.NewNodes {
+		// map header, size 2
+		// string "n"
+		o = append(o, 0x82, 0xa1, 0x6e)
+		o = msgp.AppendString(o, z.NewNodes[za0002].Name)
 		// string "z"
 		o = append(o, 0xa1, 0x7a)
-		o = msgp.AppendString(o, z.Zone)
-		// string "x"
-		o = append(o, 0xa1, 0x78)
-		o = msgp.AppendString(o, z.Index)
-		// string "c"
-		o = append(o, 0xa1, 0x63)
-		o = msgp.AppendString(o, z.Cut)
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendInt(o, z.Shard)
-		// string "st"
-		o = append(o, 0xa2, 0x73, 0x74)
-		o = msgp.AppendString(o, z.State)
-		// string "n"
-		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendInt64(o, z.Incarnation)
-		if (zb0001Mask & 0x100) == 0 { // if not omitted
-			// string "p"
-			o = append(o, 0xa1, 0x70)
-			o = msgp.AppendString(o, z.Pool)
-		}
-		if (zb0001Mask & 0x200) == 0 { // if not omitted
-			// string "l"
-			o = append(o, 0xa1, 0x6c)
-			o = msgp.AppendInt(o, z.Slots)
-		}
-		if (zb0001Mask & 0x400) == 0 { // if not omitted
-			// string "w"
-			o = append(o, 0xa1, 0x77)
-			o = msgp.AppendInt64(o, z.ColdUs)
-		}
+		o = msgp.AppendString(o, z.NewNodes[za0002].Zone)
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Server) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RecordsRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5297,136 +5186,295 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadStringBytes(bts)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "ID")
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-		case "a":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Addr")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "z":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+		case "b":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Zone")
+				err = msgp.WrapError(err, "OldNodes")
 				return
 			}
-		case "x":
-			z.Index, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Index")
-				return
+			if cap(z.OldNodes) >= int(zb0002) {
+				z.OldNodes = (z.OldNodes)[:zb0002]
+			} else {
+				z.OldNodes = make([]NodeLocation, zb0002)
 			}
-		case "c":
-			z.Cut, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Cut")
-				return
+			for za0001 := range z.OldNodes {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "OldNodes", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "OldNodes", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "n":
+						z.OldNodes[za0001].Name, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "OldNodes", za0001, "Name")
+							return
+						}
+					case "z":
+						z.OldNodes[za0001].Zone, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "OldNodes", za0001, "Zone")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "OldNodes", za0001)
+							return
+						}
+					}
+				}
 			}
-		case "s":
-			z.Shard, bts, err = msgp.ReadIntBytes(bts)
+		case "w":
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Shard")
+				err = msgp.WrapError(err, "NewNodes")
 				return
 			}
-		case "st":
-			z.State, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
+			if cap(z.NewNodes) >= int(zb0004) {
+				z.NewNodes = (z.NewNodes)[:zb0004]
+			} else {
+				z.NewNodes = make([]NodeLocation, zb0004)
 			}
-		case "n":
-			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Incarnation")
-				return
+			for za0002 := range z.NewNodes {
+				var zb0005 uint32
+				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "NewNodes", za0002)
+					return
+				}
+				for zb0005 > 0 {
+					zb0005--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "NewNodes", za0002)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "n":
+						z.NewNodes[za0002].Name, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "NewNodes", za0002, "Name")
+							return
+						}
+					case "z":
+						z.NewNodes[za0002].Zone, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "NewNodes", za0002, "Zone")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "NewNodes", za0002)
+							return
+						}
+					}
+				}
 			}
-		case "p":
-			z.Pool, bts, err = msgp.ReadStringBytes(bts)
+		default:
+			bts, err = msgp.Skip(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Pool")
+				err = msgp.WrapError(err)
 				return
 			}
-		case "l":
-			z.Slots, bts, err = msgp.ReadIntBytes(bts)
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *RecordsRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.OldNodes {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.OldNodes[za0001].Name) + 2 + msgp.StringPrefixSize + len(z.OldNodes[za0001].Zone)
+	}
+	s += 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.NewNodes {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.NewNodes[za0002].Name) + 2 + msgp.StringPrefixSize + len(z.NewNodes[za0002].Zone)
+	}
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *SeenReply) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "k":
+			z.Key, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Slots")
+				err = msgp.WrapError(err, "Key")
 				return
 			}
-		case "w":
-			z.ColdUs, bts, err = msgp.ReadInt64Bytes(bts)
+		case "b":
+			z.Seen, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "ColdUs")
+				err = msgp.WrapError(err, "Seen")
 				return
 			}
 		default:
-			bts, err = msgp.Skip(bts)
+			err = dc.Skip()
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
-	o = bts
 	return
 }
 
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Server) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Index) + 2 + msgp.StringPrefixSize + len(z.Cut) + 2 + msgp.IntSize + 3 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Pool) + 2 + msgp.IntSize + 2 + msgp.Int64Size
+// EncodeMsg implements msgp.Encodable
+func (z SeenReply) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "k"
+	err = en.Append(0x82, 0xa1, 0x6b)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Key)
+	if err != nil {
+		err = msgp.WrapError(err, "Key")
+		return
+	}
+	// write "b"
+	err = en.Append(0xa1, 0x62)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.Seen)
+	if err != nil {
+		err = msgp.WrapError(err, "Seen")
+		return
+	}
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *Settle) DecodeMsg(dc *msgp.Reader) (err error) {
+// MarshalMsg implements msgp.Marshaler
+func (z SeenReply) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "k"
+	o = append(o, 0x82, 0xa1, 0x6b)
+	o = msgp.AppendString(o, z.Key)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendBool(o, z.Seen)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *SeenReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
 	for zb0001 > 0 {
 		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
 		case "k":
-			z.Key, err = dc.ReadString()
+			z.Key, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Key")
 				return
 			}
-		case "c":
-			z.Code, err = dc.ReadString()
+		case "b":
+			z.Seen, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Code")
+				err = msgp.WrapError(err, "Seen")
 				return
 			}
-		case "st":
-			z.Status, err = dc.ReadInt()
+		default:
+			bts, err = msgp.Skip(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Status")
+				err = msgp.WrapError(err)
 				return
 			}
-		case "b":
-			z.Body, err = dc.ReadBytes(z.Body)
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z SeenReply) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BoolSize
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *SeenRequest) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "k":
+			z.Key, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
+				err = msgp.WrapError(err, "Key")
 				return
 			}
-		case "t":
-			z.Tried, err = dc.ReadBool()
+		case "f":
+			z.Forget, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Tried")
+				err = msgp.WrapError(err, "Forget")
 				return
 			}
 		default:
@@ -5441,10 +5489,10 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Settle) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
+func (z SeenRequest) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
 	// write "k"
-	err = en.Append(0x85, 0xa1, 0x6b)
+	err = en.Append(0x82, 0xa1, 0x6b)
 	if err != nil {
 		return
 	}
@@ -5453,73 +5501,34 @@
 		err = msgp.WrapError(err, "Key")
 		return
 	}
-	// write "c"
-	err = en.Append(0xa1, 0x63)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Code)
-	if err != nil {
-		err = msgp.WrapError(err, "Code")
-		return
-	}
-	// write "st"
-	err = en.Append(0xa2, 0x73, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.Status)
-	if err != nil {
-		err = msgp.WrapError(err, "Status")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteBytes(z.Body)
-	if err != nil {
-		err = msgp.WrapError(err, "Body")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
+	// write "f"
+	err = en.Append(0xa1, 0x66)
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Tried)
+	err = en.WriteBool(z.Forget)
 	if err != nil {
-		err = msgp.WrapError(err, "Tried")
+		err = msgp.WrapError(err, "Forget")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Settle) MarshalMsg(b []byte) (o []byte, err error) {
+func (z SeenRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
+	// map header, size 2
 	// string "k"
-	o = append(o, 0x85, 0xa1, 0x6b)
+	o = append(o, 0x82, 0xa1, 0x6b)
 	o = msgp.AppendString(o, z.Key)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendString(o, z.Code)
-	// string "st"
-	o = append(o, 0xa2, 0x73, 0x74)
-	o = msgp.AppendInt(o, z.Status)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBytes(o, z.Body)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendBool(o, z.Tried)
+	// string "f"
+	o = append(o, 0xa1, 0x66)
+	o = msgp.AppendBool(o, z.Forget)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Settle) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *SeenRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5542,28 +5551,10 @@
 				err = msgp.WrapError(err, "Key")
 				return
 			}
-		case "c":
-			z.Code, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Code")
-				return
-			}
-		case "st":
-			z.Status, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Status")
-				return
-			}
-		case "b":
-			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
-			if err != nil {
-				err = msgp.WrapError(err, "Body")
-				return
-			}
-		case "t":
-			z.Tried, bts, err = msgp.ReadBoolBytes(bts)
+		case "f":
+			z.Forget, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Tried")
+				err = msgp.WrapError(err, "Forget")
 				return
 			}
 		default:
@@ -5579,13 +5570,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Settle) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.StringPrefixSize + len(z.Code) + 3 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize
+func (z SeenRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *UsageReport) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ShardMap) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5602,33 +5593,29 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "r":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+		case "n":
+			z.Name, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Rates")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-			if z.Rates == nil {
-				z.Rates = make(map[string]int64, zb0002)
-			} else if len(z.Rates) > 0 {
-				clear(z.Rates)
+		case "s":
+			z.Shards, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Shards")
+				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				var za0001 string
-				za0001, err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Rates")
-					return
-				}
-				var za0002 int64
-				za0002, err = dc.ReadInt64()
-				if err != nil {
-					err = msgp.WrapError(err, "Rates", za0001)
-					return
-				}
-				z.Rates[za0001] = za0002
+		case "x":
+			z.Next, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Next")
+				return
+			}
+		case "y":
+			z.NextShards, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "NextShards")
+				return
 			}
 		default:
 			err = dc.Skip()
