@@ -5642,49 +5629,72 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *UsageReport) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 1
-	// write "r"
-	err = en.Append(0x81, 0xa1, 0x72)
+func (z *ShardMap) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 4
+	// write "n"
+	err = en.Append(0x84, 0xa1, 0x6e)
 	if err != nil {
 		return
 	}
-	err = en.WriteMapHeader(uint32(len(z.Rates)))
+	err = en.WriteString(z.Name)
 	if err != nil {
-		err = msgp.WrapError(err, "Rates")
+		err = msgp.WrapError(err, "Name")
 		return
 	}
-	for za0001, za0002 := range z.Rates {
-		err = en.WriteString(za0001)
-		if err != nil {
-			err = msgp.WrapError(err, "Rates")
-			return
-		}
-		err = en.WriteInt64(za0002)
-		if err != nil {
-			err = msgp.WrapError(err, "Rates", za0001)
-			return
-		}
+	// write "s"
+	err = en.Append(0xa1, 0x73)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt(z.Shards)
+	if err != nil {
+		err = msgp.WrapError(err, "Shards")
+		return
+	}
+	// write "x"
+	err = en.Append(0xa1, 0x78)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Next)
+	if err != nil {
+		err = msgp.WrapError(err, "Next")
+		return
+	}
+	// write "y"
+	err = en.Append(0xa1, 0x79)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt(z.NextShards)
+	if err != nil {
+		err = msgp.WrapError(err, "NextShards")
+		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *UsageReport) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ShardMap) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "r"
-	o = append(o, 0x81, 0xa1, 0x72)
-	o = msgp.AppendMapHeader(o, uint32(len(z.Rates)))
-	for za0001, za0002 := range z.Rates {
-		o = msgp.AppendString(o, za0001)
-		o = msgp.AppendInt64(o, za0002)
-	}
+	// map header, size 4
+	// string "n"
+	o = append(o, 0x84, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendInt(o, z.Shards)
+	// string "x"
+	o = append(o, 0xa1, 0x78)
+	o = msgp.AppendString(o, z.Next)
+	// string "y"
+	o = append(o, 0xa1, 0x79)
+	o = msgp.AppendInt(o, z.NextShards)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *UsageReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ShardMap) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5701,33 +5711,29 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "r":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Rates")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-			if z.Rates == nil {
-				z.Rates = make(map[string]int64, zb0002)
-			} else if len(z.Rates) > 0 {
-				clear(z.Rates)
+		case "s":
+			z.Shards, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Shards")
+				return
 			}
-			for zb0002 > 0 {
-				var za0002 int64
-				zb0002--
-				var za0001 string
-				za0001, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Rates")
-					return
-				}
-				za0002, bts, err = msgp.ReadInt64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Rates", za0001)
-					return
-				}
-				z.Rates[za0001] = za0002
+		case "x":
+			z.Next, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Next")
+				return
+			}
+		case "y":
+			z.NextShards, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "NextShards")
+				return
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -5742,13 +5748,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *UsageReport) Msgsize() (s int) {
-	s = 1 + 2 + msgp.MapHeaderSize
-	if z.Rates != nil {
-		for za0001, za0002 := range z.Rates {
-			_ = za0002
-			s += msgp.StringPrefixSize + len(za0001) + msgp.Int64Size
-		}
-	}
+func (z *ShardMap) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Next) + 2 + msgp.IntSize
 	return
 }
--- a/runtime/wire/calls.go
+++ b/runtime/wire/calls.go
@@ -18,11 +18,11 @@
 	// Partial tells that newer versions are left out: they are on their way already, or were
 	// too large for one reply.
 	Partial bool `msg:"pa,omitempty"`
-	// Contact has a bit for each part of which the sender is, itself, in contact with a majority, and
+	// ContactMask has a bit for each part of which the sender is, itself, in contact with a majority, and
 	// of which the asker now has whatever was acknowledged before that contact.
-	Contact uint32 `msg:"c,omitempty"`
-	// Relayed has one where the sender was lately told so by another core.
-	Relayed uint32 `msg:"r,omitempty"`
+	ContactMask uint32 `msg:"c,omitempty"`
+	// RelayedMask has one where the sender was lately told so by another core.
+	RelayedMask uint32 `msg:"r,omitempty"`
 }
 
 // Leader tells which replica leads a partition.
@@ -33,21 +33,65 @@
 	Addr      string `msg:"a"`
 }
 
-// Operations that read, each confirmed by a majority after it came.
+// Operations of an Edit that only read. The leader confirms each with a majority after it arrived.
 const (
-	// OpRead asks for the body.
+	// OpRead returns the partition's body.
 	OpRead = "read"
-	// OpHistory asks for the earlier sheets: a Ledger with nothing but these.
+	// OpHistory returns the earlier configurations, as an EditLog with only its History filled in.
 	OpHistory = "history"
-	// OpZoneVersion asks which version last took an order about the zone that Name gives.
+	// OpZoneVersion returns the version that last took a command about the zone in Edit.Name.
 	OpZoneVersion = "zone_version"
 )
 
-// Codes of replies that stay between processes.
+// Operations of an Edit that change the configuration partition.
 const (
+	// OpPutRouting replaces the routing table.
+	OpPutRouting = "routing"
+	// OpPutConfig replaces the whole configuration.
+	OpPutConfig = "put"
+	// OpEditRows sets or removes single rows of the configuration.
+	OpEditRows = "rows"
+	// OpRevertConfig puts the earlier configuration whose version Edit.Name gives in force again.
+	OpRevertConfig = "return"
+	// OpDrainZone and OpRestoreZone take a zone's backends out of service and return them to it.
+	OpDrainZone   = "empty"
+	OpRestoreZone = "refill"
+)
+
+// Operations of an Edit that change a partition of indexes.
+const (
+	// OpReshard begins to move an index to another shard map.
+	OpReshard = "cut"
+	// OpSwitchShardMap puts the next shard map of an index in force.
+	OpSwitchShardMap = "flip"
+)
+
+// OpRebuild names a rebuild of a partition's group in the audit. It is never the operation of an Edit.
+const OpRebuild = "rebuild"
+
+// Codes of an EditReply that an operator's API passes on.
+const (
+	CodeOK = "ok"
+	// CodeInvalid refuses an edit that has faults; Findings lists them. Nothing was changed.
+	CodeInvalid = "invalid"
+	// CodeConflict refuses an edit id that was used for another edit. Nothing was changed.
+	CodeConflict = "conflict"
+	// CodeLostRace refuses an edit that is based on a version which is no longer in force. Nothing was changed.
+	CodeLostRace = "lost_race"
+	// CodeOverloaded rejects an edit that certainly no leader has taken.
+	CodeOverloaded = "shed"
+	// CodeUnknown reports that the edit may have been taken or may still be.
+	CodeUnknown = "unknown"
+)
+
+// Codes of an EditReply that only processes exchange.
+const (
+	// CodeNotLeader comes from a core that does not lead the partition; Addr is the leader's address where
+	// the core knows it. Nothing was taken.
+	CodeNotLeader = "not_owner"
 	// CodeVersion answers OpZoneVersion.
 	CodeVersion = "version"
-	// CodeStale refuses an order about a zone that is bound to another version than the one in
+	// CodeStale refuses a command about a zone that is bound to another version than the one in
 	// force. Nothing was taken.
 	CodeStale = "stale"
 )
@@ -75,8 +119,8 @@
 
 // Finding is one fault found in what an operator sent, with its place.
 type Finding struct {
-	Place string `msg:"p" json:"place"`
-	Text  string `msg:"t" json:"text"`
+	Path string `msg:"p" json:"place"`
+	Text string `msg:"t" json:"text"`
 }
 
 // LeaseRequest asks for, or renews, a duty.
@@ -84,17 +128,17 @@
 	Partition int    `msg:"p"`
 	Task      string `msg:"d"`
 	From      string `msg:"f"`
-	// Next names the successor when the holder gives the duty up.
-	Next    string `msg:"n"`
-	Release bool   `msg:"x"`
+	// Successor names the successor when the holder gives the duty up.
+	Successor string `msg:"n"`
+	Release   bool   `msg:"x"`
 	// Turn is that of the lease which a holder gives up: a late Drop ends no newer one. 0 is any.
 	LeaseID uint64 `msg:"t,omitempty"`
 }
 
 // LeaseReply says who has the duty, and for how long.
 type LeaseReply struct {
-	Task    string `msg:"d"`
-	Holder  string `msg:"h"`
-	For     int64  `msg:"f"`
-	LeaseID uint64 `msg:"t"`
+	Task     string `msg:"d"`
+	Holder   string `msg:"h"`
+	Duration int64  `msg:"f"`
+	LeaseID  uint64 `msg:"t"`
 }
--- a/runtime/wire/calls_gen.go
+++ b/runtime/wire/calls_gen.go
@@ -346,9 +346,9 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "p":
-						z.Findings[za0001].Place, err = dc.ReadString()
+						z.Findings[za0001].Path, err = dc.ReadString()
 						if err != nil {
-							err = msgp.WrapError(err, "Findings", za0001, "Place")
+							err = msgp.WrapError(err, "Findings", za0001, "Path")
 							return
 						}
 					case "t":
@@ -429,9 +429,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Findings[za0001].Place)
+		err = en.WriteString(z.Findings[za0001].Path)
 		if err != nil {
-			err = msgp.WrapError(err, "Findings", za0001, "Place")
+			err = msgp.WrapError(err, "Findings", za0001, "Path")
 			return
 		}
 		// write "t"
@@ -489,7 +489,7 @@
 		// map header, size 2
 		// string "p"
 		o = append(o, 0x82, 0xa1, 0x70)
-		o = msgp.AppendString(o, z.Findings[za0001].Place)
+		o = msgp.AppendString(o, z.Findings[za0001].Path)
 		// string "t"
 		o = append(o, 0xa1, 0x74)
 		o = msgp.AppendString(o, z.Findings[za0001].Text)
@@ -561,9 +561,9 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "p":
-						z.Findings[za0001].Place, bts, err = msgp.ReadStringBytes(bts)
+						z.Findings[za0001].Path, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Findings", za0001, "Place")
+							err = msgp.WrapError(err, "Findings", za0001, "Path")
 							return
 						}
 					case "t":
@@ -609,7 +609,7 @@
 func (z *EditReply) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Code) + 2 + z.Version.Msgsize() + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Findings {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Findings[za0001].Place) + 2 + msgp.StringPrefixSize + len(z.Findings[za0001].Text)
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Findings[za0001].Path) + 2 + msgp.StringPrefixSize + len(z.Findings[za0001].Text)
 	}
 	s += 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.BytesPrefixSize + len(z.Body)
 	return
@@ -634,9 +634,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "p":
-			z.Place, err = dc.ReadString()
+			z.Path, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Place")
+				err = msgp.WrapError(err, "Path")
 				return
 			}
 		case "t":
@@ -664,9 +664,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Place)
+	err = en.WriteString(z.Path)
 	if err != nil {
-		err = msgp.WrapError(err, "Place")
+		err = msgp.WrapError(err, "Path")
 		return
 	}
 	// write "t"
@@ -688,7 +688,7 @@
 	// map header, size 2
 	// string "p"
 	o = append(o, 0x82, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Place)
+	o = msgp.AppendString(o, z.Path)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
 	o = msgp.AppendString(o, z.Text)
@@ -714,9 +714,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "p":
-			z.Place, bts, err = msgp.ReadStringBytes(bts)
+			z.Path, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Place")
+				err = msgp.WrapError(err, "Path")
 				return
 			}
 		case "t":
@@ -739,7 +739,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z Finding) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Place) + 2 + msgp.StringPrefixSize + len(z.Text)
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.StringPrefixSize + len(z.Text)
 	return
 }
 
@@ -952,9 +952,9 @@
 				return
 			}
 		case "f":
-			z.For, err = dc.ReadInt64()
+			z.Duration, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "For")
+				err = msgp.WrapError(err, "Duration")
 				return
 			}
 		case "t":
@@ -1002,9 +1002,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.For)
+	err = en.WriteInt64(z.Duration)
 	if err != nil {
-		err = msgp.WrapError(err, "For")
+		err = msgp.WrapError(err, "Duration")
 		return
 	}
 	// write "t"
@@ -1032,7 +1032,7 @@
 	o = msgp.AppendString(o, z.Holder)
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendInt64(o, z.For)
+	o = msgp.AppendInt64(o, z.Duration)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
 	o = msgp.AppendUint64(o, z.LeaseID)
@@ -1070,9 +1070,9 @@
 				return
 			}
 		case "f":
-			z.For, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Duration, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "For")
+				err = msgp.WrapError(err, "Duration")
 				return
 			}
 		case "t":
@@ -1136,9 +1136,9 @@
 				return
 			}
 		case "n":
-			z.Next, err = dc.ReadString()
+			z.Successor, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Next")
+				err = msgp.WrapError(err, "Successor")
 				return
 			}
 		case "x":
@@ -1217,9 +1217,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Next)
+		err = en.WriteString(z.Successor)
 		if err != nil {
-			err = msgp.WrapError(err, "Next")
+			err = msgp.WrapError(err, "Successor")
 			return
 		}
 		// write "x"
@@ -1275,7 +1275,7 @@
 		o = msgp.AppendString(o, z.From)
 		// string "n"
 		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Next)
+		o = msgp.AppendString(o, z.Successor)
 		// string "x"
 		o = append(o, 0xa1, 0x78)
 		o = msgp.AppendBool(o, z.Release)
@@ -1325,9 +1325,9 @@
 				return
 			}
 		case "n":
-			z.Next, bts, err = msgp.ReadStringBytes(bts)
+			z.Successor, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Next")
+				err = msgp.WrapError(err, "Successor")
 				return
 			}
 		case "x":
@@ -1356,7 +1356,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *LeaseRequest) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Task) + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.StringPrefixSize + len(z.Next) + 2 + msgp.BoolSize + 2 + msgp.Uint64Size
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Task) + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.StringPrefixSize + len(z.Successor) + 2 + msgp.BoolSize + 2 + msgp.Uint64Size
 	return
 }
 
@@ -1702,15 +1702,15 @@
 				return
 			}
 		case "c":
-			z.Contact, err = dc.ReadUint32()
+			z.ContactMask, err = dc.ReadUint32()
 			if err != nil {
-				err = msgp.WrapError(err, "Contact")
+				err = msgp.WrapError(err, "ContactMask")
 				return
 			}
 		case "r":
-			z.Relayed, err = dc.ReadUint32()
+			z.RelayedMask, err = dc.ReadUint32()
 			if err != nil {
-				err = msgp.WrapError(err, "Relayed")
+				err = msgp.WrapError(err, "RelayedMask")
 				return
 			}
 		default:
@@ -1734,11 +1734,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Contact == 0 {
+	if z.ContactMask == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Relayed == 0 {
+	if z.RelayedMask == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -1802,9 +1802,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint32(z.Contact)
+			err = en.WriteUint32(z.ContactMask)
 			if err != nil {
-				err = msgp.WrapError(err, "Contact")
+				err = msgp.WrapError(err, "ContactMask")
 				return
 			}
 		}
@@ -1814,9 +1814,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint32(z.Relayed)
+			err = en.WriteUint32(z.RelayedMask)
 			if err != nil {
-				err = msgp.WrapError(err, "Relayed")
+				err = msgp.WrapError(err, "RelayedMask")
 				return
 			}
 		}
@@ -1835,11 +1835,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Contact == 0 {
+	if z.ContactMask == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Relayed == 0 {
+	if z.RelayedMask == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -1876,12 +1876,12 @@
 		if (zb0001Mask & 0x8) == 0 { // if not omitted
 			// string "c"
 			o = append(o, 0xa1, 0x63)
-			o = msgp.AppendUint32(o, z.Contact)
+			o = msgp.AppendUint32(o, z.ContactMask)
 		}
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "r"
 			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendUint32(o, z.Relayed)
+			o = msgp.AppendUint32(o, z.RelayedMask)
 		}
 	}
 	return
@@ -1950,15 +1950,15 @@
 				return
 			}
 		case "c":
-			z.Contact, bts, err = msgp.ReadUint32Bytes(bts)
+			z.ContactMask, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Contact")
+				err = msgp.WrapError(err, "ContactMask")
 				return
 			}
 		case "r":
-			z.Relayed, bts, err = msgp.ReadUint32Bytes(bts)
+			z.RelayedMask, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Relayed")
+				err = msgp.WrapError(err, "RelayedMask")
 				return
 			}
 		default:
--- a/runtime/wire/pieces.go
+++ b/runtime/wire/chunks.go
@@ -6,9 +6,9 @@
 
 // Bounds of messages and their pieces, in bytes.
 const (
-	// WholeMost is the largest frame that is sent as it is. A larger one would hold up
+	// MaxSingleFrame is the largest frame that is sent as it is. A larger one would hold up
 	// the heartbeats behind it: 64 KiB take 52 ms at 10 Mbit/s.
-	WholeMost = 64 << 10
+	MaxSingleFrame = 64 << 10
 	// ChunkBytes is what one piece carries.
 	ChunkBytes = 32 << 10
 	// MaxMessage bounds a message that travels in pieces: the largest body and ledger of
--- a/runtime/wire/ledger.go
+++ b/runtime/wire/edit_log.go
@@ -1,35 +1,35 @@
 package wire
 
-// Ledger is what the replicas of a partition keep beside its body: the orders that were taken, so
+// EditLog is what the replicas of a partition keep beside its body: the orders that were taken, so
 // that a repeat is known again, and the earlier sheets. It is replicated and synced with the body,
 // and never sent to a process that only reads the body.
-type Ledger struct {
-	// Orders are the changes of the routing table that were taken, oldest first.
-	Orders []TakenOrder `msg:"o,omitempty"`
+type EditLog struct {
+	// RoutingEdits are the changes of the routing table that were taken, oldest first.
+	RoutingEdits []RoutingEdit `msg:"o,omitempty"`
 	// Edits are the changes that were taken under an edit id, oldest first.
-	Edits []TakenEdit `msg:"e,omitempty"`
+	Edits []AppliedEdit `msg:"e,omitempty"`
 	// History holds earlier sheets and the one in force, oldest first.
-	History []Past `msg:"h,omitempty"`
+	History []PastConfig `msg:"h,omitempty"`
 	// Zones are the versions that last took an order about a zone, oldest first.
 	Zones []ZoneVersion `msg:"z,omitempty"`
 	// ZoneFloor is the version of every zone that Zones does not list.
 	ZoneFloor Version `msg:"f"`
 }
 
-//msgp:tuple TakenOrder
+//msgp:tuple RoutingEdit
 
-// TakenOrder remembers one order by its digest, and the version that took it. The digest covers
+// RoutingEdit remembers one order by its digest, and the version that took it. The digest covers
 // the number and the base. It has 8 bytes where a release before 3 took the order.
-type TakenOrder struct {
+type RoutingEdit struct {
 	Digest []byte
 	Term   uint64
 	Seq    uint64
 }
 
-//msgp:tuple TakenEdit
+//msgp:tuple AppliedEdit
 
-// TakenEdit remembers one edit by its id, its digest, and the version that took it.
-type TakenEdit struct {
+// AppliedEdit remembers one edit by its id, its digest, and the version that took it.
+type AppliedEdit struct {
 	EditID string
 	Digest []byte
 	Term   uint64
--- a/runtime/wire/ledger_gen.go
+++ b/runtime/wire/edit_log_gen.go
@@ -7,7 +7,126 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Ledger) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *AppliedEdit) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
+		return
+	}
+	z.EditID, err = dc.ReadString()
+	if err != nil {
+		err = msgp.WrapError(err, "EditID")
+		return
+	}
+	z.Digest, err = dc.ReadBytes(z.Digest)
+	if err != nil {
+		err = msgp.WrapError(err, "Digest")
+		return
+	}
+	z.Term, err = dc.ReadUint64()
+	if err != nil {
+		err = msgp.WrapError(err, "Term")
+		return
+	}
+	z.Seq, err = dc.ReadUint64()
+	if err != nil {
+		err = msgp.WrapError(err, "Seq")
+		return
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *AppliedEdit) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 4
+	err = en.Append(0x94)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.EditID)
+	if err != nil {
+		err = msgp.WrapError(err, "EditID")
+		return
+	}
+	err = en.WriteBytes(z.Digest)
+	if err != nil {
+		err = msgp.WrapError(err, "Digest")
+		return
+	}
+	err = en.WriteUint64(z.Term)
+	if err != nil {
+		err = msgp.WrapError(err, "Term")
+		return
+	}
+	err = en.WriteUint64(z.Seq)
+	if err != nil {
+		err = msgp.WrapError(err, "Seq")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *AppliedEdit) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 4
+	o = append(o, 0x94)
+	o = msgp.AppendString(o, z.EditID)
+	o = msgp.AppendBytes(o, z.Digest)
+	o = msgp.AppendUint64(o, z.Term)
+	o = msgp.AppendUint64(o, z.Seq)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *AppliedEdit) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
+		return
+	}
+	z.EditID, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "EditID")
+		return
+	}
+	z.Digest, bts, err = msgp.ReadBytesBytes(bts, z.Digest)
+	if err != nil {
+		err = msgp.WrapError(err, "Digest")
+		return
+	}
+	z.Term, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Term")
+		return
+	}
+	z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Seq")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *AppliedEdit) Msgsize() (s int) {
+	s = 1 + msgp.StringPrefixSize + len(z.EditID) + msgp.BytesPrefixSize + len(z.Digest) + msgp.Uint64Size + msgp.Uint64Size
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *EditLog) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -28,38 +147,38 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Orders")
+				err = msgp.WrapError(err, "RoutingEdits")
 				return
 			}
-			if cap(z.Orders) >= int(zb0002) {
-				z.Orders = (z.Orders)[:zb0002]
+			if cap(z.RoutingEdits) >= int(zb0002) {
+				z.RoutingEdits = (z.RoutingEdits)[:zb0002]
 			} else {
-				z.Orders = make([]TakenOrder, zb0002)
+				z.RoutingEdits = make([]RoutingEdit, zb0002)
 			}
-			for za0001 := range z.Orders {
+			for za0001 := range z.RoutingEdits {
 				var zb0003 uint32
 				zb0003, err = dc.ReadArrayHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001)
+					err = msgp.WrapError(err, "RoutingEdits", za0001)
 					return
 				}
 				if zb0003 != 3 {
 					err = msgp.ArrayError{Wanted: 3, Got: zb0003}
 					return
 				}
-				z.Orders[za0001].Digest, err = dc.ReadBytes(z.Orders[za0001].Digest)
+				z.RoutingEdits[za0001].Digest, err = dc.ReadBytes(z.RoutingEdits[za0001].Digest)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Digest")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Digest")
 					return
 				}
-				z.Orders[za0001].Term, err = dc.ReadUint64()
+				z.RoutingEdits[za0001].Term, err = dc.ReadUint64()
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Term")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Term")
 					return
 				}
-				z.Orders[za0001].Seq, err = dc.ReadUint64()
+				z.RoutingEdits[za0001].Seq, err = dc.ReadUint64()
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Seq")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Seq")
 					return
 				}
 			}
@@ -73,7 +192,7 @@
 			if cap(z.Edits) >= int(zb0004) {
 				z.Edits = (z.Edits)[:zb0004]
 			} else {
-				z.Edits = make([]TakenEdit, zb0004)
+				z.Edits = make([]AppliedEdit, zb0004)
 			}
 			for za0002 := range z.Edits {
 				err = z.Edits[za0002].DecodeMsg(dc)
@@ -92,7 +211,7 @@
 			if cap(z.History) >= int(zb0005) {
 				z.History = (z.History)[:zb0005]
 			} else {
-				z.History = make([]Past, zb0005)
+				z.History = make([]PastConfig, zb0005)
 			}
 			for za0003 := range z.History {
 				err = z.History[za0003].DecodeMsg(dc)
@@ -158,12 +277,12 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Ledger) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *EditLog) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
 	zb0001Len := uint32(5)
 	var zb0001Mask uint8 /* 5 bits */
 	_ = zb0001Mask
-	if z.Orders == nil {
+	if z.RoutingEdits == nil {
 		zb0001Len--
 		zb0001Mask |= 0x1
 	}
@@ -193,30 +312,30 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Orders)))
+			err = en.WriteArrayHeader(uint32(len(z.RoutingEdits)))
 			if err != nil {
-				err = msgp.WrapError(err, "Orders")
+				err = msgp.WrapError(err, "RoutingEdits")
 				return
 			}
-			for za0001 := range z.Orders {
+			for za0001 := range z.RoutingEdits {
 				// array header, size 3
 				err = en.Append(0x93)
 				if err != nil {
 					return
 				}
-				err = en.WriteBytes(z.Orders[za0001].Digest)
+				err = en.WriteBytes(z.RoutingEdits[za0001].Digest)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Digest")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Digest")
 					return
 				}
-				err = en.WriteUint64(z.Orders[za0001].Term)
+				err = en.WriteUint64(z.RoutingEdits[za0001].Term)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Term")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Term")
 					return
 				}
-				err = en.WriteUint64(z.Orders[za0001].Seq)
+				err = en.WriteUint64(z.RoutingEdits[za0001].Seq)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Seq")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Seq")
 					return
 				}
 			}
@@ -308,13 +427,13 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Ledger) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *EditLog) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(5)
 	var zb0001Mask uint8 /* 5 bits */
 	_ = zb0001Mask
-	if z.Orders == nil {
+	if z.RoutingEdits == nil {
 		zb0001Len--
 		zb0001Mask |= 0x1
 	}
@@ -338,13 +457,13 @@
 		if (zb0001Mask & 0x1) == 0 { // if not omitted
 			// string "o"
 			o = append(o, 0xa1, 0x6f)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Orders)))
-			for za0001 := range z.Orders {
+			o = msgp.AppendArrayHeader(o, uint32(len(z.RoutingEdits)))
+			for za0001 := range z.RoutingEdits {
 				// array header, size 3
 				o = append(o, 0x93)
-				o = msgp.AppendBytes(o, z.Orders[za0001].Digest)
-				o = msgp.AppendUint64(o, z.Orders[za0001].Term)
-				o = msgp.AppendUint64(o, z.Orders[za0001].Seq)
+				o = msgp.AppendBytes(o, z.RoutingEdits[za0001].Digest)
+				o = msgp.AppendUint64(o, z.RoutingEdits[za0001].Term)
+				o = msgp.AppendUint64(o, z.RoutingEdits[za0001].Seq)
 			}
 		}
 		if (zb0001Mask & 0x2) == 0 { // if not omitted
@@ -395,7 +514,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Ledger) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *EditLog) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -416,38 +535,38 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Orders")
+				err = msgp.WrapError(err, "RoutingEdits")
 				return
 			}
-			if cap(z.Orders) >= int(zb0002) {
-				z.Orders = (z.Orders)[:zb0002]
+			if cap(z.RoutingEdits) >= int(zb0002) {
+				z.RoutingEdits = (z.RoutingEdits)[:zb0002]
 			} else {
-				z.Orders = make([]TakenOrder, zb0002)
+				z.RoutingEdits = make([]RoutingEdit, zb0002)
 			}
-			for za0001 := range z.Orders {
+			for za0001 := range z.RoutingEdits {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001)
+					err = msgp.WrapError(err, "RoutingEdits", za0001)
 					return
 				}
 				if zb0003 != 3 {
 					err = msgp.ArrayError{Wanted: 3, Got: zb0003}
 					return
 				}
-				z.Orders[za0001].Digest, bts, err = msgp.ReadBytesBytes(bts, z.Orders[za0001].Digest)
+				z.RoutingEdits[za0001].Digest, bts, err = msgp.ReadBytesBytes(bts, z.RoutingEdits[za0001].Digest)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Digest")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Digest")
 					return
 				}
-				z.Orders[za0001].Term, bts, err = msgp.ReadUint64Bytes(bts)
+				z.RoutingEdits[za0001].Term, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Term")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Term")
 					return
 				}
-				z.Orders[za0001].Seq, bts, err = msgp.ReadUint64Bytes(bts)
+				z.RoutingEdits[za0001].Seq, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0001, "Seq")
+					err = msgp.WrapError(err, "RoutingEdits", za0001, "Seq")
 					return
 				}
 			}
@@ -461,7 +580,7 @@
 			if cap(z.Edits) >= int(zb0004) {
 				z.Edits = (z.Edits)[:zb0004]
 			} else {
-				z.Edits = make([]TakenEdit, zb0004)
+				z.Edits = make([]AppliedEdit, zb0004)
 			}
 			for za0002 := range z.Edits {
 				bts, err = z.Edits[za0002].UnmarshalMsg(bts)
@@ -480,7 +599,7 @@
 			if cap(z.History) >= int(zb0005) {
 				z.History = (z.History)[:zb0005]
 			} else {
-				z.History = make([]Past, zb0005)
+				z.History = make([]PastConfig, zb0005)
 			}
 			for za0003 := range z.History {
 				bts, err = z.History[za0003].UnmarshalMsg(bts)
@@ -547,10 +666,10 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Ledger) Msgsize() (s int) {
+func (z *EditLog) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Orders {
-		s += 1 + msgp.BytesPrefixSize + len(z.Orders[za0001].Digest) + msgp.Uint64Size + msgp.Uint64Size
+	for za0001 := range z.RoutingEdits {
+		s += 1 + msgp.BytesPrefixSize + len(z.RoutingEdits[za0001].Digest) + msgp.Uint64Size + msgp.Uint64Size
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Edits {
@@ -569,126 +688,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *TakenEdit) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 4 {
-		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
-		return
-	}
-	z.EditID, err = dc.ReadString()
-	if err != nil {
-		err = msgp.WrapError(err, "EditID")
-		return
-	}
-	z.Digest, err = dc.ReadBytes(z.Digest)
-	if err != nil {
-		err = msgp.WrapError(err, "Digest")
-		return
-	}
-	z.Term, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Term")
-		return
-	}
-	z.Seq, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
-		return
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *TakenEdit) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 4
-	err = en.Append(0x94)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.EditID)
-	if err != nil {
-		err = msgp.WrapError(err, "EditID")
-		return
-	}
-	err = en.WriteBytes(z.Digest)
-	if err != nil {
-		err = msgp.WrapError(err, "Digest")
-		return
-	}
-	err = en.WriteUint64(z.Term)
-	if err != nil {
-		err = msgp.WrapError(err, "Term")
-		return
-	}
-	err = en.WriteUint64(z.Seq)
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *TakenEdit) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 4
-	o = append(o, 0x94)
-	o = msgp.AppendString(o, z.EditID)
-	o = msgp.AppendBytes(o, z.Digest)
-	o = msgp.AppendUint64(o, z.Term)
-	o = msgp.AppendUint64(o, z.Seq)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *TakenEdit) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 4 {
-		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
-		return
-	}
-	z.EditID, bts, err = msgp.ReadStringBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "EditID")
-		return
-	}
-	z.Digest, bts, err = msgp.ReadBytesBytes(bts, z.Digest)
-	if err != nil {
-		err = msgp.WrapError(err, "Digest")
-		return
-	}
-	z.Term, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Term")
-		return
-	}
-	z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *TakenEdit) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.EditID) + msgp.BytesPrefixSize + len(z.Digest) + msgp.Uint64Size + msgp.Uint64Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *TakenOrder) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *RoutingEdit) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -718,7 +718,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *TakenOrder) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *RoutingEdit) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 3
 	err = en.Append(0x93)
 	if err != nil {
@@ -743,7 +743,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *TakenOrder) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RoutingEdit) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 3
 	o = append(o, 0x93)
@@ -754,7 +754,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *TakenOrder) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RoutingEdit) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -785,7 +785,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *TakenOrder) Msgsize() (s int) {
+func (z *RoutingEdit) Msgsize() (s int) {
 	s = 1 + msgp.BytesPrefixSize + len(z.Digest) + msgp.Uint64Size + msgp.Uint64Size
 	return
 }
--- a/runtime/wire/frame.go
+++ b/runtime/wire/frame.go
@@ -14,8 +14,8 @@
 //go:generate go tool msgp -tests=false -file messages.go -o messages_gen.go
 //go:generate go tool msgp -tests=false -file calls.go -o calls_gen.go
 //go:generate go tool msgp -tests=false -file bodies.go -o bodies_gen.go
-//go:generate go tool msgp -tests=false -file pieces.go -o pieces_gen.go
-//go:generate go tool msgp -tests=false -file ledger.go -o ledger_gen.go
+//go:generate go tool msgp -tests=false -file chunks.go -o chunks_gen.go
+//go:generate go tool msgp -tests=false -file edit_log.go -o edit_log_gen.go
 //go:generate go tool msgp -tests=false -file status.go -o status_gen.go
 //go:generate go tool msgp -tests=false -file groups.go -o groups_gen.go
 
@@ -27,9 +27,9 @@
 const Format = 1
 
 var (
-	ErrOversize = errors.New("frame larger than 1 MiB")
-	ErrFormat   = errors.New("frame of a newer wire format")
-	ErrEmpty    = errors.New("empty frame")
+	ErrOversize   = errors.New("frame larger than 1 MiB")
+	ErrFormat     = errors.New("frame of a newer wire format")
+	ErrShortFrame = errors.New("empty frame")
 )
 
 // Frame is an opened envelope.
@@ -67,7 +67,7 @@
 
 func open(b []byte, most int) (Frame, error) {
 	if len(b) < 10 {
-		return Frame{}, ErrEmpty
+		return Frame{}, ErrShortFrame
 	}
 	if len(b) > most {
 		return Frame{}, ErrOversize
--- a/runtime/wire/groups.go
+++ b/runtime/wire/groups.go
@@ -16,8 +16,8 @@
 	Voters         []Replica `msg:"se"`
 	PreviousVoters []Replica `msg:"pr"`
 	Body           []byte    `msg:"b"`
-	// Ledger goes with the body from replica to replica; whoever only reads the body gets none.
-	Ledger []byte `msg:"l,omitempty"`
+	// EditLog goes with the body from replica to replica; whoever only reads the body gets none.
+	EditLog []byte `msg:"l,omitempty"`
 }
 
 // Replica is one member of a partition's group.
@@ -34,22 +34,22 @@
 	Term      uint64 `msg:"t"`
 	From      string `msg:"f"`
 	Pre       bool   `msg:"e"`
-	// Named is set when the outgoing leader named this successor.
-	Named bool `msg:"n"`
-	// Held is the newest version that the candidate holds; a voter with a newer one says so.
-	Held Version `msg:"h"`
+	// Designated is set when the outgoing leader named this successor.
+	Designated bool `msg:"n"`
+	// Stored is the newest version that the candidate holds; a voter with a newer one says so.
+	Stored Version `msg:"h"`
 }
 
 // VoteReply grants or denies a term and shows the newest version held. The body is in it only
 // where the term is granted to a candidate that holds an older version.
 type VoteReply struct {
-	Partition int       `msg:"p"`
-	Term      uint64    `msg:"t"`
-	From      string    `msg:"f"`
-	Pre       bool      `msg:"e"`
-	Granted   bool      `msg:"g"`
-	Held      Versioned `msg:"h"`
-	TakesBase bool      `msg:"tb,omitempty"` // the voter reads Accept.Base
+	Partition    int       `msg:"p"`
+	Term         uint64    `msg:"t"`
+	From         string    `msg:"f"`
+	Pre          bool      `msg:"e"`
+	Granted      bool      `msg:"g"`
+	Stored       Versioned `msg:"h"`
+	SupportsBase bool      `msg:"tb,omitempty"` // the voter reads Accept.Base
 }
 
 // Accept asks a replica to hold a version.
@@ -73,8 +73,8 @@
 	OK        bool    `msg:"ok"`
 	Err       string  `msg:"e"`
 	// LacksBase asks for the version with its body.
-	LacksBase bool `msg:"lb,omitempty"`
-	TakesBase bool `msg:"tb,omitempty"` // the replica reads Accept.Base
+	LacksBase    bool `msg:"lb,omitempty"`
+	SupportsBase bool `msg:"tb,omitempty"` // the replica reads Accept.Base
 }
 
 // LeaderHeartbeat is a leader's sign of life with the newest committed version.
@@ -99,7 +99,7 @@
 	Term        uint64  `msg:"t"`
 	From        string  `msg:"f"`
 	Round       uint64  `msg:"r"`
-	Held        Version `msg:"h"`
+	Stored      Version `msg:"h"`
 	OK          bool    `msg:"ok"`
 	Wall        int64   `msg:"w"`
 	DiskProblem bool    `msg:"s"`
@@ -119,11 +119,11 @@
 
 // Bootstrap asks an empty replica's consent to a formation, or tells that all gave it.
 type Bootstrap struct {
-	Formation string    `msg:"f"`
-	Voters    []Replica `msg:"s"`
-	Go        bool      `msg:"g"`
-	// By is the replica that proposed it, and the only one that may complete or withdraw it.
-	By Replica `msg:"b"`
+	BootstrapID string    `msg:"f"`
+	Voters      []Replica `msg:"s"`
+	Commit      bool      `msg:"g"`
+	// Proposer is the replica that proposed it, and the only one that may complete or withdraw it.
+	Proposer Replica `msg:"b"`
 	// Withdrawn tells that it will never be complete: the consents to it are void.
 	Withdrawn bool `msg:"w"`
 }
@@ -131,10 +131,10 @@
 // BootstrapReply gives consent, or says why not: By proposed the formation that has it already, Formed
 // that a fleet is formed, Never that this disk was empty when the platform said that others are not.
 type BootstrapReply struct {
-	Formation string  `msg:"f"`
-	From      string  `msg:"r"`
-	OK        bool    `msg:"ok"`
-	By        Replica `msg:"b"`
-	Formed    bool    `msg:"fo"`
-	Never     bool    `msg:"n"`
+	BootstrapID  string  `msg:"f"`
+	From         string  `msg:"r"`
+	OK           bool    `msg:"ok"`
+	Proposer     Replica `msg:"b"`
+	Bootstrapped bool    `msg:"fo"`
+	Forbidden    bool    `msg:"n"`
 }
--- a/runtime/wire/groups_gen.go
+++ b/runtime/wire/groups_gen.go
@@ -439,9 +439,9 @@
 				return
 			}
 		case "tb":
-			z.TakesBase, err = dc.ReadBool()
+			z.SupportsBase, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "TakesBase")
+				err = msgp.WrapError(err, "SupportsBase")
 				return
 			}
 		default:
@@ -465,7 +465,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.TakesBase == false {
+	if z.SupportsBase == false {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
@@ -581,9 +581,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.TakesBase)
+			err = en.WriteBool(z.SupportsBase)
 			if err != nil {
-				err = msgp.WrapError(err, "TakesBase")
+				err = msgp.WrapError(err, "SupportsBase")
 				return
 			}
 		}
@@ -602,7 +602,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.TakesBase == false {
+	if z.SupportsBase == false {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
@@ -646,7 +646,7 @@
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
 			// string "tb"
 			o = append(o, 0xa2, 0x74, 0x62)
-			o = msgp.AppendBool(o, z.TakesBase)
+			o = msgp.AppendBool(o, z.SupportsBase)
 		}
 	}
 	return
@@ -748,9 +748,9 @@
 				return
 			}
 		case "tb":
-			z.TakesBase, bts, err = msgp.ReadBoolBytes(bts)
+			z.SupportsBase, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "TakesBase")
+				err = msgp.WrapError(err, "SupportsBase")
 				return
 			}
 		default:
@@ -790,9 +790,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "f":
-			z.Formation, err = dc.ReadString()
+			z.BootstrapID, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Formation")
+				err = msgp.WrapError(err, "BootstrapID")
 				return
 			}
 		case "s":
@@ -850,48 +850,48 @@
 				}
 			}
 		case "g":
-			z.Go, err = dc.ReadBool()
+			z.Commit, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Go")
+				err = msgp.WrapError(err, "Commit")
 				return
 			}
 		case "b":
 			var zb0004 uint32
 			zb0004, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Proposer")
 				return
 			}
 			for zb0004 > 0 {
 				zb0004--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "By")
+					err = msgp.WrapError(err, "Proposer")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "i":
-					z.By.ID, err = dc.ReadString()
+					z.Proposer.ID, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "By", "ID")
+						err = msgp.WrapError(err, "Proposer", "ID")
 						return
 					}
 				case "z":
-					z.By.Zone, err = dc.ReadString()
+					z.Proposer.Zone, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "By", "Zone")
+						err = msgp.WrapError(err, "Proposer", "Zone")
 						return
 					}
 				case "a":
-					z.By.Addr, err = dc.ReadString()
+					z.Proposer.Addr, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "By", "Addr")
+						err = msgp.WrapError(err, "Proposer", "Addr")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "By")
+						err = msgp.WrapError(err, "Proposer")
 						return
 					}
 				}
@@ -921,9 +921,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Formation)
+	err = en.WriteString(z.BootstrapID)
 	if err != nil {
-		err = msgp.WrapError(err, "Formation")
+		err = msgp.WrapError(err, "BootstrapID")
 		return
 	}
 	// write "s"
@@ -974,9 +974,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Go)
+	err = en.WriteBool(z.Commit)
 	if err != nil {
-		err = msgp.WrapError(err, "Go")
+		err = msgp.WrapError(err, "Commit")
 		return
 	}
 	// write "b"
@@ -990,9 +990,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.By.ID)
+	err = en.WriteString(z.Proposer.ID)
 	if err != nil {
-		err = msgp.WrapError(err, "By", "ID")
+		err = msgp.WrapError(err, "Proposer", "ID")
 		return
 	}
 	// write "z"
@@ -1000,9 +1000,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.By.Zone)
+	err = en.WriteString(z.Proposer.Zone)
 	if err != nil {
-		err = msgp.WrapError(err, "By", "Zone")
+		err = msgp.WrapError(err, "Proposer", "Zone")
 		return
 	}
 	// write "a"
@@ -1010,9 +1010,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.By.Addr)
+	err = en.WriteString(z.Proposer.Addr)
 	if err != nil {
-		err = msgp.WrapError(err, "By", "Addr")
+		err = msgp.WrapError(err, "Proposer", "Addr")
 		return
 	}
 	// write "w"
@@ -1034,7 +1034,7 @@
 	// map header, size 5
 	// string "f"
 	o = append(o, 0x85, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.Formation)
+	o = msgp.AppendString(o, z.BootstrapID)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Voters)))
@@ -1052,19 +1052,19 @@
 	}
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendBool(o, z.Go)
+	o = msgp.AppendBool(o, z.Commit)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	// map header, size 3
 	// string "i"
 	o = append(o, 0x83, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.By.ID)
+	o = msgp.AppendString(o, z.Proposer.ID)
 	// string "z"
 	o = append(o, 0xa1, 0x7a)
-	o = msgp.AppendString(o, z.By.Zone)
+	o = msgp.AppendString(o, z.Proposer.Zone)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.By.Addr)
+	o = msgp.AppendString(o, z.Proposer.Addr)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
 	o = msgp.AppendBool(o, z.Withdrawn)
@@ -1090,9 +1090,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "f":
-			z.Formation, bts, err = msgp.ReadStringBytes(bts)
+			z.BootstrapID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Formation")
+				err = msgp.WrapError(err, "BootstrapID")
 				return
 			}
 		case "s":
@@ -1150,48 +1150,48 @@
 				}
 			}
 		case "g":
-			z.Go, bts, err = msgp.ReadBoolBytes(bts)
+			z.Commit, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Go")
+				err = msgp.WrapError(err, "Commit")
 				return
 			}
 		case "b":
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Proposer")
 				return
 			}
 			for zb0004 > 0 {
 				zb0004--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "By")
+					err = msgp.WrapError(err, "Proposer")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "i":
-					z.By.ID, bts, err = msgp.ReadStringBytes(bts)
+					z.Proposer.ID, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "By", "ID")
+						err = msgp.WrapError(err, "Proposer", "ID")
 						return
 					}
 				case "z":
-					z.By.Zone, bts, err = msgp.ReadStringBytes(bts)
+					z.Proposer.Zone, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "By", "Zone")
+						err = msgp.WrapError(err, "Proposer", "Zone")
 						return
 					}
 				case "a":
-					z.By.Addr, bts, err = msgp.ReadStringBytes(bts)
+					z.Proposer.Addr, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "By", "Addr")
+						err = msgp.WrapError(err, "Proposer", "Addr")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "By")
+						err = msgp.WrapError(err, "Proposer")
 						return
 					}
 				}
@@ -1216,11 +1216,11 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Bootstrap) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Formation) + 2 + msgp.ArrayHeaderSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.BootstrapID) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Voters {
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.Voters[za0001].ID) + 2 + msgp.StringPrefixSize + len(z.Voters[za0001].Zone) + 2 + msgp.StringPrefixSize + len(z.Voters[za0001].Addr)
 	}
-	s += 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.By.ID) + 2 + msgp.StringPrefixSize + len(z.By.Zone) + 2 + msgp.StringPrefixSize + len(z.By.Addr) + 2 + msgp.BoolSize
+	s += 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Proposer.ID) + 2 + msgp.StringPrefixSize + len(z.Proposer.Zone) + 2 + msgp.StringPrefixSize + len(z.Proposer.Addr) + 2 + msgp.BoolSize
 	return
 }
 
@@ -1243,9 +1243,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "f":
-			z.Formation, err = dc.ReadString()
+			z.BootstrapID, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Formation")
+				err = msgp.WrapError(err, "BootstrapID")
 				return
 			}
 		case "r":
@@ -1264,53 +1264,53 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Proposer")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "By")
+					err = msgp.WrapError(err, "Proposer")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "i":
-					z.By.ID, err = dc.ReadString()
+					z.Proposer.ID, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "By", "ID")
+						err = msgp.WrapError(err, "Proposer", "ID")
 						return
 					}
 				case "z":
-					z.By.Zone, err = dc.ReadString()
+					z.Proposer.Zone, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "By", "Zone")
+						err = msgp.WrapError(err, "Proposer", "Zone")
 						return
 					}
 				case "a":
-					z.By.Addr, err = dc.ReadString()
+					z.Proposer.Addr, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "By", "Addr")
+						err = msgp.WrapError(err, "Proposer", "Addr")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "By")
+						err = msgp.WrapError(err, "Proposer")
 						return
 					}
 				}
 			}
 		case "fo":
-			z.Formed, err = dc.ReadBool()
+			z.Bootstrapped, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Formed")
+				err = msgp.WrapError(err, "Bootstrapped")
 				return
 			}
 		case "n":
-			z.Never, err = dc.ReadBool()
+			z.Forbidden, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Never")
+				err = msgp.WrapError(err, "Forbidden")
 				return
 			}
 		default:
@@ -1332,9 +1332,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Formation)
+	err = en.WriteString(z.BootstrapID)
 	if err != nil {
-		err = msgp.WrapError(err, "Formation")
+		err = msgp.WrapError(err, "BootstrapID")
 		return
 	}
 	// write "r"
@@ -1368,9 +1368,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.By.ID)
+	err = en.WriteString(z.Proposer.ID)
 	if err != nil {
-		err = msgp.WrapError(err, "By", "ID")
+		err = msgp.WrapError(err, "Proposer", "ID")
 		return
 	}
 	// write "z"
@@ -1378,9 +1378,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.By.Zone)
+	err = en.WriteString(z.Proposer.Zone)
 	if err != nil {
-		err = msgp.WrapError(err, "By", "Zone")
+		err = msgp.WrapError(err, "Proposer", "Zone")
 		return
 	}
 	// write "a"
@@ -1388,9 +1388,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.By.Addr)
+	err = en.WriteString(z.Proposer.Addr)
 	if err != nil {
-		err = msgp.WrapError(err, "By", "Addr")
+		err = msgp.WrapError(err, "Proposer", "Addr")
 		return
 	}
 	// write "fo"
@@ -1398,9 +1398,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Formed)
+	err = en.WriteBool(z.Bootstrapped)
 	if err != nil {
-		err = msgp.WrapError(err, "Formed")
+		err = msgp.WrapError(err, "Bootstrapped")
 		return
 	}
 	// write "n"
@@ -1408,9 +1408,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Never)
+	err = en.WriteBool(z.Forbidden)
 	if err != nil {
-		err = msgp.WrapError(err, "Never")
+		err = msgp.WrapError(err, "Forbidden")
 		return
 	}
 	return
@@ -1422,7 +1422,7 @@
 	// map header, size 6
 	// string "f"
 	o = append(o, 0x86, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.Formation)
+	o = msgp.AppendString(o, z.BootstrapID)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendString(o, z.From)
@@ -1434,19 +1434,19 @@
 	// map header, size 3
 	// string "i"
 	o = append(o, 0x83, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.By.ID)
+	o = msgp.AppendString(o, z.Proposer.ID)
 	// string "z"
 	o = append(o, 0xa1, 0x7a)
-	o = msgp.AppendString(o, z.By.Zone)
+	o = msgp.AppendString(o, z.Proposer.Zone)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.By.Addr)
+	o = msgp.AppendString(o, z.Proposer.Addr)
 	// string "fo"
 	o = append(o, 0xa2, 0x66, 0x6f)
-	o = msgp.AppendBool(o, z.Formed)
+	o = msgp.AppendBool(o, z.Bootstrapped)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendBool(o, z.Never)
+	o = msgp.AppendBool(o, z.Forbidden)
 	return
 }
 
@@ -1469,9 +1469,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "f":
-			z.Formation, bts, err = msgp.ReadStringBytes(bts)
+			z.BootstrapID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Formation")
+				err = msgp.WrapError(err, "BootstrapID")
 				return
 			}
 		case "r":
@@ -1490,53 +1490,53 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Proposer")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "By")
+					err = msgp.WrapError(err, "Proposer")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "i":
-					z.By.ID, bts, err = msgp.ReadStringBytes(bts)
+					z.Proposer.ID, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "By", "ID")
+						err = msgp.WrapError(err, "Proposer", "ID")
 						return
 					}
 				case "z":
-					z.By.Zone, bts, err = msgp.ReadStringBytes(bts)
+					z.Proposer.Zone, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "By", "Zone")
+						err = msgp.WrapError(err, "Proposer", "Zone")
 						return
 					}
 				case "a":
-					z.By.Addr, bts, err = msgp.ReadStringBytes(bts)
+					z.Proposer.Addr, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "By", "Addr")
+						err = msgp.WrapError(err, "Proposer", "Addr")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "By")
+						err = msgp.WrapError(err, "Proposer")
 						return
 					}
 				}
 			}
 		case "fo":
-			z.Formed, bts, err = msgp.ReadBoolBytes(bts)
+			z.Bootstrapped, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Formed")
+				err = msgp.WrapError(err, "Bootstrapped")
 				return
 			}
 		case "n":
-			z.Never, bts, err = msgp.ReadBoolBytes(bts)
+			z.Forbidden, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Never")
+				err = msgp.WrapError(err, "Forbidden")
 				return
 			}
 		default:
@@ -1553,7 +1553,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *BootstrapReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Formation) + 2 + msgp.StringPrefixSize + len(z.From) + 3 + msgp.BoolSize + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.By.ID) + 2 + msgp.StringPrefixSize + len(z.By.Zone) + 2 + msgp.StringPrefixSize + len(z.By.Addr) + 3 + msgp.BoolSize + 2 + msgp.BoolSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.BootstrapID) + 2 + msgp.StringPrefixSize + len(z.From) + 3 + msgp.BoolSize + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Proposer.ID) + 2 + msgp.StringPrefixSize + len(z.Proposer.Zone) + 2 + msgp.StringPrefixSize + len(z.Proposer.Addr) + 3 + msgp.BoolSize + 2 + msgp.BoolSize
 	return
 }
 
@@ -2019,39 +2019,39 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Held")
+					err = msgp.WrapError(err, "Stored")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "p":
-					z.Held.Partition, err = dc.ReadInt()
+					z.Stored.Partition, err = dc.ReadInt()
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Partition")
+						err = msgp.WrapError(err, "Stored", "Partition")
 						return
 					}
 				case "t":
-					z.Held.Term, err = dc.ReadUint64()
+					z.Stored.Term, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Term")
+						err = msgp.WrapError(err, "Stored", "Term")
 						return
 					}
 				case "s":
-					z.Held.Seq, err = dc.ReadUint64()
+					z.Stored.Seq, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Seq")
+						err = msgp.WrapError(err, "Stored", "Seq")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Held")
+						err = msgp.WrapError(err, "Stored")
 						return
 					}
 				}
@@ -2180,9 +2180,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteInt(z.Held.Partition)
+		err = en.WriteInt(z.Stored.Partition)
 		if err != nil {
-			err = msgp.WrapError(err, "Held", "Partition")
+			err = msgp.WrapError(err, "Stored", "Partition")
 			return
 		}
 		// write "t"
@@ -2190,9 +2190,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Held.Term)
+		err = en.WriteUint64(z.Stored.Term)
 		if err != nil {
-			err = msgp.WrapError(err, "Held", "Term")
+			err = msgp.WrapError(err, "Stored", "Term")
 			return
 		}
 		// write "s"
@@ -2200,9 +2200,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Held.Seq)
+		err = en.WriteUint64(z.Stored.Seq)
 		if err != nil {
-			err = msgp.WrapError(err, "Held", "Seq")
+			err = msgp.WrapError(err, "Stored", "Seq")
 			return
 		}
 		// write "ok"
@@ -2316,13 +2316,13 @@
 		// map header, size 3
 		// string "p"
 		o = append(o, 0x83, 0xa1, 0x70)
-		o = msgp.AppendInt(o, z.Held.Partition)
+		o = msgp.AppendInt(o, z.Stored.Partition)
 		// string "t"
 		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendUint64(o, z.Held.Term)
+		o = msgp.AppendUint64(o, z.Stored.Term)
 		// string "s"
 		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendUint64(o, z.Held.Seq)
+		o = msgp.AppendUint64(o, z.Stored.Seq)
 		// string "ok"
 		o = append(o, 0xa2, 0x6f, 0x6b)
 		o = msgp.AppendBool(o, z.OK)
@@ -2397,39 +2397,39 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Held")
+					err = msgp.WrapError(err, "Stored")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "p":
-					z.Held.Partition, bts, err = msgp.ReadIntBytes(bts)
+					z.Stored.Partition, bts, err = msgp.ReadIntBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Partition")
+						err = msgp.WrapError(err, "Stored", "Partition")
 						return
 					}
 				case "t":
-					z.Held.Term, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Stored.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Term")
+						err = msgp.WrapError(err, "Stored", "Term")
 						return
 					}
 				case "s":
-					z.Held.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Stored.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Seq")
+						err = msgp.WrapError(err, "Stored", "Seq")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Held")
+						err = msgp.WrapError(err, "Stored")
 						return
 					}
 				}
@@ -3121,9 +3121,9 @@
 				return
 			}
 		case "l":
-			z.Ledger, err = dc.ReadBytes(z.Ledger)
+			z.EditLog, err = dc.ReadBytes(z.EditLog)
 			if err != nil {
-				err = msgp.WrapError(err, "Ledger")
+				err = msgp.WrapError(err, "EditLog")
 				return
 			}
 		default:
@@ -3143,7 +3143,7 @@
 	zb0001Len := uint32(5)
 	var zb0001Mask uint8 /* 5 bits */
 	_ = zb0001Mask
-	if z.Ledger == nil {
+	if z.EditLog == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -3293,9 +3293,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBytes(z.Ledger)
+			err = en.WriteBytes(z.EditLog)
 			if err != nil {
-				err = msgp.WrapError(err, "Ledger")
+				err = msgp.WrapError(err, "EditLog")
 				return
 			}
 		}
@@ -3310,7 +3310,7 @@
 	zb0001Len := uint32(5)
 	var zb0001Mask uint8 /* 5 bits */
 	_ = zb0001Mask
-	if z.Ledger == nil {
+	if z.EditLog == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -3367,7 +3367,7 @@
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "l"
 			o = append(o, 0xa1, 0x6c)
-			o = msgp.AppendBytes(o, z.Ledger)
+			o = msgp.AppendBytes(o, z.EditLog)
 		}
 	}
 	return
@@ -3547,9 +3547,9 @@
 				return
 			}
 		case "l":
-			z.Ledger, bts, err = msgp.ReadBytesBytes(bts, z.Ledger)
+			z.EditLog, bts, err = msgp.ReadBytesBytes(bts, z.EditLog)
 			if err != nil {
-				err = msgp.WrapError(err, "Ledger")
+				err = msgp.WrapError(err, "EditLog")
 				return
 			}
 		default:
@@ -3574,7 +3574,7 @@
 	for za0002 := range z.PreviousVoters {
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.PreviousVoters[za0002].ID) + 2 + msgp.StringPrefixSize + len(z.PreviousVoters[za0002].Zone) + 2 + msgp.StringPrefixSize + len(z.PreviousVoters[za0002].Addr)
 	}
-	s += 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BytesPrefixSize + len(z.Ledger)
+	s += 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BytesPrefixSize + len(z.EditLog)
 	return
 }
 
@@ -3627,48 +3627,48 @@
 				return
 			}
 		case "n":
-			z.Named, err = dc.ReadBool()
+			z.Designated, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Named")
+				err = msgp.WrapError(err, "Designated")
 				return
 			}
 		case "h":
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Held")
+					err = msgp.WrapError(err, "Stored")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "p":
-					z.Held.Partition, err = dc.ReadInt()
+					z.Stored.Partition, err = dc.ReadInt()
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Partition")
+						err = msgp.WrapError(err, "Stored", "Partition")
 						return
 					}
 				case "t":
-					z.Held.Term, err = dc.ReadUint64()
+					z.Stored.Term, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Term")
+						err = msgp.WrapError(err, "Stored", "Term")
 						return
 					}
 				case "s":
-					z.Held.Seq, err = dc.ReadUint64()
+					z.Stored.Seq, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Seq")
+						err = msgp.WrapError(err, "Stored", "Seq")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Held")
+						err = msgp.WrapError(err, "Stored")
 						return
 					}
 				}
@@ -3742,9 +3742,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Named)
+	err = en.WriteBool(z.Designated)
 	if err != nil {
-		err = msgp.WrapError(err, "Named")
+		err = msgp.WrapError(err, "Designated")
 		return
 	}
 	// write "h"
@@ -3758,9 +3758,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.Held.Partition)
+	err = en.WriteInt(z.Stored.Partition)
 	if err != nil {
-		err = msgp.WrapError(err, "Held", "Partition")
+		err = msgp.WrapError(err, "Stored", "Partition")
 		return
 	}
 	// write "t"
@@ -3768,9 +3768,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Held.Term)
+	err = en.WriteUint64(z.Stored.Term)
 	if err != nil {
-		err = msgp.WrapError(err, "Held", "Term")
+		err = msgp.WrapError(err, "Stored", "Term")
 		return
 	}
 	// write "s"
@@ -3778,9 +3778,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Held.Seq)
+	err = en.WriteUint64(z.Stored.Seq)
 	if err != nil {
-		err = msgp.WrapError(err, "Held", "Seq")
+		err = msgp.WrapError(err, "Stored", "Seq")
 		return
 	}
 	return
@@ -3807,19 +3807,19 @@
 	o = msgp.AppendBool(o, z.Pre)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendBool(o, z.Named)
+	o = msgp.AppendBool(o, z.Designated)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
 	// map header, size 3
 	// string "p"
 	o = append(o, 0x83, 0xa1, 0x70)
-	o = msgp.AppendInt(o, z.Held.Partition)
+	o = msgp.AppendInt(o, z.Stored.Partition)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Held.Term)
+	o = msgp.AppendUint64(o, z.Stored.Term)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Held.Seq)
+	o = msgp.AppendUint64(o, z.Stored.Seq)
 	return
 }
 
@@ -3872,48 +3872,48 @@
 				return
 			}
 		case "n":
-			z.Named, bts, err = msgp.ReadBoolBytes(bts)
+			z.Designated, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Named")
+				err = msgp.WrapError(err, "Designated")
 				return
 			}
 		case "h":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Held")
+					err = msgp.WrapError(err, "Stored")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "p":
-					z.Held.Partition, bts, err = msgp.ReadIntBytes(bts)
+					z.Stored.Partition, bts, err = msgp.ReadIntBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Partition")
+						err = msgp.WrapError(err, "Stored", "Partition")
 						return
 					}
 				case "t":
-					z.Held.Term, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Stored.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Term")
+						err = msgp.WrapError(err, "Stored", "Term")
 						return
 					}
 				case "s":
-					z.Held.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Stored.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Held", "Seq")
+						err = msgp.WrapError(err, "Stored", "Seq")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Held")
+						err = msgp.WrapError(err, "Stored")
 						return
 					}
 				}
@@ -3985,15 +3985,15 @@
 				return
 			}
 		case "h":
-			err = z.Held.DecodeMsg(dc)
+			err = z.Stored.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 		case "tb":
-			z.TakesBase, err = dc.ReadBool()
+			z.SupportsBase, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "TakesBase")
+				err = msgp.WrapError(err, "SupportsBase")
 				return
 			}
 		default:
@@ -4013,7 +4013,7 @@
 	zb0001Len := uint32(7)
 	var zb0001Mask uint8 /* 7 bits */
 	_ = zb0001Mask
-	if z.TakesBase == false {
+	if z.SupportsBase == false {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
@@ -4080,9 +4080,9 @@
 		if err != nil {
 			return
 		}
-		err = z.Held.EncodeMsg(en)
+		err = z.Stored.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Held")
+			err = msgp.WrapError(err, "Stored")
 			return
 		}
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
@@ -4091,9 +4091,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.TakesBase)
+			err = en.WriteBool(z.SupportsBase)
 			if err != nil {
-				err = msgp.WrapError(err, "TakesBase")
+				err = msgp.WrapError(err, "SupportsBase")
 				return
 			}
 		}
@@ -4108,7 +4108,7 @@
 	zb0001Len := uint32(7)
 	var zb0001Mask uint8 /* 7 bits */
 	_ = zb0001Mask
-	if z.TakesBase == false {
+	if z.SupportsBase == false {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
@@ -4134,15 +4134,15 @@
 		o = msgp.AppendBool(o, z.Granted)
 		// string "h"
 		o = append(o, 0xa1, 0x68)
-		o, err = z.Held.MarshalMsg(o)
+		o, err = z.Stored.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Held")
+			err = msgp.WrapError(err, "Stored")
 			return
 		}
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "tb"
 			o = append(o, 0xa2, 0x74, 0x62)
-			o = msgp.AppendBool(o, z.TakesBase)
+			o = msgp.AppendBool(o, z.SupportsBase)
 		}
 	}
 	return
@@ -4197,15 +4197,15 @@
 				return
 			}
 		case "h":
-			bts, err = z.Held.UnmarshalMsg(bts)
+			bts, err = z.Stored.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 		case "tb":
-			z.TakesBase, bts, err = msgp.ReadBoolBytes(bts)
+			z.SupportsBase, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "TakesBase")
+				err = msgp.WrapError(err, "SupportsBase")
 				return
 			}
 		default:
@@ -4222,6 +4222,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *VoteReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + z.Held.Msgsize() + 3 + msgp.BoolSize
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + z.Stored.Msgsize() + 3 + msgp.BoolSize
 	return
 }
--- a/runtime/wire/messages.go
+++ b/runtime/wire/messages.go
@@ -21,14 +21,14 @@
 	KindEditReply
 	KindLeaseRequest
 	KindLeaseReply
-	KindClaim
-	KindClaimReply
-	KindSettle
+	KindAdmitRequest
+	KindAdmitReply
+	KindOutcome
 	KindRebuild
 	KindRebuildReply
-	KindHandOver
-	KindHanded
-	KindSeen
+	KindRecordsRequest
+	KindRecordsReply
+	KindSeenRequest
 	KindSeenReply
 	KindNotice
 	KindLeave
@@ -46,12 +46,12 @@
 	Proof []byte `msg:"p"`
 }
 
-// Mark sums up what a process holds of one origin's entries.
-type Mark struct {
-	Origin string `msg:"o"`
-	Max    uint64 `msg:"m"`
-	Sum    uint64 `msg:"s"`
-	Beat   uint64 `msg:"b,omitempty"`
+// OriginSummary sums up what a process holds of one origin's entries.
+type OriginSummary struct {
+	Origin    string `msg:"o"`
+	Max       uint64 `msg:"m"`
+	Sum       uint64 `msg:"s"`
+	Heartbeat uint64 `msg:"b,omitempty"`
 	// Key and Sig prove that the origin itself came to this beat.
 	Key []byte `msg:"k,omitempty"`
 	Sig []byte `msg:"g,omitempty"`
@@ -59,9 +59,9 @@
 
 // Heartbeat keeps a channel alive, exchanges addresses and lets each side see what the other lacks.
 type Heartbeat struct {
-	Addrs      []string  `msg:"a,omitempty"`
-	Marks      []Mark    `msg:"m,omitempty"`
-	Partitions []Version `msg:"p,omitempty"`
+	Addrs      []string        `msg:"a,omitempty"`
+	Summaries  []OriginSummary `msg:"m,omitempty"`
+	Partitions []Version       `msg:"p,omitempty"`
 	// Echo asks for what the sender lacks and then for the other side's marks, at once.
 	Echo bool `msg:"e,omitempty"`
 	// Digest sums up all that the sender holds. Without one the sender is of a release before,
@@ -78,8 +78,8 @@
 type Links struct {
 	// Peers are the fingerprints of those heard of late, eight bytes each.
 	Peers []byte `msg:"p"`
-	// Lost are those that fell silent.
-	Lost []Suspect `msg:"l,omitempty"`
+	// Suspects are those that fell silent.
+	Suspects []Suspect `msg:"l,omitempty"`
 }
 
 // Suspect is a member that fell silent, and the highest count known of its entries; an entry
@@ -102,14 +102,14 @@
 
 // Entry is one signed announcement.
 type Entry struct {
-	Type    string  `msg:"ty"`
-	ID      string  `msg:"id"`
-	Origin  []byte  `msg:"o"`
-	Count   uint64  `msg:"c"`
-	At      int64   `msg:"at"`
-	Version Version `msg:"st"`
-	Gone    bool    `msg:"g"`
-	Body    []byte  `msg:"b"`
-	Sig     []byte  `msg:"sg"`
-	Hops    uint8   `msg:"h"`
+	Type      string  `msg:"ty"`
+	ID        string  `msg:"id"`
+	Origin    []byte  `msg:"o"`
+	Count     uint64  `msg:"c"`
+	At        int64   `msg:"at"`
+	Version   Version `msg:"st"`
+	Tombstone bool    `msg:"g"`
+	Body      []byte  `msg:"b"`
+	Sig       []byte  `msg:"sg"`
+	Hops      uint8   `msg:"h"`
 }
--- a/runtime/wire/messages_gen.go
+++ b/runtime/wire/messages_gen.go
@@ -61,9 +61,9 @@
 				return
 			}
 		case "g":
-			z.Gone, err = dc.ReadBool()
+			z.Tombstone, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Gone")
+				err = msgp.WrapError(err, "Tombstone")
 				return
 			}
 		case "b":
@@ -163,9 +163,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Gone)
+	err = en.WriteBool(z.Tombstone)
 	if err != nil {
-		err = msgp.WrapError(err, "Gone")
+		err = msgp.WrapError(err, "Tombstone")
 		return
 	}
 	// write "b"
@@ -229,7 +229,7 @@
 	}
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendBool(o, z.Gone)
+	o = msgp.AppendBool(o, z.Tombstone)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	o = msgp.AppendBytes(o, z.Body)
@@ -297,9 +297,9 @@
 				return
 			}
 		case "g":
-			z.Gone, bts, err = msgp.ReadBoolBytes(bts)
+			z.Tombstone, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Gone")
+				err = msgp.WrapError(err, "Tombstone")
 				return
 			}
 		case "b":
@@ -379,18 +379,18 @@
 			var zb0003 uint32
 			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Marks")
+				err = msgp.WrapError(err, "Summaries")
 				return
 			}
-			if cap(z.Marks) >= int(zb0003) {
-				z.Marks = (z.Marks)[:zb0003]
+			if cap(z.Summaries) >= int(zb0003) {
+				z.Summaries = (z.Summaries)[:zb0003]
 			} else {
-				z.Marks = make([]Mark, zb0003)
+				z.Summaries = make([]OriginSummary, zb0003)
 			}
-			for za0002 := range z.Marks {
-				err = z.Marks[za0002].DecodeMsg(dc)
+			for za0002 := range z.Summaries {
+				err = z.Summaries[za0002].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Marks", za0002)
+					err = msgp.WrapError(err, "Summaries", za0002)
 					return
 				}
 			}
@@ -471,7 +471,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x1
 	}
-	if z.Marks == nil {
+	if z.Summaries == nil {
 		zb0001Len--
 		zb0001Mask |= 0x2
 	}
@@ -528,15 +528,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Marks)))
+			err = en.WriteArrayHeader(uint32(len(z.Summaries)))
 			if err != nil {
-				err = msgp.WrapError(err, "Marks")
+				err = msgp.WrapError(err, "Summaries")
 				return
 			}
-			for za0002 := range z.Marks {
-				err = z.Marks[za0002].EncodeMsg(en)
+			for za0002 := range z.Summaries {
+				err = z.Summaries[za0002].EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Marks", za0002)
+					err = msgp.WrapError(err, "Summaries", za0002)
 					return
 				}
 			}
@@ -630,7 +630,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x1
 	}
-	if z.Marks == nil {
+	if z.Summaries == nil {
 		zb0001Len--
 		zb0001Mask |= 0x2
 	}
@@ -670,11 +670,11 @@
 		if (zb0001Mask & 0x2) == 0 { // if not omitted
 			// string "m"
 			o = append(o, 0xa1, 0x6d)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Marks)))
-			for za0002 := range z.Marks {
-				o, err = z.Marks[za0002].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Summaries)))
+			for za0002 := range z.Summaries {
+				o, err = z.Summaries[za0002].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Marks", za0002)
+					err = msgp.WrapError(err, "Summaries", za0002)
 					return
 				}
 			}
@@ -759,18 +759,18 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Marks")
+				err = msgp.WrapError(err, "Summaries")
 				return
 			}
-			if cap(z.Marks) >= int(zb0003) {
-				z.Marks = (z.Marks)[:zb0003]
+			if cap(z.Summaries) >= int(zb0003) {
+				z.Summaries = (z.Summaries)[:zb0003]
 			} else {
-				z.Marks = make([]Mark, zb0003)
+				z.Summaries = make([]OriginSummary, zb0003)
 			}
-			for za0002 := range z.Marks {
-				bts, err = z.Marks[za0002].UnmarshalMsg(bts)
+			for za0002 := range z.Summaries {
+				bts, err = z.Summaries[za0002].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Marks", za0002)
+					err = msgp.WrapError(err, "Summaries", za0002)
 					return
 				}
 			}
@@ -849,8 +849,8 @@
 		s += msgp.StringPrefixSize + len(z.Addrs[za0001])
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Marks {
-		s += z.Marks[za0002].Msgsize()
+	for za0002 := range z.Summaries {
+		s += z.Summaries[za0002].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0003 := range z.Partitions {
@@ -1099,45 +1099,45 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Lost")
+				err = msgp.WrapError(err, "Suspects")
 				return
 			}
-			if cap(z.Lost) >= int(zb0002) {
-				z.Lost = (z.Lost)[:zb0002]
+			if cap(z.Suspects) >= int(zb0002) {
+				z.Suspects = (z.Suspects)[:zb0002]
 			} else {
-				z.Lost = make([]Suspect, zb0002)
+				z.Suspects = make([]Suspect, zb0002)
 			}
-			for za0001 := range z.Lost {
+			for za0001 := range z.Suspects {
 				var zb0003 uint32
 				zb0003, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Lost", za0001)
+					err = msgp.WrapError(err, "Suspects", za0001)
 					return
 				}
 				for zb0003 > 0 {
 					zb0003--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Lost", za0001)
+						err = msgp.WrapError(err, "Suspects", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "o":
-						z.Lost[za0001].Origin, err = dc.ReadString()
+						z.Suspects[za0001].Origin, err = dc.ReadString()
 						if err != nil {
-							err = msgp.WrapError(err, "Lost", za0001, "Origin")
+							err = msgp.WrapError(err, "Suspects", za0001, "Origin")
 							return
 						}
 					case "c":
-						z.Lost[za0001].Count, err = dc.ReadUint64()
+						z.Suspects[za0001].Count, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "Lost", za0001, "Count")
+							err = msgp.WrapError(err, "Suspects", za0001, "Count")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Lost", za0001)
+							err = msgp.WrapError(err, "Suspects", za0001)
 							return
 						}
 					}
@@ -1160,7 +1160,7 @@
 	zb0001Len := uint32(2)
 	var zb0001Mask uint8 /* 2 bits */
 	_ = zb0001Mask
-	if z.Lost == nil {
+	if z.Suspects == nil {
 		zb0001Len--
 		zb0001Mask |= 0x2
 	}
@@ -1188,21 +1188,21 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Lost)))
+			err = en.WriteArrayHeader(uint32(len(z.Suspects)))
 			if err != nil {
-				err = msgp.WrapError(err, "Lost")
+				err = msgp.WrapError(err, "Suspects")
 				return
 			}
-			for za0001 := range z.Lost {
+			for za0001 := range z.Suspects {
 				// map header, size 2
 				// write "o"
 				err = en.Append(0x82, 0xa1, 0x6f)
 				if err != nil {
 					return
 				}
-				err = en.WriteString(z.Lost[za0001].Origin)
+				err = en.WriteString(z.Suspects[za0001].Origin)
 				if err != nil {
-					err = msgp.WrapError(err, "Lost", za0001, "Origin")
+					err = msgp.WrapError(err, "Suspects", za0001, "Origin")
 					return
 				}
 				// write "c"
@@ -1210,9 +1210,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.Lost[za0001].Count)
+				err = en.WriteUint64(z.Suspects[za0001].Count)
 				if err != nil {
-					err = msgp.WrapError(err, "Lost", za0001, "Count")
+					err = msgp.WrapError(err, "Suspects", za0001, "Count")
 					return
 				}
 			}
@@ -1228,7 +1228,7 @@
 	zb0001Len := uint32(2)
 	var zb0001Mask uint8 /* 2 bits */
 	_ = zb0001Mask
-	if z.Lost == nil {
+	if z.Suspects == nil {
 		zb0001Len--
 		zb0001Mask |= 0x2
 	}
@@ -1243,15 +1243,15 @@
 		if (zb0001Mask & 0x2) == 0 { // if not omitted
 			// string "l"
 			o = append(o, 0xa1, 0x6c)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Lost)))
-			for za0001 := range z.Lost {
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Suspects)))
+			for za0001 := range z.Suspects {
 				// map header, size 2
 				// string "o"
 				o = append(o, 0x82, 0xa1, 0x6f)
-				o = msgp.AppendString(o, z.Lost[za0001].Origin)
+				o = msgp.AppendString(o, z.Suspects[za0001].Origin)
 				// string "c"
 				o = append(o, 0xa1, 0x63)
-				o = msgp.AppendUint64(o, z.Lost[za0001].Count)
+				o = msgp.AppendUint64(o, z.Suspects[za0001].Count)
 			}
 		}
 	}
@@ -1286,45 +1286,45 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Lost")
+				err = msgp.WrapError(err, "Suspects")
 				return
 			}
-			if cap(z.Lost) >= int(zb0002) {
-				z.Lost = (z.Lost)[:zb0002]
+			if cap(z.Suspects) >= int(zb0002) {
+				z.Suspects = (z.Suspects)[:zb0002]
 			} else {
-				z.Lost = make([]Suspect, zb0002)
+				z.Suspects = make([]Suspect, zb0002)
 			}
-			for za0001 := range z.Lost {
+			for za0001 := range z.Suspects {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Lost", za0001)
+					err = msgp.WrapError(err, "Suspects", za0001)
 					return
 				}
 				for zb0003 > 0 {
 					zb0003--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Lost", za0001)
+						err = msgp.WrapError(err, "Suspects", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "o":
-						z.Lost[za0001].Origin, bts, err = msgp.ReadStringBytes(bts)
+						z.Suspects[za0001].Origin, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Lost", za0001, "Origin")
+							err = msgp.WrapError(err, "Suspects", za0001, "Origin")
 							return
 						}
 					case "c":
-						z.Lost[za0001].Count, bts, err = msgp.ReadUint64Bytes(bts)
+						z.Suspects[za0001].Count, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Lost", za0001, "Count")
+							err = msgp.WrapError(err, "Suspects", za0001, "Count")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Lost", za0001)
+							err = msgp.WrapError(err, "Suspects", za0001)
 							return
 						}
 					}
@@ -1345,14 +1345,14 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Links) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Peers) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Lost {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Lost[za0001].Origin) + 2 + msgp.Uint64Size
+	for za0001 := range z.Suspects {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Suspects[za0001].Origin) + 2 + msgp.Uint64Size
 	}
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Mark) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Notice) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1369,40 +1369,46 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "o":
-			z.Origin, err = dc.ReadString()
+		case "ty":
+			z.Type, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Origin")
+				err = msgp.WrapError(err, "Type")
 				return
 			}
-		case "m":
-			z.Max, err = dc.ReadUint64()
+		case "id":
+			z.ID, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Max")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "s":
-			z.Sum, err = dc.ReadUint64()
+		case "o":
+			z.Origin, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "Origin")
 				return
 			}
-		case "b":
-			z.Beat, err = dc.ReadUint64()
+		case "c":
+			z.Count, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Beat")
+				err = msgp.WrapError(err, "Count")
 				return
 			}
-		case "k":
-			z.Key, err = dc.ReadBytes(z.Key)
+		case "st":
+			err = z.Version.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-		case "g":
-			z.Sig, err = dc.ReadBytes(z.Sig)
+		case "h":
+			z.Hops, err = dc.ReadUint8()
 			if err != nil {
-				err = msgp.WrapError(err, "Sig")
+				err = msgp.WrapError(err, "Hops")
+				return
+			}
+		case "w":
+			z.Want, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Want")
 				return
 			}
 		default:
@@ -1417,22 +1423,14 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Mark) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *Notice) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
-	zb0001Len := uint32(6)
-	var zb0001Mask uint8 /* 6 bits */
+	zb0001Len := uint32(7)
+	var zb0001Mask uint8 /* 7 bits */
 	_ = zb0001Mask
-	if z.Beat == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	if z.Key == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Sig == nil {
+	if z.Want == false {
 		zb0001Len--
-		zb0001Mask |= 0x20
+		zb0001Mask |= 0x40
 	}
 	// variable map header, size zb0001Len
 	err = en.Append(0x80 | uint8(zb0001Len))
@@ -1442,6 +1440,26 @@
 
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
+		// write "ty"
+		err = en.Append(0xa2, 0x74, 0x79)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Type)
+		if err != nil {
+			err = msgp.WrapError(err, "Type")
+			return
+		}
+		// write "id"
+		err = en.Append(0xa2, 0x69, 0x64)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.ID)
+		if err != nil {
+			err = msgp.WrapError(err, "ID")
+			return
+		}
 		// write "o"
 		err = en.Append(0xa1, 0x6f)
 		if err != nil {
@@ -1452,59 +1470,45 @@
 			err = msgp.WrapError(err, "Origin")
 			return
 		}
-		// write "m"
-		err = en.Append(0xa1, 0x6d)
+		// write "c"
+		err = en.Append(0xa1, 0x63)
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Max)
+		err = en.WriteUint64(z.Count)
 		if err != nil {
-			err = msgp.WrapError(err, "Max")
+			err = msgp.WrapError(err, "Count")
 			return
 		}
-		// write "s"
-		err = en.Append(0xa1, 0x73)
+		// write "st"
+		err = en.Append(0xa2, 0x73, 0x74)
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Sum)
+		err = z.Version.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Sum")
+			err = msgp.WrapError(err, "Version")
 			return
 		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// write "b"
-			err = en.Append(0xa1, 0x62)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.Beat)
-			if err != nil {
-				err = msgp.WrapError(err, "Beat")
-				return
-			}
+		// write "h"
+		err = en.Append(0xa1, 0x68)
+		if err != nil {
+			return
 		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// write "k"
-			err = en.Append(0xa1, 0x6b)
-			if err != nil {
-				return
-			}
-			err = en.WriteBytes(z.Key)
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
+		err = en.WriteUint8(z.Hops)
+		if err != nil {
+			err = msgp.WrapError(err, "Hops")
+			return
 		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// write "g"
-			err = en.Append(0xa1, 0x67)
+		if (zb0001Mask & 0x40) == 0 { // if not omitted
+			// write "w"
+			err = en.Append(0xa1, 0x77)
 			if err != nil {
 				return
 			}
-			err = en.WriteBytes(z.Sig)
+			err = en.WriteBool(z.Want)
 			if err != nil {
-				err = msgp.WrapError(err, "Sig")
+				err = msgp.WrapError(err, "Want")
 				return
 			}
 		}
@@ -1513,59 +1517,54 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Mark) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Notice) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
-	zb0001Len := uint32(6)
-	var zb0001Mask uint8 /* 6 bits */
+	zb0001Len := uint32(7)
+	var zb0001Mask uint8 /* 7 bits */
 	_ = zb0001Mask
-	if z.Beat == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	if z.Key == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Sig == nil {
+	if z.Want == false {
 		zb0001Len--
-		zb0001Mask |= 0x20
+		zb0001Mask |= 0x40
 	}
 	// variable map header, size zb0001Len
 	o = append(o, 0x80|uint8(zb0001Len))
 
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
+		// string "ty"
+		o = append(o, 0xa2, 0x74, 0x79)
+		o = msgp.AppendString(o, z.Type)
+		// string "id"
+		o = append(o, 0xa2, 0x69, 0x64)
+		o = msgp.AppendString(o, z.ID)
 		// string "o"
 		o = append(o, 0xa1, 0x6f)
 		o = msgp.AppendString(o, z.Origin)
-		// string "m"
-		o = append(o, 0xa1, 0x6d)
-		o = msgp.AppendUint64(o, z.Max)
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendUint64(o, z.Sum)
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// string "b"
-			o = append(o, 0xa1, 0x62)
-			o = msgp.AppendUint64(o, z.Beat)
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// string "k"
-			o = append(o, 0xa1, 0x6b)
-			o = msgp.AppendBytes(o, z.Key)
+		// string "c"
+		o = append(o, 0xa1, 0x63)
+		o = msgp.AppendUint64(o, z.Count)
+		// string "st"
+		o = append(o, 0xa2, 0x73, 0x74)
+		o, err = z.Version.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Version")
+			return
 		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// string "g"
-			o = append(o, 0xa1, 0x67)
-			o = msgp.AppendBytes(o, z.Sig)
+		// string "h"
+		o = append(o, 0xa1, 0x68)
+		o = msgp.AppendUint8(o, z.Hops)
+		if (zb0001Mask & 0x40) == 0 { // if not omitted
+			// string "w"
+			o = append(o, 0xa1, 0x77)
+			o = msgp.AppendBool(o, z.Want)
 		}
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Mark) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Notice) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1582,40 +1581,46 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "o":
-			z.Origin, bts, err = msgp.ReadStringBytes(bts)
+		case "ty":
+			z.Type, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Origin")
+				err = msgp.WrapError(err, "Type")
 				return
 			}
-		case "m":
-			z.Max, bts, err = msgp.ReadUint64Bytes(bts)
+		case "id":
+			z.ID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Max")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "s":
-			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
+		case "o":
+			z.Origin, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "Origin")
 				return
 			}
-		case "b":
-			z.Beat, bts, err = msgp.ReadUint64Bytes(bts)
+		case "c":
+			z.Count, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Beat")
+				err = msgp.WrapError(err, "Count")
 				return
 			}
-		case "k":
-			z.Key, bts, err = msgp.ReadBytesBytes(bts, z.Key)
+		case "st":
+			bts, err = z.Version.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-		case "g":
-			z.Sig, bts, err = msgp.ReadBytesBytes(bts, z.Sig)
+		case "h":
+			z.Hops, bts, err = msgp.ReadUint8Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sig")
+				err = msgp.WrapError(err, "Hops")
+				return
+			}
+		case "w":
+			z.Want, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Want")
 				return
 			}
 		default:
@@ -1631,13 +1636,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Mark) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Origin) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Key) + 2 + msgp.BytesPrefixSize + len(z.Sig)
+func (z *Notice) Msgsize() (s int) {
+	s = 1 + 3 + msgp.StringPrefixSize + len(z.Type) + 3 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Origin) + 2 + msgp.Uint64Size + 3 + z.Version.Msgsize() + 2 + msgp.Uint8Size + 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Notice) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *OriginSummary) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1654,46 +1659,40 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "ty":
-			z.Type, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Type")
-				return
-			}
-		case "id":
-			z.ID, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
-			}
 		case "o":
 			z.Origin, err = dc.ReadString()
 			if err != nil {
 				err = msgp.WrapError(err, "Origin")
 				return
 			}
-		case "c":
-			z.Count, err = dc.ReadUint64()
+		case "m":
+			z.Max, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Count")
+				err = msgp.WrapError(err, "Max")
 				return
 			}
-		case "st":
-			err = z.Version.DecodeMsg(dc)
+		case "s":
+			z.Sum, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "h":
-			z.Hops, err = dc.ReadUint8()
+		case "b":
+			z.Heartbeat, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Hops")
+				err = msgp.WrapError(err, "Heartbeat")
 				return
 			}
-		case "w":
-			z.Want, err = dc.ReadBool()
+		case "k":
+			z.Key, err = dc.ReadBytes(z.Key)
 			if err != nil {
-				err = msgp.WrapError(err, "Want")
+				err = msgp.WrapError(err, "Key")
+				return
+			}
+		case "g":
+			z.Sig, err = dc.ReadBytes(z.Sig)
+			if err != nil {
+				err = msgp.WrapError(err, "Sig")
 				return
 			}
 		default:
@@ -1708,14 +1707,22 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Notice) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *OriginSummary) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
-	zb0001Len := uint32(7)
-	var zb0001Mask uint8 /* 7 bits */
+	zb0001Len := uint32(6)
+	var zb0001Mask uint8 /* 6 bits */
 	_ = zb0001Mask
-	if z.Want == false {
+	if z.Heartbeat == 0 {
 		zb0001Len--
-		zb0001Mask |= 0x40
+		zb0001Mask |= 0x8
+	}
+	if z.Key == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
+	}
+	if z.Sig == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20
 	}
 	// variable map header, size zb0001Len
 	err = en.Append(0x80 | uint8(zb0001Len))
@@ -1725,26 +1732,6 @@
 
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
-		// write "ty"
-		err = en.Append(0xa2, 0x74, 0x79)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Type)
-		if err != nil {
-			err = msgp.WrapError(err, "Type")
-			return
-		}
-		// write "id"
-		err = en.Append(0xa2, 0x69, 0x64)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.ID)
-		if err != nil {
-			err = msgp.WrapError(err, "ID")
-			return
-		}
 		// write "o"
 		err = en.Append(0xa1, 0x6f)
 		if err != nil {
@@ -1755,45 +1742,59 @@
 			err = msgp.WrapError(err, "Origin")
 			return
 		}
-		// write "c"
-		err = en.Append(0xa1, 0x63)
+		// write "m"
+		err = en.Append(0xa1, 0x6d)
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Count)
+		err = en.WriteUint64(z.Max)
 		if err != nil {
-			err = msgp.WrapError(err, "Count")
+			err = msgp.WrapError(err, "Max")
 			return
 		}
-		// write "st"
-		err = en.Append(0xa2, 0x73, 0x74)
+		// write "s"
+		err = en.Append(0xa1, 0x73)
 		if err != nil {
 			return
 		}
-		err = z.Version.EncodeMsg(en)
+		err = en.WriteUint64(z.Sum)
 		if err != nil {
-			err = msgp.WrapError(err, "Version")
+			err = msgp.WrapError(err, "Sum")
 			return
 		}
-		// write "h"
-		err = en.Append(0xa1, 0x68)
-		if err != nil {
-			return
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// write "b"
+			err = en.Append(0xa1, 0x62)
+			if err != nil {
+				return
+			}
+			err = en.WriteUint64(z.Heartbeat)
+			if err != nil {
+				err = msgp.WrapError(err, "Heartbeat")
+				return
+			}
 		}
-		err = en.WriteUint8(z.Hops)
-		if err != nil {
-			err = msgp.WrapError(err, "Hops")
-			return
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// write "k"
+			err = en.Append(0xa1, 0x6b)
+			if err != nil {
+				return
+			}
+			err = en.WriteBytes(z.Key)
+			if err != nil {
+				err = msgp.WrapError(err, "Key")
+				return
+			}
 		}
-		if (zb0001Mask & 0x40) == 0 { // if not omitted
-			// write "w"
-			err = en.Append(0xa1, 0x77)
+		if (zb0001Mask & 0x20) == 0 { // if not omitted
+			// write "g"
+			err = en.Append(0xa1, 0x67)
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Want)
+			err = en.WriteBytes(z.Sig)
 			if err != nil {
-				err = msgp.WrapError(err, "Want")
+				err = msgp.WrapError(err, "Sig")
 				return
 			}
 		}
@@ -1802,54 +1803,59 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Notice) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *OriginSummary) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
-	zb0001Len := uint32(7)
-	var zb0001Mask uint8 /* 7 bits */
+	zb0001Len := uint32(6)
+	var zb0001Mask uint8 /* 6 bits */
 	_ = zb0001Mask
-	if z.Want == false {
+	if z.Heartbeat == 0 {
 		zb0001Len--
-		zb0001Mask |= 0x40
+		zb0001Mask |= 0x8
+	}
+	if z.Key == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
+	}
+	if z.Sig == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20
 	}
 	// variable map header, size zb0001Len
 	o = append(o, 0x80|uint8(zb0001Len))
 
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
-		// string "ty"
-		o = append(o, 0xa2, 0x74, 0x79)
-		o = msgp.AppendString(o, z.Type)
-		// string "id"
-		o = append(o, 0xa2, 0x69, 0x64)
-		o = msgp.AppendString(o, z.ID)
 		// string "o"
 		o = append(o, 0xa1, 0x6f)
 		o = msgp.AppendString(o, z.Origin)
-		// string "c"
-		o = append(o, 0xa1, 0x63)
-		o = msgp.AppendUint64(o, z.Count)
-		// string "st"
-		o = append(o, 0xa2, 0x73, 0x74)
-		o, err = z.Version.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Version")
-			return
+		// string "m"
+		o = append(o, 0xa1, 0x6d)
+		o = msgp.AppendUint64(o, z.Max)
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendUint64(o, z.Sum)
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// string "b"
+			o = append(o, 0xa1, 0x62)
+			o = msgp.AppendUint64(o, z.Heartbeat)
 		}
-		// string "h"
-		o = append(o, 0xa1, 0x68)
-		o = msgp.AppendUint8(o, z.Hops)
-		if (zb0001Mask & 0x40) == 0 { // if not omitted
-			// string "w"
-			o = append(o, 0xa1, 0x77)
-			o = msgp.AppendBool(o, z.Want)
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// string "k"
+			o = append(o, 0xa1, 0x6b)
+			o = msgp.AppendBytes(o, z.Key)
+		}
+		if (zb0001Mask & 0x20) == 0 { // if not omitted
+			// string "g"
+			o = append(o, 0xa1, 0x67)
+			o = msgp.AppendBytes(o, z.Sig)
 		}
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Notice) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *OriginSummary) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1866,46 +1872,40 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "ty":
-			z.Type, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Type")
-				return
-			}
-		case "id":
-			z.ID, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
-			}
 		case "o":
 			z.Origin, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Origin")
 				return
 			}
-		case "c":
-			z.Count, bts, err = msgp.ReadUint64Bytes(bts)
+		case "m":
+			z.Max, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Count")
+				err = msgp.WrapError(err, "Max")
 				return
 			}
-		case "st":
-			bts, err = z.Version.UnmarshalMsg(bts)
+		case "s":
+			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "h":
-			z.Hops, bts, err = msgp.ReadUint8Bytes(bts)
+		case "b":
+			z.Heartbeat, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Hops")
+				err = msgp.WrapError(err, "Heartbeat")
 				return
 			}
-		case "w":
-			z.Want, bts, err = msgp.ReadBoolBytes(bts)
+		case "k":
+			z.Key, bts, err = msgp.ReadBytesBytes(bts, z.Key)
 			if err != nil {
-				err = msgp.WrapError(err, "Want")
+				err = msgp.WrapError(err, "Key")
+				return
+			}
+		case "g":
+			z.Sig, bts, err = msgp.ReadBytesBytes(bts, z.Sig)
+			if err != nil {
+				err = msgp.WrapError(err, "Sig")
 				return
 			}
 		default:
@@ -1921,8 +1921,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Notice) Msgsize() (s int) {
-	s = 1 + 3 + msgp.StringPrefixSize + len(z.Type) + 3 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Origin) + 2 + msgp.Uint64Size + 3 + z.Version.Msgsize() + 2 + msgp.Uint8Size + 2 + msgp.BoolSize
+func (z *OriginSummary) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Origin) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Key) + 2 + msgp.BytesPrefixSize + len(z.Sig)
 	return
 }
 
--- a/runtime/wire/status.go
+++ b/runtime/wire/status.go
@@ -22,11 +22,11 @@
 	Term uint64 `msg:"t"`
 	// Leader is the mesh address of the leader that it follows; empty where it knows of none.
 	Leader string `msg:"l,omitempty"`
-	// Contact reports whether it is in contact with a majority, by itself.
-	Contact bool `msg:"c,omitempty"`
+	// InContact reports whether it is in contact with a majority, by itself.
+	InContact bool `msg:"c,omitempty"`
 	// Committed is the newest version that it knows to be committed; Held is the newest on its disk.
 	Committed Version `msg:"v"`
-	Held      Version `msg:"h"`
+	Stored    Version `msg:"h"`
 	// Voters is how many replicas have a vote on the newest version that it holds.
 	Voters int `msg:"n,omitempty"`
 	// Change is, at a leader, the reason of a change of members that is under way.
--- a/runtime/wire/status_gen.go
+++ b/runtime/wire/status_gen.go
@@ -49,9 +49,9 @@
 				return
 			}
 		case "c":
-			z.Contact, err = dc.ReadBool()
+			z.InContact, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Contact")
+				err = msgp.WrapError(err, "InContact")
 				return
 			}
 		case "v":
@@ -61,9 +61,9 @@
 				return
 			}
 		case "h":
-			err = z.Held.DecodeMsg(dc)
+			err = z.Stored.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 		case "n":
@@ -105,7 +105,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Contact == false {
+	if z.InContact == false {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -177,9 +177,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Contact)
+			err = en.WriteBool(z.InContact)
 			if err != nil {
-				err = msgp.WrapError(err, "Contact")
+				err = msgp.WrapError(err, "InContact")
 				return
 			}
 		}
@@ -198,9 +198,9 @@
 		if err != nil {
 			return
 		}
-		err = z.Held.EncodeMsg(en)
+		err = z.Stored.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Held")
+			err = msgp.WrapError(err, "Stored")
 			return
 		}
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
@@ -254,7 +254,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Contact == false {
+	if z.InContact == false {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -292,7 +292,7 @@
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "c"
 			o = append(o, 0xa1, 0x63)
-			o = msgp.AppendBool(o, z.Contact)
+			o = msgp.AppendBool(o, z.InContact)
 		}
 		// string "v"
 		o = append(o, 0xa1, 0x76)
@@ -303,9 +303,9 @@
 		}
 		// string "h"
 		o = append(o, 0xa1, 0x68)
-		o, err = z.Held.MarshalMsg(o)
+		o, err = z.Stored.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Held")
+			err = msgp.WrapError(err, "Stored")
 			return
 		}
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
@@ -370,9 +370,9 @@
 				return
 			}
 		case "c":
-			z.Contact, bts, err = msgp.ReadBoolBytes(bts)
+			z.InContact, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Contact")
+				err = msgp.WrapError(err, "InContact")
 				return
 			}
 		case "v":
@@ -382,9 +382,9 @@
 				return
 			}
 		case "h":
-			bts, err = z.Held.UnmarshalMsg(bts)
+			bts, err = z.Stored.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Stored")
 				return
 			}
 		case "n":
@@ -419,7 +419,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *ReplicaStatus) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Leader) + 2 + msgp.BoolSize + 2 + z.Committed.Msgsize() + 2 + z.Held.Msgsize() + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Change) + 2 + msgp.BoolSize
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Leader) + 2 + msgp.BoolSize + 2 + z.Committed.Msgsize() + 2 + z.Stored.Msgsize() + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Change) + 2 + msgp.BoolSize
 	return
 }
 
