--- a/cmd/wallport/clients.go
+++ b/cmd/wallport/clients.go
@@ -19,10 +19,10 @@
 // openClients serves clients and readiness until stop is called.
 func openClients(p *process.Process, operators *httpapi.Server, place platform.Place, failed chan<- error) (stop func(), err error) {
 	e, b := p.Kernel.Boot.Settings, kernel.Find[*snapshot.Table](p.Kernel)
-	desk := dispatch.NewDesk(dispatch.Config{
-		Table: b.Current, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
-		Retry:      dispatch.RetryConfig{Ratio: e.Retries.Ratio, Allowance: e.Retries.Allowance, WindowUs: e.Retries.WindowUs},
-		Invariants: p.Invariants(), Ended: requestLog(p.Sampled()),
+	desk := dispatch.NewDispatcher(dispatch.Config{
+		Snapshot: b.Current, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, StartedAt: p.Now(),
+		Retry:      dispatch.RetryConfig{Ratio: e.Retries.Ratio, Allowance: e.Retries.Allowance, Window: e.Retries.WindowUs},
+		Invariants: p.Invariants(), OnTrace: requestLog(p.Sampled()),
 	})
 	operators.ExplainBy(func(id string) (any, bool) { return desk.Traces.Get(id) })
 	client := backend.New(backend.Config{
@@ -38,7 +38,7 @@
 		Addr: place.HTTP, ReadyAddr: place.Readiness, Names: platform.GatewayNames(), Log: p.Log, Sampled: p.Sampled(), Counts: p.Kernel.Counts,
 		Backends: client, Table: b.Current, Now: p.Now, GraceUs: e.Bounds.GraceUs,
 		Refresh: func() { p.AwaitThaw(thawWait) },
-		Chart:   func(r dispatch.Request, now int64) gateway.Chart { return dispatch.NewChart(desk, r, now) },
+		Chart:   func(r dispatch.Request, now int64) gateway.Chart { return dispatch.NewStateMachine(desk, r, now) },
 	})
 	if err != nil {
 		client.Close()
--- a/cmd/wallport/request_log.go
+++ b/cmd/wallport/request_log.go
@@ -18,8 +18,8 @@
 		if line := log.Check(zap.WarnLevel, requestEvent(t)); line != nil {
 			line.Write(
 				zap.String("id", t.ID), zap.String("method", t.Method), zap.String("path", t.Path), zap.String("route", t.Route),
-				zap.Int("status", t.Status), zap.String("code", t.Code), zap.String("why", t.Why), zap.Int64("took_us", t.TookUs),
-				zap.Int64("revision", t.Revision), zap.Uint64("term", t.Term), zap.Uint64("seq", t.Seq), zap.String("asks", t.AskText()),
+				zap.Int("status", t.Status), zap.String("code", t.Code), zap.String("why", t.Reason), zap.Int64("took_us", t.Duration),
+				zap.Int64("revision", t.Revision), zap.Uint64("term", t.Term), zap.Uint64("seq", t.Seq), zap.String("asks", t.AttemptSummary()),
 			)
 		}
 	}
--- a/lab/sim/day_answers.go
+++ b/lab/sim/day_answers.go
@@ -15,16 +15,16 @@
 	if t.Ended != rules.Never {
 		return
 	}
-	t.Status, t.RetryAfterUs, t.Missing, t.Seals = o.Status, o.RetryAfterUs, o.Missing, o.Seals
+	t.Status, t.RetryAfterUs, t.Missing, t.Seals = o.Status, o.RetryAfter, o.Missing, o.Seals
 	switch {
-	case o.Answer != nil:
-		t.Seal, t.Answer = o.Answer.Seal, o.Answer.Body
+	case o.Response != nil:
+		t.Seal, t.Answer = o.Response.Seal, o.Response.Body
 	case len(o.Seals) > 0:
 		t.Answer = o.Body
 	default:
 		t.Own = true
 	}
-	d.w.note(t.Machine + " " + t.ID + " " + t.Class + " " + o.Code + " " + o.Why)
+	d.w.note(t.Machine + " " + t.ID + " " + t.Class + " " + o.Code + " " + o.Reason)
 	d.w.Judge.Count("outcome."+o.Code, 1)
 	if g := d.gates[k.m.node]; g != nil && !g.drains && !g.shut && !t.Probe && d.w.rnd.IntN(3) > 0 {
 		c.kept[w.client] = k
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -37,7 +37,7 @@
 	l    *life
 	job  *job
 	kind *kindShape
-	ask  dispatch.Ask
+	ask  dispatch.Send
 	conn *conn
 	// reused tells that the connection had served before; sent that bytes were written.
 	reused, sent, over bool
@@ -63,12 +63,12 @@
 }
 
 // ask begins an exchange.
-func (g *gate) ask(r *pass, a dispatch.Ask) {
+func (g *gate) ask(r *pass, a dispatch.Send) {
 	d := g.d
 	x := &exchange{g: g, r: r, n: a.N, ask: a, kind: r.kind}
 	g.open = append(g.open, x)
-	g.p.later(a.WithinUs, func() {
-		x.end(dispatch.Reply{Class: x.class(), Silent: true, Reused: x.reused, Why: "no answer in time"})
+	g.p.later(a.Timeout, func() {
+		x.end(dispatch.Result{Class: x.class(), TimedOut: true, ReusedConn: x.reused, Reason: "no answer in time"})
 	})
 	s := a.Server
 	x.conn = g.idle(s)
@@ -82,12 +82,12 @@
 	there := d.latency(g.p.env.Zone, zone)
 	switch {
 	case l != nil && (l.dark || d.shut(g.p.machine, l)):
-		g.p.later(min(dialWithin, a.WithinUs), func() { x.end(dispatch.Reply{Class: dispatch.ClassNotSent, Why: "dial timed out"}) })
+		g.p.later(min(dialWithin, a.Timeout), func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "dial timed out"}) })
 	case l == nil || !l.up:
-		g.p.later(2*there, func() { x.end(dispatch.Reply{Class: dispatch.ClassNotSent, Why: "connection refused"}) })
+		g.p.later(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection refused"}) })
 	case l.conns >= l.shape.connections:
 		d.w.Judge.Count("connections_refused", 1)
-		g.p.later(2*there, func() { x.end(dispatch.Reply{Class: dispatch.ClassNotSent, Why: "connection reset"}) })
+		g.p.later(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"}) })
 	default:
 		l.conns++
 		d.w.Judge.Count("handshakes", 1)
@@ -98,7 +98,7 @@
 				return
 			}
 			if !l.up || d.shut(g.p.machine, l) {
-				x.end(dispatch.Reply{Class: dispatch.ClassNotSent, Why: "connection reset"})
+				x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"})
 				return
 			}
 			x.send(l)
@@ -149,12 +149,12 @@
 	x.l, x.sent = l, true
 	sent := d.w.now
 	work := d.work(x.kind)
-	within := max(1000, a.WithinUs)
+	within := max(1000, a.Timeout)
 	if x.conn.foul > 0 {
 		// A surplus answer comes where this request's own is expected; its id shows it.
 		d.w.Judge.Count("surplus_met", 1)
 		x.g.p.later(max(0, x.conn.foul-sent), func() {
-			x.end(dispatch.Reply{Class: dispatch.ClassGarbage, Reused: true, Why: "another request's answer"})
+			x.end(dispatch.Result{Class: dispatch.ClassInvalid, ReusedConn: true, Reason: "another request's answer"})
 		})
 	}
 	rested := sent - x.conn.since
@@ -190,22 +190,22 @@
 }
 
 // end gives the chart its reply, once.
-func (x *exchange) end(r dispatch.Reply) {
+func (x *exchange) end(r dispatch.Result) {
 	if x.over {
 		return
 	}
 	x.over = true
 	g := x.g
 	g.open = slices.DeleteFunc(g.open, func(o *exchange) bool { return o == x })
-	if (r.Class == dispatch.ClassAnswer || r.Class == dispatch.ClassNotRun) && !r.Leaving {
+	if (r.Class == dispatch.ClassResponse || r.Class == dispatch.ClassRejected) && !r.Draining {
 		g.keep(x)
 	} else if x.conn != nil {
 		x.conn.l.conns--
 	}
-	if x.job != nil && r.Class != dispatch.ClassAnswer {
+	if x.job != nil && r.Class != dispatch.ClassResponse {
 		x.job.drop()
 	}
-	g.step(x.r, dispatch.Replied{N: x.n, Reply: r})
+	g.step(x.r, dispatch.AttemptDone{N: x.n, Result: r})
 }
 
 // cancel closes the exchange's connection.
--- a/lab/sim/day_gate.go
+++ b/lab/sim/day_gate.go
@@ -21,7 +21,7 @@
 type gate struct {
 	d    *day
 	p    *proc
-	desk *dispatch.Desk
+	desk *dispatch.Dispatcher
 	runs []*pass
 	open []*exchange
 	kept map[string][]*conn
@@ -33,7 +33,7 @@
 type pass struct {
 	try   *rules.Try
 	kind  *kindShape
-	chart *dispatch.Chart
+	chart *dispatch.StateMachine
 	wake  uint64
 	done  func(o *dispatch.Outcome)
 	over  bool
@@ -45,9 +45,9 @@
 func (d *day) newGate(p *proc, seed uint64) {
 	r := p.env.Retries
 	g := &gate{d: d, p: p, kept: map[string][]*conn{}}
-	g.desk = dispatch.NewDesk(dispatch.Config{
-		Table: p.table.Current, Counts: p.kernel.Counts, Seed: seed, Now: 0,
-		Retry: dispatch.RetryConfig{Ratio: r.Ratio, Allowance: r.Allowance, WindowUs: r.WindowUs},
+	g.desk = dispatch.NewDispatcher(dispatch.Config{
+		Snapshot: p.table.Current, Counts: p.kernel.Counts, Seed: seed, StartedAt: 0,
+		Retry: dispatch.RetryConfig{Ratio: r.Ratio, Allowance: r.Allowance, Window: r.WindowUs},
 	})
 	d.gates[p] = g
 	g.look()
@@ -83,9 +83,9 @@
 		g.d.took(g.p.machine, t.Repeatable || t.Probe)
 		req := dispatch.Request{
 			ID: t.ID, Method: t.Method, Target: t.Target, Path: t.Path, Host: t.Host, Body: t.Body,
-			BudgetUs: t.Deadline - t.Sent,
+			Timeout: t.Deadline - t.Sent,
 		}
-		r.chart = dispatch.NewChart(g.desk, req, g.p.now())
+		r.chart = dispatch.NewStateMachine(g.desk, req, g.p.now())
 		g.step(r, dispatch.Begin{})
 	})
 	return r
@@ -101,20 +101,20 @@
 	}
 }
 
-func (g *gate) act(r *pass, a dispatch.Act) {
+func (g *gate) act(r *pass, a dispatch.Action) {
 	switch v := a.(type) {
-	case dispatch.Ask:
+	case dispatch.Send:
 		g.ask(r, v)
 	case dispatch.Cancel:
 		g.cancel(r, v.N)
-	case dispatch.Leave:
+	case dispatch.Abandon:
 		// The exchange runs out by itself.
-	case dispatch.Wake:
+	case dispatch.SetTimer:
 		r.wake++
 		mine := r.wake
 		g.p.later(v.At-g.p.now(), func() {
 			if r.wake == mine {
-				g.step(r, dispatch.Due{})
+				g.step(r, dispatch.TimerFired{})
 			}
 		})
 	case dispatch.Finish:
@@ -148,7 +148,7 @@
 	}
 	g.p.feed(func() {
 		if !r.over {
-			g.step(r, dispatch.Gone{})
+			g.step(r, dispatch.ClientGone{})
 		}
 	})
 }
--- a/lab/sim/day_replies.go
+++ b/lab/sim/day_replies.go
@@ -19,26 +19,26 @@
 }
 
 func (x *exchange) turnedAway(l *life, status int, why string) {
-	r := dispatch.Reply{Class: dispatch.ClassNotRun, Status: status, Load: l.load(), WrongBackend: status == 421, Leaving: l.leaving, Why: why}
+	r := dispatch.Result{Class: dispatch.ClassRejected, Status: status, Load: l.load(), WrongBackend: status == 421, Draining: l.leaving, Reason: why}
 	x.back(func() { x.end(r) })
 }
 
 func (x *exchange) broke(why string) {
-	x.back(func() { x.end(dispatch.Reply{Class: dispatch.ClassFailed, Reused: x.reused, Why: why}) })
+	x.back(func() { x.end(dispatch.Result{Class: dispatch.ClassFailed, ReusedConn: x.reused, Reason: why}) })
 }
 
 func (x *exchange) spoilt(short bool) {
-	r := dispatch.Reply{Class: dispatch.ClassGarbage, Why: "bytes that are no answer"}
+	r := dispatch.Result{Class: dispatch.ClassInvalid, Reason: "bytes that are no answer"}
 	if short {
-		r = dispatch.Reply{Class: dispatch.ClassFailed, Why: "the answer was cut off"}
+		r = dispatch.Result{Class: dispatch.ClassFailed, Reason: "the answer was cut off"}
 	}
 	x.back(func() { x.end(r) })
 }
 
 func (x *exchange) answered(l *life, a *rules.Arrival, surplus bool) {
-	r := dispatch.Reply{
-		Class: dispatch.ClassAnswer, Status: a.Status, Body: slices.Clone(a.Answer), Seal: a.Seal, Load: l.load(), Leaving: l.leaving,
-		Reused: x.reused,
+	r := dispatch.Result{
+		Class: dispatch.ClassResponse, Status: a.Status, Body: slices.Clone(a.Answer), Seal: a.Seal, Load: l.load(), Draining: l.leaving,
+		ReusedConn: x.reused,
 	}
 	if surplus && x.conn != nil {
 		x.g.d.w.Judge.Count("surplus_answers", 1)
@@ -47,6 +47,6 @@
 	x.back(func() { x.end(r) })
 }
 
-func (l *life) load() dispatch.Load {
-	return dispatch.Load{Running: l.running, Waiting: len(l.queue), Slots: l.shape.slots, Known: true}
+func (l *life) load() dispatch.LoadReport {
+	return dispatch.LoadReport{Running: l.running, Queued: len(l.queue), Slots: l.shape.slots, Known: true}
 }
--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -20,10 +20,10 @@
 	defer close(over)
 	k := newTestClient(t, Config{})
 	a := f.once("a")
-	a.WithinUs = 20_000
+	a.Timeout = 20_000
 	rep := run(t, k, a, dispatch.ClassFailed)
-	must.True(t, rep.Silent)
-	must.Eq(t, "timed out", rep.Why)
+	must.True(t, rep.TimedOut)
+	must.Eq(t, "timed out", rep.Reason)
 	must.Eq(t, 1, f.times("a"))
 	must.Eq(t, 0, k.open.Load())
 }
@@ -39,13 +39,13 @@
 	})
 	k := newTestClient(t, Config{})
 	x := k.Start(f.ask("a"))
-	back := make(chan dispatch.Reply)
+	back := make(chan dispatch.Result)
 	go func() { back <- x.Run() }()
 	<-enter
 	x.Cancel()
 	rep := <-back
 	must.Eq(t, dispatch.ClassFailed, rep.Class)
-	must.False(t, rep.Silent, must.Sprint("the backend is not to blame"))
+	must.False(t, rep.TimedOut, must.Sprint("the backend is not to blame"))
 	must.Error(t, <-ended)
 }
 
@@ -55,7 +55,7 @@
 	must.NoError(t, err)
 	defer l.Close()
 	k := newTestClient(t, Config{})
-	a := dispatch.Ask{Server: &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: l.Addr().String()}}, WithinUs: 20_000_000, Request: &dispatch.Request{Method: "GET"}}
+	a := dispatch.Send{Server: &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: l.Addr().String()}}, Timeout: 20_000_000, Request: &dispatch.Request{Method: "GET"}}
 	x := k.Start(a)
 	x.Cancel()
 	rep := x.Run()
@@ -74,18 +74,18 @@
 	})
 	k := newTestClient(t, Config{})
 	x := k.Start(f.ask("a"))
-	back := make(chan dispatch.Reply)
+	back := make(chan dispatch.Result)
 	go func() { back <- x.Run() }()
 	<-enter
 	x.Leave()
 	leave <- true
 	rep := <-back
-	must.Eq(t, dispatch.ClassAnswer, rep.Class, must.Sprint(rep.Why))
+	must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, "whole", string(rep.Body))
 
 	x = k.Start(f.ask("b"))
 	x.Leave()
-	must.Eq(t, "not wanted any more", x.Run().Why)
+	must.Eq(t, "not wanted any more", x.Run().Reason)
 	must.Eq(t, 0, f.times("b"))
 	must.Eq(t, 1, k.open.Load(), must.Sprint("the connection is kept"))
 }
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -18,10 +18,10 @@
 	"wallport/runtime/wire"
 )
 
-func run(t *testing.T, k *Client, a dispatch.Ask, class dispatch.Class) dispatch.Reply {
+func run(t *testing.T, k *Client, a dispatch.Send, class dispatch.Class) dispatch.Result {
 	t.Helper()
 	rep := k.Start(a).Run()
-	must.Eq(t, class, rep.Class, must.Sprint(rep.Why))
+	must.Eq(t, class, rep.Class, must.Sprint(rep.Reason))
 	return rep
 }
 
@@ -30,10 +30,10 @@
 	counts := kernel.NewCounts()
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return c.n > 1 })
 	k := newTestClient(t, Config{Counts: counts})
-	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassResponse)
 	readable(t, idleConn(t, k))
-	rep := run(t, k, f.once("b"), dispatch.ClassAnswer)
-	must.False(t, rep.Reused)
+	rep := run(t, k, f.once("b"), dispatch.ClassResponse)
+	must.False(t, rep.ReusedConn)
 	must.Eq(t, 1, counts.Of("backend_idle_dead").Load())
 	must.Eq(t, 1, f.times("b"))
 }
@@ -50,12 +50,12 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassResponse)
 	go2 <- true
 	readable(t, idleConn(t, k))
-	rep := run(t, k, f.once("b"), dispatch.ClassAnswer)
+	rep := run(t, k, f.once("b"), dispatch.ClassResponse)
 	must.Eq(t, "right", string(rep.Body))
-	must.False(t, rep.Reused)
+	must.False(t, rep.ReusedConn)
 }
 
 // TestSurplusInPlaceOfTheNext has it come only once the next request was written.
@@ -68,11 +68,11 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassAnswer)
-	rep := run(t, k, f.once("b"), dispatch.ClassGarbage)
-	must.True(t, rep.Reused)
+	run(t, k, f.once("a"), dispatch.ClassResponse)
+	rep := run(t, k, f.once("b"), dispatch.ClassInvalid)
+	must.True(t, rep.ReusedConn)
 	must.Eq(t, 1, f.times("b"))
-	must.False(t, run(t, k, f.once("c"), dispatch.ClassAnswer).Reused)
+	must.False(t, run(t, k, f.once("c"), dispatch.ClassResponse).ReusedConn)
 }
 
 // TestResetOnReuse has the backend reset a reused connection after it read the request.
@@ -86,10 +86,10 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassResponse)
 	rep := run(t, k, f.once("b"), dispatch.ClassFailed)
-	must.True(t, rep.Reused)
-	must.False(t, rep.Silent)
+	must.True(t, rep.ReusedConn)
+	must.False(t, rep.TimedOut)
 	must.Eq(t, 1, f.times("b"), must.Sprint("nothing is repeated here"))
 	must.Eq(t, 1, f.connections())
 }
@@ -106,11 +106,11 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassAnswer)
-	run(t, k, f.once("b"), dispatch.ClassGarbage)
-	run(t, k, f.ask("c"), dispatch.ClassAnswer)
-	must.True(t, run(t, k, f.ask("d"), dispatch.ClassNotRun).Reused)
-	must.False(t, run(t, k, f.ask("e"), dispatch.ClassAnswer).Reused)
+	run(t, k, f.once("a"), dispatch.ClassResponse)
+	run(t, k, f.once("b"), dispatch.ClassInvalid)
+	run(t, k, f.ask("c"), dispatch.ClassResponse)
+	must.True(t, run(t, k, f.ask("d"), dispatch.ClassRejected).ReusedConn)
+	must.False(t, run(t, k, f.ask("e"), dispatch.ClassResponse).ReusedConn)
 }
 
 func TestNotSent(t *testing.T) {
@@ -121,7 +121,7 @@
 	for range 2 {
 		// The second time there is an idle connection.
 		frozen.Store(true)
-		must.Eq(t, "the process was frozen", run(t, k, f.once("no"), dispatch.ClassNotSent).Why)
+		must.Eq(t, "the process was frozen", run(t, k, f.once("no"), dispatch.ClassNotSent).Reason)
 		frozen.Store(false)
 
 		x := k.Start(f.once("no"))
@@ -130,15 +130,15 @@
 		must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint("decided before the freeze"))
 
 		a := f.once("no")
-		a.WithinUs = 900
+		a.Timeout = 900
 		run(t, k, a, dispatch.ClassNotSent)
-		a.WithinUs = -5
+		a.Timeout = -5
 		run(t, k, a, dispatch.ClassNotSent)
 
 		x = k.Start(f.once("no"))
 		x.Cancel()
 		must.Eq(t, dispatch.ClassNotSent, x.Run().Class)
-		run(t, k, f.once("yes"), dispatch.ClassAnswer)
+		run(t, k, f.once("yes"), dispatch.ClassResponse)
 	}
 	must.Eq(t, 0, f.times("no"))
 	must.Eq(t, 2, f.times("yes"))
@@ -152,11 +152,11 @@
 	must.NoError(t, l.Close())
 	f := &fake{}
 	k := newTestClient(t, Config{})
-	a := dispatch.Ask{Server: &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: addr}}, WithinUs: 20_000_000, Once: true, Request: &dispatch.Request{Method: "GET"}}
+	a := dispatch.Send{Server: &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20_000_000, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
 	for range 3 {
 		rep := run(t, k, a, dispatch.ClassNotSent)
-		must.StrContains(t, rep.Why, "refused")
-		must.False(t, rep.Reused)
+		must.StrContains(t, rep.Reason, "refused")
+		must.False(t, rep.ReusedConn)
 	}
 	must.Eq(t, 0, k.open.Load())
 	must.Eq(t, 0, f.connections())
@@ -174,18 +174,18 @@
 	k := newTestClient(t, Config{Share: func() int { return 4 }})
 	must.Eq(t, 1, k.part(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("never none"))
 	must.Eq(t, unbounded, k.part(&snapshot.Pool{}))
-	back := make(chan dispatch.Reply, 2)
+	back := make(chan dispatch.Result, 2)
 	for _, id := range []string{"a", "b"} {
 		go func() { back <- k.Start(f.ask(id)).Run() }()
 		<-enter
 	}
 	rep := run(t, k, f.ask("c"), dispatch.ClassNotSent)
-	must.Eq(t, full, rep.Why)
-	must.True(t, rep.Reused, must.Sprint("no failure of the backend's"))
+	must.Eq(t, full, rep.Reason)
+	must.True(t, rep.ReusedConn, must.Sprint("no failure of the backend's"))
 	leave <- true
 	leave <- true
 	for range 2 {
-		must.Eq(t, dispatch.ClassAnswer, (<-back).Class)
+		must.Eq(t, dispatch.ClassResponse, (<-back).Class)
 	}
 	must.Eq(t, 2, f.connections())
 	must.Eq(t, 0, f.times("c"))
@@ -198,13 +198,13 @@
 		return true
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassResponse)
 	c := idleConn(t, k)
 	must.True(t, c.usable(c.last.Add(999*time.Millisecond)))
 	must.False(t, c.usable(c.last.Add(time.Second)))
-	must.True(t, run(t, k, f.once("b"), dispatch.ClassAnswer).Reused)
+	must.True(t, run(t, k, f.once("b"), dispatch.ClassResponse).ReusedConn)
 	c.last = c.last.Add(-time.Second)
-	must.False(t, run(t, k, f.once("c"), dispatch.ClassAnswer).Reused)
+	must.False(t, run(t, k, f.once("c"), dispatch.ClassResponse).ReusedConn)
 	must.Eq(t, 1, k.open.Load())
 }
 
@@ -212,10 +212,10 @@
 func TestAddressOfAnother(t *testing.T) {
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassResponse)
 	b := f.once("b")
 	b.Server.ID = "i-2"
-	must.False(t, run(t, k, b, dispatch.ClassAnswer).Reused)
+	must.False(t, run(t, k, b, dispatch.ClassResponse).ReusedConn)
 	must.Eq(t, 2, f.connections())
 }
 
@@ -227,10 +227,10 @@
 	for _, id := range []string{"a", "b"} {
 		a := f.once(id)
 		a.Server.CloseAfterUse = true
-		must.False(t, run(t, k, a, dispatch.ClassAnswer).Reused)
+		must.False(t, run(t, k, a, dispatch.ClassResponse).ReusedConn)
 	}
 	must.Eq(t, 2, counts.Of("backend_dials").Load())
 	must.Eq(t, 0, k.open.Load())
-	run(t, k, f.once("c"), dispatch.ClassAnswer)
-	must.True(t, run(t, k, f.once("d"), dispatch.ClassAnswer).Reused, must.Sprint("kept where nothing forbids it"))
+	run(t, k, f.once("c"), dispatch.ClassResponse)
+	must.True(t, run(t, k, f.once("d"), dispatch.ClassResponse).ReusedConn, must.Sprint("kept where nothing forbids it"))
 }
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -69,17 +69,17 @@
 	k := newTestClient(b, Config{})
 	pool := &snapshot.Pool{Pool: &routingpb.Pool{}}
 	server := &snapshot.Server{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
-	ask := func(id string) dispatch.Ask {
-		return dispatch.Ask{
-			Pool: pool, Server: server, WithinUs: 5_000_000,
-			Request: &dispatch.Request{ID: id, Method: "GET", Target: "/search", Host: "site.example", Head: []byte("Try-Id: " + id + "\r\n")},
+	ask := func(id string) dispatch.Send {
+		return dispatch.Send{
+			Pool: pool, Server: server, Timeout: 5_000_000,
+			Request: &dispatch.Request{ID: id, Method: "GET", Target: "/search", Host: "site.example", Header: []byte("Try-Id: " + id + "\r\n")},
 		}
 	}
 	b.ReportAllocs()
 	at := cpuUs()
 	for b.Loop() {
-		if rep := k.Start(ask("abcdef0123456789")).Run(); rep.Class != dispatch.ClassAnswer {
-			b.Fatal(rep.Class, rep.Why)
+		if rep := k.Start(ask("abcdef0123456789")).Run(); rep.Class != dispatch.ClassResponse {
+			b.Fatal(rep.Class, rep.Reason)
 		}
 	}
 	b.ReportMetric((cpuUs()-at)/float64(b.N), "cpu-us/op")
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -16,7 +16,7 @@
 // Exchange is one request to one backend, under way.
 type Exchange struct {
 	k     *Client
-	ask   dispatch.Ask
+	ask   dispatch.Send
 	thaws int64
 	began time.Time
 	until time.Time
@@ -31,9 +31,9 @@
 }
 
 // Start prepares an exchange; Run carries it out.
-func (k *Client) Start(a dispatch.Ask) *Exchange {
+func (k *Client) Start(a dispatch.Send) *Exchange {
 	now := time.Now()
-	return &Exchange{k: k, ask: a, thaws: k.c.Thaws(), began: now, until: now.Add(time.Duration(a.WithinUs) * time.Microsecond)}
+	return &Exchange{k: k, ask: a, thaws: k.c.Thaws(), began: now, until: now.Add(time.Duration(a.Timeout) * time.Microsecond)}
 }
 
 // Cancel gives an exchange up from any thread: Run returns soon, and a connection that was written to is closed.
@@ -98,21 +98,21 @@
 
 func (x *Exchange) frozen() bool { return x.k.c.Frozen() || x.k.c.Thaws() != x.thaws }
 
-func notSent(why string) dispatch.Reply {
-	return dispatch.Reply{Class: dispatch.ClassNotSent, Why: why}
+func notSent(why string) dispatch.Result {
+	return dispatch.Result{Class: dispatch.ClassNotSent, Reason: why}
 }
 
 // full is why an ask was not sent when this node's part of a backend's connections is in use.
 const full = "no connection free"
 
 // Run carries the exchange out; it returns at the ask's time at the latest.
-func (x *Exchange) Run() dispatch.Reply {
+func (x *Exchange) Run() dispatch.Result {
 	for {
 		c, why := x.connect()
 		if c == nil {
 			rep := notSent(why)
 			// That this node's part is in use is no failure of the backend's.
-			rep.Reused = why == full
+			rep.ReusedConn = why == full
 			return rep
 		}
 		rep, again := x.on(c)
@@ -150,7 +150,7 @@
 }
 
 // on carries the exchange out on a connection; again is that an idle one was found dead before the write.
-func (x *Exchange) on(c *conn) (rep dispatch.Reply, again bool) {
+func (x *Exchange) on(c *conn) (rep dispatch.Result, again bool) {
 	left := time.Until(x.until)
 	if held := x.held(c); held != "" {
 		c.give(x.release())
@@ -177,7 +177,7 @@
 	} else {
 		rep, keep = x.judge(c, resp, body)
 	}
-	rep.Reused, rep.WrittenUs = c.reused, x.writtenUs
+	rep.ReusedConn, rep.WrittenAfter = c.reused, x.writtenUs
 	keep = keep && !x.ask.Server.CloseAfterUse
 	if !x.release() {
 		keep = false
@@ -191,7 +191,7 @@
 	r, n := x.ask.Request, &x.k.c.Names
 	b = append(append(append(b, r.Method...), ' '), r.Target...)
 	b = append(append(append(b, " HTTP/1.1\r\nHost: "...), r.Host...), "\r\n"...)
-	b = append(b, r.Head...)
+	b = append(b, r.Header...)
 	b = append(append(b, n.Budget...), ": "...)
 	b = append(strconv.AppendInt(b, left.Milliseconds(), 10), "\r\n"...)
 	b = append(append(append(append(b, n.Target...), ": "...), x.ask.Server.ID...), "\r\n"...)
--- a/request/backend/exchange_test.go
+++ b/request/backend/exchange_test.go
@@ -23,48 +23,48 @@
 		keep         bool
 		why          string
 	}{
-		{"whole", head + "Content-Length: 2\r\n\r\nhi", dispatch.ClassAnswer, true, ""},
-		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=y\r\ni\r\n0\r\nTail: 1\r\n\r\n", dispatch.ClassAnswer, true, ""},
-		{"an own failure with a seal", "HTTP/1.1 500 No\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassAnswer, true, ""},
-		{"503 without a promise", "HTTP/1.1 503 No\r\nTry-Id: a\r\nContent-Length: 0\r\n\r\n", dispatch.ClassAnswer, true, ""},
-		{"interim first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + head + "Content-Length: 0\r\n\r\n", dispatch.ClassAnswer, true, ""},
-		{"no content", "HTTP/1.1 204 None\r\nTry-Id: a\r\nStamp: s\r\n\r\n", dispatch.ClassAnswer, true, ""},
-		{"leaving", head + "Connection: close\r\nContent-Length: 0\r\n\r\n", dispatch.ClassAnswer, false, ""},
-		{"older protocol", "HTTP/1.0 200 OK\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassAnswer, false, ""},
-		{"surplus", head + "Content-Length: 2\r\n\r\nhi" + head + "Content-Length: 0\r\n\r\n", dispatch.ClassAnswer, false, ""},
-		{"surplus bytes", head + "Content-Length: 2\r\n\r\nhi!", dispatch.ClassAnswer, false, ""},
-		{"kept for no time", head + "Keep-Alive: timeout=0\r\nContent-Length: 0\r\n\r\n", dispatch.ClassAnswer, false, ""},
-		{"full", "HTTP/1.1 503 Full\r\nTry-Id: a\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", dispatch.ClassNotRun, true, "turned away"},
-		{"full, no id", "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", dispatch.ClassNotRun, false, "turned away"},
-		{"another backend", "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", dispatch.ClassNotRun, false, "another backend"},
+		{"whole", head + "Content-Length: 2\r\n\r\nhi", dispatch.ClassResponse, true, ""},
+		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=y\r\ni\r\n0\r\nTail: 1\r\n\r\n", dispatch.ClassResponse, true, ""},
+		{"an own failure with a seal", "HTTP/1.1 500 No\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
+		{"503 without a promise", "HTTP/1.1 503 No\r\nTry-Id: a\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
+		{"interim first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + head + "Content-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
+		{"no content", "HTTP/1.1 204 None\r\nTry-Id: a\r\nStamp: s\r\n\r\n", dispatch.ClassResponse, true, ""},
+		{"leaving", head + "Connection: close\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
+		{"older protocol", "HTTP/1.0 200 OK\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
+		{"surplus", head + "Content-Length: 2\r\n\r\nhi" + head + "Content-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
+		{"surplus bytes", head + "Content-Length: 2\r\n\r\nhi!", dispatch.ClassResponse, false, ""},
+		{"kept for no time", head + "Keep-Alive: timeout=0\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
+		{"full", "HTTP/1.1 503 Full\r\nTry-Id: a\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", dispatch.ClassRejected, true, "turned away"},
+		{"full, no id", "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", dispatch.ClassRejected, false, "turned away"},
+		{"another backend", "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", dispatch.ClassRejected, false, "another backend"},
 		{"cut body", head + "Content-Length: 3\r\n\r\nhi", dispatch.ClassFailed, false, "unexpected EOF"},
 		{"cut head", head, dispatch.ClassFailed, false, "unexpected EOF"},
 		{"cut chunks", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", dispatch.ClassFailed, false, "unexpected EOF"},
 		{"silence and an end", "", dispatch.ClassFailed, false, "unexpected EOF"},
-		{"another request's", "HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassGarbage, false, "another request's answer"},
-		{"two ids", "HTTP/1.1 200 OK\r\nTry-Id: a\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassGarbage, false, "another request's answer"},
-		{"no id", "HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassGarbage, false, "an answer without the request's id"},
-		{"a failure without id", "HTTP/1.1 500 No\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassGarbage, false, "an answer without the request's id"},
-		{"no seal", "HTTP/1.1 200 OK\r\nTry-Id: a\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassGarbage, false, "a success without a seal"},
-		{"two seals", head + "Stamp: u\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassGarbage, false, "two seals"},
-		{"encoded", head + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassGarbage, false, "an encoded answer"},
-		{"no length", head + "\r\nhi", dispatch.ClassGarbage, false, "an answer without a length"},
-		{"two lengths", head + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi", dispatch.ClassGarbage, false, `http: message cannot contain multiple Content-Length headers; got ["2" "3"]`},
-		{"length and chunks", head + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", dispatch.ClassGarbage, false, "a length and chunks"},
-		{"length of words", head + "Content-Length: two\r\n\r\nhi", dispatch.ClassGarbage, false, `bad Content-Length "two"`},
-		{"signed length", head + "Content-Length: +2\r\n\r\nhi", dispatch.ClassGarbage, false, `bad Content-Length "+2"`},
-		{"huge", head + "Content-Length: 99999999999\r\n\r\nhi", dispatch.ClassGarbage, false, "answer too large"},
-		{"unknown transfer encoding", head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", dispatch.ClassGarbage, false, `unsupported transfer encoding: "gzip, chunked"`},
-		{"bad chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", dispatch.ClassGarbage, false, "invalid byte in chunk length"},
-		{"chunk too long", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n0\r\n\r\n", dispatch.ClassGarbage, false, "malformed chunked encoding"},
-		{"not HTTP", "SSH-2.0-x\r\n\r\n", dispatch.ClassGarbage, false, "not an answer"},
-		{"noise", strings.Repeat("\x00\xff\r\n", 9) + "\r\n\r\n", dispatch.ClassGarbage, false, "not an answer"},
-		{"bare line feed", "HTTP/1.1 200 OK\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassGarbage, false, "a line without CR LF"},
-		{"bare line feed in a field", "HTTP/1.1 200 OK\r\nX: y\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassGarbage, false, "a line without CR LF"},
-		{"folded", "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassGarbage, false, "a malformed field"},
-		{"space before the colon", "HTTP/1.1 200 OK\r\nStamp : s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassGarbage, false, "a malformed field"},
-		{"another protocol", "HTTP/1.1 101 Switch\r\n\r\n", dispatch.ClassGarbage, false, "interim answers"},
-		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 2*HeadMost), dispatch.ClassGarbage, false, "head too large"},
+		{"another request's", "HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "another request's answer"},
+		{"two ids", "HTTP/1.1 200 OK\r\nTry-Id: a\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "another request's answer"},
+		{"no id", "HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "an answer without the request's id"},
+		{"a failure without id", "HTTP/1.1 500 No\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "an answer without the request's id"},
+		{"no seal", "HTTP/1.1 200 OK\r\nTry-Id: a\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "a success without a seal"},
+		{"two seals", head + "Stamp: u\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "two seals"},
+		{"encoded", head + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "an encoded answer"},
+		{"no length", head + "\r\nhi", dispatch.ClassInvalid, false, "an answer without a length"},
+		{"two lengths", head + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi", dispatch.ClassInvalid, false, `http: message cannot contain multiple Content-Length headers; got ["2" "3"]`},
+		{"length and chunks", head + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", dispatch.ClassInvalid, false, "a length and chunks"},
+		{"length of words", head + "Content-Length: two\r\n\r\nhi", dispatch.ClassInvalid, false, `bad Content-Length "two"`},
+		{"signed length", head + "Content-Length: +2\r\n\r\nhi", dispatch.ClassInvalid, false, `bad Content-Length "+2"`},
+		{"huge", head + "Content-Length: 99999999999\r\n\r\nhi", dispatch.ClassInvalid, false, "answer too large"},
+		{"unknown transfer encoding", head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", dispatch.ClassInvalid, false, `unsupported transfer encoding: "gzip, chunked"`},
+		{"bad chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", dispatch.ClassInvalid, false, "invalid byte in chunk length"},
+		{"chunk too long", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n0\r\n\r\n", dispatch.ClassInvalid, false, "malformed chunked encoding"},
+		{"not HTTP", "SSH-2.0-x\r\n\r\n", dispatch.ClassInvalid, false, "not an answer"},
+		{"noise", strings.Repeat("\x00\xff\r\n", 9) + "\r\n\r\n", dispatch.ClassInvalid, false, "not an answer"},
+		{"bare line feed", "HTTP/1.1 200 OK\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a line without CR LF"},
+		{"bare line feed in a field", "HTTP/1.1 200 OK\r\nX: y\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a line without CR LF"},
+		{"folded", "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a malformed field"},
+		{"space before the colon", "HTTP/1.1 200 OK\r\nStamp : s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a malformed field"},
+		{"another protocol", "HTTP/1.1 101 Switch\r\n\r\n", dispatch.ClassInvalid, false, "interim answers"},
+		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 2*HeadMost), dispatch.ClassInvalid, false, "head too large"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cut := c.class == dispatch.ClassFailed
@@ -78,14 +78,14 @@
 			})
 			k := newTestClient(t, Config{})
 			rep := k.Start(f.once("a")).Run()
-			must.Eq(t, c.class, rep.Class, must.Sprint(rep.Why))
-			must.Eq(t, c.why, rep.Why)
-			must.False(t, rep.Reused)
+			must.Eq(t, c.class, rep.Class, must.Sprint(rep.Reason))
+			must.Eq(t, c.why, rep.Reason)
+			must.False(t, rep.ReusedConn)
 			must.Eq(t, 1, f.times("a"), must.Sprint("written once"))
 			rep = k.Start(f.once("b")).Run()
-			must.Eq(t, dispatch.ClassAnswer, rep.Class, must.Sprint(rep.Why))
+			must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, "second", string(rep.Body))
-			must.Eq(t, c.keep, rep.Reused)
+			must.Eq(t, c.keep, rep.ReusedConn)
 			must.Eq(t, 1, f.times("b"))
 			must.Eq(t, !c.keep, f.connections() == 2)
 		})
@@ -100,13 +100,13 @@
 	})
 	k := newTestClient(t, Config{})
 	rep := k.Start(f.ask("a")).Run()
-	must.Eq(t, dispatch.ClassAnswer, rep.Class, must.Sprint(rep.Why))
+	must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, 201, rep.Status)
 	must.Eq(t, "s.1", rep.Seal)
 	must.Eq(t, "hello", string(rep.Body))
-	must.Eq(t, dispatch.Load{Running: 1, Waiting: 2, Slots: 3, Known: true}, rep.Load)
-	must.Eq(t, http.Header{"Try-Id": {"a"}, "Stamp": {"s.1"}, "Busy": {"1, 2,3"}, "X-Own": {"v", "w"}}, rep.Head)
-	must.False(t, rep.Leaving)
+	must.Eq(t, dispatch.LoadReport{Running: 1, Queued: 2, Slots: 3, Known: true}, rep.Load)
+	must.Eq(t, http.Header{"Try-Id": {"a"}, "Stamp": {"s.1"}, "Busy": {"1, 2,3"}, "X-Own": {"v", "w"}}, rep.Header)
+	must.False(t, rep.Draining)
 	must.Eq(t, "2.8s", idleConn(t, k).idleFor.String(), must.Sprint("four seconds less three tenths"))
 }
 
@@ -114,7 +114,7 @@
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 	k := newTestClient(t, Config{})
 	a := f.ask("a")
-	a.Request.Head = []byte("X-Y: z\r\nTry-Id: a\r\n")
+	a.Request.Header = []byte("X-Y: z\r\nTry-Id: a\r\n")
 	x := k.Start(a)
 	must.Eq(t, "GET /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nX-Y: z\r\nTry-Id: a\r\nLeft: 250\r\nMeant-For: i-1\r\n\r\n", string(x.request(nil, 250_900_000)))
 	a = f.once("a")
@@ -132,9 +132,9 @@
 		a := f.once(id)
 		a.Request.Body = body
 		rep := k.Start(a).Run()
-		must.Eq(t, dispatch.ClassAnswer, rep.Class, must.Sprint(rep.Why))
+		must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 		must.True(t, bytes.Equal(body, rep.Body))
-		must.Eq(t, id == "b", rep.Reused)
+		must.Eq(t, id == "b", rep.ReusedConn)
 	}
 }
 
@@ -148,9 +148,9 @@
 		a := f.ask(id)
 		a.Request.Method = "HEAD"
 		rep := k.Start(a).Run()
-		must.Eq(t, dispatch.ClassAnswer, rep.Class)
-		must.Eq(t, id == "b", rep.Reused)
-		must.Eq(t, []string{"500"}, rep.Head["Content-Length"])
+		must.Eq(t, dispatch.ClassResponse, rep.Class)
+		must.Eq(t, id == "b", rep.ReusedConn)
+		must.Eq(t, []string{"500"}, rep.Header["Content-Length"])
 	}
 }
 
@@ -159,7 +159,7 @@
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 	k := newTestClient(t, Config{Counts: counts})
 	for _, id := range []string{"a", "b", "c"} {
-		must.Eq(t, dispatch.ClassAnswer, k.Start(f.ask(id)).Run().Class)
+		must.Eq(t, dispatch.ClassResponse, k.Start(f.ask(id)).Run().Class)
 	}
 	must.Eq(t, 1, counts.Of("backend_dials").Load())
 	must.Eq(t, 2, counts.Of("backend_reused").Load())
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -158,16 +158,16 @@
 	return &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: f.l.Addr().String()}}
 }
 
-func (f *fake) ask(id string) dispatch.Ask {
-	return dispatch.Ask{
-		Server: f.server(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, WithinUs: 20_000_000,
-		Request: &dispatch.Request{ID: id, Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Head: []byte("Try-Id: " + id + "\r\n")},
+func (f *fake) ask(id string) dispatch.Send {
+	return dispatch.Send{
+		Server: f.server(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, Timeout: 20_000_000,
+		Request: &dispatch.Request{ID: id, Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Header: []byte("Try-Id: " + id + "\r\n")},
 	}
 }
 
-func (f *fake) once(id string) dispatch.Ask {
+func (f *fake) once(id string) dispatch.Send {
 	a := f.ask(id)
-	a.Once, a.Request.Method, a.Request.Body = true, "POST", []byte("b-"+id)
+	a.AtMostOnce, a.Request.Method, a.Request.Body = true, "POST", []byte("b-"+id)
 	return a
 }
 
--- a/request/backend/judge.go
+++ b/request/backend/judge.go
@@ -16,7 +16,7 @@
 )
 
 // judge classes a whole answer; keep is that its connection may be used again.
-func (x *Exchange) judge(c *conn, resp *http.Response, body []byte) (rep dispatch.Reply, keep bool) {
+func (x *Exchange) judge(c *conn, resp *http.Response, body []byte) (rep dispatch.Result, keep bool) {
 	n, h := &x.k.names, resp.Header
 	ids, seals := h[n.ID], h[n.Seal]
 	switch {
@@ -27,12 +27,12 @@
 	case len(h["Content-Encoding"]) > 0:
 		return x.garbage("an encoded answer"), false
 	}
-	rep = dispatch.Reply{
-		Class: dispatch.ClassAnswer, Status: resp.StatusCode, Head: h, Body: body, Seal: h.Get(n.Seal), Load: load(h.Get(n.Load)),
-		Leaving: resp.Close || resp.ProtoMinor == 0,
+	rep = dispatch.Result{
+		Class: dispatch.ClassResponse, Status: resp.StatusCode, Header: h, Body: body, Seal: h.Get(n.Seal), Load: load(h.Get(n.Load)),
+		Draining: resp.Close || resp.ProtoMinor == 0,
 	}
 	// What follows a whole answer belongs to nothing.
-	keep = !rep.Leaving && !c.surplus && c.lasts(h)
+	keep = !rep.Draining && !c.surplus && c.lasts(h)
 	_, not := h[n.NotRun]
 	DropHop(h, n.ID)
 	if x.ask.Request.Method != http.MethodHead {
@@ -40,15 +40,15 @@
 	}
 	switch {
 	case rep.Status == http.StatusMisdirectedRequest:
-		rep.Class, rep.WrongBackend, rep.Why, keep = dispatch.ClassNotRun, true, "another backend", false
+		rep.Class, rep.WrongBackend, rep.Reason, keep = dispatch.ClassRejected, true, "another backend", false
 	case not && rep.Status >= 300:
-		rep.Class, rep.Why = dispatch.ClassNotRun, "turned away"
+		rep.Class, rep.Reason = dispatch.ClassRejected, "turned away"
 	case rep.Status/100 == 2 && rep.Seal == "":
 		return x.garbage("a success without a seal"), false
 	}
 	// Without the request's id it may be an earlier one's. A promise that nothing ran is then only
 	// taken for a request that may run again, or on a connection that carried no other.
-	if len(ids) == 0 && (rep.Class == dispatch.ClassAnswer || x.ask.Once && c.reused) {
+	if len(ids) == 0 && (rep.Class == dispatch.ClassResponse || x.ask.AtMostOnce && c.reused) {
 		return x.garbage("an answer without the request's id"), false
 	}
 	return rep, keep && len(ids) == 1
@@ -68,15 +68,15 @@
 }
 
 // load reads what a backend tells of itself: requests running, waiting, and slots.
-func load(s string) (l dispatch.Load) {
+func load(s string) (l dispatch.LoadReport) {
 	parts := strings.Split(s, ",")
 	if len(parts) != 3 {
 		return l
 	}
-	for i, to := range [3]*int{&l.Running, &l.Waiting, &l.Slots} {
+	for i, to := range [3]*int{&l.Running, &l.Queued, &l.Slots} {
 		n, err := strconv.ParseUint(strings.TrimSpace(parts[i]), 10, 31)
 		if err != nil {
-			return dispatch.Load{}
+			return dispatch.LoadReport{}
 		}
 		*to = int(n)
 	}
@@ -85,23 +85,23 @@
 }
 
 // broken classes an exchange without a whole answer.
-func (x *Exchange) broken(c *conn, err error) dispatch.Reply {
+func (x *Exchange) broken(c *conn, err error) dispatch.Result {
 	switch {
 	case c.wrote == 0:
 		return notSent("write: " + reason(err))
 	case c.err == nil:
 		return x.garbage(err.Error())
 	}
-	rep := dispatch.Reply{Class: dispatch.ClassFailed, Why: reason(c.err)}
+	rep := dispatch.Result{Class: dispatch.ClassFailed, Reason: reason(c.err)}
 	x.mu.Lock()
-	rep.Silent = !x.ended && errors.Is(c.err, os.ErrDeadlineExceeded)
+	rep.TimedOut = !x.ended && errors.Is(c.err, os.ErrDeadlineExceeded)
 	x.mu.Unlock()
 	return rep
 }
 
-func (x *Exchange) garbage(why string) dispatch.Reply {
+func (x *Exchange) garbage(why string) dispatch.Result {
 	x.k.count.garbage.Add(1)
-	return dispatch.Reply{Class: dispatch.ClassGarbage, Why: why}
+	return dispatch.Result{Class: dispatch.ClassInvalid, Reason: why}
 }
 
 func reason(err error) string {
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -62,7 +62,7 @@
 			x := k.Start(f.once("a"))
 			rep, again := x.on(f.dial(t, k))
 			must.False(t, again)
-			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Why))
+			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, 0, f.times("a"))
 			must.Eq(t, 0, k.open.Load())
 		})
@@ -83,7 +83,7 @@
 			x := k.Start(f.once("a"))
 			rep, again := x.on(f.dial(t, k))
 			must.False(t, again)
-			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Why))
+			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, 0, f.times("a"))
 		})
 	}
@@ -101,15 +101,15 @@
 			Frozen: func() bool { return looks.Add(1) == frozenAt },
 		})
 		if reused {
-			run(t, k, f.once("first"), dispatch.ClassAnswer)
+			run(t, k, f.once("first"), dispatch.ClassResponse)
 		}
 		// The first look is before the request is made up, the second right before its write.
 		frozenAt = looks.Load() + 2
 		rep := run(t, k, f.once("a"), dispatch.ClassNotSent)
-		must.Eq(t, "the process was frozen", rep.Why)
+		must.Eq(t, "the process was frozen", rep.Reason)
 		must.Eq(t, 0, f.times("a"))
 		must.Eq(t, 1, k.open.Load(), must.Sprint("nothing was written: the connection is kept"))
-		run(t, k, f.once("b"), dispatch.ClassAnswer)
+		run(t, k, f.once("b"), dispatch.ClassResponse)
 		must.Eq(t, 1, f.connections())
 	}
 }
@@ -121,13 +121,13 @@
 	looks := 0
 	k := newTestClient(t, Config{Frozen: func() bool {
 		if looks++; looks == 2 {
-			x.until = x.until.Add(-time.Duration(x.ask.WithinUs) * time.Microsecond)
+			x.until = x.until.Add(-time.Duration(x.ask.Timeout) * time.Microsecond)
 		}
 		return false
 	}})
 	x = k.Start(f.once("a"))
 	rep := x.Run()
-	must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Why))
+	must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, 0, f.times("a"))
 }
 
@@ -147,14 +147,14 @@
 	})
 	k := newTestClient(t, Config{})
 	a := f.once("a")
-	a.WithinUs = 20_000
-	must.True(t, run(t, k, a, dispatch.ClassFailed).Silent)
+	a.Timeout = 20_000
+	must.True(t, run(t, k, a, dispatch.ClassFailed).TimedOut)
 	must.Eq(t, 0, k.open.Load())
 	late <- true
 	<-wrote
-	rep := run(t, k, f.once("b"), dispatch.ClassAnswer)
+	rep := run(t, k, f.once("b"), dispatch.ClassResponse)
 	must.Eq(t, "right", string(rep.Body))
-	must.False(t, rep.Reused)
+	must.False(t, rep.ReusedConn)
 	must.Eq(t, 1, f.times("a"))
 	must.Eq(t, 2, f.connections())
 }
@@ -166,13 +166,13 @@
 		f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 		k := newTestClient(t, Config{})
 		if reused {
-			run(t, k, f.once("first"), dispatch.ClassAnswer)
+			run(t, k, f.once("first"), dispatch.ClassResponse)
 		}
 		f.cutAfter.Store(1000)
 		a := f.once("a")
 		a.Request.Body = []byte(strings.Repeat("x", 32<<20))
 		rep := run(t, k, a, dispatch.ClassFailed)
-		must.Eq(t, reused, rep.Reused)
+		must.Eq(t, reused, rep.ReusedConn)
 		must.Eq(t, 1, f.times("a"))
 		must.Eq(t, 0, k.open.Load())
 		must.Eq(t, 1, f.connections(), must.Sprint("written to one connection"))
@@ -199,13 +199,13 @@
 			return true
 		})
 		k := newTestClient(t, Config{})
-		run(t, k, f.once("a"), dispatch.ClassAnswer)
+		run(t, k, f.once("a"), dispatch.ClassResponse)
 		if later {
 			follow <- true
 			readable(t, idleConn(t, k))
 		}
-		rep := run(t, k, f.once("b"), dispatch.ClassAnswer)
-		must.False(t, rep.Reused)
+		rep := run(t, k, f.once("b"), dispatch.ClassResponse)
+		must.False(t, rep.ReusedConn)
 		must.Eq(t, "right", string(rep.Body))
 		must.Eq(t, 1, f.times("b"))
 	}
@@ -224,9 +224,9 @@
 		return false
 	})
 	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassAnswer)
+	run(t, k, f.once("a"), dispatch.ClassResponse)
 	rep := run(t, k, f.once("b"), dispatch.ClassFailed)
-	must.True(t, rep.Reused)
+	must.True(t, rep.ReusedConn)
 	must.Eq(t, 0, f.times("b"))
 	must.Eq(t, 1, f.connections(), must.Sprint("it was not written again elsewhere"))
 	must.Eq(t, 0, k.open.Load())
--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -10,204 +10,204 @@
 )
 
 type backend struct {
-	// open counts this node's asks under way; moved is when the first of them began, or the backend last gave a
+	// inFlight counts this node's asks under way; moved is when the first of them began, or the backend last gave a
 	// sign of life.
-	open  atomic.Int64
-	moved atomic.Int64
-	// ratio is what an answer takes relative to its pool, in thousandths, as of sampled.
-	ratio, sampled atomic.Int64
-	// errs is the share of failures, in thousandths, as of erred; fails counts them in a row.
-	errs, erred, fails atomic.Int64
-	// out is when it was ejected last, until when that ends, level how many came in a row, good the
+	inFlight   atomic.Int64
+	progressAt atomic.Int64
+	// latencyRatio is what an answer takes relative to its pool, in thousandths, as of sampled.
+	latencyRatio, latencyRatioAt atomic.Int64
+	// failureRate is the share of failures, in thousandths, as of erred; fails counts them in a row.
+	failureRate, failureRateAt, consecutiveFailures atomic.Int64
+	// ejectedAt is when it was ejected last, until when that ends, level how many came in a row, good the
 	// last answer.
-	out, until, level, good atomic.Int64
-	// replaced is until when it counts as ended, since another backend answered at its address.
-	replaced atomic.Int64
-	// mute tells that it was silent when it was ejected.
-	mute atomic.Bool
-	// load is what the backend has under way by its own word, in thousandths of requests, as of told;
+	ejectedAt, ejectedUntil, ejections, succeededAt atomic.Int64
+	// replacedUntil is until when it counts as ended, since another backend answered at its address.
+	replacedUntil atomic.Int64
+	// unresponsive tells that it was silent when it was ejected.
+	unresponsive atomic.Bool
+	// reportedLoad is what the backend has under way by its own word, in thousandths of requests, as of told;
 	// usual is its running mean.
-	load, told, usual, slots atomic.Int64
-	// full is the load at which it turned requests away, in thousandths of requests; 0 is unknown.
-	full atomic.Int64
-	// cold is until when it is cold, seen when a snapshot last named it.
-	cold, seen atomic.Int64
-	ramp       ramp
-	// given and emptied are of the last view: the listed rest of its cold time, and its zone.
-	given   int64
-	emptied bool
+	reportedLoad, reportedAt, meanLoad, slots atomic.Int64
+	// rejectedLoad is the load at which it turned requests away, in thousandths of requests; 0 is unknown.
+	rejectedLoad atomic.Int64
+	// warmingUntil is until when it is cold, seen when a snapshot last named it.
+	warmingUntil, listedAt atomic.Int64
+	slowStart              slowStart
+	// listedWarmup and emptied are of the last view: the listed rest of its cold time, and its zone.
+	listedWarmup int64
+	drained      bool
 }
 
-func (d *Desk) backendOf(id string) *backend {
+func (d *Dispatcher) backendOf(id string) *backend {
 	if v, ok := d.backends.Load(id); ok {
 		return v.(*backend)
 	}
 	b := new(backend)
-	b.ratio.Store(1000)
+	b.latencyRatio.Store(1000)
 	v, _ := d.backends.LoadOrStore(id, b)
 	return v.(*backend)
 }
 
-// forget drops backends that no snapshot has named for long.
-func (d *Desk) forget(cp *snapshot.Snapshot, there int) {
+// forgetBackends drops backends that no snapshot has named for long.
+func (d *Dispatcher) forgetBackends(snap *snapshot.Snapshot, there int) {
 	n := 0
 	d.backends.Range(func(any, any) bool { n++; return true })
 	if n <= 2*there+64 {
 		return
 	}
 	d.backends.Range(func(id, v any) bool {
-		if b := v.(*backend); b.seen.Load() < cp.At-forgetAfter && b.open.Load() == 0 {
+		if b := v.(*backend); b.listedAt.Load() < snap.At-forgetBackendAfter && b.inFlight.Load() == 0 {
 			d.backends.Delete(id)
 		}
 		return true
 	})
 }
 
-const forgetAfter = 60_000_000
+const forgetBackendAfter = 60_000_000
 
-// listed takes what a snapshot says of the backend. Views are made one after another.
-func (b *backend) listed(cp *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Server, began int64) {
-	first := b.seen.Load() == 0
-	b.seen.Store(max(1, cp.At))
+// updateListing takes what a snapshot says of the backend. Views are made one after another.
+func (b *backend) updateListing(snap *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Server, began int64) {
+	first := b.listedAt.Load() == 0
+	b.listedAt.Store(max(1, snap.At))
 	if s.Slots > 0 && b.slots.Load() == 0 {
 		b.slots.Store(int64(s.Slots))
 	}
-	was := b.given
-	b.given = s.WarmUpRemaining
+	was := b.listedWarmup
+	b.listedWarmup = s.WarmUpRemaining
 	switch {
 	case s.WarmUpRemaining > 0 && s.WarmUpRemaining != was:
-		b.cold.Store(cp.At + s.WarmUpRemaining)
-	case first && cp.At-began > settleAfter:
+		b.warmingUntil.Store(snap.At + s.WarmUpRemaining)
+	case first && snap.At-began > startupPeriod:
 		// A backend that was not there before has just started, whatever the list says.
-		b.cold.Store(cp.At + p.SlowStartUs)
+		b.warmingUntil.Store(snap.At + p.SlowStartUs)
 	}
-	if told := s.Gauge.SlowStartUntil.Load(); told > b.cold.Load() {
-		b.cold.Store(told)
+	if told := s.Gauge.SlowStartUntil.Load(); told > b.warmingUntil.Load() {
+		b.warmingUntil.Store(told)
 	}
 	out := s.Health == snapshot.ZoneDrained
-	if b.emptied && !out && p.RampPerS > 0 {
+	if b.drained && !out && p.RampPerS > 0 {
 		// Those of a zone that is taken back may have turned cold meanwhile.
-		b.cold.Store(max(b.cold.Load(), cp.At+p.SlowStartUs))
+		b.warmingUntil.Store(max(b.warmingUntil.Load(), snap.At+p.SlowStartUs))
 	}
-	b.emptied = out
+	b.drained = out
 }
 
 // Figures of the gauges.
 const (
-	ratioHalf   = 3_000_000
-	errsHalf    = 3_000_000
-	ejectAfter  = 3
-	ejectHigh   = 700_000
-	ejectNodes  = 8
-	ejectFor    = 400_000
-	ejectMost   = 6_000_000
-	replacedFor = 6_000_000
-	stallLeast  = 25_000
-	downWrong   = 700
-	stallForget = 20_000_000
-	goodFor     = 2_000_000
-	coldTimes   = 1600
-	ratioLeast  = 250
-	ratioMost   = 40_000
-	slotsUsual  = 4
-	loadForgets = 2
-	loadHalf    = 500_000
+	latencyRatioHalfLife  = 3_000_000
+	failureRateHalfLife   = 3_000_000
+	ejectAfterFailures    = 3
+	ejectionCap           = 700_000
+	ejectionCapNodes      = 8
+	baseEjection          = 400_000
+	maxEjection           = 6_000_000
+	replacedFor           = 6_000_000
+	minStall              = 25_000
+	downFailureRate       = 700
+	maxStall              = 20_000_000
+	successTrustedFor     = 2_000_000
+	warmingUpRatio        = 1600
+	minLatencyRatio       = 250
+	maxLatencyRatio       = 40_000
+	defaultConcurrency    = 4
+	reportedLoadHalfLives = 2
+	meanLoadHalfLife      = 500_000
 )
 
-// fade lets a value go halfway to its rest in each half-life.
-func fade(v, rest, age, half int64) int64 {
+// decay lets a value go halfway to its rest in each half-life.
+func decay(v, rest, age, half int64) int64 {
 	for ; age >= half && v != rest; age -= half {
 		v = rest + (v-rest)/2
 	}
 	return v - (v-rest)*min(age, half)/half/2
 }
 
-// slow is the ratio that is to be expected now: without samples it is forgotten.
-func (b *backend) slow(now int64) int64 {
-	r := fade(b.ratio.Load(), 1000, max(0, now-b.sampled.Load()), ratioHalf)
-	if now < b.cold.Load() {
-		r = max(r, coldTimes)
+// expectedRatio is the ratio that is to be expected now: without samples it is forgotten.
+func (b *backend) expectedRatio(now int64) int64 {
+	r := decay(b.latencyRatio.Load(), 1000, max(0, now-b.latencyRatioAt.Load()), latencyRatioHalfLife)
+	if now < b.warmingUntil.Load() {
+		r = max(r, warmingUpRatio)
 	}
 	return r
 }
 
-func (b *backend) wrong(now int64) int64 {
-	return fade(b.errs.Load(), 0, max(0, now-b.erred.Load()), errsHalf)
+func (b *backend) currentFailureRate(now int64) int64 {
+	return decay(b.failureRate.Load(), 0, max(0, now-b.failureRateAt.Load()), failureRateHalfLife)
 }
 
-// began notes an ask.
-func (b *backend) began(now int64) {
-	if b.open.Add(1) == 1 {
-		b.moved.Store(now)
+// attemptStarted notes an ask.
+func (b *backend) attemptStarted(now int64) {
+	if b.inFlight.Add(1) == 1 {
+		b.progressAt.Store(now)
 	}
 }
 
-// ended notes the end of an ask; told is whether the backend itself gave a sign of life.
-func (b *backend) ended(now int64, told bool) {
-	b.open.Add(-1)
+// attemptEnded notes the end of an ask; told is whether the backend itself gave a sign of life.
+func (b *backend) attemptEnded(now int64, told bool) {
+	b.inFlight.Add(-1)
 	if told {
-		b.moved.Store(now)
+		b.progressAt.Store(now)
 	}
 }
 
-// places is how many requests the backend works on at once.
-func (b *backend) places() int64 {
+// concurrency is how many requests the backend works on at once.
+func (b *backend) concurrency() int64 {
 	if n := b.slots.Load(); n > 0 {
 		return n
 	}
-	return slotsUsual
+	return defaultConcurrency
 }
 
 // stalled tells that asks are under way and none has ended for suspiciously long.
 func (b *backend) stalled(now int64, usual int64) bool {
-	age := now - b.moved.Load()
-	return age > max(stallLeast, usual) && age < stallForget && b.open.Load() > 0
+	age := now - b.progressAt.Load()
+	return age > max(minStall, usual) && age < maxStall && b.inFlight.Load() > 0
 }
 
-// took notes a good answer and how long it took, also net of the wait behind what the backend had
+// recordSuccess notes a good answer and how long it took, also net of the wait behind what the backend had
 // under way, in thousandths of requests.
 // It reports whether the backend was ejected.
-func (b *backend) took(now, us, busy int64, st *stats) (out bool) {
-	net := us * 1000 / (1000 + wait(busy, b.places(), 1000))
-	w := b.wrong(now)
-	if out = b.level.Load() > 0; out {
-		b.level.Store(0)
-		if b.mute.Swap(false) {
+func (b *backend) recordSuccess(now, us, busy int64, st *latencyStats) (out bool) {
+	net := us * 1000 / (1000 + queueTime(busy, b.concurrency(), 1000))
+	w := b.currentFailureRate(now)
+	if out = b.ejections.Load() > 0; out {
+		b.ejections.Store(0)
+		if b.unresponsive.Swap(false) {
 			// Silence that is over says little of what it answers now.
 			w /= 4
 		}
 	}
-	b.fails.Store(0)
-	b.until.Store(0)
-	b.good.Store(now)
-	b.errs.Store(w - w/4)
-	b.erred.Store(now)
-	st.took(us, net)
-	r := min(ratioMost, max(ratioLeast, net*1000/max(1, st.mid.Load())))
-	was := fade(b.ratio.Load(), 1000, max(0, now-b.sampled.Load()), ratioHalf)
-	b.ratio.Store(was + (r-was)/5)
-	b.sampled.Store(now)
+	b.consecutiveFailures.Store(0)
+	b.ejectedUntil.Store(0)
+	b.succeededAt.Store(now)
+	b.failureRate.Store(w - w/4)
+	b.failureRateAt.Store(now)
+	st.record(us, net)
+	r := min(maxLatencyRatio, max(minLatencyRatio, net*1000/max(1, st.median.Load())))
+	was := decay(b.latencyRatio.Load(), 1000, max(0, now-b.latencyRatioAt.Load()), latencyRatioHalfLife)
+	b.latencyRatio.Store(was + (r-was)/5)
+	b.latencyRatioAt.Store(now)
 	return out
 }
 
-// tells takes the backend's own word of its load.
-func (b *backend) tells(now int64, l Load) {
+// recordLoadReport takes the backend's own word of its load.
+func (b *backend) recordLoadReport(now int64, l LoadReport) {
 	if !l.Known {
 		return
 	}
-	n := int64(l.Running+l.Waiting) * 1000
-	b.usual.Store(b.usual.Load() + (n-b.usual.Load())/8)
-	b.load.Store(n)
-	b.told.Store(now)
+	n := int64(l.Running+l.Queued) * 1000
+	b.meanLoad.Store(b.meanLoad.Load() + (n-b.meanLoad.Load())/8)
+	b.reportedLoad.Store(n)
+	b.reportedAt.Store(now)
 	if l.Slots > 0 {
 		b.slots.Store(int64(l.Slots))
 	}
 }
 
-// busy is what the backend has under way, as far as is known, in thousandths of requests.
-func (b *backend) busy(now, work int64) int64 {
-	age := max(0, now-b.told.Load())
-	usual := fade(b.usual.Load(), 0, age, loadHalf)
-	n := fade(b.load.Load(), usual, age, max(1, work*loadForgets))
-	return max(n, b.open.Load()*1000)
+// estimatedLoad is what the backend has under way, as far as is known, in thousandths of requests.
+func (b *backend) estimatedLoad(now, work int64) int64 {
+	age := max(0, now-b.reportedAt.Load())
+	usual := decay(b.meanLoad.Load(), 0, age, meanLoadHalfLife)
+	n := decay(b.reportedLoad.Load(), usual, age, max(1, work*reportedLoadHalfLives))
+	return max(n, b.inFlight.Load()*1000)
 }
--- a/request/dispatch/bench_test.go
+++ b/request/dispatch/bench_test.go
@@ -15,20 +15,20 @@
 			for i := range body {
 				body[i] = byte(i * 37)
 			}
-			replies := make([]Reply, n)
+			replies := make([]Result, n)
 			for i := range replies {
 				replies[i] = okay("")
 				replies[i].Seal, replies[i].Body = fmt.Sprintf("3e1b.07.5a2.600.0.c9f2a4%02d", i), body
-				replies[i].Load = Load{Running: 1, Waiting: 0, Slots: 2, Known: true}
+				replies[i].Load = LoadReport{Running: 1, Queued: 0, Slots: 2, Known: true}
 			}
 			now := int64(begun)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 1000
-				c := NewChart(f.Desk, Request{ID: "r", Path: "/gather/x", Host: "site.example:80"}, now)
+				c := NewStateMachine(f.Dispatcher, Request{ID: "r", Path: "/gather/x", Host: "site.example:80"}, now)
 				c.Step(now, Begin{})
 				for i := range replies {
-					c.Step(now+500, Replied{N: i, Reply: replies[i]})
+					c.Step(now+500, AttemptDone{N: i, Result: replies[i]})
 				}
 				if !c.Done() {
 					b.Fatal("not done")
@@ -45,9 +45,9 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 1000
-		c := NewChart(f.Desk, Request{ID: "r", Path: "/once/x", Host: "site.example:80"}, now)
+		c := NewStateMachine(f.Dispatcher, Request{ID: "r", Path: "/once/x", Host: "site.example:80"}, now)
 		c.Step(now, Begin{})
-		c.Step(now+500, Replied{N: 0, Reply: r})
+		c.Step(now+500, AttemptDone{N: 0, Result: r})
 	}
 }
 
@@ -55,6 +55,6 @@
 	f := fixed(18, 8)
 	b.ReportAllocs()
 	for b.Loop() {
-		f.build(f.cp)
+		f.buildView(f.snap)
 	}
 }
--- a/request/dispatch/shared_test.go
+++ b/request/dispatch/dispatcher_test.go
@@ -15,11 +15,11 @@
 	f := fixed(6, 5)
 	f.rich()
 	var mu sync.Mutex
-	f.Desk.cfg.Table = func() *snapshot.Snapshot {
+	f.Dispatcher.cfg.Snapshot = func() *snapshot.Snapshot {
 		mu.Lock()
 		defer mu.Unlock()
 		// The table changes all the time.
-		v := *f.cp
+		v := *f.snap
 		v.At = begun
 		return &v
 	}
@@ -36,16 +36,16 @@
 					if (g+i+n)%7 == 0 {
 						r.Class = Class((i + n) % 5)
 					}
-					todo = append(todo, asks(c.Step(at+int64(n)*100, Replied{N: todo[n].N, Reply: r}))...)
+					todo = append(todo, asks(c.Step(at+int64(n)*100, AttemptDone{N: todo[n].N, Result: r}))...)
 				}
-				c.Step(at+600_000, Due{})
+				c.Step(at+600_000, TimerFired{})
 				must.True(t, c.Done())
 			}
 		})
 	}
 	wg.Wait()
 	f.backends.Range(func(id, v any) bool {
-		must.Eq(t, 0, v.(*backend).open.Load(), must.Sprint(id))
+		must.Eq(t, 0, v.(*backend).inFlight.Load(), must.Sprint(id))
 		return true
 	})
 }
@@ -55,7 +55,7 @@
 	refused := func(late int64) (n int) {
 		for range 100 {
 			for range 10 {
-				f.lag.note(begun, late)
+				f.lag.record(begun, late)
 			}
 			c := f.chart("gather")
 			acts := c.Step(begun, Begin{})
@@ -65,7 +65,7 @@
 			for i, a := range asks(acts) {
 				r := okay("")
 				r.Seal = string(rune('a' + i))
-				c.Step(begun+1000, Replied{N: a.N, Reply: r})
+				c.Step(begun+1000, AttemptDone{N: a.N, Result: r})
 			}
 		}
 		return n
@@ -82,26 +82,26 @@
 	for range 10 {
 		c := f.chart("read")
 		c.Step(begun, Begin{})
-		a := asks(c.Step(begun+500, Replied{N: 0, Reply: Reply{Class: ClassFailed, Reused: true}}))
+		a := asks(c.Step(begun+500, AttemptDone{N: 0, Result: Result{Class: ClassFailed, ReusedConn: true}}))
 		must.Len(t, 1, a)
-		must.Eq(t, 200, finish(c.Step(begun+3000, Replied{N: a[0].N, Reply: okay("x")})).Status)
+		must.Eq(t, 200, finish(c.Step(begun+3000, AttemptDone{N: a[0].N, Result: okay("x")})).Status)
 	}
-	must.Eq(t, 0, f.count.ejected.Load())
+	must.Eq(t, 0, f.count.ejections.Load())
 }
 
 func TestColdByItsOwnWord(t *testing.T) {
 	f := fixed(1, 2)
 	f.src.Pools[0].RampPerS = 1
-	for _, s := range f.cp.Pools["p0"].Servers {
+	for _, s := range f.snap.Pools["p0"].Servers {
 		s.Gauge.SlowStartUntil.Store(begun + 3*second)
 	}
 	sent := 0
 	for i := range 2000 {
 		at := begun + int64(i)*1000
-		c := NewChart(f.Desk, Request{Path: "/once/", Host: "site.example"}, at)
+		c := NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example"}, at)
 		for _, a := range asks(c.Step(at, Begin{})) {
 			sent++
-			c.Step(at+500, Replied{N: a.N, Reply: okay("x")})
+			c.Step(at+500, AttemptDone{N: a.N, Result: okay("x")})
 		}
 	}
 	must.Between(t, 1, sent, 6)
@@ -110,13 +110,13 @@
 func TestDeadline(t *testing.T) {
 	c := fixed(2, 4).chart("once")
 	c.Step(begun, Begin{})
-	o := finish(c.Step(begun+498_000, Due{}))
+	o := finish(c.Step(begun+498_000, TimerFired{}))
 	must.Eq(t, 504, o.Status)
-	must.Eq(t, 0, o.RetryAfterUs)
+	must.Eq(t, 0, o.RetryAfter)
 	f := fixed(2, 4)
-	c = NewChart(f.Desk, Request{Path: "/once/", Host: "site.example", BudgetUs: 200_000}, begun)
-	must.Eq(t, 192_000, asks(c.Step(begun, Begin{}))[0].WithinUs, must.Sprint("the client's budget, less the way back"))
-	c = NewChart(f.Desk, Request{Path: "/once/", Host: "site.example", BudgetUs: 200_000, ReadUs: begun - 300_000}, begun)
+	c = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000}, begun)
+	must.Eq(t, 192_000, asks(c.Step(begun, Begin{}))[0].Timeout, must.Sprint("the client's budget, less the way back"))
+	c = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000, ReadAt: begun - 300_000}, begun)
 	o = finish(c.Step(begun, Begin{}))
 	must.Eq(t, 503, o.Status, must.Sprint("nothing was ever sent"))
 }
--- a/request/dispatch/replaced_test.go
+++ b/request/dispatch/ejection_test.go
@@ -9,8 +9,8 @@
 )
 
 // elsewhere is the answer of another backend at the address.
-func elsewhere() Reply {
-	return Reply{Class: ClassNotRun, Status: 421, WrongBackend: true}
+func elsewhere() Result {
+	return Result{Class: ClassRejected, Status: 421, WrongBackend: true}
 }
 
 // meetsAnother has a request of the route meet another backend at the address that it asks.
@@ -19,7 +19,7 @@
 	c := f.chart("read")
 	a := asks(c.Step(begun, Begin{}))
 	must.Len(t, 1, a)
-	c.Step(begun+1_000, Replied{N: a[0].N, Reply: elsewhere()})
+	c.Step(begun+1_000, AttemptDone{N: a[0].N, Result: elsewhere()})
 	return f.backendOf(a[0].Server.ID)
 }
 
@@ -27,25 +27,25 @@
 	f := fixed(1, 2)
 	f.rich()
 	b := f.meetsAnother(t)
-	seats := f.now().pools["p0"].seats
+	seats := f.currentView().pools["p0"].endpoints
 	for at := int64(begun + 1_001); at < begun+replacedFor; at += 100_000 {
 		for i := range seats {
-			if seats[i].b == b {
-				must.Eq(t, stDown, seats[i].standing(at, &stats{}, false), must.Sprint("no trial: it would reach the other one"))
+			if seats[i].backend == b {
+				must.Eq(t, standingDown, seats[i].standing(at, &latencyStats{}, false), must.Sprint("no trial: it would reach the other one"))
 			}
 		}
 	}
-	must.Eq(t, 1, f.count.ejected.Load())
+	must.Eq(t, 1, f.count.ejections.Load())
 }
 
 func TestABackendIsTriedAgainOnceALongTimeHasPassed(t *testing.T) {
 	f := fixed(1, 2)
 	f.rich()
 	b := f.meetsAnother(t)
-	seats := f.now().pools["p0"].seats
+	seats := f.currentView().pools["p0"].endpoints
 	for i := range seats {
-		if seats[i].b == b {
-			must.NotEq(t, stDown, seats[i].standing(begun+1_000+replacedFor, &stats{}, false))
+		if seats[i].backend == b {
+			must.NotEq(t, standingDown, seats[i].standing(begun+1_000+replacedFor, &latencyStats{}, false))
 		}
 	}
 }
--- a/request/dispatch/fleet_test.go
+++ b/request/dispatch/fleet_test.go
@@ -107,11 +107,11 @@
 	const nodes, allowance = 600, 30.0
 	for seed := range uint64(3) {
 		r := rand.New(rand.NewPCG(seed, 5))
-		cp := &snapshot.Snapshot{Divisor: nodes}
+		snap := &snapshot.Snapshot{Divisor: nodes}
 		now := int64(60 * second)
-		var desks []*Desk
+		var desks []*Dispatcher
 		for range nodes {
-			desks = append(desks, NewDesk(Config{Counts: kernel.NewCounts(), Seed: r.Uint64(), Retry: RetryConfig{Ratio: 0.2, Allowance: allowance}}))
+			desks = append(desks, NewDispatcher(Config{Counts: kernel.NewCounts(), Seed: r.Uint64(), Retry: RetryConfig{Ratio: 0.2, Allowance: allowance}}))
 		}
 		var j journal
 		j.init()
@@ -121,12 +121,12 @@
 		for i := range 60 * 560 {
 			now += second / 560
 			d := desks[r.IntN(nodes)]
-			p := &pool{name: "p", budget: d.budgetOf("p")}
-			d.earn(p, cp, now, &rnd)
+			p := &pool{name: "p", retryBudget: d.retryBudgetOf("p")}
+			d.replenishRetryBudget(p, snap, now, &rnd)
 			id := fmt.Sprint(i)
 			j.asked(now, id, &one)
 			for range 3 {
-				if i > 40*560 && d.extra(p, cp, now) {
+				if i > 40*560 && d.takeRetry(p, snap, now) {
 					j.arrivals = append(j.arrivals, &arrival{at: now, id: id, pool: "p", extra: true})
 				}
 			}
--- a/request/dispatch/gather.go
+++ b/request/dispatch/gather.go
@@ -4,157 +4,157 @@
 
 import "math"
 
-func (c *Chart) admitGathered(now int64) {
+func (c *StateMachine) admitGathered(now int64) {
 	p := c.plan
-	c.ways, c.tries = make([]way, len(p.pools)), make([]try, 0, len(p.pools)+2)
-	c.trace.asks = make([]AskLine, 0, len(p.pools)+2)
-	for i := range c.ways {
-		w := &c.ways[i]
-		w.pool, w.stats, w.tried = p.pools[i], p.stats[i], w.buf[:0]
-		c.desk.earn(w.pool, c.view.cp, now, &c.rnd)
-	}
-	if why, retry := c.leaveOut(now); why != "" {
-		c.refuse(now, why, retry)
+	c.shards, c.attempts = make([]shardRequest, len(p.pools)), make([]attempt, 0, len(p.pools)+2)
+	c.trace.attempts = make([]AttemptTrace, 0, len(p.pools)+2)
+	for i := range c.shards {
+		w := &c.shards[i]
+		w.pool, w.latency, w.tried = p.pools[i], p.latency[i], w.triedBuf[:0]
+		c.dispatcher.replenishRetryBudget(w.pool, c.view.snapshot, now, &c.random)
+	}
+	if why, retry := c.excludeShards(now); why != "" {
+		c.reject(now, why, retry)
 		return
 	}
-	c.to(now, StAdmitted, "")
-	for i := range c.ways {
-		if !c.ways[i].missing {
-			c.ways[i].missing = !c.ask(now, i, first)
+	c.transition(now, StateAdmitted, "")
+	for i := range c.shards {
+		if !c.shards[i].missing {
+			c.shards[i].missing = !c.send(now, i, sendFirst)
 		}
 	}
-	c.state = StAsked
-	c.settle(now)
-	c.wake(now)
+	c.state = StateSent
+	c.resolve(now)
+	c.scheduleTimer(now)
 }
 
-// leaveOut settles which pools are not asked at all: those of which nothing may be asked, then
+// excludeShards settles which pools are not asked at all: those of which nothing may be asked, then
 // those whose backends are all ejected, then those that are too busy. A search loses parts before
 // it is refused; it is refused when too few would be left, or too few to be worth it. One number is
 // drawn for all pools: where all are as busy, the search is refused whole and not part by part.
-func (c *Chart) leaveOut(now int64) (why string, retry int64) {
-	n, need, drawn := len(c.ways), c.need(), c.rnd.Float()
-	if c.sheds(c.behind(now), drawn) {
+func (c *StateMachine) excludeShards(now int64) (why string, retry int64) {
+	n, need, drawn := len(c.shards), c.requiredShards(), c.random.Float()
+	if c.overloaded(c.lagPressure(now), drawn) {
 		return "this node is behind", c.retryAfter(now)
 	}
 	left, busy := n, 0
-	out := func(w *way, why string) {
+	out := func(w *shardRequest, why string) {
 		w.missing, left = true, left-1
-		w.because(why)
+		w.setReason(why)
 	}
-	for i := range c.ways {
-		w := &c.ways[i]
-		best, pressure := c.look(now, w)
-		w.best, w.busy = best, best < stDown && c.sheds(pressure, drawn)
-		if best >= stDown {
+	for i := range c.shards {
+		w := &c.shards[i]
+		best, pressure := c.assess(now, w)
+		w.bestStanding, w.overloaded = best, best < standingDown && c.overloaded(pressure, drawn)
+		if best >= standingDown {
 			out(w, "no backend may be asked")
 		}
 	}
 	if left < need {
-		return "too few pools have a backend", c.retryDown(now)
+		return "too few pools have a backend", c.retryAfterDown(now)
 	}
-	for i := range c.ways {
-		if w := &c.ways[i]; !w.missing && w.best > stTrial && left > need {
+	for i := range c.shards {
+		if w := &c.shards[i]; !w.missing && w.bestStanding > standingTrial && left > need {
 			out(w, "all backends are ejected")
 		}
 	}
-	for i := range c.ways {
-		if w := &c.ways[i]; !w.missing && w.busy {
+	for i := range c.shards {
+		if w := &c.shards[i]; !w.missing && w.overloaded {
 			busy++
 			out(w, "every backend is too busy")
 		}
 	}
-	if busy > 0 && (left < need || left*left*1000 < enoughLow*n*n) {
+	if busy > 0 && (left < need || left*left*1000 < minValue*n*n) {
 		return "every backend is too busy", c.retryAfter(now)
 	}
 	return "", 0
 }
 
-// need is how many parts a success must have.
-func (c *Chart) need() int {
-	return max(1, int(math.Ceil(c.route.MinCoverage*float64(len(c.ways))-1e-9)))
+// requiredShards is how many parts a success must have.
+func (c *StateMachine) requiredShards() int {
+	return max(1, int(math.Ceil(c.route.MinCoverage*float64(len(c.shards))-1e-9)))
 }
 
 // Shares of the full worth, in thousandths, from which an answer is given at the
 // aim though parts are missing. What a late answer is worth nobody tells; the more
 // important routes are those that rather wait.
 const (
-	enoughHigh = 800
-	enoughLow  = 500
-	highest    = 1
+	minValueHighPriority = 800
+	minValue             = 500
+	highPriority         = 1
 )
 
-func (c *Chart) settleGathered(now int64) {
+func (c *StateMachine) resolveGathered(now int64) {
 	in, left, ran := 0, 0, false
 	why := ""
-	for i := range c.ways {
-		w := &c.ways[i]
-		ran = ran || w.ran || w.open > 0 || w.done
+	for i := range c.shards {
+		w := &c.shards[i]
+		ran = ran || w.mayHaveRun || w.inFlight > 0 || w.succeeded
 		switch {
-		case w.done:
+		case w.succeeded:
 			in++
 		case w.missing:
-			why = w.why
+			why = w.reason
 		default:
 			left++
 		}
 	}
-	need := c.need()
+	need := c.requiredShards()
 	switch {
-	case in >= need && (left == 0 || now >= c.end || c.enough(now, in)):
-		c.gather(now, in)
+	case in >= need && (left == 0 || now >= c.deadline || c.enoughShards(now, in)):
+		c.respondGathered(now, in)
 	case in+left < need && !ran:
-		c.refuse(now, "too few parts: "+why, c.retryAfter(now))
+		c.reject(now, "too few parts: "+why, c.retryAfter(now))
 	case in+left < need:
-		c.finish(now, StGivenUp, Outcome{Status: 502, Code: "given_up", Why: "too few parts: " + why})
-	case now >= c.end:
-		c.finish(now, StGivenUp, Outcome{Status: 504, Code: "given_up", Why: "too few parts in time"})
+		c.finish(now, StateFailed, Outcome{Status: 502, Code: "given_up", Reason: "too few parts: " + why})
+	case now >= c.deadline:
+		c.finish(now, StateFailed, Outcome{Status: 504, Code: "given_up", Reason: "too few parts in time"})
 	}
 }
 
-// enough reports whether what is in is to be answered: when nothing else is hoped for, and past the
+// enoughShards reports whether what is in is to be answered: when nothing else is hoped for, and past the
 // aim when it is worth enough.
-func (c *Chart) enough(now int64, in int) bool {
-	if now >= c.aim {
-		worth, least := in*in*1000/(len(c.ways)*len(c.ways)), enoughLow
-		if c.route.Priority <= highest {
-			least = enoughHigh
+func (c *StateMachine) enoughShards(now int64, in int) bool {
+	if now >= c.targetAt {
+		worth, least := in*in*1000/(len(c.shards)*len(c.shards)), minValue
+		if c.route.Priority <= highPriority {
+			least = minValueHighPriority
 		}
 		if worth >= least {
 			return true
 		}
 	}
-	for n := range c.tries {
-		if t := &c.tries[n]; t.open && !t.left && now < c.hopeEnds(t) {
+	for n := range c.attempts {
+		if t := &c.attempts[n]; t.inFlight && !t.abandoned && now < c.expectedUntil(t) {
 			return false
 		}
 	}
 	return true
 }
 
-// hopeEnds is until when an ask's answer is expected: of a backend on trial no longer than most
+// expectedUntil is until when an ask's answer is expected: of a backend on trial no longer than most
 // answers take, of another for a pause and more.
-func (c *Chart) hopeEnds(t *try) int64 {
-	top := c.ways[t.way].stats.top.Load()
-	if t.seat.b.level.Load() > 0 {
-		return t.at + top
+func (c *StateMachine) expectedUntil(t *attempt) int64 {
+	top := c.shards[t.shard].latency.p95.Load()
+	if t.endpoint.backend.ejections.Load() > 0 {
+		return t.startedAt + top
 	}
-	return t.at + max(stallMost, 8*top)
+	return t.startedAt + max(maxPause, 8*top)
 }
 
-// stallMost is the longest pause that a backend in order takes.
-const stallMost = 250_000
+// maxPause is the longest pause that a backend in order takes.
+const maxPause = 250_000
 
-func (c *Chart) gather(now int64, in int) {
-	c.to(now, StGathered, "")
+func (c *StateMachine) respondGathered(now int64, in int) {
+	c.transition(now, StateGathered, "")
 	parts, seals := make([][]byte, 0, in), make([]string, 0, in)
-	for i := range c.ways {
-		if w := &c.ways[i]; w.done {
-			parts, seals = append(parts, w.part), append(seals, w.seal)
+	for i := range c.shards {
+		if w := &c.shards[i]; w.succeeded {
+			parts, seals = append(parts, w.records), append(seals, w.seal)
 		}
 	}
-	c.finish(now, StAnswered, Outcome{
-		Status: 200, Code: "ok", Seals: seals, Missing: len(c.ways) - in,
+	c.finish(now, StateResponded, Outcome{
+		Status: 200, Code: "ok", Seals: seals, Missing: len(c.shards) - in,
 		Body: merge(parts, int(c.route.ResultLimit)),
 	})
 }
--- a/request/dispatch/gather_test.go
+++ b/request/dispatch/gather_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func part(seal string, records ...string) Reply {
+func part(seal string, records ...string) Result {
 	r := okay("")
 	r.Seal = seal
 	for _, v := range records {
@@ -24,15 +24,15 @@
 	f := fixed(4, 3)
 	c := f.chart("gather")
 	must.Len(t, 4, asks(c.Step(begun, Begin{})))
-	c.Step(begun+1000, Replied{N: 0, Reply: part("s0", "b", "d")})
-	c.Step(begun+1000, Replied{N: 1, Reply: part("s1", "a", "d")})
-	c.Step(begun+1000, Replied{N: 2, Reply: part("s2")})
-	o := finish(c.Step(begun+2000, Replied{N: 3, Reply: part("s3", "c")}))
+	c.Step(begun+1000, AttemptDone{N: 0, Result: part("s0", "b", "d")})
+	c.Step(begun+1000, AttemptDone{N: 1, Result: part("s1", "a", "d")})
+	c.Step(begun+1000, AttemptDone{N: 2, Result: part("s2")})
+	o := finish(c.Step(begun+2000, AttemptDone{N: 3, Result: part("s3", "c")}))
 	must.Eq(t, 200, o.Status)
 	must.Eq(t, 0, o.Missing)
 	must.Eq(t, []string{"s0", "s1", "s2", "s3"}, o.Seals)
 	must.Eq(t, "d...............d...............c...............", string(o.Body))
-	must.Nil(t, o.Answer)
+	must.Nil(t, o.Response)
 }
 
 func TestGatherRefusesAtOnceWhenTooFewPoolsAreUp(t *testing.T) {
@@ -43,7 +43,7 @@
 	acts := f.chart("gather").Step(begun, Begin{})
 	must.SliceEmpty(t, asks(acts))
 	must.Eq(t, 503, finish(acts).Status)
-	must.Positive(t, finish(acts).RetryAfterUs)
+	must.Positive(t, finish(acts).RetryAfter)
 }
 
 func TestGatherAnswersWithoutAPoolThatIsDown(t *testing.T) {
@@ -52,9 +52,9 @@
 	f.backendOf("p1-1").eject(begun)
 	c := f.chart("gather")
 	must.Len(t, 3, asks(c.Step(begun, Begin{})))
-	c.Step(begun+1000, Replied{N: 0, Reply: part("s0", "b")})
-	c.Step(begun+1000, Replied{N: 1, Reply: part("s1", "a")})
-	o := finish(c.Step(begun+2000, Replied{N: 2, Reply: part("s2", "c")}))
+	c.Step(begun+1000, AttemptDone{N: 0, Result: part("s0", "b")})
+	c.Step(begun+1000, AttemptDone{N: 1, Result: part("s1", "a")})
+	o := finish(c.Step(begun+2000, AttemptDone{N: 2, Result: part("s2", "c")}))
 	must.Eq(t, 200, o.Status)
 	must.Eq(t, 1, o.Missing)
 }
@@ -67,15 +67,15 @@
 		c := f.chart("gather")
 		c.Step(begun, Begin{})
 		for n := range 3 {
-			c.Step(begun+1000, Replied{N: n, Reply: part("s"+string(rune('0'+n)), "b")})
+			c.Step(begun+1000, AttemptDone{N: n, Result: part("s"+string(rune('0'+n)), "b")})
 		}
-		o := finish(c.Step(c.aim, Due{}))
+		o := finish(c.Step(c.targetAt, TimerFired{}))
 		if priority == 2 {
 			must.Eq(t, 1, o.Missing, must.Sprint("with what has come"))
 			continue
 		}
 		must.Nil(t, o, must.Sprint("the more important one waits on"))
-		o = finish(c.Step(begun+300_000, Replied{N: 3, Reply: part("s3", "b")}))
+		o = finish(c.Step(begun+300_000, AttemptDone{N: 3, Result: part("s3", "b")}))
 		must.Eq(t, 0, o.Missing)
 	}
 }
@@ -90,7 +90,7 @@
 		if n == 3 {
 			r.Status, r.Seal = 500, "other"
 		}
-		if o := finish(c.Step(begun+1000, Replied{N: n, Reply: r})); o != nil {
+		if o := finish(c.Step(begun+1000, AttemptDone{N: n, Result: r})); o != nil {
 			must.Eq(t, 502, o.Status)
 			return
 		}
@@ -105,11 +105,11 @@
 	c.Step(begun, Begin{})
 	f.src.Routes[0].FanoutPools = []string{"p1", "p2", "p3"}
 	f.compile()
-	must.SliceEmpty(t, asks(c.Step(begun+1000, Replied{N: 0, Reply: Reply{Class: ClassFailed}})), must.Sprint("p0 is asked no more"))
-	must.Len(t, 1, asks(c.Step(begun+1000, Replied{N: 1, Reply: Reply{Class: ClassFailed}})))
-	c.Step(begun+1000, Replied{N: 2, Reply: part("s2", "b")})
-	c.Step(begun+1000, Replied{N: 3, Reply: part("s3", "b")})
-	o := finish(c.Step(begun+2000, Replied{N: 4, Reply: part("s1", "b")}))
+	must.SliceEmpty(t, asks(c.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})), must.Sprint("p0 is asked no more"))
+	must.Len(t, 1, asks(c.Step(begun+1000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})))
+	c.Step(begun+1000, AttemptDone{N: 2, Result: part("s2", "b")})
+	c.Step(begun+1000, AttemptDone{N: 3, Result: part("s3", "b")})
+	o := finish(c.Step(begun+2000, AttemptDone{N: 4, Result: part("s1", "b")}))
 	must.Eq(t, 200, o.Status)
 	must.Eq(t, 1, o.Missing, must.Sprint("of the version that it began with"))
 }
@@ -140,9 +140,9 @@
 	f.rich()
 	c := f.chart("gather")
 	c.Step(begun, Begin{})
-	early := asks(c.Step(c.ways[0].hedgeAt, Due{}))
+	early := asks(c.Step(c.shards[0].hedgeAt, TimerFired{}))
 	must.SliceNotEmpty(t, early)
-	c.Step(begun+40_000, Replied{N: 0, Reply: part("s0", "b")})
+	c.Step(begun+40_000, AttemptDone{N: 0, Result: part("s0", "b")})
 	var second int
 	for _, a := range early {
 		if a.Pool.Name == "p0" {
@@ -150,8 +150,8 @@
 		}
 	}
 	must.Positive(t, second)
-	must.SliceEmpty(t, asks(c.Step(begun+41_000, Replied{N: second, Reply: Reply{Class: ClassFailed}})))
-	c.Step(begun+41_000, Replied{N: 1, Reply: part("s1", "a")})
-	c.Step(begun+41_000, Replied{N: 2, Reply: part("s2", "a")})
-	must.Eq(t, 0, finish(c.Step(begun+42_000, Replied{N: 3, Reply: part("s3", "a")})).Missing)
+	must.SliceEmpty(t, asks(c.Step(begun+41_000, AttemptDone{N: second, Result: Result{Class: ClassFailed}})))
+	c.Step(begun+41_000, AttemptDone{N: 1, Result: part("s1", "a")})
+	c.Step(begun+41_000, AttemptDone{N: 2, Result: part("s2", "a")})
+	must.Eq(t, 0, finish(c.Step(begun+42_000, AttemptDone{N: 3, Result: part("s3", "a")})).Missing)
 }
--- a/request/dispatch/invariants_test.go
+++ b/request/dispatch/invariants_test.go
@@ -13,7 +13,7 @@
 )
 
 // asked is a chart of a route with its first ask under way.
-func asked(t *testing.T, route string) (*Chart, Ask) {
+func asked(t *testing.T, route string) (*StateMachine, Send) {
 	t.Helper()
 	f := fixed(1, 3)
 	f.rich()
@@ -24,8 +24,8 @@
 }
 
 // asksAgain asks for the chart's first way once more, whatever became of the ask before.
-func asksAgain(c *Chart) invariant.Name {
-	return violation.By(func() { c.ask(begun+1_000, 0, instead) })
+func asksAgain(c *StateMachine) invariant.Name {
+	return violation.By(func() { c.send(begun+1_000, 0, sendReplacement) })
 }
 
 func TestViolationsOfAsks(t *testing.T) {
@@ -33,32 +33,32 @@
 	must.Eq(t, invariant.RunsOnce, asksAgain(c), must.Sprint("one is under way"))
 
 	c, a := asked(t, "once2")
-	c.Step(begun+1_000, Replied{N: a.N, Reply: Reply{Class: ClassFailed}})
-	c.done = false
+	c.Step(begun+1_000, AttemptDone{N: a.N, Result: Result{Class: ClassFailed}})
+	c.finished = false
 	must.Eq(t, invariant.RunsOnce, asksAgain(c), must.Sprint("one may have run"))
 
 	c, a = asked(t, "once2")
-	c.Step(begun+1_000, Replied{N: a.N, Reply: okay("x")})
+	c.Step(begun+1_000, AttemptDone{N: a.N, Result: okay("x")})
 	must.Eq(t, invariant.NoAskAfterEnd, asksAgain(c))
 
 	c, _ = asked(t, "read")
-	c.ways[0].sent = c.most()
+	c.shards[0].sent = c.maxBackends()
 	must.Eq(t, invariant.BackendsWithinRoute, asksAgain(c))
 
 	c, _ = asked(t, "read")
-	for i := range c.ways[0].pool.seats {
-		c.ways[0].pool.seats[i].server.Health = snapshot.Draining
+	for i := range c.shards[0].pool.endpoints {
+		c.shards[0].pool.endpoints[i].server.Health = snapshot.Draining
 	}
 	must.Eq(t, invariant.NotToLeaving, asksAgain(c))
 
 	c, a = asked(t, "read")
-	c.ways[0].open = 0
-	must.Eq(t, invariant.GaugesNotNegative, violation.By(func() { c.close(begun+1_000, a.N, nil) }))
+	c.shards[0].inFlight = 0
+	must.Eq(t, invariant.GaugesNotNegative, violation.By(func() { c.closeAttempt(begun+1_000, a.N, nil) }))
 }
 
 // ends has a chart give an outcome.
-func ends(c *Chart, o Outcome) invariant.Name {
-	return violation.By(func() { c.finish(begun+1_000, StAnswered, o) })
+func ends(c *StateMachine, o Outcome) invariant.Name {
+	return violation.By(func() { c.finish(begun+1_000, StateResponded, o) })
 }
 
 func TestViolationsOfOutcomes(t *testing.T) {
@@ -68,9 +68,9 @@
 	}
 	c, _ := asked(t, "read")
 	must.Eq(t, "", ends(c, Outcome{Status: 503, Code: "refused"}), must.Sprint("what may be repeated may be refused"))
-	for _, r := range []*Reply{nil, {Class: ClassAnswer, Status: 200}, {Class: ClassAnswer, Status: 500, Seal: "s"}} {
+	for _, r := range []*Result{nil, {Class: ClassResponse, Status: 200}, {Class: ClassResponse, Status: 500, Seal: "s"}} {
 		c, _ := asked(t, "read")
-		must.Eq(t, invariant.SuccessSealed, ends(c, Outcome{Status: 200, Code: "ok", Answer: r}))
+		must.Eq(t, invariant.SuccessSealed, ends(c, Outcome{Status: 200, Code: "ok", Response: r}))
 	}
 	for _, o := range []Outcome{
 		{Seals: []string{"a"}, Missing: 0},
--- a/request/dispatch/judge_test.go
+++ b/request/dispatch/journal_test.go
@@ -67,9 +67,9 @@
 
 // asks judges an ask at once by the newest table of its node: the backend must not be leaving or in
 // an evacuated zone, and the request must have its way to the pool.
-func (j *journal) asks(n *simNode, a Ask) {
-	p := n.cp.Pools[a.Pool.Name]
-	if p == nil || !serves(n.cp.Routing.Match(a.Request.Host, a.Request.Path), a.Pool.Name) {
+func (j *journal) asks(n *simNode, a Send) {
+	p := n.snap.Pools[a.Pool.Name]
+	if p == nil || !serves(n.snap.Routing.Match(a.Request.Host, a.Request.Path), a.Pool.Name) {
 		j.astray = append(j.astray, a.Request.ID+" sent to "+a.Pool.Name)
 		return
 	}
@@ -125,7 +125,7 @@
 		ran[a.id] = ran[a.id] || a.ran
 	}
 	for _, t := range j.told_ {
-		if t.kind.once && promise(t.o.Status) && ran[t.id] {
+		if t.kind.once && promisesNotRun(t.o.Status) && ran[t.id] {
 			out = append(out, fmt.Sprintf("%d told, but it ran: %s", t.o.Status, t.id))
 		}
 	}
--- a/request/dispatch/lag.go
+++ b/request/dispatch/lag.go
@@ -6,27 +6,29 @@
 
 import "sync/atomic"
 
-type lag struct{ mean, at atomic.Int64 }
+type lag struct{ mean, updatedAt atomic.Int64 }
 
-// Figures of the lag: what was noted fades by half in lagHalf; requests are refused from lagFrom
-// to lagTo of the time up to their aim.
+// Figures of the lag: what was noted fades by half in lagHalfLife; requests are refused from lagLow
+// to lagHigh of the time up to their aim.
 const (
-	lagHalf = 200_000
-	lagFrom = 0.35
-	lagTo   = 1.0
+	lagHalfLife = 200_000
+	lagLow      = 0.35
+	lagHigh     = 1.0
 )
 
-// note takes how late something was done, in microseconds.
-func (l *lag) note(now, us int64) {
-	was := l.now(now)
+// record takes how late something was done, in microseconds.
+func (l *lag) record(now, us int64) {
+	was := l.current(now)
 	l.mean.Store(was + (max(0, us)-was)/8)
-	l.at.Store(now)
+	l.updatedAt.Store(now)
 }
 
-func (l *lag) now(now int64) int64 { return fade(l.mean.Load(), 0, max(0, now-l.at.Load()), lagHalf) }
+func (l *lag) current(now int64) int64 {
+	return decay(l.mean.Load(), 0, max(0, now-l.updatedAt.Load()), lagHalfLife)
+}
 
-// behind is the share of requests to refuse since this node is behind.
-func (c *Chart) behind(now int64) float64 {
-	share := float64(c.desk.lag.now(now)) / float64(max(1, c.aim-c.began))
-	return max(0, (share-lagFrom)/(lagTo-lagFrom))
+// lagPressure is the share of requests to refuse since this node is behind.
+func (c *StateMachine) lagPressure(now int64) float64 {
+	share := float64(c.dispatcher.lag.current(now)) / float64(max(1, c.targetAt-c.startedAt))
+	return max(0, (share-lagLow)/(lagHigh-lagLow))
 }
--- a/request/dispatch/merge.go
+++ b/request/dispatch/merge.go
@@ -34,12 +34,12 @@
 				heap = append(heap, r)
 				if len(heap) == limit {
 					for i := limit/2 - 1; i >= 0; i-- {
-						sink(heap, i)
+						siftDown(heap, i)
 					}
 				}
 			case heap[0].less(r):
 				heap[0] = r
-				sink(heap, 0)
+				siftDown(heap, 0)
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 	return out
 }
 
-func sink(heap []record, i int) {
+func siftDown(heap []record, i int) {
 	for {
 		c := 2*i + 1
 		if c >= len(heap) {
--- a/request/dispatch/backend_test.go
+++ b/request/dispatch/sim_backend_test.go
@@ -34,7 +34,7 @@
 	sent  int64
 	end   int64
 	dead  bool
-	reply func(Reply)
+	reply func(Result)
 }
 
 func (b *simBackend) pauses() {
@@ -51,8 +51,8 @@
 }
 
 // load is what the backend tells of itself.
-func (b *simBackend) load() Load {
-	return Load{Running: b.running, Waiting: len(b.waiting), Slots: b.slots, Known: true}
+func (b *simBackend) load() LoadReport {
+	return LoadReport{Running: b.running, Queued: len(b.waiting), Slots: b.slots, Known: true}
 }
 
 // arrive takes an ask in.
@@ -68,17 +68,17 @@
 		a.ran = true // nobody can know that it has not
 		return
 	case b.running >= b.slots && len(b.waiting) >= b.limit:
-		v.reply(Reply{Class: ClassNotRun, Status: 503, Load: b.load(), Why: "full"})
+		v.reply(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "full"})
 		return
 	case w.rnd.Float64() < b.grey:
 		a.ran = true
 		// Its own failure, whatever its status seems to promise.
 		status := []int{500, 500, 503, 429, 504}[w.rnd.IntN(5)]
-		v.reply(Reply{Class: ClassAnswer, Status: status, Seal: w.log.seal(v, false), Load: b.load()})
+		v.reply(Result{Class: ClassResponse, Status: status, Seal: w.log.seal(v, false), Load: b.load()})
 		return
 	case w.rnd.Float64() < b.lost:
 		a.ran = true
-		v.reply(Reply{Class: ClassFailed, Why: "reset"})
+		v.reply(Result{Class: ClassFailed, Reason: "reset"})
 		return
 	}
 	b.waiting = append(b.waiting, v)
@@ -93,7 +93,7 @@
 			continue
 		}
 		if b.w.now >= v.end {
-			v.reply(Reply{Class: ClassNotRun, Status: 503, Load: b.load(), Why: "too late"})
+			v.reply(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "too late"})
 			continue
 		}
 		b.running++
@@ -119,7 +119,7 @@
 	defer b.next()
 	w := b.w
 	if w.rnd.Float64() < b.garble {
-		v.reply(Reply{Class: ClassGarbage, Why: "not an answer"})
+		v.reply(Result{Class: ClassInvalid, Reason: "not an answer"})
 		return
 	}
 	body := make([]byte, 0, 640)
@@ -131,11 +131,11 @@
 	body = append(body, make([]byte, w.rnd.IntN(16))...)
 	seal := w.log.seal(v, true)
 	w.log.bodies[seal] = body
-	v.reply(Reply{Class: ClassAnswer, Status: 200, Seal: seal, Body: body, Load: b.load()})
+	v.reply(Result{Class: ClassResponse, Status: 200, Seal: seal, Body: body, Load: b.load()})
 }
 
 // send is one exchange of a node with a backend.
-func (n *simNode) send(a Ask, replied func(Reply)) (cancel func()) {
+func (n *simNode) send(a Send, replied func(Result)) (cancel func()) {
 	w := n.w
 	b := w.byID[a.Server.ID]
 	link := int64(100)
@@ -143,8 +143,8 @@
 		link = 500
 	}
 	over := false
-	v := &visit{b: b, n: n, id: a.Request.ID, route: a.Request.Method, work: w.works[a.Request.ID], sent: w.now, end: w.now + a.WithinUs}
-	answer := func(r Reply) {
+	v := &visit{b: b, n: n, id: a.Request.ID, route: a.Request.Method, work: w.works[a.Request.ID], sent: w.now, end: w.now + a.Timeout}
+	answer := func(r Result) {
 		w.after(link, func() {
 			if !over {
 				over = true
@@ -154,21 +154,21 @@
 	}
 	v.reply = answer
 	if b.down || b.gone {
-		answer(Reply{Class: ClassNotSent, Why: "refused"})
+		answer(Result{Class: ClassNotSent, Reason: "refused"})
 		return func() { over = true }
 	}
 	w.after(link, func() {
 		if b.down || b.gone {
-			answer(Reply{Class: ClassFailed, Why: "reset"})
+			answer(Result{Class: ClassFailed, Reason: "reset"})
 			return
 		}
 		b.arrive(v)
 	})
 	// A driver may tell of the end of the time a little later than the chart sees it itself.
-	w.after(a.WithinUs+int64(w.rnd.IntN(4_000)), func() {
+	w.after(a.Timeout+int64(w.rnd.IntN(4_000)), func() {
 		if !over {
 			over, v.dead = true, true
-			replied(Reply{Class: ClassFailed, Silent: true, Why: "silence"})
+			replied(Result{Class: ClassFailed, TimedOut: true, Reason: "silence"})
 		}
 	})
 	return func() { over, v.dead = true, true }
--- a/request/dispatch/client_test.go
+++ b/request/dispatch/sim_client_test.go
@@ -73,8 +73,8 @@
 		if o.Status == 503 && w.now-began <= k.aim/4 {
 			refusedAt = 1
 		}
-		pause := min(max(o.RetryAfterUs, 2_000), (began+k.deadline-w.now)/3)
-		if more > 0 && w.now+pause < began+k.deadline && (!k.once || promise(o.Status)) {
+		pause := min(max(o.RetryAfter, 2_000), (began+k.deadline-w.now)/3)
+		if more > 0 && w.now+pause < began+k.deadline && (!k.once || promisesNotRun(o.Status)) {
 			w.after(pause, func() { w.try(k, began, refusedAt, more-1) })
 		}
 	}
@@ -84,7 +84,7 @@
 			w.after(w.linkUs, func() { ended(Outcome{Status: 502, Code: "closed"}) })
 			return
 		}
-		r := Request{ID: id, Method: "GET", Target: "/" + k.name + "/x", Path: "/" + k.name + "/x", Host: "h", BudgetUs: left}
+		r := Request{ID: id, Method: "GET", Target: "/" + k.name + "/x", Path: "/" + k.name + "/x", Host: "h", Timeout: left}
 		n.handle(r, func(o Outcome) { w.after(w.linkUs, func() { ended(o) }) })
 	})
 }
@@ -98,7 +98,7 @@
 
 // handle drives a chart until its last act is done.
 func (n *simNode) handle(r Request, ended func(Outcome)) {
-	c, w, life := NewChart(n.desk, r, n.w.now), n.w, n.desk
+	c, w, life := NewStateMachine(n.desk, r, n.w.now), n.w, n.desk
 	cancels := map[int]func(){}
 	var step func(Event)
 	step = func(ev Event) {
@@ -111,15 +111,15 @@
 		}
 		for _, act := range c.Step(w.now, ev) {
 			switch a := act.(type) {
-			case Ask:
+			case Send:
 				w.log.asks(n, a)
-				cancels[a.N] = n.send(a, func(r Reply) { step(Replied{N: a.N, Reply: r}) })
+				cancels[a.N] = n.send(a, func(r Result) { step(AttemptDone{N: a.N, Result: r}) })
 			case Cancel:
 				cancels[a.N]()
-			case Wake:
+			case SetTimer:
 				w.after(a.At-w.now, func() {
-					if c.woke == a.At {
-						step(Due{})
+					if c.timerAt == a.At {
+						step(TimerFired{})
 					}
 				})
 			case Finish:
--- a/request/dispatch/chart_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -17,9 +17,9 @@
 
 // fixture is a desk with a table that tests may change.
 type fixture struct {
-	*Desk
-	cp  *snapshot.Snapshot
-	src *routingpb.RoutingTable
+	*Dispatcher
+	snap *snapshot.Snapshot
+	src  *routingpb.RoutingTable
 }
 
 const begun = 100 * second
@@ -43,55 +43,55 @@
 		one("read", &routingpb.Route{Pool: "p0", Repeatable: true, MaxBackends: 2}),
 		one("split", &routingpb.Route{Repeatable: true, MaxBackends: 2, PoolWeights: []*routingpb.PoolWeight{{Pool: "p0", Weight: 0}, {Pool: "p1", Weight: 1}, {Pool: "p2", Weight: 1}}}),
 	}
-	f.cp = &snapshot.Snapshot{At: begun, Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
+	f.snap = &snapshot.Snapshot{At: begun, Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
 	for _, p := range f.src.Pools {
 		q := &snapshot.Pool{Pool: p}
 		for i := range backends {
 			q.Servers = append(q.Servers, &snapshot.Server{Backend: wire.Backend{ID: fmt.Sprintf("%s-%d", p.Name, i), Zone: fmt.Sprintf("z%d", i%2), Slots: 2}, Gauge: &snapshot.Gauge{}})
 		}
-		f.cp.Pools[p.Name] = q
+		f.snap.Pools[p.Name] = q
 	}
-	f.Desk = NewDesk(Config{Table: func() *snapshot.Snapshot { return f.cp }, Seed: 1, Retry: RetryConfig{Ratio: 0.2, Allowance: 60}})
+	f.Dispatcher = NewDispatcher(Config{Snapshot: func() *snapshot.Snapshot { return f.snap }, Seed: 1, Retry: RetryConfig{Ratio: 0.2, Allowance: 60}})
 	f.compile()
 	return f
 }
 
 // compile puts the table in force as it is now.
 func (f *fixture) compile() {
-	cp := *f.cp
-	cp.At++
-	cp.Routing = routing.Compile(f.src)
-	f.cp = &cp
+	snap := *f.snap
+	snap.At++
+	snap.Routing = routing.Compile(f.src)
+	f.snap = &snap
 }
 
-func (f *fixture) chart(route string) *Chart {
-	return NewChart(f.Desk, Request{ID: "r1", Method: "GET", Target: "/" + route + "/x", Path: "/" + route + "/x", Host: "site.example:80"}, begun)
+func (f *fixture) chart(route string) *StateMachine {
+	return NewStateMachine(f.Dispatcher, Request{ID: "r1", Method: "GET", Target: "/" + route + "/x", Path: "/" + route + "/x", Host: "site.example:80"}, begun)
 }
 
 // rich gives the pools' budgets something to spend.
 func (f *fixture) rich() {
-	for name := range f.cp.Pools {
-		f.budgetOf(name).Add(10_000, 10_000)
+	for name := range f.snap.Pools {
+		f.retryBudgetOf(name).Add(10_000, 10_000)
 	}
 }
 
 // poor leaves the pools' budgets nothing to spend.
 func (f *fixture) poor() {
-	for name := range f.cp.Pools {
-		f.budgetOf(name).Filled.Store(begun + 100*second)
+	for name := range f.snap.Pools {
+		f.retryBudgetOf(name).Filled.Store(begun + 100*second)
 	}
 }
 
-func asks(acts []Act) (out []Ask) {
+func asks(acts []Action) (out []Send) {
 	for _, a := range acts {
-		if v, ok := a.(Ask); ok {
+		if v, ok := a.(Send); ok {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-func finish(acts []Act) *Outcome {
+func finish(acts []Action) *Outcome {
 	for _, a := range acts {
 		if v, ok := a.(Finish); ok {
 			return &v.Outcome
@@ -100,8 +100,8 @@
 	return nil
 }
 
-func okay(body string) Reply {
-	return Reply{Class: ClassAnswer, Status: 200, Seal: "seal", Head: http.Header{"X": {"y"}}, Body: []byte(body)}
+func okay(body string) Result {
+	return Result{Class: ClassResponse, Status: 200, Seal: "seal", Header: http.Header{"X": {"y"}}, Body: []byte(body)}
 }
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
@@ -109,12 +109,12 @@
 		c := fixed(4, 4).chart(route)
 		a := asks(c.Step(begun, Begin{}))
 		must.Len(t, 1, a)
-		must.Eq(t, route == "once", a[0].Once)
-		o := finish(c.Step(begun+5000, Replied{N: a[0].N, Reply: okay("body")}))
+		must.Eq(t, route == "once", a[0].AtMostOnce)
+		o := finish(c.Step(begun+5000, AttemptDone{N: a[0].N, Result: okay("body")}))
 		must.NotNil(t, o)
 		must.Eq(t, 200, o.Status)
-		must.Eq(t, "seal", o.Answer.Seal)
-		must.Eq(t, "body", string(o.Answer.Body))
+		must.Eq(t, "seal", o.Response.Seal)
+		must.Eq(t, "body", string(o.Response.Body))
 		must.True(t, c.Done())
 	}
 }
@@ -122,36 +122,36 @@
 func TestNoRouteOnlyWithATableInForce(t *testing.T) {
 	f := fixed(2, 2)
 	must.Eq(t, 404, finish(f.chart("nowhere").Step(begun, Begin{})).Status)
-	f.cp = &snapshot.Snapshot{Complete: true}
+	f.snap = &snapshot.Snapshot{Complete: true}
 	o := finish(f.chart("nowhere").Step(begun, Begin{}))
 	must.Eq(t, 503, o.Status)
-	must.Positive(t, o.RetryAfterUs)
-	f.cp = nil
+	must.Positive(t, o.RetryAfter)
+	f.snap = nil
 	must.Eq(t, 503, finish(f.chart("nowhere").Step(begun, Begin{})).Status)
 }
 
 func TestStaleTableIsWaitedForAndThenUsed(t *testing.T) {
 	f := fixed(2, 2)
-	f.cp.Stale = true
+	f.snap.Stale = true
 	c := f.chart("read")
 	acts := c.Step(begun, Begin{})
 	must.SliceEmpty(t, asks(acts))
 	must.Nil(t, finish(acts))
-	acts = c.Step(begun+10_000, Due{})
+	acts = c.Step(begun+10_000, TimerFired{})
 	must.SliceEmpty(t, asks(acts))
-	f.cp.Stale = false
-	must.Len(t, 1, asks(c.Step(begun+20_000, Due{})))
+	f.snap.Stale = false
+	must.Len(t, 1, asks(c.Step(begun+20_000, TimerFired{})))
 }
 
 func TestWhatIsSentOnceIsNotSentAgainAfterItMayHaveRun(t *testing.T) {
 	for _, route := range []string{"once", "once2"} {
-		for _, class := range []Class{ClassFailed, ClassGarbage, ClassAnswer} {
+		for _, class := range []Class{ClassFailed, ClassInvalid, ClassResponse} {
 			f := fixed(2, 4)
 			f.rich()
 			c := f.chart(route)
 			c.Step(begun, Begin{})
-			must.SliceEmpty(t, asks(c.Step(begun+90_000, Due{})), must.Sprint("and never early"))
-			acts := c.Step(begun+100_000, Replied{N: 0, Reply: Reply{Class: class, Status: 503, Seal: "s"}})
+			must.SliceEmpty(t, asks(c.Step(begun+90_000, TimerFired{})), must.Sprint("and never early"))
+			acts := c.Step(begun+100_000, AttemptDone{N: 0, Result: Result{Class: class, Status: 503, Seal: "s"}})
 			must.SliceEmpty(t, asks(acts))
 			must.Eq(t, 502, finish(acts).Status, must.Sprint("a promise is not passed on without the backend's word"))
 		}
@@ -163,18 +163,18 @@
 	f.rich()
 	c := f.chart("once")
 	first := asks(c.Step(begun, Begin{}))
-	second := asks(c.Step(begun+1000, Replied{N: 0, Reply: Reply{Class: ClassNotSent}}))
+	second := asks(c.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassNotSent}}))
 	must.Len(t, 1, second, must.Sprint("nothing was written"))
 	must.NotEq(t, first[0].Server.ID, second[0].Server.ID)
-	must.Eq(t, 0, f.count.extra.Load())
-	o := finish(c.Step(begun+2000, Replied{N: 1, Reply: Reply{Class: ClassNotRun, Status: 503}}))
+	must.Eq(t, 0, f.count.retries.Load())
+	o := finish(c.Step(begun+2000, AttemptDone{N: 1, Result: Result{Class: ClassRejected, Status: 503}}))
 	must.Eq(t, 503, o.Status, must.Sprint("one backend at most"))
-	must.Positive(t, o.RetryAfterUs)
+	must.Positive(t, o.RetryAfter)
 
 	c = f.chart("once2")
 	c.Step(begun, Begin{})
-	must.Len(t, 1, asks(c.Step(begun+1000, Replied{N: 0, Reply: Reply{Class: ClassNotRun, Status: 503}})))
-	must.Eq(t, 1, f.count.extra.Load())
+	must.Len(t, 1, asks(c.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassRejected, Status: 503}})))
+	must.Eq(t, 1, f.count.retries.Load())
 }
 
 func TestUnsentAsksAreBounded(t *testing.T) {
@@ -184,7 +184,7 @@
 	n := 0
 	for ; finish(acts) == nil; n++ {
 		must.Less(t, 10, n)
-		acts = c.Step(begun+int64(n), Replied{N: n, Reply: Reply{Class: ClassNotSent}})
+		acts = c.Step(begun+int64(n), AttemptDone{N: n, Result: Result{Class: ClassNotSent}})
 	}
 	must.Eq(t, 503, finish(acts).Status)
 }
@@ -194,16 +194,16 @@
 	f.poor()
 	c := f.chart("read")
 	c.Step(begun, Begin{})
-	o := finish(c.Step(begun+1000, Replied{N: 0, Reply: Reply{Class: ClassAnswer, Status: 500, Seal: "s", Body: []byte("why")}}))
+	o := finish(c.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassResponse, Status: 500, Seal: "s", Body: []byte("why")}}))
 	must.NotNil(t, o, must.Sprint("nothing is left to spend"))
 	must.Eq(t, 500, o.Status, must.Sprint("the backend's own answer is passed on"))
 	must.Eq(t, "passed", o.Code)
-	must.Eq(t, "why", string(o.Answer.Body))
+	must.Eq(t, "why", string(o.Response.Body))
 	f.rich()
 	c = f.chart("read")
 	c.Step(begun, Begin{})
-	must.Len(t, 1, asks(c.Step(begun+1000, Replied{N: 0, Reply: Reply{Class: ClassFailed}})))
-	must.Eq(t, 502, finish(c.Step(begun+2000, Replied{N: 1, Reply: Reply{Class: ClassFailed}})).Status, must.Sprint("two backends at most"))
+	must.Len(t, 1, asks(c.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})))
+	must.Eq(t, 502, finish(c.Step(begun+2000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})).Status, must.Sprint("two backends at most"))
 }
 
 func TestEarlyAskTakesTheFirstGoodAnswerAndLeavesTheOther(t *testing.T) {
@@ -211,17 +211,17 @@
 	f.rich()
 	c := f.chart("read")
 	c.Step(begun, Begin{})
-	a := asks(c.Step(begun+60_000, Due{}))
+	a := asks(c.Step(begun+60_000, TimerFired{}))
 	must.Len(t, 1, a)
-	acts := c.Step(begun+62_000, Replied{N: 1, Reply: okay("x")})
+	acts := c.Step(begun+62_000, AttemptDone{N: 1, Result: okay("x")})
 	must.Eq(t, 200, finish(acts).Status)
-	must.Eq(t, 1, f.count.left.Load())
-	must.SliceContains(t, acts, Act(Leave{N: 0}))
+	must.Eq(t, 1, f.count.abandoned.Load())
+	must.SliceContains(t, acts, Action(Abandon{N: 0}))
 	b := f.backendOf("p0-0")
-	before := b.open.Load() + f.backendOf("p0-1").open.Load() + f.backendOf("p0-2").open.Load() + f.backendOf("p0-3").open.Load()
+	before := b.inFlight.Load() + f.backendOf("p0-1").inFlight.Load() + f.backendOf("p0-2").inFlight.Load() + f.backendOf("p0-3").inFlight.Load()
 	must.Eq(t, 1, before, must.Sprint("the other is still under way"))
-	must.SliceEmpty(t, c.Step(begun+70_000, Replied{N: 0, Reply: okay("late")}))
-	must.Eq(t, 0, b.open.Load()+f.backendOf("p0-1").open.Load()+f.backendOf("p0-2").open.Load()+f.backendOf("p0-3").open.Load())
+	must.SliceEmpty(t, c.Step(begun+70_000, AttemptDone{N: 0, Result: okay("late")}))
+	must.Eq(t, 0, b.inFlight.Load()+f.backendOf("p0-1").inFlight.Load()+f.backendOf("p0-2").inFlight.Load()+f.backendOf("p0-3").inFlight.Load())
 }
 
 func TestPoolWithoutWeightGetsNothing(t *testing.T) {
@@ -239,6 +239,6 @@
 
 // eject makes a backend look down.
 func (b *backend) eject(now int64) {
-	b.failed(now, failure{at: now, weight: 1, silent: true}, 1)
-	b.until.Store(now + 10*second)
+	b.recordFailure(now, failure{startedAt: now, weight: 1, timedOut: true}, 1)
+	b.ejectedUntil.Store(now + 10*second)
 }
--- a/request/dispatch/view.go
+++ b/request/dispatch/view.go
@@ -11,87 +11,87 @@
 	"wallport/request/snapshot"
 )
 
-// seat is a backend in a pool.
-type seat struct {
-	server *snapshot.Server
-	b      *backend
-	near   bool
+// endpoint is a backend in a pool.
+type endpoint struct {
+	server   *snapshot.Server
+	backend  *backend
+	sameZone bool
 }
 
 // pool is a pool with those of its backends that may be asked.
 type pool struct {
 	*snapshot.Pool
-	name   string
-	seats  []seat
-	budget *budget
+	name        string
+	endpoints   []endpoint
+	retryBudget *retryBudget
 }
 
-// plan is a route with its pools; what a pool takes for this route is learnt in its stats.
-type plan struct {
-	route *routing.Route
-	pools []*pool
-	stats []*stats
+// routePlan is a route with its pools; what a pool takes for this route is learnt in its stats.
+type routePlan struct {
+	route   *routing.Route
+	pools   []*pool
+	latency []*latencyStats
 }
 
 type view struct {
-	cp    *snapshot.Snapshot
-	pools map[string]*pool
-	plans sync.Map // *routing.Route -> *plan
+	snapshot *snapshot.Snapshot
+	pools    map[string]*pool
+	plans    sync.Map // *routing.Route -> *plan
 }
 
-// now is the view of the newest snapshot, nil while nothing can be served.
-func (d *Desk) now() *view {
-	cp := d.cfg.Table()
-	if !cp.Ready() || cp.Routing == nil {
+// currentView is the view of the newest snapshot, nil while nothing can be served.
+func (d *Dispatcher) currentView() *view {
+	snap := d.cfg.Snapshot()
+	if !snap.Ready() || snap.Routing == nil {
 		return nil
 	}
-	if v := d.view.Load(); v != nil && v.cp == cp {
+	if v := d.current.Load(); v != nil && v.snapshot == snap {
 		return v
 	}
 	d.building.Lock()
 	defer d.building.Unlock()
-	if v := d.view.Load(); v != nil && (v.cp == cp || v.cp.At > cp.At) {
+	if v := d.current.Load(); v != nil && (v.snapshot == snap || v.snapshot.At > snap.At) {
 		return v
 	}
-	v := d.build(cp)
-	d.view.Store(v)
+	v := d.buildView(snap)
+	d.current.Store(v)
 	return v
 }
 
-func (d *Desk) build(cp *snapshot.Snapshot) *view {
-	v := &view{cp: cp, pools: make(map[string]*pool, len(cp.Pools))}
+func (d *Dispatcher) buildView(snap *snapshot.Snapshot) *view {
+	v := &view{snapshot: snap, pools: make(map[string]*pool, len(snap.Pools))}
 	there := 0
-	for name, p := range cp.Pools {
-		q := &pool{Pool: p, name: name, seats: make([]seat, 0, len(p.Servers)), budget: d.budgetOf(name)}
+	for name, p := range snap.Pools {
+		q := &pool{Pool: p, name: name, endpoints: make([]endpoint, 0, len(p.Servers)), retryBudget: d.retryBudgetOf(name)}
 		for _, s := range p.Servers {
 			b := d.backendOf(s.ID)
-			b.listed(cp, p, s, d.cfg.Now)
+			b.updateListing(snap, p, s, d.cfg.StartedAt)
 			there++
 			if s.Health != snapshot.Draining && s.Health != snapshot.ZoneDrained {
-				q.seats = append(q.seats, seat{server: s, b: b, near: s.Zone == cp.Zone})
+				q.endpoints = append(q.endpoints, endpoint{server: s, backend: b, sameZone: s.Zone == snap.Zone})
 			}
 		}
 		v.pools[name] = q
 	}
 	if d.builds++; d.builds%64 == 0 {
-		d.forget(cp, there)
+		d.forgetBackends(snap, there)
 	}
 	return v
 }
 
-// plan is the plan of a route of this view.
-func (d *Desk) plan(v *view, r *routing.Route) *plan {
+// planFor is the plan of a route of this view.
+func (d *Dispatcher) planFor(v *view, r *routing.Route) *routePlan {
 	if p, ok := v.plans.Load(r); ok {
-		return p.(*plan)
+		return p.(*routePlan)
 	}
-	p := &plan{route: r}
+	p := &routePlan{route: r}
 	add := func(name string) {
 		q := v.pools[name]
 		if q == nil {
-			q = &pool{Pool: &snapshot.Pool{}, name: name, budget: d.budgetOf(name)}
+			q = &pool{Pool: &snapshot.Pool{}, name: name, retryBudget: d.retryBudgetOf(name)}
 		}
 		p.pools = append(p.pools, q)
-		p.stats = append(p.stats, d.statsOf(name, r))
+		p.latency = append(p.latency, d.latencyOf(name, r))
 	}
 	switch {
 	case r.Gathered():
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -78,9 +78,9 @@
 type simNode struct {
 	w      *world
 	zone   string
-	desk   *Desk
+	desk   *Dispatcher
 	gauges *snapshot.Gauges
-	cp     *snapshot.Snapshot
+	snap   *snapshot.Snapshot
 	rt     *routing.Table
 	dead   bool
 	// late is how long after a change its table follows.
@@ -139,9 +139,9 @@
 
 // start begins a new life of the node's process.
 func (n *simNode) start(began int64) {
-	n.desk = NewDesk(Config{
-		Table: func() *snapshot.Snapshot { return n.cp }, Counts: kernel.NewCounts(), Seed: n.w.rnd.Uint64(), Now: began,
-		Retry: RetryConfig{Ratio: 0.2, Allowance: n.w.allowance, WindowUs: 10_000_000},
+	n.desk = NewDispatcher(Config{
+		Snapshot: func() *snapshot.Snapshot { return n.snap }, Counts: kernel.NewCounts(), Seed: n.w.rnd.Uint64(), StartedAt: began,
+		Retry: RetryConfig{Ratio: 0.2, Allowance: n.w.allowance, Window: 10_000_000},
 	})
 	n.gauges, n.dead = &snapshot.Gauges{}, false
 	n.take()
@@ -182,9 +182,9 @@
 			live++
 		}
 	}
-	cp := &snapshot.Snapshot{At: w.now, Zone: n.zone, Divisor: max(live, w.shape.nodes), Peers: live, Routing: n.rt, Pools: map[string]*snapshot.Pool{}, Complete: true}
+	snap := &snapshot.Snapshot{At: w.now, Zone: n.zone, Divisor: max(live, w.shape.nodes), Peers: live, Routing: n.rt, Pools: map[string]*snapshot.Pool{}, Complete: true}
 	for name, p := range n.rt.Pools {
-		cp.Pools[name] = &snapshot.Pool{Pool: p}
+		snap.Pools[name] = &snapshot.Pool{Pool: p}
 	}
 	for _, b := range w.backends {
 		if b.gone {
@@ -197,9 +197,9 @@
 		case w.emptied[b.zone]:
 			s.Health = snapshot.ZoneDrained
 		}
-		if p := cp.Pools[b.pool]; p != nil {
+		if p := snap.Pools[b.pool]; p != nil {
 			p.Servers = append(p.Servers, s)
 		}
 	}
-	n.cp = cp
+	n.snap = snap
 }
--- a/request/gateway/answer.go
+++ b/request/gateway/answer.go
@@ -20,9 +20,9 @@
 		last(w)
 	}
 	switch {
-	case o.Answer != nil:
-		maps.Copy(head, o.Answer.Head)
-		write(w, r, o.Answer.Status, o.Answer.Body)
+	case o.Response != nil:
+		maps.Copy(head, o.Response.Header)
+		write(w, r, o.Response.Status, o.Response.Body)
 	case len(o.Seals) > 0:
 		head[h.names.Parts] = []string{strings.Join(o.Seals, ", ")}
 		if o.Missing > 0 {
@@ -52,12 +52,12 @@
 // own writes an answer of the node itself.
 func own(w http.ResponseWriter, o *dispatch.Outcome) {
 	b := strconv.AppendQuoteToASCII([]byte(`{"code":`), o.Code)
-	b = append(strconv.AppendQuoteToASCII(append(b, `,"why":`...), o.Why), "}\n"...)
+	b = append(strconv.AppendQuoteToASCII(append(b, `,"why":`...), o.Reason), "}\n"...)
 	head := w.Header()
 	head["Content-Type"] = []string{"application/json"}
 	head["Content-Length"] = []string{strconv.Itoa(len(b))}
-	if o.RetryAfterUs > 0 {
-		head["Retry-After"] = []string{strconv.FormatFloat(float64(o.RetryAfterUs)/1e6, 'f', 3, 64)}
+	if o.RetryAfter > 0 {
+		head["Retry-After"] = []string{strconv.FormatFloat(float64(o.RetryAfter)/1e6, 'f', 3, 64)}
 	}
 	w.WriteHeader(o.Status)
 	w.Write(b)
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -94,13 +94,13 @@
 	cp, counts, began := benchTable(shards, addrs), kernel.NewCounts(), time.Now()
 	now := func() int64 { return time.Since(began).Microseconds() }
 	get := func() *snapshot.Snapshot { return cp }
-	desk := dispatch.NewDesk(dispatch.Config{Table: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
+	desk := dispatch.NewDispatcher(dispatch.Config{Snapshot: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
 	k := backend.New(backend.Config{Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotRun: "Did-Not-Run"}, Counts: counts})
 	defer k.Close()
 	s, err := Open(Config{
 		Addr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Parts: "Stamps", Missing: "Parts-Missing"},
 		Log: zap.NewNop(), Counts: counts, Backends: k, Table: get, Now: now, GraceUs: 1_000_000,
-		Chart: func(r dispatch.Request, now int64) Chart { return dispatch.NewChart(desk, r, now) },
+		Chart: func(r dispatch.Request, now int64) Chart { return dispatch.NewStateMachine(desk, r, now) },
 	})
 	must.NoError(b, err)
 	defer s.Stop()
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -28,7 +28,7 @@
 
 // Chart is one request's state chart; dispatch.Chart is it.
 type Chart interface {
-	Step(now int64, ev dispatch.Event) []dispatch.Act
+	Step(now int64, ev dispatch.Event) []dispatch.Action
 	Done() bool
 }
 
--- a/request/gateway/handler.go
+++ b/request/gateway/handler.go
@@ -81,7 +81,7 @@
 	}
 	s.read.Add(1)
 	o := h.handle(r, req)
-	h.extend(w, req.ReadUs)
+	h.extend(w, req.ReadAt)
 	if o.Status == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -104,7 +104,7 @@
 	defer s.open.Add(-1)
 	s.c.Refresh()
 	if c := s.c.Table(); c == nil || c.Routing == nil {
-		return dispatch.Outcome{Status: http.StatusServiceUnavailable, Code: "refused", Why: "no routing table yet", RetryAfterUs: comeBackUs}
+		return dispatch.Outcome{Status: http.StatusServiceUnavailable, Code: "refused", Reason: "no routing table yet", RetryAfter: comeBackUs}
 	}
 	return s.run(r.Context(), req)
 }
@@ -115,9 +115,9 @@
 	h.s.c.Sampled.Warn("request_invalid", zap.String("from", r.RemoteAddr), zap.Strings("id", r.Header[h.names.ID]), zap.String("method", r.Method),
 		zap.String("path", r.URL.Path), zap.Int("status", status), zap.String("why", why))
 	last(w)
-	o := dispatch.Outcome{Status: status, Code: "invalid", Why: why}
+	o := dispatch.Outcome{Status: status, Code: "invalid", Reason: why}
 	if status == http.StatusServiceUnavailable {
-		o.Code, o.RetryAfterUs = "refused", comeBackUs
+		o.Code, o.RetryAfter = "refused", comeBackUs
 	}
 	own(w, &o)
 }
@@ -181,13 +181,13 @@
 		target = rest[i:]
 	}
 	path, _, _ := strings.Cut(target, "?")
-	req := dispatch.Request{ID: ids[0], Method: r.Method, Target: target, Path: path, Host: r.Host, Body: body, ReadUs: h.s.c.Now()}
+	req := dispatch.Request{ID: ids[0], Method: r.Method, Target: target, Path: path, Host: r.Host, Body: body, ReadAt: h.s.c.Now()}
 	if v := r.Header[h.names.Budget]; len(v) == 1 {
 		if ms, err := strconv.ParseUint(v[0], 10, 40); err == nil {
-			req.BudgetUs = int64(ms) * 1000
+			req.Timeout = int64(ms) * 1000
 		}
 	}
-	req.Head = h.pass(r.Header)
+	req.Header = h.pass(r.Header)
 	return req, ""
 }
 
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -39,8 +39,8 @@
 		Limits: &routingpb.Limits{},
 	}
 	w := newWorld(t, func(w *world, c *Config) {
-		desk := dispatch.NewDesk(dispatch.Config{Table: w.cp.Load, Counts: w.counts, Seed: 1, Now: w.now(), Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60, WindowUs: 10_000_000}})
-		c.Chart = func(r dispatch.Request, now int64) Chart { return dispatch.NewChart(desk, r, now) }
+		desk := dispatch.NewDispatcher(dispatch.Config{Snapshot: w.cp.Load, Counts: w.counts, Seed: 1, StartedAt: w.now(), Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60, Window: 10_000_000}})
+		c.Chart = func(r dispatch.Request, now int64) Chart { return dispatch.NewStateMachine(desk, r, now) }
 	})
 	compiled := routing.Compile(config)
 	gauges := &snapshot.Gauges{}
--- a/request/gateway/request_test.go
+++ b/request/gateway/request_test.go
@@ -120,7 +120,7 @@
 func TestAnswers(t *testing.T) {
 	w := newWorld(t, nil)
 	var o atomic.Pointer[dispatch.Outcome]
-	w.step = func(*script, dispatch.Event) []dispatch.Act { return []dispatch.Act{finish(*o.Load())} }
+	w.step = func(*script, dispatch.Event) []dispatch.Action { return []dispatch.Action{finish(*o.Load())} }
 	c := w.dial()
 	ask := func(method string, out dispatch.Outcome) (*http.Response, string) {
 		o.Store(&out)
@@ -139,7 +139,7 @@
 	must.MapNotContainsKeys(t, resp.Header, []string{"Parts-Missing"})
 	must.Eq(t, "", body)
 
-	resp, body = ask("GET", dispatch.Outcome{Status: 503, Code: "refused", Why: "full \"up\"", RetryAfterUs: 123_456})
+	resp, body = ask("GET", dispatch.Outcome{Status: 503, Code: "refused", Reason: "full \"up\"", RetryAfter: 123_456})
 	must.Eq(t, 503, resp.StatusCode)
 	must.Eq(t, "0.123", resp.Header.Get("Retry-After"))
 	must.Eq(t, "application/json", resp.Header.Get("Content-Type"))
@@ -149,22 +149,22 @@
 	must.Eq(t, 404, resp.StatusCode)
 	must.MapNotContainsKeys(t, resp.Header, []string{"Retry-After"})
 
-	answer := &dispatch.Reply{Status: 500, Head: http.Header{"Date": {"then"}, "Stamp": {"s"}}, Body: []byte("no")}
-	resp, body = ask("GET", dispatch.Outcome{Status: 500, Code: "passed", Answer: answer})
+	answer := &dispatch.Result{Status: 500, Header: http.Header{"Date": {"then"}, "Stamp": {"s"}}, Body: []byte("no")}
+	resp, body = ask("GET", dispatch.Outcome{Status: 500, Code: "passed", Response: answer})
 	must.Eq(t, 500, resp.StatusCode)
 	must.Eq(t, []string{"then"}, resp.Header["Date"])
 	must.Eq(t, "no", body)
 
-	resp, body = ask("HEAD", dispatch.Outcome{Status: 200, Answer: &dispatch.Reply{Status: 200, Head: http.Header{"Content-Length": {"77"}}}})
+	resp, body = ask("HEAD", dispatch.Outcome{Status: 200, Response: &dispatch.Result{Status: 200, Header: http.Header{"Content-Length": {"77"}}}})
 	must.Eq(t, 77, resp.ContentLength)
 	must.Eq(t, "", body)
 	resp, _ = ask("HEAD", dispatch.Outcome{Status: 404, Code: "no_route"})
 	must.Eq(t, 404, resp.StatusCode)
 
-	resp, body = ask("GET", dispatch.Outcome{Status: 204, Answer: &dispatch.Reply{Status: 204, Head: http.Header{"Stamp": {"s"}}}})
+	resp, body = ask("GET", dispatch.Outcome{Status: 204, Response: &dispatch.Result{Status: 204, Header: http.Header{"Stamp": {"s"}}}})
 	must.Eq(t, 204, resp.StatusCode)
 	must.Eq(t, "", body)
-	resp, _ = ask("GET", dispatch.Outcome{Status: 299, Answer: &dispatch.Reply{Status: 299, Body: []byte("x")}})
+	resp, _ = ask("GET", dispatch.Outcome{Status: 299, Response: &dispatch.Result{Status: 299, Body: []byte("x")}})
 	must.Eq(t, 299, resp.StatusCode)
 }
 
--- a/request/gateway/run.go
+++ b/request/gateway/run.go
@@ -45,7 +45,7 @@
 	r.mu.Lock()
 	asks := r.carry(r.chart.Step(now, dispatch.Begin{}))
 	r.mu.Unlock()
-	gone := context.AfterFunc(ctx, func() { r.step(dispatch.Gone{}) })
+	gone := context.AfterFunc(ctx, func() { r.step(dispatch.ClientGone{}) })
 	for len(asks) == 1 && asks[0].once {
 		asks = r.replied(asks[0], asks[0].x.Run())
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-func (r *run) replied(u under, rep dispatch.Reply) []under {
-	asks := r.advance(dispatch.Replied{N: u.n, Reply: rep})
+func (r *run) replied(u under, rep dispatch.Result) []under {
+	asks := r.advance(dispatch.AttemptDone{N: u.n, Result: rep})
 	r.s.asks.Add(-1)
 	return asks
 }
@@ -82,26 +82,26 @@
 }
 
 // carry carries out what the chart asks for, and returns the asks that are to be begun.
-func (r *run) carry(acts []dispatch.Act) []under {
+func (r *run) carry(acts []dispatch.Action) []under {
 	first := len(r.open)
 	for _, a := range acts {
 		switch v := a.(type) {
-		case dispatch.Ask:
+		case dispatch.Send:
 			r.s.asks.Add(1)
-			r.open = append(r.open, under{v.N, r.s.c.Backends.Start(v), v.Once})
+			r.open = append(r.open, under{v.N, r.s.c.Backends.Start(v), v.AtMostOnce})
 		case dispatch.Cancel:
 			for _, u := range r.open {
 				if u.n == v.N {
 					u.x.Cancel()
 				}
 			}
-		case dispatch.Leave:
+		case dispatch.Abandon:
 			for _, u := range r.open {
 				if u.n == v.N {
 					u.x.Leave()
 				}
 			}
-		case dispatch.Wake:
+		case dispatch.SetTimer:
 			r.wake(v.At)
 		case dispatch.Finish:
 			r.finish(v.Outcome)
@@ -143,7 +143,7 @@
 	}
 	r.woke = 0
 	r.mu.Unlock()
-	r.step(dispatch.Due{})
+	r.step(dispatch.TimerFired{})
 }
 
 // task is an ask that a worker carries out.
--- a/request/gateway/run_test.go
+++ b/request/gateway/run_test.go
@@ -45,7 +45,7 @@
 }
 
 // to is an ask with a path of its own, so that the backend can tell it from others.
-func (s *script) to(n int, path string, once bool) dispatch.Ask {
+func (s *script) to(n int, path string, once bool) dispatch.Send {
 	a := s.ask(n, once)
 	req := *a.Request
 	req.Target = path
@@ -63,15 +63,15 @@
 			c.answer("GET")
 		}
 		h := w.hold("/first", "/second")
-		w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
+		w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 			switch v := ev.(type) {
 			case dispatch.Begin:
-				return []dispatch.Act{s.to(0, "/first", false), dispatch.Wake{At: w.now() + 20_000}}
-			case dispatch.Due:
-				return []dispatch.Act{s.to(1, "/second", false)}
-			case dispatch.Replied:
+				return []dispatch.Action{s.to(0, "/first", false), dispatch.SetTimer{At: w.now() + 20_000}}
+			case dispatch.TimerFired:
+				return []dispatch.Action{s.to(1, "/second", false)}
+			case dispatch.AttemptDone:
 				if v.N == 1 {
-					return []dispatch.Act{dispatch.Leave{N: 0}, finish(dispatch.Outcome{Status: 200, Answer: &v.Reply})}
+					return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 200, Response: &v.Result})}
 				}
 			}
 			return nil
@@ -88,8 +88,8 @@
 		// The one that was left runs out, and the chart hears of it.
 		h.leave["/first"] <- true
 		for {
-			if r := await[dispatch.Replied](w); r.N == 0 && string(r.Reply.Body) == "/first" {
-				must.Eq(t, dispatch.ClassAnswer, r.Reply.Class)
+			if r := await[dispatch.AttemptDone](w); r.N == 0 && string(r.Result.Body) == "/first" {
+				must.Eq(t, dispatch.ClassResponse, r.Result.Class)
 				break
 			}
 		}
@@ -101,15 +101,15 @@
 	w := newWorld(t, nil)
 	paths := []string{"/0", "/1", "/2", "/3", "/4", "/5"}
 	h := w.hold(paths...)
-	w.step = func(s *script, ev dispatch.Event) (acts []dispatch.Act) {
+	w.step = func(s *script, ev dispatch.Event) (acts []dispatch.Action) {
 		switch v := ev.(type) {
 		case dispatch.Begin:
 			for n, p := range paths {
 				acts = append(acts, s.to(n, p, false))
 			}
-		case dispatch.Replied:
+		case dispatch.AttemptDone:
 			if len(w.events[s.req.ID]) == 4 {
-				return []dispatch.Act{dispatch.Cancel{N: 4}, dispatch.Cancel{N: 5}, dispatch.Leave{N: 3}, finish(dispatch.Outcome{Status: 200, Seals: []string{"x"}, Missing: 3, Body: v.Reply.Body})}
+				return []dispatch.Action{dispatch.Cancel{N: 4}, dispatch.Cancel{N: 5}, dispatch.Abandon{N: 3}, finish(dispatch.Outcome{Status: 200, Seals: []string{"x"}, Missing: 3, Body: v.Result.Body})}
 			}
 		}
 		return acts
@@ -128,8 +128,8 @@
 	must.Eq(t, map[string]bool{"/4": true, "/5": true}, gone, must.Sprint("cancelled ones are broken off"))
 	h.leave["/3"] <- true
 	for {
-		if r := await[dispatch.Replied](w); r.N == 3 {
-			must.Eq(t, dispatch.ClassAnswer, r.Reply.Class, must.Sprint("the one that was left is not"))
+		if r := await[dispatch.AttemptDone](w); r.N == 3 {
+			must.Eq(t, dispatch.ClassResponse, r.Result.Class, must.Sprint("the one that was left is not"))
 			return
 		}
 	}
@@ -139,14 +139,14 @@
 func TestClientGone(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.hold("/once", "/again")
-	w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
+	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		switch ev.(type) {
 		case dispatch.Begin:
-			return []dispatch.Act{s.to(0, "/once", true), s.to(1, "/again", false), dispatch.Wake{At: w.now() + 1000}}
-		case dispatch.Due:
-			return []dispatch.Act{dispatch.Wake{At: w.now() + 1000}}
-		case dispatch.Gone:
-			return []dispatch.Act{dispatch.Leave{N: 0}, dispatch.Cancel{N: 1}, finish(dispatch.Outcome{Code: "client_gone"})}
+			return []dispatch.Action{s.to(0, "/once", true), s.to(1, "/again", false), dispatch.SetTimer{At: w.now() + 1000}}
+		case dispatch.TimerFired:
+			return []dispatch.Action{dispatch.SetTimer{At: w.now() + 1000}}
+		case dispatch.ClientGone:
+			return []dispatch.Action{dispatch.Abandon{N: 0}, dispatch.Cancel{N: 1}, finish(dispatch.Outcome{Code: "client_gone"})}
 		}
 		return nil
 	}
@@ -154,14 +154,14 @@
 	c.send(get("a"))
 	<-h.enter
 	<-h.enter
-	await[dispatch.Due](w)
+	await[dispatch.TimerFired](w)
 	must.NoError(t, c.Close())
-	await[dispatch.Gone](w)
+	await[dispatch.ClientGone](w)
 	must.Eq(t, "/again", <-h.gone)
 	h.leave["/once"] <- true
 	for {
-		if r := await[dispatch.Replied](w); r.N == 0 {
-			must.Eq(t, "/once", string(r.Reply.Body))
+		if r := await[dispatch.AttemptDone](w); r.N == 0 {
+			must.Eq(t, "/once", string(r.Result.Body))
 			return
 		}
 	}
@@ -178,12 +178,12 @@
 		conn.Close()
 	}
 	nobody := snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: freeAddr(t)}}
-	w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
+	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		acts := passOn(s, ev)
 		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "nobody" {
-			a := acts[0].(dispatch.Ask)
+			a := acts[0].(dispatch.Send)
 			a.Server = &nobody
-			return []dispatch.Act{a}
+			return []dispatch.Action{a}
 		}
 		return acts
 	}
@@ -204,8 +204,8 @@
 // TestNotAnswered closes the connection where there is nothing to say.
 func TestNotAnswered(t *testing.T) {
 	w := newWorld(t, nil)
-	w.step = func(*script, dispatch.Event) []dispatch.Act {
-		return []dispatch.Act{finish(dispatch.Outcome{Code: "client_gone"})}
+	w.step = func(*script, dispatch.Event) []dispatch.Action {
+		return []dispatch.Action{finish(dispatch.Outcome{Code: "client_gone"})}
 	}
 	c := w.dial()
 	c.send(get("a"))
@@ -240,6 +240,6 @@
 	}
 	h.leave["/a"] <- true
 	thaw <- true
-	await[dispatch.Replied](w)
+	await[dispatch.AttemptDone](w)
 	c.answer("GET")
 }
--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -109,11 +109,11 @@
 func TestStopLeavesNoWorkBroken(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.hold("/left")
-	w.step = func(s *script, ev dispatch.Event) []dispatch.Act {
+	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		if _, ok := ev.(dispatch.Begin); ok {
-			return []dispatch.Act{s.to(0, "/left", false), dispatch.Wake{At: w.now() + 1000}}
+			return []dispatch.Action{s.to(0, "/left", false), dispatch.SetTimer{At: w.now() + 1000}}
 		}
-		return []dispatch.Act{dispatch.Leave{N: 0}, finish(dispatch.Outcome{Status: 504, Code: "given_up"})}
+		return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 504, Code: "given_up"})}
 	}
 	c := w.dial()
 	c.send(get("a"))
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -34,13 +34,13 @@
 type script struct {
 	w    *world
 	req  dispatch.Request
-	step func(s *script, ev dispatch.Event) []dispatch.Act
+	step func(s *script, ev dispatch.Event) []dispatch.Action
 	over bool
 }
 
 func (s *script) Done() bool { return s.over }
 
-func (s *script) Step(_ int64, ev dispatch.Event) []dispatch.Act {
+func (s *script) Step(_ int64, ev dispatch.Event) []dispatch.Action {
 	s.w.note(s.req.ID, ev)
 	acts := s.step(s, ev)
 	for _, a := range acts {
@@ -51,22 +51,22 @@
 	return acts
 }
 
-func (s *script) ask(n int, once bool) dispatch.Ask {
-	return dispatch.Ask{N: n, Server: &s.w.server, WithinUs: 20_000_000, Once: once, Request: &s.req}
+func (s *script) ask(n int, once bool) dispatch.Send {
+	return dispatch.Send{N: n, Server: &s.w.server, Timeout: 20_000_000, AtMostOnce: once, Request: &s.req}
 }
 
 func finish(o dispatch.Outcome) dispatch.Finish { return dispatch.Finish{Outcome: o} }
 
 // passOn asks once and passes on what comes.
-func passOn(s *script, ev dispatch.Event) []dispatch.Act {
+func passOn(s *script, ev dispatch.Event) []dispatch.Action {
 	switch v := ev.(type) {
 	case dispatch.Begin:
-		return []dispatch.Act{s.ask(0, true)}
-	case dispatch.Replied:
-		if v.Reply.Class == dispatch.ClassAnswer {
-			return []dispatch.Act{finish(dispatch.Outcome{Status: v.Reply.Status, Code: "ok", Answer: &v.Reply})}
+		return []dispatch.Action{s.ask(0, true)}
+	case dispatch.AttemptDone:
+		if v.Result.Class == dispatch.ClassResponse {
+			return []dispatch.Action{finish(dispatch.Outcome{Status: v.Result.Status, Code: "ok", Response: &v.Result})}
 		}
-		return []dispatch.Act{finish(dispatch.Outcome{Status: 502, Code: "unknown", Why: v.Reply.Why})}
+		return []dispatch.Action{finish(dispatch.Outcome{Status: 502, Code: "unknown", Reason: v.Result.Reason})}
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 	server snapshot.Server
 	cp     atomic.Pointer[snapshot.Snapshot]
 	now    func() int64
-	step   func(s *script, ev dispatch.Event) []dispatch.Act
+	step   func(s *script, ev dispatch.Event) []dispatch.Action
 	serve  func(w http.ResponseWriter, r *http.Request)
 	counts *kernel.Counts
 
