--- a/cluster/discovery/discovery.go
+++ b/cluster/discovery/discovery.go
@@ -77,7 +77,7 @@
 
 // Step takes one input.
 func (p *Lister) Step(ctx *kernel.Context, in kernel.Input) {
-	if p.k.Boot.Settings.Platform == "" {
+	if p.k.Boot.Settings.PlatformURL == "" {
 		return
 	}
 	switch v := in.(type) {
@@ -129,8 +129,8 @@
 // sees half of the fleet or less reads for itself with a third of it, and less and less
 // of it for as long as the platform says that it is too much: others are alone as well.
 func (p *Lister) readInterval(ctx *kernel.Context) int64 {
-	per, nodes := 10_000_000*p.callsPerRead/p.k.Boot.Settings.PollsPer, p.members.Divisor()
-	least := p.k.Boot.Settings.ListEvery
+	per, nodes := 10_000_000*p.callsPerRead/p.k.Boot.Settings.PollsPer10s, p.members.Divisor()
+	least := p.k.Boot.Settings.ListInterval
 	if ctx.Now < p.leaseUntil || p.mesh.Peers() > 0 && (nodes == 1 || 2*len(p.members.Live(ctx.Now, "node")) > nodes) {
 		p.slowdown = 1
 		return max(least, per*8/5)
@@ -152,7 +152,7 @@
 func (p *Lister) read(ctx *kernel.Context) {
 	p.readAt, p.reading = ctx.Now, true
 	ctx.Counts.Add("platform_polls", 1)
-	ctx.Fetch("listing", "list", p.k.Boot.Settings.Platform, FetchTimeout)
+	ctx.Fetch("listing", "list", p.k.Boot.Settings.PlatformURL, FetchTimeout)
 }
 
 // requestLease renews the duty, or asks for it: the more nodes there are, the more rarely each does.
--- a/cluster/discovery/discovery_test.go
+++ b/cluster/discovery/discovery_test.go
@@ -41,7 +41,7 @@
 func newRig(t *testing.T, e settings.Settings) *rig { return newNode(t, e, 0) }
 
 func newNode(t *testing.T, e settings.Settings, n byte) *rig {
-	e.Name, e.Mesh, e.Platform = "n"+string('0'+n), "10.0.0."+string('1'+n)+":1", "http://platform/list"
+	e.Name, e.Mesh, e.PlatformURL = "n"+string('0'+n), "10.0.0."+string('1'+n)+":1", "http://platform/list"
 	r := &rig{t: t, status: 200, list: wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "s", State: "ready"}}}}
 	r.k = kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{n}, 32))})
 	r.l = kernel.Find[*Lister](r.k)
@@ -148,7 +148,7 @@
 		// No period asked for: five eighths of the allowance.
 		{0, 20, 0, 12, 13},
 	} {
-		r := newRig(t, settings.Settings{ListEvery: c.every, PollsPer: c.polls})
+		r := newRig(t, settings.Settings{ListInterval: c.every, PollsPer10s: c.polls})
 		r.grants, r.list.Calls = true, c.calls
 		r.becomeLeaseHolder()
 		r.run(2 * second)
@@ -159,7 +159,7 @@
 }
 
 func TestTimedOutLeaseHolderIsReplaced(t *testing.T) {
-	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
 	// A reading was heard of before; who knows of none reads at once (first_test.go).
 	r.l.unread = false
 	r.run(StaleAfter)
@@ -172,8 +172,8 @@
 
 func TestLeaseHolderWithoutResponsesReleasesLease(t *testing.T) {
 	for _, status := range []int{0, 429, 500} {
-		r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
-		meet(r, newNode(t, settings.Settings{ListEvery: second, PollsPer: 440}, 1))
+		r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
+		meet(r, newNode(t, settings.Settings{ListInterval: second, PollsPer10s: 440}, 1))
 		r.grants = true
 		r.becomeLeaseHolder()
 		r.run(2 * second)
@@ -199,7 +199,7 @@
 }
 
 func TestLeaseHolderWithoutPeersKeepsLease(t *testing.T) {
-	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
 	r.grants, r.status = true, 0
 	r.becomeLeaseHolder()
 	r.run(10 * second)
@@ -207,7 +207,7 @@
 }
 
 func TestDrainingNodeRequestsNoLease(t *testing.T) {
-	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440})
+	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
 	r.grants = true
 	r.becomeLeaseHolder()
 	r.run(second)
--- a/cluster/discovery/firstread.go
+++ b/cluster/discovery/firstread.go
@@ -17,8 +17,8 @@
 func (p *Lister) scheduleFirstRead(ctx *kernel.Context) {
 	e := &p.k.Boot.Settings
 	switch {
-	case e.ListEvery <= 0:
-	case e.Counted:
+	case e.ListInterval <= 0:
+	case e.QuorumMember:
 		ctx.After(ctx.Rand.Int64N(FirstReadJitter), "listing", "first")
 	default:
 		ctx.After(UncountedDelay+ctx.Rand.Int64N(UncountedJitter), "listing", "first")
--- a/cluster/discovery/firstread_test.go
+++ b/cluster/discovery/firstread_test.go
@@ -20,7 +20,7 @@
 		{true, 0, FirstReadJitter},
 		{false, UncountedDelay, UncountedDelay + UncountedJitter},
 	} {
-		r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: c.counted})
+		r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440, QuorumMember: c.counted})
 		r.run(c.to)
 		must.Len(t, 1, r.fetches)
 		must.Between(t, c.from, r.fetches[0], c.to)
@@ -28,8 +28,8 @@
 }
 
 func TestFirstReadIsSkippedAfterHearingOne(t *testing.T) {
-	a := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: true})
-	b := newNode(t, settings.Settings{ListEvery: second, PollsPer: 440}, 1)
+	a := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440, QuorumMember: true})
+	b := newNode(t, settings.Settings{ListInterval: second, PollsPer10s: 440}, 1)
 	meet(a, b)
 	a.run(UncountedDelay + UncountedJitter)
 	must.Positive(t, len(a.fetches))
@@ -38,7 +38,7 @@
 }
 
 func TestFailedFirstReadsStayWithinAllowance(t *testing.T) {
-	r := newRig(t, settings.Settings{ListEvery: second, PollsPer: 440, Counted: true})
+	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440, QuorumMember: true})
 	r.status = 429
 	r.run(10 * second)
 	must.Between(t, 2, len(r.fetches), 10)
--- a/cluster/discovery/lease.go
+++ b/cluster/discovery/lease.go
@@ -31,7 +31,7 @@
 // checkSingleLeaseHolder sees that nobody else was granted the duty while this node still holds it.
 func (p *Lister) checkSingleLeaseHolder(ctx *kernel.Context, v mesh.Stored, l *wire.BackendList) {
 	if !v.Local && ctx.Now < p.leaseUntil && l.LeaseID > p.leaseID {
-		ctx.Violated(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under turn %d while turn %d is held here for %d us yet", v.Origin, l.LeaseID, p.leaseID, p.leaseUntil-ctx.Now))
+		ctx.ReportViolation(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under turn %d while turn %d is held here for %d us yet", v.Origin, l.LeaseID, p.leaseID, p.leaseUntil-ctx.Now))
 	}
 }
 
--- a/cluster/discovery/lease_test.go
+++ b/cluster/discovery/lease_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestLeaseStartsWhenRequested(t *testing.T) {
-	r := newRig(t, settings.Settings{PollsPer: 20})
+	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.becomeLeaseHolder()
 	id := r.requests()
 	asked := r.now
@@ -42,7 +42,7 @@
 
 // A grant on its way while the lease is given up, or the process stands still, is not taken.
 func TestReleasedLeaseIsNotResumed(t *testing.T) {
-	r := newRig(t, settings.Settings{PollsPer: 20})
+	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.becomeLeaseHolder()
 	id := r.requests()
 	r.feed(kernel.Thawed{Gap: 2 * second})
@@ -52,7 +52,7 @@
 
 // While a node holds the duty nobody else reads under a later grant.
 func TestSecondLeaseHolderIsReported(t *testing.T) {
-	r := newRig(t, settings.Settings{PollsPer: 20})
+	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.becomeLeaseHolder()
 	r.grant(r.requests())
 	reads := func(turn uint64) invariant.Name {
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -33,7 +33,7 @@
 	return p
 }
 
-func (p *process) feed(in kernel.Input) kernel.Out { return p.k.Step(p.now, p.now, in) }
+func (p *process) feed(in kernel.Input) kernel.Output { return p.k.Step(p.now, p.now, in) }
 
 // update changes the row and lets the step at its end run.
 func (p *process) update(f func(*wire.Member)) {
--- a/cluster/mesh/antientropy.go
+++ b/cluster/mesh/antientropy.go
@@ -88,7 +88,7 @@
 	case p.syncedLocal == m.digest() && p.syncedRemote == theirs:
 	case first && ctx.Now-m.changedAt < QuietPeriod:
 	case ctx.Now-p.requestedAt < SyncInterval || ctx.Now-m.syncRequestedAt < SyncInterval:
-	case m.k.Receiving() && ctx.Now-m.syncRequestedAt < SyncIntervalReceiving:
+	case m.k.ReceivingAny() && ctx.Now-m.syncRequestedAt < SyncIntervalReceiving:
 	default:
 		m.requestSync(ctx, p)
 	}
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -109,7 +109,7 @@
 	c.Hops++
 	ctx.Counts.Add("mesh_entries_out", 1)
 	s := kernel.Send{Conn: ch, Data: wire.Seal(wire.KindGossip, delivery, &c), ReplaceKey: replaceKey(e)}
-	ctx.Out.Sends = append(ctx.Out.Sends, s)
+	ctx.Output.Sends = append(ctx.Output.Sends, s)
 	return len(s.Data)
 }
 
--- a/cluster/mesh/heartbeat.go
+++ b/cluster/mesh/heartbeat.go
@@ -150,7 +150,7 @@
 // them; while a fleet is upgraded from one, a setting lets those pass.
 func (m *Mesh) verifySignedHeartbeat(mk wire.OriginSummary) bool {
 	if len(mk.Sig) == 0 {
-		return m.k.Boot.Settings.UnsignedBeats
+		return m.k.Boot.Settings.UnsignedHeartbeats
 	}
 	return len(mk.Key) == ed25519.PublicKeySize && kernel.Fingerprint(mk.Key) == mk.Origin && ed25519.Verify(mk.Key, signedHeartbeatText(mk.Heartbeat), mk.Sig)
 }
--- a/cluster/mesh/heartbeat_test.go
+++ b/cluster/mesh/heartbeat_test.go
@@ -52,7 +52,7 @@
 	mk.Key, mk.Sig = nil, nil
 	r.heartbeat(mk)
 	must.False(t, r.m.Live(mk.Origin, r.now))
-	r.k.Boot.Settings.UnsignedBeats = true
+	r.k.Boot.Settings.UnsignedHeartbeats = true
 	r.heartbeat(mk)
 	mk.Heartbeat++
 	r.heartbeat(mk)
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -33,9 +33,9 @@
 	return r
 }
 
-func (r *rig) feed(in kernel.Input) kernel.Out { return r.k.Step(r.now, r.now, in) }
+func (r *rig) feed(in kernel.Input) kernel.Output { return r.k.Step(r.now, r.now, in) }
 
-func (r *rig) gossip(e *wire.Entry) kernel.Out {
+func (r *rig) gossip(e *wire.Entry) kernel.Output {
 	return r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindGossip, 0, e)})
 }
 
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -116,14 +116,14 @@
 	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
 	row := wire.Member{Name: p.addr, Role: "node", Zone: p.zone, Addr: p.addr, Mesh: Release}
 	p.m.Announce(ctx, "member", p.m.self, wire.Encode(&row), false)
-	f.carry(p, ctx.Out)
+	f.carry(p, ctx.Output)
 }
 
 // announce has a process tell something.
 func (f *fleet) announce(p *process, typ, id string, body []byte) {
 	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
 	p.m.Announce(ctx, typ, id, body, false)
-	f.carry(p, ctx.Out)
+	f.carry(p, ctx.Output)
 }
 
 func (f *fleet) step(p *process, in kernel.Input) {
@@ -138,7 +138,7 @@
 	f.carry(p, p.k.Step(f.now, f.now, in))
 }
 
-func (f *fleet) carry(p *process, out kernel.Out) {
+func (f *fleet) carry(p *process, out kernel.Output) {
 	life := p.k
 	for _, t := range out.Timers {
 		f.after(t.At-f.now, func() {
--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -25,11 +25,11 @@
 	return r
 }
 
-func (r *rig) gossipFrom(peer uint64, e *wire.Entry) kernel.Out {
+func (r *rig) gossipFrom(peer uint64, e *wire.Entry) kernel.Output {
 	return r.feed(kernel.Received{Conn: peer, Data: wire.Seal(wire.KindGossip, byFlood, e)})
 }
 
-func (r *rig) forwardTick() kernel.Out {
+func (r *rig) forwardTick() kernel.Output {
 	r.now += ForwardInterval
 	return r.feed(kernel.Tick{Plugin: "mesh", Key: "forward"})
 }
--- a/cmd/wallport/clients.go
+++ b/cmd/wallport/clients.go
@@ -17,17 +17,17 @@
 )
 
 // openClients serves clients and readiness until stop is called.
-func openClients(p *process.Process, operators *httpapi.Server, place platform.Place, failed chan<- error) (stop func(), err error) {
+func openClients(p *process.Process, operators *httpapi.Server, place platform.ProcessSettings, failed chan<- error) (stop func(), err error) {
 	e, b := p.Kernel.Boot.Settings, kernel.Find[*snapshot.Table](p.Kernel)
 	desk := dispatch.NewDispatcher(dispatch.Config{
 		Snapshot: b.Current, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, StartedAt: p.Now(),
-		Retry:      dispatch.RetryConfig{Ratio: e.Retries.Ratio, Allowance: e.Retries.Allowance, Window: e.Retries.WindowUs},
+		Retry:      dispatch.RetryConfig{Ratio: e.Retries.Ratio, Allowance: e.Retries.Allowance, Window: e.Retries.Window},
 		Invariants: p.Invariants(), OnTrace: requestLog(p.Sampled()),
 	})
 	operators.ExplainBy(func(id string) (any, bool) { return desk.Traces.Get(id) })
 	client := backend.New(backend.Config{
 		Names: platform.BackendNames(), Counts: p.Kernel.Counts, Frozen: p.Frozen, Thaws: p.Thaws,
-		Share: func() int {
+		SharedBy: func() int {
 			if c := b.Current(); c != nil {
 				return c.Divisor
 			}
@@ -35,10 +35,12 @@
 		},
 	})
 	s, err := gateway.Open(gateway.Config{
-		Addr: place.HTTP, ReadyAddr: place.Readiness, Names: platform.GatewayNames(), Log: p.Log, Sampled: p.Sampled(), Counts: p.Kernel.Counts,
-		Backends: client, Table: b.Current, Now: p.Now, GraceUs: e.Bounds.GraceUs,
-		Refresh: func() { p.AwaitThaw(thawWait) },
-		Chart:   func(r dispatch.Request, now int64) gateway.Chart { return dispatch.NewStateMachine(desk, r, now) },
+		ClientAddr: place.HTTP, ReadinessAddr: place.Readiness, Names: platform.GatewayNames(), Log: p.Log, Sampled: p.Sampled(), Counts: p.Kernel.Counts,
+		Backends: client, Snapshot: b.Current, Now: p.Now, GracePeriod: e.Bounds.GracePeriod,
+		AwaitThaw: func() { p.AwaitThaw(thawWait) },
+		NewStateMachine: func(r dispatch.Request, now int64) gateway.StateMachine {
+			return dispatch.NewStateMachine(desk, r, now)
+		},
 	})
 	if err != nil {
 		client.Close()
--- a/cmd/wallport/onplatform.go
+++ b/cmd/wallport/onplatform.go
@@ -56,13 +56,13 @@
 	if len(found) > 0 {
 		return coded{exitInvalid, found.Error()}
 	}
-	place.Env.MeshListen = flags.meshListen
-	e := place.Env
+	place.Settings.MeshListen = flags.meshListen
+	e := place.Settings
 	w.seeds = e.Seeds
 	bound(e.Machine)
 	log := logger(e.LogLevel, e.Name)
 	defer log.Sync()
-	p, err := process.Start(process.Config{Env: e, Role: role, Log: log, Fetchers: platform.Fetchers()})
+	p, err := process.Start(process.Config{Settings: e, Role: role, Log: log, Fetchers: platform.Fetchers()})
 	if err != nil {
 		return coded{exitFailed, err.Error()}
 	}
@@ -110,7 +110,7 @@
 }
 
 // openRole opens what the platform calls: on a node clients' server and readiness, on a core the control address.
-func openRole(p *process.Process, operators *httpapi.Server, place platform.Place, role string, failed chan<- error) (stop func(), err error) {
+func openRole(p *process.Process, operators *httpapi.Server, place platform.ProcessSettings, role string, failed chan<- error) (stop func(), err error) {
 	if role == "core" {
 		return openControl(p, place.Control, failed)
 	}
@@ -121,12 +121,12 @@
 func (w *watch) reread(p *process.Process, role string) {
 	place, found := platform.ReadSettings(w.path, role)
 	for _, f := range found {
-		p.Log.Warn("settings_refused", zap.String("place", f.Place), zap.String("finding", f.Text))
+		p.Log.Warn("settings_refused", zap.String("place", f.Location), zap.String("finding", f.Text))
 	}
-	if len(found) > 0 || slices.Equal(w.seeds, place.Env.Seeds) {
+	if len(found) > 0 || slices.Equal(w.seeds, place.Settings.Seeds) {
 		return
 	}
-	w.seeds = place.Env.Seeds
+	w.seeds = place.Settings.Seeds
 	p.Log.Info("seeds_changed", zap.Strings("seeds", w.seeds))
 	p.Post(kernel.SeedsChanged{Seeds: slices.Clone(w.seeds)})
 }
--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/roles.go
@@ -57,7 +57,7 @@
 }
 
 func (c *checkEnv) Execute([]string) error {
-	e := settings.Settings{File: c.Args.File, LogLevel: "info", PollsPer: 20}
+	e := settings.Settings{EnvFile: c.Args.File, LogLevel: "info", PollsPer10s: 20}
 	found := settings.Findings(nil)
 	if c.OnPlatform {
 		_, found = platform.ReadSettings(c.Args.File, c.Role)
@@ -93,7 +93,7 @@
 	defer log.Sync()
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	p, err := process.Start(process.Config{Env: e, Role: role, Log: log})
+	p, err := process.Start(process.Config{Settings: e, Role: role, Log: log})
 	if err != nil {
 		return coded{exitFailed, err.Error()}
 	}
@@ -103,8 +103,8 @@
 		return coded{exitFailed, err.Error()}
 	}
 	log.Info("started", zap.String("release", stamp), zap.String("role", role), zap.String("zone", e.Zone), zap.String("mesh", e.Mesh),
-		zap.String("caller", e.Caller), zap.String("operator", e.Operator), zap.Bool("authorisation", e.Token != ""), zap.Bool("fleet_secret", e.Fleet != ""))
-	if role == "node" && e.Token == "" {
+		zap.String("caller", e.Caller), zap.String("operator", e.Operator), zap.Bool("authorisation", e.OperatorToken != ""), zap.Bool("fleet_secret", e.FleetSecret != ""))
+	if role == "node" && e.OperatorToken == "" {
 		log.Warn("authorisation_off", zap.String("why", "no operator token is set; anyone who reaches the operator API may change the fleet"))
 	}
 	select {
--- a/control/operations/carrying.go
+++ b/control/operations/carrying.go
@@ -13,7 +13,7 @@
 // answer ends a call.
 func (o *Operate) answer(ctx *kernel.Context, id uint64, c *call, res Result) {
 	delete(o.calls, id)
-	ctx.Answer(id, c.outcome(res))
+	ctx.Reply(id, c.outcome(res))
 }
 
 // try sends the edit; its id, or its base and digest, make a second sending harmless.
--- a/control/operations/cutoff_test.go
+++ b/control/operations/cutoff_test.go
@@ -18,7 +18,7 @@
 func cutOffLeader(t *testing.T) *node {
 	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: []wire.Replica{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "me", Addr: "10.0.0.1:1"}}}
 	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
-	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", Data: "disk"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
+	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", DataDir: "disk"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
 	n := &node{t: t, k: k, now: 1_000_000, answers: map[uint64]any{}}
 	n.step(kernel.Start{})
 	n.coreTick()
--- a/control/operations/operate.go
+++ b/control/operations/operate.go
@@ -142,7 +142,7 @@
 		c.req = Carry{Edit: wire.Edit{Partition: state.Config, Op: wire.OpHistory}}
 	case Carry:
 		if ask.Edit.Op == "empty" && ask.Edit.Name != "" && !o.knowsZone(ask.Edit.Name, ctx.Now) {
-			ctx.Answer(v.ID, unknownZone(ask.Edit.Name))
+			ctx.Reply(v.ID, unknownZone(ask.Edit.Name))
 			return
 		}
 		c.outcome = func(res Result) any { return res }
@@ -151,7 +151,7 @@
 			c.req.Edit.EditID = fmt.Sprintf("%016x%016x", ctx.Rand.Uint64(), ctx.Rand.Uint64())
 		}
 	default:
-		ctx.Answer(v.ID, Result{Reply: wire.EditReply{Code: "invalid"}})
+		ctx.Reply(v.ID, Result{Reply: wire.EditReply{Code: "invalid"}})
 		return
 	}
 	o.calls[v.ID] = c
--- a/control/operations/operate_test.go
+++ b/control/operations/operate_test.go
@@ -46,7 +46,7 @@
 			n.timers = append(n.timers, timer)
 		}
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.Replies {
 		n.answers[a.ID] = a.Value
 	}
 	for _, s := range out.Sends {
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -141,7 +141,7 @@
 		if text != "" {
 			reply.Findings = []wire.Finding{{Path: fmt.Sprintf("part %d", r.partition), Text: text}}
 		}
-		ctx.Answer(id, Result{Reply: reply})
+		ctx.Reply(id, Result{Reply: reply})
 	}
 	if r.doing {
 		if 2*len(r.yes) > len(r.picked) {
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -100,7 +100,7 @@
 		replicas, told := read.told[core.Addr]
 		status.Cores = append(status.Cores, CoreStatus{Name: core.Name, Zone: core.Zone, Addr: core.Addr, Answered: told, Replicas: replicas})
 	}
-	ctx.Answer(id, status)
+	ctx.Reply(id, status)
 }
 
 // Newest gives the newest version of each partition that any core knows to be committed.
--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -17,7 +17,7 @@
 
 // emptyCore is a core on a platform with replica "m" and nothing else on its disk.
 func emptyCore(t *testing.T, change func(e *settings.Settings)) *core {
-	e := settings.Settings{Mesh: "10.0.0.5:1", Zone: "z5", Data: "disk", BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: 1, Zones: 1}}
+	e := settings.Settings{Mesh: "10.0.0.5:1", Zone: "z5", DataDir: "disk", BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: 1, Zones: 1}}
 	e.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	if change != nil {
 		change(&e)
@@ -38,7 +38,7 @@
 func sent[T any, P interface {
 	*T
 	UnmarshalMsg([]byte) ([]byte, error)
-}](t *testing.T, out kernel.Out, kind uint8) (all []T) {
+}](t *testing.T, out kernel.Output, kind uint8) (all []T) {
 	t.Helper()
 	for _, s := range out.Sends {
 		f, err := wire.Open(s.Data)
@@ -52,7 +52,7 @@
 	return all
 }
 
-func formReplies(t *testing.T, out kernel.Out) []wire.BootstrapReply {
+func formReplies(t *testing.T, out kernel.Output) []wire.BootstrapReply {
 	return sent[wire.BootstrapReply](t, out, wire.KindBootstrapReply)
 }
 
--- a/control/replica/cluster_machine_test.go
+++ b/control/replica/cluster_machine_test.go
@@ -58,7 +58,7 @@
 	}
 	m.kernel = kernel.New(kernel.Boot{
 		Settings: settings.Settings{
-			Name: m.addr, Mesh: m.addr, Zone: m.zone, Data: "disk", Seeds: seeds,
+			Name: m.addr, Mesh: m.addr, Zone: m.zone, DataDir: "disk", Seeds: seeds,
 			BootstrapKnown: true, Bootstrap: m.first, Tolerance: c.shape.tolerance,
 		},
 		Role: "core", Seed: c.random.Uint64(), Key: kernel.KeyFrom(key), Files: files,
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -19,7 +19,7 @@
 }
 
 // answers has one of the two other voters answer the newest round.
-func (c *core) answers(g *Group, clock int64) kernel.Out {
+func (c *core) answers(g *Group, clock int64) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Stored: g.accepted.Version, OK: true, Clock: clock})
 }
 
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -118,7 +118,7 @@
 	c, g := campaign(t, version(3, 1))
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: version(2, 1)})
 	must.Eq(t, leader, g.role)
-	var out kernel.Out
+	var out kernel.Output
 	ask := func(e wire.Edit) {
 		more := c.send(wire.KindEdit, &e)
 		out.Sends = append(out.Sends, more.Sends...)
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -33,15 +33,15 @@
 	return c
 }
 
-func (c *core) feed(in kernel.Input) kernel.Out { return c.k.Step(c.now, c.now, in) }
+func (c *core) feed(in kernel.Input) kernel.Output { return c.k.Step(c.now, c.now, in) }
 
-func (c *core) send(kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) kernel.Out {
+func (c *core) send(kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) kernel.Output {
 	return c.feed(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})
 }
 
 // sync carries out the writes of an output and gives what followed.
-func (c *core) sync(out kernel.Out) kernel.Out {
-	var all kernel.Out
+func (c *core) sync(out kernel.Output) kernel.Output {
+	var all kernel.Output
 	for _, w := range out.Writes {
 		r := c.feed(kernel.Written{Plugin: w.Plugin, Key: w.Key})
 		all.Sends = append(all.Sends, r.Sends...)
@@ -49,7 +49,7 @@
 	return all
 }
 
-func accepted(t *testing.T, out kernel.Out) wire.AcceptReply {
+func accepted(t *testing.T, out kernel.Output) wire.AcceptReply {
 	t.Helper()
 	var r wire.AcceptReply
 	must.Len(t, 1, out.Sends)
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -89,7 +89,7 @@
 func (s *Host) load(ctx *kernel.Context) {
 	for _, name := range sortedKeys(s.k.Boot.Files) {
 		b, err := diskfile.Unpack(s.k.Boot.Files[name])
-		if f, ok := err.(diskfile.ErrFuture); ok {
+		if f, ok := err.(diskfile.FutureFormatError); ok {
 			s.diskDamaged, s.futureFormat = true, f.Error()
 			continue
 		}
@@ -159,7 +159,7 @@
 
 func (s *Host) start(ctx *kernel.Context) {
 	s.started, s.clockOrigin = ctx.Now, 1+ctx.Rand.Int64N(clockOrigins)
-	if s.k.Boot.Settings.Data == "" && len(s.k.Boot.Files) == 0 {
+	if s.k.Boot.Settings.DataDir == "" && len(s.k.Boot.Files) == 0 {
 		// Without a disk it has no replica; it hands on what it is asked.
 		ctx.Log(kernel.LevelInfo, "core_without_disk")
 		return
--- a/control/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -22,7 +22,7 @@
 func (g *Group) checkOneLeader(ctx *kernel.Context, from string, term uint64) {
 	heard := heardLeader{id: from, term: term}
 	if g.heardLeader.term == term && g.heardLeader.id != from {
-		ctx.Violated(invariant.OneLeader, fmt.Sprintf("partition %d, term %d: %s and %s", g.partition, term, g.heardLeader.id, from))
+		ctx.ReportViolation(invariant.OneLeader, fmt.Sprintf("partition %d, term %d: %s and %s", g.partition, term, g.heardLeader.id, from))
 	}
 	g.heardLeader = heard
 }
@@ -30,14 +30,14 @@
 // checkSameContent sees that a version which is brought again is the one that is held.
 func (g *Group) checkSameContent(ctx *kernel.Context, a wire.Accept) {
 	if a.Base == (wire.Version{}) && !bytes.Equal(a.Versioned.Body, g.accepted.Body) {
-		ctx.Violated(invariant.VersionContent, fmt.Sprintf("partition %d, version %d.%d", g.partition, a.Versioned.Version.Term, a.Versioned.Version.Seq))
+		ctx.ReportViolation(invariant.OneContentPerVersion, fmt.Sprintf("partition %d, version %d.%d", g.partition, a.Versioned.Version.Term, a.Versioned.Version.Seq))
 	}
 }
 
 // checkLeads sees that a leader commits in its own term alone, before any later one that it knows of.
 func (g *Group) checkLeads(ctx *kernel.Context, v wire.Versioned) {
 	if v.Version.Term != g.term || g.votedTerm != g.term {
-		ctx.Violated(invariant.LeaderInItsTerm, fmt.Sprintf("partition %d, version of term %d, leads term %d, voted term %d", g.partition, v.Version.Term, g.term, g.votedTerm))
+		ctx.ReportViolation(invariant.LeaderInItsTerm, fmt.Sprintf("partition %d, version of term %d, leads term %d, voted term %d", g.partition, v.Version.Term, g.term, g.votedTerm))
 	}
 }
 
@@ -48,7 +48,7 @@
 	}
 	was, is := revisionOf(before), revisionOf(after)
 	if is < was {
-		ctx.Violated(invariant.RevisionRises, fmt.Sprintf("revision %d after %d, version %d.%d", is, was, after.Version.Term, after.Version.Seq))
+		ctx.ReportViolation(invariant.RevisionIncreases, fmt.Sprintf("revision %d after %d, version %d.%d", is, was, after.Version.Term, after.Version.Seq))
 	}
 }
 
--- a/control/replica/invariants_test.go
+++ b/control/replica/invariants_test.go
@@ -42,7 +42,7 @@
 	}
 	must.Eq(t, "", send(configured(t, 3, 1, 7)))
 	must.Eq(t, "", send(configured(t, 3, 1, 7)))
-	must.Eq(t, invariant.VersionContent, send(configured(t, 3, 1, 8)))
+	must.Eq(t, invariant.OneContentPerVersion, send(configured(t, 3, 1, 8)))
 }
 
 func TestViolationsOfCommits(t *testing.T) {
@@ -52,8 +52,8 @@
 	commit := func(v wire.Versioned) invariant.Name { return violation.By(func() { g.commit(step, v) }) }
 	must.Eq(t, "", commit(configured(t, 3, 1, 7)))
 	must.Eq(t, "", commit(configured(t, 3, 2, 9)))
-	must.Eq(t, invariant.RevisionRises, commit(configured(t, 4, 3, 8)))
-	must.Eq(t, 1, c.k.Counts.Of(invariant.Counter(invariant.RevisionRises)).Load())
+	must.Eq(t, invariant.RevisionIncreases, commit(configured(t, 4, 3, 8)))
+	must.Eq(t, 1, c.k.Counts.Of(invariant.Counter(invariant.RevisionIncreases)).Load())
 
 	g.term, g.votedTerm = 4, 5
 	must.Eq(t, invariant.LeaderInItsTerm, violation.By(func() { g.checkLeads(step, configured(t, 4, 4, 9)) }))
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-func (c *core) tick() kernel.Out { return c.feed(kernel.Tick{Plugin: "seats", Key: "tick"}) }
+func (c *core) tick() kernel.Output { return c.feed(kernel.Tick{Plugin: "seats", Key: "tick"}) }
 
 // heartbeats lets time pass while the replicas of a leader's group answer it.
 func (c *core) beats(g *Group, us int64, alive ...string) {
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -70,7 +70,7 @@
 	m := c.members[id]
 	m.up, m.replies, m.bytesIn = true, map[uint64]wire.EditReply{}, 0
 	m.life++
-	boot := kernel.Boot{Settings: settings.Settings{Name: id, Mesh: id, Zone: "z" + id, Data: "disk"}, Role: "core", Seed: uint64(id[0]), Key: kernel.KeyFrom(bytes.Repeat([]byte(id), 32)), Files: map[string][]byte{}}
+	boot := kernel.Boot{Settings: settings.Settings{Name: id, Mesh: id, Zone: "z" + id, DataDir: "disk"}, Role: "core", Seed: uint64(id[0]), Key: kernel.KeyFrom(bytes.Repeat([]byte(id), 32)), Files: map[string][]byte{}}
 	for name, b := range m.files {
 		boot.Files[name] = b
 	}
--- a/control/replica/orders_test.go
+++ b/control/replica/orders_test.go
@@ -27,7 +27,7 @@
 }
 
 // confirmed has a majority answer the newest heartbeat.
-func (c *core) confirmed(g *Group) kernel.Out {
+func (c *core) confirmed(g *Group) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Stored: g.accepted.Version, OK: true})
 }
 
@@ -152,7 +152,7 @@
 	must.Nil(t, g.proposal)
 }
 
-func readVersion(t *testing.T, out kernel.Out) wire.Version {
+func readVersion(t *testing.T, out kernel.Output) wire.Version {
 	t.Helper()
 	for _, s := range out.Sends {
 		f, err := wire.Open(s.Data)
--- a/control/replica/proposals_test.go
+++ b/control/replica/proposals_test.go
@@ -30,9 +30,9 @@
 }
 
 // take has replicas "a" and "b" hold the version under way.
-func (c *core) take(g *Group) kernel.Out {
+func (c *core) take(g *Group) kernel.Output {
 	if g.proposal == nil {
-		return kernel.Out{}
+		return kernel.Output{}
 	}
 	accepted := wire.AcceptReply{Term: g.term, From: "a", Version: g.proposal.Version, OK: true}
 	c.send(wire.KindAcceptReply, &accepted)
@@ -41,7 +41,7 @@
 }
 
 // replies are the answers to edits among an output, by the id of the asking frame.
-func replies(t *testing.T, out kernel.Out) map[uint64]string {
+func replies(t *testing.T, out kernel.Output) map[uint64]string {
 	t.Helper()
 	got := map[uint64]string{}
 	for _, s := range out.Sends {
@@ -56,7 +56,7 @@
 	return got
 }
 
-func (c *core) edit(id uint64, e wire.Edit) kernel.Out {
+func (c *core) edit(id uint64, e wire.Edit) kernel.Output {
 	return c.feed(kernel.Received{Conn: 9, Data: wire.Seal(wire.KindEdit, id, &e)})
 }
 
--- a/control/replica/pull_large_test.go
+++ b/control/replica/pull_large_test.go
@@ -62,7 +62,7 @@
 	out := c.send(kind, m)
 	var whole []byte
 	for len(out.Sends) > 0 {
-		var next kernel.Out
+		var next kernel.Output
 		for _, s := range out.Sends {
 			f, err := wire.Open(s.Data)
 			must.NoError(t, err)
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -115,7 +115,7 @@
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	c.edit(2, wire.Edit{Op: "empty", Name: "z1"})
 	must.NotNil(t, g.proposal)
-	var out kernel.Out
+	var out kernel.Output
 	for end := c.now + ProposalTimeout + 1_000_000; c.now < end && g.role == leader; c.now += TickInterval {
 		for _, id := range []string{"a", "b"} {
 			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: id, Round: g.round, Stored: g.committed.Version, OK: true})
--- a/control/replica/stored_driver_test.go
+++ b/control/replica/stored_driver_test.go
@@ -33,7 +33,7 @@
 func startStored(t *testing.T, files map[string][]byte) *storedCore {
 	t.Helper()
 	k := kernel.New(kernel.Boot{
-		Settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1", Data: "disk"},
+		Settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1", DataDir: "disk"},
 		Role:     "core", Seed: 7, Key: kernel.KeyFrom(make([]byte, 32)), Files: maps.Clone(files),
 	})
 	c := &storedCore{t: t, k: k, host: kernel.Find[*Host](k), now: 1_000_000, files: maps.Clone(files)}
@@ -65,8 +65,8 @@
 	return sends
 }
 
-func (c *storedCore) send(kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) kernel.Out {
-	return kernel.Out{Sends: c.step(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})}
+func (c *storedCore) send(kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) kernel.Output {
+	return kernel.Output{Sends: c.step(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})}
 }
 
 func (c *storedCore) tick(us int64) {
@@ -115,7 +115,7 @@
 }
 
 // beat has another voter answer the newest heartbeat, with a clock that agrees.
-func (c *storedCore) beat(g *Group, id string) kernel.Out {
+func (c *storedCore) beat(g *Group, id string) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{
 		Partition: g.partition, Term: g.term, From: id, Round: g.round, Stored: g.accepted.Version, OK: true, Wall: c.now,
 	})
@@ -127,7 +127,7 @@
 	e.Partition = g.partition
 	all := c.send(wire.KindEdit, &e)
 	for _, id := range voters {
-		var out kernel.Out
+		var out kernel.Output
 		if g.proposal != nil {
 			out = c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: id, Version: g.proposal.Version, OK: true})
 		} else {
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -169,7 +169,7 @@
 	}
 }
 
-func nextWrites(next *process, out kernel.Out) []pendingWrite {
+func nextWrites(next *process, out kernel.Output) []pendingWrite {
 	writes := slices.Clone(next.writes)
 	if v, ok := next.input.(kernel.Written); ok {
 		writes = slices.DeleteFunc(writes, func(w pendingWrite) bool { return w.key == v.Key && v.Key != "" })
@@ -184,7 +184,7 @@
 }
 
 // nextTimers takes the timer that fired out, and adds those that were asked for.
-func nextTimers(next *process, out kernel.Out) []timer {
+func nextTimers(next *process, out kernel.Output) []timer {
 	timers := slices.Clone(next.timers)
 	if v, ok := next.input.(kernel.Tick); ok {
 		if i := slices.IndexFunc(timers, func(t timer) bool { return t.plugin == v.Plugin && t.key == v.Key }); i >= 0 {
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -34,7 +34,7 @@
 // bootKernel makes a replica's process on the files of its disk.
 func bootKernel(replica int, files map[string][]byte) *kernel.Kernel {
 	e := settings.Settings{
-		Name: replicaName(replica), Zone: fmt.Sprintf("zone-%d", replica+1), Mesh: replicaAddress(replica), Data: "disk",
+		Name: replicaName(replica), Zone: fmt.Sprintf("zone-%d", replica+1), Mesh: replicaAddress(replica), DataDir: "disk",
 		BootstrapKnown: true, Tolerance: settings.Tolerance{Machines: 1},
 	}
 	return kernel.New(kernel.Boot{Settings: e, Role: "core", Seed: uint64(replica), Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -82,13 +82,13 @@
 func (h *Hollow) start(i int) (*hollowNode, error) {
 	c := h.c
 	e := settings.Settings{
-		Name: fmt.Sprintf("%s-%d", c.Role, i), Zone: fmt.Sprintf("z%d", i%c.Zones+1), Seeds: c.Seeds, PollsPer: 20,
-		LogLevel: "error", Fleet: "scale",
+		Name: fmt.Sprintf("%s-%d", c.Role, i), Zone: fmt.Sprintf("z%d", i%c.Zones+1), Seeds: c.Seeds, PollsPer10s: 20,
+		LogLevel: "error", FleetSecret: "scale",
 	}
 	if c.Role == "core" {
-		e.Data = filepath.Join(c.Data, e.Name)
+		e.DataDir = filepath.Join(c.Data, e.Name)
 	} else {
-		e.Platform = c.Platform
+		e.PlatformURL = c.Platform
 	}
 	var last error
 	for range startTries {
@@ -96,7 +96,7 @@
 		if e.Mesh, err = freeAddr(c.IP); err != nil {
 			return nil, err
 		}
-		p, err := process.Start(process.Config{Env: e, Role: c.Role, Log: zap.NewNop()})
+		p, err := process.Start(process.Config{Settings: e, Role: c.Role, Log: zap.NewNop()})
 		if err != nil {
 			last = err
 			continue
--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -52,15 +52,15 @@
 	}
 	d.journal = &rules.Journal{Bounds: b}
 	d.env = settings.Settings{
-		Fleet: "sim", Platform: "http://platform/list", PollsPer: 440, ListEvery: 1_000_000, LogLevel: "info",
+		FleetSecret: "sim", PlatformURL: "http://platform/list", PollsPer10s: 440, ListInterval: 1_000_000, LogLevel: "info",
 		BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: site.tolerance[0], Zones: site.tolerance[1]},
 		Machine: settings.Machine{CPUShare: 0.4, MemoryMB: 284, MaxFds: 4100, LinkMbps: 1000, DiskMB: 64},
 		Bounds: settings.Bounds{
-			DrainUs: b.DrainUs, GraceUs: b.GraceUs, ApplyUs: b.ApplyUs, EmptyUs: b.EmptyUs, AckUs: b.AckUs, ContactUs: b.ContactUs,
-			SyncUs: 4_000_000, AddressReuseUs: reuseUs, LossUs: b.LossUs, RecoverUs: b.RecoverUs, SeedLagUs: 3_000_000, ListLagUs: listLagUs,
+			DrainTimeout: b.DrainUs, GracePeriod: b.GraceUs, ConfigApply: b.ApplyUs, ZoneDrain: b.EmptyUs, AckTimeout: b.AckUs, ContactTime: b.ContactUs,
+			SyncTime: 4_000_000, AddressReuse: reuseUs, LossSlack: b.LossUs, RecoveryTime: b.RecoverUs, SeedLag: 3_000_000, ListLag: listLagUs,
 		},
-		Retries: settings.Retries{Ratio: b.RetryRatio, Allowance: b.RetryAllowance, WindowUs: b.RetryWindowUs},
-		Ramp:    settings.Ramp{Overrun: b.RampOverrun, Tolerance: b.RampTolerance},
+		Retries:   settings.Retries{Ratio: b.RetryRatio, Allowance: b.RetryAllowance, Window: b.RetryWindowUs},
+		SlowStart: settings.SlowStart{Overrun: b.RampOverrun, Tolerance: b.RampTolerance},
 	}
 	d.backends.init(d)
 	d.clients.init(d)
--- a/lab/sim/day_faults.go
+++ b/lab/sim/day_faults.go
@@ -10,7 +10,7 @@
 
 // lost tells that a machine counts as lost: it is in trouble or was until a moment ago.
 func (d *day) lost(m *machine) bool {
-	return d.journal.Touch.Of(m.name).Hit(d.w.now-d.env.Bounds.SyncUs, d.w.now)
+	return d.journal.Touch.Of(m.name).Hit(d.w.now-d.env.Bounds.SyncTime, d.w.now)
 }
 
 // borne counts the counted machines that may be lost beside those that are.
--- a/lab/sim/day_gate.go
+++ b/lab/sim/day_gate.go
@@ -47,7 +47,7 @@
 	g := &gate{d: d, p: p, kept: map[string][]*conn{}}
 	g.desk = dispatch.NewDispatcher(dispatch.Config{
 		Snapshot: p.table.Current, Counts: p.kernel.Counts, Seed: seed, StartedAt: 0,
-		Retry: dispatch.RetryConfig{Ratio: r.Ratio, Allowance: r.Allowance, Window: r.WindowUs},
+		Retry: dispatch.RetryConfig{Ratio: r.Ratio, Allowance: r.Allowance, Window: r.Window},
 	})
 	d.gates[p] = g
 	g.look()
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -61,9 +61,9 @@
 	e.Name, e.Zone, e.Mesh, e.Operator = m.name+"/"+role, m.zone, addr, addr+"0"
 	p := &proc{w: w, name: e.Name, role: role, env: e, index: int64(len(w.names)), machine: m}
 	if role == "core" {
-		p.env.Platform = ""
+		p.env.PlatformURL = ""
 		if m.hasDisk {
-			p.env.Data = "disk"
+			p.env.DataDir = "disk"
 			p.disk = newDisk(p)
 			p.disk.base = m.d.site.syncUs
 		}
--- a/lab/sim/proc.go
+++ b/lab/sim/proc.go
@@ -68,14 +68,14 @@
 func (w *World) add(role string, i int, addr string) *proc {
 	name := fmt.Sprintf("%s-%d", role, i)
 	e := settings.Settings{
-		Name: name, Zone: w.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: w.seeds, Fleet: "sim",
-		PollsPer: w.plat.allowed, LogLevel: "info",
+		Name: name, Zone: w.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: w.seeds, FleetSecret: "sim",
+		PollsPer10s: w.plat.allowed, LogLevel: "info",
 	}
 	p := &proc{w: w, name: name, role: role, env: e, index: int64(len(w.names))}
 	if role == "node" {
-		p.env.Caller, p.env.Platform = addr+"1", "http://platform/list"
+		p.env.Caller, p.env.PlatformURL = addr+"1", "http://platform/list"
 	} else {
-		p.env.Data = "disk"
+		p.env.DataDir = "disk"
 		p.disk = newDisk(p)
 	}
 	w.procs[name] = p
@@ -230,7 +230,7 @@
 	for _, f := range out.Fetches {
 		p.w.fetch(p, f)
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.Replies {
 		if f := p.calls[a.ID]; f != nil {
 			delete(p.calls, a.ID)
 			f(a.Value)
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -80,7 +80,7 @@
 
 // applied is the table that a change makes of another one; nil where none can be made of it.
 func applied(before *routingpb.RoutingTable, text string, base int64, patch bool) *routingpb.RoutingTable {
-	read := platform.ReadWhole
+	read := platform.ReadFull
 	if patch {
 		read = platform.ReadPatch
 	}
--- a/request/backend/backend.go
+++ b/request/backend/backend.go
@@ -26,8 +26,8 @@
 type Config struct {
 	Names  Names
 	Counts *kernel.Counts
-	// Share is how many nodes share a backend's connections; nil is 1.
-	Share func() int
+	// SharedBy is how many nodes share a backend's connections; nil is 1.
+	SharedBy func() int
 	// Frozen and Thaws are of the process: a request is not written on a decision made before a freeze.
 	Frozen func() bool
 	Thaws  func() int64
@@ -35,41 +35,41 @@
 
 // Figures of connections.
 const (
-	// DialWithin bounds a handshake; UnackedWithin how long what was sent may stay without a word of the other side.
-	DialWithin    = 400 * time.Millisecond
-	UnackedWithin = 1500 * time.Millisecond
-	// IdleMost bounds how long a connection is kept for later.
-	IdleMost   = 15 * time.Second
-	SweepEvery = time.Second
-	// BodyMost and HeadMost bound an answer, in bytes.
-	BodyMost = 16 << 20
-	HeadMost = 16 << 10
-	// partOf is how many thousandths of a backend's connections all nodes together may hold.
-	partOf = 800
-	// unbounded is a node's part where a pool sets no bound.
-	unbounded = 64
+	// DialTimeout bounds a handshake; UnackedTimeout how long what was sent may stay without a word of the other side.
+	DialTimeout    = 400 * time.Millisecond
+	UnackedTimeout = 1500 * time.Millisecond
+	// MaxIdleTime bounds how long a connection is kept for later.
+	MaxIdleTime   = 15 * time.Second
+	SweepInterval = time.Second
+	// MaxBodyBytes and MaxHeadBytes bound an answer, in bytes.
+	MaxBodyBytes = 16 << 20
+	MaxHeadBytes = 16 << 10
+	// sharedThousandths is how many thousandths of a backend's connections all nodes together may hold.
+	sharedThousandths = 800
+	// defaultMaxConnections is a node's part where a pool sets no bound.
+	defaultMaxConnections = 64
 )
 
 // Client holds the connections to all backends.
 type Client struct {
-	c      Config
-	names  Names
-	mu     sync.Mutex
-	peers  map[key]*peer
-	closed bool
-	over   chan struct{}
-	open   atomic.Int64
-	count  counters
+	config   Config
+	names    Names
+	mu       sync.Mutex
+	pools    map[poolKey]*connPool
+	closed   bool
+	stopping chan struct{}
+	open     atomic.Int64
+	counters counters
 }
 
-type key struct{ addr, id string }
+type poolKey struct{ addr, id string }
 
 type counters struct{ dials, dialsFailed, reused, idleDead, garbage, full, connections *atomic.Int64 }
 
 // New makes a client without connections.
 func New(c Config) *Client {
-	if c.Share == nil {
-		c.Share = func() int { return 1 }
+	if c.SharedBy == nil {
+		c.SharedBy = func() int { return 1 }
 	}
 	if c.Frozen == nil {
 		c.Frozen = func() bool { return false }
@@ -85,7 +85,7 @@
 		*s = http.CanonicalHeaderKey(*s)
 	}
 	of := func(name string) *atomic.Int64 { return c.Counts.Of("backend_" + name) }
-	k := &Client{c: c, names: n, peers: map[key]*peer{}, over: make(chan struct{}), count: counters{
+	k := &Client{config: c, names: n, pools: map[poolKey]*connPool{}, stopping: make(chan struct{}), counters: counters{
 		dials: of("dials"), dialsFailed: of("dials_failed"), reused: of("reused"), idleDead: of("idle_dead"),
 		garbage: of("garbage"), full: of("connections_full"), connections: of("connections"),
 	}}
@@ -101,34 +101,34 @@
 		return
 	}
 	k.closed = true
-	close(k.over)
+	close(k.stopping)
 	k.mu.Unlock()
 	k.trim(func(*conn) bool { return true })
 }
 
 func (k *Client) sweep() {
-	t := time.NewTicker(SweepEvery)
+	t := time.NewTicker(SweepInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			now := time.Now()
 			k.trim(func(c *conn) bool { return !c.usable(now) })
-		case <-k.over:
+		case <-k.stopping:
 			return
 		}
 	}
 }
 
 // trim closes the idle connections that a function names and forgets peers without any.
-func (k *Client) trim(gone func(*conn) bool) {
+func (k *Client) trim(expired func(*conn) bool) {
 	k.mu.Lock()
 	var drop []*conn
-	for id, p := range k.peers {
+	for id, p := range k.pools {
 		p.mu.Lock()
 		keep := p.idle[:0]
 		for _, c := range p.idle {
-			if gone(c) {
+			if expired(c) {
 				drop = append(drop, c)
 				p.open--
 			} else {
@@ -138,14 +138,14 @@
 		clear(p.idle[len(keep):])
 		p.idle = keep
 		if p.open == 0 {
-			p.dead = true
-			delete(k.peers, id)
+			p.removed = true
+			delete(k.pools, id)
 		}
 		p.mu.Unlock()
 	}
 	k.mu.Unlock()
 	for _, c := range drop {
-		c.shut()
+		c.closeSocket()
 	}
-	k.count.connections.Store(k.open.Load())
+	k.counters.connections.Store(k.open.Load())
 }
--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -14,7 +14,7 @@
 	"wallport/runtime/wire"
 )
 
-func TestSilence(t *testing.T) {
+func TestSilentBackendTimesOut(t *testing.T) {
 	over := make(chan bool)
 	f := newFake(t, func(*call) bool { <-over; return false })
 	defer close(over)
@@ -63,8 +63,8 @@
 	must.Eq(t, 0, k.open.Load())
 }
 
-// TestLeave writes nothing that is not wanted any more, and does not disturb what was written.
-func TestLeave(t *testing.T) {
+// TestAbandonedExchangeIsNotWritten writes nothing that is not wanted any more, and does not disturb what was written.
+func TestAbandonedExchangeIsNotWritten(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
 	f := newFake(t, func(c *call) bool {
 		enter <- true
@@ -77,14 +77,14 @@
 	back := make(chan dispatch.Result)
 	go func() { back <- x.Run() }()
 	<-enter
-	x.Leave()
+	x.Abandon()
 	leave <- true
 	rep := <-back
 	must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, "whole", string(rep.Body))
 
 	x = k.Start(f.ask("b"))
-	x.Leave()
+	x.Abandon()
 	must.Eq(t, "not wanted any more", x.Run().Reason)
 	must.Eq(t, 0, f.times("b"))
 	must.Eq(t, 1, k.open.Load(), must.Sprint("the connection is kept"))
--- a/request/backend/judge.go
+++ b/request/backend/classify.go
@@ -15,27 +15,27 @@
 	"wallport/request/dispatch"
 )
 
-// judge classes a whole answer; keep is that its connection may be used again.
-func (x *Exchange) judge(c *conn, resp *http.Response, body []byte) (rep dispatch.Result, keep bool) {
-	n, h := &x.k.names, resp.Header
+// classify classes a whole answer; keep is that its connection may be used again.
+func (x *Exchange) classify(c *conn, resp *http.Response, body []byte) (rep dispatch.Result, keep bool) {
+	n, h := &x.client.names, resp.Header
 	ids, seals := h[n.ID], h[n.Seal]
 	switch {
-	case len(ids) > 1 || len(ids) == 1 && ids[0] != x.ask.Request.ID:
-		return x.garbage("another request's answer"), false
+	case len(ids) > 1 || len(ids) == 1 && ids[0] != x.attempt.Request.ID:
+		return x.malformedReply("another request's answer"), false
 	case len(seals) > 1:
-		return x.garbage("two seals"), false
+		return x.malformedReply("two seals"), false
 	case len(h["Content-Encoding"]) > 0:
-		return x.garbage("an encoded answer"), false
+		return x.malformedReply("an encoded answer"), false
 	}
 	rep = dispatch.Result{
-		Class: dispatch.ClassResponse, Status: resp.StatusCode, Header: h, Body: body, Seal: h.Get(n.Seal), Load: load(h.Get(n.Load)),
+		Class: dispatch.ClassResponse, Status: resp.StatusCode, Header: h, Body: body, Seal: h.Get(n.Seal), Load: parseLoad(h.Get(n.Load)),
 		Draining: resp.Close || resp.ProtoMinor == 0,
 	}
 	// What follows a whole answer belongs to nothing.
-	keep = !rep.Draining && !c.surplus && c.lasts(h)
+	keep = !rep.Draining && !c.surplus && c.readKeepAlive(h)
 	_, not := h[n.NotRun]
-	DropHop(h, n.ID)
-	if x.ask.Request.Method != http.MethodHead {
+	RemoveHopByHop(h, n.ID)
+	if x.attempt.Request.Method != http.MethodHead {
 		delete(h, "Content-Length")
 	}
 	switch {
@@ -44,31 +44,31 @@
 	case not && rep.Status >= 300:
 		rep.Class, rep.Reason = dispatch.ClassRejected, "turned away"
 	case rep.Status/100 == 2 && rep.Seal == "":
-		return x.garbage("a success without a seal"), false
+		return x.malformedReply("a success without a seal"), false
 	}
 	// Without the request's id it may be an earlier one's. A promise that nothing ran is then only
 	// taken for a request that may run again, or on a connection that carried no other.
-	if len(ids) == 0 && (rep.Class == dispatch.ClassResponse || x.ask.AtMostOnce && c.reused) {
-		return x.garbage("an answer without the request's id"), false
+	if len(ids) == 0 && (rep.Class == dispatch.ClassResponse || x.attempt.AtMostOnce && c.reused) {
+		return x.malformedReply("an answer without the request's id"), false
 	}
 	return rep, keep && len(ids) == 1
 }
 
-// lasts notes how long the backend lets the connection be idle; false is that it is not worth keeping.
-func (c *conn) lasts(h http.Header) bool {
-	for o := range options(h, "Keep-Alive") {
+// readKeepAlive notes how long the backend lets the connection be idle; false is that it is not worth keeping.
+func (c *conn) readKeepAlive(h http.Header) bool {
+	for o := range listItems(h, "Keep-Alive") {
 		if k, v, ok := strings.Cut(o, "="); ok && strings.EqualFold(strings.TrimSpace(k), "timeout") {
 			if s, err := strconv.ParseUint(strings.TrimSpace(v), 10, 31); err == nil {
 				d := time.Duration(min(s, 3600)) * time.Second
-				c.idleFor = min(IdleMost, d-max(min(time.Second, d/2), d*3/10))
+				c.idleFor = min(MaxIdleTime, d-max(min(time.Second, d/2), d*3/10))
 			}
 		}
 	}
 	return c.idleFor > 0
 }
 
-// load reads what a backend tells of itself: requests running, waiting, and slots.
-func load(s string) (l dispatch.LoadReport) {
+// parseLoad reads what a backend tells of itself: requests running, waiting, and slots.
+func parseLoad(s string) (l dispatch.LoadReport) {
 	parts := strings.Split(s, ",")
 	if len(parts) != 3 {
 		return l
@@ -84,27 +84,27 @@
 	return l
 }
 
-// broken classes an exchange without a whole answer.
-func (x *Exchange) broken(c *conn, err error) dispatch.Result {
+// classifyFailure classes an exchange without a whole answer.
+func (x *Exchange) classifyFailure(c *conn, err error) dispatch.Result {
 	switch {
-	case c.wrote == 0:
-		return notSent("write: " + reason(err))
+	case c.written == 0:
+		return notSent("write: " + errorText(err))
 	case c.err == nil:
-		return x.garbage(err.Error())
+		return x.malformedReply(err.Error())
 	}
-	rep := dispatch.Result{Class: dispatch.ClassFailed, Reason: reason(c.err)}
+	rep := dispatch.Result{Class: dispatch.ClassFailed, Reason: errorText(c.err)}
 	x.mu.Lock()
-	rep.TimedOut = !x.ended && errors.Is(c.err, os.ErrDeadlineExceeded)
+	rep.TimedOut = !x.canceled && errors.Is(c.err, os.ErrDeadlineExceeded)
 	x.mu.Unlock()
 	return rep
 }
 
-func (x *Exchange) garbage(why string) dispatch.Result {
-	x.k.count.garbage.Add(1)
+func (x *Exchange) malformedReply(why string) dispatch.Result {
+	x.client.counters.garbage.Add(1)
 	return dispatch.Result{Class: dispatch.ClassInvalid, Reason: why}
 }
 
-func reason(err error) string {
+func errorText(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
 		return "timed out"
 	}
--- a/request/backend/conn.go
+++ b/request/backend/conn.go
@@ -17,62 +17,62 @@
 	"wallport/request/snapshot"
 )
 
-// peer is one backend at one address.
-type peer struct {
+// connPool is one backend at one address.
+type connPool struct {
 	mu   sync.Mutex
 	idle []*conn
 	// open counts connections that are there or being made.
 	open int
-	// dead tells that the client has forgotten the peer.
-	dead bool
+	// removed tells that the client has forgotten the peer.
+	removed bool
 }
 
 type conn struct {
-	k   *Client
-	p   *peer
-	raw *net.TCPConn
-	sys syscall.RawConn
+	client *Client
+	pool   *connPool
+	raw    *net.TCPConn
+	sys    syscall.RawConn
 	// turn is the method of that name, bound once.
-	turnF func(fd uintptr) bool
-	// last is when it was put back; idleFor how long the backend lets it be idle, less a margin.
-	last    time.Time
-	idleFor time.Duration
-	reused  bool
-	turn
+	advanceFunc func(fd uintptr) bool
+	// idleSince is when it was put back; idleFor how long the backend lets it be idle, less a margin.
+	idleSince time.Time
+	idleFor   time.Duration
+	reused    bool
+	exchangeState
 }
 
-func (c *conn) usable(now time.Time) bool { return now.Sub(c.last) < c.idleFor }
+func (c *conn) usable(now time.Time) bool { return now.Sub(c.idleSince) < c.idleFor }
 
-func (c *conn) shut() {
+func (c *conn) closeSocket() {
 	c.raw.Close()
-	c.k.open.Add(-1)
+	c.client.open.Add(-1)
 }
 
-// part is how many connections this node may hold to one backend.
-func (k *Client) part(p *snapshot.Pool) int {
+// connectionLimit is how many connections this node may hold to one backend.
+func (k *Client) connectionLimit(p *snapshot.Pool) int {
 	if p == nil || p.Pool == nil || p.MaxConnections <= 0 {
-		return unbounded
+		return defaultMaxConnections
 	}
-	return max(1, int(p.MaxConnections*partOf/1000)/max(1, k.c.Share()))
+	return max(1, int(p.MaxConnections*sharedThousandths/1000)/max(1, k.config.SharedBy()))
 }
 
-// peerOf finds or makes a backend's peer and locks it.
-func (k *Client) peerOf(s *snapshot.Server) *peer {
-	id := key{s.Addr, s.ID}
+// lockPool finds or makes a backend's peer and locks it.
+func (k *Client) lockPool(s *snapshot.Server) *connPool {
+	id := poolKey{s.Addr, s.ID}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	p := k.peers[id]
+	p := k.pools[id]
 	if p == nil {
-		p = &peer{}
-		k.peers[id] = p
+		p = &connPool{}
+		k.pools[id] = p
 	}
 	p.mu.Lock()
 	return p
 }
 
-// take gives an idle connection, or the right to make one where room is true.
-func (k *Client) take(s *snapshot.Server, most int) (c *conn, p *peer, room bool) {
-	p = k.peerOf(s)
+// acquire gives an idle connection, or the right to make one where room is true.
+func (k *Client) acquire(s *snapshot.Server, most int) (c *conn, p *connPool, room bool) {
+	p = k.lockPool(s)
 	defer p.mu.Unlock()
 	now := time.Now()
 	for len(p.idle) > 0 {
@@ -84,7 +84,7 @@
 			return c, p, true
 		}
 		p.open--
-		c.shut()
+		c.closeSocket()
 	}
 	if room = p.open < most; room {
 		p.open++
@@ -92,28 +92,28 @@
 	return nil, p, room
 }
 
-// give puts a connection back, or closes it.
-func (c *conn) give(keep bool) {
-	c.p.mu.Lock()
-	if keep && !c.p.dead {
-		c.last = time.Now()
-		c.p.idle = append(c.p.idle, c)
-		c.p.mu.Unlock()
+// release puts a connection back, or closes it.
+func (c *conn) release(keep bool) {
+	c.pool.mu.Lock()
+	if keep && !c.pool.removed {
+		c.idleSince = time.Now()
+		c.pool.idle = append(c.pool.idle, c)
+		c.pool.mu.Unlock()
 		return
 	}
-	c.p.open--
-	c.p.mu.Unlock()
-	c.shut()
+	c.pool.open--
+	c.pool.mu.Unlock()
+	c.closeSocket()
 }
 
-func (k *Client) dial(ctx context.Context, s *snapshot.Server, p *peer) (*conn, error) {
-	d := net.Dialer{Timeout: DialWithin, KeepAlive: -1, Control: control}
-	k.count.dials.Add(1)
+func (k *Client) dial(ctx context.Context, s *snapshot.Server, p *connPool) (*conn, error) {
+	d := net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: control}
+	k.counters.dials.Add(1)
 	raw, err := d.DialContext(ctx, "tcp", s.Addr)
 	if err == nil {
-		c := &conn{k: k, p: p, raw: raw.(*net.TCPConn), idleFor: IdleMost}
+		c := &conn{client: k, pool: p, raw: raw.(*net.TCPConn), idleFor: MaxIdleTime}
 		if c.sys, err = c.raw.SyscallConn(); err == nil {
-			c.turnF = c.take
+			c.advanceFunc = c.advance
 			k.open.Add(1)
 			return c, nil
 		}
@@ -128,6 +128,6 @@
 // control bounds how long what was sent may stay without a word of the other side.
 func control(_, _ string, sys syscall.RawConn) error {
 	return sys.Control(func(fd uintptr) {
-		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedWithin/time.Millisecond))
+		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedTimeout/time.Millisecond))
 	})
 }
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -25,8 +25,8 @@
 	return rep
 }
 
-// TestIdleEnd has the backend close an idle connection: the next request goes on a new one.
-func TestIdleEnd(t *testing.T) {
+// TestIdleConnectionClosedByBackend has the backend close an idle connection: the next request goes on a new one.
+func TestIdleConnectionClosedByBackend(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return c.n > 1 })
 	k := newTestClient(t, Config{Counts: counts})
@@ -58,8 +58,8 @@
 	must.False(t, rep.ReusedConn)
 }
 
-// TestSurplusInPlaceOfTheNext has it come only once the next request was written.
-func TestSurplusInPlaceOfTheNext(t *testing.T) {
+// TestSurplusIsNotTakenForNextResponse has it come only once the next request was written.
+func TestSurplusIsNotTakenForNextResponse(t *testing.T) {
 	f := newFake(t, func(c *call) bool {
 		if c.n == 2 {
 			c.write(answerTo("a", "surplus"))
@@ -94,9 +94,9 @@
 	must.Eq(t, 1, f.connections())
 }
 
-// TestPromiseWithoutID does not take a promise on a reused connection for a request that may run once: it may be
+// TestNotExecutedReplyWithoutID does not take a promise on a reused connection for a request that may run once: it may be
 // the word on an earlier one.
-func TestPromiseWithoutID(t *testing.T) {
+func TestNotExecutedReplyWithoutID(t *testing.T) {
 	f := newFake(t, func(c *call) bool {
 		if c.n%2 == 1 {
 			c.write(c.good(""))
@@ -145,7 +145,7 @@
 	must.Eq(t, 1, k.open.Load(), must.Sprint("connections that were not written to are kept"))
 }
 
-func TestNobodyThere(t *testing.T) {
+func TestDialFailures(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	addr := l.Addr().String()
@@ -162,8 +162,8 @@
 	must.Eq(t, 0, f.connections())
 }
 
-// TestPart holds no more connections than this node's part, and says so without asking.
-func TestPart(t *testing.T) {
+// TestConnectionLimitIsShared holds no more connections than this node's part, and says so without asking.
+func TestConnectionLimitIsShared(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
 	f := newFake(t, func(c *call) bool {
 		enter <- true
@@ -171,16 +171,16 @@
 		c.write(c.good(""))
 		return true
 	})
-	k := newTestClient(t, Config{Share: func() int { return 4 }})
-	must.Eq(t, 1, k.part(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("never none"))
-	must.Eq(t, unbounded, k.part(&snapshot.Pool{}))
+	k := newTestClient(t, Config{SharedBy: func() int { return 4 }})
+	must.Eq(t, 1, k.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("never none"))
+	must.Eq(t, defaultMaxConnections, k.connectionLimit(&snapshot.Pool{}))
 	back := make(chan dispatch.Result, 2)
 	for _, id := range []string{"a", "b"} {
 		go func() { back <- k.Start(f.ask(id)).Run() }()
 		<-enter
 	}
 	rep := run(t, k, f.ask("c"), dispatch.ClassNotSent)
-	must.Eq(t, full, rep.Reason)
+	must.Eq(t, reasonNoConnection, rep.Reason)
 	must.True(t, rep.ReusedConn, must.Sprint("no failure of the backend's"))
 	leave <- true
 	leave <- true
@@ -191,8 +191,8 @@
 	must.Eq(t, 0, f.times("c"))
 }
 
-// TestIdleTime leaves a connection alone once the backend may close it at any moment.
-func TestIdleTime(t *testing.T) {
+// TestKeepAliveTimeout leaves a connection alone once the backend may close it at any moment.
+func TestKeepAliveTimeout(t *testing.T) {
 	f := newFake(t, func(c *call) bool {
 		c.write("HTTP/1.1 200 OK\r\nTry-Id: " + c.req.Header.Get("Try-Id") + "\r\nStamp: s\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -200,16 +200,16 @@
 	k := newTestClient(t, Config{})
 	run(t, k, f.once("a"), dispatch.ClassResponse)
 	c := idleConn(t, k)
-	must.True(t, c.usable(c.last.Add(999*time.Millisecond)))
-	must.False(t, c.usable(c.last.Add(time.Second)))
+	must.True(t, c.usable(c.idleSince.Add(999*time.Millisecond)))
+	must.False(t, c.usable(c.idleSince.Add(time.Second)))
 	must.True(t, run(t, k, f.once("b"), dispatch.ClassResponse).ReusedConn)
-	c.last = c.last.Add(-time.Second)
+	c.idleSince = c.idleSince.Add(-time.Second)
 	must.False(t, run(t, k, f.once("c"), dispatch.ClassResponse).ReusedConn)
 	must.Eq(t, 1, k.open.Load())
 }
 
-// TestAddressOfAnother keeps no connection of one backend for another that has its address.
-func TestAddressOfAnother(t *testing.T) {
+// TestAddressReusedByAnotherBackend keeps no connection of one backend for another that has its address.
+func TestAddressReusedByAnotherBackend(t *testing.T) {
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 	k := newTestClient(t, Config{})
 	run(t, k, f.once("a"), dispatch.ClassResponse)
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -15,95 +15,97 @@
 
 // Exchange is one request to one backend, under way.
 type Exchange struct {
-	k     *Client
-	ask   dispatch.Send
-	thaws int64
-	began time.Time
-	until time.Time
+	client    *Client
+	attempt   dispatch.Send
+	thaws     int64
+	startedAt time.Time
+	deadline  time.Time
 	// writtenUs is how long after its begin the kernel had taken the request's first bytes; 0 is never.
 	writtenUs int64
 
-	mu     sync.Mutex
-	conn   *conn
-	ended  bool
-	left   bool
-	cancel func()
+	mu         sync.Mutex
+	conn       *conn
+	canceled   bool
+	abandoned  bool
+	cancelDial func()
 }
 
 // Start prepares an exchange; Run carries it out.
 func (k *Client) Start(a dispatch.Send) *Exchange {
 	now := time.Now()
-	return &Exchange{k: k, ask: a, thaws: k.c.Thaws(), began: now, until: now.Add(time.Duration(a.Timeout) * time.Microsecond)}
+	return &Exchange{client: k, attempt: a, thaws: k.config.Thaws(), startedAt: now, deadline: now.Add(time.Duration(a.Timeout) * time.Microsecond)}
 }
 
 // Cancel gives an exchange up from any thread: Run returns soon, and a connection that was written to is closed.
 func (x *Exchange) Cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.ended = true
+	x.canceled = true
 	if x.conn != nil {
-		x.conn.within(time.Unix(1, 0))
+		x.conn.setDeadline(time.Unix(1, 0))
 	}
-	if x.cancel != nil {
-		x.cancel()
+	if x.cancelDial != nil {
+		x.cancelDial()
 	}
 }
 
-// Leave tells that the answer is not wanted any more: what has not been written yet will not be.
-func (x *Exchange) Leave() {
+// Abandon tells that the answer is not wanted any more: what has not been written yet will not be.
+func (x *Exchange) Abandon() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.left = true
+	x.abandoned = true
 }
 
-// hold lets Cancel reach a connection; ok is that it did not come before.
-func (x *Exchange) hold(c *conn) (ok, left bool) {
+// attach lets Cancel reach a connection; ok is that it did not come before.
+func (x *Exchange) attach(c *conn) (ok, left bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = c
-	return !x.ended && c.within(x.until) == nil, x.left
+	return !x.canceled && c.setDeadline(x.deadline) == nil, x.abandoned
 }
 
-// release takes the connection out of Cancel's reach and clears its deadline; false is that it cannot be kept.
-func (x *Exchange) release() bool {
+// detach takes the connection out of Cancel's reach and clears its deadline; false is that it cannot be kept.
+func (x *Exchange) detach() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	c := x.conn
 	x.conn = nil
-	return c.within(time.Time{}) == nil
+	return c.setDeadline(time.Time{}) == nil
 }
 
-// held is why nothing may be written to a connection; empty is that it may.
-func (x *Exchange) held(c *conn) string {
-	ok, unwanted := x.hold(c)
+// mayNotWrite is why nothing may be written to a connection; empty is that it may.
+func (x *Exchange) mayNotWrite(c *conn) string {
+	ok, unwanted := x.attach(c)
 	switch {
 	case !ok:
 		return "cancelled"
 	case unwanted:
 		return "not wanted any more"
 	}
-	return x.late()
+	return x.tooLate()
 }
 
-// late is why a request may not be written any more, whatever its connection is like.
-func (x *Exchange) late() string {
+// tooLate is why a request may not be written any more, whatever its connection is like.
+func (x *Exchange) tooLate() string {
 	switch {
 	case x.frozen():
 		return "the process was frozen"
-	case time.Until(x.until) < time.Millisecond:
+	case time.Until(x.deadline) < time.Millisecond:
 		return "no time left"
 	}
 	return ""
 }
 
-func (x *Exchange) frozen() bool { return x.k.c.Frozen() || x.k.c.Thaws() != x.thaws }
+func (x *Exchange) frozen() bool {
+	return x.client.config.Frozen() || x.client.config.Thaws() != x.thaws
+}
 
 func notSent(why string) dispatch.Result {
 	return dispatch.Result{Class: dispatch.ClassNotSent, Reason: why}
 }
 
-// full is why an ask was not sent when this node's part of a backend's connections is in use.
-const full = "no connection free"
+// reasonNoConnection is why an ask was not sent when this node's part of a backend's connections is in use.
+const reasonNoConnection = "no connection free"
 
 // Run carries the exchange out; it returns at the ask's time at the latest.
 func (x *Exchange) Run() dispatch.Result {
@@ -112,89 +114,89 @@
 		if c == nil {
 			rep := notSent(why)
 			// That this node's part is in use is no failure of the backend's.
-			rep.ReusedConn = why == full
+			rep.ReusedConn = why == reasonNoConnection
 			return rep
 		}
-		rep, again := x.on(c)
+		rep, again := x.runOn(c)
 		if !again {
 			return rep
 		}
-		x.k.count.idleDead.Add(1)
+		x.client.counters.idleDead.Add(1)
 	}
 }
 
 func (x *Exchange) connect() (*conn, string) {
-	c, p, room := x.k.take(x.ask.Server, x.k.part(x.ask.Pool))
+	c, p, room := x.client.acquire(x.attempt.Server, x.client.connectionLimit(x.attempt.Pool))
 	if c != nil {
-		x.k.count.reused.Add(1)
+		x.client.counters.reused.Add(1)
 		return c, ""
 	}
 	if !room {
-		x.k.count.full.Add(1)
-		return nil, full
+		x.client.counters.full.Add(1)
+		return nil, reasonNoConnection
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), x.until)
+	ctx, cancel := context.WithDeadline(context.Background(), x.deadline)
 	defer cancel()
 	x.mu.Lock()
-	x.cancel = cancel
-	if x.ended {
+	x.cancelDial = cancel
+	if x.canceled {
 		cancel()
 	}
 	x.mu.Unlock()
-	c, err := x.k.dial(ctx, x.ask.Server, p)
+	c, err := x.client.dial(ctx, x.attempt.Server, p)
 	if err != nil {
-		x.k.count.dialsFailed.Add(1)
-		return nil, "dial: " + reason(err)
+		x.client.counters.dialsFailed.Add(1)
+		return nil, "dial: " + errorText(err)
 	}
 	return c, ""
 }
 
-// on carries the exchange out on a connection; again is that an idle one was found dead before the write.
-func (x *Exchange) on(c *conn) (rep dispatch.Result, again bool) {
-	left := time.Until(x.until)
-	if held := x.held(c); held != "" {
-		c.give(x.release())
+// runOn carries the exchange out on a connection; again is that an idle one was found dead before the write.
+func (x *Exchange) runOn(c *conn) (rep dispatch.Result, again bool) {
+	left := time.Until(x.deadline)
+	if held := x.mayNotWrite(c); held != "" {
+		c.release(x.detach())
 		return notSent(held), false
 	}
-	b := heads.Get().(*[]byte)
-	*b = x.request((*b)[:0], left)
-	resp, body, err := c.exchange(x, *b)
+	b := requestBuffers.Get().(*[]byte)
+	*b = x.appendRequest((*b)[:0], left)
+	resp, body, err := c.roundTrip(x, *b)
 	if cap(*b) <= 64<<10 {
-		heads.Put(b)
+		requestBuffers.Put(b)
 	}
 	keep := false
 	switch {
-	case c.held != "":
-		c.give(x.release())
-		return notSent(c.held), false
-	case c.dead:
-		x.release()
-		c.give(false)
+	case c.blocked != "":
+		c.release(x.detach())
+		return notSent(c.blocked), false
+	case c.stale:
+		x.detach()
+		c.release(false)
 		return notSent("the connection ended before anything was written"), c.reused
 	}
 	if err != nil {
-		rep = x.broken(c, err)
+		rep = x.classifyFailure(c, err)
 	} else {
-		rep, keep = x.judge(c, resp, body)
+		rep, keep = x.classify(c, resp, body)
 	}
 	rep.ReusedConn, rep.WrittenAfter = c.reused, x.writtenUs
-	keep = keep && !x.ask.Server.CloseAfterUse
-	if !x.release() {
+	keep = keep && !x.attempt.Server.CloseAfterUse
+	if !x.detach() {
 		keep = false
 	}
-	c.give(keep)
+	c.release(keep)
 	return rep, false
 }
 
-// request is what is written: the request line, the client's fields, what is set here, and the body.
-func (x *Exchange) request(b []byte, left time.Duration) []byte {
-	r, n := x.ask.Request, &x.k.c.Names
+// appendRequest is what is written: the request line, the client's fields, what is set here, and the body.
+func (x *Exchange) appendRequest(b []byte, left time.Duration) []byte {
+	r, n := x.attempt.Request, &x.client.config.Names
 	b = append(append(append(b, r.Method...), ' '), r.Target...)
 	b = append(append(append(b, " HTTP/1.1\r\nHost: "...), r.Host...), "\r\n"...)
 	b = append(b, r.Header...)
 	b = append(append(b, n.Budget...), ": "...)
 	b = append(strconv.AppendInt(b, left.Milliseconds(), 10), "\r\n"...)
-	b = append(append(append(append(b, n.Target...), ": "...), x.ask.Server.ID...), "\r\n"...)
+	b = append(append(append(append(b, n.Target...), ": "...), x.attempt.Server.ID...), "\r\n"...)
 	if len(r.Body) > 0 || r.Method == "POST" || r.Method == "PUT" || r.Method == "PATCH" {
 		b = append(b, "Content-Length: "...)
 		b = append(strconv.AppendInt(b, int64(len(r.Body)), 10), "\r\n"...)
--- a/request/backend/exchange_test.go
+++ b/request/backend/exchange_test.go
@@ -64,7 +64,7 @@
 		{"folded", "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a malformed field"},
 		{"space before the colon", "HTTP/1.1 200 OK\r\nStamp : s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a malformed field"},
 		{"another protocol", "HTTP/1.1 101 Switch\r\n\r\n", dispatch.ClassInvalid, false, "interim answers"},
-		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 2*HeadMost), dispatch.ClassInvalid, false, "head too large"},
+		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 2*MaxHeadBytes), dispatch.ClassInvalid, false, "head too large"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cut := c.class == dispatch.ClassFailed
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestWhatAnAnswerTells(t *testing.T) {
+func TestReplyFieldsFromResponse(t *testing.T) {
 	f := newFake(t, func(c *call) bool {
 		c.write("HTTP/1.1 201 Made\r\ntry-id: a\r\nSTAMP:  s.1 \r\nBusy: 1, 2,3\r\nX-Own: v\r\nConnection: x-HOP, keep-alive\r\nX-Hop: 1\r\n" +
 			"Keep-Alive: max=5, timeout=4\r\nUpgrade: h2c\r\nContent-Length: 5\r\nX-Own: w\r\n\r\nhello")
@@ -110,17 +110,17 @@
 	must.Eq(t, "2.8s", idleConn(t, k).idleFor.String(), must.Sprint("four seconds less three tenths"))
 }
 
-func TestWhatIsWritten(t *testing.T) {
+func TestRequestBytes(t *testing.T) {
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 	k := newTestClient(t, Config{})
 	a := f.ask("a")
 	a.Request.Header = []byte("X-Y: z\r\nTry-Id: a\r\n")
 	x := k.Start(a)
-	must.Eq(t, "GET /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nX-Y: z\r\nTry-Id: a\r\nLeft: 250\r\nMeant-For: i-1\r\n\r\n", string(x.request(nil, 250_900_000)))
+	must.Eq(t, "GET /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nX-Y: z\r\nTry-Id: a\r\nLeft: 250\r\nMeant-For: i-1\r\n\r\n", string(x.appendRequest(nil, 250_900_000)))
 	a = f.once("a")
-	must.Eq(t, "POST /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nTry-Id: a\r\nLeft: 1\r\nMeant-For: i-1\r\nContent-Length: 3\r\n\r\nb-a", string(k.Start(a).request(nil, 1_000_000)))
+	must.Eq(t, "POST /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nTry-Id: a\r\nLeft: 1\r\nMeant-For: i-1\r\nContent-Length: 3\r\n\r\nb-a", string(k.Start(a).appendRequest(nil, 1_000_000)))
 	a.Request.Body = nil
-	must.StrContains(t, string(k.Start(a).request(nil, 1_000_000)), "Content-Length: 0\r\n\r\n")
+	must.StrContains(t, string(k.Start(a).appendRequest(nil, 1_000_000)), "Content-Length: 0\r\n\r\n")
 }
 
 // TestLargeBodies has more to write than the kernel takes at once, and an answer as large.
@@ -167,5 +167,5 @@
 	must.Eq(t, 1, counts.Of("backend_connections").Load())
 	k.trim(func(*conn) bool { return true })
 	must.Eq(t, 0, counts.Of("backend_connections").Load())
-	must.MapEmpty(t, k.peers)
+	must.MapEmpty(t, k.pools)
 }
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -176,7 +176,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var found *conn
-	for _, p := range k.peers {
+	for _, p := range k.pools {
 		p.mu.Lock()
 		for _, c := range p.idle {
 			must.Nil(t, found)
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -39,7 +39,7 @@
 // have it that has just made it.
 func (g *greeter) dial(t *testing.T, k *Client) *conn {
 	t.Helper()
-	_, p, room := k.take(g.server(), 1)
+	_, p, room := k.acquire(g.server(), 1)
 	must.True(t, room)
 	c, err := k.dial(t.Context(), g.server(), p)
 	must.NoError(t, err)
@@ -49,9 +49,9 @@
 	return c
 }
 
-// TestNewConnectionThatEndsFirst has the backend end a connection before anything was written to
+// TestNewConnectionClosedByBackend has the backend end a connection before anything was written to
 // it, as one does that has too many: the request has not been read and may go elsewhere.
-func TestNewConnectionThatEndsFirst(t *testing.T) {
+func TestNewConnectionClosedByBackend(t *testing.T) {
 	for name, greet := range map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -60,7 +60,7 @@
 			f := newGreeter(t, greet)
 			k := newTestClient(t, Config{})
 			x := k.Start(f.once("a"))
-			rep, again := x.on(f.dial(t, k))
+			rep, again := x.runOn(f.dial(t, k))
 			must.False(t, again)
 			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, 0, f.times("a"))
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestAnswerBeforeTheQuestion has a promise, and an answer that bears the request's own id, come
+// TestResponseBeforeRequest has a promise, and an answer that bears the request's own id, come
 // before anything was asked: they answer nothing, and the request is not written there.
-func TestAnswerBeforeTheQuestion(t *testing.T) {
+func TestResponseBeforeRequest(t *testing.T) {
 	for name, answer := range map[string]string{
 		"promise": "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 		"answer":  answerTo("a", "early"),
@@ -81,7 +81,7 @@
 			f := newGreeter(t, func(c *net.TCPConn) { c.Write([]byte(answer)) })
 			k := newTestClient(t, Config{})
 			x := k.Start(f.once("a"))
-			rep, again := x.on(f.dial(t, k))
+			rep, again := x.runOn(f.dial(t, k))
 			must.False(t, again)
 			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, 0, f.times("a"))
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestFreezeAtTheWrite has the process freeze after it has decided to write, and wake up when the
+// TestFreezeBeforeWrite has the process freeze after it has decided to write, and wake up when the
 // request's time is over, or knowing that it was frozen.
-func TestFreezeAtTheWrite(t *testing.T) {
+func TestFreezeBeforeWrite(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		var looks, thaws atomic.Int64
 		frozenAt := int64(-1)
@@ -114,14 +114,14 @@
 	}
 }
 
-// TestTimeThatRunsOutAtTheWrite wakes up without a word of a freeze, past the request's time.
-func TestTimeThatRunsOutAtTheWrite(t *testing.T) {
+// TestDeadlinePassesBeforeWrite wakes up without a word of a freeze, past the request's time.
+func TestDeadlinePassesBeforeWrite(t *testing.T) {
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 	var x *Exchange
 	looks := 0
 	k := newTestClient(t, Config{Frozen: func() bool {
 		if looks++; looks == 2 {
-			x.until = x.until.Add(-time.Duration(x.ask.Timeout) * time.Microsecond)
+			x.deadline = x.deadline.Add(-time.Duration(x.attempt.Timeout) * time.Microsecond)
 		}
 		return false
 	}})
@@ -131,9 +131,9 @@
 	must.Eq(t, 0, f.times("a"))
 }
 
-// TestAnswerAfterTheDeadline has the answer come when its time is over: it is nobody's, and the
+// TestResponseAfterDeadline has the answer come when its time is over: it is nobody's, and the
 // connection that it comes on is not used again.
-func TestAnswerAfterTheDeadline(t *testing.T) {
+func TestResponseAfterDeadline(t *testing.T) {
 	late, wrote := make(chan bool), make(chan bool)
 	f := newFake(t, func(c *call) bool {
 		if c.n == 1 {
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestInterimAfterAnAnswer leaves a connection alone on which something follows the answer, be it
+// TestInterimAfterResponse leaves a connection alone on which something follows the answer, be it
 // only an interim answer, whether it comes with it or later.
-func TestInterimAfterAnAnswer(t *testing.T) {
+func TestInterimAfterResponse(t *testing.T) {
 	const interim = "HTTP/1.1 100 Continue\r\n\r\n"
 	for _, later := range []bool{false, true} {
 		follow := make(chan bool)
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestClosedExactlyWhenReused has the backend close a connection that it let be idle in the moment
+// TestBackendClosesWhenReused has the backend close a connection that it let be idle in the moment
 // in which the next request arrives: whether that was read cannot be told.
-func TestClosedExactlyWhenReused(t *testing.T) {
+func TestBackendClosesWhenReused(t *testing.T) {
 	f := newFake(t, func(c *call) bool {
 		c.write(c.good(""))
 		if c.n > 1 {
--- a/request/backend/answer.go
+++ b/request/backend/response.go
@@ -14,27 +14,27 @@
 	"sync"
 )
 
-// malformed is an answer that is none.
-type malformed string
+// malformedError is an answer that is none.
+type malformedError string
 
-func (m malformed) Error() string { return string(m) }
+func (m malformedError) Error() string { return string(m) }
 
-// interimMost bounds the interim answers before one.
-const interimMost = 4
+// maxInterim bounds the interim answers before one.
+const maxInterim = 4
 
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, HeadMost) }}
-	isHead  = &http.Request{Method: http.MethodHead}
+	readers     = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxHeadBytes) }}
+	headRequest = &http.Request{Method: http.MethodHead}
 )
 
-// read reads one answer whole. An error that is not the connection's own is an answer that is none.
-func read(r *bufio.Reader, method string) (*http.Response, []byte, error) {
+// readResponse reads one answer whole. An error that is not the connection's own is an answer that is none.
+func readResponse(r *bufio.Reader, method string) (*http.Response, []byte, error) {
 	var req *http.Request
 	if method == http.MethodHead {
-		req = isHead
+		req = headRequest
 	}
-	for range interimMost + 1 {
-		raw, err := head(r)
+	for range maxInterim + 1 {
+		raw, err := readHead(r)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -43,78 +43,78 @@
 		case err != nil:
 			return nil, nil, err
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, nil, malformed("interim answers")
+			return nil, nil, malformedError("interim answers")
 		case resp.StatusCode >= 200:
-			body, err := body(resp, raw, method)
+			body, err := readBody(resp, raw, method)
 			return resp, body, err
 		}
 	}
-	return nil, nil, malformed("interim answers")
+	return nil, nil, malformedError("interim answers")
 }
 
-// head waits until a head is whole in the buffer and gives it, to hold until the next read.
-func head(r *bufio.Reader) ([]byte, error) {
+// readHead waits until a head is whole in the buffer and gives it, to hold until the next read.
+func readHead(r *bufio.Reader) ([]byte, error) {
 	for scan := 0; ; {
 		b, _ := r.Peek(r.Buffered())
 		start := string(b[:min(len(b), 9)])
 		if !strings.HasPrefix("HTTP/1.1 ", start) && !strings.HasPrefix("HTTP/1.0 ", start) {
-			return nil, malformed("not an answer")
+			return nil, malformedError("not an answer")
 		}
 		if i := bytes.Index(b[scan:], []byte("\r\n\r\n")); i >= 0 {
 			b = b[:scan+i+2]
-			return b, plain(b)
+			return b, validateHead(b)
 		}
 		scan = max(0, len(b)-3)
 		if _, err := r.Peek(len(b) + 1); errors.Is(err, bufio.ErrBufferFull) {
-			return nil, malformed("head too large")
+			return nil, malformedError("head too large")
 		} else if err != nil {
 			return nil, err
 		}
 	}
 }
 
-// plain refuses what net/http bears and others read in another way.
-func plain(b []byte) error {
+// validateHead refuses what net/http bears and others read in another way.
+func validateHead(b []byte) error {
 	for line := range bytes.Lines(b) {
 		switch {
 		case !bytes.HasSuffix(line, []byte("\r\n")):
-			return malformed("a line without CR LF")
+			return malformedError("a line without CR LF")
 		case line[0] == ' ' || line[0] == '\t':
-			return malformed("a malformed field")
+			return malformedError("a malformed field")
 		}
 	}
 	return nil
 }
 
-// body reads the body of an answer with its raw head.
-func body(resp *http.Response, raw []byte, method string) ([]byte, error) {
+// readBody reads the body of an answer with its raw head.
+func readBody(resp *http.Response, raw []byte, method string) ([]byte, error) {
 	chunked := len(resp.TransferEncoding) > 0
 	if chunked || resp.ProtoMinor == 0 {
 		// Of a length beside chunks, and of chunks in HTTP/1.0, net/http forgets one.
 		b := bytes.ToLower(raw)
 		if bytes.Contains(b, []byte("\ntransfer-encoding:")) && (!chunked || bytes.Contains(b, []byte("\ncontent-length:"))) {
-			return nil, malformed("a length and chunks")
+			return nil, malformedError("a length and chunks")
 		}
 	}
 	for name := range resp.Header {
 		if strings.IndexByte(name, ' ') >= 0 {
-			return nil, malformed("a malformed field")
+			return nil, malformedError("a malformed field")
 		}
 	}
 	n := resp.ContentLength
 	switch {
-	case n > BodyMost:
-		return nil, malformed("answer too large")
+	case n > MaxBodyBytes:
+		return nil, malformedError("answer too large")
 	case method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified:
 		return nil, nil
 	case chunked:
-		b, err := io.ReadAll(io.LimitReader(resp.Body, BodyMost+1))
-		if len(b) > BodyMost {
-			return nil, malformed("answer too large")
+		b, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes+1))
+		if len(b) > MaxBodyBytes {
+			return nil, malformedError("answer too large")
 		}
 		return b, err
 	case n < 0:
-		return nil, malformed("an answer without a length")
+		return nil, malformedError("an answer without a length")
 	}
 	b := make([]byte, n)
 	_, err := io.ReadFull(resp.Body, b)
--- a/request/backend/answer_test.go
+++ b/request/backend/response_test.go
@@ -13,14 +13,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// pieces gives bytes in pieces of some size, as a connection would, and then no more.
-type pieces struct {
+// fragmentReader gives bytes in pieces of some size, as a connection would, and then no more.
+type fragmentReader struct {
 	b    []byte
 	size int
 	end  bool
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *fragmentReader) Read(b []byte) (int, error) {
 	if len(p.b) == 0 {
 		p.end = true
 		return 0, io.ErrUnexpectedEOF
@@ -32,9 +32,9 @@
 
 // feed reads one answer of bytes in pieces; rest is how many were left in the buffer, end that more were asked for than there are.
 func feed(b []byte, size int) (resp *http.Response, body []byte, rest int, end bool, err error) {
-	p := &pieces{b: b, size: size}
-	r := bufio.NewReaderSize(p, HeadMost)
-	resp, body, err = read(r, "GET")
+	p := &fragmentReader{b: b, size: size}
+	r := bufio.NewReaderSize(p, MaxHeadBytes)
+	resp, body, err = readResponse(r, "GET")
 	return resp, body, r.Buffered(), p.end, err
 }
 
@@ -45,7 +45,7 @@
 	"HTTP/1.1 200 OK\r\nX-Long: 0123456789012345678901234567890123456789012345678901234567890123456789\r\nStamp: s\r\nContent-Length: 11\r\n\r\nhello world",
 }
 
-func TestSplitAnswers(t *testing.T) {
+func TestResponsesInFragments(t *testing.T) {
 	for _, b := range answers {
 		for size := 1; size <= len(b); size++ {
 			resp, body, rest, end, err := feed([]byte(b), size)
@@ -63,8 +63,8 @@
 	}
 }
 
-// FuzzAnswer holds what is taken for a whole answer to what net/http takes for one: the same.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse holds what is taken for a whole answer to what net/http takes for one: the same.
+func FuzzResponse(f *testing.F) {
 	for _, s := range answers {
 		f.Add([]byte(s), 3)
 	}
--- a/request/dispatch/admission.go
+++ b/request/dispatch/admission.go
@@ -36,7 +36,7 @@
 		c.reject(now, "all backends are down", c.retryAfterDown(now))
 		return
 	}
-	if c.overloaded(max(pressure, c.lagPressure(now)), c.random.Float()) {
+	if c.overloaded(max(pressure, c.lagPressure(now)), c.random.Float64()) {
 		c.reject(now, "every backend is too busy", c.retryAfter(now))
 		return
 	}
@@ -54,7 +54,7 @@
 	if len(c.plan.pools) == 1 {
 		return 0
 	}
-	name := c.route.PoolAt(c.random.Float())
+	name := c.route.PoolAt(c.random.Float64())
 	for i, p := range c.plan.pools {
 		if p.name == name {
 			return i
@@ -131,7 +131,7 @@
 	if c.route != nil {
 		us = max(minRetryAfter, min(maxRetryAfter, c.route.TargetLatencyUs/4))
 	}
-	us += int64(c.random.N(int(us)))
+	us += int64(c.random.IntN(int(us)))
 	if c.deadline > now {
 		us = min(us, (c.deadline-now)/3)
 	}
@@ -141,7 +141,7 @@
 // retryAfterDown is when a client may come back whose pool is down: later, but inside its time.
 func (c *StateMachine) retryAfterDown(now int64) int64 {
 	left := c.deadline - now
-	return max(c.retryAfter(now), min(maxRetryAfterDown, left/5+int64(c.random.N(int(max(1, left/8))))))
+	return max(c.retryAfter(now), min(maxRetryAfterDown, left/5+int64(c.random.IntN(int(max(1, left/8))))))
 }
 
 func (c *StateMachine) reject(now int64, why string, retry int64) {
--- a/request/dispatch/ejection.go
+++ b/request/dispatch/ejection.go
@@ -46,7 +46,7 @@
 func (b *backend) ejectionPeriod(now, n int64, nodes int) int64 {
 	most := min(maxEjection, max(ejectionCap, ejectionCap*int64(nodes)/ejectionCapNodes))
 	rnd := random.Source(now ^ b.listedAt.Load()<<20 ^ b.reportedAt.Load()<<10)
-	return min(most, int64(baseEjection)<<min(n-1, 5)) * int64(512+rnd.N(512)) / 1024
+	return min(most, int64(baseEjection)<<min(n-1, 5)) * int64(512+rnd.IntN(512)) / 1024
 }
 
 // claimTrial takes the one trial that is due; the next is later where a trial costs a whole request.
--- a/request/dispatch/gather.go
+++ b/request/dispatch/gather.go
@@ -33,7 +33,7 @@
 // it is refused; it is refused when too few would be left, or too few to be worth it. One number is
 // drawn for all pools: where all are as busy, the search is refused whole and not part by part.
 func (c *StateMachine) excludeShards(now int64) (why string, retry int64) {
-	n, need, drawn := len(c.shards), c.requiredShards(), c.random.Float()
+	n, need, drawn := len(c.shards), c.requiredShards(), c.random.Float64()
 	if c.overloaded(c.lagPressure(now), drawn) {
 		return "this node is behind", c.retryAfter(now)
 	}
--- a/request/dispatch/invariants.go
+++ b/request/dispatch/invariants.go
@@ -12,11 +12,11 @@
 	r := c.dispatcher.cfg.Invariants
 	switch {
 	case c.finished:
-		r.Violated(invariant.NoAskAfterEnd, "request %s", c.request.ID)
+		r.Violated(invariant.NoSendAfterOutcome, "request %s", c.request.ID)
 	case c.atMostOnce() && (w.inFlight > 0 || w.mayHaveRun || w.succeeded):
-		r.Violated(invariant.RunsOnce, "request %s: %d asks under way, may have run: %t", c.request.ID, w.inFlight, w.mayHaveRun)
+		r.Violated(invariant.AtMostOnce, "request %s: %d asks under way, may have run: %t", c.request.ID, w.inFlight, w.mayHaveRun)
 	case s.server.Health == snapshot.Draining || s.server.Health == snapshot.ZoneDrained:
-		r.Violated(invariant.NotToLeaving, "request %s to %s", c.request.ID, s.server.ID)
+		r.Violated(invariant.NoSendToDraining, "request %s to %s", c.request.ID, s.server.ID)
 	case w.sent >= c.maxBackends():
 		r.Violated(invariant.BackendsWithinRoute, "request %s: %d backends of %s, %d may be", c.request.ID, w.sent+1, w.pool.name, c.maxBackends())
 	}
@@ -35,7 +35,7 @@
 	switch {
 	case c.route == nil:
 	case promisesNotRun(o.Status) && c.atMostOnce() && c.mayHaveRun():
-		r.Violated(invariant.RefusedNotRun, "request %s is answered %d", c.request.ID, o.Status)
+		r.Violated(invariant.RejectedNotRun, "request %s is answered %d", c.request.ID, o.Status)
 	case o.Code != "ok":
 	case c.route.Gathered():
 		c.checkGathered(o)
@@ -58,7 +58,7 @@
 func (c *StateMachine) checkGathered(o *Outcome) {
 	r := c.dispatcher.cfg.Invariants
 	if len(o.Seals) < c.requiredShards() || len(o.Seals)+o.Missing != len(c.shards) {
-		r.Violated(invariant.PartsComplete, "request %s has %d parts, %d missing of %d", c.request.ID, len(o.Seals), o.Missing, len(c.shards))
+		r.Violated(invariant.ShardsComplete, "request %s has %d parts, %d missing of %d", c.request.ID, len(o.Seals), o.Missing, len(c.shards))
 	}
 	for i, seal := range o.Seals {
 		if seal == "" {
@@ -66,7 +66,7 @@
 		}
 		for _, other := range o.Seals[:i] {
 			if other == seal {
-				r.Violated(invariant.PartsComplete, "request %s names %s twice", c.request.ID, seal)
+				r.Violated(invariant.ShardsComplete, "request %s names %s twice", c.request.ID, seal)
 			}
 		}
 	}
--- a/request/dispatch/invariants_test.go
+++ b/request/dispatch/invariants_test.go
@@ -30,16 +30,16 @@
 
 func TestViolationsOfAsks(t *testing.T) {
 	c, _ := asked(t, "once2")
-	must.Eq(t, invariant.RunsOnce, asksAgain(c), must.Sprint("one is under way"))
+	must.Eq(t, invariant.AtMostOnce, asksAgain(c), must.Sprint("one is under way"))
 
 	c, a := asked(t, "once2")
 	c.Step(begun+1_000, AttemptDone{N: a.N, Result: Result{Class: ClassFailed}})
 	c.finished = false
-	must.Eq(t, invariant.RunsOnce, asksAgain(c), must.Sprint("one may have run"))
+	must.Eq(t, invariant.AtMostOnce, asksAgain(c), must.Sprint("one may have run"))
 
 	c, a = asked(t, "once2")
 	c.Step(begun+1_000, AttemptDone{N: a.N, Result: okay("x")})
-	must.Eq(t, invariant.NoAskAfterEnd, asksAgain(c))
+	must.Eq(t, invariant.NoSendAfterOutcome, asksAgain(c))
 
 	c, _ = asked(t, "read")
 	c.shards[0].sent = c.maxBackends()
@@ -49,7 +49,7 @@
 	for i := range c.shards[0].pool.endpoints {
 		c.shards[0].pool.endpoints[i].server.Health = snapshot.Draining
 	}
-	must.Eq(t, invariant.NotToLeaving, asksAgain(c))
+	must.Eq(t, invariant.NoSendToDraining, asksAgain(c))
 
 	c, a = asked(t, "read")
 	c.shards[0].inFlight = 0
@@ -62,7 +62,7 @@
 }
 
 func TestViolationsOfOutcomes(t *testing.T) {
-	for status, name := range map[int]invariant.Name{503: invariant.RefusedNotRun, 429: invariant.RefusedNotRun, 504: "", 502: ""} {
+	for status, name := range map[int]invariant.Name{503: invariant.RejectedNotRun, 429: invariant.RejectedNotRun, 504: "", 502: ""} {
 		c, _ := asked(t, "once2")
 		must.Eq(t, name, ends(c, Outcome{Status: status, Code: "refused"}), must.Sprint(status))
 	}
@@ -82,6 +82,6 @@
 		c := f.chart("gather")
 		c.Step(begun, Begin{})
 		o.Status, o.Code = 200, "ok"
-		must.Eq(t, invariant.PartsComplete, ends(c, o))
+		must.Eq(t, invariant.ShardsComplete, ends(c, o))
 	}
 }
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -48,7 +48,7 @@
 func (d *Dispatcher) replenishRetryBudget(p *pool, snap *snapshot.Snapshot, now int64, rnd *random.Source) {
 	most, part := d.retryBurst(snap, now)
 	gain := int64(earnedFraction * d.cfg.Retry.Ratio * tokenbucket.One)
-	if part < tokenbucket.One && p.retryBudget.Saved() >= tokenbucket.One && int64(rnd.N(tokenbucket.One)) >= part {
+	if part < tokenbucket.One && p.retryBudget.Saved() >= tokenbucket.One && int64(rnd.IntN(tokenbucket.One)) >= part {
 		p.retryBudget.Take(tokenbucket.One, tokenbucket.One, most)
 	}
 	p.retryBudget.Add(gain, most+gain)
--- a/request/dispatch/selection.go
+++ b/request/dispatch/selection.go
@@ -56,7 +56,7 @@
 	for i := range p.endpoints {
 		b := p.endpoints[i].backend
 		if at := b.ejectedUntil.Load(); b.ejections.Load() > 0 && at > now+trialsWithin {
-			b.ejectedUntil.CompareAndSwap(at, now+int64(rnd.N(trialsWithin)))
+			b.ejectedUntil.CompareAndSwap(at, now+int64(rnd.IntN(trialsWithin)))
 		}
 	}
 }
@@ -157,7 +157,7 @@
 		if at == standingTrial && s.backend.claimTrial(now, snap.Divisor, once) {
 			return selection{endpoint: s, standing: at, cost: c}
 		}
-		c += c * int64(rnd.N(100)) / 1000
+		c += c * int64(rnd.IntN(100)) / 1000
 		if at == standingRiskyTrial {
 			if chance.endpoint == nil || c < chance.cost {
 				chance = selection{endpoint: s, standing: at, cost: c}
--- a/request/dispatch/slow_start.go
+++ b/request/dispatch/slow_start.go
@@ -25,7 +25,7 @@
 	at := r.nextToken.Load()
 	if at == 0 || now > at+tokenLifetime {
 		// The next moment keeps the rhythm, or begins it at a moment drawn by chance.
-		next := now + int64(rnd.Float()*float64(period))
+		next := now + int64(rnd.Float64()*float64(period))
 		if at != 0 {
 			next = at + (now-at+period-1)/period*period
 			if next-period+tokenLifetime >= now && next-period > at {
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -98,9 +98,9 @@
 	k := backend.New(backend.Config{Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotRun: "Did-Not-Run"}, Counts: counts})
 	defer k.Close()
 	s, err := Open(Config{
-		Addr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Parts: "Stamps", Missing: "Parts-Missing"},
-		Log: zap.NewNop(), Counts: counts, Backends: k, Table: get, Now: now, GraceUs: 1_000_000,
-		Chart: func(r dispatch.Request, now int64) Chart { return dispatch.NewStateMachine(desk, r, now) },
+		ClientAddr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Parts: "Stamps", Missing: "Parts-Missing"},
+		Log: zap.NewNop(), Counts: counts, Backends: k, Snapshot: get, Now: now, GracePeriod: 1_000_000,
+		NewStateMachine: func(r dispatch.Request, now int64) StateMachine { return dispatch.NewStateMachine(desk, r, now) },
 	})
 	must.NoError(b, err)
 	defer s.Stop()
--- a/request/gateway/clients_test.go
+++ b/request/gateway/connections_test.go
@@ -12,7 +12,7 @@
 )
 
 // Limits that come and go leave no more behind than there are different ones.
-func TestLimitsThatComeAgainNeedNoServerOfTheirOwn(t *testing.T) {
+func TestRepeatedLimitsReuseHTTPServer(t *testing.T) {
 	w := newWorld(t, nil)
 	for i := range int64(20) {
 		w.limits(&routingpb.Limits{IdleTimeoutUs: 10_000_000 + i%2})
@@ -20,15 +20,15 @@
 		c.send(get("a"))
 		c.answer("GET")
 	}
-	w.s.clients.mu.Lock()
-	defer w.s.clients.mu.Unlock()
-	must.Between(t, 1, len(w.s.clients.servers), 2)
+	w.s.connections.mu.Lock()
+	defer w.s.connections.mu.Unlock()
+	must.Between(t, 1, len(w.s.connections.httpServers), 2)
 }
 
 // How long a client may take to take its answer counts from when there is one.
-func TestAnAnswerThatComesLateIsWritten(t *testing.T) {
+func TestLateResponseHasFullWriteTimeout(t *testing.T) {
 	const within = 100 * time.Millisecond
-	w := newWorld(t, func(_ *world, c *Config) { c.WriteWithin = within })
+	w := newWorld(t, func(_ *world, c *Config) { c.WriteTimeout = within })
 	h := w.hold("/a")
 	c := w.dial()
 	sent := time.Now()
--- a/request/gateway/run_test.go
+++ b/request/gateway/driver_test.go
@@ -15,15 +15,15 @@
 	"wallport/runtime/wire"
 )
 
-// held makes the backend hold each request until it is let go, by its ask's path.
-type held struct {
-	enter chan string
-	leave map[string]chan bool
-	gone  chan string
+// heldBackend makes the backend hold each request until it is let go, by its ask's path.
+type heldBackend struct {
+	enter     chan string
+	leave     map[string]chan bool
+	abandoned chan string
 }
 
-func (w *world) hold(paths ...string) *held {
-	h := &held{enter: make(chan string, 10), leave: map[string]chan bool{}, gone: make(chan string, 10)}
+func (w *world) hold(paths ...string) *heldBackend {
+	h := &heldBackend{enter: make(chan string, 10), leave: map[string]chan bool{}, abandoned: make(chan string, 10)}
 	for _, p := range paths {
 		h.leave[p] = make(chan bool, 1)
 	}
@@ -38,7 +38,7 @@
 		case <-h.leave[r.URL.Path]:
 			rw.Write([]byte(r.URL.Path))
 		case <-r.Context().Done():
-			h.gone <- r.URL.Path
+			h.abandoned <- r.URL.Path
 		}
 	}
 	return h
@@ -53,7 +53,7 @@
 	return a
 }
 
-func TestEarlyAsk(t *testing.T) {
+func TestHedgedRequest(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		w := newWorld(t, nil)
 		if warm {
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestGathered asks several at once and ends with what is there.
-func TestGathered(t *testing.T) {
+// TestGatheredResponse asks several at once and ends with what is there.
+func TestGatheredResponse(t *testing.T) {
 	w := newWorld(t, nil)
 	paths := []string{"/0", "/1", "/2", "/3", "/4", "/5"}
 	h := w.hold(paths...)
@@ -124,7 +124,7 @@
 	}
 	resp, _ := c.answer("GET")
 	must.Eq(t, "3", resp.Header.Get("Parts-Missing"))
-	gone := map[string]bool{<-h.gone: true, <-h.gone: true}
+	gone := map[string]bool{<-h.abandoned: true, <-h.abandoned: true}
 	must.Eq(t, map[string]bool{"/4": true, "/5": true}, gone, must.Sprint("cancelled ones are broken off"))
 	h.leave["/3"] <- true
 	for {
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestClientGone tells the chart at the next moment that it is woken.
-func TestClientGone(t *testing.T) {
+// TestClientDisconnects tells the chart at the next moment that it is woken.
+func TestClientDisconnects(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.hold("/once", "/again")
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
@@ -157,7 +157,7 @@
 	await[dispatch.TimerFired](w)
 	must.NoError(t, c.Close())
 	await[dispatch.ClientGone](w)
-	must.Eq(t, "/again", <-h.gone)
+	must.Eq(t, "/again", <-h.abandoned)
 	h.leave["/once"] <- true
 	for {
 		if r := await[dispatch.AttemptDone](w); r.N == 0 {
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestFailures gives the chart what became of each ask, and nothing is written twice.
-func TestFailures(t *testing.T) {
+// TestExchangeFailures gives the chart what became of each ask, and nothing is written twice.
+func TestExchangeFailures(t *testing.T) {
 	w := newWorld(t, nil)
 	w.serve = func(rw http.ResponseWriter, r *http.Request) {
 		conn, _, _ := http.NewResponseController(rw).Hijack()
@@ -201,8 +201,8 @@
 	must.Len(t, 2, w.requests())
 }
 
-// TestNotAnswered closes the connection where there is nothing to say.
-func TestNotAnswered(t *testing.T) {
+// TestConnectionIsAbortedWithoutOutcome closes the connection where there is nothing to say.
+func TestConnectionIsAbortedWithoutOutcome(t *testing.T) {
 	w := newWorld(t, nil)
 	w.step = func(*script, dispatch.Event) []dispatch.Action {
 		return []dispatch.Action{finish(dispatch.Outcome{Code: "client_gone"})}
@@ -212,12 +212,12 @@
 	c.ends()
 }
 
-// TestFreeze lets no event reach a chart before the table is fresh again.
-func TestFreeze(t *testing.T) {
+// TestRequestIsDecidedAfterThaw lets no event reach a chart before the table is fresh again.
+func TestRequestIsDecidedAfterThaw(t *testing.T) {
 	var frozen atomic.Bool
 	thaw := make(chan bool)
 	w := newWorld(t, func(_ *world, c *Config) {
-		c.Refresh = func() {
+		c.AwaitThaw = func() {
 			if frozen.Load() {
 				<-thaw
 				frozen.Store(false)
--- a/request/gateway/handler.go
+++ b/request/gateway/handler.go
@@ -21,20 +21,20 @@
 )
 
 type handler struct {
-	s     *Server
-	names Names
+	server *Server
+	names  Names
 }
 
 func newHandler(s *Server) handler {
-	n := s.c.Names
+	n := s.config.Names
 	for _, v := range []*string{&n.ID, &n.Budget, &n.Seal, &n.Target, &n.Load, &n.NotRun, &n.Parts, &n.Missing, &n.Member} {
 		*v = http.CanonicalHeaderKey(*v)
 	}
-	return handler{s: s, names: n}
+	return handler{server: s, names: n}
 }
 
 func (s *Server) errorLog() *log.Logger {
-	return zap.NewStdLog(s.c.Log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))
+	return zap.NewStdLog(s.config.Log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))
 }
 
 // ServeHTTP serves one request.
@@ -51,100 +51,100 @@
 		return
 	}
 	if v != http.ErrAbortHandler {
-		h.s.c.Counts.Add("handler_panics", 1)
+		h.server.config.Counts.Add("handler_panics", 1)
 	}
 	panic(v)
 }
 
 func (h *handler) serve(w http.ResponseWriter, r *http.Request) {
-	s := h.s
+	s := h.server
 	if !r.ProtoAtLeast(1, 1) || len(r.TransferEncoding) > 0 {
 		// After a request in chunks no other is read on the connection: had it carried a length as
 		// well, what follows could be a part of it.
-		last(w)
+		closeAfterResponse(w)
 	}
-	if !fits(r, s.limits()) {
-		h.refuse(w, r, http.StatusRequestHeaderFieldsTooLarge, "the head is larger than the limit")
+	if !headerFits(r, s.limits()) {
+		h.reject(w, r, http.StatusRequestHeaderFieldsTooLarge, "the head is larger than the limit")
 		return
 	}
-	held := holding{s: s}
+	held := bodyReservation{server: s}
 	defer held.release()
-	body, status := h.body(w, r, &held)
+	body, status := h.readBody(w, r, &held)
 	if status != 0 {
-		h.refuse(w, r, status, "the body could not be read whole")
+		h.reject(w, r, status, "the body could not be read whole")
 		return
 	}
-	req, why := h.request(r, body)
+	req, why := h.newRequest(r, body)
 	if why != "" {
-		h.refuse(w, r, http.StatusBadRequest, why)
+		h.reject(w, r, http.StatusBadRequest, why)
 		return
 	}
 	s.read.Add(1)
 	o := h.handle(r, req)
-	h.extend(w, req.ReadAt)
+	h.extendWriteDeadline(w, req.ReadAt)
 	if o.Status == 0 {
 		panic(http.ErrAbortHandler)
 	}
-	h.answer(w, r, &o)
+	h.writeOutcome(w, r, &o)
 }
 
-// extend has the time in which a client may take its answer begin now, where the request has taken a
+// extendWriteDeadline has the time in which a client may take its answer begin now, where the request has taken a
 // good part of it: net/http counts it from the request's head.
-func (h *handler) extend(w http.ResponseWriter, readUs int64) {
-	within := h.s.c.WriteWithin
-	if took := time.Duration(h.s.c.Now()-readUs) * time.Microsecond; took > within/2 {
+func (h *handler) extendWriteDeadline(w http.ResponseWriter, readUs int64) {
+	within := h.server.config.WriteTimeout
+	if took := time.Duration(h.server.config.Now()-readUs) * time.Microsecond; took > within/2 {
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(within))
 	}
 }
 
 // handle takes a request that was read whole to its outcome.
 func (h *handler) handle(r *http.Request, req dispatch.Request) dispatch.Outcome {
-	s := h.s
-	s.open.Add(1)
-	defer s.open.Add(-1)
-	s.c.Refresh()
-	if c := s.c.Table(); c == nil || c.Routing == nil {
-		return dispatch.Outcome{Status: http.StatusServiceUnavailable, Code: "refused", Reason: "no routing table yet", RetryAfter: comeBackUs}
-	}
-	return s.run(r.Context(), req)
+	s := h.server
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
+	s.config.AwaitThaw()
+	if c := s.config.Snapshot(); c == nil || c.Routing == nil {
+		return dispatch.Outcome{Status: http.StatusServiceUnavailable, Code: "refused", Reason: "no routing table yet", RetryAfter: retryAfter}
+	}
+	return s.drive(r.Context(), req)
 }
 
-// refuse answers what is not taken and ends the connection.
-func (h *handler) refuse(w http.ResponseWriter, r *http.Request, status int, why string) {
-	h.s.refused.Add(1)
-	h.s.c.Sampled.Warn("request_invalid", zap.String("from", r.RemoteAddr), zap.Strings("id", r.Header[h.names.ID]), zap.String("method", r.Method),
+// reject answers what is not taken and ends the connection.
+func (h *handler) reject(w http.ResponseWriter, r *http.Request, status int, why string) {
+	h.server.refused.Add(1)
+	h.server.config.Sampled.Warn("request_invalid", zap.String("from", r.RemoteAddr), zap.Strings("id", r.Header[h.names.ID]), zap.String("method", r.Method),
 		zap.String("path", r.URL.Path), zap.Int("status", status), zap.String("why", why))
-	last(w)
+	closeAfterResponse(w)
 	o := dispatch.Outcome{Status: status, Code: "invalid", Reason: why}
 	if status == http.StatusServiceUnavailable {
-		o.Code, o.RetryAfter = "refused", comeBackUs
+		o.Code, o.RetryAfter = "refused", retryAfter
 	}
-	own(w, &o)
+	writeOwnResponse(w, &o)
 }
 
-// last says that the connection ends with this answer.
-func last(w http.ResponseWriter) { w.Header()["Connection"] = []string{"close"} }
+// closeAfterResponse says that the connection ends with this answer.
+func closeAfterResponse(w http.ResponseWriter) { w.Header()["Connection"] = []string{"close"} }
 
-// errHeld is that the bodies of all requests hold too much together.
-var errHeld = errors.New("too many bodies at once")
+// errBodyBudget is that the bodies of all requests hold too much together.
+var errBodyBudget = errors.New("too many bodies at once")
 
-// body reads the whole body; a status above 0 says why it could not.
-func (h *handler) body(w http.ResponseWriter, r *http.Request, held *holding) (b []byte, status int) {
+// readBody reads the whole body; a status above 0 says why it could not.
+func (h *handler) readBody(w http.ResponseWriter, r *http.Request, held *bodyReservation) (b []byte, status int) {
 	if r.Body == http.NoBody {
 		return nil, 0
 	}
-	m := h.s.limits()
+	m := h.server.limits()
 	c := http.NewResponseController(w)
-	c.SetReadDeadline(time.Now().Add(headTime(m) + h.s.bodyTime))
-	most := bodyMost(m)
+	c.SetReadDeadline(time.Now().Add(headTimeout(m) + h.server.bodyTimeout))
+	most := maxBodyBytes(m)
 	var err error
 	switch n := r.ContentLength; {
 	case n > most:
 		return nil, http.StatusRequestEntityTooLarge
 	case n < 0:
-		held.r = http.MaxBytesReader(w, r.Body, most)
+		held.reader = http.MaxBytesReader(w, r.Body, most)
 		b, err = io.ReadAll(held)
-	case !held.take(n):
+	case !held.reserve(n):
 		return nil, http.StatusServiceUnavailable
 	default:
 		b = make([]byte, n)
@@ -157,7 +157,7 @@
 		return b, 0
 	case errors.As(err, &big):
 		return nil, http.StatusRequestEntityTooLarge
-	case errors.Is(err, errHeld):
+	case errors.Is(err, errBodyBudget):
 		return nil, http.StatusServiceUnavailable
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, http.StatusRequestTimeout
@@ -165,8 +165,8 @@
 	return nil, http.StatusBadRequest
 }
 
-// request is what goes on to a backend.
-func (h *handler) request(r *http.Request, body []byte) (dispatch.Request, string) {
+// newRequest is what goes on to a backend.
+func (h *handler) newRequest(r *http.Request, body []byte) (dispatch.Request, string) {
 	ids := r.Header[h.names.ID]
 	if len(ids) != 1 || ids[0] == "" {
 		return dispatch.Request{}, "one " + h.names.ID + " is needed"
@@ -181,19 +181,19 @@
 		target = rest[i:]
 	}
 	path, _, _ := strings.Cut(target, "?")
-	req := dispatch.Request{ID: ids[0], Method: r.Method, Target: target, Path: path, Host: r.Host, Body: body, ReadAt: h.s.c.Now()}
+	req := dispatch.Request{ID: ids[0], Method: r.Method, Target: target, Path: path, Host: r.Host, Body: body, ReadAt: h.server.config.Now()}
 	if v := r.Header[h.names.Budget]; len(v) == 1 {
 		if ms, err := strconv.ParseUint(v[0], 10, 40); err == nil {
 			req.Timeout = int64(ms) * 1000
 		}
 	}
-	req.Header = h.pass(r.Header)
+	req.Header = h.forwardedFields(r.Header)
 	return req, ""
 }
 
-// pass is the header lines that go on to a backend; the header is changed.
-func (h *handler) pass(head http.Header) []byte {
-	backend.DropHop(head, h.names.ID)
+// forwardedFields is the header lines that go on to a backend; the header is changed.
+func (h *handler) forwardedFields(head http.Header) []byte {
+	backend.RemoveHopByHop(head, h.names.ID)
 	for _, name := range [...]string{h.names.Budget, h.names.Target, "Content-Length", "Expect"} {
 		delete(head, name)
 	}
--- a/request/gateway/limits.go
+++ b/request/gateway/limits.go
@@ -13,74 +13,78 @@
 )
 
 const (
-	// bodiesMost bounds what the bodies of all requests hold together, in bytes.
-	bodiesMost = 32 << 20
-	bodyTime   = 10 * time.Second
-	timeLeast  = 200 * time.Millisecond
+	// maxBodiesBytes bounds what the bodies of all requests hold together, in bytes.
+	maxBodiesBytes     = 32 << 20
+	defaultBodyTimeout = 10 * time.Second
+	minTimeout         = 200 * time.Millisecond
 )
 
 func (s *Server) limits() *routingpb.Limits {
-	if c := s.c.Table(); c != nil && c.Routing != nil && c.Routing.Limits != nil {
+	if c := s.config.Snapshot(); c != nil && c.Routing != nil && c.Routing.Limits != nil {
 		return c.Routing.Limits
 	}
 	return &routingpb.Limits{}
 }
 
-func idleTime(m *routingpb.Limits) time.Duration { return borne(m.IdleTimeoutUs, 30*time.Second) }
-func headTime(m *routingpb.Limits) time.Duration { return borne(m.HeaderTimeoutUs, 10*time.Second) }
+func idleTimeout(m *routingpb.Limits) time.Duration {
+	return lenientTimeout(m.IdleTimeoutUs, 30*time.Second)
+}
+func headTimeout(m *routingpb.Limits) time.Duration {
+	return lenientTimeout(m.HeaderTimeoutUs, 10*time.Second)
+}
 
-func borne(us int64, without time.Duration) time.Duration {
+func lenientTimeout(us int64, without time.Duration) time.Duration {
 	if us <= 0 {
 		return without
 	}
-	return max(timeLeast, Lenient*time.Duration(us)*time.Microsecond)
+	return max(minTimeout, Leniency*time.Duration(us)*time.Microsecond)
 }
 
-func headMost(m *routingpb.Limits) int {
+func maxHeaderBytes(m *routingpb.Limits) int {
 	if m.MaxHeaderBytes <= 0 {
 		return 64 << 10
 	}
-	return int(min(Lenient*m.MaxHeaderBytes, 1<<20))
+	return int(min(Leniency*m.MaxHeaderBytes, 1<<20))
 }
 
-func bodyMost(m *routingpb.Limits) int64 {
+func maxBodyBytes(m *routingpb.Limits) int64 {
 	if m.MaxBodyBytes <= 0 {
 		return 4 << 20
 	}
-	return Lenient * m.MaxBodyBytes
+	return Leniency * m.MaxBodyBytes
 }
 
-// holding is a body that is read within what all bodies together may hold; it is given back when the request has its
+// bodyReservation is a body that is read within what all bodies together may hold; it is given back when the request has its
 // answer.
-type holding struct {
-	s *Server
-	r io.Reader
-	n int64
+type bodyReservation struct {
+	server   *Server
+	reader   io.Reader
+	reserved int64
 }
 
-func (h *holding) take(n int64) bool {
-	h.n += n
-	return h.s.held.Add(n) <= h.s.heldMost
+func (h *bodyReservation) reserve(n int64) bool {
+	h.reserved += n
+	return h.server.bodyBytes.Add(n) <= h.server.maxBodyBytes
 }
 
-func (h *holding) release() { h.s.held.Add(-h.n) }
+func (h *bodyReservation) release() { h.server.bodyBytes.Add(-h.reserved) }
 
 // Read reads a body whose length is not known.
-func (h *holding) Read(b []byte) (int, error) {
-	n, err := h.r.Read(b)
-	if !h.take(int64(n)) {
-		err = errHeld
+func (h *bodyReservation) Read(b []byte) (int, error) {
+	n, err := h.reader.Read(b)
+	if !h.reserve(int64(n)) {
+		err = errBodyBudget
 	}
 	return n, err
 }
 
-// fits reports whether the header is within the limit.
-func fits(r *http.Request, m *routingpb.Limits) bool {
+// headerFits reports whether the header is within the limit.
+func headerFits(r *http.Request, m *routingpb.Limits) bool {
 	n := len(r.RequestURI) + len(r.Host)
 	for name, vs := range r.Header {
 		for _, v := range vs {
 			n += len(name) + len(v) + 4
 		}
 	}
-	return n <= headMost(m)
+	return n <= maxHeaderBytes(m)
 }
--- a/request/gateway/limits_test.go
+++ b/request/gateway/limits_test.go
@@ -63,8 +63,8 @@
 	return itoa(n/10) + itoa(n%10)
 }
 
-// TestTimes ends a connection that rests too long without a word, and one that begins a request with one.
-func TestTimes(t *testing.T) {
+// TestHeaderAndIdleTimeouts ends a connection that rests too long without a word, and one that begins a request with one.
+func TestHeaderAndIdleTimeouts(t *testing.T) {
 	w := newWorld(t, nil)
 	w.limits(&routingpb.Limits{HeaderTimeoutUs: 1, IdleTimeoutUs: 1})
 	w.dial().ends()
@@ -80,11 +80,11 @@
 	must.Len(t, 1, w.requests())
 }
 
-// TestSlowBody waits longer for a body, but not for ever.
-func TestSlowBody(t *testing.T) {
+// TestSlowBodyTimesOut waits longer for a body, but not for ever.
+func TestSlowBodyTimesOut(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 5", "Transfer-Encoding: chunked"} {
 		w := newWorld(t, nil)
-		w.s.bodyTime = 0
+		w.s.bodyTimeout = 0
 		w.limits(&routingpb.Limits{HeaderTimeoutUs: 1})
 		c := w.dial()
 		c.send("POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n" + framing + "\r\n\r\n1\r\n")
@@ -95,10 +95,10 @@
 	}
 }
 
-// TestBodiesAtOnce refuses a body, before it is read, while others hold too much, and takes the next.
-func TestBodiesAtOnce(t *testing.T) {
+// TestBodyBytesAreBounded refuses a body, before it is read, while others hold too much, and takes the next.
+func TestBodyBytesAreBounded(t *testing.T) {
 	w := newWorld(t, nil)
-	w.s.heldMost = 100
+	w.s.maxBodyBytes = 100
 	h := w.hold("/a")
 	post := func(framing string) string {
 		return "POST /a HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n" + framing + "\r\n\r\n"
@@ -123,8 +123,8 @@
 	must.Len(t, 2, w.requests())
 }
 
-// TestNoTable refuses at once while there is no routing table.
-func TestNoTable(t *testing.T) {
+// TestRejectsWithoutRoutingTable refuses at once while there is no routing table.
+func TestRejectsWithoutRoutingTable(t *testing.T) {
 	w := newWorld(t, nil)
 	c := w.dial()
 	c.send(get("a"))
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -40,7 +40,7 @@
 	}
 	w := newWorld(t, func(w *world, c *Config) {
 		desk := dispatch.NewDispatcher(dispatch.Config{Snapshot: w.cp.Load, Counts: w.counts, Seed: 1, StartedAt: w.now(), Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60, Window: 10_000_000}})
-		c.Chart = func(r dispatch.Request, now int64) Chart { return dispatch.NewStateMachine(desk, r, now) }
+		c.NewStateMachine = func(r dispatch.Request, now int64) StateMachine { return dispatch.NewStateMachine(desk, r, now) }
 	})
 	compiled := routing.Compile(config)
 	gauges := &snapshot.Gauges{}
@@ -96,7 +96,7 @@
 	conn.Close()
 }
 
-func TestWhatMayHaveRunReachesOneBackendAndIsToldSo(t *testing.T) {
+func TestRequestThatMayHaveRunReachesOneBackend(t *testing.T) {
 	const long, brief = "/a", "/brief/a"
 	const whole = "Try-Id: ID\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi"
 	for _, c := range []struct {
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestPromiseSendsElsewhere tries the other backend on a backend's word, and tells the client so
+// TestNotExecutedReplyIsRetriedElsewhere tries the other backend on a backend's word, and tells the client so
 // where both gave it.
-func TestPromiseSendsElsewhere(t *testing.T) {
+func TestNotExecutedReplyIsRetriedElsewhere(t *testing.T) {
 	const promise = "HTTP/1.1 503 Full\r\nTry-Id: ID\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	w := newOnceWorld(t)
 	client := w.dial()
--- a/request/gateway/request_test.go
+++ b/request/gateway/request_test.go
@@ -15,7 +15,7 @@
 	"wallport/request/dispatch"
 )
 
-func TestPassedOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	w := newWorld(t, nil)
 	w.serve = func(rw http.ResponseWriter, _ *http.Request) {
 		h := rw.Header()
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestNoBodyIsMade leaves a request without a body without one.
-func TestNoBodyIsMade(t *testing.T) {
+// TestNoBodyIsAdded leaves a request without a body without one.
+func TestNoBodyIsAdded(t *testing.T) {
 	w := newWorld(t, nil)
 	c := w.dial()
 	for _, s := range []string{get("a"), get("a", "Content-Length: 0\r\n"), strings.Replace(get("a"), "GET", "DELETE", 1)} {
@@ -116,8 +116,8 @@
 	must.Eq(t, []string{"0"}, w.requests()[3].head["Content-Length"])
 }
 
-// TestAnswers writes each kind of outcome.
-func TestAnswers(t *testing.T) {
+// TestResponses writes each kind of outcome.
+func TestResponses(t *testing.T) {
 	w := newWorld(t, nil)
 	var o atomic.Pointer[dispatch.Outcome]
 	w.step = func(*script, dispatch.Event) []dispatch.Action { return []dispatch.Action{finish(*o.Load())} }
@@ -168,8 +168,8 @@
 	must.Eq(t, 299, resp.StatusCode)
 }
 
-// TestLargeAnswer is more than a client takes at once.
-func TestLargeAnswer(t *testing.T) {
+// TestLargeResponse is more than a client takes at once.
+func TestLargeResponse(t *testing.T) {
 	w := newWorld(t, nil)
 	big := strings.Repeat("0123456789abcdef", 1<<17)
 	w.serve = func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, big) }
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestConnections keeps, closes and pipelines.
-func TestConnections(t *testing.T) {
+// TestConnectionReuse keeps, closes and pipelines.
+func TestConnectionReuse(t *testing.T) {
 	w := newWorld(t, nil)
 	c := w.dial()
 	c.send(get("a") + get("b") + get("c", "Connection: close\r\n") + get("never"))
--- a/request/gateway/answer.go
+++ b/request/gateway/response.go
@@ -12,29 +12,29 @@
 	"wallport/request/dispatch"
 )
 
-// answer writes what a request came to.
-func (h *handler) answer(w http.ResponseWriter, r *http.Request, o *dispatch.Outcome) {
+// writeOutcome writes what a request came to.
+func (h *handler) writeOutcome(w http.ResponseWriter, r *http.Request, o *dispatch.Outcome) {
 	head := w.Header()
 	// Whoever reads the flag first has it: an answer that is to be the last one says so.
-	if h.s.drains.Load() {
-		last(w)
+	if h.server.draining.Load() {
+		closeAfterResponse(w)
 	}
 	switch {
 	case o.Response != nil:
 		maps.Copy(head, o.Response.Header)
-		write(w, r, o.Response.Status, o.Response.Body)
+		writeResponse(w, r, o.Response.Status, o.Response.Body)
 	case len(o.Seals) > 0:
 		head[h.names.Parts] = []string{strings.Join(o.Seals, ", ")}
 		if o.Missing > 0 {
 			head[h.names.Missing] = []string{strconv.Itoa(o.Missing)}
 		}
-		write(w, r, o.Status, o.Body)
+		writeResponse(w, r, o.Status, o.Body)
 	default:
-		own(w, o)
+		writeOwnResponse(w, o)
 	}
 }
 
-func write(w http.ResponseWriter, r *http.Request, status int, body []byte) {
+func writeResponse(w http.ResponseWriter, r *http.Request, status int, body []byte) {
 	head := w.Header()
 	if _, there := head["Content-Type"]; !there {
 		// None is guessed.
@@ -49,8 +49,8 @@
 	}
 }
 
-// own writes an answer of the node itself.
-func own(w http.ResponseWriter, o *dispatch.Outcome) {
+// writeOwnResponse writes an answer of the node itself.
+func writeOwnResponse(w http.ResponseWriter, o *dispatch.Outcome) {
 	b := strconv.AppendQuoteToASCII([]byte(`{"code":`), o.Code)
 	b = append(strconv.AppendQuoteToASCII(append(b, `,"why":`...), o.Reason), "}\n"...)
 	head := w.Header()
--- a/request/gateway/smuggle_test.go
+++ b/request/gateway/smuggle_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestSmuggling(t *testing.T) {
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
 	start := "POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n"
 	for name, c := range map[string]struct {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestBorne has what net/http bears: it is read in one way, that one goes on, and nothing hides in it.
-func TestBorne(t *testing.T) {
+// TestUnusualRequestsAreAccepted has what net/http bears: it is read in one way, that one goes on, and nothing hides in it.
+func TestUnusualRequestsAreAccepted(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
 	start := "POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n"
 	for name, c := range map[string]struct {
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestHiddenInABody passes on what looks like a request as the body that it is.
-func TestHiddenInABody(t *testing.T) {
+// TestRequestHiddenInBodyIsNotServed passes on what looks like a request as the body that it is.
+func TestRequestHiddenInBodyIsNotServed(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
 	w := newWorld(t, nil)
 	c := w.dial()
--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -31,8 +31,8 @@
 	var force atomic.Bool
 	var addr string
 	w := newWorld(t, func(w *world, c *Config) {
-		c.ReadyAddr = freeAddr(t)
-		addr = c.ReadyAddr
+		c.ReadinessAddr = freeAddr(t)
+		addr = c.ReadinessAddr
 		c.Ready = func() bool { return force.Load() && w.cp.Load().Ready() }
 	})
 	status := func(path string) int {
@@ -53,14 +53,14 @@
 	must.Eq(t, 503, status("/ready"))
 }
 
-func TestStopBeforeReady(t *testing.T) {
+func TestStopBeforeReadiness(t *testing.T) {
 	w := newWorld(t, func(_ *world, c *Config) { c.Ready = func() bool { return false } })
 	w.s.Stop()
 	must.Eq(t, "", w.s.Addr())
 }
 
-// TestStopFinishes answers what was read, on a connection that is closed then, and gives up those that rest.
-func TestStopFinishes(t *testing.T) {
+// TestStopFinishesRequestsInFlight answers what was read, on a connection that is closed then, and gives up those that rest.
+func TestStopFinishesRequestsInFlight(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.hold("/a")
 	rests, works := w.dial(), w.dial()
@@ -84,15 +84,15 @@
 	<-stopped
 }
 
-// TestStopWhileAccepting serves new connections as well for a while, and says that each answer is the last.
-func TestStopWhileAccepting(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.AcceptUs = 300_000 })
+// TestStopKeepsAcceptingAtFirst serves new connections as well for a while, and says that each answer is the last.
+func TestStopKeepsAcceptingAtFirst(t *testing.T) {
+	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 300_000 })
 	old := w.dial()
 	old.send(get("a"))
 	resp, _ := old.answer("GET")
 	must.False(t, resp.Close)
 	go w.s.Stop()
-	for !w.s.drains.Load() {
+	for !w.s.draining.Load() {
 		runtime.Gosched()
 	}
 	fresh := w.dial()
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestStopLeavesNoWorkBroken waits for an ask that a chart has left.
-func TestStopLeavesNoWorkBroken(t *testing.T) {
+// TestStopWaitsForAbandonedExchanges waits for an ask that a chart has left.
+func TestStopWaitsForAbandonedExchanges(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.hold("/left")
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
@@ -124,13 +124,13 @@
 	c.ends()
 	h.leave["/left"] <- true
 	<-stopped
-	must.Eq(t, 0, w.s.asks.Load())
-	must.Eq(t, 0, len(h.gone))
+	must.Eq(t, 0, w.s.exchanges.Load())
+	must.Eq(t, 0, len(h.abandoned))
 }
 
-// TestStopCuts ends in its time though a backend does not answer; the answer does not look complete.
-func TestStopCuts(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.GraceUs = 1 })
+// TestStopAbortsAtEndOfGrace ends in its time though a backend does not answer; the answer does not look complete.
+func TestStopAbortsAtEndOfGrace(t *testing.T) {
+	w := newWorld(t, func(_ *world, c *Config) { c.GracePeriod = 1 })
 	h := w.hold("/a")
 	c := w.dial()
 	c.send(get("a"))
@@ -139,10 +139,10 @@
 	c.ends()
 }
 
-// TestStopUnderLoad counts, over many clients that come and go while a node stops, the requests that a backend got
+// TestStopUnderLoadLosesNothing counts, over many clients that come and go while a node stops, the requests that a backend got
 // and those whose clients got a whole answer: none is lost.
-func TestStopUnderLoad(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.AcceptUs = 100_000 })
+func TestStopUnderLoadLosesNothing(t *testing.T) {
+	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 100_000 })
 	addr := w.dial().RemoteAddr().String()
 	var clients sync.WaitGroup
 	var mu sync.Mutex
@@ -195,7 +195,7 @@
 	}()
 	w.s.Stop()
 	clients.Wait()
-	must.Eq(t, 0, w.s.open.Load())
+	must.Eq(t, 0, w.s.inFlight.Load())
 	got := w.requests()
 	for _, s := range got {
 		must.True(t, whole[s.head.Get("Try-Id")], must.Sprint(s.head.Get("Try-Id"), " was lost"))
@@ -205,7 +205,7 @@
 }
 
 // A stop cuts nothing before the last sixth of the grace, in which a backend still at work excuses it.
-func TestStopEndsInTheLastSixthOfTheGrace(t *testing.T) {
+func TestStopEndsInLastSixthOfGrace(t *testing.T) {
 	began := time.Unix(100, 0)
 	for _, grace := range []time.Duration{2 * time.Second, 3 * time.Second, 6 * time.Second, 30 * time.Second} {
 		end := stopEnd(began, grace).Sub(began)
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -126,9 +126,9 @@
 	k := backend.New(backend.Config{Counts: w.counts, Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotRun: "Did-Not-Run"}})
 	t.Cleanup(k.Close)
 	c := Config{
-		Addr: "127.0.0.1:0", Names: testNames, Log: zap.NewNop(), Counts: w.counts, Backends: k, Table: w.cp.Load,
-		Now: func() int64 { return w.now() }, GraceUs: 30_000_000, AcceptUs: 1,
-		Chart: func(r dispatch.Request, _ int64) Chart {
+		ClientAddr: "127.0.0.1:0", Names: testNames, Log: zap.NewNop(), Counts: w.counts, Backends: k, Snapshot: w.cp.Load,
+		Now: func() int64 { return w.now() }, GracePeriod: 30_000_000, AcceptTime: 1,
+		NewStateMachine: func(r dispatch.Request, _ int64) StateMachine {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			return &script{w: w, req: r, step: w.step}
--- a/request/httpapi/scopes.go
+++ b/request/httpapi/scopes.go
@@ -29,7 +29,7 @@
 
 // openScopes reads the file before anything is served: one with faults ends the start.
 func openScopes(p *process.Process, over <-chan struct{}) (*scopes, error) {
-	s := &scopes{p: p, file: p.Kernel.Boot.Settings.Tokens}
+	s := &scopes{p: p, file: p.Kernel.Boot.Settings.OperatorTokensFile}
 	if s.file == "" {
 		return s, nil
 	}
@@ -74,7 +74,7 @@
 func (s *scopes) may(token *string, scope string, indexes []string) (string, error) {
 	got := []byte(strings.TrimPrefix(deref(token), "Bearer "))
 	same := func(want string) bool { return want != "" && subtle.ConstantTimeCompare([]byte(want), got) == 1 }
-	master, list := s.p.Kernel.Boot.Settings.Token, s.now.Load()
+	master, list := s.p.Kernel.Boot.Settings.OperatorToken, s.now.Load()
 	if master == "" && list == nil || same(master) {
 		return "", nil
 	}
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -30,7 +30,7 @@
 	cp := c.snapshot()
 	if c.minority(cp, ctx.Now) {
 		ctx.Counts.Add("claims_minority", 1)
-		ctx.Answer(id, search.Verdict{Code: "short", Why: "this node sees too few of the fleet to vouch for a key"})
+		ctx.Reply(id, search.Verdict{Code: "short", Why: "this node sees too few of the fleet to vouch for a key"})
 		return
 	}
 	c.next++
@@ -121,7 +121,7 @@
 	case pending.ask.Again:
 		// The owner is silent: what cannot be told from a first try is one.
 		delete(c.admissions, n)
-		ctx.Answer(pending.id, search.Verdict{Code: "in"})
+		ctx.Reply(pending.id, search.Verdict{Code: "in"})
 		return
 	}
 	if !c.rosterUnknown(ctx.Now) {
@@ -164,7 +164,7 @@
 func (c *Coordinator) end(ctx *kernel.Context, n uint64, v search.Verdict) {
 	pending := c.admissions[n]
 	delete(c.admissions, n)
-	ctx.Answer(pending.id, v)
+	ctx.Reply(pending.id, v)
 	switch v.Code {
 	case "in":
 	case "unknown":
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -25,7 +25,7 @@
 		must.SliceEmpty(t, w.owners)
 		now += AskEvery
 		out := k.Step(now, now, kernel.Tick{Plugin: "idempotency", ID: n})
-		must.SliceEmpty(t, out.Answers)
+		must.SliceEmpty(t, out.Replies)
 		must.SliceEmpty(t, w.owners)
 		k.Step(now, now, mesh.CaughtUp{})
 		now += RosterWait
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -76,17 +76,17 @@
 	ctx := &kernel.Context{Now: n.m.now, Rand: n.m.rand, Counts: kernel.NewCounts()}
 	n.coordinator.Step(ctx, in)
 	here := n.life()
-	for _, s := range ctx.Out.Sends {
+	for _, s := range ctx.Output.Sends {
 		n.m.send(here, s)
 	}
-	for _, timer := range ctx.Out.Timers {
+	for _, timer := range ctx.Output.Timers {
 		n.m.after(timer.At-n.m.now, func() {
 			if here.there() {
 				n.step(timer.Tick)
 			}
 		})
 	}
-	for _, a := range ctx.Out.Answers {
+	for _, a := range ctx.Output.Replies {
 		answered := n.m.calls[a.ID]
 		delete(n.m.calls, a.ID)
 		answered(a.Value.(search.Verdict))
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -69,7 +69,7 @@
 func (c *Coordinator) askSeen(ctx *kernel.Context, id uint64, a Admit) {
 	addr, ok := c.seenOwner(a.Key)
 	if !ok || addr == "" {
-		ctx.Answer(id, search.Verdict{Code: "in", Repeat: ok && c.seen.add(a.Key, ctx.Now)})
+		ctx.Reply(id, search.Verdict{Code: "in", Repeat: ok && c.seen.add(a.Key, ctx.Now)})
 		return
 	}
 	c.next++
@@ -87,7 +87,7 @@
 	if m.Seen {
 		ctx.Counts.Add("repeats_seen", 1)
 	}
-	ctx.Answer(pending.id, search.Verdict{Code: "in", Repeat: m.Seen})
+	ctx.Reply(pending.id, search.Verdict{Code: "in", Repeat: m.Seen})
 }
 
 // unseen takes a key back that came to nothing.
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -36,11 +36,11 @@
 	return n
 }
 
-func (n *node) step(in kernel.Input) kernel.Out { return n.k.Step(n.now, n.now, in) }
+func (n *node) step(in kernel.Input) kernel.Output { return n.k.Step(n.now, n.now, in) }
 
 func (n *node) receive(kind uint8, id uint64, m interface {
 	MarshalMsg([]byte) ([]byte, error)
-}) kernel.Out {
+}) kernel.Output {
 	return n.step(kernel.Received{Conn: peerChan, Data: wire.Seal(kind, id, m)})
 }
 
@@ -64,21 +64,21 @@
 	for id, w := range n.c.admissions {
 		w.owners = append([]snapshot.Node{n.self()}, others...)
 		n.now += AskEvery
-		must.SliceEmpty(t, n.tick(id).Answers, must.Sprint("one of several owners let it in"))
+		must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("one of several owners let it in"))
 		return id
 	}
 	return 0
 }
 
 // tick is the timer of a claim.
-func (n *node) tick(id uint64) kernel.Out {
+func (n *node) tick(id uint64) kernel.Output {
 	return n.step(kernel.Tick{Plugin: "idempotency", ID: id})
 }
 
-func verdict(t *testing.T, out kernel.Out) search.Verdict {
+func verdict(t *testing.T, out kernel.Output) search.Verdict {
 	t.Helper()
-	must.Len(t, 1, out.Answers)
-	return out.Answers[0].Value.(search.Verdict)
+	must.Len(t, 1, out.Replies)
+	return out.Replies[0].Value.(search.Verdict)
 }
 
 // A node that has just started may see two others of eight. What those two and itself let in
@@ -98,7 +98,7 @@
 				must.Eq(t, "in", verdict(t, out).Code)
 				return
 			}
-			must.SliceEmpty(t, out.Answers, must.Sprint("three of more owners are no majority"))
+			must.SliceEmpty(t, out.Replies, must.Sprint("three of more owners are no majority"))
 			n.now += GiveUp
 			must.Eq(t, "short", verdict(t, n.tick(id)).Code)
 		})
@@ -123,12 +123,12 @@
 	n.c.admissions[id].ask.First = false
 	for _, o := range owners[:3] {
 		out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: o.Name, From: o.Origin, Code: "in"})
-		must.SliceEmpty(t, out.Answers)
+		must.SliceEmpty(t, out.Replies)
 	}
 	must.Positive(t, n.c.admissions[id].decideAt, must.Sprint("three of five: the others are waited for"))
 	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: "a new process", Code: "unsure"})
 	n.now += LastWait
-	must.SliceEmpty(t, n.tick(id).Answers, must.Sprint("two of five"))
+	must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("two of five"))
 	must.Eq(t, "in", verdict(t, n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
 }
 
--- a/request/search/pick.go
+++ b/request/search/pick.go
@@ -90,7 +90,7 @@
 	out := make([]*snapshot.Server, 0, len(all))
 	for _, s := range all {
 		w := s.SlowStartShare(now, ramp)
-		if w >= most || int64(r.N(int(most))) < w {
+		if w >= most || int64(r.IntN(int(most))) < w {
 			out = append(out, s)
 		}
 	}
@@ -110,7 +110,7 @@
 	return out
 }
 
-func draw(all []*snapshot.Server, r *rnd) *snapshot.Server { return all[r.N(len(all))] }
+func draw(all []*snapshot.Server, r *rnd) *snapshot.Server { return all[r.IntN(len(all))] }
 
 // cost is the expected wait: what is outstanding here and reported there,
 // times what an answer takes; another zone costs a quarter more.
--- a/request/snapshot/config.go
+++ b/request/snapshot/config.go
@@ -41,7 +41,7 @@
 // checkVersionRises sees that the configuration in force never goes back.
 func (b *Table) checkVersionRises(ctx *kernel.Context, next wire.Version) {
 	if was := b.config.version; mesh.Newer(was, next) {
-		ctx.Violated(invariant.ConfigRises, fmt.Sprintf("version %d.%d after %d.%d", next.Term, next.Seq, was.Term, was.Seq))
+		ctx.ReportViolation(invariant.ConfigIncreases, fmt.Sprintf("version %d.%d after %d.%d", next.Term, next.Seq, was.Term, was.Seq))
 	}
 }
 
--- a/request/snapshot/invariants_test.go
+++ b/request/snapshot/invariants_test.go
@@ -20,6 +20,6 @@
 		return violation.By(func() { b.checkVersionRises(step, wire.Version{Term: term, Seq: seq}) })
 	}
 	must.Eq(t, "", takes(4, 10))
-	must.Eq(t, invariant.ConfigRises, takes(3, 8))
-	must.Eq(t, invariant.ConfigRises, takes(2, 12))
+	must.Eq(t, invariant.ConfigIncreases, takes(3, 8))
+	must.Eq(t, invariant.ConfigIncreases, takes(2, 12))
 }
--- a/request/snapshot/pace_test.go
+++ b/request/snapshot/pace_test.go
@@ -21,7 +21,7 @@
 		now += 1_000
 		turn := &kernel.Context{Now: now, Counts: k.Counts}
 		b.Step(turn, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
-		for _, timer := range turn.Out.Timers {
+		for _, timer := range turn.Output.Timers {
 			must.Eq(t, 0, due, must.Sprint("one timer at a time"))
 			due = timer.At
 			must.LessEq(t, BuildInterval, due-now)
@@ -36,6 +36,6 @@
 	turn := &kernel.Context{Now: now, Counts: k.Counts}
 	b.Step(turn, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
 	if due == 0 {
-		must.Eq(t, now+BuildDelay, turn.Out.Timers[0].At, must.Sprint("soon after a pause"))
+		must.Eq(t, now+BuildDelay, turn.Output.Timers[0].At, must.Sprint("soon after a pause"))
 	}
 }
--- a/runtime/asynclog/asynclog.go
+++ b/runtime/asynclog/asynclog.go
@@ -11,31 +11,31 @@
 
 // Figures of a writer.
 const (
-	// pendingMost bounds the lines that wait to be written, in bytes.
-	pendingMost = 256 << 10
-	// syncWithin is how long Sync waits for the lines before it.
-	syncWithin = 300 * time.Millisecond
-	syncLook   = time.Millisecond
+	// maxPending bounds the lines that wait to be written, in bytes.
+	maxPending = 256 << 10
+	// syncTimeout is how long Sync waits for the lines before it.
+	syncTimeout = 300 * time.Millisecond
+	syncPoll    = time.Millisecond
 )
 
 // Writer is a zapcore.WriteSyncer.
 type Writer struct {
 	to io.Writer
-	// lostLine makes the line that tells of dropped ones.
-	lostLine func(n int) []byte
+	// formatDropped makes the line that tells of dropped ones.
+	formatDropped func(n int) []byte
 
-	mu      sync.Mutex
-	pending []byte
-	spare   []byte
-	lost    int
+	mu       sync.Mutex
+	pending  []byte
+	recycled []byte
+	dropped  int
 	// writing tells that lines are being written now.
 	writing bool
 	wake    chan struct{}
 }
 
 // New makes a writer, and a goroutine that writes for as long as the process lives.
-func New(to io.Writer, lostLine func(n int) []byte) *Writer {
-	w := &Writer{to: to, lostLine: lostLine, wake: make(chan struct{}, 1)}
+func New(to io.Writer, formatDropped func(n int) []byte) *Writer {
+	w := &Writer{to: to, formatDropped: formatDropped, wake: make(chan struct{}, 1)}
 	go w.run()
 	return w
 }
@@ -43,8 +43,8 @@
 // Write takes a line; it never waits and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.pending)+len(line) > pendingMost {
-		w.lost++
+	if len(w.pending)+len(line) > maxPending {
+		w.dropped++
 	} else {
 		w.pending = append(w.pending, line...)
 	}
@@ -58,8 +58,8 @@
 
 // Sync waits until the lines taken so far are written, for a little while.
 func (w *Writer) Sync() error {
-	for end := time.Now().Add(syncWithin); !w.idle() && time.Now().Before(end); {
-		time.Sleep(syncLook)
+	for end := time.Now().Add(syncTimeout); !w.idle() && time.Now().Before(end); {
+		time.Sleep(syncPoll)
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 func (w *Writer) idle() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.pending) == 0 && !w.writing && w.lost == 0
+	return len(w.pending) == 0 && !w.writing && w.dropped == 0
 }
 
 func (w *Writer) run() {
@@ -75,7 +75,7 @@
 		for batch := w.take(); len(batch) > 0; batch = w.take() {
 			// What cannot be written is lost: there is nobody to tell.
 			w.to.Write(batch)
-			w.done(batch)
+			w.recycle(batch)
 		}
 	}
 }
@@ -85,18 +85,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	batch := w.pending
-	if w.lost > 0 {
-		batch = append(batch, w.lostLine(w.lost)...)
-		w.lost = 0
+	if w.dropped > 0 {
+		batch = append(batch, w.formatDropped(w.dropped)...)
+		w.dropped = 0
 	}
-	w.pending, w.spare = w.spare[:0], nil
+	w.pending, w.recycled = w.recycled[:0], nil
 	w.writing = len(batch) > 0
 	return batch
 }
 
-// done takes a written batch's memory back.
-func (w *Writer) done(batch []byte) {
+// recycle takes a written batch's memory back.
+func (w *Writer) recycle(batch []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.writing, w.spare = false, batch[:0]
+	w.writing, w.recycled = false, batch[:0]
 }
--- a/runtime/asynclog/asynclog_test.go
+++ b/runtime/asynclog/asynclog_test.go
@@ -14,22 +14,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// gate is a reader that may stand still.
-type gate struct {
-	held sync.Mutex
-	mu   sync.Mutex
-	text bytes.Buffer
+// blockingWriter is a reader that may stand still.
+type blockingWriter struct {
+	blocked sync.Mutex
+	mu      sync.Mutex
+	text    bytes.Buffer
 }
 
-func (g *gate) Write(b []byte) (int, error) {
-	g.held.Lock()
-	defer g.held.Unlock()
+func (g *blockingWriter) Write(b []byte) (int, error) {
+	g.blocked.Lock()
+	defer g.blocked.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(b)
 }
 
-func (g *gate) String() string {
+func (g *blockingWriter) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
@@ -48,8 +48,8 @@
 
 func lost(n int) []byte { return fmt.Appendf(nil, "lost %d\n", n) }
 
-func TestLinesAreWrittenInOrder(t *testing.T) {
-	g := &gate{}
+func TestLinesKeepOrder(t *testing.T) {
+	g := &blockingWriter{}
 	w := New(g, lost)
 	var want strings.Builder
 	for i := range 2000 {
@@ -63,19 +63,19 @@
 	must.Eq(t, want.String(), g.String())
 }
 
-func TestWhereNobodyReadsLinesAreDroppedAndCounted(t *testing.T) {
-	g := &gate{}
+func TestLinesAreDroppedAndCountedWhenWriterBlocks(t *testing.T) {
+	g := &blockingWriter{}
 	w := New(g, lost)
-	g.held.Lock()
+	g.blocked.Lock()
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	const lines = 4 * pendingMost / 1024
+	const lines = 4 * maxPending / 1024
 	for range lines {
 		w.Write(line)
 	}
-	g.held.Unlock()
+	g.blocked.Unlock()
 	until(t, func() bool { return strings.Contains(g.String(), "lost") && w.idle() })
 	kept := strings.Count(g.String(), string(line))
-	must.Between(t, pendingMost/1024, kept, 3*pendingMost/1024)
+	must.Between(t, maxPending/1024, kept, 3*maxPending/1024)
 	must.StrContains(t, g.String(), fmt.Sprintf("lost %d\n", lines-kept))
 	w.Write([]byte("after\n"))
 	until(t, func() bool { return strings.HasSuffix(g.String(), "after\n") })
--- a/runtime/chunk/assembler.go
+++ b/runtime/chunk/assembler.go
@@ -13,13 +13,13 @@
 
 // Figures of assembling.
 const (
-	// AssembledMost bounds the bytes of all assemblies under way together.
-	AssembledMost = 2 * wire.MaxMessage
-	// IdleAfter is how long an assembly waits for its next piece, in microseconds. It is longer
+	// MaxBufferedBytes bounds the bytes of all assemblies under way together.
+	MaxBufferedBytes = 2 * wire.MaxMessage
+	// IdleTimeout is how long an assembly waits for its next piece, in microseconds. It is longer
 	// than the sender goes on without an acknowledgement.
-	IdleAfter = GiveUpAfter + RetryAfter
-	// AssembliesMost bounds the connections that are remembered.
-	AssembliesMost = 256
+	IdleTimeout = ProgressTimeout + RetryInterval
+	// MaxAssemblies bounds the connections that are remembered.
+	MaxAssemblies = 256
 )
 
 // Faults of pieces. A connection that brings one is not to be trusted further.
@@ -31,68 +31,68 @@
 
 // Assembler puts the pieces of each connection together.
 type Assembler struct {
-	byConn map[uint64]*assembly
-	next   uint64
-	held   int
+	byConn   map[uint64]*assembly
+	lastSeq  uint64
+	buffered int
 }
 
 // assembly is a message under way, or the memory of the last one that was whole.
 type assembly struct {
-	number   uint64
-	transfer uint64
-	total    int
-	digest   []byte
-	data     []byte
-	whole    bool
-	at       int64
+	seq         uint64
+	transfer    uint64
+	total       int
+	digest      []byte
+	data        []byte
+	complete    bool
+	lastChunkAt int64
 }
 
 // NewAssembler makes an empty one.
 func NewAssembler() *Assembler { return &Assembler{byConn: map[uint64]*assembly{}} }
 
-// Held is the number of bytes of all assemblies under way.
-func (a *Assembler) Held() int { return a.held }
+// BufferedBytes is the number of bytes of all assemblies under way.
+func (a *Assembler) BufferedBytes() int { return a.buffered }
 
 // Receiving reports whether a message is under way on a connection.
 func (a *Assembler) Receiving(conn uint64) bool {
 	as := a.byConn[conn]
-	return as != nil && !as.whole
+	return as != nil && !as.complete
 }
 
-// Taken is what came of a piece: an acknowledgement to send, if Reply is set, and the whole
+// Accepted is what came of a piece: an acknowledgement to send, if Reply is set, and the whole
 // message, once it is whole and is what its sender announced.
-type Taken struct {
-	Reply bool
-	Ack   wire.ChunkAck
-	Whole []byte
+type Accepted struct {
+	Reply   bool
+	Ack     wire.ChunkAck
+	Message []byte
 }
 
-// Take takes a piece that came on a connection.
-func (a *Assembler) Take(now int64, conn uint64, p wire.Chunk) (Taken, error) {
-	if err := check(p); err != nil {
-		return Taken{}, err
+// Accept takes a piece that came on a connection.
+func (a *Assembler) Accept(now int64, conn uint64, p wire.Chunk) (Accepted, error) {
+	if err := validate(p); err != nil {
+		return Accepted{}, err
 	}
 	as := a.byConn[conn]
 	if as != nil && p.Transfer < as.transfer {
 		// Doubled on its way: the sender has long gone on to another message.
-		return Taken{}, nil
+		return Accepted{}, nil
 	}
 	if as == nil || as.transfer != p.Transfer {
 		if p.Offset != 0 {
 			return acknowledge(p.Transfer, 0), nil
 		}
-		as = a.begin(now, conn, p)
+		as = a.start(now, conn, p)
 	}
 	if as.total != p.Total || !bytes.Equal(as.digest, p.Digest) {
-		return Taken{}, fmt.Errorf("%w: not of the message that it continues", ErrMalformed)
+		return Accepted{}, fmt.Errorf("%w: not of the message that it continues", ErrMalformed)
 	}
-	as.at = now
-	if as.whole || p.Offset != len(as.data) {
+	as.lastChunkAt = now
+	if as.complete || p.Offset != len(as.data) {
 		return acknowledge(p.Transfer, as.arrived()), nil
 	}
 	if !a.reserve(as, len(p.Data)) {
 		// Without an answer the sender tries again later.
-		return Taken{}, nil
+		return Accepted{}, nil
 	}
 	as.data = append(as.data, p.Data...)
 	if len(as.data) < as.total {
@@ -101,8 +101,8 @@
 	return a.finish(conn, as)
 }
 
-// check refuses what no sender sends.
-func check(p wire.Chunk) error {
+// validate refuses what no sender sends.
+func validate(p wire.Chunk) error {
 	switch {
 	case p.Total <= 0 || p.Total > wire.MaxMessage:
 		return fmt.Errorf("%w: a message of %d bytes", ErrMalformed, p.Total)
@@ -114,36 +114,36 @@
 	return nil
 }
 
-func acknowledge(transfer uint64, next int) Taken {
-	return Taken{Reply: true, Ack: wire.ChunkAck{Transfer: transfer, Next: next}}
+func acknowledge(transfer uint64, next int) Accepted {
+	return Accepted{Reply: true, Ack: wire.ChunkAck{Transfer: transfer, Next: next}}
 }
 
 // arrived is how much of the message has arrived in order.
 func (as *assembly) arrived() int {
-	if as.whole {
+	if as.complete {
 		return as.total
 	}
 	return len(as.data)
 }
 
-// begin makes an assembly, in place of the connection's last one.
-func (a *Assembler) begin(now int64, conn uint64, p wire.Chunk) *assembly {
+// start makes an assembly, in place of the connection's last one.
+func (a *Assembler) start(now int64, conn uint64, p wire.Chunk) *assembly {
 	a.Closed(conn)
-	if len(a.byConn) >= AssembliesMost {
+	if len(a.byConn) >= MaxAssemblies {
 		a.Closed(a.oldest())
 	}
-	a.next++
-	as := &assembly{number: a.next, transfer: p.Transfer, total: p.Total, digest: p.Digest, at: now}
+	a.lastSeq++
+	as := &assembly{seq: a.lastSeq, transfer: p.Transfer, total: p.Total, digest: p.Digest, lastChunkAt: now}
 	a.byConn[conn] = as
 	return as
 }
 
 // oldest is the connection that was silent for longest.
 func (a *Assembler) oldest() (conn uint64) {
-	at, first := int64(0), true
+	oldestAt, first := int64(0), true
 	for id, as := range a.byConn {
-		if first || as.at < at || as.at == at && id < conn {
-			conn, at, first = id, as.at, false
+		if first || as.lastChunkAt < oldestAt || as.lastChunkAt == oldestAt && id < conn {
+			conn, oldestAt, first = id, as.lastChunkAt, false
 		}
 	}
 	return conn
@@ -152,13 +152,13 @@
 // reserve makes room for more bytes of an assembly. Where there is none, only the assembly that
 // began first goes on, and it has the room of the one that began last.
 func (a *Assembler) reserve(as *assembly, n int) bool {
-	for a.held+n > AssembledMost {
+	for a.buffered+n > MaxBufferedBytes {
 		conn, last := uint64(0), as
 		for id, other := range a.byConn {
-			if !other.whole && other.number < as.number {
+			if !other.complete && other.seq < as.seq {
 				return false
 			}
-			if !other.whole && other.number > last.number {
+			if !other.complete && other.seq > last.seq {
 				conn, last = id, other
 			}
 		}
@@ -167,28 +167,28 @@
 		}
 		a.Closed(conn)
 	}
-	a.held += n
+	a.buffered += n
 	return true
 }
 
 // finish checks a message that is whole.
-func (a *Assembler) finish(conn uint64, as *assembly) (Taken, error) {
+func (a *Assembler) finish(conn uint64, as *assembly) (Accepted, error) {
 	data := as.data
 	if digest := sha256.Sum256(data); !bytes.Equal(digest[:], as.digest) {
 		a.Closed(conn)
-		return Taken{}, ErrDigest
+		return Accepted{}, ErrDigest
 	}
-	a.held -= len(data)
-	as.data, as.whole = nil, true
+	a.buffered -= len(data)
+	as.data, as.complete = nil, true
 	taken := acknowledge(as.transfer, as.total)
-	taken.Whole = data
+	taken.Message = data
 	return taken, nil
 }
 
 // Closed drops what came on a connection that has ended.
 func (a *Assembler) Closed(conn uint64) {
 	if as := a.byConn[conn]; as != nil {
-		a.held -= len(as.data)
+		a.buffered -= len(as.data)
 		delete(a.byConn, conn)
 	}
 }
@@ -196,7 +196,7 @@
 // Expire drops the assemblies that nothing was added to for long.
 func (a *Assembler) Expire(now int64) {
 	for conn, as := range a.byConn {
-		if now-as.at >= IdleAfter {
+		if now-as.lastChunkAt >= IdleTimeout {
 			a.Closed(conn)
 		}
 	}
--- a/runtime/chunk/sender.go
+++ b/runtime/chunk/sender.go
@@ -21,17 +21,17 @@
 	// ProcessWindow to all together: 105 ms on a link of 10 Mbit/s.
 	DestinationWindow = 2 * wire.ChunkBytes
 	ProcessWindow     = 4 * wire.ChunkBytes
-	// RetryAfter is how long a transfer goes without progress before its pieces are sent
+	// RetryInterval is how long a transfer goes without progress before its pieces are sent
 	// again from the last one that was acknowledged.
-	RetryAfter = 1_000_000
-	// GiveUpAfter is how long a transfer may go without any progress.
-	GiveUpAfter = 5_000_000
-	// RestartsMost is how often the receiver may ask for the beginning.
-	RestartsMost = 4
-	// QueueMost bounds the messages that wait for one destination, the one under way included.
-	QueueMost = 16
-	// QueueBytesMost bounds what the messages of all destinations hold.
-	QueueBytesMost = 32 << 20
+	RetryInterval = 1_000_000
+	// ProgressTimeout is how long a transfer may go without any progress.
+	ProgressTimeout = 5_000_000
+	// MaxRestarts is how often the receiver may ask for the beginning.
+	MaxRestarts = 4
+	// MaxQueued bounds the messages that wait for one destination, the one under way included.
+	MaxQueued = 16
+	// MaxQueuedBytes bounds what the messages of all destinations hold.
+	MaxQueuedBytes = 32 << 20
 )
 
 // Destination is an open connection, or the address of a direct one.
@@ -42,29 +42,29 @@
 
 // Message is what is to be sent. One that waits is replaced by a newer one of its slot.
 type Message struct {
-	To   Destination
-	Slot string
-	Data []byte
+	To         Destination
+	ReplaceKey string
+	Data       []byte
 }
 
 // Outgoing is a piece for a destination.
 type Outgoing struct {
 	To    Destination
-	Piece wire.Chunk
+	Chunk wire.Chunk
 }
 
 // Sender holds the messages that are on their way in pieces.
 type Sender struct {
 	queues map[Destination]*queue
-	// order is the order in which destinations take turns.
-	order []Destination
-	next  uint64
-	held  int
+	// destinations is the order in which destinations take turns.
+	destinations []Destination
+	lastTransfer uint64
+	queuedBytes  int
 }
 
 // NewSender makes a sender that numbers its transfers from first on.
 func NewSender(first uint64) *Sender {
-	return &Sender{queues: map[Destination]*queue{}, next: first}
+	return &Sender{queues: map[Destination]*queue{}, lastTransfer: first}
 }
 
 // Busy reports whether anything is on its way.
@@ -80,44 +80,44 @@
 // finds no room is dropped, which is told by false.
 func (s *Sender) Enqueue(now int64, m Message) bool {
 	q := s.queues[m.To]
-	if q != nil && (q.repeats(m) || s.replace(q, now, m)) {
+	if q != nil && (q.contains(m) || s.replace(q, now, m)) {
 		return true
 	}
-	if len(m.Data) > wire.MaxMessage || s.held+len(m.Data) > QueueBytesMost || q != nil && len(q.messages) >= QueueMost {
+	if len(m.Data) > wire.MaxMessage || s.queuedBytes+len(m.Data) > MaxQueuedBytes || q != nil && len(q.messages) >= MaxQueued {
 		return false
 	}
 	m.Data = s.shared(m.Data)
-	s.held += len(m.Data)
+	s.queuedBytes += len(m.Data)
 	if q != nil {
 		q.messages = append(q.messages, m)
 		return true
 	}
 	q = &queue{messages: []Message{m}}
 	s.queues[m.To] = q
-	s.order = append(s.order, m.To)
-	s.next++
-	q.begin(s.next, now)
+	s.destinations = append(s.destinations, m.To)
+	s.lastTransfer++
+	q.begin(s.lastTransfer, now)
 	return true
 }
 
 // replace puts a message in the place of an older one of its slot, if there is one.
 func (s *Sender) replace(q *queue, now int64, m Message) bool {
-	i := q.placeOf(now, m)
+	i := q.replaceable(now, m)
 	if i < 0 {
 		return false
 	}
-	s.held += len(m.Data) - len(q.messages[i].Data)
+	s.queuedBytes += len(m.Data) - len(q.messages[i].Data)
 	q.messages[i].Data = m.Data
 	if i == 0 {
-		s.next++
-		q.begin(s.next, now)
+		s.lastTransfer++
+		q.begin(s.lastTransfer, now)
 	}
 	return true
 }
 
 // shared gives the bytes of an equal message for another destination, if there is one.
 func (s *Sender) shared(data []byte) []byte {
-	for _, to := range s.order {
+	for _, to := range s.destinations {
 		for _, m := range s.queues[to].messages {
 			if bytes.Equal(m.Data, data) {
 				return m.Data
@@ -127,14 +127,14 @@
 	return data
 }
 
-// end drops a queue's first message and starts the next one.
-func (s *Sender) end(to Destination, now int64) {
+// finish drops a queue's first message and starts the next one.
+func (s *Sender) finish(to Destination, now int64) {
 	q := s.queues[to]
-	s.held -= len(q.messages[0].Data)
+	s.queuedBytes -= len(q.messages[0].Data)
 	q.messages = q.messages[1:]
 	if len(q.messages) > 0 {
-		s.next++
-		q.begin(s.next, now)
+		s.lastTransfer++
+		q.begin(s.lastTransfer, now)
 		return
 	}
 	s.forget(to)
@@ -146,12 +146,12 @@
 		return
 	}
 	for _, m := range q.messages {
-		s.held -= len(m.Data)
+		s.queuedBytes -= len(m.Data)
 	}
 	delete(s.queues, to)
-	for i, other := range s.order {
+	for i, other := range s.destinations {
 		if other == to {
-			s.order = append(s.order[:i], s.order[i+1:]...)
+			s.destinations = append(s.destinations[:i], s.destinations[i+1:]...)
 			return
 		}
 	}
@@ -169,16 +169,16 @@
 		}
 		switch {
 		case ack.Next >= len(q.messages[0].Data):
-			s.end(to, now)
+			s.finish(to, now)
 			return true, false
 		case ack.Next > q.acked:
 			q.acked, q.sent = ack.Next, max(q.sent, ack.Next)
-			q.progressAt, q.retryAt = now, now+RetryAfter
+			q.progressAt, q.retryAt = now, now+RetryInterval
 		case ack.Next == 0 && q.acked > 0:
 			q.acked, q.sent = 0, 0
-			q.retryAt = now + RetryAfter
-			if q.restarts++; q.restarts > RestartsMost {
-				s.end(to, now)
+			q.retryAt = now + RetryInterval
+			if q.restarts++; q.restarts > MaxRestarts {
+				s.finish(to, now)
 			}
 			return false, true
 		}
@@ -189,39 +189,39 @@
 
 // Expire sends again what was not acknowledged in time, and gives up what made no progress.
 // It tells how many transfers were given up.
-func (s *Sender) Expire(now int64) (given int) {
-	for _, to := range append([]Destination(nil), s.order...) {
+func (s *Sender) Expire(now int64) (abandoned int) {
+	for _, to := range append([]Destination(nil), s.destinations...) {
 		q := s.queues[to]
 		switch {
-		case now-q.progressAt >= GiveUpAfter:
-			given++
-			s.end(to, now)
-		case q.isSilent(now) && q.hasNewer():
-			s.end(to, now)
+		case now-q.progressAt >= ProgressTimeout:
+			abandoned++
+			s.finish(to, now)
+		case q.unresponsive(now) && q.hasNewer():
+			s.finish(to, now)
 		case now >= q.retryAt:
-			q.sent, q.retryAt = q.acked, now+RetryAfter
+			q.sent, q.retryAt = q.acked, now+RetryInterval
 		}
 	}
-	return given
+	return abandoned
 }
 
 // Pump gives the pieces that may be sent now, the destinations in turns.
 func (s *Sender) Pump(now int64) (out []Outgoing) {
-	room := ProcessWindow - s.unacknowledged(now)
-	for sent := true; sent && room > 0; {
+	window := ProcessWindow - s.unacknowledged(now)
+	for sent := true; sent && window > 0; {
 		sent = false
-		for _, to := range s.order {
+		for _, to := range s.destinations {
 			q := s.queues[to]
-			if room <= 0 || !q.hasRoom() {
+			if window <= 0 || !q.fitsWindow() {
 				continue
 			}
-			piece := q.piece()
-			room -= len(piece.Data)
-			out, sent = append(out, Outgoing{To: to, Piece: piece}), true
+			part := q.nextChunk()
+			window -= len(part.Data)
+			out, sent = append(out, Outgoing{To: to, Chunk: part}), true
 		}
 	}
-	if len(s.order) > 1 {
-		s.order = append(s.order[1:], s.order[0])
+	if len(s.destinations) > 1 {
+		s.destinations = append(s.destinations[1:], s.destinations[0])
 	}
 	return out
 }
@@ -230,7 +230,7 @@
 // they would hold up all others.
 func (s *Sender) unacknowledged(now int64) (n int) {
 	for _, q := range s.queues {
-		if now-q.progressAt < RetryAfter/2 {
+		if now-q.progressAt < RetryInterval/2 {
 			n += q.sent - q.acked
 		}
 	}
--- a/runtime/diskfile/diskfile.go
+++ b/runtime/diskfile/diskfile.go
@@ -15,13 +15,13 @@
 
 var magic = []byte("wallport")
 
-// ErrTorn is returned for a file that is not whole.
-var ErrTorn = errors.New("file is torn or foreign")
+// ErrCorrupt is returned for a file that is not whole.
+var ErrCorrupt = errors.New("file is torn or foreign")
 
-// ErrFuture is returned for a file that a newer program wrote.
-type ErrFuture struct{ Format byte }
+// FutureFormatError is returned for a file that a newer program wrote.
+type FutureFormatError struct{ Format byte }
 
-func (e ErrFuture) Error() string {
+func (e FutureFormatError) Error() string {
 	return fmt.Sprintf("file has disk format %d, this program knows up to %d: run the newer program on this folder", e.Format, Format)
 }
 
@@ -39,17 +39,17 @@
 func Unpack(b []byte) ([]byte, error) {
 	head := len(magic) + 1
 	if len(b) < head+sha256.Size || !bytes.Equal(b[:len(magic)], magic) {
-		return nil, ErrTorn
+		return nil, ErrCorrupt
 	}
 	if b[len(magic)] == 0 {
-		return nil, ErrTorn
+		return nil, ErrCorrupt
 	}
 	if b[len(magic)] > Format {
-		return nil, ErrFuture{b[len(magic)]}
+		return nil, FutureFormatError{b[len(magic)]}
 	}
 	content := b[head+sha256.Size:]
 	if sum := sha256.Sum256(content); !bytes.Equal(sum[:], b[head:head+sha256.Size]) {
-		return nil, ErrTorn
+		return nil, ErrCorrupt
 	}
 	return content, nil
 }
--- a/runtime/diskfile/golden_test.go
+++ b/runtime/diskfile/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 // A file as earlier releases wrote it: magic, format, digest, content.
-func TestPackedFileIsThatOfEarlierReleases(t *testing.T) {
+func TestPackKeepsFormatOfEarlierReleases(t *testing.T) {
 	const packed = "77616c6c706f7274" + "01" +
 		"ed7002b439e9ac845f22357d822bac1444730fbdb6016d3ec9432297b9ec9f73" + "636f6e74656e74"
 	must.Eq(t, packed, hex.EncodeToString(Pack([]byte("content"))))
--- a/runtime/invariant/invariant.go
+++ b/runtime/invariant/invariant.go
@@ -14,20 +14,20 @@
 
 // The invariants of the request path.
 const (
-	// RunsOnce: a request that may run once is not sent while an earlier sending of it may have run.
-	RunsOnce Name = "runs_once"
-	// RefusedNotRun: a request that may run once is refused only if no backend has it or may have run it.
-	RefusedNotRun Name = "refused_not_run"
+	// AtMostOnce: a request that may run once is not sent while an earlier sending of it may have run.
+	AtMostOnce Name = "runs_once"
+	// RejectedNotRun: a request that may run once is refused only if no backend has it or may have run it.
+	RejectedNotRun Name = "refused_not_run"
 	// SuccessSealed: a success is a backend's success, with its seal.
 	SuccessSealed Name = "success_sealed"
-	// PartsComplete: a gathered success has enough parts, each with a seal of its own.
-	PartsComplete Name = "parts_complete"
-	// NoAskAfterEnd: nothing is sent for a request that has its outcome.
-	NoAskAfterEnd Name = "no_ask_after_end"
+	// ShardsComplete: a gathered success has enough parts, each with a seal of its own.
+	ShardsComplete Name = "parts_complete"
+	// NoSendAfterOutcome: nothing is sent for a request that has its outcome.
+	NoSendAfterOutcome Name = "no_ask_after_end"
 	// BackendsWithinRoute: a request is sent to no more backends of a pool than its route allows.
 	BackendsWithinRoute Name = "backends_within_route"
-	// NotToLeaving: a backend that leaves, or is in a drained zone, is not chosen.
-	NotToLeaving Name = "not_to_leaving"
+	// NoSendToDraining: a backend that leaves, or is in a drained zone, is not chosen.
+	NoSendToDraining Name = "not_to_leaving"
 	// GaugesNotNegative: what is counted up and down never falls below zero.
 	GaugesNotNegative Name = "gauges_not_negative"
 )
@@ -38,12 +38,12 @@
 	OneLeader Name = "one_leader"
 	// LeaderInItsTerm: a leader commits only while it has voted no later term than its own.
 	LeaderInItsTerm Name = "leader_in_its_term"
-	// VersionContent: a version stands for one content.
-	VersionContent Name = "version_content"
-	// RevisionRises: the revision of the routing table rises from one committed version to the next.
-	RevisionRises Name = "revision_rises"
-	// ConfigRises: what a process has in force never goes back.
-	ConfigRises Name = "config_rises"
+	// OneContentPerVersion: a version stands for one content.
+	OneContentPerVersion Name = "version_content"
+	// RevisionIncreases: the revision of the routing table rises from one committed version to the next.
+	RevisionIncreases Name = "revision_rises"
+	// ConfigIncreases: what a process has in force never goes back.
+	ConfigIncreases Name = "config_rises"
 	// OneLeaseHolder: a lease is granted to one holder at a time.
 	OneLeaseHolder Name = "one_lease_holder"
 )
@@ -51,8 +51,8 @@
 // All lists every invariant.
 func All() []Name {
 	return []Name{
-		RunsOnce, RefusedNotRun, SuccessSealed, PartsComplete, NoAskAfterEnd, BackendsWithinRoute, NotToLeaving, GaugesNotNegative,
-		OneLeader, LeaderInItsTerm, VersionContent, RevisionRises, ConfigRises, OneLeaseHolder,
+		AtMostOnce, RejectedNotRun, SuccessSealed, ShardsComplete, NoSendAfterOutcome, BackendsWithinRoute, NoSendToDraining, GaugesNotNegative,
+		OneLeader, LeaderInItsTerm, OneContentPerVersion, RevisionIncreases, ConfigIncreases, OneLeaseHolder,
 	}
 }
 
@@ -75,8 +75,8 @@
 // SetFatal has every violation end the process from now on.
 func SetFatal() { fatal.Store(true) }
 
-// End ends the process with a violation, in tests and where SetFatal was called.
-func End(n Name, detail string) {
+// PanicIfFatal ends the process with a violation, in tests and where SetFatal was called.
+func PanicIfFatal(n Name, detail string) {
 	if fatal.Load() || testing.Testing() {
 		panic(Violation{n, detail})
 	}
@@ -98,5 +98,5 @@
 	if r != nil && r.Log != nil {
 		r.Log(n, detail)
 	}
-	End(n, detail)
+	PanicIfFatal(n, detail)
 }
--- a/runtime/invariant/invariant_test.go
+++ b/runtime/invariant/invariant_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestViolationIsCountedLoggedAndFatalInTests(t *testing.T) {
+func TestViolationIsCountedLoggedAndFatal(t *testing.T) {
 	counted, logged := "", ""
 	r := &Recorder{
 		Count: func(counter string, n int64) { counted = counter },
@@ -20,7 +20,7 @@
 			must.True(t, ok)
 			must.EqError(t, v, "runs_once: request 7 again")
 		}()
-		r.Violated(RunsOnce, "request %d again", 7)
+		r.Violated(AtMostOnce, "request %d again", 7)
 	}()
 	must.Eq(t, `invariant_violations{invariant="runs_once"}`, counted)
 	must.Eq(t, "runs_once request 7 again", logged)
--- a/runtime/kernel/pieces.go
+++ b/runtime/kernel/chunks.go
@@ -10,8 +10,8 @@
 	"wallport/runtime/wire"
 )
 
-// chunksTimer is the timer's name; no plug-in has it.
-const chunksTimer = "pieces"
+// transferTimer is the timer's name; no plug-in has it.
+const transferTimer = "pieces"
 
 // chunks is the kernel's side of segmented messages.
 type chunks struct {
@@ -24,34 +24,34 @@
 	return &chunks{sender: chunk.NewSender(0), assembler: chunk.NewAssembler()}
 }
 
-// keepsOrder tells of the kinds of which a small frame must not pass a large one: the last
+// mustNotOvertake tells of the kinds of which a small frame must not pass a large one: the last
 // frame of a hand-over says that it is complete.
-func keepsOrder(kind uint8) bool { return kind == wire.KindRecordsReply }
+func mustNotOvertake(kind uint8) bool { return kind == wire.KindRecordsReply }
 
 // send takes the large messages out of a step's sends and adds the pieces that may leave now.
 func (p *chunks) send(ctx *Context) {
-	sends := ctx.Out.Sends[:0]
-	for _, s := range ctx.Out.Sends {
+	sends := ctx.Output.Sends[:0]
+	for _, s := range ctx.Output.Sends {
 		to := chunk.Destination{Conn: s.Conn, Addr: s.Addr}
-		behind := keepsOrder(wire.KindOf(s.Data)) && p.sender.Sending(to)
-		if len(s.Data) <= wire.MaxSingleFrame && !behind {
+		mustWait := mustNotOvertake(wire.KindOf(s.Data)) && p.sender.Sending(to)
+		if len(s.Data) <= wire.MaxSingleFrame && !mustWait {
 			sends = append(sends, s)
 			continue
 		}
-		if !p.sender.Enqueue(ctx.Now, chunk.Message{To: to, Slot: s.ReplaceKey, Data: s.Data}) {
+		if !p.sender.Enqueue(ctx.Now, chunk.Message{To: to, ReplaceKey: s.ReplaceKey, Data: s.Data}) {
 			ctx.Counts.Add("transfers_dropped", 1)
 		}
 	}
-	ctx.Out.Sends = sends
+	ctx.Output.Sends = sends
 	p.pump(ctx)
 	p.armTimer(ctx)
 }
 
 func (p *chunks) pump(ctx *Context) {
 	for _, o := range p.sender.Pump(ctx.Now) {
-		ctx.Counts.Add("transfer_bytes_out", int64(len(o.Piece.Data)))
-		frame := wire.Seal(wire.KindChunk, 0, &o.Piece)
-		ctx.Out.Sends = append(ctx.Out.Sends, Send{Conn: o.To.Conn, Addr: o.To.Addr, Data: frame})
+		ctx.Counts.Add("transfer_bytes_out", int64(len(o.Chunk.Data)))
+		frame := wire.Seal(wire.KindChunk, 0, &o.Chunk)
+		ctx.Output.Sends = append(ctx.Output.Sends, Send{Conn: o.To.Conn, Addr: o.To.Addr, Data: frame})
 	}
 }
 
@@ -62,9 +62,9 @@
 	}
 	switch {
 	case p.sender.Busy():
-		ctx.After(chunk.RetryAfter/2, chunksTimer, "")
+		ctx.After(chunk.RetryInterval/2, transferTimer, "")
 	case p.assembler.Busy():
-		ctx.After(chunk.IdleAfter, chunksTimer, "")
+		ctx.After(chunk.IdleTimeout, transferTimer, "")
 	default:
 		return
 	}
@@ -74,15 +74,15 @@
 // tick sends again, gives up and forgets; the pieces leave at the end of the step.
 func (p *chunks) tick(ctx *Context) {
 	p.timerSet = false
-	if given := p.sender.Expire(ctx.Now); given > 0 {
-		ctx.Counts.Add("transfers_abandoned", int64(given))
-		ctx.Log(LevelWarn, "transfer_abandoned", "transfers", given)
+	if abandoned := p.sender.Expire(ctx.Now); abandoned > 0 {
+		ctx.Counts.Add("transfers_abandoned", int64(abandoned))
+		ctx.Log(LevelWarn, "transfer_abandoned", "transfers", abandoned)
 	}
 	p.assembler.Expire(ctx.Now)
 }
 
-// Receiving reports whether a large message is coming in, on any connection.
-func (k *Kernel) Receiving() bool { return k.chunks.assembler.Held() > 0 }
+// ReceivingAny reports whether a large message is coming in, on any connection.
+func (k *Kernel) ReceivingAny() bool { return k.chunks.assembler.BufferedBytes() > 0 }
 
 // ReceivingOn reports whether one is coming in on a connection.
 func (k *Kernel) ReceivingOn(conn uint64) bool { return k.chunks.assembler.Receiving(conn) }
@@ -110,7 +110,7 @@
 // received takes a piece, and gives the message that is whole by it. An error means that the
 // connection should be dropped.
 func (p *chunks) received(ctx *Context, conn uint64, piece wire.Chunk) (*wire.Frame, error) {
-	taken, err := p.assembler.Take(ctx.Now, conn, piece)
+	taken, err := p.assembler.Accept(ctx.Now, conn, piece)
 	if err != nil {
 		if errors.Is(err, chunk.ErrDigest) {
 			ctx.Counts.Add("transfers_corrupt", 1)
@@ -121,10 +121,10 @@
 	if taken.Reply {
 		ctx.Send(conn, wire.KindChunkAck, 0, &taken.Ack)
 	}
-	if taken.Whole == nil {
+	if taken.Message == nil {
 		return nil, nil
 	}
 	ctx.Counts.Add("transfers_received", 1)
-	frame, err := wire.OpenMessage(taken.Whole)
+	frame, err := wire.OpenMessage(taken.Message)
 	return &frame, err
 }
--- a/runtime/kernel/pieces_test.go
+++ b/runtime/kernel/chunks_test.go
@@ -25,7 +25,7 @@
 }
 
 // sendNow has a kernel send a message on connection 1.
-func (k *Kernel) sendNow(now int64, kind uint8, m msgp.Marshaler) Out {
+func (k *Kernel) sendNow(now int64, kind uint8, m msgp.Marshaler) Output {
 	k.Later(func(ctx *Context) { ctx.Send(1, kind, 7, m) })
 	return k.Step(now, now, Stopping{})
 }
@@ -37,9 +37,9 @@
 }
 
 // exchange carries frames to and fro until there are none. Both sides call the connection 1.
-func exchange(t *testing.T, now int64, from, to *Kernel, out Out) (frames int) {
+func exchange(t *testing.T, now int64, from, to *Kernel, out Output) (frames int) {
 	for len(out.Sends) > 0 {
-		var back, on Out
+		var back, on Output
 		for _, s := range out.Sends {
 			must.LessEq(t, wire.MaxSingleFrame, len(s.Data))
 			frames++
@@ -53,7 +53,7 @@
 	return frames
 }
 
-func TestALargeMessageArrivesWhole(t *testing.T) {
+func TestLargeMessageArrivesComplete(t *testing.T) {
 	a, _ := newRecording()
 	b, got := newRecording()
 	e := wire.Edit{EditID: "large", Body: bytes.Repeat([]byte("0123456789abcdef"), 4<<20/16)}
@@ -67,7 +67,7 @@
 	must.Eq(t, 1, a.Counts.Of("transfers_sent").Load())
 }
 
-func TestAHeartbeatPassesBetweenThePieces(t *testing.T) {
+func TestHeartbeatOvertakesChunks(t *testing.T) {
 	a, _ := newRecording()
 	b, got := newRecording()
 	large := a.sendNow(0, wire.KindEdit, &wire.Edit{Body: make([]byte, 1<<20)})
@@ -84,7 +84,7 @@
 	must.Len(t, 2, got.got)
 }
 
-func TestAMessageLargerThanAnyIsDroppedAndTheNextOneGoesOn(t *testing.T) {
+func TestOversizeMessageIsDroppedAndNextIsDelivered(t *testing.T) {
 	a, _ := newRecording()
 	b, got := newRecording()
 	exchange(t, 0, a, b, a.sendNow(0, wire.KindEdit, &wire.Edit{Body: make([]byte, wire.MaxMessage)}))
@@ -94,14 +94,14 @@
 	must.Len(t, 1, got.got)
 }
 
-func TestAPieceThatIsNotOneDropsTheConnection(t *testing.T) {
+func TestMalformedChunkDropsConnection(t *testing.T) {
 	b, got := newRecording()
 	out := b.Step(0, 0, Received{Conn: 1, Data: wire.Seal(wire.KindChunk, 0, &wire.Chunk{Transfer: 1, Total: 9})})
 	must.Eq(t, []uint64{1}, out.Drops)
 	must.Len(t, 0, got.got)
 }
 
-func TestPiecesThatGotLostAreSentAgain(t *testing.T) {
+func TestLostChunksAreResent(t *testing.T) {
 	a, _ := newRecording()
 	b, got := newRecording()
 	lost := a.sendNow(0, wire.KindEdit, &wire.Edit{Body: make([]byte, 300_000)})
@@ -109,7 +109,7 @@
 	at := int64(0)
 	for range 4 {
 		at += 500_000
-		exchange(t, at, a, b, a.Step(at, at, Tick{Plugin: chunksTimer}))
+		exchange(t, at, a, b, a.Step(at, at, Tick{Plugin: transferTimer}))
 	}
 	must.Len(t, 1, got.got)
 }
--- a/runtime/kernel/turn.go
+++ b/runtime/kernel/context.go
@@ -106,8 +106,8 @@
 		Plugin, Key, URL string
 		Timeout          int64
 	}
-	// Answer replies to a Call.
-	Answer struct {
+	// Reply replies to a Call.
+	Reply struct {
 		ID    uint64
 		Value any
 	}
@@ -130,15 +130,15 @@
 	LevelError
 )
 
-// Out is all that one step asks of its driver.
-type Out struct {
+// Output is all that one step asks of its driver.
+type Output struct {
 	Sends     []Send
 	Dials     []string
 	Drops     []uint64
 	Timers    []Timer
 	Writes    []Write
 	Fetches   []Fetch
-	Answers   []Answer
+	Replies   []Reply
 	LogEvents []LogEvent
 }
 
@@ -148,7 +148,7 @@
 	Wall   int64
 	Rand   *rand.Rand
 	Counts *Counts
-	Out    Out
+	Output Output
 	events []Input
 }
 
@@ -157,65 +157,65 @@
 
 // Send queues a message on a channel.
 func (ctx *Context) Send(conn uint64, kind uint8, id uint64, m msgp.Marshaler) {
-	ctx.Out.Sends = append(ctx.Out.Sends, Send{Conn: conn, Data: wire.Seal(kind, id, m)})
+	ctx.Output.Sends = append(ctx.Output.Sends, Send{Conn: conn, Data: wire.Seal(kind, id, m)})
 }
 
 // SendLatest is Send for frames of which only the newest of a slot matters.
-func (ctx *Context) SendLatest(conn uint64, kind uint8, m msgp.Marshaler, slot string) {
-	ctx.Out.Sends = append(ctx.Out.Sends, Send{Conn: conn, Data: wire.Seal(kind, 0, m), ReplaceKey: slot})
+func (ctx *Context) SendLatest(conn uint64, kind uint8, m msgp.Marshaler, replaceKey string) {
+	ctx.Output.Sends = append(ctx.Output.Sends, Send{Conn: conn, Data: wire.Seal(kind, 0, m), ReplaceKey: replaceKey})
 }
 
 // SendLatestTo is SendLatest on the direct channel to an address.
-func (ctx *Context) SendLatestTo(addr string, kind uint8, m msgp.Marshaler, slot string) {
-	ctx.Out.Sends = append(ctx.Out.Sends, Send{Addr: addr, Data: wire.Seal(kind, 0, m), ReplaceKey: slot})
+func (ctx *Context) SendLatestTo(addr string, kind uint8, m msgp.Marshaler, replaceKey string) {
+	ctx.Output.Sends = append(ctx.Output.Sends, Send{Addr: addr, Data: wire.Seal(kind, 0, m), ReplaceKey: replaceKey})
 }
 
 // SendTo queues a message on the direct channel to an address.
 func (ctx *Context) SendTo(addr string, kind uint8, id uint64, m msgp.Marshaler) {
-	ctx.Out.Sends = append(ctx.Out.Sends, Send{Addr: addr, Data: wire.Seal(kind, id, m)})
+	ctx.Output.Sends = append(ctx.Output.Sends, Send{Addr: addr, Data: wire.Seal(kind, id, m)})
 }
 
 // Dial asks for a mesh channel to an address.
-func (ctx *Context) Dial(addr string) { ctx.Out.Dials = append(ctx.Out.Dials, addr) }
+func (ctx *Context) Dial(addr string) { ctx.Output.Dials = append(ctx.Output.Dials, addr) }
 
 // Drop closes a channel.
-func (ctx *Context) Drop(conn uint64) { ctx.Out.Drops = append(ctx.Out.Drops, conn) }
+func (ctx *Context) Drop(conn uint64) { ctx.Output.Drops = append(ctx.Output.Drops, conn) }
 
 // After has a plug-in get a Tick with a key when delay has passed.
 func (ctx *Context) After(delay clock.Micros, plugin, key string) {
 	tick := Tick{Plugin: plugin, Key: key}
-	ctx.Out.Timers = append(ctx.Out.Timers, Timer{At: ctx.Now + delay, Tick: tick})
+	ctx.Output.Timers = append(ctx.Output.Timers, Timer{At: ctx.Now + delay, Tick: tick})
 }
 
 // AfterFor is After for one of the things that a plug-in has under way, named by id.
 func (ctx *Context) AfterFor(delay clock.Micros, plugin string, id uint64) {
 	tick := Tick{Plugin: plugin, ID: id}
-	ctx.Out.Timers = append(ctx.Out.Timers, Timer{At: ctx.Now + delay, Tick: tick})
+	ctx.Output.Timers = append(ctx.Output.Timers, Timer{At: ctx.Now + delay, Tick: tick})
 }
 
 // Write asks for a durable file.
 func (ctx *Context) Write(plugin, key, file string, data []byte) {
-	ctx.Out.Writes = append(ctx.Out.Writes, Write{Plugin: plugin, Key: key, File: file, Data: data})
+	ctx.Output.Writes = append(ctx.Output.Writes, Write{Plugin: plugin, Key: key, File: file, Data: data})
 }
 
 // Fetch asks for an HTTP GET.
 func (ctx *Context) Fetch(plugin, key, url string, timeout int64) {
-	ctx.Out.Fetches = append(ctx.Out.Fetches, Fetch{Plugin: plugin, Key: key, URL: url, Timeout: timeout})
+	ctx.Output.Fetches = append(ctx.Output.Fetches, Fetch{Plugin: plugin, Key: key, URL: url, Timeout: timeout})
 }
 
-// Answer replies to a Call.
-func (ctx *Context) Answer(id uint64, v any) {
-	ctx.Out.Answers = append(ctx.Out.Answers, Answer{ID: id, Value: v})
+// Reply replies to a Call.
+func (ctx *Context) Reply(id uint64, v any) {
+	ctx.Output.Replies = append(ctx.Output.Replies, Reply{ID: id, Value: v})
 }
 
-// Violated takes note of an invariant that does not hold; detail says of what.
-func (ctx *Context) Violated(name invariant.Name, detail string) {
+// ReportViolation takes note of an invariant that does not hold; detail says of what.
+func (ctx *Context) ReportViolation(name invariant.Name, detail string) {
 	ctx.Counts.Add(invariant.Counter(name), 1)
 	ctx.Log(LevelError, invariant.Event, "invariant", string(name), "detail", detail)
-	invariant.End(name, detail)
+	invariant.PanicIfFatal(name, detail)
 }
 
 // Log records an event with alternating keys and values.
 func (ctx *Context) Log(level Level, event string, kv ...any) {
-	ctx.Out.LogEvents = append(ctx.Out.LogEvents, LogEvent{Level: level, Event: event, Fields: kv})
+	ctx.Output.LogEvents = append(ctx.Output.LogEvents, LogEvent{Level: level, Event: event, Fields: kv})
 }
--- a/runtime/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -48,15 +48,15 @@
 
 // Kernel owns the plug-ins of one process and routes inputs to them.
 type Kernel struct {
-	Boot    Boot
-	Rand    *rand.Rand
-	plugins []Plugin
-	byName  map[string]Plugin
-	byKind  map[uint8]Plugin
-	later   []func(ctx *Context)
-	Counts  *Counts
-	steps   *atomic.Int64
-	chunks  *chunks
+	Boot     Boot
+	Rand     *rand.Rand
+	plugins  []Plugin
+	byName   map[string]Plugin
+	byKind   map[uint8]Plugin
+	deferred []func(ctx *Context)
+	Counts   *Counts
+	steps    *atomic.Int64
+	chunks   *chunks
 }
 
 // New makes a kernel with every registered plug-in of the boot's role.
@@ -94,14 +94,14 @@
 }
 
 // Step feeds one input and returns everything that the plug-ins asked for.
-func (k *Kernel) Step(now, wall int64, in Input) Out {
+func (k *Kernel) Step(now, wall int64, in Input) Output {
 	k.steps.Add(1)
 	ctx := &Context{Now: now, Wall: wall, Rand: k.Rand, Counts: k.Counts}
 	k.route(ctx, in)
-	for len(ctx.events) > 0 || len(k.later) > 0 {
+	for len(ctx.events) > 0 || len(k.deferred) > 0 {
 		if len(ctx.events) == 0 {
-			f := k.later[0]
-			k.later = k.later[1:]
+			f := k.deferred[0]
+			k.deferred = k.deferred[1:]
 			f(ctx)
 			continue
 		}
@@ -112,12 +112,12 @@
 		}
 	}
 	k.chunks.send(ctx)
-	return ctx.Out
+	return ctx.Output
 }
 
 // Later has f run at the end of this step, or of the next one between steps: for a plug-in
 // that others change by plain calls and that must act on it without looking again and again.
-func (k *Kernel) Later(f func(ctx *Context)) { k.later = append(k.later, f) }
+func (k *Kernel) Later(f func(ctx *Context)) { k.deferred = append(k.deferred, f) }
 
 func (k *Kernel) route(ctx *Context, in Input) {
 	switch v := in.(type) {
@@ -130,7 +130,7 @@
 		k.chunks.closed(v.Conn)
 		k.each(ctx, in)
 	case Tick:
-		if v.Plugin == chunksTimer {
+		if v.Plugin == transferTimer {
 			k.chunks.tick(ctx)
 			return
 		}
@@ -156,41 +156,41 @@
 
 // received takes a frame; an error means that it is not one that this process can read.
 func (k *Kernel) received(ctx *Context, in Received) error {
-	f, err := wire.Open(in.Data)
+	frame, err := wire.Open(in.Data)
 	if err != nil {
 		return err
 	}
-	switch f.Kind {
+	switch frame.Kind {
 	case wire.KindChunkAck:
 		var ack wire.ChunkAck
-		if err := wire.Decode(f.Body, &ack); err != nil {
+		if err := wire.Decode(frame.Body, &ack); err != nil {
 			return err
 		}
 		k.chunks.acked(ctx, ack)
 	case wire.KindChunk:
-		var piece wire.Chunk
-		if err := wire.Decode(f.Body, &piece); err != nil {
+		var fragment wire.Chunk
+		if err := wire.Decode(frame.Body, &fragment); err != nil {
 			return err
 		}
-		whole, err := k.chunks.received(ctx, in.Conn, piece)
-		if whole == nil || err != nil {
+		message, err := k.chunks.received(ctx, in.Conn, fragment)
+		if message == nil || err != nil {
 			return err
 		}
-		k.deliver(ctx, in.Conn, *whole)
+		k.deliver(ctx, in.Conn, *message)
 	default:
-		k.deliver(ctx, in.Conn, f)
+		k.deliver(ctx, in.Conn, frame)
 	}
 	return nil
 }
 
 // deliver hands a message to the plug-in of its kind.
-func (k *Kernel) deliver(ctx *Context, conn uint64, f wire.Frame) {
-	p, ok := k.byKind[f.Kind]
+func (k *Kernel) deliver(ctx *Context, conn uint64, frame wire.Frame) {
+	p, ok := k.byKind[frame.Kind]
 	if !ok {
 		k.Counts.Add("frames_unknown_kind", 1)
 		return
 	}
-	p.Step(ctx, Message{Conn: conn, Kind: f.Kind, ID: f.ID, Body: f.Body})
+	p.Step(ctx, Message{Conn: conn, Kind: frame.Kind, ID: frame.ID, Body: frame.Body})
 }
 
 func (k *Kernel) to(ctx *Context, name string, in Input) {
--- a/runtime/process/blocked_test.go
+++ b/runtime/process/blocked_test.go
@@ -14,11 +14,11 @@
 	"wallport/runtime/settings"
 )
 
-// hangs is how long a test waits for what must not wait: only a hang lasts so long.
-const hangs = 10 * time.Second
+// hangTimeout is how long a test waits for what must not wait: only a hang lasts so long.
+const hangTimeout = 10 * time.Second
 
-// holdUp has the loop of a process do nothing until the test is over, and fills its inbox.
-func holdUp(t *testing.T, p *Process) {
+// blockLoop has the loop of a process do nothing until the test is over, and fills its inbox.
+func blockLoop(t *testing.T, p *Process) {
 	t.Helper()
 	begun, release := make(chan struct{}), make(chan struct{})
 	go p.Do(func(int64) { close(begun); <-release })
@@ -33,14 +33,14 @@
 	}
 }
 
-// returns reports whether a function returns, and does not hang.
-func returns(f func()) bool {
+// returnsInTime reports whether a function returns, and does not hang.
+func returnsInTime(f func()) bool {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		f()
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), hangs)
+	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 	defer cancel()
 	select {
 	case <-done:
@@ -50,68 +50,68 @@
 	}
 }
 
-func TestACallEndsWithItsTimeWhenTheLoopIsHeldUp(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
-	holdUp(t, p)
+func TestCallTimesOutWhenLoopIsBlocked(t *testing.T) {
+	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	blockLoop(t, p)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	must.True(t, returns(func() { p.Call(ctx, "operate", nil) }))
+	must.True(t, returnsInTime(func() { p.Call(ctx, "operate", nil) }))
 }
 
 // Frames wait for a connection that is being opened. Their number is bounded, and the end of what is
 // not open yet is no other than that of an open one.
-func TestAConnectionThatIsNotOpenYetCanBeGivenUp(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
-	wait := newChannel(p.channels, nil, "127.0.0.1:1", false, true)
+func TestPendingConnectionCanBeClosed(t *testing.T) {
+	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	wait := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
 	defer func() { must.Nil(t, recover()) }()
 	wait.close()
 }
 
-func TestFramesForAnAddressThatDoesNotAnswerAreBounded(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
+func TestBacklogForUnresponsiveAddressIsBounded(t *testing.T) {
+	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
 	// It takes connections and says nothing, as the machine of a frozen process does.
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
 	addr := silent.Addr().String()
-	for range 2 * backlogMost {
-		p.channels.send(kernel.Send{Addr: addr, Data: []byte("frame")})
+	for range 2 * maxBacklogFrames {
+		p.transport.send(kernel.Send{Addr: addr, Data: []byte("frame")})
 	}
-	must.Between(t, 1, waiting(p, addr), backlogMost)
-	must.GreaterEq(t, backlogMost, p.Kernel.Counts.Of("sends_unreachable").Load())
+	must.Between(t, 1, backlogOf(p, addr), maxBacklogFrames)
+	must.GreaterEq(t, maxBacklogFrames, p.Kernel.Counts.Of("sends_unreachable").Load())
 }
 
-// waiting is how many frames wait for the connection to an address.
-func waiting(p *Process, addr string) int {
-	p.channels.mu.Lock()
-	defer p.channels.mu.Unlock()
-	ch := p.channels.direct[addr]
-	if ch == nil {
+// backlogOf is how many frames wait for the connection to an address.
+func backlogOf(p *Process, addr string) int {
+	p.transport.mu.Lock()
+	defer p.transport.mu.Unlock()
+	pc := p.transport.direct[addr]
+	if pc == nil {
 		return 0
 	}
-	ch.mu.Lock()
-	defer ch.mu.Unlock()
-	return len(ch.frames)
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	return len(pc.frames)
 }
 
 func TestBacklogIsBoundedInBytes(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
-	wait := newChannel(p.channels, nil, "127.0.0.1:1", false, true)
+	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	wait := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
 	frame := make([]byte, 1<<20)
-	for range 3 * backlogBytes / len(frame) {
-		wait.enlist(kernel.Send{Data: frame})
+	for range 3 * maxBacklogBytes / len(frame) {
+		wait.enqueue(kernel.Send{Data: frame})
 	}
-	must.Eq(t, backlogBytes, wait.bytes)
-	wait.enlist(kernel.Send{Data: frame[:0], ReplaceKey: "s"})
-	wait.enlist(kernel.Send{Data: []byte("newer"), ReplaceKey: "s"})
-	must.Eq(t, backlogBytes/len(frame)+1, len(wait.take()))
+	must.Eq(t, maxBacklogBytes, wait.bytes)
+	wait.enqueue(kernel.Send{Data: frame[:0], ReplaceKey: "s"})
+	wait.enqueue(kernel.Send{Data: []byte("newer"), ReplaceKey: "s"})
+	must.Eq(t, maxBacklogBytes/len(frame)+1, len(wait.takeAll()))
 	must.Eq(t, 0, wait.bytes)
 }
 
 // A request that finds the process frozen waits for it to judge anew, but no longer than it may.
-func TestWaitingForAThawEndsWhenTheLoopIsHeldUp(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
-	holdUp(t, p)
+func TestAwaitThawTimesOutWhenLoopIsBlocked(t *testing.T) {
+	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	blockLoop(t, p)
 	p.lastRun.Store(p.Now() - 2*FreezeGap)
-	must.True(t, returns(func() { p.AwaitThaw(50 * time.Millisecond) }))
+	must.True(t, returnsInTime(func() { p.AwaitThaw(50 * time.Millisecond) }))
 }
--- a/runtime/process/call.go
+++ b/runtime/process/call.go
@@ -12,12 +12,12 @@
 )
 
 // Call asks a plug-in and waits for its answer. The plug-in is told when nobody waits any more.
-func (p *Process) Call(ctx context.Context, plugin string, ask any) (any, error) {
+func (p *Process) Call(ctx context.Context, plugin string, request any) (any, error) {
 	id := p.nextCall.Add(1)
 	ch := make(chan any, 1)
 	p.calls.Store(id, ch)
 	defer p.calls.Delete(id)
-	if err := p.postWithin(ctx, kernel.Call{Plugin: plugin, ID: id, Request: ask}); err != nil {
+	if err := p.postWithin(ctx, kernel.Call{Plugin: plugin, ID: id, Request: request}); err != nil {
 		return nil, err
 	}
 	select {
@@ -27,7 +27,7 @@
 		// Not here: whoever called does not wait for room in the inbox.
 		go p.Post(kernel.Canceled{Plugin: plugin, ID: id})
 		return nil, ctx.Err()
-	case <-p.stop:
+	case <-p.stopping:
 		return nil, errStopping
 	}
 }
@@ -48,28 +48,28 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-p.stop:
+	case <-p.stopping:
 		return errStopping
 	}
 }
 
 // AwaitThaw waits, after a freeze, until the loop has noticed it and judged anew, or until a time is
 // over: what waits here must be answered, also where the loop is held up.
-func (p *Process) AwaitThaw(within time.Duration) {
+func (p *Process) AwaitThaw(timeout time.Duration) {
 	if !p.Frozen() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for p.Frozen() && ctx.Err() == nil {
 		done := make(chan struct{})
-		if p.postWithin(ctx, do{f: func(int64) { close(done) }}) != nil {
+		if p.postWithin(ctx, inLoop{run: func(int64) { close(done) }}) != nil {
 			return
 		}
 		select {
 		case <-done:
 		case <-ctx.Done():
-		case <-p.stop:
+		case <-p.stopping:
 			return
 		}
 	}
@@ -78,11 +78,11 @@
 // Do runs a function inside the loop, between two steps, and waits for it.
 func (p *Process) Do(f func(now int64)) {
 	done := make(chan struct{})
-	p.Post(do{f: func(now int64) { f(now); close(done) }})
+	p.Post(inLoop{run: func(now int64) { f(now); close(done) }})
 	select {
 	case <-done:
-	case <-p.stop:
+	case <-p.stopping:
 	}
 }
 
-type do struct{ f func(now int64) }
+type inLoop struct{ run func(now int64) }
--- a/runtime/process/call_test.go
+++ b/runtime/process/call_test.go
@@ -11,8 +11,8 @@
 	"wallport/runtime/kernel"
 )
 
-func TestPluginIsToldThatACallerHasGone(t *testing.T) {
-	p := &Process{inbox: make(chan kernel.Input, 2), stop: make(chan struct{})}
+func TestPluginIsNotifiedOfCanceledCall(t *testing.T) {
+	p := &Process{inbox: make(chan kernel.Input, 2), stopping: make(chan struct{})}
 	ctx, gone := context.WithCancel(context.Background())
 	gone()
 	_, err := p.Call(ctx, "operate", "a question")
--- a/runtime/process/dial.go
+++ b/runtime/process/dial.go
@@ -11,39 +11,39 @@
 	"wallport/runtime/kernel"
 )
 
-func (c *channels) dial(addr string, mesh bool) (*channel, error) {
-	conn, err := c.dialer().Dial("tcp", addr)
+func (tr *transport) dial(addr string, mesh bool) (*peerConn, error) {
+	conn, err := tr.dialer().Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	impatient(conn)
-	return c.greet(tls.Client(conn, c.conf), addr, mesh)
+	setUserTimeout(conn)
+	return tr.handshake(tls.Client(conn, tr.tlsConfig), addr, mesh)
 }
 
 // dialer opens connections that leave from the address that the mesh listens on, if that is set.
-func (c *channels) dialer() *net.Dialer {
-	d := &net.Dialer{Timeout: dialWithin}
-	if ip := c.p.Kernel.Boot.Settings.SourceIP(); ip.IsValid() {
+func (tr *transport) dialer() *net.Dialer {
+	d := &net.Dialer{Timeout: dialTimeout}
+	if ip := tr.process.Kernel.Boot.Settings.SourceIP(); ip.IsValid() {
 		d.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()}
 	}
 	return d
 }
 
-func (c *channels) dialMesh(addr string) {
+func (tr *transport) dialMesh(addr string) {
 	go func() {
-		if _, err := c.dial(addr, true); err != nil {
-			c.p.Log.Debug("mesh_dial_failed", zap.String("addr", addr), zap.Error(err))
-			c.p.Post(kernel.ConnDown{Addr: addr, Mesh: true})
+		if _, err := tr.dial(addr, true); err != nil {
+			tr.process.Log.Debug("mesh_dial_failed", zap.String("addr", addr), zap.Error(err))
+			tr.process.Post(kernel.ConnDown{Addr: addr, Mesh: true})
 		}
 	}()
 }
 
-func (c *channels) drop(id uint64) {
-	c.mu.Lock()
-	ch := c.open[id]
-	c.mu.Unlock()
-	if ch != nil {
+func (tr *transport) drop(id uint64) {
+	tr.mu.Lock()
+	pc := tr.open[id]
+	tr.mu.Unlock()
+	if pc != nil {
 		// Not here: the end is posted to the loop that drops it, which may have no room.
-		go ch.close()
+		go pc.close()
 	}
 }
--- a/runtime/process/disk.go
+++ b/runtime/process/disk.go
@@ -34,7 +34,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fail.Wrapf(err, "cannot make the data folder")
 	}
-	lock, err := lockFolder(filepath.Join(dir, ".lock"))
+	lock, err := lockDir(filepath.Join(dir, ".lock"))
 	if err != nil {
 		return nil, nil, fail.Wrapf(err, "the data folder is in use by another process")
 	}
@@ -62,10 +62,10 @@
 	return d, files, nil
 }
 
-func (d *disk) enlist(p *Process, w kernel.Write) {
+func (d *disk) enqueue(p *Process, w kernel.Write) {
 	d.once.Do(func() {
 		d.done.Add(1)
-		go d.work(p)
+		go d.run(p)
 	})
 	select {
 	case d.jobs <- w:
@@ -74,7 +74,7 @@
 	}
 }
 
-func (d *disk) work(p *Process) {
+func (d *disk) run(p *Process) {
 	defer d.done.Done()
 	for w := range d.jobs {
 		err := d.write(w)
@@ -112,10 +112,10 @@
 	if err := os.Rename(path+".aside", path); err != nil {
 		return err
 	}
-	return d.syncFolder()
+	return d.syncDir()
 }
 
-func (d *disk) syncFolder() error {
+func (d *disk) syncDir() error {
 	f, err := os.Open(d.dir)
 	if err != nil {
 		return err
@@ -124,8 +124,8 @@
 	return f.Sync()
 }
 
-// closeWithin is how long the end of a process waits for its disk: what hangs was acknowledged to nobody.
-const closeWithin = time.Second
+// closeTimeout is how long the end of a process waits for its disk: what hangs was acknowledged to nobody.
+const closeTimeout = time.Second
 
 func (d *disk) close() {
 	close(d.jobs)
@@ -136,7 +136,7 @@
 	}()
 	select {
 	case <-written:
-	case <-time.After(closeWithin):
+	case <-time.After(closeTimeout):
 	}
 	if d.lock != nil {
 		d.lock.Close()
--- a/runtime/process/flood_test.go
+++ b/runtime/process/drop_test.go
@@ -10,9 +10,9 @@
 	"wallport/runtime/settings"
 )
 
-func TestALoopThatDropsAChannelNeverWaitsForItself(t *testing.T) {
-	a := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
-	b := start(t, settings.Settings{Mesh: free(t), Fleet: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+func TestDropDoesNotBlockFullLoop(t *testing.T) {
+	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "they meet", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	var dropped atomic.Bool
 	go a.Do(func(int64) {
@@ -24,17 +24,17 @@
 				full = true
 			}
 		}
-		a.channels.mu.Lock()
+		a.transport.mu.Lock()
 		var open []uint64
-		for id := range a.channels.open {
+		for id := range a.transport.open {
 			open = append(open, id)
 		}
-		a.channels.mu.Unlock()
+		a.transport.mu.Unlock()
 		for _, id := range open {
-			a.channels.drop(id)
+			a.transport.drop(id)
 		}
 		dropped.Store(true)
 	})
 	until(t, "the loop goes on", dropped.Load)
-	until(t, "it hears that the channel ended", func() bool { return a.Kernel.Counts.Of("steps").Load() > inboxMost })
+	until(t, "it hears that the channel ended", func() bool { return a.Kernel.Counts.Of("steps").Load() > maxInbox })
 }
--- a/runtime/process/fetch.go
+++ b/runtime/process/fetch.go
@@ -17,14 +17,14 @@
 func (p *Process) fetch(f kernel.Fetch) {
 	res := kernel.Fetched{Plugin: f.Plugin, Key: f.Key}
 	select {
-	case p.fetching <- struct{}{}:
+	case p.fetchSlots <- struct{}{}:
 	default:
 		res.Err = "too many fetches under way"
 		go p.Post(res)
 		return
 	}
 	go func() {
-		defer func() { <-p.fetching }()
+		defer func() { <-p.fetchSlots }()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(f.Timeout)*time.Microsecond)
 		defer cancel()
 		get := p.get
@@ -41,7 +41,7 @@
 	if err != nil {
 		return 0, nil, err.Error()
 	}
-	resp, err := p.fetcher.Do(req)
+	resp, err := p.httpClient.Do(req)
 	if err != nil {
 		return 0, nil, err.Error()
 	}
--- a/runtime/process/lock.go
+++ b/runtime/process/lock.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-func lockFolder(path string) (*os.File, error) {
+func lockDir(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		// No room even for an empty file: the lock can wait, the process must not fail over it.
--- a/runtime/process/field_test.go
+++ b/runtime/process/log_test.go
@@ -11,11 +11,11 @@
 	"wallport/runtime/wire"
 )
 
-func TestNoFieldNeedsReflection(t *testing.T) {
+func TestLogFieldsNeedNoReflection(t *testing.T) {
 	for _, value := range []any{
 		1, "a", []string{"a"}, true, uint64(7), []wire.Finding{{Path: "p"}}, map[string]int{"a": 1}, wire.Version{Term: 3}, &wire.Version{Term: 3}, nil,
 	} {
-		must.NotEq(t, zapcore.ReflectType, field("key", value).Type, must.Sprint(value))
+		must.NotEq(t, zapcore.ReflectType, logField("key", value).Type, must.Sprint(value))
 	}
-	must.Eq(t, "{0 3 9}", field("key", wire.Version{Term: 3, Seq: 9}).String)
+	must.Eq(t, "{0 3 9}", logField("key", wire.Version{Term: 3, Seq: 9}).String)
 }
--- a/runtime/process/loop.go
+++ b/runtime/process/loop.go
@@ -24,36 +24,36 @@
 // FreezeGap is how long the loop must not have run to count as thawed.
 const FreezeGap = 1_000_000
 
-// inboxMost bounds the inputs that wait for the loop.
-const inboxMost = 8192
+// maxInbox bounds the inputs that wait for the loop.
+const maxInbox = 8192
 
 // Process is a running kernel.
 type Process struct {
 	Kernel *kernel.Kernel
 	Log    *zap.Logger
 
-	began    time.Time
-	inbox    chan kernel.Input
-	timers   timerHeap
-	notes    *zap.Logger
-	channels *channels
-	disk     *disk
-	calls    sync.Map
-	nextCall atomic.Uint64
-	lastRun  atomic.Int64
-	thaws    atomic.Int64
-	fetcher  *http.Client
-	fetchers map[string]Fetcher
-	fetching chan struct{}
-	stop     chan struct{}
-	stopped  sync.WaitGroup
+	startedAt  time.Time
+	inbox      chan kernel.Input
+	timers     timerHeap
+	sampledLog *zap.Logger
+	transport  *transport
+	disk       *disk
+	calls      sync.Map
+	nextCall   atomic.Uint64
+	lastRun    atomic.Int64
+	thaws      atomic.Int64
+	httpClient *http.Client
+	fetchers   map[string]Fetcher
+	fetchSlots chan struct{}
+	stopping   chan struct{}
+	loopDone   sync.WaitGroup
 }
 
 // Config is what a process is started with.
 type Config struct {
-	Env  settings.Settings
-	Role string
-	Log  *zap.Logger
+	Settings settings.Settings
+	Role     string
+	Log      *zap.Logger
 	// Fetchers carry out the fetches of the plug-ins they are named after, in place of a plain GET:
 	// the seam at which a platform's own formats are turned into the product's.
 	Fetchers map[string]Fetcher
@@ -65,32 +65,32 @@
 	if _, err := crand.Read(seed[:]); err != nil {
 		return nil, err
 	}
-	d, files, err := openDisk(c.Env.Data)
+	d, files, err := openDisk(c.Settings.DataDir)
 	if err != nil {
 		return nil, err
 	}
 	key := kernel.KeyFrom(seed[:32])
-	k := kernel.New(kernel.Boot{Settings: c.Env, Role: c.Role, Seed: binary.BigEndian.Uint64(seed[32:]), Key: key, Files: files})
+	k := kernel.New(kernel.Boot{Settings: c.Settings, Role: c.Role, Seed: binary.BigEndian.Uint64(seed[32:]), Key: key, Files: files})
 	p := &Process{
-		Kernel: k, Log: c.Log, fetchers: c.Fetchers, began: time.Now(), inbox: make(chan kernel.Input, inboxMost), disk: d,
-		fetcher: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
+		Kernel: k, Log: c.Log, fetchers: c.Fetchers, startedAt: time.Now(), inbox: make(chan kernel.Input, maxInbox), disk: d,
+		httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
 		// Fetches are small and few; more than this at once means that something hangs.
-		fetching: make(chan struct{}, 128), stop: make(chan struct{}),
+		fetchSlots: make(chan struct{}, 128), stopping: make(chan struct{}),
 	}
 	// What peers can bring about is logged with a limit: twenty lines of an event
 	// a second, then one in a hundred. The counters tell the rest.
-	p.notes = c.Log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
+	p.sampledLog = c.Log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, time.Second, 20, 100)
 	}))
 	for _, n := range invariant.All() {
 		// Shown from the start, as 0.
 		k.Counts.Of(invariant.Counter(n))
 	}
-	if p.channels, err = openChannels(p, key); err != nil {
+	if p.transport, err = openTransport(p, key); err != nil {
 		return nil, err
 	}
 	p.lastRun.Store(p.Now())
-	p.stopped.Add(1)
+	p.loopDone.Add(1)
 	go p.run()
 	return p, nil
 }
@@ -104,10 +104,10 @@
 
 // Sampled is a log for what clients and peers can bring about: a few lines of an event a second,
 // then one in many.
-func (p *Process) Sampled() *zap.Logger { return p.notes }
+func (p *Process) Sampled() *zap.Logger { return p.sampledLog }
 
 // Now is the process's monotonic clock.
-func (p *Process) Now() int64 { return time.Since(p.began).Microseconds() }
+func (p *Process) Now() int64 { return time.Since(p.startedAt).Microseconds() }
 
 // Frozen reports whether the loop has not run for so long that its tables are old.
 func (p *Process) Frozen() bool { return p.Now()-p.lastRun.Load() > FreezeGap }
@@ -119,34 +119,34 @@
 func (p *Process) Post(in kernel.Input) {
 	select {
 	case p.inbox <- in:
-	case <-p.stop:
+	case <-p.stopping:
 	}
 }
 
 func (p *Process) step(at clocks, in kernel.Input) {
 	out := p.Kernel.Step(at.now, at.wall, in)
 	for _, n := range out.LogEvents {
-		p.note(n)
+		p.logEvent(n)
 	}
 	for _, t := range out.Timers {
 		heap.Push(&p.timers, t)
 	}
 	for _, w := range out.Writes {
-		p.disk.enlist(p, w)
+		p.disk.enqueue(p, w)
 	}
 	for _, a := range out.Dials {
-		p.channels.dialMesh(a)
+		p.transport.dialMesh(a)
 	}
 	for _, s := range out.Sends {
-		p.channels.send(s)
+		p.transport.send(s)
 	}
 	for _, ch := range out.Drops {
-		p.channels.drop(ch)
+		p.transport.drop(ch)
 	}
 	for _, f := range out.Fetches {
 		p.fetch(f)
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.Replies {
 		if ch, ok := p.calls.Load(a.ID); ok {
 			select {
 			case ch.(chan any) <- a.Value:
@@ -156,23 +156,23 @@
 	}
 }
 
-var levels = []zapcore.Level{zapcore.DebugLevel, zapcore.InfoLevel, zapcore.WarnLevel, zapcore.ErrorLevel}
+var zapLevels = []zapcore.Level{zapcore.DebugLevel, zapcore.InfoLevel, zapcore.WarnLevel, zapcore.ErrorLevel}
 
-func (p *Process) note(n kernel.LogEvent) {
-	line := p.notes.Check(levels[min(max(n.Level, kernel.LevelDebug), kernel.LevelError)-kernel.LevelDebug], n.Event)
+func (p *Process) logEvent(event kernel.LogEvent) {
+	line := p.sampledLog.Check(zapLevels[min(max(event.Level, kernel.LevelDebug), kernel.LevelError)-kernel.LevelDebug], event.Event)
 	if line == nil {
 		return
 	}
-	fields := make([]zap.Field, 0, len(n.Fields)/2)
-	for i := 0; i+1 < len(n.Fields); i += 2 {
-		fields = append(fields, field(fmt.Sprint(n.Fields[i]), n.Fields[i+1]))
+	fields := make([]zap.Field, 0, len(event.Fields)/2)
+	for i := 0; i+1 < len(event.Fields); i += 2 {
+		fields = append(fields, logField(fmt.Sprint(event.Fields[i]), event.Fields[i+1]))
 	}
 	line.Write(fields...)
 }
 
-// field makes a field of a plug-in's value. What would need reflection is written as text: an encoder
+// logField makes a field of a plug-in's value. What would need reflection is written as text: an encoder
 // may end the process over it.
-func field(key string, value any) zap.Field {
+func logField(key string, value any) zap.Field {
 	if f := zap.Any(key, value); f.Type != zapcore.ReflectType {
 		return f
 	}
@@ -181,8 +181,8 @@
 
 // Stop ends the loop and closes every channel.
 func (p *Process) Stop() {
-	close(p.stop)
-	p.stopped.Wait()
-	p.channels.close()
+	close(p.stopping)
+	p.loopDone.Wait()
+	p.transport.close()
 	p.disk.close()
 }
