--- a/runtime/process/process_test.go
+++ b/runtime/process/process_test.go
@@ -31,7 +31,7 @@
 
 func start(t *testing.T, e settings.Settings) *Process {
 	t.Helper()
-	p, err := Start(Config{Env: e, Role: "node", Log: zap.NewNop()})
+	p, err := Start(Config{Settings: e, Role: "node", Log: zap.NewNop()})
 	must.NoError(t, err)
 	t.Cleanup(p.Stop)
 	return p
@@ -53,22 +53,22 @@
 	return n
 }
 
-func TestTwoProcessesMeet(t *testing.T) {
-	a := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
-	b := start(t, settings.Settings{Mesh: free(t), Fleet: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+func TestProcessesConnect(t *testing.T) {
+	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "both have one peer", func() bool { return a.peers() == 1 && b.peers() == 1 })
 }
 
-func TestProcessesMeetWhereTheMeshListensElsewhere(t *testing.T) {
+func TestProcessesConnectThroughMeshListen(t *testing.T) {
 	behind := free(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	announced := listener.Addr().String()
-	a := start(t, settings.Settings{Mesh: announced, MeshListen: behind, Fleet: "s"})
+	a := start(t, settings.Settings{Mesh: announced, MeshListen: behind, FleetSecret: "s"})
 	callers := make(chan string, 8)
 	go forwardTo(listener, behind, callers)
 	t.Cleanup(func() { listener.Close() })
-	b := start(t, settings.Settings{Mesh: free(t), MeshListen: "127.0.0.2:0", Fleet: "s", Seeds: []string{announced}})
+	b := start(t, settings.Settings{Mesh: free(t), MeshListen: "127.0.0.2:0", FleetSecret: "s", Seeds: []string{announced}})
 	until(t, "both have one peer", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	host, _, err := net.SplitHostPort(<-callers)
 	must.NoError(t, err)
@@ -96,20 +96,20 @@
 	}
 }
 
-func TestAnotherFleetsSecretIsKeptOut(t *testing.T) {
-	a := start(t, settings.Settings{Mesh: free(t), Fleet: "s"})
-	b := start(t, settings.Settings{Mesh: free(t), Fleet: "other", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+func TestOtherFleetSecretIsRejected(t *testing.T) {
+	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "other", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "it is refused", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
 }
 
-func TestSecretIsChangedWithoutAStop(t *testing.T) {
+func TestFleetSecretRotatesWithoutDowntime(t *testing.T) {
 	// Both secrets stand side by side: one process at a time goes from the old to the new.
 	steps := [][2]settings.Settings{
-		{{Fleet: "old", FleetToo: "new"}, {Fleet: "old"}},
-		{{Fleet: "new", FleetToo: "old"}, {Fleet: "old", FleetToo: "new"}},
-		{{Fleet: "new"}, {Fleet: "new", FleetToo: "old"}},
+		{{FleetSecret: "old", SecondFleetSecret: "new"}, {FleetSecret: "old"}},
+		{{FleetSecret: "new", SecondFleetSecret: "old"}, {FleetSecret: "old", SecondFleetSecret: "new"}},
+		{{FleetSecret: "new"}, {FleetSecret: "new", SecondFleetSecret: "old"}},
 	}
 	for _, s := range steps {
 		s[0].Mesh, s[1].Mesh = free(t), free(t)
@@ -119,14 +119,14 @@
 		until(t, "they meet", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	}
 	// A process that was not given the new secret is shut out for good.
-	a := start(t, settings.Settings{Mesh: free(t), Fleet: "new"})
-	b := start(t, settings.Settings{Mesh: free(t), Fleet: "old", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "new"})
+	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "old", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "it is refused", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
 }
 
-func TestStrangersBytesEndOnlyTheirConnection(t *testing.T) {
+func TestForeignBytesCloseOnlyTheirConnection(t *testing.T) {
 	a := start(t, settings.Settings{Mesh: free(t)})
 	c, err := net.Dial("tcp", a.Kernel.Boot.Settings.Mesh)
 	must.NoError(t, err)
@@ -138,7 +138,7 @@
 	until(t, "others still get in", func() bool { return b.peers() == 1 })
 }
 
-func TestDataFolder(t *testing.T) {
+func TestDataDir(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	d, files, err := openDisk(dir)
 	must.NoError(t, err)
--- a/runtime/process/schedule.go
+++ b/runtime/process/schedule.go
@@ -13,27 +13,27 @@
 )
 
 func (p *Process) run() {
-	defer p.stopped.Done()
-	p.step(p.read(), kernel.Start{})
+	defer p.loopDone.Done()
+	p.step(p.readClocks(), kernel.Start{})
 	wait := time.NewTimer(0)
 	defer wait.Stop()
 	for {
 		// The timer is set only where nothing waits: a burst of inputs costs one setting.
 		select {
 		case in := <-p.inbox:
-			p.take(in)
+			p.handle(in)
 			continue
-		case <-p.stop:
+		case <-p.stopping:
 			return
 		default:
 		}
 		wait.Reset(p.untilTimer())
 		select {
 		case in := <-p.inbox:
-			p.take(in)
+			p.handle(in)
 		case <-wait.C:
-			p.fire(p.wake())
-		case <-p.stop:
+			p.fireTimers(p.noticeFreeze())
+		case <-p.stopping:
 			return
 		}
 	}
@@ -47,19 +47,19 @@
 	return max(0, time.Duration(p.timers[0].At-p.Now())*time.Microsecond)
 }
 
-// take carries one input out, and the timers that are due: inputs do not hold them up.
-func (p *Process) take(in kernel.Input) {
-	at := p.wake()
-	if f, ok := in.(do); ok {
-		f.f(at.now)
+// handle carries one input out, and the timers that are due: inputs do not hold them up.
+func (p *Process) handle(in kernel.Input) {
+	at := p.noticeFreeze()
+	if f, ok := in.(inLoop); ok {
+		f.run(at.now)
 	} else {
 		p.step(at, in)
 	}
-	p.fire(at)
+	p.fireTimers(at)
 }
 
-// fire carries out the timers that are due.
-func (p *Process) fire(at clocks) {
+// fireTimers carries out the timers that are due.
+func (p *Process) fireTimers(at clocks) {
 	for len(p.timers) > 0 && p.timers[0].At <= at.now {
 		t := heap.Pop(&p.timers).(kernel.Timer)
 		p.step(at, t.Tick)
@@ -69,14 +69,14 @@
 // clocks is one reading of the process's monotonic clock and of the wall's, in microseconds.
 type clocks struct{ now, wall int64 }
 
-func (p *Process) read() clocks {
+func (p *Process) readClocks() clocks {
 	t := time.Now()
-	return clocks{now: t.Sub(p.began).Microseconds(), wall: t.UnixMicro()}
+	return clocks{now: t.Sub(p.startedAt).Microseconds(), wall: t.UnixMicro()}
 }
 
-// wake reads the clocks and notices that the process did not run for a while, before anything else is done.
-func (p *Process) wake() clocks {
-	at := p.read()
+// noticeFreeze reads the clocks and notices that the process did not run for a while, before anything else is done.
+func (p *Process) noticeFreeze() clocks {
+	at := p.readClocks()
 	if gap := at.now - p.lastRun.Load(); gap > FreezeGap {
 		p.thaws.Add(1)
 		p.Kernel.Counts.Add("thaws", 1)
--- a/runtime/process/patience.go
+++ b/runtime/process/user_timeout.go
@@ -11,12 +11,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// silentWithin is how long sent bytes may stay unacknowledged before a connection ends: what
+// userTimeout is how long sent bytes may stay unacknowledged before a connection ends: what
 // follows is then sent on a new one, and finds a peer that has come back.
-const silentWithin = 1500 * time.Millisecond
+const userTimeout = 1500 * time.Millisecond
 
-// impatient sets that on a connection; where it cannot be set, writeWithin bounds the wait.
-func impatient(conn net.Conn) {
+// setUserTimeout sets that on a connection; where it cannot be set, writeTimeout bounds the wait.
+func setUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
@@ -26,6 +26,6 @@
 		return
 	}
 	raw.Control(func(fd uintptr) {
-		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentWithin.Milliseconds()))
+		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
--- a/runtime/random/random.go
+++ b/runtime/random/random.go
@@ -13,8 +13,8 @@
 	return x ^ x>>31
 }
 
-// N is a number from 0 to below most, which is above 0.
-func (r *Source) N(most int) int { return int(r.Uint64() % uint64(most)) }
+// IntN is a number from 0 to below most, which is above 0.
+func (r *Source) IntN(n int) int { return int(r.Uint64() % uint64(n)) }
 
-// Float is a number in [0, 1).
-func (r *Source) Float() float64 { return float64(r.Uint64()>>11) / (1 << 53) }
+// Float64 is a number in [0, 1).
+func (r *Source) Float64() float64 { return float64(r.Uint64()>>11) / (1 << 53) }
--- a/runtime/settings/fleet.go
+++ b/runtime/settings/fleet.go
@@ -17,22 +17,22 @@
 
 // Bounds are the fleet's times, in microseconds.
 type Bounds struct {
-	// DrainUs is how long a leaving server still serves, GraceUs how long a process has to stop.
-	DrainUs, GraceUs int64
-	// ApplyUs is within which a configuration must be in force, EmptyUs within which a zone must be empty.
-	ApplyUs, EmptyUs int64
-	// AckUs is how long an operator waits for an acknowledgement in all.
-	AckUs int64
-	// ContactUs is how long after trouble a process counts as in touch again, SyncUs as lost.
-	ContactUs, SyncUs int64
-	// AddressReuseUs is how soon another server may get a server's address.
-	AddressReuseUs int64
-	// LossUs is how long a request that was read may stay unsent when its connection ends.
-	LossUs int64
-	// RecoverUs is how soon after a total loss the fleet must serve.
-	RecoverUs int64
-	// SeedLagUs and ListLagUs are how old the list of cores and the list of servers may be.
-	SeedLagUs, ListLagUs int64
+	// DrainTimeout is how long a leaving server still serves, GracePeriod how long a process has to stop.
+	DrainTimeout, GracePeriod int64
+	// ConfigApply is within which a configuration must be in force, ZoneDrain within which a zone must be empty.
+	ConfigApply, ZoneDrain int64
+	// AckTimeout is how long an operator waits for an acknowledgement in all.
+	AckTimeout int64
+	// ContactTime is how long after trouble a process counts as in touch again, SyncTime as lost.
+	ContactTime, SyncTime int64
+	// AddressReuse is how soon another server may get a server's address.
+	AddressReuse int64
+	// LossSlack is how long a request that was read may stay unsent when its connection ends.
+	LossSlack int64
+	// RecoveryTime is how soon after a total loss the fleet must serve.
+	RecoveryTime int64
+	// SeedLag and ListLag are how old the list of cores and the list of servers may be.
+	SeedLag, ListLag int64
 }
 
 // Retries are the bounds of requests sent to a further server, for all nodes
@@ -40,8 +40,8 @@
 type Retries struct {
 	Ratio     float64
 	Allowance float64
-	WindowUs  int64
+	Window    int64
 }
 
-// Ramp bounds what a cold server is sent in a second: its rate times Overrun, and Tolerance.
-type Ramp struct{ Overrun, Tolerance float64 }
+// SlowStart bounds what a cold server is sent in a second: its rate times Overrun, and Tolerance.
+type SlowStart struct{ Overrun, Tolerance float64 }
--- a/runtime/settings/env.go
+++ b/runtime/settings/settings.go
@@ -14,23 +14,23 @@
 
 // Settings is the place of one process. Flags win over the file.
 type Settings struct {
-	File          string   `long:"env-file" description:"file of key=value lines, the keys being these flags' names"`
-	Name          string   `long:"name" description:"name in logs and tables; made from the mesh address when absent"`
-	Zone          string   `long:"zone" description:"zone of this machine"`
-	Mesh          string   `long:"mesh" description:"IP:port of the mesh, as other processes reach it"`
-	MeshListen    string   `long:"mesh-listen" description:"IP:port to listen on for the mesh, where it is not the one that others reach; connections to others leave from its IP"`
-	Caller        string   `long:"caller" description:"IP:port of the caller API (node only)"`
-	Operator      string   `long:"operator" description:"IP:port of the operator API, conditions and metrics"`
-	Seeds         []string `long:"seed" description:"mesh IP:port of another process; three at most"`
-	Data          string   `long:"data" description:"data folder (core only)"`
-	Platform      string   `long:"platform" description:"URL of the platform's list of backends (node only)"`
-	Token         string   `long:"operator-token" description:"token that operators must send; empty turns authorisation off"`
-	Tokens        string   `long:"operator-tokens" description:"file of operator tokens with scopes, read again when it changes (node only)"`
-	Fleet         string   `long:"fleet-secret" description:"secret that all processes of one fleet share"`
-	FleetToo      string   `long:"fleet-secret-too" description:"a second secret that is accepted from others, while the secret is being changed"`
-	PollsPer      int64    `long:"polls-per-10s" description:"calls to the platform list allowed to the whole fleet in 10 s" default:"20"`
-	UnsignedBeats bool     `long:"unsigned-beats" description:"take signs of life that are not signed, while a fleet is upgraded from a release before 2"`
-	LogLevel      string   `long:"log-level" description:"debug, info, warn or error" default:"info"`
+	EnvFile            string   `long:"env-file" description:"file of key=value lines, the keys being these flags' names"`
+	Name               string   `long:"name" description:"name in logs and tables; made from the mesh address when absent"`
+	Zone               string   `long:"zone" description:"zone of this machine"`
+	Mesh               string   `long:"mesh" description:"IP:port of the mesh, as other processes reach it"`
+	MeshListen         string   `long:"mesh-listen" description:"IP:port to listen on for the mesh, where it is not the one that others reach; connections to others leave from its IP"`
+	Caller             string   `long:"caller" description:"IP:port of the caller API (node only)"`
+	Operator           string   `long:"operator" description:"IP:port of the operator API, conditions and metrics"`
+	Seeds              []string `long:"seed" description:"mesh IP:port of another process; three at most"`
+	DataDir            string   `long:"data" description:"data folder (core only)"`
+	PlatformURL        string   `long:"platform" description:"URL of the platform's list of backends (node only)"`
+	OperatorToken      string   `long:"operator-token" description:"token that operators must send; empty turns authorisation off"`
+	OperatorTokensFile string   `long:"operator-tokens" description:"file of operator tokens with scopes, read again when it changes (node only)"`
+	FleetSecret        string   `long:"fleet-secret" description:"secret that all processes of one fleet share"`
+	SecondFleetSecret  string   `long:"fleet-secret-too" description:"a second secret that is accepted from others, while the secret is being changed"`
+	PollsPer10s        int64    `long:"polls-per-10s" description:"calls to the platform list allowed to the whole fleet in 10 s" default:"20"`
+	UnsignedHeartbeats bool     `long:"unsigned-beats" description:"take signs of life that are not signed, while a fleet is upgraded from a release before 2"`
+	LogLevel           string   `long:"log-level" description:"debug, info, warn or error" default:"info"`
 
 	// What a platform tells, and no flag: BootstrapKnown says that it told whether all disks
 	// are still empty, and Bootstrap that they are.
@@ -41,18 +41,18 @@
 	Region  string            `no-flag:"true"`
 	Regions map[string]string `no-flag:"true"`
 
-	// ListEvery is the time between two readings of the platform's list, in microseconds;
+	// ListInterval is the time between two readings of the platform's list, in microseconds;
 	// 0 leaves it to the allowance of calls.
-	ListEvery int64 `no-flag:"true"`
-	// Counted tells that the machine is one of the few whose loss is counted.
-	Counted bool `no-flag:"true"`
+	ListInterval int64 `no-flag:"true"`
+	// QuorumMember tells that the machine is one of the few whose loss is counted.
+	QuorumMember bool `no-flag:"true"`
 	// PassiveHealth leaves servers in order unprobed: what requests meet decides, and only a
 	// server that this process keeps away from is probed for its way back.
-	PassiveHealth bool    `no-flag:"true"`
-	Machine       Machine `no-flag:"true"`
-	Bounds        Bounds  `no-flag:"true"`
-	Retries       Retries `no-flag:"true"`
-	Ramp          Ramp    `no-flag:"true"`
+	PassiveHealth bool      `no-flag:"true"`
+	Machine       Machine   `no-flag:"true"`
+	Bounds        Bounds    `no-flag:"true"`
+	Retries       Retries   `no-flag:"true"`
+	SlowStart     SlowStart `no-flag:"true"`
 }
 
 // ListenAddress is where the mesh listens.
@@ -74,7 +74,7 @@
 }
 
 // Finding is one fault with its place.
-type Finding struct{ Place, Text string }
+type Finding struct{ Location, Text string }
 
 // Findings are all the faults of a reading.
 type Findings []Finding
@@ -83,7 +83,7 @@
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, v := range f {
-		lines[i] = v.Place + ": " + v.Text
+		lines[i] = v.Location + ": " + v.Text
 	}
 	return strings.Join(lines, "\n")
 }
@@ -91,10 +91,10 @@
 // Load fills what the flags left open from the file and checks the whole.
 func Load(e *Settings, role string) Findings {
 	var out Findings
-	if e.File != "" {
-		out = append(out, e.read()...)
+	if e.EnvFile != "" {
+		out = append(out, e.readFile()...)
 	}
-	out = append(out, e.check(role)...)
+	out = append(out, e.validate(role)...)
 	if e.Name == "" {
 		e.Name = role + "-" + e.Mesh
 	}
@@ -104,14 +104,14 @@
 func (e *Settings) fields() map[string]*string {
 	return map[string]*string{
 		"name": &e.Name, "zone": &e.Zone, "mesh": &e.Mesh, "mesh-listen": &e.MeshListen, "caller": &e.Caller, "operator": &e.Operator,
-		"data": &e.Data, "platform": &e.Platform, "operator-token": &e.Token, "operator-tokens": &e.Tokens, "fleet-secret": &e.Fleet, "fleet-secret-too": &e.FleetToo,
+		"data": &e.DataDir, "platform": &e.PlatformURL, "operator-token": &e.OperatorToken, "operator-tokens": &e.OperatorTokensFile, "fleet-secret": &e.FleetSecret, "fleet-secret-too": &e.SecondFleetSecret,
 	}
 }
 
-func (e *Settings) read() Findings {
-	f, err := os.Open(e.File)
+func (e *Settings) readFile() Findings {
+	f, err := os.Open(e.EnvFile)
 	if err != nil {
-		return Findings{{e.File, err.Error()}}
+		return Findings{{e.EnvFile, err.Error()}}
 	}
 	defer f.Close()
 	var out Findings
@@ -124,7 +124,7 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		place := fmt.Sprintf("%s:%d", e.File, n)
+		place := fmt.Sprintf("%s:%d", e.EnvFile, n)
 		k, v, ok := strings.Cut(line, "=")
 		k, v = strings.TrimSpace(k), strings.TrimSpace(v)
 		if !ok {
@@ -152,12 +152,12 @@
 		}
 	}
 	if err := sc.Err(); err != nil {
-		out = append(out, Finding{e.File, err.Error()})
+		out = append(out, Finding{e.EnvFile, err.Error()})
 	}
 	return out
 }
 
-func (e *Settings) check(role string) Findings {
+func (e *Settings) validate(role string) Findings {
 	var out Findings
 	need := map[string]string{"mesh": e.Mesh, "operator": e.Operator}
 	if role == "node" {
@@ -186,19 +186,19 @@
 			out = append(out, Finding{"seed", "not an IP:port: " + s})
 		}
 	}
-	if role == "core" && e.Data == "" {
+	if role == "core" && e.DataDir == "" {
 		out = append(out, Finding{"data", "a core needs a data folder"})
 	}
 	if role == "core" && e.Caller != "" {
 		out = append(out, Finding{"caller", "a core has no caller API"})
 	}
-	if e.Platform != "" && !strings.HasPrefix(e.Platform, "http://") {
-		out = append(out, Finding{"platform", "not an http:// URL: " + e.Platform})
+	if e.PlatformURL != "" && !strings.HasPrefix(e.PlatformURL, "http://") {
+		out = append(out, Finding{"platform", "not an http:// URL: " + e.PlatformURL})
 	}
-	if e.FleetToo != "" && e.Fleet == "" {
+	if e.SecondFleetSecret != "" && e.FleetSecret == "" {
 		out = append(out, Finding{"fleet-secret-too", "needs a fleet-secret beside it"})
 	}
-	if e.PollsPer < 1 {
+	if e.PollsPer10s < 1 {
 		out = append(out, Finding{"polls-per-10s", "must be at least 1"})
 	}
 	switch e.LogLevel {
@@ -206,6 +206,6 @@
 	default:
 		out = append(out, Finding{"log-level", "not one of debug, info, warn, error: " + e.LogLevel})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Place < out[j].Place })
+	sort.Slice(out, func(i, j int) bool { return out[i].Location < out[j].Location })
 	return out
 }
--- a/runtime/settings/env_test.go
+++ b/runtime/settings/settings_test.go
@@ -13,10 +13,10 @@
 
 func load(t *testing.T, role, text string, e Settings) (Settings, Findings) {
 	t.Helper()
-	e.File = filepath.Join(t.TempDir(), "env")
-	must.NoError(t, os.WriteFile(e.File, []byte(text), 0o600))
+	e.EnvFile = filepath.Join(t.TempDir(), "env")
+	must.NoError(t, os.WriteFile(e.EnvFile, []byte(text), 0o600))
 	if e.LogLevel == "" {
-		e.LogLevel, e.PollsPer = "info", 20
+		e.LogLevel, e.PollsPer10s = "info", 20
 	}
 	found := Load(&e, role)
 	return e, found
@@ -24,7 +24,7 @@
 
 const good = "mesh=10.0.0.1:4001\noperator=10.0.0.1:9001\ncaller=10.0.0.1:8080\nzone=z1\nseed=10.0.0.2:4001\n# a comment\nseed=10.0.0.3:4001\n"
 
-func TestGoodFileAndFlagsWin(t *testing.T) {
+func TestFlagsOverrideFile(t *testing.T) {
 	e, found := load(t, "node", good, Settings{Zone: "z9"})
 	must.SliceEmpty(t, found)
 	must.Eq(t, "z9", e.Zone)
@@ -32,18 +32,18 @@
 	must.Eq(t, "node-10.0.0.1:4001", e.Name)
 }
 
-func TestAllFindingsTogether(t *testing.T) {
+func TestLoadReportsAllFindings(t *testing.T) {
 	_, found := load(t, "core", "mesh=nowhere\nzone=z1\nzone=z2\ncolour=red\nnonsense\nseed=a\nseed=b\nseed=c\nseed=d\nplatform=ftp://x\ncaller=1.2.3.4:5\n", Settings{})
 	var got []string
 	for _, f := range found {
-		got = append(got, filepath.Base(f.Place))
+		got = append(got, filepath.Base(f.Location))
 	}
 	must.Eq(t, "env:3 env:4 env:5 caller data mesh operator platform seed seed seed seed seed", strings.Join(got, " "))
-	_, found = load(t, "node", "", Settings{File: "gone", LogLevel: "loud"})
+	_, found = load(t, "node", "", Settings{EnvFile: "gone", LogLevel: "loud"})
 	must.Positive(t, len(found))
 }
 
-func TestTheMeshMayListenElsewhere(t *testing.T) {
+func TestMeshListenAddress(t *testing.T) {
 	e, found := load(t, "node", good, Settings{})
 	must.SliceEmpty(t, found)
 	must.Eq(t, "10.0.0.1:4001", e.ListenAddress())
