--- a/control/config/check.go
+++ b/control/config/check.go
@@ -13,11 +13,11 @@
 // Kinds are the kinds of inquiries.
 var Kinds = []string{"search", "read", "correct", "part"}
 
-const longest = 60_000_000
+const maxDuration = 60_000_000
 
 // Check lists every fault of a sheet.
 func Check(s *configpb.Sheet) []wire.Finding {
-	f := &finder{}
+	f := &collector{}
 	known := map[string]int{}
 	for i, v := range s.Services {
 		f.service(fmt.Sprintf("services[%d]", i), v)
@@ -32,7 +32,7 @@
 	return f.found
 }
 
-func (f *finder) service(at string, v *configpb.Service) {
+func (f *collector) service(at string, v *configpb.Service) {
 	if v.Index == "" {
 		f.add(at+".index", "is needed")
 	}
@@ -42,21 +42,21 @@
 	if v.RequiredShare < 1 || v.RequiredShare > 100 {
 		f.add(at+".required_share", "must be 1 to 100, is %d", v.RequiredShare)
 	}
-	if v.DeadlineUs < 1000 || v.DeadlineUs > longest {
-		f.add(at+".deadline_us", "must be 1000 to %d, is %d", longest, v.DeadlineUs)
+	if v.DeadlineUs < 1000 || v.DeadlineUs > maxDuration {
+		f.add(at+".deadline_us", "must be 1000 to %d, is %d", maxDuration, v.DeadlineUs)
 	}
-	if v.MaxDeadlineUs < v.DeadlineUs || v.MaxDeadlineUs > longest {
-		f.add(at+".max_deadline_us", "must be from deadline_us to %d, is %d", longest, v.MaxDeadlineUs)
+	if v.MaxDeadlineUs < v.DeadlineUs || v.MaxDeadlineUs > maxDuration {
+		f.add(at+".max_deadline_us", "must be from deadline_us to %d, is %d", maxDuration, v.MaxDeadlineUs)
 	}
-	if v.HedgeUs < 1000 || v.HedgeUs > longest {
-		f.add(at+".hedge_us", "must be 1000 to %d, is %d", longest, v.HedgeUs)
+	if v.HedgeUs < 1000 || v.HedgeUs > maxDuration {
+		f.add(at+".hedge_us", "must be 1000 to %d, is %d", maxDuration, v.HedgeUs)
 	}
-	if v.RampUs < 0 || v.RampUs > 10*longest {
-		f.add(at+".ramp_us", "must be 0 to %d, is %d", 10*longest, v.RampUs)
+	if v.RampUs < 0 || v.RampUs > 10*maxDuration {
+		f.add(at+".ramp_us", "must be 0 to %d, is %d", 10*maxDuration, v.RampUs)
 	}
 }
 
-func (f *finder) rows(s *configpb.Sheet, known map[string]int) {
+func (f *collector) rows(s *configpb.Sheet, known map[string]int) {
 	sum := map[string]int32{}
 	seen := map[string]int{}
 	for i, r := range s.Rows {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (f *finder) subject(at, index, kind string, known map[string]int) {
+func (f *collector) subject(at, index, kind string, known map[string]int) {
 	if _, ok := known[index]; !ok {
 		f.add(at+".index", "no service has the index %q", index)
 	}
@@ -91,7 +91,7 @@
 	}
 }
 
-func (f *finder) bookings(s *configpb.Sheet, known map[string]int) {
+func (f *collector) bookings(s *configpb.Sheet, known map[string]int) {
 	seen := map[string]int{}
 	for i, b := range s.Bookings {
 		at := fmt.Sprintf("bookings[%d]", i)
--- a/control/config/sheet_test.go
+++ b/control/config/config_test.go
@@ -12,12 +12,12 @@
 	"wallport/runtime/wire"
 )
 
-const good = `{
+const validConfiguration = `{
  "services":[{"index":"a","capacity":100,"required_share":75,"deadline_us":"500000","max_deadline_us":1000000,"hedge_us":40000,"ramp_us":1000000}],
  "rows":[{"index":"a","kind":"search","share":70},{"index":"a","kind":"read","share":30,"ceiling":50}],
  "bookings":[{"id":"b1","index":"a","kind":"search","slice":60,"starts_us":100,"ends_us":200}]}`
 
-func places(f []wire.Finding) string {
+func findingPlaces(f []wire.Finding) string {
 	var out []string
 	for _, v := range f {
 		out = append(out, v.Path)
@@ -26,7 +26,7 @@
 }
 
 func TestGoodSheetHasNoFindings(t *testing.T) {
-	s, found := Read([]byte(good))
+	s, found := Read([]byte(validConfiguration))
 	must.SliceEmpty(t, found)
 	must.SliceEmpty(t, Check(s))
 	again, found := Read(JSON(s))
@@ -48,7 +48,7 @@
 	}
 	for text, want := range cases {
 		_, found := Read([]byte(text))
-		must.Eq(t, want, places(found), must.Sprint(text))
+		must.Eq(t, want, findingPlaces(found), must.Sprint(text))
 	}
 }
 
@@ -71,15 +71,15 @@
 		{`"bookings":[`, `"bookings":[{"id":"b0","index":"a","kind":"read","slice":90,"starts_us":200,"ends_us":300},`, ""},
 	}
 	for _, c := range cases {
-		must.StrContains(t, good, c.from)
-		s, found := Read([]byte(strings.Replace(good, c.from, c.to, 1)))
+		must.StrContains(t, validConfiguration, c.from)
+		s, found := Read([]byte(strings.Replace(validConfiguration, c.from, c.to, 1)))
 		must.SliceEmpty(t, found)
-		must.Eq(t, c.want, places(Check(s)), must.Sprint(c.to))
+		must.Eq(t, c.want, findingPlaces(Check(s)), must.Sprint(c.to))
 	}
 }
 
 func TestApplyIsAllOrNothing(t *testing.T) {
-	s, _ := Read([]byte(good))
+	s, _ := Read([]byte(validConfiguration))
 	before := s.String()
 	out, found := Apply(s, []byte(`[{"op":"set","table":"rows","row":{"index":"a","kind":"read","share":20}},
 		{"op":"set","table":"rows","row":{"index":"a","kind":"part","share":10}},
@@ -91,9 +91,9 @@
 	must.Eq(t, before, s.String(), must.Sprint("the sheet it was based on is as it was"))
 	_, found = Apply(s, []byte(`[{"op":"set","table":"rows","row":{"index":"a","kind":"read","share":20}},
 		{"op":"remove","table":"bookings","row":{"id":"nope"}},{"op":"paint","table":"rows","row":{}},{"op":"set","table":"rows","row":{"q":1}}]`))
-	must.Eq(t, "edits[1].row edits[2] edits[3].row.q", places(found))
+	must.Eq(t, "edits[1].row edits[2] edits[3].row.q", findingPlaces(found))
 	_, found = Apply(new(configpb.Sheet), []byte(`{}`))
-	must.Eq(t, "edits", places(found))
+	must.Eq(t, "edits", findingPlaces(found))
 }
 
 func TestStampText(t *testing.T) {
@@ -106,7 +106,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfiguration))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, found := Read(b); len(found) == 0 {
 			Check(s)
@@ -116,7 +116,7 @@
 
 func TestTwiceFindsNamesGivenTwice(t *testing.T) {
 	cases := map[string]string{
-		good: "",
+		validConfiguration: "",
 		`{"services":[{"index":"a","index":"b"}],"services":[]}`:   "services[0].index services",
 		`{"edits":[{"op":"set","row":{"k":1,"k":{"x":1,"x":2}}}]}`: "edits[0].row.k edits[0].row.k.x",
 		`[{"a":1},{"a":1}]`: "",
@@ -125,6 +125,6 @@
 		``:                  "",
 	}
 	for text, want := range cases {
-		must.Eq(t, want, places(Twice([]byte(text))), must.Sprint(text))
+		must.Eq(t, want, findingPlaces(DuplicateNames([]byte(text))), must.Sprint(text))
 	}
 }
--- a/control/config/clash.go
+++ b/control/config/conflicts.go
@@ -13,20 +13,20 @@
 	"wallport/runtime/wire"
 )
 
-// Clash lists the rows that the edits name and that are not now what they were in
+// Conflicts lists the rows that the edits name and that are not now what they were in
 // the sheet that the edits are based on. Edits that cannot be read clash with nothing.
-func Clash(base, now *configpb.Sheet, body []byte) []wire.Finding {
+func Conflicts(base, now *configpb.Sheet, body []byte) []wire.Finding {
 	var edits []RowEdit
 	if json.Unmarshal(body, &edits) != nil {
 		return nil
 	}
-	was, is := tables(base), tables(now)
-	f := &finder{}
+	was, is := rowsByKey(base), rowsByKey(now)
+	f := &collector{}
 	seen := map[string]bool{}
 	for _, e := range edits {
 		tmp := new(configpb.Sheet)
-		(&finder{}).row("", e.Row, newRow(tmp, e.Table))
-		for key := range tables(tmp) {
+		(&collector{}).row("", e.Row, newRow(tmp, e.Table))
+		for key := range rowsByKey(tmp) {
 			a, had := was[key]
 			b, has := is[key]
 			switch {
@@ -36,7 +36,7 @@
 			case !had:
 				f.add(key, "was made meanwhile")
 			case !proto.Equal(a, b):
-				f.add(key, "changed meanwhile: %s", strings.Join(fields(a, b), " "))
+				f.add(key, "changed meanwhile: %s", strings.Join(changedFields(a, b), " "))
 			}
 			seen[key] = true
 		}
--- a/control/config/clash_test.go
+++ b/control/config/conflicts_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestClashNamesRowsThatChangedMeanwhile(t *testing.T) {
-	base, found := Read([]byte(good))
+	base, found := Read([]byte(validConfiguration))
 	must.SliceEmpty(t, found)
 	cases := []struct{ meanwhile, mine, clash string }{
 		{`[{"op":"set","table":"rows","row":{"index":"a","kind":"search","share":60}}]`, `[{"op":"set","table":"rows","row":{"index":"a","kind":"read","share":40}}]`, ""},
@@ -23,6 +23,6 @@
 	for _, c := range cases {
 		now, found := Apply(base, []byte(c.meanwhile))
 		must.SliceEmpty(t, found, must.Sprint(c.meanwhile))
-		must.Eq(t, c.clash, places(Clash(base, now, []byte(c.mine))), must.Sprint(c))
+		must.Eq(t, c.clash, findingPlaces(Conflicts(base, now, []byte(c.mine))), must.Sprint(c))
 	}
 }
--- a/control/config/diff.go
+++ b/control/config/diff.go
@@ -15,7 +15,7 @@
 
 type rows map[string]proto.Message
 
-func tables(s *configpb.Sheet) rows {
+func rowsByKey(s *configpb.Sheet) rows {
 	out := rows{}
 	for _, r := range s.Services {
 		out["services "+r.Index] = r
@@ -31,7 +31,7 @@
 
 // Diff lists the rows that are new, gone or changed, and in which fields.
 func Diff(from, to *configpb.Sheet) []string {
-	a, b := tables(from), tables(to)
+	a, b := rowsByKey(from), rowsByKey(to)
 	var out []string
 	for k, r := range b {
 		was, ok := a[k]
@@ -39,7 +39,7 @@
 		case !ok:
 			out = append(out, "+ "+k)
 		case !proto.Equal(was, r):
-			out = append(out, "~ "+k+" "+strings.Join(fields(was, r), " "))
+			out = append(out, "~ "+k+" "+strings.Join(changedFields(was, r), " "))
 		}
 	}
 	for k := range a {
@@ -51,7 +51,7 @@
 	return out
 }
 
-func fields(a, b proto.Message) []string {
+func changedFields(a, b proto.Message) []string {
 	var out []string
 	fs := a.ProtoReflect().Descriptor().Fields()
 	for i := range fs.Len() {
--- a/control/config/twice.go
+++ b/control/config/duplicates.go
@@ -11,17 +11,17 @@
 	"wallport/runtime/wire"
 )
 
-// Twice lists every name that an object anywhere in a JSON text gives twice.
+// DuplicateNames lists every name that an object anywhere in a JSON text gives twice.
 // A text that is no JSON has none: whoever decodes it says so.
-func Twice(body []byte) []wire.Finding {
-	f := &finder{}
+func DuplicateNames(body []byte) []wire.Finding {
+	f := &collector{}
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
-	f.twice(d, "")
+	f.duplicateNames(d, "")
 	return f.found
 }
 
-func (f *finder) twice(d *json.Decoder, place string) bool {
+func (f *collector) duplicateNames(d *json.Decoder, place string) bool {
 	tok, err := d.Token()
 	if err != nil {
 		return false
@@ -43,13 +43,13 @@
 				f.add(at, "is given twice")
 			}
 			seen[name] = true
-			if !f.twice(d, at) {
+			if !f.duplicateNames(d, at) {
 				return false
 			}
 		}
 	case json.Delim('['):
 		for i := 0; d.More(); i++ {
-			if !f.twice(d, fmt.Sprintf("%s[%d]", place, i)) {
+			if !f.duplicateNames(d, fmt.Sprintf("%s[%d]", place, i)) {
 				return false
 			}
 		}
--- a/control/config/read.go
+++ b/control/config/read.go
@@ -42,15 +42,15 @@
 	return out.Bytes()
 }
 
-type finder struct{ found []wire.Finding }
+type collector struct{ found []wire.Finding }
 
-func (f *finder) add(place, text string, args ...any) {
+func (f *collector) add(place, text string, args ...any) {
 	f.found = append(f.found, wire.Finding{Path: place, Text: fmt.Sprintf(text, args...)})
 }
 
 // Read decodes a whole sheet.
 func Read(body []byte) (*configpb.Sheet, []wire.Finding) {
-	f := &finder{}
+	f := &collector{}
 	s := new(configpb.Sheet)
 	tables, ok := f.object("sheet", body)
 	if !ok {
@@ -96,7 +96,7 @@
 }
 
 // object splits a JSON object, reporting names given twice.
-func (f *finder) object(place string, raw []byte) ([]member, bool) {
+func (f *collector) object(place string, raw []byte) ([]member, bool) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	tok, err := d.Token()
 	if err != nil || tok != json.Delim('{') {
@@ -133,14 +133,14 @@
 }
 
 // row decodes one row, field by field.
-func (f *finder) row(place string, raw []byte, into proto.Message) {
+func (f *collector) row(place string, raw []byte, into proto.Message) {
 	fields, ok := f.object(place, raw)
 	if !ok {
 		return
 	}
 	for _, kv := range fields {
 		at := place + "." + kv.name
-		if !knows(into, kv.name) {
+		if !hasField(into, kv.name) {
 			f.add(at, "no such field")
 			continue
 		}
@@ -154,7 +154,7 @@
 	}
 }
 
-func knows(m proto.Message, name string) bool {
+func hasField(m proto.Message, name string) bool {
 	fs := m.ProtoReflect().Descriptor().Fields()
 	return fs.ByName(protoreflect.Name(name)) != nil || fs.ByJSONName(name) != nil
 }
@@ -175,7 +175,7 @@
 
 // Apply makes a new sheet of one and a list of row edits; all of them or none.
 func Apply(s *configpb.Sheet, body []byte) (*configpb.Sheet, []wire.Finding) {
-	f := &finder{}
+	f := &collector{}
 	var edits []RowEdit
 	if err := json.Unmarshal(body, &edits); err != nil {
 		f.add("edits", "cannot be read: %v", err)
@@ -197,11 +197,11 @@
 		var done bool
 		switch e.Table {
 		case "services":
-			out.Services, done = put(out.Services, tmp.Services[0], e.Op, func(r *configpb.Service) string { return r.Index })
+			out.Services, done = editRows(out.Services, tmp.Services[0], e.Op, func(r *configpb.Service) string { return r.Index })
 		case "rows":
-			out.Rows, done = put(out.Rows, tmp.Rows[0], e.Op, func(r *configpb.Row) string { return r.Index + "\x00" + r.Kind })
+			out.Rows, done = editRows(out.Rows, tmp.Rows[0], e.Op, func(r *configpb.Row) string { return r.Index + "\x00" + r.Kind })
 		case "bookings":
-			out.Bookings, done = put(out.Bookings, tmp.Bookings[0], e.Op, func(r *configpb.Booking) string { return r.Id })
+			out.Bookings, done = editRows(out.Bookings, tmp.Bookings[0], e.Op, func(r *configpb.Booking) string { return r.Id })
 		}
 		if !done {
 			f.add(place+".row", "there is no such row to remove")
@@ -210,7 +210,7 @@
 	return out, f.found
 }
 
-func put[R any](rows []R, row R, op string, key func(R) string) ([]R, bool) {
+func editRows[R any](rows []R, row R, op string, key func(R) string) ([]R, bool) {
 	i := slices.IndexFunc(rows, func(r R) bool { return key(r) == key(row) })
 	switch {
 	case op == "remove" && i < 0:
--- a/control/config/tokens.go
+++ b/control/config/tokens.go
@@ -19,11 +19,11 @@
 	ScopeAll  = "all"
 )
 
-const tokenLeast = 8
+const minTokenBytes = 8
 
 // ReadTokens decodes and checks a file of tokens.
 func ReadTokens(body []byte) (*configpb.Tokens, []wire.Finding) {
-	f := &finder{found: Twice(body)}
+	f := &collector{found: DuplicateNames(body)}
 	out := new(configpb.Tokens)
 	var file struct {
 		Tokens []json.RawMessage `json:"tokens"`
@@ -38,8 +38,8 @@
 		t := new(configpb.Token)
 		f.row(at, raw, t)
 		out.Tokens = append(out.Tokens, t)
-		if len(t.Token) < tokenLeast {
-			f.add(at+".token", "needs %d characters at least", tokenLeast)
+		if len(t.Token) < minTokenBytes {
+			f.add(at+".token", "needs %d characters at least", minTokenBytes)
 		} else if was, twice := seen[t.Token]; twice {
 			f.add(at+".token", "is that of tokens[%d] already", was)
 		}
@@ -60,9 +60,9 @@
 	return out, f.found
 }
 
-// Indexes lists the indexes whose rows the edits name, an empty name where one
+// EditedIndexes lists the indexes whose rows the edits name, an empty name where one
 // cannot be told.
-func Indexes(s *configpb.Sheet, body []byte) []string {
+func EditedIndexes(s *configpb.Sheet, body []byte) []string {
 	var edits []RowEdit
 	if json.Unmarshal(body, &edits) != nil {
 		return []string{""}
--- a/control/config/tokens_test.go
+++ b/control/config/tokens_test.go
@@ -24,7 +24,7 @@
 	}
 	for text, want := range cases {
 		_, found := ReadTokens([]byte(text))
-		must.Eq(t, want, places(found), must.Sprint(text))
+		must.Eq(t, want, findingPlaces(found), must.Sprint(text))
 	}
 }
 
@@ -40,6 +40,6 @@
 		`{`:                                                                 {""},
 	}
 	for text, want := range cases {
-		must.Eq(t, want, Indexes(s, []byte(text)), must.Sprint(text))
+		must.Eq(t, want, EditedIndexes(s, []byte(text)), must.Sprint(text))
 	}
 }
--- a/control/configsync/contact.go
+++ b/control/configsync/contact.go
@@ -51,7 +51,7 @@
 }
 
 // InContact reports whether a core in contact with a majority for the configuration has answered since the start.
-func (p *Sync) InContact() bool { return p.contact.confirmed&partitionBit(state.Config) != 0 }
+func (p *Sync) InContact() bool { return p.contact.confirmed&partitionBit(state.ConfigPartition) != 0 }
 
 // waitedLong tells that confirmed state need not be waited for any longer.
 func (p *Sync) waitedLong(now int64) bool {
@@ -89,7 +89,7 @@
 		r.ContactMask, contact = 0, 0
 	}
 	delete(p.contact.without, asked.addr)
-	if contact&partitionBit(state.Config) == 0 {
+	if contact&partitionBit(state.ConfigPartition) == 0 {
 		p.contact.without[asked.addr] = true
 		ctx.Counts.Add("pulls_without_contact", 1)
 	}
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -161,7 +161,7 @@
 
 // empty tells that this is a core that has heard of no version: it may have a fleet to form, or to find.
 func (p *Sync) empty() bool {
-	_, ok := p.mesh.Partition(state.Config)
+	_, ok := p.mesh.Partition(state.ConfigPartition)
 	return !ok && p.core
 }
 
--- a/control/operations/call.go
+++ b/control/operations/call.go
@@ -80,7 +80,7 @@
 }
 
 func historyOutcome(res Result) any {
-	ledger, err := state.ReadLedger(res.Reply.Body)
+	ledger, err := state.ReadEditLog(res.Reply.Body)
 	if res.Reply.Code != "ok" || err != nil {
 		return History{Code: "shed"}
 	}
--- a/control/operations/operate.go
+++ b/control/operations/operate.go
@@ -136,10 +136,10 @@
 		return
 	case ReadRouting:
 		c.outcome = routingOutcome
-		c.req = Carry{Edit: wire.Edit{Partition: state.Config, Op: wire.OpRead}, GiveUpUs: ask.GiveUpUs}
+		c.req = Carry{Edit: wire.Edit{Partition: state.ConfigPartition, Op: wire.OpRead}, GiveUpUs: ask.GiveUpUs}
 	case ReadHistory:
 		c.outcome = historyOutcome
-		c.req = Carry{Edit: wire.Edit{Partition: state.Config, Op: wire.OpHistory}}
+		c.req = Carry{Edit: wire.Edit{Partition: state.ConfigPartition, Op: wire.OpHistory}}
 	case Carry:
 		if ask.Edit.Op == "empty" && ask.Edit.Name != "" && !o.knowsZone(ask.Edit.Name, ctx.Now) {
 			ctx.Reply(v.ID, unknownZone(ask.Edit.Name))
--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -56,7 +56,7 @@
 // gives one of the others.
 func (c *narrowCluster) settle() *narrowMember {
 	c.t.Helper()
-	c.run(60_000_000, "the preferred core leads", func() bool { return c.members["a"].host.Leads(state.Config) })
+	c.run(60_000_000, "the preferred core leads", func() bool { return c.members["a"].host.Leads(state.ConfigPartition) })
 	c.all(60_000_000)
 	return c.members["b"]
 }
@@ -110,7 +110,7 @@
 	back := c.now + 3_000_000
 	c.run(4_000_000, "it is away for a while", func() bool { return c.now >= back })
 	c.start(away.id)
-	g := away.host.groups[state.Config]
+	g := away.host.groups[state.ConfigPartition]
 	worst := int64(0)
 	c.run(wholeWithin(3_000_000), "the replica is whole again", func() bool {
 		if g.leaderSeen > 0 {
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -24,7 +24,7 @@
 		return
 	}
 	c.newest = g.committed.Version
-	ledger, err := state.ReadLedger(g.committed.EditLog)
+	ledger, err := state.ReadEditLog(g.committed.EditLog)
 	if err != nil {
 		c.violations = append(c.violations, "a committed ledger cannot be decoded")
 		return
--- a/control/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -43,7 +43,7 @@
 
 // checkCarriesOn sees that a committed configuration has no older routing table than the one before it.
 func (g *Group) checkCarriesOn(ctx *kernel.Context, before, after wire.Versioned) {
-	if g.partition != state.Config || bytes.Equal(before.Body, after.Body) {
+	if g.partition != state.ConfigPartition || bytes.Equal(before.Body, after.Body) {
 		return
 	}
 	was, is := revisionOf(before), revisionOf(after)
--- a/control/replica/invariants_test.go
+++ b/control/replica/invariants_test.go
@@ -22,7 +22,7 @@
 	table, err := proto.Marshal(&routingpb.RoutingTable{Revision: revision})
 	must.NoError(t, err)
 	body := wire.Encode(&wire.ConfigBody{Routing: table})
-	return wire.Versioned{Version: wire.Version{Partition: state.Config, Term: term, Seq: seq}, Voters: seats("a", "b", "me"), Body: body}
+	return wire.Versioned{Version: wire.Version{Partition: state.ConfigPartition, Term: term, Seq: seq}, Voters: seats("a", "b", "me"), Body: body}
 }
 
 func TestViolationOfOneLeaderATerm(t *testing.T) {
@@ -47,7 +47,7 @@
 
 func TestViolationsOfCommits(t *testing.T) {
 	c := newCore(t, nil)
-	g := c.s.groups[state.Config]
+	g := c.s.groups[state.ConfigPartition]
 	step := &kernel.Context{Now: c.now, Counts: c.k.Counts}
 	commit := func(v wire.Versioned) invariant.Name { return violation.By(func() { g.commit(step, v) }) }
 	must.Eq(t, "", commit(configured(t, 3, 1, 7)))
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -185,7 +185,7 @@
 // leader is the core that leads the configuration and may take its edits.
 func (c *narrowCluster) leader() *narrowMember {
 	for _, id := range []string{"a", "b", "c"} {
-		if m := c.members[id]; m.up && m.host.Leads(state.Config) {
+		if m := c.members[id]; m.up && m.host.Leads(state.ConfigPartition) {
 			return m
 		}
 	}
--- a/control/replica/orders_test.go
+++ b/control/replica/orders_test.go
@@ -119,7 +119,7 @@
 	must.NoError(t, wire.Decode(f.Body, &pulled))
 	must.Len(t, 1, pulled.Versions)
 	must.Nil(t, pulled.Versions[0].EditLog)
-	told, ok := c.s.mesh.Partition(state.Config)
+	told, ok := c.s.mesh.Partition(state.ConfigPartition)
 	must.True(t, ok)
 	must.Nil(t, told.EditLog)
 	must.Eq(t, g.committed.Body, told.Body)
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -21,7 +21,7 @@
 		return
 	}
 	w := pendingEdit{conn: ch, id: id, edit: e}
-	if !state.Reads(e.Op) {
+	if !state.IsRead(e.Op) {
 		g.queue = append(g.queue, w)
 		g.proposeNext(ctx)
 		return
@@ -49,7 +49,7 @@
 	if g.role != leader || !g.ready || g.proposal != nil || g.transferring {
 		return
 	}
-	value := state.Value{Body: g.committed.Body, Ledger: g.committed.EditLog}
+	value := state.Value{Body: g.committed.Body, EditLog: g.committed.EditLog}
 	stamp := wire.Version{Partition: g.partition, Term: g.term, Seq: g.committed.Version.Seq + 1}
 	seats, changed := g.nextMembers(ctx)
 	if g.awaitsLearners(ctx) {
@@ -74,7 +74,7 @@
 	}
 	g.clockAt = ctx.Now
 	if wall, known := g.agreedTime(ctx); known {
-		if after, due := g.host.clockwork(g.partition)(value.Body, stamp, wall, g.leaseHolders(ctx)); due && len(after) <= state.MaxBody(g.partition)+state.ClockRoom {
+		if after, due := g.host.clockwork(g.partition)(value.Body, stamp, wall, g.leaseHolders(ctx)); due && len(after) <= state.MaxBody(g.partition)+state.TickAllowance {
 			value.Body, changed = after, true
 		}
 	} else {
@@ -84,7 +84,7 @@
 	case changed:
 		g.proposedEdits = batch
 		ctx.Counts.Add("part_versions", 1)
-		g.propose(ctx, wire.Versioned{Version: stamp, Voters: seats, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.Ledger}, g.baseOf(value))
+		g.propose(ctx, wire.Versioned{Version: stamp, Voters: seats, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.EditLog}, g.baseOf(value))
 	case len(batch) > 0:
 		g.awaitConfirmation(ctx, batch...)
 	}
@@ -98,8 +98,8 @@
 			left = append(left, w)
 			continue
 		}
-		if state.Reads(w.edit.Op) {
-			w.reply = state.Answer(g.committed, &w.edit)
+		if state.IsRead(w.edit.Op) {
+			w.reply = state.AnswerRead(g.committed, &w.edit)
 			w.reply.Addr = g.leaderAddress
 		}
 		g.answer(ctx, w.conn, w.id, w.reply)
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -30,11 +30,13 @@
 
 // holds reports whether a core has committed a version that is at least as new.
 func (m *narrowMember) holds(at wire.Version) bool {
-	g := m.host.groups[state.Config]
+	g := m.host.groups[state.ConfigPartition]
 	return g.committed.Version == at || g.committed.Version.Term > at.Term || g.committed.Version.Term == at.Term && g.committed.Version.Seq > at.Seq
 }
 
-func (m *narrowMember) committed() wire.Versioned { return m.host.groups[state.Config].committed }
+func (m *narrowMember) committed() wire.Versioned {
+	return m.host.groups[state.ConfigPartition].committed
+}
 
 // grow takes orders until the configuration has at least so many bytes, and gives its revision.
 func (c *narrowCluster) grow(size int) (revision int64) {
@@ -101,7 +103,7 @@
 	const diskBytes = 64_000_000
 	total := 0
 	for partition := range state.Partitions {
-		most := state.MaxBody(partition) + state.MaxLedger(partition) + state.ClockRoom
+		most := state.MaxBody(partition) + state.MaxEditLog(partition) + state.TickAllowance
 		total += (VersionsKept + 1) * most
 		must.LessEq(t, wire.MaxMessage, most+wire.MaxSingleFrame)
 	}
@@ -159,7 +161,7 @@
 	must.True(t, bytes.Equal(was.Body, now.Body))
 	n := 0
 	for _, m := range c.members {
-		if m.up && m.host.groups[state.Config].accepted.Version == now.Version {
+		if m.up && m.host.groups[state.ConfigPartition].accepted.Version == now.Version {
 			n++
 		}
 	}
@@ -177,11 +179,11 @@
 	c.stop(away.id)
 	was := c.order(pools(int64(len(c.pools())), 900_000, "new"), 20_000_000).Version
 	c.start(away.id)
-	g := away.host.groups[state.Config]
+	g := away.host.groups[state.ConfigPartition]
 	c.run(5_000_000, "it follows", func() bool { return g.leader == l.id || g.isVoter() })
 	must.False(t, away.holds(was))
 	c.stop(l.id)
-	c.step(away, kernel.Received{Conn: 1 << 41, Data: wire.Seal(wire.KindLeaderHeartbeat, 0, &wire.LeaderHeartbeat{Partition: state.Config, Term: g.votedTerm + 1, From: l.id, TransferTo: away.id})})
+	c.step(away, kernel.Received{Conn: 1 << 41, Data: wire.Seal(wire.KindLeaderHeartbeat, 0, &wire.LeaderHeartbeat{Partition: state.ConfigPartition, Term: g.votedTerm + 1, From: l.id, TransferTo: away.id})})
 	c.run(30_000_000, "a leader", func() bool { return c.leader() != nil })
 	must.True(t, c.leader().holds(was))
 }
--- a/control/replica/state_machine.go
+++ b/control/replica/state_machine.go
@@ -12,9 +12,9 @@
 // Partitions is the number of partitions.
 const Partitions = state.Partitions
 
-func (s *Host) judge(partition int) state.Judge { return state.JudgeOf(partition) }
+func (s *Host) judge(partition int) state.ApplyFunc { return state.ApplyFuncOf(partition) }
 
-func (s *Host) clockwork(partition int) state.Clockwork { return state.ClockworkOf(partition) }
+func (s *Host) clockwork(partition int) state.TickFunc { return state.TickFuncOf(partition) }
 
 // Leads reports whether this process owns a partition and may take its edits, for tests and metrics.
 func (s *Host) Leads(partition int) bool {
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -77,7 +77,7 @@
 	config := storedConfig(t, g.committed)
 	must.Eq(t, []string{"b1"}, config.ActiveBookings)
 	must.Eq(t, []string{"z8"}, config.DrainedZones)
-	must.Eq(t, 100, int(state.SheetOf(config).Services[0].Capacity))
+	must.Eq(t, 100, int(state.ConfigurationOf(config).Services[0].Capacity))
 
 	g = c.lead(storedIndexPartition, "a")
 	c.answers(g, []string{"a"}, []storedAnswer{
--- a/control/replica/stored_test.go
+++ b/control/replica/stored_test.go
@@ -26,7 +26,7 @@
 
 func storedLedger(t *testing.T, v wire.Versioned) wire.EditLog {
 	t.Helper()
-	ledger, err := state.ReadLedger(v.EditLog)
+	ledger, err := state.ReadEditLog(v.EditLog)
 	must.NoError(t, err)
 	return ledger
 }
@@ -50,7 +50,7 @@
 		v := g.accepted
 		line("partition %d voted %d for %q holds %s files %d", g.partition, g.votedTerm, g.votedFor, version(v.Version), len(g.versionFiles))
 		line("  voters%s before%s", voters(v.Voters), voters(v.PreviousVoters))
-		if g.partition != state.Config {
+		if g.partition != state.ConfigPartition {
 			index, err := state.ReadIndex(v.Body)
 			must.NoError(t, err)
 			for _, name := range sortedKeys(index.ShardMaps) {
--- a/control/replica/synced.go
+++ b/control/replica/synced.go
@@ -49,7 +49,7 @@
 
 // baseOf is the committed version, if a new one has its body and ledger: only the voters change.
 func (g *Group) baseOf(value state.Value) (base wire.Version) {
-	if bytes.Equal(value.Body, g.committed.Body) && bytes.Equal(value.Ledger, g.committed.EditLog) {
+	if bytes.Equal(value.Body, g.committed.Body) && bytes.Equal(value.EditLog, g.committed.EditLog) {
 		base = g.committed.Version
 	}
 	return base
--- a/control/reshard/cutmove.go
+++ b/control/reshard/reshard.go
@@ -16,24 +16,24 @@
 
 // Figures of a move.
 const (
-	Every   = 500_000
-	WarmAt  = 500
-	EnoughN = 2
+	CheckInterval = 500_000
+	MinWarmth     = 500
+	MinServers    = 2
 )
 
-// CutMove is the plug-in of a node.
-type CutMove struct {
+// Resharder is the plug-in of a node.
+type Resharder struct {
 	mesh       *mesh.Mesh
 	members    *membership.Members
 	configSync *configsync.Sync
 	table      *snapshot.Table
-	rank       int
+	checks     int
 	armed      bool
 }
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 90, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &CutMove{
+		return &Resharder{
 			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
 			configSync: kernel.Find[*configsync.Sync](k), table: kernel.Find[*snapshot.Table](k),
 		}
@@ -41,41 +41,41 @@
 }
 
 // Name is the plug-in's name.
-func (c *CutMove) Name() string { return "cutmove" }
+func (c *Resharder) Name() string { return "cutmove" }
 
 // Kinds are the frames that it takes: none.
-func (c *CutMove) Kinds() []uint8 { return nil }
+func (c *Resharder) Kinds() []uint8 { return nil }
 
 // Step takes one input.
-func (c *CutMove) Step(ctx *kernel.Context, in kernel.Input) {
+func (c *Resharder) Step(ctx *kernel.Context, in kernel.Input) {
 	switch in.(type) {
 	case snapshot.Built:
 		c.arm(ctx)
 	case kernel.Tick:
 		c.armed = false
 		c.arm(ctx)
-		c.look(ctx)
+		c.requestFlips(ctx)
 	}
 }
 
 // arm has it looked again for as long as some index is being moved.
-func (c *CutMove) arm(ctx *kernel.Context) {
+func (c *Resharder) arm(ctx *kernel.Context) {
 	if c.armed {
 		return
 	}
 	for _, x := range c.table.Current().Indexes {
 		if x.Cut.Next != "" {
 			c.armed = true
-			ctx.After(Every, "cutmove", "look")
+			ctx.After(CheckInterval, "cutmove", "look")
 			return
 		}
 	}
 }
 
-// look asks for the flip of every move that is ready. The first live node by
+// requestFlips asks for the flip of every move that is ready. The first live node by
 // name does it, and the others after it in turn where nothing came of it; the
 // edit is judged by the partition's leader, so that two who try flip once.
-func (c *CutMove) look(ctx *kernel.Context) {
+func (c *Resharder) requestFlips(ctx *kernel.Context) {
 	cp := c.table.Current()
 	if cp == nil || cp.Configuration == nil || cp.Draining {
 		return
@@ -84,11 +84,11 @@
 	if len(live) == 0 {
 		return
 	}
-	c.rank++
-	if live[(c.rank/4)%len(live)].Origin != c.mesh.Self() && live[0].Origin != c.mesh.Self() {
+	c.checks++
+	if live[(c.checks/4)%len(live)].Origin != c.mesh.Self() && live[0].Origin != c.mesh.Self() {
 		return
 	}
-	for _, name := range sortedIndexes(cp) {
+	for _, name := range configuredIndexes(cp) {
 		x := cp.Indexes[name]
 		if x.Cut.Next == "" || !Ready(x, ctx.Now) {
 			continue
@@ -107,14 +107,14 @@
 // Ready reports whether every shard of the next cut has enough good, warm
 // servers: two, or as many as the live cut's thinnest shard has.
 func Ready(x *snapshot.Index, now int64) bool {
-	need := EnoughN
+	need := MinServers
 	for _, s := range x.Shards {
 		need = min(need, max(1, len(s)))
 	}
 	for _, s := range x.NextShards {
 		n := 0
 		for _, v := range s {
-			if v.Health == snapshot.Healthy && v.Incarnation != 0 && v.SlowStartShare(now, x.Service.RampUs) >= WarmAt {
+			if v.Health == snapshot.Healthy && v.Incarnation != 0 && v.SlowStartShare(now, x.Service.RampUs) >= MinWarmth {
 				n++
 			}
 		}
@@ -125,7 +125,7 @@
 	return len(x.NextShards) > 0
 }
 
-func sortedIndexes(cp *snapshot.Snapshot) []string {
+func configuredIndexes(cp *snapshot.Snapshot) []string {
 	var out []string
 	for _, s := range cp.Configuration.Services {
 		out = append(out, s.Index)
--- a/control/routing/edit.go
+++ b/control/routing/edit.go
@@ -19,16 +19,16 @@
 		return &routingpb.RoutingTable{Revision: e.Revision, Routes: e.Whole.Routes, Pools: e.Whole.Pools, Limits: e.Whole.Limits, Further: e.Whole.Further}
 	}
 	t := &routingpb.RoutingTable{Revision: e.Revision, Limits: cur.GetLimits()}
-	t.Routes = merge(cur.GetRoutes(), e.Upsert.GetRoutes(), e.WithdrawRoutes)
-	t.Pools = merge(cur.GetPools(), e.Upsert.GetPools(), e.WithdrawPools)
-	t.Further = merge(cur.GetFurther(), e.Upsert.GetFurther(), nil)
+	t.Routes = mergeByName(cur.GetRoutes(), e.Upsert.GetRoutes(), e.WithdrawRoutes)
+	t.Pools = mergeByName(cur.GetPools(), e.Upsert.GetPools(), e.WithdrawPools)
+	t.Further = mergeByName(cur.GetFurther(), e.Upsert.GetFurther(), nil)
 	if e.Upsert.GetLimits() != nil {
 		t.Limits = e.Upsert.Limits
 	}
 	return t
 }
 
-func merge[T interface{ GetName() string }](cur, upsert []T, withdraw []string) []T {
+func mergeByName[T interface{ GetName() string }](cur, upsert []T, withdraw []string) []T {
 	out := slices.DeleteFunc(slices.Clone(cur), func(v T) bool { return slices.Contains(withdraw, v.GetName()) })
 	for _, v := range upsert {
 		i := slices.IndexFunc(out, func(o T) bool { return o.GetName() == v.GetName() })
@@ -43,7 +43,7 @@
 
 // Digest sums up an edit as it was sent, its base and revision included.
 func Digest(e *routingpb.RoutingEdit) [sha256.Size]byte {
-	return sha256.Sum256(encoded(e))
+	return sha256.Sum256(encode(e))
 }
 
 // LegacyDigest is the digest that releases before 3 remembered; they knew no further fields.
@@ -55,11 +55,11 @@
 		}
 	}
 	h := fnv.New64a()
-	h.Write(encoded(known))
+	h.Write(encode(known))
 	return h.Sum64()
 }
 
-func encoded(e *routingpb.RoutingEdit) []byte {
+func encode(e *routingpb.RoutingEdit) []byte {
 	b, _ := proto.MarshalOptions{Deterministic: true}.Marshal(e)
 	return b
 }
--- a/control/routing/routing.go
+++ b/control/routing/routing.go
@@ -28,8 +28,8 @@
 	total   float64
 }
 
-// Gathered tells that a request goes to one backend of each of the route's pools.
-func (r *Route) Gathered() bool { return len(r.FanoutPools) > 0 }
+// FansOut tells that a request goes to one backend of each of the route's pools.
+func (r *Route) FansOut() bool { return len(r.FanoutPools) > 0 }
 
 // PoolAt is the pool of a route that is not gathered; at lies in [0, 1) and decides by weight.
 func (r *Route) PoolAt(at float64) string {
--- a/control/state/config.go
+++ b/control/state/config.go
@@ -20,8 +20,8 @@
 
 // Bounds of what orders about zones may leave behind.
 const (
-	zoneNameMost = 128
-	drainedMost  = 128
+	maxZoneNameBytes = 128
+	maxDrainedZones  = 128
 )
 
 // ReadConfig decodes a configuration body; nil is the empty one.
@@ -34,8 +34,8 @@
 	return c, err
 }
 
-// SheetOf decodes the sheet of a configuration.
-func SheetOf(c wire.ConfigBody) *configpb.Sheet {
+// ConfigurationOf decodes the sheet of a configuration.
+func ConfigurationOf(c wire.ConfigBody) *configpb.Sheet {
 	s := new(configpb.Sheet)
 	if proto.Unmarshal(c.Config, s) != nil {
 		return new(configpb.Sheet)
@@ -43,17 +43,17 @@
 	return s
 }
 
-func judgeConfig(value Value, next wire.Version, e *wire.Edit) (Value, wire.EditReply, bool) {
+func applyConfigEdit(value Value, next wire.Version, e *wire.Edit) (Value, wire.EditReply, bool) {
 	c, err := ReadConfig(value.Body)
 	if err != nil {
-		return value, invalid("body", "the part's body cannot be read: "+err.Error()), false
+		return value, invalidEdit("body", "the part's body cannot be read: "+err.Error()), false
 	}
-	ledger, err := ReadLedger(value.Ledger)
+	ledger, err := ReadEditLog(value.EditLog)
 	if err != nil {
-		return value, invalid("ledger", "cannot be read: "+err.Error()), false
+		return value, invalidEdit("ledger", "cannot be read: "+err.Error()), false
 	}
-	adoptConfig(&ledger, &c)
-	if r, ok := editTaken(&ledger, e); ok {
+	migrateConfig(&ledger, &c)
+	if r, ok := findRepeatedEdit(&ledger, e); ok {
 		return value, r, false
 	}
 	var r wire.EditReply
@@ -64,24 +64,24 @@
 		if r, took = editRouting(&c, &ledger, next, e); !took {
 			return value, r, false
 		}
-		return Value{Body: wire.Encode(&c), Ledger: wire.Encode(&ledger)}, r, true
+		return Value{Body: wire.Encode(&c), EditLog: wire.Encode(&ledger)}, r, true
 	case "put", "rows", "return":
-		r = editSheet(&c, &ledger, next, e)
+		r = editConfiguration(&c, &ledger, next, e)
 	case "empty", "refill":
 		r = editZone(&c, &ledger, next, e)
 	default:
-		r = invalid("op", "no such operation: "+e.Op)
+		r = invalidEdit("op", "no such operation: "+e.Op)
 	}
 	if r.Code != "ok" {
 		return value, r, false
 	}
-	rememberEdit(&ledger, e, next)
-	return Value{Body: wire.Encode(&c), Ledger: wire.Encode(&ledger)}, r, true
+	recordEdit(&ledger, e, next)
+	return Value{Body: wire.Encode(&c), EditLog: wire.Encode(&ledger)}, r, true
 }
 
-func editSheet(c *wire.ConfigBody, ledger *wire.EditLog, next wire.Version, e *wire.Edit) wire.EditReply {
+func editConfiguration(c *wire.ConfigBody, ledger *wire.EditLog, next wire.Version, e *wire.Edit) wire.EditReply {
 	if e.Base != c.ConfigVersion {
-		if r, lost := lostRace(c, ledger, e); lost {
+		if r, lost := checkBase(c, ledger, e); lost {
 			return r
 		}
 	}
@@ -91,13 +91,13 @@
 	case "put":
 		s, found = config.Read(e.Body)
 	case "rows":
-		s, found = config.Apply(SheetOf(*c), e.Body)
+		s, found = config.Apply(ConfigurationOf(*c), e.Body)
 	case "return":
 		i := slices.IndexFunc(ledger.History, func(p wire.PastConfig) bool { return config.VersionText(p.Version) == e.Name })
 		if i < 0 {
-			return invalid("stamp", "not in the history: "+e.Name)
+			return invalidEdit("stamp", "not in the history: "+e.Name)
 		}
-		s = SheetOf(wire.ConfigBody{Config: ledger.History[i].Config})
+		s = ConfigurationOf(wire.ConfigBody{Config: ledger.History[i].Config})
 	}
 	if len(found) == 0 {
 		found = config.Check(s)
@@ -107,22 +107,22 @@
 	}
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
 	if err != nil {
-		return invalid("sheet", err.Error())
+		return invalidEdit("sheet", err.Error())
 	}
 	c.Config, c.ConfigVersion = b, next
 	ledger.History = boundHistory(append(ledger.History, wire.PastConfig{Version: next, By: e.By, Config: b}))
 	return wire.EditReply{Code: "ok"}
 }
 
-// lostRace judges an edit that is not based on the sheet in force: one of rows
+// checkBase judges an edit that is not based on the sheet in force: one of rows
 // alone still holds if none of its rows has changed since its base.
-func lostRace(c *wire.ConfigBody, ledger *wire.EditLog, e *wire.Edit) (wire.EditReply, bool) {
+func checkBase(c *wire.ConfigBody, ledger *wire.EditLog, e *wire.Edit) (wire.EditReply, bool) {
 	lost := wire.EditReply{Code: "lost_race", Version: c.ConfigVersion}
 	i := slices.IndexFunc(ledger.History, func(p wire.PastConfig) bool { return p.Version == e.Base })
 	if e.Op != "rows" || i < 0 {
 		return lost, true
 	}
-	lost.Findings = config.Clash(SheetOf(wire.ConfigBody{Config: ledger.History[i].Config}), SheetOf(*c), e.Body)
+	lost.Findings = config.Conflicts(ConfigurationOf(wire.ConfigBody{Config: ledger.History[i].Config}), ConfigurationOf(*c), e.Body)
 	return lost, len(lost.Findings) > 0
 }
 
@@ -153,26 +153,26 @@
 	switch {
 	case zone == "":
 		text = "is needed"
-	case len(zone) > zoneNameMost:
-		text = fmt.Sprintf("is longer than %d bytes", zoneNameMost)
+	case len(zone) > maxZoneNameBytes:
+		text = fmt.Sprintf("is longer than %d bytes", maxZoneNameBytes)
 	case !utf8.ValidString(zone) || strings.ContainsFunc(zone, unicode.IsControl):
 		text = "is not a name in plain text"
-	case drains && len(c.DrainedZones) >= drainedMost && !slices.Contains(c.DrainedZones, zone):
-		text = fmt.Sprintf("%d zones are drained already", drainedMost)
+	case drains && len(c.DrainedZones) >= maxDrainedZones && !slices.Contains(c.DrainedZones, zone):
+		text = fmt.Sprintf("%d zones are drained already", maxDrainedZones)
 	default:
 		return nil
 	}
 	return []wire.Finding{{Path: "zone", Text: text}}
 }
 
-// configClock starts and ends bookings by the leader's corrected clock.
-func configClock(body []byte, _ wire.Version, wall int64, _ map[string]string) ([]byte, bool) {
+// tickConfig starts and ends bookings by the leader's corrected clock.
+func tickConfig(body []byte, _ wire.Version, wall int64, _ map[string]string) ([]byte, bool) {
 	c, err := ReadConfig(body)
 	if err != nil || len(c.Config) == 0 {
 		return nil, false
 	}
 	var run []string
-	for _, b := range SheetOf(c).Bookings {
+	for _, b := range ConfigurationOf(c).Bookings {
 		if b.StartsUs <= wall && wall < b.EndsUs {
 			run = append(run, b.Id)
 		}
--- a/control/state/ledger.go
+++ b/control/state/editlog.go
@@ -17,19 +17,19 @@
 
 // Bounds of a ledger. A day of the largest deployments has 530 changes.
 const (
-	ordersMost  = 2048
-	editsMost   = 2048
-	historyMost = 32
-	// historyBytesMost bounds the sheets of the history together; the one in force always stays.
-	historyBytesMost = 256 << 10
-	zoneVersionsMost = 256
+	maxRoutingEdits = 2048
+	maxEdits        = 2048
+	maxHistory      = 32
+	// maxHistoryBytes bounds the sheets of the history together; the one in force always stays.
+	maxHistoryBytes = 256 << 10
+	maxZoneVersions = 256
 )
 
 // legacyDigestBytes is the size of the digests that releases before 3 made.
 const legacyDigestBytes = 8
 
-// ReadLedger decodes a ledger; nil is the empty one.
-func ReadLedger(encoded []byte) (wire.EditLog, error) {
+// ReadEditLog decodes a ledger; nil is the empty one.
+func ReadEditLog(encoded []byte) (wire.EditLog, error) {
 	var ledger wire.EditLog
 	if len(encoded) == 0 {
 		return ledger, nil
@@ -38,23 +38,23 @@
 	return ledger, err
 }
 
-// adoptEdits moves the edits that a body of a release before 3 remembers into the ledger.
-func adoptEdits(ledger *wire.EditLog, recent []wire.LegacyEdit) {
+// migrateEdits moves the edits that a body of a release before 3 remembers into the ledger.
+func migrateEdits(ledger *wire.EditLog, recent []wire.LegacyEdit) {
 	var edits []wire.AppliedEdit
 	for _, d := range recent {
 		edits = append(edits, wire.AppliedEdit{EditID: d.EditID, Digest: legacyDigest(d.Sum), Term: d.Version.Term, Seq: d.Version.Seq})
 	}
-	ledger.Edits = newest(append(edits, ledger.Edits...), editsMost)
+	ledger.Edits = newest(append(edits, ledger.Edits...), maxEdits)
 }
 
-// adoptConfig moves all that a configuration of a release before 3 remembers into the ledger.
-func adoptConfig(ledger *wire.EditLog, config *wire.ConfigBody) {
-	adoptEdits(ledger, config.LegacyEdits)
+// migrateConfig moves all that a configuration of a release before 3 remembers into the ledger.
+func migrateConfig(ledger *wire.EditLog, config *wire.ConfigBody) {
+	migrateEdits(ledger, config.LegacyEdits)
 	var orders []wire.RoutingEdit
 	for _, r := range config.LegacyRevisions {
 		orders = append(orders, wire.RoutingEdit{Digest: legacyDigest(r.Sum), Term: r.Version.Term, Seq: r.Version.Seq})
 	}
-	ledger.RoutingEdits = newest(append(orders, ledger.RoutingEdits...), ordersMost)
+	ledger.RoutingEdits = newest(append(orders, ledger.RoutingEdits...), maxRoutingEdits)
 	ledger.History = boundHistory(append(slices.Clone(config.LegacyHistory), ledger.History...))
 	config.LegacyEdits, config.LegacyRevisions, config.LegacyHistory = nil, nil, nil
 }
@@ -68,19 +68,19 @@
 
 // boundHistory keeps the newest sheets, within the bounds of their number and size.
 func boundHistory(history []wire.PastConfig) []wire.PastConfig {
-	history = newest(history, historyMost)
+	history = newest(history, maxHistory)
 	size := 0
 	for i := len(history) - 1; i >= 0; i-- {
 		size += len(history[i].Config)
-		if size > historyBytesMost && i < len(history)-1 {
+		if size > maxHistoryBytes && i < len(history)-1 {
 			return history[i+1:]
 		}
 	}
 	return history
 }
 
-// orderTaken gives the version that took exactly this order.
-func orderTaken(ledger *wire.EditLog, order *routingpb.RoutingEdit) (wire.Version, bool) {
+// findRoutingEdit gives the version that took exactly this order.
+func findRoutingEdit(ledger *wire.EditLog, order *routingpb.RoutingEdit) (wire.Version, bool) {
 	digest := routing.Digest(order)
 	legacy := legacyDigest(routing.LegacyDigest(order))
 	for _, taken := range ledger.RoutingEdits {
@@ -89,20 +89,20 @@
 			known = legacy
 		}
 		if bytes.Equal(taken.Digest, known) {
-			return wire.Version{Partition: Config, Term: taken.Term, Seq: taken.Seq}, true
+			return wire.Version{Partition: ConfigPartition, Term: taken.Term, Seq: taken.Seq}, true
 		}
 	}
 	return wire.Version{}, false
 }
 
-func rememberOrder(ledger *wire.EditLog, order *routingpb.RoutingEdit, at wire.Version) {
+func recordRoutingEdit(ledger *wire.EditLog, order *routingpb.RoutingEdit, at wire.Version) {
 	digest := routing.Digest(order)
 	taken := wire.RoutingEdit{Digest: digest[:], Term: at.Term, Seq: at.Seq}
-	ledger.RoutingEdits = newest(append(ledger.RoutingEdits, taken), ordersMost)
+	ledger.RoutingEdits = newest(append(ledger.RoutingEdits, taken), maxRoutingEdits)
 }
 
-// editTaken answers an edit whose id was taken before.
-func editTaken(ledger *wire.EditLog, edit *wire.Edit) (wire.EditReply, bool) {
+// findRepeatedEdit answers an edit whose id was taken before.
+func findRepeatedEdit(ledger *wire.EditLog, edit *wire.Edit) (wire.EditReply, bool) {
 	if edit.EditID == "" {
 		return wire.EditReply{}, false
 	}
@@ -121,12 +121,12 @@
 	return wire.EditReply{Code: "ok", Version: wire.Version{Partition: edit.Partition, Term: taken.Term, Seq: taken.Seq}}, true
 }
 
-func rememberEdit(ledger *wire.EditLog, edit *wire.Edit, at wire.Version) {
+func recordEdit(ledger *wire.EditLog, edit *wire.Edit, at wire.Version) {
 	if edit.EditID == "" {
 		return
 	}
 	taken := wire.AppliedEdit{EditID: edit.EditID, Digest: editDigest(edit), Term: at.Term, Seq: at.Seq}
-	ledger.Edits = newest(append(ledger.Edits, taken), editsMost)
+	ledger.Edits = newest(append(ledger.Edits, taken), maxEdits)
 }
 
 // editDigest sums up what an edit does; what it is bound to may differ from one sending to the next.
@@ -143,7 +143,7 @@
 func zoneVersion(ledger *wire.EditLog, zone string) wire.Version {
 	for _, v := range ledger.Zones {
 		if v.Zone == zone {
-			return wire.Version{Partition: Config, Term: v.Term, Seq: v.Seq}
+			return wire.Version{Partition: ConfigPartition, Term: v.Term, Seq: v.Seq}
 		}
 	}
 	return ledger.ZoneFloor
@@ -154,8 +154,8 @@
 func setZoneVersion(ledger *wire.EditLog, zone string, at wire.Version) {
 	zones := slices.DeleteFunc(slices.Clone(ledger.Zones), func(v wire.ZoneVersion) bool { return v.Zone == zone })
 	zones = append(zones, wire.ZoneVersion{Zone: zone, Term: at.Term, Seq: at.Seq})
-	for len(zones) > zoneVersionsMost {
-		ledger.ZoneFloor = wire.Version{Partition: Config, Term: zones[0].Term, Seq: zones[0].Seq}
+	for len(zones) > maxZoneVersions {
+		ledger.ZoneFloor = wire.Version{Partition: ConfigPartition, Term: zones[0].Term, Seq: zones[0].Seq}
 		zones = zones[1:]
 	}
 	ledger.Zones = zones
--- a/control/state/golden_test.go
+++ b/control/state/golden_test.go
@@ -9,7 +9,7 @@
 // An index stays in the partition that its data is stored in.
 func TestPartitionOfAnIndexIsThatOfEarlierReleases(t *testing.T) {
 	must.Eq(t, 5, Partitions)
-	must.Eq(t, 0, Config)
+	must.Eq(t, 0, ConfigPartition)
 	for name, partition := range map[string]int{"": 2, "a": 1, "docs": 3, "maps": 3, "listing": 4, "poll": 1} {
 		must.Eq(t, partition, PartitionOf(name), must.Sprint(name))
 	}
--- a/control/state/index.go
+++ b/control/state/index.go
@@ -25,41 +25,41 @@
 	return b, err
 }
 
-func judgeIndex(value Value, next wire.Version, e *wire.Edit) (Value, wire.EditReply, bool) {
+func applyIndexEdit(value Value, next wire.Version, e *wire.Edit) (Value, wire.EditReply, bool) {
 	b, err := ReadIndex(value.Body)
 	if err != nil {
-		return value, invalid("body", "the part's body cannot be read: "+err.Error()), false
+		return value, invalidEdit("body", "the part's body cannot be read: "+err.Error()), false
 	}
-	ledger, err := ReadLedger(value.Ledger)
+	ledger, err := ReadEditLog(value.EditLog)
 	if err != nil {
-		return value, invalid("ledger", "cannot be read: "+err.Error()), false
+		return value, invalidEdit("ledger", "cannot be read: "+err.Error()), false
 	}
-	adoptEdits(&ledger, b.LegacyEdits)
+	migrateEdits(&ledger, b.LegacyEdits)
 	b.LegacyEdits = nil
-	if r, ok := editTaken(&ledger, e); ok {
+	if r, ok := findRepeatedEdit(&ledger, e); ok {
 		return value, r, false
 	}
 	var r wire.EditReply
 	switch e.Op {
 	case "cut":
-		r = startCut(&b, e)
+		r = startResharding(&b, e)
 	case "flip":
-		r = flipCut(&b, e)
+		r = finishResharding(&b, e)
 	default:
-		r = invalid("op", "no such operation: "+e.Op)
+		r = invalidEdit("op", "no such operation: "+e.Op)
 	}
 	if r.Code != "ok" {
 		return value, r, false
 	}
-	rememberEdit(&ledger, e, next)
-	return Value{Body: wire.Encode(&b), Ledger: wire.Encode(&ledger)}, r, true
+	recordEdit(&ledger, e, next)
+	return Value{Body: wire.Encode(&b), EditLog: wire.Encode(&ledger)}, r, true
 }
 
-// startCut begins a move; the first cut of an index is in force at once.
-func startCut(b *wire.IndexBody, e *wire.Edit) wire.EditReply {
+// startResharding begins a move; the first cut of an index is in force at once.
+func startResharding(b *wire.IndexBody, e *wire.Edit) wire.EditReply {
 	var want wire.ShardMap
 	if wire.Decode(e.Body, &want) != nil || want.Next == "" || want.NextShards < 1 {
-		return invalid("cut", "needs a name and at least one shard")
+		return invalidEdit("cut", "needs a name and at least one shard")
 	}
 	live, ok := b.ShardMaps[e.Name]
 	switch {
@@ -68,7 +68,7 @@
 	case live.Name == want.Next && live.Shards == want.NextShards:
 		live.Next, live.NextShards = "", 0
 	case live.Name == want.Next:
-		return invalid("shards", "the live cut of that name has another number of shards")
+		return invalidEdit("shards", "the live cut of that name has another number of shards")
 	default:
 		live.Next, live.NextShards = want.Next, want.NextShards
 	}
@@ -76,8 +76,8 @@
 	return wire.EditReply{Code: "ok"}
 }
 
-// flipCut makes the next cut the live one, if it is still the same move.
-func flipCut(b *wire.IndexBody, e *wire.Edit) wire.EditReply {
+// finishResharding makes the next cut the live one, if it is still the same move.
+func finishResharding(b *wire.IndexBody, e *wire.Edit) wire.EditReply {
 	var want wire.ShardMap
 	live := b.ShardMaps[e.Name]
 	if wire.Decode(e.Body, &want) != nil || live.Next == "" || want != live {
@@ -87,8 +87,8 @@
 	return wire.EditReply{Code: "ok"}
 }
 
-// indexClock writes down who has the duties once that changed.
-func indexClock(body []byte, _ wire.Version, _ int64, holders map[string]string) ([]byte, bool) {
+// tickIndex writes down who has the duties once that changed.
+func tickIndex(body []byte, _ wire.Version, _ int64, holders map[string]string) ([]byte, bool) {
 	b, err := ReadIndex(body)
 	if err != nil {
 		return nil, false
--- a/control/state/read.go
+++ b/control/state/read.go
@@ -4,27 +4,27 @@
 
 import "wallport/runtime/wire"
 
-// Reads reports whether an operation only reads.
-func Reads(op string) bool {
+// IsRead reports whether an operation only reads.
+func IsRead(op string) bool {
 	return op == wire.OpRead || op == wire.OpHistory || op == wire.OpZoneVersion
 }
 
-// Answer answers a read by a committed version.
-func Answer(version wire.Versioned, read *wire.Edit) wire.EditReply {
+// AnswerRead answers a read by a committed version.
+func AnswerRead(version wire.Versioned, read *wire.Edit) wire.EditReply {
 	if read.Op == wire.OpRead {
 		return wire.EditReply{Code: "ok", Version: version.Version, Body: version.Body}
 	}
-	ledger, err := ReadLedger(version.EditLog)
+	ledger, err := ReadEditLog(version.EditLog)
 	if err != nil {
-		return invalid("ledger", "cannot be read: "+err.Error())
+		return invalidEdit("ledger", "cannot be read: "+err.Error())
 	}
 	if read.Op == wire.OpZoneVersion {
 		return wire.EditReply{Code: wire.CodeVersion, Version: zoneVersion(&ledger, read.Name)}
 	}
 	config, err := ReadConfig(version.Body)
 	if err != nil {
-		return invalid("body", "cannot be read: "+err.Error())
+		return invalidEdit("body", "cannot be read: "+err.Error())
 	}
-	adoptConfig(&ledger, &config)
+	migrateConfig(&ledger, &config)
 	return wire.EditReply{Code: "ok", Version: version.Version, Body: wire.Encode(&wire.EditLog{History: ledger.History})}
 }
--- a/control/state/routing.go
+++ b/control/state/routing.go
@@ -29,17 +29,17 @@
 func editRouting(c *wire.ConfigBody, ledger *wire.EditLog, next wire.Version, raw *wire.Edit) (r wire.EditReply, took bool) {
 	e := new(routingpb.RoutingEdit)
 	if err := proto.Unmarshal(raw.Body, e); err != nil {
-		return invalid("edit", "cannot be read: "+err.Error()), false
+		return invalidEdit("edit", "cannot be read: "+err.Error()), false
 	}
 	cur, err := RoutingOf(*c)
 	if err != nil {
-		return invalid("body", "the table in force cannot be read: "+err.Error()), false
+		return invalidEdit("body", "the table in force cannot be read: "+err.Error()), false
 	}
 	if cur.GetRevision() != e.Base {
-		return otherRevision(ledger, e, cur.GetRevision()), false
+		return replyToOtherBase(ledger, e, cur.GetRevision()), false
 	}
 	if e.Revision <= e.Base {
-		return invalid("revision", fmt.Sprintf("%d is not above the current one, %d", e.Revision, e.Base)), false
+		return invalidEdit("revision", fmt.Sprintf("%d is not above the current one, %d", e.Revision, e.Base)), false
 	}
 	t := routing.Apply(cur, e)
 	if found := routing.Check(t); len(found) > 0 {
@@ -47,17 +47,17 @@
 	}
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(t)
 	if err != nil {
-		return invalid("edit", err.Error()), false
+		return invalidEdit("edit", err.Error()), false
 	}
 	c.Routing = b
-	rememberOrder(ledger, e, next)
+	recordRoutingEdit(ledger, e, next)
 	return wire.EditReply{Code: "ok"}, true
 }
 
-// otherRevision answers an edit that is not built on the revision in force: exactly this edit
+// replyToOtherBase answers an edit that is not built on the revision in force: exactly this edit
 // may have been taken before, else it lost.
-func otherRevision(ledger *wire.EditLog, e *routingpb.RoutingEdit, current int64) wire.EditReply {
-	if at, taken := orderTaken(ledger, e); taken {
+func replyToOtherBase(ledger *wire.EditLog, e *routingpb.RoutingEdit, current int64) wire.EditReply {
+	if at, taken := findRoutingEdit(ledger, e); taken {
 		return wire.EditReply{Code: "ok", Version: at}
 	}
 	return wire.EditReply{Code: "lost_race", Findings: []wire.Finding{{Path: "base", Text: fmt.Sprintf("revision %d is in force", current)}}}
--- a/control/state/routing_test.go
+++ b/control/state/routing_test.go
@@ -24,50 +24,50 @@
 	}
 }
 
-func whole(base, rev int64) *routingpb.RoutingEdit {
+func wholeTable(base, rev int64) *routingpb.RoutingEdit {
 	return &routingpb.RoutingEdit{Base: base, Revision: rev, Whole: tableOf()}
 }
 
 func TestWholeTableAndItsRepeat(t *testing.T) {
-	p := &part0{t: t}
-	r := p.send(whole(0, 3))
+	p := &configPartition{t: t}
+	r := p.applyRouting(wholeTable(0, 3))
 	must.Eq(t, "ok", r.Code)
 	must.Eq(t, 3, p.table().Revision)
 	must.Eq(t, "{a}", string(p.table().Routes[0].Source))
-	must.Eq(t, "ok", p.send(whole(3, 9)).Code)
-	again := p.send(whole(0, 3))
+	must.Eq(t, "ok", p.applyRouting(wholeTable(3, 9)).Code)
+	again := p.applyRouting(wholeTable(0, 3))
 	must.Eq(t, "ok", again.Code, must.Sprint("exactly this was taken before"))
 	must.Eq(t, r.Version, again.Version)
 	must.Eq(t, 9, p.table().Revision)
-	other := whole(0, 3)
+	other := wholeTable(0, 3)
 	other.Whole.Routes[0].TimeoutUs = 2
-	must.Eq(t, "lost_race", p.send(other).Code, must.Sprint("another edit of the same numbers"))
-	must.Eq(t, "lost_race", p.send(whole(1, 3)).Code)
+	must.Eq(t, "lost_race", p.applyRouting(other).Code, must.Sprint("another edit of the same numbers"))
+	must.Eq(t, "lost_race", p.applyRouting(wholeTable(1, 3)).Code)
 }
 
 func TestOfTwoOnOneRevisionTheFirstIsTaken(t *testing.T) {
-	p := &part0{t: t}
-	must.Eq(t, "ok", p.send(whole(0, 1)).Code)
-	must.Eq(t, "ok", p.send(whole(1, 5)).Code)
-	r := p.send(whole(1, 6))
+	p := &configPartition{t: t}
+	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 1)).Code)
+	must.Eq(t, "ok", p.applyRouting(wholeTable(1, 5)).Code)
+	r := p.applyRouting(wholeTable(1, 6))
 	must.Eq(t, "lost_race", r.Code)
 	must.StrContains(t, r.Findings[0].Text, "revision 5")
-	must.Eq(t, "lost_race", p.send(whole(8, 9)).Code)
+	must.Eq(t, "lost_race", p.applyRouting(wholeTable(8, 9)).Code)
 }
 
 func TestRevisionsRise(t *testing.T) {
-	p := &part0{t: t}
-	must.Eq(t, "invalid", p.send(whole(0, 0)).Code)
-	must.Eq(t, "ok", p.send(whole(0, 4)).Code)
-	must.Eq(t, "invalid", p.send(whole(4, 4)).Code)
-	must.Eq(t, "invalid", p.send(whole(4, 3)).Code)
-	must.Eq(t, "ok", p.send(whole(4, 40)).Code)
+	p := &configPartition{t: t}
+	must.Eq(t, "invalid", p.applyRouting(wholeTable(0, 0)).Code)
+	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 4)).Code)
+	must.Eq(t, "invalid", p.applyRouting(wholeTable(4, 4)).Code)
+	must.Eq(t, "invalid", p.applyRouting(wholeTable(4, 3)).Code)
+	must.Eq(t, "ok", p.applyRouting(wholeTable(4, 40)).Code)
 }
 
 func TestItemsAreAddedReplacedAndWithdrawnByName(t *testing.T) {
-	p := &part0{t: t}
-	p.send(whole(0, 1))
-	r := p.send(&routingpb.RoutingEdit{
+	p := &configPartition{t: t}
+	p.applyRouting(wholeTable(0, 1))
+	r := p.applyRouting(&routingpb.RoutingEdit{
 		Base: 1, Revision: 2,
 		Upsert: &routingpb.RoutingTable{
 			Routes: []*routingpb.Route{route("c", "/c/", "r"), route("a", "/a2/", "r")},
@@ -80,12 +80,12 @@
 	must.Eq(t, "a /a2/, c /c/", names(got.Routes))
 	must.Eq(t, "{r}", string(got.Pools[1].Source))
 	must.Eq(t, "{p}", string(got.Pools[0].Source))
-	r = p.send(&routingpb.RoutingEdit{Base: 2, Revision: 3, WithdrawPools: []string{"p"}})
+	r = p.applyRouting(&routingpb.RoutingEdit{Base: 2, Revision: 3, WithdrawPools: []string{"p"}})
 	must.Eq(t, "ok", r.Code, must.Sprint("no route names it any more"))
-	r = p.send(&routingpb.RoutingEdit{Base: 3, Revision: 4, WithdrawPools: []string{"r"}})
+	r = p.applyRouting(&routingpb.RoutingEdit{Base: 3, Revision: 4, WithdrawPools: []string{"r"}})
 	must.Eq(t, "invalid", r.Code, must.Sprint("the whole is checked after the change"))
 	must.Len(t, 2, r.Findings)
-	must.Eq(t, "ok", p.send(&routingpb.RoutingEdit{Base: 3, Revision: 4, Upsert: &routingpb.RoutingTable{Limits: &routingpb.Limits{MaxBodyBytes: 7}}}).Code)
+	must.Eq(t, "ok", p.applyRouting(&routingpb.RoutingEdit{Base: 3, Revision: 4, Upsert: &routingpb.RoutingTable{Limits: &routingpb.Limits{MaxBodyBytes: 7}}}).Code)
 	must.Eq(t, 7, p.table().Limits.MaxBodyBytes)
 }
 
@@ -130,10 +130,10 @@
 		"ramp that has no bound": func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].RampPerS = math.Inf(1) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &part0{t: t}
-			e := whole(0, 1)
+			p := &configPartition{t: t}
+			e := wholeTable(0, 1)
 			spoil(e.Whole, e.Whole.Routes[0])
-			r := p.send(e)
+			r := p.applyRouting(e)
 			must.Eq(t, "invalid", r.Code)
 			must.Len(t, 1, r.Findings)
 			must.NotEq(t, "", r.Findings[0].Path)
@@ -155,39 +155,39 @@
 		"a deadline past the timeout": func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TargetLatencyUs = 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := whole(0, 1)
+			e := wholeTable(0, 1)
 			change(e.Whole, e.Whole.Routes[0])
-			must.Eq(t, "ok", (&part0{t: t}).send(e).Code)
+			must.Eq(t, "ok", (&configPartition{t: t}).applyRouting(e).Code)
 		})
 	}
 }
 
 func TestFindingsComeTogether(t *testing.T) {
-	p := &part0{t: t}
-	e := whole(0, 1)
+	p := &configPartition{t: t}
+	e := wholeTable(0, 1)
 	e.Whole.Routes[0].TimeoutUs, e.Whole.Routes[1].Pool, e.Whole.Pools[0].MaxConnections = 0, "x", -1
-	must.Len(t, 3, p.send(e).Findings)
-	must.Eq(t, "invalid", p.judge(&wire.Edit{Op: "routing", Body: []byte("\xff\xff")}).Code)
+	must.Len(t, 3, p.applyRouting(e).Findings)
+	must.Eq(t, "invalid", p.apply(&wire.Edit{Op: "routing", Body: []byte("\xff\xff")}).Code)
 }
 
 func TestRevisionsRememberedAreBounded(t *testing.T) {
-	p := &part0{t: t}
-	for i := range int64(ordersMost + 5) {
-		must.Eq(t, "ok", p.send(whole(i, i+1)).Code)
+	p := &configPartition{t: t}
+	for i := range int64(maxRoutingEdits + 5) {
+		must.Eq(t, "ok", p.applyRouting(wholeTable(i, i+1)).Code)
 	}
-	must.Len(t, ordersMost, p.ledger().RoutingEdits)
-	must.Eq(t, "lost_race", p.send(whole(0, 1)).Code)
-	must.Eq(t, "ok", p.send(whole(100, 101)).Code)
+	must.Len(t, maxRoutingEdits, p.editLog().RoutingEdits)
+	must.Eq(t, "lost_race", p.applyRouting(wholeTable(0, 1)).Code)
+	must.Eq(t, "ok", p.applyRouting(wholeTable(100, 101)).Code)
 }
 
 func TestEmptyingAZoneTwiceIsTaken(t *testing.T) {
-	p := &part0{t: t}
-	p.send(whole(0, 1))
+	p := &configPartition{t: t}
+	p.applyRouting(wholeTable(0, 1))
 	for _, id := range []string{"one", "one", "two", ""} {
-		must.Eq(t, "ok", p.zone("empty", "z", id).Code)
+		must.Eq(t, "ok", p.applyZone("empty", "z", id).Code)
 	}
-	must.Eq(t, "ok", p.zone("refill", "z", "three").Code)
-	must.Eq(t, "ok", p.zone("empty", "z", "two").Code, must.Sprint("an old repeat"))
+	must.Eq(t, "ok", p.applyZone("refill", "z", "three").Code)
+	must.Eq(t, "ok", p.applyZone("empty", "z", "two").Code, must.Sprint("an old repeat"))
 	c, err := ReadConfig(p.value.Body)
 	must.NoError(t, err)
 	must.SliceEmpty(t, c.DrainedZones)
--- a/control/state/layout.go
+++ b/control/state/state.go
@@ -12,8 +12,8 @@
 // Partitions is the number of partitions: partition 0 holds the configuration, the others the indexes.
 const Partitions = 5
 
-// Config is the part of the configuration.
-const Config = 0
+// ConfigPartition is the part of the configuration.
+const ConfigPartition = 0
 
 // PartitionOf is the partition that holds an index or another named service.
 func PartitionOf(name string) int {
@@ -24,28 +24,28 @@
 
 // Value is what a partition's replicas agree on: the body, which everyone reads, and the ledger,
 // which stays with them.
-type Value struct{ Body, Ledger []byte }
+type Value struct{ Body, EditLog []byte }
 
-// Judge decides one edit: the value after it, the reply, and whether it took.
-type Judge func(value Value, next wire.Version, e *wire.Edit) (after Value, r wire.EditReply, took bool)
+// ApplyFunc decides one edit: the value after it, the reply, and whether it took.
+type ApplyFunc func(value Value, next wire.Version, e *wire.Edit) (after Value, r wire.EditReply, took bool)
 
-// Clockwork changes a body because time passed or duties moved.
-type Clockwork func(body []byte, next wire.Version, wall int64, holders map[string]string) (after []byte, due bool)
+// TickFunc changes a body because time passed or duties moved.
+type TickFunc func(body []byte, next wire.Version, wall int64, holders map[string]string) (after []byte, due bool)
 
-// JudgeOf gives the judge of a partition.
-func JudgeOf(partition int) Judge {
-	if partition == Config {
-		return judgeConfig
+// ApplyFuncOf gives the judge of a partition.
+func ApplyFuncOf(partition int) ApplyFunc {
+	if partition == ConfigPartition {
+		return applyConfigEdit
 	}
-	return judgeIndex
+	return applyIndexEdit
 }
 
-// ClockworkOf gives the clockwork of a partition.
-func ClockworkOf(partition int) Clockwork {
-	if partition == Config {
-		return configClock
+// TickFuncOf gives the clockwork of a partition.
+func TickFuncOf(partition int) TickFunc {
+	if partition == ConfigPartition {
+		return tickConfig
 	}
-	return indexClock
+	return tickIndex
 }
 
 // legacyEditSum is the digest that releases before 3 remembered of an edit.
@@ -59,6 +59,6 @@
 	return h.Sum64()
 }
 
-func invalid(place, text string) wire.EditReply {
+func invalidEdit(place, text string) wire.EditReply {
 	return wire.EditReply{Code: "invalid", Findings: []wire.Finding{{Path: place, Text: text}}}
 }
--- a/lab/model/frames.go
+++ b/lab/model/frames.go
@@ -51,20 +51,20 @@
 		return f
 	case wire.KindAccept:
 		var m wire.Accept
-		if wire.Decode(opened.Body, &m) == nil && m.Partition == state.Config {
+		if wire.Decode(opened.Body, &m) == nil && m.Partition == state.ConfigPartition {
 			f.kind, f.leader, f.term, f.version = frameReplica, m.From, m.Term, &m.Versioned
 			f.text = fmt.Sprintf("append %d.%d", m.Versioned.Version.Term, m.Versioned.Version.Seq)
 		}
 		return f
 	case wire.KindLeaderHeartbeat:
 		var m wire.LeaderHeartbeat
-		if wire.Decode(opened.Body, &m) == nil && m.Partition == state.Config {
+		if wire.Decode(opened.Body, &m) == nil && m.Partition == state.ConfigPartition {
 			f.kind, f.leader, f.term = frameReplica, m.From, m.Term
 			f.text = fmt.Sprintf("heartbeat term %d", m.Term)
 		}
 		return f
 	}
-	if partitionOf(opened.Body) == state.Config {
+	if partitionOf(opened.Body) == state.ConfigPartition {
 		f.kind = frameReplica
 	}
 	return f
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -57,7 +57,7 @@
 
 // committedOf is the newest version that a process knows to be committed.
 func committedOf(k *kernel.Kernel) (wire.Versioned, bool) {
-	return kernel.Find[*mesh.Mesh](k).Partition(state.Config)
+	return kernel.Find[*mesh.Mesh](k).Partition(state.ConfigPartition)
 }
 
 func replicaName(replica int) string    { return string(rune('a' + replica)) }
@@ -86,7 +86,7 @@
 // versionIn reads the version that a file holds.
 func versionIn(file string, data []byte) (wire.Versioned, bool) {
 	var v wire.Versioned
-	if !strings.HasPrefix(file, fmt.Sprintf("part-%d.stamp-", state.Config)) {
+	if !strings.HasPrefix(file, fmt.Sprintf("part-%d.stamp-", state.ConfigPartition)) {
 		return v, false
 	}
 	content, err := diskfile.Unpack(data)
@@ -115,7 +115,7 @@
 
 // orderFrame is an operator's call.
 func orderFrame(id uint64, o *Order) []byte {
-	e := wire.Edit{Partition: state.Config, EditID: o.Name, By: "operator"}
+	e := wire.Edit{Partition: state.ConfigPartition, EditID: o.Name, By: "operator"}
 	switch o.Kind {
 	case ChangeOrder:
 		edit := &routingpb.RoutingEdit{Base: o.Base, Revision: o.Revision, Upsert: &routingpb.RoutingTable{Pools: []*routingpb.Pool{{Name: o.Name}}}}
--- a/lab/sim/front.go
+++ b/lab/sim/front.go
@@ -86,7 +86,7 @@
 			}
 		})
 	case search.Claim:
-		p.call("idempotency", idempotency.Admit{Key: v.Key, Index: v.Index, Sum: v.Sum, First: v.First, Within: v.Within, Again: v.Again}, func(ans any) {
+		p.call("idempotency", idempotency.Admit{Key: v.Key, Index: v.Index, Digest: v.Sum, FirstAttempt: v.First, Timeout: v.Within, Repeatable: v.Again}, func(ans any) {
 			if s, in := search.LateClaim(v.Key, ans.(search.Verdict)); in && !f.runs[r] {
 				f.act(r, s)
 				return
@@ -94,7 +94,7 @@
 			f.step(r, search.Claimed{Verdict: ans.(search.Verdict)})
 		})
 	case search.Settle:
-		p.call("idempotency", idempotency.Settle{Key: v.Key, Code: v.Code, Token: v.Token, Tried: v.Tried, Outcome: v.Outcome}, nil)
+		p.call("idempotency", idempotency.RecordOutcome{Key: v.Key, Code: v.Code, Token: v.Token, Attempted: v.Tried, Outcome: v.Outcome}, nil)
 	case search.Finish:
 		delete(f.runs, r)
 		f.list = slices.DeleteFunc(f.list, func(o *run) bool { return o == r })
--- a/request/dispatch/admission.go
+++ b/request/dispatch/admission.go
@@ -13,7 +13,7 @@
 
 func (c *StateMachine) admit(now int64) {
 	p := c.plan
-	if c.route.Gathered() {
+	if c.route.FansOut() {
 		c.admitGathered(now)
 		return
 	}
--- a/request/dispatch/invariants.go
+++ b/request/dispatch/invariants.go
@@ -37,7 +37,7 @@
 	case promisesNotRun(o.Status) && c.atMostOnce() && c.mayHaveRun():
 		r.Violated(invariant.RejectedNotRun, "request %s is answered %d", c.request.ID, o.Status)
 	case o.Code != "ok":
-	case c.route.Gathered():
+	case c.route.FansOut():
 		c.checkGathered(o)
 	case o.Response == nil || !isSuccess(o.Response) || o.Response.Status != o.Status:
 		r.Violated(invariant.SuccessSealed, "request %s is answered %d", c.request.ID, o.Status)
--- a/request/dispatch/retry.go
+++ b/request/dispatch/retry.go
@@ -21,7 +21,7 @@
 	switch {
 	case isSuccess(r):
 		w.succeeded = true
-		if c.route.Gathered() {
+		if c.route.FansOut() {
 			w.records, w.seal = r.Body, r.Seal
 		} else {
 			w.keepResult(r)
@@ -64,7 +64,7 @@
 	switch {
 	case r.Status >= 200 && r.Status < 300 && r.Seal == "":
 		r.Class, r.Reason = ClassInvalid, "a success without its seal"
-	case !c.route.Gathered() || r.Seal == "":
+	case !c.route.FansOut() || r.Seal == "":
 	default:
 		for j := range c.shards {
 			if w := &c.shards[j]; w.succeeded && w.seal == r.Seal && j != i {
@@ -112,7 +112,7 @@
 	if c.finished {
 		return
 	}
-	if c.route.Gathered() {
+	if c.route.FansOut() {
 		c.resolveGathered(now)
 		return
 	}
--- a/request/dispatch/state_machine.go
+++ b/request/dispatch/state_machine.go
@@ -183,7 +183,7 @@
 	c.targetAt = min(c.targetAt, c.deadline)
 }
 
-func (c *StateMachine) atMostOnce() bool { return !c.route.Repeatable && !c.route.Gathered() }
+func (c *StateMachine) atMostOnce() bool { return !c.route.Repeatable && !c.route.FansOut() }
 
 func (c *StateMachine) maxBackends() int { return max(1, int(c.route.MaxBackends)) }
 
@@ -215,9 +215,9 @@
 		return
 	}
 	at := c.deadline
-	if c.route.Gathered() && c.targetAt > now {
+	if c.route.FansOut() && c.targetAt > now {
 		at = min(at, c.targetAt)
-	} else if c.route.Gathered() {
+	} else if c.route.FansOut() {
 		at = min(at, now+lateRecheck)
 	}
 	for i := range c.shards {
@@ -227,7 +227,7 @@
 	}
 	for n := range c.attempts {
 		// An ask on trial holds up no longer than it is hoped for.
-		if t := &c.attempts[n]; t.inFlight && !t.abandoned && c.route.Gathered() && t.endpoint.backend.ejections.Load() > 0 {
+		if t := &c.attempts[n]; t.inFlight && !t.abandoned && c.route.FansOut() && t.endpoint.backend.ejections.Load() > 0 {
 			if ends := c.expectedUntil(t); ends > now {
 				at = min(at, ends)
 			}
--- a/request/dispatch/view.go
+++ b/request/dispatch/view.go
@@ -94,7 +94,7 @@
 		p.latency = append(p.latency, d.latencyOf(name, r))
 	}
 	switch {
-	case r.Gathered():
+	case r.FansOut():
 		for _, name := range r.FanoutPools {
 			add(name)
 		}
@@ -124,5 +124,5 @@
 			return true
 		}
 	}
-	return !r.Gathered() && len(r.PoolWeights) == 0 && r.Pool == name
+	return !r.FansOut() && len(r.PoolWeights) == 0 && r.Pool == name
 }
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -37,7 +37,7 @@
 func (a operatorAPI) change(ctx context.Context, c changing, e wire.Edit) (*operator.Taken, error) {
 	scope, indexes := config.ScopeAll, []string(nil)
 	if e.Op == "rows" {
-		scope, indexes = config.ScopeRows, config.Indexes(a.f.table.Current().Configuration, e.Body)
+		scope, indexes = config.ScopeRows, config.EditedIndexes(a.f.table.Current().Configuration, e.Body)
 	}
 	who, err := a.f.scopes.may(c.token, scope, indexes)
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 	out := []*operator.PastSheet{}
 	for _, h := range history.Sheets {
-		s := state.SheetOf(wire.ConfigBody{Config: h.Config})
+		s := state.ConfigurationOf(wire.ConfigBody{Config: h.Config})
 		out = append(out, &operator.PastSheet{Stamp: config.VersionText(h.Version), By: h.By, Sheet: config.JSON(s)})
 	}
 	return out, nil
@@ -162,7 +162,7 @@
 		s.Formed = &r.Bootstrapped
 	}
 	for _, st := range r.InForce {
-		if st.Partition == state.Config {
+		if st.Partition == state.ConfigPartition {
 			s.InForce = config.VersionText(st)
 		}
 	}
--- a/request/httpapi/run.go
+++ b/request/httpapi/run.go
@@ -94,7 +94,7 @@
 }
 
 func (r *run) settle(v search.Settle) {
-	r.f.p.Post(kernel.Call{Plugin: "idempotency", Request: idempotency.Settle{Key: v.Key, Code: v.Code, Token: v.Token, Tried: v.Tried, Outcome: v.Outcome}})
+	r.f.p.Post(kernel.Call{Plugin: "idempotency", Request: idempotency.RecordOutcome{Key: v.Key, Code: v.Code, Token: v.Token, Attempted: v.Tried, Outcome: v.Outcome}})
 }
 
 func (r *run) loop() search.Outcome {
@@ -134,7 +134,7 @@
 func (r *run) claim(c search.Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	v, err := r.f.p.Call(ctx, "idempotency", idempotency.Admit{Key: c.Key, Index: c.Index, Sum: c.Sum, First: c.First, Within: c.Within, Again: c.Again})
+	v, err := r.f.p.Call(ctx, "idempotency", idempotency.Admit{Key: c.Key, Index: c.Index, Digest: c.Sum, FirstAttempt: c.First, Timeout: c.Within, Repeatable: c.Again})
 	verdict, ok := v.(search.Verdict)
 	if err != nil || !ok {
 		verdict = search.Verdict{Code: "short"}
--- a/request/httpapi/shape.go
+++ b/request/httpapi/shape.go
@@ -54,7 +54,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		found := config.Twice(body)
+		found := config.DuplicateNames(body)
 		if err != nil || len(found) == 0 {
 			next.ServeHTTP(w, r)
 			return
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -15,12 +15,12 @@
 )
 
 type admission struct {
-	id      uint64
-	ask     Admit
-	owners  []snapshot.Node
-	until   int64
-	replies map[string]ownerReply
-	tried   bool
+	id        uint64
+	request   Admit
+	owners    []snapshot.Node
+	deadline  int64
+	replies   map[string]ownerReply
+	attempted bool
 	// decideAt is set once a majority let the key in and only slower owners are waited for.
 	decideAt int64
 }
@@ -28,52 +28,52 @@
 // admit claims a key at its owners.
 func (c *Coordinator) admit(ctx *kernel.Context, id uint64, a Admit) {
 	cp := c.snapshot()
-	if c.minority(cp, ctx.Now) {
+	if c.inMinority(cp, ctx.Now) {
 		ctx.Counts.Add("claims_minority", 1)
 		ctx.Reply(id, search.Verdict{Code: "short", Why: "this node sees too few of the fleet to vouch for a key"})
 		return
 	}
-	c.next++
-	n := c.next
-	pending := &admission{id: id, ask: a, until: ctx.Now + min(a.Within, GiveUp), replies: map[string]ownerReply{}}
+	c.lastID++
+	n := c.lastID
+	pending := &admission{id: id, request: a, deadline: ctx.Now + min(a.Timeout, MaxAdmissionWait), replies: map[string]ownerReply{}}
 	c.admissions[n] = pending
 	if !c.rosterUnknown(ctx.Now) {
 		pending.owners = Owners(a.Key, cp.KeyOwners)
-		c.send(ctx, n, pending)
+		c.sendClaims(ctx, n, pending)
 	}
 	if c.admissions[n] != nil {
-		ctx.AfterFor(min(AskEvery, pending.until-ctx.Now), "idempotency", n)
+		ctx.AfterFor(min(ResendInterval, pending.deadline-ctx.Now), "idempotency", n)
 	}
 }
 
 // rosterUnknown tells that this process has just started and cannot know yet who else is there: the
 // owners that it would ask were too few.
 func (c *Coordinator) rosterUnknown(now int64) bool {
-	if c.caught == 0 {
-		return now-c.began < SettleFor
+	if c.caughtUpAt == 0 {
+		return now-c.startedAt < RosterConvergence
 	}
-	return now-c.caught < RosterWait
+	return now-c.caughtUpAt < RosterLoadWait
 }
 
-// send asks every owner that has not let the key in yet.
-func (c *Coordinator) send(ctx *kernel.Context, n uint64, pending *admission) {
-	m := wire.AdmitRequest{Key: pending.ask.Key, Index: pending.ask.Index, From: c.token(n), Sum: pending.ask.Sum}
+// sendClaims asks every owner that has not let the key in yet.
+func (c *Coordinator) sendClaims(ctx *kernel.Context, n uint64, pending *admission) {
+	m := wire.AdmitRequest{Key: pending.request.Key, Index: pending.request.Index, From: c.token(n), Sum: pending.request.Digest}
 	for _, h := range pending.owners {
 		switch {
 		case c.admissions[n] == nil:
 			return
 		case pending.replies[h.Name].code == "in":
 		case h.Origin == c.mesh.Self():
-			c.replied(ctx, n, c.answerClaim(ctx, m))
+			c.receiveReply(ctx, n, c.handleClaim(ctx, m))
 		default:
 			ctx.SendTo(h.Addr, wire.KindAdmitRequest, n, &m)
 		}
 	}
 }
 
-func (c *Coordinator) replied(ctx *kernel.Context, n uint64, r wire.AdmitReply) {
+func (c *Coordinator) receiveReply(ctx *kernel.Context, n uint64, r wire.AdmitReply) {
 	pending := c.admissions[n]
-	if pending == nil || pending.ask.Key != r.Key {
+	if pending == nil || pending.request.Key != r.Key {
 		return
 	}
 	for _, h := range pending.owners {
@@ -82,10 +82,10 @@
 			pending.replies[h.Name] = ownerReply{code: r.Code, owners: r.KeyOwners}
 		}
 	}
-	pending.tried = pending.tried || r.Attempted
+	pending.attempted = pending.attempted || r.Attempted
 	switch r.Code {
 	case "done", "running", "conflict":
-		c.end(ctx, n, search.Verdict{Code: r.Code, Body: r.Body})
+		c.finish(ctx, n, search.Verdict{Code: r.Code, Body: r.Body})
 		return
 	}
 	c.decide(ctx, n, pending)
@@ -98,58 +98,58 @@
 		return
 	}
 	switch {
-	case !pending.majority(pending.ask.First):
+	case !pending.majority(pending.request.FirstAttempt):
 		// An owner that let it in may have lost it since, or the roster have grown.
 		return
 	case len(pending.replies) == len(pending.owners):
 	case pending.decideAt == 0:
-		pending.decideAt = ctx.Now + LastWait
-		ctx.AfterFor(LastWait, "idempotency", n)
+		pending.decideAt = ctx.Now + StragglerWait
+		ctx.AfterFor(StragglerWait, "idempotency", n)
 		return
 	case ctx.Now < pending.decideAt:
 		return
 	}
-	c.end(ctx, n, search.Verdict{Code: "in", Token: c.token(n), Repeat: pending.tried})
+	c.finish(ctx, n, search.Verdict{Code: "in", Token: c.token(n), Repeat: pending.attempted})
 }
 
-// retry is a claim's timer: it decides, asks again, or gives up.
-func (c *Coordinator) retry(ctx *kernel.Context, n uint64) {
+// onTimer is a claim's timer: it decides, asks again, or gives up.
+func (c *Coordinator) onTimer(ctx *kernel.Context, n uint64) {
 	pending := c.admissions[n]
 	switch {
 	case pending == nil:
 		return
-	case pending.ask.Again:
+	case pending.request.Repeatable:
 		// The owner is silent: what cannot be told from a first try is one.
 		delete(c.admissions, n)
 		ctx.Reply(pending.id, search.Verdict{Code: "in"})
 		return
 	}
 	if !c.rosterUnknown(ctx.Now) {
-		pending.widen(Owners(pending.ask.Key, c.snapshot().KeyOwners))
+		pending.addOwners(Owners(pending.request.Key, c.snapshot().KeyOwners))
 	}
 	if c.decide(ctx, n, pending); c.admissions[n] == nil || pending.decideAt > ctx.Now {
 		return
 	}
-	if ctx.Now < pending.until {
+	if ctx.Now < pending.deadline {
 		ctx.Counts.Add("claims_asked_again", 1)
-		c.send(ctx, n, pending)
+		c.sendClaims(ctx, n, pending)
 		if c.admissions[n] != nil {
-			ctx.AfterFor(min(AskEvery, pending.until-ctx.Now), "idempotency", n)
+			ctx.AfterFor(min(ResendInterval, pending.deadline-ctx.Now), "idempotency", n)
 		}
 		return
 	}
 	if pending.majority(true) {
 		// Those that would know have lost what they knew, and an earlier try may have run.
 		ctx.Counts.Add("claims_unknown", 1)
-		c.end(ctx, n, search.Verdict{Code: "unknown"})
+		c.finish(ctx, n, search.Verdict{Code: "unknown"})
 		return
 	}
 	ctx.Counts.Add("claims_short", 1)
-	c.end(ctx, n, search.Verdict{Code: "short", Why: fmt.Sprintf("%d of the key's %d home nodes answered", pending.agreed(), len(pending.owners))})
+	c.finish(ctx, n, search.Verdict{Code: "short", Why: fmt.Sprintf("%d of the key's %d home nodes answered", pending.countAgreeing(), len(pending.owners))})
 }
 
-// widen adds owners that this node has learned of meanwhile. None is left out: it may hold the claim.
-func (a *admission) widen(owners []snapshot.Node) {
+// addOwners adds owners that this node has learned of meanwhile. None is left out: it may hold the claim.
+func (a *admission) addOwners(owners []snapshot.Node) {
 	for _, h := range owners {
 		if !slices.ContainsFunc(a.owners, func(o snapshot.Node) bool { return o.Name == h.Name }) {
 			a.owners = append(a.owners, h)
@@ -161,7 +161,7 @@
 // must not release each other.
 func (c *Coordinator) token(n uint64) string { return fmt.Sprintf("%s#%d", c.mesh.Self(), n) }
 
-func (c *Coordinator) end(ctx *kernel.Context, n uint64, v search.Verdict) {
+func (c *Coordinator) finish(ctx *kernel.Context, n uint64, v search.Verdict) {
 	pending := c.admissions[n]
 	delete(c.admissions, n)
 	ctx.Reply(pending.id, v)
@@ -169,21 +169,21 @@
 	case "in":
 	case "unknown":
 		// It stays unknown: what was not let in now must not be let in later either.
-		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.ask.Key, Code: "done"})
+		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: "done"})
 	default:
-		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.ask.Key, Code: "released", Body: []byte(c.token(n))})
+		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: "released", Body: []byte(c.token(n))})
 	}
 }
 
-// tellOutcome settles a key that this node was let in with.
-func (c *Coordinator) tellOutcome(ctx *kernel.Context, a Settle) {
+// publishOutcome settles a key that this node was let in with.
+func (c *Coordinator) publishOutcome(ctx *kernel.Context, a RecordOutcome) {
 	m := wire.Outcome{Key: a.Key, Code: a.Code}
 	switch {
 	case a.Code == "unseen":
-		c.unseen(ctx, a.Key)
+		c.forgetRepeat(ctx, a.Key)
 		return
 	case a.Code == "released":
-		m.Body, m.Attempted = []byte(a.Token), a.Tried
+		m.Body, m.Attempted = []byte(a.Token), a.Attempted
 	default:
 		if b, err := json.Marshal(a.Outcome); err == nil {
 			m.Body = b
@@ -195,7 +195,7 @@
 func (c *Coordinator) broadcast(ctx *kernel.Context, owners []snapshot.Node, m wire.Outcome) {
 	for _, h := range owners {
 		if h.Origin == c.mesh.Self() {
-			c.settle(ctx, m)
+			c.updateRecord(ctx, m)
 			continue
 		}
 		ctx.SendTo(h.Addr, wire.KindOutcome, 0, &m)
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -19,16 +19,16 @@
 	k.Step(now, now, kernel.Start{})
 	k.Step(now, now, kernel.Tick{Plugin: "table", Key: "build"})
 	must.Len(t, 1, c.table.Current().KeyOwners, must.Sprint("itself, as far as it knows"))
-	k.Step(now, now, kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", First: true, Within: 5_000_000}})
+	k.Step(now, now, kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", FirstAttempt: true, Timeout: 5_000_000}})
 	must.MapLen(t, 1, c.admissions)
 	for n, w := range c.admissions {
 		must.SliceEmpty(t, w.owners)
-		now += AskEvery
+		now += ResendInterval
 		out := k.Step(now, now, kernel.Tick{Plugin: "idempotency", ID: n})
 		must.SliceEmpty(t, out.Replies)
 		must.SliceEmpty(t, w.owners)
 		k.Step(now, now, mesh.CaughtUp{})
-		now += RosterWait
+		now += RosterLoadWait
 		out = k.Step(now, now, kernel.Tick{Plugin: "idempotency", ID: n})
 		must.Len(t, 1, w.owners, must.Sprint("now it knows, and asks"))
 	}
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -11,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-func places(roster []snapshot.Node) []wire.NodeLocation {
+func encodeRoster(roster []snapshot.Node) []wire.NodeLocation {
 	out := make([]wire.NodeLocation, 0, len(roster))
 	for _, n := range roster {
 		out = append(out, wire.NodeLocation{Name: n.Name, Zone: n.Zone})
@@ -19,7 +19,7 @@
 	return out
 }
 
-func nodes(places []wire.NodeLocation) []snapshot.Node {
+func decodeRoster(places []wire.NodeLocation) []snapshot.Node {
 	out := make([]snapshot.Node, 0, len(places))
 	for _, p := range places {
 		out = append(out, snapshot.Node{Name: p.Name, Zone: p.Zone})
@@ -27,24 +27,24 @@
 	return out
 }
 
-// handedMost bounds one frame of records, in bytes of their bodies.
-const handedMost = 256 << 10
+// maxHandOverBytes bounds one frame of records, in bytes of their bodies.
+const maxHandOverBytes = 256 << 10
 
-// handOver gives an owner what it should have had; a process that is itself not
+// sendRecords gives an owner what it should have had; a process that is itself not
 // sure of all that it lost, or does not count the asker among the owners yet, says nothing and
 // is asked again: what it lets in afterwards by a smaller roster would be missing.
-func (c *Coordinator) handOver(ctx *kernel.Context, ch uint64, m wire.RecordsRequest) {
-	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.before == nil && !e.settled(ctx.Now) && !c.startedBeforeAll() }) {
+func (c *Coordinator) sendRecords(ctx *kernel.Context, ch uint64, m wire.RecordsRequest) {
+	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.previousRoster == nil && !e.converged(ctx.Now) && !c.startedBeforeAll() }) {
 		return
 	}
 	if !slices.ContainsFunc(c.roster, func(n snapshot.Node) bool { return n.Name == m.Name }) {
 		return
 	}
-	before, now := nodes(m.OldNodes), nodes(m.NewNodes)
-	out := wire.RecordsReply{Epoch: m.Epoch, Name: c.name(), KeyOwners: c.countsOwners()}
+	before, now := decodeRoster(m.OldNodes), decodeRoster(m.NewNodes)
+	out := wire.RecordsReply{Epoch: m.Epoch, Name: c.name(), KeyOwners: c.ownerCount()}
 	size := 0
 	var keys []string
-	if len(before) == 0 || len(before) > ownersMost || !isOwner("", m.Name, before) {
+	if len(before) == 0 || len(before) > maxOwners || !isOwner("", m.Name, before) {
 		keys = slices.Sorted(maps.Keys(c.records))
 	}
 	for _, key := range keys {
@@ -52,13 +52,13 @@
 			continue
 		}
 		rec := c.records[key]
-		s := wire.Outcome{Key: key, Code: "running", Status: int(rec.sum), Body: []byte(rec.from)}
-		if rec.done {
-			s.Code, s.Body = "done", rec.body
+		s := wire.Outcome{Key: key, Code: "running", Status: int(rec.digest), Body: []byte(rec.token)}
+		if rec.completed {
+			s.Code, s.Body = "done", rec.outcome
 		}
 		out.Records = append(out.Records, s)
 		ctx.Counts.Add("claims_handed_over", 1)
-		if size += len(key) + len(s.Body) + 32; size > handedMost {
+		if size += len(key) + len(s.Body) + 32; size > maxHandOverBytes {
 			ctx.Send(ch, wire.KindRecordsReply, 0, &out)
 			out.Records, size = nil, 0
 		}
@@ -67,14 +67,14 @@
 	ctx.Send(ch, wire.KindRecordsReply, 0, &out)
 }
 
-func (c *Coordinator) handed(ctx *kernel.Context, m wire.RecordsReply) {
+func (c *Coordinator) receiveRecords(ctx *kernel.Context, m wire.RecordsReply) {
 	for _, s := range m.Records {
-		c.settle(ctx, s)
+		c.updateRecord(ctx, s)
 	}
 	for _, e := range c.epochs {
-		if e.n == m.Epoch && m.Last {
-			e.heard[m.Name] = true
-			e.owners = max(e.owners, m.KeyOwners)
+		if e.id == m.Epoch && m.Last {
+			e.handedOver[m.Name] = true
+			e.maxOwners = max(e.maxOwners, m.KeyOwners)
 		}
 	}
 }
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -16,59 +16,59 @@
 
 // Figures of the claims.
 const (
-	// Grace is how long, beyond the sheet's longest deadline, an owner that lost what
+	// GracePeriod is how long, beyond the sheet's longest deadline, an owner that lost what
 	// it knew stays unsure, and a claim may go without an outcome.
-	Grace = 3_000_000
-	// UnsureLeast is the least of it: within it a caller repeats after everything was lost.
-	UnsureLeast = 9_000_000
-	// UnsureNoSheet is the same where no sheet tells the longest deadline yet.
-	UnsureNoSheet = 15_000_000
-	// SettleFor is how long a new roster takes to be everyone's.
-	SettleFor   = 2_500_000
-	RecordsMost = 32768
-	KeyLife     = 300_000_000
-	// RosterWait is how long after catching up its table has the whole roster.
-	RosterWait = 100_000
-	// LastWait is for owners that are slower than the majority; AskEvery is how soon
+	GracePeriod = 3_000_000
+	// MinUncertainty is the least of it: within it a caller repeats after everything was lost.
+	MinUncertainty = 9_000_000
+	// UncertaintyUnconfigured is the same where no sheet tells the longest deadline yet.
+	UncertaintyUnconfigured = 15_000_000
+	// RosterConvergence is how long a new roster takes to be everyone's.
+	RosterConvergence = 2_500_000
+	MaxRecords        = 32768
+	KeyTTL            = 300_000_000
+	// RosterLoadWait is how long after catching up its table has the whole roster.
+	RosterLoadWait = 100_000
+	// StragglerWait is for owners that are slower than the majority; ResendInterval is how soon
 	// owners that were silent or unsure are asked again.
-	LastWait = 40_000
-	AskEvery = 80_000
-	GiveUp   = 900_000
-	// FollowAt is how soon a change of the roster is looked at, and how often while some
-	// epoch is open; CalmAt is how often otherwise.
-	FollowAt = 200_000
-	CalmAt   = 1_000_000
+	StragglerWait    = 40_000
+	ResendInterval   = 80_000
+	MaxAdmissionWait = 900_000
+	// ActiveRosterCheck is how soon a change of the roster is looked at, and how often while some
+	// epoch is open; IdleRosterCheck is how often otherwise.
+	ActiveRosterCheck = 200_000
+	IdleRosterCheck   = 1_000_000
 )
 
 // Admit is a Call to claim a key within a time. First is the caller's own word that
 // it never sent this key before.
 type Admit struct {
-	Key    string
-	Index  string
-	Sum    uint64
-	First  bool
-	Within int64
-	// Again marks a search or read, which may run again but at the budget's cost.
-	Again bool
+	Key          string
+	Index        string
+	Digest       uint64
+	FirstAttempt bool
+	Timeout      int64
+	// Repeatable marks a search or read, which may run again but at the budget's cost.
+	Repeatable bool
 }
 
-// Settle is a Call to settle a key; it has no answer.
-type Settle struct {
-	Key     string
-	Code    string
-	Token   string
-	Tried   bool
-	Outcome search.Outcome
+// RecordOutcome is a Call to settle a key; it has no answer.
+type RecordOutcome struct {
+	Key       string
+	Code      string
+	Token     string
+	Attempted bool
+	Outcome   search.Outcome
 }
 
 type record struct {
-	sum  uint64
-	from string
-	done bool
-	// unsure is that the owner could not vouch for the key when it last answered the claim.
-	unsure bool
-	body   []byte
-	at     int64
+	digest    uint64
+	token     string
+	completed bool
+	// uncertain is that the owner could not vouch for the key when it last answered the claim.
+	uncertain  bool
+	outcome    []byte
+	admittedAt int64
 }
 
 // Coordinator is the plug-in of a node.
@@ -77,22 +77,22 @@
 	table      *snapshot.Table
 	configSync *configsync.Sync
 	// snapshot is the table's newest snapshot.
-	snapshot   func() *snapshot.Snapshot
-	records    map[string]*record
-	order      []string
-	admissions map[uint64]*admission
-	next       uint64
-	roster     []snapshot.Node
-	epochs     []*epoch
-	longest    int64
-	// began is when this process started, caught when it first had all that a peer has.
-	began, caught int64
-	// looked is when the roster was last looked at, dueAt when it will be next.
-	looked int64
-	dueAt  int64
-	seen   seenKeys
-	// first holds, per part, the indexes that had a cut when this process first saw it.
-	first map[int]map[string]bool
+	snapshot    func() *snapshot.Snapshot
+	records     map[string]*record
+	recordOrder []string
+	admissions  map[uint64]*admission
+	lastID      uint64
+	roster      []snapshot.Node
+	epochs      []*epoch
+	maxDeadline int64
+	// startedAt is when this process started, caught when it first had all that a peer has.
+	startedAt, caughtUpAt int64
+	// deadlineReadAt is when the roster was last looked at, rosterCheckAt when it will be next.
+	deadlineReadAt int64
+	rosterCheckAt  int64
+	recent         recentKeys
+	// initialIndexes holds, per part, the indexes that had a cut when this process first saw it.
+	initialIndexes map[int]map[string]bool
 }
 
 func init() {
@@ -100,7 +100,7 @@
 		built := kernel.Find[*snapshot.Table](k)
 		return &Coordinator{
 			mesh: kernel.Find[*mesh.Mesh](k), table: built, configSync: kernel.Find[*configsync.Sync](k), snapshot: built.Current,
-			records: map[string]*record{}, admissions: map[uint64]*admission{}, seen: seenKeys{at: map[string]int64{}}, first: map[int]map[string]bool{},
+			records: map[string]*record{}, admissions: map[uint64]*admission{}, recent: recentKeys{seenAt: map[string]int64{}}, initialIndexes: map[int]map[string]bool{},
 		}
 	}})
 }
@@ -117,65 +117,65 @@
 func (c *Coordinator) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		c.began = ctx.Now
-		c.loseRecords(ctx)
-		c.arm(ctx, FollowAt)
+		c.startedAt = ctx.Now
+		c.invalidateRecords(ctx)
+		c.scheduleRosterCheck(ctx, ActiveRosterCheck)
 	case mesh.CaughtUp:
-		if c.caught == 0 {
-			c.caught = ctx.Now
+		if c.caughtUpAt == 0 {
+			c.caughtUpAt = ctx.Now
 		}
 	case kernel.Thawed:
-		c.loseRecords(ctx)
-		clear(c.first)
-		c.arm(ctx, FollowAt)
+		c.invalidateRecords(ctx)
+		clear(c.initialIndexes)
+		c.scheduleRosterCheck(ctx, ActiveRosterCheck)
 	case snapshot.Built:
-		c.arm(ctx, FollowAt)
+		c.scheduleRosterCheck(ctx, ActiveRosterCheck)
 	case mesh.Stored:
 		if v.Entry.Type == "part" {
-			c.firstSeen(v.Entry)
+			c.recordInitialIndexes(v.Entry)
 		}
 	case kernel.Tick:
 		if v.Key == "roster" {
-			if ctx.Now >= c.dueAt {
-				c.dueAt = 0
-				c.followRoster(ctx)
+			if ctx.Now >= c.rosterCheckAt {
+				c.rosterCheckAt = 0
+				c.checkRoster(ctx)
 			}
 			return
 		}
-		c.retry(ctx, v.ID)
+		c.onTimer(ctx, v.ID)
 	case kernel.Call:
 		switch a := v.Request.(type) {
 		case Admit:
-			if a.Again {
-				c.askSeen(ctx, v.ID, a)
+			if a.Repeatable {
+				c.checkRepeat(ctx, v.ID, a)
 				return
 			}
 			c.admit(ctx, v.ID, a)
-		case Settle:
-			c.tellOutcome(ctx, a)
+		case RecordOutcome:
+			c.publishOutcome(ctx, a)
 		}
 	case kernel.Message:
-		c.message(ctx, v)
+		c.receive(ctx, v)
 	}
 }
 
-func (c *Coordinator) message(ctx *kernel.Context, v kernel.Message) {
+func (c *Coordinator) receive(ctx *kernel.Context, v kernel.Message) {
 	switch v.Kind {
 	case wire.KindAdmitRequest:
 		var m wire.AdmitRequest
 		if wire.Decode(v.Body, &m) == nil {
-			r := c.answerClaim(ctx, m)
+			r := c.handleClaim(ctx, m)
 			ctx.Send(v.Conn, wire.KindAdmitReply, v.ID, &r)
 		}
 	case wire.KindAdmitReply:
 		var m wire.AdmitReply
 		if wire.Decode(v.Body, &m) == nil {
-			c.replied(ctx, v.ID, m)
+			c.receiveReply(ctx, v.ID, m)
 		}
 	case wire.KindOutcome:
 		var m wire.Outcome
 		if wire.Decode(v.Body, &m) == nil {
-			c.settle(ctx, m)
+			c.updateRecord(ctx, m)
 		}
 	case wire.KindSeenRequest:
 		var m wire.SeenRequest
@@ -183,32 +183,32 @@
 			return
 		}
 		if m.Forget {
-			c.seen.forget(m.Key)
+			c.recent.forget(m.Key)
 			return
 		}
-		ctx.Send(v.Conn, wire.KindSeenReply, v.ID, &wire.SeenReply{Key: m.Key, Seen: c.seen.add(m.Key, ctx.Now)})
+		ctx.Send(v.Conn, wire.KindSeenReply, v.ID, &wire.SeenReply{Key: m.Key, Seen: c.recent.add(m.Key, ctx.Now)})
 	case wire.KindSeenReply:
 		var m wire.SeenReply
 		if wire.Decode(v.Body, &m) == nil {
-			c.seenReply(ctx, v.ID, m)
+			c.receiveSeenReply(ctx, v.ID, m)
 		}
 	case wire.KindRecordsRequest:
 		var m wire.RecordsRequest
 		if wire.Decode(v.Body, &m) == nil {
-			c.handOver(ctx, v.Conn, m)
+			c.sendRecords(ctx, v.Conn, m)
 		}
 	case wire.KindRecordsReply:
 		var m wire.RecordsReply
 		if wire.Decode(v.Body, &m) == nil {
-			c.handed(ctx, m)
+			c.receiveRecords(ctx, m)
 		}
 	}
 }
 
-// arm has the roster looked at within a while; an earlier look takes the place of a later one.
-func (c *Coordinator) arm(ctx *kernel.Context, within int64) {
-	if at := ctx.Now + within; c.dueAt == 0 || at < c.dueAt {
-		c.dueAt = at
+// scheduleRosterCheck has the roster looked at within a while; an earlier look takes the place of a later one.
+func (c *Coordinator) scheduleRosterCheck(ctx *kernel.Context, within int64) {
+	if at := ctx.Now + within; c.rosterCheckAt == 0 || at < c.rosterCheckAt {
+		c.rosterCheckAt = at
 		ctx.After(within, "idempotency", "roster")
 	}
 }
--- a/request/idempotency/majority.go
+++ b/request/idempotency/majority.go
@@ -37,8 +37,8 @@
 	return false
 }
 
-// agreed is how many owners let the claim in, or would if they were sure.
-func (a *admission) agreed() (count int) {
+// countAgreeing is how many owners let the claim in, or would if they were sure.
+func (a *admission) countAgreeing() (count int) {
 	for _, r := range a.replies {
 		if r.agrees(true) {
 			count++
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -20,11 +20,11 @@
 	m.after(m.between(10*ms, 40*ms), func() { m.callers(number + 1) })
 }
 
-func (m *model) call(key string, tries int) {
-	n := m.front()
+func (m *model) call(key string, attempts int) {
+	n := m.pickNode()
 	again := func() {
-		if tries > 1 {
-			m.after(m.between(100*ms, 500*ms), func() { m.call(key, tries-1) })
+		if attempts > 1 {
+			m.after(m.between(100*ms, 500*ms), func() { m.call(key, attempts-1) })
 		}
 	}
 	if !n.up {
@@ -32,7 +32,7 @@
 		return
 	}
 	m.lastCall++
-	here := n.life()
+	here := n.incarnation()
 	m.calls[m.lastCall] = func(v search.Verdict) {
 		if v.Code != "in" {
 			again()
@@ -40,11 +40,11 @@
 		}
 		m.admit(here, key, v.Token)
 	}
-	n.step(kernel.Call{Plugin: "idempotency", ID: m.lastCall, Request: Admit{Key: key, Index: "index", Sum: 7, Within: 2 * second}})
+	n.step(kernel.Call{Plugin: "idempotency", ID: m.lastCall, Request: Admit{Key: key, Index: "index", Digest: 7, Timeout: 2 * second}})
 }
 
-// front is a node that a caller comes to: every other time one that has just started, if there is one.
-func (m *model) front() *modelNode {
+// pickNode is a node that a caller comes to: every other time one that has just started, if there is one.
+func (m *model) pickNode() *modelNode {
 	young := slices.DeleteFunc(slices.Clone(m.nodes), func(n *modelNode) bool { return !n.up || m.now-n.upAt > youngFor })
 	if len(young) > 0 && m.rand.IntN(2) == 0 {
 		return young[m.rand.IntN(len(young))]
@@ -53,21 +53,21 @@
 }
 
 // admit runs what was let in; its process tells of the outcome, if it lives to do so.
-func (m *model) admit(here life, key, token string) {
+func (m *model) admit(here incarnation, key, token string) {
 	m.admitted++
-	if m.letIn[key] {
+	if m.admittedKeys[key] {
 		m.twice = append(m.twice, fmt.Sprintf("%s let in again by %s at %.3f s", key, here.node.name, float64(m.now)/1e6))
 	}
-	m.letIn[key] = true
+	m.admittedKeys[key] = true
 	refused := m.rand.IntN(8) == 0
 	m.after(m.between(5*ms, 600*ms), func() {
 		switch {
-		case !here.there():
+		case !here.alive():
 		case refused:
-			delete(m.letIn, key)
-			here.node.step(kernel.Call{Plugin: "idempotency", Request: Settle{Key: key, Code: "released", Token: token}})
+			delete(m.admittedKeys, key)
+			here.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "released", Token: token}})
 		default:
-			here.node.step(kernel.Call{Plugin: "idempotency", Request: Settle{Key: key, Code: "done", Outcome: search.Outcome{Code: search.OK}}})
+			here.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "done", Outcome: search.Outcome{Code: search.OK}}})
 		}
 	})
 }
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -27,9 +27,9 @@
 	peak         int
 }
 
-func (n *modelNode) life() life { return life{n, n.count} }
+func (n *modelNode) incarnation() incarnation { return incarnation{n, n.count} }
 
-func (l life) there() bool { return l.node.up && l.node.count == l.count }
+func (l incarnation) alive() bool { return l.node.up && l.node.count == l.count }
 
 // start begins a process of the node, which sees nobody else yet.
 func (n *modelNode) start() {
@@ -75,13 +75,13 @@
 func (n *modelNode) step(in kernel.Input) {
 	ctx := &kernel.Context{Now: n.m.now, Rand: n.m.rand, Counts: kernel.NewCounts()}
 	n.coordinator.Step(ctx, in)
-	here := n.life()
+	here := n.incarnation()
 	for _, s := range ctx.Output.Sends {
 		n.m.send(here, s)
 	}
 	for _, timer := range ctx.Output.Timers {
 		n.m.after(timer.At-n.m.now, func() {
-			if here.there() {
+			if here.alive() {
 				n.step(timer.Tick)
 			}
 		})
@@ -96,7 +96,7 @@
 // comeBack starts a process that sees some of the others first, and all of them later.
 func (n *modelNode) comeBack() {
 	n.start()
-	m, here := n.m, n.life()
+	m, here := n.m, n.incarnation()
 	some := []*modelNode{n}
 	for _, o := range m.nodes {
 		if o != n && m.rand.IntN(3) == 0 {
@@ -105,15 +105,15 @@
 	}
 	first := m.between(20*ms, 200*ms)
 	m.after(first, func() {
-		if here.there() {
+		if here.alive() {
 			n.sees(some)
 			n.step(mesh.CaughtUp{})
 		}
 	})
 	m.after(first+m.between(0, second), func() {
-		if here.there() {
+		if here.alive() {
 			n.sees(m.nodes)
 		}
 	})
-	m.told()
+	m.announceRoster()
 }
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -63,31 +63,31 @@
 	seq   int
 	queue modelQueue
 	nodes []*modelNode
-	// chans are the way back of each message that was received.
-	chans    map[uint64]route
-	lastChan uint64
+	// replyRoutes are the way back of each message that was received.
+	replyRoutes map[uint64]route
+	lastConn    uint64
 	// arrives is when the last message between two lives of nodes arrives: they keep their order.
-	arrives map[[2]life]int64
-	// letIn are the keys that were let in and not released; admitted counts them.
-	letIn    map[string]bool
-	admitted int
-	twice    []string
-	calls    map[uint64]func(v search.Verdict)
-	lastCall uint64
+	arrives map[[2]incarnation]int64
+	// admittedKeys are the keys that were let in and not released; admitted counts them.
+	admittedKeys map[string]bool
+	admitted     int
+	twice        []string
+	calls        map[uint64]func(v search.Verdict)
+	lastCall     uint64
 }
 
-// life is one process of a node.
-type life struct {
+// incarnation is one process of a node.
+type incarnation struct {
 	node  *modelNode
 	count int
 }
 
-type route struct{ from, to life }
+type route struct{ from, to incarnation }
 
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{
-		t: t, rand: rand.New(rand.NewPCG(seed, 3)), now: second, chans: map[uint64]route{}, arrives: map[[2]life]int64{},
-		letIn: map[string]bool{}, calls: map[uint64]func(search.Verdict){},
+		t: t, rand: rand.New(rand.NewPCG(seed, 3)), now: second, replyRoutes: map[uint64]route{}, arrives: map[[2]incarnation]int64{},
+		admittedKeys: map[string]bool{}, calls: map[uint64]func(search.Verdict){},
 	}
 	for i := range modelNodes {
 		m.nodes = append(m.nodes, &modelNode{m: m, name: fmt.Sprintf("node-%d", i)})
@@ -121,28 +121,28 @@
 }
 
 // send brings a message to a node's process of then, or back on the channel of a question.
-func (m *model) send(from life, s kernel.Send) {
-	to := m.chans[s.Conn].from
+func (m *model) send(from incarnation, s kernel.Send) {
+	to := m.replyRoutes[s.Conn].from
 	if s.Addr != "" {
 		i := slices.IndexFunc(m.nodes, func(n *modelNode) bool { return n.name == s.Addr })
-		to = m.nodes[i].life()
+		to = m.nodes[i].incarnation()
 	}
 	wait := m.between(ms/2, 15*ms)
 	if m.rand.IntN(20) == 0 {
 		wait += m.between(0, 150*ms)
 	}
-	pair := [2]life{from, to}
+	pair := [2]incarnation{from, to}
 	at := max(m.now+wait, m.arrives[pair])
 	m.arrives[pair] = at
 	m.after(at-m.now, func() {
-		if !to.there() {
+		if !to.alive() {
 			return
 		}
-		m.lastChan++
-		m.chans[m.lastChan] = route{from: from, to: to}
+		m.lastConn++
+		m.replyRoutes[m.lastConn] = route{from: from, to: to}
 		f, err := wire.Open(s.Data)
 		must.NoError(m.t, err)
-		to.node.step(kernel.Message{Conn: m.lastChan, Kind: f.Kind, ID: f.ID, Body: f.Body})
+		to.node.step(kernel.Message{Conn: m.lastConn, Kind: f.Kind, ID: f.ID, Body: f.Body})
 	})
 }
 
@@ -159,17 +159,17 @@
 		n.up, n.downAt = false, m.now
 		m.after(away+m.between(0, 300*ms), n.comeBack)
 	}
-	m.told()
-	m.after(snapshot.RosterTTL, m.told)
+	m.announceRoster()
+	m.after(snapshot.RosterTTL, m.announceRoster)
 	m.after(away+m.between(4*second, 6*second), m.lose)
 }
 
-// told has every node see, each after its own while, what the fleet is then.
-func (m *model) told() {
+// announceRoster has every node see, each after its own while, what the fleet is then.
+func (m *model) announceRoster() {
 	for _, n := range m.nodes {
-		here := n.life()
+		here := n.incarnation()
 		m.after(m.between(5*ms, second), func() {
-			if here.there() {
+			if here.alive() {
 				n.sees(m.nodes)
 			}
 		})
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -8,25 +8,25 @@
 )
 
 // claim is an owner's answer.
-func (c *Coordinator) answerClaim(ctx *kernel.Context, m wire.AdmitRequest) wire.AdmitReply {
-	r := wire.AdmitReply{Key: m.Key, From: c.mesh.Self(), Name: c.name(), KeyOwners: c.countsOwners()}
+func (c *Coordinator) handleClaim(ctx *kernel.Context, m wire.AdmitRequest) wire.AdmitReply {
+	r := wire.AdmitReply{Key: m.Key, From: c.mesh.Self(), Name: c.name(), KeyOwners: c.ownerCount()}
 	rec := c.records[m.Key]
 	switch {
-	case rec == nil || !rec.done && rec.from == m.From:
+	case rec == nil || !rec.completed && rec.token == m.From:
 		if rec == nil {
-			rec = &record{sum: m.Sum, from: m.From, at: ctx.Now}
-			c.keep(m.Key, rec)
+			rec = &record{digest: m.Sum, token: m.From, admittedAt: ctx.Now}
+			c.addRecord(m.Key, rec)
 		}
-		r.Code, r.Attempted = "in", c.seen.has(m.Key, ctx.Now)
-		if rec.unsure = !c.canVouch(m.Key, m.Index, ctx.Now); rec.unsure {
+		r.Code, r.Attempted = "in", c.recent.has(m.Key, ctx.Now)
+		if rec.uncertain = !c.canVouch(m.Key, m.Index, ctx.Now); rec.uncertain {
 			ctx.Counts.Add("claims_unsure", 1)
 			r.Code = "unsure"
 		}
-	case rec.sum != 0 && rec.sum != m.Sum:
+	case rec.digest != 0 && rec.digest != m.Sum:
 		r.Code = "conflict"
-	case rec.done:
-		r.Code, r.Body = "done", rec.body
-	case ctx.Now-rec.at > c.uncertainFor():
+	case rec.completed:
+		r.Code, r.Body = "done", rec.outcome
+	case ctx.Now-rec.admittedAt > c.uncertainFor():
 		// Whoever ran it never told: its outcome stays unknown.
 		r.Code = "done"
 	default:
@@ -37,31 +37,31 @@
 
 func (c *Coordinator) name() string { return c.table.Self() }
 
-func (c *Coordinator) settle(ctx *kernel.Context, m wire.Outcome) {
+func (c *Coordinator) updateRecord(ctx *kernel.Context, m wire.Outcome) {
 	rec := c.records[m.Key]
 	switch m.Code {
 	case "released":
-		if rec != nil && !rec.done && rec.from == string(m.Body) {
+		if rec != nil && !rec.completed && rec.token == string(m.Body) {
 			delete(c.records, m.Key)
 			if m.Attempted {
-				c.seen.add(m.Key, ctx.Now)
+				c.recent.add(m.Key, ctx.Now)
 			}
 		}
 	case "done":
 		if rec == nil {
-			rec = &record{at: ctx.Now}
-			c.keep(m.Key, rec)
+			rec = &record{admittedAt: ctx.Now}
+			c.addRecord(m.Key, rec)
 		}
-		if !rec.done || len(rec.body) == 0 {
-			rec.done, rec.body = true, m.Body
+		if !rec.completed || len(rec.outcome) == 0 {
+			rec.completed, rec.outcome = true, m.Body
 		}
 	case "running":
 		switch {
 		case rec == nil:
-			c.keep(m.Key, &record{sum: uint64(m.Status), from: string(m.Body), at: ctx.Now})
-		case rec.unsure && !rec.done && rec.from != string(m.Body):
+			c.addRecord(m.Key, &record{digest: uint64(m.Status), token: string(m.Body), admittedAt: ctx.Now})
+		case rec.uncertain && !rec.completed && rec.token != string(m.Body):
 			// Either claim may have been let in: nobody's release frees the key.
-			rec.from = contested
+			rec.token = contested
 		}
 	}
 }
@@ -69,27 +69,27 @@
 // contested stands for the claim of a record that two claims may have been let in with.
 const contested = ""
 
-// countsOwners is how many owners a key has by what this process knows of the fleet.
-func (c *Coordinator) countsOwners() int {
-	return min(ownersMost, max(len(c.roster), len(c.snapshot().KeyOwners)))
+// ownerCount is how many owners a key has by what this process knows of the fleet.
+func (c *Coordinator) ownerCount() int {
+	return min(maxOwners, max(len(c.roster), len(c.snapshot().KeyOwners)))
 }
 
-func (c *Coordinator) keep(key string, r *record) {
+func (c *Coordinator) addRecord(key string, r *record) {
 	c.records[key] = r
-	c.order = append(c.order, key)
-	for len(c.order) > RecordsMost {
-		delete(c.records, c.order[0])
-		c.order = c.order[1:]
+	c.recordOrder = append(c.recordOrder, key)
+	for len(c.recordOrder) > MaxRecords {
+		delete(c.records, c.recordOrder[0])
+		c.recordOrder = c.recordOrder[1:]
 	}
 }
 
 func (c *Coordinator) prune(now int64) {
-	for len(c.order) > 0 {
-		r := c.records[c.order[0]]
-		if r != nil && now-r.at < KeyLife {
+	for len(c.recordOrder) > 0 {
+		r := c.records[c.recordOrder[0]]
+		if r != nil && now-r.admittedAt < KeyTTL {
 			return
 		}
-		delete(c.records, c.order[0])
-		c.order = c.order[1:]
+		delete(c.records, c.recordOrder[0])
+		c.recordOrder = c.recordOrder[1:]
 	}
 }
--- a/request/idempotency/owners.go
+++ b/request/idempotency/owners.go
@@ -12,9 +12,9 @@
 	"wallport/request/snapshot"
 )
 
-// ownersMost is odd, and at least the size of the fleets of today: where all nodes are
+// maxOwners is odd, and at least the size of the fleets of today: where all nodes are
 // owners, no half of a split fleet has a majority of a key's owners beside the other.
-const ownersMost = 11
+const maxOwners = 11
 
 // Owners lists a key's owner nodes, the weightiest first.
 func Owners(key string, roster []snapshot.Node) []snapshot.Node {
@@ -35,7 +35,7 @@
 		all = append(all, ranked{x, n})
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.w, a.w) })
-	want := min(ownersMost, len(all))
+	want := min(maxOwners, len(all))
 	// In each round a zone gives one owner: so no zone has more than it must.
 	out := make([]snapshot.Node, 0, want)
 	taken := make([]bool, len(all))
@@ -53,7 +53,7 @@
 }
 
 func isOwner(key, name string, roster []snapshot.Node) bool {
-	if len(roster) > ownersMost {
+	if len(roster) > maxOwners {
 		roster = Owners(key, roster)
 	}
 	return slices.ContainsFunc(roster, func(n snapshot.Node) bool { return n.Name == name })
@@ -61,15 +61,15 @@
 
 // quorum is how many of so many owners let a key in; others is how many of them share
 // at least one owner with every quorum there can have been.
-func quorum(owners int) int       { return owners/2 + 1 }
-func intersecting(owners int) int { return owners - quorum(owners) + 1 }
+func quorum(owners int) int             { return owners/2 + 1 }
+func intersectingQuorum(owners int) int { return owners - quorum(owners) + 1 }
 
-// minority tells that this node is not on the side of a split that may go on letting
+// inMinority tells that this node is not on the side of a split that may go on letting
 // keys in: the one with more than half of the nodes. Of two equal halves it is the one
 // that hears the owner of the configuration, which a majority of the cores follows.
-func (c *Coordinator) minority(cp *snapshot.Snapshot, now int64) bool {
+func (c *Coordinator) inMinority(cp *snapshot.Snapshot, now int64) bool {
 	votes := 2 * cp.Peers
-	if c.configSync.HearsLeader(state.Config, now) {
+	if c.configSync.HearsLeader(state.ConfigPartition, now) {
 		votes++
 	}
 	return votes <= cp.Divisor && cp.Divisor > 1
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -13,47 +13,47 @@
 
 // Figures of repeats.
 const (
-	SeenWait = 20_000
-	SeenFor  = 60_000_000
-	SeenMost = 65536
+	RepeatCheckTimeout = 20_000
+	RepeatWindow       = 60_000_000
+	MaxRecentKeys      = 65536
 )
 
-// seenKeys remembers keys that were sent, oldest first.
-type seenKeys struct {
-	at    map[string]int64
-	order []string
+// recentKeys remembers keys that were sent, oldest first.
+type recentKeys struct {
+	seenAt map[string]int64
+	order  []string
 }
 
 // add reports whether a key was there, and keeps it.
-func (s *seenKeys) add(key string, now int64) bool {
-	at, ok := s.at[key]
-	before := ok && now-at < SeenFor
+func (s *recentKeys) add(key string, now int64) bool {
+	at, ok := s.seenAt[key]
+	before := ok && now-at < RepeatWindow
 	if !ok {
 		s.order = append(s.order, key)
 	}
-	s.at[key] = now
-	for len(s.order) > SeenMost || len(s.order) > 0 && now-s.at[s.order[0]] >= SeenFor {
-		delete(s.at, s.order[0])
+	s.seenAt[key] = now
+	for len(s.order) > MaxRecentKeys || len(s.order) > 0 && now-s.seenAt[s.order[0]] >= RepeatWindow {
+		delete(s.seenAt, s.order[0])
 		s.order = s.order[1:]
 	}
 	return before
 }
 
-func (s *seenKeys) has(key string, now int64) bool {
-	at, ok := s.at[key]
-	return ok && now-at < SeenFor
+func (s *recentKeys) has(key string, now int64) bool {
+	at, ok := s.seenAt[key]
+	return ok && now-at < RepeatWindow
 }
 
 // forget lets the next try of a key count as the first.
-func (s *seenKeys) forget(key string) {
-	if _, ok := s.at[key]; ok {
-		s.at[key] = -SeenFor
+func (s *recentKeys) forget(key string) {
+	if _, ok := s.seenAt[key]; ok {
+		s.seenAt[key] = -RepeatWindow
 	}
 }
 
-// seenOwner is the address of the live owner that is asked, empty for this process
+// repeatOwner is the address of the live owner that is asked, empty for this process
 // itself; ok is false where none is live.
-func (c *Coordinator) seenOwner(key string) (addr string, ok bool) {
+func (c *Coordinator) repeatOwner(key string) (addr string, ok bool) {
 	for _, h := range Owners(key, c.snapshot().KeyOwners) {
 		if h.Origin == c.mesh.Self() {
 			return "", true
@@ -65,22 +65,22 @@
 	return "", false
 }
 
-// askSeen asks whether a search or read was sent before.
-func (c *Coordinator) askSeen(ctx *kernel.Context, id uint64, a Admit) {
-	addr, ok := c.seenOwner(a.Key)
+// checkRepeat asks whether a search or read was sent before.
+func (c *Coordinator) checkRepeat(ctx *kernel.Context, id uint64, a Admit) {
+	addr, ok := c.repeatOwner(a.Key)
 	if !ok || addr == "" {
-		ctx.Reply(id, search.Verdict{Code: "in", Repeat: ok && c.seen.add(a.Key, ctx.Now)})
+		ctx.Reply(id, search.Verdict{Code: "in", Repeat: ok && c.recent.add(a.Key, ctx.Now)})
 		return
 	}
-	c.next++
-	c.admissions[c.next] = &admission{id: id, ask: a}
-	ctx.SendTo(addr, wire.KindSeenRequest, c.next, &wire.SeenRequest{Key: a.Key})
-	ctx.AfterFor(SeenWait, "idempotency", c.next)
+	c.lastID++
+	c.admissions[c.lastID] = &admission{id: id, request: a}
+	ctx.SendTo(addr, wire.KindSeenRequest, c.lastID, &wire.SeenRequest{Key: a.Key})
+	ctx.AfterFor(RepeatCheckTimeout, "idempotency", c.lastID)
 }
 
-func (c *Coordinator) seenReply(ctx *kernel.Context, n uint64, m wire.SeenReply) {
+func (c *Coordinator) receiveSeenReply(ctx *kernel.Context, n uint64, m wire.SeenReply) {
 	pending := c.admissions[n]
-	if pending == nil || !pending.ask.Again || pending.ask.Key != m.Key {
+	if pending == nil || !pending.request.Repeatable || pending.request.Key != m.Key {
 		return
 	}
 	delete(c.admissions, n)
@@ -90,11 +90,11 @@
 	ctx.Reply(pending.id, search.Verdict{Code: "in", Repeat: m.Seen})
 }
 
-// unseen takes a key back that came to nothing.
-func (c *Coordinator) unseen(ctx *kernel.Context, key string) {
-	if addr, ok := c.seenOwner(key); ok && addr != "" {
+// forgetRepeat takes a key back that came to nothing.
+func (c *Coordinator) forgetRepeat(ctx *kernel.Context, key string) {
+	if addr, ok := c.repeatOwner(key); ok && addr != "" {
 		ctx.SendTo(addr, wire.KindSeenRequest, 0, &wire.SeenRequest{Key: key, Forget: true})
 		return
 	}
-	c.seen.forget(key)
+	c.recent.forget(key)
 }
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -23,8 +23,8 @@
 	now int64
 }
 
-// peerChan is the channel of whoever asks the node under test.
-const peerChan = 7
+// peerConn is the channel of whoever asks the node under test.
+const peerConn = 7
 
 func newNode(t *testing.T) *node {
 	t.Helper()
@@ -41,7 +41,7 @@
 func (n *node) receive(kind uint8, id uint64, m interface {
 	MarshalMsg([]byte) ([]byte, error)
 }) kernel.Output {
-	return n.step(kernel.Received{Conn: peerChan, Data: wire.Seal(kind, id, m)})
+	return n.step(kernel.Received{Conn: peerConn, Data: wire.Seal(kind, id, m)})
 }
 
 // otherNodes are so many nodes of a fleet beside the one under test.
@@ -56,14 +56,14 @@
 // self is the node under test as its roster has it.
 func (n *node) self() snapshot.Node { return n.c.table.Current().KeyOwners[0] }
 
-// ask begins a claim, by a caller's first try, at the node under test and other owners, and returns its number.
-func (n *node) ask(t *testing.T, others []snapshot.Node) uint64 {
+// startAdmission begins a claim, by a caller's first try, at the node under test and other owners, and returns its number.
+func (n *node) startAdmission(t *testing.T, others []snapshot.Node) uint64 {
 	t.Helper()
-	n.step(kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", Sum: 5, First: true, Within: 5_000_000}})
+	n.step(kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", Digest: 5, FirstAttempt: true, Timeout: 5_000_000}})
 	must.MapLen(t, 1, n.c.admissions)
 	for id, w := range n.c.admissions {
 		w.owners = append([]snapshot.Node{n.self()}, others...)
-		n.now += AskEvery
+		n.now += ResendInterval
 		must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("one of several owners let it in"))
 		return id
 	}
@@ -75,7 +75,7 @@
 	return n.step(kernel.Tick{Plugin: "idempotency", ID: id})
 }
 
-func verdict(t *testing.T, out kernel.Output) search.Verdict {
+func soleVerdict(t *testing.T, out kernel.Output) search.Verdict {
 	t.Helper()
 	must.Len(t, 1, out.Replies)
 	return out.Replies[0].Value.(search.Verdict)
@@ -91,16 +91,16 @@
 		t.Run(fmt.Sprint(c.counted), func(t *testing.T) {
 			n := newNode(t)
 			owners := otherNodes(2)
-			id := n.ask(t, owners)
+			id := n.startAdmission(t, owners)
 			n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: owners[0].Origin, Code: "in", KeyOwners: c.counted})
 			out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[1].Name, From: owners[1].Origin, Code: "in", KeyOwners: c.counted})
 			if c.in {
-				must.Eq(t, "in", verdict(t, out).Code)
+				must.Eq(t, "in", soleVerdict(t, out).Code)
 				return
 			}
 			must.SliceEmpty(t, out.Replies, must.Sprint("three of more owners are no majority"))
-			n.now += GiveUp
-			must.Eq(t, "short", verdict(t, n.tick(id)).Code)
+			n.now += MaxAdmissionWait
+			must.Eq(t, "short", soleVerdict(t, n.tick(id)).Code)
 		})
 	}
 }
@@ -109,27 +109,27 @@
 func TestOwnerWithALargerRosterDoesNotHoldUpAMajorityWithoutIt(t *testing.T) {
 	n := newNode(t)
 	owners := otherNodes(2)
-	id := n.ask(t, owners)
+	id := n.startAdmission(t, owners)
 	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: owners[0].Origin, Code: "in", KeyOwners: 9})
 	out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[1].Name, From: owners[1].Origin, Code: "in", KeyOwners: 3})
-	must.Eq(t, "in", verdict(t, out).Code)
+	must.Eq(t, "in", soleVerdict(t, out).Code)
 }
 
 // An owner that let the claim in may have lost it before the claim is decided.
 func TestMajorityThatIsLostWhileSlowOwnersAreWaitedForAdmitsNothing(t *testing.T) {
 	n := newNode(t)
 	owners := otherNodes(4)
-	id := n.ask(t, owners)
-	n.c.admissions[id].ask.First = false
+	id := n.startAdmission(t, owners)
+	n.c.admissions[id].request.FirstAttempt = false
 	for _, o := range owners[:3] {
 		out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: o.Name, From: o.Origin, Code: "in"})
 		must.SliceEmpty(t, out.Replies)
 	}
 	must.Positive(t, n.c.admissions[id].decideAt, must.Sprint("three of five: the others are waited for"))
 	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: "a new process", Code: "unsure"})
-	n.now += LastWait
+	n.now += StragglerWait
 	must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("two of five"))
-	must.Eq(t, "in", verdict(t, n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
+	must.Eq(t, "in", soleVerdict(t, n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
 }
 
 // An owner says how many owners it counts.
@@ -151,7 +151,7 @@
 	n := newNode(t)
 	n.c.epochs = nil
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
-	ask := &wire.RecordsRequest{Epoch: 4, Name: "z", NewNodes: places(append([]snapshot.Node{{Name: "z"}}, n.c.roster...))}
+	ask := &wire.RecordsRequest{Epoch: 4, Name: "z", NewNodes: encodeRoster(append([]snapshot.Node{{Name: "z"}}, n.c.roster...))}
 	must.SliceEmpty(t, n.receive(wire.KindRecordsRequest, 0, ask).Sends)
 	n.c.roster = append(n.c.roster, snapshot.Node{Name: "z"})
 	must.Len(t, 1, n.receive(wire.KindRecordsRequest, 0, ask).Sends)
@@ -163,14 +163,14 @@
 	n := newNode(t)
 	all := otherNodes(7)
 	n.c.roster = append([]snapshot.Node{n.self()}, all[:2]...)
-	n.c.loseRecords(&kernel.Context{Now: n.now})
+	n.c.invalidateRecords(&kernel.Context{Now: n.now})
 	lost := n.c.epochs[0]
 	for i, o := range all[:4] {
 		must.False(t, n.c.canVouch("k", "index", n.now), must.Sprintf("%d of seven others", i))
 		if i == 2 {
 			n.c.roster = append([]snapshot.Node{n.self()}, all...)
 		}
-		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.n, Name: o.Name, Last: true, KeyOwners: 8})
+		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.id, Name: o.Name, Last: true, KeyOwners: 8})
 	}
 	must.True(t, n.c.canVouch("k", "index", n.now), must.Sprint("four of seven others"))
 }
@@ -179,15 +179,15 @@
 func TestRecordOfAnUnsureOwnerHidesNoneThatIsHandedOver(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
-	n.c.loseRecords(&kernel.Context{Now: n.now})
+	n.c.invalidateRecords(&kernel.Context{Now: n.now})
 	lost := n.c.epochs[0]
 	claim := wire.AdmitRequest{Key: "k", From: "later#1", Sum: 5}
-	must.Eq(t, "unsure", n.c.answerClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	must.Eq(t, "unsure", n.c.handleClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 	for _, o := range otherNodes(2) {
-		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.n, Name: o.Name, Last: true, Records: []wire.Outcome{{Key: "k", Code: "running", Status: 5, Body: []byte("earlier#1")}}})
+		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.id, Name: o.Name, Last: true, Records: []wire.Outcome{{Key: "k", Code: "running", Status: 5, Body: []byte("earlier#1")}}})
 	}
-	must.Eq(t, "running", n.c.answerClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	must.Eq(t, "running", n.c.handleClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 	// The one's release is not the other's.
 	n.receive(wire.KindOutcome, 0, &wire.Outcome{Key: "k", Code: "released", Body: []byte("later#1")})
-	must.Eq(t, "running", n.c.answerClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	must.Eq(t, "running", n.c.handleClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 }
--- a/request/snapshot/config.go
+++ b/request/snapshot/config.go
@@ -22,7 +22,7 @@
 
 // loadConfig fills in the configuration in force, read once for each version.
 func (b *Table) loadConfig(ctx *kernel.Context, c *Snapshot) {
-	v, ok := b.mesh.Partition(state.Config)
+	v, ok := b.mesh.Partition(state.ConfigPartition)
 	if !ok {
 		return
 	}
@@ -33,7 +33,7 @@
 			return
 		}
 		b.checkVersionRises(ctx, v.Version)
-		b.config = configState{v.Version, body, state.SheetOf(body)}
+		b.config = configState{v.Version, body, state.ConfigurationOf(body)}
 	}
 	c.Version, c.Config, c.Configuration = b.config.version, b.config.body, b.config.configuration
 }
@@ -51,7 +51,7 @@
 	if was := b.current.Load(); was != nil && was.Complete {
 		return true
 	}
-	if !b.configSync.Confirmed(state.Config, ctx.Now) {
+	if !b.configSync.Confirmed(state.ConfigPartition, ctx.Now) {
 		return false
 	}
 	if c.Routing != nil && len(b.listing.Backends) > 0 {
@@ -76,7 +76,7 @@
 func (b *Table) awaitConfirmed(ctx *kernel.Context) {
 	switch {
 	case b.current.Load().Complete:
-	case b.configSync.Confirmed(state.Config, ctx.Now):
+	case b.configSync.Confirmed(state.ConfigPartition, ctx.Now):
 		b.build(ctx)
 	default:
 		ctx.After(awaitInterval, "table", awaitTimer)
