--- a/cmd/wallport/history.go
+++ b/cmd/wallport/config_history.go
@@ -16,12 +16,12 @@
 	"wallport/runtime/wire"
 )
 
-type sheetDiff struct {
-	remote
+type configDiff struct {
+	remoteFlags
 	Args fileArg `positional-args:"yes" required:"yes"`
 }
 
-func (c *sheetDiff) Execute([]string) error {
+func (c *configDiff) Execute([]string) error {
 	b, err := readJSON(c.Args.File)
 	if err != nil {
 		return err
@@ -31,13 +31,13 @@
 		found = config.Check(want)
 	}
 	if len(found) > 0 {
-		return coded{exitInvalid, lines(found)}
+		return exitError{exitInvalid, findingLines(found)}
 	}
 	now, err := c.client().Sheet(context.Background(), &operator.SheetPayload{Token: c.token()})
 	if err != nil {
-		return told(err)
+		return commandError(err)
 	}
-	have, err := parsed(now.Sheet)
+	have, err := parseConfig(now.Sheet)
 	if err != nil {
 		return err
 	}
@@ -51,19 +51,19 @@
 	return nil
 }
 
-func parsed(v any) (*configpb.Sheet, error) {
+func parseConfig(v any) (*configpb.Sheet, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
 	}
 	s, found := config.Read(b)
 	if len(found) > 0 {
-		return nil, coded{exitFailed, "the node's sheet cannot be read: " + lines(found)}
+		return nil, exitError{exitFailed, "the node's sheet cannot be read: " + findingLines(found)}
 	}
 	return s, nil
 }
 
-func lines(found []wire.Finding) string {
+func findingLines(found []wire.Finding) string {
 	var out []string
 	for _, f := range found {
 		out = append(out, f.Path+": "+f.Text)
@@ -72,16 +72,16 @@
 	return strings.Join(out, "\n")
 }
 
-type sheetPast struct{ remote }
+type configHistory struct{ remoteFlags }
 
-func (c *sheetPast) Execute([]string) error {
+func (c *configHistory) Execute([]string) error {
 	list, err := c.client().History(context.Background(), &operator.HistoryPayload{Token: c.token()})
 	if err != nil {
-		return told(err)
+		return commandError(err)
 	}
 	var before *configpb.Sheet
 	for _, p := range list {
-		s, err := parsed(p.Sheet)
+		s, err := parseConfig(p.Sheet)
 		if err != nil {
 			return err
 		}
@@ -96,18 +96,18 @@
 	return nil
 }
 
-type sheetBack struct {
-	editing
+type configRevert struct {
+	editFlags
 	Args struct {
 		Stamp string `positional-arg-name:"STAMP"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *sheetBack) Execute([]string) error {
+func (c *configRevert) Execute([]string) error {
 	ctx, cl := context.Background(), c.client()
-	base, err := c.base(ctx, cl)
+	base, err := c.baseVersion(ctx, cl)
 	if err != nil {
 		return err
 	}
-	return taken(cl.ReturnSheet(ctx, &operator.ReturnSheetPayload{Token: c.token(), EditID: opt(c.EditID), BasedOn: base, By: opt(c.By), Stamp: c.Args.Stamp}))
+	return printTaken(cl.ReturnSheet(ctx, &operator.ReturnSheetPayload{Token: c.token(), EditID: optional(c.EditID), BasedOn: base, By: optional(c.By), Stamp: c.Args.Stamp}))
 }
--- a/cmd/wallport/control.go
+++ b/cmd/wallport/control.go
@@ -18,11 +18,11 @@
 
 // Bounds of the operators' connections.
 const (
-	controlHeaders = 16 << 10
-	controlRead    = 10 * time.Second
-	controlIdle    = 30 * time.Second
-	// controlStop is how long calls under way may take to end at a planned stop.
-	controlStop = time.Second
+	controlHeaderBytes = 16 << 10
+	controlReadTimeout = 10 * time.Second
+	controlIdleTimeout = 30 * time.Second
+	// controlStopTimeout is how long calls under way may take to end at a planned stop.
+	controlStopTimeout = time.Second
 )
 
 // openControl serves operators until stop is called.
@@ -33,7 +33,7 @@
 	}
 	c := &platform.Control{Call: p.Call, Log: auditLog(p.Log)}
 	srv := &http.Server{
-		Handler: c.Handler(), ReadHeaderTimeout: controlRead, ReadTimeout: controlRead, IdleTimeout: controlIdle, MaxHeaderBytes: controlHeaders,
+		Handler: c.Handler(), ReadHeaderTimeout: controlReadTimeout, ReadTimeout: controlReadTimeout, IdleTimeout: controlIdleTimeout, MaxHeaderBytes: controlHeaderBytes,
 		ErrorLog: zap.NewStdLog(p.Log.WithOptions(zap.IncreaseLevel(zap.WarnLevel))),
 	}
 	go func() {
@@ -42,7 +42,7 @@
 		}
 	}()
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), controlStop)
+		ctx, cancel := context.WithTimeout(context.Background(), controlStopTimeout)
 		defer cancel()
 		srv.Shutdown(ctx)
 	}, nil
--- a/cmd/wallport/fleet.go
+++ b/cmd/wallport/fleet.go
@@ -20,7 +20,7 @@
 }
 
 type bookingAdd struct {
-	editing
+	editFlags
 	ID    string `long:"id" required:"yes" description:"the booking's id"`
 	Index string `long:"index" required:"yes" description:"the index whose pool it is of"`
 	Kind  string `long:"kind" required:"yes" description:"search, read, correct or part"`
@@ -32,53 +32,53 @@
 func (c *bookingAdd) Execute([]string) error {
 	from, err := time.Parse(time.RFC3339, c.From)
 	if err != nil {
-		return coded{exitUsage, "--from: " + err.Error()}
+		return exitError{exitUsage, "--from: " + err.Error()}
 	}
 	to, err := time.Parse(time.RFC3339, c.To)
 	if err != nil {
-		return coded{exitUsage, "--to: " + err.Error()}
+		return exitError{exitUsage, "--to: " + err.Error()}
 	}
 	row := map[string]any{"id": c.ID, "index": c.Index, "kind": c.Kind, "slice": c.Slice, "starts_us": fmt.Sprint(from.UnixMicro()), "ends_us": fmt.Sprint(to.UnixMicro())}
-	return c.send([]*operator.RowEdit{{Op: "set", Table: "bookings", Row: row}})
+	return c.sendEdits([]*operator.RowEdit{{Op: "set", Table: "bookings", Row: row}})
 }
 
 type bookingRemove struct {
-	editing
+	editFlags
 	ID string `long:"id" required:"yes" description:"the booking's id"`
 }
 
 func (c *bookingRemove) Execute([]string) error {
-	return c.send([]*operator.RowEdit{{Op: "remove", Table: "bookings", Row: map[string]any{"id": c.ID}}})
+	return c.sendEdits([]*operator.RowEdit{{Op: "remove", Table: "bookings", Row: map[string]any{"id": c.ID}}})
 }
 
 type zoneCmd struct {
-	Empty  zoneEmpty  `command:"empty" description:"give a zone's back ends no more work"`
-	Refill zoneRefill `command:"refill" description:"give them work again"`
+	Drain   zoneDrain   `command:"empty" description:"give a zone's back ends no more work"`
+	Restore zoneRestore `command:"refill" description:"give them work again"`
 }
 
 type zoneArg struct {
 	Zone string `positional-arg-name:"ZONE"`
 }
 
-type zoneEmpty struct {
-	editing
+type zoneDrain struct {
+	editFlags
 	Args zoneArg `positional-args:"yes" required:"yes"`
 }
 
-type zoneRefill struct {
-	editing
+type zoneRestore struct {
+	editFlags
 	Args zoneArg `positional-args:"yes" required:"yes"`
 }
 
-func (e editing) zone(zone, action string) error {
-	return taken(e.client().Zone(context.Background(), &operator.ZonePayload{Token: e.token(), EditID: opt(e.EditID), By: opt(e.By), Zone: zone, Action: action}))
+func (e editFlags) changeZone(zone, action string) error {
+	return printTaken(e.client().Zone(context.Background(), &operator.ZonePayload{Token: e.token(), EditID: optional(e.EditID), By: optional(e.By), Zone: zone, Action: action}))
 }
 
-func (c *zoneEmpty) Execute([]string) error  { return c.zone(c.Args.Zone, "empty") }
-func (c *zoneRefill) Execute([]string) error { return c.zone(c.Args.Zone, "refill") }
+func (c *zoneDrain) Execute([]string) error   { return c.changeZone(c.Args.Zone, "empty") }
+func (c *zoneRestore) Execute([]string) error { return c.changeZone(c.Args.Zone, "refill") }
 
-type cutCmd struct {
-	editing
+type reshardCmd struct {
+	editFlags
 	Args struct {
 		Index  string `positional-arg-name:"INDEX"`
 		Cut    string `positional-arg-name:"CUT"`
@@ -86,14 +86,14 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *cutCmd) Execute([]string) error {
-	return taken(c.client().Cut(context.Background(), &operator.CutPayload{
-		Token: c.token(), EditID: opt(c.EditID), By: opt(c.By), Index: c.Args.Index, Cut: c.Args.Cut, Shards: c.Args.Shards,
+func (c *reshardCmd) Execute([]string) error {
+	return printTaken(c.client().Cut(context.Background(), &operator.CutPayload{
+		Token: c.token(), EditID: optional(c.EditID), By: optional(c.By), Index: c.Args.Index, Cut: c.Args.Cut, Shards: c.Args.Shards,
 	}))
 }
 
 type rebuildCmd struct {
-	editing
+	editFlags
 	Sure bool `long:"the-old-disks-are-gone" required:"yes" description:"say that the lost disks will never come back"`
 	Args struct {
 		Part int `positional-arg-name:"PART"`
@@ -101,21 +101,21 @@
 }
 
 func (c *rebuildCmd) Execute([]string) error {
-	return taken(c.client().Rebuild(context.Background(), &operator.RebuildPayload{Token: c.token(), By: opt(c.By), Part: c.Args.Part}))
+	return printTaken(c.client().Rebuild(context.Background(), &operator.RebuildPayload{Token: c.token(), By: optional(c.By), Part: c.Args.Part}))
 }
 
 // membersCmd lists the processes, and then the replicas of the control state.
-type membersCmd struct{ remote }
+type membersCmd struct{ remoteFlags }
 
 func (c *membersCmd) Execute([]string) error {
 	list, err := c.client().Members(context.Background(), &operator.MembersPayload{Token: c.token()})
 	if err != nil {
-		return told(err)
+		return commandError(err)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tROLE\tZONE\tLIVE\tDRAINING\tSICK\tIN FORCE\tMESH")
 	for _, m := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%t\t%s\t%s\t%s\n", m.Name, m.Role, m.Zone, m.Live, is(m.Draining), word(m.Sick), m.InForce, m.Addr)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%t\t%s\t%s\t%s\n", m.Name, m.Role, m.Zone, m.Live, isTrue(m.Draining), orDash(m.Sick), m.InForce, m.Addr)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -127,35 +127,35 @@
 func (c *membersCmd) replicas() error {
 	list, err := c.client().Replicas(context.Background(), &operator.ReplicasPayload{Token: c.token()})
 	if err != nil {
-		return told(err)
+		return commandError(err)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\nPART\tCORE\tSTATE\tCONTACT\tTERM\tVERSION\tBEHIND\tVOTERS\tCHANGE")
 	for _, r := range list {
-		if r.State == operations.StateSilent {
+		if r.State == operations.StateTimedOut {
 			fmt.Fprintf(w, "%d\t%s\t%s\t-\t-\t-\t-\t-\t-\n", r.Part, r.Core, r.State)
 			continue
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%t\t%d\t%s\t%d\t%d\t%s\n", r.Part, r.Core, r.State, r.Contact, r.Term, r.Version, r.Behind, r.Voters, word(&r.Change))
+		fmt.Fprintf(w, "%d\t%s\t%s\t%t\t%d\t%s\t%d\t%d\t%s\n", r.Part, r.Core, r.State, r.Contact, r.Term, r.Version, r.Behind, r.Voters, orDash(&r.Change))
 	}
 	return w.Flush()
 }
 
-func is(b *bool) bool { return b != nil && *b }
+func isTrue(b *bool) bool { return b != nil && *b }
 
-func word(s *string) string {
+func orDash(s *string) string {
 	if s == nil || *s == "" {
 		return "-"
 	}
 	return *s
 }
 
-type serversCmd struct{ remote }
+type backendsCmd struct{ remoteFlags }
 
-func (c *serversCmd) Execute([]string) error {
+func (c *backendsCmd) Execute([]string) error {
 	list, err := c.client().Servers(context.Background(), &operator.ServersPayload{Token: c.token()})
 	if err != nil {
-		return told(err)
+		return commandError(err)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "ID\tINDEX\tCUT\tSHARD\tZONE\tVERDICT\tWARM\tADDRESS")
@@ -166,7 +166,7 @@
 }
 
 type explainCmd struct {
-	remote
+	remoteFlags
 	Args struct {
 		ID string `positional-arg-name:"ID" description:"the inquiry's id, as an answer or a failure shows it"`
 	} `positional-args:"yes" required:"yes"`
@@ -175,7 +175,7 @@
 func (c *explainCmd) Execute([]string) error {
 	v, err := c.client().Explain(context.Background(), &operator.ExplainPayload{Token: c.token(), ID: c.Args.ID})
 	if err != nil {
-		return told(err)
+		return commandError(err)
 	}
-	return show(v)
+	return printJSON(v)
 }
--- a/cmd/wallport/clients.go
+++ b/cmd/wallport/gateway.go
@@ -16,8 +16,8 @@
 	"wallport/runtime/process"
 )
 
-// openClients serves clients and readiness until stop is called.
-func openClients(p *process.Process, operators *httpapi.Server, place platform.ProcessSettings, failed chan<- error) (stop func(), err error) {
+// openGateway serves clients and readiness until stop is called.
+func openGateway(p *process.Process, operators *httpapi.Server, place platform.ProcessSettings, failed chan<- error) (stop func(), err error) {
 	e, b := p.Kernel.Boot.Settings, kernel.Find[*snapshot.Table](p.Kernel)
 	desk := dispatch.NewDispatcher(dispatch.Config{
 		Snapshot: b.Current, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, StartedAt: p.Now(),
@@ -37,7 +37,7 @@
 	s, err := gateway.Open(gateway.Config{
 		ClientAddr: place.HTTP, ReadinessAddr: place.Readiness, Names: platform.GatewayNames(), Log: p.Log, Sampled: p.Sampled(), Counts: p.Kernel.Counts,
 		Backends: client, Snapshot: b.Current, Now: p.Now, GracePeriod: e.Bounds.GracePeriod,
-		AwaitThaw: func() { p.AwaitThaw(thawWait) },
+		AwaitThaw: func() { p.AwaitThaw(thawTimeout) },
 		NewStateMachine: func(r dispatch.Request, now int64) gateway.StateMachine {
 			return dispatch.NewStateMachine(desk, r, now)
 		},
@@ -57,5 +57,5 @@
 	}, nil
 }
 
-// thawWait bounds how long a request waits after a freeze for a fresh table.
-const thawWait = 500 * time.Millisecond
+// thawTimeout bounds how long a request waits after a freeze for a fresh table.
+const thawTimeout = 500 * time.Millisecond
--- a/cmd/wallport/hangup_test.go
+++ b/cmd/wallport/hangup_test.go
@@ -17,20 +17,20 @@
 // ignoredAtStart is whether SIGHUP was ignored before main began.
 var ignoredAtStart = signal.Ignored(syscall.SIGHUP)
 
-// tellsWhetherIgnored is the argument by which this program tells that, in place of running tests.
-const tellsWhetherIgnored = "tells-whether-hangup-is-ignored"
+// printIgnoredArgument is the argument by which this program tells that, in place of running tests.
+const printIgnoredArgument = "tells-whether-hangup-is-ignored"
 
 func TestMain(m *testing.M) {
-	if slices.Contains(os.Args, tellsWhetherIgnored) {
+	if slices.Contains(os.Args, printIgnoredArgument) {
 		fmt.Print(ignoredAtStart)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-func TestHangupIsIgnoredFromTheStartOnThePlatform(t *testing.T) {
+func TestHangupIsIgnoredDuringStartOnPlatform(t *testing.T) {
 	for _, c := range []struct{ arg, want string }{{"--on-platform", "true"}, {"--name", "false"}} {
-		out, err := exec.Command(os.Args[0], tellsWhetherIgnored, c.arg).Output()
+		out, err := exec.Command(os.Args[0], printIgnoredArgument, c.arg).Output()
 		must.NoError(t, err)
 		must.Eq(t, c.want, string(out), must.Sprint(c.arg))
 	}
--- a/cmd/wallport/leaving.go
+++ b/cmd/wallport/leave.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// leaveLook is how often a core that stops looks whether it has left.
-	leaveLook = 10 * time.Millisecond
-	// lastFrames is how long the last frames have to leave the process.
-	lastFrames = 50 * time.Millisecond
+	// leavePollInterval is how often a core that stops looks whether it has left.
+	leavePollInterval = 10 * time.Millisecond
+	// finalSendDelay is how long the last frames have to leave the process.
+	finalSendDelay = 50 * time.Millisecond
 )
 
 // leaveGroups waits until a core that stops leads nothing and votes nowhere, or until its time
@@ -25,8 +25,8 @@
 		return
 	}
 	left := false
-	for end := time.Now().Add(replica.LeaveWithin * time.Microsecond); !left && time.Now().Before(end); time.Sleep(leaveLook) {
+	for end := time.Now().Add(replica.LeaveWithin * time.Microsecond); !left && time.Now().Before(end); time.Sleep(leavePollInterval) {
 		p.Do(func(int64) { left = host.HasLeft() })
 	}
-	time.Sleep(lastFrames)
+	time.Sleep(finalSendDelay)
 }
--- a/cmd/wallport/logger_test.go
+++ b/cmd/wallport/logger_test.go
@@ -12,11 +12,11 @@
 	"go.uber.org/zap"
 )
 
-// hangs is how long a test waits for what must not wait: only a hang lasts so long.
-const hangs = 10 * time.Second
+// hangTimeout is how long a test waits for what must not wait: only a hang lasts so long.
+const hangTimeout = 10 * time.Second
 
-// unreadStderr has standard error be a pipe that nobody reads.
-func unreadStderr(t *testing.T) {
+// replaceStderrWithUnreadPipe has standard error be a pipe that nobody reads.
+func replaceStderrWithUnreadPipe(t *testing.T) {
 	t.Helper()
 	read, write, err := os.Pipe()
 	must.NoError(t, err)
@@ -29,9 +29,9 @@
 	})
 }
 
-func TestALogThatNobodyReadsHoldsNothingUp(t *testing.T) {
-	unreadStderr(t)
-	log := logger("info", "test")
+func TestLoggerDoesNotBlockOnUnreadStderr(t *testing.T) {
+	replaceStderrWithUnreadPipe(t)
+	log := newLogger("info", "test")
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
@@ -40,7 +40,7 @@
 		}
 		log.Sync()
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), hangs)
+	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 	defer cancel()
 	select {
 	case <-written:
--- a/cmd/wallport/main.go
+++ b/cmd/wallport/main.go
@@ -9,40 +9,40 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// stamp is the program's release, set when it is built.
-var stamp = "0.1.0"
+// release is the program's release, set when it is built.
+var release = "0.1.0"
 
 // Exit codes, for scripts.
 const (
-	exitFailed  = 1
-	exitUsage   = 2
-	exitInvalid = 3
-	exitLost    = 4
-	exitUnknown = 5
-	exitShed    = 6
+	exitFailed     = 1
+	exitUsage      = 2
+	exitInvalid    = 3
+	exitLostRace   = 4
+	exitUnknown    = 5
+	exitOverloaded = 6
 )
 
-// coded is an error with the exit code it means.
-type coded struct {
+// exitError is an error with the exit code it means.
+type exitError struct {
 	code int
 	text string
 }
 
-func (c coded) Error() string { return c.text }
+func (c exitError) Error() string { return c.text }
 
 type options struct {
-	Release  func()     `long:"version" description:"show the release and exit"`
-	Node     nodeCmd    `command:"node" description:"run a node: mesh, caller API, operator API; needs no disk"`
-	Core     coreCmd    `command:"core" description:"run a core: seats of the control state, on a machine with a disk"`
-	Admin    adminCmd   `command:"admin" description:"operate a running fleet through any of its nodes"`
-	Explain  explainCmd `command:"explain" description:"tell why an inquiry went where it went"`
-	CheckEnv checkEnv   `command:"check-env" description:"check an env file and list every finding"`
+	Release  func()      `long:"version" description:"show the release and exit"`
+	Node     nodeCmd     `command:"node" description:"run a node: mesh, caller API, operator API; needs no disk"`
+	Core     coreCmd     `command:"core" description:"run a core: seats of the control state, on a machine with a disk"`
+	Admin    adminCmd    `command:"admin" description:"operate a running fleet through any of its nodes"`
+	Explain  explainCmd  `command:"explain" description:"tell why an inquiry went where it went"`
+	CheckEnv checkEnvCmd `command:"check-env" description:"check an env file and list every finding"`
 }
 
 func main() {
 	var o options
 	o.Release = func() {
-		fmt.Println("wallport " + stamp)
+		fmt.Println("wallport " + release)
 		os.Exit(0)
 	}
 	p := flags.NewParser(&o, flags.HelpFlag|flags.PassDoubleDash)
@@ -52,7 +52,7 @@
 		return
 	}
 	var fe *flags.Error
-	var ce coded
+	var ce exitError
 	switch {
 	case errors.As(err, &fe) && fe.Type == flags.ErrHelp:
 		fmt.Println(err)
--- a/cmd/wallport/onplatform.go
+++ b/cmd/wallport/platform.go
@@ -24,17 +24,17 @@
 // Of the machine's memory the heap may take this share; the rest is for stacks,
 // buffers of connections and bytes that have arrived unread.
 const (
-	heapPart  = 0.6
+	heapShare = 0.6
 	gcPercent = 200
 )
 
-// watchEvery is how often the settings file is looked at.
-const watchEvery = time.Second
+// watchInterval is how often the settings file is looked at.
+const watchInterval = time.Second
 
-func bound(m settings.Machine) {
+func limitRuntime(m settings.Machine) {
 	runtime.GOMAXPROCS(1)
 	if m.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapPart * float64(m.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(heapShare * float64(m.MemoryMB<<20)))
 	}
 	debug.SetGCPercent(gcPercent)
 }
@@ -51,35 +51,35 @@
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	path := platform.SettingsPath()
-	w := newWatch(path)
+	w := newSettingsWatch(path)
 	place, found := platform.ReadSettings(path, role)
 	if len(found) > 0 {
-		return coded{exitInvalid, found.Error()}
+		return exitError{exitInvalid, found.Error()}
 	}
 	place.Settings.MeshListen = flags.meshListen
 	e := place.Settings
 	w.seeds = e.Seeds
-	bound(e.Machine)
-	log := logger(e.LogLevel, e.Name)
+	limitRuntime(e.Machine)
+	log := newLogger(e.LogLevel, e.Name)
 	defer log.Sync()
 	p, err := process.Start(process.Config{Settings: e, Role: role, Log: log, Fetchers: platform.Fetchers()})
 	if err != nil {
-		return coded{exitFailed, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
 	s, err := httpapi.Open(p)
 	if err != nil {
 		p.Stop()
-		return coded{exitFailed, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
 	openMetrics(p, s, e, flags.metricsPort)
 	failed := make(chan error, 1)
 	stop, err := openRole(p, s, place, role, failed)
 	if err != nil {
 		p.Stop()
-		return coded{exitFailed, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
-	log.Info("started", zap.String("release", stamp), zap.String("role", role), zap.String("zone", e.Zone), zap.String("mesh", e.Mesh), zap.String("operator", e.Operator))
-	tick := time.NewTicker(watchEvery)
+	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", e.Zone), zap.String("mesh", e.Mesh), zap.String("operator", e.Operator))
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -101,10 +101,10 @@
 			}
 		case err := <-s.Failed():
 			p.Stop()
-			return coded{exitFailed, err.Error()}
+			return exitError{exitFailed, err.Error()}
 		case err := <-failed:
 			p.Stop()
-			return coded{exitFailed, err.Error()}
+			return exitError{exitFailed, err.Error()}
 		}
 	}
 }
@@ -114,11 +114,11 @@
 	if role == "core" {
 		return openControl(p, place.Control, failed)
 	}
-	return openClients(p, operators, place, failed)
+	return openGateway(p, operators, place, failed)
 }
 
 // reread takes up what may change while a process runs: the seeds. A file with findings changes nothing.
-func (w *watch) reread(p *process.Process, role string) {
+func (w *settingsWatch) reread(p *process.Process, role string) {
 	place, found := platform.ReadSettings(w.path, role)
 	for _, f := range found {
 		p.Log.Warn("settings_refused", zap.String("place", f.Location), zap.String("finding", f.Text))
@@ -131,8 +131,8 @@
 	p.Post(kernel.SeedsChanged{Seeds: slices.Clone(w.seeds)})
 }
 
-// watch looks at the settings file's time and size, and keeps what was taken from it.
-type watch struct {
+// settingsWatch looks at the settings file's time and size, and keeps what was taken from it.
+type settingsWatch struct {
 	path string
 	at   time.Time
 	size int64
@@ -140,13 +140,13 @@
 	seeds []string
 }
 
-func newWatch(path string) *watch {
-	w := &watch{path: path}
+func newSettingsWatch(path string) *settingsWatch {
+	w := &settingsWatch{path: path}
 	w.changed()
 	return w
 }
 
-func (w *watch) changed() bool {
+func (w *settingsWatch) changed() bool {
 	info, err := os.Stat(w.path)
 	if err != nil {
 		return false
--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/roles.go
@@ -45,10 +45,10 @@
 	if c.OnPlatform {
 		return onPlatform(role, platformFlags{metricsPort: c.MetricsPort, meshListen: c.MeshListen})
 	}
-	return daemon(c.Settings, role)
+	return runDaemon(c.Settings, role)
 }
 
-type checkEnv struct {
+type checkEnvCmd struct {
 	Role       string `long:"role" choice:"node" choice:"core" default:"node" description:"the role it is for"`
 	OnPlatform bool   `long:"on-platform" description:"FILE is the platform's settings file"`
 	Args       struct {
@@ -56,7 +56,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *checkEnv) Execute([]string) error {
+func (c *checkEnvCmd) Execute([]string) error {
 	e := settings.Settings{EnvFile: c.Args.File, LogLevel: "info", PollsPer10s: 20}
 	found := settings.Findings(nil)
 	if c.OnPlatform {
@@ -65,13 +65,13 @@
 		found = settings.Load(&e, c.Role)
 	}
 	if len(found) > 0 {
-		return coded{exitInvalid, found.Error()}
+		return exitError{exitInvalid, found.Error()}
 	}
 	fmt.Println("no findings")
 	return nil
 }
 
-func logger(level, name string) *zap.Logger {
+func newLogger(level, name string) *zap.Logger {
 	conf := zap.NewProductionEncoderConfig()
 	conf.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	conf.MessageKey = "event"
@@ -79,30 +79,32 @@
 	if err != nil {
 		l = zapcore.InfoLevel
 	}
-	return zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(conf), asynclog.New(os.Stderr, linesLost), l)).With(zap.String("who", name))
+	return zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(conf), asynclog.New(os.Stderr, lostLinesRecord), l)).With(zap.String("who", name))
 }
 
-// linesLost is the line that tells how many others were dropped since nobody read the log.
-func linesLost(n int) []byte { return fmt.Appendf(nil, "level=warn event=log_lines_lost n=%d\n", n) }
+// lostLinesRecord is the line that tells how many others were dropped since nobody read the log.
+func lostLinesRecord(n int) []byte {
+	return fmt.Appendf(nil, "level=warn event=log_lines_lost n=%d\n", n)
+}
 
-func daemon(e settings.Settings, role string) error {
+func runDaemon(e settings.Settings, role string) error {
 	if found := settings.Load(&e, role); len(found) > 0 {
-		return coded{exitInvalid, found.Error()}
+		return exitError{exitInvalid, found.Error()}
 	}
-	log := logger(e.LogLevel, e.Name)
+	log := newLogger(e.LogLevel, e.Name)
 	defer log.Sync()
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	p, err := process.Start(process.Config{Settings: e, Role: role, Log: log})
 	if err != nil {
-		return coded{exitFailed, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
 	s, err := httpapi.Open(p)
 	if err != nil {
 		p.Stop()
-		return coded{exitFailed, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
-	log.Info("started", zap.String("release", stamp), zap.String("role", role), zap.String("zone", e.Zone), zap.String("mesh", e.Mesh),
+	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", e.Zone), zap.String("mesh", e.Mesh),
 		zap.String("caller", e.Caller), zap.String("operator", e.Operator), zap.Bool("authorisation", e.OperatorToken != ""), zap.Bool("fleet_secret", e.FleetSecret != ""))
 	if role == "node" && e.OperatorToken == "" {
 		log.Warn("authorisation_off", zap.String("why", "no operator token is set; anyone who reaches the operator API may change the fleet"))
@@ -117,6 +119,6 @@
 		return nil
 	case err := <-s.Failed():
 		p.Stop()
-		return coded{exitFailed, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
 }
--- a/control/configsync/choice_test.go
+++ b/control/configsync/core_selection_test.go
@@ -13,15 +13,15 @@
 	"wallport/runtime/settings"
 )
 
-func puller() *Sync {
+func newSync() *Sync {
 	return &Sync{
-		liveAt: map[string]int64{}, zones: map[string]string{}, asked: map[string]int64{}, sent: map[uint64]sentPull{}, contact: contact{without: map[string]bool{}},
-		place: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1"},
+		liveAt: map[string]int64{}, zones: map[string]string{}, unansweredSince: map[string]int64{}, pending: map[uint64]pendingPull{}, contact: contact{withoutContact: map[string]bool{}},
+		settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1"},
 	}
 }
 
-// tries counts by zone which cores a thousand pulls go to.
-func (p *Sync) tries(now int64) (byZone, byCore map[string]int) {
+// countChoices counts by zone which cores a thousand pulls go to.
+func (p *Sync) countChoices(now int64) (byZone, byCore map[string]int) {
 	ctx := &kernel.Context{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
 	byZone, byCore = map[string]int{}, map[string]int{}
 	var all []string
@@ -29,54 +29,54 @@
 		all = append(all, a)
 	}
 	for range 1000 {
-		a := p.choose(ctx, all)[0]
+		a := p.chooseCore(ctx, all)[0]
 		byZone[p.zones[a]]++
 		byCore[a]++
 	}
 	return byZone, byCore
 }
 
-func TestCoresOfTheOwnZoneFirstAndFew(t *testing.T) {
-	p := puller()
+func TestChooseCorePrefersFewCoresOfOwnZone(t *testing.T) {
+	p := newSync()
 	for _, z := range []string{"z1", "z2", "z3"} {
 		for _, n := range []string{"a", "b", "c", "d", "e"} {
 			p.zones[z+n] = z
 		}
 	}
-	byZone, byCore := p.tries(0)
+	byZone, byCore := p.countChoices(0)
 	must.Eq(t, 750, byZone["z1"])
-	must.MapLen(t, nearMost+farMost, byCore)
+	must.MapLen(t, maxLocalCores+maxRemoteCores, byCore)
 }
 
-func TestSilentCoreIsSeldomAsked(t *testing.T) {
-	p := puller()
+func TestChooseCoreAvoidsUnresponsiveCore(t *testing.T) {
+	p := newSync()
 	p.zones = map[string]string{"z1a": "z1", "z2a": "z2"}
-	p.asked["z1a"] = 1
-	_, byCore := p.tries(silentAfter + 2)
+	p.unansweredSince["z1a"] = 1
+	_, byCore := p.countChoices(unresponsiveAfter + 2)
 	must.Eq(t, 166, byCore["z1a"])
-	p.asked["z2a"] = 1
-	_, byCore = p.tries(silentAfter + 2)
+	p.unansweredSince["z2a"] = 1
+	_, byCore = p.countChoices(unresponsiveAfter + 2)
 	must.Eq(t, 1000, byCore["z1a"]+byCore["z2a"], must.Sprint("where none answers, all are tried"))
 	must.Greater(t, 300, byCore["z1a"])
 }
 
-func TestKnownCoresAreThoseNear(t *testing.T) {
-	p := puller()
-	for i := range knownMost + 10 {
+func TestForgetExcessKeepsCoresOfOwnZone(t *testing.T) {
+	p := newSync()
+	for i := range maxKnownCores + 10 {
 		zone := "z2"
-		if i >= knownMost {
+		if i >= maxKnownCores {
 			zone = "z1"
 		}
 		a := zone + strings.Repeat("x", i)
 		p.known, p.liveAt[a], p.zones[a] = append(p.known, a), 5, zone
 	}
-	p.bound()
+	p.forgetExcess()
 	near := 0
 	for _, a := range p.known {
 		if p.zones[a] == "z1" {
 			near++
 		}
 	}
-	must.Len(t, knownMost, p.known)
+	must.Len(t, maxKnownCores, p.known)
 	must.Eq(t, 10, near)
 }
--- a/control/operations/call.go
+++ b/control/operations/call.go
@@ -9,8 +9,8 @@
 )
 
 // ReadRouting asks for the routing table in force, confirmed by a majority after the question
-// came. GiveUpUs is how long that may take; 0 stands for GiveUp.
-type ReadRouting struct{ GiveUpUs int64 }
+// came. Timeout is how long that may take; 0 stands for CallTimeout.
+type ReadRouting struct{ Timeout int64 }
 
 // Routing answers ReadRouting. Code is "ok" or "shed"; Table is nil where no table was ever set.
 type Routing struct {
@@ -23,43 +23,43 @@
 
 // History answers ReadHistory. Code is "ok" or "shed"; the newest sheet is the last.
 type History struct {
-	Sheets []wire.PastConfig
-	Code   string
+	Configurations []wire.PastConfig
+	Code           string
 }
 
 type call struct {
-	req   Carry
-	began int64
-	tries int
-	hops  int
-	// open counts the sendings that may take effect and that nobody has declined.
-	open  int
-	reply *wire.EditReply
-	at    int64
-	// bound tells that an order about a zone names the version that it is bound to.
-	bound bool
-	// outcome makes the answer to the call.
-	outcome func(res Result) any
+	command   Submit
+	startedAt int64
+	attempts  int
+	redirects int
+	// undeclined counts the sendings that may take effect and that nobody has declined.
+	undeclined int
+	reply      *wire.EditReply
+	repliedAt  int64
+	// versionBound tells that an order about a zone names the version that it is bound to.
+	versionBound bool
+	// answer makes the answer to the call.
+	answer func(res Result) any
 }
 
-func (c *call) giveUp() int64 {
-	if c.req.GiveUpUs > 0 {
-		return c.req.GiveUpUs
+func (c *call) timeout() int64 {
+	if c.command.Timeout > 0 {
+		return c.command.Timeout
 	}
-	return GiveUp
+	return CallTimeout
 }
 
 // expired tells that whoever gave the order has stopped waiting: nothing more may be sent for it.
-func (c *call) expired(now int64) bool { return now-c.began >= c.giveUp() }
+func (c *call) expired(now int64) bool { return now-c.startedAt >= c.timeout() }
 
-// waits is how long the call waits for the nodes, from the reply on.
-func (c *call) waits() int64 {
-	w := c.req.WaitUs
+// awaitTimeout is how long the call waits for the nodes, from the reply on.
+func (c *call) awaitTimeout() int64 {
+	w := c.command.AwaitTimeout
 	if w == 0 {
-		w = ForceWait
+		w = InForceTimeout
 	}
-	if c.req.GiveUpUs > 0 {
-		w = min(w, c.began+c.req.GiveUpUs-c.at)
+	if c.command.Timeout > 0 {
+		w = min(w, c.startedAt+c.command.Timeout-c.repliedAt)
 	}
 	return w
 }
@@ -84,5 +84,5 @@
 	if res.Reply.Code != "ok" || err != nil {
 		return History{Code: "shed"}
 	}
-	return History{Sheets: ledger.History, Code: "ok"}
+	return History{Configurations: ledger.History, Code: "ok"}
 }
--- a/control/operations/operate.go
+++ b/control/operations/operations.go
@@ -17,23 +17,23 @@
 
 // Figures of an operator's call.
 const (
-	TryEvery  = 400_000
-	GiveUp    = 4_000_000
-	ForceWait = 2_500_000
-	// triesLeast is how often an edit is tried before it is given up; hopsMost how often it is handed on.
-	triesLeast = 5
-	hopsMost   = 16
+	AttemptInterval = 400_000
+	CallTimeout     = 4_000_000
+	InForceTimeout  = 2_500_000
+	// minAttempts is how often an edit is tried before it is given up; maxRedirects how often it is handed on.
+	minAttempts  = 5
+	maxRedirects = 16
 )
 
-// Carry is an edit to carry to the leader of its partition.
-type Carry struct {
+// Submit is an edit to carry to the leader of its partition.
+type Submit struct {
 	Edit wire.Edit
-	// Wait asks to wait, once the edit is committed, until every live node reports it in force.
-	Wait bool
-	// WaitUs is how long that may take; 0 stands for ForceWait.
-	WaitUs int64
-	// GiveUpUs is how long the whole answer may take, the wait included; 0 stands for GiveUp and the wait.
-	GiveUpUs int64
+	// AwaitInForce asks to wait, once the edit is committed, until every live node reports it in force.
+	AwaitInForce bool
+	// AwaitTimeout is how long that may take; 0 stands for InForceTimeout.
+	AwaitTimeout int64
+	// Timeout is how long the whole answer may take, the wait included; 0 stands for CallTimeout and the wait.
+	Timeout int64
 }
 
 // Result is what came of it. Reply.Code is "ok", "lost_race", "invalid", "conflict", "shed" where
@@ -44,68 +44,68 @@
 	Laggards []string
 }
 
-// Operate is the plug-in of a node, and of a core, which operators may reach as well.
-type Operate struct {
+// Service is the plug-in of a node, and of a core, which operators may reach as well.
+type Service struct {
 	mesh       *mesh.Mesh
 	configSync *configsync.Sync
 	host       *replica.Host
 	members    *membership.Members
 	calls      map[uint64]*call
-	// zones are the zones that the settings name, with their regions; empty where they name none.
-	zones map[string]string
+	// zoneRegions are the zones that the settings name, with their regions; empty where they name none.
+	zoneRegions map[string]string
 
-	rebuilds    map[uint64]*rebuilding
-	statusReads map[uint64]*statusRead
-	// wantedVoters is how many voters a group should have.
-	wantedVoters int
+	rebuilds    map[uint64]*rebuildState
+	statusCalls map[uint64]*statusCall
+	// targetVoters is how many voters a group should have.
+	targetVoters int
 }
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Operate{
+		return &Service{
 			mesh: kernel.Find[*mesh.Mesh](k), configSync: kernel.Find[*configsync.Sync](k), host: kernel.Find[*replica.Host](k),
-			zones: k.Boot.Settings.Regions, members: kernel.Find[*membership.Members](k), calls: map[uint64]*call{}, rebuilds: map[uint64]*rebuilding{},
-			statusReads:  map[uint64]*statusRead{},
-			wantedVoters: k.Boot.Settings.Voters(),
+			zoneRegions: k.Boot.Settings.Regions, members: kernel.Find[*membership.Members](k), calls: map[uint64]*call{}, rebuilds: map[uint64]*rebuildState{},
+			statusCalls:  map[uint64]*statusCall{},
+			targetVoters: k.Boot.Settings.Voters(),
 		}
 	}})
 }
 
 // Name is the plug-in's name.
-func (o *Operate) Name() string { return "operate" }
+func (o *Service) Name() string { return "operate" }
 
 // Kinds are the frames that it takes.
-func (o *Operate) Kinds() []uint8 {
+func (o *Service) Kinds() []uint8 {
 	return []uint8{wire.KindEditReply, wire.KindRebuildReply, wire.KindStatusReply}
 }
 
 // Step takes one input.
-func (o *Operate) Step(ctx *kernel.Context, in kernel.Input) {
+func (o *Service) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Call:
-		o.called(ctx, v)
+		o.startCall(ctx, v)
 	case kernel.Canceled:
 		// What is under way may be taken; nothing more is sent for it.
 		delete(o.calls, v.ID)
-		delete(o.statusReads, v.ID)
+		delete(o.statusCalls, v.ID)
 	case kernel.Tick:
 		if r := o.rebuilds[v.ID]; r != nil {
-			o.rebuildTick(ctx, v.ID, r)
+			o.rebuildTimer(ctx, v.ID, r)
 			return
 		}
-		if read := o.statusReads[v.ID]; read != nil {
-			o.endStatus(ctx, v.ID, read)
+		if read := o.statusCalls[v.ID]; read != nil {
+			o.finishStatus(ctx, v.ID, read)
 			return
 		}
-		o.try(ctx, v.ID)
+		o.attempt(ctx, v.ID)
 	case replica.Replied:
-		o.replied(ctx, v.ID, v.Reply)
+		o.editReplied(ctx, v.ID, v.Reply)
 	case kernel.Message:
-		o.message(ctx, v)
+		o.receive(ctx, v)
 	}
 }
 
-func (o *Operate) message(ctx *kernel.Context, v kernel.Message) {
+func (o *Service) receive(ctx *kernel.Context, v kernel.Message) {
 	switch v.Kind {
 	case wire.KindRebuildReply:
 		var reply wire.RebuildReply
@@ -120,40 +120,40 @@
 	default:
 		var reply wire.EditReply
 		if wire.Decode(v.Body, &reply) == nil {
-			o.replied(ctx, v.ID, reply)
+			o.editReplied(ctx, v.ID, reply)
 		}
 	}
 }
 
-func (o *Operate) called(ctx *kernel.Context, v kernel.Call) {
-	c := &call{began: ctx.Now}
+func (o *Service) startCall(ctx *kernel.Context, v kernel.Call) {
+	c := &call{startedAt: ctx.Now}
 	switch ask := v.Request.(type) {
 	case Rebuild:
-		o.rebuild(ctx, v.ID, ask.Partition)
+		o.startRebuild(ctx, v.ID, ask.Partition)
 		return
 	case ReadStatus:
-		o.readStatus(ctx, v.ID)
+		o.startStatus(ctx, v.ID)
 		return
 	case ReadRouting:
-		c.outcome = routingOutcome
-		c.req = Carry{Edit: wire.Edit{Partition: state.ConfigPartition, Op: wire.OpRead}, GiveUpUs: ask.GiveUpUs}
+		c.answer = routingOutcome
+		c.command = Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: wire.OpRead}, Timeout: ask.Timeout}
 	case ReadHistory:
-		c.outcome = historyOutcome
-		c.req = Carry{Edit: wire.Edit{Partition: state.ConfigPartition, Op: wire.OpHistory}}
-	case Carry:
+		c.answer = historyOutcome
+		c.command = Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: wire.OpHistory}}
+	case Submit:
 		if ask.Edit.Op == "empty" && ask.Edit.Name != "" && !o.knowsZone(ask.Edit.Name, ctx.Now) {
 			ctx.Reply(v.ID, unknownZone(ask.Edit.Name))
 			return
 		}
-		c.outcome = func(res Result) any { return res }
-		c.req = ask
-		if c.req.Edit.EditID == "" {
-			c.req.Edit.EditID = fmt.Sprintf("%016x%016x", ctx.Rand.Uint64(), ctx.Rand.Uint64())
+		c.answer = func(res Result) any { return res }
+		c.command = ask
+		if c.command.Edit.EditID == "" {
+			c.command.Edit.EditID = fmt.Sprintf("%016x%016x", ctx.Rand.Uint64(), ctx.Rand.Uint64())
 		}
 	default:
 		ctx.Reply(v.ID, Result{Reply: wire.EditReply{Code: "invalid"}})
 		return
 	}
 	o.calls[v.ID] = c
-	o.try(ctx, v.ID)
+	o.attempt(ctx, v.ID)
 }
--- a/control/operations/cutoff_test.go
+++ b/control/operations/partitioned_leader_test.go
@@ -14,8 +14,8 @@
 	"wallport/runtime/wire"
 )
 
-// cutOffLeader is a core that was elected by "a" and has heard of nobody since.
-func cutOffLeader(t *testing.T) *node {
+// partitionedLeader is a core that was elected by "a" and has heard of nobody since.
+func partitionedLeader(t *testing.T) *node {
 	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: []wire.Replica{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "me", Addr: "10.0.0.1:1"}}}
 	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", DataDir: "disk"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
@@ -36,19 +36,19 @@
 func (n *node) synced(key string) { n.step(kernel.Written{Plugin: "seats", Key: key}) }
 
 // It says neither yes nor no, and gives no configuration: the operator goes on within the second.
-func TestLeaderThatIsCutOffSendsTheOperatorOn(t *testing.T) {
+func TestPartitionedLeaderAnswersWithinTimeout(t *testing.T) {
 	const within = 800_000
 	for _, since := range []int64{0, 500_000, 3_000_000} {
-		n := cutOffLeader(t)
+		n := partitionedLeader(t)
 		must.True(t, kernel.Find[*replica.Host](n.k).Leads(0))
 		for end := n.now + since; n.now < end; n.coreTick() {
-			n.pass(replica.TickInterval)
+			n.advance(replica.TickInterval)
 		}
-		n.call(1, Carry{Edit: wire.Edit{Op: "nonsense"}, Wait: true, GiveUpUs: within})
-		n.call(2, Carry{Edit: wire.Edit{Op: "refill", Name: "z1"}, Wait: true, GiveUpUs: within})
-		n.call(3, ReadRouting{GiveUpUs: within})
+		n.call(1, Submit{Edit: wire.Edit{Op: "nonsense"}, AwaitInForce: true, Timeout: within})
+		n.call(2, Submit{Edit: wire.Edit{Op: "refill", Name: "z1"}, AwaitInForce: true, Timeout: within})
+		n.call(3, ReadRouting{Timeout: within})
 		for end := n.now + within; n.now < end; n.coreTick() {
-			n.pass(replica.TickInterval)
+			n.advance(replica.TickInterval)
 		}
 		must.MapLen(t, 3, n.answers, must.Sprint("cut off for ", since))
 		must.SliceContains(t, []string{"shed", "unknown"}, n.code(1))
--- a/control/operations/rebuild_fetch_test.go
+++ b/control/operations/rebuild_fetch_test.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/wire"
 )
 
-func held(from string, seq uint64, body string) wire.RebuildReply {
+func storedReply(from string, seq uint64, body string) wire.RebuildReply {
 	v := wire.Versioned{Version: wire.Version{Term: 2, Seq: seq}}
 	if body != "" {
 		v.Body = []byte(body)
@@ -20,49 +20,49 @@
 	return wire.RebuildReply{From: from, OK: true, Stored: v}
 }
 
-func TestTheNewestVersionIsFetchedBeforeAnyCoreHoldsIt(t *testing.T) {
+func TestRebuildFetchesNewestVersionFirst(t *testing.T) {
 	n := newNode(t)
-	o := kernel.Find[*Operate](n.k)
+	o := kernel.Find[*Service](n.k)
 	n.call(1, Rebuild{Partition: 0})
 	r := o.rebuilds[1]
-	for _, m := range []wire.RebuildReply{held("s1", 7, ""), held("s2", 9, ""), held("s3", 8, "")} {
+	for _, m := range []wire.RebuildReply{storedReply("s1", 7, ""), storedReply("s2", 9, ""), storedReply("s3", 8, "")} {
 		n.receive(wire.KindRebuildReply, 1, &m)
 	}
-	must.Eq(t, wire.Version{}, r.version.Version, must.Sprint("a version without its body is none"))
-	n.pass(AskedFor)
+	must.Eq(t, wire.Version{}, r.versioned.Version, must.Sprint("a version without its body is none"))
+	n.advance(StepTimeout)
 	must.True(t, r.fetching)
-	must.Eq(t, "s2", r.holder)
-	older := held("s1", 7, "older")
+	must.Eq(t, "s2", r.newestReplica)
+	older := storedReply("s1", 7, "older")
 	n.receive(wire.KindRebuildReply, 1, &older)
 	must.True(t, r.fetching)
 	must.Eq(t, "", n.code(1))
-	newest := held("s2", 9, "newest")
+	newest := storedReply("s2", 9, "newest")
 	n.receive(wire.KindRebuildReply, 1, &newest)
 	must.False(t, r.fetching)
-	must.Eq(t, "newest", string(r.version.Body))
+	must.Eq(t, "newest", string(r.versioned.Body))
 }
 
-func TestARebuildingWhoseNewestVersionDoesNotArriveChangesNothing(t *testing.T) {
+func TestRebuildFailsWithoutNewestVersion(t *testing.T) {
 	n := newNode(t)
-	o := kernel.Find[*Operate](n.k)
+	o := kernel.Find[*Service](n.k)
 	n.call(1, Rebuild{Partition: 0})
 	r := o.rebuilds[1]
-	newest := held("s2", 9, "")
+	newest := storedReply("s2", 9, "")
 	n.receive(wire.KindRebuildReply, 1, &newest)
-	n.pass(AskedFor)
-	n.pass(FetchFor - 1)
+	n.advance(StepTimeout)
+	n.advance(FetchTimeout - 1)
 	must.Eq(t, "", n.code(1))
-	n.pass(1)
+	n.advance(1)
 	must.Eq(t, "invalid", n.code(1))
-	must.False(t, r.doing)
+	must.False(t, r.applying)
 }
 
 // The timer of a step that ended sooner does not end the next one.
-func TestATimerOfAnEarlierStepEndsNoLaterOne(t *testing.T) {
+func TestRebuildIgnoresTimerOfEarlierStep(t *testing.T) {
 	n := newNode(t)
-	o := kernel.Find[*Operate](n.k)
+	o := kernel.Find[*Service](n.k)
 	n.call(1, Rebuild{Partition: 0})
-	o.rebuilds[1].doing, o.rebuilds[1].dueAt = true, n.now+2*AskedFor
-	n.pass(AskedFor)
+	o.rebuilds[1].applying, o.rebuilds[1].deadline = true, n.now+2*StepTimeout
+	n.advance(StepTimeout)
 	must.Eq(t, "", n.code(1))
 }
--- a/control/operations/rebuild_test.go
+++ b/control/operations/rebuild_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-func TestRebuiltGroupHasAsManyVotersAsAreWanted(t *testing.T) {
+func TestRebuiltVoters(t *testing.T) {
 	for _, v := range []struct {
 		cores  []wire.Replica
 		wanted int
@@ -44,9 +44,9 @@
 	}
 }
 
-func TestWantedVotersFollowTheTolerance(t *testing.T) {
+func TestTargetVotersFollowTolerance(t *testing.T) {
 	k := kernel.New(kernel.Boot{
 		Settings: settings.Settings{Mesh: "10.0.0.1:1", BootstrapKnown: true, Tolerance: settings.Tolerance{Machines: 2}}, Role: "node", Key: kernel.KeyFrom(make([]byte, 32)),
 	})
-	must.Eq(t, 5, kernel.Find[*Operate](k).wantedVoters)
+	must.Eq(t, 5, kernel.Find[*Service](k).targetVoters)
 }
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -10,12 +10,12 @@
 	"wallport/runtime/wire"
 )
 
-// StatusWithin is how long the cores have to tell the state of their replicas, in microseconds.
-const StatusWithin = 700_000
+// StatusTimeout is how long the cores have to tell the state of their replicas, in microseconds.
+const StatusTimeout = 700_000
 
-// StateSilent is the state of the replicas of a core that did not answer in time; the other states
+// StateTimedOut is the state of the replicas of a core that did not answer in time; the other states
 // are the cores' own.
-const StateSilent = "silent"
+const StateTimedOut = "silent"
 
 // ReadStatus asks for the state of every known core's replicas, also of those that are silent.
 type ReadStatus struct{}
@@ -26,30 +26,30 @@
 // CoreStatus is what one core told. Replicas is empty where it did not answer in time.
 type CoreStatus struct {
 	Name, Zone, Addr string
-	Answered         bool
+	Responded        bool
 	Replicas         []wire.ReplicaStatus
 }
 
-// statusRead is such a question on its way.
-type statusRead struct {
-	asked []membership.Member
-	// told is what the cores told, by their mesh addresses.
-	told map[string][]wire.ReplicaStatus
+// statusCall is such a question on its way.
+type statusCall struct {
+	cores []membership.Member
+	// replies is what the cores told, by their mesh addresses.
+	replies map[string][]wire.ReplicaStatus
 }
 
-// readStatus asks every known core, this process itself without a message.
-func (o *Operate) readStatus(ctx *kernel.Context, id uint64) {
-	read := &statusRead{asked: knownCores(o.members.All(ctx.Now)), told: map[string][]wire.ReplicaStatus{}}
-	o.statusReads[id] = read
-	for _, core := range read.asked {
+// startStatus asks every known core, this process itself without a message.
+func (o *Service) startStatus(ctx *kernel.Context, id uint64) {
+	read := &statusCall{cores: knownCores(o.members.All(ctx.Now)), replies: map[string][]wire.ReplicaStatus{}}
+	o.statusCalls[id] = read
+	for _, core := range read.cores {
 		if o.host != nil && core.Addr == o.members.Local().Addr {
-			read.told[core.Addr] = o.host.Status(ctx.Now).Replicas
+			read.replies[core.Addr] = o.host.Status(ctx.Now).Replicas
 			continue
 		}
 		ctx.SendTo(core.Addr, wire.KindStatusRequest, id, &wire.StatusRequest{})
 	}
-	ctx.AfterFor(StatusWithin, "operate", id)
-	o.endStatusIfWhole(ctx, id, read)
+	ctx.AfterFor(StatusTimeout, "operate", id)
+	o.finishStatusIfComplete(ctx, id, read)
 }
 
 // knownCores are the cores among the members, one for each address: of one that has started again
@@ -74,31 +74,31 @@
 }
 
 // statusReplied takes note of one core's answer.
-func (o *Operate) statusReplied(ctx *kernel.Context, id uint64, reply wire.StatusReply) {
-	read := o.statusReads[id]
+func (o *Service) statusReplied(ctx *kernel.Context, id uint64, reply wire.StatusReply) {
+	read := o.statusCalls[id]
 	if read == nil {
 		return
 	}
-	read.told[reply.Addr] = reply.Replicas
-	o.endStatusIfWhole(ctx, id, read)
+	read.replies[reply.Addr] = reply.Replicas
+	o.finishStatusIfComplete(ctx, id, read)
 }
 
-func (o *Operate) endStatusIfWhole(ctx *kernel.Context, id uint64, read *statusRead) {
-	for _, core := range read.asked {
-		if _, told := read.told[core.Addr]; !told {
+func (o *Service) finishStatusIfComplete(ctx *kernel.Context, id uint64, read *statusCall) {
+	for _, core := range read.cores {
+		if _, told := read.replies[core.Addr]; !told {
 			return
 		}
 	}
-	o.endStatus(ctx, id, read)
+	o.finishStatus(ctx, id, read)
 }
 
-// endStatus answers with what was told so far.
-func (o *Operate) endStatus(ctx *kernel.Context, id uint64, read *statusRead) {
-	delete(o.statusReads, id)
-	status := Status{Cores: make([]CoreStatus, 0, len(read.asked))}
-	for _, core := range read.asked {
-		replicas, told := read.told[core.Addr]
-		status.Cores = append(status.Cores, CoreStatus{Name: core.Name, Zone: core.Zone, Addr: core.Addr, Answered: told, Replicas: replicas})
+// finishStatus answers with what was told so far.
+func (o *Service) finishStatus(ctx *kernel.Context, id uint64, read *statusCall) {
+	delete(o.statusCalls, id)
+	status := Status{Cores: make([]CoreStatus, 0, len(read.cores))}
+	for _, core := range read.cores {
+		replicas, told := read.replies[core.Addr]
+		status.Cores = append(status.Cores, CoreStatus{Name: core.Name, Zone: core.Zone, Addr: core.Addr, Responded: told, Replicas: replicas})
 	}
 	ctx.Reply(id, status)
 }
--- a/control/operations/status_test.go
+++ b/control/operations/status_test.go
@@ -14,16 +14,16 @@
 	"wallport/runtime/wire"
 )
 
-// hears has the node hear of cores, by their names.
-func (n *node) hears(cores ...string) {
+// addCores has the node hear of cores, by their names.
+func (n *node) addCores(cores ...string) {
 	for _, name := range cores {
 		row := wire.Member{Name: name, Role: "core", Zone: "z-" + name, Addr: name + ":1"}
 		n.step(mesh.Stored{Origin: name, Entry: &wire.Entry{Type: "member", Body: wire.Encode(&row)}})
 	}
 }
 
-// tells has a core answer with one replica at a version.
-func (n *node) tells(id uint64, name string, seq uint64) {
+// statusReply has a core answer with one replica at a version.
+func (n *node) statusReply(id uint64, name string, seq uint64) {
 	n.receive(wire.KindStatusReply, id, &wire.StatusReply{
 		Addr: name + ":1", Replicas: []wire.ReplicaStatus{{State: "follower", Committed: wire.Version{Term: 4, Seq: seq}}},
 	})
@@ -34,14 +34,14 @@
 	return status, answered
 }
 
-func TestStatusIsAnsweredOnceAllCoresHaveTold(t *testing.T) {
+func TestStatusIsCompleteOnceAllCoresReply(t *testing.T) {
 	n := newNode(t)
-	n.hears("b", "a")
+	n.addCores("b", "a")
 	n.call(1, ReadStatus{})
-	n.tells(1, "b", 9)
+	n.statusReply(1, "b", 9)
 	_, answered := n.status(1)
 	must.False(t, answered)
-	n.tells(1, "a", 7)
+	n.statusReply(1, "a", 7)
 	status, answered := n.status(1)
 	must.True(t, answered)
 	must.Len(t, 2, status.Cores)
@@ -50,25 +50,25 @@
 	must.Eq(t, wire.Version{Term: 4, Seq: 9}, status.Newest()[0])
 }
 
-func TestASilentCoreIsNamedInTime(t *testing.T) {
+func TestStatusNamesTimedOutCore(t *testing.T) {
 	n := newNode(t)
-	n.hears("a", "b")
+	n.addCores("a", "b")
 	n.call(1, ReadStatus{})
-	n.tells(1, "a", 7)
-	n.pass(StatusWithin - 1)
+	n.statusReply(1, "a", 7)
+	n.advance(StatusTimeout - 1)
 	_, answered := n.status(1)
 	must.False(t, answered)
-	n.pass(1)
+	n.advance(1)
 	status, answered := n.status(1)
 	must.True(t, answered)
-	must.True(t, status.Cores[0].Answered)
-	must.False(t, status.Cores[1].Answered)
-	n.tells(1, "b", 8)
+	must.True(t, status.Cores[0].Responded)
+	must.False(t, status.Cores[1].Responded)
+	n.statusReply(1, "b", 8)
 	again, _ := n.status(1)
 	must.Eq(t, status, again, must.Sprint("an answer that comes late changes nothing"))
 }
 
-func TestStatusOfAFleetWithoutCoresIsEmptyAtOnce(t *testing.T) {
+func TestStatusWithoutCoresIsEmpty(t *testing.T) {
 	n := newNode(t)
 	n.call(1, ReadStatus{})
 	status, answered := n.status(1)
@@ -76,18 +76,18 @@
 	must.SliceEmpty(t, status.Cores)
 }
 
-func TestNobodyIsAnsweredWhoseCallIsOver(t *testing.T) {
+func TestStatusOfCanceledCallIsNotAnswered(t *testing.T) {
 	n := newNode(t)
-	n.hears("a")
+	n.addCores("a")
 	n.call(1, ReadStatus{})
 	n.step(kernel.Canceled{Plugin: "operate", ID: 1})
-	n.tells(1, "a", 7)
-	n.pass(StatusWithin)
+	n.statusReply(1, "a", 7)
+	n.advance(StatusTimeout)
 	_, answered := n.status(1)
 	must.False(t, answered)
 }
 
-func TestACoreThatHasStartedAgainIsListedOnce(t *testing.T) {
+func TestKnownCoresListsRestartedCoreOnce(t *testing.T) {
 	row := func(name, addr, origin string, live bool) membership.Member {
 		return membership.Member{Member: wire.Member{Name: name, Role: "core", Addr: addr}, Origin: origin, Live: live}
 	}
--- a/control/operations/carrying.go
+++ b/control/operations/submit.go
@@ -10,49 +10,49 @@
 	"wallport/runtime/wire"
 )
 
-// answer ends a call.
-func (o *Operate) answer(ctx *kernel.Context, id uint64, c *call, res Result) {
+// finish ends a call.
+func (o *Service) finish(ctx *kernel.Context, id uint64, c *call, res Result) {
 	delete(o.calls, id)
-	ctx.Reply(id, c.outcome(res))
+	ctx.Reply(id, c.answer(res))
 }
 
-// try sends the edit; its id, or its base and digest, make a second sending harmless.
-func (o *Operate) try(ctx *kernel.Context, id uint64) {
+// attempt sends the edit; its id, or its base and digest, make a second sending harmless.
+func (o *Service) attempt(ctx *kernel.Context, id uint64) {
 	c := o.calls[id]
 	if c == nil {
 		return
 	}
 	if c.reply != nil {
-		o.watch(ctx, id, c)
+		o.awaitInForce(ctx, id, c)
 		return
 	}
-	left := c.began + c.giveUp() - ctx.Now
+	left := c.startedAt + c.timeout() - ctx.Now
 	if left <= 0 {
 		code := "shed"
-		if c.open > 0 {
+		if c.undeclined > 0 {
 			code = "unknown"
 		}
-		o.answer(ctx, id, c, Result{Reply: wire.EditReply{Code: code}})
+		o.finish(ctx, id, c, Result{Reply: wire.EditReply{Code: code}})
 		return
 	}
 	if addr := o.leaderAddress(ctx, c); addr != "" {
 		o.send(ctx, id, c, addr)
 	}
-	c.tries++
-	ctx.AfterFor(min(TryEvery, c.giveUp()/triesLeast, left), "operate", id)
+	c.attempts++
+	ctx.AfterFor(min(AttemptInterval, c.timeout()/minAttempts, left), "operate", id)
 }
 
 // send sends the order, or the question for the version that it is to be bound to. Nothing is
 // sent for a call that nobody waits for any more: the order would act late.
-func (o *Operate) send(ctx *kernel.Context, id uint64, c *call, addr string) {
+func (o *Service) send(ctx *kernel.Context, id uint64, c *call, addr string) {
 	if c.expired(ctx.Now) {
 		return
 	}
-	edit := c.req.Edit
+	edit := c.command.Edit
 	if c.needsVersion() {
-		edit, id = c.readVersion(), id|versionRead
+		edit, id = c.versionQuery(), id|versionQueryFlag
 	} else {
-		c.open++
+		c.undeclined++
 	}
 	if o.host != nil && addr == o.members.Local().Addr {
 		o.host.Edit(ctx, id, edit)
@@ -61,19 +61,19 @@
 	ctx.SendTo(addr, wire.KindEdit, id, &edit)
 }
 
-// handOn sends what a call sends next to an address that a reply named.
-func (o *Operate) handOn(ctx *kernel.Context, id uint64, c *call, addr string) {
-	if addr == "" || c.hops >= hopsMost {
+// redirect sends what a call sends next to an address that a reply named.
+func (o *Service) redirect(ctx *kernel.Context, id uint64, c *call, addr string) {
+	if addr == "" || c.redirects >= maxRedirects {
 		return
 	}
-	c.hops++
+	c.redirects++
 	o.send(ctx, id, c, addr)
 }
 
 // leader is where to send a call next: to the partition's leader as last heard, and every other time to
 // some live core, which knows a newer one once a leader is gone.
-func (o *Operate) leaderAddress(ctx *kernel.Context, c *call) string {
-	partition := c.req.Edit.Partition
+func (o *Service) leaderAddress(ctx *kernel.Context, c *call) string {
+	partition := c.command.Edit.Partition
 	addr := ""
 	if o.host != nil {
 		addr = o.host.Leader(partition, ctx.Now)
@@ -81,7 +81,7 @@
 	if addr == "" {
 		addr = o.configSync.Leader(partition)
 	}
-	if addr != "" && c.tries%2 == 0 {
+	if addr != "" && c.attempts%2 == 0 {
 		return addr
 	}
 	cores := o.members.Live(ctx.Now, "core")
@@ -91,9 +91,9 @@
 	return cores[ctx.Rand.IntN(len(cores))].Addr
 }
 
-func (o *Operate) replied(ctx *kernel.Context, id uint64, r wire.EditReply) {
-	if id&versionRead != 0 {
-		o.versionReplied(ctx, id&^versionRead, r)
+func (o *Service) editReplied(ctx *kernel.Context, id uint64, r wire.EditReply) {
+	if id&versionQueryFlag != 0 {
+		o.versionReplied(ctx, id&^versionQueryFlag, r)
 		return
 	}
 	c := o.calls[id]
@@ -102,29 +102,29 @@
 	}
 	switch r.Code {
 	case "not_owner":
-		c.open--
-		o.handOn(ctx, id, c, r.Addr)
+		c.undeclined--
+		o.redirect(ctx, id, c, r.Addr)
 		return
 	case wire.CodeStale:
-		o.stale(ctx, id, c)
+		o.versionStale(ctx, id, c)
 		return
 	case "shed":
-		c.open--
+		c.undeclined--
 		return
 	case "unknown":
 		// The edit id lets the next try learn what came of this one.
 		return
 	}
-	c.reply, c.at = &r, ctx.Now
-	if r.Code != "ok" || !c.req.Wait {
-		o.answer(ctx, id, c, Result{Reply: r})
+	c.reply, c.repliedAt = &r, ctx.Now
+	if r.Code != "ok" || !c.command.AwaitInForce {
+		o.finish(ctx, id, c, Result{Reply: r})
 		return
 	}
-	o.watch(ctx, id, c)
+	o.awaitInForce(ctx, id, c)
 }
 
-// watch waits until every live node reports the version, or long enough.
-func (o *Operate) watch(ctx *kernel.Context, id uint64, c *call) {
+// awaitInForce waits until every live node reports the version, or long enough.
+func (o *Service) awaitInForce(ctx *kernel.Context, id uint64, c *call) {
 	res := Result{Reply: *c.reply}
 	for _, n := range o.members.Live(ctx.Now, "node") {
 		in := false
@@ -137,9 +137,9 @@
 			res.Laggards = append(res.Laggards, n.Name)
 		}
 	}
-	if len(res.Laggards) == 0 || ctx.Now-c.at >= c.waits() {
-		o.answer(ctx, id, c, res)
+	if len(res.Laggards) == 0 || ctx.Now-c.repliedAt >= c.awaitTimeout() {
+		o.finish(ctx, id, c, res)
 		return
 	}
-	ctx.AfterFor(min(50_000, c.at+c.waits()-ctx.Now), "operate", id)
+	ctx.AfterFor(min(50_000, c.repliedAt+c.awaitTimeout()-ctx.Now), "operate", id)
 }
--- a/control/operations/operate_test.go
+++ b/control/operations/submit_test.go
@@ -67,8 +67,8 @@
 
 func (n *node) call(id uint64, ask any) { n.step(kernel.Call{Plugin: "operate", ID: id, Request: ask}) }
 
-// pass lets time go by, timers in order.
-func (n *node) pass(us int64) {
+// advance lets time go by, timers in order.
+func (n *node) advance(us int64) {
 	for end := n.now + us; ; {
 		next := -1
 		for i, v := range n.timers {
@@ -95,101 +95,101 @@
 	return v.(Result).Reply.Code
 }
 
-// edit is an edit that needs no question first.
-func edit() wire.Edit { return wire.Edit{Op: "routing"} }
+// routingEdit is an edit that needs no question first.
+func routingEdit() wire.Edit { return wire.Edit{Op: "routing"} }
 
-func TestSilenceIsUnknownAndInTime(t *testing.T) {
+func TestSubmitTimesOutAsUnknown(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: edit(), Wait: true, WaitUs: 300_000, GiveUpUs: 800_000})
-	n.pass(799_999)
+	n.call(1, Submit{Edit: routingEdit(), AwaitInForce: true, AwaitTimeout: 300_000, Timeout: 800_000})
+	n.advance(799_999)
 	must.Eq(t, "", n.code(1))
-	n.pass(1)
+	n.advance(1)
 	must.Eq(t, "unknown", n.code(1))
 	must.Eq(t, 5, len(n.edits), must.Sprint("tried again meanwhile"))
 }
 
-func TestNobodyToSendToIsShed(t *testing.T) {
+func TestSubmitWithoutCoresIsOverloaded(t *testing.T) {
 	k := newNode(t)
 	k.k = kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
-	k.call(1, Carry{Edit: edit(), GiveUpUs: 800_000})
-	k.pass(800_000)
+	k.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
+	k.advance(800_000)
 	must.Eq(t, "shed", k.code(1))
 }
 
-func TestDeclinedByAllIsShedAndByOneIsUnknown(t *testing.T) {
+func TestSubmitDeclinedByAllIsOverloadedAndBySomeUnknown(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: edit(), GiveUpUs: 800_000})
+	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
 	for range 8 {
 		for range len(n.edits) {
 			n.reply(1, wire.EditReply{Code: "not_owner"})
 		}
 		n.edits = nil
-		n.pass(100_000)
+		n.advance(100_000)
 	}
 	must.Eq(t, "shed", n.code(1))
-	n.call(2, Carry{Edit: edit(), GiveUpUs: 800_000})
+	n.call(2, Submit{Edit: routingEdit(), Timeout: 800_000})
 	n.reply(2, wire.EditReply{Code: "not_owner"})
-	n.pass(800_000)
+	n.advance(800_000)
 	must.Eq(t, "unknown", n.code(2), must.Sprint("later sendings were not declined"))
 }
 
-func TestHandedOnToTheOwner(t *testing.T) {
+func TestSubmitFollowsRedirectsToLeader(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: edit(), GiveUpUs: 800_000})
+	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
 	n.reply(1, wire.EditReply{Code: "not_owner", Addr: "other"})
 	must.Eq(t, []string{"owner", "other"}, n.edits)
 	n.reply(1, wire.EditReply{Code: "ok", Version: wire.Version{Term: 3, Seq: 1}})
 	must.Eq(t, "ok", n.code(1))
 	// Two that name each other do not keep an edit going round for ever.
-	n.call(2, Carry{Edit: edit()})
+	n.call(2, Submit{Edit: routingEdit()})
 	n.edits = nil
 	for range 100 {
 		n.reply(2, wire.EditReply{Code: "not_owner", Addr: "other"})
 	}
-	must.Eq(t, hopsMost, len(n.edits))
+	must.Eq(t, maxRedirects, len(n.edits))
 }
 
-func TestUnknownOfTheOwnerIsAskedAgain(t *testing.T) {
+func TestSubmitRetriesUnknownOutcome(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: edit(), GiveUpUs: 800_000})
+	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
 	n.reply(1, wire.EditReply{Code: "unknown"})
 	must.Eq(t, "", n.code(1))
-	n.pass(200_000)
+	n.advance(200_000)
 	n.reply(1, wire.EditReply{Code: "ok"})
 	must.Eq(t, "ok", n.code(1))
 }
 
-func TestWaitForTheNodesIsBounded(t *testing.T) {
+func TestAwaitInForceIsBounded(t *testing.T) {
 	at := wire.Version{Term: 9, Seq: 1}
 	for _, v := range []struct {
 		wait, giveUp, replied, ends int64
-	}{{300_000, 900_000, 0, 300_000}, {300_000, 900_000, 800_000, 900_000}, {0, 0, 0, ForceWait}} {
+	}{{300_000, 900_000, 0, 300_000}, {300_000, 900_000, 800_000, 900_000}, {0, 0, 0, InForceTimeout}} {
 		n := newNode(t)
 		// This node itself does not have that version in force.
-		n.call(1, Carry{Edit: edit(), Wait: true, WaitUs: v.wait, GiveUpUs: v.giveUp})
-		n.pass(v.replied)
+		n.call(1, Submit{Edit: routingEdit(), AwaitInForce: true, AwaitTimeout: v.wait, Timeout: v.giveUp})
+		n.advance(v.replied)
 		n.reply(1, wire.EditReply{Code: "ok", Version: at})
-		n.pass(v.ends - v.replied - 1)
+		n.advance(v.ends - v.replied - 1)
 		must.Eq(t, "", n.code(1))
-		n.pass(1)
+		n.advance(1)
 		must.Eq(t, "ok", n.code(1))
 		must.Len(t, 1, n.answers[1].(Result).Laggards)
 	}
 }
 
-func TestRoutingIsReadThroughTheOwner(t *testing.T) {
+func TestReadRoutingFromLeader(t *testing.T) {
 	b, err := proto.Marshal(&routingpb.RoutingTable{Revision: 7})
 	must.NoError(t, err)
 	n := newNode(t)
-	n.call(1, ReadRouting{GiveUpUs: 800_000})
+	n.call(1, ReadRouting{Timeout: 800_000})
 	n.reply(1, wire.EditReply{Code: "ok", Body: wire.Encode(&wire.ConfigBody{Routing: b})})
 	got := n.answers[1].(Routing)
 	must.Eq(t, "ok", got.Code)
 	must.Eq(t, 7, got.Table.Revision)
-	n.call(2, ReadRouting{GiveUpUs: 800_000})
+	n.call(2, ReadRouting{Timeout: 800_000})
 	n.reply(2, wire.EditReply{Code: "ok"})
 	must.Eq(t, Routing{Code: "ok"}, n.answers[2].(Routing), must.Sprint("none was ever set"))
-	n.call(3, ReadRouting{GiveUpUs: 800_000})
-	n.pass(800_000)
+	n.call(3, ReadRouting{Timeout: 800_000})
+	n.advance(800_000)
 	must.Eq(t, Routing{Code: "shed"}, n.answers[3].(Routing))
 }
--- a/control/operations/binding.go
+++ b/control/operations/zone_version.go
@@ -9,46 +9,46 @@
 	"wallport/runtime/wire"
 )
 
-// versionRead marks the ids of frames that ask for a zone's version, so that a reply to one is
+// versionQueryFlag marks the ids of frames that ask for a zone's version, so that a reply to one is
 // never taken for a reply to the order itself.
-const versionRead uint64 = 1 << 63
+const versionQueryFlag uint64 = 1 << 63
 
 // needsVersion tells that an order is not yet bound to what it was given on.
 func (c *call) needsVersion() bool {
-	return (c.req.Edit.Op == "empty" || c.req.Edit.Op == "refill") && !c.bound
+	return (c.command.Edit.Op == "empty" || c.command.Edit.Op == "refill") && !c.versionBound
 }
 
-func (c *call) readVersion() wire.Edit {
-	return wire.Edit{Partition: c.req.Edit.Partition, Op: wire.OpZoneVersion, Name: c.req.Edit.Name}
+func (c *call) versionQuery() wire.Edit {
+	return wire.Edit{Partition: c.command.Edit.Partition, Op: wire.OpZoneVersion, Name: c.command.Edit.Name}
 }
 
 // versionReplied binds the order and sends it.
-func (o *Operate) versionReplied(ctx *kernel.Context, id uint64, r wire.EditReply) {
+func (o *Service) versionReplied(ctx *kernel.Context, id uint64, r wire.EditReply) {
 	c := o.calls[id]
-	if c == nil || c.reply != nil || c.bound {
+	if c == nil || c.reply != nil || c.versionBound {
 		return
 	}
 	switch r.Code {
 	case "not_owner":
-		o.handOn(ctx, id, c, r.Addr)
+		o.redirect(ctx, id, c, r.Addr)
 	case wire.CodeVersion:
-		c.bound, c.req.Edit.Base = true, r.Version
-		o.handOn(ctx, id, c, r.Addr)
+		c.versionBound, c.command.Edit.Base = true, r.Version
+		o.redirect(ctx, id, c, r.Addr)
 	case "invalid":
 		// A leader of a release before 3 has no versions, and takes the order without one. A later
 		// leader refuses it then, unless no order about the zone was ever taken.
-		c.bound, c.req.Edit.Base = true, wire.Version{}
-		o.handOn(ctx, id, c, o.leaderAddress(ctx, c))
+		c.versionBound, c.command.Edit.Base = true, wire.Version{}
+		o.redirect(ctx, id, c, o.leaderAddress(ctx, c))
 	}
 }
 
-// stale has an order read the zone's version again: another order about that zone came first.
-func (o *Operate) stale(ctx *kernel.Context, id uint64, c *call) {
-	c.open--
-	if !c.bound {
+// versionStale has an order read the zone's version again: another order about that zone came first.
+func (o *Service) versionStale(ctx *kernel.Context, id uint64, c *call) {
+	c.undeclined--
+	if !c.versionBound {
 		return
 	}
-	c.bound = false
+	c.versionBound = false
 	if addr := o.leaderAddress(ctx, c); addr != "" {
 		o.send(ctx, id, c, addr)
 	}
--- a/control/operations/binding_test.go
+++ b/control/operations/zone_version_test.go
@@ -13,67 +13,67 @@
 	"wallport/runtime/wire"
 )
 
-func drain() wire.Edit { return wire.Edit{Op: "empty", Name: "z1"} }
+func drainEdit() wire.Edit { return wire.Edit{Op: "empty", Name: "z1"} }
 
-func version(seq uint64) wire.EditReply {
+func zoneVersionReply(seq uint64) wire.EditReply {
 	return wire.EditReply{Code: wire.CodeVersion, Version: wire.Version{Term: 3, Seq: seq}, Addr: "owner"}
 }
 
-func (n *node) last() sentEdit { return n.frames[len(n.frames)-1] }
+func (n *node) lastFrame() sentEdit { return n.frames[len(n.frames)-1] }
 
-func TestOrderAboutAZoneIsBoundFirst(t *testing.T) {
+func TestZoneCommandReadsVersionFirst(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: drain(), GiveUpUs: 800_000})
-	read := n.last()
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	read := n.lastFrame()
 	must.Eq(t, "zone_version z1", read.edit.Op+" "+read.edit.Name)
-	n.reply(read.id, version(7))
-	order := n.last()
+	n.reply(read.id, zoneVersionReply(7))
+	order := n.lastFrame()
 	must.Eq(t, "empty z1", order.edit.Op+" "+order.edit.Name)
 	must.Eq(t, wire.Version{Term: 3, Seq: 7}, order.edit.Base)
 	n.reply(order.id, wire.EditReply{Code: "ok"})
 	must.Eq(t, "ok", n.code(1))
 }
 
-func TestStaleOrderIsBoundAnewWhileTheCallIsOpen(t *testing.T) {
+func TestStaleZoneCommandReadsVersionAgainWhileCallIsOpen(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: drain(), GiveUpUs: 800_000})
-	n.reply(n.last().id, version(7))
-	first := n.last()
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	n.reply(n.lastFrame().id, zoneVersionReply(7))
+	first := n.lastFrame()
 	n.reply(first.id, wire.EditReply{Code: wire.CodeStale})
-	must.Eq(t, wire.OpZoneVersion, n.last().edit.Op)
-	n.reply(n.last().id, version(8))
-	second := n.last()
+	must.Eq(t, wire.OpZoneVersion, n.lastFrame().edit.Op)
+	n.reply(n.lastFrame().id, zoneVersionReply(8))
+	second := n.lastFrame()
 	must.Eq(t, uint64(8), second.edit.Base.Seq)
 	must.Eq(t, first.edit.EditID, second.edit.EditID, must.Sprint("it is the same order"))
 	n.reply(second.id, wire.EditReply{Code: wire.CodeStale})
-	n.pass(800_000)
+	n.advance(800_000)
 	must.Eq(t, "shed", n.code(1), must.Sprint("each sending was declined"))
 }
 
 // A process that was frozen, or that heard late, sends nothing for a call that nobody waits for.
-func TestNothingIsSentForACallThatIsOver(t *testing.T) {
+func TestNoFrameIsSentForFinishedCall(t *testing.T) {
 	for name, over := range map[string]func(n *node){
 		"old":       func(n *node) { n.now += 800_000 },
 		"abandoned": func(n *node) { n.step(kernel.Canceled{Plugin: "operate", ID: 1}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newNode(t)
-			n.call(1, Carry{Edit: drain(), GiveUpUs: 800_000})
-			read := n.last()
+			n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+			read := n.lastFrame()
 			over(n)
-			n.reply(read.id, version(7))
-			must.Eq(t, wire.OpZoneVersion, n.last().edit.Op)
+			n.reply(read.id, zoneVersionReply(7))
+			must.Eq(t, wire.OpZoneVersion, n.lastFrame().edit.Op)
 
 			n = newNode(t)
-			n.call(1, Carry{Edit: drain(), GiveUpUs: 800_000})
-			n.reply(n.last().id, version(7))
-			order := n.last()
+			n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+			n.reply(n.lastFrame().id, zoneVersionReply(7))
+			order := n.lastFrame()
 			over(n)
 			sent := len(n.frames)
 			n.reply(order.id, wire.EditReply{Code: wire.CodeStale})
 			n.reply(order.id, wire.EditReply{Code: "not_owner", Addr: "other"})
 			if name == "abandoned" {
-				n.pass(5_000_000)
+				n.advance(5_000_000)
 			}
 			must.Eq(t, sent, len(n.frames))
 		})
@@ -81,48 +81,48 @@
 }
 
 // A leader of the release before does not know the question, and takes orders without it.
-func TestLeaderOfTheReleaseBefore(t *testing.T) {
+func TestZoneCommandToLeaderOfEarlierRelease(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: drain(), GiveUpUs: 800_000})
-	n.reply(n.last().id, wire.EditReply{Code: "invalid"})
-	must.Eq(t, "empty z1", n.last().edit.Op+" "+n.last().edit.Name)
-	must.Eq(t, wire.Version{}, n.last().edit.Base)
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	n.reply(n.lastFrame().id, wire.EditReply{Code: "invalid"})
+	must.Eq(t, "empty z1", n.lastFrame().edit.Op+" "+n.lastFrame().edit.Name)
+	must.Eq(t, wire.Version{}, n.lastFrame().edit.Base)
 }
 
 // A reply to the question says nothing of the order, which another core may take meanwhile.
-func TestDeclinedQuestionIsNotADeclinedOrder(t *testing.T) {
+func TestDeclinedVersionQueryDoesNotDeclineCommand(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: drain(), GiveUpUs: 800_000})
-	read := n.last()
-	n.reply(read.id, version(7))
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	read := n.lastFrame()
+	n.reply(read.id, zoneVersionReply(7))
 	n.reply(read.id, wire.EditReply{Code: "not_owner"})
-	n.pass(800_000)
+	n.advance(800_000)
 	must.Eq(t, "unknown", n.code(1))
 }
 
-func TestUnansweredQuestionTookNothing(t *testing.T) {
+func TestUnansweredVersionQueryIsOverloaded(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Carry{Edit: drain(), GiveUpUs: 800_000})
-	n.pass(800_000)
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	n.advance(800_000)
 	must.Eq(t, "shed", n.code(1))
 	for _, f := range n.frames {
 		must.Eq(t, wire.OpZoneVersion, f.edit.Op)
 	}
 }
 
-func TestHistoryIsReadThroughTheLeader(t *testing.T) {
+func TestReadHistoryFromLeader(t *testing.T) {
 	n := newNode(t)
 	n.call(1, ReadHistory{})
-	must.Eq(t, wire.OpHistory, n.last().edit.Op)
+	must.Eq(t, wire.OpHistory, n.lastFrame().edit.Op)
 	n.reply(1, wire.EditReply{Code: "ok", Body: wire.Encode(&wire.EditLog{History: []wire.PastConfig{{By: "someone"}}})})
-	must.Eq(t, "someone", n.answers[1].(History).Sheets[0].By)
+	must.Eq(t, "someone", n.answers[1].(History).Configurations[0].By)
 	n.call(2, ReadHistory{})
-	n.pass(GiveUp)
+	n.advance(CallTimeout)
 	must.Eq(t, "shed", n.answers[2].(History).Code)
 }
 
 // A zone of which a whole list knows nothing is not drained; one that may exist is.
-func TestUnknownZoneIsRefused(t *testing.T) {
+func TestDrainRefusesUnknownZone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		list   wire.BackendList
@@ -142,7 +142,7 @@
 			if len(c.list.Backends) > 0 {
 				n.announce("listing", wire.Encode(&c.list))
 			}
-			n.call(1, Carry{Edit: wire.Edit{Op: c.op, Name: c.zone}})
+			n.call(1, Submit{Edit: wire.Edit{Op: c.op, Name: c.zone}})
 			if c.refuse {
 				must.Eq(t, CodeUnknownZone, n.code(1))
 				must.Eq(t, "zone", n.answers[1].(Result).Reply.Findings[0].Path)
@@ -156,11 +156,11 @@
 }
 
 // A zone that has lost all that was in it is still drained where the settings name it.
-func TestZoneOfTheSettingsIsDrainedThoughNothingIsInIt(t *testing.T) {
+func TestDrainAcceptsEmptyZoneOfSettings(t *testing.T) {
 	n := newNode(t)
 	n.announce("listing", wire.Encode(&wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}))
-	kernel.Find[*Operate](n.k).zones = map[string]string{"z1": "r1", "z9": "r1"}
-	n.call(1, Carry{Edit: wire.Edit{Op: "empty", Name: "z9"}})
+	kernel.Find[*Service](n.k).zoneRegions = map[string]string{"z1": "r1", "z9": "r1"}
+	n.call(1, Submit{Edit: wire.Edit{Op: "empty", Name: "z9"}})
 	must.Eq(t, "", n.code(1))
 	must.Len(t, 1, n.frames)
 }
--- a/control/operations/zones.go
+++ b/control/operations/zones.go
@@ -13,8 +13,8 @@
 
 // knowsZone reports whether a zone may exist: the settings name it, a member or a listed backend is
 // in it, or this process has not heard of a whole list yet and cannot tell.
-func (o *Operate) knowsZone(zone string, now int64) bool {
-	if _, named := o.zones[zone]; named {
+func (o *Service) knowsZone(zone string, now int64) bool {
+	if _, named := o.zoneRegions[zone]; named {
 		return true
 	}
 	for _, member := range o.members.All(now) {
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -132,7 +132,7 @@
 func (s *Host) relay(v configsync.Pulled) {
 	for _, g := range s.groups {
 		if v.Contact&(1<<uint(g.partition)) != 0 {
-			g.relayedAt = max(g.relayedAt, v.AskedAt)
+			g.relayedAt = max(g.relayedAt, v.SentAt)
 		}
 	}
 }
--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -120,7 +120,7 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	var m httpapi.Message
+	var m httpapi.BackendRequest
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil || json.Unmarshal(body, &m) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -140,7 +140,7 @@
 	} else if m.Kind != search.Read {
 		key := m.Key
 		if key == "" {
-			key = m.Inquiry
+			key = m.ID
 		}
 		s.mu.Lock()
 		s.ran[key]++
@@ -185,11 +185,11 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-func (s *Server) sealed(m *httpapi.Message, recs []search.Record) search.Sealed {
-	return search.Sealed{Inquiry: m.Inquiry, Cut: s.c.Cut, Shard: s.c.Shard, Incarnation: s.began.UnixMicro(), Usage: s.busy.Load(), Records: recs}
+func (s *Server) sealed(m *httpapi.BackendRequest, recs []search.Record) search.Sealed {
+	return search.Sealed{Inquiry: m.ID, Cut: s.c.Cut, Shard: s.c.Shard, Incarnation: s.began.UnixMicro(), Usage: s.busy.Load(), Records: recs}
 }
 
-func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.Message) {
+func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.BackendRequest) {
 	raw, _ := Spoil("", status, s.sealed(m, nil))
 	w.Header().Set("Content-Digest", raw.Digest)
 	w.Header().Set("Content-Type", "application/json")
@@ -198,7 +198,7 @@
 }
 
 // spoil answers, or spoils the answer in the way the fault says.
-func (s *Server) spoil(w http.ResponseWriter, f *Fault, m *httpapi.Message, recs []search.Record) {
+func (s *Server) spoil(w http.ResponseWriter, f *Fault, m *httpapi.BackendRequest, recs []search.Record) {
 	raw, closed := Spoil(f.Mode, 200, s.sealed(m, recs))
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), editWithin)
 	defer cancel()
 	r := Edited{SentUs: wallUs()}
-	v, err := n.p.Call(ctx, "operate", operations.Carry{Edit: e})
+	v, err := n.p.Call(ctx, "operate", operations.Submit{Edit: e})
 	if err != nil {
 		return Told{Err: err.Error()}
 	}
--- a/lab/sim/day_mishaps.go
+++ b/lab/sim/day_mishaps.go
@@ -107,7 +107,7 @@
 		}
 		d.w.Judge.Count("late_evacuate.given", 1)
 		p.feed(func() {
-			p.call("operate", operations.Carry{Edit: wire.Edit{Op: "empty", Name: e.zone}, Wait: true, WaitUs: waitUs, GiveUpUs: answerUs}, nil)
+			p.call("operate", operations.Submit{Edit: wire.Edit{Op: "empty", Name: e.zone}, AwaitInForce: true, AwaitTimeout: waitUs, Timeout: answerUs}, nil)
 			id := p.nextCall
 			// The end of the connection follows the order at once where the operator has gone.
 			after := int64(silentUs)
--- a/lab/sim/day_orders.go
+++ b/lab/sim/day_orders.go
@@ -122,7 +122,9 @@
 // carry is an order that changes something.
 func (o *orders) carry(e wire.Edit, at pin, left func(), done func(code string, m *machine)) {
 	o.send(&order{
-		ask:  func() any { return operations.Carry{Edit: e, Wait: true, WaitUs: waitUs, GiveUpUs: answerUs} },
+		ask: func() any {
+			return operations.Submit{Edit: e, AwaitInForce: true, AwaitTimeout: waitUs, Timeout: answerUs}
+		},
 		code: editCode, done: done, pin: at, left: left,
 	})
 }
@@ -233,7 +235,7 @@
 	var got *routingpb.RoutingTable
 	asked := d.w.now
 	o.send(&order{
-		ask: func() any { asked = d.w.now; return operations.ReadRouting{GiveUpUs: answerUs} }, until: d.end(),
+		ask: func() any { asked = d.w.now; return operations.ReadRouting{Timeout: answerUs} }, until: d.end(),
 		code: func(v any) string { got = v.(operations.Routing).Table; return v.(operations.Routing).Code },
 		done: func(string, *machine) {
 			d.w.Judge.Count("read_back", 1)
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -28,7 +28,7 @@
 		return
 	}
 	sent := d.w.now
-	ask := operations.Carry{Edit: wire.Edit{Partition: state.ConfigPartition, Op: "read"}, GiveUpUs: answerUs}
+	ask := operations.Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: "read"}, Timeout: answerUs}
 	p.feed(func() {
 		p.call("operate", ask, func(v any) { o.confirmed(sent, v.(operations.Result).Reply) })
 	})
--- a/lab/sim/operators.go
+++ b/lab/sim/operators.go
@@ -121,7 +121,7 @@
 	t := check.Try{Mark: mark, Base: on.stamp, Began: w.now, Ended: 1 << 62, Code: "open", EditID: e.EditID, Invalid: kind == "invalid"}
 	w.Judge.Tried(t)
 	p.feed(func() {
-		p.call("operate", operations.Carry{Edit: e}, func(v any) {
+		p.call("operate", operations.Submit{Edit: e}, func(v any) {
 			r := v.(operations.Result).Reply
 			t.Ended, t.Code, t.Stamp = w.now, r.Code, r.Version
 			w.note(fmt.Sprintf("edit %d %s %v", mark, r.Code, r.Version))
@@ -188,7 +188,7 @@
 		return
 	}
 	p.feed(func() {
-		p.call("operate", operations.Carry{Edit: make()}, func(v any) {
+		p.call("operate", operations.Submit{Edit: make()}, func(v any) {
 			if answered {
 				return
 			}
--- a/request/httpapi/scopes.go
+++ b/request/httpapi/authorizer.go
@@ -20,16 +20,16 @@
 	"wallport/runtime/process"
 )
 
-type scopes struct {
-	p    *process.Process
-	file string
-	last string
-	now  atomic.Pointer[configpb.Tokens]
+type authorizer struct {
+	process  *process.Process
+	file     string
+	lastRead string
+	tokens   atomic.Pointer[configpb.Tokens]
 }
 
-// openScopes reads the file before anything is served: one with faults ends the start.
-func openScopes(p *process.Process, over <-chan struct{}) (*scopes, error) {
-	s := &scopes{p: p, file: p.Kernel.Boot.Settings.OperatorTokensFile}
+// openAuthorizer reads the file before anything is served: one with faults ends the start.
+func openAuthorizer(p *process.Process, over <-chan struct{}) (*authorizer, error) {
+	s := &authorizer{process: p, file: p.Kernel.Boot.Settings.OperatorTokensFile}
 	if s.file == "" {
 		return s, nil
 	}
@@ -52,29 +52,29 @@
 }
 
 // read takes the file's tokens if it changed and has no faults.
-func (s *scopes) read() error {
+func (s *authorizer) read() error {
 	b, err := os.ReadFile(s.file)
 	if err != nil {
 		return err
 	}
-	if string(b) == s.last {
+	if string(b) == s.lastRead {
 		return nil
 	}
 	t, found := config.ReadTokens(b)
-	s.last = string(b)
+	s.lastRead = string(b)
 	if len(found) > 0 {
 		return tokenFaults(s.file, found)
 	}
-	s.now.Store(t)
-	s.p.Log.Info("operator_tokens", zap.String("file", s.file), zap.Int("tokens", len(t.Tokens)))
+	s.tokens.Store(t)
+	s.process.Log.Info("operator_tokens", zap.String("file", s.file), zap.Int("tokens", len(t.Tokens)))
 	return nil
 }
 
-// may tells who a token is, or why it may not do what needs a scope over some indexes.
-func (s *scopes) may(token *string, scope string, indexes []string) (string, error) {
+// authorize tells who a token is, or why it may not do what needs a scope over some indexes.
+func (s *authorizer) authorize(token *string, scope string, indexes []string) (string, error) {
 	got := []byte(strings.TrimPrefix(deref(token), "Bearer "))
 	same := func(want string) bool { return want != "" && subtle.ConstantTimeCompare([]byte(want), got) == 1 }
-	master, list := s.p.Kernel.Boot.Settings.OperatorToken, s.now.Load()
+	master, list := s.process.Kernel.Boot.Settings.OperatorToken, s.tokens.Load()
 	if master == "" && list == nil || same(master) {
 		return "", nil
 	}
@@ -84,24 +84,24 @@
 			mine = t
 		}
 	}
-	s.p.Kernel.Counts.Add("operator_forbidden", 1)
+	s.process.Kernel.Counts.Add("operator_forbidden", 1)
 	switch {
 	case mine == nil:
-		return "", fail("forbidden", "the operator token is missing or wrong")
+		return "", newFailure("forbidden", "the operator token is missing or wrong")
 	case mine.Scope == config.ScopeAll, scope == config.ScopeRead:
 	case scope == config.ScopeAll || mine.Scope == config.ScopeRead:
-		return "", lacks(mine, scope)
+		return "", outOfScope(mine, scope)
 	default:
 		for _, x := range indexes {
 			if !slices.Contains(mine.Indexes, x) {
-				return "", lacks(mine, scope+" of the index "+x)
+				return "", outOfScope(mine, scope+" of the index "+x)
 			}
 		}
 	}
-	s.p.Kernel.Counts.Add("operator_forbidden", -1)
+	s.process.Kernel.Counts.Add("operator_forbidden", -1)
 	return mine.Who, nil
 }
 
-func lacks(t *configpb.Token, scope string) *operator.Failure {
-	return fail("out_of_scope", "the token of "+t.Who+" has the scope "+t.Scope+" and lacks "+scope)
+func outOfScope(t *configpb.Token, scope string) *operator.Failure {
+	return newFailure("out_of_scope", "the token of "+t.Who+" has the scope "+t.Scope+" and lacks "+scope)
 }
--- a/request/httpapi/ask.go
+++ b/request/httpapi/backend_client.go
@@ -19,41 +19,41 @@
 	"wallport/request/search"
 )
 
-// answerMost bounds an answer's body.
-const answerMost = 4 << 20
+// maxResponseBytes bounds an answer's body.
+const maxResponseBytes = 4 << 20
 
-// Message is what a server is sent.
-type Message struct {
-	Inquiry string `json:"inquiry"`
-	Kind    string `json:"kind"`
-	Index   string `json:"index"`
-	Cut     string `json:"cut"`
-	Shard   int    `json:"shard"`
-	Query   string `json:"query,omitempty"`
-	Limit   int    `json:"limit,omitempty"`
-	Record  string `json:"record,omitempty"`
-	Part    int    `json:"part,omitempty"`
-	Body    string `json:"body,omitempty"`
-	Key     string `json:"key,omitempty"`
-	Within  int64  `json:"within_us"`
+// BackendRequest is what a server is sent.
+type BackendRequest struct {
+	ID       string `json:"inquiry"`
+	Kind     string `json:"kind"`
+	Index    string `json:"index"`
+	ShardMap string `json:"cut"`
+	Shard    int    `json:"shard"`
+	Query    string `json:"query,omitempty"`
+	Limit    int    `json:"limit,omitempty"`
+	Record   string `json:"record,omitempty"`
+	Part     int    `json:"part,omitempty"`
+	Body     string `json:"body,omitempty"`
+	Key      string `json:"key,omitempty"`
+	Within   int64  `json:"within_us"`
 }
 
-// Of makes the message of an ask.
-func Of(a *search.Ask) Message {
+// NewBackendRequest makes the message of an ask.
+func NewBackendRequest(a *search.Ask) BackendRequest {
 	in := a.Inquiry
-	return Message{
-		Inquiry: a.ID, Kind: in.Kind, Index: in.Index, Cut: a.Cut, Shard: a.Shard, Query: in.Query, Limit: in.Limit,
+	return BackendRequest{
+		ID: a.ID, Kind: in.Kind, Index: in.Index, ShardMap: a.Cut, Shard: a.Shard, Query: in.Query, Limit: in.Limit,
 		Record: in.Record, Part: in.Part, Body: in.Body, Key: in.Key, Within: a.Within,
 	}
 }
 
-type asker struct{ client *http.Client }
+type backendClient struct{ client *http.Client }
 
-func newAsker() *asker {
+func newBackendClient() *backendClient {
 	d := &net.Dialer{Timeout: 300 * time.Millisecond, KeepAlive: 15 * time.Second}
-	return &asker{client: &http.Client{
+	return &backendClient{client: &http.Client{
 		Transport: &http.Transport{
-			DialContext: dialServer(d), MaxIdleConnsPerHost: 64, IdleConnTimeout: 20 * time.Second,
+			DialContext: dialBackend(d), MaxIdleConnsPerHost: 64, IdleConnTimeout: 20 * time.Second,
 			DisableCompression: true, MaxResponseHeaderBytes: 16 << 10,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -65,23 +65,23 @@
 
 func (unrewindable) Close() error { return nil }
 
-// ask sends a message and checks its answer. It is written to one connection at most.
-func (k *asker) ask(ctx context.Context, a *search.Ask) search.Reply {
-	m := Of(a)
+// send sends a message and checks its answer. It is written to one connection at most.
+func (k *backendClient) send(ctx context.Context, a *search.Ask) search.Reply {
+	m := NewBackendRequest(a)
 	body, err := json.Marshal(&m)
 	if err != nil {
 		return search.Reply{Class: search.ReplyNotWritten, Why: err.Error()}
 	}
 	for {
-		rep, again := k.once(ctx, a, m.Kind, body)
+		rep, again := k.sendOnce(ctx, a, m.Kind, body)
 		if !again {
 			return rep
 		}
 	}
 }
 
-// once sends a message on one connection; again is that this had been given up before anything was written to it.
-func (k *asker) once(ctx context.Context, a *search.Ask, kind string, body []byte) (rep search.Reply, again bool) {
+// sendOnce sends a message on one connection; again is that this had been given up before anything was written to it.
+func (k *backendClient) sendOnce(ctx context.Context, a *search.Ask, kind string, body []byte) (rep search.Reply, again bool) {
 	var had atomic.Pointer[connUse]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { had.Store(beginUse(i.Conn)) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Server.Addr+"/v1/"+kind, unrewindable{bytes.NewReader(body)})
@@ -94,24 +94,24 @@
 	used := had.Load()
 	switch {
 	case err != nil && used == nil:
-		return search.Reply{Class: search.ReplyNotWritten, Why: reason(err)}, false
+		return search.Reply{Class: search.ReplyNotWritten, Why: errorReason(err)}, false
 	case err != nil && used.unwritten(err):
-		return search.Reply{Class: search.ReplyNotWritten, Why: reason(err)}, ctx.Err() == nil
+		return search.Reply{Class: search.ReplyNotWritten, Why: errorReason(err)}, ctx.Err() == nil
 	case err != nil:
-		return search.Reply{Class: search.ReplyFailed, Why: reason(err)}, false
+		return search.Reply{Class: search.ReplyFailed, Why: errorReason(err)}, false
 	}
-	rep = receive(a, resp)
+	rep = readReply(a, resp)
 	if rep.Class == search.ReplyGarbage && used != nil {
-		used.giveUp()
+		used.abandon()
 	}
 	return rep, false
 }
 
-// receive reads an answer whole and checks it.
-func receive(a *search.Ask, resp *http.Response) search.Reply {
+// readReply reads an answer whole and checks it.
+func readReply(a *search.Ask, resp *http.Response) search.Reply {
 	defer resp.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(resp.Body, answerMost+1))
-	if err != nil || len(got) > answerMost {
+	got, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err != nil || len(got) > maxResponseBytes {
 		return search.Reply{Class: search.ReplyFailed, Why: "answer cut short or too large"}
 	}
 	return search.Check(a, search.Raw{
@@ -119,7 +119,7 @@
 	})
 }
 
-func reason(err error) string {
+func errorReason(err error) string {
 	var n net.Error
 	if e, ok := err.(interface{ Unwrap() error }); ok {
 		err = e.Unwrap()
--- a/request/httpapi/ask_test.go
+++ b/request/httpapi/backend_client_test.go
@@ -28,19 +28,19 @@
 	}
 }
 
-// TestNoTransparentRetry makes the case in which net/http retries by itself: a
+// TestSendIsNotRetriedByTransport makes the case in which net/http retries by itself: a
 // kept connection that the server closes after it has read the next message.
-func TestNoTransparentRetry(t *testing.T) {
+func TestSendIsNotRetriedByTransport(t *testing.T) {
 	var ran atomic.Int64
 	var peers sync.Map
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var m Message
+		var m BackendRequest
 		json.NewDecoder(r.Body).Decode(&m)
 		io.ReadAll(r.Body)
 		peers.Store(r.RemoteAddr, true)
 		if ran.Add(1) == 1 {
 			// A good answer: after another kind the connection would not be used again.
-			body, _ := json.Marshal(search.Sealed{Inquiry: m.Inquiry, Cut: m.Cut, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+			body, _ := json.Marshal(search.Sealed{Inquiry: m.ID, Cut: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
 			w.Header().Set("Content-Digest", search.Digest(body))
 			w.Write(body)
 			return
@@ -51,25 +51,25 @@
 		}
 	}))
 	defer srv.Close()
-	a := newAsker()
+	a := newBackendClient()
 	addr := srv.Listener.Addr().String()
-	must.Eq(t, search.ReplyOK, a.ask(context.Background(), correction(addr)).Class)
-	must.Eq(t, search.ReplyFailed, a.ask(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ReplyOK, a.send(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ReplyFailed, a.send(context.Background(), correction(addr)).Class)
 	must.Eq(t, 2, ran.Load(), must.Sprint("the second was written exactly once"))
 	connections := 0
 	peers.Range(func(any, any) bool { connections++; return true })
 	must.Eq(t, 1, connections, must.Sprint("on the connection of the first"))
 }
 
-func TestNotWrittenOnlyWithoutAConnection(t *testing.T) {
+func TestSendWithoutConnectionIsNotWritten(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	addr := l.Addr().String()
 	must.NoError(t, l.Close())
-	must.Eq(t, search.ReplyNotWritten, newAsker().ask(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ReplyNotWritten, newBackendClient().send(context.Background(), correction(addr)).Class)
 }
 
-func TestCancelledAfterWritingIsNotCalledUnwritten(t *testing.T) {
+func TestSendCanceledAfterWritingFailed(t *testing.T) {
 	got := make(chan struct{})
 	hold := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -81,5 +81,5 @@
 	defer close(hold)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-got; cancel() }()
-	must.Eq(t, search.ReplyFailed, newAsker().ask(ctx, correction(srv.Listener.Addr().String())).Class)
+	must.Eq(t, search.ReplyFailed, newBackendClient().send(ctx, correction(srv.Listener.Addr().String())).Class)
 }
--- a/request/httpapi/surplus_test.go
+++ b/request/httpapi/backend_conn_test.go
@@ -19,18 +19,18 @@
 	"wallport/request/search"
 )
 
-// oneBehind is a server that answers on each connection with the answer to the question before,
+// lateBackend is a server that answers on each connection with the answer to the question before,
 // and on all but the first connection with the right one.
-type oneBehind struct {
+type lateBackend struct {
 	l     net.Listener
 	conns atomic.Int64
 }
 
-func newOneBehind(t *testing.T) *oneBehind {
+func newLateBackend(t *testing.T) *lateBackend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	s := &oneBehind{l: l}
+	s := &lateBackend{l: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *oneBehind) serve(c net.Conn, behind bool) {
+func (s *lateBackend) serve(c net.Conn, behind bool) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	before := "n-0.surplus"
@@ -52,46 +52,46 @@
 		if err != nil {
 			return
 		}
-		var m Message
+		var m BackendRequest
 		if json.NewDecoder(req.Body).Decode(&m) != nil {
 			return
 		}
-		id := m.Inquiry
+		id := m.ID
 		if behind {
 			id, before = before, id
 		}
-		body, _ := json.Marshal(search.Sealed{Inquiry: id, Cut: m.Cut, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+		body, _ := json.Marshal(search.Sealed{Inquiry: id, Cut: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Digest: %s\r\nContent-Length: %d\r\n\r\n%s", search.Digest(body), len(body), body)
 	}
 }
 
-func TestConnectionWithAnOutstandingAnswerIsNotUsedAgain(t *testing.T) {
-	s := newOneBehind(t)
-	k := newAsker()
+func TestSendAbandonsConnectionWithOutstandingResponse(t *testing.T) {
+	s := newLateBackend(t)
+	k := newBackendClient()
 	a := correction(s.l.Addr().String())
-	rep := k.ask(context.Background(), a)
+	rep := k.send(context.Background(), a)
 	must.Eq(t, search.ReplyGarbage, rep.Class)
 	must.Eq(t, "answers another inquiry", rep.Why)
 	next := *a
 	next.ID = "n-1.bb"
-	rep = k.ask(context.Background(), &next)
+	rep = k.send(context.Background(), &next)
 	must.Eq(t, search.ReplyOK, rep.Class, must.Sprint(rep.Why))
 	must.Eq(t, 2, s.conns.Load())
 }
 
 // A connection that is given up while a request is being written to it has carried a part of it.
-func TestPartlyWrittenIsNotCalledUnwritten(t *testing.T) {
+func TestPartlyWrittenRequestIsNotUnwritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	go io.Copy(io.Discard, far)
-	conn := &serverConn{Conn: near}
+	conn := &backendConn{Conn: near}
 	first := beginUse(conn)
 	_, err := conn.Write([]byte("a part"))
 	must.NoError(t, err)
 	second := beginUse(conn)
-	second.giveUp()
+	second.abandon()
 	_, err = conn.Write([]byte("the rest"))
-	must.ErrorIs(t, err, errGivenUp)
+	must.ErrorIs(t, err, errAbandoned)
 	must.False(t, first.unwritten(err))
 	must.True(t, second.unwritten(err))
 	must.False(t, second.unwritten(net.ErrClosed), must.Sprint("a write may follow"))
--- a/request/httpapi/caller.go
+++ b/request/httpapi/caller.go
@@ -9,7 +9,7 @@
 	"wallport/request/search"
 )
 
-type callerAPI struct{ f *Front }
+type callerAPI struct{ node *Node }
 
 func deref[T any](p *T) T {
 	var zero T
@@ -20,7 +20,7 @@
 }
 
 func (a callerAPI) Search(ctx context.Context, p *caller.SearchPayload) (*caller.Merged, error) {
-	o := a.f.Run(ctx, search.Inquiry{Kind: search.Search, Index: p.Index, Query: p.Query, Limit: p.Limit, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
+	o := a.node.Run(ctx, search.Inquiry{Kind: search.Search, Index: p.Index, Query: p.Query, Limit: p.Limit, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
 	if o.Code != search.OK {
 		return nil, failure(o)
 	}
@@ -45,7 +45,7 @@
 
 func (a callerAPI) single(ctx context.Context, in search.Inquiry) (*caller.Single, error) {
 	in.Sum = search.SumOf(&in)
-	o := a.f.Run(ctx, in)
+	o := a.node.Run(ctx, in)
 	if o.Code != search.OK {
 		return nil, failure(o)
 	}
--- /dev/null
+++ b/request/httpapi/drain.go
@@ -0,0 +1,49 @@
+// The planned stop: the process says that it leaves, lets others notice, and
+// finishes every inquiry that was read.
+
+package httpapi
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"wallport/runtime/kernel"
+)
+
+// Drain begins a planned stop: the process says that it is leaving and gives up what it holds for others.
+func (s *Server) Drain() {
+	if s.draining.Swap(true) {
+		return
+	}
+	close(s.stopping)
+	s.process.Post(kernel.Stopping{})
+	s.logDrainStep("draining")
+}
+
+// Stop is the planned stop: say so, let others notice, finish what was read.
+func (s *Server) Stop() {
+	s.Drain()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.callerServer != nil {
+		time.Sleep(drainGrace)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
+	defer cancel()
+	if s.callerServer != nil {
+		if err := s.callerServer.Shutdown(ctx); err != nil {
+			s.process.Log.Error("drain_cut", zap.Error(err), zap.Int64("open", s.openRequests.Load()))
+		}
+	}
+	s.logDrainStep("served")
+	s.operatorServer.Shutdown(ctx)
+}
+
+// logDrainStep logs a step of the stop, with what was read, unless another server has the clients.
+func (s *Server) logDrainStep(event string) {
+	if s.node == nil || s.process.Kernel.Boot.Settings.Caller != "" {
+		s.process.Log.Info(event, zap.Int64("read", s.process.Kernel.Counts.Of("inquiries_read").Load()), zap.Int64("open", s.openRequests.Load()))
+	}
+}
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -17,29 +17,29 @@
 	"wallport/runtime/wire"
 )
 
-type operatorAPI struct{ f *Front }
+type operatorAPI struct{ node *Node }
 
-func fail(code, message string) *operator.Failure {
+func newFailure(code, message string) *operator.Failure {
 	return &operator.Failure{Name: code, Message: message, Ran: "no"}
 }
 
 // allowed reports whether a token may look.
 func (a operatorAPI) allowed(token *string) error {
-	_, err := a.f.scopes.may(token, config.ScopeRead, nil)
+	_, err := a.node.authorizer.authorize(token, config.ScopeRead, nil)
 	return err
 }
 
-type changing struct {
+type editParams struct {
 	token, editID, basedOn, by *string
 }
 
-// change carries an edit and tells what became of it, with a line for the audit.
-func (a operatorAPI) change(ctx context.Context, c changing, e wire.Edit) (*operator.Taken, error) {
+// submitEdit carries an edit and tells what became of it, with a line for the audit.
+func (a operatorAPI) submitEdit(ctx context.Context, c editParams, e wire.Edit) (*operator.Taken, error) {
 	scope, indexes := config.ScopeAll, []string(nil)
 	if e.Op == "rows" {
-		scope, indexes = config.ScopeRows, config.EditedIndexes(a.f.table.Current().Configuration, e.Body)
+		scope, indexes = config.ScopeRows, config.EditedIndexes(a.node.table.Current().Configuration, e.Body)
 	}
-	who, err := a.f.scopes.may(c.token, scope, indexes)
+	who, err := a.node.authorizer.authorize(c.token, scope, indexes)
 	if err != nil {
 		return nil, err
 	}
@@ -51,25 +51,25 @@
 	if e.Strict {
 		stamp, ok := config.ParseVersion(e.Partition, deref(c.basedOn))
 		if !ok && deref(c.basedOn) != "0.0" {
-			return nil, findings("malformed", []wire.Finding{{Path: "If-Match", Text: "needs the stamp that the edit is based on, as GET /v1/sheet shows it"}})
+			return nil, findingsFailure("malformed", []wire.Finding{{Path: "If-Match", Text: "needs the stamp that the edit is based on, as GET /v1/sheet shows it"}})
 		}
 		e.Base = stamp
 		if stamp.Term == 0 {
 			e.Base = wire.Version{}
 		}
 	}
-	return a.carry(ctx, e, operations.Carry{Edit: e, Wait: true})
+	return a.submit(ctx, e, operations.Submit{Edit: e, AwaitInForce: true})
 }
 
-func findings(code string, list []wire.Finding) *operator.Failure {
-	f := fail(code, "nothing was changed")
+func findingsFailure(code string, list []wire.Finding) *operator.Failure {
+	f := newFailure(code, "nothing was changed")
 	for _, v := range list {
 		f.Findings = append(f.Findings, &operator.Finding{Place: v.Path, Text: v.Text})
 	}
 	return f
 }
 
-func raw(v any) []byte {
+func encodeJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil
@@ -81,41 +81,41 @@
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	cp := a.f.table.Current()
+	cp := a.node.table.Current()
 	if cp.Version.Term == 0 {
-		return nil, fail("shed", "this node has no configuration yet")
+		return nil, newFailure("shed", "this node has no configuration yet")
 	}
 	return &operator.SheetNow{Stamp: config.VersionText(cp.Config.ConfigVersion), Sheet: config.JSON(cp.Configuration)}, nil
 }
 
 func (a operatorAPI) PutSheet(ctx context.Context, p *operator.PutSheetPayload) (*operator.Taken, error) {
-	return a.change(ctx, changing{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "put", Strict: true, Body: raw(p.Sheet)})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "put", Strict: true, Body: encodeJSON(p.Sheet)})
 }
 
 func (a operatorAPI) CheckSheet(_ context.Context, p *operator.CheckSheetPayload) ([]*operator.Finding, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	s, found := config.Read(raw(p.Sheet))
+	s, found := config.Read(encodeJSON(p.Sheet))
 	if len(found) == 0 {
 		found = config.Check(s)
 	}
-	return append([]*operator.Finding{}, findings("", found).Findings...), nil
+	return append([]*operator.Finding{}, findingsFailure("", found).Findings...), nil
 }
 
 func (a operatorAPI) History(ctx context.Context, p *operator.HistoryPayload) ([]*operator.PastSheet, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	v, err := a.f.p.Call(ctx, "operate", operations.ReadHistory{})
+	v, err := a.node.process.Call(ctx, "operate", operations.ReadHistory{})
 	history, known := v.(operations.History)
 	if err != nil || !known || history.Code != "ok" {
-		return nil, fail("shed", "no leader of the configuration can be reached")
+		return nil, newFailure("shed", "no leader of the configuration can be reached")
 	}
 	out := []*operator.PastSheet{}
-	for _, h := range history.Sheets {
+	for _, h := range history.Configurations {
 		s := state.ConfigurationOf(wire.ConfigBody{Config: h.Config})
 		out = append(out, &operator.PastSheet{Stamp: config.VersionText(h.Version), By: h.By, Sheet: config.JSON(s)})
 	}
@@ -123,24 +123,24 @@
 }
 
 func (a operatorAPI) ReturnSheet(ctx context.Context, p *operator.ReturnSheetPayload) (*operator.Taken, error) {
-	return a.change(ctx, changing{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "return", Strict: true, Name: p.Stamp})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "return", Strict: true, Name: p.Stamp})
 }
 
 func (a operatorAPI) EditSheet(ctx context.Context, p *operator.EditSheetPayload) (*operator.Taken, error) {
 	edits := make([]config.RowEdit, 0, len(p.Edits))
 	for _, e := range p.Edits {
-		edits = append(edits, config.RowEdit{Op: e.Op, Table: e.Table, Row: raw(e.Row)})
+		edits = append(edits, config.RowEdit{Op: e.Op, Table: e.Table, Row: encodeJSON(e.Row)})
 	}
-	return a.change(ctx, changing{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "rows", Strict: true, Body: raw(edits)})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "rows", Strict: true, Body: encodeJSON(edits)})
 }
 
 func (a operatorAPI) Zone(ctx context.Context, p *operator.ZonePayload) (*operator.Taken, error) {
-	return a.change(ctx, changing{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: p.Action, Name: p.Zone})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: p.Action, Name: p.Zone})
 }
 
 func (a operatorAPI) Cut(ctx context.Context, p *operator.CutPayload) (*operator.Taken, error) {
 	body := wire.Encode(&wire.ShardMap{Next: p.Cut, NextShards: p.Shards})
-	return a.change(ctx, changing{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Partition: state.PartitionOf(p.Index), Op: "cut", Name: p.Index, Body: body})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Partition: state.PartitionOf(p.Index), Op: "cut", Name: p.Index, Body: body})
 }
 
 func (a operatorAPI) Members(_ context.Context, p *operator.MembersPayload) ([]*operator.Status, error) {
@@ -148,8 +148,8 @@
 		return nil, err
 	}
 	out := []*operator.Status{}
-	a.f.p.Do(func(now int64) {
-		for _, r := range kernel.Find[*membership.Members](a.f.p.Kernel).All(now) {
+	a.node.process.Do(func(now int64) {
+		for _, r := range kernel.Find[*membership.Members](a.node.process.Kernel).All(now) {
 			out = append(out, status(r))
 		}
 	})
@@ -173,7 +173,7 @@
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	cp := a.f.table.Current()
+	cp := a.node.table.Current()
 	out := []*operator.ServerStatus{}
 	for _, s := range cp.Servers {
 		ramp := int64(0)
@@ -182,7 +182,7 @@
 		}
 		out = append(out, &operator.ServerStatus{
 			ID: s.ID, Addr: s.Addr, Zone: s.Zone, Index: s.Index, Cut: s.ShardMap, Shard: s.Shard,
-			Verdict: snapshot.HealthStateNames[s.Health], Warm: int(s.SlowStartShare(a.f.p.Now(), ramp) / 10),
+			Verdict: snapshot.HealthStateNames[s.Health], Warm: int(s.SlowStartShare(a.node.process.Now(), ramp) / 10),
 		})
 	}
 	return out, nil
--- a/request/httpapi/http.go
+++ b/request/httpapi/server.go
@@ -29,35 +29,35 @@
 
 // Limits on what is read.
 const (
-	bodyMost     = 128 << 10
-	sheetMost    = 768 << 10
-	headersMost  = 16 << 10
-	readWithin   = 5 * time.Second
-	idleFor      = 60 * time.Second
-	readyEvery   = 20 * time.Millisecond
-	drainGrace   = 1 * time.Second
-	drainAtMost  = 65 * time.Second
-	callsAtOnce  = 4096
-	retryOnShed  = "1"
-	jsonContent  = "application/json"
-	contentTypeH = "Content-Type"
+	maxCallerBody      = 128 << 10
+	maxOperatorBody    = 768 << 10
+	maxHeaderBytes     = 16 << 10
+	readTimeout        = 5 * time.Second
+	idleTimeout        = 60 * time.Second
+	readyPollInterval  = 20 * time.Millisecond
+	drainGrace         = 1 * time.Second
+	drainTimeout       = 65 * time.Second
+	maxConcurrentCalls = 4096
+	retryAfterOverload = "1"
+	jsonContent        = "application/json"
+	contentTypeHeader  = "Content-Type"
 )
 
-func shed(w http.ResponseWriter, status int, name, message string) {
-	w.Header().Set(contentTypeH, jsonContent)
+func writeError(w http.ResponseWriter, status int, name, message string) {
+	w.Header().Set(contentTypeHeader, jsonContent)
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryOnShed)
+		w.Header().Set("Retry-After", retryAfterOverload)
 	}
 	w.WriteHeader(status)
 	fmt.Fprintf(w, `{"name":%q,"message":%q,"ran":"no"}`+"\n", name, message)
 }
 
-// bounded reads the whole body, within its limit, before anything is decided.
-func bounded(most int64, open *atomic.Int64, next http.Handler) http.Handler {
+// limited reads the whole body, within its limit, before anything is decided.
+func limited(most int64, open *atomic.Int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if open.Add(1) > callsAtOnce {
+		if open.Add(1) > maxConcurrentCalls {
 			open.Add(-1)
-			shed(w, http.StatusServiceUnavailable, "shed", "too many inquiries at once on this node")
+			writeError(w, http.StatusServiceUnavailable, "shed", "too many inquiries at once on this node")
 			return
 		}
 		defer open.Add(-1)
@@ -65,14 +65,14 @@
 		var big *http.MaxBytesError
 		switch {
 		case errors.As(err, &big):
-			shed(w, http.StatusRequestEntityTooLarge, "oversize", fmt.Sprintf("the body is larger than %d bytes", most))
+			writeError(w, http.StatusRequestEntityTooLarge, "oversize", fmt.Sprintf("the body is larger than %d bytes", most))
 			return
 		case err != nil:
-			shed(w, http.StatusBadRequest, "malformed", "the body could not be read whole")
+			writeError(w, http.StatusBadRequest, "malformed", "the body could not be read whole")
 			return
 		}
-		if len(body) > 0 && r.Header.Get(contentTypeH) == "" {
-			r.Header.Set(contentTypeH, jsonContent)
+		if len(body) > 0 && r.Header.Get(contentTypeHeader) == "" {
+			r.Header.Set(contentTypeHeader, jsonContent)
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		next.ServeHTTP(w, r)
@@ -81,61 +81,61 @@
 
 // Server is the HTTP side of one process.
 type Server struct {
-	p      *process.Process
-	front  *Front
-	caller *http.Server
-	oper   *http.Server
-	open   atomic.Int64
-	errs   chan error
-	drains atomic.Bool
-	over   chan struct{}
-	mu     sync.Mutex
+	process        *process.Process
+	node           *Node
+	callerServer   *http.Server
+	operatorServer *http.Server
+	openRequests   atomic.Int64
+	failures       chan error
+	draining       atomic.Bool
+	stopping       chan struct{}
+	mu             sync.Mutex
 }
 
 // Open listens on the process's HTTP addresses. A core has no caller API.
 func Open(p *process.Process) (*Server, error) {
-	s := &Server{p: p, errs: make(chan error, 2), over: make(chan struct{})}
+	s := &Server{process: p, failures: make(chan error, 2), stopping: make(chan struct{})}
 	onErr := func(_ context.Context, _ http.ResponseWriter, err error) {
 		p.Log.Debug("answer_not_written", zap.Error(err))
 	}
 	mux := goahttp.NewMuxer()
 	if p.Kernel.Boot.Role == "node" {
-		s.front = NewFront(p)
+		s.node = NewNode(p)
 		var err error
-		if s.front.scopes, err = openScopes(p, s.over); err != nil {
+		if s.node.authorizer, err = openAuthorizer(p, s.stopping); err != nil {
 			return nil, err
 		}
-		h := operatorsrv.New(operator.NewEndpoints(operatorAPI{s.front}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, onErr, shaped)
+		h := operatorsrv.New(operator.NewEndpoints(operatorAPI{s.node}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, onErr, formatError)
 		operatorsrv.Mount(mux, h)
 	}
 	mux.Handle(http.MethodGet, "/condition", s.condition)
 	mux.Handle(http.MethodGet, "/metrics", s.metrics)
 	var err error
-	if s.oper, err = s.listen(p.Kernel.Boot.Settings.Operator, bounded(sheetMost, new(atomic.Int64), onceEach(mux))); err != nil {
+	if s.operatorServer, err = s.listen(p.Kernel.Boot.Settings.Operator, limited(maxOperatorBody, new(atomic.Int64), refuseDuplicateKeys(mux))); err != nil {
 		return nil, err
 	}
-	if s.front == nil || p.Kernel.Boot.Settings.Caller == "" {
+	if s.node == nil || p.Kernel.Boot.Settings.Caller == "" {
 		return s, nil
 	}
 	cmux := goahttp.NewMuxer()
-	h := callersrv.New(caller.NewEndpoints(callerAPI{s.front}), cmux, goahttp.RequestDecoder, goahttp.ResponseEncoder, onErr, shaped)
+	h := callersrv.New(caller.NewEndpoints(callerAPI{s.node}), cmux, goahttp.RequestDecoder, goahttp.ResponseEncoder, onErr, formatError)
 	callersrv.Mount(cmux, h)
 	cmux.Handle(http.MethodGet, "/condition", s.condition)
 	// Until the first table is there nobody listens: a caller that comes too
 	// early finds no one, goes to another node, and is not refused by this one.
-	go s.openCaller(bounded(bodyMost, &s.open, s.noted(cmux)))
+	go s.openCaller(limited(maxCallerBody, &s.openRequests, s.countRequests(cmux)))
 	return s, nil
 }
 
-// noted counts what was read, and asks callers of a draining node to come on a
+// countRequests counts what was read, and asks callers of a draining node to come on a
 // new connection next time, which is then another node's.
-func (s *Server) noted(next http.Handler) http.Handler {
-	read := s.p.Kernel.Counts.Of("inquiries_read")
+func (s *Server) countRequests(next http.Handler) http.Handler {
+	read := s.process.Kernel.Counts.Of("inquiries_read")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/condition" {
 			read.Add(1)
 		}
-		if s.drains.Load() {
+		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
@@ -144,22 +144,22 @@
 
 // openCaller opens the caller API once inquiries can be served.
 func (s *Server) openCaller(h http.Handler) {
-	for !s.front.table.Current().Ready() {
+	for !s.node.table.Current().Ready() {
 		select {
-		case <-s.over:
+		case <-s.stopping:
 			return
-		case <-time.After(readyEvery):
+		case <-time.After(readyPollInterval):
 		}
 	}
-	srv, err := s.listen(s.p.Kernel.Boot.Settings.Caller, h)
+	srv, err := s.listen(s.process.Kernel.Boot.Settings.Caller, h)
 	if err != nil {
-		s.errs <- err
+		s.failures <- err
 		return
 	}
-	s.p.Log.Info("caller_api_open", zap.String("caller", s.p.Kernel.Boot.Settings.Caller))
+	s.process.Log.Info("caller_api_open", zap.String("caller", s.process.Kernel.Boot.Settings.Caller))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.caller = srv
+	s.callerServer = srv
 }
 
 func (s *Server) listen(addr string, h http.Handler) (*http.Server, error) {
@@ -168,12 +168,12 @@
 		return nil, err
 	}
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: readWithin, ReadTimeout: 2 * readWithin, IdleTimeout: idleFor, MaxHeaderBytes: headersMost,
-		ErrorLog: zap.NewStdLog(s.p.Log.WithOptions(zap.IncreaseLevel(zap.WarnLevel))),
+		Handler: h, ReadHeaderTimeout: readTimeout, ReadTimeout: 2 * readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: zap.NewStdLog(s.process.Log.WithOptions(zap.IncreaseLevel(zap.WarnLevel))),
 	}
 	go func() {
 		if err := srv.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			s.errs <- err
+			s.failures <- err
 		}
 	}()
 	return srv, nil
@@ -182,11 +182,11 @@
 // condition reports whether this process should be given work.
 func (s *Server) condition(w http.ResponseWriter, _ *http.Request) {
 	ready, why, stamp := true, "", ""
-	if s.front != nil {
-		cp := s.front.table.Current()
+	if s.node != nil {
+		cp := s.node.table.Current()
 		stamp = config.VersionText(cp.Version)
 		switch {
-		case s.drains.Load():
+		case s.draining.Load():
 			ready, why = false, "draining"
 		case !cp.Ready():
 			ready, why = false, "no table yet"
@@ -194,23 +194,23 @@
 			ready, why = false, "zone is emptied"
 		}
 	}
-	w.Header().Set(contentTypeH, jsonContent)
+	w.Header().Set(contentTypeHeader, jsonContent)
 	if !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	fmt.Fprintf(w, `{"name":%q,"role":%q,"ready":%t,"why":%q,"in_force":%q}`+"\n", s.p.Kernel.Boot.Settings.Name, s.p.Kernel.Boot.Role, ready, why, stamp)
+	fmt.Fprintf(w, `{"name":%q,"role":%q,"ready":%t,"why":%q,"in_force":%q}`+"\n", s.process.Kernel.Boot.Settings.Name, s.process.Kernel.Boot.Role, ready, why, stamp)
 }
 
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set(contentTypeH, "text/plain; version=0.0.4")
-	s.p.Kernel.Counts.Each(func(name string, n int64) {
+	w.Header().Set(contentTypeHeader, "text/plain; version=0.0.4")
+	s.process.Kernel.Counts.Each(func(name string, n int64) {
 		name, labels, ok := strings.Cut(name, "{")
 		if ok {
 			labels = "{" + strings.ReplaceAll(labels, "\\x00", "/")
 		}
 		fmt.Fprintf(w, "wallport_%s%s %d\n", name, labels, n)
 	})
-	fmt.Fprintf(w, "wallport_open_inquiries %d\n", s.open.Load())
+	fmt.Fprintf(w, "wallport_open_inquiries %d\n", s.openRequests.Load())
 }
 
 // OpenMetrics tells the process's figures on one more address, until the process ends.
@@ -223,10 +223,10 @@
 
 // ExplainBy has requests of the platform's clients explained by a function that finds their traces.
 func (s *Server) ExplainBy(find func(id string) (any, bool)) {
-	if s.front != nil {
-		s.front.platformTrace.Store(&find)
+	if s.node != nil {
+		s.node.platformTrace.Store(&find)
 	}
 }
 
 // Failed tells of a server that ended by itself.
-func (s *Server) Failed() <-chan error { return s.errs }
+func (s *Server) Failed() <-chan error { return s.failures }
--- a/request/httpapi/status.go
+++ b/request/httpapi/status.go
@@ -17,12 +17,12 @@
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	v, err := a.f.p.Call(ctx, "operate", operations.ReadStatus{})
+	v, err := a.node.process.Call(ctx, "operate", operations.ReadStatus{})
 	status, known := v.(operations.Status)
 	if err != nil || !known {
-		return nil, fail("shed", "the cores were not asked in time")
+		return nil, newFailure("shed", "the cores were not asked in time")
 	}
 	return replicaRows(status), nil
 }
@@ -43,8 +43,8 @@
 
 // replicaRow is a core's row for a partition; nil where it answered and has none.
 func replicaRow(core operations.CoreStatus, part int, newest wire.Version) *operator.ReplicaStatus {
-	row := &operator.ReplicaStatus{Core: core.Name, Zone: core.Zone, Part: part, State: operations.StateSilent}
-	if !core.Answered {
+	row := &operator.ReplicaStatus{Core: core.Name, Zone: core.Zone, Part: part, State: operations.StateTimedOut}
+	if !core.Responded {
 		return row
 	}
 	for _, r := range core.Replicas {
--- a/request/httpapi/carry.go
+++ b/request/httpapi/submit.go
@@ -14,42 +14,42 @@
 	"wallport/runtime/wire"
 )
 
-// callWithin is how long an operator's call may take.
-const callWithin = 10 * time.Second
+// callTimeout is how long an operator's call may take.
+const callTimeout = 10 * time.Second
 
 // Rebuild makes a part's group anew on the operator's word.
 func (a operatorAPI) Rebuild(ctx context.Context, p *operator.RebuildPayload) (*operator.Taken, error) {
-	who, err := a.f.scopes.may(p.Token, config.ScopeAll, nil)
+	who, err := a.node.authorizer.authorize(p.Token, config.ScopeAll, nil)
 	if err != nil {
 		return nil, err
 	}
 	if who == "" {
 		who = deref(p.By)
 	}
-	return a.carry(ctx, wire.Edit{Op: "rebuild", Partition: p.Part, By: who}, operations.Rebuild{Partition: p.Part})
+	return a.submit(ctx, wire.Edit{Op: "rebuild", Partition: p.Part, By: who}, operations.Rebuild{Partition: p.Part})
 }
 
-// carry asks the kernel and leaves a line for the audit.
-func (a operatorAPI) carry(ctx context.Context, e wire.Edit, ask any) (*operator.Taken, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// submit asks the kernel and leaves a line for the audit.
+func (a operatorAPI) submit(ctx context.Context, e wire.Edit, ask any) (*operator.Taken, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	v, err := a.f.p.Call(ctx, "operate", ask)
+	v, err := a.node.process.Call(ctx, "operate", ask)
 	if err != nil {
 		return nil, &operator.Failure{Name: "outcome_unknown", Message: err.Error(), Ran: "unknown"}
 	}
 	res := v.(operations.Result)
 	stamp := config.VersionText(res.Reply.Version)
-	a.f.p.Log.Info("audit", zap.String("op", e.Op), zap.Int("part", e.Partition), zap.String("name", e.Name), zap.String("by", e.By), zap.String("edit_id", e.EditID),
+	a.node.process.Log.Info("audit", zap.String("op", e.Op), zap.Int("part", e.Partition), zap.String("name", e.Name), zap.String("by", e.By), zap.String("edit_id", e.EditID),
 		zap.String("result", res.Reply.Code), zap.String("stamp", stamp), zap.Int("findings", len(res.Reply.Findings)))
 	switch res.Reply.Code {
 	case "ok":
 		return &operator.Taken{Stamp: stamp, InForce: res.InForce, Laggards: append([]string{}, res.Laggards...)}, nil
 	case "invalid", operations.CodeUnknownZone:
-		return nil, findings("malformed", res.Reply.Findings)
+		return nil, findingsFailure("malformed", res.Reply.Findings)
 	case "conflict":
-		return nil, findings("conflict", res.Reply.Findings)
+		return nil, findingsFailure("conflict", res.Reply.Findings)
 	case "lost_race":
-		f := findings("lost_race", res.Reply.Findings)
+		f := findingsFailure("lost_race", res.Reply.Findings)
 		f.Message = "another edit came first; read the sheet again and base the edit on it"
 		f.Stamp = &stamp
 		return nil, f
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -137,7 +137,7 @@
 func TestStartedNodeServesConfirmedStateAtOnce(t *testing.T) {
 	core := &fakeCore{term: 3, revision: 7, contact: 1}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": core, "10.0.0.2:1": core, "10.0.0.3:1": core})
-	must.Less(t, configsync.FreshEvery+second/4, n.readyWithin(second))
+	must.Less(t, configsync.StartupPullInterval+second/4, n.readyWithin(second))
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
@@ -174,9 +174,9 @@
 
 // A core that was slow to answer proves nothing: the answer may have been held up by a cut.
 func TestDelayedReplyConfirmsNothing(t *testing.T) {
-	late := &fakeCore{term: 3, revision: 7, contact: 1, delay: configsync.AnswerWithin + second}
+	late := &fakeCore{term: 3, revision: 7, contact: 1, delay: configsync.MaxReplyAge + second}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": late, "10.0.0.2:1": {unresponsive: true}, "10.0.0.3:1": {unresponsive: true}})
-	must.Greater(t, configsync.AnswerWithin+second+configsync.UnconfirmedAfter-second, n.readyWithin(30*second))
+	must.Greater(t, configsync.MaxReplyAge+second+configsync.UnconfirmedTimeout-second, n.readyWithin(30*second))
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
@@ -186,7 +186,7 @@
 	old := &fakeCore{term: 3, revision: 7}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": old, "10.0.0.2:1": {unresponsive: true}, "10.0.0.3:1": {unresponsive: true}})
 	took := n.readyWithin(20 * second)
-	must.Between(t, configsync.UnconfirmedAfter, took, configsync.UnconfirmedAfter+second)
+	must.Between(t, configsync.UnconfirmedTimeout, took, configsync.UnconfirmedTimeout+second)
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
 	asked := old.requested
 	n.run(10 * second)
@@ -200,7 +200,7 @@
 	n := startNode(t, cores)
 	must.Greater(t, 4*second, n.readyWithin(4*second))
 	better.unresponsive = false
-	must.Less(t, configsync.UnconfirmedAfter-4*second, n.readyWithin(4*second))
+	must.Less(t, configsync.UnconfirmedTimeout-4*second, n.readyWithin(4*second))
 	must.Eq(t, 9, n.table.Current().Routing.Revision)
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -82,7 +82,7 @@
 func (b *Table) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		ctx.After(configsync.UnconfirmedAfter, "table", awaitTimer)
+		ctx.After(configsync.UnconfirmedTimeout, "table", awaitTimer)
 		b.build(ctx)
 	case kernel.Tick:
 		if v.Key == awaitTimer {
