--- a/cmd/lab/draw.go
+++ b/cmd/lab/draw.go
@@ -44,8 +44,8 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, a := range d.Troubles {
-			for _, b := range d.Troubles {
+		for _, a := range d.Faults {
+			for _, b := range d.Faults {
 				if met[a] == nil {
 					met[a] = map[string]int{}
 				}
--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -23,15 +23,15 @@
 
 // Config is a server's place and manner.
 type Config struct {
-	ID      string `long:"id" required:"yes" description:"server id"`
-	Addr    string `long:"addr" required:"yes" description:"IP:port"`
-	Index   string `long:"index" required:"yes" description:"index"`
-	Cut     string `long:"cut" required:"yes" description:"cut"`
-	Shard   int    `long:"shard" description:"shard"`
-	Shards  int    `long:"shards" required:"yes" description:"shards of the cut"`
-	Took    int64  `long:"took-us" default:"2000" description:"microseconds an answer takes when warm"`
-	Journal string `long:"journal" description:"file to note every run in, which outlives this process"`
-	Ramp    int64  `long:"ramp-us" default:"3000000" description:"microseconds until warm; cold answers take up to five times as long"`
+	ID          string `long:"id" required:"yes" description:"server id"`
+	Addr        string `long:"addr" required:"yes" description:"IP:port"`
+	Index       string `long:"index" required:"yes" description:"index"`
+	ShardMap    string `long:"cut" required:"yes" description:"cut"`
+	Shard       int    `long:"shard" description:"shard"`
+	Shards      int    `long:"shards" required:"yes" description:"shards of the cut"`
+	ServiceTime int64  `long:"took-us" default:"2000" description:"microseconds an answer takes when warm"`
+	Journal     string `long:"journal" description:"file to note every run in, which outlives this process"`
+	SlowStart   int64  `long:"ramp-us" default:"3000000" description:"microseconds until warm; cold answers take up to five times as long"`
 }
 
 // Fault is a way to misbehave.
@@ -51,7 +51,7 @@
 
 // Server is one stand-in.
 type Server struct {
-	c        Config
+	config   Config
 	began    time.Time
 	busy     atomic.Int64
 	asked    atomic.Int64
@@ -65,21 +65,21 @@
 
 // New makes a server.
 func New(c Config) *Server {
-	s := &Server{c: c, began: time.Now(), ran: map[string]int{}}
+	s := &Server{config: c, began: time.Now(), ran: map[string]int{}}
 	s.fault.Store(&Fault{})
 	return s
 }
 
 // Run serves until the listener fails.
 func (s *Server) Run() error {
-	if s.c.Journal != "" {
-		f, err := os.OpenFile(s.c.Journal, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if s.config.Journal != "" {
+		f, err := os.OpenFile(s.config.Journal, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
 		s.journal = f
 	}
-	l, err := net.Listen("tcp", s.c.Addr)
+	l, err := net.Listen("tcp", s.config.Addr)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 // Handler is the server's HTTP side.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET /condition", s.condition)
+	m.HandleFunc("GET /condition", s.serveHealth)
 	m.HandleFunc("POST /v1/{kind}", s.serve)
 	m.HandleFunc("GET /lab/report", s.report)
 	m.HandleFunc("POST /lab/fault", func(w http.ResponseWriter, r *http.Request) {
@@ -103,20 +103,20 @@
 	return m
 }
 
-func (s *Server) condition(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveHealth(w http.ResponseWriter, r *http.Request) {
 	if s.fault.Load().Mode == "hang" {
 		<-r.Context().Done()
 		return
 	}
 	json.NewEncoder(w).Encode(healthcheck.Response{
-		ID: s.c.ID, Incarnation: s.began.UnixMicro(), UpUs: time.Since(s.began).Microseconds(), Usage: s.busy.Load(), Cut: s.c.Cut,
+		ID: s.config.ID, Incarnation: s.began.UnixMicro(), UpUs: time.Since(s.began).Microseconds(), Usage: s.busy.Load(), Cut: s.config.ShardMap,
 	})
 }
 
 func (s *Server) report(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	json.NewEncoder(w).Encode(Report{ID: s.c.ID, Asked: s.asked.Load(), Searches: s.searches.Load(), Last: s.last.Load(), Ran: s.ran})
+	json.NewEncoder(w).Encode(Report{ID: s.config.ID, Asked: s.asked.Load(), Searches: s.searches.Load(), Last: s.last.Load(), Ran: s.ran})
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
@@ -154,7 +154,7 @@
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(s.takes(f))
+	time.Sleep(s.drawServiceTime(f))
 	switch {
 	case f.Mode == "close":
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
@@ -162,31 +162,31 @@
 		}
 		return
 	case m.Kind == search.Search:
-		s.spoil(w, f, &m, records.Top(m.Index, m.Query, m.Limit, m.Shard, s.c.Shards))
+		s.spoil(w, f, &m, records.Top(m.Index, m.Query, m.Limit, m.Shard, s.config.Shards))
 		return
 	}
 	rec, ok := records.Of(m.Record)
-	if !ok || search.ShardOf(m.Record, s.c.Shards) != s.c.Shard {
+	if !ok || search.ShardOf(m.Record, s.config.Shards) != s.config.Shard {
 		s.send(w, 404, &m)
 		return
 	}
 	s.spoil(w, f, &m, []search.Record{rec})
 }
 
-// takes is longer while cold, and as long as the fault says when slow.
-func (s *Server) takes(f *Fault) time.Duration {
-	us := s.c.Took
+// drawServiceTime is longer while cold, and as long as the fault says when slow.
+func (s *Server) drawServiceTime(f *Fault) time.Duration {
+	us := s.config.ServiceTime
 	if f.Mode == "slow" {
 		us = f.Us
 	}
-	if up := time.Since(s.began).Microseconds(); up < s.c.Ramp {
-		us += 4 * us * (s.c.Ramp - up) / s.c.Ramp
+	if up := time.Since(s.began).Microseconds(); up < s.config.SlowStart {
+		us += 4 * us * (s.config.SlowStart - up) / s.config.SlowStart
 	}
 	return time.Duration(us) * time.Microsecond
 }
 
 func (s *Server) sealed(m *httpapi.BackendRequest, recs []search.Record) search.Sealed {
-	return search.Sealed{Inquiry: m.ID, Cut: s.c.Cut, Shard: s.c.Shard, Incarnation: s.began.UnixMicro(), Usage: s.busy.Load(), Records: recs}
+	return search.Sealed{Inquiry: m.ID, Cut: s.config.ShardMap, Shard: s.config.Shard, Incarnation: s.began.UnixMicro(), Usage: s.busy.Load(), Records: recs}
 }
 
 func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.BackendRequest) {
--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -22,54 +22,54 @@
 
 // Config is the callers' manner.
 type Config struct {
-	Platform string  `long:"platform" required:"yes" description:"URL of the platform that hands out nodes"`
-	Index    string  `long:"index" required:"yes" description:"index to ask"`
-	Rate     float64 `long:"rate" default:"530" description:"inquiries a second"`
-	Seconds  float64 `long:"seconds" default:"10" description:"how long"`
-	Least    int64   `long:"deadline-least-us" default:"250000" description:"shortest deadline"`
-	Most     int64   `long:"deadline-most-us" default:"1500000" description:"longest deadline"`
-	Repeat   float64 `long:"repeat" default:"0.05" description:"share of keyed inquiries sent again through another node"`
-	Seed     uint64  `long:"seed" default:"1" description:"seed"`
-	Cuts     string  `long:"cuts" default:"" description:"cut=shards pairs that may answer, comma separated; empty trusts any"`
+	Platform  string  `long:"platform" required:"yes" description:"URL of the platform that hands out nodes"`
+	Index     string  `long:"index" required:"yes" description:"index to ask"`
+	Rate      float64 `long:"rate" default:"530" description:"inquiries a second"`
+	Seconds   float64 `long:"seconds" default:"10" description:"how long"`
+	Least     int64   `long:"deadline-least-us" default:"250000" description:"shortest deadline"`
+	Most      int64   `long:"deadline-most-us" default:"1500000" description:"longest deadline"`
+	Repeat    float64 `long:"repeat" default:"0.05" description:"share of keyed inquiries sent again through another node"`
+	Seed      uint64  `long:"seed" default:"1" description:"seed"`
+	ShardMaps string  `long:"cuts" default:"" description:"cut=shards pairs that may answer, comma separated; empty trusts any"`
 }
 
 // Summary is what came of it.
 type Summary struct {
-	Sent     int              `json:"sent"`
-	Outcomes map[string]int   `json:"outcomes"`
-	Wrong    []string         `json:"wrong"`
-	WrongN   int              `json:"wrong_n"`
-	Partial  int              `json:"partial"`
-	Repeats  int              `json:"repeats"`
-	Late     int              `json:"late"`
-	Cut      int              `json:"cut_connections"`
-	Us       map[string]int64 `json:"latency_us"`
-	Seconds  map[string]int   `json:"ok_by_second"`
-	Refused  []string         `json:"-"`
+	Sent      int              `json:"sent"`
+	Outcomes  map[string]int   `json:"outcomes"`
+	Wrong     []string         `json:"wrong"`
+	WrongN    int              `json:"wrong_n"`
+	Partial   int              `json:"partial"`
+	Repeats   int              `json:"repeats"`
+	Late      int              `json:"late"`
+	Aborted   int              `json:"cut_connections"`
+	LatencyUs map[string]int64 `json:"latency_us"`
+	Seconds   map[string]int   `json:"ok_by_second"`
+	Refused   []string         `json:"-"`
 }
 
 // Caller is the stand-in.
 type Caller struct {
-	c      Config
-	client *http.Client
-	rnd    *rand.Rand
-	mu     sync.Mutex
-	nodes  []platform.Node
-	sum    Summary
-	lat    []int64
-	refuse map[string]bool
-	began  time.Time
-	shards map[string]int
+	config      Config
+	client      *http.Client
+	rnd         *rand.Rand
+	mu          sync.Mutex
+	nodes       []platform.Node
+	summary     Summary
+	latencies   []int64
+	refusedKeys map[string]bool
+	began       time.Time
+	shards      map[string]int
 }
 
 // New makes callers.
 func New(c Config) *Caller {
 	k := &Caller{
-		c: c, rnd: rand.New(rand.NewPCG(c.Seed, 7)), refuse: map[string]bool{}, shards: map[string]int{},
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 5 * time.Second}},
-		sum:    Summary{Outcomes: map[string]int{}, Us: map[string]int64{}, Seconds: map[string]int{}, Wrong: []string{}, Refused: []string{}},
+		config: c, rnd: rand.New(rand.NewPCG(c.Seed, 7)), refusedKeys: map[string]bool{}, shards: map[string]int{},
+		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 5 * time.Second}},
+		summary: Summary{Outcomes: map[string]int{}, LatencyUs: map[string]int64{}, Seconds: map[string]int{}, Wrong: []string{}, Refused: []string{}},
 	}
-	for _, kv := range bytes.Split([]byte(c.Cuts), []byte(",")) {
+	for _, kv := range bytes.Split([]byte(c.ShardMaps), []byte(",")) {
 		if name, n, ok := bytes.Cut(kv, []byte("=")); ok {
 			shards := 0
 			fmt.Sscan(string(n), &shards)
@@ -82,22 +82,22 @@
 // Run sends for as long as configured and tells what came of it.
 func (k *Caller) Run(ctx context.Context) Summary {
 	k.began = time.Now()
-	k.learn()
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(k.c.Seconds*float64(time.Second)))
+	k.learnNodes()
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(k.config.Seconds*float64(time.Second)))
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(250 * time.Millisecond)
-			k.learn()
+			k.learnNodes()
 		}
 	}()
 	var wg sync.WaitGroup
-	gap := time.Duration(float64(time.Second) / k.c.Rate)
+	gap := time.Duration(float64(time.Second) / k.config.Rate)
 	next := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
 		time.Sleep(time.Until(next))
 		next = next.Add(gap)
-		o := k.plan(n)
+		o := k.drawRequest(n)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -107,20 +107,20 @@
 	wg.Wait()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	slices.Sort(k.lat)
+	slices.Sort(k.latencies)
 	for name, q := range map[string]float64{"p50": 0.5, "p90": 0.9, "p99": 0.99, "p999": 0.999} {
-		if len(k.lat) > 0 {
-			k.sum.Us[name] = k.lat[int(q*float64(len(k.lat)-1))]
+		if len(k.latencies) > 0 {
+			k.summary.LatencyUs[name] = k.latencies[int(q*float64(len(k.latencies)-1))]
 		}
 	}
-	for key := range k.refuse {
-		k.sum.Refused = append(k.sum.Refused, key)
+	for key := range k.refusedKeys {
+		k.summary.Refused = append(k.summary.Refused, key)
 	}
-	return k.sum
+	return k.summary
 }
 
-func (k *Caller) learn() {
-	resp, err := k.client.Get(k.c.Platform + "/nodes")
+func (k *Caller) learnNodes() {
+	resp, err := k.client.Get(k.config.Platform + "/nodes")
 	if err != nil {
 		return
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-type order struct {
+type request struct {
 	kind, key, record, query string
 	limit                    int
 	deadline                 int64
@@ -145,11 +145,11 @@
 	nodes                    [2]platform.Node
 }
 
-func (k *Caller) plan(n int) order {
+func (k *Caller) drawRequest(n int) request {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	o := order{kind: search.Search, limit: 10 + k.rnd.IntN(20), query: fmt.Sprintf("q%d", k.rnd.IntN(1000)), record: records.ID(k.rnd.IntN(records.Size))}
-	o.deadline = k.c.Least + k.rnd.Int64N(k.c.Most-k.c.Least+1)
+	o := request{kind: search.Search, limit: 10 + k.rnd.IntN(20), query: fmt.Sprintf("q%d", k.rnd.IntN(1000)), record: records.ID(k.rnd.IntN(records.Size))}
+	o.deadline = k.config.Least + k.rnd.Int64N(k.config.Most-k.config.Least+1)
 	switch r := k.rnd.Float64(); {
 	case r < 2.0/3:
 	case r < 2.0/3+1.0/6:
@@ -160,8 +160,8 @@
 		o.kind = search.Part
 	}
 	if o.kind == search.Correct || o.kind == search.Part {
-		o.key = fmt.Sprintf("key-%d-%d", k.c.Seed, n)
-		o.repeat = k.rnd.Float64() < k.c.Repeat
+		o.key = fmt.Sprintf("key-%d-%d", k.config.Seed, n)
+		o.repeat = k.rnd.Float64() < k.config.Repeat
 	}
 	if len(k.nodes) > 0 {
 		o.nodes = [2]platform.Node{k.nodes[k.rnd.IntN(len(k.nodes))], k.nodes[k.rnd.IntN(len(k.nodes))]}
@@ -169,21 +169,21 @@
 	return o
 }
 
-func (k *Caller) send(o order) {
+func (k *Caller) send(o request) {
 	k.once(o, o.nodes[0])
 	if o.repeat {
 		k.mu.Lock()
-		k.sum.Repeats++
+		k.summary.Repeats++
 		k.mu.Unlock()
 		k.once(o, o.nodes[1])
 	}
 }
 
-func (k *Caller) once(o order, n platform.Node) {
+func (k *Caller) once(o request, n platform.Node) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(o.deadline)*time.Microsecond+2*time.Second)
 	defer cancel()
-	base := "http://" + n.Caller + "/v1/indexes/" + k.c.Index
+	base := "http://" + n.Caller + "/v1/indexes/" + k.config.Index
 	var req *http.Request
 	post := func(path string, v map[string]any) {
 		v["deadline_us"] = o.deadline
@@ -214,11 +214,11 @@
 	took := time.Since(began)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.sum.Sent++
+	k.summary.Sent++
 	if err != nil {
-		k.sum.Cut++
-		k.sum.Outcomes["connection"]++
+		k.summary.Aborted++
+		k.summary.Outcomes["connection"]++
 		return
 	}
-	k.judge(o, n, resp, body, took)
+	k.checkResponse(o, n, resp, body, took)
 }
--- a/lab/caller/judge.go
+++ b/lab/caller/check.go
@@ -15,27 +15,27 @@
 )
 
 type merged struct {
-	Inquiry string          `json:"inquiry"`
-	Cut     string          `json:"cut"`
-	Shards  []int           `json:"shards"`
-	Missing []int           `json:"missing"`
-	Records []search.Record `json:"records"`
+	Request  string          `json:"inquiry"`
+	ShardMap string          `json:"cut"`
+	Shards   []int           `json:"shards"`
+	Missing  []int           `json:"missing"`
+	Records  []search.Record `json:"records"`
 }
 
 type single struct {
-	Cut    string        `json:"cut"`
-	Shard  int           `json:"shard"`
-	Record search.Record `json:"record"`
-	Repeat bool          `json:"repeat"`
+	ShardMap string        `json:"cut"`
+	Shard    int           `json:"shard"`
+	Record   search.Record `json:"record"`
+	Repeat   bool          `json:"repeat"`
 }
 
 type fault struct {
 	Name, Message, Ran string
 }
 
-func (k *Caller) judge(o order, n platform.Node, resp *http.Response, body []byte, took time.Duration) {
+func (k *Caller) checkResponse(o request, n platform.Node, resp *http.Response, body []byte, took time.Duration) {
 	if took.Microseconds() > o.deadline+150_000 {
-		k.sum.Late++
+		k.summary.Late++
 	}
 	if resp.StatusCode != http.StatusOK {
 		var f fault
@@ -43,21 +43,21 @@
 			k.wrong("%s: status %d without a code: %.80q", o.kind, resp.StatusCode, body)
 			return
 		}
-		k.sum.Outcomes[o.kind+" "+f.Name]++
+		k.summary.Outcomes[o.kind+" "+f.Name]++
 		retry := f.Name == search.Shed || f.Name == search.GivenUp || f.Name == search.OverCeiling
 		if retry && resp.Header.Get("Retry-After") == "" {
 			k.wrong("%s: %s without Retry-After", o.kind, f.Name)
 		}
 		if f.Ran == "no" && o.key != "" && f.Name != search.Conflict && !o.repeat {
-			k.refuse[o.key] = true
+			k.refusedKeys[o.key] = true
 		}
 		return
 	}
-	k.sum.Outcomes[o.kind+" ok"]++
-	k.sum.Seconds[fmt.Sprintf("%03d", int(time.Since(k.began).Seconds()))]++
-	k.lat = append(k.lat, took.Microseconds())
+	k.summary.Outcomes[o.kind+" ok"]++
+	k.summary.Seconds[fmt.Sprintf("%03d", int(time.Since(k.began).Seconds()))]++
+	k.latencies = append(k.latencies, took.Microseconds())
 	if o.kind == search.Search {
-		k.judgeSearch(o, body)
+		k.checkSearch(o, body)
 		return
 	}
 	var s single
@@ -66,7 +66,7 @@
 		return
 	}
 	if s.Repeat {
-		k.sum.Outcomes[o.kind+" repeat"]++
+		k.summary.Outcomes[o.kind+" repeat"]++
 		return
 	}
 	if want, _ := records.Of(o.record); s.Record != want {
@@ -74,19 +74,19 @@
 	}
 }
 
-func (k *Caller) judgeSearch(o order, body []byte) {
+func (k *Caller) checkSearch(o request, body []byte) {
 	var m merged
 	if err := json.Unmarshal(body, &m); err != nil {
 		k.wrong("search: %v", err)
 		return
 	}
 	if len(m.Missing) > 0 {
-		k.sum.Partial++
+		k.summary.Partial++
 	}
-	k.sum.Outcomes["cut "+m.Cut]++
+	k.summary.Outcomes["cut "+m.ShardMap]++
 	shards := len(m.Shards) + len(m.Missing)
-	if want, ok := k.shards[m.Cut]; len(k.shards) > 0 && (!ok || want != shards) {
-		k.wrong("search: cut %q with %d shards", m.Cut, shards)
+	if want, ok := k.shards[m.ShardMap]; len(k.shards) > 0 && (!ok || want != shards) {
+		k.wrong("search: cut %q with %d shards", m.ShardMap, shards)
 		return
 	}
 	sorted := slices.Clone(m.Shards)
@@ -94,15 +94,15 @@
 	if len(slices.Compact(sorted)) != len(m.Shards) {
 		k.wrong("search: a shard twice: %v", m.Shards)
 	}
-	want := records.Merged(k.c.Index, o.query, o.limit, m.Shards, shards)
+	want := records.Merged(k.config.Index, o.query, o.limit, m.Shards, shards)
 	if !slices.Equal(want, m.Records) {
-		k.wrong("search %s of %s: %d records differ from the %d expected", o.query, m.Inquiry, len(m.Records), len(want))
+		k.wrong("search %s of %s: %d records differ from the %d expected", o.query, m.Request, len(m.Records), len(want))
 	}
 }
 
 func (k *Caller) wrong(text string, args ...any) {
-	k.sum.WrongN++
-	if len(k.sum.Wrong) < 20 {
-		k.sum.Wrong = append(k.sum.Wrong, fmt.Sprintf(text, args...))
+	k.summary.WrongN++
+	if len(k.summary.Wrong) < 20 {
+		k.summary.Wrong = append(k.summary.Wrong, fmt.Sprintf(text, args...))
 	}
 }
--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -13,32 +13,32 @@
 
 // Points name what must never happen, in the order of the brief.
 const (
-	Twice        = "ran_twice"
-	RanRefused   = "ran_after_refusal"
-	NotWhole     = "answer_not_whole_or_foreign"
-	BadMerge     = "bad_merge"
-	LeavingWork  = "work_to_leaving"
-	SheetLate    = "sheet_late"
-	SheetBack    = "sheet_older"
-	SheetLoser   = "losing_sheet_in_force"
-	RetryDiffers = "retry_answered_differently"
-	BothWon      = "both_edits_accepted"
-	EmptiedWork  = "work_to_emptied_zone"
-	Budget       = "extra_tries_over_budget"
-	ColdRush     = "cold_rush"
-	ProperShed   = "proper_inquiry_refused"
-	CutRead      = "read_inquiry_cut"
-	BookedWrong  = "booking_out_of_window"
-	SlowBack     = "slow_recovery"
+	Twice              = "ran_twice"
+	RanRefused         = "ran_after_refusal"
+	NotComplete        = "answer_not_whole_or_foreign"
+	BadMerge           = "bad_merge"
+	DrainingWork       = "work_to_leaving"
+	ConfigLate         = "sheet_late"
+	ConfigWentBack     = "sheet_older"
+	ConfigLoserInForce = "losing_sheet_in_force"
+	RetryDiffers       = "retry_answered_differently"
+	BothWon            = "both_edits_accepted"
+	DrainedZoneWork    = "work_to_emptied_zone"
+	Budget             = "extra_tries_over_budget"
+	SlowStartExceeded  = "cold_rush"
+	ProperRejected     = "proper_inquiry_refused"
+	ReadAborted        = "read_inquiry_cut"
+	BookedWrong        = "booking_out_of_window"
+	SlowBack           = "slow_recovery"
 )
 
 // Times that the brief allows, in microseconds.
 const (
-	LeavingIn = 3_000_000
-	SheetIn   = 3_000_000
-	EmptyIn   = 5_000_000
-	AloneIn   = 6_000_000
-	RecoverIn = 12_000_000
+	DrainingWithin  = 3_000_000
+	ConfigWithin    = 3_000_000
+	ZoneDrainWithin = 5_000_000
+	IsolatedWithin  = 6_000_000
+	RecoverWithin   = 12_000_000
 )
 
 // Violation is one thing that happened although it must not.
@@ -48,58 +48,58 @@
 	Text  string `json:"text"`
 }
 
-// Judge collects violations and how often each point was tested.
-type Judge struct {
+// Checker collects violations and how often each point was tested.
+type Checker struct {
 	Violations []Violation
 	Tested     map[string]int64
 	Counts     map[string]int64
-	// Able is since when operators' calls can be carried out at all.
-	Able int64
-	// Timely is since when a majority of the disk machines also agrees on the time.
-	Timely int64
-
-	ran     map[string]int
-	refused map[string]int64
-	left    map[string]int64
-	emptied map[string]int64
-	sheets  sheets
-	// others are the operations of histories that are not edits of the sheet.
-	others   []history.Operation
-	firsts   map[string]map[int64]int64
-	extras   map[string]map[int64]int64
-	cold     map[string]*coldCount
-	okSecond map[int64]int64
-	let      map[string]*counted
-	limits   []Limits
-	moves    []int64
+	// CommandsPossible is since when operators' calls can be carried out at all.
+	CommandsPossible int64
+	// ClocksAgree is since when a majority of the disk machines also agrees on the time.
+	ClocksAgree int64
+
+	ran           map[string]int
+	refused       map[string]int64
+	drainingSince map[string]int64
+	zoneDrainedAt map[string]int64
+	edits         editLog
+	// otherOperations are the operations of histories that are not edits of the sheet.
+	otherOperations []history.Operation
+	firsts          map[string]map[int64]int64
+	extras          map[string]map[int64]int64
+	slowStarts      map[string]*slowStartCount
+	okSecond        map[int64]int64
+	admitted        map[string]*admissions
+	limits          []Limits
+	moves           []int64
 }
 
 // New makes a judge.
-func New() *Judge {
-	return &Judge{
+func New() *Checker {
+	return &Checker{
 		Tested: map[string]int64{}, Counts: map[string]int64{}, ran: map[string]int{}, refused: map[string]int64{},
-		left: map[string]int64{}, emptied: map[string]int64{}, sheets: newSheets(),
-		firsts: map[string]map[int64]int64{}, extras: map[string]map[int64]int64{}, cold: map[string]*coldCount{}, okSecond: map[int64]int64{}, let: map[string]*counted{},
+		drainingSince: map[string]int64{}, zoneDrainedAt: map[string]int64{}, edits: newEditLog(),
+		firsts: map[string]map[int64]int64{}, extras: map[string]map[int64]int64{}, slowStarts: map[string]*slowStartCount{}, okSecond: map[int64]int64{}, admitted: map[string]*admissions{},
 	}
 }
 
 const violationsMost = 50
 
 // Fail notes a violation.
-func (j *Judge) Fail(point string, at int64, text string, args ...any) {
+func (j *Checker) Fail(point string, at int64, text string, args ...any) {
 	j.Counts["violations."+point]++
 	if len(j.Violations) < violationsMost {
 		j.Violations = append(j.Violations, Violation{point, at, fmt.Sprintf(text, args...)})
 	}
 }
 
-func (j *Judge) tested(point string) { j.Tested[point]++ }
+func (j *Checker) tested(point string) { j.Tested[point]++ }
 
 // Count adds to a named count.
-func (j *Judge) Count(name string, n int64) { j.Counts[name] += n }
+func (j *Checker) Count(name string, n int64) { j.Counts[name] += n }
 
 // Value is a count, a number of tests ("tested.POINT") or of violations ("violations.POINT").
-func (j *Judge) Value(name string) int64 {
+func (j *Checker) Value(name string) int64 {
 	if n, ok := j.Tested[trim(name, "tested.")]; ok && len(name) > 7 && name[:7] == "tested." {
 		return n
 	}
@@ -117,7 +117,7 @@
 }
 
 // Lines tells every count in order, for printing and for comparing two runs.
-func (j *Judge) Lines() []string {
+func (j *Checker) Lines() []string {
 	var out []string
 	for k, n := range j.Counts {
 		out = append(out, fmt.Sprintf("%s=%d", k, n))
@@ -130,7 +130,7 @@
 }
 
 // Ran notes that a correction or part fetch ran at a server.
-func (j *Judge) Ran(key string, at int64) {
+func (j *Checker) Ran(key string, at int64) {
 	j.tested(Twice)
 	j.ran[key]++
 	if n := j.ran[key]; n > 1 {
@@ -142,14 +142,14 @@
 }
 
 // RanTimes feeds a whole count at once, from a real run.
-func (j *Judge) RanTimes(key string, n int) {
+func (j *Checker) RanTimes(key string, n int) {
 	for range n {
 		j.Ran(key, 0)
 	}
 }
 
 // Refused notes that a caller was told that its inquiry did not run and will not.
-func (j *Judge) Refused(key string, at int64) {
+func (j *Checker) Refused(key string, at int64) {
 	j.tested(RanRefused)
 	j.refused[key] = at
 	if j.ran[key] > 0 {
@@ -157,52 +157,52 @@
 	}
 }
 
-// Leaves notes when the platform's list first shows that a server leaves.
-func (j *Judge) Leaves(server string, at int64) {
-	if _, ok := j.left[server]; !ok {
-		j.left[server] = at
+// BackendDrains notes when the platform's list first shows that a server leaves.
+func (j *Checker) BackendDrains(server string, at int64) {
+	if _, ok := j.drainingSince[server]; !ok {
+		j.drainingSince[server] = at
 	}
 }
 
-// Empties notes when an operator asked for a zone to be emptied; negative ends it.
-func (j *Judge) Empties(zone string, at int64) {
+// ZoneDrained notes when an operator asked for a zone to be emptied; negative ends it.
+func (j *Checker) ZoneDrained(zone string, at int64) {
 	if at < 0 {
-		delete(j.emptied, zone)
+		delete(j.zoneDrainedAt, zone)
 		return
 	}
-	if _, asked := j.emptied[zone]; !asked {
+	if _, asked := j.zoneDrainedAt[zone]; !asked {
 		// An operator who asks again has waited since the first time.
-		j.emptied[zone] = at
+		j.zoneDrainedAt[zone] = at
 	}
 }
 
-// IsEmptied reports whether a zone is asked to be empty.
-func (j *Judge) IsEmptied(zone string) bool { _, ok := j.emptied[zone]; return ok }
+// IsZoneDrained reports whether a zone is asked to be empty.
+func (j *Checker) IsZoneDrained(zone string) bool { _, ok := j.zoneDrainedAt[zone]; return ok }
 
-// AskedAlone notes work sent by a node that has been alone for a while and reads the
+// RequestFromIsolated notes work sent by a node that has been alone for a while and reads the
 // platform's list for itself: it has as long again to notice that it is alone.
-func (j *Judge) AskedAlone(server string, at, alone int64) {
-	if t, ok := j.left[server]; ok && alone > AloneIn {
-		j.tested(LeavingWork)
+func (j *Checker) RequestFromIsolated(server string, at, alone int64) {
+	if t, ok := j.drainingSince[server]; ok && alone > IsolatedWithin {
+		j.tested(DrainingWork)
 		j.Counts["tested_alone"]++
-		if at-t > LeavingIn {
-			j.Fail(LeavingWork, at, "%s got work from a node that is alone, %d us after it was shown leaving", server, at-t)
+		if at-t > DrainingWithin {
+			j.Fail(DrainingWork, at, "%s got work from a node that is alone, %d us after it was shown leaving", server, at-t)
 		}
 	}
 }
 
-// Asked notes one piece of work sent to a server.
-func (j *Judge) Asked(pool, server, zone string, at int64, again, instead bool) {
-	if t, ok := j.left[server]; ok {
-		j.tested(LeavingWork)
-		if at-t > LeavingIn {
-			j.Fail(LeavingWork, at, "%s got work %d us after it was shown leaving", server, at-t)
+// Request notes one piece of work sent to a server.
+func (j *Checker) Request(pool, server, zone string, at int64, again, instead bool) {
+	if t, ok := j.drainingSince[server]; ok {
+		j.tested(DrainingWork)
+		if at-t > DrainingWithin {
+			j.Fail(DrainingWork, at, "%s got work %d us after it was shown leaving", server, at-t)
 		}
 	}
-	if t, ok := j.emptied[zone]; ok {
-		j.tested(EmptiedWork)
-		if at-max(t, j.Able) > EmptyIn {
-			j.Fail(EmptiedWork, at, "%s in %s got work %d us after the zone was emptied", server, zone, at-t)
+	if t, ok := j.zoneDrainedAt[zone]; ok {
+		j.tested(DrainedZoneWork)
+		if at-max(t, j.CommandsPossible) > ZoneDrainWithin {
+			j.Fail(DrainedZoneWork, at, "%s in %s got work %d us after the zone was emptied", server, zone, at-t)
 		}
 	}
 	if instead {
@@ -219,4 +219,4 @@
 }
 
 // Idle tells that a leaving server or an emptied zone was watched to be idle.
-func (j *Judge) Idle(point string) { j.tested(point) }
+func (j *Checker) Idle(point string) { j.tested(point) }
--- a/lab/check/sheets.go
+++ b/lab/check/config_edits.go
@@ -7,71 +7,71 @@
 
 import "wallport/runtime/wire"
 
-// Try is one edit of the sheet by an operator.
-type Try struct {
-	Mark   int64
-	Base   wire.Version
-	Began  int64
-	Ended  int64
-	Code   string
-	Stamp  wire.Version
-	EditID string
+// Edit is one edit of the sheet by an operator.
+type Edit struct {
+	Mark    int64
+	Base    wire.Version
+	Began   int64
+	Ended   int64
+	Code    string
+	Version wire.Version
+	EditID  string
 	// Invalid edits must never be accepted.
 	Invalid bool
 }
 
-type seen struct {
-	stamp wire.Version
-	at    int64
+type observed struct {
+	version wire.Version
+	at      int64
 }
 
-type sheets struct {
-	tries map[int64]*Try
-	order []int64
-	acked []seen
-	node  map[string]seen
+type editLog struct {
+	byMark map[int64]*Edit
+	order  []int64
+	acked  []observed
+	node   map[string]observed
 	// first is the version that was in force before any try, where the history does not begin with one.
 	first  wire.Version
 	marks  map[wire.Version]int64
 	byBase map[wire.Version]int64
 }
 
-func newSheets() sheets {
-	return sheets{tries: map[int64]*Try{}, node: map[string]seen{}, marks: map[wire.Version]int64{}, byBase: map[wire.Version]int64{}}
+func newEditLog() editLog {
+	return editLog{byMark: map[int64]*Edit{}, node: map[string]observed{}, marks: map[wire.Version]int64{}, byBase: map[wire.Version]int64{}}
 }
 
 func newer(a, b wire.Version) bool { return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq }
 
-// Tried notes the beginning of an edit. Marks are unique to an edit id.
-func (j *Judge) Tried(t Try) {
-	s := &j.sheets
-	if s.tries[t.Mark] == nil {
-		s.tries[t.Mark] = &t
+// EditBegan notes the beginning of an edit. Marks are unique to an edit id.
+func (j *Checker) EditBegan(t Edit) {
+	s := &j.edits
+	if s.byMark[t.Mark] == nil {
+		s.byMark[t.Mark] = &t
 		s.order = append(s.order, t.Mark)
 	}
 }
 
-// Retried notes the answer to an edit, or to a retry under the same id. What
+// EditEnded notes the answer to an edit, or to a retry under the same id. What
 // was once acknowledged stays so.
-func (j *Judge) Retried(t Try) {
-	s := &j.sheets
-	j.Tried(t)
-	was := s.tries[t.Mark]
+func (j *Checker) EditEnded(t Edit) {
+	s := &j.edits
+	j.EditBegan(t)
+	was := s.byMark[t.Mark]
 	if t.Code == "ok" && t.Invalid {
-		j.Fail(SheetLoser, t.Ended, "edit %d is invalid and was accepted", t.Mark)
+		j.Fail(ConfigLoserInForce, t.Ended, "edit %d is invalid and was accepted", t.Mark)
 	}
 	if was.Code == "ok" {
 		if t.Code == "lost_race" || t.Code == "invalid" || t.Code == "conflict" {
 			j.Fail(RetryDiffers, t.Ended, "edit %d was answered ok and then %s", t.Mark, t.Code)
 		}
 		j.tested(RetryDiffers)
-		if t.Code == "ok" && t.Stamp != was.Stamp {
-			j.Fail(BothWon, t.Ended, "edit %d was answered %v and then %v", t.Mark, was.Stamp, t.Stamp)
+		if t.Code == "ok" && t.Version != was.Version {
+			j.Fail(BothWon, t.Ended, "edit %d was answered %v and then %v", t.Mark, was.Version, t.Version)
 		}
 		return
 	}
 	if t.Code == "ok" || was.Code == "open" {
-		was.Code, was.Stamp, was.Ended = t.Code, t.Stamp, t.Ended
+		was.Code, was.Version, was.Ended = t.Code, t.Version, t.Ended
 	}
 	if t.Code != "ok" {
 		return
@@ -81,29 +81,29 @@
 		j.Fail(BothWon, t.Ended, "edits %d and %d, both based on %v, were accepted", other, t.Mark, t.Base)
 	}
 	s.byBase[t.Base] = t.Mark
-	if n := len(s.acked); n == 0 || newer(t.Stamp, s.acked[n-1].stamp) {
-		s.acked = append(s.acked, seen{t.Stamp, t.Ended})
+	if n := len(s.acked); n == 0 || newer(t.Version, s.acked[n-1].version) {
+		s.acked = append(s.acked, observed{t.Version, t.Ended})
 	}
 }
 
 // InForce notes what a node has in force at a moment. Reachable nodes must
 // have what was acknowledged in time; since is from when the node could.
-func (j *Judge) InForce(node string, sheetAt wire.Version, mark int64, at, since int64) {
-	s := &j.sheets
-	if was := s.node[node]; newer(was.stamp, sheetAt) {
-		j.Fail(SheetBack, at, "%s fell back from %v to %v", node, was.stamp, sheetAt)
+func (j *Checker) InForce(node string, sheetAt wire.Version, mark int64, at, since int64) {
+	s := &j.edits
+	if was := s.node[node]; newer(was.version, sheetAt) {
+		j.Fail(ConfigWentBack, at, "%s fell back from %v to %v", node, was.version, sheetAt)
 	}
-	j.tested(SheetBack)
-	s.node[node] = seen{sheetAt, at}
+	j.tested(ConfigWentBack)
+	s.node[node] = observed{sheetAt, at}
 	if sheetAt.Term > 0 {
 		if m, ok := s.marks[sheetAt]; ok && m != mark {
-			j.Fail(SheetLoser, at, "%s has %d at %v where others have %d", node, mark, sheetAt, m)
+			j.Fail(ConfigLoserInForce, at, "%s has %d at %v where others have %d", node, mark, sheetAt, m)
 		}
 		s.marks[sheetAt] = mark
-		if t := s.tries[mark]; t != nil {
-			j.tested(SheetLoser)
+		if t := s.byMark[mark]; t != nil {
+			j.tested(ConfigLoserInForce)
 			if t.Code == "invalid" || t.Code == "lost_race" || t.Code == "conflict" || t.Code == "shed" {
-				j.Fail(SheetLoser, at, "%s has edit %d in force, which was answered %s", node, mark, t.Code)
+				j.Fail(ConfigLoserInForce, at, "%s has edit %d in force, which was answered %s", node, mark, t.Code)
 			}
 		}
 	}
@@ -112,12 +112,12 @@
 	}
 	for i := len(s.acked) - 1; i >= 0; i-- {
 		a := s.acked[i]
-		if at-max(a.at, since) <= SheetIn {
+		if at-max(a.at, since) <= ConfigWithin {
 			continue
 		}
-		j.tested(SheetLate)
-		if newer(a.stamp, sheetAt) {
-			j.Fail(SheetLate, at, "%s has %v, %v was acknowledged %d us ago", node, sheetAt, a.stamp, at-a.at)
+		j.tested(ConfigLate)
+		if newer(a.version, sheetAt) {
+			j.Fail(ConfigLate, at, "%s has %v, %v was acknowledged %d us ago", node, sheetAt, a.version, at-a.at)
 		}
 		return
 	}
@@ -125,31 +125,31 @@
 
 // Restarted forgets what a node had in force before it was started anew; the
 // acknowledged sheets still bind it.
-func (j *Judge) Restarted(node string) { delete(j.sheets.node, node) }
+func (j *Checker) Restarted(node string) { delete(j.edits.node, node) }
 
 // Chain checks the whole history at the end: real-time order and the chain of bases.
-func (j *Judge) Chain() {
+func (j *Checker) Chain() {
 	j.linearizable()
-	s := &j.sheets
+	s := &j.edits
 	for i, a := range s.order {
-		ta := s.tries[a]
+		ta := s.byMark[a]
 		if ta.Code != "ok" {
 			continue
 		}
 		for _, b := range s.order[i+1:] {
-			tb := s.tries[b]
+			tb := s.byMark[b]
 			if tb.Code != "ok" {
 				continue
 			}
 			first, second := ta, tb
-			if newer(first.Stamp, second.Stamp) {
+			if newer(first.Version, second.Version) {
 				first, second = tb, ta
 			}
 			if second.Ended < first.Began {
 				j.Fail(BothWon, second.Ended, "edit %d ended before %d began but has a newer stamp", second.Mark, first.Mark)
 			}
-			if newer(first.Stamp, second.Base) {
-				j.Fail(BothWon, second.Ended, "edit %d at %v is based on %v, before %v of edit %d", second.Mark, second.Stamp, second.Base, first.Stamp, first.Mark)
+			if newer(first.Version, second.Base) {
+				j.Fail(BothWon, second.Ended, "edit %d at %v is based on %v, before %v of edit %d", second.Mark, second.Version, second.Base, first.Version, first.Mark)
 			}
 		}
 	}
@@ -159,9 +159,9 @@
 // an owner may just be being elected, and nodes take a while to hear.
 const BookingSlack = 5_000_000
 
-// Booked judges whether a node has a booking running that should, or should not.
-func (j *Judge) Booked(node, id string, runs bool, from, to, at int64) {
-	if at-j.Timely <= BookingSlack {
+// Booking judges whether a node has a booking running that should, or should not.
+func (j *Checker) Booking(node, id string, runs bool, from, to, at int64) {
+	if at-j.ClocksAgree <= BookingSlack {
 		return
 	}
 	switch {
--- a/lab/check/first_test.go
+++ b/lab/check/first_test.go
@@ -9,14 +9,14 @@
 )
 
 // An order on a version that no order made is explained only where the fleet began with that version.
-func TestAHistoryBeginsWithWhatWasInForce(t *testing.T) {
+func TestHistoryStartsFromConfigInForce(t *testing.T) {
 	for _, began := range []bool{true, false} {
 		j := New()
 		if began {
 			j.BeganWith(wire.Version{Term: 1, Seq: 2})
 			j.BeganWith(wire.Version{Term: 1, Seq: 9})
 		}
-		j.Tried(Try{Mark: 7, Base: wire.Version{Term: 1, Seq: 2}, Stamp: wire.Version{Term: 1, Seq: 3}, Began: 10, Ended: 20, Code: "ok"})
+		j.EditBegan(Edit{Mark: 7, Base: wire.Version{Term: 1, Seq: 2}, Version: wire.Version{Term: 1, Seq: 3}, Began: 10, Ended: 20, Code: "ok"})
 		must.Eq(t, began, len(j.History().Check()) == 0, must.Sprint("began ", began))
 	}
 }
--- a/lab/check/histories.go
+++ b/lab/check/histories.go
@@ -14,23 +14,23 @@
 const NotLinearizable = "not_linearizable"
 
 // History is what operators asked of the sheet and were answered.
-func (j *Judge) History() *history.History {
-	s := &j.sheets
+func (j *Checker) History() *history.History {
+	s := &j.edits
 	seenAt := map[int64]wire.Version{}
 	for at, mark := range s.marks {
 		seenAt[mark] = at
 	}
 	h := &history.History{}
 	if s.first.Term > 0 {
-		h.Add(history.Operation{Register: "sheet", Kind: history.Change, ID: firstSheet, Version: versionText(s.first), End: 1, Outcome: history.Accepted})
+		h.Add(history.Operation{Register: "sheet", Kind: history.Change, ID: firstConfig, Version: versionText(s.first), End: 1, Outcome: history.Accepted})
 	}
 	for i, mark := range s.order {
-		t := s.tries[mark]
+		t := s.byMark[mark]
 		outcome, took := outcomeOf(t.Code)
 		if !took {
 			continue
 		}
-		at := t.Stamp
+		at := t.Version
 		if outcome == history.Unknown {
 			at = seenAt[mark]
 		}
@@ -39,43 +39,43 @@
 			Invalid: t.Invalid, Begin: t.Began, End: t.Ended, Outcome: outcome,
 		})
 	}
-	for _, op := range j.others {
+	for _, op := range j.otherOperations {
 		h.Add(op)
 	}
 	return h
 }
 
-// SheetRead notes a read of the newest sheet that a majority confirmed: the mark of the sheet and
+// ConfigRead notes a read of the newest sheet that a majority confirmed: the mark of the sheet and
 // the version that brought it.
-func (j *Judge) SheetRead(client int, at wire.Version, mark, began, ended int64) {
-	s := &j.sheets
-	value := firstSheet
-	if s.tries[mark] != nil {
+func (j *Checker) ConfigRead(client int, at wire.Version, mark, began, ended int64) {
+	s := &j.edits
+	value := firstConfig
+	if s.byMark[mark] != nil {
 		value = editName(mark)
 	}
 	if other, known := s.marks[at]; known && other != mark {
-		j.Fail(SheetLoser, ended, "a read found %d at %v where others have %d", mark, at, other)
+		j.Fail(ConfigLoserInForce, ended, "a read found %d at %v where others have %d", mark, at, other)
 	}
 	s.marks[at] = mark
-	j.others = append(j.others, history.Operation{
+	j.otherOperations = append(j.otherOperations, history.Operation{
 		Register: "sheet", Client: client, Kind: history.Read, Begin: began, End: ended, Outcome: history.Accepted, Value: value,
 	})
 }
 
 // ZoneSet notes an order that drains or restores a zone, with the code of its answer.
-func (j *Judge) ZoneSet(client int, zone string, drained bool, code string, began, ended int64) {
+func (j *Checker) ZoneSet(client int, zone string, drained bool, code string, began, ended int64) {
 	outcome, possible := outcomeOf(code)
 	if !possible {
 		return
 	}
-	j.others = append(j.others, history.Operation{
+	j.otherOperations = append(j.otherOperations, history.Operation{
 		Register: history.Zone(zone), Client: client, Kind: history.Set, ID: zoneState(drained), Begin: began, End: ended, Outcome: outcome,
 	})
 }
 
 // ZoneRead notes what a zone was found to be, by one that held all that was acknowledged before the read.
-func (j *Judge) ZoneRead(client int, zone string, drained bool, began, ended int64) {
-	j.others = append(j.others, history.Operation{
+func (j *Checker) ZoneRead(client int, zone string, drained bool, began, ended int64) {
+	j.otherOperations = append(j.otherOperations, history.Operation{
 		Register: history.Zone(zone), Client: client, Kind: history.Read, Begin: began, End: ended, Outcome: history.Accepted, Value: zoneState(drained),
 	})
 }
@@ -87,15 +87,15 @@
 	return history.Restored
 }
 
-// firstSheet names the sheet that was in force before the first edit.
-const firstSheet = "the first sheet"
+// firstConfig names the sheet that was in force before the first edit.
+const firstConfig = "the first sheet"
 
 func editName(mark int64) string { return fmt.Sprint("edit ", mark) }
 
 // BeganWith tells the version of the sheet that was in force before the first try; later words change nothing.
-func (j *Judge) BeganWith(at wire.Version) {
-	if j.sheets.first.Term == 0 {
-		j.sheets.first = at
+func (j *Checker) BeganWith(at wire.Version) {
+	if j.edits.first.Term == 0 {
+		j.edits.first = at
 	}
 }
 
@@ -121,19 +121,19 @@
 }
 
 // linearizable judges the history.
-func (j *Judge) linearizable() {
+func (j *Checker) linearizable() {
 	h := j.History()
 	for range h.Operations {
 		j.tested(NotLinearizable)
 	}
 	for _, err := range h.Check() {
-		j.Fail(NotLinearizable, j.lastAnswer(), "%v", err)
+		j.Fail(NotLinearizable, j.lastResponse(), "%v", err)
 	}
 }
 
-// lastAnswer is when the last clear answer came.
-func (j *Judge) lastAnswer() (at int64) {
-	for _, t := range j.sheets.tries {
+// lastResponse is when the last clear answer came.
+func (j *Checker) lastResponse() (at int64) {
+	for _, t := range j.edits.byMark {
 		if t.Code == "ok" {
 			at = max(at, t.Ended)
 		}
--- a/lab/check/limits.go
+++ b/lab/check/limits.go
@@ -28,36 +28,36 @@
 	Booked map[string]bool
 }
 
-type counted struct{ came, in map[int64]int64 }
+type admissions struct{ arrived, admitted map[int64]int64 }
 
 // LimitSettles is how long after a change the limits are not judged: 3 s for the sheet
 // to be in force and as long for the nodes to learn of each other's load.
 const LimitSettles = 6_000_000
 
-// Came notes an inquiry that was read, and whether the limits let it in.
-func (j *Judge) Came(kind string, at int64, in bool) {
+// Arrived notes an inquiry that was read, and whether the limits let it in.
+func (j *Checker) Arrived(kind string, at int64, in bool) {
 	for _, k := range []string{kind, ""} {
-		c := j.let[k]
+		c := j.admitted[k]
 		if c == nil {
-			c = &counted{map[int64]int64{}, map[int64]int64{}}
-			j.let[k] = c
+			c = &admissions{map[int64]int64{}, map[int64]int64{}}
+			j.admitted[k] = c
 		}
-		c.came[at/1_000_000]++
+		c.arrived[at/1_000_000]++
 		if in {
-			c.in[at/1_000_000]++
+			c.admitted[at/1_000_000]++
 		}
 	}
 }
 
 // Limit says what holds from a moment on; a change of the load is told in the same way.
-func (j *Judge) Limit(l Limits) { j.limits = append(j.limits, l) }
+func (j *Checker) Limit(l Limits) { j.limits = append(j.limits, l) }
 
 // Moved notes that nodes left or came, and the load with them: for a while after it
 // room may be left unused, but no limit may be passed.
-func (j *Judge) Moved(at int64) { j.moves = append(j.moves, at) }
+func (j *Checker) Moved(at int64) { j.moves = append(j.moves, at) }
 
-// LimitsHeld judges every window of ten seconds up to an end.
-func (j *Judge) LimitsHeld(end int64) {
+// CheckLimits judges every window of ten seconds up to an end.
+func (j *Checker) CheckLimits(end int64) {
 	for i, l := range j.limits {
 		to := end
 		if i+1 < len(j.limits) {
@@ -69,16 +69,16 @@
 	}
 }
 
-func (j *Judge) window(kind string, s int64) (came, in float64) {
-	c := j.let[kind]
+func (j *Checker) window(kind string, s int64) (came, in float64) {
+	c := j.admitted[kind]
 	for k := s; c != nil && k < s+10; k++ {
-		came += float64(c.came[k])
-		in += float64(c.in[k])
+		came += float64(c.arrived[k])
+		in += float64(c.admitted[k])
 	}
 	return came, in
 }
 
-func (j *Judge) limitWindow(l Limits, s int64) {
+func (j *Checker) limitWindow(l Limits, s int64) {
 	at := s * 1_000_000
 	over := func(what string, in, limit float64) {
 		j.tested(OverLimit)
--- a/lab/draw/day.go
+++ b/lab/draw/day.go
@@ -29,7 +29,7 @@
 		k, turn := &from[n%uint64(len(from))], n/uint64(len(from))
 		d.used[k.name] = true
 		names = append(names, k.name)
-		d.entry(k, k.inTurn(d, turn), d.f(least, most))
+		d.entry(k, k.drawInTurn(d, turn), d.f(least, most))
 	}
 	add := func(from []dayKind, least, most float64) {
 		k := &from[d.n(len(from))]
@@ -47,12 +47,12 @@
 		}
 	}
 	first(planned, 1, 12)
-	first(faults, 2, 14)
+	first(dayFaults, 2, 14)
 	for range d.n(3) {
 		add(planned, 1, 12)
 	}
 	for range d.n(4) {
-		add(faults, 2, 14)
+		add(dayFaults, 2, 14)
 	}
 	head := []string{fmt.Sprintf("# Drawn day, number %d: %s.", n, strings.Join(names, ", ")), "set site " + site}
 	if d.n(2) == 0 {
@@ -64,7 +64,7 @@
 		head = append(head, "set seconds 24")
 		d.at(16_000+d.n(3000), "config_change how=route")
 	}
-	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Troubles: names}
+	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Faults: names}
 }
 
 // repeatsMost is how often one kind comes in a day.
--- a/lab/draw/day_test.go
+++ b/lab/draw/day_test.go
@@ -14,7 +14,7 @@
 // enoughDays is how many days in a row hold everything.
 const enoughDays = 400
 
-func TestDrawnDaysHoldEveryKindAndWay(t *testing.T) {
+func TestDrawnDaysCoverEveryKindAndMode(t *testing.T) {
 	met := map[string]int{}
 	for n := range uint64(enoughDays) {
 		s, err := script.Parse("day", Day(n, "").Text)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestADayIsAFunctionOfItsNumber(t *testing.T) {
+func TestDayIsAFunctionOfItsNumber(t *testing.T) {
 	must.Eq(t, Day(7, "").Text, Day(7, "").Text)
 	must.NotEq(t, Day(7, "").Text, Day(8, "").Text)
 }
--- a/lab/draw/draw.go
+++ b/lab/draw/draw.go
@@ -26,8 +26,8 @@
 
 // Scenario is a drawn one.
 type Scenario struct {
-	Text     string
-	Troubles []string
+	Text   string
+	Faults []string
 }
 
 type drawing struct {
@@ -87,7 +87,7 @@
 // Names lists the troubles in the order of their numbers.
 func Names() []string {
 	var out []string
-	for name := range troubles {
+	for name := range faultKinds {
 		out = append(out, name)
 	}
 	sort.Strings(out)
@@ -112,10 +112,10 @@
 var disks = map[string]bool{"disk_lost": true, "core_replaced": true}
 
 // listing: what is shown leaving while the list itself fails is not yet shown.
-var listing = map[string]bool{"platform_fails": true, "platform_empty": true, "servers_leave": true}
+var discovery = map[string]bool{"platform_fails": true, "platform_empty": true, "servers_leave": true}
 
 func compatible(a, b string) bool {
-	return !(disks[a] && disks[b]) && !(listing[a] && listing[b])
+	return !(disks[a] && disks[b]) && !(discovery[a] && discovery[b])
 }
 
 // Make draws scenario number n: its first two troubles go through all pairs in
@@ -140,7 +140,7 @@
 		picked = picked[:1]
 	}
 	for _, name := range picked {
-		troubles[name](d)
+		faultKinds[name](d)
 	}
 	d.besides()
 	head := []string{
@@ -151,7 +151,7 @@
 	if d.n(2) == 0 {
 		head = append(head, "set first_word yes")
 	}
-	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Troubles: picked}
+	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Faults: picked}
 }
 
 // besides is what operators do meanwhile.
--- a/lab/draw/troubles.go
+++ b/lab/draw/faults.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-var troubles = map[string]func(d *drawing){
+var faultKinds = map[string]func(d *drawing){
 	// Back ends.
 	"servers_crash": func(d *drawing) {
 		for _, s := range d.servers(1+d.n(4), -1) {
--- a/lab/draw/kinds.go
+++ b/lab/draw/kinds.go
@@ -11,8 +11,8 @@
 
 // dayKind is one kind: the ways of which one is drawn, and what else its line says.
 type dayKind struct {
-	name string
-	ways []string
+	name  string
+	modes []string
 	// follows tells that a change, or backends that leave, may meet the machine afterwards.
 	follows bool
 	line    func(d *drawing) string
@@ -35,14 +35,14 @@
 	return func(d *drawing) string { return fmt.Sprintf("for=%.1fs", d.f(least, most)) }
 }
 
-// inTurn makes the entry's line with the way, and with what follows, whose turn it is.
-func (k *dayKind) inTurn(d *drawing, turn uint64) string {
+// drawInTurn makes the entry's line with the way, and with what follows, whose turn it is.
+func (k *dayKind) drawInTurn(d *drawing, turn uint64) string {
 	return k.with(d, int(turn), int(turn))
 }
 
 // draw makes the entry's line with a way by chance.
 func (k *dayKind) draw(d *drawing) string {
-	return k.with(d, d.n(max(1, len(k.ways))), d.n(len(follows)))
+	return k.with(d, d.n(max(1, len(k.modes))), d.n(len(follows)))
 }
 
 func (k *dayKind) with(d *drawing, way, follow int) string {
@@ -51,8 +51,8 @@
 		line += " " + k.line(d)
 	}
 	var how []string
-	if len(k.ways) > 0 {
-		how = append(how, k.ways[way%len(k.ways)])
+	if len(k.modes) > 0 {
+		how = append(how, k.modes[way%len(k.modes)])
 	}
 	if k.follows {
 		how = append(how, follows[follow%len(follows)])
@@ -65,26 +65,26 @@
 }
 
 var planned = []dayKind{
-	{name: "config_change", ways: []string{"route", "idle", "timeout", "weights", "invalid"}},
+	{name: "config_change", modes: []string{"route", "idle", "timeout", "weights", "invalid"}},
 	{name: "config_race", line: func(d *drawing) string {
 		return fmt.Sprintf("count=%d gap=%.2fs x=%d", 1+d.n(3), d.f(0.6, 1.6), 2+d.n(3))
 	}},
 	{name: "config_storm", line: func(d *drawing) string { return fmt.Sprintf("for=4s gap=%.2fs", d.f(0.1, 0.4)) }},
-	{name: "roll_term", ways: []string{"", "busy", "remove"}, follows: true, line: func(d *drawing) string {
+	{name: "roll_term", modes: []string{"", "busy", "remove"}, follows: true, line: func(d *drawing) string {
 		return fmt.Sprintf("share=%.2f x=1 gap=%.2fs", d.f(0.2, 1), d.f(0.8, 1.6))
 	}},
 	{name: "seed_turnover"},
 	{name: "reshard", line: func(d *drawing) string { return fmt.Sprintf("x=%.1f", d.f(3, 4)) }},
 	{name: "drain", line: func(d *drawing) string { return fmt.Sprintf("count=%d gap=1s", 1+d.n(5)) }},
-	{name: "replace_core", ways: []string{"", "term", "planned"}, line: func(d *drawing) string { return fmt.Sprintf("x=%.1f", d.f(0.5, 2)) }},
+	{name: "replace_core", modes: []string{"", "term", "planned"}, line: func(d *drawing) string { return fmt.Sprintf("x=%.1f", d.f(0.5, 2)) }},
 	{name: "evacuate", line: text("zone=z1")},
 	{name: "hup", line: func(d *drawing) string { return fmt.Sprintf("share=%.2f gap=%.1fs", d.f(0.2, 1), d.f(0.1, 2)) }},
 	{name: "release", line: func(d *drawing) string {
 		return fmt.Sprintf("share=%.2f x=%d gap=%.1fs", d.f(0.2, 0.6), 1+d.n(3), d.f(0.3, 1))
 	}},
 	{name: "scale_out", line: func(d *drawing) string { return fmt.Sprintf("share=%.2f gap=%.1fs", d.f(0.1, 0.4), d.f(0.2, 2)) }},
-	{name: "scale_in", ways: []string{"", "spot"}, line: func(d *drawing) string { return fmt.Sprintf("share=%.2f x=%.1f", d.f(0.1, 0.2), d.f(1, 3)) }},
-	{name: "bad_config", ways: []string{
+	{name: "scale_in", modes: []string{"", "spot"}, line: func(d *drawing) string { return fmt.Sprintf("share=%.2f x=%.1f", d.f(0.1, 0.2), d.f(1, 3)) }},
+	{name: "bad_config", modes: []string{
 		"", "cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key",
 	}, line: func(d *drawing) string { return fmt.Sprintf("count=%d gap=%.1fs", 1+d.n(5), d.f(0.1, 1)) }},
 	{name: "resend", line: func(d *drawing) string { return fmt.Sprintf("count=%d", 1+d.n(6)) }},
@@ -98,9 +98,9 @@
 
 // DayKinds lists every kind, and every way of one as KIND.WAY.
 func DayKinds() (kinds, ways []string) {
-	for _, k := range slices.Concat(planned, faults) {
+	for _, k := range slices.Concat(planned, dayFaults) {
 		kinds = append(kinds, k.name)
-		for _, way := range k.ways {
+		for _, way := range k.modes {
 			for w := range strings.SplitSeq(way, ",") {
 				if w != "" {
 					ways = append(ways, k.name+"."+w)
--- a/lab/fleet/configure.go
+++ b/lab/fleet/configure.go
@@ -14,10 +14,10 @@
 	"wallport/runtime/wire"
 )
 
-func (f *Fleet) tellPlatform(ctx context.Context) error {
+func (f *Fleet) notifyPlatform(ctx context.Context) error {
 	return poll(ctx, "platform", func() error {
 		f.mu.Lock()
-		servers := append([]wire.Backend(nil), f.servers...)
+		servers := append([]wire.Backend(nil), f.backends...)
 		f.mu.Unlock()
 		if err := f.post(f.Platform+"/lab/servers", wire.BackendList{Backends: servers}); err != nil {
 			return err
@@ -28,10 +28,10 @@
 
 // configure puts the first sheet and cut and waits for every node's condition.
 func (f *Fleet) configure(ctx context.Context) error {
-	s := f.o.Shape
-	oper := f.Opers["node-0"]
+	s := f.options.Shape
+	oper := f.OperatorAddrs["node-0"]
 	err := poll(ctx, "first sheet", func() error {
-		return f.call(http.MethodPut, "http://"+oper+"/v1/sheet", s.Sheet(), map[string]string{"If-Match": "0.0", "Edit-Id": "first-sheet"})
+		return f.call(http.MethodPut, "http://"+oper+"/v1/sheet", s.Config(), map[string]string{"If-Match": "0.0", "Edit-Id": "first-sheet"})
 	})
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", "Bearer "+f.o.Token)
+	req.Header.Set("Authorization", "Bearer "+f.options.Token)
 	for k, v := range head {
 		req.Header.Set(k, v)
 	}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -37,35 +37,35 @@
 	Relays bool
 }
 
-// Proc is one process of the fleet.
-type Proc struct {
-	Name string
-	args []string
-	cmd  *exec.Cmd
-	done chan struct{}
-	Data string
-	mesh string
-	oper string
-	zone string
-	// ends is that it was told to.
-	ends bool
+// Process is one process of the fleet.
+type Process struct {
+	Name     string
+	args     []string
+	cmd      *exec.Cmd
+	done     chan struct{}
+	Data     string
+	mesh     string
+	operator string
+	zone     string
+	// stopping is that it was told to.
+	stopping bool
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
-	o         Options
-	mu        sync.Mutex
-	procs     map[string]*Proc
-	Nodes     []platform.Node
-	Opers     map[string]string
-	Platform  string
-	servers   []wire.Backend
-	seeds     []string
-	client    *http.Client
-	left      map[string]int64
-	gone      map[string]bool
-	operators *operators
-	network   *relay.Network
+	options       Options
+	mu            sync.Mutex
+	processes     map[string]*Process
+	Nodes         []platform.Node
+	OperatorAddrs map[string]string
+	Platform      string
+	backends      []wire.Backend
+	seeds         []string
+	client        *http.Client
+	drainingSince map[string]int64
+	stopped       map[string]bool
+	operators     *operators
+	network       *relay.Network
 	// zonesOrdered are the zones that a scenario's operators drain and restore.
 	zonesOrdered []string
 	// started is how many daemons were given an own address.
@@ -75,7 +75,7 @@
 // New makes an empty fleet.
 func New(o Options) *Fleet {
 	f := &Fleet{
-		o: o, procs: map[string]*Proc{}, Opers: map[string]string{}, left: map[string]int64{}, gone: map[string]bool{}, network: relay.New(),
+		options: o, processes: map[string]*Process{}, OperatorAddrs: map[string]string{}, drainingSince: map[string]int64{}, stopped: map[string]bool{}, network: relay.New(),
 		client: &http.Client{Timeout: 12 * time.Second},
 	}
 	f.operators = newOperators(f)
@@ -100,8 +100,8 @@
 }
 
 // Start runs a process and waits for its end beside.
-func (f *Fleet) Start(p *Proc) error {
-	logf, err := os.OpenFile(filepath.Join(f.o.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (f *Fleet) Start(p *Process) error {
+	logf, err := os.OpenFile(filepath.Join(f.options.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -112,18 +112,18 @@
 		return err
 	}
 	done := make(chan struct{})
-	p.done, p.ends = done, false
+	p.done, p.stopping = done, false
 	cmd := p.cmd
 	go func() { cmd.Wait(); close(done) }()
 	f.mu.Lock()
-	f.procs[p.Name] = p
+	f.processes[p.Name] = p
 	f.mu.Unlock()
 	return nil
 }
 
 // Up starts everything and returns once every node is ready for callers.
 func (f *Fleet) Up(ctx context.Context) error {
-	s := f.o.Shape
+	s := f.options.Shape
 	addrs, err := ports(commonIP, 1+2*s.Cores+3*s.Nodes+s.PerShard*s.Shards)
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 	next := func() string { a := addrs[0]; addrs = addrs[1:]; return a }
 	plat := next()
 	f.Platform = "http://" + plat
-	if err := f.Start(&Proc{Name: "platform", args: []string{filepath.Join(f.o.Bin, "lab"), "platform", "--addr", plat}}); err != nil {
+	if err := f.Start(&Process{Name: "platform", args: []string{filepath.Join(f.options.Bin, "lab"), "platform", "--addr", plat}}); err != nil {
 		return err
 	}
 	coreMesh := make([]string, s.Cores)
@@ -141,7 +141,7 @@
 	f.seeds = coreMesh[:min(3, s.Cores)]
 	for i, mesh := range coreMesh {
 		name := fmt.Sprintf("core-%d", i)
-		if err := f.daemon("core", name, s.Zone(i), mesh, next(), "--data", filepath.Join(f.o.Dir, name)); err != nil {
+		if err := f.daemon("core", name, s.Zone(i), mesh, next(), "--data", filepath.Join(f.options.Dir, name)); err != nil {
 			return err
 		}
 	}
@@ -149,7 +149,7 @@
 		n := platform.Node{Name: fmt.Sprintf("node-%d", i), Zone: s.Zone(i), Caller: next()}
 		mesh, oper := next(), next()
 		f.Nodes = append(f.Nodes, n)
-		f.Opers[n.Name] = oper
+		f.OperatorAddrs[n.Name] = oper
 		if err := f.daemon("node", n.Name, n.Zone, mesh, oper, "--caller", n.Caller, "--platform", f.Platform+"/list"); err != nil {
 			return err
 		}
@@ -157,19 +157,19 @@
 	if err := f.Backends("c1", s.Shards, s.PerShard*s.Shards, addrs); err != nil {
 		return err
 	}
-	if err := f.tellPlatform(ctx); err != nil {
+	if err := f.notifyPlatform(ctx); err != nil {
 		return err
 	}
 	return f.configure(ctx)
 }
 
 func (f *Fleet) daemon(role, name, zone, mesh, oper string, more ...string) error {
-	bin := f.o.Bin
-	if f.o.Before != "" {
-		bin = f.o.Before
+	bin := f.options.Bin
+	if f.options.Before != "" {
+		bin = f.options.Before
 	}
 	args := []string{filepath.Join(bin, "wallport"), role, "--name", name, "--zone", zone, "--mesh", mesh, "--operator", oper}
-	if f.o.Relays {
+	if f.options.Relays {
 		listens, err := f.ownAddress()
 		if err != nil {
 			return err
@@ -182,18 +182,18 @@
 	for _, s := range f.seeds {
 		args = append(args, "--seed", s)
 	}
-	if f.o.Secret != "" {
-		args = append(args, "--fleet-secret", f.o.Secret)
+	if f.options.Secret != "" {
+		args = append(args, "--fleet-secret", f.options.Secret)
 	}
-	if role == "node" && f.o.Token != "" {
-		args = append(args, "--operator-token", f.o.Token)
+	if role == "node" && f.options.Token != "" {
+		args = append(args, "--operator-token", f.options.Token)
 	}
-	if role == "node" && f.o.Tokens != "" {
-		args = append(args, "--operator-tokens", f.o.Tokens)
+	if role == "node" && f.options.Tokens != "" {
+		args = append(args, "--operator-tokens", f.options.Tokens)
 	}
-	p := &Proc{Name: name, args: append(args, more...), mesh: mesh, oper: oper, zone: zone}
+	p := &Process{Name: name, args: append(args, more...), mesh: mesh, operator: oper, zone: zone}
 	if role == "core" {
-		p.Data = filepath.Join(f.o.Dir, name)
+		p.Data = filepath.Join(f.options.Dir, name)
 	}
 	return f.Start(p)
 }
@@ -213,7 +213,7 @@
 
 // Backends starts n servers of a cut.
 func (f *Fleet) Backends(cut string, shards, n int, addrs []string) error {
-	s := f.o.Shape
+	s := f.options.Shape
 	if len(addrs) < n {
 		var err error
 		if addrs, err = ports(commonIP, n); err != nil {
@@ -221,13 +221,13 @@
 		}
 	}
 	for i := range n {
-		v := s.Server(i, cut, shards, addrs[i])
+		v := s.Backend(i, cut, shards, addrs[i])
 		f.mu.Lock()
-		f.servers = append(f.servers, v)
+		f.backends = append(f.backends, v)
 		f.mu.Unlock()
-		err := f.Start(&Proc{Name: v.ID, args: []string{
-			filepath.Join(f.o.Bin, "lab"), "backend", "--id", v.ID, "--addr", v.Addr, "--index", v.Index, "--cut", v.ShardMap,
-			"--shard", fmt.Sprint(v.Shard), "--shards", fmt.Sprint(shards), "--journal", filepath.Join(f.o.Dir, v.ID+".ran"),
+		err := f.Start(&Process{Name: v.ID, args: []string{
+			filepath.Join(f.options.Bin, "lab"), "backend", "--id", v.ID, "--addr", v.Addr, "--index", v.Index, "--cut", v.ShardMap,
+			"--shard", fmt.Sprint(v.Shard), "--shards", fmt.Sprint(shards), "--journal", filepath.Join(f.options.Dir, v.ID+".ran"),
 		}})
 		if err != nil {
 			return err
--- a/lab/fleet/gather.go
+++ b/lab/fleet/gather.go
@@ -16,7 +16,7 @@
 // Ran gathers how often each key ran, over all servers that answer.
 func (f *Fleet) Ran() (ran map[string]int, asked map[string]backend.Report) {
 	ran, asked = map[string]int{}, map[string]backend.Report{}
-	for _, s := range f.servers {
+	for _, s := range f.backends {
 		resp, err := f.client.Get("http://" + s.Addr + "/lab/report")
 		if err != nil {
 			continue
@@ -30,8 +30,8 @@
 		asked[s.ID] = r
 	}
 	// From the journals, which outlive a server that was killed.
-	for _, s := range f.servers {
-		b, err := os.ReadFile(filepath.Join(f.o.Dir, s.ID+".ran"))
+	for _, s := range f.backends {
+		b, err := os.ReadFile(filepath.Join(f.options.Dir, s.ID+".ran"))
 		if err != nil {
 			continue
 		}
@@ -45,7 +45,7 @@
 // Metric sums one counter over the live nodes.
 func (f *Fleet) Metric(name string) int64 {
 	var sum int64
-	for _, oper := range f.Opers {
+	for _, oper := range f.OperatorAddrs {
 		resp, err := f.client.Get("http://" + oper + "/metrics")
 		if err != nil {
 			continue
--- a/lab/fleet/load.go
+++ b/lab/fleet/load.go
@@ -44,8 +44,8 @@
 	Only    string
 }
 
-// Loaded is one run's figures.
-type Loaded struct {
+// CaseResult is one run's figures.
+type CaseResult struct {
 	Good, P50, P99, Extra, Refused, Unknown, Partial, Violations int64
 	Balance                                                      float64
 }
@@ -66,7 +66,7 @@
 		}
 		for round := range o.Rounds {
 			for _, b := range order {
-				r, err := o.one(ctx, c, builds[b], uint64(round+1))
+				r, err := o.runCase(ctx, c, builds[b], uint64(round+1))
 				if err != nil {
 					return fmt.Errorf("%s, %s: %w", c.Name, b, err)
 				}
@@ -79,14 +79,14 @@
 	return nil
 }
 
-func (o LoadOptions) one(ctx context.Context, c Case, bin string, seed uint64) (Loaded, error) {
+func (o LoadOptions) runCase(ctx context.Context, c Case, bin string, seed uint64) (CaseResult, error) {
 	s, err := script.Parse(c.Name, c.Script)
 	if err != nil {
-		return Loaded{}, err
+		return CaseResult{}, err
 	}
 	dir, err := os.MkdirTemp(o.Dir, "load-")
 	if err != nil {
-		return Loaded{}, err
+		return CaseResult{}, err
 	}
 	run := o.Options
 	run.Dir, run.Bin = dir, bin
@@ -95,10 +95,10 @@
 	}
 	r, err := Run(ctx, RunOptions{Options: run, Rate: o.Rate * c.Times, Seconds: o.Seconds, Repeat: c.Repeat, Seed: seed, Script: s, UpWithin: time.Minute})
 	if err != nil {
-		return Loaded{}, err
+		return CaseResult{}, err
 	}
-	out := Loaded{
-		P50: r.Callers.Us["p50"], P99: r.Callers.Us["p99"], Extra: r.Counts["extra_tries"], Partial: int64(r.Callers.Partial),
+	out := CaseResult{
+		P50: r.Callers.LatencyUs["p50"], P99: r.Callers.LatencyUs["p99"], Extra: r.Counts["extra_tries"], Partial: int64(r.Callers.Partial),
 		Violations: int64(len(r.Violations)), Balance: r.Balance,
 	}
 	for _, kind := range []string{"search", "read", "correct", "part"} {
--- a/lab/fleet/logs.go
+++ b/lab/fleet/logs.go
@@ -14,7 +14,7 @@
 // stoppedRead sums the inquiries that nodes had read when they ended as planned.
 func (f *Fleet) stoppedRead() (sum int64) {
 	for _, n := range f.Nodes {
-		b, err := os.ReadFile(filepath.Join(f.o.Dir, n.Name+".log"))
+		b, err := os.ReadFile(filepath.Join(f.options.Dir, n.Name+".log"))
 		if err != nil {
 			continue
 		}
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -23,52 +23,52 @@
 )
 
 type operators struct {
-	f     *Fleet
-	began time.Time
-	mu    sync.Mutex
-	judge *check.Judge
-	mark  int64
-	wait  sync.WaitGroup
-	up    map[string]int64
-	// lost and back are when everything was lost and started again.
-	lost, back atomic.Int64
+	fleet   *Fleet
+	began   time.Time
+	mu      sync.Mutex
+	checker *check.Checker
+	mark    int64
+	wait    sync.WaitGroup
+	upSince map[string]int64
+	// lostAt and back are when everything was lost and started again.
+	lostAt, restoredAt atomic.Int64
 }
 
 const firstMark = 3_000_000
 
 func newOperators(f *Fleet) *operators {
-	return &operators{f: f, began: time.Now(), judge: check.New(), mark: firstMark, up: map[string]int64{}}
+	return &operators{fleet: f, began: time.Now(), checker: check.New(), mark: firstMark, upSince: map[string]int64{}}
 }
 
 func (o *operators) now() int64 { return time.Since(o.began).Microseconds() }
 
-type sheetNow struct {
-	Stamp string
-	Sheet struct {
+type configInForce struct {
+	Version string `json:"stamp"`
+	Config  struct {
 		Services []map[string]any `json:"services"`
 		Rows     []any            `json:"rows"`
 		Bookings []any            `json:"bookings"`
-	}
+	} `json:"sheet"`
 }
 
 // mark is the ramp by which a sheet is known; 0 where there is none.
-func (s sheetNow) mark() (mark int64) {
-	if len(s.Sheet.Services) > 0 {
-		fmt.Sscan(fmt.Sprint(s.Sheet.Services[0]["ramp_us"]), &mark)
+func (s configInForce) mark() (mark int64) {
+	if len(s.Config.Services) > 0 {
+		fmt.Sscan(fmt.Sprint(s.Config.Services[0]["ramp_us"]), &mark)
 	}
 	return mark
 }
 
-// read is the sheet in force at a node, as an operator reads it.
-func (o *operators) read(node string) (s sheetNow, err error) {
-	req, err := http.NewRequest(http.MethodGet, "http://"+o.f.Opers[node]+"/v1/sheet", nil)
+// readConfig is the sheet in force at a node, as an operator reads it.
+func (o *operators) readConfig(node string) (s configInForce, err error) {
+	req, err := http.NewRequest(http.MethodGet, "http://"+o.fleet.OperatorAddrs[node]+"/v1/sheet", nil)
 	if err != nil {
 		return s, err
 	}
-	req.Header.Set("Authorization", "Bearer "+o.f.o.Token)
+	req.Header.Set("Authorization", "Bearer "+o.fleet.options.Token)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	resp, err := o.f.client.Do(req.WithContext(ctx))
+	resp, err := o.fleet.client.Do(req.WithContext(ctx))
 	if err != nil {
 		return s, err
 	}
@@ -83,51 +83,51 @@
 // in a storm one after another, each based on what is in force then.
 func (o *operators) edits(ctx context.Context, n int, gap time.Duration, race bool) {
 	o.wait.Go(func() {
-		base, err := o.read("node-1")
+		base, err := o.readConfig("node-1")
 		for i := range n {
 			if ctx.Err() != nil {
 				return
 			}
-			node := fmt.Sprintf("node-%d", (i*3+1)%o.f.o.Shape.Nodes)
+			node := fmt.Sprintf("node-%d", (i*3+1)%o.fleet.options.Shape.Nodes)
 			if !race {
-				base, err = o.read(node)
+				base, err = o.readConfig(node)
 			}
-			if err == nil && len(base.Sheet.Services) > 0 {
-				o.wait.Go(func() { o.put(node, base) })
+			if err == nil && len(base.Config.Services) > 0 {
+				o.wait.Go(func() { o.putConfig(node, base) })
 			}
 			time.Sleep(gap)
 		}
 	})
 }
 
-func (o *operators) put(node string, base sheetNow) {
+func (o *operators) putConfig(node string, base configInForce) {
 	o.mu.Lock()
 	o.mark++
 	mark := o.mark
 	o.mu.Unlock()
-	body := base.Sheet
+	body := base.Config
 	body.Services = slices.Clone(body.Services)
 	body.Services[0] = maps.Clone(body.Services[0])
 	body.Services[0]["ramp_us"] = mark
-	stamp, _ := config.ParseVersion(0, base.Stamp)
-	t := check.Try{Mark: mark, Base: stamp, Began: o.now(), Ended: 1 << 62, Code: "open"}
-	o.tell(func(j *check.Judge) { j.Tried(t) })
-	code, taken := o.send(node, body, base.Stamp)
-	t.Code, t.Stamp, t.Ended = code, taken, o.now()
-	o.tell(func(j *check.Judge) { j.Retried(t); j.Count("edits."+code, 1) })
+	stamp, _ := config.ParseVersion(0, base.Version)
+	t := check.Edit{Mark: mark, Base: stamp, Began: o.now(), Ended: 1 << 62, Code: "open"}
+	o.withChecker(func(j *check.Checker) { j.EditBegan(t) })
+	code, taken := o.send(node, body, base.Version)
+	t.Code, t.Version, t.Ended = code, taken, o.now()
+	o.withChecker(func(j *check.Checker) { j.EditEnded(t); j.Count("edits."+code, 1) })
 }
 
 // send puts a sheet and tells what came of it, "open" where no answer came.
 func (o *operators) send(node string, body any, base string) (string, wire.Version) {
 	b, _ := json.Marshal(body)
-	req, err := http.NewRequest(http.MethodPut, "http://"+o.f.Opers[node]+"/v1/sheet", strings.NewReader(string(b)))
+	req, err := http.NewRequest(http.MethodPut, "http://"+o.fleet.OperatorAddrs[node]+"/v1/sheet", strings.NewReader(string(b)))
 	if err != nil {
 		return "open", wire.Version{}
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", "Bearer "+o.f.o.Token)
+	req.Header.Set("Authorization", "Bearer "+o.fleet.options.Token)
 	req.Header.Set("If-Match", base)
-	resp, err := o.f.client.Do(req)
+	resp, err := o.fleet.client.Do(req)
 	if err != nil {
 		return "open", wire.Version{}
 	}
@@ -142,41 +142,41 @@
 	return codeOf(got.Name), stamp
 }
 
-func (o *operators) tell(f func(j *check.Judge)) {
+func (o *operators) withChecker(f func(j *check.Checker)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	f(o.judge)
+	f(o.checker)
 }
 
 // watch looks at every node until the context ends.
 func (o *operators) watch(ctx context.Context) {
-	for _, n := range o.f.Nodes {
+	for _, n := range o.fleet.Nodes {
 		o.wait.Go(func() {
 			for ctx.Err() == nil {
 				asked := o.now()
-				s, err := o.read(n.Name)
-				o.tell(func(j *check.Judge) { o.saw(j, n.Name, s, err, asked) })
+				s, err := o.readConfig(n.Name)
+				o.withChecker(func(j *check.Checker) { o.observe(j, n.Name, s, err, asked) })
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
 	}
 }
 
-// saw tells the judge what a node has in force; one that did not answer in time was
+// observe tells the judge what a node has in force; one that did not answer in time was
 // not there, and is bound again from when it answers.
-func (o *operators) saw(j *check.Judge, node string, s sheetNow, err error, asked int64) {
-	if err != nil || len(s.Sheet.Services) == 0 {
-		if o.up[node] > 0 {
+func (o *operators) observe(j *check.Checker, node string, s configInForce, err error, asked int64) {
+	if err != nil || len(s.Config.Services) == 0 {
+		if o.upSince[node] > 0 {
 			j.Restarted(node)
 		}
-		o.up[node] = 0
+		o.upSince[node] = 0
 		return
 	}
-	if o.up[node] == 0 {
-		o.up[node] = o.now()
+	if o.upSince[node] == 0 {
+		o.upSince[node] = o.now()
 	}
-	stamp, _ := config.ParseVersion(0, s.Stamp)
-	j.InForce(node, stamp, s.mark(), asked, o.up[node])
+	stamp, _ := config.ParseVersion(0, s.Version)
+	j.InForce(node, stamp, s.mark(), asked, o.upSince[node])
 }
 
 // served tells the judge of recovery what callers got, second by second from a moment on.
@@ -185,10 +185,10 @@
 		var s int64
 		fmt.Sscan(strings.TrimLeft(k, "0"), &s)
 		for range n {
-			o.judge.Served(from + s*1_000_000)
+			o.checker.Served(from + s*1_000_000)
 		}
 	}
-	if o.back.Load() > 0 {
-		o.judge.Recovers(o.lost.Load(), o.back.Load())
+	if o.restoredAt.Load() > 0 {
+		o.checker.Recovers(o.lostAt.Load(), o.restoredAt.Load())
 	}
 }
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -25,14 +25,14 @@
 
 // call sends one request of an operator and reads a JSON answer; the code is as check's judges know it.
 func (o *operators) call(method, node, path string, into any) string {
-	ctx, cancel := context.WithTimeout(context.Background(), o.f.client.Timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), o.fleet.client.Timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.f.Opers[node]+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.fleet.OperatorAddrs[node]+path, nil)
 	if err != nil {
 		return "open"
 	}
-	req.Header.Set("Authorization", "Bearer "+o.f.o.Token)
-	resp, err := o.f.client.Do(req)
+	req.Header.Set("Authorization", "Bearer "+o.fleet.options.Token)
+	resp, err := o.fleet.client.Do(req)
 	if err != nil {
 		return "open"
 	}
@@ -60,12 +60,12 @@
 // begin notes the sheet that is in force before any edit: histories begin with it.
 func (o *operators) begin(ctx context.Context) error {
 	return poll(ctx, "the first sheet", func() error {
-		first, err := o.read("node-1")
+		first, err := o.readConfig("node-1")
 		if err != nil {
 			return err
 		}
-		stamp, _ := config.ParseVersion(0, first.Stamp)
-		o.tell(func(j *check.Judge) { j.BeganWith(stamp) })
+		stamp, _ := config.ParseVersion(0, first.Version)
+		o.withChecker(func(j *check.Checker) { j.BeganWith(stamp) })
 		return nil
 	})
 }
@@ -74,7 +74,7 @@
 func (o *operators) reads(ctx context.Context) {
 	o.wait.Go(func() {
 		for i := 0; ctx.Err() == nil; i++ {
-			o.readNewest(fmt.Sprintf("node-%d", i%o.f.o.Shape.Nodes))
+			o.readNewest(fmt.Sprintf("node-%d", i%o.fleet.options.Shape.Nodes))
 			time.Sleep(readInterval)
 		}
 	})
@@ -82,17 +82,17 @@
 
 // readNewest reads the history of the sheet, whose last entry is the newest.
 func (o *operators) readNewest(node string) {
-	var past []sheetNow
+	var past []configInForce
 	began := o.now()
 	code := o.call(http.MethodGet, node, "/v1/sheet/history", &past)
 	ended := o.now()
-	o.tell(func(j *check.Judge) { j.Count("reads."+code, 1) })
+	o.withChecker(func(j *check.Checker) { j.Count("reads."+code, 1) })
 	if code != "ok" || len(past) == 0 {
 		return
 	}
 	newest := past[len(past)-1]
-	stamp, _ := config.ParseVersion(0, newest.Stamp)
-	o.tell(func(j *check.Judge) { j.SheetRead(readingClient, stamp, newest.mark(), began, ended) })
+	stamp, _ := config.ParseVersion(0, newest.Version)
+	o.withChecker(func(j *check.Checker) { j.ConfigRead(readingClient, stamp, newest.mark(), began, ended) })
 }
 
 // zones has operators drain and restore a zone by turns, two at a time through different nodes.
@@ -102,7 +102,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			o.wait.Go(func() { o.setZone(zoneClient+i, fmt.Sprintf("node-%d", i%o.f.o.Shape.Nodes), zone, i%2 == 0) })
+			o.wait.Go(func() { o.setZone(zoneClient+i, fmt.Sprintf("node-%d", i%o.fleet.options.Shape.Nodes), zone, i%2 == 0) })
 			time.Sleep(gap)
 		}
 	})
@@ -117,7 +117,7 @@
 	began := o.now()
 	code := o.call(http.MethodPost, node, "/v1/zones/"+zone+"/"+action, &taken)
 	ended := o.now()
-	o.tell(func(j *check.Judge) {
+	o.withChecker(func(j *check.Checker) {
 		j.ZoneSet(client, zone, drained, code, began, ended)
 		j.Count("zones."+code, 1)
 	})
@@ -144,7 +144,7 @@
 			drained = drained || s.Zone == zone && s.Verdict == "emptied"
 		}
 		ended := o.now()
-		o.tell(func(j *check.Judge) { j.ZoneRead(readingClient, zone, drained, began, ended) })
+		o.withChecker(func(j *check.Checker) { j.ZoneRead(readingClient, zone, drained, began, ended) })
 		return nil
 	})
 }
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -14,20 +14,20 @@
 
 // release ends a process as planned and starts it with the other release's program.
 func (f *Fleet) release(name string, newer bool) error {
-	if f.o.Before == "" {
+	if f.options.Before == "" {
 		return fmt.Errorf("needs --before, the folder of an earlier release's programs")
 	}
 	if err := f.Signal(name, syscall.SIGTERM); err != nil {
 		return err
 	}
 	f.mu.Lock()
-	p := f.procs[name]
+	p := f.processes[name]
 	f.mu.Unlock()
 	<-p.done
 	p.args = slices.DeleteFunc(slices.Clone(p.args), func(a string) bool { return a == mixed })
-	p.args[0] = filepath.Join(f.o.Before, "wallport")
+	p.args[0] = filepath.Join(f.options.Before, "wallport")
 	if newer {
-		p.args[0] = filepath.Join(f.o.Bin, "wallport")
+		p.args[0] = filepath.Join(f.options.Bin, "wallport")
 		p.args = append(p.args, mixed)
 	}
 	return f.Start(p)
--- a/lab/fleet/replace.go
+++ b/lab/fleet/replace.go
@@ -17,24 +17,24 @@
 		return err
 	}
 	f.mu.Lock()
-	f.gone[old] = true
-	zone := f.procs[old].zone
+	f.stopped[old] = true
+	zone := f.processes[old].zone
 	f.mu.Unlock()
 	addrs, err := ports(commonIP, 2)
 	if err != nil {
 		return err
 	}
-	return f.daemon("core", name, zone, addrs[0], addrs[1], "--data", filepath.Join(f.o.Dir, name))
+	return f.daemon("core", name, zone, addrs[0], addrs[1], "--data", filepath.Join(f.options.Dir, name))
 }
 
 // owner finds the core that owns most parts, by what the cores themselves tell.
 func (f *Fleet) owner() string {
 	best, most := "core-0", int64(-1)
-	for name, p := range f.procs {
-		if p.Data == "" || f.gone[name] {
+	for name, p := range f.processes {
+		if p.Data == "" || f.stopped[name] {
 			continue
 		}
-		resp, err := http.Get("http://" + p.oper + "/metrics")
+		resp, err := http.Get("http://" + p.operator + "/metrics")
 		if err != nil {
 			continue
 		}
@@ -48,7 +48,7 @@
 // fileLimit makes writes past so many bytes of a file fail, as on a full disk.
 func (f *Fleet) fileLimit(name string, most uint64) error {
 	f.mu.Lock()
-	p := f.procs[name]
+	p := f.processes[name]
 	f.mu.Unlock()
 	if p == nil {
 		return fmt.Errorf("no process %s", name)
@@ -64,8 +64,8 @@
 func (f *Fleet) all(do func(name string) error) error {
 	f.mu.Lock()
 	var names []string
-	for name := range f.procs {
-		if name != "platform" && !f.gone[name] {
+	for name := range f.processes {
+		if name != "platform" && !f.stopped[name] {
 			names = append(names, name)
 		}
 	}
--- a/lab/fleet/run.go
+++ b/lab/fleet/run.go
@@ -78,7 +78,7 @@
 			return nil, err
 		}
 	}
-	f.judge(r)
+	f.check(r)
 	r.Counts["inquiries_read"] = f.Metric("inquiries_read") + f.stoppedRead() - before
 	if o.Stay {
 		<-ctx.Done()
@@ -99,16 +99,16 @@
 }
 
 func (f *Fleet) announce() {
-	fmt.Fprintf(f.o.Log, "platform=%s logs=%s\n", f.Platform, f.o.Dir)
+	fmt.Fprintf(f.options.Log, "platform=%s logs=%s\n", f.Platform, f.options.Dir)
 	for _, n := range f.Nodes {
-		fmt.Fprintf(f.o.Log, "node=%s zone=%s caller=%s operator=%s\n", n.Name, n.Zone, n.Caller, f.Opers[n.Name])
+		fmt.Fprintf(f.options.Log, "node=%s zone=%s caller=%s operator=%s\n", n.Name, n.Zone, n.Caller, f.OperatorAddrs[n.Name])
 	}
 }
 
-// judge feeds what the stand-ins saw to the same judges as the simulator, and
+// check feeds what the stand-ins saw to the same judges as the simulator, and
 // gathers counts.
-func (f *Fleet) judge(r *Result) {
-	j := f.operators.judge
+func (f *Fleet) check(r *Result) {
+	j := f.operators.checker
 	j.Chain()
 	ran, reports := f.Ran()
 	for key, n := range ran {
@@ -117,12 +117,12 @@
 	for _, key := range r.Callers.Refused {
 		j.Refused(key, 0)
 	}
-	for id, at := range f.left {
-		j.Leaves(id, at)
+	for id, at := range f.drainingSince {
+		j.BackendDrains(id, at)
 		if v, ok := reports[id]; ok && v.Last > at {
-			j.Asked(f.o.Shape.Index, id, "", v.Last, false, false)
+			j.Request(f.options.Shape.Index, id, "", v.Last, false, false)
 		} else {
-			j.Idle(check.LeavingWork)
+			j.Idle(check.DrainingWork)
 		}
 	}
 	for _, v := range j.Violations {
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -36,16 +36,16 @@
 // Zone is the zone of the i-th machine.
 func (s Shape) Zone(i int) string { return fmt.Sprintf("z%d", i%s.Zones+1) }
 
-// Server names and places the i-th server of a cut.
-func (s Shape) Server(i int, cut string, shards int, addr string) wire.Backend {
+// Backend names and places the i-th server of a cut.
+func (s Shape) Backend(i int, cut string, shards int, addr string) wire.Backend {
 	return wire.Backend{
 		ID: fmt.Sprintf("%s-%d-%d", cut, i%shards, i/shards), Addr: addr, Zone: s.Zone(i / shards), Index: s.Index,
 		ShardMap: cut, Shard: i % shards, State: "ready",
 	}
 }
 
-// Sheet is a sheet that fits the shape.
-func (s Shape) Sheet() json.RawMessage {
+// Config is a sheet that fits the shape.
+func (s Shape) Config() json.RawMessage {
 	kinds := []map[string]any{}
 	for _, k := range []struct {
 		kind  string
@@ -66,8 +66,8 @@
 	return b
 }
 
-// Sheet is the sheet that the fleet was started with.
-func (f *Fleet) Sheet() json.RawMessage { return f.o.Shape.Sheet() }
+// Config is the sheet that the fleet was started with.
+func (f *Fleet) Config() json.RawMessage { return f.options.Shape.Config() }
 
 // FullRate is what a deployment serves today, in inquiries a second.
 const FullRate = 530
--- a/lab/fleet/signals.go
+++ b/lab/fleet/signals.go
@@ -10,24 +10,24 @@
 // Signal sends a signal to one process by its id.
 func (f *Fleet) Signal(name string, sig syscall.Signal) error {
 	f.mu.Lock()
-	p := f.procs[name]
+	p := f.processes[name]
 	f.mu.Unlock()
 	if p == nil {
 		return fmt.Errorf("no process %s", name)
 	}
-	p.ends = p.ends || sig == syscall.SIGKILL || sig == syscall.SIGTERM
+	p.stopping = p.stopping || sig == syscall.SIGKILL || sig == syscall.SIGTERM
 	return p.cmd.Process.Signal(sig)
 }
 
 // Restart starts a process that was told to end again as it was; others go on.
 func (f *Fleet) Restart(name string) error {
 	f.mu.Lock()
-	p := f.procs[name]
+	p := f.processes[name]
 	f.mu.Unlock()
 	if p == nil {
 		return fmt.Errorf("no process %s", name)
 	}
-	if !p.ends {
+	if !p.stopping {
 		return nil
 	}
 	<-p.done
@@ -39,11 +39,11 @@
 	f.network.End()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range f.procs {
+	for _, p := range f.processes {
 		p.cmd.Process.Signal(syscall.SIGCONT)
 		p.cmd.Process.Kill()
 	}
-	for _, p := range f.procs {
+	for _, p := range f.processes {
 		<-p.done
 	}
 }
--- a/lab/fleet/verbs.go
+++ b/lab/fleet/verbs.go
@@ -25,17 +25,17 @@
 			return nil
 		case <-time.After(time.Until(began.Add(time.Duration(st.At) * time.Microsecond))):
 		}
-		if f.o.Log != nil {
-			fmt.Fprintf(f.o.Log, "at=%s step=%q args=%q\n", time.Since(began).Round(time.Millisecond), st.Verb, strings.Join(st.Args, " "))
+		if f.options.Log != nil {
+			fmt.Fprintf(f.options.Log, "at=%s step=%q args=%q\n", time.Since(began).Round(time.Millisecond), st.Verb, strings.Join(st.Args, " "))
 		}
-		if err := f.do(ctx, st); err != nil {
+		if err := f.runStep(ctx, st); err != nil {
 			return fmt.Errorf("%s:%d: %w", s.Name, st.Line, err)
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) do(ctx context.Context, st script.Step) error {
+func (f *Fleet) runStep(ctx context.Context, st script.Step) error {
 	arg := func(i int) string {
 		if i < len(st.Args) {
 			return st.Args[i]
@@ -62,13 +62,13 @@
 	case "restart":
 		return each(f.Restart)
 	case "lose-all":
-		f.operators.lost.Store(f.operators.now())
+		f.operators.lostAt.Store(f.operators.now())
 		return f.all(func(n string) error { return f.Signal(n, syscall.SIGKILL) })
 	case "start-all":
-		f.operators.back.Store(f.operators.now())
+		f.operators.restoredAt.Store(f.operators.now())
 		return f.all(f.Restart)
 	case "lose-disk":
-		return each(func(n string) error { return os.RemoveAll(f.procs[n].Data) })
+		return each(func(n string) error { return os.RemoveAll(f.processes[n].Data) })
 	case "fault":
 		us, _ := strconv.ParseInt(arg(2), 10, 64)
 		return f.post("http://"+f.addr(arg(0))+"/lab/fault", backend.Fault{Mode: arg(1), Us: us})
@@ -79,18 +79,18 @@
 		f.network.Set(f.match(st.Args[:1]), f.match(st.Args[1:]), st.Verb == "cut-off")
 		return nil
 	case "leave":
-		f.mark(st.Args, "leaving")
-		return f.tellPlatform(ctx)
+		f.setState(st.Args, "leaving")
+		return f.notifyPlatform(ctx)
 	case "platform":
 		return f.post(f.Platform+"/lab/mode/"+arg(0), nil)
 	case "zone":
-		return f.post(fmt.Sprintf("http://%s/v1/zones/%s/%s", f.Opers["node-1"], arg(1), arg(0)), nil)
+		return f.post(fmt.Sprintf("http://%s/v1/zones/%s/%s", f.OperatorAddrs["node-1"], arg(1), arg(0)), nil)
 	case "backends":
 		shards, _ := strconv.Atoi(arg(1))
-		if err := f.Backends(arg(0), shards, max(2, f.o.Shape.PerShard*f.o.Shape.Shards/max(shards, 1))*shards, nil); err != nil {
+		if err := f.Backends(arg(0), shards, max(2, f.options.Shape.PerShard*f.options.Shape.Shards/max(shards, 1))*shards, nil); err != nil {
 			return err
 		}
-		return f.tellPlatform(ctx)
+		return f.notifyPlatform(ctx)
 	case "race", "storm":
 		n, _ := strconv.Atoi(arg(0))
 		gap, _ := time.ParseDuration(arg(1))
@@ -108,7 +108,7 @@
 		defer f.mu.Unlock()
 		f.seeds = nil
 		for _, n := range st.Args {
-			f.seeds = append(f.seeds, f.procs[n].mesh)
+			f.seeds = append(f.seeds, f.processes[n].mesh)
 		}
 		return nil
 	case "upgrade", "downgrade":
@@ -129,7 +129,7 @@
 		return nil
 	case "cut":
 		shards, _ := strconv.Atoi(arg(1))
-		return f.post("http://"+f.Opers["node-1"]+"/v1/indexes/"+f.o.Shape.Index+"/cut", map[string]any{"cut": arg(0), "shards": shards})
+		return f.post("http://"+f.OperatorAddrs["node-1"]+"/v1/indexes/"+f.options.Shape.Index+"/cut", map[string]any{"cut": arg(0), "shards": shards})
 	}
 	return fmt.Errorf("no verb %q on real processes", st.Verb)
 }
@@ -144,8 +144,8 @@
 	for _, a := range args {
 		zone, byZone := strings.CutPrefix(a, "zone:")
 		if prefix, many := strings.CutSuffix(a, "*"); many {
-			for name := range f.procs {
-				if strings.HasPrefix(name, prefix) && !f.gone[name] {
+			for name := range f.processes {
+				if strings.HasPrefix(name, prefix) && !f.stopped[name] {
 					out = append(out, name)
 				}
 			}
@@ -159,8 +159,8 @@
 			out = append(out, a)
 			continue
 		}
-		for i := range f.o.Shape.Cores {
-			if f.o.Shape.Zone(i) == zone {
+		for i := range f.options.Shape.Cores {
+			if f.options.Shape.Zone(i) == zone {
 				out = append(out, fmt.Sprintf("core-%d", i))
 			}
 		}
@@ -169,7 +169,7 @@
 				out = append(out, n.Name)
 			}
 		}
-		for _, s := range f.servers {
+		for _, s := range f.backends {
 			if s.Zone == zone {
 				out = append(out, s.ID)
 			}
@@ -178,15 +178,15 @@
 	return out
 }
 
-func (f *Fleet) mark(ids []string, state string) {
+func (f *Fleet) setState(ids []string, state string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i := range f.servers {
+	for i := range f.backends {
 		for _, id := range ids {
-			if f.servers[i].ID == id {
-				f.servers[i].State = state
+			if f.backends[i].ID == id {
+				f.backends[i].State = state
 				// The platform shows it after its lag.
-				f.left[id] = time.Now().Add(platformLag).UnixMicro()
+				f.drainingSince[id] = time.Now().Add(platformLag).UnixMicro()
 			}
 		}
 	}
@@ -195,7 +195,7 @@
 func (f *Fleet) addr(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.servers {
+	for _, s := range f.backends {
 		if s.ID == id {
 			return s.Addr
 		}
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestPlantedFaultsAreRejected(t *testing.T) {
+func TestPlantedFaultsFail(t *testing.T) {
 	for name, h := range map[string]*History{
 		"two orders on one base both acknowledged":   of(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Accepted)),
 		"two orders of one number both acknowledged": of(numbered("a", "1", "", 1, 5, Accepted), numbered("b", "1", "", 1, 5, Accepted)),
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestASearchThatIsGivenUpIsSaidSo(t *testing.T) {
+func TestUndecidedSearchIsReported(t *testing.T) {
 	h := of(change("a", "", 1, 2, Accepted), read("a", 3, 4))
 	var undecided *Undecided
 	must.True(t, errors.As(checkRegister(Configuration, h.Operations, 1), &undecided))
@@ -93,7 +93,7 @@
 }
 
 // A day has some hundred changes; each is one of two on its base, and every tenth answer is lost.
-func TestALongHistoryIsDecided(t *testing.T) {
+func TestLongHistoryIsDecided(t *testing.T) {
 	h := &History{}
 	last := ""
 	for i := range int64(600) {
--- a/lab/model/action.go
+++ b/lab/model/action.go
@@ -26,9 +26,9 @@
 	CrashAlone
 	// LoseDisk does so with an empty disk.
 	LoseDisk
-	// Cut cuts Replica off from all others. Rejoin ends that: with Argument 0 what waited is
+	// Isolate cuts Replica off from all others. Rejoin ends that: with Argument 0 what waited is
 	// delivered late, with 1 the connections broke and it is lost.
-	Cut
+	Isolate
 	Rejoin
 	// Freeze stops Replica as it is, Thaw lets it go on.
 	Freeze
--- a/lab/model/apply.go
+++ b/lab/model/apply.go
@@ -46,7 +46,7 @@
 	switch a.Kind {
 	case Deliver, Double, Announce:
 		return a.Peer
-	case Sync, Crash, CrashAlone, LoseDisk, Cut, Rejoin, Freeze, Thaw, Stop, Call:
+	case Sync, Crash, CrashAlone, LoseDisk, Isolate, Rejoin, Freeze, Thaw, Stop, Call:
 		return a.Replica
 	default:
 		return everyReplica
@@ -70,12 +70,12 @@
 		s.left.LostDisks--
 		s.disks[i] = newDisk(map[string][]byte{})
 		return w.restart(s, i, false)
-	case Cut:
-		s.left.Cuts--
-		s.cut |= 1 << i
+	case Isolate:
+		s.left.Isolations--
+		s.isolated |= 1 << i
 		return nil
 	case Rejoin:
-		s.cut &^= 1 << i
+		s.isolated &^= 1 << i
 		if a.Argument == messagesLost {
 			w.breakConnections(s, i)
 		}
@@ -96,10 +96,10 @@
 		return w.call(s, a.Argument, i)
 	case Hold:
 		s.left.Holds--
-		s.held |= 1 << a.Argument
+		s.pausedSources |= 1 << a.Argument
 		return nil
 	case Release:
-		s.held &^= 1 << a.Argument
+		s.pausedSources &^= 1 << a.Argument
 		return nil
 	}
 	return errNotEnabled
--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -13,27 +13,27 @@
 )
 
 // change is an order that adds an item to a version.
-func change(name string, base, revision int64) Order {
-	return Order{Name: name, Kind: ChangeOrder, Base: base, Revision: revision}
+func change(name string, base, revision int64) Command {
+	return Command{Name: name, Kind: ChangeCommand, Base: base, Revision: revision}
 }
 
-func read(name string) Order { return Order{Name: name, Kind: ReadOrder} }
+func read(name string) Command { return Command{Name: name, Kind: ReadCommand} }
 
 // Configs are the configurations of the bounded exploration, by what they bring about.
 func Configs() []Config {
-	one := [][]Order{{change("a1", 0, 1)}}
-	two := [][]Order{{change("a1", 0, 1), change("a2", 1, 2)}}
-	rivals := [][]Order{{change("a1", 0, 1)}, {change("b1", 0, 1)}}
-	reader := [][]Order{{change("a1", 0, 1)}, {read("b-read"), read("b-again")}}
-	drains := [][]Order{{{Name: "a-drain", Kind: DrainOrder, Zone: "zone-1"}}, {read("b-read")}}
+	one := [][]Command{{change("a1", 0, 1)}}
+	two := [][]Command{{change("a1", 0, 1), change("a2", 1, 2)}}
+	rivals := [][]Command{{change("a1", 0, 1)}, {change("b1", 0, 1)}}
+	reader := [][]Command{{change("a1", 0, 1)}, {read("b-read"), read("b-again")}}
+	drains := [][]Command{{{Name: "a-drain", Kind: DrainCommand, Zone: "zone-1"}}, {read("b-read")}}
 	election, both, quiet := []int{electionSpan}, []int{heartbeatSpan, electionSpan}, []int{quietSpan}
 	// In silent, the standby makes itself known while a voter is away, nearly long enough to be replaced.
 	pass := Action{Kind: Elapse, Argument: quietSpan}
 	silent := []Action{pass, pass, pass, {Kind: Announce, Replica: 3, Peer: 0}}
 	// In replaced, the first replica is cut off for long enough that another one leads.
-	replaced := []Action{{Kind: Cut, Replica: 0}, {Kind: Elapse, Argument: electionSpan}}
+	replaced := []Action{{Kind: Isolate, Replica: 0}, {Kind: Elapse, Argument: electionSpan}}
 	// In behind, the first order is committed without the second replica, which then has to lead.
-	behind := []Action{{Kind: Call, Replica: 0}, {Kind: Cut, Replica: 0}, {Kind: Rejoin, Replica: 1, Argument: messagesLost}}
+	behind := []Action{{Kind: Call, Replica: 0}, {Kind: Isolate, Replica: 0}, {Kind: Rejoin, Replica: 1, Argument: messagesLost}}
 	return []Config{
 		{Name: "election and a crash", Voters: 3, Operators: one, Spans: []int{rivalSpan}, Budget: Budget{Elapses: 2, Crashes: 1, Holds: 1}},
 		{Name: "election and two crashes", Voters: 3, Operators: one, Spans: both, Budget: Budget{Elapses: 2, Crashes: 2}},
@@ -43,14 +43,14 @@
 		{Name: "rivals, late messages", Voters: 3, Settled: true, Operators: rivals, Spans: both, Budget: Budget{Elapses: 1, Holds: 1, Calls: 3}},
 		{Name: "rivals, lost and doubled", Voters: 3, Settled: true, Operators: rivals, Spans: both, Budget: Budget{Elapses: 1, Losses: 1, Doubles: 1, Calls: 2}},
 		{Name: "repeat after a crash", Voters: 3, Settled: true, Operators: two, Spans: election, Budget: Budget{Elapses: 2, Crashes: 1, Calls: 3}},
-		{Name: "leader cut off", Voters: 3, Settled: true, Operators: reader, Spans: election, Budget: Budget{Elapses: 2, Cuts: 1, Calls: 2}},
-		{Name: "leader back with old messages", Voters: 3, Settled: true, Operators: one, Spans: election, Faulty: []int{0}, Budget: Budget{Elapses: 1, Cuts: 1, Holds: 1, Calls: 1}},
+		{Name: "leader cut off", Voters: 3, Settled: true, Operators: reader, Spans: election, Budget: Budget{Elapses: 2, Isolations: 1, Calls: 2}},
+		{Name: "leader back with old messages", Voters: 3, Settled: true, Operators: one, Spans: election, Faulty: []int{0}, Budget: Budget{Elapses: 1, Isolations: 1, Holds: 1, Calls: 1}},
 		{Name: "new leader with an older version", Voters: 3, Settled: true, Away: []int{1}, Prelude: behind, Operators: reader, Spans: election, Budget: Budget{Elapses: 1, Holds: 1, Calls: 2}},
 		{Name: "order to a leader cut off", Voters: 3, Settled: true, Prelude: replaced, Operators: two, Spans: election, Budget: Budget{Holds: 1, Calls: 4}},
 		{Name: "leader frozen", Voters: 3, Settled: true, Operators: reader, Spans: election, Budget: Budget{Elapses: 2, Freezes: 1, Calls: 2}},
 		{Name: "a drain delayed", Voters: 3, Settled: true, Operators: drains, Spans: both, Budget: Budget{Elapses: 1, Delays: 1, Holds: 1, Calls: 2}},
 		{Name: "disk lost", Voters: 3, Settled: true, Operators: two, Spans: both, Budget: Budget{Elapses: 2, LostDisks: 1, Calls: 2}},
-		{Name: "replacement", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Cuts: 1, Calls: 1}},
+		{Name: "replacement", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Isolations: 1, Calls: 1}},
 		{Name: "replacement and a crash", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Crashes: 1, Calls: 1}},
 		{Name: "replacement, late messages", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Holds: 1, Calls: 1}},
 		{Name: "planned stop", Voters: 3, Standbys: 1, Settled: true, Operators: two, Spans: election, Budget: Budget{Elapses: 2, Stops: 1, Announces: 1, Calls: 2}},
@@ -62,7 +62,7 @@
 func (c Config) Deeper(by int) Config {
 	b := &c.Budget
 	for _, n := range []*int{
-		&b.Elapses, &b.Losses, &b.Doubles, &b.Delays, &b.Crashes, &b.LostDisks, &b.Cuts, &b.Freezes, &b.Announces, &b.Stops, &b.Calls, &b.Holds,
+		&b.Elapses, &b.Losses, &b.Doubles, &b.Delays, &b.Crashes, &b.LostDisks, &b.Isolations, &b.Freezes, &b.Announces, &b.Stops, &b.Calls, &b.Holds,
 	} {
 		if *n > 0 {
 			*n += by
@@ -77,12 +77,12 @@
 func Everything(replicas int) Config {
 	return Config{
 		Name: "everything", Voters: 3, Standbys: max(0, replicas-3), Spans: []int{heartbeatSpan, quietSpan, electionSpan},
-		Operators: [][]Order{
+		Operators: [][]Command{
 			{change("a1", 0, 1), change("a2", 1, 2), read("a-read"), change("a3", 2, 3)},
-			{change("b1", 0, 1), read("b-read"), {Name: "b-drain", Kind: DrainOrder, Zone: "zone-1"}, read("b-again")},
+			{change("b1", 0, 1), read("b-read"), {Name: "b-drain", Kind: DrainCommand, Zone: "zone-1"}, read("b-again")},
 		},
 		Budget: Budget{
-			Holds: AllInterleavings, Elapses: 60, Losses: 6, Doubles: 4, Delays: 6, Crashes: 4, LostDisks: 1, Cuts: 3, Freezes: 2, Announces: 8, Stops: 1, Calls: 24,
+			Holds: AllInterleavings, Elapses: 60, Losses: 6, Doubles: 4, Delays: 6, Crashes: 4, LostDisks: 1, Isolations: 3, Freezes: 2, Announces: 8, Stops: 1, Calls: 24,
 		},
 	}
 }
--- a/lab/model/enabled.go
+++ b/lab/model/enabled.go
@@ -51,7 +51,7 @@
 	}
 	queue := source - w.replicas
 	from, to := queue/w.replicas, queue%w.replicas
-	return s.frozenAt[to] == 0 && s.cut&(1<<from|1<<to) == 0 && len(s.queues[queue]) > 0
+	return s.frozenAt[to] == 0 && s.isolated&(1<<from|1<<to) == 0 && len(s.queues[queue]) > 0
 }
 
 // enabled lists what may happen in a state.
@@ -60,7 +60,7 @@
 	var actions []Action
 	idle := true
 	for _, source := range s.order {
-		if s.held&(1<<source) != 0 || !w.ready(s, int(source)) {
+		if s.pausedSources&(1<<source) != 0 || !w.ready(s, int(source)) {
 			continue
 		}
 		if all || idle {
@@ -82,7 +82,7 @@
 // idleActions are those that wait until no source is ready, unless all interleavings are wanted.
 func (w *World) idleActions(s *system, actions []Action) []Action {
 	for source := range w.sources() {
-		if s.held&(1<<source) != 0 {
+		if s.pausedSources&(1<<source) != 0 {
 			actions = append(actions, Action{Kind: Release, Argument: source, description: w.sourceName(source)})
 		}
 	}
@@ -90,7 +90,7 @@
 		if at != 0 {
 			actions = append(actions, Action{Kind: Thaw, Replica: i})
 		}
-		if s.cut&(1<<i) != 0 {
+		if s.isolated&(1<<i) != 0 {
 			actions = append(actions, Action{Kind: Rejoin, Replica: i}, Action{Kind: Rejoin, Replica: i, Argument: messagesLost})
 		}
 	}
@@ -145,7 +145,7 @@
 	for _, fault := range []struct {
 		left int
 		kind ActionKind
-	}{{s.left.LostDisks, LoseDisk}, {s.left.Cuts, Cut}, {s.left.Freezes, Freeze}, {s.left.Stops, Stop}} {
+	}{{s.left.LostDisks, LoseDisk}, {s.left.Isolations, Isolate}, {s.left.Freezes, Freeze}, {s.left.Stops, Stop}} {
 		if fault.left > 0 {
 			actions = append(actions, Action{Kind: fault.kind, Replica: i})
 		}
--- a/lab/model/explore.go
+++ b/lab/model/explore.go
@@ -16,8 +16,8 @@
 type Report struct {
 	// States are those found, Transitions the actions tried, Depth the longest schedule of a state.
 	States, Transitions, Depth int
-	// Whole is that nothing was left out within the bound of the depth.
-	Whole bool
+	// Complete is that nothing was left out within the bound of the depth.
+	Complete bool
 	// Steps were run on the product's code, Replayed again to rebuild a process; Processes are the
 	// different states of single replicas.
 	Steps, Replayed, Processes int
@@ -26,7 +26,7 @@
 
 func (r Report) String() string {
 	extent := "whole"
-	if !r.Whole {
+	if !r.Complete {
 		extent = "cut short"
 	}
 	return fmt.Sprintf("%d states, %d transitions, depth %d, %s; %d states of single replicas, %d steps of the product's code, %d to rebuild",
@@ -54,7 +54,7 @@
 	if err != nil {
 		return w.report(Report{Failure: &Failure{Violation: err}})
 	}
-	r := Report{States: 1, Whole: true}
+	r := Report{States: 1, Complete: true}
 	seen := map[digest]bool{first.key(): true}
 	for frontier := []*system{first}; len(frontier) > 0 && r.Depth < bound.Depth; r.Depth++ {
 		var next []*system
@@ -72,7 +72,7 @@
 					continue
 				}
 				if r.States >= bound.States {
-					r.Whole = false
+					r.Complete = false
 					return w.report(r)
 				}
 				seen[key] = true
--- a/lab/model/invariants.go
+++ b/lab/model/invariants.go
@@ -100,7 +100,7 @@
 	}
 	for _, order := range s.record.refused {
 		if w.carries(c, order) {
-			return violation(InvariantRefusedOrder, "%s is in version %s", w.orders[order].Name, versionText(p.committed))
+			return violation(InvariantRefusedOrder, "%s is in version %s", w.commands[order].Name, versionText(p.committed))
 		}
 	}
 	return w.checkChain(s)
@@ -112,21 +112,21 @@
 
 // carries reports whether contents have an order; orders that later ones may undo are left to the histories.
 func (w *World) carries(c contents, number int) bool {
-	o := &w.orders[number]
-	if o.Kind == ChangeOrder {
-		return slices.Contains(c.orders, o.Name)
+	o := &w.commands[number]
+	if o.Kind == ChangeCommand {
+		return slices.Contains(c.commands, o.Name)
 	}
-	return o.Kind == DrainOrder && !w.restores[o.Zone] && slices.Contains(c.drained, o.Zone)
+	return o.Kind == DrainCommand && !w.restores[o.Zone] && slices.Contains(c.drained, o.Zone)
 }
 
 func (w *World) lasting(number int) bool {
-	o := &w.orders[number]
-	return o.Kind == ChangeOrder || o.Kind == DrainOrder && !w.restores[o.Zone]
+	o := &w.commands[number]
+	return o.Kind == ChangeCommand || o.Kind == DrainCommand && !w.restores[o.Zone]
 }
 
 func (w *World) checkCarried(order int, at, committed wire.Version, c contents) error {
 	if w.lasting(order) && !newer(at, committed) && !w.carries(c, order) {
-		return violation(InvariantDurableOrder, "%s was acknowledged at %s and is not in %s", w.orders[order].Name, versionText(at), versionText(committed))
+		return violation(InvariantDurableOrder, "%s was acknowledged at %s and is not in %s", w.commands[order].Name, versionText(at), versionText(committed))
 	}
 	return nil
 }
@@ -140,8 +140,8 @@
 			continue
 		}
 		if before != nil {
-			for _, name := range before.contents.orders {
-				if !slices.Contains(v.contents.orders, name) {
+			for _, name := range before.contents.commands {
+				if !slices.Contains(v.contents.commands, name) {
 					return violation(InvariantChain, "%s is in %s and not in %s", name, versionText(before.Version), versionText(at))
 				}
 			}
@@ -156,7 +156,7 @@
 	w.Seen.Refused++
 	for _, at := range s.record.committed {
 		if v := w.proposal(s, at); v != nil && w.carries(v.contents, number) {
-			return violation(InvariantRefusedOrder, "%s was refused and is in version %s", w.orders[number].Name, versionText(at))
+			return violation(InvariantRefusedOrder, "%s was refused and is in version %s", w.commands[number].Name, versionText(at))
 		}
 	}
 	return nil
@@ -167,10 +167,10 @@
 	w.Seen.Acknowledged++
 	v := w.proposal(s, r.Version)
 	if v == nil {
-		return violation(InvariantMajority, "%s was acknowledged at %s, which nobody proposed", w.orders[number].Name, versionText(r.Version))
+		return violation(InvariantMajority, "%s was acknowledged at %s, which nobody proposed", w.commands[number].Name, versionText(r.Version))
 	}
 	if !w.syncedByMajority(s, v, v.Voters, number) || len(v.PreviousVoters) > 0 && !w.syncedByMajority(s, v, v.PreviousVoters, number) {
-		return violation(InvariantMajority, "%s was acknowledged at %s", w.orders[number].Name, versionText(r.Version))
+		return violation(InvariantMajority, "%s was acknowledged at %s", w.commands[number].Name, versionText(r.Version))
 	}
 	for _, at := range s.record.committed {
 		if known := w.proposal(s, at); known != nil {
@@ -208,14 +208,14 @@
 	begins, ended := map[int]int64{}, map[int]bool{}
 	for i, e := range s.record.events {
 		if !e.end {
-			begins[e.order] = int64(i)
+			begins[e.command] = int64(i)
 			continue
 		}
-		ended[e.order] = true
-		w.addEnded(h, e, begins[e.order], int64(i))
+		ended[e.command] = true
+		w.addEnded(h, e, begins[e.command], int64(i))
 	}
 	for order, begin := range begins {
-		if !ended[order] && w.orders[order].Kind != ReadOrder {
+		if !ended[order] && w.commands[order].Kind != ReadCommand {
 			op := w.changeOf(order)
 			op.Begin = begin
 			h.Add(op)
@@ -232,9 +232,9 @@
 func (w *World) addEnded(h *history.History, e event, begin, end int64) {
 	operations := []history.Operation{}
 	if e.reading != nil {
-		operations = w.readsOf(e.order, e.reading)
+		operations = w.readsOf(e.command, e.reading)
 	} else {
-		operations = append(operations, w.changeOf(e.order))
+		operations = append(operations, w.changeOf(e.command))
 	}
 	for _, op := range operations {
 		op.Begin, op.End, op.Outcome = begin, end, history.Refused
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -20,7 +20,7 @@
 // everySchedule is a depth that no bounded configuration reaches.
 const everySchedule = 1_000
 
-func TestNoInvariantBreaksWithinTheBound(t *testing.T) {
+func TestInvariantsHoldWithinBound(t *testing.T) {
 	for _, c := range Configs() {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
@@ -37,7 +37,7 @@
 			if testing.Short() {
 				return
 			}
-			must.True(t, r.Whole, must.Sprint("states were left out"))
+			must.True(t, r.Complete, must.Sprint("states were left out"))
 			broughtAbout(t, w)
 		})
 	}
@@ -54,12 +54,12 @@
 	if len(w.Away) > 0 && w.Standbys > 0 || w.Budget.LostDisks > 0 {
 		must.Positive(t, w.Seen.MemberChanges)
 	}
-	if len(w.operators) > 1 && w.Operators[1][0].Kind == ReadOrder {
+	if len(w.operators) > 1 && w.Operators[1][0].Kind == ReadCommand {
 		must.Positive(t, w.Seen.Reads)
 	}
 }
 
-func TestAnExplorationReplays(t *testing.T) {
+func TestExplorationReplays(t *testing.T) {
 	c := Configs()[0]
 	bound := Bound{Depth: everySchedule, States: statesMost}
 	must.Eq(t, NewWorld(c).Explore(bound), NewWorld(c).Explore(bound))
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestAWalkReplays(t *testing.T) {
+func TestWalkReplays(t *testing.T) {
 	c := Everything(4)
 	first, second := NewWorld(c), NewWorld(c)
 	a, err := first.walkTo(7, 200)
@@ -109,7 +109,7 @@
 func (w *World) after(p *process, at int64) (prints []digest) {
 	k := newRuntime().wake(p)
 	feed := func(input kernel.Input) {
-		fixRandom(k, p.replica, p.life)
+		fixRandom(k, p.replica, p.incarnation)
 		out := k.Step(at, epoch+at, input)
 		b := fingerprint(replicaOf(k))
 		for _, send := range out.Sends {
--- a/lab/model/operators.go
+++ b/lab/model/operators.go
@@ -12,22 +12,22 @@
 	"wallport/runtime/wire"
 )
 
-// OrderKind is what an order does.
-type OrderKind uint8
+// CommandKind is what an order does.
+type CommandKind uint8
 
 // Kinds of orders.
 const (
-	ChangeOrder OrderKind = iota
-	DrainOrder
-	RestoreOrder
-	ReadOrder
+	ChangeCommand CommandKind = iota
+	DrainCommand
+	RestoreCommand
+	ReadCommand
 )
 
-// Order is one call of an operator. A change adds an item named as the order is, so that it
+// Command is one call of an operator. A change adds an item named as the order is, so that it
 // is known again in every later version.
-type Order struct {
+type Command struct {
 	Name           string
-	Kind           OrderKind
+	Kind           CommandKind
 	Base, Revision int64
 	Zone           string
 }
@@ -50,8 +50,8 @@
 
 func (c call) ended() bool { return c.status == callAccepted || c.status == callRefused }
 
-// callsPerOrder bounds how often one order is sent.
-const callsPerOrder = 3
+// callsPerCommand bounds how often one order is sent.
+const callsPerCommand = 3
 
 // clientConnection is the first of the operators' connections; below are those of replicas.
 const clientConnection = 1000
@@ -74,7 +74,7 @@
 				}
 				continue
 			}
-			if c.sent < callsPerOrder {
+			if c.sent < callsPerCommand {
 				actions = w.callEach(s, number+i, actions)
 			}
 			break
@@ -87,7 +87,7 @@
 func (w *World) callEach(s *system, number int, actions []Action) []Action {
 	for to := range w.voters {
 		if s.frozenAt[to] == 0 && s.calls[number].open&(1<<to) == 0 && w.matters(s, number, to) {
-			actions = append(actions, Action{Kind: Call, Replica: to, Argument: number, operatorsOrder: w.orders[number].Name})
+			actions = append(actions, Action{Kind: Call, Replica: to, Argument: number, operatorsOrder: w.commands[number].Name})
 		}
 	}
 	return actions
@@ -105,7 +105,7 @@
 }
 
 func (w *World) callInput(number, to int) kernel.Input {
-	return kernel.Received{Conn: w.callConnection(number, to), Data: orderFrame(uint64(number)+1, &w.orders[number])}
+	return kernel.Received{Conn: w.callConnection(number, to), Data: commandFrame(uint64(number)+1, &w.commands[number])}
 }
 
 // callConnection is that of an order to a replica: each call has one of its own.
@@ -116,13 +116,13 @@
 // answered takes a replica's answer to a call.
 func (w *World) answered(s *system, connection uint64, r wire.EditReply) error {
 	number, replica := int(connection-clientConnection)/w.replicas, int(connection-clientConnection)%w.replicas
-	order, c := &w.orders[number], &s.calls[number]
+	order, c := &w.commands[number], &s.calls[number]
 	c.open &^= 1 << replica
 	clear, accepted := answerClear(r)
 	if !clear {
 		return nil
 	}
-	if order.Kind == ReadOrder {
+	if order.Kind == ReadCommand {
 		return w.readAnswered(s, number, r)
 	}
 	if c.ended() {
@@ -159,8 +159,8 @@
 
 // valueOf names the configuration that a read returned by the order that made it.
 func (w *World) valueOf(c contents) string {
-	for _, o := range w.orders {
-		if o.Kind == ChangeOrder && o.Revision == c.revision && slices.Contains(c.orders, o.Name) {
+	for _, o := range w.commands {
+		if o.Kind == ChangeCommand && o.Revision == c.revision && slices.Contains(c.commands, o.Name) {
 			return o.Name
 		}
 	}
@@ -172,14 +172,14 @@
 
 // changeOf is an order other than a read as the history checker sees it.
 func (w *World) changeOf(number int) history.Operation {
-	o := &w.orders[number]
+	o := &w.commands[number]
 	op := history.Operation{Register: history.Configuration, Client: w.operatorOf[number], ID: o.Name}
 	switch o.Kind {
-	case ChangeOrder:
+	case ChangeCommand:
 		op.Kind, op.Version, op.Base = history.Change, fmt.Sprint(o.Revision), versionName(o.Base)
-	case DrainOrder:
+	case DrainCommand:
 		op.Register, op.Kind, op.ID = history.Zone(o.Zone), history.Set, history.Drained
-	case RestoreOrder:
+	case RestoreCommand:
 		op.Register, op.Kind, op.ID = history.Zone(o.Zone), history.Set, history.Restored
 	}
 	return op
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -32,15 +32,15 @@
 type process struct {
 	id      int32
 	replica int
-	// life is which start of the replica it is: what it draws at random differs between them.
-	life      int
-	parent    *process
-	at        int64
-	input     kernel.Input
-	files     map[string][]byte
-	writes    []pendingWrite
-	timers    []timer
-	committed wire.Version
+	// incarnation is which start of the replica it is: what it draws at random differs between them.
+	incarnation int
+	parent      *process
+	at          int64
+	input       kernel.Input
+	files       map[string][]byte
+	writes      []pendingWrite
+	timers      []timer
+	committed   wire.Version
 	// body is of the committed version.
 	body []byte
 }
@@ -82,12 +82,12 @@
 }
 
 // start boots a replica on the files of its disk.
-func (r *runtime) start(replica, life int, at int64, files map[string][]byte) *effects {
-	key := digestOf(append(filesBytes(files), fmt.Sprint(replica, life, at)...))
+func (r *runtime) start(replica, incarnation int, at int64, files map[string][]byte) *effects {
+	key := digestOf(append(filesBytes(files), fmt.Sprint(replica, incarnation, at)...))
 	if e := r.starts[key]; e != nil {
 		return e
 	}
-	p := &process{replica: replica, life: life, at: at, input: kernel.Start{}, files: files}
+	p := &process{replica: replica, incarnation: incarnation, at: at, input: kernel.Start{}, files: files}
 	k := bootKernel(replica, files)
 	e := r.run(p, k, nil)
 	r.starts[key] = e
@@ -101,7 +101,7 @@
 		return e
 	}
 	k := r.wake(p)
-	next := &process{replica: p.replica, life: p.life, parent: p, at: at, input: input, writes: p.writes, timers: p.timers}
+	next := &process{replica: p.replica, incarnation: p.incarnation, parent: p, at: at, input: input, writes: p.writes, timers: p.timers}
 	e := r.run(next, k, p)
 	r.steps[key] = e
 	return e
@@ -121,7 +121,7 @@
 	k := bootKernel(first.replica, first.files)
 	for _, q := range slices.Backward(history) {
 		r.Replayed++
-		fixRandom(k, q.replica, q.life)
+		fixRandom(k, q.replica, q.incarnation)
 		k.Step(q.at, epoch+q.at, q.input)
 	}
 	return k
@@ -130,7 +130,7 @@
 // run steps a kernel by the input of next and finds which process it is now.
 func (r *runtime) run(next *process, k *kernel.Kernel, before *process) *effects {
 	r.Steps++
-	fixRandom(k, next.replica, next.life)
+	fixRandom(k, next.replica, next.incarnation)
 	out := k.Step(next.at, epoch+next.at, next.input)
 	next.writes = nextWrites(next, out)
 	next.timers = nextTimers(next, out)
@@ -202,7 +202,7 @@
 
 // bytes is all that a process's future depends on.
 func (p *process) bytes(fingerprint []byte) []byte {
-	b := append(fingerprint, byte(p.replica), byte(p.life))
+	b := append(fingerprint, byte(p.replica), byte(p.incarnation))
 	for _, w := range p.writes {
 		b = append(b, w.key...)
 		b = append(b, w.file...)
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -113,19 +113,19 @@
 	return wire.Seal(wire.KindPull, 1, &wire.Pull{Addr: replicaAddress(replica), Replica: identity, Zone: fmt.Sprintf("zone-%d", replica+1)})
 }
 
-// orderFrame is an operator's call.
-func orderFrame(id uint64, o *Order) []byte {
+// commandFrame is an operator's call.
+func commandFrame(id uint64, o *Command) []byte {
 	e := wire.Edit{Partition: state.ConfigPartition, EditID: o.Name, By: "operator"}
 	switch o.Kind {
-	case ChangeOrder:
+	case ChangeCommand:
 		edit := &routingpb.RoutingEdit{Base: o.Base, Revision: o.Revision, Upsert: &routingpb.RoutingTable{Pools: []*routingpb.Pool{{Name: o.Name}}}}
 		e.Op = "routing"
 		e.Body, _ = proto.MarshalOptions{Deterministic: true}.Marshal(edit)
-	case DrainOrder:
+	case DrainCommand:
 		e.Op, e.Name = "empty", o.Zone
-	case RestoreOrder:
+	case RestoreCommand:
 		e.Op, e.Name = "refill", o.Zone
-	case ReadOrder:
+	case ReadCommand:
 		e.Op = "read"
 	}
 	return wire.Seal(wire.KindEdit, id, &e)
@@ -147,7 +147,7 @@
 // orders, the revision in force, and the drained zones.
 type contents struct {
 	revision int64
-	orders   []string
+	commands []string
 	drained  []string
 }
 
@@ -162,9 +162,9 @@
 	}
 	c.revision = table.GetRevision()
 	for _, p := range table.GetPools() {
-		c.orders = append(c.orders, p.Name)
+		c.commands = append(c.commands, p.Name)
 	}
-	slices.Sort(c.orders)
+	slices.Sort(c.commands)
 	c.drained = config.DrainedZones
 	return c, true
 }
--- a/lab/model/record.go
+++ b/lab/model/record.go
@@ -20,7 +20,7 @@
 
 // event is a begin or an end of an order, in the order in which operators saw them.
 type event struct {
-	order    int
+	command  int
 	end      bool
 	accepted bool
 	reading  *reading
@@ -80,7 +80,7 @@
 
 func eventBytes(events []event) (b []byte) {
 	for _, e := range events {
-		b = append(b, byte(e.order), byte(boolInt(e.end)), byte(boolInt(e.accepted)))
+		b = append(b, byte(e.command), byte(boolInt(e.end)), byte(boolInt(e.accepted)))
 		if e.reading != nil {
 			b = fmt.Appendf(b, "%v", *e.reading)
 		}
@@ -88,7 +88,7 @@
 	return b
 }
 
-func (r *record) change(f func(c *record)) *record {
+func (r *record) update(f func(c *record)) *record {
 	c := *r
 	f(&c)
 	c.seal()
@@ -96,40 +96,40 @@
 }
 
 func (r *record) began(order int) *record {
-	return r.change(func(c *record) { c.events = append(slices.Clip(c.events), event{order: order}) })
+	return r.update(func(c *record) { c.events = append(slices.Clip(c.events), event{command: order}) })
 }
 
 func (r *record) ended(order int, accepted bool, got *reading) *record {
-	return r.change(func(c *record) {
-		c.events = append(slices.Clip(c.events), event{order: order, end: true, accepted: accepted, reading: got})
+	return r.update(func(c *record) {
+		c.events = append(slices.Clip(c.events), event{command: order, end: true, accepted: accepted, reading: got})
 	})
 }
 
 func (r *record) leads(term uint64, leader string) *record {
-	return r.change(func(c *record) { c.leaders = withEntry(c.leaders, term, leader) })
+	return r.update(func(c *record) { c.leaders = withEntry(c.leaders, term, leader) })
 }
 
 func (r *record) proposed(v wire.Version, sum digest) *record {
-	return r.change(func(c *record) { c.versions = withEntry(c.versions, v, sum) })
+	return r.update(func(c *record) { c.versions = withEntry(c.versions, v, sum) })
 }
 
 func (r *record) commits(v wire.Version) *record {
-	return r.change(func(c *record) {
+	return r.update(func(c *record) {
 		c.committed = append(slices.Clone(c.committed), v)
 		slices.SortFunc(c.committed, compareVersions)
 	})
 }
 
 func (r *record) syncs(identity string, v wire.Version) *record {
-	return r.change(func(c *record) { c.synced = withEntry(c.synced, identity, v) })
+	return r.update(func(c *record) { c.synced = withEntry(c.synced, identity, v) })
 }
 
 func (r *record) acknowledges(order int, v wire.Version) *record {
-	return r.change(func(c *record) { c.acknowledged = withEntry(c.acknowledged, order, v) })
+	return r.update(func(c *record) { c.acknowledged = withEntry(c.acknowledged, order, v) })
 }
 
 func (r *record) refuses(order int) *record {
-	return r.change(func(c *record) {
+	return r.update(func(c *record) {
 		c.refused = append(slices.Clone(c.refused), order)
 		slices.Sort(c.refused)
 	})
--- a/lab/model/system.go
+++ b/lab/model/system.go
@@ -14,7 +14,7 @@
 
 // Budget bounds how often each kind of fault and choice may come in one schedule.
 type Budget struct {
-	Elapses, Losses, Doubles, Delays, Crashes, LostDisks, Cuts, Freezes, Announces, Stops, Calls int
+	Elapses, Losses, Doubles, Delays, Crashes, LostDisks, Isolations, Freezes, Announces, Stops, Calls int
 	// Holds is how often a source may be put off, or AllInterleavings.
 	Holds int
 }
@@ -88,10 +88,10 @@
 	calls  []call
 	// order has the sources that have something to do, in the order in which they take turns.
 	order []uint8
-	// held has a bit for each source that is put off.
-	held uint64
-	// cut has a bit for each replica that is cut off.
-	cut uint64
+	// pausedSources has a bit for each source that is put off.
+	pausedSources uint64
+	// isolated has a bit for each replica that is cut off.
+	isolated uint64
 	// touched is the replica of the last step, or everyReplica.
 	touched int
 	left    Budget
@@ -133,7 +133,7 @@
 		b = append(b, byte(c.status), byte(c.sent))
 		b = appendNumber(b, int64(c.open))
 	}
-	b = append(binary.AppendUvarint(binary.AppendUvarint(b, s.held), s.cut), byte(s.touched))
+	b = append(binary.AppendUvarint(binary.AppendUvarint(b, s.pausedSources), s.isolated), byte(s.touched))
 	h.Write(append(b, s.order...))
 	binary.Write(h, binary.LittleEndian, s.left.counts())
 	h.Write(s.record.sum[:])
@@ -145,7 +145,7 @@
 func (b Budget) counts() []int32 {
 	return []int32{
 		int32(b.Elapses), int32(b.Losses), int32(b.Doubles), int32(b.Delays), int32(b.Crashes), int32(b.LostDisks),
-		int32(b.Cuts), int32(b.Freezes), int32(b.Announces), int32(b.Stops), int32(b.Calls), int32(b.Holds),
+		int32(b.Isolations), int32(b.Freezes), int32(b.Announces), int32(b.Stops), int32(b.Calls), int32(b.Holds),
 	}
 }
 
--- a/lab/model/walk.go
+++ b/lab/model/walk.go
@@ -7,7 +7,7 @@
 
 // weights make a walk go on: progress is likelier than faults.
 var weights = map[ActionKind]int{
-	Deliver: 60, Sync: 60, Elapse: 14, Call: 10, Announce: 4, Thaw: 4, Lose: 2, Double: 2, Delay: 4, Crash: 2, CrashAlone: 1, LoseDisk: 1, Cut: 2, Rejoin: 4, Hold: 2, Release: 4, Freeze: 2, Stop: 1,
+	Deliver: 60, Sync: 60, Elapse: 14, Call: 10, Announce: 4, Thaw: 4, Lose: 2, Double: 2, Delay: 4, Crash: 2, CrashAlone: 1, LoseDisk: 1, Isolate: 2, Rejoin: 4, Hold: 2, Release: 4, Freeze: 2, Stop: 1,
 }
 
 // WalkReport is what a number of walks came to.
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -27,7 +27,7 @@
 	// Prelude are actions before the exploration, each followed by all that it leads to.
 	Prelude []Action
 	// Operators are the orders of each operator, in turn.
-	Operators [][]Order
+	Operators [][]Command
 	// Spans are the times that may pass at once, in microseconds.
 	Spans  []int
 	Budget Budget
@@ -42,8 +42,8 @@
 type World struct {
 	Config
 	replicas, voters int
-	operators        [][]Order
-	orders           []Order
+	operators        [][]Command
+	commands         []Command
 	operatorOf       []int
 	zones            []string
 	restores         map[string]bool
@@ -73,12 +73,12 @@
 	}
 	for operator, orders := range c.Operators {
 		for _, o := range orders {
-			w.orders = append(w.orders, o)
+			w.commands = append(w.commands, o)
 			w.operatorOf = append(w.operatorOf, operator)
 			if o.Zone != "" && !slices.Contains(w.zones, o.Zone) {
 				w.zones = append(w.zones, o.Zone)
 			}
-			w.restores[o.Zone] = w.restores[o.Zone] || o.Kind == RestoreOrder
+			w.restores[o.Zone] = w.restores[o.Zone] || o.Kind == RestoreCommand
 		}
 	}
 	return w
@@ -89,7 +89,7 @@
 	n := w.replicas
 	s := &system{
 		now: begin, processes: make([]*process, n), disks: make([]*disk, n), starts: make([]int, n), frozenAt: make([]int64, n),
-		queues: make([][]*message, n*n), calls: make([]call, len(w.orders)), left: w.Budget, record: newRecord(),
+		queues: make([][]*message, n*n), calls: make([]call, len(w.commands)), left: w.Budget, record: newRecord(),
 	}
 	for i := range n {
 		files := standbyDisk(i)
@@ -129,7 +129,7 @@
 // play runs the prelude, with as much of everything as it takes, and leaves the budget whole.
 func (w *World) play(s *system) (*system, error) {
 	for _, i := range w.Away {
-		s.cut |= 1 << i
+		s.isolated |= 1 << i
 	}
 	for _, a := range w.Prelude {
 		next, err := w.apply(s, a)
@@ -246,5 +246,5 @@
 }
 
 func (w *World) String() string {
-	return fmt.Sprintf("%s: %d voters, %d standbys, %d orders, budget %+v", w.Name, w.voters, w.Standbys, len(w.orders), w.Budget)
+	return fmt.Sprintf("%s: %d voters, %d standbys, %d orders, budget %+v", w.Name, w.voters, w.Standbys, len(w.commands), w.Budget)
 }
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -27,34 +27,34 @@
 	Ready  bool   `json:"ready"`
 }
 
-type shown struct {
+type publishedList struct {
 	at   time.Time
 	list wire.BackendList
 }
 
 // Platform is the stand-in.
 type Platform struct {
-	c     Config
-	mu    sync.Mutex
-	lists []shown
-	calls []time.Time
-	shed  int
-	nodes []Node
-	mode  string
+	config    Config
+	mu        sync.Mutex
+	published []publishedList
+	calls     []time.Time
+	rejected  int
+	nodes     []Node
+	mode      string
 }
 
 // New makes a platform.
-func New(c Config) *Platform { return &Platform{c: c} }
+func New(c Config) *Platform { return &Platform{config: c} }
 
 // Run serves until the listener fails.
 func (p *Platform) Run() error {
-	l, err := net.Listen("tcp", p.c.Addr)
+	l, err := net.Listen("tcp", p.config.Addr)
 	if err != nil {
 		return err
 	}
 	go p.watch()
 	m := http.NewServeMux()
-	m.HandleFunc("GET /list", p.list)
+	m.HandleFunc("GET /list", p.serveList)
 	m.HandleFunc("GET /nodes", p.handOut)
 	m.HandleFunc("POST /lab/servers", func(w http.ResponseWriter, r *http.Request) {
 		var l wire.BackendList
@@ -63,9 +63,9 @@
 			return
 		}
 		p.mu.Lock()
-		p.lists = append(p.lists, shown{time.Now(), l})
-		if len(p.lists) > 64 {
-			p.lists = p.lists[1:]
+		p.published = append(p.published, publishedList{time.Now(), l})
+		if len(p.published) > 64 {
+			p.published = p.published[1:]
 		}
 		p.mu.Unlock()
 	})
@@ -87,21 +87,21 @@
 	m.HandleFunc("GET /lab/report", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		json.NewEncoder(w).Encode(map[string]int{"shed": p.shed, "calls_10s": len(p.calls)})
+		json.NewEncoder(w).Encode(map[string]int{"shed": p.rejected, "calls_10s": len(p.calls)})
 	})
 	return http.Serve(l, m)
 }
 
-// list answers with the newest list that is old enough to be known.
-func (p *Platform) list(w http.ResponseWriter, _ *http.Request) {
+// serveList answers with the newest list that is old enough to be known.
+func (p *Platform) serveList(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for len(p.calls) > 0 && now.Sub(p.calls[0]) > 10*time.Second {
 		p.calls = p.calls[1:]
 	}
-	if len(p.calls) >= p.c.Allowed {
-		p.shed++
+	if len(p.calls) >= p.config.Allowed {
+		p.rejected++
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
@@ -115,8 +115,8 @@
 		return
 	}
 	var out wire.BackendList
-	for _, s := range p.lists {
-		if now.Sub(s.at) >= time.Duration(p.c.LagMs)*time.Millisecond {
+	for _, s := range p.published {
+		if now.Sub(s.at) >= time.Duration(p.config.LagMs)*time.Millisecond {
 			out = s.list
 		}
 	}
--- a/lab/records/records.go
+++ b/lab/records/records.go
@@ -29,23 +29,23 @@
 	return int64(x % 1000)
 }
 
-type asked struct {
+type cacheKey struct {
 	index, query  string
 	shard, shards int
 }
 
-// keptMost bounds the sorted lists that are kept for the next time they are asked for.
-const keptMost = 8192
+// cacheMost bounds the sorted lists that are kept for the next time they are asked for.
+const cacheMost = 8192
 
 var (
-	kept  sync.Map
-	keptN atomic.Int64
+	cache     sync.Map
+	cacheSize atomic.Int64
 )
 
 // Top is a shard's sorted answer to a query.
 func Top(index, query string, limit, shard, shards int) []search.Record {
-	k := asked{index, query, shard, shards}
-	if v, ok := kept.Load(k); ok {
+	k := cacheKey{index, query, shard, shards}
+	if v, ok := cache.Load(k); ok {
 		all := v.([]search.Record)
 		return slices.Clone(all[:min(limit, len(all))])
 	}
@@ -57,9 +57,9 @@
 		}
 	}
 	slices.SortFunc(all, search.Before)
-	if keptN.Load() < keptMost {
-		kept.Store(k, all)
-		keptN.Add(1)
+	if cacheSize.Load() < cacheMost {
+		cache.Store(k, all)
+		cacheSize.Add(1)
 	}
 	return slices.Clone(all[:min(limit, len(all))])
 }
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -17,13 +17,13 @@
 // Network knows the processes' own addresses and who is cut off from whom.
 type Network struct {
 	mu     sync.Mutex
-	joined *sync.Cond
-	// names are the processes by their own IP addresses.
-	names map[string]string
-	// apart holds each way that is cut: from the first to the second.
-	apart map[[2]string]bool
-	// open are the connections that are passed on now.
-	open map[*link]bool
+	healed *sync.Cond
+	// processByIP are the processes by their own IP addresses.
+	processByIP map[string]string
+	// partitioned holds each way that is cut: from the first to the second.
+	partitioned map[[2]string]bool
+	// links are the connections that are passed on now.
+	links map[*link]bool
 	// ended is that the test is over: nothing is held back any more.
 	ended     bool
 	listeners []net.Listener
@@ -39,8 +39,8 @@
 
 // New makes a network in which nobody is cut off.
 func New() *Network {
-	n := &Network{names: map[string]string{}, apart: map[[2]string]bool{}, open: map[*link]bool{}}
-	n.joined = sync.NewCond(&n.mu)
+	n := &Network{processByIP: map[string]string{}, partitioned: map[[2]string]bool{}, links: map[*link]bool{}}
+	n.healed = sync.NewCond(&n.mu)
 	return n
 }
 
@@ -52,7 +52,7 @@
 		return err
 	}
 	n.mu.Lock()
-	n.names[host] = name
+	n.processByIP[host] = name
 	n.mu.Unlock()
 	return n.PassFrom("", name, to, listens)
 }
@@ -92,13 +92,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.names[host]
+	return n.processByIP[host]
 }
 
 // carry carries one connection, once its caller is not cut off from the process.
 func (n *Network) carry(from net.Conn, caller, name, listens string) {
 	defer from.Close()
-	n.waitJoined(caller, name)
+	n.awaitHealed(caller, name)
 	to, err := net.Dial("tcp", listens)
 	if err != nil {
 		reset(from)
@@ -107,25 +107,25 @@
 	defer to.Close()
 	l := &link{caller: caller, name: name, from: from, to: to}
 	n.mu.Lock()
-	n.open[l] = true
+	n.links[l] = true
 	n.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { n.copy(l, to, from, caller, name) })
-	both.Go(func() { n.copy(l, from, to, name, caller) })
+	both.Go(func() { n.forward(l, to, from, caller, name) })
+	both.Go(func() { n.forward(l, from, to, name, caller) })
 	both.Wait()
 	n.mu.Lock()
-	delete(n.open, l)
+	delete(n.links, l)
 	n.mu.Unlock()
 }
 
-// copy passes bytes on one way until either side ends; while that way is cut they wait for the join.
+// forward passes bytes on one way until either side ends; while that way is cut they wait for the join.
 // Each end is passed on as it came: the end of one way alone, or a reset.
-func (n *Network) copy(l *link, to, from net.Conn, sender, receiver string) {
+func (n *Network) forward(l *link, to, from net.Conn, sender, receiver string) {
 	buffer := make([]byte, bufferSize)
 	for {
 		read, err := from.Read(buffer)
-		n.waitJoined(sender, receiver)
-		if n.waitWhole(l) {
+		n.awaitHealed(sender, receiver)
+		if n.awaitOpen(l) {
 			return
 		}
 		if read > 0 {
@@ -145,22 +145,22 @@
 	}
 }
 
-// waitJoined returns once the way from a to b is not cut.
-func (n *Network) waitJoined(a, b string) {
+// awaitHealed returns once the way from a to b is not cut.
+func (n *Network) awaitHealed(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for n.apart[[2]string{a, b}] && !n.ended {
-		n.joined.Wait()
+	for n.partitioned[[2]string{a, b}] && !n.ended {
+		n.healed.Wait()
 	}
 }
 
-// waitWhole returns at once for a connection that is whole. One that is half open waits for the end of
+// awaitOpen returns at once for a connection that is whole. One that is half open waits for the end of
 // the test, and is over then.
-func (n *Network) waitWhole(l *link) (over bool) {
+func (n *Network) awaitOpen(l *link) (over bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l.halfOpen && !n.ended {
-		n.joined.Wait()
+		n.healed.Wait()
 	}
 	return l.halfOpen
 }
@@ -169,34 +169,34 @@
 func (n *Network) Set(some, others []string, apart bool) {
 	for _, a := range some {
 		for _, b := range others {
-			n.SetWay(a, b, apart)
-			n.SetWay(b, a, apart)
+			n.SetOneWay(a, b, apart)
+			n.SetOneWay(b, a, apart)
 		}
 	}
 }
 
-// SetWay cuts the way from a to b alone, or joins it.
-func (n *Network) SetWay(a, b string, apart bool) {
+// SetOneWay cuts the way from a to b alone, or joins it.
+func (n *Network) SetOneWay(a, b string, apart bool) {
 	if a == b {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.apart[[2]string{a, b}] = apart
-	n.joined.Broadcast()
+	n.partitioned[[2]string{a, b}] = apart
+	n.healed.Broadcast()
 }
 
-// JoinAll ends every cut.
-func (n *Network) JoinAll() {
+// HealAll ends every cut.
+func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.apart)
-	n.joined.Broadcast()
+	clear(n.partitioned)
+	n.healed.Broadcast()
 }
 
-// between lists the open connections of two processes, whoever called.
-func (n *Network) between(a, b string) (out []*link) {
-	for l := range n.open {
+// linksBetween lists the open connections of two processes, whoever called.
+func (n *Network) linksBetween(a, b string) (out []*link) {
+	for l := range n.links {
 		if l.caller == a && l.name == b || l.caller == b && l.name == a {
 			out = append(out, l)
 		}
@@ -208,7 +208,7 @@
 func (n *Network) Reset(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.between(a, b) {
+	for _, l := range n.linksBetween(a, b) {
 		reset(l.from)
 		reset(l.to)
 	}
@@ -219,7 +219,7 @@
 func (n *Network) HalfOpen(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.between(a, b) {
+	for _, l := range n.linksBetween(a, b) {
 		l.halfOpen = true
 	}
 }
@@ -232,9 +232,9 @@
 	for _, l := range n.listeners {
 		l.Close()
 	}
-	for l := range n.open {
+	for l := range n.links {
 		l.from.Close()
 		l.to.Close()
 	}
-	n.joined.Broadcast()
+	n.healed.Broadcast()
 }
--- a/lab/relay/relay_test.go
+++ b/lab/relay/relay_test.go
@@ -57,7 +57,7 @@
 	return b[0]
 }
 
-func TestNewConnectionsOfAPairThatIsCutWaitForTheJoin(t *testing.T) {
+func TestNewConnectionWaitsUntilPartitionHeals(t *testing.T) {
 	n := New()
 	a, b, c := newPeer(t, n, "a", "127.1.9.1"), newPeer(t, n, "b", "127.1.9.2"), newPeer(t, n, "c", "127.1.9.3")
 	n.Set([]string{"a"}, []string{"b"}, true)
@@ -70,7 +70,7 @@
 	must.Eq(t, 'a', second)
 }
 
-func TestWhatIsSentDuringACutArrivesWithTheJoin(t *testing.T) {
+func TestBytesSentDuringPartitionArriveWhenItHeals(t *testing.T) {
 	n := New()
 	a, b, c := newPeer(t, n, "a", "127.1.9.4"), newPeer(t, n, "b", "127.1.9.5"), newPeer(t, n, "c", "127.1.9.6")
 	fromA := a.writes(t, b, '1')
@@ -92,7 +92,7 @@
 	must.Eq(t, '3', readByte(t, fromA))
 }
 
-func TestTheEndOfAConnectionIsPassedOn(t *testing.T) {
+func TestEndOfConnectionIsForwarded(t *testing.T) {
 	n := New()
 	a, b := newPeer(t, n, "a", "127.1.9.7"), newPeer(t, n, "b", "127.1.9.8")
 	fromA := a.writes(t, b, '1')
@@ -112,22 +112,22 @@
 	return l.Addr().String(), nil
 }
 
-func TestACutOfOneWayHoldsThatWayOnly(t *testing.T) {
+func TestOneWayPartitionBlocksThatDirectionOnly(t *testing.T) {
 	n := New()
 	a, b := newPeer(t, n, "a", "127.1.9.9"), newPeer(t, n, "b", "127.1.9.10")
 	fromA := a.writes(t, b, '1')
 	atB, _ := b.reads(t)
-	n.SetWay("a", "b", true)
+	n.SetOneWay("a", "b", true)
 	_, err := fromA.Write([]byte{'2'})
 	must.NoError(t, err)
 	_, err = atB.Write([]byte{'3'})
 	must.NoError(t, err)
 	must.Eq(t, '3', readByte(t, fromA))
-	n.JoinAll()
+	n.HealAll()
 	must.Eq(t, '2', readByte(t, atB))
 }
 
-func TestResetsReachBothSides(t *testing.T) {
+func TestResetReachesBothEnds(t *testing.T) {
 	n := New()
 	a, b := newPeer(t, n, "a", "127.1.9.11"), newPeer(t, n, "b", "127.1.9.12")
 	fromA := a.writes(t, b, '1')
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestAHalfOpenConnectionPassesNothingAndOthersDo(t *testing.T) {
+func TestHalfOpenConnectionForwardsNothing(t *testing.T) {
 	n := New()
 	a, b := newPeer(t, n, "a", "127.1.9.13"), newPeer(t, n, "b", "127.1.9.14")
 	fromA := a.writes(t, b, '1')
--- a/lab/rules/judge.go
+++ b/lab/rules/check.go
@@ -10,15 +10,15 @@
 	"wallport/api/routingpb"
 )
 
-// Judge runs every rule over the journal and fills in its findings.
-func (j *Journal) Judge() {
+// Check runs every rule over the journal and fills in its findings.
+func (j *Journal) Check() {
 	j.Findings, j.Tested, j.Broken = nil, map[string]int64{}, map[string]int64{}
-	j.tries, j.byTry = make(map[string]*Try, len(j.Tries)), make(map[string][]*Arrival, len(j.Tries))
-	for _, t := range j.Tries {
-		j.tries[t.ID] = t
+	j.attempts, j.arrivalsByAttempt = make(map[string]*Attempt, len(j.Attempts)), make(map[string][]*Arrival, len(j.Attempts))
+	for _, t := range j.Attempts {
+		j.attempts[t.ID] = t
 	}
 	for _, a := range j.Arrivals {
-		j.byTry[a.Try] = append(j.byTry[a.Try], a)
+		j.arrivalsByAttempt[a.Attempt] = append(j.arrivalsByAttempt[a.Attempt], a)
 	}
 	for _, rule := range []func(*Journal){
 		mixed, unasked, twice, refused, denied, route, drain, lost,
@@ -96,8 +96,8 @@
 	return best
 }
 
-// promise tells that a status means that the request has not run and never will.
-func promise(status int) bool {
+// promisesNotRun tells that a status means that the request has not run and never will.
+func promisesNotRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
--- a/lab/rules/config.go
+++ b/lab/rules/config.go
@@ -13,7 +13,7 @@
 
 // possible are the versions by which a machine may handle a request that was sent when it was: those that
 // may be in force, but none older than the newest whose bound was over by then.
-func (j *Journal) possible(t *Try, machine string) []*Version {
+func (j *Journal) possible(t *Attempt, machine string) []*Version {
 	least := int64(0)
 	for _, v := range j.Versions {
 		if v.Acked == Never || v.Revision <= least {
@@ -35,7 +35,7 @@
 // route: no service runs what no configuration ever sent there.
 func route(j *Journal) {
 	for _, a := range j.Arrivals {
-		t := j.tries[a.Try]
+		t := j.attempts[a.Attempt]
 		if t == nil || !a.Ran {
 			continue
 		}
@@ -50,15 +50,15 @@
 
 // configHandled: requests are handled as a version allows that may still be in force.
 func configHandled(j *Journal) {
-	for _, t := range j.Tries {
-		if t.Status == 0 && len(j.byTry[t.ID]) == 0 {
+	for _, t := range j.Attempts {
+		if t.Status == 0 && len(j.arrivalsByAttempt[t.ID]) == 0 {
 			continue
 		}
 		ok := j.possible(t, t.Machine)
 		if len(ok) == 0 {
 			continue
 		}
-		for _, a := range j.byTry[t.ID] {
+		for _, a := range j.arrivalsByAttempt[t.ID] {
 			if a.Wrong || !a.Ran || a.Machine != t.Machine {
 				continue
 			}
@@ -67,7 +67,7 @@
 				j.fail(Config, a.At, "%s, sent at %d us, ran in %s on %s: only an older or a refused version allows that", t.ID, t.Sent, a.Backend.Pool, t.Machine)
 			}
 		}
-		if t.Own && t.Status == 404 {
+		if t.Generated && t.Status == 404 {
 			j.tested(Config)
 			if !slices.ContainsFunc(ok, func(v *Version) bool { return routeOf(v.Table, t.Host, t.Path) == nil }) {
 				j.fail(Config, t.Ended, "%s, sent at %d us, got a 404 from %s though its route is there", t.ID, t.Sent, t.Machine)
@@ -93,7 +93,7 @@
 	told := map[string]bool{}
 	for _, s := range j.InForce {
 		j.tested(Config)
-		at := life{s.Machine, s.Life}
+		at := life{s.Machine, s.Incarnation}
 		if s.Revision < last[at] {
 			j.fail(Config, s.At, "%s went back from revision %d to %d", s.Machine, last[at], s.Revision)
 		}
@@ -148,7 +148,7 @@
 		return
 	}
 	r := j.ReadBack[len(j.ReadBack)-1]
-	newest = j.newestAcked(r.Asked)
+	newest = j.newestAcked(r.RequestedAt)
 	j.tested(Config)
 	if newest != nil && r.Table.GetRevision() < newest.Revision {
 		j.fail(rule, r.At, "revision %d was read back, %d was acknowledged", r.Table.GetRevision(), newest.Revision)
@@ -181,7 +181,7 @@
 		// The longest settled stretch since it was sent: it is cut at everything that unsettles the core.
 		from := sent
 		end := min(acked, j.End)
-		for _, s := range j.Touch.Unsettled {
+		for _, s := range j.Faults.Unsettled {
 			if s.From > end {
 				break
 			}
@@ -202,13 +202,13 @@
 			j.fail(Acks, v.Refused, "revision %d, on top of the newest one, was refused", v.Revision)
 		}
 		if !v.Invalid && v.Refused == Never {
-			check("a configuration", v.Sent, firstOf(v.Acked, v.Taken))
+			check("a configuration", v.Sent, firstOf(v.Acked, v.FirstAcked))
 		}
 	}
-	for _, o := range j.Orders {
-		check("an evacuation", o.Sent, firstOf(o.Acked, o.Taken))
-		if o.Back != Never {
-			check("the end of an evacuation", o.Back, firstOf(o.BackAcked, o.BackTaken))
+	for _, o := range j.Evacuations {
+		check("an evacuation", o.Sent, firstOf(o.Acked, o.FirstAcked))
+		if o.RestoreSent != Never {
+			check("the end of an evacuation", o.RestoreSent, firstOf(o.RestoreAcked, o.RestoreFirstAcked))
 		}
 	}
 }
--- a/lab/rules/touch.go
+++ b/lab/rules/fault_spans.go
@@ -51,13 +51,13 @@
 	return false
 }
 
-// Touch holds the troubles of a day.
-type Touch struct {
-	// Trouble is each machine's own: its processes, its disk, its clock, its links to the core.
-	Trouble map[string]*Spans
+// FaultSpans holds the troubles of a day.
+type FaultSpans struct {
+	// Machines is each machine's own: its processes, its disk, its clock, its links to the core.
+	Machines map[string]*Spans
 	// Unsettled holds what unsettles the core, Halved the times in which half of it or less ran,
 	// connected and not slowed.
-	Unsettled, Halved Spans
+	Unsettled, NoMajority Spans
 	// Unplanned are all troubles that are no planned work, anywhere. Planned is planned work.
 	Unplanned, Planned Spans
 }
@@ -68,7 +68,7 @@
 // planned is all planned work: that of the machines, and each configuration that may be in force,
 // from its sending until some time after its acknowledgement.
 func (j *Journal) planned() Spans {
-	spans := slices.Clone(j.Touch.Planned)
+	spans := slices.Clone(j.Faults.Planned)
 	for _, v := range j.Versions {
 		switch {
 		case v.Invalid || v.Refused != Never && v.Acked == Never:
@@ -82,23 +82,23 @@
 }
 
 // Of is the list of a machine's troubles.
-func (t *Touch) Of(machine string) *Spans {
-	if t.Trouble == nil {
-		t.Trouble = map[string]*Spans{}
+func (t *FaultSpans) Of(machine string) *Spans {
+	if t.Machines == nil {
+		t.Machines = map[string]*Spans{}
 	}
-	s := t.Trouble[machine]
+	s := t.Machines[machine]
 	if s == nil {
 		s = &Spans{}
-		t.Trouble[machine] = s
+		t.Machines[machine] = s
 	}
 	return s
 }
 
 // Settled tells that the core was settled for all of the time from a to b.
-func (t *Touch) Settled(a, b, contact int64) bool { return !t.Unsettled.Hit(a-contact, b) }
+func (t *FaultSpans) Settled(a, b, contact int64) bool { return !t.Unsettled.Hit(a-contact, b) }
 
-// In tells that a machine is in touch at a moment.
-func (t *Touch) In(machine string, at, contact int64) bool {
+// InContact tells that a machine is in touch at a moment.
+func (t *FaultSpans) InContact(machine string, at, contact int64) bool {
 	return !t.Of(machine).Hit(at-contact, at) && !t.Unsettled.Hit(at-contact, at)
 }
 
@@ -107,11 +107,11 @@
 func (j *Journal) bound(machine string, acked, at, bound int64) (int64, bool) {
 	c := j.Bounds.ContactUs
 	switch {
-	case j.Touch.Of(machine).Hit(at-c, at):
+	case j.Faults.Of(machine).Hit(at-c, at):
 		return 0, false
-	case !j.Touch.Unsettled.Hit(at-c, at):
+	case !j.Faults.Unsettled.Hit(at-c, at):
 		return bound, true
-	case j.Touch.Halved.Hit(acked-c, at):
+	case j.Faults.NoMajority.Hit(acked-c, at):
 		return 0, false
 	}
 	return bound + j.Bounds.StretchUs, true
--- a/lab/rules/histories.go
+++ b/lab/rules/histories.go
@@ -39,12 +39,12 @@
 	for _, r := range j.Confirmed {
 		j.addReading(h, r)
 	}
-	for i, o := range j.Orders {
+	for i, o := range j.Evacuations {
 		op := history.Operation{Register: history.Zone(o.Zone), Client: i, Kind: history.Set, ID: history.Drained}
 		h.Add(between(op, o.Sent, o.Acked, Never))
-		if o.Back != Never {
+		if o.RestoreSent != Never {
 			op.ID = history.Restored
-			h.Add(between(op, o.Back, o.BackAcked, Never))
+			h.Add(between(op, o.RestoreSent, o.RestoreAcked, Never))
 		}
 	}
 	for i, call := range j.ZoneCalls {
@@ -93,7 +93,7 @@
 // zonesOf are the zones that were ever drained, and those that a reading shows to be.
 func (j *Journal) zonesOf(r ConfirmedReading) []string {
 	zones := slices.Clone(r.Drained)
-	for _, o := range j.Orders {
+	for _, o := range j.Evacuations {
 		zones = append(zones, o.Zone)
 	}
 	for _, call := range j.ZoneCalls {
--- a/lab/rules/histories_test.go
+++ b/lab/rules/histories_test.go
@@ -11,7 +11,7 @@
 // read is a calm day with a zone that was drained and restored, and confirmed readings.
 func read() *Journal {
 	j := calm()
-	j.Orders = []*Order{{Zone: "z1", Sent: 40 * second, Acked: 41 * second, Back: 50 * second, BackAcked: 51 * second}}
+	j.Evacuations = []*Evacuation{{Zone: "z1", Sent: 40 * second, Acked: 41 * second, RestoreSent: 50 * second, RestoreAcked: 51 * second}}
 	j.Confirmed = []ConfirmedReading{
 		{Sent: 10 * second, At: 11 * second, Table: table(1, "p")},
 		{Sent: 42 * second, At: 43 * second, Table: table(3, "q"), Drained: []string{"z1"}},
@@ -20,14 +20,14 @@
 	return j
 }
 
-func TestHistoriesInOrderPass(t *testing.T) {
+func TestJournalHistoriesPass(t *testing.T) {
 	j := read()
-	j.Judge()
+	j.Check()
 	must.Zero(t, j.Broken[History], must.Sprint(j.Findings))
 	must.Positive(t, j.Tested[History])
 }
 
-func TestHistoriesWithAPlantedFaultAreFound(t *testing.T) {
+func TestJournalHistoriesWithPlantedFaultsFail(t *testing.T) {
 	for name, plant := range map[string]func(j *Journal){
 		"two orders on one base acknowledged":  func(j *Journal) { j.Versions = append(j.Versions, version(5, 1, 21*second, table(5, "p"))) },
 		"a stale read":                         func(j *Journal) { j.Confirmed[1].Table = table(1, "p") },
@@ -43,14 +43,14 @@
 		t.Run(name, func(t *testing.T) {
 			j := read()
 			plant(j)
-			j.Judge()
+			j.Check()
 			must.Positive(t, j.Broken[History], must.Sprint(j.Findings))
 		})
 	}
 }
 
 // A call about a zone that was given up may have been taken; once the zone was taken back, it has not.
-func TestZoneCallsThatWereGivenUp(t *testing.T) {
+func TestAbandonedZoneCalls(t *testing.T) {
 	given := &ZoneCall{Zone: "z2", Drains: true, Sent: 30 * second, Acked: Never}
 	back := &ZoneCall{Zone: "z2", Sent: 44 * second, Acked: 45 * second}
 	for _, c := range []struct {
@@ -71,7 +71,7 @@
 			for _, i := range c.reads {
 				j.Confirmed[i].Drained = append(j.Confirmed[i].Drained, "z2")
 			}
-			j.Judge()
+			j.Check()
 			must.Eq(t, c.broken, j.Broken[History] > 0, must.Sprint(j.Findings))
 		})
 	}
--- a/lab/rules/journal.go
+++ b/lab/rules/journal.go
@@ -40,8 +40,8 @@
 	// ConfigRepeat are repeats of acknowledged changes, ConfigNumber pairs of changes under one number.
 	ConfigRepeat = "CONFIG of repeats"
 	ConfigNumber = "CONFIG of one number"
-	// BudgetTry are tries that ran on more than one backend of a service.
-	BudgetTry = "BUDGET of one try"
+	// BudgetAttempt are tries that ran on more than one backend of a service.
+	BudgetAttempt = "BUDGET of one try"
 	// DrainUnsettled are arrivals at leaving backends whose time ran while the core was not settled.
 	DrainUnsettled = "DRAIN over an unsettled core"
 )
@@ -50,44 +50,44 @@
 func Names() []string {
 	return []string{
 		Mixed, Unasked, Twice, Refused, Denied, Route, Drain, Lost, Config, Budget, Failback, Evac, Recover, Acks,
-		LostPlanned, MixedFailure, ConfigRepeat, ConfigNumber, BudgetTry, DrainUnsettled,
+		LostPlanned, MixedFailure, ConfigRepeat, ConfigNumber, BudgetAttempt, DrainUnsettled,
 	}
 }
 
 // Bounds are the figures of the rules.
 type Bounds struct {
-	ContactUs, AckUs, DrainUs, GraceUs, LossUs, ApplyUs, StretchUs, EmptyUs, RecoverUs int64
-	RetryRatio, RetryAllowance                                                         float64
-	RetryWindowUs                                                                      int64
-	RampOverrun, RampTolerance                                                         float64
+	ContactUs, AckUs, DrainUs, GraceUs, LossUs, ApplyUs, StretchUs, EvacuateUs, RecoverUs int64
+	RetryRatio, RetryAllowance                                                            float64
+	RetryWindowUs                                                                         int64
+	SlowStartOverrun, SlowStartTolerance                                                  float64
 }
 
-// Try is one try of a client.
-type Try struct {
+// Attempt is one try of a client.
+type Attempt struct {
 	ID, Class, Client, Zone, Machine   string
 	Host, Method, Target, Path         string
 	Body                               []byte
 	Repeatable, Probe                  bool
-	Sent, Read, Ended, Deadline, Worth int64
+	Sent, Read, Ended, Deadline, Value int64
 	// Status is what the client got; 0 is none. Own tells that it was the node's own answer.
-	Status        int
-	Own           bool
-	Seal          string
-	Seals         []string
-	Missing       int
-	Answer        []byte
-	RetryAfterUs  int64
-	Cut, GaveUp   bool
-	AfterStop     bool
-	Late, Further bool
+	Status          int
+	Generated       bool
+	Seal            string
+	Seals           []string
+	Missing         int
+	Answer          []byte
+	RetryAfterUs    int64
+	Aborted, GaveUp bool
+	AfterStop       bool
+	Late, Further   bool
 }
 
 // Served tells that the client got a success.
-func (t *Try) Served() bool { return t.Status >= 200 && t.Status < 300 }
+func (t *Attempt) Served() bool { return t.Status >= 200 && t.Status < 300 }
 
 // Arrival is a request that reached a backend.
 type Arrival struct {
-	Try            string
+	Attempt        string
 	Backend        *Backend
 	Machine        string
 	Method, Target string
@@ -106,9 +106,9 @@
 	Born, Ended    int64
 	// Shown is when the platform's list first shows that it leaves.
 	Shown int64
-	// Cold are the times in which it bears RampPerS requests a second; 0 is any number.
-	Cold     Spans
-	RampPerS float64
+	// SlowStart are the times in which it bears SlowStartPerS requests a second; 0 is any number.
+	SlowStart     Spans
+	SlowStartPerS float64
 }
 
 // Version is a configuration that an operator sent.
@@ -118,23 +118,23 @@
 	Table *routingpb.RoutingTable
 	// Sent is when it was sent first; Acked and Refused are when the answer came, or Never.
 	Sent, Acked, Refused int64
-	// Taken is when the first acknowledgement left a machine, lost on its way or not, and RefusedAgain when
+	// FirstAcked is when the first acknowledgement left a machine, lost on its way or not, and RefusedAgain when
 	// a repeat of what was acknowledged was refused; 0 is never. Repeats counts those repeats.
-	Taken, RefusedAgain int64
-	Repeats             int64
-	Invalid             bool
+	FirstAcked, RefusedAgain int64
+	Repeats                  int64
+	Invalid                  bool
 	// Alone tells that it was sent on top of the newest version, with no rival.
 	Alone bool
 }
 
-// Order is an evacuation: Acked and Back are when it was acknowledged and when its end was first asked for.
-type Order struct {
-	Zone        string
-	Sent, Acked int64
-	Back        int64
-	BackAcked   int64
-	// Taken and BackTaken are when the first acknowledgement left a machine, lost on its way or not; 0 is never.
-	Taken, BackTaken int64
+// Evacuation is an evacuation: Acked and Back are when it was acknowledged and when its end was first asked for.
+type Evacuation struct {
+	Zone         string
+	Sent, Acked  int64
+	RestoreSent  int64
+	RestoreAcked int64
+	// FirstAcked and RestoreFirstAcked are when the first acknowledgement left a machine, lost on its way or not; 0 is never.
+	FirstAcked, RestoreFirstAcked int64
 }
 
 // ZoneCall is an operator's call about a zone that is no planned evacuation: one that is given up on
@@ -147,17 +147,17 @@
 
 // InForce is what a node had in force at a moment; Life counts the starts of its process.
 type InForce struct {
-	Machine  string
-	Life     int
-	At       int64
-	Revision int64
+	Machine     string
+	Incarnation int
+	At          int64
+	Revision    int64
 }
 
 // Reading is a configuration that was read back; Asked is when the question was sent that it answers.
 type Reading struct {
-	Asked int64
-	At    int64
-	Table *routingpb.RoutingTable
+	RequestedAt int64
+	At          int64
+	Table       *routingpb.RoutingTable
 }
 
 // ConfirmedReading is a read that a majority confirmed between Sent and At.
@@ -174,12 +174,12 @@
 
 // Journal is all that is known of a day.
 type Journal struct {
-	Bounds   Bounds
-	Touch    Touch
-	Tries    []*Try
-	Arrivals []*Arrival
-	Versions []*Version
-	Orders   []*Order
+	Bounds      Bounds
+	Faults      FaultSpans
+	Attempts    []*Attempt
+	Arrivals    []*Arrival
+	Versions    []*Version
+	Evacuations []*Evacuation
 	// ZoneCalls are further calls about zones.
 	ZoneCalls []*ZoneCall
 	Backends  []*Backend
@@ -188,16 +188,16 @@
 	// Confirmed are the readings that histories are judged by.
 	Confirmed []ConfirmedReading
 	Closing   *Closing
-	// Emptied are the zones that the nodes hold to be evacuated at the end, by machine.
-	Emptied map[string][]string
+	// Drained are the zones that the nodes hold to be evacuated at the end, by machine.
+	Drained map[string][]string
 	End     int64
 
 	Findings []Finding
 	Tested   map[string]int64
 	Broken   map[string]int64
 
-	tries map[string]*Try
-	byTry map[string][]*Arrival
+	attempts          map[string]*Attempt
+	arrivalsByAttempt map[string][]*Arrival
 }
 
 // Finding is a broken rule.
--- a/lab/rules/load.go
+++ b/lab/rules/load.go
@@ -11,37 +11,37 @@
 func drain(j *Journal) {
 	for _, a := range j.Arrivals {
 		b := a.Backend
-		if a.Wrong || a.Held || b.Shown == Never || a.At < b.Shown || !j.Touch.In(a.Machine, a.Sent, j.Bounds.ContactUs) {
+		if a.Wrong || a.Held || b.Shown == Never || a.At < b.Shown || !j.Faults.InContact(a.Machine, a.Sent, j.Bounds.ContactUs) {
 			continue
 		}
 		j.tested(Drain)
-		if j.Touch.Unsettled.Hit(b.Shown, b.Shown+j.Bounds.DrainUs) {
+		if j.Faults.Unsettled.Hit(b.Shown, b.Shown+j.Bounds.DrainUs) {
 			j.tested(DrainUnsettled)
 		}
 		if a.At > b.Shown+j.Bounds.DrainUs {
-			j.fail(Drain, a.At, "%s sent %s to %s %d us after it was shown leaving", a.Machine, a.Try, b.ID, a.At-b.Shown)
+			j.fail(Drain, a.At, "%s sent %s to %s %d us after it was shown leaving", a.Machine, a.Attempt, b.ID, a.At-b.Shown)
 		}
 	}
 }
 
 // evac: an evacuated zone gets nothing after a while.
 func evac(j *Journal) {
-	for _, o := range j.Orders {
+	for _, o := range j.Evacuations {
 		if o.Acked == Never {
 			continue
 		}
 		for _, a := range j.Arrivals {
-			if a.Wrong || a.Held || a.At <= o.Acked || a.At >= o.Back {
+			if a.Wrong || a.Held || a.At <= o.Acked || a.At >= o.RestoreSent {
 				continue
 			}
-			bound, ok := j.bound(a.Machine, o.Acked, a.Sent, j.Bounds.EmptyUs)
+			bound, ok := j.bound(a.Machine, o.Acked, a.Sent, j.Bounds.EvacuateUs)
 			if !ok || a.At <= o.Acked+bound {
 				continue
 			}
 			// What goes elsewhere puts the rule to the test too.
 			j.tested(Evac)
 			if a.Backend.Zone == o.Zone {
-				j.fail(Evac, a.At, "%s sent %s to %s, %d us after the evacuation of %s", a.Machine, a.Try, a.Backend.ID, a.At-o.Acked, o.Zone)
+				j.fail(Evac, a.At, "%s sent %s to %s, %d us after the evacuation of %s", a.Machine, a.Attempt, a.Backend.ID, a.At-o.Acked, o.Zone)
 			}
 		}
 	}
@@ -52,13 +52,13 @@
 	extras, asked := map[string][]int64{}, map[string][]int64{}
 	seen := map[string]bool{}
 	for _, a := range j.Arrivals {
-		key := a.Try + " " + a.Backend.Pool
+		key := a.Attempt + " " + a.Backend.Pool
 		if seen[key] {
 			extras[a.Backend.Pool] = append(extras[a.Backend.Pool], a.At)
 		}
 		seen[key] = true
 	}
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		pools := map[string]bool{}
 		for _, v := range j.Versions {
 			if v.Sent <= t.Ended && (v.may(t.Ended) || v.Acked != Never) {
@@ -101,14 +101,14 @@
 func failback(j *Journal) {
 	byLife := map[*Backend][]int64{}
 	for _, a := range j.Arrivals {
-		if b := a.Backend; b.RampPerS > 0 && !a.Wrong && b.Cold.Hit(a.At, a.At) {
+		if b := a.Backend; b.SlowStartPerS > 0 && !a.Wrong && b.SlowStart.Hit(a.At, a.At) {
 			byLife[b] = append(byLife[b], a.At)
 		}
 	}
 	for _, b := range j.Backends {
 		at := byLife[b]
 		slices.Sort(at)
-		most := b.RampPerS*j.Bounds.RampOverrun + j.Bounds.RampTolerance
+		most := b.SlowStartPerS*j.Bounds.SlowStartOverrun + j.Bounds.SlowStartTolerance
 		for i, from := range at {
 			j.tested(Failback)
 			if n := count(at[i:], from, from+1_000_000); float64(n) > most {
@@ -125,7 +125,7 @@
 		return
 	}
 	share := func(from, to int64) (served, all int) {
-		for _, t := range j.Tries {
+		for _, t := range j.Attempts {
 			if !t.Probe && !t.Further && t.Sent >= from && t.Sent < to {
 				all++
 				if t.Served() {
@@ -143,13 +143,13 @@
 	if served, all := share(j.Closing.Back+j.Bounds.RecoverUs, j.End); 4*served < all {
 		j.fail(Recover, j.End, "of %d requests after the recovery %d were served", all, served)
 	}
-	for _, o := range j.Orders {
-		if o.Acked > j.Closing.At || o.Back != Never {
+	for _, o := range j.Evacuations {
+		if o.Acked > j.Closing.At || o.RestoreSent != Never {
 			continue
 		}
-		for _, m := range slices.Sorted(maps.Keys(j.Emptied)) {
+		for _, m := range slices.Sorted(maps.Keys(j.Drained)) {
 			j.tested(Lost)
-			if !slices.Contains(j.Emptied[m], o.Zone) {
+			if !slices.Contains(j.Drained[m], o.Zone) {
 				j.fail(Lost, j.End, "%s does not hold %s to be evacuated any more", m, o.Zone)
 			}
 		}
--- a/lab/rules/planned_test.go
+++ b/lab/rules/planned_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestAConfigurationIsPlannedWorkUntilItIsDueEverywhere(t *testing.T) {
+func TestConfigurationCountsAsPlannedWorkUntilDueEverywhere(t *testing.T) {
 	j := calm()
 	refused := version(4, 3, 40*second, nil)
 	refused.Acked, refused.Refused = Never, 41*second
@@ -23,16 +23,16 @@
 	must.True(t, planned.Hit(59*second, 59*second), must.Sprint("one without a clear answer may be"))
 }
 
-func TestARequestCutBesidePlannedWorkIsLost(t *testing.T) {
+func TestRequestAbortedDuringPlannedWorkIsLost(t *testing.T) {
 	j := calm()
-	j.Judge()
+	j.Check()
 	must.Zero(t, j.Tested[LostPlanned])
-	j.Touch.Planned = Spans{{30 * second, 31 * second}}
-	j.Judge()
+	j.Faults.Planned = Spans{{30 * second, 31 * second}}
+	j.Check()
 	must.Positive(t, j.Tested[LostPlanned])
 	must.Zero(t, j.Broken[Lost])
-	cut := j.Tries[1]
-	cut.Status, cut.Seal, cut.Cut = 0, "", true
-	j.Judge()
+	cut := j.Attempts[1]
+	cut.Status, cut.Seal, cut.Aborted = 0, "", true
+	j.Check()
 	must.Eq(t, 1, j.Broken[Lost])
 }
--- a/lab/rules/repeats.go
+++ b/lab/rules/repeats.go
@@ -19,11 +19,11 @@
 			j.tested(ConfigNumber)
 		}
 		sent[v.Revision] = sent[v.Revision] || !v.Invalid
-		if firstOf(v.Acked, v.Taken) == Never {
+		if firstOf(v.Acked, v.FirstAcked) == Never {
 			continue
 		}
 		if o := taken[v.Revision]; o != nil {
-			j.fail(Config, firstOf(v.Acked, v.Taken), "two changes were acknowledged under number %d", v.Revision)
+			j.fail(Config, firstOf(v.Acked, v.FirstAcked), "two changes were acknowledged under number %d", v.Revision)
 		}
 		taken[v.Revision] = v
 	}
@@ -32,11 +32,11 @@
 // configRepeats: what was acknowledged is acknowledged again or left without an answer, never refused.
 func configRepeats(j *Journal) {
 	for _, v := range j.Versions {
-		if v.Repeats > 0 || v.Taken > 0 && (v.Acked > v.Taken+ackWayUs || v.Refused != Never) {
+		if v.Repeats > 0 || v.FirstAcked > 0 && (v.Acked > v.FirstAcked+ackWayUs || v.Refused != Never) {
 			j.tested(ConfigRepeat)
 		}
-		if v.Taken > 0 && v.Refused != Never && v.Refused >= v.Taken {
-			j.fail(Config, v.Refused, "revision %d was acknowledged at %d us, sent again as that was lost, and refused", v.Revision, v.Taken)
+		if v.FirstAcked > 0 && v.Refused != Never && v.Refused >= v.FirstAcked {
+			j.fail(Config, v.Refused, "revision %d was acknowledged at %d us, sent again as that was lost, and refused", v.Revision, v.FirstAcked)
 		}
 		if v.RefusedAgain > 0 {
 			j.fail(Config, v.RefusedAgain, "revision %d was acknowledged at %d us, sent again and refused", v.Revision, v.Acked)
@@ -53,10 +53,10 @@
 // furtherBackends: hardly any try runs on more backends of a service than its route lets it go to.
 func furtherBackends(j *Journal) {
 	n, at, which := 0, int64(0), ""
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		most := int32(0)
 		ran := map[string]map[*Backend]bool{}
-		for _, a := range j.byTry[t.ID] {
+		for _, a := range j.arrivalsByAttempt[t.ID] {
 			if !a.Ran || a.Backend.Ended <= t.Ended {
 				continue
 			}
@@ -72,7 +72,7 @@
 		if over < 2 {
 			continue
 		}
-		j.tested(BudgetTry)
+		j.tested(BudgetAttempt)
 		for _, v := range j.Versions {
 			if r := routeOf(v.Table, t.Host, t.Path); r != nil && v.Sent <= t.Ended {
 				most = max(most, r.MaxBackends)
--- a/lab/rules/repeats_test.go
+++ b/lab/rules/repeats_test.go
@@ -29,7 +29,7 @@
 	}{
 		{Config, "an acknowledgement that was lost, then a refusal", func(j *Journal) {
 			v := version(4, 3, 35*second, table(4, "p"))
-			v.Alone, v.Taken, v.Acked, v.Refused = false, 35*second+500, Never, 37*second
+			v.Alone, v.FirstAcked, v.Acked, v.Refused = false, 35*second+500, Never, 37*second
 			j.Versions = append(j.Versions, v)
 		}},
 		{Config, "a repeat of what was acknowledged is refused", func(j *Journal) {
@@ -41,22 +41,22 @@
 		}},
 		{Config, "the second one's acknowledgement was lost", func(j *Journal) {
 			v := version(3, 2, 21*second, table(3, "q"))
-			v.Taken, v.Acked = v.Acked, Never
+			v.FirstAcked, v.Acked = v.Acked, Never
 			j.Versions = append(j.Versions, v)
 		}},
 		{Budget, "tries run on more backends than allowed", func(j *Journal) { secondBackends(j, furtherMost+1) }},
 		{Mixed, "a failure with a seal and another status", func(j *Journal) {
-			j.Tries[0].Status, j.Arrivals[0].Status = 502, 500
+			j.Attempts[0].Status, j.Arrivals[0].Status = 502, 500
 		}},
 		{Drain, "work for a backend whose time ran while the core was not settled", func(j *Journal) {
 			j.Backends[1].Shown = 22 * second
-			j.Touch.Unsettled = Spans{{22 * second, 25 * second}}
+			j.Faults.Unsettled = Spans{{22 * second, 25 * second}}
 		}},
 	} {
 		t.Run(c.rule+"/"+c.name, func(t *testing.T) {
 			j := calm()
 			c.broken(j)
-			j.Judge()
+			j.Check()
 			must.Positive(t, j.Broken[c.rule], must.Sprint(j.Findings))
 		})
 	}
@@ -65,34 +65,34 @@
 func TestRepeatsInOrder(t *testing.T) {
 	j := calm()
 	v := j.Versions[1]
-	v.Taken, v.Acked, v.Repeats = v.Acked, v.Acked+2*second, 2
+	v.FirstAcked, v.Acked, v.Repeats = v.Acked, v.Acked+2*second, 2
 	loser := version(3, 1, 20*second, table(3, "p"))
 	loser.Alone, loser.Acked, loser.Refused = false, Never, 21*second
 	j.Versions = append(j.Versions, loser)
 	secondBackends(j, furtherMost)
-	j.Judge()
+	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("acknowledged again; of two under one number one lost; three tries too many"))
 	must.Positive(t, j.Tested[ConfigRepeat])
 	must.Positive(t, j.Tested[ConfigNumber])
-	must.Eq(t, furtherMost, j.Tested[BudgetTry])
+	must.Eq(t, furtherMost, j.Tested[BudgetAttempt])
 }
 
-func TestWhatExcusesABackendOrAReading(t *testing.T) {
+func TestExcusesOfBackendsAndReadings(t *testing.T) {
 	j := calm()
 	secondBackends(j, furtherMost+1)
 	j.Backends[len(j.Backends)-1].Ended = 30 * second
-	j.Judge()
+	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("a backend that crashed meanwhile doesn't count"))
 
 	j = calm()
 	j.Versions = append(j.Versions, version(9, 3, 58*second+900_000, table(9, "q")))
-	j.ReadBack[0].Asked = 58 * second
-	j.Judge()
+	j.ReadBack[0].RequestedAt = 58 * second
+	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("it was acknowledged after the question"))
 
 	j = calm()
 	j.Backends[0].Shown = 6 * second
 	j.Arrivals[0].Held = true
-	j.Judge()
+	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("a cut held the request up"))
 }
--- a/lab/rules/answers.go
+++ b/lab/rules/responses.go
@@ -35,7 +35,7 @@
 			bySeal[a.Seal] = a
 		}
 	}
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		switch {
 		case t.Status == 0:
 		case len(t.Seals) > 0:
@@ -54,8 +54,8 @@
 			switch {
 			case a == nil:
 				j.fail(Mixed, t.Ended, "%s got a seal that no backend gave", t.ID)
-			case a.Try != t.ID:
-				j.fail(Mixed, t.Ended, "%s got the answer to %s", t.ID, a.Try)
+			case a.Attempt != t.ID:
+				j.fail(Mixed, t.Ended, "%s got the answer to %s", t.ID, a.Attempt)
 			case a.Status != t.Status || !same(a.Answer, t.Answer):
 				j.fail(Mixed, t.Ended, "%s got status %d and %d bytes where the backend gave %d and %d", t.ID, t.Status, len(t.Answer), a.Status, len(a.Answer))
 			}
@@ -63,13 +63,13 @@
 	}
 }
 
-func (j *Journal) gathered(t *Try, bySeal map[string]*Arrival) {
+func (j *Journal) gathered(t *Attempt, bySeal map[string]*Arrival) {
 	var parts [][]byte
 	pools := map[string]bool{}
 	for _, s := range t.Seals {
 		a := bySeal[s]
 		switch {
-		case a == nil || a.Try != t.ID:
+		case a == nil || a.Attempt != t.ID:
 			j.fail(Mixed, t.Ended, "%s names a seal that is not for it", t.ID)
 			return
 		case a.Status < 200 || a.Status > 299:
@@ -117,16 +117,16 @@
 			continue
 		}
 		j.tested(Unasked)
-		if t := j.tries[a.Try]; t == nil {
-			j.fail(Unasked, a.At, "%s runs %s, which no client sent", a.Backend.ID, a.Try)
+		if t := j.attempts[a.Attempt]; t == nil {
+			j.fail(Unasked, a.At, "%s runs %s, which no client sent", a.Backend.ID, a.Attempt)
 		} else if a.Method != t.Method || a.Target != t.Target || !same(a.Body, t.Body) {
-			j.fail(Unasked, a.At, "%s runs %s changed", a.Backend.ID, a.Try)
+			j.fail(Unasked, a.At, "%s runs %s changed", a.Backend.ID, a.Attempt)
 		}
 	}
 }
 
-func (j *Journal) ran(t *Try) (n int, at int64) {
-	for _, a := range j.byTry[t.ID] {
+func (j *Journal) ran(t *Attempt) (n int, at int64) {
+	for _, a := range j.arrivalsByAttempt[t.ID] {
 		if a.Ran {
 			n, at = n+1, a.At
 		}
@@ -136,7 +136,7 @@
 
 // twice: what may not be repeated runs once at most.
 func twice(j *Journal) {
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		if t.Repeatable {
 			continue
 		}
@@ -152,8 +152,8 @@
 
 // refused: a promise that a request has not run and never will is kept.
 func refused(j *Journal) {
-	for _, t := range j.Tries {
-		if t.Repeatable || !promise(t.Status) {
+	for _, t := range j.Attempts {
+		if t.Repeatable || !promisesNotRun(t.Status) {
 			continue
 		}
 		j.tested(Refused)
@@ -166,8 +166,8 @@
 // denied: proper requests are not ended with a refusal of the node's own that is no promise.
 func denied(j *Journal) {
 	n, at := 0, int64(0)
-	for _, t := range j.Tries {
-		if !t.Own || t.Status < 300 || t.Status > 499 || promise(t.Status) || !j.Touch.In(t.Machine, t.Ended, j.Bounds.ContactUs) {
+	for _, t := range j.Attempts {
+		if !t.Generated || t.Status < 300 || t.Status > 499 || promisesNotRun(t.Status) || !j.Faults.InContact(t.Machine, t.Ended, j.Bounds.ContactUs) {
 			continue
 		}
 		proper := true
@@ -178,8 +178,8 @@
 			n, at = n+1, t.Ended
 		}
 	}
-	j.Tested[Denied] = int64(len(j.Tries))
-	if most := 5 + len(j.Tries)/500; n > most {
+	j.Tested[Denied] = int64(len(j.Attempts))
+	if most := 5 + len(j.Attempts)/500; n > most {
 		j.fail(Denied, at, "%d proper requests were denied, %d may be", n, most)
 	}
 }
@@ -187,16 +187,16 @@
 // lost: a request that was read is answered whole, unless some trouble explains it.
 func lost(j *Journal) {
 	planned := j.planned()
-	for _, t := range j.Tries {
-		if t.Read == 0 || j.Touch.Unplanned.Hit(t.Sent-j.Bounds.ContactUs, t.Ended) {
+	for _, t := range j.Attempts {
+		if t.Read == 0 || j.Faults.Unplanned.Hit(t.Sent-j.Bounds.ContactUs, t.Ended) {
 			continue
 		}
 		j.tested(Lost)
 		if planned.Hit(t.Sent, t.Ended) {
 			j.tested(LostPlanned)
 		}
-		offered := len(j.byTry[t.ID]) > 0
-		if t.Cut && !t.GaveUp && !t.AfterStop && (offered || t.Ended-t.Sent > j.Bounds.LossUs) {
+		offered := len(j.arrivalsByAttempt[t.ID]) > 0
+		if t.Aborted && !t.GaveUp && !t.AfterStop && (offered || t.Ended-t.Sent > j.Bounds.LossUs) {
 			j.fail(Lost, t.Ended, "%s was read by %s and its connection ended", t.ID, t.Machine)
 		}
 	}
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -36,20 +36,20 @@
 	j := &Journal{
 		Bounds: Bounds{
 			ContactUs: 4 * second, AckUs: 5 * second, DrainUs: 3 * second, LossUs: 200_000, ApplyUs: 3 * second, StretchUs: 12 * second,
-			EmptyUs: 5 * second, RecoverUs: 12 * second, RetryRatio: 0.2, RetryAllowance: 2, RetryWindowUs: 10 * second, RampOverrun: 1.5, RampTolerance: 5,
+			EvacuateUs: 5 * second, RecoverUs: 12 * second, RetryRatio: 0.2, RetryAllowance: 2, RetryWindowUs: 10 * second, SlowStartOverrun: 1.5, SlowStartTolerance: 5,
 		},
 		Versions: []*Version{version(1, 0, 1, table(1, "p")), version(3, 1, 20*second, table(3, "q"))},
 		Backends: []*Backend{backend("bp", "p"), backend("bq", "q"), backend("b0", "s0"), backend("b1", "s1")},
 		End:      60 * second,
 	}
-	j.ReadBack = []Reading{{Asked: 59 * second, At: 59 * second, Table: table(3, "q")}}
+	j.ReadBack = []Reading{{RequestedAt: 59 * second, At: 59 * second, Table: table(3, "q")}}
 	j.one("t1", 10*second, 0)
 	j.one("t2", 30*second, 1)
-	t := &Try{
+	t := &Attempt{
 		ID: "t3", Machine: "m", Host: "h", Path: "/all/x", Target: "/all/x", Method: "GET", Repeatable: true, Sent: 31 * second, Read: 31 * second, Ended: 31*second + 9000,
 		Status: 200, Seals: []string{"s-b0", "s-b1"}, Answer: []byte("ccccccccccccccccbbbbbbbbbbbbbbbb"),
 	}
-	j.Tries = append(j.Tries, t)
+	j.Attempts = append(j.Attempts, t)
 	j.arrive(t, 2, "s-b0", []byte("aaaaaaaaaaaaaaaaccccccccccccccccrest"))
 	j.arrive(t, 3, "s-b1", []byte("bbbbbbbbbbbbbbbb"))
 	for i := range int64(100) {
@@ -63,28 +63,28 @@
 }
 
 // one adds a request that is not repeatable and ran at a backend.
-func (j *Journal) one(id string, at int64, b int) *Try {
-	t := &Try{
+func (j *Journal) one(id string, at int64, b int) *Attempt {
+	t := &Attempt{
 		ID: id, Machine: "m", Host: "h", Path: "/one/x", Target: "/one/x?q", Method: "POST", Body: []byte("body"), Sent: at, Read: at + 3000, Ended: at + 9000,
 		Status: 200, Seal: "seal-" + id, Answer: []byte("answer"),
 	}
-	j.Tries = append(j.Tries, t)
+	j.Attempts = append(j.Attempts, t)
 	j.arrive(t, b, t.Seal, t.Answer)
 	return t
 }
 
-func (j *Journal) arrive(t *Try, b int, seal string, answer []byte) *Arrival {
+func (j *Journal) arrive(t *Attempt, b int, seal string, answer []byte) *Arrival {
 	a := &Arrival{
-		Try: t.ID, Backend: j.Backends[b], Machine: t.Machine, Method: t.Method, Target: t.Target, Body: t.Body, Sent: t.Sent + 4000, At: t.Sent + 5000,
+		Attempt: t.ID, Backend: j.Backends[b], Machine: t.Machine, Method: t.Method, Target: t.Target, Body: t.Body, Sent: t.Sent + 4000, At: t.Sent + 5000,
 		Ran: true, Status: 200, Seal: seal, Answer: answer,
 	}
 	j.Arrivals = append(j.Arrivals, a)
 	return a
 }
 
-func TestACalmJournalBreaksNoRule(t *testing.T) {
+func TestCalmJournalBreaksNoRule(t *testing.T) {
 	j := calm()
-	j.Judge()
+	j.Check()
 	must.Eq(t, nil, j.Findings)
 	for _, rule := range []string{Mixed, Unasked, Twice, Lost, Config, Route, Acks} {
 		must.Positive(t, j.Tested[rule], must.Sprint(rule))
@@ -92,14 +92,14 @@
 }
 
 func TestBrokenRulesAreFound(t *testing.T) {
-	last := func(j *Journal) *Try { return j.Tries[2] }
+	last := func(j *Journal) *Attempt { return j.Attempts[2] }
 	for _, c := range []struct {
 		rule, name string
 		broken     func(j *Journal)
 	}{
-		{Mixed, "no seal", func(j *Journal) { j.Tries[0].Seal = "" }},
-		{Mixed, "the answer to another", func(j *Journal) { j.Tries[0].Seal = "seal-t2" }},
-		{Mixed, "a changed body", func(j *Journal) { j.Tries[0].Answer = []byte("answe") }},
+		{Mixed, "no seal", func(j *Journal) { j.Attempts[0].Seal = "" }},
+		{Mixed, "the answer to another", func(j *Journal) { j.Attempts[0].Seal = "seal-t2" }},
+		{Mixed, "a changed body", func(j *Journal) { j.Attempts[0].Answer = []byte("answe") }},
 		{Mixed, "a failure turned into a success", func(j *Journal) { j.Arrivals[0].Status = 500 }},
 		{Mixed, "another order", func(j *Journal) { last(j).Answer = []byte("bbbbbbbbbbbbbbbbcccccccccccccccc") }},
 		{Mixed, "a record too many", func(j *Journal) { last(j).Answer = append(last(j).Answer, "aaaaaaaaaaaaaaaa"...) }},
@@ -109,26 +109,26 @@
 		{Mixed, "too few parts", func(j *Journal) {
 			last(j).Seals, last(j).Missing, last(j).Answer = []string{"s-b1"}, 1, []byte("bbbbbbbbbbbbbbbb")
 		}},
-		{Unasked, "an id nobody sent", func(j *Journal) { j.Arrivals[0].Try = "t9" }},
+		{Unasked, "an id nobody sent", func(j *Journal) { j.Arrivals[0].Attempt = "t9" }},
 		{Unasked, "a changed target", func(j *Journal) { j.Arrivals[0].Target = "/one/x" }},
 		{Unasked, "a changed body", func(j *Journal) { j.Arrivals[0].Body = nil }},
-		{Twice, "a second run", func(j *Journal) { j.arrive(j.Tries[0], 0, "again", nil) }},
-		{Refused, "a promise that was not kept", func(j *Journal) { j.Tries[0].Status, j.Tries[0].Seal = 503, "" }},
+		{Twice, "a second run", func(j *Journal) { j.arrive(j.Attempts[0], 0, "again", nil) }},
+		{Refused, "a promise that was not kept", func(j *Journal) { j.Attempts[0].Status, j.Attempts[0].Seal = 503, "" }},
 		{Denied, "proper requests denied", func(j *Journal) {
 			for i := range 6 {
 				v := j.one(fmt.Sprint("d", i), 40*second, 1)
-				v.Status, v.Own = 403, true
+				v.Status, v.Generated = 403, true
 			}
 		}},
 		{Route, "a pool that no version names", func(j *Journal) { j.Arrivals[0].Backend = backend("bx", "x") }},
 		{Drain, "work for a backend that leaves", func(j *Journal) { j.Backends[0].Shown = 6 * second }},
 		{Lost, "an answer that never came", func(j *Journal) {
-			j.Tries[0].Status, j.Tries[0].Seal, j.Tries[0].Cut = 0, "", true
+			j.Attempts[0].Status, j.Attempts[0].Seal, j.Attempts[0].Aborted = 0, "", true
 		}},
 		{Config, "the older version after its time", func(j *Journal) { j.one("t9", 24*second, 0) }},
 		{Config, "a route denied that is there", func(j *Journal) {
 			v := j.one("t9", 40*second, 1)
-			v.Status, v.Own, j.Arrivals = 404, true, j.Arrivals[:len(j.Arrivals)-1]
+			v.Status, v.Generated, j.Arrivals = 404, true, j.Arrivals[:len(j.Arrivals)-1]
 		}},
 		{Config, "a refused version in force", func(j *Journal) {
 			v := version(4, 3, 35*second, table(4, "p"))
@@ -152,12 +152,12 @@
 		}},
 		{Lost, "an evacuation forgotten after the closing fault", func(j *Journal) {
 			j.Closing = &Closing{At: 25 * second, Back: 26 * second}
-			j.Orders = []*Order{{Zone: "z9", Sent: 1, Acked: 2, Back: Never, BackAcked: Never}}
-			j.Emptied = map[string][]string{"m": nil}
+			j.Evacuations = []*Evacuation{{Zone: "z9", Sent: 1, Acked: 2, RestoreSent: Never, RestoreAcked: Never}}
+			j.Drained = map[string][]string{"m": nil}
 		}},
 		{Acks, "no acknowledgement in a settled core", func(j *Journal) {
 			j.Versions[1].Acked = Never
-			j.InForce, j.Tries, j.Arrivals = nil, nil, nil
+			j.InForce, j.Attempts, j.Arrivals = nil, nil, nil
 		}},
 		{Acks, "a change on the newest version refused", func(j *Journal) {
 			v := version(4, 3, 35*second, table(4, "p"))
@@ -171,13 +171,13 @@
 		}},
 		{Failback, "a cold backend run over", func(j *Journal) {
 			b := j.Backends[2]
-			b.RampPerS, b.Cold = 2, Spans{{30 * second, 33 * second}}
+			b.SlowStartPerS, b.SlowStart = 2, Spans{{30 * second, 33 * second}}
 			for i := range 8 {
 				j.arrive(last(j), 2, fmt.Sprint("extra-", i), nil)
 			}
 		}},
 		{Evac, "work for an evacuated zone", func(j *Journal) {
-			j.Orders = []*Order{{Zone: "z", Sent: second, Acked: 2 * second, Back: Never, BackAcked: Never}}
+			j.Evacuations = []*Evacuation{{Zone: "z", Sent: second, Acked: 2 * second, RestoreSent: Never, RestoreAcked: Never}}
 		}},
 		{Recover, "little served after the closing fault", func(j *Journal) {
 			j.Closing = &Closing{At: 32 * second, Back: 33 * second}
@@ -190,30 +190,30 @@
 		t.Run(c.rule+"/"+c.name, func(t *testing.T) {
 			j := calm()
 			c.broken(j)
-			j.Judge()
+			j.Check()
 			must.Positive(t, j.Broken[c.rule], must.Sprint(j.Findings))
 		})
 	}
 }
 
-func TestTroubleExcuses(t *testing.T) {
+func TestFaultsExcuse(t *testing.T) {
 	j := calm()
 	j.one("t9", 24*second, 0)
-	j.Touch.Of("m").Open(18 * second)
-	j.Touch.Of("m").Close(22 * second)
-	j.Judge()
+	j.Faults.Of("m").Open(18 * second)
+	j.Faults.Of("m").Close(22 * second)
+	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("the machine was not in touch"))
 
 	j = calm()
 	j.one("t9", 24*second, 0)
-	j.Touch.Unsettled.Moment(22 * second)
-	j.Judge()
+	j.Faults.Unsettled.Moment(22 * second)
+	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("the core was unsettled, and the bound is stretched"))
 
 	j = calm()
 	j.one("t9", 39*second, 0)
-	j.Touch.Unsettled.Moment(36 * second)
-	j.Judge()
+	j.Faults.Unsettled.Moment(36 * second)
+	j.Check()
 	must.Eq(t, 1, j.Broken[Config], must.Sprint("but not for longer than that"))
 }
 
--- a/lab/scale/backends.go
+++ b/lab/scale/backends.go
@@ -41,7 +41,7 @@
 			return nil, nil, err
 		}
 		id := fmt.Sprintf("%s-%d-%d", Cut, i%c.Shards, i/c.Shards)
-		b := backend.New(backend.Config{ID: id, Index: Index, Cut: Cut, Shard: i % c.Shards, Shards: c.Shards})
+		b := backend.New(backend.Config{ID: id, Index: Index, ShardMap: Cut, Shard: i % c.Shards, Shards: c.Shards})
 		s := &http.Server{Handler: b.Handler()}
 		all = append(all, s)
 		go s.Serve(l)
--- a/lab/scale/start.go
+++ b/lab/scale/start.go
@@ -140,7 +140,7 @@
 	s := fleet.Shapes["trust"]
 	s.Index, s.Shards = Index, f.shards
 	f.mark++
-	return bytes.ReplaceAll(s.Sheet(), []byte(`"ramp_us":3000000`), fmt.Appendf(nil, `"ramp_us":%d`, f.mark))
+	return bytes.ReplaceAll(s.Config(), []byte(`"ramp_us":3000000`), fmt.Appendf(nil, `"ramp_us":%d`, f.mark))
 }
 
 // edit has one of the hollow nodes take an operator's edit.
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -16,24 +16,24 @@
 
 // Figures of the platform and of backends.
 const (
-	listLagUs  = 800_000
-	pageSize   = 50
-	listPerS   = 44
-	reuseUs    = 2_000_000
-	crashedFor = 3_000_000
-	warmUpUs   = 3_000_000
-	warmUpX    = 1600
-	pauseEvery = 4_000_000
+	listLagUs   = 800_000
+	pageSize    = 50
+	listPerS    = 44
+	reuseUs     = 2_000_000
+	crashedFor  = 3_000_000
+	warmUpUs    = 3_000_000
+	warmUpX     = 1600
+	pausePeriod = 4_000_000
 )
 
 type backends struct {
-	d       *day
-	all     []*life
-	byAddr  map[string]*life
-	lists   []shownList
-	calls   []int64
-	nextID  int
-	nextAdr int
+	day       *day
+	all       []*incarnation
+	byAddr    map[string]*incarnation
+	published []publishedList
+	calls     []int64
+	nextID    int
+	nextAddr  int
 	// free are addresses whose backend has ended, with when they may be used again.
 	free []freeAddr
 	mode string
@@ -47,7 +47,7 @@
 }
 
 func (b *backends) init(d *day) {
-	b.d, b.byAddr = d, map[string]*life{}
+	b.day, b.byAddr = d, map[string]*incarnation{}
 }
 
 // poolNames are the pools of a service: itself, or its shards.
@@ -73,8 +73,8 @@
 
 // begin starts the backends that are there from the start: they are warm.
 func (b *backends) begin() {
-	for i := range b.d.site.pools {
-		if p := &b.d.site.pools[i]; !p.later {
+	for i := range b.day.site.pools {
+		if p := &b.day.site.pools[i]; !p.later {
 			b.startPool(p)
 		}
 	}
@@ -83,9 +83,9 @@
 
 func (b *backends) startPool(p *poolShape) {
 	for k, name := range p.poolNames() {
-		for zi := range b.d.site.zones {
+		for zi := range b.day.site.zones {
 			// Where a shard has fewer backends than there are zones, the shards take turns.
-			z := b.d.site.zones[(zi+k)%len(b.d.site.zones)]
+			z := b.day.site.zones[(zi+k)%len(b.day.site.zones)]
 			for range p.perZone[zi] {
 				b.start(p, name, z.name)
 			}
@@ -94,71 +94,71 @@
 }
 
 // start is a new life, maybe at an address that a backend of another pool had.
-func (b *backends) start(p *poolShape, pool, zone string) *life {
-	d := b.d
+func (b *backends) start(p *poolShape, pool, zone string) *incarnation {
+	d := b.day
 	b.nextID++
-	l := &life{d: d, shape: p, cold: d.w.now + warmUpUs, up: true, listed: true}
+	l := &incarnation{day: d, shape: p, warmAt: d.world.now + warmUpUs, up: true, listed: true}
 	l.row = wire.Backend{ID: fmt.Sprintf("i-%04d", b.nextID), Zone: zone, Pool: pool, State: "ready", Incarnation: 1, Slots: p.slots}
 	l.row.Addr = b.address(pool, zone)
-	l.seen = &rules.Backend{ID: l.row.ID, Pool: pool, Zone: zone, Born: d.w.now, Ended: rules.Never, Shown: rules.Never, RampPerS: p.rampPerS}
-	l.speed = 90 + d.w.rnd.Int64N(21)
-	l.phase = d.w.rnd.Int64N(pauseEvery)
-	if d.w.now == 0 {
-		l.cold = 0
+	l.record = &rules.Backend{ID: l.row.ID, Pool: pool, Zone: zone, Born: d.world.now, Ended: rules.Never, Shown: rules.Never, SlowStartPerS: p.slowStartPerS}
+	l.speed = 90 + d.world.rng.Int64N(21)
+	l.phase = d.world.rng.Int64N(pausePeriod)
+	if d.world.now == 0 {
+		l.warmAt = 0
 	} else {
-		l.seen.Cold = rules.Spans{{From: d.w.now, To: l.cold}}
+		l.record.SlowStart = rules.Spans{{From: d.world.now, To: l.warmAt}}
 	}
 	b.all = append(b.all, l)
 	b.byAddr[l.row.Addr] = l
-	d.journal.Backends = append(d.journal.Backends, l.seen)
+	d.journal.Backends = append(d.journal.Backends, l.record)
 	return l
 }
 
 // address is a new one, or one whose backend has ended and was of another pool.
 func (b *backends) address(pool, zone string) string {
-	i := slices.IndexFunc(b.free, func(f freeAddr) bool { return f.zone == zone && f.pool != pool && f.at <= b.d.w.now })
-	if i >= 0 && (b.reuses || b.d.w.rnd.IntN(2) == 0) {
+	i := slices.IndexFunc(b.free, func(f freeAddr) bool { return f.zone == zone && f.pool != pool && f.at <= b.day.world.now })
+	if i >= 0 && (b.reuses || b.day.world.rng.IntN(2) == 0) {
 		addr := b.free[i].addr
 		b.free = slices.Delete(b.free, i, i+1)
-		b.d.w.Judge.Count("addresses_reused", 1)
+		b.day.world.Checker.Count("addresses_reused", 1)
 		return addr
 	}
-	b.nextAdr++
-	return fmt.Sprintf("10.128.%d.%d:8080", b.nextAdr/250, b.nextAdr%250)
+	b.nextAddr++
+	return fmt.Sprintf("10.128.%d.%d:8080", b.nextAddr/250, b.nextAddr%250)
 }
 
 // publish makes the platform know the backends as they are now; it shows them after its lag.
 func (b *backends) publish() {
-	now := b.d.w.now
+	now := b.day.world.now
 	list := wire.BackendList{Complete: true, Backends: []wire.Backend{}}
 	for _, l := range b.all {
 		if !l.listed {
 			continue
 		}
 		row := l.row
-		row.WarmUpRemaining = l.cold
+		row.WarmUpRemaining = l.warmAt
 		list.Backends = append(list.Backends, row)
 	}
-	b.lists = append(b.lists, shownList{now, list})
+	b.published = append(b.published, publishedList{now, list})
 }
 
-// list is a whole reading: as many calls as it has pages.
-func (b *backends) list() (int, []byte) {
-	w := b.d.w
+// serveList is a whole reading: as many calls as it has pages.
+func (b *backends) serveList() (int, []byte) {
+	w := b.day.world
 	for len(b.calls) > 0 && w.now-b.calls[0] >= 1_000_000 {
 		b.calls = b.calls[1:]
 	}
 	var out wire.BackendList
-	for _, l := range b.lists {
+	for _, l := range b.published {
 		if w.now-l.at >= listLagUs || l.at == 0 {
 			out = l.list
 		}
 	}
 	out.Backends = slices.Clone(out.Backends)
 	out.Calls = int64(len(out.Backends)/pageSize + 1)
-	w.Judge.Count("platform_calls", out.Calls)
+	w.Checker.Count("platform_calls", out.Calls)
 	if len(b.calls)+int(out.Calls) > listPerS {
-		w.Judge.Count("platform_shed", 1)
+		w.Checker.Count("platform_shed", 1)
 		return 429, nil
 	}
 	for range out.Calls {
@@ -178,11 +178,11 @@
 }
 
 // fetch answers what plug-ins ask of the platform and of backends' health.
-func (d *day) fetch(p *proc, f kernel.Fetch) {
+func (d *day) fetch(p *process, f kernel.Fetch) {
 	done := false
 	answer := func(in int64, r kernel.Fetched) {
 		r.Plugin, r.Key = f.Plugin, f.Key
-		p.later(in, func() {
+		p.deliverAfter(in, func() {
 			if !done {
 				done = true
 				p.step(r)
@@ -192,21 +192,21 @@
 	answer(f.Timeout, kernel.Fetched{Err: "timed out"})
 	addr, platform := fetched(f.URL)
 	if platform {
-		d.reader = p.machine
-		status, body := d.backends.list()
-		answer(1000+d.w.rnd.Int64N(1000), kernel.Fetched{Status: status, Body: body})
+		d.listReader = p.machine
+		status, body := d.backends.serveList()
+		answer(1000+d.world.rng.Int64N(1000), kernel.Fetched{Status: status, Body: body})
 		return
 	}
-	d.w.Judge.Count("probes", 1)
+	d.world.Checker.Count("probes", 1)
 	l := d.backends.byAddr[addr]
-	rtt := 2 * d.latency(p.env.Zone, zoneOf(l, p))
+	rtt := 2 * d.latency(p.settings.Zone, zoneOf(l, p))
 	switch {
-	case l != nil && (l.dark || d.shut(p.machine, l)):
+	case l != nil && (l.silent || d.unreachable(p.machine, l)):
 	case l == nil || !l.up:
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 	default:
-		l.probe(func(status int) {
-			r := healthcheck.Response{ID: l.row.ID, Incarnation: 1, Usage: int64(l.running + len(l.queue)), SlowStart: max(0, l.cold-d.w.now)}
+		l.healthCheck(func(status int) {
+			r := healthcheck.Response{ID: l.row.ID, Incarnation: 1, Usage: int64(l.running + len(l.queue)), SlowStart: max(0, l.warmAt-d.world.now)}
 			body, err := json.Marshal(&r)
 			if err == nil {
 				answer(rtt, kernel.Fetched{Status: status, Body: body})
@@ -215,17 +215,17 @@
 	}
 }
 
-func zoneOf(l *life, p *proc) string {
+func zoneOf(l *incarnation, p *process) string {
 	if l == nil {
-		return p.env.Zone
+		return p.settings.Zone
 	}
 	return l.row.Zone
 }
 
 // of lists the lives that run and belong to a service or one of its pools.
-func (b *backends) of(service string) (out []*life) {
+func (b *backends) of(service string) (out []*incarnation) {
 	for _, l := range b.all {
-		if l.up && !l.leaving && (service == "*" || l.row.Pool == service || l.shape.name == service) {
+		if l.up && !l.draining && (service == "*" || l.row.Pool == service || l.shape.name == service) {
 			out = append(out, l)
 		}
 	}
--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -9,18 +9,18 @@
 	"wallport/lab/rules"
 )
 
-// badWays are the ways in which a configuration is no good, as the platform names them.
-var badWays = []string{
+// badModes are the ways in which a configuration is no good, as the platform names them.
+var badModes = []string{
 	"cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key",
 }
 
-// bad sends configurations that are no good, each way in turn or the one that is asked for.
-func (o *orders) bad(e *entry) {
+// sendBad sends configurations that are no good, each way in turn or the one that is asked for.
+func (o *commands) sendBad(e *dayStep) {
 	for i := range max(1, e.count) {
-		o.d.w.after(int64(i)*e.gapUs, func() {
-			way := badWays[o.d.w.rnd.IntN(len(badWays))]
-			for _, w := range badWays {
-				if e.is(w) {
+		o.day.world.after(int64(i)*e.gapUs, func() {
+			way := badModes[o.day.world.rng.IntN(len(badModes))]
+			for _, w := range badModes {
+				if e.has(w) {
 					way = w
 				}
 			}
@@ -29,19 +29,19 @@
 	}
 }
 
-func (o *orders) putBad(way string) {
-	d, base := o.d, o.base
+func (o *commands) putBad(way string) {
+	d, base := o.day, o.base
 	df := draft{routes: []*routingpb.Route{o.badRoute(way)}, invalid: true}
 	switch way {
 	case "cut_short":
-		df.cutShort = true
+		df.truncated = true
 	case "old_version":
 		df.number = max(1, base.Revision-1)
 	case "same_version":
 		df.number = base.Revision
 	case "shared_key":
 		// Two items of one list bear one name.
-		df.whole = true
+		df.complete = true
 		twin := proto.Clone(df.routes[0]).(*routingpb.Route)
 		twin.Prefix = prefixOf("twin")
 		base = &rules.Version{Revision: base.Revision, Table: proto.Clone(base.Table).(*routingpb.RoutingTable)}
@@ -49,20 +49,20 @@
 	case "stale_match":
 		// It would be valid, but for the version that it builds on.
 		df.invalid = false
-		if len(o.taken) > 1 {
-			base = o.taken[len(o.taken)-2].v
+		if len(o.accepted) > 1 {
+			base = o.accepted[len(o.accepted)-2].version
 		} else {
 			base = &rules.Version{Revision: base.Revision - 1, Table: base.Table}
 		}
 	}
-	d.w.Judge.Count("way.bad_config."+way, 1)
-	o.put(base, df, false, o.turn)
+	d.world.Checker.Count("way.bad_config."+way, 1)
+	o.put(base, df, false, o.runNext)
 }
 
 // badRoute is a changed route with the fault in it that a way names.
-func (o *orders) badRoute(way string) *routingpb.Route {
+func (o *commands) badRoute(way string) *routingpb.Route {
 	now := o.base.Table
-	r := o.edited(now, now.Routes[o.d.w.rnd.IntN(len(now.Routes))])
+	r := o.edited(now, now.Routes[o.day.world.rng.IntN(len(now.Routes))])
 	switch way {
 	case "unknown_service":
 		r.Pool, r.PoolWeights, r.FanoutPools = "nowhere", nil, nil
@@ -70,7 +70,7 @@
 		r.Name = "same-place"
 	case "no_weight":
 		r.Pool, r.FanoutPools, r.PoolWeights = "", nil, nil
-		for _, p := range o.d.singles() {
+		for _, p := range o.day.unshardedPools() {
 			r.PoolWeights = append(r.PoolWeights, &routingpb.PoolWeight{Pool: p})
 		}
 	case "no_timeout":
--- /dev/null
+++ b/lab/sim/day_connection_faults.go
@@ -0,0 +1,119 @@
+// Troubles of connections and of single machines' pace: resets, refusals, cuts
+// with restarts, slow processes, settings that are read again.
+
+package sim
+
+import (
+	"slices"
+
+	"wallport/runtime/kernel"
+)
+
+const (
+	// slowStepUs is what an input takes of a process that is slowed down, for each time that it is slower.
+	slowStepUs = 60
+	// busyWithin bounds how long a machine that is to be stopped waits for a request.
+	busyWithin = 2_000_000
+)
+
+// slow makes each input take a while; 0 is the usual pace.
+func (m *machine) slow(us int64) {
+	m.recordEvent()
+	for _, p := range m.processes() {
+		p.inputDelay = us
+	}
+	m.day.updateFaultSpans()
+}
+
+// resetConns resets a share of the connections of some machines.
+func (d *day) resetConns(e *dayStep) {
+	d.recordUnplanned(0)
+	hit := d.drawOthers(e, d.machineCount(e, 0.1))
+	if m := d.drawCoreMember(e); m != nil && (e.on == "core" || d.world.rng.IntN(2) == 0) {
+		hit = append(hit, m)
+	}
+	for _, m := range hit {
+		d.world.Checker.Count("troubled.reset_conns", 1)
+		m.recordEvent()
+		d.world.net.reset(m, e.factorOr(0.5))
+		if g := d.gateways[m.node]; g != nil {
+			g.resetConns(e.factorOr(0.5))
+		}
+		d.meetReturned(e, m)
+	}
+}
+
+// resetConns ends a share of a node's connections with clients and backends.
+func (g *gateway) resetConns(share float64) {
+	rnd := g.day.world.rng
+	for _, x := range slices.Clone(g.exchanges) {
+		if x.sent && rnd.Float64() < share {
+			x.failed("reset")
+		}
+	}
+	for _, r := range slices.Clone(g.requests) {
+		if !r.ended && rnd.Float64() < share {
+			g.day.world.Checker.Count("clients_reset", 1)
+			r.hangUp()
+		}
+	}
+	for _, l := range g.day.backends.all {
+		for _, c := range g.idleConns[l.row.ID] {
+			c.reset = c.reset || rnd.Float64() < share
+		}
+	}
+}
+
+// restartAroundPartition restarts machines, or names seeds, around a machine that is cut off.
+func (d *day) restartAroundPartition(e *dayStep, m *machine) {
+	again := func(o *machine, in int64) {
+		d.world.after(in, func() {
+			if o.poweredOff || o.removed || o.draining {
+				return
+			}
+			o.kill()
+			d.world.after(restartUs, o.start)
+		})
+	}
+	switch {
+	case e.has("seeds"):
+		d.rotateSeedsTo(m)
+		for i, o := range d.drawOthers(e, 3) {
+			again(o, int64(i+1)*e.forUs/8)
+		}
+	case e.has("both"):
+		again(m, e.forUs/4)
+		in := e.forUs / 2
+		d.eachCoreMember(func(o *machine) {
+			if o != m {
+				again(o, in)
+				in += restartUs
+			}
+		})
+	}
+}
+
+// setRefused lets connections over a cut be refused at once.
+func (d *day) setRefused(ways []string, on bool) {
+	for _, way := range ways {
+		d.refusedLinks[way] = on
+	}
+}
+
+// rereadSettings lets machines read their settings again.
+func (d *day) rereadSettings(e *dayStep) {
+	all := slices.Clone(d.machines)
+	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	n := max(1, int(e.shareOr(0.3)*float64(len(all))+0.5))
+	for _, m := range all[:min(n, len(all))] {
+		d.world.after(d.world.rng.Int64N(e.gapUs+1), func() {
+			for _, p := range m.processes() {
+				if p.running() {
+					d.world.Checker.Count("troubled.hup", 1)
+					d.recordPlanned(d.journal.Bounds.ApplyUs)
+					p.step(kernel.SeedsChanged{Seeds: slices.Clone(p.settings.Seeds)})
+				}
+			}
+		})
+	}
+}
--- a/lab/sim/day_drafts.go
+++ b/lab/sim/day_drafts.go
@@ -13,9 +13,9 @@
 )
 
 // draft makes a change of the newest version.
-func (o *orders) draft(how string) draft {
-	d, now := o.d, o.base.Table
-	rnd := d.w.rnd
+func (o *commands) draft(how string) draft {
+	d, now := o.day, o.base.Table
+	rnd := d.world.rng
 	switch how {
 	case "route", "weights":
 		return draft{routes: []*routingpb.Route{o.moved(now, how == "weights")}}
@@ -38,21 +38,21 @@
 	return o.idleDraft(now)
 }
 
-func (o *orders) edited(on *routingpb.RoutingTable, r *routingpb.Route) *routingpb.Route {
+func (o *commands) edited(on *routingpb.RoutingTable, r *routingpb.Route) *routingpb.Route {
 	c := proto.Clone(r).(*routingpb.Route)
-	c.Source = fmt.Appendf(nil, "%s after %d, %d", r.Name, on.Revision, o.d.w.rnd.Int64N(1000))
+	c.Source = fmt.Appendf(nil, "%s after %d, %d", r.Name, on.Revision, o.day.world.rng.Int64N(1000))
 	return c
 }
 
 // moved sends a route of one pool to the other, or splits it.
-func (o *orders) moved(on *routingpb.RoutingTable, split bool) *routingpb.Route {
+func (o *commands) moved(on *routingpb.RoutingTable, split bool) *routingpb.Route {
 	var of []*routingpb.Route
 	for _, r := range on.Routes {
 		if len(r.FanoutPools) == 0 {
 			of = append(of, r)
 		}
 	}
-	rnd, pools := o.d.w.rnd, o.d.singles()
+	rnd, pools := o.day.world.rng, o.day.unshardedPools()
 	r := o.edited(on, of[rnd.IntN(len(of))])
 	if split {
 		r.Pool, r.PoolWeights = "", nil
@@ -70,22 +70,22 @@
 }
 
 // idleDraft adds an idle route, removes one or sends one elsewhere.
-func (o *orders) idleDraft(on *routingpb.RoutingTable) draft {
+func (o *commands) idleDraft(on *routingpb.RoutingTable) draft {
 	var idle []*routingpb.Route
 	for _, r := range on.Routes {
 		if strings.HasPrefix(r.Name, "idle-") {
 			idle = append(idle, r)
 		}
 	}
-	rnd := o.d.w.rnd
+	rnd := o.day.world.rng
 	switch pick := rnd.IntN(3); {
 	case len(idle) == 0 || len(idle) < idleRoutesMost && pick == 0:
-		return draft{routes: []*routingpb.Route{o.idle()}}
+		return draft{routes: []*routingpb.Route{o.newIdleRoute()}}
 	case pick == 1:
 		return draft{withdraw: []string{idle[rnd.IntN(len(idle))].Name}}
 	default:
 		r := o.edited(on, idle[rnd.IntN(len(idle))])
-		pools := o.d.singles()
+		pools := o.day.unshardedPools()
 		for r.Pool, r.PoolWeights = "", nil; r.Pool == "" || len(pools) > 1 && r.Pool == routeNamed(on, r.Name).Pool; {
 			r.Pool = pools[rnd.IntN(len(pools))]
 		}
@@ -105,20 +105,20 @@
 // reshard starts the backends of the next set of shards; after a while a version names them, and once that is
 // due everywhere the old ones leave.
 func (d *day) reshard(after int64) {
-	o := &d.oper
+	o := &d.commands
 	for i := range d.site.pools {
 		p := &d.site.pools[i]
 		if p.shards > 0 && !p.later {
 			next := &d.site.pools[i+1]
 			d.backends.startPool(next)
 			d.backends.publish()
-			d.w.after(after, func() { o.enqueue(func() { o.recut(p, next) }) })
+			d.world.after(after, func() { o.enqueue(func() { o.reshardDraft(p, next) }) })
 		}
 	}
 }
 
-func (o *orders) recut(old, next *poolShape) {
-	d := o.d
+func (o *commands) reshardDraft(old, next *poolShape) {
+	d := o.day
 	var df draft
 	for _, r := range o.base.Table.Routes {
 		if len(r.FanoutPools) > 0 && strings.HasPrefix(r.FanoutPools[0], old.name+"-") {
@@ -128,11 +128,11 @@
 		}
 	}
 	o.put(o.base, df, true, func() {
-		d.w.after(d.journal.Bounds.ApplyUs, func() {
+		d.world.after(d.journal.Bounds.ApplyUs, func() {
 			for _, l := range d.backends.of(old.name) {
-				l.leave()
+				l.drain()
 			}
 		})
-		o.turn()
+		o.runNext()
 	})
 }
