--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -23,24 +23,24 @@
 
 // conn is a connection that is kept; foul tells that bytes of no request wait on it.
 type conn struct {
-	l     *life
-	since int64
-	foul  int64
+	backend   *incarnation
+	idleSince int64
+	surplusAt int64
 	// reset tells that the backend's end is gone, and the node does not know it yet.
 	reset bool
 }
 
 type exchange struct {
-	g    *gate
-	r    *pass
-	n    int
-	l    *life
-	job  *job
-	kind *kindShape
-	ask  dispatch.Send
-	conn *conn
+	gateway *gateway
+	request *clientRequest
+	attempt int
+	backend *incarnation
+	job     *job
+	kind    *requestShape
+	action  dispatch.Send
+	conn    *conn
 	// reused tells that the connection had served before; sent that bytes were written.
-	reused, sent, over bool
+	reused, sent, ended bool
 }
 
 func fetched(url string) (addr string, platform bool) {
@@ -49,11 +49,11 @@
 }
 
 // exchangesOf lists what is under way with a backend, in the order of the gates.
-func (d *day) exchangesOf(l *life) (out []*exchange) {
+func (d *day) exchangesOf(l *incarnation) (out []*exchange) {
 	for _, m := range d.machines {
-		if g := d.gates[m.node]; g != nil {
-			for _, x := range g.open {
-				if x.l == l {
+		if g := d.gateways[m.node]; g != nil {
+			for _, x := range g.exchanges {
+				if x.backend == l {
 					out = append(out, x)
 				}
 			}
@@ -62,42 +62,42 @@
 	return out
 }
 
-// ask begins an exchange.
-func (g *gate) ask(r *pass, a dispatch.Send) {
-	d := g.d
-	x := &exchange{g: g, r: r, n: a.N, ask: a, kind: r.kind}
-	g.open = append(g.open, x)
-	g.p.later(a.Timeout, func() {
+// startExchange begins an exchange.
+func (g *gateway) startExchange(r *clientRequest, a dispatch.Send) {
+	d := g.day
+	x := &exchange{gateway: g, request: r, attempt: a.N, action: a, kind: r.kind}
+	g.exchanges = append(g.exchanges, x)
+	g.process.deliverAfter(a.Timeout, func() {
 		x.end(dispatch.Result{Class: x.class(), TimedOut: true, ReusedConn: x.reused, Reason: "no answer in time"})
 	})
 	s := a.Server
-	x.conn = g.idle(s)
+	x.conn = g.takeIdleConn(s)
 	if x.conn != nil {
 		x.reused = true
-		x.send(x.conn.l)
+		x.send(x.conn.backend)
 		return
 	}
 	l := d.backends.byAddr[s.Addr]
 	zone := s.Zone
-	there := d.latency(g.p.env.Zone, zone)
+	there := d.latency(g.process.settings.Zone, zone)
 	switch {
-	case l != nil && (l.dark || d.shut(g.p.machine, l)):
-		g.p.later(min(dialWithin, a.Timeout), func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "dial timed out"}) })
+	case l != nil && (l.silent || d.unreachable(g.process.machine, l)):
+		g.process.deliverAfter(min(dialWithin, a.Timeout), func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "dial timed out"}) })
 	case l == nil || !l.up:
-		g.p.later(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection refused"}) })
+		g.process.deliverAfter(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection refused"}) })
 	case l.conns >= l.shape.connections:
-		d.w.Judge.Count("connections_refused", 1)
-		g.p.later(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"}) })
+		d.world.Checker.Count("connections_refused", 1)
+		g.process.deliverAfter(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"}) })
 	default:
 		l.conns++
-		d.w.Judge.Count("handshakes", 1)
-		x.conn = &conn{l: l}
-		g.p.later(2*there+handshakeUs, func() {
-			if x.over {
+		d.world.Checker.Count("handshakes", 1)
+		x.conn = &conn{backend: l}
+		g.process.deliverAfter(2*there+handshakeUs, func() {
+			if x.ended {
 				l.conns--
 				return
 			}
-			if !l.up || d.shut(g.p.machine, l) {
+			if !l.up || d.unreachable(g.process.machine, l) {
 				x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"})
 				return
 			}
@@ -113,114 +113,155 @@
 	return dispatch.ClassNotSent
 }
 
-// idle takes a kept connection to a backend, the newest first; those that end or hold foul bytes are closed.
-func (g *gate) idle(s *snapshot.Server) *conn {
-	now := g.d.w.now
-	all := g.kept[s.ID]
+// takeIdleConn takes a kept connection to a backend, the newest first; those that end or hold foul bytes are closed.
+func (g *gateway) takeIdleConn(s *snapshot.Server) *conn {
+	now := g.day.world.now
+	all := g.idleConns[s.ID]
 	for len(all) > 0 {
 		c := all[len(all)-1]
 		all = all[:len(all)-1]
-		if c.l.up && now-c.since < idleMost && (c.foul == 0 || c.foul > now) {
-			g.kept[s.ID] = all
+		if c.backend.up && now-c.idleSince < idleMost && (c.surplusAt == 0 || c.surplusAt > now) {
+			g.idleConns[s.ID] = all
 			return c
 		}
-		c.l.conns--
+		c.backend.conns--
 	}
-	delete(g.kept, s.ID)
+	delete(g.idleConns, s.ID)
 	return nil
 }
 
-func (g *gate) keep(x *exchange) {
+func (g *gateway) releaseConn(x *exchange) {
 	c := x.conn
 	if c == nil {
 		return
 	}
-	c.since = g.d.w.now
-	if all := g.kept[x.ask.Server.ID]; len(all) < idlePerLife && c.l.up {
-		g.kept[x.ask.Server.ID] = append(all, c)
+	c.idleSince = g.day.world.now
+	if all := g.idleConns[x.action.Server.ID]; len(all) < idlePerLife && c.backend.up {
+		g.idleConns[x.action.Server.ID] = append(all, c)
 		return
 	}
-	c.l.conns--
+	c.backend.conns--
 }
 
 // send writes the request; it is at the backend a way later.
-func (x *exchange) send(l *life) {
-	d, a := x.g.d, &x.ask
-	x.l, x.sent = l, true
-	sent := d.w.now
-	work := d.work(x.kind)
+func (x *exchange) send(l *incarnation) {
+	d, a := x.gateway.day, &x.action
+	x.backend, x.sent = l, true
+	sent := d.world.now
+	work := d.drawWork(x.kind)
 	within := max(1000, a.Timeout)
-	if x.conn.foul > 0 {
+	if x.conn.surplusAt > 0 {
 		// A surplus answer comes where this request's own is expected; its id shows it.
-		d.w.Judge.Count("surplus_met", 1)
-		x.g.p.later(max(0, x.conn.foul-sent), func() {
+		d.world.Checker.Count("surplus_met", 1)
+		x.gateway.process.deliverAfter(max(0, x.conn.surplusAt-sent), func() {
 			x.end(dispatch.Result{Class: dispatch.ClassInvalid, ReusedConn: true, Reason: "another request's answer"})
 		})
 	}
-	rested := sent - x.conn.since
-	if x.conn.reset || x.reused && l.forgetsUs > 0 && rested > l.forgetsUs {
+	rested := sent - x.conn.idleSince
+	if x.conn.reset || x.reused && l.connTimeout > 0 && rested > l.connTimeout {
 		// The backend's end of the connection is gone: the request is not read there.
-		d.w.Judge.Count("sent_on_reset", 1)
-		x.broke("reset")
+		d.world.Checker.Count("sent_on_reset", 1)
+		x.failed("reset")
 		return
 	}
-	d.w.after(d.latency(x.g.p.env.Zone, l.row.Zone), func() {
-		d.pass(x.g.p.machine, l, sent, func(held bool) { x.arrives(l, sent, work, within, held) })
+	d.world.after(d.latency(x.gateway.process.settings.Zone, l.row.Zone), func() {
+		d.whenReachable(x.gateway.process.machine, l, sent, func(held bool) { x.arrive(l, sent, work, within, held) })
 	})
 }
 
-// arrives is the request's last byte at the backend; a cut held it up, or not.
-func (x *exchange) arrives(l *life, sent, work, within int64, held bool) {
-	d, a := x.g.d, &x.ask
-	if x.over && d.w.rnd.IntN(2) == 0 {
+// arrive is the request's last byte at the backend; a cut held it up, or not.
+func (x *exchange) arrive(l *incarnation, sent, work, within int64, held bool) {
+	d, a := x.gateway.day, &x.action
+	if x.ended && d.world.rng.IntN(2) == 0 {
 		// The connection was closed before the backend read the request.
 		return
 	}
 	if !l.up {
-		if !l.dark {
-			x.broke("reset")
+		if !l.silent {
+			x.failed("reset")
 		}
 		return
 	}
 	req := a.Request
 	l.arrive(x, a.Server.ID, &rules.Arrival{
-		Try: req.ID, Backend: l.seen, Machine: x.g.p.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.w.now,
+		Attempt: req.ID, Backend: l.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.world.now,
 		Held: held,
 	}, work, within)
 }
 
 // end gives the chart its reply, once.
 func (x *exchange) end(r dispatch.Result) {
-	if x.over {
+	if x.ended {
 		return
 	}
-	x.over = true
-	g := x.g
-	g.open = slices.DeleteFunc(g.open, func(o *exchange) bool { return o == x })
+	x.ended = true
+	g := x.gateway
+	g.exchanges = slices.DeleteFunc(g.exchanges, func(o *exchange) bool { return o == x })
 	if (r.Class == dispatch.ClassResponse || r.Class == dispatch.ClassRejected) && !r.Draining {
-		g.keep(x)
+		g.releaseConn(x)
 	} else if x.conn != nil {
-		x.conn.l.conns--
+		x.conn.backend.conns--
 	}
 	if x.job != nil && r.Class != dispatch.ClassResponse {
-		x.job.drop()
+		x.job.connClosed()
 	}
-	g.step(x.r, dispatch.AttemptDone{N: x.n, Result: r})
+	g.step(x.request, dispatch.AttemptDone{N: x.attempt, Result: r})
 }
 
 // cancel closes the exchange's connection.
 func (x *exchange) cancel() {
-	if x.over {
+	if x.ended {
 		return
 	}
-	x.over = true
-	g := x.g
-	g.open = slices.DeleteFunc(g.open, func(o *exchange) bool { return o == x })
+	x.ended = true
+	g := x.gateway
+	g.exchanges = slices.DeleteFunc(g.exchanges, func(o *exchange) bool { return o == x })
 	if x.conn != nil {
-		x.conn.l.conns--
+		x.conn.backend.conns--
 	}
 	if x.job != nil {
 		j := x.job
-		g.d.w.after(g.d.latency(g.p.env.Zone, j.l.row.Zone), j.drop)
+		g.day.world.after(g.day.latency(g.process.settings.Zone, j.backend.row.Zone), j.connClosed)
 	}
 }
+
+// deliverReply brings what the backend sent to the node.
+func (x *exchange) deliverReply(f func()) {
+	d, l := x.gateway.day, x.backend
+	d.world.after(d.latency(l.row.Zone, x.gateway.process.settings.Zone), func() {
+		d.whenReachable(x.gateway.process.machine, l, d.world.now, func(bool) { x.gateway.process.deliver(f) })
+	})
+}
+
+func (x *exchange) rejected(l *incarnation, status int, why string) {
+	r := dispatch.Result{Class: dispatch.ClassRejected, Status: status, Load: l.load(), WrongBackend: status == 421, Draining: l.draining, Reason: why}
+	x.deliverReply(func() { x.end(r) })
+}
+
+func (x *exchange) failed(why string) {
+	x.deliverReply(func() { x.end(dispatch.Result{Class: dispatch.ClassFailed, ReusedConn: x.reused, Reason: why}) })
+}
+
+func (x *exchange) garbled(short bool) {
+	r := dispatch.Result{Class: dispatch.ClassInvalid, Reason: "bytes that are no answer"}
+	if short {
+		r = dispatch.Result{Class: dispatch.ClassFailed, Reason: "the answer was cut off"}
+	}
+	x.deliverReply(func() { x.end(r) })
+}
+
+func (x *exchange) responded(l *incarnation, a *rules.Arrival, surplus bool) {
+	r := dispatch.Result{
+		Class: dispatch.ClassResponse, Status: a.Status, Body: slices.Clone(a.Answer), Seal: a.Seal, Load: l.load(), Draining: l.draining,
+		ReusedConn: x.reused,
+	}
+	if surplus && x.conn != nil {
+		x.gateway.day.world.Checker.Count("surplus_answers", 1)
+		x.conn.surplusAt = x.gateway.day.world.now + x.gateway.day.world.rng.Int64N(2*surplusAfter)
+	}
+	x.deliverReply(func() { x.end(r) })
+}
+
+func (l *incarnation) load() dispatch.LoadReport {
+	return dispatch.LoadReport{Running: l.running, Queued: len(l.queue), Slots: l.shape.slots, Known: true}
+}
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -14,16 +14,16 @@
 const restartUs = 250_000
 
 type machine struct {
-	d          *day
-	name, zone string
-	hasDisk    bool
-	node, core *proc
-	dark, gone bool
-	stops      bool
-	skew       int64
+	day                 *day
+	name, zone          string
+	hasDisk             bool
+	node, core          *process
+	poweredOff, removed bool
+	draining            bool
+	skew                int64
 }
 
-type shownCores struct {
+type publishedCoreList struct {
 	at    int64
 	cores []*machine
 }
@@ -33,19 +33,19 @@
 		cores := int(math.Ceil(d.site.coreShare * float64(z.machines)))
 		for i := range z.machines {
 			m := d.addMachine(fmt.Sprintf("%s-%d", z.name, i+1), z.name, fmt.Sprintf("10.%d.0.%d", zi+1, i+1), i < cores, i < z.disks)
-			if m.core != nil && len(d.seedList) < 3 && (i == 0 || len(d.site.zones) == 1) {
-				d.seedList = append(d.seedList, m.core.env.Mesh)
+			if m.core != nil && len(d.seeds) < 3 && (i == 0 || len(d.site.zones) == 1) {
+				d.seeds = append(d.seeds, m.core.settings.Mesh)
 			}
 		}
 	}
 	for _, m := range d.machines {
-		m.seeds(d.seedList)
+		m.setSeeds(d.seeds)
 	}
-	d.listCores()
+	d.publishCores()
 }
 
 func (d *day) addMachine(name, zone, ip string, core, disk bool) *machine {
-	m := &machine{d: d, name: name, zone: zone, hasDisk: disk}
+	m := &machine{day: d, name: name, zone: zone, hasDisk: disk}
 	m.node = m.add("node", ip+":7080")
 	if core {
 		m.core = m.add("core", ip+":7081")
@@ -55,34 +55,36 @@
 	return m
 }
 
-func (m *machine) add(role, addr string) *proc {
-	w := m.d.w
-	e := m.d.env
+func (m *machine) add(role, addr string) *process {
+	w := m.day.world
+	e := m.day.settings
 	e.Name, e.Zone, e.Mesh, e.Operator = m.name+"/"+role, m.zone, addr, addr+"0"
-	p := &proc{w: w, name: e.Name, role: role, env: e, index: int64(len(w.names)), machine: m}
+	p := &process{world: w, name: e.Name, role: role, settings: e, index: int64(len(w.names)), machine: m}
 	if role == "core" {
-		p.env.PlatformURL = ""
+		p.settings.PlatformURL = ""
 		if m.hasDisk {
-			p.env.DataDir = "disk"
+			p.settings.DataDir = "disk"
 			p.disk = newDisk(p)
-			p.disk.base = m.d.site.syncUs
+			p.disk.syncTime = m.day.site.syncUs
 		}
 	}
-	w.procs[p.name] = p
+	w.processes[p.name] = p
 	w.names = append(w.names, p.name)
-	w.byAddr[addr] = p
+	w.processesByAddr[addr] = p
 	return p
 }
 
-func (m *machine) procs() []*proc {
+func (m *machine) processes() []*process {
 	if m.core == nil {
-		return []*proc{m.node}
+		return []*process{m.node}
 	}
-	return []*proc{m.node, m.core}
+	return []*process{m.node, m.core}
 }
 
-// counted tells that the machine is one of the core.
-func (m *machine) counted() bool { return m.core != nil && (m.hasDisk || !m.d.anyDisk()) && !m.gone }
+// coreMember tells that the machine is one of the core.
+func (m *machine) coreMember() bool {
+	return m.core != nil && (m.hasDisk || !m.day.anyDisk()) && !m.removed
+}
 
 func (d *day) anyDisk() bool {
 	for _, m := range d.machines {
@@ -93,12 +95,12 @@
 	return false
 }
 
-func (m *machine) seeds(list []string) {
-	for _, p := range m.procs() {
-		p.env.Seeds = nil
+func (m *machine) setSeeds(list []string) {
+	for _, p := range m.processes() {
+		p.settings.Seeds = nil
 		for _, s := range list {
-			if s != p.env.Mesh {
-				p.env.Seeds = append(p.env.Seeds, s)
+			if s != p.settings.Mesh {
+				p.settings.Seeds = append(p.settings.Seeds, s)
 			}
 		}
 	}
@@ -106,45 +108,45 @@
 
 // start starts what does not run; a machine without power has none to start.
 func (m *machine) start() {
-	if m.gone || m.dark {
+	if m.removed || m.poweredOff {
 		return
 	}
-	m.stops = false
-	for _, p := range m.procs() {
-		p.env.Bootstrap = m.d.env.Bootstrap
+	m.draining = false
+	for _, p := range m.processes() {
+		p.settings.Bootstrap = m.day.settings.Bootstrap
 		p.skew = m.skew
 		if !p.up {
-			m.event()
+			m.recordEvent()
 			p.start()
 		}
 	}
 }
 
-// event notes something that unsettles a core and puts the machine out of touch for a while.
-func (m *machine) event() {
-	d := m.d
-	if d.w.now < leadUs/4 && d.env.Bootstrap {
+// recordEvent notes something that unsettles a core and puts the machine out of touch for a while.
+func (m *machine) recordEvent() {
+	d := m.day
+	if d.world.now < leadUs/4 && d.settings.Bootstrap {
 		return
 	}
-	d.journal.Touch.Of(m.name).Moment(d.w.now)
-	if m.counted() {
-		d.journal.Touch.Unsettled.Moment(d.w.now)
+	d.journal.Faults.Of(m.name).Moment(d.world.now)
+	if m.coreMember() {
+		d.journal.Faults.Unsettled.Moment(d.world.now)
 	}
 }
 
 // kill ends both processes at once.
 func (m *machine) kill() {
-	m.event()
-	for _, p := range m.procs() {
+	m.recordEvent()
+	for _, p := range m.processes() {
 		p.kill()
 	}
-	m.d.look()
+	m.day.updateFaultSpans()
 }
 
 // powerOff ends both without a word to anyone; the disk keeps what was synced.
 func (m *machine) powerOff() {
-	m.dark = true
-	for _, p := range m.procs() {
+	m.poweredOff = true
+	for _, p := range m.processes() {
 		if p.disk != nil {
 			p.disk.powerLoss()
 		}
@@ -153,86 +155,86 @@
 }
 
 func (m *machine) powerOn() {
-	m.dark = false
+	m.poweredOff = false
 	m.start()
-	m.d.look()
+	m.day.updateFaultSpans()
 }
 
 func (m *machine) wipe() {
 	if m.core != nil && m.core.disk != nil {
-		m.core.disk.lose()
-		m.d.w.note(m.name + " loses its disk")
+		m.core.disk.wipe()
+		m.day.world.logEvent(m.name + " loses its disk")
 	}
 }
 
 func (m *machine) freeze(on bool) {
-	m.event()
-	for _, p := range m.procs() {
+	m.recordEvent()
+	for _, p := range m.processes() {
 		if on {
 			p.freeze()
 		} else {
 			p.thaw()
 		}
 	}
-	m.d.look()
+	m.day.updateFaultSpans()
 }
 
 // afterGrace is how long after the grace of a planned stop its work still counts as planned.
 const afterGrace = 1_000_000
 
-// term is the planned stop: each process ends by itself, or is killed when the grace is over.
-func (m *machine) term(then func()) {
-	if m.stops || m.dark || m.gone {
+// stop is the planned stop: each process ends by itself, or is killed when the grace is over.
+func (m *machine) stop(then func()) {
+	if m.draining || m.poweredOff || m.removed {
 		return
 	}
-	m.event()
-	m.stops = true
-	m.d.planFor(m.d.journal.Bounds.GraceUs + afterGrace)
-	w := m.d.w
-	for _, p := range m.procs() {
-		if !p.runs() {
+	m.recordEvent()
+	m.draining = true
+	m.day.recordPlanned(m.day.journal.Bounds.GraceUs + afterGrace)
+	w := m.day.world
+	for _, p := range m.processes() {
+		if !p.running() {
 			continue
 		}
-		life := p.life
+		life := p.incarnation
 		if p.role == "node" {
-			m.d.gates[p].stop()
+			m.day.gateways[p].stop()
 		} else {
-			p.drains = true
-			w.note(p.name + " drains")
+			p.draining = true
+			w.logEvent(p.name + " drains")
 			p.step(stopping)
 			p.leaveGroups(w.now + replica.LeaveWithin)
 		}
-		w.after(m.d.journal.Bounds.GraceUs, func() {
-			if p.up && p.life == life {
-				w.Judge.Count("ended_after_grace", 1)
+		w.after(m.day.journal.Bounds.GraceUs, func() {
+			if p.up && p.incarnation == life {
+				w.Checker.Count("ended_after_grace", 1)
 				p.kill()
 			}
 		})
 	}
-	m.ended(then)
+	m.whenStopped(then)
 }
 
 // lastFramesUs is how long the last frames of a core that stops have to leave it.
 const lastFramesUs = 50_000
 
 // leaveGroups ends a core once it leads nothing and votes nowhere, or once its time for that is over.
-func (p *proc) leaveGroups(until int64) {
-	if !p.seats.HasLeft() && p.w.now < until {
-		p.later(10_000, func() { p.leaveGroups(until) })
+func (p *process) leaveGroups(until int64) {
+	if !p.replicas.HasLeft() && p.world.now < until {
+		p.deliverAfter(10_000, func() { p.leaveGroups(until) })
 		return
 	}
-	p.later(lastFramesUs, p.kill)
+	p.deliverAfter(lastFramesUs, p.kill)
 }
 
-// ended waits until both processes have.
-func (m *machine) ended(then func()) {
-	for _, p := range m.procs() {
+// whenStopped waits until both processes have.
+func (m *machine) whenStopped(then func()) {
+	for _, p := range m.processes() {
 		if p.up {
-			m.d.w.after(50_000, func() { m.ended(then) })
+			m.day.world.after(50_000, func() { m.whenStopped(then) })
 			return
 		}
 	}
-	m.event()
-	m.stops = false
+	m.recordEvent()
+	m.draining = false
 	then()
 }
--- /dev/null
+++ b/lab/sim/day_planned_work.go
@@ -0,0 +1,182 @@
+// Planned work on machines: stops in turn, cores replaced by empty machines at
+// other addresses, other seeds; and the faults that close a day.
+
+package sim
+
+import (
+	"fmt"
+	"slices"
+
+	"wallport/lab/rules"
+	"wallport/runtime/kernel"
+)
+
+var stopping = kernel.Stopping{}
+
+// roll stops machines in turn and starts them again, or not.
+func (d *day) roll(e *dayStep) {
+	all := append([]*machine(nil), d.machines...)
+	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	n := max(1, int(e.shareOr(1)*float64(len(all))+0.5))
+	e.until = d.world.now + busyWithin*int64(n)
+	d.rollNext(e, all[:min(n, len(all))])
+}
+
+func (d *day) rollNext(e *dayStep, rest []*machine) {
+	if len(rest) == 0 {
+		return
+	}
+	m := rest[0]
+	if m.coreMember() && d.toleratedFaults(m) < 1 || m.poweredOff || m.removed || m.draining || !m.node.running() {
+		if m.removed {
+			rest = rest[1:]
+		}
+		d.world.after(faultRetryUs, func() { d.rollNext(e, rest) })
+		return
+	}
+	if e.has("busy") && len(d.gateways[m.node].requests) == 0 && d.world.now < e.until {
+		d.world.after(1000, func() { d.rollNext(e, rest) })
+		return
+	}
+	d.world.Checker.Count("rolled", 1)
+	m.stop(func() {
+		if e.has("remove") && !m.coreMember() {
+			m.removed = true
+			return
+		}
+		d.endFaultAfter(e, m, restartUs, m.start)
+	})
+	d.updateFaultSpans()
+	d.world.after(e.gapUs, func() { d.rollNext(e, rest[1:]) })
+}
+
+// rotateSeeds names other machines that serve control as seeds; running processes read that too.
+func (d *day) rotateSeeds() { d.rotateSeedsTo(nil) }
+
+// rotateSeedsTo lets the new seeds begin with one machine.
+func (d *day) rotateSeedsTo(first *machine) {
+	var list []string
+	all := d.listedCores()
+	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	if i := slices.Index(all, first); i > 0 {
+		all[0], all[i] = all[i], all[0]
+	}
+	for _, m := range all {
+		if len(list) < 3 {
+			list = append(list, m.core.settings.Mesh)
+		}
+	}
+	d.seeds = list
+	for _, m := range d.machines {
+		m.setSeeds(list)
+		for _, p := range m.processes() {
+			p.deliverAfter(d.world.rng.Int64N(1_000_000), func() { p.step(kernel.SeedsChanged{Seeds: append([]string(nil), p.settings.Seeds...)}) })
+		}
+	}
+}
+
+// replace takes a counted machine away for good and adds an empty one at another address.
+func (d *day) replace(e *dayStep) {
+	d.onCoreMember(e, func(m *machine) {
+		add := func() {
+			m.removed = true
+			d.newCore(m)
+		}
+		switch {
+		case e.has("planned"):
+			// The new one comes first, and then the old one is stopped.
+			d.newCore(m)
+			d.world.after(int64(e.factorOr(1)*1e6), func() { m.stop(func() { m.removed = true; d.updateFaultSpans() }) })
+			return
+		case e.has("term"):
+			m.stop(add)
+			return
+		}
+		d.recordUnplanned(e.forUs)
+		m.powerOff()
+		d.world.after(int64(e.factorOr(1)*1e6), add)
+	})
+}
+
+// newCore adds an empty machine beside one that counts, or in its place.
+func (d *day) newCore(m *machine) {
+	n := d.addMachine(fmt.Sprintf("%s-%d", m.zone, 50+len(d.machines)), m.zone, fmt.Sprintf("10.9.0.%d", len(d.machines)), true, m.hasDisk)
+	d.rotateSeeds()
+	n.setSeeds(d.seeds)
+	n.start()
+	n.recordEvent()
+	d.updateFaultSpans()
+}
+
+// closingWait is how long a closing fault that takes disks waits its turn behind other losses; then
+// it is cut down.
+const closingWait = 4_000_000
+
+// closingFault is the fault at a day's end, right after one more change was acknowledged. One that would
+// take more counted machines at once than the deployment bears waits its turn, as all troubles do.
+func (d *day) closingFault(since int64) {
+	o := &d.commands
+	wipes := d.world.Script.Text("closing", "") == "wipe_after_ack"
+	if wipes && d.toleratedFaults(nil) < d.site.tolerance[0] && d.world.now-since < closingWait {
+		d.world.after(faultRetryUs, func() { d.closingFault(since) })
+		return
+	}
+	how := d.world.Script.Text("closing_how", "")
+	switch how {
+	case "taken":
+		d.armTaken(d.strikeAll)
+		return
+	case "timed":
+		o.sentArmed = append(o.sentArmed, func() { d.world.after(d.drawArmedDelay(), func() { d.strikeAll(d.leader()) }) })
+	default:
+		o.armed = append(o.armed, func(m *machine) { d.world.after(d.world.rng.Int64N(4000), func() { d.strikeAll(m) }) })
+	}
+	o.change("route")
+}
+
+func (d *day) strikeAll(acked *machine) {
+	w := d.world
+	kind, down := w.Script.Text("closing", "power_off_all"), w.Script.Int("down_ms", 1500)*1000
+	d.recordUnplanned(rules.Never - w.now)
+	w.logEvent("closing fault " + kind)
+	w.Checker.Count("closing."+kind, 1)
+	var on []*machine
+	switch kind {
+	case "kill_all":
+		for _, m := range d.machines {
+			m.kill()
+			on = append(on, m)
+		}
+	case "wipe_after_ack":
+		// As many as are borne lose their disks, the one that acknowledged among them; the others that count
+		// lose power at times.
+		lost := d.site.tolerance[0] - max(0, d.toleratedFaults(nil))
+		for _, m := range append([]*machine{acked}, d.machines...) {
+			if m == nil || !m.coreMember() || m.poweredOff || m.removed {
+				continue
+			}
+			if lost < d.site.tolerance[0] {
+				lost++
+				m.powerOff()
+				m.wipe()
+				on = append(on, m)
+			} else if w.Script.Text("closing_how", "") == "power" {
+				m.powerOff()
+				on = append(on, m)
+			}
+		}
+	default:
+		for _, m := range d.machines {
+			m.powerOff()
+			on = append(on, m)
+		}
+	}
+	c := &rules.Closing{At: w.now, Back: w.now + down}
+	d.journal.Closing = c
+	w.after(down, func() {
+		for _, m := range on {
+			w.after(w.rng.Int64N(100_000), func() { m.poweredOff = false; m.start(); d.updateFaultSpans() })
+		}
+	})
+	d.updateFaultSpans()
+}
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -15,40 +15,40 @@
 
 // readConfirmed reads once and again a while after the answer. A read without one is given up
 // by itself, and the next one begins.
-func (o *orders) readConfirmed() {
-	d := o.d
-	d.w.after(confirmedReadUs, o.readConfirmed)
-	list := d.cores()
+func (o *commands) readConfirmed() {
+	d := o.day
+	d.world.after(confirmedReadUs, o.readConfirmed)
+	list := d.listedCores()
 	if len(list) == 0 {
 		return
 	}
-	m := list[d.w.rnd.IntN(len(list))]
+	m := list[d.world.rng.IntN(len(list))]
 	p := m.core
-	if m.dark || !p.up {
+	if m.poweredOff || !p.up {
 		return
 	}
-	sent := d.w.now
+	sent := d.world.now
 	ask := operations.Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: "read"}, Timeout: answerUs}
-	p.feed(func() {
+	p.deliver(func() {
 		p.call("operate", ask, func(v any) { o.confirmed(sent, v.(operations.Result).Reply) })
 	})
 }
 
-func (o *orders) confirmed(sent int64, r wire.EditReply) {
-	d := o.d
+func (o *commands) confirmed(sent int64, r wire.EditReply) {
+	d := o.day
 	if r.Code != "ok" {
 		return
 	}
 	config, err := state.ReadConfig(r.Body)
 	if err != nil {
-		d.w.Judge.Fail(rules.History, d.w.now, "a body that was read cannot be: %v", err)
+		d.world.Checker.Fail(rules.History, d.world.now, "a body that was read cannot be: %v", err)
 		return
 	}
 	table, err := state.RoutingOf(config)
 	if err != nil {
-		d.w.Judge.Fail(rules.History, d.w.now, "a table that was read cannot be: %v", err)
+		d.world.Checker.Fail(rules.History, d.world.now, "a table that was read cannot be: %v", err)
 		return
 	}
-	d.w.Judge.Count("confirmed_reads", 1)
-	d.journal.Confirmed = append(d.journal.Confirmed, rules.ConfirmedReading{Sent: sent, At: d.w.now, Table: table, Drained: config.DrainedZones})
+	d.world.Checker.Count("confirmed_reads", 1)
+	d.journal.Confirmed = append(d.journal.Confirmed, rules.ConfirmedReading{Sent: sent, At: d.world.now, Table: table, Drained: config.DrainedZones})
 }
--- a/lab/sim/day_sites.go
+++ b/lab/sim/day_sites.go
@@ -12,36 +12,36 @@
 
 // poolShape is a service: one pool, or one for each of its shards.
 type poolShape struct {
-	name         string
-	shards       int
-	perZone      []int
-	slots, queue int
-	connections  int64
-	pauseUs      int64
-	rampPerS     float64
-	later        bool
+	name          string
+	shards        int
+	perZone       []int
+	slots, queue  int
+	connections   int64
+	pauseUs       int64
+	slowStartPerS float64
+	later         bool
 }
 
-// kindShape is a kind of requests.
-type kindShape struct {
-	name, pool, also          string
-	perS                      float64
-	workUs, aimUs, deadlineUs int64
-	tailPct                   int
-	worth, late               float64
-	repeatable                bool
-	backends, priority        int32
-	records                   int32
-	coverage                  float64
-	answer, body              int
-	retries                   int
+// requestShape is a kind of requests.
+type requestShape struct {
+	name, pool, also             string
+	perSecond                    float64
+	workUs, targetUs, deadlineUs int64
+	tailPct                      int
+	value, late                  float64
+	repeatable                   bool
+	backends, priority           int32
+	records                      int32
+	coverage                     float64
+	responseBytes, bodyBytes     int
+	retries                      int
 }
 
 type siteShape struct {
 	name      string
 	zones     []zoneShape
 	pools     []poolShape
-	kinds     []kindShape
+	kinds     []requestShape
 	syncUs    int64
 	clientUs  int64
 	allowance float64
@@ -61,21 +61,21 @@
 }
 
 // trustKinds are the requests of a score service, registryKinds those of a register of tenancies.
-func trustKinds() []kindShape {
-	return []kindShape{
-		{name: "score-query", pool: "lookup", also: "catalog", perS: 255, workUs: 7500, tailPct: 2, aimUs: 80_000, deadlineUs: 400_000, worth: 2, late: 0.6, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, answer: 640, retries: 1},
-		{name: "incipit-probe", pool: "lookup", also: "catalog", perS: 102, workUs: 2500, tailPct: 2, aimUs: 40_000, deadlineUs: 250_000, worth: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, answer: 160, retries: 1},
-		{name: "part-fetch", pool: "engrave", also: "archive", perS: 153, workUs: 60_000, aimUs: 250_000, deadlineUs: 1_500_000, worth: 3, late: 0.3, backends: 1, answer: 48, body: 24, retries: 1},
-		{name: "credits-lookup", pool: "engrave", also: "archive", perS: 25.5, workUs: 60_000, aimUs: 250_000, deadlineUs: 1_500_000, worth: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, answer: 48, retries: 1},
+func trustKinds() []requestShape {
+	return []requestShape{
+		{name: "score-query", pool: "lookup", also: "catalog", perSecond: 255, workUs: 7500, tailPct: 2, targetUs: 80_000, deadlineUs: 400_000, value: 2, late: 0.6, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
+		{name: "incipit-probe", pool: "lookup", also: "catalog", perSecond: 102, workUs: 2500, tailPct: 2, targetUs: 40_000, deadlineUs: 250_000, value: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
+		{name: "part-fetch", pool: "engrave", also: "archive", perSecond: 153, workUs: 60_000, targetUs: 250_000, deadlineUs: 1_500_000, value: 3, late: 0.3, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
+		{name: "credits-lookup", pool: "engrave", also: "archive", perSecond: 25.5, workUs: 60_000, targetUs: 250_000, deadlineUs: 1_500_000, value: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
 	}
 }
 
-func registryKinds() []kindShape {
-	return []kindShape{
-		{name: "full-screen", pool: "screening", also: "portal", perS: 255, workUs: 15_000, tailPct: 2, aimUs: 120_000, deadlineUs: 1_200_000, worth: 2, late: 1, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, answer: 640, retries: 1},
-		{name: "quick-check", pool: "screening", also: "portal", perS: 102, workUs: 5000, tailPct: 2, aimUs: 60_000, deadlineUs: 600_000, worth: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, answer: 160, retries: 1},
-		{name: "record-fix", pool: "dispute", also: "notices", perS: 153, workUs: 120_000, aimUs: 500_000, deadlineUs: 5_000_000, worth: 3, late: 0.5, backends: 1, answer: 48, body: 24, retries: 1},
-		{name: "file-view", pool: "dispute", also: "notices", perS: 25.5, workUs: 120_000, aimUs: 500_000, deadlineUs: 5_000_000, worth: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, answer: 48, retries: 1},
+func registryKinds() []requestShape {
+	return []requestShape{
+		{name: "full-screen", pool: "screening", also: "portal", perSecond: 255, workUs: 15_000, tailPct: 2, targetUs: 120_000, deadlineUs: 1_200_000, value: 2, late: 1, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
+		{name: "quick-check", pool: "screening", also: "portal", perSecond: 102, workUs: 5000, tailPct: 2, targetUs: 60_000, deadlineUs: 600_000, value: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
+		{name: "record-fix", pool: "dispute", also: "notices", perSecond: 153, workUs: 120_000, targetUs: 500_000, deadlineUs: 5_000_000, value: 3, late: 0.5, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
+		{name: "file-view", pool: "dispute", also: "notices", perSecond: 25.5, workUs: 120_000, targetUs: 500_000, deadlineUs: 5_000_000, value: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
 	}
 }
 
@@ -147,7 +147,7 @@
 		s.grow()
 	case "ramped":
 		for i := range s.pools {
-			s.pools[i].rampPerS = 20
+			s.pools[i].slowStartPerS = 20
 		}
 	default:
 		return s, false
@@ -155,3 +155,31 @@
 	s.name = name
 	return s, true
 }
+
+// Figures of a grown deployment; its others are 16 or 20 a zone there.
+const (
+	grownDisks  = 2
+	grownOthers = 1
+	grownShards = 6
+	grownLater  = 9
+)
+
+// grow makes a shape a grown one.
+func (s *siteShape) grow() {
+	for i := range s.zones {
+		s.zones[i].machines, s.zones[i].disks = grownDisks+grownOthers, grownDisks
+	}
+	for i := range s.pools {
+		p := &s.pools[i]
+		p.perZone = []int{2, 2, 2, 2}
+		switch {
+		case p.shards > 0 && p.later:
+			p.shards = grownLater
+		case p.shards > 0:
+			p.shards = grownShards
+		}
+	}
+	s.tolerance = [2]int{2, 1}
+	s.coreShare = float64(grownDisks) / float64(grownDisks+grownOthers)
+	s.allowance = 200
+}
--- a/lab/sim/day_verbs.go
+++ b/lab/sim/day_verbs.go
@@ -14,19 +14,19 @@
 	"wallport/lab/script"
 )
 
-// entry is one step with its arguments.
-type entry struct {
+// dayStep is one step with its arguments.
+type dayStep struct {
 	verb, service, zone, on, how string
 	toZone, class                string
 	forUs, gapUs                 int64
-	share, x                     float64
+	share, factor                float64
 	count                        int
 	// until is when planned work no longer waits for its moment.
 	until int64
 }
 
-func read(st script.Step) (e entry, err error) {
-	e = entry{verb: st.Verb, forUs: 5_000_000, gapUs: 1_000_000, service: ""}
+func parseDayStep(st script.Step) (e dayStep, err error) {
+	e = dayStep{verb: st.Verb, forUs: 5_000_000, gapUs: 1_000_000, service: ""}
 	for _, a := range st.Args {
 		k, v, ok := strings.Cut(a, "=")
 		if !ok {
@@ -58,7 +58,7 @@
 		case "share":
 			e.share, err = strconv.ParseFloat(v, 64)
 		case "x":
-			e.x, err = strconv.ParseFloat(v, 64)
+			e.factor, err = strconv.ParseFloat(v, 64)
 		case "count":
 			e.count, err = strconv.Atoi(v)
 		default:
@@ -71,28 +71,28 @@
 	return e, nil
 }
 
-func (e *entry) is(word string) bool { return strings.Contains(" "+e.how+" ", " "+word+" ") }
+func (e *dayStep) has(word string) bool { return strings.Contains(" "+e.how+" ", " "+word+" ") }
 
-// ways are the words of how.
-func (e *entry) ways() []string { return strings.Fields(e.how) }
+// modes are the words of how.
+func (e *dayStep) modes() []string { return strings.Fields(e.how) }
 
-func (e *entry) shareOr(v float64) float64 {
+func (e *dayStep) shareOr(v float64) float64 {
 	if e.share > 0 {
 		return e.share
 	}
 	return v
 }
 
-func (e *entry) xOr(v float64) float64 {
-	if e.x > 0 {
-		return e.x
+func (e *dayStep) factorOr(v float64) float64 {
+	if e.factor > 0 {
+		return e.factor
 	}
 	return v
 }
 
-// planned is work that operators and the platform bring about.
-func (d *day) planned(e *entry) bool {
-	o := &d.oper
+// plannedWork is work that operators and the platform bring about.
+func (d *day) plannedWork(e *dayStep) bool {
+	o := &d.commands
 	switch e.verb {
 	case "config_change":
 		o.change(e.how)
@@ -103,29 +103,29 @@
 		}
 		for i := range n {
 			how := []string{"idle", "route", "timeout", "weights", "idle", "invalid"}[i%6]
-			d.w.after(int64(i)*e.gapUs, func() { o.change(how) })
+			d.world.after(int64(i)*e.gapUs, func() { o.change(how) })
 		}
 	case "config_race":
 		for i := range max(1, e.count) {
-			d.w.after(int64(i)*e.gapUs, func() { o.race(max(2, int(e.x))) })
+			d.world.after(int64(i)*e.gapUs, func() { o.race(max(2, int(e.factor))) })
 		}
 	case "bad_config":
-		o.bad(e)
+		o.sendBad(e)
 	case "ack_lost":
 		o.loseAcks(e)
 	case "resend":
 		o.resend(max(1, e.count))
 	case "hup":
-		d.hup(e)
+		d.rereadSettings(e)
 	case "reshard":
-		d.reshard(int64(e.xOr(3) * 1e6))
+		d.reshard(int64(e.factorOr(3) * 1e6))
 	case "evacuate":
 		o.evacuate(e.zone, true)
 	case "take_back":
 		for _, l := range d.backends.of("*") {
 			// The zone's backends have turned cold shortly before.
-			if l.row.Zone == e.zone && !e.is("warm") {
-				l.chill()
+			if l.row.Zone == e.zone && !e.has("warm") {
+				l.restartSlowStart()
 			}
 		}
 		d.backends.publish()
@@ -135,73 +135,73 @@
 	case "roll_term":
 		d.roll(e)
 	case "seed_turnover":
-		d.turnSeeds()
+		d.rotateSeeds()
 	case "replace_core":
 		d.replace(e)
 	case "rate":
-		d.clients.rate *= e.xOr(1)
+		d.clients.rate *= e.factorOr(1)
 	default:
-		return d.scaled(e) || d.mishap(e)
+		return d.scaled(e) || d.commandFault(e)
 	}
 	return true
 }
 
-func (d *day) do(st script.Step) {
-	e, err := read(st)
+func (d *day) runStep(st script.Step) {
+	e, err := parseDayStep(st)
 	if err != nil {
-		panic(fmt.Sprintf("%s:%d: %v", d.w.Script.Name, st.Line, err))
+		panic(fmt.Sprintf("%s:%d: %v", d.world.Script.Name, st.Line, err))
 	}
-	d.note(&e)
-	if d.planned(&e) {
-		d.look()
+	d.countStep(&e)
+	if d.plannedWork(&e) {
+		d.updateFaultSpans()
 		return
 	}
-	if e.is("race") {
-		d.oper.race(2)
+	if e.has("race") {
+		d.commands.race(2)
 	}
-	if e.is("meet") {
-		d.oper.change("route")
+	if e.has("meet") {
+		d.commands.change("route")
 	}
-	if e.is("drain") {
-		d.drainSome(&entry{count: 2})
+	if e.has("drain") {
+		d.drainSome(&dayStep{count: 2})
 	}
 	wait := int64(0)
-	if e.is("race") || e.is("meet") {
-		wait = d.w.rnd.Int64N(25_000)
+	if e.has("race") || e.has("meet") {
+		wait = d.world.rng.Int64N(25_000)
 	}
-	d.w.after(wait, func() {
-		if !d.serverTrouble(&e) && !d.machineTrouble(&e) {
-			panic(fmt.Sprintf("%s:%d: no verb %q", d.w.Script.Name, st.Line, e.verb))
+	d.world.after(wait, func() {
+		if !d.backendFault(&e) && !d.machineFault(&e) {
+			panic(fmt.Sprintf("%s:%d: no verb %q", d.world.Script.Name, st.Line, e.verb))
 		}
-		d.look()
+		d.updateFaultSpans()
 	})
 }
 
-// trouble notes an unplanned trouble for a while.
-func (d *day) trouble(forUs int64) {
-	t := &d.journal.Touch
-	t.Unplanned = append(t.Unplanned, rules.Span{From: d.w.now, To: d.w.now + forUs})
+// recordUnplanned notes an unplanned trouble for a while.
+func (d *day) recordUnplanned(forUs int64) {
+	t := &d.journal.Faults
+	t.Unplanned = append(t.Unplanned, rules.Span{From: d.world.now, To: d.world.now + forUs})
 }
 
-// planFor notes planned work for a while.
-func (d *day) planFor(forUs int64) {
-	t := &d.journal.Touch
-	t.Planned = append(t.Planned, rules.Span{From: d.w.now, To: d.w.now + forUs})
+// recordPlanned notes planned work for a while.
+func (d *day) recordPlanned(forUs int64) {
+	t := &d.journal.Faults
+	t.Planned = append(t.Planned, rules.Span{From: d.world.now, To: d.world.now + forUs})
 }
 
 // drainSome lets backends leave in order, each replaced by a new one.
-func (d *day) drainSome(e *entry) {
+func (d *day) drainSome(e *dayStep) {
 	all := d.backends.of(orAll(e.service))
 	if e.zone != "" {
-		all = slices.DeleteFunc(all, func(l *life) bool { return l.row.Zone != e.zone })
+		all = slices.DeleteFunc(all, func(l *incarnation) bool { return l.row.Zone != e.zone })
 	}
 	n := max(1, e.count, int(e.share*float64(len(all))))
-	d.w.rnd.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for i, l := range all[:min(n, len(all))] {
-		d.w.after(int64(i)*e.gapUs/4, func() {
+		d.world.after(int64(i)*e.gapUs/4, func() {
 			if l.up {
 				d.backends.start(l.shape, l.row.Pool, l.row.Zone)
-				l.leave()
+				l.drain()
 			}
 		})
 	}
--- a/lab/sim/day_zones.go
+++ b/lab/sim/day_zones.go
@@ -4,53 +4,53 @@
 
 import "slices"
 
-// zoneOf is the zone that an entry names, or one by lot.
-func (d *day) zoneOf(e *entry) string {
+// drawZone is the zone that an entry names, or one by lot.
+func (d *day) drawZone(e *dayStep) string {
 	if e.zone != "" {
 		return e.zone
 	}
-	return d.site.zones[d.w.rnd.IntN(len(d.site.zones))].name
+	return d.site.zones[d.world.rng.IntN(len(d.site.zones))].name
 }
 
-// bearsZone tells that a zone may be lost beside what is lost already.
-func (d *day) bearsZone(zone string) bool {
+// toleratesZoneLoss tells that a zone may be lost beside what is lost already.
+func (d *day) toleratesZoneLoss(zone string) bool {
 	in, lostElsewhere := 0, false
 	for _, m := range d.machines {
-		if m.counted() && m.zone == zone {
+		if m.coreMember() && m.zone == zone {
 			in++
-		} else if m.counted() {
-			lostElsewhere = lostElsewhere || d.lost(m)
+		} else if m.coreMember() {
+			lostElsewhere = lostElsewhere || d.faulty(m)
 		}
 	}
-	if len(d.site.zones) < 2 || len(d.zoneCuts) > 0 {
+	if len(d.site.zones) < 2 || len(d.zonePartitions) > 0 {
 		return false
 	}
 	return in == 0 || !lostElsewhere && (d.site.tolerance[1] > 0 || in <= d.site.tolerance[0])
 }
 
 // onZone does something to a zone once it may be lost.
-func (d *day) onZone(e *entry, f func(zone string)) {
-	zone := d.zoneOf(e)
-	if !d.bearsZone(zone) {
-		d.w.after(waitTurn, func() { d.onZone(e, f) })
+func (d *day) onZone(e *dayStep, f func(zone string)) {
+	zone := d.drawZone(e)
+	if !d.toleratesZoneLoss(zone) {
+		d.world.after(faultRetryUs, func() { d.onZone(e, f) })
 		return
 	}
-	d.trouble(e.forUs)
-	d.w.Judge.Count("troubled."+e.verb, 1)
+	d.recordUnplanned(e.forUs)
+	d.world.Checker.Count("troubled."+e.verb, 1)
 	f(zone)
-	d.look()
+	d.updateFaultSpans()
 }
 
 // zoneBackWithin is how far apart a zone's machines and backends come back.
 const zoneBackWithin = 1_500_000
 
 // loseZone takes the power from a zone's machines and backends.
-func (d *day) loseZone(e *entry) {
+func (d *day) loseZone(e *dayStep) {
 	d.onZone(e, func(zone string) {
 		for _, m := range d.machines {
-			if m.zone == zone && !m.gone && !m.dark {
+			if m.zone == zone && !m.removed && !m.poweredOff {
 				m.powerOff()
-				d.later(e, m, e.forUs+d.w.rnd.Int64N(zoneBackWithin), m.powerOn)
+				d.endFaultAfter(e, m, e.forUs+d.world.rng.Int64N(zoneBackWithin), m.powerOn)
 			}
 		}
 		d.downZone(zone, e.forUs, true)
@@ -64,65 +64,67 @@
 			continue
 		}
 		l.crash(dark)
-		d.w.after(forUs+d.w.rnd.Int64N(zoneBackWithin), func() {
+		d.world.after(forUs+d.world.rng.Int64N(zoneBackWithin), func() {
 			d.backends.start(l.shape, l.row.Pool, zone)
 			d.backends.publish()
 		})
 	}
 }
 
-// cutZone cuts a zone off from the others; clients still reach it.
-func (d *day) cutZone(e *entry) {
+// partitionZone cuts a zone off from the others; clients still reach it.
+func (d *day) partitionZone(e *dayStep) {
 	d.onZone(e, func(zone string) {
-		d.zoneCuts[zone] = true
+		d.zonePartitions[zone] = true
 		events := func() {
 			for _, m := range d.machines {
-				if m.counted() && m.zone == zone {
-					m.event()
+				if m.coreMember() && m.zone == zone {
+					m.recordEvent()
 				}
 			}
 		}
-		if e.is("reset") {
-			d.w.net.breakCut()
+		if e.has("reset") {
+			d.world.net.closePartitioned()
 		}
 		events()
-		first := slices.IndexFunc(d.machines, func(m *machine) bool { return m.counted() && m.zone == zone })
-		end := func() { delete(d.zoneCuts, zone); events() }
+		first := slices.IndexFunc(d.machines, func(m *machine) bool { return m.coreMember() && m.zone == zone })
+		end := func() { delete(d.zonePartitions, zone); events() }
 		if first < 0 {
-			d.w.after(e.forUs, func() { end(); d.look() })
+			d.world.after(e.forUs, func() { end(); d.updateFaultSpans() })
 			return
 		}
-		d.during(e, d.machines[first])
-		d.later(e, d.machines[first], e.forUs, end)
+		d.meetDuring(e, d.machines[first])
+		d.endFaultAfter(e, d.machines[first], e.forUs, end)
 	})
 }
 
-// cutServers cuts backends off from all machines.
-func (d *day) cutServers(e *entry) {
-	lives := d.victims(&entry{how: "across"}, e.shareOr(0.1))
-	d.w.Judge.Count("troubled.node_cut", int64(len(lives)))
+// partitionBackends cuts backends off from all machines.
+func (d *day) partitionBackends(e *dayStep) {
+	lives := d.drawBackends(&dayStep{how: "across"}, e.shareOr(0.1))
+	d.world.Checker.Count("troubled.node_cut", int64(len(lives)))
 	for _, l := range lives {
-		l.away = true
+		l.unreachable = true
 	}
-	d.w.after(e.forUs, func() {
+	d.world.after(e.forUs, func() {
 		for _, l := range lives {
-			l.away = false
+			l.unreachable = false
 		}
 	})
 }
 
-// shut tells that nothing gets from a machine to a backend.
-func (d *day) shut(m *machine, l *life) bool { return l.away || d.apart(m.zone, l.row.Zone) }
+// unreachable tells that nothing gets from a machine to a backend.
+func (d *day) unreachable(m *machine, l *incarnation) bool {
+	return l.unreachable || d.zonesPartitioned(m.zone, l.row.Zone)
+}
 
-// pass does something once the way between a machine and a backend is open; what waits too long is lost.
-func (d *day) pass(m *machine, l *life, since int64, f func(held bool)) {
+// whenReachable does something once the way between a machine and a backend is open; what waits too long is lost.
+func (d *day) whenReachable(m *machine, l *incarnation, since int64, f func(held bool)) {
 	switch {
-	case !d.shut(m, l):
-		f(d.w.now-since > cutRetryUs)
-	case d.w.now-since < stalled:
-		d.w.after(cutRetryUs, func() { d.pass(m, l, since, f) })
+	case !d.unreachable(m, l):
+		f(d.world.now-since > partitionRetryUs)
+	case d.world.now-since < stallTimeout:
+		d.world.after(partitionRetryUs, func() { d.whenReachable(m, l, since, f) })
 	}
 }
 
-// cutRetryUs is how often what a cut holds up tries again.
-const cutRetryUs = 100_000
+// partitionRetryUs is how often what a cut holds up tries again.
+const partitionRetryUs = 100_000
--- a/lab/sim/healing.go
+++ b/lab/sim/judge_healing.go
@@ -10,80 +10,80 @@
 	"wallport/runtime/wire"
 )
 
-type healing struct{ came, good, shed int64 }
+type healedCounts struct{ arrived, answered, rejected int64 }
 
 const notHealed = "not_healed"
 
 func (w *World) healedFrom() int64 { return w.Script.Int("healed_from_us", 0) }
 
-// healed counts an inquiry that came after the time by which all is well again.
-func (w *World) healed(o *search.Outcome, sent int64) {
+// countHealed counts an inquiry that came after the time by which all is well again.
+func (w *World) countHealed(o *search.Outcome, sent int64) {
 	if from := w.healedFrom(); from == 0 || sent < from {
 		return
 	}
-	w.calm.came++
+	w.afterHealing.arrived++
 	switch o.Code {
 	case search.OK, search.Conflict:
-		w.calm.good++
+		w.afterHealing.answered++
 	case search.Shed, search.OverCeiling:
-		w.calm.shed++
+		w.afterHealing.rejected++
 	}
 }
 
-func (w *World) heals() {
+func (w *World) checkHealed() {
 	if w.healedFrom() == 0 {
 		return
 	}
-	fail := func(text string, args ...any) { w.Judge.Fail(notHealed, w.now, text, args...) }
-	w.Judge.Idle(notHealed)
-	h := w.calm
-	if h.came == 0 || h.good*1000 < h.came*995 || h.shed > 0 {
-		fail("of %d inquiries %d were answered well and %d refused", h.came, h.good, h.shed)
+	fail := func(text string, args ...any) { w.Checker.Fail(notHealed, w.now, text, args...) }
+	w.Checker.Idle(notHealed)
+	h := w.afterHealing
+	if h.arrived == 0 || h.answered*1000 < h.arrived*995 || h.rejected > 0 {
+		fail("of %d inquiries %d were answered well and %d refused", h.arrived, h.answered, h.rejected)
 	}
-	if w.calls.open > 0 {
-		fail("%d inquiries were never answered", w.calls.open)
+	if w.callers.open > 0 {
+		fail("%d inquiries were never answered", w.callers.open)
 	}
 	live := map[string]bool{}
 	owners := map[int]int{}
 	var newest wire.Version
 	for _, name := range w.names {
-		p := w.procs[name]
+		p := w.processes[name]
 		switch {
 		case p.replaced:
-		case !p.runs():
+		case !p.running():
 			fail("%s does not run", name)
 		case p.role == "core":
-			live[p.seats.ReplicaID()] = true
+			live[p.replicas.ReplicaID()] = true
 			for part := range state.Partitions {
-				if p.seats.Leads(part) {
+				if p.replicas.Leads(part) {
 					owners[part]++
 				}
 			}
 		default:
-			if s := w.stampOf(p); s.Term > newest.Term || s.Term == newest.Term && s.Seq > newest.Seq {
+			if s := w.versionInForce(p); s.Term > newest.Term || s.Term == newest.Term && s.Seq > newest.Seq {
 				newest = s
 			}
 		}
 	}
 	for _, name := range w.names {
-		p := w.procs[name]
-		if p.role == "node" && p.runs() && w.stampOf(p) != newest {
-			fail("%s has %v in force, others %v", name, w.stampOf(p), newest)
+		p := w.processes[name]
+		if p.role == "node" && p.running() && w.versionInForce(p) != newest {
+			fail("%s has %v in force, others %v", name, w.versionInForce(p), newest)
 		}
-		if p.role != "core" || !p.runs() {
+		if p.role != "core" || !p.running() {
 			continue
 		}
 		for part := range state.Partitions {
-			if !p.seats.Leads(part) {
+			if !p.replicas.Leads(part) {
 				continue
 			}
-			if n := len(p.seats.VotersOf(part)); n != 3 {
+			if n := len(p.replicas.VotersOf(part)); n != 3 {
 				fail("part %d has %d seats", part, n)
 			}
-			if zones := w.spread(p.seats.VotersOf(part)); zones < 3 && w.coreZones() >= 3 {
+			if zones := w.countZones(p.replicas.VotersOf(part)); zones < 3 && w.coreZones() >= 3 {
 				fail("part %d has its seats in %d zones", part, zones)
 			}
-			for _, s := range p.seats.VotersOf(part) {
+			for _, s := range p.replicas.VotersOf(part) {
 				if !live[s.ID] {
 					fail("part %d has a seat that is gone: %s at %s", part, s.ID, s.Addr)
 				}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (w *World) spread(seats []wire.Replica) int {
+func (w *World) countZones(seats []wire.Replica) int {
 	zones := map[string]bool{}
 	for _, s := range seats {
 		zones[s.Zone] = true
@@ -108,9 +108,9 @@
 // coreZones counts the zones that have a core which runs.
 func (w *World) coreZones() int {
 	zones := map[string]bool{}
-	for _, p := range w.procs {
-		if p.role == "core" && p.runs() {
-			zones[p.env.Zone] = true
+	for _, p := range w.processes {
+		if p.role == "core" && p.running() {
+			zones[p.settings.Zone] = true
 		}
 	}
 	return len(zones)
--- /dev/null
+++ b/lab/sim/judge_outcomes.go
@@ -0,0 +1,112 @@
+// What the simulated callers make of their answers, and what they tell the judge.
+
+package sim
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"wallport/lab/check"
+	"wallport/request/search"
+)
+
+func (c *callers) checkOutcome(p *process, in *search.Inquiry, o *search.Outcome, sent int64, planned bool) {
+	w := c.world
+	if o == nil {
+		w.Checker.Count("outcome.cut", 1)
+		w.Checker.Aborted(p.name, w.now, planned && !w.killed[p.name])
+		return
+	}
+	w.logEvent(p.name + " " + o.ID + " " + in.Kind + " " + in.Key + " " + o.Code + " " + o.Why)
+	w.Checker.Count("outcome."+o.Code, 1)
+	w.Checker.Count("outcome."+in.Kind+"."+o.Code, 1)
+	if took := w.now - sent; took > in.Deadline+100_000 {
+		w.Checker.Count("late", 1)
+	}
+	if o.Ran == "no" && in.Key != "" && (o.Code == search.Shed || o.Code == search.OverCeiling || o.Code == search.GivenUp) && c.soleAttempt(in) {
+		w.Checker.Refused(in.Key, w.now)
+	}
+	if (o.Code == search.Shed || o.Code == search.OverCeiling || o.Code == search.GivenUp) && o.Retry == 0 {
+		w.Checker.Fail("no_retry_after", w.now, "%s %s has no Retry-After", o.ID, o.Code)
+	}
+	w.countHealed(o, sent)
+	w.countOtherPool(in, o)
+	w.Checker.Proper(o, w.now, c.rejectionExcuse(in, o))
+	if o.Code != search.OK {
+		return
+	}
+	w.Checker.Served(w.now)
+	if o.Repeat {
+		w.Checker.Count("repeats_answered", 1)
+		return
+	}
+	if in.Kind != search.Search {
+		w.Checker.Single(in.Record, o, w.now)
+		return
+	}
+	if len(o.Missing) > 0 {
+		w.Checker.Count("partial", 1)
+	}
+	w.Checker.Search(in.Index, in.Query, in.Limit, 75, o, w.shardMaps, w.now)
+}
+
+// soleAttempt tells that no other try of the same key can be under way or have run:
+// only then does a refusal bind the key.
+func (c *callers) soleAttempt(in *search.Inquiry) bool {
+	return c.repeat == 0 && c.sends[in.Key] <= 1 || in.Kind == search.Search
+}
+
+// rejectionExcuse reports whether the world gave a reason to refuse: the scenario says
+// so, no server of a needed shard is there, or the key's homes cannot vouch.
+func (c *callers) rejectionExcuse(in *search.Inquiry, o *search.Outcome) string {
+	w := c.world
+	if w.Script.Text("may_refuse", "") != "" {
+		return "scenario"
+	}
+	if in.Once() && in.Key != "" && strings.HasPrefix(o.Why, search.ClaimsShort) {
+		return "claims"
+	}
+	if o.Why == search.RepeatOver && c.sends[in.Key] > 1 {
+		c.refused[in.Key] = true
+		return "repeat"
+	}
+	if strings.HasSuffix(o.Why, "; "+search.ReplyShed) && w.serverRefuses(in) {
+		// A server's own refusal, and no budget left to ask another: two rules meet here.
+		return "server"
+	}
+	for _, n := range w.shardMaps {
+		shard := -1
+		if in.Kind != search.Search {
+			shard = search.ShardOf(in.Record, n)
+		}
+		if w.lacksServer(in.Index, n, shard) {
+			return "no_server"
+		}
+	}
+	return ""
+}
+
+// recordAttempt notes that a server is asked, and tells whether one was asked the same before.
+func (c *callers) recordAttempt(a *search.Ask) bool {
+	key := a.Inquiry.Key
+	if key == "" {
+		return false
+	}
+	c.attempted[key] = true
+	at := fmt.Sprintf("%s/%d", key, a.Shard)
+	was := c.attempted[at]
+	c.attempted[at] = true
+	return was
+}
+
+func (c *callers) finish() {
+	for _, key := range slices.Sorted(maps.Keys(c.refused)) {
+		if !c.attempted[key] {
+			c.world.Checker.Fail(check.ProperRejected, c.world.now, "%s was refused as a repeat and no server was ever asked", key)
+		}
+	}
+	c.world.Checker.Count("callers_sent", c.sent)
+	c.world.Checker.Count("callers_open", int64(c.open))
+}
--- a/lab/sim/behind.go
+++ b/lab/sim/judge_replicas.go
@@ -14,18 +14,18 @@
 		var newest wire.Version
 		var voters []wire.Replica
 		for _, name := range w.names {
-			if p := w.procs[name]; p.seats != nil && p.up && mesh.Newer(p.seats.CommittedVersion(part), newest) {
-				newest, voters = p.seats.CommittedVersion(part), p.seats.VotersOf(part)
+			if p := w.processes[name]; p.replicas != nil && p.up && mesh.Newer(p.replicas.CommittedVersion(part), newest) {
+				newest, voters = p.replicas.CommittedVersion(part), p.replicas.VotersOf(part)
 			}
 		}
 		for _, name := range w.names {
-			p := w.procs[name]
-			if p.seats == nil || !p.up {
+			p := w.processes[name]
+			if p.replicas == nil || !p.up {
 				continue
 			}
 			for _, v := range voters {
-				if v.ID == p.seats.ReplicaID() && p.seats.CommittedVersion(part) != newest {
-					w.Judge.Count("replicas_behind", 1)
+				if v.ID == p.replicas.ReplicaID() && p.replicas.CommittedVersion(part) != newest {
+					w.Checker.Count("replicas_behind", 1)
 				}
 			}
 		}
--- a/lab/sim/growth.go
+++ b/lab/sim/measure_growth.go
@@ -70,49 +70,49 @@
 	}
 	w := New(s, g.Seed)
 	r := Grown{Growth: g, LostUs: -1, MetUs: -1, ReadyUs: -1}
-	w.phase(&r, "start", 0, 20_000_000)
-	w.phase(&r, "rest", 20_000_000, 30_000_000)
-	w.until(0, func() bool { return len(w.plat.ready()) == g.Nodes }, &r.ReadyUs)
+	w.measurePhase(&r, "start", 0, 20_000_000)
+	w.measurePhase(&r, "rest", 20_000_000, 30_000_000)
+	w.recordDelay(0, func() bool { return len(w.platform.ready()) == g.Nodes }, &r.ReadyUs)
 	if !g.Brief {
-		w.phase(&r, "changes", 30_000_000, 40_000_000)
+		w.measurePhase(&r, "changes", 30_000_000, 40_000_000)
 		for i := range int64(5) {
-			w.at(30_000_000+i*2_000_000, func() { w.timed(&r.InForceUs) })
+			w.at(30_000_000+i*2_000_000, func() { w.timeChange(&r.InForceUs) })
 		}
 		last := fmt.Sprintf("node-%d", g.Nodes-1)
-		w.phase(&r, "loss", 42_000_000, 52_000_000)
+		w.measurePhase(&r, "loss", 42_000_000, 52_000_000)
 		w.at(42_000_000, func() {
-			w.proc("kill", w.procs[last])
-			w.until(w.now, func() bool { return w.taken(last) == 0 }, &r.LostUs)
+			w.applyProcessVerb("kill", w.processes[last])
+			w.recordDelay(w.now, func() bool { return w.nodesSeeingLive(last) == 0 }, &r.LostUs)
 		})
-		w.phase(&r, "join", 60_000_000, 75_000_000)
+		w.measurePhase(&r, "join", 60_000_000, 75_000_000)
 		w.at(60_000_000, func() {
-			w.proc("restart", w.procs[last])
-			w.until(w.now, func() bool { return w.taken(last) == g.Nodes-1 }, &r.MetUs)
+			w.applyProcessVerb("restart", w.processes[last])
+			w.recordDelay(w.now, func() bool { return w.nodesSeeingLive(last) == g.Nodes-1 }, &r.MetUs)
 		})
 	}
 	w.Run()
 	if len(r.Phases) < 2 || r.ReadyUs < 0 {
-		return r, fmt.Errorf("%d of %d nodes were ready", len(w.plat.ready()), g.Nodes)
+		return r, fmt.Errorf("%d of %d nodes were ready", len(w.platform.ready()), g.Nodes)
 	}
 	return r, nil
 }
 
-// until notes how long after from something became true.
-func (w *World) until(from int64, ok func() bool, us *int64) {
+// recordDelay notes how long after from something became true.
+func (w *World) recordDelay(from int64, ok func() bool, us *int64) {
 	if ok() {
 		*us = w.now - from
 		return
 	}
-	w.after(20_000, func() { w.until(from, ok, us) })
+	w.after(20_000, func() { w.recordDelay(from, ok, us) })
 }
 
-// taken counts the other nodes that take a node for live.
-func (w *World) taken(name string) (n int) {
-	for _, p := range w.procs {
-		if p.role != "node" || !p.runs() || p.name == name || p.table.Current() == nil {
+// nodesSeeingLive counts the other nodes that take a node for live.
+func (w *World) nodesSeeingLive(name string) (n int) {
+	for _, p := range w.processes {
+		if p.role != "node" || !p.running() || p.name == name || p.snapshots.Current() == nil {
 			continue
 		}
-		for _, m := range p.table.Current().Roster {
+		for _, m := range p.snapshots.Current().Roster {
 			if m.Name == name && m.Live {
 				n++
 			}
@@ -121,28 +121,28 @@
 	return n
 }
 
-// phase measures from one moment to another.
-func (w *World) phase(r *Grown, name string, from, to int64) {
+// measurePhase measures from one moment to another.
+func (w *World) measurePhase(r *Grown, name string, from, to int64) {
 	var was map[string]Traffic
 	var peakIn, peakOut map[string]int64
 	var cpu float64
 	w.at(from, func() {
 		cpu = cpuSeconds()
 		was, peakIn, peakOut = w.traffic(), map[string]int64{}, map[string]int64{}
-		w.seconds(to, was, peakIn, peakOut)
+		w.measurePeakSeconds(to, was, peakIn, peakOut)
 	})
 	w.at(to, func() {
 		now := w.traffic()
 		span := float64(to-from) / 1e6
-		p := Phase{Name: name, From: from, To: to, CPU: (cpuSeconds() - cpu) / span / float64(len(w.procs))}
+		p := Phase{Name: name, From: from, To: to, CPU: (cpuSeconds() - cpu) / span / float64(len(w.processes))}
 		p.Node = w.rates("node", was, now, span, peakIn, peakOut)
 		p.Core = w.rates("core", was, now, span, peakIn, peakOut)
 		r.Phases = append(r.Phases, p)
 	})
 }
 
-// seconds looks for the busiest second of each process.
-func (w *World) seconds(to int64, was map[string]Traffic, in, out map[string]int64) {
+// measurePeakSeconds looks for the busiest second of each process.
+func (w *World) measurePeakSeconds(to int64, was map[string]Traffic, in, out map[string]int64) {
 	if w.now+1_000_000 > to {
 		return
 	}
@@ -152,21 +152,21 @@
 			in[name] = max(in[name], sum(t.In).Bytes-sum(was[name].In).Bytes)
 			out[name] = max(out[name], sum(t.Out).Bytes-sum(was[name].Out).Bytes)
 		}
-		w.seconds(to, now, in, out)
+		w.measurePeakSeconds(to, now, in, out)
 	})
 }
 
 func (w *World) traffic() map[string]Traffic {
-	out := make(map[string]Traffic, len(w.procs))
-	for name, p := range w.procs {
-		out[name] = p.did
+	out := make(map[string]Traffic, len(w.processes))
+	for name, p := range w.processes {
+		out[name] = p.traffic
 	}
 	return out
 }
 
 func (w *World) rates(role string, was, now map[string]Traffic, span float64, peakIn, peakOut map[string]int64) (r Rates) {
 	for _, name := range w.names {
-		p := w.procs[name]
+		p := w.processes[name]
 		if p.role != role || !p.up {
 			continue
 		}
@@ -196,15 +196,15 @@
 		if !l.mesh {
 			continue
 		}
-		for _, s := range l.sides {
-			if s.p.role == role && s.p.up && s.p.life == s.life {
+		for _, s := range l.ends {
+			if s.process.role == role && s.process.up && s.process.incarnation == s.incarnation {
 				r.Channels += 0.5
 			}
 		}
 	}
 	for _, l := range w.net.direct {
-		for _, s := range l.sides {
-			if !l.dead && s.p.role == role && s.p.up && s.p.life == s.life {
+		for _, s := range l.ends {
+			if !l.closed && s.process.role == role && s.process.up && s.process.incarnation == s.incarnation {
 				r.Channels++
 			}
 		}
--- a/lab/sim/scale.go
+++ b/lab/sim/measure_scale.go
@@ -41,18 +41,18 @@
 	})
 	const changes = 10
 	for i := range changes {
-		w.at(30_000_000+int64(i)*2_000_000, func() { w.timed(&took) })
+		w.at(30_000_000+int64(i)*2_000_000, func() { w.timeChange(&took) })
 	}
 	var entries int64
-	w.at(30_000_000, func() { entries = w.net.parts })
-	w.at(30_000_000+changes*2_000_000, func() { r.ChangeFrames = float64(w.net.parts-entries) / changes })
+	w.at(30_000_000, func() { entries = w.net.partitionFrames })
+	w.at(30_000_000+changes*2_000_000, func() { r.ChangeFrames = float64(w.net.partitionFrames-entries) / changes })
 	// Half of the fleet is cut off for 20 s, changes go on, and the cut heals.
 	half := w.halves()
-	w.at(52_000_000, func() { w.net.block(half, w.names, true, true); w.net.block(half, half, true, false) })
-	w.at(53_000_000, func() { w.oper.put(w.procs["core-0"].peerNode(), w.oper.now(), "put", 0, nil) })
+	w.at(52_000_000, func() { w.net.setBlocked(half, w.names, true, true); w.net.setBlocked(half, half, true, false) })
+	w.at(53_000_000, func() { w.operators.put(w.processes["core-0"].peerNode(), w.operators.current(), "put", 0, nil) })
 	w.at(72_000_000, func() {
-		w.net.block(half, w.names, true, false)
-		w.watch(w.now, func(us int64) { r.HealUs = us })
+		w.net.setBlocked(half, w.names, true, false)
+		w.awaitAgreement(w.now, func(us int64) { r.HealUs = us })
 	})
 	w.Run()
 	if len(took) < changes/2 {
@@ -77,39 +77,39 @@
 }
 
 // peerNode is a node on the side of the cores.
-func (p *proc) peerNode() *proc { return p.w.procs["node-0"] }
+func (p *process) peerNode() *process { return p.world.processes["node-0"] }
 
-// timed sends one change and notes how long until every node has it in force.
-func (w *World) timed(took *[]int64) {
+// timeChange sends one change and notes how long until every node has it in force.
+func (w *World) timeChange(took *[]int64) {
 	began := w.now
-	w.oper.put(w.procs["node-0"], w.oper.now(), "put", 0, func(code string) {
+	w.operators.put(w.processes["node-0"], w.operators.current(), "put", 0, func(code string) {
 		if code == "ok" {
-			w.watch(began, func(us int64) { *took = append(*took, us) })
+			w.awaitAgreement(began, func(us int64) { *took = append(*took, us) })
 		}
 	})
 }
 
-// watch waits until all nodes agree on the newest sheet.
-func (w *World) watch(began int64, done func(us int64)) {
+// awaitAgreement waits until all nodes agree on the newest sheet.
+func (w *World) awaitAgreement(began int64, done func(us int64)) {
 	var newest wire.Version
 	all := true
 	for _, name := range w.names {
-		if p := w.procs[name]; p.role == "node" && p.table.Current() != nil {
-			if at := p.table.Current().Config.ConfigVersion; at.Term > newest.Term || at.Term == newest.Term && at.Seq > newest.Seq {
+		if p := w.processes[name]; p.role == "node" && p.snapshots.Current() != nil {
+			if at := p.snapshots.Current().Config.ConfigVersion; at.Term > newest.Term || at.Term == newest.Term && at.Seq > newest.Seq {
 				newest = at
 			}
 		}
 	}
 	for _, name := range w.names {
-		if p := w.procs[name]; p.role == "node" {
-			all = all && p.table.Current() != nil && p.table.Current().Config.ConfigVersion == newest
+		if p := w.processes[name]; p.role == "node" {
+			all = all && p.snapshots.Current() != nil && p.snapshots.Current().Config.ConfigVersion == newest
 		}
 	}
 	if all {
 		done(w.now - began)
 		return
 	}
-	w.after(2_000, func() { w.watch(began, done) })
+	w.after(2_000, func() { w.awaitAgreement(began, done) })
 }
 
 func (n *network) count(l *link, data []byte) {
@@ -121,7 +121,7 @@
 	if f, err := wire.Open(data); err == nil && f.Kind == wire.KindGossip {
 		var e wire.Entry
 		if wire.Decode(f.Body, &e) == nil && e.Type == "part" && e.Version.Partition == 0 {
-			n.parts++
+			n.partitionFrames++
 		}
 	}
 }
--- a/lab/sim/traffic.go
+++ b/lab/sim/measure_traffic.go
@@ -31,16 +31,16 @@
 	return all
 }
 
-// tally counts a frame for both sides of its channel.
-func tally(from, to *proc, data []byte) {
+// countFrame counts a frame for both sides of its channel.
+func countFrame(from, to *process, data []byte) {
 	if len(data) < 2 {
 		return
 	}
 	k, n := data[1]%Kinds, int64(len(data))
-	from.did.Out[k].Frames++
-	from.did.Out[k].Bytes += n
-	to.did.In[k].Frames++
-	to.did.In[k].Bytes += n
+	from.traffic.Out[k].Frames++
+	from.traffic.Out[k].Bytes += n
+	to.traffic.In[k].Frames++
+	to.traffic.In[k].Bytes += n
 }
 
 // KindNames are the kinds of frames in words.
@@ -64,8 +64,8 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// meets tells a process of a mesh channel to another that has just opened.
-func (p *proc) meets(q *proc, id uint64, addr string, dialed bool) {
-	in := kernel.ConnUp{Conn: id, Addr: addr, Peer: kernel.Fingerprint(q.kernel.Boot.Key.Public), Zone: q.env.Zone, Dialed: dialed, Mesh: true}
-	p.feed(func() { p.step(in) })
+// connected tells a process of a mesh channel to another that has just opened.
+func (p *process) connected(q *process, id uint64, addr string, dialed bool) {
+	in := kernel.ConnUp{Conn: id, Addr: addr, Peer: kernel.Fingerprint(q.kernel.Boot.Key.Public), Zone: q.settings.Zone, Dialed: dialed, Mesh: true}
+	p.deliver(func() { p.step(in) })
 }
--- a/lab/sim/play.go
+++ b/lab/sim/play.go
@@ -42,15 +42,15 @@
 	w := New(s, seed)
 	w.Trace = trace
 	violated := w.runToViolation()
-	r := Result{Scenario: s.Name, Seed: seed, Digest: w.Digest(), Lines: w.Judge.Lines(), Counts: w.Judge.Counts, Tested: w.Judge.Tested}
+	r := Result{Scenario: s.Name, Seed: seed, Digest: w.Digest(), Lines: w.Checker.Lines(), Counts: w.Checker.Counts, Tested: w.Checker.Tested}
 	if violated != "" {
 		r.Faults = append(r.Faults, violated)
 	}
-	for _, v := range w.Judge.Violations {
+	for _, v := range w.Checker.Violations {
 		r.Faults = append(r.Faults, fmt.Sprintf("%s at %.3f s: %s", v.Point, float64(v.At)/1e6, v.Text))
 	}
 	for _, e := range s.Expects {
-		if got := w.Judge.Value(e.Name); !e.Met(got) {
+		if got := w.Checker.Value(e.Name); !e.Met(got) {
 			r.Faults = append(r.Faults, fmt.Sprintf("%s:%d: expected %s %s %d, saw %d", s.Name, e.Line, e.Name, e.Op, e.Want, got))
 		}
 	}
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -40,41 +40,41 @@
 
 // World is one simulated fleet.
 type World struct {
-	Shape  fleet.Shape
-	Script *script.Script
-	Seed   uint64
-	Judge  *check.Judge
-	Trace  func(at int64, text string)
-
-	now     int64
-	seq     uint64
-	queue   events
-	rnd     *rand.Rand
-	procs   map[string]*proc
-	names   []string
-	byAddr  map[string]*proc
-	net     network
-	servers map[string]*server
-	serverN []string
-	srvAddr map[string]*server
-	plat    platform
-	oper    operators
-	calls   callers
-	cuts    map[string]int
-	lost    int64
-	back    int64
-	nextID  uint64
-	seeds   []string
-	digest  uint64
-	killed  map[string]bool
-	bare    map[shardKey]int64
-	calm    healing
+	Shape   fleet.Shape
+	Script  *script.Script
+	Seed    uint64
+	Checker *check.Checker
+	Trace   func(at int64, text string)
+
+	now             int64
+	seq             uint64
+	queue           events
+	rng             *rand.Rand
+	processes       map[string]*process
+	names           []string
+	processesByAddr map[string]*process
+	net             network
+	servers         map[string]*server
+	serverIDs       []string
+	serversByAddr   map[string]*server
+	platform        platform
+	operators       operators
+	callers         callers
+	shardMaps       map[string]int
+	lostAt          int64
+	restoredAt      int64
+	nextID          uint64
+	seeds           []string
+	digest          uint64
+	killed          map[string]bool
+	unservedAt      map[shardKey]int64
+	afterHealing    healedCounts
 	// day is set where the scenario plays a day on the users' platform.
 	day *day
-	// lonely counts the nodes that are cut off from the greater part of the fleet.
-	lonely int
-	// writes counts those of the disks, where the power is to go at one of them.
-	writes int
+	// isolatedNodes counts the nodes that are cut off from the greater part of the fleet.
+	isolatedNodes int
+	// diskWrites counts those of the disks, where the power is to go at one of them.
+	diskWrites int
 }
 
 // New makes a world of a scenario and a seed.
@@ -87,14 +87,14 @@
 	shape.Cores = int(s.Int("cores", int64(shape.Cores)))
 	shape.PerShard = int(s.Int("per_shard", int64(shape.PerShard)))
 	w := &World{
-		Shape: shape, Script: s, Seed: seed, Judge: check.New(), rnd: rand.New(rand.NewPCG(seed, 0x73696d)),
-		procs: map[string]*proc{}, byAddr: map[string]*proc{}, servers: map[string]*server{}, srvAddr: map[string]*server{},
-		cuts: map[string]int{"c1": shape.Shards}, lost: -1, back: -1, killed: map[string]bool{}, bare: map[shardKey]int64{},
+		Shape: shape, Script: s, Seed: seed, Checker: check.New(), rng: rand.New(rand.NewPCG(seed, 0x73696d)),
+		processes: map[string]*process{}, processesByAddr: map[string]*process{}, servers: map[string]*server{}, serversByAddr: map[string]*server{},
+		shardMaps: map[string]int{"c1": shape.Shards}, lostAt: -1, restoredAt: -1, killed: map[string]bool{}, unservedAt: map[shardKey]int64{},
 	}
 	w.net.init(w)
-	w.plat.init(w)
-	w.oper.init(w)
-	w.calls.init(w)
+	w.platform.init(w)
+	w.operators.init(w)
+	w.callers.init(w)
 	if site := s.Text("site", ""); site != "" {
 		w.day = newDay(w, site)
 	}
@@ -108,8 +108,8 @@
 	heap.Push(&w.queue, event{max(t, w.now), w.seq, f})
 }
 
-// note folds what happened into a digest, by which two runs are compared.
-func (w *World) note(text string) {
+// logEvent folds what happened into a digest, by which two runs are compared.
+func (w *World) logEvent(text string) {
 	for i := range len(text) {
 		w.digest = (w.digest ^ uint64(text[i])) * 0x100000001b3
 	}
@@ -156,33 +156,33 @@
 		w.add("node", i, nodeAddr(i))
 	}
 	for i := range s.PerShard * s.Shards {
-		w.addServer(s.Server(i, "c1", s.Shards, ""), s.Shards)
+		w.addServer(s.Backend(i, "c1", s.Shards, ""), s.Shards)
 	}
-	w.addOther()
-	w.plat.publish()
+	w.addOtherServers()
+	w.platform.publish()
 	for _, name := range w.names {
-		w.after(w.rnd.Int64N(200_000), func() { w.procs[name].start() })
+		w.after(w.rng.Int64N(200_000), func() { w.processes[name].start() })
 	}
 	for _, st := range w.Script.Steps {
-		w.at(st.At, func() { w.do(st) })
+		w.at(st.At, func() { w.runStep(st) })
 	}
-	w.oper.first()
-	w.at(w.Script.Int("callers_from_us", 10_000_000), w.judgedLimits)
-	w.calls.begin()
+	w.operators.putFirst()
+	w.at(w.Script.Int("callers_from_us", 10_000_000), w.checkLimits)
+	w.callers.begin()
 	w.after(100_000, w.sample)
 }
 
 // sample looks ten times a second at what every node has in force.
 func (w *World) sample() {
 	w.after(100_000, w.sample)
-	w.reach()
-	w.lookForBare()
+	w.updateReachability()
+	w.recordUnservedShards()
 	for _, name := range w.names {
-		p := w.procs[name]
-		if p.role != "node" || !p.runs() {
+		p := w.processes[name]
+		if p.role != "node" || !p.running() {
 			continue
 		}
-		cp := p.table.Current()
+		cp := p.snapshots.Current()
 		if cp == nil || cp.Version.Term == 0 {
 			continue
 		}
@@ -191,17 +191,17 @@
 		if cp.Configuration != nil && len(cp.Configuration.Services) > 0 {
 			mark = cp.Configuration.Services[0].RampUs
 		}
-		w.judgeBookings(p, cp.Config.ActiveBookings, since)
-		w.Judge.InForce(name, cp.Config.ConfigVersion, mark, w.now, since)
+		w.checkBookings(p, cp.Config.ActiveBookings, since)
+		w.Checker.InForce(name, cp.Config.ConfigVersion, mark, w.now, since)
 	}
 }
 
 // reachableSince is from when a node has been up, awake and not cut off; -1 if it is not.
-func (w *World) reachableSince(p *proc) int64 {
+func (w *World) reachableSince(p *process) int64 {
 	if p.isolated || p.frozen {
 		return -1
 	}
-	return max(p.upAt, p.reachedAt)
+	return max(p.startedAt, p.reachedAt)
 }
 
 func (w *World) finish() {
@@ -209,37 +209,37 @@
 		w.day.finish()
 		return
 	}
-	w.Judge.Chain()
-	w.Judge.Budgets()
-	w.Judge.Ramps()
-	w.Judge.LimitsHeld(w.calls.until)
-	w.calls.finish()
-	w.heals()
-	if w.back >= 0 {
-		w.Judge.Recovers(w.lost, w.back)
+	w.Checker.Chain()
+	w.Checker.Budgets()
+	w.Checker.SlowStarts()
+	w.Checker.CheckLimits(w.callers.until)
+	w.callers.finish()
+	w.checkHealed()
+	if w.restoredAt >= 0 {
+		w.Checker.Recovers(w.lostAt, w.restoredAt)
 	}
 	w.countBehind()
 	for _, name := range w.names {
-		p := w.procs[name]
+		p := w.processes[name]
 		if p.kernel == nil {
 			continue
 		}
-		if p.seats != nil && p.up {
+		if p.replicas != nil && p.up {
 			n := int64(0)
 			for part := range state.Partitions {
-				if p.seats.Leads(part) {
+				if p.replicas.Leads(part) {
 					n++
 				}
 			}
-			w.Judge.Counts["owned_by_one"] = max(w.Judge.Counts["owned_by_one"], n)
-			w.Judge.Count("owned", n)
+			w.Checker.Counts["owned_by_one"] = max(w.Checker.Counts["owned_by_one"], n)
+			w.Checker.Count("owned", n)
 		}
-		p.kernel.Counts.Each(func(name string, n int64) { w.Judge.Count("sum."+name, n) })
+		p.kernel.Counts.Each(func(name string, n int64) { w.Checker.Count("sum."+name, n) })
 	}
 }
 
-func (w *World) stampOf(p *proc) wire.Version {
-	if cp := p.table.Current(); cp != nil {
+func (w *World) versionInForce(p *process) wire.Version {
+	if cp := p.snapshots.Current(); cp != nil {
 		return cp.Version
 	}
 	return wire.Version{}
--- a/lab/sim/bookings.go
+++ b/lab/sim/world_bookings.go
@@ -23,33 +23,33 @@
 
 // book makes a booking of a slice, from and to being seconds of simulated time.
 func (o *operators) book(id, kind string, slice, from, to int64) {
-	w := o.w
+	w := o.world
 	row, _ := json.Marshal(map[string]any{
 		"id": id, "index": w.Shape.Index, "kind": kind, "slice": slice,
 		"starts_us": fmt.Sprint(epoch + from*1_000_000), "ends_us": fmt.Sprint(epoch + to*1_000_000),
 	})
 	body, _ := json.Marshal([]config.RowEdit{{Op: "set", Table: "bookings", Row: row}})
 	// Other edits go on meanwhile; the row is this operator's alone, so none of them is in its way.
-	o.insist(func() wire.Edit { return wire.Edit{Op: "rows", Strict: true, Base: o.now().stamp, Body: body} }, func(code string) bool {
-		w.note("booking " + id + " " + code)
-		w.Judge.Count("bookings."+code, 1)
+	o.sendUntil(func() wire.Edit { return wire.Edit{Op: "rows", Strict: true, Base: o.current().version, Body: body} }, func(code string) bool {
+		w.logEvent("booking " + id + " " + code)
+		w.Checker.Count("bookings."+code, 1)
 		if code == "ok" {
 			b := booking{from * 1_000_000, to * 1_000_000, kind, slice}
-			o.booked[id] = b
-			w.at(b.from, w.judgedLimits)
-			w.at(b.to, w.judgedLimits)
+			o.bookings[id] = b
+			w.at(b.from, w.checkLimits)
+			w.at(b.to, w.checkLimits)
 		}
 		return code == "ok" || code == "invalid"
 	})
 }
 
-// judgeBookings looks at what a reachable node has running.
-func (w *World) judgeBookings(p *proc, running []string, since int64) {
-	if since < 0 || w.now-since < check.SheetIn {
+// checkBookings looks at what a reachable node has running.
+func (w *World) checkBookings(p *process, running []string, since int64) {
+	if since < 0 || w.now-since < check.ConfigWithin {
 		return
 	}
-	for id, b := range w.oper.booked {
-		w.Judge.Booked(p.name, id, slices.Contains(running, id), b.from, b.to, w.now)
+	for id, b := range w.operators.bookings {
+		w.Checker.Booking(p.name, id, slices.Contains(running, id), b.from, b.to, w.now)
 	}
 }
 
@@ -61,15 +61,15 @@
 		}
 		return
 	}
-	p := o.via()
+	p := o.pickNode()
 	if p == nil {
 		return
 	}
-	p.feed(func() {
+	p.deliver(func() {
 		p.call("operate", operations.Rebuild{Partition: part}, func(v any) {
 			r := v.(operations.Result).Reply
-			o.w.note(fmt.Sprint("rebuild ", part, " ", r.Code, " ", r.Findings))
-			o.w.Judge.Count("rebuilds."+r.Code, 1)
+			o.world.logEvent(fmt.Sprint("rebuild ", part, " ", r.Code, " ", r.Findings))
+			o.world.Checker.Count("rebuilds."+r.Code, 1)
 		})
 	})
 }
--- /dev/null
+++ b/lab/sim/world_callers.go
@@ -0,0 +1,159 @@
+// Simulated callers: searches, reads, corrections and part fetches at a steady
+// rate; some repeat, under the same key, through another node.
+
+package sim
+
+import (
+	"fmt"
+
+	"wallport/control/config"
+	"wallport/lab/records"
+	"wallport/request/search"
+)
+
+type callers struct {
+	world  *World
+	rate   int64
+	sent   int64
+	ready  []*process
+	repeat int64
+	// repeatSearches is the share of searches and reads that are sent again, under a key.
+	repeatSearches int64
+	// skew is the share that goes to two nodes; mix weighs the kinds.
+	skew int64
+	mix  []int64
+	// attempted holds keys, and keys with a shard, of which a server was asked.
+	attempted map[string]bool
+	// sends counts how often a key was read by some node; refused are those told to be repeats.
+	sends   map[string]int
+	refused map[string]bool
+	open    int
+	until   int64
+}
+
+func (c *callers) init(w *World) {
+	c.world, c.rate, c.repeat = w, w.Script.Int("rate", 100), w.Script.Int("repeat_percent", 10)
+	c.skew, c.mix = w.Script.Int("skew", 0), []int64{8, 2, 1, 1}
+	c.repeatSearches, c.attempted = w.Script.Int("repeat_searches", 0), map[string]bool{}
+	c.sends, c.refused = map[string]int{}, map[string]bool{}
+	c.until = w.Script.Int("seconds", 30)*1_000_000 - w.Shape.Most - 1_000_000
+}
+
+func (c *callers) begin() {
+	c.world.at(c.world.Script.Int("callers_from_us", 10_000_000), func() { c.next() })
+	c.refreshReady()
+}
+
+// refreshReady learns three times a second which nodes are ready.
+func (c *callers) refreshReady() {
+	c.world.after(300_000, c.refreshReady)
+	if r := c.world.platform.ready(); len(r) > 0 {
+		c.ready = r
+	}
+}
+
+func (c *callers) next() {
+	if c.world.now >= c.until || c.rate <= 0 {
+		return
+	}
+	gap := 1_000_000 / c.rate
+	c.world.after(gap/2+c.world.rng.Int64N(gap+1), c.next)
+	if len(c.ready) == 0 {
+		c.world.Checker.Count("callers_without_node", 1)
+		return
+	}
+	c.sent++
+	rnd := c.world.rng
+	s := c.world.Shape
+	in := search.Inquiry{
+		Index: s.Index, Kind: search.Search, Query: fmt.Sprintf("q%d", rnd.IntN(200)), Limit: 5 + rnd.IntN(20),
+		Record: records.ID(rnd.IntN(records.Size)), Deadline: s.Least + rnd.Int64N(s.Most-s.Least+1),
+	}
+	in.Kind = c.drawKind()
+	if other := c.world.otherIndex(); other != "" && rnd.IntN(3) == 0 {
+		in.Index = other
+	}
+	if in.Once() {
+		in.Key = fmt.Sprintf("key-%d", c.sent)
+		in.Body = "correction"
+		in.Sum = search.SumOf(&in)
+	}
+	attempts := 1
+	in.First = in.Once() && c.world.Script.Text("first_word", "") == "yes"
+	if in.Once() && rnd.Int64N(100) < c.repeat {
+		attempts += 1 + rnd.IntN(3)
+	}
+	if !in.Once() && in.Index == s.Index && c.repeatSearches > 0 && rnd.Int64N(100) < c.repeatSearches {
+		in.Key = fmt.Sprintf("key-%d", c.sent)
+		attempts += 1 + rnd.IntN(3)
+	}
+	c.send(in, attempts, rnd.Int64N(2) == 0)
+}
+
+// send asks a node; a caller that repeats does so under the same key: eagerly,
+// not waiting for the answer, or after a failure.
+func (c *callers) send(in search.Inquiry, attempts int, eager bool) {
+	w := c.world
+	p := c.pickNode()
+	sent := w.now
+	c.open++
+	repeat := in
+	repeat.First = false
+	again := func(d int64) {
+		if attempts > 1 {
+			w.after(d, func() { c.send(repeat, attempts-1, eager) })
+		}
+	}
+	if eager {
+		again(w.rng.Int64N(c.world.Script.Int("eager_us", 300_000)))
+	}
+	life := p.incarnation
+	w.after(w.net.latency(), func() {
+		if !p.up || p.incarnation != life || !p.snapshots.Current().Ready() || p.draining && !p.frozen && w.rng.IntN(2) == 0 {
+			c.open--
+			w.Checker.Count("callers_refused_connection", 1)
+			if in.Key != "" && w.now < c.until {
+				// No one was there to read it: try until someone is.
+				w.after(200_000+w.rng.Int64N(600_000), func() { c.send(in, attempts, eager) })
+			}
+			return
+		}
+		planned := p.draining
+		c.sends[in.Key]++
+		read := w.now
+		p.frontend.accept(in, func(o *search.Outcome) {
+			w.Checker.Arrived(in.Kind, read, o == nil || o.Code != search.OverCeiling || o.Why == search.RepeatOver)
+			c.open--
+			c.checkOutcome(p, &in, o, sent, planned || p.draining)
+			switch {
+			case o == nil && in.Key != "":
+				// Cut off without a word: every caller repeats that.
+				w.after(500_000, func() { c.send(repeat, max(attempts, 12), false) })
+			case !eager && (o == nil || o.Code != search.OK):
+				again(500_000)
+			}
+		})
+	})
+}
+
+// drawKind draws one by the mix: two thirds are searches unless a scenario says otherwise.
+func (c *callers) drawKind() string {
+	sum := int64(0)
+	for _, n := range c.mix {
+		sum += n
+	}
+	r := c.world.rng.Int64N(sum)
+	for i, n := range c.mix {
+		if r -= n; r < 0 {
+			return config.Kinds[i]
+		}
+	}
+	return search.Search
+}
+
+func (c *callers) pickNode() *process {
+	if c.skew > 0 && c.world.rng.Int64N(100) < c.skew {
+		return c.ready[c.world.rng.IntN(min(2, len(c.ready)))]
+	}
+	return c.ready[c.world.rng.IntN(len(c.ready))]
+}
--- /dev/null
+++ b/lab/sim/world_disk.go
@@ -0,0 +1,122 @@
+// A simulated disk: writes take their time, in order; a power loss keeps only
+// what was synced, and may leave a write in flight torn, undone or whole.
+
+package sim
+
+import (
+	"wallport/runtime/kernel"
+)
+
+type disk struct {
+	process    *process
+	files      map[string][]byte
+	queue      []kernel.Write
+	busy       bool
+	mode       string
+	extraDelay int64
+	fsyncs     int64
+	// syncTime is what a sync takes at least; 0 stands for the stand-ins' own.
+	syncTime int64
+	// powerOffAfter is the file after whose answer the power goes.
+	powerOffAfter string
+}
+
+func newDisk(p *process) *disk { return &disk{process: p, files: map[string][]byte{}} }
+
+func (d *disk) load() map[string][]byte {
+	d.queue, d.busy = nil, false
+	out := map[string][]byte{}
+	for k, v := range d.files {
+		out[k] = v
+	}
+	return out
+}
+
+func (d *disk) enqueue(w kernel.Write) {
+	d.queue = append(d.queue, w)
+	d.startNext()
+}
+
+func (d *disk) startNext() {
+	if d.busy || len(d.queue) == 0 || d.mode == "stalled" {
+		return
+	}
+	d.busy = true
+	if d.powerOffAtStep(d.queue[0]) {
+		return
+	}
+	took := 800 + d.process.world.rng.Int64N(3000) + d.extraDelay
+	if d.syncTime > 0 {
+		took = d.syncTime + d.process.world.rng.Int64N(d.syncTime/2) + d.extraDelay
+	}
+	life := d.process.incarnation
+	d.process.world.after(took, func() {
+		if d.process.incarnation != life {
+			return
+		}
+		d.complete()
+	})
+}
+
+// complete ends the write at the head, unless the disk stalled meanwhile.
+func (d *disk) complete() {
+	if d.mode == "stalled" {
+		life := d.process.incarnation
+		d.process.world.after(20_000, func() {
+			if d.process.incarnation == life {
+				d.complete()
+			}
+		})
+		return
+	}
+	w := d.queue[0]
+	d.queue = d.queue[1:]
+	d.busy = false
+	res := kernel.Written{Plugin: w.Plugin, Key: w.Key}
+	switch {
+	case w.Data == nil:
+		delete(d.files, w.File)
+	case d.mode == "full":
+		res.Err = "no space left on device"
+	default:
+		d.fsyncs += 2
+		d.process.world.Checker.Count("fsyncs", 2)
+		d.files[w.File] = w.Data
+	}
+	if w.Key != "" {
+		d.process.deliver(func() { d.process.step(res) })
+	}
+	d.powerOffIfArmed(w)
+	d.startNext()
+}
+
+// powerLoss is the end of the process with the power: writes not yet synced
+// are dropped, their renames undone, or leave a torn file.
+func (d *disk) powerLoss() {
+	if d.busy && len(d.queue) > 0 && d.queue[0].Data != nil {
+		w := d.queue[0]
+		switch d.process.world.rng.IntN(3) {
+		case 0:
+			if _, old := d.files[w.File]; !old {
+				d.files[w.File] = w.Data[:d.process.world.rng.IntN(len(w.Data))]
+				d.process.world.Checker.Count("torn_files", 1)
+			}
+		case 1:
+			d.files[w.File] = w.Data
+		}
+	}
+	d.queue, d.busy = nil, false
+}
+
+func (d *disk) wipe() { d.files = map[string][]byte{} }
+
+// write gives a write to the disk; where there is none it fails.
+func (p *process) write(wr kernel.Write) {
+	if p.disk != nil {
+		p.disk.enqueue(wr)
+		return
+	}
+	if wr.Key != "" {
+		p.deliverAfter(0, func() { p.step(kernel.Written{Plugin: wr.Plugin, Key: wr.Key, Err: "no disk"}) })
+	}
+}
--- /dev/null
+++ b/lab/sim/world_frontend.go
@@ -0,0 +1,166 @@
+// The request path of a simulated node: the product's own chart, its acts
+// carried out on the simulated network.
+
+package sim
+
+import (
+	"slices"
+
+	"wallport/request/idempotency"
+	"wallport/request/search"
+)
+
+type searchRequest struct {
+	stateMachine *search.Chart
+	in           *search.Inquiry
+	done         func(o *search.Outcome)
+	wakeups      uint64
+}
+
+type frontend struct {
+	process  *process
+	requests map[*searchRequest]bool
+	ordered  []*searchRequest
+}
+
+func newFrontend(p *process) *frontend {
+	return &frontend{process: p, requests: map[*searchRequest]bool{}}
+}
+
+// accept takes an inquiry that has been read whole; done gets its outcome, or nil if it was cut.
+func (f *frontend) accept(in search.Inquiry, done func(o *search.Outcome)) {
+	r := &searchRequest{in: &in, done: done}
+	// Of a frozen process it is there, unread, until the process thaws or ends.
+	f.requests[r] = true
+	f.ordered = append(f.ordered, r)
+	f.process.deliver(func() {
+		r.stateMachine = search.NewChart(f.process.dispatcher, in, f.process.now())
+		f.step(r, search.Begin{})
+	})
+}
+
+// abort is the end of the process: every inquiry read and not answered is cut.
+func (f *frontend) abort() {
+	list := f.ordered
+	f.ordered = nil
+	for _, r := range list {
+		if f.requests[r] {
+			delete(f.requests, r)
+			r.done(nil)
+		}
+	}
+}
+
+func (f *frontend) step(r *searchRequest, ev search.Event) {
+	if !f.requests[r] {
+		return
+	}
+	acts := r.stateMachine.Step(f.process.now(), ev)
+	if at := f.process.freezeAt; at != "" && r.stateMachine.State() == at {
+		// What the step asked for is done before the process stops running, or after.
+		f.process.freezeAt = ""
+		f.process.world.Checker.Count("frozen_at."+string(at), 1)
+		f.process.world.after(0, f.process.freeze)
+		f.process.world.after(f.process.freezeFor, f.process.thaw)
+	}
+	for _, a := range acts {
+		f.perform(r, a)
+	}
+}
+
+func (f *frontend) perform(r *searchRequest, a search.Act) {
+	p := f.process
+	switch v := a.(type) {
+	case search.Ask:
+		f.checkRequest(&v)
+		life := p.incarnation
+		p.world.askServer(p, &v, func(rep search.Reply) {
+			if p.incarnation == life {
+				p.deliver(func() { f.step(r, search.Replied{N: v.N, Reply: rep}) })
+			}
+		})
+	case search.Wake:
+		r.wakeups++
+		mine := r.wakeups
+		p.deliverAfter(v.At-p.now(), func() {
+			if r.wakeups == mine {
+				f.step(r, search.Due{})
+			}
+		})
+	case search.Claim:
+		p.call("idempotency", idempotency.Admit{Key: v.Key, Index: v.Index, Digest: v.Sum, FirstAttempt: v.First, Timeout: v.Within, Repeatable: v.Again}, func(ans any) {
+			if s, in := search.LateClaim(v.Key, ans.(search.Verdict)); in && !f.requests[r] {
+				f.perform(r, s)
+				return
+			}
+			f.step(r, search.Claimed{Verdict: ans.(search.Verdict)})
+		})
+	case search.Settle:
+		p.call("idempotency", idempotency.RecordOutcome{Key: v.Key, Code: v.Code, Token: v.Token, Attempted: v.Tried, Outcome: v.Outcome}, nil)
+	case search.Finish:
+		delete(f.requests, r)
+		f.ordered = slices.DeleteFunc(f.ordered, func(o *searchRequest) bool { return o == r })
+		o := v.Outcome
+		r.done(&o)
+	}
+}
+
+// checkRequest tells the judge of work that leaves this node.
+func (f *frontend) checkRequest(a *search.Ask) {
+	w := f.process.world
+	// By what reaches the servers, whatever the node takes it for.
+	again := w.callers.recordAttempt(a) || a.Again
+	if f.process.isolated {
+		// It can hear of no sheet and no zone call; the platform's list it reads itself.
+		w.Checker.Count("asks_of_isolated", 1)
+		if w.isolatedNodes == 1 && !w.net.partitioned(f.process.name, "platform") {
+			w.Checker.RequestFromIsolated(a.Server.ID, w.now, w.now-f.process.isolatedAt)
+		}
+	} else {
+		w.Checker.Request(a.Inquiry.Index, a.Server.ID, a.Server.Zone, w.now, again, a.Instead)
+	}
+	w.Checker.Count("asks", 1)
+	if again && !a.Instead {
+		w.Checker.Count("extra_tries", 1)
+	}
+	w.checkSlowStart(f.process, a)
+}
+
+// checkSlowStart judges ramps where a shard has warm servers beside a cold one.
+func (w *World) checkSlowStart(node *process, a *search.Ask) {
+	good, warm := 0, 0
+	zones := map[string]int{}
+	var cold []*server
+	for _, id := range w.serverIDs {
+		s := w.servers[id]
+		if !s.up || s.row.ShardMap != a.Cut || s.row.Shard != a.Shard || s.mode != "" || s.row.State == "leaving" {
+			continue
+		}
+		good++
+		zones[s.row.Zone]++
+		if w.now-s.born >= slowStartUs {
+			warm++
+		} else {
+			cold = append(cold, s)
+		}
+	}
+	if warm == 0 {
+		return
+	}
+	for _, s := range cold {
+		w.Checker.SlowStart(s.row.ID, s.born, slowStartUs, w.now, s.row.ID == a.Server.ID, fairShare(node.settings.Zone, s.row.Zone, zones, good))
+	}
+}
+
+// fairShare is what a warm server of a zone gets of one ask, in thousandths: of the two
+// that are drawn one is of the node's own zone where it has any.
+func fairShare(mine, its string, zones map[string]int, good int) int64 {
+	switch n := zones[mine]; {
+	case n == 0:
+		return 1000 / int64(good)
+	case mine == its:
+		return 500/int64(n) + 500/int64(good)
+	default:
+		return 500 / int64(good)
+	}
+}
--- a/lab/sim/limits.go
+++ b/lab/sim/world_load.go
@@ -15,41 +15,41 @@
 // shares are those of the shape's sheet, in hundredths.
 var shares = map[string]float64{search.Search: 60, search.Read: 20, search.Correct: 10, search.Part: 10}
 
-// load does the verbs that change the load or the limits.
-func (w *World) load(verb string, args []string) {
-	first := num(args[0])
+// applyLoadVerb does the verbs that change the load or the limits.
+func (w *World) applyLoadVerb(verb string, args []string) {
+	first := parseInt(args[0])
 	switch verb {
 	case "rate":
-		w.calls.rate = first
+		w.callers.rate = first
 	case "skew":
 		// So many in a hundred inquiries go to two of the nodes.
-		w.calls.skew = first
+		w.callers.skew = first
 	case "mix":
-		w.calls.mix = nil
+		w.callers.mix = nil
 		for _, a := range args {
-			w.calls.mix = append(w.calls.mix, num(a))
+			w.callers.mix = append(w.callers.mix, parseInt(a))
 		}
 	case "limits":
-		w.oper.capacity = first
-		w.oper.ceilings = map[string]float64{}
+		w.operators.capacity = first
+		w.operators.ceilings = map[string]float64{}
 		for _, a := range args[1:] {
 			kind, n, _ := strings.Cut(a, "=")
-			w.oper.ceilings[kind], _ = strconv.ParseFloat(n, 64)
+			w.operators.ceilings[kind], _ = strconv.ParseFloat(n, 64)
 		}
-		w.oper.put(w.oper.via(), w.oper.now(), "put", 0, nil)
+		w.operators.put(w.operators.pickNode(), w.operators.current(), "put", 0, nil)
 	}
-	w.judgedLimits()
+	w.checkLimits()
 }
 
-// judgedLimits tells the judge what holds from now on; a booking's begin and end do too.
-func (w *World) judgedLimits() {
+// checkLimits tells the judge what holds from now on; a booking's begin and end do too.
+func (w *World) checkLimits() {
 	if w.Script.Text("judge_limits", "") == "" {
 		return
 	}
-	capacity := float64(w.oper.capacity)
-	l := check.Limits{From: w.now, Capacity: capacity, Shares: map[string]float64{}, Ceilings: maps.Clone(w.oper.ceilings), Spare: map[string]float64{}, Booked: map[string]bool{}}
+	capacity := float64(w.operators.capacity)
+	l := check.Limits{From: w.now, Capacity: capacity, Shares: map[string]float64{}, Ceilings: maps.Clone(w.operators.ceilings), Spare: map[string]float64{}, Booked: map[string]bool{}}
 	booked, all := map[string]float64{}, 0.0
-	for _, b := range w.oper.booked {
+	for _, b := range w.operators.bookings {
 		if b.from <= w.now && w.now < b.to {
 			booked[b.kind] += capacity * float64(b.slice) / 100
 			all += capacity * float64(b.slice) / 100
@@ -61,5 +61,5 @@
 		l.Shares[kind] = (capacity-all)*share/100 + booked[kind]
 		l.Spare[kind] = capacity - all + booked[kind]
 	}
-	w.Judge.Limit(l)
+	w.Checker.Limit(l)
 }
--- /dev/null
+++ b/lab/sim/world_network.go
@@ -0,0 +1,282 @@
+// The simulated network between processes: ordered channels with latency, cuts
+// in one or both directions, broken channels, duplicate delivery on the mesh.
+
+package sim
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/tinylib/msgp/msgp"
+
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
+)
+
+type linkEnd struct {
+	process     *process
+	id          uint64
+	incarnation int
+}
+
+type link struct {
+	ends        [2]linkEnd
+	mesh        bool
+	addr        string
+	closed      bool
+	lastArrival [2]int64
+}
+
+type network struct {
+	world            *World
+	lastID           uint64
+	links            map[uint64]*link
+	direct           map[string]*link
+	blocked          map[string]bool
+	isolated         map[string]bool
+	extraDelay       int64
+	duplicatePercent int64
+	// Counted for measurements: frames and bytes on mesh channels, and those that carry a part's version.
+	frames, bytes, partitionFrames int64
+}
+
+func (n *network) init(w *World) {
+	n.world, n.links, n.direct, n.blocked = w, map[uint64]*link{}, map[string]*link{}, map[string]bool{}
+	n.isolated = map[string]bool{}
+}
+
+// Stalled is how long a channel survives a cut: its writer's patience.
+const stallTimeout = 5_000_000
+
+// partitioned reports whether nothing gets from a to b. One that is alone reaches no other
+// process, later ones included; platform and servers it does.
+func (n *network) partitioned(a, b string) bool {
+	if n.world.day != nil {
+		return n.world.day.partitioned(a, b)
+	}
+	if n.blocked[a+">"+b] {
+		return true
+	}
+	return a != b && (n.isolated[a] || n.isolated[b]) && n.world.processes[a] != nil && n.world.processes[b] != nil
+}
+
+func (n *network) latency() int64 { return 150 + n.world.rng.Int64N(600) + n.extraDelay }
+
+// dial opens a channel; then gets the frames that waited for it.
+func (n *network) dial(p *process, addr string, mesh bool, then func(l *link)) {
+	w := n.world
+	fail := func(d int64) {
+		p.deliverAfter(d, func() {
+			if mesh {
+				p.step(kernel.ConnDown{Addr: addr, Mesh: true})
+			} else if then != nil {
+				then(nil)
+			}
+		})
+	}
+	q := w.processesByAddr[addr]
+	if q == nil || !q.up {
+		fail(n.latency())
+		return
+	}
+	if n.partitioned(p.name, q.name) || n.partitioned(q.name, p.name) {
+		fail(n.partitionDialDelay(p, q))
+		return
+	}
+	if q.frozen {
+		fail(2_000_000)
+		return
+	}
+	plife, qlife := p.incarnation, q.incarnation
+	w.after(3*n.latency(), func() {
+		if p.incarnation != plife || !p.up {
+			return
+		}
+		if q.incarnation != qlife || !q.up {
+			fail(0)
+			return
+		}
+		n.lastID += 2
+		l := &link{mesh: mesh, addr: addr, ends: [2]linkEnd{{p, n.lastID, plife}, {q, n.lastID + 1, qlife}}}
+		n.links[n.lastID], n.links[n.lastID+1] = l, l
+		if mesh {
+			p.connected(q, n.lastID, addr, true)
+			q.connected(p, n.lastID+1, p.settings.Mesh, false)
+		}
+		if then != nil {
+			then(l)
+		}
+	})
+}
+
+func (n *network) send(p *process, s kernel.Send) {
+	if s.Addr == "" {
+		if l := n.links[s.Conn]; l != nil {
+			n.transmit(l, p, s.Data)
+		}
+		return
+	}
+	key := p.name + ">" + s.Addr
+	if l := n.direct[key]; l != nil && !l.closed {
+		n.transmit(l, p, s.Data)
+		return
+	}
+	life := p.incarnation
+	n.dial(p, s.Addr, false, func(l *link) {
+		if l == nil || p.incarnation != life {
+			return
+		}
+		if old := n.direct[key]; old != nil && !old.closed {
+			l = old
+		} else {
+			n.direct[key] = l
+		}
+		n.transmit(l, p, s.Data)
+	})
+}
+
+// transmit moves a frame; a cut holds it up, and breaks the channel in the end.
+func (n *network) transmit(l *link, from *process, data []byte) {
+	if l.closed {
+		return
+	}
+	i := 0
+	if l.ends[1].process == from {
+		i = 1
+	}
+	at := max(l.lastArrival[i], n.world.now+n.latency())
+	l.lastArrival[i] = at
+	data = n.asLaterRelease(from, data)
+	n.count(l, data)
+	countFrame(from, l.ends[1-i].process, data)
+	n.world.at(at, func() { n.arrive(l, i, data, n.world.now) })
+	if l.mesh && n.duplicatePercent > 0 && n.world.rng.Int64N(100) < n.duplicatePercent {
+		n.world.at(at+n.latency(), func() { n.arrive(l, i, data, n.world.now) })
+	}
+}
+
+func (n *network) arrive(l *link, i int, data []byte, since int64) {
+	if l.closed || n.muted(l, data) {
+		return
+	}
+	from, to := l.ends[i], l.ends[1-i]
+	if from.process.incarnation != from.incarnation && n.world.now-since > 0 {
+		return
+	}
+	if n.partitioned(from.process.name, to.process.name) {
+		if n.world.now-since > stallTimeout {
+			n.closeLink(l)
+			return
+		}
+		n.world.after(100_000, func() { n.arrive(l, i, data, since) })
+		return
+	}
+	if !to.process.up || to.process.incarnation != to.incarnation {
+		n.closeLink(l)
+		return
+	}
+	to.process.deliver(func() {
+		if !l.closed {
+			to.process.step(kernel.Received{Conn: to.id, Data: data})
+		}
+	})
+}
+
+// asLaterRelease makes a frame of a process of a later release: it has a field more.
+func (n *network) asLaterRelease(from *process, data []byte) []byte {
+	every := n.world.Script.Int("newer_every", 0)
+	if every == 0 || from.index%every != 0 || len(data) < 11 || data[10]&0xf0 != 0x80 || data[10] == 0x8f {
+		return data
+	}
+	out := append([]byte(nil), data...)
+	out[10]++
+	n.world.Checker.Count("frames_of_later_release", 1)
+	out = msgp.AppendString(out, "later")
+	return msgp.AppendMapStrStr(out, map[string]string{"of": "a later release"})
+}
+
+// muted drops the frames of a whole way by which sheets travel, from a moment on.
+func (n *network) muted(l *link, data []byte) bool {
+	off := func(name string) bool { at := n.world.Script.Int(name, 0); return at > 0 && n.world.now >= at }
+	f, err := wire.Open(data)
+	return err == nil && (l.mesh && off("mesh_off_us") || f.Kind == wire.KindPullReply && off("pulls_off_us"))
+}
+
+func (n *network) closeLink(l *link) {
+	if l.closed {
+		return
+	}
+	l.closed = true
+	for i, s := range l.ends {
+		delete(n.links, s.id)
+		if l.mesh && s.process.up && s.process.incarnation == s.incarnation {
+			addr := l.addr
+			if i == 1 {
+				addr = l.ends[0].process.settings.Mesh
+			}
+			s.process.deliverAfter(n.latency(), func() { s.process.step(kernel.ConnDown{Conn: s.id, Addr: addr, Mesh: true}) })
+		}
+	}
+}
+
+func (n *network) drop(p *process, id uint64) {
+	if l := n.links[id]; l != nil {
+		n.closeLink(l)
+	}
+}
+
+// closeLinksOf breaks every channel of a process that died.
+func (n *network) closeLinksOf(p *process) {
+	for _, id := range slices.Sorted(maps.Keys(n.links)) {
+		l := n.links[id]
+		if l != nil && (l.ends[0].process == p || l.ends[1].process == p) {
+			n.closeLink(l)
+		}
+	}
+}
+
+// setBlocked cuts or heals the way between two groups of names, one way or both.
+func (n *network) setBlocked(from, to []string, both, on bool) {
+	for _, a := range from {
+		for _, b := range to {
+			if a == b {
+				continue
+			}
+			n.blocked[a+">"+b] = on
+			if both {
+				n.blocked[b+">"+a] = on
+			}
+		}
+	}
+}
+
+// partitionDialDelay is how soon a dial over a cut fails: at once where the cut refuses connections.
+func (n *network) partitionDialDelay(p, q *process) int64 {
+	if p.machine != nil && n.world.day.refusedLinks[p.machine.name+">"+q.machine.name] {
+		return n.latency()
+	}
+	return 1_000_000
+}
+
+// reset ends a share of a machine's channels at once.
+func (n *network) reset(m *machine, share float64) {
+	for _, id := range slices.Sorted(maps.Keys(n.links)) {
+		l := n.links[id]
+		if l != nil && !l.closed && (l.ends[0].process.machine == m || l.ends[1].process.machine == m) && n.world.rng.Float64() < share {
+			n.closeLink(l)
+		}
+	}
+}
+
+// closePartitioned ends at once the channels that lead over a cut.
+func (n *network) closePartitioned() {
+	for _, id := range slices.Sorted(maps.Keys(n.links)) {
+		l := n.links[id]
+		if l == nil || l.closed {
+			continue
+		}
+		if a, b := l.ends[0].process.name, l.ends[1].process.name; n.partitioned(a, b) || n.partitioned(b, a) {
+			n.closeLink(l)
+		}
+	}
+}
--- /dev/null
+++ b/lab/sim/world_operators.go
@@ -0,0 +1,241 @@
+// Simulated operators: whole sheets and row edits, single, racing, in storms,
+// refused ones and retries; zones and cuts. Each sheet carries a mark of its
+// own in the ramp, a few microseconds longer than the last, by which it is known again wherever it is seen.
+
+package sim
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"wallport/api/configpb"
+	"wallport/control/config"
+	"wallport/control/operations"
+	"wallport/control/state"
+	"wallport/lab/check"
+	"wallport/runtime/wire"
+)
+
+const markBase = slowStartUs
+
+type operators struct {
+	world    *World
+	mark     int64
+	bookings map[string]booking
+	// What the sheet says of limits from the next put on.
+	capacity int64
+	ceilings map[string]float64
+	// Calls are counted so that a later one for the same thing ends the asking for an earlier one.
+	zoneCalls     map[string]int
+	shardMapCalls map[string]int
+}
+
+func (o *operators) init(w *World) {
+	o.world, o.mark, o.bookings, o.zoneCalls = w, markBase, map[string]booking{}, map[string]int{}
+	o.capacity, o.shardMapCalls = w.Script.Int("capacity", 2000), map[string]int{}
+}
+
+// pickNode picks a node for an operator's call; nil if none is up.
+func (o *operators) pickNode() *process {
+	var up []*process
+	for _, name := range o.world.names {
+		if p := o.world.processes[name]; p.role == "node" && p.running() && !p.draining {
+			up = append(up, p)
+		}
+	}
+	if len(up) == 0 {
+		return nil
+	}
+	return up[o.world.rng.IntN(len(up))]
+}
+
+// buildConfig is the shape's sheet under a new mark, with the bookings of the one it is based on.
+func (o *operators) buildConfig(mark int64, on *configpb.Sheet) []byte {
+	var s map[string]any
+	if json.Unmarshal(o.world.Shape.Config(), &s) != nil {
+		return nil
+	}
+	row := s["services"].([]any)[0].(map[string]any)
+	row["ramp_us"] = mark
+	row["capacity"] = o.capacity
+	for _, v := range s["rows"].([]any) {
+		if c := o.ceilings[v.(map[string]any)["kind"].(string)]; c > 0 {
+			v.(map[string]any)["ceiling"] = c
+		}
+	}
+	o.world.addOtherConfig(s)
+	if on != nil {
+		var was map[string]any
+		if json.Unmarshal(config.JSON(on), &was) == nil {
+			s["bookings"] = was["bookings"]
+		}
+	}
+	b, _ := json.Marshal(s)
+	return b
+}
+
+// putFirst puts the first sheet and cut, as soon as someone takes them.
+func (o *operators) putFirst() {
+	o.world.after(100_000, func() {
+		p := o.pickNode()
+		if p == nil || p.snapshots.Current() == nil || p.snapshots.Current().Version.Term == 0 {
+			o.putFirst()
+			return
+		}
+		o.put(p, configReading{}, "first", 0, func(code string) {
+			if code != "ok" && code != "lost_race" {
+				o.putFirst()
+				return
+			}
+			// One whose outcome was unknown may have been taken: then a later one loses to it.
+			o.setShardMap(o.world.Shape.Index, "c1", o.world.Shape.Shards)
+			if other := o.world.otherIndex(); other != "" {
+				o.setShardMap(other, otherShardMap, o.world.Shape.Shards)
+			}
+		})
+	})
+}
+
+// put sends a whole sheet based on a stamp; spoiled ones must be refused.
+func (o *operators) put(p *process, on configReading, kind string, mark int64, done func(code string)) {
+	w := o.world
+	if p == nil {
+		return
+	}
+	if mark == 0 {
+		o.mark++
+		mark = o.mark
+	}
+	e := wire.Edit{Op: "put", Strict: true, Base: on.version, Body: o.buildConfig(mark, on.config), EditID: fmt.Sprintf("edit-%d", mark)}
+	switch kind {
+	case "invalid":
+		e.Body = []byte(fmt.Sprintf(`{"services":[{"index":"%s","ramp_us":%d}],"rows":[{"index":"x","share":-1}]}`, w.Shape.Index, mark))
+	case "rows":
+		e.Op = "rows"
+		var s struct{ Services []json.RawMessage }
+		if json.Unmarshal(e.Body, &s) != nil {
+			return
+		}
+		e.Body, _ = json.Marshal([]map[string]any{{"op": "set", "table": "services", "row": s.Services[0]}})
+	}
+	t := check.Edit{Mark: mark, Base: on.version, Began: w.now, Ended: 1 << 62, Code: "open", EditID: e.EditID, Invalid: kind == "invalid"}
+	w.Checker.EditBegan(t)
+	p.deliver(func() {
+		p.call("operate", operations.Submit{Edit: e}, func(v any) {
+			r := v.(operations.Result).Reply
+			t.Ended, t.Code, t.Version = w.now, r.Code, r.Version
+			w.logEvent(fmt.Sprintf("edit %d %s %v", mark, r.Code, r.Version))
+			w.Checker.EditEnded(t)
+			w.Checker.Count("edits."+r.Code, 1)
+			if done != nil {
+				done(r.Code)
+			}
+		})
+	})
+}
+
+// configReading is a sheet as an operator read it from some node.
+type configReading struct {
+	version wire.Version
+	config  *configpb.Sheet
+}
+
+func (o *operators) current() configReading {
+	p := o.pickNode()
+	if p == nil || p.snapshots.Current() == nil {
+		return configReading{}
+	}
+	cp := p.snapshots.Current()
+	return configReading{cp.Config.ConfigVersion, cp.Configuration}
+}
+
+// race sends n edits based on one stamp through different nodes at about one time.
+func (o *operators) race(n int, kind string) {
+	base := o.current()
+	for range n {
+		o.world.after(o.world.rng.Int64N(60_000), func() { o.put(o.pickNode(), base, kind, 0, nil) })
+	}
+}
+
+// storm sends edits one after another, each based on what is in force then.
+func (o *operators) storm(n int, every int64) {
+	for i := range n {
+		o.world.after(int64(i)*every, func() {
+			kind := []string{"put", "rows", "put", "invalid"}[i%4]
+			o.put(o.pickNode(), o.current(), kind, 0, nil)
+		})
+	}
+}
+
+// sendTwice sends one edit twice under one id, as an operator whose answer was lost.
+func (o *operators) sendTwice() {
+	base := o.current()
+	o.mark++
+	mark := o.mark
+	o.put(o.pickNode(), base, "put", mark, nil)
+	o.world.after(200_000, func() { o.put(o.pickNode(), base, "put", mark, nil) })
+}
+
+// sendUntil sends an edit through one node after another, as an operator does who
+// gets no answer or a refusal that may pass, until ended says that it is done with.
+func (o *operators) sendUntil(make func() wire.Edit, ended func(code string) bool) {
+	w := o.world
+	p := o.pickNode()
+	answered := false
+	again := func(d int64) { w.after(d, func() { o.sendUntil(make, ended) }) }
+	if p == nil {
+		again(200_000)
+		return
+	}
+	p.deliver(func() {
+		p.call("operate", operations.Submit{Edit: make()}, func(v any) {
+			if answered {
+				return
+			}
+			answered = true
+			if code := v.(operations.Result).Reply.Code; !ended(code) {
+				again(100_000)
+			}
+		})
+	})
+	w.after(operatorTimeout, func() {
+		if !answered {
+			answered = true
+			o.sendUntil(make, ended)
+		}
+	})
+}
+
+// operatorTimeout is how long an operator waits for a node's answer before asking another.
+const operatorTimeout = 1_500_000
+
+func (o *operators) setZone(action, zone string) {
+	w := o.world
+	if action == "empty" {
+		w.Checker.ZoneDrained(zone, w.now)
+	} else {
+		w.Checker.ZoneDrained(zone, -1)
+	}
+	o.zoneCalls[zone]++
+	mine := o.zoneCalls[zone]
+	e := wire.Edit{Op: action, Name: zone}
+	o.sendUntil(func() wire.Edit { return e }, func(code string) bool {
+		w.logEvent("zone " + action + " " + zone + " " + code)
+		w.Checker.Count("zones."+code, 1)
+		// A later call for the zone takes the place of this one.
+		return code == "ok" || o.zoneCalls[zone] != mine
+	})
+}
+
+func (o *operators) setShardMap(index, name string, shards int) {
+	w := o.world
+	w.shardMaps[name] = shards
+	o.shardMapCalls[index]++
+	mine := o.shardMapCalls[index]
+	e := wire.Edit{Partition: state.PartitionOf(index), Op: "cut", Name: index, Body: wire.Encode(&wire.ShardMap{Next: name, NextShards: shards})}
+	o.sendUntil(func() wire.Edit { return e }, func(code string) bool {
+		w.logEvent("cut " + name + " " + code)
+		w.Checker.Count("cuts."+code, 1)
+		return code == "ok" || o.shardMapCalls[index] != mine
+	})
+}
--- a/lab/sim/platform.go
+++ b/lab/sim/world_platform.go
@@ -9,47 +9,47 @@
 	"wallport/runtime/wire"
 )
 
-type shownList struct {
+type publishedList struct {
 	at   int64
 	list wire.BackendList
 }
 
 type platform struct {
-	w       *World
-	lists   []shownList
-	calls   []int64
-	lag     int64
-	allowed int64
-	mode    string
+	world     *World
+	published []publishedList
+	calls     []int64
+	lag       int64
+	callLimit int64
+	mode      string
 }
 
 func (p *platform) init(w *World) {
-	p.w, p.lag, p.allowed = w, w.Script.Int("lag_us", 300_000), w.Script.Int("allowed_per_10s", 20)
+	p.world, p.lag, p.callLimit = w, w.Script.Int("lag_us", 300_000), w.Script.Int("allowed_per_10s", 20)
 }
 
 // publish makes the platform know the servers as they are now; it shows them after its lag.
 func (p *platform) publish() {
 	l := wire.BackendList{}
-	for _, id := range p.w.serverN {
-		s := p.w.servers[id]
+	for _, id := range p.world.serverIDs {
+		s := p.world.servers[id]
 		row := s.row
 		// Clones keep the listing as it was.
 		l.Backends = append(l.Backends, row)
 		if row.State == "leaving" {
-			p.w.Judge.Leaves(id, p.w.now+p.lag)
+			p.world.Checker.BackendDrains(id, p.world.now+p.lag)
 		}
 	}
-	p.lists = append(p.lists, shownList{p.w.now, l})
+	p.published = append(p.published, publishedList{p.world.now, l})
 }
 
-func (p *platform) list() (int, []byte) {
-	now := p.w.now
+func (p *platform) serveList() (int, []byte) {
+	now := p.world.now
 	for len(p.calls) > 0 && now-p.calls[0] > 10_000_000 {
 		p.calls = p.calls[1:]
 	}
-	p.w.Judge.Count("platform_calls", 1)
-	if int64(len(p.calls)) >= p.allowed {
-		p.w.Judge.Count("platform_shed", 1)
+	p.world.Checker.Count("platform_calls", 1)
+	if int64(len(p.calls)) >= p.callLimit {
+		p.world.Checker.Count("platform_shed", 1)
 		return 429, nil
 	}
 	p.calls = append(p.calls, now)
@@ -60,7 +60,7 @@
 		return 200, []byte(`{"servers":[]}`)
 	}
 	var out wire.BackendList
-	for _, l := range p.lists {
+	for _, l := range p.published {
 		if now-l.at >= p.lag || l.at == 0 {
 			out = l.list
 		}
@@ -73,14 +73,14 @@
 }
 
 // ready lists the nodes that the platform would hand to callers.
-func (p *platform) ready() []*proc {
-	var out []*proc
-	for _, name := range p.w.names {
-		q := p.w.procs[name]
-		if q.role != "node" || !q.runs() || q.drains {
+func (p *platform) ready() []*process {
+	var out []*process
+	for _, name := range p.world.names {
+		q := p.world.processes[name]
+		if q.role != "node" || !q.running() || q.draining {
 			continue
 		}
-		if cp := q.table.Current(); cp.Ready() && !cp.ZoneDrained {
+		if cp := q.snapshots.Current(); cp.Ready() && !cp.ZoneDrained {
 			out = append(out, q)
 		}
 	}
--- a/lab/sim/power.go
+++ b/lab/sim/world_power.go
@@ -15,51 +15,51 @@
 // PowerSteps are the moments of a write at which the power can go.
 var PowerSteps = []string{"aside", "synced", "renamed", "answered"}
 
-// step counts a write as it begins, and takes the power away if it is the one.
-func (d *disk) step(w kernel.Write) bool {
-	world := d.p.w
+// powerOffAtStep counts a write as it begins, and takes the power away if it is the one.
+func (d *disk) powerOffAtStep(w kernel.Write) bool {
+	world := d.process.world
 	if world.Script.Set["power_write"] == "" || world.now < world.Script.Int("power_from_us", 0) || w.Data == nil {
 		return false
 	}
-	world.writes++
-	world.Judge.Count("writes_seen", 1)
-	if int64(world.writes) != world.Script.Int("power_write", 0) {
+	world.diskWrites++
+	world.Checker.Count("writes_seen", 1)
+	if int64(world.diskWrites) != world.Script.Int("power_write", 0) {
 		return false
 	}
 	switch world.Script.Text("power_step", "") {
 	case "aside", "synced":
 		// Written aside, synced or not: the file itself is still the one before.
-		d.powerCut()
+		d.powerOff()
 	case "renamed":
 		// In place and synced, but nobody was told.
 		d.files[w.File] = w.Data
-		d.powerCut()
+		d.powerOff()
 	case "answered":
-		d.cutAfter = w.File
+		d.powerOffAfter = w.File
 		return false
 	}
 	return true
 }
 
-// answered takes the power away right after a write was answered.
-func (d *disk) answered(w kernel.Write) {
-	if d.cutAfter != "" && d.cutAfter == w.File {
-		d.cutAfter = ""
-		d.powerCut()
+// powerOffIfArmed takes the power away right after a write was answered.
+func (d *disk) powerOffIfArmed(w kernel.Write) {
+	if d.powerOffAfter != "" && d.powerOffAfter == w.File {
+		d.powerOffAfter = ""
+		d.powerOff()
 	}
 }
 
-func (d *disk) powerCut() {
-	world := d.p.w
-	world.Judge.Count("power_cuts", 1)
-	world.note(d.p.name + " loses power")
-	world.killed[d.p.name] = true
-	p := d.p
+func (d *disk) powerOff() {
+	world := d.process.world
+	world.Checker.Count("power_cuts", 1)
+	world.logEvent(d.process.name + " loses power")
+	world.killed[d.process.name] = true
+	p := d.process
 	world.at(world.now, func() {
-		d.jobs, d.busy = nil, false
+		d.queue, d.busy = nil, false
 		p.kill()
 	})
-	world.after(1_500_000, func() { world.proc("restart", p) })
+	world.after(1_500_000, func() { world.applyProcessVerb("restart", p) })
 }
 
 // PowerScripts makes a scenario into one for each step of each write that a run of it makes.
@@ -74,7 +74,7 @@
 	w := New(with(0, ""), seed)
 	w.Run()
 	var out []*script.Script
-	for n := int64(1); n <= w.Judge.Value("writes_seen"); n++ {
+	for n := int64(1); n <= w.Checker.Value("writes_seen"); n++ {
 		for _, step := range PowerSteps {
 			out = append(out, with(n, step))
 		}
--- /dev/null
+++ b/lab/sim/world_process.go
@@ -0,0 +1,274 @@
+// A simulated process: one kernel with its own clocks, disk and channels, and,
+// on a node, the request path.
+
+package sim
+
+import (
+	"fmt"
+
+	_ "wallport/cluster/discovery"
+	"wallport/cluster/loadreport"
+	_ "wallport/control/configsync"
+	_ "wallport/control/operations"
+	"wallport/control/replica"
+	_ "wallport/control/reshard"
+	_ "wallport/request/healthcheck"
+	_ "wallport/request/idempotency"
+	"wallport/request/search"
+	"wallport/request/snapshot"
+	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
+)
+
+func coreAddr(i int) string { return fmt.Sprintf("10.0.1.%d:4001", i+1) }
+func nodeAddr(i int) string { return fmt.Sprintf("10.0.2.%d:4001", i+1) }
+
+const epoch = int64(1_700_000_000_000_000)
+
+type process struct {
+	world       *World
+	name        string
+	role        string
+	settings    settings.Settings
+	index       int64
+	incarnation int
+	up          bool
+	frozen      bool
+	frozenAt    int64
+	isolated    bool
+	reachedAt   int64
+	isolatedAt  int64
+	replaced    bool
+	startedAt   int64
+	skew        int64
+	kernel      *kernel.Kernel
+	snapshots   *snapshot.Table
+	replicas    *replica.Host
+	dispatcher  *search.Desk
+	disk        *disk
+	waiting     []func()
+	frontend    *frontend
+	calls       map[uint64]func(any)
+	nextCall    uint64
+	draining    bool
+	// stopDeadline is when a core that drains ends though it is still a voter.
+	stopDeadline       int64
+	restartWhenStopped bool
+	// traffic counts what the process sent, received and stepped.
+	traffic Traffic
+	// freezeAt is the state of an inquiry at which this node freezes.
+	freezeAt  search.State
+	freezeFor int64
+	// inputDelay is what each input takes of a process that is slowed down, 0 otherwise; busyUntil is when it is done.
+	inputDelay, busyUntil int64
+	// machine is where the process stands on a day.
+	machine *machine
+}
+
+func (w *World) add(role string, i int, addr string) *process {
+	name := fmt.Sprintf("%s-%d", role, i)
+	e := settings.Settings{
+		Name: name, Zone: w.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: w.seeds, FleetSecret: "sim",
+		PollsPer10s: w.platform.callLimit, LogLevel: "info",
+	}
+	p := &process{world: w, name: name, role: role, settings: e, index: int64(len(w.names))}
+	if role == "node" {
+		p.settings.Caller, p.settings.PlatformURL = addr+"1", "http://platform/list"
+	} else {
+		p.settings.DataDir = "disk"
+		p.disk = newDisk(p)
+	}
+	w.processes[name] = p
+	w.names = append(w.names, name)
+	w.processesByAddr[addr] = p
+	return p
+}
+
+// running tells that the process is up and not frozen.
+func (p *process) running() bool { return p.up && !p.frozen }
+
+func (p *process) now() int64 { return p.world.now - p.startedAt }
+
+func (p *process) start() {
+	if p.up {
+		return
+	}
+	w := p.world
+	p.incarnation++
+	p.up, p.frozen, p.startedAt, p.reachedAt, p.draining = true, false, w.now, w.now, false
+	p.calls = map[uint64]func(any){}
+	p.waiting = nil
+	var seed [32]byte
+	for i := range seed {
+		seed[i] = byte(w.rng.Uint32())
+	}
+	b := kernel.Boot{Settings: p.settings, Role: p.role, Seed: w.rng.Uint64(), Key: kernel.KeyFrom(seed[:]), Files: map[string][]byte{}}
+	if p.disk != nil {
+		b.Files = p.disk.load()
+	}
+	p.kernel = kernel.New(b)
+	w.Checker.Restarted(p.name)
+	w.logEvent(p.name + " starts")
+	if p.role == "node" {
+		p.snapshots = kernel.Find[*snapshot.Table](p.kernel)
+	}
+	switch {
+	case p.role == "node" && w.day != nil:
+		w.day.newGateway(p, b.Seed)
+	case p.role == "node":
+		p.dispatcher = search.NewDesk(search.Config{
+			Table: p.snapshots, Usage: kernel.Find[*loadreport.Reporter](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
+		})
+		p.frontend = newFrontend(p)
+	default:
+		p.replicas = kernel.Find[*replica.Host](p.kernel)
+	}
+	p.step(kernel.Start{})
+}
+
+// kill ends the process at once; what its kernel knew is gone.
+func (p *process) kill() {
+	if !p.up {
+		return
+	}
+	p.world.logEvent(p.name + " dies")
+	p.up, p.frozen = false, false
+	p.incarnation++
+	if p.machine == nil || !p.machine.poweredOff {
+		p.world.net.closeLinksOf(p)
+	}
+	if p.frontend != nil {
+		p.frontend.abort()
+	}
+	if p.machine != nil && p.world.day.gateways[p] != nil {
+		p.world.day.gateways[p].abort()
+	}
+}
+
+func (p *process) freeze() {
+	if p.running() {
+		p.frozen, p.frozenAt = true, p.world.now
+		p.world.logEvent(p.name + " freezes")
+	}
+}
+
+func (p *process) thaw() {
+	if !p.up || !p.frozen {
+		return
+	}
+	p.frozen = false
+	gap := p.world.now - p.frozenAt
+	p.reachedAt = p.world.now
+	p.world.logEvent(p.name + " thaws")
+	if gap > 1_000_000 {
+		p.step(kernel.Thawed{Gap: gap})
+	}
+	waiting := p.waiting
+	p.waiting = nil
+	for _, f := range waiting {
+		f()
+	}
+}
+
+// deliver runs f in this life of the process, later if it is frozen.
+func (p *process) deliver(f func()) {
+	life := p.incarnation
+	g := func() {
+		if p.up && p.incarnation == life {
+			f()
+		}
+	}
+	switch {
+	case p.up && p.frozen:
+		p.waiting = append(p.waiting, g)
+	case p.inputDelay > 0 || p.busyUntil > p.world.now:
+		p.busyUntil = max(p.busyUntil, p.world.now) + p.inputDelay
+		p.world.at(p.busyUntil, func() {
+			if p.frozen {
+				p.waiting = append(p.waiting, g)
+				return
+			}
+			g()
+		})
+	default:
+		g()
+	}
+}
+
+// deliverAfter feeds f after a while.
+func (p *process) deliverAfter(d int64, f func()) {
+	life := p.incarnation
+	p.world.after(d, func() {
+		if p.incarnation == life {
+			p.deliver(f)
+		}
+	})
+}
+
+func (p *process) step(in kernel.Input) {
+	p.traffic.Steps++
+	out := p.kernel.Step(p.now(), epoch+p.world.now+p.skew, in)
+	for _, n := range out.LogEvents {
+		p.world.logEvent(p.name + " " + n.Event + " " + fmt.Sprint(n.Fields...))
+	}
+	for _, t := range out.Timers {
+		p.deliverAfter(t.At-p.now(), func() { p.step(t.Tick) })
+	}
+	for _, wr := range out.Writes {
+		p.write(wr)
+	}
+	for _, a := range out.Dials {
+		p.world.net.dial(p, a, true, nil)
+	}
+	for _, s := range out.Sends {
+		p.world.net.send(p, s)
+	}
+	for _, ch := range out.Drops {
+		p.world.net.drop(p, ch)
+	}
+	p.traffic.Fetches += int64(len(out.Fetches))
+	for _, f := range out.Fetches {
+		p.world.fetch(p, f)
+	}
+	for _, a := range out.Replies {
+		if f := p.calls[a.ID]; f != nil {
+			delete(p.calls, a.ID)
+			f(a.Value)
+		}
+	}
+}
+
+// call asks a plug-in.
+func (p *process) call(plugin string, ask any, f func(any)) {
+	p.nextCall++
+	id := p.nextCall
+	if f != nil {
+		p.calls[id] = f
+	}
+	p.step(kernel.Call{Plugin: plugin, ID: id, Request: ask})
+}
+
+// stop is the planned stop: nothing new, what was read is finished, then the end.
+func (p *process) stop() {
+	if !p.running() {
+		return
+	}
+	p.draining = true
+	p.world.logEvent(p.name + " drains")
+	p.step(kernel.Stopping{})
+	p.stopDeadline = p.world.now + replica.LeaveWithin
+	p.deliverAfter(1_000_000, p.endWhenIdle)
+}
+
+func (p *process) endWhenIdle() {
+	leaving := p.replicas != nil && !p.replicas.HasLeft() && p.world.now < p.stopDeadline
+	if leaving || p.frontend != nil && len(p.frontend.requests) > 0 {
+		p.deliverAfter(20_000, p.endWhenIdle)
+		return
+	}
+	p.kill()
+	if p.restartWhenStopped {
+		p.restartWhenStopped = false
+		p.start()
+	}
+}
--- a/lab/sim/reach.go
+++ b/lab/sim/world_reachability.go
@@ -13,35 +13,35 @@
 	"wallport/request/search"
 )
 
-// reach works out both after every step and ten times a second.
-func (w *World) reach() {
-	group := w.groups(w.names, func(p *proc) bool { return p.runs() })
-	w.lonely = 0
-	best := biggest(group, func(name string) int {
-		if w.procs[name].role == "core" {
+// updateReachability works out both after every step and ten times a second.
+func (w *World) updateReachability() {
+	group := w.connectedGroups(w.names, func(p *process) bool { return p.running() })
+	w.isolatedNodes = 0
+	best := largestGroup(group, func(name string) int {
+		if w.processes[name].role == "core" {
 			// The half that can change the control state is the fleet; else the greater one is.
 			return 100
 		}
 		return 1
 	})
 	for _, name := range w.names {
-		p := w.procs[name]
-		off := p.runs() && group[name] != best
+		p := w.processes[name]
+		off := p.running() && group[name] != best
 		if p.isolated && !off {
 			p.reachedAt = w.now
 		}
 		if off && !p.isolated {
-			p.aloneAt = w.now
+			p.isolatedAt = w.now
 		}
 		p.isolated = off
 		if off && p.role == "node" {
-			w.lonely++
+			w.isolatedNodes++
 		}
 	}
-	w.since(&w.Judge.Able, func(p *proc) bool { return true })
+	w.updateMajoritySince(&w.Checker.CommandsPossible, func(p *process) bool { return true })
 	skews := map[int64]int{}
 	for _, name := range w.names {
-		if p := w.procs[name]; p.role == "core" && !p.replaced {
+		if p := w.processes[name]; p.role == "core" && !p.replaced {
 			skews[p.skew]++
 		}
 	}
@@ -51,16 +51,16 @@
 			usual, most = skew, n
 		}
 	}
-	w.since(&w.Judge.Timely, func(p *proc) bool { return p.skew == usual })
+	w.updateMajoritySince(&w.Checker.ClocksAgree, func(p *process) bool { return p.skew == usual })
 }
 
-// since keeps from when a majority of the disk machines that fit has been up, well and connected.
-func (w *World) since(at *int64, fits func(p *proc) bool) {
-	cores := w.groups(w.names, func(p *proc) bool { return p.role == "core" && p.runs() && p.disk.mode == "" && fits(p) })
+// updateMajoritySince keeps from when a majority of the disk machines that fit has been up, well and connected.
+func (w *World) updateMajoritySince(at *int64, fits func(p *process) bool) {
+	cores := w.connectedGroups(w.names, func(p *process) bool { return p.role == "core" && p.running() && p.disk.mode == "" && fits(p) })
 	in, all := 0, 0
-	most := biggest(cores, func(string) int { return 1 })
+	most := largestGroup(cores, func(string) int { return 1 })
 	for _, name := range w.names {
-		if p := w.procs[name]; p.role == "core" && !p.replaced {
+		if p := w.processes[name]; p.role == "core" && !p.replaced {
 			all++
 			if g, ok := cores[name]; ok && g == most {
 				in++
@@ -75,13 +75,13 @@
 	}
 }
 
-// groups gives every process that counts the number of its group; two are in one if
+// connectedGroups gives every process that counts the number of its group; two are in one if
 // a chain of processes joins them of which each hears its neighbours both ways.
-func (w *World) groups(names []string, counts func(p *proc) bool) map[string]int {
+func (w *World) connectedGroups(names []string, counts func(p *process) bool) map[string]int {
 	out := map[string]int{}
 	n := 0
 	for _, first := range names {
-		if _, seen := out[first]; seen || !counts(w.procs[first]) {
+		if _, seen := out[first]; seen || !counts(w.processes[first]) {
 			continue
 		}
 		n++
@@ -91,7 +91,7 @@
 			a := todo[0]
 			todo = todo[1:]
 			for _, b := range names {
-				if _, seen := out[b]; !seen && counts(w.procs[b]) && !w.net.cut(a, b) && !w.net.cut(b, a) {
+				if _, seen := out[b]; !seen && counts(w.processes[b]) && !w.net.partitioned(a, b) && !w.net.partitioned(b, a) {
 					out[b] = n
 					todo = append(todo, b)
 				}
@@ -101,7 +101,7 @@
 	return out
 }
 
-func biggest(group map[string]int, weight func(name string) int) int {
+func largestGroup(group map[string]int, weight func(name string) int) int {
 	size := map[int]int{}
 	for name, g := range group {
 		size[g] += weight(name)
@@ -115,14 +115,14 @@
 	return best
 }
 
-// noServer reports whether the world itself gave no way to answer: some time in
+// lacksServer reports whether the world itself gave no way to answer: some time in
 // the last seconds too few of the shards that are needed had a server that
 // answers whole, may be asked, and can be reached.
-func (w *World) noServer(index string, shards, shard int) bool {
-	since := w.now - noServerFor
+func (w *World) lacksServer(index string, shards, shard int) bool {
+	since := w.now - unservedWindow
 	down := 0
 	for s := range shards {
-		if at, ok := w.bare[shardKey{index, shards, s}]; ok && at >= since {
+		if at, ok := w.unservedAt[shardKey{index, shards, s}]; ok && at >= since {
 			if s == shard {
 				return true
 			}
@@ -132,33 +132,33 @@
 	return shard < 0 && (shards-down)*100 < 75*shards
 }
 
-// noServerFor is how long nodes may take to see that a shard is served again.
-const noServerFor = 3_000_000
+// unservedWindow is how long nodes may take to see that a shard is served again.
+const unservedWindow = 3_000_000
 
 type shardKey struct {
 	index         string
 	shards, shard int
 }
 
-// lookForBare notes the shards that have no good server at this moment.
-func (w *World) lookForBare() {
+// recordUnservedShards notes the shards that have no good server at this moment.
+func (w *World) recordUnservedShards() {
 	good := map[shardKey]bool{}
-	for _, id := range w.serverN {
+	for _, id := range w.serverIDs {
 		s := w.servers[id]
 		k := shardKey{s.row.Index, s.shards, s.row.Shard}
-		ok := s.up && (s.mode == "" || s.mode == "slow" && s.us <= w.Shape.Least/4) && s.row.State != "leaving" && !w.Judge.IsEmptied(s.row.Zone)
+		ok := s.up && (s.mode == "" || s.mode == "slow" && s.slowUs <= w.Shape.Least/4) && s.row.State != "leaving" && !w.Checker.IsZoneDrained(s.row.Zone)
 		good[k] = good[k] || ok
 	}
 	for k, ok := range good {
 		if !ok {
-			w.bare[k] = w.now
+			w.unservedAt[k] = w.now
 		}
 	}
 }
 
-// refusing reports whether a server that the inquiry could be sent to refuses by itself.
-func (w *World) refusing(in *search.Inquiry) bool {
-	for _, id := range w.serverN {
+// serverRefuses reports whether a server that the inquiry could be sent to refuses by itself.
+func (w *World) serverRefuses(in *search.Inquiry) bool {
+	for _, id := range w.serverIDs {
 		if s := w.servers[id]; s.mode == "refuse" && s.row.Index == in.Index && (in.Kind == search.Search || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
 			return true
 		}
--- a/lab/sim/server.go
+++ b/lab/sim/world_server.go
@@ -16,46 +16,46 @@
 )
 
 type server struct {
-	w      *World
-	row    wire.Backend
-	shards int
-	up     bool
-	born   int64
-	life   int
-	inc    int64
-	mode   string
-	us     int64
-	busy   int64
-	takes  int64
+	world               *World
+	row                 wire.Backend
+	shards              int
+	up                  bool
+	born                int64
+	incarnation         int
+	reportedIncarnation int64
+	mode                string
+	slowUs              int64
+	running             int64
+	serviceUs           int64
 }
 
-// rampUs is how long the sheet of the stand-ins lets a cold server ramp.
-const rampUs = 3_000_000
+// slowStartUs is how long the sheet of the stand-ins lets a cold server ramp.
+const slowStartUs = 3_000_000
 
 func (w *World) addServer(row wire.Backend, shards int) *server {
 	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(w.servers)/200, len(w.servers)%200)
-	s := &server{w: w, row: row, shards: shards, takes: w.Script.Int("server_us", 2000)}
+	s := &server{world: w, row: row, shards: shards, serviceUs: w.Script.Int("server_us", 2000)}
 	// Those that are there from the start are warm; later ones are cold.
 	s.boot()
 	if w.now == 0 {
-		s.born = -10 * rampUs
+		s.born = -10 * slowStartUs
 	}
 	w.servers[row.ID] = s
-	w.serverN = append(w.serverN, row.ID)
-	w.srvAddr[row.Addr] = s
+	w.serverIDs = append(w.serverIDs, row.ID)
+	w.serversByAddr[row.Addr] = s
 	return s
 }
 
 func (s *server) boot() {
-	s.up, s.born, s.busy = true, s.w.now, 0
-	s.life++
-	s.inc = epoch + s.w.now + int64(s.life)
-	s.w.note(s.row.ID + " boots")
+	s.up, s.born, s.running = true, s.world.now, 0
+	s.incarnation++
+	s.reportedIncarnation = epoch + s.world.now + int64(s.incarnation)
+	s.world.logEvent(s.row.ID + " boots")
 }
 
-func (s *server) kill() { s.up = false; s.life++; s.w.note(s.row.ID + " dies") }
+func (s *server) kill() { s.up = false; s.incarnation++; s.world.logEvent(s.row.ID + " dies") }
 
-func (w *World) fetch(p *proc, f kernel.Fetch) {
+func (w *World) fetch(p *process, f kernel.Fetch) {
 	if w.day != nil {
 		w.day.fetch(p, f)
 		return
@@ -63,7 +63,7 @@
 	done := false
 	answer := func(d int64, r kernel.Fetched) {
 		r.Plugin, r.Key = f.Plugin, f.Key
-		p.later(d, func() {
+		p.deliverAfter(d, func() {
 			if !done {
 				done = true
 				p.step(r)
@@ -74,16 +74,16 @@
 	host, _, _ := strings.Cut(strings.TrimPrefix(f.URL, "http://"), "/")
 	rtt := 2 * w.net.latency()
 	if host == "platform" {
-		if w.net.cut(p.name, "platform") {
+		if w.net.partitioned(p.name, "platform") {
 			return
 		}
-		status, body := w.plat.list()
+		status, body := w.platform.serveList()
 		answer(rtt, kernel.Fetched{Status: status, Body: body})
 		return
 	}
-	s := w.srvAddr[host]
+	s := w.serversByAddr[host]
 	switch {
-	case s == nil || w.net.cut(p.name, s.row.ID) || s.mode == "hang" || s.mode == "pause":
+	case s == nil || w.net.partitioned(p.name, s.row.ID) || s.mode == "hang" || s.mode == "pause":
 		return
 	case !s.up && s.mode == "vanish":
 		return
@@ -91,49 +91,49 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 		return
 	}
-	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.inc, UpUs: w.now - s.born, Usage: s.busy, Cut: s.row.ShardMap})
+	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.reportedIncarnation, UpUs: w.now - s.born, Usage: s.running, Cut: s.row.ShardMap})
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
-// asked is the way of one ask to a server and back; done gets what the node sees.
-func (w *World) asked(p *proc, a *search.Ask, done func(search.Reply)) {
-	s := w.srvAddr[a.Server.Addr]
+// askServer is the way of one ask to a server and back; done gets what the node sees.
+func (w *World) askServer(p *process, a *search.Ask, done func(search.Reply)) {
+	s := w.serversByAddr[a.Server.Addr]
 	there := w.net.latency()
 	if s == nil || !s.up && s.mode != "vanish" {
 		w.after(2*there, func() { done(search.Reply{Class: search.ReplyNotWritten, Why: "connection refused"}) })
 		return
 	}
-	if !s.up || w.net.cut(p.name, s.row.ID) {
+	if !s.up || w.net.partitioned(p.name, s.row.ID) {
 		w.after(300_000, func() { done(search.Reply{Class: search.ReplyNotWritten, Why: "timed out"}) })
 		return
 	}
-	life := s.life
+	life := s.incarnation
 	w.after(there, func() {
 		broken := func() {
 			w.after(there, func() { done(search.Reply{Class: search.ReplyFailed, Why: "reset"}) })
 		}
-		if !s.up || s.life != life {
+		if !s.up || s.incarnation != life {
 			broken()
 			return
 		}
-		s.busy++
-		took := s.serviceTime()
+		s.running++
+		took := s.drawServiceTime()
 		refuses := s.mode == "refuse"
 		if !refuses {
-			w.ran(a)
+			w.recordExecution(a)
 		}
 		w.after(took, func() {
-			if s.life != life {
+			if s.incarnation != life {
 				broken()
 				return
 			}
-			s.busy--
+			s.running--
 			if s.mode == "hang" {
 				return
 			}
-			raw := s.answer(a, refuses)
+			raw := s.respond(a, refuses)
 			back := there
-			if w.net.cut(s.row.ID, p.name) {
+			if w.net.partitioned(s.row.ID, p.name) {
 				return
 			}
 			w.after(back, func() { done(raw) })
@@ -141,22 +141,22 @@
 	})
 }
 
-func (s *server) serviceTime() int64 {
-	us := s.takes + s.w.rnd.Int64N(s.takes)
+func (s *server) drawServiceTime() int64 {
+	us := s.serviceUs + s.world.rng.Int64N(s.serviceUs)
 	if s.mode == "slow" || s.mode == "pause" {
-		us = s.us + s.w.rnd.Int64N(s.us/4+1)
+		us = s.slowUs + s.world.rng.Int64N(s.slowUs/4+1)
 	}
-	if up := s.w.now - s.born; up < rampUs {
-		us += s.w.Script.Int("cold_times", 4) * us * (rampUs - up) / rampUs
+	if up := s.world.now - s.born; up < slowStartUs {
+		us += s.world.Script.Int("cold_times", 4) * us * (slowStartUs - up) / slowStartUs
 	}
 	// Work beyond what a server does at once waits.
-	return us * (1 + s.busy/16)
+	return us * (1 + s.running/16)
 }
 
-// answer makes the body that the real stand-in would send, and checks it as a node does.
-func (s *server) answer(a *search.Ask, refuses bool) search.Reply {
+// respond makes the body that the real stand-in would send, and checks it as a node does.
+func (s *server) respond(a *search.Ask, refuses bool) search.Reply {
 	in := a.Inquiry
-	sealed := search.Sealed{Inquiry: a.ID, Cut: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.inc, Usage: s.busy}
+	sealed := search.Sealed{Inquiry: a.ID, Cut: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.reportedIncarnation, Usage: s.running}
 	status := 200
 	switch {
 	case refuses:
@@ -178,8 +178,8 @@
 	return search.Check(a, raw)
 }
 
-// ran counts an execution that must happen at most once.
-func (w *World) ran(a *search.Ask) {
+// recordExecution counts an execution that must happen at most once.
+func (w *World) recordExecution(a *search.Ask) {
 	if !a.Inquiry.Once() {
 		return
 	}
@@ -187,5 +187,5 @@
 	if key == "" {
 		key = a.ID
 	}
-	w.Judge.Ran(key, w.now)
+	w.Checker.Ran(key, w.now)
 }
--- a/lab/sim/verbs.go
+++ b/lab/sim/world_verbs.go
@@ -11,40 +11,40 @@
 	"wallport/request/search"
 )
 
-func num(s string) int64 {
+func parseInt(s string) int64 {
 	n, _ := strconv.ParseInt(s, 10, 64)
 	return n
 }
 
-func (w *World) do(st script.Step) {
+func (w *World) runStep(st script.Step) {
 	arg := func(i int) string {
 		if i < len(st.Args) {
 			return st.Args[i]
 		}
 		return ""
 	}
-	w.note("step " + st.Verb + " " + strings.Join(st.Args, " "))
-	w.Judge.Count("steps", 1)
-	defer func() { w.reach(); w.lookForBare() }()
+	w.logEvent("step " + st.Verb + " " + strings.Join(st.Args, " "))
+	w.Checker.Count("steps", 1)
+	defer func() { w.updateReachability(); w.recordUnservedShards() }()
 	switch st.Verb {
 	case "kill", "restart", "freeze", "thaw", "term", "lose-disk", "power":
 		for _, n := range st.Args {
 			for _, name := range w.match(n) {
-				w.proc(st.Verb, w.procs[name])
+				w.applyProcessVerb(st.Verb, w.processes[name])
 			}
 		}
 	case "disk":
 		for _, name := range w.match(arg(0)) {
-			d := w.procs[name].disk
-			d.mode, d.slow = arg(1), num(arg(2))
+			d := w.processes[name].disk
+			d.mode, d.extraDelay = arg(1), parseInt(arg(2))
 			if arg(1) == "ok" {
 				d.mode = ""
 			}
-			d.next()
+			d.startNext()
 		}
 	case "clock":
 		for _, name := range w.match(arg(0)) {
-			w.procs[name].skew += num(arg(1)) * 1_000_000
+			w.processes[name].skew += parseInt(arg(1)) * 1_000_000
 		}
 	case "isolate", "heal":
 		for _, n := range st.Args {
@@ -53,14 +53,14 @@
 			}
 		}
 	case "cut-off", "one-way", "join":
-		w.net.block(w.match(arg(0)), w.match(arg(1)), st.Verb != "one-way", st.Verb != "join")
+		w.net.setBlocked(w.match(arg(0)), w.match(arg(1)), st.Verb != "one-way", st.Verb != "join")
 	case "delay":
-		w.net.delay = num(arg(0))
+		w.net.extraDelay = parseInt(arg(0))
 	case "doubles":
-		w.net.doubles = num(arg(0))
+		w.net.duplicatePercent = parseInt(arg(0))
 	case "server":
 		for _, id := range w.matchServers(arg(0)) {
-			w.server(w.servers[id], arg(1), num(arg(2)))
+			w.setServerMode(w.servers[id], arg(1), parseInt(arg(2)))
 		}
 	case "leave":
 		for _, n := range st.Args {
@@ -68,45 +68,45 @@
 				w.servers[id].row.State = "leaving"
 			}
 		}
-		w.plat.publish()
+		w.platform.publish()
 	case "platform":
-		w.plat.mode = arg(0)
+		w.platform.mode = arg(0)
 	case "zone":
-		w.oper.zone(arg(0), arg(1))
+		w.operators.setZone(arg(0), arg(1))
 	case "race":
-		w.oper.race(int(num(arg(0))), arg(1))
+		w.operators.race(int(parseInt(arg(0))), arg(1))
 	case "storm":
-		w.oper.storm(int(num(arg(0))), num(arg(1)))
+		w.operators.storm(int(parseInt(arg(0))), parseInt(arg(1)))
 	case "retry-edit":
-		w.oper.retried()
+		w.operators.sendTwice()
 	case "rebuild":
-		w.oper.rebuild(int(num(arg(0))))
+		w.operators.rebuild(int(parseInt(arg(0))))
 	case "book":
-		w.oper.book(arg(0), arg(1), num(arg(2)), num(arg(3)), num(arg(4)))
+		w.operators.book(arg(0), arg(1), parseInt(arg(2)), parseInt(arg(3)), parseInt(arg(4)))
 	case "seeds":
 		// From now on processes that start are given other seeds.
 		w.seeds = nil
 		for _, n := range st.Args {
 			// A deployment may have fewer machines than the scenario names.
-			if p := w.procs[n]; p != nil {
-				w.seeds = append(w.seeds, p.env.Mesh)
+			if p := w.processes[n]; p != nil {
+				w.seeds = append(w.seeds, p.settings.Mesh)
 			}
 		}
 		for _, name := range w.names {
-			w.procs[name].env.Seeds = w.seeds
+			w.processes[name].settings.Seeds = w.seeds
 		}
 	case "backends":
-		w.recut(arg(0), int(num(arg(1))), int(num(arg(2))))
+		w.startShardMap(arg(0), int(parseInt(arg(1))), int(parseInt(arg(2))))
 	case "cut":
-		w.oper.cut(w.Shape.Index, arg(0), int(num(arg(1))))
+		w.operators.setShardMap(w.Shape.Index, arg(0), int(parseInt(arg(1))))
 	case "freeze-at":
 		// Freezes a node as soon as an inquiry there reaches a state, for so many milliseconds.
-		p := w.procs[arg(0)]
-		p.freezeAt, p.freezeFor = search.State(arg(1)), num(arg(2))*1000
+		p := w.processes[arg(0)]
+		p.freezeAt, p.freezeFor = search.State(arg(1)), parseInt(arg(2))*1000
 	case "rate", "skew", "mix", "limits":
-		w.load(st.Verb, st.Args)
+		w.applyLoadVerb(st.Verb, st.Args)
 	case "lose-all":
-		w.loseAll()
+		w.powerOffAll()
 	case "start-all":
 		w.startAll()
 	case "replace-core":
@@ -114,8 +114,8 @@
 	case "return-core":
 		// A machine that was taken away comes back with the disk it had.
 		for _, n := range st.Args {
-			w.procs[n].replaced = false
-			w.proc("restart", w.procs[n])
+			w.processes[n].replaced = false
+			w.applyProcessVerb("restart", w.processes[n])
 		}
 	default:
 		panic(fmt.Sprintf("%s:%d: no verb %q", w.Script.Name, st.Line, st.Verb))
@@ -126,10 +126,10 @@
 func (w *World) match(pattern string) []string {
 	var out []string
 	for _, name := range w.names {
-		p := w.procs[name]
+		p := w.processes[name]
 		zone, byZone := strings.CutPrefix(pattern, "zone:")
 		switch {
-		case byZone && p.env.Zone == zone, name == pattern,
+		case byZone && p.settings.Zone == zone, name == pattern,
 			strings.HasSuffix(pattern, "*") && strings.HasPrefix(name, strings.TrimSuffix(pattern, "*")):
 			out = append(out, name)
 		}
@@ -139,7 +139,7 @@
 	}
 	if pattern == "owner" {
 		for _, name := range w.names {
-			if p := w.procs[name]; p.seats != nil && p.up && p.seats.Leads(0) {
+			if p := w.processes[name]; p.replicas != nil && p.up && p.replicas.Leads(0) {
 				return []string{name}
 			}
 		}
@@ -150,7 +150,7 @@
 func (w *World) matchServers(pattern string) []string {
 	var out []string
 	zone, byZone := strings.CutPrefix(pattern, "zone:")
-	for _, id := range w.serverN {
+	for _, id := range w.serverIDs {
 		if id == pattern || byZone && w.servers[id].row.Zone == zone ||
 			strings.HasSuffix(pattern, "*") && strings.HasPrefix(id, strings.TrimSuffix(pattern, "*")) {
 			out = append(out, id)
@@ -159,8 +159,8 @@
 	return out
 }
 
-func (w *World) proc(verb string, p *proc) {
-	w.Judge.Moved(w.now)
+func (w *World) applyProcessVerb(verb string, p *process) {
+	w.Checker.Moved(w.now)
 	switch verb {
 	case "kill":
 		w.killed[p.name] = true
@@ -177,7 +177,7 @@
 		}
 		delete(w.killed, p.name)
 		// A process that still drains is started again once it has ended.
-		p.again = p.up && p.drains
+		p.restartWhenStopped = p.up && p.draining
 		p.start()
 	case "freeze":
 		p.freeze()
@@ -186,16 +186,16 @@
 	case "term":
 		p.stop()
 	case "lose-disk":
-		p.disk.lose()
+		p.disk.wipe()
 	}
 }
 
 // isolate cuts a process off from every other process, platform and server aside.
 func (w *World) isolate(name string, on bool) {
-	w.net.alone[name] = on
+	w.net.isolated[name] = on
 }
 
-func (w *World) server(s *server, mode string, us int64) {
+func (w *World) setServerMode(s *server, mode string, us int64) {
 	switch mode {
 	case "kill":
 		s.kill()
@@ -209,6 +209,6 @@
 	case "ok":
 		s.mode = ""
 	default:
-		s.mode, s.us = mode, us
+		s.mode, s.slowUs = mode, us
 	}
 }
--- a/lab/soak/backend.go
+++ b/lab/soak/backend.go
@@ -19,29 +19,29 @@
 	"wallport/platform"
 )
 
-// manner is how a backend misbehaves; the zero manner is in order.
-type manner struct {
+// behaviour is how a backend misbehaves; the zero manner is in order.
+type behaviour struct {
 	// slow multiplies the work; share is the part of the requests that the rest concerns.
 	slow  int
 	share float64
-	// silent says nothing, reset breaks off, garbled sends what is no answer, cut ends in the middle,
+	// hangs says nothing, reset breaks off, garbled sends what is no answer, cut ends in the middle,
 	// surplus sends more after a whole answer, sealless leaves the seal out, refuses fails with 500,
 	// elsewhere says that another backend has the address, early answers before the body is read.
-	silent, reset, garbled, cut, surplus, sealless, refuses, elsewhere, early bool
+	hangs, reset, garbled, truncated, surplus, unsealed, rejects, misdirected, early bool
 }
 
 // backend is one life of a stand-in backend.
 type backend struct {
-	j      *journal
-	seen   *rules.Backend
-	id     string
-	pool   string
-	zone   string
-	addr   string
-	slots  chan struct{}
-	queued atomic.Int64
-	work   time.Duration
-	manner atomic.Pointer[manner]
+	journal   *journal
+	record    *rules.Backend
+	id        string
+	pool      string
+	zone      string
+	addr      string
+	slots     chan struct{}
+	queued    atomic.Int64
+	work      time.Duration
+	behaviour atomic.Pointer[behaviour]
 
 	server   *http.Server
 	listener net.Listener
@@ -60,11 +60,11 @@
 		return nil, err
 	}
 	b := &backend{
-		j: j, id: id, pool: pool, zone: zone, addr: l.Addr().String(), slots: make(chan struct{}, slots), work: work, listener: l,
-		seen: &rules.Backend{ID: id, Pool: pool, Zone: zone, Born: j.now(), Ended: rules.Never, Shown: rules.Never},
+		journal: j, id: id, pool: pool, zone: zone, addr: l.Addr().String(), slots: make(chan struct{}, slots), work: work, listener: l,
+		record: &rules.Backend{ID: id, Pool: pool, Zone: zone, Born: j.now(), Ended: rules.Never, Shown: rules.Never},
 	}
-	b.manner.Store(&manner{})
-	j.with(func() { j.Backends = append(j.Backends, b.seen) })
+	b.behaviour.Store(&behaviour{})
+	j.with(func() { j.Backends = append(j.Backends, b.record) })
 	b.server = &http.Server{Handler: b, IdleTimeout: 20 * time.Second}
 	go b.server.Serve(l)
 	return b, nil
@@ -73,8 +73,8 @@
 // crash ends the backend at once; its connections are reset.
 func (b *backend) crash() {
 	b.once.Do(func() {
-		at := b.j.now()
-		b.j.with(func() { b.seen.Ended = at })
+		at := b.journal.now()
+		b.journal.with(func() { b.record.Ended = at })
 		b.server.Close()
 	})
 }
@@ -85,9 +85,9 @@
 		b.health(w)
 		return
 	}
-	m := *b.manner.Load()
+	m := *b.behaviour.Load()
 	if m.share < 1 && rand.Float64() >= m.share {
-		m = manner{slow: m.slow}
+		m = behaviour{slow: m.slow}
 	}
 	var body []byte
 	if !m.early {
@@ -96,16 +96,16 @@
 			return
 		}
 	}
-	a := &rules.Arrival{Try: r.Header.Get(platform.HeaderAttempt), Backend: b.seen, Method: r.Method, Target: r.RequestURI, Body: body, At: b.j.now()}
+	a := &rules.Arrival{Attempt: r.Header.Get(platform.HeaderAttempt), Backend: b.record, Method: r.Method, Target: r.RequestURI, Body: body, At: b.journal.now()}
 	a.Sent = a.At
-	b.j.with(func() { b.j.Arrivals = append(b.j.Arrivals, a) })
-	w.Header().Set(platform.HeaderAttempt, a.Try)
+	b.journal.with(func() { b.journal.Arrivals = append(b.journal.Arrivals, a) })
+	w.Header().Set(platform.HeaderAttempt, a.Attempt)
 	w.Header().Set(platform.HeaderLoad, fmt.Sprintf("%d,%d,%d", len(b.slots), b.queued.Load(), cap(b.slots)))
 	if b.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if r.Header.Get(platform.HeaderTarget) != b.id || m.elsewhere {
-		b.j.with(func() { a.Wrong, a.Status = true, http.StatusMisdirectedRequest })
+	if r.Header.Get(platform.HeaderTarget) != b.id || m.misdirected {
+		b.journal.with(func() { a.Wrong, a.Status = true, http.StatusMisdirectedRequest })
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -115,7 +115,7 @@
 		return
 	}
 	if !b.takeSlot(r, time.Duration(budget)*time.Millisecond) {
-		b.j.with(func() { a.Status = http.StatusServiceUnavailable })
+		b.journal.with(func() { a.Status = http.StatusServiceUnavailable })
 		w.Header().Set(platform.HeaderNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -142,14 +142,14 @@
 }
 
 // run works on a request and answers it, as the manner lets it.
-func (b *backend) run(w http.ResponseWriter, r *http.Request, a *rules.Arrival, m manner) {
+func (b *backend) run(w http.ResponseWriter, r *http.Request, a *rules.Arrival, m behaviour) {
 	defer func() { <-b.slots }()
-	b.j.with(func() { a.Ran = true })
+	b.journal.with(func() { a.Ran = true })
 	work := b.work/2 + time.Duration(rand.Int64N(int64(b.work)))
 	if m.slow > 1 {
 		work *= time.Duration(m.slow)
 	}
-	if m.silent {
+	if m.hangs {
 		work = time.Minute
 	}
 	wait := time.NewTimer(work)
@@ -160,22 +160,22 @@
 		return
 	}
 	status := http.StatusOK
-	if m.refuses {
+	if m.rejects {
 		status = http.StatusInternalServerError
 	}
-	body := answerTo(a.Try, b.pool)
+	body := responseBody(a.Attempt, b.pool)
 	seal := fmt.Sprintf("%s.%d.%x", b.id, b.seals.Add(1), sha256.Sum256(body))[:40]
-	b.j.with(func() { a.Status, a.Answer, a.Seal = status, body, seal })
+	b.journal.with(func() { a.Status, a.Answer, a.Seal = status, body, seal })
 	if m.early {
-		b.answerEarly(w, r, a, body, seal)
+		b.respondEarly(w, r, a, body, seal)
 		return
 	}
-	b.answer(w, status, body, seal, m)
+	b.respond(w, status, body, seal, m)
 }
 
 func (b *backend) health(w http.ResponseWriter) {
 	w.Header().Set(platform.HeaderMember, b.id)
-	if b.draining.Load() || b.manner.Load().silent {
+	if b.draining.Load() || b.behaviour.Load().hangs {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/lab/soak/backend_troubles.go
+++ b/lab/soak/backend_faults.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-func backendTroubles() []kindOf {
-	return []kindOf{
+func backendFaults() []faultKind {
+	return []faultKind{
 		{"backend_crash", 4, backendCrash},
 		{"backend_crash_pool", 1, backendCrashPool},
 		{"backend_reborn", 3, backendReborn},
 		{"backend_drain", 4, backendDrain},
-		{"backend_slow", 2, misbehave(manner{slow: 20, share: 1})},
-		{"backend_silent", 2, misbehave(manner{silent: true, share: 0.7})},
-		{"backend_reset", 2, misbehave(manner{reset: true, share: 0.3})},
-		{"backend_garbled", 2, misbehave(manner{garbled: true, share: 0.3})},
-		{"backend_cut", 2, misbehave(manner{cut: true, share: 0.3})},
-		{"backend_surplus", 2, misbehave(manner{surplus: true, share: 0.4})},
-		{"backend_sealless", 1, misbehave(manner{sealless: true, share: 0.3})},
-		{"backend_refuses", 2, misbehave(manner{refuses: true, share: 0.4})},
-		{"backend_elsewhere", 1, misbehave(manner{elsewhere: true, share: 0.2})},
-		{"backend_early", 2, misbehave(manner{early: true, share: 0.5})},
-		{"list_fails", 2, misleads(listManner{fails: true})},
-		{"list_hangs", 2, misleads(listManner{hangs: true})},
-		{"list_garbled", 1, misleads(listManner{garbles: true})},
-		{"list_page_lost", 2, misleads(listManner{loses: true})},
+		{"backend_slow", 2, misbehave(behaviour{slow: 20, share: 1})},
+		{"backend_silent", 2, misbehave(behaviour{hangs: true, share: 0.7})},
+		{"backend_reset", 2, misbehave(behaviour{reset: true, share: 0.3})},
+		{"backend_garbled", 2, misbehave(behaviour{garbled: true, share: 0.3})},
+		{"backend_cut", 2, misbehave(behaviour{truncated: true, share: 0.3})},
+		{"backend_surplus", 2, misbehave(behaviour{surplus: true, share: 0.4})},
+		{"backend_sealless", 1, misbehave(behaviour{unsealed: true, share: 0.3})},
+		{"backend_refuses", 2, misbehave(behaviour{rejects: true, share: 0.4})},
+		{"backend_elsewhere", 1, misbehave(behaviour{misdirected: true, share: 0.2})},
+		{"backend_early", 2, misbehave(behaviour{early: true, share: 0.5})},
+		{"list_fails", 2, misleadList(listBehaviour{fails: true})},
+		{"list_hangs", 2, misleadList(listBehaviour{hangs: true})},
+		{"list_garbled", 1, misleadList(listBehaviour{garbles: true})},
+		{"list_page_lost", 2, misleadList(listBehaviour{loses: true})},
 	}
 }
 
 // anyPool draws a pool; a third of the draws are the one that serves what may run only once.
 func anyPool(drawn *rand.Rand) string {
 	if drawn.IntN(3) == 0 {
-		return poolDesk
+		return poolDispatch
 	}
 	names := poolNames()
 	return names[drawn.IntN(len(names))]
@@ -62,7 +62,7 @@
 	if b == nil {
 		return
 	}
-	r.during(span{}, func() {
+	r.during(faultSpan{}, func() {
 		r.fleet.crash(b)
 		sleep(ctx, lasts)
 	})
@@ -73,7 +73,7 @@
 func backendCrashPool(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	pool := anyPool(drawn)
 	all := r.fleet.of(pool)
-	r.during(span{}, func() {
+	r.during(faultSpan{}, func() {
 		for _, b := range all {
 			r.fleet.crash(b)
 		}
@@ -90,7 +90,7 @@
 	if b == nil {
 		return
 	}
-	r.during(span{}, func() {
+	r.during(faultSpan{}, func() {
 		r.fleet.crash(b)
 		sleep(ctx, lasts/20)
 		replace(r, anyPool(drawn), b.addr)
@@ -112,7 +112,7 @@
 }
 
 // misbehave has backends of a pool, or of all pools, behave in some manner.
-func misbehave(m manner) act {
+func misbehave(m behaviour) inject {
 	return func(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 		pool := anyPool(drawn)
 		all := r.fleet.of(pool)
@@ -120,43 +120,43 @@
 			one := drawn.IntN(len(all))
 			all = all[one : one+1]
 		}
-		r.during(span{}, func() {
+		r.during(faultSpan{}, func() {
 			for _, b := range all {
-				b.manner.Store(&m)
+				b.behaviour.Store(&m)
 			}
 			sleep(ctx, lasts)
 			for _, b := range all {
-				b.manner.Store(&manner{})
+				b.behaviour.Store(&behaviour{})
 			}
 		})
 	}
 }
 
-// misleads has the list misbehave. Nodes need not know what it would show meanwhile.
-func misleads(m listManner) act {
+// misleadList has the list misbehave. Nodes need not know what it would show meanwhile.
+func misleadList(m listBehaviour) inject {
 	return func(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-		var s span
+		var s faultSpan
 		for n := range machineCount {
 			s.machines = append(s.machines, machineName(n))
 		}
 		r.during(s, func() {
 			r.fleet.set(m)
 			sleep(ctx, lasts)
-			r.fleet.set(listManner{})
+			r.fleet.set(listBehaviour{})
 		})
 	}
 }
 
 // slotsOf and workOf are how a pool's backends work.
 func slotsOf(pool string) int {
-	if pool == poolDesk || pool == poolOther {
+	if pool == poolDispatch || pool == poolOther {
 		return 6
 	}
 	return 4
 }
 
 func workOf(pool string) time.Duration {
-	if pool == poolDesk || pool == poolOther {
+	if pool == poolDispatch || pool == poolOther {
 		return 60 * time.Millisecond
 	}
 	return 6 * time.Millisecond
--- a/lab/soak/bootstrap_troubles.go
+++ b/lab/soak/bootstrap_faults.go
@@ -16,9 +16,9 @@
 	bootstrapGap  = 400 * time.Millisecond
 )
 
-// troubleBootstrap brings some troubles about in the first moments; in every other run there are none.
-func (r *run) troubleBootstrap(ctx context.Context) {
-	drawn := rand.New(rand.NewPCG(r.o.Seed, 0x626f6f74))
+// faultBootstrap brings some troubles about in the first moments; in every other run there are none.
+func (r *run) faultBootstrap(ctx context.Context) {
+	drawn := rand.New(rand.NewPCG(r.options.Seed, 0x626f6f74))
 	if drawn.IntN(2) == 0 {
 		return
 	}
--- a/lab/soak/calm.go
+++ b/lab/soak/calm.go
@@ -10,18 +10,18 @@
 
 // calm counts the troubles of the cores.
 type calm struct {
-	mu      sync.Mutex
-	under   int
-	endedAt time.Time
-	claimed bool
+	mu       sync.Mutex
+	faults   int
+	endedAt  time.Time
+	acquired bool
 }
 
 // begin notes a trouble, once no disk is being lost.
 func (c *calm) begin() {
 	for {
 		c.mu.Lock()
-		if !c.claimed {
-			c.under++
+		if !c.acquired {
+			c.faults++
 			c.mu.Unlock()
 			return
 		}
@@ -33,23 +33,23 @@
 func (c *calm) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.under--
+	c.faults--
 	c.endedAt = time.Now()
 }
 
-// claim gives the right to lose a disk; false is that the cores are not calm.
-func (c *calm) claim() bool {
+// tryAcquire gives the right to lose a disk; false is that the cores are not calm.
+func (c *calm) tryAcquire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.claimed || c.under > 0 || time.Since(c.endedAt) < syncTime {
+	if c.acquired || c.faults > 0 || time.Since(c.endedAt) < syncTime {
 		return false
 	}
-	c.claimed = true
+	c.acquired = true
 	return true
 }
 
 func (c *calm) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.claimed, c.endedAt = false, time.Now()
+	c.acquired, c.endedAt = false, time.Now()
 }
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -19,8 +19,8 @@
 	"wallport/platform"
 )
 
-// kind is a kind of request: its route's path and what clients expect of it.
-type kind struct {
+// requestKind is a kind of request: its route's path and what clients expect of it.
+type requestKind struct {
 	name, method, path string
 	repeatable         bool
 	deadline           time.Duration
@@ -30,17 +30,17 @@
 
 // Figures of clients.
 const (
-	furtherTries = 2
-	connectMost  = time.Second
-	// leaveShare of the requests are left by their client before the answer; slowShare send their head slowly.
-	leaveShare = 0.02
-	slowShare  = 0.005
-	keepShare  = 0.9
-	answerMost = 1 << 20
+	retriesMost = 2
+	connectMost = time.Second
+	// abandonShare of the requests are left by their client before the answer; slowShare send their head slowly.
+	abandonShare = 0.02
+	slowShare    = 0.005
+	keepShare    = 0.9
+	responseMost = 1 << 20
 )
 
 // kinds are the requests of a run; those of changing routes come beside them.
-var kinds = []kind{
+var kinds = []requestKind{
 	{"search", "GET", "/search/", true, 800 * time.Millisecond, 0, 0.4},
 	{"read", "GET", "/read/", true, 1500 * time.Millisecond, 0, 0.2},
 	{"fix", "POST", "/fix/", false, 1500 * time.Millisecond, 700, 0.3},
@@ -49,20 +49,20 @@
 
 // clients send the requests of a run.
 type clients struct {
-	j    *journal
-	rate float64
+	journal *journal
+	rate    float64
 	// to are the addresses of the machines by their names, through the relays.
 	to    map[string]string
 	names []string
 
-	mu   sync.Mutex
-	kept map[string][]*kept
-	next int
-	all  sync.WaitGroup
+	mu        sync.Mutex
+	idleConns map[string][]*idleConn
+	next      int
+	all       sync.WaitGroup
 }
 
-// kept is a connection to a machine.
-type kept struct {
+// idleConn is a connection to a machine.
+type idleConn struct {
 	conn net.Conn
 	r    *bufio.Reader
 	used time.Time
@@ -86,14 +86,14 @@
 	c.all.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, all := range c.kept {
+	for _, all := range c.idleConns {
 		for _, k := range all {
 			k.conn.Close()
 		}
 	}
 }
 
-func drawKind(drawn *rand.Rand) kind {
+func drawKind(drawn *rand.Rand) requestKind {
 	x := drawn.Float64()
 	for _, k := range kinds {
 		if x -= k.share; x < 0 {
@@ -104,14 +104,14 @@
 }
 
 // request sends one request, with the further tries that clients may make.
-func (c *clients) request(k kind) {
+func (c *clients) request(k requestKind) {
 	deadline := time.Now().Add(k.deadline)
-	for n := 0; n <= furtherTries && time.Until(deadline) > 20*time.Millisecond; n++ {
-		t := c.try(k, c.names[rand.IntN(len(c.names))], n, deadline)
+	for n := 0; n <= retriesMost && time.Until(deadline) > 20*time.Millisecond; n++ {
+		t := c.sendAttempt(k, c.names[rand.IntN(len(c.names))], n, deadline)
 		if t.Served() || t.GaveUp {
 			return
 		}
-		if !k.repeatable && !promises(t.Status) && t.Read > 0 {
+		if !k.repeatable && !promisesNotRun(t.Status) && t.Read > 0 {
 			return
 		}
 		pause := min(time.Duration(t.RetryAfterUs)*time.Microsecond, time.Until(deadline)/3)
@@ -119,46 +119,46 @@
 	}
 }
 
-// promises tells that a status means that a request has not run and never will.
-func promises(status int) bool {
+// promisesNotRun tells that a status means that a request has not run and never will.
+func promisesNotRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
-// tryAt sends a request of a kind to a machine, once.
-func (c *clients) tryAt(k kind, machine string) *rules.Try {
-	return c.try(k, machine, 0, time.Now().Add(k.deadline))
+// attemptAt sends a request of a kind to a machine, once.
+func (c *clients) attemptAt(k requestKind, machine string) *rules.Attempt {
+	return c.sendAttempt(k, machine, 0, time.Now().Add(k.deadline))
 }
 
-// newTry notes a try in the journal.
-func (c *clients) newTry(k kind, machine string, n int, deadline time.Time) *rules.Try {
+// newAttempt notes a try in the journal.
+func (c *clients) newAttempt(k requestKind, machine string, n int, deadline time.Time) *rules.Attempt {
 	c.mu.Lock()
 	c.next++
 	id := fmt.Sprintf("t%06d", c.next)
 	c.mu.Unlock()
-	t := &rules.Try{
+	t := &rules.Attempt{
 		ID: id, Class: k.name, Machine: machine, Host: siteHost, Method: k.method, Path: k.path + id, Target: k.path + id + "?q=" + id,
-		Repeatable: k.repeatable, Sent: c.j.now(), Ended: rules.Never, Deadline: c.j.now() + time.Until(deadline).Microseconds(), Further: n > 0,
+		Repeatable: k.repeatable, Sent: c.journal.now(), Ended: rules.Never, Deadline: c.journal.now() + time.Until(deadline).Microseconds(), Further: n > 0,
 	}
 	if k.bodyBytes > 0 {
 		t.Body = bytes.Repeat([]byte(id), k.bodyBytes/len(id))
 	}
-	c.j.with(func() { c.j.Tries = append(c.j.Tries, t) })
+	c.journal.with(func() { c.journal.Attempts = append(c.journal.Attempts, t) })
 	return t
 }
 
-// try sends a request once. What is noted while it is under way is noted under the journal's lock.
-func (c *clients) try(k kind, machine string, n int, deadline time.Time) *rules.Try {
-	t := c.newTry(k, machine, n, deadline)
+// sendAttempt sends a request once. What is noted while it is under way is noted under the journal's lock.
+func (c *clients) sendAttempt(k requestKind, machine string, n int, deadline time.Time) *rules.Attempt {
+	t := c.newAttempt(k, machine, n, deadline)
 	conn := c.connect(t, n == 0, deadline)
 	if conn == nil {
 		c.end(t, func() {})
 		return t
 	}
 	conn.conn.SetDeadline(deadline)
-	leaves := rand.Float64() < leaveShare
+	leaves := rand.Float64() < abandonShare
 	if leaves {
 		early := time.AfterFunc(time.Duration(rand.Int64N(int64(k.deadline/8))), func() {
-			c.j.with(func() { t.GaveUp = t.Ended == rules.Never })
+			c.journal.with(func() { t.GaveUp = t.Ended == rules.Never })
 			conn.conn.Close()
 		})
 		defer early.Stop()
@@ -169,43 +169,43 @@
 		c.end(t, func() {})
 		return t
 	}
-	c.j.with(func() { t.Read = max(1, c.j.now()) })
+	c.journal.with(func() { t.Read = max(1, c.journal.now()) })
 	resp, body, err := receive(conn.r, k.method)
 	switch {
 	case err != nil:
 		conn.conn.Close()
 		late := time.Now().After(deadline)
-		c.end(t, func() { t.GaveUp = t.GaveUp || late; t.Cut = !t.GaveUp })
+		c.end(t, func() { t.GaveUp = t.GaveUp || late; t.Aborted = !t.GaveUp })
 	default:
-		c.end(t, func() { answered(t, resp, body) })
-		c.give(t.Machine, conn, resp)
+		c.end(t, func() { recordResponse(t, resp, body) })
+		c.releaseConn(t.Machine, conn, resp)
 	}
 	return t
 }
 
-func (c *clients) end(t *rules.Try, f func()) {
-	at := c.j.now()
-	c.j.with(func() { f(); t.Ended = at })
+func (c *clients) end(t *rules.Attempt, f func()) {
+	at := c.journal.now()
+	c.journal.with(func() { f(); t.Ended = at })
 }
 
-// answered notes an answer.
-func answered(t *rules.Try, resp *http.Response, body []byte) {
+// recordResponse notes an answer.
+func recordResponse(t *rules.Attempt, resp *http.Response, body []byte) {
 	t.Status, t.Answer, t.Seal = resp.StatusCode, body, resp.Header.Get(platform.HeaderSeal)
 	t.Seals = splitSeals(resp.Header.Values(platform.HeaderPartSeals))
 	t.Missing, _ = strconv.Atoi(resp.Header.Get(platform.HeaderMissing))
-	t.Own = t.Seal == "" && len(t.Seals) == 0
+	t.Generated = t.Seal == "" && len(t.Seals) == 0
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 		t.RetryAfterUs = int64(s * second)
 	}
 }
 
 // connect takes up a kept connection, or makes a new one.
-func (c *clients) connect(t *rules.Try, mayKeep bool, deadline time.Time) *kept {
+func (c *clients) connect(t *rules.Attempt, mayKeep bool, deadline time.Time) *idleConn {
 	if mayKeep && rand.Float64() < keepShare {
 		c.mu.Lock()
-		for all := c.kept[t.Machine]; len(all) > 0; all = c.kept[t.Machine] {
+		for all := c.idleConns[t.Machine]; len(all) > 0; all = c.idleConns[t.Machine] {
 			k := all[len(all)-1]
-			c.kept[t.Machine] = all[:len(all)-1]
+			c.idleConns[t.Machine] = all[:len(all)-1]
 			if time.Since(k.used) < idleMost {
 				c.mu.Unlock()
 				return k
@@ -218,11 +218,11 @@
 	if err != nil {
 		return nil
 	}
-	return &kept{conn: conn, r: bufio.NewReader(conn)}
+	return &idleConn{conn: conn, r: bufio.NewReader(conn)}
 }
 
-// give puts a connection back, unless it ends.
-func (c *clients) give(machine string, k *kept, resp *http.Response) {
+// releaseConn puts a connection back, unless it ends.
+func (c *clients) releaseConn(machine string, k *idleConn, resp *http.Response) {
 	if resp.Close || k.r.Buffered() > 0 {
 		k.conn.Close()
 		return
@@ -231,5 +231,5 @@
 	k.used = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kept[machine] = append(c.kept[machine], k)
+	c.idleConns[machine] = append(c.idleConns[machine], k)
 }
--- a/lab/soak/closing.go
+++ b/lab/soak/closing.go
@@ -21,7 +21,7 @@
 
 // closing brings the closing fault about that is drawn for the run, and heals again.
 func (r *run) closing(ctx context.Context) {
-	drawn := rand.New(rand.NewPCG(r.o.Seed, 0x636c6f73))
+	drawn := rand.New(rand.NewPCG(r.options.Seed, 0x636c6f73))
 	how, wiped, away := drawn.IntN(closings), anyCore(r, drawn), time.Duration(200+drawn.IntN(1200))*time.Millisecond
 	if how == closesQuietly {
 		return
@@ -34,7 +34,7 @@
 		sleep(ctx, syncTime)
 	}
 	r.changeOnce(ctx, false, false)
-	var s span
+	var s faultSpan
 	s.unsettles = true
 	for n := range machineCount {
 		s.machines = append(s.machines, machineName(n))
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -16,8 +16,8 @@
 
 // The pools of a run: the shards, and two that serve single requests.
 const (
-	poolDesk  = "desk"
-	poolOther = "other"
+	poolDispatch = "desk"
+	poolOther    = "other"
 )
 
 func shardPool(n int) string { return fmt.Sprintf("shard%d", n) }
@@ -31,15 +31,15 @@
 // changingRoute is the route that every change moves. The serial number makes each change another one:
 // exactly the same change sent again is known as such.
 func changingRoute(revision, serial int64) string {
-	pool := poolDesk
+	pool := poolDispatch
 	if revision%2 == 0 {
 		pool = poolOther
 	}
 	return routeText("changing", "/changing/", "idempotent", fmt.Sprintf(`"pool":%q,"serial":%d`, pool, serial), 1500+int(revision%7)*100, 2)
 }
 
-// wholeText is a whole configuration.
-func wholeText(revision, serial int64) string {
+// completeText is a whole configuration.
+func completeText(revision, serial int64) string {
 	var shards []string
 	for i := range shardCount {
 		shards = append(shards, fmt.Sprintf("%q", shardPool(i)))
@@ -47,8 +47,8 @@
 	search := routeText("search", "/search/", "idempotent", `"fanout_pools":[`+strings.Join(shards, ",")+`],"result_limit":20,"min_coverage":0.5`, 800, 2)
 	routes := []string{
 		search,
-		routeText("read", "/read/", "idempotent", fmt.Sprintf(`"pool_weights":[{"pool":%q,"weight":3},{"pool":%q,"weight":1}]`, poolDesk, poolOther), 1500, 2),
-		routeText("fix", "/fix/", "non_idempotent", fmt.Sprintf(`"pool":%q`, poolDesk), 1500, 2),
+		routeText("read", "/read/", "idempotent", fmt.Sprintf(`"pool_weights":[{"pool":%q,"weight":3},{"pool":%q,"weight":1}]`, poolDispatch, poolOther), 1500, 2),
+		routeText("fix", "/fix/", "non_idempotent", fmt.Sprintf(`"pool":%q`, poolDispatch), 1500, 2),
 		changingRoute(revision, serial),
 	}
 	var pools []string
@@ -61,7 +61,7 @@
 }
 
 func poolNames() []string {
-	names := []string{poolDesk, poolOther}
+	names := []string{poolDispatch, poolOther}
 	for i := range shardCount {
 		names = append(names, shardPool(i))
 	}
@@ -75,7 +75,7 @@
 
 // badText is a whole configuration that is not valid.
 func badText(revision, serial int64) string {
-	return strings.Replace(wholeText(revision, serial), `"pool":"`+poolDesk+`"`, `"pool":"nobody"`, 1)
+	return strings.Replace(completeText(revision, serial), `"pool":"`+poolDispatch+`"`, `"pool":"nobody"`, 1)
 }
 
 // applied is the table that a change makes of another one; nil where none can be made of it.
--- a/lab/soak/config_test.go
+++ b/lab/soak/config_test.go
@@ -11,10 +11,10 @@
 	"wallport/control/routing"
 )
 
-func TestEveryChangeIsAnotherOne(t *testing.T) {
-	must.NotEq(t, wholeText(5, 1), wholeText(5, 2))
+func TestEveryChangeDiffers(t *testing.T) {
+	must.NotEq(t, completeText(5, 1), completeText(5, 2))
 	must.NotEq(t, patchText(5, 1), patchText(5, 2))
-	whole := applied(nil, wholeText(5, 1), 0, false)
+	whole := applied(nil, completeText(5, 1), 0, false)
 	must.SliceEmpty(t, routing.Check(whole))
 	patched := applied(whole, patchText(7, 2), 5, true)
 	must.SliceEmpty(t, routing.Check(patched))
--- a/lab/soak/core_troubles.go
+++ b/lab/soak/core_faults.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sys/unix"
 )
 
-func coreTroubles() []kindOf {
-	return []kindOf{
+func coreFaults() []faultKind {
+	return []faultKind{
 		{"core_kill", 4, killCore},
 		{"core_freeze", 3, freeze(roleCore)},
 		{"core_stop", 3, stopCore},
@@ -31,16 +31,16 @@
 func anyCore(r *run, drawn *rand.Rand) *daemon { return r.daemonOf(roleCore, drawn.IntN(coreCount)) }
 
 func killCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(span{unsettles: true}, func() { killFor(ctx, anyCore(r, drawn), lasts) })
+	r.during(faultSpan{unsettles: true}, func() { killFor(ctx, anyCore(r, drawn), lasts) })
 }
 
 func stopCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(span{unsettles: true, planned: true}, func() { r.stopOnce(anyCore(r, drawn)) })
+	r.during(faultSpan{unsettles: true, planned: true}, func() { r.stopOnce(anyCore(r, drawn)) })
 }
 
 // powerAllCores kills all cores at the same moment; their disks stay.
 func powerAllCores(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(span{unsettles: true}, func() {
+	r.during(faultSpan{unsettles: true}, func() {
 		var all sync.WaitGroup
 		for n := range coreCount {
 			all.Go(func() { killFor(ctx, r.daemonOf(roleCore, n), lasts/4) })
@@ -52,7 +52,7 @@
 // diskFull has every write of a core fail.
 func diskFull(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	d := anyCore(r, drawn)
-	r.during(span{unsettles: true}, func() {
+	r.during(faultSpan{unsettles: true}, func() {
 		r.say("the disk of %s is full", d.name)
 		limitFiles(d, 1)
 		sleep(ctx, lasts)
@@ -79,7 +79,7 @@
 			pipes = append(pipes, path)
 		}
 	}
-	r.during(span{unsettles: true}, func() {
+	r.during(faultSpan{unsettles: true}, func() {
 		r.say("the disk of %s stalls", d.name)
 		sleep(ctx, lasts)
 		for _, path := range pipes {
@@ -88,8 +88,8 @@
 	})
 }
 
-// aheadMost is how many versions ahead of the newest a stalled disk has its pipes for.
-const aheadMost = 6
+// preparedFilesMost is how many versions ahead of the newest a stalled disk has its pipes for.
+const preparedFilesMost = 6
 
 // nextFiles are the files that a core writes next: those that are there, and the versions that follow
 // the newest of each partition in its term.
@@ -106,7 +106,7 @@
 			names = append(names, e.Name())
 			continue
 		}
-		for ahead := uint64(1); ahead <= aheadMost; ahead++ {
+		for ahead := uint64(1); ahead <= preparedFilesMost; ahead++ {
 			names = append(names, fmt.Sprintf("part-%d.stamp-%012d-%012d", part, term, seq+ahead))
 		}
 	}
@@ -128,12 +128,12 @@
 // diskLost has a core lose its disk while it is down. One disk is lost at a time, and none while another
 // core is in trouble or has just been: what is lost then may be more than is borne.
 func diskLost(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	if !r.cores.claim() {
+	if !r.coreCalm.tryAcquire() {
 		return
 	}
-	defer r.cores.release()
+	defer r.coreCalm.release()
 	d := anyCore(r, drawn)
-	r.span(span{unsettles: true}, func() {
+	r.span(faultSpan{unsettles: true}, func() {
 		d.setDown(true)
 		d.signal(syscall.SIGKILL)
 		for d.pid() != 0 {
--- a/lab/soak/list.go
+++ b/lab/soak/discovery.go
@@ -19,8 +19,8 @@
 	healthPath = "/health"
 	// pageSize is how many members a page of the list has.
 	pageSize = 7
-	// goneAfter is how long a backend that crashed stays on the list.
-	goneAfter = 3 * time.Second
+	// delistAfter is how long a backend that crashed stays on the list.
+	delistAfter = 3 * time.Second
 )
 
 // member is a backend as the list shows it.
@@ -32,39 +32,39 @@
 	Revision string `json:"revision"`
 	Capacity int    `json:"capacity"`
 	State    string `json:"admin_state"`
-	ColdMs   int    `json:"slow_start_ms"`
+	WarmUpMs int    `json:"slow_start_ms"`
 }
 
-// listManner is how the list misbehaves.
-type listManner struct {
+// listBehaviour is how the list misbehaves.
+type listBehaviour struct {
 	// fails answers 500, hangs does not answer, garbles sends half a page, loses leaves every second page out.
 	fails, hangs, garbles, loses bool
 }
 
 // fleet is the backends and the list.
 type fleet struct {
-	j  *journal
-	p  *place
-	mu sync.Mutex
+	journal *journal
+	place   *place
+	mu      sync.Mutex
 	// backends are those that run, in the order in which they started.
-	backends []*backend
-	members  map[string]member
-	manner   listManner
-	calls    []time.Time
-	started  int
-	// history is what the list showed, for its lag.
-	history []shownList
-	server  *http.Server
-	addr    string
-}
-
-type shownList struct {
+	backends  []*backend
+	members   map[string]member
+	behaviour listBehaviour
+	calls     []time.Time
+	started   int
+	// published is what the list showed, for its lag.
+	published []publishedList
+	server    *http.Server
+	addr      string
+}
+
+type publishedList struct {
 	at      time.Time
 	members []member
 }
 
 func newFleet(j *journal, p *place) (*fleet, error) {
-	f := &fleet{j: j, p: p, members: map[string]member{}}
+	f := &fleet{journal: j, place: p, members: map[string]member{}}
 	l, err := net.Listen("tcp", net.JoinHostPort(p.standInIP(), "0"))
 	if err != nil {
 		return nil, err
@@ -81,9 +81,9 @@
 	defer f.mu.Unlock()
 	f.started++
 	if addr == "" {
-		addr = net.JoinHostPort(f.p.standInIP(), "0")
+		addr = net.JoinHostPort(f.place.standInIP(), "0")
 	}
-	b, err := startBackend(f.j, fmt.Sprintf("i-%s-%d", pool, f.started), pool, zoneOf(f.started), addr, slots, work)
+	b, err := startBackend(f.journal, fmt.Sprintf("i-%s-%d", pool, f.started), pool, zoneOf(f.started), addr, slots, work)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remove(b)
-	time.AfterFunc(goneAfter, func() { f.forget(b) })
+	time.AfterFunc(delistAfter, func() { f.forget(b) })
 }
 
 // forget takes a backend off the list.
@@ -141,8 +141,8 @@
 	b.draining.Store(true)
 	// Clients of the list see it after its lag.
 	time.AfterFunc(listLagMs*time.Millisecond, func() {
-		at := f.j.now()
-		f.j.with(func() { b.seen.Shown = at })
+		at := f.journal.now()
+		f.journal.with(func() { b.record.Shown = at })
 	})
 	time.AfterFunc(drainMs*time.Millisecond+2*time.Second, func() {
 		f.mu.Lock()
@@ -154,31 +154,31 @@
 }
 
 // set changes how the list misbehaves.
-func (f *fleet) set(m listManner) {
+func (f *fleet) set(m listBehaviour) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.manner = m
+	f.behaviour = m
 }
 
 // record keeps what the list shows from now on; the caller holds the lock.
 func (f *fleet) record() {
-	newest := shownList{at: time.Now()}
+	newest := publishedList{at: time.Now()}
 	for _, m := range f.members {
 		newest.members = append(newest.members, m)
 	}
 	sort.Slice(newest.members, func(a, b int) bool { return newest.members[a].ID < newest.members[b].ID })
-	f.history = append(f.history, newest)
+	f.published = append(f.published, newest)
 }
 
 // lagged is the list as it was some time ago.
 func (f *fleet) lagged(now time.Time) []member {
-	for len(f.history) > 1 && now.Sub(f.history[1].at) >= listLagMs*time.Millisecond {
-		f.history = f.history[1:]
+	for len(f.published) > 1 && now.Sub(f.published[1].at) >= listLagMs*time.Millisecond {
+		f.published = f.published[1:]
 	}
-	if len(f.history) == 0 {
+	if len(f.published) == 0 {
 		return nil
 	}
-	return f.history[0].members
+	return f.published[0].members
 }
 
 // allowed counts a call against the limit of all nodes together.
@@ -193,7 +193,7 @@
 func (f *fleet) serve(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	now := time.Now()
-	m, allowed, members := f.manner, f.allowed(now), f.lagged(now)
+	m, allowed, members := f.behaviour, f.allowed(now), f.lagged(now)
 	f.mu.Unlock()
 	from, _ := strconv.Atoi(r.URL.Query().Get("page_token"))
 	switch {
--- a/lab/soak/evacuations.go
+++ b/lab/soak/evacuations.go
@@ -12,11 +12,11 @@
 
 // evacuate drains a zone for a while and takes it back.
 func (o *operators) evacuate(ctx context.Context, zone string, lasts time.Duration) {
-	order := &rules.Order{Zone: zone, Sent: o.j.now(), Acked: rules.Never, Back: rules.Never, BackAcked: rules.Never}
-	o.j.with(func() { o.j.Orders = append(o.j.Orders, order) })
+	order := &rules.Evacuation{Zone: zone, Sent: o.journal.now(), Acked: rules.Never, RestoreSent: rules.Never, RestoreAcked: rules.Never}
+	o.journal.with(func() { o.journal.Evacuations = append(o.journal.Evacuations, order) })
 	note := func(at *int64) func(int64) {
 		return func(now int64) {
-			o.j.with(func() {
+			o.journal.with(func() {
 				if *at == 0 {
 					*at = now
 				}
@@ -24,16 +24,16 @@
 		}
 	}
 	calls := context.WithoutCancel(ctx)
-	if r := o.carry(calls, http.MethodPost, evacuatePath+zone, "", "", note(&order.Taken)); r.status == 200 {
-		o.j.with(func() { order.Acked = o.j.now() })
+	if r := o.sendUntilFinal(calls, http.MethodPost, evacuatePath+zone, "", "", note(&order.FirstAcked)); r.status == 200 {
+		o.journal.with(func() { order.Acked = o.journal.now() })
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(lasts):
 	}
-	o.j.with(func() { order.Back = o.j.now() })
-	if r := o.carry(calls, http.MethodDelete, evacuatePath+zone, "", "", note(&order.BackTaken)); r.status == 200 {
-		o.j.with(func() { order.BackAcked = o.j.now() })
+	o.journal.with(func() { order.RestoreSent = o.journal.now() })
+	if r := o.sendUntilFinal(calls, http.MethodDelete, evacuatePath+zone, "", "", note(&order.RestoreFirstAcked)); r.status == 200 {
+		o.journal.with(func() { order.RestoreAcked = o.journal.now() })
 	}
 }
 
--- a/lab/soak/exchange.go
+++ b/lab/soak/exchange.go
@@ -17,7 +17,7 @@
 )
 
 // request is a try's text.
-func request(t *rules.Try, left time.Duration) []byte {
+func request(t *rules.Attempt, left time.Duration) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", t.Method, t.Target, t.Host, platform.HeaderAttempt, t.ID, platform.HeaderBudget, left.Milliseconds())
 	if len(t.Body) > 0 {
@@ -48,7 +48,7 @@
 		return nil, nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, responseMost))
 	return resp, body, err
 }
 
--- a/lab/soak/troubles.go
+++ b/lab/soak/faults.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// trouble is one trouble at its time.
-type trouble struct {
+// scheduledFault is one trouble at its time.
+type scheduledFault struct {
 	kind string
 	at   time.Duration
 	// lasts is how long it goes on; seed draws whom it meets.
@@ -19,19 +19,19 @@
 	seed  uint64
 }
 
-// act brings a trouble about; it returns when the trouble is over.
-type act func(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration)
+// inject brings a trouble about; it returns when the trouble is over.
+type inject func(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration)
 
-// kindOf is a kind of trouble: how often it is drawn beside the others, and what it does.
-type kindOf struct {
+// faultKind is a kind of trouble: how often it is drawn beside the others, and what it does.
+type faultKind struct {
 	name   string
 	weight int
-	do     act
+	do     inject
 }
 
-// troubleKinds are all kinds, in a fixed order.
-func troubleKinds() []kindOf {
-	return slices.Concat(processTroubles(), coreTroubles(), networkTroubles(), backendTroubles(), operatorTroubles(), resourceTroubles(), replaceTroubles())
+// faultKinds are all kinds, in a fixed order.
+func faultKinds() []faultKind {
+	return slices.Concat(processFaults(), coreFaults(), networkFaults(), backendFaults(), operatorFaults(), resourceFaults(), replaceFaults())
 }
 
 // Times of the schedule.
@@ -42,17 +42,17 @@
 )
 
 // schedule draws the troubles of a run: two or three are under way at most times.
-func schedule(o Options) []trouble {
+func schedule(o Options) []scheduledFault {
 	drawn := rand.New(rand.NewPCG(o.Seed, 0x736f616b))
-	kinds := troubleKinds()
+	kinds := faultKinds()
 	if len(o.Only) > 0 {
-		kinds = slices.DeleteFunc(kinds, func(k kindOf) bool { return !slices.Contains(o.Only, k.name) })
+		kinds = slices.DeleteFunc(kinds, func(k faultKind) bool { return !slices.Contains(o.Only, k.name) })
 	}
 	sum := 0
 	for _, k := range kinds {
 		sum += k.weight
 	}
-	var out []trouble
+	var out []scheduledFault
 	gap := float64(cmp.Or(o.Gap, gapMean))
 	for at := time.Second; at < o.For && sum > 0; at += time.Duration(drawn.ExpFloat64() * gap) {
 		n := drawn.IntN(sum)
@@ -62,14 +62,14 @@
 			i++
 		}
 		lasts := lastsLeast + time.Duration(drawn.Int64N(int64(lastsMost-lastsLeast)))
-		out = append(out, trouble{kind: kinds[i].name, at: at, lasts: lasts, seed: drawn.Uint64()})
+		out = append(out, scheduledFault{kind: kinds[i].name, at: at, lasts: lasts, seed: drawn.Uint64()})
 	}
 	return out
 }
 
 // kindNamed is a kind by its name.
-func kindNamed(name string) kindOf {
-	for _, k := range troubleKinds() {
+func kindNamed(name string) faultKind {
+	for _, k := range faultKinds() {
 		if k.name == name {
 			return k
 		}
--- a/lab/soak/healing.go
+++ b/lab/soak/healing.go
@@ -26,16 +26,16 @@
 	return r.place.writeSettings(d.machine, d.role, r.place.settings(d.machine, d.role, seeds, r.fleet.addr, bootstrap), torn)
 }
 
-// settle writes a process's settings file while the run is under way.
-func (r *run) settle(d *daemon, seeds []int, torn bool) {
+// awaitSettingsRead writes a process's settings file while the run is under way.
+func (r *run) awaitSettingsRead(d *daemon, seeds []int, torn bool) {
 	if err := r.writeSettings(d, seeds, false, torn); err != nil {
 		r.find("settings of %s: %v", d.name, err)
 	}
 }
 
-// noteTorn notes that a process's file is in halves: from then on the run excuses an end over that, since
+// recordTorn notes that a process's file is in halves: from then on the run excuses an end over that, since
 // a life that began meanwhile may end at any time after.
-func (r *run) noteTorn(d *daemon) {
+func (r *run) recordTorn(d *daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.torn[d] = true
@@ -50,13 +50,13 @@
 
 // operate has operators change the configuration, and read it, until the run is over.
 func (r *run) operate(ctx context.Context) {
-	drawn := rand.New(rand.NewPCG(r.o.Seed, 0x6f7065))
+	drawn := rand.New(rand.NewPCG(r.options.Seed, 0x6f7065))
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(200+drawn.IntN(800))*time.Millisecond)
 		if drawn.IntN(3) == 0 {
 			r.changeOnce(ctx, drawn.IntN(2) == 0, false)
 		}
-		r.operators.look(ctx)
+		r.operators.readAll(ctx)
 	}
 }
 
@@ -64,7 +64,7 @@
 func (r *run) changeOnce(ctx context.Context, patch, invalid bool) {
 	r.changes.Lock()
 	defer r.changes.Unlock()
-	text := changeText(wholeText)
+	text := changeText(completeText)
 	switch {
 	case invalid:
 		text, patch = badText, false
@@ -77,11 +77,11 @@
 
 // heal mends everything and waits until all serve again.
 func (r *run) heal(ctx context.Context) {
-	r.network.JoinAll()
+	r.network.HealAll()
 	seeds := r.coresNow()
 	for _, d := range r.daemons {
 		d.setDown(false)
-		r.settle(d, seeds, false)
+		r.awaitSettingsRead(d, seeds, false)
 	}
 	ctx, cancel := context.WithTimeout(ctx, bringUpMost)
 	defer cancel()
@@ -97,7 +97,7 @@
 			}
 		}
 	}
-	if !r.takesOrders(ctx) {
+	if !r.acceptsCommands(ctx) {
 		r.find("not healed: no change is taken")
 	}
 	r.say("healed after %v", time.Since(began).Round(time.Millisecond))
@@ -117,7 +117,7 @@
 func (r *run) awaitReady(ctx context.Context) bool {
 	for n := range machineCount {
 		url := "http://" + r.place.at(n, portReadiness) + "/-/readiness"
-		for !answers(ctx, url) {
+		for !respondsOK(ctx, url) {
 			if ctx.Err() != nil {
 				return false
 			}
@@ -130,7 +130,7 @@
 // probes asks the run's own processes; connections are not kept.
 var probes = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func answers(ctx context.Context, url string) bool {
+func respondsOK(ctx context.Context, url string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
@@ -144,9 +144,9 @@
 }
 
 // serves waits until a machine answers a request of a kind with a success.
-func (r *run) serves(ctx context.Context, k kind, machine int) bool {
+func (r *run) serves(ctx context.Context, k requestKind, machine int) bool {
 	for ctx.Err() == nil {
-		if t := r.clients.tryAt(k, machineName(machine)); t.Served() {
+		if t := r.clients.attemptAt(k, machineName(machine)); t.Served() {
 			return true
 		}
 		sleep(ctx, 50*time.Millisecond)
@@ -154,17 +154,17 @@
 	return false
 }
 
-// takesOrders waits until a change is acknowledged, and reads it back at every core.
-func (r *run) takesOrders(ctx context.Context) bool {
-	r.operators.lose.Store(0)
+// acceptsCommands waits until a change is acknowledged, and reads it back at every core.
+func (r *run) acceptsCommands(ctx context.Context) bool {
+	r.operators.acksToLose.Store(0)
 	r.operators.refresh(ctx)
 	r.operators.mu.Lock()
-	before := r.operators.newest
+	before := r.operators.newestRevision
 	r.operators.mu.Unlock()
 	for ctx.Err() == nil {
 		r.changeOnce(ctx, false, false)
 		r.operators.mu.Lock()
-		after := r.operators.newest
+		after := r.operators.newestRevision
 		r.operators.mu.Unlock()
 		if after > before {
 			return r.readBack(ctx)
@@ -175,14 +175,14 @@
 
 // readBack reads the configuration at the end, as the rules want it.
 func (r *run) readBack(ctx context.Context) bool {
-	asked := r.j.now()
-	got := r.operators.carry(ctx, http.MethodGet, configPath, "", "", func(int64) {})
+	asked := r.journal.now()
+	got := r.operators.sendUntilFinal(ctx, http.MethodGet, configPath, "", "", func(int64) {})
 	if got.status != http.StatusOK {
 		return false
 	}
-	at := r.j.now()
-	r.j.with(func() {
-		r.j.ReadBack = append(r.j.ReadBack, rules.Reading{Asked: asked, At: at, Table: readTable(got.body)})
+	at := r.journal.now()
+	r.journal.with(func() {
+		r.journal.ReadBack = append(r.journal.ReadBack, rules.Reading{RequestedAt: asked, At: at, Table: readTable(got.body)})
 	})
 	return true
 }
@@ -193,14 +193,14 @@
 // gauges are what must be 0 in a node at rest.
 var gauges = []string{"wallport_requests_open", "wallport_asks_open", "wallport_bodies_held_bytes"}
 
-// settled waits until every node is at rest, and looks at its figures.
-func (r *run) settled(ctx context.Context) {
+// checkRest waits until every node is at rest, and looks at its figures.
+func (r *run) checkRest(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, restWithin)
 	defer cancel()
 	for n := range machineCount {
 		left := ""
 		for {
-			if left = r.underWay(n); left == "" {
+			if left = r.inFlight(n); left == "" {
 				break
 			}
 			if ctx.Err() != nil {
@@ -212,15 +212,15 @@
 	}
 }
 
-// underWay tells what a node's gauges say is not over yet.
-func (r *run) underWay(machine int) string {
+// inFlight tells what a node's gauges say is not over yet.
+func (r *run) inFlight(machine int) string {
 	resp, err := probes.Get("http://" + r.place.at(machine, portNodeOperator) + "/metrics")
 	if err != nil {
 		return err.Error()
 	}
 	defer resp.Body.Close()
 	var out []string
-	for name, value := range readFigures(resp.Body) {
+	for name, value := range readMetrics(resp.Body) {
 		for _, g := range gauges {
 			if name == g && value != "0" {
 				out = append(out, name+"="+value)
--- a/lab/soak/journal.go
+++ b/lab/soak/journal.go
@@ -15,14 +15,14 @@
 	mu    sync.Mutex
 	began time.Time
 	rules.Journal
-	// harsh are the troubles of each machine that are no planned work: only these excuse a request that is cut.
-	harsh rules.Touch
+	// unplannedOnly are the troubles of each machine that are no planned work: only these excuse a request that is cut.
+	unplannedOnly rules.FaultSpans
 }
 
 func newJournal() *journal {
 	j := &journal{began: time.Now()}
 	j.Bounds = bounds()
-	j.Touch.Trouble = map[string]*rules.Spans{}
+	j.Faults.Machines = map[string]*rules.Spans{}
 	return j
 }
 
@@ -36,41 +36,41 @@
 	f()
 }
 
-// span is a trouble under way: where it counts, and whether it is planned work.
-type span struct {
+// faultSpan is a trouble under way: where it counts, and whether it is planned work.
+type faultSpan struct {
 	machines  []string
 	unsettles bool
 	planned   bool
 }
 
-// open and close note a trouble's begin and end. A trouble that is under way in several ways at once
+// beginFault and close note a trouble's begin and end. A trouble that is under way in several ways at once
 // counts until the last of them ends.
-func (j *journal) open(s span)  { j.mark(s, true) }
-func (j *journal) close(s span) { j.mark(s, false) }
+func (j *journal) beginFault(s faultSpan) { j.setFault(s, true) }
+func (j *journal) endFault(s faultSpan)   { j.setFault(s, false) }
 
-func (j *journal) mark(s span, begins bool) {
+func (j *journal) setFault(s faultSpan, begins bool) {
 	at := j.now()
 	j.with(func() {
 		for _, m := range s.machines {
-			add(j.Touch.Of(m), at, begins)
+			setSpan(j.Faults.Of(m), at, begins)
 			if !s.planned {
-				add(j.harsh.Of(m), at, begins)
+				setSpan(j.unplannedOnly.Of(m), at, begins)
 			}
 		}
 		if s.unsettles {
-			add(&j.Touch.Unsettled, at, begins)
-			add(&j.Touch.Halved, at, begins)
+			setSpan(&j.Faults.Unsettled, at, begins)
+			setSpan(&j.Faults.NoMajority, at, begins)
 		}
 		if s.planned {
-			add(&j.Touch.Planned, at, begins)
+			setSpan(&j.Faults.Planned, at, begins)
 		} else {
-			add(&j.Touch.Unplanned, at, begins)
+			setSpan(&j.Faults.Unplanned, at, begins)
 		}
 	})
 }
 
-// add begins a stretch, or ends the newest one that is open.
-func add(s *rules.Spans, at int64, begins bool) {
+// setSpan begins a stretch, or ends the newest one that is open.
+func setSpan(s *rules.Spans, at int64, begins bool) {
 	if begins {
 		*s = append(*s, rules.Span{From: at, To: rules.Never})
 		return
--- a/lab/soak/logs.go
+++ b/lab/soak/logs.go
@@ -13,14 +13,14 @@
 
 // logFile keeps what a process logs. While it is held nothing is read.
 type logFile struct {
-	path string
-	held sync.RWMutex
-	file *os.File
+	path   string
+	paused sync.RWMutex
+	file   *os.File
 }
 
 func (l *logFile) Write(b []byte) (int, error) {
-	l.held.RLock()
-	defer l.held.RUnlock()
+	l.paused.RLock()
+	defer l.paused.RUnlock()
 	if l.file == nil {
 		f, err := os.OpenFile(l.path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
@@ -31,11 +31,11 @@
 	return l.file.Write(b)
 }
 
-// logMarks are what no log may hold.
-var logMarks = []string{"event=invariant_violated", "panic:", "panic serving", "fatal error:", "DATA RACE", "event=replica_rolled_back", "event=disk_damaged"}
+// faultMarkers are what no log may hold.
+var faultMarkers = []string{"event=invariant_violated", "panic:", "panic serving", "fatal error:", "DATA RACE", "event=replica_rolled_back", "event=disk_damaged"}
 
-// faults lists what the process's ends and logs tell of faults.
-func (d *daemon) faults() []string {
+// logFaults lists what the process's ends and logs tell of faults.
+func (d *daemon) logFaults() []string {
 	d.mu.Lock()
 	out := append([]string(nil), d.ownEnds...)
 	d.mu.Unlock()
@@ -47,7 +47,7 @@
 		return append(out, err.Error())
 	}
 	for _, line := range strings.Split(string(text), "\n") {
-		for _, mark := range logMarks {
+		for _, mark := range faultMarkers {
 			if strings.Contains(line, mark) {
 				out = append(out, d.name+": "+line)
 			}
--- a/lab/soak/network_troubles.go
+++ b/lab/soak/network_faults.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-func networkTroubles() []kindOf {
-	return []kindOf{
-		{"mesh_cut", 3, meshCut},
-		{"mesh_cut_one_way", 2, meshCutOneWay},
+func networkFaults() []faultKind {
+	return []faultKind{
+		{"mesh_cut", 3, partitionMesh},
+		{"mesh_cut_one_way", 2, partitionMeshOneWay},
 		{"mesh_reset", 2, meshReset},
 		{"mesh_half_open", 2, meshHalfOpen},
-		{"core_cut", 3, coreCut},
-		{"core_halves", 1, coreHalves},
-		{"clients_cut", 2, clientsCut},
+		{"core_cut", 3, partitionCore},
+		{"core_halves", 1, splitCore},
+		{"clients_cut", 2, partitionClients},
 		{"clients_reset", 2, clientsReset},
 		{"clients_half_open", 1, clientsHalfOpen},
 		{"log_unread", 2, logUnread},
@@ -44,8 +44,8 @@
 	return append(out, coreName(spareMachine))
 }
 
-// meshCut cuts a node off from all other processes.
-func meshCut(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
+// partitionMesh cuts a node off from all other processes.
+func partitionMesh(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	n := anyMachine(drawn)
 	r.during(atMachine(n), func() {
 		r.network.Set([]string{nodeName(n)}, everyProcess(), true)
@@ -54,15 +54,15 @@
 	})
 }
 
-// meshCutOneWay has nothing of a node, or nothing for it, arrive.
-func meshCutOneWay(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
+// partitionMeshOneWay has nothing of a node, or nothing for it, arrive.
+func partitionMeshOneWay(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	n, out := anyMachine(drawn), drawn.IntN(2) == 0
 	set := func(apart bool) {
 		for _, other := range everyProcess() {
 			if out {
-				r.network.SetWay(nodeName(n), other, apart)
+				r.network.SetOneWay(nodeName(n), other, apart)
 			} else {
-				r.network.SetWay(other, nodeName(n), apart)
+				r.network.SetOneWay(other, nodeName(n), apart)
 			}
 		}
 	}
@@ -97,40 +97,40 @@
 	})
 }
 
-// coreCut cuts a core off from everyone, or from the other cores alone.
-func coreCut(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
+// partitionCore cuts a core off from everyone, or from the other cores alone.
+func partitionCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	n, all := drawn.IntN(coreCount), drawn.IntN(2) == 0
 	others := everyProcess()
 	if !all {
 		others = others[machineCount:]
 	}
-	r.during(span{unsettles: true}, func() {
+	r.during(faultSpan{unsettles: true}, func() {
 		r.network.Set([]string{coreName(n)}, others, true)
 		sleep(ctx, lasts)
 		r.network.Set([]string{coreName(n)}, others, false)
 	})
 }
 
-// coreHalves cuts every core off from every other one.
-func coreHalves(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
+// splitCore cuts every core off from every other one.
+func splitCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	cores := everyProcess()[machineCount:]
-	r.during(span{unsettles: true}, func() {
+	r.during(faultSpan{unsettles: true}, func() {
 		r.network.Set(cores, cores, true)
 		sleep(ctx, lasts)
 		r.network.Set(cores, cores, false)
 	})
 }
 
-// clientsCut holds what clients send to a machine, or its answers, or both.
-func clientsCut(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
+// partitionClients holds what clients send to a machine, or its answers, or both.
+func partitionClients(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	n, how := anyMachine(drawn), drawn.IntN(3)
 	r.during(atMachine(n), func() {
 		set := func(apart bool) {
 			if how != 1 {
-				r.network.SetWay(clientsName, machineName(n), apart)
+				r.network.SetOneWay(clientsName, machineName(n), apart)
 			}
 			if how != 0 {
-				r.network.SetWay(machineName(n), clientsName, apart)
+				r.network.SetOneWay(machineName(n), clientsName, apart)
 			}
 		}
 		set(true)
@@ -160,8 +160,8 @@
 // logUnread has nobody read what the processes of a machine log.
 func logUnread(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	for _, d := range r.ofMachine(anyMachine(drawn)) {
-		d.log.held.Lock()
-		defer d.log.held.Unlock()
+		d.log.paused.Lock()
+		defer d.log.paused.Unlock()
 	}
 	sleep(ctx, 2*lasts)
 }
--- a/lab/soak/operator_troubles.go
+++ b/lab/soak/operator_faults.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-func operatorTroubles() []kindOf {
-	return []kindOf{
+func operatorFaults() []faultKind {
+	return []faultKind{
 		{"config_race", 4, configRace},
 		{"config_storm", 2, configStorm},
 		{"config_invalid", 2, configInvalid},
-		{"answers_lost", 3, answersLost},
+		{"answers_lost", 3, loseAcks},
 		{"evacuate", 4, evacuate},
 	}
 }
@@ -40,10 +40,10 @@
 	r.changeOnce(context.WithoutCancel(ctx), false, true)
 }
 
-// answersLost loses most answers on their way to the operators.
-func answersLost(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.operators.lose.Add(700)
-	defer r.operators.lose.Add(-700)
+// loseAcks loses most answers on their way to the operators.
+func loseAcks(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
+	r.operators.acksToLose.Add(700)
+	defer r.operators.acksToLose.Add(-700)
 	sleep(ctx, lasts)
 }
 
