--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -21,36 +21,36 @@
 
 // operators send the orders of a run.
 type operators struct {
-	j      *journal
-	to     []string
-	client *http.Client
-	// lose is the part of the answers that are lost, in thousandths.
-	lose atomic.Int64
+	journal *journal
+	to      []string
+	client  *http.Client
+	// acksToLose is the part of the answers that are lost, in thousandths.
+	acksToLose atomic.Int64
 	// serial counts the changes.
 	serial atomic.Int64
 
 	mu sync.Mutex
-	// newest is the newest version that is known to be in force, and its table.
-	newest int64
-	table  *routingpb.RoutingTable
-	last   int64
+	// newestRevision is the newest version that is known to be in force, and its table.
+	newestRevision int64
+	table          *routingpb.RoutingTable
+	last           int64
 	// unclear is that the outcome of some order is not known: it may take effect late.
 	unclear bool
 }
 
 // Figures of operators.
 const (
-	silenceMost = time.Second
-	callsMost   = 60
-	loseAlways  = 30
+	responseTimeout = time.Second
+	callsMost       = 60
+	loseAlways      = 30
 )
 
 func newOperators(j *journal, to []string) *operators {
-	o := &operators{j: j, to: to, client: &http.Client{
-		Timeout: silenceMost, Transport: &http.Transport{DisableKeepAlives: true},
+	o := &operators{journal: j, to: to, client: &http.Client{
+		Timeout: responseTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
-	o.lose.Store(loseAlways)
+	o.acksToLose.Store(loseAlways)
 	return o
 }
 
@@ -97,7 +97,7 @@
 	if err != nil {
 		return reply{}
 	}
-	return reply{resp.StatusCode, text, rand.Int64N(1000) < o.lose.Load()}
+	return reply{resp.StatusCode, text, rand.Int64N(1000) < o.acksToLose.Load()}
 }
 
 // final tells that a call's answer ends the order.
@@ -105,14 +105,14 @@
 	return status == 200 || status == 400 || status == 404 || status == 409 || status == 412 || status == 413 || status == 422
 }
 
-// carry sends an order until its answer is clear; taken is when the first acknowledgement left a core,
+// sendUntilFinal sends an order until its answer is clear; taken is when the first acknowledgement left a core,
 // lost on its way or not. An order whose outcome is still not known after many calls is left so.
-func (o *operators) carry(ctx context.Context, method, path, match, body string, taken func(at int64)) reply {
+func (o *operators) sendUntilFinal(ctx context.Context, method, path, match, body string, taken func(at int64)) reply {
 	pause := 50 * time.Millisecond
 	for range callsMost {
 		r := o.call(ctx, method, path, match, body)
 		if r.status == 200 {
-			taken(o.j.now())
+			taken(o.journal.now())
 		}
 		if final(r.status) && !r.lost {
 			return r
@@ -133,7 +133,7 @@
 // change sends a change on top of the newest version, with a number above it.
 func (o *operators) change(ctx context.Context, text changeText, patch, invalid, alone bool, step int64) {
 	o.mu.Lock()
-	base, before := o.newest, o.table
+	base, before := o.newestRevision, o.table
 	revision := max(base, o.last) + step
 	if alone {
 		o.last = revision
@@ -144,23 +144,23 @@
 	if patch {
 		method = http.MethodPatch
 	}
-	v := &rules.Version{Revision: revision, Base: base, Sent: o.j.now(), Acked: rules.Never, Refused: rules.Never, Invalid: invalid, Alone: alone}
+	v := &rules.Version{Revision: revision, Base: base, Sent: o.journal.now(), Acked: rules.Never, Refused: rules.Never, Invalid: invalid, Alone: alone}
 	v.Table = applied(before, body, base, patch)
-	o.j.with(func() { o.j.Versions = append(o.j.Versions, v) })
-	r := o.carry(ctx, method, configPath, strconv.FormatInt(base, 10), body, func(at int64) {
-		o.j.with(func() {
-			if v.Taken == 0 {
-				v.Taken = at
+	o.journal.with(func() { o.journal.Versions = append(o.journal.Versions, v) })
+	r := o.sendUntilFinal(ctx, method, configPath, strconv.FormatInt(base, 10), body, func(at int64) {
+		o.journal.with(func() {
+			if v.FirstAcked == 0 {
+				v.FirstAcked = at
 			}
 		})
 	})
-	at := o.j.now()
+	at := o.journal.now()
 	switch r.status {
 	case 200:
-		o.j.with(func() { v.Acked = at })
+		o.journal.with(func() { v.Acked = at })
 		o.mu.Lock()
-		if revision > o.newest {
-			o.newest, o.table = revision, v.Table
+		if revision > o.newestRevision {
+			o.newestRevision, o.table = revision, v.Table
 		}
 		o.mu.Unlock()
 	case 0:
@@ -168,7 +168,7 @@
 		o.unclear = true
 		o.mu.Unlock()
 	default:
-		o.j.with(func() { v.Refused = at })
+		o.journal.with(func() { v.Refused = at })
 	}
 }
 
@@ -176,16 +176,16 @@
 
 // first sends the first configuration until it is taken.
 func (o *operators) first(ctx context.Context) bool {
-	o.change(ctx, wholeText, false, false, true, 3)
+	o.change(ctx, completeText, false, false, true, 3)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.newest > 0
+	return o.newestRevision > 0
 }
 
 // race has several operators change the same version at once, some under one number.
 func (o *operators) race(ctx context.Context, n int) {
 	var all sync.WaitGroup
-	texts := []changeText{wholeText, patchText}
+	texts := []changeText{completeText, patchText}
 	for i := range n {
 		all.Go(func() { o.change(ctx, texts[i%2], i%2 == 1, false, false, int64(2+i/2)) })
 	}
@@ -195,8 +195,8 @@
 
 // refresh reads what is in force, to build on it: after a race, or an order without a clear answer.
 func (o *operators) refresh(ctx context.Context) {
-	asked := o.j.now()
-	r := o.carry(ctx, http.MethodGet, configPath, "", "", func(int64) {})
+	asked := o.journal.now()
+	r := o.sendUntilFinal(ctx, http.MethodGet, configPath, "", "", func(int64) {})
 	if r.status != 200 {
 		return
 	}
@@ -204,23 +204,23 @@
 	t := readTable(r.body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if t.GetRevision() > o.newest {
-		o.newest, o.table = t.GetRevision(), t
+	if t.GetRevision() > o.newestRevision {
+		o.newestRevision, o.table = t.GetRevision(), t
 	}
-	o.last = max(o.last, o.newest)
+	o.last = max(o.last, o.newestRevision)
 }
 
 // read notes a reading.
 func (o *operators) read(asked int64, r reply) {
-	at, t := o.j.now(), readTable(r.body)
-	o.j.with(func() {
-		o.j.Confirmed = append(o.j.Confirmed, rules.ConfirmedReading{Sent: asked, At: at, Table: t, TableOnly: true})
+	at, t := o.journal.now(), readTable(r.body)
+	o.journal.with(func() {
+		o.journal.Confirmed = append(o.journal.Confirmed, rules.ConfirmedReading{Sent: asked, At: at, Table: t, TableOnly: true})
 	})
 }
 
-// look reads the configuration once, at any core.
-func (o *operators) look(ctx context.Context) {
-	asked := o.j.now()
+// readAll reads the configuration once, at any core.
+func (o *operators) readAll(ctx context.Context) {
+	asked := o.journal.now()
 	if r := o.call(ctx, http.MethodGet, configPath, "", ""); r.status == 200 {
 		o.read(asked, r)
 	}
--- a/lab/soak/process_troubles.go
+++ b/lab/soak/process_faults.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-func processTroubles() []kindOf {
-	return []kindOf{
+func processFaults() []faultKind {
+	return []faultKind{
 		{"node_kill", 4, killNode},
 		{"node_freeze", 3, freeze(roleNode)},
 		{"node_stop", 4, stopNode},
@@ -29,7 +29,7 @@
 func anyMachine(drawn *rand.Rand) int { return drawn.IntN(machineCount) }
 
 // atMachine is the span of a trouble of one machine's node.
-func atMachine(n int) span { return span{machines: []string{machineName(n)}} }
+func atMachine(n int) faultSpan { return faultSpan{machines: []string{machineName(n)}} }
 
 // killFor kills a process and lets it start again after a while.
 func killFor(ctx context.Context, d *daemon, lasts time.Duration) {
@@ -45,9 +45,9 @@
 }
 
 // freeze stops a process of a role, and thaws it.
-func freeze(role string) act {
+func freeze(role string) inject {
 	return func(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-		n, s := drawn.IntN(coreCount), span{unsettles: true}
+		n, s := drawn.IntN(coreCount), faultSpan{unsettles: true}
 		if role == roleNode {
 			n = anyMachine(drawn)
 			s = atMachine(n)
@@ -66,7 +66,7 @@
 	n := anyMachine(drawn)
 	pressed, release := context.WithCancel(ctx)
 	go r.press(pressed, n)
-	r.during(span{machines: []string{machineName(n)}, planned: true}, func() { r.stopOnce(r.node(n)) })
+	r.during(faultSpan{machines: []string{machineName(n)}, planned: true}, func() { r.stopOnce(r.node(n)) })
 	release()
 }
 
@@ -76,7 +76,7 @@
 // press sends one machine requests that may run once, so that some are under way at any time.
 func (r *run) press(ctx context.Context, machine int) {
 	for ctx.Err() == nil {
-		r.clients.all.Go(func() { r.clients.tryAt(kinds[2], machineName(machine)) })
+		r.clients.all.Go(func() { r.clients.attemptAt(kinds[2], machineName(machine)) })
 		sleep(ctx, pressEvery)
 	}
 }
@@ -84,7 +84,7 @@
 // stopNodeTwice sends a second SIGTERM and a SIGHUP into a planned stop.
 func stopNodeTwice(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	n := anyMachine(drawn)
-	r.during(span{machines: []string{machineName(n)}, planned: true}, func() {
+	r.during(faultSpan{machines: []string{machineName(n)}, planned: true}, func() {
 		d := r.node(n)
 		again := time.AfterFunc(lasts/4, func() {
 			d.signal(syscall.SIGHUP)
@@ -113,7 +113,7 @@
 
 // herdKill kills half of the nodes at the same moment.
 func herdKill(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	var s span
+	var s faultSpan
 	chosen := drawn.Perm(machineCount)[:machineCount/2]
 	for _, n := range chosen {
 		s.machines = append(s.machines, machineName(n))
@@ -132,7 +132,7 @@
 	seeds := drawn.Perm(coreCount)[:1+drawn.IntN(coreCount)]
 	for _, d := range r.daemons {
 		if drawn.IntN(2) == 0 {
-			r.settle(d, seeds, false)
+			r.awaitSettingsRead(d, seeds, false)
 			if drawn.IntN(2) == 0 {
 				d.signal(syscall.SIGHUP)
 			}
@@ -144,11 +144,11 @@
 // then finds it so and is to start again once it is whole.
 func settingsBroken(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
 	d := r.daemons[drawn.IntN(len(r.daemons))]
-	r.noteTorn(d)
-	r.settle(d, nil, true)
+	r.recordTorn(d)
+	r.awaitSettingsRead(d, nil, true)
 	d.signal(syscall.SIGHUP)
 	sleep(ctx, lasts/2)
-	r.settle(d, nil, false)
+	r.awaitSettingsRead(d, nil, false)
 	d.signal(syscall.SIGHUP)
 }
 
--- a/lab/soak/processes.go
+++ b/lab/soak/processes.go
@@ -35,27 +35,27 @@
 	mu  sync.Mutex
 	cmd *exec.Cmd
 	// down keeps it from starting again; told is that it was told to end, or killed.
-	down, told bool
+	down, stopRequested bool
 	// removed is that its machine is gone for good.
 	removed bool
-	// say is told of every signal.
-	say func(format string, args ...any)
-	// frozen is that it is stopped by a signal now; frozeAt when it was last.
-	frozen  bool
-	frozeAt time.Time
+	// report is told of every signal.
+	report func(format string, args ...any)
+	// frozen is that it is stopped by a signal now; frozenAt when it was last.
+	frozen   bool
+	frozenAt time.Time
 	// killed is that it was killed: it cannot end as planned.
-	killed bool
-	lives  int
+	killed       bool
+	incarnations int
 	// ownEnds tells of the lives that ended by themselves.
 	ownEnds []string
 	closed  bool
-	over    chan struct{}
+	ended   chan struct{}
 }
 
 // newDaemon is a process that does not run yet.
 func newDaemon(o Options, p *place, machine int, role string) *daemon {
 	name := fmt.Sprintf("%s-%d", role, machine)
-	d := &daemon{name: name, role: role, machine: machine, logPath: filepath.Join(o.Dir, name+".log"), over: make(chan struct{})}
+	d := &daemon{name: name, role: role, machine: machine, logPath: filepath.Join(o.Dir, name+".log"), ended: make(chan struct{})}
 	d.log.path = d.logPath
 	behind := fmt.Sprintf("%s:%d", p.behindIP(machine, role), p.first)
 	d.start = func() *exec.Cmd {
@@ -68,7 +68,7 @@
 
 // run starts the process again and again until the run is over.
 func (d *daemon) run() {
-	defer close(d.over)
+	defer close(d.ended)
 	for {
 		if d.awaitUp() {
 			return
@@ -76,7 +76,7 @@
 		err := d.live()
 		d.mu.Lock()
 		if !d.closed && !d.explains(err) {
-			d.ownEnds = append(d.ownEnds, fmt.Sprintf("%s, life %d: %v", d.name, d.lives, err))
+			d.ownEnds = append(d.ownEnds, fmt.Sprintf("%s, life %d: %v", d.name, d.incarnations, err))
 		}
 		d.cmd = nil
 		d.mu.Unlock()
@@ -87,7 +87,7 @@
 // explains tells that a life was to end as it did: it was killed, or told to stop and did so - as planned,
 // or by the signal itself, where that came before the program could ask for it. The lock is held.
 func (d *daemon) explains(err error) bool {
-	return d.killed || d.told && (err == nil || err.Error() == "signal: terminated")
+	return d.killed || d.stopRequested && (err == nil || err.Error() == "signal: terminated")
 }
 
 // awaitUp waits until the process may run; true is that the run is over.
@@ -114,9 +114,9 @@
 	unix.FcntlInt(write.Fd(), unix.F_SETPIPE_SZ, pipeSize)
 	cmd.Stdout, cmd.Stderr = write, write
 	d.mu.Lock()
-	d.lives++
-	d.told, d.killed, d.frozen = false, false, false
-	fmt.Fprintf(&d.log, "== life %d\n", d.lives)
+	d.incarnations++
+	d.stopRequested, d.killed, d.frozen = false, false, false
+	fmt.Fprintf(&d.log, "== life %d\n", d.incarnations)
 	err = cmd.Start()
 	if err == nil {
 		d.cmd = cmd
--- a/lab/soak/replace_troubles.go
+++ b/lab/soak/replace_faults.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-func replaceTroubles() []kindOf {
-	return []kindOf{{"core_replaced", 1, coreReplaced}}
+func replaceFaults() []faultKind {
+	return []faultKind{{"core_replaced", 1, coreReplaced}}
 }
 
 // coreReplaced removes a core for good, with or without a planned stop, and adds a spare machine's in its
 // place. One is replaced at a time, while the cores are calm, and once in a run.
 func coreReplaced(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	if !r.cores.claim() {
+	if !r.coreCalm.tryAcquire() {
 		return
 	}
-	defer r.cores.release()
+	defer r.coreCalm.release()
 	r.mu.Lock()
 	spare := r.spare
 	r.spare = nil
@@ -29,7 +29,7 @@
 		return
 	}
 	gone := anyCore(r, drawn)
-	r.span(span{unsettles: true}, func() {
+	r.span(faultSpan{unsettles: true}, func() {
 		gone.setDown(true)
 		if drawn.IntN(2) == 0 {
 			r.stopOnce(gone)
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -39,45 +39,45 @@
 
 // report judges the run. Broken rules with bounds of time count where that was asked for.
 func (r *run) report() *Report {
-	out := &Report{Seed: r.o.Seed, Findings: slices.Clone(r.findings)}
-	r.j.with(func() {
-		r.j.End = r.j.now()
+	out := &Report{Seed: r.options.Seed, Findings: slices.Clone(r.findings)}
+	r.journal.with(func() {
+		r.journal.End = r.journal.now()
 		r.nameMachines()
-		r.j.Judge()
-		for _, f := range r.j.Findings {
-			text := fmt.Sprintf("%s at %.3f s: %s (%d in all)", f.Rule, float64(f.At)/second, f.Text, r.j.Broken[f.Rule])
+		r.journal.Check()
+		for _, f := range r.journal.Findings {
+			text := fmt.Sprintf("%s at %.3f s: %s (%d in all)", f.Rule, float64(f.At)/second, f.Text, r.journal.Broken[f.Rule])
 			switch {
 			case strings.Contains(f.Text, undecidedMark):
 				out.Undecided = append(out.Undecided, text)
-			case r.o.Timed || slices.Contains(untimed, f.Rule):
+			case r.options.Timed || slices.Contains(untimed, f.Rule):
 				out.Findings = append(out.Findings, text)
 			default:
 				r.say("not judged, since it depends on time: %s", text)
 			}
 		}
-		out.Tested = r.j.Tested
-		out.Requests, out.Arrivals, out.Changes = len(r.j.Tries), len(r.j.Arrivals), len(r.j.Versions)
-		for _, t := range r.j.Tries {
+		out.Tested = r.journal.Tested
+		out.Requests, out.Arrivals, out.Changes = len(r.journal.Attempts), len(r.journal.Arrivals), len(r.journal.Versions)
+		for _, t := range r.journal.Attempts {
 			if t.Served() {
 				out.Served++
 			}
 		}
-		for _, v := range r.j.Versions {
+		for _, v := range r.journal.Versions {
 			if v.Acked != never {
 				out.Acked++
 			}
 		}
-		out.Findings = append(out.Findings, r.cuts()...)
+		out.Findings = append(out.Findings, r.networkPartitions()...)
 	})
 	for _, d := range r.daemons {
-		out.Starts += d.lives
+		out.Starts += d.incarnations
 		out.Findings = append(out.Findings, r.explained(d)...)
 	}
-	if r.o.Timed {
+	if r.options.Timed {
 		out.Findings = append(out.Findings, r.overdue...)
 	}
-	if len(out.Findings) > 0 && r.o.Dir != "" {
-		os.WriteFile(filepath.Join(r.o.Dir, "history.txt"), []byte(r.historyText()), 0o600)
+	if len(out.Findings) > 0 && r.options.Dir != "" {
+		os.WriteFile(filepath.Join(r.options.Dir, "history.txt"), []byte(r.historyText()), 0o600)
 	}
 	return out
 }
@@ -85,11 +85,11 @@
 // nameMachines notes for each arrival the machine that the client had sent the request to.
 func (r *run) nameMachines() {
 	at := map[string]string{}
-	for _, t := range r.j.Tries {
+	for _, t := range r.journal.Attempts {
 		at[t.ID] = t.Machine
 	}
-	for _, a := range r.j.Arrivals {
-		a.Machine = at[a.Try]
+	for _, a := range r.journal.Arrivals {
+		a.Machine = at[a.Attempt]
 	}
 }
 
@@ -97,7 +97,7 @@
 func (r *run) explained(d *daemon) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, f := range d.faults() {
+	for _, f := range d.logFaults() {
 		if !r.torn[d] || !strings.Contains(f, "exit status 3") {
 			out = append(out, f)
 		}
@@ -105,18 +105,18 @@
 	return out
 }
 
-// cuts lists requests that a node in order read from a connection in order and ended without an answer,
+// networkPartitions lists requests that a node in order read from a connection in order and ended without an answer,
 // though the backend that it had passed them on to had answered. A planned stop is no excuse.
-func (r *run) cuts() (out []string) {
+func (r *run) networkPartitions() (out []string) {
 	ran := map[string]bool{}
-	for _, a := range r.j.Arrivals {
+	for _, a := range r.journal.Arrivals {
 		if a.Ran && a.Status == 200 && a.Answer != nil {
-			ran[a.Try] = true
+			ran[a.Attempt] = true
 		}
 	}
-	c := r.j.Bounds.ContactUs
-	for _, t := range r.j.Tries {
-		if !t.Cut || !ran[t.ID] || r.j.harsh.Of(t.Machine).Hit(t.Sent-c, t.Ended) {
+	c := r.journal.Bounds.ContactUs
+	for _, t := range r.journal.Attempts {
+		if !t.Aborted || !ran[t.ID] || r.journal.unplannedOnly.Of(t.Machine).Hit(t.Sent-c, t.Ended) {
 			continue
 		}
 		out = append(out, fmt.Sprintf("CUT at %.3f s: %s ran and %s ended its connection without an answer", float64(t.Ended)/second, t.ID, t.Machine))
@@ -124,8 +124,8 @@
 	return out
 }
 
-// readFigures reads a page of figures, by name.
-func readFigures(r io.Reader) map[string]string {
+// readMetrics reads a page of figures, by name.
+func readMetrics(r io.Reader) map[string]string {
 	out := map[string]string{}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -139,8 +139,8 @@
 // historyText lists what operators did and read, for whoever looks into a finding.
 func (r *run) historyText() string {
 	var b strings.Builder
-	r.j.with(func() {
-		for _, op := range r.j.OperatorsHistory().Operations {
+	r.journal.with(func() {
+		for _, op := range r.journal.OperatorsHistory().Operations {
 			fmt.Fprintf(&b, "%+v\n", op)
 		}
 	})
--- a/lab/soak/resource_troubles.go
+++ b/lab/soak/resource_faults.go
@@ -20,8 +20,8 @@
 	"wallport/platform"
 )
 
-func resourceTroubles() []kindOf {
-	return []kindOf{
+func resourceFaults() []faultKind {
+	return []faultKind{
 		{"descriptors_out", 2, descriptorsOut},
 		{"client_flood", 2, clientFlood},
 		{"client_garbage", 2, clientGarbage},
@@ -121,7 +121,7 @@
 	conn.SetDeadline(time.Now().Add(lasts))
 	k := kinds[1]
 	for ctx.Err() == nil {
-		t := r.clients.newTry(k, "", 1, time.Now().Add(k.deadline))
+		t := r.clients.newAttempt(k, "", 1, time.Now().Add(k.deadline))
 		r.clients.end(t, func() { t.GaveUp = true })
 		if _, err := conn.Write(request(t, k.deadline)); err != nil {
 			return
--- a/lab/soak/answers.go
+++ b/lab/soak/responses.go
@@ -18,24 +18,24 @@
 	"wallport/platform"
 )
 
-// answerEarly answers before the request's body is read, and reads on.
-func (b *backend) answerEarly(w http.ResponseWriter, r *http.Request, a *rules.Arrival, body []byte, seal string) {
+// respondEarly answers before the request's body is read, and reads on.
+func (b *backend) respondEarly(w http.ResponseWriter, r *http.Request, a *rules.Arrival, body []byte, seal string) {
 	c := http.NewResponseController(w)
 	c.EnableFullDuplex()
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	b.answer(w, http.StatusOK, body, seal, manner{})
+	b.respond(w, http.StatusOK, body, seal, behaviour{})
 	c.Flush()
 	if sent, err := io.ReadAll(r.Body); err == nil {
-		b.j.with(func() { a.Body = sent })
+		b.journal.with(func() { a.Body = sent })
 	}
 }
 
-// answer writes an answer, or what the manner makes of it.
-func (b *backend) answer(w http.ResponseWriter, status int, body []byte, seal string, m manner) {
-	if !m.sealless {
+// respond writes an answer, or what the manner makes of it.
+func (b *backend) respond(w http.ResponseWriter, status int, body []byte, seal string, m behaviour) {
+	if !m.unsealed {
 		w.Header().Set(platform.HeaderSeal, seal)
 	}
-	if !m.reset && !m.garbled && !m.cut && !m.surplus {
+	if !m.reset && !m.garbled && !m.truncated && !m.surplus {
 		w.WriteHeader(status)
 		w.Write(body)
 		return
@@ -55,7 +55,7 @@
 		fmt.Fprintf(buffered, "HTTP/1.1 %d OK\r\nContent-Length: %d\r\n", status, len(body))
 		head.Write(buffered)
 		buffered.WriteString("\r\n")
-		if m.cut {
+		if m.truncated {
 			body = body[:len(body)/2]
 		}
 		buffered.Write(body)
@@ -86,8 +86,8 @@
 // recordSize is the size of a record of a gathered answer.
 const recordSize = 16
 
-// answerTo is what a backend of a pool answers to a try: records in no order, and a remainder that is none.
-func answerTo(try, pool string) []byte {
+// responseBody is what a backend of a pool answers to a try: records in no order, and a remainder that is none.
+func responseBody(try, pool string) []byte {
 	h := fnv.New64a()
 	io.WriteString(h, try+" "+pool)
 	drawn := rand.New(rand.NewPCG(h.Sum64(), 1))
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -17,15 +17,15 @@
 
 // run is a run under way.
 type run struct {
-	o         Options
-	j         *journal
+	options   Options
+	journal   *journal
 	place     *place
 	network   *relay.Network
 	fleet     *fleet
 	daemons   []*daemon
 	clients   *clients
 	operators *operators
-	cores     calm
+	coreCalm  calm
 	// changes and zones let one operator's change, or one evacuation, go on at a time.
 	changes, zones sync.Mutex
 
@@ -57,12 +57,12 @@
 	var work sync.WaitGroup
 	work.Go(func() { r.clients.run(load) })
 	work.Go(func() { r.operate(load) })
-	r.trouble(ctx)
+	r.injectFaults(ctx)
 	r.heal(ctx)
 	r.closing(ctx)
 	stopLoad()
 	work.Wait()
-	r.settled(ctx)
+	r.checkRest(ctx)
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	j := newJournal()
-	r := &run{o: o, j: j, place: p, network: relay.New(), torn: map[*daemon]bool{}, seeds: map[*daemon][]int{}}
+	r := &run{options: o, journal: j, place: p, network: relay.New(), torn: map[*daemon]bool{}, seeds: map[*daemon][]int{}}
 	if r.fleet, err = newFleet(j, p); err != nil {
 		return nil, err
 	}
@@ -99,8 +99,8 @@
 			if err := r.network.Pass(fmt.Sprintf("%s-%d", role, n), r.place.at(n, port), behind); err != nil {
 				return err
 			}
-			d := newDaemon(r.o, r.place, n, role)
-			d.say = r.say
+			d := newDaemon(r.options, r.place, n, role)
+			d.report = r.say
 			r.daemons = append(r.daemons, d)
 		}
 		front := net.JoinHostPort(r.place.standInIP(), fmt.Sprint(r.place.first+n))
@@ -113,8 +113,8 @@
 	if err := r.addSpare(); err != nil {
 		return err
 	}
-	r.clients = &clients{j: r.j, rate: r.o.Rate, to: to, names: names, kept: map[string][]*kept{}}
-	r.operators = newOperators(r.j, cores)
+	r.clients = &clients{journal: r.journal, rate: r.options.Rate, to: to, names: names, idleConns: map[string][]*idleConn{}}
+	r.operators = newOperators(r.journal, cores)
 	return nil
 }
 
@@ -125,8 +125,8 @@
 	if err := r.network.Pass(coreName(spareMachine), r.place.at(spareMachine, portCoreMesh), behind); err != nil {
 		return err
 	}
-	r.spare = newDaemon(r.o, r.place, spareMachine, roleCore)
-	r.spare.say = r.say
+	r.spare = newDaemon(r.options, r.place, spareMachine, roleCore)
+	r.spare.report = r.say
 	r.daemons = append(r.daemons, r.spare)
 	return nil
 }
@@ -138,8 +138,8 @@
 func (r *run) begin(ctx context.Context) error {
 	for _, pool := range poolNames() {
 		n := perShard
-		if pool == poolDesk || pool == poolOther {
-			n = deskBackends
+		if pool == poolDispatch || pool == poolOther {
+			n = dispatchBackends
 		}
 		for range n {
 			if _, err := r.fleet.add(pool, slotsOf(pool), workOf(pool), ""); err != nil {
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, bringUpMost)
 	defer cancel()
-	go r.troubleBootstrap(ctx)
+	go r.faultBootstrap(ctx)
 	if !r.operators.first(ctx) {
 		return fmt.Errorf("the first configuration was not taken")
 	}
@@ -173,13 +173,13 @@
 	return nil
 }
 
-// trouble brings the troubles about at their times, and waits until the last one is over.
-func (r *run) trouble(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.o.For)
+// injectFaults brings the troubles about at their times, and waits until the last one is over.
+func (r *run) injectFaults(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, r.options.For)
 	defer cancel()
 	var all sync.WaitGroup
 	began := time.Now()
-	for _, t := range schedule(r.o) {
+	for _, t := range schedule(r.options) {
 		sleep(ctx, time.Until(began.Add(t.at)))
 		if ctx.Err() != nil {
 			break
@@ -196,24 +196,24 @@
 
 // say tells of an event.
 func (r *run) say(format string, args ...any) {
-	if r.o.Log != nil {
-		r.o.Log(fmt.Sprintf("%8.3f ", float64(r.j.now())/second) + fmt.Sprintf(format, args...))
+	if r.options.Log != nil {
+		r.options.Log(fmt.Sprintf("%8.3f ", float64(r.journal.now())/second) + fmt.Sprintf(format, args...))
 	}
 }
 
 // during notes a trouble for as long as it lasts; one that unsettles the core keeps disks from being lost.
-func (r *run) during(s span, f func()) {
+func (r *run) during(s faultSpan, f func()) {
 	if s.unsettles {
-		r.cores.begin()
-		defer r.cores.end()
+		r.coreCalm.begin()
+		defer r.coreCalm.end()
 	}
 	r.span(s, f)
 }
 
 // span notes a trouble for as long as it lasts.
-func (r *run) span(s span, f func()) {
-	r.j.open(s)
-	defer r.j.close(s)
+func (r *run) span(s faultSpan, f func()) {
+	r.journal.beginFault(s)
+	defer r.journal.endFault(s)
 	f()
 }
 
--- a/lab/soak/signals.go
+++ b/lab/soak/signals.go
@@ -21,15 +21,15 @@
 		// The loader is at work yet: no program can be ready for a signal.
 		return
 	}
-	d.say("%s gets %v", d.name, sig)
+	d.report("%s gets %v", d.name, sig)
 	switch sig {
 	case syscall.SIGSTOP:
-		d.frozen, d.frozeAt = true, time.Now()
+		d.frozen, d.frozenAt = true, time.Now()
 	case syscall.SIGCONT:
 		d.frozen = false
 	}
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		d.told, d.killed = true, d.killed || sig == syscall.SIGKILL
+		d.stopRequested, d.killed = true, d.killed || sig == syscall.SIGKILL
 	}
 	d.cmd.Process.Signal(sig)
 }
@@ -84,11 +84,11 @@
 	return d.cmd.Process.Pid
 }
 
-// frozeSince reports whether the process was frozen at any time since a moment.
-func (d *daemon) frozeSince(at time.Time) bool {
+// frozenSince reports whether the process was frozen at any time since a moment.
+func (d *daemon) frozenSince(at time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.frozen || d.frozeAt.After(at)
+	return d.frozen || d.frozenAt.After(at)
 }
 
 // stop has a process end as planned; it is killed when its grace is over, as the platform does. It is
@@ -106,7 +106,7 @@
 		}
 	}
 	d.signal(syscall.SIGKILL)
-	return !d.frozeSince(began)
+	return !d.frozenSince(began)
 }
 
 // close ends the process for good.
@@ -117,7 +117,7 @@
 	d.signal(syscall.SIGCONT)
 	d.signal(syscall.SIGKILL)
 	if d.began() {
-		<-d.over
+		<-d.ended
 	}
 }
 
@@ -125,5 +125,5 @@
 func (d *daemon) began() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lives > 0
+	return d.incarnations > 0
 }
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -40,10 +40,10 @@
 	coreCount    = 3
 	zoneCount    = 3
 	// spareMachine has a core that may take another's place.
-	spareMachine = coreCount
-	shardCount   = 4
-	perShard     = 3
-	deskBackends = 4
+	spareMachine     = coreCount
+	shardCount       = 4
+	perShard         = 3
+	dispatchBackends = 4
 	// portCount is how many ports in a row every machine uses.
 	portCount = 7
 )
@@ -87,9 +87,9 @@
 func bounds() rules.Bounds {
 	return rules.Bounds{
 		ContactUs: contactMs * millisecond, AckUs: ackMs * millisecond, DrainUs: drainMs * millisecond, GraceUs: graceS * second,
-		LossUs: lossMs * millisecond, ApplyUs: applyMs * millisecond, StretchUs: stretchMs * millisecond, EmptyUs: emptyMs * millisecond,
+		LossUs: lossMs * millisecond, ApplyUs: applyMs * millisecond, StretchUs: stretchMs * millisecond, EvacuateUs: emptyMs * millisecond,
 		RecoverUs: recoverS * second, RetryRatio: retryRate, RetryAllowance: retryMore, RetryWindowUs: windowS * second,
-		RampOverrun: 1.5, RampTolerance: 5,
+		SlowStartOverrun: 1.5, SlowStartTolerance: 5,
 	}
 }
 
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestScheduleIsDrawnFromItsSeed(t *testing.T) {
+func TestScheduleIsAFunctionOfItsSeed(t *testing.T) {
 	o := Options{Seed: 7, For: 10 * time.Minute}
 	a, b := schedule(o), schedule(o)
 	must.Eq(t, len(a), len(b))
@@ -59,7 +59,7 @@
 		}
 	}
 	must.Greater(t, len(a)/2, overlaps, must.Sprint("troubles overlap"))
-	for _, k := range troubleKinds() {
+	for _, k := range faultKinds() {
 		must.True(t, seen[k.name], must.Sprintf("%s is never drawn in ten minutes", k.name))
 	}
 	o.Seed = 8
@@ -70,15 +70,15 @@
 	}
 }
 
-func TestADiskIsLostOnlyWhileTheCoresAreCalm(t *testing.T) {
+func TestDiskIsLostOnlyWhileCoresAreCalm(t *testing.T) {
 	c := &calm{}
 	c.begin()
-	must.False(t, c.claim())
+	must.False(t, c.tryAcquire())
 	c.end()
-	must.False(t, c.claim(), must.Sprint("another core has just been in trouble"))
+	must.False(t, c.tryAcquire(), must.Sprint("another core has just been in trouble"))
 	c.endedAt = time.Now().Add(-2 * syncTime)
-	must.True(t, c.claim())
-	must.False(t, c.claim())
+	must.True(t, c.tryAcquire())
+	must.False(t, c.tryAcquire())
 	c.release()
 	c.begin()
 }
@@ -86,32 +86,32 @@
 // judged is a run without processes whose journal a test has written.
 func judged(t *testing.T, write func(j *journal)) *Report {
 	t.Helper()
-	r := &run{j: newJournal(), torn: map[*daemon]bool{}}
-	write(r.j)
+	r := &run{journal: newJournal(), torn: map[*daemon]bool{}}
+	write(r.journal)
 	return r.report()
 }
 
-func TestARequestThatRanAndWasCutIsFound(t *testing.T) {
+func TestAbortedRequestThatRanIsFound(t *testing.T) {
 	cut := func(j *journal) {
 		b := &rules.Backend{ID: "b", Ended: rules.Never, Shown: rules.Never}
-		j.Tries = []*rules.Try{{ID: "t", Machine: "m", Repeatable: true, Read: 1, Sent: 10 * second, Ended: 11 * second, Cut: true}}
-		j.Arrivals = []*rules.Arrival{{Try: "t", Backend: b, Ran: true, Status: 200, Answer: []byte("x"), At: 10 * second}}
+		j.Attempts = []*rules.Attempt{{ID: "t", Machine: "m", Repeatable: true, Read: 1, Sent: 10 * second, Ended: 11 * second, Aborted: true}}
+		j.Arrivals = []*rules.Arrival{{Attempt: "t", Backend: b, Ran: true, Status: 200, Answer: []byte("x"), At: 10 * second}}
 	}
 	r := judged(t, cut)
 	must.StrContains(t, strings.Join(r.Findings, "\n"), "CUT at 11.000 s")
 	r = judged(t, func(j *journal) {
 		cut(j)
-		j.mark(span{machines: []string{"m"}}, true)
+		j.setFault(faultSpan{machines: []string{"m"}}, true)
 	})
 	must.StrNotContains(t, strings.Join(r.Findings, "\n"), "CUT", must.Sprint("the node itself was in trouble"))
 	r = judged(t, func(j *journal) {
 		cut(j)
-		j.mark(span{machines: []string{"m"}, planned: true}, true)
+		j.setFault(faultSpan{machines: []string{"m"}, planned: true}, true)
 	})
 	must.StrContains(t, strings.Join(r.Findings, "\n"), "CUT", must.Sprint("a planned stop is no excuse"))
 }
 
-func TestFiguresAreRead(t *testing.T) {
-	got := readFigures(bytes.NewBufferString("wallport_requests_open 0\nwallport_x{a=\"b\"} 7\n"))
+func TestReadMetrics(t *testing.T) {
+	got := readMetrics(bytes.NewBufferString("wallport_requests_open 0\nwallport_x{a=\"b\"} 7\n"))
 	must.Eq(t, "0 7", got["wallport_requests_open"]+" "+got[`wallport_x{a="b"}`])
 }
--- a/smoke/api_test.go
+++ b/smoke/api_test.go
@@ -54,7 +54,7 @@
 // admin runs wallport against one node and gives its exit code and output.
 func (r rig) admin(args ...string) (int, string) {
 	cmd := exec.Command(filepath.Join(r.bin, "wallport"), args...)
-	cmd.Env = append(os.Environ(), "WALLPORT_OPERATOR="+r.f.Opers["node-1"], "WALLPORT_OPERATOR_TOKEN="+token)
+	cmd.Env = append(os.Environ(), "WALLPORT_OPERATOR="+r.f.OperatorAddrs["node-1"], "WALLPORT_OPERATOR_TOKEN="+token)
 	out, err := cmd.CombinedOutput()
 	var x *exec.ExitError
 	if errors.As(err, &x) {
@@ -112,7 +112,7 @@
 }
 
 func (r rig) operatorFaults() {
-	base := r.f.Opers["node-0"]
+	base := r.f.OperatorAddrs["node-0"]
 	status, _, got := r.call("PUT", base+"/v1/sheet", `{"services":[]}`)
 	must.Eq(r.t, 400, status, must.Sprint("no If-Match"))
 	must.StrContains(r.t, got["findings"].([]any)[0].(map[string]any)["place"].(string), "If-Match")
@@ -161,7 +161,7 @@
 		must.Eq(r.t, code, got, must.Sprintf("%v: %s", args, out))
 		must.StrContains(r.t, out, contains, must.Sprintf("%v", args))
 	}
-	good := string(r.f.Sheet())
+	good := string(r.f.Config())
 	write(good)
 	expect(0, "node-2", "admin", "members")
 	expect(0, "c1-0-0", "admin", "servers")
--- a/smoke/scopes_test.go
+++ b/smoke/scopes_test.go
@@ -16,7 +16,7 @@
  {"token":"token-all","who":"ops","scope":"all"}]}`
 
 func (r rig) scopes() {
-	base := r.f.Opers["node-0"]
+	base := r.f.OperatorAddrs["node-0"]
 	rows := `{"edits":[{"op":"set","table":"bookings","row":{"id":"scoped","index":"scores","kind":"read","slice":1,"starts_us":"1","ends_us":"2"}}]}`
 	// For each endpoint the status under read, rows of the index, rows of another, all.
 	for _, c := range []struct {
--- a/smoke/smoke_test.go
+++ b/smoke/smoke_test.go
@@ -49,6 +49,6 @@
 	// No inquiry that was read is cut by a planned restart: the nodes have read
 	// exactly as many as callers got answers. Whoever met a closing connection
 	// was never read.
-	answered := r.Callers.Sent - r.Callers.Cut
-	must.Eq(t, int64(answered), r.Counts["inquiries_read"], must.Sprintf("%d of %d met a closed connection", r.Callers.Cut, r.Callers.Sent))
+	answered := r.Callers.Sent - r.Callers.Aborted
+	must.Eq(t, int64(answered), r.Counts["inquiries_read"], must.Sprintf("%d of %d met a closed connection", r.Callers.Aborted, r.Callers.Sent))
 }
