--- a/runtime/chunk/assembler.go
+++ b/runtime/chunk/assembler.go
@@ -1,5 +1,3 @@
-// The receiver's side: one assembly for each connection, all of them bounded together.
-
 package chunk
 
 import (
@@ -8,35 +6,37 @@
 	"errors"
 	"fmt"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// Figures of assembling.
 const (
-	// MaxBufferedBytes bounds the bytes of all assemblies under way together.
+	// MaxBufferedBytes bounds the bytes of all incomplete messages together.
 	MaxBufferedBytes = 2 * wire.MaxMessage
-	// IdleTimeout is how long an assembly waits for its next piece, in microseconds. It is longer
-	// than the sender goes on without an acknowledgement.
+	// IdleTimeout is how long an assembly waits for its next chunk. It is longer than the sender goes
+	// on without an acknowledgement.
 	IdleTimeout = ProgressTimeout + RetryInterval
-	// MaxAssemblies bounds the connections that are remembered.
+	// MaxAssemblies bounds the connections with an assembly, complete or not.
 	MaxAssemblies = 256
 )
 
-// Faults of pieces. A connection that brings one is not to be trusted further.
+// The errors of [Assembler.Accept]. A connection that causes one must be dropped.
 var (
-	ErrMalformed = errors.New("malformed piece")
-	// ErrDigest tells that a whole message is not what its sender announced.
+	// ErrMalformed is that a chunk is one that no sender sends.
+	ErrMalformed = errors.New("malformed chunk")
+	// ErrDigest is that a complete message is not the one that its sender announced.
 	ErrDigest = errors.New("message differs from its digest")
 )
 
-// Assembler puts the pieces of each connection together.
+// Assembler joins the chunks that arrive on each connection to messages.
 type Assembler struct {
 	byConn   map[uint64]*assembly
 	lastSeq  uint64
 	buffered int
 }
 
-// assembly is a message under way, or the memory of the last one that was whole.
+// assembly is the message that is arriving on a connection or, once complete, the record of it that
+// lets repeated chunks be acknowledged.
 type assembly struct {
 	seq         uint64
 	transfer    uint64
@@ -44,37 +44,38 @@
 	digest      []byte
 	data        []byte
 	complete    bool
-	lastChunkAt int64
+	lastChunkAt clock.Micros
 }
 
-// NewAssembler makes an empty one.
+// NewAssembler returns an empty assembler.
 func NewAssembler() *Assembler { return &Assembler{byConn: map[uint64]*assembly{}} }
 
-// BufferedBytes is the number of bytes of all assemblies under way.
+// BufferedBytes returns the bytes of all incomplete messages.
 func (a *Assembler) BufferedBytes() int { return a.buffered }
 
-// Receiving reports whether a message is under way on a connection.
+// Receiving reports whether a message is arriving on a connection.
 func (a *Assembler) Receiving(conn uint64) bool {
 	as := a.byConn[conn]
 	return as != nil && !as.complete
 }
 
-// Accepted is what came of a piece: an acknowledgement to send, if Reply is set, and the whole
-// message, once it is whole and is what its sender announced.
+// Accepted is the result of a chunk: an acknowledgement to send, if Reply is set, and the message
+// that the chunk completes, if it does.
 type Accepted struct {
 	Reply   bool
 	Ack     wire.ChunkAck
 	Message []byte
 }
 
-// Accept takes a piece that came on a connection.
-func (a *Assembler) Accept(now int64, conn uint64, p wire.Chunk) (Accepted, error) {
+// Accept handles a chunk that arrived on a connection. Chunks are accepted in order only; any other is
+// acknowledged with the offset that is expected.
+func (a *Assembler) Accept(now clock.Micros, conn uint64, p wire.Chunk) (Accepted, error) {
 	if err := validate(p); err != nil {
 		return Accepted{}, err
 	}
 	as := a.byConn[conn]
 	if as != nil && p.Transfer < as.transfer {
-		// Doubled on its way: the sender has long gone on to another message.
+		// A late duplicate: the sender has gone on to another message.
 		return Accepted{}, nil
 	}
 	if as == nil || as.transfer != p.Transfer {
@@ -84,14 +85,14 @@
 		as = a.start(now, conn, p)
 	}
 	if as.total != p.Total || !bytes.Equal(as.digest, p.Digest) {
-		return Accepted{}, fmt.Errorf("%w: not of the message that it continues", ErrMalformed)
+		return Accepted{}, fmt.Errorf("%w: its total or digest differs from that of the chunks before it", ErrMalformed)
 	}
 	as.lastChunkAt = now
 	if as.complete || p.Offset != len(as.data) {
 		return acknowledge(p.Transfer, as.arrived()), nil
 	}
 	if !a.reserve(as, len(p.Data)) {
-		// Without an answer the sender tries again later.
+		// Without an acknowledgement the sender retries later.
 		return Accepted{}, nil
 	}
 	as.data = append(as.data, p.Data...)
@@ -101,7 +102,7 @@
 	return a.finish(conn, as)
 }
 
-// validate refuses what no sender sends.
+// validate rejects what no sender sends.
 func validate(p wire.Chunk) error {
 	switch {
 	case p.Total <= 0 || p.Total > wire.MaxMessage:
@@ -118,7 +119,7 @@
 	return Accepted{Reply: true, Ack: wire.ChunkAck{Transfer: transfer, Next: next}}
 }
 
-// arrived is how much of the message has arrived in order.
+// arrived returns how many bytes of the message have arrived in order.
 func (as *assembly) arrived() int {
 	if as.complete {
 		return as.total
@@ -126,8 +127,8 @@
 	return len(as.data)
 }
 
-// start makes an assembly, in place of the connection's last one.
-func (a *Assembler) start(now int64, conn uint64, p wire.Chunk) *assembly {
+// start begins an assembly in place of the connection's last one.
+func (a *Assembler) start(now clock.Micros, conn uint64, p wire.Chunk) *assembly {
 	a.Closed(conn)
 	if len(a.byConn) >= MaxAssemblies {
 		a.Closed(a.oldest())
@@ -138,9 +139,9 @@
 	return as
 }
 
-// oldest is the connection that was silent for longest.
+// oldest returns the connection whose last chunk is the longest ago.
 func (a *Assembler) oldest() (conn uint64) {
-	oldestAt, first := int64(0), true
+	oldestAt, first := clock.Micros(0), true
 	for id, as := range a.byConn {
 		if first || as.lastChunkAt < oldestAt || as.lastChunkAt == oldestAt && id < conn {
 			conn, oldestAt, first = id, as.lastChunkAt, false
@@ -149,8 +150,8 @@
 	return conn
 }
 
-// reserve makes room for more bytes of an assembly. Where there is none, only the assembly that
-// began first goes on, and it has the room of the one that began last.
+// reserve makes room for n more bytes of an assembly. When the buffer is full only the assembly that
+// started first goes on: it evicts those that started last. The others retry.
 func (a *Assembler) reserve(as *assembly, n int) bool {
 	for a.buffered+n > MaxBufferedBytes {
 		conn, last := uint64(0), as
@@ -171,7 +172,7 @@
 	return true
 }
 
-// finish checks a message that is whole.
+// finish checks the digest of a complete message.
 func (a *Assembler) finish(conn uint64, as *assembly) (Accepted, error) {
 	data := as.data
 	if digest := sha256.Sum256(data); !bytes.Equal(digest[:], as.digest) {
@@ -180,12 +181,12 @@
 	}
 	a.buffered -= len(data)
 	as.data, as.complete = nil, true
-	taken := acknowledge(as.transfer, as.total)
-	taken.Message = data
-	return taken, nil
+	accepted := acknowledge(as.transfer, as.total)
+	accepted.Message = data
+	return accepted, nil
 }
 
-// Closed drops what came on a connection that has ended.
+// Closed drops the assembly of a connection that has ended.
 func (a *Assembler) Closed(conn uint64) {
 	if as := a.byConn[conn]; as != nil {
 		a.buffered -= len(as.data)
@@ -193,8 +194,8 @@
 	}
 }
 
-// Expire drops the assemblies that nothing was added to for long.
-func (a *Assembler) Expire(now int64) {
+// Expire drops the assemblies that had no chunk for IdleTimeout.
+func (a *Assembler) Expire(now clock.Micros) {
 	for conn, as := range a.byConn {
 		if now-as.lastChunkAt >= IdleTimeout {
 			a.Closed(conn)
@@ -202,5 +203,5 @@
 	}
 }
 
-// Busy reports whether any connection is remembered.
+// Busy reports whether any connection has an assembly, complete or not.
 func (a *Assembler) Busy() bool { return len(a.byConn) > 0 }
--- a/runtime/chunk/queue.go
+++ b/runtime/chunk/queue.go
@@ -1,5 +1,3 @@
-// The messages that wait for one destination.
-
 package chunk
 
 import (
@@ -7,22 +5,23 @@
 	"crypto/sha256"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// queue holds the messages for one destination; the first one is under way.
+// queue holds the messages for one destination; the first one is in flight.
 type queue struct {
-	messages   []Message
-	transfer   uint64
-	digest     []byte
-	acked      int
-	sent       int
-	restarts   int
-	progressAt int64
-	retryAt    int64
+	messages []Message
+	transfer uint64
+	digest   []byte
+	// acked and sent are offsets in the first message.
+	acked, sent int
+	restarts    int
+	// progressAt is when an acknowledgement last advanced the transfer, retryAt when to send again from acked.
+	progressAt, retryAt clock.Micros
 }
 
-// contains reports whether a message waits already.
+// contains reports whether an equal message is queued.
 func (q *queue) contains(m Message) bool {
 	for _, old := range q.messages {
 		if bytes.Equal(old.Data, m.Data) {
@@ -32,10 +31,10 @@
 	return false
 }
 
-// replaceable is the place of the message that a newer one of its slot replaces, or -1. The one under
-// way is finished first, unless the destination does not answer: with a newer one every second
-// none would ever arrive whole.
-func (q *queue) replaceable(now int64, m Message) int {
+// replaceable returns the index of the message that a newer one with its key replaces, or -1. The
+// message in flight is completed first, unless the destination is unresponsive: with a newer message
+// every second none would ever arrive.
+func (q *queue) replaceable(now clock.Micros, m Message) int {
 	for i, old := range q.messages {
 		if m.ReplaceKey != "" && old.ReplaceKey == m.ReplaceKey && (i > 0 || q.unresponsive(now)) {
 			return i
@@ -44,30 +43,31 @@
 	return -1
 }
 
-// unresponsive tells that nothing of the first message was ever acknowledged, for long.
-func (q *queue) unresponsive(now int64) bool {
+// unresponsive reports whether nothing of the message in flight was acknowledged for RetryInterval.
+func (q *queue) unresponsive(now clock.Micros) bool {
 	return q.acked == 0 && now-q.progressAt >= RetryInterval
 }
 
-// hasNewer reports whether a newer message of the first one's slot waits.
+// hasNewer reports whether a newer message with the key of the one in flight is queued.
 func (q *queue) hasNewer() bool {
 	first := q.messages[0]
 	return first.ReplaceKey != "" && slices.ContainsFunc(q.messages[1:], func(m Message) bool { return m.ReplaceKey == first.ReplaceKey })
 }
 
-// begin starts the transfer of a queue's first message.
-func (q *queue) begin(transfer uint64, now int64) {
+// begin starts the transfer of the first message.
+func (q *queue) begin(transfer uint64, now clock.Micros) {
 	digest := sha256.Sum256(q.messages[0].Data)
 	q.transfer, q.digest = transfer, digest[:]
 	q.acked, q.sent, q.restarts = 0, 0, 0
 	q.progressAt, q.retryAt = now, now+RetryInterval
 }
 
-// fitsWindow reports whether a further piece fits into the destination's window.
+// fitsWindow reports whether there is another chunk and it fits into the destination's window.
 func (q *queue) fitsWindow() bool {
 	return q.sent < len(q.messages[0].Data) && q.sent-q.acked+wire.ChunkBytes <= DestinationWindow
 }
 
+// nextChunk returns the chunk at the send offset and moves the offset past it.
 func (q *queue) nextChunk() wire.Chunk {
 	data := q.messages[0].Data
 	end := min(q.sent+wire.ChunkBytes, len(data))
--- a/runtime/chunk/sender.go
+++ b/runtime/chunk/sender.go
@@ -1,36 +1,27 @@
-// Package chunk carries messages larger than a frame between two processes: the
-// sender cuts them into pieces, the assembler puts them together and checks the whole
-// by its digest. Both are state machines: they are given what happened and the time in
-// microseconds, and give the pieces and acknowledgements to send.
-//
-// One message at a time travels to a destination, and few bytes are unacknowledged at
-// any moment, so that small frames pass between the pieces. A transfer is begun again
-// when the receiver asks for it, as it does after a reconnect. A transfer that makes
-// no progress is given up: whoever sent the message sends it again if it still matters.
 package chunk
 
 import (
 	"bytes"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// Figures of sending; times in microseconds, sizes in bytes.
 const (
-	// DestinationWindow bounds what is unacknowledged to one destination, and
-	// ProcessWindow to all together: 105 ms on a link of 10 Mbit/s.
+	// DestinationWindow bounds the unacknowledged bytes to one destination and ProcessWindow those
+	// to all together, which take 105 ms on a link of 10 Mbit/s.
 	DestinationWindow = 2 * wire.ChunkBytes
 	ProcessWindow     = 4 * wire.ChunkBytes
-	// RetryInterval is how long a transfer goes without progress before its pieces are sent
-	// again from the last one that was acknowledged.
-	RetryInterval = 1_000_000
-	// ProgressTimeout is how long a transfer may go without any progress.
-	ProgressTimeout = 5_000_000
-	// MaxRestarts is how often the receiver may ask for the beginning.
+	// RetryInterval is how long a transfer goes without progress before its chunks are sent again
+	// from the last acknowledged offset.
+	RetryInterval = 1 * clock.Second
+	// ProgressTimeout is how long a transfer may go without any progress before it is abandoned.
+	ProgressTimeout = 5 * clock.Second
+	// MaxRestarts is how often the receiver may ask for a message from its start.
 	MaxRestarts = 4
-	// MaxQueued bounds the messages that wait for one destination, the one under way included.
+	// MaxQueued bounds the messages queued for one destination, the one in flight included.
 	MaxQueued = 16
-	// MaxQueuedBytes bounds what the messages of all destinations hold.
+	// MaxQueuedBytes bounds the bytes of the messages queued for all destinations.
 	MaxQueuedBytes = 32 << 20
 )
 
@@ -40,45 +31,46 @@
 	Addr string
 }
 
-// Message is what is to be sent. One that waits is replaced by a newer one of its slot.
+// Message is what is to be sent. A newer message with the same ReplaceKey replaces one that is
+// queued; an empty key replaces nothing.
 type Message struct {
 	To         Destination
 	ReplaceKey string
 	Data       []byte
 }
 
-// Outgoing is a piece for a destination.
+// Outgoing is a chunk to send to a destination.
 type Outgoing struct {
 	To    Destination
 	Chunk wire.Chunk
 }
 
-// Sender holds the messages that are on their way in pieces.
+// Sender queues messages for each destination and sends them in chunks.
 type Sender struct {
 	queues map[Destination]*queue
-	// destinations is the order in which destinations take turns.
+	// destinations is the order in which they take turns.
 	destinations []Destination
 	lastTransfer uint64
 	queuedBytes  int
 }
 
-// NewSender makes a sender that numbers its transfers from first on.
-func NewSender(first uint64) *Sender {
-	return &Sender{queues: map[Destination]*queue{}, lastTransfer: first}
+// NewSender returns a sender whose transfers are numbered from last+1 on.
+func NewSender(last uint64) *Sender {
+	return &Sender{queues: map[Destination]*queue{}, lastTransfer: last}
 }
 
-// Busy reports whether anything is on its way.
+// Busy reports whether any message is queued or in flight.
 func (s *Sender) Busy() bool { return len(s.queues) > 0 }
 
-// Destinations is the number of those that something is under way to.
+// Destinations returns the number of destinations with a message queued or in flight.
 func (s *Sender) Destinations() int { return len(s.queues) }
 
-// Sending reports whether anything waits for a destination or is on its way to it.
+// Sending reports whether a message is queued for or in flight to a destination.
 func (s *Sender) Sending(to Destination) bool { return s.queues[to] != nil }
 
-// Enqueue takes a message. One that waits already is not taken twice; one that
-// finds no room is dropped, which is told by false.
-func (s *Sender) Enqueue(now int64, m Message) bool {
+// Enqueue queues a message, unless an equal one is queued already. It returns false if the message
+// was dropped because it or the queue is too large.
+func (s *Sender) Enqueue(now clock.Micros, m Message) bool {
 	q := s.queues[m.To]
 	if q != nil && (q.contains(m) || s.replace(q, now, m)) {
 		return true
@@ -100,8 +92,8 @@
 	return true
 }
 
-// replace puts a message in the place of an older one of its slot, if there is one.
-func (s *Sender) replace(q *queue, now int64, m Message) bool {
+// replace puts a message in the place of an older one with its key and reports whether there was one.
+func (s *Sender) replace(q *queue, now clock.Micros, m Message) bool {
 	i := q.replaceable(now, m)
 	if i < 0 {
 		return false
@@ -115,7 +107,8 @@
 	return true
 }
 
-// shared gives the bytes of an equal message for another destination, if there is one.
+// shared returns the bytes of an equal message for another destination if there is one, so that a
+// broadcast is held in memory once.
 func (s *Sender) shared(data []byte) []byte {
 	for _, to := range s.destinations {
 		for _, m := range s.queues[to].messages {
@@ -127,8 +120,8 @@
 	return data
 }
 
-// finish drops a queue's first message and starts the next one.
-func (s *Sender) finish(to Destination, now int64) {
+// finish drops the message in flight to a destination and starts the next one.
+func (s *Sender) finish(to Destination, now clock.Micros) {
 	q := s.queues[to]
 	s.queuedBytes -= len(q.messages[0].Data)
 	q.messages = q.messages[1:]
@@ -157,12 +150,12 @@
 	}
 }
 
-// Closed drops what was meant for a connection that has ended.
+// Closed drops the messages for a connection that has ended.
 func (s *Sender) Closed(conn uint64) { s.forget(Destination{Conn: conn}) }
 
-// Acked takes an acknowledgement. It tells whether a transfer has ended by it, and
-// whether it began again.
-func (s *Sender) Acked(now int64, ack wire.ChunkAck) (done, again bool) {
+// Acked handles an acknowledgement and reports whether it completes the transfer and whether it
+// restarts it. An acknowledgement of an unknown transfer is ignored.
+func (s *Sender) Acked(now clock.Micros, ack wire.ChunkAck) (done, restarted bool) {
 	for to, q := range s.queues {
 		if q.transfer != ack.Transfer {
 			continue
@@ -187,9 +180,9 @@
 	return false, false
 }
 
-// Expire sends again what was not acknowledged in time, and gives up what made no progress.
-// It tells how many transfers were given up.
-func (s *Sender) Expire(now int64) (abandoned int) {
+// Expire makes Pump send again what was not acknowledged in time and abandons the transfers that
+// made no progress. It returns how many were abandoned.
+func (s *Sender) Expire(now clock.Micros) (abandoned int) {
 	for _, to := range append([]Destination(nil), s.destinations...) {
 		q := s.queues[to]
 		switch {
@@ -205,8 +198,8 @@
 	return abandoned
 }
 
-// Pump gives the pieces that may be sent now, the destinations in turns.
-func (s *Sender) Pump(now int64) (out []Outgoing) {
+// Pump returns the chunks that the windows allow to be sent now, the destinations in turns.
+func (s *Sender) Pump(now clock.Micros) (out []Outgoing) {
 	window := ProcessWindow - s.unacknowledged(now)
 	for sent := true; sent && window > 0; {
 		sent = false
@@ -226,9 +219,9 @@
 	return out
 }
 
-// unacknowledged counts the bytes on their way, but for those to a destination that is silent:
-// they would hold up all others.
-func (s *Sender) unacknowledged(now int64) (n int) {
+// unacknowledged returns the number of bytes in flight, except to destinations that are silent:
+// they must not block all others.
+func (s *Sender) unacknowledged(now clock.Micros) (n int) {
 	for _, q := range s.queues {
 		if now-q.progressAt < RetryInterval/2 {
 			n += q.sent - q.acked
--- a/runtime/chunk/sender_test.go
+++ b/runtime/chunk/sender_test.go
@@ -1,5 +1,3 @@
-// The sender: few bytes under way, no message twice, and nothing that hangs.
-
 package chunk
 
 import (
@@ -8,6 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -28,7 +27,7 @@
 	for _, n := range perDestination {
 		must.LessEq(t, DestinationWindow, n)
 	}
-	// Those that do not answer hold up the others for a moment only.
+	// Destinations that do not acknowledge block the others for a moment only.
 	must.Positive(t, len(s.Pump(RetryInterval/2)))
 }
 
@@ -52,7 +51,7 @@
 		must.True(t, x.sender.Enqueue(0, Message{To: to, ReplaceKey: "version", Data: m}))
 	}
 	must.Eq(t, 500_000, x.sender.queuedBytes)
-	x.run(10_000_000)
+	x.run(10 * clock.Second)
 	same(t, [][]byte{first, third}, x.arrived)
 }
 
@@ -83,7 +82,6 @@
 	must.True(t, s.Busy(), must.Sprint("an address outlives a connection"))
 }
 
-// What is under way to one that was away is the newest when it is back.
 func TestUnresponsiveDestinationIsSentNewestMessageOnly(t *testing.T) {
 	x := newTransport(t, 1, faults{lose: 100})
 	for i := range byte(9) {
@@ -93,7 +91,7 @@
 	}
 	must.Eq(t, 200_000, x.sender.queuedBytes)
 	x.faults.lose = 0
-	x.run(20_000_000)
+	x.run(20 * clock.Second)
 	same(t, [][]byte{message(8, 200_000)}, x.arrived[len(x.arrived)-1:])
 	must.Len(t, 1, x.arrived)
 }
--- a/runtime/kernel/chunks.go
+++ b/runtime/kernel/chunks.go
@@ -1,6 +1,3 @@
-// Messages that are larger than a frame should be leave and reach a process in pieces.
-// The plug-ins see none of it: they send a message, and get it whole.
-
 package kernel
 
 import (
@@ -10,10 +7,11 @@
 	"wallport/runtime/wire"
 )
 
-// transferTimer is the timer's name; no plug-in has it.
+// transferTimer addresses the timer of the transfers; no plug-in has this name.
 const transferTimer = "pieces"
 
-// chunks is the kernel's side of segmented messages.
+// chunks carries the messages that are larger than a frame. It takes them out of a step's sends and
+// gives the plug-ins complete messages, so that they need not know of chunks.
 type chunks struct {
 	sender    *chunk.Sender
 	assembler *chunk.Assembler
@@ -24,81 +22,72 @@
 	return &chunks{sender: chunk.NewSender(0), assembler: chunk.NewAssembler()}
 }
 
-// mustNotOvertake tells of the kinds of which a small frame must not pass a large one: the last
-// frame of a hand-over says that it is complete.
+// mustNotOvertake reports whether a small message of a kind must wait for a large one before it: the
+// last message of a transfer of records says that the transfer is complete.
 func mustNotOvertake(kind uint8) bool { return kind == wire.KindRecordsReply }
 
-// send takes the large messages out of a step's sends and adds the pieces that may leave now.
-func (p *chunks) send(ctx *Context) {
+// send replaces the large messages of a step's sends by the chunks that may be sent now.
+func (c *chunks) send(ctx *Context) {
 	sends := ctx.Output.Sends[:0]
 	for _, s := range ctx.Output.Sends {
 		to := chunk.Destination{Conn: s.Conn, Addr: s.Addr}
-		mustWait := mustNotOvertake(wire.KindOf(s.Data)) && p.sender.Sending(to)
+		mustWait := mustNotOvertake(wire.KindOf(s.Data)) && c.sender.Sending(to)
 		if len(s.Data) <= wire.MaxSingleFrame && !mustWait {
 			sends = append(sends, s)
 			continue
 		}
-		if !p.sender.Enqueue(ctx.Now, chunk.Message{To: to, ReplaceKey: s.ReplaceKey, Data: s.Data}) {
+		if !c.sender.Enqueue(ctx.Now, chunk.Message{To: to, ReplaceKey: s.ReplaceKey, Data: s.Data}) {
 			ctx.Counts.Add("transfers_dropped", 1)
 		}
 	}
 	ctx.Output.Sends = sends
-	p.pump(ctx)
-	p.armTimer(ctx)
+	c.pump(ctx)
+	c.armTimer(ctx)
 }
 
-func (p *chunks) pump(ctx *Context) {
-	for _, o := range p.sender.Pump(ctx.Now) {
+func (c *chunks) pump(ctx *Context) {
+	for _, o := range c.sender.Pump(ctx.Now) {
 		ctx.Counts.Add("transfer_bytes_out", int64(len(o.Chunk.Data)))
 		frame := wire.Seal(wire.KindChunk, 0, &o.Chunk)
 		ctx.Output.Sends = append(ctx.Output.Sends, Send{Conn: o.To.Conn, Addr: o.To.Addr, Data: frame})
 	}
 }
 
-// armTimer sets the timer while anything is on its way.
-func (p *chunks) armTimer(ctx *Context) {
-	if p.timerSet {
+// armTimer sets the timer if it is not set and a transfer is in flight in either direction.
+func (c *chunks) armTimer(ctx *Context) {
+	if c.timerSet {
 		return
 	}
 	switch {
-	case p.sender.Busy():
+	case c.sender.Busy():
 		ctx.After(chunk.RetryInterval/2, transferTimer, "")
-	case p.assembler.Busy():
+	case c.assembler.Busy():
 		ctx.After(chunk.IdleTimeout, transferTimer, "")
 	default:
 		return
 	}
-	p.timerSet = true
+	c.timerSet = true
 }
 
-// tick sends again, gives up and forgets; the pieces leave at the end of the step.
-func (p *chunks) tick(ctx *Context) {
-	p.timerSet = false
-	if abandoned := p.sender.Expire(ctx.Now); abandoned > 0 {
+// tick resends, abandons and forgets transfers; chunks to resend leave at the end of the step.
+func (c *chunks) tick(ctx *Context) {
+	c.timerSet = false
+	if abandoned := c.sender.Expire(ctx.Now); abandoned > 0 {
 		ctx.Counts.Add("transfers_abandoned", int64(abandoned))
 		ctx.Log(LevelWarn, "transfer_abandoned", "transfers", abandoned)
 	}
-	p.assembler.Expire(ctx.Now)
+	c.assembler.Expire(ctx.Now)
 }
 
-// ReceivingAny reports whether a large message is coming in, on any connection.
-func (k *Kernel) ReceivingAny() bool { return k.chunks.assembler.BufferedBytes() > 0 }
-
-// ReceivingOn reports whether one is coming in on a connection.
-func (k *Kernel) ReceivingOn(conn uint64) bool { return k.chunks.assembler.Receiving(conn) }
-
-// Sending is the number of destinations that large messages are under way to.
-func (k *Kernel) Sending() int { return k.chunks.sender.Destinations() }
-
-// closed drops what was under way on a connection that has ended.
-func (p *chunks) closed(conn uint64) {
-	p.sender.Closed(conn)
-	p.assembler.Closed(conn)
+// closed drops the transfers on a connection that has ended.
+func (c *chunks) closed(conn uint64) {
+	c.sender.Closed(conn)
+	c.assembler.Closed(conn)
 }
 
-// acked takes an acknowledgement.
-func (p *chunks) acked(ctx *Context, ack wire.ChunkAck) {
-	done, again := p.sender.Acked(ctx.Now, ack)
+// acked handles an acknowledgement.
+func (c *chunks) acked(ctx *Context, ack wire.ChunkAck) {
+	done, again := c.sender.Acked(ctx.Now, ack)
 	if done {
 		ctx.Counts.Add("transfers_sent", 1)
 	}
@@ -107,24 +96,33 @@
 	}
 }
 
-// received takes a piece, and gives the message that is whole by it. An error means that the
-// connection should be dropped.
-func (p *chunks) received(ctx *Context, conn uint64, piece wire.Chunk) (*wire.Frame, error) {
-	taken, err := p.assembler.Accept(ctx.Now, conn, piece)
+// received handles a chunk and returns the message that it completes, if it does. An error means
+// that the connection must be dropped.
+func (c *chunks) received(ctx *Context, conn uint64, fragment wire.Chunk) (*wire.Frame, error) {
+	accepted, err := c.assembler.Accept(ctx.Now, conn, fragment)
 	if err != nil {
 		if errors.Is(err, chunk.ErrDigest) {
 			ctx.Counts.Add("transfers_corrupt", 1)
 		}
-		ctx.Log(LevelWarn, "transfer_refused", "why", err.Error())
+		ctx.Log(LevelWarn, "transfer_rejected", "error", err.Error())
 		return nil, err
 	}
-	if taken.Reply {
-		ctx.Send(conn, wire.KindChunkAck, 0, &taken.Ack)
+	if accepted.Reply {
+		ctx.Send(conn, wire.KindChunkAck, 0, &accepted.Ack)
 	}
-	if taken.Message == nil {
+	if accepted.Message == nil {
 		return nil, nil
 	}
 	ctx.Counts.Add("transfers_received", 1)
-	frame, err := wire.OpenMessage(taken.Message)
+	frame, err := wire.OpenMessage(accepted.Message)
 	return &frame, err
 }
+
+// ReceivingAny reports whether a large message is being received on any connection.
+func (k *Kernel) ReceivingAny() bool { return k.chunks.assembler.BufferedBytes() > 0 }
+
+// ReceivingOn reports whether a large message is being received on a connection.
+func (k *Kernel) ReceivingOn(conn uint64) bool { return k.chunks.assembler.Receiving(conn) }
+
+// Sending returns the number of destinations to which large messages are in flight.
+func (k *Kernel) Sending() int { return k.chunks.sender.Destinations() }
--- a/runtime/kernel/chunks_test.go
+++ b/runtime/kernel/chunks_test.go
@@ -1,6 +1,3 @@
-// Large messages between two kernels: whole for the plug-ins, in pieces on the way,
-// and no heartbeat waits for them.
-
 package kernel
 
 import (
@@ -10,22 +7,23 @@
 	"github.com/shoenig/test/must"
 	"github.com/tinylib/msgp/msgp"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// recorder is a plug-in that takes edits and votes.
-type recorder struct{ got []Message }
+// recorder is a plug-in that records the edits and heartbeats that it receives.
+type recorder struct{ received []Message }
 
 func (*recorder) Name() string   { return "recorder" }
 func (*recorder) Kinds() []uint8 { return []uint8{wire.KindEdit, wire.KindLeaderHeartbeat} }
 func (r *recorder) Step(_ *Context, in Input) {
 	if m, ok := in.(Message); ok {
-		r.got = append(r.got, m)
+		r.received = append(r.received, m)
 	}
 }
 
-// sendNow has a kernel send a message on connection 1.
-func (k *Kernel) sendNow(now int64, kind uint8, m msgp.Marshaler) Output {
+// sendNow makes a kernel send a message on connection 1 and returns the step's output.
+func (k *Kernel) sendNow(now clock.Micros, kind uint8, m msgp.Marshaler) Output {
 	k.Later(func(ctx *Context) { ctx.Send(1, kind, 7, m) })
 	return k.Step(now, now, Stopping{})
 }
@@ -36,19 +34,21 @@
 	return k, r
 }
 
-// exchange carries frames to and fro until there are none. Both sides call the connection 1.
-func exchange(t *testing.T, now int64, from, to *Kernel, out Output) (frames int) {
+// exchange carries frames between two kernels until neither sends any and returns how many the first
+// one sent. Both call the connection 1.
+func exchange(t *testing.T, now clock.Micros, from, to *Kernel, out Output) (frames int) {
+	t.Helper()
 	for len(out.Sends) > 0 {
-		var back, on Output
+		var back, next Output
 		for _, s := range out.Sends {
 			must.LessEq(t, wire.MaxSingleFrame, len(s.Data))
 			frames++
 			back.Sends = append(back.Sends, to.Step(now, now, Received{Conn: 1, Data: s.Data}).Sends...)
 		}
 		for _, s := range back.Sends {
-			on.Sends = append(on.Sends, from.Step(now, now, Received{Conn: 1, Data: s.Data}).Sends...)
+			next.Sends = append(next.Sends, from.Step(now, now, Received{Conn: 1, Data: s.Data}).Sends...)
 		}
-		out = on
+		out = next
 	}
 	return frames
 }
@@ -59,10 +59,10 @@
 	e := wire.Edit{EditID: "large", Body: bytes.Repeat([]byte("0123456789abcdef"), 4<<20/16)}
 	frames := exchange(t, 0, a, b, a.sendNow(0, wire.KindEdit, &e))
 	must.Between(t, 128, frames, 130)
-	must.Len(t, 1, got.got)
-	must.Eq(t, uint64(7), got.got[0].ID)
+	must.Len(t, 1, got.received)
+	must.Eq(t, uint64(7), got.received[0].ID)
 	var after wire.Edit
-	must.NoError(t, wire.Decode(got.got[0].Body, &after))
+	must.NoError(t, wire.Decode(got.received[0].Body, &after))
 	must.True(t, bytes.Equal(e.Body, after.Body))
 	must.Eq(t, 1, a.Counts.Of("transfers_sent").Load())
 }
@@ -75,30 +75,30 @@
 	for _, s := range large.Sends {
 		size += len(s.Data)
 	}
-	must.LessEq(t, 2*wire.ChunkBytes+512, size, must.Sprint("what a heartbeat may have to wait for"))
+	must.LessEq(t, 2*wire.ChunkBytes+512, size, must.Sprint("bytes that a heartbeat may have to wait for"))
 	beat := a.sendNow(0, wire.KindLeaderHeartbeat, &wire.LeaderHeartbeat{})
 	exchange(t, 0, a, b, beat)
-	must.Len(t, 1, got.got)
-	must.Eq(t, wire.KindLeaderHeartbeat, got.got[0].Kind)
+	must.Len(t, 1, got.received)
+	must.Eq(t, wire.KindLeaderHeartbeat, got.received[0].Kind)
 	exchange(t, 0, a, b, large)
-	must.Len(t, 2, got.got)
+	must.Len(t, 2, got.received)
 }
 
 func TestOversizeMessageIsDroppedAndNextIsDelivered(t *testing.T) {
 	a, _ := newRecording()
 	b, got := newRecording()
 	exchange(t, 0, a, b, a.sendNow(0, wire.KindEdit, &wire.Edit{Body: make([]byte, wire.MaxMessage)}))
-	must.Len(t, 0, got.got)
+	must.Len(t, 0, got.received)
 	must.Eq(t, 1, a.Counts.Of("transfers_dropped").Load())
 	exchange(t, 0, a, b, a.sendNow(0, wire.KindEdit, &wire.Edit{Body: make([]byte, 100_000)}))
-	must.Len(t, 1, got.got)
+	must.Len(t, 1, got.received)
 }
 
 func TestMalformedChunkDropsConnection(t *testing.T) {
 	b, got := newRecording()
 	out := b.Step(0, 0, Received{Conn: 1, Data: wire.Seal(wire.KindChunk, 0, &wire.Chunk{Transfer: 1, Total: 9})})
 	must.Eq(t, []uint64{1}, out.Drops)
-	must.Len(t, 0, got.got)
+	must.Len(t, 0, got.received)
 }
 
 func TestLostChunksAreResent(t *testing.T) {
@@ -106,10 +106,10 @@
 	b, got := newRecording()
 	lost := a.sendNow(0, wire.KindEdit, &wire.Edit{Body: make([]byte, 300_000)})
 	must.Len(t, 1, lost.Timers)
-	at := int64(0)
+	at := clock.Micros(0)
 	for range 4 {
-		at += 500_000
+		at += 500 * clock.Millisecond
 		exchange(t, at, a, b, a.Step(at, at, Tick{Plugin: transferTimer}))
 	}
-	must.Len(t, 1, got.got)
+	must.Len(t, 1, got.received)
 }
--- a/runtime/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -1,8 +1,3 @@
-// Package kernel holds the deterministic heart of every wallport process.
-// A process is one Kernel: plug-ins that register themselves, fed one Input
-// at a time, each returning what to send, write, fetch, time and answer.
-// Drivers own the clock, the network and the disk; there is a real one and a
-// simulated one, and the plug-ins cannot tell which of them they run under.
 package kernel
 
 import (
@@ -11,19 +6,23 @@
 	"sort"
 	"sync/atomic"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-// Plugin is one concern of a process. Step must not block, sleep or read clocks.
+// Plugin is one concern of a process.
 type Plugin interface {
+	// Name is unique within a process; ticks, calls and results of writes and fetches are addressed by it.
 	Name() string
+	// Kinds are the kinds of messages that the plug-in receives.
 	Kinds() []uint8
+	// Step handles one input. It must not block, sleep or read a clock.
 	Step(ctx *Context, in Input)
 }
 
-// Registration says where a plug-in belongs and how it is made. Plug-ins of
-// lower rank are made first, so later ones may find them.
+// Registration says in which roles a plug-in runs and how it is made. Plug-ins of a lower rank are
+// made first, so that later ones can [Find] them.
 type Registration struct {
 	Rank  int
 	Roles []string
@@ -32,57 +31,64 @@
 
 var registered []Registration
 
-// Register is called from the init function of each plug-in's package.
+// Register adds a plug-in to every kernel made later. Packages call it from their init functions.
 func Register(r Registration) {
 	registered = append(registered, r)
 }
 
-// Boot is all that a process is given at its start.
+// Boot is everything that a process is given at its start.
 type Boot struct {
 	Settings settings.Settings
 	Role     string
-	Seed     uint64
-	Key      Key
-	Files    map[string][]byte
+	// Seed is the seed of the kernel's random source.
+	Seed uint64
+	Key  Key
+	// Files are the contents of the data folder, by name.
+	Files map[string][]byte
 }
 
-// Kernel owns the plug-ins of one process and routes inputs to them.
+// Kernel owns the plug-ins of one process and routes inputs to them. Only one goroutine may use it at a time.
 type Kernel struct {
 	Boot     Boot
 	Rand     *rand.Rand
+	Counts   *Counts
 	plugins  []Plugin
 	byName   map[string]Plugin
 	byKind   map[uint8]Plugin
 	deferred []func(ctx *Context)
-	Counts   *Counts
 	steps    *atomic.Int64
 	chunks   *chunks
 }
 
+// seedStream is the second half of the random source's seed.
+const seedStream = 0x77616c6c
+
 // New makes a kernel with every registered plug-in of the boot's role.
 func New(b Boot) *Kernel {
 	k := &Kernel{
-		Boot: b, Rand: rand.New(rand.NewPCG(b.Seed, 0x77616c6c)), Counts: NewCounts(),
+		Boot: b, Rand: rand.New(rand.NewPCG(b.Seed, seedStream)), Counts: NewCounts(),
 		byName: map[string]Plugin{}, byKind: map[uint8]Plugin{}, chunks: newChunks(),
 	}
 	k.steps = k.Counts.Of("steps")
-	regs := append([]Registration(nil), registered...)
-	sort.SliceStable(regs, func(i, j int) bool { return regs[i].Rank < regs[j].Rank })
-	for _, r := range regs {
-		if !slices.Contains(r.Roles, b.Role) {
-			continue
-		}
-		p := r.Make(k)
-		k.plugins = append(k.plugins, p)
-		k.byName[p.Name()] = p
-		for _, kind := range p.Kinds() {
-			k.byKind[kind] = p
+	byRank := append([]Registration(nil), registered...)
+	sort.SliceStable(byRank, func(i, j int) bool { return byRank[i].Rank < byRank[j].Rank })
+	for _, r := range byRank {
+		if slices.Contains(r.Roles, b.Role) {
+			k.add(r.Make(k))
 		}
 	}
 	return k
 }
 
-// Find returns the process's plug-in of type T, or the zero T without one.
+func (k *Kernel) add(p Plugin) {
+	k.plugins = append(k.plugins, p)
+	k.byName[p.Name()] = p
+	for _, kind := range p.Kinds() {
+		k.byKind[kind] = p
+	}
+}
+
+// Find returns the process's plug-in of type T, or the zero T if it has none.
 func Find[T Plugin](k *Kernel) T {
 	var zero T
 	for _, p := range k.plugins {
@@ -93,8 +99,9 @@
 	return zero
 }
 
-// Step feeds one input and returns everything that the plug-ins asked for.
-func (k *Kernel) Step(now, wall int64, in Input) Output {
+// Step handles one input and returns everything that the plug-ins requested because of it.
+// Events that they emit are delivered in order before the deferred functions run.
+func (k *Kernel) Step(now, wall clock.Micros, in Input) Output {
 	k.steps.Add(1)
 	ctx := &Context{Now: now, Wall: wall, Rand: k.Rand, Counts: k.Counts}
 	k.route(ctx, in)
@@ -105,18 +112,16 @@
 			f(ctx)
 			continue
 		}
-		ev := ctx.events[0]
+		event := ctx.events[0]
 		ctx.events = ctx.events[1:]
-		for _, p := range k.plugins {
-			p.Step(ctx, ev)
-		}
+		k.toAll(ctx, event)
 	}
 	k.chunks.send(ctx)
 	return ctx.Output
 }
 
-// Later has f run at the end of this step, or of the next one between steps: for a plug-in
-// that others change by plain calls and that must act on it without looking again and again.
+// Later runs f at the end of this step or, if none is in progress, of the next one. It serves a
+// plug-in that others change by plain calls and that has to act on the change without polling.
 func (k *Kernel) Later(f func(ctx *Context)) { k.deferred = append(k.deferred, f) }
 
 func (k *Kernel) route(ctx *Context, in Input) {
@@ -128,7 +133,7 @@
 		}
 	case ConnDown:
 		k.chunks.closed(v.Conn)
-		k.each(ctx, in)
+		k.toAll(ctx, in)
 	case Tick:
 		if v.Plugin == transferTimer {
 			k.chunks.tick(ctx)
@@ -144,17 +149,23 @@
 	case Canceled:
 		k.to(ctx, v.Plugin, in)
 	default:
-		k.each(ctx, in)
+		k.toAll(ctx, in)
 	}
 }
 
-func (k *Kernel) each(ctx *Context, in Input) {
+func (k *Kernel) toAll(ctx *Context, in Input) {
 	for _, p := range k.plugins {
 		p.Step(ctx, in)
 	}
 }
 
-// received takes a frame; an error means that it is not one that this process can read.
+func (k *Kernel) to(ctx *Context, plugin string, in Input) {
+	if p, ok := k.byName[plugin]; ok {
+		p.Step(ctx, in)
+	}
+}
+
+// received handles a frame. An error means that the frame is malformed and its connection must be dropped.
 func (k *Kernel) received(ctx *Context, in Received) error {
 	frame, err := wire.Open(in.Data)
 	if err != nil {
@@ -183,7 +194,7 @@
 	return nil
 }
 
-// deliver hands a message to the plug-in of its kind.
+// deliver passes a message to the plug-in that receives its kind.
 func (k *Kernel) deliver(ctx *Context, conn uint64, frame wire.Frame) {
 	p, ok := k.byKind[frame.Kind]
 	if !ok {
@@ -192,9 +203,3 @@
 	}
 	p.Step(ctx, Message{Conn: conn, Kind: frame.Kind, ID: frame.ID, Body: frame.Body})
 }
-
-func (k *Kernel) to(ctx *Context, name string, in Input) {
-	if p, ok := k.byName[name]; ok {
-		p.Step(ctx, in)
-	}
-}
