--- a/cmd/wallport/leave.go
+++ b/cmd/wallport/leave.go
@@ -25,7 +25,7 @@
 		return
 	}
 	left := false
-	for end := time.Now().Add(replica.LeaveWithin * time.Microsecond); !left && time.Now().Before(end); time.Sleep(leavePollInterval) {
+	for end := time.Now().Add(replica.LeaveTimeout * time.Microsecond); !left && time.Now().Before(end); time.Sleep(leavePollInterval) {
 		p.Do(func(int64) { left = host.HasLeft() })
 	}
 	time.Sleep(finalSendDelay)
--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -25,206 +25,206 @@
 	WithdrawAfter = 2_500_000
 )
 
-func (s *Host) bootstrapStep(ctx *kernel.Context) {
-	if s.replicaID == "" || s.diskProblem != "" || s.stopping {
+func (h *Host) bootstrapTick(ctx *kernel.Context) {
+	if h.replicaID == "" || h.diskProblem != "" || h.stopping {
 		return
 	}
 	// A node that still has a version in force knows of a formed fleet as well:
 	// its group is rebuilt by an operator's word or not at all.
 	for partition := range Partitions {
-		if v, ok := s.mesh.Partition(partition); ok && v.Version.Term > 0 {
-			s.joinFleet(ctx)
+		if v, ok := h.mesh.Partition(partition); ok && v.Version.Term > 0 {
+			h.joinFleet(ctx)
 			return
 		}
 	}
-	e := &s.k.Boot.Settings
-	for _, c := range s.rows(ctx.Now) {
+	e := &h.kernel.Boot.Settings
+	for _, c := range h.liveCores(ctx.Now) {
 		if !c.Bootstrapped {
 			continue
 		}
 		// While a platform has its fleet formed, the replicas learn of it one by one; who is not
 		// among them is a standby once a version is there.
 		if !e.BootstrapKnown {
-			s.joinFleet(ctx)
+			h.joinFleet(ctx)
 		}
 		return
 	}
 	switch {
-	case s.formation.BootstrapID == "":
-		if at := ctx.Now - s.started; e.BootstrapKnown || at >= BootstrapAfter {
-			s.planFormation(ctx)
+	case h.formation.BootstrapID == "":
+		if at := ctx.Now - h.startedAt; e.BootstrapKnown || at >= BootstrapAfter {
+			h.planFormation(ctx)
 		}
-	case s.formation.Proposer.ID == s.replicaID && ctx.Now-s.proposedAt >= ProposeInterval:
-		if ctx.Now-s.plannedAt > WithdrawAfter && !s.completing {
-			s.withdraw(ctx)
+	case h.formation.Proposer.ID == h.replicaID && ctx.Now-h.formationSentAt >= ProposeInterval:
+		if ctx.Now-h.formationPlannedAt > WithdrawAfter && !h.completing {
+			h.withdrawFormation(ctx)
 			return
 		}
-		s.propose(ctx)
+		h.proposeFormation(ctx)
 	}
 }
 
 // joinFleet makes an unformed core a standby of the fleet that it found. Where the
 // found fleet is the one it consented to, its leaders bring it the versions.
-func (s *Host) joinFleet(ctx *kernel.Context) {
-	if s.bootstrapped {
+func (h *Host) joinFleet(ctx *kernel.Context) {
+	if h.bootstrapped {
 		return
 	}
-	s.bootstrapped = true
-	s.publishMember()
-	ctx.Log(kernel.LevelInfo, "core_spare", "seat", s.replicaID)
+	h.bootstrapped = true
+	h.publishMember()
+	ctx.Log(kernel.LevelInfo, "core_spare", "seat", h.replicaID)
 }
 
 // planFormation proposes a formation, if this core is the one to do so and enough others are known.
-func (s *Host) planFormation(ctx *kernel.Context) {
-	cores := s.standbys(ctx.Now)
-	cores = slices.DeleteFunc(cores, func(c wire.Replica) bool { return s.refused[c.ID] })
+func (h *Host) planFormation(ctx *kernel.Context) {
+	cores := h.standbys(ctx.Now)
+	cores = slices.DeleteFunc(cores, func(c wire.Replica) bool { return h.refusers[c.ID] })
 	slices.SortFunc(cores, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	seats, ok := s.chooseFormation(ctx, cores)
+	seats, ok := h.chooseFormation(ctx, cores)
 	if !ok {
 		return
 	}
 	f := wire.Bootstrap{BootstrapID: fmt.Sprintf("%016x", ctx.Rand.Uint64()), Voters: seats}
-	f.Proposer = wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Settings.Zone, Addr: s.k.Boot.Settings.Mesh}
-	s.plannedAt = ctx.Now
+	f.Proposer = wire.Replica{ID: h.replicaID, Zone: h.kernel.Boot.Settings.Zone, Addr: h.kernel.Boot.Settings.Mesh}
+	h.formationPlannedAt = ctx.Now
 	ctx.Log(kernel.LevelInfo, "formation_planned", "formation", f.BootstrapID, "seats", len(seats))
-	s.consent(ctx, f, func(ctx *kernel.Context, ok bool) {
-		if ok && s.formation.BootstrapID == f.BootstrapID {
-			s.propose(ctx)
+	h.saveConsent(ctx, f, func(ctx *kernel.Context, ok bool) {
+		if ok && h.formation.BootstrapID == f.BootstrapID {
+			h.proposeFormation(ctx)
 		}
 	})
 }
 
-// consent syncs that this disk consents to a formation; an empty one takes the consent back.
-func (s *Host) consent(ctx *kernel.Context, f wire.Bootstrap, done func(ctx *kernel.Context, ok bool)) {
-	s.formation, s.consents, s.synced = f, map[string]bool{}, false
-	s.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
-		if s.formation.BootstrapID == f.BootstrapID {
-			s.synced = err == ""
+// saveConsent syncs that this disk consents to a formation; an empty one takes the consent back.
+func (h *Host) saveConsent(ctx *kernel.Context, f wire.Bootstrap, done func(ctx *kernel.Context, ok bool)) {
+	h.formation, h.consents, h.consentSynced = f, map[string]bool{}, false
+	h.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
+		if h.formation.BootstrapID == f.BootstrapID {
+			h.consentSynced = err == ""
 			if err != "" {
-				s.formation = wire.Bootstrap{}
+				h.formation = wire.Bootstrap{}
 			}
 		}
 		done(ctx, err == "")
 	})
 }
 
-func (s *Host) propose(ctx *kernel.Context) {
-	s.proposedAt = ctx.Now
-	for _, member := range s.formation.Voters {
-		if member.ID != s.replicaID {
-			s.sendReplica(ctx, member, wire.KindBootstrap, &s.formation)
+func (h *Host) proposeFormation(ctx *kernel.Context) {
+	h.formationSentAt = ctx.Now
+	for _, member := range h.formation.Voters {
+		if member.ID != h.replicaID {
+			h.sendReplica(ctx, member, wire.KindBootstrap, &h.formation)
 			continue
 		}
-		s.handleFormReply(ctx, wire.BootstrapReply{BootstrapID: s.formation.BootstrapID, From: s.replicaID, OK: true})
+		h.handleBootstrapReply(ctx, wire.BootstrapReply{BootstrapID: h.formation.BootstrapID, From: h.replicaID, OK: true})
 	}
 }
 
-// withdraw gives up this replica's own proposal, for another one or for none. It is synced before
+// withdrawFormation gives up this replica's own proposal, for another one or for none. It is synced before
 // anyone is told: whoever consented to it is free only once it can never be complete.
-func (s *Host) withdraw(ctx *kernel.Context) {
-	was := s.formation
+func (h *Host) withdrawFormation(ctx *kernel.Context) {
+	was := h.formation
 	ctx.Log(kernel.LevelWarn, "formation_withdrawn", "formation", was.BootstrapID)
-	s.consent(ctx, wire.Bootstrap{}, func(ctx *kernel.Context, ok bool) {
+	h.saveConsent(ctx, wire.Bootstrap{}, func(ctx *kernel.Context, ok bool) {
 		if !ok {
 			return
 		}
 		was.Withdrawn = true
 		for _, member := range was.Voters {
-			if member.ID != s.replicaID {
-				s.sendReplica(ctx, member, wire.KindBootstrap, &was)
+			if member.ID != h.replicaID {
+				h.sendReplica(ctx, member, wire.KindBootstrap, &was)
 			}
 		}
 	})
 }
 
-func (s *Host) handleForm(ctx *kernel.Context, ch uint64, f wire.Bootstrap) {
+func (h *Host) handleBootstrap(ctx *kernel.Context, ch uint64, f wire.Bootstrap) {
 	reply := func(ctx *kernel.Context, r wire.BootstrapReply) {
-		r.BootstrapID, r.From = f.BootstrapID, s.replicaID
+		r.BootstrapID, r.From = f.BootstrapID, h.replicaID
 		ctx.Send(ch, wire.KindBootstrapReply, 0, &r)
 	}
-	e := &s.k.Boot.Settings
-	mine, in := s.formation, contains(f.Voters, s.replicaID)
+	e := &h.kernel.Boot.Settings
+	mine, in := h.formation, contains(f.Voters, h.replicaID)
 	switch {
-	case s.replicaID == "" || s.diskDamaged:
+	case h.replicaID == "" || h.diskDamaged:
 	case f.Withdrawn:
-		if mine.BootstrapID == f.BootstrapID && mine.Proposer.ID != s.replicaID && !s.bootstrapped && !s.completing {
-			s.consent(ctx, wire.Bootstrap{}, func(*kernel.Context, bool) {})
+		if mine.BootstrapID == f.BootstrapID && mine.Proposer.ID != h.replicaID && !h.bootstrapped && !h.completing {
+			h.saveConsent(ctx, wire.Bootstrap{}, func(*kernel.Context, bool) {})
 		}
 	case f.Commit:
 		if f.BootstrapID == mine.BootstrapID {
-			s.complete(ctx)
+			h.completeFormation(ctx)
 		}
-	case s.bootstrapped:
+	case h.bootstrapped:
 		reply(ctx, wire.BootstrapReply{Bootstrapped: true})
 	case mine.BootstrapID == f.BootstrapID:
-		if s.synced {
+		if h.consentSynced {
 			reply(ctx, wire.BootstrapReply{OK: true})
 		}
-	case mine.BootstrapID != "" && mine.Proposer.ID == s.replicaID && f.Proposer.ID < s.replicaID && !s.completing:
+	case mine.BootstrapID != "" && mine.Proposer.ID == h.replicaID && f.Proposer.ID < h.replicaID && !h.completing:
 		// Of two proposals the one of the lesser replica goes on; that replica asks again soon.
-		s.withdraw(ctx)
+		h.withdrawFormation(ctx)
 	case mine.BootstrapID != "":
 		reply(ctx, wire.BootstrapReply{Proposer: mine.Proposer})
 	case e.BootstrapKnown && !e.Bootstrap:
 		reply(ctx, wire.BootstrapReply{Forbidden: true})
-	case in && s.diskProblem == "":
-		s.consent(ctx, f, func(ctx *kernel.Context, ok bool) { reply(ctx, wire.BootstrapReply{OK: ok}) })
+	case in && h.diskProblem == "":
+		h.saveConsent(ctx, f, func(ctx *kernel.Context, ok bool) { reply(ctx, wire.BootstrapReply{OK: ok}) })
 	}
 }
 
-func (s *Host) handleFormReply(ctx *kernel.Context, r wire.BootstrapReply) {
-	f := s.formation
-	if s.bootstrapped || f.BootstrapID == "" || r.BootstrapID != f.BootstrapID || f.Proposer.ID != s.replicaID || s.completing {
+func (h *Host) handleBootstrapReply(ctx *kernel.Context, r wire.BootstrapReply) {
+	f := h.formation
+	if h.bootstrapped || f.BootstrapID == "" || r.BootstrapID != f.BootstrapID || f.Proposer.ID != h.replicaID || h.completing {
 		return
 	}
 	switch {
 	case r.OK:
-		s.consents[r.From] = true
-		if !slices.ContainsFunc(f.Voters, func(seat wire.Replica) bool { return !s.consents[seat.ID] }) {
-			s.complete(ctx)
+		h.consents[r.From] = true
+		if !slices.ContainsFunc(f.Voters, func(seat wire.Replica) bool { return !h.consents[seat.ID] }) {
+			h.completeFormation(ctx)
 		}
 	case r.Bootstrapped:
-		s.joinFleet(ctx)
+		h.joinFleet(ctx)
 	case r.Forbidden:
-		s.refused[r.From] = true
-		s.withdraw(ctx)
-	case r.Proposer.ID != "" && r.Proposer.ID < s.replicaID:
-		s.withdraw(ctx)
+		h.refusers[r.From] = true
+		h.withdrawFormation(ctx)
+	case r.Proposer.ID != "" && r.Proposer.ID < h.replicaID:
+		h.withdrawFormation(ctx)
 	case r.Proposer.ID != "":
-		s.sendReplica(ctx, r.Proposer, wire.KindBootstrap, &f)
+		h.sendReplica(ctx, r.Proposer, wire.KindBootstrap, &f)
 	}
 }
 
 // adoptFormation gives every partition that holds nothing yet the formation's replicas.
-func (s *Host) adoptFormation() {
-	for _, g := range s.groups {
+func (h *Host) adoptFormation() {
+	for _, g := range h.groups {
 		if len(g.accepted.Voters) == 0 {
-			g.accepted.Voters = s.formation.Voters
+			g.accepted.Voters = h.formation.Voters
 			g.accepted.Version.Partition = g.partition
 		}
 	}
 }
 
-// complete makes a consenting replica a voter, once that is synced; the one that proposed the
+// completeFormation makes a consenting replica a voter, once that is synced; the one that proposed the
 // formation then tells the others, who may have nobody else to tell them.
-func (s *Host) complete(ctx *kernel.Context) {
-	f := s.formation
-	if f.Commit || s.completing {
+func (h *Host) completeFormation(ctx *kernel.Context) {
+	f := h.formation
+	if f.Commit || h.completing {
 		return
 	}
-	f.Commit, s.completing = true, true
-	s.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
-		s.completing = false
-		if err != "" || s.formation.Commit {
+	f.Commit, h.completing = true, true
+	h.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
+		h.completing = false
+		if err != "" || h.formation.Commit {
 			return
 		}
-		s.formation, s.bootstrapped = f, true
-		s.adoptFormation()
-		ctx.Log(kernel.LevelInfo, "fleet_formed", "formation", f.BootstrapID, "seat", s.replicaID)
-		s.publishMember()
+		h.formation, h.bootstrapped = f, true
+		h.adoptFormation()
+		ctx.Log(kernel.LevelInfo, "fleet_formed", "formation", f.BootstrapID, "seat", h.replicaID)
+		h.publishMember()
 		for _, member := range f.Voters {
-			if f.Proposer.ID == s.replicaID && member.ID != s.replicaID {
-				s.sendReplica(ctx, member, wire.KindBootstrap, &f)
+			if f.Proposer.ID == h.replicaID && member.ID != h.replicaID {
+				h.sendReplica(ctx, member, wire.KindBootstrap, &f)
 			}
 		}
 	})
--- a/control/replica/bootstrap_choice.go
+++ b/control/replica/bootstrap_choice.go
@@ -25,14 +25,14 @@
 )
 
 // chooseFormation gives the replicas of the formation that this core should propose now, if any.
-func (s *Host) chooseFormation(ctx *kernel.Context, cores []wire.Replica) ([]wire.Replica, bool) {
-	e, want := &s.k.Boot.Settings, s.wantedVoters()
+func (h *Host) chooseFormation(ctx *kernel.Context, cores []wire.Replica) ([]wire.Replica, bool) {
+	e, want := &h.kernel.Boot.Settings, h.wantedVoters()
 	if !e.BootstrapKnown {
-		return PickVoters(cores, want), len(cores) >= want && cores[0].ID == s.replicaID
+		return PickVoters(cores, want), len(cores) >= want && cores[0].ID == h.replicaID
 	}
-	at := ctx.Now - s.started
-	all := !slices.ContainsFunc(e.Seeds, func(a string) bool { return !s.reaches(a, ctx.Now) })
-	if !e.Bootstrap || len(cores) == 0 || !all && at < SeedTimeout || s.proposer(cores) != s.replicaID {
+	at := ctx.Now - h.startedAt
+	all := !slices.ContainsFunc(e.Seeds, func(a string) bool { return !h.reaches(a, ctx.Now) })
+	if !e.Bootstrap || len(cores) == 0 || !all && at < SeedTimeout || h.proposer(cores) != h.replicaID {
 		return nil, false
 	}
 	if len(cores) >= want {
@@ -47,10 +47,10 @@
 
 // proposer is the core at the least seed address. All have the same seeds when a fleet starts,
 // but for themselves: a core that is not given as many as there can be is one of them.
-func (s *Host) proposer(cores []wire.Replica) string {
-	seeds := s.k.Boot.Settings.Seeds
+func (h *Host) proposer(cores []wire.Replica) string {
+	seeds := h.kernel.Boot.Settings.Seeds
 	if len(seeds) < maxSeeds {
-		seeds = append(slices.Clone(seeds), s.k.Boot.Settings.Mesh)
+		seeds = append(slices.Clone(seeds), h.kernel.Boot.Settings.Mesh)
 	}
 	best := cores[0]
 	for _, c := range cores {
--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -25,13 +25,13 @@
 	k := kernel.New(kernel.Boot{
 		Settings: e, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: map[string][]byte{"seat": diskfile.Pack([]byte("m"))},
 	})
-	c := &core{k: k, s: kernel.Find[*Host](k), now: 1_000_000}
+	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1_000_000}
 	c.feed(kernel.Start{})
 	return c
 }
 
 func proposal(id, by string, seatIDs ...string) *wire.Bootstrap {
-	return &wire.Bootstrap{BootstrapID: id, Voters: seats(seatIDs...), Proposer: wire.Replica{ID: by, Addr: "10.0.0.1:1"}}
+	return &wire.Bootstrap{BootstrapID: id, Voters: replicas(seatIDs...), Proposer: wire.Replica{ID: by, Addr: "10.0.0.1:1"}}
 }
 
 // sent gives the frames of a kind in an output.
@@ -52,41 +52,41 @@
 	return all
 }
 
-func formReplies(t *testing.T, out kernel.Output) []wire.BootstrapReply {
+func bootstrapReplies(t *testing.T, out kernel.Output) []wire.BootstrapReply {
 	return sent[wire.BootstrapReply](t, out, wire.KindBootstrapReply)
 }
 
-func TestConsentIsSyncedBeforeItIsGivenAndGivenToOne(t *testing.T) {
+func TestBootstrapConsentIsSyncedAndExclusive(t *testing.T) {
 	c := emptyCore(t, nil)
 	f1, f2 := proposal("f1", "a", "a", "b", "m"), proposal("f2", "n", "n", "o", "m")
 	out := c.send(wire.KindBootstrap, f1)
-	must.SliceEmpty(t, formReplies(t, out))
-	must.SliceEmpty(t, formReplies(t, c.send(wire.KindBootstrap, f1)), must.Sprint("asked again, still not synced"))
-	must.True(t, formReplies(t, c.sync(out))[0].OK)
-	must.True(t, formReplies(t, c.send(wire.KindBootstrap, f1))[0].OK)
-	r := formReplies(t, c.send(wire.KindBootstrap, f2))[0]
+	must.SliceEmpty(t, bootstrapReplies(t, out))
+	must.SliceEmpty(t, bootstrapReplies(t, c.send(wire.KindBootstrap, f1)), must.Sprint("asked again, still not synced"))
+	must.True(t, bootstrapReplies(t, c.sync(out))[0].OK)
+	must.True(t, bootstrapReplies(t, c.send(wire.KindBootstrap, f1))[0].OK)
+	r := bootstrapReplies(t, c.send(wire.KindBootstrap, f2))[0]
 	must.False(t, r.OK)
 	must.Eq(t, "a", r.Proposer.ID)
 	// Once the replica that proposed it has given it up, the consent is free again.
 	f1.Withdrawn = true
 	c.sync(c.send(wire.KindBootstrap, f1))
-	must.True(t, formReplies(t, c.sync(c.send(wire.KindBootstrap, f2)))[0].OK)
+	must.True(t, bootstrapReplies(t, c.sync(c.send(wire.KindBootstrap, f2)))[0].OK)
 }
 
-func TestFailedConsentIsNotGiven(t *testing.T) {
+func TestBootstrapConsentFailsWithItsWrite(t *testing.T) {
 	c := emptyCore(t, nil)
 	f1 := proposal("f1", "a", "a", "b", "m")
 	out := c.send(wire.KindBootstrap, f1)
-	r := formReplies(t, c.feed(kernel.Written{Plugin: "seats", Key: out.Writes[0].Key, Err: "no space left on device"}))
+	r := bootstrapReplies(t, c.feed(kernel.Written{Plugin: "seats", Key: out.Writes[0].Key, Err: "no space left on device"}))
 	must.False(t, r[0].OK)
-	must.Eq(t, "", c.s.formation.BootstrapID)
+	must.Eq(t, "", c.host.formation.BootstrapID)
 }
 
-func TestEmptyDiskInAFleetThatExistsNeitherFormsNorConsents(t *testing.T) {
+func TestBootstrapDeniedOnEmptyDiskOfFormedFleet(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Bootstrap = false })
 	out := c.send(wire.KindBootstrap, proposal("f1", "a", "a", "b", "m"))
 	must.SliceEmpty(t, out.Writes)
-	must.True(t, formReplies(t, out)[0].Forbidden)
+	must.True(t, bootstrapReplies(t, out)[0].Forbidden)
 	others(c, 3)
 	must.SliceEmpty(t, c.tick().Writes)
 }
@@ -99,28 +99,28 @@
 	}
 }
 
-func TestTheCoreAtTheLeastSeedAddressProposesAtOnce(t *testing.T) {
+func TestBootstrapProposerHasLeastSeedAddress(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	c.tick()
-	must.Eq(t, "", c.s.formation.BootstrapID, must.Sprint("nobody else is known yet"))
+	must.Eq(t, "", c.host.formation.BootstrapID, must.Sprint("nobody else is known yet"))
 	others(c, 3)
 	out := c.tick()
-	must.Len(t, 3, c.s.formation.Voters)
+	must.Len(t, 3, c.host.formation.Voters)
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before its own consent is synced"))
 	out = c.sync(out)
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
-	for _, member := range c.s.formation.Voters {
-		out = c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: c.s.formation.BootstrapID, From: member.ID, OK: true})
+	for _, member := range c.host.formation.Voters {
+		out = c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: c.host.formation.BootstrapID, From: member.ID, OK: true})
 	}
-	must.False(t, c.s.bootstrapped)
+	must.False(t, c.host.bootstrapped)
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before it is synced that it is complete"))
 	gone := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
-	must.True(t, c.s.bootstrapped)
+	must.True(t, c.host.bootstrapped)
 	must.Len(t, 2, gone)
 	must.True(t, gone[0].Commit)
 }
 
-func TestAnotherCoreWaitsForTheOneThatProposes(t *testing.T) {
+func TestBootstrapOtherCoresWaitForProposer(t *testing.T) {
 	c := emptyCore(t, nil)
 	others(c, 3)
 	must.SliceEmpty(t, c.tick().Writes)
@@ -129,7 +129,7 @@
 	must.SliceEmpty(t, c.tick().Writes)
 }
 
-func TestSmallerGroupOnlyWhenEverySeedIsHeard(t *testing.T) {
+func TestBootstrapSmallerGroupNeedsEverySeed(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) {
 		e.Mesh, e.Zone, e.Seeds, e.Tolerance.Machines = "10.0.0.0:1", "z0", e.Seeds[:2], 2
 	})
@@ -138,14 +138,14 @@
 	must.SliceEmpty(t, c.tick().Writes, must.Sprint("one seed is not heard"))
 	others(c, 3)
 	c.tick()
-	must.Len(t, 3, c.s.formation.Voters, must.Sprint("five are wanted, four there: three"))
+	must.Len(t, 3, c.host.formation.Voters, must.Sprint("five are wanted, four there: three"))
 }
 
-func TestOfTwoProposalsThatOfTheLesserSeatGoesOn(t *testing.T) {
+func TestBootstrapGreaterProposerWithdraws(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Seeds = "10.0.0.0:1", e.Seeds[:2] })
 	others(c, 3)
 	out := c.sync(c.tick())
-	mine := c.s.formation
+	mine := c.host.formation
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
 	must.SliceEmpty(t, c.send(wire.KindBootstrap, proposal("f2", "z", "z", "s1", "s2")).Writes, must.Sprint("z is not less than m"))
 	out = c.send(wire.KindBootstrap, proposal("f3", "a", "a", "s1", "s2"))
@@ -154,32 +154,32 @@
 	for _, member := range mine.Voters {
 		c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: mine.BootstrapID, From: member.ID, OK: true})
 	}
-	must.False(t, c.s.completing)
+	must.False(t, c.host.completing)
 	freed := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
 	must.Len(t, 2, freed)
 	must.True(t, freed[0].Withdrawn && freed[0].BootstrapID == mine.BootstrapID)
 }
 
-func TestRefuserIsLeftOut(t *testing.T) {
+func TestBootstrapExcludesRefusers(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	others(c, 3)
 	c.sync(c.tick())
-	f := c.s.formation
+	f := c.host.formation
 	i := slices.IndexFunc(f.Voters, func(s wire.Replica) bool { return s.ID != "m" })
 	c.sync(c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: f.BootstrapID, From: f.Voters[i].ID, Forbidden: true}))
 	c.tick()
-	must.NotEq(t, f.BootstrapID, c.s.formation.BootstrapID)
-	must.Len(t, 3, c.s.formation.Voters)
-	must.False(t, contains(c.s.formation.Voters, f.Voters[i].ID))
+	must.NotEq(t, f.BootstrapID, c.host.formation.BootstrapID)
+	must.Len(t, 3, c.host.formation.Voters)
+	must.False(t, contains(c.host.formation.Voters, f.Voters[i].ID))
 }
 
-func TestCoreWithoutADiskHoldsNoSeatAndHandsOn(t *testing.T) {
+func TestHostWithoutDiskRelaysVersions(t *testing.T) {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.5:1", BootstrapKnown: true}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
-	c := &core{k: k, s: kernel.Find[*Host](k), now: 1_000_000}
+	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1_000_000}
 	must.SliceEmpty(t, c.feed(kernel.Start{}).Writes)
-	must.Eq(t, "", c.s.ReplicaID())
+	must.Eq(t, "", c.host.ReplicaID())
 	must.Eq(t, map[uint64]string{1: "not_owner"}, replies(t, c.edit(1, wire.Edit{Op: "read"})))
-	c.s.mesh.AnnounceVersion(&kernel.Context{Now: c.now, Counts: c.k.Counts}, version(3, 1))
+	c.host.mesh.AnnounceVersion(&kernel.Context{Now: c.now, Counts: c.kernel.Counts}, version(3, 1))
 	got := sent[wire.PullReply](t, c.send(wire.KindPull, &wire.Pull{}), wire.KindPullReply)
 	must.Len(t, 1, got[0].Versions)
 	must.Eq(t, uint64(3), got[0].Versions[0].Version.Term)
--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -12,25 +12,25 @@
 
 // Figures of versions on their way; times in microseconds, sizes in bytes.
 const (
-	// LargeInterval is how often a large version is sent again. The transport sends lost pieces
+	// LargeResendInterval is how often a large version is sent again. The transport sends lost pieces
 	// again by itself; what it still has under way it does not take twice.
-	LargeInterval = 2_000_000
+	LargeResendInterval = 2_000_000
 	// ProposalTimeout is how long a version may be under way, and SlowestTransfer, in bytes a
 	// second, what it may take beyond that by its size.
 	ProposalTimeout = 10_000_000
 	SlowestTransfer = 100_000
 	// MaxQueuedBytes bounds the orders that wait for the next version.
 	MaxQueuedBytes = 8 << 20
-	// PullAgainAfter is how long a large version counts as on its way to a node that pulled it.
-	PullAgainAfter  = 4_000_000
-	pullsRemembered = 256
+	// LargeResendToPullerAfter is how long a large version counts as on its way to a node that pulled it.
+	LargeResendToPullerAfter = 4_000_000
+	maxTrackedConns          = 256
 )
 
 // isLarge reports whether a body travels in pieces.
 func isLarge(size int) bool { return size > wire.MaxSingleFrame }
 
-// sizeOf is the size of a version without its envelope.
-func sizeOf(v wire.Versioned) int { return len(v.Body) + len(v.EditLog) }
+// versionSize is the size of a version without its envelope.
+func versionSize(v wire.Versioned) int { return len(v.Body) + len(v.EditLog) }
 
 // transferTime is how long a version may be on its way for its size.
 func transferTime(size int) int64 { return int64(size) * 1_000_000 / SlowestTransfer }
@@ -38,7 +38,7 @@
 // resendInterval is how often a version that was not acknowledged is sent again.
 func resendInterval(size int) int64 {
 	if isLarge(size) {
-		return LargeInterval
+		return LargeResendInterval
 	}
 	return 2 * HeartbeatInterval
 }
@@ -49,7 +49,7 @@
 	if g.proposal == nil {
 		return false
 	}
-	return now-g.proposedAt > ProposalTimeout+transferTime(sizeOf(*g.proposal))
+	return now-g.proposedAt > ProposalTimeout+transferTime(versionSize(*g.proposal))
 }
 
 // queuedBytes is the size of the orders that wait for the next version.
@@ -60,13 +60,13 @@
 	return n
 }
 
-// refuseTooLarge turns an order down whose outcome is larger than the product takes.
-func (g *Group) refuseTooLarge(ctx *kernel.Context, w *pendingEdit, before, after state.Value) {
-	if !w.taken {
+// rejectTooLarge turns an order down whose outcome is larger than the product takes.
+func (g *Group) rejectTooLarge(ctx *kernel.Context, w *pendingEdit, before, after state.Value) {
+	if !w.applied {
 		return
 	}
 	if reply, tooLarge := state.TooLarge(g.partition, before, after); tooLarge {
-		w.reply, w.taken = reply, false
+		w.reply, w.applied = reply, false
 		ctx.Counts.Add("orders_too_large", 1)
 	}
 }
@@ -74,14 +74,14 @@
 // catchUp sends the newest committed version to a replica whose heartbeat reply shows that it
 // lacks it. While another version is under way to it, a large one is not sent as well.
 func (g *Group) catchUp(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
-	size := sizeOf(g.committed)
+	size := versionSize(g.committed)
 	underWay := g.proposal != nil && (r.Stored == g.proposal.Version || isLarge(size))
 	if !g.ready || underWay || !mesh.Newer(g.committed.Version, r.Stored) {
 		return
 	}
 	interval := int64(CatchUpInterval)
 	if isLarge(size) {
-		interval = LargeInterval
+		interval = LargeResendInterval
 	}
 	if at := g.caughtUpAt[r.From]; at != 0 && ctx.Now-at < interval {
 		return
@@ -103,18 +103,18 @@
 type sentVersions map[int]sentVersion
 
 type sentVersion struct {
-	stamp wire.Version
-	at    int64
+	version wire.Version
+	sentAt  int64
 }
 
 // limitPull takes large versions out of a reply that are on their way to the node already, and
 // those that do not fit into one message: the next pull brings them.
-func (s *Host) limitPull(now int64, conn uint64, r *wire.PullReply) {
+func (h *Host) limitPull(now int64, conn uint64, r *wire.PullReply) {
 	room := wire.MaxMessage - wire.MaxSingleFrame
 	versions := r.Versions
 	r.Versions = nil
 	for _, v := range versions {
-		if room < len(v.Body) || isLarge(len(v.Body)) && !s.mayPull(now, conn, v.Version) {
+		if room < len(v.Body) || isLarge(len(v.Body)) && !h.maySendLarge(now, conn, v.Version) {
 			// The asker does not have all that was acknowledged before the contact.
 			withheld := uint32(1) << v.Version.Partition
 			r.Partial, r.ContactMask, r.RelayedMask = true, r.ContactMask&^withheld, r.RelayedMask&^withheld
@@ -125,17 +125,17 @@
 	}
 }
 
-// mayPull reports whether a large version is not on its way on a connection, and notes that it is now.
-func (s *Host) mayPull(now int64, conn uint64, stamp wire.Version) bool {
-	if len(s.pullsSent) >= pullsRemembered || s.pullsSent == nil {
-		s.pullsSent = map[uint64]sentVersions{}
+// maySendLarge reports whether a large version is not on its way on a connection, and notes that it is now.
+func (h *Host) maySendLarge(now int64, conn uint64, stamp wire.Version) bool {
+	if len(h.largeSent) >= maxTrackedConns || h.largeSent == nil {
+		h.largeSent = map[uint64]sentVersions{}
 	}
-	sent := s.pullsSent[conn]
+	sent := h.largeSent[conn]
 	if sent == nil {
 		sent = sentVersions{}
-		s.pullsSent[conn] = sent
+		h.largeSent[conn] = sent
 	}
-	if was := sent[stamp.Partition]; was.stamp == stamp && now-was.at < PullAgainAfter {
+	if was := sent[stamp.Partition]; was.version == stamp && now-was.sentAt < LargeResendToPullerAfter {
 		return false
 	}
 	sent[stamp.Partition] = sentVersion{stamp, now}
--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -14,10 +14,10 @@
 	"wallport/runtime/wire"
 )
 
-// wholeWithin is how long a replica that comes back may take: to listen, to be found and made a
+// catchUpLimit is how long a replica that comes back may take: to listen, to be found and made a
 // voter if its disk is new, and twice the time that its link takes for the body.
-func wholeWithin(size int) int64 {
-	return ListenBeforeElection + LargeInterval + 1_000_000 + 2*int64(size)*1_000_000/linkOf10Mbit
+func catchUpLimit(size int) int64 {
+	return ListenBeforeElection + LargeResendInterval + 1_000_000 + 2*int64(size)*1_000_000/linkOf10Mbit
 }
 
 // retryAllowance is what a piece that was lost on its way to one that was away may cost.
@@ -37,7 +37,7 @@
 	away := c.settle()
 	c.stop(away.id)
 	for i := range changes {
-		must.Eq(t, "ok", c.order(pools(revision, 100, fmt.Sprintf("changed-%d", i%50)), 10_000_000).Code)
+		must.Eq(t, "ok", c.edit(pools(revision, 100, fmt.Sprintf("changed-%d", i%50)), 10_000_000).Code)
 		revision++
 	}
 	back := c.now + 3_000_000
@@ -48,7 +48,7 @@
 	c.bytesPerSecond = linkOf10Mbit
 	want := c.lead().committed().Version
 	c.start(away.id)
-	us := c.run(wholeWithin(size), "the replica is whole again", func() bool { return away.holds(want) })
+	us := c.run(catchUpLimit(size), "the replica is whole again", func() bool { return away.hasSynced(want) })
 	return caughtUp{us, away.bytesIn, int64(len(c.lead().committed().Body)), c.lead().committed().Version.Term - want.Term}
 }
 
@@ -69,7 +69,7 @@
 	return n
 }
 
-func TestAReplicaThatWasAwayIsWholeAgain(t *testing.T) {
+func TestCatchUpAfterAbsence(t *testing.T) {
 	sizes := []int{10_000, 100_000, 1_000_000, 4_000_000}
 	if testing.Short() {
 		sizes = sizes[:2]
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestSixHundredMissedChangesTakeNoLongerThanTen(t *testing.T) {
+func TestCatchUpTimeIndependentOfMissedChanges(t *testing.T) {
 	few, many := catchUpAfter(t, 50_000, 10, false), catchUpAfter(t, 50_000, 600, false)
 	must.Eq(t, 0, many.terms)
 	must.LessEq(t, few.us+retryAllowance, many.us)
@@ -99,24 +99,24 @@
 }
 
 // A large version on its way to a replica must not hold up the heartbeats to it and the others.
-func TestHeartbeatsPassALargeVersion(t *testing.T) {
+func TestHeartbeatsPassLargeVersion(t *testing.T) {
 	c := newNarrowCluster(t, linkOf10Mbit)
 	revision := c.grow(3_000_000)
 	away := c.settle()
 	l, term := c.lead(), c.lead().committed().Version.Term
 	c.stop(away.id)
-	must.Eq(t, "ok", c.order(pools(revision, 100, "changed"), 60_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(revision, 100, "changed"), 60_000_000).Code)
 	want := l.committed().Version
 	back := c.now + 3_000_000
 	c.run(4_000_000, "it is away for a while", func() bool { return c.now >= back })
 	c.start(away.id)
 	g := away.host.groups[state.ConfigPartition]
 	worst := int64(0)
-	c.run(wholeWithin(3_000_000), "the replica is whole again", func() bool {
+	c.run(catchUpLimit(3_000_000), "the replica is whole again", func() bool {
 		if g.leaderSeen > 0 {
 			worst = max(worst, c.now-g.leaderSeen)
 		}
-		return away.holds(want)
+		return away.hasSynced(want)
 	})
 	t.Logf("the longest wait for a heartbeat was %d ms", worst/1000)
 	must.Less(t, ElectionTimeout, worst)
@@ -125,14 +125,14 @@
 }
 
 // A member that is away while versions follow each other is brought the newest one only.
-func TestOnlyTheNewestVersionIsBrought(t *testing.T) {
+func TestCatchUpSendsOnlyNewestVersion(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	must.NotNil(t, g)
-	c.now += LargeInterval
+	c.now += LargeResendInterval
 	g.committed.Body = make([]byte, wire.MaxSingleFrame+1)
-	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.round, OK: true}
-	count := func() int64 { return c.k.Counts.Of("part_handed_over").Load() }
+	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, OK: true}
+	count := func() int64 { return c.kernel.Counts.Of("part_handed_over").Load() }
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
 	must.Eq(t, 1, count())
 	for range 5 {
@@ -141,25 +141,25 @@
 	}
 	must.Eq(t, 1, count(), must.Sprint("a large one is on its way"))
 	g.proposal = &wire.Versioned{Version: wire.Version{Term: g.term, Seq: 99}, Voters: g.committed.Voters}
-	c.now += 2 * LargeInterval
+	c.now += 2 * LargeResendInterval
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
 	must.Eq(t, 1, count(), must.Sprint("the one that is proposed takes its place"))
 }
 
-func TestADiskThatWasPutBackIsNoticed(t *testing.T) {
+func TestRolledBackDiskIsDetected(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
-	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.round, Stored: wire.Version{}, OK: true}
-	g.synced["b"] = syncedVersion{stamp: g.committed.Version, round: g.round}
+	g := electLeader(t, c)
+	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, Stored: wire.Version{}, OK: true}
+	g.synced["b"] = syncedVersion{version: g.committed.Version, heartbeatRound: g.heartbeatRound}
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
-	must.Eq(t, 0, c.k.Counts.Of("replicas_rolled_back").Load(), must.Sprint("sent before the acknowledgement"))
+	must.Eq(t, 0, c.kernel.Counts.Of("replicas_rolled_back").Load(), must.Sprint("sent before the acknowledgement"))
 	beat.Round++
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
-	must.Eq(t, 1, c.k.Counts.Of("replicas_rolled_back").Load())
+	must.Eq(t, 1, c.kernel.Counts.Of("replicas_rolled_back").Load())
 	beat.Stored = g.committed.Version
-	g.synced["b"] = syncedVersion{stamp: g.committed.Version, round: g.round}
+	g.synced["b"] = syncedVersion{version: g.committed.Version, heartbeatRound: g.heartbeatRound}
 	c.send(wire.KindLeaderHeartbeatReply, &beat)
-	must.Eq(t, 1, c.k.Counts.Of("replicas_rolled_back").Load())
+	must.Eq(t, 1, c.kernel.Counts.Of("replicas_rolled_back").Load())
 }
 
 func BenchmarkCatchUp(b *testing.B) {
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -49,14 +49,14 @@
 		if contains(g.proposal.PreviousVoters, voter.ID) {
 			continue
 		}
-		if !slices.ContainsFunc(c.machines, func(m *simMachine) bool { return m.holds(voter.ID, oldest) }) {
+		if !slices.ContainsFunc(c.machines, func(m *simMachine) bool { return m.hasSynced(voter.ID, oldest) }) {
 			c.violations = append(c.violations, fmt.Sprintf("%d us: partition %d gives %s a vote before it holds %v", c.now, g.partition, voter.ID, g.committed.Version))
 		}
 	}
 }
 
-// holds reports whether this disk is that of a replica and has a version that is no older than another.
-func (m *simMachine) holds(replicaID string, oldest wire.Version) bool {
+// hasSynced reports whether this disk is that of a replica and has a version that is no older than another.
+func (m *simMachine) hasSynced(replicaID string, oldest wire.Version) bool {
 	id, err := diskfile.Unpack(m.disk["seat"])
 	if err != nil || string(id) != replicaID {
 		return false
--- a/control/replica/cluster_machine_test.go
+++ b/control/replica/cluster_machine_test.go
@@ -12,25 +12,25 @@
 
 // simMachine is a machine with a disk and, while it is up, a process on it.
 type simMachine struct {
-	cluster    *simCluster
-	addr, zone string
-	disk       map[string][]byte
-	first      bool
-	up         bool
-	stopping   bool
-	life       int
-	upAt       int64
-	kernel     *kernel.Kernel
-	host       *Host
-	writes     []kernel.Write
-	writing    bool
+	cluster     *simCluster
+	addr, zone  string
+	disk        map[string][]byte
+	first       bool
+	up          bool
+	stopping    bool
+	incarnation int
+	upAt        int64
+	kernel      *kernel.Kernel
+	host        *Host
+	writes      []kernel.Write
+	writing     bool
 }
 
 type simLink struct {
-	ends  [2]*simMachine
-	lives [2]int
-	ids   [2]uint64
-	last  [2]int64
+	ends         [2]*simMachine
+	incarnations [2]int
+	ids          [2]uint64
+	last         [2]int64
 }
 
 func (m *simMachine) clock() int64 { return m.cluster.now - m.upAt }
@@ -40,7 +40,7 @@
 	if m.up {
 		return
 	}
-	m.life++
+	m.incarnation++
 	m.up, m.stopping, m.upAt, m.writes, m.writing = true, false, c.now, nil, false
 	var seeds []string
 	for _, other := range c.machines[:3] {
@@ -75,7 +75,7 @@
 	if m.up {
 		m.cluster.note(m.addr + " dies")
 		m.up = false
-		m.life++
+		m.incarnation++
 	}
 }
 
@@ -92,7 +92,7 @@
 	m.stopping = true
 	m.cluster.note(m.addr + " is told to stop")
 	m.step(kernel.Stopping{})
-	m.awaitLeft(m.cluster.now + LeaveWithin)
+	m.awaitLeft(m.cluster.now + LeaveTimeout)
 }
 
 func (m *simMachine) awaitLeft(until int64) {
@@ -104,9 +104,9 @@
 }
 
 func (m *simMachine) later(d int64, run func()) {
-	life := m.life
+	life := m.incarnation
 	m.cluster.after(d, func() {
-		if m.life == life {
+		if m.incarnation == life {
 			run()
 		}
 	})
@@ -165,7 +165,7 @@
 }
 
 func (l *simLink) alive() bool {
-	return l.ends[0].life == l.lives[0] && l.ends[1].life == l.lives[1] && l.ends[0].up && l.ends[1].up
+	return l.ends[0].incarnation == l.incarnations[0] && l.ends[1].incarnation == l.incarnations[1] && l.ends[0].up && l.ends[1].up
 }
 
 func (m *simMachine) send(s kernel.Send) {
@@ -184,7 +184,7 @@
 		}
 		if link == nil || !link.alive() {
 			c.nextLink += 2
-			link = &simLink{ends: [2]*simMachine{m, to}, lives: [2]int{m.life, to.life}, ids: [2]uint64{c.nextLink, c.nextLink + 1}}
+			link = &simLink{ends: [2]*simMachine{m, to}, incarnations: [2]int{m.incarnation, to.incarnation}, ids: [2]uint64{c.nextLink, c.nextLink + 1}}
 			c.links[c.nextLink], c.links[c.nextLink+1], c.direct[key] = link, link, link
 		}
 	}
--- a/control/replica/cluster_test.go
+++ b/control/replica/cluster_test.go
@@ -124,7 +124,7 @@
 	c.after(simEditEvery, c.operate)
 	if leader := c.leader(0); leader != nil {
 		c.nextEdit++
-		edit := order(c.t, c.revision(leader), int64(c.nextEdit), int64(c.nextEdit))
+		edit := routingEdit(c.t, c.revision(leader), int64(c.nextEdit), int64(c.nextEdit))
 		var sent routingpb.RoutingEdit
 		must.NoError(c.t, proto.Unmarshal(edit.Body, &sent))
 		digest := routing.Digest(&sent)
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -17,22 +17,22 @@
 const (
 	// ContactFor is how long after its sending a confirmed round stands for contact with a majority.
 	ContactFor = 1_000_000
-	// RelayedFor is how long after a core asked another one, that one's contact is passed on.
-	RelayedFor = 2_000_000
+	// RelayedContactFor is how long after a core asked another one, that one's contact is passed on.
+	RelayedContactFor = 2_000_000
 	// clockOrigins is the range from which the origin of the clock is drawn that leaders are told.
 	clockOrigins = 1 << 60
 )
 
 // sentRound is a heartbeat round that no majority has answered yet.
 type sentRound struct {
-	round uint64
-	at    int64
+	number uint64
+	sentAt int64
 }
 
 // contact is what a replica knows of its group's contact with a majority.
 type contact struct {
 	// A leader's rounds on their way, oldest first, and when the newest was sent that a majority answered.
-	open        []sentRound
+	openRounds  []sentRound
 	confirmedAt int64
 	// offsets lead from the leader's clock to that of each voter, or to a moment before it.
 	offsets map[string]int64
@@ -42,26 +42,26 @@
 	committed wire.Version
 }
 
-// lead begins a leader's account: nothing of its term is confirmed yet.
-func (c *contact) lead() {
-	c.open, c.confirmedAt, c.offsets = nil, 0, map[string]int64{}
+// reset begins a leader's account: nothing of its term is confirmed yet.
+func (c *contact) reset() {
+	c.openRounds, c.confirmedAt, c.offsets = nil, 0, map[string]int64{}
 }
 
-// sent notes a round; those too old to prove anything are dropped.
-func (c *contact) sent(round uint64, now int64) {
-	c.open = slices.DeleteFunc(c.open, func(r sentRound) bool { return now-r.at > ContactFor })
-	c.open = append(c.open, sentRound{round, now})
+// roundSent notes a round; those too old to prove anything are dropped.
+func (c *contact) roundSent(round uint64, now int64) {
+	c.openRounds = slices.DeleteFunc(c.openRounds, func(r sentRound) bool { return now-r.sentAt > ContactFor })
+	c.openRounds = append(c.openRounds, sentRound{round, now})
 }
 
-// answered notes a voter's clock as its answer tells it.
-func (c *contact) answered(r wire.LeaderHeartbeatReply, now int64) {
+// recordClock notes a voter's clock as its answer tells it.
+func (c *contact) recordClock(r wire.LeaderHeartbeatReply, now int64) {
 	if r.Clock > 0 {
 		c.offsets[r.From] = r.Clock - now
 	}
 }
 
-// within reports whether a leader's newest confirmed round was sent at most d ago.
-func (c *contact) within(now, d int64) bool {
+// confirmedWithin reports whether a leader's newest confirmed round was sent at most d ago.
+func (c *contact) confirmedWithin(now, d int64) bool {
 	return c.confirmedAt > 0 && now-c.confirmedAt <= d
 }
 
@@ -74,9 +74,9 @@
 	return max(0, c.confirmedAt+offset)
 }
 
-// proven takes the proof of a leader's heartbeat. One on another clock, that of an earlier life of
+// recordProof takes the proof of a leader's heartbeat. One on another clock, that of an earlier life of
 // this process, proves nothing.
-func (c *contact) proven(at, now int64, committed wire.Version) {
+func (c *contact) recordProof(at, now int64, committed wire.Version) {
 	if at <= 0 || at > now {
 		return
 	}
@@ -89,9 +89,9 @@
 // confirmRounds notes which of a leader's rounds a majority has answered.
 func (g *Group) confirmRounds() {
 	c := &g.contact
-	for len(c.open) > 0 && g.isConfirmed(c.open[0].round) {
-		c.confirmedAt = max(c.confirmedAt, c.open[0].at)
-		c.open = c.open[1:]
+	for len(c.openRounds) > 0 && g.isConfirmed(c.openRounds[0].number) {
+		c.confirmedAt = max(c.confirmedAt, c.openRounds[0].sentAt)
+		c.openRounds = c.openRounds[1:]
 	}
 }
 
@@ -103,34 +103,34 @@
 // shortly before, by this replica's own contact with a majority.
 func (g *Group) inContact(now int64, version wire.Version) bool {
 	if g.role == leader {
-		return g.ready && g.contact.within(now, ContactFor)
+		return g.ready && g.contact.confirmedWithin(now, ContactFor)
 	}
 	proven := g.contact.provenAt > 0 && now-g.contact.provenAt <= ContactFor
 	return proven && !mesh.Newer(g.contact.committed, version)
 }
 
-// followsLeader reports whether callers may be sent to the leader that this replica knows.
-func (g *Group) followsLeader(now int64) bool {
+// knowsLeader reports whether callers may be sent to the leader that this replica knows.
+func (g *Group) knowsLeader(now int64) bool {
 	if g.role == leader {
-		return g.contact.within(now, ContactFor)
+		return g.contact.confirmedWithin(now, ContactFor)
 	}
 	return now-g.leaderSeen < StepDownAfter
 }
 
-// tellContact tells who pulls whether the version that it has now is confirmed.
-func (g *Group) tellContact(now int64, version wire.Version, r *wire.PullReply) {
+// reportContact tells who pulls whether the version that it has now is confirmed.
+func (g *Group) reportContact(now int64, version wire.Version, r *wire.PullReply) {
 	bit := uint32(1) << uint(g.partition)
 	if g.inContact(now, version) {
 		r.ContactMask |= bit
 	}
-	if g.relayedAt > 0 && now-g.relayedAt <= RelayedFor {
+	if g.relayedAt > 0 && now-g.relayedAt <= RelayedContactFor {
 		r.RelayedMask |= bit
 	}
 }
 
-// relay notes the contact of another core that has answered this one's pull.
-func (s *Host) relay(v configsync.Pulled) {
-	for _, g := range s.groups {
+// relayContact notes the contact of another core that has answered this one's pull.
+func (h *Host) relayContact(v configsync.Pulled) {
+	for _, g := range h.groups {
 		if v.Contact&(1<<uint(g.partition)) != 0 {
 			g.relayedAt = max(g.relayedAt, v.SentAt)
 		}
@@ -139,10 +139,10 @@
 
 // clock is this process's steady clock as leaders are told it. Its origin is another one at each
 // start, so that a proof for an earlier life is none for this one.
-func (s *Host) clock(now int64) int64 { return s.clockOrigin + now }
+func (h *Host) clock(now int64) int64 { return h.clockOrigin + now }
 
-// noteContact logs and counts when a leader loses its contact with a majority.
-func (g *Group) noteContact(ctx *kernel.Context) {
+// watchContact logs and counts when a leader loses its contact with a majority.
+func (g *Group) watchContact(ctx *kernel.Context) {
 	since := ctx.Now - max(g.leaderSince, g.contact.confirmedAt)
 	lost := g.ready && since > ContactFor
 	if lost && !g.contactLost {
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -22,14 +22,14 @@
 
 // member is one process of the cluster.
 type member struct {
-	name, addr string
-	kernel     *kernel.Kernel
-	host       *Host
-	files      map[string][]byte
-	life       int
-	startedAt  int64
-	frozen     bool
-	waiting    []func()
+	name, addr  string
+	kernel      *kernel.Kernel
+	host        *Host
+	files       map[string][]byte
+	incarnation int
+	startedAt   int64
+	frozen      bool
+	waiting     []func()
 }
 
 type cluster struct {
@@ -40,9 +40,9 @@
 	conns   map[uint64]*connection
 	direct  map[string]uint64
 	nextID  uint64
-	// cut names the member that is cut off from the others; frames over the cut are held back.
-	cut  *member
-	held []func()
+	// isolated names the member that is cut off from the others; frames over the cut are held back.
+	isolated *member
+	held     []func()
 }
 
 // newCluster starts members m0, m1 ... of which the first ones, an odd number, form one group.
@@ -76,7 +76,7 @@
 	for name, data := range m.files {
 		files[name] = bytes.Clone(data)
 	}
-	m.life++
+	m.incarnation++
 	m.frozen, m.waiting, m.startedAt = false, nil, c.now
 	m.kernel = kernel.New(kernel.Boot{Settings: e, Role: "core", Seed: c.rnd.Uint64(), Key: kernel.KeyFrom(bytes.Repeat([]byte{m.name[1]}, 32)), Files: files})
 	m.host = kernel.Find[*Host](m.kernel)
@@ -99,19 +99,19 @@
 }
 
 // feed has a member take an input in this life, once it is not frozen.
-func (c *cluster) feed(m *member, life int, in kernel.Input) {
-	if m.life != life {
+func (c *cluster) feed(m *member, incarnation int, in kernel.Input) {
+	if m.incarnation != incarnation {
 		return
 	}
 	if m.frozen {
-		m.waiting = append(m.waiting, func() { c.feed(m, life, in) })
+		m.waiting = append(m.waiting, func() { c.feed(m, incarnation, in) })
 		return
 	}
 	c.step(m, in)
 }
 
 func (c *cluster) step(m *member, in kernel.Input) {
-	now, life := c.now-m.startedAt, m.life
+	now, life := c.now-m.startedAt, m.incarnation
 	out := m.kernel.Step(now, 1_700_000_000*second+c.now, in)
 	for _, v := range out.Timers {
 		c.after(v.At-now, func() { c.feed(m, life, v.Tick) })
@@ -142,15 +142,15 @@
 // leader is the member that leads a partition and may take its edits, and follower some other one.
 func (c *cluster) leader(partition int) *member {
 	for _, m := range c.members {
-		if m.host.Leads(partition) && !m.frozen && m != c.cut {
+		if m.host.Leads(partition) && !m.frozen && m != c.isolated {
 			return m
 		}
 	}
 	return nil
 }
 
-// settled runs until a partition has a leader that was in office for a while.
-func (c *cluster) settled(partition int) *member {
+// committedLeader runs until a partition has a leader that was in office for a while.
+func (c *cluster) committedLeader(partition int) *member {
 	for range 100 {
 		c.run(100*millisecond, nil)
 		if m := c.leader(partition); m != nil {
--- a/control/replica/contact_net_test.go
+++ b/control/replica/contact_net_test.go
@@ -16,15 +16,15 @@
 type connection struct {
 	ends [2]*member
 	// free is when the next frame may arrive at an end: frames keep their order.
-	free  [2]int64
-	lives [2]int
-	reply func(f wire.Frame)
+	free         [2]int64
+	incarnations [2]int
+	reply        func(f wire.Frame)
 }
 
 func (c *cluster) write(m *member, w kernel.Write) {
-	life := m.life
+	life := m.incarnation
 	c.after(millisecond+c.rnd.Int64N(5*millisecond), func() {
-		if m.life != life {
+		if m.incarnation != life {
 			return
 		}
 		if w.Data == nil {
@@ -41,9 +41,9 @@
 // connect opens a connection from a member, or from the test where that is nil, to a member.
 func (c *cluster) connect(from, to *member) uint64 {
 	c.nextID++
-	conn := &connection{ends: [2]*member{from, to}, lives: [2]int{0, to.life}}
+	conn := &connection{ends: [2]*member{from, to}, incarnations: [2]int{0, to.incarnation}}
 	if from != nil {
-		conn.lives[0] = from.life
+		conn.incarnations[0] = from.incarnation
 	}
 	c.conns[c.nextID] = conn
 	return c.nextID
@@ -52,13 +52,13 @@
 func (c *cluster) send(m *member, s kernel.Send) {
 	id := s.Conn
 	if s.Addr != "" {
-		key := fmt.Sprint(m.name, m.life, ">", s.Addr)
+		key := fmt.Sprint(m.name, m.incarnation, ">", s.Addr)
 		to := c.at(s.Addr)
 		if to == nil {
 			return
 		}
 		conn := c.conns[c.direct[key]]
-		if conn == nil || conn.lives[1] != to.life {
+		if conn == nil || conn.incarnations[1] != to.incarnation {
 			c.direct[key] = c.connect(m, to)
 		}
 		id = c.direct[key]
@@ -85,7 +85,7 @@
 
 func (c *cluster) deliver(conn *connection, id uint64, side int, data []byte) {
 	to, from := conn.ends[side], conn.ends[1-side]
-	if to != nil && from != nil && (to == c.cut || from == c.cut) {
+	if to != nil && from != nil && (to == c.isolated || from == c.isolated) {
 		c.held = append(c.held, func() { c.deliver(conn, id, side, data) })
 		return
 	}
@@ -98,22 +98,22 @@
 			conn.reply(f)
 			return
 		}
-		c.feed(to, conn.lives[side], kernel.Received{Conn: id, Data: data})
+		c.feed(to, conn.incarnations[side], kernel.Received{Conn: id, Data: data})
 	})
 }
 
-// ask sends a frame of the test to a member; reply gets whatever comes back on its connection.
-func (c *cluster) ask(to *member, kind uint8, id uint64, m interface{ MarshalMsg([]byte) ([]byte, error) }, reply func(f wire.Frame)) {
+// request sends a frame of the test to a member; reply gets whatever comes back on its connection.
+func (c *cluster) request(to *member, kind uint8, id uint64, m interface{ MarshalMsg([]byte) ([]byte, error) }, reply func(f wire.Frame)) {
 	ch := c.connect(nil, to)
 	c.conns[ch].reply = reply
 	c.deliver(c.conns[ch], ch, 1, wire.Seal(kind, id, m))
 }
 
 // isolate cuts a member off from the others; heal lets the frames pass that were held back.
-func (c *cluster) isolate(m *member) { c.cut = m }
+func (c *cluster) isolate(m *member) { c.isolated = m }
 
 func (c *cluster) heal() {
-	c.cut = nil
+	c.isolated = nil
 	held := c.held
 	c.held = nil
 	for _, f := range held {
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -12,66 +12,66 @@
 	"wallport/runtime/wire"
 )
 
-// pulled is what the core answers to a pull of one that has nothing.
-func (c *core) pulled(t *testing.T) wire.PullReply {
+// pullAll is what the core answers to a pull of one that has nothing.
+func (c *core) pullAll(t *testing.T) wire.PullReply {
 	t.Helper()
 	return sent[wire.PullReply](t, c.send(wire.KindPull, &wire.Pull{}), wire.KindPullReply)[0]
 }
 
-// answers has one of the two other voters answer the newest round.
-func (c *core) answers(g *Group, clock int64) kernel.Output {
-	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Stored: g.accepted.Version, OK: true, Clock: clock})
+// replyToHeartbeat has one of the two other voters answer the newest round.
+func (c *core) replyToHeartbeat(g *Group, clock int64) kernel.Output {
+	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Clock: clock})
 }
 
 // A process that was held up for less than a freeze is told of has not ticked: what it answers is
 // judged by the clock, too.
-func TestALeadersContactEndsByTheClockAlone(t *testing.T) {
+func TestLeaderContactExpiresByClock(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
-	must.Zero(t, c.pulled(t).ContactMask, must.Sprint("no round is answered yet"))
+	g := electLeader(t, c)
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("no round is answered yet"))
 	c.now += HeartbeatInterval
 	c.tick()
-	c.answers(g, 0)
-	must.Eq(t, 1, c.pulled(t).ContactMask)
+	c.replyToHeartbeat(g, 0)
+	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.tick()
-	must.Eq(t, 1, c.k.Counts.Of("part_in_contact_now").Load())
-	must.Zero(t, c.k.Counts.Of("part_contact_lost").Load(), must.Sprint("a leader just elected has lost nothing"))
-	must.Len(t, 1, c.pulled(t).Leaders)
+	must.Eq(t, 1, c.kernel.Counts.Of("part_in_contact_now").Load())
+	must.Zero(t, c.kernel.Counts.Of("part_contact_lost").Load(), must.Sprint("a leader just elected has lost nothing"))
+	must.Len(t, 1, c.pullAll(t).Leaders)
 	c.now += ContactFor
-	must.Eq(t, 1, c.pulled(t).ContactMask)
+	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.now++
-	must.Zero(t, c.pulled(t).ContactMask)
-	must.SliceEmpty(t, c.pulled(t).Leaders, must.Sprint("nobody is sent to a leader without contact"))
+	must.Zero(t, c.pullAll(t).ContactMask)
+	must.SliceEmpty(t, c.pullAll(t).Leaders, must.Sprint("nobody is sent to a leader without contact"))
 	must.Eq(t, leader, g.role, must.Sprint("it did not tick"))
 	c.tick()
 	must.Eq(t, follower, g.role)
-	must.Zero(t, c.k.Counts.Of("part_in_contact_now").Load())
-	must.Eq(t, 1, c.k.Counts.Of("part_contact_lost").Load())
+	must.Zero(t, c.kernel.Counts.Of("part_in_contact_now").Load())
+	must.Eq(t, 1, c.kernel.Counts.Of("part_contact_lost").Load())
 }
 
 // Contact counts from when a round was sent: a late answer proves what was true then.
-func TestLateAnswerProvesNoMoreThanTheTimeOfItsRound(t *testing.T) {
+func TestContactCountsFromSendingOfRound(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.now += HeartbeatInterval
 	c.tick()
 	c.now += ContactFor - HeartbeatInterval
-	c.answers(g, 0)
-	must.Eq(t, 1, c.pulled(t).ContactMask)
+	c.replyToHeartbeat(g, 0)
+	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.now += 2 * HeartbeatInterval
-	must.Zero(t, c.pulled(t).ContactMask)
+	must.Zero(t, c.pullAll(t).ContactMask)
 }
 
-func TestAnswerToAnEarlierTermConfirmsNothing(t *testing.T) {
+func TestReplyOfEarlierTermConfirmsNothing(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.now += HeartbeatInterval
 	c.tick()
 	c.edit(1, wire.Edit{Op: "read"})
-	reply := wire.LeaderHeartbeatReply{Term: g.term - 1, From: "a", Round: g.round + 9, Stored: g.accepted.Version, OK: true}
+	reply := wire.LeaderHeartbeatReply{Term: g.term - 1, From: "a", Round: g.heartbeatRound + 9, Stored: g.accepted.Version, OK: true}
 	must.MapEmpty(t, replies(t, c.send(wire.KindLeaderHeartbeatReply, &reply)))
-	must.Zero(t, c.pulled(t).ContactMask)
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.answers(g, 0)))
+	must.Zero(t, c.pullAll(t).ContactMask)
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.replyToHeartbeat(g, 0)))
 }
 
 // heartbeat has the core follow "a" and gives its answer.
@@ -82,54 +82,54 @@
 }
 
 // A heartbeat proves contact at a moment of the follower's own clock, however long it was on its way.
-func TestAFollowersContactEndsByItsOwnClock(t *testing.T) {
+func TestFollowerContactExpiresByItsClock(t *testing.T) {
 	v := version(5, 1)
 	c := newCore(t, nil)
 	c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: v}))
 	clock := c.heartbeat(t, 0, v.Version).Clock
-	must.Zero(t, c.pulled(t).ContactMask, must.Sprint("its leader has no contact"))
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("its leader has no contact"))
 	c.heartbeat(t, clock, v.Version)
-	must.Eq(t, 1, c.pulled(t).ContactMask)
+	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.now += ContactFor + 1
-	must.Zero(t, c.pulled(t).ContactMask)
+	must.Zero(t, c.pullAll(t).ContactMask)
 	c.heartbeat(t, clock, v.Version)
-	must.Zero(t, c.pulled(t).ContactMask, must.Sprint("held up on its way"))
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("held up on its way"))
 	now := c.heartbeat(t, clock+ContactFor, v.Version).Clock
-	must.Eq(t, 1, c.pulled(t).ContactMask)
+	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	// A version that it is told to be committed and lacks is not confirmed by it.
 	c.heartbeat(t, now, wire.Version{Term: 5, Seq: 2})
-	must.Zero(t, c.pulled(t).ContactMask)
+	must.Zero(t, c.pullAll(t).ContactMask)
 	c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 2)}))
 	c.heartbeat(t, now, wire.Version{Term: 5, Seq: 2})
-	must.Eq(t, 1, c.pulled(t).ContactMask)
+	must.Eq(t, 1, c.pullAll(t).ContactMask)
 }
 
 // A heartbeat that was meant for this machine's process before proves nothing to the one of now.
-func TestProofForAnEarlierLifeIsNone(t *testing.T) {
+func TestContactProofOfEarlierIncarnationIsIgnored(t *testing.T) {
 	v := version(5, 1)
 	first, again := newCore(t, nil), newCore(t, nil)
-	again.s.clockOrigin = first.s.clockOrigin / 2
+	again.host.clockOrigin = first.host.clockOrigin / 2
 	for _, c := range []*core{first, again} {
 		c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: v}))
 	}
 	clock := first.heartbeat(t, 0, v.Version).Clock
 	again.heartbeat(t, clock, v.Version)
-	must.Zero(t, again.pulled(t).ContactMask)
-	must.Between(t, 1, first.s.clockOrigin, clockOrigins)
+	must.Zero(t, again.pullAll(t).ContactMask)
+	must.Between(t, 1, first.host.clockOrigin, clockOrigins)
 	other := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 2, Key: kernel.KeyFrom(make([]byte, 32))})
 	other.Step(1, 1, kernel.Start{})
-	must.NotEq(t, first.s.clockOrigin, kernel.Find[*Host](other).clockOrigin)
+	must.NotEq(t, first.host.clockOrigin, kernel.Find[*Host](other).clockOrigin)
 }
 
 // The proof in a heartbeat is on the receiver's clock, as old as the newest confirmed round.
-func TestHeartbeatsCarryAProofOnTheReceiversClock(t *testing.T) {
+func TestHeartbeatsCarryProofOnReceiversClock(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.now += HeartbeatInterval
 	c.tick()
 	sentAt := c.now
 	c.now += 20_000
-	c.answers(g, 7_000_000)
+	c.replyToHeartbeat(g, 7_000_000)
 	c.now += HeartbeatInterval
 	beats := sent[wire.LeaderHeartbeat](t, c.tick(), wire.KindLeaderHeartbeat)
 	must.Len(t, 2, beats)
@@ -144,7 +144,7 @@
 }
 
 // A core with no replica of a partition passes on, for a while, what one in contact told it.
-func TestStandbyRelaysContactForAWhile(t *testing.T) {
+func TestStandbyRelaysContactForLimitedTime(t *testing.T) {
 	c := newCore(t, nil)
 	c.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.9:1"}})
 	asked := uint64(0)
@@ -164,8 +164,8 @@
 	at := c.now
 	c.now += 50_000
 	c.feed(kernel.Received{Conn: 5, Data: wire.Seal(wire.KindPullReply, asked, &wire.PullReply{ContactMask: 1, RelayedMask: 2})})
-	must.Eq(t, 1, c.pulled(t).RelayedMask, must.Sprint("what was relayed is not relayed again"))
-	must.Zero(t, c.pulled(t).ContactMask)
-	c.now = at + RelayedFor + 1
-	must.Zero(t, c.pulled(t).RelayedMask)
+	must.Eq(t, 1, c.pullAll(t).RelayedMask, must.Sprint("what was relayed is not relayed again"))
+	must.Zero(t, c.pullAll(t).ContactMask)
+	c.now = at + RelayedContactFor + 1
+	must.Zero(t, c.pullAll(t).RelayedMask)
 }
--- a/control/replica/contact_test.go
+++ b/control/replica/contact_test.go
@@ -58,11 +58,11 @@
 func (o *observer) edit(to *member) {
 	o.edits++
 	id := fmt.Sprint("edit-", o.edits)
-	cut := to == o.c.cut
-	o.c.ask(to, wire.KindEdit, 1, &wire.Edit{Op: "refill", Name: "zone-" + id, EditID: id}, func(f wire.Frame) {
+	cut := to == o.c.isolated
+	o.c.request(to, wire.KindEdit, 1, &wire.Edit{Op: "refill", Name: "zone-" + id, EditID: id}, func(f wire.Frame) {
 		var r wire.EditReply
 		must.NoError(o.c.t, wire.Decode(f.Body, &r))
-		if cut && to == o.c.cut {
+		if cut && to == o.c.isolated {
 			must.SliceContains(o.c.t, []string{"not_owner", "unknown", "shed"}, r.Code, must.Sprint("from the member that is cut off"))
 		}
 		if r.Code == "ok" {
@@ -74,7 +74,7 @@
 // read asks a member for the state: what it answers holds all that was acknowledged before it was asked.
 func (o *observer) read(to *member) {
 	asked := o.c.now
-	o.c.ask(to, wire.KindEdit, 1, &wire.Edit{Op: "read"}, func(f wire.Frame) {
+	o.c.request(to, wire.KindEdit, 1, &wire.Edit{Op: "read"}, func(f wire.Frame) {
 		var r wire.EditReply
 		must.NoError(o.c.t, wire.Decode(f.Body, &r))
 		if r.Code != "ok" {
@@ -89,7 +89,7 @@
 // pull asks a member for its state as a node does that has none.
 func (o *observer) pull(to *member) {
 	asked := o.c.now
-	o.c.ask(to, wire.KindPull, 1, &wire.Pull{}, func(f wire.Frame) {
+	o.c.request(to, wire.KindPull, 1, &wire.Pull{}, func(f wire.Frame) {
 		var r wire.PullReply
 		must.NoError(o.c.t, wire.Decode(f.Body, &r))
 		var got wire.Version
@@ -100,7 +100,7 @@
 		}
 		by := asked - ContactFor
 		if r.ContactMask&1 == 0 {
-			by -= RelayedFor
+			by -= RelayedContactFor
 		}
 		if (r.ContactMask|r.RelayedMask)&1 == 0 {
 			return
@@ -127,16 +127,16 @@
 	})
 }
 
-// trouble is something that takes a member's contact away for a while.
-type trouble struct {
+// fault is something that takes a member's contact away for a while.
+type fault struct {
 	name       string
 	begin, end func(c *cluster, m *member)
 }
 
-func troubles() []trouble {
+func faults() []fault {
 	cut := func(c *cluster, m *member) { c.isolate(m) }
 	heal := func(c *cluster, _ *member) { c.heal() }
-	return []trouble{
+	return []fault{
 		{"cut", cut, heal},
 		{"frozen", func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*second) }},
 		{"cut and started again", func(c *cluster, m *member) { c.isolate(m); c.restart(m) }, heal},
@@ -153,20 +153,20 @@
 	return *worlds
 }
 
-// TestWhatIsConfirmedHoldsWhatWasAcknowledged cuts off or freezes a leader or a follower for twenty
+// TestConfirmedVersionsContainAcknowledgedEdits cuts off or freezes a leader or a follower for twenty
 // seconds, under two operators, in groups of 3 and 5, with a standby that takes its place or without.
-func TestWhatIsConfirmedHoldsWhatWasAcknowledged(t *testing.T) {
-	for _, v := range troubles() {
+func TestConfirmedVersionsContainAcknowledgedEdits(t *testing.T) {
+	for _, v := range faults() {
 		for _, size := range []int{3, 4, 5} {
 			for _, who := range []string{"leader", "follower"} {
 				for seed := range worldCount() {
 					t.Run(fmt.Sprint(v.name, " ", who, " of ", size, " seed ", seed), func(t *testing.T) {
 						c := newCluster(t, seed, size)
-						m := c.settled(0)
+						m := c.committedLeader(0)
 						if who == "follower" {
 							m = c.others(m)[0]
 						}
-						playTrouble(c, v, m)
+						playFault(c, v, m)
 					})
 				}
 			}
@@ -174,7 +174,7 @@
 	}
 }
 
-func playTrouble(c *cluster, v trouble, m *member) {
+func playFault(c *cluster, v fault, m *member) {
 	o := newObserver(c)
 	o.goOn()
 	c.run(2*second+c.rnd.Int64N(second), nil)
@@ -185,7 +185,7 @@
 	began, acks := c.now, len(o.acks)
 	c.run(20*second, nil)
 	must.Greater(c.t, acks+10, len(o.acks), must.Sprint("the majority goes on"))
-	must.Less(c.t, began+ContactFor+RelayedFor+second/2, max(o.last[m.name], 1), must.Sprint("it says for too long that it has contact"))
+	must.Less(c.t, began+ContactFor+RelayedContactFor+second/2, max(o.last[m.name], 1), must.Sprint("it says for too long that it has contact"))
 	v.end(c, m)
 	for range 100 {
 		// What was held back arrives now, the newest last.
--- a/control/replica/disk.go
+++ b/control/replica/disk.go
@@ -11,51 +11,51 @@
 )
 
 // identify gives an empty disk its replica; it is none before that is synced.
-func (s *Host) identify(ctx *kernel.Context) {
+func (h *Host) identify(ctx *kernel.Context) {
 	id := fmt.Sprintf("%016x", ctx.Rand.Uint64())
-	s.probing = true
-	s.save(ctx, "seat", []byte(id), func(ctx *kernel.Context, err string) {
-		s.probing, s.probeAt = false, ctx.Now
+	h.checkingDisk = true
+	h.save(ctx, "seat", []byte(id), func(ctx *kernel.Context, err string) {
+		h.checkingDisk, h.diskCheckedAt = false, ctx.Now
 		if err == "" {
-			s.replicaID = id
-			s.publishMember()
+			h.replicaID = id
+			h.publishMember()
 		}
 	})
 }
 
-func (s *Host) setSick(ctx *kernel.Context, why string) {
-	if s.diskProblem == why {
+func (h *Host) setDiskProblem(ctx *kernel.Context, why string) {
+	if h.diskProblem == why {
 		return
 	}
-	ctx.Log(kernel.LevelWarn, "disk_condition", "was", s.diskProblem, "is", why)
-	s.diskProblem = why
-	s.publishMember()
+	ctx.Log(kernel.LevelWarn, "disk_condition", "was", h.diskProblem, "is", why)
+	h.diskProblem = why
+	h.publishMember()
 }
 
 // save writes a file and calls back when it is synced or has failed.
-func (s *Host) save(ctx *kernel.Context, file string, content []byte, done func(ctx *kernel.Context, err string)) {
-	s.nextWrite++
-	key := fmt.Sprintf("w%d", s.nextWrite)
-	s.writes[key], s.writeSince[key] = done, ctx.Now
+func (h *Host) save(ctx *kernel.Context, file string, content []byte, done func(ctx *kernel.Context, err string)) {
+	h.lastWriteID++
+	key := fmt.Sprintf("w%d", h.lastWriteID)
+	h.onWritten[key], h.writeStartedAt[key] = done, ctx.Now
 	ctx.Counts.Add("disk_writes", 1)
 	ctx.Write("seats", key, file, diskfile.Pack(content))
 }
 
-func (s *Host) remove(ctx *kernel.Context, file string) { ctx.Write("seats", "", file, nil) }
+func (h *Host) remove(ctx *kernel.Context, file string) { ctx.Write("seats", "", file, nil) }
 
-func (s *Host) written(ctx *kernel.Context, v kernel.Written) {
-	done := s.writes[v.Key]
-	slow := ctx.Now-s.writeSince[v.Key] > SlowDiskAfter
-	delete(s.writes, v.Key)
-	delete(s.writeSince, v.Key)
+func (h *Host) handleWritten(ctx *kernel.Context, v kernel.Written) {
+	done := h.onWritten[v.Key]
+	slow := ctx.Now-h.writeStartedAt[v.Key] > SlowDiskAfter
+	delete(h.onWritten, v.Key)
+	delete(h.writeStartedAt, v.Key)
 	switch {
 	case v.Err != "":
 		ctx.Counts.Add("disk_errors", 1)
-		s.setSick(ctx, v.Err)
+		h.setDiskProblem(ctx, v.Err)
 	case slow:
-		s.setSick(ctx, "slow")
+		h.setDiskProblem(ctx, "slow")
 	default:
-		s.setSick(ctx, "")
+		h.setDiskProblem(ctx, "")
 	}
 	if done != nil {
 		done(ctx, v.Err)
@@ -63,18 +63,18 @@
 }
 
 // checkDisk notices a stalled disk, and tries a sick one again.
-func (s *Host) checkDisk(ctx *kernel.Context) {
-	for _, at := range s.writeSince {
+func (h *Host) checkDisk(ctx *kernel.Context) {
+	for _, at := range h.writeStartedAt {
 		if ctx.Now-at > SlowDiskAfter {
-			s.setSick(ctx, "stalled")
+			h.setDiskProblem(ctx, "stalled")
 		}
 	}
-	if s.diskProblem != "" && !s.probing && len(s.writes) == 0 && ctx.Now-s.probeAt >= DiskProbeInterval {
-		s.probing, s.probeAt = true, ctx.Now
-		if s.replicaID == "" {
-			s.identify(ctx)
+	if h.diskProblem != "" && !h.checkingDisk && len(h.onWritten) == 0 && ctx.Now-h.diskCheckedAt >= DiskCheckInterval {
+		h.checkingDisk, h.diskCheckedAt = true, ctx.Now
+		if h.replicaID == "" {
+			h.identify(ctx)
 			return
 		}
-		s.save(ctx, "probe", []byte("probe"), func(*kernel.Context, string) { s.probing = false })
+		h.save(ctx, "probe", []byte("probe"), func(*kernel.Context, string) { h.checkingDisk = false })
 	}
 }
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -37,7 +37,7 @@
 // after a loss of everything there is none to wait for, and where there is one the other replicas,
 // who hear it, deny the first question, which binds nobody.
 func (g *Group) justStarted(ctx *kernel.Context) bool {
-	return g.host.k.Boot.Settings.BootstrapKnown && g.leader == "" && g.role != leader && ctx.Now-g.host.started < StartPeriod
+	return g.host.kernel.Boot.Settings.BootstrapKnown && g.leader == "" && g.role != leader && ctx.Now-g.host.startedAt < StartPeriod
 }
 
 // startElection begins a try: first whether a term would be given, then for the term.
@@ -45,37 +45,37 @@
 	g.scheduleElection(ctx)
 	g.role = preCandidate
 	g.term = g.votedTerm + 1
-	g.replies = map[string]wire.VoteReply{}
+	g.votes = map[string]wire.VoteReply{}
 	if named {
-		g.requestVotes(ctx, true)
+		g.becomeCandidate(ctx, true)
 		return
 	}
 	for _, s := range allVoters(g.accepted) {
 		v := wire.Vote{Partition: g.partition, Term: g.term, From: g.self(), Pre: true, Stored: g.accepted.Version}
 		if s.ID == g.self() {
-			g.voteReply(ctx, wire.VoteReply{Partition: g.partition, Term: g.term, From: s.ID, Pre: true, Granted: true, Stored: g.accepted})
+			g.handleVoteReply(ctx, wire.VoteReply{Partition: g.partition, Term: g.term, From: s.ID, Pre: true, Granted: true, Stored: g.accepted})
 			continue
 		}
 		g.host.sendReplica(ctx, s, wire.KindVote, &v)
 	}
 }
 
-func (g *Group) requestVotes(ctx *kernel.Context, named bool) {
+func (g *Group) becomeCandidate(ctx *kernel.Context, named bool) {
 	g.role = candidate
-	g.replies = map[string]wire.VoteReply{}
+	g.votes = map[string]wire.VoteReply{}
 	ctx.Counts.Add("part_elections", 1)
 	for _, s := range allVoters(g.accepted) {
 		v := wire.Vote{Partition: g.partition, Term: g.term, From: g.self(), Designated: named, Stored: g.accepted.Version}
 		if s.ID == g.self() {
-			g.vote(ctx, 0, 0, v)
+			g.handleVote(ctx, 0, 0, v)
 			continue
 		}
 		g.host.sendReplica(ctx, s, wire.KindVote, &v)
 	}
 }
 
-// vote answers a request for a term, after the vote is synced.
-func (g *Group) vote(ctx *kernel.Context, ch, id uint64, v wire.Vote) {
+// handleVote answers a request for a term, after the vote is synced.
+func (g *Group) handleVote(ctx *kernel.Context, ch, id uint64, v wire.Vote) {
 	reply := func(ctx *kernel.Context, granted bool) {
 		r := wire.VoteReply{Partition: g.partition, Term: v.Term, From: g.self(), Pre: v.Pre, Granted: granted, Stored: g.accepted, SupportsBase: true}
 		if !granted {
@@ -87,7 +87,7 @@
 			r.Stored.Body, r.Stored.EditLog = nil, nil
 		}
 		if v.From == g.self() {
-			g.voteReply(ctx, r)
+			g.handleVoteReply(ctx, r)
 			return
 		}
 		ctx.Send(ch, wire.KindVoteReply, id, &r)
@@ -123,7 +123,7 @@
 	return mesh.Newer(g.accepted.Version, v.Stored) && g.isVoter() && !g.host.stopping
 }
 
-func (g *Group) voteReply(ctx *kernel.Context, r wire.VoteReply) {
+func (g *Group) handleVoteReply(ctx *kernel.Context, r wire.VoteReply) {
 	if r.Pre && g.role != preCandidate || !r.Pre && g.role != candidate {
 		return
 	}
@@ -141,21 +141,21 @@
 	if r.Term != g.term {
 		return
 	}
-	g.replies[r.From] = r
+	g.votes[r.From] = r
 	best := g.accepted
-	for _, v := range g.replies {
+	for _, v := range g.votes {
 		if mesh.Newer(v.Stored.Version, best.Version) {
 			best = v.Stored
 		}
 	}
-	if !quorum(best, func(id string) bool { _, ok := g.replies[id]; return ok }) {
+	if !quorum(best, func(id string) bool { _, ok := g.votes[id]; return ok }) {
 		return
 	}
 	if r.Pre {
-		g.requestVotes(ctx, false)
+		g.becomeCandidate(ctx, false)
 		return
 	}
-	if _, synced := g.replies[g.self()]; !synced {
+	if _, synced := g.votes[g.self()]; !synced {
 		// Killed now, it would ask for the same term again and give one number to two versions.
 		return
 	}
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -14,9 +14,9 @@
 
 // A leader that others elected before its own vote was synced would, killed and started again,
 // ask for the same term and give one number to two versions.
-func TestNoOwnerBeforeItsOwnPromiseIsSynced(t *testing.T) {
+func TestCandidateSyncsItsVoteBeforeLeading(t *testing.T) {
 	c := newCore(t, nil)
-	g := c.s.groups[0]
+	g := c.host.groups[0]
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
 	c.now += 10_000_000
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
@@ -29,15 +29,15 @@
 	must.Eq(t, leader, g.role)
 }
 
-func TestSeatsStandInTurn(t *testing.T) {
+func TestElectionsAreStaggered(t *testing.T) {
 	var at []int64
 	for _, me := range []string{"a", "b", "c"} {
 		c := newCore(t, nil)
-		c.s.replicaID = me
-		g := c.s.groups[1]
-		g.accepted.Voters = seats("a", "b", "c")
+		c.host.replicaID = me
+		g := c.host.groups[1]
+		g.accepted.Voters = replicas("a", "b", "c")
 		g.leader = "c"
-		out := &kernel.Context{Now: 0, Rand: c.k.Rand, Counts: c.k.Counts}
+		out := &kernel.Context{Now: 0, Rand: c.kernel.Rand, Counts: c.kernel.Counts}
 		g.scheduleElection(out)
 		at = append(at, g.electionAt)
 	}
@@ -46,11 +46,11 @@
 }
 
 // A replica that was away holds less than the others: what it commits anew is theirs.
-func TestOwnerAdoptsTheHighestVersionThatWasFound(t *testing.T) {
+func TestLeaderAdoptsHighestVersionOfVoters(t *testing.T) {
 	mine, theirs := version(3, 1), version(4, 7)
 	theirs.Body = wire.Encode(&wire.ConfigBody{DrainedZones: []string{"z9"}})
 	c := newCore(t, map[string][]byte{versionFile(mine.Version): diskfile.Pack(wire.Encode(&mine))})
-	g := c.s.groups[0]
+	g := c.host.groups[0]
 	c.tick()
 	c.now += 10_000_000
 	c.tick()
@@ -64,7 +64,7 @@
 }
 
 // After a loss of everything nobody is there to be waited for.
-func TestASeatThatHasJustStartedStandsSoon(t *testing.T) {
+func TestElectionTimeoutAtStart(t *testing.T) {
 	for _, c := range []struct {
 		known       bool
 		leader      string
@@ -76,12 +76,12 @@
 		{false, "", 0, ElectionTimeout, 2 * ElectionTimeout},
 	} {
 		k := newCore(t, nil)
-		k.k.Boot.Settings.BootstrapKnown = c.known
-		g := k.s.groups[0]
-		g.accepted.Voters = seats("a", "b", k.s.replicaID)
+		k.kernel.Boot.Settings.BootstrapKnown = c.known
+		g := k.host.groups[0]
+		g.accepted.Voters = replicas("a", "b", k.host.replicaID)
 		g.leader = c.leader
-		g.scheduleElection(&kernel.Context{Now: c.now + k.s.started, Rand: k.k.Rand, Counts: k.k.Counts})
-		must.Between(t, c.at, g.electionAt-k.s.started, c.to, must.Sprint(c))
+		g.scheduleElection(&kernel.Context{Now: c.now + k.host.startedAt, Rand: k.kernel.Rand, Counts: k.kernel.Counts})
+		must.Between(t, c.at, g.electionAt-k.host.startedAt, c.to, must.Sprint(c))
 	}
 }
 
@@ -89,7 +89,7 @@
 func campaign(t *testing.T, mine wire.Versioned) (*core, *Group) {
 	t.Helper()
 	c := newCore(t, map[string][]byte{versionFile(mine.Version): diskfile.Pack(wire.Encode(&mine))})
-	g := c.s.groups[0]
+	g := c.host.groups[0]
 	c.tick()
 	c.now += 10_000_000
 	c.tick()
@@ -101,10 +101,10 @@
 
 // One that was replaced holds an older version, whose voters are no group any more: of those it
 // may have a majority, and of those that the newest version names it needs one.
-func TestAnElectionIsCountedByTheVotersOfTheNewestVersionFound(t *testing.T) {
+func TestElectionCountsVotersOfNewestVersion(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
 	newest := version(4, 7)
-	newest.Voters = seats("a", "d", "e")
+	newest.Voters = replicas("a", "d", "e")
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: newest})
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "b", Granted: true, Stored: version(3, 1)})
 	must.Eq(t, candidate, g.role, must.Sprint("all of its own voters, and one of three of the newest version"))
@@ -114,7 +114,7 @@
 
 // What a new leader found may be on its disk alone: until a majority has synced it in its term,
 // nothing is said that rests on it, whatever heartbeats are answered.
-func TestANewLeaderAnswersNothingBeforeItHasCommitted(t *testing.T) {
+func TestNewLeaderServesAfterItsFirstCommit(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: version(2, 1)})
 	must.Eq(t, leader, g.role)
@@ -129,19 +129,19 @@
 		c.now += HeartbeatInterval
 		more := c.tick()
 		out.Sends = append(out.Sends, more.Sends...)
-		more = c.answers(g, 0)
+		more = c.replyToHeartbeat(g, 0)
 		out.Sends = append(out.Sends, more.Sends...)
 	}
 	must.Eq(t, leader, g.role)
 	for _, reply := range sent[wire.EditReply](t, out, wire.KindEditReply) {
 		must.Eq(t, "not_owner", reply.Code, must.Sprint("a majority answers heartbeats, and none has synced its version"))
 	}
-	must.Zero(t, c.pulled(t).ContactMask)
+	must.Zero(t, c.pullAll(t).ContactMask)
 	must.Eq(t, stateNewLeader, c.shown(t).State)
-	c.take(g)
+	c.acceptProposal(g)
 	must.Eq(t, stateLeader, c.shown(t).State)
 	c.send(wire.KindEdit, &wire.Edit{Op: wire.OpRead})
-	read := sent[wire.EditReply](t, c.answers(g, 0), wire.KindEditReply)
+	read := sent[wire.EditReply](t, c.replyToHeartbeat(g, 0), wire.KindEditReply)
 	must.Len(t, 2, read, must.Sprint("the order that waited is refused, the read is answered"))
 	must.Eq(t, "ok", read[1].Code)
 }
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -15,25 +15,25 @@
 )
 
 type core struct {
-	k   *kernel.Kernel
-	s   *Host
-	now int64
+	kernel *kernel.Kernel
+	host   *Host
+	now    int64
 }
 
 // newCore is a formed core with replica "me" beside "a" and "b".
 func newCore(t *testing.T, more map[string][]byte) *core {
-	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: seats("a", "b", "me")}
+	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: replicas("a", "b", "me")}
 	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
 	for k, v := range more {
 		files[k] = v
 	}
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
-	c := &core{k: k, s: kernel.Find[*Host](k), now: 1_000_000}
+	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1_000_000}
 	c.feed(kernel.Start{})
 	return c
 }
 
-func (c *core) feed(in kernel.Input) kernel.Output { return c.k.Step(c.now, c.now, in) }
+func (c *core) feed(in kernel.Input) kernel.Output { return c.kernel.Step(c.now, c.now, in) }
 
 func (c *core) send(kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) kernel.Output {
 	return c.feed(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})
@@ -61,10 +61,10 @@
 }
 
 func version(term, seq uint64) wire.Versioned {
-	return wire.Versioned{Version: wire.Version{Partition: 0, Term: term, Seq: seq}, Voters: seats("a", "b", "me"), Body: []byte{0x80}}
+	return wire.Versioned{Version: wire.Version{Partition: 0, Term: term, Seq: seq}, Voters: replicas("a", "b", "me"), Body: []byte{0x80}}
 }
 
-func TestPromiseFencesOlderTerms(t *testing.T) {
+func TestVoteFencesOlderTerms(t *testing.T) {
 	c := newCore(t, nil)
 	out := c.send(wire.KindVote, &wire.Vote{Term: 5, From: "a"})
 	must.SliceEmpty(t, out.Sends, must.Sprint("no vote before it is synced"))
@@ -79,7 +79,7 @@
 	must.True(t, accepted(t, c.sync(out)).OK)
 }
 
-func TestPromiseOutlivesARestart(t *testing.T) {
+func TestVoteSurvivesRestart(t *testing.T) {
 	promise := diskfile.Pack(wire.Encode(&wire.Vote{Term: 7, From: "a"}))
 	c := newCore(t, map[string][]byte{voteFile(0): promise})
 	must.False(t, accepted(t, c.send(wire.KindAccept, &wire.Accept{Term: 6, From: "b", Versioned: version(6, 1)})).OK)
@@ -87,26 +87,26 @@
 	must.SliceEmpty(t, out.Writes, must.Sprint("a term is given once"))
 }
 
-func TestTornVersionIsSkippedAndTheOneBeforeHeld(t *testing.T) {
+func TestTornVersionFileIsSkipped(t *testing.T) {
 	v1, v2 := version(3, 1), version(3, 2)
 	whole := diskfile.Pack(wire.Encode(&v2))
 	c := newCore(t, map[string][]byte{
 		versionFile(v1.Version): diskfile.Pack(wire.Encode(&v1)), versionFile(v2.Version): whole[:len(whole)-3],
 	})
-	must.Eq(t, v1.Version, c.s.groups[0].accepted.Version)
-	must.False(t, c.s.diskDamaged)
-	must.Eq(t, uint64(3), c.s.groups[0].votedTerm)
+	must.Eq(t, v1.Version, c.host.groups[0].accepted.Version)
+	must.False(t, c.host.diskDamaged)
+	must.Eq(t, uint64(3), c.host.groups[0].votedTerm)
 }
 
-func TestDamagedDiskTakesNoPart(t *testing.T) {
+func TestDamagedDiskStaysSilent(t *testing.T) {
 	for name, files := range map[string]map[string][]byte{
 		"torn promise": {voteFile(1): []byte("wallport")},
 		"torn seat":    {"seat": []byte("x")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCore(t, files)
-			must.True(t, c.s.diskDamaged)
-			must.Eq(t, "damaged", c.s.diskProblem)
+			must.True(t, c.host.diskDamaged)
+			must.Eq(t, "damaged", c.host.diskProblem)
 			must.SliceEmpty(t, c.send(wire.KindVote, &wire.Vote{Term: 9, From: "a"}).Writes)
 			must.SliceEmpty(t, c.send(wire.KindAccept, &wire.Accept{Term: 9, From: "a", Versioned: version(9, 1)}).Writes)
 		})
@@ -119,17 +119,17 @@
 	must.Len(t, 1, out.Writes)
 	r := accepted(t, c.feed(kernel.Written{Plugin: "seats", Key: out.Writes[0].Key, Err: "no space left on device"}))
 	must.False(t, r.OK)
-	must.Eq(t, wire.Version{}, c.s.groups[0].accepted.Version)
-	must.Eq(t, "no space left on device", c.s.diskProblem)
+	must.Eq(t, wire.Version{}, c.host.groups[0].accepted.Version)
+	must.Eq(t, "no space left on device", c.host.diskProblem)
 }
 
 // A machine whose disk was lost is another replica at the old one's address.
-func TestWhatIsMeantForAnotherSeatIsNotTaken(t *testing.T) {
+func TestMessageForAnotherReplicaIsIgnored(t *testing.T) {
 	c := newCore(t, nil)
 	out := c.send(wire.KindAccept, &wire.Accept{To: "lost", Term: 5, From: "a", Versioned: version(5, 1)})
 	must.SliceEmpty(t, out.Writes)
 	must.SliceEmpty(t, c.send(wire.KindLeaderHeartbeat, &wire.LeaderHeartbeat{To: "lost", Term: 5, From: "a"}).Sends)
 	must.SliceEmpty(t, c.send(wire.KindVote, &wire.Vote{To: "lost", Term: 5, From: "a"}).Writes)
-	must.Eq(t, 3, c.k.Counts.Of("part_misdirected").Load())
+	must.Eq(t, 3, c.kernel.Counts.Of("part_misdirected").Load())
 	must.Len(t, 1, c.send(wire.KindAccept, &wire.Accept{To: "me", Term: 5, From: "a", Versioned: version(5, 1)}).Writes)
 }
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -11,12 +11,12 @@
 	"wallport/runtime/wire"
 )
 
-// accept syncs a version and says so, unless a newer term was voted.
-func (g *Group) accept(ctx *kernel.Context, ch, id uint64, a wire.Accept) {
+// handleAccept syncs a version and says so, unless a newer term was voted.
+func (g *Group) handleAccept(ctx *kernel.Context, ch, id uint64, a wire.Accept) {
 	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
 		r.Partition, r.From, r.SupportsBase = g.partition, g.self(), true
 		if a.From == g.self() {
-			g.acceptReply(ctx, r)
+			g.handleAcceptReply(ctx, r)
 			return
 		}
 		ctx.Send(ch, wire.KindAcceptReply, id, &r)
@@ -34,12 +34,12 @@
 		return
 	}
 	if a.From != g.self() {
-		g.follow(ctx, a.From, a.Term)
+		g.followLeader(ctx, a.From, a.Term)
 	}
 	g.votedTerm = a.Term
 	v := a.Versioned
 	if v.Version == g.accepted.Version {
-		g.checkSameContent(ctx, a)
+		g.checkVersionContent(ctx, a)
 		reply(ctx, wire.AcceptReply{OK: true, Term: a.Term, Version: v.Version})
 		return
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-// follow takes a replica for the leader of a term.
-func (g *Group) follow(ctx *kernel.Context, from string, term uint64) {
+// followLeader takes a replica for the leader of a term.
+func (g *Group) followLeader(ctx *kernel.Context, from string, term uint64) {
 	g.checkOneLeader(ctx, from, term)
 	if g.role != follower && term >= g.term {
 		g.stepDown(ctx, "another owner")
@@ -113,9 +113,9 @@
 		}
 		return
 	}
-	g.follow(ctx, b.From, b.Term)
+	g.followLeader(ctx, b.From, b.Term)
 	g.votedTerm = b.Term
-	g.contact.proven(b.ContactAt-g.host.clockOrigin, ctx.Now, b.Committed)
+	g.contact.recordProof(b.ContactAt-g.host.clockOrigin, ctx.Now, b.Committed)
 	r.OK, r.Term = true, b.Term
 	if b.Committed == g.accepted.Version {
 		g.commit(ctx, g.accepted)
--- a/control/replica/group.go
+++ b/control/replica/group.go
@@ -28,8 +28,8 @@
 	ElectionJitter         = 60_000
 	// ClockInterval is how often a leader looks whether something is due by the clock.
 	ClockInterval = 200_000
-	// DiskProbeInterval is how often a sick disk is tried.
-	DiskProbeInterval = 200_000
+	// DiskCheckInterval is how often a sick disk is tried.
+	DiskCheckInterval = 200_000
 	// SlowDiskAfter is how long a write may take before the disk counts as sick.
 	SlowDiskAfter = 300_000
 	// ReplaceAfter is how long a replica must be silent before a standby core takes its place.
@@ -60,9 +60,9 @@
 	id    uint64
 	edit  wire.Edit
 	reply wire.EditReply
-	// taken tells that the edit is part of the version under way; round is the heartbeat that must be confirmed before the reply is sent.
-	taken bool
-	round uint64
+	// applied tells that the edit is part of the version under way; round is the heartbeat that must be confirmed before the reply is sent.
+	applied      bool
+	confirmRound uint64
 }
 
 // Group is one replica's side of one partition.
@@ -82,34 +82,34 @@
 	leader        string
 	leaderAddress string
 	leaderSeen    int64
-	heardLeader   heardLeader
+	lastLeader    electedLeader
 	electionAt    int64
 
 	term            uint64
-	replies         map[string]wire.VoteReply
-	acks            map[string]bool
+	votes           map[string]wire.VoteReply
+	acked           map[string]bool
 	proposal        *wire.Versioned
-	sentAt          int64
+	proposalSentAt  int64
 	proposedAt      int64
 	queue           []pendingEdit
 	proposedEdits   []pendingEdit
 	unconfirmed     []pendingEdit
 	heartbeatAt     int64
-	round           uint64
+	heartbeatRound  uint64
 	confirmedRounds map[string]uint64
 	heardAt         map[string]int64
-	steadySince     map[string]int64
+	reachableSince  map[string]int64
 	diskProblem     map[string]bool
 	successors      map[string]wire.Replica
 	caughtUpAt      map[string]int64
 	synced          map[string]syncedVersion
-	clockOffsets    map[string]int64
+	wallOffsets     map[string]int64
 	contact         contact
 	relayedAt       int64
 	// contactLost is that a leader's loss of contact is logged.
 	contactLost  bool
 	leaderSince  int64
-	clockAt      int64
+	clockworkAt  int64
 	ready        bool
 	transferring bool
 	leases       map[string]*lease
@@ -118,13 +118,13 @@
 	// change is the change of membership whose learners are catching up, if there is one.
 	change          *memberChange
 	learnerFailedAt map[string]int64
-	// leavingAt is when each voter asked last to be moved out; leaveSentAt is when this one did.
-	leavingAt   map[string]int64
-	leaveSentAt int64
+	// leaveRequestedAt is when each voter asked last to be moved out; leaveRequestSentAt is when this one did.
+	leaveRequestedAt   map[string]int64
+	leaveRequestSentAt int64
 }
 
-func newGroup(s *Host, partition int) *Group {
-	return &Group{partition: partition, host: s, leases: map[string]*lease{}, heardAt: map[string]int64{}}
+func newGroup(h *Host, partition int) *Group {
+	return &Group{partition: partition, host: h, leases: map[string]*lease{}, heardAt: map[string]int64{}}
 }
 
 func (g *Group) self() string { return g.host.replicaID }
@@ -151,7 +151,7 @@
 		// A healthy replica goes first; where there is none, a slow leader is better than none.
 		at += 2 * ElectionTimeout
 	}
-	if ctx.Now >= at && ctx.Now-g.host.started >= g.host.listenPeriod() {
+	if ctx.Now >= at && ctx.Now-g.host.startedAt >= g.host.listenPeriod() {
 		g.startElection(ctx, false)
 	}
 }
--- a/control/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -12,37 +12,37 @@
 	"wallport/runtime/wire"
 )
 
-// heardLeader is the leader that a replica heard last, and in which term.
-type heardLeader struct {
+// electedLeader is the leader that a replica heard last, and in which term.
+type electedLeader struct {
 	id   string
 	term uint64
 }
 
 // checkOneLeader sees that no two replicas lead one term.
 func (g *Group) checkOneLeader(ctx *kernel.Context, from string, term uint64) {
-	heard := heardLeader{id: from, term: term}
-	if g.heardLeader.term == term && g.heardLeader.id != from {
-		ctx.ReportViolation(invariant.OneLeader, fmt.Sprintf("partition %d, term %d: %s and %s", g.partition, term, g.heardLeader.id, from))
+	heard := electedLeader{id: from, term: term}
+	if g.lastLeader.term == term && g.lastLeader.id != from {
+		ctx.ReportViolation(invariant.OneLeader, fmt.Sprintf("partition %d, term %d: %s and %s", g.partition, term, g.lastLeader.id, from))
 	}
-	g.heardLeader = heard
+	g.lastLeader = heard
 }
 
-// checkSameContent sees that a version which is brought again is the one that is held.
-func (g *Group) checkSameContent(ctx *kernel.Context, a wire.Accept) {
+// checkVersionContent sees that a version which is brought again is the one that is held.
+func (g *Group) checkVersionContent(ctx *kernel.Context, a wire.Accept) {
 	if a.Base == (wire.Version{}) && !bytes.Equal(a.Versioned.Body, g.accepted.Body) {
 		ctx.ReportViolation(invariant.OneContentPerVersion, fmt.Sprintf("partition %d, version %d.%d", g.partition, a.Versioned.Version.Term, a.Versioned.Version.Seq))
 	}
 }
 
-// checkLeads sees that a leader commits in its own term alone, before any later one that it knows of.
-func (g *Group) checkLeads(ctx *kernel.Context, v wire.Versioned) {
+// checkLeaderTerm sees that a leader commits in its own term alone, before any later one that it knows of.
+func (g *Group) checkLeaderTerm(ctx *kernel.Context, v wire.Versioned) {
 	if v.Version.Term != g.term || g.votedTerm != g.term {
 		ctx.ReportViolation(invariant.LeaderInItsTerm, fmt.Sprintf("partition %d, version of term %d, leads term %d, voted term %d", g.partition, v.Version.Term, g.term, g.votedTerm))
 	}
 }
 
-// checkCarriesOn sees that a committed configuration has no older routing table than the one before it.
-func (g *Group) checkCarriesOn(ctx *kernel.Context, before, after wire.Versioned) {
+// checkRevisionRises sees that a committed configuration has no older routing table than the one before it.
+func (g *Group) checkRevisionRises(ctx *kernel.Context, before, after wire.Versioned) {
 	if g.partition != state.ConfigPartition || bytes.Equal(before.Body, after.Body) {
 		return
 	}
--- a/control/replica/invariants_test.go
+++ b/control/replica/invariants_test.go
@@ -22,10 +22,10 @@
 	table, err := proto.Marshal(&routingpb.RoutingTable{Revision: revision})
 	must.NoError(t, err)
 	body := wire.Encode(&wire.ConfigBody{Routing: table})
-	return wire.Versioned{Version: wire.Version{Partition: state.ConfigPartition, Term: term, Seq: seq}, Voters: seats("a", "b", "me"), Body: body}
+	return wire.Versioned{Version: wire.Version{Partition: state.ConfigPartition, Term: term, Seq: seq}, Voters: replicas("a", "b", "me"), Body: body}
 }
 
-func TestViolationOfOneLeaderATerm(t *testing.T) {
+func TestInvariantOneLeaderPerTerm(t *testing.T) {
 	c := newCore(t, nil)
 	heartbeat := func(from string, term uint64) invariant.Name {
 		return violation.By(func() { c.send(wire.KindLeaderHeartbeat, &wire.LeaderHeartbeat{Term: term, From: from}) })
@@ -35,7 +35,7 @@
 	must.Eq(t, invariant.OneLeader, heartbeat("a", 4))
 }
 
-func TestViolationOfOneContentAVersion(t *testing.T) {
+func TestInvariantOneContentPerVersion(t *testing.T) {
 	c := newCore(t, nil)
 	send := func(v wire.Versioned) (name invariant.Name) {
 		return violation.By(func() { c.sync(c.send(wire.KindAccept, &wire.Accept{Term: v.Version.Term, From: "a", Versioned: v})) })
@@ -45,18 +45,18 @@
 	must.Eq(t, invariant.OneContentPerVersion, send(configured(t, 3, 1, 8)))
 }
 
-func TestViolationsOfCommits(t *testing.T) {
+func TestInvariantsOfCommit(t *testing.T) {
 	c := newCore(t, nil)
-	g := c.s.groups[state.ConfigPartition]
-	step := &kernel.Context{Now: c.now, Counts: c.k.Counts}
+	g := c.host.groups[state.ConfigPartition]
+	step := &kernel.Context{Now: c.now, Counts: c.kernel.Counts}
 	commit := func(v wire.Versioned) invariant.Name { return violation.By(func() { g.commit(step, v) }) }
 	must.Eq(t, "", commit(configured(t, 3, 1, 7)))
 	must.Eq(t, "", commit(configured(t, 3, 2, 9)))
 	must.Eq(t, invariant.RevisionIncreases, commit(configured(t, 4, 3, 8)))
-	must.Eq(t, 1, c.k.Counts.Of(invariant.Counter(invariant.RevisionIncreases)).Load())
+	must.Eq(t, 1, c.kernel.Counts.Of(invariant.Counter(invariant.RevisionIncreases)).Load())
 
 	g.term, g.votedTerm = 4, 5
-	must.Eq(t, invariant.LeaderInItsTerm, violation.By(func() { g.checkLeads(step, configured(t, 4, 4, 9)) }))
+	must.Eq(t, invariant.LeaderInItsTerm, violation.By(func() { g.checkLeaderTerm(step, configured(t, 4, 4, 9)) }))
 	g.votedTerm = 4
-	must.Eq(t, "", violation.By(func() { g.checkLeads(step, configured(t, 4, 4, 9)) }))
+	must.Eq(t, "", violation.By(func() { g.checkLeaderTerm(step, configured(t, 4, 4, 9)) }))
 }
--- a/control/replica/known_cores.go
+++ b/control/replica/known_cores.go
@@ -11,7 +11,7 @@
 
 // Figures of what is known of cores.
 const (
-	rowsInterval = 100_000
+	liveCoresInterval = 100_000
 	// pullerTimeout is how long a core that pulled counts as there.
 	pullerTimeout = 1_500_000
 	maxPullers    = 64
@@ -19,20 +19,20 @@
 
 // puller is a core that pulled here; its replica is empty while its disk could not take partition.
 type puller struct {
-	member wire.Replica
-	at     int64
+	replica  wire.Replica
+	pulledAt int64
 }
 
-// rows lists the live cores as the mesh tells, looked up afresh a few times a second.
-func (s *Host) rows(now int64) []membership.Member {
-	if s.rowsAt == 0 || now-s.rowsAt >= rowsInterval {
-		s.rowsAt, s.rowsNow = now, s.members.Live(now, "core")
+// liveCores lists the live cores as the mesh tells, looked up afresh a few times a second.
+func (h *Host) liveCores(now int64) []membership.Member {
+	if h.cachedCoresAt == 0 || now-h.cachedCoresAt >= liveCoresInterval {
+		h.cachedCoresAt, h.cachedCores = now, h.members.Live(now, "core")
 	}
-	return s.rowsNow
+	return h.cachedCores
 }
 
-func (s *Host) row(id string, now int64) (membership.Member, bool) {
-	for _, r := range s.rows(now) {
+func (h *Host) liveCore(id string, now int64) (membership.Member, bool) {
+	for _, r := range h.liveCores(now) {
 		if r.Replica == id && id != "" {
 			return r, true
 		}
@@ -40,40 +40,40 @@
 	return membership.Member{}, false
 }
 
-// pulled takes note of a core that pulls.
-func (s *Host) pulled(ctx *kernel.Context, p wire.Pull) {
-	if p.Addr == "" || p.Addr == s.k.Boot.Settings.Mesh {
+// recordPuller takes note of a core that pulls.
+func (h *Host) recordPuller(ctx *kernel.Context, p wire.Pull) {
+	if p.Addr == "" || p.Addr == h.kernel.Boot.Settings.Mesh {
 		return
 	}
-	if _, ok := s.pullers[p.Addr]; !ok && len(s.pullers) >= maxPullers {
-		for a, v := range s.pullers {
-			if ctx.Now-v.at > pullerTimeout {
-				delete(s.pullers, a)
+	if _, ok := h.pullers[p.Addr]; !ok && len(h.pullers) >= maxPullers {
+		for a, v := range h.pullers {
+			if ctx.Now-v.pulledAt > pullerTimeout {
+				delete(h.pullers, a)
 			}
 		}
-		if len(s.pullers) >= maxPullers {
+		if len(h.pullers) >= maxPullers {
 			return
 		}
 	}
-	s.pullers[p.Addr] = puller{member: wire.Replica{ID: p.Replica, Zone: p.Zone, Addr: p.Addr}, at: ctx.Now}
+	h.pullers[p.Addr] = puller{replica: wire.Replica{ID: p.Replica, Zone: p.Zone, Addr: p.Addr}, pulledAt: ctx.Now}
 }
 
 // standbys lists the cores whose disks are well, this one included, as replicas that they could have.
-func (s *Host) standbys(now int64) []wire.Replica {
+func (h *Host) standbys(now int64) []wire.Replica {
 	var out []wire.Replica
-	if s.replicaID != "" && s.diskProblem == "" && !s.stopping {
-		out = append(out, wire.Replica{ID: s.replicaID, Zone: s.k.Boot.Settings.Zone, Addr: s.k.Boot.Settings.Mesh})
+	if h.replicaID != "" && h.diskProblem == "" && !h.stopping {
+		out = append(out, wire.Replica{ID: h.replicaID, Zone: h.kernel.Boot.Settings.Zone, Addr: h.kernel.Boot.Settings.Mesh})
 	}
-	told := map[string]bool{s.k.Boot.Settings.Mesh: true}
-	for _, a := range sortedKeys(s.pullers) {
-		if v := s.pullers[a]; now-v.at < pullerTimeout {
+	told := map[string]bool{h.kernel.Boot.Settings.Mesh: true}
+	for _, a := range sortedKeys(h.pullers) {
+		if v := h.pullers[a]; now-v.pulledAt < pullerTimeout {
 			told[a] = true
-			if v.member.ID != "" {
-				out = append(out, v.member)
+			if v.replica.ID != "" {
+				out = append(out, v.replica)
 			}
 		}
 	}
-	for _, r := range s.rows(now) {
+	for _, r := range h.liveCores(now) {
 		// What a core says itself goes before what the mesh still tells of it.
 		if r.Replica != "" && r.UnhealthyReason == "" && !r.Draining && !told[r.Addr] {
 			out = append(out, wire.Replica{ID: r.Replica, Zone: r.Zone, Addr: r.Addr})
@@ -83,11 +83,11 @@
 }
 
 // reaches reports whether a core at an address, with a disk or without, has been heard of.
-func (s *Host) reaches(addr string, now int64) bool {
-	if v, ok := s.pullers[addr]; addr == s.k.Boot.Settings.Mesh || ok && now-v.at < pullerTimeout {
+func (h *Host) reaches(addr string, now int64) bool {
+	if v, ok := h.pullers[addr]; addr == h.kernel.Boot.Settings.Mesh || ok && now-v.pulledAt < pullerTimeout {
 		return true
 	}
-	for _, r := range s.rows(now) {
+	for _, r := range h.liveCores(now) {
 		if r.Addr == addr {
 			return true
 		}
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -10,15 +10,15 @@
 )
 
 func (g *Group) becomeLeader(ctx *kernel.Context, best wire.Versioned) {
-	g.role, g.leader, g.leaderAddress = leader, g.self(), g.host.k.Boot.Settings.Mesh
+	g.role, g.leader, g.leaderAddress = leader, g.self(), g.host.kernel.Boot.Settings.Mesh
 	g.ready, g.transferring = false, g.host.stopping
-	g.confirmedRounds, g.clockOffsets = map[string]uint64{}, map[string]int64{}
+	g.confirmedRounds, g.wallOffsets = map[string]uint64{}, map[string]int64{}
 	g.synced = map[string]syncedVersion{}
-	g.diskProblem, g.successors, g.caughtUpAt, g.steadySince = map[string]bool{}, map[string]wire.Replica{}, map[string]int64{}, map[string]int64{}
+	g.diskProblem, g.successors, g.caughtUpAt, g.reachableSince = map[string]bool{}, map[string]wire.Replica{}, map[string]int64{}, map[string]int64{}
 	g.heartbeatAt, g.leaderSince = 0, ctx.Now
-	g.contact.lead()
+	g.contact.reset()
 	g.leases = map[string]*lease{}
-	g.change, g.learnerFailedAt, g.leavingAt = nil, map[string]int64{}, map[string]int64{}
+	g.change, g.learnerFailedAt, g.leaveRequestedAt = nil, map[string]int64{}, map[string]int64{}
 	for _, s := range allVoters(best) {
 		g.heardAt[s.ID] = ctx.Now
 	}
@@ -26,7 +26,7 @@
 	ctx.Counts.Add("part_owned", 1)
 	v := best
 	v.Version = wire.Version{Partition: g.partition, Term: g.term, Seq: best.Version.Seq + 1}
-	g.noteHeld(g.replies)
+	g.recordVoterVersions(g.votes)
 	g.propose(ctx, v, best.Version)
 	g.leaderTick(ctx)
 }
@@ -36,10 +36,10 @@
 	if g.role == leader {
 		ctx.Log(kernel.LevelWarn, "part_retired", "part", g.partition, "term", g.term, "why", why)
 		for _, w := range g.proposedEdits {
-			g.answer(ctx, w.conn, w.id, wire.EditReply{Code: "unknown"})
+			g.replyToEdit(ctx, w.conn, w.id, wire.EditReply{Code: "unknown"})
 		}
 		for _, w := range append(g.queue, g.unconfirmed...) {
-			g.answer(ctx, w.conn, w.id, wire.EditReply{Code: "not_owner"})
+			g.replyToEdit(ctx, w.conn, w.id, wire.EditReply{Code: "not_owner"})
 		}
 		g.leader, g.leaderAddress = "", ""
 	}
@@ -53,31 +53,31 @@
 // who holds that already needs not be sent it.
 func (g *Group) propose(ctx *kernel.Context, v wire.Versioned, base wire.Version) {
 	g.proposal, g.proposedAt = &v, ctx.Now
-	g.acks = map[string]bool{}
+	g.acked = map[string]bool{}
 	g.sendProposal(ctx, base)
 }
 
-// acceptFor is the message that brings a version to a replica, in this leader's term.
-func (g *Group) acceptFor(v wire.Versioned) wire.Accept {
+// newAccept is the message that brings a version to a replica, in this leader's term.
+func (g *Group) newAccept(v wire.Versioned) wire.Accept {
 	return wire.Accept{Partition: g.partition, Term: g.term, From: g.self(), Versioned: v}
 }
 
 // sendVersion brings a version, whole, to a replica.
 func (g *Group) sendVersion(ctx *kernel.Context, to wire.Replica, v wire.Versioned) {
-	a := g.acceptFor(v)
+	a := g.newAccept(v)
 	g.host.sendReplica(ctx, to, wire.KindAccept, &a)
 }
 
 // sendProposal sends the version under way to those who have not synced it yet.
 func (g *Group) sendProposal(ctx *kernel.Context, base wire.Version) {
-	g.sentAt = ctx.Now
-	a := g.acceptFor(*g.proposal)
+	g.proposalSentAt = ctx.Now
+	a := g.newAccept(*g.proposal)
 	for _, s := range allVoters(*g.proposal) {
-		if g.acks[s.ID] {
+		if g.acked[s.ID] {
 			continue
 		}
 		if s.ID == g.self() {
-			g.accept(ctx, 0, 0, a)
+			g.handleAccept(ctx, 0, 0, a)
 			continue
 		}
 		one := g.withBase(a, s.ID, base)
@@ -86,7 +86,7 @@
 	g.sendToLearners(ctx, *g.proposal)
 }
 
-func (g *Group) acceptReply(ctx *kernel.Context, r wire.AcceptReply) {
+func (g *Group) handleAcceptReply(ctx *kernel.Context, r wire.AcceptReply) {
 	if g.role != leader {
 		return
 	}
@@ -97,20 +97,20 @@
 			return
 		}
 		if r.LacksBase {
-			g.sendBody(ctx, r)
+			g.sendFullProposal(ctx, r)
 			return
 		}
 		g.handleLearnerReply(ctx, r)
 		return
 	}
 	g.heardAt[r.From] = ctx.Now
-	g.noteSynced(r)
+	g.recordSynced(r)
 	g.handleLearnerReply(ctx, r)
 	if g.proposal == nil || r.Version != g.proposal.Version {
 		return
 	}
-	g.acks[r.From] = true
-	if !quorum(*g.proposal, func(id string) bool { return g.acks[id] }) {
+	g.acked[r.From] = true
+	if !quorum(*g.proposal, func(id string) bool { return g.acked[id] }) {
 		return
 	}
 	v := *g.proposal
@@ -118,13 +118,13 @@
 	done := g.proposedEdits
 	g.proposedEdits = nil
 	g.ready = true
-	g.checkLeads(ctx, v)
+	g.checkLeaderTerm(ctx, v)
 	g.commit(ctx, v)
 	for _, w := range done {
-		if w.taken {
+		if w.applied {
 			w.reply.Version = v.Version
 		}
-		g.answer(ctx, w.conn, w.id, w.reply)
+		g.replyToEdit(ctx, w.conn, w.id, w.reply)
 	}
 	g.sendHeartbeats(ctx)
 	g.proposeNext(ctx)
@@ -136,7 +136,7 @@
 		return
 	}
 	before := g.committed
-	g.checkCarriesOn(ctx, before, v)
+	g.checkRevisionRises(ctx, before, v)
 	g.committed = v
 	if g.role == leader {
 		g.endChange(ctx, before, v)
@@ -145,7 +145,7 @@
 }
 
 func (g *Group) leaderTick(ctx *kernel.Context) {
-	g.noteContact(ctx)
+	g.watchContact(ctx)
 	switch {
 	case g.isSuperseded(ctx, g.newestVersion()):
 		g.stepDown(ctx, "another group has committed a newer version")
@@ -166,7 +166,7 @@
 		g.transferTo(ctx, to)
 		return
 	}
-	if g.proposal != nil && ctx.Now-g.sentAt > resendInterval(sizeOf(*g.proposal)) {
+	if g.proposal != nil && ctx.Now-g.proposalSentAt > resendInterval(versionSize(*g.proposal)) {
 		g.sendProposal(ctx, wire.Version{})
 	}
 	g.proposeNext(ctx)
@@ -182,10 +182,10 @@
 
 func (g *Group) sendHeartbeats(ctx *kernel.Context) {
 	g.heartbeatAt = ctx.Now
-	g.round++
-	g.contact.sent(g.round, ctx.Now)
+	g.heartbeatRound++
+	g.contact.roundSent(g.heartbeatRound, ctx.Now)
 	g.confirmRounds()
-	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Round: g.round, Committed: g.committed.Version}
+	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Round: g.heartbeatRound, Committed: g.committed.Version}
 	for _, s := range allVoters(g.newestVersion()) {
 		if s.ID != g.self() {
 			b.ContactAt = g.contact.proofFor(s.ID)
@@ -213,15 +213,15 @@
 		// It answers a heartbeat of an earlier term, held up on its way.
 		return
 	}
-	if ctx.Now-g.heardAt[r.From] > StepDownAfter || g.steadySince[r.From] == 0 {
-		g.steadySince[r.From] = ctx.Now
+	if ctx.Now-g.heardAt[r.From] > StepDownAfter || g.reachableSince[r.From] == 0 {
+		g.reachableSince[r.From] = ctx.Now
 	}
 	g.heardAt[r.From], g.diskProblem[r.From] = ctx.Now, r.DiskProblem
-	g.clockOffsets[r.From] = r.Wall - ctx.Now
+	g.wallOffsets[r.From] = r.Wall - ctx.Now
 	g.confirmedRounds[r.From] = max(g.confirmedRounds[r.From], r.Round)
-	g.noticeRollback(ctx, r)
-	g.contact.answered(r, ctx.Now)
+	g.detectRollback(ctx, r)
+	g.contact.recordClock(r, ctx.Now)
 	g.confirmRounds()
 	g.catchUp(ctx, r)
-	g.confirm(ctx)
+	g.replyConfirmed(ctx)
 }
--- a/control/replica/learner_test.go
+++ b/control/replica/learner_test.go
@@ -11,16 +11,16 @@
 	"wallport/runtime/wire"
 )
 
-func TestAnotherStandbyIsTakenWhereALearnerIsDead(t *testing.T) {
+func TestLearnerTimeoutPicksAnotherStandby(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	pull := func(id string) { c.send(wire.KindPull, &wire.Pull{Addr: id + ":1", Replica: id, Zone: id}) }
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	pull("d")
 	leaves := func(us int64) {
 		for end := c.now + us; c.now < end; {
 			c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
-			c.beats(g, LeaveInterval, "a", "b")
+			c.exchangeHeartbeats(g, LeaveInterval, "a", "b")
 		}
 	}
 	leaves(200_000)
@@ -30,51 +30,51 @@
 	pull("e")
 	must.Eq(t, []string{"d"}, ids(g.change.learners), must.Sprint("not given up yet"))
 	leaves(400_000)
-	c.learns(t, g, "e")
+	c.syncLearners(t, g, "e")
 	must.Eq(t, []string{"a", "e", "me"}, ids(g.proposal.Voters))
 }
 
-func TestChangeIsAbandonedWhereTheSilentVoterIsHeardAgain(t *testing.T) {
+func TestChangeIsAbandonedWhenVoterRespondsAgain(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	pull := func() { c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"}) }
-	c.beats(g, ReplaceAfter-200_000, "a")
+	c.exchangeHeartbeats(g, ReplaceAfter-200_000, "a")
 	pull()
-	c.beats(g, 300_000, "a")
+	c.exchangeHeartbeats(g, 300_000, "a")
 	must.NotNil(t, g.change)
-	c.beats(g, 2*TickInterval, "a", "b")
+	c.exchangeHeartbeats(g, 2*TickInterval, "a", "b")
 	must.Nil(t, g.change)
 	c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: "d", Version: g.committed.Version, OK: true})
 	must.Nil(t, g.proposal)
 	must.Eq(t, []string{"a", "b", "me"}, ids(g.committed.Voters))
 }
 
-func TestChangeIsAbandonedWhereTheLeavingVoterAsksNoMore(t *testing.T) {
+func TestChangeIsAbandonedWhenLeaveRequestsStop(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	must.NotNil(t, g.change)
 	// Its process has ended and comes back as the voter that it was.
-	c.beats(g, LeaveRequestLife+TickInterval, "a", "b")
+	c.exchangeHeartbeats(g, LeaveRequestTimeout+TickInterval, "a", "b")
 	must.Nil(t, g.change)
 }
 
-func TestLeadershipIsNotHandedToAVoterThatLeaves(t *testing.T) {
+func TestLeadershipIsNotTransferredToLeavingVoter(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
-	c.beats(g, 200_000, "a", "b")
+	g := electLeader(t, c)
+	c.exchangeHeartbeats(g, 200_000, "a", "b")
 	// Of the two that answer, the one heard last would be taken.
 	c.now += 1_000
-	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: "b", Round: g.round, Stored: g.accepted.Version, OK: true})
+	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: "b", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
-	c.s.diskProblem = "slow"
+	c.host.diskProblem = "slow"
 	c.tick()
 	must.Eq(t, "a", g.leader)
 }
 
 // A leaving voter's place is not given to a zone that would then hold a majority.
-func TestLeavingVoterIsNotReplacedByAStandbyOfACrowdedZone(t *testing.T) {
+func TestLeavingVoterIsNotReplacedFromCrowdedZone(t *testing.T) {
 	shape := simShape{name: "4 cores in 3 zones", zones: []string{"z1", "z2", "z3", "z1"}, tolerance: simShapes[1].tolerance}
 	c := newSimCluster(t, shape, 17)
 	c.run(2_000_000)
@@ -102,7 +102,7 @@
 }
 
 // Who was moved out is told so and is a standby at once; it answers a late leader with nothing.
-func TestRemovedVoterIsToldThatItIsNone(t *testing.T) {
+func TestRemovedVoterIsNotified(t *testing.T) {
 	c := newSimCluster(t, simShapes[1], 18)
 	c.run(2_000_000)
 	leaving := c.victims(simLosses[0], false)[0]
--- a/control/replica/lease_test.go
+++ b/control/replica/lease_test.go
@@ -13,8 +13,8 @@
 
 const renewEvery = 200 * millisecond
 
-// holder asks for a lease again and again, and counts it from when it asked.
-type holder struct {
+// leaseHolder asks for a lease again and again, and counts it from when it asked.
+type leaseHolder struct {
 	name  string
 	until int64
 	given int
@@ -22,14 +22,14 @@
 	to func() *member
 }
 
-func (h *holder) renew(c *cluster) {
+func (h *leaseHolder) renew(c *cluster) {
 	c.after(renewEvery, func() { h.renew(c) })
 	to := h.to()
 	if to == nil {
 		return
 	}
 	asked := c.now
-	c.ask(to, wire.KindLeaseRequest, 1, &wire.LeaseRequest{Task: "task", From: h.name}, func(f wire.Frame) {
+	c.request(to, wire.KindLeaseRequest, 1, &wire.LeaseRequest{Task: "task", From: h.name}, func(f wire.Frame) {
 		var r wire.LeaseReply
 		must.NoError(c.t, wire.Decode(f.Body, &r))
 		if r.Holder == h.name && r.Duration > 0 {
@@ -39,9 +39,9 @@
 	})
 }
 
-// TestOneHolderWhileALeaderIsCutOffOrFrozen has one process ask the old leader, as one does that is
+// TestLeaseHasOneHolderAcrossLeaderFaults has one process ask the old leader, as one does that is
 // cut off with it, and another one whoever leads now.
-func TestOneHolderWhileALeaderIsCutOffOrFrozen(t *testing.T) {
+func TestLeaseHasOneHolderAcrossLeaderFaults(t *testing.T) {
 	troubles := map[string]struct{ begin, end func(c *cluster, m *member) }{
 		"cut":    {func(c *cluster, m *member) { c.isolate(m) }, func(c *cluster, m *member) { c.heal() }},
 		"frozen": {func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*second) }},
@@ -51,9 +51,9 @@
 			for seed := range 6 * worldCount() {
 				t.Run(fmt.Sprint(name, " ", size, " seed ", seed), func(t *testing.T) {
 					c := newCluster(t, seed, size)
-					old := c.settled(0)
-					kept := &holder{name: "kept", to: func() *member { return old }}
-					other := &holder{name: "other", to: func() *member {
+					old := c.committedLeader(0)
+					kept := &leaseHolder{name: "kept", to: func() *member { return old }}
+					other := &leaseHolder{name: "other", to: func() *member {
 						if m := c.leader(0); m != old {
 							return m
 						}
--- a/control/replica/leases.go
+++ b/control/replica/leases.go
@@ -19,10 +19,10 @@
 type lease struct {
 	holder string
 	until  int64
-	turn   uint64
+	id     uint64
 }
 
-func (g *Group) renewLease(ctx *kernel.Context, ch, id uint64, h wire.LeaseRequest) {
+func (g *Group) handleLeaseRequest(ctx *kernel.Context, ch, id uint64, h wire.LeaseRequest) {
 	until := g.contact.confirmedAt + LeaseDuration
 	if g.role != leader || !g.ready || g.transferring || until <= ctx.Now {
 		ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task})
@@ -35,26 +35,26 @@
 		g.leases[h.Task] = gr
 	}
 	if h.Release {
-		g.dropLease(ctx, gr, h, until)
+		g.releaseLease(ctx, gr, h, until)
 		return
 	}
 	if ctx.Now >= gr.until && gr.holder != h.From {
 		g.leaseCount++
-		gr.holder, gr.turn = h.From, g.term<<24|g.leaseCount
+		gr.holder, gr.id = h.From, g.term<<24|g.leaseCount
 	}
 	if gr.holder == h.From {
 		gr.until = max(gr.until, until)
 	}
-	ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task, Holder: gr.holder, Duration: gr.until - ctx.Now, LeaseID: gr.turn})
+	ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task, Holder: gr.holder, Duration: gr.until - ctx.Now, LeaseID: gr.id})
 }
 
-// dropLease ends a lease that its holder gives up. One that it got since is not meant.
-func (g *Group) dropLease(ctx *kernel.Context, gr *lease, h wire.LeaseRequest, until int64) {
-	if gr.holder != h.From || h.LeaseID != 0 && h.LeaseID != gr.turn {
+// releaseLease ends a lease that its holder gives up. One that it got since is not meant.
+func (g *Group) releaseLease(ctx *kernel.Context, gr *lease, h wire.LeaseRequest, until int64) {
+	if gr.holder != h.From || h.LeaseID != 0 && h.LeaseID != gr.id {
 		return
 	}
 	g.leaseCount++
-	*gr = lease{until: ctx.Now, turn: g.term<<24 | g.leaseCount}
+	*gr = lease{until: ctx.Now, id: g.term<<24 | g.leaseCount}
 	if h.Successor != "" {
 		gr.holder, gr.until = h.Successor, until
 	}
@@ -80,7 +80,7 @@
 	// Offsets from this process's steady clock: its time of day may jump like any other.
 	offs := []int64{ctx.Wall - ctx.Now}
 	for _, s := range g.committed.Voters {
-		if off, ok := g.clockOffsets[s.ID]; ok && ctx.Now-g.heardAt[s.ID] < StepDownAfter {
+		if off, ok := g.wallOffsets[s.ID]; ok && ctx.Now-g.heardAt[s.ID] < StepDownAfter {
 			offs = append(offs, off)
 		}
 	}
--- a/control/replica/leaving.go
+++ b/control/replica/leaving.go
@@ -14,18 +14,18 @@
 const (
 	// LeaveInterval is how often a voter that stops asks to be moved out.
 	LeaveInterval = 100_000
-	// LeaveRequestLife is how long a request counts that is not repeated: its process has ended.
-	LeaveRequestLife = 500_000
-	// LeaveWithin is how long a process that stops waits until it is moved out.
-	LeaveWithin = 2_500_000
+	// LeaveRequestTimeout is how long a request counts that is not repeated: its process has ended.
+	LeaveRequestTimeout = 500_000
+	// LeaveTimeout is how long a process that stops waits until it is moved out.
+	LeaveTimeout = 2_500_000
 )
 
 // HasLeft reports whether this process may end without a group losing a voter or its leader.
-func (s *Host) HasLeft() bool {
-	if s.diskDamaged {
+func (h *Host) HasLeft() bool {
+	if h.diskDamaged {
 		return true
 	}
-	for _, g := range s.groups {
+	for _, g := range h.groups {
 		if g.role == leader || g.isVoter() {
 			return false
 		}
@@ -35,10 +35,10 @@
 
 // requestLeave asks the leader, or whoever may be the leader, to move this voter out.
 func (g *Group) requestLeave(ctx *kernel.Context) {
-	if g.role == leader || !g.isVoter() || g.leaveSentAt > 0 && ctx.Now-g.leaveSentAt < LeaveInterval {
+	if g.role == leader || !g.isVoter() || g.leaveRequestSentAt > 0 && ctx.Now-g.leaveRequestSentAt < LeaveInterval {
 		return
 	}
-	g.leaveSentAt = ctx.Now
+	g.leaveRequestSentAt = ctx.Now
 	leaderKnown := g.leader != "" && ctx.Now-g.leaderSeen < StepDownAfter
 	for _, voter := range allVoters(g.accepted) {
 		if voter.ID != g.self() && (!leaderKnown || voter.ID == g.leader) {
@@ -53,17 +53,17 @@
 		return
 	}
 	if !contains(allVoters(g.newestVersion()), m.From) {
-		a := g.acceptFor(g.committed)
+		a := g.newAccept(g.committed)
 		a.To = m.From
 		ctx.Send(ch, wire.KindAccept, 0, &a)
 		return
 	}
-	g.leavingAt[m.From] = ctx.Now
+	g.leaveRequestedAt[m.From] = ctx.Now
 	g.proposeNext(ctx)
 }
 
 // isLeaving reports whether a replica has asked to be moved out of late.
 func (g *Group) isLeaving(ctx *kernel.Context, id string) bool {
-	at, asked := g.leavingAt[id]
-	return asked && ctx.Now-at < LeaveRequestLife
+	at, asked := g.leaveRequestedAt[id]
+	return asked && ctx.Now-at < LeaveRequestTimeout
 }
--- a/control/replica/leaving_test.go
+++ b/control/replica/leaving_test.go
@@ -58,10 +58,10 @@
 // ends runs until a machine's process has ended, and gives how long that took.
 func (c *simCluster) ends(m *simMachine) int64 {
 	c.t.Helper()
-	return c.runUntil("the process ends", LeaveWithin+100_000, func() bool { return !m.up })
+	return c.runUntil("the process ends", LeaveTimeout+100_000, func() bool { return !m.up })
 }
 
-func TestLeavingVoterIsMovedOutAndTheNextLossIsBorneAtOnce(t *testing.T) {
+func TestLeavingVoterIsMovedOut(t *testing.T) {
 	for _, shape := range simShapes[1:] {
 		for _, who := range []string{"leader", "another voter"} {
 			t.Run(shape.name+"/"+who, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestVoterThatNobodyCanReplaceStaysOneToTheEnd(t *testing.T) {
+func TestLeavingVoterStaysWithoutReplacement(t *testing.T) {
 	c := newSimCluster(t, simShapes[0], 12)
 	c.run(2_000_000)
 	leaving := c.leader(0)
@@ -94,7 +94,7 @@
 	c.run(200_000)
 	must.False(t, leaving.host.Leads(0), must.Sprint("leadership is handed over at once"))
 	c.serves("another one leads", 500_000)
-	must.GreaterEq(t, LeaveWithin-1_000_000, c.ends(leaving))
+	must.GreaterEq(t, LeaveTimeout-1_000_000, c.ends(leaving))
 	must.True(t, c.isVoterAnywhere(id))
 	must.Eq(t, 3, len(c.newestOf(0).Voters))
 	leaving.start()
@@ -103,7 +103,7 @@
 	c.serves("all are back", simServeWithin)
 }
 
-func TestVotersThatLeaveTogetherAreMovedOneAfterTheOther(t *testing.T) {
+func TestLeavingVotersAreMovedOneByOne(t *testing.T) {
 	c := newSimCluster(t, simShapes[2], 13)
 	c.run(2_000_000)
 	voters := c.voters(0)
@@ -138,7 +138,7 @@
 	return n
 }
 
-func TestLeavingStandbyTakesNoPlace(t *testing.T) {
+func TestLeavingStandbyBecomesNoVoter(t *testing.T) {
 	c := newSimCluster(t, simShapes[1], 14)
 	c.run(2_000_000)
 	var standby *simMachine
@@ -159,7 +159,7 @@
 	c.serves("all are back", simServeWithin)
 }
 
-func TestDeadStandbyTakesNoPlace(t *testing.T) {
+func TestDeadStandbyBecomesNoVoter(t *testing.T) {
 	c := newSimCluster(t, simShapes[1], 15)
 	c.run(2_000_000)
 	var standby *simMachine
@@ -186,7 +186,7 @@
 	c.verify()
 }
 
-func TestMachinesRolledInTurnNeverLeaveAGroupWithoutAMajority(t *testing.T) {
+func TestRollingReplacementKeepsMajorities(t *testing.T) {
 	for _, shape := range simShapes {
 		t.Run(shape.name, func(t *testing.T) {
 			c := newSimCluster(t, shape, 16)
@@ -206,16 +206,16 @@
 	}
 }
 
-func TestSteadyEditsDoNotKeepALearnerBehind(t *testing.T) {
+func TestSteadyEditsDoNotStarveLearner(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{From: "b", Successor: "b2", Zone: "z2"})
 	c.tick()
 	earlier := g.committed.Version
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	c.edit(2, wire.Edit{Op: "empty", Name: "z1"})
 	c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: "b2", Version: earlier, OK: true})
-	c.take(g)
+	c.acceptProposal(g)
 	must.Nil(t, g.proposal, must.Sprint("the second edit waits for the learner"))
 	must.Len(t, 1, g.queue)
 	c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: "b2", Version: g.committed.Version, OK: true})
@@ -224,17 +224,17 @@
 	must.Len(t, 1, g.proposedEdits)
 }
 
-func TestEditsWaitForALearnerOnlyForAMoment(t *testing.T) {
+func TestEditsWaitBrieflyForLearner(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{From: "b", Successor: "b2", Zone: "z2"})
 	c.tick()
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: "b2", Version: g.committed.Version, OK: true})
-	c.take(g)
+	c.acceptProposal(g)
 	c.edit(2, wire.Edit{Op: "empty", Name: "z1"})
 	must.Nil(t, g.proposal)
-	c.now += LearnerPause
+	c.now += LearnerEditPause
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
 	must.NotNil(t, g.proposal)
 	must.False(t, isJoint(*g.proposal))
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -22,25 +22,25 @@
 	LearnerResendInterval = 200_000
 	// LearnerRetryAfter is how long a learner that was given up is not chosen again.
 	LearnerRetryAfter = 2_000_000
-	// LearnerPause is how long edits wait, once for each change, for a learner that has synced an
+	// LearnerEditPause is how long edits wait, once for each change, for a learner that has synced an
 	// earlier version: otherwise steady edits could keep it one version behind for ever.
-	LearnerPause = 200_000
+	LearnerEditPause = 200_000
 )
 
 // changeReason says why the voters of a group change.
 type changeReason string
 
 const (
-	reasonDiskLost    changeReason = "disk_lost"
-	reasonLeaving     changeReason = "leaving"
-	reasonSilent      changeReason = "silent"
-	reasonTooFew      changeReason = "too_few_voters"
-	reasonCrowdedZone changeReason = "crowded_zone"
+	reasonDiskLost     changeReason = "disk_lost"
+	reasonLeaving      changeReason = "leaving"
+	reasonUnresponsive changeReason = "silent"
+	reasonTooFew       changeReason = "too_few_voters"
+	reasonCrowdedZone  changeReason = "crowded_zone"
 )
 
 // changeCounters names the counter of each reason that has one.
 var changeCounters = map[changeReason]string{
-	reasonSilent: "part_seats_replaced", reasonCrowdedZone: "part_seats_spread", reasonLeaving: "part_voters_left",
+	reasonUnresponsive: "part_seats_replaced", reasonCrowdedZone: "part_seats_spread", reasonLeaving: "part_voters_left",
 }
 
 // memberChange is a change whose learners are catching up.
@@ -51,8 +51,8 @@
 	// voters are those after the change; learners are those of them that are new.
 	voters, learners []wire.Replica
 	// synced is the newest version that each learner said it has synced.
-	synced                      map[string]wire.Version
-	begunAt, sentAt, pauseUntil int64
+	synced                            map[string]wire.Version
+	begunAt, sentAt, editsPausedUntil int64
 }
 
 // caughtUp reports whether every learner has synced a version.
@@ -60,8 +60,8 @@
 	return !slices.ContainsFunc(c.learners, func(r wire.Replica) bool { return c.synced[r.ID] != newest })
 }
 
-// answered reports whether every learner has synced some version.
-func (c *memberChange) answered() bool { return len(c.synced) == len(c.learners) }
+// allResponded reports whether every learner has synced some version.
+func (c *memberChange) allResponded() bool { return len(c.synced) == len(c.learners) }
 
 // isJoint reports whether a version needs the voters before a change as well as those after it.
 func isJoint(v wire.Versioned) bool {
@@ -104,7 +104,7 @@
 
 // beginChange looks for a change that is due and has its learners catch up.
 func (g *Group) beginChange(ctx *kernel.Context) {
-	plans := []func(*kernel.Context) *memberChange{g.replaceWiped, g.replaceLeaving, g.replaceSilent, g.addVoters, g.rebalance}
+	plans := []func(*kernel.Context) *memberChange{g.replaceLostDisk, g.replaceLeaving, g.replaceUnresponsive, g.addVoters, g.rebalance}
 	for _, plan := range plans {
 		if change := plan(ctx); change != nil {
 			change.synced, change.begunAt = map[string]wire.Version{}, ctx.Now
@@ -124,7 +124,7 @@
 	case change == nil:
 	case !g.isStillDue(ctx, change):
 		g.abandonChange(ctx, "no longer due")
-	case !change.caughtUp(g.committed.Version) && ctx.Now-change.begunAt > LearnerTimeout+transferTime(sizeOf(g.committed)):
+	case !change.caughtUp(g.committed.Version) && ctx.Now-change.begunAt > LearnerTimeout+transferTime(versionSize(g.committed)):
 		for _, learner := range change.learners {
 			if change.synced[learner.ID] != g.committed.Version {
 				g.learnerFailedAt[learner.ID] = ctx.Now
@@ -140,8 +140,8 @@
 		return g.successors[change.removed].ID == change.learners[0].ID
 	case reasonLeaving:
 		return g.isLeaving(ctx, change.removed)
-	case reasonSilent:
-		return g.isSilent(ctx, change.removed)
+	case reasonUnresponsive:
+		return g.isUnresponsive(ctx, change.removed)
 	}
 	return true
 }
@@ -168,7 +168,7 @@
 // learnerResendInterval is how often a learner is sent the newest version again: a large one is
 // still on its way after the usual time.
 func (g *Group) learnerResendInterval() int64 {
-	if size := sizeOf(g.committed); isLarge(size) {
+	if size := versionSize(g.committed); isLarge(size) {
 		return resendInterval(size)
 	}
 	return LearnerResendInterval
@@ -196,13 +196,13 @@
 // awaitsLearners holds edits back for a moment while the learners sync the newest version.
 func (g *Group) awaitsLearners(ctx *kernel.Context) bool {
 	change := g.change
-	if change == nil || !change.answered() || change.caughtUp(g.committed.Version) {
+	if change == nil || !change.allResponded() || change.caughtUp(g.committed.Version) {
 		return false
 	}
-	if change.pauseUntil == 0 {
-		change.pauseUntil = ctx.Now + LearnerPause
+	if change.editsPausedUntil == 0 {
+		change.editsPausedUntil = ctx.Now + LearnerEditPause
 	}
-	return ctx.Now < change.pauseUntil
+	return ctx.Now < change.editsPausedUntil
 }
 
 // endChange logs that a change is in force and tells those that it removed, who would
--- a/control/replica/membership.go
+++ b/control/replica/membership.go
@@ -32,8 +32,8 @@
 	return !g.isLeaving(ctx, id) && !(failed && ctx.Now-failedAt < LearnerRetryAfter)
 }
 
-// replaceWiped gives the place of a voter whose disk is lost to the replica that is at its address now.
-func (g *Group) replaceWiped(ctx *kernel.Context) *memberChange {
+// replaceLostDisk gives the place of a voter whose disk is lost to the replica that is at its address now.
+func (g *Group) replaceLostDisk(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
 		now, ok := g.successors[voter.ID]
 		if ok && !contains(g.committed.Voters, now.ID) && g.canLearn(ctx, now.ID) {
@@ -46,7 +46,7 @@
 // replaceLeaving gives the place of a voter that is stopping to a standby, unless the loss of
 // one zone would then take a majority that it does not take now.
 func (g *Group) replaceLeaving(ctx *kernel.Context) *memberChange {
-	zones := g.host.k.Boot.Settings.Tolerance.Zones
+	zones := g.host.kernel.Boot.Settings.Tolerance.Zones
 	for _, voter := range g.committed.Voters {
 		if voter.ID == g.self() || !g.isLeaving(ctx, voter.ID) {
 			continue
@@ -63,18 +63,18 @@
 	return nil
 }
 
-func (g *Group) isSilent(ctx *kernel.Context, id string) bool {
+func (g *Group) isUnresponsive(ctx *kernel.Context, id string) bool {
 	return id != g.self() && ctx.Now-g.heardAt[id] >= ReplaceAfter
 }
 
-// replaceSilent gives the place of a voter that was not heard for long to a standby.
-func (g *Group) replaceSilent(ctx *kernel.Context) *memberChange {
+// replaceUnresponsive gives the place of a voter that was not heard for long to a standby.
+func (g *Group) replaceUnresponsive(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
-		if !g.isSilent(ctx, voter.ID) {
+		if !g.isUnresponsive(ctx, voter.ID) {
 			continue
 		}
 		if standby, ok := leastUsedZone(g.candidates(ctx), g.committed.Voters, voter.ID); ok {
-			return g.substitute(reasonSilent, voter.ID, standby)
+			return g.substitute(reasonUnresponsive, voter.ID, standby)
 		}
 	}
 	return nil
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -23,22 +23,22 @@
 func (c *core) tick() kernel.Output { return c.feed(kernel.Tick{Plugin: "seats", Key: "tick"}) }
 
 // heartbeats lets time pass while the replicas of a leader's group answer it.
-func (c *core) beats(g *Group, us int64, alive ...string) {
+func (c *core) exchangeHeartbeats(g *Group, us int64, alive ...string) {
 	for end := c.now + us; c.now < end && g.role == leader; {
 		c.now += TickInterval
 		c.tick()
 		for _, id := range alive {
-			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: id, Round: g.round, Stored: g.accepted.Version, OK: true})
+			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: id, Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 		}
 	}
 }
 
-// leases has some replicas, and this one's disk, take the version under way; it gives that version.
-func (c *core) leases(t *testing.T, g *Group, who ...string) wire.Versioned {
+// commitProposal has some replicas, and this one's disk, take the version under way; it gives that version.
+func (c *core) commitProposal(t *testing.T, g *Group, who ...string) wire.Versioned {
 	t.Helper()
 	must.NotNil(t, g.proposal)
 	v := *g.proposal
-	for key := range c.s.writes {
+	for key := range c.host.onWritten {
 		c.feed(kernel.Written{Plugin: "seats", Key: key})
 	}
 	for _, id := range who {
@@ -48,8 +48,8 @@
 	return v
 }
 
-// learns has the learners of the change under way sync the newest version; nothing is proposed before.
-func (c *core) learns(t *testing.T, g *Group, who ...string) {
+// syncLearners has the learners of the change under way sync the newest version; nothing is proposed before.
+func (c *core) syncLearners(t *testing.T, g *Group, who ...string) {
 	t.Helper()
 	must.Nil(t, g.proposal, must.Sprint("no change is proposed before its learners have caught up"))
 	must.NotNil(t, g.change)
@@ -59,65 +59,65 @@
 	}
 }
 
-func TestWipedMachineIsASeatAtOnceAndTheNextLossIsBorne(t *testing.T) {
+func TestWipedMachineIsReplacedAtOnce(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{From: "b", Successor: "b2", Zone: "z2"})
 	c.tick()
-	c.learns(t, g, "b2")
-	v := c.leases(t, g, "a")
+	c.syncLearners(t, g, "b2")
+	v := c.commitProposal(t, g, "a")
 	must.Eq(t, []string{"a", "b2", "me"}, ids(v.Voters))
 	must.Eq(t, []string{"a", "b", "me"}, ids(v.PreviousVoters))
 	// Without a further edit, the next version no longer needs the old replicas.
 	c.tick()
-	v = c.leases(t, g, "a")
+	v = c.commitProposal(t, g, "a")
 	must.Eq(t, []string{"a", "b2", "me"}, ids(v.PreviousVoters))
 	must.True(t, quorum(v, func(id string) bool { return id == "b2" || id == "me" }), must.Sprint("a may be lost now"))
 }
 
-func TestUnsettledChangeIsSettledBeforeTheNext(t *testing.T) {
+func TestJointChangeIsCompletedBeforeNext(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{From: "b", Successor: "b2"})
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{From: "a", Successor: "a2"})
 	c.tick()
-	c.learns(t, g, "a2")
+	c.syncLearners(t, g, "a2")
 	must.Eq(t, []string{"a2", "b", "me"}, ids(g.proposal.Voters), must.Sprint("one at a time"))
-	c.leases(t, g, "b")
+	c.commitProposal(t, g, "b")
 	must.Eq(t, []string{"a2", "b", "me"}, ids(g.proposal.Voters), must.Sprint("settled first"))
 	must.Eq(t, ids(g.proposal.Voters), ids(g.proposal.PreviousVoters))
-	c.leases(t, g, "b")
-	c.learns(t, g, "b2")
+	c.commitProposal(t, g, "b")
+	c.syncLearners(t, g, "b2")
 	must.Eq(t, []string{"a2", "b2", "me"}, ids(g.proposal.Voters))
 }
 
-func TestSilentSeatIsReplacedByASpareThatPulls(t *testing.T) {
+func TestUnresponsiveVoterIsReplacedByStandby(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	spare := func() { c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"}) }
 	spare()
-	c.beats(g, ReplaceAfter-200_000, "a")
+	c.exchangeHeartbeats(g, ReplaceAfter-200_000, "a")
 	must.Nil(t, g.proposal, must.Sprint("not yet"))
 	spare()
-	c.beats(g, 300_000, "a")
-	c.learns(t, g, "d")
-	v := c.leases(t, g, "a")
+	c.exchangeHeartbeats(g, 300_000, "a")
+	c.syncLearners(t, g, "d")
+	v := c.commitProposal(t, g, "a")
 	must.Eq(t, []string{"a", "d", "me"}, ids(v.Voters))
 	// It comes back as it was: a standby, and nothing moves.
 	c.tick()
-	c.leases(t, g, "a")
+	c.commitProposal(t, g, "a")
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.2:1", Replica: "b", Zone: "z2"})
-	c.beats(g, 1_000_000, "a", "d")
+	c.exchangeHeartbeats(g, 1_000_000, "a", "d")
 	must.Nil(t, g.proposal)
 }
 
-func TestSickOrLeavingCoreIsNoSpare(t *testing.T) {
+func TestStandbysExcludeUnhealthyAndLeavingCores(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	for range 30 {
 		// A core whose disk is not well pulls without naming its replica.
 		c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Zone: "z4"})
-		c.beats(g, 100_000, "a")
+		c.exchangeHeartbeats(g, 100_000, "a")
 	}
 	must.Nil(t, g.proposal)
 	must.Eq(t, []string{"a", "b", "me"}, ids(g.committed.Voters))
@@ -130,7 +130,7 @@
 	return out
 }
 
-func TestSeatsAreSpreadSoThatAZoneLostLeavesAMajority(t *testing.T) {
+func TestVotersAreSpreadOverZones(t *testing.T) {
 	for _, v := range []struct {
 		cores            []wire.Replica
 		n                int
@@ -150,35 +150,35 @@
 	}
 }
 
-func TestGroupThatIsTooSmallGrowsByTwo(t *testing.T) {
+func TestSmallGroupGrowsByTwo(t *testing.T) {
 	c := newCore(t, nil)
-	e := &c.s.k.Boot.Settings
+	e := &c.host.kernel.Boot.Settings
 	e.BootstrapKnown, e.Tolerance.Machines = true, 2
-	g := owns(t, c)
+	g := electLeader(t, c)
 	pull := func(id string) {
 		c.send(wire.KindPull, &wire.Pull{Addr: id + ":1", Replica: id, Zone: id})
 	}
 	pull("d")
-	c.beats(g, RebalanceAfter, "a", "b")
+	c.exchangeHeartbeats(g, RebalanceAfter, "a", "b")
 	must.Nil(t, g.proposal, must.Sprint("four seats bear no more than three"))
 	pull("d")
 	pull("e")
-	c.beats(g, TickInterval, "a", "b")
-	c.learns(t, g, "d", "e")
-	v := c.leases(t, g, "a", "b")
+	c.exchangeHeartbeats(g, TickInterval, "a", "b")
+	c.syncLearners(t, g, "d", "e")
+	v := c.commitProposal(t, g, "a", "b")
 	must.Eq(t, []string{"a", "b", "me", "d", "e"}, ids(v.Voters))
 	must.False(t, quorum(v, func(id string) bool { return id == "a" || id == "me" }))
 }
 
-func TestStoppingOwnerCommitsWhatIsUnderWayAndNamesItsSuccessor(t *testing.T) {
+func TestStoppingLeaderCommitsAndNamesSuccessor(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
-	c.beats(g, 200_000, "a")
+	g := electLeader(t, c)
+	c.exchangeHeartbeats(g, 200_000, "a")
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	out := c.feed(kernel.Stopping{})
 	must.Eq(t, leader, g.role)
 	must.Eq(t, map[uint64]string{2: "not_owner"}, replies(t, c.edit(2, wire.Edit{Op: "empty", Name: "z1"})))
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.take(g)))
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)))
 	out = c.tick()
 	must.Eq(t, follower, g.role)
 	yields := 0
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -27,15 +27,15 @@
 
 // narrowMember is one core of a cluster.
 type narrowMember struct {
-	id      string
-	k       *kernel.Kernel
-	host    *Host
-	files   map[string][]byte
-	up      bool
-	life    int
-	free    int64
-	bytesIn int64
-	replies map[uint64]wire.EditReply
+	id          string
+	k           *kernel.Kernel
+	host        *Host
+	files       map[string][]byte
+	up          bool
+	incarnation int
+	free        int64
+	bytesIn     int64
+	replies     map[uint64]wire.EditReply
 }
 
 // narrowCluster joins cores "a", "b" and "c", whose addresses are their names.
@@ -69,7 +69,7 @@
 func (c *narrowCluster) start(id string) {
 	m := c.members[id]
 	m.up, m.replies, m.bytesIn = true, map[uint64]wire.EditReply{}, 0
-	m.life++
+	m.incarnation++
 	boot := kernel.Boot{Settings: settings.Settings{Name: id, Mesh: id, Zone: "z" + id, DataDir: "disk"}, Role: "core", Seed: uint64(id[0]), Key: kernel.KeyFrom(bytes.Repeat([]byte(id), 32)), Files: map[string][]byte{}}
 	for name, b := range m.files {
 		boot.Files[name] = b
@@ -83,7 +83,7 @@
 func (c *narrowCluster) stop(id string) {
 	m := c.members[id]
 	m.up = false
-	m.life++
+	m.incarnation++
 	for conn, ends := range c.ends {
 		if ends[0] == id || ends[1] == id {
 			delete(c.ends, conn)
@@ -94,17 +94,17 @@
 
 func (c *narrowCluster) step(m *narrowMember, in kernel.Input) {
 	out := m.k.Step(c.now, c.now, in)
-	life := m.life
+	life := m.incarnation
 	for _, timer := range out.Timers {
 		c.after(timer.At-c.now, func() {
-			if m.life == life {
+			if m.incarnation == life {
 				c.step(m, timer.Tick)
 			}
 		})
 	}
 	for _, w := range out.Writes {
 		c.after(diskDelay, func() {
-			if m.life != life {
+			if m.incarnation != life {
 				return
 			}
 			if m.files[w.File] = w.Data; w.Data == nil {
@@ -148,9 +148,9 @@
 		at += int64(b.Len()) * 1_000_000 / c.bytesPerSecond
 	}
 	m.free = at
-	life := to.life
+	life := to.incarnation
 	c.after(at-c.now+linkDelay, func() {
-		if to.life == life && to.up {
+		if to.incarnation == life && to.up {
 			to.bytesIn += int64(len(s.Data))
 			c.step(to, kernel.Received{Conn: conn, Data: s.Data})
 		}
@@ -197,8 +197,8 @@
 	return c.leader()
 }
 
-// order sends an edit of the configuration to its leader and waits for the answer.
-func (c *narrowCluster) order(e *routingpb.RoutingEdit, within int64) wire.EditReply {
+// edit sends an edit of the configuration to its leader and waits for the answer.
+func (c *narrowCluster) edit(e *routingpb.RoutingEdit, within int64) wire.EditReply {
 	c.t.Helper()
 	m := c.lead()
 	b, err := proto.Marshal(e)
--- a/control/replica/old_members_test.go
+++ b/control/replica/old_members_test.go
@@ -28,7 +28,7 @@
 	return removed
 }
 
-func TestOldMembersThatComeBackAloneElectNobody(t *testing.T) {
+func TestRemovedVotersElectNobody(t *testing.T) {
 	shapes := []simShape{simShapes[2], {name: "3 of 8", zones: simShapes[2].zones, tolerance: simShapes[1].tolerance}}
 	for _, shape := range shapes {
 		for name, planned := range map[string]bool{"stopped": true, "killed": false} {
@@ -61,9 +61,9 @@
 	}
 }
 
-// settled reports whether of every partition all voters run, hold the committed version on their
+// membershipStable reports whether of every partition all voters run, hold the committed version on their
 // disks, and are bound alone: from then on the group bears whatever such a group can bear.
-func (c *simCluster) settled() bool {
+func (c *simCluster) membershipStable() bool {
 	for partition := range Partitions {
 		leader := c.leader(partition)
 		if leader == nil {
@@ -76,7 +76,7 @@
 		for _, voter := range committed.Voters {
 			holds := false
 			for _, m := range c.machines {
-				holds = holds || m.up && !m.stopping && m.holds(voter.ID, committed.Version)
+				holds = holds || m.up && !m.stopping && m.hasSynced(voter.ID, committed.Version)
 			}
 			if !holds {
 				return false
@@ -86,8 +86,8 @@
 	return true
 }
 
-// TestTheNextLossIsBorneWithinTheSyncTime measures, for each loss, when the groups are whole again.
-func TestTheNextLossIsBorneWithinTheSyncTime(t *testing.T) {
+// TestReplacementToleratesNextLossAfterSync measures, for each loss, when the groups are whole again.
+func TestReplacementToleratesNextLossAfterSync(t *testing.T) {
 	for _, shape := range simShapes {
 		for _, loss := range simLosses {
 			t.Run(shape.name+"/"+loss.name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 					}
 					c.run(50_000)
 					c.runUntil("the lost machines or their successors run", 10_000_000, func() bool { return c.back(running) })
-					took := c.runUntil("the groups are whole again", simSyncTimeAllowed, c.settled)
+					took := c.runUntil("the groups are whole again", simSyncTimeAllowed, c.membershipStable)
 					worst = max(worst, took)
 					c.verify()
 				}
--- a/control/replica/orders_test.go
+++ b/control/replica/orders_test.go
@@ -16,8 +16,8 @@
 	"wallport/runtime/wire"
 )
 
-// order is a routing table under a number, told apart from others by a limit.
-func order(t *testing.T, base, revision, limit int64) wire.Edit {
+// routingEdit is a routing table under a number, told apart from others by a limit.
+func routingEdit(t *testing.T, base, revision, limit int64) wire.Edit {
 	t.Helper()
 	b, err := proto.Marshal(&routingpb.RoutingEdit{
 		Base: base, Revision: revision, Whole: &routingpb.RoutingTable{Revision: revision, Limits: &routingpb.Limits{MaxBodyBytes: limit}},
@@ -26,47 +26,47 @@
 	return wire.Edit{Op: "routing", Body: b}
 }
 
-// confirmed has a majority answer the newest heartbeat.
-func (c *core) confirmed(g *Group) kernel.Output {
-	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.round, Stored: g.accepted.Version, OK: true})
+// confirmHeartbeat has a majority answer the newest heartbeat.
+func (c *core) confirmHeartbeat(g *Group) kernel.Output {
+	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 }
 
-// leads is a core that has taken one order in each of two versions.
-func leads(t *testing.T) (*core, *Group) {
+// leaderWithTwoEdits is a core that has taken one order in each of two versions.
+func leaderWithTwoEdits(t *testing.T) (*core, *Group) {
 	t.Helper()
 	c := newCore(t, nil)
-	g := owns(t, c)
-	c.edit(1, order(t, 0, 5, 1))
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.take(g)))
-	c.edit(2, order(t, 5, 7, 1))
-	must.Eq(t, map[uint64]string{2: "ok"}, replies(t, c.take(g)))
+	g := electLeader(t, c)
+	c.edit(1, routingEdit(t, 0, 5, 1))
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)))
+	c.edit(2, routingEdit(t, 5, 7, 1))
+	must.Eq(t, map[uint64]string{2: "ok"}, replies(t, c.acceptProposal(g)))
 	return c, g
 }
 
-func TestOneNumberInOneBatch(t *testing.T) {
+func TestBatchTakesOneEditPerRevision(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
-	c.edit(1, order(t, 0, 5, 1))
+	g := electLeader(t, c)
+	c.edit(1, routingEdit(t, 0, 5, 1))
 	// These wait for the version under way.
-	c.edit(2, order(t, 5, 7, 1))
-	c.edit(3, order(t, 5, 7, 2))
-	c.edit(4, order(t, 5, 7, 1))
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.take(g)))
-	must.Eq(t, map[uint64]string{2: "ok", 3: "lost_race", 4: "ok"}, replies(t, c.take(g)))
+	c.edit(2, routingEdit(t, 5, 7, 1))
+	c.edit(3, routingEdit(t, 5, 7, 2))
+	c.edit(4, routingEdit(t, 5, 7, 1))
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)))
+	must.Eq(t, map[uint64]string{2: "ok", 3: "lost_race", 4: "ok"}, replies(t, c.acceptProposal(g)))
 }
 
 // The next leader, elected by others or started again after all power was lost, judges as the one before.
-func TestTakenOrdersAreKnownToTheNextLeader(t *testing.T) {
-	_, was := leads(t)
+func TestAcceptedEditsAreKnownToNextLeader(t *testing.T) {
+	_, was := leaderWithTwoEdits(t)
 	held := was.committed
 	for name, start := range map[string]func() (*core, *Group){
 		"power lost": func() (*core, *Group) {
 			c := newCore(t, map[string][]byte{versionFile(held.Version): diskfile.Pack(wire.Encode(&held))})
-			return c, owns(t, c)
+			return c, electLeader(t, c)
 		},
 		"elected": func() (*core, *Group) {
 			c := newCore(t, nil)
-			g := c.s.groups[0]
+			g := c.host.groups[0]
 			c.tick()
 			c.now += 10_000_000
 			c.tick()
@@ -74,27 +74,27 @@
 			c.sync(out)
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: held})
 			must.Eq(t, leader, g.role)
-			c.take(g)
+			c.acceptProposal(g)
 			return c, g
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, g := start()
 			must.True(t, g.ready)
-			c.edit(1, order(t, 0, 5, 1))
-			c.edit(2, order(t, 0, 5, 2))
-			c.edit(3, order(t, 5, 7, 1))
-			c.edit(4, order(t, 5, 7, 2))
-			must.Eq(t, map[uint64]string{1: "ok", 2: "lost_race", 3: "ok", 4: "lost_race"}, replies(t, c.confirmed(g)))
+			c.edit(1, routingEdit(t, 0, 5, 1))
+			c.edit(2, routingEdit(t, 0, 5, 2))
+			c.edit(3, routingEdit(t, 5, 7, 1))
+			c.edit(4, routingEdit(t, 5, 7, 2))
+			must.Eq(t, map[uint64]string{1: "ok", 2: "lost_race", 3: "ok", 4: "lost_race"}, replies(t, c.confirmHeartbeat(g)))
 		})
 	}
 }
 
 // A leader that a majority does not answer says neither yes nor no, to orders, repeats and reads.
-func TestCutOffLeaderAnswersNothing(t *testing.T) {
-	c, g := leads(t)
+func TestPartitionedLeaderRepliesToNoEdit(t *testing.T) {
+	c, g := leaderWithTwoEdits(t)
 	for id, e := range []wire.Edit{
-		order(t, 0, 5, 1), order(t, 0, 5, 2), order(t, 7, 9, 1), order(t, 7, 9, 2), {Op: "empty", Name: "z"},
+		routingEdit(t, 0, 5, 1), routingEdit(t, 0, 5, 2), routingEdit(t, 7, 9, 1), routingEdit(t, 7, 9, 2), {Op: "empty", Name: "z"},
 		{Op: wire.OpRead}, {Op: wire.OpZoneVersion, Name: "z"}, {Op: wire.OpHistory}, {Op: "nonsense"},
 	} {
 		must.MapEmpty(t, replies(t, c.edit(uint64(id), e)))
@@ -109,8 +109,8 @@
 }
 
 // The ledger goes from replica to replica; pulls, announcements and denied votes leave it out.
-func TestOnlyReplicasGetTheLedger(t *testing.T) {
-	c, g := leads(t)
+func TestEditLogIsSentToReplicasOnly(t *testing.T) {
+	c, g := leaderWithTwoEdits(t)
 	must.NotNil(t, g.committed.EditLog)
 	out := c.send(wire.KindPull, &wire.Pull{})
 	f, err := wire.Open(out.Sends[0].Data)
@@ -119,7 +119,7 @@
 	must.NoError(t, wire.Decode(f.Body, &pulled))
 	must.Len(t, 1, pulled.Versions)
 	must.Nil(t, pulled.Versions[0].EditLog)
-	told, ok := c.s.mesh.Partition(state.ConfigPartition)
+	told, ok := c.host.mesh.Partition(state.ConfigPartition)
 	must.True(t, ok)
 	must.Nil(t, told.EditLog)
 	must.Eq(t, g.committed.Body, told.Body)
@@ -130,7 +130,7 @@
 	// A vote that is denied shows how new the voter's version is, and nothing of it.
 	held := g.committed
 	c = newCore(t, map[string][]byte{versionFile(held.Version): diskfile.Pack(wire.Encode(&held))})
-	must.Eq(t, held.EditLog, c.s.groups[0].accepted.EditLog)
+	must.Eq(t, held.EditLog, c.host.groups[0].accepted.EditLog)
 	denied := c.send(wire.KindVote, &wire.Vote{Term: held.Version.Term - 1, From: "b"})
 	f, err = wire.Open(denied.Sends[0].Data)
 	must.NoError(t, err)
@@ -141,14 +141,14 @@
 }
 
 // An order about a zone that was held up is refused by the leader, and the refusal is confirmed.
-func TestLateOrderAboutAZoneIsRefused(t *testing.T) {
-	c, g := leads(t)
+func TestStaleZoneEditIsRejected(t *testing.T) {
+	c, g := leaderWithTwoEdits(t)
 	c.edit(1, wire.Edit{Op: wire.OpZoneVersion, Name: "z"})
-	base := readVersion(t, c.confirmed(g))
+	base := readVersion(t, c.confirmHeartbeat(g))
 	c.edit(2, wire.Edit{Op: "refill", Name: "z", EditID: "newer", Base: base})
-	must.Eq(t, map[uint64]string{2: "ok"}, replies(t, c.take(g)))
+	must.Eq(t, map[uint64]string{2: "ok"}, replies(t, c.acceptProposal(g)))
 	must.MapEmpty(t, replies(t, c.edit(3, wire.Edit{Op: "empty", Name: "z", EditID: "late", Base: base})))
-	must.Eq(t, map[uint64]string{3: wire.CodeStale}, replies(t, c.confirmed(g)))
+	must.Eq(t, map[uint64]string{3: wire.CodeStale}, replies(t, c.confirmHeartbeat(g)))
 	must.Nil(t, g.proposal)
 }
 
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -13,11 +13,11 @@
 // handleEdit takes an operator's or another plug-in's change, or a confirmed read.
 func (g *Group) handleEdit(ctx *kernel.Context, ch, id uint64, e wire.Edit) {
 	if g.role != leader || g.transferring {
-		g.answer(ctx, ch, id, wire.EditReply{Code: "not_owner", Addr: g.leaderAddress})
+		g.replyToEdit(ctx, ch, id, wire.EditReply{Code: "not_owner", Addr: g.leaderAddress})
 		return
 	}
 	if len(g.queue)+len(g.unconfirmed) >= MaxQueued || g.queuedBytes()+len(e.Body) > MaxQueuedBytes {
-		g.answer(ctx, ch, id, wire.EditReply{Code: "shed"})
+		g.replyToEdit(ctx, ch, id, wire.EditReply{Code: "shed"})
 		return
 	}
 	w := pendingEdit{conn: ch, id: id, edit: e}
@@ -27,7 +27,7 @@
 		return
 	}
 	if !g.ready {
-		g.answer(ctx, ch, id, wire.EditReply{Code: "not_owner"})
+		g.replyToEdit(ctx, ch, id, wire.EditReply{Code: "not_owner"})
 		return
 	}
 	g.awaitConfirmation(ctx, w)
@@ -36,11 +36,11 @@
 // awaitConfirmation has a majority confirm this leader before a read or a refusal is answered.
 func (g *Group) awaitConfirmation(ctx *kernel.Context, w ...pendingEdit) {
 	for _, v := range w {
-		v.round = g.round + 1
+		v.confirmRound = g.heartbeatRound + 1
 		g.unconfirmed = append(g.unconfirmed, v)
 	}
 	g.sendHeartbeats(ctx)
-	g.confirm(ctx)
+	g.replyConfirmed(ctx)
 }
 
 // proposeNext batches the queue into one version, each edit judged in turn against the outcome of
@@ -60,19 +60,19 @@
 	for i := range batch {
 		w := &batch[i]
 		var after state.Value
-		after, w.reply, w.taken = g.host.judge(g.partition)(value, stamp, &w.edit)
-		g.refuseTooLarge(ctx, w, value, after)
+		after, w.reply, w.applied = g.host.judge(g.partition)(value, stamp, &w.edit)
+		g.rejectTooLarge(ctx, w, value, after)
 		switch {
-		case w.taken:
+		case w.applied:
 			value, changed = after, true
 		case w.reply.Version == (wire.Version{}):
 			w.reply.Version = g.committed.Version
 		}
 	}
-	if len(batch) == 0 && !changed && ctx.Now-g.clockAt < ClockInterval {
+	if len(batch) == 0 && !changed && ctx.Now-g.clockworkAt < ClockInterval {
 		return
 	}
-	g.clockAt = ctx.Now
+	g.clockworkAt = ctx.Now
 	if wall, known := g.agreedTime(ctx); known {
 		if after, due := g.host.clockwork(g.partition)(value.Body, stamp, wall, g.leaseHolders(ctx)); due && len(after) <= state.MaxBody(g.partition)+state.TickAllowance {
 			value.Body, changed = after, true
@@ -84,17 +84,17 @@
 	case changed:
 		g.proposedEdits = batch
 		ctx.Counts.Add("part_versions", 1)
-		g.propose(ctx, wire.Versioned{Version: stamp, Voters: seats, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.EditLog}, g.baseOf(value))
+		g.propose(ctx, wire.Versioned{Version: stamp, Voters: seats, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.EditLog}, g.baseFor(value))
 	case len(batch) > 0:
 		g.awaitConfirmation(ctx, batch...)
 	}
 }
 
-// confirm answers reads and refusals that a majority confirmed this leader for, after they came.
-func (g *Group) confirm(ctx *kernel.Context) {
+// replyConfirmed answers reads and refusals that a majority confirmed this leader for, after they came.
+func (g *Group) replyConfirmed(ctx *kernel.Context) {
 	var left []pendingEdit
 	for _, w := range g.unconfirmed {
-		if !quorum(g.committed, func(id string) bool { return id == g.self() || g.confirmedRounds[id] >= w.round }) {
+		if !quorum(g.committed, func(id string) bool { return id == g.self() || g.confirmedRounds[id] >= w.confirmRound }) {
 			left = append(left, w)
 			continue
 		}
@@ -102,7 +102,7 @@
 			w.reply = state.AnswerRead(g.committed, &w.edit)
 			w.reply.Addr = g.leaderAddress
 		}
-		g.answer(ctx, w.conn, w.id, w.reply)
+		g.replyToEdit(ctx, w.conn, w.id, w.reply)
 	}
 	g.unconfirmed = left
 }
--- a/control/replica/proposals_test.go
+++ b/control/replica/proposals_test.go
@@ -12,10 +12,10 @@
 	"wallport/runtime/wire"
 )
 
-// owns makes the core the leader of partition 0 by the votes and answers of replica "a".
-func owns(t *testing.T, c *core) *Group {
+// electLeader makes the core the leader of partition 0 by the votes and answers of replica "a".
+func electLeader(t *testing.T, c *core) *Group {
 	t.Helper()
-	g := c.s.groups[0]
+	g := c.host.groups[0]
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
 	c.now += 10_000_000
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
@@ -24,13 +24,13 @@
 	c.sync(out)
 	c.sync(c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true}))
 	must.Eq(t, leader, g.role)
-	c.take(g)
+	c.acceptProposal(g)
 	must.True(t, g.ready)
 	return g
 }
 
-// take has replicas "a" and "b" hold the version under way.
-func (c *core) take(g *Group) kernel.Output {
+// acceptProposal has replicas "a" and "b" hold the version under way.
+func (c *core) acceptProposal(g *Group) kernel.Output {
 	if g.proposal == nil {
 		return kernel.Output{}
 	}
@@ -60,9 +60,9 @@
 	return c.feed(kernel.Received{Conn: 9, Data: wire.Seal(wire.KindEdit, id, &e)})
 }
 
-func TestNothingIsAnsweredFromWhatIsNotCommitted(t *testing.T) {
+func TestEditsAreRepliedToAfterCommit(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	empty := wire.Edit{Op: "empty", Name: "z1", EditID: "one"}
 	other := wire.Edit{Op: "refill", Name: "z1", EditID: "one"}
 	must.MapEmpty(t, replies(t, c.edit(1, wire.Edit{Op: "empty", Name: "z0", EditID: "zero"})))
@@ -70,27 +70,27 @@
 	must.MapEmpty(t, replies(t, c.edit(2, empty)))
 	must.MapEmpty(t, replies(t, c.edit(3, empty)))
 	must.MapEmpty(t, replies(t, c.edit(4, other)))
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.take(g)), must.Sprint("the repeat rests on what is not committed"))
-	must.Eq(t, map[uint64]string{2: "ok", 3: "ok", 4: "conflict"}, replies(t, c.take(g)))
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("the repeat rests on what is not committed"))
+	must.Eq(t, map[uint64]string{2: "ok", 3: "ok", 4: "conflict"}, replies(t, c.acceptProposal(g)))
 }
 
-func TestAnswersThatWaitedAreUnknownWhenTheOwnerIsFenced(t *testing.T) {
+func TestPendingEditsOfFencedLeaderAreUnknown(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0", EditID: "zero"})
 	c.edit(2, wire.Edit{Op: "empty", Name: "z1", EditID: "one"})
 	c.edit(3, wire.Edit{Op: "empty", Name: "z1", EditID: "one"})
-	c.take(g)
+	c.acceptProposal(g)
 	out := c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term + 1, From: "a"})
 	must.Eq(t, map[uint64]string{2: "unknown", 3: "unknown"}, replies(t, out))
 }
 
 // A cut-off leader may judge by what has long been replaced: its refusal counts once a majority answers.
-func TestRefusalsAreConfirmedByAMajority(t *testing.T) {
+func TestRejectionsAreConfirmedByMajority(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	must.MapEmpty(t, replies(t, c.edit(1, wire.Edit{Op: "nonsense"})))
-	round := g.round
+	round := g.heartbeatRound
 	out := c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: round - 1, Stored: g.accepted.Version, OK: true})
 	must.MapEmpty(t, replies(t, out))
 	out = c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: round, Stored: g.accepted.Version, OK: true})
--- a/control/replica/pull_large_test.go
+++ b/control/replica/pull_large_test.go
@@ -13,17 +13,17 @@
 )
 
 // A large version is in the answer to one pull, not to each one while it is under way.
-func TestALargeVersionIsPulledOnce(t *testing.T) {
+func TestLargeVersionIsPulledOnce(t *testing.T) {
 	c := newCore(t, nil)
 	large := func(partition, size int) {
-		c.s.groups[partition].committed = wire.Versioned{Version: wire.Version{Partition: partition, Term: 1, Seq: 1}, Body: make([]byte, size)}
+		c.host.groups[partition].committed = wire.Versioned{Version: wire.Version{Partition: partition, Term: 1, Seq: 1}, Body: make([]byte, size)}
 	}
 	large(0, 4<<20)
 	large(1, 2<<20)
 	large(2, 100)
 	pull := func() (parts []int, partial bool) {
 		r := wire.PullReply{}
-		must.NoError(t, wire.Decode(receivedWhole(t, c, wire.KindPull, &wire.Pull{}), &r))
+		must.NoError(t, wire.Decode(reassemble(t, c, wire.KindPull, &wire.Pull{}), &r))
 		for _, v := range r.Versions {
 			parts = append(parts, v.Version.Partition)
 		}
@@ -35,18 +35,18 @@
 	parts, partial = pull()
 	must.Eq(t, []int{1, 2}, parts)
 	must.True(t, partial)
-	c.now += PullAgainAfter
+	c.now += LargeResendToPullerAfter
 	parts, _ = pull()
 	must.Eq(t, []int{0, 2}, parts)
 }
 
 // What is withheld is not confirmed: a process that starts must not take its older state for the newest.
-func TestAWithheldVersionIsNotConfirmed(t *testing.T) {
+func TestWithheldVersionIsNotConfirmed(t *testing.T) {
 	c := newCore(t, nil)
 	v := wire.Versioned{Version: wire.Version{Partition: 1, Term: 1, Seq: 1}, Body: make([]byte, wire.MaxSingleFrame+1)}
 	for range 2 {
 		r := wire.PullReply{Versions: []wire.Versioned{v}, ContactMask: 0b111, RelayedMask: 0b110}
-		c.s.limitPull(c.now, 7, &r)
+		c.host.limitPull(c.now, 7, &r)
 		if len(r.Versions) == 1 {
 			must.Eq(t, 0b111, r.ContactMask)
 			continue
@@ -56,8 +56,8 @@
 	}
 }
 
-// receivedWhole has a core answer a message, and puts the answer's pieces together.
-func receivedWhole(t *testing.T, c *core, kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) []byte {
+// reassemble has a core answer a message, and puts the answer's pieces together.
+func reassemble(t *testing.T, c *core, kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) []byte {
 	t.Helper()
 	out := c.send(kind, m)
 	var whole []byte
--- a/control/replica/quorum_test.go
+++ b/control/replica/quorum_test.go
@@ -10,17 +10,17 @@
 	"wallport/runtime/wire"
 )
 
-func seats(ids ...string) (out []wire.Replica) {
+func replicas(ids ...string) (out []wire.Replica) {
 	for _, id := range ids {
 		out = append(out, wire.Replica{ID: id})
 	}
 	return out
 }
 
-func TestChangeOfSeatsNeedsBothMajorities(t *testing.T) {
-	v := wire.Versioned{Voters: seats("a", "b", "d"), PreviousVoters: seats("a", "b", "c")}
+func TestJointQuorumNeedsBothMajorities(t *testing.T) {
+	v := wire.Versioned{Voters: replicas("a", "b", "d"), PreviousVoters: replicas("a", "b", "c")}
 	of := func(ids ...string) func(string) bool {
-		return func(id string) bool { return contains(seats(ids...), id) }
+		return func(id string) bool { return contains(replicas(ids...), id) }
 	}
 	must.True(t, quorum(v, of("a", "b")))
 	must.True(t, quorum(v, of("a", "c", "d")))
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -13,7 +13,7 @@
 // LeaderlessFor is how long no leader must have been heard of.
 const LeaderlessFor = 5_000_000
 
-func (g *Group) rebuild(ctx *kernel.Context, ch, id uint64, m wire.Rebuild) {
+func (g *Group) handleRebuild(ctx *kernel.Context, ch, id uint64, m wire.Rebuild) {
 	reply := func(ctx *kernel.Context, why string) {
 		held := g.accepted
 		if m.VersionOnly || m.Apply {
--- a/control/replica/route.go
+++ b/control/replica/route.go
@@ -14,44 +14,44 @@
 )
 
 // Step takes one input.
-func (s *Host) Step(ctx *kernel.Context, in kernel.Input) {
+func (h *Host) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		s.start(ctx)
+		h.start(ctx)
 	case kernel.Tick:
-		s.tick(ctx)
+		h.tick(ctx)
 	case kernel.Written:
-		s.written(ctx, v)
+		h.handleWritten(ctx, v)
 	case kernel.Thawed:
-		for _, g := range s.groups {
-			g.thawed(ctx)
+		for _, g := range h.groups {
+			g.handleThawed(ctx)
 		}
 	case kernel.Stopping:
-		s.stopping = true
-		for _, g := range s.groups {
-			g.stop(ctx)
+		h.stopping = true
+		for _, g := range h.groups {
+			g.handleStopping(ctx)
 		}
 	case kernel.Message:
-		s.message(ctx, v)
+		h.handleMessage(ctx, v)
 	case configsync.Pulled:
-		s.relay(v)
+		h.relayContact(v)
 	case Committed:
-		s.mesh.AnnounceVersion(ctx, v.Version)
+		h.mesh.AnnounceVersion(ctx, v.Version)
 		if v.Version.Version.Partition == 0 {
-			s.members.Update(func(m *wire.Member) { m.InForce = []wire.Version{v.Version.Version} })
+			h.members.Update(func(m *wire.Member) { m.InForce = []wire.Version{v.Version.Version} })
 		}
 	}
 }
 
-func (s *Host) tick(ctx *kernel.Context) {
+func (h *Host) tick(ctx *kernel.Context) {
 	ctx.After(TickInterval, "seats", "tick")
-	s.checkDisk(ctx)
-	if !s.bootstrapped {
-		s.bootstrapStep(ctx)
+	h.checkDisk(ctx)
+	if !h.bootstrapped {
+		h.bootstrapTick(ctx)
 		return
 	}
 	ledPartitions, inContact := int64(0), int64(0)
-	for _, g := range s.groups {
+	for _, g := range h.groups {
 		g.tick(ctx)
 		if g.role == leader {
 			ledPartitions++
@@ -65,7 +65,7 @@
 }
 
 // thawed: a leader that did not run for a while cannot know that it still is one.
-func (g *Group) thawed(ctx *kernel.Context) {
+func (g *Group) handleThawed(ctx *kernel.Context) {
 	if g.role != follower {
 		g.stepDown(ctx, "did not run for a while")
 	}
@@ -85,33 +85,33 @@
 	f(m)
 }
 
-func (s *Host) message(ctx *kernel.Context, v kernel.Message) {
+func (h *Host) handleMessage(ctx *kernel.Context, v kernel.Message) {
 	g := func(partition int, f func(g *Group)) {
-		if partition >= 0 && partition < len(s.groups) && !s.diskDamaged {
-			f(s.groups[partition])
+		if partition >= 0 && partition < len(h.groups) && !h.diskDamaged {
+			f(h.groups[partition])
 		}
 	}
 	// A machine whose disk was lost is another replica at the old one's address:
 	// what is meant for the old one is not for it.
 	to := func(id string, partition int, f func(g *Group)) {
-		if id != "" && id != s.replicaID {
+		if id != "" && id != h.replicaID {
 			ctx.Counts.Add("part_misdirected", 1)
-			s.reportReplacement(ctx, v, id, partition)
+			h.reportReplacement(ctx, v, id, partition)
 			return
 		}
 		g(partition, f)
 	}
 	switch v.Kind {
 	case wire.KindVote:
-		decode(ctx, v, func(m wire.Vote) { to(m.To, m.Partition, func(g *Group) { g.vote(ctx, v.Conn, v.ID, m) }) })
+		decode(ctx, v, func(m wire.Vote) { to(m.To, m.Partition, func(g *Group) { g.handleVote(ctx, v.Conn, v.ID, m) }) })
 	case wire.KindVoteReply:
-		decode(ctx, v, func(m wire.VoteReply) { g(m.Partition, func(g *Group) { g.voteReply(ctx, m) }) })
+		decode(ctx, v, func(m wire.VoteReply) { g(m.Partition, func(g *Group) { g.handleVoteReply(ctx, m) }) })
 	case wire.KindAccept:
 		decode(ctx, v, func(m wire.Accept) {
-			to(m.To, m.Partition, func(g *Group) { s.joinFleet(ctx); g.accept(ctx, v.Conn, v.ID, m) })
+			to(m.To, m.Partition, func(g *Group) { h.joinFleet(ctx); g.handleAccept(ctx, v.Conn, v.ID, m) })
 		})
 	case wire.KindAcceptReply:
-		decode(ctx, v, func(m wire.AcceptReply) { g(m.Partition, func(g *Group) { g.acceptReply(ctx, m) }) })
+		decode(ctx, v, func(m wire.AcceptReply) { g(m.Partition, func(g *Group) { g.handleAcceptReply(ctx, m) }) })
 	case wire.KindLeaderHeartbeat:
 		decode(ctx, v, func(m wire.LeaderHeartbeat) {
 			to(m.To, m.Partition, func(g *Group) { g.handleHeartbeat(ctx, v.Conn, v.ID, m) })
@@ -119,59 +119,61 @@
 	case wire.KindLeaderHeartbeatReply:
 		decode(ctx, v, func(m wire.LeaderHeartbeatReply) { g(m.Partition, func(g *Group) { g.handleHeartbeatReply(ctx, m) }) })
 	case wire.KindBootstrap:
-		decode(ctx, v, func(m wire.Bootstrap) { s.handleForm(ctx, v.Conn, m) })
+		decode(ctx, v, func(m wire.Bootstrap) { h.handleBootstrap(ctx, v.Conn, m) })
 	case wire.KindBootstrapReply:
-		decode(ctx, v, func(m wire.BootstrapReply) { s.handleFormReply(ctx, m) })
+		decode(ctx, v, func(m wire.BootstrapReply) { h.handleBootstrapReply(ctx, m) })
 	case wire.KindPull:
-		decode(ctx, v, func(m wire.Pull) { s.pull(ctx, v.Conn, v.ID, m) })
+		decode(ctx, v, func(m wire.Pull) { h.handlePull(ctx, v.Conn, v.ID, m) })
 	case wire.KindEdit:
 		decode(ctx, v, func(m wire.Edit) { g(m.Partition, func(g *Group) { g.handleEdit(ctx, v.Conn, v.ID, m) }) })
 	case wire.KindRebuild:
-		decode(ctx, v, func(m wire.Rebuild) { g(m.Partition, func(g *Group) { g.rebuild(ctx, v.Conn, v.ID, m) }) })
+		decode(ctx, v, func(m wire.Rebuild) { g(m.Partition, func(g *Group) { g.handleRebuild(ctx, v.Conn, v.ID, m) }) })
 	case wire.KindLeave:
 		decode(ctx, v, func(m wire.Leave) { to(m.To, m.Partition, func(g *Group) { g.handleLeave(ctx, v.Conn, m) }) })
 	case wire.KindStatusRequest:
-		s.sendStatus(ctx, v)
+		h.sendStatus(ctx, v)
 	case wire.KindLeaseRequest:
-		decode(ctx, v, func(m wire.LeaseRequest) { g(m.Partition, func(g *Group) { g.renewLease(ctx, v.Conn, v.ID, m) }) })
+		decode(ctx, v, func(m wire.LeaseRequest) {
+			g(m.Partition, func(g *Group) { g.handleLeaseRequest(ctx, v.Conn, v.ID, m) })
+		})
 	}
 }
 
 // reportReplacement tells a leader that heartbeats a lost disk's replica who is at its address now, and could have its place.
-func (s *Host) reportReplacement(ctx *kernel.Context, v kernel.Message, id string, partition int) {
-	if v.Kind != wire.KindLeaderHeartbeat || partition < 0 || partition >= len(s.groups) || s.groups[partition].isVoter() || s.replicaID == "" || s.diskProblem != "" || s.stopping {
+func (h *Host) reportReplacement(ctx *kernel.Context, v kernel.Message, id string, partition int) {
+	if v.Kind != wire.KindLeaderHeartbeat || partition < 0 || partition >= len(h.groups) || h.groups[partition].isVoter() || h.replicaID == "" || h.diskProblem != "" || h.stopping {
 		return
 	}
-	ctx.Send(v.Conn, wire.KindLeaderHeartbeatReply, v.ID, &wire.LeaderHeartbeatReply{Partition: partition, From: id, Successor: s.replicaID, Zone: s.k.Boot.Settings.Zone})
+	ctx.Send(v.Conn, wire.KindLeaderHeartbeatReply, v.ID, &wire.LeaderHeartbeatReply{Partition: partition, From: id, Successor: h.replicaID, Zone: h.kernel.Boot.Settings.Zone})
 }
 
-// pull answers with every committed version newer than what the asker has.
-func (s *Host) pull(ctx *kernel.Context, ch, id uint64, p wire.Pull) {
+// handlePull answers with every committed version newer than what the asker has.
+func (h *Host) handlePull(ctx *kernel.Context, ch, id uint64, p wire.Pull) {
 	var r wire.PullReply
-	s.pulled(ctx, p)
+	h.recordPuller(ctx, p)
 	have := map[int]wire.Version{}
 	for _, st := range p.Have {
 		have[st.Partition] = st
 	}
-	for _, g := range s.groups {
+	for _, g := range h.groups {
 		v := g.committed
-		if m, ok := s.mesh.Partition(g.partition); ok && mesh.Newer(m.Version, v.Version) {
+		if m, ok := h.mesh.Partition(g.partition); ok && mesh.Newer(m.Version, v.Version) {
 			// A core that has no replica here hands on what the mesh brought it.
 			v = m
 		}
-		g.tellContact(ctx.Now, v.Version, &r)
+		g.reportContact(ctx.Now, v.Version, &r)
 		if st, ok := have[g.partition]; v.Version.Term > 0 && (!ok || mesh.Newer(v.Version, st)) {
 			r.Versions = append(r.Versions, wire.Versioned{Version: v.Version, Body: v.Body})
 		}
-		if g.leader != "" && g.followsLeader(ctx.Now) {
+		if g.leader != "" && g.knowsLeader(ctx.Now) {
 			r.Leaders = append(r.Leaders, wire.Leader{Partition: g.partition, Term: g.votedTerm, Replica: g.leader, Addr: g.host.addressOf(g.leader, ctx.Now)})
 		}
 	}
-	s.limitPull(ctx.Now, ch, &r)
+	h.limitPull(ctx.Now, ch, &r)
 	ctx.Send(ch, wire.KindPullReply, id, &r)
 }
 
-func (s *Host) sendReplica(ctx *kernel.Context, replicaID wire.Replica, kind uint8, m msgp.Marshaler) {
+func (h *Host) sendReplica(ctx *kernel.Context, replicaID wire.Replica, kind uint8, m msgp.Marshaler) {
 	addr := replicaID.Addr
 	switch v := m.(type) {
 	case *wire.Vote:
@@ -183,7 +185,7 @@
 	case *wire.Leave:
 		v.To = replicaID.ID
 	}
-	if a := s.addressOf(replicaID.ID, ctx.Now); a != "" {
+	if a := h.addressOf(replicaID.ID, ctx.Now); a != "" {
 		addr = a
 	}
 	ctx.Counts.Add("part_messages", 1)
--- a/control/replica/second_loss_test.go
+++ b/control/replica/second_loss_test.go
@@ -19,8 +19,8 @@
 	simSyncTimeAllowed = 4_000_000
 	simLossStep        = 250_000
 	simDownFor         = 1_000_000
-	// simSettledFor is how long a cluster serves before the first loss.
-	simSettledFor = 500_000
+	// simStableFor is how long a cluster serves before the first loss.
+	simStableFor = 500_000
 	// simServeWithin is how soon edits are taken again after a loss that is borne.
 	simServeWithin = 4_000_000
 )
@@ -124,7 +124,7 @@
 	return simLossStep
 }
 
-func TestSecondLossAfterARepairOrAReplacement(t *testing.T) {
+func TestSecondLossAfterRepairOrReplacement(t *testing.T) {
 	for _, shape := range simShapes {
 		for _, first := range simLosses {
 			t.Run(shape.name+"/"+first.name, func(t *testing.T) {
@@ -145,7 +145,7 @@
 	seed := uint64(gap) + 1
 	c := newSimCluster(t, shape, seed)
 	c.note(fmt.Sprintf("seed %d, shape %s, first loss %s, leader first %v, second after %d us", seed, shape.name, first.name, leaderFirst, gap))
-	c.run(simSettledFor)
+	c.run(simStableFor)
 	running := len(c.machines)
 	for _, m := range c.victims(first, leaderFirst) {
 		first.hit(c, m)
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// holds reports whether a core has committed a version that is at least as new.
-func (m *narrowMember) holds(at wire.Version) bool {
+// hasSynced reports whether a core has committed a version that is at least as new.
+func (m *narrowMember) hasSynced(at wire.Version) bool {
 	g := m.host.groups[state.ConfigPartition]
 	return g.committed.Version == at || g.committed.Version.Term > at.Term || g.committed.Version.Term == at.Term && g.committed.Version.Seq > at.Seq
 }
@@ -47,7 +47,7 @@
 			return revision
 		}
 		step := min(size-have+1, 700_000)
-		must.Eq(c.t, "ok", c.order(pools(revision, step, fmt.Sprintf("pool-%d", i)), 60_000_000).Code)
+		must.Eq(c.t, "ok", c.edit(pools(revision, step, fmt.Sprintf("pool-%d", i)), 60_000_000).Code)
 		revision++
 	}
 }
@@ -61,7 +61,7 @@
 			return false
 		}
 		for _, m := range c.members {
-			if m.up && !m.holds(l.committed().Version) {
+			if m.up && !m.hasSynced(l.committed().Version) {
 				return false
 			}
 		}
@@ -70,11 +70,11 @@
 }
 
 // Two valid orders of 600 KB make a version that no frame of 1 MiB holds.
-func TestAVersionLargerThanAFrameIsTaken(t *testing.T) {
+func TestVersionLargerThanFrameIsCommitted(t *testing.T) {
 	c := newNarrowCluster(t, linkOf10Mbit)
-	must.Eq(t, "ok", c.order(pools(0, 600_000, "p"), 10_000_000).Code)
-	must.Eq(t, "ok", c.order(pools(1, 600_000, "q"), 10_000_000).Code)
-	must.Eq(t, "ok", c.order(pools(2, 10, "r"), 10_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(0, 600_000, "p"), 10_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(1, 600_000, "q"), 10_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(2, 10, "r"), 10_000_000).Code)
 	c.all(10_000_000)
 	body := c.lead().committed().Body
 	for _, m := range c.members {
@@ -82,24 +82,24 @@
 	}
 }
 
-func TestAnOrderThatMakesABodyTooLargeIsRefusedAndTheNextOneTaken(t *testing.T) {
+func TestEditExceedingBodyLimitIsRejected(t *testing.T) {
 	c := newNarrowCluster(t, 0)
 	revision := c.grow(state.MaxConfigBody - 300_000)
 	before := c.lead().committed().Version
-	reply := c.order(pools(revision, 400_000, "one-more"), 10_000_000)
+	reply := c.edit(pools(revision, 400_000, "one-more"), 10_000_000)
 	must.Eq(t, "invalid", reply.Code)
 	must.Len(t, 1, reply.Findings)
 	must.Eq(t, "configuration", reply.Findings[0].Path)
 	must.StrContains(t, reply.Findings[0].Text, fmt.Sprint(state.MaxConfigBody))
 	must.Eq(t, before, c.lead().committed().Version, must.Sprint("nothing was proposed"))
-	must.Eq(t, "ok", c.order(pools(revision, 1000, "small"), 10_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(revision, 1000, "small"), 10_000_000).Code)
 	// What makes it smaller is taken as well.
-	must.Eq(t, "ok", c.order(pools(revision+1, 1000, "pool-0"), 10_000_000).Code)
-	must.Eq(t, "ok", c.order(pools(revision+2, 400_000, "one-more"), 10_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(revision+1, 1000, "pool-0"), 10_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(revision+2, 400_000, "one-more"), 10_000_000).Code)
 }
 
 // Three versions of each partition, and a fourth while it is written, fit a disk of 64 MB.
-func TestVersionsOfTheLargestBodiesFitADisk(t *testing.T) {
+func TestLargestVersionsFitDisk(t *testing.T) {
 	const diskBytes = 64_000_000
 	total := 0
 	for partition := range state.Partitions {
@@ -111,16 +111,16 @@
 }
 
 // A leader that hears a majority whose disks never answer must not hold the orders for good.
-func TestALeaderWhoseVersionIsNotTakenGivesItUp(t *testing.T) {
+func TestLeaderStepsDownWithoutAcks(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	c.edit(2, wire.Edit{Op: "empty", Name: "z1"})
 	must.NotNil(t, g.proposal)
 	var out kernel.Output
 	for end := c.now + ProposalTimeout + 1_000_000; c.now < end && g.role == leader; c.now += TickInterval {
 		for _, id := range []string{"a", "b"} {
-			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: id, Round: g.round, Stored: g.committed.Version, OK: true})
+			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: id, Round: g.heartbeatRound, Stored: g.committed.Version, OK: true})
 		}
 		out = c.tick()
 	}
@@ -129,9 +129,9 @@
 	must.Nil(t, g.proposal)
 }
 
-func TestOrdersThatWaitAreBoundedByTheirSize(t *testing.T) {
+func TestEditQueueIsBoundedByBytes(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	large := wire.Edit{Op: "routing", Body: make([]byte, 900_000)}
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	for id := uint64(2); id < 20; id++ {
@@ -144,7 +144,7 @@
 }
 
 // What was committed before is served after a change of leader, in the new leader's own term.
-func TestTheNextLeaderHasRecommittedALargeVersion(t *testing.T) {
+func TestNextLeaderRecommitsLargeVersion(t *testing.T) {
 	c := newNarrowCluster(t, linkOf10Mbit)
 	revision := c.grow(1_500_000)
 	c.all(20_000_000)
@@ -166,26 +166,26 @@
 		}
 	}
 	must.Eq(t, 2, n, must.Sprint("a majority has synced it in that term"))
-	must.Eq(t, "ok", c.order(pools(revision, 10, "next"), 20_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(revision, 10, "next"), 20_000_000).Code)
 }
 
 // A replica that was away is named by the leader that goes: it must not lead with its old state.
-func TestANamedSuccessorThatLagsAdoptsTheNewestVersion(t *testing.T) {
+func TestNamedSuccessorAdoptsNewestVersion(t *testing.T) {
 	c := newNarrowCluster(t, linkOf10Mbit)
 	c.grow(200_000)
 	c.all(20_000_000)
 	l := c.lead()
 	away := c.follower()
 	c.stop(away.id)
-	was := c.order(pools(int64(len(c.pools())), 900_000, "new"), 20_000_000).Version
+	was := c.edit(pools(int64(len(c.pools())), 900_000, "new"), 20_000_000).Version
 	c.start(away.id)
 	g := away.host.groups[state.ConfigPartition]
 	c.run(5_000_000, "it follows", func() bool { return g.leader == l.id || g.isVoter() })
-	must.False(t, away.holds(was))
+	must.False(t, away.hasSynced(was))
 	c.stop(l.id)
 	c.step(away, kernel.Received{Conn: 1 << 41, Data: wire.Seal(wire.KindLeaderHeartbeat, 0, &wire.LeaderHeartbeat{Partition: state.ConfigPartition, Term: g.votedTerm + 1, From: l.id, TransferTo: away.id})})
 	c.run(30_000_000, "a leader", func() bool { return c.leader() != nil })
-	must.True(t, c.leader().holds(was))
+	must.True(t, c.leader().hasSynced(was))
 }
 
 // pools are the pools of the configuration that the leader has committed.
--- a/control/replica/state_machine.go
+++ b/control/replica/state_machine.go
@@ -12,25 +12,25 @@
 // Partitions is the number of partitions.
 const Partitions = state.Partitions
 
-func (s *Host) judge(partition int) state.ApplyFunc { return state.ApplyFuncOf(partition) }
+func (h *Host) judge(partition int) state.ApplyFunc { return state.ApplyFuncOf(partition) }
 
-func (s *Host) clockwork(partition int) state.TickFunc { return state.TickFuncOf(partition) }
+func (h *Host) clockwork(partition int) state.TickFunc { return state.TickFuncOf(partition) }
 
 // Leads reports whether this process owns a partition and may take its edits, for tests and metrics.
-func (s *Host) Leads(partition int) bool {
-	return s.groups[partition].role == leader && s.groups[partition].ready
+func (h *Host) Leads(partition int) bool {
+	return h.groups[partition].role == leader && h.groups[partition].ready
 }
 
 // ReplicaID is the replica's id, made on its empty disk.
-func (s *Host) ReplicaID() string { return s.replicaID }
+func (h *Host) ReplicaID() string { return h.replicaID }
 
 // CommittedVersion is the newest version of a partition that is known to be committed here.
-func (s *Host) CommittedVersion(partition int) wire.Version {
-	return s.groups[partition].committed.Version
+func (h *Host) CommittedVersion(partition int) wire.Version {
+	return h.groups[partition].committed.Version
 }
 
 // VotersOf lists the replicas of a partition's newest committed version that is known here.
-func (s *Host) VotersOf(partition int) []wire.Replica { return s.groups[partition].committed.Voters }
+func (h *Host) VotersOf(partition int) []wire.Replica { return h.groups[partition].committed.Voters }
 
 // Replied is emitted in the process of a leader that answered an edit of this same process.
 type Replied struct {
@@ -39,25 +39,25 @@
 }
 
 // Edit takes an edit, or a confirmed read, of this same process; Replied follows.
-func (s *Host) Edit(ctx *kernel.Context, id uint64, e wire.Edit) {
-	if e.Partition < 0 || e.Partition >= Partitions || s.diskDamaged {
+func (h *Host) Edit(ctx *kernel.Context, id uint64, e wire.Edit) {
+	if e.Partition < 0 || e.Partition >= Partitions || h.diskDamaged {
 		ctx.Emit(Replied{ID: id, Reply: wire.EditReply{Code: "not_owner"}})
 		return
 	}
-	s.groups[e.Partition].handleEdit(ctx, 0, id, e)
+	h.groups[e.Partition].handleEdit(ctx, 0, id, e)
 }
 
 // Leader is the address of the core that leads a partition, where this replica has heard it of late.
-func (s *Host) Leader(partition int, now int64) string {
-	g := s.groups[partition]
+func (h *Host) Leader(partition int, now int64) string {
+	g := h.groups[partition]
 	if g.role == leader || g.leader != "" && now-g.leaderSeen < StepDownAfter {
 		return g.leaderAddress
 	}
 	return ""
 }
 
-// answer sends the reply to an edit where it came from; channel 0 is this process.
-func (g *Group) answer(ctx *kernel.Context, ch, id uint64, r wire.EditReply) {
+// replyToEdit sends the reply to an edit where it came from; channel 0 is this process.
+func (g *Group) replyToEdit(ctx *kernel.Context, ch, id uint64, r wire.EditReply) {
 	if ch == 0 {
 		ctx.Emit(Replied{ID: id, Reply: r})
 		return
--- a/control/replica/status.go
+++ b/control/replica/status.go
@@ -18,21 +18,21 @@
 	stateDamaged   = "damaged"
 )
 
-// changeSettling stands for a change of members that waits for its last version.
-const changeSettling = "settling"
+// changeAwaitingCommit stands for a change of members that waits for its last version.
+const changeAwaitingCommit = "settling"
 
 // Status is the state of this process's replicas.
-func (s *Host) Status(now int64) *wire.StatusReply {
-	reply := &wire.StatusReply{Addr: s.k.Boot.Settings.Mesh}
-	for _, g := range s.groups {
+func (h *Host) Status(now int64) *wire.StatusReply {
+	reply := &wire.StatusReply{Addr: h.kernel.Boot.Settings.Mesh}
+	for _, g := range h.groups {
 		reply.Replicas = append(reply.Replicas, g.status(now))
 	}
 	return reply
 }
 
 // sendStatus answers a question for it.
-func (s *Host) sendStatus(ctx *kernel.Context, v kernel.Message) {
-	ctx.Send(v.Conn, wire.KindStatusReply, v.ID, s.Status(ctx.Now))
+func (h *Host) sendStatus(ctx *kernel.Context, v kernel.Message) {
+	ctx.Send(v.Conn, wire.KindStatusReply, v.ID, h.Status(ctx.Now))
 }
 
 func (g *Group) status(now int64) wire.ReplicaStatus {
@@ -42,7 +42,7 @@
 		Voters: len(allVoters(g.accepted)), Leaving: g.host.stopping && g.isVoter(),
 	}
 	if g.role == leader {
-		status.Change = g.changeUnderWay()
+		status.Change = g.currentChange()
 	}
 	return status
 }
@@ -63,14 +63,14 @@
 	return stateCandidate
 }
 
-// changeUnderWay is the reason of the change of members whose learners are catching up, or that a
+// currentChange is the reason of the change of members whose learners are catching up, or that a
 // change is proposed or committed and waits to be settled; empty where there is none.
-func (g *Group) changeUnderWay() string {
+func (g *Group) currentChange() string {
 	switch {
 	case g.change != nil:
 		return string(g.change.reason)
 	case isJoint(g.newestVersion()):
-		return changeSettling
+		return changeAwaitingCommit
 	}
 	return ""
 }
--- a/control/replica/status_test.go
+++ b/control/replica/status_test.go
@@ -20,14 +20,14 @@
 	return reply.Replicas[0]
 }
 
-func TestStatusFollowsALeadersContact(t *testing.T) {
+func TestStatusShowsLeaderContact(t *testing.T) {
 	c := newCore(t, nil)
 	must.Eq(t, stateFollower, c.shown(t).State)
 	must.False(t, c.shown(t).InContact)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.now += HeartbeatInterval
 	c.tick()
-	c.answers(g, 0)
+	c.replyToHeartbeat(g, 0)
 	s := c.shown(t)
 	must.Eq(t, stateLeader, s.State)
 	must.True(t, s.InContact)
@@ -41,21 +41,21 @@
 	must.Eq(t, stateFollower, c.shown(t).State)
 }
 
-func TestStatusTellsOfAChangeUnderWay(t *testing.T) {
+func TestStatusShowsMembershipChange(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	must.Eq(t, "", c.shown(t).Change)
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	must.Eq(t, string(reasonLeaving), c.shown(t).Change)
-	c.learns(t, g, "d")
-	must.Eq(t, changeSettling, c.shown(t).Change, must.Sprint("the joint version is under way"))
+	c.syncLearners(t, g, "d")
+	must.Eq(t, changeAwaitingCommit, c.shown(t).Change, must.Sprint("the joint version is under way"))
 	must.Eq(t, 3, c.shown(t).Voters, must.Sprint("of the version on its disk, which the joint one is not yet"))
 }
 
-func TestStatusOfAStandbyAndOfADamagedDisk(t *testing.T) {
+func TestStatusOfStandbyAndDamagedDisk(t *testing.T) {
 	v := version(7, 3)
-	v.Voters = seats("a", "b", "c")
+	v.Voters = replicas("a", "b", "c")
 	standby := newCore(t, map[string][]byte{versionFile(v.Version): diskfile.Pack(wire.Encode(&v))})
 	must.Eq(t, stateStandby, standby.shown(t).State)
 	must.Eq(t, v.Version, standby.shown(t).Stored)
--- a/control/replica/stored_change_test.go
+++ b/control/replica/stored_change_test.go
@@ -11,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-func TestStoredMembershipChangeGoesOn(t *testing.T) {
+func TestStoredMembershipChangeResumes(t *testing.T) {
 	c := startStored(t, readStored(t, "joint"))
 	must.True(t, isJoint(c.host.groups[0].accepted))
 	g := c.lead(0, "a")
@@ -26,10 +26,10 @@
 	must.Eq(t, []string{storedReplica, "a", "b2"}, ids(c.host.VotersOf(0)))
 	must.Eq(t, []string{storedReplica, "a", "b2"}, ids(g.committed.PreviousVoters))
 	// Edits from before the change are known, and new ones need the new voters alone.
-	c.answers(g, []string{"b2"}, []storedAnswer{
+	c.checkReplies(g, []string{"b2"}, []storedReply{
 		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
-		{"second table again", order(t, 5, 7, 1), "ok", 1, 5},
-		{"a new table", order(t, 7, 9, 1), "ok", 3, 12},
+		{"second table again", routingEdit(t, 5, 7, 1), "ok", 1, 5},
+		{"a new table", routingEdit(t, 7, 9, 1), "ok", 3, 12},
 	})
 	must.Eq(t, []wire.Replica{{ID: storedReplica, Zone: "z1", Addr: "10.0.0.1:1"}, {ID: "a", Zone: "z2", Addr: "10.0.0.2:1"}, {ID: "b2", Zone: "z3", Addr: "10.0.0.3:1"}}, c.host.VotersOf(0))
 	// The process after this one finds the change done.
--- a/control/replica/stored_driver_test.go
+++ b/control/replica/stored_driver_test.go
@@ -114,15 +114,15 @@
 	must.Eq(c.t, at, g.committed.Version)
 }
 
-// beat has another voter answer the newest heartbeat, with a clock that agrees.
-func (c *storedCore) beat(g *Group, id string) kernel.Output {
+// replyToHeartbeat has another voter answer the newest heartbeat, with a clock that agrees.
+func (c *storedCore) replyToHeartbeat(g *Group, id string) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{
-		Partition: g.partition, Term: g.term, From: id, Round: g.round, Stored: g.accepted.Version, OK: true, Wall: c.now,
+		Partition: g.partition, Term: g.term, From: id, Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Wall: c.now,
 	})
 }
 
-// ask sends an edit, has it committed or confirmed by others, and gives its answer.
-func (c *storedCore) ask(g *Group, e wire.Edit, voters ...string) wire.EditReply {
+// edit sends an edit, has it committed or confirmed by others, and gives its answer.
+func (c *storedCore) edit(g *Group, e wire.Edit, voters ...string) wire.EditReply {
 	c.t.Helper()
 	e.Partition = g.partition
 	all := c.send(wire.KindEdit, &e)
@@ -131,7 +131,7 @@
 		if g.proposal != nil {
 			out = c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: id, Version: g.proposal.Version, OK: true})
 		} else {
-			out = c.beat(g, id)
+			out = c.replyToHeartbeat(g, id)
 		}
 		all.Sends = append(all.Sends, out.Sends...)
 	}
--- a/control/replica/stored_make_test.go
+++ b/control/replica/stored_make_test.go
@@ -23,33 +23,33 @@
 // earlier releases and are never written anew to get a pass.
 var updateStored = flag.Bool("update-stored", false, "write the folders of stored data anew")
 
-// storedSheet is a sheet with one service, told apart by its capacity, and a booking that runs.
-const storedSheet = `{"services":[{"index":"a","capacity":%d,"required_share":75,"deadline_us":"500000","max_deadline_us":1000000,"hedge_us":40000,"ramp_us":1000000}],
+// storedConfiguration is a sheet with one service, told apart by its capacity, and a booking that runs.
+const storedConfiguration = `{"services":[{"index":"a","capacity":%d,"required_share":75,"deadline_us":"500000","max_deadline_us":1000000,"hedge_us":40000,"ramp_us":1000000}],
  "rows":[{"index":"a","kind":"search","share":70},{"index":"a","kind":"read","share":30,"ceiling":50}],"bookings":[{"id":"b1","index":"a","kind":"search","slice":60,"starts_us":1,"ends_us":4000000000000000}]}`
 
 func storedPut(base wire.Version, capacity int, id string) wire.Edit {
-	return wire.Edit{Op: "put", Strict: true, Base: base, Body: fmt.Appendf(nil, storedSheet, capacity), EditID: id, By: "ann"}
+	return wire.Edit{Op: "put", Strict: true, Base: base, Body: fmt.Appendf(nil, storedConfiguration, capacity), EditID: id, By: "ann"}
 }
 
-func storedCut(op, id string, cut wire.ShardMap) wire.Edit {
-	return wire.Edit{Op: op, Name: "docs", EditID: id, Body: wire.Encode(&cut)}
+func storedReshardEdit(op, id string, liveCut wire.ShardMap) wire.Edit {
+	return wire.Edit{Op: op, Name: "docs", EditID: id, Body: wire.Encode(&liveCut)}
 }
 
 var (
-	storedFirstCut  = wire.ShardMap{Next: "c1", NextShards: 4}
-	storedSecondCut = wire.ShardMap{Next: "c2", NextShards: 8}
+	storedFirstLiveCut  = wire.ShardMap{Next: "c1", NextShards: 4}
+	storedSecondLiveCut = wire.ShardMap{Next: "c2", NextShards: 8}
 )
 
 // storedIndexPartition is the partition in which the folders have an index.
 const storedIndexPartition = 1
 
 // storedVoters are the voters of the folders: this core, "a" and "b".
-func storedVoters(own string) []wire.Replica {
-	return []wire.Replica{{ID: own, Zone: "z1", Addr: "10.0.0.1:1"}, {ID: "a", Zone: "z2", Addr: "10.0.0.2:1"}, {ID: "b", Zone: "z3", Addr: "10.0.0.3:1"}}
+func storedVoters(self string) []wire.Replica {
+	return []wire.Replica{{ID: self, Zone: "z1", Addr: "10.0.0.1:1"}, {ID: "a", Zone: "z2", Addr: "10.0.0.2:1"}, {ID: "b", Zone: "z3", Addr: "10.0.0.3:1"}}
 }
 
-func storedFormation(own string) wire.Bootstrap {
-	return wire.Bootstrap{BootstrapID: "first", Voters: storedVoters(own), Proposer: storedVoters(own)[1]}
+func storedFormation(self string) wire.Bootstrap {
+	return wire.Bootstrap{BootstrapID: "first", Voters: storedVoters(self), Proposer: storedVoters(self)[1]}
 }
 
 // makeConsented is a core that has consented to a formation that is not complete.
@@ -63,10 +63,10 @@
 	return c
 }
 
-// makeSettled is a core with every kind of file: partition 0 has a sheet with a booking that runs, its
+// makeCommitted is a core with every kind of file: partition 0 has a sheet with a booking that runs, its
 // history, a routing table and drained zones, partition 1 an index that moves and the holder of that
 // task, 2 a vote alone, 3 the version of another leader, and 4 nothing. Its disk was full for a while.
-func makeSettled(t *testing.T) *storedCore {
+func makeCommitted(t *testing.T) *storedCore {
 	t.Helper()
 	c := makeConsented(t)
 	form := storedFormation(c.host.replicaID)
@@ -74,14 +74,14 @@
 	c.send(wire.KindBootstrap, &form)
 	g := c.lead(0, "a", "b")
 	ok := func(g *Group, e wire.Edit) wire.Version {
-		r := c.ask(g, e, "a", "b")
+		r := c.edit(g, e, "a", "b")
 		must.Eq(t, "ok", r.Code, must.Sprint(e.Op, r.Findings))
 		return r.Version
 	}
 	first := ok(g, storedPut(wire.Version{}, 100, "sheet-1"))
 	ok(g, storedPut(first, 200, "sheet-2"))
-	ok(g, order(t, 0, 5, 1))
-	ok(g, order(t, 5, 7, 1))
+	ok(g, routingEdit(t, 0, 5, 1))
+	ok(g, routingEdit(t, 5, 7, 1))
 	ok(g, wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"})
 	ok(g, wire.Edit{Op: "empty", Name: "z8", EditID: "drain-2"})
 	must.Eq(t, 7, g.committed.Version.Seq)
@@ -92,12 +92,12 @@
 	})}
 	c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 4, From: "b", Versioned: v})
 	g = c.lead(storedIndexPartition, "a", "b")
-	ok(g, storedCut("cut", "cut-1", storedFirstCut))
-	ok(g, storedCut("cut", "cut-2", storedSecondCut))
+	ok(g, storedReshardEdit("cut", "cut-1", storedFirstLiveCut))
+	ok(g, storedReshardEdit("cut", "cut-2", storedSecondLiveCut))
 	// The node's lease is granted once that of any leader before has ended, and written down then.
 	for range 30 {
 		c.tick(TickInterval)
-		c.beat(g, "a")
+		c.replyToHeartbeat(g, "a")
 		c.send(wire.KindLeaseRequest, &wire.LeaseRequest{Partition: g.partition, Task: "move docs", From: "node-1"})
 		if g.proposal != nil {
 			c.commit(g, "a", "b")
@@ -108,7 +108,7 @@
 	c.full = true
 	c.send(wire.KindVote, &wire.Vote{Partition: 4, Term: 3, From: "b"})
 	c.full = false
-	c.tick(DiskProbeInterval)
+	c.tick(DiskCheckInterval)
 	must.MapContainsKey(t, c.files, "probe")
 	return c
 }
@@ -117,7 +117,7 @@
 // version that binds the voters before and after the change is the newest.
 func makeJoint(t *testing.T) *storedCore {
 	t.Helper()
-	c := startStored(t, makeSettled(t).files)
+	c := startStored(t, makeCommitted(t).files)
 	g := c.lead(0, "a", "b")
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{From: "b", Successor: "b2", Zone: "z3"})
 	c.tick(TickInterval)
@@ -137,9 +137,9 @@
 	form := wire.Bootstrap{BootstrapID: "old", Voters: storedVoters(own), Commit: true}
 	at := func(seq uint64) wire.Version { return wire.Version{Term: 2, Seq: seq} }
 	indexAt := wire.Version{Partition: storedIndexPartition, Term: 3, Seq: 4}
-	settled := makeSettled(t).host.groups[0].committed
+	settled := makeCommitted(t).host.groups[0].committed
 	config := storedConfig(t, settled)
-	history := storedLedger(t, settled).History
+	history := storedEditLog(t, settled).History
 	must.Len(t, 2, history)
 	history[0].Version, history[1].Version = at(2), at(3)
 	config.ConfigVersion, config.LegacyHistory = at(3), history
@@ -147,7 +147,7 @@
 		{EditID: "sheet-1", Sum: legacySum(storedPut(wire.Version{}, 100, "")), Version: at(2)},
 		{EditID: "sheet-2", Sum: legacySum(storedPut(wire.Version{}, 200, "")), Version: at(3)},
 	}
-	for i, e := range []wire.Edit{order(t, 0, 5, 1), order(t, 5, 7, 1)} {
+	for i, e := range []wire.Edit{routingEdit(t, 0, 5, 1), routingEdit(t, 5, 7, 1)} {
 		var sent routingpb.RoutingEdit
 		must.NoError(t, proto.Unmarshal(e.Body, &sent))
 		config.LegacyRevisions = append(config.LegacyRevisions, wire.LegacyRevision{Number: sent.Revision, Sum: routing.LegacyDigest(&sent), Base: sent.Base, Version: at(4 + uint64(i))})
@@ -155,7 +155,7 @@
 	index := wire.IndexBody{
 		ShardMaps:    map[string]wire.ShardMap{"docs": {Name: "c1", Shards: 4, Next: "c2", NextShards: 8}},
 		LeaseHolders: map[string]wire.LeaseHolder{"move docs": {Node: "node-1", LeaseID: 1}},
-		LegacyEdits:  []wire.LegacyEdit{{EditID: "cut-1", Sum: legacySum(storedCut("cut", "", storedFirstCut)), Version: indexAt}},
+		LegacyEdits:  []wire.LegacyEdit{{EditID: "cut-1", Sum: legacySum(storedReshardEdit("cut", "", storedFirstLiveCut)), Version: indexAt}},
 	}
 	versions := []wire.Versioned{
 		{Version: at(6), Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&config)},
@@ -184,7 +184,7 @@
 	make func(*testing.T) *storedCore
 }{
 	{"consented", makeConsented},
-	{"settled", makeSettled},
+	{"settled", makeCommitted},
 	{"joint", makeJoint},
 	{"before-release-3", makeBeforeRelease3},
 }
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -15,8 +15,8 @@
 // storedReplica is the replica of the folders that this code wrote from an empty disk.
 const storedReplica = "b5e38c12376b5207"
 
-// storedAnswer is an edit, and what must be answered to it.
-type storedAnswer struct {
+// storedReply is an edit, and what must be answered to it.
+type storedReply struct {
 	name string
 	edit wire.Edit
 	code string
@@ -24,11 +24,11 @@
 	term, seq uint64
 }
 
-// answers sends edits to a leader, one after the other.
-func (c *storedCore) answers(g *Group, voters []string, list []storedAnswer) {
+// checkReplies sends edits to a leader, one after the other.
+func (c *storedCore) checkReplies(g *Group, voters []string, want []storedReply) {
 	c.t.Helper()
-	for _, a := range list {
-		r := c.ask(g, a.edit, voters...)
+	for _, a := range want {
+		r := c.edit(g, a.edit, voters...)
 		must.Eq(c.t, a.code, r.Code, must.Sprint(a.name, r.Findings))
 		must.Eq(c.t, wire.Version{Partition: g.partition, Term: a.term, Seq: a.seq}, r.Version, must.Sprint(a.name))
 	}
@@ -58,19 +58,19 @@
 	g := c.lead(0, "a")
 	must.Eq(t, wire.Version{Term: 2, Seq: 8}, c.host.CommittedVersion(0))
 	sheetAt := wire.Version{Term: 1, Seq: 3}
-	c.answers(g, []string{"a"}, []storedAnswer{
+	c.checkReplies(g, []string{"a"}, []storedReply{
 		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
 		{"second sheet again", storedPut(wire.Version{Term: 1, Seq: 2}, 200, "sheet-2"), "ok", 1, 3},
 		{"its id for another one", storedPut(sheetAt, 300, "sheet-2"), "conflict", 2, 8},
 		{"a sheet on an earlier one", storedPut(wire.Version{Term: 1, Seq: 2}, 300, "sheet-3"), "lost_race", 1, 3},
-		{"first table again", order(t, 0, 5, 1), "ok", 1, 4},
-		{"second table again", order(t, 5, 7, 1), "ok", 1, 5},
-		{"another table of that number", order(t, 5, 7, 2), "lost_race", 2, 8},
+		{"first table again", routingEdit(t, 0, 5, 1), "ok", 1, 4},
+		{"second table again", routingEdit(t, 5, 7, 1), "ok", 1, 5},
+		{"another table of that number", routingEdit(t, 5, 7, 2), "lost_race", 2, 8},
 		{"zone drained again", wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"}, "ok", 1, 6},
 		{"when the zone was drained", wire.Edit{Op: wire.OpZoneVersion, Name: "z9"}, wire.CodeVersion, 1, 6},
 		{"a late order about the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "late"}, wire.CodeStale, 2, 8},
 		{"a new order about the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "timely", Base: wire.Version{Term: 1, Seq: 6}}, "ok", 2, 9},
-		{"a new table", order(t, 7, 9, 1), "ok", 2, 10},
+		{"a new table", routingEdit(t, 7, 9, 1), "ok", 2, 10},
 		{"a new sheet", storedPut(sheetAt, 300, "sheet-3"), "ok", 2, 11},
 		{"the first sheet restored", wire.Edit{Op: "return", Name: "1.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 11}}, "ok", 2, 12},
 	})
@@ -80,11 +80,11 @@
 	must.Eq(t, 100, int(state.ConfigurationOf(config).Services[0].Capacity))
 
 	g = c.lead(storedIndexPartition, "a")
-	c.answers(g, []string{"a"}, []storedAnswer{
-		{"first cut again", storedCut("cut", "cut-1", storedFirstCut), "ok", 1, 2},
-		{"second cut again", storedCut("cut", "cut-2", storedSecondCut), "ok", 1, 3},
-		{"its id for another one", storedCut("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
-		{"flip", storedCut("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
+	c.checkReplies(g, []string{"a"}, []storedReply{
+		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstLiveCut), "ok", 1, 2},
+		{"second cut again", storedReshardEdit("cut", "cut-2", storedSecondLiveCut), "ok", 1, 3},
+		{"its id for another one", storedReshardEdit("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
+		{"flip", storedReshardEdit("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
 	})
 	index, err := state.ReadIndex(g.committed.Body)
 	must.NoError(t, err)
@@ -113,22 +113,22 @@
 	must.Eq(t, wire.Version{Partition: 3, Term: 4, Seq: 9}, vote(wire.Vote{Partition: 3, Term: 5, From: "a"}).Stored.Version)
 }
 
-func TestStoredBodiesBeforeTheLedgerAreAdopted(t *testing.T) {
+func TestStoredBodiesWithoutEditLogAreAdopted(t *testing.T) {
 	c := startStored(t, readStored(t, "before-release-3"))
 	must.Eq(t, "0123456789abcdef", c.host.ReplicaID())
 	must.Eq(t, "0123456789abcdef", c.host.formation.Proposer.ID, must.Sprint("the first voter proposed it"))
 	g := c.lead(0, "a")
-	c.answers(g, []string{"a"}, []storedAnswer{
+	c.checkReplies(g, []string{"a"}, []storedReply{
 		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
 		{"its id for another one", storedPut(wire.Version{Term: 2, Seq: 3}, 300, "sheet-2"), "conflict", 3, 7},
-		{"first table again", order(t, 0, 5, 1), "ok", 2, 4},
-		{"second table again", order(t, 5, 7, 1), "ok", 2, 5},
-		{"another table of that number", order(t, 5, 7, 2), "lost_race", 3, 7},
-		{"a new table", order(t, 7, 9, 1), "ok", 3, 8},
+		{"first table again", routingEdit(t, 0, 5, 1), "ok", 2, 4},
+		{"second table again", routingEdit(t, 5, 7, 1), "ok", 2, 5},
+		{"another table of that number", routingEdit(t, 5, 7, 2), "lost_race", 3, 7},
+		{"a new table", routingEdit(t, 7, 9, 1), "ok", 3, 8},
 		{"second sheet again", storedPut(wire.Version{}, 200, "sheet-2"), "ok", 2, 3},
 		{"the first sheet restored", wire.Edit{Op: "return", Name: "2.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 3}}, "ok", 3, 9},
 	})
-	config, ledger := storedConfig(t, g.committed), storedLedger(t, g.committed)
+	config, ledger := storedConfig(t, g.committed), storedEditLog(t, g.committed)
 	must.True(t, config.LegacyEdits == nil && config.LegacyRevisions == nil && config.LegacyHistory == nil)
 	must.Eq(t, []string{"z8", "z9"}, config.DrainedZones)
 	must.Len(t, 3, ledger.RoutingEdits)
@@ -136,9 +136,9 @@
 	must.Len(t, 3, ledger.History)
 
 	g = c.lead(storedIndexPartition, "a")
-	c.answers(g, []string{"a"}, []storedAnswer{
-		{"first cut again", storedCut("cut", "cut-1", storedFirstCut), "ok", 3, 4},
-		{"its id for another one", storedCut("cut", "cut-1", storedSecondCut), "conflict", 4, 5},
-		{"another cut", storedCut("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
+	c.checkReplies(g, []string{"a"}, []storedReply{
+		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstLiveCut), "ok", 3, 4},
+		{"its id for another one", storedReshardEdit("cut", "cut-1", storedSecondLiveCut), "conflict", 4, 5},
+		{"another cut", storedReshardEdit("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
 	})
 }
--- a/control/replica/stored_test.go
+++ b/control/replica/stored_test.go
@@ -24,7 +24,7 @@
 	return config
 }
 
-func storedLedger(t *testing.T, v wire.Versioned) wire.EditLog {
+func storedEditLog(t *testing.T, v wire.Versioned) wire.EditLog {
 	t.Helper()
 	ledger, err := state.ReadEditLog(v.EditLog)
 	must.NoError(t, err)
@@ -77,7 +77,7 @@
 				line("  body sheet %s by %s %x", version(past.Version), past.By, past.Config)
 			}
 		}
-		ledger := storedLedger(t, v)
+		ledger := storedEditLog(t, v)
 		for _, o := range ledger.RoutingEdits {
 			line("  order %x %d.%d", o.Digest, o.Term, o.Seq)
 		}
--- a/control/replica/timeline_test.go
+++ b/control/replica/timeline_test.go
@@ -6,8 +6,8 @@
 
 // event is something that happens at a moment; events of one moment keep their order.
 type event struct {
-	at, order int64
-	do        func()
+	at, seq int64
+	do      func()
 }
 
 // eventQueue is a heap of events.
@@ -15,7 +15,7 @@
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
