--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -15,7 +15,7 @@
 func (g *Group) bestSuccessor(ctx *kernel.Context) string {
 	best, at := "", int64(0)
 	for _, s := range g.committed.Voters {
-		if s.ID != g.self() && g.steadySince[s.ID] > 0 && g.heardAt[s.ID] > at && ctx.Now-g.heardAt[s.ID] < 2*HeartbeatInterval && !g.diskProblem[s.ID] && !g.isLeaving(ctx, s.ID) {
+		if s.ID != g.self() && g.reachableSince[s.ID] > 0 && g.heardAt[s.ID] > at && ctx.Now-g.heardAt[s.ID] < 2*HeartbeatInterval && !g.diskProblem[s.ID] && !g.isLeaving(ctx, s.ID) {
 			best, at = s.ID, g.heardAt[s.ID]
 		}
 	}
@@ -31,17 +31,17 @@
 	seats := slices.Clone(g.committed.Voters)
 	slices.SortFunc(seats, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
 	want := seats[g.partition%len(seats)].ID
-	if want == g.self() || ctx.Now-g.heardAt[want] > 2*HeartbeatInterval || ctx.Now-g.steadySince[want] < RebalanceAfter || g.diskProblem[want] || g.isLeaving(ctx, want) {
+	if want == g.self() || ctx.Now-g.heardAt[want] > 2*HeartbeatInterval || ctx.Now-g.reachableSince[want] < RebalanceAfter || g.diskProblem[want] || g.isLeaving(ctx, want) {
 		return ""
 	}
-	if r, live := g.host.row(want, ctx.Now); !live || r.UnhealthyReason != "" || r.Draining {
+	if r, live := g.host.liveCore(want, ctx.Now); !live || r.UnhealthyReason != "" || r.Draining {
 		return ""
 	}
 	return want
 }
 
-// stop hands the partition on in a planned stop, once the version under way is committed.
-func (g *Group) stop(ctx *kernel.Context) {
+// handleStopping hands the partition on in a planned stop, once the version under way is committed.
+func (g *Group) handleStopping(ctx *kernel.Context) {
 	g.transferring = true
 	if g.role == leader {
 		g.leaderTick(ctx)
--- a/control/replica/vote_held_test.go
+++ b/control/replica/vote_held_test.go
@@ -12,25 +12,25 @@
 )
 
 // A replica that holds an older version does not stand against one with a newer one.
-func TestAnOlderVersionIsNotElected(t *testing.T) {
+func TestCandidateWithOlderVersionIsNotElected(t *testing.T) {
 	newer := version(4, 7)
 	c := newCore(t, nil)
-	c.s.groups[0].accepted = newer
+	c.host.groups[0].accepted = newer
 	ask := func(held wire.Version) bool {
 		return sent[wire.VoteReply](t, c.send(wire.KindVote, &wire.Vote{Term: 9, From: "a", Pre: true, Stored: held}), wire.KindVoteReply)[0].Granted
 	}
 	must.False(t, ask(version(4, 6).Version))
 	must.True(t, ask(newer.Version))
-	c.s.stopping = true
+	c.host.stopping = true
 	must.True(t, ask(version(4, 6).Version), must.Sprint("who stops doesn't stand itself"))
 }
 
 // The body is in a vote reply only for a candidate that lacks it.
-func TestVoteRepliesCarryTheVersionOnlyWhereItIsNewer(t *testing.T) {
+func TestVoteRepliesCarryOnlyNewerVersions(t *testing.T) {
 	newer := version(4, 7)
 	for held, want := range map[wire.Version]int{version(4, 6).Version: len(newer.Body), newer.Version: 0, version(5, 1).Version: 0} {
 		c := newCore(t, nil)
-		c.s.groups[0].accepted = newer
+		c.host.groups[0].accepted = newer
 		out := c.sync(c.send(wire.KindVote, &wire.Vote{Term: 9, From: "a", Stored: held}))
 		r := sent[wire.VoteReply](t, out, wire.KindVoteReply)[0]
 		must.True(t, r.Granted)
@@ -46,21 +46,21 @@
 	return v
 }
 
-func TestAVersionWhoseBodyIsHeldIsTakenWithoutIt(t *testing.T) {
+func TestAcceptWithoutBodyUsesHeldBase(t *testing.T) {
 	c := newCore(t, nil)
 	held, next := large(4, 7), version(5, 8)
-	c.s.groups[0].accepted = held
+	c.host.groups[0].accepted = held
 	next.Body = nil
 	out := c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: next, Base: held.Version})
 	must.Len(t, 1, out.Writes)
 	must.True(t, accepted(t, c.sync(out)).OK)
-	must.Eq(t, next.Version, c.s.groups[0].accepted.Version)
-	must.Eq(t, len(held.Body), len(c.s.groups[0].accepted.Body))
+	must.Eq(t, next.Version, c.host.groups[0].accepted.Version)
+	must.Eq(t, len(held.Body), len(c.host.groups[0].accepted.Body))
 }
 
-func TestAVersionWhoseBodyIsLackingIsNotTakenWithoutIt(t *testing.T) {
+func TestAcceptWithoutBodyNeedsBase(t *testing.T) {
 	c := newCore(t, nil)
-	c.s.groups[0].accepted = large(4, 6)
+	c.host.groups[0].accepted = large(4, 6)
 	next := version(5, 8)
 	next.Body = nil
 	out := c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: next, Base: wire.Version{Term: 4, Seq: 7}})
@@ -71,13 +71,13 @@
 }
 
 // A body is left out only for those who said that they hold it and that they read Base.
-func TestABodyIsLeftOutForThoseWhoHoldIt(t *testing.T) {
+func TestProposalOmitsHeldBody(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	v := large(g.term, 9)
 	g.synced = map[string]syncedVersion{
-		"holds": {stamp: wire.Version{Term: 1, Seq: 8}, takesBase: true}, "other": {stamp: wire.Version{Term: 1, Seq: 7}, takesBase: true},
-		"older release": {stamp: wire.Version{Term: 1, Seq: 8}},
+		"holds": {version: wire.Version{Term: 1, Seq: 8}, takesBase: true}, "other": {version: wire.Version{Term: 1, Seq: 7}, takesBase: true},
+		"older release": {version: wire.Version{Term: 1, Seq: 8}},
 	}
 	for id, want := range map[string]int{"holds": 0, "other": len(v.Body), "older release": len(v.Body), "unknown": len(v.Body)} {
 		a := g.withBase(wire.Accept{Versioned: v}, id, wire.Version{Term: 1, Seq: 8})
@@ -87,9 +87,9 @@
 	must.Len(t, len(v.Body), g.withBase(wire.Accept{Versioned: v}, "holds", wire.Version{}).Versioned.Body)
 }
 
-func TestOneThatLacksTheBaseIsSentTheBody(t *testing.T) {
+func TestReplicaLackingBaseIsSentBody(t *testing.T) {
 	c := newCore(t, nil)
-	g := owns(t, c)
+	g := electLeader(t, c)
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	must.NotNil(t, g.proposal)
 	out := c.send(wire.KindAcceptReply, &wire.AcceptReply{Term: g.term, From: "b", Version: g.proposal.Version, LacksBase: true})
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -202,7 +202,7 @@
 			p.draining = true
 			w.logEvent(p.name + " drains")
 			p.step(stopping)
-			p.leaveGroups(w.now + replica.LeaveWithin)
+			p.leaveGroups(w.now + replica.LeaveTimeout)
 		}
 		w.after(m.day.journal.Bounds.GraceUs, func() {
 			if p.up && p.incarnation == life {
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -256,7 +256,7 @@
 	p.draining = true
 	p.world.logEvent(p.name + " drains")
 	p.step(kernel.Stopping{})
-	p.stopDeadline = p.world.now + replica.LeaveWithin
+	p.stopDeadline = p.world.now + replica.LeaveTimeout
 	p.deliverAfter(1_000_000, p.endWhenIdle)
 }
 
