--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -135,9 +135,9 @@
 		s.send(w, 503, &m)
 		return
 	}
-	if m.Kind == search.Search {
+	if m.Kind == search.KindSearch {
 		s.searches.Add(1)
-	} else if m.Kind != search.Read {
+	} else if m.Kind != search.KindRead {
 		key := m.Key
 		if key == "" {
 			key = m.ID
@@ -161,7 +161,7 @@
 			c.Close()
 		}
 		return
-	case m.Kind == search.Search:
+	case m.Kind == search.KindSearch:
 		s.spoil(w, f, &m, records.Top(m.Index, m.Query, m.Limit, m.Shard, s.config.Shards))
 		return
 	}
@@ -185,8 +185,8 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-func (s *Server) sealed(m *httpapi.BackendRequest, recs []search.Record) search.Sealed {
-	return search.Sealed{Inquiry: m.ID, Cut: s.config.ShardMap, Shard: s.config.Shard, Incarnation: s.began.UnixMicro(), Usage: s.busy.Load(), Records: recs}
+func (s *Server) sealed(m *httpapi.BackendRequest, recs []search.Record) search.ServerResponse {
+	return search.ServerResponse{RequestID: m.ID, ShardMap: s.config.ShardMap, Shard: s.config.Shard, Incarnation: s.began.UnixMicro(), Load: s.busy.Load(), Records: recs}
 }
 
 func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.BackendRequest) {
--- a/lab/backend/spoil.go
+++ b/lab/backend/spoil.go
@@ -13,12 +13,12 @@
 
 // Spoil makes the raw answer of a sealed one, spoiled as the mode says; closed
 // tells that the connection ends before the announced length.
-func Spoil(mode string, status int, s search.Sealed) (raw search.Raw, closed bool) {
+func Spoil(mode string, status int, s search.ServerResponse) (raw search.RawResponse, closed bool) {
 	switch mode {
 	case "foreign":
-		s.Inquiry = "somebody-else-1.aa"
+		s.RequestID = "somebody-else-1.aa"
 	case "othercut":
-		s.Cut = "another"
+		s.ShardMap = "another"
 	case "othershard":
 		s.Shard++
 	case "unsorted":
@@ -49,9 +49,9 @@
 	}
 	b, err := json.Marshal(s)
 	if err != nil {
-		return search.Raw{Status: 500}, false
+		return search.RawResponse{Status: 500}, false
 	}
-	raw = search.Raw{Status: status, Length: int64(len(b)), Digest: search.Digest(b), Body: b}
+	raw = search.RawResponse{Status: status, Length: int64(len(b)), Digest: search.ContentDigest(b), Body: b}
 	switch mode {
 	case "garbage":
 		raw.Body = []byte("\x00\xff{{{")
--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -148,18 +148,18 @@
 func (k *Caller) drawRequest(n int) request {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	o := request{kind: search.Search, limit: 10 + k.rnd.IntN(20), query: fmt.Sprintf("q%d", k.rnd.IntN(1000)), record: records.ID(k.rnd.IntN(records.Size))}
+	o := request{kind: search.KindSearch, limit: 10 + k.rnd.IntN(20), query: fmt.Sprintf("q%d", k.rnd.IntN(1000)), record: records.ID(k.rnd.IntN(records.Size))}
 	o.deadline = k.config.Least + k.rnd.Int64N(k.config.Most-k.config.Least+1)
 	switch r := k.rnd.Float64(); {
 	case r < 2.0/3:
 	case r < 2.0/3+1.0/6:
-		o.kind = search.Read
+		o.kind = search.KindRead
 	case r < 2.0/3+1.0/4:
-		o.kind = search.Correct
+		o.kind = search.KindCorrect
 	default:
-		o.kind = search.Part
+		o.kind = search.KindPart
 	}
-	if o.kind == search.Correct || o.kind == search.Part {
+	if o.kind == search.KindCorrect || o.kind == search.KindPart {
 		o.key = fmt.Sprintf("key-%d-%d", k.config.Seed, n)
 		o.repeat = k.rnd.Float64() < k.config.Repeat
 	}
@@ -193,11 +193,11 @@
 		req.Header.Set("Content-Type", "application/json")
 	}
 	switch o.kind {
-	case search.Search:
+	case search.KindSearch:
 		post("/search", map[string]any{"query": o.query, "limit": o.limit})
-	case search.Read:
+	case search.KindRead:
 		req, _ = http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s/records/%s?deadline_us=%d", base, o.record, o.deadline), nil)
-	case search.Correct:
+	case search.KindCorrect:
 		post("/records/"+o.record+"/corrections", map[string]any{"body": "correction " + o.key})
 	default:
 		post("/records/"+o.record+"/parts/3", map[string]any{})
--- a/lab/caller/check.go
+++ b/lab/caller/check.go
@@ -44,11 +44,11 @@
 			return
 		}
 		k.summary.Outcomes[o.kind+" "+f.Name]++
-		retry := f.Name == search.Shed || f.Name == search.GivenUp || f.Name == search.OverCeiling
+		retry := f.Name == search.CodeUnavailable || f.Name == search.CodeGivenUp || f.Name == search.CodeRateLimited
 		if retry && resp.Header.Get("Retry-After") == "" {
 			k.wrong("%s: %s without Retry-After", o.kind, f.Name)
 		}
-		if f.Ran == "no" && o.key != "" && f.Name != search.Conflict && !o.repeat {
+		if f.Ran == "no" && o.key != "" && f.Name != search.CodeConflict && !o.repeat {
 			k.refusedKeys[o.key] = true
 		}
 		return
@@ -56,7 +56,7 @@
 	k.summary.Outcomes[o.kind+" ok"]++
 	k.summary.Seconds[fmt.Sprintf("%03d", int(time.Since(k.began).Seconds()))]++
 	k.latencies = append(k.latencies, took.Microseconds())
-	if o.kind == search.Search {
+	if o.kind == search.KindSearch {
 		k.checkSearch(o, body)
 		return
 	}
--- a/lab/check/load.go
+++ b/lab/check/load.go
@@ -141,7 +141,7 @@
 // tells what excuses a refusal, which is counted instead.
 func (j *Checker) Proper(o *search.Outcome, at int64, why string) {
 	j.tested(ProperRejected)
-	if o.Code != search.Shed && o.Code != search.OverCeiling {
+	if o.Code != search.CodeUnavailable && o.Code != search.CodeRateLimited {
 		return
 	}
 	if why != "" {
--- a/lab/sim/judge_healing.go
+++ b/lab/sim/judge_healing.go
@@ -23,9 +23,9 @@
 	}
 	w.afterHealing.arrived++
 	switch o.Code {
-	case search.OK, search.Conflict:
+	case search.CodeOK, search.CodeConflict:
 		w.afterHealing.answered++
-	case search.Shed, search.OverCeiling:
+	case search.CodeUnavailable, search.CodeRateLimited:
 		w.afterHealing.rejected++
 	}
 }
--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -12,7 +12,7 @@
 	"wallport/request/search"
 )
 
-func (c *callers) checkOutcome(p *process, in *search.Inquiry, o *search.Outcome, sent int64, planned bool) {
+func (c *callers) checkOutcome(p *process, in *search.Request, o *search.Outcome, sent int64, planned bool) {
 	w := c.world
 	if o == nil {
 		w.Checker.Count("outcome.cut", 1)
@@ -25,16 +25,16 @@
 	if took := w.now - sent; took > in.Deadline+100_000 {
 		w.Checker.Count("late", 1)
 	}
-	if o.Ran == "no" && in.Key != "" && (o.Code == search.Shed || o.Code == search.OverCeiling || o.Code == search.GivenUp) && c.soleAttempt(in) {
+	if o.Ran == "no" && in.Key != "" && (o.Code == search.CodeUnavailable || o.Code == search.CodeRateLimited || o.Code == search.CodeGivenUp) && c.soleAttempt(in) {
 		w.Checker.Refused(in.Key, w.now)
 	}
-	if (o.Code == search.Shed || o.Code == search.OverCeiling || o.Code == search.GivenUp) && o.Retry == 0 {
+	if (o.Code == search.CodeUnavailable || o.Code == search.CodeRateLimited || o.Code == search.CodeGivenUp) && o.Retry == 0 {
 		w.Checker.Fail("no_retry_after", w.now, "%s %s has no Retry-After", o.ID, o.Code)
 	}
 	w.countHealed(o, sent)
 	w.countOtherPool(in, o)
 	w.Checker.Proper(o, w.now, c.rejectionExcuse(in, o))
-	if o.Code != search.OK {
+	if o.Code != search.CodeOK {
 		return
 	}
 	w.Checker.Served(w.now)
@@ -42,7 +42,7 @@
 		w.Checker.Count("repeats_answered", 1)
 		return
 	}
-	if in.Kind != search.Search {
+	if in.Kind != search.KindSearch {
 		w.Checker.Single(in.Record, o, w.now)
 		return
 	}
@@ -54,31 +54,31 @@
 
 // soleAttempt tells that no other try of the same key can be under way or have run:
 // only then does a refusal bind the key.
-func (c *callers) soleAttempt(in *search.Inquiry) bool {
-	return c.repeat == 0 && c.sends[in.Key] <= 1 || in.Kind == search.Search
+func (c *callers) soleAttempt(in *search.Request) bool {
+	return c.repeat == 0 && c.sends[in.Key] <= 1 || in.Kind == search.KindSearch
 }
 
 // rejectionExcuse reports whether the world gave a reason to refuse: the scenario says
 // so, no server of a needed shard is there, or the key's homes cannot vouch.
-func (c *callers) rejectionExcuse(in *search.Inquiry, o *search.Outcome) string {
+func (c *callers) rejectionExcuse(in *search.Request, o *search.Outcome) string {
 	w := c.world
 	if w.Script.Text("may_refuse", "") != "" {
 		return "scenario"
 	}
-	if in.Once() && in.Key != "" && strings.HasPrefix(o.Why, search.ClaimsShort) {
+	if in.AtMostOnce() && in.Key != "" && strings.HasPrefix(o.Why, search.ReasonTooFewKeyOwners) {
 		return "claims"
 	}
-	if o.Why == search.RepeatOver && c.sends[in.Key] > 1 {
+	if o.Why == search.ReasonRetryBudgetExhausted && c.sends[in.Key] > 1 {
 		c.refused[in.Key] = true
 		return "repeat"
 	}
-	if strings.HasSuffix(o.Why, "; "+search.ReplyShed) && w.serverRefuses(in) {
+	if strings.HasSuffix(o.Why, "; "+search.ReplyRejected) && w.serverRefuses(in) {
 		// A server's own refusal, and no budget left to ask another: two rules meet here.
 		return "server"
 	}
 	for _, n := range w.shardMaps {
 		shard := -1
-		if in.Kind != search.Search {
+		if in.Kind != search.KindSearch {
 			shard = search.ShardOf(in.Record, n)
 		}
 		if w.lacksServer(in.Index, n, shard) {
@@ -89,8 +89,8 @@
 }
 
 // recordAttempt notes that a server is asked, and tells whether one was asked the same before.
-func (c *callers) recordAttempt(a *search.Ask) bool {
-	key := a.Inquiry.Key
+func (c *callers) recordAttempt(a *search.Send) bool {
+	key := a.Request.Key
 	if key == "" {
 		return false
 	}
--- a/lab/sim/world_callers.go
+++ b/lab/sim/world_callers.go
@@ -65,25 +65,25 @@
 	c.sent++
 	rnd := c.world.rng
 	s := c.world.Shape
-	in := search.Inquiry{
-		Index: s.Index, Kind: search.Search, Query: fmt.Sprintf("q%d", rnd.IntN(200)), Limit: 5 + rnd.IntN(20),
+	in := search.Request{
+		Index: s.Index, Kind: search.KindSearch, Query: fmt.Sprintf("q%d", rnd.IntN(200)), Limit: 5 + rnd.IntN(20),
 		Record: records.ID(rnd.IntN(records.Size)), Deadline: s.Least + rnd.Int64N(s.Most-s.Least+1),
 	}
 	in.Kind = c.drawKind()
 	if other := c.world.otherIndex(); other != "" && rnd.IntN(3) == 0 {
 		in.Index = other
 	}
-	if in.Once() {
+	if in.AtMostOnce() {
 		in.Key = fmt.Sprintf("key-%d", c.sent)
 		in.Body = "correction"
-		in.Sum = search.SumOf(&in)
+		in.Digest = search.RequestDigest(&in)
 	}
 	attempts := 1
-	in.First = in.Once() && c.world.Script.Text("first_word", "") == "yes"
-	if in.Once() && rnd.Int64N(100) < c.repeat {
+	in.FirstAttempt = in.AtMostOnce() && c.world.Script.Text("first_word", "") == "yes"
+	if in.AtMostOnce() && rnd.Int64N(100) < c.repeat {
 		attempts += 1 + rnd.IntN(3)
 	}
-	if !in.Once() && in.Index == s.Index && c.repeatSearches > 0 && rnd.Int64N(100) < c.repeatSearches {
+	if !in.AtMostOnce() && in.Index == s.Index && c.repeatSearches > 0 && rnd.Int64N(100) < c.repeatSearches {
 		in.Key = fmt.Sprintf("key-%d", c.sent)
 		attempts += 1 + rnd.IntN(3)
 	}
@@ -92,13 +92,13 @@
 
 // send asks a node; a caller that repeats does so under the same key: eagerly,
 // not waiting for the answer, or after a failure.
-func (c *callers) send(in search.Inquiry, attempts int, eager bool) {
+func (c *callers) send(in search.Request, attempts int, eager bool) {
 	w := c.world
 	p := c.pickNode()
 	sent := w.now
 	c.open++
 	repeat := in
-	repeat.First = false
+	repeat.FirstAttempt = false
 	again := func(d int64) {
 		if attempts > 1 {
 			w.after(d, func() { c.send(repeat, attempts-1, eager) })
@@ -122,14 +122,14 @@
 		c.sends[in.Key]++
 		read := w.now
 		p.frontend.accept(in, func(o *search.Outcome) {
-			w.Checker.Arrived(in.Kind, read, o == nil || o.Code != search.OverCeiling || o.Why == search.RepeatOver)
+			w.Checker.Arrived(in.Kind, read, o == nil || o.Code != search.CodeRateLimited || o.Why == search.ReasonRetryBudgetExhausted)
 			c.open--
 			c.checkOutcome(p, &in, o, sent, planned || p.draining)
 			switch {
 			case o == nil && in.Key != "":
 				// Cut off without a word: every caller repeats that.
 				w.after(500_000, func() { c.send(repeat, max(attempts, 12), false) })
-			case !eager && (o == nil || o.Code != search.OK):
+			case !eager && (o == nil || o.Code != search.CodeOK):
 				again(500_000)
 			}
 		})
@@ -148,7 +148,7 @@
 			return config.Kinds[i]
 		}
 	}
-	return search.Search
+	return search.KindSearch
 }
 
 func (c *callers) pickNode() *process {
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -11,8 +11,8 @@
 )
 
 type searchRequest struct {
-	stateMachine *search.Chart
-	in           *search.Inquiry
+	stateMachine *search.StateMachine
+	in           *search.Request
 	done         func(o *search.Outcome)
 	wakeups      uint64
 }
@@ -28,14 +28,14 @@
 }
 
 // accept takes an inquiry that has been read whole; done gets its outcome, or nil if it was cut.
-func (f *frontend) accept(in search.Inquiry, done func(o *search.Outcome)) {
+func (f *frontend) accept(in search.Request, done func(o *search.Outcome)) {
 	r := &searchRequest{in: &in, done: done}
 	// Of a frozen process it is there, unread, until the process thaws or ends.
 	f.requests[r] = true
 	f.ordered = append(f.ordered, r)
 	f.process.deliver(func() {
-		r.stateMachine = search.NewChart(f.process.dispatcher, in, f.process.now())
-		f.step(r, search.Begin{})
+		r.stateMachine = search.NewStateMachine(f.process.dispatcher, in, f.process.now())
+		f.step(r, search.Start{})
 	})
 }
 
@@ -68,35 +68,35 @@
 	}
 }
 
-func (f *frontend) perform(r *searchRequest, a search.Act) {
+func (f *frontend) perform(r *searchRequest, a search.Action) {
 	p := f.process
 	switch v := a.(type) {
-	case search.Ask:
+	case search.Send:
 		f.checkRequest(&v)
 		life := p.incarnation
 		p.world.askServer(p, &v, func(rep search.Reply) {
 			if p.incarnation == life {
-				p.deliver(func() { f.step(r, search.Replied{N: v.N, Reply: rep}) })
+				p.deliver(func() { f.step(r, search.ReplyReceived{Attempt: v.Attempt, Reply: rep}) })
 			}
 		})
-	case search.Wake:
+	case search.SetTimer:
 		r.wakeups++
 		mine := r.wakeups
 		p.deliverAfter(v.At-p.now(), func() {
 			if r.wakeups == mine {
-				f.step(r, search.Due{})
+				f.step(r, search.TimerFired{})
 			}
 		})
-	case search.Claim:
-		p.call("idempotency", idempotency.Admit{Key: v.Key, Index: v.Index, Digest: v.Sum, FirstAttempt: v.First, Timeout: v.Within, Repeatable: v.Again}, func(ans any) {
-			if s, in := search.LateClaim(v.Key, ans.(search.Verdict)); in && !f.requests[r] {
+	case search.AdmitKey:
+		p.call("idempotency", idempotency.Admit{Key: v.Key, Index: v.Index, Digest: v.Digest, FirstAttempt: v.FirstAttempt, Timeout: v.Timeout, Repeatable: v.OnlyDetectRepeat}, func(ans any) {
+			if s, in := search.LateAdmission(v.Key, ans.(search.Admission)); in && !f.requests[r] {
 				f.perform(r, s)
 				return
 			}
-			f.step(r, search.Claimed{Verdict: ans.(search.Verdict)})
+			f.step(r, search.KeyChecked{Admission: ans.(search.Admission)})
 		})
-	case search.Settle:
-		p.call("idempotency", idempotency.RecordOutcome{Key: v.Key, Code: v.Code, Token: v.Token, Attempted: v.Tried, Outcome: v.Outcome}, nil)
+	case search.ResolveKey:
+		p.call("idempotency", idempotency.RecordOutcome{Key: v.Key, Code: v.Resolution, Token: v.Token, Attempted: v.Attempted, Outcome: v.Outcome}, nil)
 	case search.Finish:
 		delete(f.requests, r)
 		f.ordered = slices.DeleteFunc(f.ordered, func(o *searchRequest) bool { return o == r })
@@ -106,10 +106,10 @@
 }
 
 // checkRequest tells the judge of work that leaves this node.
-func (f *frontend) checkRequest(a *search.Ask) {
+func (f *frontend) checkRequest(a *search.Send) {
 	w := f.process.world
 	// By what reaches the servers, whatever the node takes it for.
-	again := w.callers.recordAttempt(a) || a.Again
+	again := w.callers.recordAttempt(a) || a.Retry
 	if f.process.isolated {
 		// It can hear of no sheet and no zone call; the platform's list it reads itself.
 		w.Checker.Count("asks_of_isolated", 1)
@@ -117,23 +117,23 @@
 			w.Checker.RequestFromIsolated(a.Server.ID, w.now, w.now-f.process.isolatedAt)
 		}
 	} else {
-		w.Checker.Request(a.Inquiry.Index, a.Server.ID, a.Server.Zone, w.now, again, a.Instead)
+		w.Checker.Request(a.Request.Index, a.Server.ID, a.Server.Zone, w.now, again, a.Replacement)
 	}
 	w.Checker.Count("asks", 1)
-	if again && !a.Instead {
+	if again && !a.Replacement {
 		w.Checker.Count("extra_tries", 1)
 	}
 	w.checkSlowStart(f.process, a)
 }
 
 // checkSlowStart judges ramps where a shard has warm servers beside a cold one.
-func (w *World) checkSlowStart(node *process, a *search.Ask) {
+func (w *World) checkSlowStart(node *process, a *search.Send) {
 	good, warm := 0, 0
 	zones := map[string]int{}
 	var cold []*server
 	for _, id := range w.serverIDs {
 		s := w.servers[id]
-		if !s.up || s.row.ShardMap != a.Cut || s.row.Shard != a.Shard || s.mode != "" || s.row.State == "leaving" {
+		if !s.up || s.row.ShardMap != a.ShardMap || s.row.Shard != a.Shard || s.mode != "" || s.row.State == "leaving" {
 			continue
 		}
 		good++
--- a/lab/sim/world_load.go
+++ b/lab/sim/world_load.go
@@ -13,7 +13,7 @@
 )
 
 // shares are those of the shape's sheet, in hundredths.
-var shares = map[string]float64{search.Search: 60, search.Read: 20, search.Correct: 10, search.Part: 10}
+var shares = map[string]float64{search.KindSearch: 60, search.KindRead: 20, search.KindCorrect: 10, search.KindPart: 10}
 
 // applyLoadVerb does the verbs that change the load or the limits.
 func (w *World) applyLoadVerb(verb string, args []string) {
--- a/lab/sim/world_other_index.go
+++ b/lab/sim/world_other_index.go
@@ -52,12 +52,12 @@
 }
 
 // countOtherPool counts what the callers of the second index get.
-func (w *World) countOtherPool(in *search.Inquiry, o *search.Outcome) {
+func (w *World) countOtherPool(in *search.Request, o *search.Outcome) {
 	if w.otherIndex() == "" || in.Index != w.otherIndex() {
 		return
 	}
 	switch {
-	case o.Code == search.OK && len(o.Missing) == 0, o.Code == search.Conflict:
+	case o.Code == search.CodeOK && len(o.Missing) == 0, o.Code == search.CodeConflict:
 		w.Checker.Count("other.good", 1)
 	default:
 		w.Checker.Count("other.bad", 1)
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -44,7 +44,7 @@
 	kernel      *kernel.Kernel
 	snapshots   *snapshot.Table
 	replicas    *replica.Host
-	dispatcher  *search.Desk
+	dispatcher  *search.Dispatcher
 	disk        *disk
 	waiting     []func()
 	frontend    *frontend
@@ -116,8 +116,8 @@
 	case p.role == "node" && w.day != nil:
 		w.day.newGateway(p, b.Seed)
 	case p.role == "node":
-		p.dispatcher = search.NewDesk(search.Config{
-			Table: p.snapshots, Usage: kernel.Find[*loadreport.Reporter](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
+		p.dispatcher = search.NewDispatcher(search.Config{
+			Snapshots: p.snapshots, LoadReport: kernel.Find[*loadreport.Reporter](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
 		})
 		p.frontend = newFrontend(p)
 	default:
--- a/lab/sim/world_reachability.go
+++ b/lab/sim/world_reachability.go
@@ -157,9 +157,9 @@
 }
 
 // serverRefuses reports whether a server that the inquiry could be sent to refuses by itself.
-func (w *World) serverRefuses(in *search.Inquiry) bool {
+func (w *World) serverRefuses(in *search.Request) bool {
 	for _, id := range w.serverIDs {
-		if s := w.servers[id]; s.mode == "refuse" && s.row.Index == in.Index && (in.Kind == search.Search || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
+		if s := w.servers[id]; s.mode == "refuse" && s.row.Index == in.Index && (in.Kind == search.KindSearch || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
 			return true
 		}
 	}
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -96,21 +96,21 @@
 }
 
 // askServer is the way of one ask to a server and back; done gets what the node sees.
-func (w *World) askServer(p *process, a *search.Ask, done func(search.Reply)) {
+func (w *World) askServer(p *process, a *search.Send, done func(search.Reply)) {
 	s := w.serversByAddr[a.Server.Addr]
 	there := w.net.latency()
 	if s == nil || !s.up && s.mode != "vanish" {
-		w.after(2*there, func() { done(search.Reply{Class: search.ReplyNotWritten, Why: "connection refused"}) })
+		w.after(2*there, func() { done(search.Reply{Class: search.ReplyNotWritten, Reason: "connection refused"}) })
 		return
 	}
 	if !s.up || w.net.partitioned(p.name, s.row.ID) {
-		w.after(300_000, func() { done(search.Reply{Class: search.ReplyNotWritten, Why: "timed out"}) })
+		w.after(300_000, func() { done(search.Reply{Class: search.ReplyNotWritten, Reason: "timed out"}) })
 		return
 	}
 	life := s.incarnation
 	w.after(there, func() {
 		broken := func() {
-			w.after(there, func() { done(search.Reply{Class: search.ReplyFailed, Why: "reset"}) })
+			w.after(there, func() { done(search.Reply{Class: search.ReplyFailed, Reason: "reset"}) })
 		}
 		if !s.up || s.incarnation != life {
 			broken()
@@ -154,14 +154,14 @@
 }
 
 // respond makes the body that the real stand-in would send, and checks it as a node does.
-func (s *server) respond(a *search.Ask, refuses bool) search.Reply {
-	in := a.Inquiry
-	sealed := search.Sealed{Inquiry: a.ID, Cut: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.reportedIncarnation, Usage: s.running}
+func (s *server) respond(a *search.Send, refuses bool) search.Reply {
+	in := a.Request
+	sealed := search.ServerResponse{RequestID: a.ID, ShardMap: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.reportedIncarnation, Load: s.running}
 	status := 200
 	switch {
 	case refuses:
 		status = 503
-	case in.Kind == search.Search:
+	case in.Kind == search.KindSearch:
 		sealed.Records = records.Top(in.Index, in.Query, in.Limit, a.Shard, s.shards)
 	default:
 		r, ok := records.Of(in.Record)
@@ -173,17 +173,17 @@
 	}
 	raw, closed := backend.Spoil(s.mode, status, sealed)
 	if closed {
-		return search.Reply{Class: search.ReplyFailed, Why: "cut short"}
+		return search.Reply{Class: search.ReplyFailed, Reason: "cut short"}
 	}
-	return search.Check(a, raw)
+	return search.CheckResponse(a, raw)
 }
 
 // recordExecution counts an execution that must happen at most once.
-func (w *World) recordExecution(a *search.Ask) {
-	if !a.Inquiry.Once() {
+func (w *World) recordExecution(a *search.Send) {
+	if !a.Request.AtMostOnce() {
 		return
 	}
-	key := a.Inquiry.Key
+	key := a.Request.Key
 	if key == "" {
 		key = a.ID
 	}
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -28,7 +28,7 @@
 		return v.(*retryBudget)
 	}
 	b := new(retryBudget)
-	b.Filled.Store(d.cfg.StartedAt + startupPeriod)
+	b.RefilledAt.Store(d.cfg.StartedAt + startupPeriod)
 	v, _ := d.retryBudgets.LoadOrStore(name, b)
 	return v.(*retryBudget)
 }
@@ -48,7 +48,7 @@
 func (d *Dispatcher) replenishRetryBudget(p *pool, snap *snapshot.Snapshot, now int64, rnd *random.Source) {
 	most, part := d.retryBurst(snap, now)
 	gain := int64(earnedFraction * d.cfg.Retry.Ratio * tokenbucket.One)
-	if part < tokenbucket.One && p.retryBudget.Saved() >= tokenbucket.One && int64(rnd.IntN(tokenbucket.One)) >= part {
+	if part < tokenbucket.One && p.retryBudget.Balance() >= tokenbucket.One && int64(rnd.IntN(tokenbucket.One)) >= part {
 		p.retryBudget.Take(tokenbucket.One, tokenbucket.One, most)
 	}
 	p.retryBudget.Add(gain, most+gain)
--- a/request/dispatch/state_machine_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -78,7 +78,7 @@
 // poor leaves the pools' budgets nothing to spend.
 func (f *fixture) poor() {
 	for name := range f.snap.Pools {
-		f.retryBudgetOf(name).Filled.Store(begun + 100*second)
+		f.retryBudgetOf(name).RefilledAt.Store(begun + 100*second)
 	}
 }
 
--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -39,11 +39,11 @@
 }
 
 // NewBackendRequest makes the message of an ask.
-func NewBackendRequest(a *search.Ask) BackendRequest {
-	in := a.Inquiry
+func NewBackendRequest(a *search.Send) BackendRequest {
+	in := a.Request
 	return BackendRequest{
-		ID: a.ID, Kind: in.Kind, Index: in.Index, ShardMap: a.Cut, Shard: a.Shard, Query: in.Query, Limit: in.Limit,
-		Record: in.Record, Part: in.Part, Body: in.Body, Key: in.Key, Within: a.Within,
+		ID: a.ID, Kind: in.Kind, Index: in.Index, ShardMap: a.ShardMap, Shard: a.Shard, Query: in.Query, Limit: in.Limit,
+		Record: in.Record, Part: in.Part, Body: in.Body, Key: in.Key, Within: a.Timeout,
 	}
 }
 
@@ -66,11 +66,11 @@
 func (unrewindable) Close() error { return nil }
 
 // send sends a message and checks its answer. It is written to one connection at most.
-func (k *backendClient) send(ctx context.Context, a *search.Ask) search.Reply {
+func (k *backendClient) send(ctx context.Context, a *search.Send) search.Reply {
 	m := NewBackendRequest(a)
 	body, err := json.Marshal(&m)
 	if err != nil {
-		return search.Reply{Class: search.ReplyNotWritten, Why: err.Error()}
+		return search.Reply{Class: search.ReplyNotWritten, Reason: err.Error()}
 	}
 	for {
 		rep, again := k.sendOnce(ctx, a, m.Kind, body)
@@ -81,12 +81,12 @@
 }
 
 // sendOnce sends a message on one connection; again is that this had been given up before anything was written to it.
-func (k *backendClient) sendOnce(ctx context.Context, a *search.Ask, kind string, body []byte) (rep search.Reply, again bool) {
+func (k *backendClient) sendOnce(ctx context.Context, a *search.Send, kind string, body []byte) (rep search.Reply, again bool) {
 	var had atomic.Pointer[connUse]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { had.Store(beginUse(i.Conn)) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Server.Addr+"/v1/"+kind, unrewindable{bytes.NewReader(body)})
 	if err != nil {
-		return search.Reply{Class: search.ReplyNotWritten, Why: err.Error()}, false
+		return search.Reply{Class: search.ReplyNotWritten, Reason: err.Error()}, false
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
@@ -94,27 +94,27 @@
 	used := had.Load()
 	switch {
 	case err != nil && used == nil:
-		return search.Reply{Class: search.ReplyNotWritten, Why: errorReason(err)}, false
+		return search.Reply{Class: search.ReplyNotWritten, Reason: errorReason(err)}, false
 	case err != nil && used.unwritten(err):
-		return search.Reply{Class: search.ReplyNotWritten, Why: errorReason(err)}, ctx.Err() == nil
+		return search.Reply{Class: search.ReplyNotWritten, Reason: errorReason(err)}, ctx.Err() == nil
 	case err != nil:
-		return search.Reply{Class: search.ReplyFailed, Why: errorReason(err)}, false
+		return search.Reply{Class: search.ReplyFailed, Reason: errorReason(err)}, false
 	}
 	rep = readReply(a, resp)
-	if rep.Class == search.ReplyGarbage && used != nil {
+	if rep.Class == search.ReplyInvalid && used != nil {
 		used.abandon()
 	}
 	return rep, false
 }
 
 // readReply reads an answer whole and checks it.
-func readReply(a *search.Ask, resp *http.Response) search.Reply {
+func readReply(a *search.Send, resp *http.Response) search.Reply {
 	defer resp.Body.Close()
 	got, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(got) > maxResponseBytes {
-		return search.Reply{Class: search.ReplyFailed, Why: "answer cut short or too large"}
+		return search.Reply{Class: search.ReplyFailed, Reason: "answer cut short or too large"}
 	}
-	return search.Check(a, search.Raw{
+	return search.CheckResponse(a, search.RawResponse{
 		Status: resp.StatusCode, Length: resp.ContentLength, Digest: resp.Header.Get("Content-Digest"), Body: got,
 	})
 }
--- a/request/httpapi/backend_client_test.go
+++ b/request/httpapi/backend_client_test.go
@@ -21,10 +21,10 @@
 	"wallport/runtime/wire"
 )
 
-func correction(addr string) *search.Ask {
-	return &search.Ask{
-		ID: "n-1.aa", Server: &snapshot.Server{Backend: wire.Backend{Addr: addr}}, Shards: 1, Cut: "c1", Within: 1_000_000,
-		Inquiry: &search.Inquiry{Kind: search.Correct, Index: "a", Record: "r", Key: "k", Body: "b"},
+func correction(addr string) *search.Send {
+	return &search.Send{
+		ID: "n-1.aa", Server: &snapshot.Server{Backend: wire.Backend{Addr: addr}}, ShardCount: 1, ShardMap: "c1", Timeout: 1_000_000,
+		Request: &search.Request{Kind: search.KindCorrect, Index: "a", Record: "r", Key: "k", Body: "b"},
 	}
 }
 
@@ -40,8 +40,8 @@
 		peers.Store(r.RemoteAddr, true)
 		if ran.Add(1) == 1 {
 			// A good answer: after another kind the connection would not be used again.
-			body, _ := json.Marshal(search.Sealed{Inquiry: m.ID, Cut: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
-			w.Header().Set("Content-Digest", search.Digest(body))
+			body, _ := json.Marshal(search.ServerResponse{RequestID: m.ID, ShardMap: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+			w.Header().Set("Content-Digest", search.ContentDigest(body))
 			w.Write(body)
 			return
 		}
--- a/request/httpapi/backend_conn_test.go
+++ b/request/httpapi/backend_conn_test.go
@@ -60,8 +60,8 @@
 		if behind {
 			id, before = before, id
 		}
-		body, _ := json.Marshal(search.Sealed{Inquiry: id, Cut: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Digest: %s\r\nContent-Length: %d\r\n\r\n%s", search.Digest(body), len(body), body)
+		body, _ := json.Marshal(search.ServerResponse{RequestID: id, ShardMap: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Digest: %s\r\nContent-Length: %d\r\n\r\n%s", search.ContentDigest(body), len(body), body)
 	}
 }
 
@@ -70,12 +70,12 @@
 	k := newBackendClient()
 	a := correction(s.l.Addr().String())
 	rep := k.send(context.Background(), a)
-	must.Eq(t, search.ReplyGarbage, rep.Class)
-	must.Eq(t, "answers another inquiry", rep.Why)
+	must.Eq(t, search.ReplyInvalid, rep.Class)
+	must.Eq(t, "answers another inquiry", rep.Reason)
 	next := *a
 	next.ID = "n-1.bb"
 	rep = k.send(context.Background(), &next)
-	must.Eq(t, search.ReplyOK, rep.Class, must.Sprint(rep.Why))
+	must.Eq(t, search.ReplyOK, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, 2, s.conns.Load())
 }
 
--- a/request/httpapi/caller.go
+++ b/request/httpapi/caller.go
@@ -20,8 +20,8 @@
 }
 
 func (a callerAPI) Search(ctx context.Context, p *caller.SearchPayload) (*caller.Merged, error) {
-	o := a.node.Run(ctx, search.Inquiry{Kind: search.Search, Index: p.Index, Query: p.Query, Limit: p.Limit, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
-	if o.Code != search.OK {
+	o := a.node.Run(ctx, search.Request{Kind: search.KindSearch, Index: p.Index, Query: p.Query, Limit: p.Limit, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
+	if o.Code != search.CodeOK {
 		return nil, failure(o)
 	}
 	out := &caller.Merged{Inquiry: o.ID, Cut: o.Cut, Shards: o.Shards, Missing: o.Missing, Records: make([]*caller.Record, 0, len(o.Records))}
@@ -32,21 +32,21 @@
 }
 
 func (a callerAPI) Read(ctx context.Context, p *caller.ReadPayload) (*caller.Single, error) {
-	return a.single(ctx, search.Inquiry{Kind: search.Read, Index: p.Index, Record: p.ID, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
+	return a.single(ctx, search.Request{Kind: search.KindRead, Index: p.Index, Record: p.ID, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
 }
 
 func (a callerAPI) Correct(ctx context.Context, p *caller.CorrectPayload) (*caller.Single, error) {
-	return a.single(ctx, search.Inquiry{Kind: search.Correct, Index: p.Index, Record: p.ID, Body: p.Body, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), First: deref(p.FirstTry)})
+	return a.single(ctx, search.Request{Kind: search.KindCorrect, Index: p.Index, Record: p.ID, Body: p.Body, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
 }
 
 func (a callerAPI) Part(ctx context.Context, p *caller.PartPayload) (*caller.Single, error) {
-	return a.single(ctx, search.Inquiry{Kind: search.Part, Index: p.Index, Record: p.ID, Part: p.Part, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), First: deref(p.FirstTry)})
+	return a.single(ctx, search.Request{Kind: search.KindPart, Index: p.Index, Record: p.ID, Part: p.Part, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
 }
 
-func (a callerAPI) single(ctx context.Context, in search.Inquiry) (*caller.Single, error) {
-	in.Sum = search.SumOf(&in)
+func (a callerAPI) single(ctx context.Context, in search.Request) (*caller.Single, error) {
+	in.Digest = search.RequestDigest(&in)
 	o := a.node.Run(ctx, in)
-	if o.Code != search.OK {
+	if o.Code != search.CodeOK {
 		return nil, failure(o)
 	}
 	out := &caller.Single{Inquiry: o.ID, Cut: o.Cut, Shard: o.Shard}
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -20,7 +20,7 @@
 // Node is the request path of one node.
 type Node struct {
 	process    *process.Process
-	dispatcher *search.Desk
+	dispatcher *search.Dispatcher
 	table      *snapshot.Table
 	client     *backendClient
 	authorizer *authorizer
@@ -32,8 +32,8 @@
 func NewNode(p *process.Process) *Node {
 	b := kernel.Find[*snapshot.Table](p.Kernel)
 	f := &Node{process: p, table: b, client: newBackendClient()}
-	f.dispatcher = search.NewDesk(search.Config{
-		Table: b, Usage: kernel.Find[*loadreport.Reporter](p.Kernel), Counts: p.Kernel.Counts,
+	f.dispatcher = search.NewDispatcher(search.Config{
+		Snapshots: b, LoadReport: kernel.Find[*loadreport.Reporter](p.Kernel), Counts: p.Kernel.Counts,
 		Name: p.Kernel.Boot.Settings.Name, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 	})
 	return f
@@ -43,10 +43,10 @@
 const thawTimeout = 500 * time.Millisecond
 
 // Run takes one inquiry through its chart.
-func (f *Node) Run(ctx context.Context, in search.Inquiry) search.Outcome {
+func (f *Node) Run(ctx context.Context, in search.Request) search.Outcome {
 	f.process.AwaitThaw(thawTimeout)
-	c := search.NewChart(f.dispatcher, in, f.process.Now())
-	r := &run{node: f, ctx: ctx, machine: c, events: make(chan search.Event, 8), finished: make(chan struct{}), cancels: map[int]context.CancelFunc{}}
+	m := search.NewStateMachine(f.dispatcher, in, f.process.Now())
+	r := &run{node: f, ctx: ctx, machine: m, events: make(chan search.Event, 8), finished: make(chan struct{}), cancels: map[int]context.CancelFunc{}}
 	defer r.drainEvents(in.Key)
 	defer close(r.finished)
 	return r.loop()
@@ -55,7 +55,7 @@
 type run struct {
 	node     *Node
 	ctx      context.Context
-	machine  *search.Chart
+	machine  *search.StateMachine
 	events   chan search.Event
 	finished chan struct{}
 	cancels  map[int]context.CancelFunc
@@ -78,8 +78,8 @@
 	for {
 		select {
 		case ev := <-r.events:
-			if v, ok := ev.(search.Claimed); ok {
-				r.recordLateAdmission(key, v.Verdict)
+			if v, ok := ev.(search.KeyChecked); ok {
+				r.recordLateAdmission(key, v.Admission)
 			}
 		default:
 			return
@@ -87,34 +87,34 @@
 	}
 }
 
-func (r *run) recordLateAdmission(key string, v search.Verdict) {
-	if s, in := search.LateClaim(key, v); in {
+func (r *run) recordLateAdmission(key string, v search.Admission) {
+	if s, in := search.LateAdmission(key, v); in {
 		r.recordOutcome(s)
 	}
 }
 
-func (r *run) recordOutcome(v search.Settle) {
-	r.node.process.Post(kernel.Call{Plugin: "idempotency", Request: idempotency.RecordOutcome{Key: v.Key, Code: v.Code, Token: v.Token, Attempted: v.Tried, Outcome: v.Outcome}})
+func (r *run) recordOutcome(v search.ResolveKey) {
+	r.node.process.Post(kernel.Call{Plugin: "idempotency", Request: idempotency.RecordOutcome{Key: v.Key, Code: v.Resolution, Token: v.Token, Attempted: v.Attempted, Outcome: v.Outcome}})
 }
 
 func (r *run) loop() search.Outcome {
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
-	acts := r.machine.Step(r.node.process.Now(), search.Begin{})
+	acts := r.machine.Step(r.node.process.Now(), search.Start{})
 	for {
 		for _, a := range acts {
 			switch v := a.(type) {
-			case search.Ask:
+			case search.Send:
 				r.send(v)
 			case search.Cancel:
-				if cancel := r.cancels[v.N]; cancel != nil {
+				if cancel := r.cancels[v.Attempt]; cancel != nil {
 					cancel()
 				}
-			case search.Wake:
+			case search.SetTimer:
 				wake.Reset(time.Duration(v.At-r.node.process.Now()) * time.Microsecond)
-			case search.Claim:
+			case search.AdmitKey:
 				go r.admit(v)
-			case search.Settle:
+			case search.ResolveKey:
 				r.recordOutcome(v)
 			case search.Finish:
 				return v.Outcome
@@ -126,23 +126,23 @@
 			acts = r.machine.Step(r.node.process.Now(), ev)
 		case <-wake.C:
 			r.node.process.AwaitThaw(thawTimeout)
-			acts = r.machine.Step(r.node.process.Now(), search.Due{})
+			acts = r.machine.Step(r.node.process.Now(), search.TimerFired{})
 		}
 	}
 }
 
-func (r *run) admit(c search.Claim) {
+func (r *run) admit(c search.AdmitKey) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	v, err := r.node.process.Call(ctx, "idempotency", idempotency.Admit{Key: c.Key, Index: c.Index, Digest: c.Sum, FirstAttempt: c.First, Timeout: c.Within, Repeatable: c.Again})
-	verdict, ok := v.(search.Verdict)
+	v, err := r.node.process.Call(ctx, "idempotency", idempotency.Admit{Key: c.Key, Index: c.Index, Digest: c.Digest, FirstAttempt: c.FirstAttempt, Timeout: c.Timeout, Repeatable: c.OnlyDetectRepeat})
+	verdict, ok := v.(search.Admission)
 	if err != nil || !ok {
-		verdict = search.Verdict{Code: "short"}
+		verdict = search.Admission{Code: "short"}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.ended {
-		r.events <- search.Claimed{Verdict: verdict}
+		r.events <- search.KeyChecked{Admission: verdict}
 		return
 	}
 	r.recordLateAdmission(c.Key, verdict)
@@ -150,16 +150,16 @@
 
 // send sends in a goroutine of its own; an inquiry that must not run twice is
 // not cancelled by its caller going away, so that its outcome gets known.
-func (r *run) send(a search.Ask) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.Within)*time.Microsecond)
-	r.cancels[a.N] = cancel
+func (r *run) send(a search.Send) {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.Timeout)*time.Microsecond)
+	r.cancels[a.Attempt] = cancel
 	thaws := r.node.process.Thaws()
 	go func() {
 		defer cancel()
 		if r.node.process.Frozen() || r.node.process.Thaws() != thaws {
-			r.post(search.Replied{N: a.N, Reply: search.Reply{Class: search.ReplyNotWritten, Why: "the node was frozen before it wrote"}})
+			r.post(search.ReplyReceived{Attempt: a.Attempt, Reply: search.Reply{Class: search.ReplyNotWritten, Reason: "the node was frozen before it wrote"}})
 			return
 		}
-		r.post(search.Replied{N: a.N, Reply: r.node.client.send(ctx, &a)})
+		r.post(search.ReplyReceived{Attempt: a.Attempt, Reply: r.node.client.send(ctx, &a)})
 	}()
 }
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -30,7 +30,7 @@
 	cp := c.snapshot()
 	if c.inMinority(cp, ctx.Now) {
 		ctx.Counts.Add("claims_minority", 1)
-		ctx.Reply(id, search.Verdict{Code: "short", Why: "this node sees too few of the fleet to vouch for a key"})
+		ctx.Reply(id, search.Admission{Code: "short", Reason: "this node sees too few of the fleet to vouch for a key"})
 		return
 	}
 	c.lastID++
@@ -85,7 +85,7 @@
 	pending.attempted = pending.attempted || r.Attempted
 	switch r.Code {
 	case "done", "running", "conflict":
-		c.finish(ctx, n, search.Verdict{Code: r.Code, Body: r.Body})
+		c.finish(ctx, n, search.Admission{Code: r.Code, Outcome: r.Body})
 		return
 	}
 	c.decide(ctx, n, pending)
@@ -109,7 +109,7 @@
 	case ctx.Now < pending.decideAt:
 		return
 	}
-	c.finish(ctx, n, search.Verdict{Code: "in", Token: c.token(n), Repeat: pending.attempted})
+	c.finish(ctx, n, search.Admission{Code: "in", Token: c.token(n), Repeat: pending.attempted})
 }
 
 // onTimer is a claim's timer: it decides, asks again, or gives up.
@@ -121,7 +121,7 @@
 	case pending.request.Repeatable:
 		// The owner is silent: what cannot be told from a first try is one.
 		delete(c.admissions, n)
-		ctx.Reply(pending.id, search.Verdict{Code: "in"})
+		ctx.Reply(pending.id, search.Admission{Code: "in"})
 		return
 	}
 	if !c.rosterUnknown(ctx.Now) {
@@ -141,11 +141,11 @@
 	if pending.majority(true) {
 		// Those that would know have lost what they knew, and an earlier try may have run.
 		ctx.Counts.Add("claims_unknown", 1)
-		c.finish(ctx, n, search.Verdict{Code: "unknown"})
+		c.finish(ctx, n, search.Admission{Code: "unknown"})
 		return
 	}
 	ctx.Counts.Add("claims_short", 1)
-	c.finish(ctx, n, search.Verdict{Code: "short", Why: fmt.Sprintf("%d of the key's %d home nodes answered", pending.countAgreeing(), len(pending.owners))})
+	c.finish(ctx, n, search.Admission{Code: "short", Reason: fmt.Sprintf("%d of the key's %d home nodes answered", pending.countAgreeing(), len(pending.owners))})
 }
 
 // addOwners adds owners that this node has learned of meanwhile. None is left out: it may hold the claim.
@@ -161,7 +161,7 @@
 // must not release each other.
 func (c *Coordinator) token(n uint64) string { return fmt.Sprintf("%s#%d", c.mesh.Self(), n) }
 
-func (c *Coordinator) finish(ctx *kernel.Context, n uint64, v search.Verdict) {
+func (c *Coordinator) finish(ctx *kernel.Context, n uint64, v search.Admission) {
 	pending := c.admissions[n]
 	delete(c.admissions, n)
 	ctx.Reply(pending.id, v)
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -33,7 +33,7 @@
 	}
 	m.lastCall++
 	here := n.incarnation()
-	m.calls[m.lastCall] = func(v search.Verdict) {
+	m.calls[m.lastCall] = func(v search.Admission) {
 		if v.Code != "in" {
 			again()
 			return
@@ -67,7 +67,7 @@
 			delete(m.admittedKeys, key)
 			here.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "released", Token: token}})
 		default:
-			here.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "done", Outcome: search.Outcome{Code: search.OK}}})
+			here.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "done", Outcome: search.Outcome{Code: search.CodeOK}}})
 		}
 	})
 }
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -89,7 +89,7 @@
 	for _, a := range ctx.Output.Replies {
 		answered := n.m.calls[a.ID]
 		delete(n.m.calls, a.ID)
-		answered(a.Value.(search.Verdict))
+		answered(a.Value.(search.Admission))
 	}
 }
 
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -72,7 +72,7 @@
 	admittedKeys map[string]bool
 	admitted     int
 	twice        []string
-	calls        map[uint64]func(v search.Verdict)
+	calls        map[uint64]func(v search.Admission)
 	lastCall     uint64
 }
 
@@ -87,7 +87,7 @@
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{
 		t: t, rand: rand.New(rand.NewPCG(seed, 3)), now: second, replyRoutes: map[uint64]route{}, arrives: map[[2]incarnation]int64{},
-		admittedKeys: map[string]bool{}, calls: map[uint64]func(search.Verdict){},
+		admittedKeys: map[string]bool{}, calls: map[uint64]func(search.Admission){},
 	}
 	for i := range modelNodes {
 		m.nodes = append(m.nodes, &modelNode{m: m, name: fmt.Sprintf("node-%d", i)})
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -69,7 +69,7 @@
 func (c *Coordinator) checkRepeat(ctx *kernel.Context, id uint64, a Admit) {
 	addr, ok := c.repeatOwner(a.Key)
 	if !ok || addr == "" {
-		ctx.Reply(id, search.Verdict{Code: "in", Repeat: ok && c.recent.add(a.Key, ctx.Now)})
+		ctx.Reply(id, search.Admission{Code: "in", Repeat: ok && c.recent.add(a.Key, ctx.Now)})
 		return
 	}
 	c.lastID++
@@ -87,7 +87,7 @@
 	if m.Seen {
 		ctx.Counts.Add("repeats_seen", 1)
 	}
-	ctx.Reply(pending.id, search.Verdict{Code: "in", Repeat: m.Seen})
+	ctx.Reply(pending.id, search.Admission{Code: "in", Repeat: m.Seen})
 }
 
 // forgetRepeat takes a key back that came to nothing.
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -75,10 +75,10 @@
 	return n.step(kernel.Tick{Plugin: "idempotency", ID: id})
 }
 
-func soleVerdict(t *testing.T, out kernel.Output) search.Verdict {
+func soleVerdict(t *testing.T, out kernel.Output) search.Admission {
 	t.Helper()
 	must.Len(t, 1, out.Replies)
-	return out.Replies[0].Value.(search.Verdict)
+	return out.Replies[0].Value.(search.Admission)
 }
 
 // A node that has just started may see two others of eight. What those two and itself let in
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -9,43 +9,43 @@
 
 // The states of an inquiry.
 const (
-	StRead       State = "read"
-	StClassified State = "classified"
-	StLetIn      State = "let_in"
-	StPicked     State = "picked"
-	StAsked      State = "asked"
-	StReAsked    State = "re_asked"
-	StGathered   State = "gathered"
-	StAnswered   State = "answered"
-	StShed       State = "shed"
-	StGivenUp    State = "given_up"
+	StateRead       State = "read"
+	StateClassified State = "classified"
+	StateAdmitted   State = "let_in"
+	StateSelected   State = "picked"
+	StateSent       State = "asked"
+	StateRetried    State = "re_asked"
+	StateGathered   State = "gathered"
+	StateAnswered   State = "answered"
+	StateRejected   State = "shed"
+	StateGivenUp    State = "given_up"
 )
 
 // Event is one of the types below.
 type Event any
 
 type (
-	// Begin starts the chart.
-	Begin struct{}
-	// Claimed tells what the homes said of the inquiry's key.
-	Claimed struct{ Verdict Verdict }
-	// Replied tells what became of an ask.
-	Replied struct {
-		N     int
-		Reply Reply
+	// Start starts the chart.
+	Start struct{}
+	// KeyChecked tells what the homes said of the inquiry's key.
+	KeyChecked struct{ Admission Admission }
+	// ReplyReceived tells what became of an ask.
+	ReplyReceived struct {
+		Attempt int
+		Reply   Reply
 	}
-	// Due tells that the moment of the last Wake has come.
-	Due struct{}
+	// TimerFired tells that the moment of the last Wake has come.
+	TimerFired struct{}
 )
 
-// Verdict on a claim: in, running, done, conflict, short (too few homes answer) or
+// Admission on a claim: in, running, done, conflict, short (too few homes answer) or
 // unknown (those that answer have lost what they knew).
-type Verdict struct {
+type Admission struct {
 	Code string
 	// Token names this one claim, for its release.
-	Token string
-	Why   string
-	Body  []byte
+	Token   string
+	Reason  string
+	Outcome []byte
 	// Repeat tells that an earlier try under the key reached a server.
 	Repeat bool
 }
@@ -54,19 +54,19 @@
 const (
 	ReplyOK         = "ok"
 	ReplyNotWritten = "not_written"
-	ReplyShed       = "shed"
+	ReplyRejected   = "shed"
 	ReplyFailed     = "failed"
-	ReplyGarbage    = "garbage"
-	ReplyAbsent     = "absent"
+	ReplyInvalid    = "garbage"
+	ReplyNotFound   = "absent"
 )
 
 // Reply is a checked answer of a server.
 type Reply struct {
 	Class       string
-	Why         string
+	Reason      string
 	Records     []Record
 	Incarnation int64
-	Usage       int64
+	Load        int64
 }
 
 // Record is one record.
@@ -76,62 +76,62 @@
 	Body  string `json:"body,omitempty"`
 }
 
-// Ask is a message to a server.
-type Ask struct {
-	N       int
-	ID      string
-	Server  *snapshot.Server
-	Shard   int
-	Shards  int
-	Cut     string
-	Within  int64
-	Inquiry *Inquiry
-	// Again marks a repeated try, which the budget paid for.
-	Again bool
-	// Instead marks one that takes the place of a try that was never written.
-	Instead bool
+// Send is a message to a server.
+type Send struct {
+	Attempt    int
+	ID         string
+	Server     *snapshot.Server
+	Shard      int
+	ShardCount int
+	ShardMap   string
+	Timeout    int64
+	Request    *Request
+	// Retry marks a repeated try, which the budget paid for.
+	Retry bool
+	// Replacement marks one that takes the place of a try that was never written.
+	Replacement bool
 }
 
-// Act is one of the types below, or an Ask.
-type Act any
+// Action is one of the types below, or an Ask.
+type Action any
 
 type (
 	// Cancel gives an ask up; its answer is not wanted any more.
-	Cancel struct{ N int }
-	// Claim asks the homes of a key; First is the caller's word that it never sent it before.
-	Claim struct {
-		Key    string
-		Index  string
-		Sum    uint64
-		First  bool
-		Within int64
-		// Again asks only whether a search or read was sent before.
-		Again bool
+	Cancel struct{ Attempt int }
+	// AdmitKey asks the homes of a key; First is the caller's word that it never sent it before.
+	AdmitKey struct {
+		Key          string
+		Index        string
+		Digest       uint64
+		FirstAttempt bool
+		Timeout      int64
+		// OnlyDetectRepeat asks only whether a search or read was sent before.
+		OnlyDetectRepeat bool
 	}
-	// Settle tells the homes what a claim came to.
-	Settle struct {
-		Key     string
-		Code    string
-		Token   string
-		Tried   bool
-		Outcome Outcome
+	// ResolveKey tells the homes what a claim came to.
+	ResolveKey struct {
+		Key        string
+		Resolution string
+		Token      string
+		Attempted  bool
+		Outcome    Outcome
 	}
-	// Wake asks for a Due at a moment.
-	Wake struct{ At int64 }
+	// SetTimer asks for a Due at a moment.
+	SetTimer struct{ At int64 }
 	// Finish gives the final outcome.
 	Finish struct{ Outcome Outcome }
 )
 
 // Outcome codes beside ok are the names of the API's failures.
 const (
-	OK             = "ok"
-	Malformed      = "malformed"
-	Unknown        = "unknown"
-	OverCeiling    = "over_ceiling"
-	Shed           = "shed"
-	GivenUp        = "given_up"
-	OutcomeUnknown = "outcome_unknown"
-	Conflict       = "conflict"
+	CodeOK             = "ok"
+	CodeMalformed      = "malformed"
+	CodeNotFound       = "unknown"
+	CodeRateLimited    = "over_ceiling"
+	CodeUnavailable    = "shed"
+	CodeGivenUp        = "given_up"
+	CodeOutcomeUnknown = "outcome_unknown"
+	CodeConflict       = "conflict"
 )
 
 // Outcome is what the caller is told.
--- a/request/search/golden_test.go
+++ b/request/search/golden_test.go
@@ -1,6 +1,7 @@
 package search
 
 import (
+	"encoding/json"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -14,9 +15,9 @@
 		"correct": 4373043006364928751,
 		"part":    2107713154920092460,
 	} {
-		must.Eq(t, sum, SumOf(&Inquiry{Kind: kind, Index: "docs", Record: "r1", Part: 3, Body: "text"}), must.Sprint(kind))
+		must.Eq(t, sum, RequestDigest(&Request{Kind: kind, Index: "docs", Record: "r1", Part: 3, Body: "text"}), must.Sprint(kind))
 	}
-	must.Eq(t, []string{"search", "read", "correct", "part"}, []string{Search, Read, Correct, Part})
+	must.Eq(t, []string{"search", "read", "correct", "part"}, []string{KindSearch, KindRead, KindCorrect, KindPart})
 }
 
 // A record stays on the shard that it is stored on.
@@ -25,3 +26,18 @@
 		must.Eq(t, shards, [2]int{ShardOf(record, 7), ShardOf(record, 64)}, must.Sprint(record))
 	}
 }
+
+// The owners of a key keep the encoded outcome and give it to repeats, also to those of another release.
+func TestOutcomeEncodingIsThatOfEarlierReleases(t *testing.T) {
+	o := Outcome{
+		ID: "n-1", Code: CodeOK, Why: "why", Ran: "no", Retry: 1, Cut: "c1", Shard: 2, Shards: []int{0}, Missing: []int{1},
+		Records: []Record{{ID: "r", Score: 3, Body: "b"}}, Repeat: true,
+	}
+	encoded, err := json.Marshal(o)
+	must.NoError(t, err)
+	must.Eq(t, `{"ID":"n-1","Code":"ok","Why":"why","Ran":"no","Retry":1,"Cut":"c1","Shard":2,"Shards":[0],"Missing":[1],`+
+		`"Records":[{"id":"r","score":3,"body":"b"}],"Repeat":true}`, string(encoded))
+	var decoded Outcome
+	must.NoError(t, json.Unmarshal(encoded, &decoded))
+	must.Eq(t, o, decoded)
+}
--- a/request/search/limits.go
+++ b/request/search/limits.go
@@ -14,20 +14,20 @@
 	"wallport/request/tokenbucket"
 )
 
-// burst is how much, in seconds of its rate, a gate may save.
-const burst = 2
+// burstSeconds is how much, in seconds of its rate, a gate may save.
+const burstSeconds = 2
 
 // full, as the moment of the last filling, lets a gate begin with all that it may save.
-const full = -60_000_000
+const filledAtStart = -60_000_000
 
-// gate is one limit's part of this node.
-type gate struct{ tokenbucket.Bucket }
+// limiter is one limit's part of this node.
+type limiter struct{ tokenbucket.Bucket }
 
-// pass takes one place of a limit of which this node has a part, in a fleet of so
+// allow takes one place of a limit of which this node has a part, in a fleet of so
 // many nodes; force takes it anyway and lets the gate owe as much as it may save.
-func (g *gate) pass(now int64, limit float64, m *loadreport.Meter, nodes int, force bool) bool {
+func (g *limiter) allow(now int64, limit float64, m *loadreport.Meter, nodes int, force bool) bool {
 	part := m.LocalLimit(limit, nodes)
-	most := max(tokenbucket.One, int64(burst*tokenbucket.One*max(part, limit/float64(max(1, nodes)))))
+	most := max(tokenbucket.One, int64(burstSeconds*tokenbucket.One*max(part, limit/float64(max(1, nodes)))))
 	g.Refill(now, int64(tokenbucket.One*part), most)
 	if force {
 		return g.Take(tokenbucket.One, tokenbucket.One-most, most)
@@ -35,43 +35,43 @@
 	return limit > 0 && g.Take(tokenbucket.One, tokenbucket.One, most)
 }
 
-type gates struct {
-	free  gate
-	kinds map[string]*kindGates
+type indexLimiters struct {
+	unreserved limiter
+	kinds      map[string]*kindLimiters
 }
 
-type kindGates struct{ booked, share, ceiling gate }
+type kindLimiters struct{ reserved, quota, rate limiter }
 
-func (d *Desk) gatesOf(index string) *gates {
-	if v, ok := d.gates.Load(index); ok {
-		return v.(*gates)
+func (d *Dispatcher) limitersOf(index string) *indexLimiters {
+	if v, ok := d.limiters.Load(index); ok {
+		return v.(*indexLimiters)
 	}
-	g := &gates{kinds: map[string]*kindGates{}}
-	for _, k := range []string{Search, Read, Correct, Part} {
-		g.kinds[k] = &kindGates{}
-		for _, one := range []*gate{&g.kinds[k].booked, &g.kinds[k].share, &g.kinds[k].ceiling} {
-			one.Filled.Store(full)
+	g := &indexLimiters{kinds: map[string]*kindLimiters{}}
+	for _, k := range []string{KindSearch, KindRead, KindCorrect, KindPart} {
+		g.kinds[k] = &kindLimiters{}
+		for _, one := range []*limiter{&g.kinds[k].reserved, &g.kinds[k].quota, &g.kinds[k].rate} {
+			one.RefilledAt.Store(filledAtStart)
 		}
 	}
-	g.free.Filled.Store(full)
-	v, _ := d.gates.LoadOrStore(index, g)
-	return v.(*gates)
+	g.unreserved.RefilledAt.Store(filledAtStart)
+	v, _ := d.limiters.LoadOrStore(index, g)
+	return v.(*indexLimiters)
 }
 
-// letIn decides whether an inquiry is inside the limits, and says why.
-func (d *Desk) letIn(cp *snapshot.Snapshot, x *snapshot.Index, kind string, now int64) (bool, string) {
-	m, all := d.Usage.Meter(x.Name, kind), d.Usage.Meter(x.Name, "")
+// withinLimits decides whether an inquiry is inside the limits, and says why.
+func (d *Dispatcher) withinLimits(snap *snapshot.Snapshot, x *snapshot.Index, kind string, now int64) (bool, string) {
+	m, all := d.LoadReport.Meter(x.Name, kind), d.LoadReport.Meter(x.Name, "")
 	m.Inc()
 	all.Inc()
 	l := x.Limits[kind]
-	g := d.gatesOf(x.Name)
+	g := d.limitersOf(x.Name)
 	k := g.kinds[kind]
 	m.SetLimits(l.RateLimit, l.Share+l.Reserved)
 	all.SetLimits(x.Capacity, 0)
-	if l.RateLimit > 0 && !k.ceiling.pass(now, l.RateLimit, m, cp.Peers, false) {
+	if l.RateLimit > 0 && !k.rate.allow(now, l.RateLimit, m, snap.Peers, false) {
 		return false, "ceiling"
 	}
-	if l.Reserved > 0 && k.booked.pass(now, l.Reserved, m, cp.Peers, false) {
+	if l.Reserved > 0 && k.reserved.allow(now, l.Reserved, m, snap.Peers, false) {
 		return true, "booked slice"
 	}
 	// What is booked is kept for its kind, used or not; the rest is shared out.
@@ -79,11 +79,11 @@
 	for _, o := range x.Limits {
 		free -= o.Reserved
 	}
-	if k.share.pass(now, l.Share, m, cp.Peers, false) {
-		g.free.pass(now, free, all, cp.Peers, true)
+	if k.quota.allow(now, l.Share, m, snap.Peers, false) {
+		g.unreserved.allow(now, free, all, snap.Peers, true)
 		return true, "share"
 	}
-	if g.free.pass(now, free, all, cp.Peers, false) {
+	if g.unreserved.allow(now, free, all, snap.Peers, false) {
 		return true, "left by others"
 	}
 	return false, "pool"
--- a/request/search/pick.go
+++ b/request/search/selection.go
@@ -12,18 +12,18 @@
 	"wallport/request/snapshot"
 )
 
-// Choice tells of a pick, for explain.
-type Choice struct {
-	Server *snapshot.Server
-	Drawn  []string
-	Tier   string
-	Cold   bool
+// Selection tells of a pick, for explain.
+type Selection struct {
+	Server    *snapshot.Server
+	Sampled   []string
+	Tier      string
+	WarmingUp bool
 }
 
 var tierNames = []string{"usable", "slow", "doubtful", "lost", "garbage"}
 
-// tier sorts a server by how good it looks; below zero it is never picked.
-func tier(s *snapshot.Server, now int64) int {
+// tierOf sorts a server by how good it looks; below zero it is never picked.
+func tierOf(s *snapshot.Server, now int64) int {
 	switch {
 	case s.Health == snapshot.Draining || s.Health == snapshot.ZoneDrained:
 		return -1
@@ -39,14 +39,14 @@
 	return 0
 }
 
-func pick(cp *snapshot.Snapshot, x *snapshot.Index, servers []*snapshot.Server, tried []string, now int64, r *rnd) (Choice, bool) {
+func selectServer(snap *snapshot.Snapshot, x *snapshot.Index, servers []*snapshot.Server, tried []string, now int64, r *rnd) (Selection, bool) {
 	var best []*snapshot.Server
 	at := len(tierNames)
 	for _, s := range servers {
 		if slices.Contains(tried, s.ID) {
 			continue
 		}
-		n := tier(s, now)
+		n := tierOf(s, now)
 		if n < 0 || n > at {
 			continue
 		}
@@ -56,33 +56,33 @@
 		best = append(best, s)
 	}
 	if len(best) == 0 {
-		return Choice{}, false
+		return Selection{}, false
 	}
 	ramp := x.Service.RampUs
 	warm := best
 	if len(best) > 1 {
-		warm = ramped(best, now, ramp, r)
+		warm = sampleByWarmth(best, now, ramp, r)
 	}
-	c := Choice{Tier: tierNames[at]}
+	c := Selection{Tier: tierNames[at]}
 	// One of the own zone, if its warmth lets it: a zone whose servers are all cold must
 	// not have the whole work of its nodes for the one that is let through by chance.
-	a := draw(near(best, cp.Zone), r)
+	a := sampleOne(inZone(best, snap.Zone), r)
 	if !slices.Contains(warm, a) && len(best) > 1 {
-		a = draw(warm, r)
+		a = sampleOne(warm, r)
 	}
-	b := draw(warm, r)
-	c.Drawn = []string{a.ID, b.ID}
+	b := sampleOne(warm, r)
+	c.Sampled = []string{a.ID, b.ID}
 	c.Server = a
-	if cost(b, cp.Zone) < cost(a, cp.Zone) {
+	if expectedWait(b, snap.Zone) < expectedWait(a, snap.Zone) {
 		c.Server = b
 	}
-	c.Cold = c.Server.SlowStartShare(now, ramp) < 1000
+	c.WarmingUp = c.Server.SlowStartShare(now, ramp) < 1000
 	return c, true
 }
 
-// ramped leaves each cold server in with the chance that its warmth gives it.
+// sampleByWarmth leaves each cold server in with the chance that its warmth gives it.
 // Where all are cold, warmth only counts against the warmest.
-func ramped(all []*snapshot.Server, now, ramp int64, r *rnd) []*snapshot.Server {
+func sampleByWarmth(all []*snapshot.Server, now, ramp int64, r *rnd) []*snapshot.Server {
 	most := int64(1)
 	for _, s := range all {
 		most = max(most, s.SlowStartShare(now, ramp))
@@ -97,7 +97,7 @@
 	return out
 }
 
-func near(all []*snapshot.Server, zone string) []*snapshot.Server {
+func inZone(all []*snapshot.Server, zone string) []*snapshot.Server {
 	var out []*snapshot.Server
 	for _, s := range all {
 		if s.Zone == zone {
@@ -110,11 +110,11 @@
 	return out
 }
 
-func draw(all []*snapshot.Server, r *rnd) *snapshot.Server { return all[r.IntN(len(all))] }
+func sampleOne(all []*snapshot.Server, r *rnd) *snapshot.Server { return all[r.IntN(len(all))] }
 
-// cost is the expected wait: what is outstanding here and reported there,
+// expectedWait is the expected wait: what is outstanding here and reported there,
 // times what an answer takes; another zone costs a quarter more.
-func cost(s *snapshot.Server, zone string) int64 {
+func expectedWait(s *snapshot.Server, zone string) int64 {
 	lat := s.Gauge.Latency.Load() + 500
 	c := (s.Gauge.Outstanding.Load()*4 + s.Gauge.Usage.Load() + 4) * lat
 	if s.Zone != zone {
--- a/request/search/chart_test.go
+++ b/request/search/state_machine_test.go
@@ -29,21 +29,21 @@
 	return &snapshot.Snapshot{Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*snapshot.Index{"a": x}}
 }
 
-func desk(cp *snapshot.Snapshot) *Desk {
+func desk(snap *snapshot.Snapshot) *Dispatcher {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
-	return &Desk{Table: func() *snapshot.Snapshot { return cp }, Usage: &loadreport.Reporter{}, Counts: k.Counts, Traces: newTraces(), Name: "n", Seed: 1, Began: -100_000_000}
+	return &Dispatcher{Snapshot: func() *snapshot.Snapshot { return snap }, LoadReport: &loadreport.Reporter{}, Counts: k.Counts, Traces: newTraceRing(), Name: "n", Seed: 1, StartedAt: -100_000_000}
 }
 
-func asks(acts []Act) (out []Ask) {
+func asks(acts []Action) (out []Send) {
 	for _, a := range acts {
-		if v, ok := a.(Ask); ok {
+		if v, ok := a.(Send); ok {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-func outcome(acts []Act) *Outcome {
+func outcome(acts []Action) *Outcome {
 	for _, a := range acts {
 		if v, ok := a.(Finish); ok {
 			return &v.Outcome
@@ -53,66 +53,66 @@
 }
 
 func TestWrittenCorrectionIsNeverSentAgain(t *testing.T) {
-	for _, class := range []string{ReplyFailed, ReplyGarbage} {
-		c := NewChart(desk(newSnapshot(3, 2)), Inquiry{Kind: Correct, Index: "a", Record: "r"}, 0)
-		a := asks(c.Step(0, Begin{}))
+	for _, class := range []string{ReplyFailed, ReplyInvalid} {
+		m := NewStateMachine(desk(newSnapshot(3, 2)), Request{Kind: KindCorrect, Index: "a", Record: "r"}, 0)
+		a := asks(m.Step(0, Start{}))
 		must.Len(t, 1, a)
-		acts := c.Step(1000, Replied{N: a[0].N, Reply: Reply{Class: class, Why: "reset"}})
+		acts := m.Step(1000, ReplyReceived{Attempt: a[0].Attempt, Reply: Reply{Class: class, Reason: "reset"}})
 		must.SliceEmpty(t, asks(acts))
 		o := outcome(acts)
 		must.NotNil(t, o)
-		must.Eq(t, OutcomeUnknown, o.Code)
+		must.Eq(t, CodeOutcomeUnknown, o.Code)
 		must.Eq(t, "unknown", o.Ran)
 	}
 }
 
 func TestUnwrittenCorrectionGoesElsewhere(t *testing.T) {
 	d := desk(newSnapshot(3, 2))
-	c := NewChart(d, Inquiry{Kind: Correct, Index: "a", Record: "r"}, 0)
-	first := asks(c.Step(0, Begin{}))
-	second := asks(c.Step(1000, Replied{N: 0, Reply: Reply{Class: ReplyNotWritten}}))
+	m := NewStateMachine(d, Request{Kind: KindCorrect, Index: "a", Record: "r"}, 0)
+	first := asks(m.Step(0, Start{}))
+	second := asks(m.Step(1000, ReplyReceived{Attempt: 0, Reply: Reply{Class: ReplyNotWritten}}))
 	must.Len(t, 1, second)
 	must.NotEq(t, first[0].Server.ID, second[0].Server.ID)
-	must.True(t, second[0].Instead, must.Sprint("it adds nothing to the pool's traffic"))
+	must.True(t, second[0].Replacement, must.Sprint("it adds nothing to the pool's traffic"))
 	must.Eq(t, 0, d.Counts.Of("extra_tries").Load())
-	third := asks(c.Step(2000, Replied{N: 1, Reply: Reply{Class: ReplyShed}}))
+	third := asks(m.Step(2000, ReplyReceived{Attempt: 1, Reply: Reply{Class: ReplyRejected}}))
 	must.Len(t, 1, third, must.Sprint("a server's own refusal did not run it"))
-	must.True(t, third[0].Again)
+	must.True(t, third[0].Retry)
 	must.Eq(t, 1, d.Counts.Of("extra_tries").Load())
 }
 
 func TestCorrectionIsNotHedgedAndEndsUnknownAtItsDeadline(t *testing.T) {
-	c := NewChart(desk(newSnapshot(3, 2)), Inquiry{Kind: Part, Index: "a", Record: "r", Deadline: 400_000}, 0)
-	c.Step(0, Begin{})
-	acts := c.Step(200_000, Due{})
+	m := NewStateMachine(desk(newSnapshot(3, 2)), Request{Kind: KindPart, Index: "a", Record: "r", Deadline: 400_000}, 0)
+	m.Step(0, Start{})
+	acts := m.Step(200_000, TimerFired{})
 	must.SliceEmpty(t, asks(acts))
 	must.Nil(t, outcome(acts))
-	o := outcome(c.Step(399_999, Due{}))
+	o := outcome(m.Step(399_999, TimerFired{}))
 	must.NotNil(t, o)
-	must.Eq(t, OutcomeUnknown, o.Code)
+	must.Eq(t, CodeOutcomeUnknown, o.Code)
 }
 
 func TestSearchIsGivenUpAtOnceWhenItCannotReachItsShare(t *testing.T) {
-	c := NewChart(desk(newSnapshot(1, 4)), Inquiry{Kind: Search, Index: "a", Limit: 5}, 0)
-	c.Step(0, Begin{})
-	must.Nil(t, outcome(c.Step(1000, Replied{N: 0, Reply: Reply{Class: ReplyFailed}})), must.Sprint("three of four are still enough"))
-	o := outcome(c.Step(2000, Replied{N: 1, Reply: Reply{Class: ReplyFailed}}))
+	m := NewStateMachine(desk(newSnapshot(1, 4)), Request{Kind: KindSearch, Index: "a", Limit: 5}, 0)
+	m.Step(0, Start{})
+	must.Nil(t, outcome(m.Step(1000, ReplyReceived{Attempt: 0, Reply: Reply{Class: ReplyFailed}})), must.Sprint("three of four are still enough"))
+	o := outcome(m.Step(2000, ReplyReceived{Attempt: 1, Reply: Reply{Class: ReplyFailed}}))
 	must.NotNil(t, o, must.Sprint("two of four never are: no waiting for the deadline"))
-	must.Eq(t, GivenUp, o.Code)
+	must.Eq(t, CodeGivenUp, o.Code)
 	must.Positive(t, o.Retry)
 }
 
 func TestPartialSearchNamesItsMissingShards(t *testing.T) {
-	cp := newSnapshot(1, 4)
-	c := NewChart(desk(cp), Inquiry{Kind: Search, Index: "a", Limit: 3}, 0)
-	a := asks(c.Step(0, Begin{}))
-	var acts []Act
+	snap := newSnapshot(1, 4)
+	m := NewStateMachine(desk(snap), Request{Kind: KindSearch, Index: "a", Limit: 3}, 0)
+	a := asks(m.Step(0, Start{}))
+	var acts []Action
 	for i, v := range a {
 		r := Reply{Class: ReplyOK, Records: []Record{{ID: fmt.Sprint("x", v.Shard), Score: int64(10 + v.Shard)}}}
 		if i == 1 {
 			r = Reply{Class: ReplyFailed}
 		}
-		acts = c.Step(1000, Replied{N: v.N, Reply: r})
+		acts = m.Step(1000, ReplyReceived{Attempt: v.Attempt, Reply: r})
 	}
 	o := outcome(acts)
 	must.NotNil(t, o)
@@ -121,22 +121,22 @@
 }
 
 func TestLeavingAndEmptiedAreNeverPickedEvenInPanic(t *testing.T) {
-	cp := newSnapshot(3, 1)
-	list := cp.Indexes["a"].Shards[0]
+	snap := newSnapshot(3, 1)
+	list := snap.Indexes["a"].Shards[0]
 	list[0].Health, list[1].Health, list[2].Health = snapshot.Draining, snapshot.ZoneDrained, snapshot.Unreachable
 	r := rnd(1)
 	for range 50 {
-		c, ok := pick(cp, cp.Indexes["a"], list, nil, 0, &r)
+		c, ok := selectServer(snap, snap.Indexes["a"], list, nil, 0, &r)
 		must.True(t, ok)
 		must.Eq(t, list[2].ID, c.Server.ID, must.Sprint("the least bad"))
 	}
-	_, ok := pick(cp, cp.Indexes["a"], list, []string{list[2].ID}, 0, &r)
+	_, ok := selectServer(snap, snap.Indexes["a"], list, []string{list[2].ID}, 0, &r)
 	must.False(t, ok)
 }
 
 func TestColdServerIsDrawnAsItsRampAllows(t *testing.T) {
-	cp := newSnapshot(10, 1)
-	list := cp.Indexes["a"].Shards[0]
+	snap := newSnapshot(10, 1)
+	list := snap.Indexes["a"].Shards[0]
 	list[0].Born = 0
 	for _, s := range list {
 		s.Zone = "z0"
@@ -145,7 +145,7 @@
 	for _, at := range []int64{0, 250_000, 500_000} {
 		n := 0
 		for range 20000 {
-			if c, _ := pick(cp, cp.Indexes["a"], list, nil, at, &r); c.Server == list[0] {
+			if c, _ := selectServer(snap, snap.Indexes["a"], list, nil, at, &r); c.Server == list[0] {
 				n++
 			}
 		}
@@ -155,14 +155,14 @@
 }
 
 func TestWhollyColdShardIsServedAtOnce(t *testing.T) {
-	cp := newSnapshot(4, 1)
-	for _, s := range cp.Indexes["a"].Shards[0] {
+	snap := newSnapshot(4, 1)
+	for _, s := range snap.Indexes["a"].Shards[0] {
 		s.Born = 0
 	}
 	r := rnd(7)
 	seen := map[string]int{}
 	for range 4000 {
-		c, ok := pick(cp, cp.Indexes["a"], cp.Indexes["a"].Shards[0], nil, 0, &r)
+		c, ok := selectServer(snap, snap.Indexes["a"], snap.Indexes["a"].Shards[0], nil, 0, &r)
 		must.True(t, ok)
 		seen[c.Server.ID]++
 	}
@@ -174,18 +174,18 @@
 // TestBudgetNeverExceedsAnyTenSeconds has traffic that stops dead now and then,
 // for what was earned before a window began must not be spent within it.
 func TestBudgetNeverExceedsAnyTenSeconds(t *testing.T) {
-	cp := newSnapshot(1, 1)
-	d := desk(cp)
+	snap := newSnapshot(1, 1)
+	d := desk(snap)
 	extras, firsts := map[int64]int64{}, map[int64]int64{}
 	for now := int64(0); now < 90_000_000; now += 10_000 {
 		sec := now / 1_000_000
 		if sec%17 > 12 {
 			continue
 		}
-		d.budgetOf("a").Add(earnedEach, d.bound(cp, now))
+		d.budgetOf("a").Add(earnedPerAttempt, d.maxSaved(snap, now))
 		firsts[sec]++
 		for range 2 {
-			if sec%5 == 4 && d.extra(cp, "a", now) {
+			if sec%5 == 4 && d.takeRetry(snap, "a", now) {
 				extras[sec]++
 			}
 		}
@@ -204,25 +204,25 @@
 }
 
 func TestExplainTellsEveryCandidate(t *testing.T) {
-	cp := newSnapshot(3, 2)
-	cp.Indexes["a"].Shards[0][1].Health = snapshot.Unreachable
-	d := desk(cp)
-	c := NewChart(d, Inquiry{Kind: Search, Index: "a", Limit: 3}, 0)
-	for _, v := range asks(c.Step(0, Begin{})) {
-		c.Step(1000, Replied{N: v.N, Reply: Reply{Class: ReplyOK}})
+	snap := newSnapshot(3, 2)
+	snap.Indexes["a"].Shards[0][1].Health = snapshot.Unreachable
+	d := desk(snap)
+	m := NewStateMachine(d, Request{Kind: KindSearch, Index: "a", Limit: 3}, 0)
+	for _, v := range asks(m.Step(0, Start{})) {
+		m.Step(1000, ReplyReceived{Attempt: v.Attempt, Reply: Reply{Class: ReplyOK}})
 	}
-	tr, ok := d.Traces.Get(c.ID())
+	tr, ok := d.Traces.Get(m.ID())
 	must.True(t, ok)
 	e := Explain(tr, func(*snapshot.Snapshot) string { return "1.1" })
 	must.Len(t, 6, e.Candidates)
 	picked := 0
 	for _, k := range e.Candidates {
-		must.NotEq(t, "", k.Why)
-		if k.Why == "picked" {
+		must.NotEq(t, "", k.Reason)
+		if k.Reason == "picked" {
 			picked++
 		}
 		if k.Server == "s0-1" {
-			must.Eq(t, "condition is lost", k.Why)
+			must.Eq(t, "condition is lost", k.Reason)
 		}
 	}
 	must.Eq(t, 2, picked)
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -11,82 +11,82 @@
 	"wallport/request/snapshot"
 )
 
-const tracesMost = 2048
+const traceSlots = 2048
 
-// Step is one line of a trace.
-type Step struct {
-	At    int64  `json:"at_us"`
-	State State  `json:"state"`
-	Note  string `json:"note,omitempty"`
+// TraceStep is one line of a trace.
+type TraceStep struct {
+	At     int64  `json:"at_us"`
+	State  State  `json:"state"`
+	Detail string `json:"note,omitempty"`
 }
 
-// Pick is one pick of a trace.
-type Pick struct {
-	At     int64    `json:"at_us"`
-	N      int      `json:"n"`
-	Shard  int      `json:"shard"`
-	Server string   `json:"server"`
-	Drawn  []string `json:"drawn"`
-	Tier   string   `json:"tier"`
-	Cold   bool     `json:"cold,omitempty"`
-	Again  bool     `json:"again,omitempty"`
-	Reply  string   `json:"reply,omitempty"`
-	Took   int64    `json:"took_us,omitempty"`
+// TraceSelection is one pick of a trace.
+type TraceSelection struct {
+	At        int64    `json:"at_us"`
+	Attempt   int      `json:"n"`
+	Shard     int      `json:"shard"`
+	Server    string   `json:"server"`
+	Sampled   []string `json:"drawn"`
+	Tier      string   `json:"tier"`
+	WarmingUp bool     `json:"cold,omitempty"`
+	Retry     bool     `json:"again,omitempty"`
+	Reply     string   `json:"reply,omitempty"`
+	Latency   int64    `json:"took_us,omitempty"`
 }
 
 // Trace is what is kept of one inquiry.
 type Trace struct {
-	ID      string  `json:"inquiry"`
-	Kind    string  `json:"kind"`
-	Index   string  `json:"index"`
-	Record  string  `json:"record,omitempty"`
-	Began   int64   `json:"-"`
-	Steps   []Step  `json:"steps"`
-	Picks   []Pick  `json:"picks"`
-	Outcome Outcome `json:"-"`
-	Took    int64   `json:"took_us"`
-	cp      *snapshot.Snapshot
+	ID         string           `json:"inquiry"`
+	Kind       string           `json:"kind"`
+	Index      string           `json:"index"`
+	Record     string           `json:"record,omitempty"`
+	StartedAt  int64            `json:"-"`
+	Steps      []TraceStep      `json:"steps"`
+	Selections []TraceSelection `json:"picks"`
+	Outcome    Outcome          `json:"-"`
+	Latency    int64            `json:"took_us"`
+	snapshot   *snapshot.Snapshot
 }
 
-func newTrace(id string, in *Inquiry, now int64) *Trace {
-	return &Trace{ID: id, Kind: in.Kind, Index: in.Index, Record: in.Record, Began: now, Steps: make([]Step, 0, 12)}
+func newTrace(id string, in *Request, now int64) *Trace {
+	return &Trace{ID: id, Kind: in.Kind, Index: in.Index, Record: in.Record, StartedAt: now, Steps: make([]TraceStep, 0, 12)}
 }
 
 func (t *Trace) add(now int64, s State, note string) {
-	t.Steps = append(t.Steps, Step{At: now - t.Began, State: s, Note: note})
+	t.Steps = append(t.Steps, TraceStep{At: now - t.StartedAt, State: s, Detail: note})
 }
 
-func (t *Trace) pick(now int64, n, shard int, c Choice, again bool) {
-	t.Picks = append(t.Picks, Pick{
-		At: now - t.Began, N: n, Shard: shard, Server: c.Server.ID, Drawn: c.Drawn, Tier: c.Tier, Cold: c.Cold, Again: again,
+func (t *Trace) selected(now int64, n, shard int, c Selection, again bool) {
+	t.Selections = append(t.Selections, TraceSelection{
+		At: now - t.StartedAt, Attempt: n, Shard: shard, Server: c.Server.ID, Sampled: c.Sampled, Tier: c.Tier, WarmingUp: c.WarmingUp, Retry: again,
 	})
 }
 
-func (t *Trace) reply(now int64, n int, r Reply) {
-	if n < len(t.Picks) {
-		p := &t.Picks[n]
-		p.Reply, p.Took = r.Class, now-t.Began-p.At
-		if r.Why != "" {
-			p.Reply += ": " + r.Why
+func (t *Trace) replied(now int64, n int, r Reply) {
+	if n < len(t.Selections) {
+		p := &t.Selections[n]
+		p.Reply, p.Latency = r.Class, now-t.StartedAt-p.At
+		if r.Reason != "" {
+			p.Reply += ": " + r.Reason
 		}
 	}
 }
 
-// Traces is the ring.
-type Traces struct {
-	ring [tracesMost]atomic.Pointer[Trace]
+// TraceRing is the ring.
+type TraceRing struct {
+	ring [traceSlots]atomic.Pointer[Trace]
 }
 
-func newTraces() *Traces { return &Traces{} }
+func newTraceRing() *TraceRing { return &TraceRing{} }
 
 func slotOf(id string) (uint64, bool) {
 	i := strings.LastIndexByte(id, '-')
 	n, err := strconv.ParseUint(id[i+1:], 16, 64)
-	return n % tracesMost, i >= 0 && err == nil
+	return n % traceSlots, i >= 0 && err == nil
 }
 
-func (r *Traces) put(t *Trace, now int64, o Outcome) {
-	t.Took = now - t.Began
+func (r *TraceRing) put(t *Trace, now int64, o Outcome) {
+	t.Latency = now - t.StartedAt
 	o.Records = nil
 	t.Outcome = o
 	if i, ok := slotOf(t.ID); ok {
@@ -95,7 +95,7 @@
 }
 
 // Get finds a trace that is still kept.
-func (r *Traces) Get(id string) (*Trace, bool) {
+func (r *TraceRing) Get(id string) (*Trace, bool) {
 	i, ok := slotOf(id)
 	if !ok {
 		return nil, false
@@ -109,37 +109,37 @@
 
 // Candidate is a server as it stood when the inquiry was decided.
 type Candidate struct {
-	Shard   int    `json:"shard"`
-	Server  string `json:"server"`
-	Zone    string `json:"zone"`
-	Verdict string `json:"verdict"`
-	Warm    int64  `json:"warm_thousandths"`
-	Why     string `json:"why"`
+	Shard             int    `json:"shard"`
+	Server            string `json:"server"`
+	Zone              string `json:"zone"`
+	Health            string `json:"verdict"`
+	WarmthThousandths int64  `json:"warm_thousandths"`
+	Reason            string `json:"why"`
 }
 
-// Explained is the answer of explain.
-type Explained struct {
+// Explanation is the answer of explain.
+type Explanation struct {
 	*Trace
-	Stamp      string      `json:"stamp"`
-	Cut        string      `json:"cut"`
+	Version    string      `json:"stamp"`
+	ShardMap   string      `json:"cut"`
 	Outcome    Outcome     `json:"outcome"`
 	Candidates []Candidate `json:"candidates"`
 }
 
 // Explain tells a trace with the candidates of every shard it picked for.
-func Explain(t *Trace, stamp func(*snapshot.Snapshot) string) Explained {
-	e := Explained{Trace: t, Outcome: t.Outcome, Candidates: []Candidate{}}
-	if t.cp == nil {
+func Explain(t *Trace, stamp func(*snapshot.Snapshot) string) Explanation {
+	e := Explanation{Trace: t, Outcome: t.Outcome, Candidates: []Candidate{}}
+	if t.snapshot == nil {
 		return e
 	}
-	e.Stamp = stamp(t.cp)
-	x := t.cp.Indexes[t.Index]
+	e.Version = stamp(t.snapshot)
+	x := t.snapshot.Indexes[t.Index]
 	if x == nil {
 		return e
 	}
-	e.Cut = x.Cut.Name
+	e.ShardMap = x.Cut.Name
 	shards := map[int]bool{}
-	for _, p := range t.Picks {
+	for _, p := range t.Selections {
 		shards[p.Shard] = true
 	}
 	for shard, servers := range x.Shards {
@@ -154,19 +154,19 @@
 }
 
 func candidate(t *Trace, shard int, s *snapshot.Server, x *snapshot.Index) Candidate {
-	c := Candidate{Shard: shard, Server: s.ID, Zone: s.Zone, Verdict: snapshot.HealthStateNames[s.Health], Warm: s.SlowStartShare(t.Began, x.Service.RampUs)}
-	c.Why = "in the draw, not drawn"
+	c := Candidate{Shard: shard, Server: s.ID, Zone: s.Zone, Health: snapshot.HealthStateNames[s.Health], WarmthThousandths: s.SlowStartShare(t.StartedAt, x.Service.RampUs)}
+	c.Reason = "in the draw, not drawn"
 	if s.Health != snapshot.Healthy {
-		c.Why = "condition is " + c.Verdict
+		c.Reason = "condition is " + c.Health
 	}
-	for _, p := range t.Picks {
+	for _, p := range t.Selections {
 		switch {
-		case p.Server == s.ID && p.Again:
-			c.Why = "picked for a re-ask"
+		case p.Server == s.ID && p.Retry:
+			c.Reason = "picked for a re-ask"
 		case p.Server == s.ID:
-			c.Why = "picked"
-		case p.Shard == shard && (p.Drawn[0] == s.ID || p.Drawn[1] == s.ID) && c.Why[0] == 'i':
-			c.Why = "drawn, the other cost less"
+			c.Reason = "picked"
+		case p.Shard == shard && (p.Sampled[0] == s.ID || p.Sampled[1] == s.ID) && c.Reason[0] == 'i':
+			c.Reason = "drawn, the other cost less"
 		}
 	}
 	return c
