--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -97,8 +97,8 @@
 	p := newProcess(0)
 	for i, name := range []string{"c", "b", "d"} {
 		row := wire.Member{Name: name, Role: "core"}
-		e := &wire.Entry{Type: "member", Body: wire.Encode(&row)}
-		p.m.Step(&kernel.Context{Now: p.now, Counts: p.k.Counts}, mesh.Stored{Entry: e, Origin: fmt.Sprint(i)})
+		entry := &wire.Entry{Type: "member", Body: wire.Encode(&row)}
+		p.m.Step(&kernel.Context{Now: p.now, Counts: p.k.Counts}, mesh.Stored{Entry: entry, Origin: fmt.Sprint(i)})
 	}
 	var names string
 	for _, r := range p.m.All(p.now) {
--- a/cluster/mesh/antientropy.go
+++ b/cluster/mesh/antientropy.go
@@ -1,49 +1,50 @@
-// Catching up. Heartbeats carry one digest over all that a process holds. Where two
-// differ, one side sends the sums of its buckets, the other its marks of those that
-// differ, the first its own marks of the same, and each sends what the other lacks.
-// What is sent at a time is bounded; the next heartbeat shows what is still missing.
-
 package mesh
 
 import (
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of catching up.
+// Constants of anti-entropy.
 const (
-	// DigestBuckets of origins; the bit beyond them stands for the partitions.
+	// DigestBuckets is the number of buckets into which origins are hashed. In a scope, the bit
+	// beyond them stands for the partitions.
 	DigestBuckets = 63
 	partitionsBit = 1 << DigestBuckets
 	allBuckets    = ^uint64(0)
-	// SyncInterval is the least time between two askings of one peer, and how long an asking of
-	// one holds back those of others.
-	SyncInterval = 400_000
-	// SyncRetryInterval is the least time between two askings of one peer that brings what is lacking.
-	SyncRetryInterval = 60_000
-	// QuietPeriod is how long nothing must have changed before two digests are compared at their
-	// first difference: what is new is under way by itself.
-	QuietPeriod = 300_000
-	// MaxSyncBytes bounds what is sent on one frame of marks, in bytes.
+	// SyncInterval is the least time between two requests to one peer, and between requests to
+	// different peers.
+	SyncInterval = 400 * clock.Millisecond
+	// SyncIntervalReceiving takes the place of SyncInterval while a large message is being
+	// received, which may be what differs.
+	SyncIntervalReceiving = 4 * clock.Second
+	// SyncRetryInterval is the least time between two requests to one peer that sends entries.
+	SyncRetryInterval = 60 * clock.Millisecond
+	// QuietPeriod is how long the store must have been unchanged before the first difference from
+	// a peer's digest causes a request: what is new is likely to be on its way already.
+	QuietPeriod = 300 * clock.Millisecond
+	// MaxSyncBytes bounds what is sent in reply to one message of summaries.
 	MaxSyncBytes = 96 << 10
-	// SyncIntervalReceiving takes the place of SyncInterval while a large message comes in: that may be what differs.
-	SyncIntervalReceiving = 4_000_000
-	// SyncBytesPerSecond bounds it for all peers together, in bytes a second.
+	// SyncBytesPerSecond bounds what is sent to all peers together.
 	SyncBytesPerSecond = 512 << 10
 )
 
-// syncState is how far a process has caught up with a peer.
+// syncState is the progress of anti-entropy with one peer.
 type syncState struct {
-	requestedAt int64
-	// differed is that the last heartbeat already showed another digest.
+	requestedAt clock.Micros
+	// differed says that the peer's last heartbeat already had a different digest.
 	differed bool
-	// progressed is that something came by catching up since the last asking; again that another
-	// asking is due.
+	// progressed says that an entry came by anti-entropy since the last request, retryDue that a
+	// timer for another request is set.
 	progressed, retryDue bool
-	// syncedLocal and theirs are two digests of which it is known that neither side lacks anything.
+	// syncedLocal and syncedRemote are two different digests of which it is known that neither side
+	// lacks an entry.
 	syncedLocal, syncedRemote uint64
 }
 
+// digest returns the sum over the store that heartbeats carry; it is never 0, which stands for no
+// digest.
 func (m *Mesh) digest() uint64 {
 	d := mix(m.store.versionsHash) | 1
 	for _, b := range m.store.buckets {
@@ -52,19 +53,21 @@
 	return d | 1
 }
 
+// bucketBit returns the bit of an origin's bucket in a scope.
 func bucketBit(fp string) uint64 { return 1 << (hash(fp) % DigestBuckets) }
 
-// compareDigest looks at a peer's digest, and does what its frame asks for.
-func (m *Mesh) compareDigest(ctx *kernel.Context, p *peerConn, hb *wire.Heartbeat) {
+// compareDigest handles the anti-entropy part of a heartbeat: a digest alone, a digest with bucket
+// sums, or the summaries of some buckets.
+func (m *Mesh) compareDigest(ctx *kernel.Context, peer *peerConn, hb *wire.Heartbeat) {
 	mine := m.digest()
 	switch {
 	case hb.Scope != 0:
-		m.handleWatermarks(ctx, p, hb)
+		m.handleSummaries(ctx, peer, hb)
 	case hb.Digest == mine:
-		p.differed = false
+		peer.differed = false
 		m.markInSync(ctx)
 		if hb.Echo {
-			ctx.SendLatest(p.conn, wire.KindHeartbeat, &wire.Heartbeat{Digest: mine}, "answer")
+			ctx.SendLatest(peer.conn, wire.KindHeartbeat, &wire.Heartbeat{Digest: mine}, "answer")
 		}
 	case len(hb.Buckets) == DigestBuckets:
 		scope := uint64(partitionsBit)
@@ -73,112 +76,117 @@
 				scope |= 1 << i
 			}
 		}
-		m.sendWatermarks(ctx, p, scope, true)
+		m.sendSummaries(ctx, peer, scope, true)
 	default:
-		m.digestDiffers(ctx, p, hb.Digest)
+		m.digestDiffers(ctx, peer, hb.Digest)
 	}
 }
 
-// digestDiffers asks a peer whose digest is another, unless what differs is still under way, or
-// is known to be of no use to either.
-func (m *Mesh) digestDiffers(ctx *kernel.Context, p *peerConn, theirs uint64) {
-	first := !p.differed
-	p.differed = true
+// digestDiffers requests anti-entropy from a peer with a different digest, unless the difference is
+// known to be of no use to either side or is probably being sent already.
+func (m *Mesh) digestDiffers(ctx *kernel.Context, peer *peerConn, theirs uint64) {
+	first := !peer.differed
+	peer.differed = true
 	switch {
-	case p.syncedLocal == m.digest() && p.syncedRemote == theirs:
+	case peer.syncedLocal == m.digest() && peer.syncedRemote == theirs:
 	case first && ctx.Now-m.changedAt < QuietPeriod:
-	case ctx.Now-p.requestedAt < SyncInterval || ctx.Now-m.syncRequestedAt < SyncInterval:
+	case ctx.Now-peer.requestedAt < SyncInterval || ctx.Now-m.syncRequestedAt < SyncInterval:
 	case m.k.ReceivingAny() && ctx.Now-m.syncRequestedAt < SyncIntervalReceiving:
 	default:
-		m.requestSync(ctx, p)
+		m.requestSync(ctx, peer)
 	}
 }
 
-// requestSync sends the sums of the buckets.
-func (m *Mesh) requestSync(ctx *kernel.Context, p *peerConn) {
-	p.requestedAt, m.syncRequestedAt, p.progressed, p.retryDue = ctx.Now, ctx.Now, false, false
+// requestSync sends the bucket sums, to which the peer replies with the summaries of the buckets
+// that differ.
+func (m *Mesh) requestSync(ctx *kernel.Context, peer *peerConn) {
+	peer.requestedAt, m.syncRequestedAt, peer.progressed, peer.retryDue = ctx.Now, ctx.Now, false, false
 	ctx.Counts.Add("mesh_asked", 1)
-	hb := &wire.Heartbeat{Addrs: m.sampleAddrs(ctx, p.zone, greetingAddrs), Digest: m.digest(), Buckets: m.store.buckets[:], Echo: true}
-	ctx.SendLatest(p.conn, wire.KindHeartbeat, hb, "buckets")
+	hb := &wire.Heartbeat{Addrs: m.sampleAddrs(ctx, peer.zone, greetingAddrs), Digest: m.digest(), Buckets: m.store.buckets[:], Echo: true}
+	ctx.SendLatest(peer.conn, wire.KindHeartbeat, hb, "buckets")
 }
 
-// handleWatermarks takes the marks of some buckets: what the other side lacks of them is sent, and, if
-// it asks, then this side's marks, so that whoever has read them has all.
-func (m *Mesh) handleWatermarks(ctx *kernel.Context, p *peerConn, hb *wire.Heartbeat) {
+// handleSummaries sends the entries that the peer lacks according to its summaries. If the peer
+// asks for it, this side's summaries follow the entries, so that a peer that has read them has
+// read all.
+func (m *Mesh) handleSummaries(ctx *kernel.Context, peer *peerConn, hb *wire.Heartbeat) {
 	theirs := make(map[string]wire.OriginSummary, len(hb.Summaries))
-	for _, mk := range hb.Summaries {
-		theirs[mk.Origin] = mk
+	for _, summary := range hb.Summaries {
+		theirs[summary.Origin] = summary
 	}
 	left := min(MaxSyncBytes, m.syncAllowance(ctx.Now))
 	was := left
 	for _, fp := range sortedKeys(m.store.origins) {
 		if left > 0 && hb.Scope&bucketBit(fp) != 0 {
-			left -= m.sendMissingEntries(ctx, p, m.store.origins[fp], theirs[fp], left)
+			left -= m.sendMissingEntries(ctx, peer, m.store.origins[fp], theirs[fp], left)
 		}
 	}
-	left -= m.sendMissingVersions(ctx, p, hb.Partitions)
+	left -= m.sendMissingVersions(ctx, peer, hb.Partitions)
 	m.syncTokens -= was - left
 	lacks := m.isBehind(hb)
 	if !lacks {
 		m.markInSync(ctx)
 		if left == was {
-			p.syncedLocal, p.syncedRemote = m.digest(), hb.Digest
+			peer.syncedLocal, peer.syncedRemote = m.digest(), hb.Digest
 		}
 	}
 	switch {
 	case hb.Echo:
-		m.sendWatermarks(ctx, p, hb.Scope, lacks)
-	case lacks && p.progressed && !p.legacy:
-		m.requestSyncSoon(ctx, p)
+		m.sendSummaries(ctx, peer, hb.Scope, lacks)
+	case lacks && peer.progressed && !peer.legacy:
+		m.requestSyncSoon(ctx, peer)
 	}
 }
 
-// requestSyncSoon asks a peer for what one round did not bring, not at once but soon: while a flood
-// goes on, something is always lacking.
-func (m *Mesh) requestSyncSoon(ctx *kernel.Context, p *peerConn) {
-	wait := p.requestedAt + SyncRetryInterval - ctx.Now
+// requestSyncSoon makes another request to a peer whose last reply was not complete, no sooner than
+// SyncRetryInterval after the last: during a flood something is always missing.
+func (m *Mesh) requestSyncSoon(ctx *kernel.Context, peer *peerConn) {
+	wait := peer.requestedAt + SyncRetryInterval - ctx.Now
 	switch {
 	case wait <= 0:
-		m.requestSync(ctx, p)
-	case !p.retryDue:
-		p.retryDue = true
-		ctx.After(wait, "mesh", "again")
+		m.requestSync(ctx, peer)
+	case !peer.retryDue:
+		peer.retryDue = true
+		ctx.After(wait, pluginName, timerSyncRetry)
 	}
 }
 
-// requestDueSyncs asks the peers that are due to be asked again.
+// requestDueSyncs sends the requests of requestSyncSoon that are due.
 func (m *Mesh) requestDueSyncs(ctx *kernel.Context) {
 	for _, id := range sortedKeys(m.peers) {
-		if p := m.peers[id]; p.retryDue && ctx.Now >= p.requestedAt+SyncRetryInterval {
-			m.requestSync(ctx, p)
+		if peer := m.peers[id]; peer.retryDue && ctx.Now >= peer.requestedAt+SyncRetryInterval {
+			m.requestSync(ctx, peer)
 		}
 	}
 }
 
-func (m *Mesh) sendWatermarks(ctx *kernel.Context, p *peerConn, scope uint64, echo bool) {
+// sendSummaries sends, for each origin of the buckets in scope, its highest count and its sum, and
+// the versions of all partitions. With echo set, the peer replies with its own.
+func (m *Mesh) sendSummaries(ctx *kernel.Context, peer *peerConn, scope uint64, echo bool) {
 	hb := &wire.Heartbeat{Digest: m.digest(), Scope: scope, Echo: echo, Partitions: m.versions()}
 	for _, fp := range sortedKeys(m.store.origins) {
-		if o := m.store.origins[fp]; scope&bucketBit(fp) != 0 && o.maxCount > 0 {
-			hb.Summaries = append(hb.Summaries, wire.OriginSummary{Origin: fp, Max: o.maxCount, Sum: o.sum})
+		if origin := m.store.origins[fp]; scope&bucketBit(fp) != 0 && origin.maxCount > 0 {
+			hb.Summaries = append(hb.Summaries, wire.OriginSummary{Origin: fp, Max: origin.maxCount, Sum: origin.sum})
 		}
 	}
 	ctx.Counts.Add("mesh_marks_out", int64(len(hb.Summaries)))
-	ctx.Send(p.conn, wire.KindHeartbeat, 0, hb)
+	ctx.Send(peer.conn, wire.KindHeartbeat, 0, hb)
 }
 
-// markInSync notes that nothing is lacking here that a peer has.
+// markInSync records that a peer has nothing that this process lacks.
 func (m *Mesh) markInSync(ctx *kernel.Context) {
 	m.inSync = true
 	ctx.Emit(CaughtUp{})
 }
 
-// syncAllowance is how much may be sent to those that catch up, in bytes.
-func (m *Mesh) syncAllowance(now int64) int {
-	m.syncTokens = min(SyncBytesPerSecond, m.syncTokens+int((now-m.syncTokensAt)*SyncBytesPerSecond/1_000_000))
+// syncAllowance refills the token bucket of anti-entropy and returns how many bytes may be sent.
+func (m *Mesh) syncAllowance(now clock.Micros) int {
+	m.syncTokens = min(SyncBytesPerSecond, m.syncTokens+int((now-m.syncTokensAt)*SyncBytesPerSecond/clock.Second))
 	m.syncTokensAt = now
 	return max(0, m.syncTokens)
 }
 
+// versions returns the versions of all partitions, by partition.
 func (m *Mesh) versions() []wire.Version {
 	out := make([]wire.Version, 0, len(m.store.partitions))
 	for _, partition := range sortedKeys(m.store.partitions) {
@@ -187,63 +195,65 @@
 	return out
 }
 
-// sendMissingVersions sends the versions that the other side lacks. Of a large one it is told, and asks for it
-// unless another already sends it.
-func (m *Mesh) sendMissingVersions(ctx *kernel.Context, p *peerConn, theirs []wire.Version) (sent int) {
+// sendMissingVersions sends the versions that a peer lacks and returns their size in bytes. Of a
+// large version it sends a notice, so that the peer requests it only if no other process is sending
+// it.
+func (m *Mesh) sendMissingVersions(ctx *kernel.Context, peer *peerConn, theirs []wire.Version) (sent int) {
 	stamps := map[int]wire.Version{}
 	for _, s := range theirs {
 		stamps[s.Partition] = s
 	}
 	for _, partition := range sortedKeys(m.store.partitions) {
-		e := m.store.partitions[partition]
-		if s, ok := stamps[partition]; !ok || Newer(e.Version, s) {
-			if isLarge(e) {
-				m.sendNotice(ctx, p.conn, e)
+		entry := m.store.partitions[partition]
+		if s, ok := stamps[partition]; !ok || Newer(entry.Version, s) {
+			if isLarge(entry) {
+				m.sendNotice(ctx, peer.conn, entry)
 				continue
 			}
 			ctx.Counts.Add("mesh_caught_up", 1)
-			sent += m.send(ctx, p.conn, e, bySync)
+			sent += m.send(ctx, peer.conn, entry, bySync)
 		}
 	}
 	return sent
 }
 
-// isBehind reports whether the other side holds something that this one does not.
+// isBehind reports whether a peer's summaries show an entry or a version that this process lacks.
 func (m *Mesh) isBehind(hb *wire.Heartbeat) bool {
-	for _, mk := range hb.Summaries {
-		if mk.Origin == m.self || mk.Max == 0 {
+	for _, summary := range hb.Summaries {
+		if summary.Origin == m.self || summary.Max == 0 {
 			continue
 		}
-		if _, dead := m.store.forgotten[mk.Origin]; dead {
+		if _, dead := m.store.forgotten[summary.Origin]; dead {
 			continue
 		}
-		o := m.store.origins[mk.Origin]
-		if o == nil || o.sum != mk.Sum && o.maxCount <= mk.Max {
+		origin := m.store.origins[summary.Origin]
+		if origin == nil || origin.sum != summary.Sum && origin.maxCount <= summary.Max {
 			return true
 		}
 	}
 	for _, s := range hb.Partitions {
-		if e, ok := m.store.partitions[s.Partition]; !ok || Newer(s, e.Version) {
+		if entry, ok := m.store.partitions[s.Partition]; !ok || Newer(s, entry.Version) {
 			return true
 		}
 	}
 	return false
 }
 
-// sendMissingEntries sends what the other side lacks of an origin: what is past its counter, or, where
-// the counters agree and the sums do not, everything.
-func (m *Mesh) sendMissingEntries(ctx *kernel.Context, p *peerConn, o *originState, theirs wire.OriginSummary, most int) (sent int) {
-	if o.sum == theirs.Sum || len(o.entries) == 0 || o.maxCount < theirs.Max {
+// sendMissingEntries sends the entries of an origin that a peer lacks, most bytes at most, and
+// returns their size: those above the peer's highest count or, if the counts are equal and the sums
+// are not, all. An origin of which the peer has a higher count is left to the peer.
+func (m *Mesh) sendMissingEntries(ctx *kernel.Context, peer *peerConn, origin *originState, theirs wire.OriginSummary, most int) (sent int) {
+	if origin.sum == theirs.Sum || len(origin.entries) == 0 || origin.maxCount < theirs.Max {
 		return 0
 	}
 	from := theirs.Max
-	if o.maxCount == theirs.Max {
+	if origin.maxCount == theirs.Max {
 		from = 0
 	}
-	for _, key := range sortedKeys(o.entries) {
-		if e := o.entries[key]; e.Count > from && sent < most {
+	for _, key := range sortedKeys(origin.entries) {
+		if entry := origin.entries[key]; entry.Count > from && sent < most {
 			ctx.Counts.Add("mesh_caught_up", 1)
-			sent += m.send(ctx, p.conn, e, bySync)
+			sent += m.send(ctx, peer.conn, entry, bySync)
 		}
 	}
 	return sent
--- a/cluster/mesh/fleet_test.go
+++ b/cluster/mesh/fleet_test.go
@@ -116,7 +116,7 @@
 	began := f.now
 	f.until(1_000_000, func() bool {
 		for _, p := range f.procs {
-			if o := p.m.store.origins[told.m.self]; o == nil || o.entries["listing\x00l"] == nil {
+			if origin := p.m.store.origins[told.m.self]; origin == nil || origin.entries["listing\x00l"] == nil {
 				return false
 			}
 		}
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -1,6 +1,3 @@
-// The way of an announcement through a receiver: seen-set, signature, origin,
-// hop bound, store, forward. The signature covers all but itself and the hops.
-
 package mesh
 
 import (
@@ -10,69 +7,129 @@
 	"wallport/runtime/wire"
 )
 
-// Which frames of an entry are news and which come of catching up; the number travels in the
-// envelope. What was caught up with is passed on only by those that had all before: to the
-// neighbours of a process that has just come it is nothing new.
+// deliveryPath tells by which mechanism an entry travelled. It is the message id in the frame's
+// envelope.
+//
+// An entry that came by anti-entropy is flooded on only by a process that was in sync before. To
+// the neighbours of a process that has just joined it is not new.
+type deliveryPath uint64
+
 const (
-	byFlood uint64 = 0
-	bySync  uint64 = 1
+	byFlood deliveryPath = 0
+	bySync  deliveryPath = 1
 )
 
-func signedBytes(e *wire.Entry) []byte {
-	c := *e
+// signedBytes returns what an entry's signature covers: everything but the signature and the hop
+// count, which changes on the way.
+func signedBytes(entry *wire.Entry) []byte {
+	c := *entry
 	c.Sig, c.Hops = nil, 0
 	return wire.Encode(&c)
 }
 
-func sign(e *wire.Entry, key kernel.Key) { e.Sig = ed25519.Sign(key.Private, signedBytes(e)) }
+func sign(entry *wire.Entry, key kernel.Key) {
+	entry.Sig = ed25519.Sign(key.Private, signedBytes(entry))
+}
+
+// handleMessage handles a frame of the mesh.
+func (m *Mesh) handleMessage(ctx *kernel.Context, v kernel.Message) {
+	peer := m.peers[v.Conn]
+	if peer == nil {
+		ctx.Counts.Add("mesh_dropped_stranger", 1)
+		return
+	}
+	peer.lastSeen = ctx.Now
+	switch v.Kind {
+	case wire.KindHeartbeat:
+		var hb wire.Heartbeat
+		if wire.Decode(v.Body, &hb) != nil {
+			m.dropMalformed(ctx, peer, "heartbeat")
+			return
+		}
+		ctx.Counts.Add("mesh_heartbeats_in", 1)
+		m.handleHeartbeat(ctx, peer, &hb)
+	case wire.KindGossip:
+		m.handleGossip(ctx, peer, v)
+	case wire.KindNotice:
+		var n wire.Notice
+		if wire.Decode(v.Body, &n) != nil {
+			m.dropMalformed(ctx, peer, "notice")
+			return
+		}
+		m.handleNotice(ctx, peer, n)
+	}
+}
+
+// handleGossip handles the frame of an entry. A frame whose entry was seen before is not decoded
+// again.
+func (m *Mesh) handleGossip(ctx *kernel.Context, peer *peerConn, v kernel.Message) {
+	ctx.Counts.Add("mesh_entries_in", 1)
+	frame := m.seen.frameHash(v.Body)
+	if key, ok := m.seen.entryOfFrame(frame, ctx.Now); ok {
+		m.dropDuplicate(ctx, peer, key)
+		return
+	}
+	entry := new(wire.Entry)
+	if wire.Decode(v.Body, entry) != nil {
+		m.dropMalformed(ctx, peer, "entry")
+		return
+	}
+	m.handleEntry(ctx, peer, entry, deliveryPath(v.ID))
+	m.seen.addFrame(frame, seenKey(entry))
+}
 
-func (m *Mesh) handleEntry(ctx *kernel.Context, p *peerConn, e *wire.Entry, delivery uint64) {
-	k := seenKey(e)
+// handleEntry checks an entry that came from a peer, stores it and floods it. The checks are in the
+// order of the source: seen-set, signature, origin, hop bound. The rate limit follows. An entry
+// that is dropped for its rate is not added to the seen-set, so that anti-entropy can bring it
+// later.
+func (m *Mesh) handleEntry(ctx *kernel.Context, peer *peerConn, entry *wire.Entry, delivery deliveryPath) {
+	k := seenKey(entry)
 	if m.seen.has(k, ctx.Now) {
-		m.dropDuplicate(ctx, p, k)
+		m.dropDuplicate(ctx, peer, k)
 		return
 	}
-	if len(e.Origin) != ed25519.PublicKeySize || !ed25519.Verify(e.Origin, signedBytes(e), e.Sig) {
+	if len(entry.Origin) != ed25519.PublicKeySize || !ed25519.Verify(entry.Origin, signedBytes(entry), entry.Sig) {
 		ctx.Counts.Add("mesh_dropped_signature", 1)
-		ctx.Log(kernel.LevelWarn, "mesh_signature", "peer", p.key, "type", e.Type, "id", e.ID)
+		ctx.Log(kernel.LevelWarn, "mesh_signature", "peer", peer.key, "type", entry.Type, "id", entry.ID)
 		return
 	}
-	fp := kernel.Fingerprint(e.Origin)
-	if !m.checkOrigin(ctx, e, fp) {
+	fp := kernel.Fingerprint(entry.Origin)
+	if !m.checkOrigin(ctx, entry, fp) {
 		return
 	}
-	if e.Hops >= MaxHops {
+	if entry.Hops >= MaxHops {
 		ctx.Counts.Add("mesh_dropped_hops", 1)
 		return
 	}
-	o := m.store.origin(fp, ctx.Now)
-	if o == nil || !o.takeToken(ctx.Now) {
+	origin := m.store.origin(fp, ctx.Now)
+	if origin == nil || !origin.takeToken(ctx.Now) {
 		ctx.Counts.Add("mesh_dropped_rate", 1)
 		return
 	}
 	m.seen.add(k, ctx.Now)
-	if !m.storeEntry(ctx, e, fp) {
+	if !m.storeEntry(ctx, entry, fp) {
 		ctx.Counts.Add("mesh_dropped_old", 1)
 		return
 	}
-	p.progressed = p.progressed || delivery == bySync
-	m.observeEntry(ctx, o, e)
-	ctx.Emit(Stored{Entry: e, Origin: fp})
+	peer.progressed = peer.progressed || delivery == bySync
+	m.observeEntry(ctx, origin, entry)
+	ctx.Emit(Stored{Entry: entry, Origin: fp})
 	if delivery == byFlood || m.inSync {
-		m.flood(ctx, e, p.conn)
+		m.flood(ctx, entry, peer.conn)
 	}
 }
 
-// checkOrigin is the origin check. An entry's id belongs to the origin that signed
-// it, for its key is part of the id; a process's word about itself must come
-// under its own key; and nobody may speak with this process's key.
-func (m *Mesh) checkOrigin(ctx *kernel.Context, e *wire.Entry, fp string) bool {
-	if fp == m.self || (e.Type == "member" || e.Type == "links") && e.ID != fp {
+// checkOrigin reports whether the signer may announce an entry, and counts it as dropped otherwise.
+// A process may describe only itself, and nobody may use this process's key. Entries of a forgotten
+// origin are dropped until a higher heartbeat or a link shows that the origin is back: a peer that
+// has not forgotten it yet must not restore it.
+func (m *Mesh) checkOrigin(ctx *kernel.Context, entry *wire.Entry, fp string) bool {
+	if fp == m.self || (entry.Type == EntryMember || entry.Type == EntryLinks) && entry.ID != fp {
 		ctx.Counts.Add("mesh_dropped_origin", 1)
 		return false
 	}
-	if g, dead := m.store.forgotten[fp]; dead && e.Type != "part" {
-		if o := m.store.origins[fp]; o == nil || o.heartbeat <= g.heartbeat {
+	if g, dead := m.store.forgotten[fp]; dead && entry.Type != EntryPartition {
+		if origin := m.store.origins[fp]; origin == nil || origin.heartbeat <= g.heartbeat {
 			ctx.Counts.Add("mesh_dropped_buried", 1)
 			return false
 		}
@@ -80,42 +137,79 @@
 	return true
 }
 
-func (m *Mesh) storeEntry(ctx *kernel.Context, e *wire.Entry, fp string) bool {
+// storeEntry stores an entry and reports whether it was newer than the stored one.
+func (m *Mesh) storeEntry(ctx *kernel.Context, entry *wire.Entry, fp string) bool {
 	m.changedAt = ctx.Now
-	if e.Type != "part" {
-		return m.store.put(e, fp, ctx.Now)
+	if entry.Type != EntryPartition {
+		return m.store.put(entry, fp, ctx.Now)
 	}
-	return m.store.putVersion(e)
+	return m.store.putVersion(entry)
+}
+
+// observeEntry updates the mesh's own state from an entry that was stored.
+func (m *Mesh) observeEntry(ctx *kernel.Context, origin *originState, entry *wire.Entry) {
+	if len(entry.Body) > NoticeThreshold {
+		n := noticeOf(entry)
+		n.Want = true
+		delete(m.requests, n)
+	}
+	switch entry.Type {
+	case EntryLinks:
+		m.handleLinks(ctx, origin, entry)
+	case EntryMember:
+		row := new(wire.Member)
+		if wire.Decode(entry.Body, row) == nil {
+			origin.member = row
+		}
+	}
+}
+
+// dropDuplicate counts an entry that was seen before, and does not forward it to the peer that sent
+// it.
+func (m *Mesh) dropDuplicate(ctx *kernel.Context, peer *peerConn, key uint64) {
+	ctx.Counts.Add("mesh_dropped_seen", 1)
+	if peer.outbox.remove(key) {
+		ctx.Counts.Add("mesh_forwards_spared", 1)
+	}
+}
+
+// dropMalformed closes the connection of a peer that sent a frame that cannot be decoded.
+func (m *Mesh) dropMalformed(ctx *kernel.Context, peer *peerConn, what string) {
+	ctx.Counts.Add("mesh_dropped_malformed", 1)
+	ctx.Log(kernel.LevelWarn, "mesh_malformed", "what", what, "peer", peer.key)
+	ctx.Drop(peer.conn)
 }
 
-func (m *Mesh) flood(ctx *kernel.Context, e *wire.Entry, except uint64) {
-	if e.Hops+1 > MaxHops {
+// flood sends an entry, or a notice of a large one, to all peers but the one on connection except.
+func (m *Mesh) flood(ctx *kernel.Context, entry *wire.Entry, except uint64) {
+	if entry.Hops+1 > MaxHops {
 		return
 	}
-	if len(e.Body) <= NoticeThreshold {
-		m.forward(ctx, e, except)
+	if len(entry.Body) <= NoticeThreshold {
+		m.forward(ctx, entry, except)
 		return
 	}
 	for _, id := range sortedKeys(m.peers) {
 		if id != except {
-			m.sendNotice(ctx, id, e)
+			m.sendNotice(ctx, id, entry)
 		}
 	}
 }
 
-// send gives the size of the frame that it sends.
-func (m *Mesh) send(ctx *kernel.Context, ch uint64, e *wire.Entry, delivery uint64) int {
-	c := *e
+// send sends an entry and returns the size of its frame in bytes.
+func (m *Mesh) send(ctx *kernel.Context, conn uint64, entry *wire.Entry, delivery deliveryPath) int {
+	c := *entry
 	c.Hops++
 	ctx.Counts.Add("mesh_entries_out", 1)
-	s := kernel.Send{Conn: ch, Data: wire.Seal(wire.KindGossip, delivery, &c), ReplaceKey: replaceKey(e)}
+	s := kernel.Send{Conn: conn, Data: wire.Seal(wire.KindGossip, uint64(delivery), &c), ReplaceKey: replaceKey(entry)}
 	ctx.Output.Sends = append(ctx.Output.Sends, s)
 	return len(s.Data)
 }
 
-func replaceKey(e *wire.Entry) string {
-	if e.Type == "part" {
-		return "part\x00" + string(rune(e.Version.Partition))
+// replaceKey names the entries of which only the newest need stay in a connection's queue.
+func replaceKey(entry *wire.Entry) string {
+	if entry.Type == EntryPartition {
+		return "part\x00" + string(rune(entry.Version.Partition))
 	}
-	return entryKey(e) + "\x00" + string(e.Origin)
+	return entryKey(entry) + "\x00" + string(entry.Origin)
 }
--- a/cluster/mesh/heartbeat.go
+++ b/cluster/mesh/heartbeat.go
@@ -1,37 +1,33 @@
-// Heartbeats keep channels alive, carry peer addresses, and a digest from which each
-// side sees whether the other holds the same. Processes of the release before carry
-// instead a mark of every origin, with its signed beat; while one of them is there, all do.
-
 package mesh
 
 import (
 	"crypto/ed25519"
-	"encoding/binary"
 
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
+// sendHeartbeats evaluates the links, forgets origins, and sends a heartbeat to each peer.
 func (m *Mesh) sendHeartbeats(ctx *kernel.Context) {
-	ctx.After(HeartbeatInterval, "mesh", "beat")
+	ctx.After(HeartbeatInterval, pluginName, timerHeartbeat)
 	self := m.store.origins[m.self]
 	self.heartbeat++
 	self.heartbeatAt = ctx.Now
 	for _, id := range sortedKeys(m.peers) {
-		p := m.peers[id]
-		if p == nil {
-			// Given up since the loop began.
+		peer := m.peers[id]
+		if peer == nil {
+			// losePeer may close connections other than the one that it is called for.
 			continue
 		}
-		silent := ctx.Now - p.lastSeen
+		silence := ctx.Now - peer.lastSeen
 		switch {
-		case silent > PeerTimeout:
+		case silence > PeerTimeout:
 			ctx.Counts.Add("mesh_peers_silent", 1)
-			m.losePeer(ctx, p)
+			m.losePeer(ctx, peer)
 			ctx.Drop(id)
-		case silent > HeartbeatInterval && silent < LivenessTimeout:
-			// At its moment, not at the next beat.
-			ctx.After(LivenessTimeout-silent, "mesh", "links")
+		case silence > HeartbeatInterval && silence < LivenessTimeout:
+			// Evaluate the link when the time-out expires, not at the next heartbeat.
+			ctx.After(LivenessTimeout-silence, pluginName, timerLinks)
 		}
 	}
 	m.updateLinks(ctx)
@@ -50,107 +46,41 @@
 	ctx.Emit(LivenessUpdated{})
 }
 
-// forgetUnreachable drops those that nobody has reached for long, and what was taken back long ago.
+// forgetUnreachable drops the entries of origins that were not live for ForgetAfter, and tombstones
+// that have expired.
 func (m *Mesh) forgetUnreachable(ctx *kernel.Context) {
 	for _, fp := range sortedKeys(m.store.origins) {
-		o := m.store.origins[fp]
-		o.pruneTombstones(ctx.Now)
+		origin := m.store.origins[fp]
+		origin.pruneTombstones(ctx.Now)
 		if m.Live(fp, ctx.Now) {
-			o.lastLive = ctx.Now
+			origin.lastLive = ctx.Now
 		}
-		if ctx.Now-max(o.lastLive, o.heartbeatAt) > ForgetAfter {
+		if ctx.Now-max(origin.lastLive, origin.heartbeatAt) > ForgetAfter {
 			m.store.forget(fp, ctx.Now)
 			ctx.Emit(Forgotten{Origin: fp})
 		}
 	}
 }
 
-// hasLegacyProcesses tells that processes of the release before are there, which know of no digests.
-func (m *Mesh) hasLegacyProcesses() bool {
-	for _, p := range m.peers {
-		if p.legacy {
-			return true
-		}
-	}
-	for _, o := range m.store.origins {
-		if o.reached && o.member != nil && o.member.Mesh < Release {
-			return true
-		}
-	}
-	return false
-}
-
-// legacyHeartbeat is a heartbeat as the release before sends it.
-func (m *Mesh) legacyHeartbeat() *wire.Heartbeat {
-	hb := &wire.Heartbeat{Addrs: m.knownAddrs(), Partitions: m.versions(), Digest: m.digest(), Scope: allBuckets}
-	for _, fp := range sortedKeys(m.store.origins) {
-		o := m.store.origins[fp]
-		if o.heartbeat == 0 {
-			continue
-		}
-		hb.Summaries = append(hb.Summaries, wire.OriginSummary{Origin: fp, Max: o.maxCount, Sum: o.sum, Heartbeat: o.heartbeat, Key: o.key, Sig: o.sig})
-	}
-	return hb
-}
-
-func (m *Mesh) handleHeartbeat(ctx *kernel.Context, p *peerConn, hb *wire.Heartbeat) {
+// handleHeartbeat handles a peer's heartbeat. Without a digest it is one of release 1 and carries
+// the summaries of all origins.
+func (m *Mesh) handleHeartbeat(ctx *kernel.Context, peer *peerConn, hb *wire.Heartbeat) {
 	for _, a := range hb.Addrs {
 		m.addAddr(a)
 	}
-	for _, mk := range hb.Summaries {
-		m.applySignedHeartbeat(ctx, p.key, mk)
+	for _, summary := range hb.Summaries {
+		m.applySignedHeartbeat(ctx, peer.key, summary)
 	}
-	if p.legacy = hb.Digest == 0; !p.legacy {
-		m.compareDigest(ctx, p, hb)
+	if peer.legacy = hb.Digest == 0; !peer.legacy {
+		m.compareDigest(ctx, peer, hb)
 		return
 	}
-	whole := *hb
-	whole.Scope, whole.Echo = allBuckets, false
-	m.handleWatermarks(ctx, p, &whole)
+	complete := *hb
+	complete.Scope, complete.Echo = allBuckets, false
+	m.handleSummaries(ctx, peer, &complete)
 	if hb.Echo {
-		// After what was lacking, on the same channel: whoever reads this has all.
-		ctx.Send(p.conn, wire.KindHeartbeat, 0, m.legacyHeartbeat())
-	}
-}
-
-func (m *Mesh) applySignedHeartbeat(ctx *kernel.Context, from string, mk wire.OriginSummary) {
-	if mk.Origin == m.self || mk.Heartbeat == 0 {
-		return
-	}
-	if g, dead := m.store.forgotten[mk.Origin]; dead && mk.Heartbeat <= g.heartbeat {
-		return
-	}
-	if o := m.store.origins[mk.Origin]; o != nil && mk.Heartbeat <= o.heartbeat {
-		return
-	}
-	if !m.verifySignedHeartbeat(mk) {
-		ctx.Counts.Add("mesh_dropped_beat", 1)
-		return
-	}
-	o := m.store.origin(mk.Origin, ctx.Now)
-	if o == nil {
-		return
-	}
-	first := o.heartbeat == 0
-	o.heartbeat, o.heartbeatAt, o.key, o.sig = mk.Heartbeat, ctx.Now, mk.Key, mk.Sig
-	if first && mk.Origin != from {
-		// Heard of from another: it may be long gone, and counts once its beat rises.
-		o.heartbeatAt = ctx.Now - LivenessTimeout
-	}
-	delete(m.store.forgotten, mk.Origin)
-}
-
-// signedHeartbeatText is what an origin signs of each beat. The count binds it: it is signed when
-// it is due and raises nothing a second time.
-func signedHeartbeatText(beat uint64) []byte {
-	return binary.BigEndian.AppendUint64([]byte("wallport beat "), beat)
-}
-
-// verifySignedHeartbeat reports whether the origin itself came to a beat. Releases before 2 did not sign
-// them; while a fleet is upgraded from one, a setting lets those pass.
-func (m *Mesh) verifySignedHeartbeat(mk wire.OriginSummary) bool {
-	if len(mk.Sig) == 0 {
-		return m.k.Boot.Settings.UnsignedHeartbeats
+		// Sent after the missing entries on the same connection, so that a peer that reads it has
+		// received all of them.
+		ctx.Send(peer.conn, wire.KindHeartbeat, 0, m.legacyHeartbeat())
 	}
-	return len(mk.Key) == ed25519.PublicKeySize && kernel.Fingerprint(mk.Key) == mk.Origin && ed25519.Verify(mk.Key, signedHeartbeatText(mk.Heartbeat), mk.Sig)
 }
--- a/cluster/mesh/heartbeat_test.go
+++ b/cluster/mesh/heartbeat_test.go
@@ -12,49 +12,49 @@
 	"wallport/runtime/wire"
 )
 
-func (r *rig) heartbeat(mk wire.OriginSummary) {
-	r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Summaries: []wire.OriginSummary{mk}})})
+func (r *rig) heartbeat(summary wire.OriginSummary) {
+	r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Summaries: []wire.OriginSummary{summary}})})
 }
 
-func watermark(k kernel.Key, beat uint64) wire.OriginSummary {
+func summary(k kernel.Key, beat uint64) wire.OriginSummary {
 	return wire.OriginSummary{Origin: kernel.Fingerprint(k.Public), Heartbeat: beat, Key: k.Public, Sig: ed25519.Sign(k.Private, signedHeartbeatText(beat))}
 }
 
 func TestHeartbeatOfDeadOriginCannotBeForgedOrReplayed(t *testing.T) {
 	r := newRig(t)
 	dead := kernel.Fingerprint(key(3).Public)
-	r.heartbeat(watermark(key(3), 4))
+	r.heartbeat(summary(key(3), 4))
 	must.False(t, r.m.Live(dead, r.now), must.Sprint("heard of from another, it may be long gone"))
-	r.heartbeat(watermark(key(3), 5))
+	r.heartbeat(summary(key(3), 5))
 	must.True(t, r.m.Live(dead, r.now))
 	r.now += LivenessTimeout + 1
-	forged := map[string]wire.OriginSummary{"the same again": watermark(key(3), 5), "an older one": watermark(key(3), 4)}
-	raised := watermark(key(3), 5)
+	forged := map[string]wire.OriginSummary{"the same again": summary(key(3), 5), "an older one": summary(key(3), 4)}
+	raised := summary(key(3), 5)
 	raised.Heartbeat = 6
 	forged["raised by a peer"] = raised
 	raised.Sig, raised.Key = nil, nil
 	forged["not signed"] = raised
-	other := watermark(key(2), 6)
+	other := summary(key(2), 6)
 	other.Origin = dead
 	forged["signed by another"] = other
-	for name, mk := range forged {
-		r.heartbeat(mk)
+	for name, summary := range forged {
+		r.heartbeat(summary)
 		must.False(t, r.m.Live(dead, r.now), must.Sprint(name))
 	}
 	must.Eq(t, 3, r.count("mesh_dropped_beat"))
-	r.heartbeat(watermark(key(3), 6))
+	r.heartbeat(summary(key(3), 6))
 	must.True(t, r.m.Live(dead, r.now), must.Sprint("its own next one"))
 }
 
 func TestUnsignedHeartbeatsAcceptedOnlyDuringUpgrade(t *testing.T) {
 	r := newRig(t)
-	mk := watermark(key(3), 5)
-	mk.Key, mk.Sig = nil, nil
-	r.heartbeat(mk)
-	must.False(t, r.m.Live(mk.Origin, r.now))
+	summary := summary(key(3), 5)
+	summary.Key, summary.Sig = nil, nil
+	r.heartbeat(summary)
+	must.False(t, r.m.Live(summary.Origin, r.now))
 	r.k.Boot.Settings.UnsignedHeartbeats = true
-	r.heartbeat(mk)
-	mk.Heartbeat++
-	r.heartbeat(mk)
-	must.True(t, r.m.Live(mk.Origin, r.now))
+	r.heartbeat(summary)
+	summary.Heartbeat++
+	r.heartbeat(summary)
+	must.True(t, r.m.Live(summary.Origin, r.now))
 }
--- a/cluster/mesh/large_test.go
+++ b/cluster/mesh/large_test.go
@@ -102,7 +102,7 @@
 	for i := range uint64(5) {
 		conn := 20 + i
 		r.feed(kernel.ConnUp{Conn: conn, Addr: fmt.Sprintf("10.0.1.%d:1", i), Peer: kernel.Fingerprint(key(byte(40 + i)).Public), Mesh: true})
-		want := wire.Notice{Type: "part", Version: at, Want: true}
+		want := wire.Notice{Type: EntryPartition, Version: at, Want: true}
 		for _, s := range r.feed(kernel.Received{Conn: conn, Data: wire.Seal(wire.KindNotice, 0, &want)}).Sends {
 			if wire.KindOf(s.Data) == wire.KindChunk {
 				served[s.Conn] = true
--- a/cluster/mesh/links.go
+++ b/cluster/mesh/links.go
@@ -1,6 +1,3 @@
-// Links: each process tells whom it hears directly, and whom it has ceased to hear. That
-// is told when it changes and flooded; from it every process works out who is reached.
-
 package mesh
 
 import (
@@ -8,50 +5,58 @@
 	"slices"
 	"strings"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of links.
+// Constants of links.
 const (
-	// LinkGracePeriod is how long a link outlives its channel, which may be opened again.
-	LinkGracePeriod = 700_000
-	// LinkBatchDelay and LinkAnnounceInterval are how long a new link waits for others to be told with it: since
-	// it came, and since the last telling. LossAnnounceInterval is the latter for a link that is lost.
-	LinkBatchDelay       = 100_000
-	LinkAnnounceInterval = 1_000_000
-	LossAnnounceInterval = 100_000
-	// MaxLostLinks bounds those that are told to be lost.
+	// LinkGracePeriod is how long a link outlives its connection, which may be opened again.
+	LinkGracePeriod = 700 * clock.Millisecond
+	// LinkBatchDelay is how long a new link waits for others to be announced with it.
+	LinkBatchDelay = 100 * clock.Millisecond
+	// LinkAnnounceInterval is the least time between two announcements of new links,
+	// LossAnnounceInterval that before the announcement of a lost one.
+	LinkAnnounceInterval = 1 * clock.Second
+	LossAnnounceInterval = 100 * clock.Millisecond
+	// MaxLostLinks bounds the lost links in one announcement.
 	MaxLostLinks = 64
+
+	// fingerprintBytes is the length of a fingerprint in an entry.
+	fingerprintBytes = 8
+	// lostSeparator stands between the current and the lost peers in linkState.announced.
+	lostSeparator = "|"
 )
 
-// closedConn is a channel that has ended: when it did, when its peer was last heard, and the
-// highest count known of it then.
+// closedConn is a closed connection: when it was closed, when its peer was last heard, and the
+// highest count of the peer's entries at that moment.
 type closedConn struct {
-	closedAt, lastSeen int64
+	closedAt, lastSeen clock.Micros
 	maxCount           uint64
 }
 
-// linkState is what a process tells of its own.
+// linkState is what this process announces of its links.
 type linkState struct {
 	current     []string
 	announced   string
-	announcedAt int64
-	changedAt   int64
+	announcedAt clock.Micros
+	changedAt   clock.Micros
 	lost        map[string]uint64
-	announceDue int64
+	announceDue clock.Micros
 	closed      map[string]closedConn
 	reannounce  bool
 }
 
-// directPeers lists those that are heard directly, in order.
+// directPeers returns the sorted fingerprints of the processes that are heard directly, those of
+// recently closed connections included.
 func (m *Mesh) directPeers(ctx *kernel.Context) []string {
 	var out []string
 	open := map[string]bool{}
-	for _, p := range m.peers {
-		open[p.key] = true
-		if ctx.Now-p.lastSeen < LivenessTimeout {
-			out = append(out, p.key)
+	for _, peer := range m.peers {
+		open[peer.key] = true
+		if ctx.Now-peer.lastSeen < LivenessTimeout {
+			out = append(out, peer.key)
 		}
 	}
 	for fp, e := range m.links.closed {
@@ -69,19 +74,19 @@
 	return out
 }
 
-// suspectPeer tells of one that fell silent and has said nothing since by any way.
+// suspectPeer suspects a lost peer that has announced nothing since the loss.
 func (m *Mesh) suspectPeer(fp string, count uint64) {
-	if o := m.store.origins[fp]; o != nil && o.maxCount <= count && len(m.links.lost) < MaxLostLinks {
+	if origin := m.store.origins[fp]; origin != nil && origin.maxCount <= count && len(m.links.lost) < MaxLostLinks {
 		m.links.lost[fp] = count
 	}
 }
 
-// updateLinks looks at the own links, tells them if they changed and works out who is reached.
+// updateLinks evaluates the own links and announces them if they changed.
 func (m *Mesh) updateLinks(ctx *kernel.Context) {
 	was := m.links.current
 	m.links.current = m.directPeers(ctx)
 	for fp, count := range m.links.lost {
-		if o := m.store.origins[fp]; o == nil || o.maxCount > count || slices.Contains(m.links.current, fp) {
+		if origin := m.store.origins[fp]; origin == nil || origin.maxCount > count || slices.Contains(m.links.current, fp) {
 			delete(m.links.lost, fp)
 		}
 	}
@@ -91,9 +96,9 @@
 	m.announceLinks(ctx)
 }
 
-// hasLoss reports whether something that was told is no longer so, or a member fell silent since.
+// hasLoss reports whether an announced link is gone or a peer was lost since the last announcement.
 func (l *linkState) hasLoss() bool {
-	peers, lost, _ := strings.Cut(l.announced, "|")
+	peers, lost, _ := strings.Cut(l.announced, lostSeparator)
 	for _, fp := range strings.Fields(peers) {
 		if !slices.Contains(l.current, fp) {
 			return true
@@ -107,33 +112,46 @@
 	return false
 }
 
-// announceLinks tells the own links, a loss soon and a gain together with others.
+// announceLinks announces the own links if they changed: a loss soon, a new link together with
+// others.
 func (m *Mesh) announceLinks(ctx *kernel.Context) {
-	l := &m.links
-	now := strings.Join(l.current, " ") + "|" + strings.Join(sortedKeys(l.lost), " ")
-	if now == l.announced && !l.reannounce {
-		l.changedAt = 0
+	own := &m.links
+	current := strings.Join(own.current, " ") + lostSeparator + strings.Join(sortedKeys(own.lost), " ")
+	if current == own.announced && !own.reannounce {
+		own.changedAt = 0
 		return
 	}
-	if l.changedAt == 0 {
-		l.changedAt = ctx.Now
-	}
-	at := max(l.announcedAt+LinkAnnounceInterval, l.changedAt+LinkBatchDelay)
-	if l.reannounce || l.hasLoss() {
-		at = l.announcedAt + LossAnnounceInterval
+	if own.changedAt == 0 {
+		own.changedAt = ctx.Now
 	}
-	if l.announcedAt == 0 {
-		at = l.changedAt + LinkBatchDelay
-	}
-	if ctx.Now < at {
-		if l.announceDue == 0 || at < l.announceDue {
-			l.announceDue = at
-			ctx.After(at-ctx.Now, "mesh", "links")
+	if at := own.nextAnnounce(); ctx.Now < at {
+		if own.announceDue == 0 || at < own.announceDue {
+			own.announceDue = at
+			ctx.After(at-ctx.Now, pluginName, timerLinks)
 		}
 		return
 	}
-	l.announceDue, l.changedAt, l.announced, l.announcedAt, l.reannounce = 0, 0, now, ctx.Now, false
-	body := wire.Links{}
+	own.announceDue, own.changedAt, own.announced, own.announcedAt, own.reannounce = 0, 0, current, ctx.Now, false
+	ctx.Counts.Add("mesh_links_told", 1)
+	body := own.entryBody()
+	m.Announce(ctx, EntryLinks, m.self, wire.Encode(&body), false)
+}
+
+// nextAnnounce returns when the changed links are to be announced.
+func (l *linkState) nextAnnounce() clock.Micros {
+	switch {
+	case l.announcedAt == 0:
+		return l.changedAt + LinkBatchDelay
+	case l.reannounce || l.hasLoss():
+		return l.announcedAt + LossAnnounceInterval
+	default:
+		return max(l.announcedAt+LinkAnnounceInterval, l.changedAt+LinkBatchDelay)
+	}
+}
+
+// entryBody encodes the links as they are announced.
+func (l *linkState) entryBody() wire.Links {
+	var body wire.Links
 	for _, fp := range l.current {
 		b, _ := hex.DecodeString(fp)
 		body.Peers = append(body.Peers, b...)
@@ -141,30 +159,30 @@
 	for _, fp := range sortedKeys(l.lost) {
 		body.Suspects = append(body.Suspects, wire.Suspect{Origin: fp, Count: l.lost[fp]})
 	}
-	ctx.Counts.Add("mesh_links_told", 1)
-	m.Announce(ctx, "links", m.self, wire.Encode(&body), false)
+	return body
 }
 
-// handleLinks takes in what another tells of its links.
-func (m *Mesh) handleLinks(ctx *kernel.Context, o *originState, e *wire.Entry) {
-	var l wire.Links
-	if wire.Decode(e.Body, &l) != nil || len(l.Peers)%8 != 0 || len(l.Peers) > 8*MaxLinks || len(l.Suspects) > MaxLostLinks {
+// handleLinks handles the links that another process announced.
+func (m *Mesh) handleLinks(ctx *kernel.Context, origin *originState, entry *wire.Entry) {
+	var links wire.Links
+	if wire.Decode(entry.Body, &links) != nil || len(links.Peers)%fingerprintBytes != 0 || len(links.Peers) > fingerprintBytes*MaxLinks || len(links.Suspects) > MaxLostLinks {
 		ctx.Counts.Add("mesh_dropped_malformed", 1)
 		return
 	}
-	o.links = o.links[:0]
-	for i := 0; i < len(l.Peers); i += 8 {
-		fp := hex.EncodeToString(l.Peers[i : i+8])
-		o.links = append(o.links, fp)
+	origin.links = origin.links[:0]
+	for i := 0; i < len(links.Peers); i += fingerprintBytes {
+		fp := hex.EncodeToString(links.Peers[i : i+fingerprintBytes])
+		origin.links = append(origin.links, fp)
 		m.store.restore(fp)
 	}
-	for _, s := range l.Suspects {
+	for _, s := range links.Suspects {
 		m.handleSuspicion(ctx, s)
 	}
 	m.scheduleReach(ctx)
 }
 
-// handleSuspicion takes note of one that another has lost. This process itself says that it is there.
+// handleSuspicion handles the suspicion of a process by another. If this process is suspected, it
+// refutes that by announcing its links with a new count.
 func (m *Mesh) handleSuspicion(ctx *kernel.Context, s wire.Suspect) {
 	if s.Origin == m.self {
 		if s.Count >= m.count {
@@ -174,8 +192,8 @@
 		}
 		return
 	}
-	if o := m.store.origins[s.Origin]; o != nil && s.Count >= o.maxCount && s.Count > o.suspectCount {
-		o.suspectCount, o.suspectedAt = s.Count, ctx.Now
-		ctx.After(SuspicionTimeout, "mesh", "reach")
+	if origin := m.store.origins[s.Origin]; origin != nil && s.Count >= origin.maxCount && s.Count > origin.suspectCount {
+		origin.suspectCount, origin.suspectedAt = s.Count, ctx.Now
+		ctx.After(SuspicionTimeout, pluginName, timerReach)
 	}
 }
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -1,62 +1,89 @@
-// Package mesh floods signed announcements between all processes of a fleet
-// and keeps what each origin last said. It is the gossip mesh of AgentDNS with
-// four things added: order, catch-up, flood limits and many origins per id.
-// Nothing on a request's path waits for it; docs/mesh.md tells the reasons.
 package mesh
 
 import (
 	"crypto/ed25519"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of the mesh; docs/mesh.md says how they were come by.
+// Constants of the protocol. docs/mesh.md gives the reasons for their values.
 const (
-	MaxHops           = 16
-	MaxPeers          = 15
-	HeartbeatInterval = 1_000_000
-	PeerTimeout       = 4_000_000
-	LivenessTimeout   = 3_500_000
-	ForgetAfter       = 30_000_000
-	SeedInterval      = 30_000_000
-	MinBackoff        = 500_000
-	MaxBackoff        = 5_000_000
-	MaxSeedBackoff    = 1_000_000
-	SeenTTL           = 60_000_000
-	MaxSeen           = 1 << 16
-	OriginRate        = 30
-	OriginBurst       = 256
-	MaxAddrs          = 512
-	// Release is that of the mesh's messages; 1 and before carried every origin's beat.
+	// MaxHops bounds how often an entry is forwarded.
+	MaxHops = 16
+	// MaxPeers bounds the open mesh connections of a process.
+	MaxPeers = 15
+	// HeartbeatInterval is the time between two heartbeats on a connection.
+	HeartbeatInterval = 1 * clock.Second
+	// LivenessTimeout is how long after its last message a peer still counts as live.
+	LivenessTimeout = 3500 * clock.Millisecond
+	// PeerTimeout is how long after its last message a peer's connection is closed. It exceeds
+	// LivenessTimeout, so that a short pause does not tear the overlay apart.
+	PeerTimeout = 4 * clock.Second
+	// ForgetAfter is how long an origin must be unreachable before its entries are dropped.
+	ForgetAfter = 30 * clock.Second
+	// SeedInterval is the time between two dials of every seed that is not connected.
+	SeedInterval = 30 * clock.Second
+	// MinBackoff and MaxBackoff bound the wait between two dials of one address, MaxSeedBackoff
+	// that of a seed.
+	MinBackoff     = 500 * clock.Millisecond
+	MaxBackoff     = 5 * clock.Second
+	MaxSeedBackoff = 1 * clock.Second
+	// SeenTTL and MaxSeen bound the seen-set by time and by number.
+	SeenTTL = 60 * clock.Second
+	MaxSeen = 1 << 16
+	// OriginRate and OriginBurst limit the entries that are accepted of one origin, in entries a
+	// second and entries.
+	OriginRate  = 30
+	OriginBurst = 256
+	// MaxAddrs bounds the addresses that are remembered for dialling.
+	MaxAddrs = 512
+	// Release is the release of the mesh's messages. Releases up to 1 carried every origin's signed
+	// heartbeat; see legacy.go.
 	Release = 2
 )
 
-// Stored is emitted when an entry newer than what was held has been taken in.
+const pluginName = "mesh"
+
+// Keys of the mesh's timers.
+const (
+	timerHeartbeat = "beat"
+	timerReach     = "reach"
+	timerLinks     = "links"
+	timerForward   = "forward"
+	timerSyncRetry = "again"
+	timerDial      = "dial"
+)
+
+// Stored is emitted when an entry has been stored, which it is only if it is newer than the one
+// stored before. Local says that this process announced it.
 type Stored struct {
 	Entry  *wire.Entry
 	Origin string
 	Local  bool
 }
 
-// Forgotten is emitted when an origin has been silent so long that its entries are dropped.
+// Forgotten is emitted when an origin was unreachable for ForgetAfter and its entries were dropped.
 type Forgotten struct{ Origin string }
 
-// CaughtUp is emitted when a peer's marks show nothing that this process lacks.
+// CaughtUp is emitted when a peer's digest or summaries show nothing that this process lacks.
 type CaughtUp struct{}
 
-// LivenessUpdated is emitted once a heartbeat, after liveness was judged anew.
+// LivenessUpdated is emitted with each heartbeat and whenever the set of reachable origins has
+// changed.
 type LivenessUpdated struct{}
 
+// peerConn is an open mesh connection and the peer at its other end.
 type peerConn struct {
 	conn     uint64
 	addr     string
 	zone     string
 	key      string
 	dialed   bool
-	since    int64
-	lastSeen int64
-	// legacy is that it speaks the messages of the release before.
+	since    clock.Micros
+	lastSeen clock.Micros
+	// legacy says that the peer speaks the protocol of release 1.
 	legacy bool
 	syncState
 	outbox outbox
@@ -64,35 +91,34 @@
 
 // Mesh is the plug-in.
 type Mesh struct {
-	k        *kernel.Kernel
-	self     string
-	addr     string
-	count    uint64
-	peers    map[uint64]*peerConn
-	store    store
-	seen     *seenSet
-	dials    map[string]*dialState
-	lastSeed int64
-	seeds    []string
-	links    linkState
-	requests map[wire.Notice]entryRequest
-	// turn counts the changes of who is reached.
-	turn            uint64
+	k    *kernel.Kernel
+	self string
+	addr string
+	// count is that of this process's newest entry.
+	count           uint64
+	peers           map[uint64]*peerConn
+	store           store
+	seen            *seenSet
+	dials           map[string]*dialState
+	lastSeed        clock.Micros
+	seeds           []string
+	links           linkState
+	requests        map[wire.Notice]entryRequest
 	reachScheduled  bool
-	startedAt       int64
-	lastReach       int64
+	startedAt       clock.Micros
+	lastReach       clock.Micros
 	reachGeneration uint64
-	// legacy is that a process of the release before is there.
+	// legacy says that a process of release 1 was there at the last heartbeat.
 	legacy bool
-	// inSync is that this process has once had all that a peer had, since its start or thaw.
+	// inSync says that this process has had all that one peer had, since its start or thaw.
 	inSync          bool
-	changedAt       int64
-	syncRequestedAt int64
+	changedAt       clock.Micros
+	syncRequestedAt clock.Micros
 	syncTokens      int
-	syncTokensAt    int64
-	prunedAt        int64
-	// forwardedAt is when entries were last forwarded; stopping that none may wait any more.
-	forwardedAt      int64
+	syncTokensAt    clock.Micros
+	prunedAt        clock.Micros
+	// forwardedAt is when entries were last forwarded. A process that is stopping forwards at once.
+	forwardedAt      clock.Micros
 	forwardScheduled bool
 	stopping         bool
 }
@@ -103,7 +129,7 @@
 	}})
 }
 
-// New makes the mesh of one process.
+// New returns the mesh of one process.
 func New(k *kernel.Kernel) *Mesh {
 	m := &Mesh{
 		k: k, self: kernel.Fingerprint(k.Boot.Key.Public), addr: k.Boot.Settings.Mesh,
@@ -115,21 +141,21 @@
 	return m
 }
 
-// Name is the plug-in's name.
-func (m *Mesh) Name() string { return "mesh" }
+// Name returns the plug-in's name.
+func (m *Mesh) Name() string { return pluginName }
 
-// Kinds are the frames that it takes.
+// Kinds returns the kinds of the frames that the mesh handles.
 func (m *Mesh) Kinds() []uint8 { return []uint8{wire.KindHeartbeat, wire.KindGossip, wire.KindNotice} }
 
-// Self is the fingerprint of this process's key.
+// Self returns the fingerprint of this process's key.
 func (m *Mesh) Self() string { return m.self }
 
-// Step takes one input.
+// Step handles one input of the kernel.
 func (m *Mesh) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
 		m.start(ctx)
-		ctx.After(ctx.Rand.Int64N(HeartbeatInterval), "mesh", "beat")
+		ctx.After(ctx.Rand.Int64N(HeartbeatInterval), pluginName, timerHeartbeat)
 	case kernel.Tick:
 		m.tick(ctx, v.Key)
 	case kernel.SeedsChanged:
@@ -154,33 +180,34 @@
 
 func (m *Mesh) tick(ctx *kernel.Context, key string) {
 	switch key {
-	case "beat":
+	case timerHeartbeat:
 		m.sendHeartbeats(ctx)
-	case "reach":
+	case timerReach:
 		m.reachScheduled = false
 		m.updateReachability(ctx)
-	case "links":
+	case timerLinks:
 		m.links.announceDue = 0
 		m.updateLinks(ctx)
-	case "forward":
+	case timerForward:
 		m.forwardScheduled = false
 		m.flushAll(ctx)
-	case "again":
+	case timerSyncRetry:
 		m.requestDueSyncs(ctx)
-	case "dial":
+	case timerDial:
 		m.maintainLinks(ctx)
 	}
 }
 
-// thawed: what happened meanwhile is asked for; how long others were silent counts from now on.
-func (m *Mesh) thawed(ctx *kernel.Context, gap int64) {
-	for _, p := range m.peers {
-		p.lastSeen = ctx.Now
+// thawed handles that the process was frozen for a span: the time counts towards no time-out, and
+// every peer is asked for what was missed.
+func (m *Mesh) thawed(ctx *kernel.Context, gap clock.Micros) {
+	for _, peer := range m.peers {
+		peer.lastSeen = ctx.Now
 	}
-	for _, o := range m.store.origins {
-		o.heartbeatAt += gap
-		o.lastLive += gap
-		o.suspectedAt += gap
+	for _, origin := range m.store.origins {
+		origin.heartbeatAt += gap
+		origin.lastLive += gap
+		origin.suspectedAt += gap
 	}
 	m.inSync = false
 	for _, id := range sortedKeys(m.peers) {
@@ -194,31 +221,31 @@
 	}
 }
 
-// Peers counts the open mesh channels.
+// Peers returns the number of open mesh connections.
 func (m *Mesh) Peers() int { return len(m.peers) }
 
-// Partition gives the newest version of a partition that the mesh has brought.
+// Partition returns the newest version of a partition, and whether there is one.
 func (m *Mesh) Partition(partition int) (wire.Versioned, bool) {
-	e, ok := m.store.partitions[partition]
+	entry, ok := m.store.partitions[partition]
 	if !ok {
 		return wire.Versioned{}, false
 	}
-	return wire.Versioned{Version: e.Version, Body: e.Body}, true
+	return wire.Versioned{Version: entry.Version, Body: entry.Body}, true
 }
 
-// Each visits the held entries of a type.
-func (m *Mesh) Each(typ string, f func(e *wire.Entry, origin string)) {
+// Each calls f for the stored entries of a type, by origin and then by id.
+func (m *Mesh) Each(typ string, f func(entry *wire.Entry, origin string)) {
 	for _, fp := range sortedKeys(m.store.origins) {
-		o := m.store.origins[fp]
-		for _, key := range sortedKeys(o.entries) {
-			if e := o.entries[key]; e.Type == typ && !e.Tombstone {
-				f(e, fp)
+		origin := m.store.origins[fp]
+		for _, key := range sortedKeys(origin.entries) {
+			if entry := origin.entries[key]; entry.Type == typ && !entry.Tombstone {
+				f(entry, fp)
 			}
 		}
 	}
 }
 
-// Newer reports whether version a comes after b.
+// Newer reports whether version a comes after version b.
 func Newer(a, b wire.Version) bool {
 	return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq
 }
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
@@ -22,7 +23,7 @@
 type rig struct {
 	k   *kernel.Kernel
 	m   *Mesh
-	now int64
+	now clock.Micros
 }
 
 func newRig(t testing.TB) *rig {
@@ -35,14 +36,14 @@
 
 func (r *rig) feed(in kernel.Input) kernel.Output { return r.k.Step(r.now, r.now, in) }
 
-func (r *rig) gossip(e *wire.Entry) kernel.Output {
-	return r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindGossip, 0, e)})
+func (r *rig) gossip(stored *wire.Entry) kernel.Output {
+	return r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindGossip, 0, stored)})
 }
 
 func entry(k kernel.Key, typ, id string, count uint64) *wire.Entry {
-	e := &wire.Entry{Type: typ, ID: id, Origin: k.Public, Count: count, At: int64(count), Body: []byte("x")}
-	sign(e, k)
-	return e
+	stored := &wire.Entry{Type: typ, ID: id, Origin: k.Public, Count: count, At: int64(count), Body: []byte("x")}
+	sign(stored, k)
+	return stored
 }
 
 func (r *rig) count(name string) int64 { return r.k.Counts.Of(name).Load() }
@@ -67,9 +68,9 @@
 		count string
 	}{
 		"bad signature": {func(*rig) *wire.Entry {
-			e := entry(key(2), "opinion", "s1", 1)
-			e.Body = []byte("y")
-			return e
+			stored := entry(key(2), "opinion", "s1", 1)
+			stored.Body = []byte("y")
+			return stored
 		}, "mesh_dropped_signature"},
 		"no origin": {func(*rig) *wire.Entry { return &wire.Entry{Type: "opinion", ID: "s1"} }, "mesh_dropped_signature"},
 		"a member under another's id": {func(*rig) *wire.Entry {
@@ -77,14 +78,14 @@
 		}, "mesh_dropped_origin"},
 		"in this process's own name": {func(*rig) *wire.Entry { return entry(key(1), "opinion", "s1", 9) }, "mesh_dropped_origin"},
 		"hop bound": {func(*rig) *wire.Entry {
-			e := entry(key(2), "opinion", "s1", 1)
-			e.Hops = MaxHops
-			return e
+			stored := entry(key(2), "opinion", "s1", 1)
+			stored.Hops = MaxHops
+			return stored
 		}, "mesh_dropped_hops"},
 		"replay": {func(r *rig) *wire.Entry {
-			e := entry(key(2), "opinion", "s1", 5)
-			r.gossip(e)
-			return e
+			stored := entry(key(2), "opinion", "s1", 5)
+			r.gossip(stored)
+			return stored
 		}, "mesh_dropped_seen"},
 		"an older one of the same id": {func(r *rig) *wire.Entry {
 			r.gossip(entry(key(2), "opinion", "s1", 5))
@@ -92,12 +93,12 @@
 		}, "mesh_dropped_old"},
 		"an older stamp of a part, from any origin": {func(r *rig) *wire.Entry {
 			for _, seq := range []uint64{5, 4} {
-				e := &wire.Entry{Type: "part", Origin: key(byte(seq)).Public, Version: wire.Version{Term: 2, Seq: seq}}
-				sign(e, key(byte(seq)))
+				stored := &wire.Entry{Type: EntryPartition, Origin: key(byte(seq)).Public, Version: wire.Version{Term: 2, Seq: seq}}
+				sign(stored, key(byte(seq)))
 				if seq == 4 {
-					return e
+					return stored
 				}
-				r.gossip(e)
+				r.gossip(stored)
 			}
 			return nil
 		}, "mesh_dropped_old"},
@@ -105,9 +106,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			e := c.spoil(r)
+			stored := c.spoil(r)
 			before := r.storedEntries("opinion")
-			out := r.gossip(e)
+			out := r.gossip(stored)
 			must.Eq(t, 1, r.count(c.count))
 			must.Eq(t, before, r.storedEntries("opinion"))
 			must.SliceEmpty(t, out.Sends, must.Sprint("not forwarded"))
@@ -155,17 +156,17 @@
 		out := r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Summaries: []wire.OriginSummary{{Origin: fp, Max: max, Sum: sum, Heartbeat: 1}}})})
 		return len(out.Sends)
 	}
-	o := r.m.store.origins[fp]
-	must.Eq(t, 0, mark(3, o.sum), must.Sprint("same sum, nothing to send"))
-	must.Eq(t, 1, mark(2, o.sum+1), must.Sprint("what is past the counter"))
-	must.Eq(t, 3, mark(3, o.sum+1), must.Sprint("a hole below the counter: all"))
+	origin := r.m.store.origins[fp]
+	must.Eq(t, 0, mark(3, origin.sum), must.Sprint("same sum, nothing to send"))
+	must.Eq(t, 1, mark(2, origin.sum+1), must.Sprint("what is past the counter"))
+	must.Eq(t, 3, mark(3, origin.sum+1), must.Sprint("a hole below the counter: all"))
 	must.Eq(t, 0, mark(9, 0), must.Sprint("the other side is ahead"))
 }
 
 func TestForgottenOriginIsNotRestoredByStalePeer(t *testing.T) {
 	r := newRig(t)
 	fp := kernel.Fingerprint(key(3).Public)
-	beat := func(n uint64) { r.heartbeat(watermark(key(3), n)) }
+	beat := func(n uint64) { r.heartbeat(summary(key(3), n)) }
 	beat(4)
 	beat(5)
 	r.gossip(entry(key(3), "opinion", "s1", 1))
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
@@ -40,7 +41,7 @@
 // fleet is a number of processes in zones; the first three are the seeds.
 type fleet struct {
 	t      testing.TB
-	now    int64
+	now    clock.Micros
 	seq    int
 	queue  eventQueue
 	rnd    *rand.Rand
@@ -213,7 +214,7 @@
 	}
 }
 
-func (f *fleet) thaw(p *process, gap int64) {
+func (f *fleet) thaw(p *process, gap clock.Micros) {
 	p.frozen = false
 	held := p.held
 	p.held = nil
--- a/cluster/mesh/notice.go
+++ b/cluster/mesh/notice.go
@@ -1,64 +1,65 @@
-// Large entries: of these a notice is flooded, and whoever lacks the entry asks the first
-// that told of it. So a large one crosses each process's channels once, not once from each
-// neighbour.
-
 package mesh
 
 import (
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of large entries.
+// Constants of large entries.
 const (
-	// NoticeThreshold is the size of a body beyond which a notice is sent, in bytes.
+	// NoticeThreshold is the size of a body, in bytes, beyond which a notice is flooded instead of
+	// the entry.
 	NoticeThreshold = 1024
-	// EntryRequestTimeout is how long one that was asked has to send the entry before another is asked.
-	EntryRequestTimeout = 400_000
-	// MaxEntryRequests bounds the entries that are waited for.
+	// EntryRequestTimeout is how long a peer has to send a requested entry before another peer is
+	// asked for it.
+	EntryRequestTimeout = 400 * clock.Millisecond
+	// MaxEntryRequests bounds the requests in flight.
 	MaxEntryRequests = 256
-	// MaxLargeSends is how many large messages a process sends at once before it leaves those who
-	// ask for a large entry to others, who have it soon.
+	// MaxLargeSends is how many large messages a process sends at once. It ignores requests beyond
+	// that: the requester's other neighbours will soon have the entry.
 	MaxLargeSends = 3
 )
 
-// isLarge reports whether an entry travels in pieces.
-func isLarge(e *wire.Entry) bool { return len(e.Body) > wire.MaxSingleFrame }
+// isLarge reports whether an entry is so large that it is sent in several frames.
+func isLarge(entry *wire.Entry) bool { return len(entry.Body) > wire.MaxSingleFrame }
 
-// entryRequest is when an entry was asked for, and on which connection.
+// entryRequest is when an entry was requested, and on which connection.
 type entryRequest struct {
-	sentAt int64
+	sentAt clock.Micros
 	conn   uint64
 }
 
-func (m *Mesh) sendNotice(ctx *kernel.Context, ch uint64, e *wire.Entry) {
-	n := noticeOf(e)
-	n.Hops = e.Hops + 1
+// sendNotice sends a notice of an entry.
+func (m *Mesh) sendNotice(ctx *kernel.Context, conn uint64, entry *wire.Entry) {
+	n := noticeOf(entry)
+	n.Hops = entry.Hops + 1
 	ctx.Counts.Add("mesh_notices_out", 1)
-	ctx.SendLatest(ch, wire.KindNotice, &n, "notice\x00"+replaceKey(e))
+	ctx.SendLatest(conn, wire.KindNotice, &n, "notice\x00"+replaceKey(entry))
 }
 
-// noticeOf names an entry. A partition's version is the same whoever tells of it.
-func noticeOf(e *wire.Entry) wire.Notice {
-	if e.Type == "part" {
-		return wire.Notice{Type: e.Type, Version: e.Version}
+// noticeOf returns the notice that names an entry. The notice of a partition's version names no
+// origin, so that it is the same whoever announced the version.
+func noticeOf(entry *wire.Entry) wire.Notice {
+	if entry.Type == EntryPartition {
+		return wire.Notice{Type: entry.Type, Version: entry.Version}
 	}
-	return wire.Notice{Type: e.Type, ID: e.ID, Origin: kernel.Fingerprint(e.Origin), Count: e.Count}
+	return wire.Notice{Type: entry.Type, ID: entry.ID, Origin: kernel.Fingerprint(entry.Origin), Count: entry.Count}
 }
 
-// handleNotice asks for an entry that is lacking, or sends one that is asked for.
-func (m *Mesh) handleNotice(ctx *kernel.Context, p *peerConn, n wire.Notice) {
-	e := m.lookup(n)
+// handleNotice requests an entry that this process lacks, or sends one that a peer requests.
+func (m *Mesh) handleNotice(ctx *kernel.Context, peer *peerConn, n wire.Notice) {
+	entry := m.lookup(n)
 	if n.Want {
-		if e != nil && !(isLarge(e) && m.k.Sending() >= MaxLargeSends) {
-			m.send(ctx, p.conn, e, byFlood)
+		if entry != nil && !(isLarge(entry) && m.k.Sending() >= MaxLargeSends) {
+			m.send(ctx, peer.conn, entry, byFlood)
 		}
 		return
 	}
-	if e != nil || n.Origin == m.self || n.Hops >= MaxHops {
+	if entry != nil || n.Origin == m.self || n.Hops >= MaxHops {
 		return
 	}
-	if _, dead := m.store.forgotten[n.Origin]; dead && n.Type != "part" {
+	if _, dead := m.store.forgotten[n.Origin]; dead && n.Type != EntryPartition {
 		return
 	}
 	n.Hops, n.Want = 0, true
@@ -68,21 +69,21 @@
 	if len(m.requests) >= MaxEntryRequests {
 		clear(m.requests)
 	}
-	m.requests[n] = entryRequest{ctx.Now, p.conn}
-	ctx.Send(p.conn, wire.KindNotice, 0, &n)
+	m.requests[n] = entryRequest{ctx.Now, peer.conn}
+	ctx.Send(peer.conn, wire.KindNotice, 0, &n)
 }
 
-// lookup is the entry of a notice, or a newer one; nil where this process lacks it.
+// lookup returns the stored entry that a notice names, or a newer one; nil if there is none.
 func (m *Mesh) lookup(n wire.Notice) *wire.Entry {
-	if n.Type == "part" {
-		if e := m.store.partitions[n.Version.Partition]; e != nil && !Newer(n.Version, e.Version) {
-			return e
+	if n.Type == EntryPartition {
+		if entry := m.store.partitions[n.Version.Partition]; entry != nil && !Newer(n.Version, entry.Version) {
+			return entry
 		}
 		return nil
 	}
-	if o := m.store.origins[n.Origin]; o != nil {
-		if e := o.entries[n.Type+"\x00"+n.ID]; e != nil && e.Count >= n.Count {
-			return e
+	if origin := m.store.origins[n.Origin]; origin != nil {
+		if entry := origin.entries[n.Type+"\x00"+n.ID]; entry != nil && entry.Count >= n.Count {
+			return entry
 		}
 	}
 	return nil
--- a/cluster/mesh/outbox.go
+++ b/cluster/mesh/outbox.go
@@ -1,51 +1,51 @@
-// Forwarding in batches. The first entry after a pause goes out at once; what follows within
-// ForwardInterval waits and leaves together, and what a peer has itself sent meanwhile is not
-// sent back to it. A flood of many entries so costs each link few wake-ups and few duplicates.
-
 package mesh
 
 import (
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// ForwardInterval is the least time between two batches of forwarded entries.
-const ForwardInterval = 20_000
+// ForwardInterval is the least time between two batches of forwarded entries. The first entry after
+// a pause is forwarded at once. What follows within the interval waits for the next batch, and is
+// not sent to a peer that has sent it meanwhile. So a flood of many entries costs each connection
+// few wake-ups and few duplicates.
+const ForwardInterval = 20 * clock.Millisecond
 
-// outbox is the entries that wait to be sent to one peer, by their key in the seen-set.
+// outbox holds the entries that wait to be sent to one peer, by their key in the seen-set.
 type outbox struct {
 	keys    []uint64
 	waiting map[uint64]*wire.Entry
 }
 
-func (b *outbox) add(key uint64, e *wire.Entry) {
+func (b *outbox) add(key uint64, entry *wire.Entry) {
 	if b.waiting == nil {
 		b.waiting = map[uint64]*wire.Entry{}
 	}
 	if _, ok := b.waiting[key]; !ok {
 		b.keys = append(b.keys, key)
 	}
-	b.waiting[key] = e
+	b.waiting[key] = entry
 }
 
-// remove notes that the peer holds an entry by its own word.
+// remove removes an entry, since the peer has it, and reports whether it was waiting.
 func (b *outbox) remove(key uint64) bool {
 	_, ok := b.waiting[key]
 	delete(b.waiting, key)
 	return ok
 }
 
-// forward sends an entry to all peers but one, now or with the next batch.
-func (m *Mesh) forward(ctx *kernel.Context, e *wire.Entry, except uint64) {
+// forward sends an entry to all peers but the one on connection except, now or with the next batch.
+func (m *Mesh) forward(ctx *kernel.Context, entry *wire.Entry, except uint64) {
 	now := m.stopping || ctx.Now-m.forwardedAt >= ForwardInterval
-	key := seenKey(e)
+	key := seenKey(entry)
 	for _, id := range sortedKeys(m.peers) {
 		switch {
 		case id == except:
 		case now:
-			m.send(ctx, id, e, byFlood)
+			m.send(ctx, id, entry, byFlood)
 		default:
-			m.peers[id].outbox.add(key, e)
+			m.peers[id].outbox.add(key, entry)
 		}
 	}
 	if now {
@@ -54,11 +54,11 @@
 	}
 	if !m.forwardScheduled {
 		m.forwardScheduled = true
-		ctx.After(m.forwardedAt+ForwardInterval-ctx.Now, "mesh", "forward")
+		ctx.After(m.forwardedAt+ForwardInterval-ctx.Now, pluginName, timerForward)
 	}
 }
 
-// flushAll sends what waits for every peer.
+// flushAll sends the waiting entries of all peers.
 func (m *Mesh) flushAll(ctx *kernel.Context) {
 	m.forwardedAt = ctx.Now
 	for _, id := range sortedKeys(m.peers) {
@@ -66,12 +66,12 @@
 	}
 }
 
-// flushPeer sends what waits for one peer, in its order.
-func (m *Mesh) flushPeer(ctx *kernel.Context, p *peerConn) {
-	for _, key := range p.outbox.keys {
-		if e := p.outbox.waiting[key]; e != nil {
-			m.send(ctx, p.conn, e, byFlood)
+// flushPeer sends the waiting entries of one peer, in the order in which they came.
+func (m *Mesh) flushPeer(ctx *kernel.Context, peer *peerConn) {
+	for _, key := range peer.outbox.keys {
+		if entry := peer.outbox.waiting[key]; entry != nil {
+			m.send(ctx, peer.conn, entry, byFlood)
 		}
 	}
-	p.outbox = outbox{}
+	peer.outbox = outbox{}
 }
--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -25,8 +25,8 @@
 	return r
 }
 
-func (r *rig) gossipFrom(peer uint64, e *wire.Entry) kernel.Output {
-	return r.feed(kernel.Received{Conn: peer, Data: wire.Seal(wire.KindGossip, byFlood, e)})
+func (r *rig) gossipFrom(peer uint64, stored *wire.Entry) kernel.Output {
+	return r.feed(kernel.Received{Conn: peer, Data: wire.Seal(wire.KindGossip, uint64(byFlood), stored)})
 }
 
 func (r *rig) forwardTick() kernel.Output {
@@ -51,9 +51,9 @@
 
 func TestEntryIsNotForwardedToAPeerThatSentIt(t *testing.T) {
 	r := pair(t)
-	e := entry(key(2), "opinion", "second", 2)
-	r.gossipFrom(firstPeer, e)
-	copied := *e
+	stored := entry(key(2), "opinion", "second", 2)
+	r.gossipFrom(firstPeer, stored)
+	copied := *stored
 	copied.Hops = 3
 	r.gossipFrom(secondPeer, &copied)
 	must.Eq(t, 1, r.count("mesh_forwards_spared"))
@@ -69,17 +69,17 @@
 
 func TestDuplicatesAreRecognizedByFrameHash(t *testing.T) {
 	r := pair(t)
-	e := entry(key(2), "opinion", "second", 2)
-	r.gossip(e)
+	stored := entry(key(2), "opinion", "second", 2)
+	r.gossip(stored)
 	for hops := range uint8(3) {
-		copied := *e
+		copied := *stored
 		copied.Hops = hops
 		frame := r.m.seen.frameHash(wire.Encode(&copied))
 		seen, ok := r.m.seen.entryOfFrame(frame, r.now)
 		must.True(t, ok)
-		must.Eq(t, seenKey(e), seen)
+		must.Eq(t, seenKey(stored), seen)
 	}
-	changed := *e
+	changed := *stored
 	changed.Body = []byte("y")
 	_, ok := r.m.seen.entryOfFrame(r.m.seen.frameHash(wire.Encode(&changed)), r.now)
 	must.False(t, ok, must.Sprint("another body is another frame"))
@@ -117,8 +117,8 @@
 	for _, p := range f.procs {
 		after += p.frames
 		must.Eq(t, processes, int64(len(p.m.store.origins)))
-		for _, o := range p.m.store.origins {
-			must.MapLen(t, 1+1+entries, o.entries, must.Sprint("all are there"))
+		for _, origin := range p.m.store.origins {
+			must.MapLen(t, 1+1+entries, origin.entries, must.Sprint("all are there"))
 		}
 	}
 	copies := float64(after-before) / (processes * processes * entries)
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -1,6 +1,3 @@
-// Peers: channels that come and go. Above the cap the peer seen longest ago is evicted;
-// of two channels between one pair one stays.
-
 package mesh
 
 import (
@@ -8,19 +5,20 @@
 	"maps"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
+// dialState is the state of dialling one address.
 type dialState struct {
-	backoff  int64
-	nextAt   int64
+	backoff  clock.Micros
+	nextAt   clock.Micros
 	inFlight bool
 	attempts int
-	// failed is that nobody answered at the last try.
-	failed bool
 }
 
+// addAddr remembers an address for dialling, if there is capacity.
 func (m *Mesh) addAddr(addr string) {
 	if addr == "" || addr == m.addr || m.dials[addr] != nil || len(m.dials) >= MaxAddrs {
 		return
@@ -28,7 +26,8 @@
 	m.dials[addr] = &dialState{backoff: MinBackoff}
 }
 
-// forgetAddr makes room among the known addresses: one that nobody answers at, if any.
+// forgetAddr drops a known address to make room for another: the one with the most failed dials
+// that is neither in use nor a seed.
 func (m *Mesh) forgetAddr() {
 	for _, a := range slices.SortedFunc(maps.Keys(m.dials), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m.dials[b].attempts, m.dials[a].attempts), cmp.Compare(a, b))
@@ -40,69 +39,72 @@
 	}
 }
 
-// Addresses that a heartbeat carries besides the own, and the frames with which a channel begins.
+// Numbers of addresses that a message carries besides the sender's own.
 const (
+	// heartbeatAddrs is that of a periodic heartbeat.
 	heartbeatAddrs = 2
-	greetingAddrs  = 12
+	// greetingAddrs is that of the first message on a connection, and of the last one.
+	greetingAddrs = 12
 )
 
-func (m *Mesh) knownAddrs() []string {
-	addrs := []string{m.addr}
-	for _, id := range sortedKeys(m.peers) {
-		addrs = append(addrs, m.peers[id].addr)
-	}
-	return addrs
-}
+// maxDialAttempts is how many dials may fail in a row before an address that is no seed is dropped.
+const maxDialAttempts = 20
 
-// sampleAddrs are the own address and some of those reached, of a zone first.
+// sampleAddrs returns this process's address and up to n addresses of reached processes, those of a
+// zone first.
 func (m *Mesh) sampleAddrs(ctx *kernel.Context, zone string, n int) []string {
 	out := []string{m.addr}
 	all := sortedKeys(m.store.origins)
 	from := ctx.Rand.IntN(max(1, len(all)))
 	for pass := range 2 {
 		for i := range all {
-			o := m.store.origins[all[(from+i)%len(all)]]
+			origin := m.store.origins[all[(from+i)%len(all)]]
 			if len(out) > n || zone == "" && pass == 0 {
 				break
 			}
-			if o.member != nil && o.reached && (o.member.Zone == zone) == (pass == 0) {
-				out = append(out, o.member.Addr)
+			if origin.member != nil && origin.reached && (origin.member.Zone == zone) == (pass == 0) {
+				out = append(out, origin.member.Addr)
 			}
 		}
 	}
 	return out
 }
 
+// connected reports whether a connection to an address is open.
 func (m *Mesh) connected(addr string) bool {
-	for _, p := range m.peers {
-		if p.addr == addr {
+	for _, peer := range m.peers {
+		if peer.addr == addr {
 			return true
 		}
 	}
 	return false
 }
 
+// dialIfDue dials a known address unless its backoff has not passed or it is connected, and reports
+// whether it did.
 func (m *Mesh) dialIfDue(ctx *kernel.Context, addr string) bool {
-	d := m.dials[addr]
-	if d == nil || d.inFlight || ctx.Now < d.nextAt || m.connected(addr) {
+	dial := m.dials[addr]
+	if dial == nil || dial.inFlight || ctx.Now < dial.nextAt || m.connected(addr) {
 		return false
 	}
-	d.inFlight = true
-	d.nextAt = ctx.Now + d.backoff + ctx.Rand.Int64N(d.backoff/4+1)
-	most := int64(MaxBackoff)
+	dial.inFlight = true
+	dial.nextAt = ctx.Now + dial.backoff + ctx.Rand.Int64N(dial.backoff/4+1)
+	most := MaxBackoff
 	if slices.Contains(m.seeds, addr) {
 		most = MaxSeedBackoff
 	}
-	d.backoff = min(2*d.backoff, most)
+	dial.backoff = min(2*dial.backoff, most)
 	ctx.Counts.Add("mesh_dials", 1)
 	ctx.Dial(addr)
 	return true
 }
 
+// handleConnUp handles a new connection. Connections to this process itself are closed. Of two
+// connections between one pair of processes, the one that the lesser key dialled stays.
 func (m *Mesh) handleConnUp(ctx *kernel.Context, v kernel.ConnUp) {
 	if v.Dialed {
-		if d := m.dials[v.Addr]; d != nil {
-			d.inFlight, d.attempts, d.failed = false, 0, false
+		if dial := m.dials[v.Addr]; dial != nil {
+			dial.inFlight, dial.attempts = false, 0
 		}
 	}
 	if v.Peer == m.self {
@@ -125,18 +127,20 @@
 		ctx.Drop(v.Conn)
 		return
 	}
-	p := &peerConn{conn: v.Conn, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
-	m.peers[v.Conn] = p
+	peer := &peerConn{conn: v.Conn, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
+	m.peers[v.Conn] = peer
 	ctx.Log(kernel.LevelDebug, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
 	m.evictPeers(ctx, v.Conn)
 	back := m.store.restore(v.Peer)
 	m.links.reannounce = m.links.reannounce || back
 	m.updateLinks(ctx)
 	if v.Dialed || back {
-		m.requestSync(ctx, p)
+		m.requestSync(ctx, peer)
 	}
 }
 
+// evictPeers closes the connections beyond MaxPeers, the least recently heard first, but not the
+// newest one.
 func (m *Mesh) evictPeers(ctx *kernel.Context, newest uint64) {
 	for len(m.peers) > MaxPeers {
 		ids := sortedKeys(m.peers)
@@ -151,41 +155,44 @@
 	}
 }
 
+// handleConnDown handles a closed connection or a failed dial.
 func (m *Mesh) handleConnDown(ctx *kernel.Context, v kernel.ConnDown) {
-	if p := m.peers[v.Conn]; p != nil {
-		m.losePeer(ctx, p)
+	if peer := m.peers[v.Conn]; peer != nil {
+		m.losePeer(ctx, peer)
 		return
 	}
-	if d := m.dials[v.Addr]; d != nil && d.inFlight && v.Conn == 0 {
-		d.inFlight, d.failed = false, true
-		d.attempts++
-		if d.attempts > 20 && !slices.Contains(m.seeds, v.Addr) {
+	if dial := m.dials[v.Addr]; dial != nil && dial.inFlight && v.Conn == 0 {
+		dial.inFlight = false
+		dial.attempts++
+		if dial.attempts > maxDialAttempts && !slices.Contains(m.seeds, v.Addr) {
 			delete(m.dials, v.Addr)
 		}
 	}
 }
 
-// losePeer ends a channel whose peer may be gone: the link holds on for a grace.
-func (m *Mesh) losePeer(ctx *kernel.Context, p *peerConn) {
-	delete(m.peers, p.conn)
-	ctx.Log(kernel.LevelDebug, "mesh_peer_down", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
+// losePeer handles the loss of a connection whose peer may be gone. The link outlives it by
+// LinkGracePeriod.
+func (m *Mesh) losePeer(ctx *kernel.Context, peer *peerConn) {
+	delete(m.peers, peer.conn)
+	ctx.Log(kernel.LevelDebug, "mesh_peer_down", "peer", peer.key, "addr", peer.addr, "peers", len(m.peers))
 	count := uint64(0)
-	if o := m.store.origins[p.key]; o != nil {
-		count = o.maxCount
+	if origin := m.store.origins[peer.key]; origin != nil {
+		count = origin.maxCount
 	}
-	m.links.closed[p.key] = closedConn{closedAt: ctx.Now, lastSeen: p.lastSeen, maxCount: count}
-	ctx.After(LinkGracePeriod, "mesh", "links")
-	if d := m.dials[p.addr]; d != nil && ctx.Now-p.since > MaxBackoff {
-		d.backoff, d.nextAt = MinBackoff, ctx.Now
+	m.links.closed[peer.key] = closedConn{closedAt: ctx.Now, lastSeen: peer.lastSeen, maxCount: count}
+	ctx.After(LinkGracePeriod, pluginName, timerLinks)
+	if dial := m.dials[peer.addr]; dial != nil && ctx.Now-peer.since > MaxBackoff {
+		dial.backoff, dial.nextAt = MinBackoff, ctx.Now
 	}
 	m.maintainLinks(ctx)
 }
 
-// closePeer ends a channel that is one too many; its peer is there.
-func (m *Mesh) closePeer(ctx *kernel.Context, p *peerConn) {
-	delete(m.peers, p.conn)
-	ctx.Log(kernel.LevelDebug, "mesh_peer_left", "peer", p.key, "addr", p.addr, "peers", len(m.peers))
-	m.flushPeer(ctx, p)
-	ctx.SendLatest(p.conn, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.sampleAddrs(ctx, p.zone, greetingAddrs), Digest: m.digest()}, "heartbeat")
-	ctx.Drop(p.conn)
+// closePeer closes a surplus connection. The last heartbeat gives the peer addresses to dial
+// instead.
+func (m *Mesh) closePeer(ctx *kernel.Context, peer *peerConn) {
+	delete(m.peers, peer.conn)
+	ctx.Log(kernel.LevelDebug, "mesh_peer_left", "peer", peer.key, "addr", peer.addr, "peers", len(m.peers))
+	m.flushPeer(ctx, peer)
+	ctx.SendLatest(peer.conn, wire.KindHeartbeat, &wire.Heartbeat{Addrs: m.sampleAddrs(ctx, peer.zone, greetingAddrs), Digest: m.digest()}, "heartbeat")
+	ctx.Drop(peer.conn)
 }
--- a/cluster/mesh/reachability.go
+++ b/cluster/mesh/reachability.go
@@ -1,26 +1,22 @@
-// Who is reached: the processes that a chain of links leads to, each of them told by both
-// of its ends. A process that died, froze or is cut off is linked to nobody that is reached
-// once its peers have ceased to hear it; and one that fell silent and doesn't say itself that
-// it is there is not taken for live whoever else claims a link to it.
-
 package mesh
 
 import (
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of reaching.
+// Constants of reachability.
 const (
-	// ReachDelay is how long links that came wait for others before they are looked at.
-	ReachDelay = 20_000
-	// ReachInterval is the least time between two lookings at links that came.
-	ReachInterval = 60_000
-	// SuspicionTimeout is how long one that fell silent has to say that it is there.
-	SuspicionTimeout = 1_000_000
-	// MaxLinks bounds the links that one process may tell of.
+	// ReachDelay is how long links that were received wait for others before they are evaluated.
+	ReachDelay = 20 * clock.Millisecond
+	// ReachInterval is the least time between two evaluations for received links.
+	ReachInterval = 60 * clock.Millisecond
+	// SuspicionTimeout is how long a suspect has to refute the suspicion.
+	SuspicionTimeout = 1 * clock.Second
+	// MaxLinks bounds the links that one process may announce.
 	MaxLinks = 64
 )
 
@@ -29,90 +25,76 @@
 	member  *wire.Member
 	links   []string
 	reached bool
-	// visited is the turn of reaching in which it was found last.
+	// visited is the generation of the search that last reached the origin.
 	visited uint64
-	// lastLive is when it was last known to be there.
-	lastLive int64
-	// suspectCount is the count that it must pass since it fell silent; 0 is that it did not.
+	// lastLive is when the origin was last known to be live.
+	lastLive clock.Micros
+	// suspectCount is the count of its entries that the origin must exceed to refute a suspicion; 0
+	// if it is not suspected.
 	suspectCount uint64
-	suspectedAt  int64
+	suspectedAt  clock.Micros
 }
 
-func (o *originState) suspicionExpired(now int64) bool {
+// suspicionExpired reports whether the origin has not refuted a suspicion within SuspicionTimeout.
+func (o *originState) suspicionExpired(now clock.Micros) bool {
 	return o.suspectCount > 0 && o.maxCount <= o.suspectCount && now-o.suspectedAt >= SuspicionTimeout
 }
 
-// scheduleReach has it worked out once for all links that come within a while.
+// scheduleReach schedules one evaluation for all links that are received within a while.
 func (m *Mesh) scheduleReach(ctx *kernel.Context) {
 	if !m.reachScheduled {
 		m.reachScheduled = true
-		ctx.After(max(ReachDelay, m.lastReach+ReachInterval-ctx.Now), "mesh", "reach")
+		ctx.After(max(ReachDelay, m.lastReach+ReachInterval-ctx.Now), pluginName, timerReach)
 	}
 }
 
-// updateReachability works out who is reached from here, and tells the process's other plug-ins if that changed.
+// updateReachability searches the graph of links from this process. A link counts if both ends
+// announce it, and a suspect that has not refuted the suspicion is not reached, whoever announces a
+// link to it.
 func (m *Mesh) updateReachability(ctx *kernel.Context) {
 	m.lastReach = ctx.Now
 	m.reachGeneration++
-	todo := make([]*originState, 0, len(m.store.origins))
-	find := func(o *originState) {
-		if o != nil && o.visited != m.reachGeneration {
-			o.visited = m.reachGeneration
-			todo = append(todo, o)
+	queue := make([]*originState, 0, len(m.store.origins))
+	visit := func(origin *originState) {
+		if origin != nil && origin.visited != m.reachGeneration {
+			origin.visited = m.reachGeneration
+			queue = append(queue, origin)
 		}
 	}
 	m.store.origins[m.self].visited = m.reachGeneration
 	for _, fp := range m.links.current {
-		find(m.store.origins[fp])
+		visit(m.store.origins[fp])
 	}
-	for at := 0; at < len(todo); at++ {
-		from := todo[at]
+	for next := 0; next < len(queue); next++ {
+		from := queue[next]
 		for _, fp := range from.links {
-			q := m.store.origins[fp]
-			if q != nil && q.visited != m.reachGeneration && slices.Contains(q.links, from.fingerprint) && !q.suspicionExpired(ctx.Now) {
-				find(q)
+			to := m.store.origins[fp]
+			if to != nil && to.visited != m.reachGeneration && slices.Contains(to.links, from.fingerprint) && !to.suspicionExpired(ctx.Now) {
+				visit(to)
 			}
 		}
 	}
-	changed, n := false, int64(0)
-	for _, o := range m.store.origins {
-		was := o.reached
-		if o.reached = o.visited == m.reachGeneration; o.reached {
-			n++
-			o.lastLive = ctx.Now
+	changed, reached := false, int64(0)
+	for _, origin := range m.store.origins {
+		was := origin.reached
+		if origin.reached = origin.visited == m.reachGeneration; origin.reached {
+			reached++
+			origin.lastLive = ctx.Now
 		}
-		changed = changed || was != o.reached
+		changed = changed || was != origin.reached
 	}
-	ctx.Counts.Set("mesh_reached", n)
+	ctx.Counts.Set("mesh_reached", reached)
 	if changed {
-		m.turn++
 		ctx.Emit(LivenessUpdated{})
 	}
 }
 
-// Live reports whether an origin is there: reached over links, or heard by a beat that it signed.
-func (m *Mesh) Live(origin string, now int64) bool {
+// Live reports whether an origin is live: reached over links, or heard by a heartbeat that it
+// signed (release 1).
+func (m *Mesh) Live(origin string, now clock.Micros) bool {
 	if origin == m.self {
 		return true
 	}
-	o := m.store.origins[origin]
-	return o != nil && (o.reached || o.heartbeat > 0 && now-o.heartbeatAt < LivenessTimeout)
-}
-
-// observeEntry takes what the mesh itself needs of an entry that was taken in.
-func (m *Mesh) observeEntry(ctx *kernel.Context, o *originState, e *wire.Entry) {
-	if len(e.Body) > NoticeThreshold {
-		n := noticeOf(e)
-		n.Want = true
-		delete(m.requests, n)
-	}
-	switch e.Type {
-	case "links":
-		m.handleLinks(ctx, o, e)
-	case "member":
-		row := new(wire.Member)
-		if wire.Decode(e.Body, row) == nil {
-			o.member = row
-		}
-	}
+	state := m.store.origins[origin]
+	return state != nil && (state.reached || state.heartbeat > 0 && now-state.heartbeatAt < LivenessTimeout)
 }
--- a/cluster/mesh/seen.go
+++ b/cluster/mesh/seen.go
@@ -1,52 +1,54 @@
-// The set of entries seen of late, bounded by time and number. A frame that was seen is
-// known again by a hash over its bytes, so that duplicates, most of what a flood brings,
-// are dropped before they are decoded.
-
 package mesh
 
 import (
 	"hash/fnv"
 	"hash/maphash"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
+// seenSet holds the entries that were received or sent lately, bounded by SeenTTL and MaxSeen. It
+// also knows the hash of their frames, so that duplicates, which are most of a flood, are dropped
+// before they are decoded.
 type seenSet struct {
-	addedAt     map[uint64]int64
+	addedAt     map[uint64]clock.Micros
 	oldestFirst []uint64
 	seed        maphash.Seed
 	frames      map[uint64]uint64
-	// framesOf are the frames known of an entry: one, unless it was signed twice.
+	// framesOf holds the frame hash of an entry: the latest, if the entry was signed more than
+	// once.
 	framesOf map[uint64]uint64
 }
 
 func newSeenSet() *seenSet {
-	return &seenSet{addedAt: map[uint64]int64{}, seed: maphash.MakeSeed(), frames: map[uint64]uint64{}, framesOf: map[uint64]uint64{}}
+	return &seenSet{addedAt: map[uint64]clock.Micros{}, seed: maphash.MakeSeed(), frames: map[uint64]uint64{}, framesOf: map[uint64]uint64{}}
 }
 
-// seenKey is the source's type + id + timestamp, and the origin and its counter besides.
-func seenKey(e *wire.Entry) uint64 {
+// seenKey returns an entry's key in the seen-set: type, id and timestamp as in the source, and also
+// the origin, its count and the version.
+func seenKey(entry *wire.Entry) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(entryKey(e)))
-	h.Write(e.Origin)
+	h.Write([]byte(entryKey(entry)))
+	h.Write(entry.Origin)
 	var b [40]byte
 	for i := range 8 {
-		b[i] = byte(e.At >> (8 * i))
-		b[8+i] = byte(e.Count >> (8 * i))
-		b[16+i] = byte(e.Version.Term >> (8 * i))
-		b[24+i] = byte(e.Version.Seq >> (8 * i))
-		b[32+i] = byte(e.Version.Partition >> (8 * i))
+		b[i] = byte(entry.At >> (8 * i))
+		b[8+i] = byte(entry.Count >> (8 * i))
+		b[16+i] = byte(entry.Version.Term >> (8 * i))
+		b[24+i] = byte(entry.Version.Seq >> (8 * i))
+		b[32+i] = byte(entry.Version.Partition >> (8 * i))
 	}
 	h.Write(b[:])
 	return h.Sum64()
 }
 
-func (s *seenSet) has(k uint64, now int64) bool {
+func (s *seenSet) has(k uint64, now clock.Micros) bool {
 	at, ok := s.addedAt[k]
 	return ok && now-at < SeenTTL
 }
 
-func (s *seenSet) add(k uint64, now int64) {
+func (s *seenSet) add(k uint64, now clock.Micros) {
 	if _, ok := s.addedAt[k]; !ok {
 		s.oldestFirst = append(s.oldestFirst, k)
 	}
@@ -62,19 +64,19 @@
 	}
 }
 
-// frameHash sums up an encoded entry without its last byte, the hops, which alone differ between
-// the copies of one entry.
+// frameHash returns the hash of an encoded entry without its last byte, the hop count, in which
+// alone the copies of an entry differ.
 func (s *seenSet) frameHash(body []byte) uint64 {
 	return maphash.Bytes(s.seed, body[:max(0, len(body)-1)])
 }
 
-// entryOfFrame gives the key of an entry whose frame was seen.
-func (s *seenSet) entryOfFrame(frame uint64, now int64) (key uint64, ok bool) {
+// entryOfFrame returns the key of the entry whose frame has a hash, if it is in the set.
+func (s *seenSet) entryOfFrame(frame uint64, now clock.Micros) (key uint64, ok bool) {
 	key, ok = s.frames[frame]
 	return key, ok && s.has(key, now)
 }
 
-// addFrame notes by which frame an entry that is in the set travels.
+// addFrame adds the frame hash of an entry that is in the set.
 func (s *seenSet) addFrame(frame, key uint64) {
 	if _, ok := s.addedAt[key]; !ok {
 		return
--- a/cluster/mesh/store.go
+++ b/cluster/mesh/store.go
@@ -1,7 +1,3 @@
-// What the mesh holds: per origin the newest entry of each id, with the sums
-// by which two processes see at a glance whether they hold the same; per partition
-// the newest committed version. All of it is bounded.
-
 package mesh
 
 import (
@@ -10,77 +6,86 @@
 	"maps"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// Bounds of what is held, and how long an entry that was taken back is remembered.
+// Bounds of the store.
 const (
-	MaxOrigins   = 4096
-	MaxEntries   = 4096
-	TombstoneTTL = 60_000_000
+	// MaxOrigins bounds the origins, MaxEntries the entries of one origin.
+	MaxOrigins = 4096
+	MaxEntries = 4096
+	// TombstoneTTL is how long a withdrawn entry is remembered.
+	TombstoneTTL = 60 * clock.Second
+	// forgottenTogether is how far apart two origins may be forgotten for the same cause.
+	forgottenTogether = 3 * clock.Second
 )
 
+// originState is what the mesh knows of one origin.
 type originState struct {
 	fingerprint string
 	hash        uint64
 	maxCount    uint64
 	sum         uint64
 	heartbeat   uint64
-	heartbeatAt int64
+	heartbeatAt clock.Micros
 	key         []byte
 	sig         []byte
 	tokens      float64
-	tokensAt    int64
+	tokensAt    clock.Micros
 	entries     map[string]*wire.Entry
 	tombstones  []tombstone
 	liveness
 }
 
-// tombstone is an entry that its origin took back.
+// tombstone is an entry that its origin withdrew.
 type tombstone struct {
 	key         string
 	count       uint64
-	withdrawnAt int64
+	withdrawnAt clock.Micros
 }
 
+// store holds the newest entry of each id and origin, the newest version of each partition, and the
+// sums by which two stores are compared. All of it is bounded.
 type store struct {
 	origins    map[string]*originState
 	partitions map[int]*wire.Entry
 	forgotten  map[string]forgottenOrigin
-	// buckets sum up the origins, a bucket by hash of the fingerprint each; versions the partitions.
+	// buckets are the sums of the origins, by the hash of their fingerprint. versionsHash is the
+	// sum of the partitions' versions.
 	buckets      [DigestBuckets]uint64
 	versionsHash uint64
 }
 
-// forgottenOrigin is the last beat of an origin that was forgotten, and when it was.
+// forgottenOrigin is the last heartbeat count of a forgotten origin, and when it was forgotten.
 type forgottenOrigin struct {
 	heartbeat   uint64
-	forgottenAt int64
+	forgottenAt clock.Micros
 }
 
 func newStore() store {
 	return store{origins: map[string]*originState{}, partitions: map[int]*wire.Entry{}, forgotten: map[string]forgottenOrigin{}}
 }
 
-// origin is what is held of a fingerprint, made at first use; nil where there are too many.
-func (s *store) origin(fp string, now int64) *originState {
-	o := s.origins[fp]
-	if o == nil && len(s.origins) < MaxOrigins {
-		o = &originState{fingerprint: fp, hash: hash(fp), entries: map[string]*wire.Entry{}, tokens: OriginBurst, tokensAt: now, heartbeatAt: now}
-		o.lastLive = now
-		s.origins[fp] = o
+// origin returns the state of an origin, created at first use; nil if there are too many.
+func (s *store) origin(fp string, now clock.Micros) *originState {
+	origin := s.origins[fp]
+	if origin == nil && len(s.origins) < MaxOrigins {
+		origin = &originState{fingerprint: fp, hash: hash(fp), entries: map[string]*wire.Entry{}, tokens: OriginBurst, tokensAt: now, heartbeatAt: now}
+		origin.lastLive = now
+		s.origins[fp] = origin
 	}
-	return o
+	return origin
 }
 
-func entryKey(e *wire.Entry) string { return e.Type + "\x00" + e.ID }
+func entryKey(entry *wire.Entry) string { return entry.Type + "\x00" + entry.ID }
 
-func entryHash(e *wire.Entry) uint64 {
+func entryHash(entry *wire.Entry) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(entryKey(e)))
+	h.Write([]byte(entryKey(entry)))
 	var b [8]byte
 	for i := range b {
-		b[i] = byte(e.Count >> (8 * i))
+		b[i] = byte(entry.Count >> (8 * i))
 	}
 	h.Write(b[:])
 	return h.Sum64()
@@ -100,96 +105,78 @@
 	return x ^ x>>33
 }
 
-// put takes an entry in when it is newer than what the same origin said of the same id.
-// What was taken back counts in no sum, so that it can be dropped after a while.
-func (s *store) put(e *wire.Entry, fp string, now int64) bool {
-	o := s.origin(fp, now)
-	if o == nil {
+// put stores an entry if it is newer than the stored one of the same origin, type and id, and
+// reports whether it did. Withdrawn entries count in no sum, so that they can be dropped later
+// without a difference between two stores.
+func (s *store) put(entry *wire.Entry, fp string, now clock.Micros) bool {
+	origin := s.origin(fp, now)
+	if origin == nil {
 		return false
 	}
-	key := entryKey(e)
-	old := o.entries[key]
-	if old != nil && old.Count >= e.Count || old == nil && len(o.entries) >= MaxEntries {
+	key := entryKey(entry)
+	old := origin.entries[key]
+	if old != nil && old.Count >= entry.Count || old == nil && len(origin.entries) >= MaxEntries {
 		return false
 	}
-	sum := o.sum
+	sum := origin.sum
 	if old != nil && !old.Tombstone {
 		sum ^= entryHash(old)
 	}
-	if !e.Tombstone {
-		sum ^= entryHash(e)
+	if !entry.Tombstone {
+		sum ^= entryHash(entry)
 	} else {
-		o.tombstones = append(o.tombstones, tombstone{key, e.Count, now})
+		origin.tombstones = append(origin.tombstones, tombstone{key, entry.Count, now})
 	}
-	o.entries[key] = e
-	s.setSum(o, sum)
-	o.maxCount = max(o.maxCount, e.Count)
+	origin.entries[key] = entry
+	s.setSum(origin, sum)
+	origin.maxCount = max(origin.maxCount, entry.Count)
 	return true
 }
 
-// setSum gives an origin its new sum.
-func (s *store) setSum(o *originState, sum uint64) {
-	s.buckets[o.hash%DigestBuckets] ^= o.bucketSum() ^ mix(o.hash^sum)*nonzero(sum)
-	o.sum = sum
+// setSum replaces an origin's sum, also in its bucket.
+func (s *store) setSum(origin *originState, sum uint64) {
+	s.buckets[origin.hash%DigestBuckets] ^= origin.bucketSum() ^ mix(origin.hash^sum)*nonzero(sum)
+	origin.sum = sum
 }
 
-// bucketSum is an origin's part of its bucket; one of which nothing is held has none.
+// bucketSum returns the origin's contribution to its bucket: 0 if it has no entries.
 func (o *originState) bucketSum() uint64 { return mix(o.hash^o.sum) * nonzero(o.sum) }
 
 func nonzero(x uint64) uint64 { return min(x, 1) }
 
-// putVersion takes a newer version of a partition in.
-func (s *store) putVersion(e *wire.Entry) bool {
-	held, ok := s.partitions[e.Version.Partition]
-	if ok && !Newer(e.Version, held.Version) {
+// putVersion stores a version of a partition if it is newer than the stored one, and reports
+// whether it did.
+func (s *store) putVersion(entry *wire.Entry) bool {
+	held, ok := s.partitions[entry.Version.Partition]
+	if ok && !Newer(entry.Version, held.Version) {
 		return false
 	}
 	if ok {
 		s.versionsHash ^= versionHash(held.Version)
 	}
-	s.versionsHash ^= versionHash(e.Version)
-	s.partitions[e.Version.Partition] = e
+	s.versionsHash ^= versionHash(entry.Version)
+	s.partitions[entry.Version.Partition] = entry
 	return true
 }
 
 func versionHash(st wire.Version) uint64 { return mix(mix(st.Term^uint64(st.Partition)<<56) ^ st.Seq) }
 
-// pruneTombstones drops what an origin took back long ago.
-func (o *originState) pruneTombstones(now int64) {
-	for len(o.tombstones) > 0 && now-o.tombstones[0].withdrawnAt >= TombstoneTTL {
-		g := o.tombstones[0]
-		o.tombstones = o.tombstones[1:]
-		if e := o.entries[g.key]; e != nil && e.Tombstone && e.Count == g.count {
-			delete(o.entries, g.key)
-		}
-	}
-}
-
-// takeToken takes one token of an origin's flood allowance.
-func (o *originState) takeToken(now int64) bool {
-	o.tokens = min(OriginBurst, o.tokens+float64(now-o.tokensAt)*OriginRate/1e6)
-	o.tokensAt = now
-	if o.tokens < 1 {
-		return false
-	}
-	o.tokens--
-	return true
-}
-
-// forget drops an origin and remembers its last beat, so that a stale holder cannot bring it back.
-func (s *store) forget(fp string, now int64) {
-	if o := s.origins[fp]; o != nil {
+// forget drops an origin and remembers its last heartbeat, so that a peer with an older view cannot
+// restore it.
+func (s *store) forget(fp string, now clock.Micros) {
+	if origin := s.origins[fp]; origin != nil {
 		if len(s.forgotten) >= MaxOrigins {
 			clear(s.forgotten)
 		}
-		s.forgotten[fp] = forgottenOrigin{o.heartbeat, now}
-		s.buckets[o.hash%DigestBuckets] ^= o.bucketSum()
+		s.forgotten[fp] = forgottenOrigin{origin.heartbeat, now}
+		s.buckets[origin.hash%DigestBuckets] ^= origin.bucketSum()
 	}
 	delete(s.origins, fp)
 }
 
-// restore gives an origin back that is there after all, and those that were forgotten with it:
-// what went at once was cut off together.
+// restore ends the memory of a forgotten origin that is back, and of those that were forgotten at
+// about the same time, since the same partition cut them off. It reports whether the origin had
+// been forgotten.
 func (s *store) restore(fp string) bool {
 	g, ok := s.forgotten[fp]
 	if !ok {
@@ -203,7 +190,26 @@
 	return true
 }
 
-// forgottenTogether is how far apart origins may be forgotten that went at once.
-const forgottenTogether = 3_000_000
-
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+
+// pruneTombstones drops the withdrawn entries whose tombstones have expired.
+func (o *originState) pruneTombstones(now clock.Micros) {
+	for len(o.tombstones) > 0 && now-o.tombstones[0].withdrawnAt >= TombstoneTTL {
+		g := o.tombstones[0]
+		o.tombstones = o.tombstones[1:]
+		if entry := o.entries[g.key]; entry != nil && entry.Tombstone && entry.Count == g.count {
+			delete(o.entries, g.key)
+		}
+	}
+}
+
+// takeToken takes a token from the origin's rate limit, and reports whether there was one.
+func (o *originState) takeToken(now clock.Micros) bool {
+	o.tokens = min(OriginBurst, o.tokens+float64(now-o.tokensAt)*OriginRate/float64(clock.Second))
+	o.tokensAt = now
+	if o.tokens < 1 {
+		return false
+	}
+	o.tokens--
+	return true
+}
--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -89,21 +89,21 @@
 	case kernel.Fetched:
 		c.handleResponse(ctx, v)
 	case kernel.Thawed:
-		for _, w := range c.states {
-			w.missed = 0
+		for _, state := range c.states {
+			state.missed = 0
 		}
 	}
 }
 
 // assign settles which servers this node probes, once for each snapshot: names are hashed
 // once, and a pair of a node and a server costs a few instructions.
-func (c *Checker) assign(ctx *kernel.Context, cp *snapshot.Snapshot) {
-	if c.assignedFor == cp {
+func (c *Checker) assign(ctx *kernel.Context, snap *snapshot.Snapshot) {
+	if c.assignedFor == snap {
 		return
 	}
-	c.assignedFor = cp
-	mine, others := uint64(0), make([]uint64, 0, len(cp.Roster))
-	for _, n := range cp.Roster {
+	c.assignedFor = snap
+	mine, others := uint64(0), make([]uint64, 0, len(snap.Roster))
+	for _, n := range snap.Roster {
 		switch {
 		case n.Origin == c.mesh.Self():
 			mine = hash(n.Name)
@@ -111,14 +111,14 @@
 			others = append(others, hash(n.Name))
 		}
 	}
-	there := make(map[string]*checkState, len(cp.Servers))
-	for _, s := range cp.Servers {
-		w := c.states[s.ID]
-		if w == nil {
-			w = &checkState{checkedAt: ctx.Now - ctx.Rand.Int64N(CheckInterval)}
+	there := make(map[string]*checkState, len(snap.Servers))
+	for _, s := range snap.Servers {
+		state := c.states[s.ID]
+		if state == nil {
+			state = &checkState{checkedAt: ctx.Now - ctx.Rand.Int64N(CheckInterval)}
 		}
-		there[s.ID] = w
-		w.assigned = !c.passive && isObserver(hash(s.ID), mine, others)
+		there[s.ID] = state
+		state.assigned = !c.passive && isObserver(hash(s.ID), mine, others)
 	}
 	c.states = there
 }
@@ -150,36 +150,36 @@
 }
 
 func (c *Checker) checkAll(ctx *kernel.Context) {
-	cp := c.table.Current()
-	if cp == nil {
+	snap := c.table.Current()
+	if snap == nil {
 		return
 	}
-	c.assign(ctx, cp)
-	medians := shardMedians(cp)
-	for _, s := range cp.Servers {
-		w := c.states[s.ID]
-		if (w.assigned || s.Gauge.EjectedUntil.Load() > 0) && !w.inFlight && ctx.Now-w.checkedAt >= CheckInterval-TickInterval/2 {
-			w.checkedAt, w.inFlight = ctx.Now, true
+	c.assign(ctx, snap)
+	medians := shardMedians(snap)
+	for _, s := range snap.Servers {
+		state := c.states[s.ID]
+		if (state.assigned || s.Gauge.EjectedUntil.Load() > 0) && !state.inFlight && ctx.Now-state.checkedAt >= CheckInterval-TickInterval/2 {
+			state.checkedAt, state.inFlight = ctx.Now, true
 			ctx.Counts.Add("condition_probes", 1)
 			ctx.Fetch("health", s.ID, "http://"+s.Addr+"/condition", CheckTimeout)
 		}
-		c.report(ctx, s, w, medians)
+		c.report(ctx, s, state, medians)
 	}
 }
 
 func (c *Checker) handleResponse(ctx *kernel.Context, v kernel.Fetched) {
-	w := c.states[v.Key]
-	if w == nil {
+	state := c.states[v.Key]
+	if state == nil {
 		return
 	}
-	w.inFlight = false
+	state.inFlight = false
 	g := c.table.Gauges.Of(v.Key)
 	var r Response
 	if v.Err != "" || v.Status != 200 || json.Unmarshal(v.Body, &r) != nil || r.ID != v.Key {
-		w.missed++
+		state.missed++
 		return
 	}
-	w.missed, w.uptime, w.incarnation = 0, r.UpUs, r.Incarnation
+	state.missed, state.uptime, state.incarnation = 0, r.UpUs, r.Incarnation
 	if g.CorruptResponses.Load() == 0 || r.Incarnation != g.Incarnation.Load() {
 		g.Failures.Store(0)
 		g.EjectedUntil.Store(0)
@@ -193,8 +193,8 @@
 }
 
 // report settles what this node thinks of a server and tells it when that changed.
-func (c *Checker) report(ctx *kernel.Context, s *snapshot.Server, w *checkState, medians map[shard]int64) {
-	o := wire.HealthReport{State: "ok", Incarnation: w.incarnation, Uptime: w.uptime}
+func (c *Checker) report(ctx *kernel.Context, s *snapshot.Server, state *checkState, medians map[shard]int64) {
+	o := wire.HealthReport{State: "ok", Incarnation: state.incarnation, Uptime: state.uptime}
 	if inc := s.Gauge.Incarnation.Load(); inc > o.Incarnation {
 		o.Incarnation, o.Uptime = inc, 0
 	}
@@ -207,17 +207,17 @@
 	switch {
 	case s.Gauge.CorruptResponses.Load() >= 2:
 		o.State = "garbage"
-	case w.missed >= MissedThreshold || s.Gauge.Failures.Load() >= snapshot.EjectThreshold:
+	case state.missed >= MissedThreshold || s.Gauge.Failures.Load() >= snapshot.EjectThreshold:
 		o.State = "lost"
 	case lat > MinSlowLatency && lat > SlowFactor*medians[shardKey(s)]:
 		o.State = "slow"
 	}
-	same := o.State == w.reported.State && o.Incarnation == w.reported.Incarnation
-	telling := w.assigned && o.Incarnation != 0 || o.State != "ok" && (w.reporting || c.table.CountAgreeing(s.ID, o, ctx.Now) < EnoughReporters)
-	if telling == w.reporting && (same || !telling) || ctx.Now-w.reportedAt < ReportInterval {
+	same := o.State == state.reported.State && o.Incarnation == state.reported.Incarnation
+	telling := state.assigned && o.Incarnation != 0 || o.State != "ok" && (state.reporting || c.table.CountAgreeing(s.ID, o, ctx.Now) < EnoughReporters)
+	if telling == state.reporting && (same || !telling) || ctx.Now-state.reportedAt < ReportInterval {
 		return
 	}
-	w.reported, w.reportedAt, w.reporting = o, ctx.Now, telling
+	state.reported, state.reportedAt, state.reporting = o, ctx.Now, telling
 	ctx.Counts.Add("opinions_told", 1)
 	c.mesh.Announce(ctx, "opinion", s.ID, wire.Encode(&o), !telling)
 }
@@ -230,12 +230,12 @@
 func shardKey(s *snapshot.Server) shard { return shard{s.Index, s.ShardMap, s.Shard} }
 
 // shardMedians is the latency of each shard's middle server, where some server may be slow at all.
-func shardMedians(cp *snapshot.Snapshot) map[shard]int64 {
-	if !slices.ContainsFunc(cp.Servers, func(s *snapshot.Server) bool { return s.Gauge.Latency.Load() > MinSlowLatency }) {
+func shardMedians(snap *snapshot.Snapshot) map[shard]int64 {
+	if !slices.ContainsFunc(snap.Servers, func(s *snapshot.Server) bool { return s.Gauge.Latency.Load() > MinSlowLatency }) {
 		return nil
 	}
 	all := map[shard][]int64{}
-	for _, s := range cp.Servers {
+	for _, s := range snap.Servers {
 		if l := s.Gauge.Latency.Load(); l > 0 {
 			all[shardKey(s)] = append(all[shardKey(s)], l)
 		}
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -49,9 +49,9 @@
 }) {
 	b, _ := body.MarshalMsg(nil)
 	key := keyOf(neighbour)
-	e := &wire.Entry{Type: typ, ID: id, Origin: key.Public, Count: 1, Body: b}
-	e.Sig = ed25519.Sign(key.Private, wire.Encode(e))
-	n.feed(kernel.Received{Conn: uint64(neighbour), Data: wire.Seal(wire.KindGossip, 0, e)})
+	entry := &wire.Entry{Type: typ, ID: id, Origin: key.Public, Count: 1, Body: b}
+	entry.Sig = ed25519.Sign(key.Private, wire.Encode(entry))
+	n.feed(kernel.Received{Conn: uint64(neighbour), Data: wire.Seal(wire.KindGossip, 0, entry)})
 }
 
 // looks has the node look at its servers once more.
--- a/request/snapshot/config.go
+++ b/request/snapshot/config.go
@@ -21,49 +21,49 @@
 }
 
 // loadConfig fills in the configuration in force, read once for each version.
-func (b *Table) loadConfig(ctx *kernel.Context, c *Snapshot) {
-	v, ok := b.mesh.Partition(state.ConfigPartition)
+func (table *Table) loadConfig(ctx *kernel.Context, snap *Snapshot) {
+	v, ok := table.mesh.Partition(state.ConfigPartition)
 	if !ok {
 		return
 	}
-	if v.Version != b.config.version {
+	if v.Version != table.config.version {
 		body, err := state.ReadConfig(v.Body)
 		if err != nil {
 			ctx.Log(kernel.LevelError, "config_unreadable", "err", err.Error())
 			return
 		}
-		b.checkVersionRises(ctx, v.Version)
-		b.config = configState{v.Version, body, state.ConfigurationOf(body)}
+		table.checkVersionRises(ctx, v.Version)
+		table.config = configState{v.Version, body, state.ConfigurationOf(body)}
 	}
-	c.Version, c.Config, c.Configuration = b.config.version, b.config.body, b.config.configuration
+	snap.Version, snap.Config, snap.Configuration = table.config.version, table.config.body, table.config.configuration
 }
 
 // checkVersionRises sees that the configuration in force never goes back.
-func (b *Table) checkVersionRises(ctx *kernel.Context, next wire.Version) {
-	if was := b.config.version; mesh.Newer(was, next) {
+func (table *Table) checkVersionRises(ctx *kernel.Context, next wire.Version) {
+	if was := table.config.version; mesh.Newer(was, next) {
 		ctx.ReportViolation(invariant.ConfigIncreases, fmt.Sprintf("version %d.%d after %d.%d", next.Term, next.Seq, was.Term, was.Seq))
 	}
 }
 
 // complete reports whether the table may be served from: it is all there, and confirmed. Once it may,
 // it stays so: what is lost later is judged server by server.
-func (b *Table) complete(ctx *kernel.Context, c *Snapshot) bool {
-	if was := b.current.Load(); was != nil && was.Complete {
+func (table *Table) complete(ctx *kernel.Context, snap *Snapshot) bool {
+	if was := table.current.Load(); was != nil && was.Complete {
 		return true
 	}
-	if !b.configSync.Confirmed(state.ConfigPartition, ctx.Now) {
+	if !table.configSync.Confirmed(state.ConfigPartition, ctx.Now) {
 		return false
 	}
-	if c.Routing != nil && len(b.listing.Backends) > 0 {
+	if snap.Routing != nil && len(table.listing.Backends) > 0 {
 		return true
 	}
-	if c.Configuration == nil || len(c.Indexes) == 0 || len(b.listing.Backends) == 0 {
+	if snap.Configuration == nil || len(snap.Indexes) == 0 || len(table.listing.Backends) == 0 {
 		return false
 	}
 	cut := false
-	for name, x := range c.Indexes {
+	for name, x := range snap.Indexes {
 		partition := state.PartitionOf(name)
-		if _, ok := b.mesh.Partition(partition); !ok || !b.configSync.Confirmed(partition, ctx.Now) {
+		if _, ok := table.mesh.Partition(partition); !ok || !table.configSync.Confirmed(partition, ctx.Now) {
 			return false
 		}
 		cut = cut || x.Cut.Name != ""
@@ -72,24 +72,24 @@
 	return cut
 }
 
-// awaitConfirmed has the table built once state that no majority confirmed may be served from; see configsync.UnconfirmedAfter.
-func (b *Table) awaitConfirmed(ctx *kernel.Context) {
+// awaitConfirmed has the table built once state that no majority confirmed may be served from; see configsync.UnconfirmedTimeout.
+func (table *Table) awaitConfirmed(ctx *kernel.Context) {
 	switch {
-	case b.current.Load().Complete:
-	case b.configSync.Confirmed(state.ConfigPartition, ctx.Now):
-		b.build(ctx)
+	case table.current.Load().Complete:
+	case table.configSync.Confirmed(state.ConfigPartition, ctx.Now):
+		table.build(ctx)
 	default:
 		ctx.After(awaitInterval, "table", awaitTimer)
 	}
 }
 
 // logUnconfirmed tells that this process begins to serve from state that no majority confirmed.
-func (b *Table) logUnconfirmed(ctx *kernel.Context, c *Snapshot) {
-	if was := b.current.Load(); !c.Complete || was != nil && was.Complete || b.configSync.InContact() {
+func (table *Table) logUnconfirmed(ctx *kernel.Context, snap *Snapshot) {
+	if was := table.current.Load(); !snap.Complete || was != nil && was.Complete || table.configSync.InContact() {
 		return
 	}
 	ctx.Counts.Add("table_unconfirmed", 1)
-	ctx.Log(kernel.LevelWarn, "serves_unconfirmed_state", "why", "no core that is reached is in contact with a majority", "term", c.Version.Term, "seq", c.Version.Seq)
+	ctx.Log(kernel.LevelWarn, "serves_unconfirmed_state", "why", "no core that is reached is in contact with a majority", "term", snap.Version.Term, "seq", snap.Version.Seq)
 }
 
 // The timer of a process that waits for confirmed state.
--- a/request/snapshot/health.go
+++ b/request/snapshot/health.go
@@ -21,16 +21,16 @@
 }
 
 // countReports counts the opinions of live observers on one server; nil where there is none.
-func (b *Table) countReports(server string, now int64) *reportCounts {
+func (table *Table) countReports(server string, now int64) *reportCounts {
 	var v *reportCounts
-	for _, o := range b.healthReports[server] {
-		if !b.mesh.Live(o.origin, now) {
+	for _, o := range table.healthReports[server] {
+		if !table.mesh.Live(o.origin, now) {
 			continue
 		}
 		if v == nil {
 			v = &reportCounts{}
 		}
-		v.add(o, o.origin == b.mesh.Self())
+		v.add(o, o.origin == table.mesh.Self())
 	}
 	return v
 }
@@ -56,20 +56,20 @@
 	}
 }
 
-func (b *Table) evaluateServers(ctx *kernel.Context, c *Snapshot) []*Server {
-	out := make([]*Server, 0, len(b.listing.Backends))
-	for _, row := range b.listing.Backends {
-		s := &Server{Backend: row, Gauge: b.Gauges.Of(row.ID)}
-		if v := b.countReports(row.ID, ctx.Now); v != nil {
+func (table *Table) evaluateServers(ctx *kernel.Context, snap *Snapshot) []*Server {
+	out := make([]*Server, 0, len(table.listing.Backends))
+	for _, row := range table.listing.Backends {
+		s := &Server{Backend: row, Gauge: table.Gauges.Of(row.ID)}
+		if v := table.countReports(row.ID, ctx.Now); v != nil {
 			s.Incarnation = max(s.Incarnation, v.incarnation)
 			s.Health = v.healthState()
-			b.setBorn(ctx, s, v.uptime)
+			table.setBorn(ctx, s, v.uptime)
 		} else {
-			b.setBorn(ctx, s, 0)
+			table.setBorn(ctx, s, 0)
 		}
-		if left, ok := b.drainingIncarnation[row.ID]; ok && (row.State == "leaving" || row.Incarnation <= left) {
+		if left, ok := table.drainingIncarnation[row.ID]; ok && (row.State == "leaving" || row.Incarnation <= left) {
 			s.Health = Draining
-		} else if slices.Contains(c.Config.DrainedZones, row.Zone) {
+		} else if slices.Contains(snap.Config.DrainedZones, row.Zone) {
 			s.Health = ZoneDrained
 		}
 		out = append(out, s)
@@ -78,11 +78,11 @@
 }
 
 // setBorn fixes when an incarnation began, on this process's clock.
-func (b *Table) setBorn(ctx *kernel.Context, s *Server, up int64) {
-	was, ok := b.births[s.ID]
+func (table *Table) setBorn(ctx *kernel.Context, s *Server, up int64) {
+	was, ok := table.births[s.ID]
 	if !ok || was.incarnation < s.Incarnation {
 		was = birth{s.Incarnation, ctx.Now - up}
-		b.births[s.ID] = was
+		table.births[s.ID] = was
 	}
 	s.Born = was.born
 }
@@ -102,19 +102,19 @@
 	return Healthy
 }
 
-func (b *Table) buildIndex(c *Snapshot, s *configpb.Service) *Index {
+func (table *Table) buildIndex(snap *Snapshot, s *configpb.Service) *Index {
 	x := &Index{Name: s.Index, Service: s, Limits: map[string]Limit{}, Capacity: float64(s.Capacity)}
-	if v, ok := b.mesh.Partition(state.PartitionOf(s.Index)); ok {
+	if v, ok := table.mesh.Partition(state.PartitionOf(s.Index)); ok {
 		if body, err := state.ReadIndex(v.Body); err == nil {
 			x.Cut = body.ShardMaps[s.Index]
 		}
 	}
-	x.Cut = b.servable(c.Servers, s.Index, x.Cut)
-	x.Shards = shards(c.Servers, s.Index, x.Cut.Name, x.Cut.Shards)
-	x.NextShards = shards(c.Servers, s.Index, x.Cut.Next, x.Cut.NextShards)
+	x.Cut = table.servable(snap.Servers, s.Index, x.Cut)
+	x.Shards = shards(snap.Servers, s.Index, x.Cut.Name, x.Cut.Shards)
+	x.NextShards = shards(snap.Servers, s.Index, x.Cut.Next, x.Cut.NextShards)
 	booked := 0.0
-	for _, k := range c.Configuration.Bookings {
-		if k.Index != s.Index || !slices.Contains(c.Config.ActiveBookings, k.Id) {
+	for _, k := range snap.Configuration.Bookings {
+		if k.Index != s.Index || !slices.Contains(snap.Config.ActiveBookings, k.Id) {
 			continue
 		}
 		l := x.Limits[k.Kind]
@@ -122,7 +122,7 @@
 		x.Limits[k.Kind] = l
 		booked += x.Capacity * float64(k.Slice) / 100
 	}
-	for _, r := range c.Configuration.Rows {
+	for _, r := range snap.Configuration.Rows {
 		if r.Index == s.Index {
 			l := x.Limits[r.Kind]
 			l.Share = (x.Capacity - booked) * float64(r.Share) / 100
@@ -135,10 +135,10 @@
 
 // servable is the live cut, or the one before it for as long as this node knows of no
 // server for some shard of the live one: the cut may come before the platform's list.
-func (b *Table) servable(all []*Server, index string, live wire.ShardMap) wire.ShardMap {
-	was := b.servedCuts[index]
+func (table *Table) servable(all []*Server, index string, live wire.ShardMap) wire.ShardMap {
+	was := table.servedCuts[index]
 	if was.Name == live.Name || was.Name == "" || complete(all, index, live) || !complete(all, index, was) {
-		b.servedCuts[index] = live
+		table.servedCuts[index] = live
 		return live
 	}
 	return wire.ShardMap{Name: was.Name, Shards: was.Shards, Next: live.Name, NextShards: live.Shards}
--- a/request/snapshot/healthreports.go
+++ b/request/snapshot/healthreports.go
@@ -39,9 +39,9 @@
 }
 
 // CountAgreeing counts the live observers other than this process that say the same of a server.
-func (b *Table) CountAgreeing(server string, o wire.HealthReport, now int64) (n int) {
-	for _, other := range b.healthReports[server] {
-		if other.State == o.State && other.Incarnation >= o.Incarnation && other.origin != b.mesh.Self() && b.mesh.Live(other.origin, now) {
+func (table *Table) CountAgreeing(server string, o wire.HealthReport, now int64) (n int) {
+	for _, other := range table.healthReports[server] {
+		if other.State == o.State && other.Incarnation >= o.Incarnation && other.origin != table.mesh.Self() && table.mesh.Live(other.origin, now) {
 			n++
 		}
 	}
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -11,38 +11,38 @@
 )
 
 // buildPools fills in the routing table in force and its pools.
-func (b *Table) buildPools(c *Snapshot) {
-	if len(c.Config.Routing) == 0 {
+func (table *Table) buildPools(snap *Snapshot) {
+	if len(snap.Config.Routing) == 0 {
 		return
 	}
-	if was := b.current.Load(); was != nil && was.Routing != nil && was.Version == c.Version {
-		c.Routing = was.Routing
+	if was := table.current.Load(); was != nil && was.Routing != nil && was.Version == snap.Version {
+		snap.Routing = was.Routing
 	} else {
 		src := new(routingpb.RoutingTable)
-		if proto.Unmarshal(c.Config.Routing, src) != nil {
+		if proto.Unmarshal(snap.Config.Routing, src) != nil {
 			return
 		}
-		c.Routing = routing.Compile(src)
+		snap.Routing = routing.Compile(src)
 	}
-	c.Pools = make(map[string]*Pool, len(c.Routing.Pools))
-	for name, p := range c.Routing.Pools {
-		c.Pools[name] = &Pool{Pool: p}
+	snap.Pools = make(map[string]*Pool, len(snap.Routing.Pools))
+	for name, p := range snap.Routing.Pools {
+		snap.Pools[name] = &Pool{Pool: p}
 	}
-	for _, s := range c.Servers {
-		if p := c.Pools[s.Pool]; p != nil && s.Pool != "" {
+	for _, s := range snap.Servers {
+		if p := snap.Pools[s.Pool]; p != nil && s.Pool != "" {
 			p.Servers = append(p.Servers, s)
 		}
 	}
-	h := subsetNode{name: b.Self(), zone: c.Zone, nodes: c.Divisor}
-	for _, n := range c.Roster {
-		if n.Zone == c.Zone {
+	h := subsetNode{name: table.Self(), zone: snap.Zone, nodes: snap.Divisor}
+	for _, n := range snap.Roster {
+		if n.Zone == snap.Zone {
 			h.zoneNodes++
 		}
 	}
-	for _, p := range c.Pools {
+	for _, p := range snap.Pools {
 		p.assignSubset(h)
 	}
 }
 
 // Self is the name of this process.
-func (b *Table) Self() string { return b.k.Boot.Settings.Name }
+func (table *Table) Self() string { return table.k.Boot.Settings.Name }
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -56,13 +56,13 @@
 }
 
 // roster lists the nodes, dead ones for a while too.
-func (b *Table) roster(ctx *kernel.Context) []Node {
+func (table *Table) roster(ctx *kernel.Context) []Node {
 	var out []Node
-	b.members.Each(ctx.Now, func(origin string, r *wire.Member, live bool) {
+	table.members.Each(ctx.Now, func(origin string, r *wire.Member, live bool) {
 		if r.Role != "node" {
 			return
 		}
-		at, ok := b.lastLive[origin]
+		at, ok := table.lastLive[origin]
 		if !ok || ctx.Now-at > RosterTTL {
 			return
 		}
@@ -81,17 +81,17 @@
 
 // updateLive notes who is live, and sums up what a snapshot takes from the clock: who is, who
 // still counts as a home of claims, and the size of the fleet.
-func (b *Table) updateLive(now int64) uint64 {
-	h := uint64(b.members.Divisor())
-	b.members.Each(now, func(origin string, _ *wire.Member, live bool) {
-		at, ok := b.lastLive[origin]
+func (table *Table) updateLive(now int64) uint64 {
+	h := uint64(table.members.Divisor())
+	table.members.Each(now, func(origin string, _ *wire.Member, live bool) {
+		at, ok := table.lastLive[origin]
 		if !live && (!ok || now-at > RosterTTL) {
 			return
 		}
 		x := fnv.New64a()
 		x.Write([]byte(origin))
 		if live {
-			b.lastLive[origin] = now
+			table.lastLive[origin] = now
 			h += x.Sum64()
 			return
 		}
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -112,7 +112,7 @@
 const MaxStale = 1_000_000
 
 // Ready reports whether inquiries can be served from this snapshot.
-func (c *Snapshot) Ready() bool { return c != nil && c.Complete }
+func (snap *Snapshot) Ready() bool { return snap != nil && snap.Complete }
 
 // Gauge is what this node itself sees of one server; it outlives snapshots.
 type Gauge struct {
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -70,98 +70,98 @@
 }
 
 // Name is the plug-in's name.
-func (b *Table) Name() string { return "table" }
+func (table *Table) Name() string { return "table" }
 
 // Kinds are the frames that it takes: none.
-func (b *Table) Kinds() []uint8 { return nil }
+func (table *Table) Kinds() []uint8 { return nil }
 
 // Current is the newest snapshot; any thread may ask.
-func (b *Table) Current() *Snapshot { return b.current.Load() }
+func (table *Table) Current() *Snapshot { return table.current.Load() }
 
 // Step takes one input.
-func (b *Table) Step(ctx *kernel.Context, in kernel.Input) {
+func (table *Table) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
 		ctx.After(configsync.UnconfirmedTimeout, "table", awaitTimer)
-		b.build(ctx)
+		table.build(ctx)
 	case kernel.Tick:
 		if v.Key == awaitTimer {
-			b.awaitConfirmed(ctx)
+			table.awaitConfirmed(ctx)
 			return
 		}
-		b.buildScheduled = b.buildScheduled && v.Key != "build"
-		b.build(ctx)
+		table.buildScheduled = table.buildScheduled && v.Key != "build"
+		table.build(ctx)
 	case kernel.Thawed:
-		b.staleness = staleness{until: ctx.Now + MaxStale}
-		b.build(ctx)
+		table.staleness = staleness{until: ctx.Now + MaxStale}
+		table.build(ctx)
 		ctx.After(MaxStale, "table", "stale")
 	case mesh.CaughtUp:
-		b.refreshed(ctx, func(s *staleness) { s.mesh = true })
+		table.refreshed(ctx, func(s *staleness) { s.mesh = true })
 	case configsync.Pulled:
-		b.handlePulled(ctx, v)
+		table.handlePulled(ctx, v)
 	case kernel.Stopping:
-		b.build(ctx)
+		table.build(ctx)
 	case mesh.LivenessUpdated:
-		if b.updateLive(ctx.Now) != b.liveHash {
-			b.build(ctx)
+		if table.updateLive(ctx.Now) != table.liveHash {
+			table.build(ctx)
 		}
 	case mesh.Forgotten:
-		delete(b.lastLive, v.Origin)
-		b.healthReports.forget(v.Origin)
-		b.scheduleBuild(ctx)
-		b.reannounceListing(ctx, v.Origin)
+		delete(table.lastLive, v.Origin)
+		table.healthReports.forget(v.Origin)
+		table.scheduleBuild(ctx)
+		table.reannounceListing(ctx, v.Origin)
 	case mesh.Stored:
 		switch v.Entry.Type {
 		case "part":
-			b.build(ctx)
+			table.build(ctx)
 		case "listing":
-			b.applyListing(ctx, v)
+			table.applyListing(ctx, v)
 		case "opinion":
-			b.healthReports.apply(v)
-			b.scheduleBuild(ctx)
+			table.healthReports.apply(v)
+			table.scheduleBuild(ctx)
 		case "member":
-			b.scheduleBuild(ctx)
+			table.scheduleBuild(ctx)
 		}
 	}
 }
 
 // scheduleBuild has a snapshot built shortly, for all that changes until then.
-func (b *Table) scheduleBuild(ctx *kernel.Context) {
-	if !b.buildScheduled {
-		b.buildScheduled = true
-		ctx.After(max(BuildDelay, b.builtAt+BuildInterval-ctx.Now), "table", "build")
+func (table *Table) scheduleBuild(ctx *kernel.Context) {
+	if !table.buildScheduled {
+		table.buildScheduled = true
+		ctx.After(max(BuildDelay, table.builtAt+BuildInterval-ctx.Now), "table", "build")
 	}
 }
 
 // refreshed notes one of the things that a thawed process waits for.
-func (b *Table) refreshed(ctx *kernel.Context, f func(s *staleness)) {
-	if was := b.staleness.active(ctx.Now); was {
-		f(&b.staleness)
-		if !b.staleness.active(ctx.Now) {
-			b.build(ctx)
+func (table *Table) refreshed(ctx *kernel.Context, f func(s *staleness)) {
+	if was := table.staleness.active(ctx.Now); was {
+		f(&table.staleness)
+		if !table.staleness.active(ctx.Now) {
+			table.build(ctx)
 		}
 	}
 }
 
 // handlePulled notes that a core answered a pull: what a process serves from that has just started, or was
 // thawed, needs an answer of a core in contact with a majority.
-func (b *Table) handlePulled(ctx *kernel.Context, v configsync.Pulled) {
+func (table *Table) handlePulled(ctx *kernel.Context, v configsync.Pulled) {
 	if v.Confirmed == 0 {
 		return
 	}
-	b.refreshed(ctx, func(s *staleness) { s.pulled = true })
-	if !b.current.Load().Complete {
-		b.build(ctx)
+	table.refreshed(ctx, func(s *staleness) { s.pulled = true })
+	if !table.current.Load().Complete {
+		table.build(ctx)
 	}
 }
 
 // applyListing takes a reading of the platform's list, unless an older holder made it.
-func (b *Table) applyListing(ctx *kernel.Context, v mesh.Stored) {
+func (table *Table) applyListing(ctx *kernel.Context, v mesh.Stored) {
 	var l wire.BackendList
-	if wire.Decode(v.Entry.Body, &l) != nil || l.LeaseID < b.listing.LeaseID {
+	if wire.Decode(v.Entry.Body, &l) != nil || l.LeaseID < table.listing.LeaseID {
 		return
 	}
-	if v.Origin == b.listingOrigin && v.Entry.Count < b.listingCount {
+	if v.Origin == table.listingOrigin && v.Entry.Count < table.listingCount {
 		return
 	}
 	there := map[string]bool{}
@@ -169,54 +169,54 @@
 		there[s.ID] = true
 		if s.State == "leaving" {
 			// Sticky for the incarnation: no later reading takes it back.
-			b.drainingIncarnation[s.ID] = max(b.drainingIncarnation[s.ID], s.Incarnation)
+			table.drainingIncarnation[s.ID] = max(table.drainingIncarnation[s.ID], s.Incarnation)
 		}
 	}
-	for _, s := range b.listing.Backends {
+	for _, s := range table.listing.Backends {
 		if !there[s.ID] && !l.Complete {
 			// Absence from such a list proves nothing; the server stays until it is absent for long.
-			if _, ok := b.absentSince[s.ID]; !ok {
-				b.absentSince[s.ID] = ctx.Now
+			if _, ok := table.absentSince[s.ID]; !ok {
+				table.absentSince[s.ID] = ctx.Now
 			}
-			if ctx.Now-b.absentSince[s.ID] < AbsentTTL {
+			if ctx.Now-table.absentSince[s.ID] < AbsentTTL {
 				l.Backends = append(l.Backends, s)
 			}
 		}
 	}
 	for id := range there {
-		delete(b.absentSince, id)
+		delete(table.absentSince, id)
 	}
-	b.listing, b.listingOrigin, b.listingCount = l, v.Origin, v.Entry.Count
-	b.build(ctx)
+	table.listing, table.listingOrigin, table.listingCount = l, v.Origin, v.Entry.Count
+	table.build(ctx)
 }
 
 // AbsentTTL is how long a server that left the list without a word is kept.
 const AbsentTTL = 60_000_000
 
-func (b *Table) build(ctx *kernel.Context) {
-	c := &Snapshot{
-		At: ctx.Now, Indexes: map[string]*Index{}, Zone: b.k.Boot.Settings.Zone, Divisor: b.members.Divisor(),
-		Draining: b.members.Local().Draining, Stale: b.staleness.active(ctx.Now),
+func (table *Table) build(ctx *kernel.Context) {
+	snap := &Snapshot{
+		At: ctx.Now, Indexes: map[string]*Index{}, Zone: table.k.Boot.Settings.Zone, Divisor: table.members.Divisor(),
+		Draining: table.members.Local().Draining, Stale: table.staleness.active(ctx.Now),
 	}
-	b.loadConfig(ctx, c)
-	b.liveHash = b.updateLive(ctx.Now)
-	for _, z := range c.Config.DrainedZones {
-		c.ZoneDrained = c.ZoneDrained || z == c.Zone
+	table.loadConfig(ctx, snap)
+	table.liveHash = table.updateLive(ctx.Now)
+	for _, z := range snap.Config.DrainedZones {
+		snap.ZoneDrained = snap.ZoneDrained || z == snap.Zone
 	}
-	c.Roster = b.roster(ctx)
-	c.KeyOwners = keyOwners(c.Roster)
-	c.Peers = b.members.Count(ctx.Now, "node")
-	c.Servers = b.evaluateServers(ctx, c)
-	if c.Configuration != nil {
-		for _, s := range c.Configuration.Services {
-			c.Indexes[s.Index] = b.buildIndex(c, s)
+	snap.Roster = table.roster(ctx)
+	snap.KeyOwners = keyOwners(snap.Roster)
+	snap.Peers = table.members.Count(ctx.Now, "node")
+	snap.Servers = table.evaluateServers(ctx, snap)
+	if snap.Configuration != nil {
+		for _, s := range snap.Configuration.Services {
+			snap.Indexes[s.Index] = table.buildIndex(snap, s)
 		}
 	}
-	b.buildPools(c)
-	c.Complete = b.complete(ctx, c)
-	b.logUnconfirmed(ctx, c)
-	b.current.Store(c)
-	b.builtAt = ctx.Now
+	table.buildPools(snap)
+	snap.Complete = table.complete(ctx, snap)
+	table.logUnconfirmed(ctx, snap)
+	table.current.Store(snap)
+	table.builtAt = ctx.Now
 	ctx.Emit(Built{})
 }
 
@@ -225,9 +225,9 @@
 
 // reannounceListing tells the list again that a forgotten node had told, so that nodes
 // which start later still find it. The first live node by name does so.
-func (b *Table) reannounceListing(ctx *kernel.Context, forgotten string) {
-	live := b.members.Live(ctx.Now, "node")
-	if forgotten == b.listingOrigin && len(live) > 0 && live[0].Origin == b.mesh.Self() {
-		b.mesh.Announce(ctx, "listing", discovery.LeaseTask, wire.Encode(&b.listing), false)
+func (table *Table) reannounceListing(ctx *kernel.Context, forgotten string) {
+	live := table.members.Live(ctx.Now, "node")
+	if forgotten == table.listingOrigin && len(live) > 0 && live[0].Origin == table.mesh.Self() {
+		table.mesh.Announce(ctx, "listing", discovery.LeaseTask, wire.Encode(&table.listing), false)
 	}
 }
