--- a/cmd/wallport/control.go
+++ b/cmd/wallport/control.go
@@ -53,7 +53,7 @@
 	return func(a platform.Audit) {
 		at := a.Reply.Version
 		log.Info("audit", zap.String("op", a.Op), zap.String("name", a.Name), zap.Int64("base", a.Base), zap.Int64("revision", a.Revision),
-			zap.String("result", a.Reply.Code), zap.Uint64("term", at.Term), zap.Uint64("seq", at.Seq), zap.Int("findings", len(a.Reply.Findings)), zap.String("finding", firstFinding(a.Reply.Findings)),
+			zap.String("result", string(a.Reply.Code)), zap.Uint64("term", at.Term), zap.Uint64("seq", at.Seq), zap.Int("findings", len(a.Reply.Findings)), zap.String("finding", firstFinding(a.Reply.Findings)),
 			zap.String("from", a.From), zap.Int64("took_us", a.Took), zap.Bool("caller_gone", a.CallerGone))
 	}
 }
--- a/control/operations/call.go
+++ b/control/operations/call.go
@@ -15,7 +15,7 @@
 // Routing answers ReadRouting. Code is "ok" or "shed"; Table is nil where no table was ever set.
 type Routing struct {
 	Table *routingpb.RoutingTable
-	Code  string
+	Code  wire.Code
 }
 
 // ReadHistory asks for the earlier sheets, confirmed by a majority after the question came.
@@ -24,7 +24,7 @@
 // History answers ReadHistory. Code is "ok" or "shed"; the newest sheet is the last.
 type History struct {
 	Configurations []wire.PastConfig
-	Code           string
+	Code           wire.Code
 }
 
 type call struct {
@@ -65,24 +65,24 @@
 }
 
 func routingOutcome(res Result) any {
-	if res.Reply.Code != "ok" {
-		return Routing{Code: "shed"}
+	if res.Reply.Code != wire.CodeOK {
+		return Routing{Code: wire.CodeOverloaded}
 	}
 	config, err := state.ReadConfig(res.Reply.Body)
 	if err != nil {
-		return Routing{Code: "shed"}
+		return Routing{Code: wire.CodeOverloaded}
 	}
 	table, err := state.RoutingOf(config)
 	if err != nil {
-		return Routing{Code: "shed"}
+		return Routing{Code: wire.CodeOverloaded}
 	}
-	return Routing{Table: table, Code: "ok"}
+	return Routing{Table: table, Code: wire.CodeOK}
 }
 
 func historyOutcome(res Result) any {
 	ledger, err := state.ReadEditLog(res.Reply.Body)
-	if res.Reply.Code != "ok" || err != nil {
-		return History{Code: "shed"}
+	if res.Reply.Code != wire.CodeOK || err != nil {
+		return History{Code: wire.CodeOverloaded}
 	}
-	return History{Configurations: ledger.History, Code: "ok"}
+	return History{Configurations: ledger.History, Code: wire.CodeOK}
 }
--- a/control/operations/operations.go
+++ b/control/operations/operations.go
@@ -141,7 +141,7 @@
 		c.answer = historyOutcome
 		c.command = Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: wire.OpHistory}}
 	case Submit:
-		if ask.Edit.Op == "empty" && ask.Edit.Name != "" && !o.knowsZone(ask.Edit.Name, ctx.Now) {
+		if ask.Edit.Op == wire.OpDrainZone && ask.Edit.Name != "" && !o.knowsZone(ask.Edit.Name, ctx.Now) {
 			ctx.Reply(v.ID, unknownZone(ask.Edit.Name))
 			return
 		}
@@ -151,7 +151,7 @@
 			c.command.Edit.EditID = fmt.Sprintf("%016x%016x", ctx.Rand.Uint64(), ctx.Rand.Uint64())
 		}
 	default:
-		ctx.Reply(v.ID, Result{Reply: wire.EditReply{Code: "invalid"}})
+		ctx.Reply(v.ID, Result{Reply: wire.EditReply{Code: wire.CodeInvalid}})
 		return
 	}
 	o.calls[v.ID] = c
--- a/control/operations/partitioned_leader_test.go
+++ b/control/operations/partitioned_leader_test.go
@@ -45,14 +45,14 @@
 			n.advance(replica.TickInterval)
 		}
 		n.call(1, Submit{Edit: wire.Edit{Op: "nonsense"}, AwaitInForce: true, Timeout: within})
-		n.call(2, Submit{Edit: wire.Edit{Op: "refill", Name: "z1"}, AwaitInForce: true, Timeout: within})
+		n.call(2, Submit{Edit: wire.Edit{Op: wire.OpRestoreZone, Name: "z1"}, AwaitInForce: true, Timeout: within})
 		n.call(3, ReadRouting{Timeout: within})
 		for end := n.now + within; n.now < end; n.coreTick() {
 			n.advance(replica.TickInterval)
 		}
 		must.MapLen(t, 3, n.answers, must.Sprint("cut off for ", since))
-		must.SliceContains(t, []string{"shed", "unknown"}, n.code(1))
-		must.SliceContains(t, []string{"shed", "unknown"}, n.code(2))
-		must.Eq(t, Routing{Code: "shed"}, n.answers[3].(Routing))
+		must.SliceContains(t, []wire.Code{wire.CodeOverloaded, wire.CodeUnknown}, n.code(1))
+		must.SliceContains(t, []wire.Code{wire.CodeOverloaded, wire.CodeUnknown}, n.code(2))
+		must.Eq(t, Routing{Code: wire.CodeOverloaded}, n.answers[3].(Routing))
 	}
 }
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -135,7 +135,7 @@
 
 // endRebuildStep ends one of the steps.
 func (o *Service) endRebuildStep(ctx *kernel.Context, id uint64, r *rebuildState) {
-	end := func(code, text string) {
+	end := func(code wire.Code, text string) {
 		delete(o.rebuilds, id)
 		reply := wire.EditReply{Code: code, Version: r.versioned.Version}
 		if text != "" {
@@ -145,18 +145,18 @@
 	}
 	if r.applying {
 		if 2*len(r.agreed) > len(r.voters) {
-			end("ok", "")
+			end(wire.CodeOK, "")
 		} else {
-			end("unknown", fmt.Sprint("too few cores hold it: ", r.refusals))
+			end(wire.CodeUnknown, fmt.Sprint("too few cores hold it: ", r.refusals))
 		}
 		return
 	}
 	switch {
 	case len(r.refusals) > 0:
-		end("invalid", fmt.Sprint(r.refusals))
+		end(wire.CodeInvalid, fmt.Sprint(r.refusals))
 		return
 	case r.fetching:
-		end("invalid", "the newest version did not arrive from "+r.newestReplica)
+		end(wire.CodeInvalid, "the newest version did not arrive from "+r.newestReplica)
 		return
 	case o.fetchNewest(ctx, id, r):
 		return
@@ -169,7 +169,7 @@
 	}
 	r.voters = rebuiltVoters(agreed, o.targetVoters)
 	if len(r.voters) == 0 {
-		end("invalid", "needs three live cores with sound disks")
+		end(wire.CodeInvalid, "needs three live cores with sound disks")
 		return
 	}
 	// A term past anything that the lost replicas can have promised among few of them.
--- a/control/operations/rebuild_fetch_test.go
+++ b/control/operations/rebuild_fetch_test.go
@@ -53,7 +53,7 @@
 	n.advance(FetchTimeout - 1)
 	must.Eq(t, "", n.code(1))
 	n.advance(1)
-	must.Eq(t, "invalid", n.code(1))
+	must.Eq(t, wire.CodeInvalid, n.code(1))
 	must.False(t, r.applying)
 }
 
--- a/control/operations/submit.go
+++ b/control/operations/submit.go
@@ -28,9 +28,9 @@
 	}
 	left := c.startedAt + c.timeout() - ctx.Now
 	if left <= 0 {
-		code := "shed"
+		code := wire.CodeOverloaded
 		if c.undeclined > 0 {
-			code = "unknown"
+			code = wire.CodeUnknown
 		}
 		o.finish(ctx, id, c, Result{Reply: wire.EditReply{Code: code}})
 		return
@@ -101,22 +101,22 @@
 		return
 	}
 	switch r.Code {
-	case "not_owner":
+	case wire.CodeNotLeader:
 		c.undeclined--
 		o.redirect(ctx, id, c, r.Addr)
 		return
 	case wire.CodeStale:
 		o.versionStale(ctx, id, c)
 		return
-	case "shed":
+	case wire.CodeOverloaded:
 		c.undeclined--
 		return
-	case "unknown":
+	case wire.CodeUnknown:
 		// The edit id lets the next try learn what came of this one.
 		return
 	}
 	c.reply, c.repliedAt = &r, ctx.Now
-	if r.Code != "ok" || !c.command.AwaitInForce {
+	if r.Code != wire.CodeOK || !c.command.AwaitInForce {
 		o.finish(ctx, id, c, Result{Reply: r})
 		return
 	}
--- a/control/operations/submit_test.go
+++ b/control/operations/submit_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func (n *node) code(id uint64) string {
+func (n *node) code(id uint64) wire.Code {
 	v, ok := n.answers[id]
 	if !ok {
 		return ""
@@ -96,7 +96,7 @@
 }
 
 // routingEdit is an edit that needs no question first.
-func routingEdit() wire.Edit { return wire.Edit{Op: "routing"} }
+func routingEdit() wire.Edit { return wire.Edit{Op: wire.OpPutRouting} }
 
 func TestSubmitTimesOutAsUnknown(t *testing.T) {
 	n := newNode(t)
@@ -104,7 +104,7 @@
 	n.advance(799_999)
 	must.Eq(t, "", n.code(1))
 	n.advance(1)
-	must.Eq(t, "unknown", n.code(1))
+	must.Eq(t, wire.CodeUnknown, n.code(1))
 	must.Eq(t, 5, len(n.edits), must.Sprint("tried again meanwhile"))
 }
 
@@ -113,7 +113,7 @@
 	k.k = kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	k.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
 	k.advance(800_000)
-	must.Eq(t, "shed", k.code(1))
+	must.Eq(t, wire.CodeOverloaded, k.code(1))
 }
 
 func TestSubmitDeclinedByAllIsOverloadedAndBySomeUnknown(t *testing.T) {
@@ -121,30 +121,30 @@
 	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
 	for range 8 {
 		for range len(n.edits) {
-			n.reply(1, wire.EditReply{Code: "not_owner"})
+			n.reply(1, wire.EditReply{Code: wire.CodeNotLeader})
 		}
 		n.edits = nil
 		n.advance(100_000)
 	}
-	must.Eq(t, "shed", n.code(1))
+	must.Eq(t, wire.CodeOverloaded, n.code(1))
 	n.call(2, Submit{Edit: routingEdit(), Timeout: 800_000})
-	n.reply(2, wire.EditReply{Code: "not_owner"})
+	n.reply(2, wire.EditReply{Code: wire.CodeNotLeader})
 	n.advance(800_000)
-	must.Eq(t, "unknown", n.code(2), must.Sprint("later sendings were not declined"))
+	must.Eq(t, wire.CodeUnknown, n.code(2), must.Sprint("later sendings were not declined"))
 }
 
 func TestSubmitFollowsRedirectsToLeader(t *testing.T) {
 	n := newNode(t)
 	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
-	n.reply(1, wire.EditReply{Code: "not_owner", Addr: "other"})
+	n.reply(1, wire.EditReply{Code: wire.CodeNotLeader, Addr: "other"})
 	must.Eq(t, []string{"owner", "other"}, n.edits)
-	n.reply(1, wire.EditReply{Code: "ok", Version: wire.Version{Term: 3, Seq: 1}})
-	must.Eq(t, "ok", n.code(1))
+	n.reply(1, wire.EditReply{Code: wire.CodeOK, Version: wire.Version{Term: 3, Seq: 1}})
+	must.Eq(t, wire.CodeOK, n.code(1))
 	// Two that name each other do not keep an edit going round for ever.
 	n.call(2, Submit{Edit: routingEdit()})
 	n.edits = nil
 	for range 100 {
-		n.reply(2, wire.EditReply{Code: "not_owner", Addr: "other"})
+		n.reply(2, wire.EditReply{Code: wire.CodeNotLeader, Addr: "other"})
 	}
 	must.Eq(t, maxRedirects, len(n.edits))
 }
@@ -152,11 +152,11 @@
 func TestSubmitRetriesUnknownOutcome(t *testing.T) {
 	n := newNode(t)
 	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
-	n.reply(1, wire.EditReply{Code: "unknown"})
+	n.reply(1, wire.EditReply{Code: wire.CodeUnknown})
 	must.Eq(t, "", n.code(1))
 	n.advance(200_000)
-	n.reply(1, wire.EditReply{Code: "ok"})
-	must.Eq(t, "ok", n.code(1))
+	n.reply(1, wire.EditReply{Code: wire.CodeOK})
+	must.Eq(t, wire.CodeOK, n.code(1))
 }
 
 func TestAwaitInForceIsBounded(t *testing.T) {
@@ -168,11 +168,11 @@
 		// This node itself does not have that version in force.
 		n.call(1, Submit{Edit: routingEdit(), AwaitInForce: true, AwaitTimeout: v.wait, Timeout: v.giveUp})
 		n.advance(v.replied)
-		n.reply(1, wire.EditReply{Code: "ok", Version: at})
+		n.reply(1, wire.EditReply{Code: wire.CodeOK, Version: at})
 		n.advance(v.ends - v.replied - 1)
 		must.Eq(t, "", n.code(1))
 		n.advance(1)
-		must.Eq(t, "ok", n.code(1))
+		must.Eq(t, wire.CodeOK, n.code(1))
 		must.Len(t, 1, n.answers[1].(Result).Laggards)
 	}
 }
@@ -182,14 +182,14 @@
 	must.NoError(t, err)
 	n := newNode(t)
 	n.call(1, ReadRouting{Timeout: 800_000})
-	n.reply(1, wire.EditReply{Code: "ok", Body: wire.Encode(&wire.ConfigBody{Routing: b})})
+	n.reply(1, wire.EditReply{Code: wire.CodeOK, Body: wire.Encode(&wire.ConfigBody{Routing: b})})
 	got := n.answers[1].(Routing)
-	must.Eq(t, "ok", got.Code)
+	must.Eq(t, wire.CodeOK, got.Code)
 	must.Eq(t, 7, got.Table.Revision)
 	n.call(2, ReadRouting{Timeout: 800_000})
-	n.reply(2, wire.EditReply{Code: "ok"})
-	must.Eq(t, Routing{Code: "ok"}, n.answers[2].(Routing), must.Sprint("none was ever set"))
+	n.reply(2, wire.EditReply{Code: wire.CodeOK})
+	must.Eq(t, Routing{Code: wire.CodeOK}, n.answers[2].(Routing), must.Sprint("none was ever set"))
 	n.call(3, ReadRouting{Timeout: 800_000})
 	n.advance(800_000)
-	must.Eq(t, Routing{Code: "shed"}, n.answers[3].(Routing))
+	must.Eq(t, Routing{Code: wire.CodeOverloaded}, n.answers[3].(Routing))
 }
--- a/control/operations/zone_version.go
+++ b/control/operations/zone_version.go
@@ -15,7 +15,7 @@
 
 // needsVersion tells that an order is not yet bound to what it was given on.
 func (c *call) needsVersion() bool {
-	return (c.command.Edit.Op == "empty" || c.command.Edit.Op == "refill") && !c.versionBound
+	return (c.command.Edit.Op == wire.OpDrainZone || c.command.Edit.Op == wire.OpRestoreZone) && !c.versionBound
 }
 
 func (c *call) versionQuery() wire.Edit {
@@ -29,12 +29,12 @@
 		return
 	}
 	switch r.Code {
-	case "not_owner":
+	case wire.CodeNotLeader:
 		o.redirect(ctx, id, c, r.Addr)
 	case wire.CodeVersion:
 		c.versionBound, c.command.Edit.Base = true, r.Version
 		o.redirect(ctx, id, c, r.Addr)
-	case "invalid":
+	case wire.CodeInvalid:
 		// A leader of a release before 3 has no versions, and takes the order without one. A later
 		// leader refuses it then, unless no order about the zone was ever taken.
 		c.versionBound, c.command.Edit.Base = true, wire.Version{}
--- a/control/operations/zone_version_test.go
+++ b/control/operations/zone_version_test.go
@@ -13,7 +13,7 @@
 	"wallport/runtime/wire"
 )
 
-func drainEdit() wire.Edit { return wire.Edit{Op: "empty", Name: "z1"} }
+func drainEdit() wire.Edit { return wire.Edit{Op: wire.OpDrainZone, Name: "z1"} }
 
 func zoneVersionReply(seq uint64) wire.EditReply {
 	return wire.EditReply{Code: wire.CodeVersion, Version: wire.Version{Term: 3, Seq: seq}, Addr: "owner"}
@@ -30,8 +30,8 @@
 	order := n.lastFrame()
 	must.Eq(t, "empty z1", order.edit.Op+" "+order.edit.Name)
 	must.Eq(t, wire.Version{Term: 3, Seq: 7}, order.edit.Base)
-	n.reply(order.id, wire.EditReply{Code: "ok"})
-	must.Eq(t, "ok", n.code(1))
+	n.reply(order.id, wire.EditReply{Code: wire.CodeOK})
+	must.Eq(t, wire.CodeOK, n.code(1))
 }
 
 func TestStaleZoneCommandReadsVersionAgainWhileCallIsOpen(t *testing.T) {
@@ -47,7 +47,7 @@
 	must.Eq(t, first.edit.EditID, second.edit.EditID, must.Sprint("it is the same order"))
 	n.reply(second.id, wire.EditReply{Code: wire.CodeStale})
 	n.advance(800_000)
-	must.Eq(t, "shed", n.code(1), must.Sprint("each sending was declined"))
+	must.Eq(t, wire.CodeOverloaded, n.code(1), must.Sprint("each sending was declined"))
 }
 
 // A process that was frozen, or that heard late, sends nothing for a call that nobody waits for.
@@ -71,7 +71,7 @@
 			over(n)
 			sent := len(n.frames)
 			n.reply(order.id, wire.EditReply{Code: wire.CodeStale})
-			n.reply(order.id, wire.EditReply{Code: "not_owner", Addr: "other"})
+			n.reply(order.id, wire.EditReply{Code: wire.CodeNotLeader, Addr: "other"})
 			if name == "abandoned" {
 				n.advance(5_000_000)
 			}
@@ -84,7 +84,7 @@
 func TestZoneCommandToLeaderOfEarlierRelease(t *testing.T) {
 	n := newNode(t)
 	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
-	n.reply(n.lastFrame().id, wire.EditReply{Code: "invalid"})
+	n.reply(n.lastFrame().id, wire.EditReply{Code: wire.CodeInvalid})
 	must.Eq(t, "empty z1", n.lastFrame().edit.Op+" "+n.lastFrame().edit.Name)
 	must.Eq(t, wire.Version{}, n.lastFrame().edit.Base)
 }
@@ -95,16 +95,16 @@
 	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
 	read := n.lastFrame()
 	n.reply(read.id, zoneVersionReply(7))
-	n.reply(read.id, wire.EditReply{Code: "not_owner"})
+	n.reply(read.id, wire.EditReply{Code: wire.CodeNotLeader})
 	n.advance(800_000)
-	must.Eq(t, "unknown", n.code(1))
+	must.Eq(t, wire.CodeUnknown, n.code(1))
 }
 
 func TestUnansweredVersionQueryIsOverloaded(t *testing.T) {
 	n := newNode(t)
 	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
 	n.advance(800_000)
-	must.Eq(t, "shed", n.code(1))
+	must.Eq(t, wire.CodeOverloaded, n.code(1))
 	for _, f := range n.frames {
 		must.Eq(t, wire.OpZoneVersion, f.edit.Op)
 	}
@@ -114,11 +114,11 @@
 	n := newNode(t)
 	n.call(1, ReadHistory{})
 	must.Eq(t, wire.OpHistory, n.lastFrame().edit.Op)
-	n.reply(1, wire.EditReply{Code: "ok", Body: wire.Encode(&wire.EditLog{History: []wire.PastConfig{{By: "someone"}}})})
+	n.reply(1, wire.EditReply{Code: wire.CodeOK, Body: wire.Encode(&wire.EditLog{History: []wire.PastConfig{{By: "someone"}}})})
 	must.Eq(t, "someone", n.answers[1].(History).Configurations[0].By)
 	n.call(2, ReadHistory{})
 	n.advance(CallTimeout)
-	must.Eq(t, "shed", n.answers[2].(History).Code)
+	must.Eq(t, wire.CodeOverloaded, n.answers[2].(History).Code)
 }
 
 // A zone of which a whole list knows nothing is not drained; one that may exist is.
@@ -160,7 +160,7 @@
 	n := newNode(t)
 	n.announce("listing", wire.Encode(&wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}))
 	kernel.Find[*Service](n.k).zoneRegions = map[string]string{"z1": "r1", "z9": "r1"}
-	n.call(1, Submit{Edit: wire.Edit{Op: "empty", Name: "z9"}})
+	n.call(1, Submit{Edit: wire.Edit{Op: wire.OpDrainZone, Name: "z9"}})
 	must.Eq(t, "", n.code(1))
 	must.Len(t, 1, n.frames)
 }
--- a/control/operations/zones.go
+++ b/control/operations/zones.go
@@ -9,7 +9,7 @@
 )
 
 // CodeUnknownZone refuses to drain a zone in which there is nothing. Nothing was sent.
-const CodeUnknownZone = "unknown_zone"
+const CodeUnknownZone wire.Code = "unknown_zone"
 
 // knowsZone reports whether a zone may exist: the settings name it, a member or a listed backend is
 // in it, or this process has not heard of a whole list yet and cannot tell.
--- a/control/replica/contact_test.go
+++ b/control/replica/contact_test.go
@@ -63,7 +63,7 @@
 		var r wire.EditReply
 		must.NoError(o.c.t, wire.Decode(f.Body, &r))
 		if cut && to == o.c.isolated {
-			must.SliceContains(o.c.t, []string{"not_owner", "unknown", "shed"}, r.Code, must.Sprint("from the member that is cut off"))
+			must.SliceContains(o.c.t, []wire.Code{wire.CodeNotLeader, wire.CodeUnknown, wire.CodeOverloaded}, r.Code, must.Sprint("from the member that is cut off"))
 		}
 		if r.Code == "ok" {
 			o.acks = append(o.acks, acknowledgement{o.c.now, r.Version})
--- a/control/replica/orders_test.go
+++ b/control/replica/orders_test.go
@@ -148,7 +148,7 @@
 	c.edit(2, wire.Edit{Op: "refill", Name: "z", EditID: "newer", Base: base})
 	must.Eq(t, map[uint64]string{2: "ok"}, replies(t, c.acceptProposal(g)))
 	must.MapEmpty(t, replies(t, c.edit(3, wire.Edit{Op: "empty", Name: "z", EditID: "late", Base: base})))
-	must.Eq(t, map[uint64]string{3: wire.CodeStale}, replies(t, c.confirmHeartbeat(g)))
+	must.Eq(t, map[uint64]string{3: string(wire.CodeStale)}, replies(t, c.confirmHeartbeat(g)))
 	must.Nil(t, g.proposal)
 }
 
--- a/control/replica/proposals_test.go
+++ b/control/replica/proposals_test.go
@@ -50,7 +50,7 @@
 		if f.Kind == wire.KindEditReply {
 			var r wire.EditReply
 			must.NoError(t, wire.Decode(f.Body, &r))
-			got[f.ID] = r.Code
+			got[f.ID] = string(r.Code)
 		}
 	}
 	return got
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -19,7 +19,7 @@
 type storedReply struct {
 	name string
 	edit wire.Edit
-	code string
+	code wire.Code
 	// term and seq are those of the version in the answer.
 	term, seq uint64
 }
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -154,6 +154,6 @@
 		return Told{Err: err.Error()}
 	}
 	reply := v.(operations.Result).Reply
-	r.AtUs, r.Code, r.Stamp = wallUs(), reply.Code, reply.Version
+	r.AtUs, r.Code, r.Stamp = wallUs(), string(reply.Code), reply.Version
 	return Told{Edited: &r}
 }
--- a/lab/sim/day_commands.go
+++ b/lab/sim/day_commands.go
@@ -118,7 +118,7 @@
 	d.world.after(commandTimeoutUs, next)
 }
 
-func editCode(v any) string { return v.(operations.Result).Reply.Code }
+func editCode(v any) string { return string(v.(operations.Result).Reply.Code) }
 
 // carry is an order that changes something.
 func (o *commands) carry(e wire.Edit, at pin, left func(), done func(code string, m *machine)) {
@@ -237,7 +237,7 @@
 	asked := d.world.now
 	o.send(&command{
 		request: func() any { asked = d.world.now; return operations.ReadRouting{Timeout: answerUs} }, until: d.end(),
-		code: func(v any) string { got = v.(operations.Routing).Table; return v.(operations.Routing).Code },
+		code: func(v any) string { got = v.(operations.Routing).Table; return string(v.(operations.Routing).Code) },
 		done: func(string, *machine) {
 			d.world.Checker.Count("read_back", 1)
 			d.world.logEvent(fmt.Sprintf("revision %d is read back", got.GetRevision()))
--- a/lab/sim/world_bookings.go
+++ b/lab/sim/world_bookings.go
@@ -69,7 +69,7 @@
 		p.call("operate", operations.Rebuild{Partition: part}, func(v any) {
 			r := v.(operations.Result).Reply
 			o.world.logEvent(fmt.Sprint("rebuild ", part, " ", r.Code, " ", r.Findings))
-			o.world.Checker.Count("rebuilds."+r.Code, 1)
+			o.world.Checker.Count("rebuilds."+string(r.Code), 1)
 		})
 	})
 }
--- a/lab/sim/world_operators.go
+++ b/lab/sim/world_operators.go
@@ -123,12 +123,12 @@
 	p.deliver(func() {
 		p.call("operate", operations.Submit{Edit: e}, func(v any) {
 			r := v.(operations.Result).Reply
-			t.Ended, t.Code, t.Version = w.now, r.Code, r.Version
+			t.Ended, t.Code, t.Version = w.now, string(r.Code), r.Version
 			w.logEvent(fmt.Sprintf("edit %d %s %v", mark, r.Code, r.Version))
 			w.Checker.EditEnded(t)
-			w.Checker.Count("edits."+r.Code, 1)
+			w.Checker.Count("edits."+string(r.Code), 1)
 			if done != nil {
-				done(r.Code)
+				done(string(r.Code))
 			}
 		})
 	})
@@ -193,7 +193,7 @@
 				return
 			}
 			answered = true
-			if code := v.(operations.Result).Reply.Code; !ended(code) {
+			if code := v.(operations.Result).Reply.Code; !ended(string(code)) {
 				again(100_000)
 			}
 		})
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -36,7 +36,7 @@
 // submitEdit carries an edit and tells what became of it, with a line for the audit.
 func (a operatorAPI) submitEdit(ctx context.Context, c editParams, e wire.Edit) (*operator.Taken, error) {
 	scope, indexes := config.ScopeAll, []string(nil)
-	if e.Op == "rows" {
+	if e.Op == wire.OpEditRows {
 		scope, indexes = config.ScopeRows, config.EditedIndexes(a.node.table.Current().Configuration, e.Body)
 	}
 	who, err := a.node.authorizer.authorize(c.token, scope, indexes)
@@ -89,7 +89,7 @@
 }
 
 func (a operatorAPI) PutSheet(ctx context.Context, p *operator.PutSheetPayload) (*operator.Taken, error) {
-	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "put", Strict: true, Body: encodeJSON(p.Sheet)})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: wire.OpPutConfig, Strict: true, Body: encodeJSON(p.Sheet)})
 }
 
 func (a operatorAPI) CheckSheet(_ context.Context, p *operator.CheckSheetPayload) ([]*operator.Finding, error) {
@@ -111,7 +111,7 @@
 	defer cancel()
 	v, err := a.node.process.Call(ctx, "operate", operations.ReadHistory{})
 	history, known := v.(operations.History)
-	if err != nil || !known || history.Code != "ok" {
+	if err != nil || !known || history.Code != wire.CodeOK {
 		return nil, newFailure("shed", "no leader of the configuration can be reached")
 	}
 	out := []*operator.PastSheet{}
@@ -123,7 +123,7 @@
 }
 
 func (a operatorAPI) ReturnSheet(ctx context.Context, p *operator.ReturnSheetPayload) (*operator.Taken, error) {
-	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "return", Strict: true, Name: p.Stamp})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: wire.OpRevertConfig, Strict: true, Name: p.Stamp})
 }
 
 func (a operatorAPI) EditSheet(ctx context.Context, p *operator.EditSheetPayload) (*operator.Taken, error) {
@@ -131,7 +131,7 @@
 	for _, e := range p.Edits {
 		edits = append(edits, config.RowEdit{Op: e.Op, Table: e.Table, Row: encodeJSON(e.Row)})
 	}
-	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: "rows", Strict: true, Body: encodeJSON(edits)})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: wire.OpEditRows, Strict: true, Body: encodeJSON(edits)})
 }
 
 func (a operatorAPI) Zone(ctx context.Context, p *operator.ZonePayload) (*operator.Taken, error) {
@@ -140,7 +140,7 @@
 
 func (a operatorAPI) Cut(ctx context.Context, p *operator.CutPayload) (*operator.Taken, error) {
 	body := wire.Encode(&wire.ShardMap{Next: p.Cut, NextShards: p.Shards})
-	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Partition: state.PartitionOf(p.Index), Op: "cut", Name: p.Index, Body: body})
+	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Partition: state.PartitionOf(p.Index), Op: wire.OpReshard, Name: p.Index, Body: body})
 }
 
 func (a operatorAPI) Members(_ context.Context, p *operator.MembersPayload) ([]*operator.Status, error) {
--- a/request/httpapi/submit.go
+++ b/request/httpapi/submit.go
@@ -26,7 +26,7 @@
 	if who == "" {
 		who = deref(p.By)
 	}
-	return a.submit(ctx, wire.Edit{Op: "rebuild", Partition: p.Part, By: who}, operations.Rebuild{Partition: p.Part})
+	return a.submit(ctx, wire.Edit{Op: wire.OpRebuild, Partition: p.Part, By: who}, operations.Rebuild{Partition: p.Part})
 }
 
 // submit asks the kernel and leaves a line for the audit.
@@ -40,20 +40,20 @@
 	res := v.(operations.Result)
 	stamp := config.VersionText(res.Reply.Version)
 	a.node.process.Log.Info("audit", zap.String("op", e.Op), zap.Int("part", e.Partition), zap.String("name", e.Name), zap.String("by", e.By), zap.String("edit_id", e.EditID),
-		zap.String("result", res.Reply.Code), zap.String("stamp", stamp), zap.Int("findings", len(res.Reply.Findings)))
+		zap.String("result", string(res.Reply.Code)), zap.String("stamp", stamp), zap.Int("findings", len(res.Reply.Findings)))
 	switch res.Reply.Code {
-	case "ok":
+	case wire.CodeOK:
 		return &operator.Taken{Stamp: stamp, InForce: res.InForce, Laggards: append([]string{}, res.Laggards...)}, nil
-	case "invalid", operations.CodeUnknownZone:
+	case wire.CodeInvalid, operations.CodeUnknownZone:
 		return nil, findingsFailure("malformed", res.Reply.Findings)
-	case "conflict":
+	case wire.CodeConflict:
 		return nil, findingsFailure("conflict", res.Reply.Findings)
-	case "lost_race":
+	case wire.CodeLostRace:
 		f := findingsFailure("lost_race", res.Reply.Findings)
 		f.Message = "another edit came first; read the sheet again and base the edit on it"
 		f.Stamp = &stamp
 		return nil, f
-	case "shed":
+	case wire.CodeOverloaded:
 		retry := 1
 		return nil, &operator.Failure{Name: "shed", Message: "no owner of this part can be reached; nothing was changed", Ran: "no", RetryAfter: &retry}
 	}
--- a/runtime/wire/calls.go
+++ b/runtime/wire/calls.go
@@ -33,68 +33,8 @@
 	Addr      string `msg:"a"`
 }
 
-// Operations of an Edit that only read. The leader confirms each with a majority after it arrived.
-const (
-	// OpRead returns the partition's body.
-	OpRead = "read"
-	// OpHistory returns the earlier configurations, as an EditLog with only its History filled in.
-	OpHistory = "history"
-	// OpZoneVersion returns the version that last took a command about the zone in Edit.Name.
-	OpZoneVersion = "zone_version"
-)
-
-// Operations of an Edit that change the configuration partition.
-const (
-	// OpPutRouting replaces the routing table.
-	OpPutRouting = "routing"
-	// OpPutConfig replaces the whole configuration.
-	OpPutConfig = "put"
-	// OpEditRows sets or removes single rows of the configuration.
-	OpEditRows = "rows"
-	// OpRevertConfig puts the earlier configuration whose version Edit.Name gives in force again.
-	OpRevertConfig = "return"
-	// OpDrainZone and OpRestoreZone take a zone's backends out of service and return them to it.
-	OpDrainZone   = "empty"
-	OpRestoreZone = "refill"
-)
-
-// Operations of an Edit that change a partition of indexes.
-const (
-	// OpReshard begins to move an index to another shard map.
-	OpReshard = "cut"
-	// OpSwitchShardMap puts the next shard map of an index in force.
-	OpSwitchShardMap = "flip"
-)
-
-// OpRebuild names a rebuild of a partition's group in the audit. It is never the operation of an Edit.
-const OpRebuild = "rebuild"
-
-// Codes of an EditReply that an operator's API passes on.
-const (
-	CodeOK = "ok"
-	// CodeInvalid refuses an edit that has faults; Findings lists them. Nothing was changed.
-	CodeInvalid = "invalid"
-	// CodeConflict refuses an edit id that was used for another edit. Nothing was changed.
-	CodeConflict = "conflict"
-	// CodeLostRace refuses an edit that is based on a version which is no longer in force. Nothing was changed.
-	CodeLostRace = "lost_race"
-	// CodeOverloaded rejects an edit that certainly no leader has taken.
-	CodeOverloaded = "shed"
-	// CodeUnknown reports that the edit may have been taken or may still be.
-	CodeUnknown = "unknown"
-)
-
-// Codes of an EditReply that only processes exchange.
-const (
-	// CodeNotLeader comes from a core that does not lead the partition; Addr is the leader's address where
-	// the core knows it. Nothing was taken.
-	CodeNotLeader = "not_owner"
-	// CodeVersion answers OpZoneVersion.
-	CodeVersion = "version"
-	// CodeStale refuses a command about a zone that is bound to another version than the one in
-	// force. Nothing was taken.
-	CodeStale = "stale"
-)
+//msgp:shim Code as:string using:string/Code
+//msgp:ignore Code
 
 // Edit is one operator change for a partition's leader.
 type Edit struct {
@@ -110,7 +50,7 @@
 
 // EditReply tells what became of an edit.
 type EditReply struct {
-	Code     string    `msg:"c"`
+	Code     Code      `msg:"c"`
 	Version  Version   `msg:"s"`
 	Findings []Finding `msg:"f"`
 	Addr     string    `msg:"a"`
--- a/runtime/wire/calls_gen.go
+++ b/runtime/wire/calls_gen.go
@@ -307,10 +307,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "c":
-			z.Code, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Code")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Code")
+					return
+				}
+				z.Code = Code(zb0002)
 			}
 		case "s":
 			err = z.Version.DecodeMsg(dc)
@@ -319,26 +323,26 @@
 				return
 			}
 		case "f":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Findings")
 				return
 			}
-			if cap(z.Findings) >= int(zb0002) {
-				z.Findings = (z.Findings)[:zb0002]
+			if cap(z.Findings) >= int(zb0003) {
+				z.Findings = (z.Findings)[:zb0003]
 			} else {
-				z.Findings = make([]Finding, zb0002)
+				z.Findings = make([]Finding, zb0003)
 			}
 			for za0001 := range z.Findings {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+				var zb0004 uint32
+				zb0004, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "Findings", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
+				for zb0004 > 0 {
+					zb0004--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "Findings", za0001)
@@ -397,7 +401,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Code)
+	err = en.WriteString(string(z.Code))
 	if err != nil {
 		err = msgp.WrapError(err, "Code")
 		return
@@ -474,7 +478,7 @@
 	// map header, size 5
 	// string "c"
 	o = append(o, 0x85, 0xa1, 0x63)
-	o = msgp.AppendString(o, z.Code)
+	o = msgp.AppendString(o, string(z.Code))
 	// string "s"
 	o = append(o, 0xa1, 0x73)
 	o, err = z.Version.MarshalMsg(o)
@@ -522,10 +526,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "c":
-			z.Code, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Code")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Code")
+					return
+				}
+				z.Code = Code(zb0002)
 			}
 		case "s":
 			bts, err = z.Version.UnmarshalMsg(bts)
@@ -534,26 +542,26 @@
 				return
 			}
 		case "f":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Findings")
 				return
 			}
-			if cap(z.Findings) >= int(zb0002) {
-				z.Findings = (z.Findings)[:zb0002]
+			if cap(z.Findings) >= int(zb0003) {
+				z.Findings = (z.Findings)[:zb0003]
 			} else {
-				z.Findings = make([]Finding, zb0002)
+				z.Findings = make([]Finding, zb0003)
 			}
 			for za0001 := range z.Findings {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0004 uint32
+				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Findings", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
+				for zb0004 > 0 {
+					zb0004--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "Findings", za0001)
@@ -607,7 +615,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *EditReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Code) + 2 + z.Version.Msgsize() + 2 + msgp.ArrayHeaderSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(string(z.Code)) + 2 + z.Version.Msgsize() + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Findings {
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.Findings[za0001].Path) + 2 + msgp.StringPrefixSize + len(z.Findings[za0001].Text)
 	}
