--- a/control/state/index.go
+++ b/control/state/index.go
@@ -1,108 +1,103 @@
-// The parts of the indexes: each index's live cut, the cut it moves to, and
-// who has which duty.
-
 package state
 
 import (
 	"maps"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// ReadIndex decodes an index partition's body; nil is the empty one.
-func ReadIndex(body []byte) (wire.IndexBody, error) {
-	var b wire.IndexBody
+// indexMachine is the body of a partition of indexes: the shard map of each index, the one it is being
+// moved to, and the holder of each singleton task's lease.
+type indexMachine struct{ body wire.IndexBody }
+
+// ReadIndex decodes the body of a partition of indexes; nil is the empty body. The maps of the result are
+// never nil.
+func ReadIndex(encoded []byte) (wire.IndexBody, error) {
+	var body wire.IndexBody
 	var err error
-	if len(body) > 0 {
-		err = wire.Decode(body, &b)
+	if len(encoded) > 0 {
+		err = wire.Decode(encoded, &body)
 	}
-	if b.ShardMaps == nil {
-		b.ShardMaps = map[string]wire.ShardMap{}
+	if body.ShardMaps == nil {
+		body.ShardMaps = map[string]wire.ShardMap{}
 	}
-	if b.LeaseHolders == nil {
-		b.LeaseHolders = map[string]wire.LeaseHolder{}
+	if body.LeaseHolders == nil {
+		body.LeaseHolders = map[string]wire.LeaseHolder{}
 	}
-	return b, err
+	return body, err
 }
 
-func applyIndexEdit(value Value, next wire.Version, e *wire.Edit) (Value, wire.EditReply, bool) {
-	b, err := ReadIndex(value.Body)
-	if err != nil {
-		return value, invalidEdit("body", "the part's body cannot be read: "+err.Error()), false
-	}
-	ledger, err := ReadEditLog(value.EditLog)
-	if err != nil {
-		return value, invalidEdit("ledger", "cannot be read: "+err.Error()), false
-	}
-	migrateEdits(&ledger, b.LegacyEdits)
-	b.LegacyEdits = nil
-	if r, ok := findRepeatedEdit(&ledger, e); ok {
-		return value, r, false
-	}
-	var r wire.EditReply
-	switch e.Op {
-	case "cut":
-		r = startResharding(&b, e)
-	case "flip":
-		r = finishResharding(&b, e)
+func (m *indexMachine) encode() []byte { return wire.Encode(&m.body) }
+
+func (m *indexMachine) migrate(editLog *wire.EditLog) {
+	migrateEdits(editLog, m.body.LegacyEdits)
+	m.body.LegacyEdits = nil
+}
+
+func (m *indexMachine) apply(edit *wire.Edit, _ *wire.EditLog, _ wire.Version) (wire.EditReply, bool) {
+	var reply wire.EditReply
+	switch edit.Op {
+	case wire.OpReshard:
+		reply = startResharding(&m.body, edit)
+	case wire.OpSwitchShardMap:
+		reply = switchShardMap(&m.body, edit)
 	default:
-		r = invalidEdit("op", "no such operation: "+e.Op)
-	}
-	if r.Code != "ok" {
-		return value, r, false
+		reply = unknownOp(edit.Op)
 	}
-	recordEdit(&ledger, e, next)
-	return Value{Body: wire.Encode(&b), EditLog: wire.Encode(&ledger)}, r, true
+	return reply, reply.Code == wire.CodeOK
 }
 
-// startResharding begins a move; the first cut of an index is in force at once.
-func startResharding(b *wire.IndexBody, e *wire.Edit) wire.EditReply {
-	var want wire.ShardMap
-	if wire.Decode(e.Body, &want) != nil || want.Next == "" || want.NextShards < 1 {
+// startResharding begins to move an index to another shard map. The first shard map of an index is in
+// force at once, and naming the one in force cancels a move.
+func startResharding(body *wire.IndexBody, edit *wire.Edit) wire.EditReply {
+	var target wire.ShardMap
+	if wire.Decode(edit.Body, &target) != nil || target.Next == "" || target.NextShards < 1 {
 		return invalidEdit("cut", "needs a name and at least one shard")
 	}
-	live, ok := b.ShardMaps[e.Name]
+	live, ok := body.ShardMaps[edit.Name]
 	switch {
 	case !ok:
-		live = wire.ShardMap{Name: want.Next, Shards: want.NextShards}
-	case live.Name == want.Next && live.Shards == want.NextShards:
+		live = wire.ShardMap{Name: target.Next, Shards: target.NextShards}
+	case live.Name == target.Next && live.Shards == target.NextShards:
 		live.Next, live.NextShards = "", 0
-	case live.Name == want.Next:
+	case live.Name == target.Next:
 		return invalidEdit("shards", "the live cut of that name has another number of shards")
 	default:
-		live.Next, live.NextShards = want.Next, want.NextShards
+		live.Next, live.NextShards = target.Next, target.NextShards
 	}
-	b.ShardMaps[e.Name] = live
-	return wire.EditReply{Code: "ok"}
+	body.ShardMaps[edit.Name] = live
+	return wire.EditReply{Code: wire.CodeOK}
 }
 
-// finishResharding makes the next cut the live one, if it is still the same move.
-func finishResharding(b *wire.IndexBody, e *wire.Edit) wire.EditReply {
-	var want wire.ShardMap
-	live := b.ShardMaps[e.Name]
-	if wire.Decode(e.Body, &want) != nil || live.Next == "" || want != live {
-		return wire.EditReply{Code: "lost_race"}
+// switchShardMap puts the next shard map of an index in force, if the move is still the one that the edit
+// names: a second switch, or a late one, loses.
+func switchShardMap(body *wire.IndexBody, edit *wire.Edit) wire.EditReply {
+	var expected wire.ShardMap
+	live := body.ShardMaps[edit.Name]
+	if wire.Decode(edit.Body, &expected) != nil || live.Next == "" || expected != live {
+		return wire.EditReply{Code: wire.CodeLostRace}
 	}
-	b.ShardMaps[e.Name] = wire.ShardMap{Name: live.Next, Shards: live.NextShards}
-	return wire.EditReply{Code: "ok"}
+	body.ShardMaps[edit.Name] = wire.ShardMap{Name: live.Next, Shards: live.NextShards}
+	return wire.EditReply{Code: wire.CodeOK}
 }
 
-// tickIndex writes down who has the duties once that changed.
-func tickIndex(body []byte, _ wire.Version, _ int64, holders map[string]string) ([]byte, bool) {
-	b, err := ReadIndex(body)
+// tickIndex records the lease holders once one of them changed. The lease id grows with each change.
+func tickIndex(encoded []byte, _ wire.Version, _ clock.Micros, leaseHolders map[string]string) ([]byte, bool) {
+	body, err := ReadIndex(encoded)
 	if err != nil {
 		return nil, false
 	}
-	due := false
-	b.LeaseHolders = maps.Clone(b.LeaseHolders)
-	for duty, node := range holders {
-		if h := b.LeaseHolders[duty]; h.Node != node {
-			b.LeaseHolders[duty] = wire.LeaseHolder{Node: node, LeaseID: h.LeaseID + 1}
-			due = true
+	changed := false
+	body.LeaseHolders = maps.Clone(body.LeaseHolders)
+	for task, node := range leaseHolders {
+		if holder := body.LeaseHolders[task]; holder.Node != node {
+			body.LeaseHolders[task] = wire.LeaseHolder{Node: node, LeaseID: holder.LeaseID + 1}
+			changed = true
 		}
 	}
-	if !due {
+	if !changed {
 		return nil, false
 	}
-	return wire.Encode(&b), true
+	return wire.Encode(&body), true
 }
--- a/control/state/limits.go
+++ b/control/state/limits.go
@@ -1,6 +1,3 @@
-// How large a partition's value may become. An order whose outcome is larger is refused
-// before it is proposed.
-
 package state
 
 import (
@@ -9,20 +6,20 @@
 	"wallport/runtime/wire"
 )
 
-// Bounds of a partition's body and ledger in bytes. A replica keeps three versions of each partition
+// Bounds of a partition's body and edit log, in bytes. A replica keeps three versions of each partition
 // on its disk, and a fourth while that is written: 4 × (4 + 1.5 + 4 × 0.9) MiB are 38.2 MB of the
-// 64 MB that a disk has. A node holds the configuration as it came, decoded and compiled, and its
-// memory is priced: 4 MiB are the most of which it holds a few copies.
+// 64 MB that a disk has. A node holds the configuration encoded, decoded and compiled; with 4 MiB these
+// copies still fit into its memory.
 const (
 	MaxConfigBody    = 4 << 20
 	MaxConfigEditLog = 3 << 19
 	MaxIndexBody     = 512 << 10
 	MaxIndexEditLog  = 384 << 10
-	// TickAllowance is what the clock may add beyond that: the bookings that run, the lease holders.
+	// TickAllowance is how much a TickFunc may add beyond that: the active bookings, the lease holders.
 	TickAllowance = 128 << 10
 )
 
-// MaxBody bounds the body of a partition.
+// MaxBody returns the bound of a partition's body, in bytes.
 func MaxBody(partition int) int {
 	if partition == ConfigPartition {
 		return MaxConfigBody
@@ -30,7 +27,7 @@
 	return MaxIndexBody
 }
 
-// MaxEditLog bounds its ledger.
+// MaxEditLog returns the bound of a partition's edit log, in bytes.
 func MaxEditLog(partition int) int {
 	if partition == ConfigPartition {
 		return MaxConfigEditLog
@@ -38,18 +35,18 @@
 	return MaxIndexEditLog
 }
 
-// TooLarge refuses an order whose outcome is larger than the product takes. One that makes a
-// value smaller is always taken.
-func TooLarge(partition int, before, after Value) (wire.EditReply, bool) {
-	place := "configuration"
+// TooLarge reports whether an edit makes a partition's value larger than its bounds, and returns the reply
+// that refuses it. An edit that makes a value smaller is always accepted.
+func TooLarge(partition int, before, after Value) (refusal wire.EditReply, tooLarge bool) {
+	subject := "configuration"
 	if partition != ConfigPartition {
-		place = fmt.Sprintf("indexes of partition %d", partition)
+		subject = fmt.Sprintf("indexes of partition %d", partition)
 	}
 	if exceeds(before.Body, after.Body, MaxBody(partition)) {
-		return tooLarge(place, len(after.Body), MaxBody(partition)), true
+		return refuseSize(subject, len(after.Body), MaxBody(partition)), true
 	}
 	if exceeds(before.EditLog, after.EditLog, MaxEditLog(partition)) {
-		return tooLarge("history of the "+place, len(after.EditLog), MaxEditLog(partition)), true
+		return refuseSize("history of the "+subject, len(after.EditLog), MaxEditLog(partition)), true
 	}
 	return wire.EditReply{}, false
 }
@@ -58,6 +55,6 @@
 	return len(after) > most && len(after) >= len(before)
 }
 
-func tooLarge(place string, size, most int) wire.EditReply {
-	return invalidEdit(place, fmt.Sprintf("would be %d bytes large with this order; the most is %d", size, most))
+func refuseSize(subject string, size, most int) wire.EditReply {
+	return invalidEdit(subject, fmt.Sprintf("would be %d bytes large with this order; the most is %d", size, most))
 }
--- a/control/state/routing.go
+++ b/control/state/routing.go
@@ -1,7 +1,3 @@
-// The routing table as operators set it: whole or by items, each edit built on
-// the revision that is in force. Of two edits on one revision only the first
-// is taken; an edit that was taken before is known again and acknowledged.
-
 package state
 
 import (
@@ -14,51 +10,54 @@
 	"wallport/runtime/wire"
 )
 
-// RoutingOf decodes the routing table of a configuration; nil is none.
-func RoutingOf(c wire.ConfigBody) (*routingpb.RoutingTable, error) {
-	if len(c.Routing) == 0 {
+// RoutingOf decodes the routing table in a configuration body. It is nil where there is none.
+func RoutingOf(body wire.ConfigBody) (*routingpb.RoutingTable, error) {
+	if len(body.Routing) == 0 {
 		return nil, nil
 	}
-	t := new(routingpb.RoutingTable)
-	if err := proto.Unmarshal(c.Routing, t); err != nil {
-		return nil, err
+	table := new(routingpb.RoutingTable)
+	if err := proto.Unmarshal(body.Routing, table); err != nil {
+		return nil, fmt.Errorf("decode the routing table of %d bytes: %w", len(body.Routing), err)
 	}
-	return t, nil
+	return table, nil
 }
 
-func editRouting(c *wire.ConfigBody, ledger *wire.EditLog, next wire.Version, raw *wire.Edit) (r wire.EditReply, took bool) {
+// editRouting applies an edit of the routing table. It names the revision that it is based on: of two
+// edits of one revision only the first is applied, and exactly the edit that was applied before is
+// acknowledged again.
+func editRouting(body *wire.ConfigBody, editLog *wire.EditLog, next wire.Version, edit *wire.Edit) (reply wire.EditReply, applied bool) {
 	e := new(routingpb.RoutingEdit)
-	if err := proto.Unmarshal(raw.Body, e); err != nil {
+	if err := proto.Unmarshal(edit.Body, e); err != nil {
 		return invalidEdit("edit", "cannot be read: "+err.Error()), false
 	}
-	cur, err := RoutingOf(*c)
+	current, err := RoutingOf(*body)
 	if err != nil {
 		return invalidEdit("body", "the table in force cannot be read: "+err.Error()), false
 	}
-	if cur.GetRevision() != e.Base {
-		return replyToOtherBase(ledger, e, cur.GetRevision()), false
+	if current.GetRevision() != e.Base {
+		return replyToOtherBase(editLog, e, current.GetRevision()), false
 	}
 	if e.Revision <= e.Base {
 		return invalidEdit("revision", fmt.Sprintf("%d is not above the current one, %d", e.Revision, e.Base)), false
 	}
-	t := routing.Apply(cur, e)
-	if found := routing.Check(t); len(found) > 0 {
-		return wire.EditReply{Code: "invalid", Findings: found}, false
+	table := routing.Apply(current, e)
+	if found := routing.Check(table); len(found) > 0 {
+		return wire.EditReply{Code: wire.CodeInvalid, Findings: found}, false
 	}
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(t)
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(table)
 	if err != nil {
 		return invalidEdit("edit", err.Error()), false
 	}
-	c.Routing = b
-	recordRoutingEdit(ledger, e, next)
-	return wire.EditReply{Code: "ok"}, true
+	body.Routing = encoded
+	recordRoutingEdit(editLog, e, next)
+	return wire.EditReply{Code: wire.CodeOK}, true
 }
 
-// replyToOtherBase answers an edit that is not built on the revision in force: exactly this edit
-// may have been taken before, else it lost.
-func replyToOtherBase(ledger *wire.EditLog, e *routingpb.RoutingEdit, current int64) wire.EditReply {
-	if at, taken := findRoutingEdit(ledger, e); taken {
-		return wire.EditReply{Code: "ok", Version: at}
+// replyToOtherBase replies to an edit that is not based on the revision in force. Exactly this edit may
+// have been applied before; otherwise it lost the race.
+func replyToOtherBase(editLog *wire.EditLog, e *routingpb.RoutingEdit, current int64) wire.EditReply {
+	if version, applied := findRoutingEdit(editLog, e); applied {
+		return wire.EditReply{Code: wire.CodeOK, Version: version}
 	}
-	return wire.EditReply{Code: "lost_race", Findings: []wire.Finding{{Path: "base", Text: fmt.Sprintf("revision %d is in force", current)}}}
+	return wire.EditReply{Code: wire.CodeLostRace, Findings: []wire.Finding{{Path: "base", Text: fmt.Sprintf("revision %d is in force", current)}}}
 }
--- a/control/state/state.go
+++ b/control/state/state.go
@@ -1,38 +1,50 @@
-// Package state says how the control state is cut into partitions, and judges the
-// edits that a partition's leader batches into its next version. Judging is a pure
-// function of the value and the edit; what time changes is the clockwork's.
 package state
 
 import (
 	"hash/fnv"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// Partitions is the number of partitions: partition 0 holds the configuration, the others the indexes.
+// Partitions is the number of partitions.
 const Partitions = 5
 
-// ConfigPartition is the part of the configuration.
+// ConfigPartition is the partition that holds the configuration; all others hold indexes.
 const ConfigPartition = 0
 
-// PartitionOf is the partition that holds an index or another named service.
+// PartitionOf returns the partition that holds an index or another named service. It must not change
+// between releases: the data is stored under it.
 func PartitionOf(name string) int {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return 1 + int(h.Sum32()%(Partitions-1))
 }
 
-// Value is what a partition's replicas agree on: the body, which everyone reads, and the ledger,
-// which stays with them.
+// Value is the replicated value of a partition: the encoded body, which is distributed to every process,
+// and the encoded edit log, which only the replicas keep.
 type Value struct{ Body, EditLog []byte }
 
-// ApplyFunc decides one edit: the value after it, the reply, and whether it took.
-type ApplyFunc func(value Value, next wire.Version, e *wire.Edit) (after Value, r wire.EditReply, took bool)
+// ApplyFunc validates an edit against a partition's value and applies it. It returns the value after it,
+// which is the value itself unless applied is true. The reply of a repeated edit has wire.CodeOK and the
+// version that applied it first, with applied false. next is the version that the outcome will have.
+type ApplyFunc func(value Value, next wire.Version, edit *wire.Edit) (after Value, reply wire.EditReply, applied bool)
 
-// TickFunc changes a body because time passed or duties moved.
-type TickFunc func(body []byte, next wire.Version, wall int64, holders map[string]string) (after []byte, due bool)
+// TickFunc changes a body because time passed or leases changed hands. wallTime is the leader's corrected
+// time since the Unix epoch, and leaseHolders names the node that holds each singleton task's lease.
+// changed reports whether there is a new body to propose.
+type TickFunc func(body []byte, next wire.Version, wallTime clock.Micros, leaseHolders map[string]string) (after []byte, changed bool)
 
-// ApplyFuncOf gives the judge of a partition.
+// machine is the decoded body of a partition.
+type machine interface {
+	// migrate moves what releases before 3 kept in the body to the edit log.
+	migrate(editLog *wire.EditLog)
+	// apply validates and applies an edit whose id is not in the edit log yet.
+	apply(edit *wire.Edit, editLog *wire.EditLog, next wire.Version) (reply wire.EditReply, applied bool)
+	encode() []byte
+}
+
+// ApplyFuncOf returns the function that applies edits to a partition.
 func ApplyFuncOf(partition int) ApplyFunc {
 	if partition == ConfigPartition {
 		return applyConfigEdit
@@ -40,7 +52,7 @@
 	return applyIndexEdit
 }
 
-// TickFuncOf gives the clockwork of a partition.
+// TickFuncOf returns the function that follows time in a partition.
 func TickFuncOf(partition int) TickFunc {
 	if partition == ConfigPartition {
 		return tickConfig
@@ -48,17 +60,42 @@
 	return tickIndex
 }
 
-// legacyEditSum is the digest that releases before 3 remembered of an edit.
-func legacyEditSum(edit *wire.Edit) uint64 {
-	h := fnv.New64a()
-	for _, text := range []string{edit.Op, edit.Name} {
-		h.Write([]byte(text))
-		h.Write([]byte{0})
+func applyConfigEdit(value Value, next wire.Version, edit *wire.Edit) (Value, wire.EditReply, bool) {
+	body, err := ReadConfig(value.Body)
+	return applyEdit(&configMachine{body}, err, value, next, edit)
+}
+
+func applyIndexEdit(value Value, next wire.Version, edit *wire.Edit) (Value, wire.EditReply, bool) {
+	body, err := ReadIndex(value.Body)
+	return applyEdit(&indexMachine{body}, err, value, next, edit)
+}
+
+// applyEdit applies an edit to a decoded body. bodyErr is the error that decoding it returned.
+func applyEdit(body machine, bodyErr error, value Value, next wire.Version, edit *wire.Edit) (Value, wire.EditReply, bool) {
+	if bodyErr != nil {
+		return value, invalidEdit("body", "the part's body cannot be read: "+bodyErr.Error()), false
 	}
-	h.Write(edit.Body)
-	return h.Sum64()
+	editLog, err := ReadEditLog(value.EditLog)
+	if err != nil {
+		return value, invalidEdit("ledger", "cannot be read: "+err.Error()), false
+	}
+	body.migrate(&editLog)
+	if reply, repeated := findRepeatedEdit(&editLog, edit); repeated {
+		return value, reply, false
+	}
+	reply, applied := body.apply(edit, &editLog, next)
+	if !applied {
+		return value, reply, false
+	}
+	// A routing edit is known again by its digest, which covers its base and revision (editRouting).
+	if edit.Op != wire.OpPutRouting {
+		recordEdit(&editLog, edit, next)
+	}
+	return Value{Body: body.encode(), EditLog: wire.Encode(&editLog)}, reply, true
 }
 
-func invalidEdit(place, text string) wire.EditReply {
-	return wire.EditReply{Code: "invalid", Findings: []wire.Finding{{Path: place, Text: text}}}
+func invalidEdit(path, text string) wire.EditReply {
+	return wire.EditReply{Code: wire.CodeInvalid, Findings: []wire.Finding{{Path: path, Text: text}}}
 }
+
+func unknownOp(op string) wire.EditReply { return invalidEdit("op", "no such operation: "+op) }
