--- a/control/config/config_test.go
+++ b/control/config/config_test.go
@@ -25,7 +25,7 @@
 	return strings.Join(out, " ")
 }
 
-func TestGoodSheetHasNoFindings(t *testing.T) {
+func TestValidConfigurationHasNoFindings(t *testing.T) {
 	s, found := Read([]byte(validConfiguration))
 	must.SliceEmpty(t, found)
 	must.SliceEmpty(t, Check(s))
@@ -96,7 +96,7 @@
 	must.Eq(t, "edits", findingPlaces(found))
 }
 
-func TestStampText(t *testing.T) {
+func TestVersionText(t *testing.T) {
 	s, ok := ParseVersion(0, `"3.14"`)
 	must.True(t, ok)
 	must.Eq(t, wire.Version{Term: 3, Seq: 14}, s)
@@ -114,7 +114,7 @@
 	})
 }
 
-func TestTwiceFindsNamesGivenTwice(t *testing.T) {
+func TestDuplicateNames(t *testing.T) {
 	cases := map[string]string{
 		validConfiguration: "",
 		`{"services":[{"index":"a","index":"b"}],"services":[]}`:   "services[0].index services",
--- a/control/config/conflicts_test.go
+++ b/control/config/conflicts_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestClashNamesRowsThatChangedMeanwhile(t *testing.T) {
+func TestConflictsNamesRowsThatChangedMeanwhile(t *testing.T) {
 	base, found := Read([]byte(validConfiguration))
 	must.SliceEmpty(t, found)
 	cases := []struct{ meanwhile, mine, clash string }{
--- a/control/config/tokens_test.go
+++ b/control/config/tokens_test.go
@@ -10,7 +10,7 @@
 	"wallport/api/configpb"
 )
 
-func TestTokensAreCheckedAsAWhole(t *testing.T) {
+func TestReadTokensReportsAllFindings(t *testing.T) {
 	cases := map[string]string{
 		`{"tokens":[{"token":"12345678","who":"a","scope":"read"},{"token":"abcdefgh","who":"b","scope":"rows","indexes":["x"]}]}`: "",
 		`{"tokens":[{"token":"1234567","scope":"root"}]}`:                                                                          "tokens[0].token tokens[0].who tokens[0].scope",
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestIndexesThatRowEditsTouch(t *testing.T) {
+func TestEditedIndexes(t *testing.T) {
 	s := &configpb.Sheet{Bookings: []*configpb.Booking{{Id: "mine", Index: "a"}}}
 	cases := map[string][]string{
 		`[{"op":"set","table":"rows","row":{"index":"a"}},{"op":"set","table":"services","row":{"index":"b"}}]`: {"a", "b"},
--- a/control/state/editlog_test.go
+++ b/control/state/editlog_test.go
@@ -1,6 +1,3 @@
-// One number for two orders, one order sent twice, orders that come late, and
-// what is known of them after thousands more.
-
 package state
 
 import (
@@ -23,23 +20,23 @@
 	return p.apply(&wire.Edit{Op: "put", Strict: true, Base: base, Body: fmt.Appendf(nil, configurationText, capacity), EditID: id})
 }
 
-// routePatch changes one route, built on a revision.
+// routePatch returns an edit that changes one route, based on a revision.
 func routePatch(base, revision, timeout int64) *routingpb.RoutingEdit {
 	r := route("a", "/a/", "p")
 	r.TimeoutUs = timeout
 	return &routingpb.RoutingEdit{Base: base, Revision: revision, Upsert: &routingpb.RoutingTable{Routes: []*routingpb.Route{r}}}
 }
 
-// Every pair of different orders under one number: one is taken, and the other one never.
-func TestOneNumberIsTakenOnce(t *testing.T) {
+// Of every pair of different edits with one revision the first is applied, and the other one never is.
+func TestRoutingRevisionIsAppliedOnce(t *testing.T) {
 	other := wholeTable(1, 7)
 	other.Whole.Routes[0].TimeoutUs = 9
-	orders := map[string]*routingpb.RoutingEdit{
+	edits := map[string]*routingpb.RoutingEdit{
 		"whole": wholeTable(1, 7), "another whole": other, "patch": routePatch(1, 7, 5), "another patch": routePatch(1, 7, 6),
 		"whole on another base": wholeTable(5, 7), "patch on another base": routePatch(5, 7, 5), "withdrawal": {Base: 1, Revision: 7, WithdrawRoutes: []string{"b"}},
 	}
-	for first, a := range orders {
-		for second, b := range orders {
+	for first, a := range edits {
+		for second, b := range edits {
 			if first == second || a.Base != 1 {
 				continue
 			}
@@ -54,41 +51,41 @@
 	}
 }
 
-// What has the taken number and is built on it is refused as well: the number is not above the current one.
-func TestOneNumberOnItself(t *testing.T) {
+// An edit that is based on the revision which it has itself is refused: it is not above the current one.
+func TestRoutingEditMustRaiseTheRevisionItIsBasedOn(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 7)).Code)
 	must.Eq(t, "invalid", p.applyRouting(routePatch(7, 7, 5)).Code)
 	must.Eq(t, "ok", p.applyRouting(routePatch(7, 8, 5)).Code)
 }
 
-func TestOrderIsKnownAfterADayOfOthers(t *testing.T) {
+func TestRepeatedEditIsKnownAfterThousandsOfOthers(t *testing.T) {
 	p := &configPartition{t: t}
 	first := p.applyRouting(wholeTable(0, 1))
-	id := p.applyZone("empty", "z", "first")
+	drain := p.applyZone("empty", "z", "first")
 	patch := p.applyRouting(routePatch(1, 2, 5))
 	for i := int64(2); i < 1002; i++ {
 		must.Eq(t, "ok", p.applyRouting(wholeTable(i, i+1)).Code)
 		must.Eq(t, "ok", p.applyZone("empty", fmt.Sprint("z", i%7), fmt.Sprint("edit-", i)).Code)
 	}
 	before := p.value
-	for _, v := range []struct {
+	for _, repeat := range []struct {
 		name        string
 		first, then wire.EditReply
 	}{
 		{"whole", first, p.applyRouting(wholeTable(0, 1))},
 		{"patch", patch, p.applyRouting(routePatch(1, 2, 5))},
-		{"edit id", id, p.applyZone("empty", "z", "first")},
+		{"edit id", drain, p.applyZone("empty", "z", "first")},
 	} {
-		must.Eq(t, "ok", v.then.Code, must.Sprint(v.name))
-		must.Eq(t, v.first.Version, v.then.Version, must.Sprint(v.name))
+		must.Eq(t, "ok", repeat.then.Code, must.Sprint(repeat.name))
+		must.Eq(t, repeat.first.Version, repeat.then.Version, must.Sprint(repeat.name))
 	}
 	must.Eq(t, "conflict", p.applyZone("refill", "z", "first").Code)
 	must.Eq(t, before, p.value, must.Sprint("a repeat changes nothing"))
 }
 
-// A refusal is not remembered: what became valid, or won after all, is judged by what is in force.
-func TestRejectedOrderIsJudgedAnew(t *testing.T) {
+// A refusal is not remembered: an edit that is sent again is validated against what is in force then.
+func TestRefusedEditIsValidatedAgain(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 1)).Code)
 	needs := func(base, revision int64) *routingpb.RoutingEdit {
@@ -96,49 +93,49 @@
 	}
 	must.Eq(t, "invalid", p.applyRouting(needs(1, 9)).Code, must.Sprint("no such pool"))
 	ahead := routePatch(2, 10, 5)
-	must.Eq(t, "lost_race", p.applyRouting(ahead).Code, must.Sprint("built on what is not there yet"))
+	must.Eq(t, "lost_race", p.applyRouting(ahead).Code, must.Sprint("based on what is not there yet"))
 	late := &routingpb.RoutingTable{Pools: []*routingpb.Pool{{Name: "late"}}}
 	must.Eq(t, "ok", p.applyRouting(&routingpb.RoutingEdit{Base: 1, Revision: 2, Upsert: late}).Code)
 	must.Eq(t, "ok", p.applyRouting(ahead).Code)
 	must.Eq(t, "ok", p.applyRouting(needs(10, 11)).Code)
 
-	sheet := p.applyConfiguration(wire.Version{Term: 8, Seq: 8}, 100, "sheet")
-	must.Eq(t, "lost_race", sheet.Code)
+	refused := p.applyConfiguration(wire.Version{Term: 8, Seq: 8}, 100, "sheet")
+	must.Eq(t, "lost_race", refused.Code)
 	must.Eq(t, "ok", p.applyConfiguration(wire.Version{}, 100, "sheet").Code, must.Sprint("the same id, sent again on the right base"))
 }
 
-// An order that a cut held up while others were taken.
-func TestLateOrderDoesNothing(t *testing.T) {
+// Edits that a network partition delayed while others were applied.
+func TestLateEditIsStale(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 1)).Code)
 	base := p.zoneVersion("z")
 	late := wire.Edit{Op: "empty", Name: "z", EditID: "late", Base: base}
 	must.Eq(t, "ok", p.applyZone("refill", "z", "newer").Code, must.Sprint("it changes nothing and is acknowledged"))
 	must.Eq(t, wire.CodeStale, p.apply(&late).Code)
-	must.SliceEmpty(t, p.drained())
+	must.SliceEmpty(t, p.drainedZones())
 	must.Eq(t, "ok", p.applyZone("empty", "other", "of another zone").Code)
 	must.Eq(t, wire.CodeStale, p.apply(&late).Code)
-	must.Eq(t, []string{"other"}, p.drained())
+	must.Eq(t, []string{"other"}, p.drainedZones())
 
 	lateTable, lateItems := routePatch(1, 2, 5), routePatch(1, 3, 6)
 	must.Eq(t, "ok", p.applyRouting(routePatch(1, 4, 7)).Code)
 	must.Eq(t, "lost_race", p.applyRouting(lateTable).Code)
 	must.Eq(t, "lost_race", p.applyRouting(lateItems).Code)
-	must.Eq(t, 7, p.table().Routes[0].TimeoutUs)
+	must.Eq(t, 7, p.routingTable().Routes[0].TimeoutUs)
 }
 
-// A late copy of an order that was taken changes nothing either, though it is acknowledged.
-func TestLateCopyOfAnOrderThatWasTaken(t *testing.T) {
+// A late duplicate of an applied edit is acknowledged, and changes nothing.
+func TestLateDuplicateOfAppliedEditChangesNothing(t *testing.T) {
 	p := &configPartition{t: t}
-	order := wire.Edit{Op: "empty", Name: "z", EditID: "one", Base: p.zoneVersion("z")}
-	must.Eq(t, "ok", p.apply(&order).Code)
+	edit := wire.Edit{Op: "empty", Name: "z", EditID: "one", Base: p.zoneVersion("z")}
+	must.Eq(t, "ok", p.apply(&edit).Code)
 	must.Eq(t, "ok", p.applyZone("refill", "z", "two").Code)
-	must.Eq(t, "ok", p.apply(&order).Code)
-	must.SliceEmpty(t, p.drained())
+	must.Eq(t, "ok", p.apply(&edit).Code)
+	must.SliceEmpty(t, p.drainedZones())
 }
 
-// Zones that were forgotten share a version that is not before any order about them.
-func TestLateOrderAboutAForgottenZone(t *testing.T) {
+// Zones that are no longer listed share a version, the floor, that is not before any edit of them.
+func TestLateEditOfZoneBelowTheFloorIsStale(t *testing.T) {
 	p := &configPartition{t: t}
 	late := wire.Edit{Op: "empty", Name: "z", EditID: "late", Base: p.zoneVersion("z")}
 	must.Eq(t, "ok", p.applyZone("refill", "z", "").Code)
@@ -150,7 +147,7 @@
 	must.Eq(t, "ok", p.applyZone("empty", "z", "now").Code)
 }
 
-func TestBadOrdersAboutZones(t *testing.T) {
+func TestEditZoneRefusesInvalidZones(t *testing.T) {
 	p := &configPartition{t: t}
 	for i := range maxDrainedZones {
 		must.Eq(t, "ok", p.applyZone("empty", fmt.Sprint("zone-", i), "").Code)
@@ -162,21 +159,21 @@
 		must.Eq(t, "zone", r.Findings[0].Path)
 	}
 	must.Eq(t, before, p.value)
-	must.Eq(t, "ok", p.applyZone("empty", "zone-0", "bad").Code, must.Sprint("the next order is taken"))
+	must.Eq(t, "ok", p.applyZone("empty", "zone-0", "bad").Code, must.Sprint("the next edit is applied"))
 }
 
-// A configuration as releases before 3 wrote it: all that was known of orders is known on.
-func TestBodyOfAnEarlierRelease(t *testing.T) {
-	order, err := proto.Marshal(tableOf())
+// A body as releases before 3 wrote it: the edits that it remembers stay known.
+func TestBodyOfEarlierReleaseIsMigrated(t *testing.T) {
+	configuration, err := proto.Marshal(testTable())
 	must.NoError(t, err)
 	at := wire.Version{Term: 1, Seq: 4}
 	taken := wire.Edit{Op: "empty", Name: "z", EditID: "old"}
-	table := tableOf()
+	table := testTable()
 	table.Revision = 1
 	body, err := proto.Marshal(table)
 	must.NoError(t, err)
 	p := &configPartition{t: t, seq: 9, value: Value{Body: wire.Encode(&wire.ConfigBody{
-		DrainedZones: []string{"z"}, Routing: body, Config: order, ConfigVersion: at,
+		DrainedZones: []string{"z"}, Routing: body, Config: configuration, ConfigVersion: at,
 		LegacyEdits:     []wire.LegacyEdit{{EditID: "old", Sum: legacyEditSum(&taken), Version: at}},
 		LegacyHistory:   []wire.PastConfig{{Version: at, By: "someone"}},
 		LegacyRevisions: []wire.LegacyRevision{{Number: 1, Sum: routing.LegacyDigest(wholeTable(0, 1)), Version: at}},
@@ -189,43 +186,42 @@
 		other.Whole.Routes[0].TimeoutUs = 2
 		must.Eq(t, "lost_race", p.applyRouting(other).Code)
 		r := AnswerRead(wire.Versioned{Body: p.value.Body, EditLog: p.value.EditLog}, &wire.Edit{Op: wire.OpHistory})
-		ledger, err := ReadEditLog(r.Body)
+		editLog, err := ReadEditLog(r.Body)
 		must.NoError(t, err)
-		must.Eq(t, "someone", ledger.History[0].By)
+		must.Eq(t, "someone", editLog.History[0].By)
 	}
 	check()
 	must.Eq(t, "ok", p.applyRouting(wholeTable(1, 2)).Code)
 	check()
-	c, err := ReadConfig(p.value.Body)
-	must.NoError(t, err)
-	must.True(t, c.LegacyEdits == nil && c.LegacyHistory == nil && c.LegacyRevisions == nil, must.Sprint("moved to the ledger"))
+	c := p.body()
+	must.True(t, c.LegacyEdits == nil && c.LegacyHistory == nil && c.LegacyRevisions == nil, must.Sprint("moved to the edit log"))
 }
 
-// The body has the size of what is in force, however many changes there were; the ledger is bounded.
-func TestSizesAfterManyChanges(t *testing.T) {
-	e := wholeTable(0, 1)
+// The body has the size of what is in force, however many edits there were; the edit log is bounded.
+func TestValueStaysBoundedAfterThousandsOfEdits(t *testing.T) {
+	edit := wholeTable(0, 1)
 	for i := range 10 {
 		r := route(fmt.Sprint("r", i), fmt.Sprintf("/x%d/", i), "p")
 		r.Source = make([]byte, 200)
-		e.Whole.Routes = append(e.Whole.Routes, r)
+		edit.Whole.Routes = append(edit.Whole.Routes, r)
 	}
 	p := &configPartition{t: t}
 	first := 0
 	for i := range int64(5000) {
-		e.Base, e.Revision = i, i+1
-		must.Eq(t, "ok", p.applyRouting(e).Code)
+		edit.Base, edit.Revision = i, i+1
+		must.Eq(t, "ok", p.applyRouting(edit).Code)
 		if i == 9 {
 			first = len(p.value.Body)
 		}
 		if i == 9 || i == 99 || i == 999 || i == 4999 {
-			t.Logf("%d changes: body %d bytes, ledger %d bytes", i+1, len(p.value.Body), len(p.value.EditLog))
+			t.Logf("%d changes: body %d bytes, edit log %d bytes", i+1, len(p.value.Body), len(p.value.EditLog))
 		}
 	}
 	must.Less(t, first+16, len(p.value.Body))
 	must.Less(t, 100_000, len(p.value.EditLog))
 }
 
-func TestHistoryIsBoundedInBytes(t *testing.T) {
+func TestHistoryIsBoundedInBytesAndNumber(t *testing.T) {
 	big := make([]byte, maxHistoryBytes/2+1)
 	var history []wire.PastConfig
 	for i := range 5 {
--- a/control/state/golden_test.go
+++ b/control/state/golden_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// An index stays in the partition that its data is stored in.
-func TestPartitionOfAnIndexIsThatOfEarlierReleases(t *testing.T) {
+// An index stays in the partition in which its data is stored.
+func TestPartitionOfMatchesEarlierReleases(t *testing.T) {
 	must.Eq(t, 5, Partitions)
 	must.Eq(t, 0, ConfigPartition)
 	for name, partition := range map[string]int{"": 2, "a": 1, "docs": 3, "maps": 3, "listing": 4, "poll": 1} {
--- a/control/state/harness_test.go
+++ b/control/state/harness_test.go
@@ -1,5 +1,3 @@
-// The partition of the configuration as tests drive it: each order judged as a leader does.
-
 package state
 
 import (
@@ -12,58 +10,66 @@
 	"wallport/runtime/wire"
 )
 
+// configPartition is the configuration partition under test. It applies edits one by one, as a leader does.
 type configPartition struct {
 	t     *testing.T
 	value Value
 	seq   uint64
 }
 
-// applyRouting judges one edit as the leader does.
+// applyRouting applies an edit of the routing table.
 func (p *configPartition) applyRouting(e *routingpb.RoutingEdit) wire.EditReply {
 	p.t.Helper()
-	b, err := proto.Marshal(e)
+	body, err := proto.Marshal(e)
 	must.NoError(p.t, err)
-	return p.apply(&wire.Edit{Op: "routing", Body: b})
+	return p.apply(&wire.Edit{Op: wire.OpPutRouting, Body: body})
 }
 
-func (p *configPartition) apply(e *wire.Edit) wire.EditReply {
+func (p *configPartition) apply(edit *wire.Edit) wire.EditReply {
 	next := wire.Version{Term: 1, Seq: p.seq + 1}
-	after, r, took := ApplyFuncOf(ConfigPartition)(p.value, next, e)
-	if took {
+	after, reply, applied := ApplyFuncOf(ConfigPartition)(p.value, next, edit)
+	if applied {
 		p.value, p.seq = after, p.seq+1
-		r.Version = next
+		reply.Version = next
 	}
-	return r
+	return reply
 }
 
 func (p *configPartition) editLog() wire.EditLog {
-	ledger, err := ReadEditLog(p.value.EditLog)
+	p.t.Helper()
+	editLog, err := ReadEditLog(p.value.EditLog)
 	must.NoError(p.t, err)
-	return ledger
+	return editLog
 }
 
-// applyZone gives an order about a zone as a machine does: bound to the version that it has just read.
+// applyZone applies an edit of a zone, bound to the version that was in force just before, as a core does.
 func (p *configPartition) applyZone(op, zone, id string) wire.EditReply {
 	p.t.Helper()
 	return p.apply(&wire.Edit{Op: op, Name: zone, EditID: id, Base: p.zoneVersion(zone)})
 }
 
 func (p *configPartition) zoneVersion(zone string) wire.Version {
+	p.t.Helper()
 	r := AnswerRead(wire.Versioned{Body: p.value.Body, EditLog: p.value.EditLog}, &wire.Edit{Op: wire.OpZoneVersion, Name: zone})
 	must.Eq(p.t, wire.CodeVersion, r.Code)
 	return r.Version
 }
 
-func (p *configPartition) drained() []string {
-	c, err := ReadConfig(p.value.Body)
+func (p *configPartition) body() wire.ConfigBody {
+	p.t.Helper()
+	body, err := ReadConfig(p.value.Body)
 	must.NoError(p.t, err)
-	return c.DrainedZones
+	return body
 }
 
-func (p *configPartition) table() *routingpb.RoutingTable {
-	c, err := ReadConfig(p.value.Body)
-	must.NoError(p.t, err)
-	t, err := RoutingOf(c)
+func (p *configPartition) drainedZones() []string {
+	p.t.Helper()
+	return p.body().DrainedZones
+}
+
+func (p *configPartition) routingTable() *routingpb.RoutingTable {
+	p.t.Helper()
+	table, err := RoutingOf(p.body())
 	must.NoError(p.t, err)
-	return t
+	return table
 }
--- a/control/state/routing_test.go
+++ b/control/state/routing_test.go
@@ -1,5 +1,3 @@
-// Every rule by which an edit of the routing table is taken or refused.
-
 package state
 
 import (
@@ -17,7 +15,7 @@
 	return &routingpb.Route{Name: name, Host: "h.example", Prefix: prefix, TimeoutUs: 1, Pool: pool, Source: []byte("{" + name + "}")}
 }
 
-func tableOf() *routingpb.RoutingTable {
+func testTable() *routingpb.RoutingTable {
 	return &routingpb.RoutingTable{
 		Routes: []*routingpb.Route{route("a", "/a/", "p"), route("b", "/b/", "q")},
 		Pools:  []*routingpb.Pool{{Name: "p", Source: []byte("{p}")}, {Name: "q"}},
@@ -25,27 +23,27 @@
 }
 
 func wholeTable(base, rev int64) *routingpb.RoutingEdit {
-	return &routingpb.RoutingEdit{Base: base, Revision: rev, Whole: tableOf()}
+	return &routingpb.RoutingEdit{Base: base, Revision: rev, Whole: testTable()}
 }
 
-func TestWholeTableAndItsRepeat(t *testing.T) {
+func TestPutRoutingTableAndRepeat(t *testing.T) {
 	p := &configPartition{t: t}
 	r := p.applyRouting(wholeTable(0, 3))
 	must.Eq(t, "ok", r.Code)
-	must.Eq(t, 3, p.table().Revision)
-	must.Eq(t, "{a}", string(p.table().Routes[0].Source))
+	must.Eq(t, 3, p.routingTable().Revision)
+	must.Eq(t, "{a}", string(p.routingTable().Routes[0].Source))
 	must.Eq(t, "ok", p.applyRouting(wholeTable(3, 9)).Code)
 	again := p.applyRouting(wholeTable(0, 3))
-	must.Eq(t, "ok", again.Code, must.Sprint("exactly this was taken before"))
+	must.Eq(t, "ok", again.Code, must.Sprint("exactly this was applied before"))
 	must.Eq(t, r.Version, again.Version)
-	must.Eq(t, 9, p.table().Revision)
+	must.Eq(t, 9, p.routingTable().Revision)
 	other := wholeTable(0, 3)
 	other.Whole.Routes[0].TimeoutUs = 2
 	must.Eq(t, "lost_race", p.applyRouting(other).Code, must.Sprint("another edit of the same numbers"))
 	must.Eq(t, "lost_race", p.applyRouting(wholeTable(1, 3)).Code)
 }
 
-func TestOfTwoOnOneRevisionTheFirstIsTaken(t *testing.T) {
+func TestSecondRoutingEditOfARevisionLosesTheRace(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 1)).Code)
 	must.Eq(t, "ok", p.applyRouting(wholeTable(1, 5)).Code)
@@ -55,7 +53,7 @@
 	must.Eq(t, "lost_race", p.applyRouting(wholeTable(8, 9)).Code)
 }
 
-func TestRevisionsRise(t *testing.T) {
+func TestRoutingRevisionsIncrease(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "invalid", p.applyRouting(wholeTable(0, 0)).Code)
 	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 4)).Code)
@@ -64,7 +62,7 @@
 	must.Eq(t, "ok", p.applyRouting(wholeTable(4, 40)).Code)
 }
 
-func TestItemsAreAddedReplacedAndWithdrawnByName(t *testing.T) {
+func TestPatchAddsReplacesAndWithdrawsByName(t *testing.T) {
 	p := &configPartition{t: t}
 	p.applyRouting(wholeTable(0, 1))
 	r := p.applyRouting(&routingpb.RoutingEdit{
@@ -76,8 +74,8 @@
 		WithdrawRoutes: []string{"b", "never there"}, WithdrawPools: []string{"q"},
 	})
 	must.Eq(t, "ok", r.Code)
-	got := p.table()
-	must.Eq(t, "a /a2/, c /c/", names(got.Routes))
+	got := p.routingTable()
+	must.Eq(t, "a /a2/, c /c/", routeNames(got.Routes))
 	must.Eq(t, "{r}", string(got.Pools[1].Source))
 	must.Eq(t, "{p}", string(got.Pools[0].Source))
 	r = p.applyRouting(&routingpb.RoutingEdit{Base: 2, Revision: 3, WithdrawPools: []string{"p"}})
@@ -86,10 +84,10 @@
 	must.Eq(t, "invalid", r.Code, must.Sprint("the whole is checked after the change"))
 	must.Len(t, 2, r.Findings)
 	must.Eq(t, "ok", p.applyRouting(&routingpb.RoutingEdit{Base: 3, Revision: 4, Upsert: &routingpb.RoutingTable{Limits: &routingpb.Limits{MaxBodyBytes: 7}}}).Code)
-	must.Eq(t, 7, p.table().Limits.MaxBodyBytes)
+	must.Eq(t, 7, p.routingTable().Limits.MaxBodyBytes)
 }
 
-func names(rs []*routingpb.Route) string {
+func routeNames(rs []*routingpb.Route) string {
 	var out []string
 	for _, r := range rs {
 		out = append(out, r.Name+" "+r.Prefix)
@@ -97,11 +95,11 @@
 	return strings.Join(out, ", ")
 }
 
-func TestRefusedTables(t *testing.T) {
+func TestInvalidRoutingTablesAreRefused(t *testing.T) {
 	for name, spoil := range map[string]func(*routingpb.RoutingTable, *routingpb.Route){
 		"unknown pool":           func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "x" },
-		"unknown weighted pool":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { weights(r, "p", 1.0, "x", 0.0) },
-		"unknown gathered pool":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { gathered(r, "p", "x") },
+		"unknown weighted pool":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0, "x", 0.0) },
+		"unknown gathered pool":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "x") },
 		"same host and prefix":   func(t *routingpb.RoutingTable, r *routingpb.Route) { r.Host, r.Prefix = "H.example", "/b/" },
 		"same route name":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Name = "b" },
 		"same pool name":         func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[1].Name, t.Routes[1].Pool = "p", "p" },
@@ -109,12 +107,12 @@
 		"no host":                func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Host = "" },
 		"prefix without start":   func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "a/" },
 		"prefix without end":     func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "/a" },
-		"weights of 0":           func(_ *routingpb.RoutingTable, r *routingpb.Route) { weights(r, "p", 0.0, "q", 0.0) },
-		"negative weight":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { weights(r, "p", 2.0, "q", -1.0) },
-		"weight not a number":    func(_ *routingpb.RoutingTable, r *routingpb.Route) { weights(r, "p", 1.0, "q", math.NaN()) },
+		"weights of 0":           func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 0.0, "q", 0.0) },
+		"negative weight":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 2.0, "q", -1.0) },
+		"weight not a number":    func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0, "q", math.NaN()) },
 		"timeout of 0":           func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TimeoutUs = 0 },
 		"no pool":                func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "" },
-		"two ways":               func(_ *routingpb.RoutingTable, r *routingpb.Route) { weights(r, "p", 1.0); r.Pool = "p" },
+		"two targets":            func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0); r.Pool = "p" },
 		"coverage above 1":       func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MinCoverage = 1.01 },
 		"coverage below 0":       func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MinCoverage = -0.1 },
 		"negative backends":      func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MaxBackends = -1 },
@@ -125,7 +123,7 @@
 		"negative slow start":    func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].SlowStartUs = -1 },
 		"negative ramp":          func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].RampPerS = -1 },
 		"negative limits":        func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Limits = &routingpb.Limits{IdleTimeoutUs: -1} },
-		"gathered, run once":     func(_ *routingpb.RoutingTable, r *routingpb.Route) { gathered(r, "p", "q"); r.Repeatable = false },
+		"gathered, run once":     func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "q"); r.Repeatable = false },
 		"pool without a name":    func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools = append(t.Pools, &routingpb.Pool{}) },
 		"ramp that has no bound": func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].RampPerS = math.Inf(1) },
 	} {
@@ -137,16 +135,16 @@
 			must.Eq(t, "invalid", r.Code)
 			must.Len(t, 1, r.Findings)
 			must.NotEq(t, "", r.Findings[0].Path)
-			must.Nil(t, p.table())
+			must.Nil(t, p.routingTable())
 		})
 	}
 }
 
-func TestWhatIsLeftOutIsNotRefused(t *testing.T) {
+func TestUnsetRoutingFieldsAreAccepted(t *testing.T) {
 	for name, change := range map[string]func(*routingpb.RoutingTable, *routingpb.Route){
-		"a weight of 0":               func(_ *routingpb.RoutingTable, r *routingpb.Route) { weights(r, "p", 0.0, "q", 3.0) },
-		"gathered":                    func(_ *routingpb.RoutingTable, r *routingpb.Route) { gathered(r, "p", "q") },
-		"full coverage":               func(_ *routingpb.RoutingTable, r *routingpb.Route) { gathered(r, "p"); r.MinCoverage = 1 },
+		"a weight of 0":               func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 0.0, "q", 3.0) },
+		"gathered":                    func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "q") },
+		"full coverage":               func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p"); r.MinCoverage = 1 },
 		"a pool that no route names":  func(t *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "q" },
 		"the same prefix, other host": func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Host, r.Prefix = "other.example", "/b/" },
 		"a prefix inside another":     func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "/b/c/" },
@@ -162,7 +160,7 @@
 	}
 }
 
-func TestFindingsComeTogether(t *testing.T) {
+func TestRoutingFindingsAreReportedTogether(t *testing.T) {
 	p := &configPartition{t: t}
 	e := wholeTable(0, 1)
 	e.Whole.Routes[0].TimeoutUs, e.Whole.Routes[1].Pool, e.Whole.Pools[0].MaxConnections = 0, "x", -1
@@ -170,7 +168,7 @@
 	must.Eq(t, "invalid", p.apply(&wire.Edit{Op: "routing", Body: []byte("\xff\xff")}).Code)
 }
 
-func TestRevisionsRememberedAreBounded(t *testing.T) {
+func TestAppliedRoutingEditsAreBounded(t *testing.T) {
 	p := &configPartition{t: t}
 	for i := range int64(maxRoutingEdits + 5) {
 		must.Eq(t, "ok", p.applyRouting(wholeTable(i, i+1)).Code)
@@ -180,7 +178,7 @@
 	must.Eq(t, "ok", p.applyRouting(wholeTable(100, 101)).Code)
 }
 
-func TestEmptyingAZoneTwiceIsTaken(t *testing.T) {
+func TestDrainingAZoneTwiceIsAccepted(t *testing.T) {
 	p := &configPartition{t: t}
 	p.applyRouting(wholeTable(0, 1))
 	for _, id := range []string{"one", "one", "two", ""} {
@@ -188,19 +186,17 @@
 	}
 	must.Eq(t, "ok", p.applyZone("refill", "z", "three").Code)
 	must.Eq(t, "ok", p.applyZone("empty", "z", "two").Code, must.Sprint("an old repeat"))
-	c, err := ReadConfig(p.value.Body)
-	must.NoError(t, err)
-	must.SliceEmpty(t, c.DrainedZones)
-	must.Eq(t, 1, p.table().Revision)
+	must.SliceEmpty(t, p.drainedZones())
+	must.Eq(t, 1, p.routingTable().Revision)
 }
 
-func weights(r *routingpb.Route, kv ...any) {
+func setPoolWeights(r *routingpb.Route, kv ...any) {
 	r.Pool = ""
 	for i := 0; i < len(kv); i += 2 {
 		r.PoolWeights = append(r.PoolWeights, &routingpb.PoolWeight{Pool: kv[i].(string), Weight: kv[i+1].(float64)})
 	}
 }
 
-func gathered(r *routingpb.Route, pools ...string) {
+func setFanout(r *routingpb.Route, pools ...string) {
 	r.Pool, r.FanoutPools, r.Repeatable = "", pools, true
 }
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/settings"
 )
 
-func TestNodeThatJustStartedAsksNoOwnersBeforeItKnowsThem(t *testing.T) {
+func TestAdmissionWaitsUntilTheRosterIsKnown(t *testing.T) {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", Name: "a", Seeds: []string{"10.0.0.2:1"}}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	c := kernel.Find[*Coordinator](k)
 	now := int64(1_000_000)
--- a/request/idempotency/golden_test.go
+++ b/request/idempotency/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // Nodes of two releases agree on which of them own a key.
-func TestOwnersAreThoseOfEarlierReleases(t *testing.T) {
+func TestOwnersMatchEarlierReleases(t *testing.T) {
 	var roster []snapshot.Node
 	for i := range 14 {
 		roster = append(roster, snapshot.Node{Name: fmt.Sprint("node-", i), Zone: fmt.Sprint("z", i%3)})
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -45,7 +45,7 @@
 
 // pickNode is a node that a caller comes to: every other time one that has just started, if there is one.
 func (m *model) pickNode() *modelNode {
-	young := slices.DeleteFunc(slices.Clone(m.nodes), func(n *modelNode) bool { return !n.up || m.now-n.upAt > youngFor })
+	young := slices.DeleteFunc(slices.Clone(m.nodes), func(n *modelNode) bool { return !n.up || m.now-n.upAt > justStartedFor })
 	if len(young) > 0 && m.rand.IntN(2) == 0 {
 		return young[m.rand.IntN(len(young))]
 	}
@@ -56,7 +56,7 @@
 func (m *model) admit(here incarnation, key, token string) {
 	m.admitted++
 	if m.admittedKeys[key] {
-		m.twice = append(m.twice, fmt.Sprintf("%s let in again by %s at %.3f s", key, here.node.name, float64(m.now)/1e6))
+		m.admittedTwice = append(m.admittedTwice, fmt.Sprintf("%s let in again by %s at %.3f s", key, here.node.name, float64(m.now)/1e6))
 	}
 	m.admittedKeys[key] = true
 	refused := m.rand.IntN(8) == 0
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -16,7 +16,7 @@
 
 // modelNode is a node with its process of now, or its last one.
 type modelNode struct {
-	m     *model
+	model *model
 	name  string
 	count int
 	up    bool
@@ -34,31 +34,31 @@
 // start begins a process of the node, which sees nobody else yet.
 func (n *modelNode) start() {
 	n.count++
-	n.up, n.upAt = true, n.m.now
+	n.up, n.upAt = true, n.model.now
 	key := fmt.Sprintf("%-32s", fmt.Sprintf("%s/%d", n.name, n.count))
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: n.name, Name: n.name}, Role: "node", Seed: 1, Key: kernel.KeyFrom([]byte(key))})
 	n.coordinator = kernel.Find[*Coordinator](k)
 	n.coordinator.snapshot = func() *snapshot.Snapshot { return n.view }
 	n.peak = 0
-	n.look([]*modelNode{n})
+	n.updateView([]*modelNode{n})
 	n.step(kernel.Start{})
 }
 
-// sees has the node's roster follow what is told of others.
-func (n *modelNode) sees(others []*modelNode) {
-	n.look(others)
+// observe has the node's roster follow what is told of others.
+func (n *modelNode) observe(others []*modelNode) {
+	n.updateView(others)
 	n.step(snapshot.Built{})
 }
 
-func (n *modelNode) look(others []*modelNode) {
+func (n *modelNode) updateView(others []*modelNode) {
 	live := 0
 	var owners []snapshot.Node
 	for _, o := range others {
-		gone := !o.up && n.m.now-o.downAt > snapshot.RosterTTL
+		gone := !o.up && n.model.now-o.downAt > snapshot.RosterTTL
 		if gone && o != n {
 			continue
 		}
-		isLive := o.up || n.m.now-o.downAt < second
+		isLive := o.up || n.model.now-o.downAt < second
 		if isLive {
 			live++
 		}
@@ -73,30 +73,30 @@
 
 // step gives the node's process an input and carries out what it asks for.
 func (n *modelNode) step(in kernel.Input) {
-	ctx := &kernel.Context{Now: n.m.now, Rand: n.m.rand, Counts: kernel.NewCounts()}
+	ctx := &kernel.Context{Now: n.model.now, Rand: n.model.rand, Counts: kernel.NewCounts()}
 	n.coordinator.Step(ctx, in)
 	here := n.incarnation()
 	for _, s := range ctx.Output.Sends {
-		n.m.send(here, s)
+		n.model.send(here, s)
 	}
 	for _, timer := range ctx.Output.Timers {
-		n.m.after(timer.At-n.m.now, func() {
+		n.model.after(timer.At-n.model.now, func() {
 			if here.alive() {
 				n.step(timer.Tick)
 			}
 		})
 	}
 	for _, a := range ctx.Output.Replies {
-		answered := n.m.calls[a.ID]
-		delete(n.m.calls, a.ID)
+		answered := n.model.calls[a.ID]
+		delete(n.model.calls, a.ID)
 		answered(a.Value.(search.Admission))
 	}
 }
 
-// comeBack starts a process that sees some of the others first, and all of them later.
-func (n *modelNode) comeBack() {
+// restart starts a process that sees some of the others first, and all of them later.
+func (n *modelNode) restart() {
 	n.start()
-	m, here := n.m, n.incarnation()
+	m, here := n.model, n.incarnation()
 	some := []*modelNode{n}
 	for _, o := range m.nodes {
 		if o != n && m.rand.IntN(3) == 0 {
@@ -106,13 +106,13 @@
 	first := m.between(20*ms, 200*ms)
 	m.after(first, func() {
 		if here.alive() {
-			n.sees(some)
+			n.observe(some)
 			n.step(mesh.CaughtUp{})
 		}
 	})
 	m.after(first+m.between(0, second), func() {
 		if here.alive() {
-			n.sees(m.nodes)
+			n.observe(m.nodes)
 		}
 	})
 	m.announceRoster()
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -27,8 +27,8 @@
 	// modelLoss is how many of the model's nodes are lost at once at most: fewer than half.
 	modelNodes, modelLoss = 8, 3
 	modelSeconds          = 40 * second
-	// youngFor is for how long a node counts as just started.
-	youngFor = 1500 * ms
+	// justStartedFor is for how long a node counts as just started.
+	justStartedFor = 1500 * ms
 )
 
 // modelSeeds is how many runs of the model are made: go test ./claims -model.seeds 500.
@@ -69,11 +69,11 @@
 	// arrives is when the last message between two lives of nodes arrives: they keep their order.
 	arrives map[[2]incarnation]int64
 	// admittedKeys are the keys that were let in and not released; admitted counts them.
-	admittedKeys map[string]bool
-	admitted     int
-	twice        []string
-	calls        map[uint64]func(v search.Admission)
-	lastCall     uint64
+	admittedKeys  map[string]bool
+	admitted      int
+	admittedTwice []string
+	calls         map[uint64]func(v search.Admission)
+	lastCall      uint64
 }
 
 // incarnation is one process of a node.
@@ -90,13 +90,13 @@
 		admittedKeys: map[string]bool{}, calls: map[uint64]func(search.Admission){},
 	}
 	for i := range modelNodes {
-		m.nodes = append(m.nodes, &modelNode{m: m, name: fmt.Sprintf("node-%d", i)})
+		m.nodes = append(m.nodes, &modelNode{model: m, name: fmt.Sprintf("node-%d", i)})
 	}
 	for _, n := range m.nodes {
 		n.start()
 	}
 	for _, n := range m.nodes {
-		n.sees(m.nodes)
+		n.observe(m.nodes)
 		n.step(mesh.CaughtUp{})
 		// The first start of a fleet: nothing was let in before.
 		n.coordinator.epochs = nil
@@ -146,9 +146,9 @@
 	})
 }
 
-// lose ends some nodes at once; each comes back after a while, at times when the others have
+// crashSome ends some nodes at once; each comes back after a while, at times when the others have
 // ceased to count it.
-func (m *model) lose() {
+func (m *model) crashSome() {
 	all := slices.Clone(m.nodes)
 	m.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	away := m.between(200*ms, 2*second)
@@ -157,11 +157,11 @@
 	}
 	for _, n := range all[:1+m.rand.IntN(modelLoss)] {
 		n.up, n.downAt = false, m.now
-		m.after(away+m.between(0, 300*ms), n.comeBack)
+		m.after(away+m.between(0, 300*ms), n.restart)
 	}
 	m.announceRoster()
 	m.after(snapshot.RosterTTL, m.announceRoster)
-	m.after(away+m.between(4*second, 6*second), m.lose)
+	m.after(away+m.between(4*second, 6*second), m.crashSome)
 }
 
 // announceRoster has every node see, each after its own while, what the fleet is then.
@@ -170,13 +170,13 @@
 		here := n.incarnation()
 		m.after(m.between(5*ms, second), func() {
 			if here.alive() {
-				n.sees(m.nodes)
+				n.observe(m.nodes)
 			}
 		})
 	}
 }
 
-func TestNoKeyIsLetInTwiceWhileRostersDiffer(t *testing.T) {
+func TestNoKeyIsAdmittedTwiceWhileRostersDiffer(t *testing.T) {
 	t.Parallel()
 	seeds, admitted := *modelSeeds, 0
 	if testing.Short() {
@@ -185,9 +185,9 @@
 	for seed := range seeds {
 		m := newModel(t, seed)
 		m.after(second, func() { m.callers(0) })
-		m.after(2*second, m.lose)
+		m.after(2*second, m.crashSome)
 		m.run(modelSeconds)
-		must.SliceEmpty(t, m.twice, must.Sprintf("seed %d", seed))
+		must.SliceEmpty(t, m.admittedTwice, must.Sprintf("seed %d", seed))
 		admitted += m.admitted
 	}
 	t.Logf("%d seeds, %d keys let in", seeds, admitted)
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -83,7 +83,7 @@
 
 // A node that has just started may see two others of eight. What those two and itself let in
 // another node, that asks the other five, could let in too.
-func TestMajorityIsOfTheGreatestRosterAmongTheOwnersThatLetIn(t *testing.T) {
+func TestMajorityIsOfTheLargestRosterAmongAgreeingOwners(t *testing.T) {
 	for _, c := range []struct {
 		counted int
 		in      bool
@@ -106,7 +106,7 @@
 }
 
 // Owners that see a larger roster are not needed where those that see a smaller one are a majority of it.
-func TestOwnerWithALargerRosterDoesNotHoldUpAMajorityWithoutIt(t *testing.T) {
+func TestMajorityDoesNotNeedOwnersWithALargerRoster(t *testing.T) {
 	n := newNode(t)
 	owners := otherNodes(2)
 	id := n.startAdmission(t, owners)
@@ -116,7 +116,7 @@
 }
 
 // An owner that let the claim in may have lost it before the claim is decided.
-func TestMajorityThatIsLostWhileSlowOwnersAreWaitedForAdmitsNothing(t *testing.T) {
+func TestMajorityLostWhileWaitingForStragglersAdmitsNothing(t *testing.T) {
 	n := newNode(t)
 	owners := otherNodes(4)
 	id := n.startAdmission(t, owners)
@@ -133,7 +133,7 @@
 }
 
 // An owner says how many owners it counts.
-func TestOwnerTellsHowManyOwnersItCounts(t *testing.T) {
+func TestClaimReplyCarriesTheOwnerCount(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(7)...)
 	out := n.receive(wire.KindAdmitRequest, 3, &wire.AdmitRequest{Key: "k", From: "p#1"})
@@ -147,7 +147,7 @@
 
 // What is handed over to a node that the sender does not count yet would miss what it lets in
 // afterwards, as one of the fewer owners that it counts.
-func TestRecordsAreHandedOverOnlyToAnOwnerThatIsCounted(t *testing.T) {
+func TestRecordsAreHandedOverOnlyToARosterMember(t *testing.T) {
 	n := newNode(t)
 	n.c.epochs = nil
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
@@ -159,7 +159,7 @@
 
 // An owner that lost its records and sees two others of eight needs as many of them to hand over
 // as share one with every majority of eight.
-func TestOwnerIsSureOnlyOnceEnoughOfTheGreatestRosterHandedOver(t *testing.T) {
+func TestOwnerVouchesOnceEnoughOfTheLargestRosterHandedOver(t *testing.T) {
 	n := newNode(t)
 	all := otherNodes(7)
 	n.c.roster = append([]snapshot.Node{n.self()}, all[:2]...)
@@ -176,7 +176,7 @@
 }
 
 // A claim that came while the owner could not vouch for the key hides none that was let in before.
-func TestRecordOfAnUnsureOwnerHidesNoneThatIsHandedOver(t *testing.T) {
+func TestUncertainRecordYieldsToOneThatIsHandedOver(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
 	n.c.invalidateRecords(&kernel.Context{Now: n.now})
