--- a/control/reshard/reshard.go
+++ b/control/reshard/reshard.go
@@ -64,7 +64,7 @@
 		return
 	}
 	for _, x := range c.table.Current().Indexes {
-		if x.Cut.Next != "" {
+		if x.ShardMap.Next != "" {
 			c.armed = true
 			ctx.After(CheckInterval, "cutmove", "look")
 			return
@@ -90,7 +90,7 @@
 	}
 	for _, name := range configuredIndexes(cp) {
 		x := cp.Indexes[name]
-		if x.Cut.Next == "" || !Ready(x, ctx.Now) {
+		if x.ShardMap.Next == "" || !Ready(x, ctx.Now) {
 			continue
 		}
 		partition := state.PartitionOf(name)
@@ -99,8 +99,8 @@
 			continue
 		}
 		ctx.Counts.Add("cut_flips_asked", 1)
-		ctx.Log(kernel.LevelInfo, "cut_flip", "index", name, "from", x.Cut.Name, "to", x.Cut.Next)
-		ctx.SendTo(addr, wire.KindEdit, 0, &wire.Edit{Partition: partition, Op: "flip", Name: name, Body: wire.Encode(&x.Cut)})
+		ctx.Log(kernel.LevelInfo, "cut_flip", "index", name, "from", x.ShardMap.Name, "to", x.ShardMap.Next)
+		ctx.SendTo(addr, wire.KindEdit, 0, &wire.Edit{Partition: partition, Op: "flip", Name: name, Body: wire.Encode(&x.ShardMap)})
 	}
 }
 
--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -109,7 +109,7 @@
 		return
 	}
 	json.NewEncoder(w).Encode(healthcheck.Response{
-		ID: s.config.ID, Incarnation: s.began.UnixMicro(), UpUs: time.Since(s.began).Microseconds(), Usage: s.busy.Load(), Cut: s.config.ShardMap,
+		ID: s.config.ID, Incarnation: s.began.UnixMicro(), UpUs: time.Since(s.began).Microseconds(), Usage: s.busy.Load(), ShardMap: s.config.ShardMap,
 	})
 }
 
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -114,7 +114,7 @@
 }
 
 // takeIdleConn takes a kept connection to a backend, the newest first; those that end or hold foul bytes are closed.
-func (g *gateway) takeIdleConn(s *snapshot.Server) *conn {
+func (g *gateway) takeIdleConn(s *snapshot.Backend) *conn {
 	now := g.day.world.now
 	all := g.idleConns[s.ID]
 	for len(all) > 0 {
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -91,7 +91,7 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 		return
 	}
-	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.reportedIncarnation, UpUs: w.now - s.born, Usage: s.running, Cut: s.row.ShardMap})
+	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.reportedIncarnation, UpUs: w.now - s.born, Usage: s.running, ShardMap: s.row.ShardMap})
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
--- a/request/backend/conn.go
+++ b/request/backend/conn.go
@@ -57,7 +57,7 @@
 }
 
 // lockPool finds or makes a backend's peer and locks it.
-func (k *Client) lockPool(s *snapshot.Server) *connPool {
+func (k *Client) lockPool(s *snapshot.Backend) *connPool {
 	id := poolKey{s.Addr, s.ID}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -71,7 +71,7 @@
 }
 
 // acquire gives an idle connection, or the right to make one where room is true.
-func (k *Client) acquire(s *snapshot.Server, most int) (c *conn, p *connPool, room bool) {
+func (k *Client) acquire(s *snapshot.Backend, most int) (c *conn, p *connPool, room bool) {
 	p = k.lockPool(s)
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -106,7 +106,7 @@
 	c.closeSocket()
 }
 
-func (k *Client) dial(ctx context.Context, s *snapshot.Server, p *connPool) (*conn, error) {
+func (k *Client) dial(ctx context.Context, s *snapshot.Backend, p *connPool) (*conn, error) {
 	d := net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: control}
 	k.counters.dials.Add(1)
 	raw, err := d.DialContext(ctx, "tcp", s.Addr)
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -152,7 +152,7 @@
 	must.NoError(t, l.Close())
 	f := &fake{}
 	k := newTestClient(t, Config{})
-	a := dispatch.Send{Server: &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20_000_000, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
+	a := dispatch.Send{Server: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20_000_000, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
 	for range 3 {
 		rep := run(t, k, a, dispatch.ClassNotSent)
 		must.StrContains(t, rep.Reason, "refused")
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -68,7 +68,7 @@
 	addr := lean(b, partBody)
 	k := newTestClient(b, Config{})
 	pool := &snapshot.Pool{Pool: &routingpb.Pool{}}
-	server := &snapshot.Server{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
+	server := &snapshot.Backend{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
 	ask := func(id string) dispatch.Send {
 		return dispatch.Send{
 			Pool: pool, Server: server, Timeout: 5_000_000,
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -154,8 +154,8 @@
 	return k
 }
 
-func (f *fake) server() *snapshot.Server {
-	return &snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: f.l.Addr().String()}}
+func (f *fake) server() *snapshot.Backend {
+	return &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: f.l.Addr().String()}}
 }
 
 func (f *fake) ask(id string) dispatch.Send {
--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -66,7 +66,7 @@
 const forgetBackendAfter = 60_000_000
 
 // updateListing takes what a snapshot says of the backend. Views are made one after another.
-func (b *backend) updateListing(snap *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Server, began int64) {
+func (b *backend) updateListing(snap *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Backend, began int64) {
 	first := b.listedAt.Load() == 0
 	b.listedAt.Store(max(1, snap.At))
 	if s.Slots > 0 && b.slots.Load() == 0 {
--- a/request/dispatch/dispatcher_test.go
+++ b/request/dispatch/dispatcher_test.go
@@ -92,7 +92,7 @@
 func TestColdByItsOwnWord(t *testing.T) {
 	f := fixed(1, 2)
 	f.src.Pools[0].RampPerS = 1
-	for _, s := range f.snap.Pools["p0"].Servers {
+	for _, s := range f.snap.Pools["p0"].Backends {
 		s.Gauge.SlowStartUntil.Store(begun + 3*second)
 	}
 	sent := 0
--- a/request/dispatch/events.go
+++ b/request/dispatch/events.go
@@ -111,7 +111,7 @@
 // Send is a request to one backend.
 type Send struct {
 	N      int
-	Server *snapshot.Server
+	Server *snapshot.Backend
 	Pool   *snapshot.Pool
 	// Timeout is what is left of the time, for the backend and for the driver.
 	Timeout int64
--- a/request/dispatch/journal_test.go
+++ b/request/dispatch/journal_test.go
@@ -73,7 +73,7 @@
 		j.astray = append(j.astray, a.Request.ID+" sent to "+a.Pool.Name)
 		return
 	}
-	for _, s := range p.Servers {
+	for _, s := range p.Backends {
 		if s.ID == a.Server.ID && s.Health < snapshot.Draining {
 			return
 		}
--- a/request/dispatch/state_machine_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -47,7 +47,7 @@
 	for _, p := range f.src.Pools {
 		q := &snapshot.Pool{Pool: p}
 		for i := range backends {
-			q.Servers = append(q.Servers, &snapshot.Server{Backend: wire.Backend{ID: fmt.Sprintf("%s-%d", p.Name, i), Zone: fmt.Sprintf("z%d", i%2), Slots: 2}, Gauge: &snapshot.Gauge{}})
+			q.Backends = append(q.Backends, &snapshot.Backend{Backend: wire.Backend{ID: fmt.Sprintf("%s-%d", p.Name, i), Zone: fmt.Sprintf("z%d", i%2), Slots: 2}, Gauge: &snapshot.Gauge{}})
 		}
 		f.snap.Pools[p.Name] = q
 	}
--- a/request/dispatch/view.go
+++ b/request/dispatch/view.go
@@ -13,7 +13,7 @@
 
 // endpoint is a backend in a pool.
 type endpoint struct {
-	server   *snapshot.Server
+	server   *snapshot.Backend
 	backend  *backend
 	sameZone bool
 }
@@ -62,8 +62,8 @@
 	v := &view{snapshot: snap, pools: make(map[string]*pool, len(snap.Pools))}
 	there := 0
 	for name, p := range snap.Pools {
-		q := &pool{Pool: p, name: name, endpoints: make([]endpoint, 0, len(p.Servers)), retryBudget: d.retryBudgetOf(name)}
-		for _, s := range p.Servers {
+		q := &pool{Pool: p, name: name, endpoints: make([]endpoint, 0, len(p.Backends)), retryBudget: d.retryBudgetOf(name)}
+		for _, s := range p.Backends {
 			b := d.backendOf(s.ID)
 			b.updateListing(snap, p, s, d.cfg.StartedAt)
 			there++
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -190,7 +190,7 @@
 		if b.gone {
 			continue
 		}
-		s := &snapshot.Server{Backend: wire.Backend{ID: b.id, Zone: b.zone, Pool: b.pool, Slots: b.slots, WarmUpRemaining: max(0, b.cold-w.now)}, Gauge: n.gauges.Of(b.id)}
+		s := &snapshot.Backend{Backend: wire.Backend{ID: b.id, Zone: b.zone, Pool: b.pool, Slots: b.slots, WarmUpRemaining: max(0, b.cold-w.now)}, Gauge: n.gauges.Of(b.id)}
 		switch {
 		case b.leaving:
 			s.Health = snapshot.Draining
@@ -198,7 +198,7 @@
 			s.Health = snapshot.ZoneDrained
 		}
 		if p := snap.Pools[b.pool]; p != nil {
-			p.Servers = append(p.Servers, s)
+			p.Backends = append(p.Backends, s)
 		}
 	}
 	n.snap = snap
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -48,7 +48,7 @@
 		src.Pools = append(src.Pools, &routingpb.Pool{Name: name, MaxConnections: 100})
 		p := &snapshot.Pool{Pool: src.Pools[i]}
 		for k, addr := range addrs[4*i : 4*i+4] {
-			p.Servers = append(p.Servers, &snapshot.Server{Backend: wire.Backend{ID: fmt.Sprint("i-", i, "-", k), Addr: addr, Pool: name, Slots: 8, Incarnation: 1}, Gauge: new(snapshot.Gauge)})
+			p.Backends = append(p.Backends, &snapshot.Backend{Backend: wire.Backend{ID: fmt.Sprint("i-", i, "-", k), Addr: addr, Pool: name, Slots: 8, Incarnation: 1}, Gauge: new(snapshot.Gauge)})
 		}
 		cp.Pools[name] = p
 	}
--- a/request/gateway/driver_test.go
+++ b/request/gateway/driver_test.go
@@ -177,7 +177,7 @@
 		}
 		conn.Close()
 	}
-	nobody := snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: freeAddr(t)}}
+	nobody := snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: freeAddr(t)}}
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		acts := passOn(s, ev)
 		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "nobody" {
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -49,7 +49,7 @@
 		s := w.server
 		s.ID = fmt.Sprintf("i-%d", i+1)
 		s.Gauge = gauges.Of(s.ID)
-		pool.Servers = append(pool.Servers, &s)
+		pool.Backends = append(pool.Backends, &s)
 	}
 	w.cp.Store(&snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Routing: compiled, Pools: map[string]*snapshot.Pool{"desk": pool}})
 	return w
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -80,7 +80,7 @@
 type world struct {
 	t      *testing.T
 	s      *Server
-	server snapshot.Server
+	server snapshot.Backend
 	cp     atomic.Pointer[snapshot.Snapshot]
 	now    func() int64
 	step   func(s *script, ev dispatch.Event) []dispatch.Action
@@ -119,7 +119,7 @@
 		w.serving()(rw, r)
 	}))
 	t.Cleanup(b.Close)
-	w.server = snapshot.Server{Backend: wire.Backend{ID: "i-1", Addr: b.Listener.Addr().String()}}
+	w.server = snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: b.Listener.Addr().String()}}
 	w.limits(&routingpb.Limits{})
 	began := time.Now()
 	w.now = func() int64 { return time.Since(began).Microseconds() }
--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -38,7 +38,7 @@
 	Incarnation int64  `json:"incarnation"`
 	UpUs        int64  `json:"up_us"`
 	Usage       int64  `json:"usage"`
-	Cut         string `json:"cut"`
+	ShardMap    string `json:"cut"`
 	// SlowStart is how much longer the server stays cold, as it says itself.
 	SlowStart int64 `json:"cold_us,omitempty"`
 }
@@ -111,8 +111,8 @@
 			others = append(others, hash(n.Name))
 		}
 	}
-	there := make(map[string]*checkState, len(snap.Servers))
-	for _, s := range snap.Servers {
+	there := make(map[string]*checkState, len(snap.Backends))
+	for _, s := range snap.Backends {
 		state := c.states[s.ID]
 		if state == nil {
 			state = &checkState{checkedAt: ctx.Now - ctx.Rand.Int64N(CheckInterval)}
@@ -156,7 +156,7 @@
 	}
 	c.assign(ctx, snap)
 	medians := shardMedians(snap)
-	for _, s := range snap.Servers {
+	for _, s := range snap.Backends {
 		state := c.states[s.ID]
 		if (state.assigned || s.Gauge.EjectedUntil.Load() > 0) && !state.inFlight && ctx.Now-state.checkedAt >= CheckInterval-TickInterval/2 {
 			state.checkedAt, state.inFlight = ctx.Now, true
@@ -193,7 +193,7 @@
 }
 
 // report settles what this node thinks of a server and tells it when that changed.
-func (c *Checker) report(ctx *kernel.Context, s *snapshot.Server, state *checkState, medians map[shard]int64) {
+func (c *Checker) report(ctx *kernel.Context, s *snapshot.Backend, state *checkState, medians map[shard]int64) {
 	o := wire.HealthReport{State: "ok", Incarnation: state.incarnation, Uptime: state.uptime}
 	if inc := s.Gauge.Incarnation.Load(); inc > o.Incarnation {
 		o.Incarnation, o.Uptime = inc, 0
@@ -223,19 +223,19 @@
 }
 
 type shard struct {
-	index, cut string
-	n          int
+	index, shardMap string
+	n               int
 }
 
-func shardKey(s *snapshot.Server) shard { return shard{s.Index, s.ShardMap, s.Shard} }
+func shardKey(s *snapshot.Backend) shard { return shard{s.Index, s.ShardMap, s.Shard} }
 
 // shardMedians is the latency of each shard's middle server, where some server may be slow at all.
 func shardMedians(snap *snapshot.Snapshot) map[shard]int64 {
-	if !slices.ContainsFunc(snap.Servers, func(s *snapshot.Server) bool { return s.Gauge.Latency.Load() > MinSlowLatency }) {
+	if !slices.ContainsFunc(snap.Backends, func(s *snapshot.Backend) bool { return s.Gauge.Latency.Load() > MinSlowLatency }) {
 		return nil
 	}
 	all := map[shard][]int64{}
-	for _, s := range snap.Servers {
+	for _, s := range snap.Backends {
 		if l := s.Gauge.Latency.Load(); l > 0 {
 			all[shardKey(s)] = append(all[shardKey(s)], l)
 		}
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -78,7 +78,7 @@
 		{0, "lost", 1}, {EnoughReporters - 1, "lost", 1}, {EnoughReporters, "lost", 0}, {EnoughReporters, "slow", 1}, {EnoughReporters + 3, "lost", 0},
 	} {
 		n := newNode(EnoughReporters + 3)
-		must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Servers))
+		must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Backends))
 		for i := range c.agree {
 			n.hears(i+1, "opinion", sick, &wire.HealthReport{State: c.state})
 		}
--- a/request/httpapi/backend_client_test.go
+++ b/request/httpapi/backend_client_test.go
@@ -23,7 +23,7 @@
 
 func correction(addr string) *search.Send {
 	return &search.Send{
-		ID: "n-1.aa", Server: &snapshot.Server{Backend: wire.Backend{Addr: addr}}, ShardCount: 1, ShardMap: "c1", Timeout: 1_000_000,
+		ID: "n-1.aa", Server: &snapshot.Backend{Backend: wire.Backend{Addr: addr}}, ShardCount: 1, ShardMap: "c1", Timeout: 1_000_000,
 		Request: &search.Request{Kind: search.KindCorrect, Index: "a", Record: "r", Key: "k", Body: "b"},
 	}
 }
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -175,7 +175,7 @@
 	}
 	cp := a.node.table.Current()
 	out := []*operator.ServerStatus{}
-	for _, s := range cp.Servers {
+	for _, s := range cp.Backends {
 		ramp := int64(0)
 		if x := cp.Indexes[s.Index]; x != nil {
 			ramp = x.Service.RampUs
--- a/request/search/attempts.go
+++ b/request/search/attempts.go
@@ -19,7 +19,7 @@
 // serves the pinned cut: what has begun to leave since must not be picked.
 func (m *StateMachine) refreshSnapshot() {
 	snap := m.dispatcher.Snapshot()
-	if x := snap.Indexes[m.request.Index]; x != nil && x.Cut.Name == m.shardMap && len(x.Shards) == len(m.shardRequests) {
+	if x := snap.Indexes[m.request.Index]; x != nil && x.ShardMap.Name == m.shardMap && len(x.Shards) == len(m.shardRequests) {
 		m.snapshot, m.index = snap, x
 	}
 }
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -80,7 +80,7 @@
 type Send struct {
 	Attempt    int
 	ID         string
-	Server     *snapshot.Server
+	Server     *snapshot.Backend
 	Shard      int
 	ShardCount int
 	ShardMap   string
--- a/request/search/selection.go
+++ b/request/search/selection.go
@@ -14,7 +14,7 @@
 
 // Selection tells of a pick, for explain.
 type Selection struct {
-	Server    *snapshot.Server
+	Server    *snapshot.Backend
 	Sampled   []string
 	Tier      string
 	WarmingUp bool
@@ -23,7 +23,7 @@
 var tierNames = []string{"usable", "slow", "doubtful", "lost", "garbage"}
 
 // tierOf sorts a server by how good it looks; below zero it is never picked.
-func tierOf(s *snapshot.Server, now int64) int {
+func tierOf(s *snapshot.Backend, now int64) int {
 	switch {
 	case s.Health == snapshot.Draining || s.Health == snapshot.ZoneDrained:
 		return -1
@@ -39,8 +39,8 @@
 	return 0
 }
 
-func selectServer(snap *snapshot.Snapshot, x *snapshot.Index, servers []*snapshot.Server, tried []string, now int64, r *rnd) (Selection, bool) {
-	var best []*snapshot.Server
+func selectServer(snap *snapshot.Snapshot, x *snapshot.Index, servers []*snapshot.Backend, tried []string, now int64, r *rnd) (Selection, bool) {
+	var best []*snapshot.Backend
 	at := len(tierNames)
 	for _, s := range servers {
 		if slices.Contains(tried, s.ID) {
@@ -82,12 +82,12 @@
 
 // sampleByWarmth leaves each cold server in with the chance that its warmth gives it.
 // Where all are cold, warmth only counts against the warmest.
-func sampleByWarmth(all []*snapshot.Server, now, ramp int64, r *rnd) []*snapshot.Server {
+func sampleByWarmth(all []*snapshot.Backend, now, ramp int64, r *rnd) []*snapshot.Backend {
 	most := int64(1)
 	for _, s := range all {
 		most = max(most, s.SlowStartShare(now, ramp))
 	}
-	out := make([]*snapshot.Server, 0, len(all))
+	out := make([]*snapshot.Backend, 0, len(all))
 	for _, s := range all {
 		w := s.SlowStartShare(now, ramp)
 		if w >= most || int64(r.IntN(int(most))) < w {
@@ -97,8 +97,8 @@
 	return out
 }
 
-func inZone(all []*snapshot.Server, zone string) []*snapshot.Server {
-	var out []*snapshot.Server
+func inZone(all []*snapshot.Backend, zone string) []*snapshot.Backend {
+	var out []*snapshot.Backend
 	for _, s := range all {
 		if s.Zone == zone {
 			out = append(out, s)
@@ -110,11 +110,11 @@
 	return out
 }
 
-func sampleOne(all []*snapshot.Server, r *rnd) *snapshot.Server { return all[r.IntN(len(all))] }
+func sampleOne(all []*snapshot.Backend, r *rnd) *snapshot.Backend { return all[r.IntN(len(all))] }
 
 // expectedWait is the expected wait: what is outstanding here and reported there,
 // times what an answer takes; another zone costs a quarter more.
-func expectedWait(s *snapshot.Server, zone string) int64 {
+func expectedWait(s *snapshot.Backend, zone string) int64 {
 	lat := s.Gauge.Latency.Load() + 500
 	c := (s.Gauge.Outstanding.Load()*4 + s.Gauge.Usage.Load() + 4) * lat
 	if s.Zone != zone {
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -22,7 +22,7 @@
 
 type attempt struct {
 	shard  int
-	server *snapshot.Server
+	server *snapshot.Backend
 	sentAt int64
 	open   bool
 }
@@ -130,7 +130,7 @@
 		m.reject(now, CodeNotFound, "no such index", 0)
 		return
 	}
-	m.index, m.shardMap = x, x.Cut.Name
+	m.index, m.shardMap = x, x.ShardMap.Name
 	deadline := m.request.Deadline
 	if deadline == 0 {
 		deadline = x.Service.DeadlineUs
--- a/request/search/state_machine_test.go
+++ b/request/search/state_machine_test.go
@@ -18,11 +18,11 @@
 
 func newSnapshot(perShard, shards int) *snapshot.Snapshot {
 	svc := &configpb.Service{Index: "a", Capacity: 10000, RequiredShare: 75, DeadlineUs: 500_000, MaxDeadlineUs: 1_000_000, HedgeUs: 40_000, RampUs: 1_000_000}
-	x := &snapshot.Index{Name: "a", Cut: wire.ShardMap{Name: "c1", Shards: shards}, Service: svc, Limits: map[string]snapshot.Limit{}, Capacity: 10000}
+	x := &snapshot.Index{Name: "a", ShardMap: wire.ShardMap{Name: "c1", Shards: shards}, Service: svc, Limits: map[string]snapshot.Limit{}, Capacity: 10000}
 	for sh := range shards {
-		var list []*snapshot.Server
+		var list []*snapshot.Backend
 		for i := range perShard {
-			list = append(list, &snapshot.Server{Backend: wire.Backend{ID: fmt.Sprintf("s%d-%d", sh, i), Zone: fmt.Sprintf("z%d", i%2), Incarnation: 1}, Born: -10_000_000, Gauge: &snapshot.Gauge{}})
+			list = append(list, &snapshot.Backend{Backend: wire.Backend{ID: fmt.Sprintf("s%d-%d", sh, i), Zone: fmt.Sprintf("z%d", i%2), Incarnation: 1}, Born: -10_000_000, Gauge: &snapshot.Gauge{}})
 		}
 		x.Shards = append(x.Shards, list)
 	}
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -137,7 +137,7 @@
 	if x == nil {
 		return e
 	}
-	e.ShardMap = x.Cut.Name
+	e.ShardMap = x.ShardMap.Name
 	shards := map[int]bool{}
 	for _, p := range t.Selections {
 		shards[p.Shard] = true
@@ -153,7 +153,7 @@
 	return e
 }
 
-func candidate(t *Trace, shard int, s *snapshot.Server, x *snapshot.Index) Candidate {
+func candidate(t *Trace, shard int, s *snapshot.Backend, x *snapshot.Index) Candidate {
 	c := Candidate{Shard: shard, Server: s.ID, Zone: s.Zone, Health: snapshot.HealthStateNames[s.Health], WarmthThousandths: s.SlowStartShare(t.StartedAt, x.Service.RampUs)}
 	c.Reason = "in the draw, not drawn"
 	if s.Health != snapshot.Healthy {
--- a/request/snapshot/config.go
+++ b/request/snapshot/config.go
@@ -66,7 +66,7 @@
 		if _, ok := table.mesh.Partition(partition); !ok || !table.configSync.Confirmed(partition, ctx.Now) {
 			return false
 		}
-		cut = cut || x.Cut.Name != ""
+		cut = cut || x.ShardMap.Name != ""
 	}
 	// With no index cut yet there is nothing that a caller could be told but no.
 	return cut
--- a/request/snapshot/health.go
+++ b/request/snapshot/health.go
@@ -56,10 +56,10 @@
 	}
 }
 
-func (table *Table) evaluateServers(ctx *kernel.Context, snap *Snapshot) []*Server {
-	out := make([]*Server, 0, len(table.listing.Backends))
+func (table *Table) evaluateBackends(ctx *kernel.Context, snap *Snapshot) []*Backend {
+	out := make([]*Backend, 0, len(table.listing.Backends))
 	for _, row := range table.listing.Backends {
-		s := &Server{Backend: row, Gauge: table.Gauges.Of(row.ID)}
+		s := &Backend{Backend: row, Gauge: table.Gauges.Of(row.ID)}
 		if v := table.countReports(row.ID, ctx.Now); v != nil {
 			s.Incarnation = max(s.Incarnation, v.incarnation)
 			s.Health = v.healthState()
@@ -78,7 +78,7 @@
 }
 
 // setBorn fixes when an incarnation began, on this process's clock.
-func (table *Table) setBorn(ctx *kernel.Context, s *Server, up int64) {
+func (table *Table) setBorn(ctx *kernel.Context, s *Backend, up int64) {
 	was, ok := table.births[s.ID]
 	if !ok || was.incarnation < s.Incarnation {
 		was = birth{s.Incarnation, ctx.Now - up}
@@ -106,12 +106,12 @@
 	x := &Index{Name: s.Index, Service: s, Limits: map[string]Limit{}, Capacity: float64(s.Capacity)}
 	if v, ok := table.mesh.Partition(state.PartitionOf(s.Index)); ok {
 		if body, err := state.ReadIndex(v.Body); err == nil {
-			x.Cut = body.ShardMaps[s.Index]
+			x.ShardMap = body.ShardMaps[s.Index]
 		}
 	}
-	x.Cut = table.servable(snap.Servers, s.Index, x.Cut)
-	x.Shards = shards(snap.Servers, s.Index, x.Cut.Name, x.Cut.Shards)
-	x.NextShards = shards(snap.Servers, s.Index, x.Cut.Next, x.Cut.NextShards)
+	x.ShardMap = table.servable(snap.Backends, s.Index, x.ShardMap)
+	x.Shards = shards(snap.Backends, s.Index, x.ShardMap.Name, x.ShardMap.Shards)
+	x.NextShards = shards(snap.Backends, s.Index, x.ShardMap.Next, x.ShardMap.NextShards)
 	booked := 0.0
 	for _, k := range snap.Configuration.Bookings {
 		if k.Index != s.Index || !slices.Contains(snap.Config.ActiveBookings, k.Id) {
@@ -135,27 +135,27 @@
 
 // servable is the live cut, or the one before it for as long as this node knows of no
 // server for some shard of the live one: the cut may come before the platform's list.
-func (table *Table) servable(all []*Server, index string, live wire.ShardMap) wire.ShardMap {
-	was := table.servedCuts[index]
+func (table *Table) servable(all []*Backend, index string, live wire.ShardMap) wire.ShardMap {
+	was := table.servedShardMaps[index]
 	if was.Name == live.Name || was.Name == "" || complete(all, index, live) || !complete(all, index, was) {
-		table.servedCuts[index] = live
+		table.servedShardMaps[index] = live
 		return live
 	}
 	return wire.ShardMap{Name: was.Name, Shards: was.Shards, Next: live.Name, NextShards: live.Shards}
 }
 
 // complete tells that each shard of a cut has a server that may be asked.
-func complete(all []*Server, index string, cut wire.ShardMap) bool {
+func complete(all []*Backend, index string, cut wire.ShardMap) bool {
 	for _, s := range shards(all, index, cut.Name, cut.Shards) {
-		if !slices.ContainsFunc(s, func(v *Server) bool { return v.Health < Draining }) {
+		if !slices.ContainsFunc(s, func(v *Backend) bool { return v.Health < Draining }) {
 			return false
 		}
 	}
 	return cut.Shards > 0
 }
 
-func shards(all []*Server, index, cut string, n int) [][]*Server {
-	out := make([][]*Server, n)
+func shards(all []*Backend, index, cut string, n int) [][]*Backend {
+	out := make([][]*Backend, n)
 	for _, s := range all {
 		if s.Index == index && s.ShardMap == cut && s.Shard >= 0 && s.Shard < n {
 			out[s.Shard] = append(out[s.Shard], s)
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -28,9 +28,9 @@
 	for name, p := range snap.Routing.Pools {
 		snap.Pools[name] = &Pool{Pool: p}
 	}
-	for _, s := range snap.Servers {
+	for _, s := range snap.Backends {
 		if p := snap.Pools[s.Pool]; p != nil && s.Pool != "" {
-			p.Servers = append(p.Servers, s)
+			p.Backends = append(p.Backends, s)
 		}
 	}
 	h := subsetNode{name: table.Self(), zone: snap.Zone, nodes: snap.Divisor}
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -27,8 +27,8 @@
 // HealthStateNames are the verdicts in words.
 var HealthStateNames = []string{"ok", "slow", "doubt", "lost", "garbage", "leaving", "emptied"}
 
-// Server is one backend as a snapshot shows it.
-type Server struct {
+// Backend is one backend as a snapshot shows it.
+type Backend struct {
 	wire.Backend
 	Health uint8
 	// Born is when, on this process's monotonic clock, the incarnation began.
@@ -39,7 +39,7 @@
 }
 
 // SlowStartShare is how warm a server is, in thousandths, after a ramp of so many microseconds.
-func (s *Server) SlowStartShare(now, slowStart int64) int64 {
+func (s *Backend) SlowStartShare(now, slowStart int64) int64 {
 	if slowStart <= 0 || s.Incarnation == 0 {
 		return 1000
 	}
@@ -60,9 +60,9 @@
 // Index is one index as a snapshot shows it.
 type Index struct {
 	Name       string
-	Cut        wire.ShardMap
-	Shards     [][]*Server
-	NextShards [][]*Server
+	ShardMap   wire.ShardMap
+	Shards     [][]*Backend
+	NextShards [][]*Backend
 	Service    *configpb.Service
 	Limits     map[string]Limit
 	Capacity   float64
@@ -71,8 +71,8 @@
 // Pool is one pool of the routing table as a snapshot shows it.
 type Pool struct {
 	*routingpb.Pool
-	// Servers are those that may be asked, leaving and emptied ones included with their verdict.
-	Servers []*Server
+	// Backends are those that may be asked, leaving and emptied ones included with their verdict.
+	Backends []*Backend
 }
 
 // Node is a peer that may be home to claims.
@@ -96,8 +96,8 @@
 	ZoneDrained bool
 	Draining    bool
 	// Peers counts the live nodes, this one included.
-	Peers   int
-	Servers []*Server
+	Peers    int
+	Backends []*Backend
 	// Routing is the routing table in force, nil before the first; Pools are its pools by name.
 	Routing *routing.Table
 	Pools   map[string]*Pool
--- a/request/snapshot/subset.go
+++ b/request/snapshot/subset.go
@@ -31,28 +31,28 @@
 	if !exceedsIdleLimit(p.MaxConnections, h.nodes) {
 		return
 	}
-	ranked := make([]rankedServer, 0, len(p.Servers))
-	for _, server := range p.Servers {
+	ranked := make([]rankedBackend, 0, len(p.Backends))
+	for _, server := range p.Backends {
 		server.CloseAfterUse = server.Zone != h.zone
 		if !server.CloseAfterUse {
-			ranked = append(ranked, rankedServer{rendezvous(h.name, server.ID), server})
+			ranked = append(ranked, rankedBackend{rendezvous(h.name, server.ID), server})
 		}
 	}
 	kept := int(p.MaxConnections*maxIdleMille/1000) * len(ranked) / max(1, h.zoneNodes)
 	if kept >= len(ranked) {
 		return
 	}
-	slices.SortFunc(ranked, func(a, b rankedServer) int {
-		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.server.ID, b.server.ID))
+	slices.SortFunc(ranked, func(a, b rankedBackend) int {
+		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.backend.ID, b.backend.ID))
 	})
 	for _, r := range ranked[kept:] {
-		r.server.CloseAfterUse = true
+		r.backend.CloseAfterUse = true
 	}
 }
 
-type rankedServer struct {
-	rank   uint64
-	server *Server
+type rankedBackend struct {
+	rank    uint64
+	backend *Backend
 }
 
 func rendezvous(node, server string) uint64 {
--- a/request/snapshot/subset_test.go
+++ b/request/snapshot/subset_test.go
@@ -19,7 +19,7 @@
 func poolOf(backends int, connections int64) *Pool {
 	p := &Pool{Pool: &routingpb.Pool{MaxConnections: connections}}
 	for i := range backends {
-		p.Servers = append(p.Servers, &Server{Backend: wire.Backend{ID: fmt.Sprintf("s%d", i), Zone: zoneOf(i)}})
+		p.Backends = append(p.Backends, &Backend{Backend: wire.Backend{ID: fmt.Sprintf("s%d", i), Zone: zoneOf(i)}})
 	}
 	return p
 }
@@ -31,7 +31,7 @@
 	for n := range nodes {
 		p, kept := poolOf(backends, connections), 0
 		p.assignSubset(subsetNode{name: fmt.Sprintf("node-%d", n), zone: zoneOf(n), nodes: nodes, zoneNodes: (nodes + zones - 1) / zones})
-		for _, s := range p.Servers {
+		for _, s := range p.Backends {
 			if !s.CloseAfterUse {
 				by[s.ID]++
 				kept++
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -44,9 +44,9 @@
 	lastLive            map[string]int64
 	absentSince         map[string]int64
 	healthReports       healthReports
-	// servedCuts are those that this node serves from.
-	servedCuts map[string]wire.ShardMap
-	staleness  staleness
+	// servedShardMaps are those that this node serves from.
+	servedShardMaps map[string]wire.ShardMap
+	staleness       staleness
 }
 
 // staleness is what a process still has to hear after it was thawed.
@@ -64,7 +64,7 @@
 	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Table{
 			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), loadReports: kernel.Find[*loadreport.Reporter](k),
-			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, births: map[string]birth{}, lastLive: map[string]int64{}, absentSince: map[string]int64{}, healthReports: healthReports{}, servedCuts: map[string]wire.ShardMap{},
+			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, births: map[string]birth{}, lastLive: map[string]int64{}, absentSince: map[string]int64{}, healthReports: healthReports{}, servedShardMaps: map[string]wire.ShardMap{},
 		}
 	}})
 }
@@ -206,7 +206,7 @@
 	snap.Roster = table.roster(ctx)
 	snap.KeyOwners = keyOwners(snap.Roster)
 	snap.Peers = table.members.Count(ctx.Now, "node")
-	snap.Servers = table.evaluateServers(ctx, snap)
+	snap.Backends = table.evaluateBackends(ctx, snap)
 	if snap.Configuration != nil {
 		for _, s := range snap.Configuration.Services {
 			snap.Indexes[s.Index] = table.buildIndex(snap, s)
