--- a/runtime/process/blocked_test.go
+++ b/runtime/process/blocked_test.go
@@ -1,5 +1,3 @@
-// What must not wait for a loop that is held up, and what must not end a process.
-
 package process
 
 import (
@@ -14,15 +12,15 @@
 	"wallport/runtime/settings"
 )
 
-// hangTimeout is how long a test waits for what must not wait: only a hang lasts so long.
+// hangTimeout is how long a test waits for what must not block: only a hang lasts so long.
 const hangTimeout = 10 * time.Second
 
-// blockLoop has the loop of a process do nothing until the test is over, and fills its inbox.
+// blockLoop blocks the loop of a process until the test is over, and fills its inbox.
 func blockLoop(t *testing.T, p *Process) {
 	t.Helper()
-	begun, release := make(chan struct{}), make(chan struct{})
-	go p.Do(func(int64) { close(begun); <-release })
-	<-begun
+	blocked, release := make(chan struct{}), make(chan struct{})
+	go p.Do(func(int64) { close(blocked); <-release })
+	<-blocked
 	t.Cleanup(func() { close(release) })
 	for {
 		select {
@@ -33,7 +31,7 @@
 	}
 }
 
-// returnsInTime reports whether a function returns, and does not hang.
+// returnsInTime reports whether a function returns within hangTimeout.
 func returnsInTime(f func()) bool {
 	done := make(chan struct{})
 	go func() {
@@ -58,18 +56,17 @@
 	must.True(t, returnsInTime(func() { p.Call(ctx, "operate", nil) }))
 }
 
-// Frames wait for a connection that is being opened. Their number is bounded, and the end of what is
-// not open yet is no other than that of an open one.
+// Frames are queued for a connection that is being opened; it has no socket to close yet.
 func TestPendingConnectionCanBeClosed(t *testing.T) {
 	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
-	wait := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
+	pending := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
 	defer func() { must.Nil(t, recover()) }()
-	wait.close()
+	pending.close()
 }
 
 func TestBacklogForUnresponsiveAddressIsBounded(t *testing.T) {
 	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
-	// It takes connections and says nothing, as the machine of a frozen process does.
+	// It accepts connections and sends nothing, as the machine of a frozen process does.
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
@@ -81,7 +78,7 @@
 	must.GreaterEq(t, maxBacklogFrames, p.Kernel.Counts.Of("sends_unreachable").Load())
 }
 
-// backlogOf is how many frames wait for the connection to an address.
+// backlogOf returns the number of frames queued for the connection to an address.
 func backlogOf(p *Process, addr string) int {
 	p.transport.mu.Lock()
 	defer p.transport.mu.Unlock()
@@ -96,19 +93,19 @@
 
 func TestBacklogIsBoundedInBytes(t *testing.T) {
 	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
-	wait := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
+	pending := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
 	frame := make([]byte, 1<<20)
 	for range 3 * maxBacklogBytes / len(frame) {
-		wait.enqueue(kernel.Send{Data: frame})
+		pending.enqueue(kernel.Send{Data: frame})
 	}
-	must.Eq(t, maxBacklogBytes, wait.bytes)
-	wait.enqueue(kernel.Send{Data: frame[:0], ReplaceKey: "s"})
-	wait.enqueue(kernel.Send{Data: []byte("newer"), ReplaceKey: "s"})
-	must.Eq(t, maxBacklogBytes/len(frame)+1, len(wait.takeAll()))
-	must.Eq(t, 0, wait.bytes)
+	must.Eq(t, maxBacklogBytes, pending.bytes)
+	pending.enqueue(kernel.Send{Data: frame[:0], ReplaceKey: "s"})
+	pending.enqueue(kernel.Send{Data: []byte("newer"), ReplaceKey: "s"})
+	must.Eq(t, maxBacklogBytes/len(frame)+1, len(pending.takeAll()))
+	must.Eq(t, 0, pending.bytes)
 }
 
-// A request that finds the process frozen waits for it to judge anew, but no longer than it may.
+// A request that finds the process frozen waits for the thaw, but no longer than it may.
 func TestAwaitThawTimesOutWhenLoopIsBlocked(t *testing.T) {
 	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
 	blockLoop(t, p)
--- a/runtime/process/call.go
+++ b/runtime/process/call.go
@@ -1,6 +1,3 @@
-// Calls into the loop from other threads: each ends with its caller's time, also
-// where the loop is held up or its inbox is full.
-
 package process
 
 import (
@@ -8,10 +5,16 @@
 	"errors"
 	"time"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
-// Call asks a plug-in and waits for its answer. The plug-in is told when nobody waits any more.
+// errStopping is that the process is shutting down.
+var errStopping = errors.New("process is stopping")
+
+// Call sends a request to a plug-in and waits for its reply. It fails with the context's error when
+// the context ends, also while the loop is blocked or its inbox is full; the plug-in is then notified
+// by a kernel.Canceled.
 func (p *Process) Call(ctx context.Context, plugin string, request any) (any, error) {
 	id := p.nextCall.Add(1)
 	ch := make(chan any, 1)
@@ -24,7 +27,7 @@
 	case v := <-ch:
 		return v, nil
 	case <-ctx.Done():
-		// Not here: whoever called does not wait for room in the inbox.
+		// In a goroutine: the caller must not wait for a full inbox.
 		go p.Post(kernel.Canceled{Plugin: plugin, ID: id})
 		return nil, ctx.Err()
 	case <-p.stopping:
@@ -32,14 +35,31 @@
 	}
 }
 
-// errStopping is that the process is about to end.
-var errStopping = errors.New("process is stopping")
+// reply passes a plug-in's reply to the caller, if it still waits.
+func (p *Process) reply(r kernel.Reply) {
+	ch, ok := p.calls.Load(r.ID)
+	if !ok {
+		return
+	}
+	select {
+	case ch.(chan any) <- r.Value:
+	default:
+	}
+}
+
+// Post queues an input for the loop. It blocks while the inbox is full.
+func (p *Process) Post(in kernel.Input) {
+	select {
+	case p.inbox <- in:
+	case <-p.stopping:
+	}
+}
 
-// postWithin feeds an input, unless there is no room for it until the context ends.
+// postWithin is Post until the context ends.
 func (p *Process) postWithin(ctx context.Context, in kernel.Input) error {
 	select {
 	case p.inbox <- in:
-		// Where there is room it is fed, whatever the context says.
+		// If there is room the input is queued even if the context has ended.
 		return nil
 	default:
 	}
@@ -53,8 +73,8 @@
 	}
 }
 
-// AwaitThaw waits, after a freeze, until the loop has noticed it and judged anew, or until a time is
-// over: what waits here must be answered, also where the loop is held up.
+// AwaitThaw returns when the loop has noticed a freeze and the plug-ins have reacted to it, or after
+// the timeout. It returns at once if the process is not frozen.
 func (p *Process) AwaitThaw(timeout time.Duration) {
 	if !p.Frozen() {
 		return
@@ -63,7 +83,7 @@
 	defer cancel()
 	for p.Frozen() && ctx.Err() == nil {
 		done := make(chan struct{})
-		if p.postWithin(ctx, inLoop{run: func(int64) { close(done) }}) != nil {
+		if p.postWithin(ctx, inLoop{run: func(clock.Micros) { close(done) }}) != nil {
 			return
 		}
 		select {
@@ -75,14 +95,15 @@
 	}
 }
 
-// Do runs a function inside the loop, between two steps, and waits for it.
-func (p *Process) Do(f func(now int64)) {
+// Do runs a function in the loop, between two steps, and waits for it.
+func (p *Process) Do(f func(now clock.Micros)) {
 	done := make(chan struct{})
-	p.Post(inLoop{run: func(now int64) { f(now); close(done) }})
+	p.Post(inLoop{run: func(now clock.Micros) { f(now); close(done) }})
 	select {
 	case <-done:
 	case <-p.stopping:
 	}
 }
 
-type inLoop struct{ run func(now int64) }
+// inLoop is an input that the loop runs itself, instead of passing it to the kernel.
+type inLoop struct{ run func(now clock.Micros) }
--- a/runtime/process/call_test.go
+++ b/runtime/process/call_test.go
@@ -1,5 +1,3 @@
-// A call whose caller has gone.
-
 package process
 
 import (
@@ -13,10 +11,10 @@
 
 func TestPluginIsNotifiedOfCanceledCall(t *testing.T) {
 	p := &Process{inbox: make(chan kernel.Input, 2), stopping: make(chan struct{})}
-	ctx, gone := context.WithCancel(context.Background())
-	gone()
-	_, err := p.Call(ctx, "operate", "a question")
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	_, err := p.Call(ctx, "operate", "a request")
 	must.ErrorIs(t, err, context.Canceled)
-	asked := (<-p.inbox).(kernel.Call)
-	must.Eq(t, kernel.Canceled{Plugin: "operate", ID: asked.ID}, (<-p.inbox).(kernel.Canceled))
+	call := (<-p.inbox).(kernel.Call)
+	must.Eq(t, kernel.Canceled{Plugin: "operate", ID: call.ID}, (<-p.inbox).(kernel.Canceled))
 }
--- a/runtime/process/disk.go
+++ b/runtime/process/disk.go
@@ -1,14 +1,12 @@
-// The data folder: each file is written aside, synced, renamed into place and
-// the folder synced, in the order asked for, by one goroutine that may stall
-// without anything else stalling with it.
-
 package process
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"sync"
+	"syscall"
 	"time"
 
 	"github.com/samber/oops"
@@ -16,16 +14,28 @@
 	"wallport/runtime/kernel"
 )
 
+const (
+	// maxWrites bounds the writes that are queued.
+	maxWrites = 4096
+	// closeTimeout is how long the shutdown waits for the disk. A write that hangs was acknowledged to nobody.
+	closeTimeout = time.Second
+	// asideSuffix marks a file that is being written.
+	asideSuffix = ".aside"
+)
+
+// disk is the data folder. One goroutine writes the files in the order of the requests: each is
+// written aside, synced and renamed, and the folder is synced. It may hang without blocking the loop.
 type disk struct {
-	dir  string
-	lock *os.File
-	jobs chan kernel.Write
-	done sync.WaitGroup
-	once sync.Once
+	dir   string
+	lock  *os.File
+	queue chan kernel.Write
+	once  sync.Once
+	done  sync.WaitGroup
 }
 
+// openDisk locks the data folder and reads its files. Without a folder, dir being empty, there are none.
 func openDisk(dir string) (*disk, map[string][]byte, error) {
-	d := &disk{dir: dir, jobs: make(chan kernel.Write, 4096)}
+	d := &disk{dir: dir, queue: make(chan kernel.Write, maxWrites)}
 	files := map[string][]byte{}
 	if dir == "" {
 		return d, files, nil
@@ -39,17 +49,17 @@
 		return nil, nil, fail.Wrapf(err, "the data folder is in use by another process")
 	}
 	d.lock = lock
-	list, err := os.ReadDir(dir)
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, nil, fail.Wrapf(err, "cannot read the data folder")
 	}
-	for _, e := range list {
-		name := e.Name()
-		if e.IsDir() || strings.HasPrefix(name, ".") {
+	for _, entry := range entries {
+		name := entry.Name()
+		if entry.IsDir() || strings.HasPrefix(name, ".") {
 			continue
 		}
-		if strings.HasSuffix(name, ".aside") {
-			// Never renamed, so never acknowledged.
+		if strings.HasSuffix(name, asideSuffix) {
+			// It was never renamed, so never acknowledged.
 			os.Remove(filepath.Join(dir, name))
 			continue
 		}
@@ -62,13 +72,14 @@
 	return d, files, nil
 }
 
+// enqueue queues a write. If the queue is full the write fails.
 func (d *disk) enqueue(p *Process, w kernel.Write) {
 	d.once.Do(func() {
 		d.done.Add(1)
 		go d.run(p)
 	})
 	select {
-	case d.jobs <- w:
+	case d.queue <- w:
 	default:
 		go p.Post(kernel.Written{Plugin: w.Plugin, Key: w.Key, Err: "backlog of writes is full"})
 	}
@@ -76,7 +87,7 @@
 
 func (d *disk) run(p *Process) {
 	defer d.done.Done()
-	for w := range d.jobs {
+	for w := range d.queue {
 		err := d.write(w)
 		if w.Key == "" {
 			continue
@@ -89,12 +100,14 @@
 	}
 }
 
+// write writes or removes one file durably.
 func (d *disk) write(w kernel.Write) error {
 	path := filepath.Join(d.dir, w.File)
+	aside := path + asideSuffix
 	if w.Data == nil {
 		return os.Remove(path)
 	}
-	f, err := os.OpenFile(path+".aside", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	f, err := os.OpenFile(aside, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
@@ -102,14 +115,14 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
-		os.Remove(path + ".aside")
+		os.Remove(aside)
 		return err
 	}
-	if err := os.Rename(path+".aside", path); err != nil {
+	if err := os.Rename(aside, path); err != nil {
 		return err
 	}
 	return d.syncDir()
@@ -124,11 +137,9 @@
 	return f.Sync()
 }
 
-// closeTimeout is how long the end of a process waits for its disk: what hangs was acknowledged to nobody.
-const closeTimeout = time.Second
-
+// close waits for the queued writes, for closeTimeout at most, and unlocks the folder.
 func (d *disk) close() {
-	close(d.jobs)
+	close(d.queue)
 	written := make(chan struct{})
 	go func() {
 		d.done.Wait()
@@ -142,3 +153,20 @@
 		d.lock.Close()
 	}
 }
+
+// lockDir locks a data folder, so that two processes never share one.
+func lockDir(path string) (*os.File, error) {
+	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
+	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
+		// The disk is full even for an empty file: the process goes on without the lock.
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		f.Close()
+		return nil, err
+	}
+	return f, nil
+}
--- a/runtime/process/disk_test.go
+++ b/runtime/process/disk_test.go
@@ -1,5 +1,3 @@
-// The data folder where the disk does not answer.
-
 package process
 
 import (
@@ -14,19 +12,18 @@
 	"wallport/runtime/settings"
 )
 
-// A process that is to end does not wait for a disk that hangs: what is written aside counts for nothing.
 func TestCloseDoesNotWaitForHungDisk(t *testing.T) {
 	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
 	dir := t.TempDir()
 	d, _, err := openDisk(dir)
 	must.NoError(t, err)
-	// Whoever opens a pipe to write waits until somebody reads.
+	// Opening a pipe for writing blocks until somebody reads, as a disk that hangs does.
 	aside := filepath.Join(dir, "file.aside")
 	must.NoError(t, syscall.Mkfifo(aside, 0o600))
 	d.enqueue(p, kernel.Write{Plugin: "mesh", Key: "w1", File: "file", Data: []byte("content")})
-	ended := returnsInTime(d.close)
+	closed := returnsInTime(d.close)
 	reader, err := os.OpenFile(aside, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	must.NoError(t, err)
 	reader.Close()
-	must.True(t, ended)
+	must.True(t, closed)
 }
--- a/runtime/process/drop_test.go
+++ b/runtime/process/drop_test.go
@@ -1,5 +1,3 @@
-// A process whose loop has more waiting than it can hold.
-
 package process
 
 import (
@@ -13,10 +11,10 @@
 func TestDropDoesNotBlockFullLoop(t *testing.T) {
 	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
 	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
-	until(t, "they meet", func() bool { return a.peers() == 1 && b.peers() == 1 })
+	until(t, "they connect", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	var dropped atomic.Bool
 	go a.Do(func(int64) {
-		// What a flood of frames does: as much waits for the loop as can.
+		// Fill the inbox, as a flood of frames does.
 		for full := false; !full; {
 			select {
 			case a.inbox <- kernel.Tick{}:
@@ -36,5 +34,5 @@
 		dropped.Store(true)
 	})
 	until(t, "the loop goes on", dropped.Load)
-	until(t, "it hears that the channel ended", func() bool { return a.Kernel.Counts.Of("steps").Load() > maxInbox })
+	until(t, "it is notified that the connection ended", func() bool { return a.Kernel.Counts.Of("steps").Load() > maxInbox })
 }
--- a/runtime/process/golden_test.go
+++ b/runtime/process/golden_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// The proof of the fleet's secret, by which processes of two releases let each other in.
+// Processes of two releases accept each other by this proof.
 func TestFleetProofMatchesEarlierReleases(t *testing.T) {
 	must.Eq(t, "4c0df4f1d79b6092f284249592cd55f6dbe5fa64262de1bc5e120f4738ab7077", hex.EncodeToString(fleetProof("secret", "0011223344556677", "8899aabbccddeeff")))
 }
--- /dev/null
+++ b/runtime/process/handshake.go
@@ -0,0 +1,164 @@
+package process
+
+import (
+	"context"
+	"crypto/ed25519"
+	"crypto/hmac"
+	"crypto/rand"
+	"crypto/sha256"
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"math/big"
+	"net"
+	"time"
+
+	"go.uber.org/zap"
+
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
+)
+
+// The purposes of a connection, as the hello names them in its Fleet field.
+const (
+	purposeMesh   = "mesh"
+	purposeDirect = "direct"
+)
+
+var (
+	errNoPeerKey    = errors.New("peer shows no key")
+	errPeerKeyType  = errors.New("peer's key is not Ed25519")
+	errNoHello      = errors.New("peer sent no hello")
+	errFleetSecret  = errors.New("fleet secret differs")
+	errShuttingDown = fmt.Errorf("transport is shutting down: %w", net.ErrClosed)
+)
+
+// handshake authenticates a new connection and starts its reader and writer. The address is that
+// which was dialed, or empty for an accepted connection. The connection is closed on failure.
+func (tr *transport) handshake(conn *tls.Conn, addr string, mesh bool) (*peerConn, error) {
+	pc, err := tr.establish(conn, addr, mesh)
+	if err != nil {
+		tr.counts.Add("channels_failed", 1)
+		conn.Close()
+		return nil, err
+	}
+	return pc, nil
+}
+
+func (tr *transport) establish(conn *tls.Conn, addr string, mesh bool) (*peerConn, error) {
+	dialed := addr != ""
+	peer, err := proveKeys(conn)
+	if err != nil {
+		return nil, err
+	}
+	theirs, err := tr.exchangeHello(conn, peer, mesh)
+	if err != nil {
+		return nil, err
+	}
+	if !dialed {
+		mesh, addr = theirs.Fleet == purposeMesh, theirs.Addr
+	}
+	pc := newPeerConn(tr, conn, addr, mesh, dialed)
+	if err := tr.register(pc); err != nil {
+		return nil, err
+	}
+	if mesh {
+		tr.process.Post(kernel.ConnUp{Conn: pc.id, Addr: addr, Peer: peer, Zone: theirs.Zone, Dialed: dialed, Mesh: true})
+	}
+	go pc.writeFrames()
+	go pc.readFrames()
+	return pc, nil
+}
+
+// proveKeys completes the TLS handshake and returns the fingerprint of the peer's key.
+func proveKeys(conn *tls.Conn) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), helloTimeout)
+	defer cancel()
+	if err := conn.HandshakeContext(ctx); err != nil {
+		return "", fmt.Errorf("TLS handshake: %w", err)
+	}
+	key, err := peerKey(conn.ConnectionState())
+	if err != nil {
+		return "", err
+	}
+	return kernel.Fingerprint(key), nil
+}
+
+// exchangeHello sends this process's hello and returns the peer's, whose proof of the fleet's secret is valid.
+func (tr *transport) exchangeHello(conn *tls.Conn, peer string, mesh bool) (theirs wire.Hello, err error) {
+	self, own := kernel.Fingerprint(tr.key.Public), tr.process.Kernel.Boot.Settings
+	purpose := purposeDirect
+	if mesh {
+		purpose = purposeMesh
+	}
+	conn.SetDeadline(time.Now().Add(helloTimeout))
+	hello := wire.Hello{Addr: own.Mesh, Zone: own.Zone, Fleet: purpose, Proof: fleetProof(own.FleetSecret, self, peer)}
+	if err := wire.WriteTo(conn, wire.Seal(wire.KindHello, 0, &hello)); err != nil {
+		return theirs, fmt.Errorf("sending the hello: %w", err)
+	}
+	b, err := wire.ReadFrom(conn)
+	if err != nil {
+		return theirs, fmt.Errorf("reading the hello: %w", err)
+	}
+	frame, err := wire.Open(b)
+	if err != nil || frame.Kind != wire.KindHello || wire.Decode(frame.Body, &theirs) != nil {
+		return theirs, errNoHello
+	}
+	if !tr.validProof(theirs.Proof, peer, self) {
+		tr.counts.Add("channels_forbidden", 1)
+		tr.process.sampledLog.Warn("connection_rejected", zap.String("addr", conn.RemoteAddr().String()), zap.String("reason", errFleetSecret.Error()))
+		return theirs, errFleetSecret
+	}
+	conn.SetDeadline(time.Time{})
+	return theirs, nil
+}
+
+// register gives a connection its id and adds it to those that are open.
+func (tr *transport) register(pc *peerConn) error {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.lastID++
+	pc.id = tr.lastID
+	if tr.closed {
+		return errShuttingDown
+	}
+	tr.open[pc.id] = pc
+	return nil
+}
+
+// validProof reports whether a proof was made with the fleet's secret, or with the second one that is
+// accepted while the secret is being rotated.
+func (tr *transport) validProof(proof []byte, from, to string) bool {
+	own := tr.process.Kernel.Boot.Settings
+	return hmac.Equal(proof, fleetProof(own.FleetSecret, from, to)) ||
+		own.SecondFleetSecret != "" && hmac.Equal(proof, fleetProof(own.SecondFleetSecret, from, to))
+}
+
+// fleetProof proves knowledge of the fleet's secret for the keys of one connection, given as fingerprints.
+func fleetProof(secret, from, to string) []byte {
+	h := hmac.New(sha256.New, []byte(secret))
+	h.Write([]byte("wallport " + from + " " + to))
+	return h.Sum(nil)
+}
+
+// certificate wraps a process's key for TLS. It asserts nothing but the key.
+func certificate(key kernel.Key) (tls.Certificate, error) {
+	template := x509.Certificate{SerialNumber: big.NewInt(1), NotBefore: time.Unix(0, 0), NotAfter: time.Unix(1<<33, 0)}
+	der, err := x509.CreateCertificate(rand.Reader, &template, &template, key.Public, key.Private)
+	if err != nil {
+		return tls.Certificate{}, err
+	}
+	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key.Private}, nil
+}
+
+func peerKey(state tls.ConnectionState) (ed25519.PublicKey, error) {
+	if len(state.PeerCertificates) == 0 {
+		return nil, errNoPeerKey
+	}
+	key, ok := state.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
+	if !ok {
+		return nil, errPeerKeyType
+	}
+	return key, nil
+}
--- a/runtime/process/log_test.go
+++ b/runtime/process/log_test.go
@@ -1,5 +1,3 @@
-// Whatever a plug-in logs can be written: a log line does not end the process.
-
 package process
 
 import (
--- a/runtime/process/loop.go
+++ b/runtime/process/loop.go
@@ -1,188 +1,132 @@
-// Package process is the real driver: it runs one kernel on this machine's
-// clock, network and disk, and carries out what each step asks for. One
-// goroutine steps the kernel; others read channels, write files and fetch.
 package process
 
 import (
 	"container/heap"
-	crand "crypto/rand"
-	"encoding/binary"
-	"fmt"
-	"net/http"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
-	"go.uber.org/zap/zapcore"
 
-	"wallport/runtime/invariant"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
-	"wallport/runtime/settings"
 )
 
-// FreezeGap is how long the loop must not have run to count as thawed.
-const FreezeGap = 1_000_000
-
-// maxInbox bounds the inputs that wait for the loop.
-const maxInbox = 8192
-
-// Process is a running kernel.
-type Process struct {
-	Kernel *kernel.Kernel
-	Log    *zap.Logger
-
-	startedAt  time.Time
-	inbox      chan kernel.Input
-	timers     timerHeap
-	sampledLog *zap.Logger
-	transport  *transport
-	disk       *disk
-	calls      sync.Map
-	nextCall   atomic.Uint64
-	lastRun    atomic.Int64
-	thaws      atomic.Int64
-	httpClient *http.Client
-	fetchers   map[string]Fetcher
-	fetchSlots chan struct{}
-	stopping   chan struct{}
-	loopDone   sync.WaitGroup
-}
-
-// Config is what a process is started with.
-type Config struct {
-	Settings settings.Settings
-	Role     string
-	Log      *zap.Logger
-	// Fetchers carry out the fetches of the plug-ins they are named after, in place of a plain GET:
-	// the seam at which a platform's own formats are turned into the product's.
-	Fetchers map[string]Fetcher
+// run is the loop: it handles inputs in the order of their arrival, and timers when they are due.
+func (p *Process) run() {
+	defer p.loopDone.Done()
+	p.step(p.readClocks(), kernel.Start{})
+	wait := time.NewTimer(0)
+	defer wait.Stop()
+	for {
+		// The timer is set only when the inbox is empty: a burst of inputs sets it once.
+		select {
+		case in := <-p.inbox:
+			p.handle(in)
+			continue
+		case <-p.stopping:
+			return
+		default:
+		}
+		wait.Reset(p.untilTimer())
+		select {
+		case in := <-p.inbox:
+			p.handle(in)
+		case <-wait.C:
+			p.fireTimers(p.noticeFreeze())
+		case <-p.stopping:
+			return
+		}
+	}
 }
 
-// Start makes the kernel, opens its ports and runs its loop.
-func Start(c Config) (*Process, error) {
-	var seed [40]byte
-	if _, err := crand.Read(seed[:]); err != nil {
-		return nil, err
-	}
-	d, files, err := openDisk(c.Settings.DataDir)
-	if err != nil {
-		return nil, err
-	}
-	key := kernel.KeyFrom(seed[:32])
-	k := kernel.New(kernel.Boot{Settings: c.Settings, Role: c.Role, Seed: binary.BigEndian.Uint64(seed[32:]), Key: key, Files: files})
-	p := &Process{
-		Kernel: k, Log: c.Log, fetchers: c.Fetchers, startedAt: time.Now(), inbox: make(chan kernel.Input, maxInbox), disk: d,
-		httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
-		// Fetches are small and few; more than this at once means that something hangs.
-		fetchSlots: make(chan struct{}, 128), stopping: make(chan struct{}),
-	}
-	// What peers can bring about is logged with a limit: twenty lines of an event
-	// a second, then one in a hundred. The counters tell the rest.
-	p.sampledLog = c.Log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(core, time.Second, 20, 100)
-	}))
-	for _, n := range invariant.All() {
-		// Shown from the start, as 0.
-		k.Counts.Of(invariant.Counter(n))
+// untilTimer returns the time until the next timer is due.
+func (p *Process) untilTimer() time.Duration {
+	if len(p.timers) == 0 {
+		return time.Hour
 	}
-	if p.transport, err = openTransport(p, key); err != nil {
-		return nil, err
-	}
-	p.lastRun.Store(p.Now())
-	p.loopDone.Add(1)
-	go p.run()
-	return p, nil
+	return max(0, clock.Duration(p.timers[0].At-p.Now()))
 }
 
-// Invariants is where violations go that are seen outside the kernel's steps.
-func (p *Process) Invariants() *invariant.Recorder {
-	return &invariant.Recorder{Count: p.Kernel.Counts.Add, Log: func(n invariant.Name, detail string) {
-		p.Log.Error(invariant.Event, zap.String("invariant", string(n)), zap.String("detail", detail))
-	}}
+// handle handles one input and the timers that are due, which a full inbox must not delay.
+func (p *Process) handle(in kernel.Input) {
+	at := p.noticeFreeze()
+	if f, ok := in.(inLoop); ok {
+		f.run(at.now)
+	} else {
+		p.step(at, in)
+	}
+	p.fireTimers(at)
 }
 
-// Sampled is a log for what clients and peers can bring about: a few lines of an event a second,
-// then one in many.
-func (p *Process) Sampled() *zap.Logger { return p.sampledLog }
-
-// Now is the process's monotonic clock.
-func (p *Process) Now() int64 { return time.Since(p.startedAt).Microseconds() }
-
-// Frozen reports whether the loop has not run for so long that its tables are old.
-func (p *Process) Frozen() bool { return p.Now()-p.lastRun.Load() > FreezeGap }
-
-// Thaws counts the freezes noticed so far.
-func (p *Process) Thaws() int64 { return p.thaws.Load() }
-
-// Post feeds an input.
-func (p *Process) Post(in kernel.Input) {
-	select {
-	case p.inbox <- in:
-	case <-p.stopping:
+// fireTimers handles the timers that are due.
+func (p *Process) fireTimers(at clocks) {
+	for len(p.timers) > 0 && p.timers[0].At <= at.now {
+		timer := heap.Pop(&p.timers).(kernel.Timer)
+		p.step(at, timer.Tick)
 	}
 }
 
+// step steps the kernel and carries out what it requests.
 func (p *Process) step(at clocks, in kernel.Input) {
 	out := p.Kernel.Step(at.now, at.wall, in)
-	for _, n := range out.LogEvents {
-		p.logEvent(n)
+	for _, event := range out.LogEvents {
+		p.logEvent(event)
 	}
-	for _, t := range out.Timers {
-		heap.Push(&p.timers, t)
+	for _, timer := range out.Timers {
+		heap.Push(&p.timers, timer)
 	}
-	for _, w := range out.Writes {
-		p.disk.enqueue(p, w)
+	for _, write := range out.Writes {
+		p.disk.enqueue(p, write)
 	}
-	for _, a := range out.Dials {
-		p.transport.dialMesh(a)
+	for _, addr := range out.Dials {
+		p.transport.dialMesh(addr)
 	}
-	for _, s := range out.Sends {
-		p.transport.send(s)
+	for _, send := range out.Sends {
+		p.transport.send(send)
 	}
-	for _, ch := range out.Drops {
-		p.transport.drop(ch)
+	for _, conn := range out.Drops {
+		p.transport.drop(conn)
 	}
-	for _, f := range out.Fetches {
-		p.fetch(f)
+	for _, fetch := range out.Fetches {
+		p.fetch(fetch)
 	}
-	for _, a := range out.Replies {
-		if ch, ok := p.calls.Load(a.ID); ok {
-			select {
-			case ch.(chan any) <- a.Value:
-			default:
-			}
-		}
+	for _, reply := range out.Replies {
+		p.reply(reply)
 	}
 }
 
-var zapLevels = []zapcore.Level{zapcore.DebugLevel, zapcore.InfoLevel, zapcore.WarnLevel, zapcore.ErrorLevel}
+// clocks is one reading of the process's monotonic clock and of the wall clock.
+type clocks struct{ now, wall clock.Micros }
 
-func (p *Process) logEvent(event kernel.LogEvent) {
-	line := p.sampledLog.Check(zapLevels[min(max(event.Level, kernel.LevelDebug), kernel.LevelError)-kernel.LevelDebug], event.Event)
-	if line == nil {
-		return
-	}
-	fields := make([]zap.Field, 0, len(event.Fields)/2)
-	for i := 0; i+1 < len(event.Fields); i += 2 {
-		fields = append(fields, logField(fmt.Sprint(event.Fields[i]), event.Fields[i+1]))
-	}
-	line.Write(fields...)
+func (p *Process) readClocks() clocks {
+	t := time.Now()
+	return clocks{now: t.Sub(p.startedAt).Microseconds(), wall: t.UnixMicro()}
 }
 
-// logField makes a field of a plug-in's value. What would need reflection is written as text: an encoder
-// may end the process over it.
-func logField(key string, value any) zap.Field {
-	if f := zap.Any(key, value); f.Type != zapcore.ReflectType {
-		return f
-	}
-	return zap.String(key, fmt.Sprint(value))
+// noticeFreeze reads the clocks. If the loop has not run for FreezeGap it tells the kernel so, before
+// anything else is handled.
+func (p *Process) noticeFreeze() clocks {
+	at := p.readClocks()
+	if gap := at.now - p.lastRun.Load(); gap > FreezeGap {
+		p.thaws.Add(1)
+		p.Kernel.Counts.Add("thaws", 1)
+		p.Log.Warn("thawed", zap.Int64("gap_us", gap))
+		p.lastRun.Store(at.now)
+		p.step(at, kernel.Thawed{Gap: gap})
+	}
+	p.lastRun.Store(at.now)
+	return at
 }
 
-// Stop ends the loop and closes every channel.
-func (p *Process) Stop() {
-	close(p.stopping)
-	p.loopDone.Wait()
-	p.transport.close()
-	p.disk.close()
+// timerHeap is a heap of timers, the one due next first.
+type timerHeap []kernel.Timer
+
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].At < h[j].At }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(kernel.Timer)) }
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
--- a/runtime/process/peer_conn.go
+++ b/runtime/process/peer_conn.go
@@ -1,16 +1,9 @@
-// One channel: a reader, a writer, and a bounded backlog between the kernel
-// and the writer in which a newer frame takes an older one's slot.
-
 package process
 
 import (
 	"bufio"
-	"crypto/ed25519"
-	"crypto/rand"
 	"crypto/tls"
-	"crypto/x509"
 	"errors"
-	"math/big"
 	"sync"
 	"time"
 
@@ -18,29 +11,38 @@
 	"wallport/runtime/wire"
 )
 
-// maxBacklogFrames bounds a channel's waiting frames, and maxBacklogBytes what they hold together; a peer that
-// slow is let go. Where the connection is not open yet, no more are taken.
+// The bounds of a connection's backlog. When it is full the connection is closed, since its peer is
+// too slow, or, if it is not open yet, the frame is dropped.
 const (
 	maxBacklogFrames = 4096
 	maxBacklogBytes  = 16 << 20
 )
 
+// bufferSize is the size of a connection's read and write buffers.
+const bufferSize = 32 << 10
+
+// peerConn is one connection to another process: a reader, a writer, and a bounded backlog between
+// the kernel and the writer, in which a newer frame replaces an older one with its key.
 type peerConn struct {
 	transport *transport
 	id        uint64
-	conn      *tls.Conn
-	addr      string
-	mesh      bool
-	dialed    bool
-
-	mu          sync.Mutex
-	frames      []kernel.Send
-	bytes       int
-	replaceable map[string]int
+	// conn is nil while the connection is not open yet.
+	conn   *tls.Conn
+	addr   string
+	mesh   bool
+	dialed bool
+
+	mu     sync.Mutex
+	frames []kernel.Send
+	bytes  int
+	// base counts the frames that were taken from the backlog before; replaceable has the number of the
+	// frame with each key, counted from the connection's first frame.
 	base        int
-	queued      chan struct{}
-	closed      chan struct{}
-	once        sync.Once
+	replaceable map[string]int
+	// queued has a token while the writer has something to do.
+	queued chan struct{}
+	closed chan struct{}
+	once   sync.Once
 }
 
 func newPeerConn(tr *transport, conn *tls.Conn, addr string, mesh, dialed bool) *peerConn {
@@ -50,17 +52,17 @@
 	}
 }
 
-// enqueue puts a frame into the backlog, in its slot's place where one waits.
+// enqueue puts a frame into the backlog.
 func (pc *peerConn) enqueue(s kernel.Send) {
 	pc.mu.Lock()
 	full := pc.push(s)
 	pc.mu.Unlock()
 	if full && pc.conn == nil {
-		pc.transport.process.Kernel.Counts.Add("sends_unreachable", 1)
+		pc.transport.counts.Add("sends_unreachable", 1)
 		return
 	}
 	if full {
-		pc.transport.process.Kernel.Counts.Add("channels_backlog_full", 1)
+		pc.transport.counts.Add("channels_backlog_full", 1)
 		go pc.close()
 		return
 	}
@@ -70,13 +72,13 @@
 	}
 }
 
-// push puts a frame into the backlog; full is that there is no room for it.
+// push appends a frame to the backlog, or replaces the one with its key. It reports whether the backlog is full.
 func (pc *peerConn) push(s kernel.Send) (full bool) {
 	if i, ok := pc.replaceable[s.ReplaceKey]; ok && s.ReplaceKey != "" && i >= pc.base {
 		replaced := &pc.frames[i-pc.base]
 		pc.bytes += len(s.Data) - len(replaced.Data)
 		*replaced = s
-		pc.transport.process.Kernel.Counts.Add("frames_replaced", 1)
+		pc.transport.counts.Add("frames_replaced", 1)
 		return false
 	}
 	if len(pc.frames) >= maxBacklogFrames || pc.bytes+len(s.Data) > maxBacklogBytes {
@@ -90,7 +92,7 @@
 	return false
 }
 
-// adopt takes over the frames that waited for this channel to open.
+// adopt takes over the frames that were queued before the connection was open.
 func (pc *peerConn) adopt(pending *peerConn) {
 	pending.mu.Lock()
 	frames := pending.frames
@@ -101,6 +103,7 @@
 	}
 }
 
+// takeAll empties the backlog and returns its frames.
 func (pc *peerConn) takeAll() []kernel.Send {
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
@@ -111,8 +114,9 @@
 	return out
 }
 
+// writeFrames is the writer: it writes the backlog whenever there is one, until the connection is closed.
 func (pc *peerConn) writeFrames() {
-	w := bufio.NewWriterSize(pc.conn, 32<<10)
+	w := bufio.NewWriterSize(pc.conn, bufferSize)
 	for {
 		select {
 		case <-pc.queued:
@@ -123,7 +127,7 @@
 		for _, s := range pc.takeAll() {
 			if err := wire.WriteTo(w, s.Data); err != nil {
 				if errors.Is(err, wire.ErrOversize) {
-					pc.transport.process.Kernel.Counts.Add("frames_oversize_out", 1)
+					pc.transport.counts.Add("frames_oversize_out", 1)
 					continue
 				}
 				pc.close()
@@ -139,8 +143,9 @@
 	}
 }
 
+// readFrames is the reader: it posts every frame to the loop, until the connection ends.
 func (pc *peerConn) readFrames() {
-	r := bufio.NewReaderSize(pc.conn, 32<<10)
+	r := bufio.NewReaderSize(pc.conn, bufferSize)
 	for {
 		if r.Buffered() == 0 {
 			pc.conn.SetReadDeadline(time.Now().Add(readTimeout))
@@ -148,7 +153,7 @@
 		b, err := wire.ReadFrom(r)
 		if err != nil {
 			if errors.Is(err, wire.ErrOversize) {
-				pc.transport.process.Kernel.Counts.Add("frames_oversize", 1)
+				pc.transport.counts.Add("frames_oversize", 1)
 			}
 			pc.close()
 			return
@@ -159,34 +164,14 @@
 	}
 }
 
+// close closes the connection once. It posts to the loop, so the loop itself must not call it.
 func (pc *peerConn) close() {
 	pc.once.Do(func() {
 		close(pc.closed)
 		if pc.conn != nil {
-			// Not Close: that would wait to tell a peer that may be frozen.
+			// Not pc.conn.Close, which waits while it sends an alert to a peer that may be frozen.
 			pc.conn.NetConn().Close()
 		}
 		pc.transport.remove(pc)
 	})
 }
-
-// certificate wraps a node key for TLS; it says nothing but the key.
-func certificate(key kernel.Key) (tls.Certificate, error) {
-	t := x509.Certificate{SerialNumber: big.NewInt(1), NotBefore: time.Unix(0, 0), NotAfter: time.Unix(1<<33, 0)}
-	der, err := x509.CreateCertificate(rand.Reader, &t, &t, key.Public, key.Private)
-	if err != nil {
-		return tls.Certificate{}, err
-	}
-	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key.Private}, nil
-}
-
-func peerKey(s tls.ConnectionState) (ed25519.PublicKey, error) {
-	if len(s.PeerCertificates) == 0 {
-		return nil, errors.New("peer shows no key")
-	}
-	key, ok := s.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
-	if !ok {
-		return nil, errors.New("peer's key is not Ed25519")
-	}
-	return key, nil
-}
--- a/runtime/process/process_test.go
+++ b/runtime/process/process_test.go
@@ -1,6 +1,3 @@
-// The real driver: channels between two processes, the fleet's secret, and the
-// data folder. Ports are given out by the system; waits are on events.
-
 package process
 
 import (
@@ -21,6 +18,7 @@
 	"wallport/runtime/settings"
 )
 
+// free returns a free address.
 func free(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +35,7 @@
 	return p
 }
 
-// until looks for an event again and again; only a hang reaches its end.
+// until polls until a condition holds; only a hang reaches its end.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
@@ -75,7 +73,7 @@
 	must.Eq(t, "127.0.0.2", host, must.Sprint("connections leave from the address that the mesh listens on"))
 }
 
-// forwardTo passes connections on to an address and tells from where they came.
+// forwardTo forwards connections to an address and reports where they came from.
 func forwardTo(l net.Listener, to string, callers chan<- string) {
 	for {
 		from, err := l.Accept()
@@ -99,13 +97,13 @@
 func TestOtherFleetSecretIsRejected(t *testing.T) {
 	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
 	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "other", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
-	until(t, "it is refused", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
+	until(t, "it is rejected", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
 }
 
 func TestFleetSecretRotatesWithoutDowntime(t *testing.T) {
-	// Both secrets stand side by side: one process at a time goes from the old to the new.
+	// Both secrets are accepted side by side: one process at a time goes from the old to the new.
 	steps := [][2]settings.Settings{
 		{{FleetSecret: "old", SecondFleetSecret: "new"}, {FleetSecret: "old"}},
 		{{FleetSecret: "new", SecondFleetSecret: "old"}, {FleetSecret: "old", SecondFleetSecret: "new"}},
@@ -116,12 +114,12 @@
 		a := start(t, s[0])
 		s[1].Seeds = []string{s[0].Mesh}
 		b := start(t, s[1])
-		until(t, "they meet", func() bool { return a.peers() == 1 && b.peers() == 1 })
+		until(t, "they connect", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	}
-	// A process that was not given the new secret is shut out for good.
+	// A process that was not given the new secret is rejected.
 	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "new"})
 	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "old", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
-	until(t, "it is refused", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
+	until(t, "it is rejected", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
 }
@@ -135,7 +133,7 @@
 	until(t, "it is counted", func() bool { return a.Kernel.Counts.Of("channels_failed").Load() == 1 })
 	c.Close()
 	b := start(t, settings.Settings{Mesh: free(t), Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
-	until(t, "others still get in", func() bool { return b.peers() == 1 })
+	until(t, "others still connect", func() bool { return b.peers() == 1 })
 }
 
 func TestDataDir(t *testing.T) {
@@ -157,5 +155,5 @@
 	must.FileNotExists(t, filepath.Join(dir, "c.aside"))
 	d.close()
 	must.NoError(t, os.RemoveAll(dir))
-	must.Error(t, d.write(kernel.Write{File: "a", Data: []byte("4")}), must.Sprint("a lost folder is an error, not a yes"))
+	must.Error(t, d.write(kernel.Write{File: "a", Data: []byte("4")}), must.Sprint("a lost folder is an error, not a success"))
 }
--- a/runtime/process/transport.go
+++ b/runtime/process/transport.go
@@ -1,15 +1,9 @@
-// Channels to other processes: TCP with TLS from both sides' node keys, a
-// hello that proves the fleet's secret, then frames both ways. Mesh channels
-// are opened by the mesh; direct ones on demand, for calls.
-
 package process
 
 import (
-	"context"
-	"crypto/hmac"
-	"crypto/sha256"
 	"crypto/tls"
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -18,58 +12,68 @@
 	"github.com/samber/oops"
 	"go.uber.org/zap"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
-	"wallport/runtime/wire"
 )
 
-// Figures of the transport.
 const (
-	dialTimeout    = 1 * time.Second
-	helloTimeout   = 2 * time.Second
-	writeTimeout   = 5 * time.Second
-	readTimeout    = 90 * time.Second
-	dialBackoff    = 200_000
-	maxConnections = 1024
+	dialTimeout  = 1 * time.Second
+	helloTimeout = 2 * time.Second
+	writeTimeout = 5 * time.Second
+	readTimeout  = 90 * time.Second
+	// dialBackoff is how long an address is not dialed again after a failure.
+	dialBackoff = 200 * clock.Millisecond
+	// acceptRetryDelay is the pause after a failed accept, as when no file descriptor is free.
+	acceptRetryDelay = 50 * time.Millisecond
+	maxConnections   = 1024
 )
 
+// transport is the connections to other processes: TCP, TLS with the keys of both sides, a hello that
+// proves the fleet's secret, then frames in both directions. Mesh connections are opened when a
+// plug-in dials; direct ones on demand, by the first frame for an address.
 type transport struct {
-	process                                *Process
-	key                                    kernel.Key
-	tlsConfig                              *tls.Config
-	listener                               net.Listener
-	mu                                     sync.Mutex
-	lastID                                 uint64
-	open                                   map[uint64]*peerConn
-	direct                                 map[string]*peerConn
-	dialAllowedAt                          map[string]int64
-	closed                                 bool
-	framesIn, bytesIn, framesOut, bytesOut *atomic.Int64 // on all channels, without what TLS adds
+	process   *Process
+	counts    *kernel.Counts
+	key       kernel.Key
+	tlsConfig *tls.Config
+	listener  net.Listener
+
+	mu     sync.Mutex
+	closed bool
+	lastID uint64
+	open   map[uint64]*peerConn
+	// direct has the connection of each address that frames are sent to, open or not.
+	direct map[string]*peerConn
+	// dialAllowedAt is until when addresses that could not be reached are not dialed.
+	dialAllowedAt map[string]clock.Micros
+
+	// The totals of all connections, without the overhead of TLS.
+	framesIn, bytesIn, framesOut, bytesOut *atomic.Int64
 }
 
 func openTransport(p *Process, key kernel.Key) (*transport, error) {
 	cert, err := certificate(key)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("cannot make a certificate: %w", err)
 	}
+	counts := p.Kernel.Counts
 	tr := &transport{
-		process: p, key: key, open: map[uint64]*peerConn{}, direct: map[string]*peerConn{}, dialAllowedAt: map[string]int64{},
+		process: p, counts: counts, key: key, open: map[uint64]*peerConn{}, direct: map[string]*peerConn{}, dialAllowedAt: map[string]clock.Micros{},
+		framesIn: counts.Of("frames_in"), bytesIn: counts.Of("frame_bytes_in"),
+		framesOut: counts.Of("frames_out"), bytesOut: counts.Of("frame_bytes_out"),
 		tlsConfig: &tls.Config{
 			Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS13,
-			// Keys name processes here; there is no authority above them. The handshake
-			// still proves that the other side holds the key it shows.
+			// Keys identify processes; no authority signs them. The handshake still proves that the
+			// other side has the key that it shows.
 			InsecureSkipVerify: true, ClientAuth: tls.RequireAnyClientCert,
-			// Many handshakes come at once when many processes start: one key exchange, no tickets.
+			// When many processes start, many handshakes come at once: one key exchange, no tickets.
 			CurvePreferences: []tls.CurveID{tls.X25519}, SessionTicketsDisabled: true,
 		},
 	}
-	n := p.Kernel.Counts
-	tr.framesIn, tr.bytesIn, tr.framesOut, tr.bytesOut = n.Of("frames_in"), n.Of("frame_bytes_in"), n.Of("frames_out"), n.Of("frame_bytes_out")
 	addr := p.Kernel.Boot.Settings.ListenAddress()
-	l, err := net.Listen("tcp", addr)
-	if err != nil {
+	if tr.listener, err = net.Listen("tcp", addr); err != nil {
 		return nil, oops.In("mesh").With("address", addr).Wrapf(err, "cannot listen")
 	}
-	tr.listener = l
 	go tr.accept()
 	return tr, nil
 }
@@ -77,19 +81,18 @@
 func (tr *transport) accept() {
 	for {
 		conn, err := tr.listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			// Out of file descriptors, say: breathe, then go on.
-			time.Sleep(50 * time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		tr.mu.Lock()
 		full := len(tr.open) >= maxConnections
 		tr.mu.Unlock()
 		if full {
-			tr.process.Kernel.Counts.Add("channels_shed", 1)
+			tr.counts.Add("channels_shed", 1)
 			conn.Close()
 			continue
 		}
@@ -98,82 +101,34 @@
 	}
 }
 
-// validProof reports whether a proof was made with the fleet's secret, or with the second
-// one that is accepted while the secret is being changed.
-func (tr *transport) validProof(proof []byte, from, to string) bool {
-	e := tr.process.Kernel.Boot.Settings
-	return hmac.Equal(proof, fleetProof(e.FleetSecret, from, to)) || e.SecondFleetSecret != "" && hmac.Equal(proof, fleetProof(e.SecondFleetSecret, from, to))
+func (tr *transport) dial(addr string, mesh bool) (*peerConn, error) {
+	conn, err := tr.dialer().Dial("tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	setUserTimeout(conn)
+	return tr.handshake(tls.Client(conn, tr.tlsConfig), addr, mesh)
 }
 
-func fleetProof(secret, from, to string) []byte {
-	h := hmac.New(sha256.New, []byte(secret))
-	h.Write([]byte("wallport " + from + " " + to))
-	return h.Sum(nil)
+// dialer returns a dialer whose connections leave from the address that the mesh listens on, if that is set.
+func (tr *transport) dialer() *net.Dialer {
+	d := &net.Dialer{Timeout: dialTimeout}
+	if ip := tr.process.Kernel.Boot.Settings.SourceIP(); ip.IsValid() {
+		d.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()}
+	}
+	return d
 }
 
-// handshake shakes hands on a new connection and makes a channel of it.
-func (tr *transport) handshake(conn *tls.Conn, addr string, mesh bool) (*peerConn, error) {
-	dialed := addr != ""
-	fail := func(err error) (*peerConn, error) {
-		tr.process.Kernel.Counts.Add("channels_failed", 1)
-		conn.Close()
-		return nil, err
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), helloTimeout)
-	defer cancel()
-	if err := conn.HandshakeContext(ctx); err != nil {
-		return fail(err)
-	}
-	peer, err := peerKey(conn.ConnectionState())
-	if err != nil {
-		return fail(err)
-	}
-	self, other := kernel.Fingerprint(tr.key.Public), kernel.Fingerprint(peer)
-	lane := "direct"
-	if mesh {
-		lane = "mesh"
-	}
-	conn.SetDeadline(time.Now().Add(helloTimeout))
-	mine := wire.Hello{Addr: tr.process.Kernel.Boot.Settings.Mesh, Zone: tr.process.Kernel.Boot.Settings.Zone, Fleet: lane, Proof: fleetProof(tr.process.Kernel.Boot.Settings.FleetSecret, self, other)}
-	if err := wire.WriteTo(conn, wire.Seal(wire.KindHello, 0, &mine)); err != nil {
-		return fail(err)
-	}
-	b, err := wire.ReadFrom(conn)
-	if err != nil {
-		return fail(err)
-	}
-	f, err := wire.Open(b)
-	var theirs wire.Hello
-	if err != nil || f.Kind != wire.KindHello || wire.Decode(f.Body, &theirs) != nil {
-		return fail(errors.New("no hello"))
-	}
-	if !tr.validProof(theirs.Proof, other, self) {
-		tr.process.Kernel.Counts.Add("channels_forbidden", 1)
-		tr.process.sampledLog.Warn("channel_forbidden", zap.String("addr", conn.RemoteAddr().String()), zap.String("why", "fleet secret differs"))
-		return fail(errors.New("fleet secret differs"))
-	}
-	conn.SetDeadline(time.Time{})
-	if !dialed {
-		mesh, addr = theirs.Fleet == "mesh", theirs.Addr
-	}
-	pc := newPeerConn(tr, conn, addr, mesh, dialed)
-	tr.mu.Lock()
-	tr.lastID++
-	pc.id = tr.lastID
-	if tr.closed {
-		tr.mu.Unlock()
-		return fail(net.ErrClosed)
-	}
-	tr.open[pc.id] = pc
-	tr.mu.Unlock()
-	if mesh {
-		tr.process.Post(kernel.ConnUp{Conn: pc.id, Addr: addr, Peer: other, Zone: theirs.Zone, Dialed: dialed, Mesh: true})
-	}
-	go pc.writeFrames()
-	go pc.readFrames()
-	return pc, nil
+func (tr *transport) dialMesh(addr string) {
+	go func() {
+		if _, err := tr.dial(addr, true); err != nil {
+			tr.process.Log.Debug("mesh_dial_failed", zap.String("addr", addr), zap.Error(err))
+			tr.process.Post(kernel.ConnDown{Addr: addr, Mesh: true})
+		}
+	}()
 }
 
+// send queues a frame on its connection. A frame for an address without a connection opens one.
 func (tr *transport) send(s kernel.Send) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -185,9 +140,8 @@
 	}
 	pc := tr.direct[s.Addr]
 	if pc == nil {
-		now := tr.process.Now()
-		if now < tr.dialAllowedAt[s.Addr] {
-			tr.process.Kernel.Counts.Add("sends_unreachable", 1)
+		if tr.process.Now() < tr.dialAllowedAt[s.Addr] {
+			tr.counts.Add("sends_unreachable", 1)
 			return
 		}
 		pc = newPeerConn(tr, nil, s.Addr, false, true)
@@ -197,7 +151,7 @@
 	pc.enqueue(s)
 }
 
-// openDirect dials for frames that wait already and moves them to the channel.
+// openDirect opens the connection for an address and moves the frames that are pending to it.
 func (tr *transport) openDirect(pending *peerConn) {
 	pc, err := tr.dial(pending.addr, false)
 	tr.mu.Lock()
@@ -211,6 +165,7 @@
 		return
 	}
 	if tr.open[pc.id] == nil {
+		// It was closed again meanwhile.
 		delete(tr.direct, pending.addr)
 		return
 	}
@@ -218,6 +173,18 @@
 	pc.adopt(pending)
 }
 
+// drop closes a connection without blocking.
+func (tr *transport) drop(id uint64) {
+	tr.mu.Lock()
+	pc := tr.open[id]
+	tr.mu.Unlock()
+	if pc != nil {
+		// In a goroutine: the end is posted to the loop, which calls this and whose inbox may be full.
+		go pc.close()
+	}
+}
+
+// remove forgets a connection that has ended.
 func (tr *transport) remove(pc *peerConn) {
 	tr.mu.Lock()
 	delete(tr.open, pc.id)
--- a/runtime/process/user_timeout.go
+++ b/runtime/process/user_timeout.go
@@ -1,7 +1,3 @@
-// How long a connection waits for a peer that says nothing at all: one that has
-// lost power, or is behind a cut, does not even acknowledge what is sent to it.
-// A frozen process's machine still does.
-
 package process
 
 import (
@@ -11,11 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout is how long sent bytes may stay unacknowledged before a connection ends: what
-// follows is then sent on a new one, and finds a peer that has come back.
+// userTimeout is how long sent bytes may stay unacknowledged before a connection ends (RFC 5482). It
+// detects a peer that lost power or is behind a network partition; the machine of a frozen process
+// still acknowledges. What follows is sent on a new connection, which reaches a peer that is back.
 const userTimeout = 1500 * time.Millisecond
 
-// setUserTimeout sets that on a connection; where it cannot be set, writeTimeout bounds the wait.
+// setUserTimeout sets the TCP user timeout of a connection. If that fails, writeTimeout bounds the wait.
 func setUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
