--- a/control/operations/call.go
+++ b/control/operations/call.go
@@ -1,74 +1,122 @@
-// What an operator can ask for, what came of it, and a call while it is under way.
-
 package operations
 
 import (
 	"wallport/api/routingpb"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// ReadRouting asks for the routing table in force, confirmed by a majority after the question
-// came. Timeout is how long that may take; 0 stands for CallTimeout.
-type ReadRouting struct{ Timeout int64 }
+// Bounds of a call to a partition's leader.
+const (
+	// AttemptInterval is the longest time between two attempts of a call.
+	AttemptInterval = 400 * clock.Millisecond
+	// CallTimeout ends a call that sets no time-out of its own.
+	CallTimeout = 4 * clock.Second
+	// InForceTimeout is how long a call waits for the nodes to have an edit in force, if it does not say.
+	InForceTimeout = 2500 * clock.Millisecond
+	// inForcePollInterval is the time between two looks at what the nodes have in force.
+	inForcePollInterval = 50 * clock.Millisecond
+	// minAttempts is how many attempts fit into a call's time-out at least.
+	minAttempts = 5
+	// maxRedirects bounds how often a call follows a reply to another address, so that two cores
+	// that name each other do not keep it circulating.
+	maxRedirects = 16
+)
+
+// Submit carries an edit to the leader of its partition. It is answered with a [Result].
+type Submit struct {
+	Edit wire.Edit
+	// AwaitInForce delays the answer, once the edit is committed, until every live node reports it in force.
+	AwaitInForce bool
+	// AwaitTimeout bounds that delay; 0 means [InForceTimeout].
+	AwaitTimeout clock.Micros
+	// Timeout bounds the whole call, including the delay. 0 means [CallTimeout] for the reply and the delay on top.
+	Timeout clock.Micros
+}
+
+// Result answers [Submit] and [Rebuild]. Reply.Code is one of the codes that an operator's API passes on, or
+// [CodeUnknownZone].
+type Result struct {
+	Reply wire.EditReply
+	// InForce counts the live nodes that have the edit in force, and Laggards names the others. Both are
+	// empty unless AwaitInForce was set.
+	InForce  int
+	Laggards []string
+}
+
+// ReadRouting reads the routing table in force, confirmed by a majority after the call arrived. It is
+// answered with a [Routing].
+type ReadRouting struct {
+	// Timeout bounds the call; 0 means [CallTimeout].
+	Timeout clock.Micros
+}
 
-// Routing answers ReadRouting. Code is "ok" or "shed"; Table is nil where no table was ever set.
+// Routing answers [ReadRouting].
 type Routing struct {
+	// Table is nil where no table was ever set.
 	Table *routingpb.RoutingTable
-	Code  wire.Code
+	// Code is [wire.CodeOK], or [wire.CodeOverloaded] where no leader could be read from.
+	Code wire.Code
 }
 
-// ReadHistory asks for the earlier sheets, confirmed by a majority after the question came.
+// ReadHistory reads the earlier configurations, confirmed by a majority after the call arrived. It is
+// answered with a [History].
 type ReadHistory struct{}
 
-// History answers ReadHistory. Code is "ok" or "shed"; the newest sheet is the last.
+// History answers [ReadHistory].
 type History struct {
+	// Configurations are ordered by age, the newest last.
 	Configurations []wire.PastConfig
-	Code           wire.Code
+	// Code is [wire.CodeOK], or [wire.CodeOverloaded] where no leader could be read from.
+	Code wire.Code
 }
 
+// call is a Submit, ReadRouting or ReadHistory in flight.
 type call struct {
 	command   Submit
-	startedAt int64
+	startedAt clock.Micros
 	attempts  int
 	redirects int
-	// undeclined counts the sendings that may take effect and that nobody has declined.
+	// undeclined counts the edits sent that may take effect: no receiver has declined them.
 	undeclined int
-	reply      *wire.EditReply
-	repliedAt  int64
-	// versionBound tells that an order about a zone names the version that it is bound to.
+	// reply is the leader's final reply, and repliedAt when it arrived. reply is nil until then.
+	reply     *wire.EditReply
+	repliedAt clock.Micros
+	// versionBound reports whether a command about a zone names the version that it is bound to.
 	versionBound bool
-	// answer makes the answer to the call.
-	answer func(res Result) any
+	// answer turns the result into the answer that the caller expects.
+	answer func(result Result) any
 }
 
-func (c *call) timeout() int64 {
+func (c *call) timeout() clock.Micros {
 	if c.command.Timeout > 0 {
 		return c.command.Timeout
 	}
 	return CallTimeout
 }
 
-// expired tells that whoever gave the order has stopped waiting: nothing more may be sent for it.
-func (c *call) expired(now int64) bool { return now-c.startedAt >= c.timeout() }
+// expired reports whether the caller has stopped waiting. Nothing may be sent for such a call: the edit would
+// take effect after the caller was told that it did not.
+func (c *call) expired(now clock.Micros) bool { return now-c.startedAt >= c.timeout() }
 
-// awaitTimeout is how long the call waits for the nodes, from the reply on.
-func (c *call) awaitTimeout() int64 {
-	w := c.command.AwaitTimeout
-	if w == 0 {
-		w = InForceTimeout
+// awaitTimeout returns how long the call waits for the nodes, counted from the reply.
+func (c *call) awaitTimeout() clock.Micros {
+	timeout := c.command.AwaitTimeout
+	if timeout == 0 {
+		timeout = InForceTimeout
 	}
 	if c.command.Timeout > 0 {
-		w = min(w, c.startedAt+c.command.Timeout-c.repliedAt)
+		timeout = min(timeout, c.startedAt+c.command.Timeout-c.repliedAt)
 	}
-	return w
+	return timeout
 }
 
-func routingOutcome(res Result) any {
-	if res.Reply.Code != wire.CodeOK {
+func routingAnswer(result Result) any {
+	if result.Reply.Code != wire.CodeOK {
 		return Routing{Code: wire.CodeOverloaded}
 	}
-	config, err := state.ReadConfig(res.Reply.Body)
+	config, err := state.ReadConfig(result.Reply.Body)
 	if err != nil {
 		return Routing{Code: wire.CodeOverloaded}
 	}
@@ -79,10 +127,10 @@
 	return Routing{Table: table, Code: wire.CodeOK}
 }
 
-func historyOutcome(res Result) any {
-	ledger, err := state.ReadEditLog(res.Reply.Body)
-	if res.Reply.Code != wire.CodeOK || err != nil {
+func historyAnswer(result Result) any {
+	editLog, err := state.ReadEditLog(result.Reply.Body)
+	if result.Reply.Code != wire.CodeOK || err != nil {
 		return History{Code: wire.CodeOverloaded}
 	}
-	return History{Configurations: ledger.History, Code: wire.CodeOK}
+	return History{Configurations: editLog.History, Code: wire.CodeOK}
 }
--- a/control/operations/partitioned_leader_test.go
+++ b/control/operations/partitioned_leader_test.go
@@ -1,5 +1,3 @@
-// A control machine that led and is cut off: what it tells an operator, and by when.
-
 package operations
 
 import (
@@ -8,21 +6,23 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/control/replica"
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-// partitionedLeader is a core that was elected by "a" and has heard of nobody since.
+// partitionedLeader returns a core that was elected with the vote of "a" and has heard from nobody since.
 func partitionedLeader(t *testing.T) *node {
+	t.Helper()
 	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: []wire.Replica{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "me", Addr: "10.0.0.1:1"}}}
 	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", DataDir: "disk"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
-	n := &node{t: t, k: k, now: 1_000_000, answers: map[uint64]any{}}
+	n := &node{t: t, k: k, now: 1 * clock.Second, answers: map[uint64]any{}}
 	n.step(kernel.Start{})
 	n.coreTick()
-	n.now += 10_000_000
+	n.now += 10 * clock.Second
 	n.coreTick()
 	n.receive(wire.KindVoteReply, 0, &wire.VoteReply{Term: 1, From: "a", Pre: true, Granted: true})
 	n.synced("w1")
@@ -35,10 +35,10 @@
 func (n *node) coreTick()         { n.step(kernel.Tick{Plugin: "seats", Key: "tick"}) }
 func (n *node) synced(key string) { n.step(kernel.Written{Plugin: "seats", Key: key}) }
 
-// It says neither yes nor no, and gives no configuration: the operator goes on within the second.
+// It neither accepts nor refuses and returns no configuration, so that the operator goes to another core within the second.
 func TestPartitionedLeaderAnswersWithinTimeout(t *testing.T) {
-	const within = 800_000
-	for _, since := range []int64{0, 500_000, 3_000_000} {
+	const within = 800 * clock.Millisecond
+	for _, since := range []clock.Micros{0, 500 * clock.Millisecond, 3 * clock.Second} {
 		n := partitionedLeader(t)
 		must.True(t, kernel.Find[*replica.Host](n.k).Leads(0))
 		for end := n.now + since; n.now < end; n.coreTick() {
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -1,6 +1,3 @@
-// The node's side of rebuilding a partition's group: ask every live core which version it
-// holds, fetch the newest one where this node lacks it, and have three cores hold it.
-
 package operations
 
 import (
@@ -9,122 +6,137 @@
 	"wallport/cluster/membership"
 	"wallport/cluster/mesh"
 	"wallport/control/replica"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Rebuild is an operator's word to make a partition's group anew.
+// Rebuild makes a partition's group anew, on an operator's command, after a majority of its disks is lost. It asks
+// every healthy core for the version that it has stored, fetches the newest one, and has a new set of voters
+// store it under a higher term. It is answered with a [Result].
 type Rebuild struct{ Partition int }
 
-// Figures of rebuilding.
+// Bounds of a rebuild.
 const (
-	// StepTimeout is how long the cores have for each step, FetchTimeout how long one has to send the
-	// newest version.
-	StepTimeout  = 1_500_000
-	FetchTimeout = 8_000_000
-	// minTransferRate, in bytes a second, is what a large version may take on its way to the cores
-	// that are to hold it, beyond StepTimeout.
+	// StepTimeout is how long the cores have for each step.
+	StepTimeout = 1500 * clock.Millisecond
+	// FetchTimeout is how long a core has to send the newest version.
+	FetchTimeout = 8 * clock.Second
+	// minTransferRate, in bytes per second, extends the last step beyond StepTimeout for a large version.
 	minTransferRate = 500_000
+	// minVoters is the smallest number of voters that a group is rebuilt with.
+	minVoters = 3
+	// termMargin is added to the highest term heard of, to exceed any that the lost replicas voted in.
+	termMargin = 1000
 )
 
+// rebuildState is a rebuild in flight.
 type rebuildState struct {
 	partition int
-	applying  bool
+	// versioned is the newest version at hand, with its body: from the mesh at first, later from a core.
 	versioned wire.Versioned
-	// editLog is that of the newest version that a core holds; what the mesh brought has none.
-	editLog     []byte
-	voters      []wire.Replica
-	agreed      map[string]bool
-	refusals    []string
+	// editLog is that of the newest version which a core has stored; the mesh carries none.
+	editLog []byte
+	// agreed are the replicas that consented to the step in flight, and refusals the reasons of the others.
+	agreed   map[string]bool
+	refusals []string
+	// highestTerm is the highest term that a core has told of.
 	highestTerm uint64
-	// newest is the newest version that a core holds, and holder that core's replica. fetching is
-	// that the version was asked for, fetched that it came.
-	newest            wire.Version
-	newestReplica     string
+	// newest is the newest version that a core has stored, and newestReplica the replica that has it.
+	newest        wire.Version
+	newestReplica string
+	// fetching is set while the newest version is requested, and fetched once it has arrived.
 	fetching, fetched bool
-	// deadline is when the step under way ends.
-	deadline int64
+	// applying is set in the last step, in which voters are to store the version.
+	applying bool
+	voters   []wire.Replica
+	// deadline is when the step in flight ends.
+	deadline clock.Micros
 }
 
-func (o *Service) startRebuild(ctx *kernel.Context, id uint64, partition int) {
-	r := &rebuildState{partition: partition, agreed: map[string]bool{}}
-	if v, ok := o.mesh.Partition(partition); ok {
-		r.versioned = v
+func (s *Service) startRebuild(ctx *kernel.Context, id uint64, partition int) {
+	rebuild := &rebuildState{partition: partition, agreed: map[string]bool{}}
+	if versioned, ok := s.mesh.Partition(partition); ok {
+		rebuild.versioned = versioned
 	}
-	o.rebuilds[id] = r
-	for _, c := range o.healthyCores(ctx.Now) {
-		ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: partition, VersionOnly: true})
+	s.rebuilds[id] = rebuild
+	for _, core := range s.healthyCores(ctx.Now) {
+		ctx.SendTo(core.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: partition, VersionOnly: true})
 	}
-	o.scheduleRebuildStep(ctx, id, r, StepTimeout)
+	s.scheduleRebuildStep(ctx, id, rebuild, StepTimeout)
 }
 
-// scheduleRebuildStep has the step under way end after a while.
-func (o *Service) scheduleRebuildStep(ctx *kernel.Context, id uint64, r *rebuildState, after int64) {
-	r.deadline = ctx.Now + after
-	ctx.AfterFor(after, "operate", id)
+// scheduleRebuildStep sets the end of the step that begins now.
+func (s *Service) scheduleRebuildStep(ctx *kernel.Context, id uint64, rebuild *rebuildState, delay clock.Micros) {
+	rebuild.deadline = ctx.Now + delay
+	ctx.AfterFor(delay, PluginName, id)
 }
 
-// rebuildTimer ends the step under way, unless the timer was that of an earlier one.
-func (o *Service) rebuildTimer(ctx *kernel.Context, id uint64, r *rebuildState) {
-	if ctx.Now >= r.deadline {
-		o.endRebuildStep(ctx, id, r)
+// rebuildTimer ends the step in flight. The timer of an earlier step, which ended before its time, has no effect.
+func (s *Service) rebuildTimer(ctx *kernel.Context, id uint64, rebuild *rebuildState) {
+	if ctx.Now >= rebuild.deadline {
+		s.endRebuildStep(ctx, id, rebuild)
 	}
 }
 
-func (o *Service) healthyCores(now int64) []membership.Member {
-	var out []membership.Member
-	for _, c := range o.members.Live(now, "core") {
-		if c.Replica != "" && c.UnhealthyReason == "" && !c.Draining {
-			out = append(out, c)
+// healthyCores returns the live cores that can store a version.
+func (s *Service) healthyCores(now clock.Micros) []membership.Member {
+	var cores []membership.Member
+	for _, core := range s.members.Live(now, "core") {
+		if core.Replica != "" && core.UnhealthyReason == "" && !core.Draining {
+			cores = append(cores, core)
 		}
 	}
-	return out
+	return cores
 }
 
-func (o *Service) rebuildReplied(ctx *kernel.Context, id uint64, m wire.RebuildReply) {
-	r := o.rebuilds[id]
-	if r == nil || m.Partition != r.partition {
+func (s *Service) rebuildReplied(ctx *kernel.Context, id uint64, reply wire.RebuildReply) {
+	rebuild := s.rebuilds[id]
+	if rebuild == nil || reply.Partition != rebuild.partition {
 		return
 	}
-	r.highestTerm = max(r.highestTerm, m.Stored.Version.Term)
-	if !m.OK {
-		r.refusals = append(r.refusals, m.From+": "+m.Reason)
+	rebuild.highestTerm = max(rebuild.highestTerm, reply.Stored.Version.Term)
+	if !reply.OK {
+		rebuild.refusals = append(rebuild.refusals, reply.From+": "+reply.Reason)
 		return
 	}
-	r.agreed[m.From] = true
-	if mesh.Newer(m.Stored.Version, r.newest) {
-		r.newest, r.newestReplica = m.Stored.Version, m.From
+	rebuild.agreed[reply.From] = true
+	if mesh.Newer(reply.Stored.Version, rebuild.newest) {
+		rebuild.newest, rebuild.newestReplica = reply.Stored.Version, reply.From
 	}
-	if r.fetching && m.From == r.newestReplica && m.Stored.Version == r.newest {
-		r.fetching, r.fetched, r.editLog = false, true, m.Stored.EditLog
-		if mesh.Newer(m.Stored.Version, r.versioned.Version) {
-			r.versioned = m.Stored
-		}
-		o.endRebuildStep(ctx, id, r)
+	if rebuild.fetching && reply.From == rebuild.newestReplica && reply.Stored.Version == rebuild.newest {
+		rebuild.takeFetched(reply.Stored)
+		s.endRebuildStep(ctx, id, rebuild)
+	}
+}
+
+// takeFetched takes the newest version that a core has stored. The mesh may have brought a newer one, but
+// without an edit log.
+func (rebuild *rebuildState) takeFetched(stored wire.Versioned) {
+	rebuild.fetching, rebuild.fetched, rebuild.editLog = false, true, stored.EditLog
+	if mesh.Newer(stored.Version, rebuild.versioned.Version) {
+		rebuild.versioned = stored
 	}
 }
 
-// fetchNewest asks the core that holds the newest version for it; false where none is to be had or it came.
-// What the mesh brought may be newer, but has no ledger.
-func (o *Service) fetchNewest(ctx *kernel.Context, id uint64, r *rebuildState) bool {
-	if r.fetched || r.newest.Term == 0 {
+// fetchNewest requests the newest version from the core that has it stored. It reports false where there is none
+// or it has arrived already.
+func (s *Service) fetchNewest(ctx *kernel.Context, id uint64, rebuild *rebuildState) bool {
+	if rebuild.fetched || rebuild.newest.Term == 0 {
 		return false
 	}
-	r.fetching = true
-	for _, c := range o.healthyCores(ctx.Now) {
-		if c.Replica == r.newestReplica {
-			ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: r.partition})
+	rebuild.fetching = true
+	for _, core := range s.healthyCores(ctx.Now) {
+		if core.Replica == rebuild.newestReplica {
+			ctx.SendTo(core.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: rebuild.partition})
 		}
 	}
-	o.scheduleRebuildStep(ctx, id, r, FetchTimeout)
+	s.scheduleRebuildStep(ctx, id, rebuild, FetchTimeout)
 	return true
 }
 
-// minVoters is how many cores a group is rebuilt on at least.
-const minVoters = 3
-
-// rebuiltVoters picks the voters of a rebuilt group: as many as wanted, or else the greatest odd
-// number that there is, spread over the zones; none where there are too few cores.
+// rebuiltVoters selects the voters of a rebuilt group, spread over the zones: as many as wanted, or else the
+// greatest odd number available. It returns nil where there are fewer than minVoters cores.
 func rebuiltVoters(cores []wire.Replica, wanted int) []wire.Replica {
 	n := min(max(wanted, minVoters), (len(cores)-1)|1)
 	if n < minVoters {
@@ -133,51 +145,62 @@
 	return replica.PickVoters(cores, n)
 }
 
-// endRebuildStep ends one of the steps.
-func (o *Service) endRebuildStep(ctx *kernel.Context, id uint64, r *rebuildState) {
-	end := func(code wire.Code, text string) {
-		delete(o.rebuilds, id)
-		reply := wire.EditReply{Code: code, Version: r.versioned.Version}
-		if text != "" {
-			reply.Findings = []wire.Finding{{Path: fmt.Sprintf("part %d", r.partition), Text: text}}
-		}
-		ctx.Reply(id, Result{Reply: reply})
-	}
-	if r.applying {
-		if 2*len(r.agreed) > len(r.voters) {
-			end(wire.CodeOK, "")
+// endRebuildStep moves a rebuild on once a step has ended: from the stored versions to the fetch, from there to the
+// voters' storing, and from there to the answer.
+func (s *Service) endRebuildStep(ctx *kernel.Context, id uint64, rebuild *rebuildState) {
+	if rebuild.applying {
+		if 2*len(rebuild.agreed) > len(rebuild.voters) {
+			s.finishRebuild(ctx, id, rebuild, wire.CodeOK, "")
 		} else {
-			end(wire.CodeUnknown, fmt.Sprint("too few cores hold it: ", r.refusals))
+			s.finishRebuild(ctx, id, rebuild, wire.CodeUnknown, fmt.Sprint("too few cores hold it: ", rebuild.refusals))
 		}
 		return
 	}
 	switch {
-	case len(r.refusals) > 0:
-		end(wire.CodeInvalid, fmt.Sprint(r.refusals))
-		return
-	case r.fetching:
-		end(wire.CodeInvalid, "the newest version did not arrive from "+r.newestReplica)
-		return
-	case o.fetchNewest(ctx, id, r):
-		return
+	case len(rebuild.refusals) > 0:
+		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, fmt.Sprint(rebuild.refusals))
+	case rebuild.fetching:
+		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "the newest version did not arrive from "+rebuild.newestReplica)
+	case s.fetchNewest(ctx, id, rebuild):
+	default:
+		s.applyRebuild(ctx, id, rebuild)
 	}
+}
+
+// applyRebuild selects the voters and has them store the version.
+func (s *Service) applyRebuild(ctx *kernel.Context, id uint64, rebuild *rebuildState) {
 	var agreed []wire.Replica
-	for _, c := range o.healthyCores(ctx.Now) {
-		if r.agreed[c.Replica] {
-			agreed = append(agreed, wire.Replica{ID: c.Replica, Zone: c.Zone, Addr: c.Addr})
+	for _, core := range s.healthyCores(ctx.Now) {
+		if rebuild.agreed[core.Replica] {
+			agreed = append(agreed, wire.Replica{ID: core.Replica, Zone: core.Zone, Addr: core.Addr})
 		}
 	}
-	r.voters = rebuiltVoters(agreed, o.targetVoters)
-	if len(r.voters) == 0 {
-		end(wire.CodeInvalid, "needs three live cores with sound disks")
+	rebuild.voters = rebuiltVoters(agreed, s.targetVoters)
+	if len(rebuild.voters) == 0 {
+		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "needs three live cores with sound disks")
 		return
 	}
-	// A term past anything that the lost replicas can have promised among few of them.
-	r.versioned.Version = wire.Version{Partition: r.partition, Term: max(r.highestTerm, r.versioned.Version.Term) + 1000, Seq: r.versioned.Version.Seq + 1}
-	r.versioned.Voters, r.versioned.PreviousVoters, r.versioned.EditLog = r.voters, nil, r.editLog
-	r.applying, r.agreed = true, map[string]bool{}
-	for _, c := range r.voters {
-		ctx.SendTo(c.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: r.partition, Apply: true, Versioned: r.versioned})
+	versioned := &rebuild.versioned
+	versioned.Version = wire.Version{
+		Partition: rebuild.partition,
+		Term:      max(rebuild.highestTerm, versioned.Version.Term) + termMargin,
+		Seq:       versioned.Version.Seq + 1,
+	}
+	versioned.Voters, versioned.PreviousVoters, versioned.EditLog = rebuild.voters, nil, rebuild.editLog
+	rebuild.applying, rebuild.agreed = true, map[string]bool{}
+	for _, voter := range rebuild.voters {
+		ctx.SendTo(voter.Addr, wire.KindRebuild, id, &wire.Rebuild{Partition: rebuild.partition, Apply: true, Versioned: *versioned})
 	}
-	o.scheduleRebuildStep(ctx, id, r, StepTimeout+int64(len(r.versioned.Body)+len(r.versioned.EditLog))*1_000_000/minTransferRate)
+	size := int64(len(versioned.Body) + len(versioned.EditLog))
+	s.scheduleRebuildStep(ctx, id, rebuild, StepTimeout+size*clock.Second/minTransferRate)
+}
+
+// finishRebuild answers a rebuild and forgets it.
+func (s *Service) finishRebuild(ctx *kernel.Context, id uint64, rebuild *rebuildState, code wire.Code, reason string) {
+	delete(s.rebuilds, id)
+	reply := wire.EditReply{Code: code, Version: rebuild.versioned.Version}
+	if reason != "" {
+		reply.Findings = []wire.Finding{{Path: fmt.Sprintf("part %d", rebuild.partition), Text: reason}}
+	}
+	ctx.Reply(id, Result{Reply: reply})
 }
--- a/control/operations/rebuild_test.go
+++ b/control/operations/rebuild_test.go
@@ -1,5 +1,3 @@
-// The voters of a rebuilt group: as many as the deployment wants, over the zones.
-
 package operations
 
 import (
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -1,109 +1,109 @@
-// The state of the control state's groups, as every known core tells it: asked for when an operator
-// wants to know, so that it costs nothing otherwise.
-
 package operations
 
 import (
 	"wallport/cluster/membership"
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// StatusTimeout is how long the cores have to tell the state of their replicas, in microseconds.
-const StatusTimeout = 700_000
+// StatusTimeout is how long the cores have to report the state of their replicas.
+const StatusTimeout = 700 * clock.Millisecond
 
-// StateTimedOut is the state of the replicas of a core that did not answer in time; the other states
-// are the cores' own.
+// StateTimedOut is shown as the state of the replicas of a core that did not reply in time. The other states
+// are those that the cores report, see [wire.ReplicaStatus].
 const StateTimedOut = "silent"
 
-// ReadStatus asks for the state of every known core's replicas, also of those that are silent.
+// ReadStatus requests the state of every known core's replicas. It is answered with a [Status], once every core has
+// replied or [StatusTimeout] has passed. Nothing is collected before an operator asks.
 type ReadStatus struct{}
 
-// Status answers ReadStatus, with one entry for each core, by name.
+// Status answers [ReadStatus], with one entry for each known core, ordered by name.
 type Status struct{ Cores []CoreStatus }
 
-// CoreStatus is what one core told. Replicas is empty where it did not answer in time.
+// CoreStatus is what one core reported.
 type CoreStatus struct {
 	Name, Zone, Addr string
-	Responded        bool
-	Replicas         []wire.ReplicaStatus
+	// Responded reports whether the core replied in time; Replicas is empty otherwise.
+	Responded bool
+	Replicas  []wire.ReplicaStatus
 }
 
-// statusCall is such a question on its way.
+// statusCall is a ReadStatus in flight.
 type statusCall struct {
 	cores []membership.Member
-	// replies is what the cores told, by their mesh addresses.
+	// replies has what each core reported, by its mesh address.
 	replies map[string][]wire.ReplicaStatus
 }
 
-// startStatus asks every known core, this process itself without a message.
-func (o *Service) startStatus(ctx *kernel.Context, id uint64) {
-	read := &statusCall{cores: knownCores(o.members.All(ctx.Now)), replies: map[string][]wire.ReplicaStatus{}}
-	o.statusCalls[id] = read
-	for _, core := range read.cores {
-		if o.host != nil && core.Addr == o.members.Local().Addr {
-			read.replies[core.Addr] = o.host.Status(ctx.Now).Replicas
+// startStatus asks every known core. This process, if it is a core, is asked without a message.
+func (s *Service) startStatus(ctx *kernel.Context, id uint64) {
+	call := &statusCall{cores: knownCores(s.members.All(ctx.Now)), replies: map[string][]wire.ReplicaStatus{}}
+	s.statusCalls[id] = call
+	for _, core := range call.cores {
+		if s.host != nil && core.Addr == s.members.Local().Addr {
+			call.replies[core.Addr] = s.host.Status(ctx.Now).Replicas
 			continue
 		}
 		ctx.SendTo(core.Addr, wire.KindStatusRequest, id, &wire.StatusRequest{})
 	}
-	ctx.AfterFor(StatusTimeout, "operate", id)
-	o.finishStatusIfComplete(ctx, id, read)
+	ctx.AfterFor(StatusTimeout, PluginName, id)
+	s.finishStatusIfComplete(ctx, id, call)
 }
 
-// knownCores are the cores among the members, one for each address: of one that has started again
-// its earlier life may still be known.
+// knownCores returns the cores among the members, one for each address. The earlier incarnation of a core that
+// restarted may still be known; the live one is kept.
 func knownCores(all []membership.Member) []membership.Member {
 	var cores []membership.Member
 	at := map[string]int{}
-	for _, row := range all {
-		if row.Role != "core" {
+	for _, member := range all {
+		if member.Role != "core" {
 			continue
 		}
-		i, known := at[row.Addr]
+		i, known := at[member.Addr]
 		switch {
 		case !known:
-			at[row.Addr] = len(cores)
-			cores = append(cores, row)
-		case row.Live && !cores[i].Live:
-			cores[i] = row
+			at[member.Addr] = len(cores)
+			cores = append(cores, member)
+		case member.Live && !cores[i].Live:
+			cores[i] = member
 		}
 	}
 	return cores
 }
 
-// statusReplied takes note of one core's answer.
-func (o *Service) statusReplied(ctx *kernel.Context, id uint64, reply wire.StatusReply) {
-	read := o.statusCalls[id]
-	if read == nil {
+// statusReplied records one core's reply.
+func (s *Service) statusReplied(ctx *kernel.Context, id uint64, reply wire.StatusReply) {
+	call := s.statusCalls[id]
+	if call == nil {
 		return
 	}
-	read.replies[reply.Addr] = reply.Replicas
-	o.finishStatusIfComplete(ctx, id, read)
+	call.replies[reply.Addr] = reply.Replicas
+	s.finishStatusIfComplete(ctx, id, call)
 }
 
-func (o *Service) finishStatusIfComplete(ctx *kernel.Context, id uint64, read *statusCall) {
-	for _, core := range read.cores {
-		if _, told := read.replies[core.Addr]; !told {
+func (s *Service) finishStatusIfComplete(ctx *kernel.Context, id uint64, call *statusCall) {
+	for _, core := range call.cores {
+		if _, responded := call.replies[core.Addr]; !responded {
 			return
 		}
 	}
-	o.finishStatus(ctx, id, read)
+	s.finishStatus(ctx, id, call)
 }
 
-// finishStatus answers with what was told so far.
-func (o *Service) finishStatus(ctx *kernel.Context, id uint64, read *statusCall) {
-	delete(o.statusCalls, id)
-	status := Status{Cores: make([]CoreStatus, 0, len(read.cores))}
-	for _, core := range read.cores {
-		replicas, told := read.replies[core.Addr]
-		status.Cores = append(status.Cores, CoreStatus{Name: core.Name, Zone: core.Zone, Addr: core.Addr, Responded: told, Replicas: replicas})
+// finishStatus answers a call with the replies received so far.
+func (s *Service) finishStatus(ctx *kernel.Context, id uint64, call *statusCall) {
+	delete(s.statusCalls, id)
+	status := Status{Cores: make([]CoreStatus, 0, len(call.cores))}
+	for _, core := range call.cores {
+		replicas, responded := call.replies[core.Addr]
+		status.Cores = append(status.Cores, CoreStatus{Name: core.Name, Zone: core.Zone, Addr: core.Addr, Responded: responded, Replicas: replicas})
 	}
 	ctx.Reply(id, status)
 }
 
-// Newest gives the newest version of each partition that any core knows to be committed.
+// Newest returns the newest version of each partition that any core knows to be committed.
 func (s Status) Newest() map[int]wire.Version {
 	newest := map[int]wire.Version{}
 	for _, core := range s.Cores {
--- a/control/operations/status_test.go
+++ b/control/operations/status_test.go
@@ -1,6 +1,3 @@
-// The state of the groups as an operator is shown it: whoever tells it in time is in it, and a core
-// that is silent is named as such and holds nothing up for long.
-
 package operations
 
 import (
@@ -14,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-// addCores has the node hear of cores, by their names.
+// addCores adds cores to the node's members, by their names.
 func (n *node) addCores(cores ...string) {
 	for _, name := range cores {
 		row := wire.Member{Name: name, Role: "core", Zone: "z-" + name, Addr: name + ":1"}
@@ -22,7 +19,7 @@
 	}
 }
 
-// statusReply has a core answer with one replica at a version.
+// statusReply has a core reply with one replica at a version.
 func (n *node) statusReply(id uint64, name string, seq uint64) {
 	n.receive(wire.KindStatusReply, id, &wire.StatusReply{
 		Addr: name + ":1", Replicas: []wire.ReplicaStatus{{State: "follower", Committed: wire.Version{Term: 4, Seq: seq}}},
@@ -65,7 +62,7 @@
 	must.False(t, status.Cores[1].Responded)
 	n.statusReply(1, "b", 8)
 	again, _ := n.status(1)
-	must.Eq(t, status, again, must.Sprint("an answer that comes late changes nothing"))
+	must.Eq(t, status, again, must.Sprint("a late reply changes nothing"))
 }
 
 func TestStatusWithoutCoresIsEmpty(t *testing.T) {
@@ -80,7 +77,7 @@
 	n := newNode(t)
 	n.addCores("a")
 	n.call(1, ReadStatus{})
-	n.step(kernel.Canceled{Plugin: "operate", ID: 1})
+	n.step(kernel.Canceled{Plugin: PluginName, ID: 1})
 	n.statusReply(1, "a", 7)
 	n.advance(StatusTimeout)
 	_, answered := n.status(1)
--- a/control/operations/submit.go
+++ b/control/operations/submit.go
@@ -1,7 +1,3 @@
-// A call on its way: sent to the partition's leader as it is known, sent again while
-// nobody has answered, handed on by those who know a newer leader, and waited
-// for until the nodes have it in force.
-
 package operations
 
 import (
@@ -10,41 +6,47 @@
 	"wallport/runtime/wire"
 )
 
-// finish ends a call.
-func (o *Service) finish(ctx *kernel.Context, id uint64, c *call, res Result) {
-	delete(o.calls, id)
-	ctx.Reply(id, c.answer(res))
+// finish answers a call and forgets it.
+func (s *Service) finish(ctx *kernel.Context, id uint64, c *call, result Result) {
+	delete(s.calls, id)
+	ctx.Reply(id, c.answer(result))
 }
 
-// attempt sends the edit; its id, or its base and digest, make a second sending harmless.
-func (o *Service) attempt(ctx *kernel.Context, id uint64) {
-	c := o.calls[id]
+// attempt sends a call's edit to the leader and schedules the next attempt. It ends the call once its time is
+// over, and only looks at the nodes once the leader has replied.
+func (s *Service) attempt(ctx *kernel.Context, id uint64) {
+	c := s.calls[id]
 	if c == nil {
 		return
 	}
 	if c.reply != nil {
-		o.awaitInForce(ctx, id, c)
+		s.awaitInForce(ctx, id, c)
 		return
 	}
 	left := c.startedAt + c.timeout() - ctx.Now
 	if left <= 0 {
-		code := wire.CodeOverloaded
-		if c.undeclined > 0 {
-			code = wire.CodeUnknown
-		}
-		o.finish(ctx, id, c, Result{Reply: wire.EditReply{Code: code}})
+		s.timeOut(ctx, id, c)
 		return
 	}
-	if addr := o.leaderAddress(ctx, c); addr != "" {
-		o.send(ctx, id, c, addr)
+	if addr := s.leaderAddress(ctx, c); addr != "" {
+		s.send(ctx, id, c, addr)
 	}
 	c.attempts++
-	ctx.AfterFor(min(AttemptInterval, c.timeout()/minAttempts, left), "operate", id)
+	ctx.AfterFor(min(AttemptInterval, c.timeout()/minAttempts, left), PluginName, id)
+}
+
+// timeOut ends a call without a reply. The outcome is unknown unless every edit sent was declined.
+func (s *Service) timeOut(ctx *kernel.Context, id uint64, c *call) {
+	code := wire.CodeOverloaded
+	if c.undeclined > 0 {
+		code = wire.CodeUnknown
+	}
+	s.finish(ctx, id, c, Result{Reply: wire.EditReply{Code: code}})
 }
 
-// send sends the order, or the question for the version that it is to be bound to. Nothing is
-// sent for a call that nobody waits for any more: the order would act late.
-func (o *Service) send(ctx *kernel.Context, id uint64, c *call, addr string) {
+// send sends a call's edit, or first the query for the version that a command about a zone is bound to. A
+// call that has expired sends nothing.
+func (s *Service) send(ctx *kernel.Context, id uint64, c *call, addr string) {
 	if c.expired(ctx.Now) {
 		return
 	}
@@ -54,92 +56,101 @@
 	} else {
 		c.undeclined++
 	}
-	if o.host != nil && addr == o.members.Local().Addr {
-		o.host.Edit(ctx, id, edit)
+	if s.host != nil && addr == s.members.Local().Addr {
+		s.host.Edit(ctx, id, edit)
 		return
 	}
 	ctx.SendTo(addr, wire.KindEdit, id, &edit)
 }
 
-// redirect sends what a call sends next to an address that a reply named.
-func (o *Service) redirect(ctx *kernel.Context, id uint64, c *call, addr string) {
+// redirect sends a call to the address that a reply named, a bounded number of times.
+func (s *Service) redirect(ctx *kernel.Context, id uint64, c *call, addr string) {
 	if addr == "" || c.redirects >= maxRedirects {
 		return
 	}
 	c.redirects++
-	o.send(ctx, id, c, addr)
+	s.send(ctx, id, c, addr)
 }
 
-// leader is where to send a call next: to the partition's leader as last heard, and every other time to
-// some live core, which knows a newer one once a leader is gone.
-func (o *Service) leaderAddress(ctx *kernel.Context, c *call) string {
+// leaderAddress returns where to send a call next: to the partition's leader as last heard of, and every other time
+// to a random live core, which knows of a newer leader once the old one is gone. It is empty where no core is known.
+func (s *Service) leaderAddress(ctx *kernel.Context, c *call) string {
 	partition := c.command.Edit.Partition
 	addr := ""
-	if o.host != nil {
-		addr = o.host.Leader(partition, ctx.Now)
+	if s.host != nil {
+		addr = s.host.Leader(partition, ctx.Now)
 	}
 	if addr == "" {
-		addr = o.configSync.Leader(partition)
+		addr = s.configSync.Leader(partition)
 	}
 	if addr != "" && c.attempts%2 == 0 {
 		return addr
 	}
-	cores := o.members.Live(ctx.Now, "core")
+	cores := s.members.Live(ctx.Now, "core")
 	if len(cores) == 0 {
 		return addr
 	}
 	return cores[ctx.Rand.IntN(len(cores))].Addr
 }
 
-func (o *Service) editReplied(ctx *kernel.Context, id uint64, r wire.EditReply) {
+func (s *Service) editReplied(ctx *kernel.Context, id uint64, reply wire.EditReply) {
 	if id&versionQueryFlag != 0 {
-		o.versionReplied(ctx, id&^versionQueryFlag, r)
+		s.versionReplied(ctx, id&^versionQueryFlag, reply)
 		return
 	}
-	c := o.calls[id]
+	c := s.calls[id]
 	if c == nil || c.reply != nil {
 		return
 	}
-	switch r.Code {
+	switch reply.Code {
 	case wire.CodeNotLeader:
 		c.undeclined--
-		o.redirect(ctx, id, c, r.Addr)
-		return
+		s.redirect(ctx, id, c, reply.Addr)
 	case wire.CodeStale:
-		o.versionStale(ctx, id, c)
-		return
+		s.versionStale(ctx, id, c)
 	case wire.CodeOverloaded:
 		c.undeclined--
-		return
 	case wire.CodeUnknown:
-		// The edit id lets the next try learn what came of this one.
-		return
+		// The edit id lets the next attempt learn what became of this one.
+	default:
+		s.decided(ctx, id, c, reply)
 	}
-	c.reply, c.repliedAt = &r, ctx.Now
-	if r.Code != wire.CodeOK || !c.command.AwaitInForce {
-		o.finish(ctx, id, c, Result{Reply: r})
+}
+
+// decided records the leader's final reply. The call ends here unless it waits for the nodes.
+func (s *Service) decided(ctx *kernel.Context, id uint64, c *call, reply wire.EditReply) {
+	c.reply, c.repliedAt = &reply, ctx.Now
+	if reply.Code != wire.CodeOK || !c.command.AwaitInForce {
+		s.finish(ctx, id, c, Result{Reply: reply})
 		return
 	}
-	o.awaitInForce(ctx, id, c)
+	s.awaitInForce(ctx, id, c)
 }
 
-// awaitInForce waits until every live node reports the version, or long enough.
-func (o *Service) awaitInForce(ctx *kernel.Context, id uint64, c *call) {
-	res := Result{Reply: *c.reply}
-	for _, n := range o.members.Live(ctx.Now, "node") {
-		in := false
-		for _, s := range n.InForce {
-			in = in || s.Partition == c.reply.Version.Partition && !mesh.Newer(c.reply.Version, s)
-		}
-		if in {
-			res.InForce++
+// awaitInForce ends a call once every live node reports the committed version in force, or its time is over;
+// otherwise it looks again later.
+func (s *Service) awaitInForce(ctx *kernel.Context, id uint64, c *call) {
+	result := Result{Reply: *c.reply}
+	for _, node := range s.members.Live(ctx.Now, "node") {
+		if hasInForce(node.InForce, c.reply.Version) {
+			result.InForce++
 		} else {
-			res.Laggards = append(res.Laggards, n.Name)
+			result.Laggards = append(result.Laggards, node.Name)
 		}
 	}
-	if len(res.Laggards) == 0 || ctx.Now-c.repliedAt >= c.awaitTimeout() {
-		o.finish(ctx, id, c, res)
+	if len(result.Laggards) == 0 || ctx.Now-c.repliedAt >= c.awaitTimeout() {
+		s.finish(ctx, id, c, result)
 		return
 	}
-	ctx.AfterFor(min(50_000, c.repliedAt+c.awaitTimeout()-ctx.Now), "operate", id)
+	ctx.AfterFor(min(inForcePollInterval, c.repliedAt+c.awaitTimeout()-ctx.Now), PluginName, id)
+}
+
+// hasInForce reports whether a node's versions include the wanted one or a newer one of its partition.
+func hasInForce(versions []wire.Version, wanted wire.Version) bool {
+	for _, version := range versions {
+		if version.Partition == wanted.Partition && !mesh.Newer(wanted, version) {
+			return true
+		}
+	}
+	return false
 }
--- a/control/operations/submit_test.go
+++ b/control/operations/submit_test.go
@@ -1,5 +1,3 @@
-// An operator's call: what is said of it, and by when, whatever the cores do.
-
 package operations
 
 import (
@@ -9,19 +7,21 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
+// node runs the kernel of a node or core and keeps what it put out.
 type node struct {
 	t       *testing.T
 	k       *kernel.Kernel
-	now     int64
+	now     clock.Micros
 	timers  []kernel.Timer
 	answers map[uint64]any
-	edits   []string
-	// frames are the edits as they were sent, with their ids.
+	// edits are the addresses to which edits were sent, and frames those edits.
+	edits  []string
 	frames []sentEdit
 }
 
@@ -30,10 +30,11 @@
 	edit wire.Edit
 }
 
-// newNode is a node that has heard from a core that "owner" leads partition 0.
+// newNode returns a node that has heard from a core that "owner" leads partition 0.
 func newNode(t *testing.T) *node {
+	t.Helper()
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
-	n := &node{t: t, k: k, now: 1_000_000, answers: map[uint64]any{}}
+	n := &node{t: t, k: k, now: 1 * clock.Second, answers: map[uint64]any{}}
 	n.step(kernel.Start{})
 	n.receive(wire.KindPullReply, 0, &wire.PullReply{Leaders: []wire.Leader{{Partition: 0, Term: 3, Replica: "s", Addr: "owner"}}})
 	return n
@@ -42,7 +43,7 @@
 func (n *node) step(in kernel.Input) {
 	out := n.k.Step(n.now, n.now, in)
 	for _, timer := range out.Timers {
-		if timer.Plugin == "operate" {
+		if timer.Plugin == PluginName {
 			n.timers = append(n.timers, timer)
 		}
 	}
@@ -65,11 +66,13 @@
 
 func (n *node) reply(id uint64, r wire.EditReply) { n.receive(wire.KindEditReply, id, &r) }
 
-func (n *node) call(id uint64, ask any) { n.step(kernel.Call{Plugin: "operate", ID: id, Request: ask}) }
+func (n *node) call(id uint64, request any) {
+	n.step(kernel.Call{Plugin: PluginName, ID: id, Request: request})
+}
 
-// advance lets time go by, timers in order.
-func (n *node) advance(us int64) {
-	for end := n.now + us; ; {
+// advance moves time on and delivers the timers that are due, in order.
+func (n *node) advance(span clock.Micros) {
+	for end := n.now + span; ; {
 		next := -1
 		for i, v := range n.timers {
 			if v.At <= end && (next < 0 || v.At < n.timers[next].At) {
@@ -87,6 +90,7 @@
 	}
 }
 
+// code returns the code of a call's result, or "" while the call is not answered.
 func (n *node) code(id uint64) wire.Code {
 	v, ok := n.answers[id]
 	if !ok {
@@ -95,52 +99,52 @@
 	return v.(Result).Reply.Code
 }
 
-// routingEdit is an edit that needs no question first.
+// routingEdit is an edit that is sent without a query first.
 func routingEdit() wire.Edit { return wire.Edit{Op: wire.OpPutRouting} }
 
 func TestSubmitTimesOutAsUnknown(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: routingEdit(), AwaitInForce: true, AwaitTimeout: 300_000, Timeout: 800_000})
-	n.advance(799_999)
+	n.call(1, Submit{Edit: routingEdit(), AwaitInForce: true, AwaitTimeout: 300 * clock.Millisecond, Timeout: 800 * clock.Millisecond})
+	n.advance(800*clock.Millisecond - 1)
 	must.Eq(t, "", n.code(1))
 	n.advance(1)
 	must.Eq(t, wire.CodeUnknown, n.code(1))
-	must.Eq(t, 5, len(n.edits), must.Sprint("tried again meanwhile"))
+	must.Eq(t, 5, len(n.edits), must.Sprint("attempted again meanwhile"))
 }
 
 func TestSubmitWithoutCoresIsOverloaded(t *testing.T) {
 	k := newNode(t)
 	k.k = kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
-	k.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
-	k.advance(800_000)
+	k.call(1, Submit{Edit: routingEdit(), Timeout: 800 * clock.Millisecond})
+	k.advance(800 * clock.Millisecond)
 	must.Eq(t, wire.CodeOverloaded, k.code(1))
 }
 
 func TestSubmitDeclinedByAllIsOverloadedAndBySomeUnknown(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
+	n.call(1, Submit{Edit: routingEdit(), Timeout: 800 * clock.Millisecond})
 	for range 8 {
 		for range len(n.edits) {
 			n.reply(1, wire.EditReply{Code: wire.CodeNotLeader})
 		}
 		n.edits = nil
-		n.advance(100_000)
+		n.advance(100 * clock.Millisecond)
 	}
 	must.Eq(t, wire.CodeOverloaded, n.code(1))
-	n.call(2, Submit{Edit: routingEdit(), Timeout: 800_000})
+	n.call(2, Submit{Edit: routingEdit(), Timeout: 800 * clock.Millisecond})
 	n.reply(2, wire.EditReply{Code: wire.CodeNotLeader})
-	n.advance(800_000)
+	n.advance(800 * clock.Millisecond)
 	must.Eq(t, wire.CodeUnknown, n.code(2), must.Sprint("later sendings were not declined"))
 }
 
 func TestSubmitFollowsRedirectsToLeader(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
+	n.call(1, Submit{Edit: routingEdit(), Timeout: 800 * clock.Millisecond})
 	n.reply(1, wire.EditReply{Code: wire.CodeNotLeader, Addr: "other"})
 	must.Eq(t, []string{"owner", "other"}, n.edits)
 	n.reply(1, wire.EditReply{Code: wire.CodeOK, Version: wire.Version{Term: 3, Seq: 1}})
 	must.Eq(t, wire.CodeOK, n.code(1))
-	// Two that name each other do not keep an edit going round for ever.
+	// Two cores that name each other do not keep an edit circulating.
 	n.call(2, Submit{Edit: routingEdit()})
 	n.edits = nil
 	for range 100 {
@@ -151,10 +155,10 @@
 
 func TestSubmitRetriesUnknownOutcome(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: routingEdit(), Timeout: 800_000})
+	n.call(1, Submit{Edit: routingEdit(), Timeout: 800 * clock.Millisecond})
 	n.reply(1, wire.EditReply{Code: wire.CodeUnknown})
 	must.Eq(t, "", n.code(1))
-	n.advance(200_000)
+	n.advance(200 * clock.Millisecond)
 	n.reply(1, wire.EditReply{Code: wire.CodeOK})
 	must.Eq(t, wire.CodeOK, n.code(1))
 }
@@ -162,18 +166,25 @@
 func TestAwaitInForceIsBounded(t *testing.T) {
 	at := wire.Version{Term: 9, Seq: 1}
 	for _, v := range []struct {
-		wait, giveUp, replied, ends int64
-	}{{300_000, 900_000, 0, 300_000}, {300_000, 900_000, 800_000, 900_000}, {0, 0, 0, InForceTimeout}} {
-		n := newNode(t)
-		// This node itself does not have that version in force.
-		n.call(1, Submit{Edit: routingEdit(), AwaitInForce: true, AwaitTimeout: v.wait, Timeout: v.giveUp})
-		n.advance(v.replied)
-		n.reply(1, wire.EditReply{Code: wire.CodeOK, Version: at})
-		n.advance(v.ends - v.replied - 1)
-		must.Eq(t, "", n.code(1))
-		n.advance(1)
-		must.Eq(t, wire.CodeOK, n.code(1))
-		must.Len(t, 1, n.answers[1].(Result).Laggards)
+		name                                   string
+		awaitTimeout, timeout, repliedAt, ends clock.Micros
+	}{
+		{"by its own time-out", 300 * clock.Millisecond, 900 * clock.Millisecond, 0, 300 * clock.Millisecond},
+		{"by the time-out of the call", 300 * clock.Millisecond, 900 * clock.Millisecond, 800 * clock.Millisecond, 900 * clock.Millisecond},
+		{"by the default", 0, 0, 0, InForceTimeout},
+	} {
+		t.Run(v.name, func(t *testing.T) {
+			n := newNode(t)
+			// This node itself does not have that version in force.
+			n.call(1, Submit{Edit: routingEdit(), AwaitInForce: true, AwaitTimeout: v.awaitTimeout, Timeout: v.timeout})
+			n.advance(v.repliedAt)
+			n.reply(1, wire.EditReply{Code: wire.CodeOK, Version: at})
+			n.advance(v.ends - v.repliedAt - 1)
+			must.Eq(t, "", n.code(1))
+			n.advance(1)
+			must.Eq(t, wire.CodeOK, n.code(1))
+			must.Len(t, 1, n.answers[1].(Result).Laggards)
+		})
 	}
 }
 
@@ -181,15 +192,15 @@
 	b, err := proto.Marshal(&routingpb.RoutingTable{Revision: 7})
 	must.NoError(t, err)
 	n := newNode(t)
-	n.call(1, ReadRouting{Timeout: 800_000})
+	n.call(1, ReadRouting{Timeout: 800 * clock.Millisecond})
 	n.reply(1, wire.EditReply{Code: wire.CodeOK, Body: wire.Encode(&wire.ConfigBody{Routing: b})})
 	got := n.answers[1].(Routing)
 	must.Eq(t, wire.CodeOK, got.Code)
 	must.Eq(t, 7, got.Table.Revision)
-	n.call(2, ReadRouting{Timeout: 800_000})
+	n.call(2, ReadRouting{Timeout: 800 * clock.Millisecond})
 	n.reply(2, wire.EditReply{Code: wire.CodeOK})
 	must.Eq(t, Routing{Code: wire.CodeOK}, n.answers[2].(Routing), must.Sprint("none was ever set"))
-	n.call(3, ReadRouting{Timeout: 800_000})
-	n.advance(800_000)
+	n.call(3, ReadRouting{Timeout: 800 * clock.Millisecond})
+	n.advance(800 * clock.Millisecond)
 	must.Eq(t, Routing{Code: wire.CodeOverloaded}, n.answers[3].(Routing))
 }
--- a/control/operations/zone_version.go
+++ b/control/operations/zone_version.go
@@ -1,7 +1,3 @@
-// Orders about zones carry no number of their own. The process that takes one binds it to the
-// version that last took an order about that zone, which it reads from the leader after the order
-// came; the leader refuses any other. So a copy that was held up cannot undo a later order.
-
 package operations
 
 import (
@@ -9,11 +5,16 @@
 	"wallport/runtime/wire"
 )
 
-// versionQueryFlag marks the ids of frames that ask for a zone's version, so that a reply to one is
-// never taken for a reply to the order itself.
+// A command about a zone has no revision of its own. The process that takes it from the operator therefore binds it
+// to the version that last took a command about that zone, which it reads from the leader after the
+// command arrived. The leader refuses a command that is bound to another version, so that a delayed copy cannot
+// undo a later command.
+
+// versionQueryFlag marks the frame ids of queries for a zone's version, so that the reply to a query
+// is never taken for the reply to the command itself.
 const versionQueryFlag uint64 = 1 << 63
 
-// needsVersion tells that an order is not yet bound to what it was given on.
+// needsVersion reports whether the call is a command about a zone that is not yet bound to a version.
 func (c *call) needsVersion() bool {
 	return (c.command.Edit.Op == wire.OpDrainZone || c.command.Edit.Op == wire.OpRestoreZone) && !c.versionBound
 }
@@ -22,34 +23,35 @@
 	return wire.Edit{Partition: c.command.Edit.Partition, Op: wire.OpZoneVersion, Name: c.command.Edit.Name}
 }
 
-// versionReplied binds the order and sends it.
-func (o *Service) versionReplied(ctx *kernel.Context, id uint64, r wire.EditReply) {
-	c := o.calls[id]
+// versionReplied binds the command to the version that the leader named and sends it.
+func (s *Service) versionReplied(ctx *kernel.Context, id uint64, reply wire.EditReply) {
+	c := s.calls[id]
 	if c == nil || c.reply != nil || c.versionBound {
 		return
 	}
-	switch r.Code {
+	switch reply.Code {
 	case wire.CodeNotLeader:
-		o.redirect(ctx, id, c, r.Addr)
+		s.redirect(ctx, id, c, reply.Addr)
 	case wire.CodeVersion:
-		c.versionBound, c.command.Edit.Base = true, r.Version
-		o.redirect(ctx, id, c, r.Addr)
+		c.versionBound, c.command.Edit.Base = true, reply.Version
+		s.redirect(ctx, id, c, reply.Addr)
 	case wire.CodeInvalid:
-		// A leader of a release before 3 has no versions, and takes the order without one. A later
-		// leader refuses it then, unless no order about the zone was ever taken.
+		// A leader of a release before 3 knows no zone versions and takes the command without one. A newer
+		// leader refuses such a command, unless it never took any about the zone.
 		c.versionBound, c.command.Edit.Base = true, wire.Version{}
-		o.redirect(ctx, id, c, o.leaderAddress(ctx, c))
+		s.redirect(ctx, id, c, s.leaderAddress(ctx, c))
 	}
 }
 
-// versionStale has an order read the zone's version again: another order about that zone came first.
-func (o *Service) versionStale(ctx *kernel.Context, id uint64, c *call) {
+// versionStale queries the zone's version again after the leader refused the command: another command about the
+// zone was taken first.
+func (s *Service) versionStale(ctx *kernel.Context, id uint64, c *call) {
 	c.undeclined--
 	if !c.versionBound {
 		return
 	}
 	c.versionBound = false
-	if addr := o.leaderAddress(ctx, c); addr != "" {
-		o.send(ctx, id, c, addr)
+	if addr := s.leaderAddress(ctx, c); addr != "" {
+		s.send(ctx, id, c, addr)
 	}
 }
--- a/control/operations/zone_version_test.go
+++ b/control/operations/zone_version_test.go
@@ -1,6 +1,3 @@
-// Orders about zones: bound to what was in force when they came, sent only while
-// whoever gave them waits.
-
 package operations
 
 import (
@@ -9,6 +6,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -23,20 +21,20 @@
 
 func TestZoneCommandReadsVersionFirst(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
 	read := n.lastFrame()
 	must.Eq(t, "zone_version z1", read.edit.Op+" "+read.edit.Name)
 	n.reply(read.id, zoneVersionReply(7))
-	order := n.lastFrame()
-	must.Eq(t, "empty z1", order.edit.Op+" "+order.edit.Name)
-	must.Eq(t, wire.Version{Term: 3, Seq: 7}, order.edit.Base)
-	n.reply(order.id, wire.EditReply{Code: wire.CodeOK})
+	command := n.lastFrame()
+	must.Eq(t, "empty z1", command.edit.Op+" "+command.edit.Name)
+	must.Eq(t, wire.Version{Term: 3, Seq: 7}, command.edit.Base)
+	n.reply(command.id, wire.EditReply{Code: wire.CodeOK})
 	must.Eq(t, wire.CodeOK, n.code(1))
 }
 
 func TestStaleZoneCommandReadsVersionAgainWhileCallIsOpen(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
 	n.reply(n.lastFrame().id, zoneVersionReply(7))
 	first := n.lastFrame()
 	n.reply(first.id, wire.EditReply{Code: wire.CodeStale})
@@ -44,66 +42,66 @@
 	n.reply(n.lastFrame().id, zoneVersionReply(8))
 	second := n.lastFrame()
 	must.Eq(t, uint64(8), second.edit.Base.Seq)
-	must.Eq(t, first.edit.EditID, second.edit.EditID, must.Sprint("it is the same order"))
+	must.Eq(t, first.edit.EditID, second.edit.EditID, must.Sprint("it is the same command"))
 	n.reply(second.id, wire.EditReply{Code: wire.CodeStale})
-	n.advance(800_000)
-	must.Eq(t, wire.CodeOverloaded, n.code(1), must.Sprint("each sending was declined"))
+	n.advance(800 * clock.Millisecond)
+	must.Eq(t, wire.CodeOverloaded, n.code(1), must.Sprint("each edit sent was declined"))
 }
 
-// A process that was frozen, or that heard late, sends nothing for a call that nobody waits for.
+// A process that was frozen, or that received a reply late, sends nothing for a call whose caller has stopped waiting.
 func TestNoFrameIsSentForFinishedCall(t *testing.T) {
 	for name, over := range map[string]func(n *node){
-		"old":       func(n *node) { n.now += 800_000 },
-		"abandoned": func(n *node) { n.step(kernel.Canceled{Plugin: "operate", ID: 1}) },
+		"old":       func(n *node) { n.now += 800 * clock.Millisecond },
+		"abandoned": func(n *node) { n.step(kernel.Canceled{Plugin: PluginName, ID: 1}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newNode(t)
-			n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+			n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
 			read := n.lastFrame()
 			over(n)
 			n.reply(read.id, zoneVersionReply(7))
 			must.Eq(t, wire.OpZoneVersion, n.lastFrame().edit.Op)
 
 			n = newNode(t)
-			n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+			n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
 			n.reply(n.lastFrame().id, zoneVersionReply(7))
-			order := n.lastFrame()
+			command := n.lastFrame()
 			over(n)
 			sent := len(n.frames)
-			n.reply(order.id, wire.EditReply{Code: wire.CodeStale})
-			n.reply(order.id, wire.EditReply{Code: wire.CodeNotLeader, Addr: "other"})
+			n.reply(command.id, wire.EditReply{Code: wire.CodeStale})
+			n.reply(command.id, wire.EditReply{Code: wire.CodeNotLeader, Addr: "other"})
 			if name == "abandoned" {
-				n.advance(5_000_000)
+				n.advance(5 * clock.Second)
 			}
 			must.Eq(t, sent, len(n.frames))
 		})
 	}
 }
 
-// A leader of the release before does not know the question, and takes orders without it.
+// A leader of the previous release does not know the query, and takes commands without it.
 func TestZoneCommandToLeaderOfEarlierRelease(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
 	n.reply(n.lastFrame().id, wire.EditReply{Code: wire.CodeInvalid})
 	must.Eq(t, "empty z1", n.lastFrame().edit.Op+" "+n.lastFrame().edit.Name)
 	must.Eq(t, wire.Version{}, n.lastFrame().edit.Base)
 }
 
-// A reply to the question says nothing of the order, which another core may take meanwhile.
+// A reply to the query says nothing of the command, which another core may take meanwhile.
 func TestDeclinedVersionQueryDoesNotDeclineCommand(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
 	read := n.lastFrame()
 	n.reply(read.id, zoneVersionReply(7))
 	n.reply(read.id, wire.EditReply{Code: wire.CodeNotLeader})
-	n.advance(800_000)
+	n.advance(800 * clock.Millisecond)
 	must.Eq(t, wire.CodeUnknown, n.code(1))
 }
 
 func TestUnansweredVersionQueryIsOverloaded(t *testing.T) {
 	n := newNode(t)
-	n.call(1, Submit{Edit: drainEdit(), Timeout: 800_000})
-	n.advance(800_000)
+	n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
+	n.advance(800 * clock.Millisecond)
 	must.Eq(t, wire.CodeOverloaded, n.code(1))
 	for _, f := range n.frames {
 		must.Eq(t, wire.OpZoneVersion, f.edit.Op)
@@ -121,7 +119,7 @@
 	must.Eq(t, wire.CodeOverloaded, n.answers[2].(History).Code)
 }
 
-// A zone of which a whole list knows nothing is not drained; one that may exist is.
+// A zone that is not in a complete list is not drained; one that may exist is.
 func TestDrainRefusesUnknownZone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -131,11 +129,11 @@
 		refuse bool
 	}{
 		{"nothing known", wire.BackendList{}, "empty", "z9", false},
-		{"a list in part", wire.BackendList{Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z9", false},
+		{"an incomplete list", wire.BackendList{Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z9", false},
 		{"nothing there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z9", true},
 		{"a backend there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z2", false},
 		{"a member there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z1", false},
-		{"taken back", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "refill", "z9", false},
+		{"restored", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "refill", "z9", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(t)
@@ -155,7 +153,7 @@
 	}
 }
 
-// A zone that has lost all that was in it is still drained where the settings name it.
+// A zone that has lost everything in it is still drained where the settings name it.
 func TestDrainAcceptsEmptyZoneOfSettings(t *testing.T) {
 	n := newNode(t)
 	n.announce("listing", wire.Encode(&wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}))
@@ -165,8 +163,8 @@
 	must.Len(t, 1, n.frames)
 }
 
-// announce has the node's own mesh hold an entry.
+// announce has the node's own mesh store an entry.
 func (n *node) announce(typ string, body []byte) {
 	n.k.Later(func(ctx *kernel.Context) { kernel.Find[*mesh.Mesh](n.k).Announce(ctx, typ, typ, body, false) })
-	n.step(kernel.Tick{Plugin: "operate", Key: "none"})
+	n.step(kernel.Tick{Plugin: PluginName, Key: "none"})
 }
