--- a/lab/caller/check.go
+++ b/lab/caller/check.go
@@ -44,11 +44,12 @@
 			return
 		}
 		k.summary.Outcomes[o.kind+" "+f.Name]++
-		retry := f.Name == search.CodeUnavailable || f.Name == search.CodeGivenUp || f.Name == search.CodeRateLimited
+		code := search.Code(f.Name)
+		retry := code == search.CodeUnavailable || code == search.CodeGivenUp || code == search.CodeRateLimited
 		if retry && resp.Header.Get("Retry-After") == "" {
 			k.wrong("%s: %s without Retry-After", o.kind, f.Name)
 		}
-		if f.Ran == "no" && o.key != "" && f.Name != search.CodeConflict && !o.repeat {
+		if f.Ran == "no" && o.key != "" && code != search.CodeConflict && !o.repeat {
 			k.refusedKeys[o.key] = true
 		}
 		return
--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -19,9 +19,9 @@
 		w.Checker.Aborted(p.name, w.now, planned && !w.killed[p.name])
 		return
 	}
-	w.logEvent(p.name + " " + o.ID + " " + in.Kind + " " + in.Key + " " + o.Code + " " + o.Why)
-	w.Checker.Count("outcome."+o.Code, 1)
-	w.Checker.Count("outcome."+in.Kind+"."+o.Code, 1)
+	w.logEvent(p.name + " " + o.ID + " " + in.Kind + " " + in.Key + " " + string(o.Code) + " " + o.Why)
+	w.Checker.Count("outcome."+string(o.Code), 1)
+	w.Checker.Count("outcome."+in.Kind+"."+string(o.Code), 1)
 	if took := w.now - sent; took > in.Deadline+100_000 {
 		w.Checker.Count("late", 1)
 	}
@@ -72,7 +72,7 @@
 		c.refused[in.Key] = true
 		return "repeat"
 	}
-	if strings.HasSuffix(o.Why, "; "+search.ReplyRejected) && w.serverRefuses(in) {
+	if strings.HasSuffix(o.Why, "; "+string(search.ReplyRejected)) && w.serverRefuses(in) {
 		// A server's own refusal, and no budget left to ask another: two rules meet here.
 		return "server"
 	}
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -96,7 +96,7 @@
 			f.step(r, search.KeyChecked{Admission: ans.(search.Admission)})
 		})
 	case search.ResolveKey:
-		p.call("idempotency", idempotency.RecordOutcome{Key: v.Key, Code: v.Resolution, Token: v.Token, Attempted: v.Attempted, Outcome: v.Outcome}, nil)
+		p.call("idempotency", idempotency.RecordOutcome{Key: v.Key, Code: string(v.Resolution), Token: v.Token, Attempted: v.Attempted, Outcome: v.Outcome}, nil)
 	case search.Finish:
 		delete(f.requests, r)
 		f.ordered = slices.DeleteFunc(f.ordered, func(o *searchRequest) bool { return o == r })
--- a/request/httpapi/caller.go
+++ b/request/httpapi/caller.go
@@ -68,7 +68,7 @@
 }
 
 func failure(o search.Outcome) *caller.Failure {
-	f := &caller.Failure{Name: o.Code, Message: o.Why, Ran: o.Ran, Inquiry: &o.ID}
+	f := &caller.Failure{Name: string(o.Code), Message: o.Why, Ran: string(o.Ran), Inquiry: &o.ID}
 	if f.Ran == "" {
 		f.Ran = "no"
 	}
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -94,7 +94,7 @@
 }
 
 func (r *run) recordOutcome(v search.ResolveKey) {
-	r.node.process.Post(kernel.Call{Plugin: "idempotency", Request: idempotency.RecordOutcome{Key: v.Key, Code: v.Resolution, Token: v.Token, Attempted: v.Attempted, Outcome: v.Outcome}})
+	r.node.process.Post(kernel.Call{Plugin: "idempotency", Request: idempotency.RecordOutcome{Key: v.Key, Code: string(v.Resolution), Token: v.Token, Attempted: v.Attempted, Outcome: v.Outcome}})
 }
 
 func (r *run) loop() search.Outcome {
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -85,7 +85,7 @@
 	pending.attempted = pending.attempted || r.Attempted
 	switch r.Code {
 	case "done", "running", "conflict":
-		c.finish(ctx, n, search.Admission{Code: r.Code, Outcome: r.Body})
+		c.finish(ctx, n, search.Admission{Code: search.AdmissionCode(r.Code), Outcome: r.Body})
 		return
 	}
 	c.decide(ctx, n, pending)
--- a/request/search/bench_test.go
+++ b/request/search/bench_test.go
@@ -10,13 +10,13 @@
 
 func BenchmarkSearchChart(b *testing.B) {
 	snap := newSnapshot(12, 4)
-	d := desk(snap)
+	d := newTestDispatcher(snap)
 	reply := Reply{Class: ReplyOK, Records: []Record{{ID: "a", Score: 3}, {ID: "b", Score: 2}, {ID: "c", Score: 1}}}
 	now := int64(0)
 	for b.Loop() {
 		now += 1000
 		m := NewStateMachine(d, Request{Kind: KindSearch, Index: "a", Limit: 10}, now)
-		for _, v := range asks(m.Step(now, Start{})) {
+		for _, v := range sends(m.Step(now, Start{})) {
 			m.Step(now+500, ReplyReceived{Attempt: v.Attempt, Reply: reply})
 		}
 	}
--- a/request/search/dispatcher.go
+++ b/request/search/dispatcher.go
@@ -1,48 +1,46 @@
-// Package search is the way of one inquiry through a node, as a state chart:
-// read, classified, let in, picked, asked, re-asked, gathered, and then
-// answered, shed or given up. A chart takes events and returns acts; a driver
-// carries them out over real HTTP or in the simulator.
 package search
 
 import (
 	"fmt"
-	"hash/fnv"
 	"sync"
 	"sync/atomic"
 
 	"wallport/cluster/loadreport"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/random"
 )
 
-// Dispatcher is what all charts of one node share. Everything on it may be used by many threads.
+// Dispatcher is what all requests of one node share. It may be used by many goroutines.
 type Dispatcher struct {
+	// Snapshot returns the newest routing snapshot, nil before the first.
 	Snapshot   func() *snapshot.Snapshot
 	LoadReport *loadreport.Reporter
 	Counts     *kernel.Counts
 	Traces     *TraceRing
-	Name       string
-	Seed       uint64
-	StartedAt  int64
-
-	nextID        atomic.Uint64
-	budgets       sync.Map
-	limiters      sync.Map
-	shardMapUsers sync.Map
+	// Name is the node's name; requests' ids begin with it.
+	Name string
+	// Seed is where the random sources of requests start from.
+	Seed      uint64
+	StartedAt clock.Micros
+
+	nextID       atomic.Uint64
+	retryBudgets sync.Map // index -> *tokenbucket.Bucket
+	limiters     sync.Map // index -> *indexLimiters
 }
 
-// Config is what a desk is made of.
+// Config is what a dispatcher is made of.
 type Config struct {
 	Snapshots  *snapshot.Table
 	LoadReport *loadreport.Reporter
 	Counts     *kernel.Counts
 	Name       string
 	Seed       uint64
-	Now        int64
+	Now        clock.Micros
 }
 
-// NewDispatcher makes a desk.
+// NewDispatcher returns the dispatcher of a node.
 func NewDispatcher(c Config) *Dispatcher {
 	return &Dispatcher{
 		Snapshot: c.Snapshots.Current, LoadReport: c.LoadReport, Counts: c.Counts, Traces: newTraceRing(),
@@ -50,59 +48,8 @@
 	}
 }
 
-// Kinds of inquiries.
-const (
-	KindSearch  = "search"
-	KindRead    = "read"
-	KindCorrect = "correct"
-	KindPart    = "part"
-)
-
-// Request is one checked inquiry of a caller.
-type Request struct {
-	Kind     string
-	Index    string
-	Record   string
-	Part     int
-	Query    string
-	Limit    int
-	Body     string
-	Key      string
-	Deadline int64
-	// FirstAttempt is the caller's word that it never sent this key before.
-	FirstAttempt bool
-	// Digest tells two inquiries under one key apart.
-	Digest uint64
-}
-
-// AtMostOnce tells that an inquiry must not run twice.
-func (q *Request) AtMostOnce() bool { return q.Kind == KindCorrect || q.Kind == KindPart }
-
-// RequestDigest digests what an inquiry asks for.
-func RequestDigest(q *Request) uint64 {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%s\x00%s\x00%s\x00%d\x00%s", q.Kind, q.Index, q.Record, q.Part, q.Body)
-	return h.Sum64()
-}
-
-// ShardOf is the shard of a record in a cut of so many shards.
-func ShardOf(record string, shards int) int {
-	h := fnv.New32a()
-	h.Write([]byte(record))
-	return int(h.Sum32() % uint32(max(1, shards)))
-}
-
 func (d *Dispatcher) newID() string { return fmt.Sprintf("%s-%x", d.Name, d.nextID.Add(1)) }
 
-// rnd is the random source of one chart.
-type rnd = random.Source
-
-// usersOf counts the searches that are under way on one cut of an index.
-func (d *Dispatcher) usersOf(index, cut string) *atomic.Int64 {
-	key := index + "\x00" + cut
-	if v, ok := d.shardMapUsers.Load(key); ok {
-		return v.(*atomic.Int64)
-	}
-	v, _ := d.shardMapUsers.LoadOrStore(key, new(atomic.Int64))
-	return v.(*atomic.Int64)
+func (d *Dispatcher) newRandom() random.Source {
+	return random.Source(d.Seed + d.nextID.Load()*0x9e37)
 }
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -1,13 +1,9 @@
-// The events a chart takes and the acts it returns.
-
 package search
 
-import "wallport/request/snapshot"
-
-// State is a named state of the chart.
+// State is a named state of the state machine, as traces show it.
 type State string
 
-// The states of an inquiry.
+// The states of a request.
 const (
 	StateRead       State = "read"
 	StateClassified State = "classified"
@@ -21,52 +17,80 @@
 	StateGivenUp    State = "given_up"
 )
 
-// Event is one of the types below.
+// Event is an input of the state machine: one of the types below.
 type Event any
 
 type (
-	// Start starts the chart.
+	// Start starts the state machine.
 	Start struct{}
-	// KeyChecked tells what the homes said of the inquiry's key.
+	// KeyChecked answers [AdmitKey].
 	KeyChecked struct{ Admission Admission }
-	// ReplyReceived tells what became of an ask.
+	// ReplyReceived gives the result of a [Send].
 	ReplyReceived struct {
 		Attempt int
 		Reply   Reply
 	}
-	// TimerFired tells that the moment of the last Wake has come.
+	// TimerFired says that the moment of the last [SetTimer] has come.
 	TimerFired struct{}
 )
 
-// Admission on a claim: in, running, done, conflict, short (too few homes answer) or
-// unknown (those that answer have lost what they knew).
+// AdmissionCode is what the owners of an idempotency key decided.
+type AdmissionCode string
+
+// The decisions on an idempotency key.
+const (
+	// AdmissionGranted lets the request run.
+	AdmissionGranted AdmissionCode = "in"
+	// AdmissionInProgress says that a request of this key is running.
+	AdmissionInProgress AdmissionCode = "running"
+	// AdmissionCompleted says that a request of this key has run; its outcome comes along.
+	AdmissionCompleted AdmissionCode = "done"
+	// AdmissionConflict says that the key was used for another request.
+	AdmissionConflict AdmissionCode = "conflict"
+	// AdmissionNoQuorum says that too few owners of the key answered.
+	AdmissionNoQuorum AdmissionCode = "short"
+	// AdmissionStateLost says that the owners that answered have lost what they knew of the key.
+	AdmissionStateLost AdmissionCode = "unknown"
+)
+
+// Admission is the answer of a key's owners.
 type Admission struct {
-	Code string
-	// Token names this one claim, for its release.
-	Token   string
-	Reason  string
+	Code AdmissionCode
+	// Token names this one admission, for its release.
+	Token  string
+	Reason string
+	// Outcome is the encoded [Outcome] of the earlier request, with AdmissionCompleted.
 	Outcome []byte
-	// Repeat tells that an earlier try under the key reached a server.
+	// Repeat says that an earlier attempt under the key reached a server.
 	Repeat bool
 }
 
-// Reply classes.
+// ReplyClass is the result of an attempt.
+type ReplyClass string
+
+// The classes of replies.
 const (
-	ReplyOK         = "ok"
-	ReplyNotWritten = "not_written"
-	ReplyRejected   = "shed"
-	ReplyFailed     = "failed"
-	ReplyInvalid    = "garbage"
-	ReplyNotFound   = "absent"
+	ReplyOK ReplyClass = "ok"
+	// ReplyNotWritten says that not one byte was written to the server.
+	ReplyNotWritten ReplyClass = "not_written"
+	// ReplyRejected is the server's statement that it did not run the request.
+	ReplyRejected ReplyClass = "shed"
+	// ReplyFailed is an attempt that was written and got no response, or a failure.
+	ReplyFailed ReplyClass = "failed"
+	// ReplyInvalid is a response that failed the checks of [CheckResponse].
+	ReplyInvalid ReplyClass = "garbage"
+	// ReplyNotFound says that the server has no such record.
+	ReplyNotFound ReplyClass = "absent"
 )
 
-// Reply is a checked answer of a server.
+// Reply is a checked response of a server, or why there is none.
 type Reply struct {
-	Class       string
+	Class       ReplyClass
 	Reason      string
 	Records     []Record
 	Incarnation int64
-	Load        int64
+	// Load is how many requests the server reports to have under way.
+	Load int64
 }
 
 // Record is one record.
@@ -75,76 +99,3 @@
 	Score int64  `json:"score"`
 	Body  string `json:"body,omitempty"`
 }
-
-// Send is a message to a server.
-type Send struct {
-	Attempt    int
-	ID         string
-	Server     *snapshot.Backend
-	Shard      int
-	ShardCount int
-	ShardMap   string
-	Timeout    int64
-	Request    *Request
-	// Retry marks a repeated try, which the budget paid for.
-	Retry bool
-	// Replacement marks one that takes the place of a try that was never written.
-	Replacement bool
-}
-
-// Action is one of the types below, or an Ask.
-type Action any
-
-type (
-	// Cancel gives an ask up; its answer is not wanted any more.
-	Cancel struct{ Attempt int }
-	// AdmitKey asks the homes of a key; First is the caller's word that it never sent it before.
-	AdmitKey struct {
-		Key          string
-		Index        string
-		Digest       uint64
-		FirstAttempt bool
-		Timeout      int64
-		// OnlyDetectRepeat asks only whether a search or read was sent before.
-		OnlyDetectRepeat bool
-	}
-	// ResolveKey tells the homes what a claim came to.
-	ResolveKey struct {
-		Key        string
-		Resolution string
-		Token      string
-		Attempted  bool
-		Outcome    Outcome
-	}
-	// SetTimer asks for a Due at a moment.
-	SetTimer struct{ At int64 }
-	// Finish gives the final outcome.
-	Finish struct{ Outcome Outcome }
-)
-
-// Outcome codes beside ok are the names of the API's failures.
-const (
-	CodeOK             = "ok"
-	CodeMalformed      = "malformed"
-	CodeNotFound       = "unknown"
-	CodeRateLimited    = "over_ceiling"
-	CodeUnavailable    = "shed"
-	CodeGivenUp        = "given_up"
-	CodeOutcomeUnknown = "outcome_unknown"
-	CodeConflict       = "conflict"
-)
-
-// Outcome is what the caller is told.
-type Outcome struct {
-	ID      string
-	Code    string
-	Why     string
-	Ran     string
-	Retry   int
-	Cut     string
-	Shard   int
-	Shards  []int
-	Missing []int
-	Records []Record
-	Repeat  bool
-}
--- /dev/null
+++ b/request/search/explain.go
@@ -0,0 +1,86 @@
+package search
+
+import (
+	"slices"
+
+	"wallport/request/snapshot"
+)
+
+// Explanation is the response of the explain API.
+type Explanation struct {
+	*Trace
+	Version    string      `json:"stamp"`
+	ShardMap   string      `json:"cut"`
+	Outcome    Outcome     `json:"outcome"`
+	Candidates []Candidate `json:"candidates"`
+}
+
+// Candidate is a server as it stood when the request was decided, and why it was or was not selected.
+type Candidate struct {
+	Shard             int    `json:"shard"`
+	Server            string `json:"server"`
+	Zone              string `json:"zone"`
+	Health            string `json:"verdict"`
+	WarmthThousandths int64  `json:"warm_thousandths"`
+	Reason            string `json:"why"`
+}
+
+// Why a candidate was or was not selected, in the API's words.
+const (
+	reasonNotSampled = "in the draw, not drawn"
+	reasonHigherCost = "drawn, the other cost less"
+	reasonSelected   = "picked"
+	reasonRetried    = "picked for a re-ask"
+	reasonUnhealthy  = "condition is "
+)
+
+// Explain returns a trace with the candidates of every shard that it selected a server for.
+// versionText writes the version of the snapshot that the request was decided by.
+func Explain(t *Trace, versionText func(*snapshot.Snapshot) string) Explanation {
+	e := Explanation{Trace: t, Outcome: t.Outcome, Candidates: []Candidate{}}
+	if t.snapshot == nil {
+		return e
+	}
+	e.Version = versionText(t.snapshot)
+	index := t.snapshot.Indexes[t.Index]
+	if index == nil {
+		return e
+	}
+	e.ShardMap = index.ShardMap.Name
+	selected := map[int]bool{}
+	for i := range t.Selections {
+		selected[t.Selections[i].Shard] = true
+	}
+	for shard, servers := range index.Shards {
+		if !selected[shard] {
+			continue
+		}
+		for _, s := range servers {
+			e.Candidates = append(e.Candidates, explainCandidate(t, index, shard, s))
+		}
+	}
+	return e
+}
+
+func explainCandidate(t *Trace, index *snapshot.Index, shard int, server *snapshot.Backend) Candidate {
+	c := Candidate{
+		Shard: shard, Server: server.ID, Zone: server.Zone, Health: snapshot.HealthStateNames[server.Health],
+		WarmthThousandths: server.SlowStartShare(t.StartedAt, index.Service.RampUs),
+	}
+	c.Reason = reasonNotSampled
+	if server.Health != snapshot.Healthy {
+		c.Reason = reasonUnhealthy + c.Health
+	}
+	for i := range t.Selections {
+		s := &t.Selections[i]
+		switch {
+		case s.Server == server.ID && s.Retry:
+			c.Reason = reasonRetried
+		case s.Server == server.ID:
+			c.Reason = reasonSelected
+		case s.Shard == shard && slices.Contains(s.Sampled, server.ID) && c.Reason == reasonNotSampled:
+			c.Reason = reasonHigherCost
+		}
+	}
+	return c
+}
--- a/request/search/golden_test.go
+++ b/request/search/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 // The digest by which owners of a key, of two releases, tell two inquiries under one key apart.
-func TestSumIsThatOfEarlierReleases(t *testing.T) {
+func TestRequestDigestIsUnchanged(t *testing.T) {
 	for kind, sum := range map[string]uint64{
 		"search":  17592480188054273655,
 		"read":    8775655374562159203,
@@ -21,14 +21,14 @@
 }
 
 // A record stays on the shard that it is stored on.
-func TestShardOfARecordIsThatOfEarlierReleases(t *testing.T) {
+func TestShardOfIsUnchanged(t *testing.T) {
 	for record, shards := range map[string][2]int{"": {2, 5}, "r1": {4, 44}, "r2": {5, 37}} {
 		must.Eq(t, shards, [2]int{ShardOf(record, 7), ShardOf(record, 64)}, must.Sprint(record))
 	}
 }
 
 // The owners of a key keep the encoded outcome and give it to repeats, also to those of another release.
-func TestOutcomeEncodingIsThatOfEarlierReleases(t *testing.T) {
+func TestOutcomeEncodingIsUnchanged(t *testing.T) {
 	o := Outcome{
 		ID: "n-1", Code: CodeOK, Why: "why", Ran: "no", Retry: 1, Cut: "c1", Shard: 2, Shards: []int{0}, Missing: []int{1},
 		Records: []Record{{ID: "r", Score: 3, Body: "b"}}, Repeat: true,
--- a/request/search/limits.go
+++ b/request/search/limits.go
@@ -1,40 +1,49 @@
-// Limits: each index has a gate per kind and one for what of the pool is not booked. A kind
-// inside its share or its booked slice is let in whatever the others do; above
-// it, what the others leave unused may be taken, up to the kind's ceiling.
-// A limit is the fleet's: this node's part of it is its part of what the fleet is
-// asked. Sums of parts are one, so that a fleet asked for more than the limit lets
-// in the limit. What a node has saved, up to its equal part, is for callers who move
-// to it before the others know.
-
 package search
 
 import (
 	"wallport/cluster/loadreport"
 	"wallport/request/snapshot"
 	"wallport/request/tokenbucket"
+	"wallport/runtime/clock"
 )
 
-// burstSeconds is how much, in seconds of its rate, a gate may save.
-const burstSeconds = 2
+// limitName names the limit that admitted or rejected a request, in traces and failures.
+type limitName string
+
+const (
+	limitRate       limitName = "ceiling"
+	limitReserved   limitName = "booked slice"
+	limitQuota      limitName = "share"
+	limitUnreserved limitName = "left by others"
+	limitPool       limitName = "pool"
+)
 
-// full, as the moment of the last filling, lets a gate begin with all that it may save.
-const filledAtStart = -60_000_000
+const (
+	// burstSeconds is how many seconds of its rate a limiter may save.
+	burstSeconds = 2
+	// refilledBeforeStart, as the time of the last refill, makes a limiter begin full.
+	refilledBeforeStart = -1 * clock.Minute
+)
 
-// limiter is one limit's part of this node.
+// limiter is this node's part of one limit.
 type limiter struct{ tokenbucket.Bucket }
 
-// allow takes one place of a limit of which this node has a part, in a fleet of so
-// many nodes; force takes it anyway and lets the gate owe as much as it may save.
-func (g *limiter) allow(now int64, limit float64, m *loadreport.Meter, nodes int, force bool) bool {
-	part := m.LocalLimit(limit, nodes)
-	most := max(tokenbucket.One, int64(burstSeconds*tokenbucket.One*max(part, limit/float64(max(1, nodes)))))
-	g.Refill(now, int64(tokenbucket.One*part), most)
+// allow takes a request from a limit, in requests a second of the whole fleet. This node has a part
+// of it: that of the fleet's requests which it gets, by meter. What it saves, up to the equal part
+// of one of so many nodes, is for callers who move to it before the other nodes know. With force
+// the request is taken anyway, and the limiter may owe as much as it may save.
+func (l *limiter) allow(now clock.Micros, limit float64, meter *loadreport.Meter, nodes int, force bool) bool {
+	part := meter.LocalLimit(limit, nodes)
+	capacity := max(tokenbucket.One, int64(burstSeconds*tokenbucket.One*max(part, limit/float64(max(1, nodes)))))
+	l.Refill(now, int64(tokenbucket.One*part), capacity)
 	if force {
-		return g.Take(tokenbucket.One, tokenbucket.One-most, most)
+		return l.Take(tokenbucket.One, tokenbucket.One-capacity, capacity)
 	}
-	return limit > 0 && g.Take(tokenbucket.One, tokenbucket.One, most)
+	return limit > 0 && l.Take(tokenbucket.One, tokenbucket.One, capacity)
 }
 
+// indexLimiters are the limiters of an index: three a kind, and one for the capacity that is not
+// reserved for any kind.
 type indexLimiters struct {
 	unreserved limiter
 	kinds      map[string]*kindLimiters
@@ -46,45 +55,48 @@
 	if v, ok := d.limiters.Load(index); ok {
 		return v.(*indexLimiters)
 	}
-	g := &indexLimiters{kinds: map[string]*kindLimiters{}}
-	for _, k := range []string{KindSearch, KindRead, KindCorrect, KindPart} {
-		g.kinds[k] = &kindLimiters{}
-		for _, one := range []*limiter{&g.kinds[k].reserved, &g.kinds[k].quota, &g.kinds[k].rate} {
-			one.RefilledAt.Store(filledAtStart)
+	limiters := &indexLimiters{kinds: map[string]*kindLimiters{}}
+	limiters.unreserved.RefilledAt.Store(refilledBeforeStart)
+	for _, name := range []string{KindSearch, KindRead, KindCorrect, KindPart} {
+		kind := &kindLimiters{}
+		for _, l := range []*limiter{&kind.reserved, &kind.quota, &kind.rate} {
+			l.RefilledAt.Store(refilledBeforeStart)
 		}
+		limiters.kinds[name] = kind
 	}
-	g.unreserved.RefilledAt.Store(filledAtStart)
-	v, _ := d.limiters.LoadOrStore(index, g)
+	v, _ := d.limiters.LoadOrStore(index, limiters)
 	return v.(*indexLimiters)
 }
 
-// withinLimits decides whether an inquiry is inside the limits, and says why.
-func (d *Dispatcher) withinLimits(snap *snapshot.Snapshot, x *snapshot.Index, kind string, now int64) (bool, string) {
-	m, all := d.LoadReport.Meter(x.Name, kind), d.LoadReport.Meter(x.Name, "")
-	m.Inc()
-	all.Inc()
-	l := x.Limits[kind]
-	g := d.limitersOf(x.Name)
-	k := g.kinds[kind]
-	m.SetLimits(l.RateLimit, l.Share+l.Reserved)
-	all.SetLimits(x.Capacity, 0)
-	if l.RateLimit > 0 && !k.rate.allow(now, l.RateLimit, m, snap.Peers, false) {
-		return false, "ceiling"
+// withinLimits decides whether a request is admitted by the limits of its kind, and by which. A kind
+// inside its quota or its reservation is admitted whatever the others do; above it, the kind may
+// use what the others leave, up to its rate limit.
+func (d *Dispatcher) withinLimits(snap *snapshot.Snapshot, index *snapshot.Index, kind string, now clock.Micros) (bool, limitName) {
+	kindMeter, indexMeter := d.LoadReport.Meter(index.Name, kind), d.LoadReport.Meter(index.Name, "")
+	kindMeter.Inc()
+	indexMeter.Inc()
+	limit := index.Limits[kind]
+	limiters := d.limitersOf(index.Name)
+	own := limiters.kinds[kind]
+	kindMeter.SetLimits(limit.RateLimit, limit.Share+limit.Reserved)
+	indexMeter.SetLimits(index.Capacity, 0)
+	if limit.RateLimit > 0 && !own.rate.allow(now, limit.RateLimit, kindMeter, snap.Peers, false) {
+		return false, limitRate
 	}
-	if l.Reserved > 0 && k.reserved.allow(now, l.Reserved, m, snap.Peers, false) {
-		return true, "booked slice"
+	if limit.Reserved > 0 && own.reserved.allow(now, limit.Reserved, kindMeter, snap.Peers, false) {
+		return true, limitReserved
 	}
-	// What is booked is kept for its kind, used or not; the rest is shared out.
-	free := x.Capacity
-	for _, o := range x.Limits {
-		free -= o.Reserved
+	// What is reserved is kept for its kind, used or not; the rest is shared out.
+	unreserved := index.Capacity
+	for _, other := range index.Limits {
+		unreserved -= other.Reserved
 	}
-	if k.quota.allow(now, l.Share, m, snap.Peers, false) {
-		g.unreserved.allow(now, free, all, snap.Peers, true)
-		return true, "share"
+	if own.quota.allow(now, limit.Share, kindMeter, snap.Peers, false) {
+		limiters.unreserved.allow(now, unreserved, indexMeter, snap.Peers, true)
+		return true, limitQuota
 	}
-	if g.unreserved.allow(now, free, all, snap.Peers, false) {
-		return true, "left by others"
+	if limiters.unreserved.allow(now, unreserved, indexMeter, snap.Peers, false) {
+		return true, limitUnreserved
 	}
-	return false, "pool"
+	return false, limitPool
 }
--- a/request/search/response.go
+++ b/request/search/response.go
@@ -1,17 +1,14 @@
-// The check of a server's answer: it must echo the ask, come from the shard
-// and cut that were asked, be whole by length and digest, and be in order.
-// Anything else is garbage and is never passed on.
-
 package search
 
 import (
 	"crypto/sha256"
 	"encoding/base64"
 	"encoding/json"
+	"net/http"
 	"slices"
 )
 
-// ServerResponse is a server's answer, as it stands in the body.
+// ServerResponse is the body of a server's response.
 type ServerResponse struct {
 	RequestID   string   `json:"inquiry"`
 	ShardMap    string   `json:"cut"`
@@ -21,67 +18,80 @@
 	Records     []Record `json:"records"`
 }
 
-// RawResponse is an answer before it is checked.
+// RawResponse is a response before it is checked.
 type RawResponse struct {
 	Status int
+	// Length is the Content-Length field; below 0 without one.
 	Length int64
+	// Digest is the Content-Digest field.
 	Digest string
 	Body   []byte
 }
 
-// ContentDigest is the Content-Digest field of a body.
+// ContentDigest returns the Content-Digest field of a body.
 func ContentDigest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 }
 
-// CheckResponse judges an answer to an ask.
+// CheckResponse checks the response to an attempt. It must be complete by length and digest, echo
+// the attempt, its shard and its shard map, and hold records of that shard, in order and each once.
+// Any other response is [ReplyInvalid], with the reason, and its content is never passed on.
 func CheckResponse(a *Send, raw RawResponse) Reply {
-	garbage := func(why string) Reply { return Reply{Class: ReplyInvalid, Reason: why} }
 	if raw.Length >= 0 && raw.Length != int64(len(raw.Body)) {
-		return garbage("length")
+		return invalid("length")
 	}
 	if raw.Digest != ContentDigest(raw.Body) {
-		return garbage("digest")
+		return invalid("digest")
 	}
-	var s ServerResponse
-	if json.Unmarshal(raw.Body, &s) != nil {
-		return garbage("body")
+	var response ServerResponse
+	if json.Unmarshal(raw.Body, &response) != nil {
+		return invalid("body")
 	}
 	switch {
-	case s.RequestID != a.ID:
-		return garbage("answers another inquiry")
-	case s.ShardMap != a.ShardMap:
-		return garbage("another cut")
-	case s.Shard != a.Shard:
-		return garbage("another shard")
+	case response.RequestID != a.ID:
+		return invalid("answers another inquiry")
+	case response.ShardMap != a.ShardMap:
+		return invalid("another cut")
+	case response.Shard != a.Shard:
+		return invalid("another shard")
 	}
-	r := Reply{Class: ReplyOK, Records: s.Records, Incarnation: s.Incarnation, Load: s.Load}
+	reply := Reply{Class: ReplyOK, Records: response.Records, Incarnation: response.Incarnation, Load: response.Load}
 	switch raw.Status {
-	case 200:
-	case 404:
-		r.Class = ReplyNotFound
-		return r
-	case 503:
-		r.Class = ReplyRejected
-		return r
+	case http.StatusOK:
+	case http.StatusNotFound:
+		reply.Class = ReplyNotFound
+		return reply
+	case http.StatusServiceUnavailable:
+		reply.Class = ReplyRejected
+		return reply
 	default:
-		r.Class, r.Reason = ReplyFailed, "status"
-		return r
+		reply.Class, reply.Reason = ReplyFailed, "status"
+		return reply
+	}
+	if reason := checkRecords(a, response.Records); reason != "" {
+		return invalid(reason)
 	}
-	if !slices.IsSortedFunc(s.Records, Before) {
-		return garbage("records out of order")
+	return reply
+}
+
+func invalid(reason string) Reply { return Reply{Class: ReplyInvalid, Reason: reason} }
+
+// checkRecords returns what is wrong with the records of a response, or nothing.
+func checkRecords(a *Send, records []Record) string {
+	if !slices.IsSortedFunc(records, Before) {
+		return "records out of order"
 	}
-	if a.Request.Kind != KindSearch && (len(s.Records) != 1 || s.Records[0].ID != a.Request.Record) {
-		return garbage("another record")
+	if a.Request.Kind != KindSearch && (len(records) != 1 || records[0].ID != a.Request.Record) {
+		return "another record"
 	}
-	for i, rec := range s.Records {
-		if ShardOf(rec.ID, a.ShardCount) != a.Shard {
-			return garbage("a record of another shard")
+	for i, record := range records {
+		if ShardOf(record.ID, a.ShardCount) != a.Shard {
+			return "a record of another shard"
 		}
-		if i > 0 && rec.ID == s.Records[i-1].ID {
-			return garbage("a record twice")
+		if i > 0 && record.ID == records[i-1].ID {
+			return "a record twice"
 		}
 	}
-	return r
+	return ""
 }
--- a/request/search/selection.go
+++ b/request/search/selection.go
@@ -1,124 +1,155 @@
-// The pick of a server for a shard: the cheaper of two drawn at random, one of
-// them from the own zone where that is possible, among the best tier that has
-// any. If every server looks bad, the least bad tier is used. A cold server is
-// drawn only as often as its ramp allows, which holds fleet-wide without any
-// counting, unless the whole tier is cold.
-
 package search
 
 import (
 	"slices"
 
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
+	"wallport/runtime/random"
 )
 
-// Selection tells of a pick, for explain.
+// Selection is the server selected for an attempt and how it was found, for explain.
 type Selection struct {
-	Server    *snapshot.Backend
-	Sampled   []string
+	Server *snapshot.Backend
+	// Sampled are the ids of the two servers that were drawn.
+	Sampled []string
+	// Tier is the name of the best tier that had any server.
 	Tier      string
 	WarmingUp bool
 }
 
-var tierNames = []string{"usable", "slow", "doubtful", "lost", "garbage"}
+// tier ranks servers by health: the lowest that has any server is selected from.
+type tier int
+
+const (
+	tierExcluded tier = iota - 1
+	tierHealthy
+	tierSlow
+	tierSuspect
+	tierUnreachable
+	tierCorrupt
+	tierCount
+)
+
+// tierNames are the tiers' names in traces.
+var tierNames = [tierCount]string{"usable", "slow", "doubtful", "lost", "garbage"}
 
-// tierOf sorts a server by how good it looks; below zero it is never picked.
-func tierOf(s *snapshot.Backend, now int64) int {
+// tierOf returns the tier of a server. Draining servers and drained zones are never selected.
+func tierOf(s *snapshot.Backend, now clock.Micros) tier {
 	switch {
 	case s.Health == snapshot.Draining || s.Health == snapshot.ZoneDrained:
-		return -1
+		return tierExcluded
 	case s.Health == snapshot.Corrupt:
-		return 4
+		return tierCorrupt
 	case s.Health == snapshot.Unreachable:
-		return 3
+		return tierUnreachable
 	case s.Health == snapshot.Suspect || s.Gauge.EjectedUntil.Load() > now:
-		return 2
+		return tierSuspect
 	case s.Health == snapshot.Slow:
-		return 1
+		return tierSlow
+	}
+	return tierHealthy
+}
+
+// selectServer selects a server for an attempt by the power of two choices: of two servers drawn at
+// random from the best tier, that with the shorter expected wait. One of the two is of the node's
+// own zone where that is possible. Servers in attempted are left out. It reports whether there is one.
+//
+// A server in slow start is drawn only as often as its warmth allows. That bounds its load for the
+// whole fleet without any counting; where the whole tier is warming up, warmth is relative.
+func selectServer(snap *snapshot.Snapshot, index *snapshot.Index, servers []*snapshot.Backend, attempted []string, now clock.Micros, rnd *random.Source) (Selection, bool) {
+	candidates, best := bestTier(servers, attempted, now)
+	if len(candidates) == 0 {
+		return Selection{}, false
+	}
+	slowStart := index.Service.RampUs
+	warm := candidates
+	if len(candidates) > 1 {
+		warm = sampleByWarmth(candidates, now, slowStart, rnd)
+	}
+	// The first is of the own zone, if its warmth allows: a zone whose servers are all warming up
+	// must not send all the work of its nodes to the one that chance lets through.
+	first := sampleOne(inZone(candidates, snap.Zone), rnd)
+	if !slices.Contains(warm, first) && len(candidates) > 1 {
+		first = sampleOne(warm, rnd)
+	}
+	second := sampleOne(warm, rnd)
+	selected := first
+	if expectedWait(second, snap.Zone) < expectedWait(first, snap.Zone) {
+		selected = second
 	}
-	return 0
+	return Selection{
+		Server: selected, Sampled: []string{first.ID, second.ID}, Tier: tierNames[best],
+		WarmingUp: selected.SlowStartShare(now, slowStart) < 1000,
+	}, true
 }
 
-func selectServer(snap *snapshot.Snapshot, x *snapshot.Index, servers []*snapshot.Backend, tried []string, now int64, r *rnd) (Selection, bool) {
+// bestTier returns the servers of the best tier that has any, without those in attempted.
+func bestTier(servers []*snapshot.Backend, attempted []string, now clock.Micros) ([]*snapshot.Backend, tier) {
 	var best []*snapshot.Backend
-	at := len(tierNames)
+	lowest := tierCount
 	for _, s := range servers {
-		if slices.Contains(tried, s.ID) {
+		if slices.Contains(attempted, s.ID) {
 			continue
 		}
-		n := tierOf(s, now)
-		if n < 0 || n > at {
+		t := tierOf(s, now)
+		if t == tierExcluded || t > lowest {
 			continue
 		}
-		if n < at {
-			at, best = n, best[:0]
+		if t < lowest {
+			lowest, best = t, best[:0]
 		}
 		best = append(best, s)
 	}
-	if len(best) == 0 {
-		return Selection{}, false
-	}
-	ramp := x.Service.RampUs
-	warm := best
-	if len(best) > 1 {
-		warm = sampleByWarmth(best, now, ramp, r)
-	}
-	c := Selection{Tier: tierNames[at]}
-	// One of the own zone, if its warmth lets it: a zone whose servers are all cold must
-	// not have the whole work of its nodes for the one that is let through by chance.
-	a := sampleOne(inZone(best, snap.Zone), r)
-	if !slices.Contains(warm, a) && len(best) > 1 {
-		a = sampleOne(warm, r)
-	}
-	b := sampleOne(warm, r)
-	c.Sampled = []string{a.ID, b.ID}
-	c.Server = a
-	if expectedWait(b, snap.Zone) < expectedWait(a, snap.Zone) {
-		c.Server = b
-	}
-	c.WarmingUp = c.Server.SlowStartShare(now, ramp) < 1000
-	return c, true
+	return best, lowest
 }
 
-// sampleByWarmth leaves each cold server in with the chance that its warmth gives it.
-// Where all are cold, warmth only counts against the warmest.
-func sampleByWarmth(all []*snapshot.Backend, now, ramp int64, r *rnd) []*snapshot.Backend {
-	most := int64(1)
-	for _, s := range all {
-		most = max(most, s.SlowStartShare(now, ramp))
+// sampleByWarmth keeps each server with a probability of its slow-start share, relative to that of
+// the warmest.
+func sampleByWarmth(servers []*snapshot.Backend, now, slowStart clock.Micros, rnd *random.Source) []*snapshot.Backend {
+	warmest := int64(1)
+	for _, s := range servers {
+		warmest = max(warmest, s.SlowStartShare(now, slowStart))
 	}
-	out := make([]*snapshot.Backend, 0, len(all))
-	for _, s := range all {
-		w := s.SlowStartShare(now, ramp)
-		if w >= most || int64(r.IntN(int(most))) < w {
-			out = append(out, s)
+	kept := make([]*snapshot.Backend, 0, len(servers))
+	for _, s := range servers {
+		share := s.SlowStartShare(now, slowStart)
+		if share >= warmest || int64(rnd.IntN(int(warmest))) < share {
+			kept = append(kept, s)
 		}
 	}
-	return out
+	return kept
 }
 
-func inZone(all []*snapshot.Backend, zone string) []*snapshot.Backend {
-	var out []*snapshot.Backend
-	for _, s := range all {
+// inZone returns the servers of a zone, or all where it has none.
+func inZone(servers []*snapshot.Backend, zone string) []*snapshot.Backend {
+	var found []*snapshot.Backend
+	for _, s := range servers {
 		if s.Zone == zone {
-			out = append(out, s)
+			found = append(found, s)
 		}
 	}
-	if len(out) == 0 {
-		return all
+	if len(found) == 0 {
+		return servers
 	}
-	return out
+	return found
+}
+
+func sampleOne(servers []*snapshot.Backend, rnd *random.Source) *snapshot.Backend {
+	return servers[rnd.IntN(len(servers))]
 }
 
-func sampleOne(all []*snapshot.Backend, r *rnd) *snapshot.Backend { return all[r.IntN(len(all))] }
+// minLatency, half a millisecond, is added to a server's latency, so that one that has not answered yet has a cost too.
+const minLatency clock.Micros = 500
 
-// expectedWait is the expected wait: what is outstanding here and reported there,
-// times what an answer takes; another zone costs a quarter more.
+// expectedWait estimates how long a request to a server would wait, on a scale of its own: the
+// requests that this node has outstanding there, fourfold, and the load that the server reports,
+// times its latency. Another zone costs a quarter more.
 func expectedWait(s *snapshot.Backend, zone string) int64 {
-	lat := s.Gauge.Latency.Load() + 500
-	c := (s.Gauge.Outstanding.Load()*4 + s.Gauge.Usage.Load() + 4) * lat
+	latency := s.Gauge.Latency.Load() + minLatency
+	wait := (s.Gauge.Outstanding.Load()*4 + s.Gauge.Usage.Load() + 4) * latency
 	if s.Zone != zone {
-		c += c / 4
+		wait += wait / 4
 	}
-	return c
+	return wait
 }
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -1,191 +1,266 @@
-// What happens as answers come or fail to come: re-asking, hedging, gathering,
-// merging, and giving up at once when nothing more can come of it.
-
 package search
 
 import (
-	"cmp"
-	"fmt"
-	"slices"
+	"wallport/request/snapshot"
+	"wallport/runtime/clock"
+)
+
+// maxAttempts bounds the attempts for one shard of which anything was written.
+const maxAttempts = 3
+
+// shardRequest is what a request does at one shard.
+type shardRequest struct {
+	answered bool
+	// missing says that no answer of the shard can come any more.
+	missing bool
+	records []Record
+	// reason is why the shard was asked again or is missing.
+	reason string
+	// attempts counts all attempts, openAttempts those under way, and unwritten those of which
+	// nothing was written, which cost no server anything.
+	attempts     int
+	openAttempts int
+	unwritten    int
+	// attemptedServers are the ids of the servers that are not selected again.
+	attemptedServers []string
+	hedgeAt          clock.Micros
+}
+
+// attempt is one sending of the request to a server.
+type attempt struct {
+	shard  int
+	server *snapshot.Backend
+	sentAt clock.Micros
+	open   bool
+}
+
+// attemptReason says what an attempt is made for, and thereby who pays for it.
+type attemptReason uint8
+
+const (
+	initialAttempt attemptReason = iota
+	// budgetedRetry is a retry or hedged request, which the retry budget pays for.
+	budgetedRetry
+	// replacementAttempt replaces one of which nothing was written. It adds nothing to the pool's
+	// traffic and is free.
+	replacementAttempt
+	// prepaidRetry belongs to a caller's repeat, for which the budget has paid as a whole.
+	prepaidRetry
 )
 
-func (m *StateMachine) replyReceived(now int64, v ReplyReceived) {
+// sendToShards sends the admitted request to each shard that it needs. What a caller's repeat will
+// cost is taken from the retry budget first.
+func (m *StateMachine) sendToShards(now clock.Micros) {
+	if now >= m.deadline {
+		m.reject(now, CodeGivenUp, "the deadline passed before a server was asked", 1)
+		return
+	}
+	if len(m.index.Shards) == 0 {
+		m.reject(now, CodeUnavailable, "the index has no cut yet", 1)
+		return
+	}
+	m.transition(now, StateAdmitted, "")
+	m.shardRequests = make([]shardRequest, len(m.index.Shards))
+	needed := len(m.index.Shards)
+	if m.request.Kind != KindSearch {
+		m.recordShard, needed = ShardOf(m.request.Record, len(m.index.Shards)), 1
+	}
+	why := initialAttempt
+	if m.isRepeat {
+		why = prepaidRetry
+		if !m.dispatcher.takeRetries(m.snapshot, m.request.Index, now, int64(needed)) {
+			m.reject(now, CodeRateLimited, ReasonRetryBudgetExhausted, 1)
+			return
+		}
+	}
+	for shard := range m.index.Shards {
+		if m.request.Kind == KindSearch || shard == m.recordShard {
+			m.send(now, shard, why)
+		}
+	}
+	m.finishIfDecided(now)
+	m.armTimer(now)
+}
+
+// refreshSnapshot takes the newest snapshot for further attempts if it still serves the request's
+// shard map: what has begun to drain since must not be selected.
+func (m *StateMachine) refreshSnapshot() {
+	newest := m.dispatcher.Snapshot()
+	index := newest.Indexes[m.request.Index]
+	if index != nil && index.ShardMap.Name == m.shardMap && len(index.Shards) == len(m.shardRequests) {
+		m.snapshot, m.index = newest, index
+	}
+}
+
+// send selects a server for a shard and sends an attempt to it. Without a server, or without
+// budget, the shard is missing once no attempt is open.
+func (m *StateMachine) send(now clock.Micros, shard int, why attemptReason) {
+	s := &m.shardRequests[shard]
+	selected, ok := selectServer(m.snapshot, m.index, m.index.Shards[shard], s.attemptedServers, now, &m.rnd)
+	if !ok {
+		s.missing = s.openAttempts == 0
+		if s.reason == "" {
+			s.reason = "no server may be asked"
+		}
+		return
+	}
+	switch why {
+	case replacementAttempt:
+		m.transition(now, StateRetried, s.reason)
+	case budgetedRetry:
+		if !m.dispatcher.takeRetries(m.snapshot, m.request.Index, now, 1) {
+			s.missing = s.openAttempts == 0
+			s.reason = "budget of repeated tries is used up; " + s.reason
+			return
+		}
+		m.transition(now, StateRetried, s.reason)
+	case prepaidRetry:
+		m.transition(now, StateSelected, "a repeat of the caller's")
+	default:
+		m.transition(now, StateSelected, "")
+		m.dispatcher.replenishRetryBudget(m.snapshot, m.request.Index, now)
+	}
+	n := len(m.attempts)
+	server := selected.Server
+	m.attempts = append(m.attempts, attempt{shard: shard, server: server, sentAt: now, open: true})
+	m.trace.selected(now, n, shard, selected, why != initialAttempt)
+	left := m.deadline - now
+	s.attemptedServers = append(s.attemptedServers, server.ID)
+	s.openAttempts++
+	s.attempts++
+	s.hedgeAt = now + min(max(m.index.Service.HedgeUs, 3*server.Gauge.Latency.Load()), max(left/2, 1))
+	server.Gauge.Outstanding.Add(1)
+	server.Gauge.Requested.Add(1)
+	m.state = StateSent
+	m.emit(Send{
+		Attempt: n, ID: m.ID() + "." + attemptSuffix(n), Server: server,
+		Shard: shard, ShardCount: len(m.index.Shards), ShardMap: m.shardMap,
+		Timeout: left, Request: &m.request,
+		Retry: why == budgetedRetry || why == prepaidRetry, Replacement: why == replacementAttempt,
+	})
+}
+
+// attemptSuffix tells the ids of a request's attempts apart.
+func attemptSuffix(n int) string { return string(rune('a'+n%26)) + string(rune('a'+n/26%26)) }
+
+// replyReceived takes the reply to an open attempt, and retries the shard where it may.
+func (m *StateMachine) replyReceived(now clock.Micros, v ReplyReceived) {
 	if v.Attempt >= len(m.attempts) || !m.attempts[v.Attempt].open {
 		return
 	}
-	t := m.attempts[v.Attempt]
-	w := &m.shardRequests[t.shard]
+	shard := m.attempts[v.Attempt].shard
+	s := &m.shardRequests[shard]
 	m.closeAttempt(now, v.Attempt, v.Reply)
 	m.trace.replied(now, v.Attempt, v.Reply)
-	if w.answered || w.missing {
+	if s.answered || s.missing {
 		return
 	}
 	switch v.Reply.Class {
 	case ReplyOK:
-		w.answered, w.records = true, v.Reply.Records
-		m.cancelShard(now, t.shard)
+		s.answered, s.records = true, v.Reply.Records
+		m.cancelShard(now, shard)
 	case ReplyNotFound:
-		m.finish(now, StateAnswered, Outcome{Code: CodeNotFound, Why: "no such record", Ran: "no", Cut: m.shardMap, Shard: t.shard})
+		m.finish(now, StateAnswered, Outcome{Code: CodeNotFound, Why: "no such record", Ran: ExecutionNone, Cut: m.shardMap, Shard: shard})
 		return
 	case ReplyNotWritten:
-		w.reason = v.Reply.Class
-		w.unwritten++
-		m.retry(now, t.shard, replacement)
+		s.reason = string(v.Reply.Class)
+		s.unwritten++
+		m.retry(now, shard, replacementAttempt)
 	case ReplyRejected:
-		w.reason = v.Reply.Class
-		m.retry(now, t.shard, budgetedRetry)
+		s.reason = string(v.Reply.Class)
+		m.retry(now, shard, budgetedRetry)
 	default:
-		w.reason = v.Reply.Class + ": " + v.Reply.Reason
+		s.reason = string(v.Reply.Class) + ": " + v.Reply.Reason
 		if m.request.AtMostOnce() {
-			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: "unknown", Why: "the server was written to and gave no whole answer: " + v.Reply.Reason, Shard: t.shard})
+			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and gave no whole answer: " + v.Reply.Reason, Shard: shard})
 			return
 		}
-		m.retry(now, t.shard, budgetedRetry)
+		m.retry(now, shard, budgetedRetry)
 	}
 	m.finishIfDecided(now)
 	m.armTimer(now)
 }
 
-// retry re-asks a shard elsewhere if tries, time and budget allow.
-func (m *StateMachine) retry(now int64, shard int, why sendReason) {
-	w := &m.shardRequests[shard]
+// retry sends another attempt for a shard if attempts and time are left.
+func (m *StateMachine) retry(now clock.Micros, shard int, why attemptReason) {
+	s := &m.shardRequests[shard]
 	m.refreshSnapshot()
-	if w.attempts-w.unwritten >= maxAttempts || now >= m.deadline {
-		w.missing = w.openAttempts == 0
+	if s.attempts-s.unwritten >= maxAttempts || now >= m.deadline {
+		s.missing = s.openAttempts == 0
 		return
 	}
 	m.send(now, shard, why)
 }
 
-// cancelShard cancels what is still out for a shard that has its answer.
-func (m *StateMachine) cancelShard(now int64, shard int) {
-	for n := range m.attempts {
-		if t := &m.attempts[n]; t.shard == shard && t.open {
-			m.penalizeLatency(now, t)
-			m.closeAttempt(now, n, Reply{})
-			m.emit(Cancel{Attempt: n})
+// mayHedge reports whether a slow shard may be sent another attempt before its deadline.
+func (m *StateMachine) mayHedge(s *shardRequest) bool {
+	return !m.request.AtMostOnce() && s.attempts-s.unwritten < maxAttempts && s.hedgeAt < m.deadline
+}
+
+// hedgeSlow sends another attempt for each shard whose last one has taken too long.
+func (m *StateMachine) hedgeSlow(now clock.Micros) {
+	for shard := range m.shardRequests {
+		s := &m.shardRequests[shard]
+		if s.openAttempts == 0 || s.answered || !m.mayHedge(s) || now < s.hedgeAt || now >= m.deadline {
+			continue
+		}
+		s.reason = "no answer yet"
+		before := s.attempts
+		m.send(now, shard, budgetedRetry)
+		if s.attempts == before {
+			s.hedgeAt = m.deadline
 		}
 	}
 }
 
-func (m *StateMachine) timerFired(now int64) {
-	if m.state == StateRead {
-		m.start(now)
-		return
-	}
-	if m.state == StateClassified {
-		m.dispatcher.Counts.Add("shed_claims", 1)
-		m.reject(now, CodeUnavailable, ReasonTooFewKeyOwners+"no verdict in time", 1)
-		return
-	}
-	m.refreshSnapshot()
-	for i := range m.shardRequests {
-		w := &m.shardRequests[i]
-		if w.openAttempts > 0 && !w.answered && m.mayHedge(w) && now >= w.hedgeAt && now < m.deadline {
-			w.reason = "no answer yet"
-			before := w.attempts
-			m.send(now, i, budgetedRetry)
-			if w.attempts == before {
-				w.hedgeAt = m.deadline
-			}
+// cancelShard cancels the open attempts for a shard that has answered.
+func (m *StateMachine) cancelShard(now clock.Micros, shard int) {
+	for n := range m.attempts {
+		if t := &m.attempts[n]; t.shard == shard && t.open {
+			m.cancelAttempt(now, n)
 		}
 	}
-	m.finishIfDecided(now)
-	m.armTimer(now)
 }
 
-// finishIfDecided ends the chart once it is known how.
-func (m *StateMachine) finishIfDecided(now int64) {
-	if m.finished {
-		return
-	}
-	if m.request.Kind == KindSearch {
-		m.finishSearchIfDecided(now)
-		return
-	}
-	w := &m.shardRequests[m.recordShard]
-	switch {
-	case w.answered:
-		m.transition(now, StateGathered, "")
-		m.finish(now, StateAnswered, Outcome{Code: CodeOK, Cut: m.shardMap, Shard: m.recordShard, Records: w.records})
-	case w.missing && w.attempts == 0:
-		m.reject(now, CodeUnavailable, w.reason, 1)
-	case w.missing && m.request.AtMostOnce():
-		// Nothing was written in any of the tries, or it would have ended above.
-		m.reject(now, CodeUnavailable, "no server could be reached: "+w.reason, 1)
-	case w.missing:
-		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: "unknown", Why: w.reason, Retry: 1})
-	case now >= m.deadline && m.request.AtMostOnce():
-		m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: "unknown", Why: "no answer within the deadline"})
-	case now >= m.deadline:
-		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: "unknown", Why: "no answer within the deadline", Retry: 1})
+// cancelAttempt cancels an open attempt. It counts in its server's latency as if it took until now.
+func (m *StateMachine) cancelAttempt(now clock.Micros, n int) {
+	t := &m.attempts[n]
+	gauge := t.server.Gauge
+	if took := now - t.sentAt; took > gauge.Latency.Load() {
+		gauge.Latency.Store(gauge.Latency.Load() + (took-gauge.Latency.Load())/8)
 	}
+	m.closeAttempt(now, n, Reply{})
+	m.emit(Cancel{Attempt: n})
 }
 
-func (m *StateMachine) finishSearchIfDecided(now int64) {
-	done, left, asked := 0, 0, 0
-	why := ""
-	for i := range m.shardRequests {
-		w := &m.shardRequests[i]
-		asked += w.attempts
-		switch {
-		case w.answered:
-			done++
-		case w.missing:
-			why = w.reason
-		default:
-			left++
-		}
+// closeAttempt ends an open attempt and updates its server's gauge by the reply.
+func (m *StateMachine) closeAttempt(now clock.Micros, n int, r Reply) {
+	t := &m.attempts[n]
+	if !t.open {
+		return
 	}
-	need := int(m.index.Service.RequiredShare) * len(m.shardRequests)
-	enough := done > 0 && done*100 >= need
-	switch {
-	case left == 0 && enough, enough && now >= m.partialAt():
-		m.merge(now)
-	case (done+left)*100 < need || len(m.shardRequests) == 0:
-		if asked == 0 || len(m.shardRequests) == 0 {
-			m.reject(now, CodeUnavailable, "too few shards have a server: "+why, 1)
-			return
-		}
-		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: "unknown", Why: "too many shards failed: " + why, Retry: 1})
-	case now >= m.deadline:
-		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: "unknown", Why: fmt.Sprintf("%d of %d shards within the deadline", done, len(m.shardRequests)), Retry: 1})
+	t.open = false
+	m.shardRequests[t.shard].openAttempts--
+	gauge := t.server.Gauge
+	gauge.Outstanding.Add(-1)
+	if r.Incarnation > gauge.Incarnation.Load() {
+		gauge.Incarnation.Store(r.Incarnation)
 	}
-}
-
-// Before orders records of a merged answer.
-func Before(a, b Record) int {
-	if a.Score != b.Score {
-		return cmp.Compare(b.Score, a.Score)
+	switch r.Class {
+	case ReplyOK, ReplyNotFound:
+		gauge.Succeeded(now - t.sentAt)
+		gauge.Usage.Store(r.Load)
+	case ReplyInvalid:
+		gauge.Corrupted(now)
+		m.dispatcher.Counts.Add("answers_garbage", 1)
+	case ReplyFailed, ReplyNotWritten, ReplyRejected:
+		gauge.Failed(now)
 	}
-	return cmp.Compare(a.ID, b.ID)
 }
 
-// merge takes the heads of the shards' sorted lists, one cut, each shard once.
-func (m *StateMachine) merge(now int64) {
-	done, missing := m.answeredShards()
-	m.transition(now, StateGathered, "")
-	at := make([]int, len(m.shardRequests))
-	out := make([]Record, 0, m.request.Limit)
-	for len(out) < m.request.Limit {
-		best := -1
-		for _, s := range done {
-			if at[s] >= len(m.shardRequests[s].records) {
-				continue
-			}
-			if best < 0 || Before(m.shardRequests[s].records[at[s]], m.shardRequests[best].records[at[best]]) < 0 {
-				best = s
-			}
-		}
-		if best < 0 {
-			break
-		}
-		r := m.shardRequests[best].records[at[best]]
-		at[best]++
-		if len(out) > 0 && out[len(out)-1].ID == r.ID {
-			continue
-		}
-		out = append(out, r)
+// recordLateReply takes a reply that came after the outcome; it still updates the gauge.
+func (m *StateMachine) recordLateReply(now clock.Micros, v ReplyReceived) {
+	if v.Attempt < len(m.attempts) {
+		m.closeAttempt(now, v.Attempt, v.Reply)
 	}
-	m.finish(now, StateAnswered, Outcome{Code: CodeOK, Cut: m.shardMap, Shards: done, Missing: missing, Records: slices.Clip(out)})
 }
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -1,96 +1,82 @@
-// The chart itself: what is common to all kinds of inquiries. What a search
-// does with its shards and a single inquiry with its one is beside it.
-
 package search
 
 import (
-	"slices"
-	"sync/atomic"
-
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
+	"wallport/runtime/random"
 )
 
-// Figures of the chart.
 const (
-	maxAttempts = 3
-	// margin is kept of a deadline for the answer's own way back: a twentieth, 20 ms at most.
-	maxMargin = 20_000
-	// partialAfterPercent is how much of the deadline, in hundredths, a search waits for
-	// its last shards once it has its required share.
+	// maxReplyMargin bounds what is kept of a deadline for the response's own way back, which is
+	// a twentieth of it.
+	maxReplyMargin = 20 * clock.Millisecond
+	// partialAfterPercent is how much of its deadline a search waits for its last shards once it
+	// has its required share.
 	partialAfterPercent = 80
+	// staleRecheckInterval is how often a request that waits for the fresh snapshot of a thawed
+	// node looks again.
+	staleRecheckInterval = 10 * clock.Millisecond
 )
 
-type attempt struct {
-	shard  int
-	server *snapshot.Backend
-	sentAt int64
-	open   bool
-}
-
-type shardRequest struct {
-	answered         bool
-	missing          bool
-	records          []Record
-	attemptedServers []string
-	openAttempts     int
-	attempts         int
-	// unwritten counts the tries of which nothing was written: they ask nothing of anyone.
-	unwritten int
-	hedgeAt   int64
-	reason    string
-}
-
-// StateMachine is one inquiry under way. It is used by one thread at a time.
+// StateMachine is one request under way. It is used by one goroutine at a time.
 type StateMachine struct {
-	dispatcher    *Dispatcher
-	request       Request
-	snapshot      *snapshot.Snapshot
-	index         *snapshot.Index
-	shardMap      string
-	state         State
-	startedAt     int64
-	deadline      int64
+	dispatcher *Dispatcher
+	request    Request
+	state      State
+	finished   bool
+	startedAt  clock.Micros
+	deadline   clock.Micros
+
+	// snapshot and index are what servers are selected from; they are replaced by newer ones
+	// while these have the same shard map, which stays for the whole request.
+	snapshot *snapshot.Snapshot
+	index    *snapshot.Index
+	shardMap string
+
+	// shardRequests has an element for each shard; of a request for one record, only that of
+	// recordShard is used.
 	shardRequests []shardRequest
-	attempts      []attempt
 	recordShard   int
-	finished      bool
-	shardMapUsers *atomic.Int64
-	rnd           rnd
-	actions       []Action
-	trace         *Trace
-	holdsKey      bool
-	// isRepeat marks a repeat of the caller's: its tries are paid from the budget.
-	isRepeat bool
+	attempts      []attempt
+
+	// holdsKey says that the key's owners admitted the request, under keyToken.
+	holdsKey bool
 	keyToken string
+	// isRepeat marks a caller's repeat: its attempts are paid from the retry budget.
+	isRepeat bool
+
+	rnd     random.Source
+	actions []Action
+	trace   *Trace
 }
 
-// NewStateMachine makes the chart of a checked inquiry.
-func NewStateMachine(d *Dispatcher, in Request, now int64) *StateMachine {
+// NewStateMachine returns the state machine of a checked request.
+func NewStateMachine(d *Dispatcher, request Request, now clock.Micros) *StateMachine {
 	id := d.newID()
-	m := &StateMachine{dispatcher: d, request: in, startedAt: now, state: StateRead, rnd: rnd(d.Seed + d.nextID.Load()*0x9e37)}
-	m.trace = newTrace(id, &in, now)
+	m := &StateMachine{dispatcher: d, request: request, startedAt: now, state: StateRead, rnd: d.newRandom()}
+	m.trace = newTrace(id, &request, now)
 	return m
 }
 
-// ID is the inquiry's id.
+// ID returns the request's id.
 func (m *StateMachine) ID() string { return m.trace.ID }
 
-// State is the state that the inquiry is in.
+// State returns the state that the request is in.
 func (m *StateMachine) State() State { return m.state }
 
-// Finished tells that the outcome has been given.
+// Finished reports whether the outcome has been given.
 func (m *StateMachine) Finished() bool { return m.finished }
 
-// Step takes one event and returns what is to be done.
-func (m *StateMachine) Step(now int64, ev Event) []Action {
+// Step takes one event and returns the actions to carry out, in order.
+func (m *StateMachine) Step(now clock.Micros, event Event) []Action {
 	m.actions = nil
 	if m.finished {
-		if r, ok := ev.(ReplyReceived); ok {
-			m.recordLateReply(now, r)
+		if v, ok := event.(ReplyReceived); ok {
+			m.recordLateReply(now, v)
 		}
 		return nil
 	}
-	switch v := ev.(type) {
+	switch v := event.(type) {
 	case Start:
 		m.start(now)
 	case KeyChecked:
@@ -103,20 +89,18 @@
 	return m.actions
 }
 
-func (m *StateMachine) transition(now int64, s State, note string) {
-	m.state = s
-	m.trace.add(now, s, note)
+func (m *StateMachine) transition(now clock.Micros, next State, note string) {
+	m.state = next
+	m.trace.add(now, next, note)
 }
 
 func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// staleRecheck is how often an inquiry that waits for a thawed node's table looks again.
-const staleRecheck = 10_000
-
-func (m *StateMachine) start(now int64) {
+// start classifies the request and admits it by the limits. Where the snapshot is stale, it waits.
+func (m *StateMachine) start(now clock.Micros) {
 	m.snapshot = m.dispatcher.Snapshot()
 	if m.snapshot != nil && m.snapshot.Stale && now-m.startedAt < snapshot.MaxStale {
-		m.emit(SetTimer{At: now + staleRecheck})
+		m.emit(SetTimer{At: now + staleRecheckInterval})
 		return
 	}
 	m.dispatcher.Counts.Add("inquiries", 1)
@@ -125,97 +109,100 @@
 		return
 	}
 	m.trace.snapshot = m.snapshot
-	x, ok := m.snapshot.Indexes[m.request.Index]
+	index, ok := m.snapshot.Indexes[m.request.Index]
 	if !ok {
 		m.reject(now, CodeNotFound, "no such index", 0)
 		return
 	}
-	m.index, m.shardMap = x, x.ShardMap.Name
-	deadline := m.request.Deadline
-	if deadline == 0 {
-		deadline = x.Service.DeadlineUs
-	}
-	deadline = min(deadline, x.Service.MaxDeadlineUs)
-	m.deadline = m.startedAt + deadline - min(deadline/20, maxMargin)
+	m.index, m.shardMap = index, index.ShardMap.Name
+	m.setDeadline()
 	m.transition(now, StateClassified, m.request.Kind)
-	if ok, why := m.dispatcher.withinLimits(m.snapshot, x, m.request.Kind, now); !ok {
+	ok, limit := m.dispatcher.withinLimits(m.snapshot, index, m.request.Kind, now)
+	if !ok {
 		m.dispatcher.Counts.Add("over_ceiling", 1)
-		m.reject(now, CodeRateLimited, "the "+why+" of "+m.request.Kind+" is used up", 1)
+		m.reject(now, CodeRateLimited, "the "+string(limit)+" of "+m.request.Kind+" is used up", 1)
 		return
-	} else {
-		m.trace.add(now, StateAdmitted, why)
 	}
+	m.trace.add(now, StateAdmitted, string(limit))
 	if m.request.Key != "" {
 		m.requestAdmission(now)
 		return
 	}
-	m.admit(now)
+	m.sendToShards(now)
 }
 
-func (m *StateMachine) reject(now int64, code, why string, retry int) {
-	m.finish(now, StateRejected, Outcome{Code: code, Why: why, Ran: "no", Retry: retry})
+// setDeadline takes the caller's deadline, or the index's, and keeps a margin for the way back.
+func (m *StateMachine) setDeadline() {
+	timeout := m.request.Deadline
+	if timeout == 0 {
+		timeout = m.index.Service.DeadlineUs
+	}
+	timeout = min(timeout, m.index.Service.MaxDeadlineUs)
+	m.deadline = m.startedAt + timeout - min(timeout/20, maxReplyMargin)
 }
 
-func (m *StateMachine) finish(now int64, s State, o Outcome) {
-	if m.finished {
-		return
-	}
-	m.finished = true
-	o.ID = m.ID()
-	m.transition(now, s, o.Code)
-	for n := range m.attempts {
-		if t := &m.attempts[n]; t.open {
-			// What is still out counts against its server as if it took until now.
-			m.penalizeLatency(now, t)
-			m.closeAttempt(now, n, Reply{})
-			m.emit(Cancel{Attempt: n})
-		}
-	}
-	if m.shardMapUsers != nil {
-		m.shardMapUsers.Add(-1)
+// timerFired starts a request that waited for a snapshot, rejects one whose key was not admitted
+// in time, and hedges attempts that are slow.
+func (m *StateMachine) timerFired(now clock.Micros) {
+	switch m.state {
+	case StateRead:
+		m.start(now)
+	case StateClassified:
+		m.dispatcher.Counts.Add("shed_claims", 1)
+		m.reject(now, CodeUnavailable, ReasonTooFewKeyOwners+"no verdict in time", 1)
+	default:
+		m.refreshSnapshot()
+		m.hedgeSlow(now)
+		m.finishIfDecided(now)
+		m.armTimer(now)
 	}
-	m.resolveKey(&o)
-	m.dispatcher.Counts.Add("outcome_"+o.Code, 1)
-	m.dispatcher.Traces.put(m.trace, now, o)
-	m.emit(Finish{Outcome: o})
 }
 
-func (m *StateMachine) armTimer(now int64) {
+// armTimer sets the timer to the next moment at which time alone changes what is to be done.
+func (m *StateMachine) armTimer(now clock.Micros) {
 	if m.finished {
 		return
 	}
 	at := m.deadline
 	for i := range m.shardRequests {
-		w := &m.shardRequests[i]
-		if w.openAttempts > 0 && !w.answered && m.mayHedge(w) {
-			at = min(at, w.hedgeAt)
+		s := &m.shardRequests[i]
+		if s.openAttempts > 0 && !s.answered && m.mayHedge(s) {
+			at = min(at, s.hedgeAt)
 		}
 	}
 	if m.request.Kind == KindSearch {
-		if p := m.partialAt(); p > now {
-			at = min(at, p)
+		if partialAt := m.partialAt(); partialAt > now {
+			at = min(at, partialAt)
 		}
 	}
 	m.emit(SetTimer{At: max(at, now+1)})
 }
 
-func (m *StateMachine) partialAt() int64 {
+// partialAt is when a search stops waiting for shards beyond its required share.
+func (m *StateMachine) partialAt() clock.Micros {
 	return m.startedAt + (m.deadline-m.startedAt)*partialAfterPercent/100
 }
 
-func (m *StateMachine) mayHedge(w *shardRequest) bool {
-	return !m.request.AtMostOnce() && w.attempts-w.unwritten < maxAttempts && w.hedgeAt < m.deadline
+// reject finishes a request that did not run; the caller may retry after so many seconds.
+func (m *StateMachine) reject(now clock.Micros, code Code, why string, retryAfter int) {
+	m.finish(now, StateRejected, Outcome{Code: code, Why: why, Ran: ExecutionNone, Retry: retryAfter})
 }
 
-func (m *StateMachine) answeredShards() (done, missing []int) {
-	done, missing = []int{}, []int{}
-	for i := range m.shardRequests {
-		if m.shardRequests[i].answered {
-			done = append(done, i)
-		} else {
-			missing = append(missing, i)
+// finish cancels what is open, resolves the key and gives the outcome, once.
+func (m *StateMachine) finish(now clock.Micros, last State, o Outcome) {
+	if m.finished {
+		return
+	}
+	m.finished = true
+	o.ID = m.ID()
+	m.transition(now, last, string(o.Code))
+	for n := range m.attempts {
+		if m.attempts[n].open {
+			m.cancelAttempt(now, n)
 		}
 	}
-	slices.Sort(done)
-	return done, missing
+	m.resolveKey(&o)
+	m.dispatcher.Counts.Add("outcome_"+string(o.Code), 1)
+	m.dispatcher.Traces.put(m.trace, now, o)
+	m.emit(Finish{Outcome: o})
 }
--- a/request/search/state_machine_test.go
+++ b/request/search/state_machine_test.go
@@ -12,6 +12,7 @@
 	"wallport/cluster/loadreport"
 	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
+	"wallport/runtime/random"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
@@ -29,12 +30,12 @@
 	return &snapshot.Snapshot{Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*snapshot.Index{"a": x}}
 }
 
-func desk(snap *snapshot.Snapshot) *Dispatcher {
+func newTestDispatcher(snap *snapshot.Snapshot) *Dispatcher {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
 	return &Dispatcher{Snapshot: func() *snapshot.Snapshot { return snap }, LoadReport: &loadreport.Reporter{}, Counts: k.Counts, Traces: newTraceRing(), Name: "n", Seed: 1, StartedAt: -100_000_000}
 }
 
-func asks(acts []Action) (out []Send) {
+func sends(acts []Action) (out []Send) {
 	for _, a := range acts {
 		if v, ok := a.(Send); ok {
 			out = append(out, v)
@@ -52,48 +53,48 @@
 	return nil
 }
 
-func TestWrittenCorrectionIsNeverSentAgain(t *testing.T) {
-	for _, class := range []string{ReplyFailed, ReplyInvalid} {
-		m := NewStateMachine(desk(newSnapshot(3, 2)), Request{Kind: KindCorrect, Index: "a", Record: "r"}, 0)
-		a := asks(m.Step(0, Start{}))
+func TestCorrectionIsNotRetriedAfterWrite(t *testing.T) {
+	for _, class := range []ReplyClass{ReplyFailed, ReplyInvalid} {
+		m := NewStateMachine(newTestDispatcher(newSnapshot(3, 2)), Request{Kind: KindCorrect, Index: "a", Record: "r"}, 0)
+		a := sends(m.Step(0, Start{}))
 		must.Len(t, 1, a)
 		acts := m.Step(1000, ReplyReceived{Attempt: a[0].Attempt, Reply: Reply{Class: class, Reason: "reset"}})
-		must.SliceEmpty(t, asks(acts))
+		must.SliceEmpty(t, sends(acts))
 		o := outcome(acts)
 		must.NotNil(t, o)
 		must.Eq(t, CodeOutcomeUnknown, o.Code)
-		must.Eq(t, "unknown", o.Ran)
+		must.Eq(t, ExecutionUnknown, o.Ran)
 	}
 }
 
-func TestUnwrittenCorrectionGoesElsewhere(t *testing.T) {
-	d := desk(newSnapshot(3, 2))
+func TestUnwrittenCorrectionIsSentToAnotherServer(t *testing.T) {
+	d := newTestDispatcher(newSnapshot(3, 2))
 	m := NewStateMachine(d, Request{Kind: KindCorrect, Index: "a", Record: "r"}, 0)
-	first := asks(m.Step(0, Start{}))
-	second := asks(m.Step(1000, ReplyReceived{Attempt: 0, Reply: Reply{Class: ReplyNotWritten}}))
+	first := sends(m.Step(0, Start{}))
+	second := sends(m.Step(1000, ReplyReceived{Attempt: 0, Reply: Reply{Class: ReplyNotWritten}}))
 	must.Len(t, 1, second)
 	must.NotEq(t, first[0].Server.ID, second[0].Server.ID)
 	must.True(t, second[0].Replacement, must.Sprint("it adds nothing to the pool's traffic"))
 	must.Eq(t, 0, d.Counts.Of("extra_tries").Load())
-	third := asks(m.Step(2000, ReplyReceived{Attempt: 1, Reply: Reply{Class: ReplyRejected}}))
+	third := sends(m.Step(2000, ReplyReceived{Attempt: 1, Reply: Reply{Class: ReplyRejected}}))
 	must.Len(t, 1, third, must.Sprint("a server's own refusal did not run it"))
 	must.True(t, third[0].Retry)
 	must.Eq(t, 1, d.Counts.Of("extra_tries").Load())
 }
 
-func TestCorrectionIsNotHedgedAndEndsUnknownAtItsDeadline(t *testing.T) {
-	m := NewStateMachine(desk(newSnapshot(3, 2)), Request{Kind: KindPart, Index: "a", Record: "r", Deadline: 400_000}, 0)
+func TestCorrectionIsNotHedgedAndIsUnknownAtDeadline(t *testing.T) {
+	m := NewStateMachine(newTestDispatcher(newSnapshot(3, 2)), Request{Kind: KindPart, Index: "a", Record: "r", Deadline: 400_000}, 0)
 	m.Step(0, Start{})
 	acts := m.Step(200_000, TimerFired{})
-	must.SliceEmpty(t, asks(acts))
+	must.SliceEmpty(t, sends(acts))
 	must.Nil(t, outcome(acts))
 	o := outcome(m.Step(399_999, TimerFired{}))
 	must.NotNil(t, o)
 	must.Eq(t, CodeOutcomeUnknown, o.Code)
 }
 
-func TestSearchIsGivenUpAtOnceWhenItCannotReachItsShare(t *testing.T) {
-	m := NewStateMachine(desk(newSnapshot(1, 4)), Request{Kind: KindSearch, Index: "a", Limit: 5}, 0)
+func TestSearchFailsAtOnceBelowRequiredShare(t *testing.T) {
+	m := NewStateMachine(newTestDispatcher(newSnapshot(1, 4)), Request{Kind: KindSearch, Index: "a", Limit: 5}, 0)
 	m.Step(0, Start{})
 	must.Nil(t, outcome(m.Step(1000, ReplyReceived{Attempt: 0, Reply: Reply{Class: ReplyFailed}})), must.Sprint("three of four are still enough"))
 	o := outcome(m.Step(2000, ReplyReceived{Attempt: 1, Reply: Reply{Class: ReplyFailed}}))
@@ -102,10 +103,10 @@
 	must.Positive(t, o.Retry)
 }
 
-func TestPartialSearchNamesItsMissingShards(t *testing.T) {
+func TestPartialSearchReportsMissingShards(t *testing.T) {
 	snap := newSnapshot(1, 4)
-	m := NewStateMachine(desk(snap), Request{Kind: KindSearch, Index: "a", Limit: 3}, 0)
-	a := asks(m.Step(0, Start{}))
+	m := NewStateMachine(newTestDispatcher(snap), Request{Kind: KindSearch, Index: "a", Limit: 3}, 0)
+	a := sends(m.Step(0, Start{}))
 	var acts []Action
 	for i, v := range a {
 		r := Reply{Class: ReplyOK, Records: []Record{{ID: fmt.Sprint("x", v.Shard), Score: int64(10 + v.Shard)}}}
@@ -120,11 +121,11 @@
 	must.Eq(t, []string{"x3", "x2", "x0"}, []string{o.Records[0].ID, o.Records[1].ID, o.Records[2].ID})
 }
 
-func TestLeavingAndEmptiedAreNeverPickedEvenInPanic(t *testing.T) {
+func TestDrainingServersAreNeverSelected(t *testing.T) {
 	snap := newSnapshot(3, 1)
 	list := snap.Indexes["a"].Shards[0]
 	list[0].Health, list[1].Health, list[2].Health = snapshot.Draining, snapshot.ZoneDrained, snapshot.Unreachable
-	r := rnd(1)
+	r := random.Source(1)
 	for range 50 {
 		c, ok := selectServer(snap, snap.Indexes["a"], list, nil, 0, &r)
 		must.True(t, ok)
@@ -134,14 +135,14 @@
 	must.False(t, ok)
 }
 
-func TestColdServerIsDrawnAsItsRampAllows(t *testing.T) {
+func TestSlowStartServerIsSelectedByItsShare(t *testing.T) {
 	snap := newSnapshot(10, 1)
 	list := snap.Indexes["a"].Shards[0]
 	list[0].Born = 0
 	for _, s := range list {
 		s.Zone = "z0"
 	}
-	r := rnd(7)
+	r := random.Source(7)
 	for _, at := range []int64{0, 250_000, 500_000} {
 		n := 0
 		for range 20000 {
@@ -154,12 +155,12 @@
 	}
 }
 
-func TestWhollyColdShardIsServedAtOnce(t *testing.T) {
+func TestShardInSlowStartIsServedAtOnce(t *testing.T) {
 	snap := newSnapshot(4, 1)
 	for _, s := range snap.Indexes["a"].Shards[0] {
 		s.Born = 0
 	}
-	r := rnd(7)
+	r := random.Source(7)
 	seen := map[string]int{}
 	for range 4000 {
 		c, ok := selectServer(snap, snap.Indexes["a"], snap.Indexes["a"].Shards[0], nil, 0, &r)
@@ -171,21 +172,21 @@
 	}
 }
 
-// TestBudgetNeverExceedsAnyTenSeconds has traffic that stops dead now and then,
+// TestRetryBudgetHoldsInAnyTenSeconds has traffic that stops dead now and then,
 // for what was earned before a window began must not be spent within it.
-func TestBudgetNeverExceedsAnyTenSeconds(t *testing.T) {
+func TestRetryBudgetHoldsInAnyTenSeconds(t *testing.T) {
 	snap := newSnapshot(1, 1)
-	d := desk(snap)
+	d := newTestDispatcher(snap)
 	extras, firsts := map[int64]int64{}, map[int64]int64{}
 	for now := int64(0); now < 90_000_000; now += 10_000 {
 		sec := now / 1_000_000
 		if sec%17 > 12 {
 			continue
 		}
-		d.budgetOf("a").Add(earnedPerAttempt, d.maxSaved(snap, now))
+		d.replenishRetryBudget(snap, "a", now)
 		firsts[sec]++
 		for range 2 {
-			if sec%5 == 4 && d.takeRetry(snap, "a", now) {
+			if sec%5 == 4 && d.takeRetries(snap, "a", now, 1) {
 				extras[sec]++
 			}
 		}
@@ -203,12 +204,12 @@
 	must.Greater(t, 1000, all, must.Sprint("and the allowance is used"))
 }
 
-func TestExplainTellsEveryCandidate(t *testing.T) {
+func TestExplainReportsEveryCandidate(t *testing.T) {
 	snap := newSnapshot(3, 2)
 	snap.Indexes["a"].Shards[0][1].Health = snapshot.Unreachable
-	d := desk(snap)
+	d := newTestDispatcher(snap)
 	m := NewStateMachine(d, Request{Kind: KindSearch, Index: "a", Limit: 3}, 0)
-	for _, v := range asks(m.Step(0, Start{})) {
+	for _, v := range sends(m.Step(0, Start{})) {
 		m.Step(1000, ReplyReceived{Attempt: v.Attempt, Reply: Reply{Class: ReplyOK}})
 	}
 	tr, ok := d.Traces.Get(m.ID())
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -1,6 +1,3 @@
-// Traces of the last inquiries, for explain: a ring that costs one slot per
-// inquiry and keeps the snapshot each was decided by.
-
 package search
 
 import (
@@ -9,165 +6,111 @@
 	"sync/atomic"
 
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 )
 
-const traceSlots = 2048
-
-// TraceStep is one line of a trace.
-type TraceStep struct {
-	At     int64  `json:"at_us"`
-	State  State  `json:"state"`
-	Detail string `json:"note,omitempty"`
-}
-
-// TraceSelection is one pick of a trace.
-type TraceSelection struct {
-	At        int64    `json:"at_us"`
-	Attempt   int      `json:"n"`
-	Shard     int      `json:"shard"`
-	Server    string   `json:"server"`
-	Sampled   []string `json:"drawn"`
-	Tier      string   `json:"tier"`
-	WarmingUp bool     `json:"cold,omitempty"`
-	Retry     bool     `json:"again,omitempty"`
-	Reply     string   `json:"reply,omitempty"`
-	Latency   int64    `json:"took_us,omitempty"`
-}
-
-// Trace is what is kept of one inquiry.
+// Trace is what is kept of one request. Its times count from the request's start.
 type Trace struct {
 	ID         string           `json:"inquiry"`
 	Kind       string           `json:"kind"`
 	Index      string           `json:"index"`
 	Record     string           `json:"record,omitempty"`
-	StartedAt  int64            `json:"-"`
+	StartedAt  clock.Micros     `json:"-"`
 	Steps      []TraceStep      `json:"steps"`
 	Selections []TraceSelection `json:"picks"`
 	Outcome    Outcome          `json:"-"`
-	Latency    int64            `json:"took_us"`
-	snapshot   *snapshot.Snapshot
+	Latency    clock.Micros     `json:"took_us"`
+	// snapshot is what the request was decided by.
+	snapshot *snapshot.Snapshot
 }
 
-func newTrace(id string, in *Request, now int64) *Trace {
-	return &Trace{ID: id, Kind: in.Kind, Index: in.Index, Record: in.Record, StartedAt: now, Steps: make([]TraceStep, 0, 12)}
+// TraceStep is a transition of the state machine.
+type TraceStep struct {
+	At     clock.Micros `json:"at_us"`
+	State  State        `json:"state"`
+	Detail string       `json:"note,omitempty"`
+}
+
+// TraceSelection is one attempt and how its server was selected.
+type TraceSelection struct {
+	At        clock.Micros `json:"at_us"`
+	Attempt   int          `json:"n"`
+	Shard     int          `json:"shard"`
+	Server    string       `json:"server"`
+	Sampled   []string     `json:"drawn"`
+	Tier      string       `json:"tier"`
+	WarmingUp bool         `json:"cold,omitempty"`
+	Retry     bool         `json:"again,omitempty"`
+	Reply     string       `json:"reply,omitempty"`
+	Latency   clock.Micros `json:"took_us,omitempty"`
 }
 
-func (t *Trace) add(now int64, s State, note string) {
-	t.Steps = append(t.Steps, TraceStep{At: now - t.StartedAt, State: s, Detail: note})
+func newTrace(id string, request *Request, now clock.Micros) *Trace {
+	return &Trace{
+		ID: id, Kind: request.Kind, Index: request.Index, Record: request.Record,
+		StartedAt: now, Steps: make([]TraceStep, 0, 12),
+	}
+}
+
+func (t *Trace) add(now clock.Micros, s State, detail string) {
+	t.Steps = append(t.Steps, TraceStep{At: now - t.StartedAt, State: s, Detail: detail})
 }
 
-func (t *Trace) selected(now int64, n, shard int, c Selection, again bool) {
+func (t *Trace) selected(now clock.Micros, attempt, shard int, s Selection, retry bool) {
 	t.Selections = append(t.Selections, TraceSelection{
-		At: now - t.StartedAt, Attempt: n, Shard: shard, Server: c.Server.ID, Sampled: c.Sampled, Tier: c.Tier, WarmingUp: c.WarmingUp, Retry: again,
+		At: now - t.StartedAt, Attempt: attempt, Shard: shard, Server: s.Server.ID,
+		Sampled: s.Sampled, Tier: s.Tier, WarmingUp: s.WarmingUp, Retry: retry,
 	})
 }
 
-func (t *Trace) replied(now int64, n int, r Reply) {
-	if n < len(t.Selections) {
-		p := &t.Selections[n]
-		p.Reply, p.Latency = r.Class, now-t.StartedAt-p.At
-		if r.Reason != "" {
-			p.Reply += ": " + r.Reason
-		}
+func (t *Trace) replied(now clock.Micros, attempt int, r Reply) {
+	if attempt >= len(t.Selections) {
+		return
+	}
+	s := &t.Selections[attempt]
+	s.Reply, s.Latency = string(r.Class), now-t.StartedAt-s.At
+	if r.Reason != "" {
+		s.Reply += ": " + r.Reason
 	}
 }
 
-// TraceRing is the ring.
+// traceSlots is how many requests of a node a trace ring can hold.
+const traceSlots = 2048
+
+// TraceRing keeps the traces of a node's last requests for explain. A request's id gives its slot,
+// so that keeping a trace costs one store.
 type TraceRing struct {
-	ring [traceSlots]atomic.Pointer[Trace]
+	slots [traceSlots]atomic.Pointer[Trace]
 }
 
 func newTraceRing() *TraceRing { return &TraceRing{} }
 
+// slotOf returns the slot of a request's id, NODE-NUMBER, and whether it is one.
 func slotOf(id string) (uint64, bool) {
 	i := strings.LastIndexByte(id, '-')
 	n, err := strconv.ParseUint(id[i+1:], 16, 64)
 	return n % traceSlots, i >= 0 && err == nil
 }
 
-func (r *TraceRing) put(t *Trace, now int64, o Outcome) {
+// put keeps the trace of a finished request, without the records of its outcome.
+func (r *TraceRing) put(t *Trace, now clock.Micros, o Outcome) {
 	t.Latency = now - t.StartedAt
 	o.Records = nil
 	t.Outcome = o
-	if i, ok := slotOf(t.ID); ok {
-		r.ring[i].Store(t)
+	if slot, ok := slotOf(t.ID); ok {
+		r.slots[slot].Store(t)
 	}
 }
 
-// Get finds a trace that is still kept.
+// Get returns the trace of a request, and whether it is still kept.
 func (r *TraceRing) Get(id string) (*Trace, bool) {
-	i, ok := slotOf(id)
+	slot, ok := slotOf(id)
 	if !ok {
 		return nil, false
 	}
-	t := r.ring[i].Load()
+	t := r.slots[slot].Load()
 	if t == nil || t.ID != id {
 		return nil, false
 	}
 	return t, true
 }
-
-// Candidate is a server as it stood when the inquiry was decided.
-type Candidate struct {
-	Shard             int    `json:"shard"`
-	Server            string `json:"server"`
-	Zone              string `json:"zone"`
-	Health            string `json:"verdict"`
-	WarmthThousandths int64  `json:"warm_thousandths"`
-	Reason            string `json:"why"`
-}
-
-// Explanation is the answer of explain.
-type Explanation struct {
-	*Trace
-	Version    string      `json:"stamp"`
-	ShardMap   string      `json:"cut"`
-	Outcome    Outcome     `json:"outcome"`
-	Candidates []Candidate `json:"candidates"`
-}
-
-// Explain tells a trace with the candidates of every shard it picked for.
-func Explain(t *Trace, stamp func(*snapshot.Snapshot) string) Explanation {
-	e := Explanation{Trace: t, Outcome: t.Outcome, Candidates: []Candidate{}}
-	if t.snapshot == nil {
-		return e
-	}
-	e.Version = stamp(t.snapshot)
-	x := t.snapshot.Indexes[t.Index]
-	if x == nil {
-		return e
-	}
-	e.ShardMap = x.ShardMap.Name
-	shards := map[int]bool{}
-	for _, p := range t.Selections {
-		shards[p.Shard] = true
-	}
-	for shard, servers := range x.Shards {
-		if !shards[shard] {
-			continue
-		}
-		for _, s := range servers {
-			e.Candidates = append(e.Candidates, candidate(t, shard, s, x))
-		}
-	}
-	return e
-}
-
-func candidate(t *Trace, shard int, s *snapshot.Backend, x *snapshot.Index) Candidate {
-	c := Candidate{Shard: shard, Server: s.ID, Zone: s.Zone, Health: snapshot.HealthStateNames[s.Health], WarmthThousandths: s.SlowStartShare(t.StartedAt, x.Service.RampUs)}
-	c.Reason = "in the draw, not drawn"
-	if s.Health != snapshot.Healthy {
-		c.Reason = "condition is " + c.Health
-	}
-	for _, p := range t.Selections {
-		switch {
-		case p.Server == s.ID && p.Retry:
-			c.Reason = "picked for a re-ask"
-		case p.Server == s.ID:
-			c.Reason = "picked"
-		case p.Shard == shard && (p.Sampled[0] == s.ID || p.Sampled[1] == s.ID) && c.Reason[0] == 'i':
-			c.Reason = "drawn, the other cost less"
-		}
-	}
-	return c
-}
