--- a/cluster/discovery/change.go
+++ b/cluster/discovery/change.go
@@ -1,5 +1,3 @@
-// What of a reading is news: everything but cold times that only run down.
-
 package discovery
 
 import (
@@ -7,14 +5,16 @@
 	"hash/fnv"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// changed reports whether a reading says anything that the last one did not: cold times that only run down are none.
-func (p *Lister) changed(now int64, l *wire.BackendList) bool {
+// changed reports whether a list says anything that the last announced one did not. A slow start
+// that only runs down is no change.
+func (p *Lister) changed(now clock.Micros, l *wire.BackendList) bool {
 	slices.SortFunc(l.Backends, func(a, b wire.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	was, fresh := p.slowStartUntil, false
-	p.slowStartUntil = map[string]int64{}
+	p.slowStartUntil = map[string]clock.Micros{}
 	plain := wire.BackendList{LeaseID: l.LeaseID, Complete: l.Complete, Backends: slices.Clone(l.Backends)}
 	for i := range plain.Backends {
 		s := &plain.Backends[i]
--- a/cluster/discovery/discovery.go
+++ b/cluster/discovery/discovery.go
@@ -1,7 +1,3 @@
-// Package discovery reads the platform's list of backends. One node does it at
-// a time, within the fleet's call allowance, by a lease that the leader of the
-// duty's partition grants; where no core can be reached, the nodes take turns by
-// rank. An empty or failing answer proves nothing.
 package discovery
 
 import (
@@ -12,25 +8,44 @@
 	"wallport/cluster/mesh"
 	"wallport/control/configsync"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of the duty.
+// LeaseTask is the task whose lease the reader of the list holds. It is also the id of the entries
+// that the reader announces.
+const LeaseTask = "platform-list"
+
+// Constants of reading the list.
 const (
-	LeaseTask     = "platform-list"
-	RenewInterval = 200_000
-	StaleAfter    = 1_500_000
-	RankStep      = 200_000
-	FetchTimeout  = 700_000
-	// MaxRequestGap bounds the renewals that a node without the duty lets pass between two asks for it.
+	// RenewInterval is the time between two renewals of the lease.
+	RenewInterval = 200 * clock.Millisecond
+	// StaleAfter is how long nothing must have been heard of the list before nodes read it without
+	// the lease. RankStep separates the first from the second by rank, and so on.
+	StaleAfter = 1500 * clock.Millisecond
+	RankStep   = 200 * clock.Millisecond
+	// FetchTimeout is the time-out of a call of the platform.
+	FetchTimeout = 700 * clock.Millisecond
+	// MaxRequestGap bounds, in units of RenewInterval, how long a node that does not hold the lease
+	// waits between two requests for it.
 	MaxRequestGap = 20
-	// ReleaseBackoff is how long a node that got no answer at all leaves the duty to others.
-	ReleaseBackoff = 5_000_000
-	// AnnounceInterval is how often a reading is told whole though nothing changed.
-	AnnounceInterval = 10_000_000
-	// SlowStartTolerance is by how much the end of a server's cold time may move without being news.
-	SlowStartTolerance = 1_000_000
+	// ReleaseBackoff is how long a node that could not reach the platform leaves the lease to others.
+	ReleaseBackoff = 5 * clock.Second
+	// AnnounceInterval is how often the complete list is announced though it has not changed.
+	AnnounceInterval = 10 * clock.Second
+	// SlowStartTolerance is by how much the end of a backend's slow start may move without being a
+	// change.
+	SlowStartTolerance = 1 * clock.Second
+	// maxSlowdown bounds the backoff of a node that reads by itself.
+	maxSlowdown = 16
+)
+
+const (
+	pluginName     = "listing"
+	timerRenew     = "renew"
+	timerFirstRead = "first"
+	fetchList      = "list"
 )
 
 // Lister is the plug-in of a node.
@@ -39,43 +54,52 @@
 	mesh       *mesh.Mesh
 	members    *membership.Members
 	configSync *configsync.Sync
-	leaseUntil int64
-	// leaseID is the turn of the duty as it was granted to this node last; asked is when each ask was
-	// sent that a grant may still answer, by its id.
-	leaseID       uint64
-	requestedAt   map[uint64]int64
-	lastRequestID uint64
+
+	// leaseUntil is when the lease of this node ends; leaseID is that of the last lease granted to it.
+	leaseUntil clock.Micros
+	leaseID    uint64
+	// newestLeaseID is the highest lease id heard of. A list that is read without a lease carries it,
+	// so that it does not look older than what is known.
 	newestLeaseID uint64
-	readAt        int64
-	heardAt       int64
-	announcedHash uint64
-	announcedAt   int64
-	reading       bool
-	soleReader    bool
-	slowdown      int64
-	nextRequestAt int64
-	idleUntil     int64
-	// slowStartUntil is when each cold server was last told to be warm.
-	slowStartUntil map[string]int64
-	// unread is that no reading is known yet.
+	// requestedAt is when each request was sent that a reply may still answer, by its id.
+	requestedAt   map[uint64]clock.Micros
+	lastRequestID uint64
+	nextRequestAt clock.Micros
+	// idleUntil is until when this node requests no lease.
+	idleUntil clock.Micros
+
+	readAt  clock.Micros
+	reading bool
+	// heardAt is when a reading was last heard of, by whichever node.
+	heardAt clock.Micros
+	// soleReader says that the last reading heard of was this node's.
+	soleReader bool
+	// slowdown is the factor by which a node that reads by itself backs off.
+	slowdown int64
+	// unread says that no list is known yet.
 	unread bool
 	// callsPerRead is how many calls of the platform the last reading took.
 	callsPerRead int64
+
+	announcedAt   clock.Micros
+	announcedHash uint64
+	// slowStartUntil is when, as last announced, the slow start of each backend ends.
+	slowStartUntil map[string]clock.Micros
 }
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Lister{callsPerRead: 1, unread: true, requestedAt: map[uint64]int64{}, readAt: -AnnounceInterval, k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), configSync: kernel.Find[*configsync.Sync](k)}
+		return &Lister{callsPerRead: 1, unread: true, requestedAt: map[uint64]clock.Micros{}, readAt: -AnnounceInterval, k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), configSync: kernel.Find[*configsync.Sync](k)}
 	}})
 }
 
-// Name is the plug-in's name.
-func (p *Lister) Name() string { return "listing" }
+// Name returns the plug-in's name.
+func (p *Lister) Name() string { return pluginName }
 
-// Kinds are the frames that it takes.
+// Kinds returns the kinds of the frames that the plug-in handles.
 func (p *Lister) Kinds() []uint8 { return []uint8{wire.KindLeaseReply} }
 
-// Step takes one input.
+// Step handles one input of the kernel.
 func (p *Lister) Step(ctx *kernel.Context, in kernel.Input) {
 	if p.k.Boot.Settings.PlatformURL == "" {
 		return
@@ -83,14 +107,14 @@
 	switch v := in.(type) {
 	case kernel.Start:
 		p.heardAt = ctx.Now
-		ctx.After(ctx.Rand.Int64N(RenewInterval), "listing", "renew")
+		ctx.After(ctx.Rand.Int64N(RenewInterval), pluginName, timerRenew)
 		p.scheduleFirstRead(ctx)
 	case kernel.Tick:
-		if v.Key == "first" {
+		if v.Key == timerFirstRead {
 			p.readFirst(ctx)
 			return
 		}
-		ctx.After(RenewInterval, "listing", "renew")
+		ctx.After(RenewInterval, pluginName, timerRenew)
 		p.renewAndRead(ctx)
 	case kernel.Message:
 		var r wire.LeaseReply
@@ -109,38 +133,36 @@
 	}
 }
 
-// handleStored notes whose reading was heard of last, and the newest holder's turn:
-// a reading made without a hold must not look older than what is known.
+// handleStored records that a reading was announced, and the highest lease id.
 func (p *Lister) handleStored(ctx *kernel.Context, v mesh.Stored) {
-	if v.Entry.Type != "listing" && v.Entry.Type != "polled" {
+	if v.Entry.Type != mesh.EntryListing && v.Entry.Type != mesh.EntryPolled {
 		return
 	}
 	p.heardAt, p.soleReader = ctx.Now, v.Local
-	p.unread = p.unread && v.Entry.Type != "listing"
+	p.unread = p.unread && v.Entry.Type != mesh.EntryListing
 	var l wire.BackendList
-	if v.Entry.Type == "listing" && wire.Decode(v.Entry.Body, &l) == nil {
+	if v.Entry.Type == mesh.EntryListing && wire.Decode(v.Entry.Body, &l) == nil {
 		p.checkSingleLeaseHolder(ctx, v, &l)
 		p.newestLeaseID = max(p.newestLeaseID, l.LeaseID)
 	}
 }
 
-// readInterval is the time between two readings. The holder, or whoever reads for the greater
-// part of the fleet, has five eighths of the allowance and never gives way. A node that
-// sees half of the fleet or less reads for itself with a third of it, and less and less
-// of it for as long as the platform says that it is too much: others are alone as well.
-func (p *Lister) readInterval(ctx *kernel.Context) int64 {
-	per, nodes := 10_000_000*p.callsPerRead/p.k.Boot.Settings.PollsPer10s, p.members.Divisor()
+// readInterval returns the least time between two readings of this node. The lease holder, or the
+// reader of the greater part of a fleet, uses five eighths of the allowance without backoff. A node
+// that sees half of the fleet or less uses a third of it, and backs off further for as long as the
+// platform rejects its calls for their number, since other nodes may be as isolated.
+func (p *Lister) readInterval(ctx *kernel.Context) clock.Micros {
+	// perRead is the interval that uses up the fleet's allowance.
+	perRead, nodes := 10*clock.Second*p.callsPerRead/p.k.Boot.Settings.PollsPer10s, p.members.Divisor()
 	least := p.k.Boot.Settings.ListInterval
 	if ctx.Now < p.leaseUntil || p.mesh.Peers() > 0 && (nodes == 1 || 2*len(p.members.Live(ctx.Now, "node")) > nodes) {
 		p.slowdown = 1
-		return max(least, per*8/5)
+		return max(least, perRead*8/5)
 	}
-	return max(least, per*3) * max(1, p.slowdown)
+	return max(least, perRead*3) * max(1, p.slowdown)
 }
 
-// maxSlowdown bounds how far a node that is alone gives way.
-const maxSlowdown = 16
-
+// renewAndRead renews or requests the lease and reads the list if a reading is due.
 func (p *Lister) renewAndRead(ctx *kernel.Context) {
 	p.requestLease(ctx)
 	if p.reading || !(ctx.Now < p.leaseUntil || p.readsWithoutLease(ctx)) || ctx.Now-p.readAt < p.readInterval(ctx) {
@@ -149,13 +171,15 @@
 	p.read(ctx)
 }
 
+// read starts a reading.
 func (p *Lister) read(ctx *kernel.Context) {
 	p.readAt, p.reading = ctx.Now, true
 	ctx.Counts.Add("platform_polls", 1)
-	ctx.Fetch("listing", "list", p.k.Boot.Settings.PlatformURL, FetchTimeout)
+	ctx.Fetch(pluginName, fetchList, p.k.Boot.Settings.PlatformURL, FetchTimeout)
 }
 
-// requestLease renews the duty, or asks for it: the more nodes there are, the more rarely each does.
+// requestLease renews the lease, or requests it if another node may hold it. The more nodes there
+// are, the more rarely each of them requests it.
 func (p *Lister) requestLease(ctx *kernel.Context) {
 	partition := state.PartitionOf(LeaseTask)
 	addr := p.configSync.Leader(partition)
@@ -163,7 +187,7 @@
 		return
 	}
 	if ctx.Now >= p.leaseUntil {
-		gap := RenewInterval * int64(min(len(p.members.Live(ctx.Now, "node")), MaxRequestGap))
+		gap := RenewInterval * clock.Micros(min(len(p.members.Live(ctx.Now, "node")), MaxRequestGap))
 		p.nextRequestAt = ctx.Now + gap/2 + ctx.Rand.Int64N(gap+1)
 	}
 	p.lastRequestID++
@@ -172,49 +196,51 @@
 	ctx.SendTo(addr, wire.KindLeaseRequest, p.lastRequestID, &wire.LeaseRequest{Partition: partition, Task: LeaseTask, From: p.mesh.Self()})
 }
 
-// readsWithoutLease tells that nobody's reading was heard of for so long that it is this node's turn
-// by rank. Origins are drawn at each start, so that a zone's nodes do not rank side by side.
+// readsWithoutLease reports whether no reading was heard of for so long that it is this node's turn
+// by rank. Origins are random at each start, so that the nodes of one zone do not rank side by
+// side.
 func (p *Lister) readsWithoutLease(ctx *kernel.Context) bool {
 	if p.soleReader {
-		// Nobody else reads: go on at the usual pace until a holder is heard.
+		// Nobody else reads: continue until another reader is heard.
 		return true
 	}
-	silent := ctx.Now - p.heardAt - StaleAfter
-	if silent <= 0 {
+	overdue := ctx.Now - p.heardAt - StaleAfter
+	if overdue <= 0 {
 		return false
 	}
-	rank := int64(0)
+	rank := clock.Micros(0)
 	for _, r := range p.members.Live(ctx.Now, "node") {
 		if r.Origin < p.mesh.Self() {
 			rank++
 		}
 	}
-	return silent > rank*RankStep
+	return overdue > rank*RankStep
 }
 
+// handleFetched announces a reading, or that it failed or changed nothing.
 func (p *Lister) handleFetched(ctx *kernel.Context, v kernel.Fetched) {
 	p.reading = false
 	var l wire.BackendList
-	if v.Err != "" || v.Status != 200 || json.Unmarshal(v.Body, &l) != nil || len(l.Backends) == 0 {
+	if v.Err != "" || v.Status != http.StatusOK || json.Unmarshal(v.Body, &l) != nil || len(l.Backends) == 0 {
 		ctx.Counts.Add("platform_failed", 1)
 		if v.Status == http.StatusTooManyRequests {
 			p.slowdown = min(2*max(1, p.slowdown), maxSlowdown)
 		}
-		ctx.Log(kernel.LevelWarn, "platform_failed", "status", v.Status, "err", v.Err)
-		// Not even a refusal: another node may have a way to the platform.
+		ctx.Log(kernel.LevelWarn, "platform_failed", "status", v.Status, "error", v.Err)
+		// The platform could not be reached at all; another node may reach it.
 		if v.Status == 0 && p.releaseLease(ctx) {
 			p.idleUntil = ctx.Now + ReleaseBackoff
 		}
-		// Told all the same: the others must not all try what fails.
-		p.mesh.Announce(ctx, "polled", LeaseTask, nil, false)
+		// Announced nevertheless, so that the other nodes do not all try what fails.
+		p.mesh.Announce(ctx, mesh.EntryPolled, LeaseTask, nil, false)
 		return
 	}
 	p.callsPerRead, l.Calls = max(1, l.Calls), 0
 	l.LeaseID, p.heardAt = p.newestLeaseID, ctx.Now
 	if !p.changed(ctx.Now, &l) && ctx.Now-p.announcedAt < AnnounceInterval {
-		p.mesh.Announce(ctx, "polled", LeaseTask, nil, false)
+		p.mesh.Announce(ctx, mesh.EntryPolled, LeaseTask, nil, false)
 		return
 	}
 	p.announcedAt = ctx.Now
-	p.mesh.Announce(ctx, "listing", LeaseTask, wire.Encode(&l), false)
+	p.mesh.Announce(ctx, mesh.EntryListing, LeaseTask, wire.Encode(&l), false)
 }
--- a/cluster/discovery/discovery_test.go
+++ b/cluster/discovery/discovery_test.go
@@ -1,6 +1,3 @@
-// The duty on simulated time: how often the list is read, who reads when the
-// holder falls silent, and what of a reading is news.
-
 package discovery
 
 import (
@@ -13,27 +10,28 @@
 
 	"wallport/cluster/membership"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-const second = int64(1_000_000)
+const second = clock.Second
 
 // rig runs one node's kernel; the test plays the leader, the platform and the other nodes.
 type rig struct {
-	t       *testing.T
-	k       *kernel.Kernel
-	l       *Lister
-	now     int64
-	timers  []kernel.Timer
-	fetches []int64
-	holds   []wire.LeaseRequest
-	// status and list are the platform's answer; leader grants the duty to asks.
+	t             *testing.T
+	k             *kernel.Kernel
+	lister        *Lister
+	now           int64
+	timers        []kernel.Timer
+	fetches       []int64
+	leaseRequests []wire.LeaseRequest
+	// status and list are the platform's response; with grants set, lease requests are granted.
 	status int
 	list   wire.BackendList
 	grants bool
-	// peer is the node at the other end of channel 1; frames to it wait in mail until both have stepped.
+	// peer is the node at the other end of connection 1; frames to it wait in mail until both have stepped.
 	peer *rig
 	mail [][]byte
 }
@@ -44,7 +42,7 @@
 	e.Name, e.Mesh, e.PlatformURL = "n"+string('0'+n), "10.0.0."+string('1'+n)+":1", "http://platform/list"
 	r := &rig{t: t, status: 200, list: wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "s", State: "ready"}}}}
 	r.k = kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{n}, 32))})
-	r.l = kernel.Find[*Lister](r.k)
+	r.lister = kernel.Find[*Lister](r.k)
 	r.feed(kernel.Start{})
 	return r
 }
@@ -56,7 +54,7 @@
 		r.fetches = append(r.fetches, r.now)
 		body, err := json.Marshal(&r.list)
 		must.NoError(r.t, err)
-		v := kernel.Fetched{Plugin: "listing", Key: "list", Status: r.status, Body: body}
+		v := kernel.Fetched{Plugin: pluginName, Key: fetchList, Status: r.status, Body: body}
 		if r.status == 0 {
 			v.Err = "no way"
 		}
@@ -73,9 +71,9 @@
 		if f.Kind != wire.KindLeaseRequest || wire.Decode(f.Body, &h) != nil {
 			continue
 		}
-		r.holds = append(r.holds, h)
+		r.leaseRequests = append(r.leaseRequests, h)
 		if r.grants && !h.Release {
-			granted := &wire.LeaseReply{Task: LeaseTask, Holder: r.l.mesh.Self(), Duration: 800_000, LeaseID: 3}
+			granted := &wire.LeaseReply{Task: LeaseTask, Holder: r.lister.mesh.Self(), Duration: 800_000, LeaseID: 3}
 			r.feed(kernel.Received{Data: wire.Seal(wire.KindLeaseReply, f.ID, granted)})
 		}
 	}
@@ -85,16 +83,16 @@
 	r.feed(kernel.Received{Data: wire.Seal(kind, 0, m)})
 }
 
-// becomeLeaseHolder makes the node know a leader of the duty's partition.
-func (r *rig) becomeLeaseHolder() {
+// learnLeader makes the node know a leader of the duty's partition.
+func (r *rig) learnLeader() {
 	r.message(wire.KindPullReply, &wire.PullReply{Leaders: []wire.Leader{{Partition: state.PartitionOf(LeaseTask), Term: 1, Replica: "s", Addr: "10.0.0.9:1"}}})
 }
 
-// meet opens a mesh channel between two nodes.
+// meet opens a mesh connection between two nodes.
 func meet(a, b *rig) {
 	a.peer, b.peer = b, a
-	a.feed(kernel.ConnUp{Conn: 1, Addr: b.k.Boot.Settings.Mesh, Peer: b.l.mesh.Self(), Dialed: true, Mesh: true})
-	b.feed(kernel.ConnUp{Conn: 1, Addr: a.k.Boot.Settings.Mesh, Peer: a.l.mesh.Self(), Mesh: true})
+	a.feed(kernel.ConnUp{Conn: 1, Addr: b.k.Boot.Settings.Mesh, Peer: b.lister.mesh.Self(), Dialed: true, Mesh: true})
+	b.feed(kernel.ConnUp{Conn: 1, Addr: a.k.Boot.Settings.Mesh, Peer: a.lister.mesh.Self(), Mesh: true})
 }
 
 // run lets the clock go on, with the peer's side by side.
@@ -150,7 +148,7 @@
 	} {
 		r := newRig(t, settings.Settings{ListInterval: c.every, PollsPer10s: c.polls})
 		r.grants, r.list.Calls = true, c.calls
-		r.becomeLeaseHolder()
+		r.learnLeader()
 		r.run(2 * second)
 		r.fetches = nil
 		r.run(10 * second)
@@ -161,7 +159,7 @@
 func TestTimedOutLeaseHolderIsReplaced(t *testing.T) {
 	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
 	// A reading was heard of before; who knows of none reads at once (first_test.go).
-	r.l.unread = false
+	r.lister.unread = false
 	r.run(StaleAfter)
 	must.SliceEmpty(t, r.fetches, must.Sprint("nobody was silent for long yet"))
 	r.run(2 * RenewInterval)
@@ -175,12 +173,12 @@
 		r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
 		meet(r, newNode(t, settings.Settings{ListInterval: second, PollsPer10s: 440}, 1))
 		r.grants = true
-		r.becomeLeaseHolder()
+		r.learnLeader()
 		r.run(2 * second)
-		r.status, r.holds = status, nil
+		r.status, r.leaseRequests = status, nil
 		r.run(2 * second)
 		drops := 0
-		for _, h := range r.holds {
+		for _, h := range r.leaseRequests {
 			if h.Release {
 				drops++
 			}
@@ -190,18 +188,18 @@
 			continue
 		}
 		must.Positive(t, drops)
-		asked := len(r.holds)
+		asked := len(r.leaseRequests)
 		r.run(2 * second)
-		must.Eq(t, asked, len(r.holds), must.Sprint("leaves it to others for a while"))
+		must.Eq(t, asked, len(r.leaseRequests), must.Sprint("leaves it to others for a while"))
 		r.run(ReleaseBackoff)
-		must.Less(t, len(r.holds), asked)
+		must.Less(t, len(r.leaseRequests), asked)
 	}
 }
 
 func TestLeaseHolderWithoutPeersKeepsLease(t *testing.T) {
 	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
 	r.grants, r.status = true, 0
-	r.becomeLeaseHolder()
+	r.learnLeader()
 	r.run(10 * second)
 	must.Between(t, 9, len(r.fetches), 10)
 }
@@ -209,12 +207,12 @@
 func TestDrainingNodeRequestsNoLease(t *testing.T) {
 	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
 	r.grants = true
-	r.becomeLeaseHolder()
+	r.learnLeader()
 	r.run(second)
 	kernel.Find[*membership.Members](r.k).Update(func(m *wire.Member) { m.Draining = true })
-	asked := len(r.holds)
+	asked := len(r.leaseRequests)
 	r.run(5 * second)
-	must.Eq(t, asked, len(r.holds))
+	must.Eq(t, asked, len(r.leaseRequests))
 }
 
 func TestChangedReportsAllButExpiringSlowStart(t *testing.T) {
--- a/cluster/discovery/firstread.go
+++ b/cluster/discovery/firstread.go
@@ -1,31 +1,35 @@
-// The first reading of a process that knows of none: it waits for no duty, since
-// after a loss of everything nobody can serve before somebody has read the list.
-// The few machines that count read at once, the others only if those did not.
-
 package discovery
 
-import "wallport/runtime/kernel"
+import (
+	"wallport/runtime/clock"
+	"wallport/runtime/kernel"
+)
 
-// Times of the first reading, in microseconds.
+// Delays of the first reading.
 const (
-	FirstReadJitter = 150_000
-	UncountedDelay  = 500_000
-	UncountedJitter = 1_000_000
+	// FirstReadJitter bounds the delay on a quorum member.
+	FirstReadJitter = 150 * clock.Millisecond
+	// UncountedDelay and UncountedJitter are the least delay on other nodes and the random part.
+	UncountedDelay  = 500 * clock.Millisecond
+	UncountedJitter = 1 * clock.Second
 )
 
-// scheduleFirstRead plans the first reading, where a platform says how often the list may be read.
+// scheduleFirstRead sets the timer of the first reading, if the settings allow readings at an
+// interval. A node that knows of no list does not wait for the lease: after a loss of the whole
+// fleet no node can serve, and no lease be granted, before one has read the list. Quorum members
+// read at once, other nodes only if those did not.
 func (p *Lister) scheduleFirstRead(ctx *kernel.Context) {
-	e := &p.k.Boot.Settings
+	settings := &p.k.Boot.Settings
 	switch {
-	case e.ListInterval <= 0:
-	case e.QuorumMember:
-		ctx.After(ctx.Rand.Int64N(FirstReadJitter), "listing", "first")
+	case settings.ListInterval <= 0:
+	case settings.QuorumMember:
+		ctx.After(ctx.Rand.Int64N(FirstReadJitter), pluginName, timerFirstRead)
 	default:
-		ctx.After(UncountedDelay+ctx.Rand.Int64N(UncountedJitter), "listing", "first")
+		ctx.After(UncountedDelay+ctx.Rand.Int64N(UncountedJitter), pluginName, timerFirstRead)
 	}
 }
 
-// readFirst reads unless a reading has come meanwhile; one that fails is made again, each time later.
+// readFirst reads the list unless one has been heard of meanwhile, and retries with backoff.
 func (p *Lister) readFirst(ctx *kernel.Context) {
 	if !p.unread {
 		return
@@ -33,5 +37,5 @@
 	if !p.reading && ctx.Now-p.readAt >= p.readInterval(ctx) {
 		p.read(ctx)
 	}
-	ctx.After(UncountedDelay*max(1, p.slowdown)+ctx.Rand.Int64N(UncountedJitter), "listing", "first")
+	ctx.After(UncountedDelay*max(1, p.slowdown)+ctx.Rand.Int64N(UncountedJitter), pluginName, timerFirstRead)
 }
--- a/cluster/discovery/firstread_test.go
+++ b/cluster/discovery/firstread_test.go
@@ -1,6 +1,3 @@
-// The first reading after a start: a counted machine's at once, another's only
-// if no reading came before, and none ever faster than the usual pace.
-
 package discovery
 
 import (
@@ -34,7 +31,7 @@
 	a.run(UncountedDelay + UncountedJitter)
 	must.Positive(t, len(a.fetches))
 	must.SliceEmpty(t, b.fetches)
-	must.False(t, b.l.unread)
+	must.False(t, b.lister.unread)
 }
 
 func TestFailedFirstReadsStayWithinAllowance(t *testing.T) {
--- a/cluster/discovery/lease.go
+++ b/cluster/discovery/lease.go
@@ -1,6 +1,3 @@
-// The lease of the duty as its holder sees it: it lasts from when it was asked
-// for, and what is given up, or was held before a freeze, is not taken up again.
-
 package discovery
 
 import (
@@ -13,11 +10,11 @@
 	"wallport/runtime/wire"
 )
 
-// maxOpenRequests is how many asks a grant may still answer.
+// maxOpenRequests is how many lease requests a reply may still answer.
 const maxOpenRequests = 16
 
-// handleLeaseReply takes a grant. It lasts from when it was asked for: how long the answer took to come,
-// and whether this process stood still meanwhile, is not known.
+// handleLeaseReply takes a granted lease. It lasts from when it was requested, since neither the
+// time that the reply took nor whether this process was frozen meanwhile is known.
 func (p *Lister) handleLeaseReply(id uint64, r wire.LeaseReply) {
 	at, open := p.requestedAt[id]
 	delete(p.requestedAt, id)
@@ -28,20 +25,22 @@
 	p.leaseID, p.newestLeaseID = max(p.leaseID, r.LeaseID), max(p.newestLeaseID, r.LeaseID)
 }
 
-// checkSingleLeaseHolder sees that nobody else was granted the duty while this node still holds it.
+// checkSingleLeaseHolder reports a violation if another node reads under a newer lease while this
+// node still holds its own.
 func (p *Lister) checkSingleLeaseHolder(ctx *kernel.Context, v mesh.Stored, l *wire.BackendList) {
 	if !v.Local && ctx.Now < p.leaseUntil && l.LeaseID > p.leaseID {
-		ctx.ReportViolation(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under turn %d while turn %d is held here for %d us yet", v.Origin, l.LeaseID, p.leaseID, p.leaseUntil-ctx.Now))
+		ctx.ReportViolation(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under lease %d while this node holds lease %d for another %d us", v.Origin, l.LeaseID, p.leaseID, p.leaseUntil-ctx.Now))
 	}
 }
 
-// forgetLease ends what this node holds of the duty: a grant that is still on its way is not taken.
+// forgetLease ends this node's lease on its own side. A grant on its way is ignored.
 func (p *Lister) forgetLease() {
 	p.leaseUntil = 0
 	clear(p.requestedAt)
 }
 
-// releaseLease gives the duty up to the next node by rank, if this node has it and there is another.
+// releaseLease hands the lease over to the next live node by name, if this node holds it and there
+// is such a node, and reports whether it did.
 func (p *Lister) releaseLease(ctx *kernel.Context) bool {
 	partition := state.PartitionOf(LeaseTask)
 	addr := p.configSync.Leader(partition)
--- a/cluster/loadreport/loadreport.go
+++ b/cluster/loadreport/loadreport.go
@@ -1,7 +1,9 @@
-// Package loadreport spreads each node's own rate of inquiries over the mesh, so
-// that fleet-wide shares and ceilings can be split by who is really asked. It
-// tells only when the rate moved by a fifth, or near a limit by less, and at most
-// once a second.
+// Package loadreport announces each node's own rate of requests, so that limits that hold for the
+// whole fleet can be divided by where the requests really arrive.
+//
+// A [Meter] counts the requests of one index and kind at this node. Once a second the [Reporter]
+// smooths the rates and announces them in one entry of the mesh ([mesh.EntryLoadReport]) if one of
+// them has changed enough. The request path reads the meters without locks.
 package loadreport
 
 import (
@@ -11,56 +13,78 @@
 	"sync/atomic"
 
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of the telling: how often, by what part a rate must have moved, and what
-// part of a limit is near it.
+// Constants of reporting.
 const (
-	reportInterval           = 1_000_000
+	// reportInterval is the time between two evaluations of the rates, and so the least time
+	// between two reports.
+	reportInterval = 1 * clock.Second
+	// changeThreshold is by which fraction a rate must have changed to be reported,
+	// changeThresholdNearLimit the same while the fleet's rate exceeds nearLimitFraction of a limit:
+	// then the nodes' parts must add up more exactly.
 	changeThreshold          = 0.2
 	changeThresholdNearLimit = 0.06
 	nearLimitFraction        = 0.7
-	minJump                  = 5
+	// minChange is added to the threshold, in requests a second.
+	minChange = 0.5
+	// minJump is by how many requests a second the count must exceed twice the rate to be taken as
+	// the new rate without smoothing: callers have moved here, and it is no noise.
+	minJump = 5
+	// reportScale is the number of units of a reported rate in one request a second.
+	reportScale = 10
 )
 
-// Meter counts the inquiries of one index and kind that came to this node.
+const (
+	pluginName  = "usage"
+	timerReport = "tell"
+)
+
+// Meter measures the requests of one index and kind that arrive at this node.
 type Meter struct {
-	count        atomic.Int64
+	count atomic.Int64
+	// nearLimit says that the fleet's rate is near a limit.
+	nearLimit atomic.Bool
+	// localRate and remoteRate are the rates of this node and of the other live nodes, times
+	// reportScale.
+	localRate  atomic.Int64
+	remoteRate atomic.Int64
+
+	// Only the kernel's goroutine uses the following: the count at the last evaluation, the smoothed
+	// rate, and the rate as it was last reported, in requests a second.
 	lastCount    int64
 	rate         float64
 	reportedRate float64
-	remoteRate   atomic.Int64
-	localRate    atomic.Int64
-	nearLimit    atomic.Bool
 }
 
-// Inc counts one inquiry.
+// Inc counts one request.
 func (m *Meter) Inc() { m.count.Add(1) }
 
-// SetLimits tells the limits that hold for what is metered; near one of them the rate is
-// told more exactly, since then the parts of the nodes have to add up to the whole.
+// SetLimits sets the limits, in requests a second, that hold for what is metered; 0 is none. Near
+// one of them the rate is reported more exactly.
 func (m *Meter) SetLimits(a, b float64) {
-	total := float64(m.localRate.Load()+m.remoteRate.Load()) / 10
+	total := float64(m.localRate.Load()+m.remoteRate.Load()) / reportScale
 	near := a > 0 && total > nearLimitFraction*a || b > 0 && total > nearLimitFraction*b
 	if m.nearLimit.Load() != near {
 		m.nearLimit.Store(near)
 	}
 }
 
-// LocalLimit is this node's part of a limit, in inquiries a second: as much of it as the node
-// has of the fleet's rate, an equal part while none is known. What the fleet as a whole
-// leaves of the limit is open to callers who have just come here: to each node half.
+// LocalLimit returns this node's part of a limit of the fleet, in requests a second: its fraction
+// of the fleet's rate or, while no rate is known, an equal part for each of the nodes. Half of what
+// the fleet leaves unused is added at each node, for callers that have just moved there.
 func (m *Meter) LocalLimit(limit float64, nodes int) float64 {
-	mine, other := float64(m.localRate.Load())/10, float64(m.remoteRate.Load())/10
-	if mine+other < 0.1 {
+	mine, other := float64(m.localRate.Load())/reportScale, float64(m.remoteRate.Load())/reportScale
+	if mine+other < 1.0/reportScale {
 		return limit / float64(max(1, nodes))
 	}
 	return limit*mine/(mine+other) + max(0, limit-mine-other)/2
 }
 
-// Reporter is the plug-in.
+// Reporter is the plug-in of a node.
 type Reporter struct {
 	mesh        *mesh.Mesh
 	meters      sync.Map
@@ -73,75 +97,91 @@
 	}})
 }
 
-// Meter returns the meter of an index and kind; any thread may ask.
-func (u *Reporter) Meter(index, kind string) *Meter {
+// Meter returns the meter of an index and kind, created at first use. Any goroutine may call it.
+func (r *Reporter) Meter(index, kind string) *Meter {
 	key := index + "\x00" + kind
-	if v, ok := u.meters.Load(key); ok {
+	if v, ok := r.meters.Load(key); ok {
 		return v.(*Meter)
 	}
-	v, _ := u.meters.LoadOrStore(key, new(Meter))
+	v, _ := r.meters.LoadOrStore(key, new(Meter))
 	return v.(*Meter)
 }
 
-// Name is the plug-in's name.
-func (u *Reporter) Name() string { return "usage" }
+// Name returns the plug-in's name.
+func (r *Reporter) Name() string { return pluginName }
 
-// Kinds are the frames that it takes: none.
-func (u *Reporter) Kinds() []uint8 { return nil }
+// Kinds returns the kinds of frames that the plug-in handles: none.
+func (r *Reporter) Kinds() []uint8 { return nil }
 
-// Step takes one input.
-func (u *Reporter) Step(ctx *kernel.Context, in kernel.Input) {
+// Step handles one input of the kernel.
+func (r *Reporter) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		ctx.After(reportInterval, "usage", "tell")
+		ctx.After(reportInterval, pluginName, timerReport)
 	case kernel.Tick:
-		ctx.After(reportInterval, "usage", "tell")
-		u.report(ctx)
+		ctx.After(reportInterval, pluginName, timerReport)
+		r.report(ctx)
 	case mesh.Stored:
-		if v.Entry.Type == "usage" && !v.Local {
-			var r wire.LoadReport
-			if wire.Decode(v.Entry.Body, &r) == nil {
-				u.remoteRates[v.Origin] = r.Rates
+		if v.Entry.Type == mesh.EntryLoadReport && !v.Local {
+			var report wire.LoadReport
+			if wire.Decode(v.Entry.Body, &report) == nil {
+				r.remoteRates[v.Origin] = report.Rates
 			}
 		}
 	case mesh.Forgotten:
-		delete(u.remoteRates, v.Origin)
+		delete(r.remoteRates, v.Origin)
 	}
 }
 
-func (u *Reporter) report(ctx *kernel.Context) {
+// report updates the rates, and announces them if one of them has changed enough.
+func (r *Reporter) report(ctx *kernel.Context) {
 	report := wire.LoadReport{Rates: map[string]int64{}}
-	moved := false
-	u.meters.Range(func(k, v any) bool {
-		key, m := k.(string), v.(*Meter)
-		n := m.count.Load()
-		if came := float64(n - m.lastCount); came > 2*m.rate+minJump {
-			// Callers have moved here: that is not noise.
-			m.rate = came
-		} else {
-			m.rate += (came - m.rate) / 2
-		}
-		m.lastCount = n
-		by := changeThreshold
-		if m.nearLimit.Load() {
-			by = changeThresholdNearLimit
-		}
-		moved = moved || math.Abs(m.rate-m.reportedRate) > by*m.reportedRate+0.5
-		report.Rates[key] = int64(m.rate * 10)
-		var other int64
-		for origin, rates := range u.remoteRates {
-			if u.mesh.Live(origin, ctx.Now) {
-				other += rates[key]
-			}
-		}
-		m.localRate.Store(int64(m.rate * 10))
-		m.remoteRate.Store(other)
-		ctx.Counts.Set(fmt.Sprintf("inquiries_per_10s{what=%q}", key), int64(m.rate*10))
+	changed := false
+	r.meters.Range(func(k, v any) bool {
+		key, meter := k.(string), v.(*Meter)
+		changed = meter.updateRate() || changed
+		rate := int64(meter.rate * reportScale)
+		report.Rates[key] = rate
+		meter.localRate.Store(rate)
+		meter.remoteRate.Store(r.remoteRate(key, ctx.Now))
+		ctx.Counts.Set(fmt.Sprintf("inquiries_per_10s{what=%q}", key), rate)
 		return true
 	})
-	if !moved {
+	if !changed {
 		return
 	}
-	u.meters.Range(func(_, v any) bool { m := v.(*Meter); m.reportedRate = m.rate; return true })
-	u.mesh.Announce(ctx, "usage", u.mesh.Self(), wire.Encode(&report), false)
+	r.meters.Range(func(_, v any) bool {
+		meter := v.(*Meter)
+		meter.reportedRate = meter.rate
+		return true
+	})
+	r.mesh.Announce(ctx, mesh.EntryLoadReport, r.mesh.Self(), wire.Encode(&report), false)
+}
+
+// updateRate adds the requests since the last evaluation to the rate. It reports whether the rate
+// has changed enough since the last report to be announced.
+func (m *Meter) updateRate() bool {
+	count := m.count.Load()
+	arrived := float64(count - m.lastCount)
+	m.lastCount = count
+	if arrived > 2*m.rate+minJump {
+		m.rate = arrived
+	} else {
+		m.rate += (arrived - m.rate) / 2
+	}
+	threshold := changeThreshold
+	if m.nearLimit.Load() {
+		threshold = changeThresholdNearLimit
+	}
+	return math.Abs(m.rate-m.reportedRate) > threshold*m.reportedRate+minChange
+}
+
+// remoteRate returns the rate of the other live nodes, times reportScale.
+func (r *Reporter) remoteRate(key string, now clock.Micros) (sum int64) {
+	for origin, rates := range r.remoteRates {
+		if r.mesh.Live(origin, now) {
+			sum += rates[key]
+		}
+	}
+	return sum
 }
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -1,6 +1,9 @@
-// Package membership keeps the table of the fleet's processes as the mesh tells
-// it, and tells the mesh about this one. Liveness is the mesh's judgement of
-// each origin's beat; a restarted process is a new member.
+// Package membership keeps the list of the fleet's processes and announces this process to the
+// others.
+//
+// A process describes itself in one entry of the mesh: name, role, zone, addresses, the versions
+// that it has in force. The list holds the newest entry of each origin. Whether a member is live is
+// decided by the mesh ([mesh.Mesh.Live]); a restarted process has a new key and is a new member.
 package membership
 
 import (
@@ -10,51 +13,61 @@
 	"slices"
 
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Member is one member as seen from here.
+// Member is a member of the fleet as this process sees it.
 type Member struct {
 	wire.Member
 	Origin string
 	Live   bool
 }
 
-// Members is the plug-in.
+// Members is the plug-in. It emits no events; other plug-ins query it.
 type Members struct {
 	k           *kernel.Kernel
 	mesh        *mesh.Mesh
 	local       wire.Member
-	announcedAt int64
-	// announced is what was told then.
+	announcedAt clock.Micros
+	// announced is the local member as it was last announced.
 	announced wire.Member
 	dirty     bool
-	// announceDue is when the row is told next, 0 where nothing waits.
-	announceDue int64
+	// announceDue is when the timer of the next announcement fires; 0 if none is set.
+	announceDue clock.Micros
 	rows        map[string]*wire.Member
-	// sortedOrigins is the origins of the rows, by name; nil where a row came or went since.
+	// sortedOrigins holds the origins of all rows in the order of sorted; nil if a row was added,
+	// changed or removed since.
 	sortedOrigins []string
-	peak          int
-	peakAt        int64
-	started       int64
+	// peak is the number of nodes by which fleet-wide allowances are divided, see Divisor.
+	peak    int
+	peakAt  clock.Micros
+	started clock.Micros
 }
 
-// announceInterval is the least time between two tellings of this process's row. Where only the versions
-// in force changed and there are more than smallFleet members, it is announceIntervalPerMember for each of
-// them, up to maxAnnounceInterval: all tell of a version at about the same time, each to all.
+// Intervals of announcing the local member.
 const (
-	announceInterval          = 200_000
+	// announceInterval is the least time between two announcements.
+	announceInterval = 200 * clock.Millisecond
+	// In a fleet of more than smallFleet members, a change of only the versions in force waits for
+	// announceIntervalPerMember times their number, maxAnnounceInterval at most: all processes
+	// announce a new version at about the same time, each to all.
 	smallFleet                = 32
-	announceIntervalPerMember = 100_000
-	maxAnnounceInterval       = 10_000_000
-	// startupDelay is how long after its start a process waits as long: it hears of several
-	// versions then, and does not know yet how many members there are.
-	startupDelay = 1_000_000
+	announceIntervalPerMember = 100 * clock.Millisecond
+	maxAnnounceInterval       = 10 * clock.Second
+	// startupDelay is for how long after its start a process spaces such announcements by
+	// startupDelay: it learns several versions then, and does not know the size of the fleet yet.
+	startupDelay = 1 * clock.Second
 )
 
-// PeakTTL is how long a larger fleet's size still divides what is shared out.
-const PeakTTL = 600_000_000
+const (
+	pluginName    = "members"
+	timerAnnounce = "tell"
+)
+
+// PeakTTL is how long the size of a fleet that has shrunk remains the divisor of allowances.
+const PeakTTL = 10 * clock.Minute
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 20, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
@@ -65,13 +78,13 @@
 	}})
 }
 
-// Name is the plug-in's name.
-func (m *Members) Name() string { return "members" }
+// Name returns the plug-in's name.
+func (m *Members) Name() string { return pluginName }
 
-// Kinds are the frames that it takes: none.
+// Kinds returns the kinds of frames that the plug-in handles: none.
 func (m *Members) Kinds() []uint8 { return nil }
 
-// Step takes one input.
+// Step handles one input of the kernel.
 func (m *Members) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
@@ -86,7 +99,7 @@
 		m.Update(func(s *wire.Member) { s.Draining = true })
 		m.announce(ctx)
 	case mesh.Stored:
-		if v.Entry.Type == "member" {
+		if v.Entry.Type == mesh.EntryMember {
 			row := new(wire.Member)
 			if wire.Decode(v.Entry.Body, row) == nil {
 				m.rows[v.Origin], m.sortedOrigins = row, nil
@@ -94,7 +107,8 @@
 		}
 	case mesh.Forgotten:
 		if r := m.rows[v.Origin]; r != nil && r.Role == "node" && r.Draining && m.peak > 1 {
-			// It left as planned: the fleet is meant to be smaller, unless it comes back.
+			// A node that drained was removed on purpose: the fleet is meant to be smaller. If the
+			// node comes back, the count of live nodes raises the peak again.
 			m.peak--
 		}
 		delete(m.rows, v.Origin)
@@ -107,14 +121,14 @@
 	}
 }
 
-// Update changes what this process tells of itself; it is told soon after.
+// Update changes the local member with f; the change is announced soon after.
 func (m *Members) Update(f func(s *wire.Member)) {
 	f(&m.local)
 	m.dirty = true
 	m.k.Later(m.announceSoon)
 }
 
-// announceSoon tells what changed, at once if nothing was told of late.
+// announceSoon announces a changed local member, at once if nothing was announced lately.
 func (m *Members) announceSoon(ctx *kernel.Context) {
 	if !m.dirty {
 		return
@@ -125,12 +139,12 @@
 		m.announce(ctx)
 	case m.announceDue == 0 || at < m.announceDue:
 		m.announceDue = at
-		ctx.After(at-ctx.Now, "members", "tell")
+		ctx.After(at-ctx.Now, pluginName, timerAnnounce)
 	}
 }
 
-// announceDelay is how long to wait between two tellings for what changed.
-func (m *Members) announceDelay(now int64) int64 {
+// announceDelay returns the least time between the last announcement and one of what changed since.
+func (m *Members) announceDelay(now clock.Micros) clock.Micros {
 	was, is := m.announced, m.local
 	was.InForce, is.InForce = nil, nil
 	if !bytes.Equal(wire.Encode(&was), wire.Encode(&is)) {
@@ -145,19 +159,20 @@
 	return min(maxAnnounceInterval, announceIntervalPerMember*int64(len(m.rows)))
 }
 
-// Local is what this process tells of itself.
+// Local returns this process as it describes itself.
 func (m *Members) Local() wire.Member { return m.local }
 
+// announce announces the local member if it changed.
 func (m *Members) announce(ctx *kernel.Context) {
 	if !m.dirty {
 		return
 	}
 	m.dirty, m.announcedAt, m.announced = false, ctx.Now, m.local
-	m.mesh.Announce(ctx, "member", m.mesh.Self(), wire.Encode(&m.local), false)
+	m.mesh.Announce(ctx, mesh.EntryMember, m.mesh.Self(), wire.Encode(&m.local), false)
 }
 
-// All lists the members, by name.
-func (m *Members) All(now int64) []Member {
+// All returns the members, sorted by name.
+func (m *Members) All(now clock.Micros) []Member {
 	out := make([]Member, 0, len(m.rows))
 	for _, fp := range m.sorted() {
 		out = append(out, m.row(fp, now))
@@ -165,11 +180,11 @@
 	return out
 }
 
-func (m *Members) row(origin string, now int64) Member {
+func (m *Members) row(origin string, now clock.Micros) Member {
 	return Member{Member: *m.rows[origin], Origin: origin, Live: m.mesh.Live(origin, now)}
 }
 
-// sorted lists the origins of all rows, by name; they are sorted only where a row changed.
+// sorted returns the origins of all rows, sorted by the members' names and then by origin.
 func (m *Members) sorted() []string {
 	if m.sortedOrigins == nil {
 		m.sortedOrigins = slices.SortedFunc(maps.Keys(m.rows), func(a, b string) int {
@@ -179,15 +194,15 @@
 	return m.sortedOrigins
 }
 
-// Each visits the members, by name. The rows are not to be changed.
-func (m *Members) Each(now int64, visit func(origin string, row *wire.Member, live bool)) {
+// Each calls visit for each member, sorted by name. The rows must not be changed.
+func (m *Members) Each(now clock.Micros, visit func(origin string, row *wire.Member, live bool)) {
 	for _, fp := range m.sorted() {
 		visit(fp, m.rows[fp], m.mesh.Live(fp, now))
 	}
 }
 
-// Live lists the live members of a role.
-func (m *Members) Live(now int64, role string) []Member {
+// Live returns the live members of a role, sorted by name.
+func (m *Members) Live(now clock.Micros, role string) []Member {
 	var out []Member
 	for _, fp := range m.sorted() {
 		if m.rows[fp].Role == role && m.mesh.Live(fp, now) {
@@ -197,8 +212,8 @@
 	return out
 }
 
-// Count is how many members of a role are live.
-func (m *Members) Count(now int64, role string) (n int) {
+// Count returns the number of live members of a role.
+func (m *Members) Count(now clock.Micros, role string) (n int) {
 	for fp, r := range m.rows {
 		if r.Role == role && m.mesh.Live(fp, now) {
 			n++
@@ -207,8 +222,8 @@
 	return n
 }
 
-// Replica finds the live core that has a replica's disk.
-func (m *Members) Replica(id string, now int64) (Member, bool) {
+// Replica returns the live core that has a replica's disk, and whether there is one.
+func (m *Members) Replica(id string, now clock.Micros) (Member, bool) {
 	for _, fp := range m.sorted() {
 		if m.rows[fp].Replica == id && m.mesh.Live(fp, now) {
 			return m.row(fp, now), true
@@ -217,7 +232,7 @@
 	return Member{}, false
 }
 
-// Divisor is by how many nodes a fleet-wide allowance is divided here: the
-// greatest number seen in the last while, so that neither a shrinking fleet
-// nor an isolated node multiplies what all may do together.
+// Divisor returns by how many nodes a fleet-wide allowance is divided: the greatest number of live
+// nodes within PeakTTL. Neither a shrinking fleet nor an isolated node may take the shares of nodes
+// that it does not see.
 func (m *Members) Divisor() int { return max(1, m.peak) }
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -1,6 +1,3 @@
-// When a process's own row is told: at once after a pause, what else changed soon, and versions in
-// force together, the later the more members there are.
-
 package membership
 
 import (
@@ -10,6 +7,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
@@ -19,7 +17,7 @@
 type process struct {
 	k   *kernel.Kernel
 	m   *Members
-	now int64
+	now clock.Micros
 }
 
 func newProcess(others int) *process {
@@ -41,13 +39,14 @@
 	p.feed(kernel.Tick{Plugin: "nobody"})
 }
 
-// announcedWithin runs the members' own timers on and gives when the row was told again.
+// announcedWithin runs the announcement timer and returns how long after the last announcement the
+// next one came; -1 if none came within most.
 func (p *process) announcedWithin(most int64) int64 {
 	was, began := p.m.announcedAt, p.now
 	for p.now < began+most {
 		p.now += 10_000
 		if p.m.announceDue > 0 && p.m.announceDue <= p.now {
-			p.feed(kernel.Tick{Plugin: "members", Key: "tell"})
+			p.feed(kernel.Tick{Plugin: pluginName, Key: timerAnnounce})
 		}
 		if p.m.announcedAt != was {
 			return p.m.announcedAt - was
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -174,9 +174,9 @@
 }
 
 // dropMalformed closes the connection of a peer that sent a frame that cannot be decoded.
-func (m *Mesh) dropMalformed(ctx *kernel.Context, peer *peerConn, what string) {
+func (m *Mesh) dropMalformed(ctx *kernel.Context, peer *peerConn, frame string) {
 	ctx.Counts.Add("mesh_dropped_malformed", 1)
-	ctx.Log(kernel.LevelWarn, "mesh_malformed", "what", what, "peer", peer.key)
+	ctx.Log(kernel.LevelWarn, "mesh_malformed", "frame", frame, "peer", peer.key)
 	ctx.Drop(peer.conn)
 }
 
