--- a/runtime/asynclog/asynclog.go
+++ b/runtime/asynclog/asynclog.go
@@ -1,6 +1,8 @@
-// Package asynclog writes log lines without ever making their writer wait: a
-// process must not stand still because nobody reads what it logs. Lines beyond a
-// bound are dropped and counted, and the count is logged once somebody reads again.
+// Package asynclog writes log lines in the background, so that a process does not block when nobody
+// reads what it logs, as with a full pipe.
+//
+// A [Writer] takes lines from any goroutine and owns a bounded buffer and one goroutine that writes
+// it. Lines beyond the bound are dropped and counted; the count is logged when writing goes on.
 package asynclog
 
 import (
@@ -9,38 +11,38 @@
 	"time"
 )
 
-// Figures of a writer.
 const (
-	// maxPending bounds the lines that wait to be written, in bytes.
+	// maxPending bounds the lines that are not written yet, in bytes.
 	maxPending = 256 << 10
-	// syncTimeout is how long Sync waits for the lines before it.
+	// syncTimeout is how long Sync waits for the lines before it, syncPoll how often it looks.
 	syncTimeout = 300 * time.Millisecond
 	syncPoll    = time.Millisecond
 )
 
-// Writer is a zapcore.WriteSyncer.
+// Writer writes lines in the background. It is a zapcore.WriteSyncer.
 type Writer struct {
 	to io.Writer
-	// formatDropped makes the line that tells of dropped ones.
+	// formatDropped returns the log line for a number of dropped lines.
 	formatDropped func(n int) []byte
 
-	mu       sync.Mutex
-	pending  []byte
+	mu      sync.Mutex
+	pending []byte
+	// recycled is the buffer of a batch that was written, for the next one.
 	recycled []byte
 	dropped  int
-	// writing tells that lines are being written now.
+	// writing is set while a batch is being written.
 	writing bool
 	wake    chan struct{}
 }
 
-// New makes a writer, and a goroutine that writes for as long as the process lives.
+// New returns a writer to the given one and starts its goroutine, which runs as long as the process.
 func New(to io.Writer, formatDropped func(n int) []byte) *Writer {
 	w := &Writer{to: to, formatDropped: formatDropped, wake: make(chan struct{}, 1)}
 	go w.run()
 	return w
 }
 
-// Write takes a line; it never waits and never fails.
+// Write queues a line or, if the buffer is full, drops it. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.pending)+len(line) > maxPending {
@@ -56,9 +58,9 @@
 	return len(line), nil
 }
 
-// Sync waits until the lines taken so far are written, for a little while.
+// Sync waits until the lines queued so far are written, but not longer than syncTimeout.
 func (w *Writer) Sync() error {
-	for end := time.Now().Add(syncTimeout); !w.idle() && time.Now().Before(end); {
+	for deadline := time.Now().Add(syncTimeout); !w.idle() && time.Now().Before(deadline); {
 		time.Sleep(syncPoll)
 	}
 	return nil
@@ -73,14 +75,14 @@
 func (w *Writer) run() {
 	for range w.wake {
 		for batch := w.take(); len(batch) > 0; batch = w.take() {
-			// What cannot be written is lost: there is nobody to tell.
+			// An error is ignored: there is no place left to report it.
 			w.to.Write(batch)
 			w.recycle(batch)
 		}
 	}
 }
 
-// take gives the lines that wait, and the count of those that were dropped before them.
+// take returns the pending lines, followed by the line for those that were dropped since.
 func (w *Writer) take() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,7 +96,7 @@
 	return batch
 }
 
-// recycle takes a written batch's memory back.
+// recycle keeps the buffer of a batch that was written.
 func (w *Writer) recycle(batch []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/runtime/asynclog/asynclog_test.go
+++ b/runtime/asynclog/asynclog_test.go
@@ -1,5 +1,3 @@
-// Lines are written in order; where nobody reads they are dropped and counted.
-
 package asynclog
 
 import (
@@ -14,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// blockingWriter is a reader that may stand still.
+// blockingWriter is a writer that blocks while blocked is locked.
 type blockingWriter struct {
 	blocked sync.Mutex
 	mu      sync.Mutex
@@ -35,7 +33,7 @@
 	return g.text.String()
 }
 
-// until looks for an event again and again; only a hang reaches its end.
+// until polls until a condition holds; only a hang reaches its end.
 func until(t *testing.T, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -74,9 +72,9 @@
 	}
 	g.blocked.Unlock()
 	until(t, func() bool { return strings.Contains(g.String(), "lost") && w.idle() })
-	kept := strings.Count(g.String(), string(line))
-	must.Between(t, maxPending/1024, kept, 3*maxPending/1024)
-	must.StrContains(t, g.String(), fmt.Sprintf("lost %d\n", lines-kept))
+	written := strings.Count(g.String(), string(line))
+	must.Between(t, maxPending/1024, written, 3*maxPending/1024)
+	must.StrContains(t, g.String(), fmt.Sprintf("lost %d\n", lines-written))
 	w.Write([]byte("after\n"))
 	until(t, func() bool { return strings.HasSuffix(g.String(), "after\n") })
 }
--- a/runtime/diskfile/diskfile.go
+++ b/runtime/diskfile/diskfile.go
@@ -1,6 +1,6 @@
-// Package diskfile wraps what goes on disk: a magic with the format's stamp, a
-// digest, the content. A torn or foreign file is told from a good one, and a
-// format from the future is refused by name instead of being misread.
+// Package diskfile wraps the content of files on disk: a magic, the version of the format, a SHA-256
+// digest, the content. [Unpack] recognizes torn and foreign files, and rejects a format of a newer
+// release with an error that says so instead of misreading it. The package owns no files.
 package diskfile
 
 import (
@@ -10,22 +10,22 @@
 	"fmt"
 )
 
-// Format is the stamp of the disk format.
+// Format is the version of the disk format.
 const Format = 1
 
-var magic = []byte("wallport")
+const magic = "wallport"
 
-// ErrCorrupt is returned for a file that is not whole.
+// ErrCorrupt is returned for a file that is incomplete, altered or not wallport's.
 var ErrCorrupt = errors.New("file is torn or foreign")
 
-// FutureFormatError is returned for a file that a newer program wrote.
+// FutureFormatError is returned for a file that a newer release wrote.
 type FutureFormatError struct{ Format byte }
 
 func (e FutureFormatError) Error() string {
 	return fmt.Sprintf("file has disk format %d, this program knows up to %d: run the newer program on this folder", e.Format, Format)
 }
 
-// Pack wraps content.
+// Pack returns a file with the content.
 func Pack(content []byte) []byte {
 	sum := sha256.Sum256(content)
 	out := make([]byte, 0, len(magic)+1+len(sum)+len(content))
@@ -35,20 +35,21 @@
 	return append(out, content...)
 }
 
-// Unpack checks and returns the content.
+// Unpack returns the content of a file. It fails with ErrCorrupt or a FutureFormatError. The content
+// shares the file's memory.
 func Unpack(b []byte) ([]byte, error) {
-	head := len(magic) + 1
-	if len(b) < head+sha256.Size || !bytes.Equal(b[:len(magic)], magic) {
+	const digestAt = len(magic) + 1
+	if len(b) < digestAt+sha256.Size || string(b[:len(magic)]) != magic {
 		return nil, ErrCorrupt
 	}
-	if b[len(magic)] == 0 {
+	switch format := b[len(magic)]; {
+	case format == 0:
 		return nil, ErrCorrupt
+	case format > Format:
+		return nil, FutureFormatError{format}
 	}
-	if b[len(magic)] > Format {
-		return nil, FutureFormatError{b[len(magic)]}
-	}
-	content := b[head+sha256.Size:]
-	if sum := sha256.Sum256(content); !bytes.Equal(sum[:], b[head:head+sha256.Size]) {
+	content := b[digestAt+sha256.Size:]
+	if sum := sha256.Sum256(content); !bytes.Equal(sum[:], b[digestAt:digestAt+sha256.Size]) {
 		return nil, ErrCorrupt
 	}
 	return content, nil
--- a/runtime/diskfile/diskfile_test.go
+++ b/runtime/diskfile/diskfile_test.go
@@ -1,5 +1,3 @@
-// Torn, foreign and future files are told from good ones.
-
 package diskfile
 
 import (
@@ -9,16 +7,16 @@
 )
 
 func TestTruncatedAndAlteredFilesAreRejected(t *testing.T) {
-	whole := Pack([]byte("content"))
-	got, err := Unpack(whole)
+	packed := Pack([]byte("content"))
+	got, err := Unpack(packed)
 	must.NoError(t, err)
 	must.Eq(t, "content", string(got))
-	for n := range whole {
-		_, err := Unpack(whole[:n])
+	for n := range packed {
+		_, err := Unpack(packed[:n])
 		must.ErrorIs(t, err, ErrCorrupt)
-		bad := append([]byte(nil), whole...)
-		bad[n] ^= 1
-		_, err = Unpack(bad)
+		altered := append([]byte(nil), packed...)
+		altered[n] ^= 1
+		_, err = Unpack(altered)
 		must.Error(t, err)
 	}
 }
--- a/runtime/invariant/invariant.go
+++ b/runtime/invariant/invariant.go
@@ -1,6 +1,8 @@
-// Package invariant names the promises that the running code checks itself. A
-// violation is counted by name and logged; in tests, and where a runner asks for
-// it, it ends the process. A check never changes what the program does next.
+// Package invariant names the guarantees that the running code checks itself.
+//
+// A violation is counted by the invariant's name and logged. In tests, and after [SetFatal], it panics
+// as well. Otherwise a check never changes what the program does next. The package owns only the
+// setting whether violations are fatal; counters and logs belong to those who report.
 package invariant
 
 import (
@@ -12,43 +14,43 @@
 // Name is the name of an invariant, as the counters and the log show it.
 type Name string
 
-// The invariants of the request path.
+// The invariants of the request path. A backend "may have run" a request once a byte of it was sent.
 const (
-	// AtMostOnce: a request that may run once is not sent while an earlier sending of it may have run.
+	// AtMostOnce: a request that is not idempotent is not sent while an earlier attempt at it may have run.
 	AtMostOnce Name = "runs_once"
-	// RejectedNotRun: a request that may run once is refused only if no backend has it or may have run it.
+	// RejectedNotRun: a request that is not idempotent is rejected only if no backend has it or may have run it.
 	RejectedNotRun Name = "refused_not_run"
 	// SuccessSealed: a success is a backend's success, with its seal.
 	SuccessSealed Name = "success_sealed"
-	// ShardsComplete: a gathered success has enough parts, each with a seal of its own.
+	// ShardsComplete: a merged success has answers of enough shards, each with a seal of its own.
 	ShardsComplete Name = "parts_complete"
-	// NoSendAfterOutcome: nothing is sent for a request that has its outcome.
+	// NoSendAfterOutcome: no attempt is sent for a request that has its outcome.
 	NoSendAfterOutcome Name = "no_ask_after_end"
 	// BackendsWithinRoute: a request is sent to no more backends of a pool than its route allows.
 	BackendsWithinRoute Name = "backends_within_route"
-	// NoSendToDraining: a backend that leaves, or is in a drained zone, is not chosen.
+	// NoSendToDraining: a backend that is draining, or is in a drained zone, is not selected.
 	NoSendToDraining Name = "not_to_leaving"
-	// GaugesNotNegative: what is counted up and down never falls below zero.
+	// GaugesNotNegative: a gauge never falls below zero.
 	GaugesNotNegative Name = "gauges_not_negative"
 )
 
 // The invariants of the control state.
 const (
-	// OneLeader: a replica hears one leader in each term.
+	// OneLeader: a replica receives messages of one leader in each term.
 	OneLeader Name = "one_leader"
-	// LeaderInItsTerm: a leader commits only while it has voted no later term than its own.
+	// LeaderInItsTerm: a leader commits only while it has voted in no later term than its own.
 	LeaderInItsTerm Name = "leader_in_its_term"
-	// OneContentPerVersion: a version stands for one content.
+	// OneContentPerVersion: two replicas with the same version have the same content.
 	OneContentPerVersion Name = "version_content"
-	// RevisionIncreases: the revision of the routing table rises from one committed version to the next.
+	// RevisionIncreases: the revision of the routing table increases from one committed version to the next.
 	RevisionIncreases Name = "revision_rises"
-	// ConfigIncreases: what a process has in force never goes back.
+	// ConfigIncreases: the configuration in force in a process never goes back to an older version.
 	ConfigIncreases Name = "config_rises"
 	// OneLeaseHolder: a lease is granted to one holder at a time.
 	OneLeaseHolder Name = "one_lease_holder"
 )
 
-// All lists every invariant.
+// All returns every invariant.
 func All() []Name {
 	return []Name{
 		AtMostOnce, RejectedNotRun, SuccessSealed, ShardsComplete, NoSendAfterOutcome, BackendsWithinRoute, NoSendToDraining, GaugesNotNegative,
@@ -56,13 +58,13 @@
 	}
 }
 
-// Event is the name of the log line of a violation.
+// Event is the log event of a violation.
 const Event = "invariant_violated"
 
-// Counter is the name of an invariant's counter of violations.
+// Counter returns the name of the counter of an invariant's violations.
 func Counter(n Name) string { return fmt.Sprintf("invariant_violations{invariant=%q}", string(n)) }
 
-// Violation is what a process ends with where violations are fatal.
+// Violation is the value of the panic where violations are fatal.
 type Violation struct {
 	Name   Name
 	Detail string
@@ -72,24 +74,25 @@
 
 var fatal atomic.Bool
 
-// SetFatal has every violation end the process from now on.
+// SetFatal makes every violation panic from now on.
 func SetFatal() { fatal.Store(true) }
 
-// PanicIfFatal ends the process with a violation, in tests and where SetFatal was called.
+// PanicIfFatal panics with a Violation in tests and after SetFatal, and does nothing otherwise.
 func PanicIfFatal(n Name, detail string) {
 	if fatal.Load() || testing.Testing() {
 		panic(Violation{n, detail})
 	}
 }
 
-// Recorder takes the violations that are seen outside the kernel's steps, from any thread.
+// Recorder records violations that are found outside the kernel's steps. Any goroutine may use it; a nil
+// Recorder only panics where violations are fatal.
 type Recorder struct {
-	// Count raises a counter by its name; Log writes a violation's line. Nil leaves it out.
+	// Count adds to a counter by its name; Log logs a violation. Either may be nil.
 	Count func(counter string, n int64)
 	Log   func(n Name, detail string)
 }
 
-// Violated takes a violation; its detail is formatted as by fmt.Sprintf.
+// Violated records a violation; its detail is formatted as by fmt.Sprintf.
 func (r *Recorder) Violated(n Name, format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
 	if r != nil && r.Count != nil {
--- a/runtime/invariant/invariant_test.go
+++ b/runtime/invariant/invariant_test.go
@@ -1,5 +1,3 @@
-// Violations are counted and logged, and end the process in tests.
-
 package invariant
 
 import (
--- /dev/null
+++ b/runtime/settings/file.go
@@ -0,0 +1,68 @@
+package settings
+
+import (
+	"bufio"
+	"fmt"
+	"os"
+	"strings"
+)
+
+// textFields maps the keys of the file to the fields that hold texts.
+func (s *Settings) textFields() map[string]*string {
+	return map[string]*string{
+		"name": &s.Name, "zone": &s.Zone, "mesh": &s.Mesh, "mesh-listen": &s.MeshListen,
+		"caller": &s.Caller, "operator": &s.Operator, "data": &s.DataDir, "platform": &s.PlatformURL,
+		"operator-token": &s.OperatorToken, "operator-tokens": &s.OperatorTokensFile,
+		"fleet-secret": &s.FleetSecret, "fleet-secret-too": &s.SecondFleetSecret,
+	}
+}
+
+// readFile sets the fields that the flags left empty from the lines of the file. Every key may be
+// given once, except seed; seeds of the file count only if the flags name none.
+func (s *Settings) readFile() (found Findings) {
+	f, err := os.Open(s.EnvFile)
+	if err != nil {
+		return Findings{{s.EnvFile, err.Error()}}
+	}
+	defer f.Close()
+	firstLine := map[string]int{}
+	takeSeeds := len(s.Seeds) == 0
+	fields := s.textFields()
+	lines := bufio.NewScanner(f)
+	for n := 1; lines.Scan(); n++ {
+		line := strings.TrimSpace(lines.Text())
+		if line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		location := fmt.Sprintf("%s:%d", s.EnvFile, n)
+		key, value, ok := strings.Cut(line, "=")
+		key, value = strings.TrimSpace(key), strings.TrimSpace(value)
+		if !ok {
+			found = append(found, Finding{location, "not a key=value line"})
+			continue
+		}
+		if key == "seed" {
+			if takeSeeds {
+				s.Seeds = append(s.Seeds, value)
+			}
+			continue
+		}
+		field, known := fields[key]
+		if !known {
+			found = append(found, Finding{location, "unknown key " + key})
+			continue
+		}
+		if first := firstLine[key]; first > 0 {
+			found = append(found, Finding{location, fmt.Sprintf("%s was given on line %d already", key, first)})
+			continue
+		}
+		firstLine[key] = n
+		if *field == "" {
+			*field = value
+		}
+	}
+	if err := lines.Err(); err != nil {
+		found = append(found, Finding{s.EnvFile, err.Error()})
+	}
+	return found
+}
--- a/runtime/settings/settings.go
+++ b/runtime/settings/settings.go
@@ -1,18 +1,30 @@
-// Package settings is a process's own place: addresses, zone, seeds, data folder.
-// It comes from flags and an optional file of key=value lines, is checked as a
-// whole before any port is opened, and every finding names its place.
+// Package settings is what a process is told at its start: its addresses, zone, seeds and data folder,
+// and what a platform says of the machine and the fleet.
+//
+// The settings come from flags and an optional file of key=value lines, in which flags win, or from a
+// platform's own settings file (package platform). They are validated together before any port is
+// opened: [Load] returns every finding with its location, not only the first. The package owns no state.
 package settings
 
 import (
-	"bufio"
-	"fmt"
 	"net/netip"
-	"os"
 	"sort"
 	"strings"
+
+	"wallport/runtime/clock"
+)
+
+// The roles of a process.
+const (
+	RoleNode = "node"
+	RoleCore = "core"
 )
 
-// Settings is the place of one process. Flags win over the file.
+// maxSeeds bounds the seeds of a process.
+const maxSeeds = 3
+
+// Settings are the settings of one process. Fields without a flag come from a platform and are zero
+// without one.
 type Settings struct {
 	EnvFile            string   `long:"env-file" description:"file of key=value lines, the keys being these flags' names"`
 	Name               string   `long:"name" description:"name in logs and tables; made from the mesh address when absent"`
@@ -32,22 +44,22 @@
 	UnsignedHeartbeats bool     `long:"unsigned-beats" description:"take signs of life that are not signed, while a fleet is upgraded from a release before 2"`
 	LogLevel           string   `long:"log-level" description:"debug, info, warn or error" default:"info"`
 
-	// What a platform tells, and no flag: BootstrapKnown says that it told whether all disks
-	// are still empty, and Bootstrap that they are.
+	// Tolerance is what the fleet may lose. Bootstrap says that all disks are still empty; it is
+	// meaningful only if BootstrapKnown.
 	Tolerance                 Tolerance `no-flag:"true"`
 	Bootstrap, BootstrapKnown bool      `no-flag:"true"`
 
-	// Region is this machine's, Regions those of all zones, where a platform tells them.
+	// Region is that of this machine, Regions maps every zone to its region.
 	Region  string            `no-flag:"true"`
 	Regions map[string]string `no-flag:"true"`
 
-	// ListInterval is the time between two readings of the platform's list, in microseconds;
-	// 0 leaves it to the allowance of calls.
-	ListInterval int64 `no-flag:"true"`
-	// QuorumMember tells that the machine is one of the few whose loss is counted.
+	// ListInterval is the time between two readings of the platform's list of backends; 0 derives it
+	// from PollsPer10s.
+	ListInterval clock.Micros `no-flag:"true"`
+	// QuorumMember marks one of the few machines whose loss is counted in Tolerance.
 	QuorumMember bool `no-flag:"true"`
-	// PassiveHealth leaves servers in order unprobed: what requests meet decides, and only a
-	// server that this process keeps away from is probed for its way back.
+	// PassiveHealth limits health checks to backends that this process ejected: for all others the
+	// outcomes of requests decide.
 	PassiveHealth bool      `no-flag:"true"`
 	Machine       Machine   `no-flag:"true"`
 	Bounds        Bounds    `no-flag:"true"`
@@ -55,31 +67,38 @@
 	SlowStart     SlowStart `no-flag:"true"`
 }
 
-// ListenAddress is where the mesh listens.
-func (e Settings) ListenAddress() string {
-	if e.MeshListen != "" {
-		return e.MeshListen
+// ListenAddress returns the address on which the mesh listens.
+func (s Settings) ListenAddress() string {
+	if s.MeshListen != "" {
+		return s.MeshListen
 	}
-	return e.Mesh
+	return s.Mesh
 }
 
-// SourceIP is the IP from which connections to other processes leave; not valid where the system
-// is to choose it.
-func (e Settings) SourceIP() netip.Addr {
-	listen, err := netip.ParseAddrPort(e.MeshListen)
+// SourceIP returns the IP from which connections to other processes leave. It is the zero, invalid
+// address if the system is to choose one.
+func (s Settings) SourceIP() netip.Addr {
+	listen, err := netip.ParseAddrPort(s.MeshListen)
 	if err != nil || listen.Addr().IsUnspecified() {
 		return netip.Addr{}
 	}
 	return listen.Addr()
 }
 
-// Finding is one fault with its place.
+// Voters returns the number of voting replicas that a partition's group should have.
+func (s *Settings) Voters() int {
+	if !s.BootstrapKnown {
+		return 3
+	}
+	return 2*max(0, s.Tolerance.Machines) + 1
+}
+
+// Finding is one error in the settings, with the file and line, the key or the field that it is about.
 type Finding struct{ Location, Text string }
 
-// Findings are all the faults of a reading.
+// Findings are all errors that were found. As an error it lists them, one a line.
 type Findings []Finding
 
-// Error lists every finding, a line each.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, v := range f {
@@ -88,124 +107,76 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load fills what the flags left open from the file and checks the whole.
-func Load(e *Settings, role string) Findings {
-	var out Findings
-	if e.EnvFile != "" {
-		out = append(out, e.readFile()...)
-	}
-	out = append(out, e.validate(role)...)
-	if e.Name == "" {
-		e.Name = role + "-" + e.Mesh
-	}
-	return out
+// Load completes settings that were read from flags by those of the file that they name, if any, and
+// validates the result for a role. It returns no findings if the settings are valid.
+func Load(s *Settings, role string) Findings {
+	var found Findings
+	if s.EnvFile != "" {
+		found = append(found, s.readFile()...)
+	}
+	found = append(found, s.validate(role)...)
+	if s.Name == "" {
+		s.Name = role + "-" + s.Mesh
+	}
+	return found
 }
 
-func (e *Settings) fields() map[string]*string {
-	return map[string]*string{
-		"name": &e.Name, "zone": &e.Zone, "mesh": &e.Mesh, "mesh-listen": &e.MeshListen, "caller": &e.Caller, "operator": &e.Operator,
-		"data": &e.DataDir, "platform": &e.PlatformURL, "operator-token": &e.OperatorToken, "operator-tokens": &e.OperatorTokensFile, "fleet-secret": &e.FleetSecret, "fleet-secret-too": &e.SecondFleetSecret,
+// validate returns the findings in order of their location.
+func (s *Settings) validate(role string) Findings {
+	found := s.validateAddresses(role)
+	add := func(location, text string) { found = append(found, Finding{location, text}) }
+	if s.Zone == "" {
+		add("zone", "is needed")
 	}
-}
-
-func (e *Settings) readFile() Findings {
-	f, err := os.Open(e.EnvFile)
-	if err != nil {
-		return Findings{{e.EnvFile, err.Error()}}
-	}
-	defer f.Close()
-	var out Findings
-	seen := map[string]int{}
-	fromFile := len(e.Seeds) == 0
-	fields := e.fields()
-	sc := bufio.NewScanner(f)
-	for n := 1; sc.Scan(); n++ {
-		line := strings.TrimSpace(sc.Text())
-		if line == "" || strings.HasPrefix(line, "#") {
-			continue
-		}
-		place := fmt.Sprintf("%s:%d", e.EnvFile, n)
-		k, v, ok := strings.Cut(line, "=")
-		k, v = strings.TrimSpace(k), strings.TrimSpace(v)
-		if !ok {
-			out = append(out, Finding{place, "not a key=value line"})
-			continue
-		}
-		if k == "seed" {
-			if fromFile {
-				e.Seeds = append(e.Seeds, v)
-			}
-			continue
-		}
-		p, known := fields[k]
-		if !known {
-			out = append(out, Finding{place, "unknown key " + k})
-			continue
-		}
-		if was := seen[k]; was > 0 {
-			out = append(out, Finding{place, fmt.Sprintf("%s was given on line %d already", k, was)})
-			continue
-		}
-		seen[k] = n
-		if *p == "" {
-			*p = v
-		}
+	if role == RoleCore && s.DataDir == "" {
+		add("data", "a core needs a data folder")
 	}
-	if err := sc.Err(); err != nil {
-		out = append(out, Finding{e.EnvFile, err.Error()})
+	if role == RoleCore && s.Caller != "" {
+		add("caller", "a core has no caller API")
 	}
-	return out
-}
-
-func (e *Settings) validate(role string) Findings {
-	var out Findings
-	need := map[string]string{"mesh": e.Mesh, "operator": e.Operator}
-	if role == "node" {
-		need["caller"] = e.Caller
-	}
-	for k, v := range need {
-		if v == "" {
-			out = append(out, Finding{k, "is needed"})
-		} else if _, err := netip.ParseAddrPort(v); err != nil {
-			out = append(out, Finding{k, "not an IP:port: " + v})
-		}
+	if s.PlatformURL != "" && !strings.HasPrefix(s.PlatformURL, "http://") {
+		add("platform", "not an http:// URL: "+s.PlatformURL)
 	}
-	if e.MeshListen != "" {
-		if _, err := netip.ParseAddrPort(e.MeshListen); err != nil {
-			out = append(out, Finding{"mesh-listen", "not an IP:port: " + e.MeshListen})
-		}
+	if s.SecondFleetSecret != "" && s.FleetSecret == "" {
+		add("fleet-secret-too", "needs a fleet-secret beside it")
 	}
-	if e.Zone == "" {
-		out = append(out, Finding{"zone", "is needed"})
+	if s.PollsPer10s < 1 {
+		add("polls-per-10s", "must be at least 1")
 	}
-	if len(e.Seeds) > 3 {
-		out = append(out, Finding{"seed", "more than three"})
+	switch s.LogLevel {
+	case "debug", "info", "warn", "error":
+	default:
+		add("log-level", "not one of debug, info, warn, error: "+s.LogLevel)
 	}
-	for _, s := range e.Seeds {
-		if _, err := netip.ParseAddrPort(s); err != nil {
-			out = append(out, Finding{"seed", "not an IP:port: " + s})
+	sort.SliceStable(found, func(i, j int) bool { return found[i].Location < found[j].Location })
+	return found
+}
+
+func (s *Settings) validateAddresses(role string) (found Findings) {
+	check := func(location, addr string) {
+		if _, err := netip.ParseAddrPort(addr); err != nil {
+			found = append(found, Finding{location, "not an IP:port: " + addr})
 		}
 	}
-	if role == "core" && e.DataDir == "" {
-		out = append(out, Finding{"data", "a core needs a data folder"})
-	}
-	if role == "core" && e.Caller != "" {
-		out = append(out, Finding{"caller", "a core has no caller API"})
+	required := map[string]string{"mesh": s.Mesh, "operator": s.Operator}
+	if role == RoleNode {
+		required["caller"] = s.Caller
 	}
-	if e.PlatformURL != "" && !strings.HasPrefix(e.PlatformURL, "http://") {
-		out = append(out, Finding{"platform", "not an http:// URL: " + e.PlatformURL})
+	for location, addr := range required {
+		if addr == "" {
+			found = append(found, Finding{location, "is needed"})
+			continue
+		}
+		check(location, addr)
 	}
-	if e.SecondFleetSecret != "" && e.FleetSecret == "" {
-		out = append(out, Finding{"fleet-secret-too", "needs a fleet-secret beside it"})
+	if s.MeshListen != "" {
+		check("mesh-listen", s.MeshListen)
 	}
-	if e.PollsPer10s < 1 {
-		out = append(out, Finding{"polls-per-10s", "must be at least 1"})
+	if len(s.Seeds) > maxSeeds {
+		found = append(found, Finding{"seed", "more than three"})
 	}
-	switch e.LogLevel {
-	case "debug", "info", "warn", "error":
-	default:
-		out = append(out, Finding{"log-level", "not one of debug, info, warn, error: " + e.LogLevel})
+	for _, seed := range s.Seeds {
+		check("seed", seed)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Location < out[j].Location })
-	return out
+	return found
 }
