--- a/control/config/check.go
+++ b/control/config/check.go
@@ -1,5 +1,3 @@
-// The checks that a whole sheet must pass before anything of it takes effect.
-
 package config
 
 import (
@@ -7,121 +5,135 @@
 	"slices"
 
 	"wallport/api/configpb"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// Kinds are the kinds of inquiries.
+// Kinds are the kinds of requests that have quotas.
 var Kinds = []string{"search", "read", "correct", "part"}
 
-const maxDuration = 60_000_000
+// Bounds of the times in a configuration.
+const (
+	minSpan      = clock.Millisecond
+	maxSpan      = clock.Minute
+	maxSlowStart = 10 * maxSpan
+)
 
-// Check lists every fault of a sheet.
-func Check(s *configpb.Sheet) []wire.Finding {
-	f := &collector{}
-	known := map[string]int{}
-	for i, v := range s.Services {
-		f.service(fmt.Sprintf("services[%d]", i), v)
-		if was, twice := known[v.Index]; twice {
-			f.add(fmt.Sprintf("services[%d].index", i), "%q is in services[%d] already", v.Index, was)
+// Check lists every fault of a configuration; none means that it may come into force.
+func Check(configuration *configpb.Sheet) []wire.Finding {
+	c := &collector{}
+	services := map[string]int{}
+	for i, service := range configuration.Services {
+		path := fmt.Sprintf("services[%d]", i)
+		c.service(path, service)
+		if first, duplicate := services[service.Index]; duplicate {
+			c.add(path+".index", "%q is in services[%d] already", service.Index, first)
 			continue
 		}
-		known[v.Index] = i
+		services[service.Index] = i
 	}
-	f.rows(s, known)
-	f.bookings(s, known)
-	return f.found
+	c.quotas(configuration, services)
+	c.bookings(configuration.Bookings, services)
+	c.overlaps(configuration.Bookings)
+	return c.found
 }
 
-func (f *collector) service(at string, v *configpb.Service) {
-	if v.Index == "" {
-		f.add(at+".index", "is needed")
+func (c *collector) service(path string, service *configpb.Service) {
+	if service.Index == "" {
+		c.add(path+".index", "is needed")
 	}
-	if v.Capacity < 1 {
-		f.add(at+".capacity", "must be at least 1, is %d", v.Capacity)
+	if service.Capacity < 1 {
+		c.add(path+".capacity", "must be at least 1, is %d", service.Capacity)
 	}
-	if v.RequiredShare < 1 || v.RequiredShare > 100 {
-		f.add(at+".required_share", "must be 1 to 100, is %d", v.RequiredShare)
+	if service.RequiredShare < 1 || service.RequiredShare > 100 {
+		c.add(path+".required_share", "must be 1 to 100, is %d", service.RequiredShare)
 	}
-	if v.DeadlineUs < 1000 || v.DeadlineUs > maxDuration {
-		f.add(at+".deadline_us", "must be 1000 to %d, is %d", maxDuration, v.DeadlineUs)
+	if service.DeadlineUs < minSpan || service.DeadlineUs > maxSpan {
+		c.add(path+".deadline_us", "must be %d to %d, is %d", minSpan, maxSpan, service.DeadlineUs)
 	}
-	if v.MaxDeadlineUs < v.DeadlineUs || v.MaxDeadlineUs > maxDuration {
-		f.add(at+".max_deadline_us", "must be from deadline_us to %d, is %d", maxDuration, v.MaxDeadlineUs)
+	if service.MaxDeadlineUs < service.DeadlineUs || service.MaxDeadlineUs > maxSpan {
+		c.add(path+".max_deadline_us", "must be from deadline_us to %d, is %d", maxSpan, service.MaxDeadlineUs)
 	}
-	if v.HedgeUs < 1000 || v.HedgeUs > maxDuration {
-		f.add(at+".hedge_us", "must be 1000 to %d, is %d", maxDuration, v.HedgeUs)
+	if service.HedgeUs < minSpan || service.HedgeUs > maxSpan {
+		c.add(path+".hedge_us", "must be %d to %d, is %d", minSpan, maxSpan, service.HedgeUs)
 	}
-	if v.RampUs < 0 || v.RampUs > 10*maxDuration {
-		f.add(at+".ramp_us", "must be 0 to %d, is %d", 10*maxDuration, v.RampUs)
+	if service.RampUs < 0 || service.RampUs > maxSlowStart {
+		c.add(path+".ramp_us", "must be 0 to %d, is %d", maxSlowStart, service.RampUs)
 	}
 }
 
-func (f *collector) rows(s *configpb.Sheet, known map[string]int) {
-	sum := map[string]int32{}
+// quotas checks the quota rows. services maps the indexes to their position among the services.
+func (c *collector) quotas(configuration *configpb.Sheet, services map[string]int) {
+	shares := map[string]int32{}
 	seen := map[string]int{}
-	for i, r := range s.Rows {
-		at := fmt.Sprintf("rows[%d]", i)
-		f.subject(at, r.Index, r.Kind, known)
-		if was, twice := seen[r.Index+"\x00"+r.Kind]; twice {
-			f.add(at, "the row of %q and %q is rows[%d] already", r.Index, r.Kind, was)
+	for i, row := range configuration.Rows {
+		path := fmt.Sprintf("rows[%d]", i)
+		c.subject(path, row.Index, row.Kind, services)
+		if first, duplicate := seen[quotaKey(row)]; duplicate {
+			c.add(path, "the row of %q and %q is rows[%d] already", row.Index, row.Kind, first)
 			continue
 		}
-		seen[r.Index+"\x00"+r.Kind] = i
-		if r.Share < 0 || r.Share > 100 {
-			f.add(at+".share", "must be 0 to 100, is %d", r.Share)
+		seen[quotaKey(row)] = i
+		if row.Share < 0 || row.Share > 100 {
+			c.add(path+".share", "must be 0 to 100, is %d", row.Share)
 		}
-		if r.Ceiling < 0 {
-			f.add(at+".ceiling", "must not be negative, is %d", r.Ceiling)
+		if row.Ceiling < 0 {
+			c.add(path+".ceiling", "must not be negative, is %d", row.Ceiling)
 		}
-		sum[r.Index] += r.Share
+		shares[row.Index] += row.Share
 	}
-	for i, v := range s.Services {
-		if sum[v.Index] != 100 {
-			f.add(fmt.Sprintf("services[%d].index", i), "the shares of %q add up to %d, not 100", v.Index, sum[v.Index])
+	for i, service := range configuration.Services {
+		if sum := shares[service.Index]; sum != 100 {
+			c.add(fmt.Sprintf("services[%d].index", i), "the shares of %q add up to %d, not 100", service.Index, sum)
 		}
 	}
 }
 
-func (f *collector) subject(at, index, kind string, known map[string]int) {
-	if _, ok := known[index]; !ok {
-		f.add(at+".index", "no service has the index %q", index)
+// subject checks the index and the kind that a quota row or a booking is about.
+func (c *collector) subject(path, index, kind string, services map[string]int) {
+	if _, ok := services[index]; !ok {
+		c.add(path+".index", "no service has the index %q", index)
 	}
 	if !slices.Contains(Kinds, kind) {
-		f.add(at+".kind", "%q is not one of search, read, correct, part", kind)
+		c.add(path+".kind", "%q is not one of search, read, correct, part", kind)
 	}
 }
 
-func (f *collector) bookings(s *configpb.Sheet, known map[string]int) {
+func (c *collector) bookings(bookings []*configpb.Booking, services map[string]int) {
 	seen := map[string]int{}
-	for i, b := range s.Bookings {
-		at := fmt.Sprintf("bookings[%d]", i)
-		if b.Id == "" {
-			f.add(at+".id", "is needed")
-		} else if was, twice := seen[b.Id]; twice {
-			f.add(at+".id", "%q is bookings[%d] already", b.Id, was)
+	for i, booking := range bookings {
+		path := fmt.Sprintf("bookings[%d]", i)
+		if booking.Id == "" {
+			c.add(path+".id", "is needed")
+		} else if first, duplicate := seen[booking.Id]; duplicate {
+			c.add(path+".id", "%q is bookings[%d] already", booking.Id, first)
 		}
-		seen[b.Id] = i
-		f.subject(at, b.Index, b.Kind, known)
-		if b.Slice < 1 || b.Slice > 100 {
-			f.add(at+".slice", "must be 1 to 100, is %d", b.Slice)
+		seen[booking.Id] = i
+		c.subject(path, booking.Index, booking.Kind, services)
+		if booking.Slice < 1 || booking.Slice > 100 {
+			c.add(path+".slice", "must be 1 to 100, is %d", booking.Slice)
 		}
-		if b.StartsUs < 0 {
-			f.add(at+".starts_us", "must not be negative, is %d", b.StartsUs)
+		if booking.StartsUs < 0 {
+			c.add(path+".starts_us", "must not be negative, is %d", booking.StartsUs)
 		}
-		if b.EndsUs <= b.StartsUs {
-			f.add(at+".ends_us", "the window ends at %d, not after its start at %d", b.EndsUs, b.StartsUs)
+		if booking.EndsUs <= booking.StartsUs {
+			c.add(path+".ends_us", "the window ends at %d, not after its start at %d", booking.EndsUs, booking.StartsUs)
 		}
 	}
-	// A pool is fullest where some window starts, so only those moments need a look.
-	for i, b := range s.Bookings {
+}
+
+// overlaps checks that the bookings of an index never take more than its whole capacity. The sum is
+// largest where some booking starts, so only these moments are checked.
+func (c *collector) overlaps(bookings []*configpb.Booking) {
+	for i, booking := range bookings {
 		var sum int32
-		for _, o := range s.Bookings {
-			if o.Index == b.Index && o.StartsUs <= b.StartsUs && b.StartsUs < o.EndsUs {
-				sum += o.Slice
+		for _, other := range bookings {
+			if other.Index == booking.Index && other.StartsUs <= booking.StartsUs && booking.StartsUs < other.EndsUs {
+				sum += other.Slice
 			}
 		}
 		if sum > 100 {
-			f.add(fmt.Sprintf("bookings[%d].slice", i), "bookings of %q that overlap at %d take %d%% of the pool", b.Index, b.StartsUs, sum)
+			c.add(fmt.Sprintf("bookings[%d].slice", i), "bookings of %q that overlap at %d take %d%% of the pool", booking.Index, booking.StartsUs, sum)
 		}
 	}
 }
--- /dev/null
+++ b/control/config/config.go
@@ -0,0 +1,80 @@
+// Package config reads, checks, edits and compares the operators' configuration, which the API calls a
+// sheet: the services (indexes), the quota rows of their requests and the bookings of their capacity.
+//
+// Input is JSON as an operator sent it, output the protobuf message [configpb.Sheet] together with
+// findings. Each finding names the table, row and field it is about, and all findings of one input are
+// reported together: JSON is decoded field by field with protojson, so that one bad field hides no other.
+// The package also reads the file of the operators' tokens. It keeps no state.
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+
+	"google.golang.org/protobuf/encoding/protojson"
+	"google.golang.org/protobuf/proto"
+
+	"wallport/api/configpb"
+	"wallport/runtime/wire"
+)
+
+// Names of the tables of a configuration.
+const (
+	tableServices = "services"
+	tableRows     = "rows"
+	tableBookings = "bookings"
+)
+
+func isTable(name string) bool {
+	return slices.Contains([]string{tableServices, tableRows, tableBookings}, name)
+}
+
+// newRow appends an empty row to a table and returns it.
+func newRow(configuration *configpb.Sheet, table string) proto.Message {
+	switch table {
+	case tableServices:
+		row := new(configpb.Service)
+		configuration.Services = append(configuration.Services, row)
+		return row
+	case tableRows:
+		row := new(configpb.Row)
+		configuration.Rows = append(configuration.Rows, row)
+		return row
+	default:
+		row := new(configpb.Booking)
+		configuration.Bookings = append(configuration.Bookings, row)
+		return row
+	}
+}
+
+// quotaKey identifies a quota row among those of a configuration.
+func quotaKey(row *configpb.Row) string { return row.Index + "\x00" + row.Kind }
+
+// VersionText formats a version as operators and HTTP headers have it: TERM.SEQUENCE.
+func VersionText(version wire.Version) string { return fmt.Sprintf("%d.%d", version.Term, version.Seq) }
+
+// ParseVersion parses what VersionText formatted, with or without double quotes. ok is false if the text
+// is not a version.
+func ParseVersion(partition int, text string) (version wire.Version, ok bool) {
+	version.Partition = partition
+	n, err := fmt.Sscanf(strings.Trim(text, `"`), "%d.%d", &version.Term, &version.Seq)
+	return version, err == nil && n == 2
+}
+
+// JSON encodes a configuration as compact JSON with the names of the protobuf fields, unset fields
+// included.
+func JSON(configuration *configpb.Sheet) json.RawMessage {
+	encoded, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(configuration)
+	if err != nil {
+		return json.RawMessage("{}")
+	}
+	// protojson varies its white space on purpose.
+	var compact bytes.Buffer
+	if json.Compact(&compact, encoded) != nil {
+		return encoded
+	}
+	return compact.Bytes()
+}
--- a/control/config/config_test.go
+++ b/control/config/config_test.go
@@ -1,5 +1,3 @@
-// Findings: every fault with its place, all of them together.
-
 package config
 
 import (
@@ -17,12 +15,13 @@
  "rows":[{"index":"a","kind":"search","share":70},{"index":"a","kind":"read","share":30,"ceiling":50}],
  "bookings":[{"id":"b1","index":"a","kind":"search","slice":60,"starts_us":100,"ends_us":200}]}`
 
-func findingPlaces(f []wire.Finding) string {
-	var out []string
-	for _, v := range f {
-		out = append(out, v.Path)
+// findingPaths joins the paths of findings.
+func findingPaths(found []wire.Finding) string {
+	var paths []string
+	for _, finding := range found {
+		paths = append(paths, finding.Path)
 	}
-	return strings.Join(out, " ")
+	return strings.Join(paths, " ")
 }
 
 func TestValidConfigurationHasNoFindings(t *testing.T) {
@@ -48,7 +47,7 @@
 	}
 	for text, want := range cases {
 		_, found := Read([]byte(text))
-		must.Eq(t, want, findingPlaces(found), must.Sprint(text))
+		must.Eq(t, want, findingPaths(found), must.Sprint(text))
 	}
 }
 
@@ -74,7 +73,7 @@
 		must.StrContains(t, validConfiguration, c.from)
 		s, found := Read([]byte(strings.Replace(validConfiguration, c.from, c.to, 1)))
 		must.SliceEmpty(t, found)
-		must.Eq(t, c.want, findingPlaces(Check(s)), must.Sprint(c.to))
+		must.Eq(t, c.want, findingPaths(Check(s)), must.Sprint(c.to))
 	}
 }
 
@@ -88,12 +87,12 @@
 	must.SliceEmpty(t, Check(out))
 	must.Eq(t, 3, len(out.Rows))
 	must.Eq(t, 0, len(out.Bookings))
-	must.Eq(t, before, s.String(), must.Sprint("the sheet it was based on is as it was"))
+	must.Eq(t, before, s.String(), must.Sprint("the configuration it is based on is unchanged"))
 	_, found = Apply(s, []byte(`[{"op":"set","table":"rows","row":{"index":"a","kind":"read","share":20}},
 		{"op":"remove","table":"bookings","row":{"id":"nope"}},{"op":"paint","table":"rows","row":{}},{"op":"set","table":"rows","row":{"q":1}}]`))
-	must.Eq(t, "edits[1].row edits[2] edits[3].row.q", findingPlaces(found))
+	must.Eq(t, "edits[1].row edits[2] edits[3].row.q", findingPaths(found))
 	_, found = Apply(new(configpb.Sheet), []byte(`{}`))
-	must.Eq(t, "edits", findingPlaces(found))
+	must.Eq(t, "edits", findingPaths(found))
 }
 
 func TestVersionText(t *testing.T) {
@@ -125,6 +124,6 @@
 		``:                  "",
 	}
 	for text, want := range cases {
-		must.Eq(t, want, findingPlaces(DuplicateNames([]byte(text))), must.Sprint(text))
+		must.Eq(t, want, findingPaths(DuplicateNames([]byte(text))), must.Sprint(text))
 	}
 }
--- a/control/config/conflicts.go
+++ b/control/config/conflicts.go
@@ -1,6 +1,3 @@
-// Two operators who edit different rows at once both have their way; of two who
-// edit the same row one does, and the other is told what changed under it.
-
 package config
 
 import (
@@ -13,33 +10,35 @@
 	"wallport/runtime/wire"
 )
 
-// Conflicts lists the rows that the edits name and that are not now what they were in
-// the sheet that the edits are based on. Edits that cannot be read clash with nothing.
-func Conflicts(base, now *configpb.Sheet, body []byte) []wire.Finding {
+// Conflicts lists the rows that a JSON list of row edits names and that changed between the configuration
+// which the edits are based on and the current one. Two operators who edit different rows at once both
+// succeed; of two who edit the same row one does, and the other learns what changed meanwhile. Edits that
+// cannot be decoded conflict with nothing; Apply reports them.
+func Conflicts(base, current *configpb.Sheet, body []byte) []wire.Finding {
 	var edits []RowEdit
 	if json.Unmarshal(body, &edits) != nil {
 		return nil
 	}
-	was, is := rowsByKey(base), rowsByKey(now)
-	f := &collector{}
+	baseRows, currentRows := rowsByKey(base), rowsByKey(current)
+	c := &collector{}
 	seen := map[string]bool{}
-	for _, e := range edits {
-		tmp := new(configpb.Sheet)
-		(&collector{}).row("", e.Row, newRow(tmp, e.Table))
-		for key := range rowsByKey(tmp) {
-			a, had := was[key]
-			b, has := is[key]
+	for _, edit := range edits {
+		decoded := new(configpb.Sheet)
+		(&collector{}).row("", edit.Row, newRow(decoded, edit.Table))
+		for key := range rowsByKey(decoded) {
+			before, existed := baseRows[key]
+			now, exists := currentRows[key]
 			switch {
-			case seen[key] || !had && !has:
-			case had && !has:
-				f.add(key, "was removed meanwhile")
-			case !had:
-				f.add(key, "was made meanwhile")
-			case !proto.Equal(a, b):
-				f.add(key, "changed meanwhile: %s", strings.Join(changedFields(a, b), " "))
+			case seen[key] || !existed && !exists:
+			case existed && !exists:
+				c.add(key, "was removed meanwhile")
+			case !existed:
+				c.add(key, "was made meanwhile")
+			case !proto.Equal(before, now):
+				c.add(key, "changed meanwhile: %s", strings.Join(changedFields(before, now), " "))
 			}
 			seen[key] = true
 		}
 	}
-	return f.found
+	return c.found
 }
--- a/control/config/conflicts_test.go
+++ b/control/config/conflicts_test.go
@@ -1,5 +1,3 @@
-// Row edits that race.
-
 package config
 
 import (
@@ -23,6 +21,6 @@
 	for _, c := range cases {
 		now, found := Apply(base, []byte(c.meanwhile))
 		must.SliceEmpty(t, found, must.Sprint(c.meanwhile))
-		must.Eq(t, c.clash, findingPlaces(Conflicts(base, now, []byte(c.mine))), must.Sprint(c))
+		must.Eq(t, c.clash, findingPaths(Conflicts(base, now, []byte(c.mine))), must.Sprint(c))
 	}
 }
--- a/control/config/diff.go
+++ b/control/config/diff.go
@@ -1,5 +1,3 @@
-// The difference of two sheets, row by row.
-
 package config
 
 import (
@@ -8,60 +6,57 @@
 	"strings"
 
 	"google.golang.org/protobuf/proto"
-	"google.golang.org/protobuf/reflect/protoreflect"
 
 	"wallport/api/configpb"
 )
 
-type rows map[string]proto.Message
-
-func rowsByKey(s *configpb.Sheet) rows {
-	out := rows{}
-	for _, r := range s.Services {
-		out["services "+r.Index] = r
+// rowsByKey maps each row's table and key fields, as operators read them, to the row.
+func rowsByKey(configuration *configpb.Sheet) map[string]proto.Message {
+	rows := map[string]proto.Message{}
+	for _, row := range configuration.Services {
+		rows[tableServices+" "+row.Index] = row
 	}
-	for _, r := range s.Rows {
-		out["rows "+r.Index+" "+r.Kind] = r
+	for _, row := range configuration.Rows {
+		rows[tableRows+" "+row.Index+" "+row.Kind] = row
 	}
-	for _, r := range s.Bookings {
-		out["bookings "+r.Id] = r
+	for _, row := range configuration.Bookings {
+		rows[tableBookings+" "+row.Id] = row
 	}
-	return out
+	return rows
 }
 
-// Diff lists the rows that are new, gone or changed, and in which fields.
+// Diff lists the rows that are new (+), changed (~) or gone (-), sorted by key, with the changed fields.
 func Diff(from, to *configpb.Sheet) []string {
-	a, b := rowsByKey(from), rowsByKey(to)
-	var out []string
-	for k, r := range b {
-		was, ok := a[k]
+	fromRows, toRows := rowsByKey(from), rowsByKey(to)
+	var lines []string
+	for key, row := range toRows {
+		before, existed := fromRows[key]
 		switch {
-		case !ok:
-			out = append(out, "+ "+k)
-		case !proto.Equal(was, r):
-			out = append(out, "~ "+k+" "+strings.Join(changedFields(was, r), " "))
+		case !existed:
+			lines = append(lines, "+ "+key)
+		case !proto.Equal(before, row):
+			lines = append(lines, "~ "+key+" "+strings.Join(changedFields(before, row), " "))
 		}
 	}
-	for k := range a {
-		if _, ok := b[k]; !ok {
-			out = append(out, "- "+k)
+	for key := range fromRows {
+		if _, exists := toRows[key]; !exists {
+			lines = append(lines, "- "+key)
 		}
 	}
-	slices.SortFunc(out, func(x, y string) int { return strings.Compare(x[2:], y[2:]) })
-	return out
+	slices.SortFunc(lines, func(a, b string) int { return strings.Compare(a[2:], b[2:]) })
+	return lines
 }
 
-func changedFields(a, b proto.Message) []string {
-	var out []string
-	fs := a.ProtoReflect().Descriptor().Fields()
-	for i := range fs.Len() {
-		f := fs.Get(i)
-		x, y := a.ProtoReflect().Get(f), b.ProtoReflect().Get(f)
+// changedFields lists the fields in which two rows of one table differ, as name=before->after.
+func changedFields(before, after proto.Message) []string {
+	var changed []string
+	fields := before.ProtoReflect().Descriptor().Fields()
+	for i := range fields.Len() {
+		field := fields.Get(i)
+		x, y := before.ProtoReflect().Get(field), after.ProtoReflect().Get(field)
 		if !x.Equal(y) {
-			out = append(out, fmt.Sprintf("%s=%s->%s", f.Name(), text(x), text(y)))
+			changed = append(changed, fmt.Sprintf("%s=%v->%v", field.Name(), x.Interface(), y.Interface()))
 		}
 	}
-	return out
+	return changed
 }
-
-func text(v protoreflect.Value) string { return fmt.Sprint(v.Interface()) }
--- a/control/config/duplicates.go
+++ b/control/config/duplicates.go
@@ -1,6 +1,3 @@
-// Names given twice: a decoder keeps one of two equal names and says nothing, so
-// what an operator sent is looked through before anything decodes it.
-
 package config
 
 import (
@@ -11,51 +8,53 @@
 	"wallport/runtime/wire"
 )
 
-// DuplicateNames lists every name that an object anywhere in a JSON text gives twice.
-// A text that is no JSON has none: whoever decodes it says so.
-func DuplicateNames(body []byte) []wire.Finding {
-	f := &collector{}
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.UseNumber()
-	f.duplicateNames(d, "")
-	return f.found
+// DuplicateNames lists every name that an object anywhere in a JSON text gives twice. A decoder keeps one
+// of two equal names without a word, so what an operator sent is searched before it is decoded. Text that
+// is not JSON is searched up to the error, which whoever decodes it reports.
+func DuplicateNames(text []byte) []wire.Finding {
+	c := &collector{}
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	c.duplicateNames(decoder, "")
+	return c.found
 }
 
-func (f *collector) duplicateNames(d *json.Decoder, place string) bool {
-	tok, err := d.Token()
+// duplicateNames searches the next value of the decoder. It reports whether the value could be read.
+func (c *collector) duplicateNames(decoder *json.Decoder, path string) bool {
+	token, err := decoder.Token()
 	if err != nil {
 		return false
 	}
-	switch tok {
+	switch token {
 	case json.Delim('{'):
 		seen := map[string]bool{}
-		for d.More() {
-			k, err := d.Token()
+		for decoder.More() {
+			key, err := decoder.Token()
 			if err != nil {
 				return false
 			}
-			name, at := k.(string), place
-			if at != "" {
-				at += "."
+			name, namePath := key.(string), path
+			if namePath != "" {
+				namePath += "."
 			}
-			at += name
+			namePath += name
 			if seen[name] {
-				f.add(at, "is given twice")
+				c.add(namePath, "is given twice")
 			}
 			seen[name] = true
-			if !f.duplicateNames(d, at) {
+			if !c.duplicateNames(decoder, namePath) {
 				return false
 			}
 		}
 	case json.Delim('['):
-		for i := 0; d.More(); i++ {
-			if !f.duplicateNames(d, fmt.Sprintf("%s[%d]", place, i)) {
+		for i := 0; decoder.More(); i++ {
+			if !c.duplicateNames(decoder, fmt.Sprintf("%s[%d]", path, i)) {
 				return false
 			}
 		}
 	default:
 		return true
 	}
-	_, err = d.Token()
+	_, err = decoder.Token()
 	return err == nil
 }
--- a/control/config/read.go
+++ b/control/config/read.go
@@ -1,6 +1,3 @@
-// Package config reads, edits and checks the operator's configuration. Protobuf
-// types are read with protojson, field by field, so that every fault is found
-// in one go and each comes with its row and field.
 package config
 
 import (
@@ -9,7 +6,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
@@ -19,207 +15,114 @@
 	"wallport/runtime/wire"
 )
 
-// VersionText is a version as people and headers have it: TERM.SEQUENCE.
-func VersionText(s wire.Version) string { return fmt.Sprintf("%d.%d", s.Term, s.Seq) }
-
-// ParseVersion reads what VersionText wrote, with or without quotes.
-func ParseVersion(partition int, text string) (wire.Version, bool) {
-	s := wire.Version{Partition: partition}
-	n, err := fmt.Sscanf(strings.Trim(text, `"`), "%d.%d", &s.Term, &s.Seq)
-	return s, err == nil && n == 2
-}
-
-// JSON writes a sheet.
-func JSON(s *configpb.Sheet) json.RawMessage {
-	b, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(s)
-	if err != nil {
-		return json.RawMessage("{}")
-	}
-	var out bytes.Buffer
-	if json.Compact(&out, b) != nil {
-		return b
-	}
-	return out.Bytes()
-}
+// maxQuotedBytes is how much of a value that cannot be decoded a finding quotes.
+const maxQuotedBytes = 60
 
+// collector collects the findings of one input.
 type collector struct{ found []wire.Finding }
 
-func (f *collector) add(place, text string, args ...any) {
-	f.found = append(f.found, wire.Finding{Path: place, Text: fmt.Sprintf(text, args...)})
+func (c *collector) add(path, format string, args ...any) {
+	c.found = append(c.found, wire.Finding{Path: path, Text: fmt.Sprintf(format, args...)})
 }
 
-// Read decodes a whole sheet.
+// Read decodes a whole configuration. What could be decoded is returned beside the findings.
 func Read(body []byte) (*configpb.Sheet, []wire.Finding) {
-	f := &collector{}
-	s := new(configpb.Sheet)
-	tables, ok := f.object("sheet", body)
+	c := &collector{}
+	configuration := new(configpb.Sheet)
+	tables, ok := c.object("sheet", body)
 	if !ok {
-		return s, f.found
+		return configuration, c.found
 	}
-	for _, kv := range tables {
-		var rows []json.RawMessage
-		if !slices.Contains([]string{"services", "rows", "bookings"}, kv.name) {
-			f.add(kv.name, "no such table; there are services, rows and bookings")
+	for _, table := range tables {
+		if !isTable(table.name) {
+			c.add(table.name, "no such table; there are services, rows and bookings")
 			continue
 		}
-		if json.Unmarshal(kv.value, &rows) != nil {
-			f.add(kv.name, "is not a list of rows")
+		var rows []json.RawMessage
+		if json.Unmarshal(table.value, &rows) != nil {
+			c.add(table.name, "is not a list of rows")
 			continue
 		}
-		for i, raw := range rows {
-			f.row(fmt.Sprintf("%s[%d]", kv.name, i), raw, newRow(s, kv.name))
+		for i, row := range rows {
+			c.row(fmt.Sprintf("%s[%d]", table.name, i), row, newRow(configuration, table.name))
 		}
 	}
-	return s, f.found
-}
-
-func newRow(s *configpb.Sheet, table string) proto.Message {
-	switch table {
-	case "services":
-		r := new(configpb.Service)
-		s.Services = append(s.Services, r)
-		return r
-	case "rows":
-		r := new(configpb.Row)
-		s.Rows = append(s.Rows, r)
-		return r
-	default:
-		r := new(configpb.Booking)
-		s.Bookings = append(s.Bookings, r)
-		return r
-	}
+	return configuration, c.found
 }
 
+// member is one name and value of a JSON object.
 type member struct {
 	name  string
 	value json.RawMessage
 }
 
-// object splits a JSON object, reporting names given twice.
-func (f *collector) object(place string, raw []byte) ([]member, bool) {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	tok, err := d.Token()
-	if err != nil || tok != json.Delim('{') {
-		f.add(place, "is not a JSON object")
+// object splits a JSON object into its members and reports names that are given twice. ok is false if the
+// text is not one object and nothing else.
+func (c *collector) object(path string, text []byte) (members []member, ok bool) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	badJSON := func(err error) ([]member, bool) {
+		c.add(path, "bad JSON near byte %d: %v", decoder.InputOffset(), err)
 		return nil, false
 	}
-	var out []member
-	for d.More() {
-		k, err := d.Token()
+	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
+		c.add(path, "is not a JSON object")
+		return nil, false
+	}
+	for decoder.More() {
+		key, err := decoder.Token()
 		if err != nil {
-			f.add(place, "bad JSON near byte %d: %v", d.InputOffset(), err)
-			return nil, false
+			return badJSON(err)
 		}
-		var v json.RawMessage
-		if err := d.Decode(&v); err != nil {
-			f.add(place, "bad JSON near byte %d: %v", d.InputOffset(), err)
-			return nil, false
+		var value json.RawMessage
+		if err := decoder.Decode(&value); err != nil {
+			return badJSON(err)
 		}
-		name := k.(string)
-		if slices.ContainsFunc(out, func(m member) bool { return m.name == name }) {
-			f.add(place+"."+name, "is given twice")
+		name := key.(string)
+		if slices.ContainsFunc(members, func(m member) bool { return m.name == name }) {
+			c.add(path+"."+name, "is given twice")
 		}
-		out = append(out, member{name, v})
+		members = append(members, member{name, value})
 	}
-	if _, err := d.Token(); err != nil {
-		f.add(place, "bad JSON near byte %d: %v", d.InputOffset(), err)
-		return nil, false
+	if _, err := decoder.Token(); err != nil {
+		return badJSON(err)
 	}
-	if _, err := d.Token(); err != io.EOF {
-		f.add(place, "something follows the object at byte %d", d.InputOffset())
+	if _, err := decoder.Token(); err != io.EOF {
+		c.add(path, "something follows the object at byte %d", decoder.InputOffset())
 		return nil, false
 	}
-	return out, true
+	return members, true
 }
 
-// row decodes one row, field by field.
-func (f *collector) row(place string, raw []byte, into proto.Message) {
-	fields, ok := f.object(place, raw)
+// row decodes one row into a message, field by field.
+func (c *collector) row(path string, text []byte, into proto.Message) {
+	members, ok := c.object(path, text)
 	if !ok {
 		return
 	}
-	for _, kv := range fields {
-		at := place + "." + kv.name
-		if !hasField(into, kv.name) {
-			f.add(at, "no such field")
+	for _, m := range members {
+		fieldPath := path + "." + m.name
+		if !hasField(into, m.name) {
+			c.add(fieldPath, "no such field")
 			continue
 		}
-		one, _ := json.Marshal(map[string]json.RawMessage{kv.name: kv.value})
-		part := into.ProtoReflect().New().Interface()
-		if err := protojson.Unmarshal(one, part); err != nil {
-			f.add(at, "cannot take %s", clip(kv.value))
+		single, _ := json.Marshal(map[string]json.RawMessage{m.name: m.value})
+		field := into.ProtoReflect().New().Interface()
+		if err := protojson.Unmarshal(single, field); err != nil {
+			c.add(fieldPath, "cannot take %s", abbreviate(m.value))
 			continue
 		}
-		proto.Merge(into, part)
+		proto.Merge(into, field)
 	}
 }
 
-func hasField(m proto.Message, name string) bool {
-	fs := m.ProtoReflect().Descriptor().Fields()
-	return fs.ByName(protoreflect.Name(name)) != nil || fs.ByJSONName(name) != nil
-}
-
-func clip(raw []byte) string {
-	if len(raw) > 60 {
-		return string(raw[:60]) + "..."
-	}
-	return string(raw)
-}
-
-// RowEdit sets or removes one row.
-type RowEdit struct {
-	Op    string          `json:"op"`
-	Table string          `json:"table"`
-	Row   json.RawMessage `json:"row"`
-}
-
-// Apply makes a new sheet of one and a list of row edits; all of them or none.
-func Apply(s *configpb.Sheet, body []byte) (*configpb.Sheet, []wire.Finding) {
-	f := &collector{}
-	var edits []RowEdit
-	if err := json.Unmarshal(body, &edits); err != nil {
-		f.add("edits", "cannot be read: %v", err)
-		return s, f.found
-	}
-	out := proto.Clone(s).(*configpb.Sheet)
-	for i, e := range edits {
-		place := fmt.Sprintf("edits[%d]", i)
-		tmp := new(configpb.Sheet)
-		if !slices.Contains([]string{"services", "rows", "bookings"}, e.Table) || e.Op != "set" && e.Op != "remove" {
-			f.add(place, "op is set or remove; table is services, rows or bookings")
-			continue
-		}
-		before := len(f.found)
-		f.row(place+".row", e.Row, newRow(tmp, e.Table))
-		if len(f.found) > before {
-			continue
-		}
-		var done bool
-		switch e.Table {
-		case "services":
-			out.Services, done = editRows(out.Services, tmp.Services[0], e.Op, func(r *configpb.Service) string { return r.Index })
-		case "rows":
-			out.Rows, done = editRows(out.Rows, tmp.Rows[0], e.Op, func(r *configpb.Row) string { return r.Index + "\x00" + r.Kind })
-		case "bookings":
-			out.Bookings, done = editRows(out.Bookings, tmp.Bookings[0], e.Op, func(r *configpb.Booking) string { return r.Id })
-		}
-		if !done {
-			f.add(place+".row", "there is no such row to remove")
-		}
-	}
-	return out, f.found
+func hasField(message proto.Message, name string) bool {
+	fields := message.ProtoReflect().Descriptor().Fields()
+	return fields.ByName(protoreflect.Name(name)) != nil || fields.ByJSONName(name) != nil
 }
 
-func editRows[R any](rows []R, row R, op string, key func(R) string) ([]R, bool) {
-	i := slices.IndexFunc(rows, func(r R) bool { return key(r) == key(row) })
-	switch {
-	case op == "remove" && i < 0:
-		return rows, false
-	case op == "remove":
-		return slices.Delete(rows, i, i+1), true
-	case i < 0:
-		return append(rows, row), true
+func abbreviate(text []byte) string {
+	if len(text) > maxQuotedBytes {
+		return string(text[:maxQuotedBytes]) + "..."
 	}
-	rows[i] = row
-	return rows, true
+	return string(text)
 }
--- a/control/config/tokens.go
+++ b/control/config/tokens.go
@@ -1,6 +1,3 @@
-// Operators' tokens: who may look, who may edit the rows of which indexes, who may do
-// everything. Read with protojson, every fault with its place.
-
 package config
 
 import (
@@ -12,77 +9,59 @@
 	"wallport/runtime/wire"
 )
 
-// Scopes of tokens, each with what the one before it allows.
+// Scopes of an operator's token. Each includes what the one before it allows.
 const (
+	// ScopeRead allows to read everything.
 	ScopeRead = "read"
+	// ScopeRows allows to edit the rows of the indexes that the token lists.
 	ScopeRows = "rows"
-	ScopeAll  = "all"
+	// ScopeAll allows everything.
+	ScopeAll = "all"
 )
 
 const minTokenBytes = 8
 
-// ReadTokens decodes and checks a file of tokens.
+// ReadTokens decodes and checks the file of the operators' tokens. What could be decoded is returned
+// beside the findings.
 func ReadTokens(body []byte) (*configpb.Tokens, []wire.Finding) {
-	f := &collector{found: DuplicateNames(body)}
-	out := new(configpb.Tokens)
+	c := &collector{found: DuplicateNames(body)}
+	tokens := new(configpb.Tokens)
 	var file struct {
 		Tokens []json.RawMessage `json:"tokens"`
 	}
 	if err := json.Unmarshal(body, &file); err != nil {
-		f.add("tokens", "cannot be read: %v", err)
-		return out, f.found
+		c.add("tokens", "cannot be read: %v", err)
+		return tokens, c.found
 	}
 	seen := map[string]int{}
-	for i, raw := range file.Tokens {
-		at := fmt.Sprintf("tokens[%d]", i)
-		t := new(configpb.Token)
-		f.row(at, raw, t)
-		out.Tokens = append(out.Tokens, t)
-		if len(t.Token) < minTokenBytes {
-			f.add(at+".token", "needs %d characters at least", minTokenBytes)
-		} else if was, twice := seen[t.Token]; twice {
-			f.add(at+".token", "is that of tokens[%d] already", was)
-		}
-		seen[t.Token] = i
-		if t.Who == "" {
-			f.add(at+".who", "is needed, for the audit")
-		}
-		if !slices.Contains([]string{ScopeRead, ScopeRows, ScopeAll}, t.Scope) {
-			f.add(at+".scope", "%q is not one of read, rows, all", t.Scope)
-		}
-		if (t.Scope == ScopeRows) != (len(t.Indexes) > 0) {
-			f.add(at+".indexes", "go with the scope rows, and only with it")
-		}
+	for i, text := range file.Tokens {
+		path := fmt.Sprintf("tokens[%d]", i)
+		token := new(configpb.Token)
+		c.row(path, text, token)
+		tokens.Tokens = append(tokens.Tokens, token)
+		c.checkToken(path, token, seen)
+		seen[token.Token] = i
 	}
 	if len(file.Tokens) == 0 {
-		f.add("tokens", "are missing: nobody could do anything")
+		c.add("tokens", "are missing: nobody could do anything")
 	}
-	return out, f.found
+	return tokens, c.found
 }
 
-// EditedIndexes lists the indexes whose rows the edits name, an empty name where one
-// cannot be told.
-func EditedIndexes(s *configpb.Sheet, body []byte) []string {
-	var edits []RowEdit
-	if json.Unmarshal(body, &edits) != nil {
-		return []string{""}
+// checkToken checks one token. seen maps the tokens before it to their position in the file.
+func (c *collector) checkToken(path string, token *configpb.Token, seen map[string]int) {
+	if len(token.Token) < minTokenBytes {
+		c.add(path+".token", "needs %d characters at least", minTokenBytes)
+	} else if first, duplicate := seen[token.Token]; duplicate {
+		c.add(path+".token", "is that of tokens[%d] already", first)
+	}
+	if token.Who == "" {
+		c.add(path+".who", "is needed, for the audit")
+	}
+	if !slices.Contains([]string{ScopeRead, ScopeRows, ScopeAll}, token.Scope) {
+		c.add(path+".scope", "%q is not one of read, rows, all", token.Scope)
 	}
-	var out []string
-	for _, e := range edits {
-		var r struct{ Index, ID string }
-		if json.Unmarshal(e.Row, &r) != nil {
-			return []string{""}
-		}
-		out = append(out, r.Index)
-		for _, b := range s.GetBookings() {
-			// A booking is also of the index that it is taken from.
-			if e.Table == "bookings" && b.Id == r.ID {
-				out = append(out, b.Index)
-			}
-		}
-		if e.Table == "bookings" && e.Op == "remove" && r.Index == "" {
-			out = slices.DeleteFunc(out, func(x string) bool { return x == "" })
-		}
+	if (token.Scope == ScopeRows) != (len(token.Indexes) > 0) {
+		c.add(path+".indexes", "go with the scope rows, and only with it")
 	}
-	return out
 }
--- a/control/config/tokens_test.go
+++ b/control/config/tokens_test.go
@@ -1,5 +1,3 @@
-// The file of operators' tokens.
-
 package config
 
 import (
@@ -24,7 +22,7 @@
 	}
 	for text, want := range cases {
 		_, found := ReadTokens([]byte(text))
-		must.Eq(t, want, findingPlaces(found), must.Sprint(text))
+		must.Eq(t, want, findingPaths(found), must.Sprint(text))
 	}
 }
 
@@ -33,7 +31,7 @@
 	cases := map[string][]string{
 		`[{"op":"set","table":"rows","row":{"index":"a"}},{"op":"set","table":"services","row":{"index":"b"}}]`: {"a", "b"},
 		`[{"op":"remove","table":"bookings","row":{"id":"mine"}}]`:                                              {"a"},
-		// Taking over another index's booking touches both.
+		// Moving a booking to another index concerns both.
 		`[{"op":"set","table":"bookings","row":{"id":"mine","index":"b"}}]`: {"b", "a"},
 		`[{"op":"set","table":"rows","row":{}}]`:                            {""},
 		`[{"op":"set","table":"rows","row":3}]`:                             {""},
