--- a/control/configsync/core_selection.go
+++ b/control/configsync/core_selection.go
@@ -1,7 +1,3 @@
-// Which cores are known, and which of them are asked: mostly some of the own
-// zone, now and then one of another, and none that does not answer while
-// another does.
-
 package configsync
 
 import (
@@ -9,57 +5,65 @@
 	"hash/fnv"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
-// Figures of the choice.
+// Bounds of the selection of a core.
 const (
-	// maxLocalCores is how many cores of the own zone are asked in turn; every remotePullEvery-th pull goes
-	// to a core of another zone.
-	maxLocalCores   = 2
-	maxRemoteCores  = 2
+	// maxKnownCores bounds the cores that are remembered, and keepCoreFor how long one is that is not live.
+	maxKnownCores = 16
+	keepCoreFor   = 20 * clock.Second
+	// maxLocalCores and maxRemoteCores are how many cores of the own zone and of other zones are pulled from.
+	maxLocalCores  = 2
+	maxRemoteCores = 2
+	// remotePullEvery is how often a pull goes to another zone: every fourth one.
 	remotePullEvery = 4
-	// unresponsiveAfter is how long a core may leave a pull unanswered; then, as one without contact with a
-	// majority, it is asked only by every unresponsivePullEvery-th pull, or where no other is left.
-	unresponsiveAfter     = 900_000
+	// unresponsiveAfter is how long a core may leave a pull unanswered. Then, like one without contact with a majority,
+	// it gets only every unresponsivePullEvery-th pull, unless no other core is left.
+	unresponsiveAfter     = 900 * clock.Millisecond
 	unresponsivePullEvery = 6
-	maxPendingPulls       = 64
 )
 
-// candidateCores are those that were live of late. Where the mesh itself is cut they
-// fade from it one by one, so the last known ones are kept while none is live.
-// Before the mesh has told of any, or while nothing is confirmed, the seeds are asked, too: they tell of cores.
-func (p *Sync) candidateCores(now int64) []string {
-	self := p.settings.Mesh
+// candidateCores returns the addresses of the cores that may be pulled from: those that were live lately. When the
+// network is partitioned the members expire one by one, so the last known cores are kept while none is live. The
+// seeds are among the candidates before any core is known and while nothing is confirmed, since seeds
+// know of cores.
+func (p *Sync) candidateCores(now clock.Micros) []string {
+	p.updateKnown(now)
+	if len(p.known) > 0 && !p.hasNoState() && !p.starting(now) {
+		return p.known
+	}
+	candidates := slices.Clone(p.known)
+	for _, seed := range p.settings.Seeds {
+		if seed != p.settings.Mesh && !slices.Contains(candidates, seed) {
+			candidates = append(candidates, seed)
+		}
+	}
+	return candidates
+}
+
+// updateKnown adds the live cores to the known ones and forgets those that were not live for long, or are too many.
+func (p *Sync) updateKnown(now clock.Micros) {
 	live := p.members.Live(now, "core")
-	for _, r := range live {
-		if r.Addr == self {
+	for _, core := range live {
+		if core.Addr == p.settings.Mesh {
 			continue
 		}
-		if _, ok := p.liveAt[r.Addr]; !ok {
-			p.known = append(p.known, r.Addr)
+		if _, known := p.liveAt[core.Addr]; !known {
+			p.known = append(p.known, core.Addr)
 			p.contact.coreDiscoveredAt = now
 		}
-		p.liveAt[r.Addr], p.zones[r.Addr] = now, r.Zone
+		p.liveAt[core.Addr], p.zones[core.Addr] = now, core.Zone
 	}
-	p.known = slices.DeleteFunc(p.known, func(a string) bool {
-		old := len(live) > 0 && now-p.liveAt[a] > keepCoreFor
-		if old {
-			p.forget(a)
+	p.known = slices.DeleteFunc(p.known, func(addr string) bool {
+		expired := len(live) > 0 && now-p.liveAt[addr] > keepCoreFor
+		if expired {
+			p.forget(addr)
 		}
-		return old
+		return expired
 	})
 	p.forgetExcess()
-	if len(p.known) > 0 && !p.hasNoState() && !p.starting(now) {
-		return p.known
-	}
-	out := slices.Clone(p.known)
-	for _, s := range p.settings.Seeds {
-		if s != self && !slices.Contains(out, s) {
-			out = append(out, s)
-		}
-	}
-	return out
 }
 
 func (p *Sync) forget(addr string) {
@@ -69,58 +73,60 @@
 	delete(p.contact.withoutContact, addr)
 }
 
-// forgetExcess forgets the cores that were live longest ago beyond so many, and of equals those asked last.
+// forgetExcess forgets cores beyond maxKnownCores: those first that were live longest ago, and among equals
+// those last in the order of compareCores.
 func (p *Sync) forgetExcess() {
 	for len(p.known) > maxKnownCores {
 		last := slices.MinFunc(p.known, func(a, b string) int {
 			return cmp.Or(cmp.Compare(p.liveAt[a], p.liveAt[b]), p.compareCores(b, a))
 		})
-		p.known = slices.DeleteFunc(p.known, func(a string) bool { return a == last })
+		p.known = slices.DeleteFunc(p.known, func(addr string) bool { return addr == last })
 		p.forget(last)
 	}
 }
 
-// compareCores orders cores: those of the own zone first, then by a hash with the own address, so that
-// the nodes spread over them.
+// compareCores orders cores: those of the own zone first, then by a hash of the own and the core's address, so that the
+// processes spread over the cores.
 func (p *Sync) compareCores(a, b string) int {
-	far := func(a string) int {
-		if p.zones[a] == p.settings.Zone {
+	distance := func(addr string) int {
+		if p.zones[addr] == p.settings.Zone {
 			return 0
 		}
 		return 1
 	}
-	score := func(a string) uint64 {
+	score := func(addr string) uint64 {
 		h := fnv.New64a()
-		h.Write([]byte(p.settings.Mesh + ">" + a))
+		h.Write([]byte(p.settings.Mesh + ">" + addr))
 		return h.Sum64()
 	}
-	return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(score(a), score(b)))
+	return cmp.Or(cmp.Compare(distance(a), distance(b)), cmp.Compare(score(a), score(b)))
 }
 
-// chooseCore picks the one core to ask now.
-func (p *Sync) chooseCore(ctx *kernel.Context, cores []string) []string {
-	if len(cores) == 0 {
+// chooseCore selects the core for the next pull: mostly one of the own zone, now and then one of another zone, and
+// seldom one that does not answer while another does. It returns none where there is no candidate.
+func (p *Sync) chooseCore(ctx *kernel.Context, candidates []string) []string {
+	if len(candidates) == 0 {
 		return nil
 	}
-	p.pulls++
-	var near, far, silent []string
-	for _, a := range slices.SortedFunc(slices.Values(cores), p.compareCores) {
-		at, open := p.unansweredSince[a]
+	p.selections++
+	var local, remote, avoided []string
+	for _, addr := range slices.SortedFunc(slices.Values(candidates), p.compareCores) {
+		since, unanswered := p.unansweredSince[addr]
 		switch {
-		case open && ctx.Now-at > unresponsiveAfter, p.contact.withoutContact[a]:
-			silent = append(silent, a)
-		case p.zones[a] == p.settings.Zone && len(near) < maxLocalCores:
-			near = append(near, a)
-		case p.zones[a] != p.settings.Zone && len(far) < maxRemoteCores:
-			far = append(far, a)
+		case unanswered && ctx.Now-since > unresponsiveAfter, p.contact.withoutContact[addr]:
+			avoided = append(avoided, addr)
+		case p.zones[addr] == p.settings.Zone && len(local) < maxLocalCores:
+			local = append(local, addr)
+		case p.zones[addr] != p.settings.Zone && len(remote) < maxRemoteCores:
+			remote = append(remote, addr)
 		}
 	}
-	from := near
+	from := local
 	switch {
-	case len(near)+len(far) == 0 || len(silent) > 0 && p.pulls%unresponsivePullEvery == 0:
-		from = silent
-	case len(near) == 0 || len(far) > 0 && p.pulls%remotePullEvery == 0:
-		from = far
+	case len(local)+len(remote) == 0 || len(avoided) > 0 && p.selections%unresponsivePullEvery == 0:
+		from = avoided
+	case len(local) == 0 || len(remote) > 0 && p.selections%remotePullEvery == 0:
+		from = remote
 	}
 	i := ctx.Rand.IntN(len(from))
 	return from[i : i+1]
--- a/control/configsync/core_selection_test.go
+++ b/control/configsync/core_selection_test.go
@@ -1,27 +1,27 @@
-// Which core is asked: mostly one of the own zone, seldom one that is silent.
-
 package configsync
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"strings"
 	"testing"
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 )
 
 func newSync() *Sync {
 	return &Sync{
-		liveAt: map[string]int64{}, zones: map[string]string{}, unansweredSince: map[string]int64{}, pending: map[uint64]pendingPull{}, contact: contact{withoutContact: map[string]bool{}},
+		liveAt: map[string]clock.Micros{}, zones: map[string]string{}, unansweredSince: map[string]clock.Micros{}, pending: map[uint64]pendingPull{}, contact: contact{withoutContact: map[string]bool{}},
 		settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1"},
 	}
 }
 
-// countChoices counts by zone which cores a thousand pulls go to.
-func (p *Sync) countChoices(now int64) (byZone, byCore map[string]int) {
+// countChoices counts which zones and cores a thousand pulls go to.
+func (p *Sync) countChoices(now clock.Micros) (byZone, byCore map[string]int) {
 	ctx := &kernel.Context{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
 	byZone, byCore = map[string]int{}, map[string]int{}
 	var all []string
@@ -56,7 +56,7 @@
 	must.Eq(t, 166, byCore["z1a"])
 	p.unansweredSince["z2a"] = 1
 	_, byCore = p.countChoices(unresponsiveAfter + 2)
-	must.Eq(t, 1000, byCore["z1a"]+byCore["z2a"], must.Sprint("where none answers, all are tried"))
+	must.Eq(t, 1000, byCore["z1a"]+byCore["z2a"], must.Sprint("where none answers, all are asked"))
 	must.Greater(t, 300, byCore["z1a"])
 }
 
@@ -80,3 +80,15 @@
 	must.Len(t, maxKnownCores, p.known)
 	must.Eq(t, 10, near)
 }
+
+func TestForgetExcessDropsOldestCores(t *testing.T) {
+	p := &Sync{liveAt: map[string]clock.Micros{}}
+	for i := range maxKnownCores + 3 {
+		a := fmt.Sprintf("core-%02d", i)
+		p.known, p.liveAt[a] = append(p.known, a), clock.Micros(i)
+	}
+	p.forgetExcess()
+	must.Len(t, maxKnownCores, p.known)
+	must.Eq(t, "core-03", p.known[0])
+	must.MapLen(t, maxKnownCores, p.liveAt)
+}
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -1,101 +1,116 @@
-// Package configsync asks the cores about twice a second for newer versions of the
-// partitions, besides what the mesh floods, so that a change is in force in time
-// when either way is cut. It also learns who leads which partition, and tells the
-// cores of a core.
 package configsync
 
 import (
 	"wallport/cluster/membership"
 	"wallport/cluster/mesh"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-// Every is the time between two pulls; EmptyPullInterval is that of a core that knows no version yet.
 const (
-	PullInterval      = 450_000
-	EmptyPullInterval = 200_000
+	// PullInterval is the time between two pulls.
+	PullInterval = 450 * clock.Millisecond
+	// EmptyPullInterval is the time between two pulls of a core that has no version yet.
+	EmptyPullInterval = 200 * clock.Millisecond
+	// leaderTimeout is how long after a core's reply the leader that it names counts as heard.
+	leaderTimeout = 2 * clock.Second
+	// maxPendingPulls bounds the pulls that are remembered while unanswered.
+	maxPendingPulls = 64
 )
 
-// Pulled is emitted when a core has answered and its versions are taken in.
+// pluginName and pullTimer address the plug-in's only timer.
+const (
+	pluginName = "pulls"
+	pullTimer  = "pull"
+)
+
+// Pulled is emitted when a core has answered a pull and the versions in its reply are stored.
 type Pulled struct {
-	// SentAt is when it was asked.
-	SentAt int64
-	// Contact has a bit for each part of which the core is itself in contact with a majority;
-	// Confirmed has those, too, of which it was told so.
-	Contact, Confirmed uint32
+	// SentAt is when the pull was sent.
+	SentAt clock.Micros
+	// Contact has a bit for each partition of which the core itself is in contact with a majority.
+	Contact uint32
+	// Confirmed has the bits of Contact, and those of which another core lately told the core so.
+	Confirmed uint32
 }
 
 // pendingPull is a pull that may still be answered.
 type pendingPull struct {
 	addr   string
-	sentAt int64
+	sentAt clock.Micros
 }
 
-// Sync is the plug-in of a node, and of a core, which may have no replica and then hears no leader otherwise.
+// Sync is the plug-in that pulls.
 type Sync struct {
-	mesh          *mesh.Mesh
-	members       *membership.Members
+	mesh     *mesh.Mesh
+	members  *membership.Members
+	settings settings.Settings
+	isCore   bool
+
+	// leaders are the leaders of the partitions as last heard of, and leaderHeardAt when that was.
 	leaders       [state.Partitions]wire.Leader
-	leaderHeardAt [state.Partitions]int64
-	pulls         int
-	known         []string
-	liveAt        map[string]int64
-	zones         map[string]string
-	settings      settings.Settings
-	isCore        bool
-
-	// unansweredSince is when a core was first asked without having answered since.
-	unansweredSince map[string]int64
-	pending         map[uint64]pendingPull
-	nextID          uint64
-	contact         contact
-}
-
-// Bounds of the addresses of cores kept beyond the mesh's own memory.
-const (
-	maxKnownCores = 16
-	keepCoreFor   = 20_000_000
-)
+	leaderHeardAt [state.Partitions]clock.Micros
+
+	// known are the addresses of cores that were live lately; liveAt is when each was last live.
+	known  []string
+	liveAt map[string]clock.Micros
+	// zones are the zones of the known cores.
+	zones map[string]string
+	// unansweredSince is when the first pull was sent that a core has not answered since.
+	unansweredSince map[string]clock.Micros
+	// selections counts the cores selected by chooseCore.
+	selections int
+
+	pending map[uint64]pendingPull
+	nextID  uint64
+	contact contact
+}
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 40, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Sync{
-			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), liveAt: map[string]int64{},
-			zones: map[string]string{}, settings: k.Boot.Settings, isCore: k.Boot.Role == "core", unansweredSince: map[string]int64{}, pending: map[uint64]pendingPull{},
-			contact: contact{withoutContact: map[string]bool{}},
-		}
-	}})
+	kernel.Register(kernel.Registration{Rank: 40, Roles: []string{"node", "core"}, Make: newPlugin})
+}
+
+func newPlugin(k *kernel.Kernel) kernel.Plugin {
+	return &Sync{
+		mesh:            kernel.Find[*mesh.Mesh](k),
+		members:         kernel.Find[*membership.Members](k),
+		settings:        k.Boot.Settings,
+		isCore:          k.Boot.Role == "core",
+		liveAt:          map[string]clock.Micros{},
+		zones:           map[string]string{},
+		unansweredSince: map[string]clock.Micros{},
+		pending:         map[uint64]pendingPull{},
+		contact:         contact{withoutContact: map[string]bool{}},
+	}
 }
 
-// Name is the plug-in's name.
-func (p *Sync) Name() string { return "pulls" }
+// Name returns the plug-in's name.
+func (p *Sync) Name() string { return pluginName }
 
-// Kinds are the frames that it takes.
+// Kinds returns the kinds of frames that the plug-in receives.
 func (p *Sync) Kinds() []uint8 { return []uint8{wire.KindPullReply} }
 
-// Leader is the address of the core that leads a partition, as last heard.
+// Leader returns the address of the core that leads a partition, as last heard of; empty where none was.
 func (p *Sync) Leader(partition int) string { return p.leaders[partition].Addr }
 
-// leaderTimeout is how long after a core's word the leader counts as heard.
-const leaderTimeout = 2_000_000
-
-// HearsLeader reports whether a core that this node reaches follows a leader of the partition.
-func (p *Sync) HearsLeader(partition int, now int64) bool {
+// HearsLeader reports whether a core that this process reaches follows a leader of the partition.
+func (p *Sync) HearsLeader(partition int, now clock.Micros) bool {
 	return p.leaderHeardAt[partition] > 0 && now-p.leaderHeardAt[partition] < leaderTimeout
 }
 
-// Step takes one input.
+// Step handles one input.
 func (p *Sync) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		ctx.After(ctx.Rand.Int64N(p.interval(ctx.Now)), "pulls", "pull")
+		ctx.After(ctx.Rand.Int64N(p.interval(ctx.Now)), pluginName, pullTimer)
 	case kernel.Tick:
-		ctx.After(p.interval(ctx.Now), "pulls", "pull")
+		ctx.After(p.interval(ctx.Now), pluginName, pullTimer)
 		p.pull(ctx)
 	case kernel.Thawed:
+		// The cores may have answered what this process could not receive while it was frozen.
 		clear(p.unansweredSince)
 		p.pull(ctx)
 	case kernel.SeedsChanged:
@@ -109,12 +124,12 @@
 	}
 }
 
-// versionStored notes that there is a new version of a partition. The first one that the mesh brings to a process
-// that has just started is confirmed at once, if a core can be asked.
+// versionStored handles a new version of a partition in the mesh's store. The first one that the mesh brings to a
+// process that has just started is to be confirmed at once, unless a pull is in flight.
 func (p *Sync) versionStored(ctx *kernel.Context) {
 	if !p.isCore {
-		stamps := p.versions()
-		p.members.Update(func(s *wire.Member) { s.InForce = stamps })
+		versions := p.versions()
+		p.members.Update(func(member *wire.Member) { member.InForce = versions })
 	}
 	if p.contact.firstStoredAt > 0 {
 		return
@@ -125,47 +140,58 @@
 	}
 }
 
-func (p *Sync) pullReplied(ctx *kernel.Context, v kernel.Message) {
-	var r wire.PullReply
-	if wire.Decode(v.Body, &r) != nil {
+// pullReplied takes a core's reply. Versions and leaders in it are good whenever it arrives; what it
+// tells of contact counts only if the pull that it answers is still known.
+func (p *Sync) pullReplied(ctx *kernel.Context, message kernel.Message) {
+	var reply wire.PullReply
+	if wire.Decode(message.Body, &reply) != nil {
 		ctx.Counts.Add("frames_malformed", 1)
 		return
 	}
-	asked, open := p.pending[v.ID]
+	pull, open := p.pending[message.ID]
 	if open {
-		delete(p.unansweredSince, asked.addr)
-		delete(p.pending, v.ID)
+		delete(p.unansweredSince, pull.addr)
+		delete(p.pending, message.ID)
 	}
-	for _, ver := range r.Versions {
-		p.mesh.StoreVersion(ctx, ver)
+	for _, versioned := range reply.Versions {
+		p.mesh.StoreVersion(ctx, versioned)
 	}
 	if open {
-		p.recordContact(ctx, asked, &r)
+		p.recordContact(ctx, pull, &reply)
 	}
-	for _, o := range r.Leaders {
-		if o.Partition >= 0 && o.Partition < state.Partitions && o.Term >= p.leaders[o.Partition].Term && o.Addr != "" {
-			p.leaders[o.Partition], p.leaderHeardAt[o.Partition] = o, ctx.Now
-		}
+	for _, leader := range reply.Leaders {
+		p.recordLeader(leader, ctx.Now)
+	}
+}
+
+// recordLeader takes a leader that a core told of, unless one of a higher term is known.
+func (p *Sync) recordLeader(leader wire.Leader, now clock.Micros) {
+	partition := leader.Partition
+	if partition < 0 || partition >= state.Partitions || leader.Addr == "" || leader.Term < p.leaders[partition].Term {
+		return
 	}
+	p.leaders[partition], p.leaderHeardAt[partition] = leader, now
 }
 
+// versions returns the versions that this process has, by partition.
 func (p *Sync) versions() []wire.Version {
-	var out []wire.Version
+	var versions []wire.Version
 	for partition := range state.Partitions {
-		if v, ok := p.mesh.Partition(partition); ok {
-			out = append(out, v.Version)
+		if versioned, ok := p.mesh.Partition(partition); ok {
+			versions = append(versions, versioned.Version)
 		}
 	}
-	return out
+	return versions
 }
 
-// hasNoState tells that this is a core that has heard of no version: it may have a fleet to form, or to find.
+// hasNoState reports whether this is a core that has no version yet. It may have a fleet to bootstrap, or to find.
 func (p *Sync) hasNoState() bool {
 	_, ok := p.mesh.Partition(state.ConfigPartition)
 	return !ok && p.isCore
 }
 
-func (p *Sync) interval(now int64) int64 {
+// interval returns the time until the next pull.
+func (p *Sync) interval(now clock.Micros) clock.Micros {
 	switch {
 	case p.hasNoState():
 		return EmptyPullInterval
@@ -175,13 +201,15 @@
 	return PullInterval
 }
 
+// pull asks for newer versions: every candidate while this is a core without state, a few while this process starts,
+// and one core later.
 func (p *Sync) pull(ctx *kernel.Context) {
-	req := wire.Pull{Have: p.versions()}
+	request := wire.Pull{Have: p.versions()}
 	if p.isCore {
 		self := p.members.Local()
-		req.Addr, req.Zone = self.Addr, self.Zone
+		request.Addr, request.Zone = self.Addr, self.Zone
 		if self.UnhealthyReason == "" && !self.Draining {
-			req.Replica = self.Replica
+			request.Replica = self.Replica
 		}
 	}
 	cores := p.candidateCores(ctx.Now)
@@ -192,14 +220,22 @@
 	default:
 		cores = p.chooseCore(ctx, cores)
 	}
-	for _, a := range cores {
-		p.nextID++
-		p.pending[p.nextID] = pendingPull{a, ctx.Now}
-		if _, ok := p.unansweredSince[a]; !ok {
-			p.unansweredSince[a] = ctx.Now
-		}
-		ctx.SendTo(a, wire.KindPull, p.nextID, &req)
+	for _, addr := range cores {
+		p.send(ctx, addr, &request)
 	}
+	p.forgetOldPulls()
+}
+
+func (p *Sync) send(ctx *kernel.Context, addr string, request *wire.Pull) {
+	p.nextID++
+	p.pending[p.nextID] = pendingPull{addr, ctx.Now}
+	if _, unanswered := p.unansweredSince[addr]; !unanswered {
+		p.unansweredSince[addr] = ctx.Now
+	}
+	ctx.SendTo(addr, wire.KindPull, p.nextID, request)
+}
+
+func (p *Sync) forgetOldPulls() {
 	for id := range p.pending {
 		if id+maxPendingPulls < p.nextID {
 			delete(p.pending, id)
