--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -185,8 +185,8 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-func (s *Server) sealed(m *httpapi.BackendRequest, recs []search.Record) search.ServerResponse {
-	return search.ServerResponse{RequestID: m.ID, ShardMap: s.config.ShardMap, Shard: s.config.Shard, Incarnation: s.began.UnixMicro(), Load: s.busy.Load(), Records: recs}
+func (s *Server) sealed(m *httpapi.BackendRequest, recs []search.Record) search.BackendResponse {
+	return search.BackendResponse{RequestID: m.ID, ShardMap: s.config.ShardMap, Shard: s.config.Shard, Incarnation: s.began.UnixMicro(), Load: s.busy.Load(), Records: recs}
 }
 
 func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.BackendRequest) {
--- a/lab/backend/spoil.go
+++ b/lab/backend/spoil.go
@@ -13,7 +13,7 @@
 
 // Spoil makes the raw answer of a sealed one, spoiled as the mode says; closed
 // tells that the connection ends before the announced length.
-func Spoil(mode string, status int, s search.ServerResponse) (raw search.RawResponse, closed bool) {
+func Spoil(mode string, status int, s search.BackendResponse) (raw search.RawResponse, closed bool) {
 	switch mode {
 	case "foreign":
 		s.RequestID = "somebody-else-1.aa"
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -114,10 +114,10 @@
 		// It can hear of no sheet and no zone call; the platform's list it reads itself.
 		w.Checker.Count("asks_of_isolated", 1)
 		if w.isolatedNodes == 1 && !w.net.partitioned(f.process.name, "platform") {
-			w.Checker.RequestFromIsolated(a.Server.ID, w.now, w.now-f.process.isolatedAt)
+			w.Checker.RequestFromIsolated(a.Backend.ID, w.now, w.now-f.process.isolatedAt)
 		}
 	} else {
-		w.Checker.Request(a.Request.Index, a.Server.ID, a.Server.Zone, w.now, again, a.Replacement)
+		w.Checker.Request(a.Request.Index, a.Backend.ID, a.Backend.Zone, w.now, again, a.Replacement)
 	}
 	w.Checker.Count("asks", 1)
 	if again && !a.Replacement {
@@ -148,7 +148,7 @@
 		return
 	}
 	for _, s := range cold {
-		w.Checker.SlowStart(s.row.ID, s.born, slowStartUs, w.now, s.row.ID == a.Server.ID, fairShare(node.settings.Zone, s.row.Zone, zones, good))
+		w.Checker.SlowStart(s.row.ID, s.born, slowStartUs, w.now, s.row.ID == a.Backend.ID, fairShare(node.settings.Zone, s.row.Zone, zones, good))
 	}
 }
 
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -97,7 +97,7 @@
 
 // askServer is the way of one ask to a server and back; done gets what the node sees.
 func (w *World) askServer(p *process, a *search.Send, done func(search.Reply)) {
-	s := w.serversByAddr[a.Server.Addr]
+	s := w.serversByAddr[a.Backend.Addr]
 	there := w.net.latency()
 	if s == nil || !s.up && s.mode != "vanish" {
 		w.after(2*there, func() { done(search.Reply{Class: search.ReplyNotWritten, Reason: "connection refused"}) })
@@ -156,7 +156,7 @@
 // respond makes the body that the real stand-in would send, and checks it as a node does.
 func (s *server) respond(a *search.Send, refuses bool) search.Reply {
 	in := a.Request
-	sealed := search.ServerResponse{RequestID: a.ID, ShardMap: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.reportedIncarnation, Load: s.running}
+	sealed := search.BackendResponse{RequestID: a.ID, ShardMap: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.reportedIncarnation, Load: s.running}
 	status := 200
 	switch {
 	case refuses:
--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -84,7 +84,7 @@
 func (k *backendClient) sendOnce(ctx context.Context, a *search.Send, kind string, body []byte) (rep search.Reply, again bool) {
 	var had atomic.Pointer[connUse]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { had.Store(beginUse(i.Conn)) }})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Server.Addr+"/v1/"+kind, unrewindable{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Backend.Addr+"/v1/"+kind, unrewindable{bytes.NewReader(body)})
 	if err != nil {
 		return search.Reply{Class: search.ReplyNotWritten, Reason: err.Error()}, false
 	}
--- a/request/httpapi/backend_client_test.go
+++ b/request/httpapi/backend_client_test.go
@@ -23,7 +23,7 @@
 
 func correction(addr string) *search.Send {
 	return &search.Send{
-		ID: "n-1.aa", Server: &snapshot.Backend{Backend: wire.Backend{Addr: addr}}, ShardCount: 1, ShardMap: "c1", Timeout: 1_000_000,
+		ID: "n-1.aa", Backend: &snapshot.Backend{Backend: wire.Backend{Addr: addr}}, ShardCount: 1, ShardMap: "c1", Timeout: 1_000_000,
 		Request: &search.Request{Kind: search.KindCorrect, Index: "a", Record: "r", Key: "k", Body: "b"},
 	}
 }
@@ -40,7 +40,7 @@
 		peers.Store(r.RemoteAddr, true)
 		if ran.Add(1) == 1 {
 			// A good answer: after another kind the connection would not be used again.
-			body, _ := json.Marshal(search.ServerResponse{RequestID: m.ID, ShardMap: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+			body, _ := json.Marshal(search.BackendResponse{RequestID: m.ID, ShardMap: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
 			w.Header().Set("Content-Digest", search.ContentDigest(body))
 			w.Write(body)
 			return
--- a/request/httpapi/backend_conn_test.go
+++ b/request/httpapi/backend_conn_test.go
@@ -60,7 +60,7 @@
 		if behind {
 			id, before = before, id
 		}
-		body, _ := json.Marshal(search.ServerResponse{RequestID: id, ShardMap: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+		body, _ := json.Marshal(search.BackendResponse{RequestID: id, ShardMap: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Digest: %s\r\nContent-Length: %d\r\n\r\n%s", search.ContentDigest(body), len(body), body)
 	}
 }
--- a/request/search/actions.go
+++ b/request/search/actions.go
@@ -8,12 +8,12 @@
 // Action is an output of the state machine for its driver: one of the types below.
 type Action any
 
-// Send sends an attempt to a server.
+// Send sends an attempt to a backend.
 type Send struct {
 	// Attempt is the number by which [ReplyReceived] and [Cancel] name the attempt.
 	Attempt    int
 	ID         string
-	Server     *snapshot.Backend
+	Backend    *snapshot.Backend
 	Shard      int
 	ShardCount int
 	// ShardMap is the name of the shard map that the shard belongs to.
@@ -65,7 +65,7 @@
 	ResolutionCompleted Resolution = "done"
 	// ResolutionReleased frees the key: the request did not run.
 	ResolutionReleased Resolution = "released"
-	// ResolutionNotSent has the owners forget a search or read that was sent to no server.
+	// ResolutionNotSent has the owners forget a search or read that was sent to no backend.
 	ResolutionNotSent Resolution = "unseen"
 )
 
--- a/request/search/bench_test.go
+++ b/request/search/bench_test.go
@@ -8,7 +8,7 @@
 	"wallport/request/snapshot"
 )
 
-func BenchmarkSearchChart(b *testing.B) {
+func BenchmarkSearchStateMachine(b *testing.B) {
 	snap := newSnapshot(12, 4)
 	d := newTestDispatcher(snap)
 	reply := Reply{Class: ReplyOK, Records: []Record{{ID: "a", Score: 3}, {ID: "b", Score: 2}, {ID: "c", Score: 1}}}
@@ -22,11 +22,11 @@
 	}
 }
 
-func BenchmarkTraceOfASearch(b *testing.B) {
+func BenchmarkSearchTrace(b *testing.B) {
 	snap := newSnapshot(12, 4)
 	r := newTraceRing()
 	in := &Request{Kind: KindSearch, Index: "a"}
-	choice := Selection{Server: snap.Indexes["a"].Shards[0][0], Sampled: []string{"x", "y"}, Tier: "usable"}
+	choice := Selection{Backend: snap.Indexes["a"].Shards[0][0], Sampled: []string{"x", "y"}, Tier: "usable"}
 	for b.Loop() {
 		t := newTrace("n-1", in, 0)
 		t.snapshot = (*snapshot.Snapshot)(snap)
--- a/request/search/doc.go
+++ b/request/search/doc.go
@@ -12,11 +12,11 @@
 //	answered | rejected | given up
 //
 // A request is admitted by the limits of its kind (limits.go) and, with an idempotency key, by the
-// key's owners (key_admission.go). A server is selected per shard (selection.go) and sent an
+// key's owners (key_admission.go). A backend is selected per shard (selection.go) and sent an
 // attempt; failed attempts are retried, slow ones hedged, both at the cost of a retry budget
 // (retry_budget.go). The records of all shards are merged (gather.go), and the decisions are kept
 // in a trace (trace.go).
 //
 // The [Dispatcher] owns what the requests of one node share: limiters, retry budgets and traces.
-// The routing snapshot and the servers' gauges belong to request/snapshot.
+// The routing snapshot and the backends' gauges belong to request/snapshot.
 package search
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -61,7 +61,7 @@
 	Reason string
 	// Outcome is the encoded [Outcome] of the earlier request, with AdmissionCompleted.
 	Outcome []byte
-	// Repeat says that an earlier attempt under the key reached a server.
+	// Repeat says that an earlier attempt under the key reached a backend.
 	Repeat bool
 }
 
@@ -71,25 +71,25 @@
 // The classes of replies.
 const (
 	ReplyOK ReplyClass = "ok"
-	// ReplyNotWritten says that not one byte was written to the server.
+	// ReplyNotWritten says that not one byte was written to the backend.
 	ReplyNotWritten ReplyClass = "not_written"
-	// ReplyRejected is the server's statement that it did not run the request.
+	// ReplyRejected is the backend's statement that it did not run the request.
 	ReplyRejected ReplyClass = "shed"
 	// ReplyFailed is an attempt that was written and got no response, or a failure.
 	ReplyFailed ReplyClass = "failed"
 	// ReplyInvalid is a response that failed the checks of [CheckResponse].
 	ReplyInvalid ReplyClass = "garbage"
-	// ReplyNotFound says that the server has no such record.
+	// ReplyNotFound says that the backend has no such record.
 	ReplyNotFound ReplyClass = "absent"
 )
 
-// Reply is a checked response of a server, or why there is none.
+// Reply is a checked response of a backend, or why there is none.
 type Reply struct {
 	Class       ReplyClass
 	Reason      string
 	Records     []Record
 	Incarnation int64
-	// Load is how many requests the server reports to have under way.
+	// Load is how many requests the backend reports to have under way.
 	Load int64
 }
 
--- a/request/search/explain.go
+++ b/request/search/explain.go
@@ -15,10 +15,10 @@
 	Candidates []Candidate `json:"candidates"`
 }
 
-// Candidate is a server as it stood when the request was decided, and why it was or was not selected.
+// Candidate is a backend as it stood when the request was decided, and why it was or was not selected.
 type Candidate struct {
 	Shard             int    `json:"shard"`
-	Server            string `json:"server"`
+	Backend           string `json:"server"`
 	Zone              string `json:"zone"`
 	Health            string `json:"verdict"`
 	WarmthThousandths int64  `json:"warm_thousandths"`
@@ -34,7 +34,7 @@
 	reasonUnhealthy  = "condition is "
 )
 
-// Explain returns a trace with the candidates of every shard that it selected a server for.
+// Explain returns a trace with the candidates of every shard that it selected a backend for.
 // versionText writes the version of the snapshot that the request was decided by.
 func Explain(t *Trace, versionText func(*snapshot.Snapshot) string) Explanation {
 	e := Explanation{Trace: t, Outcome: t.Outcome, Candidates: []Candidate{}}
@@ -51,34 +51,34 @@
 	for i := range t.Selections {
 		selected[t.Selections[i].Shard] = true
 	}
-	for shard, servers := range index.Shards {
+	for shard, backends := range index.Shards {
 		if !selected[shard] {
 			continue
 		}
-		for _, s := range servers {
+		for _, s := range backends {
 			e.Candidates = append(e.Candidates, explainCandidate(t, index, shard, s))
 		}
 	}
 	return e
 }
 
-func explainCandidate(t *Trace, index *snapshot.Index, shard int, server *snapshot.Backend) Candidate {
+func explainCandidate(t *Trace, index *snapshot.Index, shard int, backend *snapshot.Backend) Candidate {
 	c := Candidate{
-		Shard: shard, Server: server.ID, Zone: server.Zone, Health: snapshot.HealthStateNames[server.Health],
-		WarmthThousandths: server.SlowStartShare(t.StartedAt, index.Service.RampUs),
+		Shard: shard, Backend: backend.ID, Zone: backend.Zone, Health: snapshot.HealthStateNames[backend.Health],
+		WarmthThousandths: backend.SlowStartShare(t.StartedAt, index.Service.RampUs),
 	}
 	c.Reason = reasonNotSampled
-	if server.Health != snapshot.Healthy {
+	if backend.Health != snapshot.Healthy {
 		c.Reason = reasonUnhealthy + c.Health
 	}
 	for i := range t.Selections {
 		s := &t.Selections[i]
 		switch {
-		case s.Server == server.ID && s.Retry:
+		case s.Backend == backend.ID && s.Retry:
 			c.Reason = reasonRetried
-		case s.Server == server.ID:
+		case s.Backend == backend.ID:
 			c.Reason = reasonSelected
-		case s.Shard == shard && slices.Contains(s.Sampled, server.ID) && c.Reason == reasonNotSampled:
+		case s.Shard == shard && slices.Contains(s.Sampled, backend.ID) && c.Reason == reasonNotSampled:
 			c.Reason = reasonHigherCost
 		}
 	}
--- a/request/search/key_admission.go
+++ b/request/search/key_admission.go
@@ -45,7 +45,7 @@
 	m.trace.add(now, StateAdmitted, "claim "+string(a.Code))
 	switch a.Code {
 	case AdmissionGranted:
-		m.holdsKey, m.keyToken, m.isRepeat = true, a.Token, a.Repeat
+		m.keyAdmitted, m.keyToken, m.isRepeat = true, a.Token, a.Repeat
 		m.sendToShards(now)
 	case AdmissionCompleted:
 		var o Outcome
@@ -77,7 +77,7 @@
 
 // resolveKey tells the key's owners what became of the request that they admitted.
 func (m *StateMachine) resolveKey(o *Outcome) {
-	if !m.holdsKey {
+	if !m.keyAdmitted {
 		return
 	}
 	r := ResolveKey{
--- a/request/search/response.go
+++ b/request/search/response.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// ServerResponse is the body of a server's response.
-type ServerResponse struct {
+// BackendResponse is the body of a backend's response.
+type BackendResponse struct {
 	RequestID   string   `json:"inquiry"`
 	ShardMap    string   `json:"cut"`
 	Shard       int      `json:"shard"`
@@ -44,7 +44,7 @@
 	if raw.Digest != ContentDigest(raw.Body) {
 		return invalid("digest")
 	}
-	var response ServerResponse
+	var response BackendResponse
 	if json.Unmarshal(raw.Body, &response) != nil {
 		return invalid("body")
 	}
--- a/request/search/selection.go
+++ b/request/search/selection.go
@@ -8,17 +8,17 @@
 	"wallport/runtime/random"
 )
 
-// Selection is the server selected for an attempt and how it was found, for explain.
+// Selection is the backend selected for an attempt and how it was found, for explain.
 type Selection struct {
-	Server *snapshot.Backend
-	// Sampled are the ids of the two servers that were drawn.
+	Backend *snapshot.Backend
+	// Sampled are the ids of the two backends that were drawn.
 	Sampled []string
-	// Tier is the name of the best tier that had any server.
+	// Tier is the name of the best tier that had any backend.
 	Tier      string
 	WarmingUp bool
 }
 
-// tier ranks servers by health: the lowest that has any server is selected from.
+// tier ranks backends by health: the lowest that has any backend is selected from.
 type tier int
 
 const (
@@ -34,7 +34,7 @@
 // tierNames are the tiers' names in traces.
 var tierNames = [tierCount]string{"usable", "slow", "doubtful", "lost", "garbage"}
 
-// tierOf returns the tier of a server. Draining servers and drained zones are never selected.
+// tierOf returns the tier of a backend. Draining backends and drained zones are never selected.
 func tierOf(s *snapshot.Backend, now clock.Micros) tier {
 	switch {
 	case s.Health == snapshot.Draining || s.Health == snapshot.ZoneDrained:
@@ -51,14 +51,14 @@
 	return tierHealthy
 }
 
-// selectServer selects a server for an attempt by the power of two choices: of two servers drawn at
+// selectBackend selects a backend for an attempt by the power of two choices: of two backends drawn at
 // random from the best tier, that with the shorter expected wait. One of the two is of the node's
 // own zone where that is possible. Servers in attempted are left out. It reports whether there is one.
 //
-// A server in slow start is drawn only as often as its warmth allows. That bounds its load for the
+// A backend in slow start is drawn only as often as its warmth allows. That bounds its load for the
 // whole fleet without any counting; where the whole tier is warming up, warmth is relative.
-func selectServer(snap *snapshot.Snapshot, index *snapshot.Index, servers []*snapshot.Backend, attempted []string, now clock.Micros, rnd *random.Source) (Selection, bool) {
-	candidates, best := bestTier(servers, attempted, now)
+func selectBackend(snap *snapshot.Snapshot, index *snapshot.Index, backends []*snapshot.Backend, attempted []string, now clock.Micros, rnd *random.Source) (Selection, bool) {
+	candidates, best := bestTier(backends, attempted, now)
 	if len(candidates) == 0 {
 		return Selection{}, false
 	}
@@ -67,7 +67,7 @@
 	if len(candidates) > 1 {
 		warm = sampleByWarmth(candidates, now, slowStart, rnd)
 	}
-	// The first is of the own zone, if its warmth allows: a zone whose servers are all warming up
+	// The first is of the own zone, if its warmth allows: a zone whose backends are all warming up
 	// must not send all the work of its nodes to the one that chance lets through.
 	first := sampleOne(inZone(candidates, snap.Zone), rnd)
 	if !slices.Contains(warm, first) && len(candidates) > 1 {
@@ -79,16 +79,16 @@
 		selected = second
 	}
 	return Selection{
-		Server: selected, Sampled: []string{first.ID, second.ID}, Tier: tierNames[best],
+		Backend: selected, Sampled: []string{first.ID, second.ID}, Tier: tierNames[best],
 		WarmingUp: selected.SlowStartShare(now, slowStart) < 1000,
 	}, true
 }
 
-// bestTier returns the servers of the best tier that has any, without those in attempted.
-func bestTier(servers []*snapshot.Backend, attempted []string, now clock.Micros) ([]*snapshot.Backend, tier) {
+// bestTier returns the backends of the best tier that has any, without those in attempted.
+func bestTier(backends []*snapshot.Backend, attempted []string, now clock.Micros) ([]*snapshot.Backend, tier) {
 	var best []*snapshot.Backend
 	lowest := tierCount
-	for _, s := range servers {
+	for _, s := range backends {
 		if slices.Contains(attempted, s.ID) {
 			continue
 		}
@@ -104,15 +104,15 @@
 	return best, lowest
 }
 
-// sampleByWarmth keeps each server with a probability of its slow-start share, relative to that of
+// sampleByWarmth keeps each backend with a probability of its slow-start share, relative to that of
 // the warmest.
-func sampleByWarmth(servers []*snapshot.Backend, now, slowStart clock.Micros, rnd *random.Source) []*snapshot.Backend {
+func sampleByWarmth(backends []*snapshot.Backend, now, slowStart clock.Micros, rnd *random.Source) []*snapshot.Backend {
 	warmest := int64(1)
-	for _, s := range servers {
+	for _, s := range backends {
 		warmest = max(warmest, s.SlowStartShare(now, slowStart))
 	}
-	kept := make([]*snapshot.Backend, 0, len(servers))
-	for _, s := range servers {
+	kept := make([]*snapshot.Backend, 0, len(backends))
+	for _, s := range backends {
 		share := s.SlowStartShare(now, slowStart)
 		if share >= warmest || int64(rnd.IntN(int(warmest))) < share {
 			kept = append(kept, s)
@@ -121,29 +121,30 @@
 	return kept
 }
 
-// inZone returns the servers of a zone, or all where it has none.
-func inZone(servers []*snapshot.Backend, zone string) []*snapshot.Backend {
+// inZone returns the backends of a zone, or all where it has none.
+func inZone(backends []*snapshot.Backend, zone string) []*snapshot.Backend {
 	var found []*snapshot.Backend
-	for _, s := range servers {
+	for _, s := range backends {
 		if s.Zone == zone {
 			found = append(found, s)
 		}
 	}
 	if len(found) == 0 {
-		return servers
+		return backends
 	}
 	return found
 }
 
-func sampleOne(servers []*snapshot.Backend, rnd *random.Source) *snapshot.Backend {
-	return servers[rnd.IntN(len(servers))]
+func sampleOne(backends []*snapshot.Backend, rnd *random.Source) *snapshot.Backend {
+	return backends[rnd.IntN(len(backends))]
 }
 
-// minLatency, half a millisecond, is added to a server's latency, so that one that has not answered yet has a cost too.
+// minLatency, half a millisecond, is added to a backend's latency, so that one that has not answered
+// yet has a cost too.
 const minLatency clock.Micros = 500
 
-// expectedWait estimates how long a request to a server would wait, on a scale of its own: the
-// requests that this node has outstanding there, fourfold, and the load that the server reports,
+// expectedWait estimates how long a request to a backend would wait, on a scale of its own: the
+// requests that this node has outstanding there, fourfold, and the load that the backend reports,
 // times its latency. Another zone costs a quarter more.
 func expectedWait(s *snapshot.Backend, zone string) int64 {
 	latency := s.Gauge.Latency.Load() + minLatency
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -17,21 +17,21 @@
 	// reason is why the shard was asked again or is missing.
 	reason string
 	// attempts counts all attempts, openAttempts those under way, and unwritten those of which
-	// nothing was written, which cost no server anything.
+	// nothing was written, which cost no backend anything.
 	attempts     int
 	openAttempts int
 	unwritten    int
-	// attemptedServers are the ids of the servers that are not selected again.
-	attemptedServers []string
-	hedgeAt          clock.Micros
+	// attemptedBackends are the ids of the backends that are not selected again.
+	attemptedBackends []string
+	hedgeAt           clock.Micros
 }
 
-// attempt is one sending of the request to a server.
+// attempt is one sending of the request to a backend.
 type attempt struct {
-	shard  int
-	server *snapshot.Backend
-	sentAt clock.Micros
-	open   bool
+	shard   int
+	backend *snapshot.Backend
+	sentAt  clock.Micros
+	open    bool
 }
 
 // attemptReason says what an attempt is made for, and thereby who pays for it.
@@ -92,11 +92,11 @@
 	}
 }
 
-// send selects a server for a shard and sends an attempt to it. Without a server, or without
+// send selects a backend for a shard and sends an attempt to it. Without a backend, or without
 // budget, the shard is missing once no attempt is open.
 func (m *StateMachine) send(now clock.Micros, shard int, why attemptReason) {
 	s := &m.shardRequests[shard]
-	selected, ok := selectServer(m.snapshot, m.index, m.index.Shards[shard], s.attemptedServers, now, &m.rnd)
+	selected, ok := selectBackend(m.snapshot, m.index, m.index.Shards[shard], s.attemptedBackends, now, &m.rnd)
 	if !ok {
 		s.missing = s.openAttempts == 0
 		if s.reason == "" {
@@ -121,19 +121,19 @@
 		m.dispatcher.replenishRetryBudget(m.snapshot, m.request.Index, now)
 	}
 	n := len(m.attempts)
-	server := selected.Server
-	m.attempts = append(m.attempts, attempt{shard: shard, server: server, sentAt: now, open: true})
+	backend := selected.Backend
+	m.attempts = append(m.attempts, attempt{shard: shard, backend: backend, sentAt: now, open: true})
 	m.trace.selected(now, n, shard, selected, why != initialAttempt)
 	left := m.deadline - now
-	s.attemptedServers = append(s.attemptedServers, server.ID)
+	s.attemptedBackends = append(s.attemptedBackends, backend.ID)
 	s.openAttempts++
 	s.attempts++
-	s.hedgeAt = now + min(max(m.index.Service.HedgeUs, 3*server.Gauge.Latency.Load()), max(left/2, 1))
-	server.Gauge.Outstanding.Add(1)
-	server.Gauge.Requested.Add(1)
+	s.hedgeAt = now + min(max(m.index.Service.HedgeUs, 3*backend.Gauge.Latency.Load()), max(left/2, 1))
+	backend.Gauge.Outstanding.Add(1)
+	backend.Gauge.Requested.Add(1)
 	m.state = StateSent
 	m.emit(Send{
-		Attempt: n, ID: m.ID() + "." + attemptSuffix(n), Server: server,
+		Attempt: n, ID: m.ID() + "." + attemptSuffix(n), Backend: backend,
 		Shard: shard, ShardCount: len(m.index.Shards), ShardMap: m.shardMap,
 		Timeout: left, Request: &m.request,
 		Retry: why == budgetedRetry || why == prepaidRetry, Replacement: why == replacementAttempt,
@@ -222,10 +222,10 @@
 	}
 }
 
-// cancelAttempt cancels an open attempt. It counts in its server's latency as if it took until now.
+// cancelAttempt cancels an open attempt. It counts in its backend's latency as if it took until now.
 func (m *StateMachine) cancelAttempt(now clock.Micros, n int) {
 	t := &m.attempts[n]
-	gauge := t.server.Gauge
+	gauge := t.backend.Gauge
 	if took := now - t.sentAt; took > gauge.Latency.Load() {
 		gauge.Latency.Store(gauge.Latency.Load() + (took-gauge.Latency.Load())/8)
 	}
@@ -233,7 +233,7 @@
 	m.emit(Cancel{Attempt: n})
 }
 
-// closeAttempt ends an open attempt and updates its server's gauge by the reply.
+// closeAttempt ends an open attempt and updates its backend's gauge by the reply.
 func (m *StateMachine) closeAttempt(now clock.Micros, n int, r Reply) {
 	t := &m.attempts[n]
 	if !t.open {
@@ -241,7 +241,7 @@
 	}
 	t.open = false
 	m.shardRequests[t.shard].openAttempts--
-	gauge := t.server.Gauge
+	gauge := t.backend.Gauge
 	gauge.Outstanding.Add(-1)
 	if r.Incarnation > gauge.Incarnation.Load() {
 		gauge.Incarnation.Store(r.Incarnation)
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -27,7 +27,7 @@
 	startedAt  clock.Micros
 	deadline   clock.Micros
 
-	// snapshot and index are what servers are selected from; they are replaced by newer ones
+	// snapshot and index are what backends are selected from; they are replaced by newer ones
 	// while these have the same shard map, which stays for the whole request.
 	snapshot *snapshot.Snapshot
 	index    *snapshot.Index
@@ -39,9 +39,9 @@
 	recordShard   int
 	attempts      []attempt
 
-	// holdsKey says that the key's owners admitted the request, under keyToken.
-	holdsKey bool
-	keyToken string
+	// keyAdmitted says that the key's owners admitted the request, under keyToken.
+	keyAdmitted bool
+	keyToken    string
 	// isRepeat marks a caller's repeat: its attempts are paid from the retry budget.
 	isRepeat bool
 
@@ -89,9 +89,9 @@
 	return m.actions
 }
 
-func (m *StateMachine) transition(now clock.Micros, next State, note string) {
+func (m *StateMachine) transition(now clock.Micros, next State, detail string) {
 	m.state = next
-	m.trace.add(now, next, note)
+	m.trace.add(now, next, detail)
 }
 
 func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
--- a/request/search/state_machine_test.go
+++ b/request/search/state_machine_test.go
@@ -67,13 +67,13 @@
 	}
 }
 
-func TestUnwrittenCorrectionIsSentToAnotherServer(t *testing.T) {
+func TestUnwrittenCorrectionIsSentToAnotherBackend(t *testing.T) {
 	d := newTestDispatcher(newSnapshot(3, 2))
 	m := NewStateMachine(d, Request{Kind: KindCorrect, Index: "a", Record: "r"}, 0)
 	first := sends(m.Step(0, Start{}))
 	second := sends(m.Step(1000, ReplyReceived{Attempt: 0, Reply: Reply{Class: ReplyNotWritten}}))
 	must.Len(t, 1, second)
-	must.NotEq(t, first[0].Server.ID, second[0].Server.ID)
+	must.NotEq(t, first[0].Backend.ID, second[0].Backend.ID)
 	must.True(t, second[0].Replacement, must.Sprint("it adds nothing to the pool's traffic"))
 	must.Eq(t, 0, d.Counts.Of("extra_tries").Load())
 	third := sends(m.Step(2000, ReplyReceived{Attempt: 1, Reply: Reply{Class: ReplyRejected}}))
@@ -121,21 +121,21 @@
 	must.Eq(t, []string{"x3", "x2", "x0"}, []string{o.Records[0].ID, o.Records[1].ID, o.Records[2].ID})
 }
 
-func TestDrainingServersAreNeverSelected(t *testing.T) {
+func TestDrainingBackendsAreNeverSelected(t *testing.T) {
 	snap := newSnapshot(3, 1)
 	list := snap.Indexes["a"].Shards[0]
 	list[0].Health, list[1].Health, list[2].Health = snapshot.Draining, snapshot.ZoneDrained, snapshot.Unreachable
 	r := random.Source(1)
 	for range 50 {
-		c, ok := selectServer(snap, snap.Indexes["a"], list, nil, 0, &r)
+		c, ok := selectBackend(snap, snap.Indexes["a"], list, nil, 0, &r)
 		must.True(t, ok)
-		must.Eq(t, list[2].ID, c.Server.ID, must.Sprint("the least bad"))
+		must.Eq(t, list[2].ID, c.Backend.ID, must.Sprint("the least bad"))
 	}
-	_, ok := selectServer(snap, snap.Indexes["a"], list, []string{list[2].ID}, 0, &r)
+	_, ok := selectBackend(snap, snap.Indexes["a"], list, []string{list[2].ID}, 0, &r)
 	must.False(t, ok)
 }
 
-func TestSlowStartServerIsSelectedByItsShare(t *testing.T) {
+func TestSlowStartBackendIsSelectedByItsWarmth(t *testing.T) {
 	snap := newSnapshot(10, 1)
 	list := snap.Indexes["a"].Shards[0]
 	list[0].Born = 0
@@ -146,7 +146,7 @@
 	for _, at := range []int64{0, 250_000, 500_000} {
 		n := 0
 		for range 20000 {
-			if c, _ := selectServer(snap, snap.Indexes["a"], list, nil, at, &r); c.Server == list[0] {
+			if c, _ := selectBackend(snap, snap.Indexes["a"], list, nil, at, &r); c.Backend == list[0] {
 				n++
 			}
 		}
@@ -163,9 +163,9 @@
 	r := random.Source(7)
 	seen := map[string]int{}
 	for range 4000 {
-		c, ok := selectServer(snap, snap.Indexes["a"], snap.Indexes["a"].Shards[0], nil, 0, &r)
+		c, ok := selectBackend(snap, snap.Indexes["a"], snap.Indexes["a"].Shards[0], nil, 0, &r)
 		must.True(t, ok)
-		seen[c.Server.ID]++
+		seen[c.Backend.ID]++
 	}
 	for id, n := range seen {
 		must.Greater(t, 500, n, must.Sprint(id))
@@ -222,7 +222,7 @@
 		if k.Reason == "picked" {
 			picked++
 		}
-		if k.Server == "s0-1" {
+		if k.Backend == "s0-1" {
 			must.Eq(t, "condition is lost", k.Reason)
 		}
 	}
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -31,12 +31,12 @@
 	Detail string       `json:"note,omitempty"`
 }
 
-// TraceSelection is one attempt and how its server was selected.
+// TraceSelection is one attempt and how its backend was selected.
 type TraceSelection struct {
 	At        clock.Micros `json:"at_us"`
 	Attempt   int          `json:"n"`
 	Shard     int          `json:"shard"`
-	Server    string       `json:"server"`
+	Backend   string       `json:"server"`
 	Sampled   []string     `json:"drawn"`
 	Tier      string       `json:"tier"`
 	WarmingUp bool         `json:"cold,omitempty"`
@@ -58,7 +58,7 @@
 
 func (t *Trace) selected(now clock.Micros, attempt, shard int, s Selection, retry bool) {
 	t.Selections = append(t.Selections, TraceSelection{
-		At: now - t.StartedAt, Attempt: attempt, Shard: shard, Server: s.Server.ID,
+		At: now - t.StartedAt, Attempt: attempt, Shard: shard, Backend: s.Backend.ID,
 		Sampled: s.Sampled, Tier: s.Tier, WarmingUp: s.WarmingUp, Retry: retry,
 	})
 }
