--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -37,29 +37,29 @@
 			return
 		}
 	}
-	e := &h.kernel.Boot.Settings
-	for _, c := range h.liveCores(ctx.Now) {
-		if !c.Bootstrapped {
+	settings := &h.kernel.Boot.Settings
+	for _, core := range h.liveCores(ctx.Now) {
+		if !core.Bootstrapped {
 			continue
 		}
 		// While a platform has its fleet formed, the replicas learn of it one by one; who is not
 		// among them is a standby once a version is there.
-		if !e.BootstrapKnown {
+		if !settings.BootstrapKnown {
 			h.joinFleet(ctx)
 		}
 		return
 	}
 	switch {
-	case h.formation.BootstrapID == "":
-		if at := ctx.Now - h.startedAt; e.BootstrapKnown || at >= BootstrapAfter {
-			h.planFormation(ctx)
+	case h.bootstrap.BootstrapID == "":
+		if at := ctx.Now - h.startedAt; settings.BootstrapKnown || at >= BootstrapAfter {
+			h.planBootstrap(ctx)
 		}
-	case h.formation.Proposer.ID == h.replicaID && ctx.Now-h.formationSentAt >= ProposeInterval:
-		if ctx.Now-h.formationPlannedAt > WithdrawAfter && !h.completing {
-			h.withdrawFormation(ctx)
+	case h.bootstrap.Proposer.ID == h.replicaID && ctx.Now-h.bootstrapSentAt >= ProposeInterval:
+		if ctx.Now-h.bootstrapPlannedAt > WithdrawAfter && !h.completing {
+			h.withdrawBootstrap(ctx)
 			return
 		}
-		h.proposeFormation(ctx)
+		h.proposeBootstrap(ctx)
 	}
 }
 
@@ -74,55 +74,55 @@
 	ctx.Log(kernel.LevelInfo, "core_spare", "seat", h.replicaID)
 }
 
-// planFormation proposes a formation, if this core is the one to do so and enough others are known.
-func (h *Host) planFormation(ctx *kernel.Context) {
+// planBootstrap proposes a formation, if this core is the one to do so and enough others are known.
+func (h *Host) planBootstrap(ctx *kernel.Context) {
 	cores := h.standbys(ctx.Now)
 	cores = slices.DeleteFunc(cores, func(c wire.Replica) bool { return h.refusers[c.ID] })
 	slices.SortFunc(cores, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	seats, ok := h.chooseFormation(ctx, cores)
+	seats, ok := h.chooseBootstrapVoters(ctx, cores)
 	if !ok {
 		return
 	}
 	f := wire.Bootstrap{BootstrapID: fmt.Sprintf("%016x", ctx.Rand.Uint64()), Voters: seats}
 	f.Proposer = wire.Replica{ID: h.replicaID, Zone: h.kernel.Boot.Settings.Zone, Addr: h.kernel.Boot.Settings.Mesh}
-	h.formationPlannedAt = ctx.Now
+	h.bootstrapPlannedAt = ctx.Now
 	ctx.Log(kernel.LevelInfo, "formation_planned", "formation", f.BootstrapID, "seats", len(seats))
 	h.saveConsent(ctx, f, func(ctx *kernel.Context, ok bool) {
-		if ok && h.formation.BootstrapID == f.BootstrapID {
-			h.proposeFormation(ctx)
+		if ok && h.bootstrap.BootstrapID == f.BootstrapID {
+			h.proposeBootstrap(ctx)
 		}
 	})
 }
 
 // saveConsent syncs that this disk consents to a formation; an empty one takes the consent back.
 func (h *Host) saveConsent(ctx *kernel.Context, f wire.Bootstrap, done func(ctx *kernel.Context, ok bool)) {
-	h.formation, h.consents, h.consentSynced = f, map[string]bool{}, false
+	h.bootstrap, h.consents, h.consentSynced = f, map[string]bool{}, false
 	h.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
-		if h.formation.BootstrapID == f.BootstrapID {
+		if h.bootstrap.BootstrapID == f.BootstrapID {
 			h.consentSynced = err == ""
 			if err != "" {
-				h.formation = wire.Bootstrap{}
+				h.bootstrap = wire.Bootstrap{}
 			}
 		}
 		done(ctx, err == "")
 	})
 }
 
-func (h *Host) proposeFormation(ctx *kernel.Context) {
-	h.formationSentAt = ctx.Now
-	for _, member := range h.formation.Voters {
+func (h *Host) proposeBootstrap(ctx *kernel.Context) {
+	h.bootstrapSentAt = ctx.Now
+	for _, member := range h.bootstrap.Voters {
 		if member.ID != h.replicaID {
-			h.sendReplica(ctx, member, wire.KindBootstrap, &h.formation)
+			h.sendReplica(ctx, member, wire.KindBootstrap, &h.bootstrap)
 			continue
 		}
-		h.handleBootstrapReply(ctx, wire.BootstrapReply{BootstrapID: h.formation.BootstrapID, From: h.replicaID, OK: true})
+		h.handleBootstrapReply(ctx, wire.BootstrapReply{BootstrapID: h.bootstrap.BootstrapID, From: h.replicaID, OK: true})
 	}
 }
 
-// withdrawFormation gives up this replica's own proposal, for another one or for none. It is synced before
+// withdrawBootstrap gives up this replica's own proposal, for another one or for none. It is synced before
 // anyone is told: whoever consented to it is free only once it can never be complete.
-func (h *Host) withdrawFormation(ctx *kernel.Context) {
-	was := h.formation
+func (h *Host) withdrawBootstrap(ctx *kernel.Context) {
+	was := h.bootstrap
 	ctx.Log(kernel.LevelWarn, "formation_withdrawn", "formation", was.BootstrapID)
 	h.saveConsent(ctx, wire.Bootstrap{}, func(ctx *kernel.Context, ok bool) {
 		if !ok {
@@ -137,89 +137,89 @@
 	})
 }
 
-func (h *Host) handleBootstrap(ctx *kernel.Context, ch uint64, f wire.Bootstrap) {
+func (h *Host) handleBootstrap(ctx *kernel.Context, conn uint64, proposal wire.Bootstrap) {
 	reply := func(ctx *kernel.Context, r wire.BootstrapReply) {
-		r.BootstrapID, r.From = f.BootstrapID, h.replicaID
-		ctx.Send(ch, wire.KindBootstrapReply, 0, &r)
+		r.BootstrapID, r.From = proposal.BootstrapID, h.replicaID
+		ctx.Send(conn, wire.KindBootstrapReply, 0, &r)
 	}
-	e := &h.kernel.Boot.Settings
-	mine, in := h.formation, contains(f.Voters, h.replicaID)
+	settings := &h.kernel.Boot.Settings
+	mine, included := h.bootstrap, contains(proposal.Voters, h.replicaID)
 	switch {
 	case h.replicaID == "" || h.diskDamaged:
-	case f.Withdrawn:
-		if mine.BootstrapID == f.BootstrapID && mine.Proposer.ID != h.replicaID && !h.bootstrapped && !h.completing {
+	case proposal.Withdrawn:
+		if mine.BootstrapID == proposal.BootstrapID && mine.Proposer.ID != h.replicaID && !h.bootstrapped && !h.completing {
 			h.saveConsent(ctx, wire.Bootstrap{}, func(*kernel.Context, bool) {})
 		}
-	case f.Commit:
-		if f.BootstrapID == mine.BootstrapID {
-			h.completeFormation(ctx)
+	case proposal.Commit:
+		if proposal.BootstrapID == mine.BootstrapID {
+			h.completeBootstrap(ctx)
 		}
 	case h.bootstrapped:
 		reply(ctx, wire.BootstrapReply{Bootstrapped: true})
-	case mine.BootstrapID == f.BootstrapID:
+	case mine.BootstrapID == proposal.BootstrapID:
 		if h.consentSynced {
 			reply(ctx, wire.BootstrapReply{OK: true})
 		}
-	case mine.BootstrapID != "" && mine.Proposer.ID == h.replicaID && f.Proposer.ID < h.replicaID && !h.completing:
+	case mine.BootstrapID != "" && mine.Proposer.ID == h.replicaID && proposal.Proposer.ID < h.replicaID && !h.completing:
 		// Of two proposals the one of the lesser replica goes on; that replica asks again soon.
-		h.withdrawFormation(ctx)
+		h.withdrawBootstrap(ctx)
 	case mine.BootstrapID != "":
 		reply(ctx, wire.BootstrapReply{Proposer: mine.Proposer})
-	case e.BootstrapKnown && !e.Bootstrap:
+	case settings.BootstrapKnown && !settings.Bootstrap:
 		reply(ctx, wire.BootstrapReply{Forbidden: true})
-	case in && h.diskProblem == "":
-		h.saveConsent(ctx, f, func(ctx *kernel.Context, ok bool) { reply(ctx, wire.BootstrapReply{OK: ok}) })
+	case included && h.diskProblem == "":
+		h.saveConsent(ctx, proposal, func(ctx *kernel.Context, ok bool) { reply(ctx, wire.BootstrapReply{OK: ok}) })
 	}
 }
 
-func (h *Host) handleBootstrapReply(ctx *kernel.Context, r wire.BootstrapReply) {
-	f := h.formation
-	if h.bootstrapped || f.BootstrapID == "" || r.BootstrapID != f.BootstrapID || f.Proposer.ID != h.replicaID || h.completing {
+func (h *Host) handleBootstrapReply(ctx *kernel.Context, reply wire.BootstrapReply) {
+	f := h.bootstrap
+	if h.bootstrapped || f.BootstrapID == "" || reply.BootstrapID != f.BootstrapID || f.Proposer.ID != h.replicaID || h.completing {
 		return
 	}
 	switch {
-	case r.OK:
-		h.consents[r.From] = true
+	case reply.OK:
+		h.consents[reply.From] = true
 		if !slices.ContainsFunc(f.Voters, func(seat wire.Replica) bool { return !h.consents[seat.ID] }) {
-			h.completeFormation(ctx)
+			h.completeBootstrap(ctx)
 		}
-	case r.Bootstrapped:
+	case reply.Bootstrapped:
 		h.joinFleet(ctx)
-	case r.Forbidden:
-		h.refusers[r.From] = true
-		h.withdrawFormation(ctx)
-	case r.Proposer.ID != "" && r.Proposer.ID < h.replicaID:
-		h.withdrawFormation(ctx)
-	case r.Proposer.ID != "":
-		h.sendReplica(ctx, r.Proposer, wire.KindBootstrap, &f)
+	case reply.Forbidden:
+		h.refusers[reply.From] = true
+		h.withdrawBootstrap(ctx)
+	case reply.Proposer.ID != "" && reply.Proposer.ID < h.replicaID:
+		h.withdrawBootstrap(ctx)
+	case reply.Proposer.ID != "":
+		h.sendReplica(ctx, reply.Proposer, wire.KindBootstrap, &f)
 	}
 }
 
-// adoptFormation gives every partition that holds nothing yet the formation's replicas.
-func (h *Host) adoptFormation() {
+// adoptBootstrapVoters gives every partition that holds nothing yet the formation's replicas.
+func (h *Host) adoptBootstrapVoters() {
 	for _, g := range h.groups {
 		if len(g.accepted.Voters) == 0 {
-			g.accepted.Voters = h.formation.Voters
+			g.accepted.Voters = h.bootstrap.Voters
 			g.accepted.Version.Partition = g.partition
 		}
 	}
 }
 
-// completeFormation makes a consenting replica a voter, once that is synced; the one that proposed the
+// completeBootstrap makes a consenting replica a voter, once that is synced; the one that proposed the
 // formation then tells the others, who may have nobody else to tell them.
-func (h *Host) completeFormation(ctx *kernel.Context) {
-	f := h.formation
+func (h *Host) completeBootstrap(ctx *kernel.Context) {
+	f := h.bootstrap
 	if f.Commit || h.completing {
 		return
 	}
 	f.Commit, h.completing = true, true
 	h.save(ctx, "formation", wire.Encode(&f), func(ctx *kernel.Context, err string) {
 		h.completing = false
-		if err != "" || h.formation.Commit {
+		if err != "" || h.bootstrap.Commit {
 			return
 		}
-		h.formation, h.bootstrapped = f, true
-		h.adoptFormation()
+		h.bootstrap, h.bootstrapped = f, true
+		h.adoptBootstrapVoters()
 		ctx.Log(kernel.LevelInfo, "fleet_formed", "formation", f.BootstrapID, "seat", h.replicaID)
 		h.publishMember()
 		for _, member := range f.Voters {
--- a/control/replica/bootstrap_choice.go
+++ b/control/replica/bootstrap_choice.go
@@ -24,8 +24,8 @@
 	maxSeeds      = 3
 )
 
-// chooseFormation gives the replicas of the formation that this core should propose now, if any.
-func (h *Host) chooseFormation(ctx *kernel.Context, cores []wire.Replica) ([]wire.Replica, bool) {
+// chooseBootstrapVoters gives the replicas of the formation that this core should propose now, if any.
+func (h *Host) chooseBootstrapVoters(ctx *kernel.Context, cores []wire.Replica) ([]wire.Replica, bool) {
 	e, want := &h.kernel.Boot.Settings, h.wantedVoters()
 	if !e.BootstrapKnown {
 		return PickVoters(cores, want), len(cores) >= want && cores[0].ID == h.replicaID
@@ -64,17 +64,17 @@
 
 // PickVoters chooses replicas, spread over the zones.
 func PickVoters(cores []wire.Replica, n int) []wire.Replica {
-	var seats []wire.Replica
+	var voters []wire.Replica
 	for range min(n, len(cores)) {
-		c, _ := leastUsedZone(cores, seats, "")
-		seats = append(seats, c)
+		c, _ := leastUsedZone(cores, voters, "")
+		voters = append(voters, c)
 	}
-	return seats
+	return voters
 }
 
 // survivesZoneLoss reports whether the loss of any one zone leaves a majority of the replicas.
-func survivesZoneLoss(seats []wire.Replica, zones int) bool {
-	return zones == 0 || !slices.ContainsFunc(seats, func(s wire.Replica) bool {
-		return 2*countInZone(seats, s.Zone, "") >= len(seats)
+func survivesZoneLoss(voters []wire.Replica, zones int) bool {
+	return zones == 0 || !slices.ContainsFunc(voters, func(s wire.Replica) bool {
+		return 2*countInZone(voters, s.Zone, "") >= len(voters)
 	})
 }
--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -79,7 +79,7 @@
 	out := c.send(wire.KindBootstrap, f1)
 	r := bootstrapReplies(t, c.feed(kernel.Written{Plugin: "seats", Key: out.Writes[0].Key, Err: "no space left on device"}))
 	must.False(t, r[0].OK)
-	must.Eq(t, "", c.host.formation.BootstrapID)
+	must.Eq(t, "", c.host.bootstrap.BootstrapID)
 }
 
 func TestBootstrapDeniedOnEmptyDiskOfFormedFleet(t *testing.T) {
@@ -102,15 +102,15 @@
 func TestBootstrapProposerHasLeastSeedAddress(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	c.tick()
-	must.Eq(t, "", c.host.formation.BootstrapID, must.Sprint("nobody else is known yet"))
+	must.Eq(t, "", c.host.bootstrap.BootstrapID, must.Sprint("nobody else is known yet"))
 	others(c, 3)
 	out := c.tick()
-	must.Len(t, 3, c.host.formation.Voters)
+	must.Len(t, 3, c.host.bootstrap.Voters)
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before its own consent is synced"))
 	out = c.sync(out)
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
-	for _, member := range c.host.formation.Voters {
-		out = c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: c.host.formation.BootstrapID, From: member.ID, OK: true})
+	for _, member := range c.host.bootstrap.Voters {
+		out = c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: c.host.bootstrap.BootstrapID, From: member.ID, OK: true})
 	}
 	must.False(t, c.host.bootstrapped)
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before it is synced that it is complete"))
@@ -138,14 +138,14 @@
 	must.SliceEmpty(t, c.tick().Writes, must.Sprint("one seed is not heard"))
 	others(c, 3)
 	c.tick()
-	must.Len(t, 3, c.host.formation.Voters, must.Sprint("five are wanted, four there: three"))
+	must.Len(t, 3, c.host.bootstrap.Voters, must.Sprint("five are wanted, four there: three"))
 }
 
 func TestBootstrapGreaterProposerWithdraws(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Seeds = "10.0.0.0:1", e.Seeds[:2] })
 	others(c, 3)
 	out := c.sync(c.tick())
-	mine := c.host.formation
+	mine := c.host.bootstrap
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
 	must.SliceEmpty(t, c.send(wire.KindBootstrap, proposal("f2", "z", "z", "s1", "s2")).Writes, must.Sprint("z is not less than m"))
 	out = c.send(wire.KindBootstrap, proposal("f3", "a", "a", "s1", "s2"))
@@ -164,13 +164,13 @@
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	others(c, 3)
 	c.sync(c.tick())
-	f := c.host.formation
+	f := c.host.bootstrap
 	i := slices.IndexFunc(f.Voters, func(s wire.Replica) bool { return s.ID != "m" })
 	c.sync(c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: f.BootstrapID, From: f.Voters[i].ID, Forbidden: true}))
 	c.tick()
-	must.NotEq(t, f.BootstrapID, c.host.formation.BootstrapID)
-	must.Len(t, 3, c.host.formation.Voters)
-	must.False(t, contains(c.host.formation.Voters, f.Voters[i].ID))
+	must.NotEq(t, f.BootstrapID, c.host.bootstrap.BootstrapID)
+	must.Len(t, 3, c.host.bootstrap.Voters)
+	must.False(t, contains(c.host.bootstrap.Voters, f.Voters[i].ID))
 }
 
 func TestHostWithoutDiskRelaysVersions(t *testing.T) {
--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -109,24 +109,24 @@
 
 // limitPull takes large versions out of a reply that are on their way to the node already, and
 // those that do not fit into one message: the next pull brings them.
-func (h *Host) limitPull(now int64, conn uint64, r *wire.PullReply) {
-	room := wire.MaxMessage - wire.MaxSingleFrame
-	versions := r.Versions
-	r.Versions = nil
+func (h *Host) limitPull(now int64, conn uint64, reply *wire.PullReply) {
+	capacity := wire.MaxMessage - wire.MaxSingleFrame
+	versions := reply.Versions
+	reply.Versions = nil
 	for _, v := range versions {
-		if room < len(v.Body) || isLarge(len(v.Body)) && !h.maySendLarge(now, conn, v.Version) {
+		if capacity < len(v.Body) || isLarge(len(v.Body)) && !h.maySendLarge(now, conn, v.Version) {
 			// The asker does not have all that was acknowledged before the contact.
 			withheld := uint32(1) << v.Version.Partition
-			r.Partial, r.ContactMask, r.RelayedMask = true, r.ContactMask&^withheld, r.RelayedMask&^withheld
+			reply.Partial, reply.ContactMask, reply.RelayedMask = true, reply.ContactMask&^withheld, reply.RelayedMask&^withheld
 			continue
 		}
-		room -= len(v.Body)
-		r.Versions = append(r.Versions, v)
+		capacity -= len(v.Body)
+		reply.Versions = append(reply.Versions, v)
 	}
 }
 
 // maySendLarge reports whether a large version is not on its way on a connection, and notes that it is now.
-func (h *Host) maySendLarge(now int64, conn uint64, stamp wire.Version) bool {
+func (h *Host) maySendLarge(now int64, conn uint64, version wire.Version) bool {
 	if len(h.largeSent) >= maxTrackedConns || h.largeSent == nil {
 		h.largeSent = map[uint64]sentVersions{}
 	}
@@ -135,9 +135,9 @@
 		sent = sentVersions{}
 		h.largeSent[conn] = sent
 	}
-	if was := sent[stamp.Partition]; was.version == stamp && now-was.sentAt < LargeResendToPullerAfter {
+	if last := sent[version.Partition]; last.version == version && now-last.sentAt < LargeResendToPullerAfter {
 		return false
 	}
-	sent[stamp.Partition] = sentVersion{stamp, now}
+	sent[version.Partition] = sentVersion{version, now}
 	return true
 }
--- a/control/replica/disk.go
+++ b/control/replica/disk.go
@@ -23,12 +23,12 @@
 	})
 }
 
-func (h *Host) setDiskProblem(ctx *kernel.Context, why string) {
-	if h.diskProblem == why {
+func (h *Host) setDiskProblem(ctx *kernel.Context, problem string) {
+	if h.diskProblem == problem {
 		return
 	}
-	ctx.Log(kernel.LevelWarn, "disk_condition", "was", h.diskProblem, "is", why)
-	h.diskProblem = why
+	ctx.Log(kernel.LevelWarn, "disk_condition", "was", h.diskProblem, "is", problem)
+	h.diskProblem = problem
 	h.publishMember()
 }
 
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -18,10 +18,10 @@
 	if g.justStarted(ctx) {
 		after = ElectionTimeoutAtStart
 	}
-	seats := allVoters(g.accepted)
-	slices.SortFunc(seats, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	for i := range seats {
-		switch seats[(i+g.partition)%len(seats)].ID {
+	voters := allVoters(g.accepted)
+	slices.SortFunc(voters, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
+	for i := range voters {
+		switch voters[(i+g.partition)%len(voters)].ID {
 		case g.self():
 			g.electionAt = ctx.Now + after + rank*ElectionStagger + ctx.Rand.Int64N(ElectionJitter)
 			return
@@ -75,43 +75,43 @@
 }
 
 // handleVote answers a request for a term, after the vote is synced.
-func (g *Group) handleVote(ctx *kernel.Context, ch, id uint64, v wire.Vote) {
+func (g *Group) handleVote(ctx *kernel.Context, conn, id uint64, request wire.Vote) {
 	reply := func(ctx *kernel.Context, granted bool) {
-		r := wire.VoteReply{Partition: g.partition, Term: v.Term, From: g.self(), Pre: v.Pre, Granted: granted, Stored: g.accepted, SupportsBase: true}
+		r := wire.VoteReply{Partition: g.partition, Term: request.Term, From: g.self(), Pre: request.Pre, Granted: granted, Stored: g.accepted, SupportsBase: true}
 		if !granted {
 			r.Term = g.votedTerm
 		}
-		if !granted || v.Pre || !mesh.Newer(g.accepted.Version, v.Stored) {
+		if !granted || request.Pre || !mesh.Newer(g.accepted.Version, request.Stored) {
 			// Only who is given the term and holds an older version needs what is held; the others
 			// need to know how new it is.
 			r.Stored.Body, r.Stored.EditLog = nil, nil
 		}
-		if v.From == g.self() {
+		if request.From == g.self() {
 			g.handleVoteReply(ctx, r)
 			return
 		}
-		ctx.Send(ch, wire.KindVoteReply, id, &r)
+		ctx.Send(conn, wire.KindVoteReply, id, &r)
 	}
 	if g.host.diskDamaged {
 		return
 	}
-	fresh := v.Term > g.votedTerm || v.Term == g.votedTerm && g.votedFor == v.From
-	if v.Pre {
+	fresh := request.Term > g.votedTerm || request.Term == g.votedTerm && g.votedFor == request.From
+	if request.Pre {
 		quiet := g.role != leader && ctx.Now-g.leaderSeen > ElectionTimeout/2
-		reply(ctx, v.Term > g.votedTerm && quiet && !g.outranks(v) && (g.host.diskProblem == "" || g.host.diskProblem == "slow"))
+		reply(ctx, request.Term > g.votedTerm && quiet && !g.outranks(request) && (g.host.diskProblem == "" || g.host.diskProblem == "slow"))
 		return
 	}
 	if !fresh {
 		reply(ctx, false)
 		return
 	}
-	if v.From != g.self() {
+	if request.From != g.self() {
 		g.stepDown(ctx, "promised another")
 	}
-	g.votedTerm, g.votedFor = v.Term, v.From
+	g.votedTerm, g.votedFor = request.Term, request.From
 	g.scheduleElection(ctx)
-	g.host.save(ctx, voteFile(g.partition), wire.Encode(&wire.Vote{Term: v.Term, From: v.From}), func(ctx *kernel.Context, err string) {
-		if err == "" && g.votedTerm == v.Term && g.votedFor == v.From {
+	g.host.save(ctx, voteFile(g.partition), wire.Encode(&wire.Vote{Term: request.Term, From: request.From}), func(ctx *kernel.Context, err string) {
+		if err == "" && g.votedTerm == request.Term && g.votedFor == request.From {
 			reply(ctx, true)
 		}
 	})
@@ -119,8 +119,8 @@
 
 // outranks tells that this replica should lead rather than the candidate: it holds a newer version,
 // which the candidate would have to be sent first, and it can stand itself.
-func (g *Group) outranks(v wire.Vote) bool {
-	return mesh.Newer(g.accepted.Version, v.Stored) && g.isVoter() && !g.host.stopping
+func (g *Group) outranks(request wire.Vote) bool {
+	return mesh.Newer(g.accepted.Version, request.Stored) && g.isVoter() && !g.host.stopping
 }
 
 func (g *Group) handleVoteReply(ctx *kernel.Context, r wire.VoteReply) {
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -12,14 +12,14 @@
 )
 
 // handleAccept syncs a version and says so, unless a newer term was voted.
-func (g *Group) handleAccept(ctx *kernel.Context, ch, id uint64, a wire.Accept) {
+func (g *Group) handleAccept(ctx *kernel.Context, conn, id uint64, a wire.Accept) {
 	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
 		r.Partition, r.From, r.SupportsBase = g.partition, g.self(), true
 		if a.From == g.self() {
 			g.handleAcceptReply(ctx, r)
 			return
 		}
-		ctx.Send(ch, wire.KindAcceptReply, id, &r)
+		ctx.Send(conn, wire.KindAcceptReply, id, &r)
 	}
 	if g.host.diskDamaged {
 		return
@@ -99,10 +99,10 @@
 	g.scheduleElection(ctx)
 }
 
-func (g *Group) handleHeartbeat(ctx *kernel.Context, ch, id uint64, b wire.LeaderHeartbeat) {
+func (g *Group) handleHeartbeat(ctx *kernel.Context, conn, id uint64, b wire.LeaderHeartbeat) {
 	r := wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: b.Round, Stored: g.accepted.Version, Wall: ctx.Wall, Clock: g.host.clock(ctx.Now), DiskProblem: g.host.diskProblem != ""}
 	if b.Term < g.votedTerm || g.host.diskDamaged {
-		ctx.Send(ch, wire.KindLeaderHeartbeatReply, id, &r)
+		ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &r)
 		return
 	}
 	if b.TransferTo != "" {
@@ -120,5 +120,5 @@
 	if b.Committed == g.accepted.Version {
 		g.commit(ctx, g.accepted)
 	}
-	ctx.Send(ch, wire.KindLeaderHeartbeatReply, id, &r)
+	ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &r)
 }
--- a/control/replica/group.go
+++ b/control/replica/group.go
@@ -85,27 +85,27 @@
 	lastLeader    electedLeader
 	electionAt    int64
 
-	term            uint64
-	votes           map[string]wire.VoteReply
-	acked           map[string]bool
-	proposal        *wire.Versioned
-	proposalSentAt  int64
-	proposedAt      int64
-	queue           []pendingEdit
-	proposedEdits   []pendingEdit
-	unconfirmed     []pendingEdit
-	heartbeatAt     int64
-	heartbeatRound  uint64
-	confirmedRounds map[string]uint64
-	heardAt         map[string]int64
-	reachableSince  map[string]int64
-	diskProblem     map[string]bool
-	successors      map[string]wire.Replica
-	caughtUpAt      map[string]int64
-	synced          map[string]syncedVersion
-	wallOffsets     map[string]int64
-	contact         contact
-	relayedAt       int64
+	term             uint64
+	votes            map[string]wire.VoteReply
+	acked            map[string]bool
+	proposal         *wire.Versioned
+	proposalSentAt   int64
+	proposedAt       int64
+	queue            []pendingEdit
+	proposedEdits    []pendingEdit
+	unconfirmed      []pendingEdit
+	heartbeatAt      int64
+	heartbeatRound   uint64
+	confirmedRounds  map[string]uint64
+	heardAt          map[string]int64
+	reachableSince   map[string]int64
+	voterDiskProblem map[string]bool
+	successors       map[string]wire.Replica
+	caughtUpAt       map[string]int64
+	synced           map[string]syncedVersion
+	wallOffsets      map[string]int64
+	contact          contact
+	relayedAt        int64
 	// contactLost is that a leader's loss of contact is logged.
 	contactLost  bool
 	leaderSince  int64
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -31,14 +31,14 @@
 	largeSent    map[uint64]sentVersions
 	stopping     bool
 
-	formation          wire.Bootstrap
+	bootstrap          wire.Bootstrap
 	bootstrapped       bool
 	consents           map[string]bool
 	refusers           map[string]bool
 	consentSynced      bool
 	completing         bool
-	formationPlannedAt int64
-	formationSentAt    int64
+	bootstrapPlannedAt int64
+	bootstrapSentAt    int64
 	startedAt          int64
 	lastWriteID        uint64
 	// clockOrigin is where the clock begins that leaders are told.
@@ -105,11 +105,11 @@
 		case name == "seat":
 			h.replicaID = string(b)
 		case name == "formation":
-			h.diskDamaged = wire.Decode(b, &h.formation) != nil || h.diskDamaged
-			h.bootstrapped, h.consentSynced = h.formation.Commit, true
-			if len(h.formation.Voters) > 0 && h.formation.Proposer.ID == "" {
+			h.diskDamaged = wire.Decode(b, &h.bootstrap) != nil || h.diskDamaged
+			h.bootstrapped, h.consentSynced = h.bootstrap.Commit, true
+			if len(h.bootstrap.Voters) > 0 && h.bootstrap.Proposer.ID == "" {
 				// Releases before 2 did not write down who proposed: it was the first.
-				h.formation.Proposer = h.formation.Voters[0]
+				h.bootstrap.Proposer = h.bootstrap.Voters[0]
 			}
 		case isStamped:
 			var v wire.Versioned
@@ -138,8 +138,8 @@
 		}
 		h.bootstrapped = h.bootstrapped || g.accepted.Version.Term > 0
 	}
-	if h.formation.Commit {
-		h.adoptFormation()
+	if h.bootstrap.Commit {
+		h.adoptBootstrapVoters()
 	}
 	if h.replicaID == "" && len(h.kernel.Boot.Files) > 0 {
 		h.diskDamaged = true
--- a/control/replica/known_cores.go
+++ b/control/replica/known_cores.go
@@ -60,26 +60,26 @@
 
 // standbys lists the cores whose disks are well, this one included, as replicas that they could have.
 func (h *Host) standbys(now int64) []wire.Replica {
-	var out []wire.Replica
+	var replicas []wire.Replica
 	if h.replicaID != "" && h.diskProblem == "" && !h.stopping {
-		out = append(out, wire.Replica{ID: h.replicaID, Zone: h.kernel.Boot.Settings.Zone, Addr: h.kernel.Boot.Settings.Mesh})
+		replicas = append(replicas, wire.Replica{ID: h.replicaID, Zone: h.kernel.Boot.Settings.Zone, Addr: h.kernel.Boot.Settings.Mesh})
 	}
-	told := map[string]bool{h.kernel.Boot.Settings.Mesh: true}
+	known := map[string]bool{h.kernel.Boot.Settings.Mesh: true}
 	for _, a := range sortedKeys(h.pullers) {
 		if v := h.pullers[a]; now-v.pulledAt < pullerTimeout {
-			told[a] = true
+			known[a] = true
 			if v.replica.ID != "" {
-				out = append(out, v.replica)
+				replicas = append(replicas, v.replica)
 			}
 		}
 	}
 	for _, r := range h.liveCores(now) {
 		// What a core says itself goes before what the mesh still tells of it.
-		if r.Replica != "" && r.UnhealthyReason == "" && !r.Draining && !told[r.Addr] {
-			out = append(out, wire.Replica{ID: r.Replica, Zone: r.Zone, Addr: r.Addr})
+		if r.Replica != "" && r.UnhealthyReason == "" && !r.Draining && !known[r.Addr] {
+			replicas = append(replicas, wire.Replica{ID: r.Replica, Zone: r.Zone, Addr: r.Addr})
 		}
 	}
-	return out
+	return replicas
 }
 
 // reaches reports whether a core at an address, with a disk or without, has been heard of.
@@ -96,10 +96,10 @@
 }
 
 // countInZone counts the replicas in a zone, but for one that is to leave it.
-func countInZone(seats []wire.Replica, zone, leaves string) int {
+func countInZone(voters []wire.Replica, zone, except string) int {
 	n := 0
-	for _, s := range seats {
-		if s.Zone == zone && s.ID != leaves {
+	for _, s := range voters {
+		if s.Zone == zone && s.ID != except {
 			n++
 		}
 	}
@@ -107,11 +107,11 @@
 }
 
 // leastUsedZone picks of some cores one that is not among the replicas yet, of the zone that has fewest.
-func leastUsedZone(cores, seats []wire.Replica, leaves string) (wire.Replica, bool) {
+func leastUsedZone(cores, voters []wire.Replica, except string) (wire.Replica, bool) {
 	var best wire.Replica
 	least := -1
 	for _, c := range cores {
-		if n := countInZone(seats, c.Zone, leaves); !contains(seats, c.ID) && (least < 0 || n < least) {
+		if n := countInZone(voters, c.Zone, except); !contains(voters, c.ID) && (least < 0 || n < least) {
 			best, least = c, n
 		}
 	}
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -14,7 +14,7 @@
 	g.ready, g.transferring = false, g.host.stopping
 	g.confirmedRounds, g.wallOffsets = map[string]uint64{}, map[string]int64{}
 	g.synced = map[string]syncedVersion{}
-	g.diskProblem, g.successors, g.caughtUpAt, g.reachableSince = map[string]bool{}, map[string]wire.Replica{}, map[string]int64{}, map[string]int64{}
+	g.voterDiskProblem, g.successors, g.caughtUpAt, g.reachableSince = map[string]bool{}, map[string]wire.Replica{}, map[string]int64{}, map[string]int64{}
 	g.heartbeatAt, g.leaderSince = 0, ctx.Now
 	g.contact.reset()
 	g.leases = map[string]*lease{}
@@ -216,7 +216,7 @@
 	if ctx.Now-g.heardAt[r.From] > StepDownAfter || g.reachableSince[r.From] == 0 {
 		g.reachableSince[r.From] = ctx.Now
 	}
-	g.heardAt[r.From], g.diskProblem[r.From] = ctx.Now, r.DiskProblem
+	g.heardAt[r.From], g.voterDiskProblem[r.From] = ctx.Now, r.DiskProblem
 	g.wallOffsets[r.From] = r.Wall - ctx.Now
 	g.confirmedRounds[r.From] = max(g.confirmedRounds[r.From], r.Round)
 	g.detectRollback(ctx, r)
--- a/control/replica/leases.go
+++ b/control/replica/leases.go
@@ -22,52 +22,52 @@
 	id     uint64
 }
 
-func (g *Group) handleLeaseRequest(ctx *kernel.Context, ch, id uint64, h wire.LeaseRequest) {
+func (g *Group) handleLeaseRequest(ctx *kernel.Context, conn, id uint64, request wire.LeaseRequest) {
 	until := g.contact.confirmedAt + LeaseDuration
 	if g.role != leader || !g.ready || g.transferring || until <= ctx.Now {
-		ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task})
+		ctx.Send(conn, wire.KindLeaseReply, id, &wire.LeaseReply{Task: request.Task})
 		return
 	}
-	gr := g.leases[h.Task]
-	if gr == nil {
+	granted := g.leases[request.Task]
+	if granted == nil {
 		// Whatever a predecessor granted has ended by then.
-		gr = &lease{until: g.leaderSince + LeaseDuration}
-		g.leases[h.Task] = gr
+		granted = &lease{until: g.leaderSince + LeaseDuration}
+		g.leases[request.Task] = granted
 	}
-	if h.Release {
-		g.releaseLease(ctx, gr, h, until)
+	if request.Release {
+		g.releaseLease(ctx, granted, request, until)
 		return
 	}
-	if ctx.Now >= gr.until && gr.holder != h.From {
+	if ctx.Now >= granted.until && granted.holder != request.From {
 		g.leaseCount++
-		gr.holder, gr.id = h.From, g.term<<24|g.leaseCount
+		granted.holder, granted.id = request.From, g.term<<24|g.leaseCount
 	}
-	if gr.holder == h.From {
-		gr.until = max(gr.until, until)
+	if granted.holder == request.From {
+		granted.until = max(granted.until, until)
 	}
-	ctx.Send(ch, wire.KindLeaseReply, id, &wire.LeaseReply{Task: h.Task, Holder: gr.holder, Duration: gr.until - ctx.Now, LeaseID: gr.id})
+	ctx.Send(conn, wire.KindLeaseReply, id, &wire.LeaseReply{Task: request.Task, Holder: granted.holder, Duration: granted.until - ctx.Now, LeaseID: granted.id})
 }
 
 // releaseLease ends a lease that its holder gives up. One that it got since is not meant.
-func (g *Group) releaseLease(ctx *kernel.Context, gr *lease, h wire.LeaseRequest, until int64) {
-	if gr.holder != h.From || h.LeaseID != 0 && h.LeaseID != gr.id {
+func (g *Group) releaseLease(ctx *kernel.Context, granted *lease, request wire.LeaseRequest, until int64) {
+	if granted.holder != request.From || request.LeaseID != 0 && request.LeaseID != granted.id {
 		return
 	}
 	g.leaseCount++
-	*gr = lease{until: ctx.Now, id: g.term<<24 | g.leaseCount}
-	if h.Successor != "" {
-		gr.holder, gr.until = h.Successor, until
+	*granted = lease{until: ctx.Now, id: g.term<<24 | g.leaseCount}
+	if request.Successor != "" {
+		granted.holder, granted.until = request.Successor, until
 	}
 }
 
 func (g *Group) leaseHolders(ctx *kernel.Context) map[string]string {
-	out := map[string]string{}
-	for d, gr := range g.leases {
-		if gr.holder != "" && ctx.Now < gr.until {
-			out[d] = gr.holder
+	holders := map[string]string{}
+	for task, granted := range g.leases {
+		if granted.holder != "" && ctx.Now < granted.until {
+			holders[task] = granted.holder
 		}
 	}
-	return out
+	return holders
 }
 
 // ClockTolerance is how far two clocks may be apart and still agree.
@@ -78,23 +78,23 @@
 // no booking starts or ends by a guess.
 func (g *Group) agreedTime(ctx *kernel.Context) (int64, bool) {
 	// Offsets from this process's steady clock: its time of day may jump like any other.
-	offs := []int64{ctx.Wall - ctx.Now}
+	offsets := []int64{ctx.Wall - ctx.Now}
 	for _, s := range g.committed.Voters {
-		if off, ok := g.wallOffsets[s.ID]; ok && ctx.Now-g.heardAt[s.ID] < StepDownAfter {
-			offs = append(offs, off)
+		if offset, ok := g.wallOffsets[s.ID]; ok && ctx.Now-g.heardAt[s.ID] < StepDownAfter {
+			offsets = append(offsets, offset)
 		}
 	}
-	slices.Sort(offs)
+	slices.Sort(offsets)
 	best, from := 0, int64(0)
-	for i, off := range offs {
+	for i, offset := range offsets {
 		n := 0
-		for _, other := range offs[i:] {
-			if other-off <= ClockTolerance {
+		for _, other := range offsets[i:] {
+			if other-offset <= ClockTolerance {
 				n++
 			}
 		}
 		if n > best {
-			best, from = n, off
+			best, from = n, offset
 		}
 	}
 	return ctx.Now + from, best > len(g.committed.Voters)/2
--- a/control/replica/leaving.go
+++ b/control/replica/leaving.go
@@ -48,14 +48,14 @@
 }
 
 // handleLeave takes note that a voter stops; one that is no voter any more is told so.
-func (g *Group) handleLeave(ctx *kernel.Context, ch uint64, m wire.Leave) {
+func (g *Group) handleLeave(ctx *kernel.Context, conn uint64, m wire.Leave) {
 	if g.role != leader || !g.ready || m.From == g.self() {
 		return
 	}
 	if !contains(allVoters(g.newestVersion()), m.From) {
 		a := g.newAccept(g.committed)
 		a.To = m.From
-		ctx.Send(ch, wire.KindAccept, 0, &a)
+		ctx.Send(conn, wire.KindAccept, 0, &a)
 		return
 	}
 	g.leaveRequestedAt[m.From] = ctx.Now
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -11,26 +11,26 @@
 )
 
 // handleEdit takes an operator's or another plug-in's change, or a confirmed read.
-func (g *Group) handleEdit(ctx *kernel.Context, ch, id uint64, e wire.Edit) {
+func (g *Group) handleEdit(ctx *kernel.Context, conn, id uint64, e wire.Edit) {
 	if g.role != leader || g.transferring {
-		g.replyToEdit(ctx, ch, id, wire.EditReply{Code: "not_owner", Addr: g.leaderAddress})
+		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: "not_owner", Addr: g.leaderAddress})
 		return
 	}
 	if len(g.queue)+len(g.unconfirmed) >= MaxQueued || g.queuedBytes()+len(e.Body) > MaxQueuedBytes {
-		g.replyToEdit(ctx, ch, id, wire.EditReply{Code: "shed"})
+		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: "shed"})
 		return
 	}
-	w := pendingEdit{conn: ch, id: id, edit: e}
+	pending := pendingEdit{conn: conn, id: id, edit: e}
 	if !state.IsRead(e.Op) {
-		g.queue = append(g.queue, w)
+		g.queue = append(g.queue, pending)
 		g.proposeNext(ctx)
 		return
 	}
 	if !g.ready {
-		g.replyToEdit(ctx, ch, id, wire.EditReply{Code: "not_owner"})
+		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: "not_owner"})
 		return
 	}
-	g.awaitConfirmation(ctx, w)
+	g.awaitConfirmation(ctx, pending)
 }
 
 // awaitConfirmation has a majority confirm this leader before a read or a refusal is answered.
@@ -50,23 +50,23 @@
 		return
 	}
 	value := state.Value{Body: g.committed.Body, EditLog: g.committed.EditLog}
-	stamp := wire.Version{Partition: g.partition, Term: g.term, Seq: g.committed.Version.Seq + 1}
-	seats, changed := g.nextMembers(ctx)
+	next := wire.Version{Partition: g.partition, Term: g.term, Seq: g.committed.Version.Seq + 1}
+	voters, changed := g.nextMembers(ctx)
 	if g.awaitsLearners(ctx) {
 		return
 	}
 	batch := g.queue
 	g.queue = nil
 	for i := range batch {
-		w := &batch[i]
+		edit := &batch[i]
 		var after state.Value
-		after, w.reply, w.applied = g.host.judge(g.partition)(value, stamp, &w.edit)
-		g.rejectTooLarge(ctx, w, value, after)
+		after, edit.reply, edit.applied = g.host.judge(g.partition)(value, next, &edit.edit)
+		g.rejectTooLarge(ctx, edit, value, after)
 		switch {
-		case w.applied:
+		case edit.applied:
 			value, changed = after, true
-		case w.reply.Version == (wire.Version{}):
-			w.reply.Version = g.committed.Version
+		case edit.reply.Version == (wire.Version{}):
+			edit.reply.Version = g.committed.Version
 		}
 	}
 	if len(batch) == 0 && !changed && ctx.Now-g.clockworkAt < ClockInterval {
@@ -74,7 +74,7 @@
 	}
 	g.clockworkAt = ctx.Now
 	if wall, known := g.agreedTime(ctx); known {
-		if after, due := g.host.clockwork(g.partition)(value.Body, stamp, wall, g.leaseHolders(ctx)); due && len(after) <= state.MaxBody(g.partition)+state.TickAllowance {
+		if after, due := g.host.clockwork(g.partition)(value.Body, next, wall, g.leaseHolders(ctx)); due && len(after) <= state.MaxBody(g.partition)+state.TickAllowance {
 			value.Body, changed = after, true
 		}
 	} else {
@@ -84,7 +84,7 @@
 	case changed:
 		g.proposedEdits = batch
 		ctx.Counts.Add("part_versions", 1)
-		g.propose(ctx, wire.Versioned{Version: stamp, Voters: seats, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.EditLog}, g.baseFor(value))
+		g.propose(ctx, wire.Versioned{Version: next, Voters: voters, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.EditLog}, g.baseFor(value))
 	case len(batch) > 0:
 		g.awaitConfirmation(ctx, batch...)
 	}
--- a/control/replica/quorum.go
+++ b/control/replica/quorum.go
@@ -4,8 +4,8 @@
 
 import "wallport/runtime/wire"
 
-func contains(seats []wire.Replica, id string) bool {
-	for _, s := range seats {
+func contains(replicas []wire.Replica, id string) bool {
+	for _, s := range replicas {
 		if s.ID == id {
 			return true
 		}
@@ -13,14 +13,14 @@
 	return false
 }
 
-func majority(seats []wire.Replica, ok func(id string) bool) bool {
+func majority(voters []wire.Replica, ok func(id string) bool) bool {
 	n := 0
-	for _, s := range seats {
+	for _, s := range voters {
 		if ok(s.ID) {
 			n++
 		}
 	}
-	return len(seats) > 0 && n > len(seats)/2
+	return len(voters) > 0 && n > len(voters)/2
 }
 
 // quorum needs a majority of a version's replicas and of the replicas before them.
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -13,13 +13,13 @@
 // LeaderlessFor is how long no leader must have been heard of.
 const LeaderlessFor = 5_000_000
 
-func (g *Group) handleRebuild(ctx *kernel.Context, ch, id uint64, m wire.Rebuild) {
+func (g *Group) handleRebuild(ctx *kernel.Context, conn, id uint64, m wire.Rebuild) {
 	reply := func(ctx *kernel.Context, why string) {
 		held := g.accepted
 		if m.VersionOnly || m.Apply {
 			held.Body, held.EditLog = nil, nil
 		}
-		ctx.Send(ch, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: why == "", Reason: why, Stored: held})
+		ctx.Send(conn, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: why == "", Reason: why, Stored: held})
 	}
 	switch {
 	case g.host.diskProblem != "":
--- a/control/replica/route.go
+++ b/control/replica/route.go
@@ -148,44 +148,44 @@
 }
 
 // handlePull answers with every committed version newer than what the asker has.
-func (h *Host) handlePull(ctx *kernel.Context, ch, id uint64, p wire.Pull) {
-	var r wire.PullReply
-	h.recordPuller(ctx, p)
+func (h *Host) handlePull(ctx *kernel.Context, conn, id uint64, request wire.Pull) {
+	var reply wire.PullReply
+	h.recordPuller(ctx, request)
 	have := map[int]wire.Version{}
-	for _, st := range p.Have {
-		have[st.Partition] = st
+	for _, has := range request.Have {
+		have[has.Partition] = has
 	}
 	for _, g := range h.groups {
-		v := g.committed
-		if m, ok := h.mesh.Partition(g.partition); ok && mesh.Newer(m.Version, v.Version) {
+		newest := g.committed
+		if m, ok := h.mesh.Partition(g.partition); ok && mesh.Newer(m.Version, newest.Version) {
 			// A core that has no replica here hands on what the mesh brought it.
-			v = m
+			newest = m
 		}
-		g.reportContact(ctx.Now, v.Version, &r)
-		if st, ok := have[g.partition]; v.Version.Term > 0 && (!ok || mesh.Newer(v.Version, st)) {
-			r.Versions = append(r.Versions, wire.Versioned{Version: v.Version, Body: v.Body})
+		g.reportContact(ctx.Now, newest.Version, &reply)
+		if has, ok := have[g.partition]; newest.Version.Term > 0 && (!ok || mesh.Newer(newest.Version, has)) {
+			reply.Versions = append(reply.Versions, wire.Versioned{Version: newest.Version, Body: newest.Body})
 		}
 		if g.leader != "" && g.knowsLeader(ctx.Now) {
-			r.Leaders = append(r.Leaders, wire.Leader{Partition: g.partition, Term: g.votedTerm, Replica: g.leader, Addr: g.host.addressOf(g.leader, ctx.Now)})
+			reply.Leaders = append(reply.Leaders, wire.Leader{Partition: g.partition, Term: g.votedTerm, Replica: g.leader, Addr: g.host.addressOf(g.leader, ctx.Now)})
 		}
 	}
-	h.limitPull(ctx.Now, ch, &r)
-	ctx.Send(ch, wire.KindPullReply, id, &r)
+	h.limitPull(ctx.Now, conn, &reply)
+	ctx.Send(conn, wire.KindPullReply, id, &reply)
 }
 
-func (h *Host) sendReplica(ctx *kernel.Context, replicaID wire.Replica, kind uint8, m msgp.Marshaler) {
-	addr := replicaID.Addr
+func (h *Host) sendReplica(ctx *kernel.Context, to wire.Replica, kind uint8, m msgp.Marshaler) {
+	addr := to.Addr
 	switch v := m.(type) {
 	case *wire.Vote:
-		v.To = replicaID.ID
+		v.To = to.ID
 	case *wire.Accept:
-		v.To = replicaID.ID
+		v.To = to.ID
 	case *wire.LeaderHeartbeat:
-		v.To = replicaID.ID
+		v.To = to.ID
 	case *wire.Leave:
-		v.To = replicaID.ID
+		v.To = to.ID
 	}
-	if a := h.addressOf(replicaID.ID, ctx.Now); a != "" {
+	if a := h.addressOf(to.ID, ctx.Now); a != "" {
 		addr = a
 	}
 	ctx.Counts.Add("part_messages", 1)
--- a/control/replica/state_machine.go
+++ b/control/replica/state_machine.go
@@ -57,10 +57,10 @@
 }
 
 // replyToEdit sends the reply to an edit where it came from; channel 0 is this process.
-func (g *Group) replyToEdit(ctx *kernel.Context, ch, id uint64, r wire.EditReply) {
-	if ch == 0 {
+func (g *Group) replyToEdit(ctx *kernel.Context, conn, id uint64, r wire.EditReply) {
+	if conn == 0 {
 		ctx.Emit(Replied{ID: id, Reply: r})
 		return
 	}
-	ctx.Send(ch, wire.KindEditReply, id, &r)
+	ctx.Send(conn, wire.KindEditReply, id, &r)
 }
--- a/control/replica/stored_make_test.go
+++ b/control/replica/stored_make_test.go
@@ -48,7 +48,7 @@
 	return []wire.Replica{{ID: self, Zone: "z1", Addr: "10.0.0.1:1"}, {ID: "a", Zone: "z2", Addr: "10.0.0.2:1"}, {ID: "b", Zone: "z3", Addr: "10.0.0.3:1"}}
 }
 
-func storedFormation(self string) wire.Bootstrap {
+func storedBootstrap(self string) wire.Bootstrap {
 	return wire.Bootstrap{BootstrapID: "first", Voters: storedVoters(self), Proposer: storedVoters(self)[1]}
 }
 
@@ -56,7 +56,7 @@
 func makeConsented(t *testing.T) *storedCore {
 	t.Helper()
 	c := startStored(t, nil)
-	form := storedFormation(c.host.replicaID)
+	form := storedBootstrap(c.host.replicaID)
 	replies := sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &form), wire.KindBootstrapReply)
 	must.Len(t, 1, replies)
 	must.True(t, replies[0].OK)
@@ -69,7 +69,7 @@
 func makeCommitted(t *testing.T) *storedCore {
 	t.Helper()
 	c := makeConsented(t)
-	form := storedFormation(c.host.replicaID)
+	form := storedBootstrap(c.host.replicaID)
 	form.Commit = true
 	c.send(wire.KindBootstrap, &form)
 	g := c.lead(0, "a", "b")
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -41,7 +41,7 @@
 	answer := func(f wire.Bootstrap) []wire.BootstrapReply {
 		return sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &f), wire.KindBootstrapReply)
 	}
-	form := storedFormation(storedReplica)
+	form := storedBootstrap(storedReplica)
 	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "first", From: storedReplica, OK: true}}, answer(form))
 	other := wire.Bootstrap{BootstrapID: "second", Voters: form.Voters, Proposer: form.Voters[2]}
 	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Proposer: form.Voters[1]}}, answer(other))
@@ -116,7 +116,7 @@
 func TestStoredBodiesWithoutEditLogAreAdopted(t *testing.T) {
 	c := startStored(t, readStored(t, "before-release-3"))
 	must.Eq(t, "0123456789abcdef", c.host.ReplicaID())
-	must.Eq(t, "0123456789abcdef", c.host.formation.Proposer.ID, must.Sprint("the first voter proposed it"))
+	must.Eq(t, "0123456789abcdef", c.host.bootstrap.Proposer.ID, must.Sprint("the first voter proposed it"))
 	g := c.lead(0, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
 		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
--- a/control/replica/stored_test.go
+++ b/control/replica/stored_test.go
@@ -44,7 +44,7 @@
 	}
 	version := func(v wire.Version) string { return fmt.Sprintf("%d:%d.%d", v.Partition, v.Term, v.Seq) }
 	line("replica %s formed %t damaged %t", host.replicaID, host.bootstrapped, host.diskDamaged)
-	f := host.formation
+	f := host.bootstrap
 	line("formation %q complete %t by %s voters%s", f.BootstrapID, f.Commit, f.Proposer.ID, voters(f.Voters))
 	for _, g := range host.groups {
 		v := g.accepted
--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -15,7 +15,7 @@
 func (g *Group) bestSuccessor(ctx *kernel.Context) string {
 	best, at := "", int64(0)
 	for _, s := range g.committed.Voters {
-		if s.ID != g.self() && g.reachableSince[s.ID] > 0 && g.heardAt[s.ID] > at && ctx.Now-g.heardAt[s.ID] < 2*HeartbeatInterval && !g.diskProblem[s.ID] && !g.isLeaving(ctx, s.ID) {
+		if s.ID != g.self() && g.reachableSince[s.ID] > 0 && g.heardAt[s.ID] > at && ctx.Now-g.heardAt[s.ID] < 2*HeartbeatInterval && !g.voterDiskProblem[s.ID] && !g.isLeaving(ctx, s.ID) {
 			best, at = s.ID, g.heardAt[s.ID]
 		}
 	}
@@ -28,16 +28,16 @@
 	if !g.ready || g.proposal != nil || len(g.queue)+len(g.unconfirmed) > 0 || ctx.Now-g.leaderSince < RebalanceAfter {
 		return ""
 	}
-	seats := slices.Clone(g.committed.Voters)
-	slices.SortFunc(seats, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	want := seats[g.partition%len(seats)].ID
-	if want == g.self() || ctx.Now-g.heardAt[want] > 2*HeartbeatInterval || ctx.Now-g.reachableSince[want] < RebalanceAfter || g.diskProblem[want] || g.isLeaving(ctx, want) {
+	voters := slices.Clone(g.committed.Voters)
+	slices.SortFunc(voters, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
+	preferred := voters[g.partition%len(voters)].ID
+	if preferred == g.self() || ctx.Now-g.heardAt[preferred] > 2*HeartbeatInterval || ctx.Now-g.reachableSince[preferred] < RebalanceAfter || g.voterDiskProblem[preferred] || g.isLeaving(ctx, preferred) {
 		return ""
 	}
-	if r, live := g.host.liveCore(want, ctx.Now); !live || r.UnhealthyReason != "" || r.Draining {
+	if r, live := g.host.liveCore(preferred, ctx.Now); !live || r.UnhealthyReason != "" || r.Draining {
 		return ""
 	}
-	return want
+	return preferred
 }
 
 // handleStopping hands the partition on in a planned stop, once the version under way is committed.
