--- a/cmd/wallport/leave.go
+++ b/cmd/wallport/leave.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wallport/control/replica"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
 )
@@ -25,7 +26,7 @@
 		return
 	}
 	left := false
-	for end := time.Now().Add(replica.LeaveTimeout * time.Microsecond); !left && time.Now().Before(end); time.Sleep(leavePollInterval) {
+	for end := time.Now().Add(clock.Duration(replica.LeaveTimeout)); !left && time.Now().Before(end); time.Sleep(leavePollInterval) {
 		p.Do(func(int64) { left = host.HasLeft() })
 	}
 	time.Sleep(finalSendDelay)
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -1,7 +1,3 @@
-// Contact with a majority: what a leader may still say, and what a core that is
-// asked for its state may call confirmed, rests on heartbeat rounds that a
-// majority answered, counted from when they were sent.
-
 package replica
 
 import (
@@ -9,16 +5,20 @@
 
 	"wallport/cluster/mesh"
 	"wallport/control/configsync"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Bounds of contact, in microseconds.
+// Contact with a majority decides what may be said. A leader's replies, its leases, and what a core calls
+// confirmed in its answers to pulls all rest on heartbeat rounds that a majority has answered, counted from
+// when the round was sent. A leader passes its contact on to the followers, on their own clocks.
+
 const (
 	// ContactFor is how long after its sending a confirmed round stands for contact with a majority.
-	ContactFor = 1_000_000
-	// RelayedContactFor is how long after a core asked another one, that one's contact is passed on.
-	RelayedContactFor = 2_000_000
+	ContactFor = 1 * clock.Second
+	// RelayedContactFor is how long after its pull a core passes on the contact of the core that answered.
+	RelayedContactFor = 2 * clock.Second
 	// clockOrigins is the range from which the origin of the clock is drawn that leaders are told.
 	clockOrigins = 1 << 60
 )
@@ -26,47 +26,49 @@
 // sentRound is a heartbeat round that no majority has answered yet.
 type sentRound struct {
 	number uint64
-	sentAt int64
+	sentAt clock.Micros
 }
 
 // contact is what a replica knows of its group's contact with a majority.
 type contact struct {
-	// A leader's rounds on their way, oldest first, and when the newest was sent that a majority answered.
+	// openRounds are a leader's rounds that no majority has answered, oldest first; confirmedAt is when the
+	// newest round was sent that one has answered.
 	openRounds  []sentRound
-	confirmedAt int64
-	// offsets lead from the leader's clock to that of each voter, or to a moment before it.
-	offsets map[string]int64
-	// provenAt is, at a follower, a moment of its own clock not later than the sending of a round that a
+	confirmedAt clock.Micros
+	// offsets are the differences between each voter's clock and the leader's, at most: a reply that was
+	// delayed makes one smaller, which makes the proof older.
+	offsets map[string]clock.Micros
+	// provenAt is, at a follower and by its own clock, a moment not later than the sending of a round that a
 	// majority answered; committed is the version that the leader had committed by then.
-	provenAt  int64
+	provenAt  clock.Micros
 	committed wire.Version
 }
 
-// reset begins a leader's account: nothing of its term is confirmed yet.
+// reset begins a leader's term, in which nothing is confirmed yet.
 func (c *contact) reset() {
-	c.openRounds, c.confirmedAt, c.offsets = nil, 0, map[string]int64{}
+	c.openRounds, c.confirmedAt, c.offsets = nil, 0, map[string]clock.Micros{}
 }
 
-// roundSent notes a round; those too old to prove anything are dropped.
-func (c *contact) roundSent(round uint64, now int64) {
+// roundSent records a round, and forgets those that are too old to prove anything.
+func (c *contact) roundSent(round uint64, now clock.Micros) {
 	c.openRounds = slices.DeleteFunc(c.openRounds, func(r sentRound) bool { return now-r.sentAt > ContactFor })
 	c.openRounds = append(c.openRounds, sentRound{round, now})
 }
 
-// recordClock notes a voter's clock as its answer tells it.
-func (c *contact) recordClock(r wire.LeaderHeartbeatReply, now int64) {
+// recordClock records a voter's clock as its heartbeat reply shows it.
+func (c *contact) recordClock(r wire.LeaderHeartbeatReply, now clock.Micros) {
 	if r.Clock > 0 {
 		c.offsets[r.From] = r.Clock - now
 	}
 }
 
-// confirmedWithin reports whether a leader's newest confirmed round was sent at most d ago.
-func (c *contact) confirmedWithin(now, d int64) bool {
-	return c.confirmedAt > 0 && now-c.confirmedAt <= d
+// confirmedWithin reports whether a leader's newest confirmed round was sent at most span ago.
+func (c *contact) confirmedWithin(now, span clock.Micros) bool {
+	return c.confirmedAt > 0 && now-c.confirmedAt <= span
 }
 
-// proofFor is the proof of contact that a voter is sent with a heartbeat, on that voter's clock.
-func (c *contact) proofFor(id string) int64 {
+// proofFor is the proof of contact for a voter, on that voter's clock; 0 proves nothing.
+func (c *contact) proofFor(id string) clock.Micros {
 	offset, known := c.offsets[id]
 	if !known || c.confirmedAt == 0 {
 		return 0
@@ -74,9 +76,9 @@
 	return max(0, c.confirmedAt+offset)
 }
 
-// recordProof takes the proof of a leader's heartbeat. One on another clock, that of an earlier life of
-// this process, proves nothing.
-func (c *contact) recordProof(at, now int64, committed wire.Version) {
+// recordProof takes the proof of contact out of a leader's heartbeat. One on another clock, that of an earlier
+// incarnation of this process, lies outside of the time since the start and proves nothing.
+func (c *contact) recordProof(at, now clock.Micros, committed wire.Version) {
 	if at <= 0 || at > now {
 		return
 	}
@@ -86,7 +88,7 @@
 	}
 }
 
-// confirmRounds notes which of a leader's rounds a majority has answered.
+// confirmRounds records which of a leader's rounds a majority has answered.
 func (g *Group) confirmRounds() {
 	c := &g.contact
 	for len(c.openRounds) > 0 && g.isConfirmed(c.openRounds[0].number) {
@@ -99,9 +101,9 @@
 	return quorum(g.newestVersion(), func(id string) bool { return id == g.self() || g.confirmedRounds[id] >= round })
 }
 
-// inContact reports whether a version that is handed out holds all that was acknowledged until
-// shortly before, by this replica's own contact with a majority.
-func (g *Group) inContact(now int64, version wire.Version) bool {
+// inContact reports whether a version that is handed out contains all that was acknowledged until shortly
+// before, as far as this replica's own contact with a majority proves it.
+func (g *Group) inContact(now clock.Micros, version wire.Version) bool {
 	if g.role == leader {
 		return g.ready && g.contact.confirmedWithin(now, ContactFor)
 	}
@@ -109,37 +111,31 @@
 	return proven && !mesh.Newer(g.contact.committed, version)
 }
 
-// knowsLeader reports whether callers may be sent to the leader that this replica knows.
-func (g *Group) knowsLeader(now int64) bool {
-	if g.role == leader {
-		return g.contact.confirmedWithin(now, ContactFor)
-	}
-	return now-g.leaderSeen < StepDownAfter
-}
+// partitionBit is a partition's bit in the masks of a pull's reply.
+func partitionBit(partition int) uint32 { return 1 << uint(partition) }
 
-// reportContact tells who pulls whether the version that it has now is confirmed.
-func (g *Group) reportContact(now int64, version wire.Version, r *wire.PullReply) {
-	bit := uint32(1) << uint(g.partition)
+// reportContact tells the process that pulls whether the version that it has after the reply is confirmed.
+func (g *Group) reportContact(now clock.Micros, version wire.Version, reply *wire.PullReply) {
 	if g.inContact(now, version) {
-		r.ContactMask |= bit
+		reply.ContactMask |= partitionBit(g.partition)
 	}
 	if g.relayedAt > 0 && now-g.relayedAt <= RelayedContactFor {
-		r.RelayedMask |= bit
+		reply.RelayedMask |= partitionBit(g.partition)
 	}
 }
 
-// relayContact notes the contact of another core that has answered this one's pull.
+// relayContact records the contact of another core that has answered a pull of this one.
 func (h *Host) relayContact(v configsync.Pulled) {
 	for _, g := range h.groups {
-		if v.Contact&(1<<uint(g.partition)) != 0 {
+		if v.Contact&partitionBit(g.partition) != 0 {
 			g.relayedAt = max(g.relayedAt, v.SentAt)
 		}
 	}
 }
 
-// clock is this process's steady clock as leaders are told it. Its origin is another one at each
-// start, so that a proof for an earlier life is none for this one.
-func (h *Host) clock(now int64) int64 { return h.clockOrigin + now }
+// clock is this process's monotonic clock as leaders are told it. Its origin is drawn anew at each start, so
+// that a proof for an earlier incarnation proves nothing to this one.
+func (h *Host) clock(now clock.Micros) clock.Micros { return h.clockOrigin + now }
 
 // watchContact logs and counts when a leader loses its contact with a majority.
 func (g *Group) watchContact(ctx *kernel.Context) {
@@ -147,7 +143,7 @@
 	lost := g.ready && since > ContactFor
 	if lost && !g.contactLost {
 		ctx.Counts.Add("part_contact_lost", 1)
-		ctx.Log(kernel.LevelWarn, "leader_without_contact", "part", g.partition, "term", g.term, "since_us", since)
+		ctx.Log(kernel.LevelWarn, "leader_without_contact", "partition", g.partition, "term", g.term, "since_us", since)
 	}
 	g.contactLost = lost
 }
--- /dev/null
+++ b/control/replica/cores.go
@@ -0,0 +1,98 @@
+package replica
+
+import (
+	"wallport/cluster/membership"
+	"wallport/runtime/clock"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
+)
+
+const (
+	// liveCoresInterval is how long a list of the live cores is used before it is looked up again.
+	liveCoresInterval = 100 * clock.Millisecond
+	// pullerTimeout is how long a core counts as reachable after a pull.
+	pullerTimeout = 1500 * clock.Millisecond
+	// maxPullers bounds the cores that are remembered by their pulls.
+	maxPullers = 64
+)
+
+// puller is a core that pulled here, which shows that it is reachable without the mesh. The identity of its
+// replica is empty while its disk could not take a partition.
+type puller struct {
+	replica  wire.Replica
+	pulledAt clock.Micros
+}
+
+// liveCores lists the cores that the mesh shows as live.
+func (h *Host) liveCores(now clock.Micros) []membership.Member {
+	if h.cachedCoresAt == 0 || now-h.cachedCoresAt >= liveCoresInterval {
+		h.cachedCoresAt, h.cachedCores = now, h.members.Live(now, "core")
+	}
+	return h.cachedCores
+}
+
+// liveCore is the live core that has a replica's disk.
+func (h *Host) liveCore(id string, now clock.Micros) (membership.Member, bool) {
+	for _, core := range h.liveCores(now) {
+		if core.Replica == id && id != "" {
+			return core, true
+		}
+	}
+	return membership.Member{}, false
+}
+
+// recordPuller remembers a core that pulls.
+func (h *Host) recordPuller(ctx *kernel.Context, request wire.Pull) {
+	if request.Addr == "" || request.Addr == h.kernel.Boot.Settings.Mesh {
+		return
+	}
+	if _, ok := h.pullers[request.Addr]; !ok && len(h.pullers) >= maxPullers {
+		for addr, p := range h.pullers {
+			if ctx.Now-p.pulledAt > pullerTimeout {
+				delete(h.pullers, addr)
+			}
+		}
+		if len(h.pullers) >= maxPullers {
+			return
+		}
+	}
+	h.pullers[request.Addr] = puller{replica: wire.Replica{ID: request.Replica, Zone: request.Zone, Addr: request.Addr}, pulledAt: ctx.Now}
+}
+
+// standbys lists the replicas that could become voters: those of the live cores with a healthy disk, this
+// one included.
+func (h *Host) standbys(now clock.Micros) []wire.Replica {
+	var replicas []wire.Replica
+	if h.replicaID != "" && h.diskProblem == diskHealthy && !h.stopping {
+		replicas = append(replicas, wire.Replica{ID: h.replicaID, Zone: h.kernel.Boot.Settings.Zone, Addr: h.kernel.Boot.Settings.Mesh})
+	}
+	known := map[string]bool{h.kernel.Boot.Settings.Mesh: true}
+	for _, addr := range sortedKeys(h.pullers) {
+		if p := h.pullers[addr]; now-p.pulledAt < pullerTimeout {
+			known[addr] = true
+			if p.replica.ID != "" {
+				replicas = append(replicas, p.replica)
+			}
+		}
+	}
+	for _, core := range h.liveCores(now) {
+		// What a core said itself in its pull is newer than what the mesh shows of it.
+		if core.Replica != "" && core.UnhealthyReason == "" && !core.Draining && !known[core.Addr] {
+			replicas = append(replicas, wire.Replica{ID: core.Replica, Zone: core.Zone, Addr: core.Addr})
+		}
+	}
+	return replicas
+}
+
+// reaches reports whether a core at an address, with a disk or without, has been heard of.
+func (h *Host) reaches(addr string, now clock.Micros) bool {
+	if p, ok := h.pullers[addr]; addr == h.kernel.Boot.Settings.Mesh || ok && now-p.pulledAt < pullerTimeout {
+		return true
+	}
+	for _, core := range h.liveCores(now) {
+		if core.Addr == addr {
+			return true
+		}
+	}
+	return false
+}
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -137,9 +137,9 @@
 		must.Eq(t, "not_owner", reply.Code, must.Sprint("a majority answers heartbeats, and none has synced its version"))
 	}
 	must.Zero(t, c.pullAll(t).ContactMask)
-	must.Eq(t, stateNewLeader, c.shown(t).State)
+	must.Eq(t, string(stateNewLeader), c.shown(t).State)
 	c.acceptProposal(g)
-	must.Eq(t, stateLeader, c.shown(t).State)
+	must.Eq(t, string(stateLeader), c.shown(t).State)
 	c.send(wire.KindEdit, &wire.Edit{Op: wire.OpRead})
 	read := sent[wire.EditReply](t, c.replyToHeartbeat(g, 0), wire.KindEditReply)
 	must.Len(t, 2, read, must.Sprint("the order that waited is refused, the read is answered"))
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -1,17 +1,15 @@
-// A replica's side: hold versions, answer heartbeats, keep what a missing replica should
-// have had, and take over when named.
-
 package replica
 
 import (
 	"slices"
 
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// handleAccept syncs a version and says so, unless a newer term was voted.
+// handleAccept syncs a version and acknowledges it, unless a newer term was voted in.
 func (g *Group) handleAccept(ctx *kernel.Context, conn, id uint64, a wire.Accept) {
 	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
 		r.Partition, r.From, r.SupportsBase = g.partition, g.self(), true
@@ -25,8 +23,8 @@
 		return
 	}
 	if g.host.stopping && !g.isVoter() && !contains(allVoters(a.Versioned), g.self()) {
-		// It would be gone before it could be a voter.
-		reply(ctx, wire.AcceptReply{Term: a.Term, Err: "leaving"})
+		// A learner that stops would be gone before it could be a voter.
+		reply(ctx, wire.AcceptReply{Term: a.Term, Err: errLeaving})
 		return
 	}
 	if a.Term < g.votedTerm || a.Versioned.Version.Term > a.Term {
@@ -71,6 +69,10 @@
 	})
 }
 
+// errLeaving is the error of a learner that refuses a version since its process stops.
+const errLeaving = "leaving"
+
+// removeOldVersions removes the files of all but the newest VersionsKept versions.
 func (g *Group) removeOldVersions(ctx *kernel.Context) {
 	slices.SortFunc(g.versionFiles, func(a, b wire.Version) int {
 		if mesh.Newer(a, b) {
@@ -89,7 +91,7 @@
 func (g *Group) followLeader(ctx *kernel.Context, from string, term uint64) {
 	g.checkOneLeader(ctx, from, term)
 	if g.role != follower && term >= g.term {
-		g.stepDown(ctx, "another owner")
+		g.stepDown(ctx, reasonOtherLeader)
 	}
 	if g.leader != from {
 		g.leader = from
@@ -99,18 +101,25 @@
 	g.scheduleElection(ctx)
 }
 
+// knowsLeader reports whether callers may be sent to the leader that this replica knows.
+func (g *Group) knowsLeader(now clock.Micros) bool {
+	if g.role == leader {
+		return g.contact.confirmedWithin(now, ContactFor)
+	}
+	return now-g.leaderSeen < StepDownAfter
+}
+
 func (g *Group) handleHeartbeat(ctx *kernel.Context, conn, id uint64, b wire.LeaderHeartbeat) {
-	r := wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: b.Round, Stored: g.accepted.Version, Wall: ctx.Wall, Clock: g.host.clock(ctx.Now), DiskProblem: g.host.diskProblem != ""}
+	r := wire.LeaderHeartbeatReply{
+		Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: b.Round, Stored: g.accepted.Version,
+		Wall: ctx.Wall, Clock: g.host.clock(ctx.Now), DiskProblem: g.host.diskProblem != diskHealthy,
+	}
 	if b.Term < g.votedTerm || g.host.diskDamaged {
 		ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &r)
 		return
 	}
 	if b.TransferTo != "" {
-		g.leaderSeen, g.leader, g.leaderAddress = 0, "", ""
-		g.votedTerm = max(g.votedTerm, b.Term)
-		if b.TransferTo == g.self() && g.isVoter() && g.host.diskProblem == "" && !g.host.stopping {
-			g.startElection(ctx, true)
-		}
+		g.handleTransfer(ctx, b)
 		return
 	}
 	g.followLeader(ctx, b.From, b.Term)
@@ -122,3 +131,12 @@
 	}
 	ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &r)
 }
+
+// handleTransfer takes note that the leader has stepped down, and stands at once if it is the successor.
+func (g *Group) handleTransfer(ctx *kernel.Context, b wire.LeaderHeartbeat) {
+	g.leaderSeen, g.leader, g.leaderAddress = 0, "", ""
+	g.votedTerm = max(g.votedTerm, b.Term)
+	if b.TransferTo == g.self() && g.isVoter() && g.host.diskProblem == diskHealthy && !g.host.stopping {
+		g.startElection(ctx, true)
+	}
+}
--- a/control/replica/group.go
+++ b/control/replica/group.go
@@ -1,52 +1,20 @@
-// Package replica holds the control state: each partition is a register of versions
-// kept by a small group of replicas on disk machines. A group elects a leader by
-// majority in a term; a leader's version counts once a majority synced it; a
-// replica that has voted a term takes nothing of an older one, which is the
-// fence against leaders that were frozen or cut off.
 package replica
 
 import (
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of the groups.
-const (
-	TickInterval      = 50_000
-	HeartbeatInterval = 150_000
-	StepDownAfter     = 1_000_000
-	RebalanceAfter    = 4_000_000
-	VersionsKept      = 3
-	MaxQueued         = 256
-	// ElectionTimeout is how long the first of the replicas does without a leader before it stands; each
-	// further one waits ElectStep longer, so that two seldom stand at once.
-	ElectionTimeout = 500_000
-	// ElectionTimeoutAtStart campaigns for it while a process has just started; StartsFor is how long it has.
-	ElectionTimeoutAtStart = 60_000
-	StartPeriod            = 3_000_000
-	ElectionStagger        = 150_000
-	ElectionJitter         = 60_000
-	// ClockInterval is how often a leader looks whether something is due by the clock.
-	ClockInterval = 200_000
-	// DiskCheckInterval is how often a sick disk is tried.
-	DiskCheckInterval = 200_000
-	// SlowDiskAfter is how long a write may take before the disk counts as sick.
-	SlowDiskAfter = 300_000
-	// ReplaceAfter is how long a replica must be silent before a standby core takes its place.
-	ReplaceAfter = 2_000_000
-	// CatchUpInterval is how often a replica that lacks the newest version is given it.
-	CatchUpInterval = 600_000
-	// ListenBeforeElection is how long a process that just started listens before it campaigns for
-	// leader: a group that was rebuilt without it is heard of meanwhile. Where a platform runs
-	// the fleet nobody rebuilds a group, and ListenBriefly is enough.
-	ListenBeforeElection = 1_500_000
-	ListenOnPlatform     = 200_000
-)
+// TickInterval is the time between two ticks, on which everything here rests that happens by the clock.
+const TickInterval = 50 * clock.Millisecond
 
+// role is what a replica is in its group, as in the Raft paper.
 type role uint8
 
 const (
 	follower role = iota
+	// preCandidate asks whether it would be given a term.
 	preCandidate
 	candidate
 	leader
@@ -55,103 +23,114 @@
 // Committed is emitted in a replica's process when it knows a version to be committed.
 type Committed struct{ Version wire.Versioned }
 
-type pendingEdit struct {
-	conn  uint64
-	id    uint64
-	edit  wire.Edit
-	reply wire.EditReply
-	// applied tells that the edit is part of the version under way; round is the heartbeat that must be confirmed before the reply is sent.
-	applied      bool
-	confirmRound uint64
-}
-
-// Group is one replica's side of one partition.
+// Group is one replica's side of one partition's group.
 type Group struct {
 	partition int
 	host      *Host
 
+	// What is on the disk: the newest vote, the newest version that is synced, and the versions that have a
+	// file. pending is the newest version whose write is under way.
 	votedTerm    uint64
 	votedFor     string
 	accepted     wire.Versioned
 	pending      wire.Version
 	versionFiles []wire.Version
 
+	// committed is the newest version that is known here to be committed.
 	committed wire.Versioned
 
+	// role, and the leader that is followed: its replica, its mesh address, and when it was heard last.
 	role          role
 	leader        string
 	leaderAddress string
-	leaderSeen    int64
+	leaderSeen    clock.Micros
 	lastLeader    electedLeader
-	electionAt    int64
-
-	term             uint64
-	votes            map[string]wire.VoteReply
-	acked            map[string]bool
-	proposal         *wire.Versioned
-	proposalSentAt   int64
-	proposedAt       int64
-	queue            []pendingEdit
-	proposedEdits    []pendingEdit
-	unconfirmed      []pendingEdit
-	heartbeatAt      int64
-	heartbeatRound   uint64
-	confirmedRounds  map[string]uint64
-	heardAt          map[string]int64
-	reachableSince   map[string]int64
+	// electionAt is when this replica stands for leader if it hears none.
+	electionAt clock.Micros
+
+	// A candidate's or leader's term, and the votes of a candidate by voter.
+	term  uint64
+	votes map[string]wire.VoteReply
+
+	// A leader's proposal under way, which voters have synced it, when it was sent last and when first.
+	proposal       *wire.Versioned
+	acked          map[string]bool
+	proposalSentAt clock.Micros
+	proposedAt     clock.Micros
+	// queue holds the edits for the next proposal, proposedEdits those of the one under way, and unconfirmed
+	// the reads and rejections that wait for a majority to confirm this leader.
+	queue         []pendingEdit
+	proposedEdits []pendingEdit
+	unconfirmed   []pendingEdit
+
+	// A leader's heartbeats: when and in which round the last was sent, and the newest round of this term
+	// that each voter has answered.
+	heartbeatAt     clock.Micros
+	heartbeatRound  uint64
+	confirmedRounds map[string]uint64
+	contact         contact
+	// relayedAt is when this core sent the newest pull that a core in contact has answered.
+	relayedAt clock.Micros
+	// contactLost is set once the loss of a leader's contact is logged.
+	contactLost bool
+
+	// What a leader knows of each voter: when it was heard last, since when without a gap, whether its disk
+	// has a problem, which replica is at its address now where its disk is lost, when it was brought the
+	// newest version last, what it has synced, and how far its time of day is from this process's clock.
+	heardAt          map[string]clock.Micros
+	reachableSince   map[string]clock.Micros
 	voterDiskProblem map[string]bool
 	successors       map[string]wire.Replica
-	caughtUpAt       map[string]int64
+	caughtUpAt       map[string]clock.Micros
 	synced           map[string]syncedVersion
-	wallOffsets      map[string]int64
-	contact          contact
-	relayedAt        int64
-	// contactLost is that a leader's loss of contact is logged.
-	contactLost  bool
-	leaderSince  int64
-	clockworkAt  int64
-	ready        bool
+	wallOffsets      map[string]clock.Micros
+
+	leaderSince clock.Micros
+	// clockworkAt is when a leader looked last whether something is due by the time of day.
+	clockworkAt clock.Micros
+	// ready is set once a leader has committed a version in its own term: only then it serves.
+	ready bool
+	// transferring is set while a leader hands its leadership on, and takes no edits.
 	transferring bool
-	leases       map[string]*lease
-	leaseCount   uint64
+
+	leases     map[string]*lease
+	leaseCount uint64
 
 	// change is the change of membership whose learners are catching up, if there is one.
 	change          *memberChange
-	learnerFailedAt map[string]int64
-	// leaveRequestedAt is when each voter asked last to be moved out; leaveRequestSentAt is when this one did.
-	leaveRequestedAt   map[string]int64
-	leaveRequestSentAt int64
+	learnerFailedAt map[string]clock.Micros
+	// leaveRequestedAt is when each voter asked last to be replaced; leaveRequestSentAt is when this one did.
+	leaveRequestedAt   map[string]clock.Micros
+	leaveRequestSentAt clock.Micros
 }
 
 func newGroup(h *Host, partition int) *Group {
-	return &Group{partition: partition, host: h, leases: map[string]*lease{}, heardAt: map[string]int64{}}
+	return &Group{partition: partition, host: h, leases: map[string]*lease{}, heardAt: map[string]clock.Micros{}}
 }
 
+// self is the identity of this replica.
 func (g *Group) self() string { return g.host.replicaID }
 
+// isVoter reports whether this replica has a vote on the newest version that it holds.
 func (g *Group) isVoter() bool { return contains(allVoters(g.accepted), g.self()) }
 
 func (g *Group) tick(ctx *kernel.Context) {
-	if !g.isVoter() {
-		return
-	}
-	if g.role == leader {
+	switch {
+	case !g.isVoter():
+	case g.role == leader:
 		g.leaderTick(ctx)
-		return
-	}
-	if g.host.stopping {
+	case g.host.stopping:
 		g.requestLeave(ctx)
-		return
-	}
-	if g.electionAt == 0 {
-		g.scheduleElection(ctx)
-	}
-	at := g.electionAt
-	if g.host.diskProblem != "" {
-		// A healthy replica goes first; where there is none, a slow leader is better than none.
-		at += 2 * ElectionTimeout
+	default:
+		g.electionTick(ctx)
 	}
-	if ctx.Now >= at && ctx.Now-g.host.startedAt >= g.host.listenPeriod() {
-		g.startElection(ctx, false)
+}
+
+// handleThawed ends leadership after the process did not run for a while: it can't know whether another
+// leader was elected meanwhile.
+func (g *Group) handleThawed(ctx *kernel.Context) {
+	if g.role != follower {
+		g.stepDown(ctx, reasonSuspended)
 	}
+	g.scheduleElection(ctx)
 }
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -1,64 +1,55 @@
-// Host is the plug-in of a core process: its disk, its identity and its side
-// of every partition's group. The replica's id is made on an empty disk and is lost
-// with it; a disk that cannot be trusted takes no partition at all.
-
 package replica
 
 import (
-	"cmp"
-	"fmt"
-	"maps"
-	"slices"
-	"strings"
-
 	"wallport/cluster/membership"
 	"wallport/cluster/mesh"
-	"wallport/runtime/diskfile"
+	"wallport/control/configsync"
+	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Host is the plug-in.
+// Partitions is the number of partitions, each with a group of its own.
+const Partitions = state.Partitions
+
+const (
+	// pluginName is the name under which the kernel knows the plug-in.
+	pluginName = "seats"
+	// timerTick is the key of the only timer.
+	timerTick = "tick"
+)
+
+// Host is the plug-in of a core process: the replica's identity, its disk, and its side of every
+// partition's group. The identity is made on an empty disk and is lost with it.
 type Host struct {
-	kernel       *kernel.Kernel
-	mesh         *mesh.Mesh
-	members      *membership.Members
-	replicaID    string
-	groups       []*Group
-	diskDamaged  bool
-	futureFormat string
-	diskProblem  string
-	largeSent    map[uint64]sentVersions
-	stopping     bool
-
-	bootstrap          wire.Bootstrap
-	bootstrapped       bool
-	consents           map[string]bool
-	refusers           map[string]bool
-	consentSynced      bool
-	completing         bool
-	bootstrapPlannedAt int64
-	bootstrapSentAt    int64
-	startedAt          int64
-	lastWriteID        uint64
-	// clockOrigin is where the clock begins that leaders are told.
-	clockOrigin    int64
-	onWritten      map[string]func(ctx *kernel.Context, err string)
-	writeStartedAt map[string]int64
-	checkingDisk   bool
-	diskCheckedAt  int64
+	kernel    *kernel.Kernel
+	mesh      *mesh.Mesh
+	members   *membership.Members
+	replicaID string
+	groups    []*Group
+	startedAt clock.Micros
+	// stopping is set once the process was told to end.
+	stopping bool
+	// clockOrigin is where the clock begins that leaders are told: see contact.go.
+	clockOrigin clock.Micros
+	// largeSent is what large versions each connection was sent in answer to pulls.
+	largeSent map[uint64]sentVersions
+
+	disk
+	bootstrapping
 
 	pullers       map[string]puller
 	cachedCores   []membership.Member
-	cachedCoresAt int64
+	cachedCoresAt clock.Micros
 }
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 30, Roles: []string{"core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		h := &Host{
-			kernel: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
-			onWritten: map[string]func(*kernel.Context, string){}, writeStartedAt: map[string]int64{}, consents: map[string]bool{},
-			refusers: map[string]bool{}, pullers: map[string]puller{},
+			kernel: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), pullers: map[string]puller{},
+			disk:          disk{onWritten: map[string]writeDone{}, writeStartedAt: map[string]clock.Micros{}},
+			bootstrapping: bootstrapping{consents: map[string]bool{}, refusers: map[string]bool{}},
 		}
 		for p := range Partitions {
 			h.groups = append(h.groups, newGroup(h, p))
@@ -68,9 +59,9 @@
 }
 
 // Name is the plug-in's name.
-func (h *Host) Name() string { return "seats" }
+func (h *Host) Name() string { return pluginName }
 
-// Kinds are the frames that it takes.
+// Kinds are the kinds of messages that it takes.
 func (h *Host) Kinds() []uint8 {
 	return []uint8{
 		wire.KindVote, wire.KindVoteReply, wire.KindAccept, wire.KindAcceptReply, wire.KindLeaderHeartbeat, wire.KindLeaderHeartbeatReply,
@@ -79,95 +70,44 @@
 	}
 }
 
-func voteFile(partition int) string { return fmt.Sprintf("part-%d.promise", partition) }
-
-func versionFile(s wire.Version) string {
-	return fmt.Sprintf("part-%d.stamp-%012d-%012d", s.Partition, s.Term, s.Seq)
-}
-
-// Load reads the disk as it was at the start of the process.
-func (h *Host) load(ctx *kernel.Context) {
-	for _, name := range sortedKeys(h.kernel.Boot.Files) {
-		b, err := diskfile.Unpack(h.kernel.Boot.Files[name])
-		if f, ok := err.(diskfile.FutureFormatError); ok {
-			h.diskDamaged, h.futureFormat = true, f.Error()
-			continue
-		}
-		isStamped := strings.Contains(name, ".stamp-")
-		if err != nil {
-			ctx.Counts.Add("disk_torn", 1)
-			ctx.Log(kernel.LevelWarn, "disk_torn", "file", name)
-			// A version that was not whole was never acknowledged; any other file is needed whole.
-			h.diskDamaged = h.diskDamaged || !isStamped
-			continue
+// Step takes one input.
+func (h *Host) Step(ctx *kernel.Context, in kernel.Input) {
+	switch v := in.(type) {
+	case kernel.Start:
+		h.start(ctx)
+	case kernel.Tick:
+		h.tick(ctx)
+	case kernel.Written:
+		h.handleWritten(ctx, v)
+	case kernel.Thawed:
+		for _, g := range h.groups {
+			g.handleThawed(ctx)
 		}
-		switch {
-		case name == "seat":
-			h.replicaID = string(b)
-		case name == "formation":
-			h.diskDamaged = wire.Decode(b, &h.bootstrap) != nil || h.diskDamaged
-			h.bootstrapped, h.consentSynced = h.bootstrap.Commit, true
-			if len(h.bootstrap.Voters) > 0 && h.bootstrap.Proposer.ID == "" {
-				// Releases before 2 did not write down who proposed: it was the first.
-				h.bootstrap.Proposer = h.bootstrap.Voters[0]
-			}
-		case isStamped:
-			var v wire.Versioned
-			if wire.Decode(b, &v) != nil || v.Version.Partition < 0 || v.Version.Partition >= Partitions {
-				h.diskDamaged = true
-				continue
-			}
-			g := h.groups[v.Version.Partition]
-			g.versionFiles = append(g.versionFiles, v.Version)
-			if mesh.Newer(v.Version, g.accepted.Version) {
-				g.accepted = v
-			}
-		case strings.HasSuffix(name, ".promise"):
-			var partition int
-			var v wire.Vote
-			if _, err := fmt.Sscanf(name, "part-%d.promise", &partition); err != nil || partition < 0 || partition >= Partitions || wire.Decode(b, &v) != nil {
-				h.diskDamaged = true
-				continue
-			}
-			h.groups[partition].votedTerm, h.groups[partition].votedFor = v.Term, v.From
-		}
-	}
-	for _, g := range h.groups {
-		if g.accepted.Version.Term > g.votedTerm {
-			g.votedTerm, g.votedFor = g.accepted.Version.Term, ""
+	case kernel.Stopping:
+		h.stopping = true
+		for _, g := range h.groups {
+			g.handleStopping(ctx)
 		}
-		h.bootstrapped = h.bootstrapped || g.accepted.Version.Term > 0
-	}
-	if h.bootstrap.Commit {
-		h.adoptBootstrapVoters()
-	}
-	if h.replicaID == "" && len(h.kernel.Boot.Files) > 0 {
-		h.diskDamaged = true
+	case kernel.Message:
+		h.handleMessage(ctx, v)
+	case configsync.Pulled:
+		h.relayContact(v)
+	case Committed:
+		h.publishCommitted(ctx, v)
 	}
 }
 
-// wantedVoters is how many replicas a partition's group should have.
-func (h *Host) wantedVoters() int { return h.kernel.Boot.Settings.Voters() }
-
-// listenPeriod is how long a process that just started does not stand for leader.
-func (h *Host) listenPeriod() int64 {
-	if h.kernel.Boot.Settings.BootstrapKnown {
-		return ListenOnPlatform
-	}
-	return ListenBeforeElection
-}
-
 func (h *Host) start(ctx *kernel.Context) {
 	h.startedAt, h.clockOrigin = ctx.Now, 1+ctx.Rand.Int64N(clockOrigins)
 	if h.kernel.Boot.Settings.DataDir == "" && len(h.kernel.Boot.Files) == 0 {
-		// Without a disk it has no replica; it hands on what it is asked.
+		// Without a disk there is no replica here: the process only hands on committed versions.
 		ctx.Log(kernel.LevelInfo, "core_without_disk")
 		return
 	}
 	h.load(ctx)
 	if h.diskDamaged {
-		h.setDiskProblem(ctx, "damaged")
-		ctx.Log(kernel.LevelError, "disk_damaged", "do", "stop this core, empty its data folder, start it again: it comes back as a new seat", "why", h.futureFormat)
+		h.setDiskProblem(ctx, diskIsDamaged)
+		ctx.Log(kernel.LevelError, "disk_damaged", "action", "stop this core, empty its data folder, start it again: it comes back as a new replica", "reason", h.futureFormat)
 		return
 	}
 	if h.replicaID == "" {
@@ -175,24 +115,86 @@
 	} else {
 		h.publishMember()
 	}
-	ctx.After(TickInterval, "seats", "tick")
+	ctx.After(TickInterval, pluginName, timerTick)
+}
+
+func (h *Host) tick(ctx *kernel.Context) {
+	ctx.After(TickInterval, pluginName, timerTick)
+	h.checkDisk(ctx)
+	if !h.bootstrapped {
+		h.bootstrapTick(ctx)
+		return
+	}
+	ledPartitions, inContact := int64(0), int64(0)
+	for _, g := range h.groups {
+		g.tick(ctx)
+		if g.role == leader {
+			ledPartitions++
+		}
+		if g.inContact(ctx.Now, g.committed.Version) {
+			inContact++
+		}
+	}
+	ctx.Counts.Set("part_owned_now", ledPartitions)
+	ctx.Counts.Set("part_in_contact_now", inContact)
 }
 
+// publishCommitted announces a committed version over the mesh, and shows in this process's member entry
+// which configuration is in force here.
+func (h *Host) publishCommitted(ctx *kernel.Context, v Committed) {
+	h.mesh.AnnounceVersion(ctx, v.Version)
+	if v.Version.Version.Partition == state.ConfigPartition {
+		h.members.Update(func(m *wire.Member) { m.InForce = []wire.Version{v.Version.Version} })
+	}
+}
+
+// publishMember shows the replica, and how its disk is, in this process's member entry.
 func (h *Host) publishMember() {
 	h.members.Update(func(m *wire.Member) {
-		m.Replica, m.Bootstrapped, m.UnhealthyReason = h.replicaID, h.bootstrapped, h.diskProblem
+		m.Replica, m.Bootstrapped, m.UnhealthyReason = h.replicaID, h.bootstrapped, string(h.diskProblem)
 	})
 }
 
-// addressOf is where a replica's disk is now, as the mesh tells it.
-func (h *Host) addressOf(id string, now int64) string {
-	if id == h.replicaID {
-		return h.kernel.Boot.Settings.Mesh
-	}
-	if r, ok := h.liveCore(id, now); ok {
-		return r.Addr
+// wantedVoters is how many voters a group should have.
+func (h *Host) wantedVoters() int { return h.kernel.Boot.Settings.Voters() }
+
+// Leads reports whether this process leads a partition and may take its edits.
+func (h *Host) Leads(partition int) bool {
+	return h.groups[partition].role == leader && h.groups[partition].ready
+}
+
+// ReplicaID is the replica's identity; empty until it is synced, and where there is no disk.
+func (h *Host) ReplicaID() string { return h.replicaID }
+
+// CommittedVersion is the newest version of a partition that is known here to be committed.
+func (h *Host) CommittedVersion(partition int) wire.Version {
+	return h.groups[partition].committed.Version
+}
+
+// VotersOf lists the voters of the newest version of a partition that is known here to be committed.
+func (h *Host) VotersOf(partition int) []wire.Replica { return h.groups[partition].committed.Voters }
+
+// Leader is the mesh address of the core that leads a partition; empty where this replica has not heard
+// a leader within StepDownAfter.
+func (h *Host) Leader(partition int, now clock.Micros) string {
+	g := h.groups[partition]
+	if g.role == leader || g.leader != "" && now-g.leaderSeen < StepDownAfter {
+		return g.leaderAddress
 	}
 	return ""
 }
 
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+// Replied is emitted in the process that called Edit, with the reply.
+type Replied struct {
+	ID    uint64
+	Reply wire.EditReply
+}
+
+// Edit takes an edit, or a read that a majority confirms, of this same process; Replied follows.
+func (h *Host) Edit(ctx *kernel.Context, id uint64, e wire.Edit) {
+	if e.Partition < 0 || e.Partition >= Partitions || h.diskDamaged {
+		ctx.Emit(Replied{ID: id, Reply: wire.EditReply{Code: wire.CodeNotLeader}})
+		return
+	}
+	h.groups[e.Partition].handleEdit(ctx, sameProcess, id, e)
+}
--- a/control/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -1,5 +1,3 @@
-// What a replica checks of the promises that the control state makes, while it runs.
-
 package replica
 
 import (
@@ -12,13 +10,15 @@
 	"wallport/runtime/wire"
 )
 
+// These checks of invariants run all the time. A violation is counted and logged; the check changes nothing.
+
 // electedLeader is the leader that a replica heard last, and in which term.
 type electedLeader struct {
 	id   string
 	term uint64
 }
 
-// checkOneLeader sees that no two replicas lead one term.
+// checkOneLeader checks that no two replicas lead one term.
 func (g *Group) checkOneLeader(ctx *kernel.Context, from string, term uint64) {
 	heard := electedLeader{id: from, term: term}
 	if g.lastLeader.term == term && g.lastLeader.id != from {
@@ -27,21 +27,21 @@
 	g.lastLeader = heard
 }
 
-// checkVersionContent sees that a version which is brought again is the one that is held.
+// checkVersionContent checks that a version that is sent again has the content that is held.
 func (g *Group) checkVersionContent(ctx *kernel.Context, a wire.Accept) {
 	if a.Base == (wire.Version{}) && !bytes.Equal(a.Versioned.Body, g.accepted.Body) {
 		ctx.ReportViolation(invariant.OneContentPerVersion, fmt.Sprintf("partition %d, version %d.%d", g.partition, a.Versioned.Version.Term, a.Versioned.Version.Seq))
 	}
 }
 
-// checkLeaderTerm sees that a leader commits in its own term alone, before any later one that it knows of.
+// checkLeaderTerm checks that a leader commits only in its own term, and has voted in no later one.
 func (g *Group) checkLeaderTerm(ctx *kernel.Context, v wire.Versioned) {
 	if v.Version.Term != g.term || g.votedTerm != g.term {
 		ctx.ReportViolation(invariant.LeaderInItsTerm, fmt.Sprintf("partition %d, version of term %d, leads term %d, voted term %d", g.partition, v.Version.Term, g.term, g.votedTerm))
 	}
 }
 
-// checkRevisionRises sees that a committed configuration has no older routing table than the one before it.
+// checkRevisionRises checks that a committed configuration has no older routing table than the one before it.
 func (g *Group) checkRevisionRises(ctx *kernel.Context, before, after wire.Versioned) {
 	if g.partition != state.ConfigPartition || bytes.Equal(before.Body, after.Body) {
 		return
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -1,45 +1,77 @@
-// The leader's side of a partition: win, re-commit what was found, batch edits into
-// one version at a time, heartbeat, step down when a majority no longer answers.
-
 package replica
 
 import (
-	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
+const (
+	// HeartbeatInterval is the time between two heartbeat rounds of a leader.
+	HeartbeatInterval = 150 * clock.Millisecond
+	// StepDownAfter is how long after it sent the last heartbeat round that a majority answered a leader steps
+	// down, and how long a follower counts on a leader that it has heard.
+	StepDownAfter = 1 * clock.Second
+)
+
+// stepDownReason says in the log why a leader stepped down.
+type stepDownReason string
+
+const (
+	reasonFenced        stepDownReason = "fenced by a newer term"
+	reasonVotedForOther stepDownReason = "voted for another candidate"
+	reasonOtherLeader   stepDownReason = "another leader"
+	reasonNoContact     stepDownReason = "no majority answers"
+	reasonNotCommitted  stepDownReason = "the proposal was not committed in time"
+	reasonSuperseded    stepDownReason = "another group has committed a newer version"
+	reasonSuspended     stepDownReason = "the process was suspended"
+)
+
+// becomeLeader begins a term: the newest version that the election found is committed again under the term,
+// and nothing is served before that, since the version may or may not have been committed already.
 func (g *Group) becomeLeader(ctx *kernel.Context, best wire.Versioned) {
 	g.role, g.leader, g.leaderAddress = leader, g.self(), g.host.kernel.Boot.Settings.Mesh
 	g.ready, g.transferring = false, g.host.stopping
-	g.confirmedRounds, g.wallOffsets = map[string]uint64{}, map[string]int64{}
-	g.synced = map[string]syncedVersion{}
-	g.voterDiskProblem, g.successors, g.caughtUpAt, g.reachableSince = map[string]bool{}, map[string]wire.Replica{}, map[string]int64{}, map[string]int64{}
-	g.heartbeatAt, g.leaderSince = 0, ctx.Now
-	g.contact.reset()
-	g.leases = map[string]*lease{}
-	g.change, g.learnerFailedAt, g.leaveRequestedAt = nil, map[string]int64{}, map[string]int64{}
-	for _, s := range allVoters(best) {
-		g.heardAt[s.ID] = ctx.Now
+	g.resetLeaderState(ctx)
+	for _, voter := range allVoters(best) {
+		g.heardAt[voter.ID] = ctx.Now
 	}
-	ctx.Log(kernel.LevelInfo, "part_owner", "part", g.partition, "term", g.term, "adopts_term", best.Version.Term, "adopts_seq", best.Version.Seq)
+	ctx.Log(kernel.LevelInfo, "leader_elected", "partition", g.partition, "term", g.term, "adopts_term", best.Version.Term, "adopts_seq", best.Version.Seq)
 	ctx.Counts.Add("part_owned", 1)
-	v := best
-	v.Version = wire.Version{Partition: g.partition, Term: g.term, Seq: best.Version.Seq + 1}
+	adopted := best
+	adopted.Version = wire.Version{Partition: g.partition, Term: g.term, Seq: best.Version.Seq + 1}
 	g.recordVoterVersions(g.votes)
-	g.propose(ctx, v, best.Version)
+	g.propose(ctx, adopted, best.Version)
 	g.leaderTick(ctx)
 }
 
-// stepDown ends leadership or candidature. What was in flight has an unknown outcome.
-func (g *Group) stepDown(ctx *kernel.Context, why string) {
+// resetLeaderState forgets what an earlier term of this replica's knew of the voters.
+func (g *Group) resetLeaderState(ctx *kernel.Context) {
+	g.leaderSince, g.heartbeatAt = ctx.Now, 0
+	g.confirmedRounds = map[string]uint64{}
+	g.contact.reset()
+	g.reachableSince = map[string]clock.Micros{}
+	g.voterDiskProblem = map[string]bool{}
+	g.successors = map[string]wire.Replica{}
+	g.caughtUpAt = map[string]clock.Micros{}
+	g.synced = map[string]syncedVersion{}
+	g.wallOffsets = map[string]clock.Micros{}
+	g.leases = map[string]*lease{}
+	g.change = nil
+	g.learnerFailedAt = map[string]clock.Micros{}
+	g.leaveRequestedAt = map[string]clock.Micros{}
+}
+
+// stepDown ends leadership or candidature. The outcome of the edits in the proposal under way is unknown: the
+// next leader may find the version or not.
+func (g *Group) stepDown(ctx *kernel.Context, reason stepDownReason) {
 	if g.role == leader {
-		ctx.Log(kernel.LevelWarn, "part_retired", "part", g.partition, "term", g.term, "why", why)
-		for _, w := range g.proposedEdits {
-			g.replyToEdit(ctx, w.conn, w.id, wire.EditReply{Code: "unknown"})
+		ctx.Log(kernel.LevelWarn, "leader_stepped_down", "partition", g.partition, "term", g.term, "reason", string(reason))
+		for _, edit := range g.proposedEdits {
+			g.replyToEdit(ctx, edit.conn, edit.id, wire.EditReply{Code: wire.CodeUnknown})
 		}
-		for _, w := range append(g.queue, g.unconfirmed...) {
-			g.replyToEdit(ctx, w.conn, w.id, wire.EditReply{Code: "not_owner"})
+		for _, edit := range append(g.queue, g.unconfirmed...) {
+			g.replyToEdit(ctx, edit.conn, edit.id, wire.EditReply{Code: wire.CodeNotLeader})
 		}
 		g.leader, g.leaderAddress = "", ""
 	}
@@ -49,114 +81,19 @@
 	g.scheduleElection(ctx)
 }
 
-// propose has the voters hold a version. Its body is that of the version base, if that is one:
-// who holds that already needs not be sent it.
-func (g *Group) propose(ctx *kernel.Context, v wire.Versioned, base wire.Version) {
-	g.proposal, g.proposedAt = &v, ctx.Now
-	g.acked = map[string]bool{}
-	g.sendProposal(ctx, base)
-}
-
-// newAccept is the message that brings a version to a replica, in this leader's term.
-func (g *Group) newAccept(v wire.Versioned) wire.Accept {
-	return wire.Accept{Partition: g.partition, Term: g.term, From: g.self(), Versioned: v}
-}
-
-// sendVersion brings a version, whole, to a replica.
-func (g *Group) sendVersion(ctx *kernel.Context, to wire.Replica, v wire.Versioned) {
-	a := g.newAccept(v)
-	g.host.sendReplica(ctx, to, wire.KindAccept, &a)
-}
-
-// sendProposal sends the version under way to those who have not synced it yet.
-func (g *Group) sendProposal(ctx *kernel.Context, base wire.Version) {
-	g.proposalSentAt = ctx.Now
-	a := g.newAccept(*g.proposal)
-	for _, s := range allVoters(*g.proposal) {
-		if g.acked[s.ID] {
-			continue
-		}
-		if s.ID == g.self() {
-			g.handleAccept(ctx, 0, 0, a)
-			continue
-		}
-		one := g.withBase(a, s.ID, base)
-		g.host.sendReplica(ctx, s, wire.KindAccept, &one)
-	}
-	g.sendToLearners(ctx, *g.proposal)
-}
-
-func (g *Group) handleAcceptReply(ctx *kernel.Context, r wire.AcceptReply) {
-	if g.role != leader {
-		return
-	}
-	if !r.OK {
-		if r.Term > g.term {
-			g.votedTerm = max(g.votedTerm, r.Term)
-			g.stepDown(ctx, "fenced by a newer term")
-			return
-		}
-		if r.LacksBase {
-			g.sendFullProposal(ctx, r)
-			return
-		}
-		g.handleLearnerReply(ctx, r)
-		return
-	}
-	g.heardAt[r.From] = ctx.Now
-	g.recordSynced(r)
-	g.handleLearnerReply(ctx, r)
-	if g.proposal == nil || r.Version != g.proposal.Version {
-		return
-	}
-	g.acked[r.From] = true
-	if !quorum(*g.proposal, func(id string) bool { return g.acked[id] }) {
-		return
-	}
-	v := *g.proposal
-	g.proposal = nil
-	done := g.proposedEdits
-	g.proposedEdits = nil
-	g.ready = true
-	g.checkLeaderTerm(ctx, v)
-	g.commit(ctx, v)
-	for _, w := range done {
-		if w.applied {
-			w.reply.Version = v.Version
-		}
-		g.replyToEdit(ctx, w.conn, w.id, w.reply)
-	}
-	g.sendHeartbeats(ctx)
-	g.proposeNext(ctx)
-}
-
-// commit takes note that a version is committed.
-func (g *Group) commit(ctx *kernel.Context, v wire.Versioned) {
-	if !mesh.Newer(v.Version, g.committed.Version) {
-		return
-	}
-	before := g.committed
-	g.checkRevisionRises(ctx, before, v)
-	g.committed = v
-	if g.role == leader {
-		g.endChange(ctx, before, v)
-	}
-	ctx.Emit(Committed{Version: v})
-}
-
 func (g *Group) leaderTick(ctx *kernel.Context) {
 	g.watchContact(ctx)
 	switch {
 	case g.isSuperseded(ctx, g.newestVersion()):
-		g.stepDown(ctx, "another group has committed a newer version")
+		g.stepDown(ctx, reasonSuperseded)
 		return
 	case ctx.Now-max(g.leaderSince, g.contact.confirmedAt) > StepDownAfter:
-		g.stepDown(ctx, "no majority answers")
+		g.stepDown(ctx, reasonNoContact)
 		return
 	case g.proposalIsOverdue(ctx.Now):
-		g.stepDown(ctx, "the version under way was not taken in time")
+		g.stepDown(ctx, reasonNotCommitted)
 		return
-	case (g.host.diskProblem != "" || g.transferring) && g.proposal == nil && g.bestSuccessor(ctx) != "":
+	case (g.host.diskProblem != diskHealthy || g.transferring) && g.proposal == nil && g.bestSuccessor(ctx) != "":
 		g.transferLeadership(ctx)
 		return
 	case ctx.Now-g.heartbeatAt >= HeartbeatInterval:
@@ -172,7 +109,7 @@
 	g.proposeNext(ctx)
 }
 
-// newestVersion is the version whose replicas a leader must hear from.
+// newestVersion is the version whose voters a leader must hear from: its proposal, or else the committed one.
 func (g *Group) newestVersion() wire.Versioned {
 	if g.proposal != nil {
 		return *g.proposal
@@ -180,16 +117,17 @@
 	return g.committed
 }
 
+// sendHeartbeats begins a heartbeat round.
 func (g *Group) sendHeartbeats(ctx *kernel.Context) {
 	g.heartbeatAt = ctx.Now
 	g.heartbeatRound++
 	g.contact.roundSent(g.heartbeatRound, ctx.Now)
 	g.confirmRounds()
 	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Round: g.heartbeatRound, Committed: g.committed.Version}
-	for _, s := range allVoters(g.newestVersion()) {
-		if s.ID != g.self() {
-			b.ContactAt = g.contact.proofFor(s.ID)
-			g.host.sendReplica(ctx, s, wire.KindLeaderHeartbeat, &b)
+	for _, voter := range allVoters(g.newestVersion()) {
+		if voter.ID != g.self() {
+			b.ContactAt = g.contact.proofFor(voter.ID)
+			g.host.sendReplica(ctx, voter, wire.KindLeaderHeartbeat, &b)
 		}
 	}
 }
@@ -204,13 +142,12 @@
 	}
 	if !r.OK {
 		if r.Term > g.term {
-			g.votedTerm = max(g.votedTerm, r.Term)
-			g.stepDown(ctx, "fenced by a newer term")
+			g.fence(ctx, r.Term)
 		}
 		return
 	}
 	if r.Term != g.term {
-		// It answers a heartbeat of an earlier term, held up on its way.
+		// It answers a heartbeat of an earlier term that was delayed.
 		return
 	}
 	if ctx.Now-g.heardAt[r.From] > StepDownAfter || g.reachableSince[r.From] == 0 {
@@ -225,3 +162,9 @@
 	g.catchUp(ctx, r)
 	g.replyConfirmed(ctx)
 }
+
+// fence ends the leadership of a leader that was shown a newer term.
+func (g *Group) fence(ctx *kernel.Context, term uint64) {
+	g.votedTerm = max(g.votedTerm, term)
+	g.stepDown(ctx, reasonFenced)
+}
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -1,33 +1,32 @@
-// Changes of a group's membership. A replica that is to join is a learner
-// first: it is sent every version, and has no vote, until it has synced the
-// newest one. Only then is the change proposed, as a joint version that needs a
-// majority of the voters before and of the voters after it; the version that
-// follows needs the voters after it alone, and only then the next change begins.
-
 package replica
 
 import (
 	"slices"
 
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of membership changes.
+// A change of a group's membership has three steps. A replica that is to join is a learner first: it is sent
+// every version, and has no vote, until it has synced the newest one. Then the change is proposed, as a joint
+// version that needs a majority of the voters before and of the voters after it. The version that follows
+// needs the voters after it alone, and only then the next change may begin.
+
 const (
-	// LearnerTimeout is how long a learner has to sync the newest version before it is given up.
-	LearnerTimeout = 1_500_000
+	// LearnerTimeout is how long a learner may take to sync the newest version, beside what its size takes.
+	LearnerTimeout = 1500 * clock.Millisecond
 	// LearnerResendInterval is how often a learner that lacks the newest version is sent it again.
-	LearnerResendInterval = 200_000
-	// LearnerRetryAfter is how long a learner that was given up is not chosen again.
-	LearnerRetryAfter = 2_000_000
-	// LearnerEditPause is how long edits wait, once for each change, for a learner that has synced an
-	// earlier version: otherwise steady edits could keep it one version behind for ever.
-	LearnerEditPause = 200_000
+	LearnerResendInterval = 200 * clock.Millisecond
+	// LearnerRetryAfter is how long a learner that failed is not chosen again.
+	LearnerRetryAfter = 2 * clock.Second
+	// LearnerEditPause is how long edits wait, once in each change, for a learner that has synced an earlier
+	// version: otherwise steady edits could keep it one version behind forever.
+	LearnerEditPause = 200 * clock.Millisecond
 )
 
-// changeReason says why the voters of a group change.
+// changeReason says why the voters of a group change, in the log and to operators.
 type changeReason string
 
 const (
@@ -46,13 +45,16 @@
 // memberChange is a change whose learners are catching up.
 type memberChange struct {
 	reason changeReason
-	// removed is the voter that gives up its place, if one does.
+	// removed is the voter that is replaced, if one is.
 	removed string
 	// voters are those after the change; learners are those of them that are new.
 	voters, learners []wire.Replica
 	// synced is the newest version that each learner said it has synced.
-	synced                            map[string]wire.Version
-	begunAt, sentAt, editsPausedUntil int64
+	synced map[string]wire.Version
+	// begunAt is when the change began, and sentAt when the learners were sent a version last.
+	begunAt, sentAt clock.Micros
+	// editsPausedUntil is the end of the pause of edits; 0 until it has begun.
+	editsPausedUntil clock.Micros
 }
 
 // caughtUp reports whether every learner has synced a version.
@@ -63,16 +65,8 @@
 // allResponded reports whether every learner has synced some version.
 func (c *memberChange) allResponded() bool { return len(c.synced) == len(c.learners) }
 
-// isJoint reports whether a version needs the voters before a change as well as those after it.
-func isJoint(v wire.Versioned) bool {
-	return len(v.PreviousVoters) > 0 && !sameMembers(v.PreviousVoters, v.Voters)
-}
-
-func sameMembers(a, b []wire.Replica) bool {
-	return slices.EqualFunc(a, b, func(a, b wire.Replica) bool { return a.ID == b.ID })
-}
-
-// nextMembers gives the voters of the next version, and whether they alone are a reason to propose one.
+// nextMembers gives the voters of the next version, and whether they alone are a reason to propose one: they
+// are where a change waits for its last version, or where its learners have caught up.
 func (g *Group) nextMembers(ctx *kernel.Context) ([]wire.Replica, bool) {
 	if isJoint(g.committed) {
 		return g.committed.Voters, true
@@ -102,14 +96,14 @@
 	return change.voters, true
 }
 
-// beginChange looks for a change that is due and has its learners catch up.
+// beginChange begins the first change that is due, if one is, and has its learners catch up.
 func (g *Group) beginChange(ctx *kernel.Context) {
 	plans := []func(*kernel.Context) *memberChange{g.replaceLostDisk, g.replaceLeaving, g.replaceUnresponsive, g.addVoters, g.rebalance}
 	for _, plan := range plans {
 		if change := plan(ctx); change != nil {
 			change.synced, change.begunAt = map[string]wire.Version{}, ctx.Now
 			g.change = change
-			ctx.Log(kernel.LevelInfo, "membership_change_begun", "part", g.partition, "reason", string(change.reason), "removed", change.removed,
+			ctx.Log(kernel.LevelInfo, "membership_change_begun", "partition", g.partition, "reason", string(change.reason), "removed", change.removed,
 				"learners", replicaIDs(change.learners))
 			g.sendToLearners(ctx, g.committed)
 			return
@@ -117,7 +111,7 @@
 	}
 }
 
-// reviewChange gives a change up whose reason is gone or whose learners are too slow.
+// reviewChange abandons a change whose reason is gone or whose learners are too slow.
 func (g *Group) reviewChange(ctx *kernel.Context) {
 	change := g.change
 	switch {
@@ -134,6 +128,7 @@
 	}
 }
 
+// isStillDue reports whether the reason of a change is still there.
 func (g *Group) isStillDue(ctx *kernel.Context, change *memberChange) bool {
 	switch change.reason {
 	case reasonDiskLost:
@@ -146,8 +141,9 @@
 	return true
 }
 
-func (g *Group) abandonChange(ctx *kernel.Context, why string) {
-	ctx.Log(kernel.LevelWarn, "membership_change_abandoned", "part", g.partition, "reason", string(g.change.reason), "learners", replicaIDs(g.change.learners), "why", why)
+// abandonChange gives a change up. It was never proposed, so nothing needs to be undone.
+func (g *Group) abandonChange(ctx *kernel.Context, cause string) {
+	ctx.Log(kernel.LevelWarn, "membership_change_abandoned", "partition", g.partition, "reason", string(g.change.reason), "learners", replicaIDs(g.change.learners), "cause", cause)
 	ctx.Counts.Add("part_changes_abandoned", 1)
 	g.change = nil
 }
@@ -165,16 +161,16 @@
 	}
 }
 
-// learnerResendInterval is how often a learner is sent the newest version again: a large one is
-// still on its way after the usual time.
-func (g *Group) learnerResendInterval() int64 {
+// learnerResendInterval is how often a learner is sent the newest version again: a large one is still on its
+// way after the usual interval.
+func (g *Group) learnerResendInterval() clock.Micros {
 	if size := versionSize(g.committed); isLarge(size) {
 		return resendInterval(size)
 	}
 	return LearnerResendInterval
 }
 
-// handleLearnerReply takes note of what a learner has synced, or that it will not.
+// handleLearnerReply records which version a learner has synced, or that it refused one.
 func (g *Group) handleLearnerReply(ctx *kernel.Context, r wire.AcceptReply) {
 	change := g.change
 	if change == nil || !contains(change.learners, r.From) {
@@ -193,7 +189,7 @@
 	}
 }
 
-// awaitsLearners holds edits back for a moment while the learners sync the newest version.
+// awaitsLearners reports whether edits should wait while the learners sync the newest version.
 func (g *Group) awaitsLearners(ctx *kernel.Context) bool {
 	change := g.change
 	if change == nil || !change.allResponded() || change.caughtUp(g.committed.Version) {
@@ -205,24 +201,16 @@
 	return ctx.Now < change.editsPausedUntil
 }
 
-// endChange logs that a change is in force and tells those that it removed, who would
+// endChange logs that a change is in force and sends its version to the voters that it removed, which would
 // otherwise go on as voters of a group that does without them.
 func (g *Group) endChange(ctx *kernel.Context, before, now wire.Versioned) {
 	if before.Version.Term == 0 || isJoint(now) || !isJoint(before) && sameMembers(before.Voters, now.Voters) {
 		return
 	}
-	ctx.Log(kernel.LevelInfo, "membership_change_ended", "part", g.partition, "term", now.Version.Term, "seq", now.Version.Seq, "voters", replicaIDs(now.Voters))
+	ctx.Log(kernel.LevelInfo, "membership_change_ended", "partition", g.partition, "term", now.Version.Term, "seq", now.Version.Seq, "voters", replicaIDs(now.Voters))
 	for _, voter := range allVoters(before) {
 		if !contains(now.Voters, voter.ID) {
 			g.sendVersion(ctx, voter, now)
 		}
 	}
 }
-
-func replicaIDs(replicas []wire.Replica) []string {
-	ids := make([]string, 0, len(replicas))
-	for _, r := range replicas {
-		ids = append(ids, r.ID)
-	}
-	return ids
-}
--- a/control/replica/membership.go
+++ b/control/replica/membership.go
@@ -1,17 +1,21 @@
-// Which change of membership is due: a voter whose disk is lost, that leaves or
-// that is silent gives its place to another replica, a group that is too small
-// grows, and the voters are spread over the zones.
-
 package replica
 
 import (
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// substitute is the change that gives a voter's place to a learner.
+// The reasons to change a group's membership, in the order in which they are looked for: a voter lost its disk,
+// leaves, or does not respond; the group has too few voters; or the voters should be spread better over the
+// zones.
+
+// ReplaceAfter is how long a voter must not respond before a standby takes its place.
+const ReplaceAfter = 2 * clock.Second
+
+// substitute is the change that replaces a voter by a learner.
 func (g *Group) substitute(reason changeReason, removed string, learner wire.Replica) *memberChange {
 	voters := slices.Clone(g.committed.Voters)
 	for i := range voters {
@@ -27,24 +31,25 @@
 	return slices.DeleteFunc(g.host.standbys(ctx.Now), func(r wire.Replica) bool { return !g.canLearn(ctx, r.ID) })
 }
 
+// canLearn reports whether a replica neither leaves nor failed as a learner lately.
 func (g *Group) canLearn(ctx *kernel.Context, id string) bool {
 	failedAt, failed := g.learnerFailedAt[id]
 	return !g.isLeaving(ctx, id) && !(failed && ctx.Now-failedAt < LearnerRetryAfter)
 }
 
-// replaceLostDisk gives the place of a voter whose disk is lost to the replica that is at its address now.
+// replaceLostDisk replaces a voter whose disk is lost by the replica that is at its address now.
 func (g *Group) replaceLostDisk(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
-		now, ok := g.successors[voter.ID]
-		if ok && !contains(g.committed.Voters, now.ID) && g.canLearn(ctx, now.ID) {
-			return g.substitute(reasonDiskLost, voter.ID, wire.Replica{ID: now.ID, Zone: now.Zone, Addr: voter.Addr})
+		successor, ok := g.successors[voter.ID]
+		if ok && !contains(g.committed.Voters, successor.ID) && g.canLearn(ctx, successor.ID) {
+			return g.substitute(reasonDiskLost, voter.ID, wire.Replica{ID: successor.ID, Zone: successor.Zone, Addr: voter.Addr})
 		}
 	}
 	return nil
 }
 
-// replaceLeaving gives the place of a voter that is stopping to a standby, unless the loss of
-// one zone would then take a majority that it does not take now.
+// replaceLeaving replaces a voter that stops by a standby, unless the loss of one zone would then take a majority
+// that it does not take now.
 func (g *Group) replaceLeaving(ctx *kernel.Context) *memberChange {
 	zones := g.host.kernel.Boot.Settings.Tolerance.Zones
 	for _, voter := range g.committed.Voters {
@@ -63,11 +68,12 @@
 	return nil
 }
 
+// isUnresponsive reports whether a voter was not heard for ReplaceAfter.
 func (g *Group) isUnresponsive(ctx *kernel.Context, id string) bool {
 	return id != g.self() && ctx.Now-g.heardAt[id] >= ReplaceAfter
 }
 
-// replaceUnresponsive gives the place of a voter that was not heard for long to a standby.
+// replaceUnresponsive replaces a voter that does not respond by a standby.
 func (g *Group) replaceUnresponsive(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
 		if !g.isUnresponsive(ctx, voter.ID) {
@@ -80,7 +86,7 @@
 	return nil
 }
 
-// addVoters adds two voters to a group that has fewer than it should; with one it would bear no more.
+// addVoters adds two voters to a group that has too few: one more would not let it survive more losses.
 func (g *Group) addVoters(ctx *kernel.Context) *memberChange {
 	if len(g.committed.Voters)+2 > g.host.wantedVoters() || ctx.Now-g.leaderSince < RebalanceAfter {
 		return nil
@@ -98,8 +104,8 @@
 	return change
 }
 
-// rebalance moves a voter out of a zone that has two more of them than another one with a
-// standby: the loss of one zone must not take a majority.
+// rebalance replaces a voter of a zone that has two more of them than another zone with a standby, so that
+// the loss of one zone takes no majority.
 func (g *Group) rebalance(ctx *kernel.Context) *memberChange {
 	voters := g.committed.Voters
 	crowded := slices.ContainsFunc(voters, func(r wire.Replica) bool { return countInZone(voters, r.Zone, "") > 1 })
--- /dev/null
+++ b/control/replica/messages.go
@@ -0,0 +1,145 @@
+package replica
+
+import (
+	"fmt"
+
+	"github.com/tinylib/msgp/msgp"
+
+	"wallport/runtime/clock"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
+)
+
+// decode decodes a message and passes it on. A malformed one ends its connection.
+func decode[T any, P interface {
+	*T
+	msgp.Unmarshaler
+}](ctx *kernel.Context, v kernel.Message, handle func(m T)) {
+	var m T
+	if wire.Decode(v.Body, P(&m)) != nil {
+		ctx.Counts.Add("frames_malformed", 1)
+		ctx.Drop(v.Conn)
+		return
+	}
+	handle(m)
+}
+
+func (h *Host) handleMessage(ctx *kernel.Context, v kernel.Message) {
+	inGroup := func(partition int, handle func(g *Group)) {
+		if partition >= 0 && partition < len(h.groups) && !h.diskDamaged {
+			handle(h.groups[partition])
+		}
+	}
+	// A machine that lost its disk is another replica at the address of the old one: what is meant for the
+	// old one must not reach it, since the new one knows nothing of the votes and versions that were synced.
+	addressed := func(id string, partition int, handle func(g *Group)) {
+		if id != "" && id != h.replicaID {
+			ctx.Counts.Add("part_misdirected", 1)
+			h.reportReplacement(ctx, v, id, partition)
+			return
+		}
+		inGroup(partition, handle)
+	}
+	switch v.Kind {
+	case wire.KindVote:
+		decode(ctx, v, func(m wire.Vote) {
+			addressed(m.To, m.Partition, func(g *Group) { g.handleVote(ctx, v.Conn, v.ID, m) })
+		})
+	case wire.KindVoteReply:
+		decode(ctx, v, func(m wire.VoteReply) {
+			inGroup(m.Partition, func(g *Group) { g.handleVoteReply(ctx, m) })
+		})
+	case wire.KindAccept:
+		decode(ctx, v, func(m wire.Accept) {
+			addressed(m.To, m.Partition, func(g *Group) {
+				h.joinFleet(ctx)
+				g.handleAccept(ctx, v.Conn, v.ID, m)
+			})
+		})
+	case wire.KindAcceptReply:
+		decode(ctx, v, func(m wire.AcceptReply) {
+			inGroup(m.Partition, func(g *Group) { g.handleAcceptReply(ctx, m) })
+		})
+	case wire.KindLeaderHeartbeat:
+		decode(ctx, v, func(m wire.LeaderHeartbeat) {
+			addressed(m.To, m.Partition, func(g *Group) { g.handleHeartbeat(ctx, v.Conn, v.ID, m) })
+		})
+	case wire.KindLeaderHeartbeatReply:
+		decode(ctx, v, func(m wire.LeaderHeartbeatReply) {
+			inGroup(m.Partition, func(g *Group) { g.handleHeartbeatReply(ctx, m) })
+		})
+	case wire.KindBootstrap:
+		decode(ctx, v, func(m wire.Bootstrap) { h.handleBootstrap(ctx, v.Conn, m) })
+	case wire.KindBootstrapReply:
+		decode(ctx, v, func(m wire.BootstrapReply) { h.handleBootstrapReply(ctx, m) })
+	case wire.KindPull:
+		decode(ctx, v, func(m wire.Pull) { h.handlePull(ctx, v.Conn, v.ID, m) })
+	case wire.KindEdit:
+		decode(ctx, v, func(m wire.Edit) {
+			inGroup(m.Partition, func(g *Group) { g.handleEdit(ctx, v.Conn, v.ID, m) })
+		})
+	case wire.KindRebuild:
+		decode(ctx, v, func(m wire.Rebuild) {
+			inGroup(m.Partition, func(g *Group) { g.handleRebuild(ctx, v.Conn, v.ID, m) })
+		})
+	case wire.KindLeave:
+		decode(ctx, v, func(m wire.Leave) {
+			addressed(m.To, m.Partition, func(g *Group) { g.handleLeave(ctx, v.Conn, m) })
+		})
+	case wire.KindStatusRequest:
+		h.sendStatus(ctx, v)
+	case wire.KindLeaseRequest:
+		decode(ctx, v, func(m wire.LeaseRequest) {
+			inGroup(m.Partition, func(g *Group) { g.handleLeaseRequest(ctx, v.Conn, v.ID, m) })
+		})
+	}
+}
+
+// reportReplacement tells the leader that heartbeats a replica whose disk is lost which replica is at that
+// address now, so that it can be given the voter's place.
+func (h *Host) reportReplacement(ctx *kernel.Context, v kernel.Message, id string, partition int) {
+	if v.Kind != wire.KindLeaderHeartbeat || partition < 0 || partition >= len(h.groups) || h.groups[partition].isVoter() {
+		return
+	}
+	if h.replicaID == "" || h.diskProblem != diskHealthy || h.stopping {
+		return
+	}
+	ctx.Send(v.Conn, wire.KindLeaderHeartbeatReply, v.ID, &wire.LeaderHeartbeatReply{Partition: partition, From: id, Successor: h.replicaID, Zone: h.kernel.Boot.Settings.Zone})
+}
+
+// sendReplica sends a message to a replica, where its disk is now.
+func (h *Host) sendReplica(ctx *kernel.Context, to wire.Replica, kind uint8, m msgp.Marshaler) {
+	addr := to.Addr
+	switch v := m.(type) {
+	case *wire.Vote:
+		v.To = to.ID
+	case *wire.Accept:
+		v.To = to.ID
+	case *wire.LeaderHeartbeat:
+		v.To = to.ID
+	case *wire.Leave:
+		v.To = to.ID
+	}
+	if a := h.addressOf(to.ID, ctx.Now); a != "" {
+		addr = a
+	}
+	ctx.Counts.Add("part_messages", 1)
+	if accept, ok := m.(*wire.Accept); ok {
+		// A replica that is slow or away needs only the newest version, so that one replaces an older
+		// one that is still in the connection's backlog.
+		ctx.SendLatestTo(addr, kind, m, fmt.Sprintf("version %d", accept.Partition))
+		return
+	}
+	ctx.SendTo(addr, kind, 0, m)
+}
+
+// addressOf is the mesh address of the process that has a replica's disk now; empty where it isn't known.
+func (h *Host) addressOf(id string, now clock.Micros) string {
+	if id == h.replicaID {
+		return h.kernel.Boot.Settings.Mesh
+	}
+	if core, ok := h.liveCore(id, now); ok {
+		return core.Addr
+	}
+	return ""
+}
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -1,23 +1,43 @@
-// The leader's answers: edits are batched into one version and judged in turn,
-// and nothing is said that rests on what is not committed, or on a leadership
-// that a majority has not confirmed since the question came.
-
 package replica
 
 import (
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// handleEdit takes an operator's or another plug-in's change, or a confirmed read.
+const (
+	// MaxQueued and MaxQueuedBytes bound the edits that wait for the next proposal.
+	MaxQueued      = 256
+	MaxQueuedBytes = 8 << 20
+	// ClockInterval is how often a leader looks whether something is due by the time of day.
+	ClockInterval = 200 * clock.Millisecond
+	// sameProcess stands for a connection where a message comes from this very process.
+	sameProcess = 0
+)
+
+// pendingEdit is an edit or a read that waits for its reply.
+type pendingEdit struct {
+	conn  uint64
+	id    uint64
+	edit  wire.Edit
+	reply wire.EditReply
+	// applied is whether the edit is part of the proposal under way.
+	applied bool
+	// confirmRound is the heartbeat round that a majority must answer before the reply to a read or a
+	// rejection is sent.
+	confirmRound uint64
+}
+
+// handleEdit takes an edit, of an operator or of another plug-in, or a read that a majority confirms.
 func (g *Group) handleEdit(ctx *kernel.Context, conn, id uint64, e wire.Edit) {
 	if g.role != leader || g.transferring {
-		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: "not_owner", Addr: g.leaderAddress})
+		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: wire.CodeNotLeader, Addr: g.leaderAddress})
 		return
 	}
 	if len(g.queue)+len(g.unconfirmed) >= MaxQueued || g.queuedBytes()+len(e.Body) > MaxQueuedBytes {
-		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: "shed"})
+		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: wire.CodeOverloaded})
 		return
 	}
 	pending := pendingEdit{conn: conn, id: id, edit: e}
@@ -27,40 +47,62 @@
 		return
 	}
 	if !g.ready {
-		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: "not_owner"})
+		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: wire.CodeNotLeader})
 		return
 	}
 	g.awaitConfirmation(ctx, pending)
 }
 
-// awaitConfirmation has a majority confirm this leader before a read or a refusal is answered.
-func (g *Group) awaitConfirmation(ctx *kernel.Context, w ...pendingEdit) {
-	for _, v := range w {
-		v.confirmRound = g.heartbeatRound + 1
-		g.unconfirmed = append(g.unconfirmed, v)
+// queuedBytes is the size of the edits that wait for the next proposal.
+func (g *Group) queuedBytes() (n int) {
+	for _, pending := range g.queue {
+		n += len(pending.edit.Body)
 	}
-	g.sendHeartbeats(ctx)
-	g.replyConfirmed(ctx)
+	return n
 }
 
-// proposeNext batches the queue into one version, each edit judged in turn against the outcome of
-// those before it; what is refused or repeated is answered with the version that it rests on.
+// proposeNext makes the queue, a change of the voters and what is due by the time of day one proposal, unless
+// there is one under way. Edits that are rejected, or were taken before, are answered with the version that
+// the answer rests on: together with the edits of the batch, or, where nothing is proposed, once a majority
+// has confirmed this leader.
 func (g *Group) proposeNext(ctx *kernel.Context) {
 	if g.role != leader || !g.ready || g.proposal != nil || g.transferring {
 		return
 	}
-	value := state.Value{Body: g.committed.Body, EditLog: g.committed.EditLog}
 	next := wire.Version{Partition: g.partition, Term: g.term, Seq: g.committed.Version.Seq + 1}
-	voters, changed := g.nextMembers(ctx)
+	voters, votersChanged := g.nextMembers(ctx)
 	if g.awaitsLearners(ctx) {
 		return
 	}
 	batch := g.queue
 	g.queue = nil
+	value, edited := g.applyBatch(ctx, batch, next)
+	changed := votersChanged || edited
+	if len(batch) == 0 && !changed && ctx.Now-g.clockworkAt < ClockInterval {
+		return
+	}
+	if body, due := g.applyClock(ctx, value.Body, next); due {
+		value.Body, changed = body, true
+	}
+	switch {
+	case changed:
+		g.proposedEdits = batch
+		ctx.Counts.Add("part_versions", 1)
+		g.propose(ctx, wire.Versioned{Version: next, Voters: voters, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.EditLog}, g.baseFor(value))
+	case len(batch) > 0:
+		g.awaitConfirmation(ctx, batch...)
+	}
+}
+
+// applyBatch applies a batch of edits to the committed value, each to the outcome of those before it, and
+// leaves each one's reply in the batch. It reports whether any was applied.
+func (g *Group) applyBatch(ctx *kernel.Context, batch []pendingEdit, next wire.Version) (value state.Value, changed bool) {
+	value = state.Value{Body: g.committed.Body, EditLog: g.committed.EditLog}
+	apply := state.ApplyFuncOf(g.partition)
 	for i := range batch {
 		edit := &batch[i]
 		var after state.Value
-		after, edit.reply, edit.applied = g.host.judge(g.partition)(value, next, &edit.edit)
+		after, edit.reply, edit.applied = apply(value, next, &edit.edit)
 		g.rejectTooLarge(ctx, edit, value, after)
 		switch {
 		case edit.applied:
@@ -69,28 +111,45 @@
 			edit.reply.Version = g.committed.Version
 		}
 	}
-	if len(batch) == 0 && !changed && ctx.Now-g.clockworkAt < ClockInterval {
+	return value, changed
+}
+
+// rejectTooLarge rejects an edit whose outcome is larger than a partition may be.
+func (g *Group) rejectTooLarge(ctx *kernel.Context, edit *pendingEdit, before, after state.Value) {
+	if !edit.applied {
 		return
 	}
+	if reply, tooLarge := state.TooLarge(g.partition, before, after); tooLarge {
+		edit.reply, edit.applied = reply, false
+		ctx.Counts.Add("orders_too_large", 1)
+	}
+}
+
+// applyClock gives the body after what is due by the time of day, if something is and a majority agrees on
+// the time.
+func (g *Group) applyClock(ctx *kernel.Context, body []byte, next wire.Version) (after []byte, due bool) {
 	g.clockworkAt = ctx.Now
-	if wall, known := g.agreedTime(ctx); known {
-		if after, due := g.host.clockwork(g.partition)(value.Body, next, wall, g.leaseHolders(ctx)); due && len(after) <= state.MaxBody(g.partition)+state.TickAllowance {
-			value.Body, changed = after, true
-		}
-	} else {
+	wall, known := g.agreedTime(ctx)
+	if !known {
 		ctx.Counts.Add("part_clocks_disagree", 1)
+		return nil, false
 	}
-	switch {
-	case changed:
-		g.proposedEdits = batch
-		ctx.Counts.Add("part_versions", 1)
-		g.propose(ctx, wire.Versioned{Version: next, Voters: voters, PreviousVoters: g.committed.Voters, Body: value.Body, EditLog: value.EditLog}, g.baseFor(value))
-	case len(batch) > 0:
-		g.awaitConfirmation(ctx, batch...)
+	after, due = state.TickFuncOf(g.partition)(body, next, wall, g.leaseHolders(ctx))
+	return after, due && len(after) <= state.MaxBody(g.partition)+state.TickAllowance
+}
+
+// awaitConfirmation has a majority confirm this leader before reads and rejections are answered.
+func (g *Group) awaitConfirmation(ctx *kernel.Context, edits ...pendingEdit) {
+	for _, v := range edits {
+		v.confirmRound = g.heartbeatRound + 1
+		g.unconfirmed = append(g.unconfirmed, v)
 	}
+	g.sendHeartbeats(ctx)
+	g.replyConfirmed(ctx)
 }
 
-// replyConfirmed answers reads and refusals that a majority confirmed this leader for, after they came.
+// replyConfirmed answers the reads and rejections for which a majority has answered a heartbeat round that was
+// sent after they came.
 func (g *Group) replyConfirmed(ctx *kernel.Context) {
 	var left []pendingEdit
 	for _, w := range g.unconfirmed {
@@ -106,3 +165,12 @@
 	}
 	g.unconfirmed = left
 }
+
+// replyToEdit sends the reply to an edit where the edit came from.
+func (g *Group) replyToEdit(ctx *kernel.Context, conn, id uint64, r wire.EditReply) {
+	if conn == sameProcess {
+		ctx.Emit(Replied{ID: id, Reply: r})
+		return
+	}
+	ctx.Send(conn, wire.KindEditReply, id, &r)
+}
--- a/control/replica/quorum.go
+++ b/control/replica/quorum.go
@@ -1,40 +1,64 @@
-// Majorities of replicas, also across a change of replicas.
-
 package replica
 
-import "wallport/runtime/wire"
+import (
+	"slices"
+
+	"wallport/runtime/wire"
+)
 
+// contains reports whether a replica is among some.
 func contains(replicas []wire.Replica, id string) bool {
-	for _, s := range replicas {
-		if s.ID == id {
+	for _, r := range replicas {
+		if r.ID == id {
 			return true
 		}
 	}
 	return false
 }
 
-func majority(voters []wire.Replica, ok func(id string) bool) bool {
+// majority reports whether more than half of the voters fulfil a condition; no voters have no majority.
+func majority(voters []wire.Replica, fulfils func(id string) bool) bool {
 	n := 0
-	for _, s := range voters {
-		if ok(s.ID) {
+	for _, v := range voters {
+		if fulfils(v.ID) {
 			n++
 		}
 	}
 	return len(voters) > 0 && n > len(voters)/2
 }
 
-// quorum needs a majority of a version's replicas and of the replicas before them.
-func quorum(v wire.Versioned, ok func(id string) bool) bool {
-	return majority(v.Voters, ok) && (len(v.PreviousVoters) == 0 || majority(v.PreviousVoters, ok))
+// quorum reports whether a majority of a version's voters fulfils a condition and, where the version
+// changes the voters, a majority of those before as well (joint consensus).
+func quorum(v wire.Versioned, fulfils func(id string) bool) bool {
+	return majority(v.Voters, fulfils) && (len(v.PreviousVoters) == 0 || majority(v.PreviousVoters, fulfils))
 }
 
-// allVoters lists every replica that a version's quorum may need.
+// allVoters lists every replica that may count for a version's quorum.
 func allVoters(v wire.Versioned) []wire.Replica {
-	out := append([]wire.Replica(nil), v.Voters...)
-	for _, p := range v.PreviousVoters {
-		if !contains(out, p.ID) {
-			out = append(out, p)
+	all := append([]wire.Replica(nil), v.Voters...)
+	for _, voter := range v.PreviousVoters {
+		if !contains(all, voter.ID) {
+			all = append(all, voter)
 		}
 	}
-	return out
+	return all
+}
+
+// isJoint reports whether a version needs the voters before a change as well as those after it.
+func isJoint(v wire.Versioned) bool {
+	return len(v.PreviousVoters) > 0 && !sameMembers(v.PreviousVoters, v.Voters)
+}
+
+// sameMembers reports whether two lists name the same replicas in the same order.
+func sameMembers(a, b []wire.Replica) bool {
+	return slices.EqualFunc(a, b, func(a, b wire.Replica) bool { return a.ID == b.ID })
+}
+
+// replicaIDs lists the identities of replicas, for the log.
+func replicaIDs(replicas []wire.Replica) []string {
+	ids := make([]string, 0, len(replicas))
+	for _, r := range replicas {
+		ids = append(ids, r.ID)
+	}
+	return ids
 }
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -1,29 +1,30 @@
-// Making a partition's group anew, on an operator's explicit word, when a majority of
-// its disks is gone for good. A core that hears a leader refuses; so does one
-// that holds something newer than it is offered.
-
 package replica
 
 import (
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// LeaderlessFor is how long no leader must have been heard of.
-const LeaderlessFor = 5_000_000
+// LeaderlessFor is how long a replica must not have heard of a leader before it takes part in a rebuild.
+const LeaderlessFor = 5 * clock.Second
 
+// handleRebuild takes part in forming a partition's group anew, on an operator's explicit command, when a
+// majority of its disks is gone for good. Asked first, it replies with the version that it holds; then it
+// takes the version that the operator's process found to be the newest. A replica that hears a leader refuses,
+// and so does one that has voted in or holds something newer.
 func (g *Group) handleRebuild(ctx *kernel.Context, conn, id uint64, m wire.Rebuild) {
-	reply := func(ctx *kernel.Context, why string) {
-		held := g.accepted
+	reply := func(ctx *kernel.Context, refusal string) {
+		stored := g.accepted
 		if m.VersionOnly || m.Apply {
-			held.Body, held.EditLog = nil, nil
+			stored.Body, stored.EditLog = nil, nil
 		}
-		ctx.Send(conn, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: why == "", Reason: why, Stored: held})
+		ctx.Send(conn, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: refusal == "", Reason: refusal, Stored: stored})
 	}
 	switch {
-	case g.host.diskProblem != "":
-		reply(ctx, "the disk is "+g.host.diskProblem)
+	case g.host.diskProblem != diskHealthy:
+		reply(ctx, "the disk is "+string(g.host.diskProblem))
 		return
 	case g.role == leader || g.leaderSeen > 0 && ctx.Now-g.leaderSeen < LeaderlessFor:
 		reply(ctx, "the part has an owner")
@@ -37,7 +38,7 @@
 	}
 	v := m.Versioned
 	g.votedTerm = v.Version.Term
-	ctx.Log(kernel.LevelWarn, "part_rebuilt", "part", g.partition, "term", v.Version.Term, "seq", v.Version.Seq)
+	ctx.Log(kernel.LevelWarn, "group_rebuilt", "partition", g.partition, "term", v.Version.Term, "seq", v.Version.Seq)
 	g.host.save(ctx, versionFile(v.Version), wire.Encode(&v), func(ctx *kernel.Context, err string) {
 		if err != "" {
 			reply(ctx, err)
@@ -52,14 +53,15 @@
 	})
 }
 
-// isSuperseded tells that a version was committed which no majority of this group holds:
-// the group was rebuilt without it, and it stands aside until it is given the newer one.
+// isSuperseded reports whether the mesh shows a committed version that is newer than best, the newest version
+// of a majority of this group: then the group was rebuilt without this replica, which must not lead until it
+// is given the newer version.
 func (g *Group) isSuperseded(ctx *kernel.Context, best wire.Versioned) bool {
 	v, ok := g.host.mesh.Partition(g.partition)
 	if !ok || !mesh.Newer(v.Version, best.Version) {
 		return false
 	}
 	ctx.Counts.Add("part_superseded", 1)
-	ctx.Log(kernel.LevelWarn, "part_superseded", "part", g.partition, "holds_term", best.Version.Term, "newer_term", v.Version.Term)
+	ctx.Log(kernel.LevelWarn, "group_superseded", "partition", g.partition, "holds_term", best.Version.Term, "newer_term", v.Version.Term)
 	return true
 }
--- /dev/null
+++ b/control/replica/replication.go
@@ -0,0 +1,185 @@
+package replica
+
+import (
+	"bytes"
+
+	"wallport/cluster/mesh"
+	"wallport/control/state"
+	"wallport/runtime/clock"
+	"wallport/runtime/kernel"
+	"wallport/runtime/wire"
+)
+
+// ProposalTimeout is how long a proposal may be under way, beside what its size takes (transferTime).
+const ProposalTimeout = 10 * clock.Second
+
+// propose has the voters sync a version. base is the version whose body and log of edits it has, if there is
+// one: voters that hold that one needn't be sent them.
+func (g *Group) propose(ctx *kernel.Context, v wire.Versioned, base wire.Version) {
+	g.proposal, g.proposedAt = &v, ctx.Now
+	g.acked = map[string]bool{}
+	g.sendProposal(ctx, base)
+}
+
+// proposalIsOverdue reports whether no majority has synced the proposal in time. Whoever leads next finds it
+// at some voter, or not; this leader can do no more for it.
+func (g *Group) proposalIsOverdue(now clock.Micros) bool {
+	if g.proposal == nil {
+		return false
+	}
+	return now-g.proposedAt > ProposalTimeout+transferTime(versionSize(*g.proposal))
+}
+
+// sendProposal sends the proposal to the voters that have not synced it yet, and to the learners.
+func (g *Group) sendProposal(ctx *kernel.Context, base wire.Version) {
+	g.proposalSentAt = ctx.Now
+	accept := g.newAccept(*g.proposal)
+	for _, voter := range allVoters(*g.proposal) {
+		if g.acked[voter.ID] {
+			continue
+		}
+		if voter.ID == g.self() {
+			g.handleAccept(ctx, sameProcess, 0, accept)
+			continue
+		}
+		forVoter := g.withBase(accept, voter.ID, base)
+		g.host.sendReplica(ctx, voter, wire.KindAccept, &forVoter)
+	}
+	g.sendToLearners(ctx, *g.proposal)
+}
+
+// sendFullProposal sends the proposal with its body to a voter that lacks the version that the body is of.
+func (g *Group) sendFullProposal(ctx *kernel.Context, r wire.AcceptReply) {
+	if g.proposal == nil || r.Version != g.proposal.Version {
+		return
+	}
+	delete(g.synced, r.From)
+	for _, voter := range allVoters(*g.proposal) {
+		if voter.ID == r.From {
+			g.sendVersion(ctx, voter, *g.proposal)
+		}
+	}
+}
+
+// sendVersion sends a version with its body to a replica.
+func (g *Group) sendVersion(ctx *kernel.Context, to wire.Replica, v wire.Versioned) {
+	accept := g.newAccept(v)
+	g.host.sendReplica(ctx, to, wire.KindAccept, &accept)
+}
+
+// newAccept is the message that brings a version to a replica, in this leader's term.
+func (g *Group) newAccept(v wire.Versioned) wire.Accept {
+	return wire.Accept{Partition: g.partition, Term: g.term, From: g.self(), Versioned: v}
+}
+
+func (g *Group) handleAcceptReply(ctx *kernel.Context, r wire.AcceptReply) {
+	if g.role != leader {
+		return
+	}
+	if !r.OK {
+		switch {
+		case r.Term > g.term:
+			g.fence(ctx, r.Term)
+		case r.LacksBase:
+			g.sendFullProposal(ctx, r)
+		default:
+			g.handleLearnerReply(ctx, r)
+		}
+		return
+	}
+	g.heardAt[r.From] = ctx.Now
+	g.recordSynced(r)
+	g.handleLearnerReply(ctx, r)
+	if g.proposal == nil || r.Version != g.proposal.Version {
+		return
+	}
+	g.acked[r.From] = true
+	if quorum(*g.proposal, func(id string) bool { return g.acked[id] }) {
+		g.commitProposal(ctx)
+	}
+}
+
+// commitProposal ends the proposal that a quorum has synced: its edits are answered, the followers are told,
+// and the edits that came meanwhile are proposed.
+func (g *Group) commitProposal(ctx *kernel.Context) {
+	v, edits := *g.proposal, g.proposedEdits
+	g.proposal, g.proposedEdits = nil, nil
+	g.ready = true
+	g.checkLeaderTerm(ctx, v)
+	g.commit(ctx, v)
+	for _, edit := range edits {
+		if edit.applied {
+			edit.reply.Version = v.Version
+		}
+		g.replyToEdit(ctx, edit.conn, edit.id, edit.reply)
+	}
+	g.sendHeartbeats(ctx)
+	g.proposeNext(ctx)
+}
+
+// commit records that a version is committed, and emits Committed.
+func (g *Group) commit(ctx *kernel.Context, v wire.Versioned) {
+	if !mesh.Newer(v.Version, g.committed.Version) {
+		return
+	}
+	before := g.committed
+	g.checkRevisionRises(ctx, before, v)
+	g.committed = v
+	if g.role == leader {
+		g.endChange(ctx, before, v)
+	}
+	ctx.Emit(Committed{Version: v})
+}
+
+// syncedVersion is the newest version that a replica said it has synced, and the newest heartbeat round when
+// it did.
+type syncedVersion struct {
+	version        wire.Version
+	heartbeatRound uint64
+	// supportsBase is whether the replica takes a version without its body: releases before 3 don't.
+	supportsBase bool
+}
+
+// recordSynced remembers the newest version that a replica has acknowledged.
+func (g *Group) recordSynced(r wire.AcceptReply) {
+	if mesh.Newer(r.Version, g.synced[r.From].version) {
+		g.synced[r.From] = syncedVersion{r.Version, g.heartbeatRound, r.SupportsBase}
+	}
+}
+
+// recordVoterVersions remembers what the voters of an election hold.
+func (g *Group) recordVoterVersions(votes map[string]wire.VoteReply) {
+	for id, v := range votes {
+		g.synced[id] = syncedVersion{v.Stored.Version, g.heartbeatRound, v.SupportsBase}
+	}
+}
+
+// detectRollback reports a replica that holds an older version than it has acknowledged in this term: its disk
+// returned to an older content, which the algorithm assumes does not happen.
+func (g *Group) detectRollback(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
+	was, known := g.synced[r.From]
+	if !known || r.Round <= was.heartbeatRound || !mesh.Newer(was.version, r.Stored) {
+		return
+	}
+	delete(g.synced, r.From)
+	ctx.Counts.Add("replicas_rolled_back", 1)
+	ctx.Log(kernel.LevelError, "replica_rolled_back", "partition", g.partition, "replica", r.From, "had_seq", was.version.Seq, "has_seq", r.Stored.Seq,
+		"action", "stop this core, empty its data folder, start it again: it comes back as a new replica")
+}
+
+// baseFor is the committed version, if a new value has its body and its log of edits: only the voters change.
+func (g *Group) baseFor(value state.Value) (base wire.Version) {
+	if bytes.Equal(value.Body, g.committed.Body) && bytes.Equal(value.EditLog, g.committed.EditLog) {
+		base = g.committed.Version
+	}
+	return base
+}
+
+// withBase leaves a large body out of the message to a replica that holds it as the version base.
+func (g *Group) withBase(a wire.Accept, id string, base wire.Version) wire.Accept {
+	held := g.synced[id]
+	if isLarge(versionSize(a.Versioned)) && base.Term > 0 && held.supportsBase && held.version == base {
+		a.Base, a.Versioned.Body, a.Versioned.EditLog = base, nil, nil
+	}
+	return a
+}
--- a/control/replica/status.go
+++ b/control/replica/status.go
@@ -1,28 +1,32 @@
-// What an operator is shown of the replicas: their contact with a majority, their
-// versions, and the change of members that is under way.
-
 package replica
 
 import (
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// States of a replica, as operators are shown them.
+// replicaState is the state of a replica as operators are shown it.
+type replicaState string
+
 const (
-	stateLeader    = "leader"
-	stateNewLeader = "new_leader"
-	stateCandidate = "candidate"
-	stateFollower  = "follower"
-	stateStandby   = "standby"
-	stateDamaged   = "damaged"
+	stateLeader replicaState = "leader"
+	// stateNewLeader is a leader that has not committed a version of its own term yet.
+	stateNewLeader replicaState = "new_leader"
+	stateCandidate replicaState = "candidate"
+	stateFollower  replicaState = "follower"
+	// stateStandby is a replica without a vote.
+	stateStandby replicaState = "standby"
+	// stateDamaged is a replica whose disk can't be trusted.
+	stateDamaged replicaState = "damaged"
 )
 
-// changeAwaitingCommit stands for a change of members that waits for its last version.
-const changeAwaitingCommit = "settling"
+// changeAwaitingCommit is shown in place of a reason while a change waits for its last version.
+const changeAwaitingCommit changeReason = "settling"
 
-// Status is the state of this process's replicas.
-func (h *Host) Status(now int64) *wire.StatusReply {
+// Status is what operators are shown of this process's replicas: their state, their contact with a majority,
+// their versions and the change of membership under way.
+func (h *Host) Status(now clock.Micros) *wire.StatusReply {
 	reply := &wire.StatusReply{Addr: h.kernel.Boot.Settings.Mesh}
 	for _, g := range h.groups {
 		reply.Replicas = append(reply.Replicas, g.status(now))
@@ -30,24 +34,24 @@
 	return reply
 }
 
-// sendStatus answers a question for it.
+// sendStatus replies to a request for the status.
 func (h *Host) sendStatus(ctx *kernel.Context, v kernel.Message) {
 	ctx.Send(v.Conn, wire.KindStatusReply, v.ID, h.Status(ctx.Now))
 }
 
-func (g *Group) status(now int64) wire.ReplicaStatus {
+func (g *Group) status(now clock.Micros) wire.ReplicaStatus {
 	status := wire.ReplicaStatus{
-		Partition: g.partition, State: g.stateName(), Term: max(g.term, g.votedTerm), Leader: g.host.Leader(g.partition, now),
+		Partition: g.partition, State: string(g.state()), Term: max(g.term, g.votedTerm), Leader: g.host.Leader(g.partition, now),
 		InContact: g.inContact(now, g.committed.Version), Committed: g.committed.Version, Stored: g.accepted.Version,
 		Voters: len(allVoters(g.accepted)), Leaving: g.host.stopping && g.isVoter(),
 	}
 	if g.role == leader {
-		status.Change = g.currentChange()
+		status.Change = string(g.currentChange())
 	}
 	return status
 }
 
-func (g *Group) stateName() string {
+func (g *Group) state() replicaState {
 	switch {
 	case g.host.diskDamaged:
 		return stateDamaged
@@ -63,12 +67,12 @@
 	return stateCandidate
 }
 
-// currentChange is the reason of the change of members whose learners are catching up, or that a
-// change is proposed or committed and waits to be settled; empty where there is none.
-func (g *Group) currentChange() string {
+// currentChange is the reason of the change of membership whose learners are catching up, changeAwaitingCommit
+// where a change is proposed and waits for its last version, and empty where there is none.
+func (g *Group) currentChange() changeReason {
 	switch {
 	case g.change != nil:
-		return string(g.change.reason)
+		return g.change.reason
 	case isJoint(g.newestVersion()):
 		return changeAwaitingCommit
 	}
--- a/control/replica/status_test.go
+++ b/control/replica/status_test.go
@@ -22,23 +22,23 @@
 
 func TestStatusShowsLeaderContact(t *testing.T) {
 	c := newCore(t, nil)
-	must.Eq(t, stateFollower, c.shown(t).State)
+	must.Eq(t, string(stateFollower), c.shown(t).State)
 	must.False(t, c.shown(t).InContact)
 	g := electLeader(t, c)
 	c.now += HeartbeatInterval
 	c.tick()
 	c.replyToHeartbeat(g, 0)
 	s := c.shown(t)
-	must.Eq(t, stateLeader, s.State)
+	must.Eq(t, string(stateLeader), s.State)
 	must.True(t, s.InContact)
 	must.Eq(t, g.term, s.Term)
 	must.Eq(t, g.committed.Version, s.Committed)
 	must.Eq(t, 3, s.Voters)
 	c.now += ContactFor + 1
 	must.False(t, c.shown(t).InContact)
-	must.Eq(t, stateLeader, c.shown(t).State, must.Sprint("it did not tick yet"))
+	must.Eq(t, string(stateLeader), c.shown(t).State, must.Sprint("it did not tick yet"))
 	c.tick()
-	must.Eq(t, stateFollower, c.shown(t).State)
+	must.Eq(t, string(stateFollower), c.shown(t).State)
 }
 
 func TestStatusShowsMembershipChange(t *testing.T) {
@@ -49,7 +49,7 @@
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	must.Eq(t, string(reasonLeaving), c.shown(t).Change)
 	c.syncLearners(t, g, "d")
-	must.Eq(t, changeAwaitingCommit, c.shown(t).Change, must.Sprint("the joint version is under way"))
+	must.Eq(t, string(changeAwaitingCommit), c.shown(t).Change, must.Sprint("the joint version is under way"))
 	must.Eq(t, 3, c.shown(t).Voters, must.Sprint("of the version on its disk, which the joint one is not yet"))
 }
 
@@ -57,8 +57,8 @@
 	v := version(7, 3)
 	v.Voters = replicas("a", "b", "c")
 	standby := newCore(t, map[string][]byte{versionFile(v.Version): diskfile.Pack(wire.Encode(&v))})
-	must.Eq(t, stateStandby, standby.shown(t).State)
+	must.Eq(t, string(stateStandby), standby.shown(t).State)
 	must.Eq(t, v.Version, standby.shown(t).Stored)
 	damaged := newCore(t, map[string][]byte{voteFile(0): []byte("torn")})
-	must.Eq(t, stateDamaged, damaged.shown(t).State)
+	must.Eq(t, string(stateDamaged), damaged.shown(t).State)
 }
--- a/control/replica/disk_test.go
+++ b/control/replica/storage_test.go
@@ -68,7 +68,7 @@
 func TestReplicaIDIsSyncedBeforeUse(t *testing.T) {
 	c := emptyCore(t, nil)
 	delete(c.kernel.Boot.Files, "seat")
-	c.host.replicaID, c.host.onWritten = "", map[string]func(*kernel.Context, string){}
+	c.host.replicaID, c.host.onWritten = "", map[string]writeDone{}
 	out := c.feed(kernel.Start{})
 	must.Eq(t, "", c.host.ReplicaID())
 	for _, w := range out.Writes {
--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -1,29 +1,34 @@
-// Where a partition's leader is: handed on purpose to a named successor, in a planned
-// stop, when the own disk is sick, or to spread the partitions over the cores.
-
 package replica
 
 import (
 	"cmp"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// bestSuccessor picks the healthy replica that answered last.
+// RebalanceAfter is how long a leader leads, and a voter has been reachable without a gap, before leadership is
+// transferred, or voters are changed, only to spread them better.
+const RebalanceAfter = 4 * clock.Second
+
+// bestSuccessor is the healthy voter that was heard last; empty where there is none.
 func (g *Group) bestSuccessor(ctx *kernel.Context) string {
-	best, at := "", int64(0)
-	for _, s := range g.committed.Voters {
-		if s.ID != g.self() && g.reachableSince[s.ID] > 0 && g.heardAt[s.ID] > at && ctx.Now-g.heardAt[s.ID] < 2*HeartbeatInterval && !g.voterDiskProblem[s.ID] && !g.isLeaving(ctx, s.ID) {
-			best, at = s.ID, g.heardAt[s.ID]
+	best, bestHeardAt := "", clock.Micros(0)
+	for _, voter := range g.committed.Voters {
+		id, heardAt := voter.ID, g.heardAt[voter.ID]
+		reachable := g.reachableSince[id] > 0 && ctx.Now-heardAt < 2*HeartbeatInterval
+		if id != g.self() && reachable && heardAt > bestHeardAt && !g.voterDiskProblem[id] && !g.isLeaving(ctx, id) {
+			best, bestHeardAt = id, heardAt
 		}
 	}
 	return best
 }
 
-// preferredLeader names the replica that should own the partition so that the partitions are spread, once
-// this leader has served a while, nothing is under way, and that replica has long been well.
+// preferredLeader is the voter that should lead instead, so that the partitions' leaders are spread over the
+// cores: each partition prefers another one of its voters. It is empty where this one is preferred, has not
+// led for long enough or has something under way, or where the preferred one isn't well for long enough.
 func (g *Group) preferredLeader(ctx *kernel.Context) string {
 	if !g.ready || g.proposal != nil || len(g.queue)+len(g.unconfirmed) > 0 || ctx.Now-g.leaderSince < RebalanceAfter {
 		return ""
@@ -31,41 +36,35 @@
 	voters := slices.Clone(g.committed.Voters)
 	slices.SortFunc(voters, func(a, b wire.Replica) int { return cmp.Compare(a.ID, b.ID) })
 	preferred := voters[g.partition%len(voters)].ID
-	if preferred == g.self() || ctx.Now-g.heardAt[preferred] > 2*HeartbeatInterval || ctx.Now-g.reachableSince[preferred] < RebalanceAfter || g.voterDiskProblem[preferred] || g.isLeaving(ctx, preferred) {
+	if preferred == g.self() || g.voterDiskProblem[preferred] || g.isLeaving(ctx, preferred) {
 		return ""
 	}
-	if r, live := g.host.liveCore(preferred, ctx.Now); !live || r.UnhealthyReason != "" || r.Draining {
+	if ctx.Now-g.heardAt[preferred] > 2*HeartbeatInterval || ctx.Now-g.reachableSince[preferred] < RebalanceAfter {
 		return ""
 	}
-	return preferred
-}
-
-// handleStopping hands the partition on in a planned stop, once the version under way is committed.
-func (g *Group) handleStopping(ctx *kernel.Context) {
-	g.transferring = true
-	if g.role == leader {
-		g.leaderTick(ctx)
+	if core, live := g.host.liveCore(preferred, ctx.Now); !live || core.UnhealthyReason != "" || core.Draining {
+		return ""
 	}
-	g.requestLeave(ctx)
+	return preferred
 }
 
-// transfer hands the partition to the best successor there is.
+// transferLeadership transfers the leadership to the best successor, if there is one.
 func (g *Group) transferLeadership(ctx *kernel.Context) {
-	if next := g.bestSuccessor(ctx); g.role == leader && next != "" {
-		g.transferTo(ctx, next)
+	if successor := g.bestSuccessor(ctx); g.role == leader && successor != "" {
+		g.transferTo(ctx, successor)
 	}
 }
 
-// transferTo hands the partition to a named successor.
-func (g *Group) transferTo(ctx *kernel.Context, next string) {
-	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Committed: g.committed.Version, TransferTo: next}
-	for _, s := range allVoters(g.committed) {
-		if s.ID != g.self() {
-			g.host.sendReplica(ctx, s, wire.KindLeaderHeartbeat, &b)
+// transferTo steps down and designates a successor, which stands for leader at once.
+func (g *Group) transferTo(ctx *kernel.Context, successor string) {
+	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Committed: g.committed.Version, TransferTo: successor}
+	for _, voter := range allVoters(g.committed) {
+		if voter.ID != g.self() {
+			g.host.sendReplica(ctx, voter, wire.KindLeaderHeartbeat, &b)
 		}
 	}
 	ctx.Counts.Add("part_yielded", 1)
-	g.stepDown(ctx, "handed to "+next)
-	// Whoever asks meanwhile is sent to the successor.
-	g.leader, g.leaderAddress, g.leaderSeen = next, g.host.addressOf(next, ctx.Now), ctx.Now
+	g.stepDown(ctx, "transferred to "+stepDownReason(successor))
+	// Callers that ask meanwhile are sent to the successor.
+	g.leader, g.leaderAddress, g.leaderSeen = successor, g.host.addressOf(successor, ctx.Now), ctx.Now
 }
--- a/control/replica/vote_held_test.go
+++ b/control/replica/vote_version_test.go
@@ -76,7 +76,7 @@
 	g := electLeader(t, c)
 	v := large(g.term, 9)
 	g.synced = map[string]syncedVersion{
-		"holds": {version: wire.Version{Term: 1, Seq: 8}, takesBase: true}, "other": {version: wire.Version{Term: 1, Seq: 7}, takesBase: true},
+		"holds": {version: wire.Version{Term: 1, Seq: 8}, supportsBase: true}, "other": {version: wire.Version{Term: 1, Seq: 7}, supportsBase: true},
 		"older release": {version: wire.Version{Term: 1, Seq: 8}},
 	}
 	for id, want := range map[string]int{"holds": 0, "other": len(v.Body), "older release": len(v.Body), "unknown": len(v.Body)} {
--- /dev/null
+++ b/control/replica/wall_clock.go
@@ -0,0 +1,37 @@
+package replica
+
+import (
+	"slices"
+
+	"wallport/runtime/clock"
+	"wallport/runtime/kernel"
+)
+
+// ClockTolerance is how far two clocks may be apart and still agree.
+const ClockTolerance = 2 * clock.Second
+
+// agreedTime is the time of day that a majority of the voters agrees on: the lowest clock of the largest set
+// of clocks within ClockTolerance. Without such a majority it isn't known, and nothing starts or ends by it.
+func (g *Group) agreedTime(ctx *kernel.Context) (wall clock.Micros, known bool) {
+	// All are offsets from this process's monotonic clock: its own time of day may jump like any other.
+	offsets := []clock.Micros{ctx.Wall - ctx.Now}
+	for _, voter := range g.committed.Voters {
+		if offset, ok := g.wallOffsets[voter.ID]; ok && ctx.Now-g.heardAt[voter.ID] < StepDownAfter {
+			offsets = append(offsets, offset)
+		}
+	}
+	slices.Sort(offsets)
+	best, from := 0, clock.Micros(0)
+	for i, offset := range offsets {
+		agreeing := 0
+		for _, other := range offsets[i:] {
+			if other-offset <= ClockTolerance {
+				agreeing++
+			}
+		}
+		if agreeing > best {
+			best, from = agreeing, offset
+		}
+	}
+	return ctx.Now + from, best > len(g.committed.Voters)/2
+}
