--- a/control/reshard/reshard.go
+++ b/control/reshard/reshard.go
@@ -1,7 +1,9 @@
-// Package reshard flips an index to its next cut once every new shard has
-// enough warm servers. Any node may ask for the flip and they take turns; the
-// flip is an edit that names the move it ends and is judged by the leader of
-// the index's partition, so that a second one, or a late one, changes nothing.
+// Package reshard puts an index's next shard map in force once its shards have enough warm backends.
+//
+// Every node watches the snapshots of its routing state for indexes that are being moved. Nodes take turns
+// to request the switch, so that one lost request does not stall it. The request is an edit that names the
+// move it ends, and the leader of the index's partition validates it: a second one, or a late one, changes
+// nothing. The package owns only the timer and the count of its checks.
 package reshard
 
 import (
@@ -10,25 +12,37 @@
 	"wallport/control/configsync"
 	"wallport/control/state"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of a move.
 const (
-	CheckInterval = 500_000
-	MinWarmth     = 500
-	MinServers    = 2
+	// CheckInterval is the time between two checks while an index is being moved.
+	CheckInterval = 500 * clock.Millisecond
+	// MinWarmth is how far, in thousandths, a backend of the next shard map must have come in its slow start.
+	MinWarmth = 500
+	// MinServers is how many warm backends each shard of the next shard map needs. Fewer do if a shard of
+	// the map in force has fewer.
+	MinServers = 2
+	// checksPerTurn is for how many checks it stays a node's turn.
+	checksPerTurn = 4
 )
 
-// Resharder is the plug-in of a node.
+const (
+	pluginName = "cutmove"
+	timerCheck = "look"
+)
+
+// Resharder is the plug-in of a node that requests the switch to the next shard map.
 type Resharder struct {
 	mesh       *mesh.Mesh
 	members    *membership.Members
 	configSync *configsync.Sync
 	table      *snapshot.Table
-	checks     int
-	armed      bool
+	// checks counts the checks; the nodes take turns by it.
+	checks int
+	armed  bool
 }
 
 func init() {
@@ -40,95 +54,94 @@
 	}})
 }
 
-// Name is the plug-in's name.
-func (c *Resharder) Name() string { return "cutmove" }
+// Name returns the plug-in's name.
+func (r *Resharder) Name() string { return pluginName }
 
-// Kinds are the frames that it takes: none.
-func (c *Resharder) Kinds() []uint8 { return nil }
+// Kinds returns the message kinds that the plug-in handles: none.
+func (r *Resharder) Kinds() []uint8 { return nil }
 
-// Step takes one input.
-func (c *Resharder) Step(ctx *kernel.Context, in kernel.Input) {
+// Step handles one input.
+func (r *Resharder) Step(ctx *kernel.Context, in kernel.Input) {
 	switch in.(type) {
 	case snapshot.Built:
-		c.arm(ctx)
+		r.arm(ctx)
 	case kernel.Tick:
-		c.armed = false
-		c.arm(ctx)
-		c.requestFlips(ctx)
+		r.armed = false
+		r.arm(ctx)
+		r.requestSwitches(ctx)
 	}
 }
 
-// arm has it looked again for as long as some index is being moved.
-func (c *Resharder) arm(ctx *kernel.Context) {
-	if c.armed {
+// arm sets the timer of the next check if an index is being moved.
+func (r *Resharder) arm(ctx *kernel.Context) {
+	if r.armed {
 		return
 	}
-	for _, x := range c.table.Current().Indexes {
-		if x.ShardMap.Next != "" {
-			c.armed = true
-			ctx.After(CheckInterval, "cutmove", "look")
+	for _, index := range r.table.Current().Indexes {
+		if index.ShardMap.Next != "" {
+			r.armed = true
+			ctx.After(CheckInterval, pluginName, timerCheck)
 			return
 		}
 	}
 }
 
-// requestFlips asks for the flip of every move that is ready. The first live node by
-// name does it, and the others after it in turn where nothing came of it; the
-// edit is judged by the partition's leader, so that two who try flip once.
-func (c *Resharder) requestFlips(ctx *kernel.Context) {
-	cp := c.table.Current()
-	if cp == nil || cp.Configuration == nil || cp.Draining {
-		return
-	}
-	live := c.members.Live(ctx.Now, "node")
-	if len(live) == 0 {
+// requestSwitches requests the switch of every index whose next shard map is ready.
+func (r *Resharder) requestSwitches(ctx *kernel.Context) {
+	current := r.table.Current()
+	if current == nil || current.Configuration == nil || current.Draining {
 		return
 	}
-	c.checks++
-	if live[(c.checks/4)%len(live)].Origin != c.mesh.Self() && live[0].Origin != c.mesh.Self() {
+	live := r.members.Live(ctx.Now, "node")
+	if len(live) == 0 || !r.takeTurn(live) {
 		return
 	}
-	for _, name := range configuredIndexes(cp) {
-		x := cp.Indexes[name]
-		if x.ShardMap.Next == "" || !Ready(x, ctx.Now) {
-			continue
-		}
-		partition := state.PartitionOf(name)
-		addr := c.configSync.Leader(partition)
-		if addr == "" {
+	for _, service := range current.Configuration.Services {
+		index := current.Indexes[service.Index]
+		if index.ShardMap.Next == "" || !Ready(index, ctx.Now) {
 			continue
 		}
-		ctx.Counts.Add("cut_flips_asked", 1)
-		ctx.Log(kernel.LevelInfo, "cut_flip", "index", name, "from", x.ShardMap.Name, "to", x.ShardMap.Next)
-		ctx.SendTo(addr, wire.KindEdit, 0, &wire.Edit{Partition: partition, Op: "flip", Name: name, Body: wire.Encode(&x.ShardMap)})
+		r.requestSwitch(ctx, service.Index, &index.ShardMap)
+	}
+}
+
+// takeTurn counts a check and reports whether this node makes requests in it. The first live node by name
+// always does, and the others one after the other: together they go on if it does not get through.
+func (r *Resharder) takeTurn(live []membership.Member) bool {
+	r.checks++
+	turn := live[(r.checks/checksPerTurn)%len(live)]
+	return turn.Origin == r.mesh.Self() || live[0].Origin == r.mesh.Self()
+}
+
+// requestSwitch sends the edit to the leader of the index's partition, if one is known.
+func (r *Resharder) requestSwitch(ctx *kernel.Context, index string, shardMap *wire.ShardMap) {
+	partition := state.PartitionOf(index)
+	leader := r.configSync.Leader(partition)
+	if leader == "" {
+		return
 	}
+	ctx.Counts.Add("cut_flips_asked", 1)
+	ctx.Log(kernel.LevelInfo, "shard_map_switch_requested", "index", index, "from", shardMap.Name, "to", shardMap.Next)
+	ctx.SendTo(leader, wire.KindEdit, 0, &wire.Edit{Partition: partition, Op: wire.OpSwitchShardMap, Name: index, Body: wire.Encode(shardMap)})
 }
 
-// Ready reports whether every shard of the next cut has enough good, warm
-// servers: two, or as many as the live cut's thinnest shard has.
-func Ready(x *snapshot.Index, now int64) bool {
+// Ready reports whether every shard of an index's next shard map has enough healthy, warm backends: two, or
+// as many as the smallest shard of the map in force has, though at least one.
+func Ready(index *snapshot.Index, now clock.Micros) bool {
 	need := MinServers
-	for _, s := range x.Shards {
-		need = min(need, max(1, len(s)))
+	for _, backends := range index.Shards {
+		need = min(need, max(1, len(backends)))
 	}
-	for _, s := range x.NextShards {
-		n := 0
-		for _, v := range s {
-			if v.Health == snapshot.Healthy && v.Incarnation != 0 && v.SlowStartShare(now, x.Service.RampUs) >= MinWarmth {
-				n++
+	for _, backends := range index.NextShards {
+		ready := 0
+		for _, backend := range backends {
+			if backend.Health == snapshot.Healthy && backend.Incarnation != 0 && backend.SlowStartShare(now, index.Service.RampUs) >= MinWarmth {
+				ready++
 			}
 		}
-		if n < need {
+		if ready < need {
 			return false
 		}
 	}
-	return len(x.NextShards) > 0
-}
-
-func configuredIndexes(cp *snapshot.Snapshot) []string {
-	var out []string
-	for _, s := range cp.Configuration.Services {
-		out = append(out, s.Index)
-	}
-	return out
+	return len(index.NextShards) > 0
 }
--- a/control/routing/check.go
+++ b/control/routing/check.go
@@ -1,6 +1,3 @@
-// Checking a routing table as a whole: every finding at once, each with its
-// place. What the table leaves out is not held against it.
-
 package routing
 
 import (
@@ -12,85 +9,103 @@
 	"wallport/runtime/wire"
 )
 
+// checker collects the findings of one table.
 type checker struct {
 	found []wire.Finding
+	// pools are the names of the table's pools.
 	pools map[string]bool
 }
 
-// Check lists what makes a routing table invalid; none means that it may come into force.
-func Check(t *routingpb.RoutingTable) []wire.Finding {
+// Check lists what makes a routing table invalid, each finding with its place; none means that the table
+// may come into force. Fields that are not set are not reported unless they are required.
+func Check(table *routingpb.RoutingTable) []wire.Finding {
 	c := &checker{pools: map[string]bool{}}
-	for i, p := range t.Pools {
-		c.pool(location("pools", i, p.Name), p)
-	}
-	names, at := map[string]bool{}, map[string]string{}
-	for i, r := range t.Routes {
-		where := location("routes", i, r.Name)
-		c.failIf(where, names[r.Name] && r.Name != "", "a route of that name is there already")
-		names[r.Name] = true
-		key := strings.ToLower(r.Host) + r.Prefix
-		c.failIf(where, at[key] != "", "has the host and prefix of "+at[key])
-		at[key] = where
-		c.route(where, r)
+	for i, pool := range table.Pools {
+		c.checkPool(itemPath("pools", i, pool.Name), pool)
 	}
-	if l := t.Limits; l != nil {
+	c.checkRoutes(table.Routes)
+	if l := table.Limits; l != nil {
 		c.failIf("limits", min(l.MaxHeaderBytes, l.MaxBodyBytes, l.HeaderTimeoutUs, l.IdleTimeoutUs) < 0, "a limit is negative")
 	}
 	return c.found
 }
 
-func location(list string, i int, name string) string { return fmt.Sprintf("%s[%d] %s", list, i, name) }
+func itemPath(list string, i int, name string) string { return fmt.Sprintf("%s[%d] %s", list, i, name) }
+
+// failIf adds a finding if the condition holds.
+func (c *checker) failIf(path string, condition bool, text string) {
+	if condition {
+		c.found = append(c.found, wire.Finding{Path: path, Text: text})
+	}
+}
+
+func (c *checker) checkPool(path string, pool *routingpb.Pool) {
+	c.failIf(path, pool.Name == "", "has no name")
+	c.failIf(path, c.pools[pool.Name] && pool.Name != "", "a pool of that name is there already")
+	c.pools[pool.Name] = true
+	c.failIf(path, pool.MaxConnections < 0, "max_connections is negative")
+	c.failIf(path, pool.SlowStartUs < 0, "slow start is negative")
+	c.failIf(path, !isWeight(pool.RampPerS), "ramp_per_s is not a number of 0 or more")
+}
 
-func (c *checker) failIf(where string, bad bool, text string) {
-	if bad {
-		c.found = append(c.found, wire.Finding{Path: where, Text: text})
+func (c *checker) checkRoutes(routes []*routingpb.Route) {
+	names := map[string]bool{}
+	// pathOf maps a host and prefix to the path of their route.
+	pathOf := map[string]string{}
+	for i, route := range routes {
+		at := itemPath("routes", i, route.Name)
+		c.failIf(at, names[route.Name] && route.Name != "", "a route of that name is there already")
+		names[route.Name] = true
+		key := strings.ToLower(route.Host) + route.Prefix
+		c.failIf(at, pathOf[key] != "", "has the host and prefix of "+pathOf[key])
+		pathOf[key] = at
+		c.checkRoute(at, route)
 	}
 }
 
-func (c *checker) pool(where string, p *routingpb.Pool) {
-	c.failIf(where, p.Name == "", "has no name")
-	c.failIf(where, c.pools[p.Name] && p.Name != "", "a pool of that name is there already")
-	c.pools[p.Name] = true
-	c.failIf(where, p.MaxConnections < 0, "max_connections is negative")
-	c.failIf(where, p.SlowStartUs < 0, "slow start is negative")
-	c.failIf(where, !(p.RampPerS >= 0) || math.IsInf(p.RampPerS, 1), "ramp_per_s is not a number of 0 or more")
+func (c *checker) checkRoute(path string, route *routingpb.Route) {
+	c.failIf(path, route.Name == "", "has no name")
+	c.failIf(path, route.Host == "", "has no host")
+	c.failIf(path, !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/"), "the prefix must begin and end with a slash")
+	c.failIf(path, route.TimeoutUs <= 0, "the timeout must be above 0")
+	c.failIf(path, route.TargetLatencyUs < 0, "the target latency is negative")
+	c.failIf(path, route.MaxBackends < 0, "the number of backends is negative")
+	c.failIf(path, route.ResultLimit < 0, "the result limit is negative")
+	c.failIf(path, route.Priority < 0, "the priority is negative")
+	c.failIf(path, !(route.MinCoverage >= 0 && route.MinCoverage <= 1), "min_coverage must lie in 0 to 1")
+	c.checkTargets(path, route)
 }
 
-func (c *checker) route(where string, r *routingpb.Route) {
-	c.failIf(where, r.Name == "", "has no name")
-	c.failIf(where, r.Host == "", "has no host")
-	c.failIf(where, !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"), "the prefix must begin and end with a slash")
-	c.failIf(where, r.TimeoutUs <= 0, "the timeout must be above 0")
-	c.failIf(where, r.TargetLatencyUs < 0, "the target latency is negative")
-	c.failIf(where, r.MaxBackends < 0, "the number of backends is negative")
-	c.failIf(where, r.ResultLimit < 0, "the result limit is negative")
-	c.failIf(where, r.Priority < 0, "the priority is negative")
-	c.failIf(where, !(r.MinCoverage >= 0 && r.MinCoverage <= 1), "min_coverage must lie in 0 to 1")
-	ways := 0
-	for _, set := range []bool{r.Pool != "", len(r.PoolWeights) > 0, len(r.FanoutPools) > 0} {
+// checkTargets checks the pools of a route: one pool, weighted pools, or pools to fan out to.
+func (c *checker) checkTargets(path string, route *routingpb.Route) {
+	targets := 0
+	for _, set := range []bool{route.Pool != "", len(route.PoolWeights) > 0, len(route.FanoutPools) > 0} {
 		if set {
-			ways++
+			targets++
 		}
 	}
-	c.failIf(where, ways == 0, "names no pool")
-	c.failIf(where, ways > 1, "must have only one of pool, pool_weights and fanout_pools")
-	c.failIf(where, len(r.FanoutPools) > 0 && !r.Repeatable, "gathered requests must be repeatable")
-	if r.Pool != "" {
-		c.requirePool(where, r.Pool)
+	c.failIf(path, targets == 0, "names no pool")
+	c.failIf(path, targets > 1, "must have only one of pool, pool_weights and fanout_pools")
+	c.failIf(path, len(route.FanoutPools) > 0 && !route.Repeatable, "gathered requests must be repeatable")
+	if route.Pool != "" {
+		c.requirePool(path, route.Pool)
 	}
-	for _, p := range r.FanoutPools {
-		c.requirePool(where, p)
+	for _, pool := range route.FanoutPools {
+		c.requirePool(path, pool)
 	}
-	total, negative := 0.0, false
-	for _, w := range r.PoolWeights {
-		c.requirePool(where, w.Pool)
-		total += w.Weight
-		negative = negative || !(w.Weight >= 0) || math.IsInf(w.Weight, 1)
+	total, invalid := 0.0, false
+	for _, weighted := range route.PoolWeights {
+		c.requirePool(path, weighted.Pool)
+		total += weighted.Weight
+		invalid = invalid || !isWeight(weighted.Weight)
 	}
-	c.failIf(where, negative, "a weight is not a number of 0 or more")
-	c.failIf(where, len(r.PoolWeights) > 0 && !negative && total <= 0, "the weights add up to 0")
+	c.failIf(path, invalid, "a weight is not a number of 0 or more")
+	c.failIf(path, len(route.PoolWeights) > 0 && !invalid && total <= 0, "the weights add up to 0")
 }
 
-func (c *checker) requirePool(where, pool string) {
-	c.failIf(where, !c.pools[pool], "no such pool: "+pool)
+func (c *checker) requirePool(path, pool string) {
+	c.failIf(path, !c.pools[pool], "no such pool: "+pool)
 }
+
+// isWeight reports whether a number is finite and not negative.
+func isWeight(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
--- a/control/routing/edit.go
+++ b/control/routing/edit.go
@@ -1,5 +1,3 @@
-// Applying an operator's edit to a routing table.
-
 package routing
 
 import (
@@ -12,46 +10,48 @@
 	"wallport/api/routingpb"
 )
 
-// Apply gives the table after an edit. Items are replaced in place by name, new ones come at the
-// end, and a name that is to be withdrawn but is not there changes nothing. Neither argument is changed.
-func Apply(cur *routingpb.RoutingTable, e *routingpb.RoutingEdit) *routingpb.RoutingTable {
-	if e.Whole != nil {
-		return &routingpb.RoutingTable{Revision: e.Revision, Routes: e.Whole.Routes, Pools: e.Whole.Pools, Limits: e.Whole.Limits, Further: e.Whole.Further}
+// Apply returns the table after an edit, which replaces it as a whole or by items. Items are replaced in
+// place by name, new ones are appended, and a name that is to be withdrawn but does not exist changes
+// nothing. Neither argument is changed; the result shares their items.
+func Apply(current *routingpb.RoutingTable, edit *routingpb.RoutingEdit) *routingpb.RoutingTable {
+	if whole := edit.Whole; whole != nil {
+		return &routingpb.RoutingTable{Revision: edit.Revision, Routes: whole.Routes, Pools: whole.Pools, Limits: whole.Limits, Further: whole.Further}
 	}
-	t := &routingpb.RoutingTable{Revision: e.Revision, Limits: cur.GetLimits()}
-	t.Routes = mergeByName(cur.GetRoutes(), e.Upsert.GetRoutes(), e.WithdrawRoutes)
-	t.Pools = mergeByName(cur.GetPools(), e.Upsert.GetPools(), e.WithdrawPools)
-	t.Further = mergeByName(cur.GetFurther(), e.Upsert.GetFurther(), nil)
-	if e.Upsert.GetLimits() != nil {
-		t.Limits = e.Upsert.Limits
+	table := &routingpb.RoutingTable{Revision: edit.Revision, Limits: current.GetLimits()}
+	table.Routes = mergeByName(current.GetRoutes(), edit.Upsert.GetRoutes(), edit.WithdrawRoutes)
+	table.Pools = mergeByName(current.GetPools(), edit.Upsert.GetPools(), edit.WithdrawPools)
+	table.Further = mergeByName(current.GetFurther(), edit.Upsert.GetFurther(), nil)
+	if edit.Upsert.GetLimits() != nil {
+		table.Limits = edit.Upsert.Limits
 	}
-	return t
+	return table
 }
 
-func mergeByName[T interface{ GetName() string }](cur, upsert []T, withdraw []string) []T {
-	out := slices.DeleteFunc(slices.Clone(cur), func(v T) bool { return slices.Contains(withdraw, v.GetName()) })
-	for _, v := range upsert {
-		i := slices.IndexFunc(out, func(o T) bool { return o.GetName() == v.GetName() })
+func mergeByName[T interface{ GetName() string }](current, upsert []T, withdraw []string) []T {
+	merged := slices.DeleteFunc(slices.Clone(current), func(item T) bool { return slices.Contains(withdraw, item.GetName()) })
+	for _, item := range upsert {
+		i := slices.IndexFunc(merged, func(other T) bool { return other.GetName() == item.GetName() })
 		if i < 0 {
-			out = append(out, v)
+			merged = append(merged, item)
 			continue
 		}
-		out[i] = v
+		merged[i] = item
 	}
-	return out
+	return merged
 }
 
-// Digest sums up an edit as it was sent, its base and revision included.
-func Digest(e *routingpb.RoutingEdit) [sha256.Size]byte {
-	return sha256.Sum256(encode(e))
+// Digest identifies an edit as it was sent, its base and revision included.
+func Digest(edit *routingpb.RoutingEdit) [sha256.Size]byte {
+	return sha256.Sum256(encode(edit))
 }
 
-// LegacyDigest is the digest that releases before 3 remembered; they knew no further fields.
-func LegacyDigest(e *routingpb.RoutingEdit) uint64 {
-	known := proto.Clone(e).(*routingpb.RoutingEdit)
-	for _, t := range []*routingpb.RoutingTable{known.Whole, known.Upsert} {
-		if t != nil {
-			t.Further = nil
+// LegacyDigest is the digest by which releases before 3 identified an edit. They knew no further fields,
+// so these are left out.
+func LegacyDigest(edit *routingpb.RoutingEdit) uint64 {
+	known := proto.Clone(edit).(*routingpb.RoutingEdit)
+	for _, table := range []*routingpb.RoutingTable{known.Whole, known.Upsert} {
+		if table != nil {
+			table.Further = nil
 		}
 	}
 	h := fnv.New64a()
@@ -59,7 +59,7 @@
 	return h.Sum64()
 }
 
-func encode(e *routingpb.RoutingEdit) []byte {
-	b, _ := proto.MarshalOptions{Deterministic: true}.Marshal(e)
-	return b
+func encode(edit *routingpb.RoutingEdit) []byte {
+	encoded, _ := proto.MarshalOptions{Deterministic: true}.Marshal(edit)
+	return encoded
 }
--- a/control/routing/routing.go
+++ b/control/routing/routing.go
@@ -1,6 +1,9 @@
-// Package routing holds the routing table that operators set: which requests
-// go to which pools. A table is compiled once for each revision and then only
-// read; a request is matched by its host and the longest prefix of its path.
+// Package routing holds the routing table that operators set: which requests go to which pools.
+//
+// Operators send edits ([routingpb.RoutingEdit]) of the table; [Apply] and [Check] say what a table is after
+// an edit and whether it may come into force, and [Digest] identifies an edit that is sent again. [Compile]
+// turns each revision once into a [Table], which the request path reads concurrently and nothing changes.
+// A request is matched by its host and the longest prefix of its path.
 package routing
 
 import (
@@ -11,79 +14,84 @@
 	"wallport/api/routingpb"
 )
 
-// Table is one revision, compiled. It is never changed.
+// Table is one compiled revision of the routing table. It is immutable.
 type Table struct {
 	Revision int64
-	Source   *routingpb.RoutingTable
-	Limits   *routingpb.Limits
-	Pools    map[string]*routingpb.Pool
-	hosts    map[string][]*Route
+	// Source is the message that the table was compiled from.
+	Source *routingpb.RoutingTable
+	// Limits is never nil.
+	Limits *routingpb.Limits
+	Pools  map[string]*routingpb.Pool
+	// hosts maps a host in lower case to its routes, the longest prefix first.
+	hosts map[string][]*Route
 }
 
-// Route is one route with what is derived from it.
+// Route is a route with the values derived from it.
 type Route struct {
 	*routingpb.Route
-	// Pools are the pools that one request is sent to: several where answers are gathered.
+	// weights are those of PoolWeights, and total is their sum.
 	weights []float64
 	total   float64
 }
 
-// FansOut tells that a request goes to one backend of each of the route's pools.
+// FansOut reports whether a request goes to one backend of each of the route's pools, whose answers are
+// merged.
 func (r *Route) FansOut() bool { return len(r.FanoutPools) > 0 }
 
-// PoolAt is the pool of a route that is not gathered; at lies in [0, 1) and decides by weight.
-func (r *Route) PoolAt(at float64) string {
+// PoolAt returns the pool for a request of a route that does not fan out. point is a random number in
+// [0, 1); it selects among weighted pools.
+func (r *Route) PoolAt(point float64) string {
 	if len(r.PoolWeights) == 0 {
 		return r.Pool
 	}
-	at *= r.total
-	for i, w := range r.weights {
-		if at < w {
+	point *= r.total
+	for i, weight := range r.weights {
+		if point < weight {
 			return r.PoolWeights[i].Pool
 		}
-		at -= w
+		point -= weight
 	}
 	return r.PoolWeights[len(r.PoolWeights)-1].Pool
 }
 
-// Compile makes the table of a checked revision; nil gives nil.
-func Compile(src *routingpb.RoutingTable) *Table {
-	if src == nil {
+// Compile compiles a revision that Check accepted; nil gives nil.
+func Compile(source *routingpb.RoutingTable) *Table {
+	if source == nil {
 		return nil
 	}
-	t := &Table{
-		Revision: src.Revision, Source: src, Limits: src.Limits,
+	table := &Table{
+		Revision: source.Revision, Source: source, Limits: source.Limits,
 		Pools: map[string]*routingpb.Pool{}, hosts: map[string][]*Route{},
 	}
-	if t.Limits == nil {
-		t.Limits = &routingpb.Limits{}
+	if table.Limits == nil {
+		table.Limits = &routingpb.Limits{}
 	}
-	for _, p := range src.Pools {
-		t.Pools[p.Name] = p
+	for _, pool := range source.Pools {
+		table.Pools[pool.Name] = pool
 	}
-	for _, r := range src.Routes {
-		c := &Route{Route: r}
-		for _, w := range r.PoolWeights {
-			c.weights = append(c.weights, w.Weight)
-			c.total += w.Weight
+	for _, route := range source.Routes {
+		compiled := &Route{Route: route}
+		for _, weighted := range route.PoolWeights {
+			compiled.weights = append(compiled.weights, weighted.Weight)
+			compiled.total += weighted.Weight
 		}
-		host := strings.ToLower(r.Host)
-		t.hosts[host] = append(t.hosts[host], c)
+		host := strings.ToLower(route.Host)
+		table.hosts[host] = append(table.hosts[host], compiled)
 	}
-	for _, rs := range t.hosts {
-		slices.SortStableFunc(rs, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	for _, routes := range table.hosts {
+		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
-	return t
+	return table
 }
 
-// Match finds the route of a host (a port after it is ignored) and a path; nil when there is none.
+// Match returns the route of a host and a path, nil if there is none. A port after the host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	for _, r := range t.hosts[strings.ToLower(host)] {
-		if strings.HasPrefix(path, r.Prefix) {
-			return r
+	for _, route := range t.hosts[strings.ToLower(host)] {
+		if strings.HasPrefix(path, route.Prefix) {
+			return route
 		}
 	}
 	return nil
