--- a/cluster/discovery/discovery.go
+++ b/cluster/discovery/discovery.go
@@ -135,13 +135,13 @@
 
 // handleStored records that a reading was announced, and the highest lease id.
 func (p *Lister) handleStored(ctx *kernel.Context, v mesh.Stored) {
-	if v.Entry.Type != mesh.EntryListing && v.Entry.Type != mesh.EntryPolled {
+	if v.Entry.Type != mesh.EntryBackendList && v.Entry.Type != mesh.EntryPolled {
 		return
 	}
 	p.heardAt, p.soleReader = ctx.Now, v.Local
-	p.unread = p.unread && v.Entry.Type != mesh.EntryListing
+	p.unread = p.unread && v.Entry.Type != mesh.EntryBackendList
 	var l wire.BackendList
-	if v.Entry.Type == mesh.EntryListing && wire.Decode(v.Entry.Body, &l) == nil {
+	if v.Entry.Type == mesh.EntryBackendList && wire.Decode(v.Entry.Body, &l) == nil {
 		p.checkSingleLeaseHolder(ctx, v, &l)
 		p.newestLeaseID = max(p.newestLeaseID, l.LeaseID)
 	}
@@ -242,5 +242,5 @@
 		return
 	}
 	p.announcedAt = ctx.Now
-	p.mesh.Announce(ctx, mesh.EntryListing, LeaseTask, wire.Encode(&l), false)
+	p.mesh.Announce(ctx, mesh.EntryBackendList, LeaseTask, wire.Encode(&l), false)
 }
--- a/cluster/discovery/lease_test.go
+++ b/cluster/discovery/lease_test.go
@@ -57,7 +57,7 @@
 	reads := func(turn uint64) invariant.Name {
 		body := wire.Encode(&wire.BackendList{LeaseID: turn})
 		return violation.By(func() {
-			r.lister.handleStored(&kernel.Context{Now: r.now, Counts: r.k.Counts}, mesh.Stored{Entry: &wire.Entry{Type: mesh.EntryListing, ID: LeaseTask, Body: body}, Origin: "other"})
+			r.lister.handleStored(&kernel.Context{Now: r.now, Counts: r.k.Counts}, mesh.Stored{Entry: &wire.Entry{Type: mesh.EntryBackendList, ID: LeaseTask, Body: body}, Origin: "other"})
 		})
 	}
 	must.Eq(t, "", reads(3), must.Sprint("an earlier holder, or one that reads without the lease"))
--- a/cluster/mesh/entry.go
+++ b/cluster/mesh/entry.go
@@ -8,8 +8,8 @@
 	EntryLinks = "links"
 	// EntryPartition is a committed version of a partition's state. It belongs to no origin.
 	EntryPartition = "part"
-	// EntryListing is a reading of the platform's list of backends that differs from the last one.
-	EntryListing = "listing"
+	// EntryBackendList is a reading of the platform's list of backends that differs from the last one.
+	EntryBackendList = "listing"
 	// EntryPolled says that the list was read, or could not be read, without anything new.
 	EntryPolled = "polled"
 	// EntryLoadReport is a node's own rate of requests, by its fingerprint.
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -130,7 +130,7 @@
 	peer := &peerConn{conn: v.Conn, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
 	m.peers[v.Conn] = peer
 	ctx.Log(kernel.LevelDebug, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
-	m.evictPeers(ctx, v.Conn)
+	m.closeExcessPeers(ctx, v.Conn)
 	back := m.store.restore(v.Peer)
 	m.links.reannounce = m.links.reannounce || back
 	m.updateLinks(ctx)
@@ -139,9 +139,9 @@
 	}
 }
 
-// evictPeers closes the connections beyond MaxPeers, the least recently heard first, but not the
+// closeExcessPeers closes the connections beyond MaxPeers, the least recently heard first, but not the
 // newest one.
-func (m *Mesh) evictPeers(ctx *kernel.Context, newest uint64) {
+func (m *Mesh) closeExcessPeers(ctx *kernel.Context, newest uint64) {
 	for len(m.peers) > MaxPeers {
 		ids := sortedKeys(m.peers)
 		oldest := slices.MinFunc(ids, func(a, b uint64) int {
--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -1,68 +1,89 @@
-// Package healthcheck watches the servers. Each server is probed by a few nodes
-// chosen by rendezvous, and by any node that has it ejected; what a node sees
-// of a server, on the request path or by probes, becomes its opinion, signed
-// and told over the mesh when it changes and not too often.
 package healthcheck
 
 import (
 	"encoding/json"
 	"hash/fnv"
+	"net/http"
 	"slices"
 
 	"wallport/cluster/mesh"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of the probes.
+// Constants of checking and reporting.
 const (
-	Observers       = 3
-	CheckInterval   = 500_000
-	CheckTimeout    = 400_000
-	TickInterval    = 250_000
-	ReportInterval  = 700_000
+	// Observers is how many nodes check each backend.
+	Observers = 3
+	// CheckInterval is the time between two checks of one backend by one node, CheckTimeout that
+	// after which a check has failed.
+	CheckInterval = 500 * clock.Millisecond
+	CheckTimeout  = 400 * clock.Millisecond
+	// TickInterval is the time between two evaluations of all backends.
+	TickInterval = 250 * clock.Millisecond
+	// ReportInterval is the least time between two reports of one node on one backend.
+	ReportInterval = 700 * clock.Millisecond
+	// MissedThreshold is how many checks in a row must fail before a backend is unreachable.
 	MissedThreshold = 2
-	// EnoughReporters is how many observers that say the same of a server hold back those that are not
-	// among its probers: what many nodes meet at once is told by a few.
+	// CorruptThreshold is how many corrupt responses make a backend corrupt.
+	CorruptThreshold = 2
+	// EnoughReporters is how many nodes that report the same of a backend silence those that are not
+	// its observers: what many nodes meet at the same time is reported by a few.
 	EnoughReporters = 6
-	SlowFactor      = 4
-	MinSlowLatency  = 50_000
+	// A backend is slow if its latency exceeds MinSlowLatency and is SlowFactor times the median of
+	// its shard.
+	SlowFactor     = 4
+	MinSlowLatency = 50 * clock.Millisecond
+	// ForgiveAfter is how long after its ejection a corrupt backend is tried again.
+	ForgiveAfter = 8 * clock.Second
+)
 
-	ForgiveAfter = 8_000_000
+const (
+	pluginName = "health"
+	timerCheck = "watch"
+	// checkPath is the path of a health check at a backend.
+	checkPath = "/condition"
 )
 
-// Response is a server's answer to a probe.
+// Response is a backend's response to a health check.
 type Response struct {
 	ID          string `json:"id"`
 	Incarnation int64  `json:"incarnation"`
-	UpUs        int64  `json:"up_us"`
-	Usage       int64  `json:"usage"`
-	ShardMap    string `json:"cut"`
-	// SlowStart is how much longer the server stays cold, as it says itself.
+	// UpUs is how long the incarnation has been running, in microseconds.
+	UpUs int64 `json:"up_us"`
+	// Usage is how many requests the backend is working on.
+	Usage    int64  `json:"usage"`
+	ShardMap string `json:"cut"`
+	// SlowStart is how much longer the backend is warming up by its own account, in microseconds.
 	SlowStart int64 `json:"cold_us,omitempty"`
 }
 
+// checkState is what this node knows of a backend by its own checks, and what it reported.
 type checkState struct {
-	checkedAt   int64
+	// assigned says that this node is one of the backend's observers.
+	assigned    bool
+	checkedAt   clock.Micros
 	inFlight    bool
 	missed      int
-	assigned    bool
-	uptime      int64
+	uptime      clock.Micros
 	incarnation int64
-	reported    wire.HealthReport
-	reportedAt  int64
-	reporting   bool
+
+	reported   wire.HealthReport
+	reportedAt clock.Micros
+	// reporting says that the report stands, and was not withdrawn.
+	reporting bool
 }
 
 // Checker is the plug-in of a node.
 type Checker struct {
 	mesh  *mesh.Mesh
 	table *snapshot.Table
-	// passive is that servers in order are not probed.
+	// passive says that only ejected backends are checked.
 	passive bool
 	states  map[string]*checkState
-	// assignedFor is the snapshot by whose roster and servers the probing was last shared out.
+	// assignedFor is the snapshot for whose roster and backends the checks were last assigned.
 	assignedFor *snapshot.Snapshot
 }
 
@@ -72,19 +93,19 @@
 	}})
 }
 
-// Name is the plug-in's name.
-func (c *Checker) Name() string { return "health" }
+// Name returns the plug-in's name.
+func (c *Checker) Name() string { return pluginName }
 
-// Kinds are the frames that it takes: none.
+// Kinds returns the kinds of frames that the plug-in handles: none.
 func (c *Checker) Kinds() []uint8 { return nil }
 
-// Step takes one input.
+// Step handles one input of the kernel.
 func (c *Checker) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		ctx.After(ctx.Rand.Int64N(TickInterval), "health", "watch")
+		ctx.After(ctx.Rand.Int64N(TickInterval), pluginName, timerCheck)
 	case kernel.Tick:
-		ctx.After(TickInterval, "health", "watch")
+		ctx.After(TickInterval, pluginName, timerCheck)
 		c.checkAll(ctx)
 	case kernel.Fetched:
 		c.handleResponse(ctx, v)
@@ -95,39 +116,69 @@
 	}
 }
 
-// assign settles which servers this node probes, once for each snapshot: names are hashed
-// once, and a pair of a node and a server costs a few instructions.
+// checkAll starts the checks that are due and reports what has changed.
+func (c *Checker) checkAll(ctx *kernel.Context) {
+	snap := c.table.Current()
+	if snap == nil {
+		return
+	}
+	c.assign(ctx, snap)
+	medians := shardMedians(snap)
+	for _, backend := range snap.Backends {
+		state := c.states[backend.ID]
+		if c.isDue(ctx, backend, state) {
+			state.checkedAt, state.inFlight = ctx.Now, true
+			ctx.Counts.Add("condition_probes", 1)
+			ctx.Fetch(pluginName, backend.ID, "http://"+backend.Addr+checkPath, CheckTimeout)
+		}
+		c.report(ctx, backend, state, medians)
+	}
+}
+
+// isDue reports whether a check of a backend is to be started. Every node checks the backends that
+// it has ejected.
+func (c *Checker) isDue(ctx *kernel.Context, backend *snapshot.Backend, state *checkState) bool {
+	if !state.assigned && backend.Gauge.EjectedUntil.Load() <= 0 {
+		return false
+	}
+	// Half a tick of tolerance, or a check would be delayed by a tick now and then.
+	return !state.inFlight && ctx.Now-state.checkedAt >= CheckInterval-TickInterval/2
+}
+
+// assign determines which backends this node observes, once for each snapshot. Each name is hashed
+// only once, so that a pair of a node and a backend costs a few instructions.
 func (c *Checker) assign(ctx *kernel.Context, snap *snapshot.Snapshot) {
 	if c.assignedFor == snap {
 		return
 	}
 	c.assignedFor = snap
-	mine, others := uint64(0), make([]uint64, 0, len(snap.Roster))
-	for _, n := range snap.Roster {
+	local, others := uint64(0), make([]uint64, 0, len(snap.Roster))
+	for _, node := range snap.Roster {
 		switch {
-		case n.Origin == c.mesh.Self():
-			mine = hash(n.Name)
-		case n.Live:
-			others = append(others, hash(n.Name))
+		case node.Origin == c.mesh.Self():
+			local = hash(node.Name)
+		case node.Live:
+			others = append(others, hash(node.Name))
 		}
 	}
-	there := make(map[string]*checkState, len(snap.Backends))
-	for _, s := range snap.Backends {
-		state := c.states[s.ID]
+	states := make(map[string]*checkState, len(snap.Backends))
+	for _, backend := range snap.Backends {
+		state := c.states[backend.ID]
 		if state == nil {
 			state = &checkState{checkedAt: ctx.Now - ctx.Rand.Int64N(CheckInterval)}
 		}
-		there[s.ID] = state
-		state.assigned = !c.passive && isObserver(hash(s.ID), mine, others)
+		states[backend.ID] = state
+		state.assigned = !c.passive && isObserver(hash(backend.ID), local, others)
 	}
-	c.states = there
+	c.states = states
 }
 
-// isObserver reports whether a node is among those that probe a server: there are few of a higher rank.
-func isObserver(server, mine uint64, others []uint64) bool {
-	own, above := mix(mine^server), 0
-	for _, o := range others {
-		if mix(o^server) > own {
+// isObserver reports whether a node is one of a backend's observers: fewer than Observers of the
+// other nodes come before it in the backend's rendezvous order.
+func isObserver(backend, node uint64, others []uint64) bool {
+	own, above := mix(node^backend), 0
+	for _, other := range others {
+		if mix(other^backend) > own {
 			if above++; above == Observers {
 				return false
 			}
@@ -149,101 +200,100 @@
 	return x
 }
 
-func (c *Checker) checkAll(ctx *kernel.Context) {
-	snap := c.table.Current()
-	if snap == nil {
-		return
-	}
-	c.assign(ctx, snap)
-	medians := shardMedians(snap)
-	for _, s := range snap.Backends {
-		state := c.states[s.ID]
-		if (state.assigned || s.Gauge.EjectedUntil.Load() > 0) && !state.inFlight && ctx.Now-state.checkedAt >= CheckInterval-TickInterval/2 {
-			state.checkedAt, state.inFlight = ctx.Now, true
-			ctx.Counts.Add("condition_probes", 1)
-			ctx.Fetch("health", s.ID, "http://"+s.Addr+"/condition", CheckTimeout)
-		}
-		c.report(ctx, s, state, medians)
-	}
-}
-
+// handleResponse handles the response to a check, or its failure.
 func (c *Checker) handleResponse(ctx *kernel.Context, v kernel.Fetched) {
 	state := c.states[v.Key]
 	if state == nil {
 		return
 	}
 	state.inFlight = false
-	g := c.table.Gauges.Of(v.Key)
-	var r Response
-	if v.Err != "" || v.Status != 200 || json.Unmarshal(v.Body, &r) != nil || r.ID != v.Key {
+	gauge := c.table.Gauges.Of(v.Key)
+	var response Response
+	if v.Err != "" || v.Status != http.StatusOK || json.Unmarshal(v.Body, &response) != nil || response.ID != v.Key {
 		state.missed++
 		return
 	}
-	state.missed, state.uptime, state.incarnation = 0, r.UpUs, r.Incarnation
-	if g.CorruptResponses.Load() == 0 || r.Incarnation != g.Incarnation.Load() {
-		g.Failures.Store(0)
-		g.EjectedUntil.Store(0)
-		g.CorruptResponses.Store(0)
+	state.missed, state.uptime, state.incarnation = 0, response.UpUs, response.Incarnation
+	if gauge.CorruptResponses.Load() == 0 || response.Incarnation != gauge.Incarnation.Load() {
+		// A backend that passes its checks may still send corrupt responses to requests; only a new
+		// incarnation ends that ejection early.
+		gauge.Failures.Store(0)
+		gauge.EjectedUntil.Store(0)
+		gauge.CorruptResponses.Store(0)
 	}
-	g.Incarnation.Store(r.Incarnation)
-	g.Usage.Store(r.Usage)
-	if r.SlowStart > 0 {
-		g.SlowStartUntil.Store(ctx.Now + r.SlowStart)
+	gauge.Incarnation.Store(response.Incarnation)
+	gauge.Usage.Store(response.Usage)
+	if response.SlowStart > 0 {
+		gauge.SlowStartUntil.Store(ctx.Now + response.SlowStart)
 	}
 }
 
-// report settles what this node thinks of a server and tells it when that changed.
-func (c *Checker) report(ctx *kernel.Context, s *snapshot.Backend, state *checkState, medians map[shard]int64) {
-	o := wire.HealthReport{State: "ok", Incarnation: state.incarnation, Uptime: state.uptime}
-	if inc := s.Gauge.Incarnation.Load(); inc > o.Incarnation {
-		o.Incarnation, o.Uptime = inc, 0
-	}
-	if s.Gauge.CorruptResponses.Load() > 0 && ctx.Now > s.Gauge.EjectedUntil.Load()+ForgiveAfter {
-		// A server that sent garbage gets a trial now and then.
-		s.Gauge.CorruptResponses.Store(0)
-		s.Gauge.EjectedUntil.Store(0)
+// report announces this node's view of a backend if it changed, or withdraws it if it need not be
+// reported any more.
+func (c *Checker) report(ctx *kernel.Context, backend *snapshot.Backend, state *checkState, medians map[shard]clock.Micros) {
+	report := wire.HealthReport{Incarnation: state.incarnation, Uptime: state.uptime}
+	if incarnation := backend.Gauge.Incarnation.Load(); incarnation > report.Incarnation {
+		report.Incarnation, report.Uptime = incarnation, 0
 	}
-	lat := s.Gauge.Latency.Load()
-	switch {
-	case s.Gauge.CorruptResponses.Load() >= 2:
-		o.State = "garbage"
-	case state.missed >= MissedThreshold || s.Gauge.Failures.Load() >= snapshot.EjectThreshold:
-		o.State = "lost"
-	case lat > MinSlowLatency && lat > SlowFactor*medians[shardKey(s)]:
-		o.State = "slow"
-	}
-	same := o.State == state.reported.State && o.Incarnation == state.reported.Incarnation
-	telling := state.assigned && o.Incarnation != 0 || o.State != "ok" && (state.reporting || c.table.CountAgreeing(s.ID, o, ctx.Now) < EnoughReporters)
-	if telling == state.reporting && (same || !telling) || ctx.Now-state.reportedAt < ReportInterval {
+	observed := observe(ctx, backend, state, medians)
+	report.State = string(observed)
+	unchanged := report.State == state.reported.State && report.Incarnation == state.reported.Incarnation
+	reporting := state.assigned && report.Incarnation != 0 ||
+		observed != snapshot.ReportHealthy && (state.reporting || c.table.CountAgreeing(backend.ID, report, ctx.Now) < EnoughReporters)
+	if reporting == state.reporting && (unchanged || !reporting) || ctx.Now-state.reportedAt < ReportInterval {
 		return
 	}
-	state.reported, state.reportedAt, state.reporting = o, ctx.Now, telling
+	state.reported, state.reportedAt, state.reporting = report, ctx.Now, reporting
 	ctx.Counts.Add("opinions_told", 1)
-	c.mesh.Announce(ctx, "opinion", s.ID, wire.Encode(&o), !telling)
+	c.mesh.Announce(ctx, mesh.EntryHealthReport, backend.ID, wire.Encode(&report), !reporting)
+}
+
+// observe returns the state of a backend as this node sees it, by its checks and on the request
+// path. It ends the ejection of a corrupt backend that is to be tried again.
+func observe(ctx *kernel.Context, backend *snapshot.Backend, state *checkState, medians map[shard]clock.Micros) snapshot.ReportState {
+	gauge := backend.Gauge
+	if gauge.CorruptResponses.Load() > 0 && ctx.Now > gauge.EjectedUntil.Load()+ForgiveAfter {
+		gauge.CorruptResponses.Store(0)
+		gauge.EjectedUntil.Store(0)
+	}
+	latency := gauge.Latency.Load()
+	switch {
+	case gauge.CorruptResponses.Load() >= CorruptThreshold:
+		return snapshot.ReportCorrupt
+	case state.missed >= MissedThreshold || gauge.Failures.Load() >= snapshot.EjectThreshold:
+		return snapshot.ReportUnreachable
+	case latency > MinSlowLatency && latency > SlowFactor*medians[shardOf(backend)]:
+		return snapshot.ReportSlow
+	}
+	return snapshot.ReportHealthy
 }
 
+// shard names a shard of an index in a shard map.
 type shard struct {
 	index, shardMap string
-	n               int
+	number          int
 }
 
-func shardKey(s *snapshot.Backend) shard { return shard{s.Index, s.ShardMap, s.Shard} }
+func shardOf(backend *snapshot.Backend) shard {
+	return shard{backend.Index, backend.ShardMap, backend.Shard}
+}
 
-// shardMedians is the latency of each shard's middle server, where some server may be slow at all.
-func shardMedians(snap *snapshot.Snapshot) map[shard]int64 {
-	if !slices.ContainsFunc(snap.Backends, func(s *snapshot.Backend) bool { return s.Gauge.Latency.Load() > MinSlowLatency }) {
+// shardMedians returns the median latency of the backends of each shard; nil if no backend's latency
+// exceeds MinSlowLatency, since then none is slow.
+func shardMedians(snap *snapshot.Snapshot) map[shard]clock.Micros {
+	if !slices.ContainsFunc(snap.Backends, func(b *snapshot.Backend) bool { return b.Gauge.Latency.Load() > MinSlowLatency }) {
 		return nil
 	}
-	all := map[shard][]int64{}
-	for _, s := range snap.Backends {
-		if l := s.Gauge.Latency.Load(); l > 0 {
-			all[shardKey(s)] = append(all[shardKey(s)], l)
+	latencies := map[shard][]clock.Micros{}
+	for _, backend := range snap.Backends {
+		if latency := backend.Gauge.Latency.Load(); latency > 0 {
+			latencies[shardOf(backend)] = append(latencies[shardOf(backend)], latency)
 		}
 	}
-	out := map[shard]int64{}
-	for k, v := range all {
-		slices.Sort(v)
-		out[k] = v[len(v)/2]
+	medians := map[shard]clock.Micros{}
+	for key, of := range latencies {
+		slices.Sort(of)
+		medians[key] = of[len(of)/2]
 	}
-	return out
+	return medians
 }
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -1,5 +1,3 @@
-// What many nodes meet at once of a server is told by a few of them.
-
 package healthcheck
 
 import (
@@ -16,7 +14,7 @@
 	"wallport/runtime/wire"
 )
 
-const sick = "s1"
+const unhealthy = "s1"
 
 // node is one process with mesh, table and health checks, and some neighbours.
 type node struct {
@@ -37,13 +35,13 @@
 	for i := range neighbours {
 		n.feed(kernel.ConnUp{Conn: uint64(i) + 1, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(keyOf(i + 1).Public), Mesh: true})
 	}
-	n.hears(1, "listing", discovery.LeaseTask, &wire.BackendList{LeaseID: 1, Complete: true, Backends: []wire.Backend{{ID: sick}}})
+	n.hears(1, mesh.EntryBackendList, discovery.LeaseTask, &wire.BackendList{LeaseID: 1, Complete: true, Backends: []wire.Backend{{ID: unhealthy}}})
 	return n
 }
 
 func (n *node) feed(in kernel.Input) { n.k.Step(n.now, n.now, in) }
 
-// hears has a neighbour tell something of its own.
+// hears has a neighbour announce an entry.
 func (n *node) hears(neighbour byte, typ, id string, body interface {
 	MarshalMsg([]byte) ([]byte, error)
 }) {
@@ -54,46 +52,47 @@
 	n.feed(kernel.Received{Conn: uint64(neighbour), Data: wire.Seal(wire.KindGossip, 0, entry)})
 }
 
-// looks has the node look at its servers once more.
+// looks has the node evaluate its backends once more.
 func (n *node) looks() {
 	n.now += ReportInterval
 	n.feed(kernel.Tick{Plugin: "mesh", Key: "reach"})
 	n.feed(kernel.Tick{Plugin: "table", Key: "build"})
-	n.feed(kernel.Tick{Plugin: "health", Key: "watch"})
+	n.feed(kernel.Tick{Plugin: pluginName, Key: timerCheck})
 }
 
 func (n *node) reports() int64 { return n.k.Counts.Of("opinions_told").Load() }
 
+// meets has the node see so many failures in a row.
 func (n *node) meets(fails int64) {
-	kernel.Find[*snapshot.Table](n.k).Gauges.Of(sick).Failures.Store(fails)
+	kernel.Find[*snapshot.Table](n.k).Gauges.Of(unhealthy).Failures.Store(fails)
 	n.looks()
 }
 
 func TestFewNodesReportWhatAllObserve(t *testing.T) {
 	for _, c := range []struct {
-		agree byte
-		state string
-		told  int64
+		agree   byte
+		state   string
+		reports int64
 	}{
 		{0, "lost", 1}, {EnoughReporters - 1, "lost", 1}, {EnoughReporters, "lost", 0}, {EnoughReporters, "slow", 1}, {EnoughReporters + 3, "lost", 0},
 	} {
 		n := newNode(EnoughReporters + 3)
 		must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Backends))
 		for i := range c.agree {
-			n.hears(i+1, "opinion", sick, &wire.HealthReport{State: c.state})
+			n.hears(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: c.state})
 		}
 		n.meets(snapshot.EjectThreshold)
-		must.Eq(t, c.told, n.reports(), must.Sprint(c))
+		must.Eq(t, c.reports, n.reports(), must.Sprint(c))
 	}
 }
 
-// One that has told goes on doing so while others agree, and takes it back when it is over.
+// A node that has reported continues while others agree, and withdraws the report when it is over.
 func TestReportingNodeKeepsReporting(t *testing.T) {
 	n := newNode(EnoughReporters)
 	n.meets(snapshot.EjectThreshold)
 	must.Eq(t, 1, n.reports())
 	for i := range byte(EnoughReporters) {
-		n.hears(i+1, "opinion", sick, &wire.HealthReport{State: "lost"})
+		n.hears(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: "lost"})
 	}
 	n.looks()
 	n.looks()
@@ -101,7 +100,7 @@
 	n.meets(0)
 	must.Eq(t, 2, n.reports(), must.Sprint("taken back"))
 	mine := false
-	kernel.Find[*mesh.Mesh](n.k).Each("opinion", func(_ *wire.Entry, origin string) {
+	kernel.Find[*mesh.Mesh](n.k).Each(mesh.EntryHealthReport, func(_ *wire.Entry, origin string) {
 		mine = mine || origin == kernel.Find[*mesh.Mesh](n.k).Self()
 	})
 	must.False(t, mine)
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -12,7 +12,6 @@
 	"wallport/control/operations"
 	"wallport/control/state"
 	"wallport/gen/operator"
-	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -182,7 +181,7 @@
 		}
 		out = append(out, &operator.ServerStatus{
 			ID: s.ID, Addr: s.Addr, Zone: s.Zone, Index: s.Index, Cut: s.ShardMap, Shard: s.Shard,
-			Verdict: snapshot.HealthStateNames[s.Health], Warm: int(s.SlowStartShare(a.node.process.Now(), ramp) / 10),
+			Verdict: s.Health.String(), Warm: int(s.SlowStartShare(a.node.process.Now(), ramp) / 10),
 		})
 	}
 	return out, nil
--- a/request/search/explain.go
+++ b/request/search/explain.go
@@ -64,7 +64,7 @@
 
 func explainCandidate(t *Trace, index *snapshot.Index, shard int, backend *snapshot.Backend) Candidate {
 	c := Candidate{
-		Shard: shard, Backend: backend.ID, Zone: backend.Zone, Health: snapshot.HealthStateNames[backend.Health],
+		Shard: shard, Backend: backend.ID, Zone: backend.Zone, Health: backend.Health.String(),
 		WarmthThousandths: backend.SlowStartShare(t.StartedAt, index.Service.RampUs),
 	}
 	c.Reason = reasonNotSampled
--- a/request/snapshot/config.go
+++ b/request/snapshot/config.go
@@ -1,5 +1,3 @@
-// The configuration as a snapshot shows it, and whether it may be served from.
-
 package snapshot
 
 import (
@@ -13,14 +11,14 @@
 	"wallport/runtime/wire"
 )
 
-// configState is the configuration as it was last read.
+// configState is the configuration as it was last decoded.
 type configState struct {
 	version       wire.Version
 	body          wire.ConfigBody
 	configuration *configpb.Sheet
 }
 
-// loadConfig fills in the configuration in force, read once for each version.
+// loadConfig sets the configuration in force, which is decoded once for each version.
 func (table *Table) loadConfig(ctx *kernel.Context, snap *Snapshot) {
 	v, ok := table.mesh.Partition(state.ConfigPartition)
 	if !ok {
@@ -29,7 +27,7 @@
 	if v.Version != table.config.version {
 		body, err := state.ReadConfig(v.Body)
 		if err != nil {
-			ctx.Log(kernel.LevelError, "config_unreadable", "err", err.Error())
+			ctx.Log(kernel.LevelError, "config_unreadable", "error", err.Error())
 			return
 		}
 		table.checkVersionRises(ctx, v.Version)
@@ -38,15 +36,15 @@
 	snap.Version, snap.Config, snap.Configuration = table.config.version, table.config.body, table.config.configuration
 }
 
-// checkVersionRises sees that the configuration in force never goes back.
+// checkVersionRises reports a violation if the configuration's version goes back.
 func (table *Table) checkVersionRises(ctx *kernel.Context, next wire.Version) {
 	if was := table.config.version; mesh.Newer(was, next) {
 		ctx.ReportViolation(invariant.ConfigIncreases, fmt.Sprintf("version %d.%d after %d.%d", next.Term, next.Seq, was.Term, was.Seq))
 	}
 }
 
-// complete reports whether the table may be served from: it is all there, and confirmed. Once it may,
-// it stays so: what is lost later is judged server by server.
+// complete reports whether requests may be served: all state is there and confirmed. A process that
+// once may serve continues to; what is lost later is evaluated backend by backend.
 func (table *Table) complete(ctx *kernel.Context, snap *Snapshot) bool {
 	if was := table.current.Load(); was != nil && was.Complete {
 		return true
@@ -54,46 +52,41 @@
 	if !table.configSync.Confirmed(state.ConfigPartition, ctx.Now) {
 		return false
 	}
-	if snap.Routing != nil && len(table.listing.Backends) > 0 {
+	if snap.Routing != nil && len(table.backendList.Backends) > 0 {
 		return true
 	}
-	if snap.Configuration == nil || len(snap.Indexes) == 0 || len(table.listing.Backends) == 0 {
+	if snap.Configuration == nil || len(snap.Indexes) == 0 || len(table.backendList.Backends) == 0 {
 		return false
 	}
-	cut := false
-	for name, x := range snap.Indexes {
+	anyShardMap := false
+	for name, index := range snap.Indexes {
 		partition := state.PartitionOf(name)
 		if _, ok := table.mesh.Partition(partition); !ok || !table.configSync.Confirmed(partition, ctx.Now) {
 			return false
 		}
-		cut = cut || x.ShardMap.Name != ""
+		anyShardMap = anyShardMap || index.ShardMap.Name != ""
 	}
-	// With no index cut yet there is nothing that a caller could be told but no.
-	return cut
+	// Before the first shard map every request would be rejected.
+	return anyShardMap
 }
 
-// awaitConfirmed has the table built once state that no majority confirmed may be served from; see configsync.UnconfirmedTimeout.
+// awaitConfirmed builds a snapshot once state may be served from that no majority confirmed; see
+// [configsync.UnconfirmedTimeout].
 func (table *Table) awaitConfirmed(ctx *kernel.Context) {
 	switch {
 	case table.current.Load().Complete:
 	case table.configSync.Confirmed(state.ConfigPartition, ctx.Now):
 		table.build(ctx)
 	default:
-		ctx.After(awaitInterval, "table", awaitTimer)
+		ctx.After(awaitInterval, pluginName, timerAwait)
 	}
 }
 
-// logUnconfirmed tells that this process begins to serve from state that no majority confirmed.
+// logUnconfirmed logs that this process begins to serve from state that no majority confirmed.
 func (table *Table) logUnconfirmed(ctx *kernel.Context, snap *Snapshot) {
 	if was := table.current.Load(); !snap.Complete || was != nil && was.Complete || table.configSync.InContact() {
 		return
 	}
 	ctx.Counts.Add("table_unconfirmed", 1)
-	ctx.Log(kernel.LevelWarn, "serves_unconfirmed_state", "why", "no core that is reached is in contact with a majority", "term", snap.Version.Term, "seq", snap.Version.Seq)
+	ctx.Log(kernel.LevelWarn, "serves_unconfirmed_state", "reason", "no core that is reached is in contact with a majority", "term", snap.Version.Term, "seq", snap.Version.Seq)
 }
-
-// The timer of a process that waits for confirmed state.
-const (
-	awaitTimer    = "await"
-	awaitInterval = 250_000
-)
--- a/request/snapshot/healthreports.go
+++ b/request/snapshot/healthreports.go
@@ -1,5 +1,3 @@
-// The opinions of servers as the mesh brought them, decoded once each and kept by server.
-
 package snapshot
 
 import (
@@ -7,55 +5,69 @@
 	"slices"
 
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// healthReport is what one observer says of a server.
+// ReportState is the state of a backend in a health report. Its text is on the wire.
+type ReportState string
+
+// States in a health report.
+const (
+	ReportHealthy     ReportState = "ok"
+	ReportSlow        ReportState = "slow"
+	ReportUnreachable ReportState = "lost"
+	ReportCorrupt     ReportState = "garbage"
+)
+
+// healthReport is one node's report on a backend.
 type healthReport struct {
 	wire.HealthReport
 	origin string
 }
 
-// healthReports holds those of each server, by the observer's fingerprint.
+// healthReports holds the reports on each backend, sorted by origin. Each is decoded only once.
 type healthReports map[string][]healthReport
 
-// apply keeps an opinion, or drops the one that its observer takes back.
+// apply stores a report, or drops one that its origin withdrew.
 func (all healthReports) apply(v mesh.Stored) {
-	server := v.Entry.ID
-	of := all[server]
-	at, found := slices.BinarySearchFunc(of, v.Origin, func(o healthReport, origin string) int { return cmp.Compare(o.origin, origin) })
+	backend := v.Entry.ID
+	of := all[backend]
+	at, found := slices.BinarySearchFunc(of, v.Origin, func(report healthReport, origin string) int {
+		return cmp.Compare(report.origin, origin)
+	})
 	if found {
 		of = slices.Delete(of, at, at+1)
 	}
-	o := healthReport{origin: v.Origin}
-	if !v.Entry.Tombstone && wire.Decode(v.Entry.Body, &o.HealthReport) == nil {
-		of = slices.Insert(of, at, o)
+	report := healthReport{origin: v.Origin}
+	if !v.Entry.Tombstone && wire.Decode(v.Entry.Body, &report.HealthReport) == nil {
+		of = slices.Insert(of, at, report)
 	}
 	if len(of) == 0 {
-		delete(all, server)
+		delete(all, backend)
 		return
 	}
-	all[server] = of
+	all[backend] = of
 }
 
-// CountAgreeing counts the live observers other than this process that say the same of a server.
-func (table *Table) CountAgreeing(server string, o wire.HealthReport, now int64) (n int) {
-	for _, other := range table.healthReports[server] {
-		if other.State == o.State && other.Incarnation >= o.Incarnation && other.origin != table.mesh.Self() && table.mesh.Live(other.origin, now) {
+// CountAgreeing counts the other live nodes that report the same state of a backend.
+func (table *Table) CountAgreeing(backend string, report wire.HealthReport, now clock.Micros) (n int) {
+	for _, other := range table.healthReports[backend] {
+		if other.State == report.State && other.Incarnation >= report.Incarnation && other.origin != table.mesh.Self() && table.mesh.Live(other.origin, now) {
 			n++
 		}
 	}
 	return n
 }
 
-// forget drops all that an observer said.
+// forget drops all reports of an origin.
 func (all healthReports) forget(origin string) {
-	for server, of := range all {
-		of = slices.DeleteFunc(of, func(o healthReport) bool { return o.origin == origin })
+	for backend, of := range all {
+		of = slices.DeleteFunc(of, func(report healthReport) bool { return report.origin == origin })
 		if len(of) == 0 {
-			delete(all, server)
+			delete(all, backend)
 			continue
 		}
-		all[server] = of
+		all[backend] = of
 	}
 }
--- a/request/snapshot/healthreports_test.go
+++ b/request/snapshot/healthreports_test.go
@@ -1,5 +1,3 @@
-// Opinions by server: kept in the order of their observers, replaced, taken back, forgotten.
-
 package snapshot
 
 import (
@@ -11,9 +9,9 @@
 	"wallport/runtime/wire"
 )
 
-func reportEntry(origin, server, state string, gone bool) mesh.Stored {
+func reportEntry(origin, backend, state string, withdrawn bool) mesh.Stored {
 	body := wire.Encode(&wire.HealthReport{State: state})
-	return mesh.Stored{Origin: origin, Entry: &wire.Entry{Type: "opinion", ID: server, Tombstone: gone, Body: body}}
+	return mesh.Stored{Origin: origin, Entry: &wire.Entry{Type: mesh.EntryHealthReport, ID: backend, Tombstone: withdrawn, Body: body}}
 }
 
 func states(of []healthReport) (out []string) {
@@ -23,7 +21,7 @@
 	return out
 }
 
-func TestHealthReportsAreKeptByServer(t *testing.T) {
+func TestHealthReportsAreKeptByBackend(t *testing.T) {
 	all := healthReports{}
 	all.apply(reportEntry("b", "s1", "lost", false))
 	all.apply(reportEntry("a", "s1", "ok", false))
--- /dev/null
+++ b/request/snapshot/index.go
@@ -0,0 +1,84 @@
+package snapshot
+
+import (
+	"slices"
+
+	"wallport/api/configpb"
+	"wallport/control/state"
+	"wallport/runtime/wire"
+)
+
+// buildIndex returns the index that a service of the configuration describes.
+func (table *Table) buildIndex(snap *Snapshot, service *configpb.Service) *Index {
+	index := &Index{Name: service.Index, Service: service, Capacity: float64(service.Capacity)}
+	if v, ok := table.mesh.Partition(state.PartitionOf(service.Index)); ok {
+		if body, err := state.ReadIndex(v.Body); err == nil {
+			index.ShardMap = body.ShardMaps[service.Index]
+		}
+	}
+	index.ShardMap = table.servable(snap.Backends, service.Index, index.ShardMap)
+	index.Shards = shards(snap.Backends, service.Index, index.ShardMap.Name, index.ShardMap.Shards)
+	index.NextShards = shards(snap.Backends, service.Index, index.ShardMap.Next, index.ShardMap.NextShards)
+	index.Limits = limits(snap, index)
+	return index
+}
+
+// limits returns the limits of an index by kind of request. What active bookings reserve is taken
+// from the capacity first; the kinds share the rest.
+func limits(snap *Snapshot, index *Index) map[string]Limit {
+	byKind := map[string]Limit{}
+	reserved := 0.0
+	for _, booking := range snap.Configuration.Bookings {
+		if booking.Index != index.Name || !slices.Contains(snap.Config.ActiveBookings, booking.Id) {
+			continue
+		}
+		capacity := index.Capacity * float64(booking.Slice) / 100
+		limit := byKind[booking.Kind]
+		limit.Reserved += capacity
+		byKind[booking.Kind] = limit
+		reserved += capacity
+	}
+	for _, row := range snap.Configuration.Rows {
+		if row.Index != index.Name {
+			continue
+		}
+		limit := byKind[row.Kind]
+		limit.Share = (index.Capacity - reserved) * float64(row.Share) / 100
+		limit.RateLimit = float64(row.Ceiling)
+		byKind[row.Kind] = limit
+	}
+	return byKind
+}
+
+// servable returns the live shard map, or the previous one for as long as this node knows of no
+// usable backend for some shard of the live one: the shard map may arrive before the platform's
+// list.
+func (table *Table) servable(all []*Backend, index string, live wire.ShardMap) wire.ShardMap {
+	was := table.servedShardMaps[index]
+	if was.Name == live.Name || was.Name == "" || servesAll(all, index, live) || !servesAll(all, index, was) {
+		table.servedShardMaps[index] = live
+		return live
+	}
+	return wire.ShardMap{Name: was.Name, Shards: was.Shards, Next: live.Name, NextShards: live.Shards}
+}
+
+// servesAll reports whether each shard of a shard map has a backend that may be selected.
+func servesAll(all []*Backend, index string, shardMap wire.ShardMap) bool {
+	for _, backends := range shards(all, index, shardMap.Name, shardMap.Shards) {
+		if !slices.ContainsFunc(backends, func(b *Backend) bool { return b.Health < Draining }) {
+			return false
+		}
+	}
+	return shardMap.Shards > 0
+}
+
+// shards returns the backends of each of a shard map's n shards.
+func shards(all []*Backend, index, shardMap string, n int) [][]*Backend {
+	out := make([][]*Backend, n)
+	for _, backend := range all {
+		if backend.Index == index && backend.ShardMap == shardMap && backend.Shard >= 0 && backend.Shard < n {
+			out[backend.Shard] = append(out[backend.Shard], backend)
+		}
+	}
+	return out
+}
--- a/request/snapshot/invariants_test.go
+++ b/request/snapshot/invariants_test.go
@@ -1,5 +1,3 @@
-// What a node has in force never goes back.
-
 package snapshot
 
 import (
--- a/request/snapshot/pace_test.go
+++ b/request/snapshot/pace_test.go
@@ -1,5 +1,3 @@
-// How often snapshots are built for changes other than a partition's.
-
 package snapshot
 
 import (
@@ -16,26 +14,26 @@
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	table, now, due, built := kernel.Find[*Table](k), int64(5_000_000), int64(0), 0
 	k.Step(now, now, kernel.Start{})
-	k.Step(now, now, kernel.Tick{Plugin: "table", Key: "build"})
+	k.Step(now, now, kernel.Tick{Plugin: pluginName, Key: timerBuild})
 	for range 1000 {
 		now += 1_000
-		turn := &kernel.Context{Now: now, Counts: k.Counts}
-		table.Step(turn, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
-		for _, timer := range turn.Output.Timers {
+		step := &kernel.Context{Now: now, Counts: k.Counts}
+		table.Step(step, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
+		for _, timer := range step.Output.Timers {
 			must.Eq(t, 0, due, must.Sprint("one timer at a time"))
 			due = timer.At
 			must.LessEq(t, BuildInterval, due-now)
 		}
 		if due > 0 && now >= due {
 			due, built = 0, built+1
-			table.Step(&kernel.Context{Now: now, Counts: k.Counts}, kernel.Tick{Plugin: "table", Key: "build"})
+			table.Step(&kernel.Context{Now: now, Counts: k.Counts}, kernel.Tick{Plugin: pluginName, Key: timerBuild})
 		}
 	}
 	must.Between(t, 8, built, 11, must.Sprint("a second of changes"))
 	now += 2 * BuildInterval
-	turn := &kernel.Context{Now: now, Counts: k.Counts}
-	table.Step(turn, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
+	step := &kernel.Context{Now: now, Counts: k.Counts}
+	table.Step(step, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
 	if due == 0 {
-		must.Eq(t, now+BuildDelay, turn.Output.Timers[0].At, must.Sprint("soon after a pause"))
+		must.Eq(t, now+BuildDelay, step.Output.Timers[0].At, must.Sprint("soon after a pause"))
 	}
 }
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -1,6 +1,3 @@
-// The pools of the routing table: which servers belong to each. The table is
-// compiled once for each revision, whatever else changes.
-
 package snapshot
 
 import (
@@ -10,7 +7,8 @@
 	"wallport/control/routing"
 )
 
-// buildPools fills in the routing table in force and its pools.
+// buildPools sets the routing table in force, which is compiled once for each version, and its
+// pools.
 func (table *Table) buildPools(snap *Snapshot) {
 	if len(snap.Config.Routing) == 0 {
 		return
@@ -33,16 +31,16 @@
 			p.Backends = append(p.Backends, s)
 		}
 	}
-	h := subsetNode{name: table.Self(), zone: snap.Zone, nodes: snap.Divisor}
+	self := subsetNode{name: table.Self(), zone: snap.Zone, nodes: snap.Divisor}
 	for _, n := range snap.Roster {
 		if n.Zone == snap.Zone {
-			h.zoneNodes++
+			self.zoneNodes++
 		}
 	}
 	for _, p := range snap.Pools {
-		p.assignSubset(h)
+		p.assignSubset(self)
 	}
 }
 
-// Self is the name of this process.
+// Self returns the name of this process.
 func (table *Table) Self() string { return table.k.Boot.Settings.Name }
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -1,7 +1,3 @@
-// When a process that has just started may serve: on state that a core in
-// contact with a majority has confirmed, or, where none has contact, after a
-// stated while.
-
 package snapshot
 
 import (
@@ -15,12 +11,13 @@
 
 	"wallport/api/routingpb"
 	"wallport/control/configsync"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-const second = int64(1_000_000)
+const second = clock.Second
 
 // timers are those of a process, the next one first.
 type timers []kernel.Timer
@@ -36,7 +33,7 @@
 	return last
 }
 
-// fakeCore answers pulls; one that is silent answers none.
+// fakeCore replies to pulls unless it is unresponsive.
 type fakeCore struct {
 	term             uint64
 	revision         int64
@@ -159,7 +156,7 @@
 }
 
 // Of three cores one alone is in contact, as a follower that a leader is cut off with is not.
-func TestStartedNodeRequestsAllCoresInTurn(t *testing.T) {
+func TestStartedNodePullsFromOneCoreAfterAnother(t *testing.T) {
 	for _, inContact := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		cores := map[string]*fakeCore{}
 		for _, a := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -1,6 +1,3 @@
-// Which nodes a snapshot names: those that claims may live at, dead ones for a
-// while too, and what of it changes as time passes alone.
-
 package snapshot
 
 import (
@@ -8,18 +5,21 @@
 	"hash/fnv"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// RosterTTL is how long a silent node still counts as a home of claims.
-const RosterTTL = 6_000_000
+// RosterTTL is how long a node that is no longer live still counts as a possible owner of
+// idempotency keys.
+const RosterTTL = 6 * clock.Second
 
-// MaxKeyOwners bounds the nodes that claims may live at: a change of who they are has each of
-// them ask every other.
+// MaxKeyOwners bounds the nodes that may own idempotency keys: when the set changes, each of them
+// queries every other.
 const MaxKeyOwners = 33
 
-// keyOwners picks them out of a larger fleet: the weightiest by name, each zone in turn.
+// keyOwners selects the key owners of a fleet: by the hash of the name, one zone after the other in
+// turn.
 func keyOwners(roster []Node) []Node {
 	if len(roster) <= MaxKeyOwners {
 		return roster
@@ -55,7 +55,7 @@
 	return x
 }
 
-// roster lists the nodes, dead ones for a while too.
+// roster returns the nodes, those that died within RosterTTL included, sorted by name.
 func (table *Table) roster(ctx *kernel.Context) []Node {
 	var out []Node
 	table.members.Each(ctx.Now, func(origin string, r *wire.Member, live bool) {
@@ -67,7 +67,7 @@
 			return
 		}
 		n := Node{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Origin: origin, Live: live}
-		// Rows of one name follow one another.
+		// Members are sorted by name. Of several with one name, a live one replaces a dead one.
 		last := len(out) - 1
 		switch {
 		case last < 0 || out[last].Name != n.Name:
@@ -79,9 +79,9 @@
 	return out
 }
 
-// updateLive notes who is live, and sums up what a snapshot takes from the clock: who is, who
-// still counts as a home of claims, and the size of the fleet.
-func (table *Table) updateLive(now int64) uint64 {
+// updateLive records which nodes are live. It returns a hash of all that a snapshot takes from the
+// passing of time: the live nodes, the possible key owners and the size of the fleet.
+func (table *Table) updateLive(now clock.Micros) uint64 {
 	h := uint64(table.members.Divisor())
 	table.members.Each(now, func(origin string, _ *wire.Member, live bool) {
 		at, ok := table.lastLive[origin]
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -1,174 +1,145 @@
-// Package snapshot builds the immutable snapshot that the request path reads
-// through one atomic pointer: who serves which shard of which cut, in what
-// condition, within which limits, and which nodes are there to ask.
 package snapshot
 
 import (
-	"sync"
-	"sync/atomic"
-
 	"wallport/api/configpb"
 	"wallport/api/routingpb"
 	"wallport/control/routing"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// Verdicts on a server, from best to worst. Leaving and emptied are never picked.
+// HealthState is the health of a backend, from best to worst. Draining and ZoneDrained backends are
+// never selected.
+type HealthState uint8
+
+// Health states of a backend.
 const (
-	Healthy uint8 = iota
+	Healthy HealthState = iota
+	// Slow backends have a latency far above the median of their shard.
 	Slow
+	// Suspect backends fail for this node, but not for enough others.
 	Suspect
+	// Unreachable backends cannot be connected to or fail their health checks.
 	Unreachable
+	// Corrupt backends send invalid responses.
 	Corrupt
+	// Draining backends are being shut down, as the platform's list says.
 	Draining
+	// ZoneDrained backends are in a zone that the operators have drained.
 	ZoneDrained
 )
 
-// HealthStateNames are the verdicts in words.
-var HealthStateNames = []string{"ok", "slow", "doubt", "lost", "garbage", "leaving", "emptied"}
+// healthStateNames are the states as the operators' API names them.
+var healthStateNames = [...]string{"ok", "slow", "doubt", "lost", "garbage", "leaving", "emptied"}
+
+// String returns the state as the operators' API names it.
+func (s HealthState) String() string { return healthStateNames[s] }
 
-// Backend is one backend as a snapshot shows it.
+// stateDraining is the state of a draining backend in the platform's list.
+const stateDraining = "leaving"
+
+// Backend is one backend of the platform's list.
 type Backend struct {
 	wire.Backend
-	Health uint8
-	// Born is when, on this process's monotonic clock, the incarnation began.
-	Born  int64
+	// Health is the merged health state.
+	Health HealthState
+	// Born is when the incarnation began, on this process's clock.
+	Born  clock.Micros
 	Gauge *Gauge
-	// CloseAfterUse is that connections to it are not kept idle.
+	// CloseAfterUse says that connections to the backend are not kept idle.
 	CloseAfterUse bool
 }
 
-// SlowStartShare is how warm a server is, in thousandths, after a ramp of so many microseconds.
-func (s *Backend) SlowStartShare(now, slowStart int64) int64 {
+// SlowStartShare returns the share of the traffic, in thousandths, that a backend is given whose
+// slow start lasts for slowStart.
+func (s *Backend) SlowStartShare(now, slowStart clock.Micros) int64 {
 	if slowStart <= 0 || s.Incarnation == 0 {
-		return 1000
+		return fullShare
 	}
-	return max(MinSlowStartShare, min(1000, (now-s.Born)*1000/slowStart))
+	return max(MinSlowStartShare, min(fullShare, (now-s.Born)*fullShare/slowStart))
 }
 
-// MinSlowStartShare is the share, in thousandths, that a server just started is given.
-const MinSlowStartShare = 100
+// Shares of the traffic of a backend in slow start, in thousandths.
+const (
+	// MinSlowStartShare is the share at the start.
+	MinSlowStartShare = 100
+	fullShare         = 1000
+)
 
-// Limit is what one kind of inquiry may do, in inquiries a second, fleet-wide
-// and here.
+// Limit holds the limits of one kind of request to one index, for the whole fleet, in requests a
+// second; 0 is none.
 type Limit struct {
+	// Share is the quota share of the index's capacity.
 	Share     float64
 	RateLimit float64
-	Reserved  float64
+	// Reserved is the capacity that active bookings reserve for the kind.
+	Reserved float64
 }
 
-// Index is one index as a snapshot shows it.
+// Index is one index of the configuration.
 type Index struct {
-	Name       string
+	Name string
+	// ShardMap is the shard map that is served from. Shards are the backends of each of its shards,
+	// NextShards those of the next shard map while the index is resharded.
 	ShardMap   wire.ShardMap
 	Shards     [][]*Backend
 	NextShards [][]*Backend
 	Service    *configpb.Service
-	Limits     map[string]Limit
-	Capacity   float64
+	// Limits are the limits by kind of request.
+	Limits map[string]Limit
+	// Capacity is that of the index, in requests a second.
+	Capacity float64
 }
 
-// Pool is one pool of the routing table as a snapshot shows it.
+// Pool is one pool of the routing table.
 type Pool struct {
 	*routingpb.Pool
-	// Backends are those that may be asked, leaving and emptied ones included with their verdict.
+	// Backends are all backends of the pool, those that must not be selected included.
 	Backends []*Backend
 }
 
-// Node is a peer that may be home to claims.
+// Node is a node of the fleet that may own idempotency keys.
 type Node struct {
 	Name, Zone, Addr, Origin string
 	Live                     bool
 }
 
-// Snapshot is the table at a moment. It is never changed once published.
+// Snapshot is the state of the fleet as this node sees it. It is never changed once published.
 type Snapshot struct {
-	At            int64
+	// At is when it was built.
+	At clock.Micros
+	// Version is that of the configuration, Config its body and Configuration the decoded document.
 	Version       wire.Version
 	Config        wire.ConfigBody
 	Configuration *configpb.Sheet
 	Indexes       map[string]*Index
-	// Roster is all nodes, those that died of late too; Homes are those of them that claims may live at.
-	Roster      []Node
-	KeyOwners   []Node
-	Divisor     int
+	// Roster is all nodes, those that died lately included. KeyOwners are those of them that may own
+	// idempotency keys.
+	Roster    []Node
+	KeyOwners []Node
+	// Divisor is the number of nodes by which limits of the fleet are divided.
+	Divisor int
+	// Zone is this node's zone, ZoneDrained says that the operators have drained it.
 	Zone        string
 	ZoneDrained bool
-	Draining    bool
+	// Draining says that this process is shutting down.
+	Draining bool
 	// Peers counts the live nodes, this one included.
 	Peers    int
 	Backends []*Backend
 	// Routing is the routing table in force, nil before the first; Pools are its pools by name.
 	Routing *routing.Table
 	Pools   map[string]*Pool
-	// Complete tells that configuration, cuts and the platform's list are all there.
+	// Complete says that the configuration, the shard maps and the platform's list are all there and
+	// confirmed. Once it is set, it stays set in later snapshots.
 	Complete bool
-	// Stale tells that the process did not run for a while and has not yet heard
-	// what happened meanwhile: inquiries wait, for MaxStale at most.
+	// Stale says that the process was frozen and has not yet learned what happened meanwhile.
+	// Requests wait for a newer snapshot, MaxStale at most.
 	Stale bool
 }
 
-// MaxStale bounds that wait: a node that is alone goes on with what it has.
-const MaxStale = 1_000_000
+// MaxStale bounds how long a snapshot is stale. An isolated node continues with the state it has.
+const MaxStale = 1 * clock.Second
 
-// Ready reports whether inquiries can be served from this snapshot.
+// Ready reports whether requests can be served from this snapshot. It may be called on nil.
 func (snap *Snapshot) Ready() bool { return snap != nil && snap.Complete }
-
-// Gauge is what this node itself sees of one server; it outlives snapshots.
-type Gauge struct {
-	Outstanding      atomic.Int64
-	Latency          atomic.Int64
-	Usage            atomic.Int64
-	Failures         atomic.Int64
-	CorruptResponses atomic.Int64
-	// EjectedUntil is until when the request path avoids the server on its own account.
-	EjectedUntil atomic.Int64
-	Incarnation  atomic.Int64
-	Requested    atomic.Int64
-	// SlowStartUntil is until when the server stays cold by its own word, on this process's clock.
-	SlowStartUntil atomic.Int64
-}
-
-// Succeeded notes a good answer and how long it took.
-func (g *Gauge) Succeeded(us int64) {
-	g.Failures.Store(0)
-	g.CorruptResponses.Store(0)
-	g.EjectedUntil.Store(0)
-	old := g.Latency.Load()
-	if old == 0 {
-		g.Latency.Store(us)
-		return
-	}
-	g.Latency.Store(old + (us-old)/8)
-}
-
-// Failed notes a failure; the third in a row ejects for a growing while.
-func (g *Gauge) Failed(now int64) {
-	if n := g.Failures.Add(1); n >= EjectThreshold {
-		g.EjectedUntil.Store(now + min(n, 10)*EjectTime)
-	}
-}
-
-// Corrupted notes an answer that was not what it should be.
-func (g *Gauge) Corrupted(now int64) {
-	g.CorruptResponses.Add(1)
-	g.EjectedUntil.Store(now + 4*EjectTime)
-}
-
-// Figures of ejection.
-const (
-	EjectThreshold = 3
-	EjectTime      = 500_000
-)
-
-// Gauges holds a gauge per server id.
-type Gauges struct{ m sync.Map }
-
-// Of returns the gauge of a server, made at first use.
-func (g *Gauges) Of(id string) *Gauge {
-	if v, ok := g.m.Load(id); ok {
-		return v.(*Gauge)
-	}
-	v, _ := g.m.LoadOrStore(id, new(Gauge))
-	return v.(*Gauge)
-}
--- a/request/snapshot/subset.go
+++ b/request/snapshot/subset.go
@@ -1,8 +1,3 @@
-// Which backends this node keeps idle connections to. Where a pool allows each backend fewer
-// connections than there are nodes, every node keeps them to a few backends of its own zone only,
-// chosen by rendezvous, and closes those to the others after use: a backend's connections are
-// then for requests under way and not filled with idle ones, beyond which it resets.
-
 package snapshot
 
 import (
@@ -11,34 +6,39 @@
 	"slices"
 )
 
-// maxIdleMille is how many thousandths of a backend's connections may be idle, fleet-wide.
+// maxIdleMille is how many thousandths of a backend's connections may be idle, from all nodes
+// together.
 const maxIdleMille = 600
 
-// exceedsIdleLimit tells that the idle connections of all nodes would be too many for a backend.
+// exceedsIdleLimit reports whether idle connections from all nodes would be too many for a backend.
 func exceedsIdleLimit(connections int64, nodes int) bool {
 	return connections > 0 && int64(nodes)*1000 > connections*maxIdleMille
 }
 
-// subsetNode is a node as it holds connections: all nodes of its zone share its zone's backends.
+// subsetNode is a node in the division of idle connections: the nodes of a zone divide the backends
+// of the zone among them.
 type subsetNode struct {
 	name, zone string
-	// nodes counts all nodes, zoned those of the zone.
+	// nodes counts all nodes, zoneNodes those of the zone.
 	nodes, zoneNodes int
 }
 
-// assignSubset marks the backends of a pool whose connections are closed after use.
-func (p *Pool) assignSubset(h subsetNode) {
-	if !exceedsIdleLimit(p.MaxConnections, h.nodes) {
+// assignSubset determines to which backends of a pool this node keeps idle connections. If a pool
+// allows each backend fewer connections than there are nodes, each node keeps them to a subset of
+// its own zone's backends, chosen by rendezvous hashing, and closes the others after use. Otherwise
+// idle connections would use up a backend's connections, beyond which it resets new ones.
+func (p *Pool) assignSubset(node subsetNode) {
+	if !exceedsIdleLimit(p.MaxConnections, node.nodes) {
 		return
 	}
 	ranked := make([]rankedBackend, 0, len(p.Backends))
-	for _, server := range p.Backends {
-		server.CloseAfterUse = server.Zone != h.zone
-		if !server.CloseAfterUse {
-			ranked = append(ranked, rankedBackend{rendezvous(h.name, server.ID), server})
+	for _, backend := range p.Backends {
+		backend.CloseAfterUse = backend.Zone != node.zone
+		if !backend.CloseAfterUse {
+			ranked = append(ranked, rankedBackend{rendezvous(node.name, backend.ID), backend})
 		}
 	}
-	kept := int(p.MaxConnections*maxIdleMille/1000) * len(ranked) / max(1, h.zoneNodes)
+	kept := int(p.MaxConnections*maxIdleMille/1000) * len(ranked) / max(1, node.zoneNodes)
 	if kept >= len(ranked) {
 		return
 	}
@@ -50,15 +50,16 @@
 	}
 }
 
+// rankedBackend is a backend with its rank in the rendezvous order of this node.
 type rankedBackend struct {
 	rank    uint64
 	backend *Backend
 }
 
-func rendezvous(node, server string) uint64 {
+func rendezvous(node, backend string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(node))
 	h.Write([]byte{0})
-	h.Write([]byte(server))
+	h.Write([]byte(backend))
 	return mix(h.Sum64())
 }
--- a/request/snapshot/subset_test.go
+++ b/request/snapshot/subset_test.go
@@ -1,5 +1,3 @@
-// Idle connections where a backend allows fewer than there are nodes.
-
 package snapshot
 
 import (
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -1,7 +1,3 @@
-// The plug-in that gathers what the mesh brings and publishes snapshots: at
-// once when a partition's version came, otherwise soon after something changed. While
-// nothing changes it does not run.
-
 package snapshot
 
 import (
@@ -12,89 +8,117 @@
 	"wallport/cluster/membership"
 	"wallport/cluster/mesh"
 	"wallport/control/configsync"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// BuildDelay is how long a change other than a partition's may wait for the next snapshot, and
-// BuildInterval the least time between two snapshots that are built for such changes alone.
+// Constants of building.
+const (
+	// BuildDelay is how long a change other than a partition's version waits for others, and
+	// BuildInterval the least time between two snapshots that are built for such changes alone.
+	BuildDelay    = 25 * clock.Millisecond
+	BuildInterval = 100 * clock.Millisecond
+	// AbsentTTL is how long a backend is kept that is missing from incomplete lists.
+	AbsentTTL = 60 * clock.Second
+	// awaitInterval is the time between two looks for confirmed state by a process that has none.
+	awaitInterval = 250 * clock.Millisecond
+)
+
 const (
-	BuildDelay    = 25_000
-	BuildInterval = 100_000
+	pluginName = "table"
+	timerBuild = "build"
+	timerStale = "stale"
+	timerAwait = "await"
 )
 
-// Table is the plug-in.
+// Table is the plug-in that builds and publishes the snapshots.
 type Table struct {
-	k                   *kernel.Kernel
-	mesh                *mesh.Mesh
-	members             *membership.Members
-	loadReports         *loadreport.Reporter
-	configSync          *configsync.Sync
-	Gauges              *Gauges
-	current             atomic.Pointer[Snapshot]
-	buildScheduled      bool
-	builtAt             int64
-	liveHash            uint64
-	config              configState
-	listing             wire.BackendList
-	listingOrigin       string
-	listingCount        uint64
+	k           *kernel.Kernel
+	mesh        *mesh.Mesh
+	members     *membership.Members
+	loadReports *loadreport.Reporter
+	configSync  *configsync.Sync
+	// Gauges are those of all backends.
+	Gauges *Gauges
+
+	current        atomic.Pointer[Snapshot]
+	buildScheduled bool
+	builtAt        clock.Micros
+	staleness      staleness
+	config         configState
+
+	// backendList is the platform's list as last announced, backendListOrigin and backendListCount the origin and
+	// the count of the entry that brought it.
+	backendList       wire.BackendList
+	backendListOrigin string
+	backendListCount  uint64
+	// drainingIncarnation is the incarnation of each backend that was last listed as draining.
 	drainingIncarnation map[string]int64
-	births              map[string]birth
-	lastLive            map[string]int64
-	absentSince         map[string]int64
-	healthReports       healthReports
-	// servedShardMaps are those that this node serves from.
+	// absentSince is since when a backend has been missing from incomplete lists.
+	absentSince   map[string]clock.Micros
+	births        map[string]birth
+	healthReports healthReports
+
+	// lastLive is when each node was last live, by origin; liveHash sums up who was at the last build.
+	lastLive map[string]clock.Micros
+	liveHash uint64
+	// servedShardMaps are the shard maps that this node serves from, by index.
 	servedShardMaps map[string]wire.ShardMap
-	staleness       staleness
 }
 
-// staleness is what a process still has to hear after it was thawed.
+// staleness is what a process that was frozen still has to learn: until when it waits for that at
+// most, and whether it has caught up with the mesh and pulled from a core.
 type staleness struct {
-	until  int64
+	until  clock.Micros
 	mesh   bool
 	pulled bool
 }
 
-func (s staleness) active(now int64) bool { return now < s.until && !(s.mesh && s.pulled) }
+func (s staleness) active(now clock.Micros) bool { return now < s.until && !(s.mesh && s.pulled) }
 
-type birth struct{ incarnation, born int64 }
+// birth is when an incarnation of a backend began, on this process's clock.
+type birth struct {
+	incarnation int64
+	born        clock.Micros
+}
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Table{
 			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), loadReports: kernel.Find[*loadreport.Reporter](k),
-			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, births: map[string]birth{}, lastLive: map[string]int64{}, absentSince: map[string]int64{}, healthReports: healthReports{}, servedShardMaps: map[string]wire.ShardMap{},
+			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, absentSince: map[string]clock.Micros{},
+			births: map[string]birth{}, healthReports: healthReports{}, lastLive: map[string]clock.Micros{}, servedShardMaps: map[string]wire.ShardMap{},
 		}
 	}})
 }
 
-// Name is the plug-in's name.
-func (table *Table) Name() string { return "table" }
+// Name returns the plug-in's name.
+func (table *Table) Name() string { return pluginName }
 
-// Kinds are the frames that it takes: none.
+// Kinds returns the kinds of frames that the plug-in handles: none.
 func (table *Table) Kinds() []uint8 { return nil }
 
-// Current is the newest snapshot; any thread may ask.
+// Current returns the newest snapshot; nil before the first. Any goroutine may call it.
 func (table *Table) Current() *Snapshot { return table.current.Load() }
 
-// Step takes one input.
+// Step handles one input of the kernel.
 func (table *Table) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
-		ctx.After(configsync.UnconfirmedTimeout, "table", awaitTimer)
+		ctx.After(configsync.UnconfirmedTimeout, pluginName, timerAwait)
 		table.build(ctx)
 	case kernel.Tick:
-		if v.Key == awaitTimer {
+		if v.Key == timerAwait {
 			table.awaitConfirmed(ctx)
 			return
 		}
-		table.buildScheduled = table.buildScheduled && v.Key != "build"
+		table.buildScheduled = table.buildScheduled && v.Key != timerBuild
 		table.build(ctx)
 	case kernel.Thawed:
 		table.staleness = staleness{until: ctx.Now + MaxStale}
 		table.build(ctx)
-		ctx.After(MaxStale, "table", "stale")
+		ctx.After(MaxStale, pluginName, timerStale)
 	case mesh.CaughtUp:
 		table.refreshed(ctx, func(s *staleness) { s.mesh = true })
 	case configsync.Pulled:
@@ -109,42 +133,43 @@
 		delete(table.lastLive, v.Origin)
 		table.healthReports.forget(v.Origin)
 		table.scheduleBuild(ctx)
-		table.reannounceListing(ctx, v.Origin)
+		table.reannounceBackendList(ctx, v.Origin)
 	case mesh.Stored:
 		switch v.Entry.Type {
-		case "part":
+		case mesh.EntryPartition:
 			table.build(ctx)
-		case "listing":
-			table.applyListing(ctx, v)
-		case "opinion":
+		case mesh.EntryBackendList:
+			table.applyBackendList(ctx, v)
+		case mesh.EntryHealthReport:
 			table.healthReports.apply(v)
 			table.scheduleBuild(ctx)
-		case "member":
+		case mesh.EntryMember:
 			table.scheduleBuild(ctx)
 		}
 	}
 }
 
-// scheduleBuild has a snapshot built shortly, for all that changes until then.
+// scheduleBuild schedules one build for all changes until then.
 func (table *Table) scheduleBuild(ctx *kernel.Context) {
 	if !table.buildScheduled {
 		table.buildScheduled = true
-		ctx.After(max(BuildDelay, table.builtAt+BuildInterval-ctx.Now), "table", "build")
+		ctx.After(max(BuildDelay, table.builtAt+BuildInterval-ctx.Now), pluginName, timerBuild)
 	}
 }
 
-// refreshed notes one of the things that a thawed process waits for.
+// refreshed records with f one of the things that a thawed process waits for.
 func (table *Table) refreshed(ctx *kernel.Context, f func(s *staleness)) {
-	if was := table.staleness.active(ctx.Now); was {
-		f(&table.staleness)
-		if !table.staleness.active(ctx.Now) {
-			table.build(ctx)
-		}
+	if !table.staleness.active(ctx.Now) {
+		return
+	}
+	f(&table.staleness)
+	if !table.staleness.active(ctx.Now) {
+		table.build(ctx)
 	}
 }
 
-// handlePulled notes that a core answered a pull: what a process serves from that has just started, or was
-// thawed, needs an answer of a core in contact with a majority.
+// handlePulled handles that a core replied to a pull. A process that has just started or was thawed
+// needs the reply of a core in contact with a majority.
 func (table *Table) handlePulled(ctx *kernel.Context, v configsync.Pulled) {
 	if v.Confirmed == 0 {
 		return
@@ -155,26 +180,27 @@
 	}
 }
 
-// applyListing takes a reading of the platform's list, unless an older holder made it.
-func (table *Table) applyListing(ctx *kernel.Context, v mesh.Stored) {
+// applyBackendList takes a reading of the platform's list, unless a newer one is known: by the lease id
+// or, from the same origin, by the entry's count.
+func (table *Table) applyBackendList(ctx *kernel.Context, v mesh.Stored) {
 	var l wire.BackendList
-	if wire.Decode(v.Entry.Body, &l) != nil || l.LeaseID < table.listing.LeaseID {
+	if wire.Decode(v.Entry.Body, &l) != nil || l.LeaseID < table.backendList.LeaseID {
 		return
 	}
-	if v.Origin == table.listingOrigin && v.Entry.Count < table.listingCount {
+	if v.Origin == table.backendListOrigin && v.Entry.Count < table.backendListCount {
 		return
 	}
 	there := map[string]bool{}
 	for _, s := range l.Backends {
 		there[s.ID] = true
-		if s.State == "leaving" {
-			// Sticky for the incarnation: no later reading takes it back.
+		if s.State == stateDraining {
+			// An incarnation that drains never serves again, whatever a later list says.
 			table.drainingIncarnation[s.ID] = max(table.drainingIncarnation[s.ID], s.Incarnation)
 		}
 	}
-	for _, s := range table.listing.Backends {
+	for _, s := range table.backendList.Backends {
 		if !there[s.ID] && !l.Complete {
-			// Absence from such a list proves nothing; the server stays until it is absent for long.
+			// Absence from an incomplete list proves nothing for a while.
 			if _, ok := table.absentSince[s.ID]; !ok {
 				table.absentSince[s.ID] = ctx.Now
 			}
@@ -186,13 +212,11 @@
 	for id := range there {
 		delete(table.absentSince, id)
 	}
-	table.listing, table.listingOrigin, table.listingCount = l, v.Origin, v.Entry.Count
+	table.backendList, table.backendListOrigin, table.backendListCount = l, v.Origin, v.Entry.Count
 	table.build(ctx)
 }
 
-// AbsentTTL is how long a server that left the list without a word is kept.
-const AbsentTTL = 60_000_000
-
+// build builds and publishes a snapshot.
 func (table *Table) build(ctx *kernel.Context) {
 	snap := &Snapshot{
 		At: ctx.Now, Indexes: map[string]*Index{}, Zone: table.k.Boot.Settings.Zone, Divisor: table.members.Divisor(),
@@ -220,14 +244,14 @@
 	ctx.Emit(Built{})
 }
 
-// Built is emitted when a new snapshot has been published.
+// Built is emitted when a new snapshot was published.
 type Built struct{}
 
-// reannounceListing tells the list again that a forgotten node had told, so that nodes
-// which start later still find it. The first live node by name does so.
-func (table *Table) reannounceListing(ctx *kernel.Context, forgotten string) {
+// reannounceBackendList announces the list that a forgotten node had announced, so that nodes that
+// start later find it. The first live node by name does so.
+func (table *Table) reannounceBackendList(ctx *kernel.Context, forgotten string) {
 	live := table.members.Live(ctx.Now, "node")
-	if forgotten == table.listingOrigin && len(live) > 0 && live[0].Origin == table.mesh.Self() {
-		table.mesh.Announce(ctx, "listing", discovery.LeaseTask, wire.Encode(&table.listing), false)
+	if forgotten == table.backendListOrigin && len(live) > 0 && live[0].Origin == table.mesh.Self() {
+		table.mesh.Announce(ctx, mesh.EntryBackendList, discovery.LeaseTask, wire.Encode(&table.backendList), false)
 	}
 }
