--- a/runtime/wire/bodies_gen.go
+++ b/runtime/wire/bodies_gen.go
@@ -7,7 +7,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *AdmitReply) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Backend) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -24,52 +24,70 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
+		case "i":
+			z.ID, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "f":
-			z.From, err = dc.ReadString()
+		case "a":
+			z.Addr, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Addr")
 				return
 			}
-		case "n":
-			z.Name, err = dc.ReadString()
+		case "z":
+			z.Zone, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "Zone")
+				return
+			}
+		case "x":
+			z.Index, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Index")
 				return
 			}
 		case "c":
-			z.Code, err = dc.ReadString()
+			z.ShardMap, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "ShardMap")
+				return
+			}
+		case "s":
+			z.Shard, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Code")
+				err = msgp.WrapError(err, "Shard")
 				return
 			}
 		case "st":
-			z.Status, err = dc.ReadInt()
+			z.State, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Status")
+				err = msgp.WrapError(err, "State")
 				return
 			}
-		case "b":
-			z.Body, err = dc.ReadBytes(z.Body)
+		case "n":
+			z.Incarnation, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
-		case "t":
-			z.Attempted, err = dc.ReadBool()
+		case "p":
+			z.Pool, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Attempted")
+				err = msgp.WrapError(err, "Pool")
 				return
 			}
-		case "h":
-			z.KeyOwners, err = dc.ReadInt()
+		case "l":
+			z.Slots, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Slots")
+				return
+			}
+		case "w":
+			z.WarmUpRemaining, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "KeyOwners")
+				err = msgp.WrapError(err, "WarmUpRemaining")
 				return
 			}
 		default:
@@ -84,364 +102,300 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *AdmitReply) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 8
-	// write "k"
-	err = en.Append(0x88, 0xa1, 0x6b)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Key)
-	if err != nil {
-		err = msgp.WrapError(err, "Key")
-		return
-	}
-	// write "f"
-	err = en.Append(0xa1, 0x66)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.From)
-	if err != nil {
-		err = msgp.WrapError(err, "From")
-		return
-	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Name)
-	if err != nil {
-		err = msgp.WrapError(err, "Name")
-		return
-	}
-	// write "c"
-	err = en.Append(0xa1, 0x63)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Code)
-	if err != nil {
-		err = msgp.WrapError(err, "Code")
-		return
-	}
-	// write "st"
-	err = en.Append(0xa2, 0x73, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.Status)
-	if err != nil {
-		err = msgp.WrapError(err, "Status")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteBytes(z.Body)
-	if err != nil {
-		err = msgp.WrapError(err, "Body")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
-	if err != nil {
-		return
+func (z *Backend) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(11)
+	var zb0001Mask uint16 /* 11 bits */
+	_ = zb0001Mask
+	if z.Pool == "" {
+		zb0001Len--
+		zb0001Mask |= 0x100
 	}
-	err = en.WriteBool(z.Attempted)
-	if err != nil {
-		err = msgp.WrapError(err, "Attempted")
-		return
+	if z.Slots == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x200
 	}
-	// write "h"
-	err = en.Append(0xa1, 0x68)
-	if err != nil {
-		return
+	if z.WarmUpRemaining == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x400
 	}
-	err = en.WriteInt(z.KeyOwners)
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
 	if err != nil {
-		err = msgp.WrapError(err, "KeyOwners")
 		return
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *AdmitReply) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 8
-	// string "k"
-	o = append(o, 0x88, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendString(o, z.Code)
-	// string "st"
-	o = append(o, 0xa2, 0x73, 0x74)
-	o = msgp.AppendInt(o, z.Status)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBytes(o, z.Body)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendBool(o, z.Attempted)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendInt(o, z.KeyOwners)
-	return
-}
 
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *AdmitReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// write "i"
+		err = en.Append(0xa1, 0x69)
 		if err != nil {
-			err = msgp.WrapError(err)
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
+		err = en.WriteString(z.ID)
+		if err != nil {
+			err = msgp.WrapError(err, "ID")
+			return
+		}
+		// write "a"
+		err = en.Append(0xa1, 0x61)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Addr)
+		if err != nil {
+			err = msgp.WrapError(err, "Addr")
+			return
+		}
+		// write "z"
+		err = en.Append(0xa1, 0x7a)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Zone)
+		if err != nil {
+			err = msgp.WrapError(err, "Zone")
+			return
+		}
+		// write "x"
+		err = en.Append(0xa1, 0x78)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Index)
+		if err != nil {
+			err = msgp.WrapError(err, "Index")
+			return
+		}
+		// write "c"
+		err = en.Append(0xa1, 0x63)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.ShardMap)
+		if err != nil {
+			err = msgp.WrapError(err, "ShardMap")
+			return
+		}
+		// write "s"
+		err = en.Append(0xa1, 0x73)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Shard)
+		if err != nil {
+			err = msgp.WrapError(err, "Shard")
+			return
+		}
+		// write "st"
+		err = en.Append(0xa2, 0x73, 0x74)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.State)
+		if err != nil {
+			err = msgp.WrapError(err, "State")
+			return
+		}
+		// write "n"
+		err = en.Append(0xa1, 0x6e)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt64(z.Incarnation)
+		if err != nil {
+			err = msgp.WrapError(err, "Incarnation")
+			return
+		}
+		if (zb0001Mask & 0x100) == 0 { // if not omitted
+			// write "p"
+			err = en.Append(0xa1, 0x70)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
 				return
 			}
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			err = en.WriteString(z.Pool)
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "Pool")
 				return
 			}
-		case "c":
-			z.Code, bts, err = msgp.ReadStringBytes(bts)
+		}
+		if (zb0001Mask & 0x200) == 0 { // if not omitted
+			// write "l"
+			err = en.Append(0xa1, 0x6c)
 			if err != nil {
-				err = msgp.WrapError(err, "Code")
 				return
 			}
-		case "st":
-			z.Status, bts, err = msgp.ReadIntBytes(bts)
+			err = en.WriteInt(z.Slots)
 			if err != nil {
-				err = msgp.WrapError(err, "Status")
+				err = msgp.WrapError(err, "Slots")
 				return
 			}
-		case "b":
-			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
+		}
+		if (zb0001Mask & 0x400) == 0 { // if not omitted
+			// write "w"
+			err = en.Append(0xa1, 0x77)
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
 				return
 			}
-		case "t":
-			z.Attempted, bts, err = msgp.ReadBoolBytes(bts)
+			err = en.WriteInt64(z.WarmUpRemaining)
 			if err != nil {
-				err = msgp.WrapError(err, "Attempted")
-				return
-			}
-		case "h":
-			z.KeyOwners, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "KeyOwners")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "WarmUpRemaining")
 				return
 			}
 		}
 	}
-	o = bts
 	return
 }
 
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *AdmitReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Code) + 3 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize + 2 + msgp.IntSize
+// MarshalMsg implements msgp.Marshaler
+func (z *Backend) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(11)
+	var zb0001Mask uint16 /* 11 bits */
+	_ = zb0001Mask
+	if z.Pool == "" {
+		zb0001Len--
+		zb0001Mask |= 0x100
+	}
+	if z.Slots == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x200
+	}
+	if z.WarmUpRemaining == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x400
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "i"
+		o = append(o, 0xa1, 0x69)
+		o = msgp.AppendString(o, z.ID)
+		// string "a"
+		o = append(o, 0xa1, 0x61)
+		o = msgp.AppendString(o, z.Addr)
+		// string "z"
+		o = append(o, 0xa1, 0x7a)
+		o = msgp.AppendString(o, z.Zone)
+		// string "x"
+		o = append(o, 0xa1, 0x78)
+		o = msgp.AppendString(o, z.Index)
+		// string "c"
+		o = append(o, 0xa1, 0x63)
+		o = msgp.AppendString(o, z.ShardMap)
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendInt(o, z.Shard)
+		// string "st"
+		o = append(o, 0xa2, 0x73, 0x74)
+		o = msgp.AppendString(o, z.State)
+		// string "n"
+		o = append(o, 0xa1, 0x6e)
+		o = msgp.AppendInt64(o, z.Incarnation)
+		if (zb0001Mask & 0x100) == 0 { // if not omitted
+			// string "p"
+			o = append(o, 0xa1, 0x70)
+			o = msgp.AppendString(o, z.Pool)
+		}
+		if (zb0001Mask & 0x200) == 0 { // if not omitted
+			// string "l"
+			o = append(o, 0xa1, 0x6c)
+			o = msgp.AppendInt(o, z.Slots)
+		}
+		if (zb0001Mask & 0x400) == 0 { // if not omitted
+			// string "w"
+			o = append(o, 0xa1, 0x77)
+			o = msgp.AppendInt64(o, z.WarmUpRemaining)
+		}
+	}
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *AdmitRequest) DecodeMsg(dc *msgp.Reader) (err error) {
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Backend) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
 	for zb0001 > 0 {
 		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
+		case "i":
+			z.ID, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ID")
+				return
+			}
+		case "a":
+			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Addr")
+				return
+			}
+		case "z":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
 		case "x":
-			z.Index, err = dc.ReadString()
+			z.Index, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Index")
 				return
 			}
-		case "f":
-			z.From, err = dc.ReadString()
+		case "c":
+			z.ShardMap, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "ShardMap")
 				return
 			}
 		case "s":
-			z.Sum, err = dc.ReadUint64()
+			z.Shard, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "Shard")
 				return
 			}
-		default:
-			err = dc.Skip()
+		case "st":
+			z.State, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "State")
 				return
 			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *AdmitRequest) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
-	// write "k"
-	err = en.Append(0x84, 0xa1, 0x6b)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Key)
-	if err != nil {
-		err = msgp.WrapError(err, "Key")
-		return
-	}
-	// write "x"
-	err = en.Append(0xa1, 0x78)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Index)
-	if err != nil {
-		err = msgp.WrapError(err, "Index")
-		return
-	}
-	// write "f"
-	err = en.Append(0xa1, 0x66)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.From)
-	if err != nil {
-		err = msgp.WrapError(err, "From")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Sum)
-	if err != nil {
-		err = msgp.WrapError(err, "Sum")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *AdmitRequest) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "k"
-	o = append(o, 0x84, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "x"
-	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendString(o, z.Index)
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Sum)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *AdmitRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
+		case "n":
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
-		case "x":
-			z.Index, bts, err = msgp.ReadStringBytes(bts)
+		case "p":
+			z.Pool, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Index")
+				err = msgp.WrapError(err, "Pool")
 				return
 			}
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
+		case "l":
+			z.Slots, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Slots")
 				return
 			}
-		case "s":
-			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
+		case "w":
+			z.WarmUpRemaining, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "WarmUpRemaining")
 				return
 			}
 		default:
@@ -457,13 +411,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *AdmitRequest) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.StringPrefixSize + len(z.Index) + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size
+func (z *Backend) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Index) + 2 + msgp.StringPrefixSize + len(z.ShardMap) + 2 + msgp.IntSize + 3 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Pool) + 2 + msgp.IntSize + 2 + msgp.Int64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Backend) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *BackendList) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -480,76 +434,41 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, err = dc.ReadString()
+		case "s":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "ID")
+				err = msgp.WrapError(err, "Backends")
 				return
 			}
-		case "a":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
+			if cap(z.Backends) >= int(zb0002) {
+				z.Backends = (z.Backends)[:zb0002]
+			} else {
+				z.Backends = make([]Backend, zb0002)
 			}
-		case "z":
-			z.Zone, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
+			for za0001 := range z.Backends {
+				err = z.Backends[za0001].DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "Backends", za0001)
+					return
+				}
 			}
-		case "x":
-			z.Index, err = dc.ReadString()
+		case "t":
+			z.LeaseID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Index")
+				err = msgp.WrapError(err, "LeaseID")
 				return
 			}
-		case "c":
-			z.ShardMap, err = dc.ReadString()
+		case "h":
+			z.Complete, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "ShardMap")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
-		case "s":
-			z.Shard, err = dc.ReadInt()
+		default:
+			err = dc.Skip()
 			if err != nil {
-				err = msgp.WrapError(err, "Shard")
-				return
-			}
-		case "st":
-			z.State, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-		case "n":
-			z.Incarnation, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Incarnation")
-				return
-			}
-		case "p":
-			z.Pool, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Pool")
-				return
-			}
-		case "l":
-			z.Slots, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Slots")
-				return
-			}
-		case "w":
-			z.WarmUpRemaining, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "WarmUpRemaining")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err)
 				return
 			}
 		}
@@ -558,22 +477,14 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Backend) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *BackendList) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
-	zb0001Len := uint32(11)
-	var zb0001Mask uint16 /* 11 bits */
+	zb0001Len := uint32(3)
+	var zb0001Mask uint8 /* 3 bits */
 	_ = zb0001Mask
-	if z.Pool == "" {
-		zb0001Len--
-		zb0001Mask |= 0x100
-	}
-	if z.Slots == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x200
-	}
-	if z.WarmUpRemaining == 0 {
+	if z.Complete == false {
 		zb0001Len--
-		zb0001Mask |= 0x400
+		zb0001Mask |= 0x4
 	}
 	// variable map header, size zb0001Len
 	err = en.Append(0x80 | uint8(zb0001Len))
@@ -583,119 +494,42 @@
 
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
-		// write "i"
-		err = en.Append(0xa1, 0x69)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.ID)
-		if err != nil {
-			err = msgp.WrapError(err, "ID")
-			return
-		}
-		// write "a"
-		err = en.Append(0xa1, 0x61)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Addr)
-		if err != nil {
-			err = msgp.WrapError(err, "Addr")
-			return
-		}
-		// write "z"
-		err = en.Append(0xa1, 0x7a)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Zone)
-		if err != nil {
-			err = msgp.WrapError(err, "Zone")
-			return
-		}
-		// write "x"
-		err = en.Append(0xa1, 0x78)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Index)
-		if err != nil {
-			err = msgp.WrapError(err, "Index")
-			return
-		}
-		// write "c"
-		err = en.Append(0xa1, 0x63)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.ShardMap)
-		if err != nil {
-			err = msgp.WrapError(err, "ShardMap")
-			return
-		}
 		// write "s"
 		err = en.Append(0xa1, 0x73)
 		if err != nil {
 			return
 		}
-		err = en.WriteInt(z.Shard)
-		if err != nil {
-			err = msgp.WrapError(err, "Shard")
-			return
-		}
-		// write "st"
-		err = en.Append(0xa2, 0x73, 0x74)
+		err = en.WriteArrayHeader(uint32(len(z.Backends)))
 		if err != nil {
+			err = msgp.WrapError(err, "Backends")
 			return
 		}
-		err = en.WriteString(z.State)
-		if err != nil {
-			err = msgp.WrapError(err, "State")
-			return
+		for za0001 := range z.Backends {
+			err = z.Backends[za0001].EncodeMsg(en)
+			if err != nil {
+				err = msgp.WrapError(err, "Backends", za0001)
+				return
+			}
 		}
-		// write "n"
-		err = en.Append(0xa1, 0x6e)
+		// write "t"
+		err = en.Append(0xa1, 0x74)
 		if err != nil {
 			return
 		}
-		err = en.WriteInt64(z.Incarnation)
+		err = en.WriteUint64(z.LeaseID)
 		if err != nil {
-			err = msgp.WrapError(err, "Incarnation")
+			err = msgp.WrapError(err, "LeaseID")
 			return
 		}
-		if (zb0001Mask & 0x100) == 0 { // if not omitted
-			// write "p"
-			err = en.Append(0xa1, 0x70)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Pool)
-			if err != nil {
-				err = msgp.WrapError(err, "Pool")
-				return
-			}
-		}
-		if (zb0001Mask & 0x200) == 0 { // if not omitted
-			// write "l"
-			err = en.Append(0xa1, 0x6c)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt(z.Slots)
-			if err != nil {
-				err = msgp.WrapError(err, "Slots")
-				return
-			}
-		}
-		if (zb0001Mask & 0x400) == 0 { // if not omitted
-			// write "w"
-			err = en.Append(0xa1, 0x77)
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// write "h"
+			err = en.Append(0xa1, 0x68)
 			if err != nil {
 				return
 			}
-			err = en.WriteInt64(z.WarmUpRemaining)
+			err = en.WriteBool(z.Complete)
 			if err != nil {
-				err = msgp.WrapError(err, "WarmUpRemaining")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
 		}
@@ -704,74 +538,45 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Backend) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *BackendList) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
-	zb0001Len := uint32(11)
-	var zb0001Mask uint16 /* 11 bits */
+	zb0001Len := uint32(3)
+	var zb0001Mask uint8 /* 3 bits */
 	_ = zb0001Mask
-	if z.Pool == "" {
-		zb0001Len--
-		zb0001Mask |= 0x100
-	}
-	if z.Slots == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x200
-	}
-	if z.WarmUpRemaining == 0 {
+	if z.Complete == false {
 		zb0001Len--
-		zb0001Mask |= 0x400
+		zb0001Mask |= 0x4
 	}
 	// variable map header, size zb0001Len
 	o = append(o, 0x80|uint8(zb0001Len))
 
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
-		// string "i"
-		o = append(o, 0xa1, 0x69)
-		o = msgp.AppendString(o, z.ID)
-		// string "a"
-		o = append(o, 0xa1, 0x61)
-		o = msgp.AppendString(o, z.Addr)
-		// string "z"
-		o = append(o, 0xa1, 0x7a)
-		o = msgp.AppendString(o, z.Zone)
-		// string "x"
-		o = append(o, 0xa1, 0x78)
-		o = msgp.AppendString(o, z.Index)
-		// string "c"
-		o = append(o, 0xa1, 0x63)
-		o = msgp.AppendString(o, z.ShardMap)
 		// string "s"
 		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendInt(o, z.Shard)
-		// string "st"
-		o = append(o, 0xa2, 0x73, 0x74)
-		o = msgp.AppendString(o, z.State)
-		// string "n"
-		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendInt64(o, z.Incarnation)
-		if (zb0001Mask & 0x100) == 0 { // if not omitted
-			// string "p"
-			o = append(o, 0xa1, 0x70)
-			o = msgp.AppendString(o, z.Pool)
-		}
-		if (zb0001Mask & 0x200) == 0 { // if not omitted
-			// string "l"
-			o = append(o, 0xa1, 0x6c)
-			o = msgp.AppendInt(o, z.Slots)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Backends)))
+		for za0001 := range z.Backends {
+			o, err = z.Backends[za0001].MarshalMsg(o)
+			if err != nil {
+				err = msgp.WrapError(err, "Backends", za0001)
+				return
+			}
 		}
-		if (zb0001Mask & 0x400) == 0 { // if not omitted
-			// string "w"
-			o = append(o, 0xa1, 0x77)
-			o = msgp.AppendInt64(o, z.WarmUpRemaining)
+		// string "t"
+		o = append(o, 0xa1, 0x74)
+		o = msgp.AppendUint64(o, z.LeaseID)
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// string "h"
+			o = append(o, 0xa1, 0x68)
+			o = msgp.AppendBool(o, z.Complete)
 		}
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Backend) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *BackendList) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -788,70 +593,35 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadStringBytes(bts)
+		case "s":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "ID")
+				err = msgp.WrapError(err, "Backends")
 				return
 			}
-		case "a":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+			if cap(z.Backends) >= int(zb0002) {
+				z.Backends = (z.Backends)[:zb0002]
+			} else {
+				z.Backends = make([]Backend, zb0002)
+			}
+			for za0001 := range z.Backends {
+				bts, err = z.Backends[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Backends", za0001)
+					return
+				}
+			}
+		case "t":
+			z.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Addr")
+				err = msgp.WrapError(err, "LeaseID")
 				return
 			}
-		case "z":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "x":
-			z.Index, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Index")
-				return
-			}
-		case "c":
-			z.ShardMap, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ShardMap")
-				return
-			}
-		case "s":
-			z.Shard, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Shard")
-				return
-			}
-		case "st":
-			z.State, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-		case "n":
-			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Incarnation")
-				return
-			}
-		case "p":
-			z.Pool, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Pool")
-				return
-			}
-		case "l":
-			z.Slots, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Slots")
-				return
-			}
-		case "w":
-			z.WarmUpRemaining, bts, err = msgp.ReadInt64Bytes(bts)
+		case "h":
+			z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "WarmUpRemaining")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
 		default:
@@ -867,13 +637,17 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Backend) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Index) + 2 + msgp.StringPrefixSize + len(z.ShardMap) + 2 + msgp.IntSize + 3 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Pool) + 2 + msgp.IntSize + 2 + msgp.Int64Size
+func (z *BackendList) Msgsize() (s int) {
+	s = 1 + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Backends {
+		s += z.Backends[za0001].Msgsize()
+	}
+	s += 2 + msgp.Uint64Size + 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *BackendList) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ConfigBody) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -891,36 +665,188 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "s":
+			z.Config, err = dc.ReadBytes(z.Config)
+			if err != nil {
+				err = msgp.WrapError(err, "Config")
+				return
+			}
+		case "e":
 			var zb0002 uint32
 			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Backends")
+				err = msgp.WrapError(err, "DrainedZones")
 				return
 			}
-			if cap(z.Backends) >= int(zb0002) {
-				z.Backends = (z.Backends)[:zb0002]
+			if cap(z.DrainedZones) >= int(zb0002) {
+				z.DrainedZones = (z.DrainedZones)[:zb0002]
 			} else {
-				z.Backends = make([]Backend, zb0002)
+				z.DrainedZones = make([]string, zb0002)
 			}
-			for za0001 := range z.Backends {
-				err = z.Backends[za0001].DecodeMsg(dc)
+			for za0001 := range z.DrainedZones {
+				z.DrainedZones[za0001], err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Backends", za0001)
+					err = msgp.WrapError(err, "DrainedZones", za0001)
 					return
 				}
 			}
-		case "t":
-			z.LeaseID, err = dc.ReadUint64()
+		case "b":
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "LeaseID")
+				err = msgp.WrapError(err, "ActiveBookings")
+				return
+			}
+			if cap(z.ActiveBookings) >= int(zb0003) {
+				z.ActiveBookings = (z.ActiveBookings)[:zb0003]
+			} else {
+				z.ActiveBookings = make([]string, zb0003)
+			}
+			for za0002 := range z.ActiveBookings {
+				z.ActiveBookings[za0002], err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "ActiveBookings", za0002)
+					return
+				}
+			}
+		case "sa":
+			err = z.ConfigVersion.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "ConfigVersion")
+				return
+			}
+		case "ro":
+			z.Routing, err = dc.ReadBytes(z.Routing)
+			if err != nil {
+				err = msgp.WrapError(err, "Routing")
+				return
+			}
+		case "r":
+			var zb0004 uint32
+			zb0004, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyEdits")
 				return
 			}
+			if cap(z.LegacyEdits) >= int(zb0004) {
+				z.LegacyEdits = (z.LegacyEdits)[:zb0004]
+			} else {
+				z.LegacyEdits = make([]LegacyEdit, zb0004)
+			}
+			for za0003 := range z.LegacyEdits {
+				var zb0005 uint32
+				zb0005, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003)
+					return
+				}
+				for zb0005 > 0 {
+					zb0005--
+					field, err = dc.ReadMapKeyPtr()
+					if err != nil {
+						err = msgp.WrapError(err, "LegacyEdits", za0003)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "e":
+						z.LegacyEdits[za0003].EditID, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "EditID")
+							return
+						}
+					case "s":
+						z.LegacyEdits[za0003].Sum, err = dc.ReadUint64()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "Sum")
+							return
+						}
+					case "t":
+						err = z.LegacyEdits[za0003].Version.DecodeMsg(dc)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0003)
+							return
+						}
+					}
+				}
+			}
 		case "h":
-			z.Complete, err = dc.ReadBool()
+			var zb0006 uint32
+			zb0006, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Complete")
+				err = msgp.WrapError(err, "LegacyHistory")
+				return
+			}
+			if cap(z.LegacyHistory) >= int(zb0006) {
+				z.LegacyHistory = (z.LegacyHistory)[:zb0006]
+			} else {
+				z.LegacyHistory = make([]PastConfig, zb0006)
+			}
+			for za0004 := range z.LegacyHistory {
+				var zb0007 uint32
+				zb0007, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004)
+					return
+				}
+				for zb0007 > 0 {
+					zb0007--
+					field, err = dc.ReadMapKeyPtr()
+					if err != nil {
+						err = msgp.WrapError(err, "LegacyHistory", za0004)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "t":
+						err = z.LegacyHistory[za0004].Version.DecodeMsg(dc)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
+							return
+						}
+					case "b":
+						z.LegacyHistory[za0004].By, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "By")
+							return
+						}
+					case "s":
+						z.LegacyHistory[za0004].Config, err = dc.ReadBytes(z.LegacyHistory[za0004].Config)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004, "Config")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyHistory", za0004)
+							return
+						}
+					}
+				}
+			}
+		case "rv":
+			var zb0008 uint32
+			zb0008, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyRevisions")
 				return
 			}
+			if cap(z.LegacyRevisions) >= int(zb0008) {
+				z.LegacyRevisions = (z.LegacyRevisions)[:zb0008]
+			} else {
+				z.LegacyRevisions = make([]LegacyRevision, zb0008)
+			}
+			for za0005 := range z.LegacyRevisions {
+				err = z.LegacyRevisions[za0005].DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyRevisions", za0005)
+					return
+				}
+			}
 		default:
 			err = dc.Skip()
 			if err != nil {
@@ -933,21 +859,33 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *BackendList) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *ConfigBody) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
+	zb0001Len := uint32(8)
+	var zb0001Mask uint8 /* 8 bits */
 	_ = zb0001Mask
-	if z.Complete == false {
+	if z.Routing == nil {
 		zb0001Len--
-		zb0001Mask |= 0x4
+		zb0001Mask |= 0x10
 	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
-	if err != nil {
-		return
+	if z.LegacyEdits == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20
 	}
-
+	if z.LegacyHistory == nil {
+		zb0001Len--
+		zb0001Mask |= 0x40
+	}
+	if z.LegacyRevisions == nil {
+		zb0001Len--
+		zb0001Mask |= 0x80
+	}
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
+	if err != nil {
+		return
+	}
+
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
 		// write "s"
@@ -955,180 +893,320 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteArrayHeader(uint32(len(z.Backends)))
+		err = en.WriteBytes(z.Config)
 		if err != nil {
-			err = msgp.WrapError(err, "Backends")
+			err = msgp.WrapError(err, "Config")
 			return
 		}
-		for za0001 := range z.Backends {
-			err = z.Backends[za0001].EncodeMsg(en)
+		// write "e"
+		err = en.Append(0xa1, 0x65)
+		if err != nil {
+			return
+		}
+		err = en.WriteArrayHeader(uint32(len(z.DrainedZones)))
+		if err != nil {
+			err = msgp.WrapError(err, "DrainedZones")
+			return
+		}
+		for za0001 := range z.DrainedZones {
+			err = en.WriteString(z.DrainedZones[za0001])
 			if err != nil {
-				err = msgp.WrapError(err, "Backends", za0001)
+				err = msgp.WrapError(err, "DrainedZones", za0001)
 				return
 			}
 		}
-		// write "t"
-		err = en.Append(0xa1, 0x74)
+		// write "b"
+		err = en.Append(0xa1, 0x62)
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.LeaseID)
+		err = en.WriteArrayHeader(uint32(len(z.ActiveBookings)))
 		if err != nil {
-			err = msgp.WrapError(err, "LeaseID")
+			err = msgp.WrapError(err, "ActiveBookings")
 			return
 		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// write "h"
-			err = en.Append(0xa1, 0x68)
+		for za0002 := range z.ActiveBookings {
+			err = en.WriteString(z.ActiveBookings[za0002])
 			if err != nil {
+				err = msgp.WrapError(err, "ActiveBookings", za0002)
 				return
 			}
-			err = en.WriteBool(z.Complete)
+		}
+		// write "sa"
+		err = en.Append(0xa2, 0x73, 0x61)
+		if err != nil {
+			return
+		}
+		err = z.ConfigVersion.EncodeMsg(en)
+		if err != nil {
+			err = msgp.WrapError(err, "ConfigVersion")
+			return
+		}
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// write "ro"
+			err = en.Append(0xa2, 0x72, 0x6f)
 			if err != nil {
-				err = msgp.WrapError(err, "Complete")
 				return
 			}
-		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *BackendList) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
-	_ = zb0001Mask
-	if z.Complete == false {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Backends)))
-		for za0001 := range z.Backends {
-			o, err = z.Backends[za0001].MarshalMsg(o)
+			err = en.WriteBytes(z.Routing)
 			if err != nil {
-				err = msgp.WrapError(err, "Backends", za0001)
+				err = msgp.WrapError(err, "Routing")
 				return
 			}
 		}
-		// string "t"
-		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendUint64(o, z.LeaseID)
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// string "h"
-			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendBool(o, z.Complete)
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *BackendList) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "s":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		if (zb0001Mask & 0x20) == 0 { // if not omitted
+			// write "r"
+			err = en.Append(0xa1, 0x72)
 			if err != nil {
-				err = msgp.WrapError(err, "Backends")
 				return
 			}
-			if cap(z.Backends) >= int(zb0002) {
-				z.Backends = (z.Backends)[:zb0002]
-			} else {
-				z.Backends = make([]Backend, zb0002)
+			err = en.WriteArrayHeader(uint32(len(z.LegacyEdits)))
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyEdits")
+				return
 			}
-			for za0001 := range z.Backends {
-				bts, err = z.Backends[za0001].UnmarshalMsg(bts)
+			for za0003 := range z.LegacyEdits {
+				// map header, size 3
+				// write "e"
+				err = en.Append(0x83, 0xa1, 0x65)
 				if err != nil {
-					err = msgp.WrapError(err, "Backends", za0001)
+					return
+				}
+				err = en.WriteString(z.LegacyEdits[za0003].EditID)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003, "EditID")
+					return
+				}
+				// write "s"
+				err = en.Append(0xa1, 0x73)
+				if err != nil {
+					return
+				}
+				err = en.WriteUint64(z.LegacyEdits[za0003].Sum)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003, "Sum")
+					return
+				}
+				// write "t"
+				err = en.Append(0xa1, 0x74)
+				if err != nil {
+					return
+				}
+				err = z.LegacyEdits[za0003].Version.EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
 					return
 				}
 			}
-		case "t":
-			z.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
+		}
+		if (zb0001Mask & 0x40) == 0 { // if not omitted
+			// write "h"
+			err = en.Append(0xa1, 0x68)
 			if err != nil {
-				err = msgp.WrapError(err, "LeaseID")
 				return
 			}
-		case "h":
-			z.Complete, bts, err = msgp.ReadBoolBytes(bts)
+			err = en.WriteArrayHeader(uint32(len(z.LegacyHistory)))
 			if err != nil {
-				err = msgp.WrapError(err, "Complete")
+				err = msgp.WrapError(err, "LegacyHistory")
 				return
 			}
-		default:
-			bts, err = msgp.Skip(bts)
+			for za0004 := range z.LegacyHistory {
+				// map header, size 3
+				// write "t"
+				err = en.Append(0x83, 0xa1, 0x74)
+				if err != nil {
+					return
+				}
+				err = z.LegacyHistory[za0004].Version.EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
+					return
+				}
+				// write "b"
+				err = en.Append(0xa1, 0x62)
+				if err != nil {
+					return
+				}
+				err = en.WriteString(z.LegacyHistory[za0004].By)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004, "By")
+					return
+				}
+				// write "s"
+				err = en.Append(0xa1, 0x73)
+				if err != nil {
+					return
+				}
+				err = en.WriteBytes(z.LegacyHistory[za0004].Config)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004, "Config")
+					return
+				}
+			}
+		}
+		if (zb0001Mask & 0x80) == 0 { // if not omitted
+			// write "rv"
+			err = en.Append(0xa2, 0x72, 0x76)
 			if err != nil {
-				err = msgp.WrapError(err)
 				return
 			}
+			err = en.WriteArrayHeader(uint32(len(z.LegacyRevisions)))
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyRevisions")
+				return
+			}
+			for za0005 := range z.LegacyRevisions {
+				err = z.LegacyRevisions[za0005].EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyRevisions", za0005)
+					return
+				}
+			}
 		}
 	}
-	o = bts
 	return
 }
 
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *BackendList) Msgsize() (s int) {
-	s = 1 + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Backends {
-		s += z.Backends[za0001].Msgsize()
+// MarshalMsg implements msgp.Marshaler
+func (z *ConfigBody) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(8)
+	var zb0001Mask uint8 /* 8 bits */
+	_ = zb0001Mask
+	if z.Routing == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
 	}
-	s += 2 + msgp.Uint64Size + 2 + msgp.BoolSize
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *ConfigBody) DecodeMsg(dc *msgp.Reader) (err error) {
+	if z.LegacyEdits == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20
+	}
+	if z.LegacyHistory == nil {
+		zb0001Len--
+		zb0001Mask |= 0x40
+	}
+	if z.LegacyRevisions == nil {
+		zb0001Len--
+		zb0001Mask |= 0x80
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendBytes(o, z.Config)
+		// string "e"
+		o = append(o, 0xa1, 0x65)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.DrainedZones)))
+		for za0001 := range z.DrainedZones {
+			o = msgp.AppendString(o, z.DrainedZones[za0001])
+		}
+		// string "b"
+		o = append(o, 0xa1, 0x62)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.ActiveBookings)))
+		for za0002 := range z.ActiveBookings {
+			o = msgp.AppendString(o, z.ActiveBookings[za0002])
+		}
+		// string "sa"
+		o = append(o, 0xa2, 0x73, 0x61)
+		o, err = z.ConfigVersion.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "ConfigVersion")
+			return
+		}
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// string "ro"
+			o = append(o, 0xa2, 0x72, 0x6f)
+			o = msgp.AppendBytes(o, z.Routing)
+		}
+		if (zb0001Mask & 0x20) == 0 { // if not omitted
+			// string "r"
+			o = append(o, 0xa1, 0x72)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyEdits)))
+			for za0003 := range z.LegacyEdits {
+				// map header, size 3
+				// string "e"
+				o = append(o, 0x83, 0xa1, 0x65)
+				o = msgp.AppendString(o, z.LegacyEdits[za0003].EditID)
+				// string "s"
+				o = append(o, 0xa1, 0x73)
+				o = msgp.AppendUint64(o, z.LegacyEdits[za0003].Sum)
+				// string "t"
+				o = append(o, 0xa1, 0x74)
+				o, err = z.LegacyEdits[za0003].Version.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
+					return
+				}
+			}
+		}
+		if (zb0001Mask & 0x40) == 0 { // if not omitted
+			// string "h"
+			o = append(o, 0xa1, 0x68)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyHistory)))
+			for za0004 := range z.LegacyHistory {
+				// map header, size 3
+				// string "t"
+				o = append(o, 0x83, 0xa1, 0x74)
+				o, err = z.LegacyHistory[za0004].Version.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
+					return
+				}
+				// string "b"
+				o = append(o, 0xa1, 0x62)
+				o = msgp.AppendString(o, z.LegacyHistory[za0004].By)
+				// string "s"
+				o = append(o, 0xa1, 0x73)
+				o = msgp.AppendBytes(o, z.LegacyHistory[za0004].Config)
+			}
+		}
+		if (zb0001Mask & 0x80) == 0 { // if not omitted
+			// string "rv"
+			o = append(o, 0xa2, 0x72, 0x76)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyRevisions)))
+			for za0005 := range z.LegacyRevisions {
+				o, err = z.LegacyRevisions[za0005].MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyRevisions", za0005)
+					return
+				}
+			}
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ConfigBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
 	for zb0001 > 0 {
 		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
 		case "s":
-			z.Config, err = dc.ReadBytes(z.Config)
+			z.Config, bts, err = msgp.ReadBytesBytes(bts, z.Config)
 			if err != nil {
 				err = msgp.WrapError(err, "Config")
 				return
 			}
 		case "e":
 			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "DrainedZones")
 				return
@@ -1139,7 +1217,7 @@
 				z.DrainedZones = make([]string, zb0002)
 			}
 			for za0001 := range z.DrainedZones {
-				z.DrainedZones[za0001], err = dc.ReadString()
+				z.DrainedZones[za0001], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "DrainedZones", za0001)
 					return
@@ -1147,7 +1225,7 @@
 			}
 		case "b":
 			var zb0003 uint32
-			zb0003, err = dc.ReadArrayHeader()
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "ActiveBookings")
 				return
@@ -1158,27 +1236,27 @@
 				z.ActiveBookings = make([]string, zb0003)
 			}
 			for za0002 := range z.ActiveBookings {
-				z.ActiveBookings[za0002], err = dc.ReadString()
+				z.ActiveBookings[za0002], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "ActiveBookings", za0002)
 					return
 				}
 			}
 		case "sa":
-			err = z.ConfigVersion.DecodeMsg(dc)
+			bts, err = z.ConfigVersion.UnmarshalMsg(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "ConfigVersion")
 				return
 			}
 		case "ro":
-			z.Routing, err = dc.ReadBytes(z.Routing)
+			z.Routing, bts, err = msgp.ReadBytesBytes(bts, z.Routing)
 			if err != nil {
 				err = msgp.WrapError(err, "Routing")
 				return
 			}
 		case "r":
 			var zb0004 uint32
-			zb0004, err = dc.ReadArrayHeader()
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "LegacyEdits")
 				return
@@ -1190,39 +1268,39 @@
 			}
 			for za0003 := range z.LegacyEdits {
 				var zb0005 uint32
-				zb0005, err = dc.ReadMapHeader()
+				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "LegacyEdits", za0003)
 					return
 				}
 				for zb0005 > 0 {
 					zb0005--
-					field, err = dc.ReadMapKeyPtr()
+					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "LegacyEdits", za0003)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "e":
-						z.LegacyEdits[za0003].EditID, err = dc.ReadString()
+						z.LegacyEdits[za0003].EditID, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "LegacyEdits", za0003, "EditID")
 							return
 						}
 					case "s":
-						z.LegacyEdits[za0003].Sum, err = dc.ReadUint64()
+						z.LegacyEdits[za0003].Sum, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "LegacyEdits", za0003, "Sum")
 							return
 						}
 					case "t":
-						err = z.LegacyEdits[za0003].Version.DecodeMsg(dc)
+						bts, err = z.LegacyEdits[za0003].Version.UnmarshalMsg(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
 							return
 						}
 					default:
-						err = dc.Skip()
+						bts, err = msgp.Skip(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "LegacyEdits", za0003)
 							return
@@ -1232,7 +1310,7 @@
 			}
 		case "h":
 			var zb0006 uint32
-			zb0006, err = dc.ReadArrayHeader()
+			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "LegacyHistory")
 				return
@@ -1244,39 +1322,39 @@
 			}
 			for za0004 := range z.LegacyHistory {
 				var zb0007 uint32
-				zb0007, err = dc.ReadMapHeader()
+				zb0007, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "LegacyHistory", za0004)
 					return
 				}
 				for zb0007 > 0 {
 					zb0007--
-					field, err = dc.ReadMapKeyPtr()
+					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "LegacyHistory", za0004)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "t":
-						err = z.LegacyHistory[za0004].Version.DecodeMsg(dc)
+						bts, err = z.LegacyHistory[za0004].Version.UnmarshalMsg(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
 							return
 						}
 					case "b":
-						z.LegacyHistory[za0004].By, err = dc.ReadString()
+						z.LegacyHistory[za0004].By, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "LegacyHistory", za0004, "By")
 							return
 						}
 					case "s":
-						z.LegacyHistory[za0004].Config, err = dc.ReadBytes(z.LegacyHistory[za0004].Config)
+						z.LegacyHistory[za0004].Config, bts, err = msgp.ReadBytesBytes(bts, z.LegacyHistory[za0004].Config)
 						if err != nil {
 							err = msgp.WrapError(err, "LegacyHistory", za0004, "Config")
 							return
 						}
 					default:
-						err = dc.Skip()
+						bts, err = msgp.Skip(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "LegacyHistory", za0004)
 							return
@@ -1286,7 +1364,7 @@
 			}
 		case "rv":
 			var zb0008 uint32
-			zb0008, err = dc.ReadArrayHeader()
+			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "LegacyRevisions")
 				return
@@ -1297,2248 +1375,101 @@
 				z.LegacyRevisions = make([]LegacyRevision, zb0008)
 			}
 			for za0005 := range z.LegacyRevisions {
-				err = z.LegacyRevisions[za0005].DecodeMsg(dc)
+				bts, err = z.LegacyRevisions[za0005].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "LegacyRevisions", za0005)
 					return
 				}
 			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *ConfigBody) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(8)
-	var zb0001Mask uint8 /* 8 bits */
-	_ = zb0001Mask
-	if z.Routing == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *ConfigBody) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Config) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.DrainedZones {
+		s += msgp.StringPrefixSize + len(z.DrainedZones[za0001])
 	}
-	if z.LegacyEdits == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20
+	s += 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.ActiveBookings {
+		s += msgp.StringPrefixSize + len(z.ActiveBookings[za0002])
 	}
-	if z.LegacyHistory == nil {
-		zb0001Len--
-		zb0001Mask |= 0x40
+	s += 3 + z.ConfigVersion.Msgsize() + 3 + msgp.BytesPrefixSize + len(z.Routing) + 2 + msgp.ArrayHeaderSize
+	for za0003 := range z.LegacyEdits {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.LegacyEdits[za0003].EditID) + 2 + msgp.Uint64Size + 2 + z.LegacyEdits[za0003].Version.Msgsize()
 	}
-	if z.LegacyRevisions == nil {
-		zb0001Len--
-		zb0001Mask |= 0x80
+	s += 2 + msgp.ArrayHeaderSize
+	for za0004 := range z.LegacyHistory {
+		s += 1 + 2 + z.LegacyHistory[za0004].Version.Msgsize() + 2 + msgp.StringPrefixSize + len(z.LegacyHistory[za0004].By) + 2 + msgp.BytesPrefixSize + len(z.LegacyHistory[za0004].Config)
 	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
+	s += 3 + msgp.ArrayHeaderSize
+	for za0005 := range z.LegacyRevisions {
+		s += z.LegacyRevisions[za0005].Msgsize()
+	}
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *HealthReport) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
 	if err != nil {
+		err = msgp.WrapError(err)
 		return
 	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "s"
-		err = en.Append(0xa1, 0x73)
-		if err != nil {
-			return
-		}
-		err = en.WriteBytes(z.Config)
-		if err != nil {
-			err = msgp.WrapError(err, "Config")
-			return
-		}
-		// write "e"
-		err = en.Append(0xa1, 0x65)
-		if err != nil {
-			return
-		}
-		err = en.WriteArrayHeader(uint32(len(z.DrainedZones)))
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
 		if err != nil {
-			err = msgp.WrapError(err, "DrainedZones")
+			err = msgp.WrapError(err)
 			return
 		}
-		for za0001 := range z.DrainedZones {
-			err = en.WriteString(z.DrainedZones[za0001])
+		switch msgp.UnsafeString(field) {
+		case "s":
+			z.State, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "DrainedZones", za0001)
+				err = msgp.WrapError(err, "State")
 				return
 			}
-		}
-		// write "b"
-		err = en.Append(0xa1, 0x62)
-		if err != nil {
-			return
-		}
-		err = en.WriteArrayHeader(uint32(len(z.ActiveBookings)))
-		if err != nil {
-			err = msgp.WrapError(err, "ActiveBookings")
-			return
-		}
-		for za0002 := range z.ActiveBookings {
-			err = en.WriteString(z.ActiveBookings[za0002])
+		case "n":
+			z.Incarnation, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "ActiveBookings", za0002)
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
-		}
-		// write "sa"
-		err = en.Append(0xa2, 0x73, 0x61)
-		if err != nil {
-			return
-		}
-		err = z.ConfigVersion.EncodeMsg(en)
-		if err != nil {
-			err = msgp.WrapError(err, "ConfigVersion")
-			return
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// write "ro"
-			err = en.Append(0xa2, 0x72, 0x6f)
-			if err != nil {
-				return
-			}
-			err = en.WriteBytes(z.Routing)
-			if err != nil {
-				err = msgp.WrapError(err, "Routing")
-				return
-			}
-		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// write "r"
-			err = en.Append(0xa1, 0x72)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.LegacyEdits)))
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyEdits")
-				return
-			}
-			for za0003 := range z.LegacyEdits {
-				// map header, size 3
-				// write "e"
-				err = en.Append(0x83, 0xa1, 0x65)
-				if err != nil {
-					return
-				}
-				err = en.WriteString(z.LegacyEdits[za0003].EditID)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0003, "EditID")
-					return
-				}
-				// write "s"
-				err = en.Append(0xa1, 0x73)
-				if err != nil {
-					return
-				}
-				err = en.WriteUint64(z.LegacyEdits[za0003].Sum)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0003, "Sum")
-					return
-				}
-				// write "t"
-				err = en.Append(0xa1, 0x74)
-				if err != nil {
-					return
-				}
-				err = z.LegacyEdits[za0003].Version.EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x40) == 0 { // if not omitted
-			// write "h"
-			err = en.Append(0xa1, 0x68)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.LegacyHistory)))
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyHistory")
-				return
-			}
-			for za0004 := range z.LegacyHistory {
-				// map header, size 3
-				// write "t"
-				err = en.Append(0x83, 0xa1, 0x74)
-				if err != nil {
-					return
-				}
-				err = z.LegacyHistory[za0004].Version.EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
-					return
-				}
-				// write "b"
-				err = en.Append(0xa1, 0x62)
-				if err != nil {
-					return
-				}
-				err = en.WriteString(z.LegacyHistory[za0004].By)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyHistory", za0004, "By")
-					return
-				}
-				// write "s"
-				err = en.Append(0xa1, 0x73)
-				if err != nil {
-					return
-				}
-				err = en.WriteBytes(z.LegacyHistory[za0004].Config)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyHistory", za0004, "Config")
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x80) == 0 { // if not omitted
-			// write "rv"
-			err = en.Append(0xa2, 0x72, 0x76)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.LegacyRevisions)))
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyRevisions")
-				return
-			}
-			for za0005 := range z.LegacyRevisions {
-				err = z.LegacyRevisions[za0005].EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyRevisions", za0005)
-					return
-				}
-			}
-		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *ConfigBody) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(8)
-	var zb0001Mask uint8 /* 8 bits */
-	_ = zb0001Mask
-	if z.Routing == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.LegacyEdits == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20
-	}
-	if z.LegacyHistory == nil {
-		zb0001Len--
-		zb0001Mask |= 0x40
-	}
-	if z.LegacyRevisions == nil {
-		zb0001Len--
-		zb0001Mask |= 0x80
-	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendBytes(o, z.Config)
-		// string "e"
-		o = append(o, 0xa1, 0x65)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.DrainedZones)))
-		for za0001 := range z.DrainedZones {
-			o = msgp.AppendString(o, z.DrainedZones[za0001])
-		}
-		// string "b"
-		o = append(o, 0xa1, 0x62)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.ActiveBookings)))
-		for za0002 := range z.ActiveBookings {
-			o = msgp.AppendString(o, z.ActiveBookings[za0002])
-		}
-		// string "sa"
-		o = append(o, 0xa2, 0x73, 0x61)
-		o, err = z.ConfigVersion.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "ConfigVersion")
-			return
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// string "ro"
-			o = append(o, 0xa2, 0x72, 0x6f)
-			o = msgp.AppendBytes(o, z.Routing)
-		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// string "r"
-			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyEdits)))
-			for za0003 := range z.LegacyEdits {
-				// map header, size 3
-				// string "e"
-				o = append(o, 0x83, 0xa1, 0x65)
-				o = msgp.AppendString(o, z.LegacyEdits[za0003].EditID)
-				// string "s"
-				o = append(o, 0xa1, 0x73)
-				o = msgp.AppendUint64(o, z.LegacyEdits[za0003].Sum)
-				// string "t"
-				o = append(o, 0xa1, 0x74)
-				o, err = z.LegacyEdits[za0003].Version.MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x40) == 0 { // if not omitted
-			// string "h"
-			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyHistory)))
-			for za0004 := range z.LegacyHistory {
-				// map header, size 3
-				// string "t"
-				o = append(o, 0x83, 0xa1, 0x74)
-				o, err = z.LegacyHistory[za0004].Version.MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
-					return
-				}
-				// string "b"
-				o = append(o, 0xa1, 0x62)
-				o = msgp.AppendString(o, z.LegacyHistory[za0004].By)
-				// string "s"
-				o = append(o, 0xa1, 0x73)
-				o = msgp.AppendBytes(o, z.LegacyHistory[za0004].Config)
-			}
-		}
-		if (zb0001Mask & 0x80) == 0 { // if not omitted
-			// string "rv"
-			o = append(o, 0xa2, 0x72, 0x76)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyRevisions)))
-			for za0005 := range z.LegacyRevisions {
-				o, err = z.LegacyRevisions[za0005].MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyRevisions", za0005)
-					return
-				}
-			}
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *ConfigBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "s":
-			z.Config, bts, err = msgp.ReadBytesBytes(bts, z.Config)
-			if err != nil {
-				err = msgp.WrapError(err, "Config")
-				return
-			}
-		case "e":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "DrainedZones")
-				return
-			}
-			if cap(z.DrainedZones) >= int(zb0002) {
-				z.DrainedZones = (z.DrainedZones)[:zb0002]
-			} else {
-				z.DrainedZones = make([]string, zb0002)
-			}
-			for za0001 := range z.DrainedZones {
-				z.DrainedZones[za0001], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "DrainedZones", za0001)
-					return
-				}
-			}
-		case "b":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ActiveBookings")
-				return
-			}
-			if cap(z.ActiveBookings) >= int(zb0003) {
-				z.ActiveBookings = (z.ActiveBookings)[:zb0003]
-			} else {
-				z.ActiveBookings = make([]string, zb0003)
-			}
-			for za0002 := range z.ActiveBookings {
-				z.ActiveBookings[za0002], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "ActiveBookings", za0002)
-					return
-				}
-			}
-		case "sa":
-			bts, err = z.ConfigVersion.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ConfigVersion")
-				return
-			}
-		case "ro":
-			z.Routing, bts, err = msgp.ReadBytesBytes(bts, z.Routing)
-			if err != nil {
-				err = msgp.WrapError(err, "Routing")
-				return
-			}
-		case "r":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyEdits")
-				return
-			}
-			if cap(z.LegacyEdits) >= int(zb0004) {
-				z.LegacyEdits = (z.LegacyEdits)[:zb0004]
-			} else {
-				z.LegacyEdits = make([]LegacyEdit, zb0004)
-			}
-			for za0003 := range z.LegacyEdits {
-				var zb0005 uint32
-				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0003)
-					return
-				}
-				for zb0005 > 0 {
-					zb0005--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "LegacyEdits", za0003)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "e":
-						z.LegacyEdits[za0003].EditID, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0003, "EditID")
-							return
-						}
-					case "s":
-						z.LegacyEdits[za0003].Sum, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0003, "Sum")
-							return
-						}
-					case "t":
-						bts, err = z.LegacyEdits[za0003].Version.UnmarshalMsg(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0003, "Version")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0003)
-							return
-						}
-					}
-				}
-			}
-		case "h":
-			var zb0006 uint32
-			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyHistory")
-				return
-			}
-			if cap(z.LegacyHistory) >= int(zb0006) {
-				z.LegacyHistory = (z.LegacyHistory)[:zb0006]
-			} else {
-				z.LegacyHistory = make([]PastConfig, zb0006)
-			}
-			for za0004 := range z.LegacyHistory {
-				var zb0007 uint32
-				zb0007, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyHistory", za0004)
-					return
-				}
-				for zb0007 > 0 {
-					zb0007--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "LegacyHistory", za0004)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "t":
-						bts, err = z.LegacyHistory[za0004].Version.UnmarshalMsg(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyHistory", za0004, "Version")
-							return
-						}
-					case "b":
-						z.LegacyHistory[za0004].By, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyHistory", za0004, "By")
-							return
-						}
-					case "s":
-						z.LegacyHistory[za0004].Config, bts, err = msgp.ReadBytesBytes(bts, z.LegacyHistory[za0004].Config)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyHistory", za0004, "Config")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyHistory", za0004)
-							return
-						}
-					}
-				}
-			}
-		case "rv":
-			var zb0008 uint32
-			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyRevisions")
-				return
-			}
-			if cap(z.LegacyRevisions) >= int(zb0008) {
-				z.LegacyRevisions = (z.LegacyRevisions)[:zb0008]
-			} else {
-				z.LegacyRevisions = make([]LegacyRevision, zb0008)
-			}
-			for za0005 := range z.LegacyRevisions {
-				bts, err = z.LegacyRevisions[za0005].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyRevisions", za0005)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ConfigBody) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Config) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.DrainedZones {
-		s += msgp.StringPrefixSize + len(z.DrainedZones[za0001])
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.ActiveBookings {
-		s += msgp.StringPrefixSize + len(z.ActiveBookings[za0002])
-	}
-	s += 3 + z.ConfigVersion.Msgsize() + 3 + msgp.BytesPrefixSize + len(z.Routing) + 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.LegacyEdits {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.LegacyEdits[za0003].EditID) + 2 + msgp.Uint64Size + 2 + z.LegacyEdits[za0003].Version.Msgsize()
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0004 := range z.LegacyHistory {
-		s += 1 + 2 + z.LegacyHistory[za0004].Version.Msgsize() + 2 + msgp.StringPrefixSize + len(z.LegacyHistory[za0004].By) + 2 + msgp.BytesPrefixSize + len(z.LegacyHistory[za0004].Config)
-	}
-	s += 3 + msgp.ArrayHeaderSize
-	for za0005 := range z.LegacyRevisions {
-		s += z.LegacyRevisions[za0005].Msgsize()
-	}
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *HealthReport) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "s":
-			z.State, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-		case "n":
-			z.Incarnation, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Incarnation")
-				return
-			}
-		case "w":
-			z.Uptime, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Uptime")
-				return
-			}
-		case "u":
-			z.Load, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Load")
-				return
-			}
-		case "c":
-			z.ShardMap, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "ShardMap")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *HealthReport) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "s"
-	err = en.Append(0x85, 0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.State)
-	if err != nil {
-		err = msgp.WrapError(err, "State")
-		return
-	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Incarnation)
-	if err != nil {
-		err = msgp.WrapError(err, "Incarnation")
-		return
-	}
-	// write "w"
-	err = en.Append(0xa1, 0x77)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Uptime)
-	if err != nil {
-		err = msgp.WrapError(err, "Uptime")
-		return
-	}
-	// write "u"
-	err = en.Append(0xa1, 0x75)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Load)
-	if err != nil {
-		err = msgp.WrapError(err, "Load")
-		return
-	}
-	// write "c"
-	err = en.Append(0xa1, 0x63)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.ShardMap)
-	if err != nil {
-		err = msgp.WrapError(err, "ShardMap")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *HealthReport) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "s"
-	o = append(o, 0x85, 0xa1, 0x73)
-	o = msgp.AppendString(o, z.State)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendInt64(o, z.Incarnation)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendInt64(o, z.Uptime)
-	// string "u"
-	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendInt64(o, z.Load)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendString(o, z.ShardMap)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *HealthReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "s":
-			z.State, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-		case "n":
-			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Incarnation")
-				return
-			}
-		case "w":
-			z.Uptime, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Uptime")
-				return
-			}
-		case "u":
-			z.Load, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Load")
-				return
-			}
-		case "c":
-			z.ShardMap, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ShardMap")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *HealthReport) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.ShardMap)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *IndexBody) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "c":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "ShardMaps")
-				return
-			}
-			if z.ShardMaps == nil {
-				z.ShardMaps = make(map[string]ShardMap, zb0002)
-			} else if len(z.ShardMaps) > 0 {
-				clear(z.ShardMaps)
-			}
-			for zb0002 > 0 {
-				zb0002--
-				var za0001 string
-				za0001, err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "ShardMaps")
-					return
-				}
-				var za0002 ShardMap
-				err = za0002.DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "ShardMaps", za0001)
-					return
-				}
-				z.ShardMaps[za0001] = za0002
-			}
-		case "h":
-			var zb0003 uint32
-			zb0003, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseHolders")
-				return
-			}
-			if z.LeaseHolders == nil {
-				z.LeaseHolders = make(map[string]LeaseHolder, zb0003)
-			} else if len(z.LeaseHolders) > 0 {
-				clear(z.LeaseHolders)
-			}
-			for zb0003 > 0 {
-				zb0003--
-				var za0003 string
-				za0003, err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseHolders")
-					return
-				}
-				var za0004 LeaseHolder
-				var zb0004 uint32
-				zb0004, err = dc.ReadMapHeader()
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseHolders", za0003)
-					return
-				}
-				for zb0004 > 0 {
-					zb0004--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "LeaseHolders", za0003)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						za0004.Node, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
-							return
-						}
-					case "t":
-						za0004.LeaseID, err = dc.ReadUint64()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseHolders", za0003)
-							return
-						}
-					}
-				}
-				z.LeaseHolders[za0003] = za0004
-			}
-		case "r":
-			var zb0005 uint32
-			zb0005, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyEdits")
-				return
-			}
-			if cap(z.LegacyEdits) >= int(zb0005) {
-				z.LegacyEdits = (z.LegacyEdits)[:zb0005]
-			} else {
-				z.LegacyEdits = make([]LegacyEdit, zb0005)
-			}
-			for za0005 := range z.LegacyEdits {
-				var zb0006 uint32
-				zb0006, err = dc.ReadMapHeader()
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0005)
-					return
-				}
-				for zb0006 > 0 {
-					zb0006--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "LegacyEdits", za0005)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "e":
-						z.LegacyEdits[za0005].EditID, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
-							return
-						}
-					case "s":
-						z.LegacyEdits[za0005].Sum, err = dc.ReadUint64()
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
-							return
-						}
-					case "t":
-						err = z.LegacyEdits[za0005].Version.DecodeMsg(dc)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0005)
-							return
-						}
-					}
-				}
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *IndexBody) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
-	_ = zb0001Mask
-	if z.LegacyEdits == nil {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
-	if err != nil {
-		return
-	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "c"
-		err = en.Append(0xa1, 0x63)
-		if err != nil {
-			return
-		}
-		err = en.WriteMapHeader(uint32(len(z.ShardMaps)))
-		if err != nil {
-			err = msgp.WrapError(err, "ShardMaps")
-			return
-		}
-		for za0001, za0002 := range z.ShardMaps {
-			err = en.WriteString(za0001)
-			if err != nil {
-				err = msgp.WrapError(err, "ShardMaps")
-				return
-			}
-			err = za0002.EncodeMsg(en)
-			if err != nil {
-				err = msgp.WrapError(err, "ShardMaps", za0001)
-				return
-			}
-		}
-		// write "h"
-		err = en.Append(0xa1, 0x68)
-		if err != nil {
-			return
-		}
-		err = en.WriteMapHeader(uint32(len(z.LeaseHolders)))
-		if err != nil {
-			err = msgp.WrapError(err, "LeaseHolders")
-			return
-		}
-		for za0003, za0004 := range z.LeaseHolders {
-			err = en.WriteString(za0003)
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseHolders")
-				return
-			}
-			// map header, size 2
-			// write "n"
-			err = en.Append(0x82, 0xa1, 0x6e)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(za0004.Node)
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
-				return
-			}
-			// write "t"
-			err = en.Append(0xa1, 0x74)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(za0004.LeaseID)
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
-				return
-			}
-		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// write "r"
-			err = en.Append(0xa1, 0x72)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.LegacyEdits)))
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyEdits")
-				return
-			}
-			for za0005 := range z.LegacyEdits {
-				// map header, size 3
-				// write "e"
-				err = en.Append(0x83, 0xa1, 0x65)
-				if err != nil {
-					return
-				}
-				err = en.WriteString(z.LegacyEdits[za0005].EditID)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
-					return
-				}
-				// write "s"
-				err = en.Append(0xa1, 0x73)
-				if err != nil {
-					return
-				}
-				err = en.WriteUint64(z.LegacyEdits[za0005].Sum)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
-					return
-				}
-				// write "t"
-				err = en.Append(0xa1, 0x74)
-				if err != nil {
-					return
-				}
-				err = z.LegacyEdits[za0005].Version.EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
-					return
-				}
-			}
-		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *IndexBody) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
-	_ = zb0001Mask
-	if z.LegacyEdits == nil {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "c"
-		o = append(o, 0xa1, 0x63)
-		o = msgp.AppendMapHeader(o, uint32(len(z.ShardMaps)))
-		for za0001, za0002 := range z.ShardMaps {
-			o = msgp.AppendString(o, za0001)
-			o, err = za0002.MarshalMsg(o)
-			if err != nil {
-				err = msgp.WrapError(err, "ShardMaps", za0001)
-				return
-			}
-		}
-		// string "h"
-		o = append(o, 0xa1, 0x68)
-		o = msgp.AppendMapHeader(o, uint32(len(z.LeaseHolders)))
-		for za0003, za0004 := range z.LeaseHolders {
-			o = msgp.AppendString(o, za0003)
-			// map header, size 2
-			// string "n"
-			o = append(o, 0x82, 0xa1, 0x6e)
-			o = msgp.AppendString(o, za0004.Node)
-			// string "t"
-			o = append(o, 0xa1, 0x74)
-			o = msgp.AppendUint64(o, za0004.LeaseID)
-		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// string "r"
-			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyEdits)))
-			for za0005 := range z.LegacyEdits {
-				// map header, size 3
-				// string "e"
-				o = append(o, 0x83, 0xa1, 0x65)
-				o = msgp.AppendString(o, z.LegacyEdits[za0005].EditID)
-				// string "s"
-				o = append(o, 0xa1, 0x73)
-				o = msgp.AppendUint64(o, z.LegacyEdits[za0005].Sum)
-				// string "t"
-				o = append(o, 0xa1, 0x74)
-				o, err = z.LegacyEdits[za0005].Version.MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
-					return
-				}
-			}
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *IndexBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "c":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ShardMaps")
-				return
-			}
-			if z.ShardMaps == nil {
-				z.ShardMaps = make(map[string]ShardMap, zb0002)
-			} else if len(z.ShardMaps) > 0 {
-				clear(z.ShardMaps)
-			}
-			for zb0002 > 0 {
-				var za0002 ShardMap
-				zb0002--
-				var za0001 string
-				za0001, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "ShardMaps")
-					return
-				}
-				bts, err = za0002.UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "ShardMaps", za0001)
-					return
-				}
-				z.ShardMaps[za0001] = za0002
-			}
-		case "h":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseHolders")
-				return
-			}
-			if z.LeaseHolders == nil {
-				z.LeaseHolders = make(map[string]LeaseHolder, zb0003)
-			} else if len(z.LeaseHolders) > 0 {
-				clear(z.LeaseHolders)
-			}
-			for zb0003 > 0 {
-				var za0004 LeaseHolder
-				zb0003--
-				var za0003 string
-				za0003, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseHolders")
-					return
-				}
-				var zb0004 uint32
-				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseHolders", za0003)
-					return
-				}
-				for zb0004 > 0 {
-					zb0004--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "LeaseHolders", za0003)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						za0004.Node, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
-							return
-						}
-					case "t":
-						za0004.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseHolders", za0003)
-							return
-						}
-					}
-				}
-				z.LeaseHolders[za0003] = za0004
-			}
-		case "r":
-			var zb0005 uint32
-			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LegacyEdits")
-				return
-			}
-			if cap(z.LegacyEdits) >= int(zb0005) {
-				z.LegacyEdits = (z.LegacyEdits)[:zb0005]
-			} else {
-				z.LegacyEdits = make([]LegacyEdit, zb0005)
-			}
-			for za0005 := range z.LegacyEdits {
-				var zb0006 uint32
-				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "LegacyEdits", za0005)
-					return
-				}
-				for zb0006 > 0 {
-					zb0006--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "LegacyEdits", za0005)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "e":
-						z.LegacyEdits[za0005].EditID, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
-							return
-						}
-					case "s":
-						z.LegacyEdits[za0005].Sum, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
-							return
-						}
-					case "t":
-						bts, err = z.LegacyEdits[za0005].Version.UnmarshalMsg(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LegacyEdits", za0005)
-							return
-						}
-					}
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *IndexBody) Msgsize() (s int) {
-	s = 1 + 2 + msgp.MapHeaderSize
-	if z.ShardMaps != nil {
-		for za0001, za0002 := range z.ShardMaps {
-			_ = za0002
-			s += msgp.StringPrefixSize + len(za0001) + za0002.Msgsize()
-		}
-	}
-	s += 2 + msgp.MapHeaderSize
-	if z.LeaseHolders != nil {
-		for za0003, za0004 := range z.LeaseHolders {
-			_ = za0004
-			s += msgp.StringPrefixSize + len(za0003) + 1 + 2 + msgp.StringPrefixSize + len(za0004.Node) + 2 + msgp.Uint64Size
-		}
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0005 := range z.LegacyEdits {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.LegacyEdits[za0005].EditID) + 2 + msgp.Uint64Size + 2 + z.LegacyEdits[za0005].Version.Msgsize()
-	}
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *LeaseHolder) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Node, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Node")
-				return
-			}
-		case "t":
-			z.LeaseID, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseID")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z LeaseHolder) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "n"
-	err = en.Append(0x82, 0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Node)
-	if err != nil {
-		err = msgp.WrapError(err, "Node")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.LeaseID)
-	if err != nil {
-		err = msgp.WrapError(err, "LeaseID")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z LeaseHolder) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "n"
-	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Node)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.LeaseID)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *LeaseHolder) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Node, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Node")
-				return
-			}
-		case "t":
-			z.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseID")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z LeaseHolder) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Node) + 2 + msgp.Uint64Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *LegacyEdit) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "e":
-			z.EditID, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "EditID")
-				return
-			}
-		case "s":
-			z.Sum, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Sum")
-				return
-			}
-		case "t":
-			err = z.Version.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *LegacyEdit) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "e"
-	err = en.Append(0x83, 0xa1, 0x65)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.EditID)
-	if err != nil {
-		err = msgp.WrapError(err, "EditID")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Sum)
-	if err != nil {
-		err = msgp.WrapError(err, "Sum")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = z.Version.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *LegacyEdit) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "e"
-	o = append(o, 0x83, 0xa1, 0x65)
-	o = msgp.AppendString(o, z.EditID)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Sum)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o, err = z.Version.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *LegacyEdit) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "e":
-			z.EditID, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "EditID")
-				return
-			}
-		case "s":
-			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Sum")
-				return
-			}
-		case "t":
-			bts, err = z.Version.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LegacyEdit) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.EditID) + 2 + msgp.Uint64Size + 2 + z.Version.Msgsize()
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *LegacyRevision) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Number, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Number")
-				return
-			}
-		case "s":
-			z.Sum, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Sum")
-				return
-			}
-		case "b":
-			z.Base, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Base")
-				return
-			}
-		case "t":
-			err = z.Version.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *LegacyRevision) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
-	// write "n"
-	err = en.Append(0x84, 0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Number)
-	if err != nil {
-		err = msgp.WrapError(err, "Number")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Sum)
-	if err != nil {
-		err = msgp.WrapError(err, "Sum")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt64(z.Base)
-	if err != nil {
-		err = msgp.WrapError(err, "Base")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = z.Version.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *LegacyRevision) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "n"
-	o = append(o, 0x84, 0xa1, 0x6e)
-	o = msgp.AppendInt64(o, z.Number)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Sum)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendInt64(o, z.Base)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o, err = z.Version.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *LegacyRevision) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Number, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Number")
-				return
-			}
-		case "s":
-			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Sum")
-				return
-			}
-		case "b":
-			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Base")
-				return
-			}
-		case "t":
-			bts, err = z.Version.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LegacyRevision) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + z.Version.Msgsize()
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *LoadReport) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "r":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Rates")
-				return
-			}
-			if z.Rates == nil {
-				z.Rates = make(map[string]int64, zb0002)
-			} else if len(z.Rates) > 0 {
-				clear(z.Rates)
-			}
-			for zb0002 > 0 {
-				zb0002--
-				var za0001 string
-				za0001, err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Rates")
-					return
-				}
-				var za0002 int64
-				za0002, err = dc.ReadInt64()
-				if err != nil {
-					err = msgp.WrapError(err, "Rates", za0001)
-					return
-				}
-				z.Rates[za0001] = za0002
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *LoadReport) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 1
-	// write "r"
-	err = en.Append(0x81, 0xa1, 0x72)
-	if err != nil {
-		return
-	}
-	err = en.WriteMapHeader(uint32(len(z.Rates)))
-	if err != nil {
-		err = msgp.WrapError(err, "Rates")
-		return
-	}
-	for za0001, za0002 := range z.Rates {
-		err = en.WriteString(za0001)
-		if err != nil {
-			err = msgp.WrapError(err, "Rates")
-			return
-		}
-		err = en.WriteInt64(za0002)
-		if err != nil {
-			err = msgp.WrapError(err, "Rates", za0001)
-			return
-		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "r"
-	o = append(o, 0x81, 0xa1, 0x72)
-	o = msgp.AppendMapHeader(o, uint32(len(z.Rates)))
-	for za0001, za0002 := range z.Rates {
-		o = msgp.AppendString(o, za0001)
-		o = msgp.AppendInt64(o, za0002)
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "r":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Rates")
-				return
-			}
-			if z.Rates == nil {
-				z.Rates = make(map[string]int64, zb0002)
-			} else if len(z.Rates) > 0 {
-				clear(z.Rates)
-			}
-			for zb0002 > 0 {
-				var za0002 int64
-				zb0002--
-				var za0001 string
-				za0001, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Rates")
-					return
-				}
-				za0002, bts, err = msgp.ReadInt64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Rates", za0001)
-					return
-				}
-				z.Rates[za0001] = za0002
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LoadReport) Msgsize() (s int) {
-	s = 1 + 2 + msgp.MapHeaderSize
-	if z.Rates != nil {
-		for za0001, za0002 := range z.Rates {
-			_ = za0002
-			s += msgp.StringPrefixSize + len(za0001) + msgp.Int64Size
-		}
-	}
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "r":
-			z.Role, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Role")
-				return
-			}
-		case "z":
-			z.Zone, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "a":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "c":
-			z.Caller, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Caller")
-				return
-			}
-		case "o":
-			z.Operator, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Operator")
-				return
-			}
-		case "s":
-			z.Replica, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Replica")
-				return
-			}
-		case "f":
-			z.Bootstrapped, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Bootstrapped")
-				return
-			}
-		case "k":
-			z.UnhealthyReason, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "UnhealthyReason")
-				return
-			}
-		case "d":
-			z.Draining, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Draining")
-				return
-			}
-		case "i":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "InForce")
-				return
-			}
-			if cap(z.InForce) >= int(zb0002) {
-				z.InForce = (z.InForce)[:zb0002]
-			} else {
-				z.InForce = make([]Version, zb0002)
-			}
-			for za0001 := range z.InForce {
-				err = z.InForce[za0001].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "InForce", za0001)
-					return
-				}
-			}
-		case "st":
-			z.Started, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Started")
-				return
-			}
-		case "v":
-			z.Mesh, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Mesh")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(13)
-	var zb0001Mask uint16 /* 13 bits */
-	_ = zb0001Mask
-	if z.Mesh == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x1000
-	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
-	if err != nil {
-		return
-	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "n"
-		err = en.Append(0xa1, 0x6e)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Name)
-		if err != nil {
-			err = msgp.WrapError(err, "Name")
-			return
-		}
-		// write "r"
-		err = en.Append(0xa1, 0x72)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Role)
-		if err != nil {
-			err = msgp.WrapError(err, "Role")
-			return
-		}
-		// write "z"
-		err = en.Append(0xa1, 0x7a)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Zone)
-		if err != nil {
-			err = msgp.WrapError(err, "Zone")
-			return
-		}
-		// write "a"
-		err = en.Append(0xa1, 0x61)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Addr)
-		if err != nil {
-			err = msgp.WrapError(err, "Addr")
-			return
-		}
-		// write "c"
-		err = en.Append(0xa1, 0x63)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Caller)
-		if err != nil {
-			err = msgp.WrapError(err, "Caller")
-			return
-		}
-		// write "o"
-		err = en.Append(0xa1, 0x6f)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Operator)
-		if err != nil {
-			err = msgp.WrapError(err, "Operator")
-			return
-		}
-		// write "s"
-		err = en.Append(0xa1, 0x73)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Replica)
-		if err != nil {
-			err = msgp.WrapError(err, "Replica")
-			return
-		}
-		// write "f"
-		err = en.Append(0xa1, 0x66)
-		if err != nil {
-			return
-		}
-		err = en.WriteBool(z.Bootstrapped)
-		if err != nil {
-			err = msgp.WrapError(err, "Bootstrapped")
-			return
-		}
-		// write "k"
-		err = en.Append(0xa1, 0x6b)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.UnhealthyReason)
-		if err != nil {
-			err = msgp.WrapError(err, "UnhealthyReason")
-			return
-		}
-		// write "d"
-		err = en.Append(0xa1, 0x64)
-		if err != nil {
-			return
-		}
-		err = en.WriteBool(z.Draining)
-		if err != nil {
-			err = msgp.WrapError(err, "Draining")
-			return
-		}
-		// write "i"
-		err = en.Append(0xa1, 0x69)
-		if err != nil {
-			return
-		}
-		err = en.WriteArrayHeader(uint32(len(z.InForce)))
-		if err != nil {
-			err = msgp.WrapError(err, "InForce")
-			return
-		}
-		for za0001 := range z.InForce {
-			err = z.InForce[za0001].EncodeMsg(en)
+		case "w":
+			z.Uptime, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "InForce", za0001)
+				err = msgp.WrapError(err, "Uptime")
 				return
 			}
-		}
-		// write "st"
-		err = en.Append(0xa2, 0x73, 0x74)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt64(z.Started)
-		if err != nil {
-			err = msgp.WrapError(err, "Started")
-			return
-		}
-		if (zb0001Mask & 0x1000) == 0 { // if not omitted
-			// write "v"
-			err = en.Append(0xa1, 0x76)
+		case "u":
+			z.Load, err = dc.ReadInt64()
 			if err != nil {
+				err = msgp.WrapError(err, "Load")
 				return
 			}
-			err = en.WriteInt(z.Mesh)
+		case "c":
+			z.ShardMap, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Mesh")
+				err = msgp.WrapError(err, "ShardMap")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
 				return
 			}
 		}
@@ -3546,76 +1477,86 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *Member) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(13)
-	var zb0001Mask uint16 /* 13 bits */
-	_ = zb0001Mask
-	if z.Mesh == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x1000
+// EncodeMsg implements msgp.Encodable
+func (z *HealthReport) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "s"
+	err = en.Append(0x85, 0xa1, 0x73)
+	if err != nil {
+		return
 	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "n"
-		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Name)
-		// string "r"
-		o = append(o, 0xa1, 0x72)
-		o = msgp.AppendString(o, z.Role)
-		// string "z"
-		o = append(o, 0xa1, 0x7a)
-		o = msgp.AppendString(o, z.Zone)
-		// string "a"
-		o = append(o, 0xa1, 0x61)
-		o = msgp.AppendString(o, z.Addr)
-		// string "c"
-		o = append(o, 0xa1, 0x63)
-		o = msgp.AppendString(o, z.Caller)
-		// string "o"
-		o = append(o, 0xa1, 0x6f)
-		o = msgp.AppendString(o, z.Operator)
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendString(o, z.Replica)
-		// string "f"
-		o = append(o, 0xa1, 0x66)
-		o = msgp.AppendBool(o, z.Bootstrapped)
-		// string "k"
-		o = append(o, 0xa1, 0x6b)
-		o = msgp.AppendString(o, z.UnhealthyReason)
-		// string "d"
-		o = append(o, 0xa1, 0x64)
-		o = msgp.AppendBool(o, z.Draining)
-		// string "i"
-		o = append(o, 0xa1, 0x69)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.InForce)))
-		for za0001 := range z.InForce {
-			o, err = z.InForce[za0001].MarshalMsg(o)
-			if err != nil {
-				err = msgp.WrapError(err, "InForce", za0001)
-				return
-			}
-		}
-		// string "st"
-		o = append(o, 0xa2, 0x73, 0x74)
-		o = msgp.AppendInt64(o, z.Started)
-		if (zb0001Mask & 0x1000) == 0 { // if not omitted
-			// string "v"
-			o = append(o, 0xa1, 0x76)
-			o = msgp.AppendInt(o, z.Mesh)
-		}
+	err = en.WriteString(z.State)
+	if err != nil {
+		err = msgp.WrapError(err, "State")
+		return
+	}
+	// write "n"
+	err = en.Append(0xa1, 0x6e)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt64(z.Incarnation)
+	if err != nil {
+		err = msgp.WrapError(err, "Incarnation")
+		return
+	}
+	// write "w"
+	err = en.Append(0xa1, 0x77)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt64(z.Uptime)
+	if err != nil {
+		err = msgp.WrapError(err, "Uptime")
+		return
+	}
+	// write "u"
+	err = en.Append(0xa1, 0x75)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt64(z.Load)
+	if err != nil {
+		err = msgp.WrapError(err, "Load")
+		return
+	}
+	// write "c"
+	err = en.Append(0xa1, 0x63)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.ShardMap)
+	if err != nil {
+		err = msgp.WrapError(err, "ShardMap")
+		return
 	}
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *HealthReport) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 5
+	// string "s"
+	o = append(o, 0x85, 0xa1, 0x73)
+	o = msgp.AppendString(o, z.State)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendInt64(o, z.Incarnation)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendInt64(o, z.Uptime)
+	// string "u"
+	o = append(o, 0xa1, 0x75)
+	o = msgp.AppendInt64(o, z.Load)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendString(o, z.ShardMap)
+	return
+}
+
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *HealthReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3632,95 +1573,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "r":
-			z.Role, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Role")
-				return
-			}
-		case "z":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "a":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "c":
-			z.Caller, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Caller")
-				return
-			}
-		case "o":
-			z.Operator, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Operator")
-				return
-			}
 		case "s":
-			z.Replica, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Replica")
-				return
-			}
-		case "f":
-			z.Bootstrapped, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Bootstrapped")
-				return
-			}
-		case "k":
-			z.UnhealthyReason, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "UnhealthyReason")
-				return
-			}
-		case "d":
-			z.Draining, bts, err = msgp.ReadBoolBytes(bts)
+			z.State, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Draining")
+				err = msgp.WrapError(err, "State")
 				return
 			}
-		case "i":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "n":
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "InForce")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
-			if cap(z.InForce) >= int(zb0002) {
-				z.InForce = (z.InForce)[:zb0002]
-			} else {
-				z.InForce = make([]Version, zb0002)
-			}
-			for za0001 := range z.InForce {
-				bts, err = z.InForce[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "InForce", za0001)
-					return
-				}
+		case "w":
+			z.Uptime, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Uptime")
+				return
 			}
-		case "st":
-			z.Started, bts, err = msgp.ReadInt64Bytes(bts)
+		case "u":
+			z.Load, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Started")
+				err = msgp.WrapError(err, "Load")
 				return
 			}
-		case "v":
-			z.Mesh, bts, err = msgp.ReadIntBytes(bts)
+		case "c":
+			z.ShardMap, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Mesh")
+				err = msgp.WrapError(err, "ShardMap")
 				return
 			}
 		default:
@@ -3736,17 +1616,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Member) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Role) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Caller) + 2 + msgp.StringPrefixSize + len(z.Operator) + 2 + msgp.StringPrefixSize + len(z.Replica) + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.UnhealthyReason) + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.InForce {
-		s += z.InForce[za0001].Msgsize()
-	}
-	s += 3 + msgp.Int64Size + 2 + msgp.IntSize
+func (z *HealthReport) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.ShardMap)
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *NodeLocation) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *IndexBody) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3763,18 +1639,145 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, err = dc.ReadString()
+		case "c":
+			var zb0002 uint32
+			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "ShardMaps")
 				return
 			}
-		case "z":
-			z.Zone, err = dc.ReadString()
+			if z.ShardMaps == nil {
+				z.ShardMaps = make(map[string]ShardMap, zb0002)
+			} else if len(z.ShardMaps) > 0 {
+				clear(z.ShardMaps)
+			}
+			for zb0002 > 0 {
+				zb0002--
+				var za0001 string
+				za0001, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "ShardMaps")
+					return
+				}
+				var za0002 ShardMap
+				err = za0002.DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "ShardMaps", za0001)
+					return
+				}
+				z.ShardMaps[za0001] = za0002
+			}
+		case "h":
+			var zb0003 uint32
+			zb0003, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Zone")
+				err = msgp.WrapError(err, "LeaseHolders")
+				return
+			}
+			if z.LeaseHolders == nil {
+				z.LeaseHolders = make(map[string]LeaseHolder, zb0003)
+			} else if len(z.LeaseHolders) > 0 {
+				clear(z.LeaseHolders)
+			}
+			for zb0003 > 0 {
+				zb0003--
+				var za0003 string
+				za0003, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "LeaseHolders")
+					return
+				}
+				var za0004 LeaseHolder
+				var zb0004 uint32
+				zb0004, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "LeaseHolders", za0003)
+					return
+				}
+				for zb0004 > 0 {
+					zb0004--
+					field, err = dc.ReadMapKeyPtr()
+					if err != nil {
+						err = msgp.WrapError(err, "LeaseHolders", za0003)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "n":
+						za0004.Node, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
+							return
+						}
+					case "t":
+						za0004.LeaseID, err = dc.ReadUint64()
+						if err != nil {
+							err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "LeaseHolders", za0003)
+							return
+						}
+					}
+				}
+				z.LeaseHolders[za0003] = za0004
+			}
+		case "r":
+			var zb0005 uint32
+			zb0005, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyEdits")
 				return
 			}
+			if cap(z.LegacyEdits) >= int(zb0005) {
+				z.LegacyEdits = (z.LegacyEdits)[:zb0005]
+			} else {
+				z.LegacyEdits = make([]LegacyEdit, zb0005)
+			}
+			for za0005 := range z.LegacyEdits {
+				var zb0006 uint32
+				zb0006, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0005)
+					return
+				}
+				for zb0006 > 0 {
+					zb0006--
+					field, err = dc.ReadMapKeyPtr()
+					if err != nil {
+						err = msgp.WrapError(err, "LegacyEdits", za0005)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "e":
+						z.LegacyEdits[za0005].EditID, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
+							return
+						}
+					case "s":
+						z.LegacyEdits[za0005].Sum, err = dc.ReadUint64()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
+							return
+						}
+					case "t":
+						err = z.LegacyEdits[za0005].Version.DecodeMsg(dc)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0005)
+							return
+						}
+					}
+				}
+			}
 		default:
 			err = dc.Skip()
 			if err != nil {
@@ -3787,231 +1790,199 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z NodeLocation) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "n"
-	err = en.Append(0x82, 0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Name)
-	if err != nil {
-		err = msgp.WrapError(err, "Name")
-		return
-	}
-	// write "z"
-	err = en.Append(0xa1, 0x7a)
-	if err != nil {
-		return
+func (z *IndexBody) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(3)
+	var zb0001Mask uint8 /* 3 bits */
+	_ = zb0001Mask
+	if z.LegacyEdits == nil {
+		zb0001Len--
+		zb0001Mask |= 0x4
 	}
-	err = en.WriteString(z.Zone)
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
 	if err != nil {
-		err = msgp.WrapError(err, "Zone")
 		return
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z NodeLocation) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "n"
-	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "z"
-	o = append(o, 0xa1, 0x7a)
-	o = msgp.AppendString(o, z.Zone)
-	return
-}
 
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *NodeLocation) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// write "c"
+		err = en.Append(0xa1, 0x63)
 		if err != nil {
-			err = msgp.WrapError(err)
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "z":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+		err = en.WriteMapHeader(uint32(len(z.ShardMaps)))
+		if err != nil {
+			err = msgp.WrapError(err, "ShardMaps")
+			return
+		}
+		for za0001, za0002 := range z.ShardMaps {
+			err = en.WriteString(za0001)
 			if err != nil {
-				err = msgp.WrapError(err, "Zone")
+				err = msgp.WrapError(err, "ShardMaps")
 				return
 			}
-		default:
-			bts, err = msgp.Skip(bts)
+			err = za0002.EncodeMsg(en)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "ShardMaps", za0001)
 				return
 			}
 		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z NodeLocation) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Zone)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Outcome) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		// write "h"
+		err = en.Append(0xa1, 0x68)
+		if err != nil {
+			return
+		}
+		err = en.WriteMapHeader(uint32(len(z.LeaseHolders)))
 		if err != nil {
-			err = msgp.WrapError(err)
+			err = msgp.WrapError(err, "LeaseHolders")
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
+		for za0003, za0004 := range z.LeaseHolders {
+			err = en.WriteString(za0003)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "LeaseHolders")
 				return
 			}
-		case "c":
-			z.Code, err = dc.ReadString()
+			// map header, size 2
+			// write "n"
+			err = en.Append(0x82, 0xa1, 0x6e)
 			if err != nil {
-				err = msgp.WrapError(err, "Code")
 				return
 			}
-		case "st":
-			z.Status, err = dc.ReadInt()
+			err = en.WriteString(za0004.Node)
 			if err != nil {
-				err = msgp.WrapError(err, "Status")
+				err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
 				return
 			}
-		case "b":
-			z.Body, err = dc.ReadBytes(z.Body)
+			// write "t"
+			err = en.Append(0xa1, 0x74)
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
 				return
 			}
-		case "t":
-			z.Attempted, err = dc.ReadBool()
+			err = en.WriteUint64(za0004.LeaseID)
 			if err != nil {
-				err = msgp.WrapError(err, "Attempted")
+				err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
 				return
 			}
-		default:
-			err = dc.Skip()
+		}
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// write "r"
+			err = en.Append(0xa1, 0x72)
 			if err != nil {
-				err = msgp.WrapError(err)
 				return
 			}
+			err = en.WriteArrayHeader(uint32(len(z.LegacyEdits)))
+			if err != nil {
+				err = msgp.WrapError(err, "LegacyEdits")
+				return
+			}
+			for za0005 := range z.LegacyEdits {
+				// map header, size 3
+				// write "e"
+				err = en.Append(0x83, 0xa1, 0x65)
+				if err != nil {
+					return
+				}
+				err = en.WriteString(z.LegacyEdits[za0005].EditID)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
+					return
+				}
+				// write "s"
+				err = en.Append(0xa1, 0x73)
+				if err != nil {
+					return
+				}
+				err = en.WriteUint64(z.LegacyEdits[za0005].Sum)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
+					return
+				}
+				// write "t"
+				err = en.Append(0xa1, 0x74)
+				if err != nil {
+					return
+				}
+				err = z.LegacyEdits[za0005].Version.EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
+					return
+				}
+			}
 		}
 	}
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *Outcome) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "k"
-	err = en.Append(0x85, 0xa1, 0x6b)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Key)
-	if err != nil {
-		err = msgp.WrapError(err, "Key")
-		return
-	}
-	// write "c"
-	err = en.Append(0xa1, 0x63)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Code)
-	if err != nil {
-		err = msgp.WrapError(err, "Code")
-		return
-	}
-	// write "st"
-	err = en.Append(0xa2, 0x73, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.Status)
-	if err != nil {
-		err = msgp.WrapError(err, "Status")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteBytes(z.Body)
-	if err != nil {
-		err = msgp.WrapError(err, "Body")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.Attempted)
-	if err != nil {
-		err = msgp.WrapError(err, "Attempted")
-		return
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
-func (z *Outcome) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *IndexBody) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "k"
-	o = append(o, 0x85, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendString(o, z.Code)
-	// string "st"
-	o = append(o, 0xa2, 0x73, 0x74)
-	o = msgp.AppendInt(o, z.Status)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBytes(o, z.Body)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendBool(o, z.Attempted)
+	// check for omitted fields
+	zb0001Len := uint32(3)
+	var zb0001Mask uint8 /* 3 bits */
+	_ = zb0001Mask
+	if z.LegacyEdits == nil {
+		zb0001Len--
+		zb0001Mask |= 0x4
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "c"
+		o = append(o, 0xa1, 0x63)
+		o = msgp.AppendMapHeader(o, uint32(len(z.ShardMaps)))
+		for za0001, za0002 := range z.ShardMaps {
+			o = msgp.AppendString(o, za0001)
+			o, err = za0002.MarshalMsg(o)
+			if err != nil {
+				err = msgp.WrapError(err, "ShardMaps", za0001)
+				return
+			}
+		}
+		// string "h"
+		o = append(o, 0xa1, 0x68)
+		o = msgp.AppendMapHeader(o, uint32(len(z.LeaseHolders)))
+		for za0003, za0004 := range z.LeaseHolders {
+			o = msgp.AppendString(o, za0003)
+			// map header, size 2
+			// string "n"
+			o = append(o, 0x82, 0xa1, 0x6e)
+			o = msgp.AppendString(o, za0004.Node)
+			// string "t"
+			o = append(o, 0xa1, 0x74)
+			o = msgp.AppendUint64(o, za0004.LeaseID)
+		}
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// string "r"
+			o = append(o, 0xa1, 0x72)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LegacyEdits)))
+			for za0005 := range z.LegacyEdits {
+				// map header, size 3
+				// string "e"
+				o = append(o, 0x83, 0xa1, 0x65)
+				o = msgp.AppendString(o, z.LegacyEdits[za0005].EditID)
+				// string "s"
+				o = append(o, 0xa1, 0x73)
+				o = msgp.AppendUint64(o, z.LegacyEdits[za0005].Sum)
+				// string "t"
+				o = append(o, 0xa1, 0x74)
+				o, err = z.LegacyEdits[za0005].Version.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
+					return
+				}
+			}
+		}
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Outcome) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *IndexBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4028,35 +1999,144 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
+		case "c":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "ShardMaps")
 				return
 			}
-		case "c":
-			z.Code, bts, err = msgp.ReadStringBytes(bts)
+			if z.ShardMaps == nil {
+				z.ShardMaps = make(map[string]ShardMap, zb0002)
+			} else if len(z.ShardMaps) > 0 {
+				clear(z.ShardMaps)
+			}
+			for zb0002 > 0 {
+				var za0002 ShardMap
+				zb0002--
+				var za0001 string
+				za0001, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "ShardMaps")
+					return
+				}
+				bts, err = za0002.UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "ShardMaps", za0001)
+					return
+				}
+				z.ShardMaps[za0001] = za0002
+			}
+		case "h":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Code")
+				err = msgp.WrapError(err, "LeaseHolders")
 				return
 			}
-		case "st":
-			z.Status, bts, err = msgp.ReadIntBytes(bts)
+			if z.LeaseHolders == nil {
+				z.LeaseHolders = make(map[string]LeaseHolder, zb0003)
+			} else if len(z.LeaseHolders) > 0 {
+				clear(z.LeaseHolders)
+			}
+			for zb0003 > 0 {
+				var za0004 LeaseHolder
+				zb0003--
+				var za0003 string
+				za0003, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "LeaseHolders")
+					return
+				}
+				var zb0004 uint32
+				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "LeaseHolders", za0003)
+					return
+				}
+				for zb0004 > 0 {
+					zb0004--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "LeaseHolders", za0003)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "n":
+						za0004.Node, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LeaseHolders", za0003, "Node")
+							return
+						}
+					case "t":
+						za0004.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LeaseHolders", za0003, "LeaseID")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LeaseHolders", za0003)
+							return
+						}
+					}
+				}
+				z.LeaseHolders[za0003] = za0004
+			}
+		case "r":
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Status")
+				err = msgp.WrapError(err, "LegacyEdits")
 				return
 			}
-		case "b":
-			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
-			if err != nil {
-				err = msgp.WrapError(err, "Body")
-				return
+			if cap(z.LegacyEdits) >= int(zb0005) {
+				z.LegacyEdits = (z.LegacyEdits)[:zb0005]
+			} else {
+				z.LegacyEdits = make([]LegacyEdit, zb0005)
 			}
-		case "t":
-			z.Attempted, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Attempted")
-				return
+			for za0005 := range z.LegacyEdits {
+				var zb0006 uint32
+				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "LegacyEdits", za0005)
+					return
+				}
+				for zb0006 > 0 {
+					zb0006--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "LegacyEdits", za0005)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "e":
+						z.LegacyEdits[za0005].EditID, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "EditID")
+							return
+						}
+					case "s":
+						z.LegacyEdits[za0005].Sum, bts, err = msgp.ReadUint64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "Sum")
+							return
+						}
+					case "t":
+						bts, err = z.LegacyEdits[za0005].Version.UnmarshalMsg(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0005, "Version")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "LegacyEdits", za0005)
+							return
+						}
+					}
+				}
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -4071,13 +2151,30 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Outcome) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.StringPrefixSize + len(z.Code) + 3 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize
+func (z *IndexBody) Msgsize() (s int) {
+	s = 1 + 2 + msgp.MapHeaderSize
+	if z.ShardMaps != nil {
+		for za0001, za0002 := range z.ShardMaps {
+			_ = za0002
+			s += msgp.StringPrefixSize + len(za0001) + za0002.Msgsize()
+		}
+	}
+	s += 2 + msgp.MapHeaderSize
+	if z.LeaseHolders != nil {
+		for za0003, za0004 := range z.LeaseHolders {
+			_ = za0004
+			s += msgp.StringPrefixSize + len(za0003) + 1 + 2 + msgp.StringPrefixSize + len(za0004.Node) + 2 + msgp.Uint64Size
+		}
+	}
+	s += 2 + msgp.ArrayHeaderSize
+	for za0005 := range z.LegacyEdits {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.LegacyEdits[za0005].EditID) + 2 + msgp.Uint64Size + 2 + z.LegacyEdits[za0005].Version.Msgsize()
+	}
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *PastConfig) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LeaseHolder) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4094,22 +2191,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
-			err = z.Version.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		case "b":
-			z.By, err = dc.ReadString()
+		case "n":
+			z.Node, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Node")
 				return
 			}
-		case "s":
-			z.Config, err = dc.ReadBytes(z.Config)
+		case "t":
+			z.LeaseID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Config")
+				err = msgp.WrapError(err, "LeaseID")
 				return
 			}
 		default:
@@ -4124,63 +2215,46 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *PastConfig) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "t"
-	err = en.Append(0x83, 0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = z.Version.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
+func (z LeaseHolder) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "n"
+	err = en.Append(0x82, 0xa1, 0x6e)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.By)
+	err = en.WriteString(z.Node)
 	if err != nil {
-		err = msgp.WrapError(err, "By")
+		err = msgp.WrapError(err, "Node")
 		return
 	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
+	// write "t"
+	err = en.Append(0xa1, 0x74)
 	if err != nil {
 		return
 	}
-	err = en.WriteBytes(z.Config)
+	err = en.WriteUint64(z.LeaseID)
 	if err != nil {
-		err = msgp.WrapError(err, "Config")
+		err = msgp.WrapError(err, "LeaseID")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *PastConfig) MarshalMsg(b []byte) (o []byte, err error) {
+func (z LeaseHolder) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
+	// map header, size 2
+	// string "n"
+	o = append(o, 0x82, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Node)
 	// string "t"
-	o = append(o, 0x83, 0xa1, 0x74)
-	o, err = z.Version.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.By)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendBytes(o, z.Config)
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.LeaseID)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PastConfig) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LeaseHolder) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4197,22 +2271,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
-			bts, err = z.Version.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		case "b":
-			z.By, bts, err = msgp.ReadStringBytes(bts)
+		case "n":
+			z.Node, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Node")
 				return
 			}
-		case "s":
-			z.Config, bts, err = msgp.ReadBytesBytes(bts, z.Config)
+		case "t":
+			z.LeaseID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Config")
+				err = msgp.WrapError(err, "LeaseID")
 				return
 			}
 		default:
@@ -4228,13 +2296,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PastConfig) Msgsize() (s int) {
-	s = 1 + 2 + z.Version.Msgsize() + 2 + msgp.StringPrefixSize + len(z.By) + 2 + msgp.BytesPrefixSize + len(z.Config)
+func (z LeaseHolder) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Node) + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Rebuild) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LegacyEdit) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4251,98 +2319,28 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "d":
-			z.Apply, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Apply")
-				return
-			}
-		case "v":
-			err = z.Versioned.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Versioned")
-				return
-			}
-		case "r":
-			z.VersionOnly, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "VersionOnly")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Rebuild) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(4)
-	var zb0001Mask uint8 /* 4 bits */
-	_ = zb0001Mask
-	if z.VersionOnly == false {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
-	if err != nil {
-		return
-	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "p"
-		err = en.Append(0xa1, 0x70)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Partition)
-		if err != nil {
-			err = msgp.WrapError(err, "Partition")
-			return
-		}
-		// write "d"
-		err = en.Append(0xa1, 0x64)
-		if err != nil {
-			return
-		}
-		err = en.WriteBool(z.Apply)
-		if err != nil {
-			err = msgp.WrapError(err, "Apply")
-			return
-		}
-		// write "v"
-		err = en.Append(0xa1, 0x76)
-		if err != nil {
-			return
-		}
-		err = z.Versioned.EncodeMsg(en)
-		if err != nil {
-			err = msgp.WrapError(err, "Versioned")
-			return
-		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// write "r"
-			err = en.Append(0xa1, 0x72)
+		case "e":
+			z.EditID, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "EditID")
+				return
+			}
+		case "s":
+			z.Sum, err = dc.ReadUint64()
+			if err != nil {
+				err = msgp.WrapError(err, "Sum")
+				return
+			}
+		case "t":
+			err = z.Version.DecodeMsg(dc)
 			if err != nil {
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-			err = en.WriteBool(z.VersionOnly)
+		default:
+			err = dc.Skip()
 			if err != nil {
-				err = msgp.WrapError(err, "VersionOnly")
+				err = msgp.WrapError(err)
 				return
 			}
 		}
@@ -4350,46 +2348,64 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *Rebuild) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(4)
-	var zb0001Mask uint8 /* 4 bits */
-	_ = zb0001Mask
-	if z.VersionOnly == false {
-		zb0001Len--
-		zb0001Mask |= 0x8
+// EncodeMsg implements msgp.Encodable
+func (z *LegacyEdit) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 3
+	// write "e"
+	err = en.Append(0x83, 0xa1, 0x65)
+	if err != nil {
+		return
 	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
+	err = en.WriteString(z.EditID)
+	if err != nil {
+		err = msgp.WrapError(err, "EditID")
+		return
+	}
+	// write "s"
+	err = en.Append(0xa1, 0x73)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.Sum)
+	if err != nil {
+		err = msgp.WrapError(err, "Sum")
+		return
+	}
+	// write "t"
+	err = en.Append(0xa1, 0x74)
+	if err != nil {
+		return
+	}
+	err = z.Version.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
+	}
+	return
+}
 
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "p"
-		o = append(o, 0xa1, 0x70)
-		o = msgp.AppendInt(o, z.Partition)
-		// string "d"
-		o = append(o, 0xa1, 0x64)
-		o = msgp.AppendBool(o, z.Apply)
-		// string "v"
-		o = append(o, 0xa1, 0x76)
-		o, err = z.Versioned.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Versioned")
-			return
-		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// string "r"
-			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendBool(o, z.VersionOnly)
-		}
+// MarshalMsg implements msgp.Marshaler
+func (z *LegacyEdit) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "e"
+	o = append(o, 0x83, 0xa1, 0x65)
+	o = msgp.AppendString(o, z.EditID)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Sum)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o, err = z.Version.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Rebuild) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LegacyEdit) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4406,28 +2422,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "d":
-			z.Apply, bts, err = msgp.ReadBoolBytes(bts)
+		case "e":
+			z.EditID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Apply")
+				err = msgp.WrapError(err, "EditID")
 				return
 			}
-		case "v":
-			bts, err = z.Versioned.UnmarshalMsg(bts)
+		case "s":
+			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Versioned")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "r":
-			z.VersionOnly, bts, err = msgp.ReadBoolBytes(bts)
+		case "t":
+			bts, err = z.Version.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "VersionOnly")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -4443,13 +2453,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Rebuild) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + z.Versioned.Msgsize() + 2 + msgp.BoolSize
+func (z *LegacyEdit) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.EditID) + 2 + msgp.Uint64Size + 2 + z.Version.Msgsize()
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *RebuildReply) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LegacyRevision) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4466,34 +2476,28 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "f":
-			z.From, err = dc.ReadString()
+		case "n":
+			z.Number, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Number")
 				return
 			}
-		case "ok":
-			z.OK, err = dc.ReadBool()
+		case "s":
+			z.Sum, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "OK")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "w":
-			z.Reason, err = dc.ReadString()
+		case "b":
+			z.Base, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Reason")
+				err = msgp.WrapError(err, "Base")
 				return
 			}
-		case "h":
-			err = z.Stored.DecodeMsg(dc)
+		case "t":
+			err = z.Version.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Stored")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -4508,89 +2512,76 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *RebuildReply) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "p"
-	err = en.Append(0x85, 0xa1, 0x70)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.Partition)
-	if err != nil {
-		err = msgp.WrapError(err, "Partition")
-		return
-	}
-	// write "f"
-	err = en.Append(0xa1, 0x66)
+func (z *LegacyRevision) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 4
+	// write "n"
+	err = en.Append(0x84, 0xa1, 0x6e)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.From)
+	err = en.WriteInt64(z.Number)
 	if err != nil {
-		err = msgp.WrapError(err, "From")
+		err = msgp.WrapError(err, "Number")
 		return
 	}
-	// write "ok"
-	err = en.Append(0xa2, 0x6f, 0x6b)
+	// write "s"
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.OK)
+	err = en.WriteUint64(z.Sum)
 	if err != nil {
-		err = msgp.WrapError(err, "OK")
+		err = msgp.WrapError(err, "Sum")
 		return
 	}
-	// write "w"
-	err = en.Append(0xa1, 0x77)
+	// write "b"
+	err = en.Append(0xa1, 0x62)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Reason)
+	err = en.WriteInt64(z.Base)
 	if err != nil {
-		err = msgp.WrapError(err, "Reason")
+		err = msgp.WrapError(err, "Base")
 		return
 	}
-	// write "h"
-	err = en.Append(0xa1, 0x68)
+	// write "t"
+	err = en.Append(0xa1, 0x74)
 	if err != nil {
 		return
 	}
-	err = z.Stored.EncodeMsg(en)
+	err = z.Version.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Stored")
+		err = msgp.WrapError(err, "Version")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *RebuildReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LegacyRevision) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "p"
-	o = append(o, 0x85, 0xa1, 0x70)
-	o = msgp.AppendInt(o, z.Partition)
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "ok"
-	o = append(o, 0xa2, 0x6f, 0x6b)
-	o = msgp.AppendBool(o, z.OK)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Reason)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o, err = z.Stored.MarshalMsg(o)
+	// map header, size 4
+	// string "n"
+	o = append(o, 0x84, 0xa1, 0x6e)
+	o = msgp.AppendInt64(o, z.Number)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Sum)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendInt64(o, z.Base)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o, err = z.Version.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Stored")
+		err = msgp.WrapError(err, "Version")
 		return
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RebuildReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LegacyRevision) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4607,34 +2598,28 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
+		case "n":
+			z.Number, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Number")
 				return
 			}
-		case "ok":
-			z.OK, bts, err = msgp.ReadBoolBytes(bts)
+		case "s":
+			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "OK")
+				err = msgp.WrapError(err, "Sum")
 				return
 			}
-		case "w":
-			z.Reason, bts, err = msgp.ReadStringBytes(bts)
+		case "b":
+			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Reason")
+				err = msgp.WrapError(err, "Base")
 				return
 			}
-		case "h":
-			bts, err = z.Stored.UnmarshalMsg(bts)
+		case "t":
+			bts, err = z.Version.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Stored")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -4650,13 +2635,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RebuildReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 3 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Reason) + 2 + z.Stored.Msgsize()
+func (z *LegacyRevision) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + z.Version.Msgsize()
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *RecordsReply) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LoadReport) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4673,154 +2658,89 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "n":
-			z.Name, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
 		case "r":
 			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Records")
+				err = msgp.WrapError(err, "Rates")
 				return
 			}
-			if cap(z.Records) >= int(zb0002) {
-				z.Records = (z.Records)[:zb0002]
-			} else {
-				z.Records = make([]Outcome, zb0002)
+			if z.Rates == nil {
+				z.Rates = make(map[string]int64, zb0002)
+			} else if len(z.Rates) > 0 {
+				clear(z.Rates)
 			}
-			for za0001 := range z.Records {
-				err = z.Records[za0001].DecodeMsg(dc)
+			for zb0002 > 0 {
+				zb0002--
+				var za0001 string
+				za0001, err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
+					err = msgp.WrapError(err, "Rates")
 					return
 				}
-			}
-		case "a":
-			z.Last, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Last")
-				return
-			}
-		case "h":
-			z.KeyOwners, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "KeyOwners")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *RecordsReply) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "e"
-	err = en.Append(0x85, 0xa1, 0x65)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Epoch)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Name)
-	if err != nil {
-		err = msgp.WrapError(err, "Name")
-		return
+				var za0002 int64
+				za0002, err = dc.ReadInt64()
+				if err != nil {
+					err = msgp.WrapError(err, "Rates", za0001)
+					return
+				}
+				z.Rates[za0001] = za0002
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
 	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *LoadReport) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 1
 	// write "r"
-	err = en.Append(0xa1, 0x72)
+	err = en.Append(0x81, 0xa1, 0x72)
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Records)))
+	err = en.WriteMapHeader(uint32(len(z.Rates)))
 	if err != nil {
-		err = msgp.WrapError(err, "Records")
+		err = msgp.WrapError(err, "Rates")
 		return
 	}
-	for za0001 := range z.Records {
-		err = z.Records[za0001].EncodeMsg(en)
+	for za0001, za0002 := range z.Rates {
+		err = en.WriteString(za0001)
 		if err != nil {
-			err = msgp.WrapError(err, "Records", za0001)
+			err = msgp.WrapError(err, "Rates")
+			return
+		}
+		err = en.WriteInt64(za0002)
+		if err != nil {
+			err = msgp.WrapError(err, "Rates", za0001)
 			return
 		}
-	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.Last)
-	if err != nil {
-		err = msgp.WrapError(err, "Last")
-		return
-	}
-	// write "h"
-	err = en.Append(0xa1, 0x68)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.KeyOwners)
-	if err != nil {
-		err = msgp.WrapError(err, "KeyOwners")
-		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *RecordsReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "e"
-	o = append(o, 0x85, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
+	// map header, size 1
 	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
-	for za0001 := range z.Records {
-		o, err = z.Records[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Records", za0001)
-			return
-		}
+	o = append(o, 0x81, 0xa1, 0x72)
+	o = msgp.AppendMapHeader(o, uint32(len(z.Rates)))
+	for za0001, za0002 := range z.Rates {
+		o = msgp.AppendString(o, za0001)
+		o = msgp.AppendInt64(o, za0002)
 	}
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendBool(o, z.Last)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendInt(o, z.KeyOwners)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RecordsReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4837,48 +2757,33 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
 		case "r":
 			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Records")
+				err = msgp.WrapError(err, "Rates")
 				return
 			}
-			if cap(z.Records) >= int(zb0002) {
-				z.Records = (z.Records)[:zb0002]
-			} else {
-				z.Records = make([]Outcome, zb0002)
+			if z.Rates == nil {
+				z.Rates = make(map[string]int64, zb0002)
+			} else if len(z.Rates) > 0 {
+				clear(z.Rates)
 			}
-			for za0001 := range z.Records {
-				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+			for zb0002 > 0 {
+				var za0002 int64
+				zb0002--
+				var za0001 string
+				za0001, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Rates")
+					return
+				}
+				za0002, bts, err = msgp.ReadInt64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
+					err = msgp.WrapError(err, "Rates", za0001)
 					return
 				}
-			}
-		case "a":
-			z.Last, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Last")
-				return
-			}
-		case "h":
-			z.KeyOwners, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "KeyOwners")
-				return
+				z.Rates[za0001] = za0002
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -4893,17 +2798,19 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RecordsReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Records {
-		s += z.Records[za0001].Msgsize()
+func (z *LoadReport) Msgsize() (s int) {
+	s = 1 + 2 + msgp.MapHeaderSize
+	if z.Rates != nil {
+		for za0001, za0002 := range z.Rates {
+			_ = za0002
+			s += msgp.StringPrefixSize + len(za0001) + msgp.Int64Size
+		}
 	}
-	s += 2 + msgp.BoolSize + 2 + msgp.IntSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *RecordsRequest) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4920,113 +2827,96 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
 		case "n":
 			z.Name, err = dc.ReadString()
 			if err != nil {
 				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "b":
+		case "r":
+			z.Role, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Role")
+				return
+			}
+		case "z":
+			z.Zone, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Zone")
+				return
+			}
+		case "a":
+			z.Addr, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Addr")
+				return
+			}
+		case "c":
+			z.Caller, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Caller")
+				return
+			}
+		case "o":
+			z.Operator, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Operator")
+				return
+			}
+		case "s":
+			z.Replica, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Replica")
+				return
+			}
+		case "f":
+			z.Bootstrapped, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Bootstrapped")
+				return
+			}
+		case "k":
+			z.UnhealthyReason, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "UnhealthyReason")
+				return
+			}
+		case "d":
+			z.Draining, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Draining")
+				return
+			}
+		case "i":
 			var zb0002 uint32
 			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "OldNodes")
+				err = msgp.WrapError(err, "InForce")
 				return
 			}
-			if cap(z.OldNodes) >= int(zb0002) {
-				z.OldNodes = (z.OldNodes)[:zb0002]
+			if cap(z.InForce) >= int(zb0002) {
+				z.InForce = (z.InForce)[:zb0002]
 			} else {
-				z.OldNodes = make([]NodeLocation, zb0002)
+				z.InForce = make([]Version, zb0002)
 			}
-			for za0001 := range z.OldNodes {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+			for za0001 := range z.InForce {
+				err = z.InForce[za0001].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "OldNodes", za0001)
+					err = msgp.WrapError(err, "InForce", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "OldNodes", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.OldNodes[za0001].Name, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "OldNodes", za0001, "Name")
-							return
-						}
-					case "z":
-						z.OldNodes[za0001].Zone, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "OldNodes", za0001, "Zone")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "OldNodes", za0001)
-							return
-						}
-					}
-				}
 			}
-		case "w":
-			var zb0004 uint32
-			zb0004, err = dc.ReadArrayHeader()
+		case "st":
+			z.Started, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "NewNodes")
+				err = msgp.WrapError(err, "Started")
 				return
 			}
-			if cap(z.NewNodes) >= int(zb0004) {
-				z.NewNodes = (z.NewNodes)[:zb0004]
-			} else {
-				z.NewNodes = make([]NodeLocation, zb0004)
-			}
-			for za0002 := range z.NewNodes {
-				var zb0005 uint32
-				zb0005, err = dc.ReadMapHeader()
-				if err != nil {
-					err = msgp.WrapError(err, "NewNodes", za0002)
-					return
-				}
-				for zb0005 > 0 {
-					zb0005--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "NewNodes", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.NewNodes[za0002].Name, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "NewNodes", za0002, "Name")
-							return
-						}
-					case "z":
-						z.NewNodes[za0002].Zone, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "NewNodes", za0002, "Zone")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "NewNodes", za0002)
-							return
-						}
-					}
-				}
+		case "v":
+			z.Mesh, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Mesh")
+				return
 			}
 		default:
 			err = dc.Skip()
@@ -5040,48 +2930,41 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *RecordsRequest) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
-	// write "e"
-	err = en.Append(0x84, 0xa1, 0x65)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Epoch)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Name)
-	if err != nil {
-		err = msgp.WrapError(err, "Name")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
+func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(13)
+	var zb0001Mask uint16 /* 13 bits */
+	_ = zb0001Mask
+	if z.Mesh == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x1000
 	}
-	err = en.WriteArrayHeader(uint32(len(z.OldNodes)))
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
 	if err != nil {
-		err = msgp.WrapError(err, "OldNodes")
 		return
 	}
-	for za0001 := range z.OldNodes {
-		// map header, size 2
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
 		// write "n"
-		err = en.Append(0x82, 0xa1, 0x6e)
+		err = en.Append(0xa1, 0x6e)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Name)
+		if err != nil {
+			err = msgp.WrapError(err, "Name")
+			return
+		}
+		// write "r"
+		err = en.Append(0xa1, 0x72)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.OldNodes[za0001].Name)
+		err = en.WriteString(z.Role)
 		if err != nil {
-			err = msgp.WrapError(err, "OldNodes", za0001, "Name")
+			err = msgp.WrapError(err, "Role")
 			return
 		}
 		// write "z"
@@ -5089,270 +2972,117 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.OldNodes[za0001].Zone)
+		err = en.WriteString(z.Zone)
 		if err != nil {
-			err = msgp.WrapError(err, "OldNodes", za0001, "Zone")
+			err = msgp.WrapError(err, "Zone")
 			return
 		}
-	}
-	// write "w"
-	err = en.Append(0xa1, 0x77)
-	if err != nil {
-		return
-	}
-	err = en.WriteArrayHeader(uint32(len(z.NewNodes)))
-	if err != nil {
-		err = msgp.WrapError(err, "NewNodes")
-		return
-	}
-	for za0002 := range z.NewNodes {
-		// map header, size 2
-		// write "n"
-		err = en.Append(0x82, 0xa1, 0x6e)
+		// write "a"
+		err = en.Append(0xa1, 0x61)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.NewNodes[za0002].Name)
+		err = en.WriteString(z.Addr)
 		if err != nil {
-			err = msgp.WrapError(err, "NewNodes", za0002, "Name")
+			err = msgp.WrapError(err, "Addr")
 			return
 		}
-		// write "z"
-		err = en.Append(0xa1, 0x7a)
+		// write "c"
+		err = en.Append(0xa1, 0x63)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.NewNodes[za0002].Zone)
+		err = en.WriteString(z.Caller)
 		if err != nil {
-			err = msgp.WrapError(err, "NewNodes", za0002, "Zone")
+			err = msgp.WrapError(err, "Caller")
 			return
 		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *RecordsRequest) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "e"
-	o = append(o, 0x84, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.OldNodes)))
-	for za0001 := range z.OldNodes {
-		// map header, size 2
-		// string "n"
-		o = append(o, 0x82, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.OldNodes[za0001].Name)
-		// string "z"
-		o = append(o, 0xa1, 0x7a)
-		o = msgp.AppendString(o, z.OldNodes[za0001].Zone)
-	}
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.NewNodes)))
-	for za0002 := range z.NewNodes {
-		// map header, size 2
-		// string "n"
-		o = append(o, 0x82, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.NewNodes[za0002].Name)
-		// string "z"
-		o = append(o, 0xa1, 0x7a)
-		o = msgp.AppendString(o, z.NewNodes[za0002].Zone)
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *RecordsRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+		// write "o"
+		err = en.Append(0xa1, 0x6f)
 		if err != nil {
-			err = msgp.WrapError(err)
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "b":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "OldNodes")
-				return
-			}
-			if cap(z.OldNodes) >= int(zb0002) {
-				z.OldNodes = (z.OldNodes)[:zb0002]
-			} else {
-				z.OldNodes = make([]NodeLocation, zb0002)
-			}
-			for za0001 := range z.OldNodes {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "OldNodes", za0001)
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "OldNodes", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.OldNodes[za0001].Name, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "OldNodes", za0001, "Name")
-							return
-						}
-					case "z":
-						z.OldNodes[za0001].Zone, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "OldNodes", za0001, "Zone")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "OldNodes", za0001)
-							return
-						}
-					}
-				}
-			}
-		case "w":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "NewNodes")
-				return
-			}
-			if cap(z.NewNodes) >= int(zb0004) {
-				z.NewNodes = (z.NewNodes)[:zb0004]
-			} else {
-				z.NewNodes = make([]NodeLocation, zb0004)
-			}
-			for za0002 := range z.NewNodes {
-				var zb0005 uint32
-				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "NewNodes", za0002)
-					return
-				}
-				for zb0005 > 0 {
-					zb0005--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "NewNodes", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.NewNodes[za0002].Name, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "NewNodes", za0002, "Name")
-							return
-						}
-					case "z":
-						z.NewNodes[za0002].Zone, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "NewNodes", za0002, "Zone")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "NewNodes", za0002)
-							return
-						}
-					}
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
+		err = en.WriteString(z.Operator)
+		if err != nil {
+			err = msgp.WrapError(err, "Operator")
+			return
 		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RecordsRequest) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.OldNodes {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.OldNodes[za0001].Name) + 2 + msgp.StringPrefixSize + len(z.OldNodes[za0001].Zone)
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.NewNodes {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.NewNodes[za0002].Name) + 2 + msgp.StringPrefixSize + len(z.NewNodes[za0002].Zone)
-	}
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *SeenReply) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		// write "s"
+		err = en.Append(0xa1, 0x73)
 		if err != nil {
-			err = msgp.WrapError(err)
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
+		err = en.WriteString(z.Replica)
+		if err != nil {
+			err = msgp.WrapError(err, "Replica")
+			return
+		}
+		// write "f"
+		err = en.Append(0xa1, 0x66)
+		if err != nil {
+			return
+		}
+		err = en.WriteBool(z.Bootstrapped)
+		if err != nil {
+			err = msgp.WrapError(err, "Bootstrapped")
+			return
+		}
+		// write "k"
+		err = en.Append(0xa1, 0x6b)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.UnhealthyReason)
+		if err != nil {
+			err = msgp.WrapError(err, "UnhealthyReason")
+			return
+		}
+		// write "d"
+		err = en.Append(0xa1, 0x64)
+		if err != nil {
+			return
+		}
+		err = en.WriteBool(z.Draining)
+		if err != nil {
+			err = msgp.WrapError(err, "Draining")
+			return
+		}
+		// write "i"
+		err = en.Append(0xa1, 0x69)
+		if err != nil {
+			return
+		}
+		err = en.WriteArrayHeader(uint32(len(z.InForce)))
+		if err != nil {
+			err = msgp.WrapError(err, "InForce")
+			return
+		}
+		for za0001 := range z.InForce {
+			err = z.InForce[za0001].EncodeMsg(en)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "InForce", za0001)
 				return
 			}
-		case "b":
-			z.Seen, err = dc.ReadBool()
+		}
+		// write "st"
+		err = en.Append(0xa2, 0x73, 0x74)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt64(z.Started)
+		if err != nil {
+			err = msgp.WrapError(err, "Started")
+			return
+		}
+		if (zb0001Mask & 0x1000) == 0 { // if not omitted
+			// write "v"
+			err = en.Append(0xa1, 0x76)
 			if err != nil {
-				err = msgp.WrapError(err, "Seen")
 				return
 			}
-		default:
-			err = dc.Skip()
+			err = en.WriteInt(z.Mesh)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "Mesh")
 				return
 			}
 		}
@@ -5360,47 +3090,76 @@
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z SeenReply) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "k"
-	err = en.Append(0x82, 0xa1, 0x6b)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Key)
-	if err != nil {
-		err = msgp.WrapError(err, "Key")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.Seen)
-	if err != nil {
-		err = msgp.WrapError(err, "Seen")
-		return
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
-func (z SeenReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Member) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "k"
-	o = append(o, 0x82, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBool(o, z.Seen)
+	// check for omitted fields
+	zb0001Len := uint32(13)
+	var zb0001Mask uint16 /* 13 bits */
+	_ = zb0001Mask
+	if z.Mesh == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x1000
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "n"
+		o = append(o, 0xa1, 0x6e)
+		o = msgp.AppendString(o, z.Name)
+		// string "r"
+		o = append(o, 0xa1, 0x72)
+		o = msgp.AppendString(o, z.Role)
+		// string "z"
+		o = append(o, 0xa1, 0x7a)
+		o = msgp.AppendString(o, z.Zone)
+		// string "a"
+		o = append(o, 0xa1, 0x61)
+		o = msgp.AppendString(o, z.Addr)
+		// string "c"
+		o = append(o, 0xa1, 0x63)
+		o = msgp.AppendString(o, z.Caller)
+		// string "o"
+		o = append(o, 0xa1, 0x6f)
+		o = msgp.AppendString(o, z.Operator)
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendString(o, z.Replica)
+		// string "f"
+		o = append(o, 0xa1, 0x66)
+		o = msgp.AppendBool(o, z.Bootstrapped)
+		// string "k"
+		o = append(o, 0xa1, 0x6b)
+		o = msgp.AppendString(o, z.UnhealthyReason)
+		// string "d"
+		o = append(o, 0xa1, 0x64)
+		o = msgp.AppendBool(o, z.Draining)
+		// string "i"
+		o = append(o, 0xa1, 0x69)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.InForce)))
+		for za0001 := range z.InForce {
+			o, err = z.InForce[za0001].MarshalMsg(o)
+			if err != nil {
+				err = msgp.WrapError(err, "InForce", za0001)
+				return
+			}
+		}
+		// string "st"
+		o = append(o, 0xa2, 0x73, 0x74)
+		o = msgp.AppendInt64(o, z.Started)
+		if (zb0001Mask & 0x1000) == 0 { // if not omitted
+			// string "v"
+			o = append(o, 0xa1, 0x76)
+			o = msgp.AppendInt(o, z.Mesh)
+		}
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *SeenReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5417,16 +3176,95 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
+			}
+		case "r":
+			z.Role, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Role")
+				return
+			}
+		case "z":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Zone")
+				return
+			}
+		case "a":
+			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Addr")
+				return
+			}
+		case "c":
+			z.Caller, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Caller")
+				return
+			}
+		case "o":
+			z.Operator, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Operator")
+				return
+			}
+		case "s":
+			z.Replica, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Replica")
+				return
+			}
+		case "f":
+			z.Bootstrapped, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Bootstrapped")
+				return
+			}
 		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
+			z.UnhealthyReason, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "UnhealthyReason")
 				return
 			}
-		case "b":
-			z.Seen, bts, err = msgp.ReadBoolBytes(bts)
+		case "d":
+			z.Draining, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Draining")
+				return
+			}
+		case "i":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "InForce")
+				return
+			}
+			if cap(z.InForce) >= int(zb0002) {
+				z.InForce = (z.InForce)[:zb0002]
+			} else {
+				z.InForce = make([]Version, zb0002)
+			}
+			for za0001 := range z.InForce {
+				bts, err = z.InForce[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "InForce", za0001)
+					return
+				}
+			}
+		case "st":
+			z.Started, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Started")
+				return
+			}
+		case "v":
+			z.Mesh, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seen")
+				err = msgp.WrapError(err, "Mesh")
 				return
 			}
 		default:
@@ -5442,13 +3280,17 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z SeenReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BoolSize
+func (z *Member) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Role) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Caller) + 2 + msgp.StringPrefixSize + len(z.Operator) + 2 + msgp.StringPrefixSize + len(z.Replica) + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.UnhealthyReason) + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.InForce {
+		s += z.InForce[za0001].Msgsize()
+	}
+	s += 3 + msgp.Int64Size + 2 + msgp.IntSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *SeenRequest) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *PastConfig) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5465,16 +3307,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
+		case "t":
+			err = z.Version.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "Version")
+				return
+			}
+		case "b":
+			z.By, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "By")
 				return
 			}
-		case "f":
-			z.Forget, err = dc.ReadBool()
+		case "s":
+			z.Config, err = dc.ReadBytes(z.Config)
 			if err != nil {
-				err = msgp.WrapError(err, "Forget")
+				err = msgp.WrapError(err, "Config")
 				return
 			}
 		default:
@@ -5489,46 +3337,63 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z SeenRequest) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "k"
-	err = en.Append(0x82, 0xa1, 0x6b)
+func (z *PastConfig) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 3
+	// write "t"
+	err = en.Append(0x83, 0xa1, 0x74)
+	if err != nil {
+		return
+	}
+	err = z.Version.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
+	}
+	// write "b"
+	err = en.Append(0xa1, 0x62)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Key)
+	err = en.WriteString(z.By)
 	if err != nil {
-		err = msgp.WrapError(err, "Key")
+		err = msgp.WrapError(err, "By")
 		return
 	}
-	// write "f"
-	err = en.Append(0xa1, 0x66)
+	// write "s"
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Forget)
+	err = en.WriteBytes(z.Config)
 	if err != nil {
-		err = msgp.WrapError(err, "Forget")
+		err = msgp.WrapError(err, "Config")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z SeenRequest) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PastConfig) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "k"
-	o = append(o, 0x82, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendBool(o, z.Forget)
+	// map header, size 3
+	// string "t"
+	o = append(o, 0x83, 0xa1, 0x74)
+	o, err = z.Version.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
+	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendString(o, z.By)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendBytes(o, z.Config)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *SeenRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PastConfig) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5545,16 +3410,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
+		case "t":
+			bts, err = z.Version.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-		case "f":
-			z.Forget, bts, err = msgp.ReadBoolBytes(bts)
+		case "b":
+			z.By, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "By")
+				return
+			}
+		case "s":
+			z.Config, bts, err = msgp.ReadBytesBytes(bts, z.Config)
 			if err != nil {
-				err = msgp.WrapError(err, "Forget")
+				err = msgp.WrapError(err, "Config")
 				return
 			}
 		default:
@@ -5570,8 +3441,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z SeenRequest) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BoolSize
+func (z *PastConfig) Msgsize() (s int) {
+	s = 1 + 2 + z.Version.Msgsize() + 2 + msgp.StringPrefixSize + len(z.By) + 2 + msgp.BytesPrefixSize + len(z.Config)
 	return
 }
 
--- a/runtime/wire/calls_gen.go
+++ b/runtime/wire/calls_gen.go
@@ -1994,3 +1994,425 @@
 	s += 3 + msgp.BoolSize + 2 + msgp.Uint32Size + 2 + msgp.Uint32Size
 	return
 }
+
+// DecodeMsg implements msgp.Decodable
+func (z *Rebuild) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "p":
+			z.Partition, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Partition")
+				return
+			}
+		case "d":
+			z.Apply, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Apply")
+				return
+			}
+		case "v":
+			err = z.Versioned.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "Versioned")
+				return
+			}
+		case "r":
+			z.VersionOnly, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "VersionOnly")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *Rebuild) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(4)
+	var zb0001Mask uint8 /* 4 bits */
+	_ = zb0001Mask
+	if z.VersionOnly == false {
+		zb0001Len--
+		zb0001Mask |= 0x8
+	}
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
+	if err != nil {
+		return
+	}
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// write "p"
+		err = en.Append(0xa1, 0x70)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Partition)
+		if err != nil {
+			err = msgp.WrapError(err, "Partition")
+			return
+		}
+		// write "d"
+		err = en.Append(0xa1, 0x64)
+		if err != nil {
+			return
+		}
+		err = en.WriteBool(z.Apply)
+		if err != nil {
+			err = msgp.WrapError(err, "Apply")
+			return
+		}
+		// write "v"
+		err = en.Append(0xa1, 0x76)
+		if err != nil {
+			return
+		}
+		err = z.Versioned.EncodeMsg(en)
+		if err != nil {
+			err = msgp.WrapError(err, "Versioned")
+			return
+		}
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// write "r"
+			err = en.Append(0xa1, 0x72)
+			if err != nil {
+				return
+			}
+			err = en.WriteBool(z.VersionOnly)
+			if err != nil {
+				err = msgp.WrapError(err, "VersionOnly")
+				return
+			}
+		}
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Rebuild) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(4)
+	var zb0001Mask uint8 /* 4 bits */
+	_ = zb0001Mask
+	if z.VersionOnly == false {
+		zb0001Len--
+		zb0001Mask |= 0x8
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "p"
+		o = append(o, 0xa1, 0x70)
+		o = msgp.AppendInt(o, z.Partition)
+		// string "d"
+		o = append(o, 0xa1, 0x64)
+		o = msgp.AppendBool(o, z.Apply)
+		// string "v"
+		o = append(o, 0xa1, 0x76)
+		o, err = z.Versioned.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Versioned")
+			return
+		}
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// string "r"
+			o = append(o, 0xa1, 0x72)
+			o = msgp.AppendBool(o, z.VersionOnly)
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Rebuild) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "p":
+			z.Partition, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Partition")
+				return
+			}
+		case "d":
+			z.Apply, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Apply")
+				return
+			}
+		case "v":
+			bts, err = z.Versioned.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Versioned")
+				return
+			}
+		case "r":
+			z.VersionOnly, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "VersionOnly")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Rebuild) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + z.Versioned.Msgsize() + 2 + msgp.BoolSize
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *RebuildReply) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "p":
+			z.Partition, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Partition")
+				return
+			}
+		case "f":
+			z.From, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		case "ok":
+			z.OK, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "OK")
+				return
+			}
+		case "w":
+			z.Reason, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Reason")
+				return
+			}
+		case "h":
+			err = z.Stored.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "Stored")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *RebuildReply) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "p"
+	err = en.Append(0x85, 0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt(z.Partition)
+	if err != nil {
+		err = msgp.WrapError(err, "Partition")
+		return
+	}
+	// write "f"
+	err = en.Append(0xa1, 0x66)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.From)
+	if err != nil {
+		err = msgp.WrapError(err, "From")
+		return
+	}
+	// write "ok"
+	err = en.Append(0xa2, 0x6f, 0x6b)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.OK)
+	if err != nil {
+		err = msgp.WrapError(err, "OK")
+		return
+	}
+	// write "w"
+	err = en.Append(0xa1, 0x77)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Reason)
+	if err != nil {
+		err = msgp.WrapError(err, "Reason")
+		return
+	}
+	// write "h"
+	err = en.Append(0xa1, 0x68)
+	if err != nil {
+		return
+	}
+	err = z.Stored.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Stored")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *RebuildReply) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 5
+	// string "p"
+	o = append(o, 0x85, 0xa1, 0x70)
+	o = msgp.AppendInt(o, z.Partition)
+	// string "f"
+	o = append(o, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.From)
+	// string "ok"
+	o = append(o, 0xa2, 0x6f, 0x6b)
+	o = msgp.AppendBool(o, z.OK)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendString(o, z.Reason)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o, err = z.Stored.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Stored")
+		return
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *RebuildReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "p":
+			z.Partition, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Partition")
+				return
+			}
+		case "f":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		case "ok":
+			z.OK, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "OK")
+				return
+			}
+		case "w":
+			z.Reason, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Reason")
+				return
+			}
+		case "h":
+			bts, err = z.Stored.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Stored")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *RebuildReply) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 3 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Reason) + 2 + z.Stored.Msgsize()
+	return
+}
--- a/runtime/wire/frame.go
+++ b/runtime/wire/frame.go
@@ -1,6 +1,3 @@
-// Package wire holds every message that wallport's own processes exchange and
-// the envelope they travel in. Bodies are msgp; on TCP a frame is preceded by
-// its length in four big-endian bytes and is never larger than MaxFrame.
 package wire
 
 import (
@@ -18,18 +15,22 @@
 //go:generate go tool msgp -tests=false -file edit_log.go -o edit_log_gen.go
 //go:generate go tool msgp -tests=false -file status.go -o status_gen.go
 //go:generate go tool msgp -tests=false -file groups.go -o groups_gen.go
+//go:generate go tool msgp -tests=false -file keys.go -o keys_gen.go
 
-// MaxFrame bounds a frame in bytes.
+// MaxFrame is the largest frame, in bytes.
 const MaxFrame = 1 << 20
 
-// Format is the version of the wire format. Unknown fields of a frame are skipped;
-// a frame of a greater format is refused.
+// Format is the version of the wire format. Unknown fields of a frame are skipped; a frame of a newer format is
+// refused.
 const Format = 1
 
+// Errors of a frame.
 var (
-	ErrOversize   = errors.New("frame larger than 1 MiB")
+	// ErrOversize refuses a frame that is larger than its bound.
+	ErrOversize = errors.New("frame larger than 1 MiB")
+	// ErrFormat refuses a frame of a release with a newer wire format.
 	ErrFormat     = errors.New("frame of a newer wire format")
-	ErrShortFrame = errors.New("empty frame")
+	ErrShortFrame = errors.New("frame shorter than its envelope")
 )
 
 // Frame is an opened envelope.
@@ -39,9 +40,12 @@
 	Body []byte
 }
 
-// Seal encodes a message with its envelope: format, kind, id, body.
+// envelopeBytes is the length of a frame's envelope: the format, the kind and the id.
+const envelopeBytes = 10
+
+// Seal encodes a message with its envelope.
 func Seal(kind uint8, id uint64, m msgp.Marshaler) []byte {
-	b := make([]byte, 10, 256)
+	b := make([]byte, envelopeBytes, 256)
 	b[0], b[1] = Format, kind
 	binary.BigEndian.PutUint64(b[2:], id)
 	out, err := m.MarshalMsg(b)
@@ -51,7 +55,7 @@
 	return out
 }
 
-// KindOf is the kind of a sealed frame.
+// KindOf returns the kind of a sealed frame; 0 where it is too short to have one.
 func KindOf(frame []byte) uint8 {
 	if len(frame) < 2 {
 		return 0
@@ -59,26 +63,27 @@
 	return frame[1]
 }
 
-// Open checks and splits the envelope of a frame; the body is not yet decoded.
+// Open checks and splits the envelope of a frame of at most [MaxFrame] bytes. The body is not decoded. It returns
+// [ErrShortFrame], [ErrOversize] or [ErrFormat].
 func Open(b []byte) (Frame, error) { return open(b, MaxFrame) }
 
-// OpenMessage is Open for a message that came in pieces.
+// OpenMessage is [Open] for a message that arrived in chunks, of at most [MaxMessage] bytes.
 func OpenMessage(b []byte) (Frame, error) { return open(b, MaxMessage) }
 
-func open(b []byte, most int) (Frame, error) {
-	if len(b) < 10 {
+func open(b []byte, limit int) (Frame, error) {
+	if len(b) < envelopeBytes {
 		return Frame{}, ErrShortFrame
 	}
-	if len(b) > most {
+	if len(b) > limit {
 		return Frame{}, ErrOversize
 	}
 	if b[0] > Format {
 		return Frame{}, ErrFormat
 	}
-	return Frame{Kind: b[1], ID: binary.BigEndian.Uint64(b[2:]), Body: b[10:]}, nil
+	return Frame{Kind: b[1], ID: binary.BigEndian.Uint64(b[2:]), Body: b[envelopeBytes:]}, nil
 }
 
-// WriteTo puts a length and a frame on a stream.
+// WriteTo writes a frame and its length to a stream.
 func WriteTo(w io.Writer, frame []byte) error {
 	if len(frame) > MaxFrame {
 		return ErrOversize
@@ -92,7 +97,7 @@
 	return err
 }
 
-// ReadFrom takes one frame off a stream.
+// ReadFrom reads one frame from a stream. It returns [ErrOversize] before it reads the body of a frame that is too large.
 func ReadFrom(r io.Reader) ([]byte, error) {
 	var n [4]byte
 	if _, err := io.ReadFull(r, n[:]); err != nil {
@@ -107,13 +112,13 @@
 	return b, err
 }
 
-// Decode opens a body into a message; trailing bytes are tolerated.
+// Decode decodes a body into a message; trailing bytes are ignored.
 func Decode(b []byte, m msgp.Unmarshaler) error {
 	_, err := m.UnmarshalMsg(b)
 	return err
 }
 
-// Encode makes a body of a message.
+// Encode encodes a message without an envelope; nil where that fails.
 func Encode(m msgp.Marshaler) []byte {
 	b, err := m.MarshalMsg(nil)
 	if err != nil {
--- a/runtime/wire/frame_test.go
+++ b/runtime/wire/frame_test.go
@@ -1,5 +1,3 @@
-// Framing: bounds, formats, and tolerance of what newer programs add.
-
 package wire
 
 import (
@@ -11,7 +9,7 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-func TestOversizeIsRefusedBeforeItIsRead(t *testing.T) {
+func TestReadFromRefusesOversizeFrame(t *testing.T) {
 	var n [4]byte
 	binary.BigEndian.PutUint32(n[:], MaxFrame+1)
 	_, err := ReadFrom(bytes.NewReader(n[:]))
@@ -19,7 +17,7 @@
 	must.ErrorIs(t, WriteTo(&bytes.Buffer{}, make([]byte, MaxFrame+1)), ErrOversize)
 }
 
-func TestFrameRoundTrip(t *testing.T) {
+func TestFrameWriteAndRead(t *testing.T) {
 	var buf bytes.Buffer
 	must.NoError(t, WriteTo(&buf, Seal(KindVote, 42, &Vote{Partition: 3, Term: 7, From: "a"})))
 	b, err := ReadFrom(&buf)
@@ -33,7 +31,7 @@
 	must.Eq(t, Vote{Partition: 3, Term: 7, From: "a"}, v)
 }
 
-func TestUnknownFieldsAreSkippedAndNewerFormatsRefused(t *testing.T) {
+func TestUnknownFieldsAreSkippedAndNewerFormatRefused(t *testing.T) {
 	b := msgp.AppendMapHeader(nil, 3)
 	b = msgp.AppendString(b, "p")
 	b = msgp.AppendInt(b, 3)
--- a/runtime/wire/golden_cover_test.go
+++ b/runtime/wire/golden_cover_test.go
@@ -1,5 +1,3 @@
-// What the golden file covers: every kind of frame, and every type that has an encoding.
-
 package wire
 
 import (
@@ -95,7 +93,7 @@
 	return files
 }
 
-func TestWireGoldenCoversEveryKind(t *testing.T) {
+func TestGoldenCoversEveryKind(t *testing.T) {
 	// The kinds are the package's only constants of type uint8.
 	var kinds []string
 	for _, file := range source(t) {
@@ -122,7 +120,7 @@
 	}
 }
 
-func TestWireGoldenCoversEveryType(t *testing.T) {
+func TestGoldenCoversEveryType(t *testing.T) {
 	encoded := map[string]bool{}
 	for _, file := range source(t) {
 		for _, d := range file.Decls {
