--- a/runtime/wire/golden_test.go
+++ b/runtime/wire/golden_test.go
@@ -1,6 +1,3 @@
-// The bytes of every message are those that earlier releases sent and stored. The golden file is
-// keyed by labels of this table: a Go type may get another name, its bytes stay.
-
 package wire
 
 import (
@@ -20,6 +17,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
+// goldenFile has the bytes of every message as earlier releases sent and stored them. Its lines are keyed by labels of
+// the tables below: a Go type may be renamed, its bytes stay.
 const goldenFile = "testdata/messages.golden"
 
 type message interface {
@@ -120,7 +119,7 @@
 	return reflect.New(reflect.TypeOf(like).Elem()).Interface().(message)
 }
 
-// decodeFrame takes a frame with its length off a stream and checks its envelope.
+// decodeFrame reads a frame with its length from a stream and checks its envelope.
 func decodeFrame(b []byte, kind uint8, id uint64, into message) error {
 	r := bytes.NewReader(b)
 	data, err := ReadFrom(r)
@@ -156,7 +155,7 @@
 	return labels, golden
 }
 
-func TestWireGolden(t *testing.T) {
+func TestGoldenBytes(t *testing.T) {
 	all := encodings()
 	if *update {
 		var b strings.Builder
