--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -19,25 +19,26 @@
 	"wallport/request/healthcheck"
 	"wallport/request/httpapi"
 	"wallport/request/search"
+	"wallport/runtime/clock"
 )
 
 // Config is a server's place and manner.
 type Config struct {
-	ID          string `long:"id" required:"yes" description:"server id"`
-	Addr        string `long:"addr" required:"yes" description:"IP:port"`
-	Index       string `long:"index" required:"yes" description:"index"`
-	ShardMap    string `long:"cut" required:"yes" description:"cut"`
-	Shard       int    `long:"shard" description:"shard"`
-	Shards      int    `long:"shards" required:"yes" description:"shards of the cut"`
-	ServiceTime int64  `long:"took-us" default:"2000" description:"microseconds an answer takes when warm"`
-	Journal     string `long:"journal" description:"file to note every run in, which outlives this process"`
-	SlowStart   int64  `long:"ramp-us" default:"3000000" description:"microseconds until warm; cold answers take up to five times as long"`
+	ID          string       `long:"id" required:"yes" description:"server id"`
+	Addr        string       `long:"addr" required:"yes" description:"IP:port"`
+	Index       string       `long:"index" required:"yes" description:"index"`
+	ShardMap    string       `long:"cut" required:"yes" description:"cut"`
+	Shard       int          `long:"shard" description:"shard"`
+	Shards      int          `long:"shards" required:"yes" description:"shards of the cut"`
+	ServiceTime clock.Micros `long:"took-us" default:"2000" description:"microseconds an answer takes when warm"`
+	Journal     string       `long:"journal" description:"file to note every run in, which outlives this process"`
+	SlowStart   clock.Micros `long:"ramp-us" default:"3000000" description:"microseconds until warm; cold answers take up to five times as long"`
 }
 
 // Fault is a way to misbehave.
 type Fault struct {
-	Mode string `json:"mode"`
-	Us   int64  `json:"us"`
+	Mode string       `json:"mode"`
+	Us   clock.Micros `json:"us"`
 }
 
 // Report is what a server ran, for the checkers.
@@ -45,7 +46,7 @@
 	ID       string         `json:"id"`
 	Asked    int64          `json:"asked"`
 	Searches int64          `json:"searches"`
-	Last     int64          `json:"last_us"`
+	Last     clock.Micros   `json:"last_us"`
 	Ran      map[string]int `json:"ran"`
 }
 
--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -18,19 +18,20 @@
 	"wallport/lab/platform"
 	"wallport/lab/records"
 	"wallport/request/search"
+	"wallport/runtime/clock"
 )
 
 // Config is the callers' manner.
 type Config struct {
-	Platform  string  `long:"platform" required:"yes" description:"URL of the platform that hands out nodes"`
-	Index     string  `long:"index" required:"yes" description:"index to ask"`
-	Rate      float64 `long:"rate" default:"530" description:"inquiries a second"`
-	Seconds   float64 `long:"seconds" default:"10" description:"how long"`
-	Least     int64   `long:"deadline-least-us" default:"250000" description:"shortest deadline"`
-	Most      int64   `long:"deadline-most-us" default:"1500000" description:"longest deadline"`
-	Repeat    float64 `long:"repeat" default:"0.05" description:"share of keyed inquiries sent again through another node"`
-	Seed      uint64  `long:"seed" default:"1" description:"seed"`
-	ShardMaps string  `long:"cuts" default:"" description:"cut=shards pairs that may answer, comma separated; empty trusts any"`
+	Platform  string       `long:"platform" required:"yes" description:"URL of the platform that hands out nodes"`
+	Index     string       `long:"index" required:"yes" description:"index to ask"`
+	Rate      float64      `long:"rate" default:"530" description:"inquiries a second"`
+	Seconds   float64      `long:"seconds" default:"10" description:"how long"`
+	Least     clock.Micros `long:"deadline-least-us" default:"250000" description:"shortest deadline"`
+	Most      clock.Micros `long:"deadline-most-us" default:"1500000" description:"longest deadline"`
+	Repeat    float64      `long:"repeat" default:"0.05" description:"share of keyed inquiries sent again through another node"`
+	Seed      uint64       `long:"seed" default:"1" description:"seed"`
+	ShardMaps string       `long:"cuts" default:"" description:"cut=shards pairs that may answer, comma separated; empty trusts any"`
 }
 
 // Summary is what came of it.
@@ -140,7 +141,7 @@
 type request struct {
 	kind, key, record, query string
 	limit                    int
-	deadline                 int64
+	deadline                 clock.Micros
 	repeat                   bool
 	nodes                    [2]platform.Node
 }
--- a/lab/caller/check.go
+++ b/lab/caller/check.go
@@ -12,6 +12,7 @@
 	"wallport/lab/platform"
 	"wallport/lab/records"
 	"wallport/request/search"
+	"wallport/runtime/clock"
 )
 
 type merged struct {
@@ -34,7 +35,7 @@
 }
 
 func (k *Caller) checkResponse(o request, n platform.Node, resp *http.Response, body []byte, took time.Duration) {
-	if took.Microseconds() > o.deadline+150_000 {
+	if took.Microseconds() > o.deadline+150*clock.Millisecond {
 		k.summary.Late++
 	}
 	if resp.StatusCode != http.StatusOK {
--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -9,6 +9,7 @@
 	"sort"
 
 	"wallport/lab/history"
+	"wallport/runtime/clock"
 )
 
 // Points name what must never happen, in the order of the brief.
@@ -34,18 +35,18 @@
 
 // Times that the brief allows, in microseconds.
 const (
-	DrainingWithin  = 3_000_000
-	ConfigWithin    = 3_000_000
-	ZoneDrainWithin = 5_000_000
-	IsolatedWithin  = 6_000_000
-	RecoverWithin   = 12_000_000
+	DrainingWithin  = 3 * clock.Second
+	ConfigWithin    = 3 * clock.Second
+	ZoneDrainWithin = 5 * clock.Second
+	IsolatedWithin  = 6 * clock.Second
+	RecoverWithin   = 12 * clock.Second
 )
 
 // Violation is one thing that happened although it must not.
 type Violation struct {
-	Point string `json:"point"`
-	At    int64  `json:"at_us"`
-	Text  string `json:"text"`
+	Point string       `json:"point"`
+	At    clock.Micros `json:"at_us"`
+	Text  string       `json:"text"`
 }
 
 // Checker collects violations and how often each point was tested.
@@ -54,9 +55,9 @@
 	Tested     map[string]int64
 	Counts     map[string]int64
 	// CommandsPossible is since when operators' calls can be carried out at all.
-	CommandsPossible int64
+	CommandsPossible clock.Micros
 	// ClocksAgree is since when a majority of the disk machines also agrees on the time.
-	ClocksAgree int64
+	ClocksAgree clock.Micros
 
 	ran           map[string]int
 	refused       map[string]int64
@@ -86,27 +87,27 @@
 const violationsMost = 50
 
 // Fail notes a violation.
-func (j *Checker) Fail(point string, at int64, text string, args ...any) {
-	j.Counts["violations."+point]++
-	if len(j.Violations) < violationsMost {
-		j.Violations = append(j.Violations, Violation{point, at, fmt.Sprintf(text, args...)})
+func (c *Checker) Fail(point string, at clock.Micros, text string, args ...any) {
+	c.Counts["violations."+point]++
+	if len(c.Violations) < violationsMost {
+		c.Violations = append(c.Violations, Violation{point, at, fmt.Sprintf(text, args...)})
 	}
 }
 
-func (j *Checker) tested(point string) { j.Tested[point]++ }
+func (c *Checker) tested(point string) { c.Tested[point]++ }
 
 // Count adds to a named count.
-func (j *Checker) Count(name string, n int64) { j.Counts[name] += n }
+func (c *Checker) Count(name string, n int64) { c.Counts[name] += n }
 
 // Value is a count, a number of tests ("tested.POINT") or of violations ("violations.POINT").
-func (j *Checker) Value(name string) int64 {
-	if n, ok := j.Tested[trim(name, "tested.")]; ok && len(name) > 7 && name[:7] == "tested." {
+func (c *Checker) Value(name string) int64 {
+	if n, ok := c.Tested[trim(name, "tested.")]; ok && len(name) > 7 && name[:7] == "tested." {
 		return n
 	}
 	if name == "violations" {
-		return int64(len(j.Violations))
+		return int64(len(c.Violations))
 	}
-	return j.Counts[name]
+	return c.Counts[name]
 }
 
 func trim(s, prefix string) string {
@@ -117,12 +118,12 @@
 }
 
 // Lines tells every count in order, for printing and for comparing two runs.
-func (j *Checker) Lines() []string {
+func (c *Checker) Lines() []string {
 	var out []string
-	for k, n := range j.Counts {
+	for k, n := range c.Counts {
 		out = append(out, fmt.Sprintf("%s=%d", k, n))
 	}
-	for k, n := range j.Tested {
+	for k, n := range c.Tested {
 		out = append(out, fmt.Sprintf("tested.%s=%d", k, n))
 	}
 	sort.Strings(out)
@@ -130,93 +131,93 @@
 }
 
 // Ran notes that a correction or part fetch ran at a server.
-func (j *Checker) Ran(key string, at int64) {
-	j.tested(Twice)
-	j.ran[key]++
-	if n := j.ran[key]; n > 1 {
-		j.Fail(Twice, at, "%s ran %d times", key, n)
+func (c *Checker) Ran(key string, at clock.Micros) {
+	c.tested(Twice)
+	c.ran[key]++
+	if n := c.ran[key]; n > 1 {
+		c.Fail(Twice, at, "%s ran %d times", key, n)
 	}
-	if when, ok := j.refused[key]; ok {
-		j.Fail(RanRefused, at, "%s ran although refused at %d", key, when)
+	if when, ok := c.refused[key]; ok {
+		c.Fail(RanRefused, at, "%s ran although refused at %d", key, when)
 	}
 }
 
 // RanTimes feeds a whole count at once, from a real run.
-func (j *Checker) RanTimes(key string, n int) {
+func (c *Checker) RanTimes(key string, n int) {
 	for range n {
-		j.Ran(key, 0)
+		c.Ran(key, 0)
 	}
 }
 
 // Refused notes that a caller was told that its inquiry did not run and will not.
-func (j *Checker) Refused(key string, at int64) {
-	j.tested(RanRefused)
-	j.refused[key] = at
-	if j.ran[key] > 0 {
-		j.Fail(RanRefused, at, "%s was refused although it ran", key)
+func (c *Checker) Refused(key string, at clock.Micros) {
+	c.tested(RanRefused)
+	c.refused[key] = at
+	if c.ran[key] > 0 {
+		c.Fail(RanRefused, at, "%s was refused although it ran", key)
 	}
 }
 
 // BackendDrains notes when the platform's list first shows that a server leaves.
-func (j *Checker) BackendDrains(server string, at int64) {
-	if _, ok := j.drainingSince[server]; !ok {
-		j.drainingSince[server] = at
+func (c *Checker) BackendDrains(server string, at clock.Micros) {
+	if _, ok := c.drainingSince[server]; !ok {
+		c.drainingSince[server] = at
 	}
 }
 
 // ZoneDrained notes when an operator asked for a zone to be emptied; negative ends it.
-func (j *Checker) ZoneDrained(zone string, at int64) {
+func (c *Checker) ZoneDrained(zone string, at clock.Micros) {
 	if at < 0 {
-		delete(j.zoneDrainedAt, zone)
+		delete(c.zoneDrainedAt, zone)
 		return
 	}
-	if _, asked := j.zoneDrainedAt[zone]; !asked {
+	if _, asked := c.zoneDrainedAt[zone]; !asked {
 		// An operator who asks again has waited since the first time.
-		j.zoneDrainedAt[zone] = at
+		c.zoneDrainedAt[zone] = at
 	}
 }
 
 // IsZoneDrained reports whether a zone is asked to be empty.
-func (j *Checker) IsZoneDrained(zone string) bool { _, ok := j.zoneDrainedAt[zone]; return ok }
+func (c *Checker) IsZoneDrained(zone string) bool { _, ok := c.zoneDrainedAt[zone]; return ok }
 
 // RequestFromIsolated notes work sent by a node that has been alone for a while and reads the
 // platform's list for itself: it has as long again to notice that it is alone.
-func (j *Checker) RequestFromIsolated(server string, at, alone int64) {
-	if t, ok := j.drainingSince[server]; ok && alone > IsolatedWithin {
-		j.tested(DrainingWork)
-		j.Counts["tested_alone"]++
+func (c *Checker) RequestFromIsolated(server string, at, alone int64) {
+	if t, ok := c.drainingSince[server]; ok && alone > IsolatedWithin {
+		c.tested(DrainingWork)
+		c.Counts["tested_alone"]++
 		if at-t > DrainingWithin {
-			j.Fail(DrainingWork, at, "%s got work from a node that is alone, %d us after it was shown leaving", server, at-t)
+			c.Fail(DrainingWork, at, "%s got work from a node that is alone, %d us after it was shown leaving", server, at-t)
 		}
 	}
 }
 
 // Request notes one piece of work sent to a server.
-func (j *Checker) Request(pool, server, zone string, at int64, again, instead bool) {
-	if t, ok := j.drainingSince[server]; ok {
-		j.tested(DrainingWork)
+func (c *Checker) Request(pool, server, zone string, at clock.Micros, again, instead bool) {
+	if t, ok := c.drainingSince[server]; ok {
+		c.tested(DrainingWork)
 		if at-t > DrainingWithin {
-			j.Fail(DrainingWork, at, "%s got work %d us after it was shown leaving", server, at-t)
+			c.Fail(DrainingWork, at, "%s got work %d us after it was shown leaving", server, at-t)
 		}
 	}
-	if t, ok := j.zoneDrainedAt[zone]; ok {
-		j.tested(DrainedZoneWork)
-		if at-max(t, j.CommandsPossible) > ZoneDrainWithin {
-			j.Fail(DrainedZoneWork, at, "%s in %s got work %d us after the zone was emptied", server, zone, at-t)
+	if t, ok := c.zoneDrainedAt[zone]; ok {
+		c.tested(DrainedZoneWork)
+		if at-max(t, c.CommandsPossible) > ZoneDrainWithin {
+			c.Fail(DrainedZoneWork, at, "%s in %s got work %d us after the zone was emptied", server, zone, at-t)
 		}
 	}
 	if instead {
 		return
 	}
-	m := j.firsts
+	m := c.firsts
 	if again {
-		m = j.extras
+		m = c.extras
 	}
 	if m[pool] == nil {
 		m[pool] = map[int64]int64{}
 	}
-	m[pool][at/1_000_000]++
+	m[pool][at/clock.Second]++
 }
 
 // Idle tells that a leaving server or an emptied zone was watched to be idle.
-func (j *Checker) Idle(point string) { j.tested(point) }
+func (c *Checker) Idle(point string) { c.tested(point) }
--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -5,14 +5,16 @@
 
 package check
 
+import "wallport/runtime/clock"
+
 import "wallport/runtime/wire"
 
 // Edit is one edit of the sheet by an operator.
 type Edit struct {
 	Mark    int64
 	Base    wire.Version
-	Began   int64
-	Ended   int64
+	Began   clock.Micros
+	Ended   clock.Micros
 	Code    string
 	Version wire.Version
 	EditID  string
@@ -22,7 +24,7 @@
 
 type observed struct {
 	version wire.Version
-	at      int64
+	at      clock.Micros
 }
 
 type editLog struct {
@@ -43,8 +45,8 @@
 func newer(a, b wire.Version) bool { return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq }
 
 // EditBegan notes the beginning of an edit. Marks are unique to an edit id.
-func (j *Checker) EditBegan(t Edit) {
-	s := &j.edits
+func (c *Checker) EditBegan(t Edit) {
+	s := &c.edits
 	if s.byMark[t.Mark] == nil {
 		s.byMark[t.Mark] = &t
 		s.order = append(s.order, t.Mark)
@@ -53,20 +55,20 @@
 
 // EditEnded notes the answer to an edit, or to a retry under the same id. What
 // was once acknowledged stays so.
-func (j *Checker) EditEnded(t Edit) {
-	s := &j.edits
-	j.EditBegan(t)
+func (c *Checker) EditEnded(t Edit) {
+	s := &c.edits
+	c.EditBegan(t)
 	was := s.byMark[t.Mark]
 	if t.Code == "ok" && t.Invalid {
-		j.Fail(ConfigLoserInForce, t.Ended, "edit %d is invalid and was accepted", t.Mark)
+		c.Fail(ConfigLoserInForce, t.Ended, "edit %d is invalid and was accepted", t.Mark)
 	}
 	if was.Code == "ok" {
 		if t.Code == "lost_race" || t.Code == "invalid" || t.Code == "conflict" {
-			j.Fail(RetryDiffers, t.Ended, "edit %d was answered ok and then %s", t.Mark, t.Code)
+			c.Fail(RetryDiffers, t.Ended, "edit %d was answered ok and then %s", t.Mark, t.Code)
 		}
-		j.tested(RetryDiffers)
+		c.tested(RetryDiffers)
 		if t.Code == "ok" && t.Version != was.Version {
-			j.Fail(BothWon, t.Ended, "edit %d was answered %v and then %v", t.Mark, was.Version, t.Version)
+			c.Fail(BothWon, t.Ended, "edit %d was answered %v and then %v", t.Mark, was.Version, t.Version)
 		}
 		return
 	}
@@ -76,9 +78,9 @@
 	if t.Code != "ok" {
 		return
 	}
-	j.tested(BothWon)
+	c.tested(BothWon)
 	if other, taken := s.byBase[t.Base]; taken && other != t.Mark {
-		j.Fail(BothWon, t.Ended, "edits %d and %d, both based on %v, were accepted", other, t.Mark, t.Base)
+		c.Fail(BothWon, t.Ended, "edits %d and %d, both based on %v, were accepted", other, t.Mark, t.Base)
 	}
 	s.byBase[t.Base] = t.Mark
 	if n := len(s.acked); n == 0 || newer(t.Version, s.acked[n-1].version) {
@@ -88,22 +90,22 @@
 
 // InForce notes what a node has in force at a moment. Reachable nodes must
 // have what was acknowledged in time; since is from when the node could.
-func (j *Checker) InForce(node string, sheetAt wire.Version, mark int64, at, since int64) {
-	s := &j.edits
+func (c *Checker) InForce(node string, sheetAt wire.Version, mark int64, at, since clock.Micros) {
+	s := &c.edits
 	if was := s.node[node]; newer(was.version, sheetAt) {
-		j.Fail(ConfigWentBack, at, "%s fell back from %v to %v", node, was.version, sheetAt)
+		c.Fail(ConfigWentBack, at, "%s fell back from %v to %v", node, was.version, sheetAt)
 	}
-	j.tested(ConfigWentBack)
+	c.tested(ConfigWentBack)
 	s.node[node] = observed{sheetAt, at}
 	if sheetAt.Term > 0 {
 		if m, ok := s.marks[sheetAt]; ok && m != mark {
-			j.Fail(ConfigLoserInForce, at, "%s has %d at %v where others have %d", node, mark, sheetAt, m)
+			c.Fail(ConfigLoserInForce, at, "%s has %d at %v where others have %d", node, mark, sheetAt, m)
 		}
 		s.marks[sheetAt] = mark
 		if t := s.byMark[mark]; t != nil {
-			j.tested(ConfigLoserInForce)
+			c.tested(ConfigLoserInForce)
 			if t.Code == "invalid" || t.Code == "lost_race" || t.Code == "conflict" || t.Code == "shed" {
-				j.Fail(ConfigLoserInForce, at, "%s has edit %d in force, which was answered %s", node, mark, t.Code)
+				c.Fail(ConfigLoserInForce, at, "%s has edit %d in force, which was answered %s", node, mark, t.Code)
 			}
 		}
 	}
@@ -115,9 +117,9 @@
 		if at-max(a.at, since) <= ConfigWithin {
 			continue
 		}
-		j.tested(ConfigLate)
+		c.tested(ConfigLate)
 		if newer(a.version, sheetAt) {
-			j.Fail(ConfigLate, at, "%s has %v, %v was acknowledged %d us ago", node, sheetAt, a.version, at-a.at)
+			c.Fail(ConfigLate, at, "%s has %v, %v was acknowledged %d us ago", node, sheetAt, a.version, at-a.at)
 		}
 		return
 	}
@@ -125,12 +127,12 @@
 
 // Restarted forgets what a node had in force before it was started anew; the
 // acknowledged sheets still bind it.
-func (j *Checker) Restarted(node string) { delete(j.edits.node, node) }
+func (c *Checker) Restarted(node string) { delete(c.edits.node, node) }
 
 // Chain checks the whole history at the end: real-time order and the chain of bases.
-func (j *Checker) Chain() {
-	j.linearizable()
-	s := &j.edits
+func (c *Checker) Chain() {
+	c.linearizable()
+	s := &c.edits
 	for i, a := range s.order {
 		ta := s.byMark[a]
 		if ta.Code != "ok" {
@@ -146,10 +148,10 @@
 				first, second = tb, ta
 			}
 			if second.Ended < first.Began {
-				j.Fail(BothWon, second.Ended, "edit %d ended before %d began but has a newer stamp", second.Mark, first.Mark)
+				c.Fail(BothWon, second.Ended, "edit %d ended before %d began but has a newer stamp", second.Mark, first.Mark)
 			}
 			if newer(first.Version, second.Base) {
-				j.Fail(BothWon, second.Ended, "edit %d at %v is based on %v, before %v of edit %d", second.Mark, second.Version, second.Base, first.Version, first.Mark)
+				c.Fail(BothWon, second.Ended, "edit %d at %v is based on %v, before %v of edit %d", second.Mark, second.Version, second.Base, first.Version, first.Mark)
 			}
 		}
 	}
@@ -157,23 +159,23 @@
 
 // BookingSlack is how far from its window's edges a booking may start or end:
 // an owner may just be being elected, and nodes take a while to hear.
-const BookingSlack = 5_000_000
+const BookingSlack = 5 * clock.Second
 
 // Booking judges whether a node has a booking running that should, or should not.
-func (j *Checker) Booking(node, id string, runs bool, from, to, at int64) {
-	if at-j.ClocksAgree <= BookingSlack {
+func (c *Checker) Booking(node, id string, runs bool, from, to, at clock.Micros) {
+	if at-c.ClocksAgree <= BookingSlack {
 		return
 	}
 	switch {
 	case at > from+BookingSlack && at < to:
-		j.tested(BookedWrong)
+		c.tested(BookedWrong)
 		if !runs {
-			j.Fail(BookedWrong, at, "%s does not have booking %s running, %d us into its window", node, id, at-from)
+			c.Fail(BookedWrong, at, "%s does not have booking %s running, %d us into its window", node, id, at-from)
 		}
 	case at < from || at > to+BookingSlack:
-		j.tested(BookedWrong)
+		c.tested(BookedWrong)
 		if runs {
-			j.Fail(BookedWrong, at, "%s has booking %s running outside its window", node, id)
+			c.Fail(BookedWrong, at, "%s has booking %s running outside its window", node, id)
 		}
 	}
 }
--- a/lab/check/first_test.go
+++ b/lab/check/first_test.go
@@ -11,12 +11,12 @@
 // An order on a version that no order made is explained only where the fleet began with that version.
 func TestHistoryStartsFromConfigInForce(t *testing.T) {
 	for _, began := range []bool{true, false} {
-		j := New()
+		c := New()
 		if began {
-			j.BeganWith(wire.Version{Term: 1, Seq: 2})
-			j.BeganWith(wire.Version{Term: 1, Seq: 9})
+			c.BeganWith(wire.Version{Term: 1, Seq: 2})
+			c.BeganWith(wire.Version{Term: 1, Seq: 9})
 		}
-		j.EditBegan(Edit{Mark: 7, Base: wire.Version{Term: 1, Seq: 2}, Version: wire.Version{Term: 1, Seq: 3}, Began: 10, Ended: 20, Code: "ok"})
-		must.Eq(t, began, len(j.History().Check()) == 0, must.Sprint("began ", began))
+		c.EditBegan(Edit{Mark: 7, Base: wire.Version{Term: 1, Seq: 2}, Version: wire.Version{Term: 1, Seq: 3}, Began: 10, Ended: 20, Code: "ok"})
+		must.Eq(t, began, len(c.History().Check()) == 0, must.Sprint("began ", began))
 	}
 }
--- a/lab/check/histories.go
+++ b/lab/check/histories.go
@@ -7,6 +7,7 @@
 	"fmt"
 
 	"wallport/lab/history"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -14,8 +15,8 @@
 const NotLinearizable = "not_linearizable"
 
 // History is what operators asked of the sheet and were answered.
-func (j *Checker) History() *history.History {
-	s := &j.edits
+func (c *Checker) History() *history.History {
+	s := &c.edits
 	seenAt := map[int64]wire.Version{}
 	for at, mark := range s.marks {
 		seenAt[mark] = at
@@ -39,7 +40,7 @@
 			Invalid: t.Invalid, Begin: t.Began, End: t.Ended, Outcome: outcome,
 		})
 	}
-	for _, op := range j.otherOperations {
+	for _, op := range c.otherOperations {
 		h.Add(op)
 	}
 	return h
@@ -47,35 +48,35 @@
 
 // ConfigRead notes a read of the newest sheet that a majority confirmed: the mark of the sheet and
 // the version that brought it.
-func (j *Checker) ConfigRead(client int, at wire.Version, mark, began, ended int64) {
-	s := &j.edits
+func (c *Checker) ConfigRead(client int, at wire.Version, mark, began, ended int64) {
+	s := &c.edits
 	value := firstConfig
 	if s.byMark[mark] != nil {
 		value = editName(mark)
 	}
 	if other, known := s.marks[at]; known && other != mark {
-		j.Fail(ConfigLoserInForce, ended, "a read found %d at %v where others have %d", mark, at, other)
+		c.Fail(ConfigLoserInForce, ended, "a read found %d at %v where others have %d", mark, at, other)
 	}
 	s.marks[at] = mark
-	j.otherOperations = append(j.otherOperations, history.Operation{
+	c.otherOperations = append(c.otherOperations, history.Operation{
 		Register: "sheet", Client: client, Kind: history.Read, Begin: began, End: ended, Outcome: history.Accepted, Value: value,
 	})
 }
 
 // ZoneSet notes an order that drains or restores a zone, with the code of its answer.
-func (j *Checker) ZoneSet(client int, zone string, drained bool, code string, began, ended int64) {
+func (c *Checker) ZoneSet(client int, zone string, drained bool, code string, began, ended clock.Micros) {
 	outcome, possible := outcomeOf(code)
 	if !possible {
 		return
 	}
-	j.otherOperations = append(j.otherOperations, history.Operation{
+	c.otherOperations = append(c.otherOperations, history.Operation{
 		Register: history.Zone(zone), Client: client, Kind: history.Set, ID: zoneState(drained), Begin: began, End: ended, Outcome: outcome,
 	})
 }
 
 // ZoneRead notes what a zone was found to be, by one that held all that was acknowledged before the read.
-func (j *Checker) ZoneRead(client int, zone string, drained bool, began, ended int64) {
-	j.otherOperations = append(j.otherOperations, history.Operation{
+func (c *Checker) ZoneRead(client int, zone string, drained bool, began, ended clock.Micros) {
+	c.otherOperations = append(c.otherOperations, history.Operation{
 		Register: history.Zone(zone), Client: client, Kind: history.Read, Begin: began, End: ended, Outcome: history.Accepted, Value: zoneState(drained),
 	})
 }
@@ -93,9 +94,9 @@
 func editName(mark int64) string { return fmt.Sprint("edit ", mark) }
 
 // BeganWith tells the version of the sheet that was in force before the first try; later words change nothing.
-func (j *Checker) BeganWith(at wire.Version) {
-	if j.edits.first.Term == 0 {
-		j.edits.first = at
+func (c *Checker) BeganWith(at wire.Version) {
+	if c.edits.first.Term == 0 {
+		c.edits.first = at
 	}
 }
 
@@ -121,19 +122,19 @@
 }
 
 // linearizable judges the history.
-func (j *Checker) linearizable() {
-	h := j.History()
+func (c *Checker) linearizable() {
+	h := c.History()
 	for range h.Operations {
-		j.tested(NotLinearizable)
+		c.tested(NotLinearizable)
 	}
 	for _, err := range h.Check() {
-		j.Fail(NotLinearizable, j.lastResponse(), "%v", err)
+		c.Fail(NotLinearizable, c.lastResponse(), "%v", err)
 	}
 }
 
 // lastResponse is when the last clear answer came.
-func (j *Checker) lastResponse() (at int64) {
-	for _, t := range j.edits.byMark {
+func (c *Checker) lastResponse() (at clock.Micros) {
+	for _, t := range c.edits.byMark {
 		if t.Code == "ok" {
 			at = max(at, t.Ended)
 		}
--- a/lab/check/limits.go
+++ b/lab/check/limits.go
@@ -7,6 +7,8 @@
 import (
 	"maps"
 	"slices"
+
+	"wallport/runtime/clock"
 )
 
 // OverLimit and UnderLimit name the two ways.
@@ -17,7 +19,7 @@
 
 // Limits are what a sheet says, in inquiries a second; shares have booked slices in them.
 type Limits struct {
-	From     int64
+	From     clock.Micros
 	Capacity float64
 	Shares   map[string]float64
 	Ceilings map[string]float64
@@ -32,85 +34,85 @@
 
 // LimitSettles is how long after a change the limits are not judged: 3 s for the sheet
 // to be in force and as long for the nodes to learn of each other's load.
-const LimitSettles = 6_000_000
+const LimitSettles = 6 * clock.Second
 
 // Arrived notes an inquiry that was read, and whether the limits let it in.
-func (j *Checker) Arrived(kind string, at int64, in bool) {
+func (c *Checker) Arrived(kind string, at clock.Micros, in bool) {
 	for _, k := range []string{kind, ""} {
-		c := j.admitted[k]
-		if c == nil {
-			c = &admissions{map[int64]int64{}, map[int64]int64{}}
-			j.admitted[k] = c
+		counts := c.admitted[k]
+		if counts == nil {
+			counts = &admissions{map[int64]int64{}, map[int64]int64{}}
+			c.admitted[k] = counts
 		}
-		c.arrived[at/1_000_000]++
+		counts.arrived[at/clock.Second]++
 		if in {
-			c.admitted[at/1_000_000]++
+			counts.admitted[at/clock.Second]++
 		}
 	}
 }
 
 // Limit says what holds from a moment on; a change of the load is told in the same way.
-func (j *Checker) Limit(l Limits) { j.limits = append(j.limits, l) }
+func (c *Checker) Limit(l Limits) { c.limits = append(c.limits, l) }
 
 // Moved notes that nodes left or came, and the load with them: for a while after it
 // room may be left unused, but no limit may be passed.
-func (j *Checker) Moved(at int64) { j.moves = append(j.moves, at) }
+func (c *Checker) Moved(at clock.Micros) { c.moves = append(c.moves, at) }
 
 // CheckLimits judges every window of ten seconds up to an end.
-func (j *Checker) CheckLimits(end int64) {
-	for i, l := range j.limits {
+func (c *Checker) CheckLimits(end clock.Micros) {
+	for i, l := range c.limits {
 		to := end
-		if i+1 < len(j.limits) {
-			to = j.limits[i+1].From
+		if i+1 < len(c.limits) {
+			to = c.limits[i+1].From
 		}
-		for s := (l.From+LimitSettles)/1_000_000 + 1; (s+10)*1_000_000 <= to; s++ {
-			j.limitWindow(l, s)
+		for s := (l.From+LimitSettles)/clock.Second + 1; (s+10)*clock.Second <= to; s++ {
+			c.limitWindow(l, s)
 		}
 	}
 }
 
-func (j *Checker) window(kind string, s int64) (came, in float64) {
-	c := j.admitted[kind]
-	for k := s; c != nil && k < s+10; k++ {
-		came += float64(c.arrived[k])
-		in += float64(c.admitted[k])
+func (c *Checker) window(kind string, s int64) (came, in float64) {
+	counts := c.admitted[kind]
+	for k := s; counts != nil && k < s+10; k++ {
+		came += float64(counts.arrived[k])
+		in += float64(counts.admitted[k])
 	}
 	return came, in
 }
 
-func (j *Checker) limitWindow(l Limits, s int64) {
-	at := s * 1_000_000
+func (c *Checker) limitWindow(l Limits, s int64) {
+	at := s * clock.Second
 	over := func(what string, in, limit float64) {
-		j.tested(OverLimit)
-		j.Counts["most_of_limit_percent"] = max(j.Counts["most_of_limit_percent"], int64(in*10/limit))
+		c.tested(OverLimit)
+		c.Counts["most_of_limit_percent"] = max(c.Counts["most_of_limit_percent"], int64(in*10/limit))
 		if in > 11*limit+10 {
-			j.Fail(OverLimit, at, "%s: %.0f let in within 10 s, the limit is %.0f", what, in, limit*10)
+			c.Fail(OverLimit, at, "%s: %.0f let in within 10 s, the limit is %.0f", what, in, limit*10)
 		}
 	}
 	under := func(what string, in, due float64) {
-		if slices.ContainsFunc(j.moves, func(m int64) bool { return m > at-LimitSettles && m < at+10_000_000 }) {
+		if slices.ContainsFunc(c.moves, func(m int64) bool { return m > at-LimitSettles && m < at+10*clock.Second }) {
 			return
 		}
-		j.tested(UnderLimit)
+		c.tested(UnderLimit)
 		if in < 0.9*due-10 {
-			j.Fail(UnderLimit, at, "%s: %.0f let in within 10 s, %.0f were due", what, in, due)
+			c.Fail(UnderLimit, at, "%s: %.0f let in within 10 s, %.0f were due", what, in, due)
 		}
 	}
-	came, in := j.window("", s)
+	came, in := c.window("", s)
 	over("the pool", in, l.Capacity)
 	free, booked := 0.0, 0.0
 	for _, kind := range slices.Sorted(maps.Keys(l.Shares)) {
-		c, n := j.window(kind, s)
+		wanted, n := c.window(kind, s)
 		most := l.Spare[kind]
 		if ceil := l.Ceilings[kind]; ceil > 0 {
 			over(kind, n, ceil)
 			most = min(most, ceil)
 		}
-		under(kind, n, min(c, 10*min(l.Shares[kind], most)))
+		under(kind, n, min(wanted, 10*min(l.Shares[kind], most)))
 		if l.Booked[kind] {
-			booked += min(c, 10*most)
+			booked += min(wanted, 10*most)
 		} else {
-			free += min(c, 10*most)
+			free += min(wanted, 10*most)
 		}
 	}
 	under("the pool", in, min(came, booked+min(free, 10*l.Free), 10*l.Capacity))
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -19,6 +19,7 @@
 
 	"wallport/control/config"
 	"wallport/lab/check"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -111,10 +112,10 @@
 	body.Services[0]["ramp_us"] = mark
 	stamp, _ := config.ParseVersion(0, base.Version)
 	t := check.Edit{Mark: mark, Base: stamp, Began: o.now(), Ended: 1 << 62, Code: "open"}
-	o.withChecker(func(j *check.Checker) { j.EditBegan(t) })
+	o.withChecker(func(c *check.Checker) { c.EditBegan(t) })
 	code, taken := o.send(node, body, base.Version)
 	t.Code, t.Version, t.Ended = code, taken, o.now()
-	o.withChecker(func(j *check.Checker) { j.EditEnded(t); j.Count("edits."+code, 1) })
+	o.withChecker(func(c *check.Checker) { c.EditEnded(t); c.Count("edits."+code, 1) })
 }
 
 // send puts a sheet and tells what came of it, "open" where no answer came.
@@ -142,7 +143,7 @@
 	return codeOf(got.Name), stamp
 }
 
-func (o *operators) withChecker(f func(j *check.Checker)) {
+func (o *operators) withChecker(f func(c *check.Checker)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f(o.checker)
@@ -155,7 +156,7 @@
 			for ctx.Err() == nil {
 				asked := o.now()
 				s, err := o.readConfig(n.Name)
-				o.withChecker(func(j *check.Checker) { o.observe(j, n.Name, s, err, asked) })
+				o.withChecker(func(c *check.Checker) { o.observe(c, n.Name, s, err, asked) })
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
@@ -164,10 +165,10 @@
 
 // observe tells the judge what a node has in force; one that did not answer in time was
 // not there, and is bound again from when it answers.
-func (o *operators) observe(j *check.Checker, node string, s configInForce, err error, asked int64) {
+func (o *operators) observe(c *check.Checker, node string, s configInForce, err error, asked int64) {
 	if err != nil || len(s.Config.Services) == 0 {
 		if o.upSince[node] > 0 {
-			j.Restarted(node)
+			c.Restarted(node)
 		}
 		o.upSince[node] = 0
 		return
@@ -176,16 +177,16 @@
 		o.upSince[node] = o.now()
 	}
 	stamp, _ := config.ParseVersion(0, s.Version)
-	j.InForce(node, stamp, s.mark(), asked, o.upSince[node])
+	c.InForce(node, stamp, s.mark(), asked, o.upSince[node])
 }
 
 // served tells the judge of recovery what callers got, second by second from a moment on.
-func (o *operators) served(from int64, seconds map[string]int) {
+func (o *operators) served(from clock.Micros, seconds map[string]int) {
 	for k, n := range seconds {
 		var s int64
 		fmt.Sscan(strings.TrimLeft(k, "0"), &s)
 		for range n {
-			o.checker.Served(from + s*1_000_000)
+			o.checker.Served(from + s*clock.Second)
 		}
 	}
 	if o.restoredAt.Load() > 0 {
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -65,7 +65,7 @@
 			return err
 		}
 		stamp, _ := config.ParseVersion(0, first.Version)
-		o.withChecker(func(j *check.Checker) { j.BeganWith(stamp) })
+		o.withChecker(func(c *check.Checker) { c.BeganWith(stamp) })
 		return nil
 	})
 }
@@ -86,13 +86,13 @@
 	began := o.now()
 	code := o.call(http.MethodGet, node, "/v1/sheet/history", &past)
 	ended := o.now()
-	o.withChecker(func(j *check.Checker) { j.Count("reads."+code, 1) })
+	o.withChecker(func(c *check.Checker) { c.Count("reads."+code, 1) })
 	if code != "ok" || len(past) == 0 {
 		return
 	}
 	newest := past[len(past)-1]
 	stamp, _ := config.ParseVersion(0, newest.Version)
-	o.withChecker(func(j *check.Checker) { j.ConfigRead(readingClient, stamp, newest.mark(), began, ended) })
+	o.withChecker(func(c *check.Checker) { c.ConfigRead(readingClient, stamp, newest.mark(), began, ended) })
 }
 
 // zones has operators drain and restore a zone by turns, two at a time through different nodes.
@@ -117,9 +117,9 @@
 	began := o.now()
 	code := o.call(http.MethodPost, node, "/v1/zones/"+zone+"/"+action, &taken)
 	ended := o.now()
-	o.withChecker(func(j *check.Checker) {
-		j.ZoneSet(client, zone, drained, code, began, ended)
-		j.Count("zones."+code, 1)
+	o.withChecker(func(c *check.Checker) {
+		c.ZoneSet(client, zone, drained, code, began, ended)
+		c.Count("zones."+code, 1)
 	})
 }
 
@@ -144,7 +144,7 @@
 			drained = drained || s.Zone == zone && s.Verdict == "emptied"
 		}
 		ended := o.now()
-		o.withChecker(func(j *check.Checker) { j.ZoneRead(readingClient, zone, drained, began, ended) })
+		o.withChecker(func(c *check.Checker) { c.ZoneRead(readingClient, zone, drained, began, ended) })
 		return nil
 	})
 }
--- a/lab/fleet/run.go
+++ b/lab/fleet/run.go
@@ -108,31 +108,31 @@
 // check feeds what the stand-ins saw to the same judges as the simulator, and
 // gathers counts.
 func (f *Fleet) check(r *Result) {
-	j := f.operators.checker
-	j.Chain()
+	c := f.operators.checker
+	c.Chain()
 	ran, reports := f.Ran()
 	for key, n := range ran {
-		j.RanTimes(key, n)
+		c.RanTimes(key, n)
 	}
 	for _, key := range r.Callers.Refused {
-		j.Refused(key, 0)
+		c.Refused(key, 0)
 	}
 	for id, at := range f.drainingSince {
-		j.BackendDrains(id, at)
+		c.BackendDrains(id, at)
 		if v, ok := reports[id]; ok && v.Last > at {
-			j.Request(f.options.Shape.Index, id, "", v.Last, false, false)
+			c.Request(f.options.Shape.Index, id, "", v.Last, false, false)
 		} else {
-			j.Idle(check.DrainingWork)
+			c.Idle(check.DrainingWork)
 		}
 	}
-	for _, v := range j.Violations {
+	for _, v := range c.Violations {
 		r.Violations = append(r.Violations, v.Point+": "+v.Text)
 	}
 	r.Violations = append(r.Violations, r.Callers.Wrong...)
-	for k, n := range j.Counts {
+	for k, n := range c.Counts {
 		r.Counts[k] = n
 	}
-	for k, n := range j.Tested {
+	for k, n := range c.Tested {
 		r.Counts["tested."+k] = n
 	}
 	var most int64
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -10,6 +10,7 @@
 	"strings"
 
 	"wallport/lab/script"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -22,15 +23,15 @@
 	Cores    int
 	PerShard int
 	Shards   int
-	Least    int64
-	Most     int64
+	Least    clock.Micros
+	Most     clock.Micros
 }
 
 // Shapes are the deployments, and a small one for quick tests.
 var Shapes = map[string]Shape{
-	"trust":    {"trust", "scores", 4, 11, 4, 12, 4, 250_000, 1_500_000},
-	"registry": {"registry", "tenancies", 3, 10, 3, 17, 4, 500_000, 5_000_000},
-	"small":    {"small", "scores", 3, 3, 3, 2, 2, 500_000, 1_500_000},
+	"trust":    {"trust", "scores", 4, 11, 4, 12, 4, 250 * clock.Millisecond, 1500 * clock.Millisecond},
+	"registry": {"registry", "tenancies", 3, 10, 3, 17, 4, 500 * clock.Millisecond, 5 * clock.Second},
+	"small":    {"small", "scores", 3, 3, 3, 2, 2, 500 * clock.Millisecond, 1500 * clock.Millisecond},
 }
 
 // Zone is the zone of the i-th machine.
--- a/lab/model/apply.go
+++ b/lab/model/apply.go
@@ -6,6 +6,7 @@
 	"errors"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
@@ -147,7 +148,7 @@
 }
 
 // elapse moves the clock and runs the timers that are due, once each, of those that run.
-func (w *World) elapse(s *system, us int64) error {
+func (w *World) elapse(s *system, us clock.Micros) error {
 	s.now += us
 	for i := range w.replicas {
 		if s.frozenAt[i] == 0 {
--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -2,14 +2,16 @@
 
 package model
 
+import "wallport/runtime/clock"
+
 // Spans of time: one in which a leader sends heartbeats, one that the first in turn to stand for
 // leader does not wait out, and one that it does.
 const (
-	heartbeatSpan = 160_000
-	quietSpan     = 480_000
-	electionSpan  = 560_000
+	heartbeatSpan = int(160 * clock.Millisecond)
+	quietSpan     = int(480 * clock.Millisecond)
+	electionSpan  = int(560 * clock.Millisecond)
 	// rivalSpan, twice from the start, has two of three stand for leader.
-	rivalSpan = 270_000
+	rivalSpan = int(270 * clock.Millisecond)
 )
 
 // change is an order that adds an item to a version.
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
@@ -106,7 +107,7 @@
 const mergeSample = 10
 
 // after runs a process anew from its history, and then on, from a time, through writes and timers.
-func (w *World) after(p *process, at int64) (prints []digest) {
+func (w *World) after(p *process, at clock.Micros) (prints []digest) {
 	k := newRuntime().wake(p)
 	feed := func(input kernel.Input) {
 		fixRandom(k, p.replica, p.incarnation)
@@ -121,7 +122,7 @@
 		feed(kernel.Written{Plugin: pluginName, Key: wr.key})
 	}
 	for range 4 {
-		at += electionSpan
+		at += int64(electionSpan)
 		for _, t := range p.timers {
 			feed(kernel.Tick{Plugin: t.plugin, Key: t.key})
 		}
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -11,6 +11,7 @@
 	"fmt"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -24,7 +25,7 @@
 }
 
 type timer struct {
-	at          int64
+	at          clock.Micros
 	plugin, key string
 }
 
@@ -35,7 +36,7 @@
 	// incarnation is which start of the replica it is: what it draws at random differs between them.
 	incarnation int
 	parent      *process
-	at          int64
+	at          clock.Micros
 	input       kernel.Input
 	files       map[string][]byte
 	writes      []pendingWrite
@@ -55,7 +56,7 @@
 
 type stepKey struct {
 	process int32
-	at      int64
+	at      clock.Micros
 	input   digest
 }
 
@@ -82,7 +83,7 @@
 }
 
 // start boots a replica on the files of its disk.
-func (r *runtime) start(replica, incarnation int, at int64, files map[string][]byte) *effects {
+func (r *runtime) start(replica, incarnation int, at clock.Micros, files map[string][]byte) *effects {
 	key := digestOf(append(filesBytes(files), fmt.Sprint(replica, incarnation, at)...))
 	if e := r.starts[key]; e != nil {
 		return e
@@ -95,7 +96,7 @@
 }
 
 // step feeds a process one input.
-func (r *runtime) step(p *process, at int64, input kernel.Input) *effects {
+func (r *runtime) step(p *process, at clock.Micros, input kernel.Input) *effects {
 	key := stepKey{p.id, at, inputDigest(input)}
 	if e := r.steps[key]; e != nil {
 		return e
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -17,6 +17,7 @@
 	"wallport/cluster/mesh"
 	"wallport/control/replica"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
@@ -27,7 +28,7 @@
 const pluginName = "seats"
 
 // epoch is the time of day at the steady clock's zero.
-const epoch = int64(1_700_000_000_000_000)
+const epoch = int64(1700000000 * clock.Second)
 
 func isMessage(pkg string) bool { return pkg == "wallport/wire" }
 
--- a/lab/model/system.go
+++ b/lab/model/system.go
@@ -10,6 +10,8 @@
 	"encoding/binary"
 	"maps"
 	"slices"
+
+	"wallport/runtime/clock"
 )
 
 // Budget bounds how often each kind of fault and choice may come in one schedule.
@@ -76,13 +78,13 @@
 
 // system is one state of the whole system; states share what they have in common.
 type system struct {
-	now       int64
+	now       clock.Micros
 	processes []*process
 	disks     []*disk
 	// starts counts the starts of each replica's process.
 	starts []int
 	// frozenAt is the time of a freeze, or 0.
-	frozenAt []int64
+	frozenAt []clock.Micros
 	// queues hold the messages from one replica to another, in order: index from*n+to.
 	queues [][]*message
 	calls  []call
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -60,10 +61,10 @@
 type Seen struct{ Leaders, Commits, Acknowledged, Refused, Reads, MemberChanges int }
 
 // FreezeGap is how long a process must not have run to be told so, as in the process's own loop.
-const FreezeGap = 1_000_000
+const FreezeGap = clock.Second
 
 // begin is the steady clock at the start of a schedule.
-const begin = 1_000_000
+const begin = clock.Second
 
 // NewWorld makes a world.
 func NewWorld(c Config) *World {
--- a/lab/rules/check.go
+++ b/lab/rules/check.go
@@ -8,14 +8,15 @@
 	"strings"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
 // Check runs every rule over the journal and fills in its findings.
 func (j *Journal) Check() {
 	j.Findings, j.Tested, j.Broken = nil, map[string]int64{}, map[string]int64{}
 	j.attempts, j.arrivalsByAttempt = make(map[string]*Attempt, len(j.Attempts)), make(map[string][]*Arrival, len(j.Attempts))
-	for _, t := range j.Attempts {
-		j.attempts[t.ID] = t
+	for _, attempt := range j.Attempts {
+		j.attempts[attempt.ID] = attempt
 	}
 	for _, a := range j.Arrivals {
 		j.arrivalsByAttempt[a.Attempt] = append(j.arrivalsByAttempt[a.Attempt], a)
@@ -31,7 +32,7 @@
 // foundMost bounds the findings of one rule that are kept; Broken counts all.
 const foundMost = 3
 
-func (j *Journal) fail(rule string, at int64, text string, args ...any) {
+func (j *Journal) fail(rule string, at clock.Micros, text string, args ...any) {
 	j.Broken[rule]++
 	if j.Broken[rule] > foundMost {
 		return
@@ -81,16 +82,16 @@
 }
 
 // may reports whether a version may be in force at a moment: it was sent, is valid, and was not refused.
-func (v *Version) may(at int64) bool {
-	return v.Table != nil && !v.Invalid && v.Refused == Never && v.Sent <= at
+func (version *Version) may(at clock.Micros) bool {
+	return version.Table != nil && !version.Invalid && version.Refused == Never && version.Sent <= at
 }
 
 // newestAcked is the newest version that was acknowledged by a moment.
-func (j *Journal) newestAcked(at int64) *Version {
+func (j *Journal) newestAcked(at clock.Micros) *Version {
 	var best *Version
-	for _, v := range j.Versions {
-		if v.Acked <= at && (best == nil || v.Revision > best.Revision) {
-			best = v
+	for _, version := range j.Versions {
+		if version.Acked <= at && (best == nil || version.Revision > best.Revision) {
+			best = version
 		}
 	}
 	return best
--- a/lab/rules/config.go
+++ b/lab/rules/config.go
@@ -9,24 +9,25 @@
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
 // possible are the versions by which a machine may handle a request that was sent when it was: those that
 // may be in force, but none older than the newest whose bound was over by then.
-func (j *Journal) possible(t *Attempt, machine string) []*Version {
+func (j *Journal) possible(attempt *Attempt, machine string) []*Version {
 	least := int64(0)
-	for _, v := range j.Versions {
-		if v.Acked == Never || v.Revision <= least {
+	for _, version := range j.Versions {
+		if version.Acked == Never || version.Revision <= least {
 			continue
 		}
-		if b, ok := j.bound(machine, v.Acked, t.Sent, j.Bounds.ApplyUs); ok && t.Sent > v.Acked+b {
-			least = v.Revision
+		if b, ok := j.bound(machine, version.Acked, attempt.Sent, j.Bounds.ApplyUs); ok && attempt.Sent > version.Acked+b {
+			least = version.Revision
 		}
 	}
 	var out []*Version
-	for _, v := range j.Versions {
-		if v.Revision >= least && v.may(t.Ended) {
-			out = append(out, v)
+	for _, version := range j.Versions {
+		if version.Revision >= least && version.may(attempt.Ended) {
+			out = append(out, version)
 		}
 	}
 	return out
@@ -35,42 +36,42 @@
 // route: no service runs what no configuration ever sent there.
 func route(j *Journal) {
 	for _, a := range j.Arrivals {
-		t := j.attempts[a.Attempt]
-		if t == nil || !a.Ran {
+		attempt := j.attempts[a.Attempt]
+		if attempt == nil || !a.Ran {
 			continue
 		}
 		j.tested(Route)
-		if !slices.ContainsFunc(j.Versions, func(v *Version) bool {
-			return v.Sent <= a.At && allows(v.Table, t.Host, t.Path, a.Backend.Pool)
+		if !slices.ContainsFunc(j.Versions, func(version *Version) bool {
+			return version.Sent <= a.At && allows(version.Table, attempt.Host, attempt.Path, a.Backend.Pool)
 		}) {
-			j.fail(Route, a.At, "%s of %s runs %s, which no configuration sends there", a.Backend.ID, a.Backend.Pool, t.ID)
+			j.fail(Route, a.At, "%s of %s runs %s, which no configuration sends there", a.Backend.ID, a.Backend.Pool, attempt.ID)
 		}
 	}
 }
 
 // configHandled: requests are handled as a version allows that may still be in force.
 func configHandled(j *Journal) {
-	for _, t := range j.Attempts {
-		if t.Status == 0 && len(j.arrivalsByAttempt[t.ID]) == 0 {
+	for _, attempt := range j.Attempts {
+		if attempt.Status == 0 && len(j.arrivalsByAttempt[attempt.ID]) == 0 {
 			continue
 		}
-		ok := j.possible(t, t.Machine)
+		ok := j.possible(attempt, attempt.Machine)
 		if len(ok) == 0 {
 			continue
 		}
-		for _, a := range j.arrivalsByAttempt[t.ID] {
-			if a.Wrong || !a.Ran || a.Machine != t.Machine {
+		for _, a := range j.arrivalsByAttempt[attempt.ID] {
+			if a.Wrong || !a.Ran || a.Machine != attempt.Machine {
 				continue
 			}
 			j.tested(Config)
-			if !slices.ContainsFunc(ok, func(v *Version) bool { return allows(v.Table, t.Host, t.Path, a.Backend.Pool) }) {
-				j.fail(Config, a.At, "%s, sent at %d us, ran in %s on %s: only an older or a refused version allows that", t.ID, t.Sent, a.Backend.Pool, t.Machine)
+			if !slices.ContainsFunc(ok, func(version *Version) bool { return allows(version.Table, attempt.Host, attempt.Path, a.Backend.Pool) }) {
+				j.fail(Config, a.At, "%s, sent at %d us, ran in %s on %s: only an older or a refused version allows that", attempt.ID, attempt.Sent, a.Backend.Pool, attempt.Machine)
 			}
 		}
-		if t.Generated && t.Status == 404 {
+		if attempt.Generated && attempt.Status == 404 {
 			j.tested(Config)
-			if !slices.ContainsFunc(ok, func(v *Version) bool { return routeOf(v.Table, t.Host, t.Path) == nil }) {
-				j.fail(Config, t.Ended, "%s, sent at %d us, got a 404 from %s though its route is there", t.ID, t.Sent, t.Machine)
+			if !slices.ContainsFunc(ok, func(version *Version) bool { return routeOf(version.Table, attempt.Host, attempt.Path) == nil }) {
+				j.fail(Config, attempt.Ended, "%s, sent at %d us, got a 404 from %s though its route is there", attempt.ID, attempt.Sent, attempt.Machine)
 			}
 		}
 	}
@@ -79,10 +80,10 @@
 // configInForce: what nodes have in force is new enough, was not refused, and is never older than before.
 func configInForce(j *Journal) {
 	byRevision := map[int64]*Version{}
-	for _, v := range j.Versions {
+	for _, version := range j.Versions {
 		// Of two under one number the one that may be in force counts.
-		if was := byRevision[v.Revision]; was == nil || was.Refused != Never {
-			byRevision[v.Revision] = v
+		if was := byRevision[version.Revision]; was == nil || was.Refused != Never {
+			byRevision[version.Revision] = version
 		}
 	}
 	type life struct {
@@ -98,16 +99,16 @@
 			j.fail(Config, s.At, "%s went back from revision %d to %d", s.Machine, last[at], s.Revision)
 		}
 		last[at] = s.Revision
-		if v := byRevision[s.Revision]; s.Revision > 0 && (v == nil || v.Invalid || v.Refused != Never) {
+		if version := byRevision[s.Revision]; s.Revision > 0 && (version == nil || version.Invalid || version.Refused != Never) {
 			j.fail(Config, s.At, "%s has revision %d in force, which was never taken", s.Machine, s.Revision)
 		}
-		for _, v := range j.Versions {
-			if v.Acked == Never || v.Revision <= s.Revision {
+		for _, version := range j.Versions {
+			if version.Acked == Never || version.Revision <= s.Revision {
 				continue
 			}
-			if b, ok := j.bound(s.Machine, v.Acked, s.At, j.Bounds.ApplyUs); ok && s.At > v.Acked+b && !told[s.Machine] {
+			if b, ok := j.bound(s.Machine, version.Acked, s.At, j.Bounds.ApplyUs); ok && s.At > version.Acked+b && !told[s.Machine] {
 				told[s.Machine] = true
-				j.fail(Config, s.At, "%s has revision %d in force, %d was acknowledged at %d us", s.Machine, s.Revision, v.Revision, v.Acked)
+				j.fail(Config, s.At, "%s has revision %d in force, %d was acknowledged at %d us", s.Machine, s.Revision, version.Revision, version.Acked)
 			}
 		}
 	}
@@ -116,18 +117,18 @@
 // configOrder: of two changes on one version one is acknowledged, and none that is invalid.
 func configOrder(j *Journal) {
 	by := map[int64]*Version{}
-	for _, v := range j.Versions {
-		if v.Acked == Never {
+	for _, version := range j.Versions {
+		if version.Acked == Never {
 			continue
 		}
 		j.tested(Config)
-		if v.Invalid {
-			j.fail(Config, v.Acked, "revision %d is invalid and was acknowledged", v.Revision)
+		if version.Invalid {
+			j.fail(Config, version.Acked, "revision %d is invalid and was acknowledged", version.Revision)
 		}
-		if o := by[v.Base]; o != nil {
-			j.fail(Config, v.Acked, "revisions %d and %d, both on top of %d, were acknowledged", o.Revision, v.Revision, v.Base)
+		if o := by[version.Base]; o != nil {
+			j.fail(Config, version.Acked, "revisions %d and %d, both on top of %d, were acknowledged", o.Revision, version.Revision, version.Base)
 		}
-		by[v.Base] = v
+		by[version.Base] = version
 	}
 }
 
@@ -154,8 +155,8 @@
 		j.fail(rule, r.At, "revision %d was read back, %d was acknowledged", r.Table.GetRevision(), newest.Revision)
 		return
 	}
-	for _, v := range j.Versions {
-		if v.Revision == r.Table.GetRevision() && v.may(r.At) && alike(v.Table, r.Table) {
+	for _, version := range j.Versions {
+		if version.Revision == r.Table.GetRevision() && version.may(r.At) && alike(version.Table, r.Table) {
 			return
 		}
 	}
@@ -176,7 +177,7 @@
 // acks: a proper order is acknowledged within the bound of one stretch in which the core was settled.
 func acks(j *Journal) {
 	c := j.Bounds.ContactUs
-	check := func(what string, sent, acked int64) {
+	check := func(what string, sent, acked clock.Micros) {
 		j.tested(Acks)
 		// The longest settled stretch since it was sent: it is cut at everything that unsettles the core.
 		from := sent
@@ -197,18 +198,18 @@
 			j.fail(Acks, end, "%s, sent at %d us, had no acknowledgement for %d us in a settled core", what, sent, end-from)
 		}
 	}
-	for _, v := range j.Versions {
-		if v.Alone && !v.Invalid && v.Refused != Never {
-			j.fail(Acks, v.Refused, "revision %d, on top of the newest one, was refused", v.Revision)
+	for _, version := range j.Versions {
+		if version.Alone && !version.Invalid && version.Refused != Never {
+			j.fail(Acks, version.Refused, "revision %d, on top of the newest one, was refused", version.Revision)
 		}
-		if !v.Invalid && v.Refused == Never {
-			check("a configuration", v.Sent, firstOf(v.Acked, v.FirstAcked))
+		if !version.Invalid && version.Refused == Never {
+			check("a configuration", version.Sent, firstOf(version.Acked, version.FirstAcked))
 		}
 	}
-	for _, o := range j.Evacuations {
-		check("an evacuation", o.Sent, firstOf(o.Acked, o.FirstAcked))
-		if o.RestoreSent != Never {
-			check("the end of an evacuation", o.RestoreSent, firstOf(o.RestoreAcked, o.RestoreFirstAcked))
+	for _, evacuation := range j.Evacuations {
+		check("an evacuation", evacuation.Sent, firstOf(evacuation.Acked, evacuation.FirstAcked))
+		if evacuation.RestoreSent != Never {
+			check("the end of an evacuation", evacuation.RestoreSent, firstOf(evacuation.RestoreAcked, evacuation.RestoreFirstAcked))
 		}
 	}
 }
--- a/lab/rules/fault_spans.go
+++ b/lab/rules/fault_spans.go
@@ -3,30 +3,32 @@
 
 package rules
 
+import "wallport/runtime/clock"
+
 import "slices"
 
 // Span is a stretch of time; To is Never while it lasts. One with From equal to To is a moment.
-type Span struct{ From, To int64 }
+type Span struct{ From, To clock.Micros }
 
 // Spans is a list of stretches in order.
 type Spans []Span
 
 // Open begins a stretch, unless one is open.
-func (s *Spans) Open(at int64) {
+func (s *Spans) Open(at clock.Micros) {
 	if n := len(*s); n == 0 || (*s)[n-1].To != Never {
 		*s = append(*s, Span{at, Never})
 	}
 }
 
 // Close ends the open stretch.
-func (s *Spans) Close(at int64) {
+func (s *Spans) Close(at clock.Micros) {
 	if n := len(*s); n > 0 && (*s)[n-1].To == Never {
 		(*s)[n-1].To = at
 	}
 }
 
 // Set opens or closes.
-func (s *Spans) Set(at int64, on bool) {
+func (s *Spans) Set(at clock.Micros, on bool) {
 	if on {
 		s.Open(at)
 	} else {
@@ -35,7 +37,7 @@
 }
 
 // Moment notes something that takes no time.
-func (s *Spans) Moment(at int64) {
+func (s *Spans) Moment(at clock.Micros) {
 	if n := len(*s); n == 0 || (*s)[n-1].To != Never {
 		*s = append(*s, Span{at, at})
 	}
@@ -63,19 +65,19 @@
 }
 
 // settlesUs is how long after a version is due everywhere it still counts as planned work.
-const settlesUs = 1_000_000
+const settlesUs = clock.Second
 
 // planned is all planned work: that of the machines, and each configuration that may be in force,
 // from its sending until some time after its acknowledgement.
 func (j *Journal) planned() Spans {
 	spans := slices.Clone(j.Faults.Planned)
-	for _, v := range j.Versions {
+	for _, version := range j.Versions {
 		switch {
-		case v.Invalid || v.Refused != Never && v.Acked == Never:
-		case v.Acked == Never:
-			spans = append(spans, Span{v.Sent, Never})
+		case version.Invalid || version.Refused != Never && version.Acked == Never:
+		case version.Acked == Never:
+			spans = append(spans, Span{version.Sent, Never})
 		default:
-			spans = append(spans, Span{v.Sent, v.Acked + j.Bounds.ApplyUs + settlesUs})
+			spans = append(spans, Span{version.Sent, version.Acked + j.Bounds.ApplyUs + settlesUs})
 		}
 	}
 	return spans
@@ -98,13 +100,13 @@
 func (t *FaultSpans) Settled(a, b, contact int64) bool { return !t.Unsettled.Hit(a-contact, b) }
 
 // InContact tells that a machine is in touch at a moment.
-func (t *FaultSpans) InContact(machine string, at, contact int64) bool {
+func (t *FaultSpans) InContact(machine string, at, contact clock.Micros) bool {
 	return !t.Of(machine).Hit(at-contact, at) && !t.Unsettled.Hit(at-contact, at)
 }
 
 // bound is how long after an acknowledgement at `acked` a machine may take at `at`: the bound itself where
 // it is in touch, more while the core is unsettled, and any time (false) where it is in trouble itself.
-func (j *Journal) bound(machine string, acked, at, bound int64) (int64, bool) {
+func (j *Journal) bound(machine string, acked, at, bound clock.Micros) (int64, bool) {
 	c := j.Bounds.ContactUs
 	switch {
 	case j.Faults.Of(machine).Hit(at-c, at):
--- a/lab/rules/histories.go
+++ b/lab/rules/histories.go
@@ -9,6 +9,7 @@
 	"slices"
 
 	"wallport/lab/history"
+	"wallport/runtime/clock"
 )
 
 // History is the name of the rule.
@@ -27,24 +28,24 @@
 // OperatorsHistory is what operators did and learned.
 func (j *Journal) OperatorsHistory() *history.History {
 	h := &history.History{}
-	for i, v := range j.Versions {
+	for i, version := range j.Versions {
 		op := history.Operation{
-			Register: history.Configuration, Client: i, Kind: history.Change, ID: versionID(i, v), Version: fmt.Sprint(v.Revision), Invalid: v.Invalid,
+			Register: history.Configuration, Client: i, Kind: history.Change, ID: versionID(i, version), Version: fmt.Sprint(version.Revision), Invalid: version.Invalid,
 		}
-		if v.Base > 0 {
-			op.Base = fmt.Sprint(v.Base)
+		if version.Base > 0 {
+			op.Base = fmt.Sprint(version.Base)
 		}
-		h.Add(between(op, v.Sent, v.Acked, v.Refused))
+		h.Add(between(op, version.Sent, version.Acked, version.Refused))
 	}
 	for _, r := range j.Confirmed {
 		j.addReading(h, r)
 	}
-	for i, o := range j.Evacuations {
-		op := history.Operation{Register: history.Zone(o.Zone), Client: i, Kind: history.Set, ID: history.Drained}
-		h.Add(between(op, o.Sent, o.Acked, Never))
-		if o.RestoreSent != Never {
+	for i, evacuation := range j.Evacuations {
+		op := history.Operation{Register: history.Zone(evacuation.Zone), Client: i, Kind: history.Set, ID: history.Drained}
+		h.Add(between(op, evacuation.Sent, evacuation.Acked, Never))
+		if evacuation.RestoreSent != Never {
 			op.ID = history.Restored
-			h.Add(between(op, o.RestoreSent, o.RestoreAcked, Never))
+			h.Add(between(op, evacuation.RestoreSent, evacuation.RestoreAcked, Never))
 		}
 	}
 	for i, call := range j.ZoneCalls {
@@ -57,12 +58,12 @@
 	return h
 }
 
-func versionID(i int, v *Version) string {
-	return fmt.Sprintf("revision %d, sent as number %d", v.Revision, i)
+func versionID(i int, version *Version) string {
+	return fmt.Sprintf("revision %d, sent as number %d", version.Revision, i)
 }
 
 // between sets when an operation began, and when and how it ended.
-func between(op history.Operation, sent, acked, refused int64) history.Operation {
+func between(op history.Operation, sent, acked, refused clock.Micros) history.Operation {
 	op.Begin = sent
 	switch {
 	case acked != Never:
@@ -93,8 +94,8 @@
 // zonesOf are the zones that were ever drained, and those that a reading shows to be.
 func (j *Journal) zonesOf(r ConfirmedReading) []string {
 	zones := slices.Clone(r.Drained)
-	for _, o := range j.Evacuations {
-		zones = append(zones, o.Zone)
+	for _, evacuation := range j.Evacuations {
+		zones = append(zones, evacuation.Zone)
 	}
 	for _, call := range j.ZoneCalls {
 		zones = append(zones, call.Zone)
@@ -108,9 +109,9 @@
 	if r.Table.GetRevision() == 0 {
 		return ""
 	}
-	for i, v := range j.Versions {
-		if v.Revision == r.Table.Revision && v.may(r.At) && alike(v.Table, r.Table) {
-			return versionID(i, v)
+	for i, version := range j.Versions {
+		if version.Revision == r.Table.Revision && version.may(r.At) && alike(version.Table, r.Table) {
+			return versionID(i, version)
 		}
 	}
 	return fmt.Sprintf("revision %d as nobody sent it", r.Table.Revision)
--- a/lab/rules/journal.go
+++ b/lab/rules/journal.go
@@ -8,6 +8,7 @@
 	"math"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
 // Never is a moment that has not come.
@@ -56,19 +57,19 @@
 
 // Bounds are the figures of the rules.
 type Bounds struct {
-	ContactUs, AckUs, DrainUs, GraceUs, LossUs, ApplyUs, StretchUs, EvacuateUs, RecoverUs int64
+	ContactUs, AckUs, DrainUs, GraceUs, LossUs, ApplyUs, StretchUs, EvacuateUs, RecoverUs clock.Micros
 	RetryRatio, RetryAllowance                                                            float64
-	RetryWindowUs                                                                         int64
+	RetryWindowUs                                                                         clock.Micros
 	SlowStartOverrun, SlowStartTolerance                                                  float64
 }
 
 // Attempt is one try of a client.
 type Attempt struct {
-	ID, Class, Client, Zone, Machine   string
-	Host, Method, Target, Path         string
-	Body                               []byte
-	Repeatable, Probe                  bool
-	Sent, Read, Ended, Deadline, Value int64
+	ID, Class, Client, Zone, Machine string
+	Host, Method, Target, Path       string
+	Body                             []byte
+	Repeatable, Probe                bool
+	Sent, Read, Ended, Deadline      clock.Micros
 	// Status is what the client got; 0 is none. Own tells that it was the node's own answer.
 	Status          int
 	Generated       bool
@@ -76,14 +77,14 @@
 	Seals           []string
 	Missing         int
 	Answer          []byte
-	RetryAfterUs    int64
+	RetryAfterUs    clock.Micros
 	Aborted, GaveUp bool
 	AfterStop       bool
 	Late, Further   bool
 }
 
 // Served tells that the client got a success.
-func (t *Attempt) Served() bool { return t.Status >= 200 && t.Status < 300 }
+func (attempt *Attempt) Served() bool { return attempt.Status >= 200 && attempt.Status < 300 }
 
 // Arrival is a request that reached a backend.
 type Arrival struct {
@@ -92,7 +93,7 @@
 	Machine        string
 	Method, Target string
 	Body           []byte
-	Sent, At       int64
+	Sent, At       clock.Micros
 	// Ran tells that work began; Wrong that the backend was not the one meant; Held that the way to it was cut.
 	Ran, Wrong, Held bool
 	Status           int
@@ -103,9 +104,9 @@
 // Backend is one life of a backend.
 type Backend struct {
 	ID, Pool, Zone string
-	Born, Ended    int64
+	Born, Ended    clock.Micros
 	// Shown is when the platform's list first shows that it leaves.
-	Shown int64
+	Shown clock.Micros
 	// SlowStart are the times in which it bears SlowStartPerS requests a second; 0 is any number.
 	SlowStart     Spans
 	SlowStartPerS float64
@@ -117,10 +118,10 @@
 	// Table is the whole configuration that it makes, nil where none can be made of it.
 	Table *routingpb.RoutingTable
 	// Sent is when it was sent first; Acked and Refused are when the answer came, or Never.
-	Sent, Acked, Refused int64
+	Sent, Acked, Refused clock.Micros
 	// FirstAcked is when the first acknowledgement left a machine, lost on its way or not, and RefusedAgain when
 	// a repeat of what was acknowledged was refused; 0 is never. Repeats counts those repeats.
-	FirstAcked, RefusedAgain int64
+	FirstAcked, RefusedAgain clock.Micros
 	Repeats                  int64
 	Invalid                  bool
 	// Alone tells that it was sent on top of the newest version, with no rival.
@@ -130,11 +131,11 @@
 // Evacuation is an evacuation: Acked and Back are when it was acknowledged and when its end was first asked for.
 type Evacuation struct {
 	Zone         string
-	Sent, Acked  int64
-	RestoreSent  int64
-	RestoreAcked int64
+	Sent, Acked  clock.Micros
+	RestoreSent  clock.Micros
+	RestoreAcked clock.Micros
 	// FirstAcked and RestoreFirstAcked are when the first acknowledgement left a machine, lost on its way or not; 0 is never.
-	FirstAcked, RestoreFirstAcked int64
+	FirstAcked, RestoreFirstAcked clock.Micros
 }
 
 // ZoneCall is an operator's call about a zone that is no planned evacuation: one that is given up on
@@ -142,27 +143,27 @@
 type ZoneCall struct {
 	Zone        string
 	Drains      bool
-	Sent, Acked int64
+	Sent, Acked clock.Micros
 }
 
 // InForce is what a node had in force at a moment; Life counts the starts of its process.
 type InForce struct {
 	Machine     string
 	Incarnation int
-	At          int64
+	At          clock.Micros
 	Revision    int64
 }
 
 // Reading is a configuration that was read back; Asked is when the question was sent that it answers.
 type Reading struct {
-	RequestedAt int64
-	At          int64
+	RequestedAt clock.Micros
+	At          clock.Micros
 	Table       *routingpb.RoutingTable
 }
 
 // ConfirmedReading is a read that a majority confirmed between Sent and At.
 type ConfirmedReading struct {
-	Sent, At int64
+	Sent, At clock.Micros
 	Table    *routingpb.RoutingTable
 	Drained  []string
 	// TableOnly is that it tells nothing of drained zones.
@@ -170,7 +171,7 @@
 }
 
 // Closing is the fault at the end of a day: Last is when it struck, Back when the machines ran again.
-type Closing struct{ At, Back int64 }
+type Closing struct{ At, Back clock.Micros }
 
 // Journal is all that is known of a day.
 type Journal struct {
@@ -190,7 +191,7 @@
 	Closing   *Closing
 	// Drained are the zones that the nodes hold to be evacuated at the end, by machine.
 	Drained map[string][]string
-	End     int64
+	End     clock.Micros
 
 	Findings []Finding
 	Tested   map[string]int64
@@ -203,6 +204,6 @@
 // Finding is a broken rule.
 type Finding struct {
 	Rule string
-	At   int64
+	At   clock.Micros
 	Text string
 }
--- a/lab/rules/load.go
+++ b/lab/rules/load.go
@@ -5,6 +5,8 @@
 import (
 	"maps"
 	"slices"
+
+	"wallport/runtime/clock"
 )
 
 // drain: a backend that the list shows leaving gets nothing after a while.
@@ -26,22 +28,22 @@
 
 // evac: an evacuated zone gets nothing after a while.
 func evac(j *Journal) {
-	for _, o := range j.Evacuations {
-		if o.Acked == Never {
+	for _, evacuation := range j.Evacuations {
+		if evacuation.Acked == Never {
 			continue
 		}
 		for _, a := range j.Arrivals {
-			if a.Wrong || a.Held || a.At <= o.Acked || a.At >= o.RestoreSent {
+			if a.Wrong || a.Held || a.At <= evacuation.Acked || a.At >= evacuation.RestoreSent {
 				continue
 			}
-			bound, ok := j.bound(a.Machine, o.Acked, a.Sent, j.Bounds.EvacuateUs)
-			if !ok || a.At <= o.Acked+bound {
+			bound, ok := j.bound(a.Machine, evacuation.Acked, a.Sent, j.Bounds.EvacuateUs)
+			if !ok || a.At <= evacuation.Acked+bound {
 				continue
 			}
 			// What goes elsewhere puts the rule to the test too.
 			j.tested(Evac)
-			if a.Backend.Zone == o.Zone {
-				j.fail(Evac, a.At, "%s sent %s to %s, %d us after the evacuation of %s", a.Machine, a.Attempt, a.Backend.ID, a.At-o.Acked, o.Zone)
+			if a.Backend.Zone == evacuation.Zone {
+				j.fail(Evac, a.At, "%s sent %s to %s, %d us after the evacuation of %s", a.Machine, a.Attempt, a.Backend.ID, a.At-evacuation.Acked, evacuation.Zone)
 			}
 		}
 	}
@@ -58,17 +60,17 @@
 		}
 		seen[key] = true
 	}
-	for _, t := range j.Attempts {
+	for _, attempt := range j.Attempts {
 		pools := map[string]bool{}
-		for _, v := range j.Versions {
-			if v.Sent <= t.Ended && (v.may(t.Ended) || v.Acked != Never) {
-				for _, p := range poolsOf(routeOf(v.Table, t.Host, t.Path)) {
+		for _, version := range j.Versions {
+			if version.Sent <= attempt.Ended && (version.may(attempt.Ended) || version.Acked != Never) {
+				for _, p := range poolsOf(routeOf(version.Table, attempt.Host, attempt.Path)) {
 					pools[p] = true
 				}
 			}
 		}
 		for _, p := range slices.Sorted(maps.Keys(pools)) {
-			asked[p] = append(asked[p], t.Sent)
+			asked[p] = append(asked[p], attempt.Sent)
 		}
 	}
 	w := j.Bounds.RetryWindowUs
@@ -91,7 +93,7 @@
 }
 
 // count is how many of the sorted moments lie in [a, b).
-func count(at []int64, a, b int64) int {
+func count(at []clock.Micros, a, b int64) int {
 	i, _ := slices.BinarySearch(at, a)
 	k, _ := slices.BinarySearch(at, b)
 	return k - i
@@ -111,7 +113,7 @@
 		most := b.SlowStartPerS*j.Bounds.SlowStartOverrun + j.Bounds.SlowStartTolerance
 		for i, from := range at {
 			j.tested(Failback)
-			if n := count(at[i:], from, from+1_000_000); float64(n) > most {
+			if n := count(at[i:], from, from+clock.Second); float64(n) > most {
 				j.fail(Failback, from, "%s got %d requests in a second while cold, %.0f may be", b.ID, n, most)
 				break
 			}
@@ -124,11 +126,11 @@
 	if j.Closing == nil {
 		return
 	}
-	share := func(from, to int64) (served, all int) {
-		for _, t := range j.Attempts {
-			if !t.Probe && !t.Further && t.Sent >= from && t.Sent < to {
+	share := func(from, to clock.Micros) (served, all int) {
+		for _, attempt := range j.Attempts {
+			if !attempt.Probe && !attempt.Further && attempt.Sent >= from && attempt.Sent < to {
 				all++
-				if t.Served() {
+				if attempt.Served() {
 					served++
 				}
 			}
@@ -143,14 +145,14 @@
 	if served, all := share(j.Closing.Back+j.Bounds.RecoverUs, j.End); 4*served < all {
 		j.fail(Recover, j.End, "of %d requests after the recovery %d were served", all, served)
 	}
-	for _, o := range j.Evacuations {
-		if o.Acked > j.Closing.At || o.RestoreSent != Never {
+	for _, evacuation := range j.Evacuations {
+		if evacuation.Acked > j.Closing.At || evacuation.RestoreSent != Never {
 			continue
 		}
 		for _, m := range slices.Sorted(maps.Keys(j.Drained)) {
 			j.tested(Lost)
-			if !slices.Contains(j.Drained[m], o.Zone) {
-				j.fail(Lost, j.End, "%s does not hold %s to be evacuated any more", m, o.Zone)
+			if !slices.Contains(j.Drained[m], evacuation.Zone) {
+				j.fail(Lost, j.End, "%s does not hold %s to be evacuated any more", m, evacuation.Zone)
 			}
 		}
 	}
--- a/lab/rules/repeats.go
+++ b/lab/rules/repeats.go
@@ -3,6 +3,8 @@
 
 package rules
 
+import "wallport/runtime/clock"
+
 // firstOf is when something was acknowledged: to the operator, or on a way on which that was lost.
 func firstOf(acked, taken int64) int64 {
 	if taken > 0 {
@@ -14,38 +16,38 @@
 // configNumbers: no two changes are acknowledged under one number.
 func configNumbers(j *Journal) {
 	taken, sent := map[int64]*Version{}, map[int64]bool{}
-	for _, v := range j.Versions {
-		if sent[v.Revision] && !v.Invalid {
+	for _, version := range j.Versions {
+		if sent[version.Revision] && !version.Invalid {
 			j.tested(ConfigNumber)
 		}
-		sent[v.Revision] = sent[v.Revision] || !v.Invalid
-		if firstOf(v.Acked, v.FirstAcked) == Never {
+		sent[version.Revision] = sent[version.Revision] || !version.Invalid
+		if firstOf(version.Acked, version.FirstAcked) == Never {
 			continue
 		}
-		if o := taken[v.Revision]; o != nil {
-			j.fail(Config, firstOf(v.Acked, v.FirstAcked), "two changes were acknowledged under number %d", v.Revision)
+		if o := taken[version.Revision]; o != nil {
+			j.fail(Config, firstOf(version.Acked, version.FirstAcked), "two changes were acknowledged under number %d", version.Revision)
 		}
-		taken[v.Revision] = v
+		taken[version.Revision] = version
 	}
 }
 
 // configRepeats: what was acknowledged is acknowledged again or left without an answer, never refused.
 func configRepeats(j *Journal) {
-	for _, v := range j.Versions {
-		if v.Repeats > 0 || v.FirstAcked > 0 && (v.Acked > v.FirstAcked+ackWayUs || v.Refused != Never) {
+	for _, version := range j.Versions {
+		if version.Repeats > 0 || version.FirstAcked > 0 && (version.Acked > version.FirstAcked+ackWayUs || version.Refused != Never) {
 			j.tested(ConfigRepeat)
 		}
-		if v.FirstAcked > 0 && v.Refused != Never && v.Refused >= v.FirstAcked {
-			j.fail(Config, v.Refused, "revision %d was acknowledged at %d us, sent again as that was lost, and refused", v.Revision, v.FirstAcked)
+		if version.FirstAcked > 0 && version.Refused != Never && version.Refused >= version.FirstAcked {
+			j.fail(Config, version.Refused, "revision %d was acknowledged at %d us, sent again as that was lost, and refused", version.Revision, version.FirstAcked)
 		}
-		if v.RefusedAgain > 0 {
-			j.fail(Config, v.RefusedAgain, "revision %d was acknowledged at %d us, sent again and refused", v.Revision, v.Acked)
+		if version.RefusedAgain > 0 {
+			j.fail(Config, version.RefusedAgain, "revision %d was acknowledged at %d us, sent again and refused", version.Revision, version.Acked)
 		}
 	}
 }
 
 // ackWayUs is more than an acknowledgement takes on its way when it isn't lost.
-const ackWayUs = 10_000
+const ackWayUs = 10 * clock.Millisecond
 
 // furtherMost is how many tries may run on more backends than their route allows.
 const furtherMost = 3
@@ -53,11 +55,11 @@
 // furtherBackends: hardly any try runs on more backends of a service than its route lets it go to.
 func furtherBackends(j *Journal) {
 	n, at, which := 0, int64(0), ""
-	for _, t := range j.Attempts {
+	for _, attempt := range j.Attempts {
 		most := int32(0)
 		ran := map[string]map[*Backend]bool{}
-		for _, a := range j.arrivalsByAttempt[t.ID] {
-			if !a.Ran || a.Backend.Ended <= t.Ended {
+		for _, a := range j.arrivalsByAttempt[attempt.ID] {
+			if !a.Ran || a.Backend.Ended <= attempt.Ended {
 				continue
 			}
 			if ran[a.Backend.Pool] == nil {
@@ -73,13 +75,13 @@
 			continue
 		}
 		j.tested(BudgetAttempt)
-		for _, v := range j.Versions {
-			if r := routeOf(v.Table, t.Host, t.Path); r != nil && v.Sent <= t.Ended {
+		for _, version := range j.Versions {
+			if r := routeOf(version.Table, attempt.Host, attempt.Path); r != nil && version.Sent <= attempt.Ended {
 				most = max(most, r.MaxBackends)
 			}
 		}
 		if over > most {
-			n, at, which = n+1, t.Ended, t.ID
+			n, at, which = n+1, attempt.Ended, attempt.ID
 		}
 	}
 	if n > furtherMost {
--- a/lab/rules/repeats_test.go
+++ b/lab/rules/repeats_test.go
@@ -7,6 +7,8 @@
 	"testing"
 
 	"github.com/shoenig/test/must"
+
+	"wallport/runtime/clock"
 )
 
 // secondBackends lets a number of tries run on two backends of one service, well inside the windows' bound.
@@ -15,9 +17,9 @@
 	second := backend("bq2", "q")
 	j.Backends = append(j.Backends, second)
 	for i := range tries {
-		t := j.one("further-"+string(rune('a'+i)), 30*int64(1e6)+int64(i)*1e6, 1)
-		t.Repeatable = true
-		a := j.arrive(t, 1, "", nil)
+		attempt := j.one("further-"+string(rune('a'+i)), 30*int64(1e6)+int64(i)*1e6, 1)
+		attempt.Repeatable = true
+		a := j.arrive(attempt, 1, "", nil)
 		a.Backend = second
 	}
 }
@@ -28,21 +30,21 @@
 		broken     func(j *Journal)
 	}{
 		{Config, "an acknowledgement that was lost, then a refusal", func(j *Journal) {
-			v := version(4, 3, 35*second, table(4, "p"))
-			v.Alone, v.FirstAcked, v.Acked, v.Refused = false, 35*second+500, Never, 37*second
-			j.Versions = append(j.Versions, v)
+			ver := version(4, 3, 35*second, table(4, "p"))
+			ver.Alone, ver.FirstAcked, ver.Acked, ver.Refused = false, 35*second+500, Never, 37*second
+			j.Versions = append(j.Versions, ver)
 		}},
 		{Config, "a repeat of what was acknowledged is refused", func(j *Journal) {
 			j.Versions[1].Repeats, j.Versions[1].RefusedAgain = 1, 40*second
 		}},
 		{Config, "two changes acknowledged under one number", func(j *Journal) {
-			v := version(3, 2, 21*second, table(3, "q"))
-			j.Versions = append(j.Versions, v)
+			ver := version(3, 2, 21*second, table(3, "q"))
+			j.Versions = append(j.Versions, ver)
 		}},
 		{Config, "the second one's acknowledgement was lost", func(j *Journal) {
-			v := version(3, 2, 21*second, table(3, "q"))
-			v.FirstAcked, v.Acked = v.Acked, Never
-			j.Versions = append(j.Versions, v)
+			ver := version(3, 2, 21*second, table(3, "q"))
+			ver.FirstAcked, ver.Acked = ver.Acked, Never
+			j.Versions = append(j.Versions, ver)
 		}},
 		{Budget, "tries run on more backends than allowed", func(j *Journal) { secondBackends(j, furtherMost+1) }},
 		{Mixed, "a failure with a seal and another status", func(j *Journal) {
@@ -64,8 +66,8 @@
 
 func TestRepeatsInOrder(t *testing.T) {
 	j := calm()
-	v := j.Versions[1]
-	v.FirstAcked, v.Acked, v.Repeats = v.Acked, v.Acked+2*second, 2
+	ver := j.Versions[1]
+	ver.FirstAcked, ver.Acked, ver.Repeats = ver.Acked, ver.Acked+2*second, 2
 	loser := version(3, 1, 20*second, table(3, "p"))
 	loser.Alone, loser.Acked, loser.Refused = false, Never, 21*second
 	j.Versions = append(j.Versions, loser)
@@ -85,7 +87,7 @@
 	must.Eq(t, nil, j.Findings, must.Sprint("a backend that crashed meanwhile doesn't count"))
 
 	j = calm()
-	j.Versions = append(j.Versions, version(9, 3, 58*second+900_000, table(9, "q")))
+	j.Versions = append(j.Versions, version(9, 3, 58*second+900*clock.Millisecond, table(9, "q")))
 	j.ReadBack[0].RequestedAt = 58 * second
 	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("it was acknowledged after the question"))
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -8,6 +8,7 @@
 	"slices"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
 const recordSize = 16
@@ -35,69 +36,69 @@
 			bySeal[a.Seal] = a
 		}
 	}
-	for _, t := range j.Attempts {
+	for _, attempt := range j.Attempts {
 		switch {
-		case t.Status == 0:
-		case len(t.Seals) > 0:
+		case attempt.Status == 0:
+		case len(attempt.Seals) > 0:
 			j.tested(Mixed)
-			j.gathered(t, bySeal)
-		case t.Seal == "":
-			if t.Served() {
-				j.fail(Mixed, t.Ended, "%s got a success without a seal", t.ID)
+			j.gathered(attempt, bySeal)
+		case attempt.Seal == "":
+			if attempt.Served() {
+				j.fail(Mixed, attempt.Ended, "%s got a success without a seal", attempt.ID)
 			}
 		default:
 			j.tested(Mixed)
-			if !t.Served() {
+			if !attempt.Served() {
 				j.tested(MixedFailure)
 			}
-			a := bySeal[t.Seal]
+			a := bySeal[attempt.Seal]
 			switch {
 			case a == nil:
-				j.fail(Mixed, t.Ended, "%s got a seal that no backend gave", t.ID)
-			case a.Attempt != t.ID:
-				j.fail(Mixed, t.Ended, "%s got the answer to %s", t.ID, a.Attempt)
-			case a.Status != t.Status || !same(a.Answer, t.Answer):
-				j.fail(Mixed, t.Ended, "%s got status %d and %d bytes where the backend gave %d and %d", t.ID, t.Status, len(t.Answer), a.Status, len(a.Answer))
+				j.fail(Mixed, attempt.Ended, "%s got a seal that no backend gave", attempt.ID)
+			case a.Attempt != attempt.ID:
+				j.fail(Mixed, attempt.Ended, "%s got the answer to %s", attempt.ID, a.Attempt)
+			case a.Status != attempt.Status || !same(a.Answer, attempt.Answer):
+				j.fail(Mixed, attempt.Ended, "%s got status %d and %d bytes where the backend gave %d and %d", attempt.ID, attempt.Status, len(attempt.Answer), a.Status, len(a.Answer))
 			}
 		}
 	}
 }
 
-func (j *Journal) gathered(t *Attempt, bySeal map[string]*Arrival) {
+func (j *Journal) gathered(attempt *Attempt, bySeal map[string]*Arrival) {
 	var parts [][]byte
 	pools := map[string]bool{}
-	for _, s := range t.Seals {
+	for _, s := range attempt.Seals {
 		a := bySeal[s]
 		switch {
-		case a == nil || a.Attempt != t.ID:
-			j.fail(Mixed, t.Ended, "%s names a seal that is not for it", t.ID)
+		case a == nil || a.Attempt != attempt.ID:
+			j.fail(Mixed, attempt.Ended, "%s names a seal that is not for it", attempt.ID)
 			return
 		case a.Status < 200 || a.Status > 299:
-			j.fail(Mixed, t.Ended, "%s names a backend's failure as a part", t.ID)
+			j.fail(Mixed, attempt.Ended, "%s names a backend's failure as a part", attempt.ID)
 			return
 		case pools[a.Backend.Pool]:
-			j.fail(Mixed, t.Ended, "%s names two parts of %s", t.ID, a.Backend.Pool)
+			j.fail(Mixed, attempt.Ended, "%s names two parts of %s", attempt.ID, a.Backend.Pool)
 			return
 		}
 		pools[a.Backend.Pool] = true
 		parts = append(parts, a.Answer)
 	}
 	why := "its parts and what is missing make up the shards of no version"
-	for _, v := range j.Versions {
-		r := routeOf(v.Table, t.Host, t.Path)
-		if v.Table == nil || v.Sent > t.Ended || r == nil || len(r.FanoutPools) != len(pools)+t.Missing || !within(pools, r) {
+	for _, version := range j.Versions {
+		r := routeOf(version.Table, attempt.Host, attempt.Path)
+		if version.Table == nil || version.Sent > attempt.Ended || r == nil || len(r.FanoutPools) != len(pools)+attempt.Missing || !within(pools, r) {
 			continue
 		}
 		switch {
 		case len(pools) < int(math.Ceil(r.MinCoverage*float64(len(r.FanoutPools))-1e-9)):
 			why = "too few parts are in"
-		case !same(naive(parts, int(r.ResultLimit)), t.Answer):
+		case !same(naive(parts, int(r.ResultLimit)), attempt.Answer):
 			why = "its body is not the merge of its parts"
 		default:
 			return
 		}
 	}
-	j.fail(Mixed, t.Ended, "%s: %s", t.ID, why)
+	j.fail(Mixed, attempt.Ended, "%s: %s", attempt.ID, why)
 }
 
 func within(pools map[string]bool, r *routingpb.Route) bool {
@@ -117,16 +118,16 @@
 			continue
 		}
 		j.tested(Unasked)
-		if t := j.attempts[a.Attempt]; t == nil {
+		if attempt := j.attempts[a.Attempt]; attempt == nil {
 			j.fail(Unasked, a.At, "%s runs %s, which no client sent", a.Backend.ID, a.Attempt)
-		} else if a.Method != t.Method || a.Target != t.Target || !same(a.Body, t.Body) {
+		} else if a.Method != attempt.Method || a.Target != attempt.Target || !same(a.Body, attempt.Body) {
 			j.fail(Unasked, a.At, "%s runs %s changed", a.Backend.ID, a.Attempt)
 		}
 	}
 }
 
-func (j *Journal) ran(t *Attempt) (n int, at int64) {
-	for _, a := range j.arrivalsByAttempt[t.ID] {
+func (j *Journal) ran(attempt *Attempt) (n int, at clock.Micros) {
+	for _, a := range j.arrivalsByAttempt[attempt.ID] {
 		if a.Ran {
 			n, at = n+1, a.At
 		}
@@ -136,29 +137,29 @@
 
 // twice: what may not be repeated runs once at most.
 func twice(j *Journal) {
-	for _, t := range j.Attempts {
-		if t.Repeatable {
+	for _, attempt := range j.Attempts {
+		if attempt.Repeatable {
 			continue
 		}
-		n, at := j.ran(t)
+		n, at := j.ran(attempt)
 		if n > 0 {
 			j.tested(Twice)
 		}
 		if n > 1 {
-			j.fail(Twice, at, "%s ran %d times", t.ID, n)
+			j.fail(Twice, at, "%s ran %d times", attempt.ID, n)
 		}
 	}
 }
 
 // refused: a promise that a request has not run and never will is kept.
 func refused(j *Journal) {
-	for _, t := range j.Attempts {
-		if t.Repeatable || !promisesNotRun(t.Status) {
+	for _, attempt := range j.Attempts {
+		if attempt.Repeatable || !promisesNotRun(attempt.Status) {
 			continue
 		}
 		j.tested(Refused)
-		if n, at := j.ran(t); n > 0 {
-			j.fail(Refused, at, "%s was refused with %d and ran", t.ID, t.Status)
+		if n, at := j.ran(attempt); n > 0 {
+			j.fail(Refused, at, "%s was refused with %d and ran", attempt.ID, attempt.Status)
 		}
 	}
 }
@@ -166,16 +167,16 @@
 // denied: proper requests are not ended with a refusal of the node's own that is no promise.
 func denied(j *Journal) {
 	n, at := 0, int64(0)
-	for _, t := range j.Attempts {
-		if !t.Generated || t.Status < 300 || t.Status > 499 || promisesNotRun(t.Status) || !j.Faults.InContact(t.Machine, t.Ended, j.Bounds.ContactUs) {
+	for _, attempt := range j.Attempts {
+		if !attempt.Generated || attempt.Status < 300 || attempt.Status > 499 || promisesNotRun(attempt.Status) || !j.Faults.InContact(attempt.Machine, attempt.Ended, j.Bounds.ContactUs) {
 			continue
 		}
 		proper := true
-		for _, v := range j.possible(t, t.Machine) {
-			proper = proper && routeOf(v.Table, t.Host, t.Path) != nil
+		for _, version := range j.possible(attempt, attempt.Machine) {
+			proper = proper && routeOf(version.Table, attempt.Host, attempt.Path) != nil
 		}
 		if proper {
-			n, at = n+1, t.Ended
+			n, at = n+1, attempt.Ended
 		}
 	}
 	j.Tested[Denied] = int64(len(j.Attempts))
@@ -187,17 +188,17 @@
 // lost: a request that was read is answered whole, unless some trouble explains it.
 func lost(j *Journal) {
 	planned := j.planned()
-	for _, t := range j.Attempts {
-		if t.Read == 0 || j.Faults.Unplanned.Hit(t.Sent-j.Bounds.ContactUs, t.Ended) {
+	for _, attempt := range j.Attempts {
+		if attempt.Read == 0 || j.Faults.Unplanned.Hit(attempt.Sent-j.Bounds.ContactUs, attempt.Ended) {
 			continue
 		}
 		j.tested(Lost)
-		if planned.Hit(t.Sent, t.Ended) {
+		if planned.Hit(attempt.Sent, attempt.Ended) {
 			j.tested(LostPlanned)
 		}
-		offered := len(j.arrivalsByAttempt[t.ID]) > 0
-		if t.Aborted && !t.GaveUp && !t.AfterStop && (offered || t.Ended-t.Sent > j.Bounds.LossUs) {
-			j.fail(Lost, t.Ended, "%s was read by %s and its connection ended", t.ID, t.Machine)
+		offered := len(j.arrivalsByAttempt[attempt.ID]) > 0
+		if attempt.Aborted && !attempt.GaveUp && !attempt.AfterStop && (offered || attempt.Ended-attempt.Sent > j.Bounds.LossUs) {
+			j.fail(Lost, attempt.Ended, "%s was read by %s and its connection ended", attempt.ID, attempt.Machine)
 		}
 	}
 }
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -10,9 +10,10 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
-const second = int64(1_000_000)
+const second = int64(clock.Second)
 
 func table(rev int64, pool string, more ...*routingpb.Route) *routingpb.RoutingTable {
 	t := &routingpb.RoutingTable{Revision: rev, Routes: []*routingpb.Route{
@@ -35,7 +36,7 @@
 func calm() *Journal {
 	j := &Journal{
 		Bounds: Bounds{
-			ContactUs: 4 * second, AckUs: 5 * second, DrainUs: 3 * second, LossUs: 200_000, ApplyUs: 3 * second, StretchUs: 12 * second,
+			ContactUs: 4 * second, AckUs: 5 * second, DrainUs: 3 * second, LossUs: 200 * clock.Millisecond, ApplyUs: 3 * second, StretchUs: 12 * second,
 			EvacuateUs: 5 * second, RecoverUs: 12 * second, RetryRatio: 0.2, RetryAllowance: 2, RetryWindowUs: 10 * second, SlowStartOverrun: 1.5, SlowStartTolerance: 5,
 		},
 		Versions: []*Version{version(1, 0, 1, table(1, "p")), version(3, 1, 20*second, table(3, "q"))},
@@ -45,13 +46,13 @@
 	j.ReadBack = []Reading{{RequestedAt: 59 * second, At: 59 * second, Table: table(3, "q")}}
 	j.one("t1", 10*second, 0)
 	j.one("t2", 30*second, 1)
-	t := &Attempt{
+	attempt := &Attempt{
 		ID: "t3", Machine: "m", Host: "h", Path: "/all/x", Target: "/all/x", Method: "GET", Repeatable: true, Sent: 31 * second, Read: 31 * second, Ended: 31*second + 9000,
 		Status: 200, Seals: []string{"s-b0", "s-b1"}, Answer: []byte("ccccccccccccccccbbbbbbbbbbbbbbbb"),
 	}
-	j.Attempts = append(j.Attempts, t)
-	j.arrive(t, 2, "s-b0", []byte("aaaaaaaaaaaaaaaaccccccccccccccccrest"))
-	j.arrive(t, 3, "s-b1", []byte("bbbbbbbbbbbbbbbb"))
+	j.Attempts = append(j.Attempts, attempt)
+	j.arrive(attempt, 2, "s-b0", []byte("aaaaaaaaaaaaaaaaccccccccccccccccrest"))
+	j.arrive(attempt, 3, "s-b1", []byte("bbbbbbbbbbbbbbbb"))
 	for i := range int64(100) {
 		rev := int64(1)
 		if i > 41 {
@@ -63,19 +64,19 @@
 }
 
 // one adds a request that is not repeatable and ran at a backend.
-func (j *Journal) one(id string, at int64, b int) *Attempt {
-	t := &Attempt{
+func (j *Journal) one(id string, at clock.Micros, b int) *Attempt {
+	attempt := &Attempt{
 		ID: id, Machine: "m", Host: "h", Path: "/one/x", Target: "/one/x?q", Method: "POST", Body: []byte("body"), Sent: at, Read: at + 3000, Ended: at + 9000,
 		Status: 200, Seal: "seal-" + id, Answer: []byte("answer"),
 	}
-	j.Attempts = append(j.Attempts, t)
-	j.arrive(t, b, t.Seal, t.Answer)
-	return t
+	j.Attempts = append(j.Attempts, attempt)
+	j.arrive(attempt, b, attempt.Seal, attempt.Answer)
+	return attempt
 }
 
-func (j *Journal) arrive(t *Attempt, b int, seal string, answer []byte) *Arrival {
+func (j *Journal) arrive(attempt *Attempt, b int, seal string, answer []byte) *Arrival {
 	a := &Arrival{
-		Attempt: t.ID, Backend: j.Backends[b], Machine: t.Machine, Method: t.Method, Target: t.Target, Body: t.Body, Sent: t.Sent + 4000, At: t.Sent + 5000,
+		Attempt: attempt.ID, Backend: j.Backends[b], Machine: attempt.Machine, Method: attempt.Method, Target: attempt.Target, Body: attempt.Body, Sent: attempt.Sent + 4000, At: attempt.Sent + 5000,
 		Ran: true, Status: 200, Seal: seal, Answer: answer,
 	}
 	j.Arrivals = append(j.Arrivals, a)
@@ -131,9 +132,9 @@
 			v.Status, v.Generated, j.Arrivals = 404, true, j.Arrivals[:len(j.Arrivals)-1]
 		}},
 		{Config, "a refused version in force", func(j *Journal) {
-			v := version(4, 3, 35*second, table(4, "p"))
-			v.Refused, v.Acked, v.Alone = 36*second, Never, false
-			j.Versions = append(j.Versions, v)
+			ver := version(4, 3, 35*second, table(4, "p"))
+			ver.Refused, ver.Acked, ver.Alone = 36*second, Never, false
+			j.Versions = append(j.Versions, ver)
 			j.InForce = append(j.InForce, InForce{"m", 1, 52 * second, 4})
 		}},
 		{Config, "back to an older version", func(j *Journal) { j.InForce = append(j.InForce, InForce{"m", 1, 52 * second, 1}) }},
@@ -160,9 +161,9 @@
 			j.InForce, j.Attempts, j.Arrivals = nil, nil, nil
 		}},
 		{Acks, "a change on the newest version refused", func(j *Journal) {
-			v := version(4, 3, 35*second, table(4, "p"))
-			v.Refused, v.Acked = 36*second, Never
-			j.Versions = append(j.Versions, v)
+			ver := version(4, 3, 35*second, table(4, "p"))
+			ver.Refused, ver.Acked = 36*second, Never
+			j.Versions = append(j.Versions, ver)
 		}},
 		{Budget, "too many extra arrivals", func(j *Journal) {
 			for i := range 5 {
--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -12,12 +12,14 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"wallport/runtime/clock"
 )
 
 // Step is something that happens at a moment.
 type Step struct {
 	Line int
-	At   int64
+	At   clock.Micros
 	Verb string
 	Args []string
 }
--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -11,11 +11,12 @@
 	"math"
 
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 	"wallport/runtime/settings"
 )
 
 // leadUs is from the start of the machines to the begin of the traffic.
-const leadUs = 10_000_000
+const leadUs = 10 * clock.Second
 
 type day struct {
 	world          *World
@@ -46,18 +47,18 @@
 	}
 	d := &day{world: w, site: site, byName: map[string]*machine{}, partitions: map[string]bool{}, cutOff: map[string]bool{}, zonePartitions: map[string]bool{}, refusedLinks: map[string]bool{}, gateways: map[*process]*gateway{}}
 	b := rules.Bounds{
-		ContactUs: 4_000_000, AckUs: 5_000_000, DrainUs: 3_000_000, GraceUs: 6_000_000, LossUs: 200_000, ApplyUs: 3_000_000,
-		StretchUs: 12_000_000, EvacuateUs: 5_000_000, RecoverUs: 12_000_000, RetryRatio: 0.2, RetryAllowance: site.allowance,
-		RetryWindowUs: 10_000_000, SlowStartOverrun: 1.5, SlowStartTolerance: 5,
+		ContactUs: 4 * clock.Second, AckUs: 5 * clock.Second, DrainUs: 3 * clock.Second, GraceUs: 6 * clock.Second, LossUs: 200 * clock.Millisecond, ApplyUs: 3 * clock.Second,
+		StretchUs: 12 * clock.Second, EvacuateUs: 5 * clock.Second, RecoverUs: 12 * clock.Second, RetryRatio: 0.2, RetryAllowance: site.allowance,
+		RetryWindowUs: 10 * clock.Second, SlowStartOverrun: 1.5, SlowStartTolerance: 5,
 	}
 	d.journal = &rules.Journal{Bounds: b}
 	d.settings = settings.Settings{
-		FleetSecret: "sim", PlatformURL: "http://platform/list", PollsPer10s: 440, ListInterval: 1_000_000, LogLevel: "info",
+		FleetSecret: "sim", PlatformURL: "http://platform/list", PollsPer10s: 440, ListInterval: clock.Second, LogLevel: "info",
 		BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: site.tolerance[0], Zones: site.tolerance[1]},
 		Machine: settings.Machine{CPUShare: 0.4, MemoryMB: 284, MaxFds: 4100, LinkMbps: 1000, DiskMB: 64},
 		Bounds: settings.Bounds{
 			DrainTimeout: b.DrainUs, GracePeriod: b.GraceUs, ConfigApply: b.ApplyUs, ZoneDrain: b.EvacuateUs, AckTimeout: b.AckUs, ContactTime: b.ContactUs,
-			SyncTime: 4_000_000, AddressReuse: reuseUs, LossSlack: b.LossUs, RecoveryTime: b.RecoverUs, SeedLag: 3_000_000, ListLag: listLagUs,
+			SyncTime: 4 * clock.Second, AddressReuse: reuseUs, LossSlack: b.LossUs, RecoveryTime: b.RecoverUs, SeedLag: 3 * clock.Second, ListLag: listLagUs,
 		},
 		Retries:   settings.Retries{Ratio: b.RetryRatio, Allowance: b.RetryAllowance, Window: b.RetryWindowUs},
 		SlowStart: settings.SlowStart{Overrun: b.SlowStartOverrun, Tolerance: b.SlowStartTolerance},
@@ -69,25 +70,25 @@
 }
 
 // end is when the day ends, on the world's clock: after a closing fault traffic goes on through the recovery.
-func (d *day) end() int64 {
+func (d *day) end() clock.Micros {
 	s := d.world.Script.Int("seconds", 24)
 	if at := d.world.Script.Int("closing_at_s", 0); at > 0 {
 		s = at + 20
 	}
-	return leadUs + s*1_000_000
+	return leadUs + s*clock.Second
 }
 
 // worldTime is the world's clock as the scenario counts it.
-func (d *day) worldTime(at int64) int64 { return leadUs + at }
+func (d *day) worldTime(at clock.Micros) clock.Micros { return leadUs + at }
 
 func (d *day) build() {
 	w := d.world
 	d.buildMachines()
 	d.backends.begin()
 	for _, m := range d.machines {
-		w.after(w.rng.Int64N(200_000), m.start)
+		w.after(w.rng.Int64N(200*clock.Millisecond), m.start)
 	}
-	w.after(1_000_000, func() { d.settings.Bootstrap = false })
+	w.after(clock.Second, func() { d.settings.Bootstrap = false })
 	for _, st := range w.Script.Steps {
 		w.at(d.worldTime(st.At)+w.shift(st), func() {
 			w.logEvent("step " + st.Verb + " " + fmt.Sprint(st.Args))
@@ -98,14 +99,14 @@
 	d.commands.begin()
 	d.clients.begin()
 	if at := w.Script.Int("closing_at_s", 0); at > 0 {
-		w.at(d.worldTime(at*1_000_000), func() { d.closingFault(w.now) })
+		w.at(d.worldTime(at*clock.Second), func() { d.closingFault(w.now) })
 	}
-	w.at(100_000, d.sample)
+	w.at(100*clock.Millisecond, d.sample)
 }
 
 // sample looks ten times a second at what every node has in force.
 func (d *day) sample() {
-	d.world.after(100_000, d.sample)
+	d.world.after(100*clock.Millisecond, d.sample)
 	d.updateFaultSpans()
 	for _, m := range d.machines {
 		p := m.node
@@ -152,12 +153,12 @@
 }
 
 // latency is the way from one zone to another.
-func (d *day) latency(a, b string) int64 {
+func (d *day) latency(a, b string) clock.Micros {
 	us := int64(100)
 	switch {
 	case a == b:
 	case d.region(a) != d.region(b):
-		us = 12_000
+		us = 12 * clock.Millisecond
 	default:
 		us = 500
 	}
@@ -174,16 +175,16 @@
 }
 
 // drawAround draws a positive figure around a mean.
-func (d *day) drawAround(mean int64, share float64) int64 {
+func (d *day) drawAround(mean clock.Micros, share float64) clock.Micros {
 	x := math.Exp(share*d.world.rng.NormFloat64() - share*share/2)
 	return max(1, int64(float64(mean)*x))
 }
 
 // drawWork is what one request of a kind takes at a backend.
-func (d *day) drawWork(k *requestShape) int64 {
-	us := d.drawAround(k.workUs, 0.45)
-	if d.world.rng.IntN(100) < k.tailPct {
+func (d *day) drawWork(kind *requestShape) clock.Micros {
+	us := d.drawAround(kind.workUs, 0.45)
+	if d.world.rng.IntN(100) < kind.tailPct {
 		us *= 4
 	}
-	return min(us, 6*k.workUs)
+	return min(us, 6*kind.workUs)
 }
--- a/lab/sim/day_armed_faults.go
+++ b/lab/sim/day_armed_faults.go
@@ -3,29 +3,31 @@
 
 package sim
 
+import "wallport/runtime/clock"
+
 // armedTake waits until a counted machine has taken a request that may run once only.
 type armedTake func(m *machine)
 
 // arm lets a trouble wait for its moment.
-func (d *day) arm(e *dayStep) {
+func (d *day) arm(step *dayStep) {
 	switch {
-	case e.has("timed"):
+	case step.has("timed"):
 		d.commands.sentArmed = append(d.commands.sentArmed, func() {
 			d.world.after(d.drawArmedDelay(), func() {
 				if m := d.leader(); m != nil {
-					d.strikeAfterAck(e, m)
+					d.strikeAfterAck(step, m)
 				}
 			})
 		})
-	case e.has("taken"):
-		d.armTaken(func(m *machine) { d.strikeAfterAck(e, m) })
+	case step.has("taken"):
+		d.armTaken(func(m *machine) { d.strikeAfterAck(step, m) })
 	default:
-		d.commands.armed = append(d.commands.armed, func(m *machine) { d.strikeAfterAck(e, m) })
+		d.commands.armed = append(d.commands.armed, func(m *machine) { d.strikeAfterAck(step, m) })
 	}
 }
 
 // drawArmedDelay is a moment soon after a change was sent, acknowledged or not.
-func (d *day) drawArmedDelay() int64 { return 5000 + d.world.rng.Int64N(395_000) }
+func (d *day) drawArmedDelay() clock.Micros { return 5000 + d.world.rng.Int64N(395*clock.Millisecond) }
 
 func (d *day) armTaken(f armedTake) { d.armedTakes = append(d.armedTakes, f) }
 
@@ -42,17 +44,17 @@
 }
 
 // strikeFurther strikes further counted machines beside the one that acknowledged, as many as are borne.
-func (d *day) strikeFurther(e *dayStep) {
-	for range e.count - 1 {
+func (d *day) strikeFurther(step *dayStep) {
+	for range step.count - 1 {
 		m := d.drawCoreMember(&dayStep{})
 		if m == nil || d.toleratedFaults(nil) < 1 {
 			return
 		}
 		m.powerOff()
-		if e.verb == "after_ack_wipe" {
+		if step.verb == "after_ack_wipe" {
 			m.wipe()
 		}
-		d.endFaultAfter(e, m, e.forUs, m.powerOn)
+		d.endFaultAfter(step, m, step.forUs, m.powerOn)
 		d.updateFaultSpans()
 	}
 }
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -10,20 +10,21 @@
 
 	"wallport/lab/rules"
 	"wallport/request/healthcheck"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
 // Figures of the platform and of backends.
 const (
-	listLagUs   = 800_000
+	listLagUs   = 800 * clock.Millisecond
 	pageSize    = 50
 	listPerS    = 44
-	reuseUs     = 2_000_000
-	crashedFor  = 3_000_000
-	warmUpUs    = 3_000_000
+	reuseUs     = 2 * clock.Second
+	crashedFor  = 3 * clock.Second
+	warmUpUs    = 3 * clock.Second
 	warmUpX     = 1600
-	pausePeriod = 4_000_000
+	pausePeriod = 4 * clock.Second
 )
 
 type backends struct {
@@ -43,7 +44,7 @@
 
 type freeAddr struct {
 	addr, zone, pool string
-	at               int64
+	at               clock.Micros
 }
 
 func (b *backends) init(d *day) {
@@ -97,21 +98,21 @@
 func (b *backends) start(p *poolShape, pool, zone string) *incarnation {
 	d := b.day
 	b.nextID++
-	l := &incarnation{day: d, shape: p, warmAt: d.world.now + warmUpUs, up: true, listed: true}
-	l.row = wire.Backend{ID: fmt.Sprintf("i-%04d", b.nextID), Zone: zone, Pool: pool, State: "ready", Incarnation: 1, Slots: p.slots}
-	l.row.Addr = b.address(pool, zone)
-	l.record = &rules.Backend{ID: l.row.ID, Pool: pool, Zone: zone, Born: d.world.now, Ended: rules.Never, Shown: rules.Never, SlowStartPerS: p.slowStartPerS}
-	l.speed = 90 + d.world.rng.Int64N(21)
-	l.phase = d.world.rng.Int64N(pausePeriod)
+	inc := &incarnation{day: d, shape: p, warmAt: d.world.now + warmUpUs, up: true, listed: true}
+	inc.row = wire.Backend{ID: fmt.Sprintf("i-%04d", b.nextID), Zone: zone, Pool: pool, State: "ready", Incarnation: 1, Slots: p.slots}
+	inc.row.Addr = b.address(pool, zone)
+	inc.record = &rules.Backend{ID: inc.row.ID, Pool: pool, Zone: zone, Born: d.world.now, Ended: rules.Never, Shown: rules.Never, SlowStartPerS: p.slowStartPerS}
+	inc.speed = 90 + d.world.rng.Int64N(21)
+	inc.phase = d.world.rng.Int64N(pausePeriod)
 	if d.world.now == 0 {
-		l.warmAt = 0
+		inc.warmAt = 0
 	} else {
-		l.record.SlowStart = rules.Spans{{From: d.world.now, To: l.warmAt}}
+		inc.record.SlowStart = rules.Spans{{From: d.world.now, To: inc.warmAt}}
 	}
-	b.all = append(b.all, l)
-	b.byAddr[l.row.Addr] = l
-	d.journal.Backends = append(d.journal.Backends, l.record)
-	return l
+	b.all = append(b.all, inc)
+	b.byAddr[inc.row.Addr] = inc
+	d.journal.Backends = append(d.journal.Backends, inc.record)
+	return inc
 }
 
 // address is a new one, or one whose backend has ended and was of another pool.
@@ -131,12 +132,12 @@
 func (b *backends) publish() {
 	now := b.day.world.now
 	list := wire.BackendList{Complete: true, Backends: []wire.Backend{}}
-	for _, l := range b.all {
-		if !l.listed {
+	for _, inc := range b.all {
+		if !inc.listed {
 			continue
 		}
-		row := l.row
-		row.WarmUpRemaining = l.warmAt
+		row := inc.row
+		row.WarmUpRemaining = inc.warmAt
 		list.Backends = append(list.Backends, row)
 	}
 	b.published = append(b.published, publishedList{now, list})
@@ -145,7 +146,7 @@
 // serveList is a whole reading: as many calls as it has pages.
 func (b *backends) serveList() (int, []byte) {
 	w := b.day.world
-	for len(b.calls) > 0 && w.now-b.calls[0] >= 1_000_000 {
+	for len(b.calls) > 0 && w.now-b.calls[0] >= clock.Second {
 		b.calls = b.calls[1:]
 	}
 	var out wire.BackendList
@@ -198,15 +199,15 @@
 		return
 	}
 	d.world.Checker.Count("probes", 1)
-	l := d.backends.byAddr[addr]
-	rtt := 2 * d.latency(p.settings.Zone, zoneOf(l, p))
+	inc := d.backends.byAddr[addr]
+	rtt := 2 * d.latency(p.settings.Zone, zoneOf(inc, p))
 	switch {
-	case l != nil && (l.silent || d.unreachable(p.machine, l)):
-	case l == nil || !l.up:
+	case inc != nil && (inc.silent || d.unreachable(p.machine, inc)):
+	case inc == nil || !inc.up:
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 	default:
-		l.healthCheck(func(status int) {
-			r := healthcheck.Response{ID: l.row.ID, Incarnation: 1, Usage: int64(l.running + len(l.queue)), SlowStart: max(0, l.warmAt-d.world.now)}
+		inc.healthCheck(func(status int) {
+			r := healthcheck.Response{ID: inc.row.ID, Incarnation: 1, Usage: int64(inc.running + len(inc.queue)), SlowStart: max(0, inc.warmAt-d.world.now)}
 			body, err := json.Marshal(&r)
 			if err == nil {
 				answer(rtt, kernel.Fetched{Status: status, Body: body})
@@ -215,18 +216,18 @@
 	}
 }
 
-func zoneOf(l *incarnation, p *process) string {
-	if l == nil {
+func zoneOf(inc *incarnation, p *process) string {
+	if inc == nil {
 		return p.settings.Zone
 	}
-	return l.row.Zone
+	return inc.row.Zone
 }
 
 // of lists the lives that run and belong to a service or one of its pools.
 func (b *backends) of(service string) (out []*incarnation) {
-	for _, l := range b.all {
-		if l.up && !l.draining && (service == "*" || l.row.Pool == service || l.shape.name == service) {
-			out = append(out, l)
+	for _, inc := range b.all {
+		if inc.up && !inc.draining && (service == "*" || inc.row.Pool == service || inc.shape.name == service) {
+			out = append(out, inc)
 		}
 	}
 	return out
--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -15,23 +15,23 @@
 }
 
 // sendBad sends configurations that are no good, each way in turn or the one that is asked for.
-func (o *commands) sendBad(e *dayStep) {
-	for i := range max(1, e.count) {
-		o.day.world.after(int64(i)*e.gapUs, func() {
-			way := badModes[o.day.world.rng.IntN(len(badModes))]
+func (c *commands) sendBad(step *dayStep) {
+	for i := range max(1, step.count) {
+		c.day.world.after(int64(i)*step.gapUs, func() {
+			way := badModes[c.day.world.rng.IntN(len(badModes))]
 			for _, w := range badModes {
-				if e.has(w) {
+				if step.has(w) {
 					way = w
 				}
 			}
-			o.enqueue(func() { o.putBad(way) })
+			c.enqueue(func() { c.putBad(way) })
 		})
 	}
 }
 
-func (o *commands) putBad(way string) {
-	d, base := o.day, o.base
-	df := draft{routes: []*routingpb.Route{o.badRoute(way)}, invalid: true}
+func (c *commands) putBad(way string) {
+	d, base := c.day, c.base
+	df := draft{routes: []*routingpb.Route{c.badRoute(way)}, invalid: true}
 	switch way {
 	case "cut_short":
 		df.truncated = true
@@ -49,20 +49,20 @@
 	case "stale_match":
 		// It would be valid, but for the version that it builds on.
 		df.invalid = false
-		if len(o.accepted) > 1 {
-			base = o.accepted[len(o.accepted)-2].version
+		if len(c.accepted) > 1 {
+			base = c.accepted[len(c.accepted)-2].version
 		} else {
 			base = &rules.Version{Revision: base.Revision - 1, Table: base.Table}
 		}
 	}
 	d.world.Checker.Count("way.bad_config."+way, 1)
-	o.put(base, df, false, o.runNext)
+	c.put(base, df, false, c.runNext)
 }
 
 // badRoute is a changed route with the fault in it that a way names.
-func (o *commands) badRoute(way string) *routingpb.Route {
-	now := o.base.Table
-	r := o.edited(now, now.Routes[o.day.world.rng.IntN(len(now.Routes))])
+func (c *commands) badRoute(way string) *routingpb.Route {
+	now := c.base.Table
+	r := c.edited(now, now.Routes[c.day.world.rng.IntN(len(now.Routes))])
 	switch way {
 	case "unknown_service":
 		r.Pool, r.PoolWeights, r.FanoutPools = "nowhere", nil, nil
@@ -70,7 +70,7 @@
 		r.Name = "same-place"
 	case "no_weight":
 		r.Pool, r.FanoutPools, r.PoolWeights = "", nil, nil
-		for _, p := range o.day.unshardedPools() {
+		for _, p := range c.day.unshardedPools() {
 			r.PoolWeights = append(r.PoolWeights, &routingpb.PoolWeight{Pool: p})
 		}
 	case "no_timeout":
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -10,23 +10,24 @@
 
 	"wallport/lab/rules"
 	"wallport/request/dispatch"
+	"wallport/runtime/clock"
 )
 
 // Figures of clients.
 const (
 	clientsPerZone      = 30
-	connectUs           = 1_000_000
-	readyEvery          = 1_000_000
+	connectUs           = clock.Second
+	readyEvery          = clock.Second
 	missesMost          = 2
-	waveUs              = 11_000_000
-	probeEvery          = 400_000
+	waveUs              = 11 * clock.Second
+	probeEvery          = 400 * clock.Millisecond
 	defaultEagerRetries = 2
 )
 
 type clients struct {
 	day    *day
 	rate   float64
-	until  int64
+	until  clock.Micros
 	sent   int
 	misses map[*machine]int
 	conns  map[string]nodeConn
@@ -50,12 +51,12 @@
 type wantedRequest struct {
 	kind                  *requestShape
 	zone, client          string
-	began, end            int64
+	began, end            clock.Micros
 	attemptsLeft, attempt int
 	eager                 bool
 	path                  string
 	body                  []byte
-	refusedAt             int64
+	refusedAt             clock.Micros
 	ended                 bool
 }
 
@@ -72,8 +73,8 @@
 }
 
 func (c *clients) begin() {
-	c.until = c.day.end() - 1_000_000
-	c.day.world.at(100_000, c.checkReady)
+	c.until = c.day.end() - clock.Second
+	c.day.world.at(100*clock.Millisecond, c.checkReady)
 	for i := range c.day.site.zones {
 		c.day.world.at(leadUs, func() { c.next(i) })
 	}
@@ -94,31 +95,31 @@
 	for i := range d.site.kinds {
 		perS += c.perSecond(&d.site.kinds[i])
 	}
-	wave := 1 + 0.15*math.Sin(2*math.Pi*(float64(d.world.now)/waveUs+c.phases[zi]))
+	wave := 1 + 0.15*math.Sin(2*math.Pi*(float64(d.world.now)/float64(waveUs)+c.phases[zi]))
 	rate := perS * c.rate * c.pressureOn(z.name) * z.weight / sum * wave
 	d.world.after(int64(d.world.rng.ExpFloat64()*1e6/rate)+1, func() { c.next(zi) })
 	pick := d.world.rng.Float64() * perS
-	k := &d.site.kinds[0]
+	kind := &d.site.kinds[0]
 	for i := range d.site.kinds {
 		if pick -= c.perSecond(&d.site.kinds[i]); pick < 0 {
-			k = &d.site.kinds[i]
+			kind = &d.site.kinds[i]
 			break
 		}
 	}
 	c.sent++
-	w := &wantedRequest{
-		kind: k, zone: z.name, client: fmt.Sprintf("%s/%d", z.name, d.world.rng.IntN(clientsPerZone)), began: d.world.now, end: d.world.now + k.deadlineUs,
-		attemptsLeft: 1 + k.retries, path: fmt.Sprintf("%sx%d", prefixOf(k.name), c.sent), eager: d.world.rng.IntN(100) < c.eager,
+	wanted := &wantedRequest{
+		kind: kind, zone: z.name, client: fmt.Sprintf("%s/%d", z.name, d.world.rng.IntN(clientsPerZone)), began: d.world.now, end: d.world.now + kind.deadlineUs,
+		attemptsLeft: 1 + kind.retries, path: fmt.Sprintf("%sx%d", prefixOf(kind.name), c.sent), eager: d.world.rng.IntN(100) < c.eager,
 	}
-	if w.eager {
-		w.attemptsLeft += c.eagerRetries
+	if wanted.eager {
+		wanted.attemptsLeft += c.eagerRetries
 	}
-	for range k.bodyBytes {
-		w.body = append(w.body, byte(d.world.rng.Uint32()))
+	for range kind.bodyBytes {
+		wanted.body = append(wanted.body, byte(d.world.rng.Uint32()))
 	}
-	c.owed[k.name] += k.value
+	c.owed[kind.name] += kind.value
 	d.world.Checker.Count("requests", 1)
-	c.sendAttempt(w)
+	c.sendAttempt(wanted)
 }
 
 func prefixOf(name string) string { return "/" + name + "/" }
@@ -126,104 +127,104 @@
 const host = "wall.example"
 
 // sendAttempt sends a request once.
-func (c *clients) sendAttempt(w *wantedRequest) {
+func (c *clients) sendAttempt(wanted *wantedRequest) {
 	d := c.day
-	w.attemptsLeft--
-	w.attempt++
+	wanted.attemptsLeft--
+	wanted.attempt++
 	d.world.nextID++
-	t := &rules.Attempt{
-		ID: fmt.Sprintf("t-%x", d.world.nextID), Class: w.kind.name, Client: w.client, Zone: w.zone, Host: host, Method: "GET", Path: w.path,
-		Target: w.path + "?q=1", Body: w.body, Repeatable: w.kind.repeatable, Sent: d.world.now, Ended: rules.Never, Deadline: w.end, Further: w.attempt > 1,
+	attempt := &rules.Attempt{
+		ID: fmt.Sprintf("t-%x", d.world.nextID), Class: wanted.kind.name, Client: wanted.client, Zone: wanted.zone, Host: host, Method: "GET", Path: wanted.path,
+		Target: wanted.path + "?q=1", Body: wanted.body, Repeatable: wanted.kind.repeatable, Sent: d.world.now, Ended: rules.Never, Deadline: wanted.end, Further: wanted.attempt > 1,
 	}
-	if len(w.body) > 0 {
-		t.Method = "POST"
+	if len(wanted.body) > 0 {
+		attempt.Method = "POST"
 	}
-	d.journal.Attempts = append(d.journal.Attempts, t)
-	k, ok := c.conns[w.client]
-	if ok && (w.attempt > 1 || !k.machine.node.up || k.machine.node.incarnation != k.incarnation || c.day.gateways[k.machine.node].draining) {
-		delete(c.conns, w.client)
+	d.journal.Attempts = append(d.journal.Attempts, attempt)
+	to, ok := c.conns[wanted.client]
+	if ok && (wanted.attempt > 1 || !to.machine.node.up || to.machine.node.incarnation != to.incarnation || c.day.gateways[to.machine.node].draining) {
+		delete(c.conns, wanted.client)
 		ok = false
 	}
 	if !ok {
-		k.machine = c.pickNode(w.zone, w.client, w.attempt+d.world.rng.IntN(2))
-		if k.machine == nil {
-			c.ended(w, t, false)
+		to.machine = c.pickNode(wanted.zone, wanted.client, wanted.attempt+d.world.rng.IntN(2))
+		if to.machine == nil {
+			c.ended(wanted, attempt, false)
 			return
 		}
-		k.incarnation = k.machine.node.incarnation
+		to.incarnation = to.machine.node.incarnation
 	}
-	t.Machine = k.machine.name
-	c.connect(w, t, k, !ok)
+	attempt.Machine = to.machine.name
+	c.connect(wanted, attempt, to, !ok)
 }
 
 // connect opens the connection where it is new, and sends the request.
-func (c *clients) connect(w *wantedRequest, t *rules.Attempt, k nodeConn, fresh bool) {
+func (c *clients) connect(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, fresh bool) {
 	d := c.day
 	there := d.site.clientUs + d.world.rng.Int64N(200)
 	wait := there
 	if fresh {
 		wait = 3 * there
-		g := d.gateways[k.machine.node]
+		g := d.gateways[to.machine.node]
 		switch {
-		case k.machine.poweredOff:
-			d.world.after(connectUs, func() { c.ended(w, t, true) })
+		case to.machine.poweredOff:
+			d.world.after(connectUs, func() { c.ended(wanted, attempt, true) })
 			return
 		case g == nil || !g.accepts():
-			d.world.after(2*there, func() { c.ended(w, t, true) })
+			d.world.after(2*there, func() { c.ended(wanted, attempt, true) })
 			return
 		}
 	}
-	d.world.after(wait, func() { c.send(w, t, k, there) })
-	d.world.at(w.end, func() { c.giveUp(w, t) })
+	d.world.after(wait, func() { c.send(wanted, attempt, to, there) })
+	d.world.at(wanted.end, func() { c.giveUp(wanted, attempt) })
 }
 
 // giveUp is the client's deadline.
-func (c *clients) giveUp(w *wantedRequest, t *rules.Attempt) {
-	if t.Ended == rules.Never {
-		t.GaveUp = true
-		c.ended(w, t, false)
+func (c *clients) giveUp(wanted *wantedRequest, attempt *rules.Attempt) {
+	if attempt.Ended == rules.Never {
+		attempt.GaveUp = true
+		c.ended(wanted, attempt, false)
 	}
 }
 
 // send is the request's last byte at the node.
-func (c *clients) send(w *wantedRequest, t *rules.Attempt, k nodeConn, there int64) {
+func (c *clients) send(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, there int64) {
 	d := c.day
-	if t.Ended != rules.Never {
+	if attempt.Ended != rules.Never {
 		return
 	}
-	p := k.machine.node
-	if !p.up || p.incarnation != k.incarnation {
-		d.world.after(there, func() { c.ended(w, t, !k.machine.poweredOff) })
+	p := to.machine.node
+	if !p.up || p.incarnation != to.incarnation {
+		d.world.after(there, func() { c.ended(wanted, attempt, !to.machine.poweredOff) })
 		return
 	}
 	g := d.gateways[p]
-	r := g.accept(t, w.kind, func(o *dispatch.Outcome) {
+	request := g.accept(attempt, wanted.kind, func(o *dispatch.Outcome) {
 		if o == nil {
-			dark := k.machine.poweredOff
-			t.Aborted = t.Read > 0 && !t.GaveUp && t.Ended == rules.Never
+			dark := to.machine.poweredOff
+			attempt.Aborted = attempt.Read > 0 && !attempt.GaveUp && attempt.Ended == rules.Never
 			if !dark {
-				d.world.after(there, func() { c.ended(w, t, t.Read == 0) })
+				d.world.after(there, func() { c.ended(wanted, attempt, attempt.Read == 0) })
 			}
 			return
 		}
-		d.world.after(there, func() { c.responded(w, t, k, o) })
+		d.world.after(there, func() { c.responded(wanted, attempt, to, o) })
 	})
-	r.hangUp = func() {
-		t.GaveUp = true
-		g.clientGone(r)
-		d.world.after(there, func() { c.ended(w, t, t.Read == 0) })
+	request.hangUp = func() {
+		attempt.GaveUp = true
+		g.clientGone(request)
+		d.world.after(there, func() { c.ended(wanted, attempt, attempt.Read == 0) })
 	}
-	if t.Repeatable {
+	if attempt.Repeatable {
 		// One that has not been read after a while is given up.
-		d.world.after(min(1_000_000, (w.end-d.world.now)/3), func() {
-			if t.Read == 0 && t.Ended == rules.Never {
-				t.GaveUp = true
-				g.clientGone(r)
-				c.ended(w, t, true)
+		d.world.after(min(clock.Second, (wanted.end-d.world.now)/3), func() {
+			if attempt.Read == 0 && attempt.Ended == rules.Never {
+				attempt.GaveUp = true
+				g.clientGone(request)
+				c.ended(wanted, attempt, true)
 			}
 		})
 	}
-	d.world.at(w.end, func() { g.clientGone(r) })
+	d.world.at(wanted.end, func() { g.clientGone(request) })
 }
 
 func (c *clients) finish() {
@@ -248,10 +249,10 @@
 }
 
 // burst multiplies the traffic of a zone, of a kind of requests, or all, for a while.
-func (c *clients) burst(e *dayStep) {
-	x := e.factorOr(3)
-	names := []string{e.zone, e.class}
-	if e.zone == "" && e.class == "" {
+func (c *clients) burst(step *dayStep) {
+	x := step.factorOr(3)
+	names := []string{step.zone, step.class}
+	if step.zone == "" && step.class == "" {
 		names = []string{allTraffic}
 	}
 	by := func(x float64) {
@@ -262,7 +263,7 @@
 		}
 	}
 	by(x)
-	c.day.world.after(e.forUs, func() { by(1 / x) })
+	c.day.world.after(step.forUs, func() { by(1 / x) })
 }
 
 // allTraffic stands for all zones and kinds.
@@ -277,8 +278,8 @@
 }
 
 // perSecond is how many requests of a kind come in a second before the day's rate.
-func (c *clients) perSecond(k *requestShape) float64 {
-	return k.perSecond * c.pressureOn(k.name) * c.pressureOn(allTraffic)
+func (c *clients) perSecond(kind *requestShape) float64 {
+	return kind.perSecond * c.pressureOn(kind.name) * c.pressureOn(allTraffic)
 }
 
 // checkReady asks every node each second; one that misses twice gets no new connections.
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -9,6 +9,7 @@
 	"wallport/api/routingpb"
 	"wallport/control/operations"
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -21,21 +22,21 @@
 )
 
 // zoneSettleUs is how long after a late order the zone must be as it was.
-const zoneSettleUs = 3_000_000
+const zoneSettleUs = 3 * clock.Second
 
 // commandFault brings one about.
-func (d *day) commandFault(e *dayStep) bool {
-	switch e.verb {
+func (d *day) commandFault(step *dayStep) bool {
+	switch step.verb {
 	case "same_number":
-		for i := range max(1, e.count) {
-			d.world.after(int64(i)*e.gapUs, d.commands.sameNumber)
+		for i := range max(1, step.count) {
+			d.world.after(int64(i)*step.gapUs, d.commands.sameNumber)
 		}
 	case "sent_again":
-		for i := range max(1, e.count) {
-			d.world.after(int64(i)*e.gapUs, d.commands.sentAgain)
+		for i := range max(1, step.count) {
+			d.world.after(int64(i)*step.gapUs, d.commands.sentAgain)
 		}
 	case "late_evacuate":
-		d.lateEvacuate(e)
+		d.lateEvacuate(step)
 	default:
 		return false
 	}
@@ -43,32 +44,32 @@
 }
 
 // sameNumber has two operators pick one number for different changes, whole or by items.
-func (o *commands) sameNumber() {
-	o.enqueue(func() {
-		base, revision, acked := o.base, o.nextRevision(), 0
+func (c *commands) sameNumber() {
+	c.enqueue(func() {
+		base, revision, acked := c.base, c.nextRevision(), 0
 		for _, how := range []string{"timeout", "idle"} {
-			changed := o.draft(how)
+			changed := c.draft(how)
 			table := apply(base.Table, changed)
 			table.Revision = revision
 			edit := &routingpb.RoutingEdit{Base: base.Revision, Revision: revision}
-			if o.day.world.rng.IntN(2) == 0 {
+			if c.day.world.rng.IntN(2) == 0 {
 				edit.Whole = withoutRevision(table)
 			} else {
 				edit.Upsert, edit.WithdrawRoutes = &routingpb.RoutingTable{Routes: changed.routes}, changed.withdraw
 			}
-			v := &rules.Version{Revision: revision, Base: base.Revision, Table: table}
-			o.open++
-			o.day.world.after(o.day.world.rng.Int64N(30_000), func() {
-				o.open--
-				o.sendVersion(edit, v, draft{}, func() {
-					if v.Acked != rules.Never {
+			version := &rules.Version{Revision: revision, Base: base.Revision, Table: table}
+			c.open++
+			c.day.world.after(c.day.world.rng.Int64N(30*clock.Millisecond), func() {
+				c.open--
+				c.sendVersion(edit, version, draft{}, func() {
+					if version.Acked != rules.Never {
 						acked++
 					}
 					if acked > 1 {
-						o.day.world.Checker.Fail(pointOneNumber, o.day.world.now, "revision %d was acknowledged for two changes", revision)
+						c.day.world.Checker.Fail(pointOneNumber, c.day.world.now, "revision %d was acknowledged for two changes", revision)
 					}
-					o.day.world.Checker.Count("same_number.answered", 1)
-					o.runNext()
+					c.day.world.Checker.Count("same_number.answered", 1)
+					c.runNext()
 				})
 			})
 		}
@@ -76,17 +77,17 @@
 }
 
 // sentAgain sends a change that was acknowledged before once more, at two machines at once.
-func (o *commands) sentAgain() {
-	if len(o.accepted) == 0 {
+func (c *commands) sentAgain() {
+	if len(c.accepted) == 0 {
 		return
 	}
-	again := o.accepted[o.day.world.rng.IntN(len(o.accepted))]
+	again := c.accepted[c.day.world.rng.IntN(len(c.accepted))]
 	for range 2 {
 		again.version.Repeats++
-		o.carry(again.edit, pin{}, nil, func(code string, _ *machine) {
-			o.day.world.Checker.Count("sent_again."+code, 1)
+		c.carry(again.edit, pin{}, nil, func(code string, _ *machine) {
+			c.day.world.Checker.Count("sent_again."+code, 1)
 			if code != "ok" {
-				o.day.world.Checker.Fail(pointSentAgain, o.day.world.now, "a change that was acknowledged was answered %s when it was sent again", code)
+				c.day.world.Checker.Fail(pointSentAgain, c.day.world.now, "a change that was acknowledged was answered %s when it was sent again", code)
 			}
 		})
 	}
@@ -95,11 +96,11 @@
 // lateEvacuate gives a machine an order to evacuate a zone, which a cut holds up; the operator
 // gives it up and takes the zone back elsewhere. With how=core the machine takes the order and is
 // cut off from the core a moment later; otherwise the order reaches it when the cut is over.
-func (d *day) lateEvacuate(e *dayStep) {
+func (d *day) lateEvacuate(step *dayStep) {
 	list := d.listedCores()
 	m := list[d.world.rng.IntN(len(list))]
 	// Nobody hears what becomes of it.
-	d.journal.ZoneCalls = append(d.journal.ZoneCalls, &rules.ZoneCall{Zone: e.zone, Drains: true, Sent: d.world.now, Acked: rules.Never})
+	d.journal.ZoneCalls = append(d.journal.ZoneCalls, &rules.ZoneCall{Zone: step.zone, Drains: true, Sent: d.world.now, Acked: rules.Never})
 	give := func() {
 		p := m.core
 		if !p.running() {
@@ -107,37 +108,37 @@
 		}
 		d.world.Checker.Count("late_evacuate.given", 1)
 		p.deliver(func() {
-			p.call("operate", operations.Submit{Edit: wire.Edit{Op: "empty", Name: e.zone}, AwaitInForce: true, AwaitTimeout: waitUs, Timeout: answerUs}, nil)
+			p.call("operate", operations.Submit{Edit: wire.Edit{Op: "empty", Name: step.zone}, AwaitInForce: true, AwaitTimeout: waitUs, Timeout: answerUs}, nil)
 			id := p.nextCall
 			// The end of the connection follows the order at once where the operator has gone.
 			after := int64(commandTimeoutUs)
-			if !e.has("core") {
+			if !step.has("core") {
 				after = 100
 			}
 			p.deliverAfter(after, func() { p.step(kernel.Canceled{Plugin: "operate", ID: id}) })
 		})
 	}
-	if e.has("core") {
+	if step.has("core") {
 		give()
-		d.world.after(d.world.rng.Int64N(8_000), func() { d.partitionMachine(m, e.forUs) })
+		d.world.after(d.world.rng.Int64N(8*clock.Millisecond), func() { d.partitionMachine(m, step.forUs) })
 	} else {
-		d.world.after(e.forUs, give)
+		d.world.after(step.forUs, give)
 	}
-	d.world.after(e.forUs/2, func() {
-		back := &rules.ZoneCall{Zone: e.zone, Sent: d.world.now, Acked: rules.Never}
+	d.world.after(step.forUs/2, func() {
+		back := &rules.ZoneCall{Zone: step.zone, Sent: d.world.now, Acked: rules.Never}
 		d.journal.ZoneCalls = append(d.journal.ZoneCalls, back)
-		d.commands.carry(wire.Edit{Op: "refill", Name: e.zone}, pin{}, nil, func(code string, _ *machine) {
+		d.commands.carry(wire.Edit{Op: "refill", Name: step.zone}, pin{}, nil, func(code string, _ *machine) {
 			d.world.Checker.Count("late_evacuate.taken_back."+code, 1)
 			if code == "ok" {
 				back.Acked = d.world.now
 			}
-			d.world.after(e.forUs+zoneSettleUs, func() { d.checkZoneRestored(e.zone) })
+			d.world.after(step.forUs+zoneSettleUs, func() { d.checkZoneRestored(step.zone) })
 		})
 	})
 }
 
 // partitionMachine cuts a machine off from all others for a while.
-func (d *day) partitionMachine(m *machine, forUs int64) {
+func (d *day) partitionMachine(m *machine, forUs clock.Micros) {
 	d.recordUnplanned(forUs)
 	var ways []string
 	for _, other := range d.machines {
--- a/lab/sim/day_connection_faults.go
+++ b/lab/sim/day_connection_faults.go
@@ -6,6 +6,7 @@
 import (
 	"slices"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
@@ -13,11 +14,11 @@
 	// slowStepUs is what an input takes of a process that is slowed down, for each time that it is slower.
 	slowStepUs = 60
 	// busyWithin bounds how long a machine that is to be stopped waits for a request.
-	busyWithin = 2_000_000
+	busyWithin = 2 * clock.Second
 )
 
 // slow makes each input take a while; 0 is the usual pace.
-func (m *machine) slow(us int64) {
+func (m *machine) slow(us clock.Micros) {
 	m.recordEvent()
 	for _, p := range m.processes() {
 		p.inputDelay = us
@@ -26,20 +27,20 @@
 }
 
 // resetConns resets a share of the connections of some machines.
-func (d *day) resetConns(e *dayStep) {
+func (d *day) resetConns(step *dayStep) {
 	d.recordUnplanned(0)
-	hit := d.drawOthers(e, d.machineCount(e, 0.1))
-	if m := d.drawCoreMember(e); m != nil && (e.on == "core" || d.world.rng.IntN(2) == 0) {
+	hit := d.drawOthers(step, d.machineCount(step, 0.1))
+	if m := d.drawCoreMember(step); m != nil && (step.on == "core" || d.world.rng.IntN(2) == 0) {
 		hit = append(hit, m)
 	}
 	for _, m := range hit {
 		d.world.Checker.Count("troubled.reset_conns", 1)
 		m.recordEvent()
-		d.world.net.reset(m, e.factorOr(0.5))
+		d.world.net.reset(m, step.factorOr(0.5))
 		if g := d.gateways[m.node]; g != nil {
-			g.resetConns(e.factorOr(0.5))
+			g.resetConns(step.factorOr(0.5))
 		}
-		d.meetReturned(e, m)
+		d.meetReturned(step, m)
 	}
 }
 
@@ -51,21 +52,21 @@
 			x.failed("reset")
 		}
 	}
-	for _, r := range slices.Clone(g.requests) {
-		if !r.ended && rnd.Float64() < share {
+	for _, request := range slices.Clone(g.requests) {
+		if !request.ended && rnd.Float64() < share {
 			g.day.world.Checker.Count("clients_reset", 1)
-			r.hangUp()
+			request.hangUp()
 		}
 	}
-	for _, l := range g.day.backends.all {
-		for _, c := range g.idleConns[l.row.ID] {
+	for _, inc := range g.day.backends.all {
+		for _, c := range g.idleConns[inc.row.ID] {
 			c.reset = c.reset || rnd.Float64() < share
 		}
 	}
 }
 
 // restartAroundPartition restarts machines, or names seeds, around a machine that is cut off.
-func (d *day) restartAroundPartition(e *dayStep, m *machine) {
+func (d *day) restartAroundPartition(step *dayStep, m *machine) {
 	again := func(o *machine, in int64) {
 		d.world.after(in, func() {
 			if o.poweredOff || o.removed || o.draining {
@@ -76,14 +77,14 @@
 		})
 	}
 	switch {
-	case e.has("seeds"):
+	case step.has("seeds"):
 		d.rotateSeedsTo(m)
-		for i, o := range d.drawOthers(e, 3) {
-			again(o, int64(i+1)*e.forUs/8)
+		for i, o := range d.drawOthers(step, 3) {
+			again(o, int64(i+1)*step.forUs/8)
 		}
-	case e.has("both"):
-		again(m, e.forUs/4)
-		in := e.forUs / 2
+	case step.has("both"):
+		again(m, step.forUs/4)
+		in := step.forUs / 2
 		d.eachCoreMember(func(o *machine) {
 			if o != m {
 				again(o, in)
@@ -101,12 +102,12 @@
 }
 
 // rereadSettings lets machines read their settings again.
-func (d *day) rereadSettings(e *dayStep) {
+func (d *day) rereadSettings(step *dayStep) {
 	all := slices.Clone(d.machines)
 	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	n := max(1, int(e.shareOr(0.3)*float64(len(all))+0.5))
+	n := max(1, int(step.shareOr(0.3)*float64(len(all))+0.5))
 	for _, m := range all[:min(n, len(all))] {
-		d.world.after(d.world.rng.Int64N(e.gapUs+1), func() {
+		d.world.after(d.world.rng.Int64N(step.gapUs+1), func() {
 			for _, p := range m.processes() {
 				if p.running() {
 					d.world.Checker.Count("troubled.hup", 1)
--- a/lab/sim/day_drafts.go
+++ b/lab/sim/day_drafts.go
@@ -13,18 +13,18 @@
 )
 
 // draft makes a change of the newest version.
-func (o *commands) draft(how string) draft {
-	d, now := o.day, o.base.Table
+func (c *commands) draft(how string) draft {
+	d, now := c.day, c.base.Table
 	rnd := d.world.rng
 	switch how {
 	case "route", "weights":
-		return draft{routes: []*routingpb.Route{o.moved(now, how == "weights")}}
+		return draft{routes: []*routingpb.Route{c.moved(now, how == "weights")}}
 	case "timeout":
-		r := o.edited(now, now.Routes[rnd.IntN(len(now.Routes))])
+		r := c.edited(now, now.Routes[rnd.IntN(len(now.Routes))])
 		r.TimeoutUs = r.TimeoutUs*9/10 + rnd.Int64N(r.TimeoutUs/5+1)
 		return draft{routes: []*routingpb.Route{r}}
 	case "invalid":
-		r := o.edited(now, now.Routes[rnd.IntN(len(now.Routes))])
+		r := c.edited(now, now.Routes[rnd.IntN(len(now.Routes))])
 		switch rnd.IntN(3) {
 		case 0:
 			r.Pool, r.PoolWeights, r.FanoutPools = "nowhere", nil, nil
@@ -35,25 +35,25 @@
 		}
 		return draft{routes: []*routingpb.Route{r}, invalid: true}
 	}
-	return o.idleDraft(now)
+	return c.idleDraft(now)
 }
 
-func (o *commands) edited(on *routingpb.RoutingTable, r *routingpb.Route) *routingpb.Route {
-	c := proto.Clone(r).(*routingpb.Route)
-	c.Source = fmt.Appendf(nil, "%s after %d, %d", r.Name, on.Revision, o.day.world.rng.Int64N(1000))
-	return c
+func (c *commands) edited(on *routingpb.RoutingTable, r *routingpb.Route) *routingpb.Route {
+	changed := proto.Clone(r).(*routingpb.Route)
+	changed.Source = fmt.Appendf(nil, "%s after %d, %d", r.Name, on.Revision, c.day.world.rng.Int64N(1000))
+	return changed
 }
 
 // moved sends a route of one pool to the other, or splits it.
-func (o *commands) moved(on *routingpb.RoutingTable, split bool) *routingpb.Route {
+func (c *commands) moved(on *routingpb.RoutingTable, split bool) *routingpb.Route {
 	var of []*routingpb.Route
 	for _, r := range on.Routes {
 		if len(r.FanoutPools) == 0 {
 			of = append(of, r)
 		}
 	}
-	rnd, pools := o.day.world.rng, o.day.unshardedPools()
-	r := o.edited(on, of[rnd.IntN(len(of))])
+	rnd, pools := c.day.world.rng, c.day.unshardedPools()
+	r := c.edited(on, of[rnd.IntN(len(of))])
 	if split {
 		r.Pool, r.PoolWeights = "", nil
 		for _, p := range pools {
@@ -70,22 +70,22 @@
 }
 
 // idleDraft adds an idle route, removes one or sends one elsewhere.
-func (o *commands) idleDraft(on *routingpb.RoutingTable) draft {
+func (c *commands) idleDraft(on *routingpb.RoutingTable) draft {
 	var idle []*routingpb.Route
 	for _, r := range on.Routes {
 		if strings.HasPrefix(r.Name, "idle-") {
 			idle = append(idle, r)
 		}
 	}
-	rnd := o.day.world.rng
+	rnd := c.day.world.rng
 	switch pick := rnd.IntN(3); {
 	case len(idle) == 0 || len(idle) < idleRoutesMost && pick == 0:
-		return draft{routes: []*routingpb.Route{o.newIdleRoute()}}
+		return draft{routes: []*routingpb.Route{c.newIdleRoute()}}
 	case pick == 1:
 		return draft{withdraw: []string{idle[rnd.IntN(len(idle))].Name}}
 	default:
-		r := o.edited(on, idle[rnd.IntN(len(idle))])
-		pools := o.day.unshardedPools()
+		r := c.edited(on, idle[rnd.IntN(len(idle))])
+		pools := c.day.unshardedPools()
 		for r.Pool, r.PoolWeights = "", nil; r.Pool == "" || len(pools) > 1 && r.Pool == routeNamed(on, r.Name).Pool; {
 			r.Pool = pools[rnd.IntN(len(pools))]
 		}
@@ -105,34 +105,34 @@
 // reshard starts the backends of the next set of shards; after a while a version names them, and once that is
 // due everywhere the old ones leave.
 func (d *day) reshard(after int64) {
-	o := &d.commands
+	c := &d.commands
 	for i := range d.site.pools {
 		p := &d.site.pools[i]
 		if p.shards > 0 && !p.later {
 			next := &d.site.pools[i+1]
 			d.backends.startPool(next)
 			d.backends.publish()
-			d.world.after(after, func() { o.enqueue(func() { o.reshardDraft(p, next) }) })
+			d.world.after(after, func() { c.enqueue(func() { c.reshardDraft(p, next) }) })
 		}
 	}
 }
 
-func (o *commands) reshardDraft(old, next *poolShape) {
-	d := o.day
+func (c *commands) reshardDraft(old, next *poolShape) {
+	d := c.day
 	var df draft
-	for _, r := range o.base.Table.Routes {
+	for _, r := range c.base.Table.Routes {
 		if len(r.FanoutPools) > 0 && strings.HasPrefix(r.FanoutPools[0], old.name+"-") {
-			c := o.edited(o.base.Table, r)
-			c.FanoutPools = next.poolNames()
-			df.routes = append(df.routes, c)
+			changed := c.edited(c.base.Table, r)
+			changed.FanoutPools = next.poolNames()
+			df.routes = append(df.routes, changed)
 		}
 	}
-	o.put(o.base, df, true, func() {
+	c.put(c.base, df, true, func() {
 		d.world.after(d.journal.Bounds.ApplyUs, func() {
-			for _, l := range d.backends.of(old.name) {
-				l.drain()
+			for _, inc := range d.backends.of(old.name) {
+				inc.drain()
 			}
 		})
-		o.runNext()
+		c.runNext()
 	})
 }
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -10,13 +10,14 @@
 	"wallport/lab/rules"
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 )
 
 // Figures of connections to backends.
 const (
 	handshakeUs  = 1000
-	dialWithin   = 400_000
-	idleMost     = 15_000_000
+	dialWithin   = 400 * clock.Millisecond
+	idleMost     = 15 * clock.Second
 	idlePerLife  = 16
 	surplusAfter = 3000
 )
@@ -24,8 +25,8 @@
 // conn is a connection that is kept; foul tells that bytes of no request wait on it.
 type conn struct {
 	backend   *incarnation
-	idleSince int64
-	surplusAt int64
+	idleSince clock.Micros
+	surplusAt clock.Micros
 	// reset tells that the backend's end is gone, and the node does not know it yet.
 	reset bool
 }
@@ -49,11 +50,11 @@
 }
 
 // exchangesOf lists what is under way with a backend, in the order of the gates.
-func (d *day) exchangesOf(l *incarnation) (out []*exchange) {
+func (d *day) exchangesOf(inc *incarnation) (out []*exchange) {
 	for _, m := range d.machines {
 		if g := d.gateways[m.node]; g != nil {
 			for _, x := range g.exchanges {
-				if x.backend == l {
+				if x.backend == inc {
 					out = append(out, x)
 				}
 			}
@@ -63,9 +64,9 @@
 }
 
 // startExchange begins an exchange.
-func (g *gateway) startExchange(r *clientRequest, a dispatch.Send) {
+func (g *gateway) startExchange(request *clientRequest, a dispatch.Send) {
 	d := g.day
-	x := &exchange{gateway: g, request: r, attempt: a.N, action: a, kind: r.kind}
+	x := &exchange{gateway: g, request: request, attempt: a.N, action: a, kind: request.kind}
 	g.exchanges = append(g.exchanges, x)
 	g.process.deliverAfter(a.Timeout, func() {
 		x.end(dispatch.Result{Class: x.class(), TimedOut: true, ReusedConn: x.reused, Reason: "no answer in time"})
@@ -77,31 +78,31 @@
 		x.send(x.conn.backend)
 		return
 	}
-	l := d.backends.byAddr[s.Addr]
+	inc := d.backends.byAddr[s.Addr]
 	zone := s.Zone
 	there := d.latency(g.process.settings.Zone, zone)
 	switch {
-	case l != nil && (l.silent || d.unreachable(g.process.machine, l)):
+	case inc != nil && (inc.silent || d.unreachable(g.process.machine, inc)):
 		g.process.deliverAfter(min(dialWithin, a.Timeout), func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "dial timed out"}) })
-	case l == nil || !l.up:
+	case inc == nil || !inc.up:
 		g.process.deliverAfter(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection refused"}) })
-	case l.conns >= l.shape.connections:
+	case inc.conns >= inc.shape.connections:
 		d.world.Checker.Count("connections_refused", 1)
 		g.process.deliverAfter(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"}) })
 	default:
-		l.conns++
+		inc.conns++
 		d.world.Checker.Count("handshakes", 1)
-		x.conn = &conn{backend: l}
+		x.conn = &conn{backend: inc}
 		g.process.deliverAfter(2*there+handshakeUs, func() {
 			if x.ended {
-				l.conns--
+				inc.conns--
 				return
 			}
-			if !l.up || d.unreachable(g.process.machine, l) {
+			if !inc.up || d.unreachable(g.process.machine, inc) {
 				x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"})
 				return
 			}
-			x.send(l)
+			x.send(inc)
 		})
 	}
 }
@@ -144,9 +145,9 @@
 }
 
 // send writes the request; it is at the backend a way later.
-func (x *exchange) send(l *incarnation) {
+func (x *exchange) send(inc *incarnation) {
 	d, a := x.gateway.day, &x.action
-	x.backend, x.sent = l, true
+	x.backend, x.sent = inc, true
 	sent := d.world.now
 	work := d.drawWork(x.kind)
 	within := max(1000, a.Timeout)
@@ -158,33 +159,33 @@
 		})
 	}
 	rested := sent - x.conn.idleSince
-	if x.conn.reset || x.reused && l.connTimeout > 0 && rested > l.connTimeout {
+	if x.conn.reset || x.reused && inc.connTimeout > 0 && rested > inc.connTimeout {
 		// The backend's end of the connection is gone: the request is not read there.
 		d.world.Checker.Count("sent_on_reset", 1)
 		x.failed("reset")
 		return
 	}
-	d.world.after(d.latency(x.gateway.process.settings.Zone, l.row.Zone), func() {
-		d.whenReachable(x.gateway.process.machine, l, sent, func(held bool) { x.arrive(l, sent, work, within, held) })
+	d.world.after(d.latency(x.gateway.process.settings.Zone, inc.row.Zone), func() {
+		d.whenReachable(x.gateway.process.machine, inc, sent, func(held bool) { x.arrive(inc, sent, work, within, held) })
 	})
 }
 
 // arrive is the request's last byte at the backend; a cut held it up, or not.
-func (x *exchange) arrive(l *incarnation, sent, work, within int64, held bool) {
+func (x *exchange) arrive(inc *incarnation, sent, work, within clock.Micros, held bool) {
 	d, a := x.gateway.day, &x.action
 	if x.ended && d.world.rng.IntN(2) == 0 {
 		// The connection was closed before the backend read the request.
 		return
 	}
-	if !l.up {
-		if !l.silent {
+	if !inc.up {
+		if !inc.silent {
 			x.failed("reset")
 		}
 		return
 	}
 	req := a.Request
-	l.arrive(x, a.Server.ID, &rules.Arrival{
-		Attempt: req.ID, Backend: l.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.world.now,
+	inc.arrive(x, a.Server.ID, &rules.Arrival{
+		Attempt: req.ID, Backend: inc.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.world.now,
 		Held: held,
 	}, work, within)
 }
@@ -227,14 +228,14 @@
 
 // deliverReply brings what the backend sent to the node.
 func (x *exchange) deliverReply(f func()) {
-	d, l := x.gateway.day, x.backend
-	d.world.after(d.latency(l.row.Zone, x.gateway.process.settings.Zone), func() {
-		d.whenReachable(x.gateway.process.machine, l, d.world.now, func(bool) { x.gateway.process.deliver(f) })
+	d, inc := x.gateway.day, x.backend
+	d.world.after(d.latency(inc.row.Zone, x.gateway.process.settings.Zone), func() {
+		d.whenReachable(x.gateway.process.machine, inc, d.world.now, func(bool) { x.gateway.process.deliver(f) })
 	})
 }
 
-func (x *exchange) rejected(l *incarnation, status int, why string) {
-	r := dispatch.Result{Class: dispatch.ClassRejected, Status: status, Load: l.load(), WrongBackend: status == 421, Draining: l.draining, Reason: why}
+func (x *exchange) rejected(inc *incarnation, status int, why string) {
+	r := dispatch.Result{Class: dispatch.ClassRejected, Status: status, Load: inc.load(), WrongBackend: status == 421, Draining: inc.draining, Reason: why}
 	x.deliverReply(func() { x.end(r) })
 }
 
@@ -250,9 +251,9 @@
 	x.deliverReply(func() { x.end(r) })
 }
 
-func (x *exchange) responded(l *incarnation, a *rules.Arrival, surplus bool) {
+func (x *exchange) responded(inc *incarnation, a *rules.Arrival, surplus bool) {
 	r := dispatch.Result{
-		Class: dispatch.ClassResponse, Status: a.Status, Body: slices.Clone(a.Answer), Seal: a.Seal, Load: l.load(), Draining: l.draining,
+		Class: dispatch.ClassResponse, Status: a.Status, Body: slices.Clone(a.Answer), Seal: a.Seal, Load: inc.load(), Draining: inc.draining,
 		ReusedConn: x.reused,
 	}
 	if surplus && x.conn != nil {
@@ -262,6 +263,6 @@
 	x.deliverReply(func() { x.end(r) })
 }
 
-func (l *incarnation) load() dispatch.LoadReport {
-	return dispatch.LoadReport{Running: l.running, Queued: len(l.queue), Slots: l.shape.slots, Known: true}
+func (inc *incarnation) load() dispatch.LoadReport {
+	return dispatch.LoadReport{Running: inc.running, Queued: len(inc.queue), Slots: inc.shape.slots, Known: true}
 }
--- a/lab/sim/day_fault_spans.go
+++ b/lab/sim/day_fault_spans.go
@@ -2,6 +2,8 @@
 
 package sim
 
+import "wallport/runtime/clock"
+
 // partitioned reports whether nothing gets from one process to another.
 func (d *day) partitioned(a, b string) bool {
 	p, q := d.world.processes[a], d.world.processes[b]
@@ -79,14 +81,14 @@
 		}
 	}
 	d.publishedCores = append(d.publishedCores, publishedCoreList{d.world.now, now})
-	d.world.after(500_000, d.publishCores)
+	d.world.after(500*clock.Millisecond, d.publishCores)
 }
 
 // listedCores is that list as it stood a while ago.
 func (d *day) listedCores() []*machine {
 	out := d.publishedCores[0].cores
 	for _, s := range d.publishedCores {
-		if s.at <= d.world.now-3_000_000 {
+		if s.at <= d.world.now-3*clock.Second {
 			out = s.cores
 		}
 	}
--- a/lab/sim/day_gateway.go
+++ b/lab/sim/day_gateway.go
@@ -10,12 +10,13 @@
 
 	"wallport/lab/rules"
 	"wallport/request/dispatch"
+	"wallport/runtime/clock"
 )
 
 // Figures of the clients' server, as the product has them.
 const (
-	acceptsFor = 2_200_000
-	stopEvery  = 20_000
+	acceptsFor = 2200 * clock.Millisecond
+	stopEvery  = 20 * clock.Millisecond
 )
 
 type gateway struct {
@@ -72,83 +73,83 @@
 func (g *gateway) accepts() bool { return g.process.up && g.opened && !g.closed }
 
 // accept takes a request that has come whole; done gets its outcome, or nil where it was cut.
-func (g *gateway) accept(t *rules.Attempt, k *requestShape, done func(o *dispatch.Outcome)) *clientRequest {
-	r := &clientRequest{attempt: t, kind: k, done: done}
-	g.requests = append(g.requests, r)
+func (g *gateway) accept(attempt *rules.Attempt, kind *requestShape, done func(o *dispatch.Outcome)) *clientRequest {
+	request := &clientRequest{attempt: attempt, kind: kind, done: done}
+	g.requests = append(g.requests, request)
 	g.process.deliver(func() {
-		if r.ended {
+		if request.ended {
 			return
 		}
-		t.Read = g.day.world.now
-		g.day.machineTookRequest(g.process.machine, t.Repeatable || t.Probe)
+		attempt.Read = g.day.world.now
+		g.day.machineTookRequest(g.process.machine, attempt.Repeatable || attempt.Probe)
 		req := dispatch.Request{
-			ID: t.ID, Method: t.Method, Target: t.Target, Path: t.Path, Host: t.Host, Body: t.Body,
-			Timeout: t.Deadline - t.Sent,
+			ID: attempt.ID, Method: attempt.Method, Target: attempt.Target, Path: attempt.Path, Host: attempt.Host, Body: attempt.Body,
+			Timeout: attempt.Deadline - attempt.Sent,
 		}
-		r.stateMachine = dispatch.NewStateMachine(g.dispatcher, req, g.process.now())
-		g.step(r, dispatch.Begin{})
+		request.stateMachine = dispatch.NewStateMachine(g.dispatcher, req, g.process.now())
+		g.step(request, dispatch.Begin{})
 	})
-	return r
+	return request
 }
 
-func (g *gateway) step(r *clientRequest, ev dispatch.Event) {
-	if r.stateMachine == nil {
+func (g *gateway) step(request *clientRequest, ev dispatch.Event) {
+	if request.stateMachine == nil {
 		return
 	}
-	acts := slices.Clone(r.stateMachine.Step(g.process.now(), ev))
+	acts := slices.Clone(request.stateMachine.Step(g.process.now(), ev))
 	for _, a := range acts {
-		g.perform(r, a)
+		g.perform(request, a)
 	}
 }
 
-func (g *gateway) perform(r *clientRequest, a dispatch.Action) {
+func (g *gateway) perform(request *clientRequest, a dispatch.Action) {
 	switch v := a.(type) {
 	case dispatch.Send:
-		g.startExchange(r, v)
+		g.startExchange(request, v)
 	case dispatch.Cancel:
-		g.cancel(r, v.N)
+		g.cancel(request, v.N)
 	case dispatch.Abandon:
 		// The exchange runs out by itself.
 	case dispatch.SetTimer:
-		r.wakeups++
-		mine := r.wakeups
+		request.wakeups++
+		mine := request.wakeups
 		g.process.deliverAfter(v.At-g.process.now(), func() {
-			if r.wakeups == mine {
-				g.step(r, dispatch.TimerFired{})
+			if request.wakeups == mine {
+				g.step(request, dispatch.TimerFired{})
 			}
 		})
 	case dispatch.Finish:
-		r.wakeups++
+		request.wakeups++
 		o := v.Outcome
-		g.finish(r, &o)
+		g.finish(request, &o)
 	}
 }
 
-func (g *gateway) cancel(r *clientRequest, n int) {
+func (g *gateway) cancel(request *clientRequest, n int) {
 	for _, x := range slices.Clone(g.exchanges) {
-		if x.request == r && x.attempt == n {
+		if x.request == request && x.attempt == n {
 			x.cancel()
 		}
 	}
 }
 
-func (g *gateway) finish(r *clientRequest, o *dispatch.Outcome) {
-	if r.ended {
+func (g *gateway) finish(request *clientRequest, o *dispatch.Outcome) {
+	if request.ended {
 		return
 	}
-	r.ended = true
-	g.requests = slices.DeleteFunc(g.requests, func(v *clientRequest) bool { return v == r })
-	r.done(o)
+	request.ended = true
+	g.requests = slices.DeleteFunc(g.requests, func(v *clientRequest) bool { return v == request })
+	request.done(o)
 }
 
 // clientGone is that the client has closed its connection.
-func (g *gateway) clientGone(r *clientRequest) {
-	if r.ended {
+func (g *gateway) clientGone(request *clientRequest) {
+	if request.ended {
 		return
 	}
 	g.process.deliver(func() {
-		if !r.ended {
-			g.step(r, dispatch.ClientGone{})
+		if !request.ended {
+			g.step(request, dispatch.ClientGone{})
 		}
 	})
 }
@@ -158,10 +159,10 @@
 	g.closed = true
 	runs := g.requests
 	g.requests = nil
-	for _, r := range runs {
-		if !r.ended {
-			r.ended = true
-			r.done(nil)
+	for _, request := range runs {
+		if !request.ended {
+			request.ended = true
+			request.done(nil)
 		}
 	}
 	for _, x := range slices.Clone(g.exchanges) {
--- a/lab/sim/day_grey.go
+++ b/lab/sim/day_grey.go
@@ -24,28 +24,28 @@
 	zone  string
 }
 
-func greyOf(e *dayStep) grey {
-	g := grey{mode: greyErrors, share: e.factorOr(0.4)}
+func greyOf(step *dayStep) grey {
+	g := grey{mode: greyErrors, share: step.factorOr(0.4)}
 	for _, way := range []greyMode{greyErrors, greyRejects, greyBusy, greyHang, greyReset, greyMute, greySlow} {
-		if e.has(string(way)) {
+		if step.has(string(way)) {
 			g.mode = way
 		}
 	}
 	if g.mode == greySlow {
-		g.share, g.slow = 1, int64(e.factorOr(8))
+		g.share, g.slow = 1, int64(step.factorOr(8))
 	}
-	if e.has("one_zone") {
-		g.zone = e.toZone
+	if step.has("one_zone") {
+		g.zone = step.toZone
 	}
 	return g
 }
 
 // lying fails everything while health answers are good, or nothing where they are bad.
-func lying(e *dayStep) grey {
-	if e.has("bad") {
+func lying(step *dayStep) grey {
+	if step.has("bad") {
 		return grey{}
 	}
-	g := greyOf(e)
+	g := greyOf(step)
 	g.share = 1
 	return g
 }
@@ -64,15 +64,15 @@
 }
 
 // rejectsEarly ends a request that a grey backend does not even begin.
-func (l *incarnation) rejectsEarly(x *exchange, j *job) bool {
+func (inc *incarnation) rejectsEarly(x *exchange, j *job) bool {
 	switch j.mode {
 	case greyRejects:
-		x.rejected(l, 503, "full")
+		x.rejected(inc, 503, "full")
 	case greyBusy:
-		x.rejected(l, 429, "busy")
+		x.rejected(inc, 429, "busy")
 	case greyMute:
 		// It was read, and nothing ever comes of it.
-		l.day.world.Checker.Count("muted_requests", 1)
+		inc.day.world.Checker.Count("muted_requests", 1)
 	default:
 		return false
 	}
--- a/lab/sim/day_incarnation.go
+++ b/lab/sim/day_incarnation.go
@@ -9,6 +9,7 @@
 	"hash/fnv"
 
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -23,10 +24,10 @@
 	// rested for longer than connTimeout are forgotten, 0 is none.
 	grey             grey
 	reportsUnhealthy bool
-	connTimeout      int64
+	connTimeout      clock.Micros
 	// unreachable tells that no machine reaches it.
 	unreachable  bool
-	warmAt       int64
+	warmAt       clock.Micros
 	speed, phase int64
 	running      int
 	queue        []*job
@@ -42,71 +43,71 @@
 	backend  *incarnation
 	exchange *exchange
 	arrival  *rules.Arrival
-	until    int64
+	until    clock.Micros
 	started  bool
 	ended    bool
-	work     int64
+	work     clock.Micros
 	// mode is the way in which a grey backend fails it.
 	mode greyMode
 }
 
-func (l *incarnation) now() int64 { return l.day.world.now }
+func (inc *incarnation) now() clock.Micros { return inc.day.world.now }
 
 // pauseLeft is how much of a pause is left now.
-func (l *incarnation) pauseLeft() int64 {
-	if l.shape.pauseUs == 0 {
+func (inc *incarnation) pauseLeft() clock.Micros {
+	if inc.shape.pauseUs == 0 {
 		return 0
 	}
-	at := (l.now() + l.phase) % pausePeriod
-	return max(0, l.shape.pauseUs-at)
+	at := (inc.now() + inc.phase) % pausePeriod
+	return max(0, inc.shape.pauseUs-at)
 }
 
 // arrive is a request's last byte. The answer's way back is the exchange's affair.
-func (l *incarnation) arrive(x *exchange, target string, a *rules.Arrival, work, within int64) {
-	d := l.day
+func (inc *incarnation) arrive(x *exchange, target string, a *rules.Arrival, work, within clock.Micros) {
+	d := inc.day
 	d.journal.Arrivals = append(d.journal.Arrivals, a)
 	switch {
-	case target != l.row.ID:
+	case target != inc.row.ID:
 		a.Wrong, a.Status = true, 421
-		x.rejected(l, 421, "another backend has the address")
+		x.rejected(inc, 421, "another backend has the address")
 		return
-	case l.running >= l.shape.slots && len(l.queue) >= l.shape.queue:
+	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue:
 		d.world.Checker.Count("backend_full", 1)
-		x.rejected(l, 503, "full")
+		x.rejected(inc, 503, "full")
 		return
 	}
-	j := &job{backend: l, exchange: x, arrival: a, until: l.now() + within, work: work}
-	if l.grey.meets(d, x.gateway.process.settings.Zone) {
-		j.mode = l.grey.mode
-		if l.rejectsEarly(x, j) {
+	j := &job{backend: inc, exchange: x, arrival: a, until: inc.now() + within, work: work}
+	if inc.grey.meets(d, x.gateway.process.settings.Zone) {
+		j.mode = inc.grey.mode
+		if inc.rejectsEarly(x, j) {
 			return
 		}
 	}
 	x.job = j
-	l.queue = append(l.queue, j)
+	inc.queue = append(inc.queue, j)
 	d.world.after(within, func() { j.expire() })
-	l.startNext()
+	inc.startNext()
 }
 
 // startNext starts what waits while slots are free.
-func (l *incarnation) startNext() {
-	for l.up && l.running < l.shape.slots && len(l.queue) > 0 {
-		j := l.queue[0]
-		l.queue = l.queue[1:]
+func (inc *incarnation) startNext() {
+	for inc.up && inc.running < inc.shape.slots && len(inc.queue) > 0 {
+		j := inc.queue[0]
+		inc.queue = inc.queue[1:]
 		if j.ended {
 			continue
 		}
 		j.started = true
 		j.arrival.Ran = true
-		l.running++
-		us := j.work * l.speed / 100 * l.grey.factor(j)
-		if l.slowdown > 0 {
-			us = us * l.slowdown / 1000
+		inc.running++
+		us := j.work * inc.speed / 100 * inc.grey.factor(j)
+		if inc.slowdown > 0 {
+			us = us * inc.slowdown / 1000
 		}
-		if l.now() < l.warmAt {
+		if inc.now() < inc.warmAt {
 			us = us * warmUpX / 1000
 		}
-		l.day.world.after(us+l.pauseLeft(), j.finishWork)
+		inc.day.world.after(us+inc.pauseLeft(), j.finishWork)
 	}
 }
 
@@ -171,8 +172,8 @@
 
 // respond seals what the backend says, and lets trouble spoil it.
 func (j *job) respond(status int) {
-	l, d := j.backend, j.backend.day
-	body := d.responseBody(j.arrival.Attempt, l.row.Pool, j.exchange.kind)
+	inc, d := j.backend, j.backend.day
+	body := d.responseBody(j.arrival.Attempt, inc.row.Pool, j.exchange.kind)
 	if status != 200 {
 		body = []byte("failed")
 	}
@@ -180,26 +181,26 @@
 	h := fnv.New32a()
 	h.Write(body)
 	j.arrival.Status, j.arrival.Answer = status, body
-	j.arrival.Seal = fmt.Sprintf("%s.%x.%x.%d.%d.%08x", l.row.ID, d.world.nextID, len(body), status, 0, h.Sum32())
+	j.arrival.Seal = fmt.Sprintf("%s.%x.%x.%d.%d.%08x", inc.row.ID, d.world.nextID, len(body), status, 0, h.Sum32())
 	roll := d.world.rng.Float64()
 	switch {
-	case roll < l.lostShare:
+	case roll < inc.lostShare:
 		j.exchange.failed("reset")
-	case roll < l.lostShare+l.garbledShare:
+	case roll < inc.lostShare+inc.garbledShare:
 		j.exchange.garbled(d.world.rng.IntN(2) == 0)
 	default:
-		j.exchange.responded(l, j.arrival, roll > 1-l.surplusShare)
+		j.exchange.responded(inc, j.arrival, roll > 1-inc.surplusShare)
 	}
 }
 
 // healthCheck waits for a slot, or is turned away, as a request does.
-func (l *incarnation) healthCheck(done func(status int)) {
+func (inc *incarnation) healthCheck(done func(status int)) {
 	switch {
-	case l.running >= l.shape.slots && len(l.queue) >= l.shape.queue, l.draining, l.reportsUnhealthy:
+	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue, inc.draining, inc.reportsUnhealthy:
 		done(503)
 	default:
-		l.day.world.after(1000+l.pauseLeft()+int64(len(l.queue))*5000/int64(l.shape.slots), func() {
-			if l.up {
+		inc.day.world.after(1000+inc.pauseLeft()+int64(len(inc.queue))*5000/int64(inc.shape.slots), func() {
+			if inc.up {
 				done(200)
 			}
 		})
@@ -208,7 +209,7 @@
 
 // responseBody is what a backend of a pool answers to a try: records where answers are gathered, in no order,
 // some of them equal, and a remainder that is no record.
-func (d *day) responseBody(try, pool string, k *requestShape) []byte {
+func (d *day) responseBody(try, pool string, kind *requestShape) []byte {
 	h := fnv.New64a()
 	h.Write([]byte(try))
 	h.Write([]byte(pool))
@@ -219,7 +220,7 @@
 		x ^= x << 17
 		return x
 	}
-	n := k.responseBytes/2 + int(rnd()%uint64(k.responseBytes))
+	n := kind.responseBytes/2 + int(rnd()%uint64(kind.responseBytes))
 	out := make([]byte, 0, n)
 	for len(out)+16 <= n {
 		v := rnd()
@@ -236,45 +237,45 @@
 }
 
 // crash ends a life; dark is without a word.
-func (l *incarnation) crash(dark bool) {
-	if !l.up {
+func (inc *incarnation) crash(dark bool) {
+	if !inc.up {
 		return
 	}
-	d := l.day
-	l.up, l.silent = false, dark
-	l.record.Ended = l.now()
-	d.world.logEvent(l.row.ID + " of " + l.row.Pool + " ends")
-	for _, x := range d.exchangesOf(l) {
+	d := inc.day
+	inc.up, inc.silent = false, dark
+	inc.record.Ended = inc.now()
+	d.world.logEvent(inc.row.ID + " of " + inc.row.Pool + " ends")
+	for _, x := range d.exchangesOf(inc) {
 		if !dark {
 			x.failed("reset")
 		}
 	}
-	l.queue, l.running = nil, 0
+	inc.queue, inc.running = nil, 0
 	b := &d.backends
-	b.free = append(b.free, freeAddr{l.row.Addr, l.row.Zone, l.row.Pool, l.now() + reuseUs})
-	d.world.after(reuseUs, func() { l.silent = l.silent && b.byAddr[l.row.Addr] == l })
-	d.world.after(crashedFor, func() { l.listed = false; b.publish() })
+	b.free = append(b.free, freeAddr{inc.row.Addr, inc.row.Zone, inc.row.Pool, inc.now() + reuseUs})
+	d.world.after(reuseUs, func() { inc.silent = inc.silent && b.byAddr[inc.row.Addr] == inc })
+	d.world.after(crashedFor, func() { inc.listed = false; b.publish() })
 }
 
 // restartSlowStart makes a life cold again.
-func (l *incarnation) restartSlowStart() {
-	l.warmAt = l.now() + warmUpUs
-	l.record.SlowStart = append(l.record.SlowStart, rules.Span{From: l.now(), To: l.warmAt})
+func (inc *incarnation) restartSlowStart() {
+	inc.warmAt = inc.now() + warmUpUs
+	inc.record.SlowStart = append(inc.record.SlowStart, rules.Span{From: inc.now(), To: inc.warmAt})
 }
 
 // drain is the planned end: the list shows it, then the backend serves on for a while.
-func (l *incarnation) drain() {
-	if !l.up || l.draining {
+func (inc *incarnation) drain() {
+	if !inc.up || inc.draining {
 		return
 	}
-	d := l.day
-	l.draining, l.row.State = true, "leaving"
-	l.record.Shown = l.now() + listLagUs
+	d := inc.day
+	inc.draining, inc.row.State = true, "leaving"
+	inc.record.Shown = inc.now() + listLagUs
 	d.backends.publish()
-	d.world.after(listLagUs+d.journal.Bounds.DrainUs+300_000, func() {
-		if l.up {
-			l.crash(false)
-			l.listed = false
+	d.world.after(listLagUs+d.journal.Bounds.DrainUs+300*clock.Millisecond, func() {
+		if inc.up {
+			inc.crash(false)
+			inc.listed = false
 			d.backends.publish()
 		}
 	})
--- a/lab/sim/day_machine_faults.go
+++ b/lab/sim/day_machine_faults.go
@@ -4,9 +4,11 @@
 
 package sim
 
+import "wallport/runtime/clock"
+
 import "slices"
 
-const faultRetryUs = 300_000
+const faultRetryUs = 300 * clock.Millisecond
 
 // faulty tells that a machine counts as lost: it is in trouble or was until a moment ago.
 func (d *day) faulty(m *machine) bool {
@@ -38,8 +40,8 @@
 }
 
 // drawCoreMember picks a counted machine that is well.
-func (d *day) drawCoreMember(e *dayStep) *machine {
-	if m := d.namedMachine(e); m != nil && m.coreMember() && !d.faulty(m) {
+func (d *day) drawCoreMember(step *dayStep) *machine {
+	if m := d.namedMachine(step); m != nil && m.coreMember() && !d.faulty(m) {
 		return m
 	}
 	var well []*machine
@@ -55,19 +57,19 @@
 }
 
 // counted does something to counted machines, as many as are borne, in turn.
-func (d *day) onCoreMember(e *dayStep, f func(m *machine)) {
-	m := d.drawCoreMember(e)
+func (d *day) onCoreMember(step *dayStep, f func(m *machine)) {
+	m := d.drawCoreMember(step)
 	if m == nil || d.toleratedFaults(nil) < 1 {
-		d.world.after(faultRetryUs, func() { d.onCoreMember(e, f) })
+		d.world.after(faultRetryUs, func() { d.onCoreMember(step, f) })
 		return
 	}
-	d.world.Checker.Count("troubled."+e.verb, 1)
+	d.world.Checker.Count("troubled."+step.verb, 1)
 	f(m)
 	d.updateFaultSpans()
 }
 
 // drawOthers draws machines that do not count.
-func (d *day) drawOthers(e *dayStep, n int) (out []*machine) {
+func (d *day) drawOthers(step *dayStep, n int) (out []*machine) {
 	var all []*machine
 	for _, m := range d.machines {
 		if !m.coreMember() && !m.removed && !d.faulty(m) {
@@ -75,113 +77,113 @@
 		}
 	}
 	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	if i := slices.Index(all, d.namedMachine(e)); i > 0 {
+	if i := slices.Index(all, d.namedMachine(step)); i > 0 {
 		all[0], all[i] = all[i], all[0]
 	}
 	return all[:min(n, len(all))]
 }
 
-func (d *day) machineCount(e *dayStep, share float64) int {
-	if e.count > 0 {
-		return e.count
+func (d *day) machineCount(step *dayStep, share float64) int {
+	if step.count > 0 {
+		return step.count
 	}
-	return max(1, int(e.shareOr(share)*float64(len(d.machines))+0.5))
+	return max(1, int(step.shareOr(share)*float64(len(d.machines))+0.5))
 }
 
 // machineFault brings a trouble of machines about.
-func (d *day) machineFault(e *dayStep) bool {
-	switch e.verb {
+func (d *day) machineFault(step *dayStep) bool {
+	switch step.verb {
 	case "node_kill", "node_freeze", "node_slow", "herd_kill":
-		d.strike(e)
+		d.strike(step)
 	case "after_ack_kill", "after_ack_wipe":
-		d.arm(e)
+		d.arm(step)
 	case "reset_conns":
-		d.resetConns(e)
+		d.resetConns(step)
 	case "zone_loss":
-		d.loseZone(e)
+		d.loseZone(step)
 	case "zone_cut":
-		d.partitionZone(e)
+		d.partitionZone(step)
 	case "disk_full", "disk_stall", "disk_slow":
-		d.onCoreMember(e, func(m *machine) { d.recordUnplanned(e.forUs); d.diskFault(e, m) })
+		d.onCoreMember(step, func(m *machine) { d.recordUnplanned(step.forUs); d.diskFault(step, m) })
 	case "clock_step":
-		d.clockFault(e)
+		d.clockFault(step)
 	case "core_cut", "node_cut":
-		d.partitionMachines(e)
+		d.partitionMachines(step)
 	default:
 		return false
 	}
 	return true
 }
 
-func (d *day) strike(e *dayStep) {
+func (d *day) strike(step *dayStep) {
 	hit := func(m *machine) {
 		// It may have waited its turn.
-		d.recordUnplanned(e.forUs)
+		d.recordUnplanned(step.forUs)
 		switch {
-		case e.verb == "node_freeze":
+		case step.verb == "node_freeze":
 			m.freeze(true)
-			d.endFaultAfter(e, m, e.forUs, func() { m.freeze(false) })
-		case e.verb == "node_slow":
-			m.slow(int64(e.factorOr(5) * slowStepUs))
-			d.endFaultAfter(e, m, e.forUs, func() { m.slow(0) })
-		case e.has("power"):
+			d.endFaultAfter(step, m, step.forUs, func() { m.freeze(false) })
+		case step.verb == "node_slow":
+			m.slow(int64(step.factorOr(5) * slowStepUs))
+			d.endFaultAfter(step, m, step.forUs, func() { m.slow(0) })
+		case step.has("power"):
 			m.powerOff()
-			d.endFaultAfter(e, m, e.forUs, m.powerOn)
+			d.endFaultAfter(step, m, step.forUs, m.powerOn)
 		default:
 			m.kill()
-			d.endFaultAfter(e, m, restartUs, m.start)
+			d.endFaultAfter(step, m, restartUs, m.start)
 		}
 	}
 	switch {
-	case e.verb == "herd_kill" && e.has("taken"):
+	case step.verb == "herd_kill" && step.has("taken"):
 		d.armTaken(func(*machine) {
-			d.recordUnplanned(e.forUs)
-			d.eachCoreMember(func(m *machine) { m.powerOff(); d.endFaultAfter(e, m, restartUs, m.powerOn) })
+			d.recordUnplanned(step.forUs)
+			d.eachCoreMember(func(m *machine) { m.powerOff(); d.endFaultAfter(step, m, restartUs, m.powerOn) })
 		})
-	case e.verb == "herd_kill" && e.on == "core":
+	case step.verb == "herd_kill" && step.on == "core":
 		d.eachCoreMember(hit)
-	case e.verb == "herd_kill":
+	case step.verb == "herd_kill":
 		// All processes at the same moment, or a share of them; the core's own are back at once.
 		for _, m := range d.machines {
-			if e.share == 0 || d.world.rng.Float64() < e.share {
+			if step.share == 0 || d.world.rng.Float64() < step.share {
 				hit(m)
 			}
 		}
-	case e.on == "core":
-		for range max(1, e.count) {
-			d.onCoreMember(e, hit)
+	case step.on == "core":
+		for range max(1, step.count) {
+			d.onCoreMember(step, hit)
 		}
 	default:
-		for _, m := range d.drawOthers(e, d.machineCount(e, 0.1)) {
+		for _, m := range d.drawOthers(step, d.machineCount(step, 0.1)) {
 			hit(m)
 		}
 	}
 }
 
 // strikeAfterAck takes the power from the machine that has just acknowledged, a moment later.
-func (d *day) strikeAfterAck(e *dayStep, m *machine) {
+func (d *day) strikeAfterAck(step *dayStep, m *machine) {
 	d.world.after(d.world.rng.Int64N(4000), func() {
 		if d.toleratedFaults(m) < 1 || m.poweredOff || m.draining {
-			d.arm(e)
+			d.arm(step)
 			return
 		}
-		d.recordUnplanned(e.forUs)
-		d.world.Checker.Count("troubled."+e.verb, 1)
-		if e.has("kill") {
+		d.recordUnplanned(step.forUs)
+		d.world.Checker.Count("troubled."+step.verb, 1)
+		if step.has("kill") {
 			m.kill()
-			d.endFaultAfter(e, m, max(restartUs, e.forUs), m.start)
+			d.endFaultAfter(step, m, max(restartUs, step.forUs), m.start)
 			return
 		}
 		m.powerOff()
-		if e.verb == "after_ack_wipe" {
+		if step.verb == "after_ack_wipe" {
 			m.wipe()
 		}
-		d.endFaultAfter(e, m, e.forUs, m.powerOn)
-		d.strikeFurther(e)
+		d.endFaultAfter(step, m, step.forUs, m.powerOn)
+		d.strikeFurther(step)
 	})
 }
 
-func (d *day) diskFault(e *dayStep, m *machine) {
+func (d *day) diskFault(step *dayStep, m *machine) {
 	if m.core.disk == nil {
 		return
 	}
@@ -191,13 +193,13 @@
 		m.recordEvent()
 		d.updateFaultSpans()
 	}
-	switch e.verb {
+	switch step.verb {
 	case "disk_full":
 		set("full", 0)
 	case "disk_stall":
 		set("stalled", 0)
 	default:
-		set("", int64(e.factorOr(20)*float64(d.site.syncUs)))
+		set("", int64(step.factorOr(20)*float64(d.site.syncUs)))
 	}
-	d.endFaultAfter(e, m, e.forUs, func() { set("", 0) })
+	d.endFaultAfter(step, m, step.forUs, func() { set("", 0) })
 }
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -8,10 +8,11 @@
 	"math"
 
 	"wallport/control/replica"
+	"wallport/runtime/clock"
 )
 
 // restartUs is how soon an ended process is started again.
-const restartUs = 250_000
+const restartUs = 250 * clock.Millisecond
 
 type machine struct {
 	day                 *day
@@ -20,11 +21,11 @@
 	node, core          *process
 	poweredOff, removed bool
 	draining            bool
-	skew                int64
+	skew                clock.Micros
 }
 
 type publishedCoreList struct {
-	at    int64
+	at    clock.Micros
 	cores []*machine
 }
 
@@ -180,7 +181,7 @@
 }
 
 // afterGrace is how long after the grace of a planned stop its work still counts as planned.
-const afterGrace = 1_000_000
+const afterGrace = clock.Second
 
 // stop is the planned stop: each process ends by itself, or is killed when the grace is over.
 func (m *machine) stop(then func()) {
@@ -215,12 +216,12 @@
 }
 
 // lastFramesUs is how long the last frames of a core that stops have to leave it.
-const lastFramesUs = 50_000
+const lastFramesUs = 50 * clock.Millisecond
 
 // leaveGroups ends a core once it leads nothing and votes nowhere, or once its time for that is over.
-func (p *process) leaveGroups(until int64) {
+func (p *process) leaveGroups(until clock.Micros) {
 	if !p.replicas.HasLeft() && p.world.now < until {
-		p.deliverAfter(10_000, func() { p.leaveGroups(until) })
+		p.deliverAfter(10*clock.Millisecond, func() { p.leaveGroups(until) })
 		return
 	}
 	p.deliverAfter(lastFramesUs, p.kill)
@@ -230,7 +231,7 @@
 func (m *machine) whenStopped(then func()) {
 	for _, p := range m.processes() {
 		if p.up {
-			m.day.world.after(50_000, func() { m.whenStopped(then) })
+			m.day.world.after(50*clock.Millisecond, func() { m.whenStopped(then) })
 			return
 		}
 	}
--- a/lab/sim/day_partitions.go
+++ b/lab/sim/day_partitions.go
@@ -2,25 +2,27 @@
 
 package sim
 
+import "wallport/runtime/clock"
+
 import "fmt"
 
 // clockFault steps the time of day on some machines, and back.
-func (d *day) clockFault(e *dayStep) {
-	d.recordUnplanned(e.forUs)
-	us := int64(e.factorOr(2000) * 1000)
-	if e.has("back") {
+func (d *day) clockFault(step *dayStep) {
+	d.recordUnplanned(step.forUs)
+	us := int64(step.factorOr(2000) * 1000)
+	if step.has("back") {
 		us = -us
 	}
 	var hit []*machine
-	if m := d.leader(); e.has("leader") && m != nil {
+	if m := d.leader(); step.has("leader") && m != nil {
 		hit = append(hit, m)
 	}
 	for _, m := range d.machines {
-		if d.world.rng.Float64() < e.shareOr(0.3) && (len(hit) == 0 || m != hit[0]) {
+		if d.world.rng.Float64() < step.shareOr(0.3) && (len(hit) == 0 || m != hit[0]) {
 			hit = append(hit, m)
 		}
 	}
-	step := func(us int64) {
+	shift := func(us clock.Micros) {
 		for _, m := range hit {
 			m.skew += us
 			m.recordEvent()
@@ -29,47 +31,47 @@
 			}
 		}
 	}
-	step(us)
-	d.world.after(e.forUs, func() { step(-us) })
+	shift(us)
+	d.world.after(step.forUs, func() { shift(-us) })
 }
 
 // partitionMachines cuts counted machines off from each other, or others from the counted ones.
-func (d *day) partitionMachines(e *dayStep) {
+func (d *day) partitionMachines(step *dayStep) {
 	cut := func(m *machine) {
 		// It may have waited its turn.
-		d.recordUnplanned(e.forUs)
+		d.recordUnplanned(step.forUs)
 		var ways []string
 		for _, c := range d.machines {
 			if c == m || !c.coreMember() {
 				continue
 			}
 			ways = append(ways, m.name+">"+c.name)
-			if !e.has("one_way") {
+			if !step.has("one_way") {
 				ways = append(ways, c.name+">"+m.name)
 			}
 		}
-		d.setPartitioned(ways, true, e.has("reset"))
-		d.setRefused(ways, e.has("refuse"))
+		d.setPartitioned(ways, true, step.has("reset"))
+		d.setRefused(ways, step.has("refuse"))
 		m.recordEvent()
-		d.restartAroundPartition(e, m)
-		d.meetDuring(e, m)
-		d.endFaultAfter(e, m, e.forUs, func() {
+		d.restartAroundPartition(step, m)
+		d.meetDuring(step, m)
+		d.endFaultAfter(step, m, step.forUs, func() {
 			d.setPartitioned(ways, false, false)
 			d.setRefused(ways, false)
 			m.recordEvent()
 			d.updateFaultSpans()
 		})
 	}
-	if e.verb == "core_cut" {
-		d.onCoreMember(e, cut)
+	if step.verb == "core_cut" {
+		d.onCoreMember(step, cut)
 		return
 	}
-	if e.has("servers") {
-		d.recordUnplanned(e.forUs)
-		d.partitionBackends(e)
+	if step.has("servers") {
+		d.recordUnplanned(step.forUs)
+		d.partitionBackends(step)
 		return
 	}
-	for _, m := range d.drawOthers(e, d.machineCount(e, 0.1)) {
+	for _, m := range d.drawOthers(step, d.machineCount(step, 0.1)) {
 		cut(m)
 	}
 }
--- a/lab/sim/day_planned_work.go
+++ b/lab/sim/day_planned_work.go
@@ -8,21 +8,22 @@
 	"slices"
 
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
 var stopping = kernel.Stopping{}
 
 // roll stops machines in turn and starts them again, or not.
-func (d *day) roll(e *dayStep) {
+func (d *day) roll(step *dayStep) {
 	all := append([]*machine(nil), d.machines...)
 	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	n := max(1, int(e.shareOr(1)*float64(len(all))+0.5))
-	e.until = d.world.now + busyWithin*int64(n)
-	d.rollNext(e, all[:min(n, len(all))])
+	n := max(1, int(step.shareOr(1)*float64(len(all))+0.5))
+	step.until = d.world.now + busyWithin*int64(n)
+	d.rollNext(step, all[:min(n, len(all))])
 }
 
-func (d *day) rollNext(e *dayStep, rest []*machine) {
+func (d *day) rollNext(step *dayStep, rest []*machine) {
 	if len(rest) == 0 {
 		return
 	}
@@ -31,23 +32,23 @@
 		if m.removed {
 			rest = rest[1:]
 		}
-		d.world.after(faultRetryUs, func() { d.rollNext(e, rest) })
+		d.world.after(faultRetryUs, func() { d.rollNext(step, rest) })
 		return
 	}
-	if e.has("busy") && len(d.gateways[m.node].requests) == 0 && d.world.now < e.until {
-		d.world.after(1000, func() { d.rollNext(e, rest) })
+	if step.has("busy") && len(d.gateways[m.node].requests) == 0 && d.world.now < step.until {
+		d.world.after(1000, func() { d.rollNext(step, rest) })
 		return
 	}
 	d.world.Checker.Count("rolled", 1)
 	m.stop(func() {
-		if e.has("remove") && !m.coreMember() {
+		if step.has("remove") && !m.coreMember() {
 			m.removed = true
 			return
 		}
-		d.endFaultAfter(e, m, restartUs, m.start)
+		d.endFaultAfter(step, m, restartUs, m.start)
 	})
 	d.updateFaultSpans()
-	d.world.after(e.gapUs, func() { d.rollNext(e, rest[1:]) })
+	d.world.after(step.gapUs, func() { d.rollNext(step, rest[1:]) })
 }
 
 // rotateSeeds names other machines that serve control as seeds; running processes read that too.
@@ -70,31 +71,31 @@
 	for _, m := range d.machines {
 		m.setSeeds(list)
 		for _, p := range m.processes() {
-			p.deliverAfter(d.world.rng.Int64N(1_000_000), func() { p.step(kernel.SeedsChanged{Seeds: append([]string(nil), p.settings.Seeds...)}) })
+			p.deliverAfter(d.world.rng.Int64N(clock.Second), func() { p.step(kernel.SeedsChanged{Seeds: append([]string(nil), p.settings.Seeds...)}) })
 		}
 	}
 }
 
 // replace takes a counted machine away for good and adds an empty one at another address.
-func (d *day) replace(e *dayStep) {
-	d.onCoreMember(e, func(m *machine) {
+func (d *day) replace(step *dayStep) {
+	d.onCoreMember(step, func(m *machine) {
 		add := func() {
 			m.removed = true
 			d.newCore(m)
 		}
 		switch {
-		case e.has("planned"):
+		case step.has("planned"):
 			// The new one comes first, and then the old one is stopped.
 			d.newCore(m)
-			d.world.after(int64(e.factorOr(1)*1e6), func() { m.stop(func() { m.removed = true; d.updateFaultSpans() }) })
+			d.world.after(int64(step.factorOr(1)*1e6), func() { m.stop(func() { m.removed = true; d.updateFaultSpans() }) })
 			return
-		case e.has("term"):
+		case step.has("term"):
 			m.stop(add)
 			return
 		}
-		d.recordUnplanned(e.forUs)
+		d.recordUnplanned(step.forUs)
 		m.powerOff()
-		d.world.after(int64(e.factorOr(1)*1e6), add)
+		d.world.after(int64(step.factorOr(1)*1e6), add)
 	})
 }
 
@@ -110,12 +111,12 @@
 
 // closingWait is how long a closing fault that takes disks waits its turn behind other losses; then
 // it is cut down.
-const closingWait = 4_000_000
+const closingWait = 4 * clock.Second
 
 // closingFault is the fault at a day's end, right after one more change was acknowledged. One that would
 // take more counted machines at once than the deployment bears waits its turn, as all troubles do.
-func (d *day) closingFault(since int64) {
-	o := &d.commands
+func (d *day) closingFault(since clock.Micros) {
+	c := &d.commands
 	wipes := d.world.Script.Text("closing", "") == "wipe_after_ack"
 	if wipes && d.toleratedFaults(nil) < d.site.tolerance[0] && d.world.now-since < closingWait {
 		d.world.after(faultRetryUs, func() { d.closingFault(since) })
@@ -127,16 +128,16 @@
 		d.armTaken(d.strikeAll)
 		return
 	case "timed":
-		o.sentArmed = append(o.sentArmed, func() { d.world.after(d.drawArmedDelay(), func() { d.strikeAll(d.leader()) }) })
+		c.sentArmed = append(c.sentArmed, func() { d.world.after(d.drawArmedDelay(), func() { d.strikeAll(d.leader()) }) })
 	default:
-		o.armed = append(o.armed, func(m *machine) { d.world.after(d.world.rng.Int64N(4000), func() { d.strikeAll(m) }) })
+		c.armed = append(c.armed, func(m *machine) { d.world.after(d.world.rng.Int64N(4000), func() { d.strikeAll(m) }) })
 	}
-	o.change("route")
+	c.change("route")
 }
 
 func (d *day) strikeAll(acked *machine) {
 	w := d.world
-	kind, down := w.Script.Text("closing", "power_off_all"), w.Script.Int("down_ms", 1500)*1000
+	kind, down := w.Script.Text("closing", "power_off_all"), w.Script.Int("down_ms", 1500)*clock.Millisecond
 	d.recordUnplanned(rules.Never - w.now)
 	w.logEvent("closing fault " + kind)
 	w.Checker.Count("closing."+kind, 1)
@@ -175,7 +176,7 @@
 	d.journal.Closing = c
 	w.after(down, func() {
 		for _, m := range on {
-			w.after(w.rng.Int64N(100_000), func() { m.poweredOff = false; m.start(); d.updateFaultSpans() })
+			w.after(w.rng.Int64N(100*clock.Millisecond), func() { m.poweredOff = false; m.start(); d.updateFaultSpans() })
 		}
 	})
 	d.updateFaultSpans()
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -7,17 +7,18 @@
 	"wallport/control/operations"
 	"wallport/control/state"
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
 // confirmedReadUs is how often it is read; the first read is as late.
-const confirmedReadUs = 2_000_000
+const confirmedReadUs = 2 * clock.Second
 
 // readConfirmed reads once and again a while after the answer. A read without one is given up
 // by itself, and the next one begins.
-func (o *commands) readConfirmed() {
-	d := o.day
-	d.world.after(confirmedReadUs, o.readConfirmed)
+func (c *commands) readConfirmed() {
+	d := c.day
+	d.world.after(confirmedReadUs, c.readConfirmed)
 	list := d.listedCores()
 	if len(list) == 0 {
 		return
@@ -30,12 +31,12 @@
 	sent := d.world.now
 	ask := operations.Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: "read"}, Timeout: answerUs}
 	p.deliver(func() {
-		p.call("operate", ask, func(v any) { o.confirmed(sent, v.(operations.Result).Reply) })
+		p.call("operate", ask, func(v any) { c.confirmed(sent, v.(operations.Result).Reply) })
 	})
 }
 
-func (o *commands) confirmed(sent int64, r wire.EditReply) {
-	d := o.day
+func (c *commands) confirmed(sent clock.Micros, r wire.EditReply) {
+	d := c.day
 	if r.Code != "ok" {
 		return
 	}
--- a/lab/sim/day_responses.go
+++ b/lab/sim/day_responses.go
@@ -10,66 +10,66 @@
 )
 
 // responded is the answer's last byte at the client.
-func (c *clients) responded(w *wantedRequest, t *rules.Attempt, k nodeConn, o *dispatch.Outcome) {
+func (c *clients) responded(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, o *dispatch.Outcome) {
 	d := c.day
-	if t.Ended != rules.Never {
+	if attempt.Ended != rules.Never {
 		return
 	}
-	t.Status, t.RetryAfterUs, t.Missing, t.Seals = o.Status, o.RetryAfter, o.Missing, o.Seals
+	attempt.Status, attempt.RetryAfterUs, attempt.Missing, attempt.Seals = o.Status, o.RetryAfter, o.Missing, o.Seals
 	switch {
 	case o.Response != nil:
-		t.Seal, t.Answer = o.Response.Seal, o.Response.Body
+		attempt.Seal, attempt.Answer = o.Response.Seal, o.Response.Body
 	case len(o.Seals) > 0:
-		t.Answer = o.Body
+		attempt.Answer = o.Body
 	default:
-		t.Generated = true
+		attempt.Generated = true
 	}
-	d.world.logEvent(t.Machine + " " + t.ID + " " + t.Class + " " + string(o.Code) + " " + o.Reason)
+	d.world.logEvent(attempt.Machine + " " + attempt.ID + " " + attempt.Class + " " + string(o.Code) + " " + o.Reason)
 	d.world.Checker.Count("outcome."+string(o.Code), 1)
-	if g := d.gateways[k.machine.node]; g != nil && !g.draining && !g.closed && !t.Probe && d.world.rng.IntN(3) > 0 {
-		c.conns[w.client] = k
+	if g := d.gateways[to.machine.node]; g != nil && !g.draining && !g.closed && !attempt.Probe && d.world.rng.IntN(3) > 0 {
+		c.conns[wanted.client] = to
 	} else {
-		delete(c.conns, w.client)
+		delete(c.conns, wanted.client)
 	}
-	c.ended(w, t, false)
+	c.ended(wanted, attempt, false)
 }
 
 // ended is the end of a try; unread tells that the client knows that the node has not read it.
-func (c *clients) ended(w *wantedRequest, t *rules.Attempt, unread bool) {
+func (c *clients) ended(wanted *wantedRequest, attempt *rules.Attempt, unread bool) {
 	d := c.day
-	if t.Ended != rules.Never {
+	if attempt.Ended != rules.Never {
 		return
 	}
-	t.Ended = d.world.now
-	if t.Probe || w.ended {
+	attempt.Ended = d.world.now
+	if attempt.Probe || wanted.ended {
 		return
 	}
-	if t.Served() {
-		w.ended = true
-		c.creditValue(w, t)
+	if attempt.Served() {
+		wanted.ended = true
+		c.creditValue(wanted, attempt)
 		return
 	}
-	if t.Status == 0 {
+	if attempt.Status == 0 {
 		d.world.Checker.Count("outcome.none", 1)
 	}
-	left := w.end - d.world.now
-	again := left > 0 && w.attemptsLeft > 0 && (t.Status == 0 || retried(t.Status))
-	if !t.Repeatable {
-		again = again && (unread || t.Status == 429 || t.Status == 503 || t.Status == 408 || t.Status == 421)
+	left := wanted.end - d.world.now
+	again := left > 0 && wanted.attemptsLeft > 0 && (attempt.Status == 0 || retried(attempt.Status))
+	if !attempt.Repeatable {
+		again = again && (unread || attempt.Status == 429 || attempt.Status == 503 || attempt.Status == 408 || attempt.Status == 421)
 	}
 	if !again {
-		w.ended = true
+		wanted.ended = true
 		d.world.Checker.Count("unserved", 1)
 		return
 	}
-	wait := min(t.RetryAfterUs, left/3)
-	if w.eager {
+	wait := min(attempt.RetryAfterUs, left/3)
+	if wanted.eager {
 		wait = 0
 	}
-	if t.Status == 503 && w.refusedAt == 0 {
-		w.refusedAt = d.world.now
+	if attempt.Status == 503 && wanted.refusedAt == 0 {
+		wanted.refusedAt = d.world.now
 	}
-	d.world.after(wait, func() { c.sendAttempt(w) })
+	d.world.after(wait, func() { c.sendAttempt(wanted) })
 }
 
 // retried tells that a status may be tried again at all.
@@ -82,22 +82,22 @@
 }
 
 // creditValue counts what an answer earns.
-func (c *clients) creditValue(w *wantedRequest, t *rules.Attempt) {
+func (c *clients) creditValue(wanted *wantedRequest, attempt *rules.Attempt) {
 	d := c.day
 	d.world.Checker.Count("served", 1)
-	worth := w.kind.late
-	if d.world.now-w.began <= w.kind.targetUs {
-		worth = w.kind.value
+	worth := wanted.kind.late
+	if d.world.now-wanted.began <= wanted.kind.targetUs {
+		worth = wanted.kind.value
 		d.world.Checker.Count("in_aim", 1)
 	}
-	if n := len(t.Seals); n > 0 {
-		if t.Missing > 0 {
+	if n := len(attempt.Seals); n > 0 {
+		if attempt.Missing > 0 {
 			d.world.Checker.Count("partial", 1)
 		}
-		share := float64(n) / float64(n+t.Missing)
+		share := float64(n) / float64(n+attempt.Missing)
 		worth *= share * share
 	}
-	c.earned[w.kind.name] += worth
+	c.earned[wanted.kind.name] += worth
 }
 
 // sendProbe asks every node that is ready, or gets clients, for routes that were added, removed or never there.
@@ -111,21 +111,21 @@
 	if len(names) == 0 {
 		return
 	}
-	k := d.idleKind()
+	kind := d.idleKind()
 	for _, m := range d.machines {
 		if c.misses[m] > 0 || !m.node.up || m.poweredOff {
 			continue
 		}
 		path := prefixOf(names[d.world.rng.IntN(len(names))])
-		w := &wantedRequest{kind: k, zone: m.zone, client: "probe", began: d.world.now, end: d.world.now + k.deadlineUs, path: path}
+		wanted := &wantedRequest{kind: kind, zone: m.zone, client: "probe", began: d.world.now, end: d.world.now + kind.deadlineUs, path: path}
 		d.world.nextID++
-		t := &rules.Attempt{
+		attempt := &rules.Attempt{
 			ID: idOf(d.world.nextID), Class: "probe", Client: "probe", Zone: m.zone, Machine: m.name, Host: host, Method: "GET", Path: path, Target: path,
-			Repeatable: true, Probe: true, Sent: d.world.now, Ended: rules.Never, Deadline: w.end,
+			Repeatable: true, Probe: true, Sent: d.world.now, Ended: rules.Never, Deadline: wanted.end,
 		}
-		d.journal.Attempts = append(d.journal.Attempts, t)
+		d.journal.Attempts = append(d.journal.Attempts, attempt)
 		d.world.Checker.Count("probes_of_routes", 1)
-		c.connect(w, t, nodeConn{m, m.node.incarnation}, true)
+		c.connect(wanted, attempt, nodeConn{m, m.node.incarnation}, true)
 	}
 }
 
--- a/lab/sim/day_scaling.go
+++ b/lab/sim/day_scaling.go
@@ -3,26 +3,28 @@
 
 package sim
 
+import "wallport/runtime/clock"
+
 // scaled brings about releases, more and fewer backends, and more load.
-func (d *day) scaled(e *dayStep) bool {
-	switch e.verb {
+func (d *day) scaled(step *dayStep) bool {
+	switch step.verb {
 	case "release":
-		d.release(e)
+		d.release(step)
 	case "scale_out":
-		for i, l := range d.some(e, 0.3) {
-			d.world.after(int64(i)*e.gapUs/8, func() {
-				d.backends.start(l.shape, l.row.Pool, l.row.Zone)
+		for i, inc := range d.some(step, 0.3) {
+			d.world.after(int64(i)*step.gapUs/8, func() {
+				d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 				d.backends.publish()
 			})
 		}
 	case "scale_in":
-		d.scaleIn(e)
+		d.scaleIn(step)
 	case "burst":
-		d.clients.burst(e)
+		d.clients.burst(step)
 	case "retry_abuse":
 		c, was := &d.clients, d.clients.eager
-		c.eager, c.eagerRetries = int(100*e.shareOr(0.5)), int(e.factorOr(2))
-		d.world.after(e.forUs, func() { c.eager, c.eagerRetries = was, defaultEagerRetries })
+		c.eager, c.eagerRetries = int(100*step.shareOr(0.5)), int(step.factorOr(2))
+		d.world.after(step.forUs, func() { c.eager, c.eagerRetries = was, defaultEagerRetries })
 	default:
 		return false
 	}
@@ -30,63 +32,63 @@
 }
 
 // some draws a share of all backends, of no pool so many that none is left.
-func (d *day) some(e *dayStep, share float64) []*incarnation {
+func (d *day) some(step *dayStep, share float64) []*incarnation {
 	how := "across"
-	if e.service != "" {
+	if step.service != "" {
 		how = ""
 	}
-	lives := d.drawBackends(&dayStep{service: e.service, how: how, count: e.count}, e.shareOr(share))
-	d.world.Checker.Count("troubled."+e.verb, int64(len(lives)))
+	lives := d.drawBackends(&dayStep{service: step.service, how: how, count: step.count}, step.shareOr(share))
+	d.world.Checker.Count("troubled."+step.verb, int64(len(lives)))
 	return lives
 }
 
 // release replaces backends a few at a time: the new one starts first, then the old one drains.
-func (d *day) release(e *dayStep) {
-	at := max(1, int(e.factorOr(1)))
-	for i, l := range d.some(e, 0.5) {
-		d.world.after(int64(i/at)*e.gapUs, func() {
-			d.backends.start(l.shape, l.row.Pool, l.row.Zone)
+func (d *day) release(step *dayStep) {
+	at := max(1, int(step.factorOr(1)))
+	for i, inc := range d.some(step, 0.5) {
+		d.world.after(int64(i/at)*step.gapUs, func() {
+			d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 			d.backends.publish()
-			d.world.after(warmUpUs, l.drain)
+			d.world.after(warmUpUs, inc.drain)
 		})
 	}
 }
 
 // spotBack is how long after a spot backend's end another one comes.
-const spotBack = 4_000_000
+const spotBack = 4 * clock.Second
 
 // scaleIn lets backends leave; spot ones are gone a moment after the notice.
-func (d *day) scaleIn(e *dayStep) {
-	if e.has("spot") {
-		d.recordUnplanned(int64(e.factorOr(2) * 1e6))
+func (d *day) scaleIn(step *dayStep) {
+	if step.has("spot") {
+		d.recordUnplanned(int64(step.factorOr(2) * 1e6))
 	}
-	for _, l := range d.some(e, 0.15) {
-		l.drain()
-		if !e.has("spot") {
+	for _, inc := range d.some(step, 0.15) {
+		inc.drain()
+		if !step.has("spot") {
 			continue
 		}
-		d.world.after(int64(e.factorOr(2)*1e6), func() { l.crash(false) })
-		d.world.after(int64(e.factorOr(2)*1e6)+spotBack, func() {
-			d.backends.start(l.shape, l.row.Pool, l.row.Zone)
+		d.world.after(int64(step.factorOr(2)*1e6), func() { inc.crash(false) })
+		d.world.after(int64(step.factorOr(2)*1e6)+spotBack, func() {
+			d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 			d.backends.publish()
 		})
 	}
 }
 
 // reuse ends backends for good; their addresses go to another service, and others take their work.
-func (d *day) reuse(e *dayStep) {
-	d.recordUnplanned(e.forUs)
+func (d *day) reuse(step *dayStep) {
+	d.recordUnplanned(step.forUs)
 	b := &d.backends
-	for _, l := range d.some(e, 0.15) {
-		d.backends.start(l.shape, l.row.Pool, l.row.Zone)
+	for _, inc := range d.some(step, 0.15) {
+		d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 		in := reuseUs
-		if e.has("drain") {
-			l.drain()
-			in += listLagUs + int(d.journal.Bounds.DrainUs) + 400_000
+		if step.has("drain") {
+			inc.drain()
+			in += listLagUs + d.journal.Bounds.DrainUs + 400*clock.Millisecond
 		} else {
-			l.crash(e.has("dark"))
+			inc.crash(step.has("dark"))
 		}
-		d.world.after(int64(in)+1000, func() { d.reuseAt(l) })
+		d.world.after(in+clock.Millisecond, func() { d.reuseAt(inc) })
 	}
 	b.publish()
 }
--- a/lab/sim/day_shift.go
+++ b/lab/sim/day_shift.go
@@ -9,15 +9,16 @@
 	"slices"
 
 	"wallport/lab/script"
+	"wallport/runtime/clock"
 )
 
 // shiftedStep marks a step that comes later by the setting shift_ms.
 const shiftedStep = "shifted=yes"
 
 // shift is how much later a step comes than it says.
-func (w *World) shift(st script.Step) int64 {
+func (w *World) shift(st script.Step) clock.Micros {
 	if slices.Contains(st.Args, shiftedStep) {
-		return w.Script.Int("shift_ms", 0) * 1000
+		return w.Script.Int("shift_ms", 0) * clock.Millisecond
 	}
 	return 0
 }
--- a/lab/sim/day_sites.go
+++ b/lab/sim/day_sites.go
@@ -3,6 +3,8 @@
 
 package sim
 
+import "wallport/runtime/clock"
+
 // zoneShape is a zone with its machines; the first of them have a disk.
 type zoneShape struct {
 	name, region    string
@@ -17,7 +19,7 @@
 	perZone       []int
 	slots, queue  int
 	connections   int64
-	pauseUs       int64
+	pauseUs       clock.Micros
 	slowStartPerS float64
 	later         bool
 }
@@ -26,7 +28,7 @@
 type requestShape struct {
 	name, pool, also             string
 	perSecond                    float64
-	workUs, targetUs, deadlineUs int64
+	workUs, targetUs, deadlineUs clock.Micros
 	tailPct                      int
 	value, late                  float64
 	repeatable                   bool
@@ -42,8 +44,8 @@
 	zones     []zoneShape
 	pools     []poolShape
 	kinds     []requestShape
-	syncUs    int64
-	clientUs  int64
+	syncUs    clock.Micros
+	clientUs  clock.Micros
 	allowance float64
 	tolerance [2]int
 	coreShare float64
@@ -63,19 +65,19 @@
 // trustKinds are the requests of a score service, registryKinds those of a register of tenancies.
 func trustKinds() []requestShape {
 	return []requestShape{
-		{name: "score-query", pool: "lookup", also: "catalog", perSecond: 255, workUs: 7500, tailPct: 2, targetUs: 80_000, deadlineUs: 400_000, value: 2, late: 0.6, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
-		{name: "incipit-probe", pool: "lookup", also: "catalog", perSecond: 102, workUs: 2500, tailPct: 2, targetUs: 40_000, deadlineUs: 250_000, value: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
-		{name: "part-fetch", pool: "engrave", also: "archive", perSecond: 153, workUs: 60_000, targetUs: 250_000, deadlineUs: 1_500_000, value: 3, late: 0.3, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
-		{name: "credits-lookup", pool: "engrave", also: "archive", perSecond: 25.5, workUs: 60_000, targetUs: 250_000, deadlineUs: 1_500_000, value: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
+		{name: "score-query", pool: "lookup", also: "catalog", perSecond: 255, workUs: 7500, tailPct: 2, targetUs: 80 * clock.Millisecond, deadlineUs: 400 * clock.Millisecond, value: 2, late: 0.6, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
+		{name: "incipit-probe", pool: "lookup", also: "catalog", perSecond: 102, workUs: 2500, tailPct: 2, targetUs: 40 * clock.Millisecond, deadlineUs: 250 * clock.Millisecond, value: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
+		{name: "part-fetch", pool: "engrave", also: "archive", perSecond: 153, workUs: 60 * clock.Millisecond, targetUs: 250 * clock.Millisecond, deadlineUs: 1500 * clock.Millisecond, value: 3, late: 0.3, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
+		{name: "credits-lookup", pool: "engrave", also: "archive", perSecond: 25.5, workUs: 60 * clock.Millisecond, targetUs: 250 * clock.Millisecond, deadlineUs: 1500 * clock.Millisecond, value: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
 	}
 }
 
 func registryKinds() []requestShape {
 	return []requestShape{
-		{name: "full-screen", pool: "screening", also: "portal", perSecond: 255, workUs: 15_000, tailPct: 2, targetUs: 120_000, deadlineUs: 1_200_000, value: 2, late: 1, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
-		{name: "quick-check", pool: "screening", also: "portal", perSecond: 102, workUs: 5000, tailPct: 2, targetUs: 60_000, deadlineUs: 600_000, value: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
-		{name: "record-fix", pool: "dispute", also: "notices", perSecond: 153, workUs: 120_000, targetUs: 500_000, deadlineUs: 5_000_000, value: 3, late: 0.5, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
-		{name: "file-view", pool: "dispute", also: "notices", perSecond: 25.5, workUs: 120_000, targetUs: 500_000, deadlineUs: 5_000_000, value: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
+		{name: "full-screen", pool: "screening", also: "portal", perSecond: 255, workUs: 15 * clock.Millisecond, tailPct: 2, targetUs: 120 * clock.Millisecond, deadlineUs: 1200 * clock.Millisecond, value: 2, late: 1, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
+		{name: "quick-check", pool: "screening", also: "portal", perSecond: 102, workUs: 5000, tailPct: 2, targetUs: 60 * clock.Millisecond, deadlineUs: 600 * clock.Millisecond, value: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
+		{name: "record-fix", pool: "dispute", also: "notices", perSecond: 153, workUs: 120 * clock.Millisecond, targetUs: 500 * clock.Millisecond, deadlineUs: 5 * clock.Second, value: 3, late: 0.5, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
+		{name: "file-view", pool: "dispute", also: "notices", perSecond: 25.5, workUs: 120 * clock.Millisecond, targetUs: 500 * clock.Millisecond, deadlineUs: 5 * clock.Second, value: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
 	}
 }
 
@@ -84,7 +86,7 @@
 		zones: []zoneShape{
 			{"z1", "r1", 3, 1, 122}, {"z2", "r1", 3, 1, 119}, {"z3", "r1", 3, 1, 151}, {"z4", "r1", 2, 1, 144},
 		},
-		pools: append(shards("lookup", "catalog", 4, 6, 2, 69, 40_000, 1, 1, 1, 1),
+		pools: append(shards("lookup", "catalog", 4, 6, 2, 69, 40*clock.Millisecond, 1, 1, 1, 1),
 			single("engrave", 6, 110, 1, 1, 1, 1), single("archive", 6, 110, 1, 1, 1, 1)),
 		kinds: trustKinds(), syncUs: 2000, clientUs: 3000, allowance: 62, tolerance: [2]int{1, 1}, coreShare: 0.08,
 	}
@@ -93,7 +95,7 @@
 func registrySite() siteShape {
 	return siteShape{
 		zones: []zoneShape{{"z1", "r1", 4, 1, 180}, {"z2", "r1", 3, 1, 180}, {"z3", "r1", 3, 1, 175}},
-		pools: append(shards("screening", "portal", 4, 6, 3, 80, 48_000, 2, 1, 1),
+		pools: append(shards("screening", "portal", 4, 6, 3, 80, 48*clock.Millisecond, 2, 1, 1),
 			single("dispute", 3, 120, 7, 6, 6), single("notices", 3, 120, 3, 3, 3)),
 		kinds: registryKinds(), syncUs: 5000, clientUs: 1000, allowance: 60, tolerance: [2]int{1, 1}, coreShare: 0.08,
 	}
--- a/lab/sim/day_verbs.go
+++ b/lab/sim/day_verbs.go
@@ -12,21 +12,22 @@
 
 	"wallport/lab/rules"
 	"wallport/lab/script"
+	"wallport/runtime/clock"
 )
 
 // dayStep is one step with its arguments.
 type dayStep struct {
 	verb, service, zone, on, how string
 	toZone, class                string
-	forUs, gapUs                 int64
+	forUs, gapUs                 clock.Micros
 	share, factor                float64
 	count                        int
 	// until is when planned work no longer waits for its moment.
-	until int64
+	until clock.Micros
 }
 
 func parseDayStep(st script.Step) (e dayStep, err error) {
-	e = dayStep{verb: st.Verb, forUs: 5_000_000, gapUs: 1_000_000, service: ""}
+	e = dayStep{verb: st.Verb, forUs: 5 * clock.Second, gapUs: clock.Second, service: ""}
 	for _, a := range st.Args {
 		k, v, ok := strings.Cut(a, "=")
 		if !ok {
@@ -71,77 +72,77 @@
 	return e, nil
 }
 
-func (e *dayStep) has(word string) bool { return strings.Contains(" "+e.how+" ", " "+word+" ") }
+func (step *dayStep) has(word string) bool { return strings.Contains(" "+step.how+" ", " "+word+" ") }
 
 // modes are the words of how.
-func (e *dayStep) modes() []string { return strings.Fields(e.how) }
+func (step *dayStep) modes() []string { return strings.Fields(step.how) }
 
-func (e *dayStep) shareOr(v float64) float64 {
-	if e.share > 0 {
-		return e.share
+func (step *dayStep) shareOr(v float64) float64 {
+	if step.share > 0 {
+		return step.share
 	}
 	return v
 }
 
-func (e *dayStep) factorOr(v float64) float64 {
-	if e.factor > 0 {
-		return e.factor
+func (step *dayStep) factorOr(v float64) float64 {
+	if step.factor > 0 {
+		return step.factor
 	}
 	return v
 }
 
 // plannedWork is work that operators and the platform bring about.
-func (d *day) plannedWork(e *dayStep) bool {
-	o := &d.commands
-	switch e.verb {
+func (d *day) plannedWork(step *dayStep) bool {
+	c := &d.commands
+	switch step.verb {
 	case "config_change":
-		o.change(e.how)
+		c.change(step.how)
 	case "config_storm":
-		n := e.count
+		n := step.count
 		if n == 0 {
-			n = int(e.forUs / e.gapUs)
+			n = int(step.forUs / step.gapUs)
 		}
 		for i := range n {
 			how := []string{"idle", "route", "timeout", "weights", "idle", "invalid"}[i%6]
-			d.world.after(int64(i)*e.gapUs, func() { o.change(how) })
+			d.world.after(int64(i)*step.gapUs, func() { c.change(how) })
 		}
 	case "config_race":
-		for i := range max(1, e.count) {
-			d.world.after(int64(i)*e.gapUs, func() { o.race(max(2, int(e.factor))) })
+		for i := range max(1, step.count) {
+			d.world.after(int64(i)*step.gapUs, func() { c.race(max(2, int(step.factor))) })
 		}
 	case "bad_config":
-		o.sendBad(e)
+		c.sendBad(step)
 	case "ack_lost":
-		o.loseAcks(e)
+		c.loseAcks(step)
 	case "resend":
-		o.resend(max(1, e.count))
+		c.resend(max(1, step.count))
 	case "hup":
-		d.rereadSettings(e)
+		d.rereadSettings(step)
 	case "reshard":
-		d.reshard(int64(e.factorOr(3) * 1e6))
+		d.reshard(int64(step.factorOr(3) * 1e6))
 	case "evacuate":
-		o.evacuate(e.zone, true)
+		c.evacuate(step.zone, true)
 	case "take_back":
-		for _, l := range d.backends.of("*") {
+		for _, inc := range d.backends.of("*") {
 			// The zone's backends have turned cold shortly before.
-			if l.row.Zone == e.zone && !e.has("warm") {
-				l.restartSlowStart()
+			if inc.row.Zone == step.zone && !step.has("warm") {
+				inc.restartSlowStart()
 			}
 		}
 		d.backends.publish()
-		o.evacuate(e.zone, false)
+		c.evacuate(step.zone, false)
 	case "drain":
-		d.drainSome(e)
+		d.drainSome(step)
 	case "roll_term":
-		d.roll(e)
+		d.roll(step)
 	case "seed_turnover":
 		d.rotateSeeds()
 	case "replace_core":
-		d.replace(e)
+		d.replace(step)
 	case "rate":
-		d.clients.rate *= e.factorOr(1)
+		d.clients.rate *= step.factorOr(1)
 	default:
-		return d.scaled(e) || d.commandFault(e)
+		return d.scaled(step) || d.commandFault(step)
 	}
 	return true
 }
@@ -167,7 +168,7 @@
 	}
 	wait := int64(0)
 	if e.has("race") || e.has("meet") {
-		wait = d.world.rng.Int64N(25_000)
+		wait = d.world.rng.Int64N(25 * clock.Millisecond)
 	}
 	d.world.after(wait, func() {
 		if !d.backendFault(&e) && !d.machineFault(&e) {
@@ -178,30 +179,30 @@
 }
 
 // recordUnplanned notes an unplanned trouble for a while.
-func (d *day) recordUnplanned(forUs int64) {
+func (d *day) recordUnplanned(forUs clock.Micros) {
 	t := &d.journal.Faults
 	t.Unplanned = append(t.Unplanned, rules.Span{From: d.world.now, To: d.world.now + forUs})
 }
 
 // recordPlanned notes planned work for a while.
-func (d *day) recordPlanned(forUs int64) {
+func (d *day) recordPlanned(forUs clock.Micros) {
 	t := &d.journal.Faults
 	t.Planned = append(t.Planned, rules.Span{From: d.world.now, To: d.world.now + forUs})
 }
 
 // drainSome lets backends leave in order, each replaced by a new one.
-func (d *day) drainSome(e *dayStep) {
-	all := d.backends.of(orAll(e.service))
-	if e.zone != "" {
-		all = slices.DeleteFunc(all, func(l *incarnation) bool { return l.row.Zone != e.zone })
+func (d *day) drainSome(step *dayStep) {
+	all := d.backends.of(orAll(step.service))
+	if step.zone != "" {
+		all = slices.DeleteFunc(all, func(inc *incarnation) bool { return inc.row.Zone != step.zone })
 	}
-	n := max(1, e.count, int(e.share*float64(len(all))))
+	n := max(1, step.count, int(step.share*float64(len(all))))
 	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	for i, l := range all[:min(n, len(all))] {
-		d.world.after(int64(i)*e.gapUs/4, func() {
-			if l.up {
-				d.backends.start(l.shape, l.row.Pool, l.row.Zone)
-				l.drain()
+	for i, inc := range all[:min(n, len(all))] {
+		d.world.after(int64(i)*step.gapUs/4, func() {
+			if inc.up {
+				d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
+				inc.drain()
 			}
 		})
 	}
--- a/lab/sim/day_zones.go
+++ b/lab/sim/day_zones.go
@@ -2,12 +2,14 @@
 
 package sim
 
+import "wallport/runtime/clock"
+
 import "slices"
 
 // drawZone is the zone that an entry names, or one by lot.
-func (d *day) drawZone(e *dayStep) string {
-	if e.zone != "" {
-		return e.zone
+func (d *day) drawZone(step *dayStep) string {
+	if step.zone != "" {
+		return step.zone
 	}
 	return d.site.zones[d.world.rng.IntN(len(d.site.zones))].name
 }
@@ -29,51 +31,51 @@
 }
 
 // onZone does something to a zone once it may be lost.
-func (d *day) onZone(e *dayStep, f func(zone string)) {
-	zone := d.drawZone(e)
+func (d *day) onZone(step *dayStep, f func(zone string)) {
+	zone := d.drawZone(step)
 	if !d.toleratesZoneLoss(zone) {
-		d.world.after(faultRetryUs, func() { d.onZone(e, f) })
+		d.world.after(faultRetryUs, func() { d.onZone(step, f) })
 		return
 	}
-	d.recordUnplanned(e.forUs)
-	d.world.Checker.Count("troubled."+e.verb, 1)
+	d.recordUnplanned(step.forUs)
+	d.world.Checker.Count("troubled."+step.verb, 1)
 	f(zone)
 	d.updateFaultSpans()
 }
 
 // zoneBackWithin is how far apart a zone's machines and backends come back.
-const zoneBackWithin = 1_500_000
+const zoneBackWithin = 1500 * clock.Millisecond
 
 // loseZone takes the power from a zone's machines and backends.
-func (d *day) loseZone(e *dayStep) {
-	d.onZone(e, func(zone string) {
+func (d *day) loseZone(step *dayStep) {
+	d.onZone(step, func(zone string) {
 		for _, m := range d.machines {
 			if m.zone == zone && !m.removed && !m.poweredOff {
 				m.powerOff()
-				d.endFaultAfter(e, m, e.forUs+d.world.rng.Int64N(zoneBackWithin), m.powerOn)
+				d.endFaultAfter(step, m, step.forUs+d.world.rng.Int64N(zoneBackWithin), m.powerOn)
 			}
 		}
-		d.downZone(zone, e.forUs, true)
+		d.downZone(zone, step.forUs, true)
 	})
 }
 
 // downZone ends a zone's backends; they come back together, cold.
-func (d *day) downZone(zone string, forUs int64, dark bool) {
-	for _, l := range d.backends.of("*") {
-		if l.row.Zone != zone {
+func (d *day) downZone(zone string, forUs clock.Micros, dark bool) {
+	for _, inc := range d.backends.of("*") {
+		if inc.row.Zone != zone {
 			continue
 		}
-		l.crash(dark)
+		inc.crash(dark)
 		d.world.after(forUs+d.world.rng.Int64N(zoneBackWithin), func() {
-			d.backends.start(l.shape, l.row.Pool, zone)
+			d.backends.start(inc.shape, inc.row.Pool, zone)
 			d.backends.publish()
 		})
 	}
 }
 
 // partitionZone cuts a zone off from the others; clients still reach it.
-func (d *day) partitionZone(e *dayStep) {
-	d.onZone(e, func(zone string) {
+func (d *day) partitionZone(step *dayStep) {
+	d.onZone(step, func(zone string) {
 		d.zonePartitions[zone] = true
 		events := func() {
 			for _, m := range d.machines {
@@ -82,49 +84,49 @@
 				}
 			}
 		}
-		if e.has("reset") {
+		if step.has("reset") {
 			d.world.net.closePartitioned()
 		}
 		events()
 		first := slices.IndexFunc(d.machines, func(m *machine) bool { return m.coreMember() && m.zone == zone })
 		end := func() { delete(d.zonePartitions, zone); events() }
 		if first < 0 {
-			d.world.after(e.forUs, func() { end(); d.updateFaultSpans() })
+			d.world.after(step.forUs, func() { end(); d.updateFaultSpans() })
 			return
 		}
-		d.meetDuring(e, d.machines[first])
-		d.endFaultAfter(e, d.machines[first], e.forUs, end)
+		d.meetDuring(step, d.machines[first])
+		d.endFaultAfter(step, d.machines[first], step.forUs, end)
 	})
 }
 
 // partitionBackends cuts backends off from all machines.
-func (d *day) partitionBackends(e *dayStep) {
-	lives := d.drawBackends(&dayStep{how: "across"}, e.shareOr(0.1))
+func (d *day) partitionBackends(step *dayStep) {
+	lives := d.drawBackends(&dayStep{how: "across"}, step.shareOr(0.1))
 	d.world.Checker.Count("troubled.node_cut", int64(len(lives)))
-	for _, l := range lives {
-		l.unreachable = true
+	for _, inc := range lives {
+		inc.unreachable = true
 	}
-	d.world.after(e.forUs, func() {
-		for _, l := range lives {
-			l.unreachable = false
+	d.world.after(step.forUs, func() {
+		for _, inc := range lives {
+			inc.unreachable = false
 		}
 	})
 }
 
 // unreachable tells that nothing gets from a machine to a backend.
-func (d *day) unreachable(m *machine, l *incarnation) bool {
-	return l.unreachable || d.zonesPartitioned(m.zone, l.row.Zone)
+func (d *day) unreachable(m *machine, inc *incarnation) bool {
+	return inc.unreachable || d.zonesPartitioned(m.zone, inc.row.Zone)
 }
 
 // whenReachable does something once the way between a machine and a backend is open; what waits too long is lost.
-func (d *day) whenReachable(m *machine, l *incarnation, since int64, f func(held bool)) {
+func (d *day) whenReachable(m *machine, inc *incarnation, since clock.Micros, f func(held bool)) {
 	switch {
-	case !d.unreachable(m, l):
+	case !d.unreachable(m, inc):
 		f(d.world.now-since > partitionRetryUs)
 	case d.world.now-since < stallTimeout:
-		d.world.after(partitionRetryUs, func() { d.whenReachable(m, l, since, f) })
+		d.world.after(partitionRetryUs, func() { d.whenReachable(m, inc, since, f) })
 	}
 }
 
 // partitionRetryUs is how often what a cut holds up tries again.
-const partitionRetryUs = 100_000
+const partitionRetryUs = 100 * clock.Millisecond
--- a/lab/sim/judge_healing.go
+++ b/lab/sim/judge_healing.go
@@ -7,6 +7,7 @@
 import (
 	"wallport/control/state"
 	"wallport/request/search"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -14,10 +15,10 @@
 
 const notHealed = "not_healed"
 
-func (w *World) healedFrom() int64 { return w.Script.Int("healed_from_us", 0) }
+func (w *World) healedFrom() clock.Micros { return w.Script.Int("healed_from_us", 0) }
 
 // countHealed counts an inquiry that came after the time by which all is well again.
-func (w *World) countHealed(o *search.Outcome, sent int64) {
+func (w *World) countHealed(o *search.Outcome, sent clock.Micros) {
 	if from := w.healedFrom(); from == 0 || sent < from {
 		return
 	}
