--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -10,9 +10,10 @@
 
 	"wallport/lab/check"
 	"wallport/request/search"
+	"wallport/runtime/clock"
 )
 
-func (c *callers) checkOutcome(p *process, in *search.Request, o *search.Outcome, sent int64, planned bool) {
+func (c *callers) checkOutcome(p *process, in *search.Request, o *search.Outcome, sent clock.Micros, planned bool) {
 	w := c.world
 	if o == nil {
 		w.Checker.Count("outcome.cut", 1)
--- a/lab/sim/measure_growth.go
+++ b/lab/sim/measure_growth.go
@@ -10,6 +10,7 @@
 
 	"wallport/cluster/mesh"
 	"wallport/lab/script"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
@@ -36,7 +37,7 @@
 // Phase is one stretch of the run.
 type Phase struct {
 	Name       string
-	From, To   int64
+	From, To   clock.Micros
 	Node, Core Rates
 	// CPU is the processor time that this program spent on the phase, in cores for each
 	// process: a measurement of this machine, not a count that repeats.
@@ -49,43 +50,43 @@
 	Phases []Phase
 	// InForceUs is, for each change, from its acknowledgement by the owner of the
 	// configuration until every node has it in force.
-	InForceUs []int64
+	InForceUs []clock.Micros
 	// LostUs is from a node's end until no other node takes it for live; MetUs from a
 	// node's start until every other takes it for live.
-	LostUs, MetUs int64
+	LostUs, MetUs clock.Micros
 	// ReadyUs is from the first start until every node may serve.
-	ReadyUs int64
+	ReadyUs clock.Micros
 }
 
 // Grow simulates a fleet without requests.
 func Grow(g Growth) (Grown, error) {
-	end := int64(76_000_000)
+	end := int64(76 * clock.Second)
 	if g.Brief {
-		end = 30_000_000
+		end = 30 * clock.Second
 	}
 	s, err := script.Parse("growth", fmt.Sprintf("set shape trust\nset nodes %d\nset cores %d\nset per_shard %d\nset seconds %d\nset rate 0\n",
-		g.Nodes, g.Cores, max(1, g.Servers/4), end/1_000_000))
+		g.Nodes, g.Cores, max(1, g.Servers/4), end/clock.Second))
 	if err != nil {
 		return Grown{}, err
 	}
 	w := New(s, g.Seed)
 	r := Grown{Growth: g, LostUs: -1, MetUs: -1, ReadyUs: -1}
-	w.measurePhase(&r, "start", 0, 20_000_000)
-	w.measurePhase(&r, "rest", 20_000_000, 30_000_000)
+	w.measurePhase(&r, "start", 0, 20*clock.Second)
+	w.measurePhase(&r, "rest", 20*clock.Second, 30*clock.Second)
 	w.recordDelay(0, func() bool { return len(w.platform.ready()) == g.Nodes }, &r.ReadyUs)
 	if !g.Brief {
-		w.measurePhase(&r, "changes", 30_000_000, 40_000_000)
+		w.measurePhase(&r, "changes", 30*clock.Second, 40*clock.Second)
 		for i := range int64(5) {
-			w.at(30_000_000+i*2_000_000, func() { w.timeChange(&r.InForceUs) })
+			w.at(30*clock.Second+i*2*clock.Second, func() { w.timeChange(&r.InForceUs) })
 		}
 		last := fmt.Sprintf("node-%d", g.Nodes-1)
-		w.measurePhase(&r, "loss", 42_000_000, 52_000_000)
-		w.at(42_000_000, func() {
+		w.measurePhase(&r, "loss", 42*clock.Second, 52*clock.Second)
+		w.at(42*clock.Second, func() {
 			w.applyProcessVerb("kill", w.processes[last])
 			w.recordDelay(w.now, func() bool { return w.nodesSeeingLive(last) == 0 }, &r.LostUs)
 		})
-		w.measurePhase(&r, "join", 60_000_000, 75_000_000)
-		w.at(60_000_000, func() {
+		w.measurePhase(&r, "join", 60*clock.Second, 75*clock.Second)
+		w.at(60*clock.Second, func() {
 			w.applyProcessVerb("restart", w.processes[last])
 			w.recordDelay(w.now, func() bool { return w.nodesSeeingLive(last) == g.Nodes-1 }, &r.MetUs)
 		})
@@ -98,12 +99,12 @@
 }
 
 // recordDelay notes how long after from something became true.
-func (w *World) recordDelay(from int64, ok func() bool, us *int64) {
+func (w *World) recordDelay(from clock.Micros, ok func() bool, us *clock.Micros) {
 	if ok() {
 		*us = w.now - from
 		return
 	}
-	w.after(20_000, func() { w.recordDelay(from, ok, us) })
+	w.after(20*clock.Millisecond, func() { w.recordDelay(from, ok, us) })
 }
 
 // nodesSeeingLive counts the other nodes that take a node for live.
@@ -122,7 +123,7 @@
 }
 
 // measurePhase measures from one moment to another.
-func (w *World) measurePhase(r *Grown, name string, from, to int64) {
+func (w *World) measurePhase(r *Grown, name string, from, to clock.Micros) {
 	var was map[string]Traffic
 	var peakIn, peakOut map[string]int64
 	var cpu float64
@@ -142,11 +143,11 @@
 }
 
 // measurePeakSeconds looks for the busiest second of each process.
-func (w *World) measurePeakSeconds(to int64, was map[string]Traffic, in, out map[string]int64) {
-	if w.now+1_000_000 > to {
+func (w *World) measurePeakSeconds(to clock.Micros, was map[string]Traffic, in, out map[string]int64) {
+	if w.now+clock.Second > to {
 		return
 	}
-	w.after(1_000_000, func() {
+	w.after(clock.Second, func() {
 		now := w.traffic()
 		for name, t := range now {
 			in[name] = max(in[name], sum(t.In).Bytes-sum(was[name].In).Bytes)
--- a/lab/sim/measure_scale.go
+++ b/lab/sim/measure_scale.go
@@ -8,6 +8,7 @@
 	"fmt"
 
 	"wallport/lab/script"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -17,9 +18,9 @@
 	RestPerNode  float64
 	BytesPerNode float64
 	ChangeFrames float64
-	MedianUs     int64
-	WorstUs      int64
-	HealUs       int64
+	MedianUs     clock.Micros
+	WorstUs      clock.Micros
+	HealUs       clock.Micros
 }
 
 // Scale measures a fleet of so many nodes.
@@ -34,25 +35,25 @@
 	procs := float64(nodes + w.Shape.Cores)
 	var frames, bytes int64
 	var took []int64
-	w.at(20_000_000, func() { frames, bytes = w.net.frames, w.net.bytes })
-	w.at(30_000_000, func() {
+	w.at(20*clock.Second, func() { frames, bytes = w.net.frames, w.net.bytes })
+	w.at(30*clock.Second, func() {
 		r.RestPerNode = float64(w.net.frames-frames) / procs / 10
 		r.BytesPerNode = float64(w.net.bytes-bytes) / procs / 10
 	})
 	const changes = 10
 	for i := range changes {
-		w.at(30_000_000+int64(i)*2_000_000, func() { w.timeChange(&took) })
+		w.at(30*clock.Second+int64(i)*2*clock.Second, func() { w.timeChange(&took) })
 	}
 	var entries int64
-	w.at(30_000_000, func() { entries = w.net.partitionFrames })
+	w.at(30*clock.Second, func() { entries = w.net.partitionFrames })
 	w.at(30_000_000+changes*2_000_000, func() { r.ChangeFrames = float64(w.net.partitionFrames-entries) / changes })
 	// Half of the fleet is cut off for 20 s, changes go on, and the cut heals.
 	half := w.halves()
-	w.at(52_000_000, func() { w.net.setBlocked(half, w.names, true, true); w.net.setBlocked(half, half, true, false) })
-	w.at(53_000_000, func() { w.operators.put(w.processes["core-0"].peerNode(), w.operators.current(), "put", 0, nil) })
-	w.at(72_000_000, func() {
+	w.at(52*clock.Second, func() { w.net.setBlocked(half, w.names, true, true); w.net.setBlocked(half, half, true, false) })
+	w.at(53*clock.Second, func() { w.operators.put(w.processes["core-0"].peerNode(), w.operators.current(), "put", 0, nil) })
+	w.at(72*clock.Second, func() {
 		w.net.setBlocked(half, w.names, true, false)
-		w.awaitAgreement(w.now, func(us int64) { r.HealUs = us })
+		w.awaitAgreement(w.now, func(us clock.Micros) { r.HealUs = us })
 	})
 	w.Run()
 	if len(took) < changes/2 {
@@ -80,17 +81,17 @@
 func (p *process) peerNode() *process { return p.world.processes["node-0"] }
 
 // timeChange sends one change and notes how long until every node has it in force.
-func (w *World) timeChange(took *[]int64) {
+func (w *World) timeChange(took *[]clock.Micros) {
 	began := w.now
 	w.operators.put(w.processes["node-0"], w.operators.current(), "put", 0, func(code string) {
 		if code == "ok" {
-			w.awaitAgreement(began, func(us int64) { *took = append(*took, us) })
+			w.awaitAgreement(began, func(us clock.Micros) { *took = append(*took, us) })
 		}
 	})
 }
 
 // awaitAgreement waits until all nodes agree on the newest sheet.
-func (w *World) awaitAgreement(began int64, done func(us int64)) {
+func (w *World) awaitAgreement(began clock.Micros, done func(us int64)) {
 	var newest wire.Version
 	all := true
 	for _, name := range w.names {
@@ -109,7 +110,7 @@
 		done(w.now - began)
 		return
 	}
-	w.after(2_000, func() { w.awaitAgreement(began, done) })
+	w.after(2*clock.Millisecond, func() { w.awaitAgreement(began, done) })
 }
 
 func (n *network) count(l *link, data []byte) {
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -11,11 +11,12 @@
 	"wallport/lab/check"
 	"wallport/lab/fleet"
 	"wallport/lab/script"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
 type event struct {
-	at  int64
+	at  clock.Micros
 	seq uint64
 	run func()
 }
@@ -46,7 +47,7 @@
 	Checker *check.Checker
 	Trace   func(at int64, text string)
 
-	now             int64
+	now             clock.Micros
 	seq             uint64
 	queue           events
 	rng             *rand.Rand
@@ -61,8 +62,8 @@
 	operators       operators
 	callers         callers
 	shardMaps       map[string]int
-	lostAt          int64
-	restoredAt      int64
+	lostAt          clock.Micros
+	restoredAt      clock.Micros
 	nextID          uint64
 	seeds           []string
 	digest          uint64
@@ -101,7 +102,7 @@
 	return w
 }
 
-func (w *World) after(d int64, f func()) { w.at(w.now+max(d, 0), f) }
+func (w *World) after(d clock.Micros, f func()) { w.at(w.now+max(d, 0), f) }
 
 func (w *World) at(t int64, f func()) {
 	w.seq++
@@ -125,7 +126,7 @@
 // Run plays the whole scenario.
 func (w *World) Run() {
 	w.build()
-	end := w.Script.Int("seconds", 30) * 1_000_000
+	end := w.Script.Int("seconds", 30) * clock.Second
 	if w.day != nil {
 		end = w.day.end()
 	}
@@ -161,20 +162,20 @@
 	w.addOtherServers()
 	w.platform.publish()
 	for _, name := range w.names {
-		w.after(w.rng.Int64N(200_000), func() { w.processes[name].start() })
+		w.after(w.rng.Int64N(200*clock.Millisecond), func() { w.processes[name].start() })
 	}
 	for _, st := range w.Script.Steps {
 		w.at(st.At, func() { w.runStep(st) })
 	}
 	w.operators.putFirst()
-	w.at(w.Script.Int("callers_from_us", 10_000_000), w.checkLimits)
+	w.at(w.Script.Int("callers_from_us", 10*clock.Second), w.checkLimits)
 	w.callers.begin()
-	w.after(100_000, w.sample)
+	w.after(100*clock.Millisecond, w.sample)
 }
 
 // sample looks ten times a second at what every node has in force.
 func (w *World) sample() {
-	w.after(100_000, w.sample)
+	w.after(100*clock.Millisecond, w.sample)
 	w.updateReachability()
 	w.recordUnservedShards()
 	for _, name := range w.names {
@@ -197,7 +198,7 @@
 }
 
 // reachableSince is from when a node has been up, awake and not cut off; -1 if it is not.
-func (w *World) reachableSince(p *process) int64 {
+func (w *World) reachableSince(p *process) clock.Micros {
 	if p.isolated || p.frozen {
 		return -1
 	}
--- a/lab/sim/world_bookings.go
+++ b/lab/sim/world_bookings.go
@@ -12,11 +12,12 @@
 	"wallport/control/operations"
 	"wallport/control/state"
 	"wallport/lab/check"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
 type booking struct {
-	from, to int64
+	from, to clock.Micros
 	kind     string
 	slice    int64
 }
@@ -26,7 +27,7 @@
 	w := o.world
 	row, _ := json.Marshal(map[string]any{
 		"id": id, "index": w.Shape.Index, "kind": kind, "slice": slice,
-		"starts_us": fmt.Sprint(epoch + from*1_000_000), "ends_us": fmt.Sprint(epoch + to*1_000_000),
+		"starts_us": fmt.Sprint(epoch + from*clock.Second), "ends_us": fmt.Sprint(epoch + to*clock.Second),
 	})
 	body, _ := json.Marshal([]config.RowEdit{{Op: "set", Table: "bookings", Row: row}})
 	// Other edits go on meanwhile; the row is this operator's alone, so none of them is in its way.
@@ -34,7 +35,7 @@
 		w.logEvent("booking " + id + " " + code)
 		w.Checker.Count("bookings."+code, 1)
 		if code == "ok" {
-			b := booking{from * 1_000_000, to * 1_000_000, kind, slice}
+			b := booking{from * clock.Second, to * clock.Second, kind, slice}
 			o.bookings[id] = b
 			w.at(b.from, w.checkLimits)
 			w.at(b.to, w.checkLimits)
@@ -44,7 +45,7 @@
 }
 
 // checkBookings looks at what a reachable node has running.
-func (w *World) checkBookings(p *process, running []string, since int64) {
+func (w *World) checkBookings(p *process, running []string, since clock.Micros) {
 	if since < 0 || w.now-since < check.ConfigWithin {
 		return
 	}
--- a/lab/sim/world_callers.go
+++ b/lab/sim/world_callers.go
@@ -9,6 +9,7 @@
 	"wallport/control/config"
 	"wallport/lab/records"
 	"wallport/request/search"
+	"wallport/runtime/clock"
 )
 
 type callers struct {
@@ -28,7 +29,7 @@
 	sends   map[string]int
 	refused map[string]bool
 	open    int
-	until   int64
+	until   clock.Micros
 }
 
 func (c *callers) init(w *World) {
@@ -36,17 +37,17 @@
 	c.skew, c.mix = w.Script.Int("skew", 0), []int64{8, 2, 1, 1}
 	c.repeatSearches, c.attempted = w.Script.Int("repeat_searches", 0), map[string]bool{}
 	c.sends, c.refused = map[string]int{}, map[string]bool{}
-	c.until = w.Script.Int("seconds", 30)*1_000_000 - w.Shape.Most - 1_000_000
+	c.until = w.Script.Int("seconds", 30)*clock.Second - w.Shape.Most - clock.Second
 }
 
 func (c *callers) begin() {
-	c.world.at(c.world.Script.Int("callers_from_us", 10_000_000), func() { c.next() })
+	c.world.at(c.world.Script.Int("callers_from_us", 10*clock.Second), func() { c.next() })
 	c.refreshReady()
 }
 
 // refreshReady learns three times a second which nodes are ready.
 func (c *callers) refreshReady() {
-	c.world.after(300_000, c.refreshReady)
+	c.world.after(300*clock.Millisecond, c.refreshReady)
 	if r := c.world.platform.ready(); len(r) > 0 {
 		c.ready = r
 	}
@@ -56,7 +57,7 @@
 	if c.world.now >= c.until || c.rate <= 0 {
 		return
 	}
-	gap := 1_000_000 / c.rate
+	gap := clock.Second / c.rate
 	c.world.after(gap/2+c.world.rng.Int64N(gap+1), c.next)
 	if len(c.ready) == 0 {
 		c.world.Checker.Count("callers_without_node", 1)
@@ -99,13 +100,13 @@
 	c.open++
 	repeat := in
 	repeat.FirstAttempt = false
-	again := func(d int64) {
+	again := func(d clock.Micros) {
 		if attempts > 1 {
 			w.after(d, func() { c.send(repeat, attempts-1, eager) })
 		}
 	}
 	if eager {
-		again(w.rng.Int64N(c.world.Script.Int("eager_us", 300_000)))
+		again(w.rng.Int64N(c.world.Script.Int("eager_us", 300*clock.Millisecond)))
 	}
 	life := p.incarnation
 	w.after(w.net.latency(), func() {
@@ -114,7 +115,7 @@
 			w.Checker.Count("callers_refused_connection", 1)
 			if in.Key != "" && w.now < c.until {
 				// No one was there to read it: try until someone is.
-				w.after(200_000+w.rng.Int64N(600_000), func() { c.send(in, attempts, eager) })
+				w.after(200*clock.Millisecond+w.rng.Int64N(600*clock.Millisecond), func() { c.send(in, attempts, eager) })
 			}
 			return
 		}
@@ -130,7 +131,7 @@
 				// Cut off without a word: every caller repeats that.
 				w.after(500_000, func() { c.send(repeat, max(attempts, 12), false) })
 			case !eager && (o == nil || o.Code != search.CodeOK):
-				again(500_000)
+				again(500 * clock.Millisecond)
 			}
 		})
 	})
--- a/lab/sim/world_disk.go
+++ b/lab/sim/world_disk.go
@@ -4,6 +4,7 @@
 package sim
 
 import (
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
@@ -13,10 +14,10 @@
 	queue      []kernel.Write
 	busy       bool
 	mode       string
-	extraDelay int64
+	extraDelay clock.Micros
 	fsyncs     int64
 	// syncTime is what a sync takes at least; 0 stands for the stand-ins' own.
-	syncTime int64
+	syncTime clock.Micros
 	// powerOffAfter is the file after whose answer the power goes.
 	powerOffAfter string
 }
@@ -62,7 +63,7 @@
 func (d *disk) complete() {
 	if d.mode == "stalled" {
 		life := d.process.incarnation
-		d.process.world.after(20_000, func() {
+		d.process.world.after(20*clock.Millisecond, func() {
 			if d.process.incarnation == life {
 				d.complete()
 			}
--- a/lab/sim/world_machines.go
+++ b/lab/sim/world_machines.go
@@ -3,6 +3,8 @@
 
 package sim
 
+import "wallport/runtime/clock"
+
 // startShardMap starts the servers of a new cut, cold.
 func (w *World) startShardMap(cut string, shards, per int) {
 	for i := range shards * per {
@@ -29,7 +31,7 @@
 		}
 	}
 	for _, name := range w.names {
-		w.after(w.rng.Int64N(400_000), func() { w.applyProcessVerb("restart", w.processes[name]) })
+		w.after(w.rng.Int64N(400*clock.Millisecond), func() { w.applyProcessVerb("restart", w.processes[name]) })
 	}
 }
 
--- a/lab/sim/world_network.go
+++ b/lab/sim/world_network.go
@@ -9,6 +9,7 @@
 
 	"github.com/tinylib/msgp/msgp"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -24,7 +25,7 @@
 	mesh        bool
 	addr        string
 	closed      bool
-	lastArrival [2]int64
+	lastArrival [2]clock.Micros
 }
 
 type network struct {
@@ -34,7 +35,7 @@
 	direct           map[string]*link
 	blocked          map[string]bool
 	isolated         map[string]bool
-	extraDelay       int64
+	extraDelay       clock.Micros
 	duplicatePercent int64
 	// Counted for measurements: frames and bytes on mesh channels, and those that carry a part's version.
 	frames, bytes, partitionFrames int64
@@ -46,7 +47,7 @@
 }
 
 // Stalled is how long a channel survives a cut: its writer's patience.
-const stallTimeout = 5_000_000
+const stallTimeout = 5 * clock.Second
 
 // partitioned reports whether nothing gets from a to b. One that is alone reaches no other
 // process, later ones included; platform and servers it does.
@@ -60,12 +61,12 @@
 	return a != b && (n.isolated[a] || n.isolated[b]) && n.world.processes[a] != nil && n.world.processes[b] != nil
 }
 
-func (n *network) latency() int64 { return 150 + n.world.rng.Int64N(600) + n.extraDelay }
+func (n *network) latency() clock.Micros { return 150 + n.world.rng.Int64N(600) + n.extraDelay }
 
 // dial opens a channel; then gets the frames that waited for it.
 func (n *network) dial(p *process, addr string, mesh bool, then func(l *link)) {
 	w := n.world
-	fail := func(d int64) {
+	fail := func(d clock.Micros) {
 		p.deliverAfter(d, func() {
 			if mesh {
 				p.step(kernel.ConnDown{Addr: addr, Mesh: true})
@@ -84,7 +85,7 @@
 		return
 	}
 	if q.frozen {
-		fail(2_000_000)
+		fail(2 * clock.Second)
 		return
 	}
 	plife, qlife := p.incarnation, q.incarnation
@@ -155,7 +156,7 @@
 	}
 }
 
-func (n *network) arrive(l *link, i int, data []byte, since int64) {
+func (n *network) arrive(l *link, i int, data []byte, since clock.Micros) {
 	if l.closed || n.muted(l, data) {
 		return
 	}
@@ -168,7 +169,7 @@
 			n.closeLink(l)
 			return
 		}
-		n.world.after(100_000, func() { n.arrive(l, i, data, since) })
+		n.world.after(100*clock.Millisecond, func() { n.arrive(l, i, data, since) })
 		return
 	}
 	if !to.process.up || to.process.incarnation != to.incarnation {
@@ -251,11 +252,11 @@
 }
 
 // partitionDialDelay is how soon a dial over a cut fails: at once where the cut refuses connections.
-func (n *network) partitionDialDelay(p, q *process) int64 {
+func (n *network) partitionDialDelay(p, q *process) clock.Micros {
 	if p.machine != nil && n.world.day.refusedLinks[p.machine.name+">"+q.machine.name] {
 		return n.latency()
 	}
-	return 1_000_000
+	return clock.Second
 }
 
 // reset ends a share of a machine's channels at once.
--- a/lab/sim/world_operators.go
+++ b/lab/sim/world_operators.go
@@ -13,6 +13,7 @@
 	"wallport/control/operations"
 	"wallport/control/state"
 	"wallport/lab/check"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -76,7 +77,7 @@
 
 // putFirst puts the first sheet and cut, as soon as someone takes them.
 func (o *operators) putFirst() {
-	o.world.after(100_000, func() {
+	o.world.after(100*clock.Millisecond, func() {
 		p := o.pickNode()
 		if p == nil || p.snapshots.Current() == nil || p.snapshots.Current().Version.Term == 0 {
 			o.putFirst()
@@ -153,12 +154,12 @@
 func (o *operators) race(n int, kind string) {
 	base := o.current()
 	for range n {
-		o.world.after(o.world.rng.Int64N(60_000), func() { o.put(o.pickNode(), base, kind, 0, nil) })
+		o.world.after(o.world.rng.Int64N(60*clock.Millisecond), func() { o.put(o.pickNode(), base, kind, 0, nil) })
 	}
 }
 
 // storm sends edits one after another, each based on what is in force then.
-func (o *operators) storm(n int, every int64) {
+func (o *operators) storm(n int, every clock.Micros) {
 	for i := range n {
 		o.world.after(int64(i)*every, func() {
 			kind := []string{"put", "rows", "put", "invalid"}[i%4]
@@ -173,7 +174,7 @@
 	o.mark++
 	mark := o.mark
 	o.put(o.pickNode(), base, "put", mark, nil)
-	o.world.after(200_000, func() { o.put(o.pickNode(), base, "put", mark, nil) })
+	o.world.after(200*clock.Millisecond, func() { o.put(o.pickNode(), base, "put", mark, nil) })
 }
 
 // sendUntil sends an edit through one node after another, as an operator does who
@@ -182,9 +183,9 @@
 	w := o.world
 	p := o.pickNode()
 	answered := false
-	again := func(d int64) { w.after(d, func() { o.sendUntil(make, ended) }) }
+	again := func(d clock.Micros) { w.after(d, func() { o.sendUntil(make, ended) }) }
 	if p == nil {
-		again(200_000)
+		again(200 * clock.Millisecond)
 		return
 	}
 	p.deliver(func() {
@@ -207,7 +208,7 @@
 }
 
 // operatorTimeout is how long an operator waits for a node's answer before asking another.
-const operatorTimeout = 1_500_000
+const operatorTimeout = 1500 * clock.Millisecond
 
 func (o *operators) setZone(action, zone string) {
 	w := o.world
--- a/lab/sim/world_platform.go
+++ b/lab/sim/world_platform.go
@@ -6,11 +6,12 @@
 import (
 	"encoding/json"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
 type publishedList struct {
-	at   int64
+	at   clock.Micros
 	list wire.BackendList
 }
 
@@ -18,13 +19,13 @@
 	world     *World
 	published []publishedList
 	calls     []int64
-	lag       int64
+	lag       clock.Micros
 	callLimit int64
 	mode      string
 }
 
 func (p *platform) init(w *World) {
-	p.world, p.lag, p.callLimit = w, w.Script.Int("lag_us", 300_000), w.Script.Int("allowed_per_10s", 20)
+	p.world, p.lag, p.callLimit = w, w.Script.Int("lag_us", 300*clock.Millisecond), w.Script.Int("allowed_per_10s", 20)
 }
 
 // publish makes the platform know the servers as they are now; it shows them after its lag.
@@ -44,7 +45,7 @@
 
 func (p *platform) serveList() (int, []byte) {
 	now := p.world.now
-	for len(p.calls) > 0 && now-p.calls[0] > 10_000_000 {
+	for len(p.calls) > 0 && now-p.calls[0] > 10*clock.Second {
 		p.calls = p.calls[1:]
 	}
 	p.world.Checker.Count("platform_calls", 1)
--- a/lab/sim/world_power.go
+++ b/lab/sim/world_power.go
@@ -9,6 +9,7 @@
 	"maps"
 
 	"wallport/lab/script"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
@@ -59,7 +60,7 @@
 		d.queue, d.busy = nil, false
 		p.kill()
 	})
-	world.after(1_500_000, func() { world.applyProcessVerb("restart", p) })
+	world.after(1500*clock.Millisecond, func() { world.applyProcessVerb("restart", p) })
 }
 
 // PowerScripts makes a scenario into one for each step of each write that a run of it makes.
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -16,6 +16,7 @@
 	_ "wallport/request/idempotency"
 	"wallport/request/search"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 )
@@ -23,7 +24,7 @@
 func coreAddr(i int) string { return fmt.Sprintf("10.0.1.%d:4001", i+1) }
 func nodeAddr(i int) string { return fmt.Sprintf("10.0.2.%d:4001", i+1) }
 
-const epoch = int64(1_700_000_000_000_000)
+const epoch = int64(1700000000 * clock.Second)
 
 type process struct {
 	world       *World
@@ -34,13 +35,13 @@
 	incarnation int
 	up          bool
 	frozen      bool
-	frozenAt    int64
+	frozenAt    clock.Micros
 	isolated    bool
-	reachedAt   int64
-	isolatedAt  int64
+	reachedAt   clock.Micros
+	isolatedAt  clock.Micros
 	replaced    bool
-	startedAt   int64
-	skew        int64
+	startedAt   clock.Micros
+	skew        clock.Micros
 	kernel      *kernel.Kernel
 	snapshots   *snapshot.Table
 	replicas    *replica.Host
@@ -52,15 +53,15 @@
 	nextCall    uint64
 	draining    bool
 	// stopDeadline is when a core that drains ends though it is still a voter.
-	stopDeadline       int64
+	stopDeadline       clock.Micros
 	restartWhenStopped bool
 	// traffic counts what the process sent, received and stepped.
 	traffic Traffic
 	// freezeAt is the state of an inquiry at which this node freezes.
 	freezeAt  search.State
-	freezeFor int64
+	freezeFor clock.Micros
 	// inputDelay is what each input takes of a process that is slowed down, 0 otherwise; busyUntil is when it is done.
-	inputDelay, busyUntil int64
+	inputDelay, busyUntil clock.Micros
 	// machine is where the process stands on a day.
 	machine *machine
 }
@@ -87,7 +88,7 @@
 // running tells that the process is up and not frozen.
 func (p *process) running() bool { return p.up && !p.frozen }
 
-func (p *process) now() int64 { return p.world.now - p.startedAt }
+func (p *process) now() clock.Micros { return p.world.now - p.startedAt }
 
 func (p *process) start() {
 	if p.up {
@@ -160,7 +161,7 @@
 	gap := p.world.now - p.frozenAt
 	p.reachedAt = p.world.now
 	p.world.logEvent(p.name + " thaws")
-	if gap > 1_000_000 {
+	if gap > clock.Second {
 		p.step(kernel.Thawed{Gap: gap})
 	}
 	waiting := p.waiting
@@ -196,7 +197,7 @@
 }
 
 // deliverAfter feeds f after a while.
-func (p *process) deliverAfter(d int64, f func()) {
+func (p *process) deliverAfter(d clock.Micros, f func()) {
 	life := p.incarnation
 	p.world.after(d, func() {
 		if p.incarnation == life {
@@ -263,7 +264,7 @@
 func (p *process) endWhenIdle() {
 	leaving := p.replicas != nil && !p.replicas.HasLeft() && p.world.now < p.stopDeadline
 	if leaving || p.frontend != nil && len(p.frontend.requests) > 0 {
-		p.deliverAfter(20_000, p.endWhenIdle)
+		p.deliverAfter(20*clock.Millisecond, p.endWhenIdle)
 		return
 	}
 	p.kill()
--- a/lab/sim/world_reachability.go
+++ b/lab/sim/world_reachability.go
@@ -11,6 +11,7 @@
 	"slices"
 
 	"wallport/request/search"
+	"wallport/runtime/clock"
 )
 
 // updateReachability works out both after every step and ten times a second.
@@ -55,7 +56,7 @@
 }
 
 // updateMajoritySince keeps from when a majority of the disk machines that fit has been up, well and connected.
-func (w *World) updateMajoritySince(at *int64, fits func(p *process) bool) {
+func (w *World) updateMajoritySince(at *clock.Micros, fits func(p *process) bool) {
 	cores := w.connectedGroups(w.names, func(p *process) bool { return p.role == "core" && p.running() && p.disk.mode == "" && fits(p) })
 	in, all := 0, 0
 	most := largestGroup(cores, func(string) int { return 1 })
@@ -133,7 +134,7 @@
 }
 
 // unservedWindow is how long nodes may take to see that a shard is served again.
-const unservedWindow = 3_000_000
+const unservedWindow = 3 * clock.Second
 
 type shardKey struct {
 	index         string
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -11,6 +11,7 @@
 	"wallport/lab/records"
 	"wallport/request/healthcheck"
 	"wallport/request/search"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -20,17 +21,17 @@
 	row                 wire.Backend
 	shards              int
 	up                  bool
-	born                int64
+	born                clock.Micros
 	incarnation         int
 	reportedIncarnation int64
 	mode                string
-	slowUs              int64
+	slowUs              clock.Micros
 	running             int64
-	serviceUs           int64
+	serviceUs           clock.Micros
 }
 
 // slowStartUs is how long the sheet of the stand-ins lets a cold server ramp.
-const slowStartUs = 3_000_000
+const slowStartUs = 3 * clock.Second
 
 func (w *World) addServer(row wire.Backend, shards int) *server {
 	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(w.servers)/200, len(w.servers)%200)
@@ -61,7 +62,7 @@
 		return
 	}
 	done := false
-	answer := func(d int64, r kernel.Fetched) {
+	answer := func(d clock.Micros, r kernel.Fetched) {
 		r.Plugin, r.Key = f.Plugin, f.Key
 		p.deliverAfter(d, func() {
 			if !done {
@@ -141,7 +142,7 @@
 	})
 }
 
-func (s *server) drawServiceTime() int64 {
+func (s *server) drawServiceTime() clock.Micros {
 	us := s.serviceUs + s.world.rng.Int64N(s.serviceUs)
 	if s.mode == "slow" || s.mode == "pause" {
 		us = s.slowUs + s.world.rng.Int64N(s.slowUs/4+1)
--- a/lab/sim/world_verbs.go
+++ b/lab/sim/world_verbs.go
@@ -9,6 +9,7 @@
 
 	"wallport/lab/script"
 	"wallport/request/search"
+	"wallport/runtime/clock"
 )
 
 func parseInt(s string) int64 {
@@ -44,7 +45,7 @@
 		}
 	case "clock":
 		for _, name := range w.match(arg(0)) {
-			w.processes[name].skew += parseInt(arg(1)) * 1_000_000
+			w.processes[name].skew += parseInt(arg(1)) * clock.Second
 		}
 	case "isolate", "heal":
 		for _, n := range st.Args {
@@ -102,7 +103,7 @@
 	case "freeze-at":
 		// Freezes a node as soon as an inquiry there reaches a state, for so many milliseconds.
 		p := w.processes[arg(0)]
-		p.freezeAt, p.freezeFor = search.State(arg(1)), parseInt(arg(2))*1000
+		p.freezeAt, p.freezeFor = search.State(arg(1)), parseInt(arg(2))*clock.Millisecond
 	case "rate", "skew", "mix", "limits":
 		w.applyLoadVerb(st.Verb, st.Args)
 	case "lose-all":
@@ -195,7 +196,7 @@
 	w.net.isolated[name] = on
 }
 
-func (w *World) setServerMode(s *server, mode string, us int64) {
+func (w *World) setServerMode(s *server, mode string, us clock.Micros) {
 	switch mode {
 	case "kill":
 		s.kill()
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -17,6 +17,7 @@
 
 	"wallport/lab/rules"
 	"wallport/platform"
+	"wallport/runtime/clock"
 )
 
 // requestKind is a kind of request: its route's path and what clients expect of it.
@@ -107,14 +108,14 @@
 func (c *clients) request(k requestKind) {
 	deadline := time.Now().Add(k.deadline)
 	for n := 0; n <= retriesMost && time.Until(deadline) > 20*time.Millisecond; n++ {
-		t := c.sendAttempt(k, c.names[rand.IntN(len(c.names))], n, deadline)
-		if t.Served() || t.GaveUp {
+		attempt := c.sendAttempt(k, c.names[rand.IntN(len(c.names))], n, deadline)
+		if attempt.Served() || attempt.GaveUp {
 			return
 		}
-		if !k.repeatable && !promisesNotRun(t.Status) && t.Read > 0 {
+		if !k.repeatable && !promisesNotRun(attempt.Status) && attempt.Read > 0 {
 			return
 		}
-		pause := min(time.Duration(t.RetryAfterUs)*time.Microsecond, time.Until(deadline)/3)
+		pause := min(time.Duration(attempt.RetryAfterUs)*time.Microsecond, time.Until(deadline)/3)
 		time.Sleep(max(pause, 5*time.Millisecond))
 	}
 }
@@ -135,77 +136,77 @@
 	c.next++
 	id := fmt.Sprintf("t%06d", c.next)
 	c.mu.Unlock()
-	t := &rules.Attempt{
+	attempt := &rules.Attempt{
 		ID: id, Class: k.name, Machine: machine, Host: siteHost, Method: k.method, Path: k.path + id, Target: k.path + id + "?q=" + id,
 		Repeatable: k.repeatable, Sent: c.journal.now(), Ended: rules.Never, Deadline: c.journal.now() + time.Until(deadline).Microseconds(), Further: n > 0,
 	}
 	if k.bodyBytes > 0 {
-		t.Body = bytes.Repeat([]byte(id), k.bodyBytes/len(id))
+		attempt.Body = bytes.Repeat([]byte(id), k.bodyBytes/len(id))
 	}
-	c.journal.with(func() { c.journal.Attempts = append(c.journal.Attempts, t) })
-	return t
+	c.journal.with(func() { c.journal.Attempts = append(c.journal.Attempts, attempt) })
+	return attempt
 }
 
 // sendAttempt sends a request once. What is noted while it is under way is noted under the journal's lock.
 func (c *clients) sendAttempt(k requestKind, machine string, n int, deadline time.Time) *rules.Attempt {
-	t := c.newAttempt(k, machine, n, deadline)
-	conn := c.connect(t, n == 0, deadline)
+	attempt := c.newAttempt(k, machine, n, deadline)
+	conn := c.connect(attempt, n == 0, deadline)
 	if conn == nil {
-		c.end(t, func() {})
-		return t
+		c.end(attempt, func() {})
+		return attempt
 	}
 	conn.conn.SetDeadline(deadline)
 	leaves := rand.Float64() < abandonShare
 	if leaves {
 		early := time.AfterFunc(time.Duration(rand.Int64N(int64(k.deadline/8))), func() {
-			c.journal.with(func() { t.GaveUp = t.Ended == rules.Never })
+			c.journal.with(func() { attempt.GaveUp = attempt.Ended == rules.Never })
 			conn.conn.Close()
 		})
 		defer early.Stop()
 	}
-	err := send(conn.conn, request(t, time.Until(deadline)), rand.Float64() < slowShare)
+	err := send(conn.conn, request(attempt, time.Until(deadline)), rand.Float64() < slowShare)
 	if err != nil {
 		conn.conn.Close()
-		c.end(t, func() {})
-		return t
+		c.end(attempt, func() {})
+		return attempt
 	}
-	c.journal.with(func() { t.Read = max(1, c.journal.now()) })
+	c.journal.with(func() { attempt.Read = max(1, c.journal.now()) })
 	resp, body, err := receive(conn.r, k.method)
 	switch {
 	case err != nil:
 		conn.conn.Close()
 		late := time.Now().After(deadline)
-		c.end(t, func() { t.GaveUp = t.GaveUp || late; t.Aborted = !t.GaveUp })
+		c.end(attempt, func() { attempt.GaveUp = attempt.GaveUp || late; attempt.Aborted = !attempt.GaveUp })
 	default:
-		c.end(t, func() { recordResponse(t, resp, body) })
-		c.releaseConn(t.Machine, conn, resp)
+		c.end(attempt, func() { recordResponse(attempt, resp, body) })
+		c.releaseConn(attempt.Machine, conn, resp)
 	}
-	return t
+	return attempt
 }
 
-func (c *clients) end(t *rules.Attempt, f func()) {
+func (c *clients) end(attempt *rules.Attempt, f func()) {
 	at := c.journal.now()
-	c.journal.with(func() { f(); t.Ended = at })
+	c.journal.with(func() { f(); attempt.Ended = at })
 }
 
 // recordResponse notes an answer.
-func recordResponse(t *rules.Attempt, resp *http.Response, body []byte) {
-	t.Status, t.Answer, t.Seal = resp.StatusCode, body, resp.Header.Get(platform.HeaderSeal)
-	t.Seals = splitSeals(resp.Header.Values(platform.HeaderPartSeals))
-	t.Missing, _ = strconv.Atoi(resp.Header.Get(platform.HeaderMissing))
-	t.Generated = t.Seal == "" && len(t.Seals) == 0
+func recordResponse(attempt *rules.Attempt, resp *http.Response, body []byte) {
+	attempt.Status, attempt.Answer, attempt.Seal = resp.StatusCode, body, resp.Header.Get(platform.HeaderSeal)
+	attempt.Seals = splitSeals(resp.Header.Values(platform.HeaderPartSeals))
+	attempt.Missing, _ = strconv.Atoi(resp.Header.Get(platform.HeaderMissing))
+	attempt.Generated = attempt.Seal == "" && len(attempt.Seals) == 0
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		t.RetryAfterUs = int64(s * second)
+		attempt.RetryAfterUs = clock.Micros(s * float64(clock.Second))
 	}
 }
 
 // connect takes up a kept connection, or makes a new one.
-func (c *clients) connect(t *rules.Attempt, mayKeep bool, deadline time.Time) *idleConn {
+func (c *clients) connect(attempt *rules.Attempt, mayKeep bool, deadline time.Time) *idleConn {
 	if mayKeep && rand.Float64() < keepShare {
 		c.mu.Lock()
-		for all := c.idleConns[t.Machine]; len(all) > 0; all = c.idleConns[t.Machine] {
+		for all := c.idleConns[attempt.Machine]; len(all) > 0; all = c.idleConns[attempt.Machine] {
 			k := all[len(all)-1]
-			c.idleConns[t.Machine] = all[:len(all)-1]
+			c.idleConns[attempt.Machine] = all[:len(all)-1]
 			if time.Since(k.used) < idleMost {
 				c.mu.Unlock()
 				return k
@@ -214,7 +215,7 @@
 		}
 		c.mu.Unlock()
 	}
-	conn, err := net.DialTimeout("tcp", c.to[t.Machine], min(connectMost, time.Until(deadline)))
+	conn, err := net.DialTimeout("tcp", c.to[attempt.Machine], min(connectMost, time.Until(deadline)))
 	if err != nil {
 		return nil
 	}
--- a/lab/soak/evacuations.go
+++ b/lab/soak/evacuations.go
@@ -8,14 +8,15 @@
 	"time"
 
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 )
 
 // evacuate drains a zone for a while and takes it back.
 func (o *operators) evacuate(ctx context.Context, zone string, lasts time.Duration) {
 	order := &rules.Evacuation{Zone: zone, Sent: o.journal.now(), Acked: rules.Never, RestoreSent: rules.Never, RestoreAcked: rules.Never}
 	o.journal.with(func() { o.journal.Evacuations = append(o.journal.Evacuations, order) })
-	note := func(at *int64) func(int64) {
-		return func(now int64) {
+	note := func(at *clock.Micros) func(int64) {
+		return func(now clock.Micros) {
 			o.journal.with(func() {
 				if *at == 0 {
 					*at = now
--- a/lab/soak/exchange.go
+++ b/lab/soak/exchange.go
@@ -17,14 +17,14 @@
 )
 
 // request is a try's text.
-func request(t *rules.Attempt, left time.Duration) []byte {
+func request(attempt *rules.Attempt, left time.Duration) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", t.Method, t.Target, t.Host, platform.HeaderAttempt, t.ID, platform.HeaderBudget, left.Milliseconds())
-	if len(t.Body) > 0 {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(t.Body))
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", attempt.Method, attempt.Target, attempt.Host, platform.HeaderAttempt, attempt.ID, platform.HeaderBudget, left.Milliseconds())
+	if len(attempt.Body) > 0 {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(attempt.Body))
 	}
 	b.WriteString("\r\n")
-	b.Write(t.Body)
+	b.Write(attempt.Body)
 	return b.Bytes()
 }
 
--- a/lab/soak/healing.go
+++ b/lab/soak/healing.go
@@ -146,7 +146,7 @@
 // serves waits until a machine answers a request of a kind with a success.
 func (r *run) serves(ctx context.Context, k requestKind, machine int) bool {
 	for ctx.Err() == nil {
-		if t := r.clients.attemptAt(k, machineName(machine)); t.Served() {
+		if attempt := r.clients.attemptAt(k, machineName(machine)); attempt.Served() {
 			return true
 		}
 		sleep(ctx, 50*time.Millisecond)
--- a/lab/soak/journal.go
+++ b/lab/soak/journal.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 )
 
 // journal gathers what is seen, from any thread.
@@ -70,7 +71,7 @@
 }
 
 // setSpan begins a stretch, or ends the newest one that is open.
-func setSpan(s *rules.Spans, at int64, begins bool) {
+func setSpan(s *rules.Spans, at clock.Micros, begins bool) {
 	if begins {
 		*s = append(*s, rules.Span{From: at, To: rules.Never})
 		return
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -17,6 +17,7 @@
 
 	"wallport/api/routingpb"
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 )
 
 // operators send the orders of a run.
@@ -144,23 +145,23 @@
 	if patch {
 		method = http.MethodPatch
 	}
-	v := &rules.Version{Revision: revision, Base: base, Sent: o.journal.now(), Acked: rules.Never, Refused: rules.Never, Invalid: invalid, Alone: alone}
-	v.Table = applied(before, body, base, patch)
-	o.journal.with(func() { o.journal.Versions = append(o.journal.Versions, v) })
-	r := o.sendUntilFinal(ctx, method, configPath, strconv.FormatInt(base, 10), body, func(at int64) {
+	version := &rules.Version{Revision: revision, Base: base, Sent: o.journal.now(), Acked: rules.Never, Refused: rules.Never, Invalid: invalid, Alone: alone}
+	version.Table = applied(before, body, base, patch)
+	o.journal.with(func() { o.journal.Versions = append(o.journal.Versions, version) })
+	r := o.sendUntilFinal(ctx, method, configPath, strconv.FormatInt(base, 10), body, func(at clock.Micros) {
 		o.journal.with(func() {
-			if v.FirstAcked == 0 {
-				v.FirstAcked = at
+			if version.FirstAcked == 0 {
+				version.FirstAcked = at
 			}
 		})
 	})
 	at := o.journal.now()
 	switch r.status {
 	case 200:
-		o.journal.with(func() { v.Acked = at })
+		o.journal.with(func() { version.Acked = at })
 		o.mu.Lock()
 		if revision > o.newestRevision {
-			o.newestRevision, o.table = revision, v.Table
+			o.newestRevision, o.table = revision, version.Table
 		}
 		o.mu.Unlock()
 	case 0:
@@ -168,7 +169,7 @@
 		o.unclear = true
 		o.mu.Unlock()
 	default:
-		o.journal.with(func() { v.Refused = at })
+		o.journal.with(func() { version.Refused = at })
 	}
 }
 
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -12,6 +12,7 @@
 	"strings"
 
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 )
 
 // Report is what a run came to.
@@ -45,7 +46,7 @@
 		r.nameMachines()
 		r.journal.Check()
 		for _, f := range r.journal.Findings {
-			text := fmt.Sprintf("%s at %.3f s: %s (%d in all)", f.Rule, float64(f.At)/second, f.Text, r.journal.Broken[f.Rule])
+			text := fmt.Sprintf("%s at %.3f s: %s (%d in all)", f.Rule, float64(f.At)/float64(clock.Second), f.Text, r.journal.Broken[f.Rule])
 			switch {
 			case strings.Contains(f.Text, undecidedMark):
 				out.Undecided = append(out.Undecided, text)
@@ -57,13 +58,13 @@
 		}
 		out.Tested = r.journal.Tested
 		out.Requests, out.Arrivals, out.Changes = len(r.journal.Attempts), len(r.journal.Arrivals), len(r.journal.Versions)
-		for _, t := range r.journal.Attempts {
-			if t.Served() {
+		for _, attempt := range r.journal.Attempts {
+			if attempt.Served() {
 				out.Served++
 			}
 		}
-		for _, v := range r.journal.Versions {
-			if v.Acked != never {
+		for _, version := range r.journal.Versions {
+			if version.Acked != never {
 				out.Acked++
 			}
 		}
@@ -85,8 +86,8 @@
 // nameMachines notes for each arrival the machine that the client had sent the request to.
 func (r *run) nameMachines() {
 	at := map[string]string{}
-	for _, t := range r.journal.Attempts {
-		at[t.ID] = t.Machine
+	for _, attempt := range r.journal.Attempts {
+		at[attempt.ID] = attempt.Machine
 	}
 	for _, a := range r.journal.Arrivals {
 		a.Machine = at[a.Attempt]
@@ -115,11 +116,11 @@
 		}
 	}
 	c := r.journal.Bounds.ContactUs
-	for _, t := range r.journal.Attempts {
-		if !t.Aborted || !ran[t.ID] || r.journal.unplannedOnly.Of(t.Machine).Hit(t.Sent-c, t.Ended) {
+	for _, attempt := range r.journal.Attempts {
+		if !attempt.Aborted || !ran[attempt.ID] || r.journal.unplannedOnly.Of(attempt.Machine).Hit(attempt.Sent-c, attempt.Ended) {
 			continue
 		}
-		out = append(out, fmt.Sprintf("CUT at %.3f s: %s ran and %s ended its connection without an answer", float64(t.Ended)/second, t.ID, t.Machine))
+		out = append(out, fmt.Sprintf("CUT at %.3f s: %s ran and %s ended its connection without an answer", float64(attempt.Ended)/float64(clock.Second), attempt.ID, attempt.Machine))
 	}
 	return out
 }
--- a/lab/soak/resource_faults.go
+++ b/lab/soak/resource_faults.go
@@ -121,9 +121,9 @@
 	conn.SetDeadline(time.Now().Add(lasts))
 	k := kinds[1]
 	for ctx.Err() == nil {
-		t := r.clients.newAttempt(k, "", 1, time.Now().Add(k.deadline))
-		r.clients.end(t, func() { t.GaveUp = true })
-		if _, err := conn.Write(request(t, k.deadline)); err != nil {
+		attempt := r.clients.newAttempt(k, "", 1, time.Now().Add(k.deadline))
+		r.clients.end(attempt, func() { attempt.GaveUp = true })
+		if _, err := conn.Write(request(attempt, k.deadline)); err != nil {
 			return
 		}
 		sleep(ctx, 20*time.Millisecond)
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wallport/lab/relay"
+	"wallport/runtime/clock"
 )
 
 // run is a run under way.
@@ -197,7 +198,7 @@
 // say tells of an event.
 func (r *run) say(format string, args ...any) {
 	if r.options.Log != nil {
-		r.options.Log(fmt.Sprintf("%8.3f ", float64(r.journal.now())/second) + fmt.Sprintf(format, args...))
+		r.options.Log(fmt.Sprintf("%8.3f ", float64(r.journal.now())/float64(clock.Second)) + fmt.Sprintf(format, args...))
 	}
 }
 
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 )
 
 // Options say what to run.
@@ -77,18 +78,12 @@
 	listLagMs = 300
 )
 
-// millisecond and second are in microseconds.
-const (
-	millisecond = 1000
-	second      = 1_000_000
-)
-
 // bounds are those of the rules.
 func bounds() rules.Bounds {
 	return rules.Bounds{
-		ContactUs: contactMs * millisecond, AckUs: ackMs * millisecond, DrainUs: drainMs * millisecond, GraceUs: graceS * second,
-		LossUs: lossMs * millisecond, ApplyUs: applyMs * millisecond, StretchUs: stretchMs * millisecond, EvacuateUs: emptyMs * millisecond,
-		RecoverUs: recoverS * second, RetryRatio: retryRate, RetryAllowance: retryMore, RetryWindowUs: windowS * second,
+		ContactUs: contactMs * clock.Millisecond, AckUs: ackMs * clock.Millisecond, DrainUs: drainMs * clock.Millisecond, GraceUs: graceS * clock.Second,
+		LossUs: lossMs * clock.Millisecond, ApplyUs: applyMs * clock.Millisecond, StretchUs: stretchMs * clock.Millisecond, EvacuateUs: emptyMs * clock.Millisecond,
+		RecoverUs: recoverS * clock.Second, RetryRatio: retryRate, RetryAllowance: retryMore, RetryWindowUs: windowS * clock.Second,
 		SlowStartOverrun: 1.5, SlowStartTolerance: 5,
 	}
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -16,6 +16,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/lab/rules"
+	"wallport/runtime/clock"
 )
 
 // shortFor is how long troubles come in the short form.
@@ -94,8 +95,8 @@
 func TestAbortedRequestThatRanIsFound(t *testing.T) {
 	cut := func(j *journal) {
 		b := &rules.Backend{ID: "b", Ended: rules.Never, Shown: rules.Never}
-		j.Attempts = []*rules.Attempt{{ID: "t", Machine: "m", Repeatable: true, Read: 1, Sent: 10 * second, Ended: 11 * second, Aborted: true}}
-		j.Arrivals = []*rules.Arrival{{Attempt: "t", Backend: b, Ran: true, Status: 200, Answer: []byte("x"), At: 10 * second}}
+		j.Attempts = []*rules.Attempt{{ID: "t", Machine: "m", Repeatable: true, Read: 1, Sent: 10 * clock.Second, Ended: 11 * clock.Second, Aborted: true}}
+		j.Arrivals = []*rules.Arrival{{Attempt: "t", Backend: b, Ran: true, Status: 200, Answer: []byte("x"), At: 10 * clock.Second}}
 	}
 	r := judged(t, cut)
 	must.StrContains(t, strings.Join(r.Findings, "\n"), "CUT at 11.000 s")
