--- a/cmd/wallport/gateway.go
+++ b/cmd/wallport/gateway.go
@@ -27,7 +27,7 @@
 	operators.ExplainBy(func(id string) (any, bool) { return desk.Traces.Get(id) })
 	client := backend.New(backend.Config{
 		Names: platform.BackendNames(), Counts: p.Kernel.Counts, Frozen: p.Frozen, Thaws: p.Thaws,
-		SharedBy: func() int {
+		NodeCount: func() int {
 			if c := b.Current(); c != nil {
 				return c.Divisor
 			}
--- a/request/backend/backend.go
+++ b/request/backend/backend.go
@@ -18,16 +18,16 @@
 	// in whole milliseconds; Target the backend that a request is meant for.
 	ID, Budget, Target string
 	// Seal is a backend's seal of an answer, Load what it tells of itself (running, waiting,
-	// slots), NotRun its word that a request has not run.
-	Seal, Load, NotRun string
+	// slots), NotExecuted its word that a request has not run.
+	Seal, Load, NotExecuted string
 }
 
 // Config is what a client is made of.
 type Config struct {
 	Names  Names
 	Counts *kernel.Counts
-	// SharedBy is how many nodes share a backend's connections; nil is 1.
-	SharedBy func() int
+	// NodeCount is how many nodes share a backend's connections; nil is 1.
+	NodeCount func() int
 	// Frozen and Thaws are of the process: a request is not written on a decision made before a freeze.
 	Frozen func() bool
 	Thaws  func() int64
@@ -68,8 +68,8 @@
 
 // New makes a client without connections.
 func New(c Config) *Client {
-	if c.SharedBy == nil {
-		c.SharedBy = func() int { return 1 }
+	if c.NodeCount == nil {
+		c.NodeCount = func() int { return 1 }
 	}
 	if c.Frozen == nil {
 		c.Frozen = func() bool { return false }
@@ -81,71 +81,71 @@
 		c.Counts = kernel.NewCounts()
 	}
 	n := c.Names
-	for _, s := range []*string{&n.ID, &n.Budget, &n.Target, &n.Seal, &n.Load, &n.NotRun} {
+	for _, s := range []*string{&n.ID, &n.Budget, &n.Target, &n.Seal, &n.Load, &n.NotExecuted} {
 		*s = http.CanonicalHeaderKey(*s)
 	}
 	of := func(name string) *atomic.Int64 { return c.Counts.Of("backend_" + name) }
-	k := &Client{config: c, names: n, pools: map[poolKey]*connPool{}, stopping: make(chan struct{}), counters: counters{
+	cl := &Client{config: c, names: n, pools: map[poolKey]*connPool{}, stopping: make(chan struct{}), counters: counters{
 		dials: of("dials"), dialsFailed: of("dials_failed"), reused: of("reused"), idleDead: of("idle_dead"),
 		garbage: of("garbage"), full: of("connections_full"), connections: of("connections"),
 	}}
-	go k.sweep()
-	return k
+	go cl.sweep()
+	return cl
 }
 
 // Close closes the idle connections; exchanges under way end by themselves.
-func (k *Client) Close() {
-	k.mu.Lock()
-	if k.closed {
-		k.mu.Unlock()
+func (cl *Client) Close() {
+	cl.mu.Lock()
+	if cl.closed {
+		cl.mu.Unlock()
 		return
 	}
-	k.closed = true
-	close(k.stopping)
-	k.mu.Unlock()
-	k.trim(func(*conn) bool { return true })
+	cl.closed = true
+	close(cl.stopping)
+	cl.mu.Unlock()
+	cl.trim(func(*conn) bool { return true })
 }
 
-func (k *Client) sweep() {
+func (cl *Client) sweep() {
 	t := time.NewTicker(SweepInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			now := time.Now()
-			k.trim(func(c *conn) bool { return !c.usable(now) })
-		case <-k.stopping:
+			cl.trim(func(c *conn) bool { return !c.usable(now) })
+		case <-cl.stopping:
 			return
 		}
 	}
 }
 
 // trim closes the idle connections that a function names and forgets peers without any.
-func (k *Client) trim(expired func(*conn) bool) {
-	k.mu.Lock()
+func (cl *Client) trim(expired func(*conn) bool) {
+	cl.mu.Lock()
 	var drop []*conn
-	for id, p := range k.pools {
-		p.mu.Lock()
-		keep := p.idle[:0]
-		for _, c := range p.idle {
+	for id, pool := range cl.pools {
+		pool.mu.Lock()
+		keep := pool.idle[:0]
+		for _, c := range pool.idle {
 			if expired(c) {
 				drop = append(drop, c)
-				p.open--
+				pool.open--
 			} else {
 				keep = append(keep, c)
 			}
 		}
-		clear(p.idle[len(keep):])
-		p.idle = keep
-		if p.open == 0 {
-			p.removed = true
-			delete(k.pools, id)
+		clear(pool.idle[len(keep):])
+		pool.idle = keep
+		if pool.open == 0 {
+			pool.removed = true
+			delete(cl.pools, id)
 		}
-		p.mu.Unlock()
+		pool.mu.Unlock()
 	}
-	k.mu.Unlock()
+	cl.mu.Unlock()
 	for _, c := range drop {
 		c.closeSocket()
 	}
-	k.counters.connections.Store(k.open.Load())
+	cl.counters.connections.Store(cl.open.Load())
 }
--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -18,14 +18,14 @@
 	over := make(chan bool)
 	f := newFake(t, func(*call) bool { <-over; return false })
 	defer close(over)
-	k := newTestClient(t, Config{})
+	cl := newTestClient(t, Config{})
 	a := f.once("a")
 	a.Timeout = 20_000
-	rep := run(t, k, a, dispatch.ClassFailed)
+	rep := run(t, cl, a, dispatch.ClassFailed)
 	must.True(t, rep.TimedOut)
 	must.Eq(t, "timed out", rep.Reason)
 	must.Eq(t, 1, f.times("a"))
-	must.Eq(t, 0, k.open.Load())
+	must.Eq(t, 0, cl.open.Load())
 }
 
 // TestCancelClosesTheConnection shows the backend that the request is not wanted any more.
@@ -37,8 +37,8 @@
 		ended <- err
 		return false
 	})
-	k := newTestClient(t, Config{})
-	x := k.Start(f.ask("a"))
+	cl := newTestClient(t, Config{})
+	x := cl.Start(f.ask("a"))
 	back := make(chan dispatch.Result)
 	go func() { back <- x.Run() }()
 	<-enter
@@ -54,13 +54,13 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
-	k := newTestClient(t, Config{})
+	cl := newTestClient(t, Config{})
 	a := dispatch.Send{Server: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: l.Addr().String()}}, Timeout: 20_000_000, Request: &dispatch.Request{Method: "GET"}}
-	x := k.Start(a)
+	x := cl.Start(a)
 	x.Cancel()
 	rep := x.Run()
 	must.Eq(t, dispatch.ClassNotSent, rep.Class)
-	must.Eq(t, 0, k.open.Load())
+	must.Eq(t, 0, cl.open.Load())
 }
 
 // TestAbandonedExchangeIsNotWritten writes nothing that is not wanted any more, and does not disturb what was written.
@@ -72,8 +72,8 @@
 		c.write(c.good("whole"))
 		return true
 	})
-	k := newTestClient(t, Config{})
-	x := k.Start(f.ask("a"))
+	cl := newTestClient(t, Config{})
+	x := cl.Start(f.ask("a"))
 	back := make(chan dispatch.Result)
 	go func() { back <- x.Run() }()
 	<-enter
@@ -83,9 +83,9 @@
 	must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, "whole", string(rep.Body))
 
-	x = k.Start(f.ask("b"))
+	x = cl.Start(f.ask("b"))
 	x.Abandon()
 	must.Eq(t, "not wanted any more", x.Run().Reason)
 	must.Eq(t, 0, f.times("b"))
-	must.Eq(t, 1, k.open.Load(), must.Sprint("the connection is kept"))
+	must.Eq(t, 1, cl.open.Load(), must.Sprint("the connection is kept"))
 }
--- a/request/backend/classify.go
+++ b/request/backend/classify.go
@@ -33,7 +33,7 @@
 	}
 	// What follows a whole answer belongs to nothing.
 	keep = !rep.Draining && !c.surplus && c.readKeepAlive(h)
-	_, not := h[n.NotRun]
+	_, not := h[n.NotExecuted]
 	RemoveHopByHop(h, n.ID)
 	if x.attempt.Request.Method != http.MethodHead {
 		delete(h, "Content-Length")
--- a/request/backend/conn.go
+++ b/request/backend/conn.go
@@ -49,47 +49,47 @@
 }
 
 // connectionLimit is how many connections this node may hold to one backend.
-func (k *Client) connectionLimit(p *snapshot.Pool) int {
+func (cl *Client) connectionLimit(p *snapshot.Pool) int {
 	if p == nil || p.Pool == nil || p.MaxConnections <= 0 {
 		return defaultMaxConnections
 	}
-	return max(1, int(p.MaxConnections*sharedThousandths/1000)/max(1, k.config.SharedBy()))
+	return max(1, int(p.MaxConnections*sharedThousandths/1000)/max(1, cl.config.NodeCount()))
 }
 
 // lockPool finds or makes a backend's peer and locks it.
-func (k *Client) lockPool(s *snapshot.Backend) *connPool {
+func (cl *Client) lockPool(s *snapshot.Backend) *connPool {
 	id := poolKey{s.Addr, s.ID}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	p := k.pools[id]
-	if p == nil {
-		p = &connPool{}
-		k.pools[id] = p
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	pool := cl.pools[id]
+	if pool == nil {
+		pool = &connPool{}
+		cl.pools[id] = pool
 	}
-	p.mu.Lock()
-	return p
+	pool.mu.Lock()
+	return pool
 }
 
 // acquire gives an idle connection, or the right to make one where room is true.
-func (k *Client) acquire(s *snapshot.Backend, most int) (c *conn, p *connPool, room bool) {
-	p = k.lockPool(s)
-	defer p.mu.Unlock()
+func (cl *Client) acquire(s *snapshot.Backend, most int) (c *conn, pool *connPool, room bool) {
+	pool = cl.lockPool(s)
+	defer pool.mu.Unlock()
 	now := time.Now()
-	for len(p.idle) > 0 {
-		c = p.idle[len(p.idle)-1]
-		p.idle[len(p.idle)-1] = nil
-		p.idle = p.idle[:len(p.idle)-1]
+	for len(pool.idle) > 0 {
+		c = pool.idle[len(pool.idle)-1]
+		pool.idle[len(pool.idle)-1] = nil
+		pool.idle = pool.idle[:len(pool.idle)-1]
 		if c.usable(now) {
 			c.reused = true
-			return c, p, true
+			return c, pool, true
 		}
-		p.open--
+		pool.open--
 		c.closeSocket()
 	}
-	if room = p.open < most; room {
-		p.open++
+	if room = pool.open < most; room {
+		pool.open++
 	}
-	return nil, p, room
+	return nil, pool, room
 }
 
 // release puts a connection back, or closes it.
@@ -106,22 +106,22 @@
 	c.closeSocket()
 }
 
-func (k *Client) dial(ctx context.Context, s *snapshot.Backend, p *connPool) (*conn, error) {
+func (cl *Client) dial(ctx context.Context, s *snapshot.Backend, pool *connPool) (*conn, error) {
 	d := net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: control}
-	k.counters.dials.Add(1)
+	cl.counters.dials.Add(1)
 	raw, err := d.DialContext(ctx, "tcp", s.Addr)
 	if err == nil {
-		c := &conn{client: k, pool: p, raw: raw.(*net.TCPConn), idleFor: MaxIdleTime}
+		c := &conn{client: cl, pool: pool, raw: raw.(*net.TCPConn), idleFor: MaxIdleTime}
 		if c.sys, err = c.raw.SyscallConn(); err == nil {
 			c.advanceFunc = c.advance
-			k.open.Add(1)
+			cl.open.Add(1)
 			return c, nil
 		}
 		raw.Close()
 	}
-	p.mu.Lock()
-	p.open--
-	p.mu.Unlock()
+	pool.mu.Lock()
+	pool.open--
+	pool.mu.Unlock()
 	return nil, err
 }
 
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -18,9 +18,9 @@
 	"wallport/runtime/wire"
 )
 
-func run(t *testing.T, k *Client, a dispatch.Send, class dispatch.Class) dispatch.Result {
+func run(t *testing.T, cl *Client, a dispatch.Send, class dispatch.Class) dispatch.Result {
 	t.Helper()
-	rep := k.Start(a).Run()
+	rep := cl.Start(a).Run()
 	must.Eq(t, class, rep.Class, must.Sprint(rep.Reason))
 	return rep
 }
@@ -29,10 +29,10 @@
 func TestIdleConnectionClosedByBackend(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return c.n > 1 })
-	k := newTestClient(t, Config{Counts: counts})
-	run(t, k, f.once("a"), dispatch.ClassResponse)
-	readable(t, idleConn(t, k))
-	rep := run(t, k, f.once("b"), dispatch.ClassResponse)
+	cl := newTestClient(t, Config{Counts: counts})
+	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	readable(t, idleConn(t, cl))
+	rep := run(t, cl, f.once("b"), dispatch.ClassResponse)
 	must.False(t, rep.ReusedConn)
 	must.Eq(t, 1, counts.Of("backend_idle_dead").Load())
 	must.Eq(t, 1, f.times("b"))
@@ -49,11 +49,11 @@
 		}
 		return true
 	})
-	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassResponse)
+	cl := newTestClient(t, Config{})
+	run(t, cl, f.once("a"), dispatch.ClassResponse)
 	go2 <- true
-	readable(t, idleConn(t, k))
-	rep := run(t, k, f.once("b"), dispatch.ClassResponse)
+	readable(t, idleConn(t, cl))
+	rep := run(t, cl, f.once("b"), dispatch.ClassResponse)
 	must.Eq(t, "right", string(rep.Body))
 	must.False(t, rep.ReusedConn)
 }
@@ -67,12 +67,12 @@
 		c.write(c.good("right"))
 		return true
 	})
-	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassResponse)
-	rep := run(t, k, f.once("b"), dispatch.ClassInvalid)
+	cl := newTestClient(t, Config{})
+	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	rep := run(t, cl, f.once("b"), dispatch.ClassInvalid)
 	must.True(t, rep.ReusedConn)
 	must.Eq(t, 1, f.times("b"))
-	must.False(t, run(t, k, f.once("c"), dispatch.ClassResponse).ReusedConn)
+	must.False(t, run(t, cl, f.once("c"), dispatch.ClassResponse).ReusedConn)
 }
 
 // TestResetOnReuse has the backend reset a reused connection after it read the request.
@@ -85,9 +85,9 @@
 		c.write(c.good(""))
 		return true
 	})
-	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassResponse)
-	rep := run(t, k, f.once("b"), dispatch.ClassFailed)
+	cl := newTestClient(t, Config{})
+	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	rep := run(t, cl, f.once("b"), dispatch.ClassFailed)
 	must.True(t, rep.ReusedConn)
 	must.False(t, rep.TimedOut)
 	must.Eq(t, 1, f.times("b"), must.Sprint("nothing is repeated here"))
@@ -105,44 +105,44 @@
 		}
 		return true
 	})
-	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassResponse)
-	run(t, k, f.once("b"), dispatch.ClassInvalid)
-	run(t, k, f.ask("c"), dispatch.ClassResponse)
-	must.True(t, run(t, k, f.ask("d"), dispatch.ClassRejected).ReusedConn)
-	must.False(t, run(t, k, f.ask("e"), dispatch.ClassResponse).ReusedConn)
+	cl := newTestClient(t, Config{})
+	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	run(t, cl, f.once("b"), dispatch.ClassInvalid)
+	run(t, cl, f.ask("c"), dispatch.ClassResponse)
+	must.True(t, run(t, cl, f.ask("d"), dispatch.ClassRejected).ReusedConn)
+	must.False(t, run(t, cl, f.ask("e"), dispatch.ClassResponse).ReusedConn)
 }
 
 func TestNotSent(t *testing.T) {
 	var frozen atomic.Bool
 	var thaws atomic.Int64
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
-	k := newTestClient(t, Config{Frozen: frozen.Load, Thaws: thaws.Load})
+	cl := newTestClient(t, Config{Frozen: frozen.Load, Thaws: thaws.Load})
 	for range 2 {
 		// The second time there is an idle connection.
 		frozen.Store(true)
-		must.Eq(t, "the process was frozen", run(t, k, f.once("no"), dispatch.ClassNotSent).Reason)
+		must.Eq(t, "the process was frozen", run(t, cl, f.once("no"), dispatch.ClassNotSent).Reason)
 		frozen.Store(false)
 
-		x := k.Start(f.once("no"))
+		x := cl.Start(f.once("no"))
 		thaws.Add(1)
 		rep := x.Run()
 		must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint("decided before the freeze"))
 
 		a := f.once("no")
 		a.Timeout = 900
-		run(t, k, a, dispatch.ClassNotSent)
+		run(t, cl, a, dispatch.ClassNotSent)
 		a.Timeout = -5
-		run(t, k, a, dispatch.ClassNotSent)
+		run(t, cl, a, dispatch.ClassNotSent)
 
-		x = k.Start(f.once("no"))
+		x = cl.Start(f.once("no"))
 		x.Cancel()
 		must.Eq(t, dispatch.ClassNotSent, x.Run().Class)
-		run(t, k, f.once("yes"), dispatch.ClassResponse)
+		run(t, cl, f.once("yes"), dispatch.ClassResponse)
 	}
 	must.Eq(t, 0, f.times("no"))
 	must.Eq(t, 2, f.times("yes"))
-	must.Eq(t, 1, k.open.Load(), must.Sprint("connections that were not written to are kept"))
+	must.Eq(t, 1, cl.open.Load(), must.Sprint("connections that were not written to are kept"))
 }
 
 func TestDialFailures(t *testing.T) {
@@ -151,14 +151,14 @@
 	addr := l.Addr().String()
 	must.NoError(t, l.Close())
 	f := &fake{}
-	k := newTestClient(t, Config{})
+	cl := newTestClient(t, Config{})
 	a := dispatch.Send{Server: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20_000_000, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
 	for range 3 {
-		rep := run(t, k, a, dispatch.ClassNotSent)
+		rep := run(t, cl, a, dispatch.ClassNotSent)
 		must.StrContains(t, rep.Reason, "refused")
 		must.False(t, rep.ReusedConn)
 	}
-	must.Eq(t, 0, k.open.Load())
+	must.Eq(t, 0, cl.open.Load())
 	must.Eq(t, 0, f.connections())
 }
 
@@ -171,15 +171,15 @@
 		c.write(c.good(""))
 		return true
 	})
-	k := newTestClient(t, Config{SharedBy: func() int { return 4 }})
-	must.Eq(t, 1, k.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("never none"))
-	must.Eq(t, defaultMaxConnections, k.connectionLimit(&snapshot.Pool{}))
+	cl := newTestClient(t, Config{NodeCount: func() int { return 4 }})
+	must.Eq(t, 1, cl.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("never none"))
+	must.Eq(t, defaultMaxConnections, cl.connectionLimit(&snapshot.Pool{}))
 	back := make(chan dispatch.Result, 2)
 	for _, id := range []string{"a", "b"} {
-		go func() { back <- k.Start(f.ask(id)).Run() }()
+		go func() { back <- cl.Start(f.ask(id)).Run() }()
 		<-enter
 	}
-	rep := run(t, k, f.ask("c"), dispatch.ClassNotSent)
+	rep := run(t, cl, f.ask("c"), dispatch.ClassNotSent)
 	must.Eq(t, reasonNoConnection, rep.Reason)
 	must.True(t, rep.ReusedConn, must.Sprint("no failure of the backend's"))
 	leave <- true
@@ -197,25 +197,25 @@
 		c.write("HTTP/1.1 200 OK\r\nTry-Id: " + c.req.Header.Get("Try-Id") + "\r\nStamp: s\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassResponse)
-	c := idleConn(t, k)
+	cl := newTestClient(t, Config{})
+	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	c := idleConn(t, cl)
 	must.True(t, c.usable(c.idleSince.Add(999*time.Millisecond)))
 	must.False(t, c.usable(c.idleSince.Add(time.Second)))
-	must.True(t, run(t, k, f.once("b"), dispatch.ClassResponse).ReusedConn)
+	must.True(t, run(t, cl, f.once("b"), dispatch.ClassResponse).ReusedConn)
 	c.idleSince = c.idleSince.Add(-time.Second)
-	must.False(t, run(t, k, f.once("c"), dispatch.ClassResponse).ReusedConn)
-	must.Eq(t, 1, k.open.Load())
+	must.False(t, run(t, cl, f.once("c"), dispatch.ClassResponse).ReusedConn)
+	must.Eq(t, 1, cl.open.Load())
 }
 
 // TestAddressReusedByAnotherBackend keeps no connection of one backend for another that has its address.
 func TestAddressReusedByAnotherBackend(t *testing.T) {
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
-	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassResponse)
+	cl := newTestClient(t, Config{})
+	run(t, cl, f.once("a"), dispatch.ClassResponse)
 	b := f.once("b")
 	b.Server.ID = "i-2"
-	must.False(t, run(t, k, b, dispatch.ClassResponse).ReusedConn)
+	must.False(t, run(t, cl, b, dispatch.ClassResponse).ReusedConn)
 	must.Eq(t, 2, f.connections())
 }
 
@@ -223,14 +223,14 @@
 func TestCloseAfterUse(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
-	k := newTestClient(t, Config{Counts: counts})
+	cl := newTestClient(t, Config{Counts: counts})
 	for _, id := range []string{"a", "b"} {
 		a := f.once(id)
 		a.Server.CloseAfterUse = true
-		must.False(t, run(t, k, a, dispatch.ClassResponse).ReusedConn)
+		must.False(t, run(t, cl, a, dispatch.ClassResponse).ReusedConn)
 	}
 	must.Eq(t, 2, counts.Of("backend_dials").Load())
-	must.Eq(t, 0, k.open.Load())
-	run(t, k, f.once("c"), dispatch.ClassResponse)
-	must.True(t, run(t, k, f.once("d"), dispatch.ClassResponse).ReusedConn, must.Sprint("kept where nothing forbids it"))
+	must.Eq(t, 0, cl.open.Load())
+	run(t, cl, f.once("c"), dispatch.ClassResponse)
+	must.True(t, run(t, cl, f.once("d"), dispatch.ClassResponse).ReusedConn, must.Sprint("kept where nothing forbids it"))
 }
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -66,7 +66,7 @@
 
 func BenchmarkExchange(b *testing.B) {
 	addr := lean(b, partBody)
-	k := newTestClient(b, Config{})
+	cl := newTestClient(b, Config{})
 	pool := &snapshot.Pool{Pool: &routingpb.Pool{}}
 	server := &snapshot.Backend{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
 	ask := func(id string) dispatch.Send {
@@ -78,7 +78,7 @@
 	b.ReportAllocs()
 	at := cpuUs()
 	for b.Loop() {
-		if rep := k.Start(ask("abcdef0123456789")).Run(); rep.Class != dispatch.ClassResponse {
+		if rep := cl.Start(ask("abcdef0123456789")).Run(); rep.Class != dispatch.ClassResponse {
 			b.Fatal(rep.Class, rep.Reason)
 		}
 	}
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -31,9 +31,9 @@
 }
 
 // Start prepares an exchange; Run carries it out.
-func (k *Client) Start(a dispatch.Send) *Exchange {
+func (cl *Client) Start(a dispatch.Send) *Exchange {
 	now := time.Now()
-	return &Exchange{client: k, attempt: a, thaws: k.config.Thaws(), startedAt: now, deadline: now.Add(time.Duration(a.Timeout) * time.Microsecond)}
+	return &Exchange{client: cl, attempt: a, thaws: cl.config.Thaws(), startedAt: now, deadline: now.Add(time.Duration(a.Timeout) * time.Microsecond)}
 }
 
 // Cancel gives an exchange up from any thread: Run returns soon, and a connection that was written to is closed.
@@ -126,7 +126,7 @@
 }
 
 func (x *Exchange) connect() (*conn, string) {
-	c, p, room := x.client.acquire(x.attempt.Server, x.client.connectionLimit(x.attempt.Pool))
+	c, pool, room := x.client.acquire(x.attempt.Server, x.client.connectionLimit(x.attempt.Pool))
 	if c != nil {
 		x.client.counters.reused.Add(1)
 		return c, ""
@@ -143,7 +143,7 @@
 		cancel()
 	}
 	x.mu.Unlock()
-	c, err := x.client.dial(ctx, x.attempt.Server, p)
+	c, err := x.client.dial(ctx, x.attempt.Server, pool)
 	if err != nil {
 		x.client.counters.dialsFailed.Add(1)
 		return nil, "dial: " + errorText(err)
--- a/request/backend/exchange_test.go
+++ b/request/backend/exchange_test.go
@@ -76,13 +76,13 @@
 				k.write(k.good("second"))
 				return true
 			})
-			k := newTestClient(t, Config{})
-			rep := k.Start(f.once("a")).Run()
+			cl := newTestClient(t, Config{})
+			rep := cl.Start(f.once("a")).Run()
 			must.Eq(t, c.class, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, c.why, rep.Reason)
 			must.False(t, rep.ReusedConn)
 			must.Eq(t, 1, f.times("a"), must.Sprint("written once"))
-			rep = k.Start(f.once("b")).Run()
+			rep = cl.Start(f.once("b")).Run()
 			must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, "second", string(rep.Body))
 			must.Eq(t, c.keep, rep.ReusedConn)
@@ -98,8 +98,8 @@
 			"Keep-Alive: max=5, timeout=4\r\nUpgrade: h2c\r\nContent-Length: 5\r\nX-Own: w\r\n\r\nhello")
 		return true
 	})
-	k := newTestClient(t, Config{})
-	rep := k.Start(f.ask("a")).Run()
+	cl := newTestClient(t, Config{})
+	rep := cl.Start(f.ask("a")).Run()
 	must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, 201, rep.Status)
 	must.Eq(t, "s.1", rep.Seal)
@@ -107,31 +107,31 @@
 	must.Eq(t, dispatch.LoadReport{Running: 1, Queued: 2, Slots: 3, Known: true}, rep.Load)
 	must.Eq(t, http.Header{"Try-Id": {"a"}, "Stamp": {"s.1"}, "Busy": {"1, 2,3"}, "X-Own": {"v", "w"}}, rep.Header)
 	must.False(t, rep.Draining)
-	must.Eq(t, "2.8s", idleConn(t, k).idleFor.String(), must.Sprint("four seconds less three tenths"))
+	must.Eq(t, "2.8s", idleConn(t, cl).idleFor.String(), must.Sprint("four seconds less three tenths"))
 }
 
 func TestRequestBytes(t *testing.T) {
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
-	k := newTestClient(t, Config{})
+	cl := newTestClient(t, Config{})
 	a := f.ask("a")
 	a.Request.Header = []byte("X-Y: z\r\nTry-Id: a\r\n")
-	x := k.Start(a)
+	x := cl.Start(a)
 	must.Eq(t, "GET /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nX-Y: z\r\nTry-Id: a\r\nLeft: 250\r\nMeant-For: i-1\r\n\r\n", string(x.appendRequest(nil, 250_900_000)))
 	a = f.once("a")
-	must.Eq(t, "POST /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nTry-Id: a\r\nLeft: 1\r\nMeant-For: i-1\r\nContent-Length: 3\r\n\r\nb-a", string(k.Start(a).appendRequest(nil, 1_000_000)))
+	must.Eq(t, "POST /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nTry-Id: a\r\nLeft: 1\r\nMeant-For: i-1\r\nContent-Length: 3\r\n\r\nb-a", string(cl.Start(a).appendRequest(nil, 1_000_000)))
 	a.Request.Body = nil
-	must.StrContains(t, string(k.Start(a).appendRequest(nil, 1_000_000)), "Content-Length: 0\r\n\r\n")
+	must.StrContains(t, string(cl.Start(a).appendRequest(nil, 1_000_000)), "Content-Length: 0\r\n\r\n")
 }
 
 // TestLargeBodies has more to write than the kernel takes at once, and an answer as large.
 func TestLargeBodies(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
 	f := newFake(t, func(c *call) bool { c.write(c.good(string(c.body))); return true })
-	k := newTestClient(t, Config{})
+	cl := newTestClient(t, Config{})
 	for _, id := range []string{"a", "b"} {
 		a := f.once(id)
 		a.Request.Body = body
-		rep := k.Start(a).Run()
+		rep := cl.Start(a).Run()
 		must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 		must.True(t, bytes.Equal(body, rep.Body))
 		must.Eq(t, id == "b", rep.ReusedConn)
@@ -143,11 +143,11 @@
 		c.write("HTTP/1.1 200 OK\r\nStamp: s\r\nTry-Id: " + c.req.Header.Get("Try-Id") + "\r\nContent-Length: 500\r\n\r\n")
 		return true
 	})
-	k := newTestClient(t, Config{})
+	cl := newTestClient(t, Config{})
 	for _, id := range []string{"a", "b"} {
 		a := f.ask(id)
 		a.Request.Method = "HEAD"
-		rep := k.Start(a).Run()
+		rep := cl.Start(a).Run()
 		must.Eq(t, dispatch.ClassResponse, rep.Class)
 		must.Eq(t, id == "b", rep.ReusedConn)
 		must.Eq(t, []string{"500"}, rep.Header["Content-Length"])
@@ -157,15 +157,15 @@
 func TestCounts(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
-	k := newTestClient(t, Config{Counts: counts})
+	cl := newTestClient(t, Config{Counts: counts})
 	for _, id := range []string{"a", "b", "c"} {
-		must.Eq(t, dispatch.ClassResponse, k.Start(f.ask(id)).Run().Class)
+		must.Eq(t, dispatch.ClassResponse, cl.Start(f.ask(id)).Run().Class)
 	}
 	must.Eq(t, 1, counts.Of("backend_dials").Load())
 	must.Eq(t, 2, counts.Of("backend_reused").Load())
-	k.trim(func(*conn) bool { return false })
+	cl.trim(func(*conn) bool { return false })
 	must.Eq(t, 1, counts.Of("backend_connections").Load())
-	k.trim(func(*conn) bool { return true })
+	cl.trim(func(*conn) bool { return true })
 	must.Eq(t, 0, counts.Of("backend_connections").Load())
-	must.MapEmpty(t, k.pools)
+	must.MapEmpty(t, cl.pools)
 }
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -142,16 +142,16 @@
 	return f.conns
 }
 
-var testNames = Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotRun: "Did-Not-Run"}
+var testNames = Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotExecuted: "Did-Not-Run"}
 
 func newTestClient(t testing.TB, c Config) *Client {
 	c.Names = testNames
 	if c.Counts == nil {
 		c.Counts = kernel.NewCounts()
 	}
-	k := New(c)
-	t.Cleanup(k.Close)
-	return k
+	cl := New(c)
+	t.Cleanup(cl.Close)
+	return cl
 }
 
 func (f *fake) server() *snapshot.Backend {
@@ -172,17 +172,17 @@
 }
 
 // idleConn is the one idle connection of a client.
-func idleConn(t *testing.T, k *Client) *conn {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func idleConn(t *testing.T, cl *Client) *conn {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var found *conn
-	for _, p := range k.pools {
-		p.mu.Lock()
-		for _, c := range p.idle {
+	for _, pool := range cl.pools {
+		pool.mu.Lock()
+		for _, c := range pool.idle {
 			must.Nil(t, found)
 			found = c
 		}
-		p.mu.Unlock()
+		pool.mu.Unlock()
 	}
 	must.NotNil(t, found)
 	return found
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -37,11 +37,11 @@
 
 // dial gives a connection on which what was sent before any request has come, as a client may
 // have it that has just made it.
-func (g *greeter) dial(t *testing.T, k *Client) *conn {
+func (g *greeter) dial(t *testing.T, cl *Client) *conn {
 	t.Helper()
-	_, p, room := k.acquire(g.server(), 1)
+	_, pool, room := cl.acquire(g.server(), 1)
 	must.True(t, room)
-	c, err := k.dial(t.Context(), g.server(), p)
+	c, err := cl.dial(t.Context(), g.server(), pool)
 	must.NoError(t, err)
 	g.begin <- true
 	<-g.done
@@ -58,13 +58,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newGreeter(t, greet)
-			k := newTestClient(t, Config{})
-			x := k.Start(f.once("a"))
-			rep, again := x.runOn(f.dial(t, k))
+			cl := newTestClient(t, Config{})
+			x := cl.Start(f.once("a"))
+			rep, again := x.runOn(f.dial(t, cl))
 			must.False(t, again)
 			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, 0, f.times("a"))
-			must.Eq(t, 0, k.open.Load())
+			must.Eq(t, 0, cl.open.Load())
 		})
 	}
 }
@@ -79,9 +79,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newGreeter(t, func(c *net.TCPConn) { c.Write([]byte(answer)) })
-			k := newTestClient(t, Config{})
-			x := k.Start(f.once("a"))
-			rep, again := x.runOn(f.dial(t, k))
+			cl := newTestClient(t, Config{})
+			x := cl.Start(f.once("a"))
+			rep, again := x.runOn(f.dial(t, cl))
 			must.False(t, again)
 			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, 0, f.times("a"))
@@ -96,20 +96,20 @@
 		var looks, thaws atomic.Int64
 		frozenAt := int64(-1)
 		f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
-		k := newTestClient(t, Config{
+		cl := newTestClient(t, Config{
 			Thaws:  thaws.Load,
 			Frozen: func() bool { return looks.Add(1) == frozenAt },
 		})
 		if reused {
-			run(t, k, f.once("first"), dispatch.ClassResponse)
+			run(t, cl, f.once("first"), dispatch.ClassResponse)
 		}
 		// The first look is before the request is made up, the second right before its write.
 		frozenAt = looks.Load() + 2
-		rep := run(t, k, f.once("a"), dispatch.ClassNotSent)
+		rep := run(t, cl, f.once("a"), dispatch.ClassNotSent)
 		must.Eq(t, "the process was frozen", rep.Reason)
 		must.Eq(t, 0, f.times("a"))
-		must.Eq(t, 1, k.open.Load(), must.Sprint("nothing was written: the connection is kept"))
-		run(t, k, f.once("b"), dispatch.ClassResponse)
+		must.Eq(t, 1, cl.open.Load(), must.Sprint("nothing was written: the connection is kept"))
+		run(t, cl, f.once("b"), dispatch.ClassResponse)
 		must.Eq(t, 1, f.connections())
 	}
 }
@@ -119,13 +119,13 @@
 	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
 	var x *Exchange
 	looks := 0
-	k := newTestClient(t, Config{Frozen: func() bool {
+	cl := newTestClient(t, Config{Frozen: func() bool {
 		if looks++; looks == 2 {
 			x.deadline = x.deadline.Add(-time.Duration(x.attempt.Timeout) * time.Microsecond)
 		}
 		return false
 	}})
-	x = k.Start(f.once("a"))
+	x = cl.Start(f.once("a"))
 	rep := x.Run()
 	must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, 0, f.times("a"))
@@ -145,14 +145,14 @@
 		c.write(c.good("right"))
 		return true
 	})
-	k := newTestClient(t, Config{})
+	cl := newTestClient(t, Config{})
 	a := f.once("a")
 	a.Timeout = 20_000
-	must.True(t, run(t, k, a, dispatch.ClassFailed).TimedOut)
-	must.Eq(t, 0, k.open.Load())
+	must.True(t, run(t, cl, a, dispatch.ClassFailed).TimedOut)
+	must.Eq(t, 0, cl.open.Load())
 	late <- true
 	<-wrote
-	rep := run(t, k, f.once("b"), dispatch.ClassResponse)
+	rep := run(t, cl, f.once("b"), dispatch.ClassResponse)
 	must.Eq(t, "right", string(rep.Body))
 	must.False(t, rep.ReusedConn)
 	must.Eq(t, 1, f.times("a"))
@@ -164,17 +164,17 @@
 func TestBodyPartlyWritten(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
-		k := newTestClient(t, Config{})
+		cl := newTestClient(t, Config{})
 		if reused {
-			run(t, k, f.once("first"), dispatch.ClassResponse)
+			run(t, cl, f.once("first"), dispatch.ClassResponse)
 		}
 		f.cutAfter.Store(1000)
 		a := f.once("a")
 		a.Request.Body = []byte(strings.Repeat("x", 32<<20))
-		rep := run(t, k, a, dispatch.ClassFailed)
+		rep := run(t, cl, a, dispatch.ClassFailed)
 		must.Eq(t, reused, rep.ReusedConn)
 		must.Eq(t, 1, f.times("a"))
-		must.Eq(t, 0, k.open.Load())
+		must.Eq(t, 0, cl.open.Load())
 		must.Eq(t, 1, f.connections(), must.Sprint("written to one connection"))
 	}
 }
@@ -198,13 +198,13 @@
 			}
 			return true
 		})
-		k := newTestClient(t, Config{})
-		run(t, k, f.once("a"), dispatch.ClassResponse)
+		cl := newTestClient(t, Config{})
+		run(t, cl, f.once("a"), dispatch.ClassResponse)
 		if later {
 			follow <- true
-			readable(t, idleConn(t, k))
+			readable(t, idleConn(t, cl))
 		}
-		rep := run(t, k, f.once("b"), dispatch.ClassResponse)
+		rep := run(t, cl, f.once("b"), dispatch.ClassResponse)
 		must.False(t, rep.ReusedConn)
 		must.Eq(t, "right", string(rep.Body))
 		must.Eq(t, 1, f.times("b"))
@@ -223,11 +223,11 @@
 		c.arrived()
 		return false
 	})
-	k := newTestClient(t, Config{})
-	run(t, k, f.once("a"), dispatch.ClassResponse)
-	rep := run(t, k, f.once("b"), dispatch.ClassFailed)
+	cl := newTestClient(t, Config{})
+	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	rep := run(t, cl, f.once("b"), dispatch.ClassFailed)
 	must.True(t, rep.ReusedConn)
 	must.Eq(t, 0, f.times("b"))
 	must.Eq(t, 1, f.connections(), must.Sprint("it was not written again elsewhere"))
-	must.Eq(t, 0, k.open.Load())
+	must.Eq(t, 0, cl.open.Load())
 }
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -95,11 +95,11 @@
 	now := func() int64 { return time.Since(began).Microseconds() }
 	get := func() *snapshot.Snapshot { return cp }
 	desk := dispatch.NewDispatcher(dispatch.Config{Snapshot: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
-	k := backend.New(backend.Config{Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotRun: "Did-Not-Run"}, Counts: counts})
-	defer k.Close()
+	cl := backend.New(backend.Config{Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotExecuted: "Did-Not-Run"}, Counts: counts})
+	defer cl.Close()
 	s, err := Open(Config{
-		ClientAddr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Parts: "Stamps", Missing: "Parts-Missing"},
-		Log: zap.NewNop(), Counts: counts, Backends: k, Snapshot: get, Now: now, GracePeriod: 1_000_000,
+		ClientAddr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", ShardSeals: "Stamps", MissingShards: "Parts-Missing"},
+		Log: zap.NewNop(), Counts: counts, Backends: cl, Snapshot: get, Now: now, GracePeriod: 1_000_000,
 		NewStateMachine: func(r dispatch.Request, now int64) StateMachine { return dispatch.NewStateMachine(desk, r, now) },
 	})
 	must.NoError(b, err)
--- a/request/gateway/connections.go
+++ b/request/gateway/connections.go
@@ -1,8 +1,3 @@
-// The connections of clients, over net/http's servers: a change of the limits
-// begins a new server for connections to come, and those that are open end as
-// they began. At the end of a planned stop those that rest are given up, the
-// others when they have answered.
-
 package gateway
 
 import (
@@ -16,48 +11,51 @@
 	"go.uber.org/zap"
 )
 
+// connections are the clients' connections. An http.Server has its limits for good: a change of the
+// limits starts another one for new connections, and those that are open keep theirs.
 type connections struct {
 	mu       sync.Mutex
 	listener net.Listener
 	states   map[net.Conn]http.ConnState
-	// httpServers are all that were begun, passes the ways to them by what they were made for.
+	// httpServers are all that were started; handoffs has the channel of accepted connections for each.
 	httpServers []*http.Server
 	handoffs    map[serverLimits]chan net.Conn
 	closing     bool
 	closed      chan struct{}
 }
 
-// serverLimits are the limits that a server has for all its time.
+// serverLimits are the limits of one http.Server.
 type serverLimits struct {
 	headTimeout, idleTimeout time.Duration
 	maxHeaderBytes           int
 }
 
-// addr is where clients are served, empty until they are.
-func (v *connections) addr() string {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.listener == nil {
+// addr returns the address that clients are served on, or nothing before they are.
+func (c *connections) addr() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.listener == nil {
 		return ""
 	}
-	return v.listener.Addr().String()
+	return c.listener.Addr().String()
 }
 
-// listen opens the clients' address and accepts.
+// listen opens the clients' address and starts to accept connections.
 func (s *Server) listen() error {
-	// Without keep-alive probes: idle connections end by their time.
+	// Without keep-alive probes: idle connections time out.
 	l, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", s.config.ClientAddr)
 	if err != nil {
 		return err
 	}
-	v := &s.connections
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.closing {
+	conns := &s.connections
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	if conns.closing {
 		return l.Close()
 	}
-	v.listener, v.states, v.handoffs, v.closed = l, map[net.Conn]http.ConnState{}, map[serverLimits]chan net.Conn{}, make(chan struct{})
-	s.config.Log.Info("clients_open", zap.String("addr", l.Addr().String()))
+	conns.listener, conns.closed = l, make(chan struct{})
+	conns.states, conns.handoffs = map[net.Conn]http.ConnState{}, map[serverLimits]chan net.Conn{}
+	s.config.Log.Info("listening", zap.String("addr", l.Addr().String()))
 	go s.accept(l)
 	return nil
 }
@@ -69,18 +67,18 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			// No descriptors are left, or the like: it passes.
+			// As when no file descriptor is free: it passes.
 			s.config.Counts.Add("clients_not_accepted", 1)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		pass := s.assign(c)
-		if pass == nil {
+		handoff := s.assign(c)
+		if handoff == nil {
 			c.Close()
 			continue
 		}
 		select {
-		case pass <- c:
+		case handoff <- c:
 			s.accepted.Add(1)
 		case <-s.connections.closed:
 			c.Close()
@@ -89,89 +87,94 @@
 	}
 }
 
-// assign takes a connection up and gives the way to its server; nil is that none is taken any more.
+// assign registers a connection and returns the channel to the http.Server for the limits in force, or
+// nil if the shutdown does not accept connections any more.
 func (s *Server) assign(c net.Conn) chan net.Conn {
-	m, v := s.limits(), &s.connections
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.closing {
+	conns := &s.connections
+	l := s.limits()
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	if conns.closing {
 		return nil
 	}
-	now := serverLimits{headTimeout(m), idleTimeout(m), maxHeaderBytes(m)}
-	pass := v.handoffs[now]
-	if pass == nil {
-		pass = s.serveWith(now)
+	limits := serverLimits{headTimeout(l), idleTimeout(l), maxHeaderBytes(l)}
+	handoff := conns.handoffs[limits]
+	if handoff == nil {
+		handoff = s.serveWith(limits)
 	}
-	v.states[c] = http.StateNew
-	return pass
+	conns.states[c] = http.StateNew
+	return handoff
 }
 
-// serveWith begins a server for some limits; the connections' lock is held. Limits that come again find it there.
-func (s *Server) serveWith(now serverLimits) chan net.Conn {
-	v, pass := &s.connections, make(chan net.Conn)
-	srv := &http.Server{
-		Handler: &s.handler, ReadHeaderTimeout: now.headTimeout, IdleTimeout: now.idleTimeout, WriteTimeout: s.config.WriteTimeout, MaxHeaderBytes: now.maxHeaderBytes,
+// serveWith starts an http.Server with the limits and returns its channel. The connections' lock is held.
+func (s *Server) serveWith(limits serverLimits) chan net.Conn {
+	conns, handoff := &s.connections, make(chan net.Conn)
+	server := &http.Server{
+		Handler: &s.handler, MaxHeaderBytes: limits.maxHeaderBytes,
+		ReadHeaderTimeout: limits.headTimeout, IdleTimeout: limits.idleTimeout, WriteTimeout: s.config.WriteTimeout,
 		ConnState: s.stateChanged, ErrorLog: s.errorLog(), DisableGeneralOptionsHandler: true,
 	}
-	v.httpServers, v.handoffs[now] = append(v.httpServers, srv), pass
-	go srv.Serve(&handoffListener{addr: v.listener.Addr(), conns: pass, closed: make(chan struct{})})
-	return pass
+	conns.httpServers, conns.handoffs[limits] = append(conns.httpServers, server), handoff
+	go server.Serve(&handoffListener{addr: conns.listener.Addr(), conns: handoff, closed: make(chan struct{})})
+	return handoff
 }
 
-// stateChanged takes note of a connection's state. One that was given up just as its request had been read is not.
+// stateChanged records a connection's state. A connection that became active just when closeIdle
+// expired its deadline is not closed: its request was read.
 func (s *Server) stateChanged(c net.Conn, state http.ConnState) {
-	v := &s.connections
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	conns := &s.connections
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
 	switch state {
 	case http.StateClosed, http.StateHijacked:
-		delete(v.states, c)
+		delete(conns.states, c)
 		return
 	case http.StateActive:
-		if v.closing {
+		if conns.closing {
 			c.SetReadDeadline(time.Time{})
 		}
 	}
-	v.states[c] = state
+	conns.states[c] = state
 }
 
-// closeConnections closes the listener, gives up what rests and waits for the others, up to a moment; it returns how many
-// connections were cut then.
+// closeConnections closes the listener and the idle connections and waits for the others, until a
+// moment at the latest. It returns how many connections were aborted then.
 func (s *Server) closeConnections(until time.Time) (aborted int) {
-	v := &s.connections
-	v.mu.Lock()
-	v.closing = true
-	if v.listener != nil {
-		v.listener.Close()
-		close(v.closed)
+	conns := &s.connections
+	conns.mu.Lock()
+	conns.closing = true
+	if conns.listener != nil {
+		conns.listener.Close()
+		close(conns.closed)
 	}
-	v.mu.Unlock()
-	t := time.NewTicker(PollInterval)
-	defer t.Stop()
+	conns.mu.Unlock()
+	poll := time.NewTicker(PollInterval)
+	defer poll.Stop()
 	for aborted = s.closeIdle(); aborted > 0 && time.Now().Before(until); aborted = s.closeIdle() {
-		<-t.C
+		<-poll.C
 	}
-	for _, srv := range v.httpServers {
-		srv.Close()
+	for _, server := range conns.httpServers {
+		server.Close()
 	}
 	return aborted
 }
 
-// closeIdle ends the connections that rest, and returns how many there still are. A reading that is late reads nothing,
-// so that nothing is given up of which something was read; closing could come after the reading of a request.
+// closeIdle ends the connections that are not active and returns how many connections there still
+// are. It expires their read deadlines instead of closing them: a read either fails before it returns
+// a byte or has read a request, which is then served.
 func (s *Server) closeIdle() int {
-	v := &s.connections
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for c, state := range v.states {
+	conns := &s.connections
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	for c, state := range conns.states {
 		if state != http.StateActive {
 			c.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
-	return len(v.states)
+	return len(conns.states)
 }
 
-// handoffListener is a listener over connections that another one accepted.
+// handoffListener is the listener of an http.Server whose connections are accepted elsewhere.
 type handoffListener struct {
 	addr   net.Addr
 	conns  chan net.Conn
@@ -179,14 +182,14 @@
 	once   sync.Once
 }
 
-func (p *handoffListener) Accept() (net.Conn, error) {
+func (l *handoffListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-p.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p *handoffListener) Close() error   { p.once.Do(func() { close(p.closed) }); return nil }
-func (p *handoffListener) Addr() net.Addr { return p.addr }
+func (l *handoffListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *handoffListener) Addr() net.Addr { return l.addr }
--- a/request/gateway/driver.go
+++ b/request/gateway/driver.go
@@ -1,9 +1,3 @@
-// The driver of one request's chart. Whoever has an event for the chart steps
-// it, under the request's lock: the client's own goroutine, which carries out
-// an ask itself where only its reply can end the wait, workers that carry out the
-// others, and the clock. The client's goroutine goes on once there is an
-// outcome; asks that the chart leaves behind run out, and it hears of them.
-
 package gateway
 
 import (
@@ -13,155 +7,167 @@
 
 	"wallport/request/backend"
 	"wallport/request/dispatch"
+	"wallport/runtime/clock"
 )
 
+// driver drives the state machine of one request. Whoever has an event steps the machine under the
+// lock: the client's own goroutine, workers that run exchanges, and the timer. The client's goroutine
+// runs an attempt itself where only its result can end the wait, and returns once there is an outcome.
+// Attempts that the machine abandoned run out in the workers, and it is told their results.
 type driver struct {
-	server  *Server
+	server *Server
+	// done is closed once there is an outcome.
 	done    chan struct{}
 	mu      sync.Mutex
 	machine StateMachine
 	timer   *time.Timer
-	// wakeAt is when the chart wants to be woken, on the process's clock.
-	wakeAt    int64
-	exchanges []inFlight
-	inline    [4]inFlight
-	finished  bool
-	outcome   dispatch.Outcome
+	// wakeAt is the moment that the machine set its timer to; 0 is none.
+	wakeAt   clock.Micros
+	attempts []attempt
+	// inline is the first storage of attempts, so that most requests allocate no other.
+	inline   [4]attempt
+	finished bool
+	outcome  dispatch.Outcome
 }
 
-// inFlight is an ask under way.
-type inFlight struct {
+// attempt is one attempt that was started.
+type attempt struct {
 	number   int
 	exchange *backend.Exchange
-	// replyOnly is that nothing else can come of it than its reply, or the end of its time.
+	// replyOnly is that nothing but its result, or its timeout, can advance the request.
 	replyOnly bool
 }
 
-// drive takes a request through its chart.
+// drive takes a request through its state machine and returns the outcome.
 func (s *Server) drive(ctx context.Context, req dispatch.Request) dispatch.Outcome {
 	now := s.config.Now()
-	r := &driver{server: s, done: make(chan struct{}), machine: s.config.NewStateMachine(req, now)}
-	r.exchanges = r.inline[:0]
-	r.mu.Lock()
-	asks := r.execute(r.machine.Step(now, dispatch.Begin{}))
-	r.mu.Unlock()
-	gone := context.AfterFunc(ctx, func() { r.step(dispatch.ClientGone{}) })
-	for len(asks) == 1 && asks[0].replyOnly {
-		asks = r.replied(asks[0], asks[0].exchange.Run())
+	d := &driver{server: s, done: make(chan struct{}), machine: s.config.NewStateMachine(req, now)}
+	d.attempts = d.inline[:0]
+	d.mu.Lock()
+	started := d.execute(d.machine.Step(now, dispatch.Begin{}))
+	d.mu.Unlock()
+	stopWatching := context.AfterFunc(ctx, func() { d.step(dispatch.ClientGone{}) })
+	for len(started) == 1 && started[0].replyOnly {
+		started = d.replied(started[0], started[0].exchange.Run())
 	}
-	r.start(asks)
-	<-r.done
-	gone()
-	if r.timer != nil {
-		r.timer.Stop()
+	d.start(started)
+	<-d.done
+	stopWatching()
+	if d.timer != nil {
+		d.timer.Stop()
 	}
-	return r.outcome
+	return d.outcome
 }
 
-// start has asks carried out by workers.
-func (r *driver) start(asks []inFlight) {
-	for _, u := range asks {
-		r.server.workers.submit(task{r, u})
+// start runs attempts in workers.
+func (d *driver) start(attempts []attempt) {
+	for _, a := range attempts {
+		d.server.workers.submit(task{d, a})
 	}
 }
 
-func (r *driver) replied(u inFlight, rep dispatch.Result) []inFlight {
-	asks := r.advance(dispatch.AttemptDone{N: u.number, Result: rep})
-	r.server.exchanges.Add(-1)
-	return asks
+// replied steps the machine with the result of an attempt and returns the attempts to start.
+func (d *driver) replied(a attempt, result dispatch.Result) []attempt {
+	next := d.advance(dispatch.AttemptDone{N: a.number, Result: result})
+	d.server.exchanges.Add(-1)
+	return next
 }
 
-func (r *driver) step(ev dispatch.Event) { r.start(r.advance(ev)) }
+// step steps the machine and starts the attempts that it sends.
+func (d *driver) step(ev dispatch.Event) { d.start(d.advance(ev)) }
 
-// advance gives the chart an event, carries out what it asks for and returns the asks to be begun.
-func (r *driver) advance(ev dispatch.Event) []inFlight {
-	r.server.config.AwaitThaw()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.execute(r.machine.Step(r.server.config.Now(), ev))
+// advance steps the machine, after a freeze has been noticed, and returns the attempts to start.
+func (d *driver) advance(ev dispatch.Event) []attempt {
+	d.server.config.AwaitThaw()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.execute(d.machine.Step(d.server.config.Now(), ev))
 }
 
-// execute carries out what the chart asks for, and returns the asks that are to be begun.
-func (r *driver) execute(acts []dispatch.Action) []inFlight {
-	started := len(r.exchanges)
-	for _, a := range acts {
-		switch v := a.(type) {
+// execute carries out the machine's actions and returns the attempts to start. The lock is held.
+func (d *driver) execute(actions []dispatch.Action) []attempt {
+	firstNew := len(d.attempts)
+	for _, action := range actions {
+		switch v := action.(type) {
 		case dispatch.Send:
-			r.server.exchanges.Add(1)
-			r.exchanges = append(r.exchanges, inFlight{v.N, r.server.config.Backends.Start(v), v.AtMostOnce})
+			d.server.exchanges.Add(1)
+			d.attempts = append(d.attempts, attempt{v.N, d.server.config.Backends.Start(v), v.AtMostOnce})
 		case dispatch.Cancel:
-			for _, u := range r.exchanges {
-				if u.number == v.N {
-					u.exchange.Cancel()
+			for _, a := range d.attempts {
+				if a.number == v.N {
+					a.exchange.Cancel()
 				}
 			}
 		case dispatch.Abandon:
-			for _, u := range r.exchanges {
-				if u.number == v.N {
-					u.exchange.Abandon()
+			for _, a := range d.attempts {
+				if a.number == v.N {
+					a.exchange.Abandon()
 				}
 			}
 		case dispatch.SetTimer:
-			r.wake(v.At)
+			d.wake(v.At)
 		case dispatch.Finish:
-			r.finish(v.Outcome)
+			d.finish(v.Outcome)
 		}
 	}
-	return r.exchanges[started:]
+	return d.attempts[firstNew:]
 }
 
-func (r *driver) finish(o dispatch.Outcome) {
-	if r.finished {
+// finish records the first outcome. The lock is held.
+func (d *driver) finish(o dispatch.Outcome) {
+	if d.finished {
 		return
 	}
-	r.finished, r.outcome = true, o
-	close(r.done)
+	d.finished, d.outcome = true, o
+	close(d.done)
 }
 
-func (r *driver) wake(at int64) {
-	r.wakeAt = at
-	in := time.Duration(at-r.server.config.Now()) * time.Microsecond
-	if r.timer == nil {
-		r.timer = time.AfterFunc(in, r.timerFired)
+// wake sets the timer of the machine. The lock is held.
+func (d *driver) wake(at clock.Micros) {
+	d.wakeAt = at
+	delay := clock.Duration(at - d.server.config.Now())
+	if d.timer == nil {
+		d.timer = time.AfterFunc(delay, d.timerFired)
 		return
 	}
-	r.timer.Reset(in)
+	d.timer.Reset(delay)
 }
 
-// timerFired is the clock's: it wakes the chart.
-func (r *driver) timerFired() {
-	r.mu.Lock()
-	if r.finished || r.wakeAt == 0 {
-		r.mu.Unlock()
+// timerFired steps the machine when its timer is due.
+func (d *driver) timerFired() {
+	d.mu.Lock()
+	if d.finished || d.wakeAt == 0 {
+		d.mu.Unlock()
 		return
 	}
-	if now := r.server.config.Now(); now < r.wakeAt {
-		// The chart has put it off meanwhile.
-		r.wake(r.wakeAt)
-		r.mu.Unlock()
+	if now := d.server.config.Now(); now < d.wakeAt {
+		// The machine has set a later moment meanwhile.
+		d.wake(d.wakeAt)
+		d.mu.Unlock()
 		return
 	}
-	r.wakeAt = 0
-	r.mu.Unlock()
-	r.step(dispatch.TimerFired{})
+	d.wakeAt = 0
+	d.mu.Unlock()
+	d.step(dispatch.TimerFired{})
 }
 
-// task is an ask that a worker carries out.
+// task is an attempt for a worker to run.
 type task struct {
-	driver   *driver
-	exchange inFlight
+	driver  *driver
+	attempt attempt
 }
 
-// workers are goroutines that carry out asks; those that have nothing to do wait, with their stacks grown.
+// maxIdleWorkers bounds the workers that wait for a task.
+const maxIdleWorkers = 128
+
+// workers are goroutines that run attempts. Idle ones are kept, since their stacks have grown already.
 type workers struct {
 	tasks chan task
 	mu    sync.Mutex
 	idle  int
 }
 
-// idleWorkers bounds those that wait.
-const idleWorkers = 128
-
+// submit passes a task to an idle worker or starts one.
 func (w *workers) submit(t task) {
 	select {
 	case w.tasks <- t:
@@ -172,10 +178,10 @@
 
 func (w *workers) loop(t task) {
 	for {
-		t.driver.start(t.driver.replied(t.exchange, t.exchange.exchange.Run()))
+		t.driver.start(t.driver.replied(t.attempt, t.attempt.exchange.Run()))
 		t = task{}
 		w.mu.Lock()
-		if w.idle >= idleWorkers {
+		if w.idle >= maxIdleWorkers {
 			w.mu.Unlock()
 			return
 		}
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -1,11 +1,9 @@
-// Package gateway is the clients' HTTP side of a node: it reads requests
-// whole, takes each through its forward chart, writes the one answer, says
-// whether the node is ready, and stops without losing what was read.
 package gateway
 
 import (
 	"cmp"
 	"errors"
+	"fmt"
 	"net"
 	"net/http"
 	"sync/atomic"
@@ -16,65 +14,78 @@
 	"wallport/request/backend"
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
-// Names are the header names and the path that a platform uses.
+// Names are the names of header fields and the path that a platform uses.
 type Names struct {
-	ID, Budget, Seal, Target, Load, NotRun, Parts, Missing, Member string
-	// ReadyPath is where readiness is asked for.
-	ReadyPath string
+	// ID is a client's id of one attempt, Budget what is left of its time.
+	ID, Budget string
+	// Target is the backend that a request is meant for, Member the backend that responds.
+	Target, Member string
+	// Seal is a backend's seal of a response, Load its load, NotExecuted its statement that a request did not run.
+	Seal, Load, NotExecuted string
+	// ShardSeals are the seals of a merged response, MissingShards the number of shards that it lacks.
+	ShardSeals, MissingShards string
+	// ReadinessPath is the path that readiness is requested at.
+	ReadinessPath string
 }
 
-// StateMachine is one request's state chart; dispatch.Chart is it.
+// StateMachine is the state machine of one request, as dispatch.StateMachine.
 type StateMachine interface {
-	Step(now int64, ev dispatch.Event) []dispatch.Action
+	Step(now clock.Micros, ev dispatch.Event) []dispatch.Action
 	Done() bool
 }
 
 // Config is what a server is made of.
 type Config struct {
-	// ClientAddr is where clients come, ReadinessAddr where readiness is asked for.
+	// ClientAddr is the address for clients, ReadinessAddr that for readiness checks; empty is none.
 	ClientAddr, ReadinessAddr string
 	Names                     Names
 	Log                       *zap.Logger
-	// Sampled is the log for what clients can bring about; nil is Log.
+	// Sampled is the log for events that clients can cause; nil is Log.
 	Sampled  *zap.Logger
 	Counts   *kernel.Counts
 	Backends *backend.Client
-	// Snapshot is the snapshot in force.
+	// Snapshot returns the routing snapshot in force.
 	Snapshot func() *snapshot.Snapshot
-	// NewStateMachine makes a request's chart.
-	NewStateMachine func(r dispatch.Request, now int64) StateMachine
-	// Ready reports whether the newest known configuration is in force; nil is that of the snapshot.
+	// NewStateMachine returns the state machine of a request.
+	NewStateMachine func(r dispatch.Request, now clock.Micros) StateMachine
+	// Ready reports whether the newest known configuration is in force; nil is the snapshot's own readiness.
 	Ready func() bool
-	// Now is the process's clock in microseconds. Refresh, where it is set, waits after a freeze until
-	// the table is fresh.
-	Now       func() int64
+	// Now is the process's clock. AwaitThaw, if set, waits after a freeze until the snapshot is fresh.
+	Now       func() clock.Micros
 	AwaitThaw func()
-	// GracePeriod is the time that the platform gives a planned stop, AcceptTime how long new connections are still
-	// taken then, until nobody is sent here any more, in microseconds; 0 is DefaultAcceptTime.
-	GracePeriod, AcceptTime int64
-	// WriteTimeout bounds how long a client may take to take its answer; 0 is DefaultWriteTimeout.
+	// GracePeriod is the time that the platform gives a graceful shutdown. AcceptTime is how long new
+	// connections are still accepted then, until no client is sent here any more; 0 is DefaultAcceptTime.
+	GracePeriod, AcceptTime clock.Micros
+	// WriteTimeout bounds how long a client may take to read its response; 0 is DefaultWriteTimeout.
 	WriteTimeout time.Duration
 }
 
-// Figures of the server.
 const (
-	// DefaultWriteTimeout bounds how long a client may take to take its answer.
+	// DefaultWriteTimeout bounds how long a client may take to read its response.
 	DefaultWriteTimeout = 60 * time.Second
-	PollInterval        = 20 * time.Millisecond
-	DefaultAcceptTime   = 2200 * time.Millisecond
-	acceptRetryDelay    = 5 * time.Millisecond
-	// abandonedTimeout is how long a planned stop waits for asks whose answers nobody wants any more.
+	// DefaultAcceptTime is how long a shutdown still accepts connections.
+	DefaultAcceptTime = 2200 * clock.Millisecond
+	// PollInterval is how often readiness and, in a shutdown, the open connections are looked at.
+	PollInterval = 20 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept.
+	acceptRetryDelay = 5 * time.Millisecond
+	// abandonedTimeout is how long a shutdown waits for abandoned exchanges, abandonedPoll how often it looks.
 	abandonedTimeout = time.Second
 	abandonedPoll    = 10 * time.Millisecond
-	// graceReserve is the part of the grace that is kept for the end itself: a sixth.
+	// graceReserve divides the grace period: a sixth of it is kept for the end of the shutdown.
 	graceReserve = 6
-	// retryAfter is when to come back to a node that has no table yet.
-	retryAfter = 200_000
-	// Leniency is how many times the configured limits are borne before a request is refused for them.
-	Leniency = 2
+	// retryAfter is what clients of a node that cannot serve yet are told to wait.
+	retryAfter = 200 * clock.Millisecond
+)
+
+// The codes of the node's own responses.
+const (
+	codeRejected = "refused"
+	codeInvalid  = "invalid"
 )
 
 // Server serves clients and readiness.
@@ -87,16 +98,17 @@
 	stopping    chan struct{}
 	workers     workers
 	connections connections
-	// draining tells that a planned stop has begun.
-	draining                atomic.Bool
-	read, refused, accepted *atomic.Int64
-	// inFlight counts requests under way, asks those at backends, left ones included; held is what the
+	// draining is set once the shutdown has begun.
+	draining                 atomic.Bool
+	read, rejected, accepted *atomic.Int64
+	// attempt counts requests under way, asks those at backends, left ones included; held is what the
 	// bodies of all requests hold together. They are shown with the counters.
 	inFlight, exchanges, bodyBytes *atomic.Int64
 	maxBodyBytes                   int64
 }
 
-// Open listens for readiness at once, and for clients as soon as the node is ready.
+// Open starts a server. It listens for readiness checks at once, and for clients as soon as the node is
+// ready. It fails if the address for readiness checks cannot be opened; later errors go to [Server.Failed].
 func Open(c Config) (*Server, error) {
 	if c.AwaitThaw == nil {
 		c.AwaitThaw = func() {}
@@ -106,19 +118,20 @@
 		c.Sampled = c.Log
 	}
 	if c.AcceptTime == 0 {
-		c.AcceptTime = DefaultAcceptTime.Microseconds()
+		c.AcceptTime = DefaultAcceptTime
 	}
 	of := c.Counts.Of
 	s := &Server{
-		config: c, errors: make(chan error, 2), stopping: make(chan struct{}), bodyTimeout: defaultBodyTimeout, maxBodyBytes: maxBodiesBytes, workers: workers{tasks: make(chan task)},
-		read: of("requests_read"), refused: of("requests_invalid"), accepted: of("clients_accepted"),
+		config: c, errors: make(chan error, 2), stopping: make(chan struct{}),
+		bodyTimeout: defaultBodyTimeout, maxBodyBytes: maxBodiesBytes, workers: workers{tasks: make(chan task)},
+		read: of("requests_read"), rejected: of("requests_invalid"), accepted: of("clients_accepted"),
 		inFlight: of("requests_open"), exchanges: of("asks_open"), bodyBytes: of("bodies_held_bytes"),
 	}
 	s.handler = newHandler(s)
 	if c.ReadinessAddr != "" {
 		l, err := net.Listen("tcp", c.ReadinessAddr)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("cannot listen for readiness checks: %w", err)
 		}
 		s.ready = &http.Server{
 			Handler: http.HandlerFunc(s.readiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second,
@@ -136,15 +149,15 @@
 	}
 }
 
-// openClients waits for the first table: a client that comes too early finds no one and goes elsewhere.
+// openClients listens for clients once the node is ready: until then they are refused and go elsewhere.
 func (s *Server) openClients() {
-	t := time.NewTicker(PollInterval)
-	defer t.Stop()
+	poll := time.NewTicker(PollInterval)
+	defer poll.Stop()
 	for !s.isReady() {
 		select {
 		case <-s.stopping:
 			return
-		case <-t.C:
+		case <-poll.C:
 		}
 	}
 	if err := s.listen(); err != nil {
@@ -159,14 +172,15 @@
 	if s.config.Ready != nil {
 		return s.config.Ready()
 	}
-	c := s.config.Snapshot()
-	return c.Ready() && c.Routing != nil
+	view := s.config.Snapshot()
+	return view.Ready() && view.Routing != nil
 }
 
+// readiness responds to a readiness check.
 func (s *Server) readiness(w http.ResponseWriter, r *http.Request) {
 	status := http.StatusOK
 	switch {
-	case r.URL.Path != s.config.Names.ReadyPath:
+	case r.URL.Path != s.config.Names.ReadinessPath:
 		status = http.StatusNotFound
 	case !s.isReady():
 		status = http.StatusServiceUnavailable
@@ -174,38 +188,43 @@
 	w.WriteHeader(status)
 }
 
-// Failed tells of a server that ended by itself.
+// Failed receives the errors after which the server does not serve.
 func (s *Server) Failed() <-chan error { return s.errors }
 
-// Addr is where clients are served; empty until they are.
+// Addr returns the address that clients are served on, or nothing before they are.
 func (s *Server) Addr() string { return s.connections.addr() }
 
-// stopEnd is when a planned stop ends what is under way yet: in the last sixth of the grace, and a second
-// before its end at the earliest. A backend that works until then excuses the cut.
-func stopEnd(began time.Time, grace time.Duration) time.Time {
-	return began.Add(max(time.Second, grace-min(time.Second, grace/graceReserve)))
+// shutdownDeadline returns when a graceful shutdown aborts what is still in flight: a sixth of the
+// grace period before its end, but not more than a second before it, and after one second at the earliest.
+func shutdownDeadline(start time.Time, grace time.Duration) time.Time {
+	return start.Add(max(time.Second, grace-min(time.Second, grace/graceReserve)))
 }
 
-// Stop is the planned stop: not ready at once, new connections for a while yet, then what was read is
-// finished, until stopEnd at the latest.
+// Stop shuts the server down gracefully and returns when it is done. The node is not ready at once, new
+// connections are accepted for AcceptTime, and requests that were read are finished, until
+// shutdownDeadline at the latest.
 func (s *Server) Stop() {
 	if s.draining.Swap(true) {
 		return
 	}
 	close(s.stopping)
-	began := time.Now()
-	end := stopEnd(began, time.Duration(s.config.GracePeriod)*time.Microsecond)
-	s.config.Log.Info("draining", zap.Int64("open", s.inFlight.Load()))
+	deadline := shutdownDeadline(time.Now(), clock.Duration(s.config.GracePeriod))
+	s.config.Log.Info("draining", zap.Int64("in_flight", s.inFlight.Load()))
 	if s.connections.addr() != "" {
-		time.Sleep(min(time.Duration(s.config.AcceptTime)*time.Microsecond, time.Until(end)))
-	}
-	cut := s.closeConnections(end)
-	// What charts have left at backends is not broken off either.
-	for last := time.Now().Add(abandonedTimeout); s.exchanges.Load() > 0 && time.Now().Before(last) && time.Now().Before(end); {
-		time.Sleep(abandonedPoll)
+		time.Sleep(min(clock.Duration(s.config.AcceptTime), time.Until(deadline)))
 	}
-	s.config.Log.Info("served", zap.Int64("accepted", s.accepted.Load()), zap.Int64("read", s.read.Load()), zap.Int64("open", s.inFlight.Load()), zap.Int("cut", cut))
+	aborted := s.closeConnections(deadline)
+	s.awaitAbandoned(deadline)
+	s.config.Log.Info("served", zap.Int64("accepted", s.accepted.Load()), zap.Int64("read", s.read.Load()),
+		zap.Int64("in_flight", s.inFlight.Load()), zap.Int("aborted", aborted))
 	if s.ready != nil {
 		s.ready.Close()
 	}
 }
+
+// awaitAbandoned waits for exchanges that were abandoned, so that backends can finish them.
+func (s *Server) awaitAbandoned(deadline time.Time) {
+	for last := time.Now().Add(abandonedTimeout); s.exchanges.Load() > 0 && time.Now().Before(last) && time.Now().Before(deadline); {
+		time.Sleep(abandonedPoll)
+	}
+}
--- a/request/gateway/limits.go
+++ b/request/gateway/limits.go
@@ -1,90 +1,106 @@
-// What a client may send and how long it may take: the limits of the routing
-// table in force, generously, or what is borne where it sets none, and a bound on
-// what all bodies hold together.
-
 package gateway
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"time"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
 const (
-	// maxBodiesBytes bounds what the bodies of all requests hold together, in bytes.
-	maxBodiesBytes     = 32 << 20
+	// Leniency is how many times the configured limits are tolerated before a request is rejected.
+	Leniency = 2
+
+	// maxBodiesBytes bounds the bodies of all requests together.
+	maxBodiesBytes = 32 << 20
+	// defaultBodyTimeout is how long a body may take after the header's time.
 	defaultBodyTimeout = 10 * time.Second
 	minTimeout         = 200 * time.Millisecond
+
+	// The limits where the routing table sets none, and the most that it can set for the header.
+	defaultIdleTimeout    = 30 * time.Second
+	defaultHeadTimeout    = 10 * time.Second
+	defaultMaxHeaderBytes = 64 << 10
+	defaultMaxBodyBytes   = 4 << 20
+	maxMaxHeaderBytes     = 1 << 20
 )
 
+// limits returns the limits of the routing table in force, or empty ones.
 func (s *Server) limits() *routingpb.Limits {
-	if c := s.config.Snapshot(); c != nil && c.Routing != nil && c.Routing.Limits != nil {
-		return c.Routing.Limits
+	if view := s.config.Snapshot(); view != nil && view.Routing != nil && view.Routing.Limits != nil {
+		return view.Routing.Limits
 	}
 	return &routingpb.Limits{}
 }
 
-func idleTimeout(m *routingpb.Limits) time.Duration {
-	return lenientTimeout(m.IdleTimeoutUs, 30*time.Second)
+func idleTimeout(l *routingpb.Limits) time.Duration {
+	return lenientTimeout(l.IdleTimeoutUs, defaultIdleTimeout)
 }
-func headTimeout(m *routingpb.Limits) time.Duration {
-	return lenientTimeout(m.HeaderTimeoutUs, 10*time.Second)
+
+func headTimeout(l *routingpb.Limits) time.Duration {
+	return lenientTimeout(l.HeaderTimeoutUs, defaultHeadTimeout)
 }
 
-func lenientTimeout(us int64, without time.Duration) time.Duration {
-	if us <= 0 {
-		return without
+func lenientTimeout(configured clock.Micros, unset time.Duration) time.Duration {
+	if configured <= 0 {
+		return unset
 	}
-	return max(minTimeout, Leniency*time.Duration(us)*time.Microsecond)
+	return max(minTimeout, Leniency*clock.Duration(configured))
 }
 
-func maxHeaderBytes(m *routingpb.Limits) int {
-	if m.MaxHeaderBytes <= 0 {
-		return 64 << 10
+func maxHeaderBytes(l *routingpb.Limits) int {
+	if l.MaxHeaderBytes <= 0 {
+		return defaultMaxHeaderBytes
 	}
-	return int(min(Leniency*m.MaxHeaderBytes, 1<<20))
+	return int(min(Leniency*l.MaxHeaderBytes, maxMaxHeaderBytes))
 }
 
-func maxBodyBytes(m *routingpb.Limits) int64 {
-	if m.MaxBodyBytes <= 0 {
-		return 4 << 20
+func maxBodyBytes(l *routingpb.Limits) int64 {
+	if l.MaxBodyBytes <= 0 {
+		return defaultMaxBodyBytes
 	}
-	return Leniency * m.MaxBodyBytes
+	return Leniency * l.MaxBodyBytes
 }
 
-// bodyReservation is a body that is read within what all bodies together may hold; it is given back when the request has its
-// answer.
+// errBodyBudget is that the bodies of all requests together are too large.
+var errBodyBudget = errors.New("too many bodies at once")
+
+// bodyReservation counts the bytes of one body against the bound of all bodies, until it is released
+// when the request has its response.
 type bodyReservation struct {
 	server   *Server
 	reader   io.Reader
 	reserved int64
 }
 
-func (h *bodyReservation) reserve(n int64) bool {
-	h.reserved += n
-	return h.server.bodyBytes.Add(n) <= h.server.maxBodyBytes
+// reserve adds n bytes and reports whether all bodies together are within the bound.
+func (b *bodyReservation) reserve(n int64) bool {
+	b.reserved += n
+	return b.server.bodyBytes.Add(n) <= b.server.maxBodyBytes
 }
 
-func (h *bodyReservation) release() { h.server.bodyBytes.Add(-h.reserved) }
+func (b *bodyReservation) release() { b.server.bodyBytes.Add(-b.reserved) }
 
-// Read reads a body whose length is not known.
-func (h *bodyReservation) Read(b []byte) (int, error) {
-	n, err := h.reader.Read(b)
-	if !h.reserve(int64(n)) {
+// Read reads a body of unknown length and reserves its bytes as they arrive.
+func (b *bodyReservation) Read(buf []byte) (int, error) {
+	n, err := b.reader.Read(buf)
+	if !b.reserve(int64(n)) {
 		err = errBodyBudget
 	}
 	return n, err
 }
 
-// headerFits reports whether the header is within the limit.
-func headerFits(r *http.Request, m *routingpb.Limits) bool {
-	n := len(r.RequestURI) + len(r.Host)
-	for name, vs := range r.Header {
-		for _, v := range vs {
-			n += len(name) + len(v) + 4
+// headerFits reports whether a request's target and header fields are within the limit.
+func headerFits(r *http.Request, l *routingpb.Limits) bool {
+	const punctuation = len(": \r\n")
+	size := len(r.RequestURI) + len(r.Host)
+	for name, values := range r.Header {
+		for _, value := range values {
+			size += len(name) + len(value) + punctuation
 		}
 	}
-	return n <= maxHeaderBytes(m)
+	return size <= maxHeaderBytes(l)
 }
--- a/request/gateway/response.go
+++ b/request/gateway/response.go
@@ -1,6 +1,3 @@
-// Answers as they are written: a backend's unchanged, a gathered one, or the
-// node's own.
-
 package gateway
 
 import (
@@ -10,12 +7,13 @@
 	"strings"
 
 	"wallport/request/dispatch"
+	"wallport/runtime/clock"
 )
 
-// writeOutcome writes what a request came to.
+// writeOutcome writes the response of a request: a backend's own, a merged one, or the node's own.
 func (h *handler) writeOutcome(w http.ResponseWriter, r *http.Request, o *dispatch.Outcome) {
 	head := w.Header()
-	// Whoever reads the flag first has it: an answer that is to be the last one says so.
+	// Once the shutdown has begun, a response is the last one on its connection.
 	if h.server.draining.Load() {
 		closeAfterResponse(w)
 	}
@@ -24,9 +22,9 @@
 		maps.Copy(head, o.Response.Header)
 		writeResponse(w, r, o.Response.Status, o.Response.Body)
 	case len(o.Seals) > 0:
-		head[h.names.Parts] = []string{strings.Join(o.Seals, ", ")}
+		head[h.names.ShardSeals] = []string{strings.Join(o.Seals, ", ")}
 		if o.Missing > 0 {
-			head[h.names.Missing] = []string{strconv.Itoa(o.Missing)}
+			head[h.names.MissingShards] = []string{strconv.Itoa(o.Missing)}
 		}
 		writeResponse(w, r, o.Status, o.Body)
 	default:
@@ -34,10 +32,11 @@
 	}
 }
 
+// writeResponse writes a response whose header fields are set.
 func writeResponse(w http.ResponseWriter, r *http.Request, status int, body []byte) {
 	head := w.Header()
-	if _, there := head["Content-Type"]; !there {
-		// None is guessed.
+	if _, set := head["Content-Type"]; !set {
+		// Without the field net/http would guess a type.
 		head["Content-Type"] = nil
 	}
 	if status != http.StatusNoContent && status != http.StatusNotModified && r.Method != http.MethodHead {
@@ -49,7 +48,7 @@
 	}
 }
 
-// writeOwnResponse writes an answer of the node itself.
+// writeOwnResponse writes a response of the node itself: a JSON object with a code and a reason.
 func writeOwnResponse(w http.ResponseWriter, o *dispatch.Outcome) {
 	b := strconv.AppendQuoteToASCII([]byte(`{"code":`), string(o.Code))
 	b = append(strconv.AppendQuoteToASCII(append(b, `,"why":`...), o.Reason), "}\n"...)
@@ -57,7 +56,7 @@
 	head["Content-Type"] = []string{"application/json"}
 	head["Content-Length"] = []string{strconv.Itoa(len(b))}
 	if o.RetryAfter > 0 {
-		head["Retry-After"] = []string{strconv.FormatFloat(float64(o.RetryAfter)/1e6, 'f', 3, 64)}
+		head["Retry-After"] = []string{strconv.FormatFloat(float64(o.RetryAfter)/float64(clock.Second), 'f', 3, 64)}
 	}
 	w.WriteHeader(o.Status)
 	w.Write(b)
--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -208,9 +208,9 @@
 func TestStopEndsInLastSixthOfGrace(t *testing.T) {
 	began := time.Unix(100, 0)
 	for _, grace := range []time.Duration{2 * time.Second, 3 * time.Second, 6 * time.Second, 30 * time.Second} {
-		end := stopEnd(began, grace).Sub(began)
+		end := shutdownDeadline(began, grace).Sub(began)
 		must.GreaterEq(t, grace-grace/6, end, must.Sprint(grace))
 		must.Less(t, grace, end, must.Sprint(grace))
 	}
-	must.Eq(t, time.Second, stopEnd(began, 0).Sub(began))
+	must.Eq(t, time.Second, shutdownDeadline(began, 0).Sub(began))
 }
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -28,7 +28,7 @@
 	"wallport/runtime/wire"
 )
 
-var testNames = Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Target: "Meant-For", Parts: "Stamps", Missing: "Parts-Missing", ReadyPath: "/ready"}
+var testNames = Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Target: "Meant-For", ShardSeals: "Stamps", MissingShards: "Parts-Missing", ReadinessPath: "/ready"}
 
 // script is a chart that does as it is told; step is called with what the chart was given so far.
 type script struct {
@@ -123,10 +123,10 @@
 	w.limits(&routingpb.Limits{})
 	began := time.Now()
 	w.now = func() int64 { return time.Since(began).Microseconds() }
-	k := backend.New(backend.Config{Counts: w.counts, Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotRun: "Did-Not-Run"}})
-	t.Cleanup(k.Close)
+	cl := backend.New(backend.Config{Counts: w.counts, Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotExecuted: "Did-Not-Run"}})
+	t.Cleanup(cl.Close)
 	c := Config{
-		ClientAddr: "127.0.0.1:0", Names: testNames, Log: zap.NewNop(), Counts: w.counts, Backends: k, Snapshot: w.cp.Load,
+		ClientAddr: "127.0.0.1:0", Names: testNames, Log: zap.NewNop(), Counts: w.counts, Backends: cl, Snapshot: w.cp.Load,
 		Now: func() int64 { return w.now() }, GracePeriod: 30_000_000, AcceptTime: 1,
 		NewStateMachine: func(r dispatch.Request, _ int64) StateMachine {
 			w.mu.Lock()
