--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -3,6 +3,7 @@
 import (
 	"sync/atomic"
 
+	"wallport/request/retrybudget"
 	"wallport/request/snapshot"
 	"wallport/runtime/clock"
 )
@@ -114,7 +115,7 @@
 	switch {
 	case s.WarmUpRemaining > 0 && s.WarmUpRemaining != lastWarmUp:
 		b.warmingUntil.Store(snap.At + s.WarmUpRemaining)
-	case firstListed && snap.At-startedAt > startupPeriod:
+	case firstListed && snap.At-startedAt > retrybudget.StartupPeriod:
 		// A backend that was not there before has just started, whatever the list says.
 		b.warmingUntil.Store(snap.At + p.SlowStartUs)
 	}
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"wallport/request/retrybudget"
 	"wallport/request/tokenbucket"
 	"wallport/runtime/clock"
 	"wallport/runtime/random"
@@ -13,24 +14,19 @@
 	// burstFraction of Allowance may be saved, refillFraction of it comes with time in each Window.
 	burstFraction  = 0.7
 	refillFraction = 0.15
-	// A process that has just started cannot know the size of the fleet: for startupPeriod it has what it earns, and
-	// saves startupBurst at most.
-	startupBurst  = 2 * tokenbucket.One
-	startupPeriod = 10 * clock.Second
 )
 
 // retryBudget is a node's part of the budget for retries and hedged requests at one pool. Each node earns a
 // little less than Ratio from its own requests; of the Allowance most may be saved and some comes with time, both
 // divided by the largest fleet seen lately. It may be used from many goroutines.
 type retryBudget struct {
-	tokenbucket.Bucket
-	config    RetryConfig
-	startedAt clock.Micros
+	retrybudget.Budget
+	config RetryConfig
 }
 
 func newRetryBudget(config RetryConfig, startedAt clock.Micros) *retryBudget {
-	b := &retryBudget{config: config, startedAt: startedAt}
-	b.RefilledAt.Store(startedAt + startupPeriod)
+	b := &retryBudget{config: config}
+	b.Init(startedAt)
 	return b
 }
 
@@ -45,11 +41,7 @@
 // limits returns how much this node may save, and its fair share of what the fleet may save, which on a large
 // fleet is less than one attempt.
 func (b *retryBudget) limits(now clock.Micros, nodes int) (burst, fairShare int64) {
-	if now-b.startedAt < startupPeriod {
-		return startupBurst, startupBurst
-	}
-	fairShare = int64(burstFraction * b.config.Allowance * tokenbucket.One / float64(max(1, nodes)))
-	return max(tokenbucket.One, fairShare), fairShare
+	return b.Limits(now, int64(burstFraction*b.config.Allowance*tokenbucket.One/float64(max(1, nodes))))
 }
 
 // replenish earns for one request of the pool. Where the fair share is less than one attempt, a whole attempt
--- a/request/search/dispatcher.go
+++ b/request/search/dispatcher.go
@@ -26,7 +26,7 @@
 	StartedAt clock.Micros
 
 	nextID       atomic.Uint64
-	retryBudgets sync.Map // index -> *tokenbucket.Bucket
+	retryBudgets sync.Map // index -> *retrybudget.Budget
 	limiters     sync.Map // index -> *indexLimiters
 }
 
