--- a/cluster/discovery/discovery_test.go
+++ b/cluster/discovery/discovery_test.go
@@ -36,9 +36,13 @@
 	mail [][]byte
 }
 
-func newRig(t *testing.T, e settings.Settings) *rig { return newNode(t, e, 0) }
+func newRig(t *testing.T, e settings.Settings) *rig {
+	t.Helper()
+	return newNode(t, e, 0)
+}
 
 func newNode(t *testing.T, e settings.Settings, n byte) *rig {
+	t.Helper()
 	e.Name, e.Mesh, e.PlatformURL = "n"+string('0'+n), "10.0.0."+string('1'+n)+":1", "http://platform/list"
 	r := &rig{t: t, status: 200, list: wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "s", State: "ready"}}}}
 	r.k = kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{n}, 32))})
@@ -158,7 +162,7 @@
 
 func TestTimedOutLeaseHolderIsReplaced(t *testing.T) {
 	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
-	// A reading was heard of before; who knows of none reads at once (first_test.go).
+	// A reading was heard of before; a node that knows of none reads at once (firstread_test.go).
 	r.lister.unread = false
 	r.run(StaleAfter)
 	must.SliceEmpty(t, r.fetches, must.Sprint("nobody was silent for long yet"))
@@ -177,17 +181,17 @@
 		r.run(2 * second)
 		r.status, r.leaseRequests = status, nil
 		r.run(2 * second)
-		drops := 0
+		releases := 0
 		for _, h := range r.leaseRequests {
 			if h.Release {
-				drops++
+				releases++
 			}
 		}
 		if status != 0 {
-			must.Zero(t, drops, must.Sprint(status))
+			must.Zero(t, releases, must.Sprint(status))
 			continue
 		}
-		must.Positive(t, drops)
+		must.Positive(t, releases)
 		asked := len(r.leaseRequests)
 		r.run(2 * second)
 		must.Eq(t, asked, len(r.leaseRequests), must.Sprint("leaves it to others for a while"))
@@ -217,17 +221,17 @@
 
 func TestChangedReportsAllButExpiringSlowStart(t *testing.T) {
 	l := &Lister{}
-	read := func(at, cold int64, state string) bool {
-		return l.changed(at, &wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "b", WarmUpRemaining: cold, State: "ready"}, {ID: "a", State: state}}})
+	read := func(at, slowStart clock.Micros, state string) bool {
+		return l.changed(at, &wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "b", WarmUpRemaining: slowStart, State: "ready"}, {ID: "a", State: state}}})
 	}
 	must.True(t, read(0, 0, "ready"))
 	must.False(t, read(second, 0, "ready"))
 	must.True(t, read(2*second, 0, "leaving"), must.Sprint("a state"))
-	must.True(t, read(3*second, 5*second, "leaving"), must.Sprint("turned cold"))
-	must.False(t, read(4*second, 4*second+100_000, "leaving"), must.Sprint("a cold time that runs down"))
-	must.True(t, read(5*second, 9*second, "leaving"), must.Sprint("cold anew"))
-	must.False(t, read(14*second, 0, "leaving"), must.Sprint("warm, as was told"))
+	must.True(t, read(3*second, 5*second, "leaving"), must.Sprint("slow start began"))
+	must.False(t, read(4*second, 4*second+100_000, "leaving"), must.Sprint("a slow start that runs down"))
+	must.True(t, read(5*second, 9*second, "leaving"), must.Sprint("slow start began again"))
+	must.False(t, read(14*second, 0, "leaving"), must.Sprint("slow start ended as announced"))
 	must.True(t, read(15*second, 9*second, "leaving"))
-	must.True(t, read(16*second, 0, "leaving"), must.Sprint("warm sooner than was told"))
+	must.True(t, read(16*second, 0, "leaving"), must.Sprint("slow start ended earlier than announced"))
 	must.True(t, l.changed(17*second, &wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "b"}}}), must.Sprint("one is gone"))
 }
--- a/cluster/mesh/fleet_test.go
+++ b/cluster/mesh/fleet_test.go
@@ -1,6 +1,3 @@
-// What many meshes together show: they meet, a lost one is noticed by all, one that is there
-// is not taken for lost, halves part and come together again, and late ones catch up.
-
 package mesh
 
 import (
@@ -12,12 +9,14 @@
 	"wallport/runtime/wire"
 )
 
+// convergedFleet returns a fleet that has run for a while after it converged.
 func convergedFleet(t testing.TB, n, zones int, seed uint64) *fleet {
+	t.Helper()
 	f := newFleet(t, n, zones, seed)
 	f.run(500_000)
-	f.until(10_000_000, f.met)
+	f.waitFor(10_000_000, f.converged)
 	f.run(f.now + 10_000_000)
-	must.True(t, f.met())
+	must.True(t, f.converged())
 	return f
 }
 
@@ -25,7 +24,7 @@
 	for _, n := range []int{2, 3, 15, 40} {
 		f := newFleet(t, n, 4, uint64(n))
 		f.run(500_000)
-		took := f.until(10_000_000, f.met)
+		took := f.waitFor(10_000_000, f.converged)
 		must.Less(t, 5_000_000, took)
 	}
 }
@@ -35,31 +34,31 @@
 	dead := f.procs[25]
 	fp := dead.m.self
 	f.kill(dead)
-	must.LessEq(t, LivenessTimeout, f.until(5_000_000, func() bool { return f.live(dead, fp) == 0 }), must.Sprint("killed"))
+	must.LessEq(t, LivenessTimeout, f.waitFor(5_000_000, func() bool { return f.live(dead, fp) == 0 }), must.Sprint("killed"))
 	f.procs = append(f.procs[:25], f.procs[26:]...)
 	frozen := f.procs[20]
 	frozen.frozen = true
-	must.LessEq(t, LivenessTimeout+200_000, f.until(5_000_000, func() bool { return f.live(frozen, frozen.m.self) == 0 }), must.Sprint("frozen"))
-	f.thaw(frozen, 4_000_000)
-	must.Less(t, 5_000_000, f.until(6_000_000, func() bool { return f.live(frozen, frozen.m.self) == len(f.procs)-1 }), must.Sprint("awake again"))
+	must.LessEq(t, LivenessTimeout+200_000, f.waitFor(5_000_000, func() bool { return f.live(frozen, frozen.m.self) == 0 }), must.Sprint("frozen"))
+	f.unfreeze(frozen, 4_000_000)
+	must.Less(t, 5_000_000, f.waitFor(6_000_000, func() bool { return f.live(frozen, frozen.m.self) == len(f.procs)-1 }), must.Sprint("awake again"))
 }
 
 func TestIsolatedProcessSeesNobodyAndIsSeenByNobody(t *testing.T) {
 	f := convergedFleet(t, 24, 4, 2)
 	alone := f.procs[17]
 	f.partitioned = func(a, b *process) bool { return a == alone || b == alone }
-	f.until(6_000_000, func() bool { return f.live(alone, alone.m.self) == 0 })
-	f.until(1_000_000, func() bool { return alone.k.Counts.Of("mesh_reached").Load() <= 1 })
+	f.waitFor(6_000_000, func() bool { return f.live(alone, alone.m.self) == 0 })
+	f.waitFor(1_000_000, func() bool { return alone.k.Counts.Of("mesh_reached").Load() <= 1 })
 	f.partitioned = func(a, b *process) bool { return false }
-	f.until(6_000_000, f.met)
+	f.waitFor(6_000_000, f.converged)
 }
 
 func TestFleetSplitsAndHeals(t *testing.T) {
 	for _, apart := range []int64{8_000_000, 50_000_000} {
 		f := convergedFleet(t, 24, 4, 3)
-		left := func(p *process) bool { return p.i%8 < 4 }
-		f.partitioned = func(a, b *process) bool { return left(a) != left(b) }
-		took := f.until(6_000_000, func() bool {
+		inFirstHalf := func(p *process) bool { return p.i%8 < 4 }
+		f.partitioned = func(a, b *process) bool { return inFirstHalf(a) != inFirstHalf(b) }
+		took := f.waitFor(6_000_000, func() bool {
 			for _, p := range f.procs {
 				if p.k.Counts.Of("mesh_reached").Load() != 12 {
 					return false
@@ -69,13 +68,13 @@
 		})
 		must.LessEq(t, LivenessTimeout+PeerTimeout/4, took)
 		f.run(f.now + apart)
-		told := f.procs[3]
-		f.announce(told, "opinion", "s", []byte("x"))
+		announcer := f.procs[3]
+		f.announce(announcer, EntryHealthReport, "s", []byte("x"))
 		f.partitioned = func(a, b *process) bool { return false }
-		f.until(12_000_000, f.met)
-		f.until(4_000_000, func() bool {
+		f.waitFor(12_000_000, f.converged)
+		f.waitFor(4_000_000, func() bool {
 			for _, p := range f.procs {
-				if p != told && p.m.store.origins[told.m.self].entries["opinion\x00s"] == nil {
+				if p != announcer && p.m.store.origins[announcer.m.self].entries[EntryHealthReport+"\x00s"] == nil {
 					return false
 				}
 			}
@@ -87,36 +86,36 @@
 func TestLateProcessCatchesUp(t *testing.T) {
 	f := convergedFleet(t, 21, 3, 4)
 	for i := range 200 {
-		f.announce(f.procs[i%21], "opinion", string(rune('a'+i)), []byte("x"))
+		f.announce(f.procs[i%21], EntryHealthReport, string(rune('a'+i)), []byte("x"))
 	}
 	f.run(f.now + 2_000_000)
 	late := f.procs[20]
 	f.kill(late)
 	f.run(f.now + 1_000_000)
 	f.start(late)
-	f.until(4_000_000, func() bool {
+	f.waitFor(4_000_000, func() bool {
 		n := 0
-		late.m.Each("opinion", func(*wire.Entry, string) { n++ })
+		late.m.Each(EntryHealthReport, func(*wire.Entry, string) { n++ })
 		return n >= 190
 	})
 	for _, p := range f.procs[:20] {
-		f.until(3_000_000, func() bool { return p.m.digest() == late.m.digest() })
+		f.waitFor(3_000_000, func() bool { return p.m.digest() == late.m.digest() })
 	}
 }
 
 func TestLargeEntryIsSentOncePerReceiver(t *testing.T) {
 	const size = 20_000
 	f := convergedFleet(t, 24, 4, 5)
-	told := f.procs[7]
+	announcer := f.procs[7]
 	var before int64
 	for _, p := range f.procs {
 		before += p.in
 	}
-	f.announce(told, "listing", "l", make([]byte, size))
+	f.announce(announcer, EntryBackendList, "l", make([]byte, size))
 	began := f.now
-	f.until(1_000_000, func() bool {
+	f.waitFor(1_000_000, func() bool {
 		for _, p := range f.procs {
-			if origin := p.m.store.origins[told.m.self]; origin == nil || origin.entries["listing\x00l"] == nil {
+			if origin := p.m.store.origins[announcer.m.self]; origin == nil || origin.entries[EntryBackendList+"\x00l"] == nil {
 				return false
 			}
 		}
@@ -133,14 +132,14 @@
 func TestLargeEntryIsRequestedFromAnotherPeerAfterTimeout(t *testing.T) {
 	r := newRig(t)
 	r.feed(kernel.ConnUp{Conn: 8, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
-	n := wire.Notice{Type: "listing", ID: "l", Origin: kernel.Fingerprint(key(4).Public), Count: 3, Hops: 2}
-	tell := func(ch uint64) int {
+	n := wire.Notice{Type: EntryBackendList, ID: "l", Origin: kernel.Fingerprint(key(4).Public), Count: 3, Hops: 2}
+	requestsAfterNoticeFrom := func(ch uint64) int {
 		return len(r.feed(kernel.Received{Conn: ch, Data: wire.Seal(wire.KindNotice, 0, &n)}).Sends)
 	}
-	must.Eq(t, 1, tell(7), must.Sprint("it is asked for"))
-	must.Eq(t, 0, tell(8), must.Sprint("and not from another at the same time"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("it is asked for"))
+	must.Eq(t, 0, requestsAfterNoticeFrom(8), must.Sprint("and not from another at the same time"))
 	r.now += EntryRequestTimeout
-	must.Eq(t, 1, tell(8), must.Sprint("but when the first did not send it"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(8), must.Sprint("but when the first did not send it"))
 	n.Count = 4
-	must.Eq(t, 1, tell(7), must.Sprint("a newer one is another"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("a newer one is another"))
 }
--- a/cluster/mesh/golden_test.go
+++ b/cluster/mesh/golden_test.go
@@ -23,14 +23,14 @@
 	must.Eq(t, 9, e.Count)
 	r := newRig(t)
 	r.gossip(&e)
-	must.Eq(t, 1, r.storedEntries("opinion"))
+	must.Eq(t, 1, r.storedEntries(EntryHealthReport))
 	must.Eq(t, 0, r.count("mesh_dropped_signature"))
-	must.Eq(t, goldenEntry, hex.EncodeToString(wire.Encode(entry(key(2), "opinion", "s1", 9))))
+	must.Eq(t, goldenEntry, hex.EncodeToString(wire.Encode(newEntry(key(2), EntryHealthReport, "s1", 9))))
 }
 
 // The sums that two processes compare to find out what one of them lacks.
 func TestEntrySumsMatchEarlierReleases(t *testing.T) {
-	must.Eq(t, uint64(17336033463086723998), entryHash(entry(key(2), "opinion", "s1", 9)))
+	must.Eq(t, uint64(17336033463086723998), entryHash(newEntry(key(2), EntryHealthReport, "s1", 9)))
 	must.Eq(t, uint64(3932436095915900766), hash("0011223344556677"))
 }
 
--- a/cluster/mesh/heartbeat_test.go
+++ b/cluster/mesh/heartbeat_test.go
@@ -1,5 +1,3 @@
-// Signs of life: nobody but their origin can make them.
-
 package mesh
 
 import (
@@ -12,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-func (r *rig) heartbeat(summary wire.OriginSummary) {
+func (r *rig) receiveSummary(summary wire.OriginSummary) {
 	r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Summaries: []wire.OriginSummary{summary}})})
 }
 
@@ -23,9 +21,9 @@
 func TestHeartbeatOfDeadOriginCannotBeForgedOrReplayed(t *testing.T) {
 	r := newRig(t)
 	dead := kernel.Fingerprint(key(3).Public)
-	r.heartbeat(summary(key(3), 4))
+	r.receiveSummary(summary(key(3), 4))
 	must.False(t, r.m.Live(dead, r.now), must.Sprint("heard of from another, it may be long gone"))
-	r.heartbeat(summary(key(3), 5))
+	r.receiveSummary(summary(key(3), 5))
 	must.True(t, r.m.Live(dead, r.now))
 	r.now += LivenessTimeout + 1
 	forged := map[string]wire.OriginSummary{"the same again": summary(key(3), 5), "an older one": summary(key(3), 4)}
@@ -38,11 +36,13 @@
 	other.Origin = dead
 	forged["signed by another"] = other
 	for name, summary := range forged {
-		r.heartbeat(summary)
-		must.False(t, r.m.Live(dead, r.now), must.Sprint(name))
+		t.Run(name, func(t *testing.T) {
+			r.receiveSummary(summary)
+			must.False(t, r.m.Live(dead, r.now))
+		})
 	}
 	must.Eq(t, 3, r.count("mesh_dropped_beat"))
-	r.heartbeat(summary(key(3), 6))
+	r.receiveSummary(summary(key(3), 6))
 	must.True(t, r.m.Live(dead, r.now), must.Sprint("its own next one"))
 }
 
@@ -50,11 +50,11 @@
 	r := newRig(t)
 	summary := summary(key(3), 5)
 	summary.Key, summary.Sig = nil, nil
-	r.heartbeat(summary)
+	r.receiveSummary(summary)
 	must.False(t, r.m.Live(summary.Origin, r.now))
 	r.k.Boot.Settings.UnsignedHeartbeats = true
-	r.heartbeat(summary)
+	r.receiveSummary(summary)
 	summary.Heartbeat++
-	r.heartbeat(summary)
+	r.receiveSummary(summary)
 	must.True(t, r.m.Live(summary.Origin, r.now))
 }
--- a/cluster/mesh/large_test.go
+++ b/cluster/mesh/large_test.go
@@ -1,6 +1,3 @@
-// Versions larger than a frame in the mesh: they reach every process, over links of
-// little bandwidth, without many copies and without anyone being taken for lost.
-
 package mesh
 
 import (
@@ -9,17 +6,18 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// queued is how long a frame waits for its process's link.
-func (f *fleet) queued(p *process, size int) int64 {
+// linkDelay returns how long a frame waits for the bandwidth of its process's link.
+func (f *fleet) linkDelay(p *process, size int) clock.Micros {
 	if f.bytesPerSecond == 0 {
 		return 0
 	}
-	p.free = max(p.free, f.now) + int64(size)*1_000_000/f.bytesPerSecond
-	return p.free - f.now
+	p.linkFreeAt = max(p.linkFreeAt, f.now) + int64(size)*1_000_000/f.bytesPerSecond
+	return p.linkFreeAt - f.now
 }
 
 // commit has a process flood a version of a partition.
@@ -35,8 +33,8 @@
 	return n
 }
 
-// met tells that every process takes every other for live.
-func (f *fleet) met() bool {
+// converged reports whether every process reaches every other.
+func (f *fleet) converged() bool {
 	for _, p := range f.procs {
 		if p.up && p.k.Counts.Of("mesh_reached").Load() < int64(len(f.procs)) {
 			return false
@@ -45,7 +43,7 @@
 	return true
 }
 
-// processesAt counts those that hold a version.
+// processesAt counts the processes that have a version.
 func (f *fleet) processesAt(at wire.Version) (n int) {
 	for _, p := range f.procs {
 		if v, ok := p.m.Partition(at.Partition); ok && v.Version == at {
@@ -62,8 +60,8 @@
 	at := wire.Version{Partition: 0, Term: 1, Seq: 9}
 	before := f.bytesIn()
 	f.commit(f.procs[0], wire.Versioned{Version: at, Body: make([]byte, size)})
-	took := f.until(60_000_000, func() bool {
-		must.True(t, f.met(), must.Sprint("nobody is taken for lost"))
+	took := f.waitFor(60_000_000, func() bool {
+		must.True(t, f.converged(), must.Sprint("no process is taken for lost"))
 		return f.processesAt(at) == processes
 	})
 	copies := float64(f.bytesIn()-before) / size
@@ -77,20 +75,21 @@
 	f.bytesPerSecond = 10_000_000 / 8
 	at := wire.Version{Partition: 0, Term: 1, Seq: 9}
 	f.commit(f.procs[0], wire.Versioned{Version: at, Body: make([]byte, size)})
-	f.until(60_000_000, func() bool { return f.processesAt(at) == processes })
+	f.waitFor(60_000_000, func() bool { return f.processesAt(at) == processes })
 	late := f.procs[processes-1]
 	f.kill(late)
 	f.run(f.now + 5_000_000)
 	before := late.in
 	f.start(late)
-	took := f.until(20_000_000, func() bool { return f.processesAt(at) == processes })
+	took := f.waitFor(20_000_000, func() bool { return f.processesAt(at) == processes })
 	f.run(f.now + 10_000_000)
 	copies := float64(late.in-before) / size
 	t.Logf("held after %d ms; %.1f copies crossed its link", took/1000, copies)
 	must.Less(t, 2.5, copies)
 }
 
-// Who sends a large version to three already leaves the fourth to those who have it soon.
+// A process that sends a large version to three peers ignores the fourth: its other neighbours will
+// soon have the version.
 func TestLargeVersionIsSentToThreePeersAtOnce(t *testing.T) {
 	r := newRig(t)
 	at := wire.Version{Partition: 0, Term: 1, Seq: 9}
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -1,5 +1,3 @@
-// What the mesh does with bad input: dropped, counted, never the end of the process.
-
 package mesh
 
 import (
@@ -19,7 +17,7 @@
 	return kernel.KeyFrom(seed)
 }
 
-// rig is one mesh with one peer channel, number 7.
+// rig is one mesh with one peer, on connection 7.
 type rig struct {
 	k   *kernel.Kernel
 	m   *Mesh
@@ -27,6 +25,7 @@
 }
 
 func newRig(t testing.TB) *rig {
+	t.Helper()
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: key(1)})
 	r := &rig{k: k, m: kernel.Find[*Mesh](k), now: 1_000_000}
 	r.feed(kernel.Start{})
@@ -36,14 +35,14 @@
 
 func (r *rig) feed(in kernel.Input) kernel.Output { return r.k.Step(r.now, r.now, in) }
 
-func (r *rig) gossip(stored *wire.Entry) kernel.Output {
-	return r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindGossip, 0, stored)})
+func (r *rig) gossip(entry *wire.Entry) kernel.Output {
+	return r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindGossip, 0, entry)})
 }
 
-func entry(k kernel.Key, typ, id string, count uint64) *wire.Entry {
-	stored := &wire.Entry{Type: typ, ID: id, Origin: k.Public, Count: count, At: int64(count), Body: []byte("x")}
-	sign(stored, k)
-	return stored
+func newEntry(k kernel.Key, typ, id string, count uint64) *wire.Entry {
+	entry := &wire.Entry{Type: typ, ID: id, Origin: k.Public, Count: count, At: int64(count), Body: []byte("x")}
+	sign(entry, k)
+	return entry
 }
 
 func (r *rig) count(name string) int64 { return r.k.Counts.Of(name).Load() }
@@ -56,8 +55,8 @@
 func TestGoodEntryIsStoredAndForwarded(t *testing.T) {
 	r := newRig(t)
 	r.feed(kernel.ConnUp{Conn: 8, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
-	out := r.gossip(entry(key(2), "opinion", "s1", 1))
-	must.Eq(t, 1, r.storedEntries("opinion"))
+	out := r.gossip(newEntry(key(2), EntryHealthReport, "s1", 1))
+	must.Eq(t, 1, r.storedEntries(EntryHealthReport))
 	must.Len(t, 1, out.Sends)
 	must.Eq(t, uint64(8), out.Sends[0].Conn, must.Sprint("forwarded to all but the sender"))
 }
@@ -68,37 +67,37 @@
 		count string
 	}{
 		"bad signature": {func(*rig) *wire.Entry {
-			stored := entry(key(2), "opinion", "s1", 1)
-			stored.Body = []byte("y")
-			return stored
+			entry := newEntry(key(2), EntryHealthReport, "s1", 1)
+			entry.Body = []byte("y")
+			return entry
 		}, "mesh_dropped_signature"},
-		"no origin": {func(*rig) *wire.Entry { return &wire.Entry{Type: "opinion", ID: "s1"} }, "mesh_dropped_signature"},
+		"no origin": {func(*rig) *wire.Entry { return &wire.Entry{Type: EntryHealthReport, ID: "s1"} }, "mesh_dropped_signature"},
 		"a member under another's id": {func(*rig) *wire.Entry {
-			return entry(key(2), "member", kernel.Fingerprint(key(3).Public), 1)
+			return newEntry(key(2), EntryMember, kernel.Fingerprint(key(3).Public), 1)
 		}, "mesh_dropped_origin"},
-		"in this process's own name": {func(*rig) *wire.Entry { return entry(key(1), "opinion", "s1", 9) }, "mesh_dropped_origin"},
+		"in this process's own name": {func(*rig) *wire.Entry { return newEntry(key(1), EntryHealthReport, "s1", 9) }, "mesh_dropped_origin"},
 		"hop bound": {func(*rig) *wire.Entry {
-			stored := entry(key(2), "opinion", "s1", 1)
-			stored.Hops = MaxHops
-			return stored
+			entry := newEntry(key(2), EntryHealthReport, "s1", 1)
+			entry.Hops = MaxHops
+			return entry
 		}, "mesh_dropped_hops"},
 		"replay": {func(r *rig) *wire.Entry {
-			stored := entry(key(2), "opinion", "s1", 5)
-			r.gossip(stored)
-			return stored
+			entry := newEntry(key(2), EntryHealthReport, "s1", 5)
+			r.gossip(entry)
+			return entry
 		}, "mesh_dropped_seen"},
 		"an older one of the same id": {func(r *rig) *wire.Entry {
-			r.gossip(entry(key(2), "opinion", "s1", 5))
-			return entry(key(2), "opinion", "s1", 4)
+			r.gossip(newEntry(key(2), EntryHealthReport, "s1", 5))
+			return newEntry(key(2), EntryHealthReport, "s1", 4)
 		}, "mesh_dropped_old"},
-		"an older stamp of a part, from any origin": {func(r *rig) *wire.Entry {
+		"an older version of a partition, from any origin": {func(r *rig) *wire.Entry {
 			for _, seq := range []uint64{5, 4} {
-				stored := &wire.Entry{Type: EntryPartition, Origin: key(byte(seq)).Public, Version: wire.Version{Term: 2, Seq: seq}}
-				sign(stored, key(byte(seq)))
+				entry := &wire.Entry{Type: EntryPartition, Origin: key(byte(seq)).Public, Version: wire.Version{Term: 2, Seq: seq}}
+				sign(entry, key(byte(seq)))
 				if seq == 4 {
-					return stored
+					return entry
 				}
-				r.gossip(stored)
+				r.gossip(entry)
 			}
 			return nil
 		}, "mesh_dropped_old"},
@@ -106,18 +105,18 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			stored := c.spoil(r)
-			before := r.storedEntries("opinion")
-			out := r.gossip(stored)
+			entry := c.spoil(r)
+			before := r.storedEntries(EntryHealthReport)
+			out := r.gossip(entry)
 			must.Eq(t, 1, r.count(c.count))
-			must.Eq(t, before, r.storedEntries("opinion"))
+			must.Eq(t, before, r.storedEntries(EntryHealthReport))
 			must.SliceEmpty(t, out.Sends, must.Sprint("not forwarded"))
 		})
 	}
 }
 
 func TestMalformedFramesOnlyCloseTheConnection(t *testing.T) {
-	good := wire.Seal(wire.KindGossip, 0, entry(key(2), "opinion", "s1", 1))
+	good := wire.Seal(wire.KindGossip, 0, newEntry(key(2), EntryHealthReport, "s1", 1))
 	for name, data := range map[string][]byte{
 		"empty": {}, "future format": append([]byte{wire.Format + 1}, good[1:]...),
 		"truncated": good[:len(good)-40], "garbage": append(good[:10:10], 0xff, 0x00, 0xc1), "oversize": make([]byte, wire.MaxFrame+1),
@@ -127,7 +126,7 @@
 			out := r.feed(kernel.Received{Conn: 7, Data: data})
 			must.Eq(t, []uint64{7}, out.Drops)
 			must.Eq(t, 1, r.count("frames_malformed")+r.count("mesh_dropped_malformed"))
-			must.Eq(t, 0, r.storedEntries("opinion"))
+			must.Eq(t, 0, r.storedEntries(EntryHealthReport))
 		})
 	}
 }
@@ -135,53 +134,53 @@
 func TestOriginRateLimitIsRepairedByAntiEntropy(t *testing.T) {
 	r := newRig(t)
 	for n := uint64(1); n <= OriginBurst+50; n++ {
-		r.gossip(entry(key(2), "opinion", string(rune('a'+n)), n))
+		r.gossip(newEntry(key(2), EntryHealthReport, string(rune('a'+n)), n))
 	}
-	must.Eq(t, OriginBurst, r.storedEntries("opinion"))
+	must.Eq(t, OriginBurst, r.storedEntries(EntryHealthReport))
 	must.Eq(t, 50, r.count("mesh_dropped_rate"))
 	r.now += 10_000_000
 	for n := uint64(OriginBurst + 1); n <= OriginBurst+50; n++ {
-		r.gossip(entry(key(2), "opinion", string(rune('a'+n)), n))
+		r.gossip(newEntry(key(2), EntryHealthReport, string(rune('a'+n)), n))
 	}
-	must.Eq(t, OriginBurst+50, r.storedEntries("opinion"), must.Sprint("what was dropped is taken when it is sent again"))
+	must.Eq(t, OriginBurst+50, r.storedEntries(EntryHealthReport), must.Sprint("what was dropped is accepted when it is sent again"))
 }
 
 func TestAntiEntropySendsMissingEntries(t *testing.T) {
 	r := newRig(t)
 	for n := uint64(1); n <= 3; n++ {
-		r.gossip(entry(key(3), "opinion", string(rune('a'+n)), n))
+		r.gossip(newEntry(key(3), EntryHealthReport, string(rune('a'+n)), n))
 	}
 	fp := kernel.Fingerprint(key(3).Public)
-	mark := func(max, sum uint64) int {
+	entriesSentFor := func(max, sum uint64) int {
 		out := r.feed(kernel.Received{Conn: 7, Data: wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Summaries: []wire.OriginSummary{{Origin: fp, Max: max, Sum: sum, Heartbeat: 1}}})})
 		return len(out.Sends)
 	}
 	origin := r.m.store.origins[fp]
-	must.Eq(t, 0, mark(3, origin.sum), must.Sprint("same sum, nothing to send"))
-	must.Eq(t, 1, mark(2, origin.sum+1), must.Sprint("what is past the counter"))
-	must.Eq(t, 3, mark(3, origin.sum+1), must.Sprint("a hole below the counter: all"))
-	must.Eq(t, 0, mark(9, 0), must.Sprint("the other side is ahead"))
+	must.Eq(t, 0, entriesSentFor(3, origin.sum), must.Sprint("same sum, nothing to send"))
+	must.Eq(t, 1, entriesSentFor(2, origin.sum+1), must.Sprint("what is above the highest count"))
+	must.Eq(t, 3, entriesSentFor(3, origin.sum+1), must.Sprint("a hole below the highest count: all"))
+	must.Eq(t, 0, entriesSentFor(9, 0), must.Sprint("the other side is ahead"))
 }
 
 func TestForgottenOriginIsNotRestoredByStalePeer(t *testing.T) {
 	r := newRig(t)
 	fp := kernel.Fingerprint(key(3).Public)
-	beat := func(n uint64) { r.heartbeat(summary(key(3), n)) }
-	beat(4)
-	beat(5)
-	r.gossip(entry(key(3), "opinion", "s1", 1))
+	heartbeat := func(n uint64) { r.receiveSummary(summary(key(3), n)) }
+	heartbeat(4)
+	heartbeat(5)
+	r.gossip(newEntry(key(3), EntryHealthReport, "s1", 1))
 	must.True(t, r.m.Live(fp, r.now))
 	r.now += ForgetAfter + 1
 	r.m.peers[7].lastSeen = r.now
-	r.feed(kernel.Tick{Plugin: "mesh", Key: "beat"})
-	must.Eq(t, 0, r.storedEntries("opinion"))
-	beat(5)
-	r.gossip(entry(key(3), "opinion", "s1", 2))
-	must.Eq(t, 0, r.storedEntries("opinion"))
+	r.feed(kernel.Tick{Plugin: pluginName, Key: timerHeartbeat})
+	must.Eq(t, 0, r.storedEntries(EntryHealthReport))
+	heartbeat(5)
+	r.gossip(newEntry(key(3), EntryHealthReport, "s1", 2))
+	must.Eq(t, 0, r.storedEntries(EntryHealthReport))
 	must.False(t, r.m.Live(fp, r.now))
-	beat(6)
-	r.gossip(entry(key(3), "opinion", "s1", 3))
-	must.Eq(t, 1, r.storedEntries("opinion"), must.Sprint("a fresh beat is a live origin"))
+	heartbeat(6)
+	r.gossip(newEntry(key(3), EntryHealthReport, "s1", 3))
+	must.Eq(t, 1, r.storedEntries(EntryHealthReport), must.Sprint("a new heartbeat means a live origin"))
 }
 
 func TestMaxPeersEvictsLeastRecentlySeen(t *testing.T) {
@@ -200,17 +199,17 @@
 	out := r.feed(kernel.ConnUp{Conn: 9, Addr: "self", Peer: r.m.self, Dialed: true, Mesh: true})
 	must.Eq(t, []uint64{9}, out.Drops)
 	out = r.feed(kernel.ConnUp{Conn: 10, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(key(2).Public), Dialed: true, Mesh: true})
-	must.Len(t, 1, out.Drops, must.Sprint("of two channels of a pair one goes"))
+	must.Len(t, 1, out.Drops, must.Sprint("of two connections of a pair one is closed"))
 	must.Eq(t, 1, r.m.Peers())
 }
 
 func FuzzReceived(f *testing.F) {
-	f.Add(wire.Seal(wire.KindGossip, 0, entry(key(2), "opinion", "s1", 1)))
+	f.Add(wire.Seal(wire.KindGossip, 0, newEntry(key(2), EntryHealthReport, "s1", 1)))
 	f.Add(wire.Seal(wire.KindHeartbeat, 0, &wire.Heartbeat{Addrs: []string{"a"}, Summaries: []wire.OriginSummary{{Origin: "o", Max: 1, Heartbeat: 2}}}))
 	f.Add([]byte{1, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := newRig(t)
 		r.feed(kernel.Received{Conn: 7, Data: data})
-		must.LessEq(t, 1, r.storedEntries("opinion"))
+		must.LessEq(t, 1, r.storedEntries(EntryHealthReport))
 	})
 }
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -1,6 +1,3 @@
-// A network of meshes on simulated time: many processes of which each has no plug-in but
-// the mesh, to test what only many of them together show.
-
 package mesh
 
 import (
@@ -17,12 +14,14 @@
 	"wallport/runtime/wire"
 )
 
+// event is something that happens at a moment.
 type event struct {
-	at  int64
+	at  clock.Micros
 	seq int
 	run func()
 }
 
+// eventQueue is a heap of events, the next one first.
 type eventQueue []event
 
 func (h eventQueue) Len() int { return len(h) }
@@ -38,7 +37,8 @@
 	return x
 }
 
-// fleet is a number of processes in zones; the first three are the seeds.
+// fleet is a network of meshes on simulated time, to test what only many processes together show.
+// Their only plug-in is the mesh. The first three are the seeds.
 type fleet struct {
 	t      testing.TB
 	now    clock.Micros
@@ -47,38 +47,41 @@
 	rnd    *rand.Rand
 	procs  []*process
 	byAddr map[string]*process
-	chans  map[uint64]end
+	conns  map[uint64]connEnd
 	next   uint64
-	// partitioned tells which frames are lost on their way.
+	// partitioned reports whether frames from one process to another are lost.
 	partitioned func(from, to *process) bool
-	// bytesPerSecond is what each process's link takes; 0 is any number.
+	// bytesPerSecond is the bandwidth of each process's link; 0 is no limit.
 	bytesPerSecond int64
 }
 
+// process is one process. After kill and start it has a new kernel and key.
 type process struct {
-	i       int
-	addr    string
-	zone    string
-	k       *kernel.Kernel
-	m       *Mesh
-	up      bool
-	frozen  bool
-	held    []func()
-	in, out int64
-	frames  int64
-	steps   int64
-	across  int64
-	free    int64
-}
-
-type end struct {
+	i          int
+	addr       string
+	zone       string
+	k          *kernel.Kernel
+	m          *Mesh
+	up         bool
+	frozen     bool
+	deferred   []func()
+	in, out    int64
+	frames     int64
+	steps      int64
+	crossZone  int64
+	linkFreeAt int64
+}
+
+// connEnd is the other end of a connection.
+type connEnd struct {
 	p     *process
 	other uint64
 }
 
 func newFleet(t testing.TB, n, zones int, seed uint64) *fleet {
+	t.Helper()
 	t.Logf("seed %d", seed)
-	f := &fleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), byAddr: map[string]*process{}, chans: map[uint64]end{}, partitioned: func(a, b *process) bool { return false }}
+	f := &fleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), byAddr: map[string]*process{}, conns: map[uint64]connEnd{}, partitioned: func(a, b *process) bool { return false }}
 	for i := range n {
 		p := &process{i: i, addr: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), zone: fmt.Sprintf("z%d", i%zones)}
 		f.procs = append(f.procs, p)
@@ -88,12 +91,12 @@
 	return f
 }
 
-func (f *fleet) after(d int64, run func()) {
+func (f *fleet) after(d clock.Micros, run func()) {
 	f.seq++
 	heap.Push(&f.queue, event{f.now + max(d, 0), f.seq, run})
 }
 
-func (f *fleet) run(until int64) {
+func (f *fleet) run(until clock.Micros) {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
 		h := heap.Pop(&f.queue).(event)
 		f.now = h.at
@@ -116,11 +119,11 @@
 	f.step(p, kernel.Start{})
 	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
 	row := wire.Member{Name: p.addr, Role: "node", Zone: p.zone, Addr: p.addr, Mesh: Release}
-	p.m.Announce(ctx, "member", p.m.self, wire.Encode(&row), false)
+	p.m.Announce(ctx, EntryMember, p.m.self, wire.Encode(&row), false)
 	f.carry(p, ctx.Output)
 }
 
-// announce has a process tell something.
+// announce has a process announce an entry.
 func (f *fleet) announce(p *process, typ, id string, body []byte) {
 	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
 	p.m.Announce(ctx, typ, id, body, false)
@@ -132,7 +135,7 @@
 		return
 	}
 	if p.frozen {
-		p.held = append(p.held, func() { f.step(p, in) })
+		p.deferred = append(p.deferred, func() { f.step(p, in) })
 		return
 	}
 	p.steps++
@@ -140,10 +143,10 @@
 }
 
 func (f *fleet) carry(p *process, out kernel.Output) {
-	life := p.k
+	sender := p.k
 	for _, t := range out.Timers {
 		f.after(t.At-f.now, func() {
-			if p.k == life {
+			if p.k == sender {
 				f.step(p, t.Tick)
 			}
 		})
@@ -152,32 +155,32 @@
 		f.dial(p, a)
 	}
 	for _, s := range out.Sends {
-		e, ok := f.chans[s.Conn]
+		e, ok := f.conns[s.Conn]
 		if !ok {
 			continue
 		}
 		p.out += int64(len(s.Data))
 		p.frames++
 		if e.p.zone != p.zone {
-			p.across += int64(len(s.Data))
+			p.crossZone += int64(len(s.Data))
 		}
-		f.after(500+f.queued(p, len(s.Data)), func() {
-			if _, open := f.chans[s.Conn]; open && !f.partitioned(p, e.p) {
+		f.after(500+f.linkDelay(p, len(s.Data)), func() {
+			if _, open := f.conns[s.Conn]; open && !f.partitioned(p, e.p) {
 				e.p.in += int64(len(s.Data))
 				f.step(e.p, kernel.Received{Conn: e.other, Data: s.Data})
 			}
 		})
 	}
-	for _, ch := range out.Drops {
-		f.close(ch)
+	for _, conn := range out.Drops {
+		f.close(conn)
 	}
 }
 
 func (f *fleet) dial(p *process, addr string) {
-	life := p.k
+	dialler := p.k
 	f.after(1500, func() {
 		q := f.byAddr[addr]
-		if p.k != life || !p.up {
+		if p.k != dialler || !p.up {
 			return
 		}
 		if q == nil || !q.up || q.frozen || f.partitioned(p, q) || f.partitioned(q, p) {
@@ -186,45 +189,44 @@
 		}
 		f.next += 2
 		a, b := f.next, f.next+1
-		f.chans[a], f.chans[b] = end{q, b}, end{p, a}
+		f.conns[a], f.conns[b] = connEnd{q, b}, connEnd{p, a}
 		f.step(p, kernel.ConnUp{Conn: a, Addr: addr, Peer: q.m.self, Zone: q.zone, Dialed: true, Mesh: true})
 		f.step(q, kernel.ConnUp{Conn: b, Addr: p.addr, Peer: p.m.self, Zone: p.zone, Mesh: true})
 	})
 }
 
-// close ends a channel for both sides.
-func (f *fleet) close(ch uint64) {
-	e, ok := f.chans[ch]
+// close closes a connection for both sides.
+func (f *fleet) close(conn uint64) {
+	e, ok := f.conns[conn]
 	if !ok {
 		return
 	}
-	mine := f.chans[e.other].p
-	delete(f.chans, ch)
-	delete(f.chans, e.other)
+	mine := f.conns[e.other].p
+	delete(f.conns, conn)
+	delete(f.conns, e.other)
 	f.after(500, func() { f.step(e.p, kernel.ConnDown{Conn: e.other, Addr: mine.addr, Mesh: true}) })
 }
 
 func (f *fleet) kill(p *process) {
-	p.up, p.held = false, nil
-	for ch, e := range f.chans {
+	p.up, p.deferred = false, nil
+	for _, e := range f.conns {
 		if e.p == p {
 			f.close(e.other)
-			_ = ch
 		}
 	}
 }
 
-func (f *fleet) thaw(p *process, gap clock.Micros) {
+func (f *fleet) unfreeze(p *process, gap clock.Micros) {
 	p.frozen = false
-	held := p.held
-	p.held = nil
+	held := p.deferred
+	p.deferred = nil
 	f.step(p, kernel.Thawed{Gap: gap})
 	for _, run := range held {
 		run()
 	}
 }
 
-// live counts those that take a process for live.
+// live counts the other processes for which an origin is live.
 func (f *fleet) live(p *process, fp string) (n int) {
 	for _, q := range f.procs {
 		if q != p && q.up && !q.frozen && q.m.Live(fp, f.now) {
@@ -234,11 +236,12 @@
 	return n
 }
 
-// until runs on, a little at a time, and tells how long it took for something to be so.
-func (f *fleet) until(most int64, ok func() bool) int64 {
+// waitFor runs the fleet until ok holds, and returns how long that took. It fails the test after most.
+func (f *fleet) waitFor(most clock.Micros, ok func() bool) clock.Micros {
+	f.t.Helper()
 	began := f.now
 	for !ok() {
-		must.Less(f.t, most, f.now-began, must.Sprint("it never was so"))
+		must.Less(f.t, most, f.now-began, must.Sprint("the condition did not come to hold"))
 		f.run(f.now + 20_000)
 	}
 	return f.now - began
--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -1,6 +1,3 @@
-// Forwarding in batches: the first entry at once, the following ones together, and none back
-// to a peer that has it by its own word.
-
 package mesh
 
 import (
@@ -19,24 +16,25 @@
 
 // pair is a mesh with two peers that has just forwarded an entry.
 func pair(t testing.TB) *rig {
+	t.Helper()
 	r := newRig(t)
 	r.feed(kernel.ConnUp{Conn: secondPeer, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
-	must.Len(t, 1, r.gossip(entry(key(2), "opinion", "first", 1)).Sends)
+	must.Len(t, 1, r.gossip(newEntry(key(2), EntryHealthReport, "first", 1)).Sends)
 	return r
 }
 
-func (r *rig) gossipFrom(peer uint64, stored *wire.Entry) kernel.Output {
-	return r.feed(kernel.Received{Conn: peer, Data: wire.Seal(wire.KindGossip, uint64(byFlood), stored)})
+func (r *rig) gossipFrom(peer uint64, entry *wire.Entry) kernel.Output {
+	return r.feed(kernel.Received{Conn: peer, Data: wire.Seal(wire.KindGossip, uint64(byFlood), entry)})
 }
 
 func (r *rig) forwardTick() kernel.Output {
 	r.now += ForwardInterval
-	return r.feed(kernel.Tick{Plugin: "mesh", Key: "forward"})
+	return r.feed(kernel.Tick{Plugin: pluginName, Key: timerForward})
 }
 
 func TestEntriesOfABurstAreForwardedTogether(t *testing.T) {
 	r := pair(t)
-	second, third := entry(key(2), "opinion", "second", 2), entry(key(2), "opinion", "third", 3)
+	second, third := newEntry(key(2), EntryHealthReport, "second", 2), newEntry(key(2), EntryHealthReport, "third", 3)
 	out := r.gossip(second)
 	must.SliceEmpty(t, out.Sends)
 	must.Len(t, 1, out.Timers, must.Sprint("one timer for the batch"))
@@ -51,9 +49,9 @@
 
 func TestEntryIsNotForwardedToAPeerThatSentIt(t *testing.T) {
 	r := pair(t)
-	stored := entry(key(2), "opinion", "second", 2)
-	r.gossipFrom(firstPeer, stored)
-	copied := *stored
+	entry := newEntry(key(2), EntryHealthReport, "second", 2)
+	r.gossipFrom(firstPeer, entry)
+	copied := *entry
 	copied.Hops = 3
 	r.gossipFrom(secondPeer, &copied)
 	must.Eq(t, 1, r.count("mesh_forwards_spared"))
@@ -62,24 +60,24 @@
 
 func TestStoppingProcessForwardsAtOnce(t *testing.T) {
 	r := pair(t)
-	r.gossip(entry(key(2), "opinion", "second", 2))
+	r.gossip(newEntry(key(2), EntryHealthReport, "second", 2))
 	must.Len(t, 1, r.feed(kernel.Stopping{}).Sends)
-	must.Len(t, 1, r.gossip(entry(key(2), "opinion", "third", 3)).Sends)
+	must.Len(t, 1, r.gossip(newEntry(key(2), EntryHealthReport, "third", 3)).Sends)
 }
 
 func TestDuplicatesAreRecognizedByFrameHash(t *testing.T) {
 	r := pair(t)
-	stored := entry(key(2), "opinion", "second", 2)
-	r.gossip(stored)
+	entry := newEntry(key(2), EntryHealthReport, "second", 2)
+	r.gossip(entry)
 	for hops := range uint8(3) {
-		copied := *stored
+		copied := *entry
 		copied.Hops = hops
 		frame := r.m.seen.frameHash(wire.Encode(&copied))
 		seen, ok := r.m.seen.entryOfFrame(frame, r.now)
 		must.True(t, ok)
-		must.Eq(t, seenKey(stored), seen)
+		must.Eq(t, seenKey(entry), seen)
 	}
-	changed := *stored
+	changed := *entry
 	changed.Body = []byte("y")
 	_, ok := r.m.seen.entryOfFrame(r.m.seen.frameHash(wire.Encode(&changed)), r.now)
 	must.False(t, ok, must.Sprint("another body is another frame"))
@@ -97,8 +95,8 @@
 	must.MapEmpty(t, s.frames)
 }
 
-// In a burst that all processes of a fleet take part in, as when a configuration comes into
-// force, most copies of an entry are spared.
+// In a burst in which all processes of a fleet take part, as when a configuration comes into force,
+// most duplicates of an entry are not sent.
 func TestBurstOfAllProcessesSendsFewDuplicates(t *testing.T) {
 	const processes, entries = 32, 5
 	f := convergedFleet(t, processes, 4, 6)
@@ -109,7 +107,7 @@
 	}
 	for i := range entries {
 		for _, p := range f.procs {
-			f.after(f.rnd.Int64N(50_000), func() { f.announce(p, "opinion", string(rune('a'+i)), []byte("x")) })
+			f.after(f.rnd.Int64N(50_000), func() { f.announce(p, EntryHealthReport, string(rune('a'+i)), []byte("x")) })
 		}
 	}
 	f.run(f.now + 900_000)
--- a/cluster/mesh/seeds_test.go
+++ b/cluster/mesh/seeds_test.go
@@ -1,5 +1,3 @@
-// A changed list of seeds: dialled at once, whatever was known before.
-
 package mesh
 
 import (
@@ -19,7 +17,7 @@
 	r.feed(kernel.ConnDown{Addr: "10.0.0.8:1", Mesh: true})
 	r.feed(kernel.ConnDown{Addr: "10.0.0.9:1", Mesh: true})
 	r.now += MinBackoff * 2
-	out = r.feed(kernel.Tick{Plugin: "mesh", Key: "beat"})
+	out = r.feed(kernel.Tick{Plugin: pluginName, Key: timerHeartbeat})
 	must.SliceContains(t, out.Dials, "10.0.0.8:1", must.Sprint("down at first, it is tried again"))
 	out = r.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.9:1"}})
 	must.False(t, slices.Contains(out.Dials, "10.0.0.8:1"), must.Sprint("under way already, and no longer a seed"))
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -64,6 +64,7 @@
 }
 
 func startNode(t *testing.T, cores map[string]*fakeCore) *node {
+	t.Helper()
 	e := settings.Settings{Mesh: "10.0.9.1:1", Zone: "z1", PlatformURL: "http://platform/list", ListInterval: second, PollsPer10s: 20, QuorumMember: true}
 	e.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	n := &node{t: t, cores: cores, later: map[int64][]func(){}, now: second}
