--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -1,5 +1,5 @@
-// Bootstrapping: one consent at a time, withdrawn only by the replica that proposed, and
-// nothing said before it is on the disk.
+// Bootstrap: a replica consents to one proposal at a time, only its proposer withdraws it, and nothing is
+// sent before it is synced.
 
 package replica
 
@@ -9,13 +9,14 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-// emptyCore is a core on a platform with replica "m" and nothing else on its disk.
+// emptyCore returns a core on a platform whose disk holds only the identity of replica "m".
 func emptyCore(t *testing.T, change func(e *settings.Settings)) *core {
 	e := settings.Settings{Mesh: "10.0.0.5:1", Zone: "z5", DataDir: "disk", BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: 1, Zones: 1}}
 	e.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
@@ -25,16 +26,16 @@
 	k := kernel.New(kernel.Boot{
 		Settings: e, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: map[string][]byte{"seat": diskfile.Pack([]byte("m"))},
 	})
-	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1_000_000}
+	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1 * clock.Second}
 	c.feed(kernel.Start{})
 	return c
 }
 
-func proposal(id, by string, seatIDs ...string) *wire.Bootstrap {
-	return &wire.Bootstrap{BootstrapID: id, Voters: replicas(seatIDs...), Proposer: wire.Replica{ID: by, Addr: "10.0.0.1:1"}}
+func proposal(id, by string, voterIDs ...string) *wire.Bootstrap {
+	return &wire.Bootstrap{BootstrapID: id, Voters: replicas(voterIDs...), Proposer: wire.Replica{ID: by, Addr: "10.0.0.1:1"}}
 }
 
-// sent gives the frames of a kind in an output.
+// sent returns the messages of a kind in an output.
 func sent[T any, P interface {
 	*T
 	UnmarshalMsg([]byte) ([]byte, error)
@@ -67,7 +68,7 @@
 	r := bootstrapReplies(t, c.send(wire.KindBootstrap, f2))[0]
 	must.False(t, r.OK)
 	must.Eq(t, "a", r.Proposer.ID)
-	// Once the replica that proposed it has given it up, the consent is free again.
+	// Once its proposer has withdrawn the proposal, the replica may consent to another one.
 	f1.Withdrawn = true
 	c.sync(c.send(wire.KindBootstrap, f1))
 	must.True(t, bootstrapReplies(t, c.sync(c.send(wire.KindBootstrap, f2)))[0].OK)
@@ -91,7 +92,7 @@
 	must.SliceEmpty(t, c.tick().Writes)
 }
 
-// others lets so many other empty cores, the seeds first, tell of themselves.
+// others has n other empty cores, the seeds first, make themselves known by pulls.
 func others(c *core, n int) {
 	for i := range n {
 		a := string(rune('1' + i))
@@ -150,7 +151,7 @@
 	must.SliceEmpty(t, c.send(wire.KindBootstrap, proposal("f2", "z", "z", "s1", "s2")).Writes, must.Sprint("z is not less than m"))
 	out = c.send(wire.KindBootstrap, proposal("f3", "a", "a", "s1", "s2"))
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("nobody is freed before the withdrawal is synced"))
-	// A late consent changes nothing any more.
+	// A delayed consent has no effect.
 	for _, member := range mine.Voters {
 		c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: mine.BootstrapID, From: member.ID, OK: true})
 	}
@@ -175,7 +176,7 @@
 
 func TestHostWithoutDiskRelaysVersions(t *testing.T) {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.5:1", BootstrapKnown: true}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
-	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1_000_000}
+	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1 * clock.Second}
 	must.SliceEmpty(t, c.feed(kernel.Start{}).Writes)
 	must.Eq(t, "", c.host.ReplicaID())
 	must.Eq(t, map[uint64]string{1: "not_owner"}, replies(t, c.edit(1, wire.Edit{Op: "read"})))
--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -1,6 +1,6 @@
-// A replica that was away, or comes back with an empty disk, is whole again within a
-// bound that its number of missed changes has no part in; and the leader leads on
-// meanwhile. The benchmark gives the figures for several sizes and numbers of changes.
+// Catch-up of a replica that was away or comes back with an empty disk: its duration does not depend on the
+// number of missed versions, and the leader goes on leading meanwhile. BenchmarkCatchUp gives figures for
+// several sizes and numbers of changes.
 
 package replica
 
@@ -11,37 +11,38 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
 // catchUpLimit is how long a replica that comes back may take: to listen, to be found and made a
 // voter if its disk is new, and twice the time that its link takes for the body.
-func catchUpLimit(size int) int64 {
-	return ListenBeforeElection + LargeResendInterval + 1_000_000 + 2*int64(size)*1_000_000/linkOf10Mbit
+func catchUpLimit(size int) clock.Micros {
+	return ListenBeforeElection + LargeResendInterval + 1*clock.Second + 2*int64(size)*clock.Second/linkOf10Mbit
 }
 
-// retryAllowance is what a piece that was lost on its way to one that was away may cost.
-const retryAllowance = 1_000_000
+// retryAllowance is what the loss of a piece that was sent while the replica was away may cost.
+const retryAllowance = 1 * clock.Second
 
-// caughtUp is what it took a replica to be whole again.
+// caughtUp is what the catch-up of a replica took.
 type caughtUp struct {
 	us, bytes, body int64
-	// terms is by how many the leader's term has risen meanwhile.
+	// terms is by how much the leader's term rose meanwhile.
 	terms uint64
 }
 
-// catchUpAfter has a core be away for so many changes of a body, and come back.
+// catchUpAfter stops a core, changes the body so many times, and starts the core again.
 func catchUpAfter(t testing.TB, size, changes int, emptyDisk bool) caughtUp {
 	c := newNarrowCluster(t, 0)
 	revision := c.grow(size)
-	away := c.settle()
+	away := c.awaitConverged()
 	c.stop(away.id)
 	for i := range changes {
-		must.Eq(t, "ok", c.edit(pools(revision, 100, fmt.Sprintf("changed-%d", i%50)), 10_000_000).Code)
+		must.Eq(t, "ok", c.edit(pools(revision, 100, fmt.Sprintf("changed-%d", i%50)), 10*clock.Second).Code)
 		revision++
 	}
-	back := c.now + 3_000_000
-	c.run(4_000_000, "it is away for a while", func() bool { return c.now >= back })
+	back := c.now + 3*clock.Second
+	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= back })
 	if emptyDisk {
 		away.files = map[string][]byte{}
 	}
@@ -52,12 +53,12 @@
 	return caughtUp{us, away.bytesIn, int64(len(c.lead().committed().Body)), c.lead().committed().Version.Term - want.Term}
 }
 
-// settle waits until the core that should lead the configuration does, and all hold the same; it
+// awaitConverged waits until the core that should lead the configuration does, and all hold the same; it
 // gives one of the others.
-func (c *narrowCluster) settle() *narrowMember {
+func (c *narrowCluster) awaitConverged() *narrowMember {
 	c.t.Helper()
-	c.run(60_000_000, "the preferred core leads", func() bool { return c.members["a"].host.Leads(state.ConfigPartition) })
-	c.all(60_000_000)
+	c.run(60*clock.Second, "the preferred core leads", func() bool { return c.members["a"].host.Leads(state.ConfigPartition) })
+	c.awaitAll(60 * clock.Second)
 	return c.members["b"]
 }
 
@@ -80,7 +81,7 @@
 				r := catchUpAfter(t, size, min(10, 3_000_000/size+2), emptyDisk)
 				t.Logf("whole again after %d ms and %d KB", r.us/1000, r.bytes/1000)
 				must.Eq(t, 0, r.terms, must.Sprint("the leader leads on"))
-				// A new disk takes two changes of members, and so two versions.
+				// A new disk takes a membership change, and so two versions.
 				most := 3*r.body + r.body/10 + 50_000
 				if !emptyDisk {
 					most = 2*r.body + 50_000
@@ -98,17 +99,17 @@
 	must.LessEq(t, 2*many.body+50_000, many.bytes)
 }
 
-// A large version on its way to a replica must not hold up the heartbeats to it and the others.
+// A large version on its way to a replica must not delay the heartbeats to it and to the others.
 func TestHeartbeatsPassLargeVersion(t *testing.T) {
 	c := newNarrowCluster(t, linkOf10Mbit)
 	revision := c.grow(3_000_000)
-	away := c.settle()
+	away := c.awaitConverged()
 	l, term := c.lead(), c.lead().committed().Version.Term
 	c.stop(away.id)
-	must.Eq(t, "ok", c.edit(pools(revision, 100, "changed"), 60_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(revision, 100, "changed"), 60*clock.Second).Code)
 	want := l.committed().Version
-	back := c.now + 3_000_000
-	c.run(4_000_000, "it is away for a while", func() bool { return c.now >= back })
+	back := c.now + 3*clock.Second
+	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= back })
 	c.start(away.id)
 	g := away.host.groups[state.ConfigPartition]
 	worst := int64(0)
@@ -124,7 +125,7 @@
 	must.Eq(t, term, l.committed().Version.Term)
 }
 
-// A member that is away while versions follow each other is brought the newest one only.
+// A replica that was away while several versions were committed is sent only the newest one.
 func TestCatchUpSendsOnlyNewestVersion(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -1,4 +1,4 @@
-// What is looked at after each step of a simulated process.
+// Checks of a simulated cluster after each step of a process.
 
 package replica
 
@@ -8,11 +8,12 @@
 
 	"wallport/cluster/mesh"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/wire"
 )
 
-// check looks at a process after a step: whatever it newly proposes or has committed keeps what was acknowledged.
+// check checks a process after a step: what it newly proposes or has committed contains what was acknowledged.
 func (c *simCluster) check(m *simMachine) {
 	for _, g := range m.host.groups {
 		if g.role == leader && g.proposal != nil && isJoint(*g.proposal) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// checkNewcomers: who gets a vote holds the version before that on its disk.
+// checkNewcomers checks that every new voter has synced the version before the change.
 func (c *simCluster) checkNewcomers(g *Group) {
 	oldest := g.committed.Version
 	oldest.Partition = g.partition
@@ -80,7 +81,7 @@
 }
 
 // serves runs until an edit is acknowledged again.
-func (c *simCluster) serves(what string, most int64) int64 {
+func (c *simCluster) serves(what string, most clock.Micros) clock.Micros {
 	c.t.Helper()
 	from := c.now
 	took := c.runUntil(what, most, func() bool { return c.lastAck > from })
--- a/control/replica/cluster_machine_test.go
+++ b/control/replica/cluster_machine_test.go
@@ -5,6 +5,7 @@
 import (
 	"fmt"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
@@ -19,7 +20,7 @@
 	up          bool
 	stopping    bool
 	incarnation int
-	upAt        int64
+	upAt        clock.Micros
 	kernel      *kernel.Kernel
 	host        *Host
 	writes      []kernel.Write
@@ -30,10 +31,10 @@
 	ends         [2]*simMachine
 	incarnations [2]int
 	ids          [2]uint64
-	last         [2]int64
+	last         [2]clock.Micros
 }
 
-func (m *simMachine) clock() int64 { return m.cluster.now - m.upAt }
+func (m *simMachine) clock() clock.Micros { return m.cluster.now - m.upAt }
 
 func (m *simMachine) start() {
 	c := m.cluster
@@ -65,7 +66,7 @@
 	})
 	m.first = false
 	m.host = kernel.Find[*Host](m.kernel)
-	c.note(m.addr + " starts")
+	c.log(m.addr + " starts")
 	m.step(kernel.Start{})
 	m.later(c.random.Int64N(simPullEvery), m.pull)
 }
@@ -73,14 +74,14 @@
 // kill ends the process at once; writes that are not synced are lost.
 func (m *simMachine) kill() {
 	if m.up {
-		m.cluster.note(m.addr + " dies")
+		m.cluster.log(m.addr + " dies")
 		m.up = false
 		m.incarnation++
 	}
 }
 
 func (m *simMachine) wipe() {
-	m.cluster.note(m.addr + " loses its disk")
+	m.cluster.log(m.addr + " loses its disk")
 	m.disk = map[string][]byte{}
 }
 
@@ -90,20 +91,20 @@
 		return
 	}
 	m.stopping = true
-	m.cluster.note(m.addr + " is told to stop")
+	m.cluster.log(m.addr + " is told to stop")
 	m.step(kernel.Stopping{})
 	m.awaitLeft(m.cluster.now + LeaveTimeout)
 }
 
-func (m *simMachine) awaitLeft(until int64) {
+func (m *simMachine) awaitLeft(until clock.Micros) {
 	if m.host.HasLeft() || m.cluster.now >= until {
 		m.kill()
 		return
 	}
-	m.later(10_000, func() { m.awaitLeft(until) })
+	m.later(10*clock.Millisecond, func() { m.awaitLeft(until) })
 }
 
-func (m *simMachine) later(d int64, run func()) {
+func (m *simMachine) later(d clock.Micros, run func()) {
 	life := m.incarnation
 	m.cluster.after(d, func() {
 		if m.incarnation == life {
@@ -130,7 +131,7 @@
 	c := m.cluster
 	out := m.kernel.Step(m.clock(), simWallStart+c.now, in)
 	for _, n := range out.LogEvents {
-		c.note(m.addr + " " + n.Event + " " + fmt.Sprint(n.Fields...))
+		c.log(m.addr + " " + n.Event + " " + fmt.Sprint(n.Fields...))
 	}
 	for _, timer := range out.Timers {
 		m.later(timer.At-m.clock(), func() { m.step(timer.Tick) })
@@ -171,7 +172,7 @@
 func (m *simMachine) send(s kernel.Send) {
 	c := m.cluster
 	if s.Conn == operatorChanID {
-		c.answered(s.Data)
+		c.handleReply(s.Data)
 		return
 	}
 	link := c.links[s.Conn]
--- a/control/replica/cluster_test.go
+++ b/control/replica/cluster_test.go
@@ -1,5 +1,5 @@
-// A cluster of cores on simulated time, network and disks: the real state
-// machines, an operator who edits, and what must hold at every step.
+// A cluster of cores on simulated time, network and disks, which runs the real state machines under a load of
+// edits and checks the invariants after every step.
 
 package replica
 
@@ -14,22 +14,22 @@
 	"wallport/api/routingpb"
 	"wallport/control/routing"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-// Figures of the simulated cluster, in microseconds.
 const (
-	simWallStart   = 1_700_000_000_000_000
-	simPullEvery   = 200_000
-	simEditEvery   = 100_000
-	simLatency     = 300
-	simSyncTime    = 2_000
+	simWallStart   = 1_700_000_000 * clock.Second
+	simPullEvery   = 200 * clock.Millisecond
+	simEditEvery   = 100 * clock.Millisecond
+	simLatency     = clock.Micros(300)
+	simSyncTime    = 2 * clock.Millisecond
 	operatorChanID = 1 << 40
 )
 
-// simShape is how many cores there are, in which zones, and what must be borne.
+// simShape is how many cores there are, in which zones, and which losses must be tolerated.
 type simShape struct {
 	name      string
 	zones     []string
@@ -46,14 +46,14 @@
 	links    map[uint64]*simLink
 	direct   map[string]*simLink
 	nextLink uint64
-	// acknowledged are the digests of the operator's orders that were answered "ok"; edits are those of the ids under way.
+	// acknowledged are the digests of the edits that were answered "ok"; edits are those of the ids under way.
 	acknowledged []string
-	lastAck      int64
+	lastAck      clock.Micros
 	edits        map[uint64]string
 	nextEdit     uint64
 	newest       wire.Version
 	violations   []string
-	notes        []string
+	logLines     []string
 }
 
 func newSimCluster(t *testing.T, shape simShape, seed uint64) *simCluster {
@@ -68,7 +68,7 @@
 		m.start()
 	}
 	c.after(0, c.operate)
-	c.runUntil("the cluster is formed", 15_000_000, func() bool { return c.leader(0) != nil && len(c.acknowledged) > 0 })
+	c.runUntil("the cluster is formed", 15*clock.Second, func() bool { return c.leader(0) != nil && len(c.acknowledged) > 0 })
 	return c
 }
 
@@ -79,16 +79,16 @@
 	return m
 }
 
-func (c *simCluster) run(d int64) {
+func (c *simCluster) run(d clock.Micros) {
 	for end := c.now + d; c.advance(end); {
 	}
 }
 
 // runUntil runs until something holds, and fails the test if that takes too long.
-func (c *simCluster) runUntil(what string, most int64, holds func() bool) (took int64) {
+func (c *simCluster) runUntil(what string, most clock.Micros, condition func() bool) (took clock.Micros) {
 	c.t.Helper()
-	for began := c.now; ; c.run(10_000) {
-		if holds() {
+	for began := c.now; ; c.run(10 * clock.Millisecond) {
+		if condition() {
 			return c.now - began
 		}
 		if c.now-began > most {
@@ -99,14 +99,14 @@
 
 func (c *simCluster) fail(what string) {
 	c.t.Helper()
-	for _, note := range c.notes {
+	for _, note := range c.logLines {
 		c.t.Log(note)
 	}
 	c.t.Fatalf("after %d us: %s", c.now, what)
 }
 
-func (c *simCluster) note(text string) {
-	c.notes = append(c.notes, fmt.Sprintf("%9d %s", c.now, text))
+func (c *simCluster) log(text string) {
+	c.logLines = append(c.logLines, fmt.Sprintf("%9d %s", c.now, text))
 }
 
 // leader is the machine whose process leads a partition with the highest term and may serve.
@@ -119,7 +119,7 @@
 	return best
 }
 
-// operate sends one edit to the leader every while and looks at what every process has committed.
+// operate sends an edit to the leader at a steady rate.
 func (c *simCluster) operate() {
 	c.after(simEditEvery, c.operate)
 	if leader := c.leader(0); leader != nil {
@@ -142,7 +142,7 @@
 	return table.GetRevision()
 }
 
-func (c *simCluster) answered(data []byte) {
+func (c *simCluster) handleReply(data []byte) {
 	f, err := wire.Open(data)
 	must.NoError(c.t, err)
 	var r wire.EditReply
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -49,10 +49,10 @@
 	c.openRounds, c.confirmedAt, c.offsets = nil, 0, map[string]clock.Micros{}
 }
 
-// roundSent records a round, and forgets those that are too old to prove anything.
-func (c *contact) roundSent(round uint64, now clock.Micros) {
+// recordRound records a round, and forgets those that are too old to prove anything.
+func (c *contact) recordRound(number uint64, now clock.Micros) {
 	c.openRounds = slices.DeleteFunc(c.openRounds, func(r sentRound) bool { return now-r.sentAt > ContactFor })
-	c.openRounds = append(c.openRounds, sentRound{round, now})
+	c.openRounds = append(c.openRounds, sentRound{number, now})
 }
 
 // recordClock records a voter's clock as its heartbeat reply shows it.
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -1,5 +1,5 @@
-// A small cluster of whole replicas on simulated time: their own code, a network
-// with delays and cuts that hold frames back, disks that take a while, freezes.
+// A small cluster of replicas on simulated time: a network with delays and partitions that delay frames, disks
+// with latency, and processes that are suspended.
 
 package replica
 
@@ -9,17 +9,13 @@
 	"math/rand/v2"
 	"testing"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-const (
-	millisecond = int64(1_000)
-	second      = int64(1_000_000)
-)
-
 // member is one process of the cluster.
 type member struct {
 	name, addr  string
@@ -27,7 +23,7 @@
 	host        *Host
 	files       map[string][]byte
 	incarnation int
-	startedAt   int64
+	startedAt   clock.Micros
 	frozen      bool
 	waiting     []func()
 }
@@ -40,7 +36,7 @@
 	conns   map[uint64]*connection
 	direct  map[string]uint64
 	nextID  uint64
-	// isolated names the member that is cut off from the others; frames over the cut are held back.
+	// isolated is the member that is partitioned from the others; frames between them are delayed until heal.
 	isolated *member
 	held     []func()
 }
@@ -83,14 +79,14 @@
 	c.step(m, kernel.Start{})
 }
 
-// every does something again and again.
-func (c *cluster) every(d int64, do func()) {
+// repeat calls do at an interval.
+func (c *cluster) repeat(d clock.Micros, do func()) {
 	do()
-	c.after(d, func() { c.every(d, do) })
+	c.after(d, func() { c.repeat(d, do) })
 }
 
 // run lets time pass; look is called after each event.
-func (c *cluster) run(d int64, look func()) {
+func (c *cluster) run(d clock.Micros, look func()) {
 	for end := c.now + d; c.advance(end); {
 		if look != nil {
 			look()
@@ -98,7 +94,7 @@
 	}
 }
 
-// feed has a member take an input in this life, once it is not frozen.
+// feed has a member take an input, once it is not suspended, if it is still the same incarnation.
 func (c *cluster) feed(m *member, incarnation int, in kernel.Input) {
 	if m.incarnation != incarnation {
 		return
@@ -112,7 +108,7 @@
 
 func (c *cluster) step(m *member, in kernel.Input) {
 	now, life := c.now-m.startedAt, m.incarnation
-	out := m.kernel.Step(now, 1_700_000_000*second+c.now, in)
+	out := m.kernel.Step(now, 1_700_000_000*clock.Second+c.now, in)
 	for _, v := range out.Timers {
 		c.after(v.At-now, func() { c.feed(m, life, v.Tick) })
 	}
@@ -126,7 +122,7 @@
 
 func (c *cluster) freeze(m *member) { m.frozen = true }
 
-func (c *cluster) thaw(m *member, gap int64) {
+func (c *cluster) thaw(m *member, gap clock.Micros) {
 	m.frozen = false
 	c.step(m, kernel.Thawed{Gap: gap})
 	waiting := m.waiting
@@ -149,12 +145,12 @@
 	return nil
 }
 
-// committedLeader runs until a partition has a leader that was in office for a while.
+// committedLeader runs until a partition has had the same leader for a while.
 func (c *cluster) committedLeader(partition int) *member {
 	for range 100 {
-		c.run(100*millisecond, nil)
+		c.run(100*clock.Millisecond, nil)
 		if m := c.leader(partition); m != nil {
-			c.run(second, nil)
+			c.run(clock.Second, nil)
 			if c.leader(partition) == m {
 				return m
 			}
--- a/control/replica/contact_net_test.go
+++ b/control/replica/contact_net_test.go
@@ -1,5 +1,4 @@
-// The network and the disks of the test cluster: delays, cuts that hold frames
-// back, writes that take a while.
+// The network and the disks of that cluster.
 
 package replica
 
@@ -8,22 +7,23 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// connection leads frames both ways between a member, or the test, and a member.
+// connection carries frames both ways between a member, or the test, and a member.
 type connection struct {
 	ends [2]*member
 	// free is when the next frame may arrive at an end: frames keep their order.
-	free         [2]int64
+	free         [2]clock.Micros
 	incarnations [2]int
 	reply        func(f wire.Frame)
 }
 
 func (c *cluster) write(m *member, w kernel.Write) {
 	life := m.incarnation
-	c.after(millisecond+c.rnd.Int64N(5*millisecond), func() {
+	c.after(clock.Millisecond+c.rnd.Int64N(5*clock.Millisecond), func() {
 		if m.incarnation != life {
 			return
 		}
@@ -89,7 +89,7 @@
 		c.held = append(c.held, func() { c.deliver(conn, id, side, data) })
 		return
 	}
-	at := max(c.now+150+c.rnd.Int64N(2*millisecond), conn.free[side]+1)
+	at := max(c.now+150+c.rnd.Int64N(2*clock.Millisecond), conn.free[side]+1)
 	conn.free[side] = at
 	c.after(at-c.now, func() {
 		if to == nil {
@@ -109,7 +109,7 @@
 	c.deliver(c.conns[ch], ch, 1, wire.Seal(kind, id, m))
 }
 
-// isolate cuts a member off from the others; heal lets the frames pass that were held back.
+// isolate partitions a member from the others; heal delivers the frames that were delayed.
 func (c *cluster) isolate(m *member) { c.isolated = m }
 
 func (c *cluster) heal() {
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -1,4 +1,4 @@
-// Single rules of contact with a majority: which answers prove it, and for how long.
+// Single rules of contact with a majority: which replies prove it, and for how long.
 
 package replica
 
@@ -7,24 +7,25 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
-// pullAll is what the core answers to a pull of one that has nothing.
+// pullAll is the reply to a pull of a process that has no version yet.
 func (c *core) pullAll(t *testing.T) wire.PullReply {
 	t.Helper()
 	return sent[wire.PullReply](t, c.send(wire.KindPull, &wire.Pull{}), wire.KindPullReply)[0]
 }
 
-// replyToHeartbeat has one of the two other voters answer the newest round.
-func (c *core) replyToHeartbeat(g *Group, clock int64) kernel.Output {
-	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Clock: clock})
+// replyToHeartbeat has one of the two other voters reply to the newest heartbeat round.
+func (c *core) replyToHeartbeat(g *Group, steady clock.Micros) kernel.Output {
+	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Clock: steady})
 }
 
-// A process that was held up for less than a freeze is told of has not ticked: what it answers is
-// judged by the clock, too.
+// A process that was delayed for less than what counts as a suspension has not ticked: its replies must go by
+// the clock as well.
 func TestLeaderContactExpiresByClock(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -49,7 +50,7 @@
 	must.Eq(t, 1, c.kernel.Counts.Of("part_contact_lost").Load())
 }
 
-// Contact counts from when a round was sent: a late answer proves what was true then.
+// Contact counts from when a round was sent: a late reply proves what was true then.
 func TestContactCountsFromSendingOfRound(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -74,8 +75,8 @@
 	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.replyToHeartbeat(g, 0)))
 }
 
-// heartbeat has the core follow "a" and gives its answer.
-func (c *core) heartbeat(t *testing.T, contactAt int64, committed wire.Version) wire.LeaderHeartbeatReply {
+// heartbeat has the core follow "a" and returns its reply.
+func (c *core) heartbeat(t *testing.T, contactAt clock.Micros, committed wire.Version) wire.LeaderHeartbeatReply {
 	t.Helper()
 	beat := wire.LeaderHeartbeat{Term: 5, From: "a", Round: 1, ContactAt: contactAt, Committed: committed}
 	return sent[wire.LeaderHeartbeatReply](t, c.send(wire.KindLeaderHeartbeat, &beat), wire.KindLeaderHeartbeatReply)[0]
@@ -96,7 +97,7 @@
 	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("held up on its way"))
 	now := c.heartbeat(t, clock+ContactFor, v.Version).Clock
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
-	// A version that it is told to be committed and lacks is not confirmed by it.
+	// It does not confirm a state that lacks a version which it knows to be committed.
 	c.heartbeat(t, now, wire.Version{Term: 5, Seq: 2})
 	must.Zero(t, c.pullAll(t).ContactMask)
 	c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 2)}))
@@ -104,7 +105,7 @@
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 }
 
-// A heartbeat that was meant for this machine's process before proves nothing to the one of now.
+// A heartbeat for an earlier incarnation of this process proves nothing to the present one.
 func TestContactProofOfEarlierIncarnationIsIgnored(t *testing.T) {
 	v := version(5, 1)
 	first, again := newCore(t, nil), newCore(t, nil)
@@ -128,14 +129,14 @@
 	c.now += HeartbeatInterval
 	c.tick()
 	sentAt := c.now
-	c.now += 20_000
-	c.replyToHeartbeat(g, 7_000_000)
+	c.now += 20 * clock.Millisecond
+	c.replyToHeartbeat(g, 7*clock.Second)
 	c.now += HeartbeatInterval
 	beats := sent[wire.LeaderHeartbeat](t, c.tick(), wire.KindLeaderHeartbeat)
 	must.Len(t, 2, beats)
 	for _, b := range beats {
 		if b.To == "a" {
-			must.Eq(t, 7_000_000-20_000, b.ContactAt)
+			must.Eq(t, 7*clock.Second-20*clock.Millisecond, b.ContactAt)
 			continue
 		}
 		must.Zero(t, b.ContactAt, must.Sprint("its clock is not known"))
@@ -143,13 +144,13 @@
 	must.Eq(t, sentAt, g.contact.confirmedAt)
 }
 
-// A core with no replica of a partition passes on, for a while, what one in contact told it.
+// A core with no replica of a partition relays, for a limited time, the contact of a core that answered it.
 func TestStandbyRelaysContactForLimitedTime(t *testing.T) {
 	c := newCore(t, nil)
 	c.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.9:1"}})
 	asked := uint64(0)
 	for range 40 {
-		c.now += 100_000
+		c.now += 100 * clock.Millisecond
 		out := c.feed(kernel.Tick{Plugin: "pulls", Key: "pull"})
 		for _, s := range out.Sends {
 			if f, err := wire.Open(s.Data); err == nil && f.Kind == wire.KindPull {
@@ -162,7 +163,7 @@
 	}
 	must.Positive(t, asked)
 	at := c.now
-	c.now += 50_000
+	c.now += 50 * clock.Millisecond
 	c.feed(kernel.Received{Conn: 5, Data: wire.Seal(wire.KindPullReply, asked, &wire.PullReply{ContactMask: 1, RelayedMask: 2})})
 	must.Eq(t, 1, c.pullAll(t).RelayedMask, must.Sprint("what was relayed is not relayed again"))
 	must.Zero(t, c.pullAll(t).ContactMask)
--- a/control/replica/contact_test.go
+++ b/control/replica/contact_test.go
@@ -1,6 +1,5 @@
-// What is said to be confirmed holds everything that was acknowledged shortly
-// before, whoever is cut off or frozen, and a member without contact confirms,
-// refuses and reads nothing.
+// Confirmed versions contain everything that was acknowledged shortly before, whichever member is partitioned
+// or suspended; a member without contact confirms, rejects and reads nothing.
 
 package replica
 
@@ -12,49 +11,50 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/cluster/mesh"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
 const (
-	pullEvery = 110 * millisecond
-	editEvery = 230 * millisecond
+	pullEvery = 110 * clock.Millisecond
+	editEvery = 230 * clock.Millisecond
 )
 
-// worlds is how many worlds each kind of trouble is tried in.
+// worlds is the number of seeds for each kind of fault.
 var worlds = flag.Uint64("worlds", 2, "worlds for each kind of trouble")
 
-// acknowledgement is a version that an operator was told of, and when.
+// acknowledgement is a version that an operator was told to be committed, and when.
 type acknowledgement struct {
-	at    int64
-	stamp wire.Version
+	at      clock.Micros
+	version wire.Version
 }
 
-// observer is the test's operators and nodes: they edit, read and pull, and judge what they are told.
+// observer stands for operators and nodes: it edits, reads and pulls, and checks the replies.
 type observer struct {
 	c     *cluster
 	acks  []acknowledgement
 	edits int
-	// confirmed counts by member the pulls that told of contact, reads those that were answered.
+	// confirmed counts, by member, the pulls whose replies showed contact; reads counts the reads that were answered.
 	confirmed map[string]int
-	last      map[string]int64
+	last      map[string]clock.Micros
 	reads     map[string]int
 }
 
 func newObserver(c *cluster) *observer {
-	return &observer{c: c, confirmed: map[string]int{}, last: map[string]int64{}, reads: map[string]int{}}
+	return &observer{c: c, confirmed: map[string]int{}, last: map[string]clock.Micros{}, reads: map[string]int{}}
 }
 
 // newestBy is the newest version that was acknowledged by a moment.
-func (o *observer) newestBy(at int64) (newest wire.Version) {
+func (o *observer) newestBy(at clock.Micros) (newest wire.Version) {
 	for _, a := range o.acks {
-		if a.at <= at && mesh.Newer(a.stamp, newest) {
-			newest = a.stamp
+		if a.at <= at && mesh.Newer(a.version, newest) {
+			newest = a.version
 		}
 	}
 	return newest
 }
 
-// edit has an operator give an order about a zone of its own at a member.
+// edit sends a member an edit about a zone of its own.
 func (o *observer) edit(to *member) {
 	o.edits++
 	id := fmt.Sprint("edit-", o.edits)
@@ -71,7 +71,7 @@
 	})
 }
 
-// read asks a member for the state: what it answers holds all that was acknowledged before it was asked.
+// read sends a member a read: its reply must contain all that was acknowledged before the read was sent.
 func (o *observer) read(to *member) {
 	asked := o.c.now
 	o.c.request(to, wire.KindEdit, 1, &wire.Edit{Op: "read"}, func(f wire.Frame) {
@@ -86,7 +86,7 @@
 	})
 }
 
-// pull asks a member for its state as a node does that has none.
+// pull pulls from a member as a node without any version does.
 func (o *observer) pull(to *member) {
 	asked := o.c.now
 	o.c.request(to, wire.KindPull, 1, &wire.Pull{}, func(f wire.Frame) {
@@ -112,22 +112,22 @@
 	})
 }
 
-// goOn has every member asked again and again.
-func (o *observer) goOn() {
-	o.c.every(pullEvery, func() {
+// askRepeatedly edits, reads and pulls at an interval.
+func (o *observer) askRepeatedly() {
+	o.c.repeat(pullEvery, func() {
 		for _, m := range o.c.members {
 			o.pull(m)
 			o.read(m)
 		}
 	})
-	o.c.every(editEvery, func() {
+	o.c.repeat(editEvery, func() {
 		for _, m := range o.c.members {
 			o.edit(m)
 		}
 	})
 }
 
-// fault is something that takes a member's contact away for a while.
+// fault takes a member's contact away for a while.
 type fault struct {
 	name       string
 	begin, end func(c *cluster, m *member)
@@ -138,14 +138,14 @@
 	heal := func(c *cluster, _ *member) { c.heal() }
 	return []fault{
 		{"cut", cut, heal},
-		{"frozen", func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*second) }},
+		{"frozen", func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*clock.Second) }},
 		{"cut and started again", func(c *cluster, m *member) { c.isolate(m); c.restart(m) }, heal},
 		{"cut, then started again with the join", cut, func(c *cluster, m *member) { c.restart(m); c.heal() }},
 	}
 }
 
-// worldCount is how many worlds each kind of trouble has: one in a short run, which CI makes with
-// the race detector beside the whole one.
+// worldCount is the number of seeds for each kind of fault: one in a short run, which CI makes with the race
+// detector beside the complete one.
 func worldCount() uint64 {
 	if testing.Short() {
 		return 1
@@ -153,8 +153,8 @@
 	return *worlds
 }
 
-// TestConfirmedVersionsContainAcknowledgedEdits cuts off or freezes a leader or a follower for twenty
-// seconds, under two operators, in groups of 3 and 5, with a standby that takes its place or without.
+// TestConfirmedVersionsContainAcknowledgedEdits partitions or suspends a leader or a follower for
+// twenty seconds, under two operators, in groups of 3 and 5, with and without a standby that replaces it.
 func TestConfirmedVersionsContainAcknowledgedEdits(t *testing.T) {
 	for _, v := range faults() {
 		for _, size := range []int{3, 4, 5} {
@@ -176,23 +176,23 @@
 
 func playFault(c *cluster, v fault, m *member) {
 	o := newObserver(c)
-	o.goOn()
-	c.run(2*second+c.rnd.Int64N(second), nil)
+	o.askRepeatedly()
+	c.run(2*clock.Second+c.rnd.Int64N(clock.Second), nil)
 	for _, each := range c.members {
 		must.Positive(c.t, o.confirmed[each.name], must.Sprint("in calm times each member has contact: ", each.name))
 	}
 	v.begin(c, m)
 	began, acks := c.now, len(o.acks)
-	c.run(20*second, nil)
+	c.run(20*clock.Second, nil)
 	must.Greater(c.t, acks+10, len(o.acks), must.Sprint("the majority goes on"))
-	must.Less(c.t, began+ContactFor+RelayedContactFor+second/2, max(o.last[m.name], 1), must.Sprint("it says for too long that it has contact"))
+	must.Less(c.t, began+ContactFor+RelayedContactFor+clock.Second/2, max(o.last[m.name], 1), must.Sprint("it says for too long that it has contact"))
 	v.end(c, m)
 	for range 100 {
-		// What was held back arrives now, the newest last.
+		// The delayed frames arrive now, the newest last.
 		o.pull(m)
 		o.read(m)
 		c.run(300, nil)
 	}
-	c.run(4*second, nil)
-	must.Greater(c.t, c.now-second, o.last[m.name], must.Sprint("it has contact again"))
+	c.run(4*clock.Second, nil)
+	must.Greater(c.t, c.now-clock.Second, o.last[m.name], must.Sprint("it has contact again"))
 }
--- a/control/replica/edits_test.go
+++ b/control/replica/edits_test.go
@@ -1,5 +1,5 @@
-// Operators' orders at a leader: one number in one batch, repeats across a change
-// of leader and a loss of power, a leader without a majority, and who gets the ledger.
+// Edits at a leader: two of one revision in one batch, repeats across an election and a loss of power, a leader
+// without a majority, and who is sent the edit log.
 
 package replica
 
@@ -11,12 +11,13 @@
 
 	"wallport/api/routingpb"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// routingEdit is a routing table under a number, told apart from others by a limit.
+// routingEdit puts a routing table of a revision, which differs from others in a limit.
 func routingEdit(t *testing.T, base, revision, limit int64) wire.Edit {
 	t.Helper()
 	b, err := proto.Marshal(&routingpb.RoutingEdit{
@@ -26,12 +27,12 @@
 	return wire.Edit{Op: "routing", Body: b}
 }
 
-// confirmHeartbeat has a majority answer the newest heartbeat.
+// confirmHeartbeat has a majority reply to the newest heartbeat.
 func (c *core) confirmHeartbeat(g *Group) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 }
 
-// leaderWithTwoEdits is a core that has taken one order in each of two versions.
+// leaderWithTwoEdits returns a leader that has committed one edit in each of two versions.
 func leaderWithTwoEdits(t *testing.T) (*core, *Group) {
 	t.Helper()
 	c := newCore(t, nil)
@@ -47,7 +48,7 @@
 	c := newCore(t, nil)
 	g := electLeader(t, c)
 	c.edit(1, routingEdit(t, 0, 5, 1))
-	// These wait for the version under way.
+	// These wait for the proposal under way.
 	c.edit(2, routingEdit(t, 5, 7, 1))
 	c.edit(3, routingEdit(t, 5, 7, 2))
 	c.edit(4, routingEdit(t, 5, 7, 1))
@@ -55,7 +56,7 @@
 	must.Eq(t, map[uint64]string{2: "ok", 3: "lost_race", 4: "ok"}, replies(t, c.acceptProposal(g)))
 }
 
-// The next leader, elected by others or started again after all power was lost, judges as the one before.
+// The next leader, elected by others or started again after a loss of all power, knows the same edits.
 func TestAcceptedEditsAreKnownToNextLeader(t *testing.T) {
 	_, was := leaderWithTwoEdits(t)
 	held := was.committed
@@ -68,7 +69,7 @@
 			c := newCore(t, nil)
 			g := c.host.groups[0]
 			c.tick()
-			c.now += 10_000_000
+			c.now += 10 * clock.Second
 			c.tick()
 			out := c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true})
 			c.sync(out)
@@ -90,7 +91,7 @@
 	}
 }
 
-// A leader that a majority does not answer says neither yes nor no, to orders, repeats and reads.
+// A leader that no majority answers accepts and rejects nothing: neither edits, repeats nor reads.
 func TestPartitionedLeaderRepliesToNoEdit(t *testing.T) {
 	c, g := leaderWithTwoEdits(t)
 	for id, e := range []wire.Edit{
@@ -108,7 +109,7 @@
 	must.MapLen(t, 9, told)
 }
 
-// The ledger goes from replica to replica; pulls, announcements and denied votes leave it out.
+// The edit log is sent from replica to replica; pulls, announcements and denied votes leave it out.
 func TestEditLogIsSentToReplicasOnly(t *testing.T) {
 	c, g := leaderWithTwoEdits(t)
 	must.NotNil(t, g.committed.EditLog)
@@ -127,7 +128,7 @@
 	must.NoError(t, err)
 	must.True(t, config.LegacyRevisions == nil && config.LegacyEdits == nil && config.LegacyHistory == nil)
 
-	// A vote that is denied shows how new the voter's version is, and nothing of it.
+	// A denied vote shows the voter's version, and nothing of its content.
 	held := g.committed
 	c = newCore(t, map[string][]byte{versionFile(held.Version): diskfile.Pack(wire.Encode(&held))})
 	must.Eq(t, held.EditLog, c.host.groups[0].accepted.EditLog)
@@ -140,7 +141,7 @@
 	must.Nil(t, vote.Stored.EditLog)
 }
 
-// An order about a zone that was held up is refused by the leader, and the refusal is confirmed.
+// A delayed edit about a zone is rejected by the leader, and the rejection is confirmed.
 func TestStaleZoneEditIsRejected(t *testing.T) {
 	c, g := leaderWithTwoEdits(t)
 	c.edit(1, wire.Edit{Op: wire.OpZoneVersion, Name: "z"})
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -1,4 +1,4 @@
-// Winning a term: no leader before its own vote is on its disk.
+// Elections: no leader before its own vote is synced, by whose voters votes are counted, and what is adopted.
 
 package replica
 
@@ -7,18 +7,19 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// A leader that others elected before its own vote was synced would, killed and started again,
-// ask for the same term and give one number to two versions.
+// A leader whose own vote was not synced could, killed and started again, ask for the same term and give one
+// number to two versions.
 func TestCandidateSyncsItsVoteBeforeLeading(t *testing.T) {
 	c := newCore(t, nil)
 	g := c.host.groups[0]
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
-	c.now += 10_000_000
+	c.now += 10 * clock.Second
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
 	out := c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true})
 	must.Eq(t, candidate, g.role)
@@ -30,7 +31,7 @@
 }
 
 func TestElectionsAreStaggered(t *testing.T) {
-	var at []int64
+	var at []clock.Micros
 	for _, me := range []string{"a", "b", "c"} {
 		c := newCore(t, nil)
 		c.host.replicaID = me
@@ -45,14 +46,14 @@
 	must.Between(t, ElectionTimeout+ElectionStagger, at[0], ElectionTimeout+ElectionStagger+ElectionJitter, must.Sprint("the owner that is gone has no turn"))
 }
 
-// A replica that was away holds less than the others: what it commits anew is theirs.
+// A replica that was away holds an older version than the voters: it commits theirs again.
 func TestLeaderAdoptsHighestVersionOfVoters(t *testing.T) {
 	mine, theirs := version(3, 1), version(4, 7)
 	theirs.Body = wire.Encode(&wire.ConfigBody{DrainedZones: []string{"z9"}})
 	c := newCore(t, map[string][]byte{versionFile(mine.Version): diskfile.Pack(wire.Encode(&mine))})
 	g := c.host.groups[0]
 	c.tick()
-	c.now += 10_000_000
+	c.now += 10 * clock.Second
 	c.tick()
 	out := c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true, Stored: theirs})
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: theirs})
@@ -63,12 +64,12 @@
 	must.Eq(t, theirs.Body, g.proposal.Body)
 }
 
-// After a loss of everything nobody is there to be waited for.
+// After a loss of all processes there is no leader to wait for.
 func TestElectionTimeoutAtStart(t *testing.T) {
 	for _, c := range []struct {
 		known       bool
 		leader      string
-		now, at, to int64
+		now, at, to clock.Micros
 	}{
 		{true, "", 0, ElectionTimeoutAtStart, ElectionTimeoutAtStart + 2*ElectionStagger + ElectionJitter},
 		{true, "", StartPeriod, StartPeriod + ElectionTimeout, StartPeriod + 2*ElectionTimeout},
@@ -91,7 +92,7 @@
 	c := newCore(t, map[string][]byte{versionFile(mine.Version): diskfile.Pack(wire.Encode(&mine))})
 	g := c.host.groups[0]
 	c.tick()
-	c.now += 10_000_000
+	c.now += 10 * clock.Second
 	c.tick()
 	must.Eq(t, preCandidate, g.role)
 	c.sync(c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true, Stored: mine}))
@@ -99,8 +100,8 @@
 	return c, g
 }
 
-// One that was replaced holds an older version, whose voters are no group any more: of those it
-// may have a majority, and of those that the newest version names it needs one.
+// A replaced replica holds an older version. A majority of the voters of that version does not elect it: it needs
+// one of the voters of the newest version.
 func TestElectionCountsVotersOfNewestVersion(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
 	newest := version(4, 7)
@@ -112,8 +113,8 @@
 	must.Eq(t, leader, g.role)
 }
 
-// What a new leader found may be on its disk alone: until a majority has synced it in its term,
-// nothing is said that rests on it, whatever heartbeats are answered.
+// The version that a new leader adopted may be on its disk alone: until a majority has synced it in the new term,
+// no reply may rest on it, whichever heartbeats were answered.
 func TestNewLeaderServesAfterItsFirstCommit(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: version(2, 1)})
@@ -137,9 +138,9 @@
 		must.Eq(t, "not_owner", reply.Code, must.Sprint("a majority answers heartbeats, and none has synced its version"))
 	}
 	must.Zero(t, c.pullAll(t).ContactMask)
-	must.Eq(t, string(stateNewLeader), c.shown(t).State)
+	must.Eq(t, string(stateNewLeader), c.partition0Status(t).State)
 	c.acceptProposal(g)
-	must.Eq(t, string(stateLeader), c.shown(t).State)
+	must.Eq(t, string(stateLeader), c.partition0Status(t).State)
 	c.send(wire.KindEdit, &wire.Edit{Op: wire.OpRead})
 	read := sent[wire.EditReply](t, c.replyToHeartbeat(g, 0), wire.KindEditReply)
 	must.Len(t, 2, read, must.Sprint("the order that waited is refused, the read is answered"))
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -1,5 +1,4 @@
-// The fence: a replica that voted a term takes nothing of an older one, and it
-// votes, and takes, only what is synced.
+// Fencing: a replica that voted in a term takes no version of an older one, and acknowledges only what is synced.
 
 package replica
 
@@ -8,6 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
@@ -17,10 +17,10 @@
 type core struct {
 	kernel *kernel.Kernel
 	host   *Host
-	now    int64
+	now    clock.Micros
 }
 
-// newCore is a formed core with replica "me" beside "a" and "b".
+// newCore returns a bootstrapped core with replica "me"; the other voters are "a" and "b".
 func newCore(t *testing.T, more map[string][]byte) *core {
 	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: replicas("a", "b", "me")}
 	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
@@ -28,7 +28,7 @@
 		files[k] = v
 	}
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
-	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1_000_000}
+	c := &core{kernel: k, host: kernel.Find[*Host](k), now: 1 * clock.Second}
 	c.feed(kernel.Start{})
 	return c
 }
@@ -39,7 +39,7 @@
 	return c.feed(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})
 }
 
-// sync carries out the writes of an output and gives what followed.
+// sync carries out the writes of an output and returns what followed.
 func (c *core) sync(out kernel.Output) kernel.Output {
 	var all kernel.Output
 	for _, w := range out.Writes {
@@ -98,7 +98,7 @@
 	must.Eq(t, uint64(3), c.host.groups[0].votedTerm)
 }
 
-func TestDamagedDiskStaysSilent(t *testing.T) {
+func TestDamagedDiskRepliesToNothing(t *testing.T) {
 	for name, files := range map[string]map[string][]byte{
 		"torn promise": {voteFile(1): []byte("wallport")},
 		"torn seat":    {"seat": []byte("x")},
@@ -123,7 +123,7 @@
 	must.Eq(t, "no space left on device", c.host.diskProblem)
 }
 
-// A machine whose disk was lost is another replica at the old one's address.
+// A machine that lost its disk is another replica at the same address.
 func TestMessageForAnotherReplicaIsIgnored(t *testing.T) {
 	c := newCore(t, nil)
 	out := c.send(wire.KindAccept, &wire.Accept{To: "lost", Term: 5, From: "a", Versioned: version(5, 1)})
--- a/control/replica/invariants_test.go
+++ b/control/replica/invariants_test.go
@@ -1,4 +1,4 @@
-// Every invariant of the replicas is seen to be violated where it does not hold.
+// Each check of an invariant reports a violation where the invariant does not hold.
 
 package replica
 
@@ -16,7 +16,7 @@
 	"wallport/runtime/wire"
 )
 
-// configured is a version of the configuration with a routing table of some revision.
+// configured returns a version of the configuration whose routing table has a revision.
 func configured(t *testing.T, term, seq uint64, revision int64) wire.Versioned {
 	t.Helper()
 	table, err := proto.Marshal(&routingpb.RoutingTable{Revision: revision})
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -121,7 +121,7 @@
 func (g *Group) sendHeartbeats(ctx *kernel.Context) {
 	g.heartbeatAt = ctx.Now
 	g.heartbeatRound++
-	g.contact.roundSent(g.heartbeatRound, ctx.Now)
+	g.contact.recordRound(g.heartbeatRound, ctx.Now)
 	g.confirmRounds()
 	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Round: g.heartbeatRound, Committed: g.committed.Version}
 	for _, voter := range allVoters(g.newestVersion()) {
--- a/control/replica/learner_test.go
+++ b/control/replica/learner_test.go
@@ -1,5 +1,4 @@
-// Learners that do not answer, changes that are no longer due, and who is not
-// chosen: nothing of it holds a group up or gives a vote to the wrong replica.
+// Learners that do not respond, changes that are no longer due, and replicas that are not chosen.
 
 package replica
 
@@ -8,6 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
@@ -17,19 +17,19 @@
 	pull := func(id string) { c.send(wire.KindPull, &wire.Pull{Addr: id + ":1", Replica: id, Zone: id}) }
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	pull("d")
-	leaves := func(us int64) {
-		for end := c.now + us; c.now < end; {
+	leaves := func(span clock.Micros) {
+		for end := c.now + span; c.now < end; {
 			c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 			c.exchangeHeartbeats(g, LeaveInterval, "a", "b")
 		}
 	}
-	leaves(200_000)
+	leaves(200 * clock.Millisecond)
 	must.Eq(t, []string{"d"}, ids(g.change.learners))
-	leaves(LearnerTimeout - 400_000)
+	leaves(LearnerTimeout - 400*clock.Millisecond)
 	pull("d")
 	pull("e")
 	must.Eq(t, []string{"d"}, ids(g.change.learners), must.Sprint("not given up yet"))
-	leaves(400_000)
+	leaves(400 * clock.Millisecond)
 	c.syncLearners(t, g, "e")
 	must.Eq(t, []string{"a", "e", "me"}, ids(g.proposal.Voters))
 }
@@ -38,9 +38,9 @@
 	c := newCore(t, nil)
 	g := electLeader(t, c)
 	pull := func() { c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"}) }
-	c.exchangeHeartbeats(g, ReplaceAfter-200_000, "a")
+	c.exchangeHeartbeats(g, ReplaceAfter-200*clock.Millisecond, "a")
 	pull()
-	c.exchangeHeartbeats(g, 300_000, "a")
+	c.exchangeHeartbeats(g, 300*clock.Millisecond, "a")
 	must.NotNil(t, g.change)
 	c.exchangeHeartbeats(g, 2*TickInterval, "a", "b")
 	must.Nil(t, g.change)
@@ -55,7 +55,7 @@
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	must.NotNil(t, g.change)
-	// Its process has ended and comes back as the voter that it was.
+	// Its process has ended, and comes back as the voter that it was.
 	c.exchangeHeartbeats(g, LeaveRequestTimeout+TickInterval, "a", "b")
 	must.Nil(t, g.change)
 }
@@ -63,9 +63,9 @@
 func TestLeadershipIsNotTransferredToLeavingVoter(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	c.exchangeHeartbeats(g, 200_000, "a", "b")
+	c.exchangeHeartbeats(g, 200*clock.Millisecond, "a", "b")
 	// Of the two that answer, the one heard last would be taken.
-	c.now += 1_000
+	c.now += 1 * clock.Millisecond
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: "b", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	c.host.diskProblem = "slow"
@@ -73,11 +73,11 @@
 	must.Eq(t, "a", g.leader)
 }
 
-// A leaving voter's place is not given to a zone that would then hold a majority.
+// A leaving voter isn't replaced by a standby of a zone that would then have a majority.
 func TestLeavingVoterIsNotReplacedFromCrowdedZone(t *testing.T) {
 	shape := simShape{name: "4 cores in 3 zones", zones: []string{"z1", "z2", "z3", "z1"}, tolerance: simShapes[1].tolerance}
 	c := newSimCluster(t, shape, 17)
-	c.run(2_000_000)
+	c.run(2 * clock.Second)
 	for _, m := range c.voters(0) {
 		if m.zone == "z1" {
 			continue
@@ -87,24 +87,25 @@
 		c.ends(m)
 		must.True(t, c.isVoterAnywhere(id))
 		m.start()
-		c.run(2_000_000)
+		c.run(2 * clock.Second)
 	}
-	// In its own zone there is one to take its place.
+	// A standby of its own zone may replace it.
 	for _, m := range c.voters(0) {
 		if m.zone == "z1" {
 			id := m.host.replicaID
 			m.terminate()
-			must.Less(t, 1_000_000, c.ends(m))
+			must.Less(t, 1*clock.Second, c.ends(m))
 			must.False(t, c.isVoterAnywhere(id))
 		}
 	}
 	c.verify()
 }
 
-// Who was moved out is told so and is a standby at once; it answers a late leader with nothing.
+// A removed voter is sent the version that removed it and becomes a standby at once; a delayed message of a
+// leader gets no reply.
 func TestRemovedVoterIsNotified(t *testing.T) {
 	c := newSimCluster(t, simShapes[1], 18)
-	c.run(2_000_000)
+	c.run(2 * clock.Second)
 	leaving := c.victims(simLosses[0], false)[0]
 	host := leaving.host
 	leaving.terminate()
--- a/control/replica/lease_test.go
+++ b/control/replica/lease_test.go
@@ -1,4 +1,4 @@
-// A singleton task has one holder at a time, whoever leads, is cut off or frozen.
+// A singleton task has one lease holder at a time, whichever leader is elected, partitioned or suspended.
 
 package replica
 
@@ -8,17 +8,18 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-const renewEvery = 200 * millisecond
+const renewEvery = 200 * clock.Millisecond
 
-// leaseHolder asks for a lease again and again, and counts it from when it asked.
+// leaseHolder renews a lease at an interval, and counts it from when it sent the request.
 type leaseHolder struct {
 	name  string
-	until int64
+	until clock.Micros
 	given int
-	// to is the member that it asks: one that it takes for the leader.
+	// to is the member that it takes for the leader.
 	to func() *member
 }
 
@@ -39,12 +40,12 @@
 	})
 }
 
-// TestLeaseHasOneHolderAcrossLeaderFaults has one process ask the old leader, as one does that is
-// cut off with it, and another one whoever leads now.
+// TestLeaseHasOneHolderAcrossLeaderFaults has one process ask the old leader, as one that is
+// partitioned with it does, and another process the present leader.
 func TestLeaseHasOneHolderAcrossLeaderFaults(t *testing.T) {
 	troubles := map[string]struct{ begin, end func(c *cluster, m *member) }{
 		"cut":    {func(c *cluster, m *member) { c.isolate(m) }, func(c *cluster, m *member) { c.heal() }},
-		"frozen": {func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*second) }},
+		"frozen": {func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*clock.Second) }},
 	}
 	for name, trouble := range troubles {
 		for _, size := range []int{3, 5} {
@@ -65,13 +66,13 @@
 						must.False(t, c.now < kept.until && c.now < other.until, must.Sprintf(
 							"two holders at %d ms, until %d and %d ms", c.now/1000, kept.until/1000, other.until/1000))
 					}
-					c.run(2*second+c.rnd.Int64N(second), look)
+					c.run(2*clock.Second+c.rnd.Int64N(clock.Second), look)
 					must.Positive(t, kept.given)
 					trouble.begin(c, old)
-					c.run(20*second, look)
+					c.run(20*clock.Second, look)
 					must.Positive(t, other.given, must.Sprint("nobody else got the lease"))
 					trouble.end(c, old)
-					c.run(3*second, look)
+					c.run(3*clock.Second, look)
 				})
 			}
 		}
--- a/control/replica/leave_test.go
+++ b/control/replica/leave_test.go
@@ -1,5 +1,5 @@
-// Voters that are told to stop: moved out by a committed change before their
-// process ends, or voters to the end where nobody can take their place.
+// Voters whose process is to stop: replaced by a committed change before it ends, or voters until it ends where
+// nobody can replace them.
 
 package replica
 
@@ -8,6 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -23,7 +24,7 @@
 	return false
 }
 
-// hasMajorities reports whether of each partition a majority of the voters runs.
+// hasMajorities reports whether a majority of the voters of each partition runs.
 func (c *simCluster) hasMajorities() bool {
 	for partition := range Partitions {
 		newest := c.newestOf(partition)
@@ -55,10 +56,10 @@
 	return newest
 }
 
-// ends runs until a machine's process has ended, and gives how long that took.
-func (c *simCluster) ends(m *simMachine) int64 {
+// ends runs until a machine's process has ended, and returns how long that took.
+func (c *simCluster) ends(m *simMachine) clock.Micros {
 	c.t.Helper()
-	return c.runUntil("the process ends", LeaveTimeout+100_000, func() bool { return !m.up })
+	return c.runUntil("the process ends", LeaveTimeout+100*clock.Millisecond, func() bool { return !m.up })
 }
 
 func TestLeavingVoterIsMovedOut(t *testing.T) {
@@ -66,7 +67,7 @@
 		for _, who := range []string{"leader", "another voter"} {
 			t.Run(shape.name+"/"+who, func(t *testing.T) {
 				c := newSimCluster(t, shape, 11)
-				c.run(2_000_000)
+				c.run(2 * clock.Second)
 				leaving := c.leader(0)
 				if who != "leader" {
 					leaving = c.victims(simLosses[0], false)[0]
@@ -74,7 +75,7 @@
 				id := leaving.host.replicaID
 				must.True(t, c.isVoterAnywhere(id))
 				leaving.terminate()
-				must.Less(t, 1_000_000, c.ends(leaving))
+				must.Less(t, 1*clock.Second, c.ends(leaving))
 				must.False(t, c.isVoterAnywhere(id), must.Sprint("its place was given away before its process ended"))
 				for _, m := range c.secondVictims() {
 					m.kill()
@@ -87,31 +88,31 @@
 
 func TestLeavingVoterStaysWithoutReplacement(t *testing.T) {
 	c := newSimCluster(t, simShapes[0], 12)
-	c.run(2_000_000)
+	c.run(2 * clock.Second)
 	leaving := c.leader(0)
 	id := leaving.host.replicaID
 	leaving.terminate()
-	c.run(200_000)
+	c.run(200 * clock.Millisecond)
 	must.False(t, leaving.host.Leads(0), must.Sprint("leadership is handed over at once"))
-	c.serves("another one leads", 500_000)
-	must.GreaterEq(t, LeaveTimeout-1_000_000, c.ends(leaving))
+	c.serves("another one leads", 500*clock.Millisecond)
+	must.GreaterEq(t, LeaveTimeout-1*clock.Second, c.ends(leaving))
 	must.True(t, c.isVoterAnywhere(id))
 	must.Eq(t, 3, len(c.newestOf(0).Voters))
 	leaving.start()
-	c.run(1_000_000)
+	c.run(1 * clock.Second)
 	must.True(t, c.isVoterAnywhere(id))
 	c.serves("all are back", simServeWithin)
 }
 
 func TestLeavingVotersAreMovedOneByOne(t *testing.T) {
 	c := newSimCluster(t, simShapes[2], 13)
-	c.run(2_000_000)
+	c.run(2 * clock.Second)
 	voters := c.voters(0)
 	first, second := voters[0], voters[1]
 	first.terminate()
 	second.terminate()
 	for first.up || second.up {
-		c.run(1_000)
+		c.run(1 * clock.Millisecond)
 		must.True(t, c.hasMajorities())
 		for _, m := range c.machines {
 			if !m.up {
@@ -125,7 +126,7 @@
 		}
 	}
 	must.False(t, c.isVoterAnywhere(first.host.replicaID) || c.isVoterAnywhere(second.host.replicaID))
-	c.serves("edits are taken", 500_000)
+	c.serves("edits are taken", 500*clock.Millisecond)
 }
 
 // changedVoters counts the voters that a version adds.
@@ -140,7 +141,7 @@
 
 func TestLeavingStandbyBecomesNoVoter(t *testing.T) {
 	c := newSimCluster(t, simShapes[1], 14)
-	c.run(2_000_000)
+	c.run(2 * clock.Second)
 	var standby *simMachine
 	for _, m := range c.machines {
 		if !c.isVoterAnywhere(m.host.replicaID) {
@@ -161,7 +162,7 @@
 
 func TestDeadStandbyBecomesNoVoter(t *testing.T) {
 	c := newSimCluster(t, simShapes[1], 15)
-	c.run(2_000_000)
+	c.run(2 * clock.Second)
 	var standby *simMachine
 	for _, m := range c.machines {
 		if !c.isVoterAnywhere(m.host.replicaID) {
@@ -172,15 +173,15 @@
 	id := standby.host.replicaID
 	lost := c.victims(simLosses[0], false)[0]
 	lost.kill()
-	c.run(ReplaceAfter - 500_000)
+	c.run(ReplaceAfter - 500*clock.Millisecond)
 	standby.kill()
 	for range 60 {
-		c.run(100_000)
+		c.run(100 * clock.Millisecond)
 		must.False(t, c.isVoterAnywhere(id))
 	}
 	// Whichever of the two is back first completes the group.
 	standby.start()
-	c.run(3_000_000)
+	c.run(3 * clock.Second)
 	must.True(t, c.isVoterAnywhere(id))
 	must.False(t, c.isVoterAnywhere(lost.host.replicaID))
 	c.verify()
@@ -190,16 +191,16 @@
 	for _, shape := range simShapes {
 		t.Run(shape.name, func(t *testing.T) {
 			c := newSimCluster(t, shape, 16)
-			c.run(2_000_000)
+			c.run(2 * clock.Second)
 			for _, m := range c.machines {
 				m.terminate()
 				c.startWhenEnded(m)
-				c.runUntil("the machine is back", 10_000_000, func() bool {
+				c.runUntil("the machine is back", 10*clock.Second, func() bool {
 					must.True(t, c.hasMajorities())
 					return m.up && !m.stopping
 				})
-				c.serves("edits go on", 1_500_000)
-				c.run(1_300_000)
+				c.serves("edits go on", 1500*clock.Millisecond)
+				c.run(1300 * clock.Millisecond)
 			}
 			c.verify()
 		})
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -1,5 +1,5 @@
-// Replicas that are lost, replaced and added: one committed change at a time, each
-// followed by a version that binds the new replicas alone.
+// Replacing and adding voters: one committed change at a time, each followed by a version that needs the new
+// voters alone.
 
 package replica
 
@@ -9,12 +9,13 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-func ids(seats []wire.Replica) (out []string) {
-	for _, s := range seats {
+func ids(members []wire.Replica) (out []string) {
+	for _, s := range members {
 		out = append(out, s.ID)
 	}
 	return out
@@ -22,9 +23,9 @@
 
 func (c *core) tick() kernel.Output { return c.feed(kernel.Tick{Plugin: "seats", Key: "tick"}) }
 
-// heartbeats lets time pass while the replicas of a leader's group answer it.
-func (c *core) exchangeHeartbeats(g *Group, us int64, alive ...string) {
-	for end := c.now + us; c.now < end && g.role == leader; {
+// exchangeHeartbeats lets time pass while the given voters reply to a leader's heartbeats.
+func (c *core) exchangeHeartbeats(g *Group, span clock.Micros, alive ...string) {
+	for end := c.now + span; c.now < end && g.role == leader; {
 		c.now += TickInterval
 		c.tick()
 		for _, id := range alive {
@@ -33,7 +34,7 @@
 	}
 }
 
-// commitProposal has some replicas, and this one's disk, take the version under way; it gives that version.
+// commitProposal has some replicas, and this one's disk, sync the proposal, and returns it.
 func (c *core) commitProposal(t *testing.T, g *Group, who ...string) wire.Versioned {
 	t.Helper()
 	must.NotNil(t, g.proposal)
@@ -48,7 +49,7 @@
 	return v
 }
 
-// syncLearners has the learners of the change under way sync the newest version; nothing is proposed before.
+// syncLearners has the learners of the change under way sync the newest version, before which nothing is proposed.
 func (c *core) syncLearners(t *testing.T, g *Group, who ...string) {
 	t.Helper()
 	must.Nil(t, g.proposal, must.Sprint("no change is proposed before its learners have caught up"))
@@ -96,18 +97,18 @@
 	g := electLeader(t, c)
 	spare := func() { c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"}) }
 	spare()
-	c.exchangeHeartbeats(g, ReplaceAfter-200_000, "a")
+	c.exchangeHeartbeats(g, ReplaceAfter-200*clock.Millisecond, "a")
 	must.Nil(t, g.proposal, must.Sprint("not yet"))
 	spare()
-	c.exchangeHeartbeats(g, 300_000, "a")
+	c.exchangeHeartbeats(g, 300*clock.Millisecond, "a")
 	c.syncLearners(t, g, "d")
 	v := c.commitProposal(t, g, "a")
 	must.Eq(t, []string{"a", "d", "me"}, ids(v.Voters))
-	// It comes back as it was: a standby, and nothing moves.
+	// It comes back as a standby, and no voter changes.
 	c.tick()
 	c.commitProposal(t, g, "a")
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.2:1", Replica: "b", Zone: "z2"})
-	c.exchangeHeartbeats(g, 1_000_000, "a", "d")
+	c.exchangeHeartbeats(g, 1*clock.Second, "a", "d")
 	must.Nil(t, g.proposal)
 }
 
@@ -115,9 +116,9 @@
 	c := newCore(t, nil)
 	g := electLeader(t, c)
 	for range 30 {
-		// A core whose disk is not well pulls without naming its replica.
+		// A core whose disk has a problem pulls without naming its replica.
 		c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Zone: "z4"})
-		c.exchangeHeartbeats(g, 100_000, "a")
+		c.exchangeHeartbeats(g, 100*clock.Millisecond, "a")
 	}
 	must.Nil(t, g.proposal)
 	must.Eq(t, []string{"a", "b", "me"}, ids(g.committed.Voters))
@@ -173,7 +174,7 @@
 func TestStoppingLeaderCommitsAndNamesSuccessor(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	c.exchangeHeartbeats(g, 200_000, "a")
+	c.exchangeHeartbeats(g, 200*clock.Millisecond, "a")
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	out := c.feed(kernel.Stopping{})
 	must.Eq(t, leader, g.role)
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -1,5 +1,4 @@
-// A group of cores on simulated time, joined by links of a given bandwidth, with
-// disks of their own: what several replicas do together.
+// A group of cores on simulated time, with links of a given bandwidth and a disk each.
 
 package replica
 
@@ -13,6 +12,7 @@
 
 	"wallport/api/routingpb"
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/diskfile"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
@@ -20,8 +20,8 @@
 )
 
 const (
-	linkDelay  = 1_000
-	diskDelay  = 2_000
+	linkDelay  = 1 * clock.Millisecond
+	diskDelay  = 2 * clock.Millisecond
 	clientConn = 1 << 40
 )
 
@@ -33,7 +33,7 @@
 	files       map[string][]byte
 	up          bool
 	incarnation int
-	free        int64
+	free        clock.Micros
 	bytesIn     int64
 	replies     map[uint64]wire.EditReply
 }
@@ -79,7 +79,7 @@
 	c.step(m, kernel.Start{})
 }
 
-// stop ends a core as a loss of power does: what it has not written is gone.
+// stop ends a core as a loss of power does: unsynced writes are lost.
 func (c *narrowCluster) stop(id string) {
 	m := c.members[id]
 	m.up = false
@@ -120,7 +120,7 @@
 	}
 }
 
-// send puts a frame on its connection, as the channels do: what is too large is dropped.
+// send puts a frame on its connection; a frame that is too large is dropped.
 func (c *narrowCluster) send(m *narrowMember, s kernel.Send) {
 	if s.Conn == clientConn {
 		f, err := wire.Open(s.Data)
@@ -145,7 +145,7 @@
 	}
 	at := max(c.now, m.free)
 	if c.bytesPerSecond > 0 {
-		at += int64(b.Len()) * 1_000_000 / c.bytesPerSecond
+		at += int64(b.Len()) * clock.Second / c.bytesPerSecond
 	}
 	m.free = at
 	life := to.incarnation
@@ -170,8 +170,8 @@
 	return c.conns[key]
 }
 
-// run goes on until something holds, and tells how long that took; it fails after so long.
-func (c *narrowCluster) run(most int64, what string, until func() bool) int64 {
+// run runs until a condition holds and returns how long that took; it fails the test after a limit.
+func (c *narrowCluster) run(most clock.Micros, what string, until func() bool) clock.Micros {
 	c.t.Helper()
 	began := c.now
 	for !until() {
@@ -193,12 +193,12 @@
 }
 
 func (c *narrowCluster) lead() *narrowMember {
-	c.run(20_000_000, "a leader", func() bool { return c.leader() != nil })
+	c.run(20*clock.Second, "a leader", func() bool { return c.leader() != nil })
 	return c.leader()
 }
 
 // edit sends an edit of the configuration to its leader and waits for the answer.
-func (c *narrowCluster) edit(e *routingpb.RoutingEdit, within int64) wire.EditReply {
+func (c *narrowCluster) edit(e *routingpb.RoutingEdit, within clock.Micros) wire.EditReply {
 	c.t.Helper()
 	m := c.lead()
 	b, err := proto.Marshal(e)
--- a/control/replica/old_members_test.go
+++ b/control/replica/old_members_test.go
@@ -1,5 +1,5 @@
-// Members of an earlier group: whatever disks of theirs come back together, cut
-// off from the others, they elect nobody and acknowledge nothing.
+// Removed voters: whichever of them come back together, partitioned from the others, they elect nobody and
+// acknowledge nothing.
 
 package replica
 
@@ -7,10 +7,12 @@
 	"testing"
 
 	"github.com/shoenig/test/must"
+
+	"wallport/runtime/clock"
 )
 
-// replaceVoters gives the places of as many of partition 0's voters as make a majority to others,
-// one after the other, and keeps those that were replaced off; it gives them.
+// replaceVoters replaces a majority of partition 0's voters, one after the other, keeps the replaced ones off and
+// returns them.
 func replaceVoters(c *simCluster, planned bool) []*simMachine {
 	original := c.voters(0)
 	removed := original[:len(original)/2+1]
@@ -21,9 +23,9 @@
 		} else {
 			m.kill()
 		}
-		c.runUntil("its place is taken", 8_000_000, func() bool { return !m.up && !c.isVoterAnywhere(id) })
+		c.runUntil("its place is taken", 8*clock.Second, func() bool { return !m.up && !c.isVoterAnywhere(id) })
 		c.serves("edits go on", simServeWithin)
-		c.run(500_000)
+		c.run(500 * clock.Millisecond)
 	}
 	return removed
 }
@@ -34,7 +36,7 @@
 		for name, planned := range map[string]bool{"stopped": true, "killed": false} {
 			t.Run(shape.name+"/"+name, func(t *testing.T) {
 				c := newSimCluster(t, shape, 21)
-				c.run(2_000_000)
+				c.run(2 * clock.Second)
 				removed := replaceVoters(c, planned)
 				for _, m := range c.machines {
 					m.kill()
@@ -44,7 +46,7 @@
 					m.start()
 				}
 				for range 100 {
-					c.run(100_000)
+					c.run(100 * clock.Millisecond)
 					for partition := range Partitions {
 						must.Nil(t, c.leader(partition))
 					}
@@ -54,15 +56,15 @@
 					m.start()
 				}
 				c.serves("all are back", simServeWithin)
-				c.run(3_000_000)
+				c.run(3 * clock.Second)
 				c.verify()
 			})
 		}
 	}
 }
 
-// membershipStable reports whether of every partition all voters run, hold the committed version on their
-// disks, and are bound alone: from then on the group bears whatever such a group can bear.
+// membershipStable reports whether all voters of every partition run, have synced the committed version, and no
+// joint version is under way: from then on a group tolerates as many losses as its size allows.
 func (c *simCluster) membershipStable() bool {
 	for partition := range Partitions {
 		leader := c.leader(partition)
@@ -86,21 +88,21 @@
 	return true
 }
 
-// TestReplacementToleratesNextLossAfterSync measures, for each loss, when the groups are whole again.
+// TestReplacementToleratesNextLossAfterSync measures, for each loss, when the membership is stable again.
 func TestReplacementToleratesNextLossAfterSync(t *testing.T) {
 	for _, shape := range simShapes {
 		for _, loss := range simLosses {
 			t.Run(shape.name+"/"+loss.name, func(t *testing.T) {
-				worst := int64(0)
+				worst := clock.Micros(0)
 				for seed := uint64(31); seed < 34; seed++ {
 					c := newSimCluster(t, shape, seed)
-					c.run(2_000_000)
+					c.run(2 * clock.Second)
 					running := len(c.machines)
 					for _, m := range c.victims(loss, seed%2 == 0) {
 						loss.hit(c, m)
 					}
-					c.run(50_000)
-					c.runUntil("the lost machines or their successors run", 10_000_000, func() bool { return c.back(running) })
+					c.run(50 * clock.Millisecond)
+					c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.back(running) })
 					took := c.runUntil("the groups are whole again", simSyncTimeAllowed, c.membershipStable)
 					worst = max(worst, took)
 					c.verify()
--- a/control/replica/proposals_test.go
+++ b/control/replica/proposals_test.go
@@ -1,5 +1,5 @@
-// What a leader answers while a version is under way: nothing that rests on
-// what is not committed, and no refusal before a majority confirmed the leader.
+// Replies of a leader while a proposal is under way: none rests on an uncommitted version, and no rejection is
+// sent before a majority has confirmed the leader.
 
 package replica
 
@@ -8,16 +8,17 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// electLeader makes the core the leader of partition 0 by the votes and answers of replica "a".
+// electLeader makes the core the leader of partition 0 by the votes and replies of replica "a".
 func electLeader(t *testing.T, c *core) *Group {
 	t.Helper()
 	g := c.host.groups[0]
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
-	c.now += 10_000_000
+	c.now += 10 * clock.Second
 	c.feed(kernel.Tick{Plugin: "seats", Key: "tick"})
 	must.Eq(t, preCandidate, g.role)
 	out := c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true})
@@ -29,7 +30,7 @@
 	return g
 }
 
-// acceptProposal has replicas "a" and "b" hold the version under way.
+// acceptProposal has replicas "a" and "b" acknowledge the proposal.
 func (c *core) acceptProposal(g *Group) kernel.Output {
 	if g.proposal == nil {
 		return kernel.Output{}
@@ -40,7 +41,7 @@
 	return c.send(wire.KindAcceptReply, &accepted)
 }
 
-// replies are the answers to edits among an output, by the id of the asking frame.
+// replies returns the codes of the replies to edits in an output, by the id of the request.
 func replies(t *testing.T, out kernel.Output) map[uint64]string {
 	t.Helper()
 	got := map[uint64]string{}
@@ -66,7 +67,7 @@
 	empty := wire.Edit{Op: "empty", Name: "z1", EditID: "one"}
 	other := wire.Edit{Op: "refill", Name: "z1", EditID: "one"}
 	must.MapEmpty(t, replies(t, c.edit(1, wire.Edit{Op: "empty", Name: "z0", EditID: "zero"})))
-	// These wait for the version under way and are judged together in the next one.
+	// These wait for the proposal under way and become one batch after it.
 	must.MapEmpty(t, replies(t, c.edit(2, empty)))
 	must.MapEmpty(t, replies(t, c.edit(3, empty)))
 	must.MapEmpty(t, replies(t, c.edit(4, other)))
@@ -85,7 +86,7 @@
 	must.Eq(t, map[uint64]string{2: "unknown", 3: "unknown"}, replies(t, out))
 }
 
-// A cut-off leader may judge by what has long been replaced: its refusal counts once a majority answers.
+// A partitioned leader may reject by a state that was replaced long ago: it rejects only once a majority answers.
 func TestRejectionsAreConfirmedByMajority(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
--- a/control/replica/pull_large_test.go
+++ b/control/replica/pull_large_test.go
@@ -1,5 +1,4 @@
-// What a core that is asked for its state hands out of a large version, and of one that it
-// withholds.
+// Large versions in the replies to pulls, and what is left out of them.
 
 package replica
 
@@ -12,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-// A large version is in the answer to one pull, not to each one while it is under way.
+// A large version is in the reply to one pull, not in each one while it is under way.
 func TestLargeVersionIsPulledOnce(t *testing.T) {
 	c := newCore(t, nil)
 	large := func(partition, size int) {
@@ -40,7 +39,7 @@
 	must.Eq(t, []int{0, 2}, parts)
 }
 
-// What is withheld is not confirmed: a process that starts must not take its older state for the newest.
+// A withheld version is not confirmed: a process that starts must not take its older state for the newest.
 func TestWithheldVersionIsNotConfirmed(t *testing.T) {
 	c := newCore(t, nil)
 	v := wire.Versioned{Version: wire.Version{Partition: 1, Term: 1, Seq: 1}, Body: make([]byte, wire.MaxSingleFrame+1)}
@@ -56,7 +55,7 @@
 	}
 }
 
-// reassemble has a core answer a message, and puts the answer's pieces together.
+// reassemble sends a core a message and joins the pieces of its reply.
 func reassemble(t *testing.T, c *core, kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) []byte {
 	t.Helper()
 	out := c.send(kind, m)
--- a/control/replica/quorum_test.go
+++ b/control/replica/quorum_test.go
@@ -1,4 +1,4 @@
-// Quorums across a change of replicas.
+// Quorums, also those of joint versions.
 
 package replica
 
--- a/control/replica/second_loss_test.go
+++ b/control/replica/second_loss_test.go
@@ -1,5 +1,5 @@
-// A second loss at every quarter of a second after a repair or a replacement:
-// nothing acknowledged is lost, and from the sync time on it is served through it.
+// A second loss at every quarter of a second after a repair or a replacement: no acknowledged edit is lost, and
+// from the sync time on the cluster serves through it.
 
 package replica
 
@@ -9,20 +9,20 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/settings"
 )
 
-// Figures of the losses, in microseconds.
 const (
-	// simSyncTimeAllowed is the platform's sync_time_s: for so long after it is back, or after its
-	// successor started, a machine counts as lost.
-	simSyncTimeAllowed = 4_000_000
-	simLossStep        = 250_000
-	simDownFor         = 1_000_000
+	// simSyncTimeAllowed is the platform's sync_time_s: for so long after it is back, or its successor started, a
+	// machine counts as lost.
+	simSyncTimeAllowed = 4 * clock.Second
+	simLossStep        = 250 * clock.Millisecond
+	simDownFor         = 1 * clock.Second
 	// simStableFor is how long a cluster serves before the first loss.
-	simStableFor = 500_000
-	// simServeWithin is how soon edits are taken again after a loss that is borne.
-	simServeWithin = 4_000_000
+	simStableFor = 500 * clock.Millisecond
+	// simServeWithin is how soon edits are taken again after a loss that is tolerated.
+	simServeWithin = 4 * clock.Second
 )
 
 var simShapes = []simShape{
@@ -34,7 +34,7 @@
 // simLoss takes machines away, and brings them or their successors back after a while.
 type simLoss struct {
 	name string
-	// zone tells that all machines of the first one's zone are taken.
+	// zone is set where all machines of the first one's zone are lost.
 	zone bool
 	hit  func(c *simCluster, m *simMachine)
 }
@@ -75,7 +75,7 @@
 // startWhenEnded starts a machine again once its planned stop is over.
 func (c *simCluster) startWhenEnded(m *simMachine) {
 	if m.up && m.stopping {
-		c.after(10_000, func() { c.startWhenEnded(m) })
+		c.after(10*clock.Millisecond, func() { c.startWhenEnded(m) })
 		return
 	}
 	c.after(simDownFor/4, m.start)
@@ -117,7 +117,7 @@
 }
 
 // lossStep is the time between two moments of the second loss; a short run takes three of them.
-func lossStep() int64 {
+func lossStep() clock.Micros {
 	if testing.Short() {
 		return simSyncTimeAllowed / 2
 	}
@@ -131,7 +131,7 @@
 				t.Parallel()
 				// The leader is among the first lost at every other step.
 				leaderFirst := true
-				for gap := int64(0); gap <= simSyncTimeAllowed+simLossStep; gap += lossStep() {
+				for gap := clock.Micros(0); gap <= simSyncTimeAllowed+simLossStep; gap += lossStep() {
 					secondLoss(t, shape, first, leaderFirst, gap)
 					leaderFirst = !leaderFirst
 				}
@@ -140,18 +140,18 @@
 	}
 }
 
-func secondLoss(t *testing.T, shape simShape, first simLoss, leaderFirst bool, gap int64) {
+func secondLoss(t *testing.T, shape simShape, first simLoss, leaderFirst bool, gap clock.Micros) {
 	t.Helper()
 	seed := uint64(gap) + 1
 	c := newSimCluster(t, shape, seed)
-	c.note(fmt.Sprintf("seed %d, shape %s, first loss %s, leader first %v, second after %d us", seed, shape.name, first.name, leaderFirst, gap))
+	c.log(fmt.Sprintf("seed %d, shape %s, first loss %s, leader first %v, second after %d us", seed, shape.name, first.name, leaderFirst, gap))
 	c.run(simStableFor)
 	running := len(c.machines)
 	for _, m := range c.victims(first, leaderFirst) {
 		first.hit(c, m)
 	}
-	c.run(100_000)
-	c.runUntil("the lost machines or their successors run", 10_000_000, func() bool { return c.back(running) })
+	c.run(100 * clock.Millisecond)
+	c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.back(running) })
 	c.run(gap)
 	second := c.secondVictims()
 	for _, m := range second {
@@ -166,7 +166,7 @@
 		m.start()
 	}
 	c.serves("edits are taken again once all is back", simServeWithin)
-	c.run(1_000_000)
+	c.run(1 * clock.Second)
 	c.verify()
 	must.NotNil(t, c.leader(0))
 }
@@ -175,7 +175,7 @@
 func (c *simCluster) secondVictims() []*simMachine {
 	voters := c.voters(0)
 	if len(voters) == 0 {
-		// There is no leader yet: whoever runs.
+		// There is no leader yet: any machine that runs.
 		for _, m := range c.machines {
 			if m.up {
 				voters = append(voters, m)
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -1,5 +1,5 @@
-// Versions larger than a frame: taken, brought to every replica, and adopted by the
-// next leader; what is too large for the product is refused before it is proposed.
+// Versions that are larger than a frame: committed, brought to every replica and adopted by the next leader. An
+// edit whose outcome is too large is rejected before it is proposed.
 
 package replica
 
@@ -11,6 +11,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/control/state"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -38,7 +39,7 @@
 	return m.host.groups[state.ConfigPartition].committed
 }
 
-// grow takes orders until the configuration has at least so many bytes, and gives its revision.
+// grow commits edits until the configuration has at least so many bytes, and returns its revision.
 func (c *narrowCluster) grow(size int) (revision int64) {
 	c.t.Helper()
 	for i := 0; ; i++ {
@@ -47,13 +48,13 @@
 			return revision
 		}
 		step := min(size-have+1, 700_000)
-		must.Eq(c.t, "ok", c.edit(pools(revision, step, fmt.Sprintf("pool-%d", i)), 60_000_000).Code)
+		must.Eq(c.t, "ok", c.edit(pools(revision, step, fmt.Sprintf("pool-%d", i)), 60*clock.Second).Code)
 		revision++
 	}
 }
 
-// all waits until all cores that are up have committed what the leader has.
-func (c *narrowCluster) all(within int64) int64 {
+// awaitAll runs until all cores that are up have committed what the leader has.
+func (c *narrowCluster) awaitAll(within clock.Micros) clock.Micros {
 	c.t.Helper()
 	return c.run(within, "all hold the newest version", func() bool {
 		l := c.leader()
@@ -69,13 +70,13 @@
 	})
 }
 
-// Two valid orders of 600 KB make a version that no frame of 1 MiB holds.
+// Two valid edits of 600 KB make a version that exceeds a frame of 1 MiB.
 func TestVersionLargerThanFrameIsCommitted(t *testing.T) {
 	c := newNarrowCluster(t, linkOf10Mbit)
-	must.Eq(t, "ok", c.edit(pools(0, 600_000, "p"), 10_000_000).Code)
-	must.Eq(t, "ok", c.edit(pools(1, 600_000, "q"), 10_000_000).Code)
-	must.Eq(t, "ok", c.edit(pools(2, 10, "r"), 10_000_000).Code)
-	c.all(10_000_000)
+	must.Eq(t, "ok", c.edit(pools(0, 600_000, "p"), 10*clock.Second).Code)
+	must.Eq(t, "ok", c.edit(pools(1, 600_000, "q"), 10*clock.Second).Code)
+	must.Eq(t, "ok", c.edit(pools(2, 10, "r"), 10*clock.Second).Code)
+	c.awaitAll(10 * clock.Second)
 	body := c.lead().committed().Body
 	for _, m := range c.members {
 		must.True(t, bytes.Equal(body, m.committed().Body), must.Sprint(m.id))
@@ -86,16 +87,16 @@
 	c := newNarrowCluster(t, 0)
 	revision := c.grow(state.MaxConfigBody - 300_000)
 	before := c.lead().committed().Version
-	reply := c.edit(pools(revision, 400_000, "one-more"), 10_000_000)
+	reply := c.edit(pools(revision, 400_000, "one-more"), 10*clock.Second)
 	must.Eq(t, "invalid", reply.Code)
 	must.Len(t, 1, reply.Findings)
 	must.Eq(t, "configuration", reply.Findings[0].Path)
 	must.StrContains(t, reply.Findings[0].Text, fmt.Sprint(state.MaxConfigBody))
 	must.Eq(t, before, c.lead().committed().Version, must.Sprint("nothing was proposed"))
-	must.Eq(t, "ok", c.edit(pools(revision, 1000, "small"), 10_000_000).Code)
-	// What makes it smaller is taken as well.
-	must.Eq(t, "ok", c.edit(pools(revision+1, 1000, "pool-0"), 10_000_000).Code)
-	must.Eq(t, "ok", c.edit(pools(revision+2, 400_000, "one-more"), 10_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(revision, 1000, "small"), 10*clock.Second).Code)
+	// An edit that makes it smaller is taken.
+	must.Eq(t, "ok", c.edit(pools(revision+1, 1000, "pool-0"), 10*clock.Second).Code)
+	must.Eq(t, "ok", c.edit(pools(revision+2, 400_000, "one-more"), 10*clock.Second).Code)
 }
 
 // Three versions of each partition, and a fourth while it is written, fit a disk of 64 MB.
@@ -110,7 +111,7 @@
 	must.LessEq(t, diskBytes*2/3, total)
 }
 
-// A leader that hears a majority whose disks never answer must not hold the orders for good.
+// A leader that hears a majority whose disks never sync must not keep its edits forever.
 func TestLeaderStepsDownWithoutAcks(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -118,7 +119,7 @@
 	c.edit(2, wire.Edit{Op: "empty", Name: "z1"})
 	must.NotNil(t, g.proposal)
 	var out kernel.Output
-	for end := c.now + ProposalTimeout + 1_000_000; c.now < end && g.role == leader; c.now += TickInterval {
+	for end := c.now + ProposalTimeout + 1*clock.Second; c.now < end && g.role == leader; c.now += TickInterval {
 		for _, id := range []string{"a", "b"} {
 			c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: id, Round: g.heartbeatRound, Stored: g.committed.Version, OK: true})
 		}
@@ -143,16 +144,16 @@
 	}
 }
 
-// What was committed before is served after a change of leader, in the new leader's own term.
+// What was committed before is served after a change of leader, in the new leader's term.
 func TestNextLeaderRecommitsLargeVersion(t *testing.T) {
 	c := newNarrowCluster(t, linkOf10Mbit)
 	revision := c.grow(1_500_000)
-	c.all(20_000_000)
+	c.awaitAll(20 * clock.Second)
 	old := c.lead()
 	was := old.committed()
 	before := c.bytesIn()
 	c.stop(old.id)
-	took := c.run(30_000_000, "another leader", func() bool { l := c.leader(); return l != nil && l != old })
+	took := c.run(30*clock.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != old })
 	moved := c.bytesIn() - before
 	t.Logf("served again after %d ms, %d KB moved", took/1000, moved/1000)
 	must.LessEq(t, 100_000, moved, must.Sprint("both hold the body already"))
@@ -166,25 +167,25 @@
 		}
 	}
 	must.Eq(t, 2, n, must.Sprint("a majority has synced it in that term"))
-	must.Eq(t, "ok", c.edit(pools(revision, 10, "next"), 20_000_000).Code)
+	must.Eq(t, "ok", c.edit(pools(revision, 10, "next"), 20*clock.Second).Code)
 }
 
-// A replica that was away is named by the leader that goes: it must not lead with its old state.
+// A replica that was away is designated by a leader that stops: it must not lead with its old state.
 func TestNamedSuccessorAdoptsNewestVersion(t *testing.T) {
 	c := newNarrowCluster(t, linkOf10Mbit)
 	c.grow(200_000)
-	c.all(20_000_000)
+	c.awaitAll(20 * clock.Second)
 	l := c.lead()
 	away := c.follower()
 	c.stop(away.id)
-	was := c.edit(pools(int64(len(c.pools())), 900_000, "new"), 20_000_000).Version
+	was := c.edit(pools(int64(len(c.pools())), 900_000, "new"), 20*clock.Second).Version
 	c.start(away.id)
 	g := away.host.groups[state.ConfigPartition]
-	c.run(5_000_000, "it follows", func() bool { return g.leader == l.id || g.isVoter() })
+	c.run(5*clock.Second, "it follows", func() bool { return g.leader == l.id || g.isVoter() })
 	must.False(t, away.hasSynced(was))
 	c.stop(l.id)
 	c.step(away, kernel.Received{Conn: 1 << 41, Data: wire.Seal(wire.KindLeaderHeartbeat, 0, &wire.LeaderHeartbeat{Partition: state.ConfigPartition, Term: g.votedTerm + 1, From: l.id, TransferTo: away.id})})
-	c.run(30_000_000, "a leader", func() bool { return c.leader() != nil })
+	c.run(30*clock.Second, "a leader", func() bool { return c.leader() != nil })
 	must.True(t, c.leader().hasSynced(was))
 }
 
--- a/control/replica/status_test.go
+++ b/control/replica/status_test.go
@@ -1,4 +1,4 @@
-// What an operator is shown of a replica.
+// What operators are shown of a replica.
 
 package replica
 
@@ -11,8 +11,8 @@
 	"wallport/runtime/wire"
 )
 
-// shown is the state of partition 0 as the core tells it.
-func (c *core) shown(t *testing.T) wire.ReplicaStatus {
+// partition0Status is the status of partition 0.
+func (c *core) partition0Status(t *testing.T) wire.ReplicaStatus {
 	t.Helper()
 	reply := sent[wire.StatusReply](t, c.send(wire.KindStatusRequest, &wire.StatusRequest{}), wire.KindStatusReply)[0]
 	must.Eq(t, "10.0.0.1:1", reply.Addr)
@@ -22,43 +22,43 @@
 
 func TestStatusShowsLeaderContact(t *testing.T) {
 	c := newCore(t, nil)
-	must.Eq(t, string(stateFollower), c.shown(t).State)
-	must.False(t, c.shown(t).InContact)
+	must.Eq(t, string(stateFollower), c.partition0Status(t).State)
+	must.False(t, c.partition0Status(t).InContact)
 	g := electLeader(t, c)
 	c.now += HeartbeatInterval
 	c.tick()
 	c.replyToHeartbeat(g, 0)
-	s := c.shown(t)
+	s := c.partition0Status(t)
 	must.Eq(t, string(stateLeader), s.State)
 	must.True(t, s.InContact)
 	must.Eq(t, g.term, s.Term)
 	must.Eq(t, g.committed.Version, s.Committed)
 	must.Eq(t, 3, s.Voters)
 	c.now += ContactFor + 1
-	must.False(t, c.shown(t).InContact)
-	must.Eq(t, string(stateLeader), c.shown(t).State, must.Sprint("it did not tick yet"))
+	must.False(t, c.partition0Status(t).InContact)
+	must.Eq(t, string(stateLeader), c.partition0Status(t).State, must.Sprint("it did not tick yet"))
 	c.tick()
-	must.Eq(t, string(stateFollower), c.shown(t).State)
+	must.Eq(t, string(stateFollower), c.partition0Status(t).State)
 }
 
 func TestStatusShowsMembershipChange(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	must.Eq(t, "", c.shown(t).Change)
+	must.Eq(t, "", c.partition0Status(t).Change)
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
-	must.Eq(t, string(reasonLeaving), c.shown(t).Change)
+	must.Eq(t, string(reasonLeaving), c.partition0Status(t).Change)
 	c.syncLearners(t, g, "d")
-	must.Eq(t, string(changeAwaitingCommit), c.shown(t).Change, must.Sprint("the joint version is under way"))
-	must.Eq(t, 3, c.shown(t).Voters, must.Sprint("of the version on its disk, which the joint one is not yet"))
+	must.Eq(t, string(changeAwaitingCommit), c.partition0Status(t).Change, must.Sprint("the joint version is under way"))
+	must.Eq(t, 3, c.partition0Status(t).Voters, must.Sprint("of the version on its disk, which the joint one is not yet"))
 }
 
 func TestStatusOfStandbyAndDamagedDisk(t *testing.T) {
 	v := version(7, 3)
 	v.Voters = replicas("a", "b", "c")
 	standby := newCore(t, map[string][]byte{versionFile(v.Version): diskfile.Pack(wire.Encode(&v))})
-	must.Eq(t, string(stateStandby), standby.shown(t).State)
-	must.Eq(t, v.Version, standby.shown(t).Stored)
+	must.Eq(t, string(stateStandby), standby.partition0Status(t).State)
+	must.Eq(t, v.Version, standby.partition0Status(t).Stored)
 	damaged := newCore(t, map[string][]byte{voteFile(0): []byte("torn")})
-	must.Eq(t, string(stateDamaged), damaged.shown(t).State)
+	must.Eq(t, string(stateDamaged), damaged.partition0Status(t).State)
 }
--- a/control/replica/storage.go
+++ b/control/replica/storage.go
@@ -29,14 +29,16 @@
 	fileReplicaID = "seat"
 	fileBootstrap = "formation"
 	fileDiskCheck = "probe"
+	voteFormat    = "part-%d.promise"
 	voteSuffix    = ".promise"
+	versionFormat = "part-%d.stamp-%012d-%012d"
 	versionInfix  = ".stamp-"
 )
 
-func voteFile(partition int) string { return fmt.Sprintf("part-%d"+voteSuffix, partition) }
+func voteFile(partition int) string { return fmt.Sprintf(voteFormat, partition) }
 
 func versionFile(v wire.Version) string {
-	return fmt.Sprintf("part-%d"+versionInfix+"%012d-%012d", v.Partition, v.Term, v.Seq)
+	return fmt.Sprintf(versionFormat, v.Partition, v.Term, v.Seq)
 }
 
 // diskCondition is what is wrong with the disk: one of the constants, or the text of a write's error. It is
@@ -140,7 +142,7 @@
 func (h *Host) loadVote(name string, content []byte) {
 	var partition int
 	var vote wire.Vote
-	_, err := fmt.Sscanf(name, "part-%d"+voteSuffix, &partition)
+	_, err := fmt.Sscanf(name, voteFormat, &partition)
 	if err != nil || partition < 0 || partition >= Partitions || wire.Decode(content, &vote) != nil {
 		h.diskDamaged = true
 		return
--- a/control/replica/storage_test.go
+++ b/control/replica/storage_test.go
@@ -1,5 +1,5 @@
-// A disk that is slow, stalled or full: the group goes on without it, and it
-// is a replica again as soon as it is well.
+// Disks that are slow, stalled or full: the group goes on without the replica, which takes part again once its
+// disk is healthy.
 
 package replica
 
@@ -8,6 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -15,7 +16,7 @@
 func TestLeaderWithStalledDiskTransfersLeadership(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	c.exchangeHeartbeats(g, 200_000, "a", "b")
+	c.exchangeHeartbeats(g, 200*clock.Millisecond, "a", "b")
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
 	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("two of three hold it"))
 	c.exchangeHeartbeats(g, SlowDiskAfter+2*TickInterval, "a", "b")
@@ -61,7 +62,7 @@
 	must.SliceEmpty(t, c.tick().Writes, must.Sprint("one try at a time"))
 	c.sync(out)
 	must.Eq(t, "", c.host.diskProblem)
-	// What it missed is brought again, and taken.
+	// The version that it missed is sent again, and synced.
 	must.True(t, accepted(t, c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 1)}))).OK)
 }
 
@@ -80,13 +81,13 @@
 	must.NotEq(t, "", c.host.ReplicaID())
 }
 
-// A replica that lacks the newest version is given it, but not with every heartbeat.
+// A replica that lacks the newest version is sent it, but not after every heartbeat.
 func TestCatchUpIsRateLimited(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
 	n := 0
 	for range 20 {
-		c.now += 100_000
+		c.now += 100 * clock.Millisecond
 		out := c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, OK: true})
 		n += len(sent[wire.Accept](t, out, wire.KindAccept))
 	}
--- a/control/replica/stored_change_test.go
+++ b/control/replica/stored_change_test.go
@@ -1,5 +1,5 @@
-// A membership change that was under way when the process ended goes on: the joint version needs
-// both majorities, and the version after it binds the new voters alone.
+// A membership change that was under way when the process ended resumes: the joint version needs both
+// majorities, and the version after it the new voters alone.
 
 package replica
 
@@ -42,7 +42,7 @@
 	for _, alone := range []string{"b", "b2"} {
 		t.Run(alone, func(t *testing.T) {
 			c := startStored(t, readStored(t, "joint"))
-			g := c.stand(0)
+			g := c.preVote(0)
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: alone, Pre: true, Granted: true})
 			must.Eq(t, preCandidate, g.role, must.Sprint("one of the two majorities"))
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true})
@@ -55,7 +55,7 @@
 	}
 }
 
-// Another voter may lead on: this one then takes the versions after the joint one by their base.
+// Another voter may continue as leader: this one then takes the versions after the joint one by their base.
 func TestStoredMembershipChangeIsFollowed(t *testing.T) {
 	c := startStored(t, readStored(t, "joint"))
 	held := c.host.groups[0].accepted
--- a/control/replica/stored_driver_test.go
+++ b/control/replica/stored_driver_test.go
@@ -1,5 +1,5 @@
-// A core on a data folder: every write is carried out at once, in order, on the files that the
-// next process starts on.
+// A core on a data folder: every write is carried out at once, in order, on the files that the next process
+// starts with.
 
 package replica
 
@@ -11,6 +11,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
 	"wallport/runtime/wire"
@@ -23,9 +24,9 @@
 	t     *testing.T
 	k     *kernel.Kernel
 	host  *Host
-	now   int64
+	now   clock.Micros
 	files map[string][]byte
-	// full has every write fail, as on a disk without room.
+	// full has every write fail, as on a full disk.
 	full bool
 }
 
@@ -36,7 +37,7 @@
 		Settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1", DataDir: "disk"},
 		Role:     "core", Seed: 7, Key: kernel.KeyFrom(make([]byte, 32)), Files: maps.Clone(files),
 	})
-	c := &storedCore{t: t, k: k, host: kernel.Find[*Host](k), now: 1_000_000, files: maps.Clone(files)}
+	c := &storedCore{t: t, k: k, host: kernel.Find[*Host](k), now: 1 * clock.Second, files: maps.Clone(files)}
 	if c.files == nil {
 		c.files = map[string][]byte{}
 	}
@@ -44,7 +45,7 @@
 	return c
 }
 
-// step feeds an input, carries out what it writes and gives all that is sent.
+// step feeds an input, carries out its writes and returns all that is sent.
 func (c *storedCore) step(in kernel.Input) []kernel.Send {
 	out := c.k.Step(c.now, c.now, in)
 	sends := out.Sends
@@ -69,13 +70,13 @@
 	return kernel.Output{Sends: c.step(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})}
 }
 
-func (c *storedCore) tick(us int64) {
-	c.now += us
+func (c *storedCore) tick(span clock.Micros) {
+	c.now += span
 	c.step(kernel.Tick{Plugin: "seats", Key: "tick"})
 }
 
-// stand has the core ask the others whether they would give it the next term of a partition.
-func (c *storedCore) stand(partition int) *Group {
+// preVote has the core ask for pre-votes for the next term of a partition.
+func (c *storedCore) preVote(partition int) *Group {
 	c.t.Helper()
 	g := c.host.groups[partition]
 	for range 100 {
@@ -88,10 +89,10 @@
 	return g
 }
 
-// lead has the core win the next term of a partition by the votes of others, who hold nothing newer.
+// lead has the core win the next term of a partition by the votes of others that hold nothing newer.
 func (c *storedCore) lead(partition int, voters ...string) *Group {
 	c.t.Helper()
-	g := c.stand(partition)
+	g := c.preVote(partition)
 	for _, pre := range []bool{true, false} {
 		for _, id := range voters {
 			c.send(wire.KindVoteReply, &wire.VoteReply{Partition: partition, Term: g.term, From: id, Pre: pre, Granted: true})
@@ -103,7 +104,7 @@
 	return g
 }
 
-// commit has others sync the version under way.
+// commit has others sync the proposal.
 func (c *storedCore) commit(g *Group, voters ...string) {
 	c.t.Helper()
 	must.NotNil(c.t, g.proposal)
@@ -121,7 +122,7 @@
 	})
 }
 
-// edit sends an edit, has it committed or confirmed by others, and gives its answer.
+// edit sends an edit, has it committed or confirmed by others, and returns the reply.
 func (c *storedCore) edit(g *Group, e wire.Edit, voters ...string) wire.EditReply {
 	c.t.Helper()
 	e.Partition = g.partition
--- a/control/replica/stored_make_test.go
+++ b/control/replica/stored_make_test.go
@@ -1,5 +1,5 @@
-// How the folders of testdata/stored were made: by the process itself where this release still
-// writes what they hold, else field by field as the release before it did.
+// How the folders of testdata/stored were made: by the process itself where this release still writes the same,
+// else field by field as the earlier release wrote them.
 
 package replica
 
@@ -23,7 +23,7 @@
 // earlier releases and are never written anew to get a pass.
 var updateStored = flag.Bool("update-stored", false, "write the folders of stored data anew")
 
-// storedConfiguration is a sheet with one service, told apart by its capacity, and a booking that runs.
+// storedConfiguration is a configuration with one service, whose capacity differs, and an active booking.
 const storedConfiguration = `{"services":[{"index":"a","capacity":%d,"required_share":75,"deadline_us":"500000","max_deadline_us":1000000,"hedge_us":40000,"ramp_us":1000000}],
  "rows":[{"index":"a","kind":"search","share":70},{"index":"a","kind":"read","share":30,"ceiling":50}],"bookings":[{"id":"b1","index":"a","kind":"search","slice":60,"starts_us":1,"ends_us":4000000000000000}]}`
 
@@ -52,7 +52,7 @@
 	return wire.Bootstrap{BootstrapID: "first", Voters: storedVoters(self), Proposer: storedVoters(self)[1]}
 }
 
-// makeConsented is a core that has consented to a formation that is not complete.
+// makeConsented returns a core that has consented to a bootstrap which is not complete.
 func makeConsented(t *testing.T) *storedCore {
 	t.Helper()
 	c := startStored(t, nil)
@@ -63,9 +63,9 @@
 	return c
 }
 
-// makeCommitted is a core with every kind of file: partition 0 has a sheet with a booking that runs, its
-// history, a routing table and drained zones, partition 1 an index that moves and the holder of that
-// task, 2 a vote alone, 3 the version of another leader, and 4 nothing. Its disk was full for a while.
+// makeCommitted returns a core with every kind of file: partition 0 has a configuration with an active booking, its
+// history, a routing table and drained zones, partition 1 an index that is resharded and the lease holder of that
+// task, 2 only a vote, 3 a version of another leader, and 4 nothing. Its disk was full for a while.
 func makeCommitted(t *testing.T) *storedCore {
 	t.Helper()
 	c := makeConsented(t)
@@ -94,7 +94,7 @@
 	g = c.lead(storedIndexPartition, "a", "b")
 	ok(g, storedReshardEdit("cut", "cut-1", storedFirstLiveCut))
 	ok(g, storedReshardEdit("cut", "cut-2", storedSecondLiveCut))
-	// The node's lease is granted once that of any leader before has ended, and written down then.
+	// The node's lease is granted, and recorded, once the leases of any earlier leader have ended.
 	for range 30 {
 		c.tick(TickInterval)
 		c.replyToHeartbeat(g, "a")
@@ -104,7 +104,7 @@
 		}
 	}
 	must.Eq(t, 4, g.committed.Version.Seq)
-	// The vote of partition 4 can't be synced; the disk is tried, and well again.
+	// The vote of partition 4 can't be synced; the disk is checked, and healthy again.
 	c.full = true
 	c.send(wire.KindVote, &wire.Vote{Partition: 4, Term: 3, From: "b"})
 	c.full = false
@@ -113,8 +113,8 @@
 	return c
 }
 
-// makeJoint is the settled core once replica "b2", on the emptied disk of "b", has caught up: the
-// version that binds the voters before and after the change is the newest.
+// makeJoint returns that core once replica "b2", on the emptied disk of "b", has caught up: the joint version is
+// the newest.
 func makeJoint(t *testing.T) *storedCore {
 	t.Helper()
 	c := startStored(t, makeCommitted(t).files)
@@ -129,8 +129,8 @@
 	return c
 }
 
-// makeBeforeRelease3 is a folder of release 1: the formation doesn't say who proposed it, and the
-// bodies hold what the ledger does since release 3.
+// makeBeforeRelease3 makes a folder of release 1: the bootstrap does not name its proposer, and the bodies hold
+// what has been in the edit log since release 3.
 func makeBeforeRelease3(t *testing.T) *storedCore {
 	t.Helper()
 	own := "0123456789abcdef"
@@ -170,7 +170,7 @@
 	return startStored(t, files)
 }
 
-// legacySum is the digest of an edit that releases before 3 wrote down.
+// legacySum is the digest of an edit that releases before 3 stored.
 func legacySum(e wire.Edit) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(e.Op + "\x00" + e.Name + "\x00"))
@@ -189,7 +189,7 @@
 	{"before-release-3", makeBeforeRelease3},
 }
 
-// TestStoredDataIsWrittenAsBefore makes the folders again: this release writes the same files.
+// TestStoredDataIsWrittenAsBefore makes the folders again and compares them: this release writes the same files.
 func TestStoredDataIsWrittenAsBefore(t *testing.T) {
 	for _, folder := range storedFolders {
 		t.Run(folder.name, func(t *testing.T) {
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -1,5 +1,4 @@
-// What a process does on stored data: it answers the edits that are known there, votes as it is
-// bound to, and takes on what is new.
+// A process on stored data: it replies to known edits, votes as its stored votes bind it, and takes new edits.
 
 package replica
 
@@ -15,12 +14,12 @@
 // storedReplica is the replica of the folders that this code wrote from an empty disk.
 const storedReplica = "b5e38c12376b5207"
 
-// storedReply is an edit, and what must be answered to it.
+// storedReply is an edit and its expected reply.
 type storedReply struct {
 	name string
 	edit wire.Edit
 	code wire.Code
-	// term and seq are those of the version in the answer.
+	// term and seq are those of the version in the reply.
 	term, seq uint64
 }
 
--- a/control/replica/stored_test.go
+++ b/control/replica/stored_test.go
@@ -1,5 +1,5 @@
-// Data that an earlier release stored: a process of this release starts on it and goes on where
-// that one ended. How the folders were made is in stored_make_test.go.
+// Data that an earlier release stored: a process of this release starts with it and continues. How the folders
+// were made is in stored_make_test.go.
 
 package replica
 
@@ -31,13 +31,13 @@
 	return ledger
 }
 
-// describe tells what a process has loaded, in words that don't rest on any Go name.
+// describe describes what a process has loaded, in words that do not depend on any Go name.
 func describe(t *testing.T, host *Host) string {
 	t.Helper()
 	var b strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&b, format+"\n", values...) }
-	voters := func(list []wire.Replica) (text string) {
-		for _, r := range list {
+	voters := func(lines []wire.Replica) (text string) {
+		for _, r := range lines {
 			text += " " + r.ID + "/" + r.Zone + "/" + r.Addr
 		}
 		return text
--- a/control/replica/timeline_test.go
+++ b/control/replica/timeline_test.go
@@ -2,12 +2,17 @@
 
 package replica
 
-import "container/heap"
+import (
+	"container/heap"
+
+	"wallport/runtime/clock"
+)
 
 // event is something that happens at a moment; events of one moment keep their order.
 type event struct {
-	at, seq int64
-	do      func()
+	at  clock.Micros
+	seq int64
+	do  func()
 }
 
 // eventQueue is a heap of events.
@@ -30,7 +35,7 @@
 	return last
 }
 
-// add puts an event in its place.
+// add adds an event.
 func (q *eventQueue) add(e event) { heap.Push(q, e) }
 
 // next takes the first event.
@@ -38,18 +43,20 @@
 
 // timeline is the time of a simulated cluster; each of them embeds one.
 type timeline struct {
-	now, order int64
-	events     eventQueue
+	now     clock.Micros
+	nextSeq int64
+	events  eventQueue
 }
 
-// after has something happen after a while.
-func (l *timeline) after(d int64, do func()) {
-	l.order++
-	l.events.add(event{l.now + max(d, 0), l.order, do})
+// after schedules do.
+func (l *timeline) after(d clock.Micros, do func()) {
+	l.nextSeq++
+	l.events.add(event{l.now + max(d, 0), l.nextSeq, do})
 }
 
-// advance carries out the next event, unless that comes after the end: then it is the end, and false.
-func (l *timeline) advance(end int64) bool {
+// advance carries out the next event and returns true; where that is after the end, it advances to the end and
+// returns false.
+func (l *timeline) advance(end clock.Micros) bool {
 	if len(l.events) == 0 || l.events[0].at > end {
 		l.now = end
 		return false
--- a/control/replica/vote_version_test.go
+++ b/control/replica/vote_version_test.go
@@ -1,5 +1,4 @@
-// What the replicas tell each other of the versions that they hold: a body goes only
-// to those who lack it.
+// Versions in votes and proposals: a body is sent only to replicas that lack it.
 
 package replica
 
@@ -11,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-// A replica that holds an older version does not stand against one with a newer one.
+// A replica that holds an older version is not elected where one with a newer version is up.
 func TestCandidateWithOlderVersionIsNotElected(t *testing.T) {
 	newer := version(4, 7)
 	c := newCore(t, nil)
@@ -70,7 +69,7 @@
 	must.True(t, r.LacksBase)
 }
 
-// A body is left out only for those who said that they hold it and that they read Base.
+// A body is left out only for replicas that said that they hold it and that they support Base.
 func TestProposalOmitsHeldBody(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
