--- a/request/backend/backend.go
+++ b/request/backend/backend.go
@@ -1,6 +1,3 @@
-// Package backend talks to backends over HTTP/1.1: a pool of connections for
-// each backend, and one exchange at a time on a connection. Nothing is ever
-// repeated here, and it is always known whether a byte of a request has left.
 package backend
 
 import (
@@ -12,13 +9,13 @@
 	"wallport/runtime/kernel"
 )
 
-// Names are the header names that a platform uses.
+// Names are the names of the header fields that a platform uses.
 type Names struct {
-	// ID is a client's id of one try, echoed by backends; Budget what is left of its time,
-	// in whole milliseconds; Target the backend that a request is meant for.
+	// ID is a client's id of one attempt, echoed by backends; Budget what is left of its time, in whole
+	// milliseconds; Target the backend that a request is meant for.
 	ID, Budget, Target string
-	// Seal is a backend's seal of an answer, Load what it tells of itself (running, waiting,
-	// slots), NotExecuted its word that a request has not run.
+	// Seal is a backend's seal of a response, Load its load (running, queued, slots), NotExecuted its
+	// statement that a request did not run.
 	Seal, Load, NotExecuted string
 }
 
@@ -26,47 +23,50 @@
 type Config struct {
 	Names  Names
 	Counts *kernel.Counts
-	// NodeCount is how many nodes share a backend's connections; nil is 1.
+	// NodeCount returns how many nodes share a backend's connections; nil is 1.
 	NodeCount func() int
-	// Frozen and Thaws are of the process: a request is not written on a decision made before a freeze.
+	// Frozen and Thaws are those of the process: a request that was decided before a freeze is not written.
+	// Nil means that there are no freezes.
 	Frozen func() bool
 	Thaws  func() int64
 }
 
-// Figures of connections.
 const (
-	// DialTimeout bounds a handshake; UnackedTimeout how long what was sent may stay without a word of the other side.
+	// DialTimeout bounds the opening of a connection, UnackedTimeout how long sent bytes may stay
+	// unacknowledged (the TCP user timeout, RFC 5482).
 	DialTimeout    = 400 * time.Millisecond
 	UnackedTimeout = 1500 * time.Millisecond
-	// MaxIdleTime bounds how long a connection is kept for later.
+	// MaxIdleTime bounds how long a connection is kept idle, SweepInterval is how often idle ones are looked at.
 	MaxIdleTime   = 15 * time.Second
 	SweepInterval = time.Second
-	// MaxBodyBytes and MaxHeadBytes bound an answer, in bytes.
+	// MaxBodyBytes and MaxHeadBytes bound a response.
 	MaxBodyBytes = 16 << 20
 	MaxHeadBytes = 16 << 10
-	// sharedThousandths is how many thousandths of a backend's connections all nodes together may hold.
+	// sharedThousandths is how many thousandths of a backend's connections all nodes together may open.
 	sharedThousandths = 800
-	// defaultMaxConnections is a node's part where a pool sets no bound.
+	// defaultMaxConnections is how many connections a node may open to a backend whose pool sets no bound.
 	defaultMaxConnections = 64
 )
 
-// Client holds the connections to all backends.
+// Client owns the connections to all backends. Any goroutine may use it.
 type Client struct {
 	config   Config
-	names    Names
+	names    Names // canonical
 	mu       sync.Mutex
 	pools    map[poolKey]*connPool
 	closed   bool
 	stopping chan struct{}
+	// open counts the connections to all backends.
 	open     atomic.Int64
 	counters counters
 }
 
+// poolKey names a backend at an address: an address that another backend gets has a new pool.
 type poolKey struct{ addr, id string }
 
 type counters struct{ dials, dialsFailed, reused, idleDead, garbage, full, connections *atomic.Int64 }
 
-// New makes a client without connections.
+// New returns a client without connections and starts its sweep, which runs until Close.
 func New(c Config) *Client {
 	if c.NodeCount == nil {
 		c.NodeCount = func() int { return 1 }
@@ -80,12 +80,12 @@
 	if c.Counts == nil {
 		c.Counts = kernel.NewCounts()
 	}
-	n := c.Names
-	for _, s := range []*string{&n.ID, &n.Budget, &n.Target, &n.Seal, &n.Load, &n.NotExecuted} {
-		*s = http.CanonicalHeaderKey(*s)
+	names := c.Names
+	for _, name := range []*string{&names.ID, &names.Budget, &names.Target, &names.Seal, &names.Load, &names.NotExecuted} {
+		*name = http.CanonicalHeaderKey(*name)
 	}
 	of := func(name string) *atomic.Int64 { return c.Counts.Of("backend_" + name) }
-	cl := &Client{config: c, names: n, pools: map[poolKey]*connPool{}, stopping: make(chan struct{}), counters: counters{
+	cl := &Client{config: c, names: names, pools: map[poolKey]*connPool{}, stopping: make(chan struct{}), counters: counters{
 		dials: of("dials"), dialsFailed: of("dials_failed"), reused: of("reused"), idleDead: of("idle_dead"),
 		garbage: of("garbage"), full: of("connections_full"), connections: of("connections"),
 	}}
@@ -93,7 +93,7 @@
 	return cl
 }
 
-// Close closes the idle connections; exchanges under way end by themselves.
+// Close closes the idle connections. Exchanges in flight end by themselves.
 func (cl *Client) Close() {
 	cl.mu.Lock()
 	if cl.closed {
@@ -106,12 +106,13 @@
 	cl.trim(func(*conn) bool { return true })
 }
 
+// sweep closes the connections that were idle for too long.
 func (cl *Client) sweep() {
-	t := time.NewTicker(SweepInterval)
-	defer t.Stop()
+	interval := time.NewTicker(SweepInterval)
+	defer interval.Stop()
 	for {
 		select {
-		case <-t.C:
+		case <-interval.C:
 			now := time.Now()
 			cl.trim(func(c *conn) bool { return !c.usable(now) })
 		case <-cl.stopping:
@@ -120,23 +121,23 @@
 	}
 }
 
-// trim closes the idle connections that a function names and forgets peers without any.
+// trim closes the idle connections that are expired and removes the pools without any connection.
 func (cl *Client) trim(expired func(*conn) bool) {
 	cl.mu.Lock()
-	var drop []*conn
+	var closing []*conn
 	for id, pool := range cl.pools {
 		pool.mu.Lock()
-		keep := pool.idle[:0]
+		kept := pool.idle[:0]
 		for _, c := range pool.idle {
 			if expired(c) {
-				drop = append(drop, c)
+				closing = append(closing, c)
 				pool.open--
 			} else {
-				keep = append(keep, c)
+				kept = append(kept, c)
 			}
 		}
-		clear(pool.idle[len(keep):])
-		pool.idle = keep
+		clear(pool.idle[len(kept):])
+		pool.idle = kept
 		if pool.open == 0 {
 			pool.removed = true
 			delete(cl.pools, id)
@@ -144,7 +145,7 @@
 		pool.mu.Unlock()
 	}
 	cl.mu.Unlock()
-	for _, c := range drop {
+	for _, c := range closing {
 		c.closeSocket()
 	}
 	cl.counters.connections.Store(cl.open.Load())
--- a/request/backend/classify.go
+++ b/request/backend/classify.go
@@ -1,5 +1,3 @@
-// What became of an exchange, in the words of the chart.
-
 package backend
 
 import (
@@ -15,76 +13,82 @@
 	"wallport/request/dispatch"
 )
 
-// classify classes a whole answer; keep is that its connection may be used again.
-func (x *Exchange) classify(c *conn, resp *http.Response, body []byte) (rep dispatch.Result, keep bool) {
-	n, h := &x.client.names, resp.Header
-	ids, seals := h[n.ID], h[n.Seal]
+// classify returns the result of a complete response, and whether its connection may be used again.
+func (x *Exchange) classify(c *conn, resp *http.Response, body []byte) (result dispatch.Result, keep bool) {
+	names, header := &x.client.names, resp.Header
+	ids, seals := header[names.ID], header[names.Seal]
 	switch {
 	case len(ids) > 1 || len(ids) == 1 && ids[0] != x.attempt.Request.ID:
 		return x.malformedReply("another request's answer"), false
 	case len(seals) > 1:
 		return x.malformedReply("two seals"), false
-	case len(h["Content-Encoding"]) > 0:
+	case len(header["Content-Encoding"]) > 0:
 		return x.malformedReply("an encoded answer"), false
 	}
-	rep = dispatch.Result{
-		Class: dispatch.ClassResponse, Status: resp.StatusCode, Header: h, Body: body, Seal: h.Get(n.Seal), Load: parseLoad(h.Get(n.Load)),
+	result = dispatch.Result{
+		Class: dispatch.ClassResponse, Status: resp.StatusCode, Header: header, Body: body,
+		Seal: header.Get(names.Seal), Load: parseLoad(header.Get(names.Load)),
 		Draining: resp.Close || resp.ProtoMinor == 0,
 	}
-	// What follows a whole answer belongs to nothing.
-	keep = !rep.Draining && !c.surplus && c.readKeepAlive(h)
-	_, not := h[n.NotExecuted]
-	RemoveHopByHop(h, n.ID)
+	// Bytes after a complete response belong to no request.
+	keep = !result.Draining && !c.surplus && c.readKeepAlive(header)
+	_, notExecuted := header[names.NotExecuted]
+	RemoveHopByHop(header, names.ID)
 	if x.attempt.Request.Method != http.MethodHead {
-		delete(h, "Content-Length")
+		delete(header, "Content-Length")
 	}
 	switch {
-	case rep.Status == http.StatusMisdirectedRequest:
-		rep.Class, rep.WrongBackend, rep.Reason, keep = dispatch.ClassRejected, true, "another backend", false
-	case not && rep.Status >= 300:
-		rep.Class, rep.Reason = dispatch.ClassRejected, "turned away"
-	case rep.Status/100 == 2 && rep.Seal == "":
+	case result.Status == http.StatusMisdirectedRequest:
+		result.Class, result.WrongBackend, result.Reason, keep = dispatch.ClassRejected, true, "another backend", false
+	case notExecuted && result.Status >= 300:
+		result.Class, result.Reason = dispatch.ClassRejected, "turned away"
+	case result.Status/100 == 2 && result.Seal == "":
 		return x.malformedReply("a success without a seal"), false
 	}
-	// Without the request's id it may be an earlier one's. A promise that nothing ran is then only
-	// taken for a request that may run again, or on a connection that carried no other.
-	if len(ids) == 0 && (rep.Class == dispatch.ClassResponse || x.attempt.AtMostOnce && c.reused) {
+	// Without the request's id the response may be an earlier request's. A statement that the request did
+	// not run is then believed only for a request that may run again, or on a connection that carried no other.
+	if len(ids) == 0 && (result.Class == dispatch.ClassResponse || x.attempt.AtMostOnce && c.reused) {
 		return x.malformedReply("an answer without the request's id"), false
 	}
-	return rep, keep && len(ids) == 1
+	return result, keep && len(ids) == 1
 }
 
-// readKeepAlive notes how long the backend lets the connection be idle; false is that it is not worth keeping.
-func (c *conn) readKeepAlive(h http.Header) bool {
-	for o := range listItems(h, "Keep-Alive") {
-		if k, v, ok := strings.Cut(o, "="); ok && strings.EqualFold(strings.TrimSpace(k), "timeout") {
-			if s, err := strconv.ParseUint(strings.TrimSpace(v), 10, 31); err == nil {
-				d := time.Duration(min(s, 3600)) * time.Second
-				c.idleFor = min(MaxIdleTime, d-max(min(time.Second, d/2), d*3/10))
-			}
+// readKeepAlive sets how long the connection may stay idle from the backend's keep-alive time, less a
+// margin of three tenths, a second at least. It reports whether the connection is worth keeping.
+func (c *conn) readKeepAlive(header http.Header) bool {
+	const maxSeconds = 3600
+	for item := range listItems(header, "Keep-Alive") {
+		name, value, ok := strings.Cut(item, "=")
+		if !ok || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
+			continue
+		}
+		if seconds, err := strconv.ParseUint(strings.TrimSpace(value), 10, 31); err == nil {
+			idle := time.Duration(min(seconds, maxSeconds)) * time.Second
+			margin := max(min(time.Second, idle/2), idle*3/10)
+			c.idleFor = min(MaxIdleTime, idle-margin)
 		}
 	}
 	return c.idleFor > 0
 }
 
-// parseLoad reads what a backend tells of itself: requests running, waiting, and slots.
-func parseLoad(s string) (l dispatch.LoadReport) {
-	parts := strings.Split(s, ",")
-	if len(parts) != 3 {
-		return l
+// parseLoad parses a backend's load: requests running, queued, and slots. Anything else is no report.
+func parseLoad(s string) (load dispatch.LoadReport) {
+	fields := strings.Split(s, ",")
+	if len(fields) != 3 {
+		return load
 	}
-	for i, to := range [3]*int{&l.Running, &l.Queued, &l.Slots} {
-		n, err := strconv.ParseUint(strings.TrimSpace(parts[i]), 10, 31)
+	for i, to := range [3]*int{&load.Running, &load.Queued, &load.Slots} {
+		n, err := strconv.ParseUint(strings.TrimSpace(fields[i]), 10, 31)
 		if err != nil {
 			return dispatch.LoadReport{}
 		}
 		*to = int(n)
 	}
-	l.Known = true
-	return l
+	load.Known = true
+	return load
 }
 
-// classifyFailure classes an exchange without a whole answer.
+// classifyFailure returns the result of an exchange without a complete response.
 func (x *Exchange) classifyFailure(c *conn, err error) dispatch.Result {
 	switch {
 	case c.written == 0:
@@ -92,18 +96,20 @@
 	case c.err == nil:
 		return x.malformedReply(err.Error())
 	}
-	rep := dispatch.Result{Class: dispatch.ClassFailed, Reason: errorText(c.err)}
+	result := dispatch.Result{Class: dispatch.ClassFailed, Reason: errorText(c.err)}
 	x.mu.Lock()
-	rep.TimedOut = !x.canceled && errors.Is(c.err, os.ErrDeadlineExceeded)
+	result.TimedOut = !x.canceled && errors.Is(c.err, os.ErrDeadlineExceeded)
 	x.mu.Unlock()
-	return rep
+	return result
 }
 
-func (x *Exchange) malformedReply(why string) dispatch.Result {
+// malformedReply returns the result of a response that is malformed or another request's.
+func (x *Exchange) malformedReply(reason string) dispatch.Result {
 	x.client.counters.garbage.Add(1)
-	return dispatch.Result{Class: dispatch.ClassInvalid, Reason: why}
+	return dispatch.Result{Class: dispatch.ClassInvalid, Reason: reason}
 }
 
+// errorText returns the text of an error without the addresses that net adds.
 func errorText(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
 		return "timed out"
--- a/request/backend/conn.go
+++ b/request/backend/conn.go
@@ -1,8 +1,3 @@
-// Connections to one backend: the idle ones, newest first, and how many may be
-// open. An idle one is looked at in the same turn in which it is written to,
-// without waiting: where the peer has closed it, or sent what nobody asked
-// for, nothing is written and another is taken.
-
 package backend
 
 import (
@@ -17,30 +12,34 @@
 	"wallport/request/snapshot"
 )
 
-// connPool is one backend at one address.
+// connPool is the connections to one backend at one address.
 type connPool struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle are the idle connections, the one used last at the end.
 	idle []*conn
-	// open counts connections that are there or being made.
+	// open counts the connections that are open or being opened.
 	open int
-	// removed tells that the client has forgotten the peer.
+	// removed is set once the client has dropped the pool: its connections are not kept any more.
 	removed bool
 }
 
+// conn is one connection to a backend. One exchange at a time uses it.
 type conn struct {
 	client *Client
 	pool   *connPool
 	raw    *net.TCPConn
 	sys    syscall.RawConn
-	// turn is the method of that name, bound once.
+	// advanceFunc is the method advance, bound once so that exchanges need not allocate it.
 	advanceFunc func(fd uintptr) bool
-	// idleSince is when it was put back; idleFor how long the backend lets it be idle, less a margin.
+	// idleSince is when it was put back, idleFor how long it may stay idle: the backend's keep-alive time
+	// less a margin.
 	idleSince time.Time
 	idleFor   time.Duration
 	reused    bool
 	exchangeState
 }
 
+// usable reports whether an idle connection may still be used.
 func (c *conn) usable(now time.Time) bool { return now.Sub(c.idleSince) < c.idleFor }
 
 func (c *conn) closeSocket() {
@@ -48,7 +47,7 @@
 	c.client.open.Add(-1)
 }
 
-// connectionLimit is how many connections this node may hold to one backend.
+// connectionLimit returns how many connections this node may open to one backend of a pool.
 func (cl *Client) connectionLimit(p *snapshot.Pool) int {
 	if p == nil || p.Pool == nil || p.MaxConnections <= 0 {
 		return defaultMaxConnections
@@ -56,9 +55,9 @@
 	return max(1, int(p.MaxConnections*sharedThousandths/1000)/max(1, cl.config.NodeCount()))
 }
 
-// lockPool finds or makes a backend's peer and locks it.
-func (cl *Client) lockPool(s *snapshot.Backend) *connPool {
-	id := poolKey{s.Addr, s.ID}
+// lockPool returns the pool of a backend, locked.
+func (cl *Client) lockPool(b *snapshot.Backend) *connPool {
+	id := poolKey{b.Addr, b.ID}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	pool := cl.pools[id]
@@ -70,15 +69,17 @@
 	return pool
 }
 
-// acquire gives an idle connection, or the right to make one where room is true.
-func (cl *Client) acquire(s *snapshot.Backend, most int) (c *conn, pool *connPool, room bool) {
-	pool = cl.lockPool(s)
+// acquire returns an idle connection, the one used last first. Without one it reports whether the
+// caller may open a connection, which then is counted already.
+func (cl *Client) acquire(b *snapshot.Backend, limit int) (c *conn, pool *connPool, mayDial bool) {
+	pool = cl.lockPool(b)
 	defer pool.mu.Unlock()
 	now := time.Now()
 	for len(pool.idle) > 0 {
-		c = pool.idle[len(pool.idle)-1]
-		pool.idle[len(pool.idle)-1] = nil
-		pool.idle = pool.idle[:len(pool.idle)-1]
+		last := len(pool.idle) - 1
+		c = pool.idle[last]
+		pool.idle[last] = nil
+		pool.idle = pool.idle[:last]
 		if c.usable(now) {
 			c.reused = true
 			return c, pool, true
@@ -86,13 +87,13 @@
 		pool.open--
 		c.closeSocket()
 	}
-	if room = pool.open < most; room {
+	if mayDial = pool.open < limit; mayDial {
 		pool.open++
 	}
-	return nil, pool, room
+	return nil, pool, mayDial
 }
 
-// release puts a connection back, or closes it.
+// release puts a connection back into its pool if it is to be kept, and closes it otherwise.
 func (c *conn) release(keep bool) {
 	c.pool.mu.Lock()
 	if keep && !c.pool.removed {
@@ -106,10 +107,11 @@
 	c.closeSocket()
 }
 
-func (cl *Client) dial(ctx context.Context, s *snapshot.Backend, pool *connPool) (*conn, error) {
-	d := net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: control}
+// dial opens a connection that acquire has counted.
+func (cl *Client) dial(ctx context.Context, b *snapshot.Backend, pool *connPool) (*conn, error) {
+	dialer := net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: setUserTimeout}
 	cl.counters.dials.Add(1)
-	raw, err := d.DialContext(ctx, "tcp", s.Addr)
+	raw, err := dialer.DialContext(ctx, "tcp", b.Addr)
 	if err == nil {
 		c := &conn{client: cl, pool: pool, raw: raw.(*net.TCPConn), idleFor: MaxIdleTime}
 		if c.sys, err = c.raw.SyscallConn(); err == nil {
@@ -125,8 +127,8 @@
 	return nil, err
 }
 
-// control bounds how long what was sent may stay without a word of the other side.
-func control(_, _ string, sys syscall.RawConn) error {
+// setUserTimeout sets the TCP user timeout of a new socket.
+func setUserTimeout(_, _ string, sys syscall.RawConn) error {
 	return sys.Control(func(fd uintptr) {
 		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedTimeout/time.Millisecond))
 	})
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -1,42 +1,56 @@
-// One exchange: a connection is had, the request is written, the answer is
-// read whole and judged. The class of what became of it is exact: not sent
-// means that the kernel was handed no byte.
-
 package backend
 
 import (
 	"context"
+	"net/http"
 	"strconv"
 	"sync"
 	"time"
 
 	"wallport/request/dispatch"
+	"wallport/runtime/clock"
+)
+
+// The reasons why a request was not written.
+const (
+	reasonCanceled  = "cancelled"
+	reasonAbandoned = "not wanted any more"
+	reasonFrozen    = "the process was frozen"
+	reasonTooLate   = "no time left"
+	reasonClosed    = "the connection ended before anything was written"
+	// reasonNoConnection is that this node's share of a backend's connections is in use.
+	reasonNoConnection = "no connection free"
 )
 
-// Exchange is one request to one backend, under way.
+// maxKeptBuffer bounds the request buffers that are kept for later requests.
+const maxKeptBuffer = 64 << 10
+
+// Exchange is one attempt at a request with one backend.
 type Exchange struct {
-	client    *Client
-	attempt   dispatch.Send
+	client  *Client
+	attempt dispatch.Send
+	// thaws is the process's count of thaws when the attempt was decided.
 	thaws     int64
 	startedAt time.Time
 	deadline  time.Time
-	// writtenUs is how long after its begin the kernel had taken the request's first bytes; 0 is never.
-	writtenUs int64
+	// writtenAfter is the time from the start until the kernel accepted the first bytes; 0 is never.
+	writtenAfter clock.Micros
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// conn is the connection in use, where Cancel can reach it.
 	conn       *conn
 	canceled   bool
 	abandoned  bool
 	cancelDial func()
 }
 
-// Start prepares an exchange; Run carries it out.
+// Start prepares an exchange, whose time runs from now on. Run carries it out.
 func (cl *Client) Start(a dispatch.Send) *Exchange {
 	now := time.Now()
-	return &Exchange{client: cl, attempt: a, thaws: cl.config.Thaws(), startedAt: now, deadline: now.Add(time.Duration(a.Timeout) * time.Microsecond)}
+	return &Exchange{client: cl, attempt: a, thaws: cl.config.Thaws(), startedAt: now, deadline: now.Add(clock.Duration(a.Timeout))}
 }
 
-// Cancel gives an exchange up from any thread: Run returns soon, and a connection that was written to is closed.
+// Cancel ends an exchange from any goroutine: Run returns soon, and a connection that was written to is closed.
 func (x *Exchange) Cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -49,22 +63,24 @@
 	}
 }
 
-// Abandon tells that the answer is not wanted any more: what has not been written yet will not be.
+// Abandon says that the response is not wanted any more. A request that has not been written will not
+// be; one that has is left undisturbed.
 func (x *Exchange) Abandon() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.abandoned = true
 }
 
-// attach lets Cancel reach a connection; ok is that it did not come before.
-func (x *Exchange) attach(c *conn) (ok, left bool) {
+// attach makes a connection the one in use and sets its deadline. It reports whether the exchange may go
+// on, and whether it was abandoned.
+func (x *Exchange) attach(c *conn) (ok, abandoned bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = c
 	return !x.canceled && c.setDeadline(x.deadline) == nil, x.abandoned
 }
 
-// detach takes the connection out of Cancel's reach and clears its deadline; false is that it cannot be kept.
+// detach ends the use of the connection and clears its deadline. It reports whether the connection can be kept.
 func (x *Exchange) detach() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -73,65 +89,64 @@
 	return c.setDeadline(time.Time{}) == nil
 }
 
-// mayNotWrite is why nothing may be written to a connection; empty is that it may.
+// mayNotWrite attaches a connection and returns why nothing may be written to it, or nothing if it may.
 func (x *Exchange) mayNotWrite(c *conn) string {
-	ok, unwanted := x.attach(c)
+	ok, abandoned := x.attach(c)
 	switch {
 	case !ok:
-		return "cancelled"
-	case unwanted:
-		return "not wanted any more"
+		return reasonCanceled
+	case abandoned:
+		return reasonAbandoned
 	}
 	return x.tooLate()
 }
 
-// tooLate is why a request may not be written any more, whatever its connection is like.
+// tooLate returns why the request may not be written any more, on any connection, or nothing if it may.
 func (x *Exchange) tooLate() string {
 	switch {
 	case x.frozen():
-		return "the process was frozen"
+		return reasonFrozen
 	case time.Until(x.deadline) < time.Millisecond:
-		return "no time left"
+		return reasonTooLate
 	}
 	return ""
 }
 
+// frozen reports whether the process is frozen or was since the attempt was decided.
 func (x *Exchange) frozen() bool {
 	return x.client.config.Frozen() || x.client.config.Thaws() != x.thaws
 }
 
-func notSent(why string) dispatch.Result {
-	return dispatch.Result{Class: dispatch.ClassNotSent, Reason: why}
+func notSent(reason string) dispatch.Result {
+	return dispatch.Result{Class: dispatch.ClassNotSent, Reason: reason}
 }
 
-// reasonNoConnection is why an ask was not sent when this node's part of a backend's connections is in use.
-const reasonNoConnection = "no connection free"
-
-// Run carries the exchange out; it returns at the ask's time at the latest.
+// Run carries the exchange out and returns its result, at the attempt's timeout at the latest.
 func (x *Exchange) Run() dispatch.Result {
 	for {
-		c, why := x.connect()
+		c, failure := x.connect()
 		if c == nil {
-			rep := notSent(why)
-			// That this node's part is in use is no failure of the backend's.
-			rep.ReusedConn = why == reasonNoConnection
-			return rep
+			result := notSent(failure)
+			// That the node's own share is in use must not count as a failure of the backend.
+			result.ReusedConn = failure == reasonNoConnection
+			return result
 		}
-		rep, again := x.runOn(c)
+		result, again := x.runOn(c)
 		if !again {
-			return rep
+			return result
 		}
 		x.client.counters.idleDead.Add(1)
 	}
 }
 
-func (x *Exchange) connect() (*conn, string) {
-	c, pool, room := x.client.acquire(x.attempt.Server, x.client.connectionLimit(x.attempt.Pool))
+// connect returns an idle or a new connection, or why there is none.
+func (x *Exchange) connect() (c *conn, failure string) {
+	c, pool, mayDial := x.client.acquire(x.attempt.Server, x.client.connectionLimit(x.attempt.Pool))
 	if c != nil {
 		x.client.counters.reused.Add(1)
 		return c, ""
 	}
-	if !room {
+	if !mayDial {
 		x.client.counters.full.Add(1)
 		return nil, reasonNoConnection
 	}
@@ -151,18 +166,19 @@
 	return c, ""
 }
 
-// runOn carries the exchange out on a connection; again is that an idle one was found dead before the write.
-func (x *Exchange) runOn(c *conn) (rep dispatch.Result, again bool) {
+// runOn carries the exchange out on a connection. It reports whether to try another one, since the
+// connection was an idle one that proved closed before the write.
+func (x *Exchange) runOn(c *conn) (result dispatch.Result, again bool) {
 	left := time.Until(x.deadline)
-	if held := x.mayNotWrite(c); held != "" {
+	if reason := x.mayNotWrite(c); reason != "" {
 		c.release(x.detach())
-		return notSent(held), false
+		return notSent(reason), false
 	}
-	b := requestBuffers.Get().(*[]byte)
-	*b = x.appendRequest((*b)[:0], left)
-	resp, body, err := c.roundTrip(x, *b)
-	if cap(*b) <= 64<<10 {
-		requestBuffers.Put(b)
+	buffer := requestBuffers.Get().(*[]byte)
+	*buffer = x.appendRequest((*buffer)[:0], left)
+	resp, body, err := c.roundTrip(x, *buffer)
+	if cap(*buffer) <= maxKeptBuffer {
+		requestBuffers.Put(buffer)
 	}
 	keep := false
 	switch {
@@ -172,32 +188,33 @@
 	case c.stale:
 		x.detach()
 		c.release(false)
-		return notSent("the connection ended before anything was written"), c.reused
+		return notSent(reasonClosed), c.reused
 	}
 	if err != nil {
-		rep = x.classifyFailure(c, err)
+		result = x.classifyFailure(c, err)
 	} else {
-		rep, keep = x.classify(c, resp, body)
+		result, keep = x.classify(c, resp, body)
 	}
-	rep.ReusedConn, rep.WrittenAfter = c.reused, x.writtenUs
+	result.ReusedConn, result.WrittenAfter = c.reused, x.writtenAfter
 	keep = keep && !x.attempt.Server.CloseAfterUse
 	if !x.detach() {
 		keep = false
 	}
 	c.release(keep)
-	return rep, false
+	return result, false
 }
 
-// appendRequest is what is written: the request line, the client's fields, what is set here, and the body.
+// appendRequest appends the bytes of the request: the request line, the client's fields, those that the
+// node sets, and the body.
 func (x *Exchange) appendRequest(b []byte, left time.Duration) []byte {
-	r, n := x.attempt.Request, &x.client.config.Names
+	r, names := x.attempt.Request, &x.client.config.Names
 	b = append(append(append(b, r.Method...), ' '), r.Target...)
 	b = append(append(append(b, " HTTP/1.1\r\nHost: "...), r.Host...), "\r\n"...)
 	b = append(b, r.Header...)
-	b = append(append(b, n.Budget...), ": "...)
+	b = append(append(b, names.Budget...), ": "...)
 	b = append(strconv.AppendInt(b, left.Milliseconds(), 10), "\r\n"...)
-	b = append(append(append(append(b, n.Target...), ": "...), x.attempt.Server.ID...), "\r\n"...)
-	if len(r.Body) > 0 || r.Method == "POST" || r.Method == "PUT" || r.Method == "PATCH" {
+	b = append(append(append(append(b, names.Target...), ": "...), x.attempt.Server.ID...), "\r\n"...)
+	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b = append(b, "Content-Length: "...)
 		b = append(strconv.AppendInt(b, int64(len(r.Body)), 10), "\r\n"...)
 	}
--- a/request/backend/hopbyhop.go
+++ b/request/backend/hopbyhop.go
@@ -1,5 +1,3 @@
-// Header fields that concern one connection only: they are not passed on.
-
 package backend
 
 import (
@@ -7,15 +5,17 @@
 	"strings"
 )
 
+// hopByHop are the fields that concern one connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop takes out what concerns one connection only, and what Connection names; a field to keep stays though it is named.
+// RemoveHopByHop removes the fields that concern one connection only and those that Connection names,
+// except the field to keep.
 func RemoveHopByHop(h http.Header, keep string) {
-	for o := range listItems(h, "Connection") {
-		if o = http.CanonicalHeaderKey(o); o != keep {
-			delete(h, o)
+	for name := range listItems(h, "Connection") {
+		if name = http.CanonicalHeaderKey(name); name != keep {
+			delete(h, name)
 		}
 	}
 	for _, name := range hopByHop {
@@ -23,12 +23,12 @@
 	}
 }
 
-// listItems visits the comma separated parts of a field.
+// listItems visits the items of the comma-separated lists of a field.
 func listItems(h http.Header, name string) func(func(string) bool) {
 	return func(yield func(string) bool) {
-		for _, v := range h[name] {
-			for o := range strings.SplitSeq(v, ",") {
-				if o = strings.TrimSpace(o); o != "" && !yield(o) {
+		for _, list := range h[name] {
+			for item := range strings.SplitSeq(list, ",") {
+				if item = strings.TrimSpace(item); item != "" && !yield(item) {
 					return
 				}
 			}
--- a/request/backend/response.go
+++ b/request/backend/response.go
@@ -1,7 +1,3 @@
-// The reading of an answer: net/http's, and stricter where an answer could be
-// taken for another's. The head has to be whole, bounded and plain before it is
-// parsed, and the body has to have a certain end.
-
 package backend
 
 import (
@@ -14,20 +10,23 @@
 	"sync"
 )
 
-// malformedError is an answer that is none.
+// malformedError is that a response is malformed, in the sense of this package or of RFC 9112.
 type malformedError string
 
 func (m malformedError) Error() string { return string(m) }
 
-// maxInterim bounds the interim answers before one.
+// maxInterim bounds the interim responses before the final one.
 const maxInterim = 4
 
 var (
-	readers     = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxHeadBytes) }}
+	// readers are buffers that hold a complete header.
+	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxHeadBytes) }}
+	// headRequest tells net/http that a response has no body.
 	headRequest = &http.Request{Method: http.MethodHead}
 )
 
-// readResponse reads one answer whole. An error that is not the connection's own is an answer that is none.
+// readResponse reads one complete response. An error that is not the connection's own means that the
+// response is malformed.
 func readResponse(r *bufio.Reader, method string) (*http.Response, []byte, error) {
 	var req *http.Request
 	if method == http.MethodHead {
@@ -52,7 +51,7 @@
 	return nil, nil, malformedError("interim answers")
 }
 
-// readHead waits until a head is whole in the buffer and gives it, to hold until the next read.
+// readHead reads until the buffer has a complete header and returns it. It is valid until the next read.
 func readHead(r *bufio.Reader) ([]byte, error) {
 	for scan := 0; ; {
 		b, _ := r.Peek(r.Buffered())
@@ -73,7 +72,7 @@
 	}
 }
 
-// validateHead refuses what net/http bears and others read in another way.
+// validateHead rejects what net/http tolerates and others read in another way.
 func validateHead(b []byte) error {
 	for line := range bytes.Lines(b) {
 		switch {
@@ -86,11 +85,11 @@
 	return nil
 }
 
-// readBody reads the body of an answer with its raw head.
+// readBody reads the body of a response, given its raw header.
 func readBody(resp *http.Response, raw []byte, method string) ([]byte, error) {
 	chunked := len(resp.TransferEncoding) > 0
 	if chunked || resp.ProtoMinor == 0 {
-		// Of a length beside chunks, and of chunks in HTTP/1.0, net/http forgets one.
+		// With both a length and chunks, and with chunks in HTTP/1.0, net/http ignores one of them.
 		b := bytes.ToLower(raw)
 		if bytes.Contains(b, []byte("\ntransfer-encoding:")) && (!chunked || bytes.Contains(b, []byte("\ncontent-length:"))) {
 			return nil, malformedError("a length and chunks")
--- a/request/backend/roundtrip.go
+++ b/request/backend/roundtrip.go
@@ -1,7 +1,3 @@
-// What is done on a connection for one exchange, in as few system calls as it
-// takes: a look at the connection, the write, a wait until there is something
-// to read, and then net/http's reading.
-
 package backend
 
 import (
@@ -19,37 +15,42 @@
 type exchangeState struct {
 	exchange *Exchange
 	phase    phase
-	// out is what is to be written, wrote how much of it the kernel has taken.
+	// out is the request, written how many bytes of it the kernel has accepted.
 	out     []byte
 	written int
-	// err is the connection's own error, be it its end.
+	// err is the connection's own error, the end of the stream included.
 	err error
-	// stale tells that the connection was found closed, or with something to read, before a write.
+	// stale is set if the connection proved closed, or had something to read, before the write.
 	stale bool
-	// blocked is why nothing was written though the connection is good.
+	// blocked is why nothing was written although the connection is good.
 	blocked string
-	// surplus tells that more than the answer came.
+	// surplus is set if more arrived than the response.
 	surplus bool
 }
 
+// phase is a step of an exchange up to the first byte of the response.
 type phase uint8
 
 const (
+	// phaseCheck looks whether the connection is open and has nothing to read.
 	phaseCheck phase = iota
 	phaseWrite
 	phaseWait
 	phaseDone
 )
 
+// requestBuffers are buffers for requests.
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
 
-// roundTrip carries out a request on the connection. Where there is an error and err is nil, the answer is none.
+// roundTrip writes a request and reads its response, in as few system calls as it takes: a look at the
+// connection, the write, a wait until there is something to read, and net/http's reading. An error that
+// is not in the state's err as well is a malformed response.
 func (c *conn) roundTrip(x *Exchange, out []byte) (resp *http.Response, body []byte, err error) {
 	c.exchangeState = exchangeState{exchange: x, out: out, phase: phaseCheck}
 	defer func() { c.exchange, c.out = nil, nil }()
 	err = c.sys.Read(c.advanceFunc)
 	if err == nil && c.phase == phaseWrite && c.err == nil {
-		// The kernel took a part: the rest goes the usual way.
+		// The kernel accepted a part: the rest is written the usual way.
 		var n int
 		n, err = c.raw.Write(out[c.written:])
 		c.written += n
@@ -60,16 +61,17 @@
 	if c.err != nil || c.stale || c.blocked != "" {
 		return nil, nil, c.err
 	}
-	r := readers.Get().(*bufio.Reader)
-	r.Reset(c)
-	resp, body, err = readResponse(r, x.attempt.Request.Method)
-	c.surplus = r.Buffered() > 0
-	r.Reset(nil)
-	readers.Put(r)
+	reader := readers.Get().(*bufio.Reader)
+	reader.Reset(c)
+	resp, body, err = readResponse(reader, x.attempt.Request.Method)
+	c.surplus = reader.Buffered() > 0
+	reader.Reset(nil)
+	readers.Put(reader)
 	return resp, body, err
 }
 
-// advance goes on as far as it can without waiting; false asks to be called when there is something to read.
+// advance goes on as far as it can without blocking. It returns false to be called again when there is
+// something to read, as syscall.RawConn asks for.
 func (c *conn) advance(fd uintptr) bool {
 	for {
 		switch c.phase {
@@ -85,19 +87,19 @@
 			}
 			c.phase = phaseWrite
 		case phaseWrite:
-			// Nothing lies between this look and the write: a freeze before it is noticed.
+			// Nothing happens between this check and the write, so that a freeze before the write is noticed.
 			if c.blocked = c.exchange.tooLate(); c.blocked != "" {
 				c.phase = phaseDone
 				return true
 			}
 			n, err := unix.Write(int(fd), c.out[c.written:])
 			if err == unix.EINTR {
-				// Nothing was taken.
+				// Nothing was accepted.
 				continue
 			}
 			c.written += max(0, n)
-			if n > 0 && c.exchange.writtenUs == 0 {
-				c.exchange.writtenUs = max(1, time.Since(c.exchange.startedAt).Microseconds())
+			if n > 0 && c.exchange.writtenAfter == 0 {
+				c.exchange.writtenAfter = max(1, time.Since(c.exchange.startedAt).Microseconds())
 			}
 			if err != nil && err != unix.EAGAIN {
 				c.err, c.phase = os.NewSyscallError("write", err), phaseDone
@@ -115,7 +117,7 @@
 	}
 }
 
-// Read reads from the connection and notes its error.
+// Read reads from the connection and records its error.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.raw.Read(b)
 	if err == io.EOF {
@@ -127,5 +129,5 @@
 	return n, err
 }
 
-// setDeadline sets how long what follows may take; the zero time is no bound.
-func (c *conn) setDeadline(until time.Time) error { return c.raw.SetDeadline(until) }
+// setDeadline bounds the reads and writes that follow; the zero time is no bound.
+func (c *conn) setDeadline(deadline time.Time) error { return c.raw.SetDeadline(deadline) }
