--- a/request/search/bench_test.go
+++ b/request/search/bench_test.go
@@ -1,5 +1,3 @@
-// What a search costs a node beside HTTP, and how much of it explain's trace is.
-
 package search
 
 import (
