--- a/request/httpapi/authorizer.go
+++ b/request/httpapi/authorizer.go
@@ -1,7 +1,3 @@
-// Who may do what on the operator API: one token for everything (--operator-token), or
-// a file of tokens with scopes (--operator-tokens), which is looked at every second and
-// takes effect without a restart. A file with faults changes nothing.
-
 package httpapi
 
 import (
@@ -20,6 +16,11 @@
 	"wallport/runtime/process"
 )
 
+// tokensPollInterval is the time between two looks at the tokens file.
+const tokensPollInterval = time.Second
+
+// authorizer decides what the bearer of an operator token may do: everything with the one token of the settings, or what
+// the scopes in a tokens file permit. The file takes effect without a restart; one with faults changes nothing.
 type authorizer struct {
 	process  *process.Process
 	file     string
@@ -27,13 +28,14 @@
 	tokens   atomic.Pointer[configpb.Tokens]
 }
 
-// openAuthorizer reads the file before anything is served: one with faults ends the start.
+// openAuthorizer reads the tokens file, if the settings name one, and watches it until over is closed. A file with faults is an
+// error: the process does not start.
 func openAuthorizer(p *process.Process, over <-chan struct{}) (*authorizer, error) {
-	s := &authorizer{process: p, file: p.Kernel.Boot.Settings.OperatorTokensFile}
-	if s.file == "" {
-		return s, nil
+	a := &authorizer{process: p, file: p.Kernel.Boot.Settings.OperatorTokensFile}
+	if a.file == "" {
+		return a, nil
 	}
-	if err := s.read(); err != nil {
+	if err := a.read(); err != nil {
 		return nil, err
 	}
 	go func() {
@@ -41,40 +43,41 @@
 			select {
 			case <-over:
 				return
-			case <-time.After(time.Second):
+			case <-time.After(tokensPollInterval):
 			}
-			if err := s.read(); err != nil {
-				p.Log.Warn("operator_tokens_kept", zap.String("file", s.file), zap.String("why", err.Error()))
+			if err := a.read(); err != nil {
+				p.Log.Warn("operator_tokens_kept", zap.String("file", a.file), zap.Error(err))
 			}
 		}
 	}()
-	return s, nil
+	return a, nil
 }
 
-// read takes the file's tokens if it changed and has no faults.
-func (s *authorizer) read() error {
-	b, err := os.ReadFile(s.file)
+// read takes the tokens of the file, if it changed and has no faults.
+func (a *authorizer) read() error {
+	content, err := os.ReadFile(a.file)
 	if err != nil {
 		return err
 	}
-	if string(b) == s.lastRead {
+	if string(content) == a.lastRead {
 		return nil
 	}
-	t, found := config.ReadTokens(b)
-	s.lastRead = string(b)
+	tokens, found := config.ReadTokens(content)
+	a.lastRead = string(content)
 	if len(found) > 0 {
-		return tokenFaults(s.file, found)
+		return tokenFaults(a.file, found)
 	}
-	s.tokens.Store(t)
-	s.process.Log.Info("operator_tokens", zap.String("file", s.file), zap.Int("tokens", len(t.Tokens)))
+	a.tokens.Store(tokens)
+	a.process.Log.Info("operator_tokens", zap.String("file", a.file), zap.Int("tokens", len(tokens.Tokens)))
 	return nil
 }
 
-// authorize tells who a token is, or why it may not do what needs a scope over some indexes.
-func (s *authorizer) authorize(token *string, scope string, indexes []string) (string, error) {
+// authorize returns whose a token is, or a failure where it does not grant a scope over the indexes. The name is empty
+// for the one token of the settings, and where no token is set at all.
+func (a *authorizer) authorize(token *string, scope string, indexes []string) (string, error) {
 	got := []byte(strings.TrimPrefix(deref(token), "Bearer "))
 	same := func(want string) bool { return want != "" && subtle.ConstantTimeCompare([]byte(want), got) == 1 }
-	master, list := s.process.Kernel.Boot.Settings.OperatorToken, s.tokens.Load()
+	master, list := a.process.Kernel.Boot.Settings.OperatorToken, a.tokens.Load()
 	if master == "" && list == nil || same(master) {
 		return "", nil
 	}
@@ -84,24 +87,25 @@
 			mine = t
 		}
 	}
-	s.process.Kernel.Counts.Add("operator_forbidden", 1)
+	a.process.Kernel.Counts.Add("operator_forbidden", 1)
 	switch {
 	case mine == nil:
-		return "", newFailure("forbidden", "the operator token is missing or wrong")
+		return "", newFailure(FailureForbidden, "the operator token is missing or wrong")
 	case mine.Scope == config.ScopeAll, scope == config.ScopeRead:
 	case scope == config.ScopeAll || mine.Scope == config.ScopeRead:
 		return "", outOfScope(mine, scope)
 	default:
-		for _, x := range indexes {
-			if !slices.Contains(mine.Indexes, x) {
-				return "", outOfScope(mine, scope+" of the index "+x)
+		for _, index := range indexes {
+			if !slices.Contains(mine.Indexes, index) {
+				return "", outOfScope(mine, scope+" of the index "+index)
 			}
 		}
 	}
-	s.process.Kernel.Counts.Add("operator_forbidden", -1)
+	a.process.Kernel.Counts.Add("operator_forbidden", -1)
 	return mine.Who, nil
 }
 
+// outOfScope returns the failure of a token that lacks a scope.
 func outOfScope(t *configpb.Token, scope string) *operator.Failure {
-	return newFailure("out_of_scope", "the token of "+t.Who+" has the scope "+t.Scope+" and lacks "+scope)
+	return newFailure(FailureOutOfScope, "the token of "+t.Who+" has the scope "+t.Scope+" and lacks "+scope)
 }
--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -1,8 +1,3 @@
-// One message to one server over HTTP. The transport must not repeat it by
-// itself: the body cannot be rewound and no header marks it as repeatable. It
-// is known whether a connection was ever had, so that "not one byte was
-// written" is only said when that is certain.
-
 package httpapi
 
 import (
@@ -17,12 +12,22 @@
 	"time"
 
 	"wallport/request/search"
+	"wallport/runtime/clock"
 )
 
-// maxResponseBytes bounds an answer's body.
-const maxResponseBytes = 4 << 20
+// Bounds of the connections to backends.
+const (
+	// maxResponseBytes bounds the body of a response.
+	maxResponseBytes       = 4 << 20
+	maxResponseHeaderBytes = 16 << 10
+	backendDialTimeout     = 300 * time.Millisecond
+	backendKeepAlive       = 15 * time.Second
+	backendIdleTimeout     = 20 * time.Second
+	// maxIdleConns bounds the unused connections to one backend.
+	maxIdleConns = 64
+)
 
-// BackendRequest is what a server is sent.
+// BackendRequest is the body of a request to a backend.
 type BackendRequest struct {
 	ID       string `json:"inquiry"`
 	Kind     string `json:"kind"`
@@ -35,63 +40,69 @@
 	Part     int    `json:"part,omitempty"`
 	Body     string `json:"body,omitempty"`
 	Key      string `json:"key,omitempty"`
-	Within   int64  `json:"within_us"`
+	// Timeout is the time that the backend has, in microseconds.
+	Timeout clock.Micros `json:"within_us"`
 }
 
-// NewBackendRequest makes the message of an ask.
-func NewBackendRequest(a *search.Send) BackendRequest {
-	in := a.Request
+// NewBackendRequest returns the body of an attempt.
+func NewBackendRequest(attempt *search.Send) BackendRequest {
+	request := attempt.Request
 	return BackendRequest{
-		ID: a.ID, Kind: in.Kind, Index: in.Index, ShardMap: a.ShardMap, Shard: a.Shard, Query: in.Query, Limit: in.Limit,
-		Record: in.Record, Part: in.Part, Body: in.Body, Key: in.Key, Within: a.Timeout,
+		ID: attempt.ID, Kind: request.Kind, Index: request.Index, ShardMap: attempt.ShardMap, Shard: attempt.Shard,
+		Query: request.Query, Limit: request.Limit, Record: request.Record, Part: request.Part, Body: request.Body,
+		Key: request.Key, Timeout: attempt.Timeout,
 	}
 }
 
+// backendClient sends attempts to backends. The transport must not repeat a request by itself: the body cannot be
+// rewound, and no header marks the request as idempotent.
 type backendClient struct{ client *http.Client }
 
 func newBackendClient() *backendClient {
-	d := &net.Dialer{Timeout: 300 * time.Millisecond, KeepAlive: 15 * time.Second}
+	dialer := &net.Dialer{Timeout: backendDialTimeout, KeepAlive: backendKeepAlive}
 	return &backendClient{client: &http.Client{
 		Transport: &http.Transport{
-			DialContext: dialBackend(d), MaxIdleConnsPerHost: 64, IdleConnTimeout: 20 * time.Second,
-			DisableCompression: true, MaxResponseHeaderBytes: 16 << 10,
+			DialContext: dialBackend(dialer), MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: backendIdleTimeout,
+			DisableCompression: true, MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// unrewindable hides a body's type, so that no GetBody is made for it.
+// unrewindable hides a body's type, so that net/http makes no GetBody for it.
 type unrewindable struct{ io.Reader }
 
 func (unrewindable) Close() error { return nil }
 
-// send sends a message and checks its answer. It is written to one connection at most.
-func (k *backendClient) send(ctx context.Context, a *search.Send) search.Reply {
-	m := NewBackendRequest(a)
-	body, err := json.Marshal(&m)
+// send sends an attempt and checks the response. The request is written to one connection at most.
+func (c *backendClient) send(ctx context.Context, attempt *search.Send) search.Reply {
+	request := NewBackendRequest(attempt)
+	body, err := json.Marshal(&request)
 	if err != nil {
 		return search.Reply{Class: search.ReplyNotWritten, Reason: err.Error()}
 	}
 	for {
-		rep, again := k.sendOnce(ctx, a, m.Kind, body)
+		reply, again := c.sendOnce(ctx, attempt, request.Kind, body)
 		if !again {
-			return rep
+			return reply
 		}
 	}
 }
 
-// sendOnce sends a message on one connection; again is that this had been given up before anything was written to it.
-func (k *backendClient) sendOnce(ctx context.Context, a *search.Send, kind string, body []byte) (rep search.Reply, again bool) {
-	var had atomic.Pointer[connUse]
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { had.Store(beginUse(i.Conn)) }})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Backend.Addr+"/v1/"+kind, unrewindable{bytes.NewReader(body)})
+// sendOnce sends an attempt on one connection. It reports again where that connection had been abandoned before anything was
+// written to it. Whether a connection was had at all is known from the trace, so that "not written" is
+// only said when that is certain.
+func (c *backendClient) sendOnce(ctx context.Context, attempt *search.Send, kind string, body []byte) (reply search.Reply, again bool) {
+	var use atomic.Pointer[connUse]
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { use.Store(beginUse(i.Conn)) }})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+attempt.Backend.Addr+"/v1/"+kind, unrewindable{bytes.NewReader(body)})
 	if err != nil {
 		return search.Reply{Class: search.ReplyNotWritten, Reason: err.Error()}, false
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := k.client.Do(req)
-	used := had.Load()
+	resp, err := c.client.Do(req)
+	used := use.Load()
 	switch {
 	case err != nil && used == nil:
 		return search.Reply{Class: search.ReplyNotWritten, Reason: errorReason(err)}, false
@@ -100,34 +111,31 @@
 	case err != nil:
 		return search.Reply{Class: search.ReplyFailed, Reason: errorReason(err)}, false
 	}
-	rep = readReply(a, resp)
-	if rep.Class == search.ReplyInvalid && used != nil {
+	reply = readReply(attempt, resp)
+	if reply.Class == search.ReplyInvalid && used != nil {
 		used.abandon()
 	}
-	return rep, false
+	return reply, false
 }
 
-// readReply reads an answer whole and checks it.
-func readReply(a *search.Send, resp *http.Response) search.Reply {
+// readReply reads a complete response and checks it.
+func readReply(attempt *search.Send, resp *http.Response) search.Reply {
 	defer resp.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
-	if err != nil || len(got) > maxResponseBytes {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err != nil || len(body) > maxResponseBytes {
 		return search.Reply{Class: search.ReplyFailed, Reason: "answer cut short or too large"}
 	}
-	return search.CheckResponse(a, search.RawResponse{
-		Status: resp.StatusCode, Length: resp.ContentLength, Digest: resp.Header.Get("Content-Digest"), Body: got,
+	return search.CheckResponse(attempt, search.RawResponse{
+		Status: resp.StatusCode, Length: resp.ContentLength, Digest: resp.Header.Get("Content-Digest"), Body: body,
 	})
 }
 
+// errorReason returns the reason of a failed attempt, without the method and address that net/http puts before it.
 func errorReason(err error) string {
-	var n net.Error
-	if e, ok := err.(interface{ Unwrap() error }); ok {
-		err = e.Unwrap()
-	}
-	if e, ok := err.(net.Error); ok {
-		n = e
+	if wrapped, ok := err.(interface{ Unwrap() error }); ok {
+		err = wrapped.Unwrap()
 	}
-	if n != nil && n.Timeout() {
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
 		return "timed out"
 	}
 	return err.Error()
--- a/request/httpapi/backend_client_test.go
+++ b/request/httpapi/backend_client_test.go
@@ -1,6 +1,3 @@
-// The transport's promise: a correction that was written once is not written
-// again by net/http itself, and "not written" is only said when it is certain.
-
 package httpapi
 
 import (
@@ -21,6 +18,7 @@
 	"wallport/runtime/wire"
 )
 
+// correction returns an attempt of a correction at a backend's address.
 func correction(addr string) *search.Send {
 	return &search.Send{
 		ID: "n-1.aa", Backend: &snapshot.Backend{Backend: wire.Backend{Addr: addr}}, ShardCount: 1, ShardMap: "c1", Timeout: 1_000_000,
@@ -28,19 +26,18 @@
 	}
 }
 
-// TestSendIsNotRetriedByTransport makes the case in which net/http retries by itself: a
-// kept connection that the server closes after it has read the next message.
+// net/http retries by itself where a server closes a kept connection after it has read the next request.
 func TestSendIsNotRetriedByTransport(t *testing.T) {
 	var ran atomic.Int64
 	var peers sync.Map
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var m BackendRequest
-		json.NewDecoder(r.Body).Decode(&m)
+		var request BackendRequest
+		json.NewDecoder(r.Body).Decode(&request)
 		io.ReadAll(r.Body)
 		peers.Store(r.RemoteAddr, true)
 		if ran.Add(1) == 1 {
 			// A good answer: after another kind the connection would not be used again.
-			body, _ := json.Marshal(search.BackendResponse{RequestID: m.ID, ShardMap: m.ShardMap, Shard: m.Shard, Records: []search.Record{{ID: m.Record}}})
+			body, _ := json.Marshal(search.BackendResponse{RequestID: request.ID, ShardMap: request.ShardMap, Shard: request.Shard, Records: []search.Record{{ID: request.Record}}})
 			w.Header().Set("Content-Digest", search.ContentDigest(body))
 			w.Write(body)
 			return
@@ -51,10 +48,10 @@
 		}
 	}))
 	defer srv.Close()
-	a := newBackendClient()
+	client := newBackendClient()
 	addr := srv.Listener.Addr().String()
-	must.Eq(t, search.ReplyOK, a.send(context.Background(), correction(addr)).Class)
-	must.Eq(t, search.ReplyFailed, a.send(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ReplyOK, client.send(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ReplyFailed, client.send(context.Background(), correction(addr)).Class)
 	must.Eq(t, 2, ran.Load(), must.Sprint("the second was written exactly once"))
 	connections := 0
 	peers.Range(func(any, any) bool { connections++; return true })
--- a/request/httpapi/backend_conn.go
+++ b/request/httpapi/backend_conn.go
@@ -1,6 +1,3 @@
-// Connections to servers that can be given up for later use: net/http puts a connection back
-// before its answer has been checked.
-
 package httpapi
 
 import (
@@ -10,18 +7,19 @@
 	"sync/atomic"
 )
 
-// errAbandoned is that a connection was given up before anything of a request was written to it.
+// errAbandoned is returned for a write to an abandoned connection.
 var errAbandoned = errors.New("the connection was given up")
 
-// backendConn is a connection that takes no more requests once it has been given up.
+// backendConn is a connection to a backend that takes no more requests once it was abandoned. It is needed since net/http
+// keeps a connection for later use before the response on it was checked.
 type backendConn struct {
 	net.Conn
 	abandoned atomic.Bool
-	// written is how many bytes were written so far.
+	// written counts the bytes written so far.
 	written atomic.Int64
 }
 
-// Write writes, unless the connection was given up.
+// Write writes to the connection, or returns errAbandoned.
 func (c *backendConn) Write(b []byte) (int, error) {
 	if c.abandoned.Load() {
 		return 0, errAbandoned
@@ -34,7 +32,7 @@
 // connUse is one request's use of a connection.
 type connUse struct {
 	conn *backendConn
-	// writtenBefore is how much had been written on it before.
+	// writtenBefore is how many bytes had been written to the connection before the request.
 	writtenBefore int64
 }
 
@@ -47,19 +45,19 @@
 	return &connUse{conn: c, writtenBefore: c.written.Load()}
 }
 
-// unwritten tells that an error of the request means that nothing of it was written or will be.
+// unwritten reports whether an error of the request means that nothing of it was written or will be.
 func (u *connUse) unwritten(err error) bool {
 	return errors.Is(err, errAbandoned) && u.conn != nil && u.conn.written.Load() == u.writtenBefore
 }
 
-// abandon keeps the connection from being used again: an answer may still be outstanding on it.
+// abandon keeps the connection from being used again: a response may still be outstanding on it.
 func (u *connUse) abandon() {
 	if u.conn != nil {
 		u.conn.abandoned.Store(true)
 	}
 }
 
-// dialBackend makes a connection that can be given up.
+// dialBackend returns a dial function whose connections can be abandoned.
 func dialBackend(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, addr)
--- a/request/httpapi/backend_conn_test.go
+++ b/request/httpapi/backend_conn_test.go
@@ -1,6 +1,3 @@
-// An answer to another inquiry in place of the one that is waited for: it is not passed on, and the
-// connection, on which an answer is still outstanding, is not used again.
-
 package httpapi
 
 import (
@@ -19,14 +16,15 @@
 	"wallport/request/search"
 )
 
-// lateBackend is a server that answers on each connection with the answer to the question before,
-// and on all but the first connection with the right one.
+// lateBackend responds on its first connection with the response to the request before, and on all others with the
+// right one.
 type lateBackend struct {
 	l     net.Listener
 	conns atomic.Int64
 }
 
 func newLateBackend(t *testing.T) *lateBackend {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -79,7 +77,7 @@
 	must.Eq(t, 2, s.conns.Load())
 }
 
-// A connection that is given up while a request is being written to it has carried a part of it.
+// A connection that is abandoned while a request is being written to it has carried a part of the request.
 func TestPartlyWrittenRequestIsNotUnwritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/request/httpapi/caller.go
+++ b/request/httpapi/caller.go
@@ -1,5 +1,3 @@
-// The caller API over goa: payloads to inquiries, outcomes to answers.
-
 package httpapi
 
 import (
@@ -9,8 +7,10 @@
 	"wallport/request/search"
 )
 
+// callerAPI implements the caller service that goa generates.
 type callerAPI struct{ node *Node }
 
+// deref returns what an optional field points to, or the zero value.
 func deref[T any](p *T) T {
 	var zero T
 	if p == nil {
@@ -19,44 +19,54 @@
 	return *p
 }
 
-func (a callerAPI) Search(ctx context.Context, p *caller.SearchPayload) (*caller.Merged, error) {
-	o := a.node.Run(ctx, search.Request{Kind: search.KindSearch, Index: p.Index, Query: p.Query, Limit: p.Limit, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
-	if o.Code != search.CodeOK {
-		return nil, failure(o)
+// Search runs a search over all shards and returns the merged records.
+func (a callerAPI) Search(_ context.Context, p *caller.SearchPayload) (*caller.Merged, error) {
+	outcome := a.node.Run(search.Request{
+		Kind: search.KindSearch, Index: p.Index, Query: p.Query, Limit: p.Limit, Deadline: deref(p.DeadlineUs), Key: deref(p.Key),
+	})
+	if outcome.Code != search.CodeOK {
+		return nil, failure(outcome)
+	}
+	merged := &caller.Merged{
+		Inquiry: outcome.ID, Cut: outcome.Cut, Shards: outcome.Shards, Missing: outcome.Missing,
+		Records: make([]*caller.Record, 0, len(outcome.Records)),
 	}
-	out := &caller.Merged{Inquiry: o.ID, Cut: o.Cut, Shards: o.Shards, Missing: o.Missing, Records: make([]*caller.Record, 0, len(o.Records))}
-	for _, r := range o.Records {
-		out.Records = append(out.Records, record(r))
+	for _, r := range outcome.Records {
+		merged.Records = append(merged.Records, record(r))
 	}
-	return out, nil
+	return merged, nil
 }
 
-func (a callerAPI) Read(ctx context.Context, p *caller.ReadPayload) (*caller.Single, error) {
-	return a.single(ctx, search.Request{Kind: search.KindRead, Index: p.Index, Record: p.ID, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
+// Read reads one record.
+func (a callerAPI) Read(_ context.Context, p *caller.ReadPayload) (*caller.Single, error) {
+	return a.single(search.Request{Kind: search.KindRead, Index: p.Index, Record: p.ID, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
 }
 
-func (a callerAPI) Correct(ctx context.Context, p *caller.CorrectPayload) (*caller.Single, error) {
-	return a.single(ctx, search.Request{Kind: search.KindCorrect, Index: p.Index, Record: p.ID, Body: p.Body, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
+// Correct changes one record, at most once under a key.
+func (a callerAPI) Correct(_ context.Context, p *caller.CorrectPayload) (*caller.Single, error) {
+	return a.single(search.Request{Kind: search.KindCorrect, Index: p.Index, Record: p.ID, Body: p.Body, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
 }
 
-func (a callerAPI) Part(ctx context.Context, p *caller.PartPayload) (*caller.Single, error) {
-	return a.single(ctx, search.Request{Kind: search.KindPart, Index: p.Index, Record: p.ID, Part: p.Part, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
+// Part runs one part of the work on a record, at most once under a key.
+func (a callerAPI) Part(_ context.Context, p *caller.PartPayload) (*caller.Single, error) {
+	return a.single(search.Request{Kind: search.KindPart, Index: p.Index, Record: p.ID, Part: p.Part, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
 }
 
-func (a callerAPI) single(ctx context.Context, in search.Request) (*caller.Single, error) {
-	in.Digest = search.RequestDigest(&in)
-	o := a.node.Run(ctx, in)
-	if o.Code != search.CodeOK {
-		return nil, failure(o)
+// single runs a request for one record.
+func (a callerAPI) single(request search.Request) (*caller.Single, error) {
+	request.Digest = search.RequestDigest(&request)
+	outcome := a.node.Run(request)
+	if outcome.Code != search.CodeOK {
+		return nil, failure(outcome)
 	}
-	out := &caller.Single{Inquiry: o.ID, Cut: o.Cut, Shard: o.Shard}
-	if len(o.Records) > 0 {
-		out.Record = record(o.Records[0])
+	single := &caller.Single{Inquiry: outcome.ID, Cut: outcome.Cut, Shard: outcome.Shard}
+	if len(outcome.Records) > 0 {
+		single.Record = record(outcome.Records[0])
 	}
-	if o.Repeat {
-		out.Repeat = &o.Repeat
+	if outcome.Repeat {
+		single.Repeat = &outcome.Repeat
 	}
-	return out, nil
+	return single, nil
 }
 
 func record(r search.Record) *caller.Record {
@@ -67,10 +77,11 @@
 	return out
 }
 
+// failure turns an outcome without success into the API's error.
 func failure(o search.Outcome) *caller.Failure {
 	f := &caller.Failure{Name: string(o.Code), Message: o.Why, Ran: string(o.Ran), Inquiry: &o.ID}
 	if f.Ran == "" {
-		f.Ran = "no"
+		f.Ran = ranNo
 	}
 	if o.Retry > 0 {
 		f.RetryAfter = &o.Retry
--- a/request/httpapi/drain.go
+++ b/request/httpapi/drain.go
@@ -1,6 +1,3 @@
-// The planned stop: the process says that it leaves, lets others notice, and
-// finishes every inquiry that was read.
-
 package httpapi
 
 import (
@@ -12,7 +9,7 @@
 	"wallport/runtime/kernel"
 )
 
-// Drain begins a planned stop: the process says that it is leaving and gives up what it holds for others.
+// Drain begins a planned stop: the process announces that it drains, and releases its leases. It may be called again.
 func (s *Server) Drain() {
 	if s.draining.Swap(true) {
 		return
@@ -22,7 +19,7 @@
 	s.logDrainStep("draining")
 }
 
-// Stop is the planned stop: say so, let others notice, finish what was read.
+// Stop drains the process, waits until others have noticed, and finishes the requests in flight within drainTimeout.
 func (s *Server) Stop() {
 	s.Drain()
 	s.mu.Lock()
@@ -34,14 +31,14 @@
 	defer cancel()
 	if s.callerServer != nil {
 		if err := s.callerServer.Shutdown(ctx); err != nil {
-			s.process.Log.Error("drain_cut", zap.Error(err), zap.Int64("open", s.openRequests.Load()))
+			s.process.Log.Error("drain_incomplete", zap.Error(err), zap.Int64("open", s.openRequests.Load()))
 		}
 	}
 	s.logDrainStep("served")
 	s.operatorServer.Shutdown(ctx)
 }
 
-// logDrainStep logs a step of the stop, with what was read, unless another server has the clients.
+// logDrainStep logs a step of the stop with the counts of requests, on a process that has callers.
 func (s *Server) logDrainStep(event string) {
 	if s.node == nil || s.process.Kernel.Boot.Settings.Caller != "" {
 		s.process.Log.Info(event, zap.Int64("read", s.process.Kernel.Counts.Of("inquiries_read").Load()), zap.Int64("open", s.openRequests.Load()))
--- a/request/httpapi/errors.go
+++ b/request/httpapi/errors.go
@@ -1,5 +1,3 @@
-// The one shape that every fault has on the wire, whoever found it.
-
 package httpapi
 
 import (
@@ -17,10 +15,31 @@
 	"wallport/control/config"
 	"wallport/gen/caller"
 	"wallport/gen/operator"
+	"wallport/request/search"
 	"wallport/runtime/wire"
 )
 
-// errorBody is the shape of every fault on the wire.
+// Names of failures of the operator API, and of both APIs for requests that reach no service.
+const (
+	FailureMalformed      = "malformed"
+	FailureConflict       = "conflict"
+	FailureLostRace       = "lost_race"
+	FailureOverloaded     = "shed"
+	FailureOutcomeUnknown = "outcome_unknown"
+	FailureUnknown        = "unknown"
+	FailureForbidden      = "forbidden"
+	FailureOutOfScope     = "out_of_scope"
+	failureOversize       = "oversize"
+	failureInternal       = "internal"
+)
+
+// Whether a failed request may have run, as failures say it.
+const (
+	ranNo      = string(search.ExecutionNone)
+	ranUnknown = string(search.ExecutionUnknown)
+)
+
+// errorBody is the JSON form of every failure, whichever layer found it.
 type errorBody struct {
 	status    int
 	Name      string  `json:"name"`
@@ -32,15 +51,16 @@
 	Version   *string `json:"stamp,omitempty"`
 }
 
-// StatusCode is the fault's status.
-func (p errorBody) StatusCode() int { return p.status }
+// StatusCode returns the HTTP status of the failure.
+func (b errorBody) StatusCode() int { return b.status }
 
+// findingBody is the JSON form of a finding.
 type findingBody struct {
 	Path string `json:"place"`
 	Text string `json:"text"`
 }
 
-// tokenFaults is the error of a file of tokens, a line each.
+// tokenFaults returns the error of a tokens file: a line for each finding.
 func tokenFaults(file string, found []wire.Finding) error {
 	var lines []string
 	for _, f := range found {
@@ -49,7 +69,8 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// refuseDuplicateKeys refuses what gives a name twice, before a decoder keeps one of the two.
+// refuseDuplicateKeys refuses a JSON body that has a name twice in one object, since a decoder would silently keep one
+// of the two.
 func refuseDuplicateKeys(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -59,10 +80,10 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		p := errorBody{Name: "malformed", Message: "nothing was changed", Ran: "no", Findings: findingBodies(found)}
+		refusal := errorBody{Name: FailureMalformed, Message: "nothing was changed", Ran: ranNo, Findings: findingBodies(found)}
 		w.Header().Set(contentTypeHeader, jsonContent)
 		w.WriteHeader(http.StatusBadRequest)
-		json.NewEncoder(w).Encode(p)
+		json.NewEncoder(w).Encode(refusal)
 	})
 }
 
@@ -74,26 +95,32 @@
 	return list
 }
 
-// formatError gives goa's own faults and ours the same shape.
+// formatError gives goa's own errors and those of the services the same form.
 func formatError(_ context.Context, err error) goahttp.Statuser {
-	var e *goa.ServiceError
-	var c *caller.Failure
-	var o *operator.Failure
+	var goaErr *goa.ServiceError
+	var callerErr *caller.Failure
+	var operatorErr *operator.Failure
 	switch {
-	case errors.As(err, &c):
-		return errorBody{Name: c.Name, Message: c.Message, Ran: c.Ran, RequestID: c.Inquiry, Retry: c.RetryAfter}
-	case errors.As(err, &o):
-		p := errorBody{Name: o.Name, Message: o.Message, Ran: o.Ran, Retry: o.RetryAfter, Version: o.Stamp}
-		if len(o.Findings) > 0 {
-			list := make([]findingBody, 0, len(o.Findings))
-			for _, f := range o.Findings {
-				list = append(list, findingBody{f.Place, f.Text})
-			}
-			p.Findings = list
+	case errors.As(err, &callerErr):
+		return errorBody{
+			Name: callerErr.Name, Message: callerErr.Message, Ran: callerErr.Ran, RequestID: callerErr.Inquiry, Retry: callerErr.RetryAfter,
+		}
+	case errors.As(err, &operatorErr):
+		return operatorErrorBody(operatorErr)
+	case errors.As(err, &goaErr) && !goaErr.Fault:
+		return errorBody{status: http.StatusBadRequest, Name: FailureMalformed, Message: goaErr.Message, Ran: ranNo}
+	}
+	return errorBody{status: http.StatusInternalServerError, Name: failureInternal, Message: "internal fault", Ran: ranUnknown}
+}
+
+func operatorErrorBody(failure *operator.Failure) errorBody {
+	body := errorBody{Name: failure.Name, Message: failure.Message, Ran: failure.Ran, Retry: failure.RetryAfter, Version: failure.Stamp}
+	if len(failure.Findings) > 0 {
+		findings := make([]findingBody, 0, len(failure.Findings))
+		for _, finding := range failure.Findings {
+			findings = append(findings, findingBody{finding.Place, finding.Text})
 		}
-		return p
-	case errors.As(err, &e) && !e.Fault:
-		return errorBody{status: 400, Name: "malformed", Message: e.Message, Ran: "no"}
+		body.Findings = findings
 	}
-	return errorBody{status: 500, Name: "internal", Message: "internal fault", Ran: "unknown"}
+	return body
 }
--- a/request/httpapi/explain.go
+++ b/request/httpapi/explain.go
@@ -1,7 +1,3 @@
-// Explain, from any node: an inquiry's id begins with the name of the node that
-// served it, and that node is asked. A request on a platform has its client's id,
-// which tells of no node: all are asked.
-
 package httpapi
 
 import (
@@ -21,68 +17,73 @@
 	"wallport/gen/operator"
 	"wallport/request/search"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 )
 
-const explainTimeout = 2 * time.Second
+const (
+	// explainTimeout bounds the search for a trace on other nodes.
+	explainTimeout = 2 * time.Second
+	// maxConcurrentExplains bounds the nodes that one call asks at the same time.
+	maxConcurrentExplains = 16
+)
 
+// Explain returns the trace of a request, from whichever node has it. The id of a caller's request begins with the name of
+// the node that served it. The id of a request on a platform is its client's and names no node: all are asked.
 func (a operatorAPI) Explain(ctx context.Context, p *operator.ExplainPayload) (any, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
 	find, name := a.node.platformTrace.Load(), nodeOf(p.ID)
 	if find == nil && name == "" {
-		return nil, newFailure("malformed", "not an inquiry's id: it looks like NODE-NUMBER")
+		return nil, newFailure(FailureMalformed, "not an inquiry's id: it looks like NODE-NUMBER")
 	}
 	if find != nil {
-		if t, ok := (*find)(p.ID); ok {
-			return t, nil
+		if trace, ok := (*find)(p.ID); ok {
+			return trace, nil
 		}
 	}
 	if name == a.node.process.Kernel.Boot.Settings.Name {
-		t, ok := a.node.dispatcher.Traces.Get(p.ID)
+		trace, ok := a.node.dispatcher.Traces.Get(p.ID)
 		if !ok {
-			return nil, newFailure("unknown", "no such inquiry, or it is no longer kept")
+			return nil, newFailure(FailureUnknown, "no such inquiry, or it is no longer kept")
 		}
-		return search.Explain(t, func(c *snapshot.Snapshot) string { return config.VersionText(c.Version) }), nil
+		return search.Explain(trace, func(c *snapshot.Snapshot) string { return config.VersionText(c.Version) }), nil
 	}
 	if addr := a.operatorAddress(name); addr != "" {
 		return a.explainOnNode(ctx, name, addr, p)
 	}
 	if find == nil || p.Here != nil && *p.Here {
-		return nil, newFailure("unknown", "no such request here, or it is no longer kept")
+		return nil, newFailure(FailureUnknown, "no such request here, or it is no longer kept")
 	}
 	return a.explainOnAllNodes(ctx, p)
 }
 
-// nodeOf is the node that an inquiry's id names, NODE-NUMBER; the id of a request on a platform is its client's.
+// nodeOf returns the node that the id of a caller's request names: the part before the last hyphen.
 func nodeOf(id string) string { return id[:max(0, strings.LastIndexByte(id, '-'))] }
 
-// operatorAddress is the operator address of a live node; empty without one of that name.
+// operatorAddress returns the operator address of a live node; empty where none has that name.
 func (a operatorAPI) operatorAddress(name string) string {
 	return a.operatorAddresses()[name]
 }
 
-// operatorAddresses are the operator addresses of the live nodes, by name.
+// operatorAddresses returns the operator addresses of the live nodes, by name.
 func (a operatorAPI) operatorAddresses() map[string]string {
-	out := map[string]string{}
-	a.node.process.Do(func(now int64) {
-		for _, r := range kernel.Find[*membership.Members](a.node.process.Kernel).Live(now, "node") {
-			out[r.Name] = r.Operator
+	addresses := map[string]string{}
+	a.node.process.Do(func(now clock.Micros) {
+		for _, node := range kernel.Find[*membership.Members](a.node.process.Kernel).Live(now, "node") {
+			addresses[node.Name] = node.Operator
 		}
 	})
-	return out
+	return addresses
 }
 
-// maxConcurrentExplains bounds the nodes that one call asks at the same time.
-const maxConcurrentExplains = 16
-
-// explainOnAllNodes asks all live nodes, and gives the first trace found.
+// explainOnAllNodes asks all other live nodes and returns the first trace found.
 func (a operatorAPI) explainOnAllNodes(ctx context.Context, p *operator.ExplainPayload) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
 	here := true
-	ask := &operator.ExplainPayload{Token: p.Token, ID: p.ID, Here: &here}
+	request := &operator.ExplainPayload{Token: p.Token, ID: p.ID, Here: &here}
 	found := make(chan any, 1)
 	var group sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentExplains)
@@ -93,7 +94,7 @@
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			if v, err := a.explainOnNode(ctx, name, addr, ask); err == nil {
+			if v, err := a.explainOnNode(ctx, name, addr, request); err == nil {
 				select {
 				case found <- v:
 					cancel()
@@ -107,19 +108,19 @@
 	case v := <-found:
 		return v, nil
 	default:
-		return nil, newFailure("unknown", "no live node keeps a request of this id: it ended well, or too many have since")
+		return nil, newFailure(FailureUnknown, "no live node keeps a request of this id: it ended well, or too many have since")
 	}
 }
 
-// explainOnNode asks another node.
+// explainOnNode asks another node for the trace.
 func (a operatorAPI) explainOnNode(ctx context.Context, name, addr string, p *operator.ExplainPayload) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
 	c := client.NewClient("http", addr, http.DefaultClient, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	v, err := c.Explain()(ctx, p)
-	var f *operator.Failure
-	if err != nil && !errors.As(err, &f) {
-		return nil, newFailure("unknown", "the node "+name+" did not answer: "+err.Error())
+	var failure *operator.Failure
+	if err != nil && !errors.As(err, &failure) {
+		return nil, newFailure(FailureUnknown, "the node "+name+" did not answer: "+err.Error())
 	}
 	if b, ok := v.(json.RawMessage); ok {
 		v = b
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -1,6 +1,3 @@
-// Package httpapi is a node's HTTP side: the caller and operator APIs, the
-// condition and metrics pages, and the driver that carries inquiries' charts
-// out over real HTTP.
 package httpapi
 
 import (
@@ -13,11 +10,12 @@
 	"wallport/request/idempotency"
 	"wallport/request/search"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
 )
 
-// Node is the request path of one node.
+// Node is the request path of one node. Its methods may be called by many goroutines.
 type Node struct {
 	process    *process.Process
 	dispatcher *search.Dispatcher
@@ -28,58 +26,75 @@
 	platformTrace atomic.Pointer[func(id string) (any, bool)]
 }
 
-// NewNode makes the request path over a running process.
+// NewNode returns the request path of a running process.
 func NewNode(p *process.Process) *Node {
-	b := kernel.Find[*snapshot.Table](p.Kernel)
-	f := &Node{process: p, table: b, client: newBackendClient()}
-	f.dispatcher = search.NewDispatcher(search.Config{
-		Snapshots: b, LoadReport: kernel.Find[*loadreport.Reporter](p.Kernel), Counts: p.Kernel.Counts,
+	table := kernel.Find[*snapshot.Table](p.Kernel)
+	n := &Node{process: p, table: table, client: newBackendClient()}
+	n.dispatcher = search.NewDispatcher(search.Config{
+		Snapshots: table, LoadReport: kernel.Find[*loadreport.Reporter](p.Kernel), Counts: p.Kernel.Counts,
 		Name: p.Kernel.Boot.Settings.Name, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 	})
-	return f
+	return n
 }
 
-// thawTimeout bounds how long an inquiry read right after a freeze waits for a fresh table.
-const thawTimeout = 500 * time.Millisecond
+// idempotencyPlugin is the plug-in that speaks for the owners of keys.
+const idempotencyPlugin = "idempotency"
 
-// Run takes one inquiry through its chart.
-func (f *Node) Run(ctx context.Context, in search.Request) search.Outcome {
-	f.process.AwaitThaw(thawTimeout)
-	m := search.NewStateMachine(f.dispatcher, in, f.process.Now())
-	r := &run{node: f, ctx: ctx, machine: m, events: make(chan search.Event, 8), finished: make(chan struct{}), cancels: map[int]context.CancelFunc{}}
-	defer r.drainEvents(in.Key)
+const (
+	// thawTimeout bounds how long a request that is read right after a freeze waits for a fresh snapshot.
+	thawTimeout = 500 * time.Millisecond
+	// admitTimeout bounds the wait for the owners of a key beyond the state machine's own.
+	admitTimeout = 2 * time.Second
+	// eventBuffer is how many events of a request may wait for its loop.
+	eventBuffer = 8
+)
+
+// Run takes one request through its state machine and returns the outcome. It does not end when the caller goes away: the outcome of
+// a request that must not run twice is to become known.
+func (n *Node) Run(request search.Request) search.Outcome {
+	n.process.AwaitThaw(thawTimeout)
+	r := &run{
+		node: n, machine: search.NewStateMachine(n.dispatcher, request, n.process.Now()),
+		events: make(chan search.Event, eventBuffer), finished: make(chan struct{}), cancels: map[int]context.CancelFunc{},
+	}
+	defer r.drainEvents(request.Key)
 	defer close(r.finished)
 	return r.loop()
 }
 
+// run drives the state machine of one request.
 type run struct {
-	node     *Node
-	ctx      context.Context
-	machine  *search.StateMachine
-	events   chan search.Event
+	node    *Node
+	machine *search.StateMachine
+	events  chan search.Event
+	// finished is closed once the loop has returned; nothing reads events any more.
 	finished chan struct{}
-	cancels  map[int]context.CancelFunc
-	mu       sync.Mutex
-	ended    bool
+	// cancels ends the attempts, by their numbers.
+	cancels map[int]context.CancelFunc
+	// mu guards ended, which is set once events was drained for the last time.
+	mu    sync.Mutex
+	ended bool
 }
 
-func (r *run) post(ev search.Event) {
+// post delivers an event, unless the request has finished.
+func (r *run) post(event search.Event) {
 	select {
-	case r.events <- ev:
+	case r.events <- event:
 	case <-r.finished:
 	}
 }
 
-// drainEvents lets no verdict on the key get lost between the chart's end and its driver's.
+// drainEvents takes the events that arrived after the state machine finished. The admission of a key among them must not
+// be lost, since its owners wait for the outcome.
 func (r *run) drainEvents(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ended = true
 	for {
 		select {
-		case ev := <-r.events:
-			if v, ok := ev.(search.KeyChecked); ok {
-				r.recordLateAdmission(key, v.Admission)
+		case event := <-r.events:
+			if checked, ok := event.(search.KeyChecked); ok {
+				r.recordLateAdmission(key, checked.Admission)
 			}
 		default:
 			return
@@ -87,23 +102,29 @@
 	}
 }
 
-func (r *run) recordLateAdmission(key string, v search.Admission) {
-	if s, in := search.LateAdmission(key, v); in {
-		r.recordOutcome(s)
+// recordLateAdmission tells the owners of a key that the request they admitted too late did not run.
+func (r *run) recordLateAdmission(key string, admission search.Admission) {
+	if resolved, admitted := search.LateAdmission(key, admission); admitted {
+		r.recordOutcome(resolved)
 	}
 }
 
-func (r *run) recordOutcome(v search.ResolveKey) {
-	r.node.process.Post(kernel.Call{Plugin: "idempotency", Request: idempotency.RecordOutcome{Key: v.Key, Code: string(v.Resolution), Token: v.Token, Attempted: v.Attempted, Outcome: v.Outcome}})
+// recordOutcome tells the owners of a key what became of the request. Nobody waits for their reply.
+func (r *run) recordOutcome(resolved search.ResolveKey) {
+	outcome := idempotency.RecordOutcome{
+		Key: resolved.Key, Code: string(resolved.Resolution), Token: resolved.Token, Attempted: resolved.Attempted, Outcome: resolved.Outcome,
+	}
+	r.node.process.Post(kernel.Call{Plugin: idempotencyPlugin, Request: outcome})
 }
 
+// loop carries out the state machine's actions and feeds it events until it finishes.
 func (r *run) loop() search.Outcome {
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
-	acts := r.machine.Step(r.node.process.Now(), search.Start{})
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
+	actions := r.machine.Step(r.node.process.Now(), search.Start{})
 	for {
-		for _, a := range acts {
-			switch v := a.(type) {
+		for _, action := range actions {
+			switch v := action.(type) {
 			case search.Send:
 				r.send(v)
 			case search.Cancel:
@@ -111,7 +132,7 @@
 					cancel()
 				}
 			case search.SetTimer:
-				wake.Reset(time.Duration(v.At-r.node.process.Now()) * time.Microsecond)
+				timer.Reset(clock.Duration(v.At - r.node.process.Now()))
 			case search.AdmitKey:
 				go r.admit(v)
 			case search.ResolveKey:
@@ -121,45 +142,51 @@
 			}
 		}
 		select {
-		case ev := <-r.events:
+		case event := <-r.events:
 			r.node.process.AwaitThaw(thawTimeout)
-			acts = r.machine.Step(r.node.process.Now(), ev)
-		case <-wake.C:
+			actions = r.machine.Step(r.node.process.Now(), event)
+		case <-timer.C:
 			r.node.process.AwaitThaw(thawTimeout)
-			acts = r.machine.Step(r.node.process.Now(), search.TimerFired{})
+			actions = r.machine.Step(r.node.process.Now(), search.TimerFired{})
 		}
 	}
 }
 
-func (r *run) admit(c search.AdmitKey) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+// admit asks the owners of the request's key. An admission that comes after the request has finished is resolved here.
+func (r *run) admit(request search.AdmitKey) {
+	ctx, cancel := context.WithTimeout(context.Background(), admitTimeout)
 	defer cancel()
-	v, err := r.node.process.Call(ctx, "idempotency", idempotency.Admit{Key: c.Key, Index: c.Index, Digest: c.Digest, FirstAttempt: c.FirstAttempt, Timeout: c.Timeout, Repeatable: c.OnlyDetectRepeat})
-	verdict, ok := v.(search.Admission)
+	reply, err := r.node.process.Call(ctx, idempotencyPlugin, idempotency.Admit{
+		Key: request.Key, Index: request.Index, Digest: request.Digest,
+		FirstAttempt: request.FirstAttempt, Timeout: request.Timeout, Repeatable: request.OnlyDetectRepeat,
+	})
+	admission, ok := reply.(search.Admission)
 	if err != nil || !ok {
-		verdict = search.Admission{Code: "short"}
+		admission = search.Admission{Code: search.AdmissionNoQuorum}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.ended {
-		r.events <- search.KeyChecked{Admission: verdict}
+		r.events <- search.KeyChecked{Admission: admission}
 		return
 	}
-	r.recordLateAdmission(c.Key, verdict)
+	r.recordLateAdmission(request.Key, admission)
 }
 
-// send sends in a goroutine of its own; an inquiry that must not run twice is
-// not cancelled by its caller going away, so that its outcome gets known.
-func (r *run) send(a search.Send) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.Timeout)*time.Microsecond)
-	r.cancels[a.Attempt] = cancel
+// send sends an attempt in a goroutine of its own. A caller that goes away does not cancel it, so that the outcome of
+// a request that must not run twice becomes known. Nothing is sent once the process was frozen: the attempt's
+// time may be over.
+func (r *run) send(attempt search.Send) {
+	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(attempt.Timeout))
+	r.cancels[attempt.Attempt] = cancel
 	thaws := r.node.process.Thaws()
 	go func() {
 		defer cancel()
 		if r.node.process.Frozen() || r.node.process.Thaws() != thaws {
-			r.post(search.ReplyReceived{Attempt: a.Attempt, Reply: search.Reply{Class: search.ReplyNotWritten, Reason: "the node was frozen before it wrote"}})
+			reply := search.Reply{Class: search.ReplyNotWritten, Reason: "the node was frozen before it wrote"}
+			r.post(search.ReplyReceived{Attempt: attempt.Attempt, Reply: reply})
 			return
 		}
-		r.post(search.ReplyReceived{Attempt: a.Attempt, Reply: r.node.client.send(ctx, &a)})
+		r.post(search.ReplyReceived{Attempt: attempt.Attempt, Reply: r.node.client.send(ctx, &attempt)})
 	}()
 }
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -1,6 +1,3 @@
-// The operator API over goa. Every change goes to the owner of its part; the
-// answer says the stamp, who has it in force, and who lags.
-
 package httpapi
 
 import (
@@ -12,54 +9,63 @@
 	"wallport/control/operations"
 	"wallport/control/state"
 	"wallport/gen/operator"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
+// operatorAPI implements the operator service that goa generates. Every change goes to the leader of its partition;
+// the response names the version that took it, and the nodes that do not have it in force yet.
 type operatorAPI struct{ node *Node }
 
+// newFailure returns a failure of a command that did not run.
 func newFailure(code, message string) *operator.Failure {
-	return &operator.Failure{Name: code, Message: message, Ran: "no"}
+	return &operator.Failure{Name: code, Message: message, Ran: ranNo}
 }
 
-// allowed reports whether a token may look.
+// allowed returns an error where a token may not read.
 func (a operatorAPI) allowed(token *string) error {
 	_, err := a.node.authorizer.authorize(token, config.ScopeRead, nil)
 	return err
 }
 
+// noVersion is what the first edit of a fleet is based on.
+const noVersion = "0.0"
+
+// editParams are the parameters that all edits have.
 type editParams struct {
 	token, editID, basedOn, by *string
 }
 
-// submitEdit carries an edit and tells what became of it, with a line for the audit.
-func (a operatorAPI) submitEdit(ctx context.Context, c editParams, e wire.Edit) (*operator.Taken, error) {
+// submitEdit authorizes an edit, completes it with its parameters, and submits it.
+func (a operatorAPI) submitEdit(ctx context.Context, params editParams, edit wire.Edit) (*operator.Taken, error) {
 	scope, indexes := config.ScopeAll, []string(nil)
-	if e.Op == wire.OpEditRows {
-		scope, indexes = config.ScopeRows, config.EditedIndexes(a.node.table.Current().Configuration, e.Body)
+	if edit.Op == wire.OpEditRows {
+		scope, indexes = config.ScopeRows, config.EditedIndexes(a.node.table.Current().Configuration, edit.Body)
 	}
-	who, err := a.node.authorizer.authorize(c.token, scope, indexes)
+	who, err := a.node.authorizer.authorize(params.token, scope, indexes)
 	if err != nil {
 		return nil, err
 	}
-	e.EditID, e.By = deref(c.editID), deref(c.by)
+	edit.EditID, edit.By = deref(params.editID), deref(params.by)
 	if who != "" {
-		// Whom the token names, not whom the caller names, goes into audit and history.
-		e.By = who
+		// The audit and the history name whom the token names, not whom the caller names.
+		edit.By = who
 	}
-	if e.Strict {
-		stamp, ok := config.ParseVersion(e.Partition, deref(c.basedOn))
-		if !ok && deref(c.basedOn) != "0.0" {
-			return nil, findingsFailure("malformed", []wire.Finding{{Path: "If-Match", Text: "needs the stamp that the edit is based on, as GET /v1/sheet shows it"}})
+	if edit.Strict {
+		base, ok := config.ParseVersion(edit.Partition, deref(params.basedOn))
+		if !ok && deref(params.basedOn) != noVersion {
+			return nil, findingsFailure(FailureMalformed, []wire.Finding{{Path: "If-Match", Text: "needs the stamp that the edit is based on, as GET /v1/sheet shows it"}})
 		}
-		e.Base = stamp
-		if stamp.Term == 0 {
-			e.Base = wire.Version{}
+		edit.Base = base
+		if base.Term == 0 {
+			edit.Base = wire.Version{}
 		}
 	}
-	return a.submit(ctx, e, operations.Submit{Edit: e, AwaitInForce: true})
+	return a.submit(ctx, edit, operations.Submit{Edit: edit, AwaitInForce: true})
 }
 
+// findingsFailure returns a failure with findings about what the operator sent.
 func findingsFailure(code string, list []wire.Finding) *operator.Failure {
 	f := newFailure(code, "nothing was changed")
 	for _, v := range list {
@@ -68,6 +74,7 @@
 	return f
 }
 
+// encodeJSON encodes a decoded payload again; nil where that fails.
 func encodeJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -76,55 +83,61 @@
 	return b
 }
 
+// Sheet returns the configuration in force at this node, with its version.
 func (a operatorAPI) Sheet(_ context.Context, p *operator.SheetPayload) (*operator.SheetNow, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	cp := a.node.table.Current()
-	if cp.Version.Term == 0 {
-		return nil, newFailure("shed", "this node has no configuration yet")
+	snapshot := a.node.table.Current()
+	if snapshot.Version.Term == 0 {
+		return nil, newFailure(FailureOverloaded, "this node has no configuration yet")
 	}
-	return &operator.SheetNow{Stamp: config.VersionText(cp.Config.ConfigVersion), Sheet: config.JSON(cp.Configuration)}, nil
+	return &operator.SheetNow{Stamp: config.VersionText(snapshot.Config.ConfigVersion), Sheet: config.JSON(snapshot.Configuration)}, nil
 }
 
+// PutSheet replaces the configuration.
 func (a operatorAPI) PutSheet(ctx context.Context, p *operator.PutSheetPayload) (*operator.Taken, error) {
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: wire.OpPutConfig, Strict: true, Body: encodeJSON(p.Sheet)})
 }
 
+// CheckSheet returns the findings about a configuration and changes nothing.
 func (a operatorAPI) CheckSheet(_ context.Context, p *operator.CheckSheetPayload) ([]*operator.Finding, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	s, found := config.Read(encodeJSON(p.Sheet))
+	configuration, found := config.Read(encodeJSON(p.Sheet))
 	if len(found) == 0 {
-		found = config.Check(s)
+		found = config.Check(configuration)
 	}
 	return append([]*operator.Finding{}, findingsFailure("", found).Findings...), nil
 }
 
+// History returns the earlier configurations and the one in force, the newest last.
 func (a operatorAPI) History(ctx context.Context, p *operator.HistoryPayload) ([]*operator.PastSheet, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	v, err := a.node.process.Call(ctx, "operate", operations.ReadHistory{})
-	history, known := v.(operations.History)
+	answer, err := a.node.process.Call(ctx, operations.PluginName, operations.ReadHistory{})
+	history, known := answer.(operations.History)
 	if err != nil || !known || history.Code != wire.CodeOK {
-		return nil, newFailure("shed", "no leader of the configuration can be reached")
+		return nil, newFailure(FailureOverloaded, "no leader of the configuration can be reached")
 	}
-	out := []*operator.PastSheet{}
-	for _, h := range history.Configurations {
-		s := state.ConfigurationOf(wire.ConfigBody{Config: h.Config})
-		out = append(out, &operator.PastSheet{Stamp: config.VersionText(h.Version), By: h.By, Sheet: config.JSON(s)})
+	list := []*operator.PastSheet{}
+	for _, past := range history.Configurations {
+		configuration := state.ConfigurationOf(wire.ConfigBody{Config: past.Config})
+		list = append(list, &operator.PastSheet{Stamp: config.VersionText(past.Version), By: past.By, Sheet: config.JSON(configuration)})
 	}
-	return out, nil
+	return list, nil
 }
 
+// ReturnSheet puts an earlier configuration in force again, under a new version.
 func (a operatorAPI) ReturnSheet(ctx context.Context, p *operator.ReturnSheetPayload) (*operator.Taken, error) {
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: wire.OpRevertConfig, Strict: true, Name: p.Stamp})
 }
 
+// EditSheet sets or removes single rows of the configuration.
 func (a operatorAPI) EditSheet(ctx context.Context, p *operator.EditSheetPayload) (*operator.Taken, error) {
 	edits := make([]config.RowEdit, 0, len(p.Edits))
 	for _, e := range p.Edits {
@@ -133,56 +146,64 @@
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: wire.OpEditRows, Strict: true, Body: encodeJSON(edits)})
 }
 
+// Zone drains a zone or restores it.
 func (a operatorAPI) Zone(ctx context.Context, p *operator.ZonePayload) (*operator.Taken, error) {
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: p.Action, Name: p.Zone})
 }
 
+// Cut begins to move an index to another shard map.
 func (a operatorAPI) Cut(ctx context.Context, p *operator.CutPayload) (*operator.Taken, error) {
 	body := wire.Encode(&wire.ShardMap{Next: p.Cut, NextShards: p.Shards})
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Partition: state.PartitionOf(p.Index), Op: wire.OpReshard, Name: p.Index, Body: body})
 }
 
+// Members lists the processes of the fleet.
 func (a operatorAPI) Members(_ context.Context, p *operator.MembersPayload) ([]*operator.Status, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	out := []*operator.Status{}
-	a.node.process.Do(func(now int64) {
-		for _, r := range kernel.Find[*membership.Members](a.node.process.Kernel).All(now) {
-			out = append(out, status(r))
+	list := []*operator.Status{}
+	a.node.process.Do(func(now clock.Micros) {
+		for _, member := range kernel.Find[*membership.Members](a.node.process.Kernel).All(now) {
+			list = append(list, memberStatus(member))
 		}
 	})
-	return out, nil
+	return list, nil
 }
 
-func status(r membership.Member) *operator.Status {
-	s := &operator.Status{Name: r.Name, Role: r.Role, Zone: r.Zone, Addr: r.Addr, Live: r.Live, Draining: &r.Draining, Sick: &r.UnhealthyReason, InForce: "none"}
-	if r.Role == "core" {
-		s.Formed = &r.Bootstrapped
+// memberStatus returns the API's form of a member, with the version of the configuration that it has in force.
+func memberStatus(member membership.Member) *operator.Status {
+	status := &operator.Status{
+		Name: member.Name, Role: member.Role, Zone: member.Zone, Addr: member.Addr, Live: member.Live,
+		Draining: &member.Draining, Sick: &member.UnhealthyReason, InForce: "none",
+	}
+	if member.Role == "core" {
+		status.Formed = &member.Bootstrapped
 	}
-	for _, st := range r.InForce {
-		if st.Partition == state.ConfigPartition {
-			s.InForce = config.VersionText(st)
+	for _, version := range member.InForce {
+		if version.Partition == state.ConfigPartition {
+			status.InForce = config.VersionText(version)
 		}
 	}
-	return s
+	return status
 }
 
+// Servers lists the backends with this node's health state of each.
 func (a operatorAPI) Servers(_ context.Context, p *operator.ServersPayload) ([]*operator.ServerStatus, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	cp := a.node.table.Current()
-	out := []*operator.ServerStatus{}
-	for _, s := range cp.Backends {
-		ramp := int64(0)
-		if x := cp.Indexes[s.Index]; x != nil {
-			ramp = x.Service.RampUs
+	snapshot := a.node.table.Current()
+	list := []*operator.ServerStatus{}
+	for _, backend := range snapshot.Backends {
+		var slowStart clock.Micros
+		if index := snapshot.Indexes[backend.Index]; index != nil {
+			slowStart = index.Service.RampUs
 		}
-		out = append(out, &operator.ServerStatus{
-			ID: s.ID, Addr: s.Addr, Zone: s.Zone, Index: s.Index, Cut: s.ShardMap, Shard: s.Shard,
-			Verdict: s.Health.String(), Warm: int(s.SlowStartShare(a.node.process.Now(), ramp) / 10),
+		list = append(list, &operator.ServerStatus{
+			ID: backend.ID, Addr: backend.Addr, Zone: backend.Zone, Index: backend.Index, Cut: backend.ShardMap, Shard: backend.Shard,
+			Verdict: backend.Health.String(), Warm: int(backend.SlowStartShare(a.node.process.Now(), slowStart) / 10),
 		})
 	}
-	return out, nil
+	return list, nil
 }
--- a/request/httpapi/server.go
+++ b/request/httpapi/server.go
@@ -1,6 +1,3 @@
-// The HTTP servers: limits on bodies, headers and time, the condition and
-// metrics pages, error shapes, and when each of them opens.
-
 package httpapi
 
 import (
@@ -27,22 +24,35 @@
 	"wallport/runtime/process"
 )
 
-// Limits on what is read.
+// Bounds of requests and connections.
 const (
-	maxCallerBody      = 128 << 10
-	maxOperatorBody    = 768 << 10
-	maxHeaderBytes     = 16 << 10
-	readTimeout        = 5 * time.Second
-	idleTimeout        = 60 * time.Second
-	readyPollInterval  = 20 * time.Millisecond
-	drainGrace         = 1 * time.Second
-	drainTimeout       = 65 * time.Second
+	// maxCallerBody and maxOperatorBody bound the bodies that callers and operators send, in bytes.
+	maxCallerBody   = 128 << 10
+	maxOperatorBody = 768 << 10
+	maxHeaderBytes  = 16 << 10
+	readTimeout     = 5 * time.Second
+	idleTimeout     = 60 * time.Second
+	// readyPollInterval is the time between two looks whether the node can serve.
+	readyPollInterval = 20 * time.Millisecond
+	// drainGrace is how long a draining node goes on taking requests, until others have noticed that it drains.
+	drainGrace = 1 * time.Second
+	// drainTimeout bounds the wait for the requests in flight.
+	drainTimeout = 65 * time.Second
+	// maxConcurrentCalls bounds the requests in flight of each API.
 	maxConcurrentCalls = 4096
+	// retryAfterOverload is in seconds.
 	retryAfterOverload = "1"
 	jsonContent        = "application/json"
 	contentTypeHeader  = "Content-Type"
 )
 
+// Paths of the pages beside the APIs.
+const (
+	conditionPath = "/condition"
+	metricsPath   = "/metrics"
+)
+
+// writeError writes a failure for a request that reached no service.
 func writeError(w http.ResponseWriter, status int, name, message string) {
 	w.Header().Set(contentTypeHeader, jsonContent)
 	if status == http.StatusServiceUnavailable {
@@ -52,23 +62,23 @@
 	fmt.Fprintf(w, `{"name":%q,"message":%q,"ran":"no"}`+"\n", name, message)
 }
 
-// limited reads the whole body, within its limit, before anything is decided.
-func limited(most int64, open *atomic.Int64, next http.Handler) http.Handler {
+// limited bounds the requests in flight and reads the complete body, of at most maxBody bytes, before it calls next.
+func limited(maxBody int64, open *atomic.Int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if open.Add(1) > maxConcurrentCalls {
 			open.Add(-1)
-			writeError(w, http.StatusServiceUnavailable, "shed", "too many inquiries at once on this node")
+			writeError(w, http.StatusServiceUnavailable, FailureOverloaded, "too many inquiries at once on this node")
 			return
 		}
 		defer open.Add(-1)
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
-		var big *http.MaxBytesError
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+		var tooLarge *http.MaxBytesError
 		switch {
-		case errors.As(err, &big):
-			writeError(w, http.StatusRequestEntityTooLarge, "oversize", fmt.Sprintf("the body is larger than %d bytes", most))
+		case errors.As(err, &tooLarge):
+			writeError(w, http.StatusRequestEntityTooLarge, failureOversize, fmt.Sprintf("the body is larger than %d bytes", maxBody))
 			return
 		case err != nil:
-			writeError(w, http.StatusBadRequest, "malformed", "the body could not be read whole")
+			writeError(w, http.StatusBadRequest, FailureMalformed, "the body could not be read whole")
 			return
 		}
 		if len(body) > 0 && r.Header.Get(contentTypeHeader) == "" {
@@ -79,24 +89,25 @@
 	})
 }
 
-// Server is the HTTP side of one process.
+// Server has the listeners of one process.
 type Server struct {
 	process        *process.Process
 	node           *Node
 	callerServer   *http.Server
 	operatorServer *http.Server
-	openRequests   atomic.Int64
-	failures       chan error
-	draining       atomic.Bool
-	stopping       chan struct{}
-	mu             sync.Mutex
+	// openRequests counts the callers' requests in flight.
+	openRequests atomic.Int64
+	failures     chan error
+	draining     atomic.Bool
+	stopping     chan struct{}
+	mu           sync.Mutex
 }
 
-// Open listens on the process's HTTP addresses. A core has no caller API.
+// Open listens on the process's HTTP addresses. The caller API of a node opens once the node can serve; a core has none.
 func Open(p *process.Process) (*Server, error) {
 	s := &Server{process: p, failures: make(chan error, 2), stopping: make(chan struct{})}
 	onErr := func(_ context.Context, _ http.ResponseWriter, err error) {
-		p.Log.Debug("answer_not_written", zap.Error(err))
+		p.Log.Debug("response_not_written", zap.Error(err))
 	}
 	mux := goahttp.NewMuxer()
 	if p.Kernel.Boot.Role == "node" {
@@ -108,8 +119,8 @@
 		h := operatorsrv.New(operator.NewEndpoints(operatorAPI{s.node}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, onErr, formatError)
 		operatorsrv.Mount(mux, h)
 	}
-	mux.Handle(http.MethodGet, "/condition", s.condition)
-	mux.Handle(http.MethodGet, "/metrics", s.metrics)
+	mux.Handle(http.MethodGet, conditionPath, s.condition)
+	mux.Handle(http.MethodGet, metricsPath, s.metrics)
 	var err error
 	if s.operatorServer, err = s.listen(p.Kernel.Boot.Settings.Operator, limited(maxOperatorBody, new(atomic.Int64), refuseDuplicateKeys(mux))); err != nil {
 		return nil, err
@@ -120,19 +131,19 @@
 	cmux := goahttp.NewMuxer()
 	h := callersrv.New(caller.NewEndpoints(callerAPI{s.node}), cmux, goahttp.RequestDecoder, goahttp.ResponseEncoder, onErr, formatError)
 	callersrv.Mount(cmux, h)
-	cmux.Handle(http.MethodGet, "/condition", s.condition)
-	// Until the first table is there nobody listens: a caller that comes too
-	// early finds no one, goes to another node, and is not refused by this one.
+	cmux.Handle(http.MethodGet, conditionPath, s.condition)
+	// Nobody listens before the first snapshot is there: a caller that comes too early is refused the
+	// connection and goes to another node, instead of getting a failure from this one.
 	go s.openCaller(limited(maxCallerBody, &s.openRequests, s.countRequests(cmux)))
 	return s, nil
 }
 
-// countRequests counts what was read, and asks callers of a draining node to come on a
-// new connection next time, which is then another node's.
+// countRequests counts the requests that were read. A draining node closes the connections, so that its callers open their
+// next ones to other nodes.
 func (s *Server) countRequests(next http.Handler) http.Handler {
 	read := s.process.Kernel.Counts.Of("inquiries_read")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != "/condition" {
+		if r.URL.Path != conditionPath {
 			read.Add(1)
 		}
 		if s.draining.Load() {
@@ -142,7 +153,7 @@
 	})
 }
 
-// openCaller opens the caller API once inquiries can be served.
+// openCaller opens the caller API once requests can be served.
 func (s *Server) openCaller(h http.Handler) {
 	for !s.node.table.Current().Ready() {
 		select {
@@ -179,18 +190,18 @@
 	return srv, nil
 }
 
-// condition reports whether this process should be given work.
+// condition serves the page that says whether this process should be given work.
 func (s *Server) condition(w http.ResponseWriter, _ *http.Request) {
-	ready, why, stamp := true, "", ""
+	ready, why, version := true, "", ""
 	if s.node != nil {
-		cp := s.node.table.Current()
-		stamp = config.VersionText(cp.Version)
+		current := s.node.table.Current()
+		version = config.VersionText(current.Version)
 		switch {
 		case s.draining.Load():
 			ready, why = false, "draining"
-		case !cp.Ready():
+		case !current.Ready():
 			ready, why = false, "no table yet"
-		case cp.ZoneDrained:
+		case current.ZoneDrained:
 			ready, why = false, "zone is emptied"
 		}
 	}
@@ -198,9 +209,10 @@
 	if !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	fmt.Fprintf(w, `{"name":%q,"role":%q,"ready":%t,"why":%q,"in_force":%q}`+"\n", s.process.Kernel.Boot.Settings.Name, s.process.Kernel.Boot.Role, ready, why, stamp)
+	fmt.Fprintf(w, `{"name":%q,"role":%q,"ready":%t,"why":%q,"in_force":%q}`+"\n", s.process.Kernel.Boot.Settings.Name, s.process.Kernel.Boot.Role, ready, why, version)
 }
 
+// metrics serves the counters in the text format of Prometheus.
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(contentTypeHeader, "text/plain; version=0.0.4")
 	s.process.Kernel.Counts.Each(func(name string, n int64) {
@@ -213,20 +225,20 @@
 	fmt.Fprintf(w, "wallport_open_inquiries %d\n", s.openRequests.Load())
 }
 
-// OpenMetrics tells the process's figures on one more address, until the process ends.
+// OpenMetrics serves the metrics page on another address as well, until the process ends.
 func (s *Server) OpenMetrics(addr string) error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /metrics", s.metrics)
+	mux.HandleFunc(http.MethodGet+" "+metricsPath, s.metrics)
 	_, err := s.listen(addr, mux)
 	return err
 }
 
-// ExplainBy has requests of the platform's clients explained by a function that finds their traces.
+// ExplainBy sets the function that finds the traces of the platform's clients' requests by their ids.
 func (s *Server) ExplainBy(find func(id string) (any, bool)) {
 	if s.node != nil {
 		s.node.platformTrace.Store(&find)
 	}
 }
 
-// Failed tells of a server that ended by itself.
+// Failed delivers the error of a listener that ended by itself.
 func (s *Server) Failed() <-chan error { return s.failures }
--- a/request/httpapi/status.go
+++ b/request/httpapi/status.go
@@ -1,5 +1,3 @@
-// The operators' view of the replicas of the control state.
-
 package httpapi
 
 import (
@@ -12,28 +10,28 @@
 	"wallport/runtime/wire"
 )
 
-// Replicas asks every known core for the state of its replicas.
+// Replicas lists the replicas of the control state as every known core reports them.
 func (a operatorAPI) Replicas(ctx context.Context, p *operator.ReplicasPayload) ([]*operator.ReplicaStatus, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	v, err := a.node.process.Call(ctx, "operate", operations.ReadStatus{})
-	status, known := v.(operations.Status)
+	answer, err := a.node.process.Call(ctx, operations.PluginName, operations.ReadStatus{})
+	status, known := answer.(operations.Status)
 	if err != nil || !known {
-		return nil, newFailure("shed", "the cores were not asked in time")
+		return nil, newFailure(FailureOverloaded, "the cores were not asked in time")
 	}
 	return replicaRows(status), nil
 }
 
-// replicaRows orders what the cores told by partition.
+// replicaRows returns a row for each replica, ordered by partition.
 func replicaRows(status operations.Status) []*operator.ReplicaStatus {
 	newest := status.Newest()
 	rows := []*operator.ReplicaStatus{}
-	for part := range state.Partitions {
+	for partition := range state.Partitions {
 		for _, core := range status.Cores {
-			if row := replicaRow(core, part, newest[part]); row != nil {
+			if row := replicaRow(core, partition, newest[partition]); row != nil {
 				rows = append(rows, row)
 			}
 		}
@@ -41,14 +39,14 @@
 	return rows
 }
 
-// replicaRow is a core's row for a partition; nil where it answered and has none.
-func replicaRow(core operations.CoreStatus, part int, newest wire.Version) *operator.ReplicaStatus {
-	row := &operator.ReplicaStatus{Core: core.Name, Zone: core.Zone, Part: part, State: operations.StateTimedOut}
+// replicaRow returns a core's row for a partition; nil where the core responded and has no replica of it.
+func replicaRow(core operations.CoreStatus, partition int, newest wire.Version) *operator.ReplicaStatus {
+	row := &operator.ReplicaStatus{Core: core.Name, Zone: core.Zone, Part: partition, State: operations.StateTimedOut}
 	if !core.Responded {
 		return row
 	}
 	for _, r := range core.Replicas {
-		if r.Partition != part {
+		if r.Partition != partition {
 			continue
 		}
 		row.State, row.Contact, row.Term, row.Leader = r.State, r.InContact, r.Term, r.Leader
--- a/request/httpapi/submit.go
+++ b/request/httpapi/submit.go
@@ -1,5 +1,3 @@
-// Carrying an operator's word to the kernel, and telling what became of it.
-
 package httpapi
 
 import (
@@ -14,10 +12,10 @@
 	"wallport/runtime/wire"
 )
 
-// callTimeout is how long an operator's call may take.
+// callTimeout bounds an operator's call.
 const callTimeout = 10 * time.Second
 
-// Rebuild makes a part's group anew on the operator's word.
+// Rebuild makes a partition's group anew, see [operations.Rebuild].
 func (a operatorAPI) Rebuild(ctx context.Context, p *operator.RebuildPayload) (*operator.Taken, error) {
 	who, err := a.node.authorizer.authorize(p.Token, config.ScopeAll, nil)
 	if err != nil {
@@ -29,33 +27,45 @@
 	return a.submit(ctx, wire.Edit{Op: wire.OpRebuild, Partition: p.Part, By: who}, operations.Rebuild{Partition: p.Part})
 }
 
-// submit asks the kernel and leaves a line for the audit.
-func (a operatorAPI) submit(ctx context.Context, e wire.Edit, ask any) (*operator.Taken, error) {
+// submit has a command carried out, logs it for the audit, and turns its result into a response.
+func (a operatorAPI) submit(ctx context.Context, edit wire.Edit, command any) (*operator.Taken, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	v, err := a.node.process.Call(ctx, "operate", ask)
+	answer, err := a.node.process.Call(ctx, operations.PluginName, command)
 	if err != nil {
-		return nil, &operator.Failure{Name: "outcome_unknown", Message: err.Error(), Ran: "unknown"}
+		return nil, &operator.Failure{Name: FailureOutcomeUnknown, Message: err.Error(), Ran: ranUnknown}
 	}
-	res := v.(operations.Result)
-	stamp := config.VersionText(res.Reply.Version)
-	a.node.process.Log.Info("audit", zap.String("op", e.Op), zap.Int("part", e.Partition), zap.String("name", e.Name), zap.String("by", e.By), zap.String("edit_id", e.EditID),
-		zap.String("result", string(res.Reply.Code)), zap.String("stamp", stamp), zap.Int("findings", len(res.Reply.Findings)))
-	switch res.Reply.Code {
+	result := answer.(operations.Result)
+	a.audit(edit, result.Reply)
+	return taken(result)
+}
+
+// audit logs who did what, and what came of it.
+func (a operatorAPI) audit(edit wire.Edit, reply wire.EditReply) {
+	a.node.process.Log.Info("audit",
+		zap.String("op", edit.Op), zap.Int("partition", edit.Partition), zap.String("name", edit.Name), zap.String("by", edit.By),
+		zap.String("edit_id", edit.EditID), zap.String("result", string(reply.Code)),
+		zap.String("version", config.VersionText(reply.Version)), zap.Int("findings", len(reply.Findings)))
+}
+
+// taken returns the response to a command, or the failure that its code stands for.
+func taken(result operations.Result) (*operator.Taken, error) {
+	version := config.VersionText(result.Reply.Version)
+	switch result.Reply.Code {
 	case wire.CodeOK:
-		return &operator.Taken{Stamp: stamp, InForce: res.InForce, Laggards: append([]string{}, res.Laggards...)}, nil
+		return &operator.Taken{Stamp: version, InForce: result.InForce, Laggards: append([]string{}, result.Laggards...)}, nil
 	case wire.CodeInvalid, operations.CodeUnknownZone:
-		return nil, findingsFailure("malformed", res.Reply.Findings)
+		return nil, findingsFailure(FailureMalformed, result.Reply.Findings)
 	case wire.CodeConflict:
-		return nil, findingsFailure("conflict", res.Reply.Findings)
+		return nil, findingsFailure(FailureConflict, result.Reply.Findings)
 	case wire.CodeLostRace:
-		f := findingsFailure("lost_race", res.Reply.Findings)
+		f := findingsFailure(FailureLostRace, result.Reply.Findings)
 		f.Message = "another edit came first; read the sheet again and base the edit on it"
-		f.Stamp = &stamp
+		f.Stamp = &version
 		return nil, f
 	case wire.CodeOverloaded:
 		retry := 1
-		return nil, &operator.Failure{Name: "shed", Message: "no owner of this part can be reached; nothing was changed", Ran: "no", RetryAfter: &retry}
+		return nil, &operator.Failure{Name: FailureOverloaded, Message: "no owner of this part can be reached; nothing was changed", Ran: ranNo, RetryAfter: &retry}
 	}
-	return nil, &operator.Failure{Name: "outcome_unknown", Message: "the owner did not say what became of the edit; send it again with the same Edit-Id", Ran: "unknown"}
+	return nil, &operator.Failure{Name: FailureOutcomeUnknown, Message: "the owner did not say what became of the edit; send it again with the same Edit-Id", Ran: ranUnknown}
 }
