--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -1,8 +1,7 @@
-// A day on the users' platform: the product's own kernels and request charts
-// among simulated machines, backends, clients and operators that keep to the
-// platform's manner. All that is seen from outside goes into a journal, which
-// the rules judge at the end. A scenario asks for a day by "set site NAME"; its
-// times count from the begin of the traffic.
+// A day on the users' platform: the product's kernels and request state machines among simulated machines,
+// backends, clients and operators that behave as the platform does. Everything that is visible from outside is
+// written to a journal, which the rules check at the end. A scenario asks for a day by "set site NAME"; its
+// times count from the start of the traffic.
 
 package sim
 
@@ -15,7 +14,7 @@
 	"wallport/runtime/settings"
 )
 
-// leadUs is from the start of the machines to the begin of the traffic.
+// leadUs is the time from the start of the machines to the start of the traffic.
 const leadUs = 10 * clock.Second
 
 type day struct {
@@ -69,7 +68,8 @@
 	return d
 }
 
-// end is when the day ends, on the world's clock: after a closing fault traffic goes on through the recovery.
+// end returns when the day ends, on the world's clock. After a closing fault traffic continues through the
+// recovery.
 func (d *day) end() clock.Micros {
 	s := d.world.Script.Int("seconds", 24)
 	if at := d.world.Script.Int("closing_at_s", 0); at > 0 {
@@ -78,7 +78,7 @@
 	return leadUs + s*clock.Second
 }
 
-// worldTime is the world's clock as the scenario counts it.
+// worldTime converts a time of the scenario, which counts from the start of the traffic, to the world's clock.
 func (d *day) worldTime(at clock.Micros) clock.Micros { return leadUs + at }
 
 func (d *day) build() {
@@ -104,7 +104,7 @@
 	w.at(100*clock.Millisecond, d.sample)
 }
 
-// sample looks ten times a second at what every node has in force.
+// sample records ten times a second which configuration every node has in force.
 func (d *day) sample() {
 	d.world.after(100*clock.Millisecond, d.sample)
 	d.updateFaultSpans()
@@ -119,7 +119,7 @@
 	}
 }
 
-// finish judges the day.
+// finish checks the day's journal and copies its findings into the world's checker.
 func (d *day) finish() {
 	j, judge := d.journal, d.world.Checker
 	j.End = d.world.now
@@ -152,7 +152,7 @@
 	}
 }
 
-// latency is the way from one zone to another.
+// latency draws the one-way network latency between two zones.
 func (d *day) latency(a, b string) clock.Micros {
 	us := int64(100)
 	switch {
@@ -174,13 +174,13 @@
 	return ""
 }
 
-// drawAround draws a positive figure around a mean.
+// drawAround draws a positive, log-normally distributed value with the given mean; share is its sigma.
 func (d *day) drawAround(mean clock.Micros, share float64) clock.Micros {
 	x := math.Exp(share*d.world.rng.NormFloat64() - share*share/2)
 	return max(1, int64(float64(mean)*x))
 }
 
-// drawWork is what one request of a kind takes at a backend.
+// drawWork draws how long one request of a kind takes at a backend.
 func (d *day) drawWork(kind *requestShape) clock.Micros {
 	us := d.drawAround(kind.workUs, 0.45)
 	if d.world.rng.IntN(100) < kind.tailPct {
--- a/lab/sim/day_armed_faults.go
+++ b/lab/sim/day_armed_faults.go
@@ -1,14 +1,14 @@
-// Troubles that wait for a moment of the system: an acknowledgement, a change
-// that is sent, a request that a machine has taken.
+// Faults that wait for an event of the system: an acknowledgement, the sending of a change, or a request that a
+// machine has accepted.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// armedTake waits until a counted machine has taken a request that may run once only.
+// armedTake is called with the core member that has accepted a request which may run only once.
 type armedTake func(m *machine)
 
-// arm lets a trouble wait for its moment.
+// arm defers a fault until its event.
 func (d *day) arm(step *dayStep) {
 	switch {
 	case step.has("timed"):
@@ -26,12 +26,12 @@
 	}
 }
 
-// drawArmedDelay is a moment soon after a change was sent, acknowledged or not.
+// drawArmedDelay draws a delay shortly after a change was sent, acknowledged or not.
 func (d *day) drawArmedDelay() clock.Micros { return 5000 + d.world.rng.Int64N(395*clock.Millisecond) }
 
 func (d *day) armTaken(f armedTake) { d.armedTakes = append(d.armedTakes, f) }
 
-// machineTookRequest tells that a machine has read a client's request.
+// machineTookRequest is called when a machine has read a client's request.
 func (d *day) machineTookRequest(m *machine, repeatable bool) {
 	if repeatable || !m.coreMember() || len(d.armedTakes) == 0 {
 		return
@@ -43,7 +43,7 @@
 	}
 }
 
-// strikeFurther strikes further counted machines beside the one that acknowledged, as many as are borne.
+// strikeFurther hits further core members beside the one that acknowledged, as many as the deployment tolerates.
 func (d *day) strikeFurther(step *dayStep) {
 	for range step.count - 1 {
 		m := d.drawCoreMember(&dayStep{})
--- a/lab/sim/day_backend_faults.go
+++ b/lab/sim/day_backend_faults.go
@@ -1,4 +1,4 @@
-// Troubles of backends: crashes, slowness, spoilt and lost answers, failures.
+// Backend faults: crashes, slowness, garbled and lost responses, failures.
 
 package sim
 
@@ -6,8 +6,8 @@
 
 import "slices"
 
-// drawBackends draws the backends that a trouble meets: a share of one service's, of all services' (across), or
-// all of one pool (all). One at least stays well in each pool unless all are meant.
+// drawBackends draws the backends that a fault hits: a share of one service, of all services (across), or all of
+// one pool (all). At least one backend of each pool stays healthy unless all are meant.
 func (d *day) drawBackends(step *dayStep, share float64) []*incarnation {
 	b := &d.backends
 	service := step.service
@@ -47,7 +47,7 @@
 	return out
 }
 
-// backendFault brings a trouble of backends about.
+// backendFault runs the step if it is a backend fault, and reports whether it is.
 func (d *day) backendFault(step *dayStep) bool {
 	set := func(share float64, on, off func(inc *incarnation)) {
 		lives := d.drawBackends(step, step.shareOr(share))
@@ -103,7 +103,7 @@
 	return true
 }
 
-// flap lets backends go down and come up by turns.
+// flap makes backends crash and start alternately until the given time.
 func (d *day) flap(step *dayStep, lives []*incarnation, until clock.Micros) {
 	if d.world.now >= until {
 		return
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -1,5 +1,5 @@
-// The backends of a day: pools, lives and addresses, and the list by which the
-// platform tells of them, late and within its rate.
+// The backends of a day: pools, incarnations and addresses, and the list by which the platform publishes them,
+// with a lag and a rate limit.
 
 package sim
 
@@ -15,7 +15,7 @@
 	"wallport/runtime/wire"
 )
 
-// Figures of the platform and of backends.
+// Constants of the platform and of backends.
 const (
 	listLagUs   = 800 * clock.Millisecond
 	pageSize    = 50
@@ -35,10 +35,10 @@
 	calls     []int64
 	nextID    int
 	nextAddr  int
-	// free are addresses whose backend has ended, with when they may be used again.
+	// free holds the addresses of backends that have ended, and when they may be used again.
 	free []freeAddr
 	mode string
-	// reuses lets every new life take a free address of another pool, where there is one.
+	// reuses makes every new incarnation take a free address of another pool where there is one.
 	reuses bool
 }
 
@@ -51,7 +51,7 @@
 	b.day, b.byAddr = d, map[string]*incarnation{}
 }
 
-// poolNames are the pools of a service: itself, or its shards.
+// poolNames returns the pools of a service: its own name, or the names of its shards.
 func (p *poolShape) poolNames() []string {
 	if p.shards == 0 {
 		return []string{p.name}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// begin starts the backends that are there from the start: they are warm.
+// begin starts the initial backends, already warm.
 func (b *backends) begin() {
 	for i := range b.day.site.pools {
 		if p := &b.day.site.pools[i]; !p.later {
@@ -94,7 +94,7 @@
 	}
 }
 
-// start is a new life, maybe at an address that a backend of another pool had.
+// start starts a new incarnation, possibly at an address that a backend of another pool had.
 func (b *backends) start(p *poolShape, pool, zone string) *incarnation {
 	d := b.day
 	b.nextID++
@@ -115,7 +115,7 @@
 	return inc
 }
 
-// address is a new one, or one whose backend has ended and was of another pool.
+// address returns a fresh address, or a free one of a backend of another pool.
 func (b *backends) address(pool, zone string) string {
 	i := slices.IndexFunc(b.free, func(f freeAddr) bool { return f.zone == zone && f.pool != pool && f.at <= b.day.world.now })
 	if i >= 0 && (b.reuses || b.day.world.rng.IntN(2) == 0) {
@@ -128,7 +128,7 @@
 	return fmt.Sprintf("10.128.%d.%d:8080", b.nextAddr/250, b.nextAddr%250)
 }
 
-// publish makes the platform know the backends as they are now; it shows them after its lag.
+// publish records the current backends at the platform, which shows them after its lag.
 func (b *backends) publish() {
 	now := b.day.world.now
 	list := wire.BackendList{Complete: true, Backends: []wire.Backend{}}
@@ -143,7 +143,7 @@
 	b.published = append(b.published, publishedList{now, list})
 }
 
-// serveList is a whole reading: as many calls as it has pages.
+// serveList reads the complete list, which costs as many calls as it has pages.
 func (b *backends) serveList() (int, []byte) {
 	w := b.day.world
 	for len(b.calls) > 0 && w.now-b.calls[0] >= clock.Second {
@@ -178,7 +178,7 @@
 	return 200, body
 }
 
-// fetch answers what plug-ins ask of the platform and of backends' health.
+// fetch answers the requests of plug-ins to the platform and to backends' health pages.
 func (d *day) fetch(p *process, f kernel.Fetch) {
 	done := false
 	answer := func(in int64, r kernel.Fetched) {
@@ -223,7 +223,7 @@
 	return inc.row.Zone
 }
 
-// of lists the lives that run and belong to a service or one of its pools.
+// of returns the running incarnations that belong to a service or to one of its pools.
 func (b *backends) of(service string) (out []*incarnation) {
 	for _, inc := range b.all {
 		if inc.up && !inc.draining && (service == "*" || inc.row.Pool == service || inc.shape.name == service) {
--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -1,4 +1,4 @@
-// Configurations that must be refused, each for one reason.
+// Invalid configurations, each with one defect, which must be rejected.
 
 package sim
 
@@ -9,12 +9,12 @@
 	"wallport/lab/rules"
 )
 
-// badModes are the ways in which a configuration is no good, as the platform names them.
+// badModes are the defects that an invalid configuration can have, as the platform names them.
 var badModes = []string{
 	"cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key",
 }
 
-// sendBad sends configurations that are no good, each way in turn or the one that is asked for.
+// sendBad sends invalid configurations: each defect in turn, or the one that the step names.
 func (c *commands) sendBad(step *dayStep) {
 	for i := range max(1, step.count) {
 		c.day.world.after(int64(i)*step.gapUs, func() {
@@ -40,14 +40,14 @@
 	case "same_version":
 		df.number = base.Revision
 	case "shared_key":
-		// Two items of one list bear one name.
+		// Two items of one list have the same name.
 		df.complete = true
 		twin := proto.Clone(df.routes[0]).(*routingpb.Route)
 		twin.Prefix = prefixOf("twin")
 		base = &rules.Version{Revision: base.Revision, Table: proto.Clone(base.Table).(*routingpb.RoutingTable)}
 		base.Table.Routes = append(base.Table.Routes, twin)
 	case "stale_match":
-		// It would be valid, but for the version that it builds on.
+		// Valid in itself, but based on a version that does not exist.
 		df.invalid = false
 		if len(c.accepted) > 1 {
 			base = c.accepted[len(c.accepted)-2].version
@@ -59,7 +59,7 @@
 	c.put(base, df, false, c.runNext)
 }
 
-// badRoute is a changed route with the fault in it that a way names.
+// badRoute returns a changed route with the named defect.
 func (c *commands) badRoute(way string) *routingpb.Route {
 	now := c.base.Table
 	r := c.edited(now, now.Routes[c.day.world.rng.IntN(len(now.Routes))])
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -1,5 +1,5 @@
-// The clients of a day: kinds of requests by zone, connections kept or new,
-// further tries as the platform's pages tell them, and probes of what is in force.
+// The clients of a day: kinds of requests by zone, new and kept connections, retries as the platform's pages ask
+// for them, and probes of the configuration in force.
 
 package sim
 
@@ -13,7 +13,7 @@
 	"wallport/runtime/clock"
 )
 
-// Figures of clients.
+// Constants of clients.
 const (
 	clientsPerZone      = 30
 	connectUs           = clock.Second
@@ -32,22 +32,22 @@
 	misses map[*machine]int
 	conns  map[string]nodeConn
 	eager  int
-	// eagerRetries are the further tries of clients that do not wait as told.
+	// eagerRetries is the number of additional retries of clients that do not wait as told.
 	eagerRetries int
 	owed         map[string]float64
 	earned       map[string]float64
 	phases       []float64
-	// pressure are the factors by which a zone or a kind of requests is pressed beyond the usual.
+	// pressure holds the load factors of zones and of kinds of requests.
 	pressure map[string]float64
 }
 
-// nodeConn is a client's connection to a life of a node.
+// nodeConn is a client's connection to one incarnation of a node.
 type nodeConn struct {
 	machine     *machine
 	incarnation int
 }
 
-// wantedRequest is what a client wants: one request, which may take some tries.
+// wantedRequest is one logical request of a client, which may take several attempts.
 type wantedRequest struct {
 	kind                  *requestShape
 	zone, client          string
@@ -81,7 +81,7 @@
 	c.day.world.at(leadUs, c.sendProbe)
 }
 
-// next sends a request of a zone's clients and sets the time of the following one.
+// next sends a request of a zone's clients and schedules the following one.
 func (c *clients) next(zi int) {
 	d := c.day
 	if d.world.now >= c.until || c.rate <= 0 {
@@ -126,7 +126,7 @@
 
 const host = "wall.example"
 
-// sendAttempt sends a request once.
+// sendAttempt makes one attempt at a request.
 func (c *clients) sendAttempt(wanted *wantedRequest) {
 	d := c.day
 	wanted.attemptsLeft--
@@ -157,7 +157,7 @@
 	c.connect(wanted, attempt, to, !ok)
 }
 
-// connect opens the connection where it is new, and sends the request.
+// connect opens a connection unless one is kept, and sends the request.
 func (c *clients) connect(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, fresh bool) {
 	d := c.day
 	there := d.site.clientUs + d.world.rng.Int64N(200)
@@ -178,7 +178,7 @@
 	d.world.at(wanted.end, func() { c.giveUp(wanted, attempt) })
 }
 
-// giveUp is the client's deadline.
+// giveUp ends the attempt at the client's deadline.
 func (c *clients) giveUp(wanted *wantedRequest, attempt *rules.Attempt) {
 	if attempt.Ended == rules.Never {
 		attempt.GaveUp = true
@@ -186,7 +186,7 @@
 	}
 }
 
-// send is the request's last byte at the node.
+// send delivers the request to the node once its last byte is there.
 func (c *clients) send(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, there int64) {
 	d := c.day
 	if attempt.Ended != rules.Never {
@@ -215,7 +215,7 @@
 		d.world.after(there, func() { c.ended(wanted, attempt, attempt.Read == 0) })
 	}
 	if attempt.Repeatable {
-		// One that has not been read after a while is given up.
+		// An idempotent request that the node has not read after a while is given up.
 		d.world.after(min(clock.Second, (wanted.end-d.world.now)/3), func() {
 			if attempt.Read == 0 && attempt.Ended == rules.Never {
 				attempt.GaveUp = true
@@ -269,7 +269,7 @@
 // allTraffic stands for all zones and kinds.
 const allTraffic = "*"
 
-// pressureOn is by how much a zone or a kind is pressed.
+// pressureOn returns the load factor of a zone or of a kind.
 func (c *clients) pressureOn(name string) float64 {
 	if x := c.pressure[name]; x > 0 {
 		return x
@@ -277,12 +277,12 @@
 	return 1
 }
 
-// perSecond is how many requests of a kind come in a second before the day's rate.
+// perSecond returns how many requests of a kind arrive in a second, before the day's rate is applied.
 func (c *clients) perSecond(kind *requestShape) float64 {
 	return kind.perSecond * c.pressureOn(kind.name) * c.pressureOn(allTraffic)
 }
 
-// checkReady asks every node each second; one that misses twice gets no new connections.
+// checkReady asks every node each second for its readiness; one that misses twice gets no new connections.
 func (c *clients) checkReady() {
 	c.day.world.after(readyEvery, c.checkReady)
 	for _, m := range c.day.machines {
@@ -294,7 +294,7 @@
 	}
 }
 
-// in lists a zone's nodes that get new connections.
+// in returns a zone's nodes that get new connections.
 func (c *clients) in(zone string) (out, all []*machine) {
 	for _, m := range c.day.machines {
 		if m.zone == zone && !m.removed {
@@ -307,11 +307,11 @@
 	return out, all
 }
 
-// pickNode is where the platform leads a new connection: by a hash of the client, another one at each try.
+// pickNode chooses the node of a new connection by a hash of the client, another one for each attempt.
 func (c *clients) pickNode(zone, client string, try int) *machine {
 	list, all := c.in(zone)
 	if len(list) == 0 {
-		// None is in: those of the other zones.
+		// None is ready: fall back to the nodes of the other zones.
 		for _, z := range c.day.site.zones {
 			if l, _ := c.in(z.name); len(l) > 0 {
 				list = l
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -1,5 +1,5 @@
-// Orders that go wrong on their way: two under one number, one sent again long
-// after, and one about a zone that a cut holds up.
+// Operators' commands that go wrong on their way: two under one revision, one sent again long after, and one
+// about a zone that a partition delays.
 
 package sim
 
@@ -14,17 +14,17 @@
 	"wallport/runtime/wire"
 )
 
-// Points that the orders below are judged by.
+// Names of the checks of these commands.
 const (
 	pointOneNumber = "one_number_once"
 	pointSentAgain = "sent_again_acknowledged"
 	pointLateOrder = "late_order_does_nothing"
 )
 
-// zoneSettleUs is how long after a late order the zone must be as it was.
+// zoneSettleUs is how long after a late command the zone must be as it was.
 const zoneSettleUs = 3 * clock.Second
 
-// commandFault brings one about.
+// commandFault runs the step if it is a command fault, and reports whether it is.
 func (d *day) commandFault(step *dayStep) bool {
 	switch step.verb {
 	case "same_number":
@@ -43,7 +43,7 @@
 	return true
 }
 
-// sameNumber has two operators pick one number for different changes, whole or by items.
+// sameNumber makes two operators choose one revision for different changes, complete or by items.
 func (c *commands) sameNumber() {
 	c.enqueue(func() {
 		base, revision, acked := c.base, c.nextRevision(), 0
@@ -76,7 +76,7 @@
 	})
 }
 
-// sentAgain sends a change that was acknowledged before once more, at two machines at once.
+// sentAgain repeats an acknowledged change at two machines at once.
 func (c *commands) sentAgain() {
 	if len(c.accepted) == 0 {
 		return
@@ -93,13 +93,13 @@
 	}
 }
 
-// lateEvacuate gives a machine an order to evacuate a zone, which a cut holds up; the operator
-// gives it up and takes the zone back elsewhere. With how=core the machine takes the order and is
-// cut off from the core a moment later; otherwise the order reaches it when the cut is over.
+// lateEvacuate sends one machine a command to evacuate a zone, which a partition delays; the operator gives up
+// and restores the zone elsewhere. With how=core the machine takes the command and is partitioned from the core
+// a moment later; otherwise the command reaches it when the partition heals.
 func (d *day) lateEvacuate(step *dayStep) {
 	list := d.listedCores()
 	m := list[d.world.rng.IntN(len(list))]
-	// Nobody hears what becomes of it.
+	// Its outcome is never known.
 	d.journal.ZoneCalls = append(d.journal.ZoneCalls, &rules.ZoneCall{Zone: step.zone, Drains: true, Sent: d.world.now, Acked: rules.Never})
 	give := func() {
 		p := m.core
@@ -110,7 +110,7 @@
 		p.deliver(func() {
 			p.call("operate", operations.Submit{Edit: wire.Edit{Op: "empty", Name: step.zone}, AwaitInForce: true, AwaitTimeout: waitUs, Timeout: answerUs}, nil)
 			id := p.nextCall
-			// The end of the connection follows the order at once where the operator has gone.
+			// The end of the connection follows the command at once where the operator has gone.
 			after := int64(commandTimeoutUs)
 			if !step.has("core") {
 				after = 100
@@ -137,7 +137,7 @@
 	})
 }
 
-// partitionMachine cuts a machine off from all others for a while.
+// partitionMachine partitions a machine from all others for a while.
 func (d *day) partitionMachine(m *machine, forUs clock.Micros) {
 	d.recordUnplanned(forUs)
 	var ways []string
--- a/lab/sim/day_commands.go
+++ b/lab/sim/day_commands.go
@@ -1,5 +1,5 @@
-// The operators of a day: each order goes to one core after another until the
-// answer is clear, unchanged every time.
+// The operators of a day: each command goes unchanged to one core after another until the answer is final.
+// Acknowledgements can be lost, and acknowledged changes sent again.
 
 package sim
 
@@ -17,7 +17,7 @@
 	"wallport/runtime/wire"
 )
 
-// Figures of operators' calls, as the platform's control address has them.
+// Time-outs and backoff of operators' calls, as the platform's control address has them.
 const (
 	commandTimeoutUs = clock.Second
 	backoffUs        = 50 * clock.Millisecond
@@ -29,25 +29,25 @@
 
 type commands struct {
 	day *day
-	// base is the newest version that was acknowledged, to build the next one on.
+	// base is the newest acknowledged version, on which the next one is based.
 	base     *rules.Version
 	revision int64
 	queue    []func()
 	open     int
 	nextIdle int
-	// armed wait for the next acknowledgement.
+	// armed are called at the next acknowledgement.
 	armed []func(m *machine)
-	// last is the machine that acknowledged last.
+	// last is the machine that sent the latest acknowledgement.
 	last  *machine
 	zones map[string]*rules.Evacuation
-	// sentArmed wait for the next configuration to be sent.
+	// sentArmed are called when the next configuration is sent.
 	sentArmed []func()
 	races     int
 	ackLoss   ackLoss
 	accepted  []acceptedChange
 }
 
-// command is one call of an operator, sent until its answer is clear.
+// command is one call of an operator, repeated until its answer is final.
 type command struct {
 	request func() any
 	code    func(v any) string
@@ -56,13 +56,13 @@
 	avoid   *machine
 	until   clock.Micros
 	pin     pin
-	// acknowledged is told of each acknowledgement that leaves a machine, lost on its way or not.
+	// acknowledged is called for each acknowledgement that leaves a machine, even if it is lost on its way.
 	acknowledged func()
 }
 
 func (c *commands) init(d *day) { c.day, c.zones = d, map[string]*rules.Evacuation{} }
 
-// send asks some core; only a clear answer ends it.
+// send calls some core; only a final answer ends the command.
 func (c *commands) send(cmd *command) {
 	d := c.day
 	again := func() {
@@ -121,7 +121,7 @@
 
 func editCode(v any) string { return string(v.(operations.Result).Reply.Code) }
 
-// carry is an order that changes something.
+// carry sends a command that changes something.
 func (c *commands) carry(e wire.Edit, at pin, left func(), done func(code string, m *machine)) {
 	c.send(&command{
 		request: func() any {
@@ -131,7 +131,7 @@
 	})
 }
 
-// sendVersion sends a configuration; one that is cut short lacks its last byte.
+// sendVersion sends a configuration; a truncated one lacks its last byte.
 func (c *commands) sendVersion(e *routingpb.RoutingEdit, version *rules.Version, df draft, done func()) {
 	d := c.day
 	version.Sent, version.Acked, version.Refused = d.world.now, rules.Never, rules.Never
@@ -166,7 +166,7 @@
 	})
 }
 
-// acked runs what waits for an acknowledgement.
+// acked calls what waits for an acknowledgement.
 func (c *commands) acked(m *machine) {
 	c.last = m
 	armed := c.armed
@@ -176,7 +176,7 @@
 	}
 }
 
-// enqueue runs f once no configuration is under way, in the order of asking.
+// enqueue runs f once no configuration is in flight, first come, first served.
 func (c *commands) enqueue(f func()) {
 	c.queue = append(c.queue, f)
 	c.runNext()
@@ -191,7 +191,7 @@
 	f()
 }
 
-// evacuate asks that nothing more be sent to a zone, or takes that back.
+// evacuate drains a zone, or restores it.
 func (c *commands) evacuate(zone string, on bool) {
 	d := c.day
 	if !slices.ContainsFunc(d.site.zones, func(z zoneShape) bool { return z.name == zone }) {
@@ -231,7 +231,7 @@
 	})
 }
 
-// readBack asks for the configuration until it comes, again and again until the day's end.
+// readBack reads the configuration back, repeatedly until the day ends.
 func (c *commands) readBack() {
 	d := c.day
 	var got *routingpb.RoutingTable
@@ -248,25 +248,25 @@
 	})
 }
 
-// pin is the machine that an order goes to first; only tells that it goes there until it answers.
+// pin is the machine that a command goes to first; with only it goes nowhere else until that machine answers.
 type pin struct {
 	machine *machine
 	only    bool
 }
 
-// ackLoss is the share of acknowledgements that are lost until a moment.
+// ackLoss is the share of acknowledgements that are lost, and until when.
 type ackLoss struct {
 	until clock.Micros
 	share float64
 }
 
-// acceptedChange is a change that was acknowledged, as it was sent.
+// acceptedChange is an acknowledged change as it was sent.
 type acceptedChange struct {
 	edit    wire.Edit
 	version *rules.Version
 }
 
-// target picks the machine that an order goes to: another one than the last time.
+// target chooses the machine for a command, preferably another one than the last time.
 func (c *commands) target(cmd *command) *machine {
 	if m := cmd.pin.machine; m != nil && !m.removed {
 		if !cmd.pin.only {
@@ -287,7 +287,7 @@
 	return m
 }
 
-// losesAck notes an acknowledgement that leaves a machine, and tells whether it is lost on its way.
+// losesAck records an acknowledgement that leaves a machine, and reports whether it is lost on its way.
 func (c *commands) losesAck(cmd *command, code string) bool {
 	if code != "ok" || cmd.acknowledged == nil {
 		return false
@@ -300,7 +300,7 @@
 	return true
 }
 
-// firstTime sets a moment once.
+// firstTime returns a function that sets *at to the current time unless it is set.
 func firstTime(at, now *clock.Micros) func() {
 	return func() {
 		if *at == 0 {
@@ -309,12 +309,12 @@
 	}
 }
 
-// loseAcks loses a share of the acknowledgements for a while.
+// loseAcks drops a share of the acknowledgements for a while.
 func (c *commands) loseAcks(step *dayStep) {
 	c.ackLoss = ackLoss{c.day.world.now + step.forUs, step.factorOr(0.7)}
 }
 
-// resend sends the last changes that were acknowledged again, as they were, several at a time.
+// resend repeats the latest acknowledged changes, unchanged, several at a time.
 func (c *commands) resend(n int) {
 	d := c.day
 	for _, change := range c.accepted[max(0, len(c.accepted)-n):] {
@@ -330,7 +330,7 @@
 	}
 }
 
-// announce runs what waits for a configuration to be sent.
+// announce calls what waits for a configuration to be sent.
 func (c *commands) announce() {
 	armed := c.sentArmed
 	c.sentArmed = nil
@@ -339,7 +339,7 @@
 	}
 }
 
-// hangUp ends the operator's connection to a process whose answer it no longer waits for.
+// hangUp closes the operator's connection to a process whose answer it no longer waits for.
 func (c *commands) hangUp(p *process, over *bool, id uint64) {
 	sent := c.day.world.now
 	p.deliverAfter(commandTimeoutUs+controlLatencyUs, func() {
--- a/lab/sim/day_configs.go
+++ b/lab/sim/day_configs.go
@@ -1,5 +1,4 @@
-// The configurations of a day: the first one, the changes that operators make
-// to it, and those that are no good.
+// The configurations of a day: the first one and the changes that operators make to it.
 
 package sim
 
@@ -18,7 +17,7 @@
 
 func idleName(n int) string { return fmt.Sprintf("idle-%d", n) }
 
-// firstConfig is the configuration that is sent before the traffic.
+// firstConfig returns the configuration that is sent before the traffic starts.
 func (c *commands) firstConfig() *routingpb.RoutingTable {
 	s := &c.day.site
 	t := &routingpb.RoutingTable{Limits: &routingpb.Limits{
@@ -51,7 +50,7 @@
 	return t
 }
 
-// unshardedPools are the pools that are no shards.
+// unshardedPools returns the pools that are not shards.
 func (d *day) unshardedPools() (out []string) {
 	for i := range d.site.pools {
 		if p := &d.site.pools[i]; p.shards == 0 {
@@ -70,7 +69,7 @@
 	return &d.site.kinds[0]
 }
 
-// newIdleRoute is a new route that only probes ask for.
+// newIdleRoute returns a new route that only probes use.
 func (c *commands) newIdleRoute() *routingpb.Route {
 	kind, pools := c.day.idleKind(), c.day.unshardedPools()
 	name := idleName(c.nextIdle)
@@ -81,7 +80,7 @@
 	}
 }
 
-// idleNames are routes to ask for: those that were ever there, and one that never was.
+// idleNames returns idle routes to probe: recent ones, present or removed, and one that never existed.
 func (c *commands) idleNames() (out []string) {
 	for n := max(0, c.nextIdle-8); n <= c.nextIdle; n++ {
 		out = append(out, idleName(n))
@@ -114,25 +113,25 @@
 	c.day.world.Checker.Count("orders_open", int64(c.open))
 }
 
-// nextRevision is the number of a version to come: they go up in uneven steps.
+// nextRevision returns the next revision; revisions go up in uneven steps.
 func (c *commands) nextRevision() int64 {
 	c.revision = max(c.revision, c.base.Revision) + 1 + c.day.world.rng.Int64N(3)
 	return c.revision
 }
 
-// draft is a change of the newest version: the items that are new, and names that go.
+// draft is a change of the newest version: new or changed routes, and routes to withdraw.
 type draft struct {
 	routes   []*routingpb.Route
 	withdraw []string
 	invalid  bool
-	// number is the version's, 0 for the next one; truncated takes the last byte off what is sent.
+	// number is the revision, 0 for the next one; truncated drops the last byte of what is sent.
 	number    int64
 	truncated bool
 	complete  bool
 	pin       pin
 }
 
-// change sends one on top of the newest version that was acknowledged.
+// change sends a change based on the newest acknowledged version.
 func (c *commands) change(how string) { c.changeAt(how, pin{}) }
 
 func (c *commands) changeAt(how string, at pin) {
@@ -143,10 +142,10 @@
 	})
 }
 
-// race sends so many on top of the same version, at about the same time.
+// race sends n changes based on the same version at about the same time.
 func (c *commands) race(n int) { c.raceAt(n, pin{}) }
 
-// raceAt does so at one machine, or anywhere; in every second race all rivals pick the same number.
+// raceAt does so at one machine or anywhere; in every second race all rivals use the same revision.
 func (c *commands) raceAt(n int, at pin) {
 	c.enqueue(func() {
 		base, number := c.base, int64(0)
@@ -185,7 +184,7 @@
 	c.sendVersion(e, &rules.Version{Revision: rev, Base: base.Revision, Table: t, Invalid: df.invalid, Alone: alone}, df, done)
 }
 
-// apply is the operator's own idea of what a change comes to.
+// apply returns the table that an operator expects a change to result in.
 func apply(on *routingpb.RoutingTable, df draft) *routingpb.RoutingTable {
 	t := proto.Clone(on).(*routingpb.RoutingTable)
 	for _, r := range df.routes {
--- a/lab/sim/day_connection_faults.go
+++ b/lab/sim/day_connection_faults.go
@@ -1,5 +1,5 @@
-// Troubles of connections and of single machines' pace: resets, refusals, cuts
-// with restarts, slow processes, settings that are read again.
+// Faults of connections and of single machines' speed: resets, refused dials, partitions with restarts, slow
+// processes, settings that are read again.
 
 package sim
 
@@ -11,13 +11,13 @@
 )
 
 const (
-	// slowStepUs is what an input takes of a process that is slowed down, for each time that it is slower.
+	// slowStepUs is the time that an input takes in a slowed process, per unit of slowness.
 	slowStepUs = 60
-	// busyWithin bounds how long a machine that is to be stopped waits for a request.
+	// busyWithin bounds how long a machine that is to be stopped waits until it has a request in flight.
 	busyWithin = 2 * clock.Second
 )
 
-// slow makes each input take a while; 0 is the usual pace.
+// slow makes each input of the machine's processes take the given time; 0 restores the usual speed.
 func (m *machine) slow(us clock.Micros) {
 	m.recordEvent()
 	for _, p := range m.processes() {
@@ -44,7 +44,7 @@
 	}
 }
 
-// resetConns ends a share of a node's connections with clients and backends.
+// resetConns closes a share of a node's connections with clients and backends.
 func (g *gateway) resetConns(share float64) {
 	rnd := g.day.world.rng
 	for _, x := range slices.Clone(g.exchanges) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// restartAroundPartition restarts machines, or names seeds, around a machine that is cut off.
+// restartAroundPartition restarts machines, or changes the seeds, around a partitioned machine.
 func (d *day) restartAroundPartition(step *dayStep, m *machine) {
 	again := func(o *machine, in int64) {
 		d.world.after(in, func() {
@@ -94,14 +94,14 @@
 	}
 }
 
-// setRefused lets connections over a cut be refused at once.
+// setRefused makes dials over the given partitioned links fail at once instead of timing out.
 func (d *day) setRefused(ways []string, on bool) {
 	for _, way := range ways {
 		d.refusedLinks[way] = on
 	}
 }
 
-// rereadSettings lets machines read their settings again.
+// rereadSettings makes machines read their settings again.
 func (d *day) rereadSettings(step *dayStep) {
 	all := slices.Clone(d.machines)
 	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
--- a/lab/sim/day_drafts.go
+++ b/lab/sim/day_drafts.go
@@ -1,5 +1,5 @@
-// What operators change: idle routes, where routes go, weights, time-outs, the
-// shards of an index, and changes that must be refused.
+// The changes that operators draft: idle routes, routes' pools, weights, time-outs, the shards of an index, and
+// changes that must be rejected.
 
 package sim
 
@@ -12,7 +12,7 @@
 	"wallport/api/routingpb"
 )
 
-// draft makes a change of the newest version.
+// draft drafts a change of the newest version.
 func (c *commands) draft(how string) draft {
 	d, now := c.day, c.base.Table
 	rnd := d.world.rng
@@ -44,7 +44,7 @@
 	return changed
 }
 
-// moved sends a route of one pool to the other, or splits it.
+// moved moves a route from one pool to the other, or splits it.
 func (c *commands) moved(on *routingpb.RoutingTable, split bool) *routingpb.Route {
 	var of []*routingpb.Route
 	for _, r := range on.Routes {
@@ -69,7 +69,7 @@
 	return r
 }
 
-// idleDraft adds an idle route, removes one or sends one elsewhere.
+// idleDraft adds, removes or moves an idle route.
 func (c *commands) idleDraft(on *routingpb.RoutingTable) draft {
 	var idle []*routingpb.Route
 	for _, r := range on.Routes {
@@ -103,7 +103,7 @@
 }
 
 // reshard starts the backends of the next set of shards; after a while a version names them, and once that is
-// due everywhere the old ones leave.
+// due everywhere the old ones drain.
 func (d *day) reshard(after int64) {
 	c := &d.commands
 	for i := range d.site.pools {
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -1,5 +1,5 @@
-// One exchange of a node with a backend, over connections that are kept, as
-// the product's own client of backends does it: what it tells the chart.
+// One exchange between a node and a backend over pooled connections, as the product's backend client carries it
+// out, and what it reports to the request state machine.
 
 package sim
 
@@ -13,7 +13,7 @@
 	"wallport/runtime/clock"
 )
 
-// Figures of connections to backends.
+// Constants of connections to backends.
 const (
 	handshakeUs  = 1000
 	dialWithin   = 400 * clock.Millisecond
@@ -22,12 +22,12 @@
 	surplusAfter = 3000
 )
 
-// conn is a connection that is kept; foul tells that bytes of no request wait on it.
+// conn is a pooled connection; surplusAt is when bytes that belong to no request arrive on it, 0 for never.
 type conn struct {
 	backend   *incarnation
 	idleSince clock.Micros
 	surplusAt clock.Micros
-	// reset tells that the backend's end is gone, and the node does not know it yet.
+	// reset reports that the backend's end is closed and the node does not know it yet.
 	reset bool
 }
 
@@ -40,7 +40,7 @@
 	kind    *requestShape
 	action  dispatch.Send
 	conn    *conn
-	// reused tells that the connection had served before; sent that bytes were written.
+	// reused reports that the connection had served before; sent that bytes were written.
 	reused, sent, ended bool
 }
 
@@ -49,7 +49,7 @@
 	return addr, addr == "platform"
 }
 
-// exchangesOf lists what is under way with a backend, in the order of the gates.
+// exchangesOf returns the exchanges in flight with a backend, in the order of the machines.
 func (d *day) exchangesOf(inc *incarnation) (out []*exchange) {
 	for _, m := range d.machines {
 		if g := d.gateways[m.node]; g != nil {
@@ -114,7 +114,8 @@
 	return dispatch.ClassNotSent
 }
 
-// takeIdleConn takes a kept connection to a backend, the newest first; those that end or hold foul bytes are closed.
+// takeIdleConn takes a pooled connection to a backend, the newest first, and closes those that expired or hold
+// surplus bytes.
 func (g *gateway) takeIdleConn(s *snapshot.Backend) *conn {
 	now := g.day.world.now
 	all := g.idleConns[s.ID]
@@ -144,7 +145,7 @@
 	c.backend.conns--
 }
 
-// send writes the request; it is at the backend a way later.
+// send writes the request, which arrives at the backend one network latency later.
 func (x *exchange) send(inc *incarnation) {
 	d, a := x.gateway.day, &x.action
 	x.backend, x.sent = inc, true
@@ -152,7 +153,7 @@
 	work := d.drawWork(x.kind)
 	within := max(1000, a.Timeout)
 	if x.conn.surplusAt > 0 {
-		// A surplus answer comes where this request's own is expected; its id shows it.
+		// A surplus response comes where this request's own is expected; its id shows it.
 		d.world.Checker.Count("surplus_met", 1)
 		x.gateway.process.deliverAfter(max(0, x.conn.surplusAt-sent), func() {
 			x.end(dispatch.Result{Class: dispatch.ClassInvalid, ReusedConn: true, Reason: "another request's answer"})
@@ -160,7 +161,7 @@
 	}
 	rested := sent - x.conn.idleSince
 	if x.conn.reset || x.reused && inc.connTimeout > 0 && rested > inc.connTimeout {
-		// The backend's end of the connection is gone: the request is not read there.
+		// The backend's end of the connection is closed, so it never reads the request.
 		d.world.Checker.Count("sent_on_reset", 1)
 		x.failed("reset")
 		return
@@ -170,7 +171,7 @@
 	})
 }
 
-// arrive is the request's last byte at the backend; a cut held it up, or not.
+// arrive is called when the request's last byte is at the backend; held reports that a partition delayed it.
 func (x *exchange) arrive(inc *incarnation, sent, work, within clock.Micros, held bool) {
 	d, a := x.gateway.day, &x.action
 	if x.ended && d.world.rng.IntN(2) == 0 {
@@ -190,7 +191,7 @@
 	}, work, within)
 }
 
-// end gives the chart its reply, once.
+// end reports the reply to the request state machine, once.
 func (x *exchange) end(r dispatch.Result) {
 	if x.ended {
 		return
@@ -226,7 +227,7 @@
 	}
 }
 
-// deliverReply brings what the backend sent to the node.
+// deliverReply delivers what the backend sent to the node after the network latency.
 func (x *exchange) deliverReply(f func()) {
 	d, inc := x.gateway.day, x.backend
 	d.world.after(d.latency(inc.row.Zone, x.gateway.process.settings.Zone), func() {
--- a/lab/sim/day_fault_spans.go
+++ b/lab/sim/day_fault_spans.go
@@ -1,10 +1,10 @@
-// Who can hear whom on a day, and what troubles the machines have.
+// Reachability between the machines of a day, and the spans in which each machine counts as faulty.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// partitioned reports whether nothing gets from one process to another.
+// partitioned reports whether no frame gets from one process to another.
 func (d *day) partitioned(a, b string) bool {
 	p, q := d.world.processes[a], d.world.processes[b]
 	if p == nil || q == nil {
@@ -17,17 +17,17 @@
 	return d.machinesPartitioned(m, n)
 }
 
-// machinesPartitioned reports whether nothing gets from one machine to another.
+// machinesPartitioned reports whether no frame gets from one machine to another.
 func (d *day) machinesPartitioned(m, n *machine) bool {
 	return m != n && (d.partitions[m.name+">"+n.name] || d.zonesPartitioned(m.zone, n.zone))
 }
 
-// zonesPartitioned reports whether two zones are cut off from each other.
+// zonesPartitioned reports whether two zones are partitioned from each other.
 func (d *day) zonesPartitioned(a, b string) bool {
 	return a != b && (d.zonePartitions[a] || d.zonePartitions[b])
 }
 
-// updateFaultSpans works out anew what troubles the machines have.
+// updateFaultSpans recomputes which machines are faulty and whether the core is settled.
 func (d *day) updateFaultSpans() {
 	now, t := d.world.now, &d.journal.Faults
 	var core []*machine
@@ -40,7 +40,7 @@
 	up := func(m *machine) bool {
 		return !m.poweredOff && !m.removed && m.node.running() && (m.core == nil || m.core.running())
 	}
-	// reach counts the core machines that one reaches, itself included.
+	// reach counts the core members that a machine reaches, itself included.
 	reach := func(m *machine) (n int) {
 		for _, c := range core {
 			if up(c) && up(m) && (c == m || linked(c, m)) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// publishCores keeps the operator's list of the core machines that run, as it lags.
+// publishCores records the running core machines for the operators' list, which lags.
 func (d *day) publishCores() {
 	var now []*machine
 	for _, m := range d.machines {
@@ -84,7 +84,7 @@
 	d.world.after(500*clock.Millisecond, d.publishCores)
 }
 
-// listedCores is that list as it stood a while ago.
+// listedCores returns that list as it stood 3 s ago.
 func (d *day) listedCores() []*machine {
 	out := d.publishedCores[0].cores
 	for _, s := range d.publishedCores {
--- a/lab/sim/day_follow_up.go
+++ b/lab/sim/day_follow_up.go
@@ -1,12 +1,11 @@
-// What comes after a machine's trouble: changes that meet it as it returns, or
-// while it is cut off, and backends of its zone that leave; and which machines
-// a trouble names.
+// What follows a machine's fault: changes that meet it as it returns or while it is partitioned, backends of its
+// zone that drain, and the machines that a step names.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// endFaultAfter ends a machine's trouble after a while; what is to meet it as it returns does.
+// endFaultAfter ends a machine's fault after a while, then sends it what the step has for its return.
 func (d *day) endFaultAfter(step *dayStep, m *machine, in int64, end func()) {
 	d.world.after(in, func() {
 		end()
@@ -15,7 +14,7 @@
 	})
 }
 
-// meetReturned is what meets a machine that is back.
+// meetReturned sends a machine that is back what the step asks for.
 func (d *day) meetReturned(step *dayStep, m *machine) {
 	d.sendChangeTo(step, m)
 	if step.has("drain") {
@@ -23,12 +22,12 @@
 	}
 }
 
-// meetDuring is what meets a machine while it is cut off.
+// meetDuring does so while the machine is partitioned.
 func (d *day) meetDuring(step *dayStep, m *machine) {
 	d.world.after(d.world.rng.Int64N(step.forUs/2+1), func() { d.sendChangeTo(step, m) })
 }
 
-// sendChangeTo sends a change to a machine, or two at once (race), again and again until it answers (hard).
+// sendChangeTo sends a change to a machine, or two at once (race), repeatedly until it answers (hard).
 func (d *day) sendChangeTo(step *dayStep, m *machine) {
 	if m.core == nil || m.removed {
 		return
@@ -44,7 +43,7 @@
 	}
 }
 
-// namedMachine is the machine that an entry names by what it did: the leader, a reader of the list, a seed.
+// namedMachine returns the machine that a step names by its role: the leader, a reader of the list, a seed.
 func (d *day) namedMachine(step *dayStep) *machine {
 	switch {
 	case step.has("leader"):
@@ -69,7 +68,7 @@
 	}
 }
 
-// countStep counts what an entry brings about, with each of its ways.
+// countStep counts a step by its verb and by each of its modes.
 func (d *day) countStep(step *dayStep) {
 	d.world.Checker.Count("kind."+step.verb, 1)
 	for _, way := range step.modes() {
--- a/lab/sim/day_gateway.go
+++ b/lab/sim/day_gateway.go
@@ -1,6 +1,5 @@
-// The clients' side of a simulated node: the product's own request charts,
-// their asks carried out on the simulated network, readiness, and the planned
-// stop.
+// The clients' side of a simulated node: the product's request state machines, their actions carried out on the
+// simulated network, readiness, and the graceful shutdown.
 
 package sim
 
@@ -13,7 +12,7 @@
 	"wallport/runtime/clock"
 )
 
-// Figures of the clients' server, as the product has them.
+// Times of the clients' server, as in the product.
 const (
 	acceptsFor = 2200 * clock.Millisecond
 	stopEvery  = 20 * clock.Millisecond
@@ -26,11 +25,11 @@
 	requests   []*clientRequest
 	exchanges  []*exchange
 	idleConns  map[string][]*conn
-	// opened tells that the clients' port is open; shut that it is closed again.
+	// opened reports that the clients' port is open; closed that it is closed again.
 	opened, closed, draining bool
 }
 
-// clientRequest is one request in the node.
+// clientRequest is one request in a node.
 type clientRequest struct {
 	attempt      *rules.Attempt
 	kind         *requestShape
@@ -54,7 +53,7 @@
 	g.openWhenReady()
 }
 
-// openWhenReady opens the clients' port with the first table.
+// openWhenReady opens the clients' port once the node has a routing table.
 func (g *gateway) openWhenReady() {
 	if g.ready() {
 		g.opened = true
@@ -63,16 +62,16 @@
 	g.process.deliverAfter(stopEvery, g.openWhenReady)
 }
 
-// ready is what the node answers when it is asked for its readiness.
+// ready reports what the node answers to a readiness check.
 func (g *gateway) ready() bool {
 	cp := g.process.snapshots.Current()
 	return g.process.up && !g.draining && cp.Ready() && cp.Routing != nil
 }
 
-// accepts reports whether a new connection finds anyone.
+// accepts reports whether a new connection is accepted.
 func (g *gateway) accepts() bool { return g.process.up && g.opened && !g.closed }
 
-// accept takes a request that has come whole; done gets its outcome, or nil where it was cut.
+// accept starts a request that was read completely; done gets its outcome, or nil if it was aborted.
 func (g *gateway) accept(attempt *rules.Attempt, kind *requestShape, done func(o *dispatch.Outcome)) *clientRequest {
 	request := &clientRequest{attempt: attempt, kind: kind, done: done}
 	g.requests = append(g.requests, request)
@@ -109,7 +108,7 @@
 	case dispatch.Cancel:
 		g.cancel(request, v.N)
 	case dispatch.Abandon:
-		// The exchange runs out by itself.
+		// The exchange ends by itself.
 	case dispatch.SetTimer:
 		request.wakeups++
 		mine := request.wakeups
@@ -142,7 +141,7 @@
 	request.done(o)
 }
 
-// clientGone is that the client has closed its connection.
+// clientGone is called when the client has closed its connection.
 func (g *gateway) clientGone(request *clientRequest) {
 	if request.ended {
 		return
@@ -154,7 +153,7 @@
 	})
 }
 
-// abort is the end of the process: every request read and not answered is cut.
+// abort ends the gateway with its process: every request in flight is aborted.
 func (g *gateway) abort() {
 	g.closed = true
 	runs := g.requests
@@ -176,7 +175,8 @@
 	g.idleConns = map[string][]*conn{}
 }
 
-// stop is the planned stop: not ready at once, new connections for a while yet, then what was read is finished.
+// stop is the graceful shutdown: not ready at once, new connections for a while yet, then the requests in flight
+// are finished.
 func (g *gateway) stop() {
 	p := g.process
 	p.draining, g.draining = true, true
--- a/lab/sim/day_grey.go
+++ b/lab/sim/day_grey.go
@@ -1,11 +1,11 @@
-// Backends that fail part of their requests while their health is good.
+// Backends that fail a share of their requests while their health checks pass (grey failures).
 
 package sim
 
 // greyMode is how a grey backend fails a request.
 type greyMode string
 
-// The ways in which grey backends fail, as the platform names them.
+// The modes of grey failures, as the platform names them.
 const (
 	greyErrors  greyMode = "errors"
 	greyRejects greyMode = "shed"
@@ -16,7 +16,7 @@
 	greySlow    greyMode = "slow"
 )
 
-// grey is a backend's failing: a share of its requests, of all callers or those of one zone.
+// grey is a backend's grey failure: the share of its requests that fail, of all callers or of those in one zone.
 type grey struct {
 	mode  greyMode
 	share float64
@@ -40,7 +40,7 @@
 	return g
 }
 
-// lying fails everything while health answers are good, or nothing where they are bad.
+// lying fails every request while health checks pass, or none while they fail.
 func lying(step *dayStep) grey {
 	if step.has("bad") {
 		return grey{}
@@ -50,12 +50,12 @@
 	return g
 }
 
-// meets reports whether a caller's request is one that fails.
+// meets draws whether a request fails.
 func (g *grey) meets(d *day, zone string) bool {
 	return g.share > 0 && (g.zone == "" || g.zone == zone) && d.world.rng.Float64() < g.share
 }
 
-// factor is how many times as long a request's work takes.
+// factor returns how many times as long a request's work takes.
 func (g *grey) factor(j *job) int64 {
 	if j.mode == greySlow {
 		return max(1, g.slow)
@@ -63,7 +63,7 @@
 	return 1
 }
 
-// rejectsEarly ends a request that a grey backend does not even begin.
+// rejectsEarly ends a request that a grey backend does not even start, and reports whether it did.
 func (inc *incarnation) rejectsEarly(x *exchange, j *job) bool {
 	switch j.mode {
 	case greyRejects:
@@ -71,7 +71,7 @@
 	case greyBusy:
 		x.rejected(inc, 429, "busy")
 	case greyMute:
-		// It was read, and nothing ever comes of it.
+		// It is read, and never answered.
 		inc.day.world.Checker.Count("muted_requests", 1)
 	default:
 		return false
--- a/lab/sim/day_incarnation.go
+++ b/lab/sim/day_incarnation.go
@@ -1,5 +1,4 @@
-// One life of a backend: slots and a queue, pauses, and what troubles make of
-// its answers.
+// One incarnation of a backend: slots, a queue, pauses, and the faults of its responses.
 
 package sim
 
@@ -20,20 +19,20 @@
 	record *rules.Backend
 
 	up, silent, draining, listed bool
-	// grey is how part of its requests fail; reportsUnhealthy is a health answer that is false; connections that
-	// rested for longer than connTimeout are forgotten, 0 is none.
+	// grey is how a share of its requests fail; reportsUnhealthy makes its health checks fail; connections that
+	// were idle for longer than connTimeout are dropped without notice, 0 for never.
 	grey             grey
 	reportsUnhealthy bool
 	connTimeout      clock.Micros
-	// unreachable tells that no machine reaches it.
+	// unreachable reports whether nothing gets from a machine to a backend.
 	unreachable  bool
 	warmAt       clock.Micros
 	speed, phase int64
 	running      int
 	queue        []*job
 	conns        int64
-	// slowdown is the factor of work, in thousandths, 0 for none; broken and surplus are shares of answers
-	// that are spoilt or followed by another, lost of those that never leave.
+	// slowdown multiplies the work, in thousandths, 0 for none; garbledShare and surplusShare are the shares of
+	// responses that are garbled or followed by another one, lostShare of those that are never sent.
 	slowdown                              int64
 	garbledShare, surplusShare, lostShare float64
 }
@@ -47,13 +46,13 @@
 	started  bool
 	ended    bool
 	work     clock.Micros
-	// mode is the way in which a grey backend fails it.
+	// mode is how a grey backend fails it.
 	mode greyMode
 }
 
 func (inc *incarnation) now() clock.Micros { return inc.day.world.now }
 
-// pauseLeft is how much of a pause is left now.
+// pauseLeft returns how much of the current pause is left.
 func (inc *incarnation) pauseLeft() clock.Micros {
 	if inc.shape.pauseUs == 0 {
 		return 0
@@ -62,7 +61,7 @@
 	return max(0, inc.shape.pauseUs-at)
 }
 
-// arrive is a request's last byte. The answer's way back is the exchange's affair.
+// arrive is called when a request's last byte is there. The exchange carries the response back.
 func (inc *incarnation) arrive(x *exchange, target string, a *rules.Arrival, work, within clock.Micros) {
 	d := inc.day
 	d.journal.Arrivals = append(d.journal.Arrivals, a)
@@ -89,7 +88,7 @@
 	inc.startNext()
 }
 
-// startNext starts what waits while slots are free.
+// startNext starts queued requests while slots are free.
 func (inc *incarnation) startNext() {
 	for inc.up && inc.running < inc.shape.slots && len(inc.queue) > 0 {
 		j := inc.queue[0]
@@ -120,7 +119,7 @@
 		return
 	}
 	if j.mode == greyHang {
-		// It holds the slot and says nothing.
+		// It keeps the slot and never answers.
 		return
 	}
 	j.end()
@@ -134,7 +133,7 @@
 	}
 }
 
-// expire is the end of the time that the backend was handed.
+// expire ends the request at the deadline that the backend was given.
 func (j *job) expire() {
 	if j.ended || !j.backend.up {
 		return
@@ -156,7 +155,7 @@
 	j.backend.startNext()
 }
 
-// connClosed is the end of the connection: most backends end the work, too.
+// connClosed is called when the connection ends: most backends then stop the work.
 func (j *job) connClosed() {
 	if j.ended || !j.backend.up {
 		return
@@ -170,7 +169,7 @@
 	}
 }
 
-// respond seals what the backend says, and lets trouble spoil it.
+// respond seals the response and applies the response faults.
 func (j *job) respond(status int) {
 	inc, d := j.backend, j.backend.day
 	body := d.responseBody(j.arrival.Attempt, inc.row.Pool, j.exchange.kind)
@@ -193,7 +192,7 @@
 	}
 }
 
-// healthCheck waits for a slot, or is turned away, as a request does.
+// healthCheck waits for a slot or is rejected, as a request is.
 func (inc *incarnation) healthCheck(done func(status int)) {
 	switch {
 	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue, inc.draining, inc.reportsUnhealthy:
@@ -207,8 +206,8 @@
 	}
 }
 
-// responseBody is what a backend of a pool answers to a try: records where answers are gathered, in no order,
-// some of them equal, and a remainder that is no record.
+// responseBody returns what a backend of a pool responds to an attempt: records in no order where responses are
+// gathered, some of them equal, and a remainder that is no record.
 func (d *day) responseBody(try, pool string, kind *requestShape) []byte {
 	h := fnv.New64a()
 	h.Write([]byte(try))
@@ -236,7 +235,7 @@
 	return out
 }
 
-// crash ends a life; dark is without a word.
+// crash ends an incarnation; a silent one sends no resets.
 func (inc *incarnation) crash(dark bool) {
 	if !inc.up {
 		return
@@ -257,13 +256,13 @@
 	d.world.after(crashedFor, func() { inc.listed = false; b.publish() })
 }
 
-// restartSlowStart makes a life cold again.
+// restartSlowStart makes the incarnation cold again.
 func (inc *incarnation) restartSlowStart() {
 	inc.warmAt = inc.now() + warmUpUs
 	inc.record.SlowStart = append(inc.record.SlowStart, rules.Span{From: inc.now(), To: inc.warmAt})
 }
 
-// drain is the planned end: the list shows it, then the backend serves on for a while.
+// drain is the planned end: the list shows it, and the backend serves on for a while.
 func (inc *incarnation) drain() {
 	if !inc.up || inc.draining {
 		return
--- a/lab/sim/day_machine_faults.go
+++ b/lab/sim/day_machine_faults.go
@@ -1,6 +1,5 @@
-// Troubles of machines: kills, lost power, lost disks, freezes, stops in turn,
-// cuts, disks and clocks. What would lose more counted machines at once than
-// the deployment bears waits its turn.
+// Machine faults: kills, lost power, lost disks, freezes, rolling restarts, partitions, disks and clocks. A
+// fault that would take more core members at once than the deployment tolerates waits.
 
 package sim
 
@@ -10,12 +9,12 @@
 
 const faultRetryUs = 300 * clock.Millisecond
 
-// faulty tells that a machine counts as lost: it is in trouble or was until a moment ago.
+// faulty reports whether a machine counts as lost: it is faulty now or was until a moment ago.
 func (d *day) faulty(m *machine) bool {
 	return d.journal.Faults.Of(m.name).Hit(d.world.now-d.settings.Bounds.SyncTime, d.world.now)
 }
 
-// toleratedFaults counts the counted machines that may be lost beside those that are.
+// toleratedFaults returns how many more core members may be lost beside those that are.
 func (d *day) toleratedFaults(except *machine) int {
 	n := d.site.tolerance[0]
 	for _, m := range d.machines {
@@ -26,7 +25,7 @@
 	return n
 }
 
-// leader is the machine that acknowledged last, or else the one that owns the configuration.
+// leader returns the machine that acknowledged last, or else the one that leads partition 0.
 func (d *day) leader() *machine {
 	if m := d.commands.last; m != nil && m.coreMember() && !d.faulty(m) {
 		return m
@@ -39,7 +38,7 @@
 	return nil
 }
 
-// drawCoreMember picks a counted machine that is well.
+// drawCoreMember draws a healthy core member.
 func (d *day) drawCoreMember(step *dayStep) *machine {
 	if m := d.namedMachine(step); m != nil && m.coreMember() && !d.faulty(m) {
 		return m
@@ -56,7 +55,7 @@
 	return well[d.world.rng.IntN(len(well))]
 }
 
-// counted does something to counted machines, as many as are borne, in turn.
+// onCoreMember applies f to a core member once the deployment tolerates one more loss.
 func (d *day) onCoreMember(step *dayStep, f func(m *machine)) {
 	m := d.drawCoreMember(step)
 	if m == nil || d.toleratedFaults(nil) < 1 {
@@ -68,7 +67,7 @@
 	d.updateFaultSpans()
 }
 
-// drawOthers draws machines that do not count.
+// drawOthers draws machines that are not core members.
 func (d *day) drawOthers(step *dayStep, n int) (out []*machine) {
 	var all []*machine
 	for _, m := range d.machines {
@@ -90,7 +89,7 @@
 	return max(1, int(step.shareOr(share)*float64(len(d.machines))+0.5))
 }
 
-// machineFault brings a trouble of machines about.
+// machineFault runs the step if it is a machine fault, and reports whether it is.
 func (d *day) machineFault(step *dayStep) bool {
 	switch step.verb {
 	case "node_kill", "node_freeze", "node_slow", "herd_kill":
@@ -117,7 +116,7 @@
 
 func (d *day) strike(step *dayStep) {
 	hit := func(m *machine) {
-		// It may have waited its turn.
+		// It may have waited until now.
 		d.recordUnplanned(step.forUs)
 		switch {
 		case step.verb == "node_freeze":
@@ -143,7 +142,7 @@
 	case step.verb == "herd_kill" && step.on == "core":
 		d.eachCoreMember(hit)
 	case step.verb == "herd_kill":
-		// All processes at the same moment, or a share of them; the core's own are back at once.
+		// All processes at the same moment, or a share of them; they restart at once.
 		for _, m := range d.machines {
 			if step.share == 0 || d.world.rng.Float64() < step.share {
 				hit(m)
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -1,5 +1,5 @@
-// The machines of a day: a node on each, a core on the first of each zone, one
-// disk for both; what happens to a machine happens to both processes.
+// The machines of a day: a node on each, a core on the first of each zone, one disk for both. What happens to a
+// machine happens to both processes.
 
 package sim
 
@@ -11,7 +11,7 @@
 	"wallport/runtime/clock"
 )
 
-// restartUs is how soon an ended process is started again.
+// restartUs is how soon an ended process is restarted.
 const restartUs = 250 * clock.Millisecond
 
 type machine struct {
@@ -82,7 +82,7 @@
 	return []*process{m.node, m.core}
 }
 
-// coreMember tells that the machine is one of the core.
+// coreMember reports whether the machine is one of the core.
 func (m *machine) coreMember() bool {
 	return m.core != nil && (m.hasDisk || !m.day.anyDisk()) && !m.removed
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-// start starts what does not run; a machine without power has none to start.
+// start starts the processes that do not run, unless the machine has no power.
 func (m *machine) start() {
 	if m.removed || m.poweredOff {
 		return
@@ -123,7 +123,8 @@
 	}
 }
 
-// recordEvent notes something that unsettles a core and puts the machine out of touch for a while.
+// recordEvent records an event that unsettles the core, and after which the machine counts as faulty for a
+// while.
 func (m *machine) recordEvent() {
 	d := m.day
 	if d.world.now < leadUs/4 && d.settings.Bootstrap {
@@ -144,7 +145,7 @@
 	m.day.updateFaultSpans()
 }
 
-// powerOff ends both without a word to anyone; the disk keeps what was synced.
+// powerOff ends both processes without notice to anyone; the disk keeps what was synced.
 func (m *machine) powerOff() {
 	m.poweredOff = true
 	for _, p := range m.processes() {
@@ -180,10 +181,10 @@
 	m.day.updateFaultSpans()
 }
 
-// afterGrace is how long after the grace of a planned stop its work still counts as planned.
+// afterGrace is how long after a graceful shutdown's time limit its work still counts as planned.
 const afterGrace = clock.Second
 
-// stop is the planned stop: each process ends by itself, or is killed when the grace is over.
+// stop is the graceful shutdown: each process ends by itself, or is killed when the time limit is over.
 func (m *machine) stop(then func()) {
 	if m.draining || m.poweredOff || m.removed {
 		return
@@ -215,10 +216,10 @@
 	m.whenStopped(then)
 }
 
-// lastFramesUs is how long the last frames of a core that stops have to leave it.
+// lastFramesUs is the time in which the last frames of a stopping core leave it.
 const lastFramesUs = 50 * clock.Millisecond
 
-// leaveGroups ends a core once it leads nothing and votes nowhere, or once its time for that is over.
+// leaveGroups ends a core once it leads no group and is a voter of none, or at the given time.
 func (p *process) leaveGroups(until clock.Micros) {
 	if !p.replicas.HasLeft() && p.world.now < until {
 		p.deliverAfter(10*clock.Millisecond, func() { p.leaveGroups(until) })
@@ -227,7 +228,7 @@
 	p.deliverAfter(lastFramesUs, p.kill)
 }
 
-// whenStopped waits until both processes have.
+// whenStopped calls then once both processes have ended.
 func (m *machine) whenStopped(then func()) {
 	for _, p := range m.processes() {
 		if p.up {
--- a/lab/sim/day_partitions.go
+++ b/lab/sim/day_partitions.go
@@ -1,4 +1,4 @@
-// Clocks that step, and machines that are cut off.
+// Clocks that step, and partitioned machines.
 
 package sim
 
@@ -6,7 +6,7 @@
 
 import "fmt"
 
-// clockFault steps the time of day on some machines, and back.
+// clockFault steps the wall clock of some machines, and back later.
 func (d *day) clockFault(step *dayStep) {
 	d.recordUnplanned(step.forUs)
 	us := int64(step.factorOr(2000) * 1000)
@@ -35,10 +35,10 @@
 	d.world.after(step.forUs, func() { shift(-us) })
 }
 
-// partitionMachines cuts counted machines off from each other, or others from the counted ones.
+// partitionMachines partitions core members from each other, or other machines from the core members.
 func (d *day) partitionMachines(step *dayStep) {
 	cut := func(m *machine) {
-		// It may have waited its turn.
+		// It may have waited until now.
 		d.recordUnplanned(step.forUs)
 		var ways []string
 		for _, c := range d.machines {
@@ -76,7 +76,7 @@
 	}
 }
 
-// setPartitioned closes or opens ways; with reset the connections on them end at once.
+// setPartitioned blocks or opens links; with reset their connections end at once.
 func (d *day) setPartitioned(ways []string, on, reset bool) {
 	for _, way := range ways {
 		d.partitions[way] = on
--- a/lab/sim/day_planned_work.go
+++ b/lab/sim/day_planned_work.go
@@ -1,5 +1,5 @@
-// Planned work on machines: stops in turn, cores replaced by empty machines at
-// other addresses, other seeds; and the faults that close a day.
+// Planned work on machines: rolling restarts, cores replaced by empty machines at other addresses, other seeds;
+// and the faults that close a day.
 
 package sim
 
@@ -14,7 +14,7 @@
 
 var stopping = kernel.Stopping{}
 
-// roll stops machines in turn and starts them again, or not.
+// roll stops machines one after another and starts them again, or not.
 func (d *day) roll(step *dayStep) {
 	all := append([]*machine(nil), d.machines...)
 	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -51,10 +51,10 @@
 	d.world.after(step.gapUs, func() { d.rollNext(step, rest[1:]) })
 }
 
-// rotateSeeds names other machines that serve control as seeds; running processes read that too.
+// rotateSeeds makes other core machines the seeds; running processes read the change too.
 func (d *day) rotateSeeds() { d.rotateSeedsTo(nil) }
 
-// rotateSeedsTo lets the new seeds begin with one machine.
+// rotateSeedsTo does so and puts one machine first.
 func (d *day) rotateSeedsTo(first *machine) {
 	var list []string
 	all := d.listedCores()
@@ -76,7 +76,7 @@
 	}
 }
 
-// replace takes a counted machine away for good and adds an empty one at another address.
+// replace removes a core member for good and adds an empty machine at another address.
 func (d *day) replace(step *dayStep) {
 	d.onCoreMember(step, func(m *machine) {
 		add := func() {
@@ -85,7 +85,7 @@
 		}
 		switch {
 		case step.has("planned"):
-			// The new one comes first, and then the old one is stopped.
+			// The new one starts first, then the old one is stopped.
 			d.newCore(m)
 			d.world.after(int64(step.factorOr(1)*1e6), func() { m.stop(func() { m.removed = true; d.updateFaultSpans() }) })
 			return
@@ -99,7 +99,7 @@
 	})
 }
 
-// newCore adds an empty machine beside one that counts, or in its place.
+// newCore adds an empty core machine beside a core member or in its place.
 func (d *day) newCore(m *machine) {
 	n := d.addMachine(fmt.Sprintf("%s-%d", m.zone, 50+len(d.machines)), m.zone, fmt.Sprintf("10.9.0.%d", len(d.machines)), true, m.hasDisk)
 	d.rotateSeeds()
@@ -109,12 +109,12 @@
 	d.updateFaultSpans()
 }
 
-// closingWait is how long a closing fault that takes disks waits its turn behind other losses; then
-// it is cut down.
+// closingWait bounds how long a closing fault that takes disks waits behind other losses; after that it takes
+// fewer.
 const closingWait = 4 * clock.Second
 
-// closingFault is the fault at a day's end, right after one more change was acknowledged. One that would
-// take more counted machines at once than the deployment bears waits its turn, as all troubles do.
+// closingFault injects the fault at a day's end, right after one more change was acknowledged. One that would
+// take more core members at once than the deployment tolerates waits, as all faults do.
 func (d *day) closingFault(since clock.Micros) {
 	c := &d.commands
 	wipes := d.world.Script.Text("closing", "") == "wipe_after_ack"
@@ -149,8 +149,8 @@
 			on = append(on, m)
 		}
 	case "wipe_after_ack":
-		// As many as are borne lose their disks, the one that acknowledged among them; the others that count
-		// lose power at times.
+		// As many as the deployment tolerates lose their disks, the one that acknowledged among them; the other
+		// core members lose power if closing_how is "power".
 		lost := d.site.tolerance[0] - max(0, d.toleratedFaults(nil))
 		for _, m := range append([]*machine{acked}, d.machines...) {
 			if m == nil || !m.coreMember() || m.poweredOff || m.removed {
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -1,5 +1,5 @@
-// Confirmed reads of a day: every now and then somebody reads the configuration
-// and the drained zones through some core, for the histories.
+// Confirmed reads of a day: the configuration and the drained zones are read through some core at intervals, for
+// the histories.
 
 package sim
 
@@ -11,11 +11,11 @@
 	"wallport/runtime/wire"
 )
 
-// confirmedReadUs is how often it is read; the first read is as late.
+// confirmedReadUs is the interval between reads, and the time of the first.
 const confirmedReadUs = 2 * clock.Second
 
-// readConfirmed reads once and again a while after the answer. A read without one is given up
-// by itself, and the next one begins.
+// readConfirmed reads once, and again a while after the answer. A read without an answer is given up by the core
+// itself, and the next one begins.
 func (c *commands) readConfirmed() {
 	d := c.day
 	d.world.after(confirmedReadUs, c.readConfirmed)
--- a/lab/sim/day_responses.go
+++ b/lab/sim/day_responses.go
@@ -1,4 +1,4 @@
-// What clients make of their answers: worth, and whether to try again.
+// What clients do with their responses: the value they credit, and whether they retry.
 
 package sim
 
@@ -9,7 +9,7 @@
 	"wallport/request/dispatch"
 )
 
-// responded is the answer's last byte at the client.
+// responded is called when the response's last byte is at the client.
 func (c *clients) responded(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, o *dispatch.Outcome) {
 	d := c.day
 	if attempt.Ended != rules.Never {
@@ -34,7 +34,7 @@
 	c.ended(wanted, attempt, false)
 }
 
-// ended is the end of a try; unread tells that the client knows that the node has not read it.
+// ended is called when an attempt ends; unread reports that the client knows that the node has not read it.
 func (c *clients) ended(wanted *wantedRequest, attempt *rules.Attempt, unread bool) {
 	d := c.day
 	if attempt.Ended != rules.Never {
@@ -72,7 +72,7 @@
 	d.world.after(wait, func() { c.sendAttempt(wanted) })
 }
 
-// retried tells that a status may be tried again at all.
+// retried reports whether a status may be retried at all.
 func retried(status int) bool {
 	switch status {
 	case 400, 401, 404, 413, 431:
@@ -81,7 +81,7 @@
 	return status >= 300
 }
 
-// creditValue counts what an answer earns.
+// creditValue counts the value of a response.
 func (c *clients) creditValue(wanted *wantedRequest, attempt *rules.Attempt) {
 	d := c.day
 	d.world.Checker.Count("served", 1)
@@ -100,7 +100,7 @@
 	c.earned[wanted.kind.name] += worth
 }
 
-// sendProbe asks every node that is ready, or gets clients, for routes that were added, removed or never there.
+// sendProbe asks every node that is ready or gets clients for routes that were added, removed or never existed.
 func (c *clients) sendProbe() {
 	d := c.day
 	if d.world.now >= c.until {
--- a/lab/sim/day_scaling.go
+++ b/lab/sim/day_scaling.go
@@ -1,11 +1,11 @@
-// Planned and unplanned work on backends that changes how many there are, and
-// what clients press beyond the usual.
+// Changes of the number of backends, planned and unplanned, and of the clients' load.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// scaled brings about releases, more and fewer backends, and more load.
+// scaled runs the step if it is a release, a change of the number of backends or of the load, and reports
+// whether it is.
 func (d *day) scaled(step *dayStep) bool {
 	switch step.verb {
 	case "release":
@@ -31,7 +31,7 @@
 	return true
 }
 
-// some draws a share of all backends, of no pool so many that none is left.
+// some draws a share of all backends, but never all of a pool.
 func (d *day) some(step *dayStep, share float64) []*incarnation {
 	how := "across"
 	if step.service != "" {
@@ -54,10 +54,10 @@
 	}
 }
 
-// spotBack is how long after a spot backend's end another one comes.
+// spotBack is how long after a spot backend's end its replacement starts.
 const spotBack = 4 * clock.Second
 
-// scaleIn lets backends leave; spot ones are gone a moment after the notice.
+// scaleIn drains backends; spot ones end a moment after the notice.
 func (d *day) scaleIn(step *dayStep) {
 	if step.has("spot") {
 		d.recordUnplanned(int64(step.factorOr(2) * 1e6))
@@ -75,7 +75,7 @@
 	}
 }
 
-// reuse ends backends for good; their addresses go to another service, and others take their work.
+// reuse ends backends for good; their addresses go to another service, and others take over their work.
 func (d *day) reuse(step *dayStep) {
 	d.recordUnplanned(step.forUs)
 	b := &d.backends
--- a/lab/sim/day_shift.go
+++ b/lab/sim/day_shift.go
@@ -1,5 +1,5 @@
-// Scenarios that are played once for each moment at which some of their steps
-// may come: a second loss at every quarter of a second after a repair, say.
+// Scenarios that are run once for each moment at which some of their steps may come, such as a second loss at
+// every quarter of a second after a repair.
 
 package sim
 
@@ -12,10 +12,10 @@
 	"wallport/runtime/clock"
 )
 
-// shiftedStep marks a step that comes later by the setting shift_ms.
+// shiftedStep marks a step that is delayed by the setting shift_ms.
 const shiftedStep = "shifted=yes"
 
-// shift is how much later a step comes than it says.
+// shift returns how much a step is delayed.
 func (w *World) shift(st script.Step) clock.Micros {
 	if slices.Contains(st.Args, shiftedStep) {
 		return w.Script.Int("shift_ms", 0) * clock.Millisecond
@@ -23,7 +23,7 @@
 	return 0
 }
 
-// ShiftScripts are the same scenario once for each shift from none to a greatest one.
+// ShiftScripts returns copies of a scenario, one for each shift from 0 to mostMs in steps of everyMs.
 func ShiftScripts(s *script.Script, everyMs, mostMs int64) []*script.Script {
 	var out []*script.Script
 	for at := int64(0); at <= mostMs; at += everyMs {
--- a/lab/sim/day_sites.go
+++ b/lab/sim/day_sites.go
@@ -1,5 +1,5 @@
-// The shapes of days on the users' platform: machines, pools and kinds of
-// requests of both small sites, and shapes of our own that stretch them.
+// The shapes of days on the users' platform: machines, pools and kinds of requests of both small sites, and
+// shapes of our own that stress them.
 
 package sim
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// siteOf gives a shape by its name. Those beyond trust and registry are of our own.
+// siteOf returns a site by its name. Those beyond trust and registry are our own.
 func siteOf(name string) (siteShape, bool) {
 	s := trustSite()
 	switch name {
@@ -109,7 +109,7 @@
 	case "registry":
 		s = registrySite()
 	case "one_zone":
-		// Everything stands in one zone, so that machines alone can be lost.
+		// Everything is in one zone, so that only machines can be lost.
 		s.zones = []zoneShape{{"z1", "r1", 13, 3, 1}}
 		for i := range s.pools {
 			s.pools[i].perZone = []int{4}
@@ -118,7 +118,7 @@
 	case "two_regions":
 		s.zones[2].region, s.zones[3].region = "r2", "r2"
 		for i := range s.kinds {
-			// Even what may run once only may be sent to a second backend, if it has not run.
+			// Even requests that may run only once may be sent to a second backend if they have not run.
 			s.kinds[i].backends = 3
 		}
 	case "one_backend":
@@ -133,7 +133,7 @@
 	case "forty_shards":
 		s.pools[0].shards, s.pools[1].shards = 40, 44
 	case "bare_zone":
-		// One zone has no disk, and its core holds no seat.
+		// One zone has no disk, and its core is not a voter.
 		s.zones[3].disks = 0
 	case "two_a_zone":
 		// Eight machines with a disk, two in each zone, of which two may be lost at once.
@@ -158,7 +158,7 @@
 	return s, true
 }
 
-// Figures of a grown deployment; its others are 16 or 20 a zone there.
+// Sizes of a grown deployment; it has 16 or 20 other machines a zone.
 const (
 	grownDisks  = 2
 	grownOthers = 1
@@ -166,7 +166,7 @@
 	grownLater  = 9
 )
 
-// grow makes a shape a grown one.
+// grow enlarges a site.
 func (s *siteShape) grow() {
 	for i := range s.zones {
 		s.zones[i].machines, s.zones[i].disks = grownDisks+grownOthers, grownDisks
--- a/lab/sim/day_verbs.go
+++ b/lab/sim/day_verbs.go
@@ -1,5 +1,5 @@
-// What a scenario can bring about on a day. Verbs are the troubles and the
-// planned work as the platform's pages name them; arguments are NAME=VALUE.
+// The steps of a day's scenario. Verbs are the faults and the planned work as the platform's pages name them;
+// arguments are NAME=VALUE.
 
 package sim
 
@@ -41,7 +41,7 @@
 		case "to_zone":
 			e.toZone = v
 		case "shifted":
-			// Only the step's time differs: see shift.
+			// Only the step's time differs: see World.shift.
 		case "class":
 			e.class = v
 		case "on":
@@ -74,7 +74,7 @@
 
 func (step *dayStep) has(word string) bool { return strings.Contains(" "+step.how+" ", " "+word+" ") }
 
-// modes are the words of how.
+// modes returns the words of how.
 func (step *dayStep) modes() []string { return strings.Fields(step.how) }
 
 func (step *dayStep) shareOr(v float64) float64 {
@@ -91,7 +91,7 @@
 	return v
 }
 
-// plannedWork is work that operators and the platform bring about.
+// plannedWork runs the step if operators or the platform do it, and reports whether it is such a step.
 func (d *day) plannedWork(step *dayStep) bool {
 	c := &d.commands
 	switch step.verb {
@@ -124,7 +124,7 @@
 		c.evacuate(step.zone, true)
 	case "take_back":
 		for _, inc := range d.backends.of("*") {
-			// The zone's backends have turned cold shortly before.
+			// The zone's backends became cold shortly before.
 			if inc.row.Zone == step.zone && !step.has("warm") {
 				inc.restartSlowStart()
 			}
@@ -178,19 +178,19 @@
 	})
 }
 
-// recordUnplanned notes an unplanned trouble for a while.
+// recordUnplanned records an unplanned fault that lasts for forUs from now on.
 func (d *day) recordUnplanned(forUs clock.Micros) {
 	t := &d.journal.Faults
 	t.Unplanned = append(t.Unplanned, rules.Span{From: d.world.now, To: d.world.now + forUs})
 }
 
-// recordPlanned notes planned work for a while.
+// recordPlanned records planned work that lasts for forUs from now on.
 func (d *day) recordPlanned(forUs clock.Micros) {
 	t := &d.journal.Faults
 	t.Planned = append(t.Planned, rules.Span{From: d.world.now, To: d.world.now + forUs})
 }
 
-// drainSome lets backends leave in order, each replaced by a new one.
+// drainSome drains backends, each replaced by a new one.
 func (d *day) drainSome(step *dayStep) {
 	all := d.backends.of(orAll(step.service))
 	if step.zone != "" {
--- a/lab/sim/day_zones.go
+++ b/lab/sim/day_zones.go
@@ -1,4 +1,4 @@
-// Troubles of whole zones, and backends that no machine reaches.
+// Faults of complete zones, and backends that no machine reaches.
 
 package sim
 
@@ -6,7 +6,7 @@
 
 import "slices"
 
-// drawZone is the zone that an entry names, or one by lot.
+// drawZone returns the zone that a step names, or draws one.
 func (d *day) drawZone(step *dayStep) string {
 	if step.zone != "" {
 		return step.zone
@@ -14,7 +14,7 @@
 	return d.site.zones[d.world.rng.IntN(len(d.site.zones))].name
 }
 
-// toleratesZoneLoss tells that a zone may be lost beside what is lost already.
+// toleratesZoneLoss reports whether a zone may be lost beside what is lost already.
 func (d *day) toleratesZoneLoss(zone string) bool {
 	in, lostElsewhere := 0, false
 	for _, m := range d.machines {
@@ -30,7 +30,7 @@
 	return in == 0 || !lostElsewhere && (d.site.tolerance[1] > 0 || in <= d.site.tolerance[0])
 }
 
-// onZone does something to a zone once it may be lost.
+// onZone applies f to a zone once that zone may be lost.
 func (d *day) onZone(step *dayStep, f func(zone string)) {
 	zone := d.drawZone(step)
 	if !d.toleratesZoneLoss(zone) {
@@ -43,7 +43,7 @@
 	d.updateFaultSpans()
 }
 
-// zoneBackWithin is how far apart a zone's machines and backends come back.
+// zoneBackWithin is the time in which a zone's machines and backends come back one by one.
 const zoneBackWithin = 1500 * clock.Millisecond
 
 // loseZone takes the power from a zone's machines and backends.
@@ -73,7 +73,7 @@
 	}
 }
 
-// partitionZone cuts a zone off from the others; clients still reach it.
+// partitionZone partitions a zone from the others; clients still reach it.
 func (d *day) partitionZone(step *dayStep) {
 	d.onZone(step, func(zone string) {
 		d.zonePartitions[zone] = true
@@ -99,7 +99,7 @@
 	})
 }
 
-// partitionBackends cuts backends off from all machines.
+// partitionBackends partitions backends from all machines.
 func (d *day) partitionBackends(step *dayStep) {
 	lives := d.drawBackends(&dayStep{how: "across"}, step.shareOr(0.1))
 	d.world.Checker.Count("troubled.node_cut", int64(len(lives)))
@@ -113,12 +113,13 @@
 	})
 }
 
-// unreachable tells that nothing gets from a machine to a backend.
+// unreachable reports whether nothing gets from a machine to a backend.
 func (d *day) unreachable(m *machine, inc *incarnation) bool {
 	return inc.unreachable || d.zonesPartitioned(m.zone, inc.row.Zone)
 }
 
-// whenReachable does something once the way between a machine and a backend is open; what waits too long is lost.
+// whenReachable calls f once the machine reaches the backend; what waits longer than a connection's time-out is
+// lost.
 func (d *day) whenReachable(m *machine, inc *incarnation, since clock.Micros, f func(held bool)) {
 	switch {
 	case !d.unreachable(m, inc):
@@ -128,5 +129,5 @@
 	}
 }
 
-// partitionRetryUs is how often what a cut holds up tries again.
+// partitionRetryUs is the interval at which delayed frames are tried again.
 const partitionRetryUs = 100 * clock.Millisecond
--- a/lab/sim/judge_healing.go
+++ b/lab/sim/judge_healing.go
@@ -1,6 +1,5 @@
-// The judge of healing: when every failure has been over for a while, every
-// process is there, every node has the newest sheet in force, every part has one
-// owner and living seats, and callers are served as if nothing had been.
+// The check of healing: some time after the last fault every process runs, every node has the newest
+// configuration in force, every partition has one leader and living voters, and callers are served as before.
 
 package sim
 
@@ -17,7 +16,7 @@
 
 func (w *World) healedFrom() clock.Micros { return w.Script.Int("healed_from_us", 0) }
 
-// countHealed counts an inquiry that came after the time by which all is well again.
+// countHealed counts a request that came after the time by which the fleet must be healed.
 func (w *World) countHealed(o *search.Outcome, sent clock.Micros) {
 	if from := w.healedFrom(); from == 0 || sent < from {
 		return
@@ -106,7 +105,7 @@
 	return len(zones)
 }
 
-// coreZones counts the zones that have a core which runs.
+// coreZones counts the zones that have a running core.
 func (w *World) coreZones() int {
 	zones := map[string]bool{}
 	for _, p := range w.processes {
--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -1,4 +1,4 @@
-// What the simulated callers make of their answers, and what they tell the judge.
+// Checks of the responses that the simulated callers get.
 
 package sim
 
@@ -23,7 +23,7 @@
 	w.logEvent(p.name + " " + o.ID + " " + in.Kind + " " + in.Key + " " + string(o.Code) + " " + o.Why)
 	w.Checker.Count("outcome."+string(o.Code), 1)
 	w.Checker.Count("outcome."+in.Kind+"."+string(o.Code), 1)
-	if took := w.now - sent; took > in.Deadline+100_000 {
+	if took := w.now - sent; took > in.Deadline+100*clock.Millisecond {
 		w.Checker.Count("late", 1)
 	}
 	if o.Ran == "no" && in.Key != "" && (o.Code == search.CodeUnavailable || o.Code == search.CodeRateLimited || o.Code == search.CodeGivenUp) && c.soleAttempt(in) {
@@ -53,14 +53,14 @@
 	w.Checker.Search(in.Index, in.Query, in.Limit, 75, o, w.shardMaps, w.now)
 }
 
-// soleAttempt tells that no other try of the same key can be under way or have run:
-// only then does a refusal bind the key.
+// soleAttempt reports whether no other attempt with the same key can be in flight or have run: only then does a
+// rejection bind the key.
 func (c *callers) soleAttempt(in *search.Request) bool {
 	return c.repeat == 0 && c.sends[in.Key] <= 1 || in.Kind == search.KindSearch
 }
 
-// rejectionExcuse reports whether the world gave a reason to refuse: the scenario says
-// so, no server of a needed shard is there, or the key's homes cannot vouch.
+// rejectionExcuse returns why the world excuses a rejection, or "": the scenario says so, a needed shard has no
+// server, or the owners of the key cannot confirm it.
 func (c *callers) rejectionExcuse(in *search.Request, o *search.Outcome) string {
 	w := c.world
 	if w.Script.Text("may_refuse", "") != "" {
@@ -74,7 +74,7 @@
 		return "repeat"
 	}
 	if strings.HasSuffix(o.Why, "; "+string(search.ReplyRejected)) && w.serverRefuses(in) {
-		// A server's own refusal, and no budget left to ask another: two rules meet here.
+		// A server's own rejection with no budget left for another server: two rules meet here.
 		return "server"
 	}
 	for _, n := range w.shardMaps {
@@ -89,7 +89,7 @@
 	return ""
 }
 
-// recordAttempt notes that a server is asked, and tells whether one was asked the same before.
+// recordAttempt records that a server was asked, and reports whether one was asked the same before.
 func (c *callers) recordAttempt(a *search.Send) bool {
 	key := a.Request.Key
 	if key == "" {
--- a/lab/sim/judge_replicas.go
+++ b/lab/sim/judge_replicas.go
@@ -1,4 +1,4 @@
-// Which cores are behind at the end of a run: a replica that was away must be whole again.
+// The check for stale replicas at the end of a run: one that was away must have caught up.
 
 package sim
 
--- a/lab/sim/measure_growth.go
+++ b/lab/sim/measure_growth.go
@@ -1,7 +1,6 @@
-// What each process of a fleet sends, receives and does, counted on simulated time:
-// frames and bytes by kind, steps and fetches, at rest, while the fleet starts, at
-// changes of the configuration, and when a node is lost and when one starts. Counts
-// are a function of the options alone, so that two builds can be compared.
+// Measurements of what each process of a fleet sends, receives and does, on simulated time: frames and bytes by
+// kind, steps and fetches, at rest, at start-up, at configuration changes, and when a node is lost or joins.
+// Counts are a function of the options alone, so that two builds can be compared.
 
 package sim
 
@@ -14,7 +13,7 @@
 	"wallport/runtime/kernel"
 )
 
-// Growth says what to simulate.
+// Growth holds the options of a simulation.
 type Growth struct {
 	Nodes, Cores, Servers int
 	Seed                  uint64
@@ -22,8 +21,8 @@
 	Brief bool
 }
 
-// Rates is what a process of a role does in a second of a phase, in the mean over its
-// processes; Most is the process with the most bytes in.
+// Rates is what a process of a role does in a second of a phase, averaged over its processes; MostIn is the
+// highest number of bytes received by one process.
 type Rates struct {
 	Processes                   int
 	FramesIn, FramesOut         float64
@@ -98,7 +97,7 @@
 	return r, nil
 }
 
-// recordDelay notes how long after from something became true.
+// recordDelay stores in us how long after from the condition became true.
 func (w *World) recordDelay(from clock.Micros, ok func() bool, us *clock.Micros) {
 	if ok() {
 		*us = w.now - from
@@ -142,7 +141,7 @@
 	})
 }
 
-// measurePeakSeconds looks for the busiest second of each process.
+// measurePeakSeconds records the busiest second of each process.
 func (w *World) measurePeakSeconds(to clock.Micros, was map[string]Traffic, in, out map[string]int64) {
 	if w.now+clock.Second > to {
 		return
@@ -192,7 +191,7 @@
 		r.Peers += float64(kernel.Find[*mesh.Mesh](p.kernel).Peers())
 		r.Origins += float64(p.kernel.Counts.Of("mesh_origins").Load())
 	}
-	// The network may have opened a direct channel twice, of which one is used.
+	// The network may have opened a direct connection twice, of which one is used.
 	for _, l := range w.net.links {
 		if !l.mesh {
 			continue
--- a/lab/sim/measure_scale.go
+++ b/lab/sim/measure_scale.go
@@ -1,6 +1,5 @@
-// How the control plane grows: the mesh's volume at rest, and what one change
-// of the sheet costs and how long it takes to be in force everywhere, for
-// fleets of different sizes.
+// Measurements of how the control plane scales: the mesh's traffic at rest, what one configuration change costs,
+// and how long it takes to be in force everywhere, for fleets of different sizes.
 
 package sim
 
@@ -46,8 +45,8 @@
 	}
 	var entries int64
 	w.at(30*clock.Second, func() { entries = w.net.partitionFrames })
-	w.at(30_000_000+changes*2_000_000, func() { r.ChangeFrames = float64(w.net.partitionFrames-entries) / changes })
-	// Half of the fleet is cut off for 20 s, changes go on, and the cut heals.
+	w.at(30*clock.Second+changes*2*clock.Second, func() { r.ChangeFrames = float64(w.net.partitionFrames-entries) / changes })
+	// Half of the fleet is partitioned for 20 s, changes go on, and the cut heals.
 	half := w.halves()
 	w.at(52*clock.Second, func() { w.net.setBlocked(half, w.names, true, true); w.net.setBlocked(half, half, true, false) })
 	w.at(53*clock.Second, func() { w.operators.put(w.processes["core-0"].peerNode(), w.operators.current(), "put", 0, nil) })
@@ -68,7 +67,7 @@
 	return r, nil
 }
 
-// halves is every second node.
+// halves returns every second node.
 func (w *World) halves() []string {
 	var out []string
 	for i := 1; i < w.Shape.Nodes; i += 2 {
@@ -77,10 +76,10 @@
 	return out
 }
 
-// peerNode is a node on the side of the cores.
+// peerNode returns a node on the same side of the partition as the cores.
 func (p *process) peerNode() *process { return p.world.processes["node-0"] }
 
-// timeChange sends one change and notes how long until every node has it in force.
+// timeChange sends one change and records how long it takes until every node has it in force.
 func (w *World) timeChange(took *[]clock.Micros) {
 	began := w.now
 	w.operators.put(w.processes["node-0"], w.operators.current(), "put", 0, func(code string) {
@@ -90,7 +89,7 @@
 	})
 }
 
-// awaitAgreement waits until all nodes agree on the newest sheet.
+// awaitAgreement waits until all nodes agree on the newest configuration.
 func (w *World) awaitAgreement(began clock.Micros, done func(us int64)) {
 	var newest wire.Version
 	all := true
--- a/lab/sim/measure_traffic.go
+++ b/lab/sim/measure_traffic.go
@@ -31,7 +31,7 @@
 	return all
 }
 
-// countFrame counts a frame for both sides of its channel.
+// countFrame counts a frame for both sides of its connection.
 func countFrame(from, to *process, data []byte) {
 	if len(data) < 2 {
 		return
@@ -43,7 +43,7 @@
 	to.traffic.In[k].Bytes += n
 }
 
-// KindNames are the kinds of frames in words.
+// KindNames are the names of the kinds of frames.
 var KindNames = map[uint8]string{
 	wire.KindHeartbeat: "heartbeat", wire.KindGossip: "gossip", wire.KindVote: "vote", wire.KindVoteReply: "vote_reply",
 	wire.KindAccept: "accept", wire.KindAcceptReply: "accept_reply", wire.KindLeaderHeartbeat: "beat", wire.KindLeaderHeartbeatReply: "beat_reply",
@@ -55,7 +55,7 @@
 	wire.KindStatusRequest: "status_request", wire.KindStatusReply: "status_reply",
 }
 
-// cpuSeconds is the processor time that this program has used so far.
+// cpuSeconds returns the processor time that this program has used so far.
 func cpuSeconds() float64 {
 	var u unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &u) != nil {
@@ -64,7 +64,7 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// connected tells a process of a mesh channel to another that has just opened.
+// connected tells the process that a mesh connection to another one has opened.
 func (p *process) connected(q *process, id uint64, addr string, dialed bool) {
 	in := kernel.ConnUp{Conn: id, Addr: addr, Peer: kernel.Fingerprint(q.kernel.Boot.Key.Public), Zone: q.settings.Zone, Dialed: dialed, Mesh: true}
 	p.deliver(func() { p.step(in) })
--- a/lab/sim/play.go
+++ b/lab/sim/play.go
@@ -1,4 +1,4 @@
-// Playing a scenario under a seed, and what is expected of it.
+// Running a scenario under a seed, and comparing the outcome with what it expects.
 
 package sim
 
@@ -9,7 +9,7 @@
 	"wallport/runtime/invariant"
 )
 
-// Result is what one run came to.
+// Result is the outcome of one run.
 type Result struct {
 	Scenario string
 	Seed     uint64
@@ -36,7 +36,7 @@
 	return ""
 }
 
-// Play runs a scenario under a seed and judges it.
+// Play runs a scenario under a seed and checks it.
 func Play(s *script.Script, seed uint64, trace func(at int64, text string)) Result {
 	invariant.SetFatal()
 	w := New(s, seed)
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -1,6 +1,5 @@
-// Package sim runs the product's own state machines on simulated time, network,
-// disks and clocks, with stand-ins for back ends, platform, callers and
-// operators. A run is a function of its scenario and seed: it replays exactly.
+// The simulated world: its event queue, its set-up and its end.
+
 package sim
 
 import (
@@ -70,15 +69,15 @@
 	killed          map[string]bool
 	unservedAt      map[shardKey]int64
 	afterHealing    healedCounts
-	// day is set where the scenario plays a day on the users' platform.
+	// day is set if the scenario plays a day on the users' platform.
 	day *day
-	// isolatedNodes counts the nodes that are cut off from the greater part of the fleet.
+	// isolatedNodes counts the nodes that are partitioned from the greater part of the fleet.
 	isolatedNodes int
-	// diskWrites counts those of the disks, where the power is to go at one of them.
+	// diskWrites counts the writes of all disks, for scenarios that lose power at one of them.
 	diskWrites int
 }
 
-// New makes a world of a scenario and a seed.
+// New makes a world from a scenario and a seed.
 func New(s *script.Script, seed uint64) *World {
 	shape, ok := fleet.Shapes[s.Text("shape", "small")]
 	if !ok {
@@ -109,7 +108,7 @@
 	heap.Push(&w.queue, event{max(t, w.now), w.seq, f})
 }
 
-// logEvent folds what happened into a digest, by which two runs are compared.
+// logEvent adds an event to the digest by which two runs are compared, and to the trace.
 func (w *World) logEvent(text string) {
 	for i := range len(text) {
 		w.digest = (w.digest ^ uint64(text[i])) * 0x100000001b3
@@ -120,7 +119,7 @@
 	}
 }
 
-// Digest tells two runs apart.
+// Digest returns the hash of all events; equal runs have equal digests.
 func (w *World) Digest() uint64 { return w.digest }
 
 // Run plays the whole scenario.
@@ -173,7 +172,7 @@
 	w.after(100*clock.Millisecond, w.sample)
 }
 
-// sample looks ten times a second at what every node has in force.
+// sample records ten times a second which configuration every node has in force.
 func (w *World) sample() {
 	w.after(100*clock.Millisecond, w.sample)
 	w.updateReachability()
@@ -197,7 +196,7 @@
 	}
 }
 
-// reachableSince is from when a node has been up, awake and not cut off; -1 if it is not.
+// reachableSince returns since when a node has been up, running and connected; -1 if it is not.
 func (w *World) reachableSince(p *process) clock.Micros {
 	if p.isolated || p.frozen {
 		return -1
--- a/lab/sim/world_bookings.go
+++ b/lab/sim/world_bookings.go
@@ -22,7 +22,7 @@
 	slice    int64
 }
 
-// book makes a booking of a slice, from and to being seconds of simulated time.
+// book reserves a slice; from and to are seconds of simulated time.
 func (o *operators) book(id, kind string, slice, from, to int64) {
 	w := o.world
 	row, _ := json.Marshal(map[string]any{
@@ -30,7 +30,7 @@
 		"starts_us": fmt.Sprint(epoch + from*clock.Second), "ends_us": fmt.Sprint(epoch + to*clock.Second),
 	})
 	body, _ := json.Marshal([]config.RowEdit{{Op: "set", Table: "bookings", Row: row}})
-	// Other edits go on meanwhile; the row is this operator's alone, so none of them is in its way.
+	// Other edits go on meanwhile; only this operator edits the row, so they do not conflict with it.
 	o.sendUntil(func() wire.Edit { return wire.Edit{Op: "rows", Strict: true, Base: o.current().version, Body: body} }, func(code string) bool {
 		w.logEvent("booking " + id + " " + code)
 		w.Checker.Count("bookings."+code, 1)
@@ -44,7 +44,7 @@
 	})
 }
 
-// checkBookings looks at what a reachable node has running.
+// checkBookings checks which bookings a reachable node has running.
 func (w *World) checkBookings(p *process, running []string, since clock.Micros) {
 	if since < 0 || w.now-since < check.ConfigWithin {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// rebuild is an operator's word to make a part's group anew; -1 means all.
+// rebuild makes an operator order a partition's group to be rebuilt; -1 means all partitions.
 func (o *operators) rebuild(part int) {
 	if part < 0 {
 		for p := range state.Partitions {
--- a/lab/sim/world_callers.go
+++ b/lab/sim/world_callers.go
@@ -23,9 +23,9 @@
 	// skew is the share that goes to two nodes; mix weighs the kinds.
 	skew int64
 	mix  []int64
-	// attempted holds keys, and keys with a shard, of which a server was asked.
+	// attempted holds keys, and keys with a shard, for which a server was asked.
 	attempted map[string]bool
-	// sends counts how often a key was read by some node; refused are those told to be repeats.
+	// sends counts how often a key was read by some node; refused holds the keys that were answered as repeats.
 	sends   map[string]int
 	refused map[string]bool
 	open    int
@@ -45,7 +45,7 @@
 	c.refreshReady()
 }
 
-// refreshReady learns three times a second which nodes are ready.
+// refreshReady updates the ready nodes about three times a second.
 func (c *callers) refreshReady() {
 	c.world.after(300*clock.Millisecond, c.refreshReady)
 	if r := c.world.platform.ready(); len(r) > 0 {
@@ -91,8 +91,8 @@
 	c.send(in, attempts, rnd.Int64N(2) == 0)
 }
 
-// send asks a node; a caller that repeats does so under the same key: eagerly,
-// not waiting for the answer, or after a failure.
+// send asks a node. A caller that repeats uses the same key: eagerly, without waiting for the response, or after
+// a failure.
 func (c *callers) send(in search.Request, attempts int, eager bool) {
 	w := c.world
 	p := c.pickNode()
@@ -114,7 +114,7 @@
 			c.open--
 			w.Checker.Count("callers_refused_connection", 1)
 			if in.Key != "" && w.now < c.until {
-				// No one was there to read it: try until someone is.
+				// Nobody read it: retry until somebody does.
 				w.after(200*clock.Millisecond+w.rng.Int64N(600*clock.Millisecond), func() { c.send(in, attempts, eager) })
 			}
 			return
@@ -128,8 +128,8 @@
 			c.checkOutcome(p, &in, o, sent, planned || p.draining)
 			switch {
 			case o == nil && in.Key != "":
-				// Cut off without a word: every caller repeats that.
-				w.after(500_000, func() { c.send(repeat, max(attempts, 12), false) })
+				// Aborted without a response: every caller retries that.
+				w.after(500*clock.Millisecond, func() { c.send(repeat, max(attempts, 12), false) })
 			case !eager && (o == nil || o.Code != search.CodeOK):
 				again(500 * clock.Millisecond)
 			}
@@ -137,7 +137,7 @@
 	})
 }
 
-// drawKind draws one by the mix: two thirds are searches unless a scenario says otherwise.
+// drawKind draws a kind by the mix: two thirds are searches unless the scenario says otherwise.
 func (c *callers) drawKind() string {
 	sum := int64(0)
 	for _, n := range c.mix {
--- a/lab/sim/world_disk.go
+++ b/lab/sim/world_disk.go
@@ -1,5 +1,5 @@
-// A simulated disk: writes take their time, in order; a power loss keeps only
-// what was synced, and may leave a write in flight torn, undone or whole.
+// A simulated disk: writes take time and complete in order; a power loss keeps only what was synced, and may
+// leave a write in flight torn, undone or complete.
 
 package sim
 
@@ -16,9 +16,9 @@
 	mode       string
 	extraDelay clock.Micros
 	fsyncs     int64
-	// syncTime is what a sync takes at least; 0 stands for the stand-ins' own.
+	// syncTime is the least duration of a sync; 0 selects the default distribution.
 	syncTime clock.Micros
-	// powerOffAfter is the file after whose answer the power goes.
+	// powerOffAfter is the file whose next completed write is followed by a power loss.
 	powerOffAfter string
 }
 
@@ -91,8 +91,8 @@
 	d.startNext()
 }
 
-// powerLoss is the end of the process with the power: writes not yet synced
-// are dropped, their renames undone, or leave a torn file.
+// powerLoss ends the process with the power: writes that were not synced are dropped, undone, or leave a torn
+// file.
 func (d *disk) powerLoss() {
 	if d.busy && len(d.queue) > 0 && d.queue[0].Data != nil {
 		w := d.queue[0]
@@ -111,7 +111,7 @@
 
 func (d *disk) wipe() { d.files = map[string][]byte{} }
 
-// write gives a write to the disk; where there is none it fails.
+// write enqueues a write at the disk; without a disk it fails.
 func (p *process) write(wr kernel.Write) {
 	if p.disk != nil {
 		p.disk.enqueue(wr)
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -1,5 +1,5 @@
-// The request path of a simulated node: the product's own chart, its acts
-// carried out on the simulated network.
+// The request path of a simulated node: the product's search state machine, its actions carried out on the
+// simulated network.
 
 package sim
 
@@ -27,10 +27,10 @@
 	return &frontend{process: p, requests: map[*searchRequest]bool{}}
 }
 
-// accept takes an inquiry that has been read whole; done gets its outcome, or nil if it was cut.
+// accept starts a request that was read completely; done gets its outcome, or nil if it was aborted.
 func (f *frontend) accept(in search.Request, done func(o *search.Outcome)) {
 	r := &searchRequest{in: &in, done: done}
-	// Of a frozen process it is there, unread, until the process thaws or ends.
+	// In a frozen process it waits, unread, until the process thaws or ends.
 	f.requests[r] = true
 	f.ordered = append(f.ordered, r)
 	f.process.deliver(func() {
@@ -39,7 +39,7 @@
 	})
 }
 
-// abort is the end of the process: every inquiry read and not answered is cut.
+// abort ends the frontend with its process: every request in flight is aborted.
 func (f *frontend) abort() {
 	list := f.ordered
 	f.ordered = nil
@@ -57,7 +57,7 @@
 	}
 	acts := r.stateMachine.Step(f.process.now(), ev)
 	if at := f.process.freezeAt; at != "" && r.stateMachine.State() == at {
-		// What the step asked for is done before the process stops running, or after.
+		// The step's actions are carried out before the process freezes, or after it thaws.
 		f.process.freezeAt = ""
 		f.process.world.Checker.Count("frozen_at."+string(at), 1)
 		f.process.world.after(0, f.process.freeze)
@@ -105,13 +105,13 @@
 	}
 }
 
-// checkRequest tells the judge of work that leaves this node.
+// checkRequest reports a request that leaves this node to the checker.
 func (f *frontend) checkRequest(a *search.Send) {
 	w := f.process.world
-	// By what reaches the servers, whatever the node takes it for.
+	// Judged by what reaches the servers, not by what the node takes it for.
 	again := w.callers.recordAttempt(a) || a.Retry
 	if f.process.isolated {
-		// It can hear of no sheet and no zone call; the platform's list it reads itself.
+		// It cannot hear of configurations and drained zones; it reads the platform's list itself.
 		w.Checker.Count("asks_of_isolated", 1)
 		if w.isolatedNodes == 1 && !w.net.partitioned(f.process.name, "platform") {
 			w.Checker.RequestFromIsolated(a.Backend.ID, w.now, w.now-f.process.isolatedAt)
@@ -126,7 +126,7 @@
 	w.checkSlowStart(f.process, a)
 }
 
-// checkSlowStart judges ramps where a shard has warm servers beside a cold one.
+// checkSlowStart reports requests to a shard that has both warm and cold servers to the checker.
 func (w *World) checkSlowStart(node *process, a *search.Send) {
 	good, warm := 0, 0
 	zones := map[string]int{}
@@ -152,8 +152,8 @@
 	}
 }
 
-// fairShare is what a warm server of a zone gets of one ask, in thousandths: of the two
-// that are drawn one is of the node's own zone where it has any.
+// fairShare returns the share of one request that a warm server gets, in thousandths: of the two candidates that
+// are drawn one is in the node's own zone where it has any.
 func fairShare(mine, its string, zones map[string]int, good int) int64 {
 	switch n := zones[mine]; {
 	case n == 0:
--- a/lab/sim/world_load.go
+++ b/lab/sim/world_load.go
@@ -1,5 +1,5 @@
-// What scenarios say of limits and load: the sheet's capacity and ceilings, the rate,
-// the mix of kinds, and callers who crowd on a few nodes.
+// The verbs for limits and load: capacity and ceilings of the configuration, the rate, the mix of kinds, and
+// callers that crowd on a few nodes.
 
 package sim
 
@@ -12,17 +12,17 @@
 	"wallport/request/search"
 )
 
-// shares are those of the shape's sheet, in hundredths.
+// shares are the quota shares in the shape's configuration, in percent.
 var shares = map[string]float64{search.KindSearch: 60, search.KindRead: 20, search.KindCorrect: 10, search.KindPart: 10}
 
-// applyLoadVerb does the verbs that change the load or the limits.
+// applyLoadVerb runs the verbs that change the load or the limits.
 func (w *World) applyLoadVerb(verb string, args []string) {
 	first := parseInt(args[0])
 	switch verb {
 	case "rate":
 		w.callers.rate = first
 	case "skew":
-		// So many in a hundred inquiries go to two of the nodes.
+		// This percentage of the requests goes to two of the nodes.
 		w.callers.skew = first
 	case "mix":
 		w.callers.mix = nil
@@ -41,7 +41,7 @@
 	w.checkLimits()
 }
 
-// checkLimits tells the judge what holds from now on; a booking's begin and end do too.
+// checkLimits tells the checker which limits hold from now on; a booking's start and end change them too.
 func (w *World) checkLimits() {
 	if w.Script.Text("judge_limits", "") == "" {
 		return
--- a/lab/sim/world_machines.go
+++ b/lab/sim/world_machines.go
@@ -1,11 +1,10 @@
-// What scenarios do to many machines at once: a new cut's servers, a total loss, and
-// cores that are replaced.
+// Faults of many machines at once: the servers of a new shard map, a total loss, and replaced cores.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// startShardMap starts the servers of a new cut, cold.
+// startShardMap starts the servers of a new shard map, cold.
 func (w *World) startShardMap(cut string, shards, per int) {
 	for i := range shards * per {
 		w.addServer(w.Shape.Backend(i, cut, shards, ""), shards)
@@ -35,7 +34,7 @@
 	}
 }
 
-// replaceCore takes a core machine away for good and puts an empty one at a new address.
+// replaceCore removes a core machine for good and adds an empty one at a new address.
 func (w *World) replaceCore(name string) {
 	for _, n := range w.match(name) {
 		w.applyProcessVerb("power", w.processes[n])
--- a/lab/sim/world_network.go
+++ b/lab/sim/world_network.go
@@ -1,5 +1,5 @@
-// The simulated network between processes: ordered channels with latency, cuts
-// in one or both directions, broken channels, duplicate delivery on the mesh.
+// The simulated network between processes: ordered connections with latency, partitions in one or both
+// directions, broken connections, and duplicate delivery on the mesh.
 
 package sim
 
@@ -37,7 +37,7 @@
 	isolated         map[string]bool
 	extraDelay       clock.Micros
 	duplicatePercent int64
-	// Counted for measurements: frames and bytes on mesh channels, and those that carry a part's version.
+	// For measurements: frames and bytes on mesh connections, and the frames that carry a partition's version.
 	frames, bytes, partitionFrames int64
 }
 
@@ -46,11 +46,11 @@
 	n.isolated = map[string]bool{}
 }
 
-// Stalled is how long a channel survives a cut: its writer's patience.
+// stallTimeout is how long a connection survives a partition: the writer's time-out.
 const stallTimeout = 5 * clock.Second
 
-// partitioned reports whether nothing gets from a to b. One that is alone reaches no other
-// process, later ones included; platform and servers it does.
+// partitioned reports whether no frame gets from a to b. An isolated process reaches no other process, later
+// ones included, but the platform and the servers.
 func (n *network) partitioned(a, b string) bool {
 	if n.world.day != nil {
 		return n.world.day.partitioned(a, b)
@@ -63,7 +63,7 @@
 
 func (n *network) latency() clock.Micros { return 150 + n.world.rng.Int64N(600) + n.extraDelay }
 
-// dial opens a channel; then gets the frames that waited for it.
+// dial opens a connection and passes it to then, or nil if that fails.
 func (n *network) dial(p *process, addr string, mesh bool, then func(l *link)) {
 	w := n.world
 	fail := func(d clock.Micros) {
@@ -136,7 +136,7 @@
 	})
 }
 
-// transmit moves a frame; a cut holds it up, and breaks the channel in the end.
+// transmit delivers a frame; a partition delays it and closes the connection in the end.
 func (n *network) transmit(l *link, from *process, data []byte) {
 	if l.closed {
 		return
@@ -183,7 +183,7 @@
 	})
 }
 
-// asLaterRelease makes a frame of a process of a later release: it has a field more.
+// asLaterRelease makes a frame look like one of a later release, which has one more field.
 func (n *network) asLaterRelease(from *process, data []byte) []byte {
 	every := n.world.Script.Int("newer_every", 0)
 	if every == 0 || from.index%every != 0 || len(data) < 11 || data[10]&0xf0 != 0x80 || data[10] == 0x8f {
@@ -196,7 +196,7 @@
 	return msgp.AppendMapStrStr(out, map[string]string{"of": "a later release"})
 }
 
-// muted drops the frames of a whole way by which sheets travel, from a moment on.
+// muted reports whether the scenario has switched off the path, gossip or pull, by which this frame travels.
 func (n *network) muted(l *link, data []byte) bool {
 	off := func(name string) bool { at := n.world.Script.Int(name, 0); return at > 0 && n.world.now >= at }
 	f, err := wire.Open(data)
@@ -226,7 +226,7 @@
 	}
 }
 
-// closeLinksOf breaks every channel of a process that died.
+// closeLinksOf closes every connection of a process that died.
 func (n *network) closeLinksOf(p *process) {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
@@ -236,7 +236,7 @@
 	}
 }
 
-// setBlocked cuts or heals the way between two groups of names, one way or both.
+// setBlocked partitions or joins two groups of processes, one way or both.
 func (n *network) setBlocked(from, to []string, both, on bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -251,7 +251,8 @@
 	}
 }
 
-// partitionDialDelay is how soon a dial over a cut fails: at once where the cut refuses connections.
+// partitionDialDelay returns how soon a dial over a partition fails: at once where the partition refuses
+// connections.
 func (n *network) partitionDialDelay(p, q *process) clock.Micros {
 	if p.machine != nil && n.world.day.refusedLinks[p.machine.name+">"+q.machine.name] {
 		return n.latency()
@@ -259,7 +260,7 @@
 	return clock.Second
 }
 
-// reset ends a share of a machine's channels at once.
+// reset closes a share of a machine's connections at once.
 func (n *network) reset(m *machine, share float64) {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
@@ -269,7 +270,7 @@
 	}
 }
 
-// closePartitioned ends at once the channels that lead over a cut.
+// closePartitioned closes at once the connections that cross a partition.
 func (n *network) closePartitioned() {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
--- a/lab/sim/world_operators.go
+++ b/lab/sim/world_operators.go
@@ -1,6 +1,6 @@
-// Simulated operators: whole sheets and row edits, single, racing, in storms,
-// refused ones and retries; zones and cuts. Each sheet carries a mark of its
-// own in the ramp, a few microseconds longer than the last, by which it is known again wherever it is seen.
+// Simulated operators: complete configurations and row edits, single, racing, in storms, invalid ones and
+// retries; zones and shard maps. Each configuration carries a mark in its ramp, a few microseconds longer than
+// the last one, by which it is recognised wherever it is seen.
 
 package sim
 
@@ -23,10 +23,10 @@
 	world    *World
 	mark     int64
 	bookings map[string]booking
-	// What the sheet says of limits from the next put on.
+	// The limits in the configuration from the next put on.
 	capacity int64
 	ceilings map[string]float64
-	// Calls are counted so that a later one for the same thing ends the asking for an earlier one.
+	// Calls are counted so that a later one for the same thing replaces an earlier one.
 	zoneCalls     map[string]int
 	shardMapCalls map[string]int
 }
@@ -50,7 +50,7 @@
 	return up[o.world.rng.IntN(len(up))]
 }
 
-// buildConfig is the shape's sheet under a new mark, with the bookings of the one it is based on.
+// buildConfig returns the shape's configuration under a new mark, with the bookings of the one it is based on.
 func (o *operators) buildConfig(mark int64, on *configpb.Sheet) []byte {
 	var s map[string]any
 	if json.Unmarshal(o.world.Shape.Config(), &s) != nil {
@@ -75,7 +75,7 @@
 	return b
 }
 
-// putFirst puts the first sheet and cut, as soon as someone takes them.
+// putFirst puts the first configuration and shard map as soon as a node accepts them.
 func (o *operators) putFirst() {
 	o.world.after(100*clock.Millisecond, func() {
 		p := o.pickNode()
@@ -88,7 +88,7 @@
 				o.putFirst()
 				return
 			}
-			// One whose outcome was unknown may have been taken: then a later one loses to it.
+			// An edit whose outcome was unknown may have been accepted: then a later one loses to it.
 			o.setShardMap(o.world.Shape.Index, "c1", o.world.Shape.Shards)
 			if other := o.world.otherIndex(); other != "" {
 				o.setShardMap(other, otherShardMap, o.world.Shape.Shards)
@@ -97,7 +97,7 @@
 	})
 }
 
-// put sends a whole sheet based on a stamp; spoiled ones must be refused.
+// put sends a complete configuration based on a version; an invalid one must be rejected.
 func (o *operators) put(p *process, on configReading, kind string, mark int64, done func(code string)) {
 	w := o.world
 	if p == nil {
@@ -135,7 +135,7 @@
 	})
 }
 
-// configReading is a sheet as an operator read it from some node.
+// configReading is a configuration as an operator read it from some node.
 type configReading struct {
 	version wire.Version
 	config  *configpb.Sheet
@@ -150,7 +150,7 @@
 	return configReading{cp.Config.ConfigVersion, cp.Configuration}
 }
 
-// race sends n edits based on one stamp through different nodes at about one time.
+// race sends n edits based on one version through different nodes at about the same time.
 func (o *operators) race(n int, kind string) {
 	base := o.current()
 	for range n {
@@ -158,7 +158,7 @@
 	}
 }
 
-// storm sends edits one after another, each based on what is in force then.
+// storm sends edits one after another, each based on what is then in force.
 func (o *operators) storm(n int, every clock.Micros) {
 	for i := range n {
 		o.world.after(int64(i)*every, func() {
@@ -168,7 +168,7 @@
 	}
 }
 
-// sendTwice sends one edit twice under one id, as an operator whose answer was lost.
+// sendTwice sends one edit twice under one id, as an operator does whose answer was lost.
 func (o *operators) sendTwice() {
 	base := o.current()
 	o.mark++
@@ -177,8 +177,8 @@
 	o.world.after(200*clock.Millisecond, func() { o.put(o.pickNode(), base, "put", mark, nil) })
 }
 
-// sendUntil sends an edit through one node after another, as an operator does who
-// gets no answer or a refusal that may pass, until ended says that it is done with.
+// sendUntil sends an edit through one node after another, as an operator does who gets no answer or a temporary
+// rejection, until ended returns true.
 func (o *operators) sendUntil(make func() wire.Edit, ended func(code string) bool) {
 	w := o.world
 	p := o.pickNode()
@@ -195,7 +195,7 @@
 			}
 			answered = true
 			if code := v.(operations.Result).Reply.Code; !ended(string(code)) {
-				again(100_000)
+				again(100 * clock.Millisecond)
 			}
 		})
 	})
--- a/lab/sim/world_other_index.go
+++ b/lab/sim/world_other_index.go
@@ -1,6 +1,5 @@
-// A second index on the same fleet, "set other_index NAME": its pool has servers, a
-// sheet's service and a cut of its own, and whatever becomes of the first pool must
-// not be felt in it.
+// A second index on the same fleet, "set other_index NAME": its pool has its own servers, service and shard map,
+// and faults of the first pool must not affect it.
 
 package sim
 
@@ -13,10 +12,10 @@
 
 const otherShardMap = "d1"
 
-// otherIndex is the name of the second index, empty without one.
+// otherIndex returns the name of the second index, "" without one.
 func (w *World) otherIndex() string { return w.Script.Text("other_index", "") }
 
-// addOtherServers starts its servers: three a shard.
+// addOtherServers starts its servers, three a shard.
 func (w *World) addOtherServers() {
 	if w.otherIndex() == "" {
 		return
@@ -29,7 +28,7 @@
 	}
 }
 
-// addOtherConfig gives it a service and rows like those of the first, with room to spare.
+// addOtherConfig adds a service and rows like those of the first index, with spare capacity.
 func (w *World) addOtherConfig(s map[string]any) {
 	if w.otherIndex() == "" {
 		return
@@ -51,7 +50,7 @@
 	}
 }
 
-// countOtherPool counts what the callers of the second index get.
+// countOtherPool counts the responses to callers of the second index.
 func (w *World) countOtherPool(in *search.Request, o *search.Outcome) {
 	if w.otherIndex() == "" || in.Index != w.otherIndex() {
 		return
--- a/lab/sim/world_platform.go
+++ b/lab/sim/world_platform.go
@@ -1,5 +1,5 @@
-// The simulated platform: a lagging list that allows few calls, and the
-// handing out of ready nodes to callers, a little late too.
+// The simulated platform: a lagging, rate-limited endpoint list, and the assignment of ready nodes to callers,
+// with a lag too.
 
 package sim
 
@@ -28,13 +28,13 @@
 	p.world, p.lag, p.callLimit = w, w.Script.Int("lag_us", 300*clock.Millisecond), w.Script.Int("allowed_per_10s", 20)
 }
 
-// publish makes the platform know the servers as they are now; it shows them after its lag.
+// publish records the current servers at the platform, which shows them after its lag.
 func (p *platform) publish() {
 	l := wire.BackendList{}
 	for _, id := range p.world.serverIDs {
 		s := p.world.servers[id]
 		row := s.row
-		// Clones keep the listing as it was.
+		// Rows are copied, so a published list does not change.
 		l.Backends = append(l.Backends, row)
 		if row.State == "leaving" {
 			p.world.Checker.BackendDrains(id, p.world.now+p.lag)
@@ -73,7 +73,7 @@
 	return 200, b
 }
 
-// ready lists the nodes that the platform would hand to callers.
+// ready returns the nodes that the platform assigns to callers.
 func (p *platform) ready() []*process {
 	var out []*process
 	for _, name := range p.world.names {
--- a/lab/sim/world_power.go
+++ b/lab/sim/world_power.go
@@ -1,6 +1,5 @@
-// Power lost at one step of one write, so that every step of every write can be
-// gone through: "set power_write K" picks the K-th write of the fleet's disks after
-// "power_from_us", "set power_step" which step of it.
+// Power loss at one step of one write, so that a sweep can cover every step of every write: "set power_write K"
+// selects the K-th write of the fleet's disks after "power_from_us", "set power_step" the step.
 
 package sim
 
@@ -16,7 +15,8 @@
 // PowerSteps are the moments of a write at which the power can go.
 var PowerSteps = []string{"aside", "synced", "renamed", "answered"}
 
-// powerOffAtStep counts a write as it begins, and takes the power away if it is the one.
+// powerOffAtStep counts a write as it starts and cuts the power if it is the selected one; it reports whether
+// the process ended.
 func (d *disk) powerOffAtStep(w kernel.Write) bool {
 	world := d.process.world
 	if world.Script.Set["power_write"] == "" || world.now < world.Script.Int("power_from_us", 0) || w.Data == nil {
@@ -29,10 +29,10 @@
 	}
 	switch world.Script.Text("power_step", "") {
 	case "aside", "synced":
-		// Written aside, synced or not: the file itself is still the one before.
+		// Written to a temporary file, synced or not: the file itself is unchanged.
 		d.powerOff()
 	case "renamed":
-		// In place and synced, but nobody was told.
+		// Renamed and synced, but not acknowledged.
 		d.files[w.File] = w.Data
 		d.powerOff()
 	case "answered":
@@ -42,7 +42,7 @@
 	return true
 }
 
-// powerOffIfArmed takes the power away right after a write was answered.
+// powerOffIfArmed cuts the power right after the selected write was acknowledged.
 func (d *disk) powerOffIfArmed(w kernel.Write) {
 	if d.powerOffAfter != "" && d.powerOffAfter == w.File {
 		d.powerOffAfter = ""
@@ -63,7 +63,7 @@
 	world.after(1500*clock.Millisecond, func() { world.applyProcessVerb("restart", p) })
 }
 
-// PowerScripts makes a scenario into one for each step of each write that a run of it makes.
+// PowerScripts returns copies of a scenario, one for each step of each write that a run of it makes.
 func PowerScripts(s *script.Script, seed uint64) []*script.Script {
 	with := func(n int64, step string) *script.Script {
 		c := *s
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -1,5 +1,4 @@
-// A simulated process: one kernel with its own clocks, disk and channels, and,
-// on a node, the request path.
+// A simulated process: one kernel with its own clocks, disk and connections, and on a node the request path.
 
 package sim
 
@@ -52,17 +51,18 @@
 	calls       map[uint64]func(any)
 	nextCall    uint64
 	draining    bool
-	// stopDeadline is when a core that drains ends though it is still a voter.
+	// stopDeadline is when a draining core ends though it is still a voter.
 	stopDeadline       clock.Micros
 	restartWhenStopped bool
 	// traffic counts what the process sent, received and stepped.
 	traffic Traffic
-	// freezeAt is the state of an inquiry at which this node freezes.
+	// freezeAt is the state of a request at which this node freezes.
 	freezeAt  search.State
 	freezeFor clock.Micros
-	// inputDelay is what each input takes of a process that is slowed down, 0 otherwise; busyUntil is when it is done.
+	// inputDelay is how long a slowed process takes for each input, 0 otherwise; busyUntil is when it is done
+	// with the last one.
 	inputDelay, busyUntil clock.Micros
-	// machine is where the process stands on a day.
+	// machine is the process's machine on a day, nil otherwise.
 	machine *machine
 }
 
@@ -85,7 +85,7 @@
 	return p
 }
 
-// running tells that the process is up and not frozen.
+// running reports whether the process is up and not frozen.
 func (p *process) running() bool { return p.up && !p.frozen }
 
 func (p *process) now() clock.Micros { return p.world.now - p.startedAt }
@@ -127,7 +127,7 @@
 	p.step(kernel.Start{})
 }
 
-// kill ends the process at once; what its kernel knew is gone.
+// kill ends the process at once; its memory is lost.
 func (p *process) kill() {
 	if !p.up {
 		return
@@ -171,7 +171,7 @@
 	}
 }
 
-// deliver runs f in this life of the process, later if it is frozen.
+// deliver runs f in this incarnation of the process, or later if it is frozen or busy.
 func (p *process) deliver(f func()) {
 	life := p.incarnation
 	g := func() {
@@ -196,7 +196,7 @@
 	}
 }
 
-// deliverAfter feeds f after a while.
+// deliverAfter delivers f after a while.
 func (p *process) deliverAfter(d clock.Micros, f func()) {
 	life := p.incarnation
 	p.world.after(d, func() {
@@ -239,7 +239,7 @@
 	}
 }
 
-// call asks a plug-in.
+// call sends a request to a plug-in and passes the answer to f.
 func (p *process) call(plugin string, ask any, f func(any)) {
 	p.nextCall++
 	id := p.nextCall
@@ -249,7 +249,8 @@
 	p.step(kernel.Call{Plugin: plugin, ID: id, Request: ask})
 }
 
-// stop is the planned stop: nothing new, what was read is finished, then the end.
+// stop is the graceful shutdown: nothing new is accepted, requests in flight are finished, then the process
+// ends.
 func (p *process) stop() {
 	if !p.running() {
 		return
@@ -258,7 +259,7 @@
 	p.world.logEvent(p.name + " drains")
 	p.step(kernel.Stopping{})
 	p.stopDeadline = p.world.now + replica.LeaveTimeout
-	p.deliverAfter(1_000_000, p.endWhenIdle)
+	p.deliverAfter(clock.Second, p.endWhenIdle)
 }
 
 func (p *process) endWhenIdle() {
--- a/lab/sim/world_reachability.go
+++ b/lab/sim/world_reachability.go
@@ -1,7 +1,6 @@
-// Who can hear whom: the judges bind a node only while some way through running
-// processes leads from it to the greater part of the fleet, and operators' calls
-// only while a majority of the disk machines is up, well and connected. Both are
-// worked out from the network as it is, not from what a scenario says it did.
+// Reachability. The checks bind a node only while a path through running processes connects it to the greater
+// part of the fleet, and operators' calls only while a majority of the disk machines is up, healthy and
+// connected. Both are computed from the network's state, not from the scenario.
 
 package sim
 
@@ -14,13 +13,13 @@
 	"wallport/runtime/clock"
 )
 
-// updateReachability works out both after every step and ten times a second.
+// updateReachability recomputes both after every step and ten times a second.
 func (w *World) updateReachability() {
 	group := w.connectedGroups(w.names, func(p *process) bool { return p.running() })
 	w.isolatedNodes = 0
 	best := largestGroup(group, func(name string) int {
 		if w.processes[name].role == "core" {
-			// The half that can change the control state is the fleet; else the greater one is.
+			// The side that can change the control state is the fleet; without one the larger side is.
 			return 100
 		}
 		return 1
@@ -55,7 +54,8 @@
 	w.updateMajoritySince(&w.Checker.ClocksAgree, func(p *process) bool { return p.skew == usual })
 }
 
-// updateMajoritySince keeps from when a majority of the disk machines that fit has been up, well and connected.
+// updateMajoritySince sets *at to since when a majority of the matching disk machines has been up, healthy and
+// connected, or to MaxInt64.
 func (w *World) updateMajoritySince(at *clock.Micros, fits func(p *process) bool) {
 	cores := w.connectedGroups(w.names, func(p *process) bool { return p.role == "core" && p.running() && p.disk.mode == "" && fits(p) })
 	in, all := 0, 0
@@ -76,8 +76,8 @@
 	}
 }
 
-// connectedGroups gives every process that counts the number of its group; two are in one if
-// a chain of processes joins them of which each hears its neighbours both ways.
+// connectedGroups numbers the groups of connected processes: two are in one group if a chain of processes joins
+// them in which each hears its neighbours both ways.
 func (w *World) connectedGroups(names []string, counts func(p *process) bool) map[string]int {
 	out := map[string]int{}
 	n := 0
@@ -116,9 +116,8 @@
 	return best
 }
 
-// lacksServer reports whether the world itself gave no way to answer: some time in
-// the last seconds too few of the shards that are needed had a server that
-// answers whole, may be asked, and can be reached.
+// lacksServer reports whether the world excuses an unanswered request: some time in the last seconds too few of
+// the needed shards had a reachable server that answers correctly.
 func (w *World) lacksServer(index string, shards, shard int) bool {
 	since := w.now - unservedWindow
 	down := 0
@@ -133,7 +132,7 @@
 	return shard < 0 && (shards-down)*100 < 75*shards
 }
 
-// unservedWindow is how long nodes may take to see that a shard is served again.
+// unservedWindow is how long nodes may take to notice that a shard is served again.
 const unservedWindow = 3 * clock.Second
 
 type shardKey struct {
@@ -141,7 +140,7 @@
 	shards, shard int
 }
 
-// recordUnservedShards notes the shards that have no good server at this moment.
+// recordUnservedShards records the shards that have no healthy server now.
 func (w *World) recordUnservedShards() {
 	good := map[shardKey]bool{}
 	for _, id := range w.serverIDs {
@@ -157,7 +156,7 @@
 	}
 }
 
-// serverRefuses reports whether a server that the inquiry could be sent to refuses by itself.
+// serverRefuses reports whether a server that the request could be sent to rejects by itself.
 func (w *World) serverRefuses(in *search.Request) bool {
 	for _, id := range w.serverIDs {
 		if s := w.servers[id]; s.mode == "refuse" && s.row.Index == in.Index && (in.Kind == search.KindSearch || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -1,4 +1,4 @@
-// Simulated back ends, and the fetches of health answers and of the platform's list.
+// Simulated backends, and the answers to fetches of health reports and of the platform's list.
 
 package sim
 
@@ -30,13 +30,13 @@
 	serviceUs           clock.Micros
 }
 
-// slowStartUs is how long the sheet of the stand-ins lets a cold server ramp.
+// slowStartUs is the length of the slow start in the simulated configuration.
 const slowStartUs = 3 * clock.Second
 
 func (w *World) addServer(row wire.Backend, shards int) *server {
 	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(w.servers)/200, len(w.servers)%200)
 	s := &server{world: w, row: row, shards: shards, serviceUs: w.Script.Int("server_us", 2000)}
-	// Those that are there from the start are warm; later ones are cold.
+	// Initial servers are warm; later ones are cold.
 	s.boot()
 	if w.now == 0 {
 		s.born = -10 * slowStartUs
@@ -96,7 +96,7 @@
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
-// askServer is the way of one ask to a server and back; done gets what the node sees.
+// askServer carries one request to a server and the reply back; done gets what the node sees.
 func (w *World) askServer(p *process, a *search.Send, done func(search.Reply)) {
 	s := w.serversByAddr[a.Backend.Addr]
 	there := w.net.latency()
@@ -105,7 +105,7 @@
 		return
 	}
 	if !s.up || w.net.partitioned(p.name, s.row.ID) {
-		w.after(300_000, func() { done(search.Reply{Class: search.ReplyNotWritten, Reason: "timed out"}) })
+		w.after(300*clock.Millisecond, func() { done(search.Reply{Class: search.ReplyNotWritten, Reason: "timed out"}) })
 		return
 	}
 	life := s.incarnation
@@ -150,7 +150,7 @@
 	if up := s.world.now - s.born; up < slowStartUs {
 		us += s.world.Script.Int("cold_times", 4) * us * (slowStartUs - up) / slowStartUs
 	}
-	// Work beyond what a server does at once waits.
+	// More concurrent work than 16 requests slows all of it.
 	return us * (1 + s.running/16)
 }
 
@@ -179,7 +179,7 @@
 	return search.CheckResponse(a, raw)
 }
 
-// recordExecution counts an execution that must happen at most once.
+// recordExecution reports an execution that must happen at most once to the checker.
 func (w *World) recordExecution(a *search.Send) {
 	if !a.Request.AtMostOnce() {
 		return
--- a/lab/sim/world_verbs.go
+++ b/lab/sim/world_verbs.go
@@ -1,4 +1,4 @@
-// What a scenario can do to the world.
+// The verbs of scenarios for the world.
 
 package sim
 
@@ -85,7 +85,7 @@
 	case "book":
 		w.operators.book(arg(0), arg(1), parseInt(arg(2)), parseInt(arg(3)), parseInt(arg(4)))
 	case "seeds":
-		// From now on processes that start are given other seeds.
+		// Processes that start from now on are given other seeds.
 		w.seeds = nil
 		for _, n := range st.Args {
 			// A deployment may have fewer machines than the scenario names.
@@ -101,7 +101,7 @@
 	case "cut":
 		w.operators.setShardMap(w.Shape.Index, arg(0), int(parseInt(arg(1))))
 	case "freeze-at":
-		// Freezes a node as soon as an inquiry there reaches a state, for so many milliseconds.
+		// Freezes a node, for the given milliseconds, as soon as a request there reaches a state.
 		p := w.processes[arg(0)]
 		p.freezeAt, p.freezeFor = search.State(arg(1)), parseInt(arg(2))*clock.Millisecond
 	case "rate", "skew", "mix", "limits":
@@ -113,7 +113,7 @@
 	case "replace-core":
 		w.replaceCore(arg(0))
 	case "return-core":
-		// A machine that was taken away comes back with the disk it had.
+		// A removed machine comes back with the disk it had.
 		for _, n := range st.Args {
 			w.processes[n].replaced = false
 			w.applyProcessVerb("restart", w.processes[n])
@@ -123,7 +123,7 @@
 	}
 }
 
-// match lists the processes that a name, a prefix with *, or "zone:z1" means.
+// match returns the processes that a name, a prefix with *, "zone:z1" or "owner" means.
 func (w *World) match(pattern string) []string {
 	var out []string
 	for _, name := range w.names {
@@ -177,7 +177,7 @@
 			return
 		}
 		delete(w.killed, p.name)
-		// A process that still drains is started again once it has ended.
+		// A draining process is restarted once it has ended.
 		p.restartWhenStopped = p.up && p.draining
 		p.start()
 	case "freeze":
@@ -191,7 +191,7 @@
 	}
 }
 
-// isolate cuts a process off from every other process, platform and server aside.
+// isolate partitions a process from every other process, but not from the platform and the servers.
 func (w *World) isolate(name string, on bool) {
 	w.net.isolated[name] = on
 }
