--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -71,7 +71,7 @@
 	g.process.deliverAfter(a.Timeout, func() {
 		x.end(dispatch.Result{Class: x.class(), TimedOut: true, ReusedConn: x.reused, Reason: "no answer in time"})
 	})
-	s := a.Server
+	s := a.Backend
 	x.conn = g.takeIdleConn(s)
 	if x.conn != nil {
 		x.reused = true
@@ -138,8 +138,8 @@
 		return
 	}
 	c.idleSince = g.day.world.now
-	if all := g.idleConns[x.action.Server.ID]; len(all) < idlePerLife && c.backend.up {
-		g.idleConns[x.action.Server.ID] = append(all, c)
+	if all := g.idleConns[x.action.Backend.ID]; len(all) < idlePerLife && c.backend.up {
+		g.idleConns[x.action.Backend.ID] = append(all, c)
 		return
 	}
 	c.backend.conns--
@@ -185,7 +185,7 @@
 		return
 	}
 	req := a.Request
-	inc.arrive(x, a.Server.ID, &rules.Arrival{
+	inc.arrive(x, a.Backend.ID, &rules.Arrival{
 		Attempt: req.ID, Backend: inc.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.world.now,
 		Held: held,
 	}, work, within)
--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -55,7 +55,7 @@
 	must.NoError(t, err)
 	defer l.Close()
 	cl := newTestClient(t, Config{})
-	a := dispatch.Send{Server: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: l.Addr().String()}}, Timeout: 20_000_000, Request: &dispatch.Request{Method: "GET"}}
+	a := dispatch.Send{Backend: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: l.Addr().String()}}, Timeout: 20_000_000, Request: &dispatch.Request{Method: "GET"}}
 	x := cl.Start(a)
 	x.Cancel()
 	rep := x.Run()
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -152,7 +152,7 @@
 	must.NoError(t, l.Close())
 	f := &fake{}
 	cl := newTestClient(t, Config{})
-	a := dispatch.Send{Server: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20_000_000, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
+	a := dispatch.Send{Backend: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20_000_000, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
 	for range 3 {
 		rep := run(t, cl, a, dispatch.ClassNotSent)
 		must.StrContains(t, rep.Reason, "refused")
@@ -214,7 +214,7 @@
 	cl := newTestClient(t, Config{})
 	run(t, cl, f.once("a"), dispatch.ClassResponse)
 	b := f.once("b")
-	b.Server.ID = "i-2"
+	b.Backend.ID = "i-2"
 	must.False(t, run(t, cl, b, dispatch.ClassResponse).ReusedConn)
 	must.Eq(t, 2, f.connections())
 }
@@ -226,7 +226,7 @@
 	cl := newTestClient(t, Config{Counts: counts})
 	for _, id := range []string{"a", "b"} {
 		a := f.once(id)
-		a.Server.CloseAfterUse = true
+		a.Backend.CloseAfterUse = true
 		must.False(t, run(t, cl, a, dispatch.ClassResponse).ReusedConn)
 	}
 	must.Eq(t, 2, counts.Of("backend_dials").Load())
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -71,7 +71,7 @@
 	server := &snapshot.Backend{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
 	ask := func(id string) dispatch.Send {
 		return dispatch.Send{
-			Pool: pool, Server: server, Timeout: 5_000_000,
+			Pool: pool, Backend: server, Timeout: 5_000_000,
 			Request: &dispatch.Request{ID: id, Method: "GET", Target: "/search", Host: "site.example", Header: []byte("Try-Id: " + id + "\r\n")},
 		}
 	}
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -141,7 +141,7 @@
 
 // connect returns an idle or a new connection, or why there is none.
 func (x *Exchange) connect() (c *conn, failure string) {
-	c, pool, mayDial := x.client.acquire(x.attempt.Server, x.client.connectionLimit(x.attempt.Pool))
+	c, pool, mayDial := x.client.acquire(x.attempt.Backend, x.client.connectionLimit(x.attempt.Pool))
 	if c != nil {
 		x.client.counters.reused.Add(1)
 		return c, ""
@@ -158,7 +158,7 @@
 		cancel()
 	}
 	x.mu.Unlock()
-	c, err := x.client.dial(ctx, x.attempt.Server, pool)
+	c, err := x.client.dial(ctx, x.attempt.Backend, pool)
 	if err != nil {
 		x.client.counters.dialsFailed.Add(1)
 		return nil, "dial: " + errorText(err)
@@ -196,7 +196,7 @@
 		result, keep = x.classify(c, resp, body)
 	}
 	result.ReusedConn, result.WrittenAfter = c.reused, x.writtenAfter
-	keep = keep && !x.attempt.Server.CloseAfterUse
+	keep = keep && !x.attempt.Backend.CloseAfterUse
 	if !x.detach() {
 		keep = false
 	}
@@ -213,7 +213,7 @@
 	b = append(b, r.Header...)
 	b = append(append(b, names.Budget...), ": "...)
 	b = append(strconv.AppendInt(b, left.Milliseconds(), 10), "\r\n"...)
-	b = append(append(append(append(b, names.Target...), ": "...), x.attempt.Server.ID...), "\r\n"...)
+	b = append(append(append(append(b, names.Target...), ": "...), x.attempt.Backend.ID...), "\r\n"...)
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b = append(b, "Content-Length: "...)
 		b = append(strconv.AppendInt(b, int64(len(r.Body)), 10), "\r\n"...)
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -160,7 +160,7 @@
 
 func (f *fake) ask(id string) dispatch.Send {
 	return dispatch.Send{
-		Server: f.server(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, Timeout: 20_000_000,
+		Backend: f.server(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, Timeout: 20_000_000,
 		Request: &dispatch.Request{ID: id, Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Header: []byte("Try-Id: " + id + "\r\n")},
 	}
 }
--- a/request/dispatch/bench_test.go
+++ b/request/dispatch/bench_test.go
@@ -10,18 +10,18 @@
 func BenchmarkGathered(b *testing.B) {
 	for _, n := range []int{4, 18, 140} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := fixed(n, 8)
+			f := newFixture(n, 8)
 			body := make([]byte, 640)
 			for i := range body {
 				body[i] = byte(i * 37)
 			}
 			replies := make([]Result, n)
 			for i := range replies {
-				replies[i] = okay("")
+				replies[i] = success("")
 				replies[i].Seal, replies[i].Body = fmt.Sprintf("3e1b.07.5a2.600.0.c9f2a4%02d", i), body
 				replies[i].Load = LoadReport{Running: 1, Queued: 0, Slots: 2, Known: true}
 			}
-			now := int64(begun)
+			now := int64(startTime)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 1000
@@ -39,9 +39,9 @@
 }
 
 func BenchmarkSingle(b *testing.B) {
-	f := fixed(1, 19)
-	r := okay("body")
-	now := int64(begun)
+	f := newFixture(1, 19)
+	r := success("body")
+	now := int64(startTime)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 1000
@@ -52,7 +52,7 @@
 }
 
 func BenchmarkView(b *testing.B) {
-	f := fixed(18, 8)
+	f := newFixture(18, 8)
 	b.ReportAllocs()
 	for b.Loop() {
 		f.buildView(f.snap)
--- a/request/dispatch/deployments_test.go
+++ b/request/dispatch/deployments_test.go
@@ -8,28 +8,28 @@
 	"github.com/shoenig/test/must"
 )
 
-// grown is a large deployment: many nodes, each of which sees little of every backend.
-func grown(seed uint64) shape {
-	s := usual(seed)
+// largeDeployment is a large deployment: many nodes, each of which sees little of every backend.
+func largeDeployment(seed uint64) deployment {
+	s := defaultDeployment(seed)
 	s.nodes, s.shards, s.perShard, s.allowance = 88, 12, 8, 216
 	s.search, s.quick, s.once, s.read = 227, 91, 136, 23
 	return s
 }
 
-// pausing is one whose backends pause for long.
-func pausing(seed uint64) shape {
-	s := grown(seed)
-	s.nodes, s.pause, s.desk, s.allowance, s.linkUs = 72, 190_000, 8, 184, 1_000
+// pausingDeployment is one whose backends pause for long.
+func pausingDeployment(seed uint64) deployment {
+	s := largeDeployment(seed)
+	s.nodes, s.pause, s.deskBackends, s.allowance, s.clientLink = 72, 190_000, 8, 184, 1_000
 	return s
 }
 
-func TestOtherSites(t *testing.T) {
-	for name, s := range map[string]shape{"grown": grown(1), "pausing": pausing(1)} {
+func TestDeploymentSizes(t *testing.T) {
+	for name, s := range map[string]deployment{"grown": largeDeployment(1), "pausing": pausingDeployment(1)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(s)
 			w.play(t, 8, nil)
-			must.Greater(t, 0.9, w.log.earned())
+			must.Greater(t, 0.9, w.journal.earned())
 		})
 	}
 }
--- a/request/dispatch/dispatcher_test.go
+++ b/request/dispatch/dispatcher_test.go
@@ -11,32 +11,32 @@
 	"wallport/request/snapshot"
 )
 
-func TestDeskUnderManyThreads(t *testing.T) {
-	f := fixed(6, 5)
-	f.rich()
+func TestDispatcherServesConcurrentRequests(t *testing.T) {
+	f := newFixture(6, 5)
+	f.fillRetryBudgets()
 	var mu sync.Mutex
 	f.Dispatcher.cfg.Snapshot = func() *snapshot.Snapshot {
 		mu.Lock()
 		defer mu.Unlock()
 		// The table changes all the time.
 		v := *f.snap
-		v.At = begun
+		v.At = startTime
 		return &v
 	}
 	var wg sync.WaitGroup
 	for g := range 8 {
 		wg.Go(func() {
 			for i := range 300 {
-				at := begun + int64(i)*1000
-				m := f.chart([]string{"gather", "once", "read", "split"}[(g+i)%4])
-				todo := asks(m.Step(at, Begin{}))
+				at := startTime + int64(i)*1000
+				m := f.stateMachine([]string{"gather", "once", "read", "split"}[(g+i)%4])
+				todo := sends(m.Step(at, Begin{}))
 				for n := 0; n < len(todo) && n < 40; n++ {
-					r := okay("0123456789abcdef")
+					r := success("0123456789abcdef")
 					r.Seal = string(rune('a' + n))
 					if (g+i+n)%7 == 0 {
 						r.Class = Class((i + n) % 5)
 					}
-					todo = append(todo, asks(m.Step(at+int64(n)*100, AttemptDone{N: todo[n].N, Result: r}))...)
+					todo = append(todo, sends(m.Step(at+int64(n)*100, AttemptDone{N: todo[n].N, Result: r}))...)
 				}
 				m.Step(at+600_000, TimerFired{})
 				must.True(t, m.Done())
@@ -50,22 +50,22 @@
 	})
 }
 
-func TestNodeThatIsBehindRefusesSome(t *testing.T) {
-	f := fixed(4, 4)
+func TestAdmissionRejectsUnderLag(t *testing.T) {
+	f := newFixture(4, 4)
 	refused := func(late int64) (n int) {
 		for range 100 {
 			for range 10 {
-				f.lag.record(begun, late)
+				f.lag.record(startTime, late)
 			}
-			m := f.chart("gather")
-			acts := m.Step(begun, Begin{})
-			if o := finish(acts); o != nil && o.Status == 503 {
+			m := f.stateMachine("gather")
+			acts := m.Step(startTime, Begin{})
+			if o := outcomeOf(acts); o != nil && o.Status == 503 {
 				n++
 			}
-			for i, a := range asks(acts) {
-				r := okay("")
+			for i, a := range sends(acts) {
+				r := success("")
 				r.Seal = string(rune('a' + i))
-				m.Step(begun+1000, AttemptDone{N: a.N, Result: r})
+				m.Step(startTime+1000, AttemptDone{N: a.N, Result: r})
 			}
 		}
 		return n
@@ -76,47 +76,47 @@
 	must.Between(t, 0, refused(0), 10, must.Sprint("it passes"))
 }
 
-func TestForgottenConnectionDoesNotCondemnTheOnlyBackend(t *testing.T) {
-	f := fixed(1, 1)
-	f.rich()
+func TestStaleConnectionDoesNotEject(t *testing.T) {
+	f := newFixture(1, 1)
+	f.fillRetryBudgets()
 	for range 10 {
-		m := f.chart("read")
-		m.Step(begun, Begin{})
-		a := asks(m.Step(begun+500, AttemptDone{N: 0, Result: Result{Class: ClassFailed, ReusedConn: true}}))
+		m := f.stateMachine("read")
+		m.Step(startTime, Begin{})
+		a := sends(m.Step(startTime+500, AttemptDone{N: 0, Result: Result{Class: ClassFailed, ReusedConn: true}}))
 		must.Len(t, 1, a)
-		must.Eq(t, 200, finish(m.Step(begun+3000, AttemptDone{N: a[0].N, Result: okay("x")})).Status)
+		must.Eq(t, 200, outcomeOf(m.Step(startTime+3000, AttemptDone{N: a[0].N, Result: success("x")})).Status)
 	}
 	must.Eq(t, 0, f.count.ejections.Load())
 }
 
-func TestColdByItsOwnWord(t *testing.T) {
-	f := fixed(1, 2)
-	f.src.Pools[0].RampPerS = 1
+func TestSlowStartHonorsReportedWarmUp(t *testing.T) {
+	f := newFixture(1, 2)
+	f.table.Pools[0].RampPerS = 1
 	for _, s := range f.snap.Pools["p0"].Backends {
-		s.Gauge.SlowStartUntil.Store(begun + 3*second)
+		s.Gauge.SlowStartUntil.Store(startTime + 3*second)
 	}
 	sent := 0
 	for i := range 2000 {
-		at := begun + int64(i)*1000
+		at := startTime + int64(i)*1000
 		m := NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example"}, at)
-		for _, a := range asks(m.Step(at, Begin{})) {
+		for _, a := range sends(m.Step(at, Begin{})) {
 			sent++
-			m.Step(at+500, AttemptDone{N: a.N, Result: okay("x")})
+			m.Step(at+500, AttemptDone{N: a.N, Result: success("x")})
 		}
 	}
 	must.Between(t, 1, sent, 6)
 }
 
-func TestDeadline(t *testing.T) {
-	m := fixed(2, 4).chart("once")
-	m.Step(begun, Begin{})
-	o := finish(m.Step(begun+498_000, TimerFired{}))
+func TestDeadlineLeavesNetworkAllowance(t *testing.T) {
+	m := newFixture(2, 4).stateMachine("once")
+	m.Step(startTime, Begin{})
+	o := outcomeOf(m.Step(startTime+498_000, TimerFired{}))
 	must.Eq(t, 504, o.Status)
 	must.Eq(t, 0, o.RetryAfter)
-	f := fixed(2, 4)
-	m = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000}, begun)
-	must.Eq(t, 192_000, asks(m.Step(begun, Begin{}))[0].Timeout, must.Sprint("the client's budget, less the way back"))
-	m = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000, ReadAt: begun - 300_000}, begun)
-	o = finish(m.Step(begun, Begin{}))
+	f := newFixture(2, 4)
+	m = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000}, startTime)
+	must.Eq(t, 192_000, sends(m.Step(startTime, Begin{}))[0].Timeout, must.Sprint("the client's budget, less the way back"))
+	m = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000, ReadAt: startTime - 300_000}, startTime)
+	o = outcomeOf(m.Step(startTime, Begin{}))
 	must.Eq(t, 503, o.Status, must.Sprint("nothing was ever sent"))
 }
--- a/request/dispatch/ejection_test.go
+++ b/request/dispatch/ejection_test.go
@@ -8,27 +8,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// elsewhere is the answer of another backend at the address.
-func elsewhere() Result {
+// wrongBackendResult is the answer of another backend at the address.
+func wrongBackendResult() Result {
 	return Result{Class: ClassRejected, Status: 421, WrongBackend: true}
 }
 
-// meetsAnother has a request of the route meet another backend at the address that it asks.
-func (f *fixture) meetsAnother(t *testing.T) *backend {
+// sendToReplacedBackend has a request of the route meet another backend at the address that it asks.
+func (f *fixture) sendToReplacedBackend(t *testing.T) *backend {
 	t.Helper()
-	m := f.chart("read")
-	a := asks(m.Step(begun, Begin{}))
+	m := f.stateMachine("read")
+	a := sends(m.Step(startTime, Begin{}))
 	must.Len(t, 1, a)
-	m.Step(begun+1_000, AttemptDone{N: a[0].N, Result: elsewhere()})
-	return f.backendOf(a[0].Server.ID)
+	m.Step(startTime+1_000, AttemptDone{N: a[0].N, Result: wrongBackendResult()})
+	return f.backendOf(a[0].Backend.ID)
 }
 
-func TestABackendWhoseAddressIsAnothersIsAskedNoMore(t *testing.T) {
-	f := fixed(1, 2)
-	f.rich()
-	b := f.meetsAnother(t)
+func TestReplacedBackendIsDown(t *testing.T) {
+	f := newFixture(1, 2)
+	f.fillRetryBudgets()
+	b := f.sendToReplacedBackend(t)
 	seats := f.currentView().pools["p0"].endpoints
-	for at := int64(begun + 1_001); at < begun+replacedFor; at += 100_000 {
+	for at := int64(startTime + 1_001); at < startTime+replacedFor; at += 100_000 {
 		for i := range seats {
 			if seats[i].backend == b {
 				must.Eq(t, standingDown, seats[i].standing(at, &latencyStats{}, false), must.Sprint("no trial: it would reach the other one"))
@@ -38,14 +38,14 @@
 	must.Eq(t, 1, f.count.ejections.Load())
 }
 
-func TestABackendIsTriedAgainOnceALongTimeHasPassed(t *testing.T) {
-	f := fixed(1, 2)
-	f.rich()
-	b := f.meetsAnother(t)
+func TestReplacedBackendIsTriedAgainLater(t *testing.T) {
+	f := newFixture(1, 2)
+	f.fillRetryBudgets()
+	b := f.sendToReplacedBackend(t)
 	seats := f.currentView().pools["p0"].endpoints
 	for i := range seats {
 		if seats[i].backend == b {
-			must.NotEq(t, standingDown, seats[i].standing(begun+1_000+replacedFor, &latencyStats{}, false))
+			must.NotEq(t, standingDown, seats[i].standing(startTime+1_000+replacedFor, &latencyStats{}, false))
 		}
 	}
 }
--- a/request/dispatch/events.go
+++ b/request/dispatch/events.go
@@ -132,9 +132,9 @@
 type (
 	// Send starts attempt N: the request is to be sent to one backend.
 	Send struct {
-		N      int
-		Server *snapshot.Backend
-		Pool   *snapshot.Pool
+		N       int
+		Backend *snapshot.Backend
+		Pool    *snapshot.Pool
 		// Timeout is the time that is left, for the backend and for the driver.
 		Timeout clock.Micros
 		// AtMostOnce marks a request that must not run twice.
--- a/request/dispatch/faults_test.go
+++ b/request/dispatch/faults_test.go
@@ -13,12 +13,12 @@
 	"wallport/api/routingpb"
 )
 
-// some are that share of the backends of pools with a prefix, one at least.
-func (w *world) some(share float64, pools ...string) (out []*simBackend) {
+// pick are that share of the backends of pools with a prefix, one at least.
+func (w *world) pick(share float64, pools ...string) (out []*simBackend) {
 	for _, p := range pools {
 		var all []*simBackend
 		for _, b := range w.backends {
-			if !b.gone && len(b.pool) >= len(p) && b.pool[:len(p)] == p {
+			if !b.departed && len(b.pool) >= len(p) && b.pool[:len(p)] == p {
 				all = append(all, b)
 			}
 		}
@@ -28,8 +28,8 @@
 	return out
 }
 
-// lasting sets something on backends for a while.
-func (w *world) lasting(s float64, all []*simBackend, set, unset func(*simBackend)) {
+// during sets something on backends for a while.
+func (w *world) during(s float64, all []*simBackend, set, unset func(*simBackend)) {
 	for _, b := range all {
 		set(b)
 		w.after(int64(s*second), func() { unset(b) })
@@ -40,93 +40,93 @@
 func (w *world) crash(s float64, all []*simBackend) {
 	for _, b := range all {
 		b.down = true
-		w.after(2*second, func() { b.gone = true; w.publish() })
+		w.after(2*second, func() { b.departed = true; w.publishSnapshots() })
 		w.after(int64(s*second), func() {
-			n := w.backend(b.pool, b.zone, b.slots, b.limit)
-			n.cold = w.now + 3*second
-			w.publish()
+			n := w.addBackend(b.pool, b.zone, b.slots, b.queueLimit)
+			n.warmUntil = w.now + 3*second
+			w.publishSnapshots()
 		})
 	}
 }
 
-type trouble struct {
+type fault struct {
 	name string
 	// least is what is earned at least, of all that is owed.
-	least float64
-	do    func(w *world)
-	// seconds is how long the world is played, usualSeconds where it is 0.
+	least  float64
+	inject func(w *world)
+	// seconds is how long the world is played, defaultSeconds where it is 0.
 	seconds int64
 }
 
-// usualSeconds is how long the world of a trouble is played.
-const usualSeconds = 12
+// defaultSeconds is how long the world of a trouble is played.
+const defaultSeconds = 12
 
-var troubles = []trouble{
-	{name: "slow", least: 0.9, do: func(w *world) {
-		w.lasting(6, w.some(0.15, "shard", "desk"), func(b *simBackend) { b.times = 8.5 }, func(b *simBackend) { b.times = 1 })
+var faults = []fault{
+	{name: "slow", least: 0.9, inject: func(w *world) {
+		w.during(6, w.pick(0.15, "shard", "desk"), func(b *simBackend) { b.workFactor = 8.5 }, func(b *simBackend) { b.workFactor = 1 })
 	}},
-	{name: "dark", least: 0.9, do: func(w *world) {
-		w.lasting(5, w.some(0.15, "shard", "desk"), func(b *simBackend) { b.dark = true }, func(b *simBackend) { b.dark = false })
+	{name: "dark", least: 0.9, inject: func(w *world) {
+		w.during(5, w.pick(0.15, "shard", "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "dark shard", least: 0.8, do: func(w *world) {
-		w.lasting(4, w.some(1, "shard0"), func(b *simBackend) { b.dark = true }, func(b *simBackend) { b.dark = false })
+	{name: "dark shard", least: 0.8, inject: func(w *world) {
+		w.during(4, w.pick(1, "shard0"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "dark desk", least: 0.6, do: func(w *world) {
-		w.lasting(4, w.some(1, "desk"), func(b *simBackend) { b.dark = true }, func(b *simBackend) { b.dark = false })
+	{name: "dark desk", least: 0.6, inject: func(w *world) {
+		w.during(4, w.pick(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "grey", least: 0.9, do: func(w *world) {
-		w.lasting(6, w.some(0.3, "shard", "desk"), func(b *simBackend) { b.grey = 0.5 }, func(b *simBackend) { b.grey = 0 })
+	{name: "grey", least: 0.9, inject: func(w *world) {
+		w.during(6, w.pick(0.3, "shard", "desk"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
 	}},
-	{name: "grey shard", least: 0.8, do: func(w *world) {
-		w.lasting(6, w.some(1, "shard1"), func(b *simBackend) { b.grey = 0.5 }, func(b *simBackend) { b.grey = 0 })
+	{name: "grey shard", least: 0.8, inject: func(w *world) {
+		w.during(6, w.pick(1, "shard1"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
 	}},
-	{name: "garble", least: 0.9, do: func(w *world) {
-		w.lasting(6, w.some(0.35, "shard", "desk"), func(b *simBackend) { b.garble = 0.03 }, func(b *simBackend) { b.garble = 0 })
+	{name: "garble", least: 0.9, inject: func(w *world) {
+		w.during(6, w.pick(0.35, "shard", "desk"), func(b *simBackend) { b.garbleRate = 0.03 }, func(b *simBackend) { b.garbleRate = 0 })
 	}},
-	{name: "lost", least: 0.9, do: func(w *world) {
-		w.lasting(4, w.some(0.5, "shard", "desk"), func(b *simBackend) { b.lost = 0.05 }, func(b *simBackend) { b.lost = 0 })
+	{name: "lost", least: 0.9, inject: func(w *world) {
+		w.during(4, w.pick(0.5, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.05 }, func(b *simBackend) { b.lossRate = 0 })
 	}},
-	{name: "crash", least: 0.9, do: func(w *world) { w.crash(4, w.some(0.2, "shard", "desk")) }},
-	{name: "crash shard", least: 0.8, do: func(w *world) { w.crash(4, w.some(1, "shard2")) }},
-	{name: "flap", least: 0.85, do: func(w *world) {
-		for _, b := range w.some(0.2, "shard", "desk") {
+	{name: "crash", least: 0.9, inject: func(w *world) { w.crash(4, w.pick(0.2, "shard", "desk")) }},
+	{name: "crash shard", least: 0.8, inject: func(w *world) { w.crash(4, w.pick(1, "shard2")) }},
+	{name: "flap", least: 0.85, inject: func(w *world) {
+		for _, b := range w.pick(0.2, "shard", "desk") {
 			for i := range 8 {
 				w.after(int64(i)*second, func() { b.down = i%2 == 0 })
 			}
 		}
 	}},
-	{name: "herd", least: 0.7, do: func(w *world) {
+	{name: "herd", least: 0.7, inject: func(w *world) {
 		for i, n := range w.nodes {
 			if i%2 == 0 {
-				n.dead = true
+				n.down = true
 				w.after(1_500_000, func() { n.start(w.now) })
 			}
 		}
 	}},
-	{name: "overload", least: 0.5, do: func(w *world) {
+	{name: "overload", least: 0.5, inject: func(w *world) {
 		until := w.now + 5*second
 		for range 3 {
-			w.offer(until)
+			w.startClients(until)
 		}
 	}},
 	// Its pools lose most answers from 3 to 13 s.
-	{name: "lossy", least: 0.4, seconds: 16, do: func(w *world) {
-		w.lasting(10, w.some(1, "shard", "desk"), func(b *simBackend) { b.lost = 0.7 }, func(b *simBackend) { b.lost = 0 })
+	{name: "lossy", least: 0.4, seconds: 16, inject: func(w *world) {
+		w.during(10, w.pick(1, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.7 }, func(b *simBackend) { b.lossRate = 0 })
 	}},
 }
 
-func TestTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	t.Parallel()
-	for _, tr := range troubles {
+	for _, tr := range faults {
 		t.Run(tr.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				s := usual(seed + 10)
-				s.onceTo = 1 + int(seed)
+				s := defaultDeployment(seed + 10)
+				s.onceMaxBackends = 1 + int(seed)
 				w := newWorld(s)
-				w.play(t, cmp.Or(tr.seconds, usualSeconds), map[float64]func(){3: func() { tr.do(w) }})
-				t.Logf("seed %d: earned %.3f, %.2f at least", w.seed, w.log.earned(), tr.least)
-				must.GreaterEq(t, tr.least, w.log.earned(), must.Sprintf("seed %d", w.seed))
+				w.play(t, cmp.Or(tr.seconds, defaultSeconds), map[float64]func(){3: func() { tr.inject(w) }})
+				t.Logf("seed %d: earned %.3f, %.2f at least", w.seed, w.journal.earned(), tr.least)
+				must.GreaterEq(t, tr.least, w.journal.earned(), must.Sprintf("seed %d", w.seed))
 			}
 		})
 	}
@@ -134,46 +134,46 @@
 
 func (j *journal) earned() float64 {
 	owed, earned := 0.0, 0.0
-	for _, s := range j.sums {
-		owed, earned = owed+s.owed, earned+s.earned
+	for _, s := range j.tallies {
+		owed, earned = owed+s.possible, earned+s.earned
 	}
 	return earned / max(1, owed)
 }
 
 // change puts a new configuration in force.
 func (w *world) change(f func(c *routingpb.RoutingTable)) {
-	c := proto.Clone(w.config).(*routingpb.RoutingTable)
+	c := proto.Clone(w.table).(*routingpb.RoutingTable)
 	c.Revision++
 	f(c)
-	w.config, w.configs = c, append(w.configs, c)
-	w.publish()
+	w.table, w.tables = c, append(w.tables, c)
+	w.publishSnapshots()
 }
 
 var _ = fmt.Sprint
 
 // While a pool is silent its requests are refused, which promises that they have not run, and soon
 // after it is back they are served.
-func TestSilentPoolIsRefusedAndFoundAgain(t *testing.T) {
+func TestUnresponsivePoolIsRejectedAndRecovers(t *testing.T) {
 	t.Parallel()
 	for _, read := range []float64{25, 0} {
 		for seed := range uint64(3) {
-			s := usual(seed)
+			s := defaultDeployment(seed)
 			s.search, s.quick, s.read = 0, 0, read
 			w := newWorld(s)
 			from := w.now + second + 2*second
 			w.play(t, 9, map[float64]func(){2: func() {
-				w.lasting(4, w.some(1, "desk"), func(b *simBackend) { b.dark = true }, func(b *simBackend) { b.dark = false })
+				w.during(4, w.pick(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 			}})
 			began := map[string]int64{}
-			for _, v := range w.log.tries {
+			for _, v := range w.journal.attempts {
 				began[v.id] = v.at
 			}
 			count := func(from, to int64, status int) (share float64) {
 				n, all := 0, 0
-				for _, v := range w.log.told_ {
-					if at := began[v.id]; v.kind.once && at >= from && at < to {
+				for _, v := range w.journal.outcomes {
+					if at := began[v.id]; v.kind.atMostOnce && at >= from && at < to {
 						all++
-						if v.o.Status == status {
+						if v.outcome.Status == status {
 							n++
 						}
 					}
--- a/request/dispatch/fleet_test.go
+++ b/request/dispatch/fleet_test.go
@@ -15,11 +15,11 @@
 )
 
 // A process that is killed and started anew has nothing saved, however often that happens.
-func TestBudgetHoldsAcrossRestartsAndDropsOfTraffic(t *testing.T) {
+func TestRetryBudgetAcrossRestartsAndTrafficDrops(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{3, 11, 88} {
 		for seed := range uint64(2) {
-			s := usual(seed)
+			s := defaultDeployment(seed)
 			s.nodes, s.allowance, s.slots, s.pause = nodes, 62, 4, 0
 			s.search, s.quick, s.once, s.read = 300, 0, 0, 100
 			w := newWorld(s)
@@ -28,47 +28,47 @@
 				// All savings are there, then everything fails; later the traffic drops to almost nothing.
 				5: func() {
 					for _, b := range w.backends {
-						b.lost = 0.6
+						b.lossRate = 0.6
 					}
 				},
-				14: func() { w.search, w.read = 2, 1; w.offer(w.now + 20*second) },
+				14: func() { w.search, w.read = 2, 1; w.startClients(w.now + 20*second) },
 			}
 			for i := range 12 {
 				troubles[4+float64(i)*0.8+0.1] = func() {
 					n := w.nodes[r.IntN(nodes)]
-					n.dead = true
+					n.down = true
 					w.after(400_000, func() { n.start(w.now) })
 				}
 			}
 			w.play(t, 14, troubles)
-			w.run(w.now + 15*second)
-			w.judge(t)
+			w.advance(w.now + 15*second)
+			w.checkRules(t)
 		}
 	}
 }
 
-func TestRampOfColdBackends(t *testing.T) {
+func TestSlowStartLimitsWarmingBackends(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{1, 11, 88} {
 		for seed := range uint64(3) {
-			s := usual(seed)
-			s.nodes, s.ramp = nodes, 12
+			s := defaultDeployment(seed)
+			s.nodes, s.rampPerS = nodes, 12
 			w := newWorld(s)
 			w.play(t, 12, map[float64]func(){
-				1: func() { w.crash(2, w.some(0.5, "shard", "desk")) },
+				1: func() { w.crash(2, w.pick(0.5, "shard", "desk")) },
 				// Everything turns cold at once, and is listed so.
 				7: func() {
 					for _, b := range w.backends {
-						b.cold = w.now + 3*second
+						b.warmUntil = w.now + 3*second
 					}
 					for _, n := range w.nodes {
-						n.take()
+						n.refreshSnapshot()
 					}
 				},
 			})
 			cold := 0
-			for _, a := range w.log.arrivals {
-				if a.cold {
+			for _, a := range w.journal.arrivals {
+				if a.warmingUp {
 					cold++
 				}
 			}
@@ -79,14 +79,14 @@
 }
 
 // All processes are killed again and again, and each begins with nothing.
-func TestBudgetHoldsThoughTheFleetRestartsAllTheTime(t *testing.T) {
+func TestRetryBudgetUnderConstantRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		s := usual(seed)
+		s := defaultDeployment(seed)
 		s.nodes, s.search, s.quick, s.once, s.read, s.pause = 40, 60, 0, 0, 60, 0
 		w := newWorld(s)
 		for _, b := range w.backends {
-			b.lost = 0.7
+			b.lossRate = 0.7
 		}
 		troubles := map[float64]func(){}
 		for i := range 6 {
@@ -102,7 +102,7 @@
 
 // Each node's fair part of the allowance is far below one ask here; the whole ones that nodes save
 // must not add up.
-func TestBudgetOfAFleetThatIsLargerThanTheAllowance(t *testing.T) {
+func TestRetryBudgetOfFleetLargerThanAllowance(t *testing.T) {
 	t.Parallel()
 	const nodes, allowance = 600, 30.0
 	for seed := range uint64(3) {
@@ -116,7 +116,7 @@
 		var j journal
 		j.init()
 		rnd := random.Source(seed)
-		one := kinds[0]
+		one := requestKinds[0]
 		// Quiet for long, so that all that can be saved is, then every request asks for an extra.
 		for i := range 60 * 560 {
 			now += second / 560
@@ -124,14 +124,14 @@
 			p := &pool{name: "p", retryBudget: d.retryBudgetOf("p")}
 			p.retryBudget.replenish(now, snap.Divisor, &rnd)
 			id := fmt.Sprint(i)
-			j.asked(now, id, &one)
+			j.recordAttempt(now, id, &one)
 			for range 3 {
 				if i > 40*560 && d.withdrawRetry(p, now, snap.Divisor) {
 					j.arrivals = append(j.arrivals, &arrival{at: now, id: id, pool: "p", extra: true})
 				}
 			}
 		}
-		must.SliceEmpty(t, j.judgeBudget(0.2, allowance, 10*second, func(string) []string { return []string{"p"} }), must.Sprintf("seed %d", seed))
+		must.SliceEmpty(t, j.checkRetryBudget(0.2, allowance, 10*second, func(string) []string { return []string{"p"} }), must.Sprintf("seed %d", seed))
 		must.Greater(t, 500, len(j.arrivals), must.Sprint("the budget is also used"))
 	}
 }
--- a/request/dispatch/invariants.go
+++ b/request/dispatch/invariants.go
@@ -13,8 +13,8 @@
 		r.Violated(invariant.NoSendAfterOutcome, "request %s", m.request.ID)
 	case m.atMostOnce() && (shard.inFlight > 0 || shard.mayHaveRun || shard.succeeded):
 		r.Violated(invariant.AtMostOnce, "request %s: %d asks under way, may have run: %t", m.request.ID, shard.inFlight, shard.mayHaveRun)
-	case e.server.Health == snapshot.Draining || e.server.Health == snapshot.ZoneDrained:
-		r.Violated(invariant.NoSendToDraining, "request %s to %s", m.request.ID, e.server.ID)
+	case e.listed.Health == snapshot.Draining || e.listed.Health == snapshot.ZoneDrained:
+		r.Violated(invariant.NoSendToDraining, "request %s to %s", m.request.ID, e.listed.ID)
 	case shard.sent >= m.maxBackends():
 		r.Violated(invariant.BackendsWithinRoute, "request %s: %d backends of %s, %d may be", m.request.ID, shard.sent+1, shard.pool.name, m.maxBackends())
 	}
--- a/request/dispatch/invariants_test.go
+++ b/request/dispatch/invariants_test.go
@@ -12,76 +12,76 @@
 	"wallport/runtime/invariant"
 )
 
-// asked is a chart of a route with its first ask under way.
-func asked(t *testing.T, route string) (*StateMachine, Send) {
+// startRequest is a chart of a route with its first ask under way.
+func startRequest(t *testing.T, route string) (*StateMachine, Send) {
 	t.Helper()
-	f := fixed(1, 3)
-	f.rich()
-	m := f.chart(route)
-	a := asks(m.Step(begun, Begin{}))
+	f := newFixture(1, 3)
+	f.fillRetryBudgets()
+	m := f.stateMachine(route)
+	a := sends(m.Step(startTime, Begin{}))
 	must.SliceNotEmpty(t, a)
 	return m, a[0]
 }
 
-// asksAgain asks for the chart's first way once more, whatever became of the ask before.
-func asksAgain(m *StateMachine) invariant.Name {
-	return violation.By(func() { m.send(begun+1_000, 0, sendReplacement) })
+// violationOfSend asks for the chart's first way once more, whatever became of the ask before.
+func violationOfSend(m *StateMachine) invariant.Name {
+	return violation.By(func() { m.send(startTime+1_000, 0, sendReplacement) })
 }
 
-func TestViolationsOfAsks(t *testing.T) {
-	m, _ := asked(t, "once2")
-	must.Eq(t, invariant.AtMostOnce, asksAgain(m), must.Sprint("one is under way"))
+func TestViolationsOfSends(t *testing.T) {
+	m, _ := startRequest(t, "once2")
+	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("one is under way"))
 
-	m, a := asked(t, "once2")
-	m.Step(begun+1_000, AttemptDone{N: a.N, Result: Result{Class: ClassFailed}})
+	m, a := startRequest(t, "once2")
+	m.Step(startTime+1_000, AttemptDone{N: a.N, Result: Result{Class: ClassFailed}})
 	m.finished = false
-	must.Eq(t, invariant.AtMostOnce, asksAgain(m), must.Sprint("one may have run"))
+	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("one may have run"))
 
-	m, a = asked(t, "once2")
-	m.Step(begun+1_000, AttemptDone{N: a.N, Result: okay("x")})
-	must.Eq(t, invariant.NoSendAfterOutcome, asksAgain(m))
+	m, a = startRequest(t, "once2")
+	m.Step(startTime+1_000, AttemptDone{N: a.N, Result: success("x")})
+	must.Eq(t, invariant.NoSendAfterOutcome, violationOfSend(m))
 
-	m, _ = asked(t, "read")
+	m, _ = startRequest(t, "read")
 	m.shards[0].sent = m.maxBackends()
-	must.Eq(t, invariant.BackendsWithinRoute, asksAgain(m))
+	must.Eq(t, invariant.BackendsWithinRoute, violationOfSend(m))
 
-	m, _ = asked(t, "read")
+	m, _ = startRequest(t, "read")
 	for i := range m.shards[0].pool.endpoints {
-		m.shards[0].pool.endpoints[i].server.Health = snapshot.Draining
+		m.shards[0].pool.endpoints[i].listed.Health = snapshot.Draining
 	}
-	must.Eq(t, invariant.NoSendToDraining, asksAgain(m))
+	must.Eq(t, invariant.NoSendToDraining, violationOfSend(m))
 
-	m, a = asked(t, "read")
+	m, a = startRequest(t, "read")
 	m.shards[0].inFlight = 0
-	must.Eq(t, invariant.GaugesNotNegative, violation.By(func() { m.closeAttempt(begun+1_000, a.N, nil) }))
+	must.Eq(t, invariant.GaugesNotNegative, violation.By(func() { m.closeAttempt(startTime+1_000, a.N, nil) }))
 }
 
-// ends has a chart give an outcome.
-func ends(m *StateMachine, o Outcome) invariant.Name {
-	return violation.By(func() { m.finish(begun+1_000, StateResponded, o) })
+// violationOfFinish has a chart give an outcome.
+func violationOfFinish(m *StateMachine, o Outcome) invariant.Name {
+	return violation.By(func() { m.finish(startTime+1_000, StateResponded, o) })
 }
 
 func TestViolationsOfOutcomes(t *testing.T) {
 	for status, name := range map[int]invariant.Name{503: invariant.RejectedNotRun, 429: invariant.RejectedNotRun, 504: "", 502: ""} {
-		m, _ := asked(t, "once2")
-		must.Eq(t, name, ends(m, Outcome{Status: status, Code: "refused"}), must.Sprint(status))
+		m, _ := startRequest(t, "once2")
+		must.Eq(t, name, violationOfFinish(m, Outcome{Status: status, Code: "refused"}), must.Sprint(status))
 	}
-	m, _ := asked(t, "read")
-	must.Eq(t, "", ends(m, Outcome{Status: 503, Code: "refused"}), must.Sprint("what may be repeated may be refused"))
+	m, _ := startRequest(t, "read")
+	must.Eq(t, "", violationOfFinish(m, Outcome{Status: 503, Code: "refused"}), must.Sprint("what may be repeated may be refused"))
 	for _, result := range []*Result{nil, {Class: ClassResponse, Status: 200}, {Class: ClassResponse, Status: 500, Seal: "s"}} {
-		m, _ := asked(t, "read")
-		must.Eq(t, invariant.SuccessSealed, ends(m, Outcome{Status: 200, Code: "ok", Response: result}))
+		m, _ := startRequest(t, "read")
+		must.Eq(t, invariant.SuccessSealed, violationOfFinish(m, Outcome{Status: 200, Code: "ok", Response: result}))
 	}
 	for _, o := range []Outcome{
 		{Seals: []string{"a"}, Missing: 0},
 		{Seals: []string{"a", "a"}},
 		{Seals: []string{"a", "b"}, Missing: 1},
 	} {
-		f := fixed(2, 2)
-		f.rich()
-		m := f.chart("gather")
-		m.Step(begun, Begin{})
+		f := newFixture(2, 2)
+		f.fillRetryBudgets()
+		m := f.stateMachine("gather")
+		m.Step(startTime, Begin{})
 		o.Status, o.Code = 200, "ok"
-		must.Eq(t, invariant.ShardsComplete, ends(m, o))
+		must.Eq(t, invariant.ShardsComplete, violationOfFinish(m, o))
 	}
 }
--- a/request/dispatch/merge_bench_test.go
+++ b/request/dispatch/merge_bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // parts are falling lists of records, as backends send them.
-func costParts(n, records int) [][]byte {
+func sortedShards(n, records int) [][]byte {
 	r := rand.New(rand.NewPCG(1, 2))
 	out := make([][]byte, n)
 	for i := range out {
@@ -32,7 +32,7 @@
 	for _, n := range []int{4, 12, 140} {
 		for _, limit := range []int{5, 20, 100} {
 			b.Run(fmt.Sprintf("parts=%d/limit=%d", n, limit), func(b *testing.B) {
-				parts := costParts(n, 40)
+				parts := sortedShards(n, 40)
 				b.ReportAllocs()
 				for b.Loop() {
 					merge(parts, limit)
--- a/request/dispatch/reconfiguration_test.go
+++ b/request/dispatch/reconfiguration_test.go
@@ -11,65 +11,65 @@
 	"wallport/api/routingpb"
 )
 
-// slack is what an ask may take on its way after its node has been told.
-const slack = 20_000
+// deliverySlack is what an ask may take on its way after its node has been told.
+const deliverySlack = 20_000
 
-func TestLeavingBackendGetsNothingMore(t *testing.T) {
+func TestDrainingBackendGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		s := usual(seed)
+		s := defaultDeployment(seed)
 		s.slots = 1
 		w := newWorld(s)
 		for _, b := range w.backends {
-			b.lost, b.grey = 0.1, 0.1 // many re-asks, each of which must see what is so by then
+			b.lossRate, b.errorRate = 0.1, 0.1 // many re-asks, each of which must see what is so by then
 		}
 		var left []*simBackend
 		var when int64
 		w.play(t, 8, map[float64]func(){3: func() {
-			when, left = w.now, w.some(0.5, "shard", "desk")
+			when, left = w.now, w.pick(0.5, "shard", "desk")
 			for _, b := range left {
-				b.leaving = true
+				b.draining = true
 			}
-			w.publish()
+			w.publishSnapshots()
 		}})
 		for _, b := range left {
-			must.SliceEmpty(t, w.log.judgeAway(b, when+300_000+slack, w.now), must.Sprintf("seed %d", seed))
-			must.SliceNotEmpty(t, w.log.judgeAway(b, when-2*second, when), must.Sprint("the judge sees what came before"))
+			must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
+			must.SliceNotEmpty(t, w.journal.arrivalsAt(b, when-2*second, when), must.Sprint("the judge sees what came before"))
 		}
 	}
 }
 
-func TestEvacuatedZoneGetsNothingUntilItIsTakenBack(t *testing.T) {
+func TestDrainedZoneGetsNoRequestsUntilRestored(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := newWorld(usual(seed))
+		w := newWorld(defaultDeployment(seed))
 		var from, to int64
 		w.play(t, 10, map[float64]func(){
-			2: func() { from = w.now; w.emptied["z1"] = true; w.publish() },
-			6: func() { to = w.now; w.emptied["z1"] = false; w.publish() },
+			2: func() { from = w.now; w.drainedZones["z1"] = true; w.publishSnapshots() },
+			6: func() { to = w.now; w.drainedZones["z1"] = false; w.publishSnapshots() },
 		})
 		after := 0
 		for _, b := range w.backends {
 			if b.zone != "z1" {
 				continue
 			}
-			must.SliceEmpty(t, w.log.judgeAway(b, from+300_000+slack, to), must.Sprintf("seed %d", seed))
-			after += len(w.log.judgeAway(b, to+300_000, w.now))
+			must.SliceEmpty(t, w.journal.arrivalsAt(b, from+300_000+deliverySlack, to), must.Sprintf("seed %d", seed))
+			after += len(w.journal.arrivalsAt(b, to+300_000, w.now))
 		}
 		must.Positive(t, after, must.Sprint("it is used again"))
 	}
 }
 
-func TestNewSetOfShardsIsNeverMixedWithTheOld(t *testing.T) {
+func TestReshardingNeverMixesShardSets(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := newWorld(usual(seed))
+		w := newWorld(defaultDeployment(seed))
 		var old []*simBackend
 		for _, b := range w.backends {
 			if b.pool != "desk" {
 				old = append(old, b)
 			}
-			b.lost = 0.1
+			b.lossRate = 0.1
 		}
 		var set []string
 		var when int64
@@ -82,7 +82,7 @@
 							c.Pools = append(c.Pools, &routingpb.Pool{Name: name, SlowStartUs: 3 * second})
 						})
 						for i := range 4 {
-							w.backend(name, w.zone(i), w.slots, 8)
+							w.addBackend(name, w.zone(i), w.slots, 8)
 						}
 					}
 				}
@@ -101,16 +101,16 @@
 		for _, b := range old {
 			if b.pool != "shard3" && b.pool != "spare" {
 				// A request that had begun before may ask a pool of its version for the first time only at once.
-				must.SliceEmpty(t, w.log.judgeAway(b, when+300_000+slack, w.now), must.Sprintf("seed %d", seed))
+				must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
 			}
 		}
-		must.SliceNotEmpty(t, w.log.judgeAway(w.backends[len(w.backends)-1], when, w.now))
+		must.SliceNotEmpty(t, w.journal.arrivalsAt(w.backends[len(w.backends)-1], when, w.now))
 	}
 }
 
-func TestWeightsAndMovesOfOneRoute(t *testing.T) {
+func TestRouteWeightsAndMoves(t *testing.T) {
 	t.Parallel()
-	w := newWorld(usual(5))
+	w := newWorld(defaultDeployment(5))
 	var when int64
 	w.play(t, 9, map[float64]func(){
 		1: func() {
@@ -130,12 +130,12 @@
 		},
 	})
 	n := map[string]int{}
-	for _, a := range w.log.arrivals {
-		if k := w.log.kinds[a.id].name; k == "once" || k == "read" {
+	for _, a := range w.journal.arrivals {
+		if k := w.journal.kinds[a.id].name; k == "once" || k == "read" {
 			if a.at > when-3*second && a.at < when {
 				n[a.pool]++
 			}
-			if a.at > when+300_000+slack {
+			if a.at > when+300_000+deliverySlack {
 				must.Eq(t, "spare", a.pool)
 			}
 		}
--- a/request/dispatch/retry.go
+++ b/request/dispatch/retry.go
@@ -123,7 +123,7 @@
 	m.checkGauges(shard)
 	b := attempt.endpoint.backend
 	b.attemptEnded(now, result != nil && !result.TimedOut && result.Class != ClassNotSent)
-	attempt.endpoint.server.Gauge.Outstanding.Add(-1)
+	attempt.endpoint.listed.Gauge.Outstanding.Add(-1)
 	if result != nil {
 		b.recordLoadReport(now, result.Load)
 		m.dispatcher.countEjection(m.recordResult(now, attempt, result))
@@ -133,7 +133,7 @@
 // recordResult takes what a result says of its backend and reports whether it ejects it.
 func (m *StateMachine) recordResult(now clock.Micros, attempt *attempt, result *Result) (ejected bool) {
 	shard, count := &m.shards[attempt.shard], &m.dispatcher.count
-	b, gauge := attempt.endpoint.backend, attempt.endpoint.server.Gauge
+	b, gauge := attempt.endpoint.backend, attempt.endpoint.listed.Gauge
 	took := now - attempt.startedAt
 	switch {
 	case isSuccess(result):
--- a/request/dispatch/rules_test.go
+++ b/request/dispatch/rules_test.go
@@ -8,13 +8,13 @@
 	"github.com/shoenig/test/must"
 )
 
-var limits = map[string]int{"search": 20, "quick": 5}
-var least = map[string]float64{"search": 0.75, "quick": 0.5}
+var resultLimits = map[string]int{"search": 20, "quick": 5}
+var minCoverages = map[string]float64{"search": 0.75, "quick": 0.5}
 
 // pools are those that a version sends a kind to.
 func (w *world) pools(kind string) [][]string {
 	var out [][]string
-	for _, c := range w.configs {
+	for _, c := range w.tables {
 		for _, r := range c.Routes {
 			if r.Name != kind {
 				continue
@@ -32,8 +32,8 @@
 	return out
 }
 
-// judge has every rule judged that holds in any world.
-func (w *world) judge(t *testing.T) {
+// checkRules has every rule judged that holds in any world.
+func (w *world) checkRules(t *testing.T) {
 	t.Helper()
 	all := func(kind string) (out []string) {
 		for _, set := range w.pools(kind) {
@@ -42,13 +42,13 @@
 		return out
 	}
 	note := must.Sprintf("seed %d", w.seed)
-	must.SliceEmpty(t, w.log.judgeTwice(), note)
-	must.SliceEmpty(t, w.log.astray, note)
-	must.SliceEmpty(t, w.log.judgeRefused(), note)
-	must.SliceEmpty(t, w.log.judgeBudget(0.2, w.allowance, 10_000_000, all), note)
-	must.SliceEmpty(t, w.log.judgeGathered(limits, least, w.pools), note)
-	if w.ramp > 0 {
-		must.SliceEmpty(t, w.log.judgeRamp(w.ramp), note)
+	must.SliceEmpty(t, w.journal.checkAtMostOnce(), note)
+	must.SliceEmpty(t, w.journal.misrouted, note)
+	must.SliceEmpty(t, w.journal.checkRejectedNotRun(), note)
+	must.SliceEmpty(t, w.journal.checkRetryBudget(0.2, w.allowance, 10_000_000, all), note)
+	must.SliceEmpty(t, w.journal.checkGathered(resultLimits, minCoverages, w.pools), note)
+	if w.rampPerS > 0 {
+		must.SliceEmpty(t, w.journal.checkSlowStart(w.rampPerS), note)
 	}
 }
 
@@ -58,18 +58,18 @@
 func (w *world) play(t *testing.T, s int64, troubles map[float64]func()) {
 	t.Helper()
 	from := w.now
-	w.run(from + second)
+	w.advance(from + second)
 	for at, do := range troubles {
 		w.after(int64(at*second), do)
 	}
-	w.offer(w.now + s*second)
-	w.run(w.now + (s+3)*second)
-	t.Log(w.log.report())
-	w.judge(t)
+	w.startClients(w.now + s*second)
+	w.advance(w.now + (s+3)*second)
+	t.Log(w.journal.report())
+	w.checkRules(t)
 }
 
-func TestQuietDay(t *testing.T) {
+func TestNoFaults(t *testing.T) {
 	t.Parallel()
-	w := newWorld(usual(1))
+	w := newWorld(defaultDeployment(1))
 	w.play(t, 20, nil)
 }
--- a/request/dispatch/selection.go
+++ b/request/dispatch/selection.go
@@ -48,7 +48,7 @@
 		untilTrial = standingEjected
 	case b.stalled(now, latency.responseTimeout()):
 		untilTrial = standingDown
-	case e.server.Health >= snapshot.Suspect && now-b.succeededAt.Load() > successTrustedFor:
+	case e.listed.Health >= snapshot.Suspect && now-b.succeededAt.Load() > successTrustedFor:
 		untilTrial = standingEjected
 	default:
 		return standingUsable
@@ -88,7 +88,7 @@
 	if !e.sameZone {
 		cost += latency.crossZonePenalty.Load()
 	}
-	if e.server.CloseAfterUse {
+	if e.listed.CloseAfterUse {
 		cost += dialCost
 	}
 	if rate := b.currentFailureRate(now); rate > 0 {
@@ -101,7 +101,7 @@
 	if b.stalled(now, 2*latency.p95.Load()) {
 		cost += stallCost * (now - b.progressAt.Load() + median)
 	}
-	if e.server.Health == snapshot.Slow {
+	if e.listed.Health == snapshot.Slow {
 		cost += work / 2
 	}
 	return cost
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -80,7 +80,7 @@
 
 func (m *StateMachine) startAttempt(now clock.Micros, shardIndex int, chosen selection, why sendReason) {
 	shard := &m.shards[shardIndex]
-	b, server := chosen.endpoint.backend, chosen.endpoint.server
+	b, server := chosen.endpoint.backend, chosen.endpoint.listed
 	n := len(m.attempts)
 	m.attempts = append(m.attempts, attempt{
 		shard: shardIndex, endpoint: chosen.endpoint, startedAt: now,
@@ -96,7 +96,7 @@
 	server.Gauge.Requested.Add(1)
 	m.dispatcher.count.attempts.Add(1)
 	m.trace.sent(now-m.startedAt, chosen, why)
-	m.emit(Send{N: n, Server: server, Pool: shard.pool.Pool, Timeout: left, AtMostOnce: m.atMostOnce(), Request: &m.request})
+	m.emit(Send{N: n, Backend: server, Pool: shard.pool.Pool, Timeout: left, AtMostOnce: m.atMostOnce(), Request: &m.request})
 }
 
 // hedgeDelay is how long to wait for an attempt before a hedged request: as long as the pool's latency suggests, and
--- a/request/dispatch/sim_backend_test.go
+++ b/request/dispatch/sim_backend_test.go
@@ -8,118 +8,118 @@
 )
 
 type simBackend struct {
-	w            *world
-	id, pool     string
-	zone         string
-	slots, limit int
-	running      int
-	waiting      []*visit
-	paused       bool
-	queue        []func()
-	// times multiplies the work; grey, garble and lost are shares of asks that fail so.
-	times              float64
-	grey, garble, lost float64
-	dark, down         bool
-	leaving, gone      bool
-	cold               int64
+	world             *world
+	id, pool          string
+	zone              string
+	slots, queueLimit int
+	running           int
+	queued            []*exchange
+	paused            bool
+	deferred          []func()
+	// workFactor multiplies the work; grey, garble and lost are shares of asks that fail so.
+	workFactor                      float64
+	errorRate, garbleRate, lossRate float64
+	unresponsive, down              bool
+	draining, departed              bool
+	warmUntil                       int64
 }
 
-// visit is an ask at a backend.
-type visit struct {
-	b     *simBackend
-	n     *simNode
-	id    string
-	route string
-	work  int64
-	sent  int64
-	end   int64
-	dead  bool
-	reply func(Result)
+// exchange is an ask at a backend.
+type exchange struct {
+	backend  *simBackend
+	node     *simNode
+	id       string
+	route    string
+	work     int64
+	sentAt   int64
+	deadline int64
+	canceled bool
+	respond  func(Result)
 }
 
-func (b *simBackend) pauses() {
+func (b *simBackend) schedulePauses() {
 	b.paused = true
-	b.w.after(b.w.pause, func() {
+	b.world.after(b.world.pause, func() {
 		b.paused = false
-		q := b.queue
-		b.queue = nil
+		q := b.deferred
+		b.deferred = nil
 		for _, do := range q {
 			do()
 		}
 	})
-	b.w.after(4_000_000, b.pauses)
+	b.world.after(4_000_000, b.schedulePauses)
 }
 
 // load is what the backend tells of itself.
 func (b *simBackend) load() LoadReport {
-	return LoadReport{Running: b.running, Queued: len(b.waiting), Slots: b.slots, Known: true}
+	return LoadReport{Running: b.running, Queued: len(b.queued), Slots: b.slots, Known: true}
 }
 
 // arrive takes an ask in.
-func (b *simBackend) arrive(v *visit) {
+func (b *simBackend) arrive(v *exchange) {
 	if b.paused {
-		b.queue = append(b.queue, func() { b.arrive(v) })
+		b.deferred = append(b.deferred, func() { b.arrive(v) })
 		return
 	}
-	w := b.w
-	a := w.log.arrived(w.now, v)
+	w := b.world
+	a := w.journal.recordArrival(w.now, v)
 	switch {
-	case b.dark:
+	case b.unresponsive:
 		a.ran = true // nobody can know that it has not
 		return
-	case b.running >= b.slots && len(b.waiting) >= b.limit:
-		v.reply(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "full"})
+	case b.running >= b.slots && len(b.queued) >= b.queueLimit:
+		v.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "full"})
 		return
-	case w.rnd.Float64() < b.grey:
+	case w.rnd.Float64() < b.errorRate:
 		a.ran = true
 		// Its own failure, whatever its status seems to promise.
 		status := []int{500, 500, 503, 429, 504}[w.rnd.IntN(5)]
-		v.reply(Result{Class: ClassResponse, Status: status, Seal: w.log.seal(v, false), Load: b.load()})
+		v.respond(Result{Class: ClassResponse, Status: status, Seal: w.journal.newSeal(v, false), Load: b.load()})
 		return
-	case w.rnd.Float64() < b.lost:
+	case w.rnd.Float64() < b.lossRate:
 		a.ran = true
-		v.reply(Result{Class: ClassFailed, Reason: "reset"})
+		v.respond(Result{Class: ClassFailed, Reason: "reset"})
 		return
 	}
-	b.waiting = append(b.waiting, v)
-	b.next()
+	b.queued = append(b.queued, v)
+	b.startQueued()
 }
 
-func (b *simBackend) next() {
-	for b.running < b.slots && len(b.waiting) > 0 {
-		v := b.waiting[0]
-		b.waiting = b.waiting[1:]
-		if v.dead {
+func (b *simBackend) startQueued() {
+	for b.running < b.slots && len(b.queued) > 0 {
+		v := b.queued[0]
+		b.queued = b.queued[1:]
+		if v.canceled {
 			continue
 		}
-		if b.w.now >= v.end {
-			v.reply(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "too late"})
+		if b.world.now >= v.deadline {
+			v.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "too late"})
 			continue
 		}
 		b.running++
-		b.w.log.ran(v)
-		work := float64(v.work) * b.times
-		if b.w.now < b.cold {
+		b.world.journal.recordRun(v)
+		work := float64(v.work) * b.workFactor
+		if b.world.now < b.warmUntil {
 			work *= 1.6
 		}
-		b.w.after(int64(work), func() { b.done(v) })
+		b.world.after(int64(work), func() { b.finishWork(v) })
 	}
 }
 
-func (b *simBackend) done(v *visit) {
-	if b.paused || b.dark {
+func (b *simBackend) finishWork(v *exchange) {
+	if b.paused || b.unresponsive {
 		if b.paused {
-			b.queue = append(b.queue, func() { b.done(v) })
+			b.deferred = append(b.deferred, func() { b.finishWork(v) })
 		} else {
 			b.running--
 		}
 		return
 	}
 	b.running--
-	defer b.next()
-	w := b.w
-	if w.rnd.Float64() < b.garble {
-		v.reply(Result{Class: ClassInvalid, Reason: "not an answer"})
+	defer b.startQueued()
+	w := b.world
+	if w.rnd.Float64() < b.garbleRate {
+		v.respond(Result{Class: ClassInvalid, Reason: "not an answer"})
 		return
 	}
 	body := make([]byte, 0, 640)
@@ -129,21 +129,21 @@
 		body = binary.BigEndian.AppendUint64(body, uint64(w.rnd.IntN(2)))
 	}
 	body = append(body, make([]byte, w.rnd.IntN(16))...)
-	seal := w.log.seal(v, true)
-	w.log.bodies[seal] = body
-	v.reply(Result{Class: ClassResponse, Status: 200, Seal: seal, Body: body, Load: b.load()})
+	seal := w.journal.newSeal(v, true)
+	w.journal.bodies[seal] = body
+	v.respond(Result{Class: ClassResponse, Status: 200, Seal: seal, Body: body, Load: b.load()})
 }
 
 // send is one exchange of a node with a backend.
 func (n *simNode) send(a Send, replied func(Result)) (cancel func()) {
-	w := n.w
-	b := w.byID[a.Server.ID]
+	w := n.world
+	b := w.byID[a.Backend.ID]
 	link := int64(100)
 	if b.zone != n.zone {
 		link = 500
 	}
 	over := false
-	v := &visit{b: b, n: n, id: a.Request.ID, route: a.Request.Method, work: w.works[a.Request.ID], sent: w.now, end: w.now + a.Timeout}
+	v := &exchange{backend: b, node: n, id: a.Request.ID, route: a.Request.Method, work: w.work[a.Request.ID], sentAt: w.now, deadline: w.now + a.Timeout}
 	answer := func(r Result) {
 		w.after(link, func() {
 			if !over {
@@ -152,13 +152,13 @@
 			}
 		})
 	}
-	v.reply = answer
-	if b.down || b.gone {
+	v.respond = answer
+	if b.down || b.departed {
 		answer(Result{Class: ClassNotSent, Reason: "refused"})
 		return func() { over = true }
 	}
 	w.after(link, func() {
-		if b.down || b.gone {
+		if b.down || b.departed {
 			answer(Result{Class: ClassFailed, Reason: "reset"})
 			return
 		}
@@ -167,11 +167,11 @@
 	// A driver may tell of the end of the time a little later than the chart sees it itself.
 	w.after(a.Timeout+int64(w.rnd.IntN(4_000)), func() {
 		if !over {
-			over, v.dead = true, true
+			over, v.canceled = true, true
 			replied(Result{Class: ClassFailed, TimedOut: true, Reason: "silence"})
 		}
 	})
-	return func() { over, v.dead = true, true }
+	return func() { over, v.canceled = true, true }
 }
 
-func sealOf(n int, v *visit) string { return fmt.Sprintf("%s.%s.%d", v.id, v.b.pool, n) }
+func sealOf(n int, v *exchange) string { return fmt.Sprintf("%s.%s.%d", v.id, v.backend.pool, n) }
--- a/request/dispatch/state_machine_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -18,33 +18,33 @@
 // fixture is a desk with a table that tests may change.
 type fixture struct {
 	*Dispatcher
-	snap *snapshot.Snapshot
-	src  *routingpb.RoutingTable
+	snap  *snapshot.Snapshot
+	table *routingpb.RoutingTable
 }
 
-const begun = 100 * second
+const startTime = 100 * second
 
-func fixed(pools, backends int) *fixture {
-	f := &fixture{src: &routingpb.RoutingTable{Revision: 3}}
+func newFixture(pools, backends int) *fixture {
+	f := &fixture{table: &routingpb.RoutingTable{Revision: 3}}
 	var names []string
 	for i := range pools {
 		names = append(names, fmt.Sprintf("p%d", i))
-		f.src.Pools = append(f.src.Pools, &routingpb.Pool{Name: names[i], SlowStartUs: 3 * second})
+		f.table.Pools = append(f.table.Pools, &routingpb.Pool{Name: names[i], SlowStartUs: 3 * second})
 	}
 	one := func(name string, r *routingpb.Route) *routingpb.Route {
 		r.Name, r.Host, r.Prefix = name, "Site.example", "/"+name+"/"
 		r.TimeoutUs, r.TargetLatencyUs = 500_000, 100_000
 		return r
 	}
-	f.src.Routes = []*routingpb.Route{
+	f.table.Routes = []*routingpb.Route{
 		one("gather", &routingpb.Route{Repeatable: true, FanoutPools: names, ResultLimit: 3, MinCoverage: 0.75, MaxBackends: 2, Priority: 2}),
 		one("once", &routingpb.Route{Pool: "p0", MaxBackends: 1}),
 		one("once2", &routingpb.Route{Pool: "p0", MaxBackends: 2}),
 		one("read", &routingpb.Route{Pool: "p0", Repeatable: true, MaxBackends: 2}),
 		one("split", &routingpb.Route{Repeatable: true, MaxBackends: 2, PoolWeights: []*routingpb.PoolWeight{{Pool: "p0", Weight: 0}, {Pool: "p1", Weight: 1}, {Pool: "p2", Weight: 1}}}),
 	}
-	f.snap = &snapshot.Snapshot{At: begun, Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
-	for _, p := range f.src.Pools {
+	f.snap = &snapshot.Snapshot{At: startTime, Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
+	for _, p := range f.table.Pools {
 		q := &snapshot.Pool{Pool: p}
 		for i := range backends {
 			q.Backends = append(q.Backends, &snapshot.Backend{Backend: wire.Backend{ID: fmt.Sprintf("%s-%d", p.Name, i), Zone: fmt.Sprintf("z%d", i%2), Slots: 2}, Gauge: &snapshot.Gauge{}})
@@ -60,29 +60,29 @@
 func (f *fixture) compile() {
 	snap := *f.snap
 	snap.At++
-	snap.Routing = routing.Compile(f.src)
+	snap.Routing = routing.Compile(f.table)
 	f.snap = &snap
 }
 
-func (f *fixture) chart(route string) *StateMachine {
-	return NewStateMachine(f.Dispatcher, Request{ID: "r1", Method: "GET", Target: "/" + route + "/x", Path: "/" + route + "/x", Host: "site.example:80"}, begun)
+func (f *fixture) stateMachine(route string) *StateMachine {
+	return NewStateMachine(f.Dispatcher, Request{ID: "r1", Method: "GET", Target: "/" + route + "/x", Path: "/" + route + "/x", Host: "site.example:80"}, startTime)
 }
 
-// rich gives the pools' budgets something to spend.
-func (f *fixture) rich() {
+// fillRetryBudgets gives the pools' budgets something to spend.
+func (f *fixture) fillRetryBudgets() {
 	for name := range f.snap.Pools {
 		f.retryBudgetOf(name).Add(10_000, 10_000)
 	}
 }
 
-// poor leaves the pools' budgets nothing to spend.
-func (f *fixture) poor() {
+// emptyRetryBudgets leaves the pools' budgets nothing to spend.
+func (f *fixture) emptyRetryBudgets() {
 	for name := range f.snap.Pools {
-		f.retryBudgetOf(name).RefilledAt.Store(begun + 100*second)
+		f.retryBudgetOf(name).RefilledAt.Store(startTime + 100*second)
 	}
 }
 
-func asks(acts []Action) (out []Send) {
+func sends(acts []Action) (out []Send) {
 	for _, a := range acts {
 		if v, ok := a.(Send); ok {
 			out = append(out, v)
@@ -91,7 +91,7 @@
 	return out
 }
 
-func finish(acts []Action) *Outcome {
+func outcomeOf(acts []Action) *Outcome {
 	for _, a := range acts {
 		if v, ok := a.(Finish); ok {
 			return &v.Outcome
@@ -100,17 +100,17 @@
 	return nil
 }
 
-func okay(body string) Result {
+func success(body string) Result {
 	return Result{Class: ClassResponse, Status: 200, Seal: "seal", Header: http.Header{"X": {"y"}}, Body: []byte(body)}
 }
 
-func TestAnswerIsPassedOnUnchanged(t *testing.T) {
+func TestStateMachinePassesResponseOnUnchanged(t *testing.T) {
 	for _, route := range []string{"once", "read", "split"} {
-		m := fixed(4, 4).chart(route)
-		a := asks(m.Step(begun, Begin{}))
+		m := newFixture(4, 4).stateMachine(route)
+		a := sends(m.Step(startTime, Begin{}))
 		must.Len(t, 1, a)
 		must.Eq(t, route == "once", a[0].AtMostOnce)
-		o := finish(m.Step(begun+5000, AttemptDone{N: a[0].N, Result: okay("body")}))
+		o := outcomeOf(m.Step(startTime+5000, AttemptDone{N: a[0].N, Result: success("body")}))
 		must.NotNil(t, o)
 		must.Eq(t, 200, o.Status)
 		must.Eq(t, "seal", o.Response.Seal)
@@ -119,119 +119,119 @@
 	}
 }
 
-func TestNoRouteOnlyWithATableInForce(t *testing.T) {
-	f := fixed(2, 2)
-	must.Eq(t, 404, finish(f.chart("nowhere").Step(begun, Begin{})).Status)
+func TestStateMachineReportsNoRouteOnlyUnderATable(t *testing.T) {
+	f := newFixture(2, 2)
+	must.Eq(t, 404, outcomeOf(f.stateMachine("nowhere").Step(startTime, Begin{})).Status)
 	f.snap = &snapshot.Snapshot{Complete: true}
-	o := finish(f.chart("nowhere").Step(begun, Begin{}))
+	o := outcomeOf(f.stateMachine("nowhere").Step(startTime, Begin{}))
 	must.Eq(t, 503, o.Status)
 	must.Positive(t, o.RetryAfter)
 	f.snap = nil
-	must.Eq(t, 503, finish(f.chart("nowhere").Step(begun, Begin{})).Status)
+	must.Eq(t, 503, outcomeOf(f.stateMachine("nowhere").Step(startTime, Begin{})).Status)
 }
 
-func TestStaleTableIsWaitedForAndThenUsed(t *testing.T) {
-	f := fixed(2, 2)
+func TestStateMachineWaitsForFreshSnapshot(t *testing.T) {
+	f := newFixture(2, 2)
 	f.snap.Stale = true
-	m := f.chart("read")
-	acts := m.Step(begun, Begin{})
-	must.SliceEmpty(t, asks(acts))
-	must.Nil(t, finish(acts))
-	acts = m.Step(begun+10_000, TimerFired{})
-	must.SliceEmpty(t, asks(acts))
+	m := f.stateMachine("read")
+	acts := m.Step(startTime, Begin{})
+	must.SliceEmpty(t, sends(acts))
+	must.Nil(t, outcomeOf(acts))
+	acts = m.Step(startTime+10_000, TimerFired{})
+	must.SliceEmpty(t, sends(acts))
 	f.snap.Stale = false
-	must.Len(t, 1, asks(m.Step(begun+20_000, TimerFired{})))
+	must.Len(t, 1, sends(m.Step(startTime+20_000, TimerFired{})))
 }
 
-func TestWhatIsSentOnceIsNotSentAgainAfterItMayHaveRun(t *testing.T) {
+func TestRetryNeverRepeatsWhatMayHaveRun(t *testing.T) {
 	for _, route := range []string{"once", "once2"} {
 		for _, class := range []Class{ClassFailed, ClassInvalid, ClassResponse} {
-			f := fixed(2, 4)
-			f.rich()
-			m := f.chart(route)
-			m.Step(begun, Begin{})
-			must.SliceEmpty(t, asks(m.Step(begun+90_000, TimerFired{})), must.Sprint("and never early"))
-			acts := m.Step(begun+100_000, AttemptDone{N: 0, Result: Result{Class: class, Status: 503, Seal: "s"}})
-			must.SliceEmpty(t, asks(acts))
-			must.Eq(t, 502, finish(acts).Status, must.Sprint("a promise is not passed on without the backend's word"))
+			f := newFixture(2, 4)
+			f.fillRetryBudgets()
+			m := f.stateMachine(route)
+			m.Step(startTime, Begin{})
+			must.SliceEmpty(t, sends(m.Step(startTime+90_000, TimerFired{})), must.Sprint("and never early"))
+			acts := m.Step(startTime+100_000, AttemptDone{N: 0, Result: Result{Class: class, Status: 503, Seal: "s"}})
+			must.SliceEmpty(t, sends(acts))
+			must.Eq(t, 502, outcomeOf(acts).Status, must.Sprint("a promise is not passed on without the backend's word"))
 		}
 	}
 }
 
-func TestWhatHasNotRunMayGoElsewhere(t *testing.T) {
-	f := fixed(2, 4)
-	f.rich()
-	m := f.chart("once")
-	first := asks(m.Step(begun, Begin{}))
-	second := asks(m.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassNotSent}}))
+func TestRetrySendsElsewhereWhatHasNotRun(t *testing.T) {
+	f := newFixture(2, 4)
+	f.fillRetryBudgets()
+	m := f.stateMachine("once")
+	first := sends(m.Step(startTime, Begin{}))
+	second := sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassNotSent}}))
 	must.Len(t, 1, second, must.Sprint("nothing was written"))
-	must.NotEq(t, first[0].Server.ID, second[0].Server.ID)
+	must.NotEq(t, first[0].Backend.ID, second[0].Backend.ID)
 	must.Eq(t, 0, f.count.retries.Load())
-	o := finish(m.Step(begun+2000, AttemptDone{N: 1, Result: Result{Class: ClassRejected, Status: 503}}))
+	o := outcomeOf(m.Step(startTime+2000, AttemptDone{N: 1, Result: Result{Class: ClassRejected, Status: 503}}))
 	must.Eq(t, 503, o.Status, must.Sprint("one backend at most"))
 	must.Positive(t, o.RetryAfter)
 
-	m = f.chart("once2")
-	m.Step(begun, Begin{})
-	must.Len(t, 1, asks(m.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassRejected, Status: 503}})))
+	m = f.stateMachine("once2")
+	m.Step(startTime, Begin{})
+	must.Len(t, 1, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassRejected, Status: 503}})))
 	must.Eq(t, 1, f.count.retries.Load())
 }
 
-func TestUnsentAsksAreBounded(t *testing.T) {
-	f := fixed(2, 19)
-	m := f.chart("once")
-	acts := m.Step(begun, Begin{})
+func TestRetryBoundsUnsentAttempts(t *testing.T) {
+	f := newFixture(2, 19)
+	m := f.stateMachine("once")
+	acts := m.Step(startTime, Begin{})
 	n := 0
-	for ; finish(acts) == nil; n++ {
+	for ; outcomeOf(acts) == nil; n++ {
 		must.Less(t, 10, n)
-		acts = m.Step(begun+int64(n), AttemptDone{N: n, Result: Result{Class: ClassNotSent}})
+		acts = m.Step(startTime+int64(n), AttemptDone{N: n, Result: Result{Class: ClassNotSent}})
 	}
-	must.Eq(t, 503, finish(acts).Status)
+	must.Eq(t, 503, outcomeOf(acts).Status)
 }
 
-func TestReAsksCostTheBudgetAndStayInsideIt(t *testing.T) {
-	f := fixed(2, 4)
-	f.poor()
-	m := f.chart("read")
-	m.Step(begun, Begin{})
-	o := finish(m.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassResponse, Status: 500, Seal: "s", Body: []byte("why")}}))
+func TestRetryStaysWithinBudget(t *testing.T) {
+	f := newFixture(2, 4)
+	f.emptyRetryBudgets()
+	m := f.stateMachine("read")
+	m.Step(startTime, Begin{})
+	o := outcomeOf(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassResponse, Status: 500, Seal: "s", Body: []byte("why")}}))
 	must.NotNil(t, o, must.Sprint("nothing is left to spend"))
 	must.Eq(t, 500, o.Status, must.Sprint("the backend's own answer is passed on"))
 	must.Eq(t, "passed", o.Code)
 	must.Eq(t, "why", string(o.Response.Body))
-	f.rich()
-	m = f.chart("read")
-	m.Step(begun, Begin{})
-	must.Len(t, 1, asks(m.Step(begun+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})))
-	must.Eq(t, 502, finish(m.Step(begun+2000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})).Status, must.Sprint("two backends at most"))
-}
-
-func TestEarlyAskTakesTheFirstGoodAnswerAndLeavesTheOther(t *testing.T) {
-	f := fixed(2, 4)
-	f.rich()
-	m := f.chart("read")
-	m.Step(begun, Begin{})
-	a := asks(m.Step(begun+60_000, TimerFired{}))
+	f.fillRetryBudgets()
+	m = f.stateMachine("read")
+	m.Step(startTime, Begin{})
+	must.Len(t, 1, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})))
+	must.Eq(t, 502, outcomeOf(m.Step(startTime+2000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})).Status, must.Sprint("two backends at most"))
+}
+
+func TestHedgeTakesFirstSuccessAndAbandonsOther(t *testing.T) {
+	f := newFixture(2, 4)
+	f.fillRetryBudgets()
+	m := f.stateMachine("read")
+	m.Step(startTime, Begin{})
+	a := sends(m.Step(startTime+60_000, TimerFired{}))
 	must.Len(t, 1, a)
-	acts := m.Step(begun+62_000, AttemptDone{N: 1, Result: okay("x")})
-	must.Eq(t, 200, finish(acts).Status)
+	acts := m.Step(startTime+62_000, AttemptDone{N: 1, Result: success("x")})
+	must.Eq(t, 200, outcomeOf(acts).Status)
 	must.Eq(t, 1, f.count.abandoned.Load())
 	must.SliceContains(t, acts, Action(Abandon{N: 0}))
 	b := f.backendOf("p0-0")
 	before := b.inFlight.Load() + f.backendOf("p0-1").inFlight.Load() + f.backendOf("p0-2").inFlight.Load() + f.backendOf("p0-3").inFlight.Load()
 	must.Eq(t, 1, before, must.Sprint("the other is still under way"))
-	must.SliceEmpty(t, m.Step(begun+70_000, AttemptDone{N: 0, Result: okay("late")}))
+	must.SliceEmpty(t, m.Step(startTime+70_000, AttemptDone{N: 0, Result: success("late")}))
 	must.Eq(t, 0, b.inFlight.Load()+f.backendOf("p0-1").inFlight.Load()+f.backendOf("p0-2").inFlight.Load()+f.backendOf("p0-3").inFlight.Load())
 }
 
-func TestPoolWithoutWeightGetsNothing(t *testing.T) {
-	f := fixed(4, 2)
+func TestSelectPoolSkipsPoolsWithoutWeight(t *testing.T) {
+	f := newFixture(4, 2)
 	for i := range 2 {
-		f.backendOf(fmt.Sprintf("p1-%d", i)).eject(begun)
-		f.backendOf(fmt.Sprintf("p2-%d", i)).eject(begun)
+		f.backendOf(fmt.Sprintf("p1-%d", i)).eject(startTime)
+		f.backendOf(fmt.Sprintf("p2-%d", i)).eject(startTime)
 	}
 	for range 20 {
-		o := finish(f.chart("split").Step(begun, Begin{}))
+		o := outcomeOf(f.stateMachine("split").Step(startTime, Begin{}))
 		must.NotNil(t, o)
 		must.Eq(t, 503, o.Status)
 	}
--- a/request/dispatch/trace.go
+++ b/request/dispatch/trace.go
@@ -112,7 +112,7 @@
 var sendReasonTexts = [...]string{sendFirst: "first", sendRetry: "again", sendHedge: "early", sendReplacement: "instead"}
 
 func (b *traceBuffer) sent(at clock.Micros, chosen selection, why sendReason) {
-	b.attempts = append(b.attempts, AttemptTrace{At: at, Backend: chosen.endpoint.server.ID, Cost: chosen.cost, Reason: sendReasonTexts[why]})
+	b.attempts = append(b.attempts, AttemptTrace{At: at, Backend: chosen.endpoint.listed.ID, Cost: chosen.cost, Reason: sendReasonTexts[why]})
 }
 
 // classTexts are the classes of results in traces.
--- a/request/dispatch/view.go
+++ b/request/dispatch/view.go
@@ -26,7 +26,7 @@
 
 // endpoint is a backend as one pool lists it.
 type endpoint struct {
-	server   *snapshot.Backend
+	listed   *snapshot.Backend
 	backend  *backend
 	sameZone bool
 }
@@ -69,7 +69,7 @@
 			b.updateListing(snap, p, s, d.cfg.StartedAt)
 			listed++
 			if s.Health != snapshot.Draining && s.Health != snapshot.ZoneDrained {
-				joined.endpoints = append(joined.endpoints, endpoint{server: s, backend: b, sameZone: s.Zone == snap.Zone})
+				joined.endpoints = append(joined.endpoints, endpoint{listed: s, backend: b, sameZone: s.Zone == snap.Zone})
 			}
 		}
 		v.pools[name] = joined
--- a/request/gateway/driver_test.go
+++ b/request/gateway/driver_test.go
@@ -182,7 +182,7 @@
 		acts := passOn(s, ev)
 		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "nobody" {
 			a := acts[0].(dispatch.Send)
-			a.Server = &nobody
+			a.Backend = &nobody
 			return []dispatch.Action{a}
 		}
 		return acts
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -52,7 +52,7 @@
 }
 
 func (s *script) ask(n int, once bool) dispatch.Send {
-	return dispatch.Send{N: n, Server: &s.w.server, Timeout: 20_000_000, AtMostOnce: once, Request: &s.req}
+	return dispatch.Send{N: n, Backend: &s.w.server, Timeout: 20_000_000, AtMostOnce: once, Request: &s.req}
 }
 
 func finish(o dispatch.Outcome) dispatch.Finish { return dispatch.Finish{Outcome: o} }
