--- a/cluster/discovery/change.go
+++ b/cluster/discovery/change.go
@@ -13,26 +13,28 @@
 // that only runs down is no change.
 func (p *Lister) changed(now clock.Micros, l *wire.BackendList) bool {
 	slices.SortFunc(l.Backends, func(a, b wire.Backend) int { return cmp.Compare(a.ID, b.ID) })
-	was, fresh := p.slowStartUntil, false
+	announced, changed := p.slowStartUntil, false
 	p.slowStartUntil = map[string]clock.Micros{}
-	plain := wire.BackendList{LeaseID: l.LeaseID, Complete: l.Complete, Backends: slices.Clone(l.Backends)}
-	for i := range plain.Backends {
-		s := &plain.Backends[i]
-		if s.WarmUpRemaining == 0 {
-			fresh = fresh || was[s.ID]-now >= SlowStartTolerance
+	// content is what is compared: the list without the remaining slow start of its backends.
+	content := wire.BackendList{LeaseID: l.LeaseID, Complete: l.Complete, Backends: slices.Clone(l.Backends)}
+	for i := range content.Backends {
+		backend := &content.Backends[i]
+		if backend.WarmUpRemaining == 0 {
+			// Warm earlier than announced.
+			changed = changed || announced[backend.ID]-now >= SlowStartTolerance
 			continue
 		}
-		to := now + s.WarmUpRemaining
-		if old, ok := was[s.ID]; ok && to-old < SlowStartTolerance && old-to < SlowStartTolerance {
-			to = old
+		until := now + backend.WarmUpRemaining
+		if old, ok := announced[backend.ID]; ok && until-old < SlowStartTolerance && old-until < SlowStartTolerance {
+			until = old
 		} else {
-			fresh = true
+			changed = true
 		}
-		p.slowStartUntil[s.ID], s.WarmUpRemaining = to, 0
+		p.slowStartUntil[backend.ID], backend.WarmUpRemaining = until, 0
 	}
 	h := fnv.New64a()
-	h.Write(wire.Encode(&plain))
-	sum := p.announcedHash
+	h.Write(wire.Encode(&content))
+	last := p.announcedHash
 	p.announcedHash = h.Sum64()
-	return fresh || sum != p.announcedHash
+	return changed || last != p.announcedHash
 }
--- a/cluster/discovery/discovery.go
+++ b/cluster/discovery/discovery.go
@@ -10,6 +10,7 @@
 	"wallport/control/state"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -88,7 +89,7 @@
 }
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
+	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{settings.RoleNode}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Lister{callsPerRead: 1, unread: true, requestedAt: map[uint64]clock.Micros{}, readAt: -AnnounceInterval, k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), configSync: kernel.Find[*configsync.Sync](k)}
 	}})
 }
@@ -117,11 +118,11 @@
 		ctx.After(RenewInterval, pluginName, timerRenew)
 		p.renewAndRead(ctx)
 	case kernel.Message:
-		var r wire.LeaseReply
-		if wire.Decode(v.Body, &r) != nil {
+		var reply wire.LeaseReply
+		if wire.Decode(v.Body, &reply) != nil {
 			return
 		}
-		p.handleLeaseReply(v.ID, r)
+		p.handleLeaseReply(v.ID, reply)
 	case kernel.Fetched:
 		p.handleFetched(ctx, v)
 	case kernel.Thawed:
@@ -140,10 +141,10 @@
 	}
 	p.heardAt, p.soleReader = ctx.Now, v.Local
 	p.unread = p.unread && v.Entry.Type != mesh.EntryBackendList
-	var l wire.BackendList
-	if v.Entry.Type == mesh.EntryBackendList && wire.Decode(v.Entry.Body, &l) == nil {
-		p.checkSingleLeaseHolder(ctx, v, &l)
-		p.newestLeaseID = max(p.newestLeaseID, l.LeaseID)
+	var list wire.BackendList
+	if v.Entry.Type == mesh.EntryBackendList && wire.Decode(v.Entry.Body, &list) == nil {
+		p.checkSingleLeaseHolder(ctx, v, &list)
+		p.newestLeaseID = max(p.newestLeaseID, list.LeaseID)
 	}
 }
 
@@ -155,7 +156,7 @@
 	// perRead is the interval that uses up the fleet's allowance.
 	perRead, nodes := 10*clock.Second*p.callsPerRead/p.k.Boot.Settings.PollsPer10s, p.members.Divisor()
 	least := p.k.Boot.Settings.ListInterval
-	if ctx.Now < p.leaseUntil || p.mesh.Peers() > 0 && (nodes == 1 || 2*len(p.members.Live(ctx.Now, "node")) > nodes) {
+	if ctx.Now < p.leaseUntil || p.mesh.Peers() > 0 && (nodes == 1 || 2*len(p.members.Live(ctx.Now, settings.RoleNode)) > nodes) {
 		p.slowdown = 1
 		return max(least, perRead*8/5)
 	}
@@ -187,7 +188,7 @@
 		return
 	}
 	if ctx.Now >= p.leaseUntil {
-		gap := RenewInterval * clock.Micros(min(len(p.members.Live(ctx.Now, "node")), MaxRequestGap))
+		gap := RenewInterval * clock.Micros(min(len(p.members.Live(ctx.Now, settings.RoleNode)), MaxRequestGap))
 		p.nextRequestAt = ctx.Now + gap/2 + ctx.Rand.Int64N(gap+1)
 	}
 	p.lastRequestID++
@@ -209,8 +210,8 @@
 		return false
 	}
 	rank := clock.Micros(0)
-	for _, r := range p.members.Live(ctx.Now, "node") {
-		if r.Origin < p.mesh.Self() {
+	for _, node := range p.members.Live(ctx.Now, settings.RoleNode) {
+		if node.Origin < p.mesh.Self() {
 			rank++
 		}
 	}
@@ -220,27 +221,32 @@
 // handleFetched announces a reading, or that it failed or changed nothing.
 func (p *Lister) handleFetched(ctx *kernel.Context, v kernel.Fetched) {
 	p.reading = false
-	var l wire.BackendList
-	if v.Err != "" || v.Status != http.StatusOK || json.Unmarshal(v.Body, &l) != nil || len(l.Backends) == 0 {
-		ctx.Counts.Add("platform_failed", 1)
-		if v.Status == http.StatusTooManyRequests {
-			p.slowdown = min(2*max(1, p.slowdown), maxSlowdown)
-		}
-		ctx.Log(kernel.LevelWarn, "platform_failed", "status", v.Status, "error", v.Err)
-		// The platform could not be reached at all; another node may reach it.
-		if v.Status == 0 && p.releaseLease(ctx) {
-			p.idleUntil = ctx.Now + ReleaseBackoff
-		}
-		// Announced nevertheless, so that the other nodes do not all try what fails.
-		p.mesh.Announce(ctx, mesh.EntryPolled, LeaseTask, nil, false)
+	var list wire.BackendList
+	if v.Err != "" || v.Status != http.StatusOK || json.Unmarshal(v.Body, &list) != nil || len(list.Backends) == 0 {
+		p.handleFailure(ctx, v)
 		return
 	}
-	p.callsPerRead, l.Calls = max(1, l.Calls), 0
-	l.LeaseID, p.heardAt = p.newestLeaseID, ctx.Now
-	if !p.changed(ctx.Now, &l) && ctx.Now-p.announcedAt < AnnounceInterval {
+	p.callsPerRead, list.Calls = max(1, list.Calls), 0
+	list.LeaseID, p.heardAt = p.newestLeaseID, ctx.Now
+	if !p.changed(ctx.Now, &list) && ctx.Now-p.announcedAt < AnnounceInterval {
 		p.mesh.Announce(ctx, mesh.EntryPolled, LeaseTask, nil, false)
 		return
 	}
 	p.announcedAt = ctx.Now
-	p.mesh.Announce(ctx, mesh.EntryBackendList, LeaseTask, wire.Encode(&l), false)
+	p.mesh.Announce(ctx, mesh.EntryBackendList, LeaseTask, wire.Encode(&list), false)
+}
+
+// handleFailure handles a reading that failed or named no backend. The attempt is announced
+// nevertheless, so that the other nodes do not all try what fails.
+func (p *Lister) handleFailure(ctx *kernel.Context, v kernel.Fetched) {
+	ctx.Counts.Add("platform_failed", 1)
+	if v.Status == http.StatusTooManyRequests {
+		p.slowdown = min(2*max(1, p.slowdown), maxSlowdown)
+	}
+	ctx.Log(kernel.LevelWarn, "platform_failed", "status", v.Status, "error", v.Err)
+	if v.Status == 0 && p.releaseLease(ctx) {
+		// The platform could not be reached at all; another node may reach it.
+		p.idleUntil = ctx.Now + ReleaseBackoff
+	}
+	p.mesh.Announce(ctx, mesh.EntryPolled, LeaseTask, nil, false)
 }
--- a/cluster/discovery/lease.go
+++ b/cluster/discovery/lease.go
@@ -7,6 +7,7 @@
 	"wallport/control/state"
 	"wallport/runtime/invariant"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -47,7 +48,7 @@
 	if addr == "" || ctx.Now >= p.leaseUntil {
 		return false
 	}
-	for _, r := range p.members.Live(ctx.Now, "node") {
+	for _, r := range p.members.Live(ctx.Now, settings.RoleNode) {
 		if r.Origin != p.mesh.Self() && !r.Draining {
 			ctx.SendTo(addr, wire.KindLeaseRequest, 0, &wire.LeaseRequest{Partition: partition, Task: LeaseTask, From: p.mesh.Self(), Release: true, Successor: r.Origin, LeaseID: p.leaseID})
 			p.forgetLease()
--- a/cluster/loadreport/loadreport.go
+++ b/cluster/loadreport/loadreport.go
@@ -15,6 +15,7 @@
 	"wallport/cluster/mesh"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -92,7 +93,7 @@
 }
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 55, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
+	kernel.Register(kernel.Registration{Rank: 55, Roles: []string{settings.RoleNode}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Reporter{mesh: kernel.Find[*mesh.Mesh](k), remoteRates: map[string]map[string]int64{}}
 	}})
 }
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -15,6 +15,7 @@
 	"wallport/cluster/mesh"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -70,7 +71,7 @@
 const PeakTTL = 10 * clock.Minute
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 20, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
+	kernel.Register(kernel.Registration{Rank: 20, Roles: []string{settings.RoleNode, settings.RoleCore}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		e := k.Boot.Settings
 		return &Members{k: k, mesh: kernel.Find[*mesh.Mesh](k), rows: map[string]*wire.Member{}, local: wire.Member{
 			Name: e.Name, Role: k.Boot.Role, Zone: e.Zone, Addr: e.Mesh, Caller: e.Caller, Operator: e.Operator, Mesh: mesh.Release,
@@ -106,7 +107,7 @@
 			}
 		}
 	case mesh.Forgotten:
-		if r := m.rows[v.Origin]; r != nil && r.Role == "node" && r.Draining && m.peak > 1 {
+		if r := m.rows[v.Origin]; r != nil && r.Role == settings.RoleNode && r.Draining && m.peak > 1 {
 			// A node that drained was removed on purpose: the fleet is meant to be smaller. If the
 			// node comes back, the count of live nodes raises the peak again.
 			m.peak--
@@ -114,7 +115,7 @@
 		delete(m.rows, v.Origin)
 		m.sortedOrigins = nil
 	case mesh.LivenessUpdated:
-		n := m.Count(ctx.Now, "node")
+		n := m.Count(ctx.Now, settings.RoleNode)
 		if n >= m.peak || ctx.Now-m.peakAt > PeakTTL {
 			m.peak, m.peakAt = n, ctx.Now
 		}
@@ -156,7 +157,7 @@
 	if len(m.rows) <= smallFleet {
 		return announceInterval
 	}
-	return min(maxAnnounceInterval, announceIntervalPerMember*int64(len(m.rows)))
+	return min(maxAnnounceInterval, announceIntervalPerMember*clock.Micros(len(m.rows)))
 }
 
 // Local returns this process as it describes itself.
--- a/cluster/mesh/antientropy.go
+++ b/cluster/mesh/antientropy.go
@@ -114,26 +114,26 @@
 	for _, summary := range hb.Summaries {
 		theirs[summary.Origin] = summary
 	}
-	left := min(MaxSyncBytes, m.syncAllowance(ctx.Now))
-	was := left
+	allowance := min(MaxSyncBytes, m.syncAllowance(ctx.Now))
+	left := allowance
 	for _, fp := range sortedKeys(m.store.origins) {
 		if left > 0 && hb.Scope&bucketBit(fp) != 0 {
 			left -= m.sendMissingEntries(ctx, peer, m.store.origins[fp], theirs[fp], left)
 		}
 	}
 	left -= m.sendMissingVersions(ctx, peer, hb.Partitions)
-	m.syncTokens -= was - left
-	lacks := m.isBehind(hb)
-	if !lacks {
+	m.syncTokens -= allowance - left
+	behind := m.isBehind(hb)
+	if !behind {
 		m.markInSync(ctx)
-		if left == was {
+		if left == allowance {
 			peer.syncedLocal, peer.syncedRemote = m.digest(), hb.Digest
 		}
 	}
 	switch {
 	case hb.Echo:
-		m.sendSummaries(ctx, peer, hb.Scope, lacks)
-	case lacks && peer.progressed && !peer.legacy:
+		m.sendSummaries(ctx, peer, hb.Scope, behind)
+	case behind && peer.progressed && !peer.legacy:
 		m.requestSyncSoon(ctx, peer)
 	}
 }
@@ -199,13 +199,13 @@
 // large version it sends a notice, so that the peer requests it only if no other process is sending
 // it.
 func (m *Mesh) sendMissingVersions(ctx *kernel.Context, peer *peerConn, theirs []wire.Version) (sent int) {
-	stamps := map[int]wire.Version{}
-	for _, s := range theirs {
-		stamps[s.Partition] = s
+	known := map[int]wire.Version{}
+	for _, version := range theirs {
+		known[version.Partition] = version
 	}
 	for _, partition := range sortedKeys(m.store.partitions) {
 		entry := m.store.partitions[partition]
-		if s, ok := stamps[partition]; !ok || Newer(entry.Version, s) {
+		if version, ok := known[partition]; !ok || Newer(entry.Version, version) {
 			if isLarge(entry) {
 				m.sendNotice(ctx, peer.conn, entry)
 				continue
@@ -231,8 +231,8 @@
 			return true
 		}
 	}
-	for _, s := range hb.Partitions {
-		if entry, ok := m.store.partitions[s.Partition]; !ok || Newer(s, entry.Version) {
+	for _, version := range hb.Partitions {
+		if entry, ok := m.store.partitions[version.Partition]; !ok || Newer(version, entry.Version) {
 			return true
 		}
 	}
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -22,11 +22,12 @@
 // signedBytes returns what an entry's signature covers: everything but the signature and the hop
 // count, which changes on the way.
 func signedBytes(entry *wire.Entry) []byte {
-	c := *entry
-	c.Sig, c.Hops = nil, 0
-	return wire.Encode(&c)
+	unsigned := *entry
+	unsigned.Sig, unsigned.Hops = nil, 0
+	return wire.Encode(&unsigned)
 }
 
+// sign signs an entry.
 func sign(entry *wire.Entry, key kernel.Key) {
 	entry.Sig = ed25519.Sign(key.Private, signedBytes(entry))
 }
@@ -83,9 +84,9 @@
 // that is dropped for its rate is not added to the seen-set, so that anti-entropy can bring it
 // later.
 func (m *Mesh) handleEntry(ctx *kernel.Context, peer *peerConn, entry *wire.Entry, delivery deliveryPath) {
-	k := seenKey(entry)
-	if m.seen.has(k, ctx.Now) {
-		m.dropDuplicate(ctx, peer, k)
+	key := seenKey(entry)
+	if m.seen.has(key, ctx.Now) {
+		m.dropDuplicate(ctx, peer, key)
 		return
 	}
 	if len(entry.Origin) != ed25519.PublicKeySize || !ed25519.Verify(entry.Origin, signedBytes(entry), entry.Sig) {
@@ -106,7 +107,7 @@
 		ctx.Counts.Add("mesh_dropped_rate", 1)
 		return
 	}
-	m.seen.add(k, ctx.Now)
+	m.seen.add(key, ctx.Now)
 	if !m.storeEntry(ctx, entry, fp) {
 		ctx.Counts.Add("mesh_dropped_old", 1)
 		return
@@ -121,15 +122,15 @@
 
 // checkOrigin reports whether the signer may announce an entry, and counts it as dropped otherwise.
 // A process may describe only itself, and nobody may use this process's key. Entries of a forgotten
-// origin are dropped until a higher heartbeat or a link shows that the origin is back: a peer that
+// origin are dropped until a higher heartbeat, a link or a connection shows that the origin is back: a peer that
 // has not forgotten it yet must not restore it.
 func (m *Mesh) checkOrigin(ctx *kernel.Context, entry *wire.Entry, fp string) bool {
 	if fp == m.self || (entry.Type == EntryMember || entry.Type == EntryLinks) && entry.ID != fp {
 		ctx.Counts.Add("mesh_dropped_origin", 1)
 		return false
 	}
-	if g, dead := m.store.forgotten[fp]; dead && entry.Type != EntryPartition {
-		if origin := m.store.origins[fp]; origin == nil || origin.heartbeat <= g.heartbeat {
+	if last, ok := m.store.forgotten[fp]; ok && entry.Type != EntryPartition {
+		if origin := m.store.origins[fp]; origin == nil || origin.heartbeat <= last.heartbeat {
 			ctx.Counts.Add("mesh_dropped_buried", 1)
 			return false
 		}
@@ -198,10 +199,10 @@
 
 // send sends an entry and returns the size of its frame in bytes.
 func (m *Mesh) send(ctx *kernel.Context, conn uint64, entry *wire.Entry, delivery deliveryPath) int {
-	c := *entry
-	c.Hops++
+	forwarded := *entry
+	forwarded.Hops++
 	ctx.Counts.Add("mesh_entries_out", 1)
-	s := kernel.Send{Conn: conn, Data: wire.Seal(wire.KindGossip, uint64(delivery), &c), ReplaceKey: replaceKey(entry)}
+	s := kernel.Send{Conn: conn, Data: wire.Seal(wire.KindGossip, uint64(delivery), &forwarded), ReplaceKey: replaceKey(entry)}
 	ctx.Output.Sends = append(ctx.Output.Sends, s)
 	return len(s.Data)
 }
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -5,6 +5,7 @@
 
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -80,7 +81,6 @@
 	addr     string
 	zone     string
 	key      string
-	dialed   bool
 	since    clock.Micros
 	lastSeen clock.Micros
 	// legacy says that the peer speaks the protocol of release 1.
@@ -124,7 +124,7 @@
 }
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 10, Roles: []string{"node", "core"}, Make: func(k *kernel.Kernel) kernel.Plugin {
+	kernel.Register(kernel.Registration{Rank: 10, Roles: []string{settings.RoleNode, settings.RoleCore}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return New(k)
 	}})
 }
--- a/cluster/mesh/overlay.go
+++ b/cluster/mesh/overlay.go
@@ -64,11 +64,11 @@
 }
 
 // fleetView is the fleet as it is known when the overlay is maintained: the reached origins in all,
-// by zone and by address, and the lost ones.
+// by zone and by address, and the lost ones. zone is this process's.
 type fleetView struct {
 	zone    string
 	zones   map[string][]*originState
-	byAddr  map[string]*originState // by address
+	byAddr  map[string]*originState
 	reached []*originState
 	lost    []*originState
 }
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -12,10 +12,12 @@
 
 // dialState is the state of dialling one address.
 type dialState struct {
+	// backoff is the wait after the next dial, nextAt the earliest time of that dial.
 	backoff  clock.Micros
 	nextAt   clock.Micros
 	inFlight bool
-	attempts int
+	// failures counts the failed dials in a row.
+	failures int
 }
 
 // addAddr remembers an address for dialling, if there is capacity.
@@ -30,7 +32,7 @@
 // that is neither in use nor a seed.
 func (m *Mesh) forgetAddr() {
 	for _, a := range slices.SortedFunc(maps.Keys(m.dials), func(a, b string) int {
-		return cmp.Or(cmp.Compare(m.dials[b].attempts, m.dials[a].attempts), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(m.dials[b].failures, m.dials[a].failures), cmp.Compare(a, b))
 	}) {
 		if !m.dials[a].inFlight && !m.connected(a) && !slices.Contains(m.seeds, a) {
 			delete(m.dials, a)
@@ -47,8 +49,8 @@
 	greetingAddrs = 12
 )
 
-// maxDialAttempts is how many dials may fail in a row before an address that is no seed is dropped.
-const maxDialAttempts = 20
+// maxDialFailures is how many dials may fail in a row before an address that is no seed is dropped.
+const maxDialFailures = 20
 
 // sampleAddrs returns this process's address and up to n addresses of reached processes, those of a
 // zone first.
@@ -104,7 +106,7 @@
 func (m *Mesh) handleConnUp(ctx *kernel.Context, v kernel.ConnUp) {
 	if v.Dialed {
 		if dial := m.dials[v.Addr]; dial != nil {
-			dial.inFlight, dial.attempts = false, 0
+			dial.inFlight, dial.failures = false, 0
 		}
 	}
 	if v.Peer == m.self {
@@ -118,7 +120,6 @@
 		if old.key != v.Peer {
 			continue
 		}
-		// Of two channels between one pair, the one that the lesser key dialled stays.
 		if v.Dialed == (m.self < v.Peer) {
 			delete(m.peers, id)
 			ctx.Drop(id)
@@ -127,7 +128,7 @@
 		ctx.Drop(v.Conn)
 		return
 	}
-	peer := &peerConn{conn: v.Conn, addr: v.Addr, zone: v.Zone, key: v.Peer, dialed: v.Dialed, since: ctx.Now, lastSeen: ctx.Now}
+	peer := &peerConn{conn: v.Conn, addr: v.Addr, zone: v.Zone, key: v.Peer, since: ctx.Now, lastSeen: ctx.Now}
 	m.peers[v.Conn] = peer
 	ctx.Log(kernel.LevelDebug, "mesh_peer_up", "peer", v.Peer, "addr", v.Addr, "peers", len(m.peers))
 	m.closeExcessPeers(ctx, v.Conn)
@@ -163,8 +164,8 @@
 	}
 	if dial := m.dials[v.Addr]; dial != nil && dial.inFlight && v.Conn == 0 {
 		dial.inFlight = false
-		dial.attempts++
-		if dial.attempts > maxDialAttempts && !slices.Contains(m.seeds, v.Addr) {
+		dial.failures++
+		if dial.failures > maxDialFailures && !slices.Contains(m.seeds, v.Addr) {
 			delete(m.dials, v.Addr)
 		}
 	}
--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -10,6 +10,7 @@
 	"wallport/request/snapshot"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -88,7 +89,7 @@
 }
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 70, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
+	kernel.Register(kernel.Registration{Rank: 70, Roles: []string{settings.RoleNode}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Checker{mesh: kernel.Find[*mesh.Mesh](k), table: kernel.Find[*snapshot.Table](k), passive: k.Boot.Settings.PassiveHealth, states: map[string]*checkState{}}
 	}})
 }
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -7,6 +7,7 @@
 
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -59,7 +60,7 @@
 func (table *Table) roster(ctx *kernel.Context) []Node {
 	var out []Node
 	table.members.Each(ctx.Now, func(origin string, r *wire.Member, live bool) {
-		if r.Role != "node" {
+		if r.Role != settings.RoleNode {
 			return
 		}
 		at, ok := table.lastLive[origin]
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -10,6 +10,7 @@
 	"wallport/control/configsync"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -84,7 +85,7 @@
 }
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
+	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{settings.RoleNode}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Table{
 			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), loadReports: kernel.Find[*loadreport.Reporter](k),
 			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, absentSince: map[string]clock.Micros{},
@@ -229,7 +230,7 @@
 	}
 	snap.Roster = table.roster(ctx)
 	snap.KeyOwners = keyOwners(snap.Roster)
-	snap.Peers = table.members.Count(ctx.Now, "node")
+	snap.Peers = table.members.Count(ctx.Now, settings.RoleNode)
 	snap.Backends = table.evaluateBackends(ctx, snap)
 	if snap.Configuration != nil {
 		for _, s := range snap.Configuration.Services {
@@ -250,7 +251,7 @@
 // reannounceBackendList announces the list that a forgotten node had announced, so that nodes that
 // start later find it. The first live node by name does so.
 func (table *Table) reannounceBackendList(ctx *kernel.Context, forgotten string) {
-	live := table.members.Live(ctx.Now, "node")
+	live := table.members.Live(ctx.Now, settings.RoleNode)
 	if forgotten == table.backendListOrigin && len(live) > 0 && live[0].Origin == table.mesh.Self() {
 		table.mesh.Announce(ctx, mesh.EntryBackendList, discovery.LeaseTask, wire.Encode(&table.backendList), false)
 	}
