--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -139,11 +139,12 @@
 }
 
 type request struct {
-	kind, key, record, query string
-	limit                    int
-	deadline                 clock.Micros
-	repeat                   bool
-	nodes                    [2]platform.Node
+	kind               search.Kind
+	key, record, query string
+	limit              int
+	deadline           clock.Micros
+	repeat             bool
+	nodes              [2]platform.Node
 }
 
 func (k *Caller) drawRequest(n int) request {
--- a/lab/caller/check.go
+++ b/lab/caller/check.go
@@ -44,7 +44,7 @@
 			k.wrong("%s: status %d without a code: %.80q", o.kind, resp.StatusCode, body)
 			return
 		}
-		k.summary.Outcomes[o.kind+" "+f.Name]++
+		k.summary.Outcomes[string(o.kind)+" "+f.Name]++
 		code := search.Code(f.Name)
 		retry := code == search.CodeUnavailable || code == search.CodeGivenUp || code == search.CodeRateLimited
 		if retry && resp.Header.Get("Retry-After") == "" {
@@ -55,7 +55,7 @@
 		}
 		return
 	}
-	k.summary.Outcomes[o.kind+" ok"]++
+	k.summary.Outcomes[string(o.kind)+" ok"]++
 	k.summary.Seconds[fmt.Sprintf("%03d", int(time.Since(k.began).Seconds()))]++
 	k.latencies = append(k.latencies, took.Microseconds())
 	if o.kind == search.KindSearch {
@@ -68,7 +68,7 @@
 		return
 	}
 	if s.Repeat {
-		k.summary.Outcomes[o.kind+" repeat"]++
+		k.summary.Outcomes[string(o.kind)+" repeat"]++
 		return
 	}
 	if want, _ := records.Of(o.record); s.Record != want {
--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -20,9 +20,9 @@
 		w.Checker.Aborted(p.name, w.now, planned && !w.killed[p.name])
 		return
 	}
-	w.logEvent(p.name + " " + o.ID + " " + in.Kind + " " + in.Key + " " + string(o.Code) + " " + o.Why)
+	w.logEvent(p.name + " " + o.ID + " " + string(in.Kind) + " " + in.Key + " " + string(o.Code) + " " + o.Why)
 	w.Checker.Count("outcome."+string(o.Code), 1)
-	w.Checker.Count("outcome."+in.Kind+"."+string(o.Code), 1)
+	w.Checker.Count("outcome."+string(in.Kind)+"."+string(o.Code), 1)
 	if took := w.now - sent; took > in.Deadline+100*clock.Millisecond {
 		w.Checker.Count("late", 1)
 	}
--- a/lab/sim/world_callers.go
+++ b/lab/sim/world_callers.go
@@ -123,7 +123,7 @@
 		c.sends[in.Key]++
 		read := w.now
 		p.frontend.accept(in, func(o *search.Outcome) {
-			w.Checker.Arrived(in.Kind, read, o == nil || o.Code != search.CodeRateLimited || o.Why == search.ReasonRetryBudgetExhausted)
+			w.Checker.Arrived(string(in.Kind), read, o == nil || o.Code != search.CodeRateLimited || o.Why == search.ReasonRetryBudgetExhausted)
 			c.open--
 			c.checkOutcome(p, &in, o, sent, planned || p.draining)
 			switch {
@@ -138,7 +138,7 @@
 }
 
 // drawKind draws a kind by the mix: two thirds are searches unless the scenario says otherwise.
-func (c *callers) drawKind() string {
+func (c *callers) drawKind() search.Kind {
 	sum := int64(0)
 	for _, n := range c.mix {
 		sum += n
@@ -146,7 +146,7 @@
 	r := c.world.rng.Int64N(sum)
 	for i, n := range c.mix {
 		if r -= n; r < 0 {
-			return config.Kinds[i]
+			return search.Kind(config.Kinds[i])
 		}
 	}
 	return search.KindSearch
--- a/lab/sim/world_load.go
+++ b/lab/sim/world_load.go
@@ -13,7 +13,7 @@
 )
 
 // shares are the quota shares in the shape's configuration, in percent.
-var shares = map[string]float64{search.KindSearch: 60, search.KindRead: 20, search.KindCorrect: 10, search.KindPart: 10}
+var shares = map[search.Kind]float64{search.KindSearch: 60, search.KindRead: 20, search.KindCorrect: 10, search.KindPart: 10}
 
 // applyLoadVerb runs the verbs that change the load or the limits.
 func (w *World) applyLoadVerb(verb string, args []string) {
@@ -56,7 +56,8 @@
 		}
 	}
 	l.Free = capacity - all
-	for kind, share := range shares {
+	for of, share := range shares {
+		kind := string(of)
 		l.Booked[kind] = booked[kind] > 0
 		l.Shares[kind] = (capacity-all)*share/100 + booked[kind]
 		l.Spare[kind] = capacity - all + booked[kind]
--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -29,17 +29,17 @@
 
 // BackendRequest is the body of a request to a backend.
 type BackendRequest struct {
-	ID       string `json:"inquiry"`
-	Kind     string `json:"kind"`
-	Index    string `json:"index"`
-	ShardMap string `json:"cut"`
-	Shard    int    `json:"shard"`
-	Query    string `json:"query,omitempty"`
-	Limit    int    `json:"limit,omitempty"`
-	Record   string `json:"record,omitempty"`
-	Part     int    `json:"part,omitempty"`
-	Body     string `json:"body,omitempty"`
-	Key      string `json:"key,omitempty"`
+	ID       string      `json:"inquiry"`
+	Kind     search.Kind `json:"kind"`
+	Index    string      `json:"index"`
+	ShardMap string      `json:"cut"`
+	Shard    int         `json:"shard"`
+	Query    string      `json:"query,omitempty"`
+	Limit    int         `json:"limit,omitempty"`
+	Record   string      `json:"record,omitempty"`
+	Part     int         `json:"part,omitempty"`
+	Body     string      `json:"body,omitempty"`
+	Key      string      `json:"key,omitempty"`
 	// Timeout is the time that the backend has, in microseconds.
 	Timeout clock.Micros `json:"within_us"`
 }
@@ -82,7 +82,7 @@
 		return search.Reply{Class: search.ReplyNotWritten, Reason: err.Error()}
 	}
 	for {
-		reply, again := c.sendOnce(ctx, attempt, request.Kind, body)
+		reply, again := c.sendOnce(ctx, attempt, string(request.Kind), body)
 		if !again {
 			return reply
 		}
--- a/request/search/golden_test.go
+++ b/request/search/golden_test.go
@@ -9,7 +9,7 @@
 
 // The digest by which owners of a key, of two releases, tell two inquiries under one key apart.
 func TestRequestDigestIsUnchanged(t *testing.T) {
-	for kind, sum := range map[string]uint64{
+	for kind, sum := range map[Kind]uint64{
 		"search":  17592480188054273655,
 		"read":    8775655374562159203,
 		"correct": 4373043006364928751,
@@ -17,7 +17,7 @@
 	} {
 		must.Eq(t, sum, RequestDigest(&Request{Kind: kind, Index: "docs", Record: "r1", Part: 3, Body: "text"}), must.Sprint(kind))
 	}
-	must.Eq(t, []string{"search", "read", "correct", "part"}, []string{KindSearch, KindRead, KindCorrect, KindPart})
+	must.Eq(t, []Kind{"search", "read", "correct", "part"}, []Kind{KindSearch, KindRead, KindCorrect, KindPart})
 }
 
 // A record stays on the shard that it is stored on.
--- a/request/search/limits.go
+++ b/request/search/limits.go
@@ -46,7 +46,7 @@
 // reserved for any kind.
 type indexLimiters struct {
 	unreserved limiter
-	kinds      map[string]*kindLimiters
+	kinds      map[Kind]*kindLimiters
 }
 
 type kindLimiters struct{ reserved, quota, rate limiter }
@@ -55,9 +55,9 @@
 	if v, ok := d.limiters.Load(index); ok {
 		return v.(*indexLimiters)
 	}
-	limiters := &indexLimiters{kinds: map[string]*kindLimiters{}}
+	limiters := &indexLimiters{kinds: map[Kind]*kindLimiters{}}
 	limiters.unreserved.RefilledAt.Store(refilledBeforeStart)
-	for _, name := range []string{KindSearch, KindRead, KindCorrect, KindPart} {
+	for _, name := range []Kind{KindSearch, KindRead, KindCorrect, KindPart} {
 		kind := &kindLimiters{}
 		for _, l := range []*limiter{&kind.reserved, &kind.quota, &kind.rate} {
 			l.RefilledAt.Store(refilledBeforeStart)
@@ -71,11 +71,11 @@
 // withinLimits decides whether a request is admitted by the limits of its kind, and by which. A kind
 // inside its quota or its reservation is admitted whatever the others do; above it, the kind may
 // use what the others leave, up to its rate limit.
-func (d *Dispatcher) withinLimits(snap *snapshot.Snapshot, index *snapshot.Index, kind string, now clock.Micros) (bool, limitName) {
-	kindMeter, indexMeter := d.LoadReport.Meter(index.Name, kind), d.LoadReport.Meter(index.Name, "")
+func (d *Dispatcher) withinLimits(snap *snapshot.Snapshot, index *snapshot.Index, kind Kind, now clock.Micros) (bool, limitName) {
+	kindMeter, indexMeter := d.LoadReport.Meter(index.Name, string(kind)), d.LoadReport.Meter(index.Name, "")
 	kindMeter.Inc()
 	indexMeter.Inc()
-	limit := index.Limits[kind]
+	limit := index.Limits[string(kind)]
 	limiters := d.limitersOf(index.Name)
 	own := limiters.kinds[kind]
 	kindMeter.SetLimits(limit.RateLimit, limit.Share+limit.Reserved)
--- a/request/search/request.go
+++ b/request/search/request.go
@@ -7,17 +7,21 @@
 	"wallport/runtime/clock"
 )
 
-// The kinds of requests.
+// Kind is what a request asks for.
+type Kind string
+
+// The kinds of requests. Search asks all shards, the others the one of a record; correct and part
+// run at most once.
 const (
-	KindSearch  = "search"
-	KindRead    = "read"
-	KindCorrect = "correct"
-	KindPart    = "part"
+	KindSearch  Kind = "search"
+	KindRead    Kind = "read"
+	KindCorrect Kind = "correct"
+	KindPart    Kind = "part"
 )
 
 // Request is one checked request of a caller.
 type Request struct {
-	Kind   string
+	Kind   Kind
 	Index  string
 	Record string
 	// Part is the number of the record's part that a part fetch asks for.
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -116,11 +116,11 @@
 	}
 	m.index, m.shardMap = index, index.ShardMap.Name
 	m.setDeadline()
-	m.transition(now, StateClassified, m.request.Kind)
+	m.transition(now, StateClassified, string(m.request.Kind))
 	ok, limit := m.dispatcher.withinLimits(m.snapshot, index, m.request.Kind, now)
 	if !ok {
 		m.dispatcher.Counts.Add("over_ceiling", 1)
-		m.reject(now, CodeRateLimited, "the "+string(limit)+" of "+m.request.Kind+" is used up", 1)
+		m.reject(now, CodeRateLimited, "the "+string(limit)+" of "+string(m.request.Kind)+" is used up", 1)
 		return
 	}
 	m.trace.add(now, StateAdmitted, string(limit))
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -12,7 +12,7 @@
 // Trace is what is kept of one request. Its times count from the request's start.
 type Trace struct {
 	ID         string           `json:"inquiry"`
-	Kind       string           `json:"kind"`
+	Kind       Kind             `json:"kind"`
 	Index      string           `json:"index"`
 	Record     string           `json:"record,omitempty"`
 	StartedAt  clock.Micros     `json:"-"`
