--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -93,7 +93,6 @@
 	shard.hedgeAt = now + m.hedgeDelay(now, shard, chosen)
 	b.attemptStarted(now)
 	server.Gauge.Outstanding.Add(1)
-	server.Gauge.Requested.Add(1)
 	m.dispatcher.count.attempts.Add(1)
 	m.trace.sent(now-m.startedAt, chosen, why)
 	m.emit(Send{N: n, Backend: server, Pool: shard.pool.Pool, Timeout: left, AtMostOnce: m.atMostOnce(), Request: &m.request})
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -70,19 +70,26 @@
 
 func TestFewNodesReportWhatAllObserve(t *testing.T) {
 	for _, c := range []struct {
+		name    string
 		agree   byte
 		state   string
 		reports int64
 	}{
-		{0, "lost", 1}, {EnoughReporters - 1, "lost", 1}, {EnoughReporters, "lost", 0}, {EnoughReporters, "slow", 1}, {EnoughReporters + 3, "lost", 0},
+		{"nobody else reports", 0, "lost", 1},
+		{"too few agree", EnoughReporters - 1, "lost", 1},
+		{"enough agree", EnoughReporters, "lost", 0},
+		{"enough report another state", EnoughReporters, "slow", 1},
+		{"more than enough agree", EnoughReporters + 3, "lost", 0},
 	} {
-		n := newNode(EnoughReporters + 3)
-		must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Backends))
-		for i := range c.agree {
-			n.hears(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: c.state})
-		}
-		n.meets(snapshot.EjectThreshold)
-		must.Eq(t, c.reports, n.reports(), must.Sprint(c))
+		t.Run(c.name, func(t *testing.T) {
+			n := newNode(EnoughReporters + 3)
+			must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Backends))
+			for i := range c.agree {
+				n.hears(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: c.state})
+			}
+			n.meets(snapshot.EjectThreshold)
+			must.Eq(t, c.reports, n.reports())
+		})
 	}
 }
 
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -130,7 +130,6 @@
 	s.attempts++
 	s.hedgeAt = now + min(max(m.index.Service.HedgeUs, 3*backend.Gauge.Latency.Load()), max(left/2, 1))
 	backend.Gauge.Outstanding.Add(1)
-	backend.Gauge.Requested.Add(1)
 	m.state = StateSent
 	m.emit(Send{
 		Attempt: n, ID: m.ID() + "." + attemptSuffix(n), Backend: backend,
--- a/request/snapshot/gauge.go
+++ b/request/snapshot/gauge.go
@@ -10,9 +10,8 @@
 // Gauge is what this node itself observes of one backend. It outlives snapshots. Times are in
 // microseconds, moments on this process's clock.
 type Gauge struct {
-	// Outstanding counts the requests in flight from this node, Requested all that were ever sent.
+	// Outstanding counts the requests in flight from this node.
 	Outstanding atomic.Int64
-	Requested   atomic.Int64
 	// Usage is the number of requests that the backend is working on by its own account.
 	Usage atomic.Int64
 	// Latency is the smoothed latency of successful responses; 0 if there was none.
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -16,29 +16,29 @@
 	if was := table.current.Load(); was != nil && was.Routing != nil && was.Version == snap.Version {
 		snap.Routing = was.Routing
 	} else {
-		src := new(routingpb.RoutingTable)
-		if proto.Unmarshal(snap.Config.Routing, src) != nil {
+		source := new(routingpb.RoutingTable)
+		if proto.Unmarshal(snap.Config.Routing, source) != nil {
 			return
 		}
-		snap.Routing = routing.Compile(src)
+		snap.Routing = routing.Compile(source)
 	}
 	snap.Pools = make(map[string]*Pool, len(snap.Routing.Pools))
-	for name, p := range snap.Routing.Pools {
-		snap.Pools[name] = &Pool{Pool: p}
+	for name, pool := range snap.Routing.Pools {
+		snap.Pools[name] = &Pool{Pool: pool}
 	}
-	for _, s := range snap.Backends {
-		if p := snap.Pools[s.Pool]; p != nil && s.Pool != "" {
-			p.Backends = append(p.Backends, s)
+	for _, backend := range snap.Backends {
+		if pool := snap.Pools[backend.Pool]; pool != nil && backend.Pool != "" {
+			pool.Backends = append(pool.Backends, backend)
 		}
 	}
 	self := subsetNode{name: table.Self(), zone: snap.Zone, nodes: snap.Divisor}
-	for _, n := range snap.Roster {
-		if n.Zone == snap.Zone {
+	for _, node := range snap.Roster {
+		if node.Zone == snap.Zone {
 			self.zoneNodes++
 		}
 	}
-	for _, p := range snap.Pools {
-		p.assignSubset(self)
+	for _, pool := range snap.Pools {
+		pool.assignSubset(self)
 	}
 }
 
--- a/request/snapshot/subset_test.go
+++ b/request/snapshot/subset_test.go
@@ -22,7 +22,8 @@
 	return p
 }
 
-// idle counts to which backends so many nodes keep connections, and the fewest that a node keeps.
+// idle returns the greatest number of nodes that keep connections to one backend, and the smallest
+// number of backends that a node keeps connections to.
 func idle(backends int, connections int64, nodes int) (most, fewest int) {
 	by := map[string]int{}
 	fewest = backends
@@ -45,16 +46,26 @@
 
 func TestIdleConnectionsStayWithinLimit(t *testing.T) {
 	for _, c := range []struct {
+		name          string
 		backends      int
 		connections   int64
 		nodes, fewest int
 	}{
-		{8, 26, 88, 1}, {4, 24, 88, 0}, {8, 330, 72, 8}, {4, 69, 11, 4}, {4, 110, 11, 4}, {4, 0, 88, 4}, {1, 24, 88, 0}, {0, 24, 88, 0},
+		{"more nodes than connections", 8, 26, 88, 1},
+		{"too few connections for idle ones", 4, 24, 88, 0},
+		{"connections for all nodes", 8, 330, 72, 8},
+		{"a small fleet", 4, 69, 11, 4},
+		{"a small fleet with many connections", 4, 110, 11, 4},
+		{"no limit", 4, 0, 88, 4},
+		{"one backend", 1, 24, 88, 0},
+		{"no backend", 0, 24, 88, 0},
 	} {
-		most, fewest := idle(c.backends, c.connections, c.nodes)
-		must.Eq(t, c.fewest, fewest, must.Sprint(c))
-		if c.connections > 0 {
-			must.LessEq(t, int(c.connections), most, must.Sprint(c))
-		}
+		t.Run(c.name, func(t *testing.T) {
+			most, fewest := idle(c.backends, c.connections, c.nodes)
+			must.Eq(t, c.fewest, fewest)
+			if c.connections > 0 {
+				must.LessEq(t, int(c.connections), most)
+			}
+		})
 	}
 }
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -1,10 +1,10 @@
 package snapshot
 
 import (
+	"slices"
 	"sync/atomic"
 
 	"wallport/cluster/discovery"
-	"wallport/cluster/loadreport"
 	"wallport/cluster/membership"
 	"wallport/cluster/mesh"
 	"wallport/control/configsync"
@@ -35,11 +35,10 @@
 
 // Table is the plug-in that builds and publishes the snapshots.
 type Table struct {
-	k           *kernel.Kernel
-	mesh        *mesh.Mesh
-	members     *membership.Members
-	loadReports *loadreport.Reporter
-	configSync  *configsync.Sync
+	k          *kernel.Kernel
+	mesh       *mesh.Mesh
+	members    *membership.Members
+	configSync *configsync.Sync
 	// Gauges are those of all backends.
 	Gauges *Gauges
 
@@ -49,8 +48,8 @@
 	staleness      staleness
 	config         configState
 
-	// backendList is the platform's list as last announced, backendListOrigin and backendListCount the origin and
-	// the count of the entry that brought it.
+	// backendList is the platform's list as last announced, backendListOrigin and backendListCount the
+	// origin and the count of the entry that brought it.
 	backendList       wire.BackendList
 	backendListOrigin string
 	backendListCount  uint64
@@ -87,7 +86,7 @@
 func init() {
 	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{settings.RoleNode}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Table{
-			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), loadReports: kernel.Find[*loadreport.Reporter](k),
+			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
 			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, absentSince: map[string]clock.Micros{},
 			births: map[string]birth{}, healthReports: healthReports{}, lastLive: map[string]clock.Micros{}, servedShardMaps: map[string]wire.ShardMap{},
 		}
@@ -181,42 +180,51 @@
 	}
 }
 
-// applyBackendList takes a reading of the platform's list, unless a newer one is known: by the lease id
-// or, from the same origin, by the entry's count.
+// applyBackendList takes a reading of the platform's list, unless a newer one is known: by the lease
+// id or, from the same origin, by the entry's count.
 func (table *Table) applyBackendList(ctx *kernel.Context, v mesh.Stored) {
-	var l wire.BackendList
-	if wire.Decode(v.Entry.Body, &l) != nil || l.LeaseID < table.backendList.LeaseID {
+	var list wire.BackendList
+	if wire.Decode(v.Entry.Body, &list) != nil || list.LeaseID < table.backendList.LeaseID {
 		return
 	}
 	if v.Origin == table.backendListOrigin && v.Entry.Count < table.backendListCount {
 		return
 	}
-	there := map[string]bool{}
-	for _, s := range l.Backends {
-		there[s.ID] = true
-		if s.State == stateDraining {
+	listed := map[string]bool{}
+	for _, backend := range list.Backends {
+		listed[backend.ID] = true
+		if backend.State == stateDraining {
 			// An incarnation that drains never serves again, whatever a later list says.
-			table.drainingIncarnation[s.ID] = max(table.drainingIncarnation[s.ID], s.Incarnation)
+			table.drainingIncarnation[backend.ID] = max(table.drainingIncarnation[backend.ID], backend.Incarnation)
 		}
 	}
-	for _, s := range table.backendList.Backends {
-		if !there[s.ID] && !l.Complete {
-			// Absence from an incomplete list proves nothing for a while.
-			if _, ok := table.absentSince[s.ID]; !ok {
-				table.absentSince[s.ID] = ctx.Now
-			}
-			if ctx.Now-table.absentSince[s.ID] < AbsentTTL {
-				l.Backends = append(l.Backends, s)
-			}
-		}
+	if !list.Complete {
+		list.Backends = append(list.Backends, table.keepAbsent(ctx, listed)...)
 	}
-	for id := range there {
+	for id := range listed {
 		delete(table.absentSince, id)
 	}
-	table.backendList, table.backendListOrigin, table.backendListCount = l, v.Origin, v.Entry.Count
+	table.backendList, table.backendListOrigin, table.backendListCount = list, v.Origin, v.Entry.Count
 	table.build(ctx)
 }
 
+// keepAbsent returns the known backends that an incomplete list does not name and that have been
+// absent for less than AbsentTTL: absence from such a list proves nothing for a while.
+func (table *Table) keepAbsent(ctx *kernel.Context, listed map[string]bool) (kept []wire.Backend) {
+	for _, backend := range table.backendList.Backends {
+		if listed[backend.ID] {
+			continue
+		}
+		if _, ok := table.absentSince[backend.ID]; !ok {
+			table.absentSince[backend.ID] = ctx.Now
+		}
+		if ctx.Now-table.absentSince[backend.ID] < AbsentTTL {
+			kept = append(kept, backend)
+		}
+	}
+	return kept
+}
+
 // build builds and publishes a snapshot.
 func (table *Table) build(ctx *kernel.Context) {
 	snap := &Snapshot{
@@ -225,16 +233,14 @@
 	}
 	table.loadConfig(ctx, snap)
 	table.liveHash = table.updateLive(ctx.Now)
-	for _, z := range snap.Config.DrainedZones {
-		snap.ZoneDrained = snap.ZoneDrained || z == snap.Zone
-	}
+	snap.ZoneDrained = slices.Contains(snap.Config.DrainedZones, snap.Zone)
 	snap.Roster = table.roster(ctx)
 	snap.KeyOwners = keyOwners(snap.Roster)
 	snap.Peers = table.members.Count(ctx.Now, settings.RoleNode)
 	snap.Backends = table.evaluateBackends(ctx, snap)
 	if snap.Configuration != nil {
-		for _, s := range snap.Configuration.Services {
-			snap.Indexes[s.Index] = table.buildIndex(snap, s)
+		for _, service := range snap.Configuration.Services {
+			snap.Indexes[service.Index] = table.buildIndex(snap, service)
 		}
 	}
 	table.buildPools(snap)
