--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -16,10 +16,10 @@
 
 func TestSilentBackendTimesOut(t *testing.T) {
 	over := make(chan bool)
-	f := newFake(t, func(*call) bool { <-over; return false })
+	f := newFakeBackend(t, func(*receivedRequest) bool { <-over; return false })
 	defer close(over)
 	cl := newTestClient(t, Config{})
-	a := f.once("a")
+	a := f.attemptOnce("a")
 	a.Timeout = 20_000
 	rep := run(t, cl, a, dispatch.ClassFailed)
 	must.True(t, rep.TimedOut)
@@ -31,14 +31,14 @@
 // TestCancelClosesTheConnection shows the backend that the request is not wanted any more.
 func TestCancelClosesTheConnection(t *testing.T) {
 	enter, ended := make(chan bool), make(chan error, 1)
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		enter <- true
 		_, err := c.c.Read(make([]byte, 1))
 		ended <- err
 		return false
 	})
 	cl := newTestClient(t, Config{})
-	x := cl.Start(f.ask("a"))
+	x := cl.Start(f.attempt("a"))
 	back := make(chan dispatch.Result)
 	go func() { back <- x.Run() }()
 	<-enter
@@ -66,14 +66,14 @@
 // TestAbandonedExchangeIsNotWritten writes nothing that is not wanted any more, and does not disturb what was written.
 func TestAbandonedExchangeIsNotWritten(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		enter <- true
 		<-leave
 		c.write(c.good("whole"))
 		return true
 	})
 	cl := newTestClient(t, Config{})
-	x := cl.Start(f.ask("a"))
+	x := cl.Start(f.attempt("a"))
 	back := make(chan dispatch.Result)
 	go func() { back <- x.Run() }()
 	<-enter
@@ -83,7 +83,7 @@
 	must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, "whole", string(rep.Body))
 
-	x = cl.Start(f.ask("b"))
+	x = cl.Start(f.attempt("b"))
 	x.Abandon()
 	must.Eq(t, "not wanted any more", x.Run().Reason)
 	must.Eq(t, 0, f.times("b"))
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -28,11 +28,11 @@
 // TestIdleConnectionClosedByBackend has the backend close an idle connection: the next request goes on a new one.
 func TestIdleConnectionClosedByBackend(t *testing.T) {
 	counts := kernel.NewCounts()
-	f := newFake(t, func(c *call) bool { c.write(c.good("")); return c.n > 1 })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return c.n > 1 })
 	cl := newTestClient(t, Config{Counts: counts})
-	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
 	readable(t, idleConn(t, cl))
-	rep := run(t, cl, f.once("b"), dispatch.ClassResponse)
+	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassResponse)
 	must.False(t, rep.ReusedConn)
 	must.Eq(t, 1, counts.Of("backend_idle_dead").Load())
 	must.Eq(t, 1, f.times("b"))
@@ -41,43 +41,43 @@
 // TestLateSurplus has a surplus answer come while the connection is idle: it is not read as the next one.
 func TestLateSurplus(t *testing.T) {
 	go2 := make(chan bool)
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write(c.good("right"))
 		if c.n == 1 {
 			<-go2
-			c.write(answerTo("b", "surplus"))
+			c.write(responseTo("b", "surplus"))
 		}
 		return true
 	})
 	cl := newTestClient(t, Config{})
-	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
 	go2 <- true
 	readable(t, idleConn(t, cl))
-	rep := run(t, cl, f.once("b"), dispatch.ClassResponse)
+	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassResponse)
 	must.Eq(t, "right", string(rep.Body))
 	must.False(t, rep.ReusedConn)
 }
 
 // TestSurplusIsNotTakenForNextResponse has it come only once the next request was written.
 func TestSurplusIsNotTakenForNextResponse(t *testing.T) {
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n == 2 {
-			c.write(answerTo("a", "surplus"))
+			c.write(responseTo("a", "surplus"))
 		}
 		c.write(c.good("right"))
 		return true
 	})
 	cl := newTestClient(t, Config{})
-	run(t, cl, f.once("a"), dispatch.ClassResponse)
-	rep := run(t, cl, f.once("b"), dispatch.ClassInvalid)
+	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
+	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassInvalid)
 	must.True(t, rep.ReusedConn)
 	must.Eq(t, 1, f.times("b"))
-	must.False(t, run(t, cl, f.once("c"), dispatch.ClassResponse).ReusedConn)
+	must.False(t, run(t, cl, f.attemptOnce("c"), dispatch.ClassResponse).ReusedConn)
 }
 
 // TestResetOnReuse has the backend reset a reused connection after it read the request.
 func TestResetOnReuse(t *testing.T) {
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n == 2 {
 			c.c.SetLinger(0)
 			return false
@@ -86,8 +86,8 @@
 		return true
 	})
 	cl := newTestClient(t, Config{})
-	run(t, cl, f.once("a"), dispatch.ClassResponse)
-	rep := run(t, cl, f.once("b"), dispatch.ClassFailed)
+	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
+	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassFailed)
 	must.True(t, rep.ReusedConn)
 	must.False(t, rep.TimedOut)
 	must.Eq(t, 1, f.times("b"), must.Sprint("nothing is repeated here"))
@@ -97,7 +97,7 @@
 // TestNotExecutedReplyWithoutID does not take a promise on a reused connection for a request that may run once: it may be
 // the word on an earlier one.
 func TestNotExecutedReplyWithoutID(t *testing.T) {
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n%2 == 1 {
 			c.write(c.good(""))
 		} else {
@@ -106,39 +106,39 @@
 		return true
 	})
 	cl := newTestClient(t, Config{})
-	run(t, cl, f.once("a"), dispatch.ClassResponse)
-	run(t, cl, f.once("b"), dispatch.ClassInvalid)
-	run(t, cl, f.ask("c"), dispatch.ClassResponse)
-	must.True(t, run(t, cl, f.ask("d"), dispatch.ClassRejected).ReusedConn)
-	must.False(t, run(t, cl, f.ask("e"), dispatch.ClassResponse).ReusedConn)
+	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
+	run(t, cl, f.attemptOnce("b"), dispatch.ClassInvalid)
+	run(t, cl, f.attempt("c"), dispatch.ClassResponse)
+	must.True(t, run(t, cl, f.attempt("d"), dispatch.ClassRejected).ReusedConn)
+	must.False(t, run(t, cl, f.attempt("e"), dispatch.ClassResponse).ReusedConn)
 }
 
 func TestNotSent(t *testing.T) {
 	var frozen atomic.Bool
 	var thaws atomic.Int64
-	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{Frozen: frozen.Load, Thaws: thaws.Load})
 	for range 2 {
 		// The second time there is an idle connection.
 		frozen.Store(true)
-		must.Eq(t, "the process was frozen", run(t, cl, f.once("no"), dispatch.ClassNotSent).Reason)
+		must.Eq(t, "the process was frozen", run(t, cl, f.attemptOnce("no"), dispatch.ClassNotSent).Reason)
 		frozen.Store(false)
 
-		x := cl.Start(f.once("no"))
+		x := cl.Start(f.attemptOnce("no"))
 		thaws.Add(1)
 		rep := x.Run()
 		must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint("decided before the freeze"))
 
-		a := f.once("no")
+		a := f.attemptOnce("no")
 		a.Timeout = 900
 		run(t, cl, a, dispatch.ClassNotSent)
 		a.Timeout = -5
 		run(t, cl, a, dispatch.ClassNotSent)
 
-		x = cl.Start(f.once("no"))
+		x = cl.Start(f.attemptOnce("no"))
 		x.Cancel()
 		must.Eq(t, dispatch.ClassNotSent, x.Run().Class)
-		run(t, cl, f.once("yes"), dispatch.ClassResponse)
+		run(t, cl, f.attemptOnce("yes"), dispatch.ClassResponse)
 	}
 	must.Eq(t, 0, f.times("no"))
 	must.Eq(t, 2, f.times("yes"))
@@ -150,7 +150,7 @@
 	must.NoError(t, err)
 	addr := l.Addr().String()
 	must.NoError(t, l.Close())
-	f := &fake{}
+	f := &fakeBackend{}
 	cl := newTestClient(t, Config{})
 	a := dispatch.Send{Backend: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20_000_000, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
 	for range 3 {
@@ -165,7 +165,7 @@
 // TestConnectionLimitIsShared holds no more connections than this node's part, and says so without asking.
 func TestConnectionLimitIsShared(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		enter <- true
 		<-leave
 		c.write(c.good(""))
@@ -176,10 +176,10 @@
 	must.Eq(t, defaultMaxConnections, cl.connectionLimit(&snapshot.Pool{}))
 	back := make(chan dispatch.Result, 2)
 	for _, id := range []string{"a", "b"} {
-		go func() { back <- cl.Start(f.ask(id)).Run() }()
+		go func() { back <- cl.Start(f.attempt(id)).Run() }()
 		<-enter
 	}
-	rep := run(t, cl, f.ask("c"), dispatch.ClassNotSent)
+	rep := run(t, cl, f.attempt("c"), dispatch.ClassNotSent)
 	must.Eq(t, reasonNoConnection, rep.Reason)
 	must.True(t, rep.ReusedConn, must.Sprint("no failure of the backend's"))
 	leave <- true
@@ -193,27 +193,27 @@
 
 // TestKeepAliveTimeout leaves a connection alone once the backend may close it at any moment.
 func TestKeepAliveTimeout(t *testing.T) {
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write("HTTP/1.1 200 OK\r\nTry-Id: " + c.req.Header.Get("Try-Id") + "\r\nStamp: s\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	cl := newTestClient(t, Config{})
-	run(t, cl, f.once("a"), dispatch.ClassResponse)
+	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
 	c := idleConn(t, cl)
 	must.True(t, c.usable(c.idleSince.Add(999*time.Millisecond)))
 	must.False(t, c.usable(c.idleSince.Add(time.Second)))
-	must.True(t, run(t, cl, f.once("b"), dispatch.ClassResponse).ReusedConn)
+	must.True(t, run(t, cl, f.attemptOnce("b"), dispatch.ClassResponse).ReusedConn)
 	c.idleSince = c.idleSince.Add(-time.Second)
-	must.False(t, run(t, cl, f.once("c"), dispatch.ClassResponse).ReusedConn)
+	must.False(t, run(t, cl, f.attemptOnce("c"), dispatch.ClassResponse).ReusedConn)
 	must.Eq(t, 1, cl.open.Load())
 }
 
 // TestAddressReusedByAnotherBackend keeps no connection of one backend for another that has its address.
 func TestAddressReusedByAnotherBackend(t *testing.T) {
-	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{})
-	run(t, cl, f.once("a"), dispatch.ClassResponse)
-	b := f.once("b")
+	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
+	b := f.attemptOnce("b")
 	b.Backend.ID = "i-2"
 	must.False(t, run(t, cl, b, dispatch.ClassResponse).ReusedConn)
 	must.Eq(t, 2, f.connections())
@@ -222,15 +222,15 @@
 // TestCloseAfterUse has a backend whose connections are too few to be kept idle by every node.
 func TestCloseAfterUse(t *testing.T) {
 	counts := kernel.NewCounts()
-	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{Counts: counts})
 	for _, id := range []string{"a", "b"} {
-		a := f.once(id)
+		a := f.attemptOnce(id)
 		a.Backend.CloseAfterUse = true
 		must.False(t, run(t, cl, a, dispatch.ClassResponse).ReusedConn)
 	}
 	must.Eq(t, 2, counts.Of("backend_dials").Load())
 	must.Eq(t, 0, cl.open.Load())
-	run(t, cl, f.once("c"), dispatch.ClassResponse)
-	must.True(t, run(t, cl, f.once("d"), dispatch.ClassResponse).ReusedConn, must.Sprint("kept where nothing forbids it"))
+	run(t, cl, f.attemptOnce("c"), dispatch.ClassResponse)
+	must.True(t, run(t, cl, f.attemptOnce("d"), dispatch.ClassResponse).ReusedConn, must.Sprint("kept where nothing forbids it"))
 }
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -62,10 +62,10 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e3
 }
 
-var partBody = bytes.Repeat([]byte{7}, 640)
+var shardBody = bytes.Repeat([]byte{7}, 640)
 
 func BenchmarkExchange(b *testing.B) {
-	addr := lean(b, partBody)
+	addr := lean(b, shardBody)
 	cl := newTestClient(b, Config{})
 	pool := &snapshot.Pool{Pool: &routingpb.Pool{}}
 	server := &snapshot.Backend{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
@@ -86,7 +86,7 @@
 }
 
 func BenchmarkBare(b *testing.B) {
-	addr := lean(b, partBody)
+	addr := lean(b, shardBody)
 	c, err := net.DialTCP("tcp", nil, addr)
 	must.NoError(b, err)
 	defer c.Close()
--- a/request/backend/exchange_test.go
+++ b/request/backend/exchange_test.go
@@ -68,7 +68,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cut := c.class == dispatch.ClassFailed
-			f := newFake(t, func(k *call) bool {
+			f := newFakeBackend(t, func(k *receivedRequest) bool {
 				if k.n == 1 {
 					k.write(c.answer)
 					return !cut
@@ -77,12 +77,12 @@
 				return true
 			})
 			cl := newTestClient(t, Config{})
-			rep := cl.Start(f.once("a")).Run()
+			rep := cl.Start(f.attemptOnce("a")).Run()
 			must.Eq(t, c.class, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, c.why, rep.Reason)
 			must.False(t, rep.ReusedConn)
 			must.Eq(t, 1, f.times("a"), must.Sprint("written once"))
-			rep = cl.Start(f.once("b")).Run()
+			rep = cl.Start(f.attemptOnce("b")).Run()
 			must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, "second", string(rep.Body))
 			must.Eq(t, c.keep, rep.ReusedConn)
@@ -93,13 +93,13 @@
 }
 
 func TestReplyFieldsFromResponse(t *testing.T) {
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write("HTTP/1.1 201 Made\r\ntry-id: a\r\nSTAMP:  s.1 \r\nBusy: 1, 2,3\r\nX-Own: v\r\nConnection: x-HOP, keep-alive\r\nX-Hop: 1\r\n" +
 			"Keep-Alive: max=5, timeout=4\r\nUpgrade: h2c\r\nContent-Length: 5\r\nX-Own: w\r\n\r\nhello")
 		return true
 	})
 	cl := newTestClient(t, Config{})
-	rep := cl.Start(f.ask("a")).Run()
+	rep := cl.Start(f.attempt("a")).Run()
 	must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, 201, rep.Status)
 	must.Eq(t, "s.1", rep.Seal)
@@ -111,13 +111,13 @@
 }
 
 func TestRequestBytes(t *testing.T) {
-	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{})
-	a := f.ask("a")
+	a := f.attempt("a")
 	a.Request.Header = []byte("X-Y: z\r\nTry-Id: a\r\n")
 	x := cl.Start(a)
 	must.Eq(t, "GET /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nX-Y: z\r\nTry-Id: a\r\nLeft: 250\r\nMeant-For: i-1\r\n\r\n", string(x.appendRequest(nil, 250_900_000)))
-	a = f.once("a")
+	a = f.attemptOnce("a")
 	must.Eq(t, "POST /a/b?c=%2f HTTP/1.1\r\nHost: h.example\r\nTry-Id: a\r\nLeft: 1\r\nMeant-For: i-1\r\nContent-Length: 3\r\n\r\nb-a", string(cl.Start(a).appendRequest(nil, 1_000_000)))
 	a.Request.Body = nil
 	must.StrContains(t, string(cl.Start(a).appendRequest(nil, 1_000_000)), "Content-Length: 0\r\n\r\n")
@@ -126,10 +126,10 @@
 // TestLargeBodies has more to write than the kernel takes at once, and an answer as large.
 func TestLargeBodies(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
-	f := newFake(t, func(c *call) bool { c.write(c.good(string(c.body))); return true })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good(string(c.body))); return true })
 	cl := newTestClient(t, Config{})
 	for _, id := range []string{"a", "b"} {
-		a := f.once(id)
+		a := f.attemptOnce(id)
 		a.Request.Body = body
 		rep := cl.Start(a).Run()
 		must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
@@ -139,13 +139,13 @@
 }
 
 func TestHeadHasNoBody(t *testing.T) {
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write("HTTP/1.1 200 OK\r\nStamp: s\r\nTry-Id: " + c.req.Header.Get("Try-Id") + "\r\nContent-Length: 500\r\n\r\n")
 		return true
 	})
 	cl := newTestClient(t, Config{})
 	for _, id := range []string{"a", "b"} {
-		a := f.ask(id)
+		a := f.attempt(id)
 		a.Request.Method = "HEAD"
 		rep := cl.Start(a).Run()
 		must.Eq(t, dispatch.ClassResponse, rep.Class)
@@ -156,10 +156,10 @@
 
 func TestCounts(t *testing.T) {
 	counts := kernel.NewCounts()
-	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{Counts: counts})
 	for _, id := range []string{"a", "b", "c"} {
-		must.Eq(t, dispatch.ClassResponse, cl.Start(f.ask(id)).Run().Class)
+		must.Eq(t, dispatch.ClassResponse, cl.Start(f.attempt(id)).Run().Class)
 	}
 	must.Eq(t, 1, counts.Of("backend_dials").Load())
 	must.Eq(t, 2, counts.Of("backend_reused").Load())
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -23,18 +23,18 @@
 	"wallport/runtime/wire"
 )
 
-// call is one request at the fake, the nth of all, on the connth of its connections.
-type call struct {
+// receivedRequest is one request at the fake, the nth of all, on the connth of its connections.
+type receivedRequest struct {
 	n, conn int
 	c       *net.TCPConn
 	req     *http.Request
 	body    []byte
 }
 
-func (c *call) write(s string) { io.WriteString(c.c, s) }
+func (c *receivedRequest) write(s string) { io.WriteString(c.c, s) }
 
 // arrived waits until more has come on the call's connection, and leaves it unread.
-func (c *call) arrived() {
+func (c *receivedRequest) arrived() {
 	raw, err := c.c.SyscallConn()
 	if err != nil {
 		return
@@ -49,28 +49,30 @@
 }
 
 // good is a whole answer to a call.
-func (c *call) good(body string) string { return answerTo(c.req.Header.Get("Try-Id"), body) }
+func (c *receivedRequest) good(body string) string {
+	return responseTo(c.req.Header.Get("Try-Id"), body)
+}
 
-func answerTo(id, body string) string {
+func responseTo(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nTry-Id: %s\r\nStamp: s-%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
 }
 
-type fake struct {
+type fakeBackend struct {
 	l     *net.TCPListener
-	serve func(c *call) (keep bool)
+	serve func(c *receivedRequest) (keep bool)
 	// accepted, where it is set, is told of each connection before anything is read from it.
 	accepted func(c *net.TCPConn)
-	// cutAfter, above 0, is after how many bytes of a body a connection is reset.
-	cutAfter atomic.Int64
-	mu       sync.Mutex
-	calls    []*call
-	conns    int
+	// resetAfter, above 0, is after how many bytes of a body a connection is reset.
+	resetAfter atomic.Int64
+	mu         sync.Mutex
+	calls      []*receivedRequest
+	conns      int
 }
 
-func newFake(t *testing.T, serve func(c *call) bool) *fake {
+func newFakeBackend(t *testing.T, serve func(c *receivedRequest) bool) *fakeBackend {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	must.NoError(t, err)
-	f := &fake{l: l, serve: serve}
+	f := &fakeBackend{l: l, serve: serve}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -91,7 +93,7 @@
 	return f
 }
 
-func (f *fake) run(c *net.TCPConn, conn int) {
+func (f *fakeBackend) run(c *net.TCPConn, conn int) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -99,9 +101,9 @@
 		if err != nil {
 			return
 		}
-		if most := f.cutAfter.Load(); most > 0 {
+		if most := f.resetAfter.Load(); most > 0 {
 			io.CopyN(io.Discard, req.Body, most)
-			f.note(&call{conn: conn, c: c, req: req})
+			f.record(&receivedRequest{conn: conn, c: c, req: req})
 			c.SetLinger(0)
 			return
 		}
@@ -109,15 +111,15 @@
 		if err != nil {
 			return
 		}
-		k := &call{conn: conn, c: c, req: req, body: body}
-		f.note(k)
+		k := &receivedRequest{conn: conn, c: c, req: req, body: body}
+		f.record(k)
 		if !f.serve(k) {
 			return
 		}
 	}
 }
 
-func (f *fake) note(c *call) {
+func (f *fakeBackend) record(c *receivedRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.n = len(f.calls) + 1
@@ -125,7 +127,7 @@
 }
 
 // times is how often a request was read.
-func (f *fake) times(id string) (n int) {
+func (f *fakeBackend) times(id string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.calls {
@@ -136,7 +138,7 @@
 	return n
 }
 
-func (f *fake) connections() int {
+func (f *fakeBackend) connections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.conns
@@ -154,19 +156,19 @@
 	return cl
 }
 
-func (f *fake) server() *snapshot.Backend {
+func (f *fakeBackend) backend() *snapshot.Backend {
 	return &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: f.l.Addr().String()}}
 }
 
-func (f *fake) ask(id string) dispatch.Send {
+func (f *fakeBackend) attempt(id string) dispatch.Send {
 	return dispatch.Send{
-		Backend: f.server(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, Timeout: 20_000_000,
+		Backend: f.backend(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, Timeout: 20_000_000,
 		Request: &dispatch.Request{ID: id, Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Header: []byte("Try-Id: " + id + "\r\n")},
 	}
 }
 
-func (f *fake) once(id string) dispatch.Send {
-	a := f.ask(id)
+func (f *fakeBackend) attemptOnce(id string) dispatch.Send {
+	a := f.attempt(id)
 	a.AtMostOnce, a.Request.Method, a.Request.Body = true, "POST", []byte("b-"+id)
 	return a
 }
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -17,13 +17,13 @@
 
 // greeter does something to each new connection before anything was asked, when it is let go.
 type greeter struct {
-	*fake
+	*fakeBackend
 	begin, done chan bool
 }
 
 func newGreeter(t *testing.T, greet func(c *net.TCPConn)) *greeter {
 	t.Helper()
-	f := newFake(t, func(c *call) bool { c.write(c.good("served")); return true })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("served")); return true })
 	g := &greeter{f, make(chan bool), make(chan bool)}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,9 +39,9 @@
 // have it that has just made it.
 func (g *greeter) dial(t *testing.T, cl *Client) *conn {
 	t.Helper()
-	_, pool, room := cl.acquire(g.server(), 1)
+	_, pool, room := cl.acquire(g.backend(), 1)
 	must.True(t, room)
-	c, err := cl.dial(t.Context(), g.server(), pool)
+	c, err := cl.dial(t.Context(), g.backend(), pool)
 	must.NoError(t, err)
 	g.begin <- true
 	<-g.done
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newGreeter(t, greet)
 			cl := newTestClient(t, Config{})
-			x := cl.Start(f.once("a"))
+			x := cl.Start(f.attemptOnce("a"))
 			rep, again := x.runOn(f.dial(t, cl))
 			must.False(t, again)
 			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
@@ -74,13 +74,13 @@
 func TestResponseBeforeRequest(t *testing.T) {
 	for name, answer := range map[string]string{
 		"promise": "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
-		"answer":  answerTo("a", "early"),
+		"answer":  responseTo("a", "early"),
 		"interim": "HTTP/1.1 100 Continue\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newGreeter(t, func(c *net.TCPConn) { c.Write([]byte(answer)) })
 			cl := newTestClient(t, Config{})
-			x := cl.Start(f.once("a"))
+			x := cl.Start(f.attemptOnce("a"))
 			rep, again := x.runOn(f.dial(t, cl))
 			must.False(t, again)
 			must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
@@ -95,28 +95,28 @@
 	for _, reused := range []bool{false, true} {
 		var looks, thaws atomic.Int64
 		frozenAt := int64(-1)
-		f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
+		f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 		cl := newTestClient(t, Config{
 			Thaws:  thaws.Load,
 			Frozen: func() bool { return looks.Add(1) == frozenAt },
 		})
 		if reused {
-			run(t, cl, f.once("first"), dispatch.ClassResponse)
+			run(t, cl, f.attemptOnce("first"), dispatch.ClassResponse)
 		}
 		// The first look is before the request is made up, the second right before its write.
 		frozenAt = looks.Load() + 2
-		rep := run(t, cl, f.once("a"), dispatch.ClassNotSent)
+		rep := run(t, cl, f.attemptOnce("a"), dispatch.ClassNotSent)
 		must.Eq(t, "the process was frozen", rep.Reason)
 		must.Eq(t, 0, f.times("a"))
 		must.Eq(t, 1, cl.open.Load(), must.Sprint("nothing was written: the connection is kept"))
-		run(t, cl, f.once("b"), dispatch.ClassResponse)
+		run(t, cl, f.attemptOnce("b"), dispatch.ClassResponse)
 		must.Eq(t, 1, f.connections())
 	}
 }
 
 // TestDeadlinePassesBeforeWrite wakes up without a word of a freeze, past the request's time.
 func TestDeadlinePassesBeforeWrite(t *testing.T) {
-	f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
+	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	var x *Exchange
 	looks := 0
 	cl := newTestClient(t, Config{Frozen: func() bool {
@@ -125,7 +125,7 @@
 		}
 		return false
 	}})
-	x = cl.Start(f.once("a"))
+	x = cl.Start(f.attemptOnce("a"))
 	rep := x.Run()
 	must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, 0, f.times("a"))
@@ -135,7 +135,7 @@
 // connection that it comes on is not used again.
 func TestResponseAfterDeadline(t *testing.T) {
 	late, wrote := make(chan bool), make(chan bool)
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n == 1 {
 			<-late
 			c.write(c.good("late"))
@@ -146,13 +146,13 @@
 		return true
 	})
 	cl := newTestClient(t, Config{})
-	a := f.once("a")
+	a := f.attemptOnce("a")
 	a.Timeout = 20_000
 	must.True(t, run(t, cl, a, dispatch.ClassFailed).TimedOut)
 	must.Eq(t, 0, cl.open.Load())
 	late <- true
 	<-wrote
-	rep := run(t, cl, f.once("b"), dispatch.ClassResponse)
+	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassResponse)
 	must.Eq(t, "right", string(rep.Body))
 	must.False(t, rep.ReusedConn)
 	must.Eq(t, 1, f.times("a"))
@@ -163,13 +163,13 @@
 // the kernel does not take at once: it may have run.
 func TestBodyPartlyWritten(t *testing.T) {
 	for _, reused := range []bool{false, true} {
-		f := newFake(t, func(c *call) bool { c.write(c.good("")); return true })
+		f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 		cl := newTestClient(t, Config{})
 		if reused {
-			run(t, cl, f.once("first"), dispatch.ClassResponse)
+			run(t, cl, f.attemptOnce("first"), dispatch.ClassResponse)
 		}
-		f.cutAfter.Store(1000)
-		a := f.once("a")
+		f.resetAfter.Store(1000)
+		a := f.attemptOnce("a")
 		a.Request.Body = []byte(strings.Repeat("x", 32<<20))
 		rep := run(t, cl, a, dispatch.ClassFailed)
 		must.Eq(t, reused, rep.ReusedConn)
@@ -185,7 +185,7 @@
 	const interim = "HTTP/1.1 100 Continue\r\n\r\n"
 	for _, later := range []bool{false, true} {
 		follow := make(chan bool)
-		f := newFake(t, func(c *call) bool {
+		f := newFakeBackend(t, func(c *receivedRequest) bool {
 			switch {
 			case c.n > 1:
 				c.write(c.good("right"))
@@ -199,12 +199,12 @@
 			return true
 		})
 		cl := newTestClient(t, Config{})
-		run(t, cl, f.once("a"), dispatch.ClassResponse)
+		run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
 		if later {
 			follow <- true
 			readable(t, idleConn(t, cl))
 		}
-		rep := run(t, cl, f.once("b"), dispatch.ClassResponse)
+		rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassResponse)
 		must.False(t, rep.ReusedConn)
 		must.Eq(t, "right", string(rep.Body))
 		must.Eq(t, 1, f.times("b"))
@@ -214,7 +214,7 @@
 // TestBackendClosesWhenReused has the backend close a connection that it let be idle in the moment
 // in which the next request arrives: whether that was read cannot be told.
 func TestBackendClosesWhenReused(t *testing.T) {
-	f := newFake(t, func(c *call) bool {
+	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write(c.good(""))
 		if c.n > 1 {
 			return true
@@ -224,8 +224,8 @@
 		return false
 	})
 	cl := newTestClient(t, Config{})
-	run(t, cl, f.once("a"), dispatch.ClassResponse)
-	rep := run(t, cl, f.once("b"), dispatch.ClassFailed)
+	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
+	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassFailed)
 	must.True(t, rep.ReusedConn)
 	must.Eq(t, 0, f.times("b"))
 	must.Eq(t, 1, f.connections(), must.Sprint("it was not written again elsewhere"))
--- a/request/gateway/connections_test.go
+++ b/request/gateway/connections_test.go
@@ -18,7 +18,7 @@
 		w.limits(&routingpb.Limits{IdleTimeoutUs: 10_000_000 + i%2})
 		c := w.dial()
 		c.send(get("a"))
-		c.answer("GET")
+		c.readResponse("GET")
 	}
 	w.s.connections.mu.Lock()
 	defer w.s.connections.mu.Unlock()
@@ -29,7 +29,7 @@
 func TestLateResponseHasFullWriteTimeout(t *testing.T) {
 	const within = 100 * time.Millisecond
 	w := newWorld(t, func(_ *world, c *Config) { c.WriteTimeout = within })
-	h := w.hold("/a")
+	h := w.block("/a")
 	c := w.dial()
 	sent := time.Now()
 	c.send(get("a"))
@@ -38,6 +38,6 @@
 		time.Sleep(within / 10)
 	}
 	h.leave["/a"] <- true
-	_, body := c.answer("GET")
+	_, body := c.readResponse("GET")
 	must.Eq(t, "/a", body)
 }
--- a/request/gateway/driver_test.go
+++ b/request/gateway/driver_test.go
@@ -15,15 +15,15 @@
 	"wallport/runtime/wire"
 )
 
-// heldBackend makes the backend hold each request until it is let go, by its ask's path.
-type heldBackend struct {
+// blockedBackend makes the backend hold each request until it is let go, by its ask's path.
+type blockedBackend struct {
 	enter     chan string
 	leave     map[string]chan bool
 	abandoned chan string
 }
 
-func (w *world) hold(paths ...string) *heldBackend {
-	h := &heldBackend{enter: make(chan string, 10), leave: map[string]chan bool{}, abandoned: make(chan string, 10)}
+func (w *world) block(paths ...string) *blockedBackend {
+	h := &blockedBackend{enter: make(chan string, 10), leave: map[string]chan bool{}, abandoned: make(chan string, 10)}
 	for _, p := range paths {
 		h.leave[p] = make(chan bool, 1)
 	}
@@ -46,7 +46,7 @@
 
 // to is an ask with a path of its own, so that the backend can tell it from others.
 func (s *script) to(n int, path string, once bool) dispatch.Send {
-	a := s.ask(n, once)
+	a := s.attempt(n, once)
 	req := *a.Request
 	req.Target = path
 	a.Request = &req
@@ -60,9 +60,9 @@
 			// With an idle connection, the client's goroutine carries out the first ask itself.
 			c := w.dial()
 			c.send(get("warm"))
-			c.answer("GET")
+			c.readResponse("GET")
 		}
-		h := w.hold("/first", "/second")
+		h := w.block("/first", "/second")
 		w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 			switch v := ev.(type) {
 			case dispatch.Begin:
@@ -82,7 +82,7 @@
 		// up first is up to the machine: each comes on a connection of its own.
 		must.SliceContainsAll(t, []string{"/first", "/second"}, []string{<-h.enter, <-h.enter})
 		h.leave["/second"] <- true
-		resp, body := c.answer("GET")
+		resp, body := c.readResponse("GET")
 		must.Eq(t, 200, resp.StatusCode)
 		must.Eq(t, "/second", body)
 		// The one that was left runs out, and the chart hears of it.
@@ -100,7 +100,7 @@
 func TestGatheredResponse(t *testing.T) {
 	w := newWorld(t, nil)
 	paths := []string{"/0", "/1", "/2", "/3", "/4", "/5"}
-	h := w.hold(paths...)
+	h := w.block(paths...)
 	w.step = func(s *script, ev dispatch.Event) (acts []dispatch.Action) {
 		switch v := ev.(type) {
 		case dispatch.Begin:
@@ -122,7 +122,7 @@
 	for _, p := range paths[:3] {
 		h.leave[p] <- true
 	}
-	resp, _ := c.answer("GET")
+	resp, _ := c.readResponse("GET")
 	must.Eq(t, "3", resp.Header.Get("Parts-Missing"))
 	gone := map[string]bool{<-h.abandoned: true, <-h.abandoned: true}
 	must.Eq(t, map[string]bool{"/4": true, "/5": true}, gone, must.Sprint("cancelled ones are broken off"))
@@ -138,7 +138,7 @@
 // TestClientDisconnects tells the chart at the next moment that it is woken.
 func TestClientDisconnects(t *testing.T) {
 	w := newWorld(t, nil)
-	h := w.hold("/once", "/again")
+	h := w.block("/once", "/again")
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		switch ev.(type) {
 		case dispatch.Begin:
@@ -179,7 +179,7 @@
 	}
 	nobody := snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: freeAddr(t)}}
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
-		acts := passOn(s, ev)
+		acts := forwardOnce(s, ev)
 		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "nobody" {
 			a := acts[0].(dispatch.Send)
 			a.Backend = &nobody
@@ -190,13 +190,13 @@
 	c := w.dial()
 	for _, id := range []string{"cut", "closed"} {
 		c.send(get(id))
-		resp, body := c.answer("GET")
+		resp, body := c.readResponse("GET")
 		must.Eq(t, 502, resp.StatusCode)
 		must.StrContains(t, body, `"code":"unknown"`)
 		must.StrNotContains(t, body, "half")
 	}
 	c.send(get("nobody"))
-	_, body := c.answer("GET")
+	_, body := c.readResponse("GET")
 	must.StrContains(t, body, "dial: ")
 	must.Len(t, 2, w.requests())
 }
@@ -229,9 +229,9 @@
 	c.send(get("a"))
 	must.Eq(t, 0, len(w.told))
 	thaw <- true
-	c.answer("GET")
+	c.readResponse("GET")
 
-	h := w.hold("/a")
+	h := w.block("/a")
 	c.send(get("b"))
 	<-h.enter
 	frozen.Store(true)
@@ -241,5 +241,5 @@
 	h.leave["/a"] <- true
 	thaw <- true
 	await[dispatch.AttemptDone](w)
-	c.answer("GET")
+	c.readResponse("GET")
 }
--- a/request/gateway/limits_test.go
+++ b/request/gateway/limits_test.go
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			client := w.dial()
 			client.send(c.send)
-			resp, _ := client.answer("POST")
+			resp, _ := client.readResponse("POST")
 			must.Eq(t, c.status, resp.StatusCode)
 			// After a request in chunks no other is read.
 			must.Eq(t, c.status != 200 || strings.Contains(c.send, "chunked"), resp.Close)
@@ -48,11 +48,11 @@
 	// An open connection follows a change.
 	client := w.dial()
 	client.send(post(0, 2000, false))
-	resp, _ := client.answer("POST")
+	resp, _ := client.readResponse("POST")
 	must.Eq(t, 200, resp.StatusCode)
 	w.limits(&routingpb.Limits{MaxBodyBytes: 10})
 	client.send(post(0, 21, false))
-	resp, _ = client.answer("POST")
+	resp, _ = client.readResponse("POST")
 	must.Eq(t, 413, resp.StatusCode)
 }
 
@@ -70,11 +70,11 @@
 	w.dial().ends()
 	c := w.dial()
 	c.send(get("a"))
-	c.answer("GET")
+	c.readResponse("GET")
 	c.ends()
 	c = w.dial()
 	c.send("GET /x HTTP/1.1\r\nHos")
-	resp, _ := c.answer("GET")
+	resp, _ := c.readResponse("GET")
 	must.Eq(t, 400, resp.StatusCode)
 	c.ends()
 	must.Len(t, 1, w.requests())
@@ -88,7 +88,7 @@
 		w.limits(&routingpb.Limits{HeaderTimeoutUs: 1})
 		c := w.dial()
 		c.send("POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n" + framing + "\r\n\r\n1\r\n")
-		resp, _ := c.answer("POST")
+		resp, _ := c.readResponse("POST")
 		must.Eq(t, 408, resp.StatusCode)
 		c.ends()
 		must.SliceEmpty(t, w.requests())
@@ -99,7 +99,7 @@
 func TestBodyBytesAreBounded(t *testing.T) {
 	w := newWorld(t, nil)
 	w.s.maxBodyBytes = 100
-	h := w.hold("/a")
+	h := w.block("/a")
 	post := func(framing string) string {
 		return "POST /a HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n" + framing + "\r\n\r\n"
 	}
@@ -109,16 +109,16 @@
 	for _, s := range []string{post("Content-Length: 50"), post("Transfer-Encoding: chunked") + "30\r\n" + strings.Repeat("b", 48)} {
 		c := w.dial()
 		c.send(s)
-		resp, _ := c.answer("POST")
+		resp, _ := c.readResponse("POST")
 		must.Eq(t, 503, resp.StatusCode)
 		must.Eq(t, "0.200", resp.Header.Get("Retry-After"))
 		must.True(t, resp.Close)
 	}
 	h.leave["/a"] <- true
-	first.answer("POST")
+	first.readResponse("POST")
 	h.leave["/a"] <- true
 	first.send(post("Content-Length: 100") + strings.Repeat("b", 100))
-	resp, _ := first.answer("POST")
+	resp, _ := first.readResponse("POST")
 	must.Eq(t, 200, resp.StatusCode)
 	must.Len(t, 2, w.requests())
 }
@@ -128,10 +128,10 @@
 	w := newWorld(t, nil)
 	c := w.dial()
 	c.send(get("a"))
-	c.answer("GET")
+	c.readResponse("GET")
 	w.cp.Store(nil)
 	c.send(get("b"))
-	resp, _ := c.answer("GET")
+	resp, _ := c.readResponse("GET")
 	must.Eq(t, 503, resp.StatusCode)
 	must.Eq(t, "0.200", resp.Header.Get("Retry-After"))
 	must.Len(t, 1, w.requests())
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -69,15 +69,15 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: h\r\nTry-Id: " + id + "\r\nContent-Length: 3\r\n\r\nabc"
 }
 
-// rawAnswer has the backend write bytes in place of an answer, and end the connection if cut is set.
-func rawAnswer(bytes string, cut bool) func(http.ResponseWriter, *http.Request) {
+// rawResponse has the backend write bytes in place of an answer, and end the connection if cut is set.
+func rawResponse(bytes string, reset bool) func(http.ResponseWriter, *http.Request) {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(rw).Hijack()
 		if err != nil {
 			return
 		}
 		io.WriteString(conn, strings.ReplaceAll(bytes, "ID", r.Header.Get("Try-Id")))
-		if cut {
+		if reset {
 			conn.Close()
 			return
 		}
@@ -106,28 +106,28 @@
 		status int
 	}{
 		{"reset", resets, long, 502},
-		{"closed", rawAnswer("", true), long, 502},
-		{"silence", rawAnswer("", false), brief, 504},
-		{"cut head", rawAnswer("HTTP/1.1 200 OK\r\nTry-Id: ID\r\n", true), long, 502},
-		{"cut body", rawAnswer("HTTP/1.1 200 OK\r\nTry-Id: ID\r\nStamp: s\r\nContent-Length: 9\r\n\r\nhi", true), long, 502},
-		{"half an answer and silence", rawAnswer("HTTP/1.1 200 OK\r\nTry-Id: ID\r\n", false), brief, 504},
-		{"only an interim answer", rawAnswer("HTTP/1.1 100 Continue\r\n\r\n", false), brief, 504},
-		{"noise", rawAnswer("\x00\x01\x02\r\n\r\n", true), long, 502},
-		{"another request's", rawAnswer("HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
-		{"no id", rawAnswer("HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
-		{"no seal", rawAnswer("HTTP/1.1 200 OK\r\nTry-Id: ID\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
-		{"503 without a promise", rawAnswer("HTTP/1.1 503 Busy\r\n"+whole, true), long, 502},
-		{"429 without a promise", rawAnswer("HTTP/1.1 429 Busy\r\n"+whole, true), long, 502},
-		{"408 without a promise", rawAnswer("HTTP/1.1 408 Late\r\n"+whole, true), long, 502},
-		{"its own failure", rawAnswer("HTTP/1.1 500 Oh\r\n"+whole, true), long, 500},
-		{"a promise about a success", rawAnswer("HTTP/1.1 200 OK\r\nDid-Not-Run: 1\r\n"+whole, true), long, 200},
+		{"closed", rawResponse("", true), long, 502},
+		{"silence", rawResponse("", false), brief, 504},
+		{"cut head", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: ID\r\n", true), long, 502},
+		{"cut body", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: ID\r\nStamp: s\r\nContent-Length: 9\r\n\r\nhi", true), long, 502},
+		{"half an answer and silence", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: ID\r\n", false), brief, 504},
+		{"only an interim answer", rawResponse("HTTP/1.1 100 Continue\r\n\r\n", false), brief, 504},
+		{"noise", rawResponse("\x00\x01\x02\r\n\r\n", true), long, 502},
+		{"another request's", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
+		{"no id", rawResponse("HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
+		{"no seal", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: ID\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
+		{"503 without a promise", rawResponse("HTTP/1.1 503 Busy\r\n"+whole, true), long, 502},
+		{"429 without a promise", rawResponse("HTTP/1.1 429 Busy\r\n"+whole, true), long, 502},
+		{"408 without a promise", rawResponse("HTTP/1.1 408 Late\r\n"+whole, true), long, 502},
+		{"its own failure", rawResponse("HTTP/1.1 500 Oh\r\n"+whole, true), long, 500},
+		{"a promise about a success", rawResponse("HTTP/1.1 200 OK\r\nDid-Not-Run: 1\r\n"+whole, true), long, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newOnceWorld(t)
-			w.serves(c.serve)
+			w.setHandler(c.serve)
 			client := w.dial()
 			client.send(post(c.path, "a"))
-			resp, _ := client.answer("POST")
+			resp, _ := client.readResponse("POST")
 			if c.path == brief {
 				// Whoever notices first that the time is over: neither is a promise.
 				must.SliceContains(t, []int{502, 504}, resp.StatusCode)
@@ -136,9 +136,9 @@
 			}
 			must.Eq(t, 1, w.times("a"), must.Sprint("to one backend, once"))
 			// Its connection is not used again, and the next is served as if nothing had been.
-			w.serves(func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, "right") })
+			w.setHandler(func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, "right") })
 			client.send(post(long, "b"))
-			resp, body := client.answer("POST")
+			resp, body := client.readResponse("POST")
 			must.Eq(t, 200, resp.StatusCode, must.Sprint(body))
 			must.Eq(t, "right", body)
 			must.Eq(t, 1, w.times("b"))
@@ -155,11 +155,11 @@
 	for i := range 60 {
 		// A second arrival is paid from what is saved.
 		client.send(post("/a", fmt.Sprint("saved-", i)))
-		client.answer("POST")
+		client.readResponse("POST")
 	}
-	w.serves(rawAnswer(promise, true))
+	w.setHandler(rawResponse(promise, true))
 	client.send(post("/a", "a"))
-	resp, _ := client.answer("POST")
+	resp, _ := client.readResponse("POST")
 	must.Eq(t, 503, resp.StatusCode)
 	must.Eq(t, 2, w.times("a"), must.Sprint("one arrival at each backend"))
 	seen := map[string]bool{}
--- a/request/gateway/request_test.go
+++ b/request/gateway/request_test.go
@@ -31,7 +31,7 @@
 	c.send("POST /a%2Fb/../c//d;e?q=%zz&x=%00+y HTTP/1.1\r\nHost: Some.Example:80\r\nX-Mixed: One\r\nx-mixed:two\r\nTry-Id: id-1\r\nLeft: 700\r\n" +
 		"Meant-For: another\r\nConnection: keep-alive, x-named\r\nX-Named: 1\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\nProxy-Authorization: p\r\n" +
 		"Accept-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody")
-	resp, body := c.answer("POST")
+	resp, body := c.readResponse("POST")
 	must.Eq(t, 202, resp.StatusCode)
 	must.Eq(t, "its bytes", body)
 	must.Eq(t, "v", resp.Header.Get("X-Own"))
@@ -65,7 +65,7 @@
 		"Transfer-Encoding: Chunked\r\n\r\n00b\r\nhello world\r\n0\r\n\r\n",
 	} {
 		c.send(head + s)
-		resp, body := c.answer("POST")
+		resp, body := c.readResponse("POST")
 		must.Eq(t, 200, resp.StatusCode)
 		must.Eq(t, "hello", body)
 		c = c.next(resp)
@@ -74,7 +74,7 @@
 	for _, b := range []byte(head + "Transfer-Encoding: chunked\r\n\r\nb\r\nhello world\r\n0\r\n\r\n") {
 		c.send(string(b))
 	}
-	resp, _ := c.answer("POST")
+	resp, _ := c.readResponse("POST")
 	c = c.next(resp)
 	for _, framing := range []string{"Content-Length: 11\r\n", "Transfer-Encoding: chunked\r\n"} {
 		c.send(head + framing + "Expect: 100-continue\r\n\r\n")
@@ -86,7 +86,7 @@
 		} else {
 			c.send("hello world")
 		}
-		resp, _ = c.answer("POST")
+		resp, _ = c.readResponse("POST")
 		must.Eq(t, 200, resp.StatusCode)
 		c = c.next(resp)
 	}
@@ -105,14 +105,14 @@
 	c := w.dial()
 	for _, s := range []string{get("a"), get("a", "Content-Length: 0\r\n"), strings.Replace(get("a"), "GET", "DELETE", 1)} {
 		c.send(s)
-		c.answer("GET")
+		c.readResponse("GET")
 	}
 	for _, s := range w.requests() {
 		must.Eq(t, "", s.body)
 		must.MapNotContainsKeys(t, s.head, []string{"Content-Length", "Transfer-Encoding"})
 	}
 	c.send("POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n")
-	c.answer("POST")
+	c.readResponse("POST")
 	must.Eq(t, []string{"0"}, w.requests()[3].head["Content-Length"])
 }
 
@@ -125,7 +125,7 @@
 	ask := func(method string, out dispatch.Outcome) (*http.Response, string) {
 		o.Store(&out)
 		c.send(strings.Replace(get("a"), "GET", method, 1))
-		return c.answer(method)
+		return c.readResponse(method)
 	}
 	resp, body := ask("GET", dispatch.Outcome{Status: 200, Code: "ok", Seals: []string{"a.1", "b.2"}, Missing: 1, Body: []byte("0123456789abcdef")})
 	must.Eq(t, 200, resp.StatusCode)
@@ -176,7 +176,7 @@
 	c := w.dial()
 	for range 2 {
 		c.send(get("a"))
-		_, body := c.answer("GET")
+		_, body := c.readResponse("GET")
 		must.True(t, body == big)
 	}
 }
@@ -187,14 +187,14 @@
 	c := w.dial()
 	c.send(get("a") + get("b") + get("c", "Connection: close\r\n") + get("never"))
 	for _, id := range []string{"a", "b", "c"} {
-		resp, _ := c.answer("GET")
+		resp, _ := c.readResponse("GET")
 		must.Eq(t, "s."+id, resp.Header.Get("Stamp"))
 		must.Eq(t, id == "c", resp.Close)
 	}
 	c.ends()
 	c = w.dial()
 	c.send("GET /old HTTP/1.0\r\nHost: h\r\nTry-Id: d\r\nConnection: keep-alive\r\n\r\n")
-	resp, _ := c.answer("GET")
+	resp, _ := c.readResponse("GET")
 	must.Eq(t, "s.d", resp.Header.Get("Stamp"))
 	must.True(t, resp.Close)
 	c.ends()
--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -48,7 +48,7 @@
 	must.Eq(t, 200, status("/ready"))
 	c := w.dial()
 	c.send(get("a"))
-	c.answer("GET")
+	c.readResponse("GET")
 	w.cp.Store(&snapshot.Snapshot{})
 	must.Eq(t, 503, status("/ready"))
 }
@@ -62,7 +62,7 @@
 // TestStopFinishesRequestsInFlight answers what was read, on a connection that is closed then, and gives up those that rest.
 func TestStopFinishesRequestsInFlight(t *testing.T) {
 	w := newWorld(t, nil)
-	h := w.hold("/a")
+	h := w.block("/a")
 	rests, works := w.dial(), w.dial()
 	works.send(get("a"))
 	<-h.enter
@@ -77,7 +77,7 @@
 	default:
 	}
 	h.leave["/a"] <- true
-	resp, body := works.answer("GET")
+	resp, body := works.readResponse("GET")
 	must.Eq(t, "/a", body)
 	must.True(t, resp.Close)
 	works.ends()
@@ -89,7 +89,7 @@
 	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 300_000 })
 	old := w.dial()
 	old.send(get("a"))
-	resp, _ := old.answer("GET")
+	resp, _ := old.readResponse("GET")
 	must.False(t, resp.Close)
 	go w.s.Stop()
 	for !w.s.draining.Load() {
@@ -98,7 +98,7 @@
 	fresh := w.dial()
 	for _, c := range []*wireConn{old, fresh} {
 		c.send(get("b"))
-		resp, _ := c.answer("GET")
+		resp, _ := c.readResponse("GET")
 		must.Eq(t, 200, resp.StatusCode)
 		must.True(t, resp.Close)
 		c.ends()
@@ -108,7 +108,7 @@
 // TestStopWaitsForAbandonedExchanges waits for an ask that a chart has left.
 func TestStopWaitsForAbandonedExchanges(t *testing.T) {
 	w := newWorld(t, nil)
-	h := w.hold("/left")
+	h := w.block("/left")
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		if _, ok := ev.(dispatch.Begin); ok {
 			return []dispatch.Action{s.to(0, "/left", false), dispatch.SetTimer{At: w.now() + 1000}}
@@ -118,7 +118,7 @@
 	c := w.dial()
 	c.send(get("a"))
 	<-h.enter
-	c.answer("GET")
+	c.readResponse("GET")
 	stopped := make(chan bool)
 	go func() { w.s.Stop(); close(stopped) }()
 	c.ends()
@@ -131,7 +131,7 @@
 // TestStopAbortsAtEndOfGrace ends in its time though a backend does not answer; the answer does not look complete.
 func TestStopAbortsAtEndOfGrace(t *testing.T) {
 	w := newWorld(t, func(_ *world, c *Config) { c.GracePeriod = 1 })
-	h := w.hold("/a")
+	h := w.block("/a")
 	c := w.dial()
 	c.send(get("a"))
 	<-h.enter
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -41,7 +41,7 @@
 func (s *script) Done() bool { return s.over }
 
 func (s *script) Step(_ int64, ev dispatch.Event) []dispatch.Action {
-	s.w.note(s.req.ID, ev)
+	s.w.record(s.req.ID, ev)
 	acts := s.step(s, ev)
 	for _, a := range acts {
 		if _, ok := a.(dispatch.Finish); ok {
@@ -51,17 +51,17 @@
 	return acts
 }
 
-func (s *script) ask(n int, once bool) dispatch.Send {
+func (s *script) attempt(n int, once bool) dispatch.Send {
 	return dispatch.Send{N: n, Backend: &s.w.server, Timeout: 20_000_000, AtMostOnce: once, Request: &s.req}
 }
 
 func finish(o dispatch.Outcome) dispatch.Finish { return dispatch.Finish{Outcome: o} }
 
-// passOn asks once and passes on what comes.
-func passOn(s *script, ev dispatch.Event) []dispatch.Action {
+// forwardOnce asks once and passes on what comes.
+func forwardOnce(s *script, ev dispatch.Event) []dispatch.Action {
 	switch v := ev.(type) {
 	case dispatch.Begin:
-		return []dispatch.Action{s.ask(0, true)}
+		return []dispatch.Action{s.attempt(0, true)}
 	case dispatch.AttemptDone:
 		if v.Result.Class == dispatch.ClassResponse {
 			return []dispatch.Action{finish(dispatch.Outcome{Status: v.Result.Status, Code: "ok", Response: &v.Result})}
@@ -93,21 +93,21 @@
 	told   chan dispatch.Event
 }
 
-// serves has the backend serve in another way from now on.
-func (w *world) serves(serve func(http.ResponseWriter, *http.Request)) {
+// setHandler has the backend serve in another way from now on.
+func (w *world) setHandler(serve func(http.ResponseWriter, *http.Request)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.serve = serve
 }
 
-func (w *world) serving() func(http.ResponseWriter, *http.Request) {
+func (w *world) backendHandler() func(http.ResponseWriter, *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.serve
 }
 
 func newWorld(t *testing.T, change func(w *world, c *Config)) *world {
-	w := &world{t: t, step: passOn, events: map[string][]dispatch.Event{}, told: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
+	w := &world{t: t, step: forwardOnce, events: map[string][]dispatch.Event{}, told: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
 	w.serve = func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") }
 	b := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -116,7 +116,7 @@
 		w.mu.Unlock()
 		rw.Header().Set("Try-Id", r.Header.Get("Try-Id"))
 		rw.Header().Set("Stamp", "s."+r.Header.Get("Try-Id"))
-		w.serving()(rw, r)
+		w.backendHandler()(rw, r)
 	}))
 	t.Cleanup(b.Close)
 	w.server = snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: b.Listener.Addr().String()}}
@@ -148,7 +148,7 @@
 	w.cp.Store(&snapshot.Snapshot{Complete: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
 }
 
-func (w *world) note(id string, ev dispatch.Event) {
+func (w *world) record(id string, ev dispatch.Event) {
 	w.mu.Lock()
 	w.events[id] = append(w.events[id], ev)
 	w.mu.Unlock()
@@ -193,8 +193,8 @@
 	must.NoError(c.t, err)
 }
 
-// answer reads one answer.
-func (c *wireConn) answer(method string) (*http.Response, string) {
+// readResponse reads one answer.
+func (c *wireConn) readResponse(method string) (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 	must.NoError(c.t, err)
