--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -36,27 +36,27 @@
 
 // catchUp sends the newest committed version to a voter whose heartbeat reply shows that it lacks it. While
 // the proposal is under way to the voter, a large version isn't sent as well.
-func (g *Group) catchUp(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
+func (g *Group) catchUp(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	size := versionSize(g.committed)
-	underWay := g.proposal != nil && (r.Stored == g.proposal.Version || isLarge(size))
-	if !g.ready || underWay || !mesh.Newer(g.committed.Version, r.Stored) {
+	underWay := g.proposal != nil && (reply.Stored == g.proposal.Version || isLarge(size))
+	if !g.ready || underWay || !mesh.Newer(g.committed.Version, reply.Stored) {
 		return
 	}
 	interval := CatchUpInterval
 	if isLarge(size) {
 		interval = LargeResendInterval
 	}
-	if at := g.caughtUpAt[r.From]; at != 0 && ctx.Now-at < interval {
+	if at := g.caughtUpAt[reply.From]; at != 0 && ctx.Now-at < interval {
 		return
 	}
 	for _, voter := range allVoters(g.committed) {
-		if voter.ID != r.From {
+		if voter.ID != reply.From {
 			continue
 		}
-		g.caughtUpAt[r.From] = ctx.Now
+		g.caughtUpAt[reply.From] = ctx.Now
 		ctx.Counts.Add("part_handed_over", 1)
 		ctx.Counts.Add("snapshot_bytes_sent", int64(size))
-		ctx.Log(kernel.LevelInfo, "snapshot_sent", "partition", g.partition, "to", r.From, "had_term", r.Stored.Term, "had_seq", r.Stored.Seq,
+		ctx.Log(kernel.LevelInfo, "snapshot_sent", "partition", g.partition, "to", reply.From, "had_term", reply.Stored.Term, "had_seq", reply.Stored.Seq,
 			"term", g.committed.Version.Term, "seq", g.committed.Version.Seq, "bytes", size)
 		g.sendVersion(ctx, voter, g.committed)
 	}
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -56,9 +56,9 @@
 }
 
 // recordClock records a voter's clock as its heartbeat reply shows it.
-func (c *contact) recordClock(r wire.LeaderHeartbeatReply, now clock.Micros) {
-	if r.Clock > 0 {
-		c.offsets[r.From] = r.Clock - now
+func (c *contact) recordClock(reply wire.LeaderHeartbeatReply, now clock.Micros) {
+	if reply.Clock > 0 {
+		c.offsets[reply.From] = reply.Clock - now
 	}
 }
 
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -162,40 +162,40 @@
 }
 
 func (g *Group) replyToVote(ctx *kernel.Context, conn, id uint64, request wire.Vote, granted bool) {
-	r := wire.VoteReply{Partition: g.partition, Term: request.Term, From: g.self(), Pre: request.Pre, Granted: granted, Stored: g.accepted, SupportsBase: true}
+	reply := wire.VoteReply{Partition: g.partition, Term: request.Term, From: g.self(), Pre: request.Pre, Granted: granted, Stored: g.accepted, SupportsBase: true}
 	if !granted {
-		r.Term = g.votedTerm
+		reply.Term = g.votedTerm
 	}
 	if !granted || request.Pre || !mesh.Newer(g.accepted.Version, request.Stored) {
 		// Only a candidate that is given the term and holds an older version needs the body; the others
 		// need to know how new this one is.
-		r.Stored.Body, r.Stored.EditLog = nil, nil
+		reply.Stored.Body, reply.Stored.EditLog = nil, nil
 	}
 	if request.From == g.self() {
-		g.handleVoteReply(ctx, r)
+		g.handleVoteReply(ctx, reply)
 		return
 	}
-	ctx.Send(conn, wire.KindVoteReply, id, &r)
+	ctx.Send(conn, wire.KindVoteReply, id, &reply)
 }
 
 // handleVoteReply counts a vote or a pre-vote, by the voters of the newest version that was found.
-func (g *Group) handleVoteReply(ctx *kernel.Context, r wire.VoteReply) {
-	if r.Pre && g.role != preCandidate || !r.Pre && g.role != candidate {
+func (g *Group) handleVoteReply(ctx *kernel.Context, reply wire.VoteReply) {
+	if reply.Pre && g.role != preCandidate || !reply.Pre && g.role != candidate {
 		return
 	}
-	if !r.Granted {
-		g.handleVoteDenied(ctx, r)
+	if !reply.Granted {
+		g.handleVoteDenied(ctx, reply)
 		return
 	}
-	if r.Term != g.term {
+	if reply.Term != g.term {
 		return
 	}
-	g.votes[r.From] = r
+	g.votes[reply.From] = reply
 	best := g.newestVotedVersion()
 	if !quorum(best, func(id string) bool { _, ok := g.votes[id]; return ok }) {
 		return
 	}
-	if r.Pre {
+	if reply.Pre {
 		g.becomeCandidate(ctx, false)
 		return
 	}
@@ -210,12 +210,12 @@
 	g.becomeLeader(ctx, best)
 }
 
-func (g *Group) handleVoteDenied(ctx *kernel.Context, r wire.VoteReply) {
-	if r.Term > g.term {
+func (g *Group) handleVoteDenied(ctx *kernel.Context, reply wire.VoteReply) {
+	if reply.Term > g.term {
 		g.role = follower
-		g.votedTerm = max(g.votedTerm, r.Term)
+		g.votedTerm = max(g.votedTerm, reply.Term)
 	}
-	if mesh.Newer(r.Stored.Version, g.accepted.Version) && !contains(allVoters(r.Stored), g.self()) {
+	if mesh.Newer(reply.Stored.Version, g.accepted.Version) && !contains(allVoters(reply.Stored), g.self()) {
 		// Most likely this replica was replaced while it was away: it need not ask again at once.
 		g.electionAt = ctx.Now + ReplaceAfter
 	}
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -9,11 +9,17 @@
 	"wallport/runtime/wire"
 )
 
+// errLeaving is the error of a learner that refuses a version since its process stops.
+const errLeaving = "leaving"
+
+// replyToAccept sends a reply to an Accept where that came from.
+type replyToAccept func(ctx *kernel.Context, reply wire.AcceptReply)
+
 // handleAccept syncs a version and acknowledges it, unless a newer term was voted in.
-func (g *Group) handleAccept(ctx *kernel.Context, conn, id uint64, a wire.Accept) {
+func (g *Group) handleAccept(ctx *kernel.Context, conn, id uint64, accept wire.Accept) {
 	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
 		r.Partition, r.From, r.SupportsBase = g.partition, g.self(), true
-		if a.From == g.self() {
+		if accept.From == g.self() {
 			g.handleAcceptReply(ctx, r)
 			return
 		}
@@ -22,31 +28,37 @@
 	if g.host.diskDamaged {
 		return
 	}
-	if g.host.stopping && !g.isVoter() && !contains(allVoters(a.Versioned), g.self()) {
+	if g.host.stopping && !g.isVoter() && !contains(allVoters(accept.Versioned), g.self()) {
 		// A learner that stops would be gone before it could be a voter.
-		reply(ctx, wire.AcceptReply{Term: a.Term, Err: errLeaving})
+		reply(ctx, wire.AcceptReply{Term: accept.Term, Err: errLeaving})
 		return
 	}
-	if a.Term < g.votedTerm || a.Versioned.Version.Term > a.Term {
+	if accept.Term < g.votedTerm || accept.Versioned.Version.Term > accept.Term {
 		reply(ctx, wire.AcceptReply{Term: g.votedTerm})
 		return
 	}
-	if a.From != g.self() {
-		g.followLeader(ctx, a.From, a.Term)
+	if accept.From != g.self() {
+		g.followLeader(ctx, accept.From, accept.Term)
 	}
-	g.votedTerm = a.Term
-	v := a.Versioned
-	if v.Version == g.accepted.Version {
-		g.checkVersionContent(ctx, a)
-		reply(ctx, wire.AcceptReply{OK: true, Term: a.Term, Version: v.Version})
+	g.votedTerm = accept.Term
+	if accept.Versioned.Version == g.accepted.Version {
+		g.checkVersionContent(ctx, accept)
+		reply(ctx, wire.AcceptReply{OK: true, Term: accept.Term, Version: g.accepted.Version})
 		return
 	}
+	g.syncVersion(ctx, accept, reply)
+}
+
+// syncVersion writes a version that is newer than all that this replica holds or is writing. Where the message
+// leaves the body out, it is that of the version that this replica holds.
+func (g *Group) syncVersion(ctx *kernel.Context, accept wire.Accept, reply replyToAccept) {
+	v := accept.Versioned
 	if !mesh.Newer(v.Version, g.accepted.Version) || !mesh.Newer(v.Version, g.pending) {
 		return
 	}
-	if a.Base != (wire.Version{}) {
-		if a.Base != g.accepted.Version {
-			reply(ctx, wire.AcceptReply{Term: a.Term, Version: v.Version, LacksBase: true})
+	if accept.Base != (wire.Version{}) {
+		if accept.Base != g.accepted.Version {
+			reply(ctx, wire.AcceptReply{Term: accept.Term, Version: v.Version, LacksBase: true})
 			return
 		}
 		v.Body, v.EditLog = g.accepted.Body, g.accepted.EditLog
@@ -57,7 +69,7 @@
 			if g.pending == v.Version {
 				g.pending = g.accepted.Version
 			}
-			reply(ctx, wire.AcceptReply{Term: a.Term, Err: err})
+			reply(ctx, wire.AcceptReply{Term: accept.Term, Err: err})
 			return
 		}
 		if mesh.Newer(v.Version, g.accepted.Version) {
@@ -65,13 +77,10 @@
 		}
 		g.versionFiles = append(g.versionFiles, v.Version)
 		g.removeOldVersions(ctx)
-		reply(ctx, wire.AcceptReply{OK: true, Term: a.Term, Version: v.Version})
+		reply(ctx, wire.AcceptReply{OK: true, Term: accept.Term, Version: v.Version})
 	})
 }
 
-// errLeaving is the error of a learner that refuses a version since its process stops.
-const errLeaving = "leaving"
-
 // removeOldVersions removes the files of all but the newest VersionsKept versions.
 func (g *Group) removeOldVersions(ctx *kernel.Context) {
 	slices.SortFunc(g.versionFiles, func(a, b wire.Version) int {
@@ -109,34 +118,34 @@
 	return now-g.leaderSeen < StepDownAfter
 }
 
-func (g *Group) handleHeartbeat(ctx *kernel.Context, conn, id uint64, b wire.LeaderHeartbeat) {
-	r := wire.LeaderHeartbeatReply{
-		Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: b.Round, Stored: g.accepted.Version,
+func (g *Group) handleHeartbeat(ctx *kernel.Context, conn, id uint64, heartbeat wire.LeaderHeartbeat) {
+	reply := wire.LeaderHeartbeatReply{
+		Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: heartbeat.Round, Stored: g.accepted.Version,
 		Wall: ctx.Wall, Clock: g.host.clock(ctx.Now), DiskProblem: g.host.diskProblem != diskHealthy,
 	}
-	if b.Term < g.votedTerm || g.host.diskDamaged {
-		ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &r)
+	if heartbeat.Term < g.votedTerm || g.host.diskDamaged {
+		ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &reply)
 		return
 	}
-	if b.TransferTo != "" {
-		g.handleTransfer(ctx, b)
+	if heartbeat.TransferTo != "" {
+		g.handleTransfer(ctx, heartbeat)
 		return
 	}
-	g.followLeader(ctx, b.From, b.Term)
-	g.votedTerm = b.Term
-	g.contact.recordProof(b.ContactAt-g.host.clockOrigin, ctx.Now, b.Committed)
-	r.OK, r.Term = true, b.Term
-	if b.Committed == g.accepted.Version {
+	g.followLeader(ctx, heartbeat.From, heartbeat.Term)
+	g.votedTerm = heartbeat.Term
+	g.contact.recordProof(heartbeat.ContactAt-g.host.clockOrigin, ctx.Now, heartbeat.Committed)
+	reply.OK, reply.Term = true, heartbeat.Term
+	if heartbeat.Committed == g.accepted.Version {
 		g.commit(ctx, g.accepted)
 	}
-	ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &r)
+	ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &reply)
 }
 
 // handleTransfer takes note that the leader has stepped down, and stands at once if it is the successor.
-func (g *Group) handleTransfer(ctx *kernel.Context, b wire.LeaderHeartbeat) {
+func (g *Group) handleTransfer(ctx *kernel.Context, heartbeat wire.LeaderHeartbeat) {
 	g.leaderSeen, g.leader, g.leaderAddress = 0, "", ""
-	g.votedTerm = max(g.votedTerm, b.Term)
-	if b.TransferTo == g.self() && g.isVoter() && g.host.diskProblem == diskHealthy && !g.host.stopping {
+	g.votedTerm = max(g.votedTerm, heartbeat.Term)
+	if heartbeat.TransferTo == g.self() && g.isVoter() && g.host.diskProblem == diskHealthy && !g.host.stopping {
 		g.startElection(ctx, true)
 	}
 }
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -191,10 +191,10 @@
 }
 
 // Edit takes an edit, or a read that a majority confirms, of this same process; Replied follows.
-func (h *Host) Edit(ctx *kernel.Context, id uint64, e wire.Edit) {
-	if e.Partition < 0 || e.Partition >= Partitions || h.diskDamaged {
+func (h *Host) Edit(ctx *kernel.Context, id uint64, edit wire.Edit) {
+	if edit.Partition < 0 || edit.Partition >= Partitions || h.diskDamaged {
 		ctx.Emit(Replied{ID: id, Reply: wire.EditReply{Code: wire.CodeNotLeader}})
 		return
 	}
-	h.groups[e.Partition].handleEdit(ctx, sameProcess, id, e)
+	h.groups[edit.Partition].handleEdit(ctx, sameProcess, id, edit)
 }
--- a/control/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -28,9 +28,9 @@
 }
 
 // checkVersionContent checks that a version that is sent again has the content that is held.
-func (g *Group) checkVersionContent(ctx *kernel.Context, a wire.Accept) {
-	if a.Base == (wire.Version{}) && !bytes.Equal(a.Versioned.Body, g.accepted.Body) {
-		ctx.ReportViolation(invariant.OneContentPerVersion, fmt.Sprintf("partition %d, version %d.%d", g.partition, a.Versioned.Version.Term, a.Versioned.Version.Seq))
+func (g *Group) checkVersionContent(ctx *kernel.Context, accept wire.Accept) {
+	if accept.Base == (wire.Version{}) && !bytes.Equal(accept.Versioned.Body, g.accepted.Body) {
+		ctx.ReportViolation(invariant.OneContentPerVersion, fmt.Sprintf("partition %d, version %d.%d", g.partition, accept.Versioned.Version.Term, accept.Versioned.Version.Seq))
 	}
 }
 
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -123,43 +123,43 @@
 	g.heartbeatRound++
 	g.contact.recordRound(g.heartbeatRound, ctx.Now)
 	g.confirmRounds()
-	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Round: g.heartbeatRound, Committed: g.committed.Version}
+	heartbeat := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Round: g.heartbeatRound, Committed: g.committed.Version}
 	for _, voter := range allVoters(g.newestVersion()) {
 		if voter.ID != g.self() {
-			b.ContactAt = g.contact.proofFor(voter.ID)
-			g.host.sendReplica(ctx, voter, wire.KindLeaderHeartbeat, &b)
+			heartbeat.ContactAt = g.contact.proofFor(voter.ID)
+			g.host.sendReplica(ctx, voter, wire.KindLeaderHeartbeat, &heartbeat)
 		}
 	}
 }
 
-func (g *Group) handleHeartbeatReply(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
+func (g *Group) handleHeartbeatReply(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	if g.role != leader {
 		return
 	}
-	if r.Successor != "" {
-		g.successors[r.From] = wire.Replica{ID: r.Successor, Zone: r.Zone}
+	if reply.Successor != "" {
+		g.successors[reply.From] = wire.Replica{ID: reply.Successor, Zone: reply.Zone}
 		return
 	}
-	if !r.OK {
-		if r.Term > g.term {
-			g.fence(ctx, r.Term)
+	if !reply.OK {
+		if reply.Term > g.term {
+			g.fence(ctx, reply.Term)
 		}
 		return
 	}
-	if r.Term != g.term {
+	if reply.Term != g.term {
 		// It answers a heartbeat of an earlier term that was delayed.
 		return
 	}
-	if ctx.Now-g.heardAt[r.From] > StepDownAfter || g.reachableSince[r.From] == 0 {
-		g.reachableSince[r.From] = ctx.Now
+	if ctx.Now-g.heardAt[reply.From] > StepDownAfter || g.reachableSince[reply.From] == 0 {
+		g.reachableSince[reply.From] = ctx.Now
 	}
-	g.heardAt[r.From], g.voterDiskProblem[r.From] = ctx.Now, r.DiskProblem
-	g.wallOffsets[r.From] = r.Wall - ctx.Now
-	g.confirmedRounds[r.From] = max(g.confirmedRounds[r.From], r.Round)
-	g.detectRollback(ctx, r)
-	g.contact.recordClock(r, ctx.Now)
+	g.heardAt[reply.From], g.voterDiskProblem[reply.From] = ctx.Now, reply.DiskProblem
+	g.wallOffsets[reply.From] = reply.Wall - ctx.Now
+	g.confirmedRounds[reply.From] = max(g.confirmedRounds[reply.From], reply.Round)
+	g.detectRollback(ctx, reply)
+	g.contact.recordClock(reply, ctx.Now)
 	g.confirmRounds()
-	g.catchUp(ctx, r)
+	g.catchUp(ctx, reply)
 	g.replyConfirmed(ctx)
 }
 
--- a/control/replica/leave.go
+++ b/control/replica/leave.go
@@ -57,17 +57,17 @@
 }
 
 // handleLeave records that a voter stops. A replica that is no voter any more is sent the version that says so.
-func (g *Group) handleLeave(ctx *kernel.Context, conn uint64, m wire.Leave) {
-	if g.role != leader || !g.ready || m.From == g.self() {
+func (g *Group) handleLeave(ctx *kernel.Context, conn uint64, request wire.Leave) {
+	if g.role != leader || !g.ready || request.From == g.self() {
 		return
 	}
-	if !contains(allVoters(g.newestVersion()), m.From) {
+	if !contains(allVoters(g.newestVersion()), request.From) {
 		accept := g.newAccept(g.committed)
-		accept.To = m.From
+		accept.To = request.From
 		ctx.Send(conn, wire.KindAccept, 0, &accept)
 		return
 	}
-	g.leaveRequestedAt[m.From] = ctx.Now
+	g.leaveRequestedAt[request.From] = ctx.Now
 	g.proposeNext(ctx)
 }
 
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -37,6 +37,13 @@
 	reasonCrowdedZone  changeReason = "crowded_zone"
 )
 
+// Causes to abandon a change, in the log.
+const (
+	causeNotDue         = "no longer due"
+	causeLearnerSlow    = "learner too slow"
+	causeLearnerRefused = "learner refused: "
+)
+
 // changeCounters names the counter of each reason that has one.
 var changeCounters = map[changeReason]string{
 	reasonUnresponsive: "part_seats_replaced", reasonCrowdedZone: "part_seats_spread", reasonLeaving: "part_voters_left",
@@ -117,14 +124,14 @@
 	switch {
 	case change == nil:
 	case !g.isStillDue(ctx, change):
-		g.abandonChange(ctx, "no longer due")
+		g.abandonChange(ctx, causeNotDue)
 	case !change.caughtUp(g.committed.Version) && ctx.Now-change.begunAt > LearnerTimeout+transferTime(versionSize(g.committed)):
 		for _, learner := range change.learners {
 			if change.synced[learner.ID] != g.committed.Version {
 				g.learnerFailedAt[learner.ID] = ctx.Now
 			}
 		}
-		g.abandonChange(ctx, "learner too slow")
+		g.abandonChange(ctx, causeLearnerSlow)
 	}
 }
 
@@ -171,18 +178,18 @@
 }
 
 // handleLearnerReply records which version a learner has synced, or that it refused one.
-func (g *Group) handleLearnerReply(ctx *kernel.Context, r wire.AcceptReply) {
+func (g *Group) handleLearnerReply(ctx *kernel.Context, reply wire.AcceptReply) {
 	change := g.change
-	if change == nil || !contains(change.learners, r.From) {
+	if change == nil || !contains(change.learners, reply.From) {
 		return
 	}
-	if !r.OK {
-		g.learnerFailedAt[r.From] = ctx.Now
-		g.abandonChange(ctx, "learner refused: "+r.Err)
+	if !reply.OK {
+		g.learnerFailedAt[reply.From] = ctx.Now
+		g.abandonChange(ctx, causeLearnerRefused+reply.Err)
 		return
 	}
-	if mesh.Newer(r.Version, change.synced[r.From]) {
-		change.synced[r.From] = r.Version
+	if mesh.Newer(reply.Version, change.synced[reply.From]) {
+		change.synced[reply.From] = reply.Version
 	}
 	if g.proposal == nil && change.caughtUp(g.committed.Version) {
 		g.proposeNext(ctx)
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -31,17 +31,17 @@
 }
 
 // handleEdit takes an edit, of an operator or of another plug-in, or a read that a majority confirms.
-func (g *Group) handleEdit(ctx *kernel.Context, conn, id uint64, e wire.Edit) {
+func (g *Group) handleEdit(ctx *kernel.Context, conn, id uint64, edit wire.Edit) {
 	if g.role != leader || g.transferring {
 		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: wire.CodeNotLeader, Addr: g.leaderAddress})
 		return
 	}
-	if len(g.queue)+len(g.unconfirmed) >= MaxQueued || g.queuedBytes()+len(e.Body) > MaxQueuedBytes {
+	if len(g.queue)+len(g.unconfirmed) >= MaxQueued || g.queuedBytes()+len(edit.Body) > MaxQueuedBytes {
 		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: wire.CodeOverloaded})
 		return
 	}
-	pending := pendingEdit{conn: conn, id: id, edit: e}
-	if !state.IsRead(e.Op) {
+	pending := pendingEdit{conn: conn, id: id, edit: edit}
+	if !state.IsRead(edit.Op) {
 		g.queue = append(g.queue, pending)
 		g.proposeNext(ctx)
 		return
@@ -140,9 +140,9 @@
 
 // awaitConfirmation has a majority confirm this leader before reads and rejections are answered.
 func (g *Group) awaitConfirmation(ctx *kernel.Context, edits ...pendingEdit) {
-	for _, v := range edits {
-		v.confirmRound = g.heartbeatRound + 1
-		g.unconfirmed = append(g.unconfirmed, v)
+	for _, pending := range edits {
+		pending.confirmRound = g.heartbeatRound + 1
+		g.unconfirmed = append(g.unconfirmed, pending)
 	}
 	g.sendHeartbeats(ctx)
 	g.replyConfirmed(ctx)
@@ -152,25 +152,25 @@
 // sent after they came.
 func (g *Group) replyConfirmed(ctx *kernel.Context) {
 	var left []pendingEdit
-	for _, w := range g.unconfirmed {
-		if !quorum(g.committed, func(id string) bool { return id == g.self() || g.confirmedRounds[id] >= w.confirmRound }) {
-			left = append(left, w)
+	for _, pending := range g.unconfirmed {
+		if !quorum(g.committed, func(id string) bool { return id == g.self() || g.confirmedRounds[id] >= pending.confirmRound }) {
+			left = append(left, pending)
 			continue
 		}
-		if state.IsRead(w.edit.Op) {
-			w.reply = state.AnswerRead(g.committed, &w.edit)
-			w.reply.Addr = g.leaderAddress
+		if state.IsRead(pending.edit.Op) {
+			pending.reply = state.AnswerRead(g.committed, &pending.edit)
+			pending.reply.Addr = g.leaderAddress
 		}
-		g.replyToEdit(ctx, w.conn, w.id, w.reply)
+		g.replyToEdit(ctx, pending.conn, pending.id, pending.reply)
 	}
 	g.unconfirmed = left
 }
 
 // replyToEdit sends the reply to an edit where the edit came from.
-func (g *Group) replyToEdit(ctx *kernel.Context, conn, id uint64, r wire.EditReply) {
+func (g *Group) replyToEdit(ctx *kernel.Context, conn, id uint64, reply wire.EditReply) {
 	if conn == sameProcess {
-		ctx.Emit(Replied{ID: id, Reply: r})
+		ctx.Emit(Replied{ID: id, Reply: reply})
 		return
 	}
-	ctx.Send(conn, wire.KindEditReply, id, &r)
+	ctx.Send(conn, wire.KindEditReply, id, &reply)
 }
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -10,33 +10,41 @@
 // LeaderlessFor is how long a replica must not have heard of a leader before it takes part in a rebuild.
 const LeaderlessFor = 5 * clock.Second
 
+// Refusals of a rebuild, as operators are shown them.
+const (
+	refusalHasLeader   = "the part has an owner"
+	refusalHoldsNewer  = "it holds or has promised something newer"
+	refusalDiskProblem = "the disk is "
+	noRefusal          = ""
+)
+
 // handleRebuild takes part in forming a partition's group anew, on an operator's explicit command, when a
 // majority of its disks is gone for good. Asked first, it replies with the version that it holds; then it
 // takes the version that the operator's process found to be the newest. A replica that hears a leader refuses,
 // and so does one that has voted in or holds something newer.
-func (g *Group) handleRebuild(ctx *kernel.Context, conn, id uint64, m wire.Rebuild) {
+func (g *Group) handleRebuild(ctx *kernel.Context, conn, id uint64, request wire.Rebuild) {
 	reply := func(ctx *kernel.Context, refusal string) {
 		stored := g.accepted
-		if m.VersionOnly || m.Apply {
+		if request.VersionOnly || request.Apply {
 			stored.Body, stored.EditLog = nil, nil
 		}
-		ctx.Send(conn, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: refusal == "", Reason: refusal, Stored: stored})
+		ctx.Send(conn, wire.KindRebuildReply, id, &wire.RebuildReply{Partition: g.partition, From: g.self(), OK: refusal == noRefusal, Reason: refusal, Stored: stored})
 	}
 	switch {
 	case g.host.diskProblem != diskHealthy:
-		reply(ctx, "the disk is "+string(g.host.diskProblem))
+		reply(ctx, refusalDiskProblem+string(g.host.diskProblem))
 		return
 	case g.role == leader || g.leaderSeen > 0 && ctx.Now-g.leaderSeen < LeaderlessFor:
-		reply(ctx, "the part has an owner")
+		reply(ctx, refusalHasLeader)
 		return
-	case !m.Apply:
-		reply(ctx, "")
+	case !request.Apply:
+		reply(ctx, noRefusal)
 		return
-	case !mesh.Newer(m.Versioned.Version, g.accepted.Version) || m.Versioned.Version.Term <= g.votedTerm:
-		reply(ctx, "it holds or has promised something newer")
+	case !mesh.Newer(request.Versioned.Version, g.accepted.Version) || request.Versioned.Version.Term <= g.votedTerm:
+		reply(ctx, refusalHoldsNewer)
 		return
 	}
-	v := m.Versioned
+	v := request.Versioned
 	g.votedTerm = v.Version.Term
 	ctx.Log(kernel.LevelWarn, "group_rebuilt", "partition", g.partition, "term", v.Version.Term, "seq", v.Version.Seq)
 	g.host.save(ctx, versionFile(v.Version), wire.Encode(&v), func(ctx *kernel.Context, err string) {
@@ -49,7 +57,7 @@
 		}
 		g.versionFiles = append(g.versionFiles, v.Version)
 		g.host.joinFleet(ctx)
-		reply(ctx, "")
+		reply(ctx, noRefusal)
 	})
 }
 
--- a/control/replica/replication.go
+++ b/control/replica/replication.go
@@ -49,13 +49,13 @@
 }
 
 // sendFullProposal sends the proposal with its body to a voter that lacks the version that the body is of.
-func (g *Group) sendFullProposal(ctx *kernel.Context, r wire.AcceptReply) {
-	if g.proposal == nil || r.Version != g.proposal.Version {
+func (g *Group) sendFullProposal(ctx *kernel.Context, reply wire.AcceptReply) {
+	if g.proposal == nil || reply.Version != g.proposal.Version {
 		return
 	}
-	delete(g.synced, r.From)
+	delete(g.synced, reply.From)
 	for _, voter := range allVoters(*g.proposal) {
-		if voter.ID == r.From {
+		if voter.ID == reply.From {
 			g.sendVersion(ctx, voter, *g.proposal)
 		}
 	}
@@ -72,28 +72,28 @@
 	return wire.Accept{Partition: g.partition, Term: g.term, From: g.self(), Versioned: v}
 }
 
-func (g *Group) handleAcceptReply(ctx *kernel.Context, r wire.AcceptReply) {
+func (g *Group) handleAcceptReply(ctx *kernel.Context, reply wire.AcceptReply) {
 	if g.role != leader {
 		return
 	}
-	if !r.OK {
+	if !reply.OK {
 		switch {
-		case r.Term > g.term:
-			g.fence(ctx, r.Term)
-		case r.LacksBase:
-			g.sendFullProposal(ctx, r)
+		case reply.Term > g.term:
+			g.fence(ctx, reply.Term)
+		case reply.LacksBase:
+			g.sendFullProposal(ctx, reply)
 		default:
-			g.handleLearnerReply(ctx, r)
+			g.handleLearnerReply(ctx, reply)
 		}
 		return
 	}
-	g.heardAt[r.From] = ctx.Now
-	g.recordSynced(r)
-	g.handleLearnerReply(ctx, r)
-	if g.proposal == nil || r.Version != g.proposal.Version {
+	g.heardAt[reply.From] = ctx.Now
+	g.recordSynced(reply)
+	g.handleLearnerReply(ctx, reply)
+	if g.proposal == nil || reply.Version != g.proposal.Version {
 		return
 	}
-	g.acked[r.From] = true
+	g.acked[reply.From] = true
 	if quorum(*g.proposal, func(id string) bool { return g.acked[id] }) {
 		g.commitProposal(ctx)
 	}
@@ -141,9 +141,9 @@
 }
 
 // recordSynced remembers the newest version that a replica has acknowledged.
-func (g *Group) recordSynced(r wire.AcceptReply) {
-	if mesh.Newer(r.Version, g.synced[r.From].version) {
-		g.synced[r.From] = syncedVersion{r.Version, g.heartbeatRound, r.SupportsBase}
+func (g *Group) recordSynced(reply wire.AcceptReply) {
+	if mesh.Newer(reply.Version, g.synced[reply.From].version) {
+		g.synced[reply.From] = syncedVersion{reply.Version, g.heartbeatRound, reply.SupportsBase}
 	}
 }
 
@@ -156,14 +156,14 @@
 
 // detectRollback reports a replica that holds an older version than it has acknowledged in this term: its disk
 // returned to an older content, which the algorithm assumes does not happen.
-func (g *Group) detectRollback(ctx *kernel.Context, r wire.LeaderHeartbeatReply) {
-	was, known := g.synced[r.From]
-	if !known || r.Round <= was.heartbeatRound || !mesh.Newer(was.version, r.Stored) {
+func (g *Group) detectRollback(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
+	was, known := g.synced[reply.From]
+	if !known || reply.Round <= was.heartbeatRound || !mesh.Newer(was.version, reply.Stored) {
 		return
 	}
-	delete(g.synced, r.From)
+	delete(g.synced, reply.From)
 	ctx.Counts.Add("replicas_rolled_back", 1)
-	ctx.Log(kernel.LevelError, "replica_rolled_back", "partition", g.partition, "replica", r.From, "had_seq", was.version.Seq, "has_seq", r.Stored.Seq,
+	ctx.Log(kernel.LevelError, "replica_rolled_back", "partition", g.partition, "replica", reply.From, "had_seq", was.version.Seq, "has_seq", reply.Stored.Seq,
 		"action", "stop this core, empty its data folder, start it again: it comes back as a new replica")
 }
 
@@ -176,10 +176,10 @@
 }
 
 // withBase leaves a large body out of the message to a replica that holds it as the version base.
-func (g *Group) withBase(a wire.Accept, id string, base wire.Version) wire.Accept {
+func (g *Group) withBase(accept wire.Accept, id string, base wire.Version) wire.Accept {
 	held := g.synced[id]
-	if isLarge(versionSize(a.Versioned)) && base.Term > 0 && held.supportsBase && held.version == base {
-		a.Base, a.Versioned.Body, a.Versioned.EditLog = base, nil, nil
+	if isLarge(versionSize(accept.Versioned)) && base.Term > 0 && held.supportsBase && held.version == base {
+		accept.Base, accept.Versioned.Body, accept.Versioned.EditLog = base, nil, nil
 	}
-	return a
+	return accept
 }
--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -57,10 +57,10 @@
 
 // transferTo steps down and designates a successor, which stands for leader at once.
 func (g *Group) transferTo(ctx *kernel.Context, successor string) {
-	b := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Committed: g.committed.Version, TransferTo: successor}
+	heartbeat := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Committed: g.committed.Version, TransferTo: successor}
 	for _, voter := range allVoters(g.committed) {
 		if voter.ID != g.self() {
-			g.host.sendReplica(ctx, voter, wire.KindLeaderHeartbeat, &b)
+			g.host.sendReplica(ctx, voter, wire.KindLeaderHeartbeat, &heartbeat)
 		}
 	}
 	ctx.Counts.Add("part_yielded", 1)
