--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/roles.go
@@ -13,16 +13,16 @@
 	"go.uber.org/zap/zapcore"
 
 	// The plug-ins register themselves.
-	_ "wallport/cluster/discovery"
 	_ "wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
 	_ "wallport/control/operations"
 	_ "wallport/control/replica"
-	_ "wallport/control/reshard"
 	"wallport/platform"
+	_ "wallport/request/discovery"
 	_ "wallport/request/healthcheck"
 	"wallport/request/httpapi"
 	_ "wallport/request/idempotency"
+	_ "wallport/request/reshard"
 	_ "wallport/request/snapshot"
 	"wallport/runtime/asynclog"
 	"wallport/runtime/process"
--- a/control/operations/operations.go
+++ b/control/operations/operations.go
@@ -9,6 +9,7 @@
 	"wallport/control/replica"
 	"wallport/control/state"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -34,7 +35,7 @@
 }
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{"node", "core"}, Make: newService})
+	kernel.Register(kernel.Registration{Rank: 52, Roles: []string{settings.RoleNode, settings.RoleCore}, Make: newService})
 }
 
 func newService(k *kernel.Kernel) kernel.Plugin {
--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -5,9 +5,10 @@
 
 package check
 
-import "wallport/runtime/clock"
-
-import "wallport/runtime/wire"
+import (
+	"wallport/runtime/clock"
+	"wallport/runtime/wire"
+)
 
 // Edit is one edit of the sheet by an operator.
 type Edit struct {
--- a/lab/rules/fault_spans.go
+++ b/lab/rules/fault_spans.go
@@ -3,9 +3,11 @@
 
 package rules
 
-import "wallport/runtime/clock"
+import (
+	"slices"
 
-import "slices"
+	"wallport/runtime/clock"
+)
 
 // Span is a stretch of time; To is Never while it lasts. One with From equal to To is a moment.
 type Span struct{ From, To clock.Micros }
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -16,14 +16,14 @@
 	"go.uber.org/zap"
 
 	// The plug-ins register themselves.
-	_ "wallport/cluster/discovery"
 	_ "wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
 	_ "wallport/control/operations"
 	_ "wallport/control/replica"
-	_ "wallport/control/reshard"
+	_ "wallport/request/discovery"
 	_ "wallport/request/healthcheck"
 	_ "wallport/request/idempotency"
+	_ "wallport/request/reshard"
 	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/process"
--- a/lab/sim/day_backend_faults.go
+++ b/lab/sim/day_backend_faults.go
@@ -2,9 +2,11 @@
 
 package sim
 
-import "wallport/runtime/clock"
+import (
+	"slices"
 
-import "slices"
+	"wallport/runtime/clock"
+)
 
 // drawBackends draws the backends that a fault hits: a share of one service, of all services (across), or all of
 // one pool (all). At least one backend of each pool stays healthy unless all are meant.
--- a/lab/sim/day_machine_faults.go
+++ b/lab/sim/day_machine_faults.go
@@ -3,9 +3,11 @@
 
 package sim
 
-import "wallport/runtime/clock"
+import (
+	"slices"
 
-import "slices"
+	"wallport/runtime/clock"
+)
 
 const faultRetryUs = 300 * clock.Millisecond
 
--- a/lab/sim/day_partitions.go
+++ b/lab/sim/day_partitions.go
@@ -2,9 +2,11 @@
 
 package sim
 
-import "wallport/runtime/clock"
+import (
+	"fmt"
 
-import "fmt"
+	"wallport/runtime/clock"
+)
 
 // clockFault steps the wall clock of some machines, and back later.
 func (d *day) clockFault(step *dayStep) {
--- a/lab/sim/day_zones.go
+++ b/lab/sim/day_zones.go
@@ -2,9 +2,11 @@
 
 package sim
 
-import "wallport/runtime/clock"
+import (
+	"slices"
 
-import "slices"
+	"wallport/runtime/clock"
+)
 
 // drawZone returns the zone that a step names, or draws one.
 func (d *day) drawZone(step *dayStep) string {
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -5,14 +5,14 @@
 import (
 	"fmt"
 
-	_ "wallport/cluster/discovery"
 	"wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
 	_ "wallport/control/operations"
 	"wallport/control/replica"
-	_ "wallport/control/reshard"
+	_ "wallport/request/discovery"
 	_ "wallport/request/healthcheck"
 	_ "wallport/request/idempotency"
+	_ "wallport/request/reshard"
 	"wallport/request/search"
 	"wallport/request/snapshot"
 	"wallport/runtime/clock"
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"wallport/cluster/discovery"
 	"wallport/cluster/mesh"
+	"wallport/request/discovery"
 	"wallport/request/snapshot"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -4,10 +4,10 @@
 	"slices"
 	"sync/atomic"
 
-	"wallport/cluster/discovery"
 	"wallport/cluster/membership"
 	"wallport/cluster/mesh"
 	"wallport/control/configsync"
+	"wallport/request/discovery"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/settings"
