--- a/cmd/wallport/roles.go
+++ b/cmd/wallport/daemon.go
@@ -1,5 +1,3 @@
-// The two daemons and the check of their env files.
-
 package main
 
 import (
@@ -8,9 +6,7 @@
 	"os/signal"
 	"syscall"
 
-	zaplogfmt "github.com/jsternberg/zap-logfmt"
 	"go.uber.org/zap"
-	"go.uber.org/zap/zapcore"
 
 	// The plug-ins register themselves.
 	_ "wallport/cluster/loadreport"
@@ -24,11 +20,11 @@
 	_ "wallport/request/idempotency"
 	_ "wallport/request/reshard"
 	_ "wallport/request/snapshot"
-	"wallport/runtime/asynclog"
 	"wallport/runtime/process"
 	"wallport/runtime/settings"
 )
 
+// daemonCmd are the flags of a role: the settings, and where else to take them from.
 type daemonCmd struct {
 	settings.Settings
 	OnPlatform  bool   `long:"on-platform" description:"take everything from the platform's settings file, which WALLPORT_CONFIG names"`
@@ -48,6 +44,7 @@
 	return runDaemon(c.Settings, role)
 }
 
+// checkEnvCmd lists the findings about a settings file.
 type checkEnvCmd struct {
 	Role       string `long:"role" choice:"node" choice:"core" default:"node" description:"the role it is for"`
 	OnPlatform bool   `long:"on-platform" description:"FILE is the platform's settings file"`
@@ -57,12 +54,12 @@
 }
 
 func (c *checkEnvCmd) Execute([]string) error {
-	e := settings.Settings{EnvFile: c.Args.File, LogLevel: "info", PollsPer10s: 20}
+	set := settings.Settings{EnvFile: c.Args.File, LogLevel: "info", PollsPer10s: 20}
 	found := settings.Findings(nil)
 	if c.OnPlatform {
 		_, found = platform.ReadSettings(c.Args.File, c.Role)
 	} else {
-		found = settings.Load(&e, c.Role)
+		found = settings.Load(&set, c.Role)
 	}
 	if len(found) > 0 {
 		return exitError{exitInvalid, found.Error()}
@@ -71,53 +68,38 @@
 	return nil
 }
 
-func newLogger(level, name string) *zap.Logger {
-	conf := zap.NewProductionEncoderConfig()
-	conf.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	conf.MessageKey = "event"
-	l, err := zapcore.ParseLevel(level)
-	if err != nil {
-		l = zapcore.InfoLevel
-	}
-	return zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(conf), asynclog.New(os.Stderr, lostLinesRecord), l)).With(zap.String("who", name))
-}
-
-// lostLinesRecord is the line that tells how many others were dropped since nobody read the log.
-func lostLinesRecord(n int) []byte {
-	return fmt.Appendf(nil, "level=warn event=log_lines_lost n=%d\n", n)
-}
-
-func runDaemon(e settings.Settings, role string) error {
-	if found := settings.Load(&e, role); len(found) > 0 {
+// runDaemon runs a role with the settings of the command line and its env file until it is told to stop.
+func runDaemon(set settings.Settings, role string) error {
+	if found := settings.Load(&set, role); len(found) > 0 {
 		return exitError{exitInvalid, found.Error()}
 	}
-	log := newLogger(e.LogLevel, e.Name)
+	log := newLogger(set.LogLevel, set.Name)
 	defer log.Sync()
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	p, err := process.Start(process.Config{Settings: e, Role: role, Log: log})
+	p, err := process.Start(process.Config{Settings: set, Role: role, Log: log})
 	if err != nil {
 		return exitError{exitFailed, err.Error()}
 	}
-	s, err := httpapi.Open(p)
+	server, err := httpapi.Open(p)
 	if err != nil {
 		p.Stop()
 		return exitError{exitFailed, err.Error()}
 	}
-	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", e.Zone), zap.String("mesh", e.Mesh),
-		zap.String("caller", e.Caller), zap.String("operator", e.Operator), zap.Bool("authorisation", e.OperatorToken != ""), zap.Bool("fleet_secret", e.FleetSecret != ""))
-	if role == "node" && e.OperatorToken == "" {
-		log.Warn("authorisation_off", zap.String("why", "no operator token is set; anyone who reaches the operator API may change the fleet"))
+	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", set.Zone), zap.String("mesh", set.Mesh),
+		zap.String("caller", set.Caller), zap.String("operator", set.Operator), zap.Bool("authorisation", set.OperatorToken != ""), zap.Bool("fleet_secret", set.FleetSecret != ""))
+	if role == "node" && set.OperatorToken == "" {
+		log.Warn("authorisation_off", zap.String("reason", "no operator token is set; anyone who reaches the operator API may change the fleet"))
 	}
 	select {
 	case <-signals:
-		s.Drain()
+		server.Drain()
 		leaveGroups(p)
-		s.Stop()
+		server.Stop()
 		p.Stop()
 		log.Info("stopped")
 		return nil
-	case err := <-s.Failed():
+	case err := <-server.Failed():
 		p.Stop()
 		return exitError{exitFailed, err.Error()}
 	}
--- a/cmd/wallport/fleet.go
+++ b/cmd/wallport/fleet.go
@@ -1,6 +1,3 @@
-// Admin commands beside the sheet's: bookings, zones, cuts, members, servers;
-// and explain.
-
 package main
 
 import (
@@ -14,6 +11,7 @@
 	"wallport/gen/operator"
 )
 
+// bookingCmd are the sub-commands about bookings, which are rows of the configuration.
 type bookingCmd struct {
 	Add    bookingAdd    `command:"add" description:"book a slice of a pool for a window of time"`
 	Remove bookingRemove `command:"remove" description:"remove a booking"`
@@ -51,6 +49,7 @@
 	return c.sendEdits([]*operator.RowEdit{{Op: "remove", Table: "bookings", Row: map[string]any{"id": c.ID}}})
 }
 
+// zoneCmd drains zones and restores them.
 type zoneCmd struct {
 	Drain   zoneDrain   `command:"empty" description:"give a zone's back ends no more work"`
 	Restore zoneRestore `command:"refill" description:"give them work again"`
@@ -77,6 +76,7 @@
 func (c *zoneDrain) Execute([]string) error   { return c.changeZone(c.Args.Zone, "empty") }
 func (c *zoneRestore) Execute([]string) error { return c.changeZone(c.Args.Zone, "refill") }
 
+// reshardCmd moves an index to another shard map.
 type reshardCmd struct {
 	editFlags
 	Args struct {
@@ -92,6 +92,7 @@
 	}))
 }
 
+// rebuildCmd makes a partition's group anew.
 type rebuildCmd struct {
 	editFlags
 	Sure bool `long:"the-old-disks-are-gone" required:"yes" description:"say that the lost disks will never come back"`
@@ -123,7 +124,7 @@
 	return c.replicas()
 }
 
-// replicas prints what each core tells of its replicas, partition by partition.
+// replicas prints the replicas that the cores report, by partition.
 func (c *membersCmd) replicas() error {
 	list, err := c.client().Replicas(context.Background(), &operator.ReplicasPayload{Token: c.token()})
 	if err != nil {
@@ -141,8 +142,10 @@
 	return w.Flush()
 }
 
+// isTrue reports whether an optional field is there and true.
 func isTrue(b *bool) bool { return b != nil && *b }
 
+// orDash returns the text of an optional field, or "-" for an empty one.
 func orDash(s *string) string {
 	if s == nil || *s == "" {
 		return "-"
@@ -150,6 +153,7 @@
 	return *s
 }
 
+// backendsCmd lists the backends.
 type backendsCmd struct{ remoteFlags }
 
 func (c *backendsCmd) Execute([]string) error {
@@ -165,6 +169,7 @@
 	return w.Flush()
 }
 
+// explainCmd prints the trace of a request.
 type explainCmd struct {
 	remoteFlags
 	Args struct {
--- a/cmd/wallport/hangup.go
+++ b/cmd/wallport/hangup.go
@@ -1,6 +1,6 @@
-// A SIGHUP says that the platform's settings file has changed. It may come before the runtime and
-// the packages are up: until its handler stands it is ignored, for the file is yet to be read then.
-// By default it would end the process.
+// The platform sends SIGHUP when the settings file has changed. It may arrive before the Go runtime and the packages are
+// initialised, when its default action would end the process. It is ignored until its handler is installed: the file is
+// read after that anyway.
 
 package main
 
--- a/cmd/wallport/hangup_test.go
+++ b/cmd/wallport/hangup_test.go
@@ -1,5 +1,3 @@
-// A SIGHUP that comes while a process starts does not end it.
-
 package main
 
 import (
@@ -14,10 +12,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// ignoredAtStart is whether SIGHUP was ignored before main began.
+// ignoredAtStart reports whether SIGHUP was ignored before main began.
 var ignoredAtStart = signal.Ignored(syscall.SIGHUP)
 
-// printIgnoredArgument is the argument by which this program tells that, in place of running tests.
+// printIgnoredArgument is the argument with which this program prints ignoredAtStart instead of running tests.
 const printIgnoredArgument = "tells-whether-hangup-is-ignored"
 
 func TestMain(m *testing.M) {
--- a/cmd/wallport/leave.go
+++ b/cmd/wallport/leave.go
@@ -1,5 +1,3 @@
-// A core that stops leaves its groups before its process ends.
-
 package main
 
 import (
@@ -12,14 +10,14 @@
 )
 
 const (
-	// leavePollInterval is how often a core that stops looks whether it has left.
+	// leavePollInterval is the time between two looks whether a stopping core has left its groups.
 	leavePollInterval = 10 * time.Millisecond
 	// finalSendDelay is how long the last frames have to leave the process.
 	finalSendDelay = 50 * time.Millisecond
 )
 
-// leaveGroups waits until a core that stops leads nothing and votes nowhere, or until its time
-// for that is over: where nobody can take its place it stays a voter to the end.
+// leaveGroups waits until a stopping core leads no group and votes in none, at most for replica.LeaveWithin: where no
+// other core can take its place, it stays a voter to the end. On a node it returns at once.
 func leaveGroups(p *process.Process) {
 	host := kernel.Find[*replica.Host](p.Kernel)
 	if host == nil {
--- a/cmd/wallport/logger_test.go
+++ b/cmd/wallport/logger_test.go
@@ -1,5 +1,3 @@
-// What a process logs holds nothing up, whoever reads it or doesn't.
-
 package main
 
 import (
@@ -12,10 +10,10 @@
 	"go.uber.org/zap"
 )
 
-// hangTimeout is how long a test waits for what must not wait: only a hang lasts so long.
+// hangTimeout is how long a test waits for what must not block: only a hang lasts so long.
 const hangTimeout = 10 * time.Second
 
-// replaceStderrWithUnreadPipe has standard error be a pipe that nobody reads.
+// replaceStderrWithUnreadPipe makes standard error a pipe that nobody reads, until the test ends.
 func replaceStderrWithUnreadPipe(t *testing.T) {
 	t.Helper()
 	read, write, err := os.Pipe()
@@ -45,6 +43,6 @@
 	select {
 	case <-written:
 	case <-ctx.Done():
-		t.Fatal("a line waits for whoever reads the log")
+		t.Fatal("a line waits for the log's reader")
 	}
 }
--- a/cmd/wallport/main.go
+++ b/cmd/wallport/main.go
@@ -1,4 +1,7 @@
-// Command wallport is the whole product: the role is a subcommand.
+// Command wallport is the whole product. Its sub-commands run the two roles, node and core, and operate a fleet.
+//
+// The package has the command lines, the printing of results and the wiring of the roles; everything else is
+// in packages of its own.
 package main
 
 import (
@@ -9,7 +12,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// release is the program's release, set when it is built.
+// release is the program's release. It is a variable so that the linker can set it.
 var release = "0.1.0"
 
 // Exit codes, for scripts.
@@ -22,7 +25,7 @@
 	exitOverloaded = 6
 )
 
-// exitError is an error with the exit code it means.
+// exitError is an error with the exit code that it stands for.
 type exitError struct {
 	code int
 	text string
@@ -30,6 +33,7 @@
 
 func (c exitError) Error() string { return c.text }
 
+// options are the sub-commands.
 type options struct {
 	Release  func()      `long:"version" description:"show the release and exit"`
 	Node     nodeCmd     `command:"node" description:"run a node: mesh, caller API, operator API; needs no disk"`
@@ -40,28 +44,28 @@
 }
 
 func main() {
-	var o options
-	o.Release = func() {
+	var opts options
+	opts.Release = func() {
 		fmt.Println("wallport " + release)
 		os.Exit(0)
 	}
-	p := flags.NewParser(&o, flags.HelpFlag|flags.PassDoubleDash)
-	p.LongDescription = "wallport is a search front over sharded indexes. Exit codes: 1 failed, 2 usage, 3 findings, 4 lost a race, 5 outcome unknown, 6 try again."
-	_, err := p.Parse()
+	parser := flags.NewParser(&opts, flags.HelpFlag|flags.PassDoubleDash)
+	parser.LongDescription = "wallport is a search front over sharded indexes. Exit codes: 1 failed, 2 usage, 3 findings, 4 lost a race, 5 outcome unknown, 6 try again."
+	_, err := parser.Parse()
 	if err == nil {
 		return
 	}
-	var fe *flags.Error
-	var ce exitError
+	var usage *flags.Error
+	var exit exitError
 	switch {
-	case errors.As(err, &fe) && fe.Type == flags.ErrHelp:
+	case errors.As(err, &usage) && usage.Type == flags.ErrHelp:
 		fmt.Println(err)
-	case errors.As(err, &fe):
+	case errors.As(err, &usage):
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(exitUsage)
-	case errors.As(err, &ce):
-		fmt.Fprintln(os.Stderr, ce.text)
-		os.Exit(ce.code)
+	case errors.As(err, &exit):
+		fmt.Fprintln(os.Stderr, exit.text)
+		os.Exit(exit.code)
 	default:
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(exitFailed)
--- a/cmd/wallport/platform.go
+++ b/cmd/wallport/platform.go
@@ -1,14 +1,14 @@
-// The two daemons on the users' platform: settings, memory, the platform's
-// servers, and settings that change while the process runs.
-
 package main
 
 import (
+	"net"
+	"net/netip"
 	"os"
 	"os/signal"
 	"runtime"
 	"runtime/debug"
 	"slices"
+	"strconv"
 	"syscall"
 	"time"
 
@@ -21,20 +21,20 @@
 	"wallport/runtime/settings"
 )
 
-// Of the machine's memory the heap may take this share; the rest is for stacks,
-// buffers of connections and bytes that have arrived unread.
 const (
+	// heapShare is the share of the machine's memory that the heap may take. The rest is for stacks, buffers of
+	// connections and bytes that have arrived unread.
 	heapShare = 0.6
 	gcPercent = 200
+	// watchInterval is the time between two looks at the settings file.
+	watchInterval = time.Second
 )
 
-// watchInterval is how often the settings file is looked at.
-const watchInterval = time.Second
-
-func limitRuntime(m settings.Machine) {
+// limitRuntime bounds the processors and the memory that this process uses.
+func limitRuntime(machine settings.Machine) {
 	runtime.GOMAXPROCS(1)
-	if m.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(m.MemoryMB<<20)))
+	if machine.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(heapShare * float64(machine.MemoryMB<<20)))
 	}
 	debug.SetGCPercent(gcPercent)
 }
@@ -46,112 +46,133 @@
 	meshListen string
 }
 
+// platformDaemon is a role that runs with the platform's settings.
+type platformDaemon struct {
+	role    string
+	path    string
+	watch   *platform.SettingsWatch
+	process *process.Process
+	server  *httpapi.Server
+	// seeds are the seeds of the mesh that the process was last told.
+	seeds []string
+	// stopRole ends what the platform calls: the gateway of a node, the control address of a core.
+	stopRole func()
+	failed   chan error
+}
+
 // onPlatform runs a role with the platform's settings until it is told to stop.
 func onPlatform(role string, flags platformFlags) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	path := platform.SettingsPath()
-	w := newSettingsWatch(path)
+	// The watch begins before the file is read: a change in between is noticed.
+	watch := platform.NewSettingsWatch(path)
 	place, found := platform.ReadSettings(path, role)
 	if len(found) > 0 {
 		return exitError{exitInvalid, found.Error()}
 	}
 	place.Settings.MeshListen = flags.meshListen
-	e := place.Settings
-	w.seeds = e.Seeds
-	limitRuntime(e.Machine)
-	log := newLogger(e.LogLevel, e.Name)
+	limitRuntime(place.Settings.Machine)
+	log := newLogger(place.Settings.LogLevel, place.Settings.Name)
 	defer log.Sync()
-	p, err := process.Start(process.Config{Settings: e, Role: role, Log: log, Fetchers: platform.Fetchers()})
-	if err != nil {
+	d := &platformDaemon{role: role, path: path, watch: watch, seeds: place.Settings.Seeds, failed: make(chan error, 1)}
+	if err := d.start(place, flags, log); err != nil {
 		return exitError{exitFailed, err.Error()}
 	}
-	s, err := httpapi.Open(p)
+	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", place.Settings.Zone),
+		zap.String("mesh", place.Settings.Mesh), zap.String("operator", place.Settings.Operator))
+	return d.run(signals)
+}
+
+// start starts the process and opens its listeners.
+func (d *platformDaemon) start(place platform.ProcessSettings, flags platformFlags, log *zap.Logger) (err error) {
+	d.process, err = process.Start(process.Config{Settings: place.Settings, Role: d.role, Log: log, Fetchers: platform.Fetchers()})
 	if err != nil {
-		p.Stop()
-		return exitError{exitFailed, err.Error()}
+		return err
 	}
-	openMetrics(p, s, e, flags.metricsPort)
-	failed := make(chan error, 1)
-	stop, err := openRole(p, s, place, role, failed)
-	if err != nil {
-		p.Stop()
-		return exitError{exitFailed, err.Error()}
+	if d.server, err = httpapi.Open(d.process); err != nil {
+		d.process.Stop()
+		return err
+	}
+	openMetrics(d.process, d.server, place.Settings, flags.metricsPort)
+	if d.stopRole, err = d.openRole(place); err != nil {
+		d.process.Stop()
+		return err
+	}
+	return nil
+}
+
+// openRole opens what the platform calls: on a node the clients' address and readiness, on a core the control address.
+func (d *platformDaemon) openRole(place platform.ProcessSettings) (stop func(), err error) {
+	if d.role == "core" {
+		control := &platform.Control{Call: d.process.Call, Log: platform.AuditLog(d.process.Log)}
+		return control.Serve(place.Control, d.process.Log, d.failed)
 	}
-	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", e.Zone), zap.String("mesh", e.Mesh), zap.String("operator", e.Operator))
-	tick := time.NewTicker(watchInterval)
-	defer tick.Stop()
+	return openGateway(d.process, d.server, place, d.failed)
+}
+
+// run waits for signals, changes of the settings file and failures, until the daemon ends.
+func (d *platformDaemon) run(signals <-chan os.Signal) error {
+	ticker := time.NewTicker(watchInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case sig := <-signals:
-			if sig != syscall.SIGHUP {
-				s.Drain()
-				leaveGroups(p)
-				stop()
-				s.Stop()
-				p.Stop()
-				log.Info("stopped")
+		case received := <-signals:
+			if received != syscall.SIGHUP {
+				d.stop()
 				return nil
 			}
-			w.changed()
-			w.reread(p, role)
-		case <-tick.C:
-			if w.changed() {
-				w.reread(p, role)
+			d.watch.Changed()
+			d.reread()
+		case <-ticker.C:
+			if d.watch.Changed() {
+				d.reread()
 			}
-		case err := <-s.Failed():
-			p.Stop()
+		case err := <-d.server.Failed():
+			d.process.Stop()
 			return exitError{exitFailed, err.Error()}
-		case err := <-failed:
-			p.Stop()
+		case err := <-d.failed:
+			d.process.Stop()
 			return exitError{exitFailed, err.Error()}
 		}
 	}
 }
 
-// openRole opens what the platform calls: on a node clients' server and readiness, on a core the control address.
-func openRole(p *process.Process, operators *httpapi.Server, place platform.ProcessSettings, role string, failed chan<- error) (stop func(), err error) {
-	if role == "core" {
-		return openControl(p, place.Control, failed)
-	}
-	return openGateway(p, operators, place, failed)
+// stop is the planned stop.
+func (d *platformDaemon) stop() {
+	d.server.Drain()
+	leaveGroups(d.process)
+	d.stopRole()
+	d.server.Stop()
+	d.process.Stop()
+	d.process.Log.Info("stopped")
 }
 
-// reread takes up what may change while a process runs: the seeds. A file with findings changes nothing.
-func (w *settingsWatch) reread(p *process.Process, role string) {
-	place, found := platform.ReadSettings(w.path, role)
-	for _, f := range found {
-		p.Log.Warn("settings_refused", zap.String("place", f.Location), zap.String("finding", f.Text))
+// reread takes over what may change while a process runs: the seeds. A file with findings changes nothing.
+func (d *platformDaemon) reread() {
+	place, found := platform.ReadSettings(d.path, d.role)
+	for _, finding := range found {
+		d.process.Log.Warn("settings_refused", zap.String("place", finding.Location), zap.String("finding", finding.Text))
 	}
-	if len(found) > 0 || slices.Equal(w.seeds, place.Settings.Seeds) {
+	if len(found) > 0 || slices.Equal(d.seeds, place.Settings.Seeds) {
 		return
 	}
-	w.seeds = place.Settings.Seeds
-	p.Log.Info("seeds_changed", zap.Strings("seeds", w.seeds))
-	p.Post(kernel.SeedsChanged{Seeds: slices.Clone(w.seeds)})
+	d.seeds = place.Settings.Seeds
+	d.process.Log.Info("seeds_changed", zap.Strings("seeds", d.seeds))
+	d.process.Post(kernel.SeedsChanged{Seeds: slices.Clone(d.seeds)})
 }
 
-// settingsWatch looks at the settings file's time and size, and keeps what was taken from it.
-type settingsWatch struct {
-	path string
-	at   time.Time
-	size int64
-	// seeds are those that the process was last told.
-	seeds []string
-}
-
-func newSettingsWatch(path string) *settingsWatch {
-	w := &settingsWatch{path: path}
-	w.changed()
-	return w
-}
-
-func (w *settingsWatch) changed() bool {
-	info, err := os.Stat(w.path)
+// openMetrics serves the metrics on a port of the machine's address; 0 means on none. A port that cannot be had is only logged: the
+// operators' address has the metrics as well.
+func openMetrics(p *process.Process, server *httpapi.Server, set settings.Settings, port uint16) {
+	if port == 0 {
+		return
+	}
+	mesh, err := netip.ParseAddrPort(set.Mesh)
+	if err == nil {
+		err = server.OpenMetrics(net.JoinHostPort(mesh.Addr().String(), strconv.Itoa(int(port))))
+	}
 	if err != nil {
-		return false
+		p.Log.Warn("metrics_not_open", zap.Uint16("port", port), zap.Error(err))
 	}
-	was := *w
-	w.at, w.size = info.ModTime(), info.Size()
-	return !was.at.Equal(w.at) || was.size != w.size
 }
