--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -73,7 +73,7 @@
 		c.refused[in.Key] = true
 		return "repeat"
 	}
-	if strings.HasSuffix(o.Why, "; "+string(search.ReplyRejected)) && w.serverRefuses(in) {
+	if strings.HasSuffix(o.Why, "; "+string(search.ClassRejected)) && w.serverRefuses(in) {
 		// A server's own rejection with no budget left for another server: two rules meet here.
 		return "server"
 	}
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -35,7 +35,7 @@
 	f.ordered = append(f.ordered, r)
 	f.process.deliver(func() {
 		r.stateMachine = search.NewStateMachine(f.process.dispatcher, in, f.process.now())
-		f.step(r, search.Start{})
+		f.step(r, search.Begin{})
 	})
 }
 
@@ -74,9 +74,9 @@
 	case search.Send:
 		f.checkRequest(&v)
 		life := p.incarnation
-		p.world.askServer(p, &v, func(rep search.Reply) {
+		p.world.askServer(p, &v, func(rep search.Result) {
 			if p.incarnation == life {
-				p.deliver(func() { f.step(r, search.ReplyReceived{Attempt: v.Attempt, Reply: rep}) })
+				p.deliver(func() { f.step(r, search.AttemptDone{Attempt: v.Attempt, Result: rep}) })
 			}
 		})
 	case search.SetTimer:
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -97,21 +97,21 @@
 }
 
 // askServer carries one request to a server and the reply back; done gets what the node sees.
-func (w *World) askServer(p *process, a *search.Send, done func(search.Reply)) {
+func (w *World) askServer(p *process, a *search.Send, done func(search.Result)) {
 	s := w.serversByAddr[a.Backend.Addr]
 	there := w.net.latency()
 	if s == nil || !s.up && s.mode != "vanish" {
-		w.after(2*there, func() { done(search.Reply{Class: search.ReplyNotWritten, Reason: "connection refused"}) })
+		w.after(2*there, func() { done(search.Result{Class: search.ClassNotSent, Reason: "connection refused"}) })
 		return
 	}
 	if !s.up || w.net.partitioned(p.name, s.row.ID) {
-		w.after(300*clock.Millisecond, func() { done(search.Reply{Class: search.ReplyNotWritten, Reason: "timed out"}) })
+		w.after(300*clock.Millisecond, func() { done(search.Result{Class: search.ClassNotSent, Reason: "timed out"}) })
 		return
 	}
 	life := s.incarnation
 	w.after(there, func() {
 		broken := func() {
-			w.after(there, func() { done(search.Reply{Class: search.ReplyFailed, Reason: "reset"}) })
+			w.after(there, func() { done(search.Result{Class: search.ClassFailed, Reason: "reset"}) })
 		}
 		if !s.up || s.incarnation != life {
 			broken()
@@ -155,7 +155,7 @@
 }
 
 // respond makes the body that the real stand-in would send, and checks it as a node does.
-func (s *server) respond(a *search.Send, refuses bool) search.Reply {
+func (s *server) respond(a *search.Send, refuses bool) search.Result {
 	in := a.Request
 	sealed := search.BackendResponse{RequestID: a.ID, ShardMap: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.reportedIncarnation, Load: s.running}
 	status := 200
@@ -174,7 +174,7 @@
 	}
 	raw, closed := backend.Spoil(s.mode, status, sealed)
 	if closed {
-		return search.Reply{Class: search.ReplyFailed, Reason: "cut short"}
+		return search.Result{Class: search.ClassFailed, Reason: "cut short"}
 	}
 	return search.CheckResponse(a, raw)
 }
--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -75,11 +75,11 @@
 func (unrewindable) Close() error { return nil }
 
 // send sends an attempt and checks the response. The request is written to one connection at most.
-func (c *backendClient) send(ctx context.Context, attempt *search.Send) search.Reply {
+func (c *backendClient) send(ctx context.Context, attempt *search.Send) search.Result {
 	request := NewBackendRequest(attempt)
 	body, err := json.Marshal(&request)
 	if err != nil {
-		return search.Reply{Class: search.ReplyNotWritten, Reason: err.Error()}
+		return search.Result{Class: search.ClassNotSent, Reason: err.Error()}
 	}
 	for {
 		reply, again := c.sendOnce(ctx, attempt, string(request.Kind), body)
@@ -92,12 +92,12 @@
 // sendOnce sends an attempt on one connection. It reports again where that connection had been abandoned before anything was
 // written to it. Whether a connection was had at all is known from the trace, so that "not written" is
 // only said when that is certain.
-func (c *backendClient) sendOnce(ctx context.Context, attempt *search.Send, kind string, body []byte) (reply search.Reply, again bool) {
+func (c *backendClient) sendOnce(ctx context.Context, attempt *search.Send, kind string, body []byte) (reply search.Result, again bool) {
 	var use atomic.Pointer[connUse]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { use.Store(beginUse(i.Conn)) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+attempt.Backend.Addr+"/v1/"+kind, unrewindable{bytes.NewReader(body)})
 	if err != nil {
-		return search.Reply{Class: search.ReplyNotWritten, Reason: err.Error()}, false
+		return search.Result{Class: search.ClassNotSent, Reason: err.Error()}, false
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
@@ -105,25 +105,25 @@
 	used := use.Load()
 	switch {
 	case err != nil && used == nil:
-		return search.Reply{Class: search.ReplyNotWritten, Reason: errorReason(err)}, false
+		return search.Result{Class: search.ClassNotSent, Reason: errorReason(err)}, false
 	case err != nil && used.unwritten(err):
-		return search.Reply{Class: search.ReplyNotWritten, Reason: errorReason(err)}, ctx.Err() == nil
+		return search.Result{Class: search.ClassNotSent, Reason: errorReason(err)}, ctx.Err() == nil
 	case err != nil:
-		return search.Reply{Class: search.ReplyFailed, Reason: errorReason(err)}, false
+		return search.Result{Class: search.ClassFailed, Reason: errorReason(err)}, false
 	}
 	reply = readReply(attempt, resp)
-	if reply.Class == search.ReplyInvalid && used != nil {
+	if reply.Class == search.ClassInvalid && used != nil {
 		used.abandon()
 	}
 	return reply, false
 }
 
 // readReply reads a complete response and checks it.
-func readReply(attempt *search.Send, resp *http.Response) search.Reply {
+func readReply(attempt *search.Send, resp *http.Response) search.Result {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(body) > maxResponseBytes {
-		return search.Reply{Class: search.ReplyFailed, Reason: "answer cut short or too large"}
+		return search.Result{Class: search.ClassFailed, Reason: "answer cut short or too large"}
 	}
 	return search.CheckResponse(attempt, search.RawResponse{
 		Status: resp.StatusCode, Length: resp.ContentLength, Digest: resp.Header.Get("Content-Digest"), Body: body,
--- a/request/httpapi/backend_client_test.go
+++ b/request/httpapi/backend_client_test.go
@@ -50,8 +50,8 @@
 	defer srv.Close()
 	client := newBackendClient()
 	addr := srv.Listener.Addr().String()
-	must.Eq(t, search.ReplyOK, client.send(context.Background(), correction(addr)).Class)
-	must.Eq(t, search.ReplyFailed, client.send(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ClassOK, client.send(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ClassFailed, client.send(context.Background(), correction(addr)).Class)
 	must.Eq(t, 2, ran.Load(), must.Sprint("the second was written exactly once"))
 	connections := 0
 	peers.Range(func(any, any) bool { connections++; return true })
@@ -63,7 +63,7 @@
 	must.NoError(t, err)
 	addr := l.Addr().String()
 	must.NoError(t, l.Close())
-	must.Eq(t, search.ReplyNotWritten, newBackendClient().send(context.Background(), correction(addr)).Class)
+	must.Eq(t, search.ClassNotSent, newBackendClient().send(context.Background(), correction(addr)).Class)
 }
 
 func TestSendCanceledAfterWritingFailed(t *testing.T) {
@@ -78,5 +78,5 @@
 	defer close(hold)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-got; cancel() }()
-	must.Eq(t, search.ReplyFailed, newBackendClient().send(ctx, correction(srv.Listener.Addr().String())).Class)
+	must.Eq(t, search.ClassFailed, newBackendClient().send(ctx, correction(srv.Listener.Addr().String())).Class)
 }
--- a/request/httpapi/backend_conn_test.go
+++ b/request/httpapi/backend_conn_test.go
@@ -68,12 +68,12 @@
 	k := newBackendClient()
 	a := correction(s.l.Addr().String())
 	rep := k.send(context.Background(), a)
-	must.Eq(t, search.ReplyInvalid, rep.Class)
+	must.Eq(t, search.ClassInvalid, rep.Class)
 	must.Eq(t, "answers another inquiry", rep.Reason)
 	next := *a
 	next.ID = "n-1.bb"
 	rep = k.send(context.Background(), &next)
-	must.Eq(t, search.ReplyOK, rep.Class, must.Sprint(rep.Reason))
+	must.Eq(t, search.ClassOK, rep.Class, must.Sprint(rep.Reason))
 	must.Eq(t, 2, s.conns.Load())
 }
 
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -121,7 +121,7 @@
 func (r *run) loop() search.Outcome {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	actions := r.machine.Step(r.node.process.Now(), search.Start{})
+	actions := r.machine.Step(r.node.process.Now(), search.Begin{})
 	for {
 		for _, action := range actions {
 			switch v := action.(type) {
@@ -183,10 +183,10 @@
 	go func() {
 		defer cancel()
 		if r.node.process.Frozen() || r.node.process.Thaws() != thaws {
-			reply := search.Reply{Class: search.ReplyNotWritten, Reason: "the node was frozen before it wrote"}
-			r.post(search.ReplyReceived{Attempt: attempt.Attempt, Reply: reply})
+			reply := search.Result{Class: search.ClassNotSent, Reason: "the node was frozen before it wrote"}
+			r.post(search.AttemptDone{Attempt: attempt.Attempt, Result: reply})
 			return
 		}
-		r.post(search.ReplyReceived{Attempt: attempt.Attempt, Reply: r.node.client.send(ctx, &attempt)})
+		r.post(search.AttemptDone{Attempt: attempt.Attempt, Result: r.node.client.send(ctx, &attempt)})
 	}()
 }
--- a/request/search/actions.go
+++ b/request/search/actions.go
@@ -10,7 +10,7 @@
 
 // Send sends an attempt to a backend.
 type Send struct {
-	// Attempt is the number by which [ReplyReceived] and [Cancel] name the attempt.
+	// Attempt is the number by which [AttemptDone] and [Cancel] name the attempt.
 	Attempt    int
 	ID         string
 	Backend    *snapshot.Backend
@@ -28,7 +28,7 @@
 }
 
 type (
-	// Cancel cancels an attempt, whose reply is not wanted any more.
+	// Cancel cancels an attempt, whose result is not wanted any more.
 	Cancel struct{ Attempt int }
 	// AdmitKey asks the owners of an idempotency key whether the request may run.
 	AdmitKey struct {
--- a/request/search/bench_test.go
+++ b/request/search/bench_test.go
@@ -9,13 +9,13 @@
 func BenchmarkSearchStateMachine(b *testing.B) {
 	snap := newSnapshot(12, 4)
 	d := newTestDispatcher(snap)
-	reply := Reply{Class: ReplyOK, Records: []Record{{ID: "a", Score: 3}, {ID: "b", Score: 2}, {ID: "c", Score: 1}}}
+	result := Result{Class: ClassOK, Records: []Record{{ID: "a", Score: 3}, {ID: "b", Score: 2}, {ID: "c", Score: 1}}}
 	now := int64(0)
 	for b.Loop() {
 		now += 1000
 		m := NewStateMachine(d, Request{Kind: KindSearch, Index: "a", Limit: 10}, now)
-		for _, v := range sends(m.Step(now, Start{})) {
-			m.Step(now+500, ReplyReceived{Attempt: v.Attempt, Reply: reply})
+		for _, v := range sends(m.Step(now, Begin{})) {
+			m.Step(now+500, AttemptDone{Attempt: v.Attempt, Result: result})
 		}
 	}
 }
@@ -29,11 +29,11 @@
 		t := newTrace("n-1", in, 0)
 		t.snapshot = (*snapshot.Snapshot)(snap)
 		for _, s := range []State{StateClassified, StateAdmitted, StateAdmitted, StateSelected, StateSelected, StateSelected, StateSelected, StateGathered, StateAnswered} {
-			t.add(1, s, "")
+			t.transition(1, s, "")
 		}
 		for n := range 4 {
-			t.selected(1, n, n, choice, false)
-			t.replied(2, n, Reply{Class: ReplyOK})
+			t.sent(1, n, n, choice, false)
+			t.ended(2, n, Result{Class: ClassOK})
 		}
 		r.put(t, 3, Outcome{Code: CodeOK})
 	}
--- a/request/search/doc.go
+++ b/request/search/doc.go
@@ -1,10 +1,10 @@
 // Package search carries the requests of the product's own callers: searches over all shards of
 // an index, and reads, corrections and part fetches of one record.
 //
-// A [StateMachine] is one request. It takes events (a reply, a timer, the answer of an idempotency
-// key's owners) and returns actions (send, cancel, set a timer, finish); a driver carries them out
-// over HTTP (request/httpapi) or in the simulator (lab/sim). Time and randomness come in from
-// outside, so that a run can be repeated exactly.
+// A [StateMachine] is one request. It takes events (the result of an attempt, a timer, the answer
+// of an idempotency key's owners) and returns actions (send, cancel, set a timer, finish); a driver
+// carries them out over HTTP (request/httpapi) or in the simulator (lab/sim). Time and randomness
+// come in from outside, so that a run can be repeated exactly.
 //
 // The states are
 //
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -21,14 +21,14 @@
 type Event any
 
 type (
-	// Start starts the state machine.
-	Start struct{}
+	// Begin starts the state machine.
+	Begin struct{}
 	// KeyChecked answers [AdmitKey].
 	KeyChecked struct{ Admission Admission }
-	// ReplyReceived gives the result of a [Send].
-	ReplyReceived struct {
+	// AttemptDone gives the result of a [Send].
+	AttemptDone struct {
 		Attempt int
-		Reply   Reply
+		Result  Result
 	}
 	// TimerFired says that the moment of the last [SetTimer] has come.
 	TimerFired struct{}
@@ -65,27 +65,27 @@
 	Repeat bool
 }
 
-// ReplyClass is the result of an attempt.
-type ReplyClass string
+// Class is the result of an attempt.
+type Class string
 
-// The classes of replies.
+// The classes of results.
 const (
-	ReplyOK ReplyClass = "ok"
-	// ReplyNotWritten says that not one byte was written to the backend.
-	ReplyNotWritten ReplyClass = "not_written"
-	// ReplyRejected is the backend's statement that it did not run the request.
-	ReplyRejected ReplyClass = "shed"
-	// ReplyFailed is an attempt that was written and got no response, or a failure.
-	ReplyFailed ReplyClass = "failed"
-	// ReplyInvalid is a response that failed the checks of [CheckResponse].
-	ReplyInvalid ReplyClass = "garbage"
-	// ReplyNotFound says that the backend has no such record.
-	ReplyNotFound ReplyClass = "absent"
+	ClassOK Class = "ok"
+	// ClassNotSent says that not one byte was written to the backend.
+	ClassNotSent Class = "not_written"
+	// ClassRejected is the backend's statement that it did not run the request.
+	ClassRejected Class = "shed"
+	// ClassFailed is an attempt that was written and got no response, or a failure.
+	ClassFailed Class = "failed"
+	// ClassInvalid is a response that failed the checks of [CheckResponse].
+	ClassInvalid Class = "garbage"
+	// ClassNotFound says that the backend has no such record.
+	ClassNotFound Class = "absent"
 )
 
-// Reply is a checked response of a backend, or why there is none.
-type Reply struct {
-	Class       ReplyClass
+// Result is a checked response of a backend, or why there is none.
+type Result struct {
+	Class       Class
 	Reason      string
 	Records     []Record
 	Incarnation int64
--- a/request/search/explain.go
+++ b/request/search/explain.go
@@ -48,8 +48,8 @@
 	}
 	e.ShardMap = index.ShardMap.Name
 	selected := map[int]bool{}
-	for i := range t.Selections {
-		selected[t.Selections[i].Shard] = true
+	for i := range t.Attempts {
+		selected[t.Attempts[i].Shard] = true
 	}
 	for shard, backends := range index.Shards {
 		if !selected[shard] {
@@ -71,8 +71,8 @@
 	if backend.Health != snapshot.Healthy {
 		c.Reason = reasonUnhealthy + c.Health
 	}
-	for i := range t.Selections {
-		s := &t.Selections[i]
+	for i := range t.Attempts {
+		s := &t.Attempts[i]
 		switch {
 		case s.Backend == backend.ID && s.Retry:
 			c.Reason = reasonRetried
--- a/request/search/explain_test.go
+++ b/request/search/explain_test.go
@@ -14,8 +14,8 @@
 	snap.Indexes["a"].Shards[0][1].Health = snapshot.Unreachable
 	d := newTestDispatcher(snap)
 	m := NewStateMachine(d, Request{Kind: KindSearch, Index: "a", Limit: 3}, 0)
-	for _, v := range sends(m.Step(0, Start{})) {
-		m.Step(clock.Millisecond, ReplyReceived{Attempt: v.Attempt, Reply: Reply{Class: ReplyOK}})
+	for _, v := range sends(m.Step(0, Begin{})) {
+		m.Step(clock.Millisecond, AttemptDone{Attempt: v.Attempt, Result: Result{Class: ClassOK}})
 	}
 	tr, ok := d.Traces.Get(m.ID())
 	must.True(t, ok)
--- a/request/search/gather.go
+++ b/request/search/gather.go
@@ -8,13 +8,13 @@
 	"wallport/runtime/clock"
 )
 
-// finishIfDecided finishes the request as soon as its outcome is known.
-func (m *StateMachine) finishIfDecided(now clock.Micros) {
+// resolve finishes the request as soon as its outcome is known.
+func (m *StateMachine) resolve(now clock.Micros) {
 	if m.finished {
 		return
 	}
 	if m.request.Kind == KindSearch {
-		m.finishSearchIfDecided(now)
+		m.resolveSearch(now)
 		return
 	}
 	s := &m.shardRequests[m.recordShard]
@@ -25,7 +25,7 @@
 	case s.missing && s.attempts == 0:
 		m.reject(now, CodeUnavailable, s.reason, 1)
 	case s.missing && m.request.AtMostOnce():
-		// Nothing was written in any attempt, or replyReceived would have finished the request.
+		// Nothing was written in any attempt, or attemptDone would have finished the request.
 		m.reject(now, CodeUnavailable, "no server could be reached: "+s.reason, 1)
 	case s.missing:
 		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: ExecutionUnknown, Why: s.reason, Retry: 1})
@@ -36,9 +36,9 @@
 	}
 }
 
-// finishSearchIfDecided finishes a search when all shards have answered or are missing, when its
+// resolveSearch finishes a search when all shards have answered or are missing, when its
 // required share can't be reached any more, and in time for its deadline.
-func (m *StateMachine) finishSearchIfDecided(now clock.Micros) {
+func (m *StateMachine) resolveSearch(now clock.Micros) {
 	answered, pending, attempts := 0, 0, 0
 	why := ""
 	for i := range m.shardRequests {
--- a/request/search/key_admission.go
+++ b/request/search/key_admission.go
@@ -42,7 +42,7 @@
 	if m.state != StateClassified {
 		return
 	}
-	m.trace.add(now, StateAdmitted, "claim "+string(a.Code))
+	m.trace.transition(now, StateAdmitted, "claim "+string(a.Code))
 	switch a.Code {
 	case AdmissionGranted:
 		m.keyAdmitted, m.keyToken, m.isRepeat = true, a.Token, a.Repeat
--- a/request/search/response.go
+++ b/request/search/response.go
@@ -36,8 +36,8 @@
 
 // CheckResponse checks the response to an attempt. It must be complete by length and digest, echo
 // the attempt, its shard and its shard map, and hold records of that shard, in order and each once.
-// Any other response is [ReplyInvalid], with the reason, and its content is never passed on.
-func CheckResponse(a *Send, raw RawResponse) Reply {
+// Any other response is [ClassInvalid], with the reason, and its content is never passed on.
+func CheckResponse(a *Send, raw RawResponse) Result {
 	if raw.Length >= 0 && raw.Length != int64(len(raw.Body)) {
 		return invalid("length")
 	}
@@ -56,26 +56,26 @@
 	case response.Shard != a.Shard:
 		return invalid("another shard")
 	}
-	reply := Reply{Class: ReplyOK, Records: response.Records, Incarnation: response.Incarnation, Load: response.Load}
+	result := Result{Class: ClassOK, Records: response.Records, Incarnation: response.Incarnation, Load: response.Load}
 	switch raw.Status {
 	case http.StatusOK:
 	case http.StatusNotFound:
-		reply.Class = ReplyNotFound
-		return reply
+		result.Class = ClassNotFound
+		return result
 	case http.StatusServiceUnavailable:
-		reply.Class = ReplyRejected
-		return reply
+		result.Class = ClassRejected
+		return result
 	default:
-		reply.Class, reply.Reason = ReplyFailed, "status"
-		return reply
+		result.Class, result.Reason = ClassFailed, "status"
+		return result
 	}
 	if reason := checkRecords(a, response.Records); reason != "" {
 		return invalid(reason)
 	}
-	return reply
+	return result
 }
 
-func invalid(reason string) Reply { return Reply{Class: ReplyInvalid, Reason: reason} }
+func invalid(reason string) Result { return Result{Class: ClassInvalid, Reason: reason} }
 
 // checkRecords returns what is wrong with the records of a response, or nothing.
 func checkRecords(a *Send, records []Record) string {
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -34,18 +34,18 @@
 	open    bool
 }
 
-// attemptReason says what an attempt is made for, and thereby who pays for it.
-type attemptReason uint8
+// sendReason says what an attempt is made for, and thereby who pays for it.
+type sendReason uint8
 
 const (
-	initialAttempt attemptReason = iota
-	// budgetedRetry is a retry or hedged request, which the retry budget pays for.
-	budgetedRetry
-	// replacementAttempt replaces one of which nothing was written. It adds nothing to the pool's
+	sendFirst sendReason = iota
+	// sendRetry is a retry or hedged request, which the retry budget pays for.
+	sendRetry
+	// sendReplacement replaces one of which nothing was written. It adds nothing to the pool's
 	// traffic and is free.
-	replacementAttempt
-	// prepaidRetry belongs to a caller's repeat, for which the budget has paid as a whole.
-	prepaidRetry
+	sendReplacement
+	// sendPrepaid belongs to a caller's repeat, for which the budget has paid as a whole.
+	sendPrepaid
 )
 
 // sendToShards sends the admitted request to each shard that it needs. What a caller's repeat will
@@ -65,9 +65,9 @@
 	if m.request.Kind != KindSearch {
 		m.recordShard, needed = ShardOf(m.request.Record, len(m.index.Shards)), 1
 	}
-	why := initialAttempt
+	why := sendFirst
 	if m.isRepeat {
-		why = prepaidRetry
+		why = sendPrepaid
 		if !m.dispatcher.takeRetries(m.snapshot, m.request.Index, now, int64(needed)) {
 			m.reject(now, CodeRateLimited, ReasonRetryBudgetExhausted, 1)
 			return
@@ -78,8 +78,8 @@
 			m.send(now, shard, why)
 		}
 	}
-	m.finishIfDecided(now)
-	m.armTimer(now)
+	m.resolve(now)
+	m.scheduleTimer(now)
 }
 
 // refreshSnapshot takes the newest snapshot for further attempts if it still serves the request's
@@ -94,7 +94,7 @@
 
 // send selects a backend for a shard and sends an attempt to it. Without a backend, or without
 // budget, the shard is missing once no attempt is open.
-func (m *StateMachine) send(now clock.Micros, shard int, why attemptReason) {
+func (m *StateMachine) send(now clock.Micros, shard int, why sendReason) {
 	s := &m.shardRequests[shard]
 	selected, ok := selectBackend(m.snapshot, m.index, m.index.Shards[shard], s.attemptedBackends, now, &m.rnd)
 	if !ok {
@@ -105,16 +105,16 @@
 		return
 	}
 	switch why {
-	case replacementAttempt:
+	case sendReplacement:
 		m.transition(now, StateRetried, s.reason)
-	case budgetedRetry:
+	case sendRetry:
 		if !m.dispatcher.takeRetries(m.snapshot, m.request.Index, now, 1) {
 			s.missing = s.openAttempts == 0
 			s.reason = "budget of repeated tries is used up; " + s.reason
 			return
 		}
 		m.transition(now, StateRetried, s.reason)
-	case prepaidRetry:
+	case sendPrepaid:
 		m.transition(now, StateSelected, "a repeat of the caller's")
 	default:
 		m.transition(now, StateSelected, "")
@@ -123,7 +123,7 @@
 	n := len(m.attempts)
 	backend := selected.Backend
 	m.attempts = append(m.attempts, attempt{shard: shard, backend: backend, sentAt: now, open: true})
-	m.trace.selected(now, n, shard, selected, why != initialAttempt)
+	m.trace.sent(now, n, shard, selected, why != sendFirst)
 	left := m.deadline - now
 	s.attemptedBackends = append(s.attemptedBackends, backend.ID)
 	s.openAttempts++
@@ -135,53 +135,53 @@
 		Attempt: n, ID: m.ID() + "." + attemptSuffix(n), Backend: backend,
 		Shard: shard, ShardCount: len(m.index.Shards), ShardMap: m.shardMap,
 		Timeout: left, Request: &m.request,
-		Retry: why == budgetedRetry || why == prepaidRetry, Replacement: why == replacementAttempt,
+		Retry: why == sendRetry || why == sendPrepaid, Replacement: why == sendReplacement,
 	})
 }
 
 // attemptSuffix tells the ids of a request's attempts apart.
 func attemptSuffix(n int) string { return string(rune('a'+n%26)) + string(rune('a'+n/26%26)) }
 
-// replyReceived takes the reply to an open attempt, and retries the shard where it may.
-func (m *StateMachine) replyReceived(now clock.Micros, v ReplyReceived) {
-	if v.Attempt >= len(m.attempts) || !m.attempts[v.Attempt].open {
+// attemptDone takes the result of an open attempt, and retries the shard where it may.
+func (m *StateMachine) attemptDone(now clock.Micros, done AttemptDone) {
+	if done.Attempt >= len(m.attempts) || !m.attempts[done.Attempt].open {
 		return
 	}
-	shard := m.attempts[v.Attempt].shard
+	shard := m.attempts[done.Attempt].shard
 	s := &m.shardRequests[shard]
-	m.closeAttempt(now, v.Attempt, v.Reply)
-	m.trace.replied(now, v.Attempt, v.Reply)
+	m.closeAttempt(now, done.Attempt, done.Result)
+	m.trace.ended(now, done.Attempt, done.Result)
 	if s.answered || s.missing {
 		return
 	}
-	switch v.Reply.Class {
-	case ReplyOK:
-		s.answered, s.records = true, v.Reply.Records
+	switch done.Result.Class {
+	case ClassOK:
+		s.answered, s.records = true, done.Result.Records
 		m.cancelShard(now, shard)
-	case ReplyNotFound:
+	case ClassNotFound:
 		m.finish(now, StateAnswered, Outcome{Code: CodeNotFound, Why: "no such record", Ran: ExecutionNone, Cut: m.shardMap, Shard: shard})
 		return
-	case ReplyNotWritten:
-		s.reason = string(v.Reply.Class)
+	case ClassNotSent:
+		s.reason = string(done.Result.Class)
 		s.unwritten++
-		m.retry(now, shard, replacementAttempt)
-	case ReplyRejected:
-		s.reason = string(v.Reply.Class)
-		m.retry(now, shard, budgetedRetry)
+		m.retry(now, shard, sendReplacement)
+	case ClassRejected:
+		s.reason = string(done.Result.Class)
+		m.retry(now, shard, sendRetry)
 	default:
-		s.reason = string(v.Reply.Class) + ": " + v.Reply.Reason
+		s.reason = string(done.Result.Class) + ": " + done.Result.Reason
 		if m.request.AtMostOnce() {
-			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and gave no whole answer: " + v.Reply.Reason, Shard: shard})
+			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and gave no whole answer: " + done.Result.Reason, Shard: shard})
 			return
 		}
-		m.retry(now, shard, budgetedRetry)
+		m.retry(now, shard, sendRetry)
 	}
-	m.finishIfDecided(now)
-	m.armTimer(now)
+	m.resolve(now)
+	m.scheduleTimer(now)
 }
 
 // retry sends another attempt for a shard if attempts and time are left.
-func (m *StateMachine) retry(now clock.Micros, shard int, why attemptReason) {
+func (m *StateMachine) retry(now clock.Micros, shard int, why sendReason) {
 	s := &m.shardRequests[shard]
 	m.refreshSnapshot()
 	if s.attempts-s.unwritten >= maxAttempts || now >= m.deadline {
@@ -205,7 +205,7 @@
 		}
 		s.reason = "no answer yet"
 		before := s.attempts
-		m.send(now, shard, budgetedRetry)
+		m.send(now, shard, sendRetry)
 		if s.attempts == before {
 			s.hedgeAt = m.deadline
 		}
@@ -228,12 +228,12 @@
 	if took := now - t.sentAt; took > gauge.Latency.Load() {
 		gauge.Latency.Store(gauge.Latency.Load() + (took-gauge.Latency.Load())/8)
 	}
-	m.closeAttempt(now, n, Reply{})
+	m.closeAttempt(now, n, Result{})
 	m.emit(Cancel{Attempt: n})
 }
 
-// closeAttempt ends an open attempt and updates its backend's gauge by the reply.
-func (m *StateMachine) closeAttempt(now clock.Micros, n int, r Reply) {
+// closeAttempt ends an open attempt and updates its backend's gauge by the result.
+func (m *StateMachine) closeAttempt(now clock.Micros, n int, result Result) {
 	t := &m.attempts[n]
 	if !t.open {
 		return
@@ -242,24 +242,24 @@
 	m.shardRequests[t.shard].openAttempts--
 	gauge := t.backend.Gauge
 	gauge.Outstanding.Add(-1)
-	if r.Incarnation > gauge.Incarnation.Load() {
-		gauge.Incarnation.Store(r.Incarnation)
+	if result.Incarnation > gauge.Incarnation.Load() {
+		gauge.Incarnation.Store(result.Incarnation)
 	}
-	switch r.Class {
-	case ReplyOK, ReplyNotFound:
+	switch result.Class {
+	case ClassOK, ClassNotFound:
 		gauge.Succeeded(now - t.sentAt)
-		gauge.Usage.Store(r.Load)
-	case ReplyInvalid:
+		gauge.Usage.Store(result.Load)
+	case ClassInvalid:
 		gauge.Corrupted(now)
 		m.dispatcher.Counts.Add("answers_garbage", 1)
-	case ReplyFailed, ReplyNotWritten, ReplyRejected:
+	case ClassFailed, ClassNotSent, ClassRejected:
 		gauge.Failed(now)
 	}
 }
 
-// recordLateReply takes a reply that came after the outcome; it still updates the gauge.
-func (m *StateMachine) recordLateReply(now clock.Micros, v ReplyReceived) {
-	if v.Attempt < len(m.attempts) {
-		m.closeAttempt(now, v.Attempt, v.Reply)
+// recordLateResult takes a result that came after the outcome; it still updates the gauge.
+func (m *StateMachine) recordLateResult(now clock.Micros, late AttemptDone) {
+	if late.Attempt < len(m.attempts) {
+		m.closeAttempt(now, late.Attempt, late.Result)
 	}
 }
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -64,25 +64,25 @@
 // State returns the state that the request is in.
 func (m *StateMachine) State() State { return m.state }
 
-// Finished reports whether the outcome has been given.
-func (m *StateMachine) Finished() bool { return m.finished }
+// Done reports whether the outcome has been given.
+func (m *StateMachine) Done() bool { return m.finished }
 
 // Step takes one event and returns the actions to carry out, in order.
 func (m *StateMachine) Step(now clock.Micros, event Event) []Action {
 	m.actions = nil
 	if m.finished {
-		if v, ok := event.(ReplyReceived); ok {
-			m.recordLateReply(now, v)
+		if v, ok := event.(AttemptDone); ok {
+			m.recordLateResult(now, v)
 		}
 		return nil
 	}
 	switch v := event.(type) {
-	case Start:
-		m.start(now)
+	case Begin:
+		m.begin(now)
 	case KeyChecked:
 		m.keyChecked(now, v.Admission)
-	case ReplyReceived:
-		m.replyReceived(now, v)
+	case AttemptDone:
+		m.attemptDone(now, v)
 	case TimerFired:
 		m.timerFired(now)
 	}
@@ -91,13 +91,13 @@
 
 func (m *StateMachine) transition(now clock.Micros, next State, detail string) {
 	m.state = next
-	m.trace.add(now, next, detail)
+	m.trace.transition(now, next, detail)
 }
 
 func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// start classifies the request and admits it by the limits. Where the snapshot is stale, it waits.
-func (m *StateMachine) start(now clock.Micros) {
+// begin classifies the request and admits it by the limits. Where the snapshot is stale, it waits.
+func (m *StateMachine) begin(now clock.Micros) {
 	m.snapshot = m.dispatcher.Snapshot()
 	if m.snapshot != nil && m.snapshot.Stale && now-m.startedAt < snapshot.MaxStale {
 		m.emit(SetTimer{At: now + staleRecheckInterval})
@@ -123,7 +123,7 @@
 		m.reject(now, CodeRateLimited, "the "+string(limit)+" of "+string(m.request.Kind)+" is used up", 1)
 		return
 	}
-	m.trace.add(now, StateAdmitted, string(limit))
+	m.trace.transition(now, StateAdmitted, string(limit))
 	if m.request.Key != "" {
 		m.requestAdmission(now)
 		return
@@ -146,20 +146,20 @@
 func (m *StateMachine) timerFired(now clock.Micros) {
 	switch m.state {
 	case StateRead:
-		m.start(now)
+		m.begin(now)
 	case StateClassified:
 		m.dispatcher.Counts.Add("shed_claims", 1)
 		m.reject(now, CodeUnavailable, ReasonTooFewKeyOwners+"no verdict in time", 1)
 	default:
 		m.refreshSnapshot()
 		m.hedgeSlow(now)
-		m.finishIfDecided(now)
-		m.armTimer(now)
+		m.resolve(now)
+		m.scheduleTimer(now)
 	}
 }
 
-// armTimer sets the timer to the next moment at which time alone changes what is to be done.
-func (m *StateMachine) armTimer(now clock.Micros) {
+// scheduleTimer sets the timer to the next moment at which time alone changes what is to be done.
+func (m *StateMachine) scheduleTimer(now clock.Micros) {
 	if m.finished {
 		return
 	}
--- a/request/search/state_machine_test.go
+++ b/request/search/state_machine_test.go
@@ -56,11 +56,11 @@
 }
 
 func TestCorrectionIsNotRetriedAfterWrite(t *testing.T) {
-	for _, class := range []ReplyClass{ReplyFailed, ReplyInvalid} {
+	for _, class := range []Class{ClassFailed, ClassInvalid} {
 		m := NewStateMachine(newTestDispatcher(newSnapshot(3, 2)), Request{Kind: KindCorrect, Index: "a", Record: "r"}, 0)
-		a := sends(m.Step(0, Start{}))
+		a := sends(m.Step(0, Begin{}))
 		must.Len(t, 1, a)
-		actions := m.Step(clock.Millisecond, ReplyReceived{Attempt: a[0].Attempt, Reply: Reply{Class: class, Reason: "reset"}})
+		actions := m.Step(clock.Millisecond, AttemptDone{Attempt: a[0].Attempt, Result: Result{Class: class, Reason: "reset"}})
 		must.SliceEmpty(t, sends(actions))
 		o := outcome(actions)
 		must.NotNil(t, o)
@@ -72,13 +72,13 @@
 func TestUnwrittenCorrectionIsSentToAnotherBackend(t *testing.T) {
 	d := newTestDispatcher(newSnapshot(3, 2))
 	m := NewStateMachine(d, Request{Kind: KindCorrect, Index: "a", Record: "r"}, 0)
-	first := sends(m.Step(0, Start{}))
-	second := sends(m.Step(clock.Millisecond, ReplyReceived{Attempt: 0, Reply: Reply{Class: ReplyNotWritten}}))
+	first := sends(m.Step(0, Begin{}))
+	second := sends(m.Step(clock.Millisecond, AttemptDone{Attempt: 0, Result: Result{Class: ClassNotSent}}))
 	must.Len(t, 1, second)
 	must.NotEq(t, first[0].Backend.ID, second[0].Backend.ID)
 	must.True(t, second[0].Replacement, must.Sprint("it adds nothing to the pool's traffic"))
 	must.Eq(t, 0, d.Counts.Of("extra_tries").Load())
-	third := sends(m.Step(2*clock.Millisecond, ReplyReceived{Attempt: 1, Reply: Reply{Class: ReplyRejected}}))
+	third := sends(m.Step(2*clock.Millisecond, AttemptDone{Attempt: 1, Result: Result{Class: ClassRejected}}))
 	must.Len(t, 1, third, must.Sprint("a server's own refusal did not run it"))
 	must.True(t, third[0].Retry)
 	must.Eq(t, 1, d.Counts.Of("extra_tries").Load())
@@ -86,7 +86,7 @@
 
 func TestCorrectionIsNotHedgedAndIsUnknownAtDeadline(t *testing.T) {
 	m := NewStateMachine(newTestDispatcher(newSnapshot(3, 2)), Request{Kind: KindPart, Index: "a", Record: "r", Deadline: 400 * clock.Millisecond}, 0)
-	m.Step(0, Start{})
+	m.Step(0, Begin{})
 	actions := m.Step(200*clock.Millisecond, TimerFired{})
 	must.SliceEmpty(t, sends(actions))
 	must.Nil(t, outcome(actions))
@@ -97,9 +97,9 @@
 
 func TestSearchFailsAtOnceBelowRequiredShare(t *testing.T) {
 	m := NewStateMachine(newTestDispatcher(newSnapshot(1, 4)), Request{Kind: KindSearch, Index: "a", Limit: 5}, 0)
-	m.Step(0, Start{})
-	must.Nil(t, outcome(m.Step(clock.Millisecond, ReplyReceived{Attempt: 0, Reply: Reply{Class: ReplyFailed}})), must.Sprint("three of four are still enough"))
-	o := outcome(m.Step(2*clock.Millisecond, ReplyReceived{Attempt: 1, Reply: Reply{Class: ReplyFailed}}))
+	m.Step(0, Begin{})
+	must.Nil(t, outcome(m.Step(clock.Millisecond, AttemptDone{Attempt: 0, Result: Result{Class: ClassFailed}})), must.Sprint("three of four are still enough"))
+	o := outcome(m.Step(2*clock.Millisecond, AttemptDone{Attempt: 1, Result: Result{Class: ClassFailed}}))
 	must.NotNil(t, o, must.Sprint("two of four never are: no waiting for the deadline"))
 	must.Eq(t, CodeGivenUp, o.Code)
 	must.Positive(t, o.Retry)
@@ -108,14 +108,14 @@
 func TestPartialSearchReportsMissingShards(t *testing.T) {
 	snap := newSnapshot(1, 4)
 	m := NewStateMachine(newTestDispatcher(snap), Request{Kind: KindSearch, Index: "a", Limit: 3}, 0)
-	a := sends(m.Step(0, Start{}))
+	a := sends(m.Step(0, Begin{}))
 	var actions []Action
 	for i, v := range a {
-		r := Reply{Class: ReplyOK, Records: []Record{{ID: fmt.Sprint("x", v.Shard), Score: int64(10 + v.Shard)}}}
+		r := Result{Class: ClassOK, Records: []Record{{ID: fmt.Sprint("x", v.Shard), Score: int64(10 + v.Shard)}}}
 		if i == 1 {
-			r = Reply{Class: ReplyFailed}
+			r = Result{Class: ClassFailed}
 		}
-		actions = m.Step(clock.Millisecond, ReplyReceived{Attempt: v.Attempt, Reply: r})
+		actions = m.Step(clock.Millisecond, AttemptDone{Attempt: v.Attempt, Result: r})
 	}
 	o := outcome(actions)
 	must.NotNil(t, o)
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -11,28 +11,28 @@
 
 // Trace is what is kept of one request. Its times count from the request's start.
 type Trace struct {
-	ID         string           `json:"inquiry"`
-	Kind       Kind             `json:"kind"`
-	Index      string           `json:"index"`
-	Record     string           `json:"record,omitempty"`
-	StartedAt  clock.Micros     `json:"-"`
-	Steps      []TraceStep      `json:"steps"`
-	Selections []TraceSelection `json:"picks"`
-	Outcome    Outcome          `json:"-"`
-	Latency    clock.Micros     `json:"took_us"`
+	ID          string         `json:"inquiry"`
+	Kind        Kind           `json:"kind"`
+	Index       string         `json:"index"`
+	Record      string         `json:"record,omitempty"`
+	StartedAt   clock.Micros   `json:"-"`
+	Transitions []Transition   `json:"steps"`
+	Attempts    []AttemptTrace `json:"picks"`
+	Outcome     Outcome        `json:"-"`
+	Duration    clock.Micros   `json:"took_us"`
 	// snapshot is what the request was decided by.
 	snapshot *snapshot.Snapshot
 }
 
-// TraceStep is a transition of the state machine.
-type TraceStep struct {
+// Transition is a transition of the state machine.
+type Transition struct {
 	At     clock.Micros `json:"at_us"`
 	State  State        `json:"state"`
 	Detail string       `json:"note,omitempty"`
 }
 
-// TraceSelection is one attempt and how its backend was selected.
-type TraceSelection struct {
+// AttemptTrace is one attempt and how its backend was selected.
+type AttemptTrace struct {
 	At        clock.Micros `json:"at_us"`
 	Attempt   int          `json:"n"`
 	Shard     int          `json:"shard"`
@@ -41,46 +41,46 @@
 	Tier      string       `json:"tier"`
 	WarmingUp bool         `json:"cold,omitempty"`
 	Retry     bool         `json:"again,omitempty"`
-	Reply     string       `json:"reply,omitempty"`
-	Latency   clock.Micros `json:"took_us,omitempty"`
+	Result    string       `json:"reply,omitempty"`
+	Duration  clock.Micros `json:"took_us,omitempty"`
 }
 
 func newTrace(id string, request *Request, now clock.Micros) *Trace {
 	return &Trace{
 		ID: id, Kind: request.Kind, Index: request.Index, Record: request.Record,
-		StartedAt: now, Steps: make([]TraceStep, 0, 12),
+		StartedAt: now, Transitions: make([]Transition, 0, 12),
 	}
 }
 
-func (t *Trace) add(now clock.Micros, s State, detail string) {
-	t.Steps = append(t.Steps, TraceStep{At: now - t.StartedAt, State: s, Detail: detail})
+func (t *Trace) transition(now clock.Micros, s State, detail string) {
+	t.Transitions = append(t.Transitions, Transition{At: now - t.StartedAt, State: s, Detail: detail})
 }
 
-func (t *Trace) selected(now clock.Micros, attempt, shard int, s Selection, retry bool) {
-	t.Selections = append(t.Selections, TraceSelection{
+func (t *Trace) sent(now clock.Micros, attempt, shard int, s Selection, retry bool) {
+	t.Attempts = append(t.Attempts, AttemptTrace{
 		At: now - t.StartedAt, Attempt: attempt, Shard: shard, Backend: s.Backend.ID,
 		Sampled: s.Sampled, Tier: s.Tier, WarmingUp: s.WarmingUp, Retry: retry,
 	})
 }
 
-func (t *Trace) replied(now clock.Micros, attempt int, r Reply) {
-	if attempt >= len(t.Selections) {
+func (t *Trace) ended(now clock.Micros, attempt int, r Result) {
+	if attempt >= len(t.Attempts) {
 		return
 	}
-	s := &t.Selections[attempt]
-	s.Reply, s.Latency = string(r.Class), now-t.StartedAt-s.At
+	s := &t.Attempts[attempt]
+	s.Result, s.Duration = string(r.Class), now-t.StartedAt-s.At
 	if r.Reason != "" {
-		s.Reply += ": " + r.Reason
+		s.Result += ": " + r.Reason
 	}
 }
 
-// traceSlots is how many requests of a node a trace ring can hold.
-const traceSlots = 2048
+// traceRingSize is how many requests of a node a trace ring can hold.
+const traceRingSize = 2048
 
 // TraceRing keeps the traces of a node's last requests for explain. A request's id gives its slot,
 // so that keeping a trace costs one store.
 type TraceRing struct {
-	slots [traceSlots]atomic.Pointer[Trace]
+	slots [traceRingSize]atomic.Pointer[Trace]
 }
 
 func newTraceRing() *TraceRing { return &TraceRing{} }
@@ -89,12 +89,12 @@
 func slotOf(id string) (uint64, bool) {
 	i := strings.LastIndexByte(id, '-')
 	n, err := strconv.ParseUint(id[i+1:], 16, 64)
-	return n % traceSlots, i >= 0 && err == nil
+	return n % traceRingSize, i >= 0 && err == nil
 }
 
 // put keeps the trace of a finished request, without the records of its outcome.
 func (r *TraceRing) put(t *Trace, now clock.Micros, o Outcome) {
-	t.Latency = now - t.StartedAt
+	t.Duration = now - t.StartedAt
 	o.Records = nil
 	t.Outcome = o
 	if slot, ok := slotOf(t.ID); ok {
