--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -1,6 +1,3 @@
-// Exchanges that come to no end by themselves: silence, cancels, and what is not
-// wanted any more.
-
 package backend
 
 import (
@@ -11,16 +8,17 @@
 
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
 func TestSilentBackendTimesOut(t *testing.T) {
-	over := make(chan bool)
-	f := newFakeBackend(t, func(*receivedRequest) bool { <-over; return false })
-	defer close(over)
+	done := make(chan bool)
+	f := newFakeBackend(t, func(*receivedRequest) bool { <-done; return false })
+	defer close(done)
 	cl := newTestClient(t, Config{})
 	a := f.attemptOnce("a")
-	a.Timeout = 20_000
+	a.Timeout = 20 * clock.Millisecond
 	rep := run(t, cl, a, dispatch.ClassFailed)
 	must.True(t, rep.TimedOut)
 	must.Eq(t, "timed out", rep.Reason)
@@ -28,7 +26,7 @@
 	must.Eq(t, 0, cl.open.Load())
 }
 
-// TestCancelClosesTheConnection shows the backend that the request is not wanted any more.
+// TestCancelClosesTheConnection notifies the backend by the end of the connection.
 func TestCancelClosesTheConnection(t *testing.T) {
 	enter, ended := make(chan bool), make(chan error, 1)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -45,17 +43,17 @@
 	x.Cancel()
 	rep := <-back
 	must.Eq(t, dispatch.ClassFailed, rep.Class)
-	must.False(t, rep.TimedOut, must.Sprint("the backend is not to blame"))
+	must.False(t, rep.TimedOut, must.Sprint("it is not the backend's failure"))
 	must.Error(t, <-ended)
 }
 
 func TestCancelWhileDialing(t *testing.T) {
-	// A listener whose queue is full answers no further handshake.
+	// Nobody accepts the connection.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
 	cl := newTestClient(t, Config{})
-	a := dispatch.Send{Backend: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: l.Addr().String()}}, Timeout: 20_000_000, Request: &dispatch.Request{Method: "GET"}}
+	a := dispatch.Send{Backend: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: l.Addr().String()}}, Timeout: 20 * clock.Second, Request: &dispatch.Request{Method: "GET"}}
 	x := cl.Start(a)
 	x.Cancel()
 	rep := x.Run()
@@ -63,13 +61,13 @@
 	must.Eq(t, 0, cl.open.Load())
 }
 
-// TestAbandonedExchangeIsNotWritten writes nothing that is not wanted any more, and does not disturb what was written.
+// TestAbandonedExchangeIsNotWritten writes no abandoned request, and leaves one that was written undisturbed.
 func TestAbandonedExchangeIsNotWritten(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		enter <- true
 		<-leave
-		c.write(c.good("whole"))
+		c.write(c.good("complete"))
 		return true
 	})
 	cl := newTestClient(t, Config{})
@@ -81,7 +79,7 @@
 	leave <- true
 	rep := <-back
 	must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
-	must.Eq(t, "whole", string(rep.Body))
+	must.Eq(t, "complete", string(rep.Body))
 
 	x = cl.Start(f.attempt("b"))
 	x.Abandon()
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -1,6 +1,3 @@
-// Connections that die, are forgotten, carry what nobody asked for, or are too
-// many: what was not written is known to be unwritten, and the rest is not.
-
 package backend
 
 import (
@@ -14,10 +11,12 @@
 	"wallport/api/routingpb"
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
+// run runs an attempt and expects a class of result.
 func run(t *testing.T, cl *Client, a dispatch.Send, class dispatch.Class) dispatch.Result {
 	t.Helper()
 	rep := cl.Start(a).Run()
@@ -25,7 +24,7 @@
 	return rep
 }
 
-// TestIdleConnectionClosedByBackend has the backend close an idle connection: the next request goes on a new one.
+// TestIdleConnectionClosedByBackend sends the next request on a new connection.
 func TestIdleConnectionClosedByBackend(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return c.n > 1 })
@@ -38,27 +37,27 @@
 	must.Eq(t, 1, f.times("b"))
 }
 
-// TestLateSurplus has a surplus answer come while the connection is idle: it is not read as the next one.
+// TestLateSurplus does not take a response that arrives on an idle connection for that to the next request.
 func TestLateSurplus(t *testing.T) {
-	go2 := make(chan bool)
+	surplus := make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write(c.good("right"))
 		if c.n == 1 {
-			<-go2
+			<-surplus
 			c.write(responseTo("b", "surplus"))
 		}
 		return true
 	})
 	cl := newTestClient(t, Config{})
 	run(t, cl, f.attemptOnce("a"), dispatch.ClassResponse)
-	go2 <- true
+	surplus <- true
 	readable(t, idleConn(t, cl))
 	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassResponse)
 	must.Eq(t, "right", string(rep.Body))
 	must.False(t, rep.ReusedConn)
 }
 
-// TestSurplusIsNotTakenForNextResponse has it come only once the next request was written.
+// TestSurplusIsNotTakenForNextResponse has a second response arrive only after the next request was written.
 func TestSurplusIsNotTakenForNextResponse(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n == 2 {
@@ -75,7 +74,7 @@
 	must.False(t, run(t, cl, f.attemptOnce("c"), dispatch.ClassResponse).ReusedConn)
 }
 
-// TestResetOnReuse has the backend reset a reused connection after it read the request.
+// TestResetOnReuse has the backend reset a reused connection after it read the request, which may have run then.
 func TestResetOnReuse(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n == 2 {
@@ -90,12 +89,12 @@
 	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassFailed)
 	must.True(t, rep.ReusedConn)
 	must.False(t, rep.TimedOut)
-	must.Eq(t, 1, f.times("b"), must.Sprint("nothing is repeated here"))
+	must.Eq(t, 1, f.times("b"), must.Sprint("this package does not retry"))
 	must.Eq(t, 1, f.connections())
 }
 
-// TestNotExecutedReplyWithoutID does not take a promise on a reused connection for a request that may run once: it may be
-// the word on an earlier one.
+// TestNotExecutedReplyWithoutID: on a reused connection such a response may be that to an earlier request, so that
+// it is not believed for a request that must not run twice.
 func TestNotExecutedReplyWithoutID(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n%2 == 1 {
@@ -152,7 +151,7 @@
 	must.NoError(t, l.Close())
 	f := &fakeBackend{}
 	cl := newTestClient(t, Config{})
-	a := dispatch.Send{Backend: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20_000_000, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
+	a := dispatch.Send{Backend: &snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: addr}}, Timeout: 20 * clock.Second, AtMostOnce: true, Request: &dispatch.Request{Method: "GET"}}
 	for range 3 {
 		rep := run(t, cl, a, dispatch.ClassNotSent)
 		must.StrContains(t, rep.Reason, "refused")
@@ -162,7 +161,7 @@
 	must.Eq(t, 0, f.connections())
 }
 
-// TestConnectionLimitIsShared holds no more connections than this node's part, and says so without asking.
+// TestConnectionLimitIsShared opens no more connections than this node's share, and says so without dialing.
 func TestConnectionLimitIsShared(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -172,7 +171,7 @@
 		return true
 	})
 	cl := newTestClient(t, Config{NodeCount: func() int { return 4 }})
-	must.Eq(t, 1, cl.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("never none"))
+	must.Eq(t, 1, cl.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("one at least"))
 	must.Eq(t, defaultMaxConnections, cl.connectionLimit(&snapshot.Pool{}))
 	back := make(chan dispatch.Result, 2)
 	for _, id := range []string{"a", "b"} {
@@ -181,7 +180,7 @@
 	}
 	rep := run(t, cl, f.attempt("c"), dispatch.ClassNotSent)
 	must.Eq(t, reasonNoConnection, rep.Reason)
-	must.True(t, rep.ReusedConn, must.Sprint("no failure of the backend's"))
+	must.True(t, rep.ReusedConn, must.Sprint("it is not the backend's failure"))
 	leave <- true
 	leave <- true
 	for range 2 {
@@ -191,7 +190,7 @@
 	must.Eq(t, 0, f.times("c"))
 }
 
-// TestKeepAliveTimeout leaves a connection alone once the backend may close it at any moment.
+// TestKeepAliveTimeout does not use a connection that the backend may close at any moment.
 func TestKeepAliveTimeout(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write("HTTP/1.1 200 OK\r\nTry-Id: " + c.req.Header.Get("Try-Id") + "\r\nStamp: s\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n")
@@ -208,7 +207,7 @@
 	must.Eq(t, 1, cl.open.Load())
 }
 
-// TestAddressReusedByAnotherBackend keeps no connection of one backend for another that has its address.
+// TestAddressReusedByAnotherBackend uses no connection of one backend for another that has got its address.
 func TestAddressReusedByAnotherBackend(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{})
@@ -219,7 +218,7 @@
 	must.Eq(t, 2, f.connections())
 }
 
-// TestCloseAfterUse has a backend whose connections are too few to be kept idle by every node.
+// TestCloseAfterUse has a backend with too few connections for every node to keep an idle one.
 func TestCloseAfterUse(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -1,7 +1,6 @@
-// What an exchange costs the processor: a client of this package against a lean server,
-// and the same bytes by bare writes and reads against the same server. Half of the bare
-// cost is the server's, so the node's cost is exchange less half of bare; it is told as
-// processor time of the process, which other programs on the machine disturb little.
+// The benchmarks compare an exchange with a lean backend to bare writes and reads of the same bytes. Half
+// of the bare cost is the backend's, so the node's cost is that of the exchange less half of the bare one.
+// It is measured as processor time of the process, which other programs on the machine disturb little.
 
 package backend
 
--- a/request/backend/exchange_test.go
+++ b/request/backend/exchange_test.go
@@ -1,6 +1,3 @@
-// Each thing that a backend can do, the class that it gets, whether the
-// connection is used again, and that nothing is ever written twice.
-
 package backend
 
 import (
@@ -18,29 +15,29 @@
 func TestClasses(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTry-Id: a\r\nStamp: s\r\n"
 	for _, c := range []struct {
-		name, answer string
-		class        dispatch.Class
-		keep         bool
-		why          string
+		name, response string
+		class          dispatch.Class
+		keep           bool
+		why            string
 	}{
-		{"whole", head + "Content-Length: 2\r\n\r\nhi", dispatch.ClassResponse, true, ""},
+		{"complete", head + "Content-Length: 2\r\n\r\nhi", dispatch.ClassResponse, true, ""},
 		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=y\r\ni\r\n0\r\nTail: 1\r\n\r\n", dispatch.ClassResponse, true, ""},
-		{"an own failure with a seal", "HTTP/1.1 500 No\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
-		{"503 without a promise", "HTTP/1.1 503 No\r\nTry-Id: a\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
+		{"a failure of its own with a seal", "HTTP/1.1 500 No\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
+		{"503 without Did-Not-Run", "HTTP/1.1 503 No\r\nTry-Id: a\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
 		{"interim first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + head + "Content-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
 		{"no content", "HTTP/1.1 204 None\r\nTry-Id: a\r\nStamp: s\r\n\r\n", dispatch.ClassResponse, true, ""},
-		{"leaving", head + "Connection: close\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
+		{"connection closes", head + "Connection: close\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
 		{"older protocol", "HTTP/1.0 200 OK\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
 		{"surplus", head + "Content-Length: 2\r\n\r\nhi" + head + "Content-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
 		{"surplus bytes", head + "Content-Length: 2\r\n\r\nhi!", dispatch.ClassResponse, false, ""},
-		{"kept for no time", head + "Keep-Alive: timeout=0\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
+		{"no keep-alive time", head + "Keep-Alive: timeout=0\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
 		{"full", "HTTP/1.1 503 Full\r\nTry-Id: a\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", dispatch.ClassRejected, true, "turned away"},
 		{"full, no id", "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", dispatch.ClassRejected, false, "turned away"},
 		{"another backend", "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", dispatch.ClassRejected, false, "another backend"},
 		{"cut body", head + "Content-Length: 3\r\n\r\nhi", dispatch.ClassFailed, false, "unexpected EOF"},
 		{"cut head", head, dispatch.ClassFailed, false, "unexpected EOF"},
 		{"cut chunks", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", dispatch.ClassFailed, false, "unexpected EOF"},
-		{"silence and an end", "", dispatch.ClassFailed, false, "unexpected EOF"},
+		{"no response", "", dispatch.ClassFailed, false, "unexpected EOF"},
 		{"another request's", "HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "another request's answer"},
 		{"two ids", "HTTP/1.1 200 OK\r\nTry-Id: a\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "another request's answer"},
 		{"no id", "HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "an answer without the request's id"},
@@ -51,9 +48,9 @@
 		{"no length", head + "\r\nhi", dispatch.ClassInvalid, false, "an answer without a length"},
 		{"two lengths", head + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi", dispatch.ClassInvalid, false, `http: message cannot contain multiple Content-Length headers; got ["2" "3"]`},
 		{"length and chunks", head + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", dispatch.ClassInvalid, false, "a length and chunks"},
-		{"length of words", head + "Content-Length: two\r\n\r\nhi", dispatch.ClassInvalid, false, `bad Content-Length "two"`},
+		{"length that is no number", head + "Content-Length: two\r\n\r\nhi", dispatch.ClassInvalid, false, `bad Content-Length "two"`},
 		{"signed length", head + "Content-Length: +2\r\n\r\nhi", dispatch.ClassInvalid, false, `bad Content-Length "+2"`},
-		{"huge", head + "Content-Length: 99999999999\r\n\r\nhi", dispatch.ClassInvalid, false, "answer too large"},
+		{"too large", head + "Content-Length: 99999999999\r\n\r\nhi", dispatch.ClassInvalid, false, "answer too large"},
 		{"unknown transfer encoding", head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", dispatch.ClassInvalid, false, `unsupported transfer encoding: "gzip, chunked"`},
 		{"bad chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", dispatch.ClassInvalid, false, "invalid byte in chunk length"},
 		{"chunk too long", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n0\r\n\r\n", dispatch.ClassInvalid, false, "malformed chunked encoding"},
@@ -70,7 +67,7 @@
 			cut := c.class == dispatch.ClassFailed
 			f := newFakeBackend(t, func(k *receivedRequest) bool {
 				if k.n == 1 {
-					k.write(c.answer)
+					k.write(c.response)
 					return !cut
 				}
 				k.write(k.good("second"))
@@ -123,7 +120,7 @@
 	must.StrContains(t, string(cl.Start(a).appendRequest(nil, 1_000_000)), "Content-Length: 0\r\n\r\n")
 }
 
-// TestLargeBodies has more to write than the kernel takes at once, and an answer as large.
+// TestLargeBodies writes more than the kernel accepts at once, and reads a response as large.
 func TestLargeBodies(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good(string(c.body))); return true })
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -1,6 +1,3 @@
-// A backend for tests that answers as it is told to, byte by byte, and keeps
-// what it was sent. It reads requests with net/http's parser.
-
 package backend
 
 import (
@@ -19,11 +16,12 @@
 	"wallport/api/routingpb"
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// receivedRequest is one request at the fake, the nth of all, on the connth of its connections.
+// receivedRequest is a request that the fake received: number n of all, on its connection number conn.
 type receivedRequest struct {
 	n, conn int
 	c       *net.TCPConn
@@ -33,7 +31,7 @@
 
 func (c *receivedRequest) write(s string) { io.WriteString(c.c, s) }
 
-// arrived waits until more has come on the call's connection, and leaves it unread.
+// arrived waits until more has arrived on the request's connection, and leaves it unread.
 func (c *receivedRequest) arrived() {
 	raw, err := c.c.SyscallConn()
 	if err != nil {
@@ -48,7 +46,7 @@
 	return err != unix.EAGAIN
 }
 
-// good is a whole answer to a call.
+// good returns a complete response to the request.
 func (c *receivedRequest) good(body string) string {
 	return responseTo(c.req.Header.Get("Try-Id"), body)
 }
@@ -57,12 +55,13 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nTry-Id: %s\r\nStamp: s-%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
 }
 
+// fakeBackend is a backend that reads requests with net/http and responds byte by byte as a test says.
 type fakeBackend struct {
 	l     *net.TCPListener
 	serve func(c *receivedRequest) (keep bool)
-	// accepted, where it is set, is told of each connection before anything is read from it.
+	// accepted, if set, is called with each connection before anything is read from it.
 	accepted func(c *net.TCPConn)
-	// resetAfter, above 0, is after how many bytes of a body a connection is reset.
+	// resetAfter, if above 0, is the number of bytes of a body after which the connection is reset.
 	resetAfter atomic.Int64
 	mu         sync.Mutex
 	calls      []*receivedRequest
@@ -70,6 +69,7 @@
 }
 
 func newFakeBackend(t *testing.T, serve func(c *receivedRequest) bool) *fakeBackend {
+	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	must.NoError(t, err)
 	f := &fakeBackend{l: l, serve: serve}
@@ -126,7 +126,7 @@
 	f.calls = append(f.calls, c)
 }
 
-// times is how often a request was read.
+// times returns how often a request was received.
 func (f *fakeBackend) times(id string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,7 +162,7 @@
 
 func (f *fakeBackend) attempt(id string) dispatch.Send {
 	return dispatch.Send{
-		Backend: f.backend(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, Timeout: 20_000_000,
+		Backend: f.backend(), Pool: &snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 10}}, Timeout: 20 * clock.Second,
 		Request: &dispatch.Request{ID: id, Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Header: []byte("Try-Id: " + id + "\r\n")},
 	}
 }
@@ -173,7 +173,7 @@
 	return a
 }
 
-// idleConn is the one idle connection of a client.
+// idleConn returns the one idle connection of a client.
 func idleConn(t *testing.T, cl *Client) *conn {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -190,7 +190,7 @@
 	return found
 }
 
-// readable waits until something can be read from a connection, be it its end.
+// readable waits until a connection has something to read, or has ended.
 func readable(t *testing.T, c *conn) {
 	must.NoError(t, c.sys.Read(somethingToRead))
 }
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -1,6 +1,3 @@
-// What a request that may run once meets on its connection: it is written to one connection,
-// once, and only what is certain not to have been read is told as not sent.
-
 package backend
 
 import (
@@ -15,7 +12,7 @@
 	"wallport/request/dispatch"
 )
 
-// greeter does something to each new connection before anything was asked, when it is let go.
+// greeter does something to each new connection before a request arrives, when the test lets it.
 type greeter struct {
 	*fakeBackend
 	begin, done chan bool
@@ -35,8 +32,7 @@
 	return g
 }
 
-// dial gives a connection on which what was sent before any request has come, as a client may
-// have it that has just made it.
+// dial returns a new connection on which the bytes sent before any request have arrived.
 func (g *greeter) dial(t *testing.T, cl *Client) *conn {
 	t.Helper()
 	_, pool, room := cl.acquire(g.backend(), 1)
@@ -49,8 +45,8 @@
 	return c
 }
 
-// TestNewConnectionClosedByBackend has the backend end a connection before anything was written to
-// it, as one does that has too many: the request has not been read and may go elsewhere.
+// TestNewConnectionClosedByBackend has the backend close a connection before anything was written to it, as
+// one does that has too many: the request was not sent and may go elsewhere.
 func TestNewConnectionClosedByBackend(t *testing.T) {
 	for name, greet := range map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.CloseWrite() },
@@ -69,8 +65,8 @@
 	}
 }
 
-// TestResponseBeforeRequest has a promise, and an answer that bears the request's own id, come
-// before anything was asked: they answer nothing, and the request is not written there.
+// TestResponseBeforeRequest has responses arrive before the request, one of them with the request's own id:
+// they are no response to it, and the request is not written there.
 func TestResponseBeforeRequest(t *testing.T) {
 	for name, answer := range map[string]string{
 		"promise": "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -89,8 +85,8 @@
 	}
 }
 
-// TestFreezeBeforeWrite has the process freeze after it has decided to write, and wake up when the
-// request's time is over, or knowing that it was frozen.
+// TestFreezeBeforeWrite freezes the process after it has decided to write. It thaws when the request's time
+// is over, or notices the freeze.
 func TestFreezeBeforeWrite(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		var looks, thaws atomic.Int64
@@ -103,7 +99,7 @@
 		if reused {
 			run(t, cl, f.attemptOnce("first"), dispatch.ClassResponse)
 		}
-		// The first look is before the request is made up, the second right before its write.
+		// The first check is before the request is assembled, the second right before its write.
 		frozenAt = looks.Load() + 2
 		rep := run(t, cl, f.attemptOnce("a"), dispatch.ClassNotSent)
 		must.Eq(t, "the process was frozen", rep.Reason)
@@ -114,7 +110,7 @@
 	}
 }
 
-// TestDeadlinePassesBeforeWrite wakes up without a word of a freeze, past the request's time.
+// TestDeadlinePassesBeforeWrite goes on after the request's time without a noticed freeze.
 func TestDeadlinePassesBeforeWrite(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	var x *Exchange
@@ -131,8 +127,8 @@
 	must.Eq(t, 0, f.times("a"))
 }
 
-// TestResponseAfterDeadline has the answer come when its time is over: it is nobody's, and the
-// connection that it comes on is not used again.
+// TestResponseAfterDeadline has the response arrive too late: it belongs to no request, and its connection is
+// not used again.
 func TestResponseAfterDeadline(t *testing.T) {
 	late, wrote := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -159,8 +155,8 @@
 	must.Eq(t, 2, f.connections())
 }
 
-// TestBodyPartlyWritten has the backend end the connection when it has read a part of a body that
-// the kernel does not take at once: it may have run.
+// TestBodyPartlyWritten has the backend close the connection after a part of a body that the kernel does not
+// accept at once: the request may have run.
 func TestBodyPartlyWritten(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
@@ -179,8 +175,8 @@
 	}
 }
 
-// TestInterimAfterResponse leaves a connection alone on which something follows the answer, be it
-// only an interim answer, whether it comes with it or later.
+// TestInterimAfterResponse does not use a connection again on which anything follows the response, even an
+// interim response, together with it or later.
 func TestInterimAfterResponse(t *testing.T) {
 	const interim = "HTTP/1.1 100 Continue\r\n\r\n"
 	for _, later := range []bool{false, true} {
@@ -211,15 +207,15 @@
 	}
 }
 
-// TestBackendClosesWhenReused has the backend close a connection that it let be idle in the moment
-// in which the next request arrives: whether that was read cannot be told.
+// TestBackendClosesWhenReused has the backend close an idle connection just when the next request arrives:
+// the request may have run.
 func TestBackendClosesWhenReused(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write(c.good(""))
 		if c.n > 1 {
 			return true
 		}
-		// Something has arrived: it is thrown away unread, as by an idle timer that was due.
+		// The request has arrived and is discarded unread, as by an idle timer that was due.
 		c.arrived()
 		return false
 	})
--- a/request/backend/response_test.go
+++ b/request/backend/response_test.go
@@ -1,6 +1,3 @@
-// The reading of answers: however the bytes are split, the same; and whatever
-// they are, nothing is taken for an answer that net/http would not take.
-
 package backend
 
 import (
@@ -13,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fragmentReader gives bytes in pieces of some size, as a connection would, and then no more.
+// fragmentReader returns bytes in fragments of a size, as a connection may, and then no more.
 type fragmentReader struct {
 	b    []byte
 	size int
@@ -30,7 +27,8 @@
 	return n, nil
 }
 
-// feed reads one answer of bytes in pieces; rest is how many were left in the buffer, end that more were asked for than there are.
+// feed reads one response from bytes in fragments; rest is how many were left in the buffer, and end is set
+// if more were read than there are.
 func feed(b []byte, size int) (resp *http.Response, body []byte, rest int, end bool, err error) {
 	p := &fragmentReader{b: b, size: size}
 	r := bufio.NewReaderSize(p, MaxHeadBytes)
@@ -63,7 +61,7 @@
 	}
 }
 
-// FuzzResponse holds what is taken for a whole answer to what net/http takes for one: the same.
+// FuzzResponse compares what is accepted as a complete response with what net/http accepts as one.
 func FuzzResponse(f *testing.F) {
 	for _, s := range answers {
 		f.Add([]byte(s), 3)
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -1,5 +1,5 @@
-// What one request costs the process: clients and backends are another
-// process, so that its processor time and allocations are the node's alone.
+// The benchmarks run clients and backends in another process, so that the processor time and the
+// allocations of this one are the node's alone.
 
 package gateway
 
--- a/request/gateway/connections_test.go
+++ b/request/gateway/connections_test.go
@@ -1,5 +1,3 @@
-// The connections of clients over changes of the limits, and over requests that take long.
-
 package gateway
 
 import (
@@ -20,9 +18,9 @@
 		c.send(get("a"))
 		c.readResponse("GET")
 	}
-	w.s.connections.mu.Lock()
-	defer w.s.connections.mu.Unlock()
-	must.Between(t, 1, len(w.s.connections.httpServers), 2)
+	w.server.connections.mu.Lock()
+	defer w.server.connections.mu.Unlock()
+	must.Between(t, 1, len(w.server.connections.httpServers), 2)
 }
 
 // How long a client may take to take its answer counts from when there is one.
--- a/request/gateway/driver_test.go
+++ b/request/gateway/driver_test.go
@@ -1,6 +1,3 @@
-// The driver: asks in parallel, early ones, those that are left or cancelled,
-// clients that go, and freezes. What may run once is written once.
-
 package gateway
 
 import (
@@ -15,37 +12,38 @@
 	"wallport/runtime/wire"
 )
 
-// blockedBackend makes the backend hold each request until it is let go, by its ask's path.
+// blockedBackend is a backend that blocks each request until the test lets it go on, by its path.
 type blockedBackend struct {
 	enter     chan string
 	leave     map[string]chan bool
 	abandoned chan string
 }
 
+// block makes the backend block requests for the paths.
 func (w *world) block(paths ...string) *blockedBackend {
-	h := &blockedBackend{enter: make(chan string, 10), leave: map[string]chan bool{}, abandoned: make(chan string, 10)}
+	blocked := &blockedBackend{enter: make(chan string, 10), leave: map[string]chan bool{}, abandoned: make(chan string, 10)}
 	for _, p := range paths {
-		h.leave[p] = make(chan bool, 1)
+		blocked.leave[p] = make(chan bool, 1)
 	}
 	w.t.Cleanup(func() {
-		for _, c := range h.leave {
+		for _, c := range blocked.leave {
 			close(c)
 		}
 	})
-	w.serve = func(rw http.ResponseWriter, r *http.Request) {
-		h.enter <- r.URL.Path
+	w.handleBackend = func(rw http.ResponseWriter, r *http.Request) {
+		blocked.enter <- r.URL.Path
 		select {
-		case <-h.leave[r.URL.Path]:
+		case <-blocked.leave[r.URL.Path]:
 			rw.Write([]byte(r.URL.Path))
 		case <-r.Context().Done():
-			h.abandoned <- r.URL.Path
+			blocked.abandoned <- r.URL.Path
 		}
 	}
-	return h
+	return blocked
 }
 
-// to is an ask with a path of its own, so that the backend can tell it from others.
-func (s *script) to(n int, path string, once bool) dispatch.Send {
+// attemptTo returns an attempt with a path of its own, by which the backend can tell it from others.
+func (s *script) attemptTo(n int, path string, once bool) dispatch.Send {
 	a := s.attempt(n, once)
 	req := *a.Request
 	req.Target = path
@@ -57,7 +55,7 @@
 	for _, warm := range []bool{false, true} {
 		w := newWorld(t, nil)
 		if warm {
-			// With an idle connection, the client's goroutine carries out the first ask itself.
+			// With an idle connection, the client's goroutine runs the first attempt itself.
 			c := w.dial()
 			c.send(get("warm"))
 			c.readResponse("GET")
@@ -66,9 +64,9 @@
 		w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 			switch v := ev.(type) {
 			case dispatch.Begin:
-				return []dispatch.Action{s.to(0, "/first", false), dispatch.SetTimer{At: w.now() + 20_000}}
+				return []dispatch.Action{s.attemptTo(0, "/first", false), dispatch.SetTimer{At: w.now() + 20_000}}
 			case dispatch.TimerFired:
-				return []dispatch.Action{s.to(1, "/second", false)}
+				return []dispatch.Action{s.attemptTo(1, "/second", false)}
 			case dispatch.AttemptDone:
 				if v.N == 1 {
 					return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 200, Response: &v.Result})}
@@ -78,14 +76,14 @@
 		}
 		c := w.dial()
 		c.send(get("a"))
-		// Both are at work before either is answered. Which one the backend's own goroutines take
-		// up first is up to the machine: each comes on a connection of its own.
+		// Both attempts are at the backend before either has a response. Their order there is not
+		// determined: each has a connection of its own.
 		must.SliceContainsAll(t, []string{"/first", "/second"}, []string{<-h.enter, <-h.enter})
 		h.leave["/second"] <- true
 		resp, body := c.readResponse("GET")
 		must.Eq(t, 200, resp.StatusCode)
 		must.Eq(t, "/second", body)
-		// The one that was left runs out, and the chart hears of it.
+		// The abandoned attempt runs out, and the state machine is told its result.
 		h.leave["/first"] <- true
 		for {
 			if r := await[dispatch.AttemptDone](w); r.N == 0 && string(r.Result.Body) == "/first" {
@@ -96,23 +94,23 @@
 	}
 }
 
-// TestGatheredResponse asks several at once and ends with what is there.
+// TestGatheredResponse sends several attempts at once and responds before all of them have a result.
 func TestGatheredResponse(t *testing.T) {
 	w := newWorld(t, nil)
 	paths := []string{"/0", "/1", "/2", "/3", "/4", "/5"}
 	h := w.block(paths...)
-	w.step = func(s *script, ev dispatch.Event) (acts []dispatch.Action) {
+	w.step = func(s *script, ev dispatch.Event) (actions []dispatch.Action) {
 		switch v := ev.(type) {
 		case dispatch.Begin:
 			for n, p := range paths {
-				acts = append(acts, s.to(n, p, false))
+				actions = append(actions, s.attemptTo(n, p, false))
 			}
 		case dispatch.AttemptDone:
 			if len(w.events[s.req.ID]) == 4 {
 				return []dispatch.Action{dispatch.Cancel{N: 4}, dispatch.Cancel{N: 5}, dispatch.Abandon{N: 3}, finish(dispatch.Outcome{Status: 200, Seals: []string{"x"}, Missing: 3, Body: v.Result.Body})}
 			}
 		}
-		return acts
+		return actions
 	}
 	c := w.dial()
 	c.send(get("a"))
@@ -124,25 +122,25 @@
 	}
 	resp, _ := c.readResponse("GET")
 	must.Eq(t, "3", resp.Header.Get("Parts-Missing"))
-	gone := map[string]bool{<-h.abandoned: true, <-h.abandoned: true}
-	must.Eq(t, map[string]bool{"/4": true, "/5": true}, gone, must.Sprint("cancelled ones are broken off"))
+	canceled := map[string]bool{<-h.abandoned: true, <-h.abandoned: true}
+	must.Eq(t, map[string]bool{"/4": true, "/5": true}, canceled, must.Sprint("the cancelled attempts are aborted"))
 	h.leave["/3"] <- true
 	for {
 		if r := await[dispatch.AttemptDone](w); r.N == 3 {
-			must.Eq(t, dispatch.ClassResponse, r.Result.Class, must.Sprint("the one that was left is not"))
+			must.Eq(t, dispatch.ClassResponse, r.Result.Class, must.Sprint("the abandoned attempt is not"))
 			return
 		}
 	}
 }
 
-// TestClientDisconnects tells the chart at the next moment that it is woken.
+// TestClientDisconnects tells the state machine that the client has closed its connection.
 func TestClientDisconnects(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.block("/once", "/again")
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		switch ev.(type) {
 		case dispatch.Begin:
-			return []dispatch.Action{s.to(0, "/once", true), s.to(1, "/again", false), dispatch.SetTimer{At: w.now() + 1000}}
+			return []dispatch.Action{s.attemptTo(0, "/once", true), s.attemptTo(1, "/again", false), dispatch.SetTimer{At: w.now() + 1000}}
 		case dispatch.TimerFired:
 			return []dispatch.Action{dispatch.SetTimer{At: w.now() + 1000}}
 		case dispatch.ClientGone:
@@ -167,10 +165,10 @@
 	}
 }
 
-// TestExchangeFailures gives the chart what became of each ask, and nothing is written twice.
+// TestExchangeFailures tells the state machine the result of each failed attempt, and retries nothing itself.
 func TestExchangeFailures(t *testing.T) {
 	w := newWorld(t, nil)
-	w.serve = func(rw http.ResponseWriter, r *http.Request) {
+	w.handleBackend = func(rw http.ResponseWriter, r *http.Request) {
 		conn, _, _ := http.NewResponseController(rw).Hijack()
 		if r.Header.Get("Try-Id") == "cut" {
 			conn.Write([]byte("HTTP/1.1 200 OK\r\nTry-Id: cut\r\nStamp: s\r\nContent-Length: 100\r\n\r\nhalf"))
@@ -179,13 +177,13 @@
 	}
 	nobody := snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: freeAddr(t)}}
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
-		acts := forwardOnce(s, ev)
+		actions := forwardOnce(s, ev)
 		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "nobody" {
-			a := acts[0].(dispatch.Send)
+			a := actions[0].(dispatch.Send)
 			a.Backend = &nobody
 			return []dispatch.Action{a}
 		}
-		return acts
+		return actions
 	}
 	c := w.dial()
 	for _, id := range []string{"cut", "closed"} {
@@ -201,7 +199,7 @@
 	must.Len(t, 2, w.requests())
 }
 
-// TestConnectionIsAbortedWithoutOutcome closes the connection where there is nothing to say.
+// TestConnectionIsAbortedWithoutOutcome closes the connection if the outcome has no status.
 func TestConnectionIsAbortedWithoutOutcome(t *testing.T) {
 	w := newWorld(t, nil)
 	w.step = func(*script, dispatch.Event) []dispatch.Action {
@@ -212,7 +210,7 @@
 	c.ends()
 }
 
-// TestRequestIsDecidedAfterThaw lets no event reach a chart before the table is fresh again.
+// TestRequestIsDecidedAfterThaw delivers no event to a state machine before the snapshot is fresh again.
 func TestRequestIsDecidedAfterThaw(t *testing.T) {
 	var frozen atomic.Bool
 	thaw := make(chan bool)
@@ -227,7 +225,7 @@
 	frozen.Store(true)
 	c := w.dial()
 	c.send(get("a"))
-	must.Eq(t, 0, len(w.told))
+	must.Eq(t, 0, len(w.delivered))
 	thaw <- true
 	c.readResponse("GET")
 
@@ -235,8 +233,8 @@
 	c.send(get("b"))
 	<-h.enter
 	frozen.Store(true)
-	for len(w.told) > 0 {
-		<-w.told
+	for len(w.delivered) > 0 {
+		<-w.delivered
 	}
 	h.leave["/a"] <- true
 	thaw <- true
--- a/request/gateway/limits_test.go
+++ b/request/gateway/limits_test.go
@@ -1,6 +1,3 @@
-// The limits of the routing table in force: borne generously, changed at run
-// time, and refused in words.
-
 package gateway
 
 import (
@@ -84,7 +81,7 @@
 func TestSlowBodyTimesOut(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 5", "Transfer-Encoding: chunked"} {
 		w := newWorld(t, nil)
-		w.s.bodyTimeout = 0
+		w.server.bodyTimeout = 0
 		w.limits(&routingpb.Limits{HeaderTimeoutUs: 1})
 		c := w.dial()
 		c.send("POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n" + framing + "\r\n\r\n1\r\n")
@@ -98,7 +95,7 @@
 // TestBodyBytesAreBounded refuses a body, before it is read, while others hold too much, and takes the next.
 func TestBodyBytesAreBounded(t *testing.T) {
 	w := newWorld(t, nil)
-	w.s.maxBodyBytes = 100
+	w.server.maxBodyBytes = 100
 	h := w.block("/a")
 	post := func(framing string) string {
 		return "POST /a HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n" + framing + "\r\n\r\n"
@@ -129,7 +126,7 @@
 	c := w.dial()
 	c.send(get("a"))
 	c.readResponse("GET")
-	w.cp.Store(nil)
+	w.snapshot.Store(nil)
 	c.send(get("b"))
 	resp, _ := c.readResponse("GET")
 	must.Eq(t, 503, resp.StatusCode)
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -1,7 +1,3 @@
-// A request that may run once, from a client's bytes to a backend's and back, with the product's own
-// chart: it reaches one backend once, whatever becomes of it there, and the client is told that it
-// has not run only where a backend gave its word for that.
-
 package gateway
 
 import (
@@ -18,44 +14,48 @@
 	"wallport/control/routing"
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 )
 
-// longUs is a time that no test takes, briefUs one that a silent backend is to reach.
+// longTimeout is one that no test reaches, briefTimeout one that a silent backend reaches.
 const (
-	longUs  = 20_000_000
-	briefUs = 250_000
+	longTimeout  = 20 * clock.Second
+	briefTimeout = 250 * clock.Millisecond
 )
 
-// newOnceWorld has routes whose requests may run once and a pool of two backends, both at the
-// world's one address.
+// newOnceWorld returns a world with the product's own state machine, routes that are not idempotent, and a
+// pool of two backends, both at the one address of the world's backend.
 func newOnceWorld(t *testing.T) *world {
+	t.Helper()
 	config := &routingpb.RoutingTable{
 		Revision: 1,
 		Routes: []*routingpb.Route{
-			{Name: "long", Host: "h", Prefix: "/", TimeoutUs: longUs, MaxBackends: 3, Pool: "desk"},
-			{Name: "brief", Host: "h", Prefix: "/brief/", TimeoutUs: briefUs, MaxBackends: 3, Pool: "desk"},
+			{Name: "long", Host: "h", Prefix: "/", TimeoutUs: longTimeout, MaxBackends: 3, Pool: "desk"},
+			{Name: "brief", Host: "h", Prefix: "/brief/", TimeoutUs: briefTimeout, MaxBackends: 3, Pool: "desk"},
 		},
 		Pools:  []*routingpb.Pool{{Name: "desk", MaxConnections: 10}},
 		Limits: &routingpb.Limits{},
 	}
 	w := newWorld(t, func(w *world, c *Config) {
-		desk := dispatch.NewDispatcher(dispatch.Config{Snapshot: w.cp.Load, Counts: w.counts, Seed: 1, StartedAt: w.now(), Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60, Window: 10_000_000}})
-		c.NewStateMachine = func(r dispatch.Request, now int64) StateMachine { return dispatch.NewStateMachine(desk, r, now) }
+		dispatcher := dispatch.NewDispatcher(dispatch.Config{Snapshot: w.snapshot.Load, Counts: w.counts, Seed: 1, StartedAt: w.now(), Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60, Window: 10 * clock.Second}})
+		c.NewStateMachine = func(r dispatch.Request, now clock.Micros) StateMachine {
+			return dispatch.NewStateMachine(dispatcher, r, now)
+		}
 	})
 	compiled := routing.Compile(config)
 	gauges := &snapshot.Gauges{}
 	pool := &snapshot.Pool{Pool: compiled.Pools["desk"]}
 	for i := range 2 {
-		s := w.server
+		s := w.backend
 		s.ID = fmt.Sprintf("i-%d", i+1)
 		s.Gauge = gauges.Of(s.ID)
 		pool.Backends = append(pool.Backends, &s)
 	}
-	w.cp.Store(&snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Routing: compiled, Pools: map[string]*snapshot.Pool{"desk": pool}})
+	w.snapshot.Store(&snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Routing: compiled, Pools: map[string]*snapshot.Pool{"desk": pool}})
 	return w
 }
 
-// times is how often a backend was sent a request.
+// times returns how often a request was sent to a backend.
 func (w *world) times(id string) (n int) {
 	for _, r := range w.requests() {
 		if r.head.Get("Try-Id") == id {
@@ -69,7 +69,8 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: h\r\nTry-Id: " + id + "\r\nContent-Length: 3\r\n\r\nabc"
 }
 
-// rawResponse has the backend write bytes in place of an answer, and end the connection if cut is set.
+// rawResponse returns a handler that writes bytes in place of a response and then closes the connection,
+// if reset is set, or stays silent.
 func rawResponse(bytes string, reset bool) func(http.ResponseWriter, *http.Request) {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(rw).Hijack()
@@ -81,13 +82,13 @@
 			conn.Close()
 			return
 		}
-		// Until the other side ends it.
+		// Until the node closes the connection.
 		io.Copy(io.Discard, conn)
 		conn.Close()
 	}
 }
 
-func resets(rw http.ResponseWriter, _ *http.Request) {
+func resetConnection(rw http.ResponseWriter, _ *http.Request) {
 	conn, _, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
 		return
@@ -98,14 +99,14 @@
 
 func TestRequestThatMayHaveRunReachesOneBackend(t *testing.T) {
 	const long, brief = "/a", "/brief/a"
-	const whole = "Try-Id: ID\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi"
+	const headerAndBody = "Try-Id: ID\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi"
 	for _, c := range []struct {
 		name   string
 		serve  func(http.ResponseWriter, *http.Request)
 		path   string
 		status int
 	}{
-		{"reset", resets, long, 502},
+		{"reset", resetConnection, long, 502},
 		{"closed", rawResponse("", true), long, 502},
 		{"silence", rawResponse("", false), brief, 504},
 		{"cut head", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: ID\r\n", true), long, 502},
@@ -116,11 +117,11 @@
 		{"another request's", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
 		{"no id", rawResponse("HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
 		{"no seal", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: ID\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
-		{"503 without a promise", rawResponse("HTTP/1.1 503 Busy\r\n"+whole, true), long, 502},
-		{"429 without a promise", rawResponse("HTTP/1.1 429 Busy\r\n"+whole, true), long, 502},
-		{"408 without a promise", rawResponse("HTTP/1.1 408 Late\r\n"+whole, true), long, 502},
-		{"its own failure", rawResponse("HTTP/1.1 500 Oh\r\n"+whole, true), long, 500},
-		{"a promise about a success", rawResponse("HTTP/1.1 200 OK\r\nDid-Not-Run: 1\r\n"+whole, true), long, 200},
+		{"503 without Did-Not-Run", rawResponse("HTTP/1.1 503 Busy\r\n"+headerAndBody, true), long, 502},
+		{"429 without Did-Not-Run", rawResponse("HTTP/1.1 429 Busy\r\n"+headerAndBody, true), long, 502},
+		{"408 without Did-Not-Run", rawResponse("HTTP/1.1 408 Late\r\n"+headerAndBody, true), long, 502},
+		{"its own failure", rawResponse("HTTP/1.1 500 Oh\r\n"+headerAndBody, true), long, 500},
+		{"a success with Did-Not-Run", rawResponse("HTTP/1.1 200 OK\r\nDid-Not-Run: 1\r\n"+headerAndBody, true), long, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newOnceWorld(t)
@@ -129,13 +130,13 @@
 			client.send(post(c.path, "a"))
 			resp, _ := client.readResponse("POST")
 			if c.path == brief {
-				// Whoever notices first that the time is over: neither is a promise.
+				// The node or the backend may notice the timeout first: neither says that the request did not run.
 				must.SliceContains(t, []int{502, 504}, resp.StatusCode)
 			} else {
 				must.Eq(t, c.status, resp.StatusCode)
 			}
-			must.Eq(t, 1, w.times("a"), must.Sprint("to one backend, once"))
-			// Its connection is not used again, and the next is served as if nothing had been.
+			must.Eq(t, 1, w.times("a"), must.Sprint("one attempt, at one backend"))
+			// Its connection is not used again, and the next request is served.
 			w.setHandler(func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, "right") })
 			client.send(post(long, "b"))
 			resp, body := client.readResponse("POST")
@@ -146,22 +147,22 @@
 	}
 }
 
-// TestNotExecutedReplyIsRetriedElsewhere tries the other backend on a backend's word, and tells the client so
-// where both gave it.
+// TestNotExecutedReplyIsRetriedElsewhere retries at the other backend if one says that the request did not
+// run, and tells the client so if both do.
 func TestNotExecutedReplyIsRetriedElsewhere(t *testing.T) {
-	const promise = "HTTP/1.1 503 Full\r\nTry-Id: ID\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+	const notExecuted = "HTTP/1.1 503 Full\r\nTry-Id: ID\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	w := newOnceWorld(t)
 	client := w.dial()
 	for i := range 60 {
-		// A second arrival is paid from what is saved.
+		// They fill the retry budget.
 		client.send(post("/a", fmt.Sprint("saved-", i)))
 		client.readResponse("POST")
 	}
-	w.setHandler(rawResponse(promise, true))
+	w.setHandler(rawResponse(notExecuted, true))
 	client.send(post("/a", "a"))
 	resp, _ := client.readResponse("POST")
 	must.Eq(t, 503, resp.StatusCode)
-	must.Eq(t, 2, w.times("a"), must.Sprint("one arrival at each backend"))
+	must.Eq(t, 2, w.times("a"), must.Sprint("one attempt at each backend"))
 	seen := map[string]bool{}
 	for _, r := range w.requests()[60:] {
 		seen[r.head.Get("Meant-For")] = true
--- a/request/gateway/peer_test.go
+++ b/request/gateway/peer_test.go
@@ -1,5 +1,4 @@
-// The other process of the benchmarks: backends that answer at once, and
-// clients.
+// The other process of the benchmarks: backends that respond at once, and clients.
 
 package gateway
 
--- a/request/gateway/request_test.go
+++ b/request/gateway/request_test.go
@@ -1,6 +1,3 @@
-// What goes on to a backend, and what comes back from it: unchanged but for
-// what concerns one connection only.
-
 package gateway
 
 import (
@@ -17,7 +14,7 @@
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	w := newWorld(t, nil)
-	w.serve = func(rw http.ResponseWriter, _ *http.Request) {
+	w.handleBackend = func(rw http.ResponseWriter, _ *http.Request) {
 		h := rw.Header()
 		h.Set("X-Own", "v")
 		h.Set("Content-Type", "a/b")
@@ -172,7 +169,7 @@
 func TestLargeResponse(t *testing.T) {
 	w := newWorld(t, nil)
 	big := strings.Repeat("0123456789abcdef", 1<<17)
-	w.serve = func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, big) }
+	w.handleBackend = func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, big) }
 	c := w.dial()
 	for range 2 {
 		c.send(get("a"))
--- a/request/gateway/smuggle_test.go
+++ b/request/gateway/smuggle_test.go
@@ -1,7 +1,3 @@
-// Nothing hides inside a request: what could be read in two ways is refused, or
-// read in the one way in which it goes on, and nothing after it is read as a
-// request.
-
 package gateway
 
 import (
--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -1,5 +1,3 @@
-// Readiness, and the planned stop: no request that was read is lost.
-
 package gateway
 
 import (
@@ -18,9 +16,12 @@
 
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 )
 
+// freeAddr returns a free address.
 func freeAddr(t *testing.T) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -33,7 +34,7 @@
 	w := newWorld(t, func(w *world, c *Config) {
 		c.ReadinessAddr = freeAddr(t)
 		addr = c.ReadinessAddr
-		c.Ready = func() bool { return force.Load() && w.cp.Load().Ready() }
+		c.Ready = func() bool { return force.Load() && w.snapshot.Load().Ready() }
 	})
 	status := func(path string) int {
 		resp, err := http.Get("http://" + addr + path)
@@ -43,33 +44,33 @@
 	}
 	must.Eq(t, 503, status("/ready"))
 	must.Eq(t, 404, status("/other"))
-	must.Eq(t, "", w.s.Addr(), must.Sprint("nobody is served before the node is ready"))
+	must.Eq(t, "", w.server.Addr(), must.Sprint("no client is served before the node is ready"))
 	force.Store(true)
 	must.Eq(t, 200, status("/ready"))
 	c := w.dial()
 	c.send(get("a"))
 	c.readResponse("GET")
-	w.cp.Store(&snapshot.Snapshot{})
+	w.snapshot.Store(&snapshot.Snapshot{})
 	must.Eq(t, 503, status("/ready"))
 }
 
 func TestStopBeforeReadiness(t *testing.T) {
 	w := newWorld(t, func(_ *world, c *Config) { c.Ready = func() bool { return false } })
-	w.s.Stop()
-	must.Eq(t, "", w.s.Addr())
+	w.server.Stop()
+	must.Eq(t, "", w.server.Addr())
 }
 
-// TestStopFinishesRequestsInFlight answers what was read, on a connection that is closed then, and gives up those that rest.
+// TestStopFinishesRequestsInFlight responds to what was read, closes its connection then, and closes idle ones at once.
 func TestStopFinishesRequestsInFlight(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.block("/a")
-	rests, works := w.dial(), w.dial()
-	works.send(get("a"))
+	idle, active := w.dial(), w.dial()
+	active.send(get("a"))
 	<-h.enter
 	stopped := make(chan bool)
-	go func() { w.s.Stop(); close(stopped) }()
-	rests.ends()
-	_, err := net.Dial("tcp", w.s.Addr())
+	go func() { w.server.Stop(); close(stopped) }()
+	idle.ends()
+	_, err := net.Dial("tcp", w.server.Addr())
 	must.Error(t, err)
 	select {
 	case <-stopped:
@@ -77,22 +78,22 @@
 	default:
 	}
 	h.leave["/a"] <- true
-	resp, body := works.readResponse("GET")
+	resp, body := active.readResponse("GET")
 	must.Eq(t, "/a", body)
 	must.True(t, resp.Close)
-	works.ends()
+	active.ends()
 	<-stopped
 }
 
-// TestStopKeepsAcceptingAtFirst serves new connections as well for a while, and says that each answer is the last.
+// TestStopKeepsAcceptingAtFirst serves new connections for a while; each response is the last on its connection.
 func TestStopKeepsAcceptingAtFirst(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 300_000 })
+	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 300 * clock.Millisecond })
 	old := w.dial()
 	old.send(get("a"))
 	resp, _ := old.readResponse("GET")
 	must.False(t, resp.Close)
-	go w.s.Stop()
-	for !w.s.draining.Load() {
+	go w.server.Stop()
+	for !w.server.draining.Load() {
 		runtime.Gosched()
 	}
 	fresh := w.dial()
@@ -105,13 +106,12 @@
 	}
 }
 
-// TestStopWaitsForAbandonedExchanges waits for an ask that a chart has left.
 func TestStopWaitsForAbandonedExchanges(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.block("/left")
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		if _, ok := ev.(dispatch.Begin); ok {
-			return []dispatch.Action{s.to(0, "/left", false), dispatch.SetTimer{At: w.now() + 1000}}
+			return []dispatch.Action{s.attemptTo(0, "/left", false), dispatch.SetTimer{At: w.now() + 1000}}
 		}
 		return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 504, Code: "given_up"})}
 	}
@@ -120,33 +120,34 @@
 	<-h.enter
 	c.readResponse("GET")
 	stopped := make(chan bool)
-	go func() { w.s.Stop(); close(stopped) }()
+	go func() { w.server.Stop(); close(stopped) }()
 	c.ends()
 	h.leave["/left"] <- true
 	<-stopped
-	must.Eq(t, 0, w.s.exchanges.Load())
+	must.Eq(t, 0, w.server.exchanges.Load())
 	must.Eq(t, 0, len(h.abandoned))
 }
 
-// TestStopAbortsAtEndOfGrace ends in its time though a backend does not answer; the answer does not look complete.
+// TestStopAbortsAtEndOfGrace ends in time although a backend does not respond; the client gets no response that
+// looks complete.
 func TestStopAbortsAtEndOfGrace(t *testing.T) {
 	w := newWorld(t, func(_ *world, c *Config) { c.GracePeriod = 1 })
 	h := w.block("/a")
 	c := w.dial()
 	c.send(get("a"))
 	<-h.enter
-	w.s.Stop()
+	w.server.Stop()
 	c.ends()
 }
 
-// TestStopUnderLoadLosesNothing counts, over many clients that come and go while a node stops, the requests that a backend got
-// and those whose clients got a whole answer: none is lost.
+// TestStopUnderLoadLosesNothing compares the requests that a backend received with those whose clients got
+// a complete response, with many clients that come and go while the node stops.
 func TestStopUnderLoadLosesNothing(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 100_000 })
+	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 100 * clock.Millisecond })
 	addr := w.dial().RemoteAddr().String()
 	var clients sync.WaitGroup
 	var mu sync.Mutex
-	whole := map[string]bool{}
+	complete := map[string]bool{}
 	begun := make(chan bool, 1000)
 	for n := range 16 {
 		clients.Go(func() {
@@ -172,7 +173,7 @@
 				}
 				if err == nil && resp.Header.Get("Stamp") == "s."+id {
 					mu.Lock()
-					whole[id] = true
+					complete[id] = true
 					mu.Unlock()
 				}
 				select {
@@ -190,27 +191,27 @@
 		<-begun
 	}
 	go func() {
-		for range w.told {
+		for range w.delivered {
 		}
 	}()
-	w.s.Stop()
+	w.server.Stop()
 	clients.Wait()
-	must.Eq(t, 0, w.s.inFlight.Load())
+	must.Eq(t, 0, w.server.inFlight.Load())
 	got := w.requests()
 	for _, s := range got {
-		must.True(t, whole[s.head.Get("Try-Id")], must.Sprint(s.head.Get("Try-Id"), " was lost"))
+		must.True(t, complete[s.head.Get("Try-Id")], must.Sprint(s.head.Get("Try-Id"), " was lost"))
 	}
-	must.Eq(t, len(got), len(whole))
+	must.Eq(t, len(got), len(complete))
 	t.Logf("%d requests, none lost", len(got))
 }
 
-// A stop cuts nothing before the last sixth of the grace, in which a backend still at work excuses it.
+// TestStopEndsInLastSixthOfGrace aborts nothing before the last sixth of the grace period.
 func TestStopEndsInLastSixthOfGrace(t *testing.T) {
-	began := time.Unix(100, 0)
+	start := time.Unix(100, 0)
 	for _, grace := range []time.Duration{2 * time.Second, 3 * time.Second, 6 * time.Second, 30 * time.Second} {
-		end := shutdownDeadline(began, grace).Sub(began)
+		end := shutdownDeadline(start, grace).Sub(start)
 		must.GreaterEq(t, grace-grace/6, end, must.Sprint(grace))
 		must.Less(t, grace, end, must.Sprint(grace))
 	}
-	must.Eq(t, time.Second, shutdownDeadline(began, 0).Sub(began))
+	must.Eq(t, time.Second, shutdownDeadline(start, 0).Sub(start))
 }
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -1,6 +1,3 @@
-// A server with scripted charts, a backend that is net/http's, and clients
-// that write and read bytes.
-
 package gateway
 
 import (
@@ -24,40 +21,41 @@
 	"wallport/request/backend"
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
 var testNames = Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", Target: "Meant-For", ShardSeals: "Stamps", MissingShards: "Parts-Missing", ReadinessPath: "/ready"}
 
-// script is a chart that does as it is told; step is called with what the chart was given so far.
+// script is a scripted state machine: its step function returns the actions for each event.
 type script struct {
-	w    *world
-	req  dispatch.Request
-	step func(s *script, ev dispatch.Event) []dispatch.Action
-	over bool
+	w        *world
+	req      dispatch.Request
+	step     func(s *script, ev dispatch.Event) []dispatch.Action
+	finished bool
 }
 
-func (s *script) Done() bool { return s.over }
+func (s *script) Done() bool { return s.finished }
 
-func (s *script) Step(_ int64, ev dispatch.Event) []dispatch.Action {
+func (s *script) Step(_ clock.Micros, ev dispatch.Event) []dispatch.Action {
 	s.w.record(s.req.ID, ev)
-	acts := s.step(s, ev)
-	for _, a := range acts {
-		if _, ok := a.(dispatch.Finish); ok {
-			s.over = true
+	actions := s.step(s, ev)
+	for _, action := range actions {
+		if _, ok := action.(dispatch.Finish); ok {
+			s.finished = true
 		}
 	}
-	return acts
+	return actions
 }
 
 func (s *script) attempt(n int, once bool) dispatch.Send {
-	return dispatch.Send{N: n, Backend: &s.w.server, Timeout: 20_000_000, AtMostOnce: once, Request: &s.req}
+	return dispatch.Send{N: n, Backend: &s.w.backend, Timeout: 20 * clock.Second, AtMostOnce: once, Request: &s.req}
 }
 
 func finish(o dispatch.Outcome) dispatch.Finish { return dispatch.Finish{Outcome: o} }
 
-// forwardOnce asks once and passes on what comes.
+// forwardOnce sends one attempt and responds with its result.
 func forwardOnce(s *script, ev dispatch.Event) []dispatch.Action {
 	switch v := ev.(type) {
 	case dispatch.Begin:
@@ -71,64 +69,66 @@
 	return nil
 }
 
-// seen is a request at the backend.
-type seen struct {
+// receivedRequest is a request at the backend.
+type receivedRequest struct {
 	method, uri, host, body string
 	head                    http.Header
 }
 
+// world is a server with scripted state machines and a backend that is an httptest.Server.
 type world struct {
-	t      *testing.T
-	s      *Server
-	server snapshot.Backend
-	cp     atomic.Pointer[snapshot.Snapshot]
-	now    func() int64
-	step   func(s *script, ev dispatch.Event) []dispatch.Action
-	serve  func(w http.ResponseWriter, r *http.Request)
-	counts *kernel.Counts
-
-	mu     sync.Mutex
-	seen   []seen
-	events map[string][]dispatch.Event
-	told   chan dispatch.Event
-}
-
-// setHandler has the backend serve in another way from now on.
+	t             *testing.T
+	server        *Server
+	backend       snapshot.Backend
+	snapshot      atomic.Pointer[snapshot.Snapshot]
+	now           func() clock.Micros
+	step          func(s *script, ev dispatch.Event) []dispatch.Action
+	handleBackend func(w http.ResponseWriter, r *http.Request)
+	counts        *kernel.Counts
+
+	mu        sync.Mutex
+	received  []receivedRequest
+	events    map[string][]dispatch.Event
+	delivered chan dispatch.Event
+}
+
+// setHandler replaces the handler of the backend.
 func (w *world) setHandler(serve func(http.ResponseWriter, *http.Request)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.serve = serve
+	w.handleBackend = serve
 }
 
 func (w *world) backendHandler() func(http.ResponseWriter, *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.serve
+	return w.handleBackend
 }
 
 func newWorld(t *testing.T, change func(w *world, c *Config)) *world {
-	w := &world{t: t, step: forwardOnce, events: map[string][]dispatch.Event{}, told: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
-	w.serve = func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") }
+	t.Helper()
+	w := &world{t: t, step: forwardOnce, events: map[string][]dispatch.Event{}, delivered: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
+	w.handleBackend = func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") }
 	b := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.mu.Lock()
-		w.seen = append(w.seen, seen{r.Method, r.RequestURI, r.Host, string(body), r.Header})
+		w.received = append(w.received, receivedRequest{r.Method, r.RequestURI, r.Host, string(body), r.Header})
 		w.mu.Unlock()
 		rw.Header().Set("Try-Id", r.Header.Get("Try-Id"))
 		rw.Header().Set("Stamp", "s."+r.Header.Get("Try-Id"))
 		w.backendHandler()(rw, r)
 	}))
 	t.Cleanup(b.Close)
-	w.server = snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: b.Listener.Addr().String()}}
+	w.backend = snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: b.Listener.Addr().String()}}
 	w.limits(&routingpb.Limits{})
-	began := time.Now()
-	w.now = func() int64 { return time.Since(began).Microseconds() }
+	start := time.Now()
+	w.now = func() clock.Micros { return time.Since(start).Microseconds() }
 	cl := backend.New(backend.Config{Counts: w.counts, Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotExecuted: "Did-Not-Run"}})
 	t.Cleanup(cl.Close)
 	c := Config{
-		ClientAddr: "127.0.0.1:0", Names: testNames, Log: zap.NewNop(), Counts: w.counts, Backends: cl, Snapshot: w.cp.Load,
-		Now: func() int64 { return w.now() }, GracePeriod: 30_000_000, AcceptTime: 1,
-		NewStateMachine: func(r dispatch.Request, _ int64) StateMachine {
+		ClientAddr: "127.0.0.1:0", Names: testNames, Log: zap.NewNop(), Counts: w.counts, Backends: cl, Snapshot: w.snapshot.Load,
+		Now: func() clock.Micros { return w.now() }, GracePeriod: 30 * clock.Second, AcceptTime: 1,
+		NewStateMachine: func(r dispatch.Request, _ clock.Micros) StateMachine {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			return &script{w: w, req: r, step: w.step}
@@ -138,39 +138,39 @@
 		change(w, &c)
 	}
 	var err error
-	w.s, err = Open(c)
+	w.server, err = Open(c)
 	must.NoError(t, err)
-	t.Cleanup(w.s.Stop)
+	t.Cleanup(w.server.Stop)
 	return w
 }
 
 func (w *world) limits(l *routingpb.Limits) {
-	w.cp.Store(&snapshot.Snapshot{Complete: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
+	w.snapshot.Store(&snapshot.Snapshot{Complete: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
 }
 
 func (w *world) record(id string, ev dispatch.Event) {
 	w.mu.Lock()
 	w.events[id] = append(w.events[id], ev)
 	w.mu.Unlock()
-	w.told <- ev
+	w.delivered <- ev
 }
 
-// await waits for a chart's event of a kind.
+// await waits for an event of a type at a state machine.
 func await[E dispatch.Event](w *world) E {
 	for {
-		if ev, ok := (<-w.told).(E); ok {
+		if ev, ok := (<-w.delivered).(E); ok {
 			return ev
 		}
 	}
 }
 
-func (w *world) requests() []seen {
+func (w *world) requests() []receivedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]seen(nil), w.seen...)
+	return append([]receivedRequest(nil), w.received...)
 }
 
-// wire is a client's connection.
+// wireConn is a client's connection.
 type wireConn struct {
 	w *world
 	t *testing.T
@@ -178,22 +178,25 @@
 	r *bufio.Reader
 }
 
+// dial opens a client's connection once the server listens.
 func (w *world) dial() *wireConn {
-	for w.s.Addr() == "" {
+	w.t.Helper()
+	for w.server.Addr() == "" {
 		runtime.Gosched()
 	}
-	c, err := net.Dial("tcp", w.s.Addr())
+	c, err := net.Dial("tcp", w.server.Addr())
 	must.NoError(w.t, err)
 	w.t.Cleanup(func() { c.Close() })
 	return &wireConn{w, w.t, c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
 func (c *wireConn) send(s string) {
+	c.t.Helper()
 	_, err := io.WriteString(c, s)
 	must.NoError(c.t, err)
 }
 
-// readResponse reads one answer.
+// readResponse reads one response.
 func (c *wireConn) readResponse(method string) (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
@@ -203,7 +206,7 @@
 	return resp, string(body)
 }
 
-// next is the connection for the next request: another one where the answer was the last.
+// next returns the connection for the next request: another one if the response was the last on this one.
 func (c *wireConn) next(resp *http.Response) *wireConn {
 	c.t.Helper()
 	if resp.Close {
@@ -213,14 +216,14 @@
 	return c
 }
 
-// ends tells that nothing more comes.
+// ends expects that the server closes the connection without sending more.
 func (c *wireConn) ends() {
 	c.t.Helper()
 	rest, _ := io.ReadAll(c.r)
 	must.Eq(c.t, "", string(rest))
 }
 
-// get is a whole request.
+// get returns a complete request.
 func get(id string, more ...string) string {
 	return "GET /a?b HTTP/1.1\r\nHost: h\r\nTry-Id: " + id + "\r\n" + strings.Join(more, "") + "\r\n"
 }
