--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -102,9 +102,9 @@
 	})
 }
 
-// updateListing takes what a snapshot says of the backend. startedAt is when this process started. It is called
+// update takes what a snapshot says of the backend. startedAt is when this process started. It is called
 // by one goroutine at a time.
-func (b *backend) updateListing(snap *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Backend, startedAt clock.Micros) {
+func (b *backend) update(snap *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Backend, startedAt clock.Micros) {
 	firstListed := b.listedAt.Load() == 0
 	b.listedAt.Store(max(1, snap.At))
 	if s.Slots > 0 && b.slots.Load() == 0 {
--- a/request/dispatch/bench_test.go
+++ b/request/dispatch/bench_test.go
@@ -1,10 +1,12 @@
-// What a request costs a node beside HTTP.
+// The cost of a request on a node without HTTP.
 
 package dispatch
 
 import (
 	"fmt"
 	"testing"
+
+	"wallport/runtime/clock"
 )
 
 func BenchmarkGathered(b *testing.B) {
@@ -21,7 +23,7 @@
 				replies[i].Seal, replies[i].Body = fmt.Sprintf("3e1b.07.5a2.600.0.c9f2a4%02d", i), body
 				replies[i].Load = LoadReport{Running: 1, Queued: 0, Slots: 2, Known: true}
 			}
-			now := int64(startTime)
+			now := clock.Micros(startTime)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 1000
@@ -41,7 +43,7 @@
 func BenchmarkSingle(b *testing.B) {
 	f := newFixture(1, 19)
 	r := success("body")
-	now := int64(startTime)
+	now := clock.Micros(startTime)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 1000
--- a/request/dispatch/deployments_test.go
+++ b/request/dispatch/deployments_test.go
@@ -1,4 +1,4 @@
-// Deployments of other sizes.
+// The rules in deployments of other sizes.
 
 package dispatch
 
@@ -19,7 +19,7 @@
 // pausingDeployment is one whose backends pause for long.
 func pausingDeployment(seed uint64) deployment {
 	s := largeDeployment(seed)
-	s.nodes, s.pause, s.deskBackends, s.allowance, s.clientLink = 72, 190_000, 8, 184, 1_000
+	s.nodes, s.pauseLength, s.poolBackends, s.allowance, s.clientLink = 72, 190_000, 8, 184, 1_000
 	return s
 }
 
--- a/request/dispatch/dispatcher_test.go
+++ b/request/dispatch/dispatcher_test.go
@@ -1,4 +1,4 @@
-// A desk under many threads, deadlines, and what the node's own state does to requests.
+// A dispatcher under concurrent requests, deadlines, and what the node's own state does to requests.
 
 package dispatch
 
@@ -9,6 +9,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 )
 
 func TestDispatcherServesConcurrentRequests(t *testing.T) {
@@ -52,7 +53,7 @@
 
 func TestAdmissionRejectsUnderLag(t *testing.T) {
 	f := newFixture(4, 4)
-	refused := func(late int64) (n int) {
+	refused := func(late clock.Micros) (n int) {
 		for range 100 {
 			for range 10 {
 				f.lag.record(startTime, late)
@@ -107,7 +108,7 @@
 	must.Between(t, 1, sent, 6)
 }
 
-func TestDeadlineLeavesNetworkAllowance(t *testing.T) {
+func TestDeadlineKeepsNetworkAllowance(t *testing.T) {
 	m := newFixture(2, 4).stateMachine("once")
 	m.Step(startTime, Begin{})
 	o := outcomeOf(m.Step(startTime+498_000, TimerFired{}))
--- a/request/dispatch/ejection_test.go
+++ b/request/dispatch/ejection_test.go
@@ -1,4 +1,4 @@
-// A backend whose address has gone to another one: its answer is proof, and one is enough.
+// A backend whose address another one has taken over: one response of the other is proof.
 
 package dispatch
 
@@ -6,6 +6,8 @@
 	"testing"
 
 	"github.com/shoenig/test/must"
+
+	"wallport/runtime/clock"
 )
 
 // wrongBackendResult is the answer of another backend at the address.
@@ -13,7 +15,8 @@
 	return Result{Class: ClassRejected, Status: 421, WrongBackend: true}
 }
 
-// sendToReplacedBackend has a request of the route meet another backend at the address that it asks.
+// sendToReplacedBackend sends a request to an address where another backend answers, and returns the backend that was
+// meant.
 func (f *fixture) sendToReplacedBackend(t *testing.T) *backend {
 	t.Helper()
 	m := f.stateMachine("read")
@@ -28,7 +31,7 @@
 	f.fillRetryBudgets()
 	b := f.sendToReplacedBackend(t)
 	seats := f.currentView().pools["p0"].endpoints
-	for at := int64(startTime + 1_001); at < startTime+replacedFor; at += 100_000 {
+	for at := clock.Micros(startTime + 1_001); at < startTime+replacedFor; at += 100_000 {
 		for i := range seats {
 			if seats[i].backend == b {
 				must.Eq(t, standingDown, seats[i].standing(at, &latencyStats{}, false), must.Sprint("no trial: it would reach the other one"))
--- a/request/dispatch/faults_test.go
+++ b/request/dispatch/faults_test.go
@@ -1,20 +1,20 @@
-// Troubles of the world, and what is earned in them at least.
+// Faults of the simulated deployment, and the least value that clients get under each.
 
 package dispatch
 
 import (
 	"cmp"
-	"fmt"
 	"testing"
 
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
-// pick are that share of the backends of pools with a prefix, one at least.
-func (w *world) pick(share float64, pools ...string) (out []*simBackend) {
+// someBackends draws that share of the backends of pools with a prefix, at least one.
+func (w *world) someBackends(share float64, pools ...string) (out []*simBackend) {
 	for _, p := range pools {
 		var all []*simBackend
 		for _, b := range w.backends {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// during sets something on backends for a while.
+// during sets something on backends and unsets it after so many seconds.
 func (w *world) during(s float64, all []*simBackend, set, unset func(*simBackend)) {
 	for _, b := range all {
 		set(b)
@@ -36,7 +36,7 @@
 	}
 }
 
-// crash ends backends, which come back as new ones.
+// crash ends backends; new ones take their place after so many seconds.
 func (w *world) crash(s float64, all []*simBackend) {
 	for _, b := range all {
 		b.down = true
@@ -49,57 +49,58 @@
 	}
 }
 
+// fault is something that goes wrong at 3 s.
 type fault struct {
 	name string
-	// least is what is earned at least, of all that is owed.
+	// least is the least share of the possible value that clients get.
 	least  float64
 	inject func(w *world)
-	// seconds is how long the world is played, defaultSeconds where it is 0.
+	// seconds is how long the deployment runs, defaultSeconds where it is 0.
 	seconds int64
 }
 
-// defaultSeconds is how long the world of a trouble is played.
+// defaultSeconds is how long a fault's deployment runs.
 const defaultSeconds = 12
 
 var faults = []fault{
 	{name: "slow", least: 0.9, inject: func(w *world) {
-		w.during(6, w.pick(0.15, "shard", "desk"), func(b *simBackend) { b.workFactor = 8.5 }, func(b *simBackend) { b.workFactor = 1 })
+		w.during(6, w.someBackends(0.15, "shard", "desk"), func(b *simBackend) { b.workFactor = 8.5 }, func(b *simBackend) { b.workFactor = 1 })
 	}},
-	{name: "dark", least: 0.9, inject: func(w *world) {
-		w.during(5, w.pick(0.15, "shard", "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
+	{name: "unresponsive", least: 0.9, inject: func(w *world) {
+		w.during(5, w.someBackends(0.15, "shard", "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "dark shard", least: 0.8, inject: func(w *world) {
-		w.during(4, w.pick(1, "shard0"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
+	{name: "unresponsive shard", least: 0.8, inject: func(w *world) {
+		w.during(4, w.someBackends(1, "shard0"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "dark desk", least: 0.6, inject: func(w *world) {
-		w.during(4, w.pick(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
+	{name: "unresponsive pool", least: 0.6, inject: func(w *world) {
+		w.during(4, w.someBackends(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "grey", least: 0.9, inject: func(w *world) {
-		w.during(6, w.pick(0.3, "shard", "desk"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
+	{name: "errors", least: 0.9, inject: func(w *world) {
+		w.during(6, w.someBackends(0.3, "shard", "desk"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
 	}},
-	{name: "grey shard", least: 0.8, inject: func(w *world) {
-		w.during(6, w.pick(1, "shard1"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
+	{name: "errors of a shard", least: 0.8, inject: func(w *world) {
+		w.during(6, w.someBackends(1, "shard1"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
 	}},
-	{name: "garble", least: 0.9, inject: func(w *world) {
-		w.during(6, w.pick(0.35, "shard", "desk"), func(b *simBackend) { b.garbleRate = 0.03 }, func(b *simBackend) { b.garbleRate = 0 })
+	{name: "invalid responses", least: 0.9, inject: func(w *world) {
+		w.during(6, w.someBackends(0.35, "shard", "desk"), func(b *simBackend) { b.garbleRate = 0.03 }, func(b *simBackend) { b.garbleRate = 0 })
 	}},
-	{name: "lost", least: 0.9, inject: func(w *world) {
-		w.during(4, w.pick(0.5, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.05 }, func(b *simBackend) { b.lossRate = 0 })
+	{name: "lost responses", least: 0.9, inject: func(w *world) {
+		w.during(4, w.someBackends(0.5, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.05 }, func(b *simBackend) { b.lossRate = 0 })
 	}},
-	{name: "crash", least: 0.9, inject: func(w *world) { w.crash(4, w.pick(0.2, "shard", "desk")) }},
-	{name: "crash shard", least: 0.8, inject: func(w *world) { w.crash(4, w.pick(1, "shard2")) }},
-	{name: "flap", least: 0.85, inject: func(w *world) {
-		for _, b := range w.pick(0.2, "shard", "desk") {
+	{name: "crash", least: 0.9, inject: func(w *world) { w.crash(4, w.someBackends(0.2, "shard", "desk")) }},
+	{name: "crash shard", least: 0.8, inject: func(w *world) { w.crash(4, w.someBackends(1, "shard2")) }},
+	{name: "flapping", least: 0.85, inject: func(w *world) {
+		for _, b := range w.someBackends(0.2, "shard", "desk") {
 			for i := range 8 {
 				w.after(int64(i)*second, func() { b.down = i%2 == 0 })
 			}
 		}
 	}},
-	{name: "herd", least: 0.7, inject: func(w *world) {
+	{name: "restart of half the nodes", least: 0.7, inject: func(w *world) {
 		for i, n := range w.nodes {
 			if i%2 == 0 {
 				n.down = true
-				w.after(1_500_000, func() { n.start(w.now) })
+				w.after(1_500_000, func() { n.restart(w.now) })
 			}
 		}
 	}},
@@ -109,9 +110,9 @@
 			w.startClients(until)
 		}
 	}},
-	// Its pools lose most answers from 3 to 13 s.
-	{name: "lossy", least: 0.4, seconds: 16, inject: func(w *world) {
-		w.during(10, w.pick(1, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.7 }, func(b *simBackend) { b.lossRate = 0 })
+	// The pools lose most responses from 3 to 13 s.
+	{name: "most responses lost", least: 0.4, seconds: 16, inject: func(w *world) {
+		w.during(10, w.someBackends(1, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.7 }, func(b *simBackend) { b.lossRate = 0 })
 	}},
 }
 
@@ -149,10 +150,8 @@
 	w.publishSnapshots()
 }
 
-var _ = fmt.Sprint
-
-// While a pool is silent its requests are refused, which promises that they have not run, and soon
-// after it is back they are served.
+// While a pool is unresponsive its requests are rejected, which says that they have not run; soon after it has
+// recovered they are served.
 func TestUnresponsivePoolIsRejectedAndRecovers(t *testing.T) {
 	t.Parallel()
 	for _, read := range []float64{25, 0} {
@@ -162,13 +161,13 @@
 			w := newWorld(s)
 			from := w.now + second + 2*second
 			w.play(t, 9, map[float64]func(){2: func() {
-				w.during(4, w.pick(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
+				w.during(4, w.someBackends(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 			}})
-			began := map[string]int64{}
+			began := map[string]clock.Micros{}
 			for _, v := range w.journal.attempts {
 				began[v.id] = v.at
 			}
-			count := func(from, to int64, status int) (share float64) {
+			count := func(from, to clock.Micros, status int) (share float64) {
 				n, all := 0, 0
 				for _, v := range w.journal.outcomes {
 					if at := began[v.id]; v.kind.atMostOnce && at >= from && at < to {
--- a/request/dispatch/fleet_test.go
+++ b/request/dispatch/fleet_test.go
@@ -1,4 +1,4 @@
-// What all nodes together may do: the budget of extra asks and the ramp of cold backends.
+// What all nodes together may send: the retry budgets and the rate of backends in slow start.
 
 package dispatch
 
@@ -10,6 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/random"
 )
@@ -20,12 +21,12 @@
 	for _, nodes := range []int{3, 11, 88} {
 		for seed := range uint64(2) {
 			s := defaultDeployment(seed)
-			s.nodes, s.allowance, s.slots, s.pause = nodes, 62, 4, 0
+			s.nodes, s.allowance, s.slots, s.pauseLength = nodes, 62, 4, 0
 			s.search, s.quick, s.once, s.read = 300, 0, 0, 100
 			w := newWorld(s)
 			r := rand.New(rand.NewPCG(seed, 1))
 			troubles := map[float64]func(){
-				// All savings are there, then everything fails; later the traffic drops to almost nothing.
+				// Everything is saved that can be, then everything fails; later the traffic drops to almost nothing.
 				5: func() {
 					for _, b := range w.backends {
 						b.lossRate = 0.6
@@ -37,7 +38,7 @@
 				troubles[4+float64(i)*0.8+0.1] = func() {
 					n := w.nodes[r.IntN(nodes)]
 					n.down = true
-					w.after(400_000, func() { n.start(w.now) })
+					w.after(400_000, func() { n.restart(w.now) })
 				}
 			}
 			w.play(t, 14, troubles)
@@ -52,11 +53,11 @@
 	for _, nodes := range []int{1, 11, 88} {
 		for seed := range uint64(3) {
 			s := defaultDeployment(seed)
-			s.nodes, s.rampPerS = nodes, 12
+			s.nodes, s.slowStartRate = nodes, 12
 			w := newWorld(s)
 			w.play(t, 12, map[float64]func(){
-				1: func() { w.crash(2, w.pick(0.5, "shard", "desk")) },
-				// Everything turns cold at once, and is listed so.
+				1: func() { w.crash(2, w.someBackends(0.5, "shard", "desk")) },
+				// Everything begins to warm up at once, and is listed so.
 				7: func() {
 					for _, b := range w.backends {
 						b.warmUntil = w.now + 3*second
@@ -83,7 +84,7 @@
 	t.Parallel()
 	for seed := range uint64(2) {
 		s := defaultDeployment(seed)
-		s.nodes, s.search, s.quick, s.once, s.read, s.pause = 40, 60, 0, 0, 60, 0
+		s.nodes, s.search, s.quick, s.once, s.read, s.pauseLength = 40, 60, 0, 0, 60, 0
 		w := newWorld(s)
 		for _, b := range w.backends {
 			b.lossRate = 0.7
@@ -92,7 +93,7 @@
 		for i := range 6 {
 			troubles[1.5*float64(i)] = func() {
 				for _, n := range w.nodes {
-					n.start(w.now)
+					n.restart(w.now)
 				}
 			}
 		}
@@ -100,15 +101,15 @@
 	}
 }
 
-// Each node's fair part of the allowance is far below one ask here; the whole ones that nodes save
-// must not add up.
+// Each node's fair share of the allowance is far below one attempt here; the whole ones that nodes save must not add
+// up.
 func TestRetryBudgetOfFleetLargerThanAllowance(t *testing.T) {
 	t.Parallel()
 	const nodes, allowance = 600, 30.0
 	for seed := range uint64(3) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		snap := &snapshot.Snapshot{Divisor: nodes}
-		now := int64(60 * second)
+		now := 60 * clock.Second
 		var desks []*Dispatcher
 		for range nodes {
 			desks = append(desks, NewDispatcher(Config{Counts: kernel.NewCounts(), Seed: r.Uint64(), Retry: RetryConfig{Ratio: 0.2, Allowance: allowance}}))
@@ -117,9 +118,9 @@
 		j.init()
 		rnd := random.Source(seed)
 		one := requestKinds[0]
-		// Quiet for long, so that all that can be saved is, then every request asks for an extra.
+		// Quiet for long, so that everything is saved that can be, then every request wants retries.
 		for i := range 60 * 560 {
-			now += second / 560
+			now += clock.Second / 560
 			d := desks[r.IntN(nodes)]
 			p := &pool{name: "p", retryBudget: d.retryBudgetOf("p")}
 			p.retryBudget.replenish(now, snap.Divisor, &rnd)
@@ -127,7 +128,7 @@
 			j.recordAttempt(now, id, &one)
 			for range 3 {
 				if i > 40*560 && d.withdrawRetry(p, now, snap.Divisor) {
-					j.arrivals = append(j.arrivals, &arrival{at: now, id: id, pool: "p", extra: true})
+					j.arrivals = append(j.arrivals, &arrival{at: now, id: id, pool: "p", repeated: true})
 				}
 			}
 		}
--- a/request/dispatch/gather_test.go
+++ b/request/dispatch/gather_test.go
@@ -63,7 +63,7 @@
 	for _, priority := range []int32{1, 2} {
 		f := newFixture(4, 2)
 		f.table.Routes[0].Priority = priority
-		f.compile()
+		f.publishTable()
 		m := f.stateMachine("gather")
 		m.Step(startTime, Begin{})
 		for n := range 3 {
@@ -82,7 +82,7 @@
 
 func TestGatherTakesNoRepeatedSealOrFailure(t *testing.T) {
 	f := newFixture(4, 2)
-	f.emptyRetryBudgets()
+	f.drainRetryBudgets()
 	m := f.stateMachine("gather")
 	m.Step(startTime, Begin{})
 	for n := range 4 {
@@ -104,7 +104,7 @@
 	m := f.stateMachine("gather")
 	m.Step(startTime, Begin{})
 	f.table.Routes[0].FanoutPools = []string{"p1", "p2", "p3"}
-	f.compile()
+	f.publishTable()
 	must.SliceEmpty(t, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})), must.Sprint("p0 is asked no more"))
 	must.Len(t, 1, sends(m.Step(startTime+1000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})))
 	m.Step(startTime+1000, AttemptDone{N: 2, Result: shardResult("s2", "b")})
--- a/request/dispatch/invariants_test.go
+++ b/request/dispatch/invariants_test.go
@@ -1,4 +1,4 @@
-// Every invariant of the request path is seen to be violated where it does not hold.
+// Every invariant of the request path reports a violation where it does not hold.
 
 package dispatch
 
@@ -12,7 +12,7 @@
 	"wallport/runtime/invariant"
 )
 
-// startRequest is a chart of a route with its first ask under way.
+// startRequest returns a request of a route with its first attempt in flight.
 func startRequest(t *testing.T, route string) (*StateMachine, Send) {
 	t.Helper()
 	f := newFixture(1, 3)
@@ -23,7 +23,7 @@
 	return m, a[0]
 }
 
-// violationOfSend asks for the chart's first way once more, whatever became of the ask before.
+// violationOfSend sends the request's first shard once more, whatever became of the attempt before.
 func violationOfSend(m *StateMachine) invariant.Name {
 	return violation.By(func() { m.send(startTime+1_000, 0, sendReplacement) })
 }
@@ -56,7 +56,7 @@
 	must.Eq(t, invariant.GaugesNotNegative, violation.By(func() { m.closeAttempt(startTime+1_000, a.N, nil) }))
 }
 
-// violationOfFinish has a chart give an outcome.
+// violationOfFinish has the request give an outcome.
 func violationOfFinish(m *StateMachine, o Outcome) invariant.Name {
 	return violation.By(func() { m.finish(startTime+1_000, StateResponded, o) })
 }
@@ -64,13 +64,13 @@
 func TestViolationsOfOutcomes(t *testing.T) {
 	for status, name := range map[int]invariant.Name{503: invariant.RejectedNotRun, 429: invariant.RejectedNotRun, 504: "", 502: ""} {
 		m, _ := startRequest(t, "once2")
-		must.Eq(t, name, violationOfFinish(m, Outcome{Status: status, Code: "refused"}), must.Sprint(status))
+		must.Eq(t, name, violationOfFinish(m, Outcome{Status: status, Code: CodeRejected}), must.Sprint(status))
 	}
 	m, _ := startRequest(t, "read")
-	must.Eq(t, "", violationOfFinish(m, Outcome{Status: 503, Code: "refused"}), must.Sprint("what may be repeated may be refused"))
+	must.Eq(t, "", violationOfFinish(m, Outcome{Status: 503, Code: CodeRejected}), must.Sprint("what may be repeated may be refused"))
 	for _, result := range []*Result{nil, {Class: ClassResponse, Status: 200}, {Class: ClassResponse, Status: 500, Seal: "s"}} {
 		m, _ := startRequest(t, "read")
-		must.Eq(t, invariant.SuccessSealed, violationOfFinish(m, Outcome{Status: 200, Code: "ok", Response: result}))
+		must.Eq(t, invariant.SuccessSealed, violationOfFinish(m, Outcome{Status: 200, Code: CodeOK, Response: result}))
 	}
 	for _, o := range []Outcome{
 		{Seals: []string{"a"}, Missing: 0},
@@ -81,7 +81,7 @@
 		f.fillRetryBudgets()
 		m := f.stateMachine("gather")
 		m.Step(startTime, Begin{})
-		o.Status, o.Code = 200, "ok"
+		o.Status, o.Code = 200, CodeOK
 		must.Eq(t, invariant.ShardsComplete, violationOfFinish(m, o))
 	}
 }
--- a/request/dispatch/journal_test.go
+++ b/request/dispatch/journal_test.go
@@ -1,5 +1,4 @@
-// What the world saw on its wires, and the judges of the rules. Each returns
-// what breaks its rule.
+// What the simulated deployment saw on its links, and a checker for each rule, which returns the violations.
 
 package dispatch
 
@@ -10,34 +9,39 @@
 	"strings"
 
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 )
 
+// arrival is an attempt that reached a backend.
 type arrival struct {
-	at, sentAt int64
+	at, sentAt clock.Micros
 	id, pool   string
 	backend    *simBackend
 	node       *simNode
 	ran        bool
-	extra      bool
+	repeated   bool
 	warmingUp  bool
 }
 
-type clientTry struct {
-	at   int64
+// clientAttempt is a request as a client sent it.
+type clientAttempt struct {
+	at   clock.Micros
 	id   string
 	kind *requestKind
 }
 
+// clientOutcome is what a client got for it.
 type clientOutcome struct {
-	at      int64
+	at      clock.Micros
 	id      string
 	kind    *requestKind
 	outcome Outcome
 }
 
+// journal is everything that happened.
 type journal struct {
-	began         int64
-	attempts      []clientTry
+	startedAt     clock.Micros
+	attempts      []clientAttempt
 	kinds         map[string]*requestKind
 	arrivals      []*arrival
 	arrivedBefore map[string]bool
@@ -48,7 +52,7 @@
 	seals         map[string]*exchange
 	successSeals  map[string]bool
 	bodies        map[string][]byte
-	// misrouted are the asks that the sending node's own table does not allow.
+	// misrouted are the attempts that the sending node's own snapshot does not allow.
 	misrouted []string
 }
 
@@ -60,13 +64,13 @@
 	}
 }
 
-func (j *journal) recordAttempt(at int64, id string, k *requestKind) {
-	j.attempts = append(j.attempts, clientTry{at, id, k})
+func (j *journal) recordAttempt(at clock.Micros, id string, k *requestKind) {
+	j.attempts = append(j.attempts, clientAttempt{at, id, k})
 	j.kinds[id] = k
 }
 
-// recordSend judges an ask at once by the newest table of its node: the backend must not be leaving or in
-// an evacuated zone, and the request must have its way to the pool.
+// recordSend checks an attempt against the newest snapshot of its node: the backend must be neither draining nor in
+// a drained zone, and the route must send to the pool.
 func (j *journal) recordSend(n *simNode, a Send) {
 	p := n.snap.Pools[a.Pool.Name]
 	if p == nil || !serves(n.snap.Routing.Match(a.Request.Host, a.Request.Path), a.Pool.Name) {
@@ -81,31 +85,31 @@
 	j.misrouted = append(j.misrouted, a.Request.ID+" sent to "+a.Backend.ID+", which is to get nothing")
 }
 
-func (j *journal) recordArrival(at int64, v *exchange) *arrival {
-	key := v.id + " " + v.backend.pool
-	a := &arrival{at: at, sentAt: v.sentAt, id: v.id, pool: v.backend.pool, backend: v.backend, node: v.node, extra: j.arrivedBefore[key], warmingUp: at < v.backend.warmUntil}
+func (j *journal) recordArrival(at clock.Micros, x *exchange) *arrival {
+	key := x.id + " " + x.backend.pool
+	a := &arrival{at: at, sentAt: x.sentAt, id: x.id, pool: x.backend.pool, backend: x.backend, node: x.node, repeated: j.arrivedBefore[key], warmingUp: at < x.backend.warmUntil}
 	j.arrivedBefore[key] = true
 	j.arrivals = append(j.arrivals, a)
-	j.arrivalOf[v] = a
+	j.arrivalOf[x] = a
 	return a
 }
 
-func (j *journal) recordRun(v *exchange) {
-	j.arrivalOf[v].ran = true
-	j.runs[v.id]++
+func (j *journal) recordRun(x *exchange) {
+	j.arrivalOf[x].ran = true
+	j.runs[x.id]++
 }
 
-func (j *journal) newSeal(v *exchange, ok bool) string {
-	s := sealOf(len(j.seals), v)
-	j.seals[s], j.successSeals[s] = v, ok
+func (j *journal) newSeal(x *exchange, ok bool) string {
+	s := sealOf(len(j.seals), x)
+	j.seals[s], j.successSeals[s] = x, ok
 	return s
 }
 
-func (j *journal) recordOutcome(at int64, id string, k *requestKind, o Outcome) {
+func (j *journal) recordOutcome(at clock.Micros, id string, k *requestKind, o Outcome) {
 	j.outcomes = append(j.outcomes, clientOutcome{at, id, k, o})
 }
 
-// checkAtMostOnce: what may not be repeated runs once at most.
+// checkAtMostOnce checks that what must not be repeated ran at most once.
 func (j *journal) checkAtMostOnce() (out []string) {
 	runs := map[string]int{}
 	for _, a := range j.arrivals {
@@ -118,7 +122,7 @@
 	return out
 }
 
-// checkRejectedNotRun: a promise is never given for what has run or runs later.
+// checkRejectedNotRun checks that nothing that ran, then or later, was answered with a status that says it did not.
 func (j *journal) checkRejectedNotRun() (out []string) {
 	ran := map[string]bool{}
 	for _, a := range j.arrivals {
@@ -132,21 +136,21 @@
 	return out
 }
 
-// checkRetryBudget: in every window the extra arrivals of a pool stay inside its budget.
-func (j *journal) checkRetryBudget(ratio, allowance float64, window int64, pools func(kind string) []string) (out []string) {
-	asked := map[string][]int64{}
+// checkRetryBudget checks that in every window a pool's repeated arrivals stay within its budget.
+func (j *journal) checkRetryBudget(ratio, allowance float64, window clock.Micros, pools func(kind string) []string) (out []string) {
+	asked := map[string][]clock.Micros{}
 	for _, t := range j.attempts {
 		for _, p := range pools(t.kind.name) {
 			asked[p] = append(asked[p], t.at)
 		}
 	}
-	extra := map[string][]int64{}
+	extra := map[string][]clock.Micros{}
 	for _, a := range j.arrivals {
-		if a.extra {
+		if a.repeated {
 			extra[a.pool] = append(extra[a.pool], a.at)
 		}
 	}
-	within := func(all []int64, from, to int64) int {
+	within := func(all []clock.Micros, from, to clock.Micros) int {
 		i, _ := slices.BinarySearch(all, from)
 		k, _ := slices.BinarySearch(all, to)
 		return k - i
@@ -156,7 +160,7 @@
 		for i, from := range times {
 			k, _ := slices.BinarySearch(times, from+window)
 			most := 0
-			for _, back := range []int64{0, window / 2, window} {
+			for _, back := range []clock.Micros{0, window / 2, window} {
 				most = max(most, within(asked[pool], from-back, from-back+window))
 			}
 			if bound := ratio*float64(most) + allowance; float64(k-i) > bound {
@@ -168,9 +172,9 @@
 	return out
 }
 
-// checkSlowStart: no cold backend gets more requests in a second than its bound.
+// checkSlowStart checks that no backend in slow start got more requests in a second than its bound.
 func (j *journal) checkSlowStart(perS float64) (out []string) {
-	cold := map[*simBackend][]int64{}
+	cold := map[*simBackend][]clock.Micros{}
 	for _, a := range j.arrivals {
 		if a.warmingUp {
 			cold[a.backend] = append(cold[a.backend], a.at)
@@ -188,8 +192,8 @@
 	return out
 }
 
-// arrivalsAt: nothing reaches a backend later than a while after it was told that it must not.
-func (j *journal) arrivalsAt(b *simBackend, from, to int64) (out []string) {
+// arrivalsAt returns what reached a backend between two moments.
+func (j *journal) arrivalsAt(b *simBackend, from, to clock.Micros) (out []string) {
 	for _, a := range j.arrivals {
 		if a.backend == b && a.at > from && a.at < to {
 			out = append(out, fmt.Sprintf("%s reached %s at %d", a.id, b.id, a.at))
@@ -198,8 +202,8 @@
 	return out
 }
 
-// checkGathered: a success is the greatest records of the parts that it names, which are good
-// answers to this very request, one of a pool, and with the missing ones make up a version's pools.
+// checkGathered checks that each gathered success holds the greatest records of the shards that it names, and that
+// these are successes of this very request, one of a pool, which with the missing ones make up one version's pools.
 func (j *journal) checkGathered(limit map[string]int, least map[string]float64, sets func(kind string) [][]string) (out []string) {
 	for _, t := range j.outcomes {
 		if t.outcome.Seals == nil || t.outcome.Status != 200 {
@@ -209,12 +213,12 @@
 		var pools []string
 		var all [][]byte
 		for _, s := range t.outcome.Seals {
-			v := j.seals[s]
-			if v == nil || v.id != t.id || !j.successSeals[s] {
+			x := j.seals[s]
+			if x == nil || x.id != t.id || !j.successSeals[s] {
 				bad("not a seal of this request: " + s)
 				continue
 			}
-			pools = append(pools, v.backend.pool)
+			pools = append(pools, x.backend.pool)
 			for body := j.bodies[s]; len(body) >= recordSize; body = body[recordSize:] {
 				all = append(all, body[:recordSize])
 			}
--- a/request/dispatch/merge_bench_test.go
+++ b/request/dispatch/merge_bench_test.go
@@ -1,4 +1,4 @@
-// What the merge of many parts costs, and the chart around it.
+// The cost of merging many shards.
 
 package dispatch
 
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// parts are falling lists of records, as backends send them.
+// sortedShards returns lists of records in descending order, as backends send them.
 func sortedShards(n, records int) [][]byte {
 	r := rand.New(rand.NewPCG(1, 2))
 	out := make([][]byte, n)
--- a/request/dispatch/reconfiguration_test.go
+++ b/request/dispatch/reconfiguration_test.go
@@ -1,5 +1,4 @@
-// Backends that leave, zones that are evacuated and configurations that change,
-// while clients go on.
+// Backends that drain, zones that are drained and routing tables that change under load.
 
 package dispatch
 
@@ -9,10 +8,11 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
-// deliverySlack is what an ask may take on its way after its node has been told.
-const deliverySlack = 20_000
+// deliverySlack is how long an attempt may be on its way after its node saw a change.
+const deliverySlack = 20 * clock.Millisecond
 
 func TestDrainingBackendGetsNoRequests(t *testing.T) {
 	t.Parallel()
@@ -21,12 +21,12 @@
 		s.slots = 1
 		w := newWorld(s)
 		for _, b := range w.backends {
-			b.lossRate, b.errorRate = 0.1, 0.1 // many re-asks, each of which must see what is so by then
+			b.lossRate, b.errorRate = 0.1, 0.1 // many retries, each of which must see the newest snapshot
 		}
 		var left []*simBackend
-		var when int64
+		var when clock.Micros
 		w.play(t, 8, map[float64]func(){3: func() {
-			when, left = w.now, w.pick(0.5, "shard", "desk")
+			when, left = w.now, w.someBackends(0.5, "shard", "desk")
 			for _, b := range left {
 				b.draining = true
 			}
@@ -34,7 +34,7 @@
 		}})
 		for _, b := range left {
 			must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
-			must.SliceNotEmpty(t, w.journal.arrivalsAt(b, when-2*second, when), must.Sprint("the judge sees what came before"))
+			must.SliceNotEmpty(t, w.journal.arrivalsAt(b, when-2*second, when), must.Sprint("the checker sees what came before"))
 		}
 	}
 }
@@ -43,7 +43,7 @@
 	t.Parallel()
 	for seed := range uint64(3) {
 		w := newWorld(defaultDeployment(seed))
-		var from, to int64
+		var from, to clock.Micros
 		w.play(t, 10, map[float64]func(){
 			2: func() { from = w.now; w.drainedZones["z1"] = true; w.publishSnapshots() },
 			6: func() { to = w.now; w.drainedZones["z1"] = false; w.publishSnapshots() },
@@ -72,7 +72,7 @@
 			b.lossRate = 0.1
 		}
 		var set []string
-		var when int64
+		var when clock.Micros
 		w.play(t, 10, map[float64]func(){
 			2: func() {
 				for _, name := range []string{"new0", "new1", "new2", "new3", "new4", "shard3"} {
@@ -100,7 +100,7 @@
 		})
 		for _, b := range old {
 			if b.pool != "shard3" && b.pool != "spare" {
-				// A request that had begun before may ask a pool of its version for the first time only at once.
+				// A request that began before sends its first attempts at once only.
 				must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
 			}
 		}
@@ -111,7 +111,7 @@
 func TestRouteWeightsAndMoves(t *testing.T) {
 	t.Parallel()
 	w := newWorld(defaultDeployment(5))
-	var when int64
+	var when clock.Micros
 	w.play(t, 9, map[float64]func(){
 		1: func() {
 			w.change(func(c *routingpb.RoutingTable) {
--- a/request/dispatch/rules_test.go
+++ b/request/dispatch/rules_test.go
@@ -1,4 +1,4 @@
-// The rules, judged over whole worlds with troubles.
+// The rules that hold for all nodes together, checked over whole simulated deployments.
 
 package dispatch
 
@@ -6,12 +6,14 @@
 	"testing"
 
 	"github.com/shoenig/test/must"
+
+	"wallport/runtime/clock"
 )
 
 var resultLimits = map[string]int{"search": 20, "quick": 5}
 var minCoverages = map[string]float64{"search": 0.75, "quick": 0.5}
 
-// pools are those that a version sends a kind to.
+// pools returns the pools that each version of the routing table sends a kind of requests to.
 func (w *world) pools(kind string) [][]string {
 	var out [][]string
 	for _, c := range w.tables {
@@ -32,7 +34,7 @@
 	return out
 }
 
-// checkRules has every rule judged that holds in any world.
+// checkRules checks every rule that holds in any deployment.
 func (w *world) checkRules(t *testing.T) {
 	t.Helper()
 	all := func(kind string) (out []string) {
@@ -45,25 +47,26 @@
 	must.SliceEmpty(t, w.journal.checkAtMostOnce(), note)
 	must.SliceEmpty(t, w.journal.misrouted, note)
 	must.SliceEmpty(t, w.journal.checkRejectedNotRun(), note)
-	must.SliceEmpty(t, w.journal.checkRetryBudget(0.2, w.allowance, 10_000_000, all), note)
+	must.SliceEmpty(t, w.journal.checkRetryBudget(0.2, w.allowance, 10*clock.Second, all), note)
 	must.SliceEmpty(t, w.journal.checkGathered(resultLimits, minCoverages, w.pools), note)
-	if w.rampPerS > 0 {
-		must.SliceEmpty(t, w.journal.checkSlowStart(w.rampPerS), note)
+	if w.slowStartRate > 0 {
+		must.SliceEmpty(t, w.journal.checkSlowStart(w.slowStartRate), note)
 	}
 }
 
+// second is clock.Second without a type, to multiply fractions with.
 const second = 1_000_000
 
-// play lets clients come for so long, with troubles at their times.
-func (w *world) play(t *testing.T, s int64, troubles map[float64]func()) {
+// play lets clients send for so many seconds, with faults at their times in seconds, and checks the rules.
+func (w *world) play(t *testing.T, seconds int64, faults map[float64]func()) {
 	t.Helper()
 	from := w.now
 	w.advance(from + second)
-	for at, do := range troubles {
+	for at, do := range faults {
 		w.after(int64(at*second), do)
 	}
-	w.startClients(w.now + s*second)
-	w.advance(w.now + (s+3)*second)
+	w.startClients(w.now + seconds*second)
+	w.advance(w.now + (seconds+3)*second)
 	t.Log(w.journal.report())
 	w.checkRules(t)
 }
--- a/request/dispatch/sim_backend_test.go
+++ b/request/dispatch/sim_backend_test.go
@@ -1,10 +1,12 @@
-// Backends of the world: slots and a queue, pauses, and troubles.
+// Simulated backends: slots, a queue, pauses and faults.
 
 package dispatch
 
 import (
 	"encoding/binary"
 	"fmt"
+
+	"wallport/runtime/clock"
 )
 
 type simBackend struct {
@@ -16,30 +18,31 @@
 	queued            []*exchange
 	paused            bool
 	deferred          []func()
-	// workFactor multiplies the work; grey, garble and lost are shares of asks that fail so.
+	// workFactor multiplies the work. The rates are shares of requests that fail in that way.
 	workFactor                      float64
 	errorRate, garbleRate, lossRate float64
 	unresponsive, down              bool
 	draining, departed              bool
-	warmUntil                       int64
+	warmUntil                       clock.Micros
 }
 
-// exchange is an ask at a backend.
+// exchange is one attempt as a backend sees it.
 type exchange struct {
 	backend  *simBackend
 	node     *simNode
 	id       string
 	route    string
-	work     int64
-	sentAt   int64
-	deadline int64
+	work     clock.Micros
+	sentAt   clock.Micros
+	deadline clock.Micros
 	canceled bool
 	respond  func(Result)
 }
 
+// schedulePauses pauses the backend now and again every 4 s.
 func (b *simBackend) schedulePauses() {
 	b.paused = true
-	b.world.after(b.world.pause, func() {
+	b.world.after(b.world.pauseLength, func() {
 		b.paused = false
 		q := b.deferred
 		b.deferred = nil
@@ -50,66 +53,68 @@
 	b.world.after(4_000_000, b.schedulePauses)
 }
 
-// load is what the backend tells of itself.
+// load is what the backend reports of itself.
 func (b *simBackend) load() LoadReport {
 	return LoadReport{Running: b.running, Queued: len(b.queued), Slots: b.slots, Known: true}
 }
 
-// arrive takes an ask in.
-func (b *simBackend) arrive(v *exchange) {
+// arrive takes a request in, or rejects or fails it.
+func (b *simBackend) arrive(x *exchange) {
 	if b.paused {
-		b.deferred = append(b.deferred, func() { b.arrive(v) })
+		b.deferred = append(b.deferred, func() { b.arrive(x) })
 		return
 	}
 	w := b.world
-	a := w.journal.recordArrival(w.now, v)
+	a := w.journal.recordArrival(w.now, x)
 	switch {
 	case b.unresponsive:
 		a.ran = true // nobody can know that it has not
 		return
 	case b.running >= b.slots && len(b.queued) >= b.queueLimit:
-		v.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "full"})
+		x.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "full"})
 		return
 	case w.rnd.Float64() < b.errorRate:
 		a.ran = true
-		// Its own failure, whatever its status seems to promise.
+		// Its own failure, whatever its status says of having run.
 		status := []int{500, 500, 503, 429, 504}[w.rnd.IntN(5)]
-		v.respond(Result{Class: ClassResponse, Status: status, Seal: w.journal.newSeal(v, false), Load: b.load()})
+		x.respond(Result{Class: ClassResponse, Status: status, Seal: w.journal.newSeal(x, false), Load: b.load()})
 		return
 	case w.rnd.Float64() < b.lossRate:
 		a.ran = true
-		v.respond(Result{Class: ClassFailed, Reason: "reset"})
+		x.respond(Result{Class: ClassFailed, Reason: "reset"})
 		return
 	}
-	b.queued = append(b.queued, v)
+	b.queued = append(b.queued, x)
 	b.startQueued()
 }
 
+// startQueued runs queued requests in free slots.
 func (b *simBackend) startQueued() {
 	for b.running < b.slots && len(b.queued) > 0 {
-		v := b.queued[0]
+		x := b.queued[0]
 		b.queued = b.queued[1:]
-		if v.canceled {
+		if x.canceled {
 			continue
 		}
-		if b.world.now >= v.deadline {
-			v.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "too late"})
+		if b.world.now >= x.deadline {
+			x.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "too late"})
 			continue
 		}
 		b.running++
-		b.world.journal.recordRun(v)
-		work := float64(v.work) * b.workFactor
+		b.world.journal.recordRun(x)
+		work := float64(x.work) * b.workFactor
 		if b.world.now < b.warmUntil {
 			work *= 1.6
 		}
-		b.world.after(int64(work), func() { b.finishWork(v) })
+		b.world.after(int64(work), func() { b.finishWork(x) })
 	}
 }
 
-func (b *simBackend) finishWork(v *exchange) {
+// finishWork ends a request and responds.
+func (b *simBackend) finishWork(x *exchange) {
 	if b.paused || b.unresponsive {
 		if b.paused {
-			b.deferred = append(b.deferred, func() { b.finishWork(v) })
+			b.deferred = append(b.deferred, func() { b.finishWork(x) })
 		} else {
 			b.running--
 		}
@@ -119,7 +124,7 @@
 	defer b.startQueued()
 	w := b.world
 	if w.rnd.Float64() < b.garbleRate {
-		v.respond(Result{Class: ClassInvalid, Reason: "not an answer"})
+		x.respond(Result{Class: ClassInvalid, Reason: "not an answer"})
 		return
 	}
 	body := make([]byte, 0, 640)
@@ -129,21 +134,21 @@
 		body = binary.BigEndian.AppendUint64(body, uint64(w.rnd.IntN(2)))
 	}
 	body = append(body, make([]byte, w.rnd.IntN(16))...)
-	seal := w.journal.newSeal(v, true)
+	seal := w.journal.newSeal(x, true)
 	w.journal.bodies[seal] = body
-	v.respond(Result{Class: ClassResponse, Status: 200, Seal: seal, Body: body, Load: b.load()})
+	x.respond(Result{Class: ClassResponse, Status: 200, Seal: seal, Body: body, Load: b.load()})
 }
 
-// send is one exchange of a node with a backend.
+// send carries one attempt to a backend and its result back.
 func (n *simNode) send(a Send, replied func(Result)) (cancel func()) {
 	w := n.world
 	b := w.byID[a.Backend.ID]
-	link := int64(100)
+	link := clock.Micros(100)
 	if b.zone != n.zone {
 		link = 500
 	}
 	over := false
-	v := &exchange{backend: b, node: n, id: a.Request.ID, route: a.Request.Method, work: w.work[a.Request.ID], sentAt: w.now, deadline: w.now + a.Timeout}
+	x := &exchange{backend: b, node: n, id: a.Request.ID, route: a.Request.Method, work: w.work[a.Request.ID], sentAt: w.now, deadline: w.now + a.Timeout}
 	answer := func(r Result) {
 		w.after(link, func() {
 			if !over {
@@ -152,7 +157,7 @@
 			}
 		})
 	}
-	v.respond = answer
+	x.respond = answer
 	if b.down || b.departed {
 		answer(Result{Class: ClassNotSent, Reason: "refused"})
 		return func() { over = true }
@@ -162,16 +167,16 @@
 			answer(Result{Class: ClassFailed, Reason: "reset"})
 			return
 		}
-		b.arrive(v)
+		b.arrive(x)
 	})
-	// A driver may tell of the end of the time a little later than the chart sees it itself.
+	// A driver may report the timeout a little later than the state machine sees it itself.
 	w.after(a.Timeout+int64(w.rnd.IntN(4_000)), func() {
 		if !over {
-			over, v.canceled = true, true
+			over, x.canceled = true, true
 			replied(Result{Class: ClassFailed, TimedOut: true, Reason: "silence"})
 		}
 	})
-	return func() { over, v.canceled = true, true }
+	return func() { over, x.canceled = true, true }
 }
 
-func sealOf(n int, v *exchange) string { return fmt.Sprintf("%s.%s.%d", v.id, v.backend.pool, n) }
+func sealOf(n int, x *exchange) string { return fmt.Sprintf("%s.%s.%d", x.id, x.backend.pool, n) }
--- a/request/dispatch/sim_client_test.go
+++ b/request/dispatch/sim_client_test.go
@@ -1,15 +1,18 @@
-// Clients of the world, the driving of charts, and what came of it all.
+// Simulated clients, the driver of state machines, and the value that clients got.
 
 package dispatch
 
 import (
 	"fmt"
 	"math"
+
+	"wallport/runtime/clock"
 )
 
+// requestKind is a kind of requests and the value of a response, in time and late.
 type requestKind struct {
 	name             string
-	target, deadline int64
+	target, deadline clock.Micros
 	work             float64
 	tailShare        float64
 	value, lateValue float64
@@ -23,8 +26,8 @@
 	{name: "read", target: 250_000, deadline: 1_500_000, work: 60_000, value: 1, lateValue: 0.3},
 }
 
-// startClients begins the clients' requests, until a moment.
-func (w *world) startClients(until int64) {
+// startClients has clients send requests until a moment.
+func (w *world) startClients(until clock.Micros) {
 	for i, rate := range []float64{w.search, w.quick, w.once, w.read} {
 		if rate > 0 {
 			w.scheduleClient(&requestKinds[i], rate, until)
@@ -32,19 +35,19 @@
 	}
 }
 
-func (w *world) scheduleClient(k *requestKind, rate float64, until int64) {
+func (w *world) scheduleClient(k *requestKind, rate float64, until clock.Micros) {
 	w.after(int64(w.rnd.ExpFloat64()*1e6/rate), func() {
 		if w.now >= until {
 			return
 		}
 		w.journal.tallies[k.name].possible += k.value
-		w.clientAttempt(k, w.now, 0, w.clientRetries)
+		w.clientAttempt(k, w.now, false, w.clientRetries)
 		w.scheduleClient(k, rate, until)
 	})
 }
 
-// clientAttempt is one try of a client.
-func (w *world) clientAttempt(k *requestKind, began, first int64, more int) {
+// clientAttempt sends one attempt of a client, which began at a moment and may make so many more.
+func (w *world) clientAttempt(k *requestKind, began clock.Micros, rejectedEarly bool, more int) {
 	w.lastID++
 	id := fmt.Sprintf("%s-%d", k.name, w.lastID)
 	work := k.work * math.Exp(w.rnd.NormFloat64()*0.5-0.125)
@@ -64,18 +67,15 @@
 		w.journal.recordOutcome(w.now, id, k, o)
 		if o.Status >= 200 && o.Status < 300 {
 			if w.now <= began+k.deadline {
-				w.journal.tallies[k.name].addSuccess(w.now-began <= k.target, first > 0 && w.now-start <= k.target, coverage(o), k)
+				w.journal.tallies[k.name].addSuccess(w.now-began <= k.target, rejectedEarly && w.now-start <= k.target, coverage(o), k)
 			}
 			return
 		}
 		w.journal.tallies[k.name].failed[o.Status]++
-		refusedAt := int64(0)
-		if o.Status == 503 && w.now-began <= k.target/4 {
-			refusedAt = 1
-		}
+		early := o.Status == 503 && w.now-began <= k.target/4
 		pause := min(max(o.RetryAfter, 2_000), (began+k.deadline-w.now)/3)
 		if more > 0 && w.now+pause < began+k.deadline && (!k.atMostOnce || promisesNotRun(o.Status)) {
-			w.after(pause, func() { w.clientAttempt(k, began, refusedAt, more-1) })
+			w.after(pause, func() { w.clientAttempt(k, began, early, more-1) })
 		}
 	}
 	w.after(left, func() { ended(Outcome{Status: 0, Code: "client_left"}) })
@@ -89,6 +89,7 @@
 	})
 }
 
+// coverage is the share of shards in a response.
 func coverage(o Outcome) float64 {
 	if o.Seals == nil {
 		return 1
@@ -96,7 +97,7 @@
 	return float64(len(o.Seals)) / float64(len(o.Seals)+o.Missing)
 }
 
-// drive drives a chart until its last act is done.
+// drive carries out a state machine's actions until it has finished.
 func (n *simNode) drive(r Request, ended func(Outcome)) {
 	m, w, life := NewStateMachine(n.dispatcher, r, n.world.now), n.world, n.dispatcher
 	cancels := map[int]func(){}
@@ -130,7 +131,7 @@
 	step(Begin{})
 }
 
-// tally is what came of one kind of requests.
+// tally is what came of the requests of one kind.
 type tally struct {
 	possible, earned float64
 	onTime, late     int
@@ -138,7 +139,7 @@
 	failed           map[int]int
 }
 
-// addSuccess counts a success; soon tells that it was in time from a new try after an early refusal.
+// addSuccess counts a success. soon says that it came in time, counted from an attempt after an early rejection.
 func (s *tally) addSuccess(ontime, soon bool, share float64, k *requestKind) {
 	worth := k.value * share * share
 	if ontime {
@@ -167,7 +168,7 @@
 	}
 	extra := map[string]int{}
 	for _, a := range j.arrivals {
-		if a.extra {
+		if a.repeated {
 			extra[a.pool]++
 		}
 	}
--- a/request/dispatch/state_machine_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -1,4 +1,4 @@
-// The chart's promises, one by one.
+// One state machine, step by step.
 
 package dispatch
 
@@ -12,10 +12,11 @@
 	"wallport/api/routingpb"
 	"wallport/control/routing"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// fixture is a desk with a table that tests may change.
+// fixture is a dispatcher with a routing table that tests may change.
 type fixture struct {
 	*Dispatcher
 	snap  *snapshot.Snapshot
@@ -24,6 +25,7 @@
 
 const startTime = 100 * second
 
+// newFixture returns pools p0, p1, ... with as many backends each, and a route of each kind.
 func newFixture(pools, backends int) *fixture {
 	f := &fixture{table: &routingpb.RoutingTable{Revision: 3}}
 	var names []string
@@ -33,7 +35,7 @@
 	}
 	one := func(name string, r *routingpb.Route) *routingpb.Route {
 		r.Name, r.Host, r.Prefix = name, "Site.example", "/"+name+"/"
-		r.TimeoutUs, r.TargetLatencyUs = 500_000, 100_000
+		r.TimeoutUs, r.TargetLatencyUs = 500*clock.Millisecond, 100*clock.Millisecond
 		return r
 	}
 	f.table.Routes = []*routingpb.Route{
@@ -52,12 +54,12 @@
 		f.snap.Pools[p.Name] = q
 	}
 	f.Dispatcher = NewDispatcher(Config{Snapshot: func() *snapshot.Snapshot { return f.snap }, Seed: 1, Retry: RetryConfig{Ratio: 0.2, Allowance: 60}})
-	f.compile()
+	f.publishTable()
 	return f
 }
 
-// compile puts the table in force as it is now.
-func (f *fixture) compile() {
+// publishTable puts the present table in force.
+func (f *fixture) publishTable() {
 	snap := *f.snap
 	snap.At++
 	snap.Routing = routing.Compile(f.table)
@@ -68,20 +70,21 @@
 	return NewStateMachine(f.Dispatcher, Request{ID: "r1", Method: "GET", Target: "/" + route + "/x", Path: "/" + route + "/x", Host: "site.example:80"}, startTime)
 }
 
-// fillRetryBudgets gives the pools' budgets something to spend.
+// fillRetryBudgets gives the pools' retry budgets something to spend.
 func (f *fixture) fillRetryBudgets() {
 	for name := range f.snap.Pools {
 		f.retryBudgetOf(name).Add(10_000, 10_000)
 	}
 }
 
-// emptyRetryBudgets leaves the pools' budgets nothing to spend.
-func (f *fixture) emptyRetryBudgets() {
+// drainRetryBudgets leaves the pools' retry budgets nothing to spend.
+func (f *fixture) drainRetryBudgets() {
 	for name := range f.snap.Pools {
 		f.retryBudgetOf(name).RefilledAt.Store(startTime + 100*second)
 	}
 }
 
+// sends returns the attempts among actions.
 func sends(acts []Action) (out []Send) {
 	for _, a := range acts {
 		if v, ok := a.(Send); ok {
@@ -91,6 +94,7 @@
 	return out
 }
 
+// outcomeOf returns the outcome among actions, nil where there is none.
 func outcomeOf(acts []Action) *Outcome {
 	for _, a := range acts {
 		if v, ok := a.(Finish); ok {
@@ -191,13 +195,13 @@
 
 func TestRetryStaysWithinBudget(t *testing.T) {
 	f := newFixture(2, 4)
-	f.emptyRetryBudgets()
+	f.drainRetryBudgets()
 	m := f.stateMachine("read")
 	m.Step(startTime, Begin{})
 	o := outcomeOf(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassResponse, Status: 500, Seal: "s", Body: []byte("why")}}))
 	must.NotNil(t, o, must.Sprint("nothing is left to spend"))
 	must.Eq(t, 500, o.Status, must.Sprint("the backend's own answer is passed on"))
-	must.Eq(t, "passed", o.Code)
+	must.Eq(t, CodePassedThrough, o.Code)
 	must.Eq(t, "why", string(o.Response.Body))
 	f.fillRetryBudgets()
 	m = f.stateMachine("read")
@@ -237,8 +241,8 @@
 	}
 }
 
-// eject makes a backend look down.
-func (b *backend) eject(now int64) {
+// eject makes a backend down for 10 s.
+func (b *backend) eject(now clock.Micros) {
 	b.recordFailure(now, failure{startedAt: now, weight: 1, timedOut: true}, 1)
 	b.ejectedUntil.Store(now + 10*second)
 }
--- a/request/dispatch/view.go
+++ b/request/dispatch/view.go
@@ -66,7 +66,7 @@
 		joined := &pool{Pool: p, name: name, endpoints: make([]endpoint, 0, len(p.Backends)), retryBudget: d.retryBudgetOf(name)}
 		for _, s := range p.Backends {
 			b := d.backendOf(s.ID)
-			b.updateListing(snap, p, s, d.cfg.StartedAt)
+			b.update(snap, p, s, d.cfg.StartedAt)
 			listed++
 			if s.Health != snapshot.Draining && s.Health != snapshot.ZoneDrained {
 				joined.endpoints = append(joined.endpoints, endpoint{listed: s, backend: b, sameZone: s.Zone == snap.Zone})
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -1,4 +1,4 @@
-// A small world on simulated time: nodes, backends, clients and what lies between them.
+// A simulated deployment in one process, on simulated time: nodes, backends, clients and their links.
 
 package dispatch
 
@@ -10,12 +10,14 @@
 	"wallport/api/routingpb"
 	"wallport/control/routing"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
+// event is something that happens at a moment; seq orders those of one moment.
 type event struct {
-	at  int64
+	at  clock.Micros
 	seq int
 	do  func()
 }
@@ -34,33 +36,35 @@
 	return v
 }
 
-// deployment is what a world is made of.
+// deployment is the size of a world and what its clients send.
 type deployment struct {
-	seed                       uint64
-	nodes, zones               int
-	shards, perShard           int
-	deskBackends               int
-	slots, queueLimit          int
-	search, quick              float64 // requests a second of the fleet
-	once, read                 float64
-	pause                      int64
-	rampPerS                   float64
-	clientRetries              int
-	clientLink                 int64
-	allowance                  float64
-	onceMaxBackends, onceTried int
+	seed              uint64
+	nodes, zones      int
+	shards, perShard  int
+	poolBackends      int
+	slots, queueLimit int
+	search, quick     float64 // requests a second of the fleet
+	once, read        float64
+	// pauseLength is how long each backend pauses every 4 s, 0 for never.
+	pauseLength     clock.Micros
+	slowStartRate   float64
+	clientRetries   int
+	clientLink      clock.Micros
+	allowance       float64
+	onceMaxBackends int
 }
 
 func defaultDeployment(seed uint64) deployment {
 	return deployment{
-		seed: seed, nodes: 11, zones: 4, shards: 4, perShard: 4, deskBackends: 4, slots: 2, queueLimit: 8,
-		search: 255, quick: 102, once: 153, read: 25.5, pause: 40_000, clientRetries: 1, clientLink: 3_000, allowance: 62, onceTried: 1,
+		seed: seed, nodes: 11, zones: 4, shards: 4, perShard: 4, poolBackends: 4, slots: 2, queueLimit: 8,
+		search: 255, quick: 102, once: 153, read: 25.5, pauseLength: 40 * clock.Millisecond, clientRetries: 1, clientLink: 3 * clock.Millisecond, allowance: 62,
 	}
 }
 
+// world is a deployment under way.
 type world struct {
 	deployment
-	now          int64
+	now          clock.Micros
 	seq          int
 	events       eventHeap
 	rnd          *rand.Rand
@@ -72,7 +76,7 @@
 	drainedZones map[string]bool
 	journal      journal
 	lastID       int
-	work         map[string]int64
+	work         map[string]clock.Micros
 }
 
 type simNode struct {
@@ -83,17 +87,18 @@
 	snap       *snapshot.Snapshot
 	table      *routing.Table
 	down       bool
-	// propagationDelay is how long after a change its table follows.
-	propagationDelay int64
+	// propagationDelay is how long after a change the node sees it.
+	propagationDelay clock.Micros
 }
 
-func (w *world) after(us int64, do func()) {
+// after schedules something.
+func (w *world) after(delay clock.Micros, do func()) {
 	w.seq++
-	heap.Push(&w.events, event{at: w.now + us, seq: w.seq, do: do})
+	heap.Push(&w.events, event{at: w.now + delay, seq: w.seq, do: do})
 }
 
-// advance plays until a moment.
-func (w *world) advance(until int64) {
+// advance runs the events up to a moment.
+func (w *world) advance(until clock.Micros) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -105,8 +110,8 @@
 func (w *world) zone(i int) string { return fmt.Sprintf("z%d", i%w.zones) }
 
 func newWorld(s deployment) *world {
-	w := &world{deployment: s, rnd: rand.New(rand.NewPCG(s.seed, 7)), drainedZones: map[string]bool{}, work: map[string]int64{}, byID: map[string]*simBackend{}, now: 60_000_000}
-	w.journal.began = w.now
+	w := &world{deployment: s, rnd: rand.New(rand.NewPCG(s.seed, 7)), drainedZones: map[string]bool{}, work: map[string]clock.Micros{}, byID: map[string]*simBackend{}, now: 60 * clock.Second}
+	w.journal.startedAt = w.now
 	w.journal.init()
 	w.table = &routingpb.RoutingTable{Revision: 1}
 	var shards []string
@@ -115,13 +120,13 @@
 		shards = append(shards, name)
 		w.addPool(name, s.perShard, s.slots, s.queueLimit)
 	}
-	w.addPool("desk", s.deskBackends, 6, 24)
-	w.addPool("spare", s.deskBackends, 6, 24)
+	w.addPool("desk", s.poolBackends, 6, 24)
+	w.addPool("spare", s.poolBackends, 6, 24)
 	w.table.Routes = []*routingpb.Route{
-		{Name: "search", Host: "h", Prefix: "/search/", Repeatable: true, TimeoutUs: 400_000, TargetLatencyUs: 80_000, Priority: 1, MaxBackends: 2, FanoutPools: shards, ResultLimit: 20, MinCoverage: 0.75},
-		{Name: "quick", Host: "h", Prefix: "/quick/", Repeatable: true, TimeoutUs: 250_000, TargetLatencyUs: 40_000, Priority: 2, MaxBackends: 2, FanoutPools: shards, ResultLimit: 5, MinCoverage: 0.5},
-		{Name: "once", Host: "h", Prefix: "/once/", TimeoutUs: 1_500_000, TargetLatencyUs: 250_000, MaxBackends: int32(max(1, s.onceMaxBackends)), Pool: "desk"},
-		{Name: "read", Host: "h", Prefix: "/read/", Repeatable: true, TimeoutUs: 1_500_000, TargetLatencyUs: 250_000, Priority: 2, MaxBackends: 2, Pool: "desk"},
+		{Name: "search", Host: "h", Prefix: "/search/", Repeatable: true, TimeoutUs: 400 * clock.Millisecond, TargetLatencyUs: 80 * clock.Millisecond, Priority: 1, MaxBackends: 2, FanoutPools: shards, ResultLimit: 20, MinCoverage: 0.75},
+		{Name: "quick", Host: "h", Prefix: "/quick/", Repeatable: true, TimeoutUs: 250 * clock.Millisecond, TargetLatencyUs: 40 * clock.Millisecond, Priority: 2, MaxBackends: 2, FanoutPools: shards, ResultLimit: 5, MinCoverage: 0.5},
+		{Name: "once", Host: "h", Prefix: "/once/", TimeoutUs: 1_500 * clock.Millisecond, TargetLatencyUs: 250 * clock.Millisecond, MaxBackends: int32(max(1, s.onceMaxBackends)), Pool: "desk"},
+		{Name: "read", Host: "h", Prefix: "/read/", Repeatable: true, TimeoutUs: 1_500 * clock.Millisecond, TargetLatencyUs: 250 * clock.Millisecond, Priority: 2, MaxBackends: 2, Pool: "desk"},
 	}
 	w.tables = append(w.tables, w.table)
 	for i := range s.nodes {
@@ -133,22 +138,22 @@
 
 func (w *world) addNode(i int) *simNode {
 	n := &simNode{world: w, zone: w.zone(i), gauges: &snapshot.Gauges{}, propagationDelay: int64(w.rnd.IntN(300_000))}
-	n.start(w.now - 60_000_000)
+	n.restart(w.now - 60*clock.Second)
 	return n
 }
 
-// start begins a new life of the node's process.
-func (n *simNode) start(began int64) {
+// restart starts the node's process anew.
+func (n *simNode) restart(startedAt clock.Micros) {
 	n.dispatcher = NewDispatcher(Config{
-		Snapshot: func() *snapshot.Snapshot { return n.snap }, Counts: kernel.NewCounts(), Seed: n.world.rnd.Uint64(), StartedAt: began,
-		Retry: RetryConfig{Ratio: 0.2, Allowance: n.world.allowance, Window: 10_000_000},
+		Snapshot: func() *snapshot.Snapshot { return n.snap }, Counts: kernel.NewCounts(), Seed: n.world.rnd.Uint64(), StartedAt: startedAt,
+		Retry: RetryConfig{Ratio: 0.2, Allowance: n.world.allowance, Window: 10 * clock.Second},
 	})
 	n.gauges, n.down = &snapshot.Gauges{}, false
 	n.refreshSnapshot()
 }
 
 func (w *world) addPool(name string, backends, slots, queue int) {
-	w.table.Pools = append(w.table.Pools, &routingpb.Pool{Name: name, SlowStartUs: 3_000_000, RampPerS: w.rampPerS})
+	w.table.Pools = append(w.table.Pools, &routingpb.Pool{Name: name, SlowStartUs: 3 * clock.Second, RampPerS: w.slowStartRate})
 	for i := range backends {
 		w.addBackend(name, w.zone(i), slots, queue)
 	}
@@ -157,20 +162,20 @@
 func (w *world) addBackend(pool, zone string, slots, queue int) *simBackend {
 	b := &simBackend{world: w, id: fmt.Sprintf("%s-%d", pool, len(w.backends)), pool: pool, zone: zone, slots: slots, queueLimit: queue, workFactor: 1}
 	w.backends, w.byID[b.id] = append(w.backends, b), b
-	if w.pause > 0 {
+	if w.pauseLength > 0 {
 		w.after(int64(w.rnd.IntN(4_000_000)), b.schedulePauses)
 	}
 	return b
 }
 
-// publishSnapshots lets every node take what the world is now, each after its own while.
+// publishSnapshots has every node see the present state of the world after its own delay.
 func (w *world) publishSnapshots() {
 	for _, n := range w.nodes {
 		w.after(n.propagationDelay, n.refreshSnapshot)
 	}
 }
 
-// refreshSnapshot makes the node's snapshot of what is so now.
+// refreshSnapshot makes the node's snapshot of the present state of the world.
 func (n *simNode) refreshSnapshot() {
 	w := n.world
 	if n.table == nil || n.table.Source != w.table {
