--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -180,18 +180,8 @@
 
 // fetch answers the requests of plug-ins to the platform and to backends' health pages.
 func (d *day) fetch(p *process, f kernel.Fetch) {
-	done := false
-	answer := func(in int64, r kernel.Fetched) {
-		r.Plugin, r.Key = f.Plugin, f.Key
-		p.deliverAfter(in, func() {
-			if !done {
-				done = true
-				p.step(r)
-			}
-		})
-	}
-	answer(f.Timeout, kernel.Fetched{Err: "timed out"})
-	addr, platform := fetched(f.URL)
+	answer := p.answerFetch(f)
+	addr, platform := hostOf(f.URL)
 	if platform {
 		d.listReader = p.machine
 		status, body := d.backends.serveList()
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -6,7 +6,6 @@
 import (
 	"slices"
 
-	"wallport/api/routingpb"
 	"wallport/control/operations"
 	"wallport/lab/rules"
 	"wallport/runtime/clock"
@@ -49,14 +48,7 @@
 		base, revision, acked := c.base, c.nextRevision(), 0
 		for _, how := range []string{"timeout", "idle"} {
 			changed := c.draft(how)
-			table := apply(base.Table, changed)
-			table.Revision = revision
-			edit := &routingpb.RoutingEdit{Base: base.Revision, Revision: revision}
-			if c.day.world.rng.IntN(2) == 0 {
-				edit.Whole = withoutRevision(table)
-			} else {
-				edit.Upsert, edit.WithdrawRoutes = &routingpb.RoutingTable{Routes: changed.routes}, changed.withdraw
-			}
+			edit, table := c.editOf(base, changed, revision)
 			version := &rules.Version{Revision: revision, Base: base.Revision, Table: table}
 			c.open++
 			c.day.world.after(c.day.world.rng.Int64N(30*clock.Millisecond), func() {
--- a/lab/sim/day_configs.go
+++ b/lab/sim/day_configs.go
@@ -173,15 +173,21 @@
 	if rev == 0 {
 		rev = c.nextRevision()
 	}
-	t := apply(base.Table, df)
-	t.Revision = rev
-	e := &routingpb.RoutingEdit{Base: base.Revision, Revision: rev}
+	e, t := c.editOf(base, df, rev)
+	c.sendVersion(e, &rules.Version{Revision: rev, Base: base.Revision, Table: t, Invalid: df.invalid, Alone: alone}, df, done)
+}
+
+// editOf returns the edit that sends a draft under a revision, complete or by items, and the resulting table.
+func (c *commands) editOf(base *rules.Version, df draft, revision int64) (*routingpb.RoutingEdit, *routingpb.RoutingTable) {
+	table := apply(base.Table, df)
+	table.Revision = revision
+	edit := &routingpb.RoutingEdit{Base: base.Revision, Revision: revision}
 	if c.day.world.rng.IntN(2) == 0 || df.complete {
-		e.Whole = withoutRevision(t)
+		edit.Whole = withoutRevision(table)
 	} else {
-		e.Upsert, e.WithdrawRoutes = &routingpb.RoutingTable{Routes: df.routes}, df.withdraw
+		edit.Upsert, edit.WithdrawRoutes = &routingpb.RoutingTable{Routes: df.routes}, df.withdraw
 	}
-	c.sendVersion(e, &rules.Version{Revision: rev, Base: base.Revision, Table: t, Invalid: df.invalid, Alone: alone}, df, done)
+	return edit, table
 }
 
 // apply returns the table that an operator expects a change to result in.
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -5,7 +5,6 @@
 
 import (
 	"slices"
-	"strings"
 
 	"wallport/lab/rules"
 	"wallport/request/dispatch"
@@ -44,11 +43,6 @@
 	reused, sent, ended bool
 }
 
-func fetched(url string) (addr string, platform bool) {
-	addr, _, _ = strings.Cut(strings.TrimPrefix(url, "http://"), "/")
-	return addr, addr == "platform"
-}
-
 // exchangesOf returns the exchanges in flight with a backend, in the order of the machines.
 func (d *day) exchangesOf(inc *incarnation) (out []*exchange) {
 	for _, m := range d.machines {
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -4,6 +4,7 @@
 
 import (
 	"fmt"
+	"strings"
 
 	"wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
@@ -274,3 +275,26 @@
 		p.start()
 	}
 }
+
+// answerFetch returns a function that answers a plug-in's fetch after a while. Only the first answer counts; the
+// fetch times out by itself.
+func (p *process) answerFetch(f kernel.Fetch) func(after clock.Micros, r kernel.Fetched) {
+	done := false
+	answer := func(after clock.Micros, r kernel.Fetched) {
+		r.Plugin, r.Key = f.Plugin, f.Key
+		p.deliverAfter(after, func() {
+			if !done {
+				done = true
+				p.step(r)
+			}
+		})
+	}
+	answer(f.Timeout, kernel.Fetched{Err: "timed out"})
+	return answer
+}
+
+// hostOf returns the host and port of a URL, and whether they are the platform's.
+func hostOf(url string) (host string, platform bool) {
+	host, _, _ = strings.Cut(strings.TrimPrefix(url, "http://"), "/")
+	return host, host == "platform"
+}
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -5,7 +5,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"strings"
 
 	"wallport/lab/backend"
 	"wallport/lab/records"
@@ -61,20 +60,10 @@
 		w.day.fetch(p, f)
 		return
 	}
-	done := false
-	answer := func(d clock.Micros, r kernel.Fetched) {
-		r.Plugin, r.Key = f.Plugin, f.Key
-		p.deliverAfter(d, func() {
-			if !done {
-				done = true
-				p.step(r)
-			}
-		})
-	}
-	answer(f.Timeout, kernel.Fetched{Err: "timed out"})
-	host, _, _ := strings.Cut(strings.TrimPrefix(f.URL, "http://"), "/")
+	answer := p.answerFetch(f)
+	host, platform := hostOf(f.URL)
 	rtt := 2 * w.net.latency()
-	if host == "platform" {
+	if platform {
 		if w.net.partitioned(p.name, "platform") {
 			return
 		}
