--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -1,6 +1,3 @@
-// The side of the node that wants a key let in: it asks all owners, those that are
-// silent or unsure again while there is time, and decides.
-
 package idempotency
 
 import (
@@ -10,27 +7,31 @@
 
 	"wallport/request/search"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
+// admission is a key that this node asks the owners to admit.
 type admission struct {
-	id        uint64
-	request   Admit
-	owners    []snapshot.Node
-	deadline  int64
-	replies   map[string]ownerReply
+	id       uint64
+	request  Admit
+	owners   []snapshot.Node
+	deadline clock.Micros
+	// replies are the last replies, by the name of the owner.
+	replies map[string]ownerReply
+	// attempted reports whether an earlier attempt of the key reached a backend.
 	attempted bool
-	// decideAt is set once a majority let the key in and only slower owners are waited for.
-	decideAt int64
+	// decideAt is set once a majority admitted the key and only slower owners are waited for.
+	decideAt clock.Micros
 }
 
-// admit claims a key at its owners.
+// admit begins the admission of a key. It takes until a reply of the owners decides, or the deadline.
 func (c *Coordinator) admit(ctx *kernel.Context, id uint64, a Admit) {
-	cp := c.snapshot()
-	if c.inMinority(cp, ctx.Now) {
+	current := c.snapshot()
+	if c.inMinority(current, ctx.Now) {
 		ctx.Counts.Add("claims_minority", 1)
-		ctx.Reply(id, search.Admission{Code: "short", Reason: "this node sees too few of the fleet to vouch for a key"})
+		ctx.Reply(id, search.Admission{Code: search.AdmissionNoQuorum, Reason: "this node sees too few of the fleet to vouch for a key"})
 		return
 	}
 	c.lastID++
@@ -38,31 +39,31 @@
 	pending := &admission{id: id, request: a, deadline: ctx.Now + min(a.Timeout, MaxAdmissionWait), replies: map[string]ownerReply{}}
 	c.admissions[n] = pending
 	if !c.rosterUnknown(ctx.Now) {
-		pending.owners = Owners(a.Key, cp.KeyOwners)
+		pending.owners = Owners(a.Key, current.KeyOwners)
 		c.sendClaims(ctx, n, pending)
 	}
 	if c.admissions[n] != nil {
-		ctx.AfterFor(min(ResendInterval, pending.deadline-ctx.Now), "idempotency", n)
+		ctx.AfterFor(min(ResendInterval, pending.deadline-ctx.Now), pluginName, n)
 	}
 }
 
-// rosterUnknown tells that this process has just started and cannot know yet who else is there: the
-// owners that it would ask were too few.
-func (c *Coordinator) rosterUnknown(now int64) bool {
+// rosterUnknown reports whether this process has just started and does not know the roster yet: the owners
+// that it would ask were too few.
+func (c *Coordinator) rosterUnknown(now clock.Micros) bool {
 	if c.caughtUpAt == 0 {
 		return now-c.startedAt < RosterConvergence
 	}
 	return now-c.caughtUpAt < RosterLoadWait
 }
 
-// sendClaims asks every owner that has not let the key in yet.
+// sendClaims sends the request to every owner that has not admitted the key yet.
 func (c *Coordinator) sendClaims(ctx *kernel.Context, n uint64, pending *admission) {
 	m := wire.AdmitRequest{Key: pending.request.Key, Index: pending.request.Index, From: c.token(n), Sum: pending.request.Digest}
 	for _, h := range pending.owners {
 		switch {
 		case c.admissions[n] == nil:
 			return
-		case pending.replies[h.Name].code == "in":
+		case pending.replies[h.Name].code == replyAdmitted:
 		case h.Origin == c.mesh.Self():
 			c.receiveReply(ctx, n, c.handleClaim(ctx, m))
 		default:
@@ -77,51 +78,51 @@
 		return
 	}
 	for _, h := range pending.owners {
-		// By name: an owner that was started anew answers for its place, as one that is unsure.
+		// By name: an owner that restarted replies in the place of its earlier process, as one that is uncertain.
 		if h.Name == r.Name || h.Origin == r.From {
 			pending.replies[h.Name] = ownerReply{code: r.Code, owners: r.KeyOwners}
 		}
 	}
 	pending.attempted = pending.attempted || r.Attempted
 	switch r.Code {
-	case "done", "running", "conflict":
+	case replyCompleted, replyInProgress, replyConflict:
 		c.finish(ctx, n, search.Admission{Code: search.AdmissionCode(r.Code), Outcome: r.Body})
 		return
 	}
 	c.decide(ctx, n, pending)
 }
 
-// decide lets a key in that a majority of its owners let in. A caller's word that this
-// is its first try makes up for owners that cannot be sure.
+// decide admits a key that a majority of its owners admitted. The caller's statement that this is its first
+// attempt makes up for owners that are uncertain.
 func (c *Coordinator) decide(ctx *kernel.Context, n uint64, pending *admission) {
 	if len(pending.owners) == 0 {
 		return
 	}
 	switch {
 	case !pending.majority(pending.request.FirstAttempt):
-		// An owner that let it in may have lost it since, or the roster have grown.
+		// An owner that admitted it may have lost it since, or the roster has grown.
 		return
 	case len(pending.replies) == len(pending.owners):
 	case pending.decideAt == 0:
 		pending.decideAt = ctx.Now + StragglerWait
-		ctx.AfterFor(StragglerWait, "idempotency", n)
+		ctx.AfterFor(StragglerWait, pluginName, n)
 		return
 	case ctx.Now < pending.decideAt:
 		return
 	}
-	c.finish(ctx, n, search.Admission{Code: "in", Token: c.token(n), Repeat: pending.attempted})
+	c.finish(ctx, n, search.Admission{Code: search.AdmissionGranted, Token: c.token(n), Repeat: pending.attempted})
 }
 
-// onTimer is a claim's timer: it decides, asks again, or gives up.
+// onTimer handles the timer of an admission: it decides, asks again, or gives up.
 func (c *Coordinator) onTimer(ctx *kernel.Context, n uint64) {
 	pending := c.admissions[n]
 	switch {
 	case pending == nil:
 		return
 	case pending.request.Repeatable:
-		// The owner is silent: what cannot be told from a first try is one.
+		// The owner is silent: the request counts as a first attempt.
 		delete(c.admissions, n)
-		ctx.Reply(pending.id, search.Admission{Code: "in"})
+		ctx.Reply(pending.id, search.Admission{Code: search.AdmissionGranted})
 		return
 	}
 	if !c.rosterUnknown(ctx.Now) {
@@ -134,21 +135,21 @@
 		ctx.Counts.Add("claims_asked_again", 1)
 		c.sendClaims(ctx, n, pending)
 		if c.admissions[n] != nil {
-			ctx.AfterFor(min(ResendInterval, pending.deadline-ctx.Now), "idempotency", n)
+			ctx.AfterFor(min(ResendInterval, pending.deadline-ctx.Now), pluginName, n)
 		}
 		return
 	}
 	if pending.majority(true) {
-		// Those that would know have lost what they knew, and an earlier try may have run.
+		// The owners that would know have lost their records, and an earlier attempt may have run.
 		ctx.Counts.Add("claims_unknown", 1)
-		c.finish(ctx, n, search.Admission{Code: "unknown"})
+		c.finish(ctx, n, search.Admission{Code: search.AdmissionStateLost})
 		return
 	}
 	ctx.Counts.Add("claims_short", 1)
-	c.finish(ctx, n, search.Admission{Code: "short", Reason: fmt.Sprintf("%d of the key's %d home nodes answered", pending.countAgreeing(), len(pending.owners))})
+	c.finish(ctx, n, search.Admission{Code: search.AdmissionNoQuorum, Reason: fmt.Sprintf("%d of the key's %d home nodes answered", pending.countAgreeing(), len(pending.owners))})
 }
 
-// addOwners adds owners that this node has learned of meanwhile. None is left out: it may hold the claim.
+// addOwners adds owners that this node has learned of meanwhile. None is removed: it may have a record.
 func (a *admission) addOwners(owners []snapshot.Node) {
 	for _, h := range owners {
 		if !slices.ContainsFunc(a.owners, func(o snapshot.Node) bool { return o.Name == h.Name }) {
@@ -157,32 +158,33 @@
 	}
 }
 
-// token names one claim, not its node: two claims of one key through one node
-// must not release each other.
+// token names one admission, not its node: of two admissions of one key through one node neither may
+// release the other.
 func (c *Coordinator) token(n uint64) string { return fmt.Sprintf("%s#%d", c.mesh.Self(), n) }
 
-func (c *Coordinator) finish(ctx *kernel.Context, n uint64, v search.Admission) {
+// finish replies to the caller and tells the owners what became of a key that was not admitted.
+func (c *Coordinator) finish(ctx *kernel.Context, n uint64, result search.Admission) {
 	pending := c.admissions[n]
 	delete(c.admissions, n)
-	ctx.Reply(pending.id, v)
-	switch v.Code {
-	case "in":
-	case "unknown":
-		// It stays unknown: what was not let in now must not be let in later either.
-		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: "done"})
+	ctx.Reply(pending.id, result)
+	switch result.Code {
+	case search.AdmissionGranted:
+	case search.AdmissionStateLost:
+		// It stays so: what nobody could vouch for now must not be admitted later either.
+		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: outcomeCompleted})
 	default:
-		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: "released", Body: []byte(c.token(n))})
+		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: outcomeReleased, Body: []byte(c.token(n))})
 	}
 }
 
-// publishOutcome settles a key that this node was let in with.
+// publishOutcome records the outcome of an admitted key at its owners.
 func (c *Coordinator) publishOutcome(ctx *kernel.Context, a RecordOutcome) {
 	m := wire.Outcome{Key: a.Key, Code: a.Code}
 	switch {
-	case a.Code == "unseen":
+	case a.Code == string(search.ResolutionNotSent):
 		c.forgetRepeat(ctx, a.Key)
 		return
-	case a.Code == "released":
+	case a.Code == string(search.ResolutionReleased):
 		m.Body, m.Attempted = []byte(a.Token), a.Attempted
 	default:
 		if b, err := json.Marshal(a.Outcome); err == nil {
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -1,10 +1,3 @@
-// What makes an owner unsure of a key that it does not hold, and what makes it sure
-// again. Each start, thaw, stay in a minority or change of the roster opens an epoch;
-// in it the owner asks the others to hand over what it should have had. Whoever was
-// let in had a majority of the owners of then, so once as many of those have handed over
-// as share one with every majority, not holding a key means that it was never let in. Where so many are lost
-// that no majority can, the epoch ends with the longest deadline and a grace.
-
 package idempotency
 
 import (
@@ -12,24 +5,29 @@
 
 	"wallport/control/state"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
+// epoch is a time in which this process may lack records that it should have as an owner. Each start, thaw,
+// stay in a minority or change of the roster opens one, and in it the owner requests the records of the
+// others. A key that was admitted had a majority of its owners of then: once so many of them handed over that
+// every majority includes one, the lack of a record means that the key was never admitted. If too many are
+// lost for that, the epoch ends with the longest deadline and a grace period.
 type epoch struct {
 	id       uint64
-	openedAt int64
-	// previousRoster is the roster that this process was not owner in; nil where it may
-	// have lost what it knew itself.
+	openedAt clock.Micros
+	// previousRoster is the roster before the change; nil if this process may have lost its own records.
 	previousRoster []snapshot.Node
 	handedOver     map[string]bool
-	// maxOwners is the most owners that any of those counts.
+	// maxOwners is the largest number of owners that any of those counts.
 	maxOwners int
 	complete  bool
 }
 
-// handOversNeeded is how many others must have handed over, of the owners of a key that this process knows of.
-// In an epoch in which it may have lost what it knew, others may count more owners than it does.
+// handOversNeeded returns how many of a key's owners must have handed over, of as many as this process knows.
+// In an epoch in which it may have lost its records, others may count more owners than it does.
 func (e *epoch) handOversNeeded(owners int) int {
 	if e.previousRoster == nil {
 		owners = max(owners, e.maxOwners)
@@ -37,10 +35,12 @@
 	return intersectingQuorum(owners)
 }
 
-// converged tells that every other node of a roster that had time to be known has handed over.
-func (e *epoch) converged(now int64) bool { return e.complete && now-e.openedAt >= RosterConvergence }
+// converged reports whether all needed nodes handed over, and every node had the time to learn the roster.
+func (e *epoch) converged(now clock.Micros) bool {
+	return e.complete && now-e.openedAt >= RosterConvergence
+}
 
-// invalidateRecords opens an epoch in which this process is sure of nothing.
+// invalidateRecords opens an epoch in which this process cannot vouch for any key.
 func (c *Coordinator) invalidateRecords(ctx *kernel.Context) {
 	c.epochs = []*epoch{c.newEpoch(ctx, nil)}
 }
@@ -50,18 +50,18 @@
 	return &epoch{id: c.lastID, openedAt: ctx.Now, previousRoster: before, handedOver: map[string]bool{}}
 }
 
-// uncertain is for how long an inquiry of before may still be under way.
-func (c *Coordinator) uncertainFor() int64 {
+// uncertainFor returns how long a request that was admitted before may still be running.
+func (c *Coordinator) uncertainFor() clock.Micros {
 	if c.maxDeadline == 0 {
 		return UncertaintyUnconfigured
 	}
 	return max(c.maxDeadline+GracePeriod, MinUncertainty)
 }
 
-// canVouch reports whether not holding a key means that it was never let in.
-func (c *Coordinator) canVouch(key, index string, now int64) bool {
+// canVouch reports whether the lack of a record means that the key was never admitted.
+func (c *Coordinator) canVouch(key, index string, now clock.Micros) bool {
 	if len(c.roster) > 0 && !isOwner(key, c.name(), c.roster) {
-		// Whoever takes this process for an owner knows an older roster.
+		// Whoever takes this process for an owner has an older roster.
 		return false
 	}
 	for _, e := range c.epochs {
@@ -75,7 +75,7 @@
 		case before == nil:
 			before = c.roster
 		case now-e.openedAt < RosterConvergence:
-			// Others may not have the new roster yet and claim at the old owners.
+			// Others may not have the new roster yet and ask the old owners.
 			return false
 		}
 		prev := Owners(key, before)
@@ -92,29 +92,29 @@
 	return true
 }
 
-// checkRoster notices a changed roster, and asks for what is still to be handed over.
+// checkRoster notices a changed roster, and requests the records that are still to be handed over.
 func (c *Coordinator) checkRoster(ctx *kernel.Context) {
-	cp := c.snapshot()
-	if cp == nil {
+	current := c.snapshot()
+	if current == nil {
 		return
 	}
-	c.updateMaxDeadline(cp, ctx.Now)
-	small := c.inMinority(cp, ctx.Now)
+	c.updateMaxDeadline(current, ctx.Now)
+	small := c.inMinority(current, ctx.Now)
 	if small {
-		// What the others let in meanwhile is not told here.
+		// This process does not learn what the others admit meanwhile.
 		c.invalidateRecords(ctx)
 		clear(c.initialIndexes)
 	}
-	same := slices.EqualFunc(c.roster, cp.KeyOwners, func(a, b snapshot.Node) bool { return a.Name == b.Name && a.Zone == b.Zone })
+	same := slices.EqualFunc(c.roster, current.KeyOwners, func(a, b snapshot.Node) bool { return a.Name == b.Name && a.Zone == b.Zone })
 	if !same && len(c.roster) > 0 {
 		c.epochs = append(c.epochs, c.newEpoch(ctx, c.roster))
 	}
-	c.roster = cp.KeyOwners
+	c.roster = current.KeyOwners
 	c.epochs = slices.DeleteFunc(c.epochs, func(e *epoch) bool { return ctx.Now-e.openedAt >= c.uncertainFor() })
 	if len(c.epochs) > maxEpochs {
 		c.invalidateRecords(ctx)
 	}
-	if cp.Configuration != nil {
+	if current.Configuration != nil {
 		c.requestHandOvers(ctx)
 	}
 	c.prune(ctx.Now)
@@ -125,18 +125,19 @@
 	}
 }
 
-// Bounds on what a roster in flux costs: open epochs, beyond which this process takes itself
-// for one that is sure of nothing, and asks at a time in a fleet larger than a key's owners.
+// Bounds of what a changing roster costs: the open epochs, beyond which this process cannot vouch for any
+// key, and the requests at a time in a fleet larger than the number of a key's owners.
 const (
 	maxEpochs           = 8
 	maxHandOverRequests = 8
 )
 
-// requestHandOvers asks for what is still to be handed over. Where there is no sheet no key was ever let in.
+// requestHandOvers requests the records that are still to be handed over. Without a configuration there are
+// none: no key was ever admitted.
 func (c *Coordinator) requestHandOvers(ctx *kernel.Context) {
-	asks := 0
+	requests := 0
 	for _, e := range c.epochs {
-		// In a fleet whose nodes are all owners of all keys so many are enough for every key.
+		// In a fleet where every node owns every key, so many are enough for every key.
 		left := e.handOversNeeded(len(c.roster))
 		if len(c.roster) > maxOwners {
 			left = len(c.roster) - 1
@@ -146,60 +147,60 @@
 				left--
 			}
 		}
-		// A process that sees nobody else has heard of nothing.
+		// A process that sees no other node has no records of them.
 		e.complete = len(c.roster) > 1 && left <= 0
-		// Others each time: one that is itself not sure does not answer.
+		// From another node each time: one that is uncertain itself does not answer.
 		from := ctx.Rand.IntN(max(1, len(c.roster)))
 		for i := range c.roster {
 			n := c.roster[(i+from)%len(c.roster)]
-			if n.Name != c.name() && !e.handedOver[n.Name] && n.Live && left > 0 && (asks < maxHandOverRequests || len(c.roster) <= maxOwners) {
+			if n.Name != c.name() && !e.handedOver[n.Name] && n.Live && left > 0 && (requests < maxHandOverRequests || len(c.roster) <= maxOwners) {
 				left--
-				asks++
+				requests++
 				ctx.SendTo(n.Addr, wire.KindRecordsRequest, 0, &wire.RecordsRequest{Epoch: e.id, Name: c.name(), OldNodes: encodeRoster(e.previousRoster), NewNodes: encodeRoster(c.roster)})
 			}
 		}
 	}
 }
 
-// updateMaxDeadline keeps the longest time that an inquiry may take.
-func (c *Coordinator) updateMaxDeadline(cp *snapshot.Snapshot, now int64) {
-	if cp.Configuration == nil {
+// updateMaxDeadline keeps the longest time that a request may take.
+func (c *Coordinator) updateMaxDeadline(current *snapshot.Snapshot, now clock.Micros) {
+	if current.Configuration == nil {
 		return
 	}
-	longest := int64(0)
-	for _, s := range cp.Configuration.Services {
+	longest := clock.Micros(0)
+	for _, s := range current.Configuration.Services {
 		longest = max(longest, s.MaxDeadlineUs)
 	}
-	// What was let in under a longer deadline may go on for that long.
+	// A request that was admitted under a longer deadline may run for that long.
 	c.maxDeadline = max(longest, c.maxDeadline-(now-c.deadlineReadAt))
 	c.deadlineReadAt = now
 }
 
-// recordInitialIndexes keeps which indexes had a cut when a part was first seen.
+// recordInitialIndexes keeps which indexes had a shard map when a partition was first seen.
 func (c *Coordinator) recordInitialIndexes(e *wire.Entry) {
-	part := e.Version.Partition
-	if part == state.ConfigPartition || c.initialIndexes[part] != nil {
+	partition := e.Version.Partition
+	if partition == state.ConfigPartition || c.initialIndexes[partition] != nil {
 		return
 	}
 	b, err := state.ReadIndex(e.Body)
 	if err != nil {
 		return
 	}
-	c.initialIndexes[part] = map[string]bool{}
+	c.initialIndexes[partition] = map[string]bool{}
 	for index := range b.ShardMaps {
-		c.initialIndexes[part][index] = true
+		c.initialIndexes[partition][index] = true
 	}
 }
 
-// startedBefore tells that this process was there before the index had its first cut:
-// nothing of it can have run before this process began. So the first start of a
-// fleet needs no quarantine, and the start after a total loss has it.
+// startedBefore reports whether this process started before the index had its first shard map. Then no
+// request of it can have run before. So the first start of a fleet needs no quarantine, and the start after
+// a total loss has one.
 func (c *Coordinator) startedBefore(index string) bool {
 	had := c.initialIndexes[state.PartitionOf(index)]
 	return had != nil && !had[index]
 }
 
-// startedBeforeAll tells that nothing at all can have run before this process began.
+// startedBeforeAll reports whether no request at all can have run before this process started.
 func (c *Coordinator) startedBeforeAll() bool {
 	for _, had := range c.initialIndexes {
 		if len(had) > 0 {
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -1,5 +1,3 @@
-// A node that has just started doesn't know yet who else is there.
-
 package idempotency
 
 import (
--- a/request/idempotency/golden_test.go
+++ b/request/idempotency/golden_test.go
@@ -9,7 +9,7 @@
 	"wallport/request/snapshot"
 )
 
-// Nodes of two releases agree on which of them own a key.
+// Nodes of two releases must agree on the owners of a key.
 func TestOwnersMatchEarlierReleases(t *testing.T) {
 	var roster []snapshot.Node
 	for i := range 14 {
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -1,5 +1,3 @@
-// Handing over: what a node gives to one that became owner of keys, or lost what it knew.
-
 package idempotency
 
 import (
@@ -30,10 +28,10 @@
 // maxHandOverBytes bounds one frame of records, in bytes of their bodies.
 const maxHandOverBytes = 256 << 10
 
-// sendRecords gives an owner what it should have had; a process that is itself not
-// sure of all that it lost, or does not count the asker among the owners yet, says nothing and
-// is asked again: what it lets in afterwards by a smaller roster would be missing.
-func (c *Coordinator) sendRecords(ctx *kernel.Context, ch uint64, m wire.RecordsRequest) {
+// sendRecords sends an owner the records that it should have. A process that may have lost records itself, or
+// does not have the requester in its roster yet, does not answer and is asked again: the records that it
+// admits afterwards by a smaller roster would be missing.
+func (c *Coordinator) sendRecords(ctx *kernel.Context, conn uint64, m wire.RecordsRequest) {
 	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.previousRoster == nil && !e.converged(ctx.Now) && !c.startedBeforeAll() }) {
 		return
 	}
@@ -52,21 +50,22 @@
 			continue
 		}
 		rec := c.records[key]
-		s := wire.Outcome{Key: key, Code: "running", Status: int(rec.digest), Body: []byte(rec.token)}
+		s := wire.Outcome{Key: key, Code: outcomePending, Status: int(rec.digest), Body: []byte(rec.token)}
 		if rec.completed {
-			s.Code, s.Body = "done", rec.outcome
+			s.Code, s.Body = outcomeCompleted, rec.outcome
 		}
 		out.Records = append(out.Records, s)
 		ctx.Counts.Add("claims_handed_over", 1)
 		if size += len(key) + len(s.Body) + 32; size > maxHandOverBytes {
-			ctx.Send(ch, wire.KindRecordsReply, 0, &out)
+			ctx.Send(conn, wire.KindRecordsReply, 0, &out)
 			out.Records, size = nil, 0
 		}
 	}
 	out.Last = true
-	ctx.Send(ch, wire.KindRecordsReply, 0, &out)
+	ctx.Send(conn, wire.KindRecordsReply, 0, &out)
 }
 
+// receiveRecords takes over the records of another owner, and notes that it handed over all of them.
 func (c *Coordinator) receiveRecords(ctx *kernel.Context, m wire.RecordsReply) {
 	for _, s := range m.Records {
 		c.updateRecord(ctx, s)
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -1,8 +1,3 @@
-// Package idempotency keeps inquiry keys in the memory of their owner nodes, so that a
-// correction or part fetch that a caller repeats through another node runs once. A
-// majority of a key's owners must let it in. An owner that cannot be sure that it would
-// know of the key says so; it becomes sure once enough of those that were owners
-// before have handed over what they keep. docs/design/inquiry-keys.md has the reasons.
 package idempotency
 
 import (
@@ -10,88 +5,123 @@
 	"wallport/control/configsync"
 	"wallport/request/search"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of the claims.
 const (
-	// GracePeriod is how long, beyond the sheet's longest deadline, an owner that lost what
-	// it knew stays unsure, and a claim may go without an outcome.
-	GracePeriod = 3_000_000
-	// MinUncertainty is the least of it: within it a caller repeats after everything was lost.
-	MinUncertainty = 9_000_000
-	// UncertaintyUnconfigured is the same where no sheet tells the longest deadline yet.
-	UncertaintyUnconfigured = 15_000_000
-	// RosterConvergence is how long a new roster takes to be everyone's.
-	RosterConvergence = 2_500_000
-	MaxRecords        = 32768
-	KeyTTL            = 300_000_000
-	// RosterLoadWait is how long after catching up its table has the whole roster.
-	RosterLoadWait = 100_000
-	// StragglerWait is for owners that are slower than the majority; ResendInterval is how soon
-	// owners that were silent or unsure are asked again.
-	StragglerWait    = 40_000
-	ResendInterval   = 80_000
-	MaxAdmissionWait = 900_000
-	// ActiveRosterCheck is how soon a change of the roster is looked at, and how often while some
-	// epoch is open; IdleRosterCheck is how often otherwise.
-	ActiveRosterCheck = 200_000
-	IdleRosterCheck   = 1_000_000
+	// GracePeriod is how long, beyond the configuration's longest deadline, an owner that lost its records
+	// stays uncertain, and a key may stay without an outcome.
+	GracePeriod = 3 * clock.Second
+	// MinUncertainty is the least such time: within it callers repeat requests after everything was lost.
+	MinUncertainty = 9 * clock.Second
+	// UncertaintyUnconfigured replaces it while there is no configuration that tells the longest deadline.
+	UncertaintyUnconfigured = 15 * clock.Second
+	// RosterConvergence is how long it takes until every node has a new roster.
+	RosterConvergence = 2_500 * clock.Millisecond
+	// RosterLoadWait is how long after catching up a process has the whole roster.
+	RosterLoadWait = 100 * clock.Millisecond
+	// MaxRecords bounds the records of an owner, KeyTTL their age.
+	MaxRecords = 32768
+	KeyTTL     = 5 * clock.Minute
+	// StragglerWait is how long, once a majority admitted a key, the slower owners are waited for.
+	StragglerWait = 40 * clock.Millisecond
+	// ResendInterval is the time after which owners that were silent or uncertain are asked again.
+	ResendInterval = 80 * clock.Millisecond
+	// MaxAdmissionWait bounds the time that an admission takes.
+	MaxAdmissionWait = 900 * clock.Millisecond
+	// ActiveRosterCheck is how soon a change of the roster is noticed, and how often the roster is checked
+	// while an epoch is open; IdleRosterCheck is how often otherwise.
+	ActiveRosterCheck = 200 * clock.Millisecond
+	IdleRosterCheck   = clock.Second
 )
 
-// Admit is a Call to claim a key within a time. First is the caller's own word that
-// it never sent this key before.
+const (
+	pluginName = "idempotency"
+	// timerRoster checks the roster. All other timers carry the id of an admission.
+	timerRoster = "roster"
+)
+
+// Codes of a wire.AdmitReply.
+const (
+	replyAdmitted = "in"
+	// replyUncertain admits the key as far as the owner knows, which may have lost an earlier admission.
+	replyUncertain  = "unsure"
+	replyInProgress = "running"
+	replyCompleted  = "done"
+	replyConflict   = "conflict"
+)
+
+// Codes of a wire.Outcome.
+const (
+	// outcomeReleased frees the key: its request did not run.
+	outcomeReleased  = "released"
+	outcomeCompleted = "done"
+	// outcomePending is a record without an outcome, when it is handed over.
+	outcomePending = "running"
+)
+
+// Admit is a Call to admit a key. It is answered by a [search.Admission].
 type Admit struct {
-	Key          string
-	Index        string
-	Digest       uint64
+	Key   string
+	Index string
+	// Digest identifies the content of the request.
+	Digest uint64
+	// FirstAttempt is the caller's statement that it never sent this key before.
 	FirstAttempt bool
-	Timeout      int64
-	// Repeatable marks a search or read, which may run again but at the budget's cost.
+	Timeout      clock.Micros
+	// Repeatable marks a search or read. It is always admitted, but a repeat costs the retry budget.
 	Repeatable bool
 }
 
-// RecordOutcome is a Call to settle a key; it has no answer.
+// RecordOutcome is a Call that ends the admission of a key. It has no answer. Code is a
+// [search.Resolution].
 type RecordOutcome struct {
-	Key       string
-	Code      string
-	Token     string
+	Key  string
+	Code string
+	// Token is that of the admission.
+	Token string
+	// Attempted reports whether a backend was sent the request and refused it.
 	Attempted bool
 	Outcome   search.Outcome
 }
 
+// record is what an owner knows of a key.
 type record struct {
-	digest    uint64
+	digest uint64
+	// token names the admission; it is contested if there may have been two.
 	token     string
 	completed bool
-	// uncertain is that the owner could not vouch for the key when it last answered the claim.
+	// uncertain reports that the owner could not vouch for the key when it last answered the admission.
 	uncertain  bool
 	outcome    []byte
-	admittedAt int64
+	admittedAt clock.Micros
 }
 
-// Coordinator is the plug-in of a node.
+// Coordinator is the plug-in of a node: it admits keys for the requests of this node, and owns keys.
 type Coordinator struct {
 	mesh       *mesh.Mesh
 	table      *snapshot.Table
 	configSync *configsync.Sync
-	// snapshot is the table's newest snapshot.
-	snapshot    func() *snapshot.Snapshot
-	records     map[string]*record
+	// snapshot returns the table's newest snapshot.
+	snapshot func() *snapshot.Snapshot
+	records  map[string]*record
+	// recordOrder lists the keys of records, oldest first.
 	recordOrder []string
 	admissions  map[uint64]*admission
 	lastID      uint64
 	roster      []snapshot.Node
 	epochs      []*epoch
-	maxDeadline int64
-	// startedAt is when this process started, caught when it first had all that a peer has.
-	startedAt, caughtUpAt int64
-	// deadlineReadAt is when the roster was last looked at, rosterCheckAt when it will be next.
-	deadlineReadAt int64
-	rosterCheckAt  int64
-	recent         recentKeys
-	// initialIndexes holds, per part, the indexes that had a cut when this process first saw it.
+	// maxDeadline is the longest deadline of the configurations that requests may still run under, as of
+	// deadlineReadAt.
+	maxDeadline, deadlineReadAt clock.Micros
+	// startedAt is when this process started, caughtUpAt when it first had all that a peer has; 0 is never.
+	startedAt, caughtUpAt clock.Micros
+	// rosterCheckAt is when the roster is checked next; 0 is not set.
+	rosterCheckAt clock.Micros
+	recent        recentKeys
+	// initialIndexes holds, per partition, the indexes that had a shard map when this process first saw it.
 	initialIndexes map[int]map[string]bool
 }
 
@@ -100,20 +130,20 @@
 		built := kernel.Find[*snapshot.Table](k)
 		return &Coordinator{
 			mesh: kernel.Find[*mesh.Mesh](k), table: built, configSync: kernel.Find[*configsync.Sync](k), snapshot: built.Current,
-			records: map[string]*record{}, admissions: map[uint64]*admission{}, recent: recentKeys{seenAt: map[string]int64{}}, initialIndexes: map[int]map[string]bool{},
+			records: map[string]*record{}, admissions: map[uint64]*admission{}, recent: recentKeys{seenAt: map[string]clock.Micros{}}, initialIndexes: map[int]map[string]bool{},
 		}
 	}})
 }
 
-// Name is the plug-in's name.
-func (c *Coordinator) Name() string { return "idempotency" }
+// Name returns the plug-in's name.
+func (c *Coordinator) Name() string { return pluginName }
 
-// Kinds are the frames that it takes.
+// Kinds returns the message kinds that the plug-in handles.
 func (c *Coordinator) Kinds() []uint8 {
 	return []uint8{wire.KindAdmitRequest, wire.KindAdmitReply, wire.KindOutcome, wire.KindRecordsRequest, wire.KindRecordsReply, wire.KindSeenRequest, wire.KindSeenReply}
 }
 
-// Step takes one input.
+// Step handles one input.
 func (c *Coordinator) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
@@ -135,7 +165,7 @@
 			c.recordInitialIndexes(v.Entry)
 		}
 	case kernel.Tick:
-		if v.Key == "roster" {
+		if v.Key == timerRoster {
 			if ctx.Now >= c.rosterCheckAt {
 				c.rosterCheckAt = 0
 				c.checkRoster(ctx)
@@ -205,10 +235,10 @@
 	}
 }
 
-// scheduleRosterCheck has the roster looked at within a while; an earlier look takes the place of a later one.
-func (c *Coordinator) scheduleRosterCheck(ctx *kernel.Context, within int64) {
+// scheduleRosterCheck has the roster checked within a time. An earlier check replaces a later one.
+func (c *Coordinator) scheduleRosterCheck(ctx *kernel.Context, within clock.Micros) {
 	if at := ctx.Now + within; c.rosterCheckAt == 0 || at < c.rosterCheckAt {
 		c.rosterCheckAt = at
-		ctx.After(within, "idempotency", "roster")
+		ctx.After(within, pluginName, timerRoster)
 	}
 }
--- a/request/idempotency/majority.go
+++ b/request/idempotency/majority.go
@@ -1,29 +1,27 @@
-// When a claim has a majority. Rosters differ for a while after nodes came or went, so each
-// owner says how many owners it counts: what a few let in must be a majority of the greatest
-// number that any of them counts. Two claims of one key then always share an owner.
-
 package idempotency
 
 import "slices"
 
-// ownerReply is the last answer of one owner to a claim.
+// ownerReply is the last reply of one owner to an admission request.
 type ownerReply struct {
 	code string
-	// owners is how many owners it counts; 0 where it does not say.
+	// owners is how many owners it counts; 0 if it does not say.
 	owners int
 }
 
-// agrees tells that an owner let the claim in, or would if it were sure.
-func (r ownerReply) agrees(unsureToo bool) bool {
-	return r.code == "in" || unsureToo && r.code == "unsure"
+// agrees reports whether an owner admitted the key, or with uncertainToo whether it did as far as it knows.
+func (r ownerReply) agrees(uncertainToo bool) bool {
+	return r.code == replyAdmitted || uncertainToo && r.code == replyUncertain
 }
 
-// majority reports whether the owners that let the claim in are enough. With unsureToo those that
-// cannot be sure count as well.
-func (a *admission) majority(unsureToo bool) bool {
+// majority reports whether the owners that admitted the key are enough. With uncertainToo those that are
+// uncertain count as well. Rosters differ for a while after nodes came or went, so each owner says how many
+// owners it counts, and those that agree must be a majority of the largest number that any of them counts.
+// Two admissions of one key then always share an owner.
+func (a *admission) majority(uncertainToo bool) bool {
 	counted := make([]int, 0, len(a.replies))
 	for _, r := range a.replies {
-		if r.agrees(unsureToo) {
+		if r.agrees(uncertainToo) {
 			counted = append(counted, r.owners)
 		}
 	}
@@ -37,7 +35,7 @@
 	return false
 }
 
-// countAgreeing is how many owners let the claim in, or would if they were sure.
+// countAgreeing returns how many owners admitted the key, the uncertain ones included.
 func (a *admission) countAgreeing() (count int) {
 	for _, r := range a.replies {
 		if r.agrees(true) {
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -1,5 +1,3 @@
-// The callers of the model, and what they are told.
-
 package idempotency
 
 import (
@@ -52,7 +50,7 @@
 	return m.nodes[m.rand.IntN(len(m.nodes))]
 }
 
-// admit runs what was let in; its process tells of the outcome, if it lives to do so.
+// admit runs an admitted request; its process records the outcome, if it lives to do so.
 func (m *model) admit(here incarnation, key, token string) {
 	m.admitted++
 	if m.admittedKeys[key] {
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -1,6 +1,3 @@
-// The nodes of the model: each runs the package's own code, and sees of the fleet what the model
-// lets it see.
-
 package idempotency
 
 import (
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -1,7 +1,3 @@
-// A model of a fleet whose nodes see different rosters while some of them die and come back: the
-// package's own code on every node, over simulated time, messages late and lost with their node.
-// No key is let in twice.
-
 package idempotency
 
 import (
@@ -31,7 +27,7 @@
 	justStartedFor = 1500 * ms
 )
 
-// modelSeeds is how many runs of the model are made: go test ./claims -model.seeds 500.
+// modelSeeds is how many runs of the model are made: go test ./request/idempotency -model.seeds 500.
 var modelSeeds = flag.Uint64("model.seeds", 12, "runs of the model")
 
 type modelEvent struct {
@@ -54,7 +50,8 @@
 	return last
 }
 
-// model is the fleet, the messages under way and what was let in.
+// model is a fleet whose nodes see different rosters while some of them crash and restart. Every node runs
+// the package's own code over simulated time; messages are late, and lost with their node.
 type model struct {
 	t *testing.T
 
@@ -66,9 +63,9 @@
 	// replyRoutes are the way back of each message that was received.
 	replyRoutes map[uint64]route
 	lastConn    uint64
-	// arrives is when the last message between two lives of nodes arrives: they keep their order.
+	// arrives is when the last message between two incarnations of nodes arrives: they keep their order.
 	arrives map[[2]incarnation]int64
-	// admittedKeys are the keys that were let in and not released; admitted counts them.
+	// admittedKeys are the keys that were admitted and not released; admitted counts them.
 	admittedKeys  map[string]bool
 	admitted      int
 	admittedTwice []string
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -1,13 +1,12 @@
-// An owner's side: what it answers to a claim, and what it keeps.
-
 package idempotency
 
 import (
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// claim is an owner's answer.
+// handleClaim answers an admission request as an owner of its key, and keeps a record of it.
 func (c *Coordinator) handleClaim(ctx *kernel.Context, m wire.AdmitRequest) wire.AdmitReply {
 	r := wire.AdmitReply{Key: m.Key, From: c.mesh.Self(), Name: c.name(), KeyOwners: c.ownerCount()}
 	rec := c.records[m.Key]
@@ -17,37 +16,38 @@
 			rec = &record{digest: m.Sum, token: m.From, admittedAt: ctx.Now}
 			c.addRecord(m.Key, rec)
 		}
-		r.Code, r.Attempted = "in", c.recent.has(m.Key, ctx.Now)
+		r.Code, r.Attempted = replyAdmitted, c.recent.has(m.Key, ctx.Now)
 		if rec.uncertain = !c.canVouch(m.Key, m.Index, ctx.Now); rec.uncertain {
 			ctx.Counts.Add("claims_unsure", 1)
-			r.Code = "unsure"
+			r.Code = replyUncertain
 		}
 	case rec.digest != 0 && rec.digest != m.Sum:
-		r.Code = "conflict"
+		r.Code = replyConflict
 	case rec.completed:
-		r.Code, r.Body = "done", rec.outcome
+		r.Code, r.Body = replyCompleted, rec.outcome
 	case ctx.Now-rec.admittedAt > c.uncertainFor():
-		// Whoever ran it never told: its outcome stays unknown.
-		r.Code = "done"
+		// No outcome came from whoever ran it: it stays unknown.
+		r.Code = replyCompleted
 	default:
-		r.Code = "running"
+		r.Code = replyInProgress
 	}
 	return r
 }
 
 func (c *Coordinator) name() string { return c.table.Self() }
 
+// updateRecord takes an outcome, or a record that another owner handed over, into the records.
 func (c *Coordinator) updateRecord(ctx *kernel.Context, m wire.Outcome) {
 	rec := c.records[m.Key]
 	switch m.Code {
-	case "released":
+	case outcomeReleased:
 		if rec != nil && !rec.completed && rec.token == string(m.Body) {
 			delete(c.records, m.Key)
 			if m.Attempted {
 				c.recent.add(m.Key, ctx.Now)
 			}
 		}
-	case "done":
+	case outcomeCompleted:
 		if rec == nil {
 			rec = &record{admittedAt: ctx.Now}
 			c.addRecord(m.Key, rec)
@@ -55,25 +55,26 @@
 		if !rec.completed || len(rec.outcome) == 0 {
 			rec.completed, rec.outcome = true, m.Body
 		}
-	case "running":
+	case outcomePending:
 		switch {
 		case rec == nil:
 			c.addRecord(m.Key, &record{digest: uint64(m.Status), token: string(m.Body), admittedAt: ctx.Now})
 		case rec.uncertain && !rec.completed && rec.token != string(m.Body):
-			// Either claim may have been let in: nobody's release frees the key.
+			// Either request may have been admitted: neither's release frees the key.
 			rec.token = contested
 		}
 	}
 }
 
-// contested stands for the claim of a record that two claims may have been let in with.
+// contested is the token of a record under which two requests may have been admitted.
 const contested = ""
 
-// ownerCount is how many owners a key has by what this process knows of the fleet.
+// ownerCount returns how many owners a key has by what this process knows of the fleet.
 func (c *Coordinator) ownerCount() int {
 	return min(maxOwners, max(len(c.roster), len(c.snapshot().KeyOwners)))
 }
 
+// addRecord keeps a record and drops the oldest ones beyond the bound.
 func (c *Coordinator) addRecord(key string, r *record) {
 	c.records[key] = r
 	c.recordOrder = append(c.recordOrder, key)
@@ -83,7 +84,8 @@
 	}
 }
 
-func (c *Coordinator) prune(now int64) {
+// prune drops the records that are too old.
+func (c *Coordinator) prune(now clock.Micros) {
 	for len(c.recordOrder) > 0 {
 		r := c.records[c.recordOrder[0]]
 		if r != nil && now-r.admittedAt < KeyTTL {
--- a/request/idempotency/owners.go
+++ b/request/idempotency/owners.go
@@ -1,6 +1,3 @@
-// Which nodes own a key: all of them in a fleet of eleven or fewer, in a larger
-// one the eleven of the highest rendezvous weight, over as many zones as there are.
-
 package idempotency
 
 import (
@@ -10,13 +7,15 @@
 
 	"wallport/control/state"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 )
 
-// maxOwners is odd, and at least the size of the fleets of today: where all nodes are
-// owners, no half of a split fleet has a majority of a key's owners beside the other.
+// maxOwners bounds the owners of a key. It is odd, and at least the size of today's fleets: where all nodes are
+// owners, only one side of a partitioned fleet can have a majority of a key's owners.
 const maxOwners = 11
 
-// Owners lists a key's owner nodes, the weightiest first.
+// Owners lists the owners of a key: all nodes of a fleet of up to eleven, otherwise the eleven of the highest
+// rendezvous weight, spread over the zones. Releases must agree on it, since nodes of two run side by side.
 func Owners(key string, roster []snapshot.Node) []snapshot.Node {
 	type ranked struct {
 		w uint64
@@ -36,7 +35,7 @@
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.w, a.w) })
 	want := min(maxOwners, len(all))
-	// In each round a zone gives one owner: so no zone has more than it must.
+	// In each round a zone gives one owner, so that no zone has more than it must.
 	out := make([]snapshot.Node, 0, want)
 	taken := make([]bool, len(all))
 	for len(out) < want {
@@ -59,18 +58,18 @@
 	return slices.ContainsFunc(roster, func(n snapshot.Node) bool { return n.Name == name })
 }
 
-// quorum is how many of so many owners let a key in; others is how many of them share
-// at least one owner with every quorum there can have been.
+// quorum returns how many of so many owners must admit a key; intersectingQuorum, how many of them share an
+// owner with every quorum.
 func quorum(owners int) int             { return owners/2 + 1 }
 func intersectingQuorum(owners int) int { return owners - quorum(owners) + 1 }
 
-// inMinority tells that this node is not on the side of a split that may go on letting
-// keys in: the one with more than half of the nodes. Of two equal halves it is the one
-// that hears the owner of the configuration, which a majority of the cores follows.
-func (c *Coordinator) inMinority(cp *snapshot.Snapshot, now int64) bool {
-	votes := 2 * cp.Peers
+// inMinority reports whether this node is not on the side of a network partition that may go on admitting
+// keys: the one with more than half of the nodes. Of two equal halves it is the one that hears the leader
+// of the configuration, which a majority of the cores follows.
+func (c *Coordinator) inMinority(current *snapshot.Snapshot, now clock.Micros) bool {
+	votes := 2 * current.Peers
 	if c.configSync.HearsLeader(state.ConfigPartition, now) {
 		votes++
 	}
-	return votes <= cp.Divisor && cp.Divisor > 1
+	return votes <= current.Divisor && current.Divisor > 1
 }
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -1,31 +1,30 @@
-// Repeats of searches and reads: they may run again, but what they add to a pool's
-// traffic is paid from its budget of extra tries, through whichever node they come.
-// One owner of the key tells whether it was sent before. It is asked for a moment
-// only: where it does not answer, the inquiry counts as a first try.
-
 package idempotency
 
 import (
 	"wallport/request/search"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
 
-// Figures of repeats.
+// Searches and reads may run again, but a repeat is paid from the pool's retry budget, through whichever node
+// it comes. One owner of the key says whether it was used before.
 const (
-	RepeatCheckTimeout = 20_000
-	RepeatWindow       = 60_000_000
-	MaxRecentKeys      = 65536
+	// RepeatCheckTimeout is how long the owner is waited for. Without a reply the request is a first attempt.
+	RepeatCheckTimeout = 20 * clock.Millisecond
+	// RepeatWindow is how long a key is remembered, MaxRecentKeys how many are.
+	RepeatWindow  = clock.Minute
+	MaxRecentKeys = 65536
 )
 
-// recentKeys remembers keys that were sent, oldest first.
+// recentKeys remembers the keys that were used lately.
 type recentKeys struct {
-	seenAt map[string]int64
+	seenAt map[string]clock.Micros
 	order  []string
 }
 
-// add reports whether a key was there, and keeps it.
-func (s *recentKeys) add(key string, now int64) bool {
+// add remembers a key and reports whether it was there before.
+func (s *recentKeys) add(key string, now clock.Micros) bool {
 	at, ok := s.seenAt[key]
 	before := ok && now-at < RepeatWindow
 	if !ok {
@@ -39,20 +38,20 @@
 	return before
 }
 
-func (s *recentKeys) has(key string, now int64) bool {
+func (s *recentKeys) has(key string, now clock.Micros) bool {
 	at, ok := s.seenAt[key]
 	return ok && now-at < RepeatWindow
 }
 
-// forget lets the next try of a key count as the first.
+// forget lets the next attempt of a key count as the first.
 func (s *recentKeys) forget(key string) {
 	if _, ok := s.seenAt[key]; ok {
 		s.seenAt[key] = -RepeatWindow
 	}
 }
 
-// repeatOwner is the address of the live owner that is asked, empty for this process
-// itself; ok is false where none is live.
+// repeatOwner returns the address of the live owner that remembers a key, empty for this process itself. ok is
+// false if no owner is live.
 func (c *Coordinator) repeatOwner(key string) (addr string, ok bool) {
 	for _, h := range Owners(key, c.snapshot().KeyOwners) {
 		if h.Origin == c.mesh.Self() {
@@ -65,17 +64,17 @@
 	return "", false
 }
 
-// checkRepeat asks whether a search or read was sent before.
+// checkRepeat asks the owner whether the key of a search or read was used before.
 func (c *Coordinator) checkRepeat(ctx *kernel.Context, id uint64, a Admit) {
 	addr, ok := c.repeatOwner(a.Key)
 	if !ok || addr == "" {
-		ctx.Reply(id, search.Admission{Code: "in", Repeat: ok && c.recent.add(a.Key, ctx.Now)})
+		ctx.Reply(id, search.Admission{Code: search.AdmissionGranted, Repeat: ok && c.recent.add(a.Key, ctx.Now)})
 		return
 	}
 	c.lastID++
 	c.admissions[c.lastID] = &admission{id: id, request: a}
 	ctx.SendTo(addr, wire.KindSeenRequest, c.lastID, &wire.SeenRequest{Key: a.Key})
-	ctx.AfterFor(RepeatCheckTimeout, "idempotency", c.lastID)
+	ctx.AfterFor(RepeatCheckTimeout, pluginName, c.lastID)
 }
 
 func (c *Coordinator) receiveSeenReply(ctx *kernel.Context, n uint64, m wire.SeenReply) {
@@ -87,10 +86,10 @@
 	if m.Seen {
 		ctx.Counts.Add("repeats_seen", 1)
 	}
-	ctx.Reply(pending.id, search.Admission{Code: "in", Repeat: m.Seen})
+	ctx.Reply(pending.id, search.Admission{Code: search.AdmissionGranted, Repeat: m.Seen})
 }
 
-// forgetRepeat takes a key back that came to nothing.
+// forgetRepeat has the owner forget a key whose request was sent to no backend.
 func (c *Coordinator) forgetRepeat(ctx *kernel.Context, key string) {
 	if addr, ok := c.repeatOwner(key); ok && addr != "" {
 		ctx.SendTo(addr, wire.KindSeenRequest, 0, &wire.SeenRequest{Key: key, Forget: true})
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -1,6 +1,3 @@
-// Nodes that see different rosters: what a small one lets in, and what an owner that lost its
-// records may vouch for.
-
 package idempotency
 
 import (
