--- a/request/search/explain.go
+++ b/request/search/explain.go
@@ -72,13 +72,13 @@
 		c.Reason = reasonUnhealthy + c.Health
 	}
 	for i := range t.Attempts {
-		s := &t.Attempts[i]
+		attempt := &t.Attempts[i]
 		switch {
-		case s.Backend == backend.ID && s.Retry:
+		case attempt.Backend == backend.ID && attempt.Retry:
 			c.Reason = reasonRetried
-		case s.Backend == backend.ID:
+		case attempt.Backend == backend.ID:
 			c.Reason = reasonSelected
-		case s.Shard == shard && slices.Contains(s.Sampled, backend.ID) && c.Reason == reasonNotSampled:
+		case attempt.Shard == shard && slices.Contains(attempt.Sampled, backend.ID) && c.Reason == reasonNotSampled:
 			c.Reason = reasonHigherCost
 		}
 	}
--- a/request/search/gather.go
+++ b/request/search/gather.go
@@ -17,18 +17,18 @@
 		m.resolveSearch(now)
 		return
 	}
-	s := &m.shardRequests[m.recordShard]
+	shard := &m.shardRequests[m.recordShard]
 	switch {
-	case s.answered:
+	case shard.answered:
 		m.transition(now, StateGathered, "")
-		m.finish(now, StateAnswered, Outcome{Code: CodeOK, Cut: m.shardMap, Shard: m.recordShard, Records: s.records})
-	case s.missing && s.attempts == 0:
-		m.reject(now, CodeUnavailable, s.reason, 1)
-	case s.missing && m.request.AtMostOnce():
+		m.finish(now, StateAnswered, Outcome{Code: CodeOK, Cut: m.shardMap, Shard: m.recordShard, Records: shard.records})
+	case shard.missing && shard.attempts == 0:
+		m.reject(now, CodeUnavailable, shard.reason, 1)
+	case shard.missing && m.request.AtMostOnce():
 		// Nothing was written in any attempt, or attemptDone would have finished the request.
-		m.reject(now, CodeUnavailable, "no server could be reached: "+s.reason, 1)
-	case s.missing:
-		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: ExecutionUnknown, Why: s.reason, Retry: 1})
+		m.reject(now, CodeUnavailable, "no server could be reached: "+shard.reason, 1)
+	case shard.missing:
+		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: ExecutionUnknown, Why: shard.reason, Retry: 1})
 	case now >= m.deadline && m.request.AtMostOnce():
 		m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "no answer within the deadline"})
 	case now >= m.deadline:
@@ -42,13 +42,13 @@
 	answered, pending, attempts := 0, 0, 0
 	why := ""
 	for i := range m.shardRequests {
-		s := &m.shardRequests[i]
-		attempts += s.attempts
+		shard := &m.shardRequests[i]
+		attempts += shard.attempts
 		switch {
-		case s.answered:
+		case shard.answered:
 			answered++
-		case s.missing:
-			why = s.reason
+		case shard.missing:
+			why = shard.reason
 		default:
 			pending++
 		}
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -73,9 +73,9 @@
 			return
 		}
 	}
-	for shard := range m.index.Shards {
-		if m.request.Kind == KindSearch || shard == m.recordShard {
-			m.send(now, shard, why)
+	for shardIndex := range m.index.Shards {
+		if m.request.Kind == KindSearch || shardIndex == m.recordShard {
+			m.send(now, shardIndex, why)
 		}
 	}
 	m.resolve(now)
@@ -94,26 +94,26 @@
 
 // send selects a backend for a shard and sends an attempt to it. Without a backend, or without
 // budget, the shard is missing once no attempt is open.
-func (m *StateMachine) send(now clock.Micros, shard int, why sendReason) {
-	s := &m.shardRequests[shard]
-	selected, ok := selectBackend(m.snapshot, m.index, m.index.Shards[shard], s.attemptedBackends, now, &m.rnd)
+func (m *StateMachine) send(now clock.Micros, shardIndex int, why sendReason) {
+	shard := &m.shardRequests[shardIndex]
+	selected, ok := selectBackend(m.snapshot, m.index, m.index.Shards[shardIndex], shard.attemptedBackends, now, &m.rnd)
 	if !ok {
-		s.missing = s.openAttempts == 0
-		if s.reason == "" {
-			s.reason = "no server may be asked"
+		shard.missing = shard.openAttempts == 0
+		if shard.reason == "" {
+			shard.reason = "no server may be asked"
 		}
 		return
 	}
 	switch why {
 	case sendReplacement:
-		m.transition(now, StateRetried, s.reason)
+		m.transition(now, StateRetried, shard.reason)
 	case sendRetry:
 		if !m.dispatcher.takeRetries(m.snapshot, m.request.Index, now, 1) {
-			s.missing = s.openAttempts == 0
-			s.reason = "budget of repeated tries is used up; " + s.reason
+			shard.missing = shard.openAttempts == 0
+			shard.reason = "budget of repeated tries is used up; " + shard.reason
 			return
 		}
-		m.transition(now, StateRetried, s.reason)
+		m.transition(now, StateRetried, shard.reason)
 	case sendPrepaid:
 		m.transition(now, StateSelected, "a repeat of the caller's")
 	default:
@@ -122,18 +122,18 @@
 	}
 	n := len(m.attempts)
 	backend := selected.Backend
-	m.attempts = append(m.attempts, attempt{shard: shard, backend: backend, sentAt: now, open: true})
-	m.trace.sent(now, n, shard, selected, why != sendFirst)
+	m.attempts = append(m.attempts, attempt{shard: shardIndex, backend: backend, sentAt: now, open: true})
+	m.trace.sent(now, n, shardIndex, selected, why != sendFirst)
 	left := m.deadline - now
-	s.attemptedBackends = append(s.attemptedBackends, backend.ID)
-	s.openAttempts++
-	s.attempts++
-	s.hedgeAt = now + min(max(m.index.Service.HedgeUs, 3*backend.Gauge.Latency.Load()), max(left/2, 1))
+	shard.attemptedBackends = append(shard.attemptedBackends, backend.ID)
+	shard.openAttempts++
+	shard.attempts++
+	shard.hedgeAt = now + min(max(m.index.Service.HedgeUs, 3*backend.Gauge.Latency.Load()), max(left/2, 1))
 	backend.Gauge.Outstanding.Add(1)
 	m.state = StateSent
 	m.emit(Send{
 		Attempt: n, ID: m.ID() + "." + attemptSuffix(n), Backend: backend,
-		Shard: shard, ShardCount: len(m.index.Shards), ShardMap: m.shardMap,
+		Shard: shardIndex, ShardCount: len(m.index.Shards), ShardMap: m.shardMap,
 		Timeout: left, Request: &m.request,
 		Retry: why == sendRetry || why == sendPrepaid, Replacement: why == sendReplacement,
 	})
@@ -147,75 +147,75 @@
 	if done.Attempt >= len(m.attempts) || !m.attempts[done.Attempt].open {
 		return
 	}
-	shard := m.attempts[done.Attempt].shard
-	s := &m.shardRequests[shard]
+	shardIndex := m.attempts[done.Attempt].shard
+	shard := &m.shardRequests[shardIndex]
 	m.closeAttempt(now, done.Attempt, done.Result)
 	m.trace.ended(now, done.Attempt, done.Result)
-	if s.answered || s.missing {
+	if shard.answered || shard.missing {
 		return
 	}
 	switch done.Result.Class {
 	case ClassOK:
-		s.answered, s.records = true, done.Result.Records
-		m.cancelShard(now, shard)
+		shard.answered, shard.records = true, done.Result.Records
+		m.cancelShard(now, shardIndex)
 	case ClassNotFound:
-		m.finish(now, StateAnswered, Outcome{Code: CodeNotFound, Why: "no such record", Ran: ExecutionNone, Cut: m.shardMap, Shard: shard})
+		m.finish(now, StateAnswered, Outcome{Code: CodeNotFound, Why: "no such record", Ran: ExecutionNone, Cut: m.shardMap, Shard: shardIndex})
 		return
 	case ClassNotSent:
-		s.reason = string(done.Result.Class)
-		s.unwritten++
-		m.retry(now, shard, sendReplacement)
+		shard.reason = string(done.Result.Class)
+		shard.unwritten++
+		m.retry(now, shardIndex, sendReplacement)
 	case ClassRejected:
-		s.reason = string(done.Result.Class)
-		m.retry(now, shard, sendRetry)
+		shard.reason = string(done.Result.Class)
+		m.retry(now, shardIndex, sendRetry)
 	default:
-		s.reason = string(done.Result.Class) + ": " + done.Result.Reason
+		shard.reason = string(done.Result.Class) + ": " + done.Result.Reason
 		if m.request.AtMostOnce() {
-			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and gave no whole answer: " + done.Result.Reason, Shard: shard})
+			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and gave no whole answer: " + done.Result.Reason, Shard: shardIndex})
 			return
 		}
-		m.retry(now, shard, sendRetry)
+		m.retry(now, shardIndex, sendRetry)
 	}
 	m.resolve(now)
 	m.scheduleTimer(now)
 }
 
 // retry sends another attempt for a shard if attempts and time are left.
-func (m *StateMachine) retry(now clock.Micros, shard int, why sendReason) {
-	s := &m.shardRequests[shard]
+func (m *StateMachine) retry(now clock.Micros, shardIndex int, why sendReason) {
+	shard := &m.shardRequests[shardIndex]
 	m.refreshSnapshot()
-	if s.attempts-s.unwritten >= maxAttempts || now >= m.deadline {
-		s.missing = s.openAttempts == 0
+	if shard.attempts-shard.unwritten >= maxAttempts || now >= m.deadline {
+		shard.missing = shard.openAttempts == 0
 		return
 	}
-	m.send(now, shard, why)
+	m.send(now, shardIndex, why)
 }
 
 // mayHedge reports whether a slow shard may be sent another attempt before its deadline.
-func (m *StateMachine) mayHedge(s *shardRequest) bool {
-	return !m.request.AtMostOnce() && s.attempts-s.unwritten < maxAttempts && s.hedgeAt < m.deadline
+func (m *StateMachine) mayHedge(shard *shardRequest) bool {
+	return !m.request.AtMostOnce() && shard.attempts-shard.unwritten < maxAttempts && shard.hedgeAt < m.deadline
 }
 
 // hedgeSlow sends another attempt for each shard whose last one has taken too long.
 func (m *StateMachine) hedgeSlow(now clock.Micros) {
-	for shard := range m.shardRequests {
-		s := &m.shardRequests[shard]
-		if s.openAttempts == 0 || s.answered || !m.mayHedge(s) || now < s.hedgeAt || now >= m.deadline {
+	for shardIndex := range m.shardRequests {
+		shard := &m.shardRequests[shardIndex]
+		if shard.openAttempts == 0 || shard.answered || !m.mayHedge(shard) || now < shard.hedgeAt || now >= m.deadline {
 			continue
 		}
-		s.reason = "no answer yet"
-		before := s.attempts
-		m.send(now, shard, sendRetry)
-		if s.attempts == before {
-			s.hedgeAt = m.deadline
+		shard.reason = "no answer yet"
+		before := shard.attempts
+		m.send(now, shardIndex, sendRetry)
+		if shard.attempts == before {
+			shard.hedgeAt = m.deadline
 		}
 	}
 }
 
 // cancelShard cancels the open attempts for a shard that has answered.
-func (m *StateMachine) cancelShard(now clock.Micros, shard int) {
+func (m *StateMachine) cancelShard(now clock.Micros, shardIndex int) {
 	for n := range m.attempts {
-		if t := &m.attempts[n]; t.shard == shard && t.open {
+		if attempt := &m.attempts[n]; attempt.shard == shardIndex && attempt.open {
 			m.cancelAttempt(now, n)
 		}
 	}
@@ -223,9 +223,9 @@
 
 // cancelAttempt cancels an open attempt. It counts in its backend's latency as if it took until now.
 func (m *StateMachine) cancelAttempt(now clock.Micros, n int) {
-	t := &m.attempts[n]
-	gauge := t.backend.Gauge
-	if took := now - t.sentAt; took > gauge.Latency.Load() {
+	attempt := &m.attempts[n]
+	gauge := attempt.backend.Gauge
+	if took := now - attempt.sentAt; took > gauge.Latency.Load() {
 		gauge.Latency.Store(gauge.Latency.Load() + (took-gauge.Latency.Load())/8)
 	}
 	m.closeAttempt(now, n, Result{})
@@ -234,20 +234,20 @@
 
 // closeAttempt ends an open attempt and updates its backend's gauge by the result.
 func (m *StateMachine) closeAttempt(now clock.Micros, n int, result Result) {
-	t := &m.attempts[n]
-	if !t.open {
+	attempt := &m.attempts[n]
+	if !attempt.open {
 		return
 	}
-	t.open = false
-	m.shardRequests[t.shard].openAttempts--
-	gauge := t.backend.Gauge
+	attempt.open = false
+	m.shardRequests[attempt.shard].openAttempts--
+	gauge := attempt.backend.Gauge
 	gauge.Outstanding.Add(-1)
 	if result.Incarnation > gauge.Incarnation.Load() {
 		gauge.Incarnation.Store(result.Incarnation)
 	}
 	switch result.Class {
 	case ClassOK, ClassNotFound:
-		gauge.Succeeded(now - t.sentAt)
+		gauge.Succeeded(now - attempt.sentAt)
 		gauge.Usage.Store(result.Load)
 	case ClassInvalid:
 		gauge.Corrupted(now)
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -165,9 +165,9 @@
 	}
 	at := m.deadline
 	for i := range m.shardRequests {
-		s := &m.shardRequests[i]
-		if s.openAttempts > 0 && !s.answered && m.mayHedge(s) {
-			at = min(at, s.hedgeAt)
+		shard := &m.shardRequests[i]
+		if shard.openAttempts > 0 && !shard.answered && m.mayHedge(shard) {
+			at = min(at, shard.hedgeAt)
 		}
 	}
 	if m.request.Kind == KindSearch {
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -67,10 +67,10 @@
 	if attempt >= len(t.Attempts) {
 		return
 	}
-	s := &t.Attempts[attempt]
-	s.Result, s.Duration = string(r.Class), now-t.StartedAt-s.At
+	attemptTrace := &t.Attempts[attempt]
+	attemptTrace.Result, attemptTrace.Duration = string(r.Class), now-t.StartedAt-attemptTrace.At
 	if r.Reason != "" {
-		s.Result += ": " + r.Reason
+		attemptTrace.Result += ": " + r.Reason
 	}
 }
 
