--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -16,10 +16,11 @@
 	"wallport/api/routingpb"
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
 
-// lean answers each request with a body, and the id that it came with.
+// lean is a backend that responds to each request with a body and the id of the request.
 func lean(b *testing.B, body []byte) *net.TCPAddr {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	must.NoError(b, err)
@@ -70,7 +71,7 @@
 	server := &snapshot.Backend{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
 	ask := func(id string) dispatch.Send {
 		return dispatch.Send{
-			Pool: pool, Backend: server, Timeout: 5_000_000,
+			Pool: pool, Backend: server, Timeout: 5 * clock.Second,
 			Request: &dispatch.Request{ID: id, Method: "GET", Target: "/search", Host: "site.example", Header: []byte("Try-Id: " + id + "\r\n")},
 		}
 	}
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -10,6 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/request/dispatch"
+	"wallport/runtime/clock"
 )
 
 // greeter does something to each new connection before a request arrives, when the test lets it.
@@ -143,7 +144,7 @@
 	})
 	cl := newTestClient(t, Config{})
 	a := f.attemptOnce("a")
-	a.Timeout = 20_000
+	a.Timeout = 20 * clock.Millisecond
 	must.True(t, run(t, cl, a, dispatch.ClassFailed).TimedOut)
 	must.Eq(t, 0, cl.open.Load())
 	late <- true
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -23,6 +23,7 @@
 	"wallport/request/backend"
 	"wallport/request/dispatch"
 	"wallport/request/snapshot"
+	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
 	"wallport/runtime/wire"
 )
@@ -37,7 +38,8 @@
 	os.Exit(m.Run())
 }
 
-// benchTable has a gathered route over some shards and a single one, four backends to a pool.
+// benchTable returns a snapshot with a fan-out route over some shards and a route to one pool, each pool
+// with four backends.
 func benchTable(shards int, addrs []string) *snapshot.Snapshot {
 	src := &routingpb.RoutingTable{Revision: 1, Limits: &routingpb.Limits{}}
 	cp := &snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
@@ -99,8 +101,8 @@
 	defer cl.Close()
 	s, err := Open(Config{
 		ClientAddr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", ShardSeals: "Stamps", MissingShards: "Parts-Missing"},
-		Log: zap.NewNop(), Counts: counts, Backends: cl, Snapshot: get, Now: now, GracePeriod: 1_000_000,
-		NewStateMachine: func(r dispatch.Request, now int64) StateMachine { return dispatch.NewStateMachine(desk, r, now) },
+		Log: zap.NewNop(), Counts: counts, Backends: cl, Snapshot: get, Now: now, GracePeriod: 1 * clock.Second,
+		NewStateMachine: func(r dispatch.Request, now clock.Micros) StateMachine { return dispatch.NewStateMachine(desk, r, now) },
 	})
 	must.NoError(b, err)
 	defer s.Stop()
--- a/request/gateway/connections_test.go
+++ b/request/gateway/connections_test.go
@@ -7,13 +7,14 @@
 	"github.com/shoenig/test/must"
 
 	"wallport/api/routingpb"
+	"wallport/runtime/clock"
 )
 
-// Limits that come and go leave no more behind than there are different ones.
+// TestRepeatedLimitsReuseHTTPServer starts no more http.Servers than there are different limits.
 func TestRepeatedLimitsReuseHTTPServer(t *testing.T) {
 	w := newWorld(t, nil)
 	for i := range int64(20) {
-		w.limits(&routingpb.Limits{IdleTimeoutUs: 10_000_000 + i%2})
+		w.limits(&routingpb.Limits{IdleTimeoutUs: 10*clock.Second + i%2})
 		c := w.dial()
 		c.send(get("a"))
 		c.readResponse("GET")
@@ -23,17 +24,17 @@
 	must.Between(t, 1, len(w.server.connections.httpServers), 2)
 }
 
-// How long a client may take to take its answer counts from when there is one.
+// TestLateResponseHasFullWriteTimeout counts the time to read a response from when there is one.
 func TestLateResponseHasFullWriteTimeout(t *testing.T) {
-	const within = 100 * time.Millisecond
-	w := newWorld(t, func(_ *world, c *Config) { c.WriteTimeout = within })
+	const timeout = 100 * time.Millisecond
+	w := newWorld(t, func(_ *world, c *Config) { c.WriteTimeout = timeout })
 	h := w.block("/a")
 	c := w.dial()
 	sent := time.Now()
 	c.send(get("a"))
 	<-h.enter
-	for time.Since(sent) < 2*within {
-		time.Sleep(within / 10)
+	for time.Since(sent) < 2*timeout {
+		time.Sleep(timeout / 10)
 	}
 	h.leave["/a"] <- true
 	_, body := c.readResponse("GET")
--- a/request/gateway/driver_test.go
+++ b/request/gateway/driver_test.go
@@ -144,7 +144,7 @@
 		case dispatch.TimerFired:
 			return []dispatch.Action{dispatch.SetTimer{At: w.now() + 1000}}
 		case dispatch.ClientGone:
-			return []dispatch.Action{dispatch.Abandon{N: 0}, dispatch.Cancel{N: 1}, finish(dispatch.Outcome{Code: "client_gone"})}
+			return []dispatch.Action{dispatch.Abandon{N: 0}, dispatch.Cancel{N: 1}, finish(dispatch.Outcome{Code: dispatch.CodeClientGone})}
 		}
 		return nil
 	}
@@ -203,7 +203,7 @@
 func TestConnectionIsAbortedWithoutOutcome(t *testing.T) {
 	w := newWorld(t, nil)
 	w.step = func(*script, dispatch.Event) []dispatch.Action {
-		return []dispatch.Action{finish(dispatch.Outcome{Code: "client_gone"})}
+		return []dispatch.Action{finish(dispatch.Outcome{Code: dispatch.CodeClientGone})}
 	}
 	c := w.dial()
 	c.send(get("a"))
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -82,11 +82,8 @@
 	retryAfter = 200 * clock.Millisecond
 )
 
-// The codes of the node's own responses.
-const (
-	codeRejected = "refused"
-	codeInvalid  = "invalid"
-)
+// codeInvalid is the code of a request that is invalid or cannot be read. It never reaches a state machine.
+const codeInvalid dispatch.Code = "invalid"
 
 // Server serves clients and readiness.
 type Server struct {
@@ -101,8 +98,8 @@
 	// draining is set once the shutdown has begun.
 	draining                 atomic.Bool
 	read, rejected, accepted *atomic.Int64
-	// attempt counts requests under way, asks those at backends, left ones included; held is what the
-	// bodies of all requests hold together. They are shown with the counters.
+	// The gauges of requests in flight, of exchanges in flight, abandoned ones included, and of the bytes
+	// of all bodies.
 	inFlight, exchanges, bodyBytes *atomic.Int64
 	maxBodyBytes                   int64
 }
--- a/request/gateway/handler.go
+++ b/request/gateway/handler.go
@@ -104,7 +104,7 @@
 	defer s.inFlight.Add(-1)
 	s.config.AwaitThaw()
 	if view := s.config.Snapshot(); view == nil || view.Routing == nil {
-		return dispatch.Outcome{Status: http.StatusServiceUnavailable, Code: codeRejected, Reason: "no routing table yet", RetryAfter: retryAfter}
+		return dispatch.Outcome{Status: http.StatusServiceUnavailable, Code: dispatch.CodeRejected, Reason: "no routing table yet", RetryAfter: retryAfter}
 	}
 	return s.drive(r.Context(), req)
 }
@@ -117,7 +117,7 @@
 	closeAfterResponse(w)
 	o := dispatch.Outcome{Status: status, Code: codeInvalid, Reason: reason}
 	if status == http.StatusServiceUnavailable {
-		o.Code, o.RetryAfter = codeRejected, retryAfter
+		o.Code, o.RetryAfter = dispatch.CodeRejected, retryAfter
 	}
 	writeOwnResponse(w, &o)
 }
--- a/request/gateway/limits_test.go
+++ b/request/gateway/limits_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"strconv"
 	"strings"
 	"testing"
 
@@ -17,7 +18,7 @@
 		if chunked {
 			return s + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nb\r\n", body) + "0\r\n\r\n"
 		}
-		return s + "Content-Length: " + itoa(body) + "\r\n\r\n" + strings.Repeat("b", body)
+		return s + "Content-Length: " + strconv.Itoa(body) + "\r\n\r\n" + strings.Repeat("b", body)
 	}
 	for _, c := range []struct {
 		name   string
@@ -38,11 +39,11 @@
 			client.send(c.send)
 			resp, _ := client.readResponse("POST")
 			must.Eq(t, c.status, resp.StatusCode)
-			// After a request in chunks no other is read.
+			// No other request is read after a chunked one.
 			must.Eq(t, c.status != 200 || strings.Contains(c.send, "chunked"), resp.Close)
 		})
 	}
-	// An open connection follows a change.
+	// A change applies to open connections.
 	client := w.dial()
 	client.send(post(0, 2000, false))
 	resp, _ := client.readResponse("POST")
@@ -53,14 +54,7 @@
 	must.Eq(t, 413, resp.StatusCode)
 }
 
-func itoa(n int) string {
-	if n < 10 {
-		return string(rune('0' + n))
-	}
-	return itoa(n/10) + itoa(n%10)
-}
-
-// TestHeaderAndIdleTimeouts ends a connection that rests too long without a word, and one that begins a request with one.
+// TestHeaderAndIdleTimeouts closes an idle connection without a response, and one with a part of a request with one.
 func TestHeaderAndIdleTimeouts(t *testing.T) {
 	w := newWorld(t, nil)
 	w.limits(&routingpb.Limits{HeaderTimeoutUs: 1, IdleTimeoutUs: 1})
@@ -77,7 +71,7 @@
 	must.Len(t, 1, w.requests())
 }
 
-// TestSlowBodyTimesOut waits longer for a body, but not for ever.
+// TestSlowBodyTimesOut waits longer for a body than for a header, but not without a bound.
 func TestSlowBodyTimesOut(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 5", "Transfer-Encoding: chunked"} {
 		w := newWorld(t, nil)
@@ -92,7 +86,8 @@
 	}
 }
 
-// TestBodyBytesAreBounded refuses a body, before it is read, while others hold too much, and takes the next.
+// TestBodyBytesAreBounded rejects a body before it is read while those of other requests fill the bound, and
+// accepts one after that.
 func TestBodyBytesAreBounded(t *testing.T) {
 	w := newWorld(t, nil)
 	w.server.maxBodyBytes = 100
@@ -120,7 +115,6 @@
 	must.Len(t, 2, w.requests())
 }
 
-// TestRejectsWithoutRoutingTable refuses at once while there is no routing table.
 func TestRejectsWithoutRoutingTable(t *testing.T) {
 	w := newWorld(t, nil)
 	c := w.dial()
--- a/request/gateway/peer_test.go
+++ b/request/gateway/peer_test.go
@@ -22,7 +22,7 @@
 	Fresh      bool
 }
 
-// peerMain is the other process: backends whose addresses it prints, and clients as it is told.
+// peerMain is the main function of the other process: it prints the addresses of its backends and runs the jobs.
 func peerMain() {
 	n, _ := strconv.Atoi(os.Getenv(peerVar))
 	var addrs []string
@@ -84,7 +84,7 @@
 	}
 }
 
-// run carries out a job and returns how many answers were 200.
+// run carries out a job and returns how many responses had status 200.
 func (j job) run() int {
 	var wg sync.WaitGroup
 	good := make([]int, j.Clients)
--- a/request/gateway/request_test.go
+++ b/request/gateway/request_test.go
@@ -51,7 +51,7 @@
 	must.Eq(t, 1, len(got.head["Left"]))
 }
 
-// TestFramings sends the same body with a length, in chunks and after a word.
+// TestFramings sends the same body with a length, in chunks, and after a 100 Continue.
 func TestFramings(t *testing.T) {
 	w := newWorld(t, nil)
 	c := w.dial()
@@ -96,7 +96,7 @@
 	}
 }
 
-// TestNoBodyIsAdded leaves a request without a body without one.
+// TestNoBodyIsAdded forwards a request without a body without one.
 func TestNoBodyIsAdded(t *testing.T) {
 	w := newWorld(t, nil)
 	c := w.dial()
@@ -124,19 +124,19 @@
 		c.send(strings.Replace(get("a"), "GET", method, 1))
 		return c.readResponse(method)
 	}
-	resp, body := ask("GET", dispatch.Outcome{Status: 200, Code: "ok", Seals: []string{"a.1", "b.2"}, Missing: 1, Body: []byte("0123456789abcdef")})
+	resp, body := ask("GET", dispatch.Outcome{Status: 200, Code: dispatch.CodeOK, Seals: []string{"a.1", "b.2"}, Missing: 1, Body: []byte("0123456789abcdef")})
 	must.Eq(t, 200, resp.StatusCode)
 	must.Eq(t, []string{"a.1, b.2"}, resp.Header["Stamps"])
 	must.Eq(t, []string{"1"}, resp.Header["Parts-Missing"])
 	must.Eq(t, "0123456789abcdef", body)
 	must.MapNotContainsKeys(t, resp.Header, []string{"Content-Type"})
 
-	resp, body = ask("GET", dispatch.Outcome{Status: 200, Code: "ok", Seals: []string{"a.1"}, Body: []byte{}})
+	resp, body = ask("GET", dispatch.Outcome{Status: 200, Code: dispatch.CodeOK, Seals: []string{"a.1"}, Body: []byte{}})
 	must.Eq(t, []string{"a.1"}, resp.Header["Stamps"])
 	must.MapNotContainsKeys(t, resp.Header, []string{"Parts-Missing"})
 	must.Eq(t, "", body)
 
-	resp, body = ask("GET", dispatch.Outcome{Status: 503, Code: "refused", Reason: "full \"up\"", RetryAfter: 123_456})
+	resp, body = ask("GET", dispatch.Outcome{Status: 503, Code: dispatch.CodeRejected, Reason: "full \"up\"", RetryAfter: 123_456})
 	must.Eq(t, 503, resp.StatusCode)
 	must.Eq(t, "0.123", resp.Header.Get("Retry-After"))
 	must.Eq(t, "application/json", resp.Header.Get("Content-Type"))
@@ -165,7 +165,7 @@
 	must.Eq(t, 299, resp.StatusCode)
 }
 
-// TestLargeResponse is more than a client takes at once.
+// TestLargeResponse has a response that is larger than what a client reads at once.
 func TestLargeResponse(t *testing.T) {
 	w := newWorld(t, nil)
 	big := strings.Repeat("0123456789abcdef", 1<<17)
@@ -178,7 +178,7 @@
 	}
 }
 
-// TestConnectionReuse keeps, closes and pipelines.
+// TestConnectionReuse has connections that are kept, closed and used for pipelined requests.
 func TestConnectionReuse(t *testing.T) {
 	w := newWorld(t, nil)
 	c := w.dial()
--- a/request/gateway/smuggle_test.go
+++ b/request/gateway/smuggle_test.go
@@ -13,47 +13,47 @@
 		send   string
 		status int
 	}{
-		"two lengths":                {start + "Content-Length: 0\r\nContent-Length: 50\r\n\r\n", 400},
-		"a list of lengths":          {start + "Content-Length: 0, 50\r\n\r\n", 400},
-		"a signed length":            {start + "Content-Length: +0\r\n\r\n", 400},
-		"a hex length":               {start + "Content-Length: 0x0\r\n\r\n", 400},
-		"an empty length":            {start + "Content-Length:\r\n\r\n", 400},
-		"two encodings":              {start + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n", 501},
-		"chunks twice":               {start + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501},
-		"a list of encodings":        {start + "Transfer-Encoding: identity, chunked\r\n\r\n0\r\n\r\n", 501},
-		"an odd encoding":            {start + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n", 501},
-		"an encoding with a tab":     {start + "Transfer-Encoding:\x0bchunked\r\n\r\n0\r\n\r\n", 400},
-		"space before the colon":     {start + "Transfer-Encoding : chunked\r\nContent-Length: 0\r\n\r\n", 400},
-		"a bare return":              {start + "X: y\rContent-Length: 50\r\n\r\n", 400},
-		"a null":                     {start + "X: y\x00\r\n\r\n", 400},
-		"no name":                    {start + ": y\r\n\r\n", 400},
-		"no colon":                   {start + "Xy\r\n\r\n", 400},
-		"a chunk of no size":         {start + "Transfer-Encoding: chunked\r\n\r\n;x\r\n\r\n", 400},
-		"a chunk of signed size":     {start + "Transfer-Encoding: chunked\r\n\r\n-1\r\n\r\n", 400},
-		"a chunk of 0x size":         {start + "Transfer-Encoding: chunked\r\n\r\n0x0\r\n\r\n", 400},
-		"a chunk of huge size":       {start + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff0\r\n\r\n", 400},
-		"a chunk longer than told":   {start + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n0\r\n\r\n", 400},
-		"a chunk with a bare feed":   {start + "Transfer-Encoding: chunked\r\n\r\n1\na\r\n0\r\n\r\n", 400},
-		"a malformed trailer":        {start + "Transfer-Encoding: chunked\r\n\r\n0\r\nGET / HTTP/1.1\r\n\r\n", 400},
-		"no host":                    {"GET /x HTTP/1.1\r\nTry-Id: a\r\n\r\n", 400},
-		"two hosts":                  {"GET /x HTTP/1.1\r\nHost: h\r\nHost: i\r\nTry-Id: a\r\n\r\n", 400},
-		"an odd host":                {"GET /x HTTP/1.1\r\nHost: h/x\r\nTry-Id: a\r\n\r\n", 400},
-		"a target of two words":      {"GET /x /y HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
-		"a target with a control":    {"GET /x\x01 HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
-		"a target without a path":    {"GET x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
-		"a target of all":            {"OPTIONS * HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
-		"a tunnel":                   {"CONNECT h:80 HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
-		"a tab in the request line":  {"GET\t/x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
-		"a method that is no word":   {"G(T /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
-		"no protocol":                {"GET /x\r\n\r\n", 400},
-		"another protocol":           {"GET /x HTTP/2.0\r\nHost: h\r\nTry-Id: a\r\n\r\n", 505},
-		"an odd protocol":            {"GET /x HTTP/1.1x\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
-		"noise":                      {"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400},
-		"no id":                      {"GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 400},
-		"two ids":                    {"GET /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\nTry-Id: b\r\n\r\n", 400},
-		"an empty id":                {"GET /x HTTP/1.1\r\nHost: h\r\nTry-Id: \r\n\r\n", 400},
-		"an unknown expectation":     {start + "Expect: 200-maybe\r\nContent-Length: 0\r\n\r\n", 417},
-		"two empty lines before one": {"\r\n\r\nGET /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"two lengths":                  {start + "Content-Length: 0\r\nContent-Length: 50\r\n\r\n", 400},
+		"a list of lengths":            {start + "Content-Length: 0, 50\r\n\r\n", 400},
+		"a signed length":              {start + "Content-Length: +0\r\n\r\n", 400},
+		"a hex length":                 {start + "Content-Length: 0x0\r\n\r\n", 400},
+		"an empty length":              {start + "Content-Length:\r\n\r\n", 400},
+		"two encodings":                {start + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n", 501},
+		"chunks twice":                 {start + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501},
+		"a list of encodings":          {start + "Transfer-Encoding: identity, chunked\r\n\r\n0\r\n\r\n", 501},
+		"an odd encoding":              {start + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n", 501},
+		"an encoding with a tab":       {start + "Transfer-Encoding:\x0bchunked\r\n\r\n0\r\n\r\n", 400},
+		"space before the colon":       {start + "Transfer-Encoding : chunked\r\nContent-Length: 0\r\n\r\n", 400},
+		"a bare return":                {start + "X: y\rContent-Length: 50\r\n\r\n", 400},
+		"a null":                       {start + "X: y\x00\r\n\r\n", 400},
+		"no name":                      {start + ": y\r\n\r\n", 400},
+		"no colon":                     {start + "Xy\r\n\r\n", 400},
+		"a chunk of no size":           {start + "Transfer-Encoding: chunked\r\n\r\n;x\r\n\r\n", 400},
+		"a chunk of signed size":       {start + "Transfer-Encoding: chunked\r\n\r\n-1\r\n\r\n", 400},
+		"a chunk of 0x size":           {start + "Transfer-Encoding: chunked\r\n\r\n0x0\r\n\r\n", 400},
+		"a chunk of huge size":         {start + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff0\r\n\r\n", 400},
+		"a chunk longer than its size": {start + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n0\r\n\r\n", 400},
+		"a chunk with a bare feed":     {start + "Transfer-Encoding: chunked\r\n\r\n1\na\r\n0\r\n\r\n", 400},
+		"a malformed trailer":          {start + "Transfer-Encoding: chunked\r\n\r\n0\r\nGET / HTTP/1.1\r\n\r\n", 400},
+		"no host":                      {"GET /x HTTP/1.1\r\nTry-Id: a\r\n\r\n", 400},
+		"two hosts":                    {"GET /x HTTP/1.1\r\nHost: h\r\nHost: i\r\nTry-Id: a\r\n\r\n", 400},
+		"an odd host":                  {"GET /x HTTP/1.1\r\nHost: h/x\r\nTry-Id: a\r\n\r\n", 400},
+		"two targets":                  {"GET /x /y HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"a target with a control":      {"GET /x\x01 HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"a target without a path":      {"GET x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"an asterisk target":           {"OPTIONS * HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"a tunnel":                     {"CONNECT h:80 HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"a tab in the request line":    {"GET\t/x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"a malformed method":           {"G(T /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"no protocol":                  {"GET /x\r\n\r\n", 400},
+		"another protocol":             {"GET /x HTTP/2.0\r\nHost: h\r\nTry-Id: a\r\n\r\n", 505},
+		"an odd protocol":              {"GET /x HTTP/1.1x\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
+		"noise":                        {"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400},
+		"no id":                        {"GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 400},
+		"two ids":                      {"GET /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\nTry-Id: b\r\n\r\n", 400},
+		"an empty id":                  {"GET /x HTTP/1.1\r\nHost: h\r\nTry-Id: \r\n\r\n", 400},
+		"an unknown expectation":       {start + "Expect: 200-maybe\r\nContent-Length: 0\r\n\r\n", 417},
+		"two empty lines before one":   {"\r\n\r\nGET /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, nil)
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestUnusualRequestsAreAccepted has what net/http bears: it is read in one way, that one goes on, and nothing hides in it.
+// TestUnusualRequestsAreAccepted has requests that net/http tolerates: they are forwarded in the one way in
+// which they were read, and nothing in them is read as another request.
 func TestUnusualRequestsAreAccepted(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
 	start := "POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n"
@@ -104,7 +105,7 @@
 	}
 }
 
-// TestRequestHiddenInBodyIsNotServed passes on what looks like a request as the body that it is.
+// TestRequestHiddenInBodyIsNotServed forwards a body that looks like a request as a body.
 func TestRequestHiddenInBodyIsNotServed(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
 	w := newWorld(t, nil)
--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -113,7 +113,7 @@
 		if _, ok := ev.(dispatch.Begin); ok {
 			return []dispatch.Action{s.attemptTo(0, "/left", false), dispatch.SetTimer{At: w.now() + 1000}}
 		}
-		return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 504, Code: "given_up"})}
+		return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 504, Code: dispatch.CodeFailed})}
 	}
 	c := w.dial()
 	c.send(get("a"))
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -62,9 +62,9 @@
 		return []dispatch.Action{s.attempt(0, true)}
 	case dispatch.AttemptDone:
 		if v.Result.Class == dispatch.ClassResponse {
-			return []dispatch.Action{finish(dispatch.Outcome{Status: v.Result.Status, Code: "ok", Response: &v.Result})}
+			return []dispatch.Action{finish(dispatch.Outcome{Status: v.Result.Status, Code: dispatch.CodeOK, Response: &v.Result})}
 		}
-		return []dispatch.Action{finish(dispatch.Outcome{Status: 502, Code: "unknown", Reason: v.Result.Reason})}
+		return []dispatch.Action{finish(dispatch.Outcome{Status: 502, Code: dispatch.CodeUnknown, Reason: v.Result.Reason})}
 	}
 	return nil
 }
