--- a/cmd/lab/cover.go
+++ b/cmd/lab/cover.go
@@ -1,5 +1,4 @@
-// What a sweep of drawn days put to the test: each kind of trouble, each of its
-// ways, and each rule.
+// What a sweep of drawn days put to the test: each kind of fault, each of its ways, and each rule.
 
 package main
 
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -1,5 +1,5 @@
-// The soak's command: real processes on the platform's path under overlapping
-// troubles, one run for each seed. What a failing seed left is kept.
+// The soak's command: real processes on the platform's path under overlapping faults, one run for each seed.
+// What a failing seed left is kept.
 
 package main
 
--- a/lab/fleet/configure.go
+++ b/lab/fleet/configure.go
@@ -1,4 +1,4 @@
-// Telling the stand-in platform and the fleet what a run needs.
+// Configuring the stand-in platform and the fleet for a run.
 
 package fleet
 
@@ -26,7 +26,7 @@
 	})
 }
 
-// configure puts the first sheet and cut and waits for every node's condition.
+// configure puts the first configuration and shard map and waits until every node answers a search.
 func (f *Fleet) configure(ctx context.Context) error {
 	s := f.options.Shape
 	oper := f.OperatorAddrs["node-0"]
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// poll tries until it works or the context ends; it waits on events, not on the clock's word.
+// poll retries until try succeeds or the context ends.
 func poll(ctx context.Context, what string, try func() error) error {
 	for {
 		err := try()
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,4 @@
-// The processes of a fleet: starting, finding, signalling and ending them,
-// each by its own id.
+// The processes of a fleet: starting, finding, signalling and ending them, each by its own process id.
 
 package fleet
 
@@ -25,15 +24,15 @@
 	Shape Shape
 	Dir   string
 	Bin   string
-	// Before is the folder of an earlier release's programs, which the daemons begin with.
+	// Before is the folder of an earlier release's programs, with which the daemons start.
 	Before string
 	Log    io.Writer
-	// Token and Secret are the operator token of the nodes and the fleet's secret.
+	// Token is the operator token of the nodes, Secret the fleet's secret.
 	Token string
 	// Tokens is a file of tokens with scopes for the nodes.
 	Tokens string
 	Secret string
-	// Relays puts a relay before each daemon's mesh address, so that daemons can be cut off.
+	// Relays puts a relay before each daemon's mesh address, so that daemons can be partitioned.
 	Relays bool
 }
 
@@ -47,7 +46,7 @@
 	mesh     string
 	operator string
 	zone     string
-	// stopping is that it was told to.
+	// stopping reports that it was told to end.
 	stopping bool
 }
 
@@ -68,11 +67,11 @@
 	network       *relay.Network
 	// zonesOrdered are the zones that a scenario's operators drain and restore.
 	zonesOrdered []string
-	// started is how many daemons were given an own address.
+	// started counts the daemons that were given an address of their own.
 	started int
 }
 
-// New makes an empty fleet.
+// New returns a fleet without processes.
 func New(o Options) *Fleet {
 	f := &Fleet{
 		options: o, processes: map[string]*Process{}, OperatorAddrs: map[string]string{}, drainingSince: map[string]int64{}, stopped: map[string]bool{}, network: relay.New(),
@@ -82,10 +81,10 @@
 	return f
 }
 
-// commonIP is the loopback address of whatever has no address of its own.
+// commonIP is the loopback address of processes without one of their own.
 const commonIP = "127.0.0.1"
 
-// ports takes free ports of a loopback address, all held until all are known.
+// ports returns n free ports of a loopback address, which differ from each other.
 func ports(ip string, n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -99,7 +98,7 @@
 	return out, nil
 }
 
-// Start runs a process and waits for its end beside.
+// Start starts a process and waits for its end in the background.
 func (f *Fleet) Start(p *Process) error {
 	logf, err := os.OpenFile(filepath.Join(f.options.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -198,7 +197,7 @@
 	return f.Start(p)
 }
 
-// ownAddress is a free port of a loopback address that no other daemon has.
+// ownAddress returns a free port of a loopback address that no other daemon has.
 func (f *Fleet) ownAddress() (string, error) {
 	f.mu.Lock()
 	f.started++
@@ -211,7 +210,7 @@
 	return free[0], nil
 }
 
-// Backends starts n servers of a cut.
+// Backends starts n servers of a shard map.
 func (f *Fleet) Backends(cut string, shards, n int, addrs []string) error {
 	s := f.options.Shape
 	if len(addrs) < n {
--- a/lab/fleet/gather.go
+++ b/lab/fleet/gather.go
@@ -1,4 +1,4 @@
-// Gathering what the stand-ins saw and what the nodes counted.
+// Collecting what the stand-ins saw and what the nodes counted.
 
 package fleet
 
@@ -13,7 +13,7 @@
 	"wallport/lab/backend"
 )
 
-// Ran gathers how often each key ran, over all servers that answer.
+// Ran counts how often each key ran, over all servers that answer.
 func (f *Fleet) Ran() (ran map[string]int, asked map[string]backend.Report) {
 	ran, asked = map[string]int{}, map[string]backend.Report{}
 	for _, s := range f.backends {
@@ -29,7 +29,7 @@
 		}
 		asked[s.ID] = r
 	}
-	// From the journals, which outlive a server that was killed.
+	// From the journals as well, which outlive a killed server.
 	for _, s := range f.backends {
 		b, err := os.ReadFile(filepath.Join(f.options.Dir, s.ID+".ran"))
 		if err != nil {
@@ -42,7 +42,7 @@
 	return ran, asked
 }
 
-// Metric sums one counter over the live nodes.
+// Metric returns the sum of a counter over the live nodes.
 func (f *Fleet) Metric(name string) int64 {
 	var sum int64
 	for _, oper := range f.OperatorAddrs {
--- a/lab/fleet/load.go
+++ b/lab/fleet/load.go
@@ -1,6 +1,5 @@
-// Load runs on real processes: the same fleet shape under several loads and
-// failures, each in a fresh fleet, alternating between two builds when a second
-// one is given, so that both meet the same machine.
+// Load runs on real processes: the same fleet shape under several loads and faults, each in a fresh fleet,
+// alternating between two builds when a second one is given, so that both meet the same machine.
 
 package fleet
 
@@ -16,7 +15,7 @@
 	"wallport/lab/script"
 )
 
-// Case is one load.
+// Case is one load to measure.
 type Case struct {
 	Name   string
 	Times  float64
@@ -24,7 +23,7 @@
 	Script string
 }
 
-// Cases are the loads that are measured.
+// Cases are the measured loads.
 var Cases = []Case{
 	{"normal", 1, 0.05, ""},
 	{"1.5x", 1.5, 0.05, ""},
@@ -34,7 +33,7 @@
 	{"retrying callers", 1, 0.9, ""},
 }
 
-// LoadOptions say what to run.
+// LoadOptions are the options of a load measurement.
 type LoadOptions struct {
 	Options
 	Against string
@@ -44,7 +43,7 @@
 	Only    string
 }
 
-// CaseResult is one run's figures.
+// CaseResult holds one run's measurements; latencies are in microseconds.
 type CaseResult struct {
 	Good, P50, P99, Extra, Refused, Unknown, Partial, Violations int64
 	Balance                                                      float64
--- a/lab/fleet/logs.go
+++ b/lab/fleet/logs.go
@@ -1,4 +1,4 @@
-// What processes that have ended tell in their logs.
+// The logs of processes that have ended.
 
 package fleet
 
@@ -11,7 +11,7 @@
 
 var served = regexp.MustCompile(`event=served .*read=([0-9]+)`)
 
-// stoppedRead sums the inquiries that nodes had read when they ended as planned.
+// stoppedRead sums the requests that nodes had in hand when they stopped gracefully.
 func (f *Fleet) stoppedRead() (sum int64) {
 	for _, n := range f.Nodes {
 		b, err := os.ReadFile(filepath.Join(f.options.Dir, n.Name+".log"))
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -1,6 +1,6 @@
-// Operators of a real fleet: they edit the sheet in storms and races while things
-// fail, and every node is looked at ten times a second; the simulator's judge of
-// sheets reads the record. Each sheet is known by its ramp, as in the simulator.
+// Operators of a real fleet: they edit the configuration in storms and races while faults happen, and poll every
+// node ten times a second; package check evaluates the record as it does for the simulator. Each configuration
+// is recognised by its ramp, as in the simulator.
 
 package fleet
 
@@ -31,7 +31,7 @@
 	mark    int64
 	wait    sync.WaitGroup
 	upSince map[string]int64
-	// lostAt and back are when everything was lost and started again.
+	// lostAt and restoredAt are when everything was lost and started again.
 	lostAt, restoredAt atomic.Int64
 }
 
@@ -52,7 +52,7 @@
 	} `json:"sheet"`
 }
 
-// mark is the ramp by which a sheet is known; 0 where there is none.
+// mark returns the ramp by which a configuration is recognised, 0 where there is none.
 func (s configInForce) mark() (mark int64) {
 	if len(s.Config.Services) > 0 {
 		fmt.Sscan(fmt.Sprint(s.Config.Services[0]["ramp_us"]), &mark)
@@ -60,7 +60,7 @@
 	return mark
 }
 
-// readConfig is the sheet in force at a node, as an operator reads it.
+// readConfig reads the configuration in force at a node, as an operator does.
 func (o *operators) readConfig(node string) (s configInForce, err error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+o.fleet.OperatorAddrs[node]+"/v1/sheet", nil)
 	if err != nil {
@@ -80,8 +80,8 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// edits sends so many whole sheets: in a race all at once, based on one stamp;
-// in a storm one after another, each based on what is in force then.
+// edits sends n complete configurations: in a race all at once, based on one version; in a storm one after
+// another, each based on what is then in force.
 func (o *operators) edits(ctx context.Context, n int, gap time.Duration, race bool) {
 	o.wait.Go(func() {
 		base, err := o.readConfig("node-1")
@@ -118,7 +118,7 @@
 	o.withChecker(func(c *check.Checker) { c.EditEnded(t); c.Count("edits."+code, 1) })
 }
 
-// send puts a sheet and tells what came of it, "open" where no answer came.
+// send puts a configuration and returns the code of the answer, "open" where no answer came.
 func (o *operators) send(node string, body any, base string) (string, wire.Version) {
 	b, _ := json.Marshal(body)
 	req, err := http.NewRequest(http.MethodPut, "http://"+o.fleet.OperatorAddrs[node]+"/v1/sheet", strings.NewReader(string(b)))
@@ -149,7 +149,7 @@
 	f(o.checker)
 }
 
-// watch looks at every node until the context ends.
+// watch polls every node until the context ends.
 func (o *operators) watch(ctx context.Context) {
 	for _, n := range o.fleet.Nodes {
 		o.wait.Go(func() {
@@ -163,8 +163,8 @@
 	}
 }
 
-// observe tells the judge what a node has in force; one that did not answer in time was
-// not there, and is bound again from when it answers.
+// observe reports to the checker what a node has in force. A node that did not answer in time was not there, and
+// is bound again from when it answers.
 func (o *operators) observe(c *check.Checker, node string, s configInForce, err error, asked int64) {
 	if err != nil || len(s.Config.Services) == 0 {
 		if o.upSince[node] > 0 {
@@ -180,7 +180,7 @@
 	c.InForce(node, stamp, s.mark(), asked, o.upSince[node])
 }
 
-// served tells the judge of recovery what callers got, second by second from a moment on.
+// served reports to the checker what callers got, second by second from a moment on.
 func (o *operators) served(from clock.Micros, seconds map[string]int) {
 	for k, n := range seconds {
 		var s int64
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -1,5 +1,5 @@
-// Operators' reads and orders about zones on a real fleet, for the history that is judged
-// with the edits of the sheet.
+// Operators' reads and zone commands on a real fleet, for the history that is checked together with the edits of
+// the configuration.
 
 package fleet
 
@@ -14,16 +14,17 @@
 	"wallport/lab/check"
 )
 
-// Operators other than those that edit the sheet, as clients of the history.
+// Client numbers, in the history, of operators that do not edit the configuration.
 const (
 	readingClient = 1_000_000
 	zoneClient    = 2_000_000
 )
 
-// readInterval is the time between two confirmed reads.
+// readInterval is the interval between two confirmed reads.
 const readInterval = 500 * time.Millisecond
 
-// call sends one request of an operator and reads a JSON answer; the code is as check's judges know it.
+// call sends one request of an operator and decodes a JSON answer; it returns the code as package check knows
+// it.
 func (o *operators) call(method, node, path string, into any) string {
 	ctx, cancel := context.WithTimeout(context.Background(), o.fleet.client.Timeout)
 	defer cancel()
@@ -48,7 +49,7 @@
 	return codeOf(refused.Name)
 }
 
-// codeOf is how the judges name an answer that is not a 200; "open" where it tells nothing.
+// codeOf returns package check's code for an answer that is not a 200; "open" where its outcome is unknown.
 func codeOf(name string) string {
 	code, known := map[string]string{"lost_race": "lost_race", "malformed": "invalid", "outcome_unknown": "unknown", "shed": "shed"}[name]
 	if !known {
@@ -57,7 +58,7 @@
 	return code
 }
 
-// begin notes the sheet that is in force before any edit: histories begin with it.
+// begin records the configuration in force before any edit, with which histories begin.
 func (o *operators) begin(ctx context.Context) error {
 	return poll(ctx, "the first sheet", func() error {
 		first, err := o.readConfig("node-1")
@@ -70,7 +71,8 @@
 	})
 }
 
-// reads asks one node after another for the newest sheet, confirmed by a majority, until the context ends.
+// reads reads the newest configuration from one node after another, confirmed by a majority, until the context
+// ends.
 func (o *operators) reads(ctx context.Context) {
 	o.wait.Go(func() {
 		for i := 0; ctx.Err() == nil; i++ {
@@ -80,7 +82,7 @@
 	})
 }
 
-// readNewest reads the history of the sheet, whose last entry is the newest.
+// readNewest reads the history of the configuration, whose last entry is the newest.
 func (o *operators) readNewest(node string) {
 	var past []configInForce
 	began := o.now()
@@ -95,7 +97,7 @@
 	o.withChecker(func(c *check.Checker) { c.ConfigRead(readingClient, stamp, newest.mark(), began, ended) })
 }
 
-// zones has operators drain and restore a zone by turns, two at a time through different nodes.
+// zones makes operators drain and restore a zone alternately, two at a time through different nodes.
 func (o *operators) zones(ctx context.Context, zone string, n int, gap time.Duration) {
 	o.wait.Go(func() {
 		for i := range n {
@@ -123,8 +125,8 @@
 	})
 }
 
-// readZone reads what a zone is at a node that has everything in force that was acknowledged
-// before: the acknowledgement of an edit that changes nothing names the version to wait for.
+// readZone reads a zone's state at a node that has everything in force that was acknowledged before: the
+// acknowledgement of an edit without effect gives the version to wait for.
 func (o *operators) readZone(ctx context.Context, zone string) error {
 	began := o.now()
 	var taken struct {
@@ -149,5 +151,5 @@
 	})
 }
 
-// unusedZone has no backends; an order to restore it makes a version and changes nothing.
+// unusedZone has no backends; a command to restore it makes a version and changes nothing.
 const unusedZone = "no-zone"
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -1,4 +1,4 @@
-// Rolling from an earlier release's programs to these and back, one process at a time.
+// Rolling from an earlier release's programs to the current ones and back, one process at a time.
 
 package fleet
 
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// mixed is what the programs of this release need beside those that do not sign their beats.
+// mixed holds the settings that this release's programs need beside those that do not sign their heartbeats.
 const mixed = "--unsigned-beats"
 
-// release ends a process as planned and starts it with the other release's program.
+// release stops a process gracefully and starts it with the other release's program.
 func (f *Fleet) release(name string, newer bool) error {
 	if f.options.Before == "" {
 		return fmt.Errorf("needs --before, the folder of an earlier release's programs")
--- a/lab/fleet/replace.go
+++ b/lab/fleet/replace.go
@@ -1,4 +1,4 @@
-// Core machines that are replaced, found, or short of disk.
+// Core machines that are replaced, looked up, or short of disk.
 
 package fleet
 
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// replaceCore ends a core for good and starts an empty one in its zone at a new address.
+// replaceCore stops a core for good and starts an empty one in its zone at a new address.
 func (f *Fleet) replaceCore(old, name string) error {
 	if err := f.Signal(old, syscall.SIGKILL); err != nil {
 		return err
@@ -27,7 +27,7 @@
 	return f.daemon("core", name, zone, addrs[0], addrs[1], "--data", filepath.Join(f.options.Dir, name))
 }
 
-// owner finds the core that owns most parts, by what the cores themselves tell.
+// owner returns the core that leads the most partitions, by the cores' own status.
 func (f *Fleet) owner() string {
 	best, most := "core-0", int64(-1)
 	for name, p := range f.processes {
@@ -45,7 +45,7 @@
 	return best
 }
 
-// fileLimit makes writes past so many bytes of a file fail, as on a full disk.
+// fileLimit makes writes beyond this many bytes of a file fail, as on a full disk.
 func (f *Fleet) fileLimit(name string, most uint64) error {
 	f.mu.Lock()
 	p := f.processes[name]
@@ -60,7 +60,7 @@
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &lim, nil)
 }
 
-// all does something to every process of the fleet but the platform.
+// all applies do to every process of the fleet but the platform.
 func (f *Fleet) all(do func(name string) error) error {
 	f.mu.Lock()
 	var names []string
--- a/lab/fleet/run.go
+++ b/lab/fleet/run.go
@@ -1,4 +1,4 @@
-// One run: bring the fleet up, send, play a scenario, gather, judge.
+// One run: start the fleet, send load, play a scenario, collect, check.
 
 package fleet
 
@@ -12,7 +12,7 @@
 	"wallport/lab/script"
 )
 
-// RunOptions say what to run.
+// RunOptions are the options of a run.
 type RunOptions struct {
 	Options
 	Rate     float64
@@ -24,21 +24,21 @@
 	UpWithin time.Duration
 }
 
-// zonesReadWithin is how long it may take, at the end, until every node has in force what was acknowledged.
+// zonesReadWithin bounds how long it may take, at the end, until every node has in force what was acknowledged.
 const zonesReadWithin = 30 * time.Second
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	Shape      string           `json:"shape"`
 	UpMs       int64            `json:"up_ms"`
 	Callers    caller.Summary   `json:"callers"`
 	Counts     map[string]int64 `json:"counts"`
 	Violations []string         `json:"violations"`
-	// Balance is the busiest server's asks over the mean of those that were asked.
+	// Balance is the busiest server's number of requests over the mean of those that got any.
 	Balance float64 `json:"balance"`
 }
 
-// Run does it all; the fleet is ended at the end whatever came of it.
+// Run performs a run; the fleet is stopped at the end whatever the outcome.
 func Run(ctx context.Context, o RunOptions) (*Result, error) {
 	o.Relays = o.Script.Uses("cut-off")
 	f := New(o.Options)
@@ -86,7 +86,7 @@
 	return r, nil
 }
 
-// readZones reads at the end what the zones are about which orders were given.
+// readZones reads at the end the state of the zones that commands were given for.
 func (f *Fleet) readZones(ctx context.Context) error {
 	within, cancel := context.WithTimeout(ctx, zonesReadWithin)
 	defer cancel()
@@ -105,8 +105,7 @@
 	}
 }
 
-// check feeds what the stand-ins saw to the same judges as the simulator, and
-// gathers counts.
+// check feeds what the stand-ins saw to the same checker as the simulator's, and collects counts.
 func (f *Fleet) check(r *Result) {
 	c := f.operators.checker
 	c.Chain()
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -1,6 +1,6 @@
-// Package fleet starts a whole fleet of real processes with the shape of one
-// of the deployments, brings failures about, and counts what came of it. It is
-// a test tool: the product itself starts no process.
+// Package fleet starts a fleet of real processes with the shape of one of the deployments, plays a scenario's
+// faults on it, and checks and counts the outcome. Input are [RunOptions] or [LoadOptions]; the package owns the
+// processes, their data folders and their ports. It is a test tool: the product itself starts no process.
 package fleet
 
 import (
@@ -27,17 +27,17 @@
 	Most     clock.Micros
 }
 
-// Shapes are the deployments, and a small one for quick tests.
+// Shapes are the deployments, and a small shape for quick tests.
 var Shapes = map[string]Shape{
 	"trust":    {"trust", "scores", 4, 11, 4, 12, 4, 250 * clock.Millisecond, 1500 * clock.Millisecond},
 	"registry": {"registry", "tenancies", 3, 10, 3, 17, 4, 500 * clock.Millisecond, 5 * clock.Second},
 	"small":    {"small", "scores", 3, 3, 3, 2, 2, 500 * clock.Millisecond, 1500 * clock.Millisecond},
 }
 
-// Zone is the zone of the i-th machine.
+// Zone returns the zone of the i-th machine.
 func (s Shape) Zone(i int) string { return fmt.Sprintf("z%d", i%s.Zones+1) }
 
-// Backend names and places the i-th server of a cut.
+// Backend returns the i-th server of a shard map, with its zone and address.
 func (s Shape) Backend(i int, cut string, shards int, addr string) wire.Backend {
 	return wire.Backend{
 		ID: fmt.Sprintf("%s-%d-%d", cut, i%shards, i/shards), Addr: addr, Zone: s.Zone(i / shards), Index: s.Index,
@@ -45,7 +45,7 @@
 	}
 }
 
-// Config is a sheet that fits the shape.
+// Config returns a configuration that fits the shape.
 func (s Shape) Config() json.RawMessage {
 	kinds := []map[string]any{}
 	for _, k := range []struct {
@@ -67,14 +67,14 @@
 	return b
 }
 
-// Config is the sheet that the fleet was started with.
+// Config returns the configuration that the fleet was started with.
 func (f *Fleet) Config() json.RawMessage { return f.options.Shape.Config() }
 
-// FullRate is what a deployment serves today, in inquiries a second.
+// FullRate is what a deployment serves today, in requests a second.
 const FullRate = 530
 
-// Full makes a scenario run at the full size of the shape: its machines, zones,
-// cores, back ends and deadlines, at its rate. The capacity grows with the rate.
+// Full makes a scenario run at the full size of the shape: its machines, zones, cores, backends and deadlines,
+// at its rate. The capacity grows with the rate.
 func (s Shape) Full(sc *script.Script) {
 	rate := sc.Int("rate", 100)
 	if c := sc.Int("capacity", 0); c > 0 && rate > 0 {
@@ -82,7 +82,7 @@
 	}
 	sc.Expects = slices.Clone(sc.Expects)
 	for i := range sc.Expects {
-		// What a failure may cost at most grows with the load too.
+		// What a fault may cost at most grows with the load too.
 		if e := &sc.Expects[i]; e.Op == "<=" && e.Want > 100 && !strings.Contains(e.Name, "percent") {
 			e.Want = e.Want * FullRate / rate
 		}
@@ -90,7 +90,7 @@
 	sc.Set["shape"] = s.Name
 	sc.Set["rate"] = fmt.Sprint(FullRate)
 	if sc.Int("cores", 0) <= int64(s.Cores) {
-		// What needs more disk machines than a deployment has keeps them.
+		// Scenarios that need more disk machines than a deployment has keep their own number.
 		delete(sc.Set, "cores")
 	}
 	delete(sc.Set, "nodes")
--- a/lab/fleet/signals.go
+++ b/lab/fleet/signals.go
@@ -1,4 +1,4 @@
-// Signals, restarts and the end of a fleet's processes, each by its own id.
+// Signals, restarts and the end of a fleet's processes, each by its own process id.
 
 package fleet
 
@@ -19,7 +19,7 @@
 	return p.cmd.Process.Signal(sig)
 }
 
-// Restart starts a process that was told to end again as it was; others go on.
+// Restart starts a stopped process again with the same arguments; running ones are left alone.
 func (f *Fleet) Restart(name string) error {
 	f.mu.Lock()
 	p := f.processes[name]
@@ -34,7 +34,7 @@
 	return f.Start(p)
 }
 
-// Down ends every process.
+// Down stops every process.
 func (f *Fleet) Down() {
 	f.network.End()
 	f.mu.Lock()
--- a/lab/fleet/verbs.go
+++ b/lab/fleet/verbs.go
@@ -1,5 +1,4 @@
-// What a scenario can do to a real fleet, and the gathering of what the
-// stand-ins saw.
+// The verbs of scenarios on a real fleet, and the collection of what the stand-ins saw.
 
 package fleet
 
@@ -16,7 +15,7 @@
 	"wallport/lab/script"
 )
 
-// Play carries out a scenario's steps at their times.
+// Play runs a scenario's steps at their times.
 func (f *Fleet) Play(ctx context.Context, s *script.Script) error {
 	began := time.Now()
 	for _, st := range s.Steps {
@@ -103,7 +102,7 @@
 		f.operators.zones(ctx, arg(0), n, gap)
 		return nil
 	case "seeds":
-		// From now on processes that start are given other seeds.
+		// Processes that start from now on are given other seeds.
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.seeds = nil
@@ -116,7 +115,7 @@
 	case "replace-core":
 		return f.replaceCore(arg(0), arg(1))
 	case "file-limit":
-		// Every write past so many bytes of a file fails from now on; 0 ends it.
+		// Every write beyond this many bytes of a file fails from now on; 0 ends it.
 		most, err := strconv.ParseUint(arg(0), 10, 64)
 		if err != nil {
 			return fmt.Errorf("file-limit BYTES NAME...: %w", err)
@@ -136,7 +135,7 @@
 
 const platformLag = 300 * time.Millisecond
 
-// match turns "zone:z1" into the names of all that is in the zone.
+// match expands "zone:z1" to the names of everything in the zone.
 func (f *Fleet) match(args []string) []string {
 	var out []string
 	f.mu.Lock()
--- a/lab/model/action.go
+++ b/lab/model/action.go
@@ -4,42 +4,42 @@
 
 import "fmt"
 
-// ActionKind is what happens in one step.
+// ActionKind is the kind of one step.
 type ActionKind uint8
 
 // Kinds of actions.
 const (
-	// Deliver hands the first message from Replica to Peer over.
+	// Deliver delivers the first message from Replica to Peer.
 	Deliver ActionKind = iota
-	// Lose drops it, Double hands it over and keeps a copy behind the others, Delay puts it behind them.
+	// Lose drops it, Double delivers it and keeps a copy behind the others, Delay puts it behind the others.
 	Lose
 	Double
 	Delay
-	// Sync ends the first pending write of Replica.
+	// Sync completes the first pending write of Replica.
 	Sync
-	// Elapse lets time pass, Argument is how much in microseconds, and runs the timers of those that run.
+	// Elapse advances time by Argument microseconds and fires the timers of the replicas that run.
 	Elapse
-	// Crash kills Replica and starts it again, with the first Argument of its pending writes synced.
-	// Answers on its connections are lost; requests that wait for a new connection reach its next
-	// life, or are lost as well in CrashAlone.
+	// Crash kills Replica and restarts it, with the first Argument of its pending writes synced. Answers on its
+	// connections are lost; requests that wait for a new connection reach its next incarnation, or are lost as
+	// well in CrashAlone.
 	Crash
 	CrashAlone
 	// LoseDisk does so with an empty disk.
 	LoseDisk
-	// Isolate cuts Replica off from all others. Rejoin ends that: with Argument 0 what waited is
-	// delivered late, with 1 the connections broke and it is lost.
+	// Isolate partitions Replica from all others. Rejoin ends that: with Argument 0 what waited is delivered
+	// late, with 1 the connections broke and it is lost.
 	Isolate
 	Rejoin
-	// Freeze stops Replica as it is, Thaw lets it go on.
+	// Freeze suspends Replica, Thaw resumes it.
 	Freeze
 	Thaw
-	// Announce has Replica, which has no vote, make itself known to Peer.
+	// Announce makes Replica, which is not a voter, announce itself to Peer.
 	Announce
-	// Stop begins a planned stop of Replica.
+	// Stop begins a graceful stop of Replica.
 	Stop
-	// Call sends operator's order number Argument to Replica.
+	// Call sends the operators' command number Argument to Replica.
 	Call
-	// Hold puts source number Argument off, Release ends that.
+	// Hold pauses source number Argument, Release ends that.
 	Hold
 	Release
 )
--- a/lab/model/apply.go
+++ b/lab/model/apply.go
@@ -1,4 +1,4 @@
-// What each action does.
+// The effect of each action.
 
 package model
 
@@ -17,7 +17,7 @@
 
 var errNotEnabled = errors.New("the action is not enabled")
 
-// apply gives the state after an action; the one before stays as it is.
+// apply returns the state after an action; the state before is not changed.
 func (w *World) apply(before *system, a Action) (*system, error) {
 	s := before.clone()
 	s.path = &link{before: before.path, action: a}
@@ -30,7 +30,7 @@
 	return s, err
 }
 
-// served is the source that an action takes from, or none.
+// served returns the source that an action takes from, or noSource.
 func (w *World) served(a Action) int {
 	switch a.Kind {
 	case Deliver, Lose, Double, Delay:
@@ -42,7 +42,7 @@
 	}
 }
 
-// touches is the replica whose process or connections an action changes.
+// touches returns the replica whose process or connections an action changes.
 func (a Action) touches() int {
 	switch a.Kind {
 	case Deliver, Double, Announce:
@@ -106,7 +106,7 @@
 	return errNotEnabled
 }
 
-// pass does something with the first message between two replicas.
+// pass delivers, drops, doubles or delays the first message between two replicas.
 func (w *World) pass(s *system, a Action) error {
 	at := a.Replica*w.replicas + a.Peer
 	m, rest := s.queues[at][0], slices.Clone(s.queues[at][1:])
@@ -127,7 +127,7 @@
 	return w.feed(s, a.Peer, kernel.Received{Conn: m.connection, Data: m.data})
 }
 
-// sync ends the first pending write of a replica and tells it so.
+// sync completes the first pending write of a replica and tells it so.
 func (w *World) sync(s *system, i int) error {
 	wr := s.processes[i].writes[0]
 	if err := w.write(s, i, wr); err != nil {
@@ -136,7 +136,7 @@
 	return w.feed(s, i, kernel.Written{Plugin: pluginName, Key: wr.key})
 }
 
-// write puts one file on a disk and notes which version its owner's identity has held.
+// write writes one file to a disk and records which version its owner's identity has held.
 func (w *World) write(s *system, i int, wr pendingWrite) error {
 	s.disks[i] = s.disks[i].with(wr)
 	v, ok := versionIn(wr.file, wr.data)
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// elapse moves the clock and runs the timers that are due, once each, of those that run.
+// elapse advances the clock and fires the timers that are due, once each, of the replicas that run.
 func (w *World) elapse(s *system, us clock.Micros) error {
 	s.now += us
 	for i := range w.replicas {
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// crash kills a replica with so many of its pending writes synced, and starts it again.
+// crash kills a replica with this many of its pending writes synced, and restarts it.
 func (w *World) crash(s *system, i, kept int, alone bool) error {
 	for _, wr := range s.processes[i].writes[:kept] {
 		if err := w.write(s, i, wr); err != nil {
@@ -200,7 +200,7 @@
 	}
 }
 
-// thaw lets a replica go on; it is told of a long gap before anything else, and then its timers fire.
+// thaw resumes a replica; it is told of a long gap before anything else, and then its timers fire.
 func (w *World) thaw(s *system, i int) error {
 	gap := s.now - s.frozenAt[i]
 	s.frozenAt[i] = 0
@@ -220,7 +220,7 @@
 	return w.feed(s, to, kernel.Received{Conn: replicaConnection(i), Data: announceFrame(i, identity)})
 }
 
-// call sends an order to a replica.
+// call sends a command to a replica.
 func (w *World) call(s *system, number, to int) error {
 	c := &s.calls[number]
 	if c.sent == 0 {
--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -1,27 +1,27 @@
-// The configurations that are explored.
+// The configurations of the exploration.
 
 package model
 
 import "wallport/runtime/clock"
 
-// Spans of time: one in which a leader sends heartbeats, one that the first in turn to stand for
-// leader does not wait out, and one that it does.
+// Spans of time: one in which a leader sends heartbeats, one that is shorter than the first candidate's election
+// time-out, and one that is longer.
 const (
 	heartbeatSpan = int(160 * clock.Millisecond)
 	quietSpan     = int(480 * clock.Millisecond)
 	electionSpan  = int(560 * clock.Millisecond)
-	// rivalSpan, twice from the start, has two of three stand for leader.
+	// rivalSpan, twice from the start, makes two of three replicas candidates.
 	rivalSpan = int(270 * clock.Millisecond)
 )
 
-// change is an order that adds an item to a version.
+// change returns a command that adds an item to a version.
 func change(name string, base, revision int64) Command {
 	return Command{Name: name, Kind: ChangeCommand, Base: base, Revision: revision}
 }
 
 func read(name string) Command { return Command{Name: name, Kind: ReadCommand} }
 
-// Configs are the configurations of the bounded exploration, by what they bring about.
+// Configs returns the configurations of the bounded exploration, by what they provoke.
 func Configs() []Config {
 	one := [][]Command{{change("a1", 0, 1)}}
 	two := [][]Command{{change("a1", 0, 1), change("a2", 1, 2)}}
@@ -29,12 +29,12 @@
 	reader := [][]Command{{change("a1", 0, 1)}, {read("b-read"), read("b-again")}}
 	drains := [][]Command{{{Name: "a-drain", Kind: DrainCommand, Zone: "zone-1"}}, {read("b-read")}}
 	election, both, quiet := []int{electionSpan}, []int{heartbeatSpan, electionSpan}, []int{quietSpan}
-	// In silent, the standby makes itself known while a voter is away, nearly long enough to be replaced.
+	// In silent, the standby announces itself while a voter is away, nearly long enough to be replaced.
 	pass := Action{Kind: Elapse, Argument: quietSpan}
 	silent := []Action{pass, pass, pass, {Kind: Announce, Replica: 3, Peer: 0}}
-	// In replaced, the first replica is cut off for long enough that another one leads.
+	// In replaced, the first replica is partitioned for long enough that another one leads.
 	replaced := []Action{{Kind: Isolate, Replica: 0}, {Kind: Elapse, Argument: electionSpan}}
-	// In behind, the first order is committed without the second replica, which then has to lead.
+	// In behind, the first command is committed without the second replica, which then has to lead.
 	behind := []Action{{Kind: Call, Replica: 0}, {Kind: Isolate, Replica: 0}, {Kind: Rejoin, Replica: 1, Argument: messagesLost}}
 	return []Config{
 		{Name: "election and a crash", Voters: 3, Operators: one, Spans: []int{rivalSpan}, Budget: Budget{Elapses: 2, Crashes: 1, Holds: 1}},
@@ -59,8 +59,8 @@
 	}
 }
 
-// Deeper gives a configuration more of every fault and choice that it has, so that its
-// exploration takes long.
+// Deeper returns a configuration with more of every fault and choice that it has, so that its exploration takes
+// long.
 func (c Config) Deeper(by int) Config {
 	b := &c.Budget
 	for _, n := range []*int{
@@ -70,12 +70,12 @@
 			*n += by
 		}
 	}
-	// More than one lost disk is more than a group of three bears.
+	// A group of three tolerates one lost disk.
 	b.LostDisks = min(b.LostDisks, 1)
 	return c
 }
 
-// Everything is the configuration of random walks: every fault, several times.
+// Everything returns the configuration of random walks: every fault, several times.
 func Everything(replicas int) Config {
 	return Config{
 		Name: "everything", Voters: 3, Standbys: max(0, replicas-3), Spans: []int{heartbeatSpan, quietSpan, electionSpan},
--- a/lab/model/enabled.go
+++ b/lab/model/enabled.go
@@ -1,10 +1,8 @@
-// Which actions a state allows. A source is a replica's disk, whose first
-// pending write may be synced, or the queue between two replicas, whose first
-// message may be delivered. Either any source may be next, which gives all
-// interleavings, or the sources take turns, from which a schedule
-// departs a bounded number of times by holding one until nothing else is left
-// to do, and for as long after that as it likes. In the second way a replica's
-// faults come right after a step of its own: at other times they commute.
+// Which actions a state allows. A source is a replica's disk, whose first pending write may be synced, or the
+// queue between two replicas, whose first message may be delivered. Either any source may be next, which gives
+// all interleavings, or the sources take turns, from which a schedule departs a bounded number of times by
+// pausing one until nothing else is left to do, and for as long after that as it likes. In the second way a
+// replica's faults come right after a step of its own: at other times they commute.
 
 package model
 
@@ -16,7 +14,7 @@
 // AllInterleavings is the budget of holds that lets any source be next.
 const AllInterleavings = -1
 
-// source numbers: the disks first, then the queues.
+// Source numbers: the disks first, then the queues.
 func (w *World) sources() int { return w.replicas + w.replicas*w.replicas }
 
 func (w *World) sourceName(source int) string {
@@ -34,7 +32,7 @@
 	return len(s.queues[source-w.replicas]) > 0
 }
 
-// takeTurns puts the source that was served, if any, behind the others, and new ones behind it.
+// takeTurns moves the source that was served, if any, behind the others, and new ones behind it.
 func (w *World) takeTurns(s *system, served int) {
 	s.order = slices.DeleteFunc(s.order, func(source uint8) bool { return int(source) == served || !w.filled(s, int(source)) })
 	for source := range w.sources() {
@@ -54,7 +52,7 @@
 	return s.frozenAt[to] == 0 && s.isolated&(1<<from|1<<to) == 0 && len(s.queues[queue]) > 0
 }
 
-// enabled lists what may happen in a state.
+// enabled returns the actions that a state allows.
 func (w *World) enabled(s *system) []Action {
 	all := w.Budget.Holds == AllInterleavings
 	var actions []Action
@@ -79,7 +77,7 @@
 	return actions
 }
 
-// idleActions are those that wait until no source is ready, unless all interleavings are wanted.
+// idleActions adds the actions that wait until no source is ready, unless all interleavings are wanted.
 func (w *World) idleActions(s *system, actions []Action) []Action {
 	for source := range w.sources() {
 		if s.pausedSources&(1<<source) != 0 {
@@ -103,7 +101,7 @@
 	return w.callActions(s, actions)
 }
 
-// sourceActions lists what may happen to the first write or message of a source.
+// sourceActions adds what may happen to the first write or message of a source.
 func (w *World) sourceActions(s *system, source int, actions []Action) []Action {
 	if s.left.Holds > 0 && (source < w.replicas || !w.SlowDisks) {
 		actions = append(actions, Action{Kind: Hold, Argument: source, description: w.sourceName(source)})
@@ -153,7 +151,7 @@
 	return actions
 }
 
-// requested reports whether a request to a replica is on its way.
+// requested reports whether a request to a replica is in flight.
 func (w *World) requested(s *system, i int) bool {
 	for from := range w.replicas {
 		if slices.ContainsFunc(s.queues[from*w.replicas+i], func(m *message) bool { return m.request }) {
@@ -163,7 +161,7 @@
 	return false
 }
 
-// announceActions has the processes without a vote make themselves known.
+// announceActions adds the announcements of processes that are not voters.
 func (w *World) announceActions(s *system, actions []Action) []Action {
 	if s.left.Announces == 0 {
 		return actions
--- a/lab/model/explore.go
+++ b/lab/model/explore.go
@@ -8,11 +8,10 @@
 	"strings"
 )
 
-// Bound is where an exploration ends: by the number of states, not by time, so that it is the
-// same on every machine.
+// Bound limits an exploration by the number of states, not by time, so that it is the same on every machine.
 type Bound struct{ Depth, States int }
 
-// Report is what an exploration came to.
+// Report is the outcome of an exploration.
 type Report struct {
 	// States are those found, Transitions the actions tried, Depth the longest schedule of a state.
 	States, Transitions, Depth int
--- a/lab/model/frames.go
+++ b/lab/model/frames.go
@@ -33,7 +33,7 @@
 	text    string
 }
 
-// openFrame reads a message; those of other partitions are ignored.
+// openFrame decodes a message; those of other partitions are ignored.
 func openFrame(data []byte) (f frame) {
 	opened, err := wire.Open(data)
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// partitionOf reads the partition that a message is about, without its type.
+// partitionOf returns the partition that a message is about, without its type.
 func partitionOf(body []byte) int {
 	v, _, err := msgp.ReadMapStrIntfBytes(body, nil)
 	if err != nil {
--- a/lab/model/invariants.go
+++ b/lab/model/invariants.go
@@ -1,4 +1,4 @@
-// The invariants, checked in every state in which something they speak of changed.
+// The invariants, checked in every state in which something that they depend on changed.
 
 package model
 
@@ -41,7 +41,7 @@
 
 func versionText(v wire.Version) string { return fmt.Sprintf("%d.%d", v.Term, v.Seq) }
 
-// checkSent looks at what a replica sends: its claim to lead, and the version that it proposes.
+// checkSent checks what a replica sends: its claim to lead, and the version that it proposes.
 func (w *World) checkSent(s *system, f *frame) error {
 	if f.leader != "" {
 		switch other, known := s.record.leaders[f.term]; {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// checkCommitted looks at a version that a replica takes for committed.
+// checkCommitted checks a version that a replica takes for committed.
 func (w *World) checkCommitted(s *system, p *process) error {
 	if p.committed.Term == 0 || slices.Contains(s.record.committed, p.committed) {
 		return nil
@@ -110,7 +110,8 @@
 	return w.versions[s.record.versions[v]]
 }
 
-// carries reports whether contents have an order; orders that later ones may undo are left to the histories.
+// carries reports whether contents include a command; commands that later ones may undo are left to the
+// histories.
 func (w *World) carries(c contents, number int) bool {
 	o := &w.commands[number]
 	if o.Kind == ChangeCommand {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// checkChain compares the committed versions in turn.
+// checkChain compares the committed versions one after another.
 func (w *World) checkChain(s *system) error {
 	var before *knownVersion
 	for _, at := range s.record.committed {
@@ -182,7 +183,8 @@
 	return nil
 }
 
-// syncedByMajority counts the voters whose disks have held the version, or a later one with the order.
+// syncedByMajority reports whether a majority of the voters' disks have held the version, or a later one with
+// the command.
 func (w *World) syncedByMajority(s *system, v *knownVersion, voters []wire.Replica, number int) bool {
 	n := 0
 	for _, voter := range voters {
@@ -199,7 +201,7 @@
 	return slices.EqualFunc(a, b, func(a, b wire.Replica) bool { return a.ID == b.ID })
 }
 
-// checkHistory judges what operators saw so far; each history is judged once.
+// checkHistory checks the operators' history so far; each history is checked once.
 func (w *World) checkHistory(s *system) error {
 	if err, known := w.histories[s.record.played]; known {
 		return err
--- a/lab/model/operators.go
+++ b/lab/model/operators.go
@@ -1,5 +1,5 @@
-// The operators: each has a list of orders, sends one at a time, to any
-// replica, and again while no clear answer came.
+// The operators: each has a list of commands and sends one at a time, to any replica, and again while no final
+// answer came.
 
 package model
 
@@ -12,10 +12,10 @@
 	"wallport/runtime/wire"
 )
 
-// CommandKind is what an order does.
+// CommandKind is the kind of a command.
 type CommandKind uint8
 
-// Kinds of orders.
+// Kinds of commands.
 const (
 	ChangeCommand CommandKind = iota
 	DrainCommand
@@ -23,8 +23,8 @@
 	ReadCommand
 )
 
-// Command is one call of an operator. A change adds an item named as the order is, so that it
-// is known again in every later version.
+// Command is one command of an operator. A change adds an item with the command's name, by which it is
+// recognised in every later version.
 type Command struct {
 	Name           string
 	Kind           CommandKind
@@ -41,7 +41,7 @@
 	callRefused
 )
 
-// call is how far an order has come; open has a bit for each replica that owes an answer.
+// call is the progress of a command; open has a bit for each replica that owes an answer.
 type call struct {
 	status callStatus
 	sent   int
@@ -50,7 +50,7 @@
 
 func (c call) ended() bool { return c.status == callAccepted || c.status == callRefused }
 
-// callsPerCommand bounds how often one order is sent.
+// callsPerCommand bounds how often one command is sent.
 const callsPerCommand = 3
 
 // clientConnection is the first of the operators' connections; below are those of replicas.
@@ -58,8 +58,8 @@
 
 func replicaConnection(replica int) uint64 { return uint64(100 + replica) }
 
-// callActions lists the calls that operators may make now: an operator's next order waits until
-// the one before is settled, and a change needs to have been acknowledged what it builds on.
+// callActions adds the calls that operators may make now: an operator's next command waits until the one before
+// has ended, and a change until its base was acknowledged.
 func (w *World) callActions(s *system, actions []Action) []Action {
 	if s.left.Calls == 0 {
 		return actions
@@ -108,12 +108,12 @@
 	return kernel.Received{Conn: w.callConnection(number, to), Data: commandFrame(uint64(number)+1, &w.commands[number])}
 }
 
-// callConnection is that of an order to a replica: each call has one of its own.
+// callConnection returns the connection of a command to a replica: each call has its own.
 func (w *World) callConnection(number, replica int) uint64 {
 	return clientConnection + uint64(number*w.replicas+replica)
 }
 
-// answered takes a replica's answer to a call.
+// answered handles a replica's answer to a call.
 func (w *World) answered(s *system, connection uint64, r wire.EditReply) error {
 	number, replica := int(connection-clientConnection)/w.replicas, int(connection-clientConnection)%w.replicas
 	order, c := &w.commands[number], &s.calls[number]
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// valueOf names the configuration that a read returned by the order that made it.
+// valueOf returns the name of the command that made the configuration that a read returned.
 func (w *World) valueOf(c contents) string {
 	for _, o := range w.commands {
 		if o.Kind == ChangeCommand && o.Revision == c.revision && slices.Contains(c.commands, o.Name) {
@@ -170,7 +170,7 @@
 	return fmt.Sprint("unknown revision ", c.revision)
 }
 
-// changeOf is an order other than a read as the history checker sees it.
+// changeOf returns a command other than a read as an operation of the history.
 func (w *World) changeOf(number int) history.Operation {
 	o := &w.commands[number]
 	op := history.Operation{Register: history.Configuration, Client: w.operatorOf[number], ID: o.Name}
@@ -185,7 +185,7 @@
 	return op
 }
 
-// readsOf is a read as the history checker sees it: one of each register.
+// readsOf returns a read as operations of the history, one of each register.
 func (w *World) readsOf(number int, got *reading) []history.Operation {
 	read := history.Operation{Register: history.Configuration, Client: w.operatorOf[number], Kind: history.Read, Value: got.configuration}
 	all := []history.Operation{read}
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -1,8 +1,7 @@
-// Replica processes as values. A process is a history of inputs since its
-// start; two histories that lead to the same fingerprint, pending writes and
-// timers are one process. What an input does to a process is run once, on the
-// product's own code, and remembered: processes are deterministic and share
-// nothing, so a state of the whole system is a tuple of processes.
+// Replica processes as values. A process is a history of inputs since its start; two histories that lead to the
+// same fingerprint, pending writes and timers are one process. The effect of an input on a process is computed
+// once, on the product's own code, and remembered: processes are deterministic and share nothing, so a state of
+// the whole system is a tuple of processes.
 
 package model
 
@@ -16,11 +15,11 @@
 	"wallport/runtime/wire"
 )
 
-// pendingWrite is a file that a process asked for and that is not synced yet.
+// pendingWrite is a file write that a process requested and that is not synced yet.
 type pendingWrite struct {
 	key, file string
 	data      []byte
-	// cause is the input that asked for it, with its time.
+	// cause is the digest of the input that requested it, with its time.
 	cause digest
 }
 
@@ -33,7 +32,7 @@
 type process struct {
 	id      int32
 	replica int
-	// incarnation is which start of the replica it is: what it draws at random differs between them.
+	// incarnation counts the replica's starts: its random numbers differ between them.
 	incarnation int
 	parent      *process
 	at          clock.Micros
@@ -42,11 +41,11 @@
 	writes      []pendingWrite
 	timers      []timer
 	committed   wire.Version
-	// body is of the committed version.
+	// body is that of the committed version.
 	body []byte
 }
 
-// effects is what a step asked for.
+// effects holds what a step requested.
 type effects struct {
 	next  *process
 	sends []kernel.Send
@@ -67,13 +66,13 @@
 	starts  map[digest]*effects
 	live    map[int32]*kernel.Kernel
 	order   []int32
-	// Steps counts those run on the product's code, Replayed those run again to rebuild a process.
+	// Steps counts the steps run on the product's code, Replayed those run again to rebuild a process.
 	Steps, Replayed int
-	// merged, if set, is told of every two histories that were taken for one process.
+	// merged, if set, is called for every two histories that were taken for one process.
 	merged func(known, other *process)
 }
 
-// liveMost bounds the processes that are kept running.
+// liveMost bounds the number of processes that are kept running.
 const liveMost = 512
 
 func newRuntime() *runtime {
@@ -95,7 +94,7 @@
 	return e
 }
 
-// step feeds a process one input.
+// step applies one input to a process.
 func (r *runtime) step(p *process, at clock.Micros, input kernel.Input) *effects {
 	key := stepKey{p.id, at, inputDigest(input)}
 	if e := r.steps[key]; e != nil {
@@ -108,7 +107,7 @@
 	return e
 }
 
-// wake gives the running process, replayed from its start if it is not running any more.
+// wake returns the running process, replayed from its start if it is not running any more.
 func (r *runtime) wake(p *process) *kernel.Kernel {
 	if k := r.live[p.id]; k != nil {
 		delete(r.live, p.id)
@@ -128,7 +127,7 @@
 	return k
 }
 
-// run steps a kernel by the input of next and finds which process it is now.
+// run steps a kernel by the input of next and determines which process results.
 func (r *runtime) run(next *process, k *kernel.Kernel, before *process) *effects {
 	r.Steps++
 	fixRandom(k, next.replica, next.incarnation)
@@ -157,7 +156,7 @@
 	return e
 }
 
-// keep holds a kernel for the next step, and lets the oldest go.
+// keep caches a kernel for the next step, and drops the oldest.
 func (r *runtime) keep(id int32, k *kernel.Kernel) {
 	if r.live[id] != nil {
 		return
@@ -184,7 +183,7 @@
 	return writes
 }
 
-// nextTimers takes the timer that fired out, and adds those that were asked for.
+// nextTimers removes the timer that fired, and adds the requested ones.
 func nextTimers(next *process, out kernel.Output) []timer {
 	timers := slices.Clone(next.timers)
 	if v, ok := next.input.(kernel.Tick); ok {
@@ -201,7 +200,7 @@
 	return timers
 }
 
-// bytes is all that a process's future depends on.
+// bytes returns everything on which a process's future depends.
 func (p *process) bytes(fingerprint []byte) []byte {
 	b := append(fingerprint, byte(p.replica), byte(p.incarnation))
 	for _, w := range p.writes {
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -1,5 +1,5 @@
-// What the checker knows of the product: which package holds the replicated
-// state machine, its messages, files and orders. Nothing else here names them.
+// What the checker knows of the product: which package holds the replicated state machine, its messages, files
+// and commands. Nothing else in this package names them.
 
 package model
 
@@ -27,12 +27,12 @@
 // pluginName is the plug-in under test; inputs go to it alone.
 const pluginName = "seats"
 
-// epoch is the time of day at the steady clock's zero.
+// epoch is the wall clock at the steady clock's zero.
 const epoch = int64(1700000000 * clock.Second)
 
 func isMessage(pkg string) bool { return pkg == "wallport/wire" }
 
-// bootKernel makes a replica's process on the files of its disk.
+// bootKernel starts a replica's process on the files of its disk.
 func bootKernel(replica int, files map[string][]byte) *kernel.Kernel {
 	e := settings.Settings{
 		Name: replicaName(replica), Zone: fmt.Sprintf("zone-%d", replica+1), Mesh: replicaAddress(replica), DataDir: "disk",
@@ -41,22 +41,22 @@
 	return kernel.New(kernel.Boot{Settings: e, Role: "core", Seed: uint64(replica), Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
 }
 
-// replicaOf is the state machine of a process.
+// replicaOf returns the state machine of a process.
 func replicaOf(k *kernel.Kernel) any { return kernel.Find[*replica.Host](k) }
 
-// stateOf flattens all of a process that its replica reads: the state machine itself and the table
-// of members, whose rows it looks up.
+// stateOf returns everything in a process that its replica reads: the state machine itself and the membership
+// table, whose rows it looks up.
 func stateOf(k *kernel.Kernel) []byte {
 	return append(fingerprint(replicaOf(k)), fingerprint(kernel.Find[*membership.Members](k))...)
 }
 
-// fixRandom has the next step draw the same numbers whatever was drawn before: two histories
-// that lead to the same state must not differ by their luck.
+// fixRandom makes the next step draw the same random numbers whatever was drawn before: two histories that lead
+// to the same state must not differ by chance.
 func fixRandom(k *kernel.Kernel, replica, life int) {
 	k.Rand = rand.New(rand.NewPCG(uint64(replica), uint64(life)))
 }
 
-// committedOf is the newest version that a process knows to be committed.
+// committedOf returns the newest version that a process knows to be committed.
 func committedOf(k *kernel.Kernel) (wire.Versioned, bool) {
 	return kernel.Find[*mesh.Mesh](k).Partition(state.ConfigPartition)
 }
@@ -68,7 +68,7 @@
 	return wire.Replica{ID: replicaName(replica), Zone: fmt.Sprintf("zone-%d", replica+1), Addr: replicaAddress(replica)}
 }
 
-// formedDisk is the disk of a voter of a group that has just been formed.
+// formedDisk returns the disk of a voter of a group that has just been bootstrapped.
 func formedDisk(replica, voters int) map[string][]byte {
 	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Proposer: memberOf(0)}
 	for i := range voters {
@@ -79,12 +79,12 @@
 	return files
 }
 
-// standbyDisk is the disk of a process that has an identity and no vote.
+// standbyDisk returns the disk of a process that has an identity and is not a voter.
 func standbyDisk(replica int) map[string][]byte {
 	return map[string][]byte{"seat": diskfile.Pack([]byte(replicaName(replica)))}
 }
 
-// versionIn reads the version that a file holds.
+// versionIn returns the version that a file holds.
 func versionIn(file string, data []byte) (wire.Versioned, bool) {
 	var v wire.Versioned
 	if !strings.HasPrefix(file, fmt.Sprintf("part-%d.stamp-", state.ConfigPartition)) {
@@ -97,7 +97,7 @@
 	return v, true
 }
 
-// identityIn reads the identity that a disk holds.
+// identityIn returns the identity that a disk holds.
 func identityIn(files map[string][]byte) string {
 	content, err := diskfile.Unpack(files["seat"])
 	if err != nil {
@@ -106,15 +106,15 @@
 	return string(content)
 }
 
-// versionDigest is over all that a version must be the same in: body and members.
+// versionDigest covers everything in which equal versions must agree: body and members.
 func versionDigest(v wire.Versioned) digest { return digestOf(wire.Encode(&v)) }
 
-// announceFrame is the message by which a process without a vote makes itself known.
+// announceFrame returns the message by which a process that is not a voter announces itself.
 func announceFrame(replica int, identity string) []byte {
 	return wire.Seal(wire.KindPull, 1, &wire.Pull{Addr: replicaAddress(replica), Replica: identity, Zone: fmt.Sprintf("zone-%d", replica+1)})
 }
 
-// commandFrame is an operator's call.
+// commandFrame returns an operator's call.
 func commandFrame(id uint64, o *Command) []byte {
 	e := wire.Edit{Partition: state.ConfigPartition, EditID: o.Name, By: "operator"}
 	switch o.Kind {
@@ -132,7 +132,7 @@
 	return wire.Seal(wire.KindEdit, id, &e)
 }
 
-// answerClear reports whether an answer settles a call, and whether it acknowledges it.
+// answerClear reports whether an answer is final, and whether it acknowledges the call.
 func answerClear(r wire.EditReply) (clear, accepted bool) {
 	switch r.Code {
 	case "ok":
@@ -144,8 +144,8 @@
 	}
 }
 
-// contents are the orders that a version's body carries: the pools by the names of their
-// orders, the revision in force, and the drained zones.
+// contents holds the commands that a version's body includes: the pools by the names of their commands, the
+// revision in force, and the drained zones.
 type contents struct {
 	revision int64
 	commands []string
--- a/lab/model/record.go
+++ b/lab/model/record.go
@@ -1,5 +1,5 @@
-// The record of a schedule: what invariants over more than one state need to
-// know. It is part of a state's key, and is never changed in place.
+// The record of a schedule: what invariants over more than one state depend on. It is part of a state's key, and
+// is never changed in place.
 
 package model
 
@@ -18,7 +18,7 @@
 	drained       []string
 }
 
-// event is a begin or an end of an order, in the order in which operators saw them.
+// event is the begin or the end of a command, in the order in which operators saw them.
 type event struct {
 	command  int
 	end      bool
@@ -27,14 +27,14 @@
 }
 
 type record struct {
-	// leaders are the replicas that led, by term; versions are those proposed.
+	// leaders holds the leaders by term; versions the proposed versions.
 	leaders  map[uint64]string
 	versions map[wire.Version]digest
-	// committed are the versions that some replica took for committed.
+	// committed holds the versions that some replica took for committed.
 	committed []wire.Version
-	// synced is the newest version that each identity's disk has ever held.
+	// synced holds the newest version that each identity's disk has ever held.
 	synced map[string]wire.Version
-	// acknowledged has the version of each acknowledged order.
+	// acknowledged holds the version of each acknowledged command.
 	acknowledged map[int]wire.Version
 	refused      []int
 	events       []event
@@ -53,7 +53,7 @@
 	return cmp.Or(cmp.Compare(a.Term, b.Term), cmp.Compare(a.Seq, b.Seq))
 }
 
-// seal computes the record's digests anew.
+// seal recomputes the record's digests.
 func (r *record) seal() {
 	r.played = digestOf(eventBytes(r.events))
 	b := slices.Clone(r.played[:])
--- a/lab/model/system.go
+++ b/lab/model/system.go
@@ -1,8 +1,3 @@
-// Package model explores the control state's consensus code: it drives the
-// product's own replicas, a process for each, through the interleavings of
-// messages, syncs, crashes, lost disks, freezes and operators' calls up to a
-// stated bound, and checks its invariants in every state. Beyond the bound it
-// walks at random and shrinks a failing schedule.
 package model
 
 import (
@@ -14,24 +9,24 @@
 	"wallport/runtime/clock"
 )
 
-// Budget bounds how often each kind of fault and choice may come in one schedule.
+// Budget bounds how often each kind of fault and choice may occur in one schedule.
 type Budget struct {
 	Elapses, Losses, Doubles, Delays, Crashes, LostDisks, Isolations, Freezes, Announces, Stops, Calls int
-	// Holds is how often a source may be put off, or AllInterleavings.
+	// Holds is how often a source may be paused, or AllInterleavings.
 	Holds int
 }
 
-// message is a frame on its way; connection is what the receiver answers on.
+// message is a frame in flight; connection is the one that the receiver answers on.
 type message struct {
 	connection uint64
-	// request is that it was sent to an address, over whatever connection there is.
+	// request reports that it was sent to an address, over whatever connection there is.
 	request bool
 	data    []byte
 	digest  digest
 	frame   frame
 }
 
-// disk is what is synced of one machine.
+// disk is the synced content of one machine's disk.
 type disk struct {
 	files map[string][]byte
 	sum   digest
@@ -41,14 +36,14 @@
 	return &disk{files: files, sum: digestOf(filesBytes(files))}
 }
 
-// with is the disk after one write.
+// with returns the disk after one write.
 func (d *disk) with(w pendingWrite) *disk {
 	files := maps.Clone(d.files)
 	files[w.file] = w.data
 	return newDisk(files)
 }
 
-// without is the disk after files were removed.
+// without returns the disk after files were removed.
 func (d *disk) without(names []string) *disk {
 	files := maps.Clone(d.files)
 	for _, name := range names {
@@ -67,13 +62,13 @@
 	return b
 }
 
-// link is one step of a schedule, from the newest back to the first.
+// link is one step of a schedule, linked to the one before.
 type link struct {
 	before *link
 	action Action
 }
 
-// everyReplica is that the last step was one of all replicas, or of none.
+// everyReplica means that the last step was one of all replicas, or of none.
 const everyReplica = -1
 
 // system is one state of the whole system; states share what they have in common.
@@ -83,16 +78,16 @@
 	disks     []*disk
 	// starts counts the starts of each replica's process.
 	starts []int
-	// frozenAt is the time of a freeze, or 0.
+	// frozenAt is when each replica was frozen, 0 if it runs.
 	frozenAt []clock.Micros
-	// queues hold the messages from one replica to another, in order: index from*n+to.
+	// queues holds the messages from one replica to another, in order, at index from*n+to.
 	queues [][]*message
 	calls  []call
-	// order has the sources that have something to do, in the order in which they take turns.
+	// order holds the sources that have something to do, in the order of their turns.
 	order []uint8
-	// pausedSources has a bit for each source that is put off.
+	// pausedSources has a bit for each paused source.
 	pausedSources uint64
-	// isolated has a bit for each replica that is cut off.
+	// isolated has a bit for each partitioned replica.
 	isolated uint64
 	// touched is the replica of the last step, or everyReplica.
 	touched int
@@ -115,7 +110,7 @@
 	return &c
 }
 
-// key is the canonical hash of a state: equal states have equal futures.
+// key returns the canonical hash of a state: equal states have equal futures.
 func (s *system) key() digest {
 	h := sha256.New()
 	var b []byte
@@ -151,7 +146,7 @@
 	}
 }
 
-// schedule is the list of actions that led to a state.
+// schedule returns the actions that led to a state.
 func (s *system) schedule() []Action {
 	var actions []Action
 	for l := s.path; l != nil; l = l.before {
--- a/lab/model/walk.go
+++ b/lab/model/walk.go
@@ -5,20 +5,20 @@
 
 import "math/rand/v2"
 
-// weights make a walk go on: progress is likelier than faults.
+// weights keep a walk going: progress is likelier than faults.
 var weights = map[ActionKind]int{
 	Deliver: 60, Sync: 60, Elapse: 14, Call: 10, Announce: 4, Thaw: 4, Lose: 2, Double: 2, Delay: 4, Crash: 2, CrashAlone: 1, LoseDisk: 1, Isolate: 2, Rejoin: 4, Hold: 2, Release: 4, Freeze: 2, Stop: 1,
 }
 
-// WalkReport is what a number of walks came to.
+// WalkReport is the outcome of a number of walks.
 type WalkReport struct {
 	Walks, Steps int
-	// Seed is that of the walk that failed.
+	// Seed is the seed of the walk that failed.
 	Seed    uint64
 	Failure *Failure
 }
 
-// walkTo plays one random schedule of so many actions, or to the first violation.
+// walkTo runs one random schedule of the given length, or to the first violation.
 func (w *World) walkTo(seed uint64, length int) (*system, error) {
 	rnd := rand.New(rand.NewPCG(seed, 0x6d6f64656c))
 	s, err := w.initial()
@@ -32,7 +32,7 @@
 	return s, err
 }
 
-// draw picks an action: first a kind, by its weight, then one of that kind.
+// draw draws an action: first a kind, by its weight, then one of that kind.
 func draw(rnd *rand.Rand, actions []Action) Action {
 	kinds := map[ActionKind][]Action{}
 	total := 0
@@ -53,7 +53,7 @@
 	return actions[0]
 }
 
-// Walks plays schedules of seeds in turn until one fails, and shrinks that one.
+// Walks runs the schedules of consecutive seeds until one fails, and shrinks that one.
 func (c Config) Walks(first uint64, walks, length int) (WalkReport, error) {
 	var r WalkReport
 	var w *World
@@ -79,7 +79,7 @@
 
 const walksPerWorld = 50
 
-// Shrink leaves actions out of a failing schedule for as long as the same invariant breaks.
+// Shrink removes actions from a failing schedule as long as the same invariant breaks.
 func (w *World) Shrink(f *Failure) *Failure {
 	best := f
 	for size := len(best.Schedule) / 2; size > 0; {
@@ -94,7 +94,7 @@
 	return best
 }
 
-// without tries to leave out one run of actions, and gives the failure that remains.
+// without tries to remove one run of actions, and returns the failure that remains.
 func (w *World) without(f *Failure, size int) *Failure {
 	for from := 0; from+size <= len(f.Schedule); from += size {
 		rest := append(append([]Action(nil), f.Schedule[:from]...), f.Schedule[from+size:]...)
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -1,5 +1,4 @@
-// The system under exploration: its replicas and operators, and what an action
-// makes of a state.
+// The system under exploration: its replicas and operators, and how an action changes a state.
 
 package model
 
@@ -12,22 +11,22 @@
 	"wallport/runtime/wire"
 )
 
-// Config is what is explored.
+// Config describes what is explored.
 type Config struct {
 	Name string
-	// Voters form the group at the start; Standbys are further processes without a vote.
+	// Voters form the group at the start; Standbys are further processes, which are not voters.
 	Voters, Standbys int
-	// Settled starts with an elected leader in place of a group that has just been formed.
+	// Settled starts with an elected leader instead of a group that was just bootstrapped.
 	Settled bool
-	// Away are replicas that are cut off at the start.
+	// Away are replicas that are partitioned at the start.
 	Away []int
-	// Faulty are the replicas that crash, freeze, are cut off and so on; none stands for all.
+	// Faulty are the replicas that crash, freeze, are partitioned and so on; empty means all.
 	Faulty []int
-	// SlowDisks has holds put disks off alone, not messages.
+	// SlowDisks makes holds pause disks only, not messages.
 	SlowDisks bool
-	// Prelude are actions before the exploration, each followed by all that it leads to.
+	// Prelude are actions before the exploration, each followed by everything that results.
 	Prelude []Action
-	// Operators are the orders of each operator, in turn.
+	// Operators are the commands of each operator, in order.
 	Operators [][]Command
 	// Spans are the times that may pass at once, in microseconds.
 	Spans  []int
@@ -53,20 +52,20 @@
 	messages  map[digest]*message
 	versions  map[digest]*knownVersion
 	histories map[digest]error
-	// Seen counts what the exploration brought about.
+	// Seen counts what the exploration provoked.
 	Seen Seen
 }
 
-// Seen counts what schedules brought about, over all states.
+// Seen counts what schedules provoked, over all states.
 type Seen struct{ Leaders, Commits, Acknowledged, Refused, Reads, MemberChanges int }
 
-// FreezeGap is how long a process must not have run to be told so, as in the process's own loop.
+// FreezeGap is how long a process must have been frozen to be told so, as in the process's own loop.
 const FreezeGap = clock.Second
 
 // begin is the steady clock at the start of a schedule.
 const begin = clock.Second
 
-// NewWorld makes a world.
+// NewWorld returns a world for a configuration.
 func NewWorld(c Config) *World {
 	w := &World{
 		Config: c, replicas: c.Voters + c.Standbys, voters: c.Voters, operators: c.Operators, restores: map[string]bool{},
@@ -85,7 +84,7 @@
 	return w
 }
 
-// initial is the state at the start of every schedule.
+// initial returns the state at the start of every schedule.
 func (w *World) initial() (*system, error) {
 	n := w.replicas
 	s := &system{
@@ -111,7 +110,7 @@
 	return w.play(s)
 }
 
-// elect lets the first replica be elected, with nothing lost and nothing late.
+// elect makes the first replica be elected, with nothing lost and nothing late.
 func (w *World) elect(s *system) (*system, error) {
 	const until = 4
 	for range until {
