--- a/cmd/wallport/daemon.go
+++ b/cmd/wallport/daemon.go
@@ -34,8 +34,8 @@
 type nodeCmd struct{ daemonCmd }
 type coreCmd struct{ daemonCmd }
 
-func (c *nodeCmd) Execute([]string) error { return c.run("node") }
-func (c *coreCmd) Execute([]string) error { return c.run("core") }
+func (c *nodeCmd) Execute([]string) error { return c.run(settings.RoleNode) }
+func (c *coreCmd) Execute([]string) error { return c.run(settings.RoleCore) }
 
 func (c *daemonCmd) run(role string) error {
 	if c.OnPlatform {
@@ -88,7 +88,7 @@
 	}
 	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", set.Zone), zap.String("mesh", set.Mesh),
 		zap.String("caller", set.Caller), zap.String("operator", set.Operator), zap.Bool("authorisation", set.OperatorToken != ""), zap.Bool("fleet_secret", set.FleetSecret != ""))
-	if role == "node" && set.OperatorToken == "" {
+	if role == settings.RoleNode && set.OperatorToken == "" {
 		log.Warn("authorisation_off", zap.String("reason", "no operator token is set; anyone who reaches the operator API may change the fleet"))
 	}
 	select {
--- a/cmd/wallport/gateway.go
+++ b/cmd/wallport/gateway.go
@@ -19,7 +19,7 @@
 
 // openGateway serves the platform's clients and the readiness page, over one dispatcher and one client of the backends,
 // until stop is called. The error of a listener that ends by itself is sent to failed.
-func openGateway(p *process.Process, operators *httpapi.Server, place platform.ProcessSettings, failed chan<- error) (stop func(), err error) {
+func openGateway(p *process.Process, operators *httpapi.Server, configured platform.ProcessSettings, failed chan<- error) (stop func(), err error) {
 	set, table := p.Kernel.Boot.Settings, kernel.Find[*snapshot.Table](p.Kernel)
 	dispatcher := dispatch.NewDispatcher(dispatch.Config{
 		Snapshot: table.Current, Counts: p.Kernel.Counts, Seed: p.Kernel.Boot.Seed, StartedAt: p.Now(),
@@ -37,7 +37,7 @@
 		},
 	})
 	server, err := gateway.Open(gateway.Config{
-		ClientAddr: place.HTTP, ReadinessAddr: place.Readiness, Names: platform.GatewayNames(),
+		ClientAddr: configured.HTTP, ReadinessAddr: configured.Readiness, Names: platform.GatewayNames(),
 		Log: p.Log, Sampled: p.Sampled(), Counts: p.Kernel.Counts,
 		Backends: client, Snapshot: table.Current, Now: p.Now, GracePeriod: set.Bounds.GracePeriod,
 		AwaitThaw: func() { p.AwaitThaw(thawTimeout) },
--- a/cmd/wallport/platform.go
+++ b/cmd/wallport/platform.go
@@ -67,26 +67,26 @@
 	path := platform.SettingsPath()
 	// The watch begins before the file is read: a change in between is noticed.
 	watch := platform.NewSettingsWatch(path)
-	place, found := platform.ReadSettings(path, role)
+	configured, found := platform.ReadSettings(path, role)
 	if len(found) > 0 {
 		return exitError{exitInvalid, found.Error()}
 	}
-	place.Settings.MeshListen = flags.meshListen
-	limitRuntime(place.Settings.Machine)
-	log := newLogger(place.Settings.LogLevel, place.Settings.Name)
+	configured.Settings.MeshListen = flags.meshListen
+	limitRuntime(configured.Settings.Machine)
+	log := newLogger(configured.Settings.LogLevel, configured.Settings.Name)
 	defer log.Sync()
-	d := &platformDaemon{role: role, path: path, watch: watch, seeds: place.Settings.Seeds, failed: make(chan error, 1)}
-	if err := d.start(place, flags, log); err != nil {
+	d := &platformDaemon{role: role, path: path, watch: watch, seeds: configured.Settings.Seeds, failed: make(chan error, 1)}
+	if err := d.start(configured, flags, log); err != nil {
 		return exitError{exitFailed, err.Error()}
 	}
-	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", place.Settings.Zone),
-		zap.String("mesh", place.Settings.Mesh), zap.String("operator", place.Settings.Operator))
+	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", configured.Settings.Zone),
+		zap.String("mesh", configured.Settings.Mesh), zap.String("operator", configured.Settings.Operator))
 	return d.run(signals)
 }
 
 // start starts the process and opens its listeners.
-func (d *platformDaemon) start(place platform.ProcessSettings, flags platformFlags, log *zap.Logger) (err error) {
-	d.process, err = process.Start(process.Config{Settings: place.Settings, Role: d.role, Log: log, Fetchers: platform.Fetchers()})
+func (d *platformDaemon) start(configured platform.ProcessSettings, flags platformFlags, log *zap.Logger) (err error) {
+	d.process, err = process.Start(process.Config{Settings: configured.Settings, Role: d.role, Log: log, Fetchers: platform.Fetchers()})
 	if err != nil {
 		return err
 	}
@@ -94,8 +94,8 @@
 		d.process.Stop()
 		return err
 	}
-	openMetrics(d.process, d.server, place.Settings, flags.metricsPort)
-	if d.stopRole, err = d.openRole(place); err != nil {
+	openMetrics(d.process, d.server, configured.Settings, flags.metricsPort)
+	if d.stopRole, err = d.openRole(configured); err != nil {
 		d.process.Stop()
 		return err
 	}
@@ -103,12 +103,12 @@
 }
 
 // openRole opens what the platform calls: on a node the clients' address and readiness, on a core the control address.
-func (d *platformDaemon) openRole(place platform.ProcessSettings) (stop func(), err error) {
-	if d.role == "core" {
+func (d *platformDaemon) openRole(configured platform.ProcessSettings) (stop func(), err error) {
+	if d.role == settings.RoleCore {
 		control := &platform.Control{Call: d.process.Call, Log: platform.AuditLog(d.process.Log)}
-		return control.Serve(place.Control, d.process.Log, d.failed)
+		return control.Serve(configured.Control, d.process.Log, d.failed)
 	}
-	return openGateway(d.process, d.server, place, d.failed)
+	return openGateway(d.process, d.server, configured, d.failed)
 }
 
 // run waits for signals, changes of the settings file and failures, until the daemon ends.
@@ -150,14 +150,14 @@
 
 // reread takes over what may change while a process runs: the seeds. A file with findings changes nothing.
 func (d *platformDaemon) reread() {
-	place, found := platform.ReadSettings(d.path, d.role)
+	configured, found := platform.ReadSettings(d.path, d.role)
 	for _, finding := range found {
 		d.process.Log.Warn("settings_refused", zap.String("place", finding.Location), zap.String("finding", finding.Text))
 	}
-	if len(found) > 0 || slices.Equal(d.seeds, place.Settings.Seeds) {
+	if len(found) > 0 || slices.Equal(d.seeds, configured.Settings.Seeds) {
 		return
 	}
-	d.seeds = place.Settings.Seeds
+	d.seeds = configured.Settings.Seeds
 	d.process.Log.Info("seeds_changed", zap.Strings("seeds", d.seeds))
 	d.process.Post(kernel.SeedsChanged{Seeds: slices.Clone(d.seeds)})
 }
--- a/control/configsync/core_selection.go
+++ b/control/configsync/core_selection.go
@@ -7,6 +7,7 @@
 
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 )
 
 // Bounds of the selection of a core.
@@ -45,7 +46,7 @@
 
 // updateKnown adds the live cores to the known ones and forgets those that were not live for long, or are too many.
 func (p *Sync) updateKnown(now clock.Micros) {
-	live := p.members.Live(now, "core")
+	live := p.members.Live(now, settings.RoleCore)
 	for _, core := range live {
 		if core.Addr == p.settings.Mesh {
 			continue
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -70,7 +70,7 @@
 }
 
 func init() {
-	kernel.Register(kernel.Registration{Rank: 40, Roles: []string{"node", "core"}, Make: newPlugin})
+	kernel.Register(kernel.Registration{Rank: 40, Roles: []string{settings.RoleNode, settings.RoleCore}, Make: newPlugin})
 }
 
 func newPlugin(k *kernel.Kernel) kernel.Plugin {
@@ -78,7 +78,7 @@
 		mesh:            kernel.Find[*mesh.Mesh](k),
 		members:         kernel.Find[*membership.Members](k),
 		settings:        k.Boot.Settings,
-		isCore:          k.Boot.Role == "core",
+		isCore:          k.Boot.Role == settings.RoleCore,
 		liveAt:          map[string]clock.Micros{},
 		zones:           map[string]string{},
 		unansweredSince: map[string]clock.Micros{},
@@ -118,7 +118,7 @@
 	case kernel.Message:
 		p.pullReplied(ctx, v)
 	case mesh.Stored:
-		if v.Entry.Type == "part" {
+		if v.Entry.Type == mesh.EntryPartition {
 			p.versionStored(ctx)
 		}
 	}
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -8,6 +8,7 @@
 	"wallport/control/replica"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -82,7 +83,7 @@
 // healthyCores returns the live cores that can store a version.
 func (s *Service) healthyCores(now clock.Micros) []membership.Member {
 	var cores []membership.Member
-	for _, core := range s.members.Live(now, "core") {
+	for _, core := range s.members.Live(now, settings.RoleCore) {
 		if core.Replica != "" && core.UnhealthyReason == "" && !core.Draining {
 			cores = append(cores, core)
 		}
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -5,6 +5,7 @@
 	"wallport/cluster/mesh"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -58,7 +59,7 @@
 	var cores []membership.Member
 	at := map[string]int{}
 	for _, member := range all {
-		if member.Role != "core" {
+		if member.Role != settings.RoleCore {
 			continue
 		}
 		i, known := at[member.Addr]
--- a/control/operations/submit.go
+++ b/control/operations/submit.go
@@ -3,6 +3,7 @@
 import (
 	"wallport/cluster/mesh"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -86,7 +87,7 @@
 	if addr != "" && c.attempts%2 == 0 {
 		return addr
 	}
-	cores := s.members.Live(ctx.Now, "core")
+	cores := s.members.Live(ctx.Now, settings.RoleCore)
 	if len(cores) == 0 {
 		return addr
 	}
@@ -131,7 +132,7 @@
 // otherwise it looks again later.
 func (s *Service) awaitInForce(ctx *kernel.Context, id uint64, c *call) {
 	result := Result{Reply: *c.reply}
-	for _, node := range s.members.Live(ctx.Now, "node") {
+	for _, node := range s.members.Live(ctx.Now, settings.RoleNode) {
 		if hasInForce(node.InForce, c.reply.Version) {
 			result.InForce++
 		} else {
--- a/control/operations/zones.go
+++ b/control/operations/zones.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"wallport/cluster/mesh"
 	"wallport/runtime/clock"
 	"wallport/runtime/wire"
 )
@@ -22,7 +23,7 @@
 		}
 	}
 	known, complete := false, false
-	s.mesh.Each("listing", func(entry *wire.Entry, _ string) {
+	s.mesh.Each(mesh.EntryBackendList, func(entry *wire.Entry, _ string) {
 		var list wire.BackendList
 		if wire.Decode(entry.Body, &list) != nil {
 			return
--- a/request/httpapi/explain.go
+++ b/request/httpapi/explain.go
@@ -19,6 +19,7 @@
 	"wallport/request/snapshot"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 )
 
 const (
@@ -71,7 +72,7 @@
 func (a operatorAPI) operatorAddresses() map[string]string {
 	addresses := map[string]string{}
 	a.node.process.Do(func(now clock.Micros) {
-		for _, node := range kernel.Find[*membership.Members](a.node.process.Kernel).Live(now, "node") {
+		for _, node := range kernel.Find[*membership.Members](a.node.process.Kernel).Live(now, settings.RoleNode) {
 			addresses[node.Name] = node.Operator
 		}
 	})
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -11,6 +11,7 @@
 	"wallport/gen/operator"
 	"wallport/runtime/clock"
 	"wallport/runtime/kernel"
+	"wallport/runtime/settings"
 	"wallport/runtime/wire"
 )
 
@@ -177,7 +178,7 @@
 		Name: member.Name, Role: member.Role, Zone: member.Zone, Addr: member.Addr, Live: member.Live,
 		Draining: &member.Draining, Sick: &member.UnhealthyReason, InForce: "none",
 	}
-	if member.Role == "core" {
+	if member.Role == settings.RoleCore {
 		status.Formed = &member.Bootstrapped
 	}
 	for _, version := range member.InForce {
--- a/request/httpapi/server.go
+++ b/request/httpapi/server.go
@@ -22,6 +22,7 @@
 	operatorsrv "wallport/gen/http/operator/server"
 	"wallport/gen/operator"
 	"wallport/runtime/process"
+	"wallport/runtime/settings"
 )
 
 // Bounds of requests and connections.
@@ -110,7 +111,7 @@
 		p.Log.Debug("response_not_written", zap.Error(err))
 	}
 	mux := goahttp.NewMuxer()
-	if p.Kernel.Boot.Role == "node" {
+	if p.Kernel.Boot.Role == settings.RoleNode {
 		s.node = NewNode(p)
 		var err error
 		if s.node.authorizer, err = openAuthorizer(p, s.stopping); err != nil {
