--- a/control/config/check.go
+++ b/control/config/check.go
@@ -25,20 +25,20 @@
 	services := map[string]int{}
 	for i, service := range configuration.Services {
 		path := fmt.Sprintf("services[%d]", i)
-		c.service(path, service)
+		c.checkService(path, service)
 		if first, duplicate := services[service.Index]; duplicate {
 			c.add(path+".index", "%q is in services[%d] already", service.Index, first)
 			continue
 		}
 		services[service.Index] = i
 	}
-	c.quotas(configuration, services)
-	c.bookings(configuration.Bookings, services)
-	c.overlaps(configuration.Bookings)
+	c.checkQuotas(configuration, services)
+	c.checkReservations(configuration.Bookings, services)
+	c.checkOverlaps(configuration.Bookings)
 	return c.found
 }
 
-func (c *collector) service(path string, service *configpb.Service) {
+func (c *collector) checkService(path string, service *configpb.Service) {
 	if service.Index == "" {
 		c.add(path+".index", "is needed")
 	}
@@ -62,13 +62,13 @@
 	}
 }
 
-// quotas checks the quota rows. services maps the indexes to their position among the services.
-func (c *collector) quotas(configuration *configpb.Sheet, services map[string]int) {
+// checkQuotas checks the quota rows. services maps the indexes to their position among the services.
+func (c *collector) checkQuotas(configuration *configpb.Sheet, services map[string]int) {
 	shares := map[string]int32{}
 	seen := map[string]int{}
 	for i, row := range configuration.Rows {
 		path := fmt.Sprintf("rows[%d]", i)
-		c.subject(path, row.Index, row.Kind, services)
+		c.checkSubject(path, row.Index, row.Kind, services)
 		if first, duplicate := seen[quotaKey(row)]; duplicate {
 			c.add(path, "the row of %q and %q is rows[%d] already", row.Index, row.Kind, first)
 			continue
@@ -89,8 +89,8 @@
 	}
 }
 
-// subject checks the index and the kind that a quota row or a booking is about.
-func (c *collector) subject(path, index, kind string, services map[string]int) {
+// checkSubject checks the index and the kind that a quota row or a booking is about.
+func (c *collector) checkSubject(path, index, kind string, services map[string]int) {
 	if _, ok := services[index]; !ok {
 		c.add(path+".index", "no service has the index %q", index)
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-func (c *collector) bookings(bookings []*configpb.Booking, services map[string]int) {
+func (c *collector) checkReservations(reservations []*configpb.Booking, services map[string]int) {
 	seen := map[string]int{}
-	for i, booking := range bookings {
+	for i, booking := range reservations {
 		path := fmt.Sprintf("bookings[%d]", i)
 		if booking.Id == "" {
 			c.add(path+".id", "is needed")
@@ -109,7 +109,7 @@
 			c.add(path+".id", "%q is bookings[%d] already", booking.Id, first)
 		}
 		seen[booking.Id] = i
-		c.subject(path, booking.Index, booking.Kind, services)
+		c.checkSubject(path, booking.Index, booking.Kind, services)
 		if booking.Slice < 1 || booking.Slice > 100 {
 			c.add(path+".slice", "must be 1 to 100, is %d", booking.Slice)
 		}
@@ -122,12 +122,12 @@
 	}
 }
 
-// overlaps checks that the bookings of an index never take more than its whole capacity. The sum is
+// checkOverlaps checks that the bookings of an index never take more than its whole capacity. The sum is
 // largest where some booking starts, so only these moments are checked.
-func (c *collector) overlaps(bookings []*configpb.Booking) {
-	for i, booking := range bookings {
+func (c *collector) checkOverlaps(reservations []*configpb.Booking) {
+	for i, booking := range reservations {
 		var sum int32
-		for _, other := range bookings {
+		for _, other := range reservations {
 			if other.Index == booking.Index && other.StartsUs <= booking.StartsUs && booking.StartsUs < other.EndsUs {
 				sum += other.Slice
 			}
--- a/control/config/config.go
+++ b/control/config/config.go
@@ -23,13 +23,13 @@
 
 // Names of the tables of a configuration.
 const (
-	tableServices = "services"
-	tableRows     = "rows"
-	tableBookings = "bookings"
+	tableServices     = "services"
+	tableRows         = "rows"
+	tableReservations = "bookings"
 )
 
 func isTable(name string) bool {
-	return slices.Contains([]string{tableServices, tableRows, tableBookings}, name)
+	return slices.Contains([]string{tableServices, tableRows, tableReservations}, name)
 }
 
 // newRow appends an empty row to a table and returns it.
--- a/control/config/diff.go
+++ b/control/config/diff.go
@@ -20,7 +20,7 @@
 		rows[tableRows+" "+row.Index+" "+row.Kind] = row
 	}
 	for _, row := range configuration.Bookings {
-		rows[tableBookings+" "+row.Id] = row
+		rows[tableReservations+" "+row.Id] = row
 	}
 	return rows
 }
--- a/control/config/edit.go
+++ b/control/config/edit.go
@@ -62,7 +62,7 @@
 		edited.Services, ok = editRows(edited.Services, decoded.Services[0], edit.Op, (*configpb.Service).GetIndex)
 	case tableRows:
 		edited.Rows, ok = editRows(edited.Rows, decoded.Rows[0], edit.Op, quotaKey)
-	case tableBookings:
+	case tableReservations:
 		edited.Bookings, ok = editRows(edited.Bookings, decoded.Bookings[0], edit.Op, (*configpb.Booking).GetId)
 	}
 	return ok
@@ -98,11 +98,11 @@
 		indexes = append(indexes, row.Index)
 		for _, booking := range configuration.GetBookings() {
 			// A booking that moves to another index concerns both.
-			if edit.Table == tableBookings && booking.Id == row.ID {
+			if edit.Table == tableReservations && booking.Id == row.ID {
 				indexes = append(indexes, booking.Index)
 			}
 		}
-		if edit.Table == tableBookings && edit.Op == opRemove && row.Index == "" {
+		if edit.Table == tableReservations && edit.Op == opRemove && row.Index == "" {
 			indexes = slices.DeleteFunc(indexes, func(index string) bool { return index == "" })
 		}
 	}
--- a/control/state/editlog_test.go
+++ b/control/state/editlog_test.go
@@ -29,11 +29,11 @@
 
 // Of every pair of different edits with one revision the first is applied, and the other one never is.
 func TestRoutingRevisionIsAppliedOnce(t *testing.T) {
-	other := wholeTable(1, 7)
+	other := putTable(1, 7)
 	other.Whole.Routes[0].TimeoutUs = 9
 	edits := map[string]*routingpb.RoutingEdit{
-		"whole": wholeTable(1, 7), "another whole": other, "patch": routePatch(1, 7, 5), "another patch": routePatch(1, 7, 6),
-		"whole on another base": wholeTable(5, 7), "patch on another base": routePatch(5, 7, 5), "withdrawal": {Base: 1, Revision: 7, WithdrawRoutes: []string{"b"}},
+		"whole": putTable(1, 7), "another whole": other, "patch": routePatch(1, 7, 5), "another patch": routePatch(1, 7, 6),
+		"whole on another base": putTable(5, 7), "patch on another base": routePatch(5, 7, 5), "withdrawal": {Base: 1, Revision: 7, WithdrawRoutes: []string{"b"}},
 	}
 	for first, a := range edits {
 		for second, b := range edits {
@@ -41,7 +41,7 @@
 				continue
 			}
 			p := &configPartition{t: t}
-			must.Eq(t, "ok", p.applyRouting(wholeTable(0, 1)).Code)
+			must.Eq(t, "ok", p.applyRouting(putTable(0, 1)).Code)
 			must.Eq(t, "ok", p.applyRouting(a).Code)
 			after := p.value
 			must.Eq(t, "lost_race", p.applyRouting(b).Code, must.Sprint(first, ", then ", second))
@@ -54,18 +54,18 @@
 // An edit that is based on the revision which it has itself is refused: it is not above the current one.
 func TestRoutingEditMustRaiseTheRevisionItIsBasedOn(t *testing.T) {
 	p := &configPartition{t: t}
-	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 7)).Code)
+	must.Eq(t, "ok", p.applyRouting(putTable(0, 7)).Code)
 	must.Eq(t, "invalid", p.applyRouting(routePatch(7, 7, 5)).Code)
 	must.Eq(t, "ok", p.applyRouting(routePatch(7, 8, 5)).Code)
 }
 
 func TestRepeatedEditIsKnownAfterThousandsOfOthers(t *testing.T) {
 	p := &configPartition{t: t}
-	first := p.applyRouting(wholeTable(0, 1))
+	first := p.applyRouting(putTable(0, 1))
 	drain := p.applyZone("empty", "z", "first")
 	patch := p.applyRouting(routePatch(1, 2, 5))
 	for i := int64(2); i < 1002; i++ {
-		must.Eq(t, "ok", p.applyRouting(wholeTable(i, i+1)).Code)
+		must.Eq(t, "ok", p.applyRouting(putTable(i, i+1)).Code)
 		must.Eq(t, "ok", p.applyZone("empty", fmt.Sprint("z", i%7), fmt.Sprint("edit-", i)).Code)
 	}
 	before := p.value
@@ -73,7 +73,7 @@
 		name        string
 		first, then wire.EditReply
 	}{
-		{"whole", first, p.applyRouting(wholeTable(0, 1))},
+		{"whole", first, p.applyRouting(putTable(0, 1))},
 		{"patch", patch, p.applyRouting(routePatch(1, 2, 5))},
 		{"edit id", drain, p.applyZone("empty", "z", "first")},
 	} {
@@ -87,7 +87,7 @@
 // A refusal is not remembered: an edit that is sent again is validated against what is in force then.
 func TestRefusedEditIsValidatedAgain(t *testing.T) {
 	p := &configPartition{t: t}
-	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 1)).Code)
+	must.Eq(t, "ok", p.applyRouting(putTable(0, 1)).Code)
 	needs := func(base, revision int64) *routingpb.RoutingEdit {
 		return &routingpb.RoutingEdit{Base: base, Revision: revision, Upsert: &routingpb.RoutingTable{Routes: []*routingpb.Route{route("c", "/c/", "late")}}}
 	}
@@ -107,7 +107,7 @@
 // Edits that a network partition delayed while others were applied.
 func TestLateEditIsStale(t *testing.T) {
 	p := &configPartition{t: t}
-	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 1)).Code)
+	must.Eq(t, "ok", p.applyRouting(putTable(0, 1)).Code)
 	base := p.zoneVersion("z")
 	late := wire.Edit{Op: "empty", Name: "z", EditID: "late", Base: base}
 	must.Eq(t, "ok", p.applyZone("refill", "z", "newer").Code, must.Sprint("it changes nothing and is acknowledged"))
@@ -176,13 +176,13 @@
 		DrainedZones: []string{"z"}, Routing: body, Config: configuration, ConfigVersion: at,
 		LegacyEdits:     []wire.LegacyEdit{{EditID: "old", Sum: legacyEditSum(&taken), Version: at}},
 		LegacyHistory:   []wire.PastConfig{{Version: at, By: "someone"}},
-		LegacyRevisions: []wire.LegacyRevision{{Number: 1, Sum: routing.LegacyDigest(wholeTable(0, 1)), Version: at}},
+		LegacyRevisions: []wire.LegacyRevision{{Number: 1, Sum: routing.LegacyDigest(putTable(0, 1)), Version: at}},
 	})}}
 	check := func() {
-		must.Eq(t, at, p.applyRouting(wholeTable(0, 1)).Version)
+		must.Eq(t, at, p.applyRouting(putTable(0, 1)).Version)
 		must.Eq(t, at, p.apply(&taken).Version)
 		must.Eq(t, "conflict", p.apply(&wire.Edit{Op: "refill", Name: "z", EditID: "old"}).Code)
-		other := wholeTable(0, 1)
+		other := putTable(0, 1)
 		other.Whole.Routes[0].TimeoutUs = 2
 		must.Eq(t, "lost_race", p.applyRouting(other).Code)
 		r := AnswerRead(wire.Versioned{Body: p.value.Body, EditLog: p.value.EditLog}, &wire.Edit{Op: wire.OpHistory})
@@ -191,7 +191,7 @@
 		must.Eq(t, "someone", editLog.History[0].By)
 	}
 	check()
-	must.Eq(t, "ok", p.applyRouting(wholeTable(1, 2)).Code)
+	must.Eq(t, "ok", p.applyRouting(putTable(1, 2)).Code)
 	check()
 	c := p.body()
 	must.True(t, c.LegacyEdits == nil && c.LegacyHistory == nil && c.LegacyRevisions == nil, must.Sprint("moved to the edit log"))
@@ -199,7 +199,7 @@
 
 // The body has the size of what is in force, however many edits there were; the edit log is bounded.
 func TestValueStaysBoundedAfterThousandsOfEdits(t *testing.T) {
-	edit := wholeTable(0, 1)
+	edit := putTable(0, 1)
 	for i := range 10 {
 		r := route(fmt.Sprint("r", i), fmt.Sprintf("/x%d/", i), "p")
 		r.Source = make([]byte, 200)
--- a/control/state/routing_test.go
+++ b/control/state/routing_test.go
@@ -22,49 +22,49 @@
 	}
 }
 
-func wholeTable(base, rev int64) *routingpb.RoutingEdit {
+func putTable(base, rev int64) *routingpb.RoutingEdit {
 	return &routingpb.RoutingEdit{Base: base, Revision: rev, Whole: testTable()}
 }
 
 func TestPutRoutingTableAndRepeat(t *testing.T) {
 	p := &configPartition{t: t}
-	r := p.applyRouting(wholeTable(0, 3))
+	r := p.applyRouting(putTable(0, 3))
 	must.Eq(t, "ok", r.Code)
 	must.Eq(t, 3, p.routingTable().Revision)
 	must.Eq(t, "{a}", string(p.routingTable().Routes[0].Source))
-	must.Eq(t, "ok", p.applyRouting(wholeTable(3, 9)).Code)
-	again := p.applyRouting(wholeTable(0, 3))
+	must.Eq(t, "ok", p.applyRouting(putTable(3, 9)).Code)
+	again := p.applyRouting(putTable(0, 3))
 	must.Eq(t, "ok", again.Code, must.Sprint("exactly this was applied before"))
 	must.Eq(t, r.Version, again.Version)
 	must.Eq(t, 9, p.routingTable().Revision)
-	other := wholeTable(0, 3)
+	other := putTable(0, 3)
 	other.Whole.Routes[0].TimeoutUs = 2
 	must.Eq(t, "lost_race", p.applyRouting(other).Code, must.Sprint("another edit of the same numbers"))
-	must.Eq(t, "lost_race", p.applyRouting(wholeTable(1, 3)).Code)
+	must.Eq(t, "lost_race", p.applyRouting(putTable(1, 3)).Code)
 }
 
 func TestSecondRoutingEditOfARevisionLosesTheRace(t *testing.T) {
 	p := &configPartition{t: t}
-	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 1)).Code)
-	must.Eq(t, "ok", p.applyRouting(wholeTable(1, 5)).Code)
-	r := p.applyRouting(wholeTable(1, 6))
+	must.Eq(t, "ok", p.applyRouting(putTable(0, 1)).Code)
+	must.Eq(t, "ok", p.applyRouting(putTable(1, 5)).Code)
+	r := p.applyRouting(putTable(1, 6))
 	must.Eq(t, "lost_race", r.Code)
 	must.StrContains(t, r.Findings[0].Text, "revision 5")
-	must.Eq(t, "lost_race", p.applyRouting(wholeTable(8, 9)).Code)
+	must.Eq(t, "lost_race", p.applyRouting(putTable(8, 9)).Code)
 }
 
 func TestRoutingRevisionsIncrease(t *testing.T) {
 	p := &configPartition{t: t}
-	must.Eq(t, "invalid", p.applyRouting(wholeTable(0, 0)).Code)
-	must.Eq(t, "ok", p.applyRouting(wholeTable(0, 4)).Code)
-	must.Eq(t, "invalid", p.applyRouting(wholeTable(4, 4)).Code)
-	must.Eq(t, "invalid", p.applyRouting(wholeTable(4, 3)).Code)
-	must.Eq(t, "ok", p.applyRouting(wholeTable(4, 40)).Code)
+	must.Eq(t, "invalid", p.applyRouting(putTable(0, 0)).Code)
+	must.Eq(t, "ok", p.applyRouting(putTable(0, 4)).Code)
+	must.Eq(t, "invalid", p.applyRouting(putTable(4, 4)).Code)
+	must.Eq(t, "invalid", p.applyRouting(putTable(4, 3)).Code)
+	must.Eq(t, "ok", p.applyRouting(putTable(4, 40)).Code)
 }
 
 func TestPatchAddsReplacesAndWithdrawsByName(t *testing.T) {
 	p := &configPartition{t: t}
-	p.applyRouting(wholeTable(0, 1))
+	p.applyRouting(putTable(0, 1))
 	r := p.applyRouting(&routingpb.RoutingEdit{
 		Base: 1, Revision: 2,
 		Upsert: &routingpb.RoutingTable{
@@ -129,7 +129,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &configPartition{t: t}
-			e := wholeTable(0, 1)
+			e := putTable(0, 1)
 			spoil(e.Whole, e.Whole.Routes[0])
 			r := p.applyRouting(e)
 			must.Eq(t, "invalid", r.Code)
@@ -153,7 +153,7 @@
 		"a deadline past the timeout": func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TargetLatencyUs = 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := wholeTable(0, 1)
+			e := putTable(0, 1)
 			change(e.Whole, e.Whole.Routes[0])
 			must.Eq(t, "ok", (&configPartition{t: t}).applyRouting(e).Code)
 		})
@@ -162,7 +162,7 @@
 
 func TestRoutingFindingsAreReportedTogether(t *testing.T) {
 	p := &configPartition{t: t}
-	e := wholeTable(0, 1)
+	e := putTable(0, 1)
 	e.Whole.Routes[0].TimeoutUs, e.Whole.Routes[1].Pool, e.Whole.Pools[0].MaxConnections = 0, "x", -1
 	must.Len(t, 3, p.applyRouting(e).Findings)
 	must.Eq(t, "invalid", p.apply(&wire.Edit{Op: "routing", Body: []byte("\xff\xff")}).Code)
@@ -171,16 +171,16 @@
 func TestAppliedRoutingEditsAreBounded(t *testing.T) {
 	p := &configPartition{t: t}
 	for i := range int64(maxRoutingEdits + 5) {
-		must.Eq(t, "ok", p.applyRouting(wholeTable(i, i+1)).Code)
+		must.Eq(t, "ok", p.applyRouting(putTable(i, i+1)).Code)
 	}
 	must.Len(t, maxRoutingEdits, p.editLog().RoutingEdits)
-	must.Eq(t, "lost_race", p.applyRouting(wholeTable(0, 1)).Code)
-	must.Eq(t, "ok", p.applyRouting(wholeTable(100, 101)).Code)
+	must.Eq(t, "lost_race", p.applyRouting(putTable(0, 1)).Code)
+	must.Eq(t, "ok", p.applyRouting(putTable(100, 101)).Code)
 }
 
 func TestDrainingAZoneTwiceIsAccepted(t *testing.T) {
 	p := &configPartition{t: t}
-	p.applyRouting(wholeTable(0, 1))
+	p.applyRouting(putTable(0, 1))
 	for _, id := range []string{"one", "one", "two", ""} {
 		must.Eq(t, "ok", p.applyZone("empty", "z", id).Code)
 	}
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -40,7 +40,7 @@
 	c.admissions[n] = pending
 	if !c.rosterUnknown(ctx.Now) {
 		pending.owners = Owners(a.Key, current.KeyOwners)
-		c.sendClaims(ctx, n, pending)
+		c.sendAdmitRequests(ctx, n, pending)
 	}
 	if c.admissions[n] != nil {
 		ctx.AfterFor(min(ResendInterval, pending.deadline-ctx.Now), pluginName, n)
@@ -56,8 +56,8 @@
 	return now-c.caughtUpAt < RosterLoadWait
 }
 
-// sendClaims sends the request to every owner that has not admitted the key yet.
-func (c *Coordinator) sendClaims(ctx *kernel.Context, n uint64, pending *admission) {
+// sendAdmitRequests sends the request to every owner that has not admitted the key yet.
+func (c *Coordinator) sendAdmitRequests(ctx *kernel.Context, n uint64, pending *admission) {
 	m := wire.AdmitRequest{Key: pending.request.Key, Index: pending.request.Index, From: c.token(n), Sum: pending.request.Digest}
 	for _, h := range pending.owners {
 		switch {
@@ -65,7 +65,7 @@
 			return
 		case pending.replies[h.Name].code == replyAdmitted:
 		case h.Origin == c.mesh.Self():
-			c.receiveReply(ctx, n, c.handleClaim(ctx, m))
+			c.receiveReply(ctx, n, c.handleAdmitRequest(ctx, m))
 		default:
 			ctx.SendTo(h.Addr, wire.KindAdmitRequest, n, &m)
 		}
@@ -133,7 +133,7 @@
 	}
 	if ctx.Now < pending.deadline {
 		ctx.Counts.Add("claims_asked_again", 1)
-		c.sendClaims(ctx, n, pending)
+		c.sendAdmitRequests(ctx, n, pending)
 		if c.admissions[n] != nil {
 			ctx.AfterFor(min(ResendInterval, pending.deadline-ctx.Now), pluginName, n)
 		}
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -17,9 +17,9 @@
 	return out
 }
 
-func decodeRoster(places []wire.NodeLocation) []snapshot.Node {
-	out := make([]snapshot.Node, 0, len(places))
-	for _, p := range places {
+func decodeRoster(locations []wire.NodeLocation) []snapshot.Node {
+	out := make([]snapshot.Node, 0, len(locations))
+	for _, p := range locations {
 		out = append(out, snapshot.Node{Name: p.Name, Zone: p.Zone})
 	}
 	return out
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -194,7 +194,7 @@
 	case wire.KindAdmitRequest:
 		var m wire.AdmitRequest
 		if wire.Decode(v.Body, &m) == nil {
-			r := c.handleClaim(ctx, m)
+			r := c.handleAdmitRequest(ctx, m)
 			ctx.Send(v.Conn, wire.KindAdmitReply, v.ID, &r)
 		}
 	case wire.KindAdmitReply:
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -19,7 +19,7 @@
 }
 
 func (m *model) call(key string, attempts int) {
-	n := m.pickNode()
+	n := m.selectNode()
 	again := func() {
 		if attempts > 1 {
 			m.after(m.between(100*ms, 500*ms), func() { m.call(key, attempts-1) })
@@ -41,8 +41,8 @@
 	n.step(kernel.Call{Plugin: "idempotency", ID: m.lastCall, Request: Admit{Key: key, Index: "index", Digest: 7, Timeout: 2 * second}})
 }
 
-// pickNode is a node that a caller comes to: every other time one that has just started, if there is one.
-func (m *model) pickNode() *modelNode {
+// selectNode is a node that a caller comes to: every other time one that has just started, if there is one.
+func (m *model) selectNode() *modelNode {
 	young := slices.DeleteFunc(slices.Clone(m.nodes), func(n *modelNode) bool { return !n.up || m.now-n.upAt > justStartedFor })
 	if len(young) > 0 && m.rand.IntN(2) == 0 {
 		return young[m.rand.IntN(len(young))]
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -6,8 +6,8 @@
 	"wallport/runtime/wire"
 )
 
-// handleClaim answers an admission request as an owner of its key, and keeps a record of it.
-func (c *Coordinator) handleClaim(ctx *kernel.Context, m wire.AdmitRequest) wire.AdmitReply {
+// handleAdmitRequest answers an admission request as an owner of its key, and keeps a record of it.
+func (c *Coordinator) handleAdmitRequest(ctx *kernel.Context, m wire.AdmitRequest) wire.AdmitReply {
 	r := wire.AdmitReply{Key: m.Key, From: c.mesh.Self(), Name: c.name(), KeyOwners: c.ownerCount()}
 	rec := c.records[m.Key]
 	switch {
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -72,7 +72,7 @@
 	return n.step(kernel.Tick{Plugin: "idempotency", ID: id})
 }
 
-func soleVerdict(t *testing.T, out kernel.Output) search.Admission {
+func soleAdmission(t *testing.T, out kernel.Output) search.Admission {
 	t.Helper()
 	must.Len(t, 1, out.Replies)
 	return out.Replies[0].Value.(search.Admission)
@@ -92,12 +92,12 @@
 			n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: owners[0].Origin, Code: "in", KeyOwners: c.counted})
 			out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[1].Name, From: owners[1].Origin, Code: "in", KeyOwners: c.counted})
 			if c.in {
-				must.Eq(t, "in", soleVerdict(t, out).Code)
+				must.Eq(t, "in", soleAdmission(t, out).Code)
 				return
 			}
 			must.SliceEmpty(t, out.Replies, must.Sprint("three of more owners are no majority"))
 			n.now += MaxAdmissionWait
-			must.Eq(t, "short", soleVerdict(t, n.tick(id)).Code)
+			must.Eq(t, "short", soleAdmission(t, n.tick(id)).Code)
 		})
 	}
 }
@@ -109,7 +109,7 @@
 	id := n.startAdmission(t, owners)
 	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: owners[0].Origin, Code: "in", KeyOwners: 9})
 	out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[1].Name, From: owners[1].Origin, Code: "in", KeyOwners: 3})
-	must.Eq(t, "in", soleVerdict(t, out).Code)
+	must.Eq(t, "in", soleAdmission(t, out).Code)
 }
 
 // An owner that let the claim in may have lost it before the claim is decided.
@@ -126,11 +126,11 @@
 	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: "a new process", Code: "unsure"})
 	n.now += StragglerWait
 	must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("two of five"))
-	must.Eq(t, "in", soleVerdict(t, n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
+	must.Eq(t, "in", soleAdmission(t, n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
 }
 
 // An owner says how many owners it counts.
-func TestClaimReplyCarriesTheOwnerCount(t *testing.T) {
+func TestAdmitReplyCarriesTheOwnerCount(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(7)...)
 	out := n.receive(wire.KindAdmitRequest, 3, &wire.AdmitRequest{Key: "k", From: "p#1"})
@@ -179,12 +179,12 @@
 	n.c.invalidateRecords(&kernel.Context{Now: n.now})
 	lost := n.c.epochs[0]
 	claim := wire.AdmitRequest{Key: "k", From: "later#1", Sum: 5}
-	must.Eq(t, "unsure", n.c.handleClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	must.Eq(t, "unsure", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 	for _, o := range otherNodes(2) {
 		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.id, Name: o.Name, Last: true, Records: []wire.Outcome{{Key: "k", Code: "running", Status: 5, Body: []byte("earlier#1")}}})
 	}
-	must.Eq(t, "running", n.c.handleClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	must.Eq(t, "running", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 	// The one's release is not the other's.
 	n.receive(wire.KindOutcome, 0, &wire.Outcome{Key: "k", Code: "released", Body: []byte("later#1")})
-	must.Eq(t, "running", n.c.handleClaim(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	must.Eq(t, "running", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
 }
