--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -93,6 +93,7 @@
 	}
 }
 
+// isBootstrapped reports whether a core knows a formed fleet.
 func isBootstrapped(core membership.Member) bool { return core.Bootstrapped }
 
 // joinFleet makes this core a standby of the fleet that it found. Where that is the one to whose bootstrap it
@@ -206,6 +207,7 @@
 	})
 }
 
+// sendToOtherVoters sends a proposal's completion or withdrawal to its other voters.
 func (h *Host) sendToOtherVoters(ctx *kernel.Context, proposal *wire.Bootstrap) {
 	for _, voter := range proposal.Voters {
 		if voter.ID != h.replicaID {
--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -18,6 +18,7 @@
 
 // emptyCore returns a core on a platform whose disk holds only the identity of replica "m".
 func emptyCore(t *testing.T, change func(e *settings.Settings)) *core {
+	t.Helper()
 	e := settings.Settings{Mesh: "10.0.0.5:1", Zone: "z5", DataDir: "disk", BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: 1, Zones: 1}}
 	e.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	if change != nil {
@@ -54,6 +55,7 @@
 }
 
 func bootstrapReplies(t *testing.T, out kernel.Output) []wire.BootstrapReply {
+	t.Helper()
 	return sent[wire.BootstrapReply](t, out, wire.KindBootstrapReply)
 }
 
--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -33,6 +33,7 @@
 
 // catchUpAfter stops a core, changes the body so many times, and starts the core again.
 func catchUpAfter(t testing.TB, size, changes int, emptyDisk bool) caughtUp {
+	t.Helper()
 	c := newNarrowCluster(t, 0)
 	revision := c.grow(size)
 	away := c.awaitConverged()
--- a/control/replica/cluster_test.go
+++ b/control/replica/cluster_test.go
@@ -57,6 +57,7 @@
 }
 
 func newSimCluster(t *testing.T, shape simShape, seed uint64) *simCluster {
+	t.Helper()
 	c := &simCluster{
 		t: t, shape: shape, random: rand.New(rand.NewPCG(seed, 1)), byAddr: map[string]*simMachine{},
 		links: map[uint64]*simLink{}, direct: map[string]*simLink{}, edits: map[uint64]string{},
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -97,6 +97,7 @@
 	}
 }
 
+// isConfirmed reports whether a majority has answered a heartbeat round of this term, or a later one.
 func (g *Group) isConfirmed(round uint64) bool {
 	return quorum(g.newestVersion(), func(id string) bool { return id == g.self() || g.confirmedRounds[id] >= round })
 }
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -43,6 +43,7 @@
 
 // newCluster starts members m0, m1 ... of which the first ones, an odd number, form one group.
 func newCluster(t *testing.T, seed uint64, size int) *cluster {
+	t.Helper()
 	c := &cluster{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), conns: map[uint64]*connection{}, direct: map[string]uint64{}}
 	form := wire.Bootstrap{BootstrapID: "f", Commit: true}
 	for i := range size {
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -99,6 +99,7 @@
 	}
 }
 
+// becomePreCandidate begins to ask for pre-votes for the next term. It binds nobody and is not stored.
 func (g *Group) becomePreCandidate() {
 	g.role = preCandidate
 	g.term = g.votedTerm + 1
@@ -161,6 +162,7 @@
 	return mesh.Newer(g.accepted.Version, request.Stored) && g.isVoter() && !g.host.stopping
 }
 
+// replyToVote sends a vote or a pre-vote, granted or denied.
 func (g *Group) replyToVote(ctx *kernel.Context, conn, id uint64, request wire.Vote, granted bool) {
 	reply := wire.VoteReply{Partition: g.partition, Term: request.Term, From: g.self(), Pre: request.Pre, Granted: granted, Stored: g.accepted, SupportsBase: true}
 	if !granted {
@@ -210,6 +212,7 @@
 	g.becomeLeader(ctx, best)
 }
 
+// handleVoteDenied ends a candidature that met a newer term.
 func (g *Group) handleVoteDenied(ctx *kernel.Context, reply wire.VoteReply) {
 	if reply.Term > g.term {
 		g.role = follower
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -22,6 +22,7 @@
 
 // newCore returns a bootstrapped core with replica "me"; the other voters are "a" and "b".
 func newCore(t *testing.T, more map[string][]byte) *core {
+	t.Helper()
 	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: replicas("a", "b", "me")}
 	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
 	for k, v := range more {
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -118,6 +118,8 @@
 	return now-g.leaderSeen < StepDownAfter
 }
 
+// handleHeartbeat follows the leader, commits the version that it names if it is held here, and replies with
+// the version and the clock of this replica.
 func (g *Group) handleHeartbeat(ctx *kernel.Context, conn, id uint64, heartbeat wire.LeaderHeartbeat) {
 	reply := wire.LeaderHeartbeatReply{
 		Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: heartbeat.Round, Stored: g.accepted.Version,
--- a/control/replica/group.go
+++ b/control/replica/group.go
@@ -114,6 +114,7 @@
 // isVoter reports whether this replica has a vote on the newest version that it holds.
 func (g *Group) isVoter() bool { return contains(allVoters(g.accepted), g.self()) }
 
+// tick does what is due by the clock, for a voter.
 func (g *Group) tick(ctx *kernel.Context) {
 	switch {
 	case !g.isVoter():
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -97,6 +97,7 @@
 	}
 }
 
+// start loads the disk, and makes the identity of the replica where the disk is empty.
 func (h *Host) start(ctx *kernel.Context) {
 	h.startedAt, h.clockOrigin = ctx.Now, 1+ctx.Rand.Int64N(clockOrigins)
 	if h.kernel.Boot.Settings.DataDir == "" && len(h.kernel.Boot.Files) == 0 {
@@ -118,6 +119,7 @@
 	ctx.After(TickInterval, pluginName, timerTick)
 }
 
+// tick checks the disk, and takes the bootstrap or the groups further. It sets the next tick.
 func (h *Host) tick(ctx *kernel.Context) {
 	ctx.After(TickInterval, pluginName, timerTick)
 	h.checkDisk(ctx)
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -81,6 +81,8 @@
 	g.scheduleElection(ctx)
 }
 
+// leaderTick steps down where the leader must not go on, transfers the leadership where another should lead,
+// and else sends what is due.
 func (g *Group) leaderTick(ctx *kernel.Context) {
 	g.watchContact(ctx)
 	switch {
@@ -132,6 +134,8 @@
 	}
 }
 
+// handleHeartbeatReply records what a voter says of itself, brings it the newest version if it lacks that, and
+// answers what waited for the confirmation.
 func (g *Group) handleHeartbeatReply(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	if g.role != leader {
 		return
--- a/control/replica/messages.go
+++ b/control/replica/messages.go
@@ -24,6 +24,7 @@
 	handle(m)
 }
 
+// handleMessage passes a message to the group of its partition, or to the host.
 func (h *Host) handleMessage(ctx *kernel.Context, v kernel.Message) {
 	inGroup := func(partition int, handle func(g *Group)) {
 		if partition >= 0 && partition < len(h.groups) && !h.diskDamaged {
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -52,6 +52,7 @@
 }
 
 func newNarrowCluster(t testing.TB, bytesPerSecond int64) *narrowCluster {
+	t.Helper()
 	c := &narrowCluster{t: t, members: map[string]*narrowMember{}, conns: map[string]uint64{}, ends: map[uint64][2]string{}, bytesPerSecond: bytesPerSecond}
 	form := wire.Bootstrap{BootstrapID: "f", Commit: true}
 	for _, id := range []string{"a", "b", "c"} {
--- a/control/replica/pull.go
+++ b/control/replica/pull.go
@@ -17,6 +17,7 @@
 // sentVersions are the large versions that were sent on a connection, by partition.
 type sentVersions map[int]sentVersion
 
+// sentVersion is a large version and when it was sent.
 type sentVersion struct {
 	version wire.Version
 	sentAt  clock.Micros
--- a/control/replica/replication.go
+++ b/control/replica/replication.go
@@ -72,6 +72,7 @@
 	return wire.Accept{Partition: g.partition, Term: g.term, From: g.self(), Versioned: v}
 }
 
+// handleAcceptReply counts an acknowledgement of the proposal, or takes a refusal.
 func (g *Group) handleAcceptReply(ctx *kernel.Context, reply wire.AcceptReply) {
 	if g.role != leader {
 		return
--- a/control/replica/status.go
+++ b/control/replica/status.go
@@ -39,6 +39,7 @@
 	ctx.Send(v.Conn, wire.KindStatusReply, v.ID, h.Status(ctx.Now))
 }
 
+// status is what operators are shown of the replica of one partition.
 func (g *Group) status(now clock.Micros) wire.ReplicaStatus {
 	status := wire.ReplicaStatus{
 		Partition: g.partition, State: string(g.state()), Term: max(g.term, g.votedTerm), Leader: g.host.Leader(g.partition, now),
@@ -51,6 +52,7 @@
 	return status
 }
 
+// state is the state of the replica as operators are shown it.
 func (g *Group) state() replicaState {
 	switch {
 	case g.host.diskDamaged:
--- a/control/replica/storage.go
+++ b/control/replica/storage.go
@@ -90,6 +90,7 @@
 	}
 }
 
+// loadFile takes one file that was on the disk at the start.
 func (h *Host) loadFile(ctx *kernel.Context, name string, packed []byte) {
 	isVersion := strings.Contains(name, versionInfix)
 	content, err := diskfile.Unpack(packed)
@@ -175,6 +176,7 @@
 // remove removes a file, and does not wait for it.
 func (h *Host) remove(ctx *kernel.Context, file string) { ctx.Write(pluginName, "", file, nil) }
 
+// handleWritten ends a write, and judges the disk by how it went.
 func (h *Host) handleWritten(ctx *kernel.Context, v kernel.Written) {
 	done := h.onWritten[v.Key]
 	slow := ctx.Now-h.writeStartedAt[v.Key] > SlowDiskAfter
@@ -194,6 +196,7 @@
 	}
 }
 
+// setDiskProblem logs and publishes a change of the condition of the disk.
 func (h *Host) setDiskProblem(ctx *kernel.Context, problem diskCondition) {
 	if h.diskProblem == problem {
 		return
@@ -221,4 +224,5 @@
 	h.save(ctx, fileDiskCheck, []byte(fileDiskCheck), func(*kernel.Context, string) { h.checkingDisk = false })
 }
 
+// sortedKeys lists the keys of a map in order, so that steps do not depend on the order of maps.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/control/replica/storage_test.go
+++ b/control/replica/storage_test.go
@@ -36,6 +36,7 @@
 }
 
 func preVote(t *testing.T, c *core, term uint64) wire.VoteReply {
+	t.Helper()
 	return sent[wire.VoteReply](t, c.send(wire.KindVote, &wire.Vote{Term: term, From: "a", Pre: true}), wire.KindVoteReply)[0]
 }
 
