--- a/request/dispatch/state_machine.go
+++ b/request/dispatch/state_machine.go
@@ -62,14 +62,20 @@
 	tried    []*backend
 	triedBuf [3]*backend
 
-	// succeeded is set once a good response came; missing once none will come any more.
-	succeeded, missing bool
 	// lastResult is the response or the failure to answer a request of one pool with. records and seal are the
 	// response to a request that fans out.
 	lastResult *Result
 	records    []byte
 	seal       string
 
+	// The flags stand together, so that they share one word.
+
+	// succeeded is set once a good response came; missing once none will come any more.
+	succeeded, missing bool
+	// staleConn is set where an attempt failed as it does when an idle connection had been closed.
+	staleConn bool
+	// mayHaveRun is set where an attempt failed and may have run.
+	mayHaveRun bool
 	// bestStanding and overloaded are what admission found in the pool.
 	bestStanding standing
 	overloaded   bool
@@ -77,10 +83,6 @@
 	// inFlight counts attempts under way, sent those that count against max_backends, unsent those of which nothing
 	// was written.
 	inFlight, sent, unsent int
-	// staleConn is set where an attempt failed as it does when an idle connection had been closed.
-	staleConn bool
-	// mayHaveRun is set where an attempt failed and may have run.
-	mayHaveRun bool
 	// hedgeAt is when a hedged request is due.
 	hedgeAt clock.Micros
 	// reason says why the last attempt failed or none could be made.
