--- a/runtime/diskfile/diskfile.go
+++ b/runtime/diskfile/diskfile.go
@@ -39,7 +39,7 @@
 // shares the file's memory.
 func Unpack(b []byte) ([]byte, error) {
 	const digestAt = len(magic) + 1
-	if len(b) < digestAt+sha256.Size || string(b[:len(magic)]) != magic {
+	if len(b) < digestAt+sha256.Size || !bytes.HasPrefix(b, []byte(magic)) {
 		return nil, ErrCorrupt
 	}
 	switch format := b[len(magic)]; {
