--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -109,15 +109,24 @@
 func TestStopWaitsForAbandonedExchanges(t *testing.T) {
 	w := newWorld(t, nil)
 	h := w.block("/left")
+	entered := make(chan bool)
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
+		again := dispatch.SetTimer{At: w.now() + clock.Millisecond}
 		if _, ok := ev.(dispatch.Begin); ok {
-			return []dispatch.Action{s.attemptTo(0, "/left", false), dispatch.SetTimer{At: w.now() + 1000}}
+			return []dispatch.Action{s.attemptTo(0, "/left", false), again}
+		}
+		select {
+		case <-entered:
+			return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 504, Code: dispatch.CodeFailed})}
+		default:
+			// An exchange that is abandoned before the backend has it would never enter.
+			return []dispatch.Action{again}
 		}
-		return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 504, Code: dispatch.CodeFailed})}
 	}
 	c := w.dial()
 	c.send(get("a"))
 	<-h.enter
+	close(entered)
 	c.readResponse("GET")
 	stopped := make(chan bool)
 	go func() { w.server.Stop(); close(stopped) }()
