--- a/tools/mutate/lists_test.go
+++ b/tools/mutate/lists_test.go
@@ -3,9 +3,12 @@
 import (
 	"os"
 	"path/filepath"
+	"regexp"
+	"slices"
 	"strings"
 	"testing"
 
+	"github.com/shoenig/test"
 	"github.com/shoenig/test/must"
 )
 
@@ -24,3 +27,50 @@
 		}
 	}
 }
+
+// testFunction finds the names of a package's tests.
+var testFunction = regexp.MustCompile(`(?m)^func (Test\w+)\(`)
+
+// testsOf lists the names of the tests of a package.
+func testsOf(t *testing.T, dir string) []string {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
+	must.NoError(t, err)
+	var out []string
+	for _, file := range files {
+		source, err := os.ReadFile(file)
+		must.NoError(t, err)
+		for _, m := range testFunction.FindAllStringSubmatch(string(source), -1) {
+			out = append(out, m[1])
+		}
+	}
+	return out
+}
+
+// A pattern that matches no test lets its mutant survive unseen: each alternative must match one.
+func TestPatternsMatchTests(t *testing.T) {
+	t.Chdir("../..")
+	lists, err := filepath.Glob("tools/mutate/*.txt")
+	must.NoError(t, err)
+	for _, list := range lists {
+		for _, m := range read(list) {
+			args := strings.Fields(m.test)
+			at := slices.Index(args, "-run")
+			if at < 0 {
+				continue
+			}
+			var names []string
+			for _, arg := range slices.Delete(slices.Clone(args), at, at+2) {
+				if strings.HasPrefix(arg, "./") {
+					names = append(names, testsOf(t, arg)...)
+				}
+			}
+			for _, alternative := range strings.Split(args[at+1], "|") {
+				top, _, _ := strings.Cut(alternative, "/")
+				pattern, err := regexp.Compile(top)
+				must.NoError(t, err)
+				test.True(t, slices.ContainsFunc(names, pattern.MatchString), test.Sprintf("%s: %s: no test matches %s", list, m.guard, alternative))
+			}
+		}
+	}
+}
