--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -9,13 +9,16 @@
 	"wallport/runtime/wire"
 )
 
+// CodeOpen is the code of an edit that has not been answered yet.
+const CodeOpen wire.Code = "open"
+
 // Edit is one edit of the configuration by an operator.
 type Edit struct {
 	Mark    int64
 	Base    wire.Version
 	Began   clock.Micros
 	Ended   clock.Micros
-	Code    string
+	Code    wire.Code
 	Version wire.Version
 	EditID  string
 	// Invalid edits must never be accepted.
@@ -59,23 +62,23 @@
 	s := &c.edits
 	c.EditBegan(t)
 	was := s.byMark[t.Mark]
-	if t.Code == "ok" && t.Invalid {
+	if t.Code == wire.CodeOK && t.Invalid {
 		c.Fail(ConfigLoserInForce, t.Ended, "edit %d is invalid and was accepted", t.Mark)
 	}
-	if was.Code == "ok" {
-		if t.Code == "lost_race" || t.Code == "invalid" || t.Code == "conflict" {
+	if was.Code == wire.CodeOK {
+		if t.Code == wire.CodeLostRace || t.Code == wire.CodeInvalid || t.Code == wire.CodeConflict {
 			c.Fail(RetryDiffers, t.Ended, "edit %d was answered ok and then %s", t.Mark, t.Code)
 		}
 		c.tested(RetryDiffers)
-		if t.Code == "ok" && t.Version != was.Version {
+		if t.Code == wire.CodeOK && t.Version != was.Version {
 			c.Fail(BothWon, t.Ended, "edit %d was answered %v and then %v", t.Mark, was.Version, t.Version)
 		}
 		return
 	}
-	if t.Code == "ok" || was.Code == "open" {
+	if t.Code == wire.CodeOK || was.Code == CodeOpen {
 		was.Code, was.Version, was.Ended = t.Code, t.Version, t.Ended
 	}
-	if t.Code != "ok" {
+	if t.Code != wire.CodeOK {
 		return
 	}
 	c.tested(BothWon)
@@ -104,7 +107,7 @@
 		s.marks[sheetAt] = mark
 		if t := s.byMark[mark]; t != nil {
 			c.tested(ConfigLoserInForce)
-			if t.Code == "invalid" || t.Code == "lost_race" || t.Code == "conflict" || t.Code == "shed" {
+			if t.Code == wire.CodeInvalid || t.Code == wire.CodeLostRace || t.Code == wire.CodeConflict || t.Code == wire.CodeOverloaded {
 				c.Fail(ConfigLoserInForce, at, "%s has edit %d in force, which was answered %s", node, mark, t.Code)
 			}
 		}
@@ -134,12 +137,12 @@
 	s := &c.edits
 	for i, a := range s.order {
 		ta := s.byMark[a]
-		if ta.Code != "ok" {
+		if ta.Code != wire.CodeOK {
 			continue
 		}
 		for _, b := range s.order[i+1:] {
 			tb := s.byMark[b]
-			if tb.Code != "ok" {
+			if tb.Code != wire.CodeOK {
 				continue
 			}
 			first, second := ta, tb
--- a/lab/check/histories.go
+++ b/lab/check/histories.go
@@ -63,7 +63,7 @@
 }
 
 // ZoneSet records a command that drains or restores a zone, with the code of its answer.
-func (c *Checker) ZoneSet(client int, zone string, drained bool, code string, began, ended clock.Micros) {
+func (c *Checker) ZoneSet(client int, zone string, drained bool, code wire.Code, began, ended clock.Micros) {
 	outcome, possible := outcomeOf(code)
 	if !possible {
 		return
@@ -100,13 +100,13 @@
 }
 
 // outcomeOf classifies an answer; possible is false where the command certainly never reached a leader.
-func outcomeOf(code string) (outcome history.Outcome, possible bool) {
+func outcomeOf(code wire.Code) (outcome history.Outcome, possible bool) {
 	switch code {
-	case "ok":
+	case wire.CodeOK:
 		return history.Accepted, true
-	case "lost_race", "invalid", "conflict":
+	case wire.CodeLostRace, wire.CodeInvalid, wire.CodeConflict:
 		return history.Refused, true
-	case "shed":
+	case wire.CodeOverloaded:
 		return history.Unknown, false
 	default:
 		return history.Unknown, true
@@ -134,7 +134,7 @@
 // lastResponse returns when the last successful answer came.
 func (c *Checker) lastResponse() (at clock.Micros) {
 	for _, t := range c.edits.byMark {
-		if t.Code == "ok" {
+		if t.Code == wire.CodeOK {
 			at = max(at, t.Ended)
 		}
 	}
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -111,26 +111,26 @@
 	body.Services[0] = maps.Clone(body.Services[0])
 	body.Services[0]["ramp_us"] = mark
 	stamp, _ := config.ParseVersion(0, base.Version)
-	t := check.Edit{Mark: mark, Base: stamp, Began: o.now(), Ended: 1 << 62, Code: "open"}
+	t := check.Edit{Mark: mark, Base: stamp, Began: o.now(), Ended: 1 << 62, Code: check.CodeOpen}
 	o.withChecker(func(c *check.Checker) { c.EditBegan(t) })
 	code, taken := o.send(node, body, base.Version)
 	t.Code, t.Version, t.Ended = code, taken, o.now()
-	o.withChecker(func(c *check.Checker) { c.EditEnded(t); c.Count("edits."+code, 1) })
+	o.withChecker(func(c *check.Checker) { c.EditEnded(t); c.Count("edits."+string(code), 1) })
 }
 
 // send puts a configuration and returns the code of the answer, "open" where no answer came.
-func (o *operators) send(node string, body any, base string) (string, wire.Version) {
+func (o *operators) send(node string, body any, base string) (wire.Code, wire.Version) {
 	b, _ := json.Marshal(body)
 	req, err := http.NewRequest(http.MethodPut, "http://"+o.fleet.OperatorAddrs[node]+"/v1/sheet", strings.NewReader(string(b)))
 	if err != nil {
-		return "open", wire.Version{}
+		return check.CodeOpen, wire.Version{}
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+o.fleet.options.Token)
 	req.Header.Set("If-Match", base)
 	resp, err := o.fleet.client.Do(req)
 	if err != nil {
-		return "open", wire.Version{}
+		return check.CodeOpen, wire.Version{}
 	}
 	defer resp.Body.Close()
 	raw, _ := io.ReadAll(resp.Body)
@@ -138,7 +138,7 @@
 	json.Unmarshal(raw, &got)
 	stamp, _ := config.ParseVersion(0, got.Stamp)
 	if resp.StatusCode == http.StatusOK {
-		return "ok", stamp
+		return wire.CodeOK, stamp
 	}
 	return codeOf(got.Name), stamp
 }
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -12,6 +12,7 @@
 
 	"wallport/control/config"
 	"wallport/lab/check"
+	"wallport/runtime/wire"
 )
 
 // Client numbers, in the history, of operators that do not edit the configuration.
@@ -25,35 +26,37 @@
 
 // call sends one request of an operator and decodes a JSON answer; it returns the code as package check knows
 // it.
-func (o *operators) call(method, node, path string, into any) string {
+func (o *operators) call(method, node, path string, into any) wire.Code {
 	ctx, cancel := context.WithTimeout(context.Background(), o.fleet.client.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.fleet.OperatorAddrs[node]+path, nil)
 	if err != nil {
-		return "open"
+		return check.CodeOpen
 	}
 	req.Header.Set("Authorization", "Bearer "+o.fleet.options.Token)
 	resp, err := o.fleet.client.Do(req)
 	if err != nil {
-		return "open"
+		return check.CodeOpen
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
 		if json.NewDecoder(resp.Body).Decode(into) != nil {
-			return "open"
+			return check.CodeOpen
 		}
-		return "ok"
+		return wire.CodeOK
 	}
 	var refused struct{ Name string }
 	json.NewDecoder(resp.Body).Decode(&refused)
 	return codeOf(refused.Name)
 }
 
-// codeOf returns package check's code for an answer that is not a 200; "open" where its outcome is unknown.
-func codeOf(name string) string {
-	code, known := map[string]string{"lost_race": "lost_race", "malformed": "invalid", "outcome_unknown": "unknown", "shed": "shed"}[name]
+// codeOf returns package check's code for an answer that is not a 200; check.CodeOpen where its outcome is unknown.
+func codeOf(name string) wire.Code {
+	code, known := map[string]wire.Code{
+		"lost_race": wire.CodeLostRace, "malformed": wire.CodeInvalid, "outcome_unknown": wire.CodeUnknown, "shed": wire.CodeOverloaded,
+	}[name]
 	if !known {
-		return "open"
+		return check.CodeOpen
 	}
 	return code
 }
@@ -88,8 +91,8 @@
 	began := o.now()
 	code := o.call(http.MethodGet, node, "/v1/sheet/history", &past)
 	ended := o.now()
-	o.withChecker(func(c *check.Checker) { c.Count("reads."+code, 1) })
-	if code != "ok" || len(past) == 0 {
+	o.withChecker(func(c *check.Checker) { c.Count("reads."+string(code), 1) })
+	if code != wire.CodeOK || len(past) == 0 {
 		return
 	}
 	newest := past[len(past)-1]
@@ -121,7 +124,7 @@
 	ended := o.now()
 	o.withChecker(func(c *check.Checker) {
 		c.ZoneSet(client, zone, drained, code, began, ended)
-		c.Count("zones."+code, 1)
+		c.Count("zones."+string(code), 1)
 	})
 }
 
@@ -134,11 +137,11 @@
 		Laggards []string
 	}
 	return poll(ctx, "the state of "+zone, func() error {
-		if code := o.call(http.MethodPost, "node-0", "/v1/zones/"+unusedZone+"/refill", &taken); code != "ok" || len(taken.Laggards) > 0 {
+		if code := o.call(http.MethodPost, "node-0", "/v1/zones/"+unusedZone+"/refill", &taken); code != wire.CodeOK || len(taken.Laggards) > 0 {
 			return fmt.Errorf("%s, not in force at %v", code, taken.Laggards)
 		}
 		var servers []struct{ Zone, Verdict string }
-		if code := o.call(http.MethodGet, "node-0", "/v1/servers", &servers); code != "ok" {
+		if code := o.call(http.MethodGet, "node-0", "/v1/servers", &servers); code != wire.CodeOK {
 			return fmt.Errorf("servers: %s", code)
 		}
 		drained := false
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -76,9 +76,9 @@
 	again := c.accepted[c.day.world.rng.IntN(len(c.accepted))]
 	for range 2 {
 		again.version.Repeats++
-		c.carry(again.edit, pin{}, nil, func(code string, _ *machine) {
-			c.day.world.Checker.Count("sent_again."+code, 1)
-			if code != "ok" {
+		c.carry(again.edit, pin{}, nil, func(code wire.Code, _ *machine) {
+			c.day.world.Checker.Count("sent_again."+string(code), 1)
+			if code != wire.CodeOK {
 				c.day.world.Checker.Fail(pointSentAgain, c.day.world.now, "a change that was acknowledged was answered %s when it was sent again", code)
 			}
 		})
@@ -119,9 +119,9 @@
 	d.world.after(step.forUs/2, func() {
 		back := &rules.ZoneCall{Zone: step.zone, Sent: d.world.now, Acked: rules.Never}
 		d.journal.ZoneCalls = append(d.journal.ZoneCalls, back)
-		d.commands.carry(wire.Edit{Op: "refill", Name: step.zone}, pin{}, nil, func(code string, _ *machine) {
-			d.world.Checker.Count("late_evacuate.taken_back."+code, 1)
-			if code == "ok" {
+		d.commands.carry(wire.Edit{Op: "refill", Name: step.zone}, pin{}, nil, func(code wire.Code, _ *machine) {
+			d.world.Checker.Count("late_evacuate.taken_back."+string(code), 1)
+			if code == wire.CodeOK {
 				back.Acked = d.world.now
 			}
 			d.world.after(step.forUs+zoneSettleUs, func() { d.checkZoneRestored(step.zone) })
--- a/lab/sim/day_commands.go
+++ b/lab/sim/day_commands.go
@@ -50,8 +50,8 @@
 // command is one call of an operator, repeated until its answer is final.
 type command struct {
 	request func() any
-	code    func(v any) string
-	done    func(code string, m *machine)
+	code    func(v any) wire.Code
+	done    func(code wire.Code, m *machine)
 	backoff clock.Micros
 	avoid   *machine
 	until   clock.Micros
@@ -103,8 +103,8 @@
 						if over || lost || m.poweredOff || p.incarnation != life {
 							return
 						}
-						if code == "shed" || code == "unknown" {
-							d.world.Checker.Count("orders."+code, 1)
+						if code == wire.CodeOverloaded || code == wire.CodeUnknown {
+							d.world.Checker.Count("orders."+string(code), 1)
 							cmd.pin = pin{}
 							next()
 							return
@@ -119,10 +119,10 @@
 	d.world.after(commandTimeoutUs, next)
 }
 
-func editCode(v any) string { return string(v.(operations.Result).Reply.Code) }
+func editCode(v any) wire.Code { return (v.(operations.Result).Reply.Code) }
 
 // carry sends a command that changes something.
-func (c *commands) carry(e wire.Edit, at pin, left func(), done func(code string, m *machine)) {
+func (c *commands) carry(e wire.Edit, at pin, left func(), done func(code wire.Code, m *machine)) {
 	c.send(&command{
 		request: func() any {
 			return operations.Submit{Edit: e, AwaitInForce: true, AwaitTimeout: waitUs, Timeout: answerUs}
@@ -148,11 +148,11 @@
 	d.world.logEvent(fmt.Sprintf("order of revision %d on %d is sent", version.Revision, version.Base))
 	edit := wire.Edit{Op: "routing", Body: body}
 	c.announce()
-	c.carry(edit, df.pin, firstTime(&version.FirstAcked, &d.world.now), func(code string, m *machine) {
+	c.carry(edit, df.pin, firstTime(&version.FirstAcked, &d.world.now), func(code wire.Code, m *machine) {
 		c.open--
-		d.world.Checker.Count("versions."+code, 1)
+		d.world.Checker.Count("versions."+string(code), 1)
 		d.world.logEvent(fmt.Sprintf("order of revision %d on %d: %s from %s", version.Revision, version.Base, code, m.name))
-		if code == "ok" {
+		if code == wire.CodeOK {
 			version.Acked = d.world.now
 			c.accepted = append(c.accepted, acceptedChange{edit, version})
 			if c.base == nil || version.Revision > c.base.Revision && !version.Invalid {
@@ -205,9 +205,9 @@
 		v := &rules.Evacuation{Zone: zone, Sent: d.world.now, Acked: rules.Never, RestoreSent: rules.Never, RestoreAcked: rules.Never}
 		c.zones[zone] = v
 		d.journal.Evacuations = append(d.journal.Evacuations, v)
-		c.carry(wire.Edit{Op: "empty", Name: zone}, pin{}, firstTime(&v.FirstAcked, &d.world.now), func(code string, m *machine) {
-			d.world.Checker.Count("evacuations."+code, 1)
-			if code == "ok" {
+		c.carry(wire.Edit{Op: "empty", Name: zone}, pin{}, firstTime(&v.FirstAcked, &d.world.now), func(code wire.Code, m *machine) {
+			d.world.Checker.Count("evacuations."+string(code), 1)
+			if code == wire.CodeOK {
 				v.Acked = d.world.now
 				c.acked(m)
 			}
@@ -223,9 +223,9 @@
 		return
 	}
 	v.RestoreSent = d.world.now
-	c.carry(wire.Edit{Op: "refill", Name: zone}, pin{}, firstTime(&v.RestoreFirstAcked, &d.world.now), func(code string, _ *machine) {
-		d.world.Checker.Count("evacuations."+code, 1)
-		if code == "ok" {
+	c.carry(wire.Edit{Op: "refill", Name: zone}, pin{}, firstTime(&v.RestoreFirstAcked, &d.world.now), func(code wire.Code, _ *machine) {
+		d.world.Checker.Count("evacuations."+string(code), 1)
+		if code == wire.CodeOK {
 			v.RestoreAcked = d.world.now
 		}
 	})
@@ -238,8 +238,8 @@
 	asked := d.world.now
 	c.send(&command{
 		request: func() any { asked = d.world.now; return operations.ReadRouting{Timeout: answerUs} }, until: d.end(),
-		code: func(v any) string { got = v.(operations.Routing).Table; return string(v.(operations.Routing).Code) },
-		done: func(string, *machine) {
+		code: func(v any) wire.Code { got = v.(operations.Routing).Table; return v.(operations.Routing).Code },
+		done: func(wire.Code, *machine) {
 			d.world.Checker.Count("read_back", 1)
 			d.world.logEvent(fmt.Sprintf("revision %d is read back", got.GetRevision()))
 			d.journal.ReadBack = append(d.journal.ReadBack, rules.Reading{RequestedAt: asked, At: d.world.now, Table: got})
@@ -288,8 +288,8 @@
 }
 
 // losesAck records an acknowledgement that leaves a machine, and reports whether it is lost on its way.
-func (c *commands) losesAck(cmd *command, code string) bool {
-	if code != "ok" || cmd.acknowledged == nil {
+func (c *commands) losesAck(cmd *command, code wire.Code) bool {
+	if code != wire.CodeOK || cmd.acknowledged == nil {
 		return false
 	}
 	cmd.acknowledged()
@@ -319,10 +319,10 @@
 	d := c.day
 	for _, change := range c.accepted[max(0, len(c.accepted)-n):] {
 		d.world.after(d.world.rng.Int64N(300*clock.Millisecond), func() {
-			c.carry(change.edit, pin{}, nil, func(code string, _ *machine) {
-				d.world.Checker.Count("resent."+code, 1)
+			c.carry(change.edit, pin{}, nil, func(code wire.Code, _ *machine) {
+				d.world.Checker.Count("resent."+string(code), 1)
 				change.version.Repeats++
-				if code != "ok" && change.version.RefusedAgain == 0 {
+				if code != wire.CodeOK && change.version.RefusedAgain == 0 {
 					change.version.RefusedAgain = d.world.now
 				}
 			})
--- a/lab/sim/day_fault_spans.go
+++ b/lab/sim/day_fault_spans.go
@@ -51,7 +51,7 @@
 	}
 	whole, slowed := false, false
 	for _, c := range core {
-		well := (c.core.disk == nil || c.core.disk.mode == "" && c.core.disk.extraDelay == 0) && c.core.inputDelay == 0
+		well := (c.core.disk == nil || c.core.disk.mode == diskOK && c.core.disk.extraDelay == 0) && c.core.inputDelay == 0
 		whole = whole || up(c) && well && 2*reach(c) > len(core)
 		slowed = slowed || !well
 	}
@@ -62,7 +62,7 @@
 		t.Unsettled.Close(now)
 	}
 	for _, m := range d.machines {
-		bad := !up(m) || m.draining || m.node.inputDelay > 0 || m.core != nil && m.core.disk != nil && (m.core.disk.mode != "" || m.core.disk.extraDelay != 0)
+		bad := !up(m) || m.draining || m.node.inputDelay > 0 || m.core != nil && m.core.disk != nil && (m.core.disk.mode != diskOK || m.core.disk.extraDelay != 0)
 		for _, c := range core {
 			if c != m && up(c) && 2*reach(c) > len(core) && !linked(m, c) {
 				bad = true
--- a/lab/sim/day_machine_faults.go
+++ b/lab/sim/day_machine_faults.go
@@ -188,7 +188,7 @@
 	if m.core.disk == nil {
 		return
 	}
-	set := func(mode string, slow int64) {
+	set := func(mode diskMode, slow clock.Micros) {
 		m.core.disk.mode, m.core.disk.extraDelay = mode, slow
 		m.core.disk.startNext()
 		m.recordEvent()
@@ -196,11 +196,11 @@
 	}
 	switch step.verb {
 	case "disk_full":
-		set("full", 0)
+		set(diskFull, 0)
 	case "disk_stall":
-		set("stalled", 0)
+		set(diskStalled, 0)
 	default:
-		set("", int64(step.factorOr(20)*float64(d.site.syncUs)))
+		set(diskOK, int64(step.factorOr(20)*float64(d.site.syncUs)))
 	}
-	d.endFaultAfter(step, m, step.forUs, func() { set("", 0) })
+	d.endFaultAfter(step, m, step.forUs, func() { set(diskOK, 0) })
 }
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -47,9 +47,9 @@
 
 func (d *day) addMachine(name, zone, ip string, core, disk bool) *machine {
 	m := &machine{day: d, name: name, zone: zone, hasDisk: disk}
-	m.node = m.add("node", ip+":7080")
+	m.node = m.add(roleNode, ip+":7080")
 	if core {
-		m.core = m.add("core", ip+":7081")
+		m.core = m.add(roleCore, ip+":7081")
 	}
 	d.machines = append(d.machines, m)
 	d.byName[name] = m
@@ -61,7 +61,7 @@
 	e := m.day.settings
 	e.Name, e.Zone, e.Mesh, e.Operator = m.name+"/"+role, m.zone, addr, addr+"0"
 	p := &process{world: w, name: e.Name, role: role, settings: e, index: int64(len(w.names)), machine: m}
-	if role == "core" {
+	if role == roleCore {
 		p.settings.PlatformURL = ""
 		if m.hasDisk {
 			p.settings.DataDir = "disk"
@@ -198,7 +198,7 @@
 			continue
 		}
 		life := p.incarnation
-		if p.role == "node" {
+		if p.role == roleNode {
 			m.day.gateways[p].stop()
 		} else {
 			p.draining = true
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -37,7 +37,7 @@
 
 func (c *commands) confirmed(sent clock.Micros, r wire.EditReply) {
 	d := c.day
-	if r.Code != "ok" {
+	if r.Code != wire.CodeOK {
 		return
 	}
 	config, err := state.ReadConfig(r.Body)
--- a/lab/sim/judge_healing.go
+++ b/lab/sim/judge_healing.go
@@ -52,7 +52,7 @@
 		case p.replaced:
 		case !p.running():
 			fail("%s does not run", name)
-		case p.role == "core":
+		case p.role == roleCore:
 			live[p.replicas.ReplicaID()] = true
 			for part := range state.Partitions {
 				if p.replicas.Leads(part) {
@@ -67,10 +67,10 @@
 	}
 	for _, name := range w.names {
 		p := w.processes[name]
-		if p.role == "node" && p.running() && w.versionInForce(p) != newest {
+		if p.role == roleNode && p.running() && w.versionInForce(p) != newest {
 			fail("%s has %v in force, others %v", name, w.versionInForce(p), newest)
 		}
-		if p.role != "core" || !p.running() {
+		if p.role != roleCore || !p.running() {
 			continue
 		}
 		for part := range state.Partitions {
@@ -109,7 +109,7 @@
 func (w *World) coreZones() int {
 	zones := map[string]bool{}
 	for _, p := range w.processes {
-		if p.role == "core" && p.running() {
+		if p.role == roleCore && p.running() {
 			zones[p.settings.Zone] = true
 		}
 	}
--- a/lab/sim/measure_growth.go
+++ b/lab/sim/measure_growth.go
@@ -109,7 +109,7 @@
 // nodesSeeingLive counts the other nodes that take a node for live.
 func (w *World) nodesSeeingLive(name string) (n int) {
 	for _, p := range w.processes {
-		if p.role != "node" || !p.running() || p.name == name || p.snapshots.Current() == nil {
+		if p.role != roleNode || !p.running() || p.name == name || p.snapshots.Current() == nil {
 			continue
 		}
 		for _, m := range p.snapshots.Current().Roster {
@@ -135,8 +135,8 @@
 		now := w.traffic()
 		span := float64(to-from) / 1e6
 		p := Phase{Name: name, From: from, To: to, CPU: (cpuSeconds() - cpu) / span / float64(len(w.processes))}
-		p.Node = w.rates("node", was, now, span, peakIn, peakOut)
-		p.Core = w.rates("core", was, now, span, peakIn, peakOut)
+		p.Node = w.rates(roleNode, was, now, span, peakIn, peakOut)
+		p.Core = w.rates(roleCore, was, now, span, peakIn, peakOut)
 		r.Phases = append(r.Phases, p)
 	})
 }
--- a/lab/sim/measure_scale.go
+++ b/lab/sim/measure_scale.go
@@ -82,8 +82,8 @@
 // timeChange sends one change and records how long it takes until every node has it in force.
 func (w *World) timeChange(took *[]clock.Micros) {
 	began := w.now
-	w.operators.put(w.processes["node-0"], w.operators.current(), "put", 0, func(code string) {
-		if code == "ok" {
+	w.operators.put(w.processes["node-0"], w.operators.current(), "put", 0, func(code wire.Code) {
+		if code == wire.CodeOK {
 			w.awaitAgreement(began, func(us clock.Micros) { *took = append(*took, us) })
 		}
 	})
@@ -94,14 +94,14 @@
 	var newest wire.Version
 	all := true
 	for _, name := range w.names {
-		if p := w.processes[name]; p.role == "node" && p.snapshots.Current() != nil {
+		if p := w.processes[name]; p.role == roleNode && p.snapshots.Current() != nil {
 			if at := p.snapshots.Current().Config.ConfigVersion; at.Term > newest.Term || at.Term == newest.Term && at.Seq > newest.Seq {
 				newest = at
 			}
 		}
 	}
 	for _, name := range w.names {
-		if p := w.processes[name]; p.role == "node" {
+		if p := w.processes[name]; p.role == roleNode {
 			all = all && p.snapshots.Current() != nil && p.snapshots.Current().Config.ConfigVersion == newest
 		}
 	}
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -150,10 +150,10 @@
 		}
 	}
 	for i := range s.Cores {
-		w.add("core", i, coreAddr(i))
+		w.add(roleCore, i, coreAddr(i))
 	}
 	for i := range s.Nodes {
-		w.add("node", i, nodeAddr(i))
+		w.add(roleNode, i, nodeAddr(i))
 	}
 	for i := range s.PerShard * s.Shards {
 		w.addServer(s.Backend(i, "c1", s.Shards, ""), s.Shards)
@@ -179,7 +179,7 @@
 	w.recordUnservedShards()
 	for _, name := range w.names {
 		p := w.processes[name]
-		if p.role != "node" || !p.running() {
+		if p.role != roleNode || !p.running() {
 			continue
 		}
 		cp := p.snapshots.Current()
--- a/lab/sim/world_bookings.go
+++ b/lab/sim/world_bookings.go
@@ -31,16 +31,16 @@
 	})
 	body, _ := json.Marshal([]config.RowEdit{{Op: "set", Table: "bookings", Row: row}})
 	// Other edits go on meanwhile; only this operator edits the row, so they do not conflict with it.
-	o.sendUntil(func() wire.Edit { return wire.Edit{Op: "rows", Strict: true, Base: o.current().version, Body: body} }, func(code string) bool {
-		w.logEvent("booking " + id + " " + code)
-		w.Checker.Count("bookings."+code, 1)
-		if code == "ok" {
+	o.sendUntil(func() wire.Edit { return wire.Edit{Op: "rows", Strict: true, Base: o.current().version, Body: body} }, func(code wire.Code) bool {
+		w.logEvent("booking " + id + " " + string(code))
+		w.Checker.Count("bookings."+string(code), 1)
+		if code == wire.CodeOK {
 			b := booking{from * clock.Second, to * clock.Second, kind, slice}
 			o.bookings[id] = b
 			w.at(b.from, w.checkLimits)
 			w.at(b.to, w.checkLimits)
 		}
-		return code == "ok" || code == "invalid"
+		return code == wire.CodeOK || code == wire.CodeInvalid
 	})
 }
 
--- a/lab/sim/world_disk.go
+++ b/lab/sim/world_disk.go
@@ -8,12 +8,22 @@
 	"wallport/runtime/kernel"
 )
 
+// diskMode is how a disk behaves; scenarios name the modes by their text.
+type diskMode string
+
+// Modes of disks: writes succeed, hang, or fail for lack of space.
+const (
+	diskOK      diskMode = ""
+	diskStalled diskMode = "stalled"
+	diskFull    diskMode = "full"
+)
+
 type disk struct {
 	process    *process
 	files      map[string][]byte
 	queue      []kernel.Write
 	busy       bool
-	mode       string
+	mode       diskMode
 	extraDelay clock.Micros
 	fsyncs     int64
 	// syncTime is the least duration of a sync; 0 selects the default distribution.
@@ -39,7 +49,7 @@
 }
 
 func (d *disk) startNext() {
-	if d.busy || len(d.queue) == 0 || d.mode == "stalled" {
+	if d.busy || len(d.queue) == 0 || d.mode == diskStalled {
 		return
 	}
 	d.busy = true
@@ -61,7 +71,7 @@
 
 // complete ends the write at the head, unless the disk stalled meanwhile.
 func (d *disk) complete() {
-	if d.mode == "stalled" {
+	if d.mode == diskStalled {
 		life := d.process.incarnation
 		d.process.world.after(20*clock.Millisecond, func() {
 			if d.process.incarnation == life {
@@ -77,7 +87,7 @@
 	switch {
 	case w.Data == nil:
 		delete(d.files, w.File)
-	case d.mode == "full":
+	case d.mode == diskFull:
 		res.Err = "no space left on device"
 	default:
 		d.fsyncs += 2
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -133,7 +133,7 @@
 	var cold []*server
 	for _, id := range w.serverIDs {
 		s := w.servers[id]
-		if !s.up || s.row.ShardMap != a.ShardMap || s.row.Shard != a.Shard || s.mode != "" || s.row.State == "leaving" {
+		if !s.up || s.row.ShardMap != a.ShardMap || s.row.Shard != a.Shard || s.mode != serverOK || s.row.State == "leaving" {
 			continue
 		}
 		good++
--- a/lab/sim/world_machines.go
+++ b/lab/sim/world_machines.go
@@ -25,7 +25,7 @@
 func (w *World) startAll() {
 	w.restoredAt = w.now
 	for _, id := range w.serverIDs {
-		if w.servers[id].mode != "vanish" {
+		if w.servers[id].mode != serverVanished {
 			w.servers[id].boot()
 		}
 	}
@@ -41,7 +41,7 @@
 		old := w.processes[n]
 		old.replaced = true
 		i := len(w.names)
-		p := w.add("core", 100+i, coreAddr(100+i))
+		p := w.add(roleCore, 100+i, coreAddr(100+i))
 		p.settings.Zone = old.settings.Zone
 		p.start()
 	}
--- a/lab/sim/world_operators.go
+++ b/lab/sim/world_operators.go
@@ -40,7 +40,7 @@
 func (o *operators) pickNode() *process {
 	var up []*process
 	for _, name := range o.world.names {
-		if p := o.world.processes[name]; p.role == "node" && p.running() && !p.draining {
+		if p := o.world.processes[name]; p.role == roleNode && p.running() && !p.draining {
 			up = append(up, p)
 		}
 	}
@@ -83,8 +83,8 @@
 			o.putFirst()
 			return
 		}
-		o.put(p, configReading{}, "first", 0, func(code string) {
-			if code != "ok" && code != "lost_race" {
+		o.put(p, configReading{}, "first", 0, func(code wire.Code) {
+			if code != wire.CodeOK && code != wire.CodeLostRace {
 				o.putFirst()
 				return
 			}
@@ -98,7 +98,7 @@
 }
 
 // put sends a complete configuration based on a version; an invalid one must be rejected.
-func (o *operators) put(p *process, on configReading, kind string, mark int64, done func(code string)) {
+func (o *operators) put(p *process, on configReading, kind string, mark int64, done func(code wire.Code)) {
 	w := o.world
 	if p == nil {
 		return
@@ -119,17 +119,17 @@
 		}
 		e.Body, _ = json.Marshal([]map[string]any{{"op": "set", "table": "services", "row": s.Services[0]}})
 	}
-	t := check.Edit{Mark: mark, Base: on.version, Began: w.now, Ended: 1 << 62, Code: "open", EditID: e.EditID, Invalid: kind == "invalid"}
+	t := check.Edit{Mark: mark, Base: on.version, Began: w.now, Ended: 1 << 62, Code: check.CodeOpen, EditID: e.EditID, Invalid: kind == "invalid"}
 	w.Checker.EditBegan(t)
 	p.deliver(func() {
 		p.call("operate", operations.Submit{Edit: e}, func(v any) {
 			r := v.(operations.Result).Reply
-			t.Ended, t.Code, t.Version = w.now, string(r.Code), r.Version
+			t.Ended, t.Code, t.Version = w.now, r.Code, r.Version
 			w.logEvent(fmt.Sprintf("edit %d %s %v", mark, r.Code, r.Version))
 			w.Checker.EditEnded(t)
 			w.Checker.Count("edits."+string(r.Code), 1)
 			if done != nil {
-				done(string(r.Code))
+				done(r.Code)
 			}
 		})
 	})
@@ -179,7 +179,7 @@
 
 // sendUntil sends an edit through one node after another, as an operator does who gets no answer or a temporary
 // rejection, until ended returns true.
-func (o *operators) sendUntil(make func() wire.Edit, ended func(code string) bool) {
+func (o *operators) sendUntil(make func() wire.Edit, ended func(code wire.Code) bool) {
 	w := o.world
 	p := o.pickNode()
 	answered := false
@@ -194,7 +194,7 @@
 				return
 			}
 			answered = true
-			if code := v.(operations.Result).Reply.Code; !ended(string(code)) {
+			if code := v.(operations.Result).Reply.Code; !ended(code) {
 				again(100 * clock.Millisecond)
 			}
 		})
@@ -220,11 +220,11 @@
 	o.zoneCalls[zone]++
 	mine := o.zoneCalls[zone]
 	e := wire.Edit{Op: action, Name: zone}
-	o.sendUntil(func() wire.Edit { return e }, func(code string) bool {
-		w.logEvent("zone " + action + " " + zone + " " + code)
-		w.Checker.Count("zones."+code, 1)
+	o.sendUntil(func() wire.Edit { return e }, func(code wire.Code) bool {
+		w.logEvent("zone " + action + " " + zone + " " + string(code))
+		w.Checker.Count("zones."+string(code), 1)
 		// A later call for the zone takes the place of this one.
-		return code == "ok" || o.zoneCalls[zone] != mine
+		return code == wire.CodeOK || o.zoneCalls[zone] != mine
 	})
 }
 
@@ -234,9 +234,9 @@
 	o.shardMapCalls[index]++
 	mine := o.shardMapCalls[index]
 	e := wire.Edit{Partition: state.PartitionOf(index), Op: "cut", Name: index, Body: wire.Encode(&wire.ShardMap{Next: name, NextShards: shards})}
-	o.sendUntil(func() wire.Edit { return e }, func(code string) bool {
-		w.logEvent("cut " + name + " " + code)
-		w.Checker.Count("cuts."+code, 1)
-		return code == "ok" || o.shardMapCalls[index] != mine
+	o.sendUntil(func() wire.Edit { return e }, func(code wire.Code) bool {
+		w.logEvent("cut " + name + " " + string(code))
+		w.Checker.Count("cuts."+string(code), 1)
+		return code == wire.CodeOK || o.shardMapCalls[index] != mine
 	})
 }
--- a/lab/sim/world_platform.go
+++ b/lab/sim/world_platform.go
@@ -78,7 +78,7 @@
 	var out []*process
 	for _, name := range p.world.names {
 		q := p.world.processes[name]
-		if q.role != "node" || !q.running() || q.draining {
+		if q.role != roleNode || !q.running() || q.draining {
 			continue
 		}
 		if cp := q.snapshots.Current(); cp.Ready() && !cp.ZoneDrained {
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -26,6 +26,12 @@
 
 const epoch = int64(1700000000 * clock.Second)
 
+// Roles of processes, as in their names and settings.
+const (
+	roleNode = "node"
+	roleCore = "core"
+)
+
 type process struct {
 	world       *World
 	name        string
@@ -74,7 +80,7 @@
 		PollsPer10s: w.platform.callLimit, LogLevel: "info",
 	}
 	p := &process{world: w, name: name, role: role, settings: e, index: int64(len(w.names))}
-	if role == "node" {
+	if role == roleNode {
 		p.settings.Caller, p.settings.PlatformURL = addr+"1", "http://platform/list"
 	} else {
 		p.settings.DataDir = "disk"
@@ -111,13 +117,13 @@
 	p.kernel = kernel.New(b)
 	w.Checker.Restarted(p.name)
 	w.logEvent(p.name + " starts")
-	if p.role == "node" {
+	if p.role == roleNode {
 		p.snapshots = kernel.Find[*snapshot.Table](p.kernel)
 	}
 	switch {
-	case p.role == "node" && w.day != nil:
+	case p.role == roleNode && w.day != nil:
 		w.day.newGateway(p, b.Seed)
-	case p.role == "node":
+	case p.role == roleNode:
 		p.dispatcher = search.NewDispatcher(search.Config{
 			Snapshots: p.snapshots, LoadReport: kernel.Find[*loadreport.Reporter](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
 		})
--- a/lab/sim/world_reachability.go
+++ b/lab/sim/world_reachability.go
@@ -18,7 +18,7 @@
 	group := w.connectedGroups(w.names, func(p *process) bool { return p.running() })
 	w.isolatedNodes = 0
 	best := largestGroup(group, func(name string) int {
-		if w.processes[name].role == "core" {
+		if w.processes[name].role == roleCore {
 			// The side that can change the control state is the fleet; without one the larger side is.
 			return 100
 		}
@@ -34,14 +34,14 @@
 			p.isolatedAt = w.now
 		}
 		p.isolated = off
-		if off && p.role == "node" {
+		if off && p.role == roleNode {
 			w.isolatedNodes++
 		}
 	}
 	w.updateMajoritySince(&w.Checker.CommandsPossible, func(p *process) bool { return true })
 	skews := map[int64]int{}
 	for _, name := range w.names {
-		if p := w.processes[name]; p.role == "core" && !p.replaced {
+		if p := w.processes[name]; p.role == roleCore && !p.replaced {
 			skews[p.skew]++
 		}
 	}
@@ -57,11 +57,11 @@
 // updateMajoritySince sets *at to since when a majority of the matching disk machines has been up, healthy and
 // connected, or to MaxInt64.
 func (w *World) updateMajoritySince(at *clock.Micros, fits func(p *process) bool) {
-	cores := w.connectedGroups(w.names, func(p *process) bool { return p.role == "core" && p.running() && p.disk.mode == "" && fits(p) })
+	cores := w.connectedGroups(w.names, func(p *process) bool { return p.role == roleCore && p.running() && p.disk.mode == diskOK && fits(p) })
 	in, all := 0, 0
 	most := largestGroup(cores, func(string) int { return 1 })
 	for _, name := range w.names {
-		if p := w.processes[name]; p.role == "core" && !p.replaced {
+		if p := w.processes[name]; p.role == roleCore && !p.replaced {
 			all++
 			if g, ok := cores[name]; ok && g == most {
 				in++
@@ -146,7 +146,7 @@
 	for _, id := range w.serverIDs {
 		s := w.servers[id]
 		k := shardKey{s.row.Index, s.shards, s.row.Shard}
-		ok := s.up && (s.mode == "" || s.mode == "slow" && s.slowUs <= w.Shape.Least/4) && s.row.State != "leaving" && !w.Checker.IsZoneDrained(s.row.Zone)
+		ok := s.up && (s.mode == serverOK || s.mode == serverSlow && s.slowUs <= w.Shape.Least/4) && s.row.State != "leaving" && !w.Checker.IsZoneDrained(s.row.Zone)
 		good[k] = good[k] || ok
 	}
 	for k, ok := range good {
@@ -159,7 +159,7 @@
 // serverRefuses reports whether a server that the request could be sent to rejects by itself.
 func (w *World) serverRefuses(in *search.Request) bool {
 	for _, id := range w.serverIDs {
-		if s := w.servers[id]; s.mode == "refuse" && s.row.Index == in.Index && (in.Kind == search.KindSearch || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
+		if s := w.servers[id]; s.mode == serverRejects && s.row.Index == in.Index && (in.Kind == search.KindSearch || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
 			return true
 		}
 	}
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -15,6 +15,20 @@
 	"wallport/runtime/wire"
 )
 
+// serverMode is how a server misbehaves. Scenarios name the modes by their text; further ones, which spoil
+// responses, are those of backend.Spoil.
+type serverMode string
+
+// Modes of servers. A vanished one is down and does not even refuse connections.
+const (
+	serverOK       serverMode = ""
+	serverSlow     serverMode = "slow"
+	serverHangs    serverMode = "hang"
+	serverPaused   serverMode = "pause"
+	serverRejects  serverMode = "refuse"
+	serverVanished serverMode = "vanish"
+)
+
 type server struct {
 	world               *World
 	row                 wire.Backend
@@ -23,7 +37,7 @@
 	born                clock.Micros
 	incarnation         int
 	reportedIncarnation int64
-	mode                string
+	mode                serverMode
 	slowUs              clock.Micros
 	running             int64
 	serviceUs           clock.Micros
@@ -73,9 +87,9 @@
 	}
 	s := w.serversByAddr[host]
 	switch {
-	case s == nil || w.net.partitioned(p.name, s.row.ID) || s.mode == "hang" || s.mode == "pause":
+	case s == nil || w.net.partitioned(p.name, s.row.ID) || s.mode == serverHangs || s.mode == serverPaused:
 		return
-	case !s.up && s.mode == "vanish":
+	case !s.up && s.mode == serverVanished:
 		return
 	case !s.up:
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
@@ -89,7 +103,7 @@
 func (w *World) askServer(p *process, a *search.Send, done func(search.Result)) {
 	s := w.serversByAddr[a.Backend.Addr]
 	there := w.net.latency()
-	if s == nil || !s.up && s.mode != "vanish" {
+	if s == nil || !s.up && s.mode != serverVanished {
 		w.after(2*there, func() { done(search.Result{Class: search.ClassNotSent, Reason: "connection refused"}) })
 		return
 	}
@@ -108,7 +122,7 @@
 		}
 		s.running++
 		took := s.drawServiceTime()
-		refuses := s.mode == "refuse"
+		refuses := s.mode == serverRejects
 		if !refuses {
 			w.recordExecution(a)
 		}
@@ -118,7 +132,7 @@
 				return
 			}
 			s.running--
-			if s.mode == "hang" {
+			if s.mode == serverHangs {
 				return
 			}
 			raw := s.respond(a, refuses)
@@ -133,7 +147,7 @@
 
 func (s *server) drawServiceTime() clock.Micros {
 	us := s.serviceUs + s.world.rng.Int64N(s.serviceUs)
-	if s.mode == "slow" || s.mode == "pause" {
+	if s.mode == serverSlow || s.mode == serverPaused {
 		us = s.slowUs + s.world.rng.Int64N(s.slowUs/4+1)
 	}
 	if up := s.world.now - s.born; up < slowStartUs {
@@ -161,7 +175,7 @@
 		}
 		sealed.Records = []search.Record{r}
 	}
-	raw, closed := backend.Spoil(s.mode, status, sealed)
+	raw, closed := backend.Spoil(string(s.mode), status, sealed)
 	if closed {
 		return search.Result{Class: search.ClassFailed, Reason: "cut short"}
 	}
--- a/lab/sim/world_verbs.go
+++ b/lab/sim/world_verbs.go
@@ -37,9 +37,9 @@
 	case "disk":
 		for _, name := range w.match(arg(0)) {
 			d := w.processes[name].disk
-			d.mode, d.extraDelay = arg(1), parseInt(arg(2))
+			d.mode, d.extraDelay = diskMode(arg(1)), parseInt(arg(2))
 			if arg(1) == "ok" {
-				d.mode = ""
+				d.mode = diskOK
 			}
 			d.startNext()
 		}
@@ -200,16 +200,16 @@
 	switch mode {
 	case "kill":
 		s.kill()
-		s.mode = ""
+		s.mode = serverOK
 	case "vanish":
 		s.kill()
-		s.mode = "vanish"
+		s.mode = serverVanished
 	case "boot":
-		s.mode = ""
+		s.mode = serverOK
 		s.boot()
 	case "ok":
-		s.mode = ""
+		s.mode = serverOK
 	default:
-		s.mode, s.slowUs = mode, us
+		s.mode, s.slowUs = serverMode(mode), us
 	}
 }
