--- a/request/dispatch/admission.go
+++ b/request/dispatch/admission.go
@@ -132,7 +132,7 @@
 		}
 		e := &p.endpoints[i]
 		at := e.standing(now, shard.latency, m.atMostOnce())
-		if at >= standingDown || !p.withinSlowStart(now, e.backend, m.nodes(), &m.random) {
+		if at >= standingDown || p.warmingUp(now, e.backend) && !e.backend.slowStart.available(now, p.RampPerS, m.nodes(), &m.random) {
 			continue
 		}
 		best = min(best, at)
--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -169,7 +169,7 @@
 
 func (b *backend) recordLatencyRatio(now clock.Micros, ratio int64) {
 	ratio = min(maxLatencyRatio, max(minLatencyRatio, ratio))
-	was := b.decayedLatencyRatio(now)
+	was := decay(b.latencyRatio.Load(), unit, max(0, now-b.latencyRatioAt.Load()), latencyRatioHalfLife)
 	b.latencyRatio.Store(was + (ratio-was)/5)
 	b.latencyRatioAt.Store(now)
 }
@@ -201,14 +201,9 @@
 	b.reportedAt.Store(now)
 }
 
-// decayedLatencyRatio is the latency ratio, which without samples returns to 1.
-func (b *backend) decayedLatencyRatio(now clock.Micros) int64 {
-	return decay(b.latencyRatio.Load(), unit, max(0, now-b.latencyRatioAt.Load()), latencyRatioHalfLife)
-}
-
-// expectedRatio is the latency ratio to expect of the next response.
+// expectedRatio is the latency ratio to expect of the next response: without samples it returns to 1.
 func (b *backend) expectedRatio(now clock.Micros) int64 {
-	ratio := b.decayedLatencyRatio(now)
+	ratio := decay(b.latencyRatio.Load(), unit, max(0, now-b.latencyRatioAt.Load()), latencyRatioHalfLife)
 	if now < b.warmingUntil.Load() {
 		ratio = max(ratio, warmingUpRatio)
 	}
--- a/request/dispatch/selection.go
+++ b/request/dispatch/selection.go
@@ -141,7 +141,7 @@
 		if at > best.standing && at != standingTrial && at != standingRiskyTrial {
 			continue
 		}
-		if !p.withinSlowStart(now, e.backend, snap.Divisor, rnd) {
+		if p.warmingUp(now, e.backend) && !e.backend.slowStart.available(now, p.RampPerS, snap.Divisor, rnd) {
 			continue
 		}
 		cost := e.cost(now, latency, atMostOnce)
@@ -173,7 +173,10 @@
 func (m *StateMachine) hasAvailable(now clock.Micros, p *pool, latency *latencyStats) bool {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		if e.standing(now, latency, m.atMostOnce()) < standingDown && p.withinSlowStart(now, e.backend, m.nodes(), &m.random) {
+		if e.standing(now, latency, m.atMostOnce()) >= standingDown {
+			continue
+		}
+		if !p.warmingUp(now, e.backend) || e.backend.slowStart.available(now, p.RampPerS, m.nodes(), &m.random) {
 			return true
 		}
 	}
@@ -184,8 +187,3 @@
 func (p *pool) warmingUp(now clock.Micros, b *backend) bool {
 	return p.RampPerS > 0 && now < b.warmingUntil.Load()
 }
-
-// withinSlowStart reports whether the backend's slow start, if it is in one, allows an attempt now.
-func (p *pool) withinSlowStart(now clock.Micros, b *backend, nodes int, rnd *random.Source) bool {
-	return !p.warmingUp(now, b) || b.slowStart.available(now, p.RampPerS, nodes, rnd)
-}
