--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -7,6 +7,7 @@
 	"encoding/binary"
 	"fmt"
 	"math/rand/v2"
+	"reflect"
 	"slices"
 	"strings"
 
@@ -30,7 +31,11 @@
 // epoch is the wall clock at the steady clock's zero.
 const epoch = int64(1700000000 * clock.Second)
 
-func isMessage(pkg string) bool { return pkg == "wallport/wire" }
+// messages is the path of the package of the messages, of which the product's state holds some.
+var messages = reflect.TypeFor[wire.Version]().PkgPath()
+
+// isMessage reports whether a type of a package is a message.
+func isMessage(pkg string) bool { return pkg == messages }
 
 // bootKernel starts a replica's process on the files of its disk.
 func bootKernel(replica int, files map[string][]byte) *kernel.Kernel {
