--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -93,18 +93,18 @@
 
 // InForce records the configuration that a node has in force. Reachable nodes must have what was acknowledged in
 // time; since is from when the node could.
-func (c *Checker) InForce(node string, sheetAt wire.Version, mark int64, at, since clock.Micros) {
+func (c *Checker) InForce(node string, version wire.Version, mark int64, at, since clock.Micros) {
 	s := &c.edits
-	if was := s.node[node]; newer(was.version, sheetAt) {
-		c.Fail(ConfigWentBack, at, "%s fell back from %v to %v", node, was.version, sheetAt)
+	if was := s.node[node]; newer(was.version, version) {
+		c.Fail(ConfigWentBack, at, "%s fell back from %v to %v", node, was.version, version)
 	}
 	c.tested(ConfigWentBack)
-	s.node[node] = observed{sheetAt, at}
-	if sheetAt.Term > 0 {
-		if m, ok := s.marks[sheetAt]; ok && m != mark {
-			c.Fail(ConfigLoserInForce, at, "%s has %d at %v where others have %d", node, mark, sheetAt, m)
+	s.node[node] = observed{version, at}
+	if version.Term > 0 {
+		if m, ok := s.marks[version]; ok && m != mark {
+			c.Fail(ConfigLoserInForce, at, "%s has %d at %v where others have %d", node, mark, version, m)
 		}
-		s.marks[sheetAt] = mark
+		s.marks[version] = mark
 		if t := s.byMark[mark]; t != nil {
 			c.tested(ConfigLoserInForce)
 			if t.Code == wire.CodeInvalid || t.Code == wire.CodeLostRace || t.Code == wire.CodeConflict || t.Code == wire.CodeOverloaded {
@@ -121,8 +121,8 @@
 			continue
 		}
 		c.tested(ConfigLate)
-		if newer(a.version, sheetAt) {
-			c.Fail(ConfigLate, at, "%s has %v, %v was acknowledged %d us ago", node, sheetAt, a.version, at-a.at)
+		if newer(a.version, version) {
+			c.Fail(ConfigLate, at, "%s has %v, %v was acknowledged %d us ago", node, version, a.version, at-a.at)
 		}
 		return
 	}
--- a/lab/check/load.go
+++ b/lab/check/load.go
@@ -76,14 +76,14 @@
 
 // SlowStart records a request to a shard: whether it went to a server that is cold since began, with a slow
 // start of the given length, and which share a warm server would get of it.
-func (c *Checker) SlowStart(server string, began, ramp int64, at clock.Micros, mine bool, fair int64) {
+func (c *Checker) SlowStart(server string, began, duration int64, at clock.Micros, mine bool, fair int64) {
 	k := c.slowStarts[server]
 	if k == nil || k.began != began {
-		k = &slowStartCount{began: began, duration: ramp, slots: map[int64]int64{}, fair: map[int64]int64{}}
+		k = &slowStartCount{began: began, duration: duration, slots: map[int64]int64{}, fair: map[int64]int64{}}
 		c.slowStarts[server] = k
 	}
 	slot := (at - began) / SlowStartSlot
-	if at-began > ramp {
+	if at-began > duration {
 		return
 	}
 	k.fair[slot] += fair
--- a/lab/draw/kinds.go
+++ b/lab/draw/kinds.go
@@ -44,14 +44,14 @@
 	return k.with(d, d.n(max(1, len(k.modes))), d.n(len(follows)))
 }
 
-func (k *dayKind) with(d *drawing, way, follow int) string {
+func (k *dayKind) with(d *drawing, mode, follow int) string {
 	line := k.name
 	if k.line != nil {
 		line += " " + k.line(d)
 	}
 	var how []string
 	if len(k.modes) > 0 {
-		how = append(how, k.modes[way%len(k.modes)])
+		how = append(how, k.modes[mode%len(k.modes)])
 	}
 	if k.follows {
 		how = append(how, follows[follow%len(follows)])
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -211,7 +211,7 @@
 }
 
 // Backends starts n servers of a shard map.
-func (f *Fleet) Backends(cut string, shards, n int, addrs []string) error {
+func (f *Fleet) Backends(shardMap string, shards, n int, addrs []string) error {
 	s := f.options.Shape
 	if len(addrs) < n {
 		var err error
@@ -220,7 +220,7 @@
 		}
 	}
 	for i := range n {
-		v := s.Backend(i, cut, shards, addrs[i])
+		v := s.Backend(i, shardMap, shards, addrs[i])
 		f.mu.Lock()
 		f.backends = append(f.backends, v)
 		f.mu.Unlock()
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -38,10 +38,10 @@
 func (s Shape) Zone(i int) string { return fmt.Sprintf("z%d", i%s.Zones+1) }
 
 // Backend returns the i-th server of a shard map, with its zone and address.
-func (s Shape) Backend(i int, cut string, shards int, addr string) wire.Backend {
+func (s Shape) Backend(i int, shardMap string, shards int, addr string) wire.Backend {
 	return wire.Backend{
-		ID: fmt.Sprintf("%s-%d-%d", cut, i%shards, i/shards), Addr: addr, Zone: s.Zone(i / shards), Index: s.Index,
-		ShardMap: cut, Shard: i % shards, State: "ready",
+		ID: fmt.Sprintf("%s-%d-%d", shardMap, i%shards, i/shards), Addr: addr, Zone: s.Zone(i / shards), Index: s.Index,
+		ShardMap: shardMap, Shard: i % shards, State: "ready",
 	}
 }
 
--- a/lab/model/invariants.go
+++ b/lab/model/invariants.go
@@ -15,16 +15,16 @@
 
 // The invariants.
 const (
-	InvariantOneVersion    Invariant = "one version for each term and sequence"
-	InvariantOneLeader     Invariant = "one leader for each term"
-	InvariantDurableOrder  Invariant = "an acknowledged order is in every later committed version"
-	InvariantRefusedOrder  Invariant = "a refused order is in no committed version"
-	InvariantMajority      Invariant = "an acknowledged value is synced by a majority of the voters in force"
-	InvariantLinearizable  Invariant = "operators' histories are linearizable"
-	InvariantOneAnswer     Invariant = "an order is answered one way"
-	InvariantChain         Invariant = "a committed version carries on what those before it had"
-	InvariantReadable      Invariant = "a body can be read"
-	InvariantCommittedSame Invariant = "what is committed is what was proposed"
+	InvariantOneVersion     Invariant = "one version for each term and sequence"
+	InvariantOneLeader      Invariant = "one leader for each term"
+	InvariantDurableCommand Invariant = "an acknowledged order is in every later committed version"
+	InvariantRefusedCommand Invariant = "a refused order is in no committed version"
+	InvariantMajority       Invariant = "an acknowledged value is synced by a majority of the voters in force"
+	InvariantLinearizable   Invariant = "operators' histories are linearizable"
+	InvariantOneAnswer      Invariant = "an order is answered one way"
+	InvariantChain          Invariant = "a committed version carries on what those before it had"
+	InvariantReadable       Invariant = "a body can be read"
+	InvariantCommittedSame  Invariant = "what is committed is what was proposed"
 )
 
 // Violation is an invariant that does not hold.
@@ -100,7 +100,7 @@
 	}
 	for _, order := range s.record.refused {
 		if w.carries(c, order) {
-			return violation(InvariantRefusedOrder, "%s is in version %s", w.commands[order].Name, versionText(p.committed))
+			return violation(InvariantRefusedCommand, "%s is in version %s", w.commands[order].Name, versionText(p.committed))
 		}
 	}
 	return w.checkChain(s)
@@ -127,7 +127,7 @@
 
 func (w *World) checkCarried(order int, at, committed wire.Version, c contents) error {
 	if w.lasting(order) && !newer(at, committed) && !w.carries(c, order) {
-		return violation(InvariantDurableOrder, "%s was acknowledged at %s and is not in %s", w.commands[order].Name, versionText(at), versionText(committed))
+		return violation(InvariantDurableCommand, "%s was acknowledged at %s and is not in %s", w.commands[order].Name, versionText(at), versionText(committed))
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 	w.Seen.Refused++
 	for _, at := range s.record.committed {
 		if v := w.proposal(s, at); v != nil && w.carries(v.contents, number) {
-			return violation(InvariantRefusedOrder, "%s was refused and is in version %s", w.commands[number].Name, versionText(at))
+			return violation(InvariantRefusedCommand, "%s was refused and is in version %s", w.commands[number].Name, versionText(at))
 		}
 	}
 	return nil
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -57,8 +57,8 @@
 
 // fixRandom makes the next step draw the same random numbers whatever was drawn before: two histories that lead
 // to the same state must not differ by chance.
-func fixRandom(k *kernel.Kernel, replica, life int) {
-	k.Rand = rand.New(rand.NewPCG(uint64(replica), uint64(life)))
+func fixRandom(k *kernel.Kernel, replica, incarnation int) {
+	k.Rand = rand.New(rand.NewPCG(uint64(replica), uint64(incarnation)))
 }
 
 // committedOf returns the newest version that a process knows to be committed.
--- a/lab/rules/check.go
+++ b/lab/rules/check.go
@@ -23,7 +23,7 @@
 	}
 	for _, rule := range []func(*Journal){
 		mixed, unasked, twice, refused, denied, route, drain, lost,
-		configHandled, configInForce, configOrder, configNumbers, configRepeats, configRead, budget, furtherBackends, failback, evac, recovered, acks, histories,
+		configHandled, configInForce, configRaces, configNumbers, configRepeats, configRead, budget, furtherBackends, failback, evac, recovered, acks, histories,
 	} {
 		rule(j)
 	}
--- a/lab/rules/config.go
+++ b/lab/rules/config.go
@@ -87,15 +87,15 @@
 			byRevision[version.Revision] = version
 		}
 	}
-	type life struct {
+	type incarnation struct {
 		machine string
 		n       int
 	}
-	last := map[life]int64{}
+	last := map[incarnation]int64{}
 	told := map[string]bool{}
 	for _, s := range j.InForce {
 		j.tested(Config)
-		at := life{s.Machine, s.Incarnation}
+		at := incarnation{s.Machine, s.Incarnation}
 		if s.Revision < last[at] {
 			j.fail(Config, s.At, "%s went back from revision %d to %d", s.Machine, last[at], s.Revision)
 		}
@@ -115,8 +115,8 @@
 	}
 }
 
-// configOrder checks CONFIG: of two changes based on one version only one is acknowledged, and no invalid one.
-func configOrder(j *Journal) {
+// configRaces checks CONFIG: of two changes based on one version only one is acknowledged, and no invalid one.
+func configRaces(j *Journal) {
 	by := map[int64]*Version{}
 	for _, version := range j.Versions {
 		if version.Acked == Never {
--- a/lab/rules/repeats.go
+++ b/lab/rules/repeats.go
@@ -34,7 +34,7 @@
 // answer, never rejected.
 func configRepeats(j *Journal) {
 	for _, version := range j.Versions {
-		if version.Repeats > 0 || version.FirstAcked > 0 && (version.Acked > version.FirstAcked+ackWayUs || version.Refused != Never) {
+		if version.Repeats > 0 || version.FirstAcked > 0 && (version.Acked > version.FirstAcked+ackLatencyUs || version.Refused != Never) {
 			j.tested(ConfigRepeat)
 		}
 		if version.FirstAcked > 0 && version.Refused != Never && version.Refused >= version.FirstAcked {
@@ -46,8 +46,8 @@
 	}
 }
 
-// ackWayUs is more than the network delay of an acknowledgement that is not lost.
-const ackWayUs = 10 * clock.Millisecond
+// ackLatencyUs is more than the network delay of an acknowledgement that is not lost.
+const ackLatencyUs = 10 * clock.Millisecond
 
 // furtherMost is how many attempts may run on more backends than their route allows.
 const furtherMost = 3
--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -25,7 +25,6 @@
 	machines       []*machine
 	byName         map[string]*machine
 	partitions     map[string]bool
-	cutOff         map[string]bool
 	zonePartitions map[string]bool
 	refusedLinks   map[string]bool
 	listReader     *machine
@@ -44,7 +43,7 @@
 	if !ok {
 		panic(fmt.Sprintf("%s: no site %q", w.Script.Name, name))
 	}
-	d := &day{world: w, site: site, byName: map[string]*machine{}, partitions: map[string]bool{}, cutOff: map[string]bool{}, zonePartitions: map[string]bool{}, refusedLinks: map[string]bool{}, gateways: map[*process]*gateway{}}
+	d := &day{world: w, site: site, byName: map[string]*machine{}, partitions: map[string]bool{}, zonePartitions: map[string]bool{}, refusedLinks: map[string]bool{}, gateways: map[*process]*gateway{}}
 	b := rules.Bounds{
 		ContactUs: 4 * clock.Second, AckUs: 5 * clock.Second, DrainUs: 3 * clock.Second, GraceUs: 6 * clock.Second, LossUs: 200 * clock.Millisecond, ApplyUs: 3 * clock.Second,
 		StretchUs: 12 * clock.Second, EvacuateUs: 5 * clock.Second, RecoverUs: 12 * clock.Second, RetryRatio: 0.2, RetryAllowance: site.allowance,
--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -29,10 +29,10 @@
 	}
 }
 
-func (c *commands) putBad(way string) {
+func (c *commands) putBad(defect string) {
 	d, base := c.day, c.base
-	df := draft{routes: []*routingpb.Route{c.badRoute(way)}, invalid: true}
-	switch way {
+	df := draft{routes: []*routingpb.Route{c.badRoute(defect)}, invalid: true}
+	switch defect {
 	case "cut_short":
 		df.truncated = true
 	case "old_version":
@@ -55,15 +55,15 @@
 			base = &rules.Version{Revision: base.Revision - 1, Table: base.Table}
 		}
 	}
-	d.world.Checker.Count("way.bad_config."+way, 1)
+	d.world.Checker.Count("way.bad_config."+defect, 1)
 	c.put(base, df, false, c.runNext)
 }
 
 // badRoute returns a changed route with the named defect.
-func (c *commands) badRoute(way string) *routingpb.Route {
+func (c *commands) badRoute(defect string) *routingpb.Route {
 	now := c.base.Table
 	r := c.edited(now, now.Routes[c.day.world.rng.IntN(len(now.Routes))])
-	switch way {
+	switch defect {
 	case "unknown_service":
 		r.Pool, r.PoolWeights, r.FanoutPools = "nowhere", nil, nil
 	case "same_place":
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -308,7 +308,7 @@
 }
 
 // pickNode chooses the node of a new connection by a hash of the client, another one for each attempt.
-func (c *clients) pickNode(zone, client string, try int) *machine {
+func (c *clients) pickNode(zone, client string, attempt int) *machine {
 	list, all := c.in(zone)
 	if len(list) == 0 {
 		// None is ready: fall back to the nodes of the other zones.
@@ -326,5 +326,5 @@
 	}
 	h := fnv.New32a()
 	fmt.Fprint(h, client)
-	return list[(int(h.Sum32()>>8)+try)%len(list)]
+	return list[(int(h.Sum32()>>8)+attempt)%len(list)]
 }
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -15,9 +15,9 @@
 
 // Names of the checks of these commands.
 const (
-	pointOneNumber = "one_number_once"
-	pointSentAgain = "sent_again_acknowledged"
-	pointLateOrder = "late_order_does_nothing"
+	pointOneNumber   = "one_number_once"
+	pointSentAgain   = "sent_again_acknowledged"
+	pointLateCommand = "late_order_does_nothing"
 )
 
 // zoneSettleUs is how long after a late command the zone must be as it was.
@@ -132,16 +132,16 @@
 // partitionMachine partitions a machine from all others for a while.
 func (d *day) partitionMachine(m *machine, forUs clock.Micros) {
 	d.recordUnplanned(forUs)
-	var ways []string
+	var links []string
 	for _, other := range d.machines {
 		if other != m {
-			ways = append(ways, m.name+">"+other.name, other.name+">"+m.name)
+			links = append(links, m.name+">"+other.name, other.name+">"+m.name)
 		}
 	}
-	d.setPartitioned(ways, true, false)
+	d.setPartitioned(links, true, false)
 	m.recordEvent()
 	d.updateFaultSpans()
-	d.world.after(forUs, func() { d.setPartitioned(ways, false, false); m.recordEvent(); d.updateFaultSpans() })
+	d.world.after(forUs, func() { d.setPartitioned(links, false, false); m.recordEvent(); d.updateFaultSpans() })
 }
 
 func (d *day) checkZoneRestored(zone string) {
@@ -152,7 +152,7 @@
 		}
 		d.world.Checker.Count("late_evacuate.looked", 1)
 		if slices.Contains(p.snapshots.Current().Config.DrainedZones, zone) {
-			d.world.Checker.Fail(pointLateOrder, d.world.now, "%s has %s drained, which was taken back after that order was given", m.name, zone)
+			d.world.Checker.Fail(pointLateCommand, d.world.now, "%s has %s drained, which was taken back after that order was given", m.name, zone)
 		}
 	}
 }
--- a/lab/sim/day_connection_faults.go
+++ b/lab/sim/day_connection_faults.go
@@ -95,8 +95,8 @@
 }
 
 // setRefused makes dials over the given partitioned links fail at once instead of timing out.
-func (d *day) setRefused(ways []string, on bool) {
-	for _, way := range ways {
+func (d *day) setRefused(links []string, on bool) {
+	for _, way := range links {
 		d.refusedLinks[way] = on
 	}
 }
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -14,11 +14,11 @@
 
 // Constants of connections to backends.
 const (
-	handshakeUs  = 1000
-	dialWithin   = 400 * clock.Millisecond
-	idleMost     = 15 * clock.Second
-	idlePerLife  = 16
-	surplusAfter = 3000
+	handshakeUs   = 1000
+	dialWithin    = 400 * clock.Millisecond
+	idleMost      = 15 * clock.Second
+	idleConnsMost = 16
+	surplusAfter  = 3000
 )
 
 // conn is a pooled connection; surplusAt is when bytes that belong to no request arrive on it, 0 for never.
@@ -132,7 +132,7 @@
 		return
 	}
 	c.idleSince = g.day.world.now
-	if all := g.idleConns[x.action.Backend.ID]; len(all) < idlePerLife && c.backend.up {
+	if all := g.idleConns[x.action.Backend.ID]; len(all) < idleConnsMost && c.backend.up {
 		g.idleConns[x.action.Backend.ID] = append(all, c)
 		return
 	}
--- a/lab/sim/day_incarnation.go
+++ b/lab/sim/day_incarnation.go
@@ -208,9 +208,9 @@
 
 // responseBody returns what a backend of a pool responds to an attempt: records in no order where responses are
 // gathered, some of them equal, and a remainder that is no record.
-func (d *day) responseBody(try, pool string, kind *requestShape) []byte {
+func (d *day) responseBody(attempt, pool string, kind *requestShape) []byte {
 	h := fnv.New64a()
-	h.Write([]byte(try))
+	h.Write([]byte(attempt))
 	h.Write([]byte(pool))
 	x := h.Sum64()
 	rnd := func() uint64 {
--- a/lab/sim/day_partitions.go
+++ b/lab/sim/day_partitions.go
@@ -42,24 +42,24 @@
 	cut := func(m *machine) {
 		// It may have waited until now.
 		d.recordUnplanned(step.forUs)
-		var ways []string
+		var links []string
 		for _, c := range d.machines {
 			if c == m || !c.coreMember() {
 				continue
 			}
-			ways = append(ways, m.name+">"+c.name)
+			links = append(links, m.name+">"+c.name)
 			if !step.has("one_way") {
-				ways = append(ways, c.name+">"+m.name)
+				links = append(links, c.name+">"+m.name)
 			}
 		}
-		d.setPartitioned(ways, true, step.has("reset"))
-		d.setRefused(ways, step.has("refuse"))
+		d.setPartitioned(links, true, step.has("reset"))
+		d.setRefused(links, step.has("refuse"))
 		m.recordEvent()
 		d.restartAroundPartition(step, m)
 		d.meetDuring(step, m)
 		d.endFaultAfter(step, m, step.forUs, func() {
-			d.setPartitioned(ways, false, false)
-			d.setRefused(ways, false)
+			d.setPartitioned(links, false, false)
+			d.setRefused(links, false)
 			m.recordEvent()
 			d.updateFaultSpans()
 		})
@@ -79,12 +79,12 @@
 }
 
 // setPartitioned blocks or opens links; with reset their connections end at once.
-func (d *day) setPartitioned(ways []string, on, reset bool) {
-	for _, way := range ways {
+func (d *day) setPartitioned(links []string, on, reset bool) {
+	for _, way := range links {
 		d.partitions[way] = on
 	}
 	if reset {
 		d.world.net.closePartitioned()
 	}
-	d.world.logEvent(fmt.Sprint("cuts ", on, " ", ways))
+	d.world.logEvent(fmt.Sprint("cuts ", on, " ", links))
 }
--- a/lab/sim/judge_healing.go
+++ b/lab/sim/judge_healing.go
@@ -97,9 +97,9 @@
 	}
 }
 
-func (w *World) countZones(seats []wire.Replica) int {
+func (w *World) countZones(voters []wire.Replica) int {
 	zones := map[string]bool{}
-	for _, s := range seats {
+	for _, s := range voters {
 		zones[s.Zone] = true
 	}
 	return len(zones)
--- a/lab/sim/world_bookings.go
+++ b/lab/sim/world_bookings.go
@@ -55,8 +55,8 @@
 }
 
 // rebuild makes an operator order a partition's group to be rebuilt; -1 means all partitions.
-func (o *operators) rebuild(part int) {
-	if part < 0 {
+func (o *operators) rebuild(partition int) {
+	if partition < 0 {
 		for p := range state.Partitions {
 			o.rebuild(p)
 		}
@@ -67,9 +67,9 @@
 		return
 	}
 	p.deliver(func() {
-		p.call("operate", operations.Rebuild{Partition: part}, func(v any) {
+		p.call("operate", operations.Rebuild{Partition: partition}, func(v any) {
 			r := v.(operations.Result).Reply
-			o.world.logEvent(fmt.Sprint("rebuild ", part, " ", r.Code, " ", r.Findings))
+			o.world.logEvent(fmt.Sprint("rebuild ", partition, " ", r.Code, " ", r.Findings))
 			o.world.Checker.Count("rebuilds."+string(r.Code), 1)
 		})
 	})
--- a/lab/sim/world_machines.go
+++ b/lab/sim/world_machines.go
@@ -5,9 +5,9 @@
 import "wallport/runtime/clock"
 
 // startShardMap starts the servers of a new shard map, cold.
-func (w *World) startShardMap(cut string, shards, per int) {
+func (w *World) startShardMap(shardMap string, shards, per int) {
 	for i := range shards * per {
-		w.addServer(w.Shape.Backend(i, cut, shards, ""), shards)
+		w.addServer(w.Shape.Backend(i, shardMap, shards, ""), shards)
 	}
 	w.platform.publish()
 }
--- a/lab/soak/responses.go
+++ b/lab/soak/responses.go
@@ -88,9 +88,9 @@
 
 // responseBody returns what a backend of a pool responds to an attempt: records in no order, and a remainder
 // that is no record.
-func responseBody(try, pool string) []byte {
+func responseBody(attempt, pool string) []byte {
 	h := fnv.New64a()
-	io.WriteString(h, try+" "+pool)
+	io.WriteString(h, attempt+" "+pool)
 	drawn := rand.New(rand.NewPCG(h.Sum64(), 1))
 	out := make([]byte, 0, 40*recordSize)
 	for range 4 + drawn.IntN(30) {
