--- a/request/httpapi/drain.go
+++ b/request/httpapi/drain.go
@@ -31,7 +31,7 @@
 	defer cancel()
 	if s.callerServer != nil {
 		if err := s.callerServer.Shutdown(ctx); err != nil {
-			s.process.Log.Error("drain_incomplete", zap.Error(err), zap.Int64("open", s.openRequests.Load()))
+			s.process.Log.Error("drain_incomplete", zap.Error(err), zap.Int64("in_flight", s.openRequests.Load()))
 		}
 	}
 	s.logDrainStep("served")
--- a/tools/mutate/lists_test.go
+++ b/tools/mutate/lists_test.go
@@ -47,6 +47,27 @@
 	return out
 }
 
+// alternatives splits a pattern at the bars that stand outside parentheses.
+func alternatives(pattern string) (out []string) {
+	depth, from := 0, 0
+	for i, r := range pattern {
+		switch {
+		case r == '(':
+			depth++
+		case r == ')':
+			depth--
+		case r == '|' && depth == 0:
+			out = append(out, pattern[from:i])
+			from = i + 1
+		}
+	}
+	return append(out, pattern[from:])
+}
+
+func TestAlternativesStandOutsideParentheses(t *testing.T) {
+	must.Eq(t, []string{"A", "B/(c|d)", "E"}, alternatives("A|B/(c|d)|E"))
+}
+
 // A pattern that matches no test lets its mutant survive unseen: each alternative must match one.
 func TestPatternsMatchTests(t *testing.T) {
 	t.Chdir("../..")
@@ -65,7 +86,7 @@
 					names = append(names, testsOf(t, arg)...)
 				}
 			}
-			for _, alternative := range strings.Split(args[at+1], "|") {
+			for _, alternative := range alternatives(args[at+1]) {
 				top, _, _ := strings.Cut(alternative, "/")
 				pattern, err := regexp.Compile(top)
 				must.NoError(t, err)
