--- a/cmd/wallport/main.go
+++ b/cmd/wallport/main.go
@@ -17,11 +17,15 @@
 
 // Exit codes, for scripts.
 const (
-	exitFailed     = 1
-	exitUsage      = 2
-	exitInvalid    = 3
-	exitLostRace   = 4
-	exitUnknown    = 5
+	exitFailed = 1
+	exitUsage  = 2
+	// exitInvalid: settings or a configuration have findings, which were printed.
+	exitInvalid = 3
+	// exitLostRace: another edit was committed first.
+	exitLostRace = 4
+	// exitUnknown: the edit may or may not be committed; the same edit id makes a retry harmless.
+	exitUnknown = 5
+	// exitOverloaded: nothing was changed, the command may be tried again.
 	exitOverloaded = 6
 )
 
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -18,7 +18,7 @@
 	reasonFrozen    = "the process was frozen"
 	reasonTooLate   = "no time left"
 	reasonClosed    = "the connection ended before anything was written"
-	// reasonNoConnection is that this node's share of a backend's connections is in use.
+	// reasonNoConnection is given when all connections that this node may open to the backend are in use.
 	reasonNoConnection = "no connection free"
 )
 
@@ -127,7 +127,8 @@
 		c, failure := x.connect()
 		if c == nil {
 			result := notSent(failure)
-			// That the node's own share is in use must not count as a failure of the backend.
+			// That the node's own share is in use must not count as a failure of the backend, and dispatch counts
+			// none for what was not sent on a reused connection.
 			result.ReusedConn = failure == reasonNoConnection
 			return result
 		}
--- a/request/backend/response.go
+++ b/request/backend/response.go
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// malformedError is that a response is malformed, in the sense of this package or of RFC 9112.
+// malformedError is the error of a response that is malformed, by this package's checks or by RFC 9112.
 type malformedError string
 
 func (m malformedError) Error() string { return string(m) }
--- a/request/dispatch/admission.go
+++ b/request/dispatch/admission.go
@@ -22,7 +22,8 @@
 	reasonRejectedPrefix = "turned away: "
 )
 
-// Bounds of what a rejected client is told to wait.
+// Bounds of what a rejected client is told to wait. minRetryAfter and maxRetryAfter are before the jitter, which adds up
+// to as much again.
 const (
 	notReadyRetryAfter = 150 * clock.Millisecond
 	leastRetryAfter    = 1 * clock.Millisecond
@@ -108,7 +109,8 @@
 }
 
 // rejectsAt reports whether the request is rejected under this pressure, given a number drawn from [0, 1), and
-// counts it. Under the same pressure less important routes are rejected more often.
+// counts it. A request that fans out is counted once for each overloaded pool, also where the others suffice. Under
+// the same pressure less important routes are rejected more often.
 func (m *StateMachine) rejectsAt(pressure, drawn float64) bool {
 	if m.route.Priority > highPriority {
 		pressure *= lowPriorityFactor
@@ -123,6 +125,7 @@
 // assess returns the best standing of the pool's backends that may be sent to now, and the pressure on the pool: the
 // share of requests to reject because even the least busy of them is about to reject requests or to answer late.
 func (m *StateMachine) assess(now clock.Micros, shard *shardRequest) (best standing, pressure float64) {
+	// Above any pressure, which is at most 1.
 	const unknown = 2.0
 	best, pressure = standingNone, unknown
 	p := shard.pool
@@ -156,6 +159,7 @@
 	b := e.backend
 	median := latency.median.Load()
 	work, load := median*b.expectedRatio(now)/unit, b.estimatedLoad(now, median)
+	// At least 3 µs, so that a third of it is never 0 below.
 	target := max(3, m.targetAt-now)
 	slack := max(target-work, target/3)
 	pressure := (float64(queueTime(load, b.slots.Load(), work))/float64(slack) - queueTimeLow) / (queueTimeHigh - queueTimeLow)
--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -10,7 +10,10 @@
 
 // backend is what this node measured of one backend, mostly from its own attempts. It outlives snapshots and may
 // be used from many goroutines; updates that meet may lose one another. Shares and ratios are in thousandths,
-// loads in thousandths of requests.
+// loads in thousandths of requests, moments and durations in microseconds of the process's clock.
+//
+// Its ejections decide what this package sends. Those of snapshot.Gauge, which attempts update as well, decide the
+// node's health reports and what package search sends.
 type backend struct {
 	// inFlight counts this node's attempts under way. progressAt is when the first of them began or when the
 	// backend last showed a sign of life, whichever is later.
--- a/request/dispatch/doc.go
+++ b/request/dispatch/doc.go
@@ -3,8 +3,8 @@
 //
 // A [StateMachine] is one request. A driver steps it with events ([Begin], [AttemptDone], [TimerFired],
 // [ClientGone]) and the present time, and carries out the actions that Step returns ([Send], [Cancel], [Abandon],
-// [SetTimer], [Finish]) in their order. request/gateway drives it over HTTP, lab/sim on simulated time. Its states
-// are
+// [SetTimer], [Finish]) in their order. request/gateway drives it over HTTP, lab/sim on simulated time. Its states,
+// by their texts in traces (StateSent is "asked", see [State]), are
 //
 //	read -> matched -> admitted -> asked -> (re_asked) -> (gathered) -> answered | refused | given_up
 //
--- a/request/dispatch/events.go
+++ b/request/dispatch/events.go
@@ -7,7 +7,8 @@
 	"wallport/runtime/clock"
 )
 
-// State is a state of a request. The texts are those of traces.
+// State is a state of a request. The texts are those of traces, which operators read and which therefore keep older
+// words than the constants.
 type State string
 
 // The states of a request. The last three are final.
@@ -35,7 +36,9 @@
 	CodeNoRoute Code = "no_route"
 	// CodeRejected is a request that has not run and may be sent again.
 	CodeRejected Code = "refused"
-	// CodeUnknown is a request that is not idempotent and may or may not have run.
+	// CodeUnknown is a request that is not idempotent, whose attempt ended without a good response and which may or
+	// may not have run. One whose attempt is still in flight at its deadline is a CodeFailed, although it may have
+	// run as well.
 	CodeUnknown Code = "unknown"
 	// CodeFailed is a request without a response in time, or without a good one.
 	CodeFailed Code = "given_up"
@@ -117,13 +120,15 @@
 	// WrongBackend is set when another backend answered at the address.
 	WrongBackend bool
 	// ReusedConn is set when the connection had served before: a failure may be the end of an idle connection
-	// and say nothing of the backend.
+	// and say nothing of the backend. For the same reason it is set, with ClassNotSent, when this node had no
+	// connection free.
 	ReusedConn bool
 	// WrittenAfter is the time from Send to the first byte written; 0 is never.
 	WrittenAfter clock.Micros
 	// TimedOut is set when the attempt's Timeout ran out.
 	TimedOut bool
-	Reason   string
+	// Reason is the error or the check that failed, for traces and logs; empty for a response that passed them.
+	Reason string
 }
 
 // Action is Send, Cancel, Abandon, SetTimer or Finish.
--- a/request/dispatch/lag.go
+++ b/request/dispatch/lag.go
@@ -31,7 +31,7 @@
 	return decay(l.mean.Load(), 0, max(0, now-l.updatedAt.Load()), lagHalfLife)
 }
 
-// lagPressure is the share of requests to reject because this node itself is behind: one that has too little
+// lagPressure is the share of requests to reject, from 0 up, above 1 all, because this node itself is behind: one that has too little
 // processor time rejects some at once, so that clients go to other nodes in time.
 func (m *StateMachine) lagPressure(now clock.Micros) float64 {
 	share := float64(m.dispatcher.lag.current(now)) / float64(max(1, m.targetAt-m.startedAt))
--- a/request/gateway/driver.go
+++ b/request/gateway/driver.go
@@ -34,7 +34,8 @@
 type attempt struct {
 	number   int
 	exchange *backend.Exchange
-	// replyOnly is that nothing but its result, or its timeout, can advance the request.
+	// replyOnly is set where nothing but its result, or its timeout, can advance the request: it is sent at most
+	// once, so that no hedged request follows.
 	replyOnly bool
 }
 
@@ -76,7 +77,8 @@
 // step steps the machine and starts the attempts that it sends.
 func (d *driver) step(ev dispatch.Event) { d.start(d.advance(ev)) }
 
-// advance steps the machine, after a freeze has been noticed, and returns the attempts to start.
+// advance steps the machine and returns the attempts to start. Where the process has just been frozen it first waits
+// for a fresh snapshot, so that nothing is decided by what was true before the freeze.
 func (d *driver) advance(ev dispatch.Event) []attempt {
 	d.server.config.AwaitThaw()
 	d.mu.Lock()
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -20,7 +20,7 @@
 
 // Names are the names of header fields and the path that a platform uses.
 type Names struct {
-	// ID is a client's id of one attempt, Budget what is left of its time.
+	// ID is a client's id of one attempt, Budget what is left of its time, in whole milliseconds.
 	ID, Budget string
 	// Target is the backend that a request is meant for, Member the backend that responds.
 	Target, Member string
@@ -52,7 +52,7 @@
 	Snapshot func() *snapshot.Snapshot
 	// NewStateMachine returns the state machine of a request.
 	NewStateMachine func(r dispatch.Request, now clock.Micros) StateMachine
-	// Ready reports whether the newest known configuration is in force; nil is the snapshot's own readiness.
+	// Ready reports whether clients may be served; nil asks the snapshot, which must be ready and have a routing table.
 	Ready func() bool
 	// Now is the process's clock. AwaitThaw, if set, waits after a freeze until the snapshot is fresh.
 	Now       func() clock.Micros
@@ -162,6 +162,8 @@
 	}
 }
 
+// isReady reports whether clients may be sent here: a routing table is in force, or Config.Ready says so, and no
+// shutdown has begun.
 func (s *Server) isReady() bool {
 	if s.draining.Load() {
 		return false
@@ -197,7 +199,7 @@
 	return start.Add(max(time.Second, grace-min(time.Second, grace/graceReserve)))
 }
 
-// Stop shuts the server down gracefully and returns when it is done. The node is not ready at once, new
+// Stop shuts the server down gracefully and returns when it is done. Readiness ends at once, new
 // connections are accepted for AcceptTime, and requests that were read are finished, until
 // shutdownDeadline at the latest.
 func (s *Server) Stop() {
--- a/request/gateway/limits.go
+++ b/request/gateway/limits.go
@@ -14,11 +14,13 @@
 	// Leniency is how many times the configured limits are tolerated before a request is rejected.
 	Leniency = 2
 
-	// maxBodiesBytes bounds the bodies of all requests together.
+	// maxBodiesBytes bounds the bodies of all requests together, so that slow or large ones can't take the
+	// process's memory; beyond it requests are rejected with 503.
 	maxBodiesBytes = 32 << 20
 	// defaultBodyTimeout is how long a body may take after the header's time.
 	defaultBodyTimeout = 10 * time.Second
-	minTimeout         = 200 * time.Millisecond
+	// minTimeout is the least time-out that a routing table can set, whatever it says.
+	minTimeout = 200 * time.Millisecond
 
 	// The limits where the routing table sets none, and the most that it can set for the header.
 	defaultIdleTimeout    = 30 * time.Second
@@ -65,7 +67,7 @@
 	return Leniency * l.MaxBodyBytes
 }
 
-// errBodyBudget is that the bodies of all requests together are too large.
+// errBodyBudget is returned when the bodies of all requests together exceed maxBodiesBytes.
 var errBodyBudget = errors.New("too many bodies at once")
 
 // bodyReservation counts the bytes of one body against the bound of all bodies, until it is released
