--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// sendOnce sends an attempt on one connection. It reports again where that connection had been abandoned before anything was
-// written to it. Whether a connection was had at all is known from the trace, so that "not written" is
-// only said when that is certain.
+// sendOnce sends an attempt on one connection. again reports whether to try another connection: this one had been
+// abandoned before anything was written to it. net/http does not tell whether an error came before the write; the
+// client trace tells whether there was a connection at all, so that [search.ClassNotSent] is given only where that is certain.
 func (c *backendClient) sendOnce(ctx context.Context, attempt *search.Send, kind string, body []byte) (reply search.Result, again bool) {
 	var use atomic.Pointer[connUse]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { use.Store(beginUse(i.Conn)) }})
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -37,13 +37,14 @@
 	return n
 }
 
-// idempotencyPlugin is the plug-in that speaks for the owners of keys.
+// idempotencyPlugin names the plug-in that asks the owners of keys.
 const idempotencyPlugin = "idempotency"
 
 const (
 	// thawTimeout bounds how long a request that is read right after a freeze waits for a fresh snapshot.
 	thawTimeout = 500 * time.Millisecond
-	// admitTimeout bounds the wait for the owners of a key beyond the state machine's own.
+	// admitTimeout bounds the wait for the owners of a key. It is longer than the state machine's own, so that an
+	// admission that comes too late for the request is still seen and can be released.
 	admitTimeout = 2 * time.Second
 	// eventBuffer is how many events of a request may wait for its loop.
 	eventBuffer = 8
--- a/request/httpapi/server.go
+++ b/request/httpapi/server.go
@@ -31,8 +31,9 @@
 	maxCallerBody   = 128 << 10
 	maxOperatorBody = 768 << 10
 	maxHeaderBytes  = 16 << 10
-	readTimeout     = 5 * time.Second
-	idleTimeout     = 60 * time.Second
+	// readTimeout bounds the reading of a header; a whole request may take twice as long.
+	readTimeout = 5 * time.Second
+	idleTimeout = 60 * time.Second
 	// readyPollInterval is the time between two looks whether the node can serve.
 	readyPollInterval = 20 * time.Millisecond
 	// drainGrace is how long a draining node goes on taking requests, until others have noticed that it drains.
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -176,7 +176,8 @@
 	c.deadlineReadAt = now
 }
 
-// recordInitialIndexes keeps which indexes had a shard map when a partition was first seen.
+// recordInitialIndexes keeps which indexes had a shard map when a partition was first seen: requests of these may have run
+// before this process started, see startedBefore.
 func (c *Coordinator) recordInitialIndexes(e *wire.Entry) {
 	partition := e.Version.Partition
 	if partition == state.ConfigPartition || c.initialIndexes[partition] != nil {
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -42,6 +42,8 @@
 	out := wire.RecordsReply{Epoch: m.Epoch, Name: c.name(), KeyOwners: c.ownerCount()}
 	size := 0
 	var keys []string
+	// In a fleet of up to maxOwners nodes each of them owns every key: the empty key stands for all, and who was an
+	// owner before has all records already.
 	if len(before) == 0 || len(before) > maxOwners || !isOwner("", m.Name, before) {
 		keys = slices.Sorted(maps.Keys(c.records))
 	}
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -70,7 +70,8 @@
 	Digest uint64
 	// FirstAttempt is the caller's statement that it never sent this key before.
 	FirstAttempt bool
-	Timeout      clock.Micros
+	// Timeout bounds the admission, as MaxAdmissionWait does; it is not read where Repeatable is set.
+	Timeout clock.Micros
 	// Repeatable marks a search or read. It is always admitted, but a repeat costs the retry budget.
 	Repeatable bool
 }
@@ -82,7 +83,7 @@
 	Code string
 	// Token is that of the admission.
 	Token string
-	// Attempted reports whether a backend was sent the request and refused it.
+	// Attempted reports whether an attempt was made before the key is released: a repeat then costs the retry budget.
 	Attempted bool
 	Outcome   search.Outcome
 }
@@ -111,8 +112,9 @@
 	recordOrder []string
 	admissions  map[uint64]*admission
 	lastID      uint64
-	roster      []snapshot.Node
-	epochs      []*epoch
+	// roster is the snapshot's KeyOwners, not its Roster, as of the last check: a change of it opens an epoch.
+	roster []snapshot.Node
+	epochs []*epoch
 	// maxDeadline is the longest deadline of the configurations that requests may still run under, as of
 	// deadlineReadAt.
 	maxDeadline, deadlineReadAt clock.Micros
--- a/request/search/actions.go
+++ b/request/search/actions.go
@@ -37,7 +37,9 @@
 		Digest uint64
 		// FirstAttempt is the caller's statement that it never sent the key before.
 		FirstAttempt bool
-		Timeout      clock.Micros
+		// Timeout bounds the wait for the owners. It is 0 with OnlyDetectRepeat, for which the
+		// coordinator has a bound of its own.
+		Timeout clock.Micros
 		// OnlyDetectRepeat asks only whether a search or read was sent before.
 		OnlyDetectRepeat bool
 	}
@@ -46,7 +48,7 @@
 		Key        string
 		Resolution Resolution
 		Token      string
-		// Attempted says that an attempt was made.
+		// Attempted says that an attempt was made, so that a repeat of the key costs the retry budget.
 		Attempted bool
 		Outcome   Outcome
 	}
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -1,6 +1,7 @@
 package search
 
-// State is a named state of the state machine, as traces show it.
+// State is a state of the state machine. The texts are those of traces, which operators read and which
+// therefore keep older words than the constants.
 type State string
 
 // The states of a request.
@@ -65,7 +66,7 @@
 	Repeat bool
 }
 
-// Class is the result of an attempt.
+// Class says what is known of an attempt once it has ended, and thereby whether the request may be sent again.
 type Class string
 
 // The classes of results.
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -23,7 +23,8 @@
 	unwritten    int
 	// attemptedBackends are the ids of the backends that are not selected again.
 	attemptedBackends []string
-	hedgeAt           clock.Micros
+	// hedgeAt is when a hedged request is due.
+	hedgeAt clock.Micros
 }
 
 // attempt is one sending of the request to a backend.
--- a/request/snapshot/gauge.go
+++ b/request/snapshot/gauge.go
@@ -7,12 +7,16 @@
 	"wallport/runtime/clock"
 )
 
-// Gauge is what this node itself observes of one backend. It outlives snapshots. Times are in
-// microseconds, moments on this process's clock.
+// Gauge is what this node itself observes of one backend, on the request path and by health checks. It
+// outlives snapshots. Times are in microseconds, moments on this process's clock.
+//
+// Both request paths update it. Package search selects by it and package healthcheck reports by it;
+// package dispatch has measurements and ejections of its own and reads only SlowStartUntil.
 type Gauge struct {
 	// Outstanding counts the requests in flight from this node.
 	Outstanding atomic.Int64
-	// Usage is the number of requests that the backend is working on by its own account.
+	// Usage is the number of requests that the backend is working on by its own account, from its
+	// responses to package search and to health checks.
 	Usage atomic.Int64
 	// Latency is the smoothed latency of successful responses; 0 if there was none.
 	Latency atomic.Int64
@@ -20,10 +24,13 @@
 	// valid one.
 	Failures         atomic.Int64
 	CorruptResponses atomic.Int64
-	// EjectedUntil is until when this node's request path avoids the backend.
+	// EjectedUntil is until when package search avoids the backend; 0 if it is not ejected. The node
+	// checks the health of the backends that it has ejected.
 	EjectedUntil atomic.Int64
-	Incarnation  atomic.Int64
-	// SlowStartUntil is until when the backend is warming up by its own account.
+	// Incarnation is the newest one that the backend named, 0 before it did.
+	Incarnation atomic.Int64
+	// SlowStartUntil is until when the backend is warming up by its own account in a health check; 0 if
+	// it never said so.
 	SlowStartUntil atomic.Int64
 }
 
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -117,14 +117,15 @@
 	// idempotency keys.
 	Roster    []Node
 	KeyOwners []Node
-	// Divisor is the number of nodes by which limits of the fleet are divided.
+	// Divisor is the number of nodes by which limits of the fleet are divided: the greatest number of
+	// live nodes seen lately, so that nodes that miss some of the others do not exceed the limits.
 	Divisor int
 	// Zone is this node's zone, ZoneDrained says that the operators have drained it.
 	Zone        string
 	ZoneDrained bool
 	// Draining says that this process is shutting down.
 	Draining bool
-	// Peers counts the live nodes, this one included.
+	// Peers counts the nodes that are live now, this one included.
 	Peers    int
 	Backends []*Backend
 	// Routing is the routing table in force, nil before the first; Pools are its pools by name.
