--- a/runtime/kernel/context.go
+++ b/runtime/kernel/context.go
@@ -50,7 +50,8 @@
 // Drop closes a connection.
 func (ctx *Context) Drop(conn uint64) { ctx.Output.Drops = append(ctx.Output.Drops, conn) }
 
-// After delivers a Tick with a key to a plug-in once delay has passed.
+// After delivers a Tick with a key to a plug-in once delay, in microseconds, has passed. A timer can be
+// neither cancelled nor replaced: a plug-in ignores a Tick whose reason is gone.
 func (ctx *Context) After(delay clock.Micros, plugin, key string) {
 	tick := Tick{Plugin: plugin, Key: key}
 	ctx.Output.Timers = append(ctx.Output.Timers, Timer{At: ctx.Now + delay, Tick: tick})
--- a/runtime/kernel/inputs.go
+++ b/runtime/kernel/inputs.go
@@ -10,6 +10,8 @@
 	// Start is the first input of a process.
 	Start struct{}
 	// ConnUp reports a new mesh connection. Peer is the fingerprint of the other side's key, as proved by TLS.
+	// Dialed reports whether this process opened it, and Addr is then the address that was dialled. Direct
+	// connections, which [Context.SendTo] opens, are not reported; Mesh is always set.
 	ConnUp struct {
 		Conn   uint64
 		Addr   string
@@ -18,7 +20,8 @@
 		Dialed bool
 		Mesh   bool
 	}
-	// ConnDown reports that a connection ended, or that an attempt to open one failed; Conn is 0 then.
+	// ConnDown reports that a mesh connection ended, or that an attempt to open one failed; Conn is 0 then. The
+	// end of a direct connection is not reported: what was sent on it counts as lost after a time-out.
 	ConnDown struct {
 		Conn uint64
 		Addr string
@@ -29,7 +32,8 @@
 		Conn uint64
 		Data []byte
 	}
-	// Message is a frame whose envelope was decoded. It goes to the plug-in that registered its kind.
+	// Message is a frame whose envelope was decoded. It goes to the plug-in that registered its kind. ID is the
+	// sender's number for a request; the reply to it carries the same one, and 0 stands for none.
 	Message struct {
 		Conn uint64
 		Kind uint8
@@ -63,7 +67,8 @@
 		Plugin string
 		ID     uint64
 	}
-	// Thawed reports that the process did not run for Gap, so that its view of others is out of date.
+	// Thawed reports that the process did not run for Gap (more than process.FreezeGap), so that its view of
+	// others is out of date. It comes before any other input that was received meanwhile.
 	Thawed struct{ Gap clock.Micros }
 	// Stopping reports that a graceful shutdown has begun.
 	Stopping struct{}
--- a/runtime/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -15,14 +15,16 @@
 type Plugin interface {
 	// Name is unique within a process; ticks, calls and results of writes and fetches are addressed by it.
 	Name() string
-	// Kinds are the kinds of messages that the plug-in receives.
+	// Kinds are the kinds of messages that the plug-in receives. A kind belongs to one plug-in.
 	Kinds() []uint8
 	// Step handles one input. It must not block, sleep or read a clock.
 	Step(ctx *Context, in Input)
 }
 
 // Registration says in which roles a plug-in runs and how it is made. Plug-ins of a lower rank are
-// made first, so that later ones can [Find] them.
+// made first, so that later ones can [Find] them, and are given each event first: what a plug-in has
+// learned from an event stands when those of a higher rank react to it. Ranks are 10 for the mesh to
+// 90 and leave room between them; they have no other meaning.
 type Registration struct {
 	Rank  int
 	Roles []string
@@ -60,7 +62,8 @@
 	chunks   *chunks
 }
 
-// seedStream is the second half of the random source's seed.
+// seedStream is the second half of the random source's seed, "wall" in ASCII. It is fixed: a process
+// has one random source, so that Boot.Seed alone makes it differ.
 const seedStream = 0x77616c6c
 
 // New makes a kernel with every registered plug-in of the boot's role.
@@ -99,7 +102,9 @@
 	return zero
 }
 
-// Step handles one input and returns everything that the plug-ins requested because of it.
+// Step handles one input and returns everything that the plug-ins requested because of it. now is the
+// process's monotonic clock in microseconds since its start, and never goes back; wall is the time in
+// microseconds since the Unix epoch, which may jump.
 // Events that they emit are delivered in order before the deferred functions run.
 func (k *Kernel) Step(now, wall clock.Micros, in Input) Output {
 	k.steps.Add(1)
--- a/runtime/process/disk.go
+++ b/runtime/process/disk.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// write writes or removes one file durably.
+// write writes one file durably, or removes one. A removal is not synced: a file that comes back after a
+// loss of power is an old version, which does no harm and is removed again with the next version.
 func (d *disk) write(w kernel.Write) error {
 	path := filepath.Join(d.dir, w.File)
 	aside := path + asideSuffix
@@ -158,7 +159,8 @@
 func lockDir(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
-		// The disk is full even for an empty file: the process goes on without the lock.
+		// The disk is full even for an empty file: the process goes on without the lock, since it still has
+		// to serve what its disk holds and to report the condition of the disk.
 		return nil, nil
 	}
 	if err != nil {
--- a/runtime/process/process.go
+++ b/runtime/process/process.go
@@ -40,7 +40,8 @@
 	// calls maps the id of a call in flight to the channel of its reply.
 	calls    sync.Map
 	nextCall atomic.Uint64
-	// lastRun is when the loop last handled an input.
+	// lastRun is when the loop last handled an input or looked for due timers, in microseconds since the
+	// start; thaws counts the freezes that it noticed.
 	lastRun    atomic.Int64
 	thaws      atomic.Int64
 	httpClient *http.Client
@@ -60,7 +61,8 @@
 	Fetchers map[string]Fetcher
 }
 
-// Start makes the kernel, opens the data folder and the mesh port, and runs the loop.
+// Start makes the kernel, opens the data folder and the mesh port, and runs the loop. It fails if the folder is
+// in use or cannot be read, or if the port cannot be opened.
 func Start(c Config) (*Process, error) {
 	var random [40]byte
 	if _, err := crand.Read(random[:]); err != nil {
