--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -18,7 +18,7 @@
 
 const (
 	// BootstrapAfter is how long an empty core listens before it proposes: processes that know of a fleet
-	// dial a seed that did not answer once in two seconds (mesh.SeedBackoff).
+	// dial a seed that did not answer once in two seconds (mesh.MaxSeedBackoff, looked at on each heartbeat).
 	BootstrapAfter = 4 * clock.Second
 	// ProposeInterval is how often a proposal is repeated.
 	ProposeInterval = 200 * clock.Millisecond
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -15,7 +15,8 @@
 // replyToAccept sends a reply to an Accept where that came from.
 type replyToAccept func(ctx *kernel.Context, reply wire.AcceptReply)
 
-// handleAccept syncs a version and acknowledges it, unless a newer term was voted in.
+// handleAccept syncs a version and acknowledges it, unless a newer term was voted in. A version of a later term
+// than its sender's is refused as well: no leader can hold one without having been fenced.
 func (g *Group) handleAccept(ctx *kernel.Context, conn, id uint64, accept wire.Accept) {
 	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
 		r.Partition, r.From, r.SupportsBase = g.partition, g.self(), true
@@ -54,6 +55,8 @@
 func (g *Group) syncVersion(ctx *kernel.Context, accept wire.Accept, reply replyToAccept) {
 	v := accept.Versioned
 	if !mesh.Newer(v.Version, g.accepted.Version) || !mesh.Newer(v.Version, g.pending) {
+		// No reply: an older version is no leader's proposal any more, and one that is being written is
+		// acknowledged by that write.
 		return
 	}
 	if accept.Base != (wire.Version{}) {
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -14,7 +14,8 @@
 const Partitions = state.Partitions
 
 const (
-	// pluginName is the name under which the kernel knows the plug-in.
+	// pluginName is the name under which the kernel knows the plug-in. "Seat" is what users read for a
+	// replica: files, counters and keys on the wire keep the word.
 	pluginName = "seats"
 	// timerTick is the key of the only timer.
 	timerTick = "tick"
@@ -39,6 +40,8 @@
 	disk
 	bootstrapping
 
+	// pullers are the cores that pulled here lately, by mesh address. cachedCores is what liveCores looked
+	// up last, and cachedCoresAt when.
 	pullers       map[string]puller
 	cachedCores   []membership.Member
 	cachedCoresAt clock.Micros
--- a/control/replica/replication.go
+++ b/control/replica/replication.go
@@ -105,6 +105,7 @@
 func (g *Group) commitProposal(ctx *kernel.Context) {
 	v, edits := *g.proposal, g.proposedEdits
 	g.proposal, g.proposedEdits = nil, nil
+	// The first proposal of a term is the adopted version: with it committed the leader may serve.
 	g.ready = true
 	g.checkLeaderTerm(ctx, v)
 	g.commit(ctx, v)
--- a/control/replica/storage.go
+++ b/control/replica/storage.go
@@ -78,6 +78,8 @@
 	}
 	for _, g := range h.groups {
 		if g.accepted.Version.Term > g.votedTerm {
+			// A leader of that term brought the version, so the term is taken: no candidate may have it, and
+			// an empty votedFor matches none.
 			g.votedTerm, g.votedFor = g.accepted.Version.Term, ""
 		}
 		h.bootstrapped = h.bootstrapped || g.accepted.Version.Term > 0
--- a/runtime/wire/calls.go
+++ b/runtime/wire/calls.go
@@ -42,7 +42,8 @@
 	// Op is one of the operations, and Name what it is about: a zone, an index or a version.
 	Op   string `msg:"o"`
 	Name string `msg:"n"`
-	// Base is the version that the edit is based on. With Strict it must be the one in force.
+	// Base is the version that the edit is based on. Strict is set where the caller must name it, and is read
+	// only by the process that takes the call: a leader checks the base of every edit, by its operation.
 	Base   Version `msg:"b"`
 	Strict bool    `msg:"s"`
 	Body   []byte  `msg:"d"`
--- a/runtime/wire/groups.go
+++ b/runtime/wire/groups.go
@@ -7,8 +7,9 @@
 	Seq       uint64 `msg:"s"`
 }
 
-// Versioned is one value of a partition, with the voters of the group that it is replicated to. PreviousVoters is
-// set while the voters change: majorities of both sets are needed then.
+// Versioned is one value of a partition, with the voters of the group that it is replicated to. PreviousVoters are
+// those of the version before it. Majorities of both sets are needed: where the two are the same, as they are unless
+// this version changes the voters, that is one majority. The list is empty in the versions of a bootstrap or rebuild.
 type Versioned struct {
 	Version        Version   `msg:"st"`
 	Voters         []Replica `msg:"se"`
