--- a/control/operations/operations.go
+++ b/control/operations/operations.go
@@ -66,7 +66,8 @@
 	case kernel.Call:
 		s.startCall(ctx, v)
 	case kernel.Canceled:
-		// An edit that was sent may still be taken; nothing more is sent for it.
+		// An edit that was sent may still be taken; nothing more is sent for it. A rebuild
+		// runs on through its steps, each of which is bounded, and its answer goes to nobody.
 		delete(s.calls, v.ID)
 		delete(s.statusCalls, v.ID)
 	case kernel.Tick:
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// fetchNewest requests the newest version from the core that has it stored. It reports false where there is none
-// or it has arrived already.
+// fetchNewest requests the newest version from the core that has it stored, and reports whether it did: there may
+// be none, or it has arrived already.
 func (s *Service) fetchNewest(ctx *kernel.Context, id uint64, rebuild *rebuildState) bool {
 	if rebuild.fetched || rebuild.newest.Term == 0 {
 		return false
