--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -111,12 +111,16 @@
 	// legacy says that a process of release 1 was there at the last heartbeat.
 	legacy bool
 	// inSync says that this process has had all that one peer had, since its start or thaw.
-	inSync          bool
+	inSync bool
+	// changedAt is when an entry was last received or announced, and syncRequestedAt when anti-entropy last
+	// requested entries from any peer.
 	changedAt       clock.Micros
 	syncRequestedAt clock.Micros
-	syncTokens      int
-	syncTokensAt    clock.Micros
-	prunedAt        clock.Micros
+	// syncTokens are the bytes that anti-entropy may send now, out of SyncBytesPerSecond, as of syncTokensAt.
+	syncTokens   int
+	syncTokensAt clock.Micros
+	// prunedAt is when a surplus connection was last closed.
+	prunedAt clock.Micros
 	// forwardedAt is when entries were last forwarded. A process that is stopping forwards at once.
 	forwardedAt      clock.Micros
 	forwardScheduled bool
--- a/cluster/mesh/store.go
+++ b/cluster/mesh/store.go
@@ -23,18 +23,24 @@
 
 // originState is what the mesh knows of one origin.
 type originState struct {
+	// fingerprint is that of the origin's key, and hash its hash, which selects the bucket.
 	fingerprint string
 	hash        uint64
-	maxCount    uint64
-	sum         uint64
+	// maxCount is the highest count of its entries; sum is the sum over those that are not withdrawn.
+	maxCount uint64
+	sum      uint64
+	// heartbeat is the origin's newest heartbeat count, heartbeatAt when that was received, and key and sig
+	// prove it. Only processes of release 1 count on it: see legacy.go.
 	heartbeat   uint64
 	heartbeatAt clock.Micros
 	key         []byte
 	sig         []byte
-	tokens      float64
-	tokensAt    clock.Micros
-	entries     map[string]*wire.Entry
-	tombstones  []tombstone
+	// tokens is how many entries OriginRate allows now, as of tokensAt.
+	tokens   float64
+	tokensAt clock.Micros
+	// entries are the newest by entryKey, and tombstones the withdrawn ones among them, oldest first.
+	entries    map[string]*wire.Entry
+	tombstones []tombstone
 	liveness
 }
 
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -128,6 +128,8 @@
 // process that has just started is to be confirmed at once, unless a pull is in flight.
 func (p *Sync) versionStored(ctx *kernel.Context) {
 	if !p.isCore {
+		// The node's snapshot is built in this same step, by a plug-in of a higher rank, before the changed
+		// member entry is announced: a node never reports a version that its requests do not read yet.
 		versions := p.versions()
 		p.members.Update(func(member *wire.Member) { member.InForce = versions })
 	}
