--- a/cmd/wallport/hangup_test.go
+++ b/cmd/wallport/hangup_test.go
@@ -27,6 +27,11 @@
 }
 
 func TestHangupIsIgnoredDuringStartOnPlatform(t *testing.T) {
+	// A signal that this process ignores, as under nohup, would be ignored in its children too; one that it
+	// catches is not.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	t.Cleanup(func() { signal.Stop(hangups) })
 	for _, c := range []struct{ arg, want string }{{"--on-platform", "true"}, {"--name", "false"}} {
 		out, err := exec.Command(os.Args[0], printIgnoredArgument, c.arg).Output()
 		must.NoError(t, err)
