--- a/tools/pages/references_test.go
+++ b/tools/pages/references_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 
@@ -135,6 +136,24 @@
 	must.Greater(t, 10, len(packages))
 }
 
+// testName is the name of a test, or the beginning of several.
+var testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
+
+func TestNamedTestsAreThere(t *testing.T) {
+	var names []string
+	for name := range there(t) {
+		if test, ok := strings.CutPrefix(name, "test/"); ok {
+			names = append(names, test)
+		}
+	}
+	for _, page := range pagesOf(t) {
+		for _, begin := range testName.FindAllString(read(t, page), -1) {
+			must.True(t, slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, begin) }),
+				must.Sprintf("%s names the test %s, which is not there", page, begin))
+		}
+	}
+}
+
 func TestReferencePatterns(t *testing.T) {
 	must.Eq(t, [][]string{{"`control/state.Apply`", "control/state", "Apply"}}, declaration.FindAllStringSubmatch("see `control/state.Apply`.", -1))
 	must.Eq(t, "tools/pages/references_test.go", sourceFile.FindStringSubmatch("`tools/pages/references_test.go`")[1])
