--- a/cluster/loadreport/loadreport.go
+++ b/cluster/loadreport/loadreport.go
@@ -78,11 +78,11 @@
 // of the fleet's rate or, while no rate is known, an equal part for each of the nodes. Half of what
 // the fleet leaves unused is added at each node, for callers that have just moved there.
 func (m *Meter) LocalLimit(limit float64, nodes int) float64 {
-	mine, other := float64(m.localRate.Load())/reportScale, float64(m.remoteRate.Load())/reportScale
-	if mine+other < 1.0/reportScale {
+	local, remote := float64(m.localRate.Load())/reportScale, float64(m.remoteRate.Load())/reportScale
+	if local+remote < 1.0/reportScale {
 		return limit / float64(max(1, nodes))
 	}
-	return limit*mine/(mine+other) + max(0, limit-mine-other)/2
+	return limit*local/(local+remote) + max(0, limit-local-remote)/2
 }
 
 // Reporter is the plug-in of a node.
--- a/cluster/loadreport/loadreport_test.go
+++ b/cluster/loadreport/loadreport_test.go
@@ -27,8 +27,8 @@
 	return n
 }
 
-// second lets a second pass with so many requests.
-func (n *node) second(requests int) {
+// advanceSecond lets a second pass with so many requests.
+func (n *node) advanceSecond(requests int) {
 	for range requests {
 		n.reporter.Meter("i", "k").Inc()
 	}
@@ -49,13 +49,13 @@
 
 func TestRateIsReportedWhenItHasChangedEnough(t *testing.T) {
 	n := newNode()
-	n.second(100)
+	n.advanceSecond(100)
 	first, rate := n.reported(t)
 	must.Eq(t, 100*reportScale, rate, must.Sprint("a jump is taken without smoothing"))
-	n.second(130)
+	n.advanceSecond(130)
 	count, _ := n.reported(t)
 	must.Eq(t, first, count, must.Sprint("15 in 100 is not enough"))
-	n.second(150)
+	n.advanceSecond(150)
 	count, rate = n.reported(t)
 	must.Greater(t, first, count)
 	must.Eq(t, 132.5*reportScale, float64(rate))
@@ -63,10 +63,10 @@
 
 func TestRateNearALimitIsReportedMoreExactly(t *testing.T) {
 	n := newNode()
-	n.second(100)
+	n.advanceSecond(100)
 	first, _ := n.reported(t)
 	n.reporter.Meter("i", "k").SetLimits(0, 120)
-	n.second(116)
+	n.advanceSecond(116)
 	count, rate := n.reported(t)
 	must.Greater(t, first, count, must.Sprint("8 in 100 is enough"))
 	must.Eq(t, 108*reportScale, rate)
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -37,7 +37,7 @@
 	dirty     bool
 	// announceDue is when the timer of the next announcement fires; 0 if none is set.
 	announceDue clock.Micros
-	rows        map[string]*wire.Member
+	byOrigin    map[string]*wire.Member
 	// sortedOrigins holds the origins of all rows in the order of sorted; nil if a row was added,
 	// changed or removed since.
 	sortedOrigins []string
@@ -72,9 +72,9 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 20, Roles: []string{settings.RoleNode, settings.RoleCore}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		e := k.Boot.Settings
-		return &Members{k: k, mesh: kernel.Find[*mesh.Mesh](k), rows: map[string]*wire.Member{}, local: wire.Member{
-			Name: e.Name, Role: k.Boot.Role, Zone: e.Zone, Addr: e.Mesh, Caller: e.Caller, Operator: e.Operator, Mesh: mesh.Release,
+		s := k.Boot.Settings
+		return &Members{k: k, mesh: kernel.Find[*mesh.Mesh](k), byOrigin: map[string]*wire.Member{}, local: wire.Member{
+			Name: s.Name, Role: k.Boot.Role, Zone: s.Zone, Addr: s.Mesh, Caller: s.Caller, Operator: s.Operator, Mesh: mesh.Release,
 		}}
 	}})
 }
@@ -97,22 +97,22 @@
 		m.announceDue = 0
 		m.announceSoon(ctx)
 	case kernel.Stopping:
-		m.Update(func(s *wire.Member) { s.Draining = true })
+		m.Update(func(member *wire.Member) { member.Draining = true })
 		m.announce(ctx)
 	case mesh.Stored:
 		if v.Entry.Type == mesh.EntryMember {
-			row := new(wire.Member)
-			if wire.Decode(v.Entry.Body, row) == nil {
-				m.rows[v.Origin], m.sortedOrigins = row, nil
+			member := new(wire.Member)
+			if wire.Decode(v.Entry.Body, member) == nil {
+				m.byOrigin[v.Origin], m.sortedOrigins = member, nil
 			}
 		}
 	case mesh.Forgotten:
-		if r := m.rows[v.Origin]; r != nil && r.Role == settings.RoleNode && r.Draining && m.peak > 1 {
+		if r := m.byOrigin[v.Origin]; r != nil && r.Role == settings.RoleNode && r.Draining && m.peak > 1 {
 			// A node that drained was removed on purpose: the fleet is meant to be smaller. If the
 			// node comes back, the count of live nodes raises the peak again.
 			m.peak--
 		}
-		delete(m.rows, v.Origin)
+		delete(m.byOrigin, v.Origin)
 		m.sortedOrigins = nil
 	case mesh.LivenessUpdated:
 		n := m.Count(ctx.Now, settings.RoleNode)
@@ -123,7 +123,7 @@
 }
 
 // Update changes the local member with f; the change is announced soon after.
-func (m *Members) Update(f func(s *wire.Member)) {
+func (m *Members) Update(f func(member *wire.Member)) {
 	f(&m.local)
 	m.dirty = true
 	m.k.Later(m.announceSoon)
@@ -146,18 +146,18 @@
 
 // announceDelay returns the least time between the last announcement and one of what changed since.
 func (m *Members) announceDelay(now clock.Micros) clock.Micros {
-	was, is := m.announced, m.local
-	was.InForce, is.InForce = nil, nil
-	if !bytes.Equal(wire.Encode(&was), wire.Encode(&is)) {
+	announced, current := m.announced, m.local
+	announced.InForce, current.InForce = nil, nil
+	if !bytes.Equal(wire.Encode(&announced), wire.Encode(&current)) {
 		return announceInterval
 	}
 	if now-m.started < startupDelay {
 		return startupDelay
 	}
-	if len(m.rows) <= smallFleet {
+	if len(m.byOrigin) <= smallFleet {
 		return announceInterval
 	}
-	return min(maxAnnounceInterval, announceIntervalPerMember*clock.Micros(len(m.rows)))
+	return min(maxAnnounceInterval, announceIntervalPerMember*clock.Micros(len(m.byOrigin)))
 }
 
 // Local returns this process as it describes itself.
@@ -174,40 +174,40 @@
 
 // All returns the members, sorted by name.
 func (m *Members) All(now clock.Micros) []Member {
-	out := make([]Member, 0, len(m.rows))
-	for _, fp := range m.sorted() {
-		out = append(out, m.row(fp, now))
+	out := make([]Member, 0, len(m.byOrigin))
+	for _, origin := range m.sorted() {
+		out = append(out, m.member(origin, now))
 	}
 	return out
 }
 
-func (m *Members) row(origin string, now clock.Micros) Member {
-	return Member{Member: *m.rows[origin], Origin: origin, Live: m.mesh.Live(origin, now)}
+func (m *Members) member(origin string, now clock.Micros) Member {
+	return Member{Member: *m.byOrigin[origin], Origin: origin, Live: m.mesh.Live(origin, now)}
 }
 
 // sorted returns the origins of all rows, sorted by the members' names and then by origin.
 func (m *Members) sorted() []string {
 	if m.sortedOrigins == nil {
-		m.sortedOrigins = slices.SortedFunc(maps.Keys(m.rows), func(a, b string) int {
-			return cmp.Or(cmp.Compare(m.rows[a].Name, m.rows[b].Name), cmp.Compare(a, b))
+		m.sortedOrigins = slices.SortedFunc(maps.Keys(m.byOrigin), func(a, b string) int {
+			return cmp.Or(cmp.Compare(m.byOrigin[a].Name, m.byOrigin[b].Name), cmp.Compare(a, b))
 		})
 	}
 	return m.sortedOrigins
 }
 
 // Each calls visit for each member, sorted by name. The rows must not be changed.
-func (m *Members) Each(now clock.Micros, visit func(origin string, row *wire.Member, live bool)) {
-	for _, fp := range m.sorted() {
-		visit(fp, m.rows[fp], m.mesh.Live(fp, now))
+func (m *Members) Each(now clock.Micros, visit func(origin string, member *wire.Member, live bool)) {
+	for _, origin := range m.sorted() {
+		visit(origin, m.byOrigin[origin], m.mesh.Live(origin, now))
 	}
 }
 
 // Live returns the live members of a role, sorted by name.
 func (m *Members) Live(now clock.Micros, role string) []Member {
 	var out []Member
-	for _, fp := range m.sorted() {
-		if m.rows[fp].Role == role && m.mesh.Live(fp, now) {
-			out = append(out, m.row(fp, now))
+	for _, origin := range m.sorted() {
+		if m.byOrigin[origin].Role == role && m.mesh.Live(origin, now) {
+			out = append(out, m.member(origin, now))
 		}
 	}
 	return out
@@ -215,8 +215,8 @@
 
 // Count returns the number of live members of a role.
 func (m *Members) Count(now clock.Micros, role string) (n int) {
-	for fp, r := range m.rows {
-		if r.Role == role && m.mesh.Live(fp, now) {
+	for origin, r := range m.byOrigin {
+		if r.Role == role && m.mesh.Live(origin, now) {
 			n++
 		}
 	}
@@ -225,9 +225,9 @@
 
 // Replica returns the live core that has a replica's disk, and whether there is one.
 func (m *Members) Replica(id string, now clock.Micros) (Member, bool) {
-	for _, fp := range m.sorted() {
-		if m.rows[fp].Replica == id && m.mesh.Live(fp, now) {
-			return m.row(fp, now), true
+	for _, origin := range m.sorted() {
+		if m.byOrigin[origin].Replica == id && m.mesh.Live(origin, now) {
+			return m.member(origin, now), true
 		}
 	}
 	return Member{}, false
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -23,33 +23,33 @@
 func newProcess(others int) *process {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Name: "a", Mesh: "10.0.0.1:1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
 	p := &process{k: k, m: kernel.Find[*Members](k), now: 5_000_000}
-	p.feed(kernel.Start{})
+	p.step(kernel.Start{})
 	for i := range others {
-		p.m.rows[fmt.Sprint(i)] = &wire.Member{Name: fmt.Sprint("node-", i), Role: "node"}
+		p.m.byOrigin[fmt.Sprint(i)] = &wire.Member{Name: fmt.Sprint("node-", i), Role: "node"}
 	}
 	p.m.sortedOrigins = nil
 	return p
 }
 
-func (p *process) feed(in kernel.Input) kernel.Output { return p.k.Step(p.now, p.now, in) }
+func (p *process) step(in kernel.Input) kernel.Output { return p.k.Step(p.now, p.now, in) }
 
-// update changes the row and lets the step at its end run.
+// update changes the member and lets the step at its end run.
 func (p *process) update(f func(*wire.Member)) {
 	p.m.Update(f)
-	p.feed(kernel.Tick{Plugin: "nobody"})
+	p.step(kernel.Tick{Plugin: "nobody"})
 }
 
 // announcedWithin runs the announcement timer and returns how long after the last announcement the
-// next one came; -1 if none came within most.
-func (p *process) announcedWithin(most int64) int64 {
-	was, began := p.m.announcedAt, p.now
-	for p.now < began+most {
+// next one came; -1 if none came within limit.
+func (p *process) announcedWithin(limit int64) int64 {
+	announcedBefore, began := p.m.announcedAt, p.now
+	for p.now < began+limit {
 		p.now += 10_000
 		if p.m.announceDue > 0 && p.m.announceDue <= p.now {
-			p.feed(kernel.Tick{Plugin: pluginName, Key: timerAnnounce})
+			p.step(kernel.Tick{Plugin: pluginName, Key: timerAnnounce})
 		}
-		if p.m.announcedAt != was {
-			return p.m.announcedAt - was
+		if p.m.announcedAt != announcedBefore {
+			return p.m.announcedAt - announcedBefore
 		}
 	}
 	return -1
@@ -82,21 +82,21 @@
 	must.Eq(t, -1, p.announcedWithin(2_000_000))
 }
 
-func TestOtherChangesAreAnnouncedAtOnce(t *testing.T) {
+func TestOtherChangesAreAnnouncedWithinAnnounceInterval(t *testing.T) {
 	p := newProcess(95)
 	p.update(version(1))
 	p.update(func(m *wire.Member) { m.UnhealthyReason = "disk" })
 	must.Between(t, announceInterval, p.announcedWithin(2_000_000), announceInterval+20_000)
 	p.update(version(2))
-	p.feed(kernel.Stopping{})
+	p.step(kernel.Stopping{})
 	must.Eq(t, p.now, p.m.announcedAt)
 }
 
 func TestMembersAreSortedByName(t *testing.T) {
 	p := newProcess(0)
 	for i, name := range []string{"c", "b", "d"} {
-		row := wire.Member{Name: name, Role: "core"}
-		entry := &wire.Entry{Type: "member", Body: wire.Encode(&row)}
+		member := wire.Member{Name: name, Role: "core"}
+		entry := &wire.Entry{Type: "member", Body: wire.Encode(&member)}
 		p.m.Step(&kernel.Context{Now: p.now, Counts: p.k.Counts}, mesh.Stored{Entry: entry, Origin: fmt.Sprint(i)})
 	}
 	var names string
--- a/control/config/conflicts_test.go
+++ b/control/config/conflicts_test.go
@@ -6,10 +6,10 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestConflictsNamesRowsThatChangedMeanwhile(t *testing.T) {
+func TestConflictsNamesConcurrentlyChangedRows(t *testing.T) {
 	base, found := Read([]byte(validConfiguration))
 	must.SliceEmpty(t, found)
-	cases := []struct{ meanwhile, mine, clash string }{
+	cases := []struct{ concurrent, edit, conflicts string }{
 		{`[{"op":"set","table":"rows","row":{"index":"a","kind":"search","share":60}}]`, `[{"op":"set","table":"rows","row":{"index":"a","kind":"read","share":40}}]`, ""},
 		{`[{"op":"set","table":"rows","row":{"index":"a","kind":"search","share":60}}]`, `[{"op":"set","table":"rows","row":{"index":"a","kind":"search","share":50}}]`, "rows a search"},
 		{`[{"op":"remove","table":"bookings","row":{"id":"b1"}}]`, `[{"op":"remove","table":"bookings","row":{"id":"b1"}}]`, "bookings b1"},
@@ -19,8 +19,8 @@
 		{`[]`, `{`, ""},
 	}
 	for _, c := range cases {
-		now, found := Apply(base, []byte(c.meanwhile))
-		must.SliceEmpty(t, found, must.Sprint(c.meanwhile))
-		must.Eq(t, c.clash, findingPaths(Conflicts(base, now, []byte(c.mine))), must.Sprint(c))
+		now, found := Apply(base, []byte(c.concurrent))
+		must.SliceEmpty(t, found, must.Sprint(c.concurrent))
+		must.Eq(t, c.conflicts, findingPaths(Conflicts(base, now, []byte(c.edit))), must.Sprint(c))
 	}
 }
--- a/control/config/read.go
+++ b/control/config/read.go
@@ -94,24 +94,24 @@
 }
 
 // row decodes one row into a message, field by field.
-func (c *collector) row(path string, text []byte, into proto.Message) {
+func (c *collector) row(path string, text []byte, message proto.Message) {
 	members, ok := c.object(path, text)
 	if !ok {
 		return
 	}
 	for _, m := range members {
 		fieldPath := path + "." + m.name
-		if !hasField(into, m.name) {
+		if !hasField(message, m.name) {
 			c.add(fieldPath, "no such field")
 			continue
 		}
 		single, _ := json.Marshal(map[string]json.RawMessage{m.name: m.value})
-		field := into.ProtoReflect().New().Interface()
+		field := message.ProtoReflect().New().Interface()
 		if err := protojson.Unmarshal(single, field); err != nil {
 			c.add(fieldPath, "cannot take %s", abbreviate(m.value))
 			continue
 		}
-		proto.Merge(into, field)
+		proto.Merge(message, field)
 	}
 }
 
--- a/control/configsync/core_selection_test.go
+++ b/control/configsync/core_selection_test.go
@@ -71,14 +71,14 @@
 		p.known, p.liveAt[a], p.zones[a] = append(p.known, a), 5, zone
 	}
 	p.forgetExcess()
-	near := 0
+	local := 0
 	for _, a := range p.known {
 		if p.zones[a] == "z1" {
-			near++
+			local++
 		}
 	}
 	must.Len(t, maxKnownCores, p.known)
-	must.Eq(t, 10, near)
+	must.Eq(t, 10, local)
 }
 
 func TestForgetExcessDropsOldestCores(t *testing.T) {
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -50,9 +50,9 @@
 	settings settings.Settings
 	isCore   bool
 
-	// leaders are the leaders of the partitions as last heard of, and leaderHeardAt when that was.
-	leaders       [state.Partitions]wire.Leader
-	leaderHeardAt [state.Partitions]clock.Micros
+	// leaders are the leaders of the partitions as last heard of, and leaderReportedAt when that was.
+	leaders          [state.Partitions]wire.Leader
+	leaderReportedAt [state.Partitions]clock.Micros
 
 	// known are the addresses of cores that were live lately; liveAt is when each was last live.
 	known  []string
@@ -98,7 +98,7 @@
 
 // HearsLeader reports whether a core that this process reaches follows a leader of the partition.
 func (p *Sync) HearsLeader(partition int, now clock.Micros) bool {
-	return p.leaderHeardAt[partition] > 0 && now-p.leaderHeardAt[partition] < leaderTimeout
+	return p.leaderReportedAt[partition] > 0 && now-p.leaderReportedAt[partition] < leaderTimeout
 }
 
 // Step handles one input.
@@ -172,7 +172,7 @@
 	if partition < 0 || partition >= state.Partitions || leader.Addr == "" || leader.Term < p.leaders[partition].Term {
 		return
 	}
-	p.leaders[partition], p.leaderHeardAt[partition] = leader, now
+	p.leaders[partition], p.leaderReportedAt[partition] = leader, now
 }
 
 // versions returns the versions that this process has, by partition.
--- a/control/operations/operations.go
+++ b/control/operations/operations.go
@@ -129,7 +129,7 @@
 		c.answer = historyAnswer
 		c.command = Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: wire.OpHistory}}
 	case Submit:
-		if request.Edit.Op == wire.OpDrainZone && request.Edit.Name != "" && !s.knowsZone(request.Edit.Name, ctx.Now) {
+		if request.Edit.Op == wire.OpDrainZone && request.Edit.Name != "" && !s.zoneMayExist(request.Edit.Name, ctx.Now) {
 			ctx.Reply(v.ID, unknownZone(request.Edit.Name))
 			return
 		}
--- a/control/operations/partitioned_leader_test.go
+++ b/control/operations/partitioned_leader_test.go
@@ -16,8 +16,8 @@
 // partitionedLeader returns a core that was elected with the vote of "a" and has heard from nobody since.
 func partitionedLeader(t *testing.T) *node {
 	t.Helper()
-	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: []wire.Replica{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "me", Addr: "10.0.0.1:1"}}}
-	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
+	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: []wire.Replica{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "me", Addr: "10.0.0.1:1"}}}
+	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&bootstrap))}
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", DataDir: "disk"}, Role: "core", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32)), Files: files})
 	n := &node{t: t, k: k, now: 1 * clock.Second, answers: map[uint64]any{}}
 	n.step(kernel.Start{})
@@ -37,20 +37,20 @@
 
 // It neither accepts nor refuses and returns no configuration, so that the operator goes to another core within the second.
 func TestPartitionedLeaderAnswersWithinTimeout(t *testing.T) {
-	const within = 800 * clock.Millisecond
-	for _, since := range []clock.Micros{0, 500 * clock.Millisecond, 3 * clock.Second} {
+	const timeout = 800 * clock.Millisecond
+	for _, isolatedFor := range []clock.Micros{0, 500 * clock.Millisecond, 3 * clock.Second} {
 		n := partitionedLeader(t)
 		must.True(t, kernel.Find[*replica.Host](n.k).Leads(0))
-		for end := n.now + since; n.now < end; n.coreTick() {
+		for end := n.now + isolatedFor; n.now < end; n.coreTick() {
 			n.advance(replica.TickInterval)
 		}
-		n.call(1, Submit{Edit: wire.Edit{Op: "nonsense"}, AwaitInForce: true, Timeout: within})
-		n.call(2, Submit{Edit: wire.Edit{Op: wire.OpRestoreZone, Name: "z1"}, AwaitInForce: true, Timeout: within})
-		n.call(3, ReadRouting{Timeout: within})
-		for end := n.now + within; n.now < end; n.coreTick() {
+		n.call(1, Submit{Edit: wire.Edit{Op: "nonsense"}, AwaitInForce: true, Timeout: timeout})
+		n.call(2, Submit{Edit: wire.Edit{Op: wire.OpRestoreZone, Name: "z1"}, AwaitInForce: true, Timeout: timeout})
+		n.call(3, ReadRouting{Timeout: timeout})
+		for end := n.now + timeout; n.now < end; n.coreTick() {
 			n.advance(replica.TickInterval)
 		}
-		must.MapLen(t, 3, n.answers, must.Sprint("cut off for ", since))
+		must.MapLen(t, 3, n.answers, must.Sprint("cut off for ", isolatedFor))
 		must.SliceContains(t, []wire.Code{wire.CodeOverloaded, wire.CodeUnknown}, n.code(1))
 		must.SliceContains(t, []wire.Code{wire.CodeOverloaded, wire.CodeUnknown}, n.code(2))
 		must.Eq(t, Routing{Code: wire.CodeOverloaded}, n.answers[3].(Routing))
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -106,14 +106,14 @@
 		rebuild.newest, rebuild.newestReplica = reply.Stored.Version, reply.From
 	}
 	if rebuild.fetching && reply.From == rebuild.newestReplica && reply.Stored.Version == rebuild.newest {
-		rebuild.takeFetched(reply.Stored)
+		rebuild.recordFetched(reply.Stored)
 		s.endRebuildStep(ctx, id, rebuild)
 	}
 }
 
-// takeFetched takes the newest version that a core has stored. The mesh may have brought a newer one, but
+// recordFetched takes the newest version that a core has stored. The mesh may have brought a newer one, but
 // without an edit log.
-func (rebuild *rebuildState) takeFetched(stored wire.Versioned) {
+func (rebuild *rebuildState) recordFetched(stored wire.Versioned) {
 	rebuild.fetching, rebuild.fetched, rebuild.editLog = false, true, stored.EditLog
 	if mesh.Newer(stored.Version, rebuild.versioned.Version) {
 		rebuild.versioned = stored
--- a/control/operations/submit.go
+++ b/control/operations/submit.go
@@ -114,12 +114,12 @@
 	case wire.CodeUnknown:
 		// The edit id lets the next attempt learn what became of this one.
 	default:
-		s.decided(ctx, id, c, reply)
+		s.recordReply(ctx, id, c, reply)
 	}
 }
 
-// decided records the leader's final reply. The call ends here unless it waits for the nodes.
-func (s *Service) decided(ctx *kernel.Context, id uint64, c *call, reply wire.EditReply) {
+// recordReply records the leader's final reply. The call ends here unless it waits for the nodes.
+func (s *Service) recordReply(ctx *kernel.Context, id uint64, c *call, reply wire.EditReply) {
 	c.reply, c.repliedAt = &reply, ctx.Now
 	if reply.Code != wire.CodeOK || !c.command.AwaitInForce {
 		s.finish(ctx, id, c, Result{Reply: reply})
--- a/control/operations/zone_version_test.go
+++ b/control/operations/zone_version_test.go
@@ -50,7 +50,7 @@
 
 // A process that was frozen, or that received a reply late, sends nothing for a call whose caller has stopped waiting.
 func TestNoFrameIsSentForFinishedCall(t *testing.T) {
-	for name, over := range map[string]func(n *node){
+	for name, endCall := range map[string]func(n *node){
 		"old":       func(n *node) { n.now += 800 * clock.Millisecond },
 		"abandoned": func(n *node) { n.step(kernel.Canceled{Plugin: PluginName, ID: 1}) },
 	} {
@@ -58,7 +58,7 @@
 			n := newNode(t)
 			n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
 			read := n.lastFrame()
-			over(n)
+			endCall(n)
 			n.reply(read.id, zoneVersionReply(7))
 			must.Eq(t, wire.OpZoneVersion, n.lastFrame().edit.Op)
 
@@ -66,7 +66,7 @@
 			n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
 			n.reply(n.lastFrame().id, zoneVersionReply(7))
 			command := n.lastFrame()
-			over(n)
+			endCall(n)
 			sent := len(n.frames)
 			n.reply(command.id, wire.EditReply{Code: wire.CodeStale})
 			n.reply(command.id, wire.EditReply{Code: wire.CodeNotLeader, Addr: "other"})
--- a/control/operations/zones.go
+++ b/control/operations/zones.go
@@ -11,9 +11,9 @@
 // CodeUnknownZone refuses to drain a zone of which nothing is known. Nothing was sent.
 const CodeUnknownZone wire.Code = "unknown_zone"
 
-// knowsZone reports whether a zone may exist: the settings name it, a member or a listed backend is in it, or
+// zoneMayExist reports whether a zone may exist: the settings name it, a member or a listed backend is in it, or
 // this process has not received a complete list of backends yet and cannot tell.
-func (s *Service) knowsZone(zone string, now clock.Micros) bool {
+func (s *Service) zoneMayExist(zone string, now clock.Micros) bool {
 	if _, named := s.zoneRegions[zone]; named {
 		return true
 	}
--- a/control/routing/check.go
+++ b/control/routing/check.go
@@ -53,13 +53,13 @@
 	// pathOf maps a host and prefix to the path of their route.
 	pathOf := map[string]string{}
 	for i, route := range routes {
-		at := itemPath("routes", i, route.Name)
-		c.failIf(at, names[route.Name] && route.Name != "", "a route of that name is there already")
+		path := itemPath("routes", i, route.Name)
+		c.failIf(path, names[route.Name] && route.Name != "", "a route of that name is there already")
 		names[route.Name] = true
 		key := strings.ToLower(route.Host) + route.Prefix
-		c.failIf(at, pathOf[key] != "", "has the host and prefix of "+pathOf[key])
-		pathOf[key] = at
-		c.checkRoute(at, route)
+		c.failIf(path, pathOf[key] != "", "has the host and prefix of "+pathOf[key])
+		pathOf[key] = path
+		c.checkRoute(path, route)
 	}
 }
 
--- a/control/state/editlog.go
+++ b/control/state/editlog.go
@@ -57,8 +57,8 @@
 }
 
 // newest returns the last entries of a list, at most so many.
-func newest[T any](entries []T, most int) []T {
-	return entries[max(0, len(entries)-most):]
+func newest[T any](entries []T, limit int) []T {
+	return entries[max(0, len(entries)-limit):]
 }
 
 // boundHistory returns the newest configurations, within the bounds of their number and size.
--- a/control/state/editlog_test.go
+++ b/control/state/editlog_test.go
@@ -70,15 +70,15 @@
 	}
 	before := p.value
 	for _, repeat := range []struct {
-		name        string
-		first, then wire.EditReply
+		name               string
+		original, repeated wire.EditReply
 	}{
 		{"whole", first, p.applyRouting(putTable(0, 1))},
 		{"patch", patch, p.applyRouting(routePatch(1, 2, 5))},
 		{"edit id", drain, p.applyZone("empty", "z", "first")},
 	} {
-		must.Eq(t, "ok", repeat.then.Code, must.Sprint(repeat.name))
-		must.Eq(t, repeat.first.Version, repeat.then.Version, must.Sprint(repeat.name))
+		must.Eq(t, "ok", repeat.repeated.Code, must.Sprint(repeat.name))
+		must.Eq(t, repeat.original.Version, repeat.repeated.Version, must.Sprint(repeat.name))
 	}
 	must.Eq(t, "conflict", p.applyZone("refill", "z", "first").Code)
 	must.Eq(t, before, p.value, must.Sprint("a repeat changes nothing"))
@@ -88,16 +88,16 @@
 func TestRefusedEditIsValidatedAgain(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "ok", p.applyRouting(putTable(0, 1)).Code)
-	needs := func(base, revision int64) *routingpb.RoutingEdit {
+	routeToLatePool := func(base, revision int64) *routingpb.RoutingEdit {
 		return &routingpb.RoutingEdit{Base: base, Revision: revision, Upsert: &routingpb.RoutingTable{Routes: []*routingpb.Route{route("c", "/c/", "late")}}}
 	}
-	must.Eq(t, "invalid", p.applyRouting(needs(1, 9)).Code, must.Sprint("no such pool"))
+	must.Eq(t, "invalid", p.applyRouting(routeToLatePool(1, 9)).Code, must.Sprint("no such pool"))
 	ahead := routePatch(2, 10, 5)
 	must.Eq(t, "lost_race", p.applyRouting(ahead).Code, must.Sprint("based on what is not there yet"))
 	late := &routingpb.RoutingTable{Pools: []*routingpb.Pool{{Name: "late"}}}
 	must.Eq(t, "ok", p.applyRouting(&routingpb.RoutingEdit{Base: 1, Revision: 2, Upsert: late}).Code)
 	must.Eq(t, "ok", p.applyRouting(ahead).Code)
-	must.Eq(t, "ok", p.applyRouting(needs(10, 11)).Code)
+	must.Eq(t, "ok", p.applyRouting(routeToLatePool(10, 11)).Code)
 
 	refused := p.applyConfiguration(wire.Version{Term: 8, Seq: 8}, 100, "sheet")
 	must.Eq(t, "lost_race", refused.Code)
@@ -117,10 +117,10 @@
 	must.Eq(t, wire.CodeStale, p.apply(&late).Code)
 	must.Eq(t, []string{"other"}, p.drainedZones())
 
-	lateTable, lateItems := routePatch(1, 2, 5), routePatch(1, 3, 6)
+	firstLate, secondLate := routePatch(1, 2, 5), routePatch(1, 3, 6)
 	must.Eq(t, "ok", p.applyRouting(routePatch(1, 4, 7)).Code)
-	must.Eq(t, "lost_race", p.applyRouting(lateTable).Code)
-	must.Eq(t, "lost_race", p.applyRouting(lateItems).Code)
+	must.Eq(t, "lost_race", p.applyRouting(firstLate).Code)
+	must.Eq(t, "lost_race", p.applyRouting(secondLate).Code)
 	must.Eq(t, 7, p.routingTable().Routes[0].TimeoutUs)
 }
 
@@ -167,20 +167,20 @@
 	configuration, err := proto.Marshal(testTable())
 	must.NoError(t, err)
 	at := wire.Version{Term: 1, Seq: 4}
-	taken := wire.Edit{Op: "empty", Name: "z", EditID: "old"}
+	drain := wire.Edit{Op: "empty", Name: "z", EditID: "old"}
 	table := testTable()
 	table.Revision = 1
 	body, err := proto.Marshal(table)
 	must.NoError(t, err)
 	p := &configPartition{t: t, seq: 9, value: Value{Body: wire.Encode(&wire.ConfigBody{
 		DrainedZones: []string{"z"}, Routing: body, Config: configuration, ConfigVersion: at,
-		LegacyEdits:     []wire.LegacyEdit{{EditID: "old", Sum: legacyEditSum(&taken), Version: at}},
+		LegacyEdits:     []wire.LegacyEdit{{EditID: "old", Sum: legacyEditSum(&drain), Version: at}},
 		LegacyHistory:   []wire.PastConfig{{Version: at, By: "someone"}},
 		LegacyRevisions: []wire.LegacyRevision{{Number: 1, Sum: routing.LegacyDigest(putTable(0, 1)), Version: at}},
 	})}}
 	check := func() {
 		must.Eq(t, at, p.applyRouting(putTable(0, 1)).Version)
-		must.Eq(t, at, p.apply(&taken).Version)
+		must.Eq(t, at, p.apply(&drain).Version)
 		must.Eq(t, "conflict", p.apply(&wire.Edit{Op: "refill", Name: "z", EditID: "old"}).Code)
 		other := putTable(0, 1)
 		other.Whole.Routes[0].TimeoutUs = 2
--- a/control/state/limits.go
+++ b/control/state/limits.go
@@ -51,10 +51,10 @@
 	return wire.EditReply{}, false
 }
 
-func exceeds(before, after []byte, most int) bool {
-	return len(after) > most && len(after) >= len(before)
+func exceeds(before, after []byte, limit int) bool {
+	return len(after) > limit && len(after) >= len(before)
 }
 
-func refuseSize(subject string, size, most int) wire.EditReply {
-	return invalidEdit(subject, fmt.Sprintf("would be %d bytes large with this order; the most is %d", size, most))
+func refuseSize(subject string, size, limit int) wire.EditReply {
+	return invalidEdit(subject, fmt.Sprintf("would be %d bytes large with this order; the most is %d", size, limit))
 }
--- a/control/state/routing_test.go
+++ b/control/state/routing_test.go
@@ -96,7 +96,7 @@
 }
 
 func TestInvalidRoutingTablesAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*routingpb.RoutingTable, *routingpb.Route){
+	for name, invalidate := range map[string]func(*routingpb.RoutingTable, *routingpb.Route){
 		"unknown pool":           func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "x" },
 		"unknown weighted pool":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0, "x", 0.0) },
 		"unknown gathered pool":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "x") },
@@ -130,7 +130,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := &configPartition{t: t}
 			e := putTable(0, 1)
-			spoil(e.Whole, e.Whole.Routes[0])
+			invalidate(e.Whole, e.Whole.Routes[0])
 			r := p.applyRouting(e)
 			must.Eq(t, "invalid", r.Code)
 			must.Len(t, 1, r.Findings)
