--- a/control/state/config.go
+++ b/control/state/config.go
@@ -11,10 +11,10 @@
 	"wallport/runtime/wire"
 )
 
-// configMachine is the body of the configuration partition.
+// configMachine applies edits to the body of the configuration partition.
 type configMachine struct{ body wire.ConfigBody }
 
-// ReadConfig decodes the body of the configuration partition; nil is the empty body.
+// ReadConfig decodes the body of the configuration partition; nil decodes to an empty body.
 func ReadConfig(encoded []byte) (wire.ConfigBody, error) {
 	var body wire.ConfigBody
 	if len(encoded) == 0 {
@@ -24,8 +24,8 @@
 	return body, err
 }
 
-// ConfigurationOf decodes the operators' configuration in a body. It is empty where there is none, or
-// none that can be decoded.
+// ConfigurationOf decodes the operators' configuration in a body. It returns an empty configuration if
+// there is none or if it cannot be decoded.
 func ConfigurationOf(body wire.ConfigBody) *configpb.Sheet { return decodeConfiguration(body.Config) }
 
 func decodeConfiguration(encoded []byte) *configpb.Sheet {
@@ -55,8 +55,9 @@
 	return reply, reply.Code == wire.CodeOK
 }
 
-// editConfiguration puts another configuration in force. An edit names the version of the configuration
-// it is based on: of two that race, only the first is applied.
+// editConfiguration validates an edit of the configuration and puts the result in force. The edit names the
+// configuration version that it is based on. Of two concurrent edits with the same base only the first is
+// applied, unless the second edits other rows (checkBase).
 func editConfiguration(body *wire.ConfigBody, editLog *wire.EditLog, next wire.Version, edit *wire.Edit) wire.EditReply {
 	if edit.Base != body.ConfigVersion {
 		if reply, lost := checkBase(body, editLog, edit); lost {
@@ -92,8 +93,8 @@
 	return wire.EditReply{Code: wire.CodeOK}
 }
 
-// checkBase reports whether an edit that is based on another configuration than the one in force has lost
-// the race. An edit of single rows is still valid if none of its rows has changed since its base.
+// checkBase reports whether an edit whose base is not the configuration in force loses the race. An edit of
+// single rows is still valid if its base is in the history and none of its rows has changed since.
 func checkBase(body *wire.ConfigBody, editLog *wire.EditLog, edit *wire.Edit) (reply wire.EditReply, lost bool) {
 	reply = wire.EditReply{Code: wire.CodeLostRace, Version: body.ConfigVersion}
 	i := slices.IndexFunc(editLog.History, func(past wire.PastConfig) bool { return past.Version == edit.Base })
@@ -105,7 +106,7 @@
 	return reply, len(reply.Findings) > 0
 }
 
-// tickConfig starts and ends bookings by the leader's corrected clock.
+// tickConfig updates the active bookings according to the leader's corrected clock.
 func tickConfig(encoded []byte, _ wire.Version, wallTime clock.Micros, _ map[string]string) ([]byte, bool) {
 	body, err := ReadConfig(encoded)
 	if err != nil || len(body.Config) == 0 {
--- a/control/state/editlog.go
+++ b/control/state/editlog.go
@@ -13,19 +13,19 @@
 	"wallport/runtime/wire"
 )
 
-// Bounds of an edit log, in entries. A day of the largest deployments has 530 edits.
+// Bounds of an edit log, in entries. The largest deployments have 530 edits a day.
 const (
 	maxRoutingEdits = 2048
 	maxEdits        = 2048
 	maxHistory      = 32
-	// maxHistoryBytes bounds the configurations of the history together; the one in force always stays.
+	// maxHistoryBytes bounds the total size of the configurations in the history. The one in force is always kept.
 	maxHistoryBytes = 256 << 10
 )
 
-// legacyDigestBytes is the size of the digests that releases before 3 made.
+// legacyDigestBytes is the size of the digests that releases before 3 recorded.
 const legacyDigestBytes = 8
 
-// ReadEditLog decodes an edit log; nil is the empty one.
+// ReadEditLog decodes an edit log; nil decodes to an empty one.
 func ReadEditLog(encoded []byte) (wire.EditLog, error) {
 	var editLog wire.EditLog
 	if len(encoded) == 0 {
@@ -35,7 +35,7 @@
 	return editLog, err
 }
 
-// migrateEdits moves the edits that a body of a release before 3 remembers to the edit log.
+// migrateEdits adds the edits that a release before 3 recorded in the body to the edit log, as the oldest ones.
 func migrateEdits(editLog *wire.EditLog, legacy []wire.LegacyEdit) {
 	var edits []wire.AppliedEdit
 	for _, edit := range legacy {
@@ -44,7 +44,8 @@
 	editLog.Edits = newest(append(edits, editLog.Edits...), maxEdits)
 }
 
-// migrateConfig moves all that a configuration body of a release before 3 remembers to the edit log.
+// migrateConfig moves the edits, routing edits and earlier configurations that a release before 3 recorded in
+// the configuration body to the edit log.
 func migrateConfig(editLog *wire.EditLog, body *wire.ConfigBody) {
 	migrateEdits(editLog, body.LegacyEdits)
 	var edits []wire.RoutingEdit
@@ -56,12 +57,13 @@
 	body.LegacyEdits, body.LegacyRevisions, body.LegacyHistory = nil, nil, nil
 }
 
-// newest returns the last entries of a list, at most so many.
+// newest returns the last limit entries of a list, or all of them if there are fewer.
 func newest[T any](entries []T, limit int) []T {
 	return entries[max(0, len(entries)-limit):]
 }
 
-// boundHistory returns the newest configurations, within the bounds of their number and size.
+// boundHistory returns the newest entries of a history, within maxHistory and maxHistoryBytes. The last entry is
+// always kept.
 func boundHistory(history []wire.PastConfig) []wire.PastConfig {
 	history = newest(history, maxHistory)
 	size := 0
@@ -74,7 +76,7 @@
 	return history
 }
 
-// findRoutingEdit returns the version that applied exactly this edit of the routing table.
+// findRoutingEdit returns the version in which an identical edit of the routing table was applied, if any.
 func findRoutingEdit(editLog *wire.EditLog, edit *routingpb.RoutingEdit) (wire.Version, bool) {
 	digest := routing.Digest(edit)
 	legacy := legacyDigest(routing.LegacyDigest(edit))
@@ -96,8 +98,9 @@
 	editLog.RoutingEdits = newest(append(editLog.RoutingEdits, applied), maxRoutingEdits)
 }
 
-// findRepeatedEdit replies to an edit whose id was used before: with the version that applied it, or with a
-// conflict where the id stands for another edit. An edit without an id is never a repeat.
+// findRepeatedEdit looks up an edit's id among the applied edits. If the id was used, it returns the reply:
+// wire.CodeOK with the version in which the edit was applied, or wire.CodeConflict if the id belongs to a
+// different edit. An edit without an id never counts as repeated.
 func findRepeatedEdit(editLog *wire.EditLog, edit *wire.Edit) (reply wire.EditReply, repeated bool) {
 	if edit.EditID == "" {
 		return wire.EditReply{}, false
@@ -126,8 +129,8 @@
 	editLog.Edits = newest(append(editLog.Edits, applied), maxEdits)
 }
 
-// editDigest returns the digest of what an edit does. The base is left out: it may differ from one
-// attempt to the next.
+// editDigest returns the digest of an edit's operation, name and body. The base is left out, because it may
+// differ from one attempt to the next.
 func editDigest(edit *wire.Edit) []byte {
 	h := sha256.New()
 	for _, text := range []string{edit.Op, edit.Name} {
@@ -137,7 +140,7 @@
 	return h.Sum(nil)
 }
 
-// legacyEditSum returns the digest by which releases before 3 remembered an edit.
+// legacyEditSum returns the digest by which releases before 3 identified an edit.
 func legacyEditSum(edit *wire.Edit) uint64 {
 	h := fnv.New64a()
 	for _, text := range []string{edit.Op, edit.Name} {
--- a/control/state/editlog_test.go
+++ b/control/state/editlog_test.go
@@ -20,14 +20,14 @@
 	return p.apply(&wire.Edit{Op: "put", Strict: true, Base: base, Body: fmt.Appendf(nil, configurationText, capacity), EditID: id})
 }
 
-// routePatch returns an edit that changes one route, based on a revision.
+// routePatch returns an edit, based on revision base, that sets the time-out of one route.
 func routePatch(base, revision, timeout int64) *routingpb.RoutingEdit {
 	r := route("a", "/a/", "p")
 	r.TimeoutUs = timeout
 	return &routingpb.RoutingEdit{Base: base, Revision: revision, Upsert: &routingpb.RoutingTable{Routes: []*routingpb.Route{r}}}
 }
 
-// Of every pair of different edits with one revision the first is applied, and the other one never is.
+// For every pair of different edits that set the same revision, the first is applied and the second is refused.
 func TestRoutingRevisionIsAppliedOnce(t *testing.T) {
 	other := putTable(1, 7)
 	other.Whole.Routes[0].TimeoutUs = 9
@@ -51,7 +51,7 @@
 	}
 }
 
-// An edit that is based on the revision which it has itself is refused: it is not above the current one.
+// An edit whose revision equals its base is refused, because revisions must increase.
 func TestRoutingEditMustRaiseTheRevisionItIsBasedOn(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "ok", p.applyRouting(putTable(0, 7)).Code)
@@ -81,10 +81,10 @@
 		must.Eq(t, repeat.original.Version, repeat.repeated.Version, must.Sprint(repeat.name))
 	}
 	must.Eq(t, "conflict", p.applyZone("refill", "z", "first").Code)
-	must.Eq(t, before, p.value, must.Sprint("a repeat changes nothing"))
+	must.Eq(t, before, p.value, must.Sprint("a repeated edit changes nothing"))
 }
 
-// A refusal is not remembered: an edit that is sent again is validated against what is in force then.
+// Refusals are not recorded: a refused edit that is sent again is validated against the state in force at that time.
 func TestRefusedEditIsValidatedAgain(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "ok", p.applyRouting(putTable(0, 1)).Code)
@@ -93,7 +93,7 @@
 	}
 	must.Eq(t, "invalid", p.applyRouting(routeToLatePool(1, 9)).Code, must.Sprint("no such pool"))
 	ahead := routePatch(2, 10, 5)
-	must.Eq(t, "lost_race", p.applyRouting(ahead).Code, must.Sprint("based on what is not there yet"))
+	must.Eq(t, "lost_race", p.applyRouting(ahead).Code, must.Sprint("based on a revision that does not exist yet"))
 	late := &routingpb.RoutingTable{Pools: []*routingpb.Pool{{Name: "late"}}}
 	must.Eq(t, "ok", p.applyRouting(&routingpb.RoutingEdit{Base: 1, Revision: 2, Upsert: late}).Code)
 	must.Eq(t, "ok", p.applyRouting(ahead).Code)
@@ -101,16 +101,16 @@
 
 	refused := p.applyConfiguration(wire.Version{Term: 8, Seq: 8}, 100, "sheet")
 	must.Eq(t, "lost_race", refused.Code)
-	must.Eq(t, "ok", p.applyConfiguration(wire.Version{}, 100, "sheet").Code, must.Sprint("the same id, sent again on the right base"))
+	must.Eq(t, "ok", p.applyConfiguration(wire.Version{}, 100, "sheet").Code, must.Sprint("the same id, sent again with the current base"))
 }
 
-// Edits that a network partition delayed while others were applied.
+// An edit that a network partition delays until newer edits have been applied must not take effect.
 func TestLateEditIsStale(t *testing.T) {
 	p := &configPartition{t: t}
 	must.Eq(t, "ok", p.applyRouting(putTable(0, 1)).Code)
 	base := p.zoneVersion("z")
 	late := wire.Edit{Op: "empty", Name: "z", EditID: "late", Base: base}
-	must.Eq(t, "ok", p.applyZone("refill", "z", "newer").Code, must.Sprint("it changes nothing and is acknowledged"))
+	must.Eq(t, "ok", p.applyZone("refill", "z", "newer").Code, must.Sprint("acknowledged although it changes nothing"))
 	must.Eq(t, wire.CodeStale, p.apply(&late).Code)
 	must.SliceEmpty(t, p.drainedZones())
 	must.Eq(t, "ok", p.applyZone("empty", "other", "of another zone").Code)
@@ -124,7 +124,7 @@
 	must.Eq(t, 7, p.routingTable().Routes[0].TimeoutUs)
 }
 
-// A late duplicate of an applied edit is acknowledged, and changes nothing.
+// A delayed duplicate of an applied edit is acknowledged but changes nothing.
 func TestLateDuplicateOfAppliedEditChangesNothing(t *testing.T) {
 	p := &configPartition{t: t}
 	edit := wire.Edit{Op: "empty", Name: "z", EditID: "one", Base: p.zoneVersion("z")}
@@ -134,7 +134,7 @@
 	must.SliceEmpty(t, p.drainedZones())
 }
 
-// Zones that are no longer listed share a version, the floor, that is not before any edit of them.
+// Zones that are no longer listed share one version, the floor, which is not older than any edit of them.
 func TestLateEditOfZoneBelowTheFloorIsStale(t *testing.T) {
 	p := &configPartition{t: t}
 	late := wire.Edit{Op: "empty", Name: "z", EditID: "late", Base: p.zoneVersion("z")}
@@ -162,7 +162,7 @@
 	must.Eq(t, "ok", p.applyZone("empty", "zone-0", "bad").Code, must.Sprint("the next edit is applied"))
 }
 
-// A body as releases before 3 wrote it: the edits that it remembers stay known.
+// Edits that a release before 3 recorded in the body are still recognized after the migration.
 func TestBodyOfEarlierReleaseIsMigrated(t *testing.T) {
 	configuration, err := proto.Marshal(testTable())
 	must.NoError(t, err)
@@ -197,7 +197,7 @@
 	must.True(t, c.LegacyEdits == nil && c.LegacyHistory == nil && c.LegacyRevisions == nil, must.Sprint("moved to the edit log"))
 }
 
-// The body has the size of what is in force, however many edits there were; the edit log is bounded.
+// The size of the body depends on the state in force, not on the number of edits, and the edit log is bounded.
 func TestValueStaysBoundedAfterThousandsOfEdits(t *testing.T) {
 	edit := putTable(0, 1)
 	for i := range 10 {
@@ -227,7 +227,7 @@
 	for i := range 5 {
 		history = boundHistory(append(history, wire.PastConfig{Version: wire.Version{Seq: uint64(i)}, Config: big}))
 		must.Len(t, 1, history)
-		must.Eq(t, uint64(i), history[0].Version.Seq, must.Sprint("the one in force stays"))
+		must.Eq(t, uint64(i), history[0].Version.Seq, must.Sprint("the configuration in force is kept"))
 	}
 	for i := range maxHistory + 3 {
 		history = boundHistory(append(history, wire.PastConfig{Version: wire.Version{Seq: uint64(i)}}))
--- a/control/state/golden_test.go
+++ b/control/state/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// An index stays in the partition in which its data is stored.
+// An index must map to the same partition in every release, because its data is stored there.
 func TestPartitionOfMatchesEarlierReleases(t *testing.T) {
 	must.Eq(t, 5, Partitions)
 	must.Eq(t, 0, ConfigPartition)
--- a/control/state/harness_test.go
+++ b/control/state/harness_test.go
@@ -10,14 +10,13 @@
 	"wallport/runtime/wire"
 )
 
-// configPartition is the configuration partition under test. It applies edits one by one, as a leader does.
+// configPartition is the configuration partition under test. It applies edits one at a time, like a leader.
 type configPartition struct {
 	t     *testing.T
 	value Value
 	seq   uint64
 }
 
-// applyRouting applies an edit of the routing table.
 func (p *configPartition) applyRouting(e *routingpb.RoutingEdit) wire.EditReply {
 	p.t.Helper()
 	body, err := proto.Marshal(e)
@@ -42,7 +41,7 @@
 	return editLog
 }
 
-// applyZone applies an edit of a zone, bound to the version that was in force just before, as a core does.
+// applyZone applies an edit of a zone. Like a core, it sets the base to the zone's current version.
 func (p *configPartition) applyZone(op, zone, id string) wire.EditReply {
 	p.t.Helper()
 	return p.apply(&wire.Edit{Op: op, Name: zone, EditID: id, Base: p.zoneVersion(zone)})
--- a/control/state/index.go
+++ b/control/state/index.go
@@ -7,11 +7,11 @@
 	"wallport/runtime/wire"
 )
 
-// indexMachine is the body of a partition of indexes: the shard map of each index, the one it is being
-// moved to, and the holder of each singleton task's lease.
+// indexMachine applies edits to the body of an index partition: the shard map of each index, the shard map that
+// the index is being moved to, and the holder of each singleton task's lease.
 type indexMachine struct{ body wire.IndexBody }
 
-// ReadIndex decodes the body of a partition of indexes; nil is the empty body. The maps of the result are
+// ReadIndex decodes the body of an index partition; nil decodes to an empty body. The maps of the result are
 // never nil.
 func ReadIndex(encoded []byte) (wire.IndexBody, error) {
 	var body wire.IndexBody
@@ -48,8 +48,8 @@
 	return reply, reply.Code == wire.CodeOK
 }
 
-// startResharding begins to move an index to another shard map. The first shard map of an index is in
-// force at once, and naming the one in force cancels a move.
+// startResharding starts moving an index to another shard map. The first shard map of an index is put in force
+// immediately, and an edit that names the shard map in force cancels a move.
 func startResharding(body *wire.IndexBody, edit *wire.Edit) wire.EditReply {
 	var target wire.ShardMap
 	if wire.Decode(edit.Body, &target) != nil || target.Next == "" || target.NextShards < 1 {
@@ -70,8 +70,8 @@
 	return wire.EditReply{Code: wire.CodeOK}
 }
 
-// switchShardMap puts the next shard map of an index in force, if the move is still the one that the edit
-// names: a second switch, or a late one, loses.
+// switchShardMap puts the next shard map of an index in force if the current move is the one that the edit
+// names. A repeated or delayed switch is refused with wire.CodeLostRace.
 func switchShardMap(body *wire.IndexBody, edit *wire.Edit) wire.EditReply {
 	var expected wire.ShardMap
 	live := body.ShardMaps[edit.Name]
@@ -82,7 +82,7 @@
 	return wire.EditReply{Code: wire.CodeOK}
 }
 
-// tickIndex records the lease holders once one of them changed. The lease id grows with each change.
+// tickIndex records the lease holders when one of them has changed. Each change increments the lease id of that task.
 func tickIndex(encoded []byte, _ wire.Version, _ clock.Micros, leaseHolders map[string]string) ([]byte, bool) {
 	body, err := ReadIndex(encoded)
 	if err != nil {
--- a/control/state/limits.go
+++ b/control/state/limits.go
@@ -6,16 +6,17 @@
 	"wallport/runtime/wire"
 )
 
-// Bounds of a partition's body and edit log, in bytes. A replica keeps three versions of each partition
-// on its disk, and a fourth while that is written: 4 × (4 + 1.5 + 4 × 0.9) MiB are 38.2 MB of the
-// 64 MB that a disk has. A node holds the configuration encoded, decoded and compiled; with 4 MiB these
-// copies still fit into its memory.
+// Bounds of a partition's body and edit log, in bytes. A replica stores three versions of each partition
+// on its disk, and a fourth one while it is being written: 4 × (4 + 1.5 + 4 × 0.9) MiB = 38.2 MB of a
+// 64 MB disk. A node holds the configuration in encoded, decoded and compiled form; with a bound of 4 MiB
+// these copies fit into its memory.
 const (
 	MaxConfigBody    = 4 << 20
 	MaxConfigEditLog = 3 << 19
 	MaxIndexBody     = 512 << 10
 	MaxIndexEditLog  = 384 << 10
-	// TickAllowance is how much a TickFunc may add beyond that: the active bookings, the lease holders.
+	// TickAllowance is how many bytes a TickFunc may add beyond these bounds, for the active bookings and the
+	// lease holders.
 	TickAllowance = 128 << 10
 )
 
@@ -35,8 +36,8 @@
 	return MaxIndexEditLog
 }
 
-// TooLarge reports whether an edit makes a partition's value larger than its bounds, and returns the reply
-// that refuses it. An edit that makes a value smaller is always accepted.
+// TooLarge reports whether an edit makes the body or the edit log of a partition exceed its bound, and returns
+// the reply that refuses the edit. A part that exceeds its bound may shrink, but not grow or keep its size.
 func TooLarge(partition int, before, after Value) (refusal wire.EditReply, tooLarge bool) {
 	subject := "configuration"
 	if partition != ConfigPartition {
@@ -56,5 +57,5 @@
 }
 
 func refuseSize(subject string, size, limit int) wire.EditReply {
-	return invalidEdit(subject, fmt.Sprintf("would be %d bytes large with this order; the most is %d", size, limit))
+	return invalidEdit(subject, fmt.Sprintf("would be %d bytes with this edit; the limit is %d", size, limit))
 }
--- a/control/state/read.go
+++ b/control/state/read.go
@@ -2,12 +2,12 @@
 
 import "wallport/runtime/wire"
 
-// IsRead reports whether an operation of an edit only reads.
+// IsRead reports whether op is a read operation.
 func IsRead(op string) bool {
 	return op == wire.OpRead || op == wire.OpHistory || op == wire.OpZoneVersion
 }
 
-// AnswerRead answers a reading operation from a committed version. The caller confirms first that the
+// AnswerRead replies to a read operation from a committed version. The caller must first confirm that the
 // version is still the newest.
 func AnswerRead(committed wire.Versioned, read *wire.Edit) wire.EditReply {
 	if read.Op == wire.OpRead {
--- a/control/state/routing.go
+++ b/control/state/routing.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-// RoutingOf decodes the routing table in a configuration body. It is nil where there is none.
+// RoutingOf decodes the routing table in a configuration body. It returns nil if there is none.
 func RoutingOf(body wire.ConfigBody) (*routingpb.RoutingTable, error) {
 	if len(body.Routing) == 0 {
 		return nil, nil
@@ -22,9 +22,9 @@
 	return table, nil
 }
 
-// editRouting applies an edit of the routing table. It names the revision that it is based on: of two
-// edits of one revision only the first is applied, and exactly the edit that was applied before is
-// acknowledged again.
+// editRouting applies an edit of the routing table. The edit names the revision that it is based on. Of two
+// edits based on the same revision only the first is applied. A repetition of an applied edit is acknowledged
+// again.
 func editRouting(body *wire.ConfigBody, editLog *wire.EditLog, next wire.Version, edit *wire.Edit) (reply wire.EditReply, applied bool) {
 	e := new(routingpb.RoutingEdit)
 	if err := proto.Unmarshal(edit.Body, e); err != nil {
@@ -53,8 +53,8 @@
 	return wire.EditReply{Code: wire.CodeOK}, true
 }
 
-// replyToOtherBase replies to an edit that is not based on the revision in force. Exactly this edit may
-// have been applied before; otherwise it lost the race.
+// replyToOtherBase replies to an edit that is not based on the revision in force. If an identical edit was
+// applied before, the reply acknowledges it; otherwise the edit lost the race.
 func replyToOtherBase(editLog *wire.EditLog, e *routingpb.RoutingEdit, current int64) wire.EditReply {
 	if version, applied := findRoutingEdit(editLog, e); applied {
 		return wire.EditReply{Code: wire.CodeOK, Version: version}
--- a/control/state/routing_test.go
+++ b/control/state/routing_test.go
@@ -34,12 +34,12 @@
 	must.Eq(t, "{a}", string(p.routingTable().Routes[0].Source))
 	must.Eq(t, "ok", p.applyRouting(putTable(3, 9)).Code)
 	again := p.applyRouting(putTable(0, 3))
-	must.Eq(t, "ok", again.Code, must.Sprint("exactly this was applied before"))
+	must.Eq(t, "ok", again.Code, must.Sprint("an identical edit was applied before"))
 	must.Eq(t, r.Version, again.Version)
 	must.Eq(t, 9, p.routingTable().Revision)
 	other := putTable(0, 3)
 	other.Whole.Routes[0].TimeoutUs = 2
-	must.Eq(t, "lost_race", p.applyRouting(other).Code, must.Sprint("another edit of the same numbers"))
+	must.Eq(t, "lost_race", p.applyRouting(other).Code, must.Sprint("a different edit with the same base and revision"))
 	must.Eq(t, "lost_race", p.applyRouting(putTable(1, 3)).Code)
 }
 
@@ -79,9 +79,9 @@
 	must.Eq(t, "{r}", string(got.Pools[1].Source))
 	must.Eq(t, "{p}", string(got.Pools[0].Source))
 	r = p.applyRouting(&routingpb.RoutingEdit{Base: 2, Revision: 3, WithdrawPools: []string{"p"}})
-	must.Eq(t, "ok", r.Code, must.Sprint("no route names it any more"))
+	must.Eq(t, "ok", r.Code, must.Sprint("no route refers to the pool any more"))
 	r = p.applyRouting(&routingpb.RoutingEdit{Base: 3, Revision: 4, WithdrawPools: []string{"r"}})
-	must.Eq(t, "invalid", r.Code, must.Sprint("the whole is checked after the change"))
+	must.Eq(t, "invalid", r.Code, must.Sprint("the resulting table is checked as a whole"))
 	must.Len(t, 2, r.Findings)
 	must.Eq(t, "ok", p.applyRouting(&routingpb.RoutingEdit{Base: 3, Revision: 4, Upsert: &routingpb.RoutingTable{Limits: &routingpb.Limits{MaxBodyBytes: 7}}}).Code)
 	must.Eq(t, 7, p.routingTable().Limits.MaxBodyBytes)
@@ -185,7 +185,7 @@
 		must.Eq(t, "ok", p.applyZone("empty", "z", id).Code)
 	}
 	must.Eq(t, "ok", p.applyZone("refill", "z", "three").Code)
-	must.Eq(t, "ok", p.applyZone("empty", "z", "two").Code, must.Sprint("an old repeat"))
+	must.Eq(t, "ok", p.applyZone("empty", "z", "two").Code, must.Sprint("a repetition of an older edit"))
 	must.SliceEmpty(t, p.drainedZones())
 	must.Eq(t, 1, p.routingTable().Revision)
 }
--- a/control/state/state.go
+++ b/control/state/state.go
@@ -13,8 +13,8 @@
 // ConfigPartition is the partition that holds the configuration; all others hold indexes.
 const ConfigPartition = 0
 
-// PartitionOf returns the partition that holds an index or another named service. It must not change
-// between releases: the data is stored under it.
+// PartitionOf returns the partition that holds an index or another named service. The mapping must not
+// change between releases, because stored data is located by it.
 func PartitionOf(name string) int {
 	h := fnv.New32a()
 	h.Write([]byte(name))
@@ -25,19 +25,19 @@
 // and the encoded edit log, which only the replicas keep.
 type Value struct{ Body, EditLog []byte }
 
-// ApplyFunc validates an edit against a partition's value and applies it. It returns the value after it,
-// which is the value itself unless applied is true. The reply of a repeated edit has wire.CodeOK and the
-// version that applied it first, with applied false. next is the version that the outcome will have.
+// ApplyFunc validates an edit against a partition's value and applies it. next is the version of the resulting
+// value. If applied is false, after is the unchanged value. A repeated edit is not applied again: its reply
+// has wire.CodeOK and the version in which the edit was first applied.
 type ApplyFunc func(value Value, next wire.Version, edit *wire.Edit) (after Value, reply wire.EditReply, applied bool)
 
-// TickFunc changes a body because time passed or leases changed hands. wallTime is the leader's corrected
-// time since the Unix epoch, and leaseHolders names the node that holds each singleton task's lease.
-// changed reports whether there is a new body to propose.
+// TickFunc updates a body when time has passed or a lease has a new holder. wallTime is the leader's corrected
+// time since the Unix epoch, and leaseHolders maps each singleton task to the node that holds its lease.
+// changed reports whether after is a new body to propose.
 type TickFunc func(body []byte, next wire.Version, wallTime clock.Micros, leaseHolders map[string]string) (after []byte, changed bool)
 
 // machine is the decoded body of a partition.
 type machine interface {
-	// migrate moves what releases before 3 kept in the body to the edit log.
+	// migrate moves the edits and earlier configurations that releases before 3 kept in the body to the edit log.
 	migrate(editLog *wire.EditLog)
 	// apply validates and applies an edit whose id is not in the edit log yet.
 	apply(edit *wire.Edit, editLog *wire.EditLog, next wire.Version) (reply wire.EditReply, applied bool)
@@ -52,7 +52,7 @@
 	return applyIndexEdit
 }
 
-// TickFuncOf returns the function that follows time in a partition.
+// TickFuncOf returns the function that updates a partition as time passes.
 func TickFuncOf(partition int) TickFunc {
 	if partition == ConfigPartition {
 		return tickConfig
@@ -70,7 +70,7 @@
 	return applyEdit(&indexMachine{body}, err, value, next, edit)
 }
 
-// applyEdit applies an edit to a decoded body. bodyErr is the error that decoding it returned.
+// applyEdit applies an edit to a decoded body. bodyErr is the error that decoding the body returned.
 func applyEdit(body machine, bodyErr error, value Value, next wire.Version, edit *wire.Edit) (Value, wire.EditReply, bool) {
 	if bodyErr != nil {
 		return value, invalidEdit("body", "the part's body cannot be read: "+bodyErr.Error()), false
@@ -87,7 +87,7 @@
 	if !applied {
 		return value, reply, false
 	}
-	// A routing edit is known again by its digest, which covers its base and revision (editRouting).
+	// A repeated routing edit is recognized by its digest, which covers its base and revision (editRouting).
 	if edit.Op != wire.OpPutRouting {
 		recordEdit(&editLog, edit, next)
 	}
--- a/control/state/zones.go
+++ b/control/state/zones.go
@@ -10,16 +10,15 @@
 	"wallport/runtime/wire"
 )
 
-// Bounds of what edits of zones may leave behind.
+// Bounds of the state that edits of zones create.
 const (
 	maxZoneNameBytes = 128
 	maxDrainedZones  = 128
 	maxZoneVersions  = 256
 )
 
-// editZone drains a zone or restores it. The edit is bound to the version that last took one about that
-// zone, as it was read after the operator's request arrived: a late duplicate is bound to an older version
-// and is stale.
+// editZone drains or restores a zone. The base of the edit is the version of the last edit of that zone, read
+// after the operator's request arrived. A delayed duplicate therefore has an older base and is refused as stale.
 func editZone(body *wire.ConfigBody, editLog *wire.EditLog, next wire.Version, edit *wire.Edit) wire.EditReply {
 	draining := edit.Op == wire.OpDrainZone
 	if found := checkZone(body, edit.Name, draining); len(found) > 0 {
@@ -34,12 +33,12 @@
 		body.DrainedZones = append(body.DrainedZones, edit.Name)
 		slices.Sort(body.DrainedZones)
 	}
-	// An edit that changes nothing is acknowledged as well: from then on, whatever was sent before it is stale.
+	// An edit that changes nothing is recorded too, so that earlier edits of the zone that arrive later are stale.
 	setZoneVersion(editLog, edit.Name, next)
 	return wire.EditReply{Code: wire.CodeOK}
 }
 
-// checkZone lists what makes an edit of a zone invalid.
+// checkZone returns a finding if an edit of a zone is invalid, otherwise nil.
 func checkZone(body *wire.ConfigBody, zone string, draining bool) []wire.Finding {
 	var text string
 	switch {
@@ -48,7 +47,7 @@
 	case len(zone) > maxZoneNameBytes:
 		text = fmt.Sprintf("is longer than %d bytes", maxZoneNameBytes)
 	case !utf8.ValidString(zone) || strings.ContainsFunc(zone, unicode.IsControl):
-		text = "is not a name in plain text"
+		text = "must be valid UTF-8 without control characters"
 	case draining && len(body.DrainedZones) >= maxDrainedZones && !slices.Contains(body.DrainedZones, zone):
 		text = fmt.Sprintf("%d zones are drained already", maxDrainedZones)
 	default:
@@ -57,7 +56,7 @@
 	return []wire.Finding{{Path: "zone", Text: text}}
 }
 
-// zoneVersion returns the version that last took an edit of a zone.
+// zoneVersion returns the version of the last edit of a zone, or the floor if the zone is not listed.
 func zoneVersion(editLog *wire.EditLog, zone string) wire.Version {
 	for _, v := range editLog.Zones {
 		if v.Zone == zone {
@@ -67,9 +66,9 @@
 	return editLog.ZoneFloor
 }
 
-// setZoneVersion records the version of an edit of a zone. The version of the oldest zone that no longer
-// fits becomes the floor, which is the version of every zone that is not listed: an edit bound to what
-// was before stays stale.
+// setZoneVersion records the version of an edit of a zone. Only the maxZoneVersions last edited zones are listed.
+// The version of a zone that drops off the list becomes the floor, which counts as the version of every zone
+// that is not listed, so that an edit with an older base remains stale.
 func setZoneVersion(editLog *wire.EditLog, zone string, version wire.Version) {
 	zones := slices.DeleteFunc(slices.Clone(editLog.Zones), func(v wire.ZoneVersion) bool { return v.Zone == zone })
 	zones = append(zones, wire.ZoneVersion{Zone: zone, Term: version.Term, Seq: version.Seq})
