--- a/control/configsync/confirmation.go
+++ b/control/configsync/confirmation.go
@@ -11,46 +11,47 @@
 
 // Bounds of the wait for confirmed state.
 const (
-	// UnconfirmedTimeout is how long a process that has just started waits, counted from when it first has
-	// state to serve, for a core in contact with a majority. There may be none: a majority's disks may be lost.
+	// UnconfirmedTimeout is how long a process that has just started waits for a core in contact with a majority,
+	// counted from when it first has state to serve. There may be no such core: the disks of a majority may be lost.
 	UnconfirmedTimeout = 5 * clock.Second
-	// NewCoreTimeout extends that wait for a core that became known only lately.
+	// NewCoreTimeout is how long the wait continues after a core has been discovered.
 	NewCoreTimeout = 2 * clock.Second
-	// MaxUnconfirmedWait ends the wait however many cores become known.
+	// MaxUnconfirmedWait bounds the wait, even if more cores are discovered.
 	MaxUnconfirmedWait = 8 * clock.Second
-	// MaxReplyAge is the longest time between a pull and its reply for the reply to confirm anything. An older
-	// reply may have been delayed by a network partition, during which the state was replaced.
+	// MaxReplyAge is the longest time between a pull and its reply for which the reply confirms anything. A later
+	// reply may have been delayed by a network partition during which the state was replaced.
 	MaxReplyAge = 2 * clock.Second
-	// StartupPullInterval is the time between two pulls until the configuration is confirmed.
+	// StartupPullInterval is the interval between pulls until the configuration is confirmed.
 	StartupPullInterval = 200 * clock.Millisecond
-	// StartupPullFanout is how many cores each of these pulls goes to, except for the first: that goes to
-	// one core, which mostly suffices and sends all versions.
+	// StartupPullFanout is the number of cores that each of these pulls is sent to. The first pull is sent to only
+	// one core, because its reply contains all versions and one reply is usually enough.
 	StartupPullFanout = 2
 )
 
-// contact is what replies to pulls told of contact with majorities.
+// contact records which cores replied to pulls that they are in contact with a majority.
 type contact struct {
-	// confirmed has a bit for each partition that a core in contact with a majority has answered for.
+	// confirmed has a bit for each partition that a core in contact with a majority has confirmed.
 	confirmed uint32
-	// firstStoredAt is when this process first had a version; 0 before that.
+	// firstStoredAt is when the first version was stored in this process, or 0 if there is none yet.
 	firstStoredAt clock.Micros
-	// coreDiscoveredAt is when the newest of the known cores became known.
+	// coreDiscoveredAt is when a core was last discovered.
 	coreDiscoveredAt clock.Micros
-	// withoutContact are the cores whose last reply told of no contact for the configuration.
+	// withoutContact has the cores whose last reply did not confirm contact for the configuration partition.
 	withoutContact map[string]bool
-	// rotation counts the pulls sent while starting; they go round the cores.
+	// rotation counts the pulls sent by startupCores, which cycles through the cores.
 	rotation int
 }
 
 func partitionBit(partition int) uint32 { return 1 << uint(partition) }
 
-// Confirmed reports whether a partition may be served: since this process started, a core in contact with a majority
-// has answered, or the wait for one is over. Once true it stays true.
+// Confirmed reports whether a partition may be served: either a core in contact with a majority has replied since this
+// process started, or the wait for such a core is over. A partition that is confirmed by a core stays confirmed.
 func (p *Sync) Confirmed(partition int, now clock.Micros) bool {
 	return p.contact.confirmed&partitionBit(partition) != 0 || p.confirmationTimedOut(now)
 }
 
-// InContact reports whether a core in contact with a majority for the configuration has answered since the start.
+// InContact reports whether a core in contact with a majority of the configuration partition has replied since this
+// process started.
 func (p *Sync) InContact() bool {
 	return p.contact.confirmed&partitionBit(state.ConfigPartition) != 0
 }
@@ -62,13 +63,13 @@
 	return stored > 0 && now >= min(until, stored+MaxUnconfirmedWait)
 }
 
-// starting reports whether this process has just started and still looks for a core in contact with a majority.
+// starting reports whether this process has just started and still waits for a core in contact with a majority.
 func (p *Sync) starting(now clock.Micros) bool {
 	return !p.InContact() && !p.confirmationTimedOut(now)
 }
 
-// startupCores selects the cores for a pull of a process that has just started. Successive pulls go
-// round all candidates, those of the own zone first.
+// startupCores selects the cores for a pull of a process that has just started. Successive pulls cycle through all
+// candidates, starting with those in this process's zone.
 func (p *Sync) startupCores(candidates []string) []string {
 	order := slices.SortedFunc(slices.Values(candidates), p.compareCores)
 	fanout := StartupPullFanout
@@ -83,7 +84,7 @@
 	return selected
 }
 
-// recordContact records the contact that a core's reply tells of, and emits [Pulled].
+// recordContact records the contact that a core reports in its reply, and emits [Pulled].
 func (p *Sync) recordContact(ctx *kernel.Context, pull pendingPull, reply *wire.PullReply) {
 	confirmed := reply.ContactMask | reply.RelayedMask
 	if ctx.Now-pull.sentAt > MaxReplyAge {
--- a/control/configsync/confirmation_test.go
+++ b/control/configsync/confirmation_test.go
@@ -8,7 +8,7 @@
 	"wallport/runtime/clock"
 )
 
-// Unconfirmed state is not served before a core that has just become known had time to answer.
+// Unconfirmed state must not be served before a newly discovered core has had time to reply.
 func TestConfirmedWaitsForNewCore(t *testing.T) {
 	const stored = clock.Second
 	p := &Sync{contact: contact{firstStoredAt: stored}}
@@ -19,5 +19,5 @@
 	must.True(t, p.Confirmed(0, p.contact.coreDiscoveredAt+NewCoreTimeout))
 	p.contact.coreDiscoveredAt = stored + MaxUnconfirmedWait - 1
 	must.True(t, p.Confirmed(0, stored+MaxUnconfirmedWait), must.Sprint("the wait ends"))
-	must.False(t, (&Sync{}).Confirmed(0, 1<<40), must.Sprint("there is nothing to serve"))
+	must.False(t, (&Sync{}).Confirmed(0, 1<<40), must.Sprint("no version is stored yet"))
 }
--- a/control/configsync/core_selection.go
+++ b/control/configsync/core_selection.go
@@ -12,24 +12,25 @@
 
 // Bounds of the selection of a core.
 const (
-	// maxKnownCores bounds the cores that are remembered, and keepCoreFor how long one is that is not live.
+	// maxKnownCores bounds the number of known cores. A core that is no longer live is forgotten after keepCoreFor.
 	maxKnownCores = 16
 	keepCoreFor   = 20 * clock.Second
-	// maxLocalCores and maxRemoteCores are how many cores of the own zone and of other zones are pulled from.
+	// maxLocalCores and maxRemoteCores are the numbers of cores in this process's zone and in other zones that pulls
+	// are sent to.
 	maxLocalCores  = 2
 	maxRemoteCores = 2
-	// remotePullEvery is how often a pull goes to another zone: every fourth one.
+	// remotePullEvery is the interval, in pulls, of pulls to another zone: every fourth pull.
 	remotePullEvery = 4
-	// unresponsiveAfter is how long a core may leave a pull unanswered. Then, like one without contact with a majority,
-	// it gets only every unresponsivePullEvery-th pull, unless no other core is left.
+	// A core that has left a pull unanswered for unresponsiveAfter is avoided, like a core without contact with a
+	// majority: avoided cores get only every unresponsivePullEvery-th pull, unless there are no others.
 	unresponsiveAfter     = 900 * clock.Millisecond
 	unresponsivePullEvery = 6
 )
 
-// candidateCores returns the addresses of the cores that may be pulled from: those that were live lately. When the
-// network is partitioned the members expire one by one, so the last known cores are kept while none is live. The
-// seeds are among the candidates before any core is known and while nothing is confirmed, since seeds
-// know of cores.
+// candidateCores returns the addresses of the cores that pulls may be sent to, which are the cores that were live
+// recently. During a network partition all members expire, so the known cores are kept while no core is live. The
+// seeds are also candidates while no core is known, while this core has no state or while this process is starting,
+// because seeds know of cores.
 func (p *Sync) candidateCores(now clock.Micros) []string {
 	p.updateKnown(now)
 	if len(p.known) > 0 && !p.hasNoState() && !p.starting(now) {
@@ -44,7 +45,8 @@
 	return candidates
 }
 
-// updateKnown adds the live cores to the known ones and forgets those that were not live for long, or are too many.
+// updateKnown adds the live cores to the known ones, forgets cores that have not been live for keepCoreFor, and keeps
+// at most maxKnownCores.
 func (p *Sync) updateKnown(now clock.Micros) {
 	live := p.members.Live(now, settings.RoleCore)
 	for _, core := range live {
@@ -74,8 +76,8 @@
 	delete(p.contact.withoutContact, addr)
 }
 
-// forgetExcess forgets cores beyond maxKnownCores: those first that were live longest ago, and among equals
-// those last in the order of compareCores.
+// forgetExcess removes cores until maxKnownCores are left, the least recently live first. Among equals it removes the
+// last in the order of compareCores.
 func (p *Sync) forgetExcess() {
 	for len(p.known) > maxKnownCores {
 		last := slices.MinFunc(p.known, func(a, b string) int {
@@ -86,8 +88,8 @@
 	}
 }
 
-// compareCores orders cores: those of the own zone first, then by a hash of the own and the core's address, so that the
-// processes spread over the cores.
+// compareCores orders cores: those in this process's zone first, then by a hash of this process's and the core's
+// address, which distributes the processes over the cores.
 func (p *Sync) compareCores(a, b string) int {
 	distance := func(addr string) int {
 		if p.zones[addr] == p.settings.Zone {
@@ -103,8 +105,8 @@
 	return cmp.Or(cmp.Compare(distance(a), distance(b)), cmp.Compare(score(a), score(b)))
 }
 
-// chooseCore selects the core for the next pull: mostly one of the own zone, now and then one of another zone, and
-// seldom one that does not answer while another does. It returns none where there is no candidate.
+// chooseCore selects the core for the next pull: usually one in this process's zone, every remotePullEvery-th time one
+// in another zone, and every unresponsivePullEvery-th time an avoided one. It returns nil if there is no candidate.
 func (p *Sync) chooseCore(ctx *kernel.Context, candidates []string) []string {
 	if len(candidates) == 0 {
 		return nil
--- a/control/configsync/doc.go
+++ b/control/configsync/doc.go
@@ -1,15 +1,15 @@
-// Package configsync pulls newer committed versions of the partitions from cores: the anti-entropy beside the
-// mesh's flooding, so that a change is in force in time when either of the two ways is interrupted.
+// Package configsync pulls newer committed versions of the partitions from cores. This anti-entropy complements the
+// flooding of the mesh, so that a change takes effect in time even if one of the two mechanisms is interrupted.
 //
-// Its plug-in, [Sync], runs on every node, and on every core, which may have no replica of its own and would then hear
-// of no leader. About twice a second it sends one core the versions that this process has. The reply
-// brings newer versions, which go into the mesh's store, and the leaders of the partitions. A core names itself
-// in its pulls, so that cores hear of each other.
+// Its plug-in, [Sync], runs on every node and on every core. A core needs it because it may have no replica of its
+// own, and then learns of the leaders only from the replies. About twice a second the plug-in sends one core the
+// versions that this process has. The reply contains newer versions, which are put in the mesh's store, and the leaders
+// of the partitions. A core includes its own address in its pulls, so that cores discover each other.
 //
 // Replies also report whether the core is in contact with a majority of a partition's voters. A process that has
-// just started serves no state before such a core has answered it, within bounds: see [Sync.Confirmed]. Otherwise a
-// process that restarts among cores cut off from the majority could serve a version that has long been replaced.
+// just started serves no state until such a core has replied or a time-out has passed: see [Sync.Confirmed]. Otherwise
+// a process that restarts among cores isolated from the majority could serve a version that was replaced long ago.
 //
-// The package owns the addresses of the cores that were live lately, the pulls in flight, the leaders last heard of and
-// what was confirmed. Nothing of it outlives the process.
+// The package owns the addresses of the recently live cores, the pulls in flight, the last reported leaders and the
+// confirmed partitions. None of this state outlives the process.
 package configsync
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// PullInterval is the time between two pulls.
+	// PullInterval is the interval between pulls.
 	PullInterval = 450 * clock.Millisecond
-	// EmptyPullInterval is the time between two pulls of a core that has no version yet.
+	// EmptyPullInterval is the interval between pulls of a core that has no version yet.
 	EmptyPullInterval = 200 * clock.Millisecond
-	// leaderTimeout is how long after a core's reply the leader that it names counts as heard.
+	// leaderTimeout is how long a leader that a core has reported is considered current.
 	leaderTimeout = 2 * clock.Second
-	// maxPendingPulls bounds the pulls that are remembered while unanswered.
+	// maxPendingPulls bounds the number of unanswered pulls that are tracked.
 	maxPendingPulls = 64
 )
 
-// pluginName and pullTimer address the plug-in's only timer.
+// pluginName and pullTimer identify the plug-in's only timer.
 const (
 	pluginName = "pulls"
 	pullTimer  = "pull"
@@ -31,9 +31,10 @@
 type Pulled struct {
 	// SentAt is when the pull was sent.
 	SentAt clock.Micros
-	// Contact has a bit for each partition of which the core itself is in contact with a majority.
+	// Contact has a bit for each partition for which the core itself is in contact with a majority of the voters.
 	Contact uint32
-	// Confirmed has the bits of Contact, and those of which another core lately told the core so.
+	// Confirmed has the bits of Contact and those of the partitions for which another core has recently reported
+	// contact to the core.
 	Confirmed uint32
 }
 
@@ -43,23 +44,23 @@
 	sentAt clock.Micros
 }
 
-// Sync is the plug-in that pulls.
+// Sync is the plug-in that pulls versions from cores.
 type Sync struct {
 	mesh     *mesh.Mesh
 	members  *membership.Members
 	settings settings.Settings
 	isCore   bool
 
-	// leaders are the leaders of the partitions as last heard of, and leaderReportedAt when that was.
+	// leaders has the last reported leader of each partition, and leaderReportedAt the time of that report.
 	leaders          [state.Partitions]wire.Leader
 	leaderReportedAt [state.Partitions]clock.Micros
 
-	// known are the addresses of cores that were live lately; liveAt is when each was last live.
+	// known has the addresses of the recently live cores; liveAt is when each was last live.
 	known  []string
 	liveAt map[string]clock.Micros
-	// zones are the zones of the known cores.
+	// zones maps the addresses of the known cores to their zones.
 	zones map[string]string
-	// unansweredSince is when the first pull was sent that a core has not answered since.
+	// unansweredSince is when the first pull was sent to a core after its last reply.
 	unansweredSince map[string]clock.Micros
 	// selections counts the cores selected by chooseCore.
 	selections int
@@ -93,10 +94,10 @@
 // Kinds returns the kinds of frames that the plug-in receives.
 func (p *Sync) Kinds() []uint8 { return []uint8{wire.KindPullReply} }
 
-// Leader returns the address of the core that leads a partition, as last heard of; empty where none was.
+// Leader returns the address of the last reported leader of a partition, or "" if none has been reported.
 func (p *Sync) Leader(partition int) string { return p.leaders[partition].Addr }
 
-// HearsLeader reports whether a core that this process reaches follows a leader of the partition.
+// HearsLeader reports whether a core that this process reaches has named a leader of the partition within leaderTimeout.
 func (p *Sync) HearsLeader(partition int, now clock.Micros) bool {
 	return p.leaderReportedAt[partition] > 0 && now-p.leaderReportedAt[partition] < leaderTimeout
 }
@@ -110,7 +111,7 @@
 		ctx.After(p.interval(ctx.Now), pluginName, pullTimer)
 		p.pull(ctx)
 	case kernel.Thawed:
-		// The cores may have answered what this process could not receive while it was frozen.
+		// The cores may have sent replies that this process could not receive while it was frozen.
 		clear(p.unansweredSince)
 		p.pull(ctx)
 	case kernel.SeedsChanged:
@@ -124,12 +125,12 @@
 	}
 }
 
-// versionStored handles a new version of a partition in the mesh's store. The first one that the mesh brings to a
-// process that has just started is to be confirmed at once, unless a pull is in flight.
+// versionStored handles a new version of a partition in the mesh's store. If it is the first version in a process that
+// has just started, a pull is sent immediately to confirm it, unless another pull is in flight.
 func (p *Sync) versionStored(ctx *kernel.Context) {
 	if !p.isCore {
-		// The node's snapshot is built in this same step, by a plug-in of a higher rank, before the changed
-		// member entry is announced: a node never reports a version that its requests do not read yet.
+		// A plug-in of a higher rank builds the node's snapshot in this same step, before the changed member
+		// entry is announced. A node therefore never reports a version that its requests do not read yet.
 		versions := p.versions()
 		p.members.Update(func(member *wire.Member) { member.InForce = versions })
 	}
@@ -142,8 +143,8 @@
 	}
 }
 
-// pullReplied takes a core's reply. Versions and leaders in it are good whenever it arrives; what it
-// tells of contact counts only if the pull that it answers is still known.
+// pullReplied handles a core's reply to a pull. The versions and leaders in it are used no matter how late it arrives;
+// the contact that it reports counts only if the pull is still pending.
 func (p *Sync) pullReplied(ctx *kernel.Context, message kernel.Message) {
 	var reply wire.PullReply
 	if wire.Decode(message.Body, &reply) != nil {
@@ -166,7 +167,7 @@
 	}
 }
 
-// recordLeader takes a leader that a core told of, unless one of a higher term is known.
+// recordLeader records a leader that a core has reported, unless a leader of a higher term is known.
 func (p *Sync) recordLeader(leader wire.Leader, now clock.Micros) {
 	partition := leader.Partition
 	if partition < 0 || partition >= state.Partitions || leader.Addr == "" || leader.Term < p.leaders[partition].Term {
@@ -186,7 +187,8 @@
 	return versions
 }
 
-// hasNoState reports whether this is a core that has no version yet. It may have a fleet to bootstrap, or to find.
+// hasNoState reports whether this is a core without any version of the configuration. Such a core may have to
+// bootstrap a fleet or to find an existing one.
 func (p *Sync) hasNoState() bool {
 	_, ok := p.mesh.Partition(state.ConfigPartition)
 	return !ok && p.isCore
@@ -203,8 +205,8 @@
 	return PullInterval
 }
 
-// pull asks for newer versions: every candidate while this is a core without state, a few while this process starts,
-// and one core later.
+// pull requests newer versions: from every candidate if this is a core without state, from a few candidates while this
+// process is starting, and from one core otherwise.
 func (p *Sync) pull(ctx *kernel.Context) {
 	request := wire.Pull{Have: p.versions()}
 	if p.isCore {
