--- a/control/operations/call.go
+++ b/control/operations/call.go
@@ -9,33 +9,34 @@
 
 // Bounds of a call to a partition's leader.
 const (
-	// AttemptInterval is the longest time between two attempts of a call.
+	// AttemptInterval is the maximum interval between two attempts of a call.
 	AttemptInterval = 400 * clock.Millisecond
-	// CallTimeout ends a call that sets no time-out of its own.
+	// CallTimeout is the time-out of a call that does not set one.
 	CallTimeout = 4 * clock.Second
-	// InForceTimeout is how long a call waits for the nodes to have an edit in force, if it does not say.
+	// InForceTimeout is how long a call waits by default for the nodes to have an edit in force.
 	InForceTimeout = 2500 * clock.Millisecond
-	// inForcePollInterval is the time between two looks at what the nodes have in force.
+	// inForcePollInterval is the interval between checks of which versions the nodes have in force.
 	inForcePollInterval = 50 * clock.Millisecond
-	// minAttempts is how many attempts fit into a call's time-out at least.
+	// minAttempts is the minimum number of attempts that fit into a call's time-out.
 	minAttempts = 5
-	// maxRedirects bounds how often a call follows a reply to another address, so that two cores
-	// that name each other do not keep it circulating.
+	// maxRedirects bounds how often a call follows a redirect to another address, so that two cores
+	// that redirect to each other do not keep it circulating.
 	maxRedirects = 16
 )
 
-// Submit carries an edit to the leader of its partition. It is answered with a [Result].
+// Submit sends an edit to the leader of its partition. It is answered with a [Result].
 type Submit struct {
 	Edit wire.Edit
 	// AwaitInForce delays the answer, once the edit is committed, until every live node reports it in force.
 	AwaitInForce bool
 	// AwaitTimeout bounds that delay; 0 means [InForceTimeout].
 	AwaitTimeout clock.Micros
-	// Timeout bounds the whole call, including the delay. 0 means [CallTimeout] for the reply and the delay on top.
+	// Timeout bounds the whole call, including the delay. If it is 0, the reply is bounded by [CallTimeout] and the
+	// delay comes in addition.
 	Timeout clock.Micros
 }
 
-// Result answers [Submit] and [Rebuild]. Reply.Code is one of the codes that an operator's API passes on, or
+// Result answers [Submit] and [Rebuild]. Reply.Code is one of the codes that the operators' APIs return, or
 // [CodeUnknownZone].
 type Result struct {
 	Reply wire.EditReply
@@ -45,8 +46,8 @@
 	Laggards []string
 }
 
-// ReadRouting reads the routing table in force, confirmed by a majority after the call arrived. It is
-// answered with a [Routing].
+// ReadRouting reads the routing table in force. After the call has arrived, a majority confirms that the table
+// is current. The call is answered with a [Routing].
 type ReadRouting struct {
 	// Timeout bounds the call; 0 means [CallTimeout].
 	Timeout clock.Micros
@@ -54,19 +55,19 @@
 
 // Routing answers [ReadRouting].
 type Routing struct {
-	// Table is nil where no table was ever set.
+	// Table is nil if no table has ever been set.
 	Table *routingpb.RoutingTable
 	// Code is [wire.CodeOK], or [wire.CodeOverloaded] where no leader could be read from.
 	Code wire.Code
 }
 
-// ReadHistory reads the earlier configurations, confirmed by a majority after the call arrived. It is
-// answered with a [History].
+// ReadHistory reads the earlier configurations. After the call has arrived, a majority confirms that they
+// are current. The call is answered with a [History].
 type ReadHistory struct{}
 
 // History answers [ReadHistory].
 type History struct {
-	// Configurations are ordered by age, the newest last.
+	// Configurations are sorted from the oldest to the newest.
 	Configurations []wire.PastConfig
 	// Code is [wire.CodeOK], or [wire.CodeOverloaded] where no leader could be read from.
 	Code wire.Code
@@ -78,14 +79,14 @@
 	startedAt clock.Micros
 	attempts  int
 	redirects int
-	// undeclined counts the edits sent that may take effect: no receiver has declined them.
+	// undeclined counts the edits sent that may still take effect because no receiver has declined them.
 	undeclined int
 	// reply is the leader's final reply, and repliedAt when it arrived. reply is nil until then.
 	reply     *wire.EditReply
 	repliedAt clock.Micros
-	// versionBound reports whether a command about a zone names the version that it is bound to.
+	// versionBound reports whether the base of a zone command has been set to the zone's version.
 	versionBound bool
-	// answer turns the result into the answer that the caller expects.
+	// answer converts the result to the type that the caller expects.
 	answer func(result Result) any
 }
 
@@ -96,11 +97,11 @@
 	return CallTimeout
 }
 
-// expired reports whether the caller has stopped waiting. Nothing may be sent for such a call: the edit would
-// take effect after the caller was told that it did not.
+// expired reports whether the caller has stopped waiting. Nothing may be sent for an expired call, because the edit
+// could take effect after the caller was informed that it did not.
 func (c *call) expired(now clock.Micros) bool { return now-c.startedAt >= c.timeout() }
 
-// awaitTimeout returns how long the call waits for the nodes, counted from the reply.
+// awaitTimeout returns how long after the leader's reply the call waits for the nodes.
 func (c *call) awaitTimeout() clock.Micros {
 	timeout := c.command.AwaitTimeout
 	if timeout == 0 {
--- a/control/operations/doc.go
+++ b/control/operations/doc.go
@@ -1,17 +1,17 @@
-// Package operations carries operators' commands to the processes that act on them.
+// Package operations sends operators' commands to the processes that execute them.
 //
-// Its plug-in, [Service], runs on every node and core, so that an operator may call any of them. It takes
-// calls from the process's APIs and answers each of them once:
+// Its plug-in, [Service], runs on every node and core, so that operators can call any process. It receives
+// calls from the process's APIs and answers each call exactly once:
 //
-//   - [Submit] sends an edit to the leader of its partition. The edit is sent again until it is answered, follows
-//     redirects to a newer leader, and, where the caller asks for it, is answered only once the live nodes have it in
-//     force. An edit id, or its base and digest, makes repeated sending harmless.
+//   - [Submit] sends an edit to the leader of its partition. The edit is retried until a reply arrives, follows
+//     redirects to a newer leader and, on request, is answered only when the live nodes have it in force. The
+//     edit id, or the edit's base and digest, makes retries idempotent.
 //   - [ReadRouting] and [ReadHistory] read from the leader of the configuration partition, confirmed by a majority.
-//   - [Rebuild] makes a partition's group anew after a majority of its disks is lost.
+//   - [Rebuild] recreates a partition's group after the loss of a majority of its disks.
 //   - [ReadStatus] collects the state of every core's replicas.
 //
-// A call always ends within its time-out. When the outcome of an edit cannot be known the answer is
-// [wire.CodeUnknown]; [wire.CodeOverloaded] is answered only where certainly no leader has taken the edit.
+// A call always ends within its time-out. The code of the answer is [wire.CodeUnknown] if the outcome of an edit
+// cannot be determined, and [wire.CodeOverloaded] only if it is certain that no leader has accepted the edit.
 //
-// The package keeps nothing beyond the calls in flight.
+// The package keeps no state other than the calls in flight.
 package operations
--- a/control/operations/operations.go
+++ b/control/operations/operations.go
@@ -13,7 +13,7 @@
 	"wallport/runtime/wire"
 )
 
-// PluginName is the name of the plug-in, to which calls are addressed.
+// PluginName is the name of the plug-in, by which calls address it.
 const PluginName = "operate"
 
 // Service is the plug-in that answers operators' calls.
@@ -21,14 +21,14 @@
 	mesh       *mesh.Mesh
 	members    *membership.Members
 	configSync *configsync.Sync
-	// host has the replicas of a core; nil on a node.
+	// host manages the replicas of a core; it is nil on a node.
 	host *replica.Host
-	// zoneRegions are the zones that the settings name, with their regions; empty where they name none.
+	// zoneRegions maps the zones in the settings to their regions. It is empty if the settings list no zones.
 	zoneRegions map[string]string
 	// targetVoters is how many voters a group should have.
 	targetVoters int
 
-	// The calls in flight, by their ids.
+	// The calls in flight, by call id.
 	calls       map[uint64]*call
 	rebuilds    map[uint64]*rebuildState
 	statusCalls map[uint64]*statusCall
@@ -66,8 +66,8 @@
 	case kernel.Call:
 		s.startCall(ctx, v)
 	case kernel.Canceled:
-		// An edit that was sent may still be taken; nothing more is sent for it. A rebuild
-		// runs on through its steps, each of which is bounded, and its answer goes to nobody.
+		// An edit that was already sent may still be applied, but it is not sent again. A rebuild
+		// continues; its steps are bounded and its answer is discarded.
 		delete(s.calls, v.ID)
 		delete(s.statusCalls, v.ID)
 	case kernel.Tick:
@@ -79,7 +79,7 @@
 	}
 }
 
-// timer continues the call of that id, whatever its kind.
+// timer handles the timer of the call, rebuild or status call with that id.
 func (s *Service) timer(ctx *kernel.Context, id uint64) {
 	if rebuild := s.rebuilds[id]; rebuild != nil {
 		s.rebuildTimer(ctx, id, rebuild)
@@ -92,7 +92,7 @@
 	s.attempt(ctx, id)
 }
 
-// receive decodes a reply of another process. One that cannot be decoded is ignored like one that was lost.
+// receive decodes and handles a reply from another process. A reply that cannot be decoded is treated as lost.
 func (s *Service) receive(ctx *kernel.Context, message kernel.Message) {
 	switch message.Kind {
 	case wire.KindRebuildReply:
--- a/control/operations/partitioned_leader_test.go
+++ b/control/operations/partitioned_leader_test.go
@@ -13,7 +13,8 @@
 	"wallport/runtime/wire"
 )
 
-// partitionedLeader returns a core that was elected with the vote of "a" and has heard from nobody since.
+// partitionedLeader returns a core that was elected leader with the vote of "a" and committed its first version with "a"
+// and "b", but receives nothing afterwards.
 func partitionedLeader(t *testing.T) *node {
 	t.Helper()
 	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: []wire.Replica{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "me", Addr: "10.0.0.1:1"}}}
@@ -35,7 +36,8 @@
 func (n *node) coreTick()         { n.step(kernel.Tick{Plugin: "seats", Key: "tick"}) }
 func (n *node) synced(key string) { n.step(kernel.Written{Plugin: "seats", Key: key}) }
 
-// It neither accepts nor refuses and returns no configuration, so that the operator goes to another core within the second.
+// A leader that is cut off from the majority must answer calls within their time-out with neither success nor a refusal,
+// and without a configuration, so that the operator can try another core within a second.
 func TestPartitionedLeaderAnswersWithinTimeout(t *testing.T) {
 	const timeout = 800 * clock.Millisecond
 	for _, isolatedFor := range []clock.Micros{0, 500 * clock.Millisecond, 3 * clock.Second} {
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -12,46 +12,47 @@
 	"wallport/runtime/wire"
 )
 
-// Rebuild makes a partition's group anew, on an operator's command, after a majority of its disks is lost. It asks
-// every healthy core for the version that it has stored, fetches the newest one, and has a new set of voters
-// store it under a higher term. It is answered with a [Result].
+// Rebuild recreates a partition's group, on an operator's command, after the loss of a majority of its disks. It
+// queries every healthy core for the version that the core has stored, fetches the newest one, and has a new set of
+// voters store it under a higher term. It is answered with a [Result].
 type Rebuild struct{ Partition int }
 
 // Bounds of a rebuild.
 const (
-	// StepTimeout is how long the cores have for each step.
+	// StepTimeout is the time-out for the cores' replies in each step.
 	StepTimeout = 1500 * clock.Millisecond
-	// FetchTimeout is how long a core has to send the newest version.
+	// FetchTimeout is the time-out for the newest version to arrive from a core.
 	FetchTimeout = 8 * clock.Second
 	// minTransferRate, in bytes per second, extends the last step beyond StepTimeout for a large version.
 	minTransferRate = 500_000
-	// minVoters is the smallest number of voters that a group is rebuilt with.
+	// minVoters is the minimum number of voters of a rebuilt group.
 	minVoters = 3
-	// termMargin is added to the highest term heard of, to exceed any that the lost replicas voted in.
+	// termMargin is added to the highest reported term, so that the new term exceeds every term in which the lost
+	// replicas may have voted.
 	termMargin = 1000
 )
 
 // rebuildState is a rebuild in flight.
 type rebuildState struct {
 	partition int
-	// versioned is the newest version at hand, with its body: from the mesh at first, later from a core.
+	// versioned is the newest version whose body is available. It comes from the mesh at first, later from a core.
 	versioned wire.Versioned
-	// editLog is that of the newest version which a core has stored; the mesh carries none.
+	// editLog is the edit log of the newest version stored by a core; the mesh does not carry edit logs.
 	editLog []byte
-	// agreed are the replicas that consented to the step in flight, and refusals the reasons of the others.
+	// agreed has the replicas that accepted the current step, and refusals the reasons of those that refused.
 	agreed   map[string]bool
 	refusals []string
-	// highestTerm is the highest term that a core has told of.
+	// highestTerm is the highest term that a core has reported.
 	highestTerm uint64
-	// newest is the newest version that a core has stored, and newestReplica the replica that has it.
+	// newest is the newest version stored by a core, and newestReplica the replica that reported it.
 	newest        wire.Version
 	newestReplica string
-	// fetching is set while the newest version is requested, and fetched once it has arrived.
+	// fetching is true while the newest version is being requested, and fetched after it has arrived.
 	fetching, fetched bool
-	// applying is set in the last step, in which voters are to store the version.
+	// applying is true in the last step, in which the voters store the version.
 	applying bool
 	voters   []wire.Replica
-	// deadline is when the step in flight ends.
+	// deadline is when the current step times out.
 	deadline clock.Micros
 }
 
@@ -67,20 +68,21 @@
 	s.scheduleRebuildStep(ctx, id, rebuild, StepTimeout)
 }
 
-// scheduleRebuildStep sets the end of the step that begins now.
+// scheduleRebuildStep sets the deadline and the timer of the step that begins now.
 func (s *Service) scheduleRebuildStep(ctx *kernel.Context, id uint64, rebuild *rebuildState, delay clock.Micros) {
 	rebuild.deadline = ctx.Now + delay
 	ctx.AfterFor(delay, PluginName, id)
 }
 
-// rebuildTimer ends the step in flight. The timer of an earlier step, which ended before its time, has no effect.
+// rebuildTimer ends the current step if its deadline has passed. It ignores the timer of an earlier step that ended
+// before its deadline.
 func (s *Service) rebuildTimer(ctx *kernel.Context, id uint64, rebuild *rebuildState) {
 	if ctx.Now >= rebuild.deadline {
 		s.endRebuildStep(ctx, id, rebuild)
 	}
 }
 
-// healthyCores returns the live cores that can store a version.
+// healthyCores returns the live cores that have a replica, are healthy and are not draining.
 func (s *Service) healthyCores(now clock.Micros) []membership.Member {
 	var cores []membership.Member
 	for _, core := range s.members.Live(now, settings.RoleCore) {
@@ -111,8 +113,8 @@
 	}
 }
 
-// recordFetched takes the newest version that a core has stored. The mesh may have brought a newer one, but
-// without an edit log.
+// recordFetched records the fetched version, which is the newest stored by a core. If the mesh has a newer version, only
+// the edit log is kept, because the mesh does not carry edit logs.
 func (rebuild *rebuildState) recordFetched(stored wire.Versioned) {
 	rebuild.fetching, rebuild.fetched, rebuild.editLog = false, true, stored.EditLog
 	if mesh.Newer(stored.Version, rebuild.versioned.Version) {
@@ -136,8 +138,8 @@
 	return true
 }
 
-// rebuiltVoters selects the voters of a rebuilt group, spread over the zones: as many as wanted, or else the
-// greatest odd number available. It returns nil where there are fewer than minVoters cores.
+// rebuiltVoters selects the voters of a rebuilt group, spread over the zones. It selects the wanted number, or the
+// largest odd number available if there are fewer cores. It returns nil if there are fewer than minVoters cores.
 func rebuiltVoters(cores []wire.Replica, wanted int) []wire.Replica {
 	n := min(max(wanted, minVoters), (len(cores)-1)|1)
 	if n < minVoters {
@@ -146,14 +148,14 @@
 	return replica.PickVoters(cores, n)
 }
 
-// endRebuildStep moves a rebuild on once a step has ended: from the stored versions to the fetch, from there to the
-// voters' storing, and from there to the answer.
+// endRebuildStep starts the next step of a rebuild: after the query for the stored versions the fetch of the newest one,
+// then its storage by the voters, and finally the answer.
 func (s *Service) endRebuildStep(ctx *kernel.Context, id uint64, rebuild *rebuildState) {
 	if rebuild.applying {
 		if 2*len(rebuild.agreed) > len(rebuild.voters) {
 			s.finishRebuild(ctx, id, rebuild, wire.CodeOK, "")
 		} else {
-			s.finishRebuild(ctx, id, rebuild, wire.CodeUnknown, fmt.Sprint("too few cores hold it: ", rebuild.refusals))
+			s.finishRebuild(ctx, id, rebuild, wire.CodeUnknown, fmt.Sprint("fewer than a majority of the new voters stored the version: ", rebuild.refusals))
 		}
 		return
 	}
@@ -161,14 +163,14 @@
 	case len(rebuild.refusals) > 0:
 		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, fmt.Sprint(rebuild.refusals))
 	case rebuild.fetching:
-		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "the newest version did not arrive from "+rebuild.newestReplica)
+		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "time-out while fetching the newest version from replica "+rebuild.newestReplica)
 	case s.fetchNewest(ctx, id, rebuild):
 	default:
 		s.applyRebuild(ctx, id, rebuild)
 	}
 }
 
-// applyRebuild selects the voters and has them store the version.
+// applyRebuild selects the voters and sends them the version to store.
 func (s *Service) applyRebuild(ctx *kernel.Context, id uint64, rebuild *rebuildState) {
 	var agreed []wire.Replica
 	for _, core := range s.healthyCores(ctx.Now) {
@@ -178,7 +180,7 @@
 	}
 	rebuild.voters = rebuiltVoters(agreed, s.targetVoters)
 	if len(rebuild.voters) == 0 {
-		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "needs three live cores with sound disks")
+		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "needs at least three live cores with healthy disks")
 		return
 	}
 	versioned := &rebuild.versioned
@@ -196,7 +198,7 @@
 	s.scheduleRebuildStep(ctx, id, rebuild, StepTimeout+size*clock.Second/minTransferRate)
 }
 
-// finishRebuild answers a rebuild and forgets it.
+// finishRebuild answers a rebuild and removes it.
 func (s *Service) finishRebuild(ctx *kernel.Context, id uint64, rebuild *rebuildState, code wire.Code, reason string) {
 	delete(s.rebuilds, id)
 	reply := wire.EditReply{Code: code, Version: rebuild.versioned.Version}
--- a/control/operations/rebuild_fetch_test.go
+++ b/control/operations/rebuild_fetch_test.go
@@ -25,7 +25,7 @@
 	for _, m := range []wire.RebuildReply{storedReply("s1", 7, ""), storedReply("s2", 9, ""), storedReply("s3", 8, "")} {
 		n.receive(wire.KindRebuildReply, 1, &m)
 	}
-	must.Eq(t, wire.Version{}, r.versioned.Version, must.Sprint("a version without its body does not count"))
+	must.Eq(t, wire.Version{}, r.versioned.Version, must.Sprint("a version without a body is not used"))
 	n.advance(StepTimeout)
 	must.True(t, r.fetching)
 	must.Eq(t, "s2", r.newestReplica)
@@ -54,7 +54,7 @@
 	must.False(t, r.applying)
 }
 
-// The timer of a step that ended before its time does not end the next one.
+// The timer of a step that ended before its deadline must not end the next step.
 func TestRebuildIgnoresTimerOfEarlierStep(t *testing.T) {
 	n := newNode(t)
 	o := kernel.Find[*Service](n.k)
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -9,21 +9,21 @@
 	"wallport/runtime/wire"
 )
 
-// StatusTimeout is how long the cores have to report the state of their replicas.
+// StatusTimeout is the time-out for the cores' reports of the state of their replicas.
 const StatusTimeout = 700 * clock.Millisecond
 
-// StateTimedOut is shown as the state of the replicas of a core that did not reply in time. The other states
-// are those that the cores report, see [wire.ReplicaStatus].
+// StateTimedOut is the state shown for the replicas of a core that did not reply in time. All other states
+// are reported by the cores, see [wire.ReplicaStatus].
 const StateTimedOut = "silent"
 
-// ReadStatus requests the state of every known core's replicas. It is answered with a [Status], once every core has
-// replied or [StatusTimeout] has passed. Nothing is collected before an operator asks.
+// ReadStatus requests the state of every known core's replicas. It is answered with a [Status] when every core has
+// replied or [StatusTimeout] has passed. The state is collected only on request.
 type ReadStatus struct{}
 
 // Status answers [ReadStatus], with one entry for each known core, ordered by name.
 type Status struct{ Cores []CoreStatus }
 
-// CoreStatus is what one core reported.
+// CoreStatus is the report of one core.
 type CoreStatus struct {
 	Name, Zone, Addr string
 	// Responded reports whether the core replied in time; Replicas is empty otherwise.
@@ -34,11 +34,11 @@
 // statusCall is a ReadStatus in flight.
 type statusCall struct {
 	cores []membership.Member
-	// replies has what each core reported, by its mesh address.
+	// replies maps the mesh address of each core to its report.
 	replies map[string][]wire.ReplicaStatus
 }
 
-// startStatus asks every known core. This process, if it is a core, is asked without a message.
+// startStatus sends a status request to every known core. If this process is a core, it reads its own state directly.
 func (s *Service) startStatus(ctx *kernel.Context, id uint64) {
 	call := &statusCall{cores: knownCores(s.members.All(ctx.Now)), replies: map[string][]wire.ReplicaStatus{}}
 	s.statusCalls[id] = call
@@ -53,8 +53,8 @@
 	s.finishStatusIfComplete(ctx, id, call)
 }
 
-// knownCores returns the cores among the members, one for each address. The earlier incarnation of a core that
-// restarted may still be known; the live one is kept.
+// knownCores returns the cores among the members, one for each address. If an earlier incarnation of a restarted core
+// is still a member, the live incarnation is returned.
 func knownCores(all []membership.Member) []membership.Member {
 	var cores []membership.Member
 	at := map[string]int{}
@@ -93,7 +93,7 @@
 	s.finishStatus(ctx, id, call)
 }
 
-// finishStatus answers a call with the replies received so far.
+// finishStatus answers a call with the replies received so far and removes it.
 func (s *Service) finishStatus(ctx *kernel.Context, id uint64, call *statusCall) {
 	delete(s.statusCalls, id)
 	status := Status{Cores: make([]CoreStatus, 0, len(call.cores))}
@@ -104,7 +104,7 @@
 	ctx.Reply(id, status)
 }
 
-// Newest returns the newest version of each partition that any core knows to be committed.
+// Newest returns the newest committed version of each partition that any core has reported.
 func (s Status) Newest() map[int]wire.Version {
 	newest := map[int]wire.Version{}
 	for _, core := range s.Cores {
--- a/control/operations/status_test.go
+++ b/control/operations/status_test.go
@@ -11,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-// addCores adds cores to the node's members, by their names.
+// addCores adds cores with these names to the node's members.
 func (n *node) addCores(cores ...string) {
 	for _, name := range cores {
 		row := wire.Member{Name: name, Role: "core", Zone: "z-" + name, Addr: name + ":1"}
@@ -19,7 +19,7 @@
 	}
 }
 
-// statusReply has a core reply with one replica at a version.
+// statusReply delivers the reply of a core that has one replica with version seq.
 func (n *node) statusReply(id uint64, name string, seq uint64) {
 	n.receive(wire.KindStatusReply, id, &wire.StatusReply{
 		Addr: name + ":1", Replicas: []wire.ReplicaStatus{{State: "follower", Committed: wire.Version{Term: 4, Seq: seq}}},
--- a/control/operations/submit.go
+++ b/control/operations/submit.go
@@ -7,14 +7,14 @@
 	"wallport/runtime/wire"
 )
 
-// finish answers a call and forgets it.
+// finish answers a call and removes it.
 func (s *Service) finish(ctx *kernel.Context, id uint64, c *call, result Result) {
 	delete(s.calls, id)
 	ctx.Reply(id, c.answer(result))
 }
 
-// attempt sends a call's edit to the leader and schedules the next attempt. It ends the call once its time is
-// over, and only looks at the nodes once the leader has replied.
+// attempt sends a call's edit to the leader and schedules the next attempt. It ends the call if its time-out has
+// passed. After the leader's final reply it only checks whether the nodes have the edit in force.
 func (s *Service) attempt(ctx *kernel.Context, id uint64) {
 	c := s.calls[id]
 	if c == nil {
@@ -36,7 +36,7 @@
 	ctx.AfterFor(min(AttemptInterval, c.timeout()/minAttempts, left), PluginName, id)
 }
 
-// timeOut ends a call without a reply. The outcome is unknown unless every edit sent was declined.
+// timeOut ends a call that has no final reply. The outcome is unknown unless every edit sent was declined.
 func (s *Service) timeOut(ctx *kernel.Context, id uint64, c *call) {
 	code := wire.CodeOverloaded
 	if c.undeclined > 0 {
@@ -45,8 +45,8 @@
 	s.finish(ctx, id, c, Result{Reply: wire.EditReply{Code: code}})
 }
 
-// send sends a call's edit, or first the query for the version that a command about a zone is bound to. A
-// call that has expired sends nothing.
+// send sends a call's edit. For a zone command whose base has not been set, it sends the query for the zone's
+// version instead. It sends nothing for an expired call.
 func (s *Service) send(ctx *kernel.Context, id uint64, c *call, addr string) {
 	if c.expired(ctx.Now) {
 		return
@@ -64,7 +64,7 @@
 	ctx.SendTo(addr, wire.KindEdit, id, &edit)
 }
 
-// redirect sends a call to the address that a reply named, a bounded number of times.
+// redirect sends a call to the address in a reply, at most maxRedirects times per call.
 func (s *Service) redirect(ctx *kernel.Context, id uint64, c *call, addr string) {
 	if addr == "" || c.redirects >= maxRedirects {
 		return
@@ -73,8 +73,8 @@
 	s.send(ctx, id, c, addr)
 }
 
-// leaderAddress returns where to send a call next: to the partition's leader as last heard of, and every other time
-// to a random live core, which knows of a newer leader once the old one is gone. It is empty where no core is known.
+// leaderAddress returns the address to send a call to. It alternates between the last reported leader of the partition
+// and a random live core, because the core may know a newer leader. It returns "" if no core is known.
 func (s *Service) leaderAddress(ctx *kernel.Context, c *call) string {
 	partition := c.command.Edit.Partition
 	addr := ""
@@ -112,13 +112,13 @@
 	case wire.CodeOverloaded:
 		c.undeclined--
 	case wire.CodeUnknown:
-		// The edit id lets the next attempt learn what became of this one.
+		// The next attempt has the same edit id, so its reply tells the outcome of this one.
 	default:
 		s.recordReply(ctx, id, c, reply)
 	}
 }
 
-// recordReply records the leader's final reply. The call ends here unless it waits for the nodes.
+// recordReply records the leader's final reply and ends the call, unless the call waits for the nodes.
 func (s *Service) recordReply(ctx *kernel.Context, id uint64, c *call, reply wire.EditReply) {
 	c.reply, c.repliedAt = &reply, ctx.Now
 	if reply.Code != wire.CodeOK || !c.command.AwaitInForce {
@@ -128,8 +128,8 @@
 	s.awaitInForce(ctx, id, c)
 }
 
-// awaitInForce ends a call once every live node reports the committed version in force, or its time is over;
-// otherwise it looks again later.
+// awaitInForce ends a call if every live node reports the committed version in force or if the time-out has passed.
+// Otherwise it schedules the next check.
 func (s *Service) awaitInForce(ctx *kernel.Context, id uint64, c *call) {
 	result := Result{Reply: *c.reply}
 	for _, node := range s.members.Live(ctx.Now, settings.RoleNode) {
@@ -146,7 +146,7 @@
 	ctx.AfterFor(min(inForcePollInterval, c.repliedAt+c.awaitTimeout()-ctx.Now), PluginName, id)
 }
 
-// hasInForce reports whether a node's versions include the wanted one or a newer one of its partition.
+// hasInForce reports whether versions includes the wanted version or a newer one of the same partition.
 func hasInForce(versions []wire.Version, wanted wire.Version) bool {
 	for _, version := range versions {
 		if version.Partition == wanted.Partition && !mesh.Newer(wanted, version) {
--- a/control/operations/submit_test.go
+++ b/control/operations/submit_test.go
@@ -13,14 +13,14 @@
 	"wallport/runtime/wire"
 )
 
-// node runs the kernel of a node or core and keeps what it put out.
+// node runs the kernel of a node or core and records its output.
 type node struct {
 	t       *testing.T
 	k       *kernel.Kernel
 	now     clock.Micros
 	timers  []kernel.Timer
 	answers map[uint64]any
-	// edits are the addresses to which edits were sent, and frames those edits.
+	// edits has the addresses that edits were sent to, and frames those edits.
 	edits  []string
 	frames []sentEdit
 }
@@ -30,7 +30,7 @@
 	edit wire.Edit
 }
 
-// newNode returns a node that has heard from a core that "owner" leads partition 0.
+// newNode returns a node that has been informed by a core that "owner" leads partition 0.
 func newNode(t *testing.T) *node {
 	t.Helper()
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
@@ -70,7 +70,7 @@
 	n.step(kernel.Call{Plugin: PluginName, ID: id, Request: request})
 }
 
-// advance moves time on and delivers the timers that are due, in order.
+// advance advances the time by span and delivers the timers that expire, in order.
 func (n *node) advance(span clock.Micros) {
 	for end := n.now + span; ; {
 		next := -1
@@ -90,7 +90,7 @@
 	}
 }
 
-// code returns the code of a call's result, or "" while the call is not answered.
+// code returns the code of a call's result, or "" if the call has not been answered.
 func (n *node) code(id uint64) wire.Code {
 	v, ok := n.answers[id]
 	if !ok {
@@ -99,7 +99,7 @@
 	return v.(Result).Reply.Code
 }
 
-// routingEdit is an edit that is sent without a query first.
+// routingEdit returns an edit that is sent without a preceding query for a zone's version.
 func routingEdit() wire.Edit { return wire.Edit{Op: wire.OpPutRouting} }
 
 func TestSubmitTimesOutAsUnknown(t *testing.T) {
@@ -109,7 +109,7 @@
 	must.Eq(t, "", n.code(1))
 	n.advance(1)
 	must.Eq(t, wire.CodeUnknown, n.code(1))
-	must.Eq(t, 5, len(n.edits), must.Sprint("attempted again meanwhile"))
+	must.Eq(t, 5, len(n.edits), must.Sprint("attempts until the time-out"))
 }
 
 func TestSubmitWithoutCoresIsOverloaded(t *testing.T) {
@@ -134,7 +134,7 @@
 	n.call(2, Submit{Edit: routingEdit(), Timeout: 800 * clock.Millisecond})
 	n.reply(2, wire.EditReply{Code: wire.CodeNotLeader})
 	n.advance(800 * clock.Millisecond)
-	must.Eq(t, wire.CodeUnknown, n.code(2), must.Sprint("later sendings were not declined"))
+	must.Eq(t, wire.CodeUnknown, n.code(2), must.Sprint("the later attempts were not declined"))
 }
 
 func TestSubmitFollowsRedirectsToLeader(t *testing.T) {
@@ -144,7 +144,7 @@
 	must.Eq(t, []string{"owner", "other"}, n.edits)
 	n.reply(1, wire.EditReply{Code: wire.CodeOK, Version: wire.Version{Term: 3, Seq: 1}})
 	must.Eq(t, wire.CodeOK, n.code(1))
-	// Two cores that name each other do not keep an edit circulating.
+	// Two cores that redirect to each other must not keep an edit circulating.
 	n.call(2, Submit{Edit: routingEdit()})
 	n.edits = nil
 	for range 100 {
@@ -175,7 +175,7 @@
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			n := newNode(t)
-			// This node itself does not have that version in force.
+			// The only live node is this one, which does not have that version in force.
 			n.call(1, Submit{Edit: routingEdit(), AwaitInForce: true, AwaitTimeout: v.awaitTimeout, Timeout: v.timeout})
 			n.advance(v.repliedAt)
 			n.reply(1, wire.EditReply{Code: wire.CodeOK, Version: at})
@@ -199,7 +199,7 @@
 	must.Eq(t, 7, got.Table.Revision)
 	n.call(2, ReadRouting{Timeout: 800 * clock.Millisecond})
 	n.reply(2, wire.EditReply{Code: wire.CodeOK})
-	must.Eq(t, Routing{Code: wire.CodeOK}, n.answers[2].(Routing), must.Sprint("none was ever set"))
+	must.Eq(t, Routing{Code: wire.CodeOK}, n.answers[2].(Routing), must.Sprint("no table has ever been set"))
 	n.call(3, ReadRouting{Timeout: 800 * clock.Millisecond})
 	n.advance(800 * clock.Millisecond)
 	must.Eq(t, Routing{Code: wire.CodeOverloaded}, n.answers[3].(Routing))
--- a/control/operations/zone_version.go
+++ b/control/operations/zone_version.go
@@ -5,16 +5,15 @@
 	"wallport/runtime/wire"
 )
 
-// A command about a zone has no revision of its own. The process that takes it from the operator therefore binds it
-// to the version that last took a command about that zone, which it reads from the leader after the
-// command arrived. The leader refuses a command that is bound to another version, so that a delayed copy cannot
-// undo a later command.
+// A zone command has no revision. The process that receives it from the operator therefore sets its base to the
+// version of the last command for that zone, which it reads from the leader after the command has arrived. The
+// leader refuses a command with any other base, so that a delayed duplicate cannot undo a later command.
 
 // versionQueryFlag marks the frame ids of queries for a zone's version, so that the reply to a query
-// is never taken for the reply to the command itself.
+// is never mistaken for the reply to the command itself.
 const versionQueryFlag uint64 = 1 << 63
 
-// needsVersion reports whether the call is a command about a zone that is not yet bound to a version.
+// needsVersion reports whether the call is a zone command whose base has not been set yet.
 func (c *call) needsVersion() bool {
 	return (c.command.Edit.Op == wire.OpDrainZone || c.command.Edit.Op == wire.OpRestoreZone) && !c.versionBound
 }
@@ -23,7 +22,7 @@
 	return wire.Edit{Partition: c.command.Edit.Partition, Op: wire.OpZoneVersion, Name: c.command.Edit.Name}
 }
 
-// versionReplied binds the command to the version that the leader named and sends it.
+// versionReplied sets the command's base to the version in the leader's reply and sends the command.
 func (s *Service) versionReplied(ctx *kernel.Context, id uint64, reply wire.EditReply) {
 	c := s.calls[id]
 	if c == nil || c.reply != nil || c.versionBound {
@@ -36,15 +35,15 @@
 		c.versionBound, c.command.Edit.Base = true, reply.Version
 		s.redirect(ctx, id, c, reply.Addr)
 	case wire.CodeInvalid:
-		// A leader of a release before 3 knows no zone versions and takes the command without one. A newer
-		// leader refuses such a command, unless it never took any about the zone.
+		// A leader of a release before 3 does not support zone versions and accepts the command without a
+		// base. A newer leader refuses such a command, unless there has been no command for the zone.
 		c.versionBound, c.command.Edit.Base = true, wire.Version{}
 		s.redirect(ctx, id, c, s.leaderAddress(ctx, c))
 	}
 }
 
-// versionStale queries the zone's version again after the leader refused the command: another command about the
-// zone was taken first.
+// versionStale queries the zone's version again after the leader has refused the command because another command for
+// the zone was applied first.
 func (s *Service) versionStale(ctx *kernel.Context, id uint64, c *call) {
 	c.undeclined--
 	if !c.versionBound {
--- a/control/operations/zone_version_test.go
+++ b/control/operations/zone_version_test.go
@@ -42,13 +42,13 @@
 	n.reply(n.lastFrame().id, zoneVersionReply(8))
 	second := n.lastFrame()
 	must.Eq(t, uint64(8), second.edit.Base.Seq)
-	must.Eq(t, first.edit.EditID, second.edit.EditID, must.Sprint("it is the same command"))
+	must.Eq(t, first.edit.EditID, second.edit.EditID, must.Sprint("the edit id of the command is kept"))
 	n.reply(second.id, wire.EditReply{Code: wire.CodeStale})
 	n.advance(800 * clock.Millisecond)
 	must.Eq(t, wire.CodeOverloaded, n.code(1), must.Sprint("each edit sent was declined"))
 }
 
-// A process that was frozen, or that received a reply late, sends nothing for a call whose caller has stopped waiting.
+// A process that was frozen, or that receives a reply late, must not send anything for a call whose caller no longer waits.
 func TestNoFrameIsSentForFinishedCall(t *testing.T) {
 	for name, endCall := range map[string]func(n *node){
 		"old":       func(n *node) { n.now += 800 * clock.Millisecond },
@@ -78,7 +78,7 @@
 	}
 }
 
-// A leader of the previous release does not know the query, and takes commands without it.
+// A leader of a release before 3 does not know the query and accepts commands without a base.
 func TestZoneCommandToLeaderOfEarlierRelease(t *testing.T) {
 	n := newNode(t)
 	n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
@@ -87,7 +87,7 @@
 	must.Eq(t, wire.Version{}, n.lastFrame().edit.Base)
 }
 
-// A reply to the query says nothing of the command, which another core may take meanwhile.
+// A declined query must not count as a declined command, because another core may still apply the command.
 func TestDeclinedVersionQueryDoesNotDeclineCommand(t *testing.T) {
 	n := newNode(t)
 	n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
@@ -119,7 +119,7 @@
 	must.Eq(t, wire.CodeOverloaded, n.answers[2].(History).Code)
 }
 
-// A zone that is not in a complete list is not drained; one that may exist is.
+// A drain command is refused if a complete list shows that the zone is unknown, and sent if the zone may exist.
 func TestDrainRefusesUnknownZone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -153,7 +153,7 @@
 	}
 }
 
-// A zone that has lost everything in it is still drained where the settings name it.
+// A zone that has lost all its members and backends can still be drained if the settings name it.
 func TestDrainAcceptsEmptyZoneOfSettings(t *testing.T) {
 	n := newNode(t)
 	n.announce("listing", wire.Encode(&wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}))
@@ -163,7 +163,7 @@
 	must.Len(t, 1, n.frames)
 }
 
-// announce has the node's own mesh store an entry.
+// announce stores an entry in the node's mesh as its own announcement.
 func (n *node) announce(typ string, body []byte) {
 	n.k.Later(func(ctx *kernel.Context) { kernel.Find[*mesh.Mesh](n.k).Announce(ctx, typ, typ, body, false) })
 	n.step(kernel.Tick{Plugin: PluginName, Key: "none"})
--- a/control/operations/zones.go
+++ b/control/operations/zones.go
@@ -8,11 +8,11 @@
 	"wallport/runtime/wire"
 )
 
-// CodeUnknownZone refuses to drain a zone of which nothing is known. Nothing was sent.
+// CodeUnknownZone is the code of a drain command for an unknown zone, which is refused without being sent.
 const CodeUnknownZone wire.Code = "unknown_zone"
 
-// zoneMayExist reports whether a zone may exist: the settings name it, a member or a listed backend is in it, or
-// this process has not received a complete list of backends yet and cannot tell.
+// zoneMayExist reports whether a zone may exist: it is in the settings, a member or a listed backend is in it, or
+// this process has not received a complete list of backends yet and therefore cannot rule it out.
 func (s *Service) zoneMayExist(zone string, now clock.Micros) bool {
 	if _, named := s.zoneRegions[zone]; named {
 		return true
@@ -35,6 +35,6 @@
 }
 
 func unknownZone(zone string) Result {
-	finding := wire.Finding{Path: "zone", Text: "nothing that is known here is in zone " + zone}
+	finding := wire.Finding{Path: "zone", Text: "settings, members and backend list do not contain zone " + zone}
 	return Result{Reply: wire.EditReply{Code: CodeUnknownZone, Findings: []wire.Finding{finding}}}
 }
