--- a/control/config/check.go
+++ b/control/config/check.go
@@ -9,17 +9,17 @@
 	"wallport/runtime/wire"
 )
 
-// Kinds are the kinds of requests that have quotas.
+// Kinds lists the kinds of requests that have quotas.
 var Kinds = []string{"search", "read", "correct", "part"}
 
-// Bounds of the times in a configuration.
+// Bounds of the durations in a configuration.
 const (
 	minSpan      = clock.Millisecond
 	maxSpan      = clock.Minute
 	maxSlowStart = 10 * maxSpan
 )
 
-// Check lists every fault of a configuration; none means that it may come into force.
+// Check returns a finding for every fault of a configuration. A configuration without findings may be put in force.
 func Check(configuration *configpb.Sheet) []wire.Finding {
 	c := &collector{}
 	services := map[string]int{}
@@ -62,7 +62,7 @@
 	}
 }
 
-// checkQuotas checks the quota rows. services maps the indexes to their position among the services.
+// checkQuotas checks the quota rows. services maps each index to its position in the table of services.
 func (c *collector) checkQuotas(configuration *configpb.Sheet, services map[string]int) {
 	shares := map[string]int32{}
 	seen := map[string]int{}
@@ -89,7 +89,7 @@
 	}
 }
 
-// checkSubject checks the index and the kind that a quota row or a booking is about.
+// checkSubject checks the index and the kind that a quota row or a booking applies to.
 func (c *collector) checkSubject(path, index, kind string, services map[string]int) {
 	if _, ok := services[index]; !ok {
 		c.add(path+".index", "no service has the index %q", index)
@@ -122,8 +122,8 @@
 	}
 }
 
-// checkOverlaps checks that the bookings of an index never take more than its whole capacity. The sum is
-// largest where some booking starts, so only these moments are checked.
+// checkOverlaps checks that the bookings of an index never add up to more than its capacity. The sum only rises
+// when a booking starts, so it is sufficient to check the start times.
 func (c *collector) checkOverlaps(reservations []*configpb.Booking) {
 	for i, booking := range reservations {
 		var sum int32
--- a/control/config/config.go
+++ b/control/config/config.go
@@ -1,10 +1,10 @@
 // Package config reads, checks, edits and compares the operators' configuration, which the API calls a
 // sheet: the services (indexes), the quota rows of their requests and the bookings of their capacity.
 //
-// Input is JSON as an operator sent it, output the protobuf message [configpb.Sheet] together with
-// findings. Each finding names the table, row and field it is about, and all findings of one input are
-// reported together: JSON is decoded field by field with protojson, so that one bad field hides no other.
-// The package also reads the file of the operators' tokens. It keeps no state.
+// The input is JSON sent by an operator; the output is the protobuf message [configpb.Sheet] and a list of
+// findings. Each finding names the table, row and field that it refers to. All findings for an input are
+// reported together: JSON is decoded field by field with protojson, so that one invalid field does not hide
+// another. The package also reads the file of the operators' tokens. It keeps no state.
 package config
 
 import (
@@ -53,11 +53,11 @@
 // quotaKey identifies a quota row among those of a configuration.
 func quotaKey(row *configpb.Row) string { return row.Index + "\x00" + row.Kind }
 
-// VersionText formats a version as operators and HTTP headers have it: TERM.SEQUENCE.
+// VersionText formats a version as TERM.SEQUENCE, the form for operators and HTTP headers.
 func VersionText(version wire.Version) string { return fmt.Sprintf("%d.%d", version.Term, version.Seq) }
 
-// ParseVersion parses what VersionText formatted, with or without double quotes. ok is false if the text
-// is not a version.
+// ParseVersion parses the output of VersionText, with or without double quotes. ok is false if the text is
+// not a version.
 func ParseVersion(partition int, text string) (version wire.Version, ok bool) {
 	version.Partition = partition
 	n, err := fmt.Sscanf(strings.Trim(text, `"`), "%d.%d", &version.Term, &version.Seq)
@@ -71,7 +71,7 @@
 	if err != nil {
 		return json.RawMessage("{}")
 	}
-	// protojson varies its white space on purpose.
+	// protojson deliberately varies its white space, so the output is compacted to make it stable.
 	var compact bytes.Buffer
 	if json.Compact(&compact, encoded) != nil {
 		return encoded
--- a/control/config/config_test.go
+++ b/control/config/config_test.go
@@ -15,7 +15,7 @@
  "rows":[{"index":"a","kind":"search","share":70},{"index":"a","kind":"read","share":30,"ceiling":50}],
  "bookings":[{"id":"b1","index":"a","kind":"search","slice":60,"starts_us":100,"ends_us":200}]}`
 
-// findingPaths joins the paths of findings.
+// findingPaths returns the paths of findings, separated by spaces.
 func findingPaths(found []wire.Finding) string {
 	var paths []string
 	for _, finding := range found {
--- a/control/config/conflicts.go
+++ b/control/config/conflicts.go
@@ -10,10 +10,10 @@
 	"wallport/runtime/wire"
 )
 
-// Conflicts lists the rows that a JSON list of row edits names and that changed between the configuration
-// which the edits are based on and the current one. Two operators who edit different rows at once both
-// succeed; of two who edit the same row one does, and the other learns what changed meanwhile. Edits that
-// cannot be decoded conflict with nothing; Apply reports them.
+// Conflicts lists the rows in a JSON list of row edits that have changed between base, the configuration that the
+// edits are based on, and the current one. Concurrent edits of different rows both succeed. Of concurrent edits
+// of the same row only one succeeds, and the findings tell the other operator what has changed. Edits that cannot
+// be decoded have no conflicts; Apply reports them.
 func Conflicts(base, current *configpb.Sheet, body []byte) []wire.Finding {
 	var edits []RowEdit
 	if json.Unmarshal(body, &edits) != nil {
@@ -31,11 +31,11 @@
 			switch {
 			case seen[key] || !existed && !exists:
 			case existed && !exists:
-				c.add(key, "was removed meanwhile")
+				c.add(key, "was removed since the base version")
 			case !existed:
-				c.add(key, "was made meanwhile")
+				c.add(key, "was added since the base version")
 			case !proto.Equal(before, now):
-				c.add(key, "changed meanwhile: %s", strings.Join(changedFields(before, now), " "))
+				c.add(key, "changed since the base version: %s", strings.Join(changedFields(before, now), " "))
 			}
 			seen[key] = true
 		}
--- a/control/config/diff.go
+++ b/control/config/diff.go
@@ -10,7 +10,7 @@
 	"wallport/api/configpb"
 )
 
-// rowsByKey maps each row's table and key fields, as operators read them, to the row.
+// rowsByKey maps the table name and key fields of each row, in the form shown to operators, to the row.
 func rowsByKey(configuration *configpb.Sheet) map[string]proto.Message {
 	rows := map[string]proto.Message{}
 	for _, row := range configuration.Services {
@@ -25,7 +25,8 @@
 	return rows
 }
 
-// Diff lists the rows that are new (+), changed (~) or gone (-), sorted by key, with the changed fields.
+// Diff lists the rows that were added (+), changed (~) or removed (-), sorted by key. Changed rows are listed with
+// the changed fields.
 func Diff(from, to *configpb.Sheet) []string {
 	fromRows, toRows := rowsByKey(from), rowsByKey(to)
 	var lines []string
--- a/control/config/duplicates.go
+++ b/control/config/duplicates.go
@@ -8,9 +8,9 @@
 	"wallport/runtime/wire"
 )
 
-// DuplicateNames lists every name that an object anywhere in a JSON text gives twice. A decoder keeps one
-// of two equal names without a word, so what an operator sent is searched before it is decoded. Text that
-// is not JSON is searched up to the error, which whoever decodes it reports.
+// DuplicateNames returns a finding for every duplicate name in an object, at any depth of a JSON text. A decoder
+// silently keeps only one of two members with the same name, so operators' input is searched before it is
+// decoded. Invalid JSON is searched up to the error, which is reported when the text is decoded.
 func DuplicateNames(text []byte) []wire.Finding {
 	c := &collector{}
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -19,7 +19,7 @@
 	return c.found
 }
 
-// duplicateNames searches the next value of the decoder. It reports whether the value could be read.
+// duplicateNames searches the next value of the decoder. It returns false if the value is not valid JSON.
 func (c *collector) duplicateNames(decoder *json.Decoder, path string) bool {
 	token, err := decoder.Token()
 	if err != nil {
--- a/control/config/edit.go
+++ b/control/config/edit.go
@@ -25,8 +25,8 @@
 	Row   json.RawMessage `json:"row"`
 }
 
-// Apply returns a copy of a configuration with a JSON list of row edits applied. It may be used only if
-// there are no findings: all edits take effect or none.
+// Apply returns a copy of a configuration with a JSON list of row edits applied. The copy may be used only if
+// there are no findings, so that either all edits take effect or none.
 func Apply(configuration *configpb.Sheet, body []byte) (*configpb.Sheet, []wire.Finding) {
 	c := &collector{}
 	var edits []RowEdit
@@ -38,7 +38,7 @@
 	for i, edit := range edits {
 		path := fmt.Sprintf("edits[%d]", i)
 		if !isTable(edit.Table) || edit.Op != opSet && edit.Op != opRemove {
-			c.add(path, "op is set or remove; table is services, rows or bookings")
+			c.add(path, "op must be set or remove; table must be services, rows or bookings")
 			continue
 		}
 		decoded := new(configpb.Sheet)
@@ -54,8 +54,8 @@
 	return edited, c.found
 }
 
-// editTable applies one edit, whose row is the only one in decoded. ok is false if the row that is to be
-// removed does not exist.
+// editTable applies one edit. Its row is the only row in decoded. ok is false if the row to be removed does not
+// exist.
 func editTable(edited, decoded *configpb.Sheet, edit RowEdit) (ok bool) {
 	switch edit.Table {
 	case tableServices:
@@ -82,8 +82,8 @@
 	return rows, true
 }
 
-// EditedIndexes lists the indexes that a JSON list of row edits concerns, for the check of an operator's
-// scope. An index that cannot be determined is listed as the empty name.
+// EditedIndexes lists the indexes affected by a JSON list of row edits, for checking whether they are within an
+// operator's scope. An index that cannot be determined is listed as the empty string.
 func EditedIndexes(configuration *configpb.Sheet, body []byte) []string {
 	var edits []RowEdit
 	if json.Unmarshal(body, &edits) != nil {
@@ -97,7 +97,7 @@
 		}
 		indexes = append(indexes, row.Index)
 		for _, booking := range configuration.GetBookings() {
-			// A booking that moves to another index concerns both.
+			// Moving a booking to another index affects both indexes.
 			if edit.Table == tableReservations && booking.Id == row.ID {
 				indexes = append(indexes, booking.Index)
 			}
--- a/control/config/read.go
+++ b/control/config/read.go
@@ -15,7 +15,7 @@
 	"wallport/runtime/wire"
 )
 
-// maxQuotedBytes is how much of a value that cannot be decoded a finding quotes.
+// maxQuotedBytes is the maximum length of the quotation of an invalid value in a finding.
 const maxQuotedBytes = 60
 
 // collector collects the findings of one input.
@@ -25,7 +25,7 @@
 	c.found = append(c.found, wire.Finding{Path: path, Text: fmt.Sprintf(format, args...)})
 }
 
-// Read decodes a whole configuration. What could be decoded is returned beside the findings.
+// Read decodes a whole configuration. Even if there are findings, it returns the parts that could be decoded.
 func Read(body []byte) (*configpb.Sheet, []wire.Finding) {
 	c := &collector{}
 	configuration := new(configpb.Sheet)
@@ -35,7 +35,7 @@
 	}
 	for _, table := range tables {
 		if !isTable(table.name) {
-			c.add(table.name, "no such table; there are services, rows and bookings")
+			c.add(table.name, "no such table; the tables are services, rows and bookings")
 			continue
 		}
 		var rows []json.RawMessage
@@ -50,18 +50,18 @@
 	return configuration, c.found
 }
 
-// member is one name and value of a JSON object.
+// member is a name/value pair of a JSON object.
 type member struct {
 	name  string
 	value json.RawMessage
 }
 
-// object splits a JSON object into its members and reports names that are given twice. ok is false if the
-// text is not one object and nothing else.
+// object splits a JSON object into its members and adds a finding for each duplicate name. ok is false if the
+// text is not exactly one JSON object.
 func (c *collector) object(path string, text []byte) (members []member, ok bool) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	badJSON := func(err error) ([]member, bool) {
-		c.add(path, "bad JSON near byte %d: %v", decoder.InputOffset(), err)
+		c.add(path, "invalid JSON near byte %d: %v", decoder.InputOffset(), err)
 		return nil, false
 	}
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
@@ -87,7 +87,7 @@
 		return badJSON(err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		c.add(path, "something follows the object at byte %d", decoder.InputOffset())
+		c.add(path, "unexpected data after the object, near byte %d", decoder.InputOffset())
 		return nil, false
 	}
 	return members, true
@@ -108,7 +108,7 @@
 		single, _ := json.Marshal(map[string]json.RawMessage{m.name: m.value})
 		field := message.ProtoReflect().New().Interface()
 		if err := protojson.Unmarshal(single, field); err != nil {
-			c.add(fieldPath, "cannot take %s", abbreviate(m.value))
+			c.add(fieldPath, "invalid value for this field: %s", abbreviate(m.value))
 			continue
 		}
 		proto.Merge(message, field)
--- a/control/config/tokens.go
+++ b/control/config/tokens.go
@@ -9,20 +9,20 @@
 	"wallport/runtime/wire"
 )
 
-// Scopes of an operator's token. Each includes what the one before it allows.
+// Scopes of an operator's token. Each scope includes the permissions of the previous one.
 const (
-	// ScopeRead allows to read everything.
+	// ScopeRead permits reading everything.
 	ScopeRead = "read"
-	// ScopeRows allows to edit the rows of the indexes that the token lists.
+	// ScopeRows permits editing the rows of the indexes listed in the token.
 	ScopeRows = "rows"
-	// ScopeAll allows everything.
+	// ScopeAll permits everything.
 	ScopeAll = "all"
 )
 
 const minTokenBytes = 8
 
-// ReadTokens decodes and checks the file of the operators' tokens. What could be decoded is returned
-// beside the findings.
+// ReadTokens decodes and checks the file of the operators' tokens. Even if there are findings, it returns the
+// tokens that could be decoded.
 func ReadTokens(body []byte) (*configpb.Tokens, []wire.Finding) {
 	c := &collector{found: DuplicateNames(body)}
 	tokens := new(configpb.Tokens)
@@ -43,25 +43,25 @@
 		seen[token.Token] = i
 	}
 	if len(file.Tokens) == 0 {
-		c.add("tokens", "are missing: nobody could do anything")
+		c.add("tokens", "at least one is needed: without tokens no operator could do anything")
 	}
 	return tokens, c.found
 }
 
-// checkToken checks one token. seen maps the tokens before it to their position in the file.
+// checkToken checks one token. seen maps the preceding tokens to their positions in the file.
 func (c *collector) checkToken(path string, token *configpb.Token, seen map[string]int) {
 	if len(token.Token) < minTokenBytes {
-		c.add(path+".token", "needs %d characters at least", minTokenBytes)
+		c.add(path+".token", "must have at least %d characters", minTokenBytes)
 	} else if first, duplicate := seen[token.Token]; duplicate {
-		c.add(path+".token", "is that of tokens[%d] already", first)
+		c.add(path+".token", "is the same as the token of tokens[%d]", first)
 	}
 	if token.Who == "" {
-		c.add(path+".who", "is needed, for the audit")
+		c.add(path+".who", "is needed for the audit")
 	}
 	if !slices.Contains([]string{ScopeRead, ScopeRows, ScopeAll}, token.Scope) {
 		c.add(path+".scope", "%q is not one of read, rows, all", token.Scope)
 	}
 	if (token.Scope == ScopeRows) != (len(token.Indexes) > 0) {
-		c.add(path+".indexes", "go with the scope rows, and only with it")
+		c.add(path+".indexes", "must be listed if the scope is rows, and only then")
 	}
 }
--- a/control/config/tokens_test.go
+++ b/control/config/tokens_test.go
@@ -31,7 +31,7 @@
 	cases := map[string][]string{
 		`[{"op":"set","table":"rows","row":{"index":"a"}},{"op":"set","table":"services","row":{"index":"b"}}]`: {"a", "b"},
 		`[{"op":"remove","table":"bookings","row":{"id":"mine"}}]`:                                              {"a"},
-		// Moving a booking to another index concerns both.
+		// Moving a booking to another index affects both indexes.
 		`[{"op":"set","table":"bookings","row":{"id":"mine","index":"b"}}]`: {"b", "a"},
 		`[{"op":"set","table":"rows","row":{}}]`:                            {""},
 		`[{"op":"set","table":"rows","row":3}]`:                             {""},
