--- a/control/routing/check.go
+++ b/control/routing/check.go
@@ -16,8 +16,8 @@
 	pools map[string]bool
 }
 
-// Check lists what makes a routing table invalid, each finding with its place; none means that the table
-// may come into force. Fields that are not set are not reported unless they are required.
+// Check returns a finding, with its path, for every fault of a routing table. A table without findings may be put
+// in force. Unset fields are reported only if they are required.
 func Check(table *routingpb.RoutingTable) []wire.Finding {
 	c := &checker{pools: map[string]bool{}}
 	for i, pool := range table.Pools {
@@ -32,7 +32,7 @@
 
 func itemPath(list string, i int, name string) string { return fmt.Sprintf("%s[%d] %s", list, i, name) }
 
-// failIf adds a finding if the condition holds.
+// failIf adds a finding if the condition is true.
 func (c *checker) failIf(path string, condition bool, text string) {
 	if condition {
 		c.found = append(c.found, wire.Finding{Path: path, Text: text})
@@ -41,7 +41,7 @@
 
 func (c *checker) checkPool(path string, pool *routingpb.Pool) {
 	c.failIf(path, pool.Name == "", "has no name")
-	c.failIf(path, c.pools[pool.Name] && pool.Name != "", "a pool of that name is there already")
+	c.failIf(path, c.pools[pool.Name] && pool.Name != "", "another pool has the same name")
 	c.pools[pool.Name] = true
 	c.failIf(path, pool.MaxConnections < 0, "max_connections is negative")
 	c.failIf(path, pool.SlowStartUs < 0, "slow start is negative")
@@ -54,7 +54,7 @@
 	pathOf := map[string]string{}
 	for i, route := range routes {
 		path := itemPath("routes", i, route.Name)
-		c.failIf(path, names[route.Name] && route.Name != "", "a route of that name is there already")
+		c.failIf(path, names[route.Name] && route.Name != "", "another route has the same name")
 		names[route.Name] = true
 		key := strings.ToLower(route.Host) + route.Prefix
 		c.failIf(path, pathOf[key] != "", "has the host and prefix of "+pathOf[key])
@@ -67,12 +67,12 @@
 	c.failIf(path, route.Name == "", "has no name")
 	c.failIf(path, route.Host == "", "has no host")
 	c.failIf(path, !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/"), "the prefix must begin and end with a slash")
-	c.failIf(path, route.TimeoutUs <= 0, "the timeout must be above 0")
+	c.failIf(path, route.TimeoutUs <= 0, "the timeout must be greater than 0")
 	c.failIf(path, route.TargetLatencyUs < 0, "the target latency is negative")
 	c.failIf(path, route.MaxBackends < 0, "the number of backends is negative")
 	c.failIf(path, route.ResultLimit < 0, "the result limit is negative")
 	c.failIf(path, route.Priority < 0, "the priority is negative")
-	c.failIf(path, !(route.MinCoverage >= 0 && route.MinCoverage <= 1), "min_coverage must lie in 0 to 1")
+	c.failIf(path, !(route.MinCoverage >= 0 && route.MinCoverage <= 1), "min_coverage must be between 0 and 1")
 	c.checkTargets(path, route)
 }
 
@@ -86,7 +86,7 @@
 	}
 	c.failIf(path, targets == 0, "names no pool")
 	c.failIf(path, targets > 1, "must have only one of pool, pool_weights and fanout_pools")
-	c.failIf(path, len(route.FanoutPools) > 0 && !route.Repeatable, "gathered requests must be repeatable")
+	c.failIf(path, len(route.FanoutPools) > 0 && !route.Repeatable, "a route with fanout_pools must be repeatable")
 	if route.Pool != "" {
 		c.requirePool(path, route.Pool)
 	}
--- a/control/routing/edit.go
+++ b/control/routing/edit.go
@@ -10,9 +10,9 @@
 	"wallport/api/routingpb"
 )
 
-// Apply returns the table after an edit, which replaces it as a whole or by items. Items are replaced in
-// place by name, new ones are appended, and a name that is to be withdrawn but does not exist changes
-// nothing. Neither argument is changed; the result shares their items.
+// Apply returns the routing table that results from an edit, which replaces either the whole table or single items.
+// Items with an existing name replace the existing item at its position, new items are appended, and withdrawing
+// a name that does not exist has no effect. Apply does not modify its arguments; the result shares their items.
 func Apply(current *routingpb.RoutingTable, edit *routingpb.RoutingEdit) *routingpb.RoutingTable {
 	if whole := edit.Whole; whole != nil {
 		return &routingpb.RoutingTable{Revision: edit.Revision, Routes: whole.Routes, Pools: whole.Pools, Limits: whole.Limits, Further: whole.Further}
@@ -40,13 +40,13 @@
 	return merged
 }
 
-// Digest identifies an edit as it was sent, its base and revision included.
+// Digest returns the digest of an edit, which covers its base and revision. Identical edits have the same digest.
 func Digest(edit *routingpb.RoutingEdit) [sha256.Size]byte {
 	return sha256.Sum256(encode(edit))
 }
 
-// LegacyDigest is the digest by which releases before 3 identified an edit. They knew no further fields,
-// so these are left out.
+// LegacyDigest returns the digest by which releases before 3 identified an edit. It leaves out the field Further,
+// which these releases did not know.
 func LegacyDigest(edit *routingpb.RoutingEdit) uint64 {
 	known := proto.Clone(edit).(*routingpb.RoutingEdit)
 	for _, table := range []*routingpb.RoutingTable{known.Whole, known.Upsert} {
--- a/control/routing/routing.go
+++ b/control/routing/routing.go
@@ -1,8 +1,8 @@
-// Package routing holds the routing table that operators set: which requests go to which pools.
+// Package routing implements the operators' routing table, which maps requests to backend pools.
 //
-// Operators send edits ([routingpb.RoutingEdit]) of the table; [Apply] and [Check] say what a table is after
-// an edit and whether it may come into force, and [Digest] identifies an edit that is sent again. [Compile]
-// turns each revision once into a [Table], which the request path reads concurrently and nothing changes.
+// Operators send edits ([routingpb.RoutingEdit]) of the table. [Apply] computes the table that results from an
+// edit, [Check] decides whether it may be put in force, and [Digest] identifies an edit that is sent again.
+// [Compile] compiles each revision once into an immutable [Table], which the request path reads concurrently.
 // A request is matched by its host and the longest prefix of its path.
 package routing
 
@@ -17,24 +17,24 @@
 // Table is one compiled revision of the routing table. It is immutable.
 type Table struct {
 	Revision int64
-	// Source is the message that the table was compiled from.
+	// Source is the protobuf message that the table was compiled from.
 	Source *routingpb.RoutingTable
 	// Limits is never nil.
 	Limits *routingpb.Limits
 	Pools  map[string]*routingpb.Pool
-	// hosts maps a host in lower case to its routes, the longest prefix first.
+	// hosts maps a host in lower case to its routes, sorted by descending length of the prefix.
 	hosts map[string][]*Route
 }
 
 // Route is a route with the values derived from it.
 type Route struct {
 	*routingpb.Route
-	// weights are those of PoolWeights, and total is their sum.
+	// weights has the weights of PoolWeights, and total is their sum.
 	weights []float64
 	total   float64
 }
 
-// FansOut reports whether a request goes to one backend of each of the route's pools, whose answers are
+// FansOut reports whether a request is sent to one backend of each pool in FanoutPools and their responses are
 // merged.
 func (r *Route) FansOut() bool { return len(r.FanoutPools) > 0 }
 
@@ -54,7 +54,7 @@
 	return r.PoolWeights[len(r.PoolWeights)-1].Pool
 }
 
-// Compile compiles a revision that Check accepted; nil gives nil.
+// Compile compiles a revision that Check has accepted. It returns nil if source is nil.
 func Compile(source *routingpb.RoutingTable) *Table {
 	if source == nil {
 		return nil
@@ -84,7 +84,7 @@
 	return table
 }
 
-// Match returns the route of a host and a path, nil if there is none. A port after the host is ignored.
+// Match returns the route for a host and a path, or nil if there is none. A port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
