--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -1,9 +1,9 @@
-// Package membership keeps the list of the fleet's processes and announces this process to the
+// Package membership maintains the list of the fleet's processes and announces this process to the
 // others.
 //
-// A process describes itself in one entry of the mesh: name, role, zone, addresses, the versions
-// that it has in force. The list holds the newest entry of each origin. Whether a member is live is
-// decided by the mesh ([mesh.Mesh.Live]); a restarted process has a new key and is a new member.
+// Each process announces one entry in the mesh with its name, role, zone, addresses and the versions
+// that it has in force. The list holds the newest entry of each origin. The mesh decides whether a
+// member is live ([mesh.Mesh.Live]). A restarted process has a new key and is a new member.
 package membership
 
 import (
@@ -19,7 +19,7 @@
 	"wallport/runtime/wire"
 )
 
-// Member is a member of the fleet as this process sees it.
+// Member is a member of the fleet in this process's view.
 type Member struct {
 	wire.Member
 	Origin string
@@ -32,33 +32,36 @@
 	mesh        *mesh.Mesh
 	local       wire.Member
 	announcedAt clock.Micros
-	// announced is the local member as it was last announced.
+	// announced is the last announced state of the local member.
 	announced wire.Member
 	dirty     bool
-	// announceDue is when the timer of the next announcement fires; 0 if none is set.
+	// announceDue is when the announcement timer fires; 0 if it is not set.
 	announceDue clock.Micros
 	byOrigin    map[string]*wire.Member
-	// sortedOrigins holds the origins of all rows in the order of sorted; nil if a row was added,
-	// changed or removed since.
+	// sortedOrigins caches the result of sorted. It is nil if a member was added, changed or removed
+	// since.
 	sortedOrigins []string
-	// peak is the number of nodes by which fleet-wide allowances are divided, see Divisor.
+	// peak is the number of nodes by which fleet-wide allowances are divided (see Divisor), and
+	// peakAt is when it was last set.
 	peak    int
 	peakAt  clock.Micros
 	started clock.Micros
 }
 
-// Intervals of announcing the local member.
+// Intervals between announcements of the local member.
 const (
-	// announceInterval is the least time between two announcements.
+	// announceInterval is the minimum interval between two announcements.
 	announceInterval = 200 * clock.Millisecond
-	// In a fleet of more than smallFleet members, a change of only the versions in force waits for
-	// announceIntervalPerMember times their number, maxAnnounceInterval at most: all processes
-	// announce a new version at about the same time, each to all.
+	// In a fleet of more than smallFleet members, the interval before an announcement that changes
+	// only the versions in force is announceIntervalPerMember times the number of members, at most
+	// maxAnnounceInterval. All processes announce a new version at about the same time, and each
+	// announcement goes to all processes.
 	smallFleet                = 32
 	announceIntervalPerMember = 100 * clock.Millisecond
 	maxAnnounceInterval       = 10 * clock.Second
-	// startupDelay is for how long after its start a process spaces such announcements by
-	// startupDelay: it learns several versions then, and does not know the size of the fleet yet.
+	// startupDelay is the minimum interval between such announcements during the first startupDelay
+	// after the start of a process: it receives several versions in that time and does not know the
+	// size of the fleet yet.
 	startupDelay = 1 * clock.Second
 )
 
@@ -67,7 +70,8 @@
 	timerAnnounce = "tell"
 )
 
-// PeakTTL is how long the size of a fleet that has shrunk remains the divisor of allowances.
+// PeakTTL is how long the previous size of a fleet that has shrunk remains the divisor of
+// allowances.
 const PeakTTL = 10 * clock.Minute
 
 func init() {
@@ -108,8 +112,8 @@
 		}
 	case mesh.Forgotten:
 		if r := m.byOrigin[v.Origin]; r != nil && r.Role == settings.RoleNode && r.Draining && m.peak > 1 {
-			// A node that drained was removed on purpose: the fleet is meant to be smaller. If the
-			// node comes back, the count of live nodes raises the peak again.
+			// A node that drained was removed intentionally, so the peak is lowered. If the node
+			// returns, the count of live nodes raises the peak again.
 			m.peak--
 		}
 		delete(m.byOrigin, v.Origin)
@@ -122,14 +126,15 @@
 	}
 }
 
-// Update changes the local member with f; the change is announced soon after.
+// Update calls f to change the local member and schedules an announcement of the change.
 func (m *Members) Update(f func(member *wire.Member)) {
 	f(&m.local)
 	m.dirty = true
 	m.k.Later(m.announceSoon)
 }
 
-// announceSoon announces a changed local member, at once if nothing was announced lately.
+// announceSoon announces a changed local member, immediately if announceDelay has passed since the
+// last announcement, otherwise by a timer.
 func (m *Members) announceSoon(ctx *kernel.Context) {
 	if !m.dirty {
 		return
@@ -144,7 +149,8 @@
 	}
 }
 
-// announceDelay returns the least time between the last announcement and one of what changed since.
+// announceDelay returns the minimum time from the last announcement to the announcement of the
+// changes since.
 func (m *Members) announceDelay(now clock.Micros) clock.Micros {
 	announced, current := m.announced, m.local
 	announced.InForce, current.InForce = nil, nil
@@ -160,10 +166,10 @@
 	return min(maxAnnounceInterval, announceIntervalPerMember*clock.Micros(len(m.byOrigin)))
 }
 
-// Local returns this process as it describes itself.
+// Local returns the member entry of this process.
 func (m *Members) Local() wire.Member { return m.local }
 
-// announce announces the local member if it changed.
+// announce announces the local member if it has changed.
 func (m *Members) announce(ctx *kernel.Context) {
 	if !m.dirty {
 		return
@@ -185,7 +191,7 @@
 	return Member{Member: *m.byOrigin[origin], Origin: origin, Live: m.mesh.Live(origin, now)}
 }
 
-// sorted returns the origins of all rows, sorted by the members' names and then by origin.
+// sorted returns the origins of all members, sorted by name and then by origin.
 func (m *Members) sorted() []string {
 	if m.sortedOrigins == nil {
 		m.sortedOrigins = slices.SortedFunc(maps.Keys(m.byOrigin), func(a, b string) int {
@@ -195,14 +201,14 @@
 	return m.sortedOrigins
 }
 
-// Each calls visit for each member, sorted by name. The rows must not be changed.
+// Each calls visit for each member in the order of their names. visit must not modify the member.
 func (m *Members) Each(now clock.Micros, visit func(origin string, member *wire.Member, live bool)) {
 	for _, origin := range m.sorted() {
 		visit(origin, m.byOrigin[origin], m.mesh.Live(origin, now))
 	}
 }
 
-// Live returns the live members of a role, sorted by name.
+// Live returns the live members with a role, sorted by name.
 func (m *Members) Live(now clock.Micros, role string) []Member {
 	var out []Member
 	for _, origin := range m.sorted() {
@@ -213,7 +219,7 @@
 	return out
 }
 
-// Count returns the number of live members of a role.
+// Count returns the number of live members with a role.
 func (m *Members) Count(now clock.Micros, role string) (n int) {
 	for origin, r := range m.byOrigin {
 		if r.Role == role && m.mesh.Live(origin, now) {
@@ -223,7 +229,8 @@
 	return n
 }
 
-// Replica returns the live core that has a replica's disk, and whether there is one.
+// Replica returns the live core that has the replica with that id. The result is false if there is
+// none.
 func (m *Members) Replica(id string, now clock.Micros) (Member, bool) {
 	for _, origin := range m.sorted() {
 		if m.byOrigin[origin].Replica == id && m.mesh.Live(origin, now) {
@@ -233,7 +240,7 @@
 	return Member{}, false
 }
 
-// Divisor returns by how many nodes a fleet-wide allowance is divided: the greatest number of live
-// nodes within PeakTTL. Neither a shrinking fleet nor an isolated node may take the shares of nodes
-// that it does not see.
+// Divisor returns the number of nodes by which a fleet-wide allowance is divided. It is the greatest
+// number of live nodes within PeakTTL, less the drained nodes that were removed, so that neither a
+// shrinking fleet nor an isolated node uses the shares of nodes that it does not see.
 func (m *Members) Divisor() int { return max(1, m.peak) }
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -13,7 +13,7 @@
 	"wallport/runtime/wire"
 )
 
-// process is one process with its mesh and members alone.
+// process is a process of which the test uses only the mesh and the members.
 type process struct {
 	k   *kernel.Kernel
 	m   *Members
@@ -33,14 +33,14 @@
 
 func (p *process) step(in kernel.Input) kernel.Output { return p.k.Step(p.now, p.now, in) }
 
-// update changes the member and lets the step at its end run.
+// update changes the local member and runs a step, after which the scheduled announcement runs.
 func (p *process) update(f func(*wire.Member)) {
 	p.m.Update(f)
 	p.step(kernel.Tick{Plugin: "nobody"})
 }
 
-// announcedWithin runs the announcement timer and returns how long after the last announcement the
-// next one came; -1 if none came within limit.
+// announcedWithin advances the time and fires the announcement timer. It returns the time between the
+// last announcement and the next one, or -1 if there is none within limit.
 func (p *process) announcedWithin(limit int64) int64 {
 	announcedBefore, began := p.m.announcedAt, p.now
 	for p.now < began+limit {
@@ -66,9 +66,9 @@
 		p.update(version(1))
 		p.update(version(2))
 		must.Between(t, want, p.announcedWithin(20_000_000), want+20_000, must.Sprint(others, " others"))
-		must.Eq(t, -1, p.announcedWithin(20_000_000), must.Sprint("once"))
+		must.Eq(t, -1, p.announcedWithin(20_000_000), must.Sprint("announced only once"))
 		p.update(version(3))
-		must.Eq(t, p.now, p.m.announcedAt, must.Sprint("at once after a pause"))
+		must.Eq(t, p.now, p.m.announcedAt, must.Sprint("announced immediately after a pause"))
 	}
 }
 
