--- a/cluster/loadreport/loadreport.go
+++ b/cluster/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport announces each node's own rate of requests, so that limits that hold for the
-// whole fleet can be divided by where the requests really arrive.
+// Package loadreport announces each node's request rates, so that fleet-wide limits can be divided
+// among the nodes in proportion to the requests that they receive.
 //
 // A [Meter] counts the requests of one index and kind at this node. Once a second the [Reporter]
 // smooths the rates and announces them in one entry of the mesh ([mesh.EntryLoadReport]) if one of
@@ -19,23 +19,23 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of reporting.
 const (
-	// reportInterval is the time between two evaluations of the rates, and so the least time
-	// between two reports.
+	// reportInterval is the interval between evaluations of the rates, and therefore the minimum
+	// interval between two reports.
 	reportInterval = 1 * clock.Second
-	// changeThreshold is by which fraction a rate must have changed to be reported,
-	// changeThresholdNearLimit the same while the fleet's rate exceeds nearLimitFraction of a limit:
-	// then the nodes' parts must add up more exactly.
+	// changeThreshold is the fraction by which a rate must have changed to be reported. While the
+	// fleet's rate exceeds nearLimitFraction of a limit, changeThresholdNearLimit applies instead,
+	// because the nodes' parts of the limit must then add up to it more precisely.
 	changeThreshold          = 0.2
 	changeThresholdNearLimit = 0.06
 	nearLimitFraction        = 0.7
-	// minChange is added to the threshold, in requests a second.
+	// minChange, in requests per second, is added to the threshold.
 	minChange = 0.5
-	// minJump is by how many requests a second the count must exceed twice the rate to be taken as
-	// the new rate without smoothing: callers have moved here, and it is no noise.
+	// minJump is the number of requests per second by which the arrivals must exceed twice the rate
+	// to become the new rate without smoothing. Such an increase is not noise: callers have moved
+	// to this node.
 	minJump = 5
-	// reportScale is the number of units of a reported rate in one request a second.
+	// reportScale is the number of units of a reported rate per request per second.
 	reportScale = 10
 )
 
@@ -47,15 +47,15 @@
 // Meter measures the requests of one index and kind that arrive at this node.
 type Meter struct {
 	count atomic.Int64
-	// nearLimit says that the fleet's rate is near a limit.
+	// nearLimit reports whether the fleet's rate is near a limit.
 	nearLimit atomic.Bool
-	// localRate and remoteRate are the rates of this node and of the other live nodes, times
-	// reportScale.
+	// localRate is the rate of this node, and remoteRate the sum of the rates of the other live
+	// nodes, both multiplied by reportScale.
 	localRate  atomic.Int64
 	remoteRate atomic.Int64
 
-	// Only the kernel's goroutine uses the following: the count at the last evaluation, the smoothed
-	// rate, and the rate as it was last reported, in requests a second.
+	// The following fields are used only by the kernel's goroutine: the count at the last
+	// evaluation, and the smoothed and the last reported rate in requests per second.
 	lastCount    int64
 	rate         float64
 	reportedRate float64
@@ -64,8 +64,8 @@
 // Inc counts one request.
 func (m *Meter) Inc() { m.count.Add(1) }
 
-// SetLimits sets the limits, in requests a second, that hold for what is metered; 0 is none. Near
-// one of them the rate is reported more exactly.
+// SetLimits sets the two limits, in requests per second, that apply to the metered requests; 0 means
+// no limit. While the fleet's rate is near one of them, the rate is reported more precisely.
 func (m *Meter) SetLimits(a, b float64) {
 	total := float64(m.localRate.Load()+m.remoteRate.Load()) / reportScale
 	near := a > 0 && total > nearLimitFraction*a || b > 0 && total > nearLimitFraction*b
@@ -74,9 +74,9 @@
 	}
 }
 
-// LocalLimit returns this node's part of a limit of the fleet, in requests a second: its fraction
-// of the fleet's rate or, while no rate is known, an equal part for each of the nodes. Half of what
-// the fleet leaves unused is added at each node, for callers that have just moved there.
+// LocalLimit returns this node's part of a fleet-wide limit, in requests per second. The limit is
+// divided in proportion to the nodes' rates, or equally while no rate is known. In addition each
+// node may use half of the unused part of the limit, for callers that have just moved to it.
 func (m *Meter) LocalLimit(limit float64, nodes int) float64 {
 	local, remote := float64(m.localRate.Load())/reportScale, float64(m.remoteRate.Load())/reportScale
 	if local+remote < 1.0/reportScale {
@@ -85,7 +85,7 @@
 	return limit*local/(local+remote) + max(0, limit-local-remote)/2
 }
 
-// Reporter is the plug-in of a node.
+// Reporter is the plug-in that evaluates and announces a node's request rates.
 type Reporter struct {
 	mesh        *mesh.Mesh
 	meters      sync.Map
@@ -98,7 +98,8 @@
 	}})
 }
 
-// Meter returns the meter of an index and kind, created at first use. Any goroutine may call it.
+// Meter returns the meter of an index and kind. It is created on first use. Any goroutine may call
+// Meter.
 func (r *Reporter) Meter(index, kind string) *Meter {
 	key := index + "\x00" + kind
 	if v, ok := r.meters.Load(key); ok {
@@ -134,7 +135,7 @@
 	}
 }
 
-// report updates the rates, and announces them if one of them has changed enough.
+// report updates the rates and announces them if one of them has changed enough.
 func (r *Reporter) report(ctx *kernel.Context) {
 	report := wire.LoadReport{Rates: map[string]int64{}}
 	changed := false
@@ -159,8 +160,8 @@
 	r.mesh.Announce(ctx, mesh.EntryLoadReport, r.mesh.Self(), wire.Encode(&report), false)
 }
 
-// updateRate adds the requests since the last evaluation to the rate. It reports whether the rate
-// has changed enough since the last report to be announced.
+// updateRate updates the rate with the requests since the last evaluation. It reports whether the
+// rate has changed enough since the last report to be announced.
 func (m *Meter) updateRate() bool {
 	count := m.count.Load()
 	arrived := float64(count - m.lastCount)
@@ -177,7 +178,7 @@
 	return math.Abs(m.rate-m.reportedRate) > threshold*m.reportedRate+minChange
 }
 
-// remoteRate returns the rate of the other live nodes, times reportScale.
+// remoteRate returns the sum of the rates of the other live nodes, multiplied by reportScale.
 func (r *Reporter) remoteRate(key string, now clock.Micros) (sum int64) {
 	for origin, rates := range r.remoteRates {
 		if r.mesh.Live(origin, now) {
--- a/cluster/loadreport/loadreport_test.go
+++ b/cluster/loadreport/loadreport_test.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/wire"
 )
 
-// node is one process with its mesh and reporter.
+// node is a node whose reporter is tested.
 type node struct {
 	kernel   *kernel.Kernel
 	reporter *Reporter
@@ -27,7 +27,8 @@
 	return n
 }
 
-// advanceSecond lets a second pass with so many requests.
+// advanceSecond counts requests and advances the time by one second, after which the rates are
+// evaluated.
 func (n *node) advanceSecond(requests int) {
 	for range requests {
 		n.reporter.Meter("i", "k").Inc()
@@ -36,7 +37,7 @@
 	n.kernel.Step(n.now, n.now, kernel.Tick{Plugin: pluginName, Key: timerReport})
 }
 
-// reported returns the count of the entry with this node's last report, and the rate that it gives.
+// reported returns the count of the mesh entry with this node's last report, and the rate in it.
 func (n *node) reported(t *testing.T) (count uint64, rate int64) {
 	t.Helper()
 	kernel.Find[*mesh.Mesh](n.kernel).Each(mesh.EntryLoadReport, func(entry *wire.Entry, _ string) {
@@ -51,10 +52,10 @@
 	n := newNode()
 	n.advanceSecond(100)
 	first, rate := n.reported(t)
-	must.Eq(t, 100*reportScale, rate, must.Sprint("a jump is taken without smoothing"))
+	must.Eq(t, 100*reportScale, rate, must.Sprint("a jump becomes the rate without smoothing"))
 	n.advanceSecond(130)
 	count, _ := n.reported(t)
-	must.Eq(t, first, count, must.Sprint("15 in 100 is not enough"))
+	must.Eq(t, first, count, must.Sprint("a change of 15 in 100 is not reported"))
 	n.advanceSecond(150)
 	count, rate = n.reported(t)
 	must.Greater(t, first, count)
@@ -68,7 +69,7 @@
 	n.reporter.Meter("i", "k").SetLimits(0, 120)
 	n.advanceSecond(116)
 	count, rate := n.reported(t)
-	must.Greater(t, first, count, must.Sprint("8 in 100 is enough"))
+	must.Greater(t, first, count, must.Sprint("a change of 8 in 100 is reported near a limit"))
 	must.Eq(t, 108*reportScale, rate)
 }
 
