--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -101,7 +101,7 @@
 		m.announceDue = 0
 		m.announceSoon(ctx)
 	case kernel.Stopping:
-		m.Update(func(member *wire.Member) { member.Draining = true })
+		m.Update(func(local *wire.Member) { local.Draining = true })
 		m.announce(ctx)
 	case mesh.Stored:
 		if v.Entry.Type == mesh.EntryMember {
@@ -127,7 +127,7 @@
 }
 
 // Update calls f to change the local member and schedules an announcement of the change.
-func (m *Members) Update(f func(member *wire.Member)) {
+func (m *Members) Update(f func(local *wire.Member)) {
 	f(&m.local)
 	m.dirty = true
 	m.k.Later(m.announceSoon)
@@ -152,9 +152,9 @@
 // announceDelay returns the minimum time from the last announcement to the announcement of the
 // changes since.
 func (m *Members) announceDelay(now clock.Micros) clock.Micros {
-	announced, current := m.announced, m.local
-	announced.InForce, current.InForce = nil, nil
-	if !bytes.Equal(wire.Encode(&announced), wire.Encode(&current)) {
+	lastAnnounced, current := m.announced, m.local
+	lastAnnounced.InForce, current.InForce = nil, nil
+	if !bytes.Equal(wire.Encode(&lastAnnounced), wire.Encode(&current)) {
 		return announceInterval
 	}
 	if now-m.started < startupDelay {
@@ -182,12 +182,12 @@
 func (m *Members) All(now clock.Micros) []Member {
 	out := make([]Member, 0, len(m.byOrigin))
 	for _, origin := range m.sorted() {
-		out = append(out, m.member(origin, now))
+		out = append(out, m.memberOf(origin, now))
 	}
 	return out
 }
 
-func (m *Members) member(origin string, now clock.Micros) Member {
+func (m *Members) memberOf(origin string, now clock.Micros) Member {
 	return Member{Member: *m.byOrigin[origin], Origin: origin, Live: m.mesh.Live(origin, now)}
 }
 
@@ -213,7 +213,7 @@
 	var out []Member
 	for _, origin := range m.sorted() {
 		if m.byOrigin[origin].Role == role && m.mesh.Live(origin, now) {
-			out = append(out, m.member(origin, now))
+			out = append(out, m.memberOf(origin, now))
 		}
 	}
 	return out
@@ -234,7 +234,7 @@
 func (m *Members) Replica(id string, now clock.Micros) (Member, bool) {
 	for _, origin := range m.sorted() {
 		if m.byOrigin[origin].Replica == id && m.mesh.Live(origin, now) {
-			return m.member(origin, now), true
+			return m.memberOf(origin, now), true
 		}
 	}
 	return Member{}, false
