--- a/control/configsync/confirmation.go
+++ b/control/configsync/confirmation.go
@@ -14,7 +14,7 @@
 	// UnconfirmedTimeout is how long a process that has just started waits for a core in contact with a majority,
 	// counted from when it first has state to serve. There may be no such core: the disks of a majority may be lost.
 	UnconfirmedTimeout = 5 * clock.Second
-	// NewCoreTimeout is how long the wait continues after a core has been discovered.
+	// NewCoreTimeout is the minimum time for which the wait continues after a core has been discovered.
 	NewCoreTimeout = 2 * clock.Second
 	// MaxUnconfirmedWait bounds the wait, even if more cores are discovered.
 	MaxUnconfirmedWait = 8 * clock.Second
@@ -28,7 +28,7 @@
 	StartupPullFanout = 2
 )
 
-// contact records which cores replied to pulls that they are in contact with a majority.
+// contact is the state of the wait for a core that replies that it is in contact with a majority.
 type contact struct {
 	// confirmed has a bit for each partition that a core in contact with a majority has confirmed.
 	confirmed uint32
@@ -50,8 +50,8 @@
 	return p.contact.confirmed&partitionBit(partition) != 0 || p.confirmationTimedOut(now)
 }
 
-// InContact reports whether a core in contact with a majority of the configuration partition has replied since this
-// process started.
+// InContact reports whether a core in contact with a majority of the configuration partition's voters has replied since
+// this process started.
 func (p *Sync) InContact() bool {
 	return p.contact.confirmed&partitionBit(state.ConfigPartition) != 0
 }
--- a/control/configsync/core_selection.go
+++ b/control/configsync/core_selection.go
@@ -19,7 +19,7 @@
 	// are sent to.
 	maxLocalCores  = 2
 	maxRemoteCores = 2
-	// remotePullEvery is the interval, in pulls, of pulls to another zone: every fourth pull.
+	// Every remotePullEvery-th pull, that is every fourth one, goes to another zone.
 	remotePullEvery = 4
 	// A core that has left a pull unanswered for unresponsiveAfter is avoided, like a core without contact with a
 	// majority: avoided cores get only every unresponsivePullEvery-th pull, unless there are no others.
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// fetchNewest requests the newest version from the core that has it stored, and reports whether it did: there may
-// be none, or it has arrived already.
+// fetchNewest starts the step that fetches the newest version from the core that has stored it. It returns false if no
+// core has stored a version or if the newest version has already been fetched.
 func (s *Service) fetchNewest(ctx *kernel.Context, id uint64, rebuild *rebuildState) bool {
 	if rebuild.fetched || rebuild.newest.Term == 0 {
 		return false
--- a/control/operations/submit_test.go
+++ b/control/operations/submit_test.go
@@ -30,7 +30,7 @@
 	edit wire.Edit
 }
 
-// newNode returns a node that has been informed by a core that "owner" leads partition 0.
+// newNode returns a node to which a core has reported that "owner" leads partition 0.
 func newNode(t *testing.T) *node {
 	t.Helper()
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{Mesh: "10.0.0.1:1", Zone: "z1"}, Role: "node", Seed: 1, Key: kernel.KeyFrom(make([]byte, 32))})
--- a/control/state/limits.go
+++ b/control/state/limits.go
@@ -37,7 +37,7 @@
 }
 
 // TooLarge reports whether an edit makes the body or the edit log of a partition exceed its bound, and returns
-// the reply that refuses the edit. A part that exceeds its bound may shrink, but not grow or keep its size.
+// the reply that refuses the edit. If it exceeded the bound before, an edit may only make it smaller.
 func TooLarge(partition int, before, after Value) (refusal wire.EditReply, tooLarge bool) {
 	subject := "configuration"
 	if partition != ConfigPartition {
