--- a/request/discovery/discovery.go
+++ b/request/discovery/discovery.go
@@ -66,19 +66,19 @@
 	requestedAt   map[uint64]clock.Micros
 	lastRequestID uint64
 	nextRequestAt clock.Micros
-	// idleUntil is until when this node requests no lease.
-	idleUntil clock.Micros
+	// noRequestUntil is until when this node requests no lease.
+	noRequestUntil clock.Micros
 
 	readAt  clock.Micros
 	reading bool
-	// heardAt is when a reading was last heard of, by whichever node.
-	heardAt clock.Micros
+	// lastReadingAt is when a reading was last heard of, by whichever node.
+	lastReadingAt clock.Micros
 	// soleReader says that the last reading heard of was this node's.
 	soleReader bool
 	// slowdown is the factor by which a node that reads by itself backs off.
 	slowdown int64
-	// unread says that no list is known yet.
-	unread bool
+	// listUnknown says that no list is known yet.
+	listUnknown bool
 	// callsPerRead is how many calls of the platform the last reading took.
 	callsPerRead int64
 
@@ -90,7 +90,7 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 50, Roles: []string{settings.RoleNode}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Lister{callsPerRead: 1, unread: true, requestedAt: map[uint64]clock.Micros{}, readAt: -AnnounceInterval, k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), configSync: kernel.Find[*configsync.Sync](k)}
+		return &Lister{callsPerRead: 1, listUnknown: true, requestedAt: map[uint64]clock.Micros{}, readAt: -AnnounceInterval, k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k), configSync: kernel.Find[*configsync.Sync](k)}
 	}})
 }
 
@@ -107,7 +107,7 @@
 	}
 	switch v := in.(type) {
 	case kernel.Start:
-		p.heardAt = ctx.Now
+		p.lastReadingAt = ctx.Now
 		ctx.After(ctx.Rand.Int64N(RenewInterval), pluginName, timerRenew)
 		p.scheduleFirstRead(ctx)
 	case kernel.Tick:
@@ -139,8 +139,8 @@
 	if v.Entry.Type != mesh.EntryBackendList && v.Entry.Type != mesh.EntryPolled {
 		return
 	}
-	p.heardAt, p.soleReader = ctx.Now, v.Local
-	p.unread = p.unread && v.Entry.Type != mesh.EntryBackendList
+	p.lastReadingAt, p.soleReader = ctx.Now, v.Local
+	p.listUnknown = p.listUnknown && v.Entry.Type != mesh.EntryBackendList
 	var list wire.BackendList
 	if v.Entry.Type == mesh.EntryBackendList && wire.Decode(v.Entry.Body, &list) == nil {
 		p.checkSingleLeaseHolder(ctx, v, &list)
@@ -184,7 +184,7 @@
 func (p *Lister) requestLease(ctx *kernel.Context) {
 	partition := state.PartitionOf(LeaseTask)
 	addr := p.configSync.Leader(partition)
-	if addr == "" || ctx.Now < p.idleUntil || ctx.Now >= p.leaseUntil && ctx.Now < p.nextRequestAt || p.members.Local().Draining {
+	if addr == "" || ctx.Now < p.noRequestUntil || ctx.Now >= p.leaseUntil && ctx.Now < p.nextRequestAt || p.members.Local().Draining {
 		return
 	}
 	if ctx.Now >= p.leaseUntil {
@@ -205,7 +205,7 @@
 		// Nobody else reads: continue until another reader is heard.
 		return true
 	}
-	overdue := ctx.Now - p.heardAt - StaleAfter
+	overdue := ctx.Now - p.lastReadingAt - StaleAfter
 	if overdue <= 0 {
 		return false
 	}
@@ -227,7 +227,7 @@
 		return
 	}
 	p.callsPerRead, list.Calls = max(1, list.Calls), 0
-	list.LeaseID, p.heardAt = p.newestLeaseID, ctx.Now
+	list.LeaseID, p.lastReadingAt = p.newestLeaseID, ctx.Now
 	if !p.changed(ctx.Now, &list) && ctx.Now-p.announcedAt < AnnounceInterval {
 		p.mesh.Announce(ctx, mesh.EntryPolled, LeaseTask, nil, false)
 		return
@@ -246,7 +246,7 @@
 	ctx.Log(kernel.LevelWarn, "platform_failed", "status", v.Status, "error", v.Err)
 	if v.Status == 0 && p.releaseLease(ctx) {
 		// The platform could not be reached at all; another node may reach it.
-		p.idleUntil = ctx.Now + ReleaseBackoff
+		p.noRequestUntil = ctx.Now + ReleaseBackoff
 	}
 	p.mesh.Announce(ctx, mesh.EntryPolled, LeaseTask, nil, false)
 }
--- a/request/discovery/discovery_test.go
+++ b/request/discovery/discovery_test.go
@@ -31,9 +31,9 @@
 	status int
 	list   wire.BackendList
 	grants bool
-	// peer is the node at the other end of connection 1; frames to it wait in mail until both have stepped.
-	peer *rig
-	mail [][]byte
+	// peer is the node at the other end of connection 1; frames to it wait in inbox until both have stepped.
+	peer  *rig
+	inbox [][]byte
 }
 
 func newRig(t *testing.T, e settings.Settings) *rig {
@@ -68,7 +68,7 @@
 		f, err := wire.Open(s.Data)
 		must.NoError(r.t, err)
 		if r.peer != nil && s.Conn == 1 {
-			r.peer.mail = append(r.peer.mail, s.Data)
+			r.peer.inbox = append(r.peer.inbox, s.Data)
 			continue
 		}
 		var h wire.LeaseRequest
@@ -92,8 +92,8 @@
 	r.message(wire.KindPullReply, &wire.PullReply{Leaders: []wire.Leader{{Partition: state.PartitionOf(LeaseTask), Term: 1, Replica: "s", Addr: "10.0.0.9:1"}}})
 }
 
-// meet opens a mesh connection between two nodes.
-func meet(a, b *rig) {
+// connect opens a mesh connection between two nodes.
+func connect(a, b *rig) {
 	a.peer, b.peer = b, a
 	a.feed(kernel.ConnUp{Conn: 1, Addr: b.k.Boot.Settings.Mesh, Peer: b.lister.mesh.Self(), Dialed: true, Mesh: true})
 	b.feed(kernel.ConnUp{Conn: 1, Addr: a.k.Boot.Settings.Mesh, Peer: a.lister.mesh.Self(), Mesh: true})
@@ -103,23 +103,23 @@
 func (r *rig) run(d int64) {
 	const slice = 50_000
 	for end := r.now + d; r.now < end; {
-		r.alone(min(slice, end-r.now))
+		r.advance(min(slice, end-r.now))
 		if r.peer == nil {
 			continue
 		}
-		r.peer.alone(r.now - r.peer.now)
+		r.peer.advance(r.now - r.peer.now)
 		for _, q := range []*rig{r, r.peer} {
-			mail := q.mail
-			q.mail = nil
-			for _, data := range mail {
+			inbox := q.inbox
+			q.inbox = nil
+			for _, data := range inbox {
 				q.feed(kernel.Received{Conn: 1, Data: data})
 			}
 		}
 	}
 }
 
-// alone lets one node's clock go on, timer by timer.
-func (r *rig) alone(d int64) {
+// advance lets one node's clock go on, timer by timer.
+func (r *rig) advance(d int64) {
 	for end := r.now + d; ; {
 		next := -1
 		for i, v := range r.timers {
@@ -147,7 +147,7 @@
 		{second, 440, 5, 9, 10},
 		// Five calls a reading at five a second: eight thirds of a second between two.
 		{second, 50, 5, 5, 7},
-		// No period asked for: five eighths of the allowance.
+		// No period requested for: five eighths of the allowance.
 		{0, 20, 0, 12, 13},
 	} {
 		r := newRig(t, settings.Settings{ListInterval: c.every, PollsPer10s: c.polls})
@@ -163,7 +163,7 @@
 func TestTimedOutLeaseHolderIsReplaced(t *testing.T) {
 	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
 	// A reading was heard of before; a node that knows of none reads at once (firstread_test.go).
-	r.lister.unread = false
+	r.lister.listUnknown = false
 	r.run(StaleAfter)
 	must.SliceEmpty(t, r.fetches, must.Sprint("nobody was silent for long yet"))
 	r.run(2 * RenewInterval)
@@ -175,7 +175,7 @@
 func TestLeaseHolderWithoutResponsesReleasesLease(t *testing.T) {
 	for _, status := range []int{0, 429, 500} {
 		r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
-		meet(r, newNode(t, settings.Settings{ListInterval: second, PollsPer10s: 440}, 1))
+		connect(r, newNode(t, settings.Settings{ListInterval: second, PollsPer10s: 440}, 1))
 		r.grants = true
 		r.learnLeader()
 		r.run(2 * second)
@@ -192,11 +192,11 @@
 			continue
 		}
 		must.Positive(t, releases)
-		asked := len(r.leaseRequests)
+		requested := len(r.leaseRequests)
 		r.run(2 * second)
-		must.Eq(t, asked, len(r.leaseRequests), must.Sprint("leaves it to others for a while"))
+		must.Eq(t, requested, len(r.leaseRequests), must.Sprint("leaves it to others for a while"))
 		r.run(ReleaseBackoff)
-		must.Less(t, len(r.leaseRequests), asked)
+		must.Less(t, len(r.leaseRequests), requested)
 	}
 }
 
@@ -214,9 +214,9 @@
 	r.learnLeader()
 	r.run(second)
 	kernel.Find[*membership.Members](r.k).Update(func(m *wire.Member) { m.Draining = true })
-	asked := len(r.leaseRequests)
+	requested := len(r.leaseRequests)
 	r.run(5 * second)
-	must.Eq(t, asked, len(r.leaseRequests))
+	must.Eq(t, requested, len(r.leaseRequests))
 }
 
 func TestChangedReportsAllButExpiringSlowStart(t *testing.T) {
--- a/request/discovery/firstread.go
+++ b/request/discovery/firstread.go
@@ -9,9 +9,9 @@
 const (
 	// FirstReadJitter bounds the delay on a quorum member.
 	FirstReadJitter = 150 * clock.Millisecond
-	// UncountedDelay and UncountedJitter are the least delay on other nodes and the random part.
-	UncountedDelay  = 500 * clock.Millisecond
-	UncountedJitter = 1 * clock.Second
+	// NonMemberDelay and NonMemberJitter are the least delay on other nodes and the random part.
+	NonMemberDelay  = 500 * clock.Millisecond
+	NonMemberJitter = 1 * clock.Second
 )
 
 // scheduleFirstRead sets the timer of the first reading, if the settings allow readings at an
@@ -25,17 +25,17 @@
 	case settings.QuorumMember:
 		ctx.After(ctx.Rand.Int64N(FirstReadJitter), pluginName, timerFirstRead)
 	default:
-		ctx.After(UncountedDelay+ctx.Rand.Int64N(UncountedJitter), pluginName, timerFirstRead)
+		ctx.After(NonMemberDelay+ctx.Rand.Int64N(NonMemberJitter), pluginName, timerFirstRead)
 	}
 }
 
 // readFirst reads the list unless one has been heard of meanwhile, and retries with backoff.
 func (p *Lister) readFirst(ctx *kernel.Context) {
-	if !p.unread {
+	if !p.listUnknown {
 		return
 	}
 	if !p.reading && ctx.Now-p.readAt >= p.readInterval(ctx) {
 		p.read(ctx)
 	}
-	ctx.After(UncountedDelay*max(1, p.slowdown)+ctx.Rand.Int64N(UncountedJitter), pluginName, timerFirstRead)
+	ctx.After(NonMemberDelay*max(1, p.slowdown)+ctx.Rand.Int64N(NonMemberJitter), pluginName, timerFirstRead)
 }
--- a/request/discovery/firstread_test.go
+++ b/request/discovery/firstread_test.go
@@ -10,28 +10,28 @@
 
 func TestFirstReadNeedsNoLease(t *testing.T) {
 	for _, c := range []struct {
-		counted bool
-		from    int64
-		to      int64
+		quorumMember bool
+		from         int64
+		to           int64
 	}{
 		{true, 0, FirstReadJitter},
-		{false, UncountedDelay, UncountedDelay + UncountedJitter},
+		{false, NonMemberDelay, NonMemberDelay + NonMemberJitter},
 	} {
-		r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440, QuorumMember: c.counted})
+		r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440, QuorumMember: c.quorumMember})
 		r.run(c.to)
 		must.Len(t, 1, r.fetches)
 		must.Between(t, c.from, r.fetches[0], c.to)
 	}
 }
 
-func TestFirstReadIsSkippedAfterHearingOne(t *testing.T) {
+func TestFirstReadIsSkippedAfterReadingOfAnotherNode(t *testing.T) {
 	a := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440, QuorumMember: true})
 	b := newNode(t, settings.Settings{ListInterval: second, PollsPer10s: 440}, 1)
-	meet(a, b)
-	a.run(UncountedDelay + UncountedJitter)
+	connect(a, b)
+	a.run(NonMemberDelay + NonMemberJitter)
 	must.Positive(t, len(a.fetches))
 	must.SliceEmpty(t, b.fetches)
-	must.False(t, b.lister.unread)
+	must.False(t, b.lister.listUnknown)
 }
 
 func TestFailedFirstReadsStayWithinAllowance(t *testing.T) {
--- a/request/discovery/lease_test.go
+++ b/request/discovery/lease_test.go
@@ -13,9 +13,9 @@
 	"wallport/runtime/wire"
 )
 
-// requests lets time pass until the node has requested the lease once more, and returns the
+// awaitLeaseRequest lets time pass until the node has requested the lease once more, and returns the
 // request's id.
-func (r *rig) requests() uint64 {
+func (r *rig) awaitLeaseRequest() uint64 {
 	for before := r.lister.lastRequestID; r.lister.lastRequestID == before; {
 		r.run(10_000)
 	}
@@ -30,20 +30,20 @@
 func TestLeaseStartsWhenRequested(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.learnLeader()
-	id := r.requests()
-	asked := r.now
+	id := r.awaitLeaseRequest()
+	requested := r.now
 	r.run(700_000)
 	r.grant(id)
-	must.Between(t, asked+790_000, r.lister.leaseUntil, asked+800_000)
+	must.Between(t, requested+790_000, r.lister.leaseUntil, requested+800_000)
 	r.grant(id + 100)
-	must.Less(t, asked+800_001, r.lister.leaseUntil, must.Sprint("nobody asked for that one"))
+	must.Less(t, requested+800_001, r.lister.leaseUntil, must.Sprint("nobody requested for that one"))
 }
 
 // A grant on its way while the lease is released, or the process is frozen, is ignored.
 func TestReleasedLeaseIsNotResumed(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.learnLeader()
-	id := r.requests()
+	id := r.awaitLeaseRequest()
 	r.feed(kernel.Thawed{Gap: 2 * second})
 	r.grant(id)
 	must.Zero(t, r.lister.leaseUntil)
@@ -53,15 +53,15 @@
 func TestSecondLeaseHolderIsReported(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.learnLeader()
-	r.grant(r.requests())
-	reads := func(turn uint64) invariant.Name {
-		body := wire.Encode(&wire.BackendList{LeaseID: turn})
+	r.grant(r.awaitLeaseRequest())
+	violationOfRead := func(leaseID uint64) invariant.Name {
+		body := wire.Encode(&wire.BackendList{LeaseID: leaseID})
 		return violation.By(func() {
 			r.lister.handleStored(&kernel.Context{Now: r.now, Counts: r.k.Counts}, mesh.Stored{Entry: &wire.Entry{Type: mesh.EntryBackendList, ID: LeaseTask, Body: body}, Origin: "other"})
 		})
 	}
-	must.Eq(t, "", reads(3), must.Sprint("an earlier holder, or one that reads without the lease"))
-	must.Eq(t, invariant.OneLeaseHolder, reads(4))
+	must.Eq(t, "", violationOfRead(3), must.Sprint("an earlier holder, or one that reads without the lease"))
+	must.Eq(t, invariant.OneLeaseHolder, violationOfRead(4))
 	r.lister.forgetLease()
-	must.Eq(t, "", reads(5))
+	must.Eq(t, "", violationOfRead(5))
 }
--- a/request/dispatch/deployments_test.go
+++ b/request/dispatch/deployments_test.go
@@ -27,8 +27,8 @@
 	for name, s := range map[string]deployment{"grown": largeDeployment(1), "pausing": pausingDeployment(1)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(s)
-			w.play(t, 8, nil)
+			w := newSimulation(s)
+			w.run(t, 8, nil)
 			must.Greater(t, 0.9, w.journal.earned())
 		})
 	}
--- a/request/dispatch/dispatcher_test.go
+++ b/request/dispatch/dispatcher_test.go
@@ -53,7 +53,7 @@
 
 func TestAdmissionRejectsUnderLag(t *testing.T) {
 	f := newFixture(4, 4)
-	refused := func(late clock.Micros) (n int) {
+	countRejections := func(late clock.Micros) (n int) {
 		for range 100 {
 			for range 10 {
 				f.lag.record(startTime, late)
@@ -71,10 +71,10 @@
 		}
 		return n
 	}
-	must.Eq(t, 0, refused(0))
-	must.Eq(t, 0, refused(20_000), must.Sprint("a little is borne"))
-	must.Between(t, 30, refused(90_000), 100)
-	must.Between(t, 0, refused(0), 10, must.Sprint("it passes"))
+	must.Eq(t, 0, countRejections(0))
+	must.Eq(t, 0, countRejections(20_000), must.Sprint("a little is borne"))
+	must.Between(t, 30, countRejections(90_000), 100)
+	must.Between(t, 0, countRejections(0), 10, must.Sprint("it passes"))
 }
 
 func TestStaleConnectionDoesNotEject(t *testing.T) {
--- a/request/dispatch/ejection_test.go
+++ b/request/dispatch/ejection_test.go
@@ -30,11 +30,11 @@
 	f := newFixture(1, 2)
 	f.fillRetryBudgets()
 	b := f.sendToReplacedBackend(t)
-	seats := f.currentView().pools["p0"].endpoints
+	endpoints := f.currentView().pools["p0"].endpoints
 	for at := clock.Micros(startTime + 1_001); at < startTime+replacedFor; at += 100_000 {
-		for i := range seats {
-			if seats[i].backend == b {
-				must.Eq(t, standingDown, seats[i].standing(at, &latencyStats{}, false), must.Sprint("no trial: it would reach the other one"))
+		for i := range endpoints {
+			if endpoints[i].backend == b {
+				must.Eq(t, standingDown, endpoints[i].standing(at, &latencyStats{}, false), must.Sprint("no trial: it would reach the other one"))
 			}
 		}
 	}
@@ -45,10 +45,10 @@
 	f := newFixture(1, 2)
 	f.fillRetryBudgets()
 	b := f.sendToReplacedBackend(t)
-	seats := f.currentView().pools["p0"].endpoints
-	for i := range seats {
-		if seats[i].backend == b {
-			must.NotEq(t, standingDown, seats[i].standing(startTime+1_000+replacedFor, &latencyStats{}, false))
+	endpoints := f.currentView().pools["p0"].endpoints
+	for i := range endpoints {
+		if endpoints[i].backend == b {
+			must.NotEq(t, standingDown, endpoints[i].standing(startTime+1_000+replacedFor, &latencyStats{}, false))
 		}
 	}
 }
--- a/request/dispatch/faults_test.go
+++ b/request/dispatch/faults_test.go
@@ -14,7 +14,7 @@
 )
 
 // someBackends draws that share of the backends of pools with a prefix, at least one.
-func (w *world) someBackends(share float64, pools ...string) (out []*simBackend) {
+func (w *simulation) someBackends(share float64, pools ...string) (out []*simBackend) {
 	for _, p := range pools {
 		var all []*simBackend
 		for _, b := range w.backends {
@@ -28,8 +28,8 @@
 	return out
 }
 
-// during sets something on backends and unsets it after so many seconds.
-func (w *world) during(s float64, all []*simBackend, set, unset func(*simBackend)) {
+// setFor sets something on backends and unsets it after so many seconds.
+func (w *simulation) setFor(s float64, all []*simBackend, set, unset func(*simBackend)) {
 	for _, b := range all {
 		set(b)
 		w.after(int64(s*second), func() { unset(b) })
@@ -37,7 +37,7 @@
 }
 
 // crash ends backends; new ones take their place after so many seconds.
-func (w *world) crash(s float64, all []*simBackend) {
+func (w *simulation) crash(s float64, all []*simBackend) {
 	for _, b := range all {
 		b.down = true
 		w.after(2*second, func() { b.departed = true; w.publishSnapshots() })
@@ -54,7 +54,7 @@
 	name string
 	// least is the least share of the possible value that clients get.
 	least  float64
-	inject func(w *world)
+	inject func(w *simulation)
 	// seconds is how long the deployment runs, defaultSeconds where it is 0.
 	seconds int64
 }
@@ -63,40 +63,40 @@
 const defaultSeconds = 12
 
 var faults = []fault{
-	{name: "slow", least: 0.9, inject: func(w *world) {
-		w.during(6, w.someBackends(0.15, "shard", "desk"), func(b *simBackend) { b.workFactor = 8.5 }, func(b *simBackend) { b.workFactor = 1 })
+	{name: "slow", least: 0.9, inject: func(w *simulation) {
+		w.setFor(6, w.someBackends(0.15, "shard", "desk"), func(b *simBackend) { b.workFactor = 8.5 }, func(b *simBackend) { b.workFactor = 1 })
 	}},
-	{name: "unresponsive", least: 0.9, inject: func(w *world) {
-		w.during(5, w.someBackends(0.15, "shard", "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
+	{name: "unresponsive", least: 0.9, inject: func(w *simulation) {
+		w.setFor(5, w.someBackends(0.15, "shard", "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "unresponsive shard", least: 0.8, inject: func(w *world) {
-		w.during(4, w.someBackends(1, "shard0"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
+	{name: "unresponsive shard", least: 0.8, inject: func(w *simulation) {
+		w.setFor(4, w.someBackends(1, "shard0"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "unresponsive pool", least: 0.6, inject: func(w *world) {
-		w.during(4, w.someBackends(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
+	{name: "unresponsive pool", least: 0.6, inject: func(w *simulation) {
+		w.setFor(4, w.someBackends(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 	}},
-	{name: "errors", least: 0.9, inject: func(w *world) {
-		w.during(6, w.someBackends(0.3, "shard", "desk"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
+	{name: "errors", least: 0.9, inject: func(w *simulation) {
+		w.setFor(6, w.someBackends(0.3, "shard", "desk"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
 	}},
-	{name: "errors of a shard", least: 0.8, inject: func(w *world) {
-		w.during(6, w.someBackends(1, "shard1"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
+	{name: "errors of a shard", least: 0.8, inject: func(w *simulation) {
+		w.setFor(6, w.someBackends(1, "shard1"), func(b *simBackend) { b.errorRate = 0.5 }, func(b *simBackend) { b.errorRate = 0 })
 	}},
-	{name: "invalid responses", least: 0.9, inject: func(w *world) {
-		w.during(6, w.someBackends(0.35, "shard", "desk"), func(b *simBackend) { b.garbleRate = 0.03 }, func(b *simBackend) { b.garbleRate = 0 })
+	{name: "invalid responses", least: 0.9, inject: func(w *simulation) {
+		w.setFor(6, w.someBackends(0.35, "shard", "desk"), func(b *simBackend) { b.invalidRate = 0.03 }, func(b *simBackend) { b.invalidRate = 0 })
 	}},
-	{name: "lost responses", least: 0.9, inject: func(w *world) {
-		w.during(4, w.someBackends(0.5, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.05 }, func(b *simBackend) { b.lossRate = 0 })
+	{name: "lost responses", least: 0.9, inject: func(w *simulation) {
+		w.setFor(4, w.someBackends(0.5, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.05 }, func(b *simBackend) { b.lossRate = 0 })
 	}},
-	{name: "crash", least: 0.9, inject: func(w *world) { w.crash(4, w.someBackends(0.2, "shard", "desk")) }},
-	{name: "crash shard", least: 0.8, inject: func(w *world) { w.crash(4, w.someBackends(1, "shard2")) }},
-	{name: "flapping", least: 0.85, inject: func(w *world) {
+	{name: "crash", least: 0.9, inject: func(w *simulation) { w.crash(4, w.someBackends(0.2, "shard", "desk")) }},
+	{name: "crash shard", least: 0.8, inject: func(w *simulation) { w.crash(4, w.someBackends(1, "shard2")) }},
+	{name: "flapping", least: 0.85, inject: func(w *simulation) {
 		for _, b := range w.someBackends(0.2, "shard", "desk") {
 			for i := range 8 {
 				w.after(int64(i)*second, func() { b.down = i%2 == 0 })
 			}
 		}
 	}},
-	{name: "restart of half the nodes", least: 0.7, inject: func(w *world) {
+	{name: "restart of half the nodes", least: 0.7, inject: func(w *simulation) {
 		for i, n := range w.nodes {
 			if i%2 == 0 {
 				n.down = true
@@ -104,15 +104,15 @@
 			}
 		}
 	}},
-	{name: "overload", least: 0.5, inject: func(w *world) {
+	{name: "overload", least: 0.5, inject: func(w *simulation) {
 		until := w.now + 5*second
 		for range 3 {
 			w.startClients(until)
 		}
 	}},
 	// The pools lose most responses from 3 to 13 s.
-	{name: "most responses lost", least: 0.4, seconds: 16, inject: func(w *world) {
-		w.during(10, w.someBackends(1, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.7 }, func(b *simBackend) { b.lossRate = 0 })
+	{name: "most responses lost", least: 0.4, seconds: 16, inject: func(w *simulation) {
+		w.setFor(10, w.someBackends(1, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.7 }, func(b *simBackend) { b.lossRate = 0 })
 	}},
 }
 
@@ -124,8 +124,8 @@
 			for seed := range uint64(2) {
 				s := defaultDeployment(seed + 10)
 				s.onceMaxBackends = 1 + int(seed)
-				w := newWorld(s)
-				w.play(t, cmp.Or(tr.seconds, defaultSeconds), map[float64]func(){3: func() { tr.inject(w) }})
+				w := newSimulation(s)
+				w.run(t, cmp.Or(tr.seconds, defaultSeconds), map[float64]func(){3: func() { tr.inject(w) }})
 				t.Logf("seed %d: earned %.3f, %.2f at least", w.seed, w.journal.earned(), tr.least)
 				must.GreaterEq(t, tr.least, w.journal.earned(), must.Sprintf("seed %d", w.seed))
 			}
@@ -134,15 +134,15 @@
 }
 
 func (j *journal) earned() float64 {
-	owed, earned := 0.0, 0.0
+	possible, earned := 0.0, 0.0
 	for _, s := range j.tallies {
-		owed, earned = owed+s.possible, earned+s.earned
+		possible, earned = possible+s.possible, earned+s.earned
 	}
-	return earned / max(1, owed)
+	return earned / max(1, possible)
 }
 
 // change puts a new configuration in force.
-func (w *world) change(f func(c *routingpb.RoutingTable)) {
+func (w *simulation) change(f func(c *routingpb.RoutingTable)) {
 	c := proto.Clone(w.table).(*routingpb.RoutingTable)
 	c.Revision++
 	f(c)
@@ -158,10 +158,10 @@
 		for seed := range uint64(3) {
 			s := defaultDeployment(seed)
 			s.search, s.quick, s.read = 0, 0, read
-			w := newWorld(s)
+			w := newSimulation(s)
 			from := w.now + second + 2*second
-			w.play(t, 9, map[float64]func(){2: func() {
-				w.during(4, w.someBackends(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
+			w.run(t, 9, map[float64]func(){2: func() {
+				w.setFor(4, w.someBackends(1, "desk"), func(b *simBackend) { b.unresponsive = true }, func(b *simBackend) { b.unresponsive = false })
 			}})
 			began := map[string]clock.Micros{}
 			for _, v := range w.journal.attempts {
--- a/request/dispatch/fleet_test.go
+++ b/request/dispatch/fleet_test.go
@@ -23,9 +23,9 @@
 			s := defaultDeployment(seed)
 			s.nodes, s.allowance, s.slots, s.pauseLength = nodes, 62, 4, 0
 			s.search, s.quick, s.once, s.read = 300, 0, 0, 100
-			w := newWorld(s)
+			w := newSimulation(s)
 			r := rand.New(rand.NewPCG(seed, 1))
-			troubles := map[float64]func(){
+			faultsAt := map[float64]func(){
 				// Everything is saved that can be, then everything fails; later the traffic drops to almost nothing.
 				5: func() {
 					for _, b := range w.backends {
@@ -35,13 +35,13 @@
 				14: func() { w.search, w.read = 2, 1; w.startClients(w.now + 20*second) },
 			}
 			for i := range 12 {
-				troubles[4+float64(i)*0.8+0.1] = func() {
+				faultsAt[4+float64(i)*0.8+0.1] = func() {
 					n := w.nodes[r.IntN(nodes)]
 					n.down = true
 					w.after(400_000, func() { n.restart(w.now) })
 				}
 			}
-			w.play(t, 14, troubles)
+			w.run(t, 14, faultsAt)
 			w.advance(w.now + 15*second)
 			w.checkRules(t)
 		}
@@ -54,8 +54,8 @@
 		for seed := range uint64(3) {
 			s := defaultDeployment(seed)
 			s.nodes, s.slowStartRate = nodes, 12
-			w := newWorld(s)
-			w.play(t, 12, map[float64]func(){
+			w := newSimulation(s)
+			w.run(t, 12, map[float64]func(){
 				1: func() { w.crash(2, w.someBackends(0.5, "shard", "desk")) },
 				// Everything begins to warm up at once, and is listed so.
 				7: func() {
@@ -85,19 +85,19 @@
 	for seed := range uint64(2) {
 		s := defaultDeployment(seed)
 		s.nodes, s.search, s.quick, s.once, s.read, s.pauseLength = 40, 60, 0, 0, 60, 0
-		w := newWorld(s)
+		w := newSimulation(s)
 		for _, b := range w.backends {
 			b.lossRate = 0.7
 		}
-		troubles := map[float64]func(){}
+		faultsAt := map[float64]func(){}
 		for i := range 6 {
-			troubles[1.5*float64(i)] = func() {
+			faultsAt[1.5*float64(i)] = func() {
 				for _, n := range w.nodes {
 					n.restart(w.now)
 				}
 			}
 		}
-		w.play(t, 9, troubles)
+		w.run(t, 9, faultsAt)
 	}
 }
 
@@ -110,22 +110,22 @@
 		r := rand.New(rand.NewPCG(seed, 5))
 		snap := &snapshot.Snapshot{Divisor: nodes}
 		now := 60 * clock.Second
-		var desks []*Dispatcher
+		var dispatchers []*Dispatcher
 		for range nodes {
-			desks = append(desks, NewDispatcher(Config{Counts: kernel.NewCounts(), Seed: r.Uint64(), Retry: RetryConfig{Ratio: 0.2, Allowance: allowance}}))
+			dispatchers = append(dispatchers, NewDispatcher(Config{Counts: kernel.NewCounts(), Seed: r.Uint64(), Retry: RetryConfig{Ratio: 0.2, Allowance: allowance}}))
 		}
 		var j journal
 		j.init()
 		rnd := random.Source(seed)
-		one := requestKinds[0]
+		kind := requestKinds[0]
 		// Quiet for long, so that everything is saved that can be, then every request wants retries.
 		for i := range 60 * 560 {
 			now += clock.Second / 560
-			d := desks[r.IntN(nodes)]
+			d := dispatchers[r.IntN(nodes)]
 			p := &pool{name: "p", retryBudget: d.retryBudgetOf("p")}
 			p.retryBudget.replenish(now, snap.Divisor, &rnd)
 			id := fmt.Sprint(i)
-			j.recordAttempt(now, id, &one)
+			j.recordAttempt(now, id, &kind)
 			for range 3 {
 				if i > 40*560 && d.withdrawRetry(p, now, snap.Divisor) {
 					j.arrivals = append(j.arrivals, &arrival{at: now, id: id, pool: "p", repeated: true})
--- a/request/dispatch/gather_test.go
+++ b/request/dispatch/gather_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestGatherTakesNoRepeatedSealOrFailure(t *testing.T) {
+func TestGatherRejectsRepeatedSealAndFailure(t *testing.T) {
 	f := newFixture(4, 2)
 	f.drainRetryBudgets()
 	m := f.stateMachine("gather")
--- a/request/dispatch/journal_test.go
+++ b/request/dispatch/journal_test.go
@@ -138,10 +138,10 @@
 
 // checkRetryBudget checks that in every window a pool's repeated arrivals stay within its budget.
 func (j *journal) checkRetryBudget(ratio, allowance float64, window clock.Micros, pools func(kind string) []string) (out []string) {
-	asked := map[string][]clock.Micros{}
+	requested := map[string][]clock.Micros{}
 	for _, t := range j.attempts {
 		for _, p := range pools(t.kind.name) {
-			asked[p] = append(asked[p], t.at)
+			requested[p] = append(requested[p], t.at)
 		}
 	}
 	extra := map[string][]clock.Micros{}
@@ -161,7 +161,7 @@
 			k, _ := slices.BinarySearch(times, from+window)
 			most := 0
 			for _, back := range []clock.Micros{0, window / 2, window} {
-				most = max(most, within(asked[pool], from-back, from-back+window))
+				most = max(most, within(requested[pool], from-back, from-back+window))
 			}
 			if bound := ratio*float64(most) + allowance; float64(k-i) > bound {
 				out = append(out, fmt.Sprintf("%s: %d extra arrivals in the window from %d, bound %.1f", pool, k-i, from, bound))
--- a/request/dispatch/reconfiguration_test.go
+++ b/request/dispatch/reconfiguration_test.go
@@ -19,13 +19,13 @@
 	for seed := range uint64(3) {
 		s := defaultDeployment(seed)
 		s.slots = 1
-		w := newWorld(s)
+		w := newSimulation(s)
 		for _, b := range w.backends {
 			b.lossRate, b.errorRate = 0.1, 0.1 // many retries, each of which must see the newest snapshot
 		}
 		var left []*simBackend
 		var when clock.Micros
-		w.play(t, 8, map[float64]func(){3: func() {
+		w.run(t, 8, map[float64]func(){3: func() {
 			when, left = w.now, w.someBackends(0.5, "shard", "desk")
 			for _, b := range left {
 				b.draining = true
@@ -42,9 +42,9 @@
 func TestDrainedZoneGetsNoRequestsUntilRestored(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := newWorld(defaultDeployment(seed))
+		w := newSimulation(defaultDeployment(seed))
 		var from, to clock.Micros
-		w.play(t, 10, map[float64]func(){
+		w.run(t, 10, map[float64]func(){
 			2: func() { from = w.now; w.drainedZones["z1"] = true; w.publishSnapshots() },
 			6: func() { to = w.now; w.drainedZones["z1"] = false; w.publishSnapshots() },
 		})
@@ -63,7 +63,7 @@
 func TestReshardingNeverMixesShardSets(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := newWorld(defaultDeployment(seed))
+		w := newSimulation(defaultDeployment(seed))
 		var old []*simBackend
 		for _, b := range w.backends {
 			if b.pool != "desk" {
@@ -73,7 +73,7 @@
 		}
 		var set []string
 		var when clock.Micros
-		w.play(t, 10, map[float64]func(){
+		w.run(t, 10, map[float64]func(){
 			2: func() {
 				for _, name := range []string{"new0", "new1", "new2", "new3", "new4", "shard3"} {
 					set = append(set, name)
@@ -108,11 +108,11 @@
 	}
 }
 
-func TestRouteWeightsAndMoves(t *testing.T) {
+func TestRouteWeightAndPoolChanges(t *testing.T) {
 	t.Parallel()
-	w := newWorld(defaultDeployment(5))
+	w := newSimulation(defaultDeployment(5))
 	var when clock.Micros
-	w.play(t, 9, map[float64]func(){
+	w.run(t, 9, map[float64]func(){
 		1: func() {
 			w.change(func(c *routingpb.RoutingTable) {
 				for _, r := range c.Routes[2:] {
--- a/request/dispatch/rules_test.go
+++ b/request/dispatch/rules_test.go
@@ -14,7 +14,7 @@
 var minCoverages = map[string]float64{"search": 0.75, "quick": 0.5}
 
 // pools returns the pools that each version of the routing table sends a kind of requests to.
-func (w *world) pools(kind string) [][]string {
+func (w *simulation) pools(kind string) [][]string {
 	var out [][]string
 	for _, c := range w.tables {
 		for _, r := range c.Routes {
@@ -35,7 +35,7 @@
 }
 
 // checkRules checks every rule that holds in any deployment.
-func (w *world) checkRules(t *testing.T) {
+func (w *simulation) checkRules(t *testing.T) {
 	t.Helper()
 	all := func(kind string) (out []string) {
 		for _, set := range w.pools(kind) {
@@ -57,8 +57,8 @@
 // second is clock.Second without a type, to multiply fractions with.
 const second = 1_000_000
 
-// play lets clients send for so many seconds, with faults at their times in seconds, and checks the rules.
-func (w *world) play(t *testing.T, seconds int64, faults map[float64]func()) {
+// run lets clients send for so many seconds, with faults at their times in seconds, and checks the rules.
+func (w *simulation) run(t *testing.T, seconds int64, faults map[float64]func()) {
 	t.Helper()
 	from := w.now
 	w.advance(from + second)
@@ -73,6 +73,6 @@
 
 func TestNoFaults(t *testing.T) {
 	t.Parallel()
-	w := newWorld(defaultDeployment(1))
-	w.play(t, 20, nil)
+	w := newSimulation(defaultDeployment(1))
+	w.run(t, 20, nil)
 }
--- a/request/dispatch/sim_backend_test.go
+++ b/request/dispatch/sim_backend_test.go
@@ -10,7 +10,7 @@
 )
 
 type simBackend struct {
-	world             *world
+	simulation        *simulation
 	id, pool          string
 	zone              string
 	slots, queueLimit int
@@ -19,11 +19,11 @@
 	paused            bool
 	deferred          []func()
 	// workFactor multiplies the work. The rates are shares of requests that fail in that way.
-	workFactor                      float64
-	errorRate, garbleRate, lossRate float64
-	unresponsive, down              bool
-	draining, departed              bool
-	warmUntil                       clock.Micros
+	workFactor                       float64
+	errorRate, invalidRate, lossRate float64
+	unresponsive, down               bool
+	draining, departed               bool
+	warmUntil                        clock.Micros
 }
 
 // exchange is one attempt as a backend sees it.
@@ -42,7 +42,7 @@
 // schedulePauses pauses the backend now and again every 4 s.
 func (b *simBackend) schedulePauses() {
 	b.paused = true
-	b.world.after(b.world.pauseLength, func() {
+	b.simulation.after(b.simulation.pauseLength, func() {
 		b.paused = false
 		q := b.deferred
 		b.deferred = nil
@@ -50,7 +50,7 @@
 			do()
 		}
 	})
-	b.world.after(4_000_000, b.schedulePauses)
+	b.simulation.after(4_000_000, b.schedulePauses)
 }
 
 // load is what the backend reports of itself.
@@ -64,7 +64,7 @@
 		b.deferred = append(b.deferred, func() { b.arrive(x) })
 		return
 	}
-	w := b.world
+	w := b.simulation
 	a := w.journal.recordArrival(w.now, x)
 	switch {
 	case b.unresponsive:
@@ -96,17 +96,17 @@
 		if x.canceled {
 			continue
 		}
-		if b.world.now >= x.deadline {
+		if b.simulation.now >= x.deadline {
 			x.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "too late"})
 			continue
 		}
 		b.running++
-		b.world.journal.recordRun(x)
+		b.simulation.journal.recordRun(x)
 		work := float64(x.work) * b.workFactor
-		if b.world.now < b.warmUntil {
+		if b.simulation.now < b.warmUntil {
 			work *= 1.6
 		}
-		b.world.after(int64(work), func() { b.finishWork(x) })
+		b.simulation.after(int64(work), func() { b.finishWork(x) })
 	}
 }
 
@@ -122,8 +122,8 @@
 	}
 	b.running--
 	defer b.startQueued()
-	w := b.world
-	if w.rnd.Float64() < b.garbleRate {
+	w := b.simulation
+	if w.rnd.Float64() < b.invalidRate {
 		x.respond(Result{Class: ClassInvalid, Reason: "not an answer"})
 		return
 	}
@@ -141,7 +141,7 @@
 
 // send carries one attempt to a backend and its result back.
 func (n *simNode) send(a Send, replied func(Result)) (cancel func()) {
-	w := n.world
+	w := n.simulation
 	b := w.byID[a.Backend.ID]
 	link := clock.Micros(100)
 	if b.zone != n.zone {
--- a/request/dispatch/sim_client_test.go
+++ b/request/dispatch/sim_client_test.go
@@ -27,7 +27,7 @@
 }
 
 // startClients has clients send requests until a moment.
-func (w *world) startClients(until clock.Micros) {
+func (w *simulation) startClients(until clock.Micros) {
 	for i, rate := range []float64{w.search, w.quick, w.once, w.read} {
 		if rate > 0 {
 			w.scheduleClient(&requestKinds[i], rate, until)
@@ -35,7 +35,7 @@
 	}
 }
 
-func (w *world) scheduleClient(k *requestKind, rate float64, until clock.Micros) {
+func (w *simulation) scheduleClient(k *requestKind, rate float64, until clock.Micros) {
 	w.after(int64(w.rnd.ExpFloat64()*1e6/rate), func() {
 		if w.now >= until {
 			return
@@ -47,7 +47,7 @@
 }
 
 // clientAttempt sends one attempt of a client, which began at a moment and may make so many more.
-func (w *world) clientAttempt(k *requestKind, began clock.Micros, rejectedEarly bool, more int) {
+func (w *simulation) clientAttempt(k *requestKind, began clock.Micros, rejectedEarly bool, more int) {
 	w.lastID++
 	id := fmt.Sprintf("%s-%d", k.name, w.lastID)
 	work := k.work * math.Exp(w.rnd.NormFloat64()*0.5-0.125)
@@ -99,11 +99,11 @@
 
 // drive carries out a state machine's actions until it has finished.
 func (n *simNode) drive(r Request, ended func(Outcome)) {
-	m, w, life := NewStateMachine(n.dispatcher, r, n.world.now), n.world, n.dispatcher
+	m, w, dispatcher := NewStateMachine(n.dispatcher, r, n.simulation.now), n.simulation, n.dispatcher
 	cancels := map[int]func(){}
 	var step func(Event)
 	step = func(ev Event) {
-		if life != n.dispatcher || n.down {
+		if dispatcher != n.dispatcher || n.down {
 			for _, cancel := range cancels {
 				cancel()
 			}
@@ -140,13 +140,13 @@
 }
 
 // addSuccess counts a success. soon says that it came in time, counted from an attempt after an early rejection.
-func (s *tally) addSuccess(ontime, soon bool, share float64, k *requestKind) {
+func (s *tally) addSuccess(onTime, soonAfterRetry bool, share float64, k *requestKind) {
 	worth := k.value * share * share
-	if ontime {
+	if onTime {
 		s.onTime++
 	} else {
 		s.late++
-		if soon {
+		if soonAfterRetry {
 			worth *= (1 + k.lateValue) / 2
 		} else {
 			worth *= k.lateValue
@@ -160,10 +160,10 @@
 
 func (j *journal) report() string {
 	out := ""
-	owed, earned := 0.0, 0.0
+	possible, earned := 0.0, 0.0
 	for _, k := range requestKinds {
 		s := j.tallies[k.name]
-		owed, earned = owed+s.possible, earned+s.earned
+		possible, earned = possible+s.possible, earned+s.earned
 		out += fmt.Sprintf("%s: earned %.3f, on time %d, late %d, partial %d, failed %v\n", k.name, s.earned/max(1, s.possible), s.onTime, s.late, s.partial, s.failed)
 	}
 	extra := map[string]int{}
@@ -172,5 +172,5 @@
 			extra[a.pool]++
 		}
 	}
-	return fmt.Sprintf("%sall: %.4f; arrivals %d, extra %v\n", out, earned/max(1, owed), len(j.arrivals), extra)
+	return fmt.Sprintf("%sall: %.4f; arrivals %d, extra %v\n", out, earned/max(1, possible), len(j.arrivals), extra)
 }
--- a/request/dispatch/state_machine_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestStateMachineReportsNoRouteOnlyUnderATable(t *testing.T) {
+func TestStateMachineReportsNoRouteOnlyWithRoutingTable(t *testing.T) {
 	f := newFixture(2, 2)
 	must.Eq(t, 404, outcomeOf(f.stateMachine("nowhere").Step(startTime, Begin{})).Status)
 	f.snap = &snapshot.Snapshot{Complete: true}
@@ -147,7 +147,7 @@
 	must.Len(t, 1, sends(m.Step(startTime+20_000, TimerFired{})))
 }
 
-func TestRetryNeverRepeatsWhatMayHaveRun(t *testing.T) {
+func TestRetryNeverRepeatsRequestThatMayHaveRun(t *testing.T) {
 	for _, route := range []string{"once", "once2"} {
 		for _, class := range []Class{ClassFailed, ClassInvalid, ClassResponse} {
 			f := newFixture(2, 4)
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestRetrySendsElsewhereWhatHasNotRun(t *testing.T) {
+func TestRetrySendsRequestThatHasNotRunToAnotherBackend(t *testing.T) {
 	f := newFixture(2, 4)
 	f.fillRetryBudgets()
 	m := f.stateMachine("once")
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -36,7 +36,7 @@
 	return v
 }
 
-// deployment is the size of a world and what its clients send.
+// deployment is the size of a simulation and what its clients send.
 type deployment struct {
 	seed              uint64
 	nodes, zones      int
@@ -61,8 +61,8 @@
 	}
 }
 
-// world is a deployment under way.
-type world struct {
+// simulation is a deployment under way.
+type simulation struct {
 	deployment
 	now          clock.Micros
 	seq          int
@@ -80,7 +80,7 @@
 }
 
 type simNode struct {
-	world      *world
+	simulation *simulation
 	zone       string
 	dispatcher *Dispatcher
 	gauges     *snapshot.Gauges
@@ -92,13 +92,13 @@
 }
 
 // after schedules something.
-func (w *world) after(delay clock.Micros, do func()) {
+func (w *simulation) after(delay clock.Micros, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: w.now + delay, seq: w.seq, do: do})
 }
 
 // advance runs the events up to a moment.
-func (w *world) advance(until clock.Micros) {
+func (w *simulation) advance(until clock.Micros) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -107,10 +107,10 @@
 	w.now = until
 }
 
-func (w *world) zone(i int) string { return fmt.Sprintf("z%d", i%w.zones) }
+func (w *simulation) zone(i int) string { return fmt.Sprintf("z%d", i%w.zones) }
 
-func newWorld(s deployment) *world {
-	w := &world{deployment: s, rnd: rand.New(rand.NewPCG(s.seed, 7)), drainedZones: map[string]bool{}, work: map[string]clock.Micros{}, byID: map[string]*simBackend{}, now: 60 * clock.Second}
+func newSimulation(s deployment) *simulation {
+	w := &simulation{deployment: s, rnd: rand.New(rand.NewPCG(s.seed, 7)), drainedZones: map[string]bool{}, work: map[string]clock.Micros{}, byID: map[string]*simBackend{}, now: 60 * clock.Second}
 	w.journal.startedAt = w.now
 	w.journal.init()
 	w.table = &routingpb.RoutingTable{Revision: 1}
@@ -136,8 +136,8 @@
 	return w
 }
 
-func (w *world) addNode(i int) *simNode {
-	n := &simNode{world: w, zone: w.zone(i), gauges: &snapshot.Gauges{}, propagationDelay: int64(w.rnd.IntN(300_000))}
+func (w *simulation) addNode(i int) *simNode {
+	n := &simNode{simulation: w, zone: w.zone(i), gauges: &snapshot.Gauges{}, propagationDelay: int64(w.rnd.IntN(300_000))}
 	n.restart(w.now - 60*clock.Second)
 	return n
 }
@@ -145,22 +145,22 @@
 // restart starts the node's process anew.
 func (n *simNode) restart(startedAt clock.Micros) {
 	n.dispatcher = NewDispatcher(Config{
-		Snapshot: func() *snapshot.Snapshot { return n.snap }, Counts: kernel.NewCounts(), Seed: n.world.rnd.Uint64(), StartedAt: startedAt,
-		Retry: RetryConfig{Ratio: 0.2, Allowance: n.world.allowance, Window: 10 * clock.Second},
+		Snapshot: func() *snapshot.Snapshot { return n.snap }, Counts: kernel.NewCounts(), Seed: n.simulation.rnd.Uint64(), StartedAt: startedAt,
+		Retry: RetryConfig{Ratio: 0.2, Allowance: n.simulation.allowance, Window: 10 * clock.Second},
 	})
 	n.gauges, n.down = &snapshot.Gauges{}, false
 	n.refreshSnapshot()
 }
 
-func (w *world) addPool(name string, backends, slots, queue int) {
+func (w *simulation) addPool(name string, backends, slots, queue int) {
 	w.table.Pools = append(w.table.Pools, &routingpb.Pool{Name: name, SlowStartUs: 3 * clock.Second, RampPerS: w.slowStartRate})
 	for i := range backends {
 		w.addBackend(name, w.zone(i), slots, queue)
 	}
 }
 
-func (w *world) addBackend(pool, zone string, slots, queue int) *simBackend {
-	b := &simBackend{world: w, id: fmt.Sprintf("%s-%d", pool, len(w.backends)), pool: pool, zone: zone, slots: slots, queueLimit: queue, workFactor: 1}
+func (w *simulation) addBackend(pool, zone string, slots, queue int) *simBackend {
+	b := &simBackend{simulation: w, id: fmt.Sprintf("%s-%d", pool, len(w.backends)), pool: pool, zone: zone, slots: slots, queueLimit: queue, workFactor: 1}
 	w.backends, w.byID[b.id] = append(w.backends, b), b
 	if w.pauseLength > 0 {
 		w.after(int64(w.rnd.IntN(4_000_000)), b.schedulePauses)
@@ -168,16 +168,16 @@
 	return b
 }
 
-// publishSnapshots has every node see the present state of the world after its own delay.
-func (w *world) publishSnapshots() {
+// publishSnapshots has every node see the present state of the simulation after its own delay.
+func (w *simulation) publishSnapshots() {
 	for _, n := range w.nodes {
 		w.after(n.propagationDelay, n.refreshSnapshot)
 	}
 }
 
-// refreshSnapshot makes the node's snapshot of the present state of the world.
+// refreshSnapshot makes the node's snapshot of the present state of the simulation.
 func (n *simNode) refreshSnapshot() {
-	w := n.world
+	w := n.simulation
 	if n.table == nil || n.table.Source != w.table {
 		n.table = routing.Compile(w.table)
 	}
--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -37,8 +37,8 @@
 	// its shard.
 	SlowFactor     = 4
 	MinSlowLatency = 50 * clock.Millisecond
-	// ForgiveAfter is how long after its ejection a corrupt backend is tried again.
-	ForgiveAfter = 8 * clock.Second
+	// CorruptRetryDelay is how long after its ejection a corrupt backend is tried again.
+	CorruptRetryDelay = 8 * clock.Second
 )
 
 const (
@@ -253,7 +253,7 @@
 // path. It ends the ejection of a corrupt backend that is to be tried again.
 func observe(ctx *kernel.Context, backend *snapshot.Backend, state *checkState, medians map[shard]clock.Micros) snapshot.ReportState {
 	gauge := backend.Gauge
-	if gauge.CorruptResponses.Load() > 0 && ctx.Now > gauge.EjectedUntil.Load()+ForgiveAfter {
+	if gauge.CorruptResponses.Load() > 0 && ctx.Now > gauge.EjectedUntil.Load()+CorruptRetryDelay {
 		gauge.CorruptResponses.Store(0)
 		gauge.EjectedUntil.Store(0)
 	}
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -16,7 +16,7 @@
 
 const unhealthy = "s1"
 
-// node is one process with mesh, table and health checks, and some neighbours.
+// node is one process with mesh, table and health checks, and some peers.
 type node struct {
 	k   *kernel.Kernel
 	now int64
@@ -28,32 +28,32 @@
 	return kernel.KeyFrom(seed)
 }
 
-func newNode(neighbours byte) *node {
+func newNode(peers byte) *node {
 	e := settings.Settings{Name: "a", Mesh: "10.0.0.1:1", PassiveHealth: true}
 	n := &node{k: kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: keyOf(0)}), now: 5_000_000}
 	n.feed(kernel.Start{})
-	for i := range neighbours {
+	for i := range peers {
 		n.feed(kernel.ConnUp{Conn: uint64(i) + 1, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(keyOf(i + 1).Public), Mesh: true})
 	}
-	n.hears(1, mesh.EntryBackendList, discovery.LeaseTask, &wire.BackendList{LeaseID: 1, Complete: true, Backends: []wire.Backend{{ID: unhealthy}}})
+	n.receiveEntry(1, mesh.EntryBackendList, discovery.LeaseTask, &wire.BackendList{LeaseID: 1, Complete: true, Backends: []wire.Backend{{ID: unhealthy}}})
 	return n
 }
 
 func (n *node) feed(in kernel.Input) { n.k.Step(n.now, n.now, in) }
 
-// hears has a neighbour announce an entry.
-func (n *node) hears(neighbour byte, typ, id string, body interface {
+// receiveEntry has a peer announce an entry.
+func (n *node) receiveEntry(peer byte, typ, id string, body interface {
 	MarshalMsg([]byte) ([]byte, error)
 }) {
 	b, _ := body.MarshalMsg(nil)
-	key := keyOf(neighbour)
+	key := keyOf(peer)
 	entry := &wire.Entry{Type: typ, ID: id, Origin: key.Public, Count: 1, Body: b}
 	entry.Sig = ed25519.Sign(key.Private, wire.Encode(entry))
-	n.feed(kernel.Received{Conn: uint64(neighbour), Data: wire.Seal(wire.KindGossip, 0, entry)})
+	n.feed(kernel.Received{Conn: uint64(peer), Data: wire.Seal(wire.KindGossip, 0, entry)})
 }
 
-// looks has the node evaluate its backends once more.
-func (n *node) looks() {
+// evaluate has the node evaluate its backends once more.
+func (n *node) evaluate() {
 	n.now += ReportInterval
 	n.feed(kernel.Tick{Plugin: "mesh", Key: "reach"})
 	n.feed(kernel.Tick{Plugin: "table", Key: "build"})
@@ -62,13 +62,13 @@
 
 func (n *node) reports() int64 { return n.k.Counts.Of("opinions_told").Load() }
 
-// meets has the node see so many failures in a row.
-func (n *node) meets(fails int64) {
+// setFailures has the node see so many failures in a row.
+func (n *node) setFailures(fails int64) {
 	kernel.Find[*snapshot.Table](n.k).Gauges.Of(unhealthy).Failures.Store(fails)
-	n.looks()
+	n.evaluate()
 }
 
-func TestFewNodesReportWhatAllObserve(t *testing.T) {
+func TestHealthReportsAreLimitedToEnoughReporters(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		agree   byte
@@ -85,9 +85,9 @@
 			n := newNode(EnoughReporters + 3)
 			must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Backends))
 			for i := range c.agree {
-				n.hears(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: c.state})
+				n.receiveEntry(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: c.state})
 			}
-			n.meets(snapshot.EjectThreshold)
+			n.setFailures(snapshot.EjectThreshold)
 			must.Eq(t, c.reports, n.reports())
 		})
 	}
@@ -96,19 +96,19 @@
 // A node that has reported continues while others agree, and withdraws the report when it is over.
 func TestReportingNodeKeepsReporting(t *testing.T) {
 	n := newNode(EnoughReporters)
-	n.meets(snapshot.EjectThreshold)
+	n.setFailures(snapshot.EjectThreshold)
 	must.Eq(t, 1, n.reports())
 	for i := range byte(EnoughReporters) {
-		n.hears(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: "lost"})
+		n.receiveEntry(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: "lost"})
 	}
-	n.looks()
-	n.looks()
+	n.evaluate()
+	n.evaluate()
 	must.Eq(t, 1, n.reports())
-	n.meets(0)
+	n.setFailures(0)
 	must.Eq(t, 2, n.reports(), must.Sprint("taken back"))
-	mine := false
+	ownReport := false
 	kernel.Find[*mesh.Mesh](n.k).Each(mesh.EntryHealthReport, func(_ *wire.Entry, origin string) {
-		mine = mine || origin == kernel.Find[*mesh.Mesh](n.k).Self()
+		ownReport = ownReport || origin == kernel.Find[*mesh.Mesh](n.k).Self()
 	})
-	must.False(t, mine)
+	must.False(t, ownReport)
 }
--- a/request/reshard/reshard.go
+++ b/request/reshard/reshard.go
@@ -22,11 +22,11 @@
 	CheckInterval = 500 * clock.Millisecond
 	// MinWarmth is how far, in thousandths, a backend of the next shard map must have come in its slow start.
 	MinWarmth = 500
-	// MinServers is how many warm backends each shard of the next shard map needs. Fewer do if a shard of
+	// MinBackends is how many warm backends each shard of the next shard map needs. Fewer do if a shard of
 	// the map in force has fewer.
-	MinServers = 2
-	// checksPerTurn is for how many checks it stays a node's turn.
-	checksPerTurn = 4
+	MinBackends = 2
+	// checksPerRequester is for how many checks it stays a node's turn.
+	checksPerRequester = 4
 )
 
 const (
@@ -41,8 +41,8 @@
 	configSync *configsync.Sync
 	table      *snapshot.Table
 	// checks counts the checks; the nodes take turns by it.
-	checks int
-	armed  bool
+	checks         int
+	checkScheduled bool
 }
 
 func init() {
@@ -64,22 +64,22 @@
 func (r *Resharder) Step(ctx *kernel.Context, in kernel.Input) {
 	switch in.(type) {
 	case snapshot.Built:
-		r.arm(ctx)
+		r.scheduleCheck(ctx)
 	case kernel.Tick:
-		r.armed = false
-		r.arm(ctx)
+		r.checkScheduled = false
+		r.scheduleCheck(ctx)
 		r.requestSwitches(ctx)
 	}
 }
 
-// arm sets the timer of the next check if an index is being moved.
-func (r *Resharder) arm(ctx *kernel.Context) {
-	if r.armed {
+// scheduleCheck sets the timer of the next check if an index is being moved.
+func (r *Resharder) scheduleCheck(ctx *kernel.Context) {
+	if r.checkScheduled {
 		return
 	}
 	for _, index := range r.table.Current().Indexes {
 		if index.ShardMap.Next != "" {
-			r.armed = true
+			r.checkScheduled = true
 			ctx.After(CheckInterval, pluginName, timerCheck)
 			return
 		}
@@ -93,7 +93,7 @@
 		return
 	}
 	live := r.members.Live(ctx.Now, "node")
-	if len(live) == 0 || !r.takeTurn(live) {
+	if len(live) == 0 || !r.shouldRequest(live) {
 		return
 	}
 	for _, service := range current.Configuration.Services {
@@ -105,12 +105,12 @@
 	}
 }
 
-// takeTurn counts a check and reports whether this node makes requests in it. The first live node by name
+// shouldRequest counts a check and reports whether this node makes requests in it. The first live node by name
 // always does, and the others one after the other: together they go on if it does not get through.
-func (r *Resharder) takeTurn(live []membership.Member) bool {
+func (r *Resharder) shouldRequest(live []membership.Member) bool {
 	r.checks++
-	turn := live[(r.checks/checksPerTurn)%len(live)]
-	return turn.Origin == r.mesh.Self() || live[0].Origin == r.mesh.Self()
+	requester := live[(r.checks/checksPerRequester)%len(live)]
+	return requester.Origin == r.mesh.Self() || live[0].Origin == r.mesh.Self()
 }
 
 // requestSwitch sends the edit to the leader of the index's partition, if one is known.
@@ -128,7 +128,7 @@
 // Ready reports whether every shard of an index's next shard map has enough healthy, warm backends: two, or
 // as many as the smallest shard of the map in force has, though at least one.
 func Ready(index *snapshot.Index, now clock.Micros) bool {
-	need := MinServers
+	need := MinBackends
 	for _, backends := range index.Shards {
 		need = min(need, max(1, len(backends)))
 	}
--- a/request/retrybudget/retrybudget_test.go
+++ b/request/retrybudget/retrybudget_test.go
@@ -13,28 +13,28 @@
 
 func TestLimits(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		now             clock.Micros
-		share           int64
-		capacity, after int64
+		name                string
+		now                 clock.Micros
+		share               int64
+		capacity, fairShare int64
 	}{
-		{name: "startup, small fleet", now: startedAt, share: 50 * tokenbucket.One, capacity: StartupCapacity, after: StartupCapacity},
-		{name: "startup, large fleet", now: startedAt + StartupPeriod - 1, share: 10, capacity: StartupCapacity, after: StartupCapacity},
-		{name: "small fleet", now: startedAt + StartupPeriod, share: 50 * tokenbucket.One, capacity: 50 * tokenbucket.One, after: 50 * tokenbucket.One},
-		{name: "one attempt", now: startedAt + StartupPeriod, share: tokenbucket.One, capacity: tokenbucket.One, after: tokenbucket.One},
-		{name: "large fleet", now: startedAt + StartupPeriod, share: 10, capacity: tokenbucket.One, after: 10},
+		{name: "startup, small fleet", now: startedAt, share: 50 * tokenbucket.One, capacity: StartupCapacity, fairShare: StartupCapacity},
+		{name: "startup, large fleet", now: startedAt + StartupPeriod - 1, share: 10, capacity: StartupCapacity, fairShare: StartupCapacity},
+		{name: "small fleet", now: startedAt + StartupPeriod, share: 50 * tokenbucket.One, capacity: 50 * tokenbucket.One, fairShare: 50 * tokenbucket.One},
+		{name: "one attempt", now: startedAt + StartupPeriod, share: tokenbucket.One, capacity: tokenbucket.One, fairShare: tokenbucket.One},
+		{name: "large fleet", now: startedAt + StartupPeriod, share: 10, capacity: tokenbucket.One, fairShare: 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var b Budget
 			b.Init(startedAt)
 			capacity, fairShare := b.Limits(c.now, c.share)
 			must.Eq(t, c.capacity, capacity)
-			must.Eq(t, c.after, fairShare)
+			must.Eq(t, c.fairShare, fairShare)
 		})
 	}
 }
 
-func TestNothingComesWithTimeDuringStartup(t *testing.T) {
+func TestRefillStartsAfterStartupPeriod(t *testing.T) {
 	var b Budget
 	b.Init(startedAt)
 	must.Eq(t, 0, b.Balance())
--- a/request/snapshot/invariants_test.go
+++ b/request/snapshot/invariants_test.go
@@ -14,10 +14,10 @@
 func TestConfigVersionGoingBackIsReported(t *testing.T) {
 	table := &Table{config: configState{version: wire.Version{Term: 3, Seq: 9}}}
 	step := &kernel.Context{Counts: kernel.NewCounts()}
-	takes := func(term, seq uint64) invariant.Name {
+	violationOf := func(term, seq uint64) invariant.Name {
 		return violation.By(func() { table.checkVersionRises(step, wire.Version{Term: term, Seq: seq}) })
 	}
-	must.Eq(t, "", takes(4, 10))
-	must.Eq(t, invariant.ConfigIncreases, takes(3, 8))
-	must.Eq(t, invariant.ConfigIncreases, takes(2, 12))
+	must.Eq(t, "", violationOf(4, 10))
+	must.Eq(t, invariant.ConfigIncreases, violationOf(3, 8))
+	must.Eq(t, invariant.ConfigIncreases, violationOf(2, 12))
 }
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -132,27 +132,27 @@
 	}
 }
 
-func TestStartedNodeServesConfirmedStateAtOnce(t *testing.T) {
+func TestStartedNodeServesConfirmedStateImmediately(t *testing.T) {
 	core := &fakeCore{term: 3, revision: 7, contact: 1}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": core, "10.0.0.2:1": core, "10.0.0.3:1": core})
 	must.Less(t, configsync.StartupPullInterval+second/4, n.readyWithin(second))
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
-// One of three cores is cut off and has an old configuration; it may be asked first.
+// One of three cores is cut off and has an old configuration; it may be requested first.
 func TestStartedNodeSkipsPartitionedCore(t *testing.T) {
-	for _, cutOff := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
+	for _, partitioned := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		cores := map[string]*fakeCore{}
 		for _, a := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 			cores[a] = &fakeCore{term: 4, revision: 9, contact: 1}
 		}
 		old := &fakeCore{term: 3, revision: 7}
-		cores[cutOff] = old
+		cores[partitioned] = old
 		n := startNode(t, cores)
 		must.Less(t, second, n.readyWithin(2*second))
 		must.Eq(t, 9, n.table.Current().Routing.Revision)
 		n.run(10 * second)
-		must.Less(t, 10, old.requested, must.Sprint("one without contact is seldom asked"))
+		must.Less(t, 10, old.requested, must.Sprint("one without contact is seldom requested"))
 	}
 }
 
@@ -179,25 +179,25 @@
 }
 
 // A majority of the disks is gone, or only the core that is cut off can be reached: the node serves
-// what there is, but not before it has looked for better.
+// what there is, but not before it has looked for inContact.
 func TestNodeServesUnconfirmedAfterDelayWithoutContact(t *testing.T) {
 	old := &fakeCore{term: 3, revision: 7}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": old, "10.0.0.2:1": {unresponsive: true}, "10.0.0.3:1": {unresponsive: true}})
 	took := n.readyWithin(20 * second)
 	must.Between(t, configsync.UnconfirmedTimeout, took, configsync.UnconfirmedTimeout+second)
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
-	asked := old.requested
+	requested := old.requested
 	n.run(10 * second)
-	must.Between(t, 5, old.requested-asked, 60, must.Sprint("it is asked no more often than usual"))
+	must.Between(t, 5, old.requested-requested, 60, must.Sprint("it is requested no more often than usual"))
 }
 
 // While a core in contact can be reached, nothing else is served, however late it comes up.
 func TestUnconfirmedStateIsNotServedWhileCoreHasContact(t *testing.T) {
-	better := &fakeCore{term: 4, revision: 9, contact: 1, unresponsive: true}
-	cores := map[string]*fakeCore{"10.0.0.1:1": {term: 3, revision: 7}, "10.0.0.2:1": better, "10.0.0.3:1": {unresponsive: true}}
+	inContact := &fakeCore{term: 4, revision: 9, contact: 1, unresponsive: true}
+	cores := map[string]*fakeCore{"10.0.0.1:1": {term: 3, revision: 7}, "10.0.0.2:1": inContact, "10.0.0.3:1": {unresponsive: true}}
 	n := startNode(t, cores)
 	must.Greater(t, 4*second, n.readyWithin(4*second))
-	better.unresponsive = false
+	inContact.unresponsive = false
 	must.Less(t, configsync.UnconfirmedTimeout-4*second, n.readyWithin(4*second))
 	must.Eq(t, 9, n.table.Current().Routing.Revision)
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -20,13 +20,13 @@
 const MaxKeyOwners = 33
 
 // keyOwners selects the key owners of a fleet: by the hash of the name, one zone after the other in
-// turn.
+// round.
 func keyOwners(roster []Node) []Node {
 	if len(roster) <= MaxKeyOwners {
 		return roster
 	}
 	zones := map[string]int{}
-	turn := make([]int, len(roster))
+	round := make([]int, len(roster))
 	order := make([]int, len(roster))
 	weight := make([]uint64, len(roster))
 	for i, n := range roster {
@@ -36,10 +36,10 @@
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(weight[b], weight[a]) })
 	for _, i := range order {
-		turn[i] = zones[roster[i].Zone]
+		round[i] = zones[roster[i].Zone]
 		zones[roster[i].Zone]++
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(turn[a], turn[b]) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(round[a], round[b]) })
 	order = order[:MaxKeyOwners]
 	slices.Sort(order)
 	out := make([]Node, 0, MaxKeyOwners)
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -120,7 +120,7 @@
 		table.build(ctx)
 		ctx.After(MaxStale, pluginName, timerStale)
 	case mesh.CaughtUp:
-		table.refreshed(ctx, func(s *staleness) { s.mesh = true })
+		table.updateStaleness(ctx, func(s *staleness) { s.mesh = true })
 	case configsync.Pulled:
 		table.handlePulled(ctx, v)
 	case kernel.Stopping:
@@ -157,8 +157,8 @@
 	}
 }
 
-// refreshed records with f one of the things that a thawed process waits for.
-func (table *Table) refreshed(ctx *kernel.Context, f func(s *staleness)) {
+// updateStaleness records with f one of the things that a thawed process waits for.
+func (table *Table) updateStaleness(ctx *kernel.Context, f func(s *staleness)) {
 	if !table.staleness.active(ctx.Now) {
 		return
 	}
@@ -174,7 +174,7 @@
 	if v.Confirmed == 0 {
 		return
 	}
-	table.refreshed(ctx, func(s *staleness) { s.pulled = true })
+	table.updateStaleness(ctx, func(s *staleness) { s.pulled = true })
 	if !table.current.Load().Complete {
 		table.build(ctx)
 	}
--- a/request/tokenbucket/tokenbucket_test.go
+++ b/request/tokenbucket/tokenbucket_test.go
@@ -18,7 +18,7 @@
 	must.Eq(t, 2*One, b.Balance(), must.Sprint("a smaller capacity takes nothing away"))
 }
 
-func TestRefillAddsWhatTimeIsWorth(t *testing.T) {
+func TestRefillAddsTokensForElapsedTime(t *testing.T) {
 	var b Bucket
 	b.RefilledAt.Store(clock.Second)
 	b.Refill(clock.Second/2, One, 10*One)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestTakeByManyGoroutines(t *testing.T) {
+func TestConcurrentTake(t *testing.T) {
 	var b Bucket
 	b.Add(1000*One, 1000*One)
 	var taken atomic.Int64
