--- a/request/dispatch/admission.go
+++ b/request/dispatch/admission.go
@@ -22,8 +22,8 @@
 	reasonRejectedPrefix = "turned away: "
 )
 
-// Bounds of what a rejected client is told to wait. minRetryAfter and maxRetryAfter are before the jitter, which adds up
-// to as much again.
+// Bounds of the Retry-After times of rejections. minRetryAfter and maxRetryAfter apply before jitter, which at most
+// doubles the time.
 const (
 	notReadyRetryAfter = 150 * clock.Millisecond
 	leastRetryAfter    = 1 * clock.Millisecond
@@ -32,20 +32,21 @@
 	maxRetryAfterDown  = 1 * clock.Second
 )
 
-// Bounds of pressure. Below Low nothing is rejected, above High everything: of the expected time in a queue, as a
-// share of the time that the work itself leaves to the latency target, and of a backend's load, as a share of the
-// load at which it rejected a request.
+// Load shedding thresholds. Below the Low threshold no request is rejected, above the High threshold all are.
+// queueTime is the expected time in the backend's queue, as a share of the time that remains until the latency
+// target after the work itself. utilization is the backend's load, as a share of the load at which it rejected a
+// request.
 const (
 	queueTimeLow    = 0.25
 	queueTimeHigh   = 0.7
 	utilizationLow  = 0.5
 	utilizationHigh = 0.9
-	// lowPriorityFactor multiplies the pressure for routes of less than highPriority.
+	// lowPriorityFactor multiplies the pressure for routes that are less important than highPriority.
 	lowPriorityFactor = 1.5
 )
 
-// admit sends the request, or rejects it at once where no backend could take it in time, so that its client may go
-// to another node in time.
+// admit sends the request to a backend. If no backend is expected to respond in time, it rejects the request
+// immediately, which leaves the client time to try another node.
 func (m *StateMachine) admit(now clock.Micros) {
 	if m.route.FansOut() {
 		m.admitFanOut(now)
@@ -72,15 +73,16 @@
 	m.scheduleTimer(now)
 }
 
-// openShard makes a shard request to one of the plan's pools, whose retry budget it replenishes.
+// openShard initializes a shard request for one of the plan's pools and credits the request to the pool's retry
+// budget.
 func (m *StateMachine) openShard(now clock.Micros, shardIndex, poolIndex int) {
 	shard := &m.shards[shardIndex]
 	shard.pool, shard.latency, shard.tried = m.plan.pools[poolIndex], m.plan.latency[poolIndex], shard.triedBuf[:0]
 	shard.pool.retryBudget.replenish(now, m.nodes(), &m.random)
 }
 
-// selectPool draws one of the route's pools by weight and returns its index in the plan. Where nothing of that pool
-// is available, another pool with a weight takes its place.
+// selectPool draws one of the route's pools by weight and returns its index in the plan. If no backend of that pool
+// is available, it returns the first pool with a weight above 0 that has one, or else the pool that was drawn.
 func (m *StateMachine) selectPool(now clock.Micros) int {
 	plan := m.plan
 	if len(plan.pools) == 1 {
@@ -109,8 +111,8 @@
 }
 
 // rejectsAt reports whether the request is rejected under this pressure, given a number drawn from [0, 1), and
-// counts it. A request that fans out is counted once for each overloaded pool, also where the others suffice. Under
-// the same pressure less important routes are rejected more often.
+// counts the rejection. A request that fans out is counted once for each overloaded pool, even if it is served by
+// the other pools. Under the same pressure less important routes are rejected more often.
 func (m *StateMachine) rejectsAt(pressure, drawn float64) bool {
 	if m.route.Priority > highPriority {
 		pressure *= lowPriorityFactor
@@ -122,10 +124,11 @@
 	return true
 }
 
-// assess returns the best standing of the pool's backends that may be sent to now, and the pressure on the pool: the
-// share of requests to reject because even the least busy of them is about to reject requests or to answer late.
+// assess returns the best standing among the pool's backends that can be used now, and the pressure on the pool: the
+// share of requests to reject because even the least loaded of these backends is about to reject requests or to
+// respond late.
 func (m *StateMachine) assess(now clock.Micros, shard *shardRequest) (best standing, pressure float64) {
-	// Above any pressure, which is at most 1.
+	// unknown exceeds every real pressure, which is at most 1.
 	const unknown = 2.0
 	best, pressure = standingNone, unknown
 	p := shard.pool
@@ -148,18 +151,19 @@
 		pressure = min(pressure, 1, m.endpointPressure(now, e, shard.latency))
 	}
 	if pressure == unknown {
-		// Nothing is known of backends that look bad: they are tried.
+		// All backends that can be used are ejected, and no pressure is computed for these: they are tried.
 		return best, 0
 	}
 	return best, max(0, pressure)
 }
 
-// endpointPressure is the pressure on a backend whose slots are known; below 0 there is none.
+// endpointPressure returns the pressure on a backend with a known number of slots. A result of 0 or less means no
+// pressure.
 func (m *StateMachine) endpointPressure(now clock.Micros, e *endpoint, latency *latencyStats) float64 {
 	b := e.backend
 	median := latency.median.Load()
 	work, load := median*b.expectedRatio(now)/unit, b.estimatedLoad(now, median)
-	// At least 3 µs, so that a third of it is never 0 below.
+	// The minimum of 3 µs keeps target/3, and so the divisor slack, above 0.
 	target := max(3, m.targetAt-now)
 	slack := max(target-work, target/3)
 	pressure := (float64(queueTime(load, b.slots.Load(), work))/float64(slack) - queueTimeLow) / (queueTimeHigh - queueTimeLow)
@@ -169,7 +173,8 @@
 	return pressure
 }
 
-// retryAfter is when a rejected client may come back: soon enough for its latency target, and jittered.
+// retryAfter returns the jittered time after which a rejected client may retry. It is short enough for a retry to
+// meet the latency target.
 func (m *StateMachine) retryAfter(now clock.Micros) clock.Micros {
 	after := maxRetryAfter
 	if m.route != nil {
@@ -182,13 +187,14 @@
 	return max(after, leastRetryAfter)
 }
 
-// retryAfterDown is when a client may come back whose pool is down: later, but within its time.
+// retryAfterDown returns the time after which a client may retry whose pool is down: longer than retryAfter, but
+// still before the request's deadline.
 func (m *StateMachine) retryAfterDown(now clock.Micros) clock.Micros {
 	left := m.deadline - now
 	return max(m.retryAfter(now), min(maxRetryAfterDown, left/5+int64(m.random.IntN(int(max(1, left/8))))))
 }
 
-// reject ends a request of which nothing has run.
+// reject ends a request that no backend has run with status 503.
 func (m *StateMachine) reject(now clock.Micros, reason string, retryAfter clock.Micros) {
 	if retryAfter <= 0 {
 		retryAfter = minRetryAfter
--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -8,75 +8,75 @@
 	"wallport/runtime/clock"
 )
 
-// backend is what this node measured of one backend, mostly from its own attempts. It outlives snapshots and may
-// be used from many goroutines; updates that meet may lose one another. Shares and ratios are in thousandths,
-// loads in thousandths of requests, moments and durations in microseconds of the process's clock.
+// backend holds this node's measurements of one backend, mostly from its own attempts. It outlives snapshots and is
+// safe for concurrent use, but concurrent updates may overwrite each other. Shares and ratios are in thousandths,
+// loads in thousandths of requests, times and durations in microseconds of the process's clock.
 //
-// Its ejections decide what this package sends. Those of snapshot.Gauge, which attempts update as well, decide the
-// node's health reports and what package search sends.
+// Its ejections determine where this package sends requests. The ejections of snapshot.Gauge, which attempts also
+// update, determine the node's health reports and where package search sends requests.
 type backend struct {
-	// inFlight counts this node's attempts under way. progressAt is when the first of them began or when the
-	// backend last showed a sign of life, whichever is later.
+	// inFlight counts this node's attempts in flight. progressAt is when the first of them began or when the backend
+	// last ended an attempt itself, whichever is later.
 	inFlight, progressAt atomic.Int64
 
-	// latencyRatio is what a response takes relative to its pool's median, as of latencyRatioAt.
+	// latencyRatio is the smoothed response time relative to the pool's median, as of latencyRatioAt.
 	latencyRatio, latencyRatioAt atomic.Int64
-	// failureRate is the share of failures, as of failureRateAt.
+	// failureRate is the smoothed share of failed attempts, as of failureRateAt.
 	failureRate, failureRateAt atomic.Int64
 	consecutiveFailures        atomic.Int64
 	succeededAt                atomic.Int64
 
-	// ejections counts the ejections in a row, 0 where the backend is not ejected. The last one began at
-	// ejectedAt; a trial is due at ejectedUntil.
+	// ejections counts consecutive ejections, 0 if the backend is not ejected. The last one began at ejectedAt; a
+	// trial request is due at ejectedUntil.
 	ejections, ejectedAt, ejectedUntil atomic.Int64
-	// unresponsive is set where the backend was ejected because it was silent.
+	// unresponsive is set if the backend was ejected because an attempt timed out.
 	unresponsive atomic.Bool
-	// replacedUntil is until when the backend counts as ended, since another one answered at its address.
+	// replacedUntil is until when the backend is considered gone because another backend responded at its address.
 	replacedUntil atomic.Int64
 
-	// reportedLoad is what the backend had under way by its own report, as of reportedAt; meanLoad is the running
-	// mean of its reports.
+	// reportedLoad is the number of running and queued requests that the backend last reported, as of reportedAt;
+	// meanLoad is the running mean of its reports.
 	reportedLoad, reportedAt, meanLoad atomic.Int64
-	// slots is how many requests the backend can run at once, 0 where it is unknown.
+	// slots is the number of requests that the backend can run concurrently, 0 if unknown.
 	slots atomic.Int64
-	// rejectedLoad is the load at which the backend rejected a request, 0 where it is unknown.
+	// rejectedLoad is the load at which the backend last rejected a request, 0 if unknown.
 	rejectedLoad atomic.Int64
 
-	// warmingUntil is when the backend will have warmed up.
+	// warmingUntil is when the backend's slow start ends.
 	warmingUntil atomic.Int64
 	slowStart    slowStart
 
-	// listedAt is when a snapshot last named the backend.
+	// listedAt is when a snapshot last listed the backend.
 	listedAt atomic.Int64
-	// listedWarmUp and zoneDrained are those of the last snapshot. Only the goroutine that builds a view uses
-	// them.
+	// listedWarmUp and zoneDrained are the values of the last snapshot. Only the goroutine that builds a view
+	// accesses them.
 	listedWarmUp clock.Micros
 	zoneDrained  bool
 }
 
 const (
-	// unit is one whole in thousandths: a share of 1, a ratio of 1, a load of one request.
+	// unit is 1 in thousandths: a share of 1, a ratio of 1, a load of one request.
 	unit = 1000
 
 	latencyRatioHalfLife = 3 * clock.Second
 	failureRateHalfLife  = 3 * clock.Second
 	minLatencyRatio      = 250
 	maxLatencyRatio      = 40_000
-	// warmingUpRatio is the least ratio that a backend which is warming up counts with.
+	// warmingUpRatio is the minimum latency ratio that is assumed of a backend in slow start.
 	warmingUpRatio = 1600
 
-	// defaultConcurrency stands in for unknown slots.
+	// defaultConcurrency is assumed if the number of slots is unknown.
 	defaultConcurrency = 4
 	meanLoadHalfLife   = 500 * clock.Millisecond
-	// reportedLoadHalfLives is the half-life of a load report in times the work of one request.
+	// reportedLoadHalfLives is the half-life of a load report, in multiples of the time that one request takes.
 	reportedLoadHalfLives = 2
 
-	// A backend stalls where its attempts made no progress for longer than minStall; after maxStall that says
-	// nothing any more.
+	// A backend can only be considered stalled if its attempts have made no progress for longer than minStall. After
+	// maxStall without progress it is no longer considered stalled.
 	minStall = 25 * clock.Millisecond
 	maxStall = 20 * clock.Second
 
-	// forgetBackendAfter is how long a backend that no snapshot names is remembered.
+	// forgetBackendAfter is how long the measurements of a backend are kept that no snapshot lists.
 	forgetBackendAfter = 60 * clock.Second
 )
 
@@ -90,7 +90,8 @@
 	return v.(*backend)
 }
 
-// forgetBackends drops backends that no snapshot has named for long, once they are more than those listed.
+// forgetBackends drops idle backends that no snapshot has listed for forgetBackendAfter. It does nothing while at
+// most 2*listed+64 backends are known.
 func (d *Dispatcher) forgetBackends(snap *snapshot.Snapshot, listed int) {
 	known := 0
 	d.backends.Range(func(any, any) bool { known++; return true })
@@ -105,8 +106,8 @@
 	})
 }
 
-// update takes what a snapshot says of the backend. startedAt is when this process started. It is called
-// by one goroutine at a time.
+// update applies a snapshot's data on the backend. startedAt is when this process started. It must not be called
+// concurrently.
 func (b *backend) update(snap *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Backend, startedAt clock.Micros) {
 	firstListed := b.listedAt.Load() == 0
 	b.listedAt.Store(max(1, snap.At))
@@ -119,7 +120,8 @@
 	case s.WarmUpRemaining > 0 && s.WarmUpRemaining != lastWarmUp:
 		b.warmingUntil.Store(snap.At + s.WarmUpRemaining)
 	case firstListed && snap.At-startedAt > retrybudget.StartupPeriod:
-		// A backend that was not there before has just started, whatever the list says.
+		// A backend that first appears after this process's startup period is assumed to have just started, even if
+		// the list reports no slow start.
 		b.warmingUntil.Store(snap.At + p.SlowStartUs)
 	}
 	if reported := s.Gauge.SlowStartUntil.Load(); reported > b.warmingUntil.Load() {
@@ -127,20 +129,21 @@
 	}
 	drained := s.Health == snapshot.ZoneDrained
 	if b.zoneDrained && !drained && p.RampPerS > 0 {
-		// The caches of backends in a zone that is restored may have cooled meanwhile.
+		// The caches of backends in a drained zone may be cold once the zone is restored.
 		b.warmingUntil.Store(max(b.warmingUntil.Load(), snap.At+p.SlowStartUs))
 	}
 	b.zoneDrained = drained
 }
 
-// attemptStarted counts an attempt.
+// attemptStarted records the start of an attempt.
 func (b *backend) attemptStarted(now clock.Micros) {
 	if b.inFlight.Add(1) == 1 {
 		b.progressAt.Store(now)
 	}
 }
 
-// attemptEnded counts the end of an attempt. alive says whether the backend itself showed a sign of life.
+// attemptEnded records the end of an attempt. alive says whether the backend itself ended it, which counts as
+// progress.
 func (b *backend) attemptEnded(now clock.Micros, alive bool) {
 	b.inFlight.Add(-1)
 	if alive {
@@ -148,15 +151,15 @@
 	}
 }
 
-// recordSuccess takes a good response, how long it took, and the load that the backend had when the attempt
-// began. It reports whether the backend had been ejected.
+// recordSuccess records a successful response, given the time it took and the backend's load when the attempt
+// began. It ends an ejection and reports whether the backend had been ejected.
 func (b *backend) recordSuccess(now, took clock.Micros, load int64, latency *latencyStats) (wasEjected bool) {
 	net := took * unit / (unit + queueTime(load, b.concurrency(), unit))
 	failureRate := b.currentFailureRate(now)
 	if wasEjected = b.ejections.Load() > 0; wasEjected {
 		b.ejections.Store(0)
 		if b.unresponsive.Swap(false) {
-			// Silence that is over says little about its next responses.
+			// A period without responses that has ended predicts little about the next responses.
 			failureRate /= 4
 		}
 	}
@@ -177,7 +180,7 @@
 	b.latencyRatioAt.Store(now)
 }
 
-// recordLoadReport takes the backend's own report of its load.
+// recordLoadReport records the load that the backend reported.
 func (b *backend) recordLoadReport(now clock.Micros, report LoadReport) {
 	if !report.Known {
 		return
@@ -191,7 +194,8 @@
 	}
 }
 
-// recordRejection takes the backend's rejection of an attempt: by its own report it is full.
+// recordRejection records that the backend rejected an attempt. rejectedLoad is set only if the report confirms that
+// all slots are in use.
 func (b *backend) recordRejection(now clock.Micros, report LoadReport) {
 	load := 2 * unit * max(1, b.slots.Load())
 	if report.Known {
@@ -204,7 +208,7 @@
 	b.reportedAt.Store(now)
 }
 
-// expectedRatio is the latency ratio to expect of the next response: without samples it returns to 1.
+// expectedRatio returns the expected latency ratio of the next response. Without samples it decays to 1.
 func (b *backend) expectedRatio(now clock.Micros) int64 {
 	ratio := decay(b.latencyRatio.Load(), unit, max(0, now-b.latencyRatioAt.Load()), latencyRatioHalfLife)
 	if now < b.warmingUntil.Load() {
@@ -213,12 +217,12 @@
 	return ratio
 }
 
-// currentFailureRate is the share of failures, which without samples returns to 0.
+// currentFailureRate returns the share of failed attempts, in thousandths. Without samples it decays to 0.
 func (b *backend) currentFailureRate(now clock.Micros) int64 {
 	return decay(b.failureRate.Load(), 0, max(0, now-b.failureRateAt.Load()), failureRateHalfLife)
 }
 
-// concurrency is how many requests the backend runs at once.
+// concurrency returns the number of requests that the backend can run concurrently.
 func (b *backend) concurrency() int64 {
 	if n := b.slots.Load(); n > 0 {
 		return n
@@ -226,15 +230,16 @@
 	return defaultConcurrency
 }
 
-// stalled reports whether attempts are in flight and none has made progress for longer than usual.
+// stalled reports whether attempts are in flight and none has made progress for longer than usual and minStall, but
+// not yet for maxStall.
 func (b *backend) stalled(now, usual clock.Micros) bool {
 	age := now - b.progressAt.Load()
 	return age > max(minStall, usual) && age < maxStall && b.inFlight.Load() > 0
 }
 
-// estimatedLoad is what the backend has under way, as far as this node knows: its last report, which fades to the
-// mean of its reports and that to nothing, and no less than this node's own attempts. work is the time that one
-// request takes.
+// estimatedLoad returns the estimated number of requests that the backend is handling, in thousandths: its last
+// report, which decays to the mean of its reports, which in turn decays to 0, and at least this node's own attempts
+// in flight. work is the time that one request takes.
 func (b *backend) estimatedLoad(now, work clock.Micros) int64 {
 	age := max(0, now-b.reportedAt.Load())
 	mean := decay(b.meanLoad.Load(), 0, age, meanLoadHalfLife)
@@ -242,7 +247,7 @@
 	return max(load, b.inFlight.Load()*unit)
 }
 
-// wouldQueue reports whether another request would only wait in the backend's queue.
+// wouldQueue reports whether another request would have to wait in the backend's queue.
 func (b *backend) wouldQueue(now clock.Micros) bool {
 	slots := b.slots.Load()
 	return slots > 0 && b.estimatedLoad(now, 0) >= slots*unit
--- a/request/dispatch/bench_test.go
+++ b/request/dispatch/bench_test.go
@@ -1,4 +1,4 @@
-// The cost of a request on a node without HTTP.
+// Benchmarks of a request on a node, without HTTP.
 
 package dispatch
 
--- a/request/dispatch/deployments_test.go
+++ b/request/dispatch/deployments_test.go
@@ -1,4 +1,4 @@
-// The rules in deployments of other sizes.
+// The rules of rules_test.go in deployments of other sizes.
 
 package dispatch
 
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// largeDeployment is a large deployment: many nodes, each of which sees little of every backend.
+// largeDeployment returns a deployment with so many nodes that each of them sends few requests to any one backend.
 func largeDeployment(seed uint64) deployment {
 	s := defaultDeployment(seed)
 	s.nodes, s.shards, s.perShard, s.allowance = 88, 12, 8, 216
@@ -16,7 +16,7 @@
 	return s
 }
 
-// pausingDeployment is one whose backends pause for long.
+// pausingDeployment returns a large deployment whose backends have long pauses.
 func pausingDeployment(seed uint64) deployment {
 	s := largeDeployment(seed)
 	s.nodes, s.pauseLength, s.poolBackends, s.allowance, s.clientLink = 72, 190_000, 8, 184, 1_000
--- a/request/dispatch/dispatcher.go
+++ b/request/dispatch/dispatcher.go
@@ -11,49 +11,50 @@
 	"wallport/runtime/random"
 )
 
-// RetryConfig bounds the retries and hedged requests that arrive at a pool, for all nodes together: in any
-// Window at most Ratio of the pool's requests, and Allowance more.
+// RetryConfig bounds the retries and hedged requests that all nodes together send to a pool: in any Window at most
+// Ratio times the pool's requests plus Allowance.
 type RetryConfig struct {
 	Ratio, Allowance float64
-	// Window is 10 s where it is 0.
+	// Window defaults to 10 s.
 	Window clock.Micros
 }
 
-// Config is what a Dispatcher is made of.
+// Config configures a Dispatcher.
 type Config struct {
-	// Snapshot returns the newest routing snapshot, nil before there is one.
+	// Snapshot returns the newest routing snapshot, or nil before the first.
 	Snapshot func() *snapshot.Snapshot
-	// Counts takes the counters; nil makes own ones.
+	// Counts holds the counters; if it is nil, the dispatcher creates its own.
 	Counts *kernel.Counts
-	// Seed is that of every random choice.
+	// Seed seeds the random source of each request.
 	Seed uint64
-	// StartedAt is the present moment.
+	// StartedAt is when the process started.
 	StartedAt clock.Micros
 	Retry     RetryConfig
 	// Invariants records violations; nil ignores them.
 	Invariants *invariant.Recorder
-	// OnTrace is called with the trace of every request that failed, lacked shards or came late; it may be nil.
+	// OnTrace is called with the trace of every request that failed, lacked shards or exceeded its latency target;
+	// it may be nil.
 	OnTrace func(t *Trace)
 }
 
-// Dispatcher is what the requests of a node share. It may be used from many goroutines.
+// Dispatcher holds the state that all requests of a node share. It is safe for concurrent use.
 type Dispatcher struct {
 	cfg Config
-	// randomStreams numbers the requests, each of which has a random source of its own.
+	// randomStreams counts the requests. Each request derives its own random source from its number.
 	randomStreams atomic.Uint64
 	current       atomic.Pointer[view]
-	building      sync.Mutex // held while a view is built
+	building      sync.Mutex // held while building a view
 	builds        int
 	backends      sync.Map // backend id -> *backend
 	latencies     sync.Map // latencyKey -> *latencyStats
 	retryBudgets  sync.Map // pool name -> *retryBudget
 	lag           lag
 	count         counters
-	// Traces keeps the traces that Config.OnTrace is called with.
+	// Traces keeps the newest traces that were passed to Config.OnTrace.
 	Traces *TraceRing
 }
 
-// counters are the dispatcher's own, looked up once by the names that operators read.
+// counters holds the dispatcher's counters, which are looked up once by their metric names.
 type counters struct {
 	requests, overloaded                                    *atomic.Int64
 	attempts, retries, retriesDenied, hedges                *atomic.Int64
@@ -93,7 +94,7 @@
 
 func (d *Dispatcher) countOutcome(code Code) { d.cfg.Counts.Add("forward_"+string(code), 1) }
 
-// random returns the random source of a new request.
+// random returns a new random source for one request.
 func (d *Dispatcher) random() random.Source {
 	return random.Source(d.cfg.Seed + d.randomStreams.Add(1)*0x9e3779b97f4a7c15)
 }
--- a/request/dispatch/dispatcher_test.go
+++ b/request/dispatch/dispatcher_test.go
@@ -1,4 +1,5 @@
-// A dispatcher under concurrent requests, deadlines, and what the node's own state does to requests.
+// Tests of a dispatcher under concurrent requests, of deadlines, and of the effects of node lag, stale connections
+// and slow start.
 
 package dispatch
 
@@ -19,7 +20,7 @@
 	f.Dispatcher.cfg.Snapshot = func() *snapshot.Snapshot {
 		mu.Lock()
 		defer mu.Unlock()
-		// The table changes all the time.
+		// Every call returns a new snapshot.
 		v := *f.snap
 		v.At = startTime
 		return &v
@@ -72,9 +73,9 @@
 		return n
 	}
 	must.Eq(t, 0, countRejections(0))
-	must.Eq(t, 0, countRejections(20_000), must.Sprint("a little is borne"))
+	must.Eq(t, 0, countRejections(20_000), must.Sprint("a lag of 20 ms is tolerated"))
 	must.Between(t, 30, countRejections(90_000), 100)
-	must.Between(t, 0, countRejections(0), 10, must.Sprint("it passes"))
+	must.Between(t, 0, countRejections(0), 10, must.Sprint("the lag decays"))
 }
 
 func TestStaleConnectionDoesNotEject(t *testing.T) {
@@ -116,8 +117,8 @@
 	must.Eq(t, 0, o.RetryAfter)
 	f := newFixture(2, 4)
 	m = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000}, startTime)
-	must.Eq(t, 192_000, sends(m.Step(startTime, Begin{}))[0].Timeout, must.Sprint("the client's budget, less the way back"))
+	must.Eq(t, 192_000, sends(m.Step(startTime, Begin{}))[0].Timeout, must.Sprint("the client's timeout less the network allowance"))
 	m = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000, ReadAt: startTime - 300_000}, startTime)
 	o = outcomeOf(m.Step(startTime, Begin{}))
-	must.Eq(t, 503, o.Status, must.Sprint("nothing was ever sent"))
+	must.Eq(t, 503, o.Status, must.Sprint("the client's timeout had expired before any attempt"))
 }
--- a/request/dispatch/ejection.go
+++ b/request/dispatch/ejection.go
@@ -6,34 +6,35 @@
 )
 
 const (
-	// ejectAfterFailures is how many failures in a row eject a backend.
+	// ejectAfterFailures is the number of consecutive failures that eject a backend.
 	ejectAfterFailures = 3
-	// baseEjection is the first ejection's period, which doubles up to a cap: ejectionCap, on fleets of more than
-	// ejectionCapNodes in proportion to them, and maxEjection at most.
+	// baseEjection is the period of the first ejection. It doubles with each further one, at most maxDoublings times
+	// and up to a cap: ejectionCap, which grows in proportion to the fleet beyond ejectionCapNodes nodes, but is
+	// never above maxEjection.
 	baseEjection     = 400 * clock.Millisecond
 	ejectionCap      = 700 * clock.Millisecond
 	ejectionCapNodes = 8
 	maxEjection      = 6 * clock.Second
 	maxDoublings     = 5
-	// replacedFor is how long a backend counts as ended after another one answered at its address: by then the list
-	// no longer names it.
+	// replacedFor is how long a backend is considered gone after another one responded at its address. By the end of
+	// that time the platform's list no longer contains it.
 	replacedFor = 6 * clock.Second
-	// trialsWithin is how soon the other ejected backends of a pool are tried once one has recovered.
+	// trialsWithin bounds the time until the other ejected backends of a pool are tried once one has recovered.
 	trialsWithin = 150 * clock.Millisecond
 )
 
-// failure is an attempt that failed.
+// failure describes a failed attempt.
 type failure struct {
 	startedAt clock.Micros
-	// weight is how many failures it counts as.
+	// weight is the number of failures that it counts as.
 	weight int64
-	// timedOut is set where nothing came at all.
+	// timedOut is set if the backend did not respond within the pool's response timeout.
 	timedOut bool
 }
 
-// recordFailure takes a failure and reports whether it ejects the backend, or ejects it again: after
-// ejectAfterFailures in a row, or at once where the backend was silent. An attempt that began before the last
-// ejection says nothing new.
+// recordFailure records a failure and reports whether it ejects the backend or extends its ejection. A backend is
+// ejected after ejectAfterFailures consecutive failures, or immediately if the attempt timed out. While it is
+// ejected, every failure of an attempt that began after the last ejection ejects it again; earlier attempts do not.
 func (b *backend) recordFailure(now clock.Micros, f failure, nodes int) (ejected bool) {
 	rate := b.currentFailureRate(now)
 	for range f.weight {
@@ -58,23 +59,23 @@
 	return true
 }
 
-// markReplaced takes the proof that the backend has ended: another one answered at its address. It reports whether
-// that is new.
+// markReplaced records that the backend is gone because another one responded at its address. It reports whether
+// the backend was not already marked as replaced.
 func (b *backend) markReplaced(now clock.Micros) bool {
 	return b.replacedUntil.Swap(now+replacedFor) <= now
 }
 
-// ejectionPeriod is how long the nth ejection in a row lasts. It is jittered, so that the trials of a pool whose
-// backends fell silent together do not coincide, and grows with the fleet, so that the trials of all nodes
-// together do not.
+// ejectionPeriod returns the duration of the nth consecutive ejection. It is jittered, so that the trials of a
+// pool's backends do not coincide if these became unresponsive together. It grows with the fleet, so that the trials
+// of all nodes do not coincide either.
 func (b *backend) ejectionPeriod(now clock.Micros, n int64, nodes int) clock.Micros {
 	most := min(maxEjection, max(ejectionCap, ejectionCap*int64(nodes)/ejectionCapNodes))
 	rnd := random.Source(now ^ b.listedAt.Load()<<20 ^ b.reportedAt.Load()<<10)
 	return min(most, baseEjection<<min(n-1, maxDoublings)) * int64(512+rnd.IntN(512)) / 1024
 }
 
-// claimTrial claims the one trial that is due and reports whether this request is it. The next trial comes later
-// where one costs a whole request.
+// claimTrial claims the trial that is due and reports whether this request is the trial. The time until the next
+// trial is doubled for requests that may be sent only once, since a failed trial then loses the whole request.
 func (b *backend) claimTrial(now clock.Micros, nodes int, atMostOnce bool) bool {
 	due := b.ejectedUntil.Load()
 	period := b.ejectionPeriod(now, max(1, b.ejections.Load()), nodes)
@@ -84,8 +85,8 @@
 	return now >= due && b.ejectedUntil.CompareAndSwap(due, now+period)
 }
 
-// scheduleTrials makes the trials of the pool's ejected backends due soon: what has ended for one of them may have
-// ended for all.
+// scheduleTrials makes the trials of the pool's ejected backends due within trialsWithin. It is called when one of
+// them has recovered, since the others may have recovered from the same fault.
 func (p *pool) scheduleTrials(now clock.Micros, rnd *random.Source) {
 	for i := range p.endpoints {
 		b := p.endpoints[i].backend
--- a/request/dispatch/ejection_test.go
+++ b/request/dispatch/ejection_test.go
@@ -1,4 +1,4 @@
-// A backend whose address another one has taken over: one response of the other is proof.
+// Tests of a backend whose address another backend has taken over. A single response of the other backend proves it.
 
 package dispatch
 
@@ -10,13 +10,13 @@
 	"wallport/runtime/clock"
 )
 
-// wrongBackendResult is the answer of another backend at the address.
+// wrongBackendResult returns the response of another backend at the address.
 func wrongBackendResult() Result {
 	return Result{Class: ClassRejected, Status: 421, WrongBackend: true}
 }
 
-// sendToReplacedBackend sends a request to an address where another backend answers, and returns the backend that was
-// meant.
+// sendToReplacedBackend sends a request to an address at which another backend responds, and returns the intended
+// backend.
 func (f *fixture) sendToReplacedBackend(t *testing.T) *backend {
 	t.Helper()
 	m := f.stateMachine("read")
@@ -34,7 +34,7 @@
 	for at := clock.Micros(startTime + 1_001); at < startTime+replacedFor; at += 100_000 {
 		for i := range endpoints {
 			if endpoints[i].backend == b {
-				must.Eq(t, standingDown, endpoints[i].standing(at, &latencyStats{}, false), must.Sprint("no trial: it would reach the other one"))
+				must.Eq(t, standingDown, endpoints[i].standing(at, &latencyStats{}, false), must.Sprint("no trial is due: it would reach the other backend"))
 			}
 		}
 	}
--- a/request/dispatch/events.go
+++ b/request/dispatch/events.go
@@ -7,8 +7,8 @@
 	"wallport/runtime/clock"
 )
 
-// State is a state of a request. The texts are those of traces, which operators read and which therefore keep older
-// words than the constants.
+// State is a state of a request. Traces contain the texts. They keep older names than the constants because operators
+// read them.
 type State string
 
 // The states of a request. The last three are final.
@@ -30,36 +30,36 @@
 // The codes of outcomes.
 const (
 	CodeOK Code = "ok"
-	// CodePassedThrough is a backend's own failure, passed on unchanged.
+	// CodePassedThrough means that a backend's error response is passed on unchanged.
 	CodePassedThrough Code = "passed"
-	// CodeNoRoute is a request that the routing table has no route for.
+	// CodeNoRoute means that the routing table has no route for the request.
 	CodeNoRoute Code = "no_route"
-	// CodeRejected is a request that has not run and may be sent again.
+	// CodeRejected means that the request has not run and may be sent again.
 	CodeRejected Code = "refused"
-	// CodeUnknown is a request that is not idempotent, whose attempt ended without a good response and which may or
-	// may not have run. One whose attempt is still in flight at its deadline is a CodeFailed, although it may have
-	// run as well.
+	// CodeUnknown means that a request that is not idempotent may or may not have run: its attempt ended without a
+	// valid response. If the attempt is still in flight at the deadline, the code is CodeFailed, although the
+	// request may have run in that case too.
 	CodeUnknown Code = "unknown"
-	// CodeFailed is a request without a response in time, or without a good one.
+	// CodeFailed means that no valid response arrived before the deadline.
 	CodeFailed Code = "given_up"
-	// CodeClientGone is a request whose client closed its connection.
+	// CodeClientGone means that the client closed its connection.
 	CodeClientGone Code = "client_gone"
 )
 
-// Request is one request of a client, read completely. It is not changed.
+// Request is one client request, read completely. It is not modified.
 type Request struct {
-	// ID is the client's id of this one attempt of its own; a backend is sent it unchanged.
+	// ID is the id that the client gave to this attempt. It is forwarded to backends unchanged.
 	ID     string
 	Method string
 	// Target is the path and query as received, Path the path alone.
 	Target, Path, Host string
-	// Header holds the header lines that are forwarded to a backend as received, each ended by CR LF, without
-	// hop-by-hop fields and without those that the node sets itself.
+	// Header holds the header lines that are forwarded to a backend as received, each terminated by CR LF, without
+	// hop-by-hop fields and without the fields that the node sets itself.
 	Header []byte
 	Body   []byte
-	// Timeout is how long the client waits, from ReadAt on; 0 is unknown.
+	// Timeout is how long the client waits, counted from ReadAt; 0 if unknown.
 	Timeout clock.Micros
-	// ReadAt is when the request had been read completely; 0 stands for the moment of NewStateMachine.
+	// ReadAt is when the request had been read completely; 0 means the time passed to NewStateMachine.
 	ReadAt clock.Micros
 }
 
@@ -74,60 +74,62 @@
 		N      int
 		Result Result
 	}
-	// TimerFired reports that the moment of the last SetTimer has come.
+	// TimerFired reports that the time of the last SetTimer has come.
 	TimerFired struct{}
-	// ClientGone reports that the client closed its connection: attempts that may be repeated are cancelled, the
-	// others abandoned.
+	// ClientGone reports that the client closed its connection. The attempts of a request that may run twice are
+	// cancelled, those of other requests abandoned.
 	ClientGone struct{}
 )
 
-// Class says what is known of an attempt once it has ended.
+// Class classifies the result of an attempt.
 type Class uint8
 
-// The classes of results. What may have run decides whether a request may be sent again.
+// The classes of results. They determine whether the request may have run and so whether it may be sent again.
 const (
-	// ClassResponse is a complete response of the backend that the request was sent to, whatever its status.
+	// ClassResponse means that the backend that the request was sent to returned a complete response, of any status.
 	ClassResponse Class = iota
-	// ClassNotSent means that not one byte was written: the backend knows nothing of the request.
+	// ClassNotSent means that no byte was written: the backend has not seen the request.
 	ClassNotSent
-	// ClassRejected means that the backend vouches that it has not run the request and will not.
+	// ClassRejected means that the backend stated that it has not run the request and never will.
 	ClassRejected
-	// ClassFailed means that bytes were written and no complete response came: the request may have run.
+	// ClassFailed means that bytes were written and no complete response was received: the request may have run.
 	ClassFailed
-	// ClassInvalid is a response that is malformed, unsealed or another request's: the request may have run.
+	// ClassInvalid means that the response is malformed, lacks its seal or belongs to another request: the request
+	// may have run.
 	ClassInvalid
 )
 
-// LoadReport is the load that a backend reported with a response. Known is false when it reported none.
+// LoadReport is the load that a backend reported with a response. Known is false if it reported none.
 type LoadReport struct {
-	// Running counts requests being worked on, Queued those that wait, Slots how many can run at once.
+	// Running is the number of requests being processed, Queued the number waiting, Slots the number that can run
+	// concurrently.
 	Running, Queued, Slots int
 	Known                  bool
 }
 
-// Result is the end of an attempt.
+// Result is the result of an attempt.
 type Result struct {
 	Class  Class
 	Status int
 	// Header is the response's header without hop-by-hop fields and without Content-Length; Body is complete.
 	Header http.Header
 	Body   []byte
-	// Seal is the backend's seal of its response, empty when it gave none.
+	// Seal is the backend's seal of its response, empty if the response has none.
 	Seal string
 	Load LoadReport
-	// Draining is set when the backend said that it closes its connections.
+	// Draining is set if the backend announced that it closes its connections.
 	Draining bool
-	// WrongBackend is set when another backend answered at the address.
+	// WrongBackend is set if another backend responded at the address.
 	WrongBackend bool
-	// ReusedConn is set when the connection had served before: a failure may be the end of an idle connection
-	// and say nothing of the backend. For the same reason it is set, with ClassNotSent, when this node had no
-	// connection free.
+	// ReusedConn is set if the connection had been used before: a failure may only mean that the backend closed an
+	// idle connection, which says nothing about its health. For the same reason it is also set, with ClassNotSent, if
+	// this node had no free connection.
 	ReusedConn bool
-	// WrittenAfter is the time from Send to the first byte written; 0 is never.
+	// WrittenAfter is the time from Send to the first byte written; 0 if none was.
 	WrittenAfter clock.Micros
-	// TimedOut is set when the attempt's Timeout ran out.
+	// TimedOut is set if the attempt's Timeout expired.
 	TimedOut bool
-	// Reason is the error or the check that failed, for traces and logs; empty for a response that passed them.
+	// Reason is the error or the failed check, for traces and logs; empty for a valid response.
 	Reason string
 }
 
@@ -140,36 +142,36 @@
 		N       int
 		Backend *snapshot.Backend
 		Pool    *snapshot.Pool
-		// Timeout is the time that is left, for the backend and for the driver.
+		// Timeout is the time until the request's deadline. It applies to the backend and to the driver.
 		Timeout clock.Micros
 		// AtMostOnce marks a request that must not run twice.
 		AtMostOnce bool
 		Request    *Request
 	}
-	// Cancel ends attempt N at once: its connection may be closed. No AttemptDone is needed.
+	// Cancel ends attempt N immediately: its connection may be closed. No AttemptDone is needed.
 	Cancel struct{ N int }
-	// Abandon says that the response of attempt N is no longer wanted, but that the backend is to finish its work
-	// undisturbed: the driver lets the exchange go on for its Timeout at most and then reports its AttemptDone,
-	// although the request has ended. A driver that must stop sooner cancels it.
+	// Abandon states that the response of attempt N is no longer needed, but that the backend should be able to
+	// finish its work. The driver lets the exchange continue for at most its Timeout and then reports AttemptDone,
+	// although the request has ended. A driver that must stop sooner cancels the attempt.
 	Abandon struct{ N int }
-	// SetTimer asks for TimerFired at a moment. It replaces the timer that was set before.
+	// SetTimer requests a TimerFired event at the given time. It replaces the previous timer.
 	SetTimer struct{ At clock.Micros }
-	// Finish gives the outcome. It comes once.
+	// Finish returns the outcome. It is emitted once.
 	Finish struct{ Outcome Outcome }
 )
 
-// Outcome is what the client gets.
+// Outcome is the response to the client.
 type Outcome struct {
-	// Status is the HTTP status; 0 where there is no client left.
+	// Status is the HTTP status; 0 if the client has closed its connection.
 	Status int
 	Code   Code
 	Reason string
-	// RetryAfter says when to come back, if above 0.
+	// RetryAfter is the time after which the client may retry, if above 0.
 	RetryAfter clock.Micros
-	// Response is the backend's response to pass on, nil where the outcome is the node's own.
+	// Response is the backend's response to pass on, nil if the node generates the response itself.
 	Response *Result
-	// Seals, Missing and Body belong to a gathered response: the seals of its shards, how many shards are
-	// missing, and the merged records.
+	// Seals, Missing and Body describe a gathered response: the seals of its shards, the number of missing shards
+	// and the merged records.
 	Seals   []string
 	Missing int
 	Body    []byte
--- a/request/dispatch/faults_test.go
+++ b/request/dispatch/faults_test.go
@@ -1,4 +1,4 @@
-// Faults of the simulated deployment, and the least value that clients get under each.
+// Faults of the simulated deployment, and the minimum value that clients receive under each.
 
 package dispatch
 
@@ -13,7 +13,7 @@
 	"wallport/runtime/clock"
 )
 
-// someBackends draws that share of the backends of pools with a prefix, at least one.
+// someBackends draws the given share, and at least one, of the backends of the pools with each name prefix.
 func (w *simulation) someBackends(share float64, pools ...string) (out []*simBackend) {
 	for _, p := range pools {
 		var all []*simBackend
@@ -28,7 +28,7 @@
 	return out
 }
 
-// setFor sets something on backends and unsets it after so many seconds.
+// setFor calls set on the backends now and unset after s seconds.
 func (w *simulation) setFor(s float64, all []*simBackend, set, unset func(*simBackend)) {
 	for _, b := range all {
 		set(b)
@@ -36,7 +36,7 @@
 	}
 }
 
-// crash ends backends; new ones take their place after so many seconds.
+// crash stops backends. New ones replace them after s seconds.
 func (w *simulation) crash(s float64, all []*simBackend) {
 	for _, b := range all {
 		b.down = true
@@ -49,17 +49,17 @@
 	}
 }
 
-// fault is something that goes wrong at 3 s.
+// fault is a fault that is injected at 3 s.
 type fault struct {
 	name string
-	// least is the least share of the possible value that clients get.
+	// least is the minimum share of the possible value that clients must receive.
 	least  float64
 	inject func(w *simulation)
-	// seconds is how long the deployment runs, defaultSeconds where it is 0.
+	// seconds is how long the simulation runs; 0 means defaultSeconds.
 	seconds int64
 }
 
-// defaultSeconds is how long a fault's deployment runs.
+// defaultSeconds is how long the simulation of a fault runs by default.
 const defaultSeconds = 12
 
 var faults = []fault{
@@ -110,7 +110,7 @@
 			w.startClients(until)
 		}
 	}},
-	// The pools lose most responses from 3 to 13 s.
+	// The shard and desk pools lose 70 % of the responses from 3 to 13 s.
 	{name: "most responses lost", least: 0.4, seconds: 16, inject: func(w *simulation) {
 		w.setFor(10, w.someBackends(1, "shard", "desk"), func(b *simBackend) { b.lossRate = 0.7 }, func(b *simBackend) { b.lossRate = 0 })
 	}},
@@ -126,13 +126,14 @@
 				s.onceMaxBackends = 1 + int(seed)
 				w := newSimulation(s)
 				w.run(t, cmp.Or(tr.seconds, defaultSeconds), map[float64]func(){3: func() { tr.inject(w) }})
-				t.Logf("seed %d: earned %.3f, %.2f at least", w.seed, w.journal.earned(), tr.least)
+				t.Logf("seed %d: clients received %.3f of the possible value, required are %.2f", w.seed, w.journal.earned(), tr.least)
 				must.GreaterEq(t, tr.least, w.journal.earned(), must.Sprintf("seed %d", w.seed))
 			}
 		})
 	}
 }
 
+// earned returns the share of the possible value that clients received.
 func (j *journal) earned() float64 {
 	possible, earned := 0.0, 0.0
 	for _, s := range j.tallies {
@@ -141,7 +142,7 @@
 	return earned / max(1, possible)
 }
 
-// change puts a new configuration in force.
+// change publishes a changed routing table with the next revision.
 func (w *simulation) change(f func(c *routingpb.RoutingTable)) {
 	c := proto.Clone(w.table).(*routingpb.RoutingTable)
 	c.Revision++
@@ -150,8 +151,8 @@
 	w.publishSnapshots()
 }
 
-// While a pool is unresponsive its requests are rejected, which says that they have not run; soon after it has
-// recovered they are served.
+// TestUnresponsivePoolIsRejectedAndRecovers checks that requests to an unresponsive pool are rejected without having
+// run, and that they are served soon after the pool has recovered.
 func TestUnresponsivePoolIsRejectedAndRecovers(t *testing.T) {
 	t.Parallel()
 	for _, read := range []float64{25, 0} {
--- a/request/dispatch/fleet_test.go
+++ b/request/dispatch/fleet_test.go
@@ -1,4 +1,5 @@
-// What all nodes together may send: the retry budgets and the rate of backends in slow start.
+// Tests of the limits that apply to all nodes together: the retry budgets and the request rate of backends in slow
+// start.
 
 package dispatch
 
@@ -15,7 +16,8 @@
 	"wallport/runtime/random"
 )
 
-// A process that is killed and started anew has nothing saved, however often that happens.
+// TestRetryBudgetAcrossRestartsAndTrafficDrops checks that the nodes stay within the retry budgets although processes
+// restart repeatedly, each time with an empty budget, and although the traffic drops.
 func TestRetryBudgetAcrossRestartsAndTrafficDrops(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{3, 11, 88} {
@@ -26,7 +28,8 @@
 			w := newSimulation(s)
 			r := rand.New(rand.NewPCG(seed, 1))
 			faultsAt := map[float64]func(){
-				// Everything is saved that can be, then everything fails; later the traffic drops to almost nothing.
+				// The budgets are as full as they get when backends begin to lose 60 % of the responses. At 14 s the traffic drops to
+				// almost nothing.
 				5: func() {
 					for _, b := range w.backends {
 						b.lossRate = 0.6
@@ -57,7 +60,7 @@
 			w := newSimulation(s)
 			w.run(t, 12, map[float64]func(){
 				1: func() { w.crash(2, w.someBackends(0.5, "shard", "desk")) },
-				// Everything begins to warm up at once, and is listed so.
+				// All backends enter slow start at the same time, and the snapshots show it.
 				7: func() {
 					for _, b := range w.backends {
 						b.warmUntil = w.now + 3*second
@@ -73,13 +76,14 @@
 					cold++
 				}
 			}
-			must.Positive(t, cold, must.Sprint("cold backends are used"))
-			t.Logf("nodes %d: %d arrivals at cold backends", nodes, cold)
+			must.Positive(t, cold, must.Sprint("backends in slow start receive requests"))
+			t.Logf("%d nodes: %d arrivals at backends in slow start", nodes, cold)
 		}
 	}
 }
 
-// All processes are killed again and again, and each begins with nothing.
+// TestRetryBudgetUnderConstantRestarts checks the retry budgets while all processes restart every 1.5 s, each time
+// with an empty budget.
 func TestRetryBudgetUnderConstantRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -101,8 +105,9 @@
 	}
 }
 
-// Each node's fair share of the allowance is far below one attempt here; the whole ones that nodes save must not add
-// up.
+// TestRetryBudgetOfFleetLargerThanAllowance checks a fleet in which each node's fair share of the allowance is far
+// less than one attempt. Since a node can only save whole attempts, the attempts saved by all nodes could together
+// exceed the allowance.
 func TestRetryBudgetOfFleetLargerThanAllowance(t *testing.T) {
 	t.Parallel()
 	const nodes, allowance = 600, 30.0
@@ -118,7 +123,7 @@
 		j.init()
 		rnd := random.Source(seed)
 		kind := requestKinds[0]
-		// Quiet for long, so that everything is saved that can be, then every request wants retries.
+		// For 40 s no request is retried, so that the budgets fill up; then every request is retried up to three times.
 		for i := range 60 * 560 {
 			now += clock.Second / 560
 			d := dispatchers[r.IntN(nodes)]
@@ -133,6 +138,6 @@
 			}
 		}
 		must.SliceEmpty(t, j.checkRetryBudget(0.2, allowance, 10*second, func(string) []string { return []string{"p"} }), must.Sprintf("seed %d", seed))
-		must.Greater(t, 500, len(j.arrivals), must.Sprint("the budget is also used"))
+		must.Greater(t, 500, len(j.arrivals), must.Sprint("the budget is actually used"))
 	}
 }
--- a/request/dispatch/gather.go
+++ b/request/dispatch/gather.go
@@ -7,9 +7,9 @@
 	"wallport/runtime/clock"
 )
 
-// Shares of the full value, in thousandths, from which a gathered response is given at the latency target although
-// shards are missing. What a late response is worth is not known to a node; the routes of highPriority and above
-// rather wait.
+// Minimum values, in thousandths of the value of a complete response, at which a gathered response with missing
+// shards is returned once the latency target has passed. A node does not know how much value a late response loses;
+// routes of highPriority and above wait longer for the missing shards.
 const (
 	minValueHighPriority = 800
 	minValue             = 500
@@ -18,7 +18,7 @@
 
 const reasonTooFewShards = "too few parts: "
 
-// admitFanOut sends the request to one backend of each pool, or rejects it.
+// admitFanOut sends the request to one backend of each pool that is not excluded, or rejects it.
 func (m *StateMachine) admitFanOut(now clock.Micros) {
 	pools := len(m.plan.pools)
 	m.shards, m.attempts = make([]shardRequest, pools), make([]attempt, 0, pools+2)
@@ -41,10 +41,10 @@
 	m.scheduleTimer(now)
 }
 
-// excludeShards decides which pools are not sent to at all: those of which no backend may be, then those whose
-// backends are all ejected, then those that are overloaded. The request is rejected, with a reason, when too few
-// would be left or their response would be worth too little. One number is drawn for all pools: where all are
-// equally loaded the request is rejected as a whole, since a part is worth less than it costs.
+// excludeShards determines the pools that the request is not sent to: those without a usable backend, then those
+// whose backends are all ejected, then those that are overloaded. It returns a reason to reject the request if too
+// few pools remain or if their response would have too little value. One random number is drawn for all pools, so
+// that the request is rejected as a whole if all are equally loaded: a partial response is worth less than it costs.
 func (m *StateMachine) excludeShards(now clock.Micros) (reason string, retryAfter clock.Micros) {
 	all, need, drawn := len(m.shards), m.requiredShards(), m.random.Float64()
 	if m.rejectsAt(m.lagPressure(now), drawn) {
@@ -84,20 +84,20 @@
 	return "", 0
 }
 
-// value is what a response of some of the shards is worth, in thousandths: the square of their share.
+// value returns the value of a partial response, in thousandths: the square of the share of shards that it contains.
 func value(shards, all int) int { return shards * shards * 1000 / (all * all) }
 
-// requiredShards is how many shards a success must have.
+// requiredShards returns the minimum number of shards in a successful response.
 func (m *StateMachine) requiredShards() int {
 	return max(1, int(math.Ceil(m.route.MinCoverage*float64(len(m.shards))-1e-9)))
 }
 
-// progress counts the shards of a gathered request.
+// progress summarizes the shards of a request that fans out.
 type progress struct {
 	succeeded, pending int
-	// mayHaveRun is set where any backend may have run it.
+	// mayHaveRun is set if any backend may have run the request.
 	mayHaveRun bool
-	// reason says why the last missing shard is.
+	// reason says why the last of the missing shards is missing.
 	reason string
 }
 
@@ -117,7 +117,7 @@
 	return p
 }
 
-// resolveGathered gives the outcome of a request that fans out once it is known.
+// resolveGathered finishes a request that fans out once its outcome is known.
 func (m *StateMachine) resolveGathered(now clock.Micros) {
 	p, need := m.progress(), m.requiredShards()
 	switch {
@@ -132,8 +132,8 @@
 	}
 }
 
-// enoughShards reports whether to respond with the shards that succeeded, although others are pending: past the
-// latency target when they are worth enough, and when no other is expected any more.
+// enoughShards reports whether to respond with the shards that succeeded although others are pending: if the latency
+// target has passed and the response has enough value, or if no pending attempt is still expected to succeed.
 func (m *StateMachine) enoughShards(now clock.Micros, succeeded int) bool {
 	if now >= m.targetAt {
 		least := minValue
@@ -152,8 +152,8 @@
 	return true
 }
 
-// expectedUntil is until when an attempt's response may be expected: from a backend on trial no longer than most
-// responses take, from another for a pause and more.
+// expectedUntil returns the time until which a response to an attempt is expected. For a backend on trial it is the
+// 95th percentile of the pool's latency after the start, for other backends at least maxPause after the start.
 func (m *StateMachine) expectedUntil(attempt *attempt) clock.Micros {
 	p95 := m.shards[attempt.shard].latency.p95.Load()
 	if attempt.endpoint.backend.ejections.Load() > 0 {
--- a/request/dispatch/gather_test.go
+++ b/request/dispatch/gather_test.go
@@ -1,4 +1,4 @@
-// Gathered answers, case by case.
+// Tests of single requests that fan out and gather their responses.
 
 package dispatch
 
@@ -71,10 +71,10 @@
 		}
 		o := outcomeOf(m.Step(m.targetAt, TimerFired{}))
 		if priority == 2 {
-			must.Eq(t, 1, o.Missing, must.Sprint("with what has come"))
+			must.Eq(t, 1, o.Missing, must.Sprint("responds without the missing shard"))
 			continue
 		}
-		must.Nil(t, o, must.Sprint("the more important one waits on"))
+		must.Nil(t, o, must.Sprint("the request of higher priority keeps waiting"))
 		o = outcomeOf(m.Step(startTime+300_000, AttemptDone{N: 3, Result: shardResult("s3", "b")}))
 		must.Eq(t, 0, o.Missing)
 	}
@@ -105,13 +105,13 @@
 	m.Step(startTime, Begin{})
 	f.table.Routes[0].FanoutPools = []string{"p1", "p2", "p3"}
 	f.publishTable()
-	must.SliceEmpty(t, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})), must.Sprint("p0 is asked no more"))
+	must.SliceEmpty(t, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})), must.Sprint("nothing more is sent to p0"))
 	must.Len(t, 1, sends(m.Step(startTime+1000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})))
 	m.Step(startTime+1000, AttemptDone{N: 2, Result: shardResult("s2", "b")})
 	m.Step(startTime+1000, AttemptDone{N: 3, Result: shardResult("s3", "b")})
 	o := outcomeOf(m.Step(startTime+2000, AttemptDone{N: 4, Result: shardResult("s1", "b")}))
 	must.Eq(t, 200, o.Status)
-	must.Eq(t, 1, o.Missing, must.Sprint("of the version that it began with"))
+	must.Eq(t, 1, o.Missing, must.Sprint("p0 counts as missing: it is a pool of the version that the request began with"))
 }
 
 func TestMergeMatchesSort(t *testing.T) {
--- a/request/dispatch/invariants_test.go
+++ b/request/dispatch/invariants_test.go
@@ -1,4 +1,4 @@
-// Every invariant of the request path reports a violation where it does not hold.
+// Tests that every invariant of the request path reports its violations.
 
 package dispatch
 
@@ -12,7 +12,7 @@
 	"wallport/runtime/invariant"
 )
 
-// startRequest returns a request of a route with its first attempt in flight.
+// startRequest returns a request to a route and its first attempt, which is in flight.
 func startRequest(t *testing.T, route string) (*StateMachine, Send) {
 	t.Helper()
 	f := newFixture(1, 3)
@@ -23,19 +23,20 @@
 	return m, a[0]
 }
 
-// violationOfSend sends the request's first shard once more, whatever became of the attempt before.
+// violationOfSend sends the request's first shard again, regardless of the previous attempt, and returns the violated
+// invariant.
 func violationOfSend(m *StateMachine) invariant.Name {
 	return violation.By(func() { m.send(startTime+1_000, 0, sendReplacement) })
 }
 
 func TestViolationsOfSends(t *testing.T) {
 	m, _ := startRequest(t, "once2")
-	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("one is under way"))
+	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("an attempt is in flight"))
 
 	m, a := startRequest(t, "once2")
 	m.Step(startTime+1_000, AttemptDone{N: a.N, Result: Result{Class: ClassFailed}})
 	m.finished = false
-	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("one may have run"))
+	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("an attempt may have run"))
 
 	m, a = startRequest(t, "once2")
 	m.Step(startTime+1_000, AttemptDone{N: a.N, Result: success("x")})
@@ -56,7 +57,7 @@
 	must.Eq(t, invariant.GaugesNotNegative, violation.By(func() { m.closeAttempt(startTime+1_000, a.N, nil) }))
 }
 
-// violationOfFinish has the request give an outcome.
+// violationOfFinish finishes the request with an outcome and returns the violated invariant.
 func violationOfFinish(m *StateMachine, o Outcome) invariant.Name {
 	return violation.By(func() { m.finish(startTime+1_000, StateResponded, o) })
 }
@@ -67,7 +68,7 @@
 		must.Eq(t, name, violationOfFinish(m, Outcome{Status: status, Code: CodeRejected}), must.Sprint(status))
 	}
 	m, _ := startRequest(t, "read")
-	must.Eq(t, "", violationOfFinish(m, Outcome{Status: 503, Code: CodeRejected}), must.Sprint("what may be repeated may be refused"))
+	must.Eq(t, "", violationOfFinish(m, Outcome{Status: 503, Code: CodeRejected}), must.Sprint("a request that may run twice may be rejected"))
 	for _, result := range []*Result{nil, {Class: ClassResponse, Status: 200}, {Class: ClassResponse, Status: 500, Seal: "s"}} {
 		m, _ := startRequest(t, "read")
 		must.Eq(t, invariant.SuccessSealed, violationOfFinish(m, Outcome{Status: 200, Code: CodeOK, Response: result}))
--- a/request/dispatch/journal_test.go
+++ b/request/dispatch/journal_test.go
@@ -1,4 +1,4 @@
-// What the simulated deployment saw on its links, and a checker for each rule, which returns the violations.
+// The record of a simulation's network traffic, and a checker for each rule that returns its violations.
 
 package dispatch
 
@@ -30,7 +30,7 @@
 	kind *requestKind
 }
 
-// clientOutcome is what a client got for it.
+// clientOutcome is the outcome that a client received for an attempt.
 type clientOutcome struct {
 	at      clock.Micros
 	id      string
@@ -38,7 +38,7 @@
 	outcome Outcome
 }
 
-// journal is everything that happened.
+// journal records the events of a simulation.
 type journal struct {
 	startedAt     clock.Micros
 	attempts      []clientAttempt
@@ -52,7 +52,7 @@
 	seals         map[string]*exchange
 	successSeals  map[string]bool
 	bodies        map[string][]byte
-	// misrouted are the attempts that the sending node's own snapshot does not allow.
+	// misrouted lists the attempts that violate the sending node's own snapshot.
 	misrouted []string
 }
 
@@ -82,7 +82,7 @@
 			return
 		}
 	}
-	j.misrouted = append(j.misrouted, a.Request.ID+" sent to "+a.Backend.ID+", which is to get nothing")
+	j.misrouted = append(j.misrouted, a.Request.ID+" sent to "+a.Backend.ID+", which is draining, in a drained zone or not listed")
 }
 
 func (j *journal) recordArrival(at clock.Micros, x *exchange) *arrival {
@@ -109,7 +109,7 @@
 	j.outcomes = append(j.outcomes, clientOutcome{at, id, k, o})
 }
 
-// checkAtMostOnce checks that what must not be repeated ran at most once.
+// checkAtMostOnce checks that no request that must run at most once ran twice.
 func (j *journal) checkAtMostOnce() (out []string) {
 	runs := map[string]int{}
 	for _, a := range j.arrivals {
@@ -122,7 +122,8 @@
 	return out
 }
 
-// checkRejectedNotRun checks that nothing that ran, then or later, was answered with a status that says it did not.
+// checkRejectedNotRun checks that no request that ran, before or after its outcome, was answered with a status that
+// promises that it has not run.
 func (j *journal) checkRejectedNotRun() (out []string) {
 	ran := map[string]bool{}
 	for _, a := range j.arrivals {
@@ -130,13 +131,13 @@
 	}
 	for _, t := range j.outcomes {
 		if t.kind.atMostOnce && promisesNotRun(t.outcome.Status) && ran[t.id] {
-			out = append(out, fmt.Sprintf("%d told, but it ran: %s", t.outcome.Status, t.id))
+			out = append(out, fmt.Sprintf("status %d promises that request %s has not run, but it ran", t.outcome.Status, t.id))
 		}
 	}
 	return out
 }
 
-// checkRetryBudget checks that in every window a pool's repeated arrivals stay within its budget.
+// checkRetryBudget checks that the repeated arrivals at each pool stay within its retry budget in every window.
 func (j *journal) checkRetryBudget(ratio, allowance float64, window clock.Micros, pools func(kind string) []string) (out []string) {
 	requested := map[string][]clock.Micros{}
 	for _, t := range j.attempts {
@@ -164,7 +165,7 @@
 				most = max(most, within(requested[pool], from-back, from-back+window))
 			}
 			if bound := ratio*float64(most) + allowance; float64(k-i) > bound {
-				out = append(out, fmt.Sprintf("%s: %d extra arrivals in the window from %d, bound %.1f", pool, k-i, from, bound))
+				out = append(out, fmt.Sprintf("pool %s: %d repeated arrivals in the window from %d, limit %.1f", pool, k-i, from, bound))
 				break
 			}
 		}
@@ -172,7 +173,7 @@
 	return out
 }
 
-// checkSlowStart checks that no backend in slow start got more requests in a second than its bound.
+// checkSlowStart checks that no backend in slow start received more requests in a second than its limit.
 func (j *journal) checkSlowStart(perS float64) (out []string) {
 	cold := map[*simBackend][]clock.Micros{}
 	for _, a := range j.arrivals {
@@ -184,7 +185,7 @@
 		for i, from := range times {
 			k, _ := slices.BinarySearch(times, from+1_000_000)
 			if float64(k-i) > perS*1.5+5 {
-				out = append(out, fmt.Sprintf("%s: %d requests in a second while cold", b.id, k-i))
+				out = append(out, fmt.Sprintf("backend %s: %d requests within a second of slow start", b.id, k-i))
 				break
 			}
 		}
@@ -192,7 +193,7 @@
 	return out
 }
 
-// arrivalsAt returns what reached a backend between two moments.
+// arrivalsAt describes the attempts that reached a backend between two times.
 func (j *journal) arrivalsAt(b *simBackend, from, to clock.Micros) (out []string) {
 	for _, a := range j.arrivals {
 		if a.backend == b && a.at > from && a.at < to {
@@ -202,8 +203,9 @@
 	return out
 }
 
-// checkGathered checks that each gathered success holds the greatest records of the shards that it names, and that
-// these are successes of this very request, one of a pool, which with the missing ones make up one version's pools.
+// checkGathered checks every successful gathered response: it contains the greatest records of the shards that its
+// seals name; the seals belong to successes of the same request, at most one of each pool; and these pools together
+// with the missing ones are the pools of one version of the routing table.
 func (j *journal) checkGathered(limit map[string]int, least map[string]float64, sets func(kind string) [][]string) (out []string) {
 	for _, t := range j.outcomes {
 		if t.outcome.Seals == nil || t.outcome.Status != 200 {
@@ -225,19 +227,19 @@
 		}
 		slices.Sort(pools)
 		if len(slices.Compact(slices.Clone(pools))) != len(pools) {
-			bad("two parts of one pool")
+			bad("two shards of one pool")
 		}
 		if !slices.ContainsFunc(sets(t.kind.name), func(set []string) bool {
 			return len(set) == len(pools)+t.outcome.Missing && !slices.ContainsFunc(pools, func(p string) bool { return !slices.Contains(set, p) })
 		}) {
-			bad("parts of no version: " + strings.Join(pools, " "))
+			bad("shards match no version of the routing table: " + strings.Join(pools, " "))
 		}
 		if float64(len(pools)) < least[t.kind.name]*float64(len(pools)+t.outcome.Missing) {
-			bad("too few parts")
+			bad("too few shards")
 		}
 		slices.SortFunc(all, func(a, b []byte) int { return bytes.Compare(b, a) })
 		if !bytes.Equal(bytes.Join(all[:min(len(all), limit[t.kind.name])], nil), t.outcome.Body) {
-			bad("not the greatest records")
+			bad("body does not contain the greatest records")
 		}
 	}
 	return out
--- a/request/dispatch/latency.go
+++ b/request/dispatch/latency.go
@@ -7,23 +7,25 @@
 	"wallport/runtime/clock"
 )
 
-// crossZoneDivisor gives the part of a route's target latency that may be spent on staying in the zone.
+// The cross-zone penalty is the route's target latency divided by crossZoneDivisor, and at least
+// minCrossZonePenalty; see latencyStats.crossZonePenalty.
 const (
 	crossZoneDivisor                 = 5
 	minCrossZonePenalty clock.Micros = 800
 )
 
-// Bounds of what is expected of a pool.
+// Bounds of a pool's expected latency.
 const (
-	// minHedgeDelay is the least time before a hedged request.
+	// minHedgeDelay is the minimum delay before a hedged request.
 	minHedgeDelay clock.Micros = 2_500
-	// maxPause is the longest pause that a healthy backend takes.
+	// maxPause is the longest time for which a healthy backend may pause.
 	maxPause = 250 * clock.Millisecond
-	// minMedian is the least median that is estimated.
+	// minMedian is the lower bound of the estimated median.
 	minMedian clock.Micros = 200
 )
 
-// Steps of the estimates, in thousandths of their value: large while little is known.
+// Steps of the estimates, in thousandths of their value. The first learningSamples samples move the estimates by the
+// larger learningStep.
 const (
 	learningSamples = 24
 	learningStep    = 300
@@ -37,17 +39,19 @@
 	p95Quantile    = 950
 )
 
-// latencyKey is a pool as one route uses it: the work differs by route.
+// latencyKey identifies a pool as used by one route: routes differ in how long their requests take.
 type latencyKey struct{ pool, route string }
 
-// latencyStats estimates how long the responses of one pool to one route take, from the responses themselves. Each
-// moves the estimates by a part of their value, so that they cost a few words and no lock.
+// latencyStats estimates the latency of one pool's responses to the requests of one route. Each response moves the
+// estimates by a fraction of their value, so that they need only a few words of memory and no lock.
 type latencyStats struct {
 	samples atomic.Int64
-	// median is of the work alone, p95 of what a client sees, queueing included.
+	// median estimates the median without the time in the backend's queue, p95 the 95th percentile of the total time,
+	// including the time in the queue.
 	median, p95 atomic.Int64
-	// crossZonePenalty is how much longer a response from the own zone may take before another zone is used:
-	// bytes between zones are expensive, and inside the latency target a faster response is worth no more.
+	// crossZonePenalty is by how much the response time of a backend in this node's zone may exceed that of a backend
+	// in another zone before the latter is preferred: traffic between zones is expensive, and a response that meets
+	// the latency target gains no value by being faster.
 	crossZonePenalty atomic.Int64
 }
 
@@ -67,7 +71,7 @@
 	return v.(*latencyStats)
 }
 
-// record takes a response's total time and its time net of the wait in the backend's queue.
+// record records a response's total time and its time without the wait in the backend's queue.
 func (s *latencyStats) record(total, net clock.Micros) {
 	medianStep, p95Step := int64(medianStep), int64(p95Step)
 	if s.samples.Add(1) < learningSamples {
@@ -87,10 +91,11 @@
 	estimate.Store(max(minMedian, was-was*step*(1000-quantile)/1_000_000))
 }
 
-// hedgeDelay is how long a response may take before a hedged request is sent.
+// hedgeDelay returns how long a response may take before a hedged request is sent.
 func (s *latencyStats) hedgeDelay() clock.Micros {
 	return max(minHedgeDelay, min(s.p95.Load()*11/10, s.median.Load()*4))
 }
 
-// responseTimeout is how long a backend may be silent before it counts as unresponsive: longer than any pause.
+// responseTimeout returns how long a backend may take to respond before it is considered unresponsive: at least
+// maxPause, so that a pause is not mistaken for a failure.
 func (s *latencyStats) responseTimeout() clock.Micros { return max(maxPause, 3*s.p95.Load()) }
--- a/request/dispatch/merge.go
+++ b/request/dispatch/merge.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// recordSize is the size of a record in bytes. A shorter remainder of a body is ignored.
+// recordSize is the size of a record in bytes. A shorter remainder at the end of a body is ignored.
 const recordSize = 16
 
-// record is a record as a number of 128 bits.
+// record is a record, interpreted as a big-endian number of 128 bits.
 type record struct{ hi, lo uint64 }
 
 func (a record) less(b record) bool { return a.hi < b.hi || a.hi == b.hi && a.lo < b.lo }
 
-// merge returns the greatest records of all bodies, in descending order, at most limit of them. They are kept in a
-// heap whose root is the least of them.
+// merge returns the greatest records of all bodies, at most limit of them, in descending order. It keeps them in a
+// heap whose root is the smallest record.
 func merge(bodies [][]byte, limit int) []byte {
 	total := 0
 	for _, body := range bodies {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// siftDown restores the heap below index i.
+// siftDown restores the heap property below index i.
 func siftDown(heap []record, i int) {
 	for {
 		least := 2*i + 1
--- a/request/dispatch/merge_bench_test.go
+++ b/request/dispatch/merge_bench_test.go
@@ -1,4 +1,4 @@
-// The cost of merging many shards.
+// Benchmarks of merging the records of many shards.
 
 package dispatch
 
--- a/request/dispatch/reconfiguration_test.go
+++ b/request/dispatch/reconfiguration_test.go
@@ -1,4 +1,4 @@
-// Backends that drain, zones that are drained and routing tables that change under load.
+// Tests of draining backends, drained zones and routing table changes under load.
 
 package dispatch
 
@@ -11,7 +11,7 @@
 	"wallport/runtime/clock"
 )
 
-// deliverySlack is how long an attempt may be on its way after its node saw a change.
+// deliverySlack is how long an attempt may be in transit after its node saw a change.
 const deliverySlack = 20 * clock.Millisecond
 
 func TestDrainingBackendGetsNoRequests(t *testing.T) {
@@ -21,7 +21,7 @@
 		s.slots = 1
 		w := newSimulation(s)
 		for _, b := range w.backends {
-			b.lossRate, b.errorRate = 0.1, 0.1 // many retries, each of which must see the newest snapshot
+			b.lossRate, b.errorRate = 0.1, 0.1 // causes many retries, each of which must use the newest snapshot
 		}
 		var left []*simBackend
 		var when clock.Micros
@@ -34,7 +34,7 @@
 		}})
 		for _, b := range left {
 			must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
-			must.SliceNotEmpty(t, w.journal.arrivalsAt(b, when-2*second, when), must.Sprint("the checker sees what came before"))
+			must.SliceNotEmpty(t, w.journal.arrivalsAt(b, when-2*second, when), must.Sprint("the backend received requests before it drained"))
 		}
 	}
 }
@@ -56,7 +56,7 @@
 			must.SliceEmpty(t, w.journal.arrivalsAt(b, from+300_000+deliverySlack, to), must.Sprintf("seed %d", seed))
 			after += len(w.journal.arrivalsAt(b, to+300_000, w.now))
 		}
-		must.Positive(t, after, must.Sprint("it is used again"))
+		must.Positive(t, after, must.Sprint("the restored zone receives requests again"))
 	}
 }
 
@@ -100,7 +100,7 @@
 		})
 		for _, b := range old {
 			if b.pool != "shard3" && b.pool != "spare" {
-				// A request that began before sends its first attempts at once only.
+				// A request that began before the change sends only its first attempts, immediately, to the old shards.
 				must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
 			}
 		}
--- a/request/dispatch/retry.go
+++ b/request/dispatch/retry.go
@@ -6,19 +6,19 @@
 	"wallport/runtime/clock"
 )
 
-// maxUnsent bounds the attempts for one shard of which nothing was written.
+// maxUnsent bounds, for one shard, the number of attempts of which no byte was written.
 const maxUnsent = 4
 
-// staleConnWithin is how soon an attempt on an idle connection that the backend had closed fails.
+// staleConnWithin is the time within which an attempt fails if the backend had closed its idle connection.
 const staleConnWithin = 10 * clock.Millisecond
 
-// attemptDone takes the result of an attempt: its shard succeeds, is retried or goes missing.
+// attemptDone handles the result of an attempt. Its shard then succeeds, is retried or is marked as missing.
 func (m *StateMachine) attemptDone(now clock.Micros, done *AttemptDone) {
 	if done.N < 0 || done.N >= len(m.attempts) || !m.attempts[done.N].inFlight {
 		return
 	}
 	result := &done.Result
-	attempt := m.attempts[done.N] // a copy: a retry may move the slice
+	attempt := m.attempts[done.N] // a copy, because a retry may reallocate the slice
 	shard := &m.shards[attempt.shard]
 	if result.Class == ClassResponse {
 		m.validate(attempt.shard, result)
@@ -54,7 +54,7 @@
 	m.scheduleTimer(now)
 }
 
-// succeed takes a shard's good response and abandons its other attempt.
+// succeed stores a shard's successful response and abandons the shard's other attempts.
 func (m *StateMachine) succeed(now clock.Micros, shardIndex int, result *Result) {
 	shard := &m.shards[shardIndex]
 	shard.succeeded = true
@@ -70,13 +70,14 @@
 	}
 }
 
-// keepResult keeps a result for the outcome. The copy lets the event itself stay off the heap.
+// keepResult keeps a result for the outcome. It stores a copy so that the event itself is not allocated on the heap.
 func (shard *shardRequest) keepResult(result *Result) {
 	last := *result
 	shard.lastResult = &last
 }
 
-// validate makes a response invalid that cannot be one: a success without a seal, or with that of another shard.
+// validate reclassifies a response as invalid if it is a success without a seal, or if it has the seal of another
+// shard's response.
 func (m *StateMachine) validate(shardIndex int, result *Result) {
 	if result.Seal == "" {
 		if isSuccessStatus(result.Status) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// isSuccess reports whether a result is a success that may be passed on.
+// isSuccess reports whether a result is a complete, sealed response with a 2xx status.
 func isSuccess(result *Result) bool {
 	return result.Class == ClassResponse && isSuccessStatus(result.Status) && result.Seal != ""
 }
@@ -103,8 +104,8 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// retry sends the request to another backend where the number of attempts, the time, the budget and the routing
-// table allow it. Otherwise the shard is missing, unless another attempt is in flight.
+// retry sends the request to another backend if the number of attempts, the deadline, the retry budget and the
+// routing table allow it. Otherwise it marks the shard as missing, unless another attempt is in flight.
 func (m *StateMachine) retry(now clock.Micros, shardIndex int, why sendReason) {
 	shard := &m.shards[shardIndex]
 	allowed := shard.sent < m.maxBackends() && now < m.deadline && (why != sendReplacement || shard.unsent < maxUnsent)
@@ -114,7 +115,8 @@
 	shard.missing = shard.inFlight == 0
 }
 
-// closeAttempt ends an attempt in the backend's gauges; result is nil where the attempt was cancelled.
+// closeAttempt records the end of an attempt in the measurements of the backend; result is nil if the attempt was
+// cancelled.
 func (m *StateMachine) closeAttempt(now clock.Micros, n int, result *Result) {
 	attempt := &m.attempts[n]
 	shard := &m.shards[attempt.shard]
@@ -130,7 +132,7 @@
 	}
 }
 
-// recordResult takes what a result says of its backend and reports whether it ejects it.
+// recordResult updates the measurements of the attempt's backend and reports whether the result ejects the backend.
 func (m *StateMachine) recordResult(now clock.Micros, attempt *attempt, result *Result) (ejected bool) {
 	shard, count := &m.shards[attempt.shard], &m.dispatcher.count
 	b, gauge := attempt.endpoint.backend, attempt.endpoint.listed.Gauge
@@ -170,7 +172,7 @@
 	return false
 }
 
-// isStaleConn reports whether an attempt failed as it does when its idle connection had been closed.
+// isStaleConn reports whether an attempt failed in the way that is typical of a closed idle connection.
 func isStaleConn(result *Result, took clock.Micros) bool {
 	if !result.ReusedConn || result.TimedOut {
 		return false
@@ -178,9 +180,9 @@
 	return result.Class == ClassNotSent || result.Class == ClassFailed && took < staleConnWithin
 }
 
-// abandon gives up an attempt whose response is no longer wanted. Its backend may finish its work, since breaking
-// it off would cost the backend that and the node its connection, unless the backend is silent or the time is over
-// anyway.
+// abandon handles an attempt whose response is no longer needed. The backend may finish its work: cancelling would
+// waste that work and cost the node the connection. If the backend is unresponsive or the deadline has passed, the
+// attempt is cancelled and counts as a failure.
 func (m *StateMachine) abandon(now clock.Micros, n int) {
 	attempt := &m.attempts[n]
 	silent := now-attempt.startedAt > m.shards[attempt.shard].latency.responseTimeout()
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -7,18 +7,19 @@
 	"wallport/runtime/random"
 )
 
-// What a node uses of the fleet's budget; the rest covers what nodes cannot see of one another.
+// The fractions of the fleet's budget that nodes use. The remainder is a margin, since nodes do not see each other's
+// retries.
 const (
-	// earnedFraction of Ratio is earned with each request of the pool.
+	// Each request of the pool adds earnedFraction of Ratio to the budget.
 	earnedFraction = 0.9
-	// burstFraction of Allowance may be saved, refillFraction of it comes with time in each Window.
+	// The nodes together may save burstFraction of Allowance and are refilled with refillFraction of it in each Window.
 	burstFraction  = 0.7
 	refillFraction = 0.15
 )
 
-// retryBudget is a node's part of the budget for retries and hedged requests at one pool. Each node earns a
-// little less than Ratio from its own requests; of the Allowance most may be saved and some comes with time, both
-// divided by the largest fleet seen lately. It may be used from many goroutines.
+// retryBudget is a node's part of the budget for retries and hedged requests to one pool. Each request of the node
+// adds slightly less than Ratio. Most of the Allowance may be saved, and a small part of it is refilled over time;
+// both are divided by the largest recent size of the fleet. It is safe for concurrent use.
 type retryBudget struct {
 	retrybudget.Budget
 	config RetryConfig
@@ -38,15 +39,15 @@
 	return v.(*retryBudget)
 }
 
-// limits returns how much this node may save, and its fair share of what the fleet may save, which on a large
-// fleet is less than one attempt.
+// limits returns the most that this node may save, and its fair share of what the fleet may save. In a large fleet
+// the fair share is less than one attempt.
 func (b *retryBudget) limits(now clock.Micros, nodes int) (burst, fairShare int64) {
 	return b.Limits(now, int64(burstFraction*b.config.Allowance*tokenbucket.One/float64(max(1, nodes))))
 }
 
-// replenish earns for one request of the pool. Where the fair share is less than one attempt, a whole attempt
-// that lies unused is lost with the probability of what it exceeds the fair share by, so that what a very large
-// fleet has saved does not add up.
+// replenish credits the budget for one request of the pool. If the fair share is less than one attempt and a whole
+// attempt is saved, the attempt is removed with a probability of 1 minus the fair share. Otherwise the attempts that
+// the nodes of a very large fleet have saved would together exceed the allowance.
 func (b *retryBudget) replenish(now clock.Micros, nodes int, rnd *random.Source) {
 	burst, fairShare := b.limits(now, nodes)
 	earned := int64(earnedFraction * b.config.Ratio * tokenbucket.One)
@@ -56,7 +57,7 @@
 	b.Add(earned, burst+earned)
 }
 
-// withdraw takes one retry or hedged request from the budget and reports whether it was there.
+// withdraw takes one retry or hedged request from the budget and reports whether the budget sufficed.
 func (b *retryBudget) withdraw(now clock.Micros, nodes int) bool {
 	burst, fairShare := b.limits(now, nodes)
 	if fairShare >= tokenbucket.One {
@@ -66,7 +67,8 @@
 	return b.Take(tokenbucket.One, tokenbucket.One, burst)
 }
 
-// withdrawRetry takes one retry or hedged request from the pool's budget and counts it.
+// withdrawRetry takes one retry or hedged request from the pool's budget, counts it as allowed or denied, and reports
+// whether it is allowed.
 func (d *Dispatcher) withdrawRetry(p *pool, now clock.Micros, nodes int) bool {
 	if p.retryBudget.withdraw(now, nodes) {
 		d.count.retries.Add(1)
--- a/request/dispatch/rules_test.go
+++ b/request/dispatch/rules_test.go
@@ -1,4 +1,4 @@
-// The rules that hold for all nodes together, checked over whole simulated deployments.
+// Checks of the rules that hold for all nodes together, in simulated deployments.
 
 package dispatch
 
@@ -13,7 +13,7 @@
 var resultLimits = map[string]int{"search": 20, "quick": 5}
 var minCoverages = map[string]float64{"search": 0.75, "quick": 0.5}
 
-// pools returns the pools that each version of the routing table sends a kind of requests to.
+// pools returns, for each version of the routing table, the pools of a kind of request.
 func (w *simulation) pools(kind string) [][]string {
 	var out [][]string
 	for _, c := range w.tables {
@@ -54,10 +54,11 @@
 	}
 }
 
-// second is clock.Second without a type, to multiply fractions with.
+// second is clock.Second as an untyped constant, which can be multiplied with fractions.
 const second = 1_000_000
 
-// run lets clients send for so many seconds, with faults at their times in seconds, and checks the rules.
+// run simulates clients for the given number of seconds, calls the faults at their times (in seconds) and checks the
+// rules.
 func (w *simulation) run(t *testing.T, seconds int64, faults map[float64]func()) {
 	t.Helper()
 	from := w.now
--- a/request/dispatch/selection.go
+++ b/request/dispatch/selection.go
@@ -8,39 +8,40 @@
 	"wallport/runtime/random"
 )
 
-// standing is how far a backend is trusted, from best to worst.
+// standing ranks how far a backend can be relied on, from best to worst.
 type standing uint8
 
 const (
 	standingUsable standing = iota
-	// standingTrial is ejected, and a trial is due.
+	// standingTrial means that the backend is ejected and a trial is due.
 	standingTrial
-	// standingEjected is ejected, but may be used where nothing better is left.
+	// standingEjected means that the backend is ejected, but may be used if there is no better one.
 	standingEjected
-	// standingRiskyTrial is ejected and a trial is due, but the request may be sent only once: it is tried
-	// rather than rejected.
+	// standingRiskyTrial means that the backend is ejected and a trial is due, but the request may be sent only once:
+	// it is used for the trial only if it would otherwise be rejected or wait too long.
 	standingRiskyTrial
-	// standingDown failed its trials too, or is silent.
+	// standingDown means that the backend failed its trials or is unresponsive.
 	standingDown
-	// standingNone is no backend at all.
+	// standingNone means that there is no backend.
 	standingNone
 )
 
 const (
-	// successTrustedFor is how long an own success counts for more than the fleet's health reports.
+	// successTrustedFor is how long a success of this node's own overrides the fleet's health reports.
 	successTrustedFor = 2 * clock.Second
-	// downFailureRate is the share of failures, in thousandths, from which a backend that failed its trial is down.
+	// downFailureRate is the share of failures, in thousandths, at which a backend that failed its trial is considered
+	// down.
 	downFailureRate = 700
 )
 
-// standing returns how far the backend is trusted now.
+// standing returns the backend's current standing.
 func (e *endpoint) standing(now clock.Micros, latency *latencyStats, atMostOnce bool) standing {
 	b := e.backend
 	ejections := b.ejections.Load()
 	var untilTrial standing
 	switch {
 	case now < b.replacedUntil.Load():
-		// It has ended: a trial would only reach the other backend at the address again.
+		// The backend is gone: a trial would only reach the other backend at its address again.
 		return standingDown
 	case ejections > 0 && (b.unresponsive.Load() || ejections >= 2 && b.currentFailureRate(now) >= downFailureRate):
 		untilTrial = standingDown
@@ -62,24 +63,25 @@
 	return standingTrial
 }
 
-// Costs beside the work itself.
+// Costs in addition to the work itself.
 const (
-	// idleQueueCost is what a full set of running requests adds to the work, in thousandths of it.
+	// idleQueueCost is by how much a request takes longer if all slots are in use but none is waiting, in
+	// thousandths of its work.
 	idleQueueCost = 150
-	// failureCostOnce and failureCostRetry are what a failure costs in median times: the whole request where it
-	// may be sent only once, else another attempt.
+	// failureCostOnce and failureCostRetry are the costs of a failure, in multiples of the median: the whole request
+	// is lost if it may be sent only once, otherwise another attempt is needed.
 	failureCostOnce  = 40
 	failureCostRetry = 6
-	// stallCost multiplies the time that a backend has stalled for.
+	// stallCost multiplies the time for which a backend has stalled.
 	stallCost = 6
-	// riskyTrialThreshold is how many median times a request that may be sent only once waits rather than be a
-	// trial.
+	// riskyTrialThreshold is the highest cost, in multiples of the median, at which a request that may be sent only
+	// once is still sent to the best other backend instead of being used for a trial.
 	riskyTrialThreshold = 4
-	// dialCost is what a new connection costs where none may be kept idle.
+	// dialCost is the cost of a new connection to a backend whose connections are closed after use.
 	dialCost = 2 * clock.Millisecond
 )
 
-// cost is the expected time to a good response.
+// cost returns the expected time until a successful response.
 func (e *endpoint) cost(now clock.Micros, latency *latencyStats, atMostOnce bool) clock.Micros {
 	b := e.backend
 	median := latency.median.Load()
@@ -107,8 +109,8 @@
 	return cost
 }
 
-// queueTime is the expected time in the queue of a backend with this load, in thousandths of requests, where one
-// request is that much work.
+// queueTime returns the expected time that a request waits at a backend with the given load (in thousandths of
+// requests) and number of slots, if each request takes work.
 func queueTime(load, slots int64, work clock.Micros) clock.Micros {
 	full := slots * unit
 	wait := work * idleQueueCost / unit * min(load, full) / full
@@ -118,18 +120,18 @@
 	return wait
 }
 
-// selection is a chosen endpoint, nil where there is none.
+// selection is the endpoint selected for an attempt; endpoint is nil if there is none.
 type selection struct {
 	endpoint *endpoint
 	standing standing
 	cost     clock.Micros
 }
 
-// selectEndpoint returns the endpoint for an attempt, with the least expected time to a good response; those in
-// tried are left out. Pools are small, so all of one are looked at; a tenth of chance in the cost keeps nodes from
-// moving in step. A due trial goes first: it costs the request little, since another backend can be sent to soon,
-// and is the backend's only way back. A request that may be sent only once is a trial where it would otherwise be
-// rejected or wait for long.
+// selectEndpoint returns the endpoint with the least expected time until a successful response, leaving out those in
+// tried. Pools are small, so it examines every endpoint. It adds a random part of up to a tenth to each cost so that
+// the nodes do not all switch to the same backend. A trial that is due takes precedence: it costs the request little,
+// since another backend can be tried soon after, and only a trial can end the backend's ejection. A request that may
+// be sent only once is used for a trial only if it would otherwise be rejected or wait too long.
 func selectEndpoint(p *pool, snap *snapshot.Snapshot, latency *latencyStats, tried []*backend, atMostOnce bool, now clock.Micros, rnd *random.Source) selection {
 	best, riskyTrial := selection{standing: standingNone}, selection{standing: standingNone}
 	for i := range p.endpoints {
@@ -169,7 +171,7 @@
 	return best
 }
 
-// hasAvailable reports whether some backend of the pool may be sent to.
+// hasAvailable reports whether any backend of the pool can be used now.
 func (m *StateMachine) hasAvailable(now clock.Micros, p *pool, latency *latencyStats) bool {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -183,7 +185,7 @@
 	return false
 }
 
-// warmingUp reports whether a backend may get only what its slow start allows.
+// warmingUp reports whether a backend is in slow start, so that requests to it need a token.
 func (p *pool) warmingUp(now clock.Micros, b *backend) bool {
 	return p.RampPerS > 0 && now < b.warmingUntil.Load()
 }
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -7,20 +7,20 @@
 
 const (
 	sendFirst sendReason = iota
-	// sendRetry follows an attempt that failed or was rejected, at the cost of the retry budget.
+	// sendRetry follows an attempt that failed or was rejected. It is charged to the retry budget.
 	sendRetry
-	// sendHedge is sent while another attempt is in flight, at the cost of the retry budget.
+	// sendHedge is sent while another attempt is in flight. It is charged to the retry budget.
 	sendHedge
-	// sendReplacement follows an attempt of which nothing was written. It costs nothing, since it adds nothing to
-	// what the pool receives.
+	// sendReplacement follows an attempt of which no byte was written. It is not charged to the retry budget, since
+	// it does not add to the requests that the pool receives.
 	sendReplacement
 )
 
-// extra reports whether the attempt adds to what the pool receives.
+// extra reports whether the attempt adds to the requests that the pool receives.
 func (r sendReason) extra() bool { return r == sendRetry || r == sendHedge }
 
-// send makes an attempt at a backend of a shard's pool and reports whether one could be made. Where not, the
-// shard's reason says why.
+// send starts an attempt at a backend of the shard's pool and reports whether it could. If it could not for want of a
+// usable backend, retry budget or slow-start token, it sets the shard's reason.
 func (m *StateMachine) send(now clock.Micros, shardIndex int, why sendReason) bool {
 	shard := &m.shards[shardIndex]
 	chosen, reason := m.selectFor(now, shard, why)
@@ -47,12 +47,12 @@
 	return true
 }
 
-// selectFor selects the endpoint of an attempt; a reason says why there is none.
+// selectFor selects the endpoint of an attempt. If there is none, it returns the reason.
 func (m *StateMachine) selectFor(now clock.Micros, shard *shardRequest, why sendReason) (chosen selection, reason string) {
 	snap := m.view.snapshot
 	chosen = selectEndpoint(shard.pool, snap, shard.latency, shard.tried, m.atMostOnce(), now, &m.random)
 	if chosen.endpoint == nil && shard.staleConn && why != sendHedge {
-		// Only an idle connection ended: the backend itself may be as good as any.
+		// Only an idle connection was closed, which says nothing about the backend: it may be used again.
 		chosen = selectEndpoint(shard.pool, snap, shard.latency, nil, m.atMostOnce(), now, &m.random)
 	}
 	switch {
@@ -64,8 +64,8 @@
 	return chosen, ""
 }
 
-// reserve takes what the attempt costs of the retry budget and of the backend's slow start; a reason says what was
-// lacking.
+// reserve charges the attempt to the retry budget and to the backend's slow start. If either is exhausted, it returns
+// the reason.
 func (m *StateMachine) reserve(now clock.Micros, shard *shardRequest, chosen selection, why sendReason) (reason string) {
 	b, p := chosen.endpoint.backend, shard.pool
 	warmingUp := p.warmingUp(now, b)
@@ -98,8 +98,9 @@
 	m.emit(Send{N: n, Backend: server, Pool: shard.pool.Pool, Timeout: left, AtMostOnce: m.atMostOnce(), Request: &m.request})
 }
 
-// hedgeDelay is how long to wait for an attempt before a hedged request: as long as the pool's latency suggests, and
-// no longer than leaves time for a second response before the latency target. A backend on trial gets less.
+// hedgeDelay returns how long to wait for an attempt before sending a hedged request: the delay that the pool's
+// latency suggests, but short enough to leave time for a second response before the latency target. For a backend on
+// trial the delay is twice the median.
 func (m *StateMachine) hedgeDelay(now clock.Micros, shard *shardRequest, chosen selection) clock.Micros {
 	if chosen.standing == standingTrial {
 		return max(minHedgeDelay, 2*shard.latency.median.Load())
@@ -113,14 +114,14 @@
 	return m.route.Repeatable && shard.inFlight == 1 && shard.sent < m.maxBackends() && shard.hedgeAt < m.deadline
 }
 
-// setReason sets why no attempt was made, unless a failed one has given a reason before.
+// setReason sets the reason why no attempt was made, unless an earlier attempt has already set a reason.
 func (shard *shardRequest) setReason(reason string) {
 	if shard.reason == "" {
 		shard.reason = reason
 	}
 }
 
-// refreshPool takes the newest view for the attempts that follow. It reports false where the routing table in force
+// refreshPool switches to the newest view for the following attempts. It returns false if the current routing table
 // no longer sends this request to the shard's pool.
 func (m *StateMachine) refreshPool(shard *shardRequest) bool {
 	v := m.dispatcher.currentView()
--- a/request/dispatch/sim_backend_test.go
+++ b/request/dispatch/sim_backend_test.go
@@ -1,4 +1,4 @@
-// Simulated backends: slots, a queue, pauses and faults.
+// Simulated backends with slots, a queue, pauses and faults.
 
 package dispatch
 
@@ -18,7 +18,7 @@
 	queued            []*exchange
 	paused            bool
 	deferred          []func()
-	// workFactor multiplies the work. The rates are shares of requests that fail in that way.
+	// workFactor multiplies the work. Each rate is the share of requests that fail in that way.
 	workFactor                       float64
 	errorRate, invalidRate, lossRate float64
 	unresponsive, down               bool
@@ -39,7 +39,7 @@
 	respond  func(Result)
 }
 
-// schedulePauses pauses the backend now and again every 4 s.
+// schedulePauses pauses the backend now and every 4 s from now on.
 func (b *simBackend) schedulePauses() {
 	b.paused = true
 	b.simulation.after(b.simulation.pauseLength, func() {
@@ -53,12 +53,12 @@
 	b.simulation.after(4_000_000, b.schedulePauses)
 }
 
-// load is what the backend reports of itself.
+// load returns the backend's load report.
 func (b *simBackend) load() LoadReport {
 	return LoadReport{Running: b.running, Queued: len(b.queued), Slots: b.slots, Known: true}
 }
 
-// arrive takes a request in, or rejects or fails it.
+// arrive queues a request, or rejects or fails it.
 func (b *simBackend) arrive(x *exchange) {
 	if b.paused {
 		b.deferred = append(b.deferred, func() { b.arrive(x) })
@@ -68,14 +68,14 @@
 	a := w.journal.recordArrival(w.now, x)
 	switch {
 	case b.unresponsive:
-		a.ran = true // nobody can know that it has not
+		a.ran = true // it has to be assumed to have run
 		return
 	case b.running >= b.slots && len(b.queued) >= b.queueLimit:
 		x.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "full"})
 		return
 	case w.rnd.Float64() < b.errorRate:
 		a.ran = true
-		// Its own failure, whatever its status says of having run.
+		// The backend's own failure: the request ran, whatever the status suggests.
 		status := []int{500, 500, 503, 429, 504}[w.rnd.IntN(5)]
 		x.respond(Result{Class: ClassResponse, Status: status, Seal: w.journal.newSeal(x, false), Load: b.load()})
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-// finishWork ends a request and responds.
+// finishWork finishes a request and responds.
 func (b *simBackend) finishWork(x *exchange) {
 	if b.paused || b.unresponsive {
 		if b.paused {
@@ -129,7 +129,7 @@
 	}
 	body := make([]byte, 0, 640)
 	for range 12 {
-		// Few distinct records, so that equal ones meet; a remainder now and then.
+		// Use few distinct values, so that shards return equal records, and append a remainder shorter than a record.
 		body = binary.BigEndian.AppendUint64(body, uint64(w.rnd.IntN(400)))
 		body = binary.BigEndian.AppendUint64(body, uint64(w.rnd.IntN(2)))
 	}
@@ -139,7 +139,7 @@
 	x.respond(Result{Class: ClassResponse, Status: 200, Seal: seal, Body: body, Load: b.load()})
 }
 
-// send carries one attempt to a backend and its result back.
+// send delivers an attempt to its backend and the result to replied. It returns a function that cancels the attempt.
 func (n *simNode) send(a Send, replied func(Result)) (cancel func()) {
 	w := n.simulation
 	b := w.byID[a.Backend.ID]
@@ -169,7 +169,7 @@
 		}
 		b.arrive(x)
 	})
-	// A driver may report the timeout a little later than the state machine sees it itself.
+	// A driver may report the timeout slightly later than the state machine's own timer fires.
 	w.after(a.Timeout+int64(w.rnd.IntN(4_000)), func() {
 		if !over {
 			over, x.canceled = true, true
--- a/request/dispatch/sim_client_test.go
+++ b/request/dispatch/sim_client_test.go
@@ -1,4 +1,4 @@
-// Simulated clients, the driver of state machines, and the value that clients got.
+// Simulated clients, the driver of state machines, and the value that clients received.
 
 package dispatch
 
@@ -9,7 +9,8 @@
 	"wallport/runtime/clock"
 )
 
-// requestKind is a kind of requests and the value of a response, in time and late.
+// requestKind is a kind of request. value is the value of a response within the latency target, lateValue the share
+// of it that a later response has.
 type requestKind struct {
 	name             string
 	target, deadline clock.Micros
@@ -26,7 +27,7 @@
 	{name: "read", target: 250_000, deadline: 1_500_000, work: 60_000, value: 1, lateValue: 0.3},
 }
 
-// startClients has clients send requests until a moment.
+// startClients makes clients send requests until the given time.
 func (w *simulation) startClients(until clock.Micros) {
 	for i, rate := range []float64{w.search, w.quick, w.once, w.read} {
 		if rate > 0 {
@@ -46,7 +47,8 @@
 	})
 }
 
-// clientAttempt sends one attempt of a client, which began at a moment and may make so many more.
+// clientAttempt sends one attempt of a client request that began at began and may be followed by more attempts.
+// rejectedEarly says that the previous attempt was rejected early.
 func (w *simulation) clientAttempt(k *requestKind, began clock.Micros, rejectedEarly bool, more int) {
 	w.lastID++
 	id := fmt.Sprintf("%s-%d", k.name, w.lastID)
@@ -89,7 +91,7 @@
 	})
 }
 
-// coverage is the share of shards in a response.
+// coverage returns the share of shards that a response contains.
 func coverage(o Outcome) float64 {
 	if o.Seals == nil {
 		return 1
@@ -97,7 +99,7 @@
 	return float64(len(o.Seals)) / float64(len(o.Seals)+o.Missing)
 }
 
-// drive carries out a state machine's actions until it has finished.
+// drive carries out a state machine's actions until it has finished or the node has stopped or restarted.
 func (n *simNode) drive(r Request, ended func(Outcome)) {
 	m, w, dispatcher := NewStateMachine(n.dispatcher, r, n.simulation.now), n.simulation, n.dispatcher
 	cancels := map[int]func(){}
@@ -131,7 +133,7 @@
 	step(Begin{})
 }
 
-// tally is what came of the requests of one kind.
+// tally counts the outcomes of the requests of one kind and their value.
 type tally struct {
 	possible, earned float64
 	onTime, late     int
--- a/request/dispatch/slow_start.go
+++ b/request/dispatch/slow_start.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// slowStartFraction of the pool's ramp_per_s is used, so that nodes that see the fleet too small stay within it.
+	// slowStartFraction is the fraction of the pool's ramp_per_s that is used. The margin keeps the nodes within the
+	// rate if they underestimate the size of the fleet.
 	slowStartFraction = 0.6
-	// tokenLifetime is how long an unused token is good for.
+	// tokenLifetime is how long an unused token is valid.
 	tokenLifetime = 150 * clock.Millisecond
 )
 
-// slowStart limits what a backend that is warming up gets from this node, such that all nodes together keep
-// within a rate. This node's part comes as one whole token at a time, at a moment of its own, and lapses soon:
-// saved tokens of many nodes would meet in one second. It may be used from many goroutines.
+// slowStart limits the requests that this node sends to a backend in slow start, such that all nodes together keep
+// within a rate. The node receives one whole token at a time, at times of its own, and each token expires soon: if
+// tokens could be saved, many nodes might spend theirs within the same second. It is safe for concurrent use.
 type slowStart struct {
-	// nextToken is when the next token comes; 0 before the first use.
+	// nextToken is when the next token becomes available; 0 before the first use.
 	nextToken atomic.Int64
 }
 
-// tokenPeriod is the time between two tokens of one node.
+// tokenPeriod returns the time between two tokens of one node.
 func tokenPeriod(perSecond float64, nodes int) clock.Micros {
 	return clock.Micros(float64(clock.Second) * float64(max(1, nodes)) / (perSecond * slowStartFraction))
 }
 
-// available reports whether a token is there. It moves on from tokens that have lapsed.
+// available reports whether a token is available. It skips expired tokens.
 func (s *slowStart) available(now clock.Micros, perSecond float64, nodes int, rnd *random.Source) bool {
 	period := tokenPeriod(perSecond, nodes)
 	at := s.nextToken.Load()
 	if at == 0 || now > at+tokenLifetime {
-		// The rhythm is kept, or begins at a moment drawn at random.
+		// Keep the phase of the token period. At first use, draw it at random.
 		next := now + clock.Micros(rnd.Float64()*float64(period))
 		if at != 0 {
 			next = at + (now-at+period-1)/period*period
@@ -46,7 +47,7 @@
 	return now >= at
 }
 
-// take takes the token and reports whether it was there.
+// take takes the token and reports whether one was available.
 func (s *slowStart) take(now clock.Micros, perSecond float64, nodes int) bool {
 	period := tokenPeriod(perSecond, nodes)
 	at := s.nextToken.Load()
--- a/request/dispatch/state_machine.go
+++ b/request/dispatch/state_machine.go
@@ -10,20 +10,23 @@
 )
 
 const (
-	// staleRecheck is how often a request looks for a fresh snapshot while the node's own is stale.
+	// staleRecheck is the interval at which a request checks for a fresh snapshot while the current one is stale.
 	staleRecheck = 10 * clock.Millisecond
-	// lateRecheck is how often a gathered request past its latency target decides anew whether to wait on.
+	// lateRecheck is the interval at which a request that fans out decides, past its latency target, whether to keep
+	// waiting.
 	lateRecheck = 20 * clock.Millisecond
-	// minNetworkAllowance and maxNetworkAllowance bound what is kept of a client's time for the way there and back.
+	// minNetworkAllowance and maxNetworkAllowance bound the part of a client's timeout that is reserved for the
+	// network round trip between client and node.
 	minNetworkAllowance = 8 * clock.Millisecond
 	maxNetworkAllowance = 25 * clock.Millisecond
-	// targetNetworkAllowance is what is kept of the target latency for the client's own links.
+	// targetNetworkAllowance is the part of the target latency that is reserved for the network between client and
+	// node.
 	targetNetworkAllowance = 8 * clock.Millisecond
-	// maxTimeoutMargin is what is kept of the route's own timeout.
+	// maxTimeoutMargin bounds the part of the route's timeout that is held back from the deadline.
 	maxTimeoutMargin = 2 * clock.Millisecond
 )
 
-// StateMachine is one request under way. It is used by one goroutine at a time.
+// StateMachine handles one request. It is not safe for concurrent use.
 type StateMachine struct {
 	dispatcher *Dispatcher
 	request    Request
@@ -35,61 +38,61 @@
 	plan  *routePlan
 
 	startedAt clock.Micros
-	// targetAt is when a response stops earning its full value, deadline when the outcome must be given.
+	// targetAt is until when a response has its full value, deadline until when the outcome must be returned.
 	targetAt, deadline clock.Micros
-	// timerAt is when the last timer was set to, 0 before the first.
+	// timerAt is the time that the last timer was set to, 0 before the first.
 	timerAt clock.Micros
 
-	// shards are the requests to pools: one, or one for each pool of a route that fans out.
+	// shards holds one element, or one for each pool of a route that fans out.
 	shards []shardRequest
-	// attempts are all attempts in the order of their numbers.
+	// attempts holds all attempts by number.
 	attempts []attempt
 
 	random  random.Source
 	actions []Action
 	trace   traceBuffer
 
-	// The common case needs no allocation for its one shard and its attempts.
+	// These buffers save the allocations for one shard and up to two attempts, the common case.
 	shardBuf   [1]shardRequest
 	attemptBuf [2]attempt
 }
 
-// shardRequest is the part of a request that one pool is to answer, with its attempts' common state.
+// shardRequest is the part of a request that is sent to one pool, with the common state of its attempts.
 type shardRequest struct {
 	pool    *pool
 	latency *latencyStats
-	// tried are the backends of its attempts.
+	// tried holds the backends of its attempts.
 	tried    []*backend
 	triedBuf [3]*backend
 
-	// lastResult is the response or the failure to answer a request of one pool with. records and seal are the
-	// response to a request that fans out.
+	// lastResult is the response or failure that the outcome of a request to a single pool is based on. records and
+	// seal hold the shard's response if the request fans out.
 	lastResult *Result
 	records    []byte
 	seal       string
 
-	// The flags stand together, so that they share one word.
+	// The flags are adjacent so that they share one word.
 
-	// succeeded is set once a good response came; missing once none will come any more.
+	// succeeded is set once a successful response was received, missing once none is possible any more.
 	succeeded, missing bool
-	// staleConn is set where an attempt failed as it does when an idle connection had been closed.
+	// staleConn is set if an attempt failed in the way that is typical of a closed idle connection.
 	staleConn bool
-	// mayHaveRun is set where an attempt failed and may have run.
+	// mayHaveRun is set if an attempt failed and may have run.
 	mayHaveRun bool
-	// bestStanding and overloaded are what admission found in the pool.
+	// bestStanding and overloaded hold the pool's assessment at admission.
 	bestStanding standing
 	overloaded   bool
 
-	// inFlight counts attempts under way, sent those that count against max_backends, unsent those of which nothing
-	// was written.
+	// inFlight counts the attempts in flight, sent those that count against max_backends, unsent those of which no
+	// byte was written.
 	inFlight, sent, unsent int
 	// hedgeAt is when a hedged request is due.
 	hedgeAt clock.Micros
-	// reason says why the last attempt failed or none could be made.
+	// reason says why the last attempt failed or why none could be started.
 	reason string
 }
 
-// attempt is the request as sent to one backend.
+// attempt is one sending of the request to one backend.
 type attempt struct {
 	// shard is the index of its shardRequest.
 	shard     int
@@ -98,14 +101,14 @@
 	// load is the backend's estimated load when the attempt began, in thousandths of requests.
 	load     int64
 	inFlight bool
-	// abandoned is set where its response is no longer wanted.
+	// abandoned is set once its response is no longer needed.
 	abandoned bool
 }
 
-// wanted reports whether the attempt is in flight and its response is still wanted.
+// wanted reports whether the attempt is in flight and its response is still needed.
 func (a *attempt) wanted() bool { return a.inFlight && !a.abandoned }
 
-// NewStateMachine returns the state machine of a request. Begin is its first event.
+// NewStateMachine returns the state machine of a request. Its first event must be Begin.
 func NewStateMachine(d *Dispatcher, r Request, now clock.Micros) *StateMachine {
 	m := &StateMachine{dispatcher: d, request: r, startedAt: now, state: StateRead, random: d.random()}
 	if r.ReadAt != 0 {
@@ -114,14 +117,13 @@
 	return m
 }
 
-// State returns the state that the request is in.
+// State returns the current state of the request.
 func (m *StateMachine) State() State { return m.state }
 
-// Done reports whether the outcome has been given.
+// Done reports whether the outcome has been returned.
 func (m *StateMachine) Done() bool { return m.finished }
 
-// Step takes one event and returns the actions to carry out, in their order. The slice is valid until the next
-// Step.
+// Step handles one event and returns the actions to carry out, in order. The slice is valid until the next call.
 func (m *StateMachine) Step(now clock.Micros, ev Event) []Action {
 	m.actions = m.actions[:0]
 	switch v := ev.(type) {
@@ -180,7 +182,7 @@
 	m.admit(now)
 }
 
-// setDeadlines sets when the request is to be answered.
+// setDeadlines sets the request's deadline and the time of its latency target.
 func (m *StateMachine) setDeadlines() {
 	r := m.route
 	m.deadline = m.startedAt + r.TimeoutUs - min(r.TimeoutUs/4, maxTimeoutMargin)
@@ -195,16 +197,17 @@
 	m.targetAt = min(m.targetAt, m.deadline)
 }
 
-// atMostOnce reports whether the request must not run twice.
+// atMostOnce reports whether the request must not run more than once.
 func (m *StateMachine) atMostOnce() bool { return !m.route.Repeatable && !m.route.FansOut() }
 
-// maxBackends is how many backends of a pool the request may be sent to.
+// maxBackends returns how many backends of a pool the request may be sent to.
 func (m *StateMachine) maxBackends() int { return max(1, int(m.route.MaxBackends)) }
 
-// nodes is the number of nodes that budgets and rates are divided by.
+// nodes returns the number of nodes by which budgets and rates are divided.
 func (m *StateMachine) nodes() int { return m.view.snapshot.Divisor }
 
-// timerFired begins a request that waited for a fresh snapshot, or sends the hedged requests that are due.
+// timerFired starts a request that waits for a fresh snapshot. Otherwise it sends the hedged requests that are due and
+// resolves the request if its deadline has passed.
 func (m *StateMachine) timerFired(now clock.Micros) {
 	if m.state == StateRead {
 		m.begin(now)
@@ -216,7 +219,7 @@
 			continue
 		}
 		if !m.refreshPool(shard) || !m.send(now, i, sendHedge) {
-			// The budget or a backend may come free later.
+			// Try again later: the retry budget or a backend may be available by then.
 			shard.hedgeAt = now + max(minHedgeDelay, shard.latency.median.Load())
 		}
 	}
@@ -224,7 +227,8 @@
 	m.scheduleTimer(now)
 }
 
-// clientGone ends a request for which nobody waits. What must not run twice is left to end by itself.
+// clientGone ends a request whose client closed its connection. Attempts are cancelled, except those of a request that
+// must not run twice, which are abandoned.
 func (m *StateMachine) clientGone(now clock.Micros) {
 	for n := range m.attempts {
 		if attempt := &m.attempts[n]; attempt.wanted() {
@@ -240,7 +244,7 @@
 	m.finish(now, StateFailed, Outcome{Code: CodeClientGone, Reason: "the client has gone"})
 }
 
-// resolve gives the outcome once it is known.
+// resolve finishes the request once its outcome is known.
 func (m *StateMachine) resolve(now clock.Micros) {
 	switch {
 	case m.finished:
@@ -265,8 +269,8 @@
 	}
 }
 
-// passThroughOrFail passes on a backend's own failure, or reports one of the node's own. A backend's status that
-// says that nothing ran is not passed on, since the backend has not vouched for it.
+// passThroughOrFail passes on a backend's sealed error response, or else fails the request with 502. A status that
+// promises that the request has not run is not passed on, since the backend did not state so explicitly.
 func (m *StateMachine) passThroughOrFail(now clock.Micros, shard *shardRequest) {
 	result := shard.lastResult
 	if result.Class == ClassResponse && result.Seal != "" && !promisesNotRun(result.Status) {
@@ -280,7 +284,7 @@
 	m.finish(now, StateFailed, o)
 }
 
-// promisesNotRun reports whether a status tells the client that the request has not run and never will.
+// promisesNotRun reports whether a status promises the client that the request has not run and never will.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -289,7 +293,7 @@
 	return false
 }
 
-// finish gives the outcome, once, and abandons what is still in flight.
+// finish emits the outcome and abandons the attempts still in flight. Only its first call has an effect.
 func (m *StateMachine) finish(now clock.Micros, s State, o Outcome) {
 	if m.finished {
 		return
@@ -312,8 +316,8 @@
 	m.emit(SetTimer{At: m.timerAt})
 }
 
-// scheduleTimer sets the timer to the next moment at which something is to be decided without a result. One that
-// is set to an earlier moment is kept: it costs one look too many.
+// scheduleTimer sets the timer to the next time at which a decision is due even without a result. A timer that is
+// already set to an earlier time is kept; it only causes one superfluous check.
 func (m *StateMachine) scheduleTimer(now clock.Micros) {
 	if m.finished {
 		return
@@ -339,7 +343,7 @@
 		at = min(at, now+lateRecheck)
 	}
 	for n := range m.attempts {
-		// A backend on trial is waited for no longer than it may be expected to take.
+		// Wait for a backend on trial only until its response is due.
 		if attempt := &m.attempts[n]; attempt.wanted() && attempt.endpoint.backend.ejections.Load() > 0 {
 			if until := m.expectedUntil(attempt); until > now {
 				at = min(at, until)
--- a/request/dispatch/state_machine_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -1,4 +1,4 @@
-// One state machine, step by step.
+// Tests of a single state machine, step by step.
 
 package dispatch
 
@@ -16,7 +16,7 @@
 	"wallport/runtime/wire"
 )
 
-// fixture is a dispatcher with a routing table that tests may change.
+// fixture is a dispatcher with a routing table that tests can change.
 type fixture struct {
 	*Dispatcher
 	snap  *snapshot.Snapshot
@@ -25,7 +25,7 @@
 
 const startTime = 100 * second
 
-// newFixture returns pools p0, p1, ... with as many backends each, and a route of each kind.
+// newFixture returns a fixture with pools p0, p1, ..., the given number of backends in each, and a route of each kind.
 func newFixture(pools, backends int) *fixture {
 	f := &fixture{table: &routingpb.RoutingTable{Revision: 3}}
 	var names []string
@@ -58,7 +58,7 @@
 	return f
 }
 
-// publishTable puts the present table in force.
+// publishTable publishes a snapshot with the current routing table.
 func (f *fixture) publishTable() {
 	snap := *f.snap
 	snap.At++
@@ -70,21 +70,21 @@
 	return NewStateMachine(f.Dispatcher, Request{ID: "r1", Method: "GET", Target: "/" + route + "/x", Path: "/" + route + "/x", Host: "site.example:80"}, startTime)
 }
 
-// fillRetryBudgets gives the pools' retry budgets something to spend.
+// fillRetryBudgets adds ten attempts to each pool's retry budget.
 func (f *fixture) fillRetryBudgets() {
 	for name := range f.snap.Pools {
 		f.retryBudgetOf(name).Add(10_000, 10_000)
 	}
 }
 
-// drainRetryBudgets leaves the pools' retry budgets nothing to spend.
+// drainRetryBudgets prevents the pools' retry budgets from being refilled over time.
 func (f *fixture) drainRetryBudgets() {
 	for name := range f.snap.Pools {
 		f.retryBudgetOf(name).RefilledAt.Store(startTime + 100*second)
 	}
 }
 
-// sends returns the attempts among actions.
+// sends returns the Send actions among the actions.
 func sends(acts []Action) (out []Send) {
 	for _, a := range acts {
 		if v, ok := a.(Send); ok {
@@ -94,7 +94,7 @@
 	return out
 }
 
-// outcomeOf returns the outcome among actions, nil where there is none.
+// outcomeOf returns the outcome among the actions, or nil if there is none.
 func outcomeOf(acts []Action) *Outcome {
 	for _, a := range acts {
 		if v, ok := a.(Finish); ok {
@@ -154,10 +154,10 @@
 			f.fillRetryBudgets()
 			m := f.stateMachine(route)
 			m.Step(startTime, Begin{})
-			must.SliceEmpty(t, sends(m.Step(startTime+90_000, TimerFired{})), must.Sprint("and never early"))
+			must.SliceEmpty(t, sends(m.Step(startTime+90_000, TimerFired{})), must.Sprint("no hedged request is sent"))
 			acts := m.Step(startTime+100_000, AttemptDone{N: 0, Result: Result{Class: class, Status: 503, Seal: "s"}})
 			must.SliceEmpty(t, sends(acts))
-			must.Eq(t, 502, outcomeOf(acts).Status, must.Sprint("a promise is not passed on without the backend's word"))
+			must.Eq(t, 502, outcomeOf(acts).Status, must.Sprint("a 503 is not passed on unless the backend stated that the request has not run"))
 		}
 	}
 }
@@ -168,11 +168,11 @@
 	m := f.stateMachine("once")
 	first := sends(m.Step(startTime, Begin{}))
 	second := sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassNotSent}}))
-	must.Len(t, 1, second, must.Sprint("nothing was written"))
+	must.Len(t, 1, second, must.Sprint("no byte was written"))
 	must.NotEq(t, first[0].Backend.ID, second[0].Backend.ID)
 	must.Eq(t, 0, f.count.retries.Load())
 	o := outcomeOf(m.Step(startTime+2000, AttemptDone{N: 1, Result: Result{Class: ClassRejected, Status: 503}}))
-	must.Eq(t, 503, o.Status, must.Sprint("one backend at most"))
+	must.Eq(t, 503, o.Status, must.Sprint("the route allows one backend"))
 	must.Positive(t, o.RetryAfter)
 
 	m = f.stateMachine("once2")
@@ -199,15 +199,15 @@
 	m := f.stateMachine("read")
 	m.Step(startTime, Begin{})
 	o := outcomeOf(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassResponse, Status: 500, Seal: "s", Body: []byte("why")}}))
-	must.NotNil(t, o, must.Sprint("nothing is left to spend"))
-	must.Eq(t, 500, o.Status, must.Sprint("the backend's own answer is passed on"))
+	must.NotNil(t, o, must.Sprint("the retry budget is used up"))
+	must.Eq(t, 500, o.Status, must.Sprint("the backend's own response is passed on"))
 	must.Eq(t, CodePassedThrough, o.Code)
 	must.Eq(t, "why", string(o.Response.Body))
 	f.fillRetryBudgets()
 	m = f.stateMachine("read")
 	m.Step(startTime, Begin{})
 	must.Len(t, 1, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})))
-	must.Eq(t, 502, outcomeOf(m.Step(startTime+2000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})).Status, must.Sprint("two backends at most"))
+	must.Eq(t, 502, outcomeOf(m.Step(startTime+2000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})).Status, must.Sprint("the route allows two backends"))
 }
 
 func TestHedgeTakesFirstSuccessAndAbandonsOther(t *testing.T) {
@@ -223,7 +223,7 @@
 	must.SliceContains(t, acts, Action(Abandon{N: 0}))
 	b := f.backendOf("p0-0")
 	before := b.inFlight.Load() + f.backendOf("p0-1").inFlight.Load() + f.backendOf("p0-2").inFlight.Load() + f.backendOf("p0-3").inFlight.Load()
-	must.Eq(t, 1, before, must.Sprint("the other is still under way"))
+	must.Eq(t, 1, before, must.Sprint("the first attempt is still in flight"))
 	must.SliceEmpty(t, m.Step(startTime+70_000, AttemptDone{N: 0, Result: success("late")}))
 	must.Eq(t, 0, b.inFlight.Load()+f.backendOf("p0-1").inFlight.Load()+f.backendOf("p0-2").inFlight.Load()+f.backendOf("p0-3").inFlight.Load())
 }
@@ -241,7 +241,7 @@
 	}
 }
 
-// eject makes a backend down for 10 s.
+// eject ejects a backend as unresponsive for 10 s.
 func (b *backend) eject(now clock.Micros) {
 	b.recordFailure(now, failure{startedAt: now, weight: 1, timedOut: true}, 1)
 	b.ejectedUntil.Store(now + 10*second)
--- a/request/dispatch/trace.go
+++ b/request/dispatch/trace.go
@@ -23,27 +23,27 @@
 	At      clock.Micros `json:"at_us"`
 	Pool    string       `json:"pool"`
 	Backend string       `json:"server"`
-	// Cost is the time to a good response that the backend was selected for.
+	// Cost is the expected time until a successful response at the time of selection.
 	Cost   clock.Micros `json:"cost_us"`
 	Reason string       `json:"why"`
-	// Result is the class of its result and the reason, empty while it was in flight.
+	// Result is the class of its result and the reason; empty if it was still in flight.
 	Result string `json:"reply,omitempty"`
-	// WrittenAt is when the first byte of the request had been written to the backend; 0 is never.
+	// WrittenAt is when the first byte of the request was written to the backend; 0 if none was.
 	WrittenAt clock.Micros `json:"written_us,omitempty"`
 	Status    int          `json:"status,omitempty"`
 	Duration  clock.Micros `json:"took_us,omitempty"`
-	// Answers is neither set nor read. It stays for as long as surface/testdata/json_tags.txt counts its tag.
+	// Answers is unused. It must remain as long as surface/testdata/json_tags.txt counts its tag.
 	Answers bool `json:"-"`
 }
 
-// Trace is what is kept of a request.
+// Trace records the course of a request.
 type Trace struct {
 	ID       string `json:"request"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
 	Route    string `json:"route,omitempty"`
 	Revision int64  `json:"revision,omitempty"`
-	// Term and Seq are the version of the configuration that the request was served by.
+	// Term and Seq are the version of the configuration under which the request was served.
 	Term        uint64         `json:"term,omitempty"`
 	Seq         uint64         `json:"seq,omitempty"`
 	Status      int            `json:"status"`
@@ -54,11 +54,12 @@
 	Attempts    []AttemptTrace `json:"asks"`
 }
 
-// Failed reports whether the request ended without a success. Otherwise it was late or lacks shards.
+// Failed reports whether the request ended without a success. Other traced requests exceeded their latency target or
+// lack shards.
 func (t *Trace) Failed() bool { return t.Code != CodeOK }
 
-// AttemptSummary returns the request's attempts in one line: for each its backend, when it was made and written, and
-// what came of it.
+// AttemptSummary returns the request's attempts in one line: for each its reason and backend, when it was started and
+// written, and its result.
 func (t *Trace) AttemptSummary() string {
 	var b strings.Builder
 	for i := range t.Attempts {
@@ -74,7 +75,7 @@
 	return b.String()
 }
 
-// TraceRing keeps the newest traces. It may be used from many goroutines.
+// TraceRing keeps the newest traces. It is safe for concurrent use.
 type TraceRing struct {
 	next atomic.Uint64
 	ring [traceRingSize]atomic.Pointer[Trace]
@@ -82,7 +83,7 @@
 
 func (r *TraceRing) add(t *Trace) { r.ring[r.next.Add(1)%traceRingSize].Store(t) }
 
-// Get returns the newest trace of a request that is still kept.
+// Get returns the newest trace of a request and reports whether one is still kept.
 func (r *TraceRing) Get(id string) (*Trace, bool) {
 	newest := r.next.Load()
 	for i := range uint64(traceRingSize) {
@@ -93,8 +94,8 @@
 	return nil, false
 }
 
-// traceBuffer collects a request's trace while it is under way. A trace is made of it only where the request
-// failed or was late, so that others pay a few words.
+// traceBuffer collects the data of a trace during a request. A Trace is built from it only for requests that failed,
+// lacked shards or exceeded their latency target, so that tracing costs other requests little.
 type traceBuffer struct {
 	transitions   []Transition
 	attempts      []AttemptTrace
@@ -108,14 +109,14 @@
 	b.transitions = append(b.transitions, Transition{At: at, State: s, Detail: detail})
 }
 
-// sendReasonTexts are the reasons of attempts in traces.
+// sendReasonTexts holds the names of send reasons in traces.
 var sendReasonTexts = [...]string{sendFirst: "first", sendRetry: "again", sendHedge: "early", sendReplacement: "instead"}
 
 func (b *traceBuffer) sent(at clock.Micros, chosen selection, why sendReason) {
 	b.attempts = append(b.attempts, AttemptTrace{At: at, Backend: chosen.endpoint.listed.ID, Cost: chosen.cost, Reason: sendReasonTexts[why]})
 }
 
-// classTexts are the classes of results in traces.
+// classTexts holds the names of result classes in traces.
 var classTexts = [...]string{
 	ClassResponse: "answer", ClassNotSent: "not_sent", ClassRejected: "not_run", ClassFailed: "failed", ClassInvalid: "garbage",
 }
@@ -134,7 +135,7 @@
 	}
 }
 
-// recordTrace keeps the trace of a request that failed, lacks shards or came late.
+// recordTrace keeps the trace of a request that failed, lacked shards or exceeded its latency target.
 func (m *StateMachine) recordTrace(now clock.Micros, o *Outcome) {
 	if o.Code == CodeOK && o.Missing == 0 && now <= m.targetAt || o.Code == CodeNoRoute {
 		return
@@ -150,7 +151,7 @@
 	t := &Trace{
 		ID: m.request.ID, Method: m.request.Method, Path: m.request.Path,
 		Status: o.Status, Code: o.Code, Reason: o.Reason, Duration: now - m.startedAt,
-		// Not slices.Clone: what is empty is null in the JSON that operators read.
+		// Not slices.Clone: an empty list must stay nil, which is null in the JSON that operators read.
 		Transitions: append([]Transition(nil), m.trace.transitions...), Attempts: append([]AttemptTrace(nil), m.trace.attempts...),
 	}
 	if m.route != nil {
--- a/request/dispatch/view.go
+++ b/request/dispatch/view.go
@@ -8,15 +8,15 @@
 	"wallport/request/snapshot"
 )
 
-// view is a routing snapshot joined with what this node measured of its backends. It is built once for each
-// snapshot and then only read, apart from the plans that it caches.
+// view joins a routing snapshot with this node's measurements of its backends. It is built once for each snapshot and
+// is read-only afterwards, apart from its cache of route plans.
 type view struct {
 	snapshot *snapshot.Snapshot
 	pools    map[string]*pool
 	plans    sync.Map // *routing.Route -> *routePlan
 }
 
-// pool is a pool with those of its backends that may be sent to: neither draining nor in a drained zone.
+// pool is a pool with its eligible backends, which are neither draining nor in a drained zone.
 type pool struct {
 	*snapshot.Pool
 	name        string
@@ -24,20 +24,20 @@
 	retryBudget *retryBudget
 }
 
-// endpoint is a backend as one pool lists it.
+// endpoint is a backend as a member of one pool.
 type endpoint struct {
 	listed   *snapshot.Backend
 	backend  *backend
 	sameZone bool
 }
 
-// routePlan is a route with its pools and their latencies for this route, index by index.
+// routePlan holds a route's pools and, at the same indexes, their latency statistics for this route.
 type routePlan struct {
 	pools   []*pool
 	latency []*latencyStats
 }
 
-// currentView returns the view of the newest snapshot, nil while nothing can be served.
+// currentView returns the view of the newest snapshot, or nil while no request can be served.
 func (d *Dispatcher) currentView() *view {
 	snap := d.cfg.Snapshot()
 	if !snap.Ready() || snap.Routing == nil {
@@ -56,7 +56,7 @@
 	return v
 }
 
-// viewsBetweenCleanups is how many views are built between two looks for backends to forget.
+// viewsBetweenCleanups is how many views are built between two calls of forgetBackends.
 const viewsBetweenCleanups = 64
 
 func (d *Dispatcher) buildView(snap *snapshot.Snapshot) *view {
@@ -80,7 +80,7 @@
 	return v
 }
 
-// planFor returns the plan of a route of this view.
+// planFor returns the plan of a route in this view, creating it at first use.
 func (d *Dispatcher) planFor(v *view, r *routing.Route) *routePlan {
 	if plan, ok := v.plans.Load(r); ok {
 		return plan.(*routePlan)
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -1,4 +1,4 @@
-// A simulated deployment in one process, on simulated time: nodes, backends, clients and their links.
+// A simulated deployment in one process, on simulated time, with nodes, backends, clients and network links.
 
 package dispatch
 
@@ -15,7 +15,7 @@
 	"wallport/runtime/wire"
 )
 
-// event is something that happens at a moment; seq orders those of one moment.
+// event is a scheduled function; seq orders events of the same time.
 type event struct {
 	at  clock.Micros
 	seq int
@@ -36,16 +36,16 @@
 	return v
 }
 
-// deployment is the size of a simulation and what its clients send.
+// deployment describes the size of a simulated deployment and the traffic of its clients.
 type deployment struct {
 	seed              uint64
 	nodes, zones      int
 	shards, perShard  int
 	poolBackends      int
 	slots, queueLimit int
-	search, quick     float64 // requests a second of the fleet
+	search, quick     float64 // requests per second to the whole fleet
 	once, read        float64
-	// pauseLength is how long each backend pauses every 4 s, 0 for never.
+	// pauseLength is how long each backend pauses every 4 s; 0 means never.
 	pauseLength     clock.Micros
 	slowStartRate   float64
 	clientRetries   int
@@ -61,7 +61,7 @@
 	}
 }
 
-// simulation is a deployment under way.
+// simulation is a running deployment.
 type simulation struct {
 	deployment
 	now          clock.Micros
@@ -87,17 +87,17 @@
 	snap       *snapshot.Snapshot
 	table      *routing.Table
 	down       bool
-	// propagationDelay is how long after a change the node sees it.
+	// propagationDelay is the delay after which the node sees a change.
 	propagationDelay clock.Micros
 }
 
-// after schedules something.
+// after schedules a function.
 func (w *simulation) after(delay clock.Micros, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: w.now + delay, seq: w.seq, do: do})
 }
 
-// advance runs the events up to a moment.
+// advance runs the events up to the given time.
 func (w *simulation) advance(until clock.Micros) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
@@ -142,7 +142,7 @@
 	return n
 }
 
-// restart starts the node's process anew.
+// restart starts the node's process again, with empty state.
 func (n *simNode) restart(startedAt clock.Micros) {
 	n.dispatcher = NewDispatcher(Config{
 		Snapshot: func() *snapshot.Snapshot { return n.snap }, Counts: kernel.NewCounts(), Seed: n.simulation.rnd.Uint64(), StartedAt: startedAt,
@@ -168,14 +168,14 @@
 	return b
 }
 
-// publishSnapshots has every node see the present state of the simulation after its own delay.
+// publishSnapshots makes every node see the current state of the simulation after its own delay.
 func (w *simulation) publishSnapshots() {
 	for _, n := range w.nodes {
 		w.after(n.propagationDelay, n.refreshSnapshot)
 	}
 }
 
-// refreshSnapshot makes the node's snapshot of the present state of the simulation.
+// refreshSnapshot builds the node's snapshot from the current state of the simulation.
 func (n *simNode) refreshSnapshot() {
 	w := n.simulation
 	if n.table == nil || n.table.Source != w.table {
