--- a/request/snapshot/config.go
+++ b/request/snapshot/config.go
@@ -11,14 +11,14 @@
 	"wallport/runtime/wire"
 )
 
-// configState is the configuration as it was last decoded.
+// configState is the most recently decoded configuration.
 type configState struct {
 	version       wire.Version
 	body          wire.ConfigBody
 	configuration *configpb.Sheet
 }
 
-// loadConfig sets the configuration in force, which is decoded once for each version.
+// loadConfig sets the snapshot's configuration to the current version, which it decodes only once.
 func (table *Table) loadConfig(ctx *kernel.Context, snap *Snapshot) {
 	v, ok := table.mesh.Partition(state.ConfigPartition)
 	if !ok {
@@ -36,15 +36,15 @@
 	snap.Version, snap.Config, snap.Configuration = table.config.version, table.config.body, table.config.configuration
 }
 
-// checkVersionRises reports a violation if the configuration's version goes back.
+// checkVersionRises reports a violation if the configuration's version decreases.
 func (table *Table) checkVersionRises(ctx *kernel.Context, next wire.Version) {
 	if was := table.config.version; mesh.Newer(was, next) {
-		ctx.ReportViolation(invariant.ConfigIncreases, fmt.Sprintf("version %d.%d after %d.%d", next.Term, next.Seq, was.Term, was.Seq))
+		ctx.ReportViolation(invariant.ConfigIncreases, fmt.Sprintf("configuration version %d.%d follows the newer version %d.%d", next.Term, next.Seq, was.Term, was.Seq))
 	}
 }
 
-// complete reports whether requests may be served: all state is there and confirmed. A process that
-// once may serve continues to; what is lost later is evaluated backend by backend.
+// complete reports whether requests may be served, that is, whether all state is present and confirmed. Once it has
+// returned true it continues to do so: losses after that are handled for each backend by its health.
 func (table *Table) complete(ctx *kernel.Context, snap *Snapshot) bool {
 	if was := table.current.Load(); was != nil && was.Complete {
 		return true
@@ -66,12 +66,13 @@
 		}
 		anyShardMap = anyShardMap || index.ShardMap.Name != ""
 	}
-	// Before the first shard map every request would be rejected.
+	// Without any shard map every request would be rejected.
 	return anyShardMap
 }
 
-// awaitConfirmed builds a snapshot once state may be served from that no majority confirmed; see
-// [configsync.UnconfirmedTimeout].
+// awaitConfirmed builds a snapshot once the configuration counts as confirmed, which after
+// [configsync.UnconfirmedTimeout] includes state that no majority has confirmed. Until then it checks again after
+// awaitInterval.
 func (table *Table) awaitConfirmed(ctx *kernel.Context) {
 	switch {
 	case table.current.Load().Complete:
@@ -82,11 +83,11 @@
 	}
 }
 
-// logUnconfirmed logs that this process begins to serve from state that no majority confirmed.
+// logUnconfirmed logs that this process starts to serve from state that no majority has confirmed.
 func (table *Table) logUnconfirmed(ctx *kernel.Context, snap *Snapshot) {
 	if was := table.current.Load(); !snap.Complete || was != nil && was.Complete || table.configSync.InContact() {
 		return
 	}
 	ctx.Counts.Add("table_unconfirmed", 1)
-	ctx.Log(kernel.LevelWarn, "serves_unconfirmed_state", "reason", "no core that is reached is in contact with a majority", "term", snap.Version.Term, "seq", snap.Version.Seq)
+	ctx.Log(kernel.LevelWarn, "serves_unconfirmed_state", "reason", "no reachable core is in contact with a majority", "term", snap.Version.Term, "seq", snap.Version.Seq)
 }
--- a/request/snapshot/doc.go
+++ b/request/snapshot/doc.go
@@ -1,17 +1,17 @@
 // Package snapshot builds the immutable snapshot of the fleet that the request path reads through
-// one atomic pointer. In the operators' pages it is the "table".
+// one atomic pointer. The operators' documentation calls it the "table".
 //
-// A [Snapshot] says which backends serve which shard of which shard map or belong to which pool, the
-// health of each, the limits in force, and which nodes are there. It is published complete and never
-// changed; a request that holds one sees a consistent state.
+// A [Snapshot] lists the backends of each shard of each shard map and of each pool, the health of each
+// backend, the current limits and the nodes of the fleet. It is complete when it is published and is
+// never modified, so that a request that holds one sees a consistent state.
 //
-// [Table] is the plug-in that builds the snapshots. Its inputs are the mesh's entries (partitions'
-// versions, the platform's list, health reports, members), the configuration sync and the load
-// reports. A new version of a partition or a new list causes a build at once, other changes soon
-// after; without changes nothing is built. A process that has just started or was frozen serves only
-// from state that a core in contact with a majority has confirmed; see [Snapshot.Ready] and
-// [Snapshot.Stale].
+// [Table] is the plug-in that builds the snapshots. Its inputs are the entries of the mesh (versions of
+// partitions of the control state, the platform's list, health reports, members), the configuration sync
+// and the load reports. A new version of a partition or a new list triggers a build immediately, other
+// changes do so after a short delay; without changes no snapshot is built. A process that has just
+// started or was frozen serves only from state that a core in contact with a majority has confirmed; see
+// [Snapshot.Ready] and [Snapshot.Stale].
 //
-// [Gauge] is the other direction: counters that the request path updates for each backend, which
-// outlive snapshots.
+// [Gauge] carries data in the other direction: the request path updates its counters for each backend.
+// Gauges outlive snapshots.
 package snapshot
--- a/request/snapshot/gauge.go
+++ b/request/snapshot/gauge.go
@@ -7,43 +7,43 @@
 	"wallport/runtime/clock"
 )
 
-// Gauge is what this node itself observes of one backend, on the request path and by health checks. It
-// outlives snapshots. Times are in microseconds, moments on this process's clock.
+// Gauge holds this node's own observations of one backend, from the request path and from health checks.
+// It outlives snapshots. Times are in microseconds of this process's clock.
 //
-// Both request paths update it. Package search selects by it and package healthcheck reports by it;
-// package dispatch has measurements and ejections of its own and reads only SlowStartUntil.
+// Both request paths update it. Package search selects backends by it, and package healthcheck derives its
+// reports from it. Package dispatch has its own measurements and ejections and reads only SlowStartUntil.
 type Gauge struct {
 	// Outstanding counts the requests in flight from this node.
 	Outstanding atomic.Int64
-	// Usage is the number of requests that the backend is working on by its own account, from its
-	// responses to package search and to health checks.
+	// Usage is the number of requests that the backend is processing, as reported in its responses to
+	// package search and to health checks.
 	Usage atomic.Int64
-	// Latency is the smoothed latency of successful responses; 0 if there was none.
+	// Latency is the smoothed latency of successful responses; 0 before the first.
 	Latency atomic.Int64
-	// Failures counts the failures in a row, CorruptResponses the invalid responses since the last
+	// Failures counts the consecutive failures, CorruptResponses the invalid responses since the last
 	// valid one.
 	Failures         atomic.Int64
 	CorruptResponses atomic.Int64
 	// EjectedUntil is until when package search avoids the backend; 0 if it is not ejected. The node
 	// checks the health of the backends that it has ejected.
 	EjectedUntil atomic.Int64
-	// Incarnation is the newest one that the backend named, 0 before it did.
+	// Incarnation is the newest incarnation that the backend reported, 0 before its first report.
 	Incarnation atomic.Int64
-	// SlowStartUntil is until when the backend is warming up by its own account in a health check; 0 if
-	// it never said so.
+	// SlowStartUntil is when the backend's slow start ends, as reported in a health check; 0 if it never
+	// reported one.
 	SlowStartUntil atomic.Int64
 }
 
 // Constants of ejection.
 const (
-	// EjectThreshold is how many failures in a row eject a backend.
+	// EjectThreshold is the number of consecutive failures that eject a backend.
 	EjectThreshold = 3
-	// EjectTime is the ejection for each of the failures in a row, maxEjectFactor bounds their
-	// number. A corrupt response ejects for corruptEjectFactor times EjectTime.
+	// The ejection lasts EjectTime for each consecutive failure, of which at most maxEjectFactor count. A
+	// corrupt response ejects for corruptEjectFactor times EjectTime.
 	EjectTime          = 500 * clock.Millisecond
 	maxEjectFactor     = 10
 	corruptEjectFactor = 4
-	// latencySmoothing is the reciprocal weight of a new latency in the smoothed one.
+	// latencySmoothing is the reciprocal of the weight of a new sample in the smoothed latency.
 	latencySmoothing = 8
 )
 
@@ -60,8 +60,8 @@
 	g.Latency.Store(old + (latency-old)/latencySmoothing)
 }
 
-// Failed records a failure. From the third in a row on, the backend is ejected for a time that
-// grows with their number.
+// Failed records a failure. From the third consecutive failure on it ejects the backend, for a time that
+// grows with the number of failures.
 func (g *Gauge) Failed(now clock.Micros) {
 	if n := g.Failures.Add(1); n >= EjectThreshold {
 		g.EjectedUntil.Store(now + min(n, maxEjectFactor)*EjectTime)
@@ -74,7 +74,7 @@
 	g.EjectedUntil.Store(now + corruptEjectFactor*EjectTime)
 }
 
-// Gauges holds the gauges by backend id. Any goroutine may use it.
+// Gauges holds the gauges by backend id. It is safe for concurrent use.
 type Gauges struct{ m sync.Map }
 
 // Of returns the gauge of a backend, created at first use.
--- a/request/snapshot/health.go
+++ b/request/snapshot/health.go
@@ -12,12 +12,12 @@
 	total, unreachable, corrupt, slow int
 	// local is the state that this node itself reports.
 	local ReportState
-	// incarnation is the newest one that was reported, uptime that of the report that did.
+	// incarnation is the newest reported incarnation, uptime the uptime in the first report on it.
 	incarnation int64
 	uptime      clock.Micros
 }
 
-// countReports counts the reports of live nodes on a backend; nil if there are none.
+// countReports counts the reports of live nodes on a backend. It returns nil if there are none.
 func (table *Table) countReports(backend string, now clock.Micros) *reportCounts {
 	var counts *reportCounts
 	for _, report := range table.healthReports[backend] {
@@ -32,7 +32,7 @@
 	return counts
 }
 
-// add counts a report. Reports on an earlier incarnation say nothing about the newest one.
+// add counts a report. It ignores reports on earlier incarnations, since they do not apply to the newest one.
 func (c *reportCounts) add(report healthReport, local bool) {
 	if report.Incarnation > c.incarnation {
 		*c = reportCounts{incarnation: report.Incarnation, uptime: report.Uptime}
@@ -53,9 +53,9 @@
 	}
 }
 
-// healthState merges the reports: two nodes, and half of all that report, must agree before a
-// backend is unhealthy for the fleet. What this node alone reports makes the backend suspect for
-// this node only.
+// healthState merges the reports. A backend is unhealthy for the fleet if at least two nodes and half of
+// all reporting nodes agree. A report by this node that too few others share makes the backend suspect,
+// for this node only.
 func (c *reportCounts) healthState() HealthState {
 	agreed := func(n int) bool { return n >= 2 && 2*n >= c.total }
 	switch {
@@ -93,8 +93,8 @@
 	return out
 }
 
-// setBorn sets when the backend's incarnation began, on this process's clock. It is determined when
-// the incarnation is first seen.
+// setBorn sets when the backend's incarnation started, on this process's clock. The time is determined
+// when the incarnation is first seen and does not change afterwards.
 func (table *Table) setBorn(ctx *kernel.Context, backend *Backend, uptime clock.Micros) {
 	known, ok := table.births[backend.ID]
 	if !ok || known.incarnation < backend.Incarnation {
--- a/request/snapshot/healthreports.go
+++ b/request/snapshot/healthreports.go
@@ -9,7 +9,7 @@
 	"wallport/runtime/wire"
 )
 
-// ReportState is the state of a backend in a health report. Its text is on the wire.
+// ReportState is the state of a backend in a health report. Its text is part of the wire format.
 type ReportState string
 
 // States in a health report.
@@ -26,10 +26,10 @@
 	origin string
 }
 
-// healthReports holds the reports on each backend, sorted by origin. Each is decoded only once.
+// healthReports holds the decoded reports on each backend, by backend id and sorted by origin.
 type healthReports map[string][]healthReport
 
-// apply stores a report, or drops one that its origin withdrew.
+// apply stores a report in place of an earlier one of its origin, which it drops if the entry is a tombstone.
 func (all healthReports) apply(v mesh.Stored) {
 	backend := v.Entry.ID
 	of := all[backend]
@@ -50,7 +50,8 @@
 	all[backend] = of
 }
 
-// CountAgreeing counts the other live nodes that report the same state of a backend.
+// CountAgreeing returns the number of other live nodes that report the same state of a backend, for the
+// same or a newer incarnation.
 func (table *Table) CountAgreeing(backend string, report wire.HealthReport, now clock.Micros) (n int) {
 	for _, other := range table.healthReports[backend] {
 		if other.State == report.State && other.Incarnation >= report.Incarnation && other.origin != table.mesh.Self() && table.mesh.Live(other.origin, now) {
--- a/request/snapshot/index.go
+++ b/request/snapshot/index.go
@@ -8,7 +8,7 @@
 	"wallport/runtime/wire"
 )
 
-// buildIndex returns the index that a service of the configuration describes.
+// buildIndex builds the index of a service of the configuration.
 func (table *Table) buildIndex(snap *Snapshot, service *configpb.Service) *Index {
 	index := &Index{Name: service.Index, Service: service, Capacity: float64(service.Capacity)}
 	if v, ok := table.mesh.Partition(state.PartitionOf(service.Index)); ok {
@@ -23,8 +23,8 @@
 	return index
 }
 
-// limits returns the limits of an index by kind of request. What active bookings reserve is taken
-// from the capacity first; the kinds share the rest.
+// limits returns the limits of an index by kind of request. The reservations of active bookings are
+// deducted from the capacity first; the kinds share the remaining capacity.
 func limits(snap *Snapshot, index *Index) map[string]Limit {
 	byKind := map[string]Limit{}
 	reserved := 0.0
@@ -50,9 +50,9 @@
 	return byKind
 }
 
-// servable returns the live shard map, or the previous one for as long as this node knows of no
-// usable backend for some shard of the live one: the shard map may arrive before the platform's
-// list.
+// servable returns the shard map to serve from: normally the live one. As long as this node knows of no
+// usable backend for some shard of the live map, but of one for each shard of the map served before, it
+// returns the latter, since a new shard map may arrive before the matching platform's list.
 func (table *Table) servable(all []*Backend, index string, live wire.ShardMap) wire.ShardMap {
 	was := table.servedShardMaps[index]
 	if was.Name == live.Name || was.Name == "" || servesAll(all, index, live) || !servesAll(all, index, was) {
@@ -62,7 +62,7 @@
 	return wire.ShardMap{Name: was.Name, Shards: was.Shards, Next: live.Name, NextShards: live.Shards}
 }
 
-// servesAll reports whether each shard of a shard map has a backend that may be selected.
+// servesAll reports whether each shard of a shard map has a selectable backend.
 func servesAll(all []*Backend, index string, shardMap wire.ShardMap) bool {
 	for _, backends := range shards(all, index, shardMap.Name, shardMap.Shards) {
 		if !slices.ContainsFunc(backends, func(b *Backend) bool { return b.Health < Draining }) {
--- a/request/snapshot/pace_test.go
+++ b/request/snapshot/pace_test.go
@@ -20,7 +20,7 @@
 		step := &kernel.Context{Now: now, Counts: k.Counts}
 		table.Step(step, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
 		for _, timer := range step.Output.Timers {
-			must.Eq(t, 0, due, must.Sprint("one timer at a time"))
+			must.Eq(t, 0, due, must.Sprint("at most one build is scheduled"))
 			due = timer.At
 			must.LessEq(t, BuildInterval, due-now)
 		}
@@ -29,11 +29,11 @@
 			table.Step(&kernel.Context{Now: now, Counts: k.Counts}, kernel.Tick{Plugin: pluginName, Key: timerBuild})
 		}
 	}
-	must.Between(t, 8, built, 11, must.Sprint("a second of changes"))
+	must.Between(t, 8, built, 11, must.Sprint("snapshots built during one second of changes"))
 	now += 2 * BuildInterval
 	step := &kernel.Context{Now: now, Counts: k.Counts}
 	table.Step(step, mesh.Stored{Entry: reportEntry("x", "s", "ok", false).Entry, Origin: "x"})
 	if due == 0 {
-		must.Eq(t, now+BuildDelay, step.Output.Timers[0].At, must.Sprint("soon after a pause"))
+		must.Eq(t, now+BuildDelay, step.Output.Timers[0].At, must.Sprint("after a pause the build waits only BuildDelay"))
 	}
 }
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -7,8 +7,8 @@
 	"wallport/control/routing"
 )
 
-// buildPools sets the routing table in force, which is compiled once for each version, and its
-// pools.
+// buildPools sets the snapshot's routing table, which is compiled once for each version, and the pools
+// of that table.
 func (table *Table) buildPools(snap *Snapshot) {
 	if len(snap.Config.Routing) == 0 {
 		return
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -19,7 +19,7 @@
 
 const second = clock.Second
 
-// timers are those of a process, the next one first.
+// timers is a heap of a process's timers, the next one first.
 type timers []kernel.Timer
 
 func (h timers) Len() int           { return len(h) }
@@ -52,7 +52,7 @@
 	return &wire.PullReply{Versions: []wire.Versioned{v}, ContactMask: f.contact, RelayedMask: f.relayed}
 }
 
-// node is one node's process; the test plays the cores, by address, and the platform.
+// node is one node's process. The test simulates the cores, by address, and the platform.
 type node struct {
 	t      *testing.T
 	kernel *kernel.Kernel
@@ -123,7 +123,7 @@
 	}
 }
 
-// readyWithin is how long it takes until the node may serve, or more than most.
+// readyWithin returns the time until the node is ready to serve, or a time above most if it takes longer.
 func (n *node) readyWithin(most int64) int64 {
 	for began := n.now; ; n.run(10_000) {
 		if n.table.Current().Ready() || n.now-began > most {
@@ -139,7 +139,8 @@
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
-// One of three cores is cut off and has an old configuration; it may be requested first.
+// TestStartedNodeSkipsPartitionedCore checks that a started node does not serve the old configuration of a
+// core that is partitioned from the other two, even if it pulls from that core first.
 func TestStartedNodeSkipsPartitionedCore(t *testing.T) {
 	for _, partitioned := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		cores := map[string]*fakeCore{}
@@ -152,11 +153,12 @@
 		must.Less(t, second, n.readyWithin(2*second))
 		must.Eq(t, 9, n.table.Current().Routing.Revision)
 		n.run(10 * second)
-		must.Less(t, 10, old.requested, must.Sprint("one without contact is seldom requested"))
+		must.Less(t, 10, old.requested, must.Sprint("a core without contact is seldom pulled from"))
 	}
 }
 
-// Of three cores one alone is in contact, as a follower that a leader is cut off with is not.
+// TestStartedNodePullsFromOneCoreAfterAnother checks that a started node finds the only one of three cores
+// that is in contact with a majority. Followers that are partitioned together with a former leader are not.
 func TestStartedNodePullsFromOneCoreAfterAnother(t *testing.T) {
 	for _, inContact := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		cores := map[string]*fakeCore{}
@@ -170,7 +172,8 @@
 	}
 }
 
-// A core that was slow to answer proves nothing: the answer may have been held up by a cut.
+// TestDelayedReplyConfirmsNothing checks that a core's reply older than MaxReplyAge does not confirm its
+// state, since a network partition may have delayed it.
 func TestDelayedReplyConfirmsNothing(t *testing.T) {
 	late := &fakeCore{term: 3, revision: 7, contact: 1, delay: configsync.MaxReplyAge + second}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": late, "10.0.0.2:1": {unresponsive: true}, "10.0.0.3:1": {unresponsive: true}})
@@ -178,8 +181,9 @@
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
-// A majority of the disks is gone, or only the core that is cut off can be reached: the node serves
-// what there is, but not before it has looked for inContact.
+// TestNodeServesUnconfirmedAfterDelayWithoutContact checks a node that reaches only a core without contact,
+// because a majority of the disks is lost or that core is partitioned. The node serves the unconfirmed
+// state, but only after UnconfirmedTimeout, during which it looks for a core in contact.
 func TestNodeServesUnconfirmedAfterDelayWithoutContact(t *testing.T) {
 	old := &fakeCore{term: 3, revision: 7}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": old, "10.0.0.2:1": {unresponsive: true}, "10.0.0.3:1": {unresponsive: true}})
@@ -188,10 +192,11 @@
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
 	requested := old.requested
 	n.run(10 * second)
-	must.Between(t, 5, old.requested-requested, 60, must.Sprint("it is requested no more often than usual"))
+	must.Between(t, 5, old.requested-requested, 60, must.Sprint("the core is pulled from no more often than usual"))
 }
 
-// While a core in contact can be reached, nothing else is served, however late it comes up.
+// TestUnconfirmedStateIsNotServedWhileCoreHasContact checks that unconfirmed state is not served if a core
+// in contact becomes reachable before UnconfirmedTimeout.
 func TestUnconfirmedStateIsNotServedWhileCoreHasContact(t *testing.T) {
 	inContact := &fakeCore{term: 4, revision: 9, contact: 1, unresponsive: true}
 	cores := map[string]*fakeCore{"10.0.0.1:1": {term: 3, revision: 7}, "10.0.0.2:1": inContact, "10.0.0.3:1": {unresponsive: true}}
@@ -203,7 +208,8 @@
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
-// What another core passed on confirms as well; a process that serves goes on when contact is lost.
+// TestRelayedContactConfirmsAndRunningNodeKeepsServing checks that a confirmation that a core relays for
+// another one suffices, and that a serving process continues after all cores have lost contact.
 func TestRelayedContactConfirmsAndRunningNodeKeepsServing(t *testing.T) {
 	core := &fakeCore{term: 3, revision: 7, relayed: 1}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": core, "10.0.0.2:1": core, "10.0.0.3:1": core})
@@ -211,13 +217,14 @@
 	core.relayed = 0
 	n.run(30 * second)
 	must.True(t, n.table.Current().Ready())
-	// A newer version is committed by a majority, whoever brings it.
+	// Any newer version has been committed by a majority, whichever core it comes from.
 	core.term, core.revision = 5, 8
 	n.run(5 * second)
 	must.Eq(t, 8, n.table.Current().Routing.Revision)
 }
 
-// After a freeze requests wait for what happened meanwhile, as a core in contact tells it.
+// TestThawedNodeWaitsForCoreInContact checks that after a freeze the state counts as stale until a core in
+// contact with a majority has replied to a pull.
 func TestThawedNodeWaitsForCoreInContact(t *testing.T) {
 	core := &fakeCore{term: 3, revision: 7, contact: 1}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": core, "10.0.0.2:1": core, "10.0.0.3:1": core})
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -11,16 +11,16 @@
 	"wallport/runtime/wire"
 )
 
-// RosterTTL is how long a node that is no longer live still counts as a possible owner of
+// RosterTTL is how long a node that is no longer live is still considered a possible owner of
 // idempotency keys.
 const RosterTTL = 6 * clock.Second
 
-// MaxKeyOwners bounds the nodes that may own idempotency keys: when the set changes, each of them
-// queries every other.
+// MaxKeyOwners bounds the number of nodes that may own idempotency keys, since each of them queries every
+// other one when the set changes.
 const MaxKeyOwners = 33
 
-// keyOwners selects the key owners of a fleet: by the hash of the name, one zone after the other in
-// round.
+// keyOwners selects up to MaxKeyOwners key owners from the roster: round-robin over the zones, and within a
+// zone by the hash of the name.
 func keyOwners(roster []Node) []Node {
 	if len(roster) <= MaxKeyOwners {
 		return roster
@@ -56,7 +56,7 @@
 	return x
 }
 
-// roster returns the nodes, those that died within RosterTTL included, sorted by name.
+// roster returns the nodes, including those that were live within the last RosterTTL, sorted by name.
 func (table *Table) roster(ctx *kernel.Context) []Node {
 	var out []Node
 	table.members.Each(ctx.Now, func(origin string, r *wire.Member, live bool) {
@@ -68,7 +68,7 @@
 			return
 		}
 		n := Node{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Origin: origin, Live: live}
-		// Members are sorted by name. Of several with one name, a live one replaces a dead one.
+		// Members are sorted by name. If several have the same name, a live one replaces one that is not.
 		last := len(out) - 1
 		switch {
 		case last < 0 || out[last].Name != n.Name:
@@ -80,8 +80,9 @@
 	return out
 }
 
-// updateLive records which nodes are live. It returns a hash of all that a snapshot takes from the
-// passing of time: the live nodes, the possible key owners and the size of the fleet.
+// updateLive records which nodes are live. It returns a hash of the snapshot's inputs that can change
+// without a new entry, by the passage of time alone: the live nodes, the possible key owners and the size
+// of the fleet.
 func (table *Table) updateLive(now clock.Micros) uint64 {
 	h := uint64(table.members.Divisor())
 	table.members.Each(now, func(origin string, _ *wire.Member, live bool) {
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -17,22 +17,22 @@
 	Healthy HealthState = iota
 	// Slow backends have a latency far above the median of their shard.
 	Slow
-	// Suspect backends fail for this node, but not for enough others.
+	// Suspect backends fail for this node, but not for enough others to count as unhealthy.
 	Suspect
 	// Unreachable backends cannot be connected to or fail their health checks.
 	Unreachable
 	// Corrupt backends send invalid responses.
 	Corrupt
-	// Draining backends are being shut down, as the platform's list says.
+	// Draining backends are being shut down according to the platform's list.
 	Draining
 	// ZoneDrained backends are in a zone that the operators have drained.
 	ZoneDrained
 )
 
-// healthStateNames are the states as the operators' API names them.
+// healthStateNames holds the names of the states in the operators' API.
 var healthStateNames = [...]string{"ok", "slow", "doubt", "lost", "garbage", "leaving", "emptied"}
 
-// String returns the state as the operators' API names it.
+// String returns the name of the state in the operators' API.
 func (s HealthState) String() string { return healthStateNames[s] }
 
 // stateDraining is the state of a draining backend in the platform's list.
@@ -43,14 +43,14 @@
 	wire.Backend
 	// Health is the merged health state.
 	Health HealthState
-	// Born is when the incarnation began, on this process's clock.
+	// Born is when the incarnation started, on this process's clock.
 	Born  clock.Micros
 	Gauge *Gauge
-	// CloseAfterUse says that connections to the backend are not kept idle.
+	// CloseAfterUse says that connections to the backend are closed after use instead of being kept idle.
 	CloseAfterUse bool
 }
 
-// SlowStartShare returns the share of the traffic, in thousandths, that a backend is given whose
+// SlowStartShare returns the share of its full traffic, in thousandths, that the backend receives if its
 // slow start lasts for slowStart.
 func (s *Backend) SlowStartShare(now, slowStart clock.Micros) int64 {
 	if slowStart <= 0 || s.Incarnation == 0 {
@@ -59,15 +59,15 @@
 	return max(MinSlowStartShare, min(fullShare, (now-s.Born)*fullShare/slowStart))
 }
 
-// Shares of the traffic of a backend in slow start, in thousandths.
+// Shares of a backend's full traffic during slow start, in thousandths.
 const (
 	// MinSlowStartShare is the share at the start.
 	MinSlowStartShare = 100
 	fullShare         = 1000
 )
 
-// Limit holds the limits of one kind of request to one index, for the whole fleet, in requests a
-// second; 0 is none.
+// Limit holds the limits of one kind of request to one index, for the whole fleet, in requests per
+// second; 0 means none.
 type Limit struct {
 	// Share is the quota share of the index's capacity.
 	Share     float64
@@ -79,22 +79,22 @@
 // Index is one index of the configuration.
 type Index struct {
 	Name string
-	// ShardMap is the shard map that is served from. Shards are the backends of each of its shards,
-	// NextShards those of the next shard map while the index is resharded.
+	// ShardMap is the shard map that this node serves from. Shards holds the backends of each of its
+	// shards, NextShards those of the next shard map while the index is being resharded.
 	ShardMap   wire.ShardMap
 	Shards     [][]*Backend
 	NextShards [][]*Backend
 	Service    *configpb.Service
-	// Limits are the limits by kind of request.
+	// Limits holds the limits by kind of request.
 	Limits map[string]Limit
-	// Capacity is that of the index, in requests a second.
+	// Capacity is the capacity of the index, in requests per second.
 	Capacity float64
 }
 
 // Pool is one pool of the routing table.
 type Pool struct {
 	*routingpb.Pool
-	// Backends are all backends of the pool, those that must not be selected included.
+	// Backends holds all backends of the pool, including those that must not be selected.
 	Backends []*Backend
 }
 
@@ -104,42 +104,42 @@
 	Live                     bool
 }
 
-// Snapshot is the state of the fleet as this node sees it. It is never changed once published.
+// Snapshot is the state of the fleet as seen by this node. It is not modified once it has been published.
 type Snapshot struct {
 	// At is when it was built.
 	At clock.Micros
-	// Version is that of the configuration, Config its body and Configuration the decoded document.
+	// Version is the configuration's version, Config its body and Configuration the decoded document.
 	Version       wire.Version
 	Config        wire.ConfigBody
 	Configuration *configpb.Sheet
 	Indexes       map[string]*Index
-	// Roster is all nodes, those that died lately included. KeyOwners are those of them that may own
-	// idempotency keys.
+	// Roster holds all nodes, including those that stopped being live within the last RosterTTL.
+	// KeyOwners holds those that may own idempotency keys.
 	Roster    []Node
 	KeyOwners []Node
-	// Divisor is the number of nodes by which limits of the fleet are divided: the greatest number of
-	// live nodes seen lately, so that nodes that miss some of the others do not exceed the limits.
+	// Divisor is the number of nodes by which limits of the fleet are divided. It is the greatest recent
+	// number of live nodes, so that nodes that do not see all others do not exceed the limits.
 	Divisor int
-	// Zone is this node's zone, ZoneDrained says that the operators have drained it.
+	// Zone is this node's zone. ZoneDrained says that the operators have drained it.
 	Zone        string
 	ZoneDrained bool
 	// Draining says that this process is shutting down.
 	Draining bool
-	// Peers counts the nodes that are live now, this one included.
+	// Peers is the number of live nodes, including this one.
 	Peers    int
 	Backends []*Backend
-	// Routing is the routing table in force, nil before the first; Pools are its pools by name.
+	// Routing is the current routing table, nil before the first; Pools holds its pools by name.
 	Routing *routing.Table
 	Pools   map[string]*Pool
-	// Complete says that the configuration, the shard maps and the platform's list are all there and
-	// confirmed. Once it is set, it stays set in later snapshots.
+	// Complete says that the configuration, the shard maps and the platform's list are present and
+	// confirmed. Once it is set, it remains set in later snapshots.
 	Complete bool
-	// Stale says that the process was frozen and has not yet learned what happened meanwhile.
-	// Requests wait for a newer snapshot, MaxStale at most.
+	// Stale says that the process was frozen and has not yet received the changes that it missed.
+	// Requests wait for a newer snapshot, for at most MaxStale.
 	Stale bool
 }
 
-// MaxStale bounds how long a snapshot is stale. An isolated node continues with the state it has.
+// MaxStale bounds how long a snapshot is stale. After that an isolated node serves from the state it has.
 const MaxStale = 1 * clock.Second
 
 // Ready reports whether requests can be served from this snapshot. It may be called on nil.
--- a/request/snapshot/subset.go
+++ b/request/snapshot/subset.go
@@ -6,27 +6,28 @@
 	"slices"
 )
 
-// maxIdleMille is how many thousandths of a backend's connections may be idle, from all nodes
-// together.
+// maxIdleMille is the share of a backend's connections, in thousandths, that all nodes together may keep
+// idle.
 const maxIdleMille = 600
 
-// exceedsIdleLimit reports whether idle connections from all nodes would be too many for a backend.
+// exceedsIdleLimit reports whether one idle connection from each node would exceed a backend's limit.
 func exceedsIdleLimit(connections int64, nodes int) bool {
 	return connections > 0 && int64(nodes)*1000 > connections*maxIdleMille
 }
 
-// subsetNode is a node in the division of idle connections: the nodes of a zone divide the backends
-// of the zone among them.
+// subsetNode is a node for which the subset of backends with idle connections is computed. The nodes of a
+// zone divide the backends of the zone among them.
 type subsetNode struct {
 	name, zone string
 	// nodes counts all nodes, zoneNodes those of the zone.
 	nodes, zoneNodes int
 }
 
-// assignSubset determines to which backends of a pool this node keeps idle connections. If a pool
-// allows each backend fewer connections than there are nodes, each node keeps them to a subset of
-// its own zone's backends, chosen by rendezvous hashing, and closes the others after use. Otherwise
-// idle connections would use up a backend's connections, beyond which it resets new ones.
+// assignSubset determines the backends of a pool to which this node keeps idle connections. Normally these
+// are all backends. If one idle connection from each node would exceed the idle share of a backend's
+// MaxConnections, each node keeps idle connections only to a subset of the backends in its zone, chosen by
+// rendezvous hashing, and closes all others after use. Otherwise idle connections would use up the backend's
+// connections, and it would reset new ones.
 func (p *Pool) assignSubset(node subsetNode) {
 	if !exceedsIdleLimit(p.MaxConnections, node.nodes) {
 		return
@@ -50,7 +51,7 @@
 	}
 }
 
-// rankedBackend is a backend with its rank in the rendezvous order of this node.
+// rankedBackend is a backend with its rank in this node's rendezvous order.
 type rankedBackend struct {
 	rank    uint64
 	backend *Backend
--- a/request/snapshot/subset_test.go
+++ b/request/snapshot/subset_test.go
@@ -22,8 +22,8 @@
 	return p
 }
 
-// idle returns the greatest number of nodes that keep connections to one backend, and the smallest
-// number of backends that a node keeps connections to.
+// idle returns the greatest number of nodes that keep idle connections to the same backend, and the smallest
+// number of backends to which a node keeps idle connections.
 func idle(backends int, connections int64, nodes int) (most, fewest int) {
 	by := map[string]int{}
 	fewest = backends
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -16,13 +16,13 @@
 
 // Constants of building.
 const (
-	// BuildDelay is how long a change other than a partition's version waits for others, and
-	// BuildInterval the least time between two snapshots that are built for such changes alone.
+	// Changes other than new versions of partitions and new lists are batched: a build waits BuildDelay
+	// for further changes, and two such builds are at least BuildInterval apart.
 	BuildDelay    = 25 * clock.Millisecond
 	BuildInterval = 100 * clock.Millisecond
 	// AbsentTTL is how long a backend is kept that is missing from incomplete lists.
 	AbsentTTL = 60 * clock.Second
-	// awaitInterval is the time between two looks for confirmed state by a process that has none.
+	// awaitInterval is the interval at which a process without confirmed state checks for it.
 	awaitInterval = 250 * clock.Millisecond
 )
 
@@ -39,7 +39,7 @@
 	mesh       *mesh.Mesh
 	members    *membership.Members
 	configSync *configsync.Sync
-	// Gauges are those of all backends.
+	// Gauges holds the gauges of all backends.
 	Gauges *Gauges
 
 	current        atomic.Pointer[Snapshot]
@@ -48,27 +48,28 @@
 	staleness      staleness
 	config         configState
 
-	// backendList is the platform's list as last announced, backendListOrigin and backendListCount the
-	// origin and the count of the entry that brought it.
+	// backendList is the platform's list as last announced; backendListOrigin and backendListCount are
+	// the origin and the count of its entry.
 	backendList       wire.BackendList
 	backendListOrigin string
 	backendListCount  uint64
-	// drainingIncarnation is the incarnation of each backend that was last listed as draining.
+	// drainingIncarnation is the newest incarnation of each backend that was listed as draining.
 	drainingIncarnation map[string]int64
-	// absentSince is since when a backend has been missing from incomplete lists.
+	// absentSince is when each backend was first missing from an incomplete list.
 	absentSince   map[string]clock.Micros
 	births        map[string]birth
 	healthReports healthReports
 
-	// lastLive is when each node was last live, by origin; liveHash sums up who was at the last build.
+	// lastLive is when each node was last live, by origin. liveHash is the result of updateLive at the
+	// last build.
 	lastLive map[string]clock.Micros
 	liveHash uint64
-	// servedShardMaps are the shard maps that this node serves from, by index.
+	// servedShardMaps holds the shard maps that this node serves from, by index.
 	servedShardMaps map[string]wire.ShardMap
 }
 
-// staleness is what a process that was frozen still has to learn: until when it waits for that at
-// most, and whether it has caught up with the mesh and pulled from a core.
+// staleness tracks whether a thawed process has received the changes that it missed: until is when it stops
+// waiting for them, mesh and pulled say whether it has caught up with the mesh and pulled from a core.
 type staleness struct {
 	until  clock.Micros
 	mesh   bool
@@ -77,7 +78,7 @@
 
 func (s staleness) active(now clock.Micros) bool { return now < s.until && !(s.mesh && s.pulled) }
 
-// birth is when an incarnation of a backend began, on this process's clock.
+// birth is an incarnation of a backend and when it started, on this process's clock.
 type birth struct {
 	incarnation int64
 	born        clock.Micros
@@ -99,7 +100,7 @@
 // Kinds returns the kinds of frames that the plug-in handles: none.
 func (table *Table) Kinds() []uint8 { return nil }
 
-// Current returns the newest snapshot; nil before the first. Any goroutine may call it.
+// Current returns the newest snapshot, or nil before the first. It is safe for concurrent use.
 func (table *Table) Current() *Snapshot { return table.current.Load() }
 
 // Step handles one input of the kernel.
@@ -149,7 +150,8 @@
 	}
 }
 
-// scheduleBuild schedules one build for all changes until then.
+// scheduleBuild schedules a build, unless one is already scheduled, so that one build covers all changes
+// until then.
 func (table *Table) scheduleBuild(ctx *kernel.Context) {
 	if !table.buildScheduled {
 		table.buildScheduled = true
@@ -157,7 +159,8 @@
 	}
 }
 
-// updateStaleness records with f one of the things that a thawed process waits for.
+// updateStaleness applies f, which records that a thawed process has caught up with one source, and builds
+// a snapshot if it has now caught up with all.
 func (table *Table) updateStaleness(ctx *kernel.Context, f func(s *staleness)) {
 	if !table.staleness.active(ctx.Now) {
 		return
@@ -168,8 +171,8 @@
 	}
 }
 
-// handlePulled handles that a core replied to a pull. A process that has just started or was thawed
-// needs the reply of a core in contact with a majority.
+// handlePulled handles a core's reply to a pull. A process that has just started or was thawed needs a reply
+// from a core in contact with a majority, so other replies are ignored.
 func (table *Table) handlePulled(ctx *kernel.Context, v configsync.Pulled) {
 	if v.Confirmed == 0 {
 		return
@@ -180,8 +183,8 @@
 	}
 }
 
-// applyBackendList takes a reading of the platform's list, unless a newer one is known: by the lease
-// id or, from the same origin, by the entry's count.
+// applyBackendList applies an announced platform's list unless a newer one is known. A list is newer if it
+// has a higher lease id or, among lists of the same origin, if its entry has a higher count.
 func (table *Table) applyBackendList(ctx *kernel.Context, v mesh.Stored) {
 	var list wire.BackendList
 	if wire.Decode(v.Entry.Body, &list) != nil || list.LeaseID < table.backendList.LeaseID {
@@ -194,7 +197,8 @@
 	for _, backend := range list.Backends {
 		listed[backend.ID] = true
 		if backend.State == stateDraining {
-			// An incarnation that drains never serves again, whatever a later list says.
+			// An incarnation that has been listed as draining never serves again, even if a later list
+			// shows another state.
 			table.drainingIncarnation[backend.ID] = max(table.drainingIncarnation[backend.ID], backend.Incarnation)
 		}
 	}
@@ -208,8 +212,8 @@
 	table.build(ctx)
 }
 
-// keepAbsent returns the known backends that an incomplete list does not name and that have been
-// absent for less than AbsentTTL: absence from such a list proves nothing for a while.
+// keepAbsent returns the known backends that are missing from an incomplete list and have been absent for
+// less than AbsentTTL, since a backend may still exist although an incomplete list lacks it.
 func (table *Table) keepAbsent(ctx *kernel.Context, listed map[string]bool) (kept []wire.Backend) {
 	for _, backend := range table.backendList.Backends {
 		if listed[backend.ID] {
@@ -251,11 +255,11 @@
 	ctx.Emit(Built{})
 }
 
-// Built is emitted when a new snapshot was published.
+// Built is emitted when a new snapshot has been published.
 type Built struct{}
 
-// reannounceBackendList announces the list that a forgotten node had announced, so that nodes that
-// start later find it. The first live node by name does so.
+// reannounceBackendList announces the current list again if the node that had announced it was forgotten,
+// so that nodes that start later receive it. Only the first live node by name does so.
 func (table *Table) reannounceBackendList(ctx *kernel.Context, forgotten string) {
 	live := table.members.Live(ctx.Now, settings.RoleNode)
 	if forgotten == table.backendListOrigin && len(live) > 0 && live[0].Origin == table.mesh.Self() {
