--- a/request/discovery/change.go
+++ b/request/discovery/change.go
@@ -9,18 +9,18 @@
 	"wallport/runtime/wire"
 )
 
-// changed reports whether a list says anything that the last announced one did not. A slow start
-// that only runs down is no change.
+// changed reports whether a list differs from the last announced one. The decrease of a slow start's
+// remaining time is not a difference.
 func (p *Lister) changed(now clock.Micros, l *wire.BackendList) bool {
 	slices.SortFunc(l.Backends, func(a, b wire.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	announced, changed := p.slowStartUntil, false
 	p.slowStartUntil = map[string]clock.Micros{}
-	// content is what is compared: the list without the remaining slow start of its backends.
+	// content is the part of the list that is compared by its hash: all but the remaining slow start times.
 	content := wire.BackendList{LeaseID: l.LeaseID, Complete: l.Complete, Backends: slices.Clone(l.Backends)}
 	for i := range content.Backends {
 		backend := &content.Backends[i]
 		if backend.WarmUpRemaining == 0 {
-			// Warm earlier than announced.
+			// The slow start ended earlier than announced.
 			changed = changed || announced[backend.ID]-now >= SlowStartTolerance
 			continue
 		}
--- a/request/discovery/discovery.go
+++ b/request/discovery/discovery.go
@@ -14,31 +14,32 @@
 	"wallport/runtime/wire"
 )
 
-// LeaseTask is the task whose lease the reader of the list holds. It is also the id of the entries
-// that the reader announces.
+// LeaseTask is the name of the task whose lease the reader of the list holds. It is also the id of the
+// entries that the reader announces.
 const LeaseTask = "platform-list"
 
 // Constants of reading the list.
 const (
 	// RenewInterval is the time between two renewals of the lease.
 	RenewInterval = 200 * clock.Millisecond
-	// StaleAfter is how long nothing must have been heard of the list before nodes read it without
-	// the lease. RankStep separates the first from the second by rank, and so on.
+	// StaleAfter is the time without an announced reading after which nodes read the list without the
+	// lease. Each rank waits RankStep longer than the previous one.
 	StaleAfter = 1500 * clock.Millisecond
 	RankStep   = 200 * clock.Millisecond
-	// FetchTimeout is the time-out of a call of the platform.
+	// FetchTimeout is the timeout of a call to the platform's API.
 	FetchTimeout = 700 * clock.Millisecond
-	// MaxRequestGap bounds, in units of RenewInterval, how long a node that does not hold the lease
-	// waits between two requests for it.
+	// MaxRequestGap bounds, in units of RenewInterval, the mean time between two lease requests of a node
+	// that does not hold the lease.
 	MaxRequestGap = 20
-	// ReleaseBackoff is how long a node that could not reach the platform leaves the lease to others.
+	// ReleaseBackoff is how long a node that has released the lease because it could not reach the platform
+	// does not request it again.
 	ReleaseBackoff = 5 * clock.Second
-	// AnnounceInterval is how often the complete list is announced though it has not changed.
+	// AnnounceInterval is the interval at which the complete list is announced even if it has not changed.
 	AnnounceInterval = 10 * clock.Second
-	// SlowStartTolerance is by how much the end of a backend's slow start may move without being a
-	// change.
+	// SlowStartTolerance is by how much the end of a backend's slow start may shift before it counts as a
+	// change of the list.
 	SlowStartTolerance = 1 * clock.Second
-	// maxSlowdown bounds the backoff of a node that reads by itself.
+	// maxSlowdown bounds the backoff factor of a node that reads without the lease.
 	maxSlowdown = 16
 )
 
@@ -49,42 +50,42 @@
 	fetchList      = "list"
 )
 
-// Lister is the plug-in of a node.
+// Lister is the plug-in that reads and announces the list.
 type Lister struct {
 	k          *kernel.Kernel
 	mesh       *mesh.Mesh
 	members    *membership.Members
 	configSync *configsync.Sync
 
-	// leaseUntil is when the lease of this node ends; leaseID is that of the last lease granted to it.
+	// leaseUntil is when this node's lease expires; leaseID is the id of the last lease granted to it.
 	leaseUntil clock.Micros
 	leaseID    uint64
-	// newestLeaseID is the highest lease id heard of. A list that is read without a lease carries it,
-	// so that it does not look older than what is known.
+	// newestLeaseID is the highest known lease id. A list that is read without a lease carries it, so that
+	// other nodes do not discard the list as older than the one they know.
 	newestLeaseID uint64
-	// requestedAt is when each request was sent that a reply may still answer, by its id.
+	// requestedAt is when each lease request was sent for which a reply is still accepted, by request id.
 	requestedAt   map[uint64]clock.Micros
 	lastRequestID uint64
 	nextRequestAt clock.Micros
-	// noRequestUntil is until when this node requests no lease.
+	// noRequestUntil is until when this node does not request the lease.
 	noRequestUntil clock.Micros
 
 	readAt  clock.Micros
 	reading bool
-	// lastReadingAt is when a reading was last heard of, by whichever node.
+	// lastReadingAt is when the last reading, of any node, was announced.
 	lastReadingAt clock.Micros
-	// soleReader says that the last reading heard of was this node's.
+	// soleReader says that the last announced reading was this node's own.
 	soleReader bool
-	// slowdown is the factor by which a node that reads by itself backs off.
+	// slowdown is the backoff factor of a node that reads without the lease.
 	slowdown int64
-	// listUnknown says that no list is known yet.
+	// listUnknown says that no list has been announced yet.
 	listUnknown bool
-	// callsPerRead is how many calls of the platform the last reading took.
+	// callsPerRead is the number of calls to the platform's API that the last reading took.
 	callsPerRead int64
 
 	announcedAt   clock.Micros
 	announcedHash uint64
-	// slowStartUntil is when, as last announced, the slow start of each backend ends.
+	// slowStartUntil is when each backend's slow start ends, as last announced.
 	slowStartUntil map[string]clock.Micros
 }
 
@@ -134,7 +135,7 @@
 	}
 }
 
-// handleStored records that a reading was announced, and the highest lease id.
+// handleStored handles the announcement of a reading. It records the time and the highest lease id.
 func (p *Lister) handleStored(ctx *kernel.Context, v mesh.Stored) {
 	if v.Entry.Type != mesh.EntryBackendList && v.Entry.Type != mesh.EntryPolled {
 		return
@@ -148,12 +149,12 @@
 	}
 }
 
-// readInterval returns the least time between two readings of this node. The lease holder, or the
-// reader of the greater part of a fleet, uses five eighths of the allowance without backoff. A node
-// that sees half of the fleet or less uses a third of it, and backs off further for as long as the
-// platform rejects its calls for their number, since other nodes may be as isolated.
+// readInterval returns the minimum time between two readings by this node. The lease holder, or a reader that
+// sees more than half of the fleet, uses five eighths of the allowance, without backoff. A node that sees half
+// of the fleet or less uses a third of the allowance, and backs off further for as long as the platform
+// rejects its calls with status 429, since other nodes may be isolated and reading as well.
 func (p *Lister) readInterval(ctx *kernel.Context) clock.Micros {
-	// perRead is the interval that uses up the fleet's allowance.
+	// perRead is the interval at which readings use the whole allowance of the fleet.
 	perRead, nodes := 10*clock.Second*p.callsPerRead/p.k.Boot.Settings.PollsPer10s, p.members.Divisor()
 	least := p.k.Boot.Settings.ListInterval
 	if ctx.Now < p.leaseUntil || p.mesh.Peers() > 0 && (nodes == 1 || 2*len(p.members.Live(ctx.Now, settings.RoleNode)) > nodes) {
@@ -179,8 +180,8 @@
 	ctx.Fetch(pluginName, fetchList, p.k.Boot.Settings.PlatformURL, FetchTimeout)
 }
 
-// requestLease renews the lease, or requests it if another node may hold it. The more nodes there
-// are, the more rarely each of them requests it.
+// requestLease renews the lease or, if this node does not hold it, requests it. The more nodes there are, the
+// less often each of them requests it.
 func (p *Lister) requestLease(ctx *kernel.Context) {
 	partition := state.PartitionOf(LeaseTask)
 	addr := p.configSync.Leader(partition)
@@ -197,12 +198,13 @@
 	ctx.SendTo(addr, wire.KindLeaseRequest, p.lastRequestID, &wire.LeaseRequest{Partition: partition, Task: LeaseTask, From: p.mesh.Self()})
 }
 
-// readsWithoutLease reports whether no reading was heard of for so long that it is this node's turn
-// by rank. Origins are random at each start, so that the nodes of one zone do not rank side by
-// side.
+// readsWithoutLease reports whether this node may read the list without the lease: because the last reading
+// was its own, or because none has been announced for StaleAfter plus RankStep for each live node of a lower
+// rank. Nodes rank by origin, which is random for each process, so that the nodes of one zone do not have
+// adjacent ranks.
 func (p *Lister) readsWithoutLease(ctx *kernel.Context) bool {
 	if p.soleReader {
-		// Nobody else reads: continue until another reader is heard.
+		// No other node reads: continue until another node announces a reading.
 		return true
 	}
 	overdue := ctx.Now - p.lastReadingAt - StaleAfter
@@ -218,7 +220,8 @@
 	return overdue > rank*RankStep
 }
 
-// handleFetched announces a reading, or that it failed or changed nothing.
+// handleFetched handles the platform's response. It announces the list if it has changed or AnnounceInterval
+// has passed, and otherwise only that the list was read.
 func (p *Lister) handleFetched(ctx *kernel.Context, v kernel.Fetched) {
 	p.reading = false
 	var list wire.BackendList
@@ -236,8 +239,8 @@
 	p.mesh.Announce(ctx, mesh.EntryBackendList, LeaseTask, wire.Encode(&list), false)
 }
 
-// handleFailure handles a reading that failed or named no backend. The attempt is announced
-// nevertheless, so that the other nodes do not all try what fails.
+// handleFailure handles a reading that failed or returned no backend. The attempt is announced even so, to
+// keep the other nodes from all repeating it.
 func (p *Lister) handleFailure(ctx *kernel.Context, v kernel.Fetched) {
 	ctx.Counts.Add("platform_failed", 1)
 	if v.Status == http.StatusTooManyRequests {
@@ -245,7 +248,7 @@
 	}
 	ctx.Log(kernel.LevelWarn, "platform_failed", "status", v.Status, "error", v.Err)
 	if v.Status == 0 && p.releaseLease(ctx) {
-		// The platform could not be reached at all; another node may reach it.
+		// This node cannot reach the platform, but another node may.
 		p.noRequestUntil = ctx.Now + ReleaseBackoff
 	}
 	p.mesh.Announce(ctx, mesh.EntryPolled, LeaseTask, nil, false)
--- a/request/discovery/discovery_test.go
+++ b/request/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 
 const second = clock.Second
 
-// rig runs one node's kernel; the test plays the leader, the platform and the other nodes.
+// rig runs one node's kernel. The test simulates the leader, the platform and the other nodes.
 type rig struct {
 	t             *testing.T
 	k             *kernel.Kernel
@@ -27,11 +27,12 @@
 	timers        []kernel.Timer
 	fetches       []int64
 	leaseRequests []wire.LeaseRequest
-	// status and list are the platform's response; with grants set, lease requests are granted.
+	// status and list are the platform's response. If grants is set, lease requests are granted.
 	status int
 	list   wire.BackendList
 	grants bool
-	// peer is the node at the other end of connection 1; frames to it wait in inbox until both have stepped.
+	// peer is the node at the other end of connection 1. Frames to a node wait in its inbox until both nodes have
+	// stepped.
 	peer  *rig
 	inbox [][]byte
 }
@@ -60,7 +61,7 @@
 		must.NoError(r.t, err)
 		v := kernel.Fetched{Plugin: pluginName, Key: fetchList, Status: r.status, Body: body}
 		if r.status == 0 {
-			v.Err = "no way"
+			v.Err = "connection refused"
 		}
 		r.feed(v)
 	}
@@ -87,19 +88,19 @@
 	r.feed(kernel.Received{Data: wire.Seal(kind, 0, m)})
 }
 
-// learnLeader makes the node know a leader of the duty's partition.
+// learnLeader informs the node of a leader of the lease's partition.
 func (r *rig) learnLeader() {
 	r.message(wire.KindPullReply, &wire.PullReply{Leaders: []wire.Leader{{Partition: state.PartitionOf(LeaseTask), Term: 1, Replica: "s", Addr: "10.0.0.9:1"}}})
 }
 
-// connect opens a mesh connection between two nodes.
+// connect opens a mesh connection between two nodes, with id 1 on both.
 func connect(a, b *rig) {
 	a.peer, b.peer = b, a
 	a.feed(kernel.ConnUp{Conn: 1, Addr: b.k.Boot.Settings.Mesh, Peer: b.lister.mesh.Self(), Dialed: true, Mesh: true})
 	b.feed(kernel.ConnUp{Conn: 1, Addr: a.k.Boot.Settings.Mesh, Peer: a.lister.mesh.Self(), Mesh: true})
 }
 
-// run lets the clock go on, with the peer's side by side.
+// run advances the clocks of the node and its peer together, in slices of 50 ms.
 func (r *rig) run(d int64) {
 	const slice = 50_000
 	for end := r.now + d; r.now < end; {
@@ -118,7 +119,7 @@
 	}
 }
 
-// advance lets one node's clock go on, timer by timer.
+// advance advances the clock of one node and fires its timers.
 func (r *rig) advance(d int64) {
 	for end := r.now + d; ; {
 		next := -1
@@ -145,9 +146,9 @@
 	}{
 		{second, 440, 1, 9, 10},
 		{second, 440, 5, 9, 10},
-		// Five calls a reading at five a second: eight thirds of a second between two.
+		// Five calls per reading with an allowance of five per second: readings are eight fifths of a second apart.
 		{second, 50, 5, 5, 7},
-		// No period requested for: five eighths of the allowance.
+		// Without a configured interval: five eighths of the allowance.
 		{0, 20, 0, 12, 13},
 	} {
 		r := newRig(t, settings.Settings{ListInterval: c.every, PollsPer10s: c.polls})
@@ -162,14 +163,14 @@
 
 func TestTimedOutLeaseHolderIsReplaced(t *testing.T) {
 	r := newRig(t, settings.Settings{ListInterval: second, PollsPer10s: 440})
-	// A reading was heard of before; a node that knows of none reads at once (firstread_test.go).
+	// Assume that a list is known: a node without one reads it soon after start (firstread_test.go).
 	r.lister.listUnknown = false
 	r.run(StaleAfter)
-	must.SliceEmpty(t, r.fetches, must.Sprint("nobody was silent for long yet"))
+	must.SliceEmpty(t, r.fetches, must.Sprint("StaleAfter has not passed yet"))
 	r.run(2 * RenewInterval)
-	must.Len(t, 1, r.fetches, must.Sprint("first by rank"))
+	must.Len(t, 1, r.fetches, must.Sprint("this node has the first rank"))
 	r.run(5 * second)
-	must.Between(t, 5, len(r.fetches), 6, must.Sprint("goes on once a second while nobody else reads"))
+	must.Between(t, 5, len(r.fetches), 6, must.Sprint("reads once per second while no other node reads"))
 }
 
 func TestLeaseHolderWithoutResponsesReleasesLease(t *testing.T) {
@@ -194,7 +195,7 @@
 		must.Positive(t, releases)
 		requested := len(r.leaseRequests)
 		r.run(2 * second)
-		must.Eq(t, requested, len(r.leaseRequests), must.Sprint("leaves it to others for a while"))
+		must.Eq(t, requested, len(r.leaseRequests), must.Sprint("does not request the lease during ReleaseBackoff"))
 		r.run(ReleaseBackoff)
 		must.Less(t, len(r.leaseRequests), requested)
 	}
@@ -226,12 +227,12 @@
 	}
 	must.True(t, read(0, 0, "ready"))
 	must.False(t, read(second, 0, "ready"))
-	must.True(t, read(2*second, 0, "leaving"), must.Sprint("a state"))
+	must.True(t, read(2*second, 0, "leaving"), must.Sprint("a backend's state changed"))
 	must.True(t, read(3*second, 5*second, "leaving"), must.Sprint("slow start began"))
-	must.False(t, read(4*second, 4*second+100_000, "leaving"), must.Sprint("a slow start that runs down"))
+	must.False(t, read(4*second, 4*second+100_000, "leaving"), must.Sprint("only the remaining slow start decreased"))
 	must.True(t, read(5*second, 9*second, "leaving"), must.Sprint("slow start began again"))
 	must.False(t, read(14*second, 0, "leaving"), must.Sprint("slow start ended as announced"))
 	must.True(t, read(15*second, 9*second, "leaving"))
 	must.True(t, read(16*second, 0, "leaving"), must.Sprint("slow start ended earlier than announced"))
-	must.True(t, l.changed(17*second, &wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "b"}}}), must.Sprint("one is gone"))
+	must.True(t, l.changed(17*second, &wire.BackendList{Complete: true, Backends: []wire.Backend{{ID: "b"}}}), must.Sprint("a backend was removed"))
 }
--- a/request/discovery/doc.go
+++ b/request/discovery/doc.go
@@ -1,11 +1,12 @@
 // Package discovery reads the platform's list of backends and announces it to all nodes.
 //
-// One node at a time reads the list, so that the fleet stays within its allowance of calls of the
-// platform. That node holds a lease, which the leader of the lease's partition grants and the
-// holder renews. Where no core can be reached, the nodes read by rank after a time-out. A failed or
-// empty response proves nothing and changes nothing.
+// Only one node at a time reads the list, so that the fleet stays within its allowance of calls to the
+// platform's API. That node holds a lease, which the leader of the lease's partition of the control state
+// grants and the holder renews. If no list has been announced for StaleAfter, for example because no core is
+// reachable, nodes read it without the lease, in the order of their ranks. A failed or empty response is
+// never announced as a list.
 //
-// The only input besides the mesh is the platform's HTTP API; the output is an entry of the mesh
-// with the list ([mesh.EntryListing]) when it has changed, or one that says that it was read
-// ([mesh.EntryPolled]). The state is in memory: the lease, and what the last read list said.
+// The inputs are the mesh and the platform's HTTP API. The output is an entry of the mesh: one with the list
+// ([mesh.EntryBackendList]) if it has changed, or else one that says that it was read ([mesh.EntryPolled]).
+// The state is kept in memory: the lease and the last announced list's contents.
 package discovery
--- a/request/discovery/firstread.go
+++ b/request/discovery/firstread.go
@@ -5,19 +5,19 @@
 	"wallport/runtime/kernel"
 )
 
-// Delays of the first reading.
+// Delays of the first reading after start.
 const (
-	// FirstReadJitter bounds the delay on a quorum member.
+	// FirstReadJitter bounds the random delay of a quorum member.
 	FirstReadJitter = 150 * clock.Millisecond
-	// NonMemberDelay and NonMemberJitter are the least delay on other nodes and the random part.
+	// NonMemberDelay is the minimum delay of other nodes, NonMemberJitter bounds its random part.
 	NonMemberDelay  = 500 * clock.Millisecond
 	NonMemberJitter = 1 * clock.Second
 )
 
-// scheduleFirstRead sets the timer of the first reading, if the settings allow readings at an
-// interval. A node that knows of no list does not wait for the lease: after a loss of the whole
-// fleet no node can serve, and no lease be granted, before one has read the list. Quorum members
-// read at once, other nodes only if those did not.
+// scheduleFirstRead sets the timer of the first reading if the settings specify a read interval. A node
+// without a list does not wait for the lease: after a loss of the whole fleet no node can serve, and no
+// lease can be granted, until one node has read the list. Quorum members read almost immediately, other nodes
+// only if no quorum member has.
 func (p *Lister) scheduleFirstRead(ctx *kernel.Context) {
 	settings := &p.k.Boot.Settings
 	switch {
@@ -29,7 +29,7 @@
 	}
 }
 
-// readFirst reads the list unless one has been heard of meanwhile, and retries with backoff.
+// readFirst reads the list unless one has been announced by now, and retries with backoff.
 func (p *Lister) readFirst(ctx *kernel.Context) {
 	if !p.listUnknown {
 		return
--- a/request/discovery/lease.go
+++ b/request/discovery/lease.go
@@ -11,11 +11,11 @@
 	"wallport/runtime/wire"
 )
 
-// maxOpenRequests is how many lease requests a reply may still answer.
+// maxOpenRequests bounds the lease requests for which a reply is still accepted.
 const maxOpenRequests = 16
 
-// handleLeaseReply takes a granted lease. It lasts from when it was requested, since neither the
-// time that the reply took nor whether this process was frozen meanwhile is known.
+// handleLeaseReply accepts a granted lease. The duration counts from the time of the request, since it is
+// not known how long the reply was in transit or whether this process was frozen in the meantime.
 func (p *Lister) handleLeaseReply(id uint64, r wire.LeaseReply) {
 	at, open := p.requestedAt[id]
 	delete(p.requestedAt, id)
@@ -26,22 +26,22 @@
 	p.leaseID, p.newestLeaseID = max(p.leaseID, r.LeaseID), max(p.newestLeaseID, r.LeaseID)
 }
 
-// checkSingleLeaseHolder reports a violation if another node reads under a newer lease while this
-// node still holds its own.
+// checkSingleLeaseHolder reports a violation if another node reads under a newer lease while this node
+// still holds the lease.
 func (p *Lister) checkSingleLeaseHolder(ctx *kernel.Context, v mesh.Stored, l *wire.BackendList) {
 	if !v.Local && ctx.Now < p.leaseUntil && l.LeaseID > p.leaseID {
 		ctx.ReportViolation(invariant.OneLeaseHolder, fmt.Sprintf("%s reads under lease %d while this node holds lease %d for another %d us", v.Origin, l.LeaseID, p.leaseID, p.leaseUntil-ctx.Now))
 	}
 }
 
-// forgetLease ends this node's lease on its own side. A grant on its way is ignored.
+// forgetLease ends this node's lease locally. Grants that are still in transit are ignored.
 func (p *Lister) forgetLease() {
 	p.leaseUntil = 0
 	clear(p.requestedAt)
 }
 
-// releaseLease hands the lease over to the next live node by name, if this node holds it and there
-// is such a node, and reports whether it did.
+// releaseLease hands the lease over to the first other live node by name that is not draining, if this node
+// holds the lease and such a node exists. It reports whether it did.
 func (p *Lister) releaseLease(ctx *kernel.Context) bool {
 	partition := state.PartitionOf(LeaseTask)
 	addr := p.configSync.Leader(partition)
--- a/request/discovery/lease_test.go
+++ b/request/discovery/lease_test.go
@@ -13,7 +13,7 @@
 	"wallport/runtime/wire"
 )
 
-// awaitLeaseRequest lets time pass until the node has requested the lease once more, and returns the
+// awaitLeaseRequest advances the clock until the node has sent another lease request, and returns the
 // request's id.
 func (r *rig) awaitLeaseRequest() uint64 {
 	for before := r.lister.lastRequestID; r.lister.lastRequestID == before; {
@@ -36,10 +36,11 @@
 	r.grant(id)
 	must.Between(t, requested+790_000, r.lister.leaseUntil, requested+800_000)
 	r.grant(id + 100)
-	must.Less(t, requested+800_001, r.lister.leaseUntil, must.Sprint("nobody requested for that one"))
+	must.Less(t, requested+800_001, r.lister.leaseUntil, must.Sprint("a reply to an unknown request is ignored"))
 }
 
-// A grant on its way while the lease is released, or the process is frozen, is ignored.
+// TestReleasedLeaseIsNotResumed checks that a grant is ignored that was in transit while the lease was
+// released or the process was frozen.
 func TestReleasedLeaseIsNotResumed(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.learnLeader()
@@ -49,7 +50,8 @@
 	must.Zero(t, r.lister.leaseUntil)
 }
 
-// While a node holds the lease nobody else reads under a later one.
+// TestSecondLeaseHolderIsReported checks that a violation is reported if another node reads under a newer
+// lease while this node holds the lease.
 func TestSecondLeaseHolderIsReported(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.learnLeader()
@@ -60,7 +62,7 @@
 			r.lister.handleStored(&kernel.Context{Now: r.now, Counts: r.k.Counts}, mesh.Stored{Entry: &wire.Entry{Type: mesh.EntryBackendList, ID: LeaseTask, Body: body}, Origin: "other"})
 		})
 	}
-	must.Eq(t, "", violationOfRead(3), must.Sprint("an earlier holder, or one that reads without the lease"))
+	must.Eq(t, "", violationOfRead(3), must.Sprint("the reading of an earlier holder or of a node without the lease is no violation"))
 	must.Eq(t, invariant.OneLeaseHolder, violationOfRead(4))
 	r.lister.forgetLease()
 	must.Eq(t, "", violationOfRead(5))
