--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -16,28 +16,29 @@
 
 // Constants of checking and reporting.
 const (
-	// Observers is how many nodes check each backend.
+	// Observers is the number of nodes that regularly check each backend.
 	Observers = 3
-	// CheckInterval is the time between two checks of one backend by one node, CheckTimeout that
-	// after which a check has failed.
+	// CheckInterval is the time between two checks of one backend by one node. A check fails after
+	// CheckTimeout.
 	CheckInterval = 500 * clock.Millisecond
 	CheckTimeout  = 400 * clock.Millisecond
 	// TickInterval is the time between two evaluations of all backends.
 	TickInterval = 250 * clock.Millisecond
-	// ReportInterval is the least time between two reports of one node on one backend.
+	// ReportInterval is the minimum time between two reports by one node on one backend.
 	ReportInterval = 700 * clock.Millisecond
-	// MissedThreshold is how many checks in a row must fail before a backend is unreachable.
+	// MissedThreshold is the number of consecutive failed checks after which a backend is unreachable.
 	MissedThreshold = 2
-	// CorruptThreshold is how many corrupt responses make a backend corrupt.
+	// CorruptThreshold is the number of corrupt responses after which a backend is corrupt.
 	CorruptThreshold = 2
-	// EnoughReporters is how many nodes that report the same of a backend silence those that are not
-	// its observers: what many nodes meet at the same time is reported by a few.
+	// EnoughReporters is the number of other nodes reporting the same state of a backend from which on a node
+	// that is not an observer does not start to report it too. It bounds the number of reports when many nodes
+	// observe the same failure at the same time.
 	EnoughReporters = 6
-	// A backend is slow if its latency exceeds MinSlowLatency and is SlowFactor times the median of
-	// its shard.
+	// A backend is slow if its latency exceeds both MinSlowLatency and SlowFactor times the median of its
+	// shard.
 	SlowFactor     = 4
 	MinSlowLatency = 50 * clock.Millisecond
-	// CorruptRetryDelay is how long after its ejection a corrupt backend is tried again.
+	// CorruptRetryDelay is how long after the end of its ejection a corrupt backend is tried again.
 	CorruptRetryDelay = 8 * clock.Second
 )
 
@@ -52,16 +53,16 @@
 type Response struct {
 	ID          string `json:"id"`
 	Incarnation int64  `json:"incarnation"`
-	// UpUs is how long the incarnation has been running, in microseconds.
+	// UpUs is the uptime of the incarnation in microseconds.
 	UpUs int64 `json:"up_us"`
-	// Usage is how many requests the backend is working on.
+	// Usage is the number of requests that the backend is processing.
 	Usage    int64  `json:"usage"`
 	ShardMap string `json:"cut"`
-	// SlowStart is how much longer the backend is warming up by its own account, in microseconds.
+	// SlowStart is the remaining slow start that the backend reports, in microseconds.
 	SlowStart int64 `json:"cold_us,omitempty"`
 }
 
-// checkState is what this node knows of a backend by its own checks, and what it reported.
+// checkState holds the results of this node's own checks of a backend, and this node's last report on it.
 type checkState struct {
 	// assigned says that this node is one of the backend's observers.
 	assigned    bool
@@ -73,18 +74,18 @@
 
 	reported   wire.HealthReport
 	reportedAt clock.Micros
-	// reporting says that the report stands, and was not withdrawn.
+	// reporting says that the report has been announced and not withdrawn.
 	reporting bool
 }
 
-// Checker is the plug-in of a node.
+// Checker is the plug-in that checks backends and reports their health.
 type Checker struct {
 	mesh  *mesh.Mesh
 	table *snapshot.Table
-	// passive says that only ejected backends are checked.
+	// passive says that this node checks only the backends that it has ejected.
 	passive bool
 	states  map[string]*checkState
-	// assignedFor is the snapshot for whose roster and backends the checks were last assigned.
+	// assignedFor is the snapshot from which the observers were last determined.
 	assignedFor *snapshot.Snapshot
 }
 
@@ -117,7 +118,7 @@
 	}
 }
 
-// checkAll starts the checks that are due and reports what has changed.
+// checkAll starts the checks that are due and announces the reports that have changed.
 func (c *Checker) checkAll(ctx *kernel.Context) {
 	snap := c.table.Current()
 	if snap == nil {
@@ -136,18 +137,18 @@
 	}
 }
 
-// isDue reports whether a check of a backend is to be started. Every node checks the backends that
-// it has ejected.
+// isDue reports whether a check of a backend is due. A node checks the backends that it observes and those
+// that it has ejected.
 func (c *Checker) isDue(ctx *kernel.Context, backend *snapshot.Backend, state *checkState) bool {
 	if !state.assigned && backend.Gauge.EjectedUntil.Load() <= 0 {
 		return false
 	}
-	// Half a tick of tolerance, or a check would be delayed by a tick now and then.
+	// Allow half a tick of tolerance. Without it a check would sometimes be delayed by a whole tick.
 	return !state.inFlight && ctx.Now-state.checkedAt >= CheckInterval-TickInterval/2
 }
 
-// assign determines which backends this node observes, once for each snapshot. Each name is hashed
-// only once, so that a pair of a node and a backend costs a few instructions.
+// assign determines which backends this node observes, once for each snapshot. It hashes each name only
+// once, so that each pair of a node and a backend costs only a few instructions.
 func (c *Checker) assign(ctx *kernel.Context, snap *snapshot.Snapshot) {
 	if c.assignedFor == snap {
 		return
@@ -174,8 +175,8 @@
 	c.states = states
 }
 
-// isObserver reports whether a node is one of a backend's observers: fewer than Observers of the
-// other nodes come before it in the backend's rendezvous order.
+// isObserver reports whether a node is one of a backend's observers, that is, whether fewer than Observers of
+// the other nodes precede it in the backend's rendezvous order.
 func isObserver(backend, node uint64, others []uint64) bool {
 	own, above := mix(node^backend), 0
 	for _, other := range others {
@@ -229,8 +230,8 @@
 	}
 }
 
-// report announces this node's view of a backend if it changed, or withdraws it if it need not be
-// reported any more.
+// report announces this node's report on a backend if it has changed, or withdraws the report if it is no
+// longer needed.
 func (c *Checker) report(ctx *kernel.Context, backend *snapshot.Backend, state *checkState, medians map[shard]clock.Micros) {
 	report := wire.HealthReport{Incarnation: state.incarnation, Uptime: state.uptime}
 	if incarnation := backend.Gauge.Incarnation.Load(); incarnation > report.Incarnation {
@@ -249,8 +250,8 @@
 	c.mesh.Announce(ctx, mesh.EntryHealthReport, backend.ID, wire.Encode(&report), !reporting)
 }
 
-// observe returns the state of a backend as this node sees it, by its checks and on the request
-// path. It ends the ejection of a corrupt backend that is to be tried again.
+// observe returns the state of a backend as observed by this node's checks and request path. It clears the
+// count of corrupt responses once CorruptRetryDelay has passed since the end of the ejection.
 func observe(ctx *kernel.Context, backend *snapshot.Backend, state *checkState, medians map[shard]clock.Micros) snapshot.ReportState {
 	gauge := backend.Gauge
 	if gauge.CorruptResponses.Load() > 0 && ctx.Now > gauge.EjectedUntil.Load()+CorruptRetryDelay {
@@ -269,7 +270,7 @@
 	return snapshot.ReportHealthy
 }
 
-// shard names a shard of an index in a shard map.
+// shard identifies a shard of an index in a shard map.
 type shard struct {
 	index, shardMap string
 	number          int
@@ -279,8 +280,8 @@
 	return shard{backend.Index, backend.ShardMap, backend.Shard}
 }
 
-// shardMedians returns the median latency of the backends of each shard; nil if no backend's latency
-// exceeds MinSlowLatency, since then none is slow.
+// shardMedians returns the median latency of the backends of each shard. It returns nil if no backend's
+// latency exceeds MinSlowLatency, since then no backend is slow.
 func shardMedians(snap *snapshot.Snapshot) map[shard]clock.Micros {
 	if !slices.ContainsFunc(snap.Backends, func(b *snapshot.Backend) bool { return b.Gauge.Latency.Load() > MinSlowLatency }) {
 		return nil
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -16,7 +16,7 @@
 
 const unhealthy = "s1"
 
-// node is one process with mesh, table and health checks, and some peers.
+// node is a process with the mesh, snapshot table and health check plug-ins, and simulated peers.
 type node struct {
 	k   *kernel.Kernel
 	now int64
@@ -41,7 +41,7 @@
 
 func (n *node) feed(in kernel.Input) { n.k.Step(n.now, n.now, in) }
 
-// receiveEntry has a peer announce an entry.
+// receiveEntry delivers an entry that a peer announces.
 func (n *node) receiveEntry(peer byte, typ, id string, body interface {
 	MarshalMsg([]byte) ([]byte, error)
 }) {
@@ -52,7 +52,7 @@
 	n.feed(kernel.Received{Conn: uint64(peer), Data: wire.Seal(wire.KindGossip, 0, entry)})
 }
 
-// evaluate has the node evaluate its backends once more.
+// evaluate advances the clock by ReportInterval and makes the node evaluate its backends.
 func (n *node) evaluate() {
 	n.now += ReportInterval
 	n.feed(kernel.Tick{Plugin: "mesh", Key: "reach"})
@@ -62,7 +62,7 @@
 
 func (n *node) reports() int64 { return n.k.Counts.Of("opinions_told").Load() }
 
-// setFailures has the node see so many failures in a row.
+// setFailures sets the node's number of consecutive failures of the backend and evaluates it.
 func (n *node) setFailures(fails int64) {
 	kernel.Find[*snapshot.Table](n.k).Gauges.Of(unhealthy).Failures.Store(fails)
 	n.evaluate()
@@ -75,11 +75,11 @@
 		state   string
 		reports int64
 	}{
-		{"nobody else reports", 0, "lost", 1},
-		{"too few agree", EnoughReporters - 1, "lost", 1},
-		{"enough agree", EnoughReporters, "lost", 0},
-		{"enough report another state", EnoughReporters, "slow", 1},
-		{"more than enough agree", EnoughReporters + 3, "lost", 0},
+		{"no other node reports", 0, "lost", 1},
+		{"too few other nodes agree", EnoughReporters - 1, "lost", 1},
+		{"enough other nodes agree", EnoughReporters, "lost", 0},
+		{"enough other nodes report another state", EnoughReporters, "slow", 1},
+		{"more than enough other nodes agree", EnoughReporters + 3, "lost", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(EnoughReporters + 3)
@@ -93,7 +93,8 @@
 	}
 }
 
-// A node that has reported continues while others agree, and withdraws the report when it is over.
+// TestReportingNodeKeepsReporting checks that a node keeps its report although enough other nodes report the
+// same, and that it withdraws the report when the backend is healthy again.
 func TestReportingNodeKeepsReporting(t *testing.T) {
 	n := newNode(EnoughReporters)
 	n.setFailures(snapshot.EjectThreshold)
@@ -105,7 +106,7 @@
 	n.evaluate()
 	must.Eq(t, 1, n.reports())
 	n.setFailures(0)
-	must.Eq(t, 2, n.reports(), must.Sprint("taken back"))
+	must.Eq(t, 2, n.reports(), must.Sprint("the report is withdrawn"))
 	ownReport := false
 	kernel.Find[*mesh.Mesh](n.k).Each(mesh.EntryHealthReport, func(_ *wire.Entry, origin string) {
 		ownReport = ownReport || origin == kernel.Find[*mesh.Mesh](n.k).Self()
