--- a/request/reshard/reshard.go
+++ b/request/reshard/reshard.go
@@ -1,9 +1,10 @@
-// Package reshard puts an index's next shard map in force once its shards have enough warm backends.
+// Package reshard requests the switch to an index's next shard map once the shards of that map have enough
+// warm backends.
 //
-// Every node watches the snapshots of its routing state for indexes that are being moved. Nodes take turns
-// to request the switch, so that one lost request does not stall it. The request is an edit that names the
-// move it ends, and the leader of the index's partition validates it: a second one, or a late one, changes
-// nothing. The package owns only the timer and the count of its checks.
+// Every node examines its snapshots for indexes that are being resharded. Several nodes request the switch,
+// one after another, so that one lost request does not stall it. The request is an edit that names both shard
+// maps, and the leader of the index's partition of the control state validates it: a duplicate or late request
+// has no effect. The package's only state is its timer and the count of its checks.
 package reshard
 
 import (
@@ -18,14 +19,14 @@
 )
 
 const (
-	// CheckInterval is the time between two checks while an index is being moved.
+	// CheckInterval is the time between two checks while an index is being resharded.
 	CheckInterval = 500 * clock.Millisecond
-	// MinWarmth is how far, in thousandths, a backend of the next shard map must have come in its slow start.
+	// MinWarmth is the progress in its slow start, in thousandths, from which on a backend counts as warm.
 	MinWarmth = 500
-	// MinBackends is how many warm backends each shard of the next shard map needs. Fewer do if a shard of
-	// the map in force has fewer.
+	// MinBackends is the number of warm backends that each shard of the next shard map needs. Fewer suffice if
+	// a shard of the current map has fewer.
 	MinBackends = 2
-	// checksPerRequester is for how many checks it stays a node's turn.
+	// checksPerRequester is the number of consecutive checks in which the same node requests the switch.
 	checksPerRequester = 4
 )
 
@@ -40,7 +41,7 @@
 	members    *membership.Members
 	configSync *configsync.Sync
 	table      *snapshot.Table
-	// checks counts the checks; the nodes take turns by it.
+	// checks counts the checks. It determines which node requests the switch.
 	checks         int
 	checkScheduled bool
 }
@@ -72,7 +73,7 @@
 	}
 }
 
-// scheduleCheck sets the timer of the next check if an index is being moved.
+// scheduleCheck sets the timer of the next check if an index is being resharded and no check is scheduled.
 func (r *Resharder) scheduleCheck(ctx *kernel.Context) {
 	if r.checkScheduled {
 		return
@@ -105,8 +106,8 @@
 	}
 }
 
-// shouldRequest counts a check and reports whether this node makes requests in it. The first live node by name
-// always does, and the others one after the other: together they go on if it does not get through.
+// shouldRequest counts a check and reports whether this node requests switches in it. The first live node by
+// name always does. The nodes also do so one after another, in case the requests of the first do not arrive.
 func (r *Resharder) shouldRequest(live []membership.Member) bool {
 	r.checks++
 	requester := live[(r.checks/checksPerRequester)%len(live)]
@@ -126,7 +127,7 @@
 }
 
 // Ready reports whether every shard of an index's next shard map has enough healthy, warm backends: two, or
-// as many as the smallest shard of the map in force has, though at least one.
+// as many as the smallest shard of the current map has if that is fewer, but at least one.
 func Ready(index *snapshot.Index, now clock.Micros) bool {
 	need := MinBackends
 	for _, backends := range index.Shards {
