--- a/request/retrybudget/retrybudget.go
+++ b/request/retrybudget/retrybudget.go
@@ -1,10 +1,10 @@
-// Package retrybudget is one node's part of the budget that a pool's retries and hedged requests are
-// paid from, for the node's whole fleet.
+// Package retrybudget provides one node's part of the fleet's budget for retries and hedged requests to a
+// pool.
 //
-// A [Budget] is a token bucket, in thousandths of attempts. Its user decides what requests earn and
-// what comes with time; this package holds what all such budgets have in common: a process that has
-// just started can't know how large its fleet is, so that for [StartupPeriod] nothing comes with
-// time and little may be saved, and a node of a large fleet may still save a whole attempt.
+// A [Budget] is a token bucket that counts in thousandths of attempts. The caller determines how much each
+// request and the passage of time add. This package implements the common rules: a process that has just
+// started does not know the size of its fleet, so for [StartupPeriod] its budget is not refilled over time and
+// at most [StartupCapacity] can be saved; and even a node of a large fleet may save one whole attempt.
 package retrybudget
 
 import (
@@ -13,28 +13,28 @@
 )
 
 const (
-	// StartupPeriod is how long after its process has started a budget has only what it earns.
+	// StartupPeriod is the time after the start of the process in which only requests add to a budget.
 	StartupPeriod = 10 * clock.Second
-	// StartupCapacity is how much may be saved until then.
+	// StartupCapacity is the most that can be saved during the startup period.
 	StartupCapacity = 2 * tokenbucket.One
 )
 
-// Budget is a node's budget for one pool. It begins empty. It may be used by many goroutines.
+// Budget is a node's budget for one pool. It is initially empty. It is safe for concurrent use.
 type Budget struct {
 	tokenbucket.Bucket
 	startedAt clock.Micros
 }
 
-// Init prepares the budget of a process that started at a moment. What comes with time counts from
-// the end of the startup period.
+// Init initializes the budget, given when the process started. The refill over time begins at the end of the
+// startup period.
 func (b *Budget) Init(startedAt clock.Micros) {
 	b.startedAt = startedAt
 	b.RefilledAt.Store(startedAt + StartupPeriod)
 }
 
-// Limits returns how much may be saved, and the node's fair share of what its fleet may save. Its
-// user passes the latter, which on a large fleet is less than an attempt; during the startup period
-// both are StartupCapacity.
+// Limits returns the most that may be saved, and the node's fair share of what its fleet may save. share is
+// the fair share after the startup period, which in a large fleet is less than one attempt; the capacity is
+// then at least one attempt. During the startup period both results are StartupCapacity.
 func (b *Budget) Limits(now clock.Micros, share int64) (capacity, fairShare int64) {
 	if now-b.startedAt < StartupPeriod {
 		return StartupCapacity, StartupCapacity
--- a/request/tokenbucket/tokenbucket.go
+++ b/request/tokenbucket/tokenbucket.go
@@ -1,8 +1,8 @@
-// Package tokenbucket is a token bucket without locks, for any number of goroutines.
+// Package tokenbucket implements a lock-free token bucket that is safe for concurrent use.
 //
-// Amounts are in thousandths of tokens. A bucket is filled by what its user adds ([Bucket.Add]) and
-// by time ([Bucket.Refill]), both up to a capacity that each call gives, since it may change with
-// the fleet. It may owe tokens: [Bucket.Take] can take more than there is.
+// Amounts are in thousandths of tokens. A bucket is filled explicitly ([Bucket.Add]) and over time
+// ([Bucket.Refill]), in both cases up to a capacity that is an argument of each call, since it may change with
+// the size of the fleet. The balance can be negative: [Bucket.Take] can take more than the bucket holds.
 package tokenbucket
 
 import (
@@ -14,18 +14,18 @@
 // One is a whole token.
 const One = 1000
 
-// Bucket starts empty.
+// Bucket is a token bucket. Its zero value is empty.
 type Bucket struct {
 	balance atomic.Int64
-	// RefilledAt is when the bucket was last refilled by time, a [clock.Micros]. Its user sets
-	// when the first refill counts from.
+	// RefilledAt is when the bucket was last refilled over time, as a [clock.Micros]. Its initial value, which
+	// the caller sets, is the time from which the first refill counts.
 	RefilledAt atomic.Int64
 }
 
-// Balance returns what the bucket holds; below 0 it owes.
+// Balance returns the amount that the bucket holds. It is negative if more was taken than the bucket held.
 func (b *Bucket) Balance() int64 { return b.balance.Load() }
 
-// Add adds n, up to the capacity.
+// Add adds n, up to the capacity. It never reduces the balance.
 func (b *Bucket) Add(n, capacity int64) {
 	for {
 		old := b.balance.Load()
@@ -36,8 +36,8 @@
 	}
 }
 
-// Refill adds what the time since the last refill is worth, up to the capacity. A time worth less
-// than a thousandth is left for a later refill.
+// Refill adds perSecond for each second since the last refill, up to the capacity. If that is less than a
+// thousandth of a token, it does nothing, and the time counts towards the next refill.
 func (b *Bucket) Refill(now clock.Micros, perSecond, capacity int64) {
 	for {
 		last := b.RefilledAt.Load()
@@ -52,8 +52,9 @@
 	}
 }
 
-// Take takes n if the bucket holds at least required, and reports whether it did. What it holds
-// beyond the capacity doesn't count and is lost; what is lacking to n is owed.
+// Take takes n if the bucket holds at least required, and reports whether it did. An amount beyond the
+// capacity does not count, and a successful call discards it. If the bucket holds less than n, its balance
+// becomes negative.
 func (b *Bucket) Take(n, required, capacity int64) bool {
 	for {
 		old := b.balance.Load()
--- a/request/tokenbucket/tokenbucket_test.go
+++ b/request/tokenbucket/tokenbucket_test.go
@@ -15,7 +15,7 @@
 	b.Add(3*One, 2*One)
 	must.Eq(t, 2*One, b.Balance())
 	b.Add(One, One)
-	must.Eq(t, 2*One, b.Balance(), must.Sprint("a smaller capacity takes nothing away"))
+	must.Eq(t, 2*One, b.Balance(), must.Sprint("a smaller capacity does not reduce the balance"))
 }
 
 func TestRefillAddsTokensForElapsedTime(t *testing.T) {
@@ -27,7 +27,7 @@
 	must.Eq(t, 2*One, b.Balance())
 	b.Refill(3*clock.Second+999, One, 10*One)
 	must.Eq(t, 2*One, b.Balance())
-	must.Eq(t, 3*clock.Second, b.RefilledAt.Load(), must.Sprint("less than a thousandth is left for later"))
+	must.Eq(t, 3*clock.Second, b.RefilledAt.Load(), must.Sprint("time worth less than a thousandth counts towards the next refill"))
 	b.Refill(3*clock.Second+1000, One, 10*One)
 	must.Eq(t, 2*One+1, b.Balance())
 	b.Refill(clock.Minute, One, 10*One)
@@ -43,10 +43,10 @@
 	}{
 		{name: "enough", holds: 3 * One, n: One, required: One, capacity: 5 * One, balance: 2 * One, ok: true},
 		{name: "too little", holds: One - 1, n: One, required: One, capacity: 5 * One, balance: One - 1},
-		{name: "owed", holds: 2 * One, n: 5 * One, required: 2 * One, capacity: 2 * One, balance: -3 * One, ok: true},
-		{name: "owed from nothing", n: One, required: One - 2*One, capacity: 2 * One, balance: -One, ok: true},
-		{name: "beyond capacity is lost", holds: 5 * One, n: One, required: One, capacity: 2 * One, balance: One, ok: true},
-		{name: "beyond capacity does not count", holds: 5 * One, n: One, required: 3 * One, capacity: 2 * One, balance: 5 * One},
+		{name: "negative balance", holds: 2 * One, n: 5 * One, required: 2 * One, capacity: 2 * One, balance: -3 * One, ok: true},
+		{name: "negative balance from empty bucket", n: One, required: One - 2*One, capacity: 2 * One, balance: -One, ok: true},
+		{name: "amount beyond capacity is discarded", holds: 5 * One, n: One, required: One, capacity: 2 * One, balance: One, ok: true},
+		{name: "amount beyond capacity does not count", holds: 5 * One, n: One, required: 3 * One, capacity: 2 * One, balance: 5 * One},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var b Bucket
