--- a/request/discovery/discovery_test.go
+++ b/request/discovery/discovery_test.go
@@ -193,11 +193,11 @@
 			continue
 		}
 		must.Positive(t, releases)
-		requested := len(r.leaseRequests)
+		requestsBefore := len(r.leaseRequests)
 		r.run(2 * second)
-		must.Eq(t, requested, len(r.leaseRequests), must.Sprint("does not request the lease during ReleaseBackoff"))
+		must.Eq(t, requestsBefore, len(r.leaseRequests), must.Sprint("does not request the lease during ReleaseBackoff"))
 		r.run(ReleaseBackoff)
-		must.Less(t, len(r.leaseRequests), requested)
+		must.Less(t, len(r.leaseRequests), requestsBefore)
 	}
 }
 
@@ -215,9 +215,9 @@
 	r.learnLeader()
 	r.run(second)
 	kernel.Find[*membership.Members](r.k).Update(func(m *wire.Member) { m.Draining = true })
-	requested := len(r.leaseRequests)
+	requestsBefore := len(r.leaseRequests)
 	r.run(5 * second)
-	must.Eq(t, requested, len(r.leaseRequests))
+	must.Eq(t, requestsBefore, len(r.leaseRequests))
 }
 
 func TestChangedReportsAllButExpiringSlowStart(t *testing.T) {
--- a/request/discovery/lease_test.go
+++ b/request/discovery/lease_test.go
@@ -31,12 +31,12 @@
 	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.learnLeader()
 	id := r.awaitLeaseRequest()
-	requested := r.now
+	requestedAt := r.now
 	r.run(700_000)
 	r.grant(id)
-	must.Between(t, requested+790_000, r.lister.leaseUntil, requested+800_000)
+	must.Between(t, requestedAt+790_000, r.lister.leaseUntil, requestedAt+800_000)
 	r.grant(id + 100)
-	must.Less(t, requested+800_001, r.lister.leaseUntil, must.Sprint("a reply to an unknown request is ignored"))
+	must.Less(t, requestedAt+800_001, r.lister.leaseUntil, must.Sprint("a reply to an unknown request is ignored"))
 }
 
 // TestReleasedLeaseIsNotResumed checks that a grant is ignored that was in transit while the lease was
--- a/request/dispatch/admission.go
+++ b/request/dispatch/admission.go
@@ -32,10 +32,10 @@
 	maxRetryAfterDown  = 1 * clock.Second
 )
 
-// Load shedding thresholds. Below the Low threshold no request is rejected, above the High threshold all are.
-// queueTime is the expected time in the backend's queue, as a share of the time that remains until the latency
-// target after the work itself. utilization is the backend's load, as a share of the load at which it rejected a
-// request.
+// Load shedding thresholds: below a Low threshold no request is rejected, above the High one all are. queueTimeLow and
+// queueTimeHigh apply to the expected time in the backend's queue, as a share of the time that remains until the
+// latency target after the work itself. utilizationLow and utilizationHigh apply to the backend's load, as a share of
+// the load at which it rejected a request.
 const (
 	queueTimeLow    = 0.25
 	queueTimeHigh   = 0.7
@@ -187,8 +187,8 @@
 	return max(after, leastRetryAfter)
 }
 
-// retryAfterDown returns the time after which a client may retry whose pool is down: longer than retryAfter, but
-// still before the request's deadline.
+// retryAfterDown returns the time after which a client may retry whose pool is down. It is usually longer than
+// retryAfter, but still within the time that remains until the deadline.
 func (m *StateMachine) retryAfterDown(now clock.Micros) clock.Micros {
 	left := m.deadline - now
 	return max(m.retryAfter(now), min(maxRetryAfterDown, left/5+int64(m.random.IntN(int(max(1, left/8))))))
--- a/request/dispatch/dispatcher.go
+++ b/request/dispatch/dispatcher.go
@@ -15,7 +15,7 @@
 // Ratio times the pool's requests plus Allowance.
 type RetryConfig struct {
 	Ratio, Allowance float64
-	// Window defaults to 10 s.
+	// Window defaults to 10 s if it is 0.
 	Window clock.Micros
 }
 
--- a/request/dispatch/gather.go
+++ b/request/dispatch/gather.go
@@ -152,8 +152,8 @@
 	return true
 }
 
-// expectedUntil returns the time until which a response to an attempt is expected. For a backend on trial it is the
-// 95th percentile of the pool's latency after the start, for other backends at least maxPause after the start.
+// expectedUntil returns the time until which a response to an attempt is expected. A backend on trial is given the
+// 95th percentile of the pool's latency, other backends a multiple of it and at least maxPause.
 func (m *StateMachine) expectedUntil(attempt *attempt) clock.Micros {
 	p95 := m.shards[attempt.shard].latency.p95.Load()
 	if attempt.endpoint.backend.ejections.Load() > 0 {
--- a/request/dispatch/lag.go
+++ b/request/dispatch/lag.go
@@ -31,9 +31,9 @@
 	return decay(l.mean.Load(), 0, max(0, now-l.updatedAt.Load()), lagHalfLife)
 }
 
-// lagPressure returns the share of requests to reject because this node itself lags; 1 or more means all. A node
-// that gets too little processor time rejects some requests immediately, which leaves their clients time to try
-// other nodes.
+// lagPressure returns the share of requests to reject because this node itself lags: 0 means none, 1 or more means
+// all. A node that gets too little processor time rejects some requests immediately, which leaves their clients time
+// to try other nodes.
 func (m *StateMachine) lagPressure(now clock.Micros) float64 {
 	share := float64(m.dispatcher.lag.current(now)) / float64(max(1, m.targetAt-m.startedAt))
 	return max(0, (share-lagLow)/(lagHigh-lagLow))
--- a/request/dispatch/sim_client_test.go
+++ b/request/dispatch/sim_client_test.go
@@ -141,7 +141,9 @@
 	failed           map[int]int
 }
 
-// addSuccess counts a success. soon says that it came in time, counted from an attempt after an early rejection.
+// addSuccess counts a successful response that contains the given share of the shards. onTime says that it met the
+// latency target. soonAfterRetry says that it met the target when counted from an attempt that followed an early
+// rejection; the response then loses only half as much value by being late.
 func (s *tally) addSuccess(onTime, soonAfterRetry bool, share float64, k *requestKind) {
 	worth := k.value * share * share
 	if onTime {
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -190,9 +190,9 @@
 	took := n.readyWithin(20 * second)
 	must.Between(t, configsync.UnconfirmedTimeout, took, configsync.UnconfirmedTimeout+second)
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
-	requested := old.requested
+	before := old.requested
 	n.run(10 * second)
-	must.Between(t, 5, old.requested-requested, 60, must.Sprint("the core is pulled from no more often than usual"))
+	must.Between(t, 5, old.requested-before, 60, must.Sprint("the core is pulled from no more often than usual"))
 }
 
 // TestUnconfirmedStateIsNotServedWhileCoreHasContact checks that unconfirmed state is not served if a core
--- a/request/tokenbucket/tokenbucket.go
+++ b/request/tokenbucket/tokenbucket.go
@@ -22,7 +22,7 @@
 	RefilledAt atomic.Int64
 }
 
-// Balance returns the amount that the bucket holds. It is negative if more was taken than the bucket held.
+// Balance returns the amount that the bucket holds. It is below 0 if more was taken than the bucket held.
 func (b *Bucket) Balance() int64 { return b.balance.Load() }
 
 // Add adds n, up to the capacity. It never reduces the balance.
