--- a/request/dispatch/fleet_test.go
+++ b/request/dispatch/fleet_test.go
@@ -1,4 +1,5 @@
-// What all nodes together may send: the retry budgets and the rate of backends in slow start.
+// Tests of the limits that apply to all nodes together: the retry budgets and the request rate of backends in slow
+// start.
 
 package dispatch
 
@@ -15,7 +16,8 @@
 	"wallport/runtime/random"
 )
 
-// A process that is killed and started anew has nothing saved, however often that happens.
+// TestRetryBudgetAcrossRestartsAndTrafficDrops checks that the nodes stay within the retry budgets although processes
+// restart repeatedly, each time with an empty budget, and although the traffic drops.
 func TestRetryBudgetAcrossRestartsAndTrafficDrops(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{3, 11, 88} {
@@ -23,10 +25,11 @@
 			s := defaultDeployment(seed)
 			s.nodes, s.allowance, s.slots, s.pauseLength = nodes, 62, 4, 0
 			s.search, s.quick, s.once, s.read = 300, 0, 0, 100
-			w := newWorld(s)
+			w := newSimulation(s)
 			r := rand.New(rand.NewPCG(seed, 1))
-			troubles := map[float64]func(){
-				// Everything is saved that can be, then everything fails; later the traffic drops to almost nothing.
+			faultsAt := map[float64]func(){
+				// The budgets are as full as they get when backends begin to lose 60 % of the responses. At 14 s the traffic drops to
+				// almost nothing.
 				5: func() {
 					for _, b := range w.backends {
 						b.lossRate = 0.6
@@ -35,13 +38,13 @@
 				14: func() { w.search, w.read = 2, 1; w.startClients(w.now + 20*second) },
 			}
 			for i := range 12 {
-				troubles[4+float64(i)*0.8+0.1] = func() {
+				faultsAt[4+float64(i)*0.8+0.1] = func() {
 					n := w.nodes[r.IntN(nodes)]
 					n.down = true
 					w.after(400_000, func() { n.restart(w.now) })
 				}
 			}
-			w.play(t, 14, troubles)
+			w.run(t, 14, faultsAt)
 			w.advance(w.now + 15*second)
 			w.checkRules(t)
 		}
@@ -54,10 +57,10 @@
 		for seed := range uint64(3) {
 			s := defaultDeployment(seed)
 			s.nodes, s.slowStartRate = nodes, 12
-			w := newWorld(s)
-			w.play(t, 12, map[float64]func(){
+			w := newSimulation(s)
+			w.run(t, 12, map[float64]func(){
 				1: func() { w.crash(2, w.someBackends(0.5, "shard", "desk")) },
-				// Everything begins to warm up at once, and is listed so.
+				// All backends enter slow start at the same time, and the snapshots show it.
 				7: func() {
 					for _, b := range w.backends {
 						b.warmUntil = w.now + 3*second
@@ -73,36 +76,38 @@
 					cold++
 				}
 			}
-			must.Positive(t, cold, must.Sprint("cold backends are used"))
-			t.Logf("nodes %d: %d arrivals at cold backends", nodes, cold)
+			must.Positive(t, cold, must.Sprint("backends in slow start receive requests"))
+			t.Logf("%d nodes: %d arrivals at backends in slow start", nodes, cold)
 		}
 	}
 }
 
-// All processes are killed again and again, and each begins with nothing.
+// TestRetryBudgetUnderConstantRestarts checks the retry budgets while all processes restart every 1.5 s, each time
+// with an empty budget.
 func TestRetryBudgetUnderConstantRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
 		s := defaultDeployment(seed)
 		s.nodes, s.search, s.quick, s.once, s.read, s.pauseLength = 40, 60, 0, 0, 60, 0
-		w := newWorld(s)
+		w := newSimulation(s)
 		for _, b := range w.backends {
 			b.lossRate = 0.7
 		}
-		troubles := map[float64]func(){}
+		faultsAt := map[float64]func(){}
 		for i := range 6 {
-			troubles[1.5*float64(i)] = func() {
+			faultsAt[1.5*float64(i)] = func() {
 				for _, n := range w.nodes {
 					n.restart(w.now)
 				}
 			}
 		}
-		w.play(t, 9, troubles)
+		w.run(t, 9, faultsAt)
 	}
 }
 
-// Each node's fair share of the allowance is far below one attempt here; the whole ones that nodes save must not add
-// up.
+// TestRetryBudgetOfFleetLargerThanAllowance checks a fleet in which each node's fair share of the allowance is far
+// less than one attempt. Since a node can only save whole attempts, the attempts saved by all nodes could together
+// exceed the allowance.
 func TestRetryBudgetOfFleetLargerThanAllowance(t *testing.T) {
 	t.Parallel()
 	const nodes, allowance = 600, 30.0
@@ -110,22 +115,22 @@
 		r := rand.New(rand.NewPCG(seed, 5))
 		snap := &snapshot.Snapshot{Divisor: nodes}
 		now := 60 * clock.Second
-		var desks []*Dispatcher
+		var dispatchers []*Dispatcher
 		for range nodes {
-			desks = append(desks, NewDispatcher(Config{Counts: kernel.NewCounts(), Seed: r.Uint64(), Retry: RetryConfig{Ratio: 0.2, Allowance: allowance}}))
+			dispatchers = append(dispatchers, NewDispatcher(Config{Counts: kernel.NewCounts(), Seed: r.Uint64(), Retry: RetryConfig{Ratio: 0.2, Allowance: allowance}}))
 		}
 		var j journal
 		j.init()
 		rnd := random.Source(seed)
-		one := requestKinds[0]
-		// Quiet for long, so that everything is saved that can be, then every request wants retries.
+		kind := requestKinds[0]
+		// For 40 s no request is retried, so that the budgets fill up; then every request is retried up to three times.
 		for i := range 60 * 560 {
 			now += clock.Second / 560
-			d := desks[r.IntN(nodes)]
+			d := dispatchers[r.IntN(nodes)]
 			p := &pool{name: "p", retryBudget: d.retryBudgetOf("p")}
 			p.retryBudget.replenish(now, snap.Divisor, &rnd)
 			id := fmt.Sprint(i)
-			j.recordAttempt(now, id, &one)
+			j.recordAttempt(now, id, &kind)
 			for range 3 {
 				if i > 40*560 && d.withdrawRetry(p, now, snap.Divisor) {
 					j.arrivals = append(j.arrivals, &arrival{at: now, id: id, pool: "p", repeated: true})
@@ -133,6 +138,6 @@
 			}
 		}
 		must.SliceEmpty(t, j.checkRetryBudget(0.2, allowance, 10*second, func(string) []string { return []string{"p"} }), must.Sprintf("seed %d", seed))
-		must.Greater(t, 500, len(j.arrivals), must.Sprint("the budget is also used"))
+		must.Greater(t, 500, len(j.arrivals), must.Sprint("the budget is actually used"))
 	}
 }
--- a/request/dispatch/reconfiguration_test.go
+++ b/request/dispatch/reconfiguration_test.go
@@ -1,4 +1,4 @@
-// Backends that drain, zones that are drained and routing tables that change under load.
+// Tests of draining backends, drained zones and routing table changes under load.
 
 package dispatch
 
@@ -11,7 +11,7 @@
 	"wallport/runtime/clock"
 )
 
-// deliverySlack is how long an attempt may be on its way after its node saw a change.
+// deliverySlack is how long an attempt may be in transit after its node saw a change.
 const deliverySlack = 20 * clock.Millisecond
 
 func TestDrainingBackendGetsNoRequests(t *testing.T) {
@@ -19,13 +19,13 @@
 	for seed := range uint64(3) {
 		s := defaultDeployment(seed)
 		s.slots = 1
-		w := newWorld(s)
+		w := newSimulation(s)
 		for _, b := range w.backends {
-			b.lossRate, b.errorRate = 0.1, 0.1 // many retries, each of which must see the newest snapshot
+			b.lossRate, b.errorRate = 0.1, 0.1 // causes many retries, each of which must use the newest snapshot
 		}
 		var left []*simBackend
 		var when clock.Micros
-		w.play(t, 8, map[float64]func(){3: func() {
+		w.run(t, 8, map[float64]func(){3: func() {
 			when, left = w.now, w.someBackends(0.5, "shard", "desk")
 			for _, b := range left {
 				b.draining = true
@@ -34,7 +34,7 @@
 		}})
 		for _, b := range left {
 			must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
-			must.SliceNotEmpty(t, w.journal.arrivalsAt(b, when-2*second, when), must.Sprint("the checker sees what came before"))
+			must.SliceNotEmpty(t, w.journal.arrivalsAt(b, when-2*second, when), must.Sprint("the backend received requests before it drained"))
 		}
 	}
 }
@@ -42,9 +42,9 @@
 func TestDrainedZoneGetsNoRequestsUntilRestored(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := newWorld(defaultDeployment(seed))
+		w := newSimulation(defaultDeployment(seed))
 		var from, to clock.Micros
-		w.play(t, 10, map[float64]func(){
+		w.run(t, 10, map[float64]func(){
 			2: func() { from = w.now; w.drainedZones["z1"] = true; w.publishSnapshots() },
 			6: func() { to = w.now; w.drainedZones["z1"] = false; w.publishSnapshots() },
 		})
@@ -56,14 +56,14 @@
 			must.SliceEmpty(t, w.journal.arrivalsAt(b, from+300_000+deliverySlack, to), must.Sprintf("seed %d", seed))
 			after += len(w.journal.arrivalsAt(b, to+300_000, w.now))
 		}
-		must.Positive(t, after, must.Sprint("it is used again"))
+		must.Positive(t, after, must.Sprint("the restored zone receives requests again"))
 	}
 }
 
 func TestReshardingNeverMixesShardSets(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := newWorld(defaultDeployment(seed))
+		w := newSimulation(defaultDeployment(seed))
 		var old []*simBackend
 		for _, b := range w.backends {
 			if b.pool != "desk" {
@@ -73,7 +73,7 @@
 		}
 		var set []string
 		var when clock.Micros
-		w.play(t, 10, map[float64]func(){
+		w.run(t, 10, map[float64]func(){
 			2: func() {
 				for _, name := range []string{"new0", "new1", "new2", "new3", "new4", "shard3"} {
 					set = append(set, name)
@@ -100,7 +100,7 @@
 		})
 		for _, b := range old {
 			if b.pool != "shard3" && b.pool != "spare" {
-				// A request that began before sends its first attempts at once only.
+				// A request that began before the change sends only its first attempts, immediately, to the old shards.
 				must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
 			}
 		}
@@ -108,11 +108,11 @@
 	}
 }
 
-func TestRouteWeightsAndMoves(t *testing.T) {
+func TestRouteWeightAndPoolChanges(t *testing.T) {
 	t.Parallel()
-	w := newWorld(defaultDeployment(5))
+	w := newSimulation(defaultDeployment(5))
 	var when clock.Micros
-	w.play(t, 9, map[float64]func(){
+	w.run(t, 9, map[float64]func(){
 		1: func() {
 			w.change(func(c *routingpb.RoutingTable) {
 				for _, r := range c.Routes[2:] {
--- a/request/dispatch/sim_client_test.go
+++ b/request/dispatch/sim_client_test.go
@@ -1,4 +1,4 @@
-// Simulated clients, the driver of state machines, and the value that clients got.
+// Simulated clients, the driver of state machines, and the value that clients received.
 
 package dispatch
 
@@ -9,7 +9,8 @@
 	"wallport/runtime/clock"
 )
 
-// requestKind is a kind of requests and the value of a response, in time and late.
+// requestKind is a kind of request. value is the value of a response within the latency target, lateValue the share
+// of it that a later response has.
 type requestKind struct {
 	name             string
 	target, deadline clock.Micros
@@ -26,8 +27,8 @@
 	{name: "read", target: 250_000, deadline: 1_500_000, work: 60_000, value: 1, lateValue: 0.3},
 }
 
-// startClients has clients send requests until a moment.
-func (w *world) startClients(until clock.Micros) {
+// startClients makes clients send requests until the given time.
+func (w *simulation) startClients(until clock.Micros) {
 	for i, rate := range []float64{w.search, w.quick, w.once, w.read} {
 		if rate > 0 {
 			w.scheduleClient(&requestKinds[i], rate, until)
@@ -35,7 +36,7 @@
 	}
 }
 
-func (w *world) scheduleClient(k *requestKind, rate float64, until clock.Micros) {
+func (w *simulation) scheduleClient(k *requestKind, rate float64, until clock.Micros) {
 	w.after(int64(w.rnd.ExpFloat64()*1e6/rate), func() {
 		if w.now >= until {
 			return
@@ -46,8 +47,9 @@
 	})
 }
 
-// clientAttempt sends one attempt of a client, which began at a moment and may make so many more.
-func (w *world) clientAttempt(k *requestKind, began clock.Micros, rejectedEarly bool, more int) {
+// clientAttempt sends one attempt of a client request that began at began and may be followed by more attempts.
+// rejectedEarly says that the previous attempt was rejected early.
+func (w *simulation) clientAttempt(k *requestKind, began clock.Micros, rejectedEarly bool, more int) {
 	w.lastID++
 	id := fmt.Sprintf("%s-%d", k.name, w.lastID)
 	work := k.work * math.Exp(w.rnd.NormFloat64()*0.5-0.125)
@@ -89,7 +91,7 @@
 	})
 }
 
-// coverage is the share of shards in a response.
+// coverage returns the share of shards that a response contains.
 func coverage(o Outcome) float64 {
 	if o.Seals == nil {
 		return 1
@@ -97,13 +99,13 @@
 	return float64(len(o.Seals)) / float64(len(o.Seals)+o.Missing)
 }
 
-// drive carries out a state machine's actions until it has finished.
+// drive carries out a state machine's actions until it has finished or the node has stopped or restarted.
 func (n *simNode) drive(r Request, ended func(Outcome)) {
-	m, w, life := NewStateMachine(n.dispatcher, r, n.world.now), n.world, n.dispatcher
+	m, w, dispatcher := NewStateMachine(n.dispatcher, r, n.simulation.now), n.simulation, n.dispatcher
 	cancels := map[int]func(){}
 	var step func(Event)
 	step = func(ev Event) {
-		if life != n.dispatcher || n.down {
+		if dispatcher != n.dispatcher || n.down {
 			for _, cancel := range cancels {
 				cancel()
 			}
@@ -131,7 +133,7 @@
 	step(Begin{})
 }
 
-// tally is what came of the requests of one kind.
+// tally counts the outcomes of the requests of one kind and their value.
 type tally struct {
 	possible, earned float64
 	onTime, late     int
@@ -139,14 +141,16 @@
 	failed           map[int]int
 }
 
-// addSuccess counts a success. soon says that it came in time, counted from an attempt after an early rejection.
-func (s *tally) addSuccess(ontime, soon bool, share float64, k *requestKind) {
+// addSuccess counts a successful response that contains the given share of the shards. onTime says that it met the
+// latency target. soonAfterRetry says that it met the target when counted from an attempt that followed an early
+// rejection; the response then loses only half as much value by being late.
+func (s *tally) addSuccess(onTime, soonAfterRetry bool, share float64, k *requestKind) {
 	worth := k.value * share * share
-	if ontime {
+	if onTime {
 		s.onTime++
 	} else {
 		s.late++
-		if soon {
+		if soonAfterRetry {
 			worth *= (1 + k.lateValue) / 2
 		} else {
 			worth *= k.lateValue
@@ -160,10 +164,10 @@
 
 func (j *journal) report() string {
 	out := ""
-	owed, earned := 0.0, 0.0
+	possible, earned := 0.0, 0.0
 	for _, k := range requestKinds {
 		s := j.tallies[k.name]
-		owed, earned = owed+s.possible, earned+s.earned
+		possible, earned = possible+s.possible, earned+s.earned
 		out += fmt.Sprintf("%s: earned %.3f, on time %d, late %d, partial %d, failed %v\n", k.name, s.earned/max(1, s.possible), s.onTime, s.late, s.partial, s.failed)
 	}
 	extra := map[string]int{}
@@ -172,5 +176,5 @@
 			extra[a.pool]++
 		}
 	}
-	return fmt.Sprintf("%sall: %.4f; arrivals %d, extra %v\n", out, earned/max(1, owed), len(j.arrivals), extra)
+	return fmt.Sprintf("%sall: %.4f; arrivals %d, extra %v\n", out, earned/max(1, possible), len(j.arrivals), extra)
 }
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -16,7 +16,7 @@
 
 const unhealthy = "s1"
 
-// node is one process with mesh, table and health checks, and some neighbours.
+// node is a process with the mesh, snapshot table and health check plug-ins, and simulated peers.
 type node struct {
 	k   *kernel.Kernel
 	now int64
@@ -28,32 +28,32 @@
 	return kernel.KeyFrom(seed)
 }
 
-func newNode(neighbours byte) *node {
+func newNode(peers byte) *node {
 	e := settings.Settings{Name: "a", Mesh: "10.0.0.1:1", PassiveHealth: true}
 	n := &node{k: kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: keyOf(0)}), now: 5_000_000}
 	n.feed(kernel.Start{})
-	for i := range neighbours {
+	for i := range peers {
 		n.feed(kernel.ConnUp{Conn: uint64(i) + 1, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(keyOf(i + 1).Public), Mesh: true})
 	}
-	n.hears(1, mesh.EntryBackendList, discovery.LeaseTask, &wire.BackendList{LeaseID: 1, Complete: true, Backends: []wire.Backend{{ID: unhealthy}}})
+	n.receiveEntry(1, mesh.EntryBackendList, discovery.LeaseTask, &wire.BackendList{LeaseID: 1, Complete: true, Backends: []wire.Backend{{ID: unhealthy}}})
 	return n
 }
 
 func (n *node) feed(in kernel.Input) { n.k.Step(n.now, n.now, in) }
 
-// hears has a neighbour announce an entry.
-func (n *node) hears(neighbour byte, typ, id string, body interface {
+// receiveEntry delivers an entry that a peer announces.
+func (n *node) receiveEntry(peer byte, typ, id string, body interface {
 	MarshalMsg([]byte) ([]byte, error)
 }) {
 	b, _ := body.MarshalMsg(nil)
-	key := keyOf(neighbour)
+	key := keyOf(peer)
 	entry := &wire.Entry{Type: typ, ID: id, Origin: key.Public, Count: 1, Body: b}
 	entry.Sig = ed25519.Sign(key.Private, wire.Encode(entry))
-	n.feed(kernel.Received{Conn: uint64(neighbour), Data: wire.Seal(wire.KindGossip, 0, entry)})
+	n.feed(kernel.Received{Conn: uint64(peer), Data: wire.Seal(wire.KindGossip, 0, entry)})
 }
 
-// looks has the node evaluate its backends once more.
-func (n *node) looks() {
+// evaluate advances the clock by ReportInterval and makes the node evaluate its backends.
+func (n *node) evaluate() {
 	n.now += ReportInterval
 	n.feed(kernel.Tick{Plugin: "mesh", Key: "reach"})
 	n.feed(kernel.Tick{Plugin: "table", Key: "build"})
@@ -62,53 +62,54 @@
 
 func (n *node) reports() int64 { return n.k.Counts.Of("opinions_told").Load() }
 
-// meets has the node see so many failures in a row.
-func (n *node) meets(fails int64) {
+// setFailures sets the node's number of consecutive failures of the backend and evaluates it.
+func (n *node) setFailures(fails int64) {
 	kernel.Find[*snapshot.Table](n.k).Gauges.Of(unhealthy).Failures.Store(fails)
-	n.looks()
+	n.evaluate()
 }
 
-func TestFewNodesReportWhatAllObserve(t *testing.T) {
+func TestHealthReportsAreLimitedToEnoughReporters(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		agree   byte
 		state   string
 		reports int64
 	}{
-		{"nobody else reports", 0, "lost", 1},
-		{"too few agree", EnoughReporters - 1, "lost", 1},
-		{"enough agree", EnoughReporters, "lost", 0},
-		{"enough report another state", EnoughReporters, "slow", 1},
-		{"more than enough agree", EnoughReporters + 3, "lost", 0},
+		{"no other node reports", 0, "lost", 1},
+		{"too few other nodes agree", EnoughReporters - 1, "lost", 1},
+		{"enough other nodes agree", EnoughReporters, "lost", 0},
+		{"enough other nodes report another state", EnoughReporters, "slow", 1},
+		{"more than enough other nodes agree", EnoughReporters + 3, "lost", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(EnoughReporters + 3)
 			must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Backends))
 			for i := range c.agree {
-				n.hears(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: c.state})
+				n.receiveEntry(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: c.state})
 			}
-			n.meets(snapshot.EjectThreshold)
+			n.setFailures(snapshot.EjectThreshold)
 			must.Eq(t, c.reports, n.reports())
 		})
 	}
 }
 
-// A node that has reported continues while others agree, and withdraws the report when it is over.
+// TestReportingNodeKeepsReporting checks that a node keeps its report although enough other nodes report the
+// same, and that it withdraws the report when the backend is healthy again.
 func TestReportingNodeKeepsReporting(t *testing.T) {
 	n := newNode(EnoughReporters)
-	n.meets(snapshot.EjectThreshold)
+	n.setFailures(snapshot.EjectThreshold)
 	must.Eq(t, 1, n.reports())
 	for i := range byte(EnoughReporters) {
-		n.hears(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: "lost"})
+		n.receiveEntry(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: "lost"})
 	}
-	n.looks()
-	n.looks()
+	n.evaluate()
+	n.evaluate()
 	must.Eq(t, 1, n.reports())
-	n.meets(0)
-	must.Eq(t, 2, n.reports(), must.Sprint("taken back"))
-	mine := false
+	n.setFailures(0)
+	must.Eq(t, 2, n.reports(), must.Sprint("the report is withdrawn"))
+	ownReport := false
 	kernel.Find[*mesh.Mesh](n.k).Each(mesh.EntryHealthReport, func(_ *wire.Entry, origin string) {
-		mine = mine || origin == kernel.Find[*mesh.Mesh](n.k).Self()
+		ownReport = ownReport || origin == kernel.Find[*mesh.Mesh](n.k).Self()
 	})
-	must.False(t, mine)
+	must.False(t, ownReport)
 }
--- a/request/reshard/reshard.go
+++ b/request/reshard/reshard.go
@@ -1,9 +1,10 @@
-// Package reshard puts an index's next shard map in force once its shards have enough warm backends.
+// Package reshard requests the switch to an index's next shard map once the shards of that map have enough
+// warm backends.
 //
-// Every node watches the snapshots of its routing state for indexes that are being moved. Nodes take turns
-// to request the switch, so that one lost request does not stall it. The request is an edit that names the
-// move it ends, and the leader of the index's partition validates it: a second one, or a late one, changes
-// nothing. The package owns only the timer and the count of its checks.
+// Every node examines its snapshots for indexes that are being resharded. Several nodes request the switch,
+// one after another, so that one lost request does not stall it. The request is an edit that names both shard
+// maps, and the leader of the index's partition of the control state validates it: a duplicate or late request
+// has no effect. The package's only state is its timer and the count of its checks.
 package reshard
 
 import (
@@ -18,15 +19,15 @@
 )
 
 const (
-	// CheckInterval is the time between two checks while an index is being moved.
+	// CheckInterval is the time between two checks while an index is being resharded.
 	CheckInterval = 500 * clock.Millisecond
-	// MinWarmth is how far, in thousandths, a backend of the next shard map must have come in its slow start.
+	// MinWarmth is the progress in its slow start, in thousandths, from which on a backend counts as warm.
 	MinWarmth = 500
-	// MinServers is how many warm backends each shard of the next shard map needs. Fewer do if a shard of
-	// the map in force has fewer.
-	MinServers = 2
-	// checksPerTurn is for how many checks it stays a node's turn.
-	checksPerTurn = 4
+	// MinBackends is the number of warm backends that each shard of the next shard map needs. Fewer suffice if
+	// a shard of the current map has fewer.
+	MinBackends = 2
+	// checksPerRequester is the number of consecutive checks in which the same node requests the switch.
+	checksPerRequester = 4
 )
 
 const (
@@ -40,9 +41,9 @@
 	members    *membership.Members
 	configSync *configsync.Sync
 	table      *snapshot.Table
-	// checks counts the checks; the nodes take turns by it.
-	checks int
-	armed  bool
+	// checks counts the checks. It determines which node requests the switch.
+	checks         int
+	checkScheduled bool
 }
 
 func init() {
@@ -64,22 +65,22 @@
 func (r *Resharder) Step(ctx *kernel.Context, in kernel.Input) {
 	switch in.(type) {
 	case snapshot.Built:
-		r.arm(ctx)
+		r.scheduleCheck(ctx)
 	case kernel.Tick:
-		r.armed = false
-		r.arm(ctx)
+		r.checkScheduled = false
+		r.scheduleCheck(ctx)
 		r.requestSwitches(ctx)
 	}
 }
 
-// arm sets the timer of the next check if an index is being moved.
-func (r *Resharder) arm(ctx *kernel.Context) {
-	if r.armed {
+// scheduleCheck sets the timer of the next check if an index is being resharded and no check is scheduled.
+func (r *Resharder) scheduleCheck(ctx *kernel.Context) {
+	if r.checkScheduled {
 		return
 	}
 	for _, index := range r.table.Current().Indexes {
 		if index.ShardMap.Next != "" {
-			r.armed = true
+			r.checkScheduled = true
 			ctx.After(CheckInterval, pluginName, timerCheck)
 			return
 		}
@@ -93,7 +94,7 @@
 		return
 	}
 	live := r.members.Live(ctx.Now, "node")
-	if len(live) == 0 || !r.takeTurn(live) {
+	if len(live) == 0 || !r.shouldRequest(live) {
 		return
 	}
 	for _, service := range current.Configuration.Services {
@@ -105,12 +106,12 @@
 	}
 }
 
-// takeTurn counts a check and reports whether this node makes requests in it. The first live node by name
-// always does, and the others one after the other: together they go on if it does not get through.
-func (r *Resharder) takeTurn(live []membership.Member) bool {
+// shouldRequest counts a check and reports whether this node requests switches in it. The first live node by
+// name always does. The nodes also do so one after another, in case the requests of the first do not arrive.
+func (r *Resharder) shouldRequest(live []membership.Member) bool {
 	r.checks++
-	turn := live[(r.checks/checksPerTurn)%len(live)]
-	return turn.Origin == r.mesh.Self() || live[0].Origin == r.mesh.Self()
+	requester := live[(r.checks/checksPerRequester)%len(live)]
+	return requester.Origin == r.mesh.Self() || live[0].Origin == r.mesh.Self()
 }
 
 // requestSwitch sends the edit to the leader of the index's partition, if one is known.
@@ -126,9 +127,9 @@
 }
 
 // Ready reports whether every shard of an index's next shard map has enough healthy, warm backends: two, or
-// as many as the smallest shard of the map in force has, though at least one.
+// as many as the smallest shard of the current map has if that is fewer, but at least one.
 func Ready(index *snapshot.Index, now clock.Micros) bool {
-	need := MinServers
+	need := MinBackends
 	for _, backends := range index.Shards {
 		need = min(need, max(1, len(backends)))
 	}
