--- a/cluster/mesh/fleet_test.go
+++ b/cluster/mesh/fleet_test.go
@@ -43,12 +43,12 @@
 	must.Less(t, 5_000_000, f.waitFor(6_000_000, func() bool { return f.live(frozen, frozen.m.self) == len(f.procs)-1 }), must.Sprint("awake again"))
 }
 
-func TestIsolatedProcessSeesNobodyAndIsSeenByNobody(t *testing.T) {
+func TestIsolatedProcessIsUnreachableInBothDirections(t *testing.T) {
 	f := convergedFleet(t, 24, 4, 2)
-	alone := f.procs[17]
-	f.partitioned = func(a, b *process) bool { return a == alone || b == alone }
-	f.waitFor(6_000_000, func() bool { return f.live(alone, alone.m.self) == 0 })
-	f.waitFor(1_000_000, func() bool { return alone.k.Counts.Of("mesh_reached").Load() <= 1 })
+	isolated := f.procs[17]
+	f.partitioned = func(a, b *process) bool { return a == isolated || b == isolated }
+	f.waitFor(6_000_000, func() bool { return f.live(isolated, isolated.m.self) == 0 })
+	f.waitFor(1_000_000, func() bool { return isolated.k.Counts.Of("mesh_reached").Load() <= 1 })
 	f.partitioned = func(a, b *process) bool { return false }
 	f.waitFor(6_000_000, f.converged)
 }
--- a/cluster/mesh/large_test.go
+++ b/cluster/mesh/large_test.go
@@ -53,7 +53,7 @@
 	return n
 }
 
-func TestLargeVersionReachesAllOverNarrowLinks(t *testing.T) {
+func TestLargeVersionReachesAllProcessesOverSlowLinks(t *testing.T) {
 	const processes, size = 18, 2 << 20
 	f := convergedFleet(t, processes, 3, 6)
 	f.bytesPerSecond = 10_000_000 / 8
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -63,8 +63,8 @@
 
 func TestBadEntriesAreDroppedAndCounted(t *testing.T) {
 	cases := map[string]struct {
-		spoil func(r *rig) *wire.Entry
-		count string
+		makeEntry func(r *rig) *wire.Entry
+		count     string
 	}{
 		"bad signature": {func(*rig) *wire.Entry {
 			entry := newEntry(key(2), EntryHealthReport, "s1", 1)
@@ -105,7 +105,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			entry := c.spoil(r)
+			entry := c.makeEntry(r)
 			before := r.storedEntries(EntryHealthReport)
 			out := r.gossip(entry)
 			must.Eq(t, 1, r.count(c.count))
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -120,14 +120,14 @@
 	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
 	row := wire.Member{Name: p.addr, Role: "node", Zone: p.zone, Addr: p.addr, Mesh: Release}
 	p.m.Announce(ctx, EntryMember, p.m.self, wire.Encode(&row), false)
-	f.carry(p, ctx.Output)
+	f.applyOutput(p, ctx.Output)
 }
 
 // announce has a process announce an entry.
 func (f *fleet) announce(p *process, typ, id string, body []byte) {
 	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
 	p.m.Announce(ctx, typ, id, body, false)
-	f.carry(p, ctx.Output)
+	f.applyOutput(p, ctx.Output)
 }
 
 func (f *fleet) step(p *process, in kernel.Input) {
@@ -139,10 +139,10 @@
 		return
 	}
 	p.steps++
-	f.carry(p, p.k.Step(f.now, f.now, in))
+	f.applyOutput(p, p.k.Step(f.now, f.now, in))
 }
 
-func (f *fleet) carry(p *process, out kernel.Output) {
+func (f *fleet) applyOutput(p *process, out kernel.Output) {
 	sender := p.k
 	for _, t := range out.Timers {
 		f.after(t.At-f.now, func() {
--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -14,8 +14,8 @@
 	secondPeer uint64 = 8
 )
 
-// pair is a mesh with two peers that has just forwarded an entry.
-func pair(t testing.TB) *rig {
+// newTwoPeerRig returns a mesh with two peers that has just forwarded an entry.
+func newTwoPeerRig(t testing.TB) *rig {
 	t.Helper()
 	r := newRig(t)
 	r.feed(kernel.ConnUp{Conn: secondPeer, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
@@ -33,7 +33,7 @@
 }
 
 func TestEntriesOfABurstAreForwardedTogether(t *testing.T) {
-	r := pair(t)
+	r := newTwoPeerRig(t)
 	second, third := newEntry(key(2), EntryHealthReport, "second", 2), newEntry(key(2), EntryHealthReport, "third", 3)
 	out := r.gossip(second)
 	must.SliceEmpty(t, out.Sends)
@@ -48,7 +48,7 @@
 }
 
 func TestEntryIsNotForwardedToAPeerThatSentIt(t *testing.T) {
-	r := pair(t)
+	r := newTwoPeerRig(t)
 	entry := newEntry(key(2), EntryHealthReport, "second", 2)
 	r.gossipFrom(firstPeer, entry)
 	copied := *entry
@@ -58,15 +58,15 @@
 	must.SliceEmpty(t, r.forwardTick().Sends)
 }
 
-func TestStoppingProcessForwardsAtOnce(t *testing.T) {
-	r := pair(t)
+func TestStoppingProcessForwardsWithoutBatching(t *testing.T) {
+	r := newTwoPeerRig(t)
 	r.gossip(newEntry(key(2), EntryHealthReport, "second", 2))
 	must.Len(t, 1, r.feed(kernel.Stopping{}).Sends)
 	must.Len(t, 1, r.gossip(newEntry(key(2), EntryHealthReport, "third", 3)).Sends)
 }
 
 func TestDuplicatesAreRecognizedByFrameHash(t *testing.T) {
-	r := pair(t)
+	r := newTwoPeerRig(t)
 	entry := newEntry(key(2), EntryHealthReport, "second", 2)
 	r.gossip(entry)
 	for hops := range uint8(3) {
--- a/cluster/mesh/seeds_test.go
+++ b/cluster/mesh/seeds_test.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/kernel"
 )
 
-func TestChangedSeedsAreDialledAtOnce(t *testing.T) {
+func TestChangedSeedsAreDialledImmediately(t *testing.T) {
 	r := newRig(t)
 	out := r.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.8:1", "10.0.0.9:1"}})
 	must.Eq(t, []string{"10.0.0.8:1", "10.0.0.9:1"}, out.Dials)
--- a/cluster/mesh/store.go
+++ b/cluster/mesh/store.go
@@ -17,8 +17,8 @@
 	MaxEntries = 4096
 	// TombstoneTTL is how long a withdrawn entry is remembered.
 	TombstoneTTL = 60 * clock.Second
-	// forgottenTogether is how far apart two origins may be forgotten for the same cause.
-	forgottenTogether = 3 * clock.Second
+	// sameCauseWindow is how far apart two origins may be forgotten for the same cause.
+	sameCauseWindow = 3 * clock.Second
 )
 
 // originState is what the mesh knows of one origin.
@@ -189,7 +189,7 @@
 		return false
 	}
 	for other, o := range s.forgotten {
-		if other == fp || max(o.forgottenAt-g.forgottenAt, g.forgottenAt-o.forgottenAt) < forgottenTogether {
+		if other == fp || max(o.forgottenAt-g.forgottenAt, g.forgottenAt-o.forgottenAt) < sameCauseWindow {
 			delete(s.forgotten, other)
 		}
 	}
--- a/runtime/asynclog/asynclog.go
+++ b/runtime/asynclog/asynclog.go
@@ -74,7 +74,7 @@
 
 func (w *Writer) run() {
 	for range w.wake {
-		for batch := w.take(); len(batch) > 0; batch = w.take() {
+		for batch := w.takeBatch(); len(batch) > 0; batch = w.takeBatch() {
 			// An error is ignored: there is no place left to report it.
 			w.to.Write(batch)
 			w.recycle(batch)
@@ -82,8 +82,8 @@
 	}
 }
 
-// take returns the pending lines, followed by the line for those that were dropped since.
-func (w *Writer) take() []byte {
+// takeBatch returns the pending lines, followed by the line for those that were dropped since.
+func (w *Writer) takeBatch() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	batch := w.pending
--- a/runtime/asynclog/asynclog_test.go
+++ b/runtime/asynclog/asynclog_test.go
@@ -44,11 +44,11 @@
 	}
 }
 
-func lost(n int) []byte { return fmt.Appendf(nil, "lost %d\n", n) }
+func formatLost(n int) []byte { return fmt.Appendf(nil, "lost %d\n", n) }
 
 func TestLinesKeepOrder(t *testing.T) {
 	g := &blockingWriter{}
-	w := New(g, lost)
+	w := New(g, formatLost)
 	var want strings.Builder
 	for i := range 2000 {
 		line := fmt.Sprintf("line %d\n", i)
@@ -63,7 +63,7 @@
 
 func TestLinesAreDroppedAndCountedWhenWriterBlocks(t *testing.T) {
 	g := &blockingWriter{}
-	w := New(g, lost)
+	w := New(g, formatLost)
 	g.blocked.Lock()
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 4 * maxPending / 1024
--- a/runtime/chunk/sender_test.go
+++ b/runtime/chunk/sender_test.go
@@ -52,7 +52,7 @@
 	}
 	must.Eq(t, 500_000, x.sender.queuedBytes)
 	x.run(10 * clock.Second)
-	same(t, [][]byte{first, third}, x.arrived)
+	equalMessages(t, [][]byte{first, third}, x.arrived)
 }
 
 func TestTransferWithoutProgressIsAbandonedAndNextStarts(t *testing.T) {
@@ -92,6 +92,6 @@
 	must.Eq(t, 200_000, x.sender.queuedBytes)
 	x.faults.lose = 0
 	x.run(20 * clock.Second)
-	same(t, [][]byte{message(8, 200_000)}, x.arrived[len(x.arrived)-1:])
+	equalMessages(t, [][]byte{message(8, 200_000)}, x.arrived[len(x.arrived)-1:])
 	must.Len(t, 1, x.arrived)
 }
--- a/runtime/chunk/transfer_test.go
+++ b/runtime/chunk/transfer_test.go
@@ -38,8 +38,8 @@
 
 func (x *transport) chance(in100 int) bool { return x.rnd.IntN(100) < in100 }
 
-// carry delivers something to the other side, subject to the network's faults.
-func (x *transport) carry(f func()) {
+// deliver delivers something to the other side, subject to the network's faults.
+func (x *transport) deliver(f func()) {
 	if x.chance(x.faults.lose) {
 		return
 	}
@@ -61,7 +61,7 @@
 		}
 		for _, o := range x.sender.Pump(x.now) {
 			conn, c := x.conn, o.Chunk
-			x.carry(func() { x.take(conn, c) })
+			x.deliver(func() { x.receive(conn, c) })
 		}
 		if len(x.delayed) > 0 && x.chance(50) {
 			i := x.rnd.IntN(len(x.delayed))
@@ -74,14 +74,14 @@
 	}
 }
 
-func (x *transport) take(conn uint64, p wire.Chunk) {
+func (x *transport) receive(conn uint64, p wire.Chunk) {
 	accepted, err := x.assembler.Accept(x.now, conn, p)
 	must.NoError(x.t, err)
 	if accepted.Message != nil {
 		x.arrived = append(x.arrived, accepted.Message)
 	}
 	if accepted.Reply {
-		x.carry(func() { x.sender.Acked(x.now, accepted.Ack) })
+		x.deliver(func() { x.sender.Acked(x.now, accepted.Ack) })
 	}
 }
 
@@ -91,8 +91,8 @@
 	return b
 }
 
-// same compares messages by their bytes; printing the difference of large ones takes long.
-func same(t *testing.T, want, got [][]byte) {
+// equalMessages compares messages by their bytes; printing the difference of large ones takes long.
+func equalMessages(t *testing.T, want, got [][]byte) {
 	t.Helper()
 	must.Eq(t, len(want), len(got))
 	for i := range want {
@@ -152,32 +152,32 @@
 	must.Positive(t, x.assembler.BufferedBytes())
 	x.conn = 2
 	x.run(10 * clock.Second)
-	same(t, [][]byte{m}, x.arrived)
+	equalMessages(t, [][]byte{m}, x.arrived)
 }
 
 func TestChunksOfDifferentTransfersDoNotMix(t *testing.T) {
 	a, b := message(1, 3*wire.ChunkBytes), message(2, 3*wire.ChunkBytes)
 	as := NewAssembler()
-	take := func(conn uint64, p wire.Chunk) Accepted {
+	accept := func(conn uint64, p wire.Chunk) Accepted {
 		accepted, err := as.Accept(0, conn, p)
 		must.NoError(t, err)
 		return accepted
 	}
-	take(1, chunkOf(1, a, 0))
-	take(2, chunkOf(1, b, 0))
-	take(1, chunkOf(1, a, wire.ChunkBytes))
-	must.Eq(t, wire.ChunkAck{Transfer: 1, Next: wire.ChunkBytes}, take(2, chunkOf(1, b, 2*wire.ChunkBytes)).Ack)
-	same(t, [][]byte{a}, [][]byte{take(1, chunkOf(1, a, 2*wire.ChunkBytes)).Message})
+	accept(1, chunkOf(1, a, 0))
+	accept(2, chunkOf(1, b, 0))
+	accept(1, chunkOf(1, a, wire.ChunkBytes))
+	must.Eq(t, wire.ChunkAck{Transfer: 1, Next: wire.ChunkBytes}, accept(2, chunkOf(1, b, 2*wire.ChunkBytes)).Ack)
+	equalMessages(t, [][]byte{a}, [][]byte{accept(1, chunkOf(1, a, 2*wire.ChunkBytes)).Message})
 
 	// A chunk of the next message in the middle of this one, and then a late one of this.
-	must.Eq(t, wire.ChunkAck{Transfer: 2, Next: 0}, take(2, chunkOf(2, a, wire.ChunkBytes)).Ack)
-	take(2, chunkOf(2, a, 0))
-	must.False(t, take(2, chunkOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("the sender has gone on"))
-	take(2, chunkOf(2, a, wire.ChunkBytes))
-	same(t, [][]byte{a}, [][]byte{take(2, chunkOf(2, a, 2*wire.ChunkBytes)).Message})
+	must.Eq(t, wire.ChunkAck{Transfer: 2, Next: 0}, accept(2, chunkOf(2, a, wire.ChunkBytes)).Ack)
+	accept(2, chunkOf(2, a, 0))
+	must.False(t, accept(2, chunkOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("the sender has gone on"))
+	accept(2, chunkOf(2, a, wire.ChunkBytes))
+	equalMessages(t, [][]byte{a}, [][]byte{accept(2, chunkOf(2, a, 2*wire.ChunkBytes)).Message})
 
 	// Chunks of another message under the same transfer number.
-	take(3, chunkOf(7, a, 0))
+	accept(3, chunkOf(7, a, 0))
 	_, err := as.Accept(0, 3, chunkOf(7, b, wire.ChunkBytes))
 	must.ErrorIs(t, err, ErrMalformed)
 }
@@ -198,7 +198,7 @@
 
 func TestMalformedChunksAreRejected(t *testing.T) {
 	good := chunkOf(1, message(1, 2*wire.ChunkBytes), 0)
-	for name, spoil := range map[string]func(p *wire.Chunk){
+	for name, corrupt := range map[string]func(p *wire.Chunk){
 		"too large":       func(p *wire.Chunk) { p.Total = wire.MaxMessage + 1 },
 		"of no size":      func(p *wire.Chunk) { p.Total = 0 },
 		"short digest":    func(p *wire.Chunk) { p.Digest = p.Digest[1:] },
@@ -208,7 +208,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, as := good, NewAssembler()
-			spoil(&p)
+			corrupt(&p)
 			_, err := as.Accept(0, 1, p)
 			must.ErrorIs(t, err, ErrMalformed)
 			must.False(t, as.Busy())
@@ -237,7 +237,7 @@
 			}
 			if accepted.Message != nil {
 				completed++
-				same(t, [][]byte{m}, [][]byte{accepted.Message})
+				equalMessages(t, [][]byte{m}, [][]byte{accepted.Message})
 			}
 		}
 	}
--- a/runtime/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -119,7 +119,7 @@
 		}
 		event := ctx.events[0]
 		ctx.events = ctx.events[1:]
-		k.toAll(ctx, event)
+		k.stepAll(ctx, event)
 	}
 	k.chunks.send(ctx)
 	return ctx.Output
@@ -138,33 +138,33 @@
 		}
 	case ConnDown:
 		k.chunks.closed(v.Conn)
-		k.toAll(ctx, in)
+		k.stepAll(ctx, in)
 	case Tick:
 		if v.Plugin == transferTimer {
 			k.chunks.tick(ctx)
 			return
 		}
-		k.to(ctx, v.Plugin, in)
+		k.stepPlugin(ctx, v.Plugin, in)
 	case Written:
-		k.to(ctx, v.Plugin, in)
+		k.stepPlugin(ctx, v.Plugin, in)
 	case Fetched:
-		k.to(ctx, v.Plugin, in)
+		k.stepPlugin(ctx, v.Plugin, in)
 	case Call:
-		k.to(ctx, v.Plugin, in)
+		k.stepPlugin(ctx, v.Plugin, in)
 	case Canceled:
-		k.to(ctx, v.Plugin, in)
+		k.stepPlugin(ctx, v.Plugin, in)
 	default:
-		k.toAll(ctx, in)
+		k.stepAll(ctx, in)
 	}
 }
 
-func (k *Kernel) toAll(ctx *Context, in Input) {
+func (k *Kernel) stepAll(ctx *Context, in Input) {
 	for _, p := range k.plugins {
 		p.Step(ctx, in)
 	}
 }
 
-func (k *Kernel) to(ctx *Context, plugin string, in Input) {
+func (k *Kernel) stepPlugin(ctx *Context, plugin string, in Input) {
 	if p, ok := k.byName[plugin]; ok {
 		p.Step(ctx, in)
 	}
--- a/runtime/process/blocked_test.go
+++ b/runtime/process/blocked_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestCallTimesOutWhenLoopIsBlocked(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	blockLoop(t, p)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
@@ -58,14 +58,14 @@
 
 // Frames are queued for a connection that is being opened; it has no socket to close yet.
 func TestPendingConnectionCanBeClosed(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	pending := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
 	defer func() { must.Nil(t, recover()) }()
 	pending.close()
 }
 
 func TestBacklogForUnresponsiveAddressIsBounded(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	// It accepts connections and sends nothing, as the machine of a frozen process does.
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -92,7 +92,7 @@
 }
 
 func TestBacklogIsBoundedInBytes(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	pending := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
 	frame := make([]byte, 1<<20)
 	for range 3 * maxBacklogBytes / len(frame) {
@@ -107,7 +107,7 @@
 
 // A request that finds the process frozen waits for the thaw, but no longer than it may.
 func TestAwaitThawTimesOutWhenLoopIsBlocked(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	blockLoop(t, p)
 	p.lastRun.Store(p.Now() - 2*FreezeGap)
 	must.True(t, returnsInTime(func() { p.AwaitThaw(50 * time.Millisecond) }))
--- a/runtime/process/disk.go
+++ b/runtime/process/disk.go
@@ -19,8 +19,8 @@
 	maxWrites = 4096
 	// closeTimeout is how long the shutdown waits for the disk. A write that hangs was acknowledged to nobody.
 	closeTimeout = time.Second
-	// asideSuffix marks a file that is being written.
-	asideSuffix = ".aside"
+	// tempSuffix marks a file that is being written.
+	tempSuffix = ".aside"
 )
 
 // disk is the data folder. One goroutine writes the files in the order of the requests: each is
@@ -58,7 +58,7 @@
 		if entry.IsDir() || strings.HasPrefix(name, ".") {
 			continue
 		}
-		if strings.HasSuffix(name, asideSuffix) {
+		if strings.HasSuffix(name, tempSuffix) {
 			// It was never renamed, so never acknowledged.
 			os.Remove(filepath.Join(dir, name))
 			continue
@@ -104,11 +104,11 @@
 // loss of power is an old version, which does no harm and is removed again with the next version.
 func (d *disk) write(w kernel.Write) error {
 	path := filepath.Join(d.dir, w.File)
-	aside := path + asideSuffix
+	tempPath := path + tempSuffix
 	if w.Data == nil {
 		return os.Remove(path)
 	}
-	f, err := os.OpenFile(aside, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	f, err := os.OpenFile(tempPath, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
@@ -120,10 +120,10 @@
 		err = closeErr
 	}
 	if err != nil {
-		os.Remove(aside)
+		os.Remove(tempPath)
 		return err
 	}
-	if err := os.Rename(aside, path); err != nil {
+	if err := os.Rename(tempPath, path); err != nil {
 		return err
 	}
 	return d.syncDir()
--- a/runtime/process/disk_test.go
+++ b/runtime/process/disk_test.go
@@ -13,16 +13,16 @@
 )
 
 func TestCloseDoesNotWaitForHungDisk(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	dir := t.TempDir()
 	d, _, err := openDisk(dir)
 	must.NoError(t, err)
 	// Opening a pipe for writing blocks until somebody reads, as a disk that hangs does.
-	aside := filepath.Join(dir, "file.aside")
-	must.NoError(t, syscall.Mkfifo(aside, 0o600))
+	tempPath := filepath.Join(dir, "file.aside")
+	must.NoError(t, syscall.Mkfifo(tempPath, 0o600))
 	d.enqueue(p, kernel.Write{Plugin: "mesh", Key: "w1", File: "file", Data: []byte("content")})
 	closed := returnsInTime(d.close)
-	reader, err := os.OpenFile(aside, os.O_RDONLY|syscall.O_NONBLOCK, 0)
+	reader, err := os.OpenFile(tempPath, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	must.NoError(t, err)
 	reader.Close()
 	must.True(t, closed)
--- a/runtime/process/drop_test.go
+++ b/runtime/process/drop_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestDropDoesNotBlockFullLoop(t *testing.T) {
-	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
-	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+	a := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
+	b := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "they connect", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	var dropped atomic.Bool
 	go a.Do(func(int64) {
--- a/runtime/process/loop.go
+++ b/runtime/process/loop.go
@@ -31,7 +31,7 @@
 		case in := <-p.inbox:
 			p.handle(in)
 		case <-wait.C:
-			p.fireTimers(p.noticeFreeze())
+			p.fireTimers(p.detectFreeze())
 		case <-p.stopping:
 			return
 		}
@@ -48,7 +48,7 @@
 
 // handle handles one input and the timers that are due, which a full inbox must not delay.
 func (p *Process) handle(in kernel.Input) {
-	at := p.noticeFreeze()
+	at := p.detectFreeze()
 	if f, ok := in.(inLoop); ok {
 		f.run(at.now)
 	} else {
@@ -102,9 +102,9 @@
 	return clocks{now: t.Sub(p.startedAt).Microseconds(), wall: t.UnixMicro()}
 }
 
-// noticeFreeze reads the clocks. If the loop has not run for FreezeGap it tells the kernel so, before
+// detectFreeze reads the clocks. If the loop has not run for FreezeGap it tells the kernel so, before
 // anything else is handled.
-func (p *Process) noticeFreeze() clocks {
+func (p *Process) detectFreeze() clocks {
 	at := p.readClocks()
 	if gap := at.now - p.lastRun.Load(); gap > FreezeGap {
 		p.thaws.Add(1)
--- a/runtime/process/process_test.go
+++ b/runtime/process/process_test.go
@@ -18,8 +18,8 @@
 	"wallport/runtime/settings"
 )
 
-// free returns a free address.
-func free(t *testing.T) string {
+// freeAddr returns a free address.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -52,51 +52,51 @@
 }
 
 func TestProcessesConnect(t *testing.T) {
-	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
-	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+	a := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
+	b := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "both have one peer", func() bool { return a.peers() == 1 && b.peers() == 1 })
 }
 
 func TestProcessesConnectThroughMeshListen(t *testing.T) {
-	behind := free(t)
+	listenAddr := freeAddr(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	announced := listener.Addr().String()
-	a := start(t, settings.Settings{Mesh: announced, MeshListen: behind, FleetSecret: "s"})
-	callers := make(chan string, 8)
-	go forwardTo(listener, behind, callers)
+	a := start(t, settings.Settings{Mesh: announced, MeshListen: listenAddr, FleetSecret: "s"})
+	sources := make(chan string, 8)
+	go forwardTo(listener, listenAddr, sources)
 	t.Cleanup(func() { listener.Close() })
-	b := start(t, settings.Settings{Mesh: free(t), MeshListen: "127.0.0.2:0", FleetSecret: "s", Seeds: []string{announced}})
+	b := start(t, settings.Settings{Mesh: freeAddr(t), MeshListen: "127.0.0.2:0", FleetSecret: "s", Seeds: []string{announced}})
 	until(t, "both have one peer", func() bool { return a.peers() == 1 && b.peers() == 1 })
-	host, _, err := net.SplitHostPort(<-callers)
+	host, _, err := net.SplitHostPort(<-sources)
 	must.NoError(t, err)
 	must.Eq(t, "127.0.0.2", host, must.Sprint("connections leave from the address that the mesh listens on"))
 }
 
 // forwardTo forwards connections to an address and reports where they came from.
-func forwardTo(l net.Listener, to string, callers chan<- string) {
+func forwardTo(l net.Listener, to string, sources chan<- string) {
 	for {
 		from, err := l.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case callers <- from.RemoteAddr().String():
+		case sources <- from.RemoteAddr().String():
 		default:
 		}
-		behind, err := net.Dial("tcp", to)
+		target, err := net.Dial("tcp", to)
 		if err != nil {
 			from.Close()
 			continue
 		}
-		go func() { io.Copy(behind, from); behind.Close() }()
-		go func() { io.Copy(from, behind); from.Close() }()
+		go func() { io.Copy(target, from); target.Close() }()
+		go func() { io.Copy(from, target); from.Close() }()
 	}
 }
 
 func TestOtherFleetSecretIsRejected(t *testing.T) {
-	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
-	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "other", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+	a := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
+	b := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "other", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "it is rejected", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
@@ -110,33 +110,33 @@
 		{{FleetSecret: "new"}, {FleetSecret: "new", SecondFleetSecret: "old"}},
 	}
 	for _, s := range steps {
-		s[0].Mesh, s[1].Mesh = free(t), free(t)
+		s[0].Mesh, s[1].Mesh = freeAddr(t), freeAddr(t)
 		a := start(t, s[0])
 		s[1].Seeds = []string{s[0].Mesh}
 		b := start(t, s[1])
 		until(t, "they connect", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	}
 	// A process that was not given the new secret is rejected.
-	a := start(t, settings.Settings{Mesh: free(t), FleetSecret: "new"})
-	b := start(t, settings.Settings{Mesh: free(t), FleetSecret: "old", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+	a := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "new"})
+	b := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "old", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "it is rejected", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
 }
 
 func TestForeignBytesCloseOnlyTheirConnection(t *testing.T) {
-	a := start(t, settings.Settings{Mesh: free(t)})
+	a := start(t, settings.Settings{Mesh: freeAddr(t)})
 	c, err := net.Dial("tcp", a.Kernel.Boot.Settings.Mesh)
 	must.NoError(t, err)
 	_, err = c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	must.NoError(t, err)
 	until(t, "it is counted", func() bool { return a.Kernel.Counts.Of("channels_failed").Load() == 1 })
 	c.Close()
-	b := start(t, settings.Settings{Mesh: free(t), Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
+	b := start(t, settings.Settings{Mesh: freeAddr(t), Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
 	until(t, "others still connect", func() bool { return b.peers() == 1 })
 }
 
-func TestDataDir(t *testing.T) {
+func TestDataDirKeepsWritesAndIsLocked(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	d, files, err := openDisk(dir)
 	must.NoError(t, err)
--- a/runtime/settings/file.go
+++ b/runtime/settings/file.go
@@ -26,7 +26,7 @@
 	}
 	defer f.Close()
 	firstLine := map[string]int{}
-	takeSeeds := len(s.Seeds) == 0
+	useFileSeeds := len(s.Seeds) == 0
 	fields := s.textFields()
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
@@ -42,7 +42,7 @@
 			continue
 		}
 		if key == "seed" {
-			if takeSeeds {
+			if useFileSeeds {
 				s.Seeds = append(s.Seeds, value)
 			}
 			continue
--- a/runtime/wire/golden_cover_test.go
+++ b/runtime/wire/golden_cover_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// source parses the package without its tests.
-func source(t *testing.T) (files []*ast.File) {
+// parsePackage parses the package without its tests.
+func parsePackage(t *testing.T) (files []*ast.File) {
 	t.Helper()
 	list, err := os.ReadDir(".")
 	must.NoError(t, err)
@@ -96,7 +96,7 @@
 func TestGoldenCoversEveryKind(t *testing.T) {
 	// The kinds are the package's only constants of type uint8.
 	var kinds []string
-	for _, file := range source(t) {
+	for _, file := range parsePackage(t) {
 		for _, d := range file.Decls {
 			group, ok := d.(*ast.GenDecl)
 			if !ok || group.Tok != token.CONST {
@@ -122,7 +122,7 @@
 
 func TestGoldenCoversEveryType(t *testing.T) {
 	encoded := map[string]bool{}
-	for _, file := range source(t) {
+	for _, file := range parsePackage(t) {
 		for _, d := range file.Decls {
 			if f, ok := d.(*ast.FuncDecl); ok && f.Recv != nil && f.Name.Name == "MarshalMsg" {
 				receiver := f.Recv.List[0].Type
