--- a/runtime/kernel/chunks.go
+++ b/runtime/kernel/chunks.go
@@ -7,11 +7,11 @@
 	"wallport/runtime/wire"
 )
 
-// transferTimer addresses the timer of the transfers; no plug-in has this name.
+// transferTimer is the plug-in name in the Ticks of the transfer timer; no plug-in has this name.
 const transferTimer = "pieces"
 
-// chunks carries the messages that are larger than a frame. It takes them out of a step's sends and
-// gives the plug-ins complete messages, so that they need not know of chunks.
+// chunks sends and receives the messages that are larger than a frame. It replaces them by chunks in a
+// step's sends and reassembles received ones, so plug-ins handle complete messages only.
 type chunks struct {
 	sender    *chunk.Sender
 	assembler *chunk.Assembler
@@ -22,11 +22,11 @@
 	return &chunks{sender: chunk.NewSender(0), assembler: chunk.NewAssembler()}
 }
 
-// mustNotOvertake reports whether a small message of a kind must wait for a large one before it: the
-// last message of a transfer of records says that the transfer is complete.
+// mustNotOvertake reports whether a small message of a kind must wait for a large one sent before it:
+// the last RecordsReply of a transfer of records marks it as complete.
 func mustNotOvertake(kind uint8) bool { return kind == wire.KindRecordsReply }
 
-// send replaces the large messages of a step's sends by the chunks that may be sent now.
+// send replaces the large messages in a step's sends by the chunks that the send window allows now.
 func (c *chunks) send(ctx *Context) {
 	sends := ctx.Output.Sends[:0]
 	for _, s := range ctx.Output.Sends {
@@ -53,7 +53,7 @@
 	}
 }
 
-// armTimer sets the timer if it is not set and a transfer is in flight in either direction.
+// armTimer sets the transfer timer if it is not set and a transfer is in flight in either direction.
 func (c *chunks) armTimer(ctx *Context) {
 	if c.timerSet {
 		return
@@ -69,7 +69,8 @@
 	c.timerSet = true
 }
 
-// tick resends, abandons and forgets transfers; chunks to resend leave at the end of the step.
+// tick drops transfers that have timed out in either direction and marks unacknowledged chunks for
+// resending; these are sent at the end of the step.
 func (c *chunks) tick(ctx *Context) {
 	c.timerSet = false
 	if abandoned := c.sender.Expire(ctx.Now); abandoned > 0 {
@@ -85,7 +86,7 @@
 	c.assembler.Closed(conn)
 }
 
-// acked handles an acknowledgement.
+// acked handles an acknowledgement from the receiver of a transfer.
 func (c *chunks) acked(ctx *Context, ack wire.ChunkAck) {
 	done, again := c.sender.Acked(ctx.Now, ack)
 	if done {
@@ -96,8 +97,8 @@
 	}
 }
 
-// received handles a chunk and returns the message that it completes, if it does. An error means
-// that the connection must be dropped.
+// received handles a chunk and returns the message that it completes, or nil if chunks are still
+// missing. An error means that the connection must be dropped.
 func (c *chunks) received(ctx *Context, conn uint64, fragment wire.Chunk) (*wire.Frame, error) {
 	accepted, err := c.assembler.Accept(ctx.Now, conn, fragment)
 	if err != nil {
--- a/runtime/kernel/context.go
+++ b/runtime/kernel/context.go
@@ -10,8 +10,8 @@
 	"wallport/runtime/wire"
 )
 
-// Context is one step in progress: what a plug-in may read, and what has been requested so far.
-// Nothing takes effect before the driver carries out the step's [Output].
+// Context is one step in progress: the clocks, random source and counters that a plug-in may use, and
+// the output requested so far. Nothing takes effect before the driver carries out the step's [Output].
 type Context struct {
 	// Now is the process's monotonic clock, Wall the time since the Unix epoch.
 	Now, Wall clock.Micros
@@ -34,7 +34,7 @@
 	ctx.Output.Sends = append(ctx.Output.Sends, Send{Addr: addr, Data: wire.Seal(kind, id, m)})
 }
 
-// SendLatest is Send for messages of which only the newest with a key matters: it replaces one that is still queued.
+// SendLatest is Send for a message that makes earlier ones with the same replaceKey obsolete: it replaces one that is still queued.
 func (ctx *Context) SendLatest(conn uint64, kind uint8, m msgp.Marshaler, replaceKey string) {
 	ctx.Output.Sends = append(ctx.Output.Sends, Send{Conn: conn, Data: wire.Seal(kind, 0, m), ReplaceKey: replaceKey})
 }
@@ -51,13 +51,13 @@
 func (ctx *Context) Drop(conn uint64) { ctx.Output.Drops = append(ctx.Output.Drops, conn) }
 
 // After delivers a Tick with a key to a plug-in once delay, in microseconds, has passed. A timer can be
-// neither cancelled nor replaced: a plug-in ignores a Tick whose reason is gone.
+// neither cancelled nor replaced: a plug-in must ignore a Tick that no longer applies.
 func (ctx *Context) After(delay clock.Micros, plugin, key string) {
 	tick := Tick{Plugin: plugin, Key: key}
 	ctx.Output.Timers = append(ctx.Output.Timers, Timer{At: ctx.Now + delay, Tick: tick})
 }
 
-// AfterFor is After for one of the things that a plug-in has in flight, identified by id.
+// AfterFor is After for an operation that a plug-in has in flight, identified by id.
 func (ctx *Context) AfterFor(delay clock.Micros, plugin string, id uint64) {
 	tick := Tick{Plugin: plugin, ID: id}
 	ctx.Output.Timers = append(ctx.Output.Timers, Timer{At: ctx.Now + delay, Tick: tick})
@@ -84,7 +84,7 @@
 }
 
 // ReportViolation counts and logs an invariant that does not hold, and panics where violations are
-// fatal; detail says what violates it.
+// fatal; detail describes the violation.
 func (ctx *Context) ReportViolation(name invariant.Name, detail string) {
 	ctx.Counts.Add(invariant.Counter(name), 1)
 	ctx.Log(LevelError, invariant.Event, "invariant", string(name), "detail", detail)
--- a/runtime/kernel/counters.go
+++ b/runtime/kernel/counters.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// Counts is a process's named counters and gauges. Any goroutine may change them; the metrics page,
-// the simulator and the tests read them.
+// Counts is a process's named counters and gauges. It is safe for concurrent use; the metrics page,
+// the simulator and the tests read it.
 type Counts struct{ byName sync.Map }
 
 // NewCounts returns an empty set.
 func NewCounts() *Counts { return &Counts{} }
 
-// Of returns the counter with a name and creates it on first use.
+// Of returns the counter with the given name and creates it on first use.
 func (c *Counts) Of(name string) *atomic.Int64 {
 	if v, ok := c.byName.Load(name); ok {
 		return v.(*atomic.Int64)
@@ -28,7 +28,7 @@
 // Set sets a gauge.
 func (c *Counts) Set(name string, n int64) { c.Of(name).Store(n) }
 
-// Each visits the counters in the order of their names.
+// Each calls visit for each counter, sorted by name.
 func (c *Counts) Each(visit func(name string, n int64)) {
 	var names []string
 	c.byName.Range(func(k, _ any) bool { names = append(names, k.(string)); return true })
--- a/runtime/kernel/inputs.go
+++ b/runtime/kernel/inputs.go
@@ -2,8 +2,8 @@
 
 import "wallport/runtime/clock"
 
-// Input is what one step of a kernel is given: one of the types below, or an event that a plug-in
-// emitted for the others with [Context.Emit].
+// Input is the input of one step of a kernel: one of the types below, or an event that a plug-in
+// emitted with [Context.Emit].
 type Input any
 
 type (
@@ -21,7 +21,8 @@
 		Mesh   bool
 	}
 	// ConnDown reports that a mesh connection ended, or that an attempt to open one failed; Conn is 0 then. The
-	// end of a direct connection is not reported: what was sent on it counts as lost after a time-out.
+	// end of a direct connection is not reported: the sender treats a message without a reply as lost after a
+	// time-out.
 	ConnDown struct {
 		Conn uint64
 		Addr string
@@ -33,15 +34,15 @@
 		Data []byte
 	}
 	// Message is a frame whose envelope was decoded. It goes to the plug-in that registered its kind. ID is the
-	// sender's number for a request; the reply to it carries the same one, and 0 stands for none.
+	// request id that the sender chose; the reply carries the same id, and 0 means that there is none.
 	Message struct {
 		Conn uint64
 		Kind uint8
 		ID   uint64
 		Body []byte
 	}
-	// Tick is a timer that is due. It belongs to the plug-in as a whole, by Key, or to one of the
-	// things that the plug-in has in flight, by ID.
+	// Tick is a timer that is due. Key names a timer of the plug-in as a whole; ID identifies the operation in
+	// flight that the timer belongs to.
 	Tick struct {
 		Plugin string
 		Key    string
@@ -62,17 +63,18 @@
 		ID      uint64
 		Request any
 	}
-	// Canceled reports that nobody waits for the reply to a [Call] any more: what was not sent for it need not be.
+	// Canceled reports that the caller no longer waits for the reply to a [Call]. The plug-in need not send the
+	// messages that it has not yet sent for that call.
 	Canceled struct {
 		Plugin string
 		ID     uint64
 	}
 	// Thawed reports that the process did not run for Gap (more than process.FreezeGap), so that its view of
-	// others is out of date. It comes before any other input that was received meanwhile.
+	// others is out of date. It is delivered before all inputs that were received during the gap.
 	Thawed struct{ Gap clock.Micros }
 	// Stopping reports that a graceful shutdown has begun.
 	Stopping struct{}
-	// SeedsChanged carries the mesh addresses of the seeds as the settings name them now.
-	// They replace the earlier ones; any of them may be down, or new and empty.
+	// SeedsChanged carries the seeds' mesh addresses after a change of the settings. They replace the earlier
+	// ones; any of these processes may be down, or new and without state.
 	SeedsChanged struct{ Seeds []string }
 )
--- a/runtime/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -11,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-// Plugin is one concern of a process.
+// Plugin is one module of a process: a state machine that the kernel feeds with inputs.
 type Plugin interface {
 	// Name is unique within a process; ticks, calls and results of writes and fetches are addressed by it.
 	Name() string
@@ -21,10 +21,10 @@
 	Step(ctx *Context, in Input)
 }
 
-// Registration says in which roles a plug-in runs and how it is made. Plug-ins of a lower rank are
-// made first, so that later ones can [Find] them, and are given each event first: what a plug-in has
-// learned from an event stands when those of a higher rank react to it. Ranks are 10 for the mesh to
-// 90 and leave room between them; they have no other meaning.
+// Registration states in which roles a plug-in runs and how it is made. Plug-ins of a lower rank are
+// made first, so that later ones can [Find] them. They also receive each event first: when a plug-in
+// of a higher rank handles an event, those of a lower rank have already updated their state. Ranks
+// range from 10, for the mesh, to 90, with gaps between them; only their order matters.
 type Registration struct {
 	Rank  int
 	Roles []string
@@ -38,7 +38,7 @@
 	registered = append(registered, r)
 }
 
-// Boot is everything that a process is given at its start.
+// Boot holds the start parameters of a process.
 type Boot struct {
 	Settings settings.Settings
 	Role     string
@@ -62,8 +62,8 @@
 	chunks   *chunks
 }
 
-// seedStream is the second half of the random source's seed, "wall" in ASCII. It is fixed: a process
-// has one random source, so that Boot.Seed alone makes it differ.
+// seedStream is the second half of the random source's seed, "wall" in ASCII. It is constant: a
+// process has only one random source, so Boot.Seed alone suffices to tell sources apart.
 const seedStream = 0x77616c6c
 
 // New makes a kernel with every registered plug-in of the boot's role.
@@ -105,7 +105,7 @@
 // Step handles one input and returns everything that the plug-ins requested because of it. now is the
 // process's monotonic clock in microseconds since its start, and never goes back; wall is the time in
 // microseconds since the Unix epoch, which may jump.
-// Events that they emit are delivered in order before the deferred functions run.
+// Events that plug-ins emit are delivered in order, before the functions passed to Later run.
 func (k *Kernel) Step(now, wall clock.Micros, in Input) Output {
 	k.steps.Add(1)
 	ctx := &Context{Now: now, Wall: wall, Rand: k.Rand, Counts: k.Counts}
@@ -125,8 +125,8 @@
 	return ctx.Output
 }
 
-// Later runs f at the end of this step or, if none is in progress, of the next one. It serves a
-// plug-in that others change by plain calls and that has to act on the change without polling.
+// Later runs f at the end of the current step or, if none is in progress, of the next one. A plug-in
+// whose methods are called directly, outside Step, uses it to act on such a call without polling.
 func (k *Kernel) Later(f func(ctx *Context)) { k.deferred = append(k.deferred, f) }
 
 func (k *Kernel) route(ctx *Context, in Input) {
--- a/runtime/kernel/outputs.go
+++ b/runtime/kernel/outputs.go
@@ -11,7 +11,7 @@
 		// ReplaceKey, when set, lets a newer frame with the same key replace one that is still queued.
 		ReplaceKey string
 	}
-	// Timer requests a Tick at a moment of the process's monotonic clock.
+	// Timer requests a Tick at a time on the process's monotonic clock.
 	Timer struct {
 		At clock.Micros
 		Tick
