--- a/cluster/mesh/announce.go
+++ b/cluster/mesh/announce.go
@@ -5,8 +5,8 @@
 	"wallport/runtime/wire"
 )
 
-// Announce signs an entry of this process, stores it and floods it. With withdrawn set, the entry
-// withdraws the earlier one of the same type and id.
+// Announce signs an entry of this process, stores it and floods it. With withdrawn set, the entry is
+// a tombstone that withdraws the earlier entry of the same type and id.
 func (m *Mesh) Announce(ctx *kernel.Context, typ, id string, body []byte, withdrawn bool) {
 	m.count++
 	entry := &wire.Entry{Type: typ, ID: id, Origin: m.k.Boot.Key.Public, Count: m.count, At: ctx.Wall, Tombstone: withdrawn, Body: body}
@@ -27,11 +27,11 @@
 }
 
 // StoreVersion stores a version that was received outside the mesh, without flooding it. Peers that
-// lack it get it by anti-entropy.
+// lack the version receive it by anti-entropy.
 func (m *Mesh) StoreVersion(ctx *kernel.Context, v wire.Versioned) { m.storeVersion(ctx, v) }
 
-// storeVersion signs and stores a version. It returns nil if the version is not newer than the
-// stored one.
+// storeVersion signs and stores a version as an entry, which it returns. It returns nil if the version
+// is not newer than the stored one.
 func (m *Mesh) storeVersion(ctx *kernel.Context, v wire.Versioned) *wire.Entry {
 	if held, ok := m.store.partitions[v.Version.Partition]; ok && !Newer(v.Version, held.Version) {
 		return nil
--- a/cluster/mesh/antientropy.go
+++ b/cluster/mesh/antientropy.go
@@ -8,43 +8,44 @@
 
 // Constants of anti-entropy.
 const (
-	// DigestBuckets is the number of buckets into which origins are hashed. In a scope, the bit
-	// beyond them stands for the partitions.
+	// DigestBuckets is the number of buckets into which origins are hashed. A scope has one bit for
+	// each bucket and, above them, partitionsBit for the versions of the partitions.
 	DigestBuckets = 63
 	partitionsBit = 1 << DigestBuckets
 	allBuckets    = ^uint64(0)
 	// SyncInterval is the least time between two requests to one peer, and between requests to
 	// different peers.
 	SyncInterval = 400 * clock.Millisecond
-	// SyncIntervalReceiving takes the place of SyncInterval while a large message is being
-	// received, which may be what differs.
+	// SyncIntervalReceiving replaces SyncInterval while a large message is being received, since that
+	// message may be the difference between the stores.
 	SyncIntervalReceiving = 4 * clock.Second
-	// SyncRetryInterval is the least time between two requests to one peer that sends entries.
+	// SyncRetryInterval is the least time between two requests to one peer while its replies still
+	// bring new entries.
 	SyncRetryInterval = 60 * clock.Millisecond
 	// QuietPeriod is how long the store must have been unchanged before the first difference from
-	// a peer's digest causes a request: what is new is likely to be on its way already.
+	// a peer's digest causes a request: a new entry is probably still being flooded.
 	QuietPeriod = 300 * clock.Millisecond
-	// MaxSyncBytes bounds what is sent in reply to one message of summaries.
+	// MaxSyncBytes bounds the bytes of entries sent in reply to one message of summaries.
 	MaxSyncBytes = 96 << 10
-	// SyncBytesPerSecond bounds what is sent to all peers together.
+	// SyncBytesPerSecond bounds the bytes per second that anti-entropy sends to all peers together.
 	SyncBytesPerSecond = 512 << 10
 )
 
 // syncState is the progress of anti-entropy with one peer.
 type syncState struct {
 	requestedAt clock.Micros
-	// differed says that the peer's last heartbeat already had a different digest.
+	// differed reports whether the digest in the peer's last heartbeat differed from this process's.
 	differed bool
-	// progressed says that an entry came by anti-entropy since the last request, retryDue that a
-	// timer for another request is set.
+	// progressed reports whether anti-entropy with this peer brought a new entry since the last
+	// request, retryDue whether a timer for another request is set.
 	progressed, retryDue bool
-	// syncedLocal and syncedRemote are two different digests of which it is known that neither side
-	// lacks an entry.
+	// syncedLocal and syncedRemote are a pair of digests, this process's and the peer's. They differ
+	// although neither process lacks an entry that the other has.
 	syncedLocal, syncedRemote uint64
 }
 
-// digest returns the sum over the store that heartbeats carry; it is never 0, which stands for no
-// digest.
+// digest returns the digest of the store that heartbeats carry. It is never 0, which means that there
+// is no digest.
 func (m *Mesh) digest() uint64 {
 	d := mix(m.store.versionsHash) | 1
 	for _, b := range m.store.buckets {
@@ -53,7 +54,7 @@
 	return d | 1
 }
 
-// bucketBit returns the bit of an origin's bucket in a scope.
+// bucketBit returns the scope bit of an origin's bucket.
 func bucketBit(fp string) uint64 { return 1 << (hash(fp) % DigestBuckets) }
 
 // compareDigest handles the anti-entropy part of a heartbeat: a digest alone, a digest with bucket
@@ -82,8 +83,9 @@
 	}
 }
 
-// digestDiffers requests anti-entropy from a peer with a different digest, unless the difference is
-// known to be of no use to either side or is probably being sent already.
+// digestDiffers requests anti-entropy from a peer with a different digest. It does not if neither side
+// is known to lack an entry, if the missing entries are probably being sent already, or if the last
+// request was too recent.
 func (m *Mesh) digestDiffers(ctx *kernel.Context, peer *peerConn, theirs uint64) {
 	first := !peer.differed
 	peer.differed = true
@@ -97,8 +99,8 @@
 	}
 }
 
-// requestSync sends the bucket sums, to which the peer replies with the summaries of the buckets
-// that differ.
+// requestSync sends the bucket sums to a peer, which replies with the summaries of the buckets that
+// differ.
 func (m *Mesh) requestSync(ctx *kernel.Context, peer *peerConn) {
 	peer.requestedAt, m.syncRequestedAt, peer.progressed, peer.retryDue = ctx.Now, ctx.Now, false, false
 	ctx.Counts.Add("mesh_asked", 1)
@@ -106,9 +108,9 @@
 	ctx.SendLatest(peer.conn, wire.KindHeartbeat, hb, "buckets")
 }
 
-// handleSummaries sends the entries that the peer lacks according to its summaries. If the peer
-// asks for it, this side's summaries follow the entries, so that a peer that has read them has
-// read all.
+// handleSummaries sends the entries that the peer lacks according to its summaries. If the peer set
+// Echo, this process's summaries are sent after the entries, so a peer that receives the summaries
+// has received all of the entries.
 func (m *Mesh) handleSummaries(ctx *kernel.Context, peer *peerConn, hb *wire.Heartbeat) {
 	theirs := make(map[string]wire.OriginSummary, len(hb.Summaries))
 	for _, summary := range hb.Summaries {
@@ -138,8 +140,9 @@
 	}
 }
 
-// requestSyncSoon makes another request to a peer whose last reply was not complete, no sooner than
-// SyncRetryInterval after the last: during a flood something is always missing.
+// requestSyncSoon sends another request to a peer whose last reply was not complete, SyncRetryInterval
+// after the last request at the earliest. Without that interval requests would follow each other
+// directly during a flood, when some entry is always missing.
 func (m *Mesh) requestSyncSoon(ctx *kernel.Context, peer *peerConn) {
 	wait := peer.requestedAt + SyncRetryInterval - ctx.Now
 	switch {
@@ -151,7 +154,7 @@
 	}
 }
 
-// requestDueSyncs sends the requests of requestSyncSoon that are due.
+// requestDueSyncs sends the requests that requestSyncSoon delayed and that are now due.
 func (m *Mesh) requestDueSyncs(ctx *kernel.Context) {
 	for _, id := range sortedKeys(m.peers) {
 		if peer := m.peers[id]; peer.retryDue && ctx.Now >= peer.requestedAt+SyncRetryInterval {
@@ -160,8 +163,8 @@
 	}
 }
 
-// sendSummaries sends, for each origin of the buckets in scope, its highest count and its sum, and
-// the versions of all partitions. With echo set, the peer replies with its own.
+// sendSummaries sends the highest count and the sum of each origin in the scope's buckets, and the
+// versions of all partitions. With echo set, the peer replies with its own summaries.
 func (m *Mesh) sendSummaries(ctx *kernel.Context, peer *peerConn, scope uint64, echo bool) {
 	hb := &wire.Heartbeat{Digest: m.digest(), Scope: scope, Echo: echo, Partitions: m.versions()}
 	for _, fp := range sortedKeys(m.store.origins) {
@@ -173,13 +176,14 @@
 	ctx.Send(peer.conn, wire.KindHeartbeat, 0, hb)
 }
 
-// markInSync records that a peer has nothing that this process lacks.
+// markInSync records that a peer has no entry that this process lacks.
 func (m *Mesh) markInSync(ctx *kernel.Context) {
 	m.inSync = true
 	ctx.Emit(CaughtUp{})
 }
 
-// syncAllowance refills the token bucket of anti-entropy and returns how many bytes may be sent.
+// syncAllowance refills the token bucket of anti-entropy and returns the number of bytes that may be
+// sent.
 func (m *Mesh) syncAllowance(now clock.Micros) int {
 	m.syncTokens = min(SyncBytesPerSecond, m.syncTokens+int((now-m.syncTokensAt)*SyncBytesPerSecond/clock.Second))
 	m.syncTokensAt = now
@@ -195,9 +199,9 @@
 	return out
 }
 
-// sendMissingVersions sends the versions that a peer lacks and returns their size in bytes. Of a
-// large version it sends a notice, so that the peer requests it only if no other process is sending
-// it.
+// sendMissingVersions sends the versions that a peer lacks and returns their size in bytes. For a
+// large version it sends only a notice: the peer requests the version if no other process is already
+// sending it.
 func (m *Mesh) sendMissingVersions(ctx *kernel.Context, peer *peerConn, theirs []wire.Version) (sent int) {
 	known := map[int]wire.Version{}
 	for _, version := range theirs {
@@ -239,9 +243,10 @@
 	return false
 }
 
-// sendMissingEntries sends the entries of an origin that a peer lacks, most bytes at most, and
-// returns their size: those above the peer's highest count or, if the counts are equal and the sums
-// are not, all. An origin of which the peer has a higher count is left to the peer.
+// sendMissingEntries sends the entries of an origin that a peer lacks and returns their size in bytes.
+// It stops once it has sent most bytes. If the peer's highest count is lower, it sends the entries
+// above that count; if the counts are equal but the sums differ, it sends all entries. If the peer's
+// highest count is higher, it sends none, since the peer is the one that has newer entries.
 func (m *Mesh) sendMissingEntries(ctx *kernel.Context, peer *peerConn, origin *originState, theirs wire.OriginSummary, most int) (sent int) {
 	if origin.sum == theirs.Sum || len(origin.entries) == 0 || origin.maxCount < theirs.Max {
 		return 0
--- a/cluster/mesh/doc.go
+++ b/cluster/mesh/doc.go
@@ -1,39 +1,39 @@
 // Package mesh is the gossip mesh that connects all processes of a fleet. It floods signed entries,
-// keeps the newest entry of each id and origin, and works out which origins are live.
+// keeps the newest entry of each id and origin, and determines which origins are live.
 //
-// The source is the paper "Gossip Mesh (AgentDNS)": flooding with a hop bound and a seen-set,
-// Ed25519 signatures, heartbeats with peer addresses, seeds with backoff, a cap on peers. Added to
-// it are an order of entries, anti-entropy, rate limits, notices of large entries and several
-// origins for one id. docs/mesh.md gives the differences and their reasons.
+// The design follows the paper "Gossip Mesh (AgentDNS)": flooding with a hop bound and a seen-set,
+// Ed25519 signatures, heartbeats with peer addresses, seeds with backoff, a cap on peers. This
+// package adds an order of entries, anti-entropy, rate limits, notices of large entries and several
+// origins for one id. docs/mesh.md lists the differences from the paper and their reasons.
 //
 // # Concepts
 //
-// An origin is the key that signs entries, named by its fingerprint. It counts its entries; of two
-// entries with the same id and origin the one with the higher count wins. No clock takes part. A
-// restarted process has a new key and is a new origin. Versions of a partition belong to no origin:
-// the higher version (term, sequence) wins, whoever sends it.
+// An origin is the key that signs entries, named by its fingerprint. It numbers its entries with a
+// count; of two entries with the same id and origin, the one with the higher count wins. The order
+// does not depend on clocks. A restarted process has a new key and is a new origin. Versions of a
+// partition belong to no origin: the higher version (term, sequence) wins, regardless of its sender.
 //
-// What one concept needs is in one file:
+// Each concept has its own file:
 //
 //   - announce.go: entries of this process.
-//   - flood.go: receiving an entry and passing it on: seen-set, signature, origin, hop bound, rate
-//     limit, store, forward. outbox.go batches what is forwarded.
-//   - notice.go: of a large entry a notice is flooded. A process that lacks the entry requests it.
+//   - flood.go: receiving and forwarding an entry: seen-set, signature, origin, hop bound, rate
+//     limit, store, forward. outbox.go batches forwarded entries.
+//   - notice.go: for a large entry, only a notice is flooded. A process that lacks the entry requests it.
 //   - heartbeat.go, antientropy.go: heartbeats carry a digest of the store. If two digests differ,
 //     the processes compare bucket sums, then summaries of origins, and send what is missing.
 //   - links.go, reachability.go: each process announces its connections and the peers that it
 //     lost. A process is live if a chain of links, each announced by both ends, leads to it. A
-//     suspect refutes the suspicion with a new entry, like SWIM's incarnation.
-//   - overlay.go, peers.go: which processes to connect to, and the connections themselves.
-//   - store.go, seen.go: the state.
+//     suspect refutes the suspicion with a new entry, as SWIM does with an incarnation number.
+//   - overlay.go, peers.go: the choice of the processes to connect to, and the connections.
+//   - store.go, seen.go: the stored entries and the seen-set.
 //   - legacy.go: the protocol of release 1.
 //
 // # Inputs and outputs
 //
 // [Mesh] is a plug-in of the kernel: it has no goroutines and reads no clock. Frames, connections
 // and timers come in through Step. Frames, dials and timers go out through the kernel's context.
-// Other plug-ins announce entries with [Mesh.Announce] and [Mesh.AnnounceVersion], and are told of
-// changes by the events [Stored], [Forgotten], [CaughtUp] and [LivenessUpdated].
+// Other plug-ins announce entries with [Mesh.Announce] and [Mesh.AnnounceVersion], and receive
+// changes as the events [Stored], [Forgotten], [CaughtUp] and [LivenessUpdated].
 //
 // The state is in memory only. No request waits for the mesh: the request path reads snapshots that
 // are built from the mesh's events.
--- a/cluster/mesh/entry.go
+++ b/cluster/mesh/entry.go
@@ -2,18 +2,19 @@
 
 // Types of the entries that the mesh carries. Their text is on the wire.
 const (
-	// EntryMember is a process's description of itself, by its fingerprint.
+	// EntryMember is a process's description of itself. Its id is the process's fingerprint.
 	EntryMember = "member"
-	// EntryLinks is the list of a process's mesh connections, by its fingerprint.
+	// EntryLinks is the list of a process's mesh connections. Its id is the process's fingerprint.
 	EntryLinks = "links"
 	// EntryPartition is a committed version of a partition's state. It belongs to no origin.
 	EntryPartition = "part"
-	// EntryBackendList is a reading of the platform's list of backends that differs from the last one.
+	// EntryBackendList is the platform's list of backends, announced when it differs from the last one
+	// announced, and again after an interval.
 	EntryBackendList = "listing"
-	// EntryPolled says that the list was read, or could not be read, without anything new.
+	// EntryPolled reports that the platform's list was polled and is unchanged or could not be read.
 	EntryPolled = "polled"
-	// EntryLoadReport is a node's own rate of requests, by its fingerprint.
+	// EntryLoadReport is a node's own request rates. Its id is the node's fingerprint.
 	EntryLoadReport = "usage"
-	// EntryHealthReport is one node's view of a backend, by the backend's id.
+	// EntryHealthReport is one node's view of a backend. Its id is the backend's id.
 	EntryHealthReport = "opinion"
 )
--- a/cluster/mesh/fleet_test.go
+++ b/cluster/mesh/fleet_test.go
@@ -9,7 +9,7 @@
 	"wallport/runtime/wire"
 )
 
-// convergedFleet returns a fleet that has run for a while after it converged.
+// convergedFleet returns a fleet that has converged and then run for another 10 s.
 func convergedFleet(t testing.TB, n, zones int, seed uint64) *fleet {
 	t.Helper()
 	f := newFleet(t, n, zones, seed)
@@ -40,7 +40,7 @@
 	frozen.frozen = true
 	must.LessEq(t, LivenessTimeout+200_000, f.waitFor(5_000_000, func() bool { return f.live(frozen, frozen.m.self) == 0 }), must.Sprint("frozen"))
 	f.unfreeze(frozen, 4_000_000)
-	must.Less(t, 5_000_000, f.waitFor(6_000_000, func() bool { return f.live(frozen, frozen.m.self) == len(f.procs)-1 }), must.Sprint("awake again"))
+	must.Less(t, 5_000_000, f.waitFor(6_000_000, func() bool { return f.live(frozen, frozen.m.self) == len(f.procs)-1 }), must.Sprint("live again after the freeze"))
 }
 
 func TestIsolatedProcessIsUnreachableInBothDirections(t *testing.T) {
@@ -136,10 +136,10 @@
 	requestsAfterNoticeFrom := func(ch uint64) int {
 		return len(r.feed(kernel.Received{Conn: ch, Data: wire.Seal(wire.KindNotice, 0, &n)}).Sends)
 	}
-	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("it is asked for"))
-	must.Eq(t, 0, requestsAfterNoticeFrom(8), must.Sprint("and not from another at the same time"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("an unknown entry is requested"))
+	must.Eq(t, 0, requestsAfterNoticeFrom(8), must.Sprint("no second request while the first is in flight"))
 	r.now += EntryRequestTimeout
-	must.Eq(t, 1, requestsAfterNoticeFrom(8), must.Sprint("but when the first did not send it"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(8), must.Sprint("requested from another peer after the time-out"))
 	n.Count = 4
-	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("a newer one is another"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("a newer entry of the same id is requested separately"))
 }
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -7,11 +7,11 @@
 	"wallport/runtime/wire"
 )
 
-// deliveryPath tells by which mechanism an entry travelled. It is the message id in the frame's
-// envelope.
+// deliveryPath identifies the mechanism by which an entry was sent. It is the message id in the
+// frame's envelope.
 //
-// An entry that came by anti-entropy is flooded on only by a process that was in sync before. To
-// the neighbours of a process that has just joined it is not new.
+// A process floods an entry that it received by anti-entropy only if it was in sync before. If it
+// has just joined, its neighbours already have the entry.
 type deliveryPath uint64
 
 const (
@@ -19,20 +19,20 @@
 	bySync  deliveryPath = 1
 )
 
-// signedBytes returns what an entry's signature covers: everything but the signature and the hop
-// count, which changes on the way.
+// signedBytes returns the bytes that an entry's signature covers: everything but the signature
+// itself and the hop count, which changes at each hop.
 func signedBytes(entry *wire.Entry) []byte {
 	unsigned := *entry
 	unsigned.Sig, unsigned.Hops = nil, 0
 	return wire.Encode(&unsigned)
 }
 
-// sign signs an entry.
+// sign sets the signature of an entry.
 func sign(entry *wire.Entry, key kernel.Key) {
 	entry.Sig = ed25519.Sign(key.Private, signedBytes(entry))
 }
 
-// handleMessage handles a frame of the mesh.
+// handleMessage handles a frame from a peer: a heartbeat, an entry or a notice.
 func (m *Mesh) handleMessage(ctx *kernel.Context, v kernel.Message) {
 	peer := m.peers[v.Conn]
 	if peer == nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// handleGossip handles the frame of an entry. A frame whose entry was seen before is not decoded
-// again.
+// handleGossip handles a frame that carries an entry. If the frame's hash is in the seen-set, the
+// frame is dropped as a duplicate without being decoded.
 func (m *Mesh) handleGossip(ctx *kernel.Context, peer *peerConn, v kernel.Message) {
 	ctx.Counts.Add("mesh_entries_in", 1)
 	frame := m.seen.frameHash(v.Body)
@@ -79,10 +79,9 @@
 	m.seen.addFrame(frame, seenKey(entry))
 }
 
-// handleEntry checks an entry that came from a peer, stores it and floods it. The checks are in the
-// order of the source: seen-set, signature, origin, hop bound. The rate limit follows. An entry
-// that is dropped for its rate is not added to the seen-set, so that anti-entropy can bring it
-// later.
+// handleEntry checks an entry received from a peer, stores it and floods it. The checks are in the
+// order of the paper: seen-set, signature, origin, hop bound. The rate limit follows. An entry that
+// the rate limit drops is not added to the seen-set, so that anti-entropy can deliver it later.
 func (m *Mesh) handleEntry(ctx *kernel.Context, peer *peerConn, entry *wire.Entry, delivery deliveryPath) {
 	key := seenKey(entry)
 	if m.seen.has(key, ctx.Now) {
@@ -120,10 +119,10 @@
 	}
 }
 
-// checkOrigin reports whether the signer may announce an entry, and counts it as dropped otherwise.
-// A process may describe only itself, and nobody may use this process's key. Entries of a forgotten
-// origin are dropped until a higher heartbeat, a link or a connection shows that the origin is back: a peer that
-// has not forgotten it yet must not restore it.
+// checkOrigin reports whether the signer may announce an entry, and counts the entry as dropped if not.
+// A process may announce a description and links only for itself, and a received entry must not carry
+// this process's own key. Entries of a forgotten origin are dropped until a higher heartbeat, a link or a
+// connection shows that the origin is running again: a peer that has not forgotten it yet must not restore it.
 func (m *Mesh) checkOrigin(ctx *kernel.Context, entry *wire.Entry, fp string) bool {
 	if fp == m.self || (entry.Type == EntryMember || entry.Type == EntryLinks) && entry.ID != fp {
 		ctx.Counts.Add("mesh_dropped_origin", 1)
@@ -165,8 +164,8 @@
 	}
 }
 
-// dropDuplicate counts an entry that was seen before, and does not forward it to the peer that sent
-// it.
+// dropDuplicate counts an entry that was seen before, and cancels its pending forward to the peer
+// that sent it.
 func (m *Mesh) dropDuplicate(ctx *kernel.Context, peer *peerConn, key uint64) {
 	ctx.Counts.Add("mesh_dropped_seen", 1)
 	if peer.outbox.remove(key) {
@@ -174,14 +173,15 @@
 	}
 }
 
-// dropMalformed closes the connection of a peer that sent a frame that cannot be decoded.
+// dropMalformed closes the connection to a peer that sent a frame that cannot be decoded.
 func (m *Mesh) dropMalformed(ctx *kernel.Context, peer *peerConn, frame string) {
 	ctx.Counts.Add("mesh_dropped_malformed", 1)
 	ctx.Log(kernel.LevelWarn, "mesh_malformed", "frame", frame, "peer", peer.key)
 	ctx.Drop(peer.conn)
 }
 
-// flood sends an entry, or a notice of a large one, to all peers but the one on connection except.
+// flood sends an entry, or a notice of a large one, to all peers except the one on the connection
+// named by except; 0 excludes none.
 func (m *Mesh) flood(ctx *kernel.Context, entry *wire.Entry, except uint64) {
 	if entry.Hops+1 > MaxHops {
 		return
@@ -197,7 +197,8 @@
 	}
 }
 
-// send sends an entry and returns the size of its frame in bytes.
+// send sends an entry on a connection, with its hop count increased, and returns the size of the
+// frame in bytes.
 func (m *Mesh) send(ctx *kernel.Context, conn uint64, entry *wire.Entry, delivery deliveryPath) int {
 	forwarded := *entry
 	forwarded.Hops++
@@ -207,7 +208,8 @@
 	return len(s.Data)
 }
 
-// replaceKey names the entries of which only the newest need stay in a connection's queue.
+// replaceKey returns the key under which a newer entry replaces an older one in a connection's send
+// queue.
 func replaceKey(entry *wire.Entry) string {
 	if entry.Type == EntryPartition {
 		return "part\x00" + string(rune(entry.Version.Partition))
--- a/cluster/mesh/golden_test.go
+++ b/cluster/mesh/golden_test.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-// goldenEntry is an announcement as an earlier release signed it.
+// goldenEntry is an entry as an earlier release signed and encoded it.
 const goldenEntry = "8aa27479a76f70696e696f6ea26964a27331a16fc4206b79c57e6a095239282c04818e96112f3f03a4001ba97a564c23852a3f1ea5fca16309a2617409a2737483a17000a17400a17300a167c2a162c40178a27367c440ccf0d681672bb1b82ad2e3674bdf8d2274d9c90fef74d58c9c6610dfc281796cc768364175dd3cb34ee477001ae75d5fa723b661bd4528b350c09aa81c790d0ba16800"
 
 func TestEntryOfEarlierReleaseIsAccepted(t *testing.T) {
@@ -28,7 +28,8 @@
 	must.Eq(t, goldenEntry, hex.EncodeToString(wire.Encode(newEntry(key(2), EntryHealthReport, "s1", 9))))
 }
 
-// The sums that two processes compare to find out what one of them lacks.
+// Anti-entropy compares sums of these hashes, so processes of different releases must compute the same
+// ones.
 func TestEntrySumsMatchEarlierReleases(t *testing.T) {
 	must.Eq(t, uint64(17336033463086723998), entryHash(newEntry(key(2), EntryHealthReport, "s1", 9)))
 	must.Eq(t, uint64(3932436095915900766), hash("0011223344556677"))
--- a/cluster/mesh/heartbeat.go
+++ b/cluster/mesh/heartbeat.go
@@ -7,7 +7,8 @@
 	"wallport/runtime/wire"
 )
 
-// sendHeartbeats evaluates the links, forgets origins, and sends a heartbeat to each peer.
+// sendHeartbeats closes the connections of silent peers, evaluates the links, forgets unreachable
+// origins, sends a heartbeat to each peer and maintains the overlay.
 func (m *Mesh) sendHeartbeats(ctx *kernel.Context) {
 	ctx.After(HeartbeatInterval, pluginName, timerHeartbeat)
 	self := m.store.origins[m.self]
@@ -16,7 +17,7 @@
 	for _, id := range sortedKeys(m.peers) {
 		peer := m.peers[id]
 		if peer == nil {
-			// losePeer may close connections other than the one that it is called for.
+			// An earlier call of losePeer closed this connection: it may also close others than its own.
 			continue
 		}
 		silence := ctx.Now - peer.lastSeen
@@ -26,7 +27,7 @@
 			m.losePeer(ctx, peer)
 			ctx.Drop(id)
 		case silence > HeartbeatInterval && silence < LivenessTimeout:
-			// Evaluate the link when the time-out expires, not at the next heartbeat.
+			// Evaluate the link when LivenessTimeout expires instead of at the next heartbeat.
 			ctx.After(LivenessTimeout-silence, pluginName, timerLinks)
 		}
 	}
@@ -46,8 +47,8 @@
 	ctx.Emit(LivenessUpdated{})
 }
 
-// forgetUnreachable drops the entries of origins that were not live for ForgetAfter, and tombstones
-// that have expired.
+// forgetUnreachable drops the entries of origins that have not been live for ForgetAfter, and expired
+// tombstones.
 func (m *Mesh) forgetUnreachable(ctx *kernel.Context) {
 	for _, fp := range sortedKeys(m.store.origins) {
 		origin := m.store.origins[fp]
@@ -62,7 +63,7 @@
 	}
 }
 
-// handleHeartbeat handles a peer's heartbeat. Without a digest it is one of release 1 and carries
+// handleHeartbeat handles a peer's heartbeat. A heartbeat without a digest is of release 1 and carries
 // the summaries of all origins.
 func (m *Mesh) handleHeartbeat(ctx *kernel.Context, peer *peerConn, hb *wire.Heartbeat) {
 	for _, a := range hb.Addrs {
@@ -79,7 +80,7 @@
 	complete.Scope, complete.Echo = allBuckets, false
 	m.handleSummaries(ctx, peer, &complete)
 	if hb.Echo {
-		// Sent after the missing entries on the same connection, so that a peer that reads it has
+		// This is sent after the missing entries on the same connection, so a peer that receives it has
 		// received all of them.
 		ctx.Send(peer.conn, wire.KindHeartbeat, 0, m.legacyHeartbeat())
 	}
--- a/cluster/mesh/heartbeat_test.go
+++ b/cluster/mesh/heartbeat_test.go
@@ -22,19 +22,19 @@
 	r := newRig(t)
 	dead := kernel.Fingerprint(key(3).Public)
 	r.receiveSummary(summary(key(3), 4))
-	must.False(t, r.m.Live(dead, r.now), must.Sprint("heard of from another, it may be long gone"))
+	must.False(t, r.m.Live(dead, r.now), must.Sprint("a relayed count alone does not prove that the origin still runs"))
 	r.receiveSummary(summary(key(3), 5))
 	must.True(t, r.m.Live(dead, r.now))
 	r.now += LivenessTimeout + 1
-	forged := map[string]wire.OriginSummary{"the same again": summary(key(3), 5), "an older one": summary(key(3), 4)}
+	forged := map[string]wire.OriginSummary{"replayed": summary(key(3), 5), "older count replayed": summary(key(3), 4)}
 	raised := summary(key(3), 5)
 	raised.Heartbeat = 6
-	forged["raised by a peer"] = raised
+	forged["count raised by a peer"] = raised
 	raised.Sig, raised.Key = nil, nil
 	forged["not signed"] = raised
 	other := summary(key(2), 6)
 	other.Origin = dead
-	forged["signed by another"] = other
+	forged["signed with another key"] = other
 	for name, summary := range forged {
 		t.Run(name, func(t *testing.T) {
 			r.receiveSummary(summary)
@@ -43,7 +43,7 @@
 	}
 	must.Eq(t, 3, r.count("mesh_dropped_beat"))
 	r.receiveSummary(summary(key(3), 6))
-	must.True(t, r.m.Live(dead, r.now), must.Sprint("its own next one"))
+	must.True(t, r.m.Live(dead, r.now), must.Sprint("the origin's own next heartbeat"))
 }
 
 func TestUnsignedHeartbeatsAcceptedOnlyDuringUpgrade(t *testing.T) {
--- a/cluster/mesh/large_test.go
+++ b/cluster/mesh/large_test.go
@@ -11,7 +11,8 @@
 	"wallport/runtime/wire"
 )
 
-// linkDelay returns how long a frame waits for the bandwidth of its process's link.
+// linkDelay returns how long a frame waits until the link of its process has sent it and the frames
+// before it.
 func (f *fleet) linkDelay(p *process, size int) clock.Micros {
 	if f.bytesPerSecond == 0 {
 		return 0
@@ -20,7 +21,7 @@
 	return p.linkFreeAt - f.now
 }
 
-// commit has a process flood a version of a partition.
+// commit makes a process announce a version of a partition.
 func (f *fleet) commit(p *process, v wire.Versioned) {
 	p.k.Later(func(ctx *kernel.Context) { p.m.AnnounceVersion(ctx, v) })
 	f.step(p, kernel.Tick{Plugin: "nobody"})
@@ -43,7 +44,7 @@
 	return true
 }
 
-// processesAt counts the processes that have a version.
+// processesAt returns the number of processes that have stored a version.
 func (f *fleet) processesAt(at wire.Version) (n int) {
 	for _, p := range f.procs {
 		if v, ok := p.m.Partition(at.Partition); ok && v.Version == at {
@@ -61,11 +62,11 @@
 	before := f.bytesIn()
 	f.commit(f.procs[0], wire.Versioned{Version: at, Body: make([]byte, size)})
 	took := f.waitFor(60_000_000, func() bool {
-		must.True(t, f.converged(), must.Sprint("no process is taken for lost"))
+		must.True(t, f.converged(), must.Sprint("every process stays reachable during the transfer"))
 		return f.processesAt(at) == processes
 	})
 	copies := float64(f.bytesIn()-before) / size
-	t.Logf("held by all after %d ms; %.1f copies crossed the links", took/1000, copies)
+	t.Logf("all processes have the version after %d ms; %.1f copies crossed the links", took/1000, copies)
 	must.Less(t, processes*1.5, copies)
 }
 
@@ -84,12 +85,12 @@
 	took := f.waitFor(20_000_000, func() bool { return f.processesAt(at) == processes })
 	f.run(f.now + 10_000_000)
 	copies := float64(late.in-before) / size
-	t.Logf("held after %d ms; %.1f copies crossed its link", took/1000, copies)
+	t.Logf("the late process has the version after %d ms; %.1f copies crossed its link", took/1000, copies)
 	must.Less(t, 2.5, copies)
 }
 
-// A process that sends a large version to three peers ignores the fourth: its other neighbours will
-// soon have the version.
+// While a process sends a large version to three peers, it ignores further requests: other neighbours
+// of the requester will soon have the version.
 func TestLargeVersionIsSentToThreePeersAtOnce(t *testing.T) {
 	r := newRig(t)
 	at := wire.Version{Partition: 0, Term: 1, Seq: 9}
@@ -107,7 +108,7 @@
 				served[s.Conn] = true
 			}
 		}
-		r.now += 1_000_000 // those that do not answer leave room for others
+		r.now += 1_000_000 // so that chunks without acknowledgement no longer block other destinations
 	}
 	must.MapLen(t, MaxLargeSends, served)
 }
--- a/cluster/mesh/legacy.go
+++ b/cluster/mesh/legacy.go
@@ -1,5 +1,5 @@
-// The protocol of release 1, spoken while a process of that release is in the fleet: heartbeats
-// carry the summary and the signed heartbeat count of every origin.
+// The protocol of release 1, used while a process of that release is in the fleet: heartbeats carry
+// the summary and the signed heartbeat count of every origin.
 
 package mesh
 
@@ -26,7 +26,7 @@
 	return false
 }
 
-// legacyHeartbeat returns a heartbeat as release 1 sends it, with the summary and the signed
+// legacyHeartbeat returns a heartbeat in the form of release 1, with the summary and the signed
 // heartbeat count of every origin.
 func (m *Mesh) legacyHeartbeat() *wire.Heartbeat {
 	hb := &wire.Heartbeat{Addrs: m.knownAddrs(), Partitions: m.versions(), Digest: m.digest(), Scope: allBuckets}
@@ -40,7 +40,8 @@
 	return hb
 }
 
-// applySignedHeartbeat takes over an origin's heartbeat count that peer from relayed or sent.
+// applySignedHeartbeat stores the heartbeat count of an origin if it is higher than the stored one and
+// its signature is valid. from is the peer that sent the count, for itself or on behalf of the origin.
 func (m *Mesh) applySignedHeartbeat(ctx *kernel.Context, from string, summary wire.OriginSummary) {
 	if summary.Origin == m.self || summary.Heartbeat == 0 {
 		return
@@ -62,21 +63,22 @@
 	first := origin.heartbeat == 0
 	origin.heartbeat, origin.heartbeatAt, origin.key, origin.sig = summary.Heartbeat, ctx.Now, summary.Key, summary.Sig
 	if first && summary.Origin != from {
-		// Relayed by another process. The origin may be long gone, and counts as live only once its
-		// heartbeat rises.
+		// The count was relayed by another process, so the origin may have stopped long ago. It counts
+		// as live only after its heartbeat count increases.
 		origin.heartbeatAt = ctx.Now - LivenessTimeout
 	}
 	delete(m.store.forgotten, summary.Origin)
 }
 
-// signedHeartbeatText returns what an origin signs for a heartbeat. Since the count is part of it,
-// a replayed signature cannot raise the count.
+// signedHeartbeatText returns the text that an origin signs for a heartbeat. The text contains the
+// count, so a replayed signature cannot raise the count.
 func signedHeartbeatText(beat uint64) []byte {
 	return binary.BigEndian.AppendUint64([]byte("wallport beat "), beat)
 }
 
 // verifySignedHeartbeat reports whether the origin itself signed a heartbeat count. Releases before
-// 2 did not sign them; a setting accepts unsigned ones during an upgrade from such a release.
+// 2 did not sign heartbeats; the setting UnsignedHeartbeats accepts unsigned ones during an upgrade
+// from such a release.
 func (m *Mesh) verifySignedHeartbeat(summary wire.OriginSummary) bool {
 	if len(summary.Sig) == 0 {
 		return m.k.Boot.Settings.UnsignedHeartbeats
@@ -84,7 +86,7 @@
 	return len(summary.Key) == ed25519.PublicKeySize && kernel.Fingerprint(summary.Key) == summary.Origin && ed25519.Verify(summary.Key, signedHeartbeatText(summary.Heartbeat), summary.Sig)
 }
 
-// knownAddrs returns the addresses of this process and its peers.
+// knownAddrs returns the addresses of this process and its connected peers.
 func (m *Mesh) knownAddrs() []string {
 	addrs := []string{m.addr}
 	for _, id := range sortedKeys(m.peers) {
--- a/cluster/mesh/links.go
+++ b/cluster/mesh/links.go
@@ -12,12 +12,13 @@
 
 // Constants of links.
 const (
-	// LinkGracePeriod is how long a link outlives its connection, which may be opened again.
+	// LinkGracePeriod is how long a link remains after its connection is closed, since the connection
+	// may be reopened.
 	LinkGracePeriod = 700 * clock.Millisecond
-	// LinkBatchDelay is how long a new link waits for others to be announced with it.
+	// LinkBatchDelay is how long the announcement of a new link is delayed, to batch it with others.
 	LinkBatchDelay = 100 * clock.Millisecond
-	// LinkAnnounceInterval is the least time between two announcements of new links,
-	// LossAnnounceInterval that before the announcement of a lost one.
+	// LinkAnnounceInterval is the least time from an announcement to the next one of new links,
+	// LossAnnounceInterval the least time to the next one of a lost link.
 	LinkAnnounceInterval = 1 * clock.Second
 	LossAnnounceInterval = 100 * clock.Millisecond
 	// MaxLostLinks bounds the lost links in one announcement.
@@ -25,18 +26,18 @@
 
 	// fingerprintBytes is the length of a fingerprint in an entry.
 	fingerprintBytes = 8
-	// lostSeparator stands between the current and the lost peers in linkState.announced.
+	// lostSeparator separates the current from the lost peers in linkState.announced.
 	lostSeparator = "|"
 )
 
-// closedConn is a closed connection: when it was closed, when its peer was last heard, and the
-// highest count of the peer's entries at that moment.
+// closedConn describes a closed connection: when it was closed, when the last message from its peer
+// arrived, and the highest count of the peer's entries when it was closed.
 type closedConn struct {
 	closedAt, lastSeen clock.Micros
 	maxCount           uint64
 }
 
-// linkState is what this process announces of its links.
+// linkState holds this process's links and the state of their announcement.
 type linkState struct {
 	current     []string
 	announced   string
@@ -48,8 +49,9 @@
 	reannounce  bool
 }
 
-// directPeers returns the sorted fingerprints of the processes that are heard directly, those of
-// recently closed connections included.
+// directPeers returns the sorted fingerprints of the peers from which a message arrived within
+// LivenessTimeout, including those of connections closed within LinkGracePeriod. It suspects the
+// peers of closed connections for which either period has passed.
 func (m *Mesh) directPeers(ctx *kernel.Context) []string {
 	var out []string
 	open := map[string]bool{}
@@ -74,14 +76,15 @@
 	return out
 }
 
-// suspectPeer suspects a lost peer that has announced nothing since the loss.
+// suspectPeer marks a lost peer as suspected, unless it has announced an entry with a count above
+// the given one since the loss.
 func (m *Mesh) suspectPeer(fp string, count uint64) {
 	if origin := m.store.origins[fp]; origin != nil && origin.maxCount <= count && len(m.links.lost) < MaxLostLinks {
 		m.links.lost[fp] = count
 	}
 }
 
-// updateLinks evaluates the own links and announces them if they changed.
+// updateLinks evaluates this process's links and announces them if they changed.
 func (m *Mesh) updateLinks(ctx *kernel.Context) {
 	was := m.links.current
 	m.links.current = m.directPeers(ctx)
@@ -112,8 +115,8 @@
 	return false
 }
 
-// announceLinks announces the own links if they changed: a loss soon, a new link together with
-// others.
+// announceLinks announces this process's links if they changed, or schedules the announcement: a
+// lost link after a short interval, new links in batches.
 func (m *Mesh) announceLinks(ctx *kernel.Context) {
 	own := &m.links
 	current := strings.Join(own.current, " ") + lostSeparator + strings.Join(sortedKeys(own.lost), " ")
@@ -149,7 +152,7 @@
 	}
 }
 
-// entryBody encodes the links as they are announced.
+// entryBody returns the links in the form in which they are announced.
 func (l *linkState) entryBody() wire.Links {
 	var body wire.Links
 	for _, fp := range l.current {
@@ -181,8 +184,8 @@
 	m.scheduleReach(ctx)
 }
 
-// handleSuspicion handles the suspicion of a process by another. If this process is suspected, it
-// refutes that by announcing its links with a new count.
+// handleSuspicion handles the suspicion of a process that another process announced. If this process
+// is the suspect, it refutes the suspicion by announcing its links again with a new count.
 func (m *Mesh) handleSuspicion(ctx *kernel.Context, s wire.Suspect) {
 	if s.Origin == m.self {
 		if s.Count >= m.count {
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -11,7 +11,7 @@
 
 // Constants of the protocol. docs/mesh.md gives the reasons for their values.
 const (
-	// MaxHops bounds how often an entry is forwarded.
+	// MaxHops bounds the hops of an entry.
 	MaxHops = 16
 	// MaxPeers bounds the open mesh connections of a process.
 	MaxPeers = 15
@@ -20,28 +20,28 @@
 	// LivenessTimeout is how long after its last message a peer still counts as live.
 	LivenessTimeout = 3500 * clock.Millisecond
 	// PeerTimeout is how long after its last message a peer's connection is closed. It exceeds
-	// LivenessTimeout, so that a short pause does not tear the overlay apart.
+	// LivenessTimeout so that a short pause of a process does not break up the overlay.
 	PeerTimeout = 4 * clock.Second
 	// ForgetAfter is how long an origin must be unreachable before its entries are dropped.
 	ForgetAfter = 30 * clock.Second
 	// SeedInterval is the time between two dials of every seed that is not connected.
 	SeedInterval = 30 * clock.Second
-	// MinBackoff and MaxBackoff bound the wait between two dials of one address, MaxSeedBackoff
-	// that of a seed.
+	// MinBackoff and MaxBackoff bound the wait between two dials of one address. For a seed,
+	// MaxSeedBackoff is the upper bound.
 	MinBackoff     = 500 * clock.Millisecond
 	MaxBackoff     = 5 * clock.Second
 	MaxSeedBackoff = 1 * clock.Second
-	// SeenTTL and MaxSeen bound the seen-set by time and by number.
+	// SeenTTL and MaxSeen bound the seen-set by age and by number of entries.
 	SeenTTL = 60 * clock.Second
 	MaxSeen = 1 << 16
-	// OriginRate and OriginBurst limit the entries that are accepted of one origin, in entries a
-	// second and entries.
+	// OriginRate and OriginBurst are the token bucket limits on the entries accepted from one origin:
+	// the rate in entries per second, and the burst in entries.
 	OriginRate  = 30
 	OriginBurst = 256
 	// MaxAddrs bounds the addresses that are remembered for dialling.
 	MaxAddrs = 512
-	// Release is the release of the mesh's messages. Releases up to 1 carried every origin's signed
-	// heartbeat; see legacy.go.
+	// Release is the release of the mesh protocol. In releases up to 1, heartbeats carried the signed
+	// heartbeat of every origin; see legacy.go.
 	Release = 2
 )
 
@@ -57,15 +57,16 @@
 	timerDial      = "dial"
 )
 
-// Stored is emitted when an entry has been stored, which it is only if it is newer than the one
-// stored before. Local says that this process announced it.
+// Stored is emitted when an entry has been stored. An entry is stored only if it is newer than the
+// stored one. Local reports whether this process announced it.
 type Stored struct {
 	Entry  *wire.Entry
 	Origin string
 	Local  bool
 }
 
-// Forgotten is emitted when an origin was unreachable for ForgetAfter and its entries were dropped.
+// Forgotten is emitted when the entries of an origin are dropped because it was unreachable for
+// ForgetAfter.
 type Forgotten struct{ Origin string }
 
 // CaughtUp is emitted when a peer's digest or summaries show nothing that this process lacks.
@@ -83,18 +84,18 @@
 	key      string
 	since    clock.Micros
 	lastSeen clock.Micros
-	// legacy says that the peer speaks the protocol of release 1.
+	// legacy reports whether the peer uses the protocol of release 1.
 	legacy bool
 	syncState
 	outbox outbox
 }
 
-// Mesh is the plug-in.
+// Mesh is the kernel plug-in that runs the gossip mesh of one process.
 type Mesh struct {
 	k    *kernel.Kernel
 	self string
 	addr string
-	// count is that of this process's newest entry.
+	// count is the count of this process's newest entry.
 	count           uint64
 	peers           map[uint64]*peerConn
 	store           store
@@ -108,20 +109,22 @@
 	startedAt       clock.Micros
 	lastReach       clock.Micros
 	reachGeneration uint64
-	// legacy says that a process of release 1 was there at the last heartbeat.
+	// legacy reports whether a process of release 1 was connected or reachable at the last heartbeat.
 	legacy bool
-	// inSync says that this process has had all that one peer had, since its start or thaw.
+	// inSync reports whether, at some time since its start or last thaw, this process had every entry
+	// that one of its peers had.
 	inSync bool
 	// changedAt is when an entry was last received or announced, and syncRequestedAt when anti-entropy last
 	// requested entries from any peer.
 	changedAt       clock.Micros
 	syncRequestedAt clock.Micros
-	// syncTokens are the bytes that anti-entropy may send now, out of SyncBytesPerSecond, as of syncTokensAt.
+	// syncTokens is the number of bytes that anti-entropy may send, as of syncTokensAt; it is refilled at
+	// SyncBytesPerSecond.
 	syncTokens   int
 	syncTokensAt clock.Micros
 	// prunedAt is when a surplus connection was last closed.
 	prunedAt clock.Micros
-	// forwardedAt is when entries were last forwarded. A process that is stopping forwards at once.
+	// forwardedAt is when entries were last forwarded. A stopping process forwards without batching.
 	forwardedAt      clock.Micros
 	forwardScheduled bool
 	stopping         bool
@@ -202,8 +205,8 @@
 	}
 }
 
-// thawed handles that the process was frozen for a span: the time counts towards no time-out, and
-// every peer is asked for what was missed.
+// thawed handles the end of a freeze that lasted for gap: it excludes the gap from all time-outs, and
+// requests the entries that were missed from every peer.
 func (m *Mesh) thawed(ctx *kernel.Context, gap clock.Micros) {
 	for _, peer := range m.peers {
 		peer.lastSeen = ctx.Now
@@ -228,7 +231,7 @@
 // Peers returns the number of open mesh connections.
 func (m *Mesh) Peers() int { return len(m.peers) }
 
-// Partition returns the newest version of a partition, and whether there is one.
+// Partition returns the newest stored version of a partition, and whether there is one.
 func (m *Mesh) Partition(partition int) (wire.Versioned, bool) {
 	entry, ok := m.store.partitions[partition]
 	if !ok {
@@ -237,7 +240,7 @@
 	return wire.Versioned{Version: entry.Version, Body: entry.Body}, true
 }
 
-// Each calls f for the stored entries of a type, by origin and then by id.
+// Each calls f for the stored entries of a type, except tombstones, sorted by origin and then by id.
 func (m *Mesh) Each(typ string, f func(entry *wire.Entry, origin string)) {
 	for _, fp := range sortedKeys(m.store.origins) {
 		origin := m.store.origins[fp]
@@ -249,7 +252,7 @@
 	}
 }
 
-// Newer reports whether version a comes after version b.
+// Newer reports whether version a is newer than version b, by term and then by sequence.
 func Newer(a, b wire.Version) bool {
 	return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq
 }
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -17,7 +17,7 @@
 	return kernel.KeyFrom(seed)
 }
 
-// rig is one mesh with one peer, on connection 7.
+// rig is a mesh under test with one peer, on connection 7.
 type rig struct {
 	k   *kernel.Kernel
 	m   *Mesh
@@ -72,10 +72,10 @@
 			return entry
 		}, "mesh_dropped_signature"},
 		"no origin": {func(*rig) *wire.Entry { return &wire.Entry{Type: EntryHealthReport, ID: "s1"} }, "mesh_dropped_signature"},
-		"a member under another's id": {func(*rig) *wire.Entry {
+		"member entry with another origin's id": {func(*rig) *wire.Entry {
 			return newEntry(key(2), EntryMember, kernel.Fingerprint(key(3).Public), 1)
 		}, "mesh_dropped_origin"},
-		"in this process's own name": {func(*rig) *wire.Entry { return newEntry(key(1), EntryHealthReport, "s1", 9) }, "mesh_dropped_origin"},
+		"signed with this process's own key": {func(*rig) *wire.Entry { return newEntry(key(1), EntryHealthReport, "s1", 9) }, "mesh_dropped_origin"},
 		"hop bound": {func(*rig) *wire.Entry {
 			entry := newEntry(key(2), EntryHealthReport, "s1", 1)
 			entry.Hops = MaxHops
@@ -86,11 +86,11 @@
 			r.gossip(entry)
 			return entry
 		}, "mesh_dropped_seen"},
-		"an older one of the same id": {func(r *rig) *wire.Entry {
+		"older entry of the same id": {func(r *rig) *wire.Entry {
 			r.gossip(newEntry(key(2), EntryHealthReport, "s1", 5))
 			return newEntry(key(2), EntryHealthReport, "s1", 4)
 		}, "mesh_dropped_old"},
-		"an older version of a partition, from any origin": {func(r *rig) *wire.Entry {
+		"older version of a partition, from another origin": {func(r *rig) *wire.Entry {
 			for _, seq := range []uint64{5, 4} {
 				entry := &wire.Entry{Type: EntryPartition, Origin: key(byte(seq)).Public, Version: wire.Version{Term: 2, Seq: seq}}
 				sign(entry, key(byte(seq)))
@@ -142,7 +142,7 @@
 	for n := uint64(OriginBurst + 1); n <= OriginBurst+50; n++ {
 		r.gossip(newEntry(key(2), EntryHealthReport, string(rune('a'+n)), n))
 	}
-	must.Eq(t, OriginBurst+50, r.storedEntries(EntryHealthReport), must.Sprint("what was dropped is accepted when it is sent again"))
+	must.Eq(t, OriginBurst+50, r.storedEntries(EntryHealthReport), must.Sprint("entries dropped by the rate limit are accepted when they are sent again"))
 }
 
 func TestAntiEntropySendsMissingEntries(t *testing.T) {
@@ -156,10 +156,10 @@
 		return len(out.Sends)
 	}
 	origin := r.m.store.origins[fp]
-	must.Eq(t, 0, entriesSentFor(3, origin.sum), must.Sprint("same sum, nothing to send"))
-	must.Eq(t, 1, entriesSentFor(2, origin.sum+1), must.Sprint("what is above the highest count"))
-	must.Eq(t, 3, entriesSentFor(3, origin.sum+1), must.Sprint("a hole below the highest count: all"))
-	must.Eq(t, 0, entriesSentFor(9, 0), must.Sprint("the other side is ahead"))
+	must.Eq(t, 0, entriesSentFor(3, origin.sum), must.Sprint("equal sums: nothing is sent"))
+	must.Eq(t, 1, entriesSentFor(2, origin.sum+1), must.Sprint("the peer's count is lower: the entries above it are sent"))
+	must.Eq(t, 3, entriesSentFor(3, origin.sum+1), must.Sprint("equal counts, different sums: all entries are sent"))
+	must.Eq(t, 0, entriesSentFor(9, 0), must.Sprint("the peer's count is higher: nothing is sent"))
 }
 
 func TestForgottenOriginIsNotRestoredByStalePeer(t *testing.T) {
@@ -180,7 +180,7 @@
 	must.False(t, r.m.Live(fp, r.now))
 	heartbeat(6)
 	r.gossip(newEntry(key(3), EntryHealthReport, "s1", 3))
-	must.Eq(t, 1, r.storedEntries(EntryHealthReport), must.Sprint("a new heartbeat means a live origin"))
+	must.Eq(t, 1, r.storedEntries(EntryHealthReport), must.Sprint("a higher heartbeat count restores the origin"))
 }
 
 func TestMaxPeersEvictsLeastRecentlySeen(t *testing.T) {
@@ -199,7 +199,7 @@
 	out := r.feed(kernel.ConnUp{Conn: 9, Addr: "self", Peer: r.m.self, Dialed: true, Mesh: true})
 	must.Eq(t, []uint64{9}, out.Drops)
 	out = r.feed(kernel.ConnUp{Conn: 10, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(key(2).Public), Dialed: true, Mesh: true})
-	must.Len(t, 1, out.Drops, must.Sprint("of two connections of a pair one is closed"))
+	must.Len(t, 1, out.Drops, must.Sprint("one of two connections to the same peer is closed"))
 	must.Eq(t, 1, r.m.Peers())
 }
 
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -14,14 +14,14 @@
 	"wallport/runtime/wire"
 )
 
-// event is something that happens at a moment.
+// event is a function that runs at a simulated time.
 type event struct {
 	at  clock.Micros
 	seq int
 	run func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events ordered by time, then by the order in which they were added.
 type eventQueue []event
 
 func (h eventQueue) Len() int { return len(h) }
@@ -37,8 +37,8 @@
 	return x
 }
 
-// fleet is a network of meshes on simulated time, to test what only many processes together show.
-// Their only plug-in is the mesh. The first three are the seeds.
+// fleet is a simulated network of processes on simulated time, for tests that need many processes.
+// The mesh is their only plug-in. The first three processes are the seeds.
 type fleet struct {
 	t      testing.TB
 	now    clock.Micros
@@ -55,7 +55,7 @@
 	bytesPerSecond int64
 }
 
-// process is one process. After kill and start it has a new kernel and key.
+// process is a simulated process. After kill and start it has a new kernel and key.
 type process struct {
 	i          int
 	addr       string
@@ -123,7 +123,7 @@
 	f.applyOutput(p, ctx.Output)
 }
 
-// announce has a process announce an entry.
+// announce makes a process announce an entry.
 func (f *fleet) announce(p *process, typ, id string, body []byte) {
 	ctx := &kernel.Context{Now: f.now, Wall: f.now, Rand: p.k.Rand, Counts: p.k.Counts}
 	p.m.Announce(ctx, typ, id, body, false)
@@ -226,7 +226,7 @@
 	}
 }
 
-// live counts the other processes for which an origin is live.
+// live returns the number of processes other than p for which an origin is live.
 func (f *fleet) live(p *process, fp string) (n int) {
 	for _, q := range f.procs {
 		if q != p && q.up && !q.frozen && q.m.Live(fp, f.now) {
@@ -236,12 +236,13 @@
 	return n
 }
 
-// waitFor runs the fleet until ok holds, and returns how long that took. It fails the test after most.
+// waitFor runs the fleet until ok holds, and returns how long that took in microseconds. It fails the
+// test if that takes longer than most.
 func (f *fleet) waitFor(most clock.Micros, ok func() bool) clock.Micros {
 	f.t.Helper()
 	began := f.now
 	for !ok() {
-		must.Less(f.t, most, f.now-began, must.Sprint("the condition did not come to hold"))
+		must.Less(f.t, most, f.now-began, must.Sprint("condition not met within the time limit"))
 		f.run(f.now + 20_000)
 	}
 	return f.now - began
--- a/cluster/mesh/notice.go
+++ b/cluster/mesh/notice.go
@@ -11,20 +11,21 @@
 	// NoticeThreshold is the size of a body, in bytes, beyond which a notice is flooded instead of
 	// the entry.
 	NoticeThreshold = 1024
-	// EntryRequestTimeout is how long a peer has to send a requested entry before another peer is
-	// asked for it.
+	// EntryRequestTimeout is how long a peer has to send a requested entry before the entry may be
+	// requested from another peer.
 	EntryRequestTimeout = 400 * clock.Millisecond
-	// MaxEntryRequests bounds the requests in flight.
+	// MaxEntryRequests bounds the recorded requests.
 	MaxEntryRequests = 256
-	// MaxLargeSends is how many large messages a process sends at once. It ignores requests beyond
-	// that: the requester's other neighbours will soon have the entry.
+	// MaxLargeSends is the number of destinations to which a process sends large messages at the same
+	// time. It ignores requests for large entries beyond that, since other neighbours of the requester
+	// will soon have the entry.
 	MaxLargeSends = 3
 )
 
-// isLarge reports whether an entry is so large that it is sent in several frames.
+// isLarge reports whether an entry is too large for a single frame.
 func isLarge(entry *wire.Entry) bool { return len(entry.Body) > wire.MaxSingleFrame }
 
-// entryRequest is when an entry was requested, and on which connection.
+// entryRequest records when and on which connection an entry was requested.
 type entryRequest struct {
 	sentAt clock.Micros
 	conn   uint64
@@ -38,8 +39,8 @@
 	ctx.SendLatest(conn, wire.KindNotice, &n, "notice\x00"+replaceKey(entry))
 }
 
-// noticeOf returns the notice that names an entry. The notice of a partition's version names no
-// origin, so that it is the same whoever announced the version.
+// noticeOf returns the notice that identifies an entry. The notice of a partition's version has no
+// origin, so the notices of one version are equal regardless of which process announced it.
 func noticeOf(entry *wire.Entry) wire.Notice {
 	if entry.Type == EntryPartition {
 		return wire.Notice{Type: entry.Type, Version: entry.Version}
@@ -73,7 +74,7 @@
 	ctx.Send(peer.conn, wire.KindNotice, 0, &n)
 }
 
-// lookup returns the stored entry that a notice names, or a newer one; nil if there is none.
+// lookup returns the stored entry that a notice identifies, or a newer one; nil if there is none.
 func (m *Mesh) lookup(n wire.Notice) *wire.Entry {
 	if n.Type == EntryPartition {
 		if entry := m.store.partitions[n.Version.Partition]; entry != nil && !Newer(n.Version, entry.Version) {
--- a/cluster/mesh/outbox.go
+++ b/cluster/mesh/outbox.go
@@ -7,12 +7,13 @@
 )
 
 // ForwardInterval is the least time between two batches of forwarded entries. The first entry after
-// a pause is forwarded at once. What follows within the interval waits for the next batch, and is
-// not sent to a peer that has sent it meanwhile. So a flood of many entries costs each connection
-// few wake-ups and few duplicates.
+// a pause is forwarded immediately. Later entries within the interval wait for the next batch, and are
+// not sent to a peer that sends them in the meantime. This keeps the number of wake-ups and duplicates
+// on each connection low during a flood of many entries.
 const ForwardInterval = 20 * clock.Millisecond
 
-// outbox holds the entries that wait to be sent to one peer, by their key in the seen-set.
+// outbox holds the entries that wait to be forwarded to one peer, by their key in the seen-set. keys
+// is their order; it may contain keys that are no longer waiting.
 type outbox struct {
 	keys    []uint64
 	waiting map[uint64]*wire.Entry
@@ -28,14 +29,15 @@
 	b.waiting[key] = entry
 }
 
-// remove removes an entry, since the peer has it, and reports whether it was waiting.
+// remove removes an entry that the peer already has, and reports whether it was waiting.
 func (b *outbox) remove(key uint64) bool {
 	_, ok := b.waiting[key]
 	delete(b.waiting, key)
 	return ok
 }
 
-// forward sends an entry to all peers but the one on connection except, now or with the next batch.
+// forward sends an entry to all peers except the one on the connection named by except, either
+// immediately or with the next batch.
 func (m *Mesh) forward(ctx *kernel.Context, entry *wire.Entry, except uint64) {
 	now := m.stopping || ctx.Now-m.forwardedAt >= ForwardInterval
 	key := seenKey(entry)
@@ -66,7 +68,7 @@
 	}
 }
 
-// flushPeer sends the waiting entries of one peer, in the order in which they came.
+// flushPeer sends the waiting entries of one peer, in the order in which they were added.
 func (m *Mesh) flushPeer(ctx *kernel.Context, peer *peerConn) {
 	for _, key := range peer.outbox.keys {
 		if entry := peer.outbox.waiting[key]; entry != nil {
--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -44,7 +44,7 @@
 	for _, s := range sends {
 		must.Eq(t, secondPeer, s.Conn)
 	}
-	must.SliceEmpty(t, r.forwardTick().Sends, must.Sprint("once"))
+	must.SliceEmpty(t, r.forwardTick().Sends, must.Sprint("each entry is forwarded once"))
 }
 
 func TestEntryIsNotForwardedToAPeerThatSentIt(t *testing.T) {
@@ -80,7 +80,7 @@
 	changed := *entry
 	changed.Body = []byte("y")
 	_, ok := r.m.seen.entryOfFrame(r.m.seen.frameHash(wire.Encode(&changed)), r.now)
-	must.False(t, ok, must.Sprint("another body is another frame"))
+	must.False(t, ok, must.Sprint("a frame with another body has another hash"))
 }
 
 func TestFrameHashesExpireWithTheirEntries(t *testing.T) {
@@ -95,8 +95,8 @@
 	must.MapEmpty(t, s.frames)
 }
 
-// In a burst in which all processes of a fleet take part, as when a configuration comes into force,
-// most duplicates of an entry are not sent.
+// Guards against sending most duplicates in a burst of entries from all processes of a fleet, such as
+// when a configuration takes effect. Batching lets a process skip the peers that sent the entry first.
 func TestBurstOfAllProcessesSendsFewDuplicates(t *testing.T) {
 	const processes, entries = 32, 5
 	f := convergedFleet(t, processes, 4, 6)
@@ -116,7 +116,7 @@
 		after += p.frames
 		must.Eq(t, processes, int64(len(p.m.store.origins)))
 		for _, origin := range p.m.store.origins {
-			must.MapLen(t, 1+1+entries, origin.entries, must.Sprint("all are there"))
+			must.MapLen(t, 1+1+entries, origin.entries, must.Sprint("every process has all entries of every origin"))
 		}
 	}
 	copies := float64(after-before) / (processes * processes * entries)
--- a/cluster/mesh/overlay.go
+++ b/cluster/mesh/overlay.go
@@ -10,30 +10,32 @@
 
 // Constants of the overlay.
 const (
-	// MinPeers is how many connections a process sees to, MinZonePeers how many of them within its
-	// zone.
+	// MinPeers is the number of connections that a process tries to maintain, MinZonePeers the number
+	// of them within its zone.
 	MinPeers     = 4
 	MinZonePeers = 3
-	// SoftMaxPeers is how many connections a process keeps without need.
+	// SoftMaxPeers is the number of connections up to which a process dials further processes of its
+	// zone and keeps surplus connections to them.
 	SoftMaxPeers = 7
-	// Bridges is how many processes of a zone see to a connection to each other zone.
+	// Bridges is the number of processes of a zone that maintain a connection to each of the other zones.
 	Bridges = 2
-	// BridgeDelay is how long after its start a process that has a connection leaves bridges to
-	// others: until it knows its zone it takes itself for the first process of it.
+	// BridgeDelay is how long after its start a process that has a connection dials no bridges: until
+	// it knows the other processes of its zone, it ranks itself first among them.
 	BridgeDelay = 3 * clock.Second
-	// LostDialers is how many processes dial an address that is not reached.
+	// LostDialers is the number of processes that dial an address of a process that is not reached.
 	LostDialers = 3
-	// PruneInterval is the least time between two closed surplus connections, MinPeerAge the age
-	// that a connection must have to be closed as surplus.
+	// PruneInterval is the least time between closing two surplus connections, MinPeerAge the least
+	// age of a connection that is closed as surplus.
 	PruneInterval = 2 * clock.Second
 	MinPeerAge    = 8 * clock.Second
-	// SecondSeedDelay is when a process that starts dials the other seeds as well.
+	// SecondSeedDelay is how long after its start a process dials the other seeds if the first one
+	// has not connected.
 	SecondSeedDelay = 250 * clock.Millisecond
-	// dialCandidates is how many candidates dialOne draws.
+	// dialCandidates is the number of candidates from which dialOne chooses.
 	dialCandidates = 3
 )
 
-// start dials one of the seeds. If nothing comes of that, the others are dialled after
+// start dials a random seed. If that yields no connection, the others are dialled after
 // SecondSeedDelay.
 func (m *Mesh) start(ctx *kernel.Context) {
 	m.startedAt = ctx.Now
@@ -47,7 +49,8 @@
 	}
 }
 
-// setSeeds replaces the seeds and dials them. The former seeds stay known as ordinary addresses.
+// setSeeds replaces the seeds and dials the new ones. The former seeds remain known as ordinary
+// addresses.
 func (m *Mesh) setSeeds(ctx *kernel.Context, seeds []string) {
 	m.seeds = slices.Clone(seeds)
 	for _, s := range m.seeds {
@@ -63,8 +66,9 @@
 	m.maintainLinks(ctx)
 }
 
-// fleetView is the fleet as it is known when the overlay is maintained: the reached origins in all,
-// by zone and by address, and the lost ones. zone is this process's.
+// fleetView is a snapshot of the known fleet, taken when the overlay is maintained: the reached
+// origins as a list, by zone and by address, and the origins that are known but not reached (lost).
+// zone is the zone of this process.
 type fleetView struct {
 	zone    string
 	zones   map[string][]*originState
@@ -73,7 +77,7 @@
 	lost    []*originState
 }
 
-// fleetView collects the other processes whose description is known.
+// fleetView returns a view of the other processes whose Member entry is known.
 func (m *Mesh) fleetView() fleetView {
 	view := fleetView{zone: m.k.Boot.Settings.Zone, zones: map[string][]*originState{}, byAddr: map[string]*originState{}}
 	for _, fp := range sortedKeys(m.store.origins) {
@@ -92,8 +96,8 @@
 	return view
 }
 
-// ranksAmong reports whether this process is among the first most of a set of processes, itself
-// included, in the rendezvous order for a topic.
+// ranksAmong reports whether this process ranks among the first most processes in the rendezvous
+// order for a topic, of the set that consists of itself and the given ones.
 func (m *Mesh) ranksAmong(of []*originState, topic uint64, most int) bool {
 	own, above := mix(hash(m.self)^topic), 0
 	for _, origin := range of {
@@ -104,7 +108,7 @@
 	return above < most
 }
 
-// maintainLinks dials what is missing from the overlay and closes what is too many.
+// maintainLinks dials the connections that the overlay lacks and closes a surplus one.
 func (m *Mesh) maintainLinks(ctx *kernel.Context) {
 	view := m.fleetView()
 	m.dialSeeds(ctx, view)
@@ -146,7 +150,8 @@
 	return byZone, total
 }
 
-// zoneOf returns the zone of a peer: as its entry says, or else as the connection's handshake said.
+// zoneOf returns the zone of a peer: the one in its Member entry if known, otherwise the one that it
+// stated in the connection's handshake.
 func (m *Mesh) zoneOf(peer *peerConn) string {
 	if origin := m.store.origins[peer.key]; origin != nil && origin.member != nil {
 		return origin.member.Zone
@@ -154,8 +159,8 @@
 	return peer.zone
 }
 
-// dialOne dials a process of a set: of a few that are drawn by chance, the one with the fewest
-// links. It reports whether it dialled.
+// dialOne dials a process of a set: the one with the fewest links among up to dialCandidates processes
+// that may be dialled, counted from a random position. It reports whether it dialled.
 func (m *Mesh) dialOne(ctx *kernel.Context, of []*originState) bool {
 	var best *originState
 	from := ctx.Rand.IntN(max(1, len(of)))
@@ -180,7 +185,8 @@
 	return true
 }
 
-// dialKnown dials an address if its backoff allows, and reports whether it did.
+// dialKnown adds an address to the known ones, if necessary in place of another, and dials it if its
+// backoff allows. It reports whether it dialled.
 func (m *Mesh) dialKnown(ctx *kernel.Context, addr string) bool {
 	if m.dials[addr] == nil && len(m.dials) >= MaxAddrs {
 		m.forgetAddr()
@@ -189,7 +195,7 @@
 	return m.dialIfDue(ctx, addr)
 }
 
-// dialAny dials any known address, and reports whether it did.
+// dialAny dials one of the known addresses that are due, and reports whether it did.
 func (m *Mesh) dialAny(ctx *kernel.Context) bool {
 	addrs := sortedKeys(m.dials)
 	from := ctx.Rand.IntN(max(1, len(addrs)))
@@ -201,9 +207,9 @@
 	return false
 }
 
-// dialSeeds dials the seeds that are not part of the fleet. A few processes do so all the time and
-// every process does so each SeedInterval: a process that comes back at a seed's address, perhaps
-// with an empty disk, must hear of this fleet before it bootstraps another.
+// dialSeeds dials the seeds at whose address no process is reached. LostDialers processes do so at each
+// call, and every process does so once per SeedInterval: a process that restarts at a seed's address,
+// perhaps with an empty disk, must connect to this fleet before it bootstraps another one.
 func (m *Mesh) dialSeeds(ctx *kernel.Context, view fleetView) {
 	all := ctx.Now-m.lastSeed >= SeedInterval || len(m.peers) == 0
 	if all {
@@ -219,8 +225,8 @@
 	}
 }
 
-// dialLost dials one of the processes that are known but not reached; it may be on the other side
-// of a healed partition.
+// dialLost dials one of the processes that are known but not reached. It may be on the other side of a
+// network partition that has healed.
 func (m *Mesh) dialLost(ctx *kernel.Context, view fleetView) {
 	from := ctx.Rand.IntN(max(1, len(view.lost)))
 	for i := range view.lost {
@@ -231,7 +237,8 @@
 	}
 }
 
-// pruneLinks closes one surplus connection, none that the other end or a bridge needs.
+// pruneLinks closes one surplus connection. It keeps the connections that the other end needs and
+// those that bridge two zones.
 func (m *Mesh) pruneLinks(ctx *kernel.Context, view fleetView, linksByZone map[string]int) {
 	if len(m.peers) <= MinPeers || ctx.Now-m.prunedAt < PruneInterval {
 		return
@@ -264,7 +271,7 @@
 	m.updateLinks(ctx)
 }
 
-// rankOf returns how many of a set come before an origin in the rendezvous order for a topic.
+// rankOf returns how many origins of a set rank before a given one in the rendezvous order for a topic.
 func rankOf(of []*originState, origin *originState, topic uint64) (above int) {
 	for _, q := range of {
 		if mix(q.hash^topic) > mix(origin.hash^topic) {
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -10,9 +10,9 @@
 	"wallport/runtime/wire"
 )
 
-// dialState is the state of dialling one address.
+// dialState is the dial and backoff state of one known address.
 type dialState struct {
-	// backoff is the wait after the next dial, nextAt the earliest time of that dial.
+	// nextAt is the earliest time of the next dial, backoff the wait after that dial.
 	backoff  clock.Micros
 	nextAt   clock.Micros
 	inFlight bool
@@ -20,7 +20,7 @@
 	failures int
 }
 
-// addAddr remembers an address for dialling, if there is capacity.
+// addAddr adds an address to the known ones, unless there are already MaxAddrs.
 func (m *Mesh) addAddr(addr string) {
 	if addr == "" || addr == m.addr || m.dials[addr] != nil || len(m.dials) >= MaxAddrs {
 		return
@@ -28,8 +28,8 @@
 	m.dials[addr] = &dialState{backoff: MinBackoff}
 }
 
-// forgetAddr drops a known address to make room for another: the one with the most failed dials
-// that is neither in use nor a seed.
+// forgetAddr drops a known address to make room for another one. It chooses the one with the most
+// failed dials that is neither connected, nor being dialled, nor a seed.
 func (m *Mesh) forgetAddr() {
 	for _, a := range slices.SortedFunc(maps.Keys(m.dials), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m.dials[b].failures, m.dials[a].failures), cmp.Compare(a, b))
@@ -41,19 +41,20 @@
 	}
 }
 
-// Numbers of addresses that a message carries besides the sender's own.
+// Numbers of addresses that a message carries in addition to the sender's own.
 const (
-	// heartbeatAddrs is that of a periodic heartbeat.
+	// heartbeatAddrs is the number in a periodic heartbeat.
 	heartbeatAddrs = 2
-	// greetingAddrs is that of the first message on a connection, and of the last one.
+	// greetingAddrs is the number in an anti-entropy request, which is also the first message on a
+	// dialled connection, and in the last message before a surplus connection is closed.
 	greetingAddrs = 12
 )
 
-// maxDialFailures is how many dials may fail in a row before an address that is no seed is dropped.
+// maxDialFailures is how many dials in a row may fail before an address that is not a seed is dropped.
 const maxDialFailures = 20
 
-// sampleAddrs returns this process's address and up to n addresses of reached processes, those of a
-// zone first.
+// sampleAddrs returns this process's address and up to n addresses of reached processes. If a zone is
+// given, processes of that zone come first.
 func (m *Mesh) sampleAddrs(ctx *kernel.Context, zone string, n int) []string {
 	out := []string{m.addr}
 	all := sortedKeys(m.store.origins)
@@ -82,7 +83,7 @@
 	return false
 }
 
-// dialIfDue dials a known address unless its backoff has not passed or it is connected, and reports
+// dialIfDue dials a known address, unless it is connected, being dialled or in backoff, and reports
 // whether it did.
 func (m *Mesh) dialIfDue(ctx *kernel.Context, addr string) bool {
 	dial := m.dials[addr]
@@ -101,8 +102,9 @@
 	return true
 }
 
-// handleConnUp handles a new connection. Connections to this process itself are closed. Of two
-// connections between one pair of processes, the one that the lesser key dialled stays.
+// handleConnUp handles a new connection. A connection of this process to itself is closed. Of two
+// connections between the same processes, the one dialled by the process with the lower fingerprint is
+// kept.
 func (m *Mesh) handleConnUp(ctx *kernel.Context, v kernel.ConnUp) {
 	if v.Dialed {
 		if dial := m.dials[v.Addr]; dial != nil {
@@ -140,8 +142,8 @@
 	}
 }
 
-// closeExcessPeers closes the connections beyond MaxPeers, the least recently heard first, but not the
-// newest one.
+// closeExcessPeers closes the connections beyond MaxPeers, starting with the one whose last message is
+// the oldest. It never closes the newest connection.
 func (m *Mesh) closeExcessPeers(ctx *kernel.Context, newest uint64) {
 	for len(m.peers) > MaxPeers {
 		ids := sortedKeys(m.peers)
@@ -171,8 +173,8 @@
 	}
 }
 
-// losePeer handles the loss of a connection whose peer may be gone. The link outlives it by
-// LinkGracePeriod.
+// losePeer handles the loss of a connection whose peer may be down. The link remains for
+// LinkGracePeriod after the loss.
 func (m *Mesh) losePeer(ctx *kernel.Context, peer *peerConn) {
 	delete(m.peers, peer.conn)
 	ctx.Log(kernel.LevelDebug, "mesh_peer_down", "peer", peer.key, "addr", peer.addr, "peers", len(m.peers))
@@ -188,7 +190,7 @@
 	m.maintainLinks(ctx)
 }
 
-// closePeer closes a surplus connection. The last heartbeat gives the peer addresses to dial
+// closePeer closes a surplus connection. Its last heartbeat carries addresses that the peer can dial
 // instead.
 func (m *Mesh) closePeer(ctx *kernel.Context, peer *peerConn) {
 	delete(m.peers, peer.conn)
--- a/cluster/mesh/reachability.go
+++ b/cluster/mesh/reachability.go
@@ -10,9 +10,10 @@
 
 // Constants of reachability.
 const (
-	// ReachDelay is how long links that were received wait for others before they are evaluated.
+	// ReachDelay is how long the evaluation of received links is delayed, to include others that
+	// follow.
 	ReachDelay = 20 * clock.Millisecond
-	// ReachInterval is the least time between two evaluations for received links.
+	// ReachInterval is the least time from an evaluation to the next one that received links cause.
 	ReachInterval = 60 * clock.Millisecond
 	// SuspicionTimeout is how long a suspect has to refute the suspicion.
 	SuspicionTimeout = 1 * clock.Second
@@ -20,7 +21,8 @@
 	MaxLinks = 64
 )
 
-// liveness is what is known of an origin as a process of the mesh.
+// liveness is the reachability state of an origin: its announced links, and whether it is reached or
+// suspected.
 type liveness struct {
 	member  *wire.Member
 	links   []string
@@ -29,8 +31,8 @@
 	visited uint64
 	// lastLive is when the origin was last known to be live.
 	lastLive clock.Micros
-	// suspectCount is the count of its entries that the origin must exceed to refute a suspicion; 0
-	// if it is not suspected.
+	// suspectCount is the count that an entry of the origin must exceed to refute a suspicion; 0 if it
+	// was never suspected.
 	suspectCount uint64
 	suspectedAt  clock.Micros
 }
@@ -40,7 +42,7 @@
 	return o.suspectCount > 0 && o.maxCount <= o.suspectCount && now-o.suspectedAt >= SuspicionTimeout
 }
 
-// scheduleReach schedules one evaluation for all links that are received within a while.
+// scheduleReach schedules an evaluation of reachability, unless one is scheduled already.
 func (m *Mesh) scheduleReach(ctx *kernel.Context) {
 	if !m.reachScheduled {
 		m.reachScheduled = true
@@ -48,9 +50,9 @@
 	}
 }
 
-// updateReachability searches the graph of links from this process. A link counts if both ends
-// announce it, and a suspect that has not refuted the suspicion is not reached, whoever announces a
-// link to it.
+// updateReachability determines the reached origins by a breadth-first search of the graph of links
+// from this process. This process's own links always count; any other link counts if both ends announce
+// it and it does not lead to a suspect that has not refuted the suspicion in time.
 func (m *Mesh) updateReachability(ctx *kernel.Context) {
 	m.lastReach = ctx.Now
 	m.reachGeneration++
@@ -89,8 +91,8 @@
 	}
 }
 
-// Live reports whether an origin is live: reached over links, or heard by a heartbeat that it
-// signed (release 1).
+// Live reports whether an origin is live: it is reached over links, or a heartbeat that it signed
+// (release 1) arrived within LivenessTimeout. This process itself is always live.
 func (m *Mesh) Live(origin string, now clock.Micros) bool {
 	if origin == m.self {
 		return true
--- a/cluster/mesh/seen.go
+++ b/cluster/mesh/seen.go
@@ -8,16 +8,16 @@
 	"wallport/runtime/wire"
 )
 
-// seenSet holds the entries that were received or sent lately, bounded by SeenTTL and MaxSeen. It
-// also knows the hash of their frames, so that duplicates, which are most of a flood, are dropped
-// before they are decoded.
+// seenSet holds the keys of recently received or announced entries, bounded by SeenTTL and MaxSeen. It
+// also holds the hashes of their frames: duplicates make up most of a flood, and are recognized by
+// the hash without being decoded.
 type seenSet struct {
 	addedAt     map[uint64]clock.Micros
 	oldestFirst []uint64
 	seed        maphash.Seed
 	frames      map[uint64]uint64
-	// framesOf holds the frame hash of an entry: the latest, if the entry was signed more than
-	// once.
+	// framesOf maps the key of an entry to its frame hash: the latest, if the entry was signed more
+	// than once.
 	framesOf map[uint64]uint64
 }
 
@@ -25,8 +25,8 @@
 	return &seenSet{addedAt: map[uint64]clock.Micros{}, seed: maphash.MakeSeed(), frames: map[uint64]uint64{}, framesOf: map[uint64]uint64{}}
 }
 
-// seenKey returns an entry's key in the seen-set: type, id and timestamp as in the source, and also
-// the origin, its count and the version.
+// seenKey returns an entry's key in the seen-set: a hash of type, id and timestamp, as in the paper,
+// and also of the origin, its count and the version.
 func seenKey(entry *wire.Entry) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(entryKey(entry)))
@@ -64,19 +64,20 @@
 	}
 }
 
-// frameHash returns the hash of an encoded entry without its last byte, the hop count, in which
-// alone the copies of an entry differ.
+// frameHash returns the hash of an encoded entry without its last byte. That byte is the hop count,
+// the only part in which the copies of an entry differ.
 func (s *seenSet) frameHash(body []byte) uint64 {
 	return maphash.Bytes(s.seed, body[:max(0, len(body)-1)])
 }
 
-// entryOfFrame returns the key of the entry whose frame has a hash, if it is in the set.
+// entryOfFrame returns the key of the entry whose frame has the given hash, and whether the entry is
+// in the set.
 func (s *seenSet) entryOfFrame(frame uint64, now clock.Micros) (key uint64, ok bool) {
 	key, ok = s.frames[frame]
 	return key, ok && s.has(key, now)
 }
 
-// addFrame adds the frame hash of an entry that is in the set.
+// addFrame adds the frame hash of an entry. It does nothing if the entry is not in the set.
 func (s *seenSet) addFrame(frame, key uint64) {
 	if _, ok := s.addedAt[key]; !ok {
 		return
--- a/cluster/mesh/store.go
+++ b/cluster/mesh/store.go
@@ -12,25 +12,27 @@
 
 // Bounds of the store.
 const (
-	// MaxOrigins bounds the origins, MaxEntries the entries of one origin.
+	// MaxOrigins bounds the number of origins, MaxEntries the entries of one origin.
 	MaxOrigins = 4096
 	MaxEntries = 4096
-	// TombstoneTTL is how long a withdrawn entry is remembered.
+	// TombstoneTTL is how long the tombstone of a withdrawn entry is kept.
 	TombstoneTTL = 60 * clock.Second
-	// sameCauseWindow is how far apart two origins may be forgotten for the same cause.
+	// sameCauseWindow is the time within which two origins must be forgotten to count as forgotten for
+	// the same cause.
 	sameCauseWindow = 3 * clock.Second
 )
 
-// originState is what the mesh knows of one origin.
+// originState is the state of one origin: its entries, their sum, its rate limit and its liveness.
 type originState struct {
-	// fingerprint is that of the origin's key, and hash its hash, which selects the bucket.
+	// fingerprint is the fingerprint of the origin's key. hash is a hash of it, which selects the bucket.
 	fingerprint string
 	hash        uint64
-	// maxCount is the highest count of its entries; sum is the sum over those that are not withdrawn.
+	// maxCount is the highest count of its entries. sum is the XOR of the hashes of those that are not
+	// withdrawn.
 	maxCount uint64
 	sum      uint64
-	// heartbeat is the origin's newest heartbeat count, heartbeatAt when that was received, and key and sig
-	// prove it. Only processes of release 1 count on it: see legacy.go.
+	// heartbeat is the origin's newest heartbeat count, heartbeatAt when it was received, and key and sig
+	// prove it. Only processes of release 1 rely on it; see legacy.go.
 	heartbeat   uint64
 	heartbeatAt clock.Micros
 	key         []byte
@@ -38,7 +40,8 @@
 	// tokens is how many entries OriginRate allows now, as of tokensAt.
 	tokens   float64
 	tokensAt clock.Micros
-	// entries are the newest by entryKey, and tombstones the withdrawn ones among them, oldest first.
+	// entries maps each entryKey to the newest entry. tombstones lists the withdrawn entries, oldest
+	// first.
 	entries    map[string]*wire.Entry
 	tombstones []tombstone
 	liveness
@@ -52,18 +55,18 @@
 }
 
 // store holds the newest entry of each id and origin, the newest version of each partition, and the
-// sums by which two stores are compared. All of it is bounded.
+// sums by which two stores are compared. Its size is bounded.
 type store struct {
 	origins    map[string]*originState
 	partitions map[int]*wire.Entry
 	forgotten  map[string]forgottenOrigin
-	// buckets are the sums of the origins, by the hash of their fingerprint. versionsHash is the
-	// sum of the partitions' versions.
+	// buckets holds the sums of the origins, combined by the hash of their fingerprint. versionsHash
+	// is the XOR of the hashes of the partitions' versions.
 	buckets      [DigestBuckets]uint64
 	versionsHash uint64
 }
 
-// forgottenOrigin is the last heartbeat count of a forgotten origin, and when it was forgotten.
+// forgottenOrigin holds the last heartbeat count of a forgotten origin and when it was forgotten.
 type forgottenOrigin struct {
 	heartbeat   uint64
 	forgottenAt clock.Micros
@@ -73,7 +76,8 @@
 	return store{origins: map[string]*originState{}, partitions: map[int]*wire.Entry{}, forgotten: map[string]forgottenOrigin{}}
 }
 
-// origin returns the state of an origin, created at first use; nil if there are too many.
+// origin returns the state of an origin, which it creates on first use. It returns nil for a new
+// origin if there are already MaxOrigins.
 func (s *store) origin(fp string, now clock.Micros) *originState {
 	origin := s.origins[fp]
 	if origin == nil && len(s.origins) < MaxOrigins {
@@ -112,8 +116,8 @@
 }
 
 // put stores an entry if it is newer than the stored one of the same origin, type and id, and
-// reports whether it did. Withdrawn entries count in no sum, so that they can be dropped later
-// without a difference between two stores.
+// reports whether it did. Withdrawn entries are left out of the sums, so two stores do not differ
+// when one of them has already dropped its tombstones.
 func (s *store) put(entry *wire.Entry, fp string, now clock.Micros) bool {
 	origin := s.origin(fp, now)
 	if origin == nil {
@@ -139,7 +143,7 @@
 	return true
 }
 
-// setSum replaces an origin's sum, also in its bucket.
+// setSum replaces an origin's sum and updates the sum of its bucket.
 func (s *store) setSum(origin *originState, sum uint64) {
 	s.buckets[origin.hash%DigestBuckets] ^= origin.bucketSum() ^ mix(origin.hash^sum)*nonzero(sum)
 	origin.sum = sum
@@ -167,8 +171,8 @@
 
 func versionHash(st wire.Version) uint64 { return mix(mix(st.Term^uint64(st.Partition)<<56) ^ st.Seq) }
 
-// forget drops an origin and remembers its last heartbeat, so that a peer with an older view cannot
-// restore it.
+// forget drops an origin and records its last heartbeat count, so that a peer with older state cannot
+// restore the origin.
 func (s *store) forget(fp string, now clock.Micros) {
 	if origin := s.origins[fp]; origin != nil {
 		if len(s.forgotten) >= MaxOrigins {
@@ -180,9 +184,9 @@
 	delete(s.origins, fp)
 }
 
-// restore ends the memory of a forgotten origin that is back, and of those that were forgotten at
-// about the same time, since the same partition cut them off. It reports whether the origin had
-// been forgotten.
+// restore deletes the record of a forgotten origin that is running again, and of those that were
+// forgotten within sameCauseWindow of it, since the same network partition separated them. It reports
+// whether the origin had been forgotten.
 func (s *store) restore(fp string) bool {
 	g, ok := s.forgotten[fp]
 	if !ok {
@@ -198,7 +202,7 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// pruneTombstones drops the withdrawn entries whose tombstones have expired.
+// pruneTombstones drops the withdrawn entries whose tombstones are older than TombstoneTTL.
 func (o *originState) pruneTombstones(now clock.Micros) {
 	for len(o.tombstones) > 0 && now-o.tombstones[0].withdrawnAt >= TombstoneTTL {
 		g := o.tombstones[0]
@@ -209,7 +213,7 @@
 	}
 }
 
-// takeToken takes a token from the origin's rate limit, and reports whether there was one.
+// takeToken takes a token from the origin's token bucket, and reports whether there was one.
 func (o *originState) takeToken(now clock.Micros) bool {
 	o.tokens = min(OriginBurst, o.tokens+float64(now-o.tokensAt)*OriginRate/float64(clock.Second))
 	o.tokensAt = now
