--- a/runtime/wire/bodies.go
+++ b/runtime/wire/bodies.go
@@ -2,13 +2,13 @@
 
 // The bodies of the mesh's entries.
 
-// Member is what a process announces about itself.
+// Member is the description of itself that a process announces.
 type Member struct {
 	Name string `msg:"n"`
 	// Role is "node" or "core".
 	Role string `msg:"r"`
 	Zone string `msg:"z"`
-	// Addr is the address of its mesh; Caller and Operator are those of its APIs.
+	// Addr is the process's mesh address; Caller and Operator are the addresses of its APIs.
 	Addr     string `msg:"a"`
 	Caller   string `msg:"c"`
 	Operator string `msg:"o"`
@@ -16,14 +16,14 @@
 	Replica string `msg:"s"`
 	// Bootstrapped reports whether the core has stored that a fleet was bootstrapped.
 	Bootstrapped bool `msg:"f"`
-	// UnhealthyReason says why the core's disk cannot be relied on; empty where it can.
+	// UnhealthyReason states why the core's disk cannot be relied on; empty if it can.
 	UnhealthyReason string `msg:"k"`
 	Draining        bool   `msg:"d"`
-	// InForce are the versions of the partitions that it acts on.
+	// InForce are the versions of the partitions that are in force in the process.
 	InForce []Version `msg:"i"`
 	// Started is when the process started, in microseconds of the Unix epoch.
 	Started int64 `msg:"st"`
-	// Mesh is the release of the mesh's protocol that it speaks; release 0 has no digests.
+	// Mesh is the release of the mesh protocol that the process uses; release 0 has no digests.
 	Mesh int `msg:"v,omitempty"`
 }
 
@@ -39,29 +39,29 @@
 	Incarnation int64  `msg:"n" json:"incarnation"`
 	// Pool is the pool that the backend belongs to; empty for a backend that serves a shard.
 	Pool string `msg:"p,omitempty" json:"pool,omitempty"`
-	// Slots is how many requests it works on at once; 0 means that this is unknown.
+	// Slots is the number of requests that the backend processes concurrently; 0 means unknown.
 	Slots int `msg:"l,omitempty" json:"slots,omitempty"`
-	// WarmUpRemaining is how much longer it warms up, in microseconds from when the list was read.
+	// WarmUpRemaining is the remaining warm-up time, in microseconds from when the list was read.
 	WarmUpRemaining int64 `msg:"w,omitempty" json:"cold_us,omitempty"`
 }
 
-// BackendList is the result of reading the platform's list of backends once.
+// BackendList is the platform's list of backends as read once.
 type BackendList struct {
 	Backends []Backend `msg:"s" json:"servers"`
-	// LeaseID is the lease under which the list was read, the fencing token of the discovery task.
+	// LeaseID is the lease under which the list was read. It is the fencing token of the discovery task.
 	LeaseID uint64 `msg:"t" json:"-"`
-	// Complete reports whether the list has every backend: one that is missing no longer exists.
+	// Complete reports whether the list has every backend, so that a backend missing from it no longer exists.
 	Complete bool `msg:"h,omitempty" json:"whole,omitempty"`
-	// Calls is how many calls to the platform the reading took; 0 means one. It is not encoded.
+	// Calls is the number of calls to the platform that the reading took; 0 means one. It is not encoded with msgp.
 	Calls int64 `msg:"-" json:"calls,omitempty"`
 }
 
 // HealthReport is one observer's view of one backend.
 type HealthReport struct {
 	State string `msg:"s"`
-	// Incarnation is the start of the backend that the report is about.
+	// Incarnation identifies the start of the backend that the report is about.
 	Incarnation int64 `msg:"n"`
-	// Uptime is how long that incarnation had been up, in microseconds.
+	// Uptime is how long that incarnation had been running, in microseconds.
 	Uptime   int64  `msg:"w"`
 	Load     int64  `msg:"u"`
 	ShardMap string `msg:"c"`
@@ -83,23 +83,23 @@
 	ConfigVersion  Version  `msg:"sa"`
 	// Routing is the routing table in force, encoded.
 	Routing []byte `msg:"ro,omitempty"`
-	// LegacyEdits, LegacyHistory and LegacyRevisions were written by releases before 3; EditLog has them now.
+	// LegacyEdits, LegacyHistory and LegacyRevisions were written by releases before 3; EditLog replaces them.
 	LegacyEdits     []LegacyEdit     `msg:"r,omitempty"`
 	LegacyHistory   []PastConfig     `msg:"h,omitempty"`
 	LegacyRevisions []LegacyRevision `msg:"rv,omitempty"`
 }
 
-// LegacyRevision is a routing table that was taken, as releases before 3 recorded it.
+// LegacyRevision is an applied routing table as releases before 3 recorded it.
 type LegacyRevision struct {
 	Number int64 `msg:"n"`
-	// Sum is a digest of what was sent, and Base the revision that it was based on.
+	// Sum is a digest of the request, and Base the revision that it was based on.
 	Sum  uint64 `msg:"s"`
 	Base int64  `msg:"b"`
-	// Version is the version in which it was taken.
+	// Version is the version that applied it.
 	Version Version `msg:"t"`
 }
 
-// LegacyEdit is an edit that was taken under an id, as releases before 3 recorded it.
+// LegacyEdit is an applied edit with an id, as releases before 3 recorded it.
 type LegacyEdit struct {
 	EditID  string  `msg:"e"`
 	Sum     uint64  `msg:"s"`
@@ -117,7 +117,7 @@
 type IndexBody struct {
 	ShardMaps    map[string]ShardMap    `msg:"c"`
 	LeaseHolders map[string]LeaseHolder `msg:"h"`
-	// LegacyEdits was written by releases before 3; EditLog has it now.
+	// LegacyEdits was written by releases before 3; EditLog replaces it.
 	LegacyEdits []LegacyEdit `msg:"r,omitempty"`
 }
 
@@ -129,7 +129,7 @@
 	NextShards int    `msg:"y"`
 }
 
-// LeaseHolder is the node that has the lease of a singleton task, and the lease's id.
+// LeaseHolder is the node that holds the lease of a singleton task, and the lease's id.
 type LeaseHolder struct {
 	Node    string `msg:"n"`
 	LeaseID uint64 `msg:"t"`
--- a/runtime/wire/calls.go
+++ b/runtime/wire/calls.go
@@ -1,7 +1,7 @@
 package wire
 
-// Pull asks a core for newer committed versions than those in Have. A core that pulls names itself; Replica is
-// empty while its disk cannot be relied on.
+// Pull asks a core for committed versions newer than those in Have. If the sender is a core, Addr, Replica and Zone
+// identify it; Replica is empty while its disk cannot be relied on.
 type Pull struct {
 	Have    []Version `msg:"h"`
 	Addr    string    `msg:"a,omitempty"`
@@ -13,13 +13,13 @@
 type PullReply struct {
 	Versions []Versioned `msg:"v"`
 	Leaders  []Leader    `msg:"o"`
-	// Partial reports whether newer versions were left out, since they are being sent already or were
-	// too large for one reply.
+	// Partial reports whether newer versions were omitted because they are already being sent or are too
+	// large for one reply.
 	Partial bool `msg:"pa,omitempty"`
 	// ContactMask has a bit for each partition of which the sender itself is in contact with a majority and
 	// the receiver now has everything that was acknowledged before that contact.
 	ContactMask uint32 `msg:"c,omitempty"`
-	// RelayedMask has a bit where another core lately told the sender so.
+	// RelayedMask has a bit for each partition for which another core recently reported this to the sender.
 	RelayedMask uint32 `msg:"r,omitempty"`
 }
 
@@ -37,22 +37,22 @@
 // Edit is an operator's change, or a read, for a partition's leader.
 type Edit struct {
 	Partition int `msg:"p"`
-	// EditID makes the edit idempotent: a repetition gets the first one's reply.
+	// EditID makes the edit idempotent: a repeated edit with the same id gets the reply to the first one.
 	EditID string `msg:"e"`
-	// Op is one of the operations, and Name what it is about: a zone, an index or a version.
+	// Op is one of the operations, and Name its target: a zone, an index or a version.
 	Op   string `msg:"o"`
 	Name string `msg:"n"`
-	// Base is the version that the edit is based on. Strict is set where the caller must name it, and is read
-	// only by the process that takes the call: a leader checks the base of every edit, by its operation.
+	// Base is the version that the edit is based on. Strict is set if the caller must state it. Only the process
+	// that receives the call reads Strict: a leader checks the base of every edit, according to its operation.
 	Base   Version `msg:"b"`
 	Strict bool    `msg:"s"`
 	Body   []byte  `msg:"d"`
-	// By is who made the change, for the audit.
+	// By names who made the change, for the audit log.
 	By string `msg:"by"`
 }
 
-// EditReply says what became of an edit, with the version that took it or the one in force. Addr is the address of
-// the leader where the sender is not it, and Body what a read returns.
+// EditReply is the result of an edit, with the version that applied the edit or, otherwise, the one in force. Addr is
+// the address of the leader if the sender is not the leader, and Body the result of a read.
 type EditReply struct {
 	Code     Code      `msg:"c"`
 	Version  Version   `msg:"s"`
@@ -61,7 +61,7 @@
 	Body     []byte    `msg:"b"`
 }
 
-// Finding is one fault found in what an operator sent, with the path of the faulty field.
+// Finding is one fault in an operator's request, with the path of the faulty field.
 type Finding struct {
 	Path string `msg:"p" json:"place"`
 	Text string `msg:"t" json:"text"`
@@ -72,15 +72,15 @@
 	Partition int    `msg:"p"`
 	Task      string `msg:"d"`
 	From      string `msg:"f"`
-	// Successor is the node that the holder wants to take over when it releases the lease.
+	// Successor is the node to which the holder hands over the lease when it releases it.
 	Successor string `msg:"n"`
 	Release   bool   `msg:"x"`
-	// LeaseID is the lease to release, so that a late release ends no newer lease. 0 means any.
+	// LeaseID is the lease to release, so that a delayed release does not end a newer lease. 0 means any.
 	LeaseID uint64 `msg:"t,omitempty"`
 }
 
-// LeaseReply says who has the lease. Duration is how much longer, in microseconds counted from when the request
-// was sent.
+// LeaseReply names the holder of the lease. Duration is the remaining time of the lease, in microseconds from when the
+// request was sent.
 type LeaseReply struct {
 	Task     string `msg:"d"`
 	Holder   string `msg:"h"`
@@ -88,19 +88,19 @@
 	LeaseID  uint64 `msg:"t"`
 }
 
-// The messages of a rebuild of a partition's group.
+// Messages of a rebuild of a partition's group.
 
 // Rebuild asks a core, on an operator's command, to store a version as the first one of a rebuilt group. Without
-// Apply it only asks whether the core would, and which version it has stored.
+// Apply it only asks whether the core would consent, and which version it has stored.
 type Rebuild struct {
 	Partition int       `msg:"p"`
 	Apply     bool      `msg:"d"`
 	Versioned Versioned `msg:"v"`
-	// VersionOnly asks for the number of the stored version without its body.
+	// VersionOnly requests the number of the stored version without its body.
 	VersionOnly bool `msg:"r,omitempty"`
 }
 
-// RebuildReply says whether the core consents, the reason where it does not, and the version that it has stored.
+// RebuildReply states whether the core consents, the reason if it does not, and the version that it has stored.
 type RebuildReply struct {
 	Partition int       `msg:"p"`
 	From      string    `msg:"f"`
--- a/runtime/wire/edit_codes.go
+++ b/runtime/wire/edit_codes.go
@@ -1,6 +1,6 @@
 package wire
 
-// Operations of an Edit that only read. The leader confirms each with a majority after it arrived.
+// Operations of an Edit that only read. After a read arrives, the leader confirms it with a majority before replying.
 const (
 	// OpRead returns the partition's body.
 	OpRead = "read"
@@ -18,7 +18,7 @@
 	OpPutConfig = "put"
 	// OpEditRows sets or removes single rows of the configuration.
 	OpEditRows = "rows"
-	// OpRevertConfig puts the earlier configuration whose version Edit.Name gives in force again.
+	// OpRevertConfig restores the earlier configuration whose version is in Edit.Name.
 	OpRevertConfig = "return"
 	// OpDrainZone and OpRestoreZone take a zone's backends out of service and return them to it.
 	OpDrainZone   = "empty"
@@ -27,41 +27,41 @@
 
 // Operations of an Edit that change a partition of indexes.
 const (
-	// OpReshard begins to move an index to another shard map.
+	// OpReshard starts moving an index to another shard map.
 	OpReshard = "cut"
 	// OpSwitchShardMap puts the next shard map of an index in force.
 	OpSwitchShardMap = "flip"
 )
 
-// OpRebuild names a rebuild of a partition's group in the audit. It is never the operation of an Edit.
+// OpRebuild denotes a rebuild of a partition's group in the audit log. It is never the operation of an Edit.
 const OpRebuild = "rebuild"
 
-// Code says what became of an edit. Its text is on the wire and in the operators' API.
+// Code is the result of an edit. Its text is on the wire and in the operator API.
 type Code string
 
-// Codes that an operator's API passes on.
+// Codes that the operator API returns.
 const (
 	CodeOK Code = "ok"
-	// CodeInvalid refuses an edit that has faults; Findings lists them. Nothing was changed.
+	// CodeInvalid rejects an edit that has faults; Findings lists them. Nothing was changed.
 	CodeInvalid Code = "invalid"
-	// CodeConflict refuses an edit id that was used for another edit. Nothing was changed.
+	// CodeConflict rejects an edit whose id was used for another edit. Nothing was changed.
 	CodeConflict Code = "conflict"
-	// CodeLostRace refuses an edit that is based on a version which is no longer in force. Nothing was changed.
+	// CodeLostRace rejects an edit that is based on a version which is no longer in force. Nothing was changed.
 	CodeLostRace Code = "lost_race"
-	// CodeOverloaded rejects an edit that certainly no leader has taken.
+	// CodeOverloaded reports that certainly no leader has applied the edit, or that no leader could be read from.
 	CodeOverloaded Code = "shed"
-	// CodeUnknown reports that the edit may have been taken or may still be.
+	// CodeUnknown reports that the edit may have been applied or may still be.
 	CodeUnknown Code = "unknown"
 )
 
-// Codes that only processes exchange.
+// Codes that are used only between processes.
 const (
-	// CodeNotLeader comes from a core that does not lead the partition; Addr is the leader's address where
-	// the core knows it. Nothing was taken.
+	// CodeNotLeader is returned by a core that does not lead the partition; Addr is the leader's address if
+	// the core knows it. Nothing was changed.
 	CodeNotLeader Code = "not_owner"
-	// CodeVersion answers OpZoneVersion.
+	// CodeVersion is the result of OpZoneVersion.
 	CodeVersion Code = "version"
-	// CodeStale refuses a command about a zone that is bound to another version than the one in
-	// force. Nothing was taken.
+	// CodeStale rejects a command about a zone that is bound to a version other than the one in force.
+	// Nothing was changed.
 	CodeStale Code = "stale"
 )
--- a/runtime/wire/edit_codes_test.go
+++ b/runtime/wire/edit_codes_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Earlier releases and operators' scripts compare these texts.
+// Earlier releases and operators' scripts compare these texts, so they must not change.
 func TestCodeAndOperationTexts(t *testing.T) {
 	for text, code := range map[string]Code{
 		"ok": CodeOK, "invalid": CodeInvalid, "conflict": CodeConflict, "lost_race": CodeLostRace, "shed": CodeOverloaded,
--- a/runtime/wire/edit_log.go
+++ b/runtime/wire/edit_log.go
@@ -1,16 +1,16 @@
 package wire
 
-// EditLog is what the replicas of a partition keep beside its body: the edits that were taken, so that a
-// repetition is recognised, and the earlier configurations. It is replicated and synced with the body, and never
-// sent to a process that only reads the body.
+// EditLog is stored by the replicas of a partition in addition to its body: the applied edits, so that a repeated edit
+// is recognised, and the earlier configurations. It is replicated and synced with the body, and never sent to a
+// process that only reads the body.
 type EditLog struct {
-	// RoutingEdits are the changes of the routing table that were taken, oldest first.
+	// RoutingEdits are the applied changes of the routing table, oldest first.
 	RoutingEdits []RoutingEdit `msg:"o,omitempty"`
-	// Edits are the changes that were taken under an edit id, oldest first.
+	// Edits are the applied changes that have an edit id, oldest first.
 	Edits []AppliedEdit `msg:"e,omitempty"`
 	// History has the earlier configurations and the one in force, oldest first.
 	History []PastConfig `msg:"h,omitempty"`
-	// Zones are the versions that last took a command about a zone, oldest first.
+	// Zones are the versions in which the last command about each zone was applied, oldest first.
 	Zones []ZoneVersion `msg:"z,omitempty"`
 	// ZoneFloor is the version of every zone that Zones does not list.
 	ZoneFloor Version `msg:"f"`
@@ -18,8 +18,8 @@
 
 //msgp:tuple RoutingEdit
 
-// RoutingEdit is a change of the routing table by its digest, which covers the revision and the base, and the version
-// that took it. The digest has 8 bytes where a release before 3 took the change.
+// RoutingEdit is an applied change of the routing table: its digest, which covers the revision and the base, and the
+// version that applied it. The digest has 8 bytes if a release before 3 applied the change.
 type RoutingEdit struct {
 	Digest []byte
 	Term   uint64
@@ -28,7 +28,7 @@
 
 //msgp:tuple AppliedEdit
 
-// AppliedEdit is an edit by its id and digest, and the version that took it.
+// AppliedEdit is an applied edit: its id, its digest and the version that applied it.
 type AppliedEdit struct {
 	EditID string
 	Digest []byte
@@ -38,7 +38,7 @@
 
 //msgp:tuple ZoneVersion
 
-// ZoneVersion is the version that last took a command about a zone.
+// ZoneVersion is a zone and the version that applied the last command about it.
 type ZoneVersion struct {
 	Zone string
 	Term uint64
--- a/runtime/wire/frame.go
+++ b/runtime/wire/frame.go
@@ -20,20 +20,20 @@
 // MaxFrame is the largest frame, in bytes.
 const MaxFrame = 1 << 20
 
-// Format is the version of the wire format. Unknown fields of a frame are skipped; a frame of a newer format is
-// refused.
+// Format is the version of the wire format. Unknown fields of a message are skipped; a frame of a newer format is
+// rejected.
 const Format = 1
 
-// Errors of a frame.
+// Errors of reading, writing and opening frames.
 var (
-	// ErrOversize refuses a frame that is larger than its bound.
+	// ErrOversize is returned for a frame or message that exceeds its size limit.
 	ErrOversize = errors.New("frame larger than 1 MiB")
-	// ErrFormat refuses a frame of a release with a newer wire format.
+	// ErrFormat is returned for a frame of a release with a newer wire format.
 	ErrFormat     = errors.New("frame of a newer wire format")
 	ErrShortFrame = errors.New("frame shorter than its envelope")
 )
 
-// Frame is an opened envelope.
+// Frame is a frame whose envelope has been decoded and whose body has not.
 type Frame struct {
 	Kind uint8
 	ID   uint64
@@ -43,7 +43,8 @@
 // envelopeBytes is the length of a frame's envelope: the format, the kind and the id.
 const envelopeBytes = 10
 
-// Seal encodes a message with its envelope.
+// Seal returns the frame of a message: its envelope followed by the encoded message. If the message cannot be encoded,
+// the frame consists of the envelope alone.
 func Seal(kind uint8, id uint64, m msgp.Marshaler) []byte {
 	b := make([]byte, envelopeBytes, 256)
 	b[0], b[1] = Format, kind
@@ -55,7 +56,7 @@
 	return out
 }
 
-// KindOf returns the kind of a sealed frame; 0 where it is too short to have one.
+// KindOf returns the kind of a frame, or 0 if the frame is too short to have one.
 func KindOf(frame []byte) uint8 {
 	if len(frame) < 2 {
 		return 0
@@ -63,7 +64,7 @@
 	return frame[1]
 }
 
-// Open checks and splits the envelope of a frame of at most [MaxFrame] bytes. The body is not decoded. It returns
+// Open checks and decodes the envelope of a frame of at most [MaxFrame] bytes, but not the body. It fails with
 // [ErrShortFrame], [ErrOversize] or [ErrFormat].
 func Open(b []byte) (Frame, error) { return open(b, MaxFrame) }
 
@@ -83,7 +84,7 @@
 	return Frame{Kind: b[1], ID: binary.BigEndian.Uint64(b[2:]), Body: b[envelopeBytes:]}, nil
 }
 
-// WriteTo writes a frame and its length to a stream.
+// WriteTo writes a frame, preceded by its length, to a stream. It returns [ErrOversize] for a frame above [MaxFrame].
 func WriteTo(w io.Writer, frame []byte) error {
 	if len(frame) > MaxFrame {
 		return ErrOversize
@@ -118,7 +119,7 @@
 	return err
 }
 
-// Encode encodes a message without an envelope; nil where that fails.
+// Encode returns the encoding of a message without an envelope, or nil if the message cannot be encoded.
 func Encode(m msgp.Marshaler) []byte {
 	b, err := m.MarshalMsg(nil)
 	if err != nil {
--- a/runtime/wire/golden_cover_test.go
+++ b/runtime/wire/golden_cover_test.go
@@ -13,8 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// filler sets every encoded field to a value of its own, by position and never by name. Maps get
-// one entry, since the order of several is not fixed.
+// filler sets every encoded field to a distinct value that depends on the field's position, not its name.
+// Maps get one entry, since the order of several entries is not fixed.
 type filler struct{ n uint64 }
 
 func (f *filler) fill(v reflect.Value) {
@@ -47,7 +47,7 @@
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Int, reflect.Int64:
-		// Numbers of all sizes, below zero too.
+		// Use numbers of all sizes, including negative ones.
 		n := int64(f.n) << (8 * (f.n % 7))
 		if f.n%2 == 0 {
 			n = -n
@@ -64,7 +64,7 @@
 	}
 }
 
-// structsIn adds the struct types that a type is made of.
+// structsIn adds the struct types that a type contains, itself included, to found.
 func structsIn(t reflect.Type, found map[reflect.Type]bool) {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -143,5 +143,5 @@
 	for message := range covered {
 		must.MapContainsKey(t, encoded, message.Name())
 	}
-	must.MapLen(t, len(encoded), covered, must.Sprint("a message that no line of the table holds"))
+	must.MapLen(t, len(encoded), covered, must.Sprint("every encoded type must be covered by the tables of golden_test.go"))
 }
--- a/runtime/wire/golden_test.go
+++ b/runtime/wire/golden_test.go
@@ -17,8 +17,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// goldenFile has the bytes of every message as earlier releases sent and stored them. Its lines are keyed by labels of
-// the tables below: a Go type may be renamed, its bytes stay.
+// goldenFile has the bytes of every message as earlier releases sent and stored them. Its lines are keyed by the labels
+// of the tables below, so that a Go type can be renamed while its bytes stay the same.
 const goldenFile = "testdata/messages.golden"
 
 type message interface {
@@ -83,7 +83,7 @@
 	{"versioned", &Versioned{}},
 }
 
-// encoding is one line of the golden file and how it is made and read.
+// encoding is one line of the golden file, with the functions that encode and decode it.
 type encoding struct {
 	label  string
 	value  message
@@ -91,7 +91,7 @@
 	decode func([]byte, message) error
 }
 
-// encodings are all lines, in the order of the file: each message filled, and each one empty.
+// encodings returns all lines in the order of the file: for each message one with all fields set and one without.
 func encodings() (all []encoding) {
 	add := func(label string, empty message, encode func(message) []byte, decode func([]byte, message) error) {
 		f := &filler{}
@@ -131,7 +131,7 @@
 		return err
 	}
 	if f.Kind != kind || f.ID != id || KindOf(data) != kind || r.Len() > 0 {
-		return fmt.Errorf("kind %d, id %x, %d bytes left", f.Kind, f.ID, r.Len())
+		return fmt.Errorf("unexpected frame: kind %d, id %x, %d bytes left after it", f.Kind, f.ID, r.Len())
 	}
 	return Decode(f.Body, into)
 }
@@ -169,14 +169,14 @@
 	for _, e := range all {
 		want = append(want, e.label)
 	}
-	must.Eq(t, labels, want, must.Sprint("the golden file has each message of the table, and no other"))
+	must.Eq(t, labels, want, must.Sprint("the golden file must have exactly the messages of the tables"))
 	for _, e := range all {
 		t.Run(e.label, func(t *testing.T) {
 			stored := golden[e.label]
 			decoded := newMessage(e.value)
 			must.NoError(t, e.decode(stored, decoded))
-			must.Eq(t, hex.EncodeToString(stored), hex.EncodeToString(e.encode(decoded)), must.Sprint("decoded and encoded again"))
-			must.Eq(t, hex.EncodeToString(stored), hex.EncodeToString(e.encode(e.value)), must.Sprint("encoded from its fields"))
+			must.Eq(t, hex.EncodeToString(stored), hex.EncodeToString(e.encode(decoded)), must.Sprint("decoding and encoding must keep the bytes"))
+			must.Eq(t, hex.EncodeToString(stored), hex.EncodeToString(e.encode(e.value)), must.Sprint("encoding the fields must give the bytes of the golden file"))
 			if strings.HasSuffix(e.label, " filled") {
 				must.True(t, reflect.DeepEqual(e.value, decoded), must.Sprintf("want %+v, got %+v", e.value, decoded))
 			}
--- a/runtime/wire/groups.go
+++ b/runtime/wire/groups.go
@@ -1,6 +1,6 @@
 package wire
 
-// Version numbers the values of a partition, ordered by term, then by sequence.
+// Version identifies a value of a partition. Versions are ordered by term, then by sequence.
 type Version struct {
 	Partition int    `msg:"p"`
 	Term      uint64 `msg:"t"`
@@ -8,14 +8,15 @@
 }
 
 // Versioned is one value of a partition, with the voters of the group that it is replicated to. PreviousVoters are
-// those of the version before it. Majorities of both sets are needed: where the two are the same, as they are unless
-// this version changes the voters, that is one majority. The list is empty in the versions of a bootstrap or rebuild.
+// the voters of the version before it. Committing the version needs a majority of each set. The two sets are equal
+// unless this version changes the voters; one majority is then enough. PreviousVoters is empty in the versions of a
+// bootstrap or rebuild.
 type Versioned struct {
 	Version        Version   `msg:"st"`
 	Voters         []Replica `msg:"se"`
 	PreviousVoters []Replica `msg:"pr"`
 	Body           []byte    `msg:"b"`
-	// EditLog is sent with the body from replica to replica, and to no process that only reads the body.
+	// EditLog is sent with the body between replicas, and never to a process that only reads the body.
 	EditLog []byte `msg:"l,omitempty"`
 }
 
@@ -39,8 +40,8 @@
 	Stored Version `msg:"h"`
 }
 
-// VoteReply grants or denies a vote and names the newest version that the voter has stored. It has the body only
-// where the vote is granted to a candidate that has stored an older version.
+// VoteReply grants or denies a vote and states the newest version that the voter has stored. It includes the body only
+// if the vote is granted to a candidate that has stored an older version.
 type VoteReply struct {
 	Partition    int       `msg:"p"`
 	Term         uint64    `msg:"t"`
@@ -48,7 +49,7 @@
 	Pre          bool      `msg:"e"`
 	Granted      bool      `msg:"g"`
 	Stored       Versioned `msg:"h"`
-	SupportsBase bool      `msg:"tb,omitempty"` // the voter reads Accept.Base
+	SupportsBase bool      `msg:"tb,omitempty"` // the voter supports Accept.Base
 }
 
 // Accept asks a replica to store a version.
@@ -58,13 +59,13 @@
 	Term      uint64    `msg:"t"`
 	From      string    `msg:"f"`
 	Versioned Versioned `msg:"v"`
-	// Base, where it is set, is a version with the same body, which the replica has stored. The body is
-	// then left out.
+	// Base, if set, is a version with the same body that the replica has already stored. The body is then
+	// omitted.
 	Base Version `msg:"b"`
 }
 
-// AcceptReply acknowledges that a version is synced to the disk, or refuses it with the term that the replica
-// has voted in.
+// AcceptReply acknowledges that a version is synced to disk, or rejects the version and states the term that the
+// replica has voted in.
 type AcceptReply struct {
 	Partition int     `msg:"p"`
 	Term      uint64  `msg:"t"`
@@ -72,9 +73,9 @@
 	Version   Version `msg:"st"`
 	OK        bool    `msg:"ok"`
 	Err       string  `msg:"e"`
-	// LacksBase asks for the version with its body, since the replica has not stored Base.
+	// LacksBase requests the version with its body, because the replica has not stored Base.
 	LacksBase    bool `msg:"lb,omitempty"`
-	SupportsBase bool `msg:"tb,omitempty"` // the replica reads Accept.Base
+	SupportsBase bool `msg:"tb,omitempty"` // the replica supports Accept.Base
 }
 
 // LeaderHeartbeat is a leader's heartbeat with the newest committed version.
@@ -87,9 +88,10 @@
 	Committed Version `msg:"c"`
 	// TransferTo names the successor in a leadership transfer.
 	TransferTo string `msg:"y"`
-	// ContactAt proves that the leader is in contact with a majority. It is a moment on the receiver's own clock, in
-	// microseconds, as its replies told it (LeaderHeartbeatReply.Clock), and not later than when the newest heartbeat
-	// round was sent that a majority answered. 0 proves nothing.
+	// ContactAt proves that the leader was in contact with a majority at that time or later. It is a time on the
+	// receiver's own monotonic clock, in microseconds, which the leader knows from the receiver's replies
+	// (LeaderHeartbeatReply.Clock). It is no later than the sending of the newest heartbeat round that a majority
+	// answered. 0 proves nothing.
 	ContactAt int64 `msg:"ca,omitempty"`
 }
 
@@ -106,32 +108,34 @@
 	DiskProblem bool  `msg:"s"`
 	// Clock is the sender's monotonic clock in microseconds, from an origin drawn at random at each start of its process.
 	Clock int64 `msg:"c,omitempty"`
-	// Successor is the replica that is now at the address of the one that was meant, and Zone its zone.
+	// Successor is the replica that now runs at the address of the one that the heartbeat was sent to, and Zone
+	// its zone.
 	Successor string `msg:"in,omitempty"`
 	Zone      string `msg:"z,omitempty"`
 }
 
-// Leave is the request of a voter that stops to be moved out of the group.
+// Leave is the request of a stopping voter to be moved out of the group.
 type Leave struct {
 	To        string `msg:"to"`
 	Partition int    `msg:"p"`
 	From      string `msg:"f"`
 }
 
-// Bootstrap asks a replica without state to consent to a bootstrap, or, with Commit, tells it that all have.
+// Bootstrap asks a replica without state to consent to a bootstrap. With Commit set, it reports that all replicas have
+// consented.
 type Bootstrap struct {
 	BootstrapID string    `msg:"f"`
 	Voters      []Replica `msg:"s"`
 	Commit      bool      `msg:"g"`
-	// Proposer is the replica that proposed it, and the only one that may complete or withdraw it.
+	// Proposer is the replica that proposed the bootstrap, and the only one that may complete or withdraw it.
 	Proposer Replica `msg:"b"`
-	// Withdrawn reports that the bootstrap will never be committed: the consents to it are void.
+	// Withdrawn reports that the bootstrap will never be committed: all consents to it are void.
 	Withdrawn bool `msg:"w"`
 }
 
-// BootstrapReply consents to a bootstrap, or says why not. Proposer is the one that proposed the bootstrap to which the
-// replica has consented already, Bootstrapped reports that a fleet exists, and Forbidden that this disk was empty
-// when the platform reported that others are not.
+// BootstrapReply consents to a bootstrap, or states why the replica does not consent: Proposer is the proposer of a
+// bootstrap to which the replica has already consented, Bootstrapped reports that a fleet exists, and Forbidden that
+// the replica's disk was empty although the platform reported that other disks are not.
 type BootstrapReply struct {
 	BootstrapID  string  `msg:"f"`
 	From         string  `msg:"r"`
--- a/runtime/wire/keys.go
+++ b/runtime/wire/keys.go
@@ -1,8 +1,8 @@
 package wire
 
-// The messages between the nodes that keep idempotency keys. A key has several owners among the nodes.
+// Messages between the nodes that store idempotency keys. Several nodes own each key.
 
-// AdmitRequest asks an owner of an idempotency key to admit a request. Sum is the digest of its content.
+// AdmitRequest asks an owner of an idempotency key to admit a request. Sum is the digest of the request's content.
 type AdmitRequest struct {
 	Key   string `msg:"k"`
 	Index string `msg:"x"`
@@ -10,7 +10,7 @@
 	Sum   uint64 `msg:"s"`
 }
 
-// AdmitReply admits a request, or returns the outcome of the request that was admitted under the key before.
+// AdmitReply admits a request, or returns the outcome of the request that was previously admitted under the same key.
 type AdmitReply struct {
 	Key    string `msg:"k"`
 	From   string `msg:"f"`
@@ -20,7 +20,8 @@
 	Body   []byte `msg:"b"`
 	// Attempted reports whether an earlier attempt under the key reached a backend, which refused it.
 	Attempted bool `msg:"t"`
-	// KeyOwners is how many owners the key has by the sender's own roster; 0 where the sender does not say.
+	// KeyOwners is the number of owners of the key according to the sender's roster of nodes; 0 if the sender does
+	// not state it.
 	KeyOwners int `msg:"h"`
 }
 
@@ -39,18 +40,19 @@
 	NewNodes []NodeLocation `msg:"w"`
 }
 
-// RecordsReply returns these records, in one frame or several; Last marks the last of them.
+// RecordsReply returns the records of a RecordsRequest in one frame or several; Last marks the last frame.
 type RecordsReply struct {
 	Epoch   uint64    `msg:"e"`
 	Name    string    `msg:"n"`
 	Records []Outcome `msg:"r"`
 	Last    bool      `msg:"a"`
-	// KeyOwners is how many owners a key has by the sender's own roster; 0 where the sender does not say.
+	// KeyOwners is the number of owners of a key according to the sender's roster of nodes; 0 if the sender does
+	// not state it.
 	KeyOwners int `msg:"h"`
 }
 
-// SeenRequest asks an owner whether the key of a search or read was used before, and has it remembered. Forget
-// takes that back, since the request was sent to no backend.
+// SeenRequest asks an owner whether the key of a search or read was used before, and records the key as used. With
+// Forget set it withdraws that record, because the request was sent to no backend.
 type SeenRequest struct {
 	Key    string `msg:"k"`
 	Forget bool   `msg:"f"`
@@ -62,7 +64,7 @@
 	Seen bool   `msg:"b"`
 }
 
-// Outcome records at an owner what the request admitted under a key came to.
+// Outcome tells an owner of a key the outcome of the request that was admitted under the key.
 type Outcome struct {
 	Key    string `msg:"k"`
 	Code   string `msg:"c"`
--- a/runtime/wire/messages.go
+++ b/runtime/wire/messages.go
@@ -1,6 +1,6 @@
 package wire
 
-// Kinds of frames. Their numbers are on the wire: a new kind goes to the end.
+// Kinds of frames. Their numbers are on the wire, so new kinds are added at the end.
 const (
 	KindHello uint8 = iota + 1
 	KindHeartbeat
@@ -36,7 +36,8 @@
 	KindStatusReply
 )
 
-// Hello opens a connection of the mesh. Proof shows that the sender knows the fleet's secret.
+// Hello is the first frame on a connection, in both directions. Addr is the sender's mesh address, Fleet the purpose of
+// the connection, and Proof shows that the sender knows the fleet's secret.
 type Hello struct {
 	Addr  string `msg:"a"`
 	Zone  string `msg:"z,omitempty"`
@@ -44,13 +45,13 @@
 	Proof []byte `msg:"p"`
 }
 
-// OriginSummary sums up the entries of one origin that a process has: the highest count and a digest.
+// OriginSummary summarizes the entries of one origin that a process has: the highest count and a digest.
 type OriginSummary struct {
 	Origin    string `msg:"o"`
 	Max       uint64 `msg:"m"`
 	Sum       uint64 `msg:"s"`
 	Heartbeat uint64 `msg:"b,omitempty"`
-	// Key and Sig prove that the origin itself sent this heartbeat.
+	// Key and Sig prove that the origin itself signed this heartbeat count.
 	Key []byte `msg:"k,omitempty"`
 	Sig []byte `msg:"g,omitempty"`
 }
@@ -60,34 +61,35 @@
 	Addrs      []string        `msg:"a,omitempty"`
 	Summaries  []OriginSummary `msg:"m,omitempty"`
 	Partitions []Version       `msg:"p,omitempty"`
-	// Echo asks for the entries that the sender lacks and then, at once, for the other side's summaries.
+	// Echo requests the entries that the sender lacks, followed directly by the receiver's summaries.
 	Echo bool `msg:"e,omitempty"`
-	// Digest sums up everything that the sender has. A sender of a release without digests leaves it 0; Summaries
-	// and Partitions then cover everything that it has.
+	// Digest covers all entries that the sender has. A sender of a release without digests leaves it 0; Summaries
+	// and Partitions then cover all of its entries.
 	Digest uint64 `msg:"d,omitempty"`
-	// Buckets are the digests that Digest is made of, each of a bucket of origins.
+	// Buckets are the sums of the buckets of origins, from which Digest is computed.
 	Buckets []uint64 `msg:"b,omitempty"`
-	// Scope has a bit for each bucket of which Summaries has every origin.
+	// Scope has a bit for each bucket whose origins are all in Summaries.
 	Scope uint64 `msg:"s,omitempty"`
 }
 
-// Links is what a process announces of its connections. They make up the mesh's graph: a process that is linked to none
-// that can be reached counts as absent.
+// Links is the announcement of a process's connections. The links of all processes form the graph of the mesh: a
+// process without a link to a reachable process is itself not reachable.
 type Links struct {
-	// Peers are the fingerprints of the peers heard from lately, eight bytes each.
+	// Peers are the fingerprints of the peers that recently sent a message, eight bytes each.
 	Peers []byte `msg:"p"`
 	// Suspects are the peers that timed out.
 	Suspects []Suspect `msg:"l,omitempty"`
 }
 
-// Suspect is a member that timed out, and the highest count known of its entries. An entry of its own with a higher
-// count refutes the suspicion.
+// Suspect is a member that timed out, with the highest known count of its entries. The member refutes the suspicion by
+// announcing an entry with a higher count.
 type Suspect struct {
 	Origin string `msg:"o"`
 	Count  uint64 `msg:"c"`
 }
 
-// Notice announces an entry that is too large to be sent to peers which may have it. With Want set it requests the entry.
+// Notice announces an entry that is too large to be sent to peers that may already have it. With Want set, it requests
+// the entry.
 type Notice struct {
 	Type    string  `msg:"ty"`
 	ID      string  `msg:"id"`
@@ -98,8 +100,8 @@
 	Want    bool    `msg:"w,omitempty"`
 }
 
-// Entry is one signed announcement of a process. Count orders the entries of an origin, At is when it was made in
-// microseconds of the origin's clock, and Tombstone withdraws the entry.
+// Entry is one signed announcement of a process. Count orders the entries of an origin. At is when the entry was made,
+// in microseconds of the origin's clock. Tombstone withdraws the earlier entry of the same type and id.
 type Entry struct {
 	Type      string  `msg:"ty"`
 	ID        string  `msg:"id"`
