--- a/runtime/process/blocked_test.go
+++ b/runtime/process/blocked_test.go
@@ -12,10 +12,10 @@
 	"wallport/runtime/settings"
 )
 
-// hangTimeout is how long a test waits for what must not block: only a hang lasts so long.
+// hangTimeout is how long a test waits for a function that must not block. Only a hang reaches it.
 const hangTimeout = 10 * time.Second
 
-// blockLoop blocks the loop of a process until the test is over, and fills its inbox.
+// blockLoop blocks the loop of a process until the test ends, and fills its inbox.
 func blockLoop(t *testing.T, p *Process) {
 	t.Helper()
 	blocked, release := make(chan struct{}), make(chan struct{})
@@ -56,7 +56,7 @@
 	must.True(t, returnsInTime(func() { p.Call(ctx, "operate", nil) }))
 }
 
-// Frames are queued for a connection that is being opened; it has no socket to close yet.
+// Guards against a nil dereference: a connection that is still being opened may be closed, and has no socket yet.
 func TestPendingConnectionCanBeClosed(t *testing.T) {
 	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	pending := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
@@ -66,7 +66,7 @@
 
 func TestBacklogForUnresponsiveAddressIsBounded(t *testing.T) {
 	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
-	// It accepts connections and sends nothing, as the machine of a frozen process does.
+	// The listener accepts connections and sends nothing, like the machine of a frozen process.
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
@@ -105,7 +105,7 @@
 	must.Eq(t, 0, pending.bytes)
 }
 
-// A request that finds the process frozen waits for the thaw, but no longer than it may.
+// A request that arrives while the process is frozen waits for the thaw, but not beyond its timeout.
 func TestAwaitThawTimesOutWhenLoopIsBlocked(t *testing.T) {
 	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	blockLoop(t, p)
--- a/runtime/process/call.go
+++ b/runtime/process/call.go
@@ -9,12 +9,12 @@
 	"wallport/runtime/kernel"
 )
 
-// errStopping is that the process is shutting down.
+// errStopping is returned for a call while the process is shutting down.
 var errStopping = errors.New("process is stopping")
 
 // Call sends a request to a plug-in and waits for its reply. It fails with the context's error when
-// the context ends, also while the loop is blocked or its inbox is full; the plug-in is then notified
-// by a kernel.Canceled.
+// the context ends, even if the loop is blocked or its inbox is full. If the request was queued, the
+// plug-in is then notified by a kernel.Canceled.
 func (p *Process) Call(ctx context.Context, plugin string, request any) (any, error) {
 	id := p.nextCall.Add(1)
 	ch := make(chan any, 1)
@@ -27,7 +27,7 @@
 	case v := <-ch:
 		return v, nil
 	case <-ctx.Done():
-		// In a goroutine: the caller must not wait for a full inbox.
+		// Post in a goroutine, since the caller must not wait for space in a full inbox.
 		go p.Post(kernel.Canceled{Plugin: plugin, ID: id})
 		return nil, ctx.Err()
 	case <-p.stopping:
@@ -35,7 +35,7 @@
 	}
 }
 
-// reply passes a plug-in's reply to the caller, if it still waits.
+// reply passes a plug-in's reply to the caller, if the caller still waits for it.
 func (p *Process) reply(r kernel.Reply) {
 	ch, ok := p.calls.Load(r.ID)
 	if !ok {
@@ -55,11 +55,11 @@
 	}
 }
 
-// postWithin is Post until the context ends.
+// postWithin is Post that gives up when the context ends or the process stops.
 func (p *Process) postWithin(ctx context.Context, in kernel.Input) error {
 	select {
 	case p.inbox <- in:
-		// If there is room the input is queued even if the context has ended.
+		// If the inbox has space, queue the input even if the context has ended.
 		return nil
 	default:
 	}
@@ -73,8 +73,8 @@
 	}
 }
 
-// AwaitThaw returns when the loop has noticed a freeze and the plug-ins have reacted to it, or after
-// the timeout. It returns at once if the process is not frozen.
+// AwaitThaw waits until the loop has detected a freeze and the plug-ins have handled it, but not longer
+// than the timeout. It returns immediately if the process is not frozen.
 func (p *Process) AwaitThaw(timeout time.Duration) {
 	if !p.Frozen() {
 		return
@@ -105,5 +105,5 @@
 	}
 }
 
-// inLoop is an input that the loop runs itself, instead of passing it to the kernel.
+// inLoop is a function in the inbox that the loop calls itself instead of passing it to the kernel.
 type inLoop struct{ run func(now clock.Micros) }
--- a/runtime/process/disk.go
+++ b/runtime/process/disk.go
@@ -17,14 +17,16 @@
 const (
 	// maxWrites bounds the writes that are queued.
 	maxWrites = 4096
-	// closeTimeout is how long the shutdown waits for the disk. A write that hangs was acknowledged to nobody.
+	// closeTimeout is how long the shutdown waits for the disk. A hanging write may be dropped, since it
+	// has not been acknowledged to any process.
 	closeTimeout = time.Second
-	// tempSuffix marks a file that is being written.
+	// tempSuffix is the suffix of the temporary file to which a file's new content is written.
 	tempSuffix = ".aside"
 )
 
 // disk is the data folder. One goroutine writes the files in the order of the requests: each is
-// written aside, synced and renamed, and the folder is synced. It may hang without blocking the loop.
+// written to a temporary file, synced and renamed, and then the folder is synced. That goroutine may
+// hang without blocking the loop.
 type disk struct {
 	dir   string
 	lock  *os.File
@@ -33,7 +35,8 @@
 	done  sync.WaitGroup
 }
 
-// openDisk locks the data folder and reads its files. Without a folder, dir being empty, there are none.
+// openDisk locks the data folder and reads its files. If dir is empty, there is no folder and there are no
+// files.
 func openDisk(dir string) (*disk, map[string][]byte, error) {
 	d := &disk{dir: dir, queue: make(chan kernel.Write, maxWrites)}
 	files := map[string][]byte{}
@@ -42,7 +45,7 @@
 	}
 	fail := oops.In("disk").With("folder", dir)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, nil, fail.Wrapf(err, "cannot make the data folder")
+		return nil, nil, fail.Wrapf(err, "cannot create the data folder")
 	}
 	lock, err := lockDir(filepath.Join(dir, ".lock"))
 	if err != nil {
@@ -59,20 +62,20 @@
 			continue
 		}
 		if strings.HasSuffix(name, tempSuffix) {
-			// It was never renamed, so never acknowledged.
+			// The file was never renamed, so its write was never acknowledged.
 			os.Remove(filepath.Join(dir, name))
 			continue
 		}
 		b, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil {
-			return nil, nil, fail.Wrapf(err, "cannot read %s", name)
+			return nil, nil, fail.Wrapf(err, "cannot read the file %s in the data folder", name)
 		}
 		files[name] = b
 	}
 	return d, files, nil
 }
 
-// enqueue queues a write. If the queue is full the write fails.
+// enqueue queues a write. If the queue is full, a kernel.Written reports that the write failed.
 func (d *disk) enqueue(p *Process, w kernel.Write) {
 	d.once.Do(func() {
 		d.done.Add(1)
@@ -81,7 +84,7 @@
 	select {
 	case d.queue <- w:
 	default:
-		go p.Post(kernel.Written{Plugin: w.Plugin, Key: w.Key, Err: "backlog of writes is full"})
+		go p.Post(kernel.Written{Plugin: w.Plugin, Key: w.Key, Err: "write queue is full"})
 	}
 }
 
@@ -100,7 +103,7 @@
 	}
 }
 
-// write writes one file durably, or removes one. A removal is not synced: a file that comes back after a
+// write writes one file durably, or removes it. A removal is not synced: a file that reappears after a
 // loss of power is an old version, which does no harm and is removed again with the next version.
 func (d *disk) write(w kernel.Write) error {
 	path := filepath.Join(d.dir, w.File)
@@ -138,7 +141,7 @@
 	return f.Sync()
 }
 
-// close waits for the queued writes, for closeTimeout at most, and unlocks the folder.
+// close waits for the queued writes, for at most closeTimeout, and unlocks the folder.
 func (d *disk) close() {
 	close(d.queue)
 	written := make(chan struct{})
@@ -155,12 +158,12 @@
 	}
 }
 
-// lockDir locks a data folder, so that two processes never share one.
+// lockDir locks a data folder by its lock file, so that two processes never share the folder.
 func lockDir(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
-		// The disk is full even for an empty file: the process goes on without the lock, since it still has
-		// to serve what its disk holds and to report the condition of the disk.
+		// The disk has no space even for an empty file. The process continues without the lock, since it
+		// must still serve the data on its disk and report the disk's condition.
 		return nil, nil
 	}
 	if err != nil {
--- a/runtime/process/disk_test.go
+++ b/runtime/process/disk_test.go
@@ -17,7 +17,7 @@
 	dir := t.TempDir()
 	d, _, err := openDisk(dir)
 	must.NoError(t, err)
-	// Opening a pipe for writing blocks until somebody reads, as a disk that hangs does.
+	// Opening a named pipe for writing blocks until it is opened for reading, which simulates a hung disk.
 	tempPath := filepath.Join(dir, "file.aside")
 	must.NoError(t, syscall.Mkfifo(tempPath, 0o600))
 	d.enqueue(p, kernel.Write{Plugin: "mesh", Key: "w1", File: "file", Data: []byte("content")})
--- a/runtime/process/drop_test.go
+++ b/runtime/process/drop_test.go
@@ -11,10 +11,10 @@
 func TestDropDoesNotBlockFullLoop(t *testing.T) {
 	a := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	b := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
-	until(t, "they connect", func() bool { return a.peers() == 1 && b.peers() == 1 })
+	until(t, "both processes connect", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	var dropped atomic.Bool
 	go a.Do(func(int64) {
-		// Fill the inbox, as a flood of frames does.
+		// Fill the inbox as a flood of frames would.
 		for full := false; !full; {
 			select {
 			case a.inbox <- kernel.Tick{}:
@@ -33,6 +33,6 @@
 		}
 		dropped.Store(true)
 	})
-	until(t, "the loop goes on", dropped.Load)
-	until(t, "it is notified that the connection ended", func() bool { return a.Kernel.Counts.Of("steps").Load() > maxInbox })
+	until(t, "drop returns although the inbox is full", dropped.Load)
+	until(t, "the loop handles the queued inputs and the end of the connection", func() bool { return a.Kernel.Counts.Of("steps").Load() > maxInbox })
 }
--- a/runtime/process/fetch.go
+++ b/runtime/process/fetch.go
@@ -9,19 +9,19 @@
 	"wallport/runtime/kernel"
 )
 
-// maxFetchBytes bounds what is read of a body.
+// maxFetchBytes bounds the bytes that are read of a response body.
 const maxFetchBytes = 1 << 20
 
-// Fetcher fetches a URL and returns the HTTP status and a body in the product's own format, or the error's text.
+// Fetcher fetches a URL. It returns the HTTP status and a body in the product's own format, or the text of an error.
 type Fetcher func(ctx context.Context, url string) (status int, body []byte, err string)
 
-// fetch carries out a fetch in a goroutine of its own and posts the result.
+// fetch performs a fetch in a goroutine of its own and posts the result. If maxFetches are in flight, the fetch fails.
 func (p *Process) fetch(f kernel.Fetch) {
 	res := kernel.Fetched{Plugin: f.Plugin, Key: f.Key}
 	select {
 	case p.fetchSlots <- struct{}{}:
 	default:
-		res.Err = "too many fetches under way"
+		res.Err = "too many fetches in flight"
 		go p.Post(res)
 		return
 	}
@@ -38,7 +38,7 @@
 	}()
 }
 
-// get is the Fetcher of plug-ins without one of their own: a plain GET.
+// get is the Fetcher for plug-ins that have none in Config.Fetchers: a plain GET.
 func (p *Process) get(ctx context.Context, url string) (int, []byte, string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/runtime/process/handshake.go
+++ b/runtime/process/handshake.go
@@ -20,22 +20,22 @@
 	"wallport/runtime/wire"
 )
 
-// The purposes of a connection, as the hello names them in its Fleet field.
+// The purposes of a connection. The Fleet field of a hello carries the purpose.
 const (
 	purposeMesh   = "mesh"
 	purposeDirect = "direct"
 )
 
 var (
-	errNoPeerKey    = errors.New("peer shows no key")
+	errNoPeerKey    = errors.New("peer presented no certificate")
 	errPeerKeyType  = errors.New("peer's key is not Ed25519")
-	errNoHello      = errors.New("peer sent no hello")
-	errFleetSecret  = errors.New("fleet secret differs")
+	errNoHello      = errors.New("peer's first frame is not a valid hello")
+	errFleetSecret  = errors.New("peer's proof does not match the fleet secret")
 	errShuttingDown = fmt.Errorf("transport is shutting down: %w", net.ErrClosed)
 )
 
-// handshake authenticates a new connection and starts its reader and writer. The address is that
-// which was dialed, or empty for an accepted connection. The connection is closed on failure.
+// handshake authenticates a new connection and starts its reader and writer. addr is the address that
+// was dialed, or empty for an accepted connection. The connection is closed on failure.
 func (tr *transport) handshake(conn *tls.Conn, addr string, mesh bool) (*peerConn, error) {
 	pc, err := tr.establish(conn, addr, mesh)
 	if err != nil {
@@ -85,7 +85,8 @@
 	return kernel.Fingerprint(key), nil
 }
 
-// exchangeHello sends this process's hello and returns the peer's, whose proof of the fleet's secret is valid.
+// exchangeHello sends this process's hello and returns the peer's. It fails if the peer's proof of the fleet's secret
+// is not valid.
 func (tr *transport) exchangeHello(conn *tls.Conn, peer string, mesh bool) (theirs wire.Hello, err error) {
 	self, own := kernel.Fingerprint(tr.key.Public), tr.process.Kernel.Boot.Settings
 	purpose := purposeDirect
@@ -95,11 +96,11 @@
 	conn.SetDeadline(time.Now().Add(helloTimeout))
 	hello := wire.Hello{Addr: own.Mesh, Zone: own.Zone, Fleet: purpose, Proof: fleetProof(own.FleetSecret, self, peer)}
 	if err := wire.WriteTo(conn, wire.Seal(wire.KindHello, 0, &hello)); err != nil {
-		return theirs, fmt.Errorf("sending the hello: %w", err)
+		return theirs, fmt.Errorf("cannot send the hello: %w", err)
 	}
 	b, err := wire.ReadFrom(conn)
 	if err != nil {
-		return theirs, fmt.Errorf("reading the hello: %w", err)
+		return theirs, fmt.Errorf("cannot read the peer's hello: %w", err)
 	}
 	frame, err := wire.Open(b)
 	if err != nil || frame.Kind != wire.KindHello || wire.Decode(frame.Body, &theirs) != nil {
@@ -114,7 +115,7 @@
 	return theirs, nil
 }
 
-// register gives a connection its id and adds it to those that are open.
+// register assigns an id to a connection and adds it to the open ones. It fails after the transport was closed.
 func (tr *transport) register(pc *peerConn) error {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -127,22 +128,23 @@
 	return nil
 }
 
-// validProof reports whether a proof was made with the fleet's secret, or with the second one that is
-// accepted while the secret is being rotated.
+// validProof reports whether a proof was made with the fleet's secret, or with the second secret that
+// is accepted while the secret is being rotated.
 func (tr *transport) validProof(proof []byte, from, to string) bool {
 	own := tr.process.Kernel.Boot.Settings
 	return hmac.Equal(proof, fleetProof(own.FleetSecret, from, to)) ||
 		own.SecondFleetSecret != "" && hmac.Equal(proof, fleetProof(own.SecondFleetSecret, from, to))
 }
 
-// fleetProof proves knowledge of the fleet's secret for the keys of one connection, given as fingerprints.
+// fleetProof returns the HMAC-SHA-256 that proves knowledge of the fleet's secret on one connection. It covers the
+// fingerprints of the sender's and the receiver's key.
 func fleetProof(secret, from, to string) []byte {
 	h := hmac.New(sha256.New, []byte(secret))
 	h.Write([]byte("wallport " + from + " " + to))
 	return h.Sum(nil)
 }
 
-// certificate wraps a process's key for TLS. It asserts nothing but the key.
+// certificate returns a self-signed TLS certificate for a process's key. It asserts nothing but the key.
 func certificate(key kernel.Key) (tls.Certificate, error) {
 	template := x509.Certificate{SerialNumber: big.NewInt(1), NotBefore: time.Unix(0, 0), NotAfter: time.Unix(1<<33, 0)}
 	der, err := x509.CreateCertificate(rand.Reader, &template, &template, key.Public, key.Private)
--- a/runtime/process/log.go
+++ b/runtime/process/log.go
@@ -10,21 +10,21 @@
 	"wallport/runtime/kernel"
 )
 
-// Each event is logged eventsPerSecond times a second, then once for every eventsPerLine.
+// Within a second, the first eventsPerSecond occurrences of an event are logged, and then one of every eventsPerLine.
 const (
 	eventsPerSecond = 20
 	eventsPerLine   = 100
 )
 
-// sampled limits what a log writes of each event. The counters have the full numbers.
+// sampled limits the number of lines that a log writes per event. The counters have the full numbers.
 func sampled(log *zap.Logger) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, time.Second, eventsPerSecond, eventsPerLine)
 	}))
 }
 
-// Sampled returns the log for events that clients and peers can cause. It writes a few lines of an
-// event a second, then one in many.
+// Sampled returns the log for events that clients and peers can cause. It limits the lines per event
+// and second.
 func (p *Process) Sampled() *zap.Logger { return p.sampledLog }
 
 // zapLevels are zap's levels, from kernel.LevelDebug on.
@@ -43,8 +43,8 @@
 	line.Write(fields...)
 }
 
-// logField makes a log field of a plug-in's value. A value that would need reflection is written as
-// text, because an encoder may panic on it.
+// logField returns a log field for a plug-in's value. A value that would need reflection is formatted
+// as text, because an encoder may panic on it.
 func logField(key string, value any) zap.Field {
 	if f := zap.Any(key, value); f.Type != zapcore.ReflectType {
 		return f
--- a/runtime/process/loop.go
+++ b/runtime/process/loop.go
@@ -17,7 +17,7 @@
 	wait := time.NewTimer(0)
 	defer wait.Stop()
 	for {
-		// The timer is set only when the inbox is empty: a burst of inputs sets it once.
+		// The timer is set only when the inbox is empty, so a burst of inputs sets it only once.
 		select {
 		case in := <-p.inbox:
 			p.handle(in)
@@ -46,7 +46,7 @@
 	return max(0, clock.Duration(p.timers[0].At-p.Now()))
 }
 
-// handle handles one input and the timers that are due, which a full inbox must not delay.
+// handle handles one input and then the timers that are due, so that a full inbox does not delay timers.
 func (p *Process) handle(in kernel.Input) {
 	at := p.detectFreeze()
 	if f, ok := in.(inLoop); ok {
@@ -65,7 +65,7 @@
 	}
 }
 
-// step steps the kernel and carries out what it requests.
+// step steps the kernel and carries out the output of the step.
 func (p *Process) step(at clocks, in kernel.Input) {
 	out := p.Kernel.Step(at.now, at.wall, in)
 	for _, event := range out.LogEvents {
@@ -102,8 +102,8 @@
 	return clocks{now: t.Sub(p.startedAt).Microseconds(), wall: t.UnixMicro()}
 }
 
-// detectFreeze reads the clocks. If the loop has not run for FreezeGap it tells the kernel so, before
-// anything else is handled.
+// detectFreeze reads the clocks. If the loop has not run for more than FreezeGap, it notifies the kernel
+// before any other input is handled.
 func (p *Process) detectFreeze() clocks {
 	at := p.readClocks()
 	if gap := at.now - p.lastRun.Load(); gap > FreezeGap {
@@ -117,7 +117,7 @@
 	return at
 }
 
-// timerHeap is a heap of timers, the one due next first.
+// timerHeap is a heap of timers, ordered by the time at which they are due.
 type timerHeap []kernel.Timer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/runtime/process/peer_conn.go
+++ b/runtime/process/peer_conn.go
@@ -11,8 +11,8 @@
 	"wallport/runtime/wire"
 )
 
-// The bounds of a connection's backlog. When it is full the connection is closed, since its peer is
-// too slow, or, if it is not open yet, the frame is dropped.
+// The bounds of a connection's backlog. If the backlog is full, the peer is too slow and the connection
+// is closed. If the connection is not open yet, only the frame is dropped.
 const (
 	maxBacklogFrames = 4096
 	maxBacklogBytes  = 16 << 20
@@ -22,7 +22,7 @@
 const bufferSize = 32 << 10
 
 // peerConn is one connection to another process: a reader, a writer, and a bounded backlog between
-// the kernel and the writer, in which a newer frame replaces an older one with its key.
+// the kernel and the writer. In the backlog a newer frame replaces an older one with the same key.
 type peerConn struct {
 	transport *transport
 	id        uint64
@@ -35,11 +35,11 @@
 	mu     sync.Mutex
 	frames []kernel.Send
 	bytes  int
-	// base counts the frames that were taken from the backlog before; replaceable has the number of the
-	// frame with each key, counted from the connection's first frame.
+	// base is the number of frames that the writer has taken from the backlog. replaceable maps a key to
+	// the number of the queued frame with that key, counted from the connection's first frame.
 	base        int
 	replaceable map[string]int
-	// queued has a token while the writer has something to do.
+	// queued has a token while the backlog may have frames to write.
 	queued chan struct{}
 	closed chan struct{}
 	once   sync.Once
@@ -52,7 +52,7 @@
 	}
 }
 
-// enqueue puts a frame into the backlog.
+// enqueue adds a frame to the backlog. If the backlog is full, it drops the frame or closes the connection.
 func (pc *peerConn) enqueue(s kernel.Send) {
 	pc.mu.Lock()
 	full := pc.push(s)
@@ -72,7 +72,8 @@
 	}
 }
 
-// push appends a frame to the backlog, or replaces the one with its key. It reports whether the backlog is full.
+// push appends a frame to the backlog, or replaces the queued frame with the same key. If the backlog is full, it
+// discards the frame and returns true.
 func (pc *peerConn) push(s kernel.Send) (full bool) {
 	if i, ok := pc.replaceable[s.ReplaceKey]; ok && s.ReplaceKey != "" && i >= pc.base {
 		replaced := &pc.frames[i-pc.base]
@@ -92,7 +93,7 @@
 	return false
 }
 
-// adopt takes over the frames that were queued before the connection was open.
+// adopt moves the frames that were queued before the connection was open to this connection's backlog.
 func (pc *peerConn) adopt(pending *peerConn) {
 	pending.mu.Lock()
 	frames := pending.frames
@@ -114,7 +115,7 @@
 	return out
 }
 
-// writeFrames is the writer: it writes the backlog whenever there is one, until the connection is closed.
+// writeFrames is the writer: it writes queued frames until the connection is closed.
 func (pc *peerConn) writeFrames() {
 	w := bufio.NewWriterSize(pc.conn, bufferSize)
 	for {
@@ -143,7 +144,7 @@
 	}
 }
 
-// readFrames is the reader: it posts every frame to the loop, until the connection ends.
+// readFrames is the reader: it posts every received frame to the loop until the connection ends.
 func (pc *peerConn) readFrames() {
 	r := bufio.NewReaderSize(pc.conn, bufferSize)
 	for {
@@ -169,7 +170,7 @@
 	pc.once.Do(func() {
 		close(pc.closed)
 		if pc.conn != nil {
-			// Not pc.conn.Close, which waits while it sends an alert to a peer that may be frozen.
+			// pc.conn.Close would block while it sends a TLS alert to a peer that may be frozen.
 			pc.conn.NetConn().Close()
 		}
 		pc.transport.remove(pc)
--- a/runtime/process/process.go
+++ b/runtime/process/process.go
@@ -18,11 +18,12 @@
 )
 
 const (
-	// FreezeGap is how long the loop must not have run for the process to count as frozen.
+	// FreezeGap is how long the loop must not have run before the process counts as frozen.
 	FreezeGap = 1 * clock.Second
 	// maxInbox bounds the inputs that are queued for the loop.
 	maxInbox = 8192
-	// maxFetches bounds the fetches in flight. They are small and few: more means that something hangs.
+	// maxFetches bounds the fetches in flight. Fetches are small and few, so more than that indicate that
+	// they hang.
 	maxFetches = 128
 )
 
@@ -40,8 +41,8 @@
 	// calls maps the id of a call in flight to the channel of its reply.
 	calls    sync.Map
 	nextCall atomic.Uint64
-	// lastRun is when the loop last handled an input or looked for due timers, in microseconds since the
-	// start; thaws counts the freezes that it noticed.
+	// lastRun is when the loop last handled an input or checked for due timers, in microseconds since the
+	// start; thaws counts the freezes that the loop detected.
 	lastRun    atomic.Int64
 	thaws      atomic.Int64
 	httpClient *http.Client
@@ -51,13 +52,13 @@
 	loopDone   sync.WaitGroup
 }
 
-// Config is what a process is started with.
+// Config holds the parameters of Start.
 type Config struct {
 	Settings settings.Settings
 	Role     string
 	Log      *zap.Logger
-	// Fetchers replace the plain GET for the fetches of the plug-ins that they are named after. They
-	// convert a platform's formats to the product's.
+	// Fetchers maps the name of a plug-in to the function that replaces the plain GET for its fetches.
+	// Such a function converts a platform's format to the product's own.
 	Fetchers map[string]Fetcher
 }
 
@@ -66,7 +67,7 @@
 func Start(c Config) (*Process, error) {
 	var random [40]byte
 	if _, err := crand.Read(random[:]); err != nil {
-		return nil, fmt.Errorf("cannot make a key: %w", err)
+		return nil, fmt.Errorf("cannot read random bytes for the process's key: %w", err)
 	}
 	d, files, err := openDisk(c.Settings.DataDir)
 	if err != nil {
@@ -81,7 +82,7 @@
 		fetchSlots: make(chan struct{}, maxFetches), stopping: make(chan struct{}),
 	}
 	for _, name := range invariant.All() {
-		// The metrics page shows them from the start, as 0.
+		// Create the counters so that the metrics page shows them as 0 from the start.
 		k.Counts.Of(invariant.Counter(name))
 	}
 	if p.transport, err = openTransport(p, key); err != nil {
@@ -93,7 +94,7 @@
 	return p, nil
 }
 
-// Stop ends the loop, closes every connection and waits for the disk, but not for one that hangs.
+// Stop ends the loop, closes every connection and waits for the queued writes, for at most closeTimeout.
 func (p *Process) Stop() {
 	close(p.stopping)
 	p.loopDone.Wait()
@@ -104,10 +105,10 @@
 // Now returns the time since the process's start.
 func (p *Process) Now() clock.Micros { return time.Since(p.startedAt).Microseconds() }
 
-// Frozen reports whether the loop has not run for so long that its tables are out of date.
+// Frozen reports whether the loop has not run for more than FreezeGap, so that its tables are out of date.
 func (p *Process) Frozen() bool { return p.Now()-p.lastRun.Load() > FreezeGap }
 
-// Thaws returns the number of freezes noticed so far.
+// Thaws returns the number of freezes detected so far.
 func (p *Process) Thaws() int64 { return p.thaws.Load() }
 
 // Invariants returns the recorder for violations that are found outside the kernel's steps.
--- a/runtime/process/process_test.go
+++ b/runtime/process/process_test.go
@@ -18,7 +18,7 @@
 	"wallport/runtime/settings"
 )
 
-// freeAddr returns a free address.
+// freeAddr returns a loopback address with a port that is currently free.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,13 +35,13 @@
 	return p
 }
 
-// until polls until a condition holds; only a hang reaches its end.
+// until polls until a condition holds. It fails the test after 2 minutes, which only a hang reaches.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	for !ok() {
-		must.NoError(t, ctx.Err(), must.Sprint("never happened: "+what))
+		must.NoError(t, ctx.Err(), must.Sprint("condition not met within 2 minutes: "+what))
 		runtime.Gosched()
 	}
 }
@@ -70,10 +70,10 @@
 	until(t, "both have one peer", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	host, _, err := net.SplitHostPort(<-sources)
 	must.NoError(t, err)
-	must.Eq(t, "127.0.0.2", host, must.Sprint("connections leave from the address that the mesh listens on"))
+	must.Eq(t, "127.0.0.2", host, must.Sprint("the source address of connections is the one that the mesh listens on"))
 }
 
-// forwardTo forwards connections to an address and reports where they came from.
+// forwardTo forwards connections to an address and sends their source addresses to a channel.
 func forwardTo(l net.Listener, to string, sources chan<- string) {
 	for {
 		from, err := l.Accept()
@@ -97,13 +97,13 @@
 func TestOtherFleetSecretIsRejected(t *testing.T) {
 	a := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	b := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "other", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
-	until(t, "it is rejected", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
+	until(t, "the process with the other secret is rejected", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
 }
 
 func TestFleetSecretRotatesWithoutDowntime(t *testing.T) {
-	// Both secrets are accepted side by side: one process at a time goes from the old to the new.
+	// Both secrets are accepted during the rotation, so processes can change from the old to the new one at a time.
 	steps := [][2]settings.Settings{
 		{{FleetSecret: "old", SecondFleetSecret: "new"}, {FleetSecret: "old"}},
 		{{FleetSecret: "new", SecondFleetSecret: "old"}, {FleetSecret: "old", SecondFleetSecret: "new"}},
@@ -114,12 +114,12 @@
 		a := start(t, s[0])
 		s[1].Seeds = []string{s[0].Mesh}
 		b := start(t, s[1])
-		until(t, "they connect", func() bool { return a.peers() == 1 && b.peers() == 1 })
+		until(t, "both processes connect", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	}
 	// A process that was not given the new secret is rejected.
 	a := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "new"})
 	b := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "old", Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
-	until(t, "it is rejected", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
+	until(t, "the process with the other secret is rejected", func() bool { return a.Kernel.Counts.Of("channels_forbidden").Load() > 1 })
 	must.Eq(t, 0, a.peers())
 	must.Eq(t, 0, b.peers())
 }
@@ -130,10 +130,10 @@
 	must.NoError(t, err)
 	_, err = c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	must.NoError(t, err)
-	until(t, "it is counted", func() bool { return a.Kernel.Counts.Of("channels_failed").Load() == 1 })
+	until(t, "the failed handshake is counted", func() bool { return a.Kernel.Counts.Of("channels_failed").Load() == 1 })
 	c.Close()
 	b := start(t, settings.Settings{Mesh: freeAddr(t), Seeds: []string{a.Kernel.Boot.Settings.Mesh}})
-	until(t, "others still connect", func() bool { return b.peers() == 1 })
+	until(t, "other processes still connect", func() bool { return b.peers() == 1 })
 }
 
 func TestDataDirKeepsWritesAndIsLocked(t *testing.T) {
@@ -155,5 +155,5 @@
 	must.FileNotExists(t, filepath.Join(dir, "c.aside"))
 	d.close()
 	must.NoError(t, os.RemoveAll(dir))
-	must.Error(t, d.write(kernel.Write{File: "a", Data: []byte("4")}), must.Sprint("a lost folder is an error, not a success"))
+	must.Error(t, d.write(kernel.Write{File: "a", Data: []byte("4")}), must.Sprint("a write to a deleted data folder must fail"))
 }
--- a/runtime/process/transport.go
+++ b/runtime/process/transport.go
@@ -28,9 +28,9 @@
 	maxConnections   = 1024
 )
 
-// transport is the connections to other processes: TCP, TLS with the keys of both sides, a hello that
-// proves the fleet's secret, then frames in both directions. Mesh connections are opened when a
-// plug-in dials; direct ones on demand, by the first frame for an address.
+// transport owns the connections to other processes: TCP, TLS with the keys of both sides, a hello that
+// proves knowledge of the fleet's secret, then frames in both directions. A mesh connection is opened
+// when a plug-in dials, a direct connection on demand by the first frame for an address.
 type transport struct {
 	process   *Process
 	counts    *kernel.Counts
@@ -42,9 +42,9 @@
 	closed bool
 	lastID uint64
 	open   map[uint64]*peerConn
-	// direct has the connection of each address that frames are sent to, open or not.
+	// direct maps an address to its direct connection, which may not be open yet.
 	direct map[string]*peerConn
-	// dialAllowedAt is until when addresses that could not be reached are not dialed.
+	// dialAllowedAt maps an address that could not be reached to the time from which it may be dialed again.
 	dialAllowedAt map[string]clock.Micros
 
 	// The totals of all connections, without the overhead of TLS.
@@ -54,7 +54,7 @@
 func openTransport(p *Process, key kernel.Key) (*transport, error) {
 	cert, err := certificate(key)
 	if err != nil {
-		return nil, fmt.Errorf("cannot make a certificate: %w", err)
+		return nil, fmt.Errorf("cannot create a certificate for the process's key: %w", err)
 	}
 	counts := p.Kernel.Counts
 	tr := &transport{
@@ -63,16 +63,17 @@
 		framesOut: counts.Of("frames_out"), bytesOut: counts.Of("frame_bytes_out"),
 		tlsConfig: &tls.Config{
 			Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS13,
-			// Keys identify processes; no authority signs them. The handshake still proves that the
-			// other side has the key that it shows.
+			// Processes are identified by their keys, which no certificate authority signs. The handshake
+			// still proves that the peer has the private key for its certificate.
 			InsecureSkipVerify: true, ClientAuth: tls.RequireAnyClientCert,
-			// When many processes start, many handshakes come at once: one key exchange, no tickets.
+			// Many handshakes arrive at the same time when many processes start, so they are kept cheap: a
+			// single key exchange and no session tickets.
 			CurvePreferences: []tls.CurveID{tls.X25519}, SessionTicketsDisabled: true,
 		},
 	}
 	addr := p.Kernel.Boot.Settings.ListenAddress()
 	if tr.listener, err = net.Listen("tcp", addr); err != nil {
-		return nil, oops.In("mesh").With("address", addr).Wrapf(err, "cannot listen")
+		return nil, oops.In("mesh").With("address", addr).Wrapf(err, "cannot listen for mesh connections")
 	}
 	go tr.accept()
 	return tr, nil
@@ -110,7 +111,7 @@
 	return tr.handshake(tls.Client(conn, tr.tlsConfig), addr, mesh)
 }
 
-// dialer returns a dialer whose connections leave from the address that the mesh listens on, if that is set.
+// dialer returns a dialer that uses the IP on which the mesh listens as source address, if MeshListen sets one.
 func (tr *transport) dialer() *net.Dialer {
 	d := &net.Dialer{Timeout: dialTimeout}
 	if ip := tr.process.Kernel.Boot.Settings.SourceIP(); ip.IsValid() {
@@ -151,7 +152,8 @@
 	pc.enqueue(s)
 }
 
-// openDirect opens the connection for an address and moves the frames that are pending to it.
+// openDirect opens the direct connection to an address and moves the pending frames to it. If that fails, the pending
+// frames are dropped.
 func (tr *transport) openDirect(pending *peerConn) {
 	pc, err := tr.dial(pending.addr, false)
 	tr.mu.Lock()
@@ -165,7 +167,7 @@
 		return
 	}
 	if tr.open[pc.id] == nil {
-		// It was closed again meanwhile.
+		// The connection has already been closed again.
 		delete(tr.direct, pending.addr)
 		return
 	}
@@ -179,12 +181,13 @@
 	pc := tr.open[id]
 	tr.mu.Unlock()
 	if pc != nil {
-		// In a goroutine: the end is posted to the loop, which calls this and whose inbox may be full.
+		// Close in a goroutine: it posts the end of the connection to the loop, whose inbox may be full and
+		// which is itself the caller of drop.
 		go pc.close()
 	}
 }
 
-// remove forgets a connection that has ended.
+// remove deletes a connection that has ended and reports the end of a mesh connection to the kernel.
 func (tr *transport) remove(pc *peerConn) {
 	tr.mu.Lock()
 	delete(tr.open, pc.id)
--- a/runtime/process/user_timeout.go
+++ b/runtime/process/user_timeout.go
@@ -7,9 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout is how long sent bytes may stay unacknowledged before a connection ends (RFC 5482). It
-// detects a peer that lost power or is behind a network partition; the machine of a frozen process
-// still acknowledges. What follows is sent on a new connection, which reaches a peer that is back.
+// userTimeout is how long sent bytes may stay unacknowledged before a connection is closed (RFC 5482).
+// It detects a peer that lost power or is behind a network partition, but not a frozen process, whose
+// machine still acknowledges. Later frames are sent on a new connection, which reaches the peer once it
+// is available again.
 const userTimeout = 1500 * time.Millisecond
 
 // setUserTimeout sets the TCP user timeout of a connection. If that fails, writeTimeout bounds the wait.
