--- a/runtime/chunk/assembler.go
+++ b/runtime/chunk/assembler.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// MaxBufferedBytes bounds the bytes of all incomplete messages together.
+	// MaxBufferedBytes bounds the total bytes of all incomplete messages.
 	MaxBufferedBytes = 2 * wire.MaxMessage
-	// IdleTimeout is how long an assembly waits for its next chunk. It is longer than the sender goes
-	// on without an acknowledgement.
+	// IdleTimeout is how long an assembly waits for its next chunk. It exceeds the time for which the
+	// sender continues without an acknowledgement.
 	IdleTimeout = ProgressTimeout + RetryInterval
 	// MaxAssemblies bounds the connections with an assembly, complete or not.
 	MaxAssemblies = 256
@@ -22,21 +22,21 @@
 
 // The errors of [Assembler.Accept]. A connection that causes one must be dropped.
 var (
-	// ErrMalformed is that a chunk is one that no sender sends.
+	// ErrMalformed is returned for a chunk that no correct sender sends.
 	ErrMalformed = errors.New("malformed chunk")
-	// ErrDigest is that a complete message is not the one that its sender announced.
-	ErrDigest = errors.New("message differs from its digest")
+	// ErrDigest is returned if a complete message does not match the digest in its chunks.
+	ErrDigest = errors.New("assembled message does not match its SHA-256 digest")
 )
 
-// Assembler joins the chunks that arrive on each connection to messages.
+// Assembler assembles messages from the chunks that arrive on each connection.
 type Assembler struct {
 	byConn   map[uint64]*assembly
 	lastSeq  uint64
 	buffered int
 }
 
-// assembly is the message that is arriving on a connection or, once complete, the record of it that
-// lets repeated chunks be acknowledged.
+// assembly is the message that is being received on a connection. Once the message is complete, the
+// assembly remains without its data, so that repeated chunks can be acknowledged.
 type assembly struct {
 	seq         uint64
 	transfer    uint64
@@ -50,32 +50,32 @@
 // NewAssembler returns an empty assembler.
 func NewAssembler() *Assembler { return &Assembler{byConn: map[uint64]*assembly{}} }
 
-// BufferedBytes returns the bytes of all incomplete messages.
+// BufferedBytes returns the number of bytes buffered for all incomplete messages.
 func (a *Assembler) BufferedBytes() int { return a.buffered }
 
-// Receiving reports whether a message is arriving on a connection.
+// Receiving reports whether a connection has an incomplete message.
 func (a *Assembler) Receiving(conn uint64) bool {
 	as := a.byConn[conn]
 	return as != nil && !as.complete
 }
 
-// Accepted is the result of a chunk: an acknowledgement to send, if Reply is set, and the message
-// that the chunk completes, if it does.
+// Accepted is the result of accepting a chunk: Ack is to be sent if Reply is set, and Message is the
+// message that the chunk completed, or nil.
 type Accepted struct {
 	Reply   bool
 	Ack     wire.ChunkAck
 	Message []byte
 }
 
-// Accept handles a chunk that arrived on a connection. Chunks are accepted in order only; any other is
-// acknowledged with the offset that is expected.
+// Accept handles a chunk that arrived on a connection. Chunks are accepted in order only; any other
+// chunk is acknowledged with the expected offset. Accept fails with [ErrMalformed] or [ErrDigest].
 func (a *Assembler) Accept(now clock.Micros, conn uint64, p wire.Chunk) (Accepted, error) {
 	if err := validate(p); err != nil {
 		return Accepted{}, err
 	}
 	as := a.byConn[conn]
 	if as != nil && p.Transfer < as.transfer {
-		// A late duplicate: the sender has gone on to another message.
+		// The chunk is a late duplicate: the sender has already started another transfer.
 		return Accepted{}, nil
 	}
 	if as == nil || as.transfer != p.Transfer {
@@ -85,14 +85,14 @@
 		as = a.start(now, conn, p)
 	}
 	if as.total != p.Total || !bytes.Equal(as.digest, p.Digest) {
-		return Accepted{}, fmt.Errorf("%w: its total or digest differs from that of the chunks before it", ErrMalformed)
+		return Accepted{}, fmt.Errorf("%w: total or digest differs from the earlier chunks of the transfer", ErrMalformed)
 	}
 	as.lastChunkAt = now
 	if as.complete || p.Offset != len(as.data) {
 		return acknowledge(p.Transfer, as.arrived()), nil
 	}
 	if !a.reserve(as, len(p.Data)) {
-		// Without an acknowledgement the sender retries later.
+		// The chunk is dropped; without an acknowledgement the sender retries later.
 		return Accepted{}, nil
 	}
 	as.data = append(as.data, p.Data...)
@@ -102,15 +102,15 @@
 	return a.finish(conn, as)
 }
 
-// validate rejects what no sender sends.
+// validate returns an ErrMalformed error for a chunk that no correct sender sends.
 func validate(p wire.Chunk) error {
 	switch {
 	case p.Total <= 0 || p.Total > wire.MaxMessage:
-		return fmt.Errorf("%w: a message of %d bytes", ErrMalformed, p.Total)
+		return fmt.Errorf("%w: message size of %d bytes is out of range", ErrMalformed, p.Total)
 	case len(p.Digest) != sha256.Size:
-		return fmt.Errorf("%w: a digest of %d bytes", ErrMalformed, len(p.Digest))
+		return fmt.Errorf("%w: digest of %d bytes is not a SHA-256 digest", ErrMalformed, len(p.Digest))
 	case len(p.Data) == 0 || p.Offset < 0 || p.Offset > p.Total-len(p.Data):
-		return fmt.Errorf("%w: %d bytes at %d of %d", ErrMalformed, len(p.Data), p.Offset, p.Total)
+		return fmt.Errorf("%w: %d data bytes at offset %d do not fit a message of %d bytes", ErrMalformed, len(p.Data), p.Offset, p.Total)
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 	return Accepted{Reply: true, Ack: wire.ChunkAck{Transfer: transfer, Next: next}}
 }
 
-// arrived returns how many bytes of the message have arrived in order.
+// arrived returns the number of bytes of the message that have arrived in order.
 func (as *assembly) arrived() int {
 	if as.complete {
 		return as.total
@@ -127,7 +127,7 @@
 	return len(as.data)
 }
 
-// start begins an assembly in place of the connection's last one.
+// start begins a new assembly on a connection and drops the connection's previous one.
 func (a *Assembler) start(now clock.Micros, conn uint64, p wire.Chunk) *assembly {
 	a.Closed(conn)
 	if len(a.byConn) >= MaxAssemblies {
@@ -139,7 +139,7 @@
 	return as
 }
 
-// oldest returns the connection whose last chunk is the longest ago.
+// oldest returns the connection whose last chunk arrived the longest time ago.
 func (a *Assembler) oldest() (conn uint64) {
 	oldestAt, first := clock.Micros(0), true
 	for id, as := range a.byConn {
@@ -150,8 +150,9 @@
 	return conn
 }
 
-// reserve makes room for n more bytes of an assembly. When the buffer is full only the assembly that
-// started first goes on: it evicts those that started last. The others retry.
+// reserve reserves n more buffer bytes for an assembly, and reports whether it succeeded. If the buffer
+// is full, only the incomplete assembly that started first continues: it evicts those that started
+// last. The senders of the others retry.
 func (a *Assembler) reserve(as *assembly, n int) bool {
 	for a.buffered+n > MaxBufferedBytes {
 		conn, last := uint64(0), as
@@ -172,7 +173,7 @@
 	return true
 }
 
-// finish checks the digest of a complete message.
+// finish checks the digest of a complete message and returns the message with its acknowledgement.
 func (a *Assembler) finish(conn uint64, as *assembly) (Accepted, error) {
 	data := as.data
 	if digest := sha256.Sum256(data); !bytes.Equal(digest[:], as.digest) {
@@ -186,7 +187,7 @@
 	return accepted, nil
 }
 
-// Closed drops the assembly of a connection that has ended.
+// Closed drops the assembly of a connection that has been closed.
 func (a *Assembler) Closed(conn uint64) {
 	if as := a.byConn[conn]; as != nil {
 		a.buffered -= len(as.data)
@@ -194,7 +195,7 @@
 	}
 }
 
-// Expire drops the assemblies that had no chunk for IdleTimeout.
+// Expire drops the assemblies that have received no chunk for IdleTimeout.
 func (a *Assembler) Expire(now clock.Micros) {
 	for conn, as := range a.byConn {
 		if now-as.lastChunkAt >= IdleTimeout {
--- a/runtime/chunk/queue.go
+++ b/runtime/chunk/queue.go
@@ -17,11 +17,12 @@
 	// acked and sent are offsets in the first message.
 	acked, sent int
 	restarts    int
-	// progressAt is when an acknowledgement last advanced the transfer, retryAt when to send again from acked.
+	// progressAt is when the transfer started or an acknowledgement last advanced it, retryAt when to
+	// resend from acked.
 	progressAt, retryAt clock.Micros
 }
 
-// contains reports whether an equal message is queued.
+// contains reports whether a message with the same data is queued.
 func (q *queue) contains(m Message) bool {
 	for _, old := range q.messages {
 		if bytes.Equal(old.Data, m.Data) {
@@ -31,9 +32,9 @@
 	return false
 }
 
-// replaceable returns the index of the message that a newer one with its key replaces, or -1. The
-// message in flight is completed first, unless the destination is unresponsive: with a newer message
-// every second none would ever arrive.
+// replaceable returns the index of the message that m replaces because it has the same key, or -1. The
+// message in flight is not replaced unless the destination is unresponsive: otherwise no message would
+// ever arrive if a newer one were queued every second.
 func (q *queue) replaceable(now clock.Micros, m Message) int {
 	for i, old := range q.messages {
 		if m.ReplaceKey != "" && old.ReplaceKey == m.ReplaceKey && (i > 0 || q.unresponsive(now)) {
@@ -43,12 +44,12 @@
 	return -1
 }
 
-// unresponsive reports whether nothing of the message in flight was acknowledged for RetryInterval.
+// unresponsive reports whether no byte of the message in flight has been acknowledged for RetryInterval.
 func (q *queue) unresponsive(now clock.Micros) bool {
 	return q.acked == 0 && now-q.progressAt >= RetryInterval
 }
 
-// hasNewer reports whether a newer message with the key of the one in flight is queued.
+// hasNewer reports whether a newer message with the same key as the one in flight is queued.
 func (q *queue) hasNewer() bool {
 	first := q.messages[0]
 	return first.ReplaceKey != "" && slices.ContainsFunc(q.messages[1:], func(m Message) bool { return m.ReplaceKey == first.ReplaceKey })
@@ -62,12 +63,12 @@
 	q.progressAt, q.retryAt = now, now+RetryInterval
 }
 
-// fitsWindow reports whether there is another chunk and it fits into the destination's window.
+// fitsWindow reports whether there is another chunk to send and it fits into the destination's window.
 func (q *queue) fitsWindow() bool {
 	return q.sent < len(q.messages[0].Data) && q.sent-q.acked+wire.ChunkBytes <= DestinationWindow
 }
 
-// nextChunk returns the chunk at the send offset and moves the offset past it.
+// nextChunk returns the chunk at the send offset and advances the offset past it.
 func (q *queue) nextChunk() wire.Chunk {
 	data := q.messages[0].Data
 	end := min(q.sent+wire.ChunkBytes, len(data))
--- a/runtime/chunk/sender.go
+++ b/runtime/chunk/sender.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// DestinationWindow bounds the unacknowledged bytes to one destination and ProcessWindow those
-	// to all together, which take 105 ms on a link of 10 Mbit/s.
+	// DestinationWindow bounds the unacknowledged bytes to one destination. ProcessWindow bounds those
+	// to all destinations together; sending that many takes 105 ms on a link of 10 Mbit/s.
 	DestinationWindow = 2 * wire.ChunkBytes
 	ProcessWindow     = 4 * wire.ChunkBytes
-	// RetryInterval is how long a transfer goes without progress before its chunks are sent again
-	// from the last acknowledged offset.
+	// RetryInterval is how long a transfer goes without progress before its chunks are resent from the
+	// last acknowledged offset.
 	RetryInterval = 1 * clock.Second
-	// ProgressTimeout is how long a transfer may go without any progress before it is abandoned.
+	// ProgressTimeout is how long a transfer may go without progress before it is abandoned.
 	ProgressTimeout = 5 * clock.Second
-	// MaxRestarts is how often the receiver may ask for a message from its start.
+	// MaxRestarts is how often the receiver may restart a transfer from its start.
 	MaxRestarts = 4
-	// MaxQueued bounds the messages queued for one destination, the one in flight included.
+	// MaxQueued bounds the messages queued for one destination, including the one in flight.
 	MaxQueued = 16
 	// MaxQueuedBytes bounds the bytes of the messages queued for all destinations.
 	MaxQueuedBytes = 32 << 20
@@ -31,8 +31,8 @@
 	Addr string
 }
 
-// Message is what is to be sent. A newer message with the same ReplaceKey replaces one that is
-// queued; an empty key replaces nothing.
+// Message is a message to send. A newer message with the same ReplaceKey replaces a queued one; a message
+// with an empty key replaces none.
 type Message struct {
 	To         Destination
 	ReplaceKey string
@@ -48,13 +48,13 @@
 // Sender queues messages for each destination and sends them in chunks.
 type Sender struct {
 	queues map[Destination]*queue
-	// destinations is the order in which they take turns.
+	// destinations is the round-robin order of the destinations.
 	destinations []Destination
 	lastTransfer uint64
 	queuedBytes  int
 }
 
-// NewSender returns a sender whose transfers are numbered from last+1 on.
+// NewSender returns a sender that numbers its transfers from last+1.
 func NewSender(last uint64) *Sender {
 	return &Sender{queues: map[Destination]*queue{}, lastTransfer: last}
 }
@@ -68,8 +68,8 @@
 // Sending reports whether a message is queued for or in flight to a destination.
 func (s *Sender) Sending(to Destination) bool { return s.queues[to] != nil }
 
-// Enqueue queues a message, unless an equal one is queued already. It returns false if the message
-// was dropped because it or the queue is too large.
+// Enqueue queues a message, unless one with the same data is already queued for its destination. It
+// returns false if it drops the message because the message is too large or a queue limit is reached.
 func (s *Sender) Enqueue(now clock.Micros, m Message) bool {
 	q := s.queues[m.To]
 	if q != nil && (q.contains(m) || s.replace(q, now, m)) {
@@ -92,7 +92,7 @@
 	return true
 }
 
-// replace puts a message in the place of an older one with its key and reports whether there was one.
+// replace replaces a queued message with the same key by m, and reports whether there was one.
 func (s *Sender) replace(q *queue, now clock.Micros, m Message) bool {
 	i := q.replaceable(now, m)
 	if i < 0 {
@@ -107,8 +107,8 @@
 	return true
 }
 
-// shared returns the bytes of an equal message for another destination if there is one, so that a
-// broadcast is held in memory once.
+// shared returns the data of a queued message with equal data if there is one, so that a broadcast to
+// several destinations is held in memory only once.
 func (s *Sender) shared(data []byte) []byte {
 	for _, to := range s.destinations {
 		for _, m := range s.queues[to].messages {
@@ -150,11 +150,11 @@
 	}
 }
 
-// Closed drops the messages for a connection that has ended.
+// Closed drops the messages for a connection that has been closed.
 func (s *Sender) Closed(conn uint64) { s.forget(Destination{Conn: conn}) }
 
-// Acked handles an acknowledgement and reports whether it completes the transfer and whether it
-// restarts it. An acknowledgement of an unknown transfer is ignored.
+// Acked handles an acknowledgement. It reports whether the acknowledgement completes the transfer and
+// whether it restarts the transfer. An acknowledgement of an unknown transfer is ignored.
 func (s *Sender) Acked(now clock.Micros, ack wire.ChunkAck) (done, restarted bool) {
 	for to, q := range s.queues {
 		if q.transfer != ack.Transfer {
@@ -180,8 +180,10 @@
 	return false, false
 }
 
-// Expire makes Pump send again what was not acknowledged in time and abandons the transfers that
-// made no progress. It returns how many were abandoned.
+// Expire marks the bytes that were not acknowledged in time to be resent by the next Pump, and abandons
+// the transfers without progress for ProgressTimeout. It returns the number of abandoned transfers. It
+// also ends a transfer to an unresponsive destination for which a newer message with the same key is
+// queued; that one is not counted.
 func (s *Sender) Expire(now clock.Micros) (abandoned int) {
 	for _, to := range append([]Destination(nil), s.destinations...) {
 		q := s.queues[to]
@@ -198,7 +200,7 @@
 	return abandoned
 }
 
-// Pump returns the chunks that the windows allow to be sent now, the destinations in turns.
+// Pump returns the chunks that the windows allow to be sent now, round-robin over the destinations.
 func (s *Sender) Pump(now clock.Micros) (out []Outgoing) {
 	window := ProcessWindow - s.unacknowledged(now)
 	for sent := true; sent && window > 0; {
@@ -219,8 +221,8 @@
 	return out
 }
 
-// unacknowledged returns the number of bytes in flight, except to destinations that are silent:
-// they must not block all others.
+// unacknowledged returns the number of bytes in flight. It leaves out destinations that made no progress
+// for half of RetryInterval, so that they do not block the others.
 func (s *Sender) unacknowledged(now clock.Micros) (n int) {
 	for _, q := range s.queues {
 		if now-q.progressAt < RetryInterval/2 {
--- a/runtime/chunk/transfer_test.go
+++ b/runtime/chunk/transfer_test.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/wire"
 )
 
-// faults are what a network does to chunks and acknowledgements: the chance in 100 of each.
+// faults are the faults that a network applies to chunks and acknowledgements, each with its probability in percent.
 type faults struct{ lose, duplicate, delay, reconnect int }
 
 // transport is a sender and an assembler with a faulty network between them.
@@ -38,7 +38,8 @@
 
 func (x *transport) chance(in100 int) bool { return x.rnd.IntN(100) < in100 }
 
-// deliver delivers something to the other side, subject to the network's faults.
+// deliver runs f, which delivers a chunk or an acknowledgement, subject to the network's faults: it may drop, delay or
+// repeat the call.
 func (x *transport) deliver(f func()) {
 	if x.chance(x.faults.lose) {
 		return
@@ -53,7 +54,7 @@
 	}
 }
 
-// run runs the network until nothing is in flight, or for a limited time.
+// run runs the network until the sender has no message left, but not longer than limit.
 func (x *transport) run(limit clock.Micros) {
 	for end := x.now + limit; x.sender.Busy() && x.now < end; x.now += 10 * clock.Millisecond {
 		if x.chance(x.faults.reconnect) {
@@ -91,7 +92,8 @@
 	return b
 }
 
-// equalMessages compares messages by their bytes; printing the difference of large ones takes long.
+// equalMessages fails the test if the messages differ. It does not print the difference, which would take long for
+// large messages.
 func equalMessages(t *testing.T, want, got [][]byte) {
 	t.Helper()
 	must.Eq(t, len(want), len(got))
@@ -132,7 +134,7 @@
 				must.False(t, x.sender.Busy(), must.Sprintf("seed %d", seed))
 				must.Eq(t, 0, x.sender.queuedBytes, must.Sprintf("seed %d", seed))
 				for _, m := range x.arrived {
-					must.True(t, sent[sha256.Sum256(m)], must.Sprintf("seed %d: a message that nobody sent", seed))
+					must.True(t, sent[sha256.Sum256(m)], must.Sprintf("seed %d: received a message that was not sent", seed))
 				}
 				if f.reconnect == 0 && f.lose == 0 {
 					must.Len(t, 4, x.arrived, must.Sprintf("seed %d", seed))
@@ -169,14 +171,14 @@
 	must.Eq(t, wire.ChunkAck{Transfer: 1, Next: wire.ChunkBytes}, accept(2, chunkOf(1, b, 2*wire.ChunkBytes)).Ack)
 	equalMessages(t, [][]byte{a}, [][]byte{accept(1, chunkOf(1, a, 2*wire.ChunkBytes)).Message})
 
-	// A chunk of the next message in the middle of this one, and then a late one of this.
+	// A chunk of the next transfer arrives before the current one is complete, then a late chunk of the current one.
 	must.Eq(t, wire.ChunkAck{Transfer: 2, Next: 0}, accept(2, chunkOf(2, a, wire.ChunkBytes)).Ack)
 	accept(2, chunkOf(2, a, 0))
-	must.False(t, accept(2, chunkOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("the sender has gone on"))
+	must.False(t, accept(2, chunkOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("a late chunk of an earlier transfer is not acknowledged"))
 	accept(2, chunkOf(2, a, wire.ChunkBytes))
 	equalMessages(t, [][]byte{a}, [][]byte{accept(2, chunkOf(2, a, 2*wire.ChunkBytes)).Message})
 
-	// Chunks of another message under the same transfer number.
+	// Chunks of two different messages have the same transfer number.
 	accept(3, chunkOf(7, a, 0))
 	_, err := as.Accept(0, 3, chunkOf(7, b, wire.ChunkBytes))
 	must.ErrorIs(t, err, ErrMalformed)
@@ -200,7 +202,7 @@
 	good := chunkOf(1, message(1, 2*wire.ChunkBytes), 0)
 	for name, corrupt := range map[string]func(p *wire.Chunk){
 		"too large":       func(p *wire.Chunk) { p.Total = wire.MaxMessage + 1 },
-		"of no size":      func(p *wire.Chunk) { p.Total = 0 },
+		"zero size":       func(p *wire.Chunk) { p.Total = 0 },
 		"short digest":    func(p *wire.Chunk) { p.Digest = p.Digest[1:] },
 		"empty":           func(p *wire.Chunk) { p.Data = nil },
 		"negative offset": func(p *wire.Chunk) { p.Offset = -1 },
@@ -241,7 +243,7 @@
 			}
 		}
 	}
-	must.GreaterEq(t, 4, completed, must.Sprint("the assemblies that started first are completed"))
+	must.GreaterEq(t, 4, completed, must.Sprint("the assemblies that started first must complete"))
 	as.Expire(IdleTimeout)
 	must.Eq(t, 0, as.BufferedBytes())
 	must.False(t, as.Busy())
