--- a/runtime/asynclog/asynclog.go
+++ b/runtime/asynclog/asynclog.go
@@ -1,8 +1,8 @@
-// Package asynclog writes log lines in the background, so that a process does not block when nobody
-// reads what it logs, as with a full pipe.
+// Package asynclog writes log lines in the background, so that a process does not block when its log
+// output is not read, for example when a pipe is full.
 //
-// A [Writer] takes lines from any goroutine and owns a bounded buffer and one goroutine that writes
-// it. Lines beyond the bound are dropped and counted; the count is logged when writing goes on.
+// A [Writer] accepts lines from any goroutine. It owns a bounded buffer and one goroutine that writes
+// the buffer. Lines beyond the bound are dropped and counted; the count is logged when writing resumes.
 package asynclog
 
 import (
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxPending bounds the lines that are not written yet, in bytes.
+	// maxPending bounds the bytes of the lines that are not written yet.
 	maxPending = 256 << 10
-	// syncTimeout is how long Sync waits for the lines before it, syncPoll how often it looks.
+	// syncTimeout is how long Sync waits for the pending lines, syncPoll the interval at which it checks.
 	syncTimeout = 300 * time.Millisecond
 	syncPoll    = time.Millisecond
 )
@@ -22,12 +22,12 @@
 // Writer writes lines in the background. It is a zapcore.WriteSyncer.
 type Writer struct {
 	to io.Writer
-	// formatDropped returns the log line for a number of dropped lines.
+	// formatDropped returns the log line that reports a number of dropped lines.
 	formatDropped func(n int) []byte
 
 	mu      sync.Mutex
 	pending []byte
-	// recycled is the buffer of a batch that was written, for the next one.
+	// recycled is the buffer of a written batch, kept for reuse.
 	recycled []byte
 	dropped  int
 	// writing is set while a batch is being written.
@@ -35,7 +35,8 @@
 	wake    chan struct{}
 }
 
-// New returns a writer to the given one and starts its goroutine, which runs as long as the process.
+// New returns a writer whose lines go to the given writer. It starts the writer's goroutine, which runs
+// until the process ends.
 func New(to io.Writer, formatDropped func(n int) []byte) *Writer {
 	w := &Writer{to: to, formatDropped: formatDropped, wake: make(chan struct{}, 1)}
 	go w.run()
@@ -75,14 +76,14 @@
 func (w *Writer) run() {
 	for range w.wake {
 		for batch := w.takeBatch(); len(batch) > 0; batch = w.takeBatch() {
-			// An error is ignored: there is no place left to report it.
+			// The error is ignored, since the log itself cannot be written.
 			w.to.Write(batch)
 			w.recycle(batch)
 		}
 	}
 }
 
-// takeBatch returns the pending lines, followed by the line for those that were dropped since.
+// takeBatch returns the pending lines, followed by a line that reports the dropped ones if there are any.
 func (w *Writer) takeBatch() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,7 +97,7 @@
 	return batch
 }
 
-// recycle keeps the buffer of a batch that was written.
+// recycle keeps the buffer of a written batch for reuse.
 func (w *Writer) recycle(batch []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/runtime/asynclog/asynclog_test.go
+++ b/runtime/asynclog/asynclog_test.go
@@ -33,7 +33,7 @@
 	return g.text.String()
 }
 
-// until polls until a condition holds; only a hang reaches its end.
+// until polls until a condition holds. It fails the test after one minute, which only a hang reaches.
 func until(t *testing.T, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/runtime/clock/clock.go
+++ b/runtime/clock/clock.go
@@ -1,16 +1,16 @@
-// Package clock names the unit in which the deterministic part of wallport counts time.
+// Package clock defines the unit of time in the deterministic part of wallport.
 //
-// Moments and spans are whole microseconds in an int64: moments on the wire, on disk and in the
-// state machines are arithmetic on the same numbers in every process, and in the simulator. Code
-// that touches the real clock, a socket or a file converts with [Duration] at that edge.
+// Times and durations are whole microseconds in an int64. Times on the wire, on disk and in the state
+// machines are thus the same numbers in every process and in the simulator. Code that uses the real
+// clock, a socket or a file converts durations with [Duration].
 package clock
 
 import "time"
 
-// Micros is a moment or a span in whole microseconds. Moments count from the start of the
-// process's monotonic clock, or, where the name says wall, from the Unix epoch.
+// Micros is a time or a duration in whole microseconds. Times count from the start of the process's
+// monotonic clock or, if the name contains wall, from the Unix epoch.
 //
-// It is an alias, so that the encoded messages, whose fields are int64, need no conversion.
+// It is an alias so that the int64 fields of the encoded messages need no conversion.
 type Micros = int64
 
 // Units of [Micros].
@@ -20,5 +20,5 @@
 	Minute             = 60 * Second
 )
 
-// Duration converts a span to the standard library's form.
+// Duration converts a duration to a time.Duration.
 func Duration(span Micros) time.Duration { return time.Duration(span) * time.Microsecond }
--- a/runtime/diskfile/diskfile.go
+++ b/runtime/diskfile/diskfile.go
@@ -1,6 +1,7 @@
-// Package diskfile wraps the content of files on disk: a magic, the version of the format, a SHA-256
-// digest, the content. [Unpack] recognizes torn and foreign files, and rejects a format of a newer
-// release with an error that says so instead of misreading it. The package owns no files.
+// Package diskfile defines the format of files on disk: a magic string, the version of the format, a
+// SHA-256 digest, the content. [Unpack] detects files that are incomplete, altered or not wallport's. It
+// rejects the format of a newer release with an error that says so, since it would misread the content.
+// The package does not access files.
 package diskfile
 
 import (
@@ -16,16 +17,16 @@
 const magic = "wallport"
 
 // ErrCorrupt is returned for a file that is incomplete, altered or not wallport's.
-var ErrCorrupt = errors.New("file is torn or foreign")
+var ErrCorrupt = errors.New("file is incomplete, altered or not a wallport file")
 
 // FutureFormatError is returned for a file that a newer release wrote.
 type FutureFormatError struct{ Format byte }
 
 func (e FutureFormatError) Error() string {
-	return fmt.Sprintf("file has disk format %d, this program knows up to %d: run the newer program on this folder", e.Format, Format)
+	return fmt.Sprintf("file has disk format %d, but this program supports formats up to %d: run the newer program on this folder", e.Format, Format)
 }
 
-// Pack returns a file with the content.
+// Pack returns the bytes of a file with the given content.
 func Pack(content []byte) []byte {
 	sum := sha256.Sum256(content)
 	out := make([]byte, 0, len(magic)+1+len(sum)+len(content))
@@ -35,8 +36,8 @@
 	return append(out, content...)
 }
 
-// Unpack returns the content of a file. It fails with ErrCorrupt or a FutureFormatError. The content
-// shares the file's memory.
+// Unpack returns the content of a file. It fails with [ErrCorrupt] or a [FutureFormatError]. The returned
+// content shares memory with b.
 func Unpack(b []byte) ([]byte, error) {
 	const digestAt = len(magic) + 1
 	if len(b) < digestAt+sha256.Size || !bytes.HasPrefix(b, []byte(magic)) {
--- a/runtime/invariant/invariant.go
+++ b/runtime/invariant/invariant.go
@@ -1,8 +1,8 @@
-// Package invariant names the guarantees that the running code checks itself.
+// Package invariant defines the guarantees that the code checks at run time.
 //
-// A violation is counted by the invariant's name and logged. In tests, and after [SetFatal], it panics
-// as well. Otherwise a check never changes what the program does next. The package owns only the
-// setting whether violations are fatal; counters and logs belong to those who report.
+// A violation is counted by the invariant's name and logged. In tests, and after [SetFatal], it also
+// panics. Otherwise a check never changes the behaviour of the program. The package holds only the
+// setting whether violations are fatal; counters and logs belong to the code that reports a violation.
 package invariant
 
 import (
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// Name is the name of an invariant, as the counters and the log show it.
+// Name is the name of an invariant in counters and logs.
 type Name string
 
 // The invariants of the request path. A backend "may have run" a request once a byte of it was sent.
@@ -22,7 +22,7 @@
 	RejectedNotRun Name = "refused_not_run"
 	// SuccessSealed: a success is a backend's success, with its seal.
 	SuccessSealed Name = "success_sealed"
-	// ShardsComplete: a merged success has answers of enough shards, each with a seal of its own.
+	// ShardsComplete: a merged success has responses from enough shards, each with a seal of its own.
 	ShardsComplete Name = "parts_complete"
 	// NoSendAfterOutcome: no attempt is sent for a request that has its outcome.
 	NoSendAfterOutcome Name = "no_ask_after_end"
@@ -64,7 +64,7 @@
 // Counter returns the name of the counter of an invariant's violations.
 func Counter(n Name) string { return fmt.Sprintf("invariant_violations{invariant=%q}", string(n)) }
 
-// Violation is the value of the panic where violations are fatal.
+// Violation is the panic value of a fatal violation.
 type Violation struct {
 	Name   Name
 	Detail string
@@ -84,15 +84,15 @@
 	}
 }
 
-// Recorder records violations that are found outside the kernel's steps. Any goroutine may use it; a nil
-// Recorder only panics where violations are fatal.
+// Recorder records violations that are found outside the kernel's steps. It is safe for concurrent use. A
+// nil Recorder neither counts nor logs, but panics if violations are fatal.
 type Recorder struct {
 	// Count adds to a counter by its name; Log logs a violation. Either may be nil.
 	Count func(counter string, n int64)
 	Log   func(n Name, detail string)
 }
 
-// Violated records a violation; its detail is formatted as by fmt.Sprintf.
+// Violated records a violation. Its detail is formatted as by fmt.Sprintf.
 func (r *Recorder) Violated(n Name, format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
 	if r != nil && r.Count != nil {
--- a/runtime/random/random.go
+++ b/runtime/random/random.go
@@ -1,9 +1,9 @@
-// Package random is a small source of pseudo-random numbers for one goroutine: SplitMix64 (Steele, Lea
-// and Flood, "Fast splittable pseudorandom number generators", 2014). It allocates nothing, and equal
-// seeds give equal numbers. It is not fit for secrets.
+// Package random is a small source of pseudo-random numbers for use by one goroutine: SplitMix64 (Steele,
+// Lea and Flood, "Fast splittable pseudorandom number generators", 2014). It allocates nothing, and equal
+// seeds produce equal numbers. It is not suitable for secrets.
 package random
 
-// Source is the state of a source. Any value is a good seed.
+// Source is the state of a generator. Any value is a valid seed.
 type Source uint64
 
 // Uint64 returns the next number.
--- a/runtime/settings/file.go
+++ b/runtime/settings/file.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// textFields maps the keys of the file to the fields that hold texts.
+// textFields maps the keys of the file to the string fields that they set.
 func (s *Settings) textFields() map[string]*string {
 	return map[string]*string{
 		"name": &s.Name, "zone": &s.Zone, "mesh": &s.Mesh, "mesh-listen": &s.MeshListen,
@@ -17,8 +17,8 @@
 	}
 }
 
-// readFile sets the fields that the flags left empty from the lines of the file. Every key may be
-// given once, except seed; seeds of the file count only if the flags name none.
+// readFile sets the fields that the flags left empty from the lines of EnvFile, and returns the errors
+// in them. Each key may occur only once, except seed; seeds in the file are ignored if the flags set any.
 func (s *Settings) readFile() (found Findings) {
 	f, err := os.Open(s.EnvFile)
 	if err != nil {
@@ -53,7 +53,7 @@
 			continue
 		}
 		if first := firstLine[key]; first > 0 {
-			found = append(found, Finding{location, fmt.Sprintf("%s was given on line %d already", key, first)})
+			found = append(found, Finding{location, fmt.Sprintf("duplicate key %s: already set on line %d", key, first)})
 			continue
 		}
 		firstLine[key] = n
--- a/runtime/settings/fleet.go
+++ b/runtime/settings/fleet.go
@@ -2,51 +2,52 @@
 
 import "wallport/runtime/clock"
 
-// Machine is what a platform lets the process use of its machine. A zero is unknown.
+// Machine holds the limits on the resources of the machine that the process may use. 0 means unknown.
 type Machine struct {
-	// CPUShare is the share of one processor.
+	// CPUShare is the usable share of one processor.
 	CPUShare float64
 	MemoryMB int64
-	// MaxFds is the largest number of open descriptors.
+	// MaxFds is the largest number of open file descriptors.
 	MaxFds   int64
 	LinkMbps float64
 	DiskMB   int64
 }
 
-// Tolerance is what the fleet may lose at once and still keep its guarantees.
+// Tolerance is the loss that the fleet must tolerate at one time without breaking its guarantees.
 type Tolerance struct {
 	// Machines is the number of machines with a disk; Zones the number of complete zones.
 	Machines, Zones int
 }
 
-// Bounds are the fleet's time limits. A zero is unknown: the product's own constant holds.
+// Bounds are the fleet's time limits. 0 means unknown: the product's own constant then applies.
 type Bounds struct {
 	// DrainTimeout is how long a draining backend still serves, GracePeriod how long a process has to stop.
 	DrainTimeout, GracePeriod clock.Micros
-	// ConfigApply is within which a configuration must be in force, ZoneDrain within which a zone must be drained.
+	// ConfigApply is the time within which a configuration must be in force, ZoneDrain the time within
+	// which a zone must be drained.
 	ConfigApply, ZoneDrain clock.Micros
-	// AckTimeout is how long an operator waits for an acknowledgement in all.
+	// AckTimeout is the total time that an operator waits for an acknowledgement.
 	AckTimeout clock.Micros
 	// ContactTime is how long after a fault a process counts as in contact again, SyncTime as lost.
 	ContactTime, SyncTime clock.Micros
-	// AddressReuse is how soon another backend may get a backend's address.
+	// AddressReuse is the least time after which a backend's address may be assigned to another backend.
 	AddressReuse clock.Micros
 	// LossSlack is how long a request that was read may stay unsent when its connection ends.
 	LossSlack clock.Micros
-	// RecoveryTime is how soon after a total loss the fleet must serve.
+	// RecoveryTime is the time within which the fleet must serve again after a total loss.
 	RecoveryTime clock.Micros
-	// SeedLag and ListLag are how old the list of cores and the list of backends may be.
+	// SeedLag and ListLag are the greatest ages of the list of cores and of the list of backends.
 	SeedLag, ListLag clock.Micros
 }
 
-// Retries bounds the requests that are sent to a further backend, for all nodes together: in every
-// window and for each pool Ratio of its requests, and Allowance beyond that.
+// Retries bounds the requests that are sent to another backend, summed over all nodes. For each pool and
+// window the bound is Ratio times the pool's requests, plus Allowance.
 type Retries struct {
 	Ratio     float64
 	Allowance float64
 	Window    clock.Micros
 }
 
-// SlowStart bounds what a backend that is warming up is sent in a second: its rate times Overrun, and
-// Tolerance beyond that.
+// SlowStart bounds the requests per second sent to a backend that is warming up: its rate times Overrun,
+// plus Tolerance.
 type SlowStart struct{ Overrun, Tolerance float64 }
--- a/runtime/settings/settings.go
+++ b/runtime/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings is what a process is told at its start: its addresses, zone, seeds and data folder,
-// and what a platform says of the machine and the fleet.
+// Package settings defines the start settings of a process: its addresses, zone, seeds and data folder,
+// and what a platform states about the machine and the fleet.
 //
-// The settings come from flags and an optional file of key=value lines, in which flags win, or from a
-// platform's own settings file (package platform). They are validated together before any port is
-// opened: [Load] returns every finding with its location, not only the first. The package owns no state.
+// The settings come from flags and an optional file of key=value lines, where flags take precedence, or
+// from a platform's own settings file (package platform). They are validated together before any port
+// is opened: [Load] returns every finding with its location, not only the first. The package has no state.
 package settings
 
 import (
@@ -23,8 +23,8 @@
 // maxSeeds bounds the seeds of a process.
 const maxSeeds = 3
 
-// Settings are the settings of one process. Fields without a flag come from a platform and are zero
-// without one.
+// Settings are the settings of one process. Fields without a flag come from a platform and are zero if
+// there is none.
 type Settings struct {
 	EnvFile            string   `long:"env-file" description:"file of key=value lines, the keys being these flags' names"`
 	Name               string   `long:"name" description:"name in logs and tables; made from the mesh address when absent"`
@@ -44,22 +44,22 @@
 	UnsignedHeartbeats bool     `long:"unsigned-beats" description:"take signs of life that are not signed, while a fleet is upgraded from a release before 2"`
 	LogLevel           string   `long:"log-level" description:"debug, info, warn or error" default:"info"`
 
-	// Tolerance is what the fleet may lose. Bootstrap says that all disks are still empty; it is
-	// meaningful only if BootstrapKnown.
+	// Tolerance is the loss that the fleet must tolerate. Bootstrap states that all disks are still
+	// empty; it is meaningful only if BootstrapKnown is set.
 	Tolerance                 Tolerance `no-flag:"true"`
 	Bootstrap, BootstrapKnown bool      `no-flag:"true"`
 
-	// Region is that of this machine, Regions maps every zone to its region.
+	// Region is the region of this machine. Regions maps every zone to its region.
 	Region  string            `no-flag:"true"`
 	Regions map[string]string `no-flag:"true"`
 
 	// ListInterval is the time between two readings of the platform's list of backends; 0 derives it
 	// from PollsPer10s.
 	ListInterval clock.Micros `no-flag:"true"`
-	// QuorumMember marks one of the few machines whose loss is counted in Tolerance.
+	// QuorumMember reports whether this is one of the few machines whose loss counts against Tolerance.
 	QuorumMember bool `no-flag:"true"`
-	// PassiveHealth limits health checks to backends that this process ejected: for all others the
-	// outcomes of requests decide.
+	// PassiveHealth limits health checks to backends that this process ejected. The health of all other
+	// backends is derived from the outcomes of requests.
 	PassiveHealth bool      `no-flag:"true"`
 	Machine       Machine   `no-flag:"true"`
 	Bounds        Bounds    `no-flag:"true"`
@@ -75,8 +75,8 @@
 	return s.Mesh
 }
 
-// SourceIP returns the IP from which connections to other processes leave. It is the zero, invalid
-// address if the system is to choose one.
+// SourceIP returns the source IP of connections to other processes. It returns the zero, invalid address
+// if the operating system is to choose one.
 func (s Settings) SourceIP() netip.Addr {
 	listen, err := netip.ParseAddrPort(s.MeshListen)
 	if err != nil || listen.Addr().IsUnspecified() {
@@ -93,10 +93,10 @@
 	return 2*max(0, s.Tolerance.Machines) + 1
 }
 
-// Finding is one error in the settings, with the file and line, the key or the field that it is about.
+// Finding is one error in the settings. Location is the file and line, the key or the field of the error.
 type Finding struct{ Location, Text string }
 
-// Findings are all errors that were found. As an error it lists them, one a line.
+// Findings are all errors found in the settings. The error text lists them, one per line.
 type Findings []Finding
 
 func (f Findings) Error() string {
@@ -107,8 +107,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load completes settings that were read from flags by those of the file that they name, if any, and
-// validates the result for a role. It returns no findings if the settings are valid.
+// Load completes settings that were read from flags with those of the file in EnvFile, if any, and
+// validates the result for a role. If Name is empty, it sets a name made of the role and the mesh
+// address. It returns no findings if the settings are valid.
 func Load(s *Settings, role string) Findings {
 	var found Findings
 	if s.EnvFile != "" {
@@ -121,7 +122,7 @@
 	return found
 }
 
-// validate returns the findings in order of their location.
+// validate returns the findings, sorted by location.
 func (s *Settings) validate(role string) Findings {
 	found := s.validateAddresses(role)
 	add := func(location, text string) { found = append(found, Finding{location, text}) }
@@ -138,7 +139,7 @@
 		add("platform", "not an http:// URL: "+s.PlatformURL)
 	}
 	if s.SecondFleetSecret != "" && s.FleetSecret == "" {
-		add("fleet-secret-too", "needs a fleet-secret beside it")
+		add("fleet-secret-too", "requires fleet-secret to be set")
 	}
 	if s.PollsPer10s < 1 {
 		add("polls-per-10s", "must be at least 1")
@@ -173,7 +174,7 @@
 		check("mesh-listen", s.MeshListen)
 	}
 	if len(s.Seeds) > maxSeeds {
-		found = append(found, Finding{"seed", "more than three"})
+		found = append(found, Finding{"seed", "more than three seeds"})
 	}
 	for _, seed := range s.Seeds {
 		check("seed", seed)
--- a/runtime/settings/settings_test.go
+++ b/runtime/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// load loads settings that have the text of a file and, beside that, what flags would have set.
+// load loads settings from a file with the given text, on top of the settings that flags would have set.
 func load(t *testing.T, role, text string, e Settings) (Settings, Findings) {
 	t.Helper()
 	e.EnvFile = filepath.Join(t.TempDir(), "env")
@@ -46,7 +46,7 @@
 	e, found := load(t, "node", good, Settings{})
 	must.SliceEmpty(t, found)
 	must.Eq(t, "10.0.0.1:4001", e.ListenAddress())
-	must.False(t, e.SourceIP().IsValid(), must.Sprint("the system is to choose"))
+	must.False(t, e.SourceIP().IsValid(), must.Sprint("the operating system chooses the source address"))
 	e, found = load(t, "node", good+"mesh-listen=192.168.7.1:4002\n", Settings{})
 	must.SliceEmpty(t, found)
 	must.Eq(t, "192.168.7.1:4002", e.ListenAddress())
