--- a/runtime/process/handshake.go
+++ b/runtime/process/handshake.go
@@ -48,7 +48,7 @@
 
 func (tr *transport) establish(conn *tls.Conn, addr string, mesh bool) (*peerConn, error) {
 	dialed := addr != ""
-	peer, err := proveKeys(conn)
+	peer, err := completeTLSHandshake(conn)
 	if err != nil {
 		return nil, err
 	}
@@ -71,8 +71,8 @@
 	return pc, nil
 }
 
-// proveKeys completes the TLS handshake and returns the fingerprint of the peer's key.
-func proveKeys(conn *tls.Conn) (string, error) {
+// completeTLSHandshake completes the TLS handshake, which proves the keys of both sides, and returns the fingerprint of the peer's key.
+func completeTLSHandshake(conn *tls.Conn) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), helloTimeout)
 	defer cancel()
 	if err := conn.HandshakeContext(ctx); err != nil {
