--- a/cluster/mesh/doc.go
+++ b/cluster/mesh/doc.go
@@ -20,7 +20,7 @@
 //     limit, store, forward. outbox.go batches forwarded entries.
 //   - notice.go: for a large entry, only a notice is flooded. A process that lacks the entry requests it.
 //   - heartbeat.go, antientropy.go: heartbeats carry a digest of the store. If two digests differ,
-//     the processes compare bucket sums, then summaries of origins, and send what is missing.
+//     the processes compare bucket sums, then summaries of origins, and send the missing entries.
 //   - links.go, reachability.go: each process announces its connections and the peers that it
 //     lost. A process is live if a chain of links, each announced by both ends, leads to it. A
 //     suspect refutes the suspicion with a new entry, as SWIM does with an incarnation number.
--- a/cluster/mesh/links.go
+++ b/cluster/mesh/links.go
@@ -99,7 +99,8 @@
 	m.announceLinks(ctx)
 }
 
-// hasLoss reports whether an announced link is gone or a peer was lost since the last announcement.
+// hasLoss reports whether, since the last announcement, an announced link has ended or a peer has become
+// suspected.
 func (l *linkState) hasLoss() bool {
 	peers, lost, _ := strings.Cut(l.announced, lostSeparator)
 	for _, fp := range strings.Fields(peers) {
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -38,7 +38,7 @@
 	// the rate in entries per second, and the burst in entries.
 	OriginRate  = 30
 	OriginBurst = 256
-	// MaxAddrs bounds the addresses that are remembered for dialling.
+	// MaxAddrs bounds the addresses that are kept for dialling.
 	MaxAddrs = 512
 	// Release is the release of the mesh protocol. In releases up to 1, heartbeats carried the signed
 	// heartbeat of every origin; see legacy.go.
@@ -69,7 +69,7 @@
 // ForgetAfter.
 type Forgotten struct{ Origin string }
 
-// CaughtUp is emitted when a peer's digest or summaries show nothing that this process lacks.
+// CaughtUp is emitted when a peer's digest or summaries show that this process lacks no entry of the peer.
 type CaughtUp struct{}
 
 // LivenessUpdated is emitted with each heartbeat and whenever the set of reachable origins has
--- a/runtime/process/transport.go
+++ b/runtime/process/transport.go
@@ -23,7 +23,7 @@
 	readTimeout  = 90 * time.Second
 	// dialBackoff is how long an address is not dialed again after a failure.
 	dialBackoff = 200 * clock.Millisecond
-	// acceptRetryDelay is the pause after a failed accept, as when no file descriptor is free.
+	// acceptRetryDelay is the pause after a failed accept, for example when no file descriptor is free.
 	acceptRetryDelay = 50 * time.Millisecond
 	maxConnections   = 1024
 )
--- a/runtime/settings/fleet.go
+++ b/runtime/settings/fleet.go
@@ -28,7 +28,8 @@
 	ConfigApply, ZoneDrain clock.Micros
 	// AckTimeout is the total time that an operator waits for an acknowledgement.
 	AckTimeout clock.Micros
-	// ContactTime is how long after a fault a process counts as in contact again, SyncTime as lost.
+	// ContactTime is how long after a fault a process counts as in contact again. SyncTime is how long after
+	// it is back a process that had a fault still counts as lost.
 	ContactTime, SyncTime clock.Micros
 	// AddressReuse is the least time after which a backend's address may be assigned to another backend.
 	AddressReuse clock.Micros
--- a/runtime/wire/edit_codes.go
+++ b/runtime/wire/edit_codes.go
@@ -6,7 +6,7 @@
 	OpRead = "read"
 	// OpHistory returns the earlier configurations, as an EditLog with only its History filled in.
 	OpHistory = "history"
-	// OpZoneVersion returns the version that last took a command about the zone in Edit.Name.
+	// OpZoneVersion returns the version that applied the last command about the zone in Edit.Name.
 	OpZoneVersion = "zone_version"
 )
 
