--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -14,8 +14,8 @@
 	secondPeer uint64 = 8
 )
 
-// pair is a mesh with two peers that has just forwarded an entry.
-func pair(t testing.TB) *rig {
+// newTwoPeerRig returns a mesh with two peers that has just forwarded an entry.
+func newTwoPeerRig(t testing.TB) *rig {
 	t.Helper()
 	r := newRig(t)
 	r.feed(kernel.ConnUp{Conn: secondPeer, Addr: "10.0.0.3:1", Peer: kernel.Fingerprint(key(3).Public), Mesh: true})
@@ -33,7 +33,7 @@
 }
 
 func TestEntriesOfABurstAreForwardedTogether(t *testing.T) {
-	r := pair(t)
+	r := newTwoPeerRig(t)
 	second, third := newEntry(key(2), EntryHealthReport, "second", 2), newEntry(key(2), EntryHealthReport, "third", 3)
 	out := r.gossip(second)
 	must.SliceEmpty(t, out.Sends)
@@ -44,11 +44,11 @@
 	for _, s := range sends {
 		must.Eq(t, secondPeer, s.Conn)
 	}
-	must.SliceEmpty(t, r.forwardTick().Sends, must.Sprint("once"))
+	must.SliceEmpty(t, r.forwardTick().Sends, must.Sprint("each entry is forwarded once"))
 }
 
 func TestEntryIsNotForwardedToAPeerThatSentIt(t *testing.T) {
-	r := pair(t)
+	r := newTwoPeerRig(t)
 	entry := newEntry(key(2), EntryHealthReport, "second", 2)
 	r.gossipFrom(firstPeer, entry)
 	copied := *entry
@@ -58,15 +58,15 @@
 	must.SliceEmpty(t, r.forwardTick().Sends)
 }
 
-func TestStoppingProcessForwardsAtOnce(t *testing.T) {
-	r := pair(t)
+func TestStoppingProcessForwardsWithoutBatching(t *testing.T) {
+	r := newTwoPeerRig(t)
 	r.gossip(newEntry(key(2), EntryHealthReport, "second", 2))
 	must.Len(t, 1, r.feed(kernel.Stopping{}).Sends)
 	must.Len(t, 1, r.gossip(newEntry(key(2), EntryHealthReport, "third", 3)).Sends)
 }
 
 func TestDuplicatesAreRecognizedByFrameHash(t *testing.T) {
-	r := pair(t)
+	r := newTwoPeerRig(t)
 	entry := newEntry(key(2), EntryHealthReport, "second", 2)
 	r.gossip(entry)
 	for hops := range uint8(3) {
@@ -80,7 +80,7 @@
 	changed := *entry
 	changed.Body = []byte("y")
 	_, ok := r.m.seen.entryOfFrame(r.m.seen.frameHash(wire.Encode(&changed)), r.now)
-	must.False(t, ok, must.Sprint("another body is another frame"))
+	must.False(t, ok, must.Sprint("a frame with another body has another hash"))
 }
 
 func TestFrameHashesExpireWithTheirEntries(t *testing.T) {
@@ -95,8 +95,8 @@
 	must.MapEmpty(t, s.frames)
 }
 
-// In a burst in which all processes of a fleet take part, as when a configuration comes into force,
-// most duplicates of an entry are not sent.
+// Guards against sending most duplicates in a burst of entries from all processes of a fleet, such as
+// when a configuration takes effect. Batching lets a process skip the peers that sent the entry first.
 func TestBurstOfAllProcessesSendsFewDuplicates(t *testing.T) {
 	const processes, entries = 32, 5
 	f := convergedFleet(t, processes, 4, 6)
@@ -116,7 +116,7 @@
 		after += p.frames
 		must.Eq(t, processes, int64(len(p.m.store.origins)))
 		for _, origin := range p.m.store.origins {
-			must.MapLen(t, 1+1+entries, origin.entries, must.Sprint("all are there"))
+			must.MapLen(t, 1+1+entries, origin.entries, must.Sprint("every process has all entries of every origin"))
 		}
 	}
 	copies := float64(after-before) / (processes * processes * entries)
--- a/runtime/asynclog/asynclog_test.go
+++ b/runtime/asynclog/asynclog_test.go
@@ -33,7 +33,7 @@
 	return g.text.String()
 }
 
-// until polls until a condition holds; only a hang reaches its end.
+// until polls until a condition holds. It fails the test after one minute, which only a hang reaches.
 func until(t *testing.T, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -44,11 +44,11 @@
 	}
 }
 
-func lost(n int) []byte { return fmt.Appendf(nil, "lost %d\n", n) }
+func formatLost(n int) []byte { return fmt.Appendf(nil, "lost %d\n", n) }
 
 func TestLinesKeepOrder(t *testing.T) {
 	g := &blockingWriter{}
-	w := New(g, lost)
+	w := New(g, formatLost)
 	var want strings.Builder
 	for i := range 2000 {
 		line := fmt.Sprintf("line %d\n", i)
@@ -63,7 +63,7 @@
 
 func TestLinesAreDroppedAndCountedWhenWriterBlocks(t *testing.T) {
 	g := &blockingWriter{}
-	w := New(g, lost)
+	w := New(g, formatLost)
 	g.blocked.Lock()
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 4 * maxPending / 1024
--- a/runtime/chunk/transfer_test.go
+++ b/runtime/chunk/transfer_test.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/wire"
 )
 
-// faults are what a network does to chunks and acknowledgements: the chance in 100 of each.
+// faults are the faults that a network applies to chunks and acknowledgements, each with its probability in percent.
 type faults struct{ lose, duplicate, delay, reconnect int }
 
 // transport is a sender and an assembler with a faulty network between them.
@@ -38,8 +38,9 @@
 
 func (x *transport) chance(in100 int) bool { return x.rnd.IntN(100) < in100 }
 
-// carry delivers something to the other side, subject to the network's faults.
-func (x *transport) carry(f func()) {
+// deliver runs f, which delivers a chunk or an acknowledgement, subject to the network's faults: it may drop, delay or
+// repeat the call.
+func (x *transport) deliver(f func()) {
 	if x.chance(x.faults.lose) {
 		return
 	}
@@ -53,7 +54,7 @@
 	}
 }
 
-// run runs the network until nothing is in flight, or for a limited time.
+// run runs the network until the sender has no message left, but not longer than limit.
 func (x *transport) run(limit clock.Micros) {
 	for end := x.now + limit; x.sender.Busy() && x.now < end; x.now += 10 * clock.Millisecond {
 		if x.chance(x.faults.reconnect) {
@@ -61,7 +62,7 @@
 		}
 		for _, o := range x.sender.Pump(x.now) {
 			conn, c := x.conn, o.Chunk
-			x.carry(func() { x.take(conn, c) })
+			x.deliver(func() { x.receive(conn, c) })
 		}
 		if len(x.delayed) > 0 && x.chance(50) {
 			i := x.rnd.IntN(len(x.delayed))
@@ -74,14 +75,14 @@
 	}
 }
 
-func (x *transport) take(conn uint64, p wire.Chunk) {
+func (x *transport) receive(conn uint64, p wire.Chunk) {
 	accepted, err := x.assembler.Accept(x.now, conn, p)
 	must.NoError(x.t, err)
 	if accepted.Message != nil {
 		x.arrived = append(x.arrived, accepted.Message)
 	}
 	if accepted.Reply {
-		x.carry(func() { x.sender.Acked(x.now, accepted.Ack) })
+		x.deliver(func() { x.sender.Acked(x.now, accepted.Ack) })
 	}
 }
 
@@ -91,8 +92,9 @@
 	return b
 }
 
-// same compares messages by their bytes; printing the difference of large ones takes long.
-func same(t *testing.T, want, got [][]byte) {
+// equalMessages fails the test if the messages differ. It does not print the difference, which would take long for
+// large messages.
+func equalMessages(t *testing.T, want, got [][]byte) {
 	t.Helper()
 	must.Eq(t, len(want), len(got))
 	for i := range want {
@@ -132,7 +134,7 @@
 				must.False(t, x.sender.Busy(), must.Sprintf("seed %d", seed))
 				must.Eq(t, 0, x.sender.queuedBytes, must.Sprintf("seed %d", seed))
 				for _, m := range x.arrived {
-					must.True(t, sent[sha256.Sum256(m)], must.Sprintf("seed %d: a message that nobody sent", seed))
+					must.True(t, sent[sha256.Sum256(m)], must.Sprintf("seed %d: received a message that was not sent", seed))
 				}
 				if f.reconnect == 0 && f.lose == 0 {
 					must.Len(t, 4, x.arrived, must.Sprintf("seed %d", seed))
@@ -152,32 +154,32 @@
 	must.Positive(t, x.assembler.BufferedBytes())
 	x.conn = 2
 	x.run(10 * clock.Second)
-	same(t, [][]byte{m}, x.arrived)
+	equalMessages(t, [][]byte{m}, x.arrived)
 }
 
 func TestChunksOfDifferentTransfersDoNotMix(t *testing.T) {
 	a, b := message(1, 3*wire.ChunkBytes), message(2, 3*wire.ChunkBytes)
 	as := NewAssembler()
-	take := func(conn uint64, p wire.Chunk) Accepted {
+	accept := func(conn uint64, p wire.Chunk) Accepted {
 		accepted, err := as.Accept(0, conn, p)
 		must.NoError(t, err)
 		return accepted
 	}
-	take(1, chunkOf(1, a, 0))
-	take(2, chunkOf(1, b, 0))
-	take(1, chunkOf(1, a, wire.ChunkBytes))
-	must.Eq(t, wire.ChunkAck{Transfer: 1, Next: wire.ChunkBytes}, take(2, chunkOf(1, b, 2*wire.ChunkBytes)).Ack)
-	same(t, [][]byte{a}, [][]byte{take(1, chunkOf(1, a, 2*wire.ChunkBytes)).Message})
-
-	// A chunk of the next message in the middle of this one, and then a late one of this.
-	must.Eq(t, wire.ChunkAck{Transfer: 2, Next: 0}, take(2, chunkOf(2, a, wire.ChunkBytes)).Ack)
-	take(2, chunkOf(2, a, 0))
-	must.False(t, take(2, chunkOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("the sender has gone on"))
-	take(2, chunkOf(2, a, wire.ChunkBytes))
-	same(t, [][]byte{a}, [][]byte{take(2, chunkOf(2, a, 2*wire.ChunkBytes)).Message})
-
-	// Chunks of another message under the same transfer number.
-	take(3, chunkOf(7, a, 0))
+	accept(1, chunkOf(1, a, 0))
+	accept(2, chunkOf(1, b, 0))
+	accept(1, chunkOf(1, a, wire.ChunkBytes))
+	must.Eq(t, wire.ChunkAck{Transfer: 1, Next: wire.ChunkBytes}, accept(2, chunkOf(1, b, 2*wire.ChunkBytes)).Ack)
+	equalMessages(t, [][]byte{a}, [][]byte{accept(1, chunkOf(1, a, 2*wire.ChunkBytes)).Message})
+
+	// A chunk of the next transfer arrives before the current one is complete, then a late chunk of the current one.
+	must.Eq(t, wire.ChunkAck{Transfer: 2, Next: 0}, accept(2, chunkOf(2, a, wire.ChunkBytes)).Ack)
+	accept(2, chunkOf(2, a, 0))
+	must.False(t, accept(2, chunkOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("a late chunk of an earlier transfer is not acknowledged"))
+	accept(2, chunkOf(2, a, wire.ChunkBytes))
+	equalMessages(t, [][]byte{a}, [][]byte{accept(2, chunkOf(2, a, 2*wire.ChunkBytes)).Message})
+
+	// Chunks of two different messages have the same transfer number.
+	accept(3, chunkOf(7, a, 0))
 	_, err := as.Accept(0, 3, chunkOf(7, b, wire.ChunkBytes))
 	must.ErrorIs(t, err, ErrMalformed)
 }
@@ -198,9 +200,9 @@
 
 func TestMalformedChunksAreRejected(t *testing.T) {
 	good := chunkOf(1, message(1, 2*wire.ChunkBytes), 0)
-	for name, spoil := range map[string]func(p *wire.Chunk){
+	for name, corrupt := range map[string]func(p *wire.Chunk){
 		"too large":       func(p *wire.Chunk) { p.Total = wire.MaxMessage + 1 },
-		"of no size":      func(p *wire.Chunk) { p.Total = 0 },
+		"zero size":       func(p *wire.Chunk) { p.Total = 0 },
 		"short digest":    func(p *wire.Chunk) { p.Digest = p.Digest[1:] },
 		"empty":           func(p *wire.Chunk) { p.Data = nil },
 		"negative offset": func(p *wire.Chunk) { p.Offset = -1 },
@@ -208,7 +210,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, as := good, NewAssembler()
-			spoil(&p)
+			corrupt(&p)
 			_, err := as.Accept(0, 1, p)
 			must.ErrorIs(t, err, ErrMalformed)
 			must.False(t, as.Busy())
@@ -237,11 +239,11 @@
 			}
 			if accepted.Message != nil {
 				completed++
-				same(t, [][]byte{m}, [][]byte{accepted.Message})
+				equalMessages(t, [][]byte{m}, [][]byte{accepted.Message})
 			}
 		}
 	}
-	must.GreaterEq(t, 4, completed, must.Sprint("the assemblies that started first are completed"))
+	must.GreaterEq(t, 4, completed, must.Sprint("the assemblies that started first must complete"))
 	as.Expire(IdleTimeout)
 	must.Eq(t, 0, as.BufferedBytes())
 	must.False(t, as.Busy())
--- a/runtime/process/blocked_test.go
+++ b/runtime/process/blocked_test.go
@@ -12,10 +12,10 @@
 	"wallport/runtime/settings"
 )
 
-// hangTimeout is how long a test waits for what must not block: only a hang lasts so long.
+// hangTimeout is how long a test waits for a function that must not block. Only a hang reaches it.
 const hangTimeout = 10 * time.Second
 
-// blockLoop blocks the loop of a process until the test is over, and fills its inbox.
+// blockLoop blocks the loop of a process until the test ends, and fills its inbox.
 func blockLoop(t *testing.T, p *Process) {
 	t.Helper()
 	blocked, release := make(chan struct{}), make(chan struct{})
@@ -49,24 +49,24 @@
 }
 
 func TestCallTimesOutWhenLoopIsBlocked(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	blockLoop(t, p)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	must.True(t, returnsInTime(func() { p.Call(ctx, "operate", nil) }))
 }
 
-// Frames are queued for a connection that is being opened; it has no socket to close yet.
+// Guards against a nil dereference: a connection that is still being opened may be closed, and has no socket yet.
 func TestPendingConnectionCanBeClosed(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	pending := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
 	defer func() { must.Nil(t, recover()) }()
 	pending.close()
 }
 
 func TestBacklogForUnresponsiveAddressIsBounded(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
-	// It accepts connections and sends nothing, as the machine of a frozen process does.
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
+	// The listener accepts connections and sends nothing, like the machine of a frozen process.
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
@@ -92,7 +92,7 @@
 }
 
 func TestBacklogIsBoundedInBytes(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	pending := newPeerConn(p.transport, nil, "127.0.0.1:1", false, true)
 	frame := make([]byte, 1<<20)
 	for range 3 * maxBacklogBytes / len(frame) {
@@ -105,9 +105,9 @@
 	must.Eq(t, 0, pending.bytes)
 }
 
-// A request that finds the process frozen waits for the thaw, but no longer than it may.
+// A request that arrives while the process is frozen waits for the thaw, but not beyond its timeout.
 func TestAwaitThawTimesOutWhenLoopIsBlocked(t *testing.T) {
-	p := start(t, settings.Settings{Mesh: free(t), FleetSecret: "s"})
+	p := start(t, settings.Settings{Mesh: freeAddr(t), FleetSecret: "s"})
 	blockLoop(t, p)
 	p.lastRun.Store(p.Now() - 2*FreezeGap)
 	must.True(t, returnsInTime(func() { p.AwaitThaw(50 * time.Millisecond) }))
