--- a/control/replica/change_plans.go
+++ b/control/replica/change_plans.go
@@ -26,8 +26,8 @@
 	return &memberChange{reason: reason, removed: removed, voters: voters, learners: []wire.Replica{learner}}
 }
 
-// candidates are the standbys that can be learners now.
-func (g *Group) candidates(ctx *kernel.Context) []wire.Replica {
+// learnerCandidates are the standbys that can be learners now.
+func (g *Group) learnerCandidates(ctx *kernel.Context) []wire.Replica {
 	return slices.DeleteFunc(g.host.standbys(ctx.Now), func(r wire.Replica) bool { return !g.canLearn(ctx, r.ID) })
 }
 
@@ -56,7 +56,7 @@
 		if voter.ID == g.self() || !g.isLeaving(ctx, voter.ID) {
 			continue
 		}
-		standby, ok := leastUsedZone(g.candidates(ctx), g.committed.Voters, voter.ID)
+		standby, ok := leastUsedZone(g.learnerCandidates(ctx), g.committed.Voters, voter.ID)
 		if !ok {
 			return nil
 		}
@@ -79,7 +79,7 @@
 		if !g.isUnresponsive(ctx, voter.ID) {
 			continue
 		}
-		if standby, ok := leastUsedZone(g.candidates(ctx), g.committed.Voters, voter.ID); ok {
+		if standby, ok := leastUsedZone(g.learnerCandidates(ctx), g.committed.Voters, voter.ID); ok {
 			return g.substitute(reasonUnresponsive, voter.ID, standby)
 		}
 	}
@@ -92,7 +92,7 @@
 		return nil
 	}
 	change := &memberChange{reason: reasonTooFew, voters: slices.Clone(g.committed.Voters)}
-	candidates := g.candidates(ctx)
+	candidates := g.learnerCandidates(ctx)
 	for range 2 {
 		standby, ok := leastUsedZone(candidates, change.voters, "")
 		if !ok {
@@ -112,7 +112,7 @@
 	if !crowded || ctx.Now-g.leaderSince < RebalanceAfter {
 		return nil
 	}
-	candidates := g.candidates(ctx)
+	candidates := g.learnerCandidates(ctx)
 	for _, voter := range voters {
 		standby, ok := leastUsedZone(candidates, voters, voter.ID)
 		if ok && voter.ID != g.self() && countInZone(voters, voter.Zone, voter.ID) > countInZone(voters, standby.Zone, voter.ID) {
--- a/control/replica/group.go
+++ b/control/replica/group.go
@@ -86,8 +86,8 @@
 	wallOffsets      map[string]clock.Micros
 
 	leaderSince clock.Micros
-	// clockworkAt is when a leader looked last whether something is due by the time of day.
-	clockworkAt clock.Micros
+	// clockCheckedAt is when a leader looked last whether something is due by the time of day.
+	clockCheckedAt clock.Micros
 	// ready is set once a leader has committed a version in its own term: only then it serves.
 	ready bool
 	// transferring is set while a leader hands its leadership on, and takes no edits.
--- a/control/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// checkRevisionRises checks that a committed configuration has no older routing table than the one before it.
-func (g *Group) checkRevisionRises(ctx *kernel.Context, before, after wire.Versioned) {
+// checkRevisionIncreases checks that a committed configuration has no older routing table than the one before it.
+func (g *Group) checkRevisionIncreases(ctx *kernel.Context, before, after wire.Versioned) {
 	if g.partition != state.ConfigPartition || bytes.Equal(before.Body, after.Body) {
 		return
 	}
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -78,7 +78,7 @@
 	g.queue = nil
 	value, edited := g.applyBatch(ctx, batch, next)
 	changed := votersChanged || edited
-	if len(batch) == 0 && !changed && ctx.Now-g.clockworkAt < ClockInterval {
+	if len(batch) == 0 && !changed && ctx.Now-g.clockCheckedAt < ClockInterval {
 		return
 	}
 	if body, due := g.applyClock(ctx, value.Body, next); due {
@@ -128,7 +128,7 @@
 // applyClock gives the body after what is due by the time of day, if something is and a majority agrees on
 // the time.
 func (g *Group) applyClock(ctx *kernel.Context, body []byte, next wire.Version) (after []byte, due bool) {
-	g.clockworkAt = ctx.Now
+	g.clockCheckedAt = ctx.Now
 	wall, known := g.agreedTime(ctx)
 	if !known {
 		ctx.Counts.Add("part_clocks_disagree", 1)
--- a/control/replica/replication.go
+++ b/control/replica/replication.go
@@ -125,7 +125,7 @@
 		return
 	}
 	before := g.committed
-	g.checkRevisionRises(ctx, before, v)
+	g.checkRevisionIncreases(ctx, before, v)
 	g.committed = v
 	if g.role == leader {
 		g.endChange(ctx, before, v)
