--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -11,59 +11,67 @@
 	"wallport/runtime/wire"
 )
 
-// Bootstrap forms the groups of a fleet on empty disks. One replica proposes the voters, all of which must
-// consent. A replica syncs its consent, to one proposal at a time. Only the proposer may complete a proposal, or
-// withdraw it and so free the others, and it syncs either before it tells anyone. So no replica is in two
-// proposals that could both be complete. Nobody proposes while any process that it reaches knows of a fleet.
+// Bootstrap forms the groups of a new fleet on empty disks. One replica proposes the voters, and all of them must
+// consent. A replica consents to one proposal at a time and syncs its consent before it replies. Only the proposer
+// may complete a proposal, or withdraw it and thereby release the other voters, and it syncs either decision before
+// it sends it. Hence no replica is part of two proposals that could both be completed. A replica does not propose
+// while any process that it reaches knows of a formed fleet.
 
 const (
-	// BootstrapAfter is how long an empty core listens before it proposes: processes that know of a fleet
-	// dial a seed that did not answer once in two seconds (mesh.MaxSeedBackoff, looked at on each heartbeat).
+	// BootstrapAfter is how long a core with an empty disk waits before it proposes a bootstrap. Processes of an
+	// existing fleet redial a seed that did not answer once in two seconds (mesh.MaxSeedBackoff, checked at each
+	// heartbeat), so the core learns of such a fleet within this time.
 	BootstrapAfter = 4 * clock.Second
-	// ProposeInterval is how often a proposal is repeated.
+	// ProposeInterval is the time between two transmissions of a proposal.
 	ProposeInterval = 200 * clock.Millisecond
-	// WithdrawAfter is how long a proposal may lack a consent before it is withdrawn.
+	// WithdrawAfter is how long a proposer waits for the consent of all voters before it withdraws the proposal.
 	WithdrawAfter = 2500 * clock.Millisecond
 )
 
-// Bounds of the bootstrap on a platform that says that all disks are empty, from the start of the process.
+// Time limits of the bootstrap on a platform that states that all disks are empty, counted from the start of the
+// process.
 const (
-	// SeedTimeout is how long every seed is waited for, and a choice of voters that survives the loss of a zone.
+	// SeedTimeout is how long the proposer waits to hear from every seed, and for cores in enough zones that the
+	// voters survive the loss of one zone.
 	SeedTimeout = 1500 * clock.Millisecond
-	// SmallerGroupAfter is when a smaller group is formed, because there are no more cores.
+	// SmallerGroupAfter is when a group with fewer voters than wanted is proposed, if every seed was heard but there
+	// are not enough cores.
 	SmallerGroupAfter = 3 * clock.Second
-	// SmallestGroupAfter is when that is done although a seed was never heard.
+	// SmallestGroupAfter is when such a smaller group is proposed even if some seed was never heard.
 	SmallestGroupAfter = 6 * clock.Second
-	// smallestGroup is the size of such a group at least: a core alone may just not reach the others.
+	// smallestGroup is the minimum size of a group that is proposed without hearing every seed: a single core may
+	// merely be unable to reach the others.
 	smallestGroup = 3
-	// maxSeeds is how many seeds a platform names to a core at most.
+	// maxSeeds is the maximum number of seeds that a platform passes to a core.
 	maxSeeds = 3
 )
 
-// bootstrapping is a core's state in the bootstrap of its fleet.
+// bootstrapping is the state of a core during the bootstrap of its fleet.
 type bootstrapping struct {
-	// bootstrapped is set once the fleet is known to be formed, with this replica or without it.
+	// bootstrapped is set once this core knows that the fleet is formed, whether or not this replica is one of its
+	// voters.
 	bootstrapped bool
-	// bootstrap is the proposal that this disk consents to; consentSynced is set once that is on the disk.
+	// bootstrap is the proposal that this replica consents to; consentSynced is set once the consent is synced.
 	bootstrap     wire.Bootstrap
 	consentSynced bool
-	// Of this replica's own proposal: who has consented, when it was planned and sent last, and whether its
-	// completion is being written.
+	// The state of this replica's own proposal: which replicas have consented, when it was planned, when it was last
+	// sent, and whether the write that completes it is in progress.
 	consents           map[string]bool
 	bootstrapPlannedAt clock.Micros
 	bootstrapSentAt    clock.Micros
 	completing         bool
-	// refusers are the replicas that may not consent: their disks were empty when the others' were not.
+	// refusers are the replicas that must not consent, because their disks are empty in a fleet that was formed
+	// before. Proposals leave them out.
 	refusers map[string]bool
 }
 
-// bootstrapTick looks for a fleet to join, and else proposes a bootstrap or repeats the proposal.
+// bootstrapTick joins a formed fleet if one is known; otherwise it proposes a bootstrap or repeats the proposal.
 func (h *Host) bootstrapTick(ctx *kernel.Context) {
 	if h.replicaID == "" || h.diskProblem != diskHealthy || h.stopping {
 		return
 	}
-	// A node that still has a version in force knows of a fleet as well: a group whose disks are lost is
-	// rebuilt by an operator's command or not at all.
+	// A process that holds a committed version also knows of a formed fleet. A group whose disks are lost is rebuilt
+	// only by an operator's command, never by a new bootstrap.
 	for partition := range Partitions {
 		if v, ok := h.mesh.Partition(partition); ok && v.Version.Term > 0 {
 			h.joinFleet(ctx)
@@ -72,8 +80,8 @@
 	}
 	settings := &h.kernel.Boot.Settings
 	if slices.ContainsFunc(h.liveCores(ctx.Now), isBootstrapped) {
-		// While a platform has its fleet formed, the replicas learn of the completion one by one. Who is not
-		// among the voters becomes a standby once there is a version.
+		// While a platform bootstraps its fleet, each replica learns of the completion on its own, so this core waits.
+		// A replica that is not among the voters becomes a standby once there is a version.
 		if !settings.BootstrapKnown {
 			h.joinFleet(ctx)
 		}
@@ -93,11 +101,11 @@
 	}
 }
 
-// isBootstrapped reports whether a core knows a formed fleet.
+// isBootstrapped reports whether a core knows of a formed fleet.
 func isBootstrapped(core membership.Member) bool { return core.Bootstrapped }
 
-// joinFleet makes this core a standby of the fleet that it found. Where that is the one to whose bootstrap it
-// consented, the leaders bring it the versions.
+// joinFleet makes this core a standby of the formed fleet that it found. If this replica is a voter of that fleet's
+// bootstrap, the leaders send it the versions.
 func (h *Host) joinFleet(ctx *kernel.Context) {
 	if h.bootstrapped {
 		return
@@ -107,7 +115,7 @@
 	ctx.Log(kernel.LevelInfo, "joined_as_standby", "replica", h.replicaID)
 }
 
-// planBootstrap proposes a bootstrap, if this core is the one to do so and enough others are known.
+// planBootstrap proposes a bootstrap if this core is the proposer and enough other cores are known.
 func (h *Host) planBootstrap(ctx *kernel.Context) {
 	cores := h.standbys(ctx.Now)
 	cores = slices.DeleteFunc(cores, func(c wire.Replica) bool { return h.refusers[c.ID] })
@@ -127,8 +135,8 @@
 	})
 }
 
-// chooseBootstrapVoters gives the voters that this core should propose now, if any, among the given cores in
-// the order of their identities.
+// chooseBootstrapVoters returns the voters that this core should propose now. ok is false if it should not propose.
+// The cores must be sorted by identity.
 func (h *Host) chooseBootstrapVoters(ctx *kernel.Context, cores []wire.Replica) (voters []wire.Replica, ok bool) {
 	settings, wanted := &h.kernel.Boot.Settings, h.wantedVoters()
 	if !settings.BootstrapKnown {
@@ -143,15 +151,16 @@
 		voters := PickVoters(cores, wanted)
 		return voters, sinceStart >= SeedTimeout || survivesZoneLoss(voters, settings.Tolerance.Zones)
 	}
-	fewer := (len(cores) - 1) | 1 // the greatest odd number that there is
+	fewer := (len(cores) - 1) | 1 // the largest odd number of cores that are available
 	if sinceStart >= SmallerGroupAfter && everySeedHeard || sinceStart >= SmallestGroupAfter && fewer >= smallestGroup {
 		return PickVoters(cores, min(fewer, wanted)), true
 	}
 	return nil, false
 }
 
-// proposer is the replica at the least seed address. When a fleet starts all cores are given the same seeds,
-// but each without itself: a core that is given fewer than there can be is a seed.
+// proposer returns the identity of the replica with the lowest seed address. At the start of a fleet the platform
+// passes the same seeds to all cores, but leaves out each core's own address: a core that receives fewer than
+// maxSeeds is therefore a seed itself.
 func (h *Host) proposer(cores []wire.Replica) string {
 	seeds := h.kernel.Boot.Settings.Seeds
 	if len(seeds) < maxSeeds {
@@ -167,7 +176,7 @@
 	return best.ID
 }
 
-// saveConsent syncs that this disk consents to a bootstrap; an empty one withdraws the consent.
+// saveConsent syncs the consent of this replica to a proposal; an empty proposal withdraws the consent.
 func (h *Host) saveConsent(ctx *kernel.Context, proposal wire.Bootstrap, done func(ctx *kernel.Context, ok bool)) {
 	h.bootstrap, h.consents, h.consentSynced = proposal, map[string]bool{}, false
 	h.save(ctx, fileBootstrap, wire.Encode(&proposal), func(ctx *kernel.Context, err string) {
@@ -181,7 +190,7 @@
 	})
 }
 
-// proposeBootstrap sends this replica's proposal to its voters; its own consent is synced already.
+// proposeBootstrap sends this replica's proposal to its voters. Its own consent is already synced.
 func (h *Host) proposeBootstrap(ctx *kernel.Context) {
 	h.bootstrapSentAt = ctx.Now
 	for _, voter := range h.bootstrap.Voters {
@@ -193,8 +202,8 @@
 	}
 }
 
-// withdrawBootstrap gives up this replica's own proposal, for another one or for none. The withdrawal is synced
-// before anyone is told: who has consented is free only once the proposal can't be completed any more.
+// withdrawBootstrap withdraws this replica's own proposal. The withdrawal is synced before it is sent: the voters
+// that consented may consent to another proposal only once this one can no longer be completed.
 func (h *Host) withdrawBootstrap(ctx *kernel.Context) {
 	was := h.bootstrap
 	ctx.Log(kernel.LevelWarn, "bootstrap_withdrawn", "bootstrap", was.BootstrapID)
@@ -207,7 +216,7 @@
 	})
 }
 
-// sendToOtherVoters sends a proposal's completion or withdrawal to its other voters.
+// sendToOtherVoters sends the completion or the withdrawal of a proposal to its other voters.
 func (h *Host) sendToOtherVoters(ctx *kernel.Context, proposal *wire.Bootstrap) {
 	for _, voter := range proposal.Voters {
 		if voter.ID != h.replicaID {
@@ -216,7 +225,7 @@
 	}
 }
 
-// handleBootstrap takes another replica's proposal, its completion or its withdrawal.
+// handleBootstrap handles another replica's proposal, its completion or its withdrawal.
 func (h *Host) handleBootstrap(ctx *kernel.Context, conn uint64, proposal wire.Bootstrap) {
 	reply := func(ctx *kernel.Context, r wire.BootstrapReply) {
 		r.BootstrapID, r.From = proposal.BootstrapID, h.replicaID
@@ -241,7 +250,8 @@
 			reply(ctx, wire.BootstrapReply{OK: true})
 		}
 	case mine.BootstrapID != "" && mine.Proposer.ID == h.replicaID && proposal.Proposer.ID < h.replicaID && !h.completing:
-		// Of two proposals that of the lesser replica goes on; that replica asks again soon.
+		// Of two competing proposals the one from the replica with the lower identity is kept. That replica sends it
+		// again after ProposeInterval.
 		h.withdrawBootstrap(ctx)
 	case mine.BootstrapID != "":
 		reply(ctx, wire.BootstrapReply{Proposer: mine.Proposer})
@@ -252,7 +262,7 @@
 	}
 }
 
-// handleBootstrapReply takes a reply to this replica's own proposal.
+// handleBootstrapReply handles a reply to this replica's own proposal.
 func (h *Host) handleBootstrapReply(ctx *kernel.Context, reply wire.BootstrapReply) {
 	mine := h.bootstrap
 	if h.bootstrapped || mine.BootstrapID == "" || reply.BootstrapID != mine.BootstrapID || mine.Proposer.ID != h.replicaID || h.completing {
@@ -276,8 +286,8 @@
 	}
 }
 
-// completeBootstrap makes a consenting replica a voter, once that is synced. The proposer then tells the others,
-// who may have nobody else to tell them.
+// completeBootstrap marks the bootstrap as complete and, once that is synced, makes this replica a voter. The
+// proposer then sends the completion to the other voters, which may have no other way to learn of it.
 func (h *Host) completeBootstrap(ctx *kernel.Context) {
 	completed := h.bootstrap
 	if completed.Commit || h.completing {
@@ -299,7 +309,7 @@
 	})
 }
 
-// adoptBootstrapVoters gives every group that has no voters yet those of the bootstrap.
+// adoptBootstrapVoters sets the voters of the bootstrap in every group that has no voters yet.
 func (h *Host) adoptBootstrapVoters() {
 	for _, g := range h.groups {
 		if len(g.accepted.Voters) == 0 {
--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// CatchUpInterval is how often a voter that lacks the newest committed version is sent it.
+	// CatchUpInterval is the minimum time between two transmissions of the newest committed version to a voter that
+	// lacks it.
 	CatchUpInterval = 600 * clock.Millisecond
-	// LargeResendInterval is how often a large version is sent again. The transport repeats lost pieces by
-	// itself, and does not take a second time what it still has under way.
+	// LargeResendInterval is the time after which a large version is sent again. The transport retransmits lost chunks
+	// by itself, and does not accept a second copy of a message that is still in transit.
 	LargeResendInterval = 2 * clock.Second
-	// SlowestTransfer is the rate, in bytes a second, at which a version is expected to travel at least.
+	// SlowestTransfer is the lowest expected transfer rate of a version, in bytes per second.
 	SlowestTransfer = 100_000
 )
 
-// isLarge reports whether a body of so many bytes travels in pieces.
+// isLarge reports whether a body of this size, in bytes, is transferred in chunks.
 func isLarge(size int) bool { return size > wire.MaxSingleFrame }
 
-// versionSize is the size of a version in bytes, without its envelope.
+// versionSize returns the size of a version in bytes, without its envelope.
 func versionSize(v wire.Versioned) int { return len(v.Body) + len(v.EditLog) }
 
-// transferTime is how long a version may be on its way for its size.
+// transferTime returns the time allowed for the transfer of a version of this size, in bytes, at SlowestTransfer.
 func transferTime(size int) clock.Micros { return int64(size) * clock.Second / SlowestTransfer }
 
-// resendInterval is how often a version that was not acknowledged is sent again.
+// resendInterval returns the time after which an unacknowledged version of this size is sent again.
 func resendInterval(size int) clock.Micros {
 	if isLarge(size) {
 		return LargeResendInterval
@@ -34,8 +35,8 @@
 	return 2 * HeartbeatInterval
 }
 
-// catchUp sends the newest committed version to a voter whose heartbeat reply shows that it lacks it. While
-// the proposal is under way to the voter, a large version isn't sent as well.
+// catchUp sends the newest committed version to a voter whose heartbeat reply shows an older one. A large committed
+// version is not sent while a proposal is in flight, since the proposal supersedes it.
 func (g *Group) catchUp(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	size := versionSize(g.committed)
 	underWay := g.proposal != nil && (reply.Stored == g.proposal.Version || isLarge(size))
--- a/control/replica/change_plans.go
+++ b/control/replica/change_plans.go
@@ -8,14 +8,13 @@
 	"wallport/runtime/wire"
 )
 
-// The reasons to change a group's membership, in the order in which they are looked for: a voter lost its disk,
-// leaves, or does not respond; the group has too few voters; or the voters should be spread better over the
-// zones.
+// The reasons to change a group's membership, in the order in which they are checked: a voter has lost its disk, is
+// leaving, or does not respond; the group has too few voters; or the voters could be spread better over the zones.
 
-// ReplaceAfter is how long a voter must not respond before a standby takes its place.
+// ReplaceAfter is how long a voter must be unresponsive before a standby replaces it.
 const ReplaceAfter = 2 * clock.Second
 
-// substitute is the change that replaces a voter by a learner.
+// substitute returns the change that replaces a voter by a learner.
 func (g *Group) substitute(reason changeReason, removed string, learner wire.Replica) *memberChange {
 	voters := slices.Clone(g.committed.Voters)
 	for i := range voters {
@@ -26,18 +25,19 @@
 	return &memberChange{reason: reason, removed: removed, voters: voters, learners: []wire.Replica{learner}}
 }
 
-// learnerCandidates are the standbys that can be learners now.
+// learnerCandidates returns the standbys that may become learners now.
 func (g *Group) learnerCandidates(ctx *kernel.Context) []wire.Replica {
 	return slices.DeleteFunc(g.host.standbys(ctx.Now), func(r wire.Replica) bool { return !g.canLearn(ctx, r.ID) })
 }
 
-// canLearn reports whether a replica neither leaves nor failed as a learner lately.
+// canLearn reports whether a replica may become a learner: it is not leaving, and has not failed as a learner within
+// LearnerRetryAfter.
 func (g *Group) canLearn(ctx *kernel.Context, id string) bool {
 	failedAt, failed := g.learnerFailedAt[id]
 	return !g.isLeaving(ctx, id) && !(failed && ctx.Now-failedAt < LearnerRetryAfter)
 }
 
-// replaceLostDisk replaces a voter whose disk is lost by the replica that is at its address now.
+// replaceLostDisk replaces a voter whose disk is lost by the replica that now runs at its address.
 func (g *Group) replaceLostDisk(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
 		successor, ok := g.successors[voter.ID]
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// replaceLeaving replaces a voter that stops by a standby, unless the loss of one zone would then take a majority
-// that it does not take now.
+// replaceLeaving replaces a leaving voter by a standby, unless the group survives the loss of any one zone now and
+// would not survive it after the change.
 func (g *Group) replaceLeaving(ctx *kernel.Context) *memberChange {
 	zones := g.host.kernel.Boot.Settings.Tolerance.Zones
 	for _, voter := range g.committed.Voters {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// isUnresponsive reports whether a voter was not heard for ReplaceAfter.
+// isUnresponsive reports whether nothing was received from a voter for ReplaceAfter.
 func (g *Group) isUnresponsive(ctx *kernel.Context, id string) bool {
 	return id != g.self() && ctx.Now-g.heardAt[id] >= ReplaceAfter
 }
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// addVoters adds two voters to a group that has too few: one more would not let it survive more losses.
+// addVoters adds two voters to a group that has too few. A single additional voter would make the number of voters
+// even and tolerate no more failures.
 func (g *Group) addVoters(ctx *kernel.Context) *memberChange {
 	if len(g.committed.Voters)+2 > g.host.wantedVoters() || ctx.Now-g.leaderSince < RebalanceAfter {
 		return nil
@@ -104,8 +105,8 @@
 	return change
 }
 
-// rebalance replaces a voter of a zone that has two more of them than another zone with a standby, so that
-// the loss of one zone takes no majority.
+// rebalance replaces a voter in a zone that has at least two voters more than another zone by a standby of the
+// latter, so that the loss of one zone does not take a majority.
 func (g *Group) rebalance(ctx *kernel.Context) *memberChange {
 	voters := g.committed.Voters
 	crowded := slices.ContainsFunc(voters, func(r wire.Replica) bool { return countInZone(voters, r.Zone, "") > 1 })
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -10,16 +10,20 @@
 	"wallport/runtime/wire"
 )
 
-// Contact with a majority decides what may be said. A leader's replies, its leases, and what a core calls
-// confirmed in its answers to pulls all rest on heartbeat rounds that a majority has answered, counted from
-// when the round was sent. A leader passes its contact on to the followers, on their own clocks.
+// Contact with a majority decides what a replica may answer. A leader's replies, its leases, and the confirmations in
+// a core's replies to pulls all rest on heartbeat rounds that a majority has answered, and their age counts from when
+// the round was sent. A leader passes the proof of its contact on to each follower, expressed in that follower's
+// clock.
 
 const (
-	// ContactFor is how long after its sending a confirmed round stands for contact with a majority.
+	// ContactFor is how long a confirmed heartbeat round proves contact with a majority, counted from when it was
+	// sent.
 	ContactFor = 1 * clock.Second
-	// RelayedContactFor is how long after its pull a core passes on the contact of the core that answered.
+	// RelayedContactFor is how long a core relays the contact of another core that answered its pull, counted from
+	// when the pull was sent.
 	RelayedContactFor = 2 * clock.Second
-	// clockOrigins is the range from which the origin of the clock is drawn that leaders are told.
+	// clockOrigins is the size of the range from which the random origin of the clock that is sent to leaders is
+	// drawn.
 	clockOrigins = 1 << 60
 )
 
@@ -29,33 +33,33 @@
 	sentAt clock.Micros
 }
 
-// contact is what a replica knows of its group's contact with a majority.
+// contact is what a replica knows about its group's contact with a majority.
 type contact struct {
-	// openRounds are a leader's rounds that no majority has answered, oldest first; confirmedAt is when the
-	// newest round was sent that one has answered.
+	// openRounds are a leader's rounds that no majority has answered yet, oldest first. confirmedAt is when the newest
+	// round that a majority has answered was sent.
 	openRounds  []sentRound
 	confirmedAt clock.Micros
-	// offsets are the differences between each voter's clock and the leader's, at most: a reply that was
-	// delayed makes one smaller, which makes the proof older.
+	// offsets are upper bounds of the difference between each voter's clock and the leader's. A delayed reply makes
+	// the recorded offset smaller, which only makes the proof appear older.
 	offsets map[string]clock.Micros
-	// provenAt is, at a follower and by its own clock, a moment not later than the sending of a round that a
-	// majority answered; committed is the version that the leader had committed by then.
+	// provenAt is set on a follower, in its own clock: a time not later than the sending of a heartbeat round that a
+	// majority answered. committed is the version that the leader had committed by then.
 	provenAt  clock.Micros
 	committed wire.Version
 }
 
-// reset begins a leader's term, in which nothing is confirmed yet.
+// reset clears the state at the start of a leader's term, in which no round is confirmed yet.
 func (c *contact) reset() {
 	c.openRounds, c.confirmedAt, c.offsets = nil, 0, map[string]clock.Micros{}
 }
 
-// recordRound records a round, and forgets those that are too old to prove anything.
+// recordRound records a heartbeat round that was sent, and discards rounds that are too old to prove contact.
 func (c *contact) recordRound(number uint64, now clock.Micros) {
 	c.openRounds = slices.DeleteFunc(c.openRounds, func(r sentRound) bool { return now-r.sentAt > ContactFor })
 	c.openRounds = append(c.openRounds, sentRound{number, now})
 }
 
-// recordClock records a voter's clock as its heartbeat reply shows it.
+// recordClock records a voter's clock from its heartbeat reply.
 func (c *contact) recordClock(reply wire.LeaderHeartbeatReply, now clock.Micros) {
 	if reply.Clock > 0 {
 		c.offsets[reply.From] = reply.Clock - now
@@ -67,7 +71,7 @@
 	return c.confirmedAt > 0 && now-c.confirmedAt <= span
 }
 
-// proofFor is the proof of contact for a voter, on that voter's clock; 0 proves nothing.
+// proofFor returns the proof of contact for a voter, as a time in that voter's clock; 0 proves nothing.
 func (c *contact) proofFor(id string) clock.Micros {
 	offset, known := c.offsets[id]
 	if !known || c.confirmedAt == 0 {
@@ -76,8 +80,8 @@
 	return max(0, c.confirmedAt+offset)
 }
 
-// recordProof takes the proof of contact out of a leader's heartbeat. One on another clock, that of an earlier
-// incarnation of this process, lies outside of the time since the start and proves nothing.
+// recordProof records the proof of contact from a leader's heartbeat. A proof for an earlier incarnation of this
+// process is in that incarnation's clock: it lies outside the time since the start of this process and is ignored.
 func (c *contact) recordProof(at, now clock.Micros, committed wire.Version) {
 	if at <= 0 || at > now {
 		return
@@ -88,7 +92,7 @@
 	}
 }
 
-// confirmRounds records which of a leader's rounds a majority has answered.
+// confirmRounds updates confirmedAt from the rounds that a majority has answered.
 func (g *Group) confirmRounds() {
 	c := &g.contact
 	for len(c.openRounds) > 0 && g.isConfirmed(c.openRounds[0].number) {
@@ -97,13 +101,13 @@
 	}
 }
 
-// isConfirmed reports whether a majority has answered a heartbeat round of this term, or a later one.
+// isConfirmed reports whether a majority has answered this heartbeat round or a later one of the same term.
 func (g *Group) isConfirmed(round uint64) bool {
 	return quorum(g.newestVersion(), func(id string) bool { return id == g.self() || g.confirmedRounds[id] >= round })
 }
 
-// inContact reports whether a version that is handed out contains all that was acknowledged until shortly
-// before, as far as this replica's own contact with a majority proves it.
+// inContact reports whether this replica's own contact with a majority proves that a version contains everything
+// that was acknowledged up to ContactFor ago.
 func (g *Group) inContact(now clock.Micros, version wire.Version) bool {
 	if g.role == leader {
 		return g.ready && g.contact.confirmedWithin(now, ContactFor)
@@ -112,10 +116,11 @@
 	return proven && !mesh.Newer(g.contact.committed, version)
 }
 
-// partitionBit is a partition's bit in the masks of a pull's reply.
+// partitionBit returns the bit of a partition in the masks of a pull reply.
 func partitionBit(partition int) uint32 { return 1 << uint(partition) }
 
-// reportContact tells the process that pulls whether the version that it has after the reply is confirmed.
+// reportContact sets the partition's bits in a pull reply if the version that the pulling process has after this
+// reply is confirmed by contact, direct or relayed.
 func (g *Group) reportContact(now clock.Micros, version wire.Version, reply *wire.PullReply) {
 	if g.inContact(now, version) {
 		reply.ContactMask |= partitionBit(g.partition)
@@ -125,7 +130,7 @@
 	}
 }
 
-// relayContact records the contact of another core that has answered a pull of this one.
+// relayContact records the contact reported by another core in its reply to this core's pull.
 func (h *Host) relayContact(v configsync.Pulled) {
 	for _, g := range h.groups {
 		if v.Contact&partitionBit(g.partition) != 0 {
@@ -134,11 +139,11 @@
 	}
 }
 
-// clock is this process's monotonic clock as leaders are told it. Its origin is drawn anew at each start, so
-// that a proof for an earlier incarnation proves nothing to this one.
+// clock returns this process's monotonic clock as it is sent to leaders. Its origin is random for each start, so that
+// a proof for an earlier incarnation proves nothing to this one.
 func (h *Host) clock(now clock.Micros) clock.Micros { return h.clockOrigin + now }
 
-// watchContact logs and counts when a leader loses its contact with a majority.
+// watchContact logs and counts the loss of a leader's contact with a majority.
 func (g *Group) watchContact(ctx *kernel.Context) {
 	since := ctx.Now - max(g.leaderSince, g.contact.confirmedAt)
 	lost := g.ready && since > ContactFor
--- a/control/replica/cores.go
+++ b/control/replica/cores.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// liveCoresInterval is how long a list of the live cores is used before it is looked up again.
+	// liveCoresInterval is how long a cached list of the live cores is used.
 	liveCoresInterval = 100 * clock.Millisecond
-	// pullerTimeout is how long a core counts as reachable after a pull.
+	// pullerTimeout is how long a core counts as reachable after its last pull.
 	pullerTimeout = 1500 * clock.Millisecond
-	// maxPullers bounds the cores that are remembered by their pulls.
+	// maxPullers is the maximum number of cores whose pulls are remembered.
 	maxPullers = 64
 )
 
-// puller is a core that pulled here, which shows that it is reachable without the mesh. The identity of its
-// replica is empty while its disk could not take a partition.
+// puller is a core that recently pulled from this one, which shows that it is reachable even if the mesh does not
+// show it. The replica identity is empty while that core's disk is not able to store a partition.
 type puller struct {
 	replica  wire.Replica
 	pulledAt clock.Micros
 }
 
-// liveCores lists the cores that the mesh shows as live.
+// liveCores returns the cores that the mesh shows as live.
 func (h *Host) liveCores(now clock.Micros) []membership.Member {
 	if h.cachedCoresAt == 0 || now-h.cachedCoresAt >= liveCoresInterval {
 		h.cachedCoresAt, h.cachedCores = now, h.members.Live(now, "core")
@@ -31,7 +31,7 @@
 	return h.cachedCores
 }
 
-// liveCore is the live core that has a replica's disk.
+// liveCore returns the live core that has the disk of a replica.
 func (h *Host) liveCore(id string, now clock.Micros) (membership.Member, bool) {
 	for _, core := range h.liveCores(now) {
 		if core.Replica == id && id != "" {
@@ -41,7 +41,7 @@
 	return membership.Member{}, false
 }
 
-// recordPuller remembers a core that pulls.
+// recordPuller records a core that pulls from this one.
 func (h *Host) recordPuller(ctx *kernel.Context, request wire.Pull) {
 	if request.Addr == "" || request.Addr == h.kernel.Boot.Settings.Mesh {
 		return
@@ -59,8 +59,8 @@
 	h.pullers[request.Addr] = puller{replica: wire.Replica{ID: request.Replica, Zone: request.Zone, Addr: request.Addr}, pulledAt: ctx.Now}
 }
 
-// standbys lists the replicas that could become voters: those of the live cores with a healthy disk, this
-// one included.
+// standbys returns the replicas that could become voters: those of the live cores with a healthy disk, including this
+// one.
 func (h *Host) standbys(now clock.Micros) []wire.Replica {
 	var replicas []wire.Replica
 	if h.replicaID != "" && h.diskProblem == diskHealthy && !h.stopping {
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, core := range h.liveCores(now) {
-		// What a core said itself in its pull is newer than what the mesh shows of it.
+		// The state in a core's own pull is newer than the state in the mesh.
 		if core.Replica != "" && core.UnhealthyReason == "" && !core.Draining && !known[core.Addr] {
 			replicas = append(replicas, wire.Replica{ID: core.Replica, Zone: core.Zone, Addr: core.Addr})
 		}
@@ -84,7 +84,7 @@
 	return replicas
 }
 
-// reaches reports whether a core at an address, with a disk or without, has been heard of.
+// reaches reports whether the core at an address, with or without a disk, is known to be live or has pulled recently.
 func (h *Host) reaches(addr string, now clock.Micros) bool {
 	if p, ok := h.pullers[addr]; addr == h.kernel.Boot.Settings.Mesh || ok && now-p.pulledAt < pullerTimeout {
 		return true
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// ElectionTimeout is how long the first of the voters does without a leader before it stands for leader.
-	// Each further one waits ElectionStagger longer, so that two seldom stand at the same time, and all of
-	// them up to ElectionJitter longer by chance.
+	// ElectionTimeout is how long the first-ranked voter waits for a leader before it starts an election. Each further
+	// rank waits ElectionStagger longer, so that two voters rarely start one at the same time, and every voter adds a
+	// random time of up to ElectionJitter.
 	ElectionTimeout = 500 * clock.Millisecond
 	ElectionStagger = 150 * clock.Millisecond
 	ElectionJitter  = 60 * clock.Millisecond
-	// ElectionTimeoutAtStart takes the place of ElectionTimeout during the StartPeriod of a process on a platform.
+	// ElectionTimeoutAtStart replaces ElectionTimeout during the StartPeriod of a process on a platform.
 	ElectionTimeoutAtStart = 60 * clock.Millisecond
 	StartPeriod            = 3 * clock.Second
-	// ListenBeforeElection is how long a process that just started listens before it stands: by then it has
-	// heard of a group that an operator rebuilt without it. Where a platform runs the fleet nobody rebuilds
-	// a group, and ListenOnPlatform is enough.
+	// ListenBeforeElection is how long a process that has just started waits before it starts an election: by then it
+	// has learned of a group that an operator rebuilt without it. On a platform, where groups are not rebuilt,
+	// ListenOnPlatform is sufficient.
 	ListenBeforeElection = 1500 * clock.Millisecond
 	ListenOnPlatform     = 200 * clock.Millisecond
 )
 
-// electionTick stands for leader when no leader was heard for the time-out.
+// electionTick starts an election when no leader was heard within the election timeout.
 func (g *Group) electionTick(ctx *kernel.Context) {
 	if g.electionAt == 0 {
 		g.scheduleElection(ctx)
 	}
 	at := g.electionAt
 	if g.host.diskProblem != diskHealthy {
-		// A healthy replica goes first; where there is none, a slow leader is better than none.
+		// Replicas with a healthy disk start elections first. If there is none, a leader with a slow disk is better
+		// than no leader.
 		at += 2 * ElectionTimeout
 	}
 	if ctx.Now >= at && ctx.Now-g.host.startedAt >= g.host.listenPeriod() {
@@ -42,8 +43,8 @@
 	}
 }
 
-// scheduleElection sets when this replica stands for leader. The voters take turns in the order of their
-// identities, and each partition begins with another voter, so that the leaders are spread over the cores.
+// scheduleElection sets when this replica starts an election. The voters are ranked by identity, and each partition
+// starts the ranking at a different voter, so that the leaders are spread over the cores.
 func (g *Group) scheduleElection(ctx *kernel.Context) {
 	rank, timeout := int64(0), ElectionTimeout
 	if g.justStarted(ctx) {
@@ -57,7 +58,7 @@
 			g.electionAt = ctx.Now + timeout + rank*ElectionStagger + ctx.Rand.Int64N(ElectionJitter)
 			return
 		case g.leader:
-			// The leader that was lost needs no turn.
+			// The lost leader takes no rank.
 		default:
 			rank++
 		}
@@ -65,14 +66,14 @@
 	g.electionAt = ctx.Now + ElectionTimeout + ctx.Rand.Int64N(ElectionTimeout)
 }
 
-// justStarted reports whether this process has just started on a platform and has heard no leader yet. After
-// a loss of all processes there is no leader to wait for; where there is one, the voters that hear it deny
-// the pre-vote, which binds nobody.
+// justStarted reports whether this process has just started on a platform and has not heard a leader yet. After a
+// loss of all processes there is no leader to wait for. If there is one, the voters that hear it deny the pre-vote,
+// which does not bind any voter.
 func (g *Group) justStarted(ctx *kernel.Context) bool {
 	return g.host.kernel.Boot.Settings.BootstrapKnown && g.leader == "" && g.role != leader && ctx.Now-g.host.startedAt < StartPeriod
 }
 
-// listenPeriod is how long a process that just started does not stand for leader.
+// listenPeriod returns how long a process that has just started must not start an election.
 func (h *Host) listenPeriod() clock.Micros {
 	if h.kernel.Boot.Settings.BootstrapKnown {
 		return ListenOnPlatform
@@ -80,8 +81,8 @@
 	return ListenBeforeElection
 }
 
-// startElection stands for leader. A successor that the leader designated skips the pre-vote, which the
-// voters would deny since they have just heard that leader.
+// startElection starts an election. A successor designated by the leader skips the pre-vote: the voters would deny
+// it, since they have just heard from that leader.
 func (g *Group) startElection(ctx *kernel.Context, designated bool) {
 	g.scheduleElection(ctx)
 	g.becomePreCandidate()
@@ -99,14 +100,14 @@
 	}
 }
 
-// becomePreCandidate begins to ask for pre-votes for the next term. It binds nobody and is not stored.
+// becomePreCandidate starts the pre-vote for the next term. A pre-vote binds no voter and is not stored.
 func (g *Group) becomePreCandidate() {
 	g.role = preCandidate
 	g.term = g.votedTerm + 1
 	g.votes = map[string]wire.VoteReply{}
 }
 
-// becomeCandidate asks all voters, itself included, for the term.
+// becomeCandidate requests votes for the term from all voters, including itself.
 func (g *Group) becomeCandidate(ctx *kernel.Context, designated bool) {
 	g.role = candidate
 	g.votes = map[string]wire.VoteReply{}
@@ -121,7 +122,7 @@
 	}
 }
 
-// handleVote answers a pre-vote at once, and a request for a term once the vote is synced.
+// handleVote answers a pre-vote immediately, and a vote request once the granted vote is synced.
 func (g *Group) handleVote(ctx *kernel.Context, conn, id uint64, request wire.Vote) {
 	reply := func(ctx *kernel.Context, granted bool) { g.replyToVote(ctx, conn, id, request, granted) }
 	if g.host.diskDamaged {
@@ -148,29 +149,29 @@
 	})
 }
 
-// grantsPreVote reports whether this replica would vote for a candidate: it hears no leader, has voted in
-// no such term yet, should not lead itself, and its disk can sync a vote.
+// grantsPreVote reports whether this replica would vote for a candidate: it hears no leader, has not voted in this
+// term or a later one, does not hold a newer version with which it should lead itself, and its disk can sync a vote.
 func (g *Group) grantsPreVote(ctx *kernel.Context, request wire.Vote) bool {
 	hearsNoLeader := g.role != leader && ctx.Now-g.leaderSeen > ElectionTimeout/2
 	canSync := g.host.diskProblem == diskHealthy || g.host.diskProblem == diskIsSlow
 	return request.Term > g.votedTerm && hearsNoLeader && !g.outranks(request) && canSync
 }
 
-// outranks reports whether this replica should lead rather than a candidate: it holds a newer version, which
-// the candidate would have to be sent first, and it can stand itself.
+// outranks reports whether this replica should lead instead of a candidate: it holds a newer version, which would
+// first have to be sent to the candidate, and it is able to start an election itself.
 func (g *Group) outranks(request wire.Vote) bool {
 	return mesh.Newer(g.accepted.Version, request.Stored) && g.isVoter() && !g.host.stopping
 }
 
-// replyToVote sends a vote or a pre-vote, granted or denied.
+// replyToVote replies to a vote or pre-vote request.
 func (g *Group) replyToVote(ctx *kernel.Context, conn, id uint64, request wire.Vote, granted bool) {
 	reply := wire.VoteReply{Partition: g.partition, Term: request.Term, From: g.self(), Pre: request.Pre, Granted: granted, Stored: g.accepted, SupportsBase: true}
 	if !granted {
 		reply.Term = g.votedTerm
 	}
 	if !granted || request.Pre || !mesh.Newer(g.accepted.Version, request.Stored) {
-		// Only a candidate that is given the term and holds an older version needs the body; the others
-		// need to know how new this one is.
+		// Only a candidate that is granted the term and holds an older version needs the body. All others need only the
+		// version number.
 		reply.Stored.Body, reply.Stored.EditLog = nil, nil
 	}
 	if request.From == g.self() {
@@ -180,7 +181,8 @@
 	ctx.Send(conn, wire.KindVoteReply, id, &reply)
 }
 
-// handleVoteReply counts a vote or a pre-vote, by the voters of the newest version that was found.
+// handleVoteReply counts a vote or a pre-vote. The quorum is that of the newest version among the votes and this
+// replica's own.
 func (g *Group) handleVoteReply(ctx *kernel.Context, reply wire.VoteReply) {
 	if reply.Pre && g.role != preCandidate || !reply.Pre && g.role != candidate {
 		return
@@ -202,7 +204,8 @@
 		return
 	}
 	if _, synced := g.votes[g.self()]; !synced {
-		// Killed now and started again, it would ask for the same term and give one number to two versions.
+		// If this process were killed and restarted now, it would request votes for the same term again and could
+		// assign one version number to two different contents.
 		return
 	}
 	if g.isSuperseded(ctx, best) {
@@ -212,19 +215,19 @@
 	g.becomeLeader(ctx, best)
 }
 
-// handleVoteDenied ends a candidature that met a newer term.
+// handleVoteDenied ends the candidacy if the reply shows a newer term.
 func (g *Group) handleVoteDenied(ctx *kernel.Context, reply wire.VoteReply) {
 	if reply.Term > g.term {
 		g.role = follower
 		g.votedTerm = max(g.votedTerm, reply.Term)
 	}
 	if mesh.Newer(reply.Stored.Version, g.accepted.Version) && !contains(allVoters(reply.Stored), g.self()) {
-		// Most likely this replica was replaced while it was away: it need not ask again at once.
+		// This replica was most likely removed from the group while it was down, so it delays its next election.
 		g.electionAt = ctx.Now + ReplaceAfter
 	}
 }
 
-// newestVotedVersion is the newest version among this replica's and those that came with the votes.
+// newestVotedVersion returns the newest version among this replica's own and those in the votes.
 func (g *Group) newestVotedVersion() wire.Versioned {
 	best := g.accepted
 	for _, v := range g.votes {
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -9,14 +9,14 @@
 	"wallport/runtime/wire"
 )
 
-// errLeaving is the error of a learner that refuses a version since its process stops.
+// errLeaving is the error with which a learner refuses a version because its process is stopping.
 const errLeaving = "leaving"
 
-// replyToAccept sends a reply to an Accept where that came from.
+// replyToAccept sends the reply to an Accept message back to its sender.
 type replyToAccept func(ctx *kernel.Context, reply wire.AcceptReply)
 
-// handleAccept syncs a version and acknowledges it, unless a newer term was voted in. A version of a later term
-// than its sender's is refused as well: no leader can hold one without having been fenced.
+// handleAccept syncs a version and acknowledges it, unless this replica voted in a newer term. It also refuses a
+// version whose term is later than the sender's: no leader can hold one without having been fenced.
 func (g *Group) handleAccept(ctx *kernel.Context, conn, id uint64, accept wire.Accept) {
 	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
 		r.Partition, r.From, r.SupportsBase = g.partition, g.self(), true
@@ -30,7 +30,7 @@
 		return
 	}
 	if g.host.stopping && !g.isVoter() && !contains(allVoters(accept.Versioned), g.self()) {
-		// A learner that stops would be gone before it could be a voter.
+		// A stopping learner would end before it could become a voter.
 		reply(ctx, wire.AcceptReply{Term: accept.Term, Err: errLeaving})
 		return
 	}
@@ -50,13 +50,13 @@
 	g.syncVersion(ctx, accept, reply)
 }
 
-// syncVersion writes a version that is newer than all that this replica holds or is writing. Where the message
-// leaves the body out, it is that of the version that this replica holds.
+// syncVersion writes a version if it is newer than every version that this replica holds or is writing. If the
+// message omits the body, the body of the version that this replica holds (Base) is used.
 func (g *Group) syncVersion(ctx *kernel.Context, accept wire.Accept, reply replyToAccept) {
 	v := accept.Versioned
 	if !mesh.Newer(v.Version, g.accepted.Version) || !mesh.Newer(v.Version, g.pending) {
-		// No reply: an older version is no leader's proposal any more, and one that is being written is
-		// acknowledged by that write.
+		// No reply is needed: no leader is still proposing an older version, and a version that is being written is
+		// acknowledged when that write completes.
 		return
 	}
 	if accept.Base != (wire.Version{}) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// followLeader takes a replica for the leader of a term.
+// followLeader records a replica as the leader of a term.
 func (g *Group) followLeader(ctx *kernel.Context, from string, term uint64) {
 	g.checkOneLeader(ctx, from, term)
 	if g.role != follower && term >= g.term {
@@ -113,7 +113,7 @@
 	g.scheduleElection(ctx)
 }
 
-// knowsLeader reports whether callers may be sent to the leader that this replica knows.
+// knowsLeader reports whether this replica may redirect callers to the leader that it knows.
 func (g *Group) knowsLeader(now clock.Micros) bool {
 	if g.role == leader {
 		return g.contact.confirmedWithin(now, ContactFor)
@@ -121,8 +121,8 @@
 	return now-g.leaderSeen < StepDownAfter
 }
 
-// handleHeartbeat follows the leader, commits the version that it names if it is held here, and replies with
-// the version and the clock of this replica.
+// handleHeartbeat follows the leader, commits the version named in the heartbeat if this replica holds it, and
+// replies with this replica's version and clock.
 func (g *Group) handleHeartbeat(ctx *kernel.Context, conn, id uint64, heartbeat wire.LeaderHeartbeat) {
 	reply := wire.LeaderHeartbeatReply{
 		Partition: g.partition, Term: g.votedTerm, From: g.self(), Round: heartbeat.Round, Stored: g.accepted.Version,
@@ -146,7 +146,8 @@
 	ctx.Send(conn, wire.KindLeaderHeartbeatReply, id, &reply)
 }
 
-// handleTransfer takes note that the leader has stepped down, and stands at once if it is the successor.
+// handleTransfer records that the leader has stepped down. If this replica is the designated successor, it starts an
+// election immediately.
 func (g *Group) handleTransfer(ctx *kernel.Context, heartbeat wire.LeaderHeartbeat) {
 	g.leaderSeen, g.leader, g.leaderAddress = 0, "", ""
 	g.votedTerm = max(g.votedTerm, heartbeat.Term)
--- a/control/replica/group.go
+++ b/control/replica/group.go
@@ -6,77 +6,79 @@
 	"wallport/runtime/wire"
 )
 
-// TickInterval is the time between two ticks, on which everything here rests that happens by the clock.
+// TickInterval is the time between two ticks, which drive everything that is due by time.
 const TickInterval = 50 * clock.Millisecond
 
-// role is what a replica is in its group, as in the Raft paper.
+// role is a replica's role in its group, as in the Raft paper.
 type role uint8
 
 const (
 	follower role = iota
-	// preCandidate asks whether it would be given a term.
+	// preCandidate asks the voters whether they would grant it a term.
 	preCandidate
 	candidate
 	leader
 )
 
-// Committed is emitted in a replica's process when it knows a version to be committed.
+// Committed is emitted in a replica's process when the replica learns that a version is committed.
 type Committed struct{ Version wire.Versioned }
 
-// Group is one replica's side of one partition's group.
+// Group is one replica's state in the consensus group of one partition.
 type Group struct {
 	partition int
 	host      *Host
 
-	// What is on the disk: the newest vote, the newest version that is synced, and the versions that have a
-	// file. pending is the newest version whose write is under way.
+	// The state on disk: the newest vote, the newest synced version, and the versions that have a file. pending is the
+	// newest version that is being written.
 	votedTerm    uint64
 	votedFor     string
 	accepted     wire.Versioned
 	pending      wire.Version
 	versionFiles []wire.Version
 
-	// committed is the newest version that is known here to be committed.
+	// committed is the newest version that this replica knows to be committed.
 	committed wire.Versioned
 
-	// role, and the leader that is followed: its replica, its mesh address, and when it was heard last.
+	// The role, and the leader that this replica follows: its identity, its mesh address, and when it was last heard.
 	role          role
 	leader        string
 	leaderAddress string
 	leaderSeen    clock.Micros
 	lastLeader    electedLeader
-	// electionAt is when this replica stands for leader if it hears none.
+	// electionAt is when this replica starts an election unless it hears a leader before.
 	electionAt clock.Micros
 
-	// A candidate's or leader's term, and the votes of a candidate by voter.
+	// The term of a candidate or leader, and the votes for a candidate, by voter.
 	term  uint64
 	votes map[string]wire.VoteReply
 
-	// A leader's proposal under way, which voters have synced it, when it was sent last and when first.
+	// A leader's proposal in flight, the voters that have synced it, when it was last sent, and when it was first
+	// sent.
 	proposal       *wire.Versioned
 	acked          map[string]bool
 	proposalSentAt clock.Micros
 	proposedAt     clock.Micros
-	// queue holds the edits for the next proposal, proposedEdits those of the one under way, and unconfirmed
-	// the reads and rejections that wait for a majority to confirm this leader.
+	// queue holds the edits for the next proposal, proposedEdits those of the proposal in flight, and unconfirmed the
+	// reads and rejections that wait until a majority confirms this leader.
 	queue         []pendingEdit
 	proposedEdits []pendingEdit
 	unconfirmed   []pendingEdit
 
-	// A leader's heartbeats: when and in which round the last was sent, and the newest round of this term
-	// that each voter has answered.
+	// A leader's heartbeats: when the last round was sent and its number, and the newest round of this term that each
+	// voter has answered.
 	heartbeatAt     clock.Micros
 	heartbeatRound  uint64
 	confirmedRounds map[string]uint64
 	contact         contact
-	// relayedAt is when this core sent the newest pull that a core in contact has answered.
+	// relayedAt is when this core sent its newest pull that was answered by a core in contact with a majority.
 	relayedAt clock.Micros
-	// contactLost is set once the loss of a leader's contact is logged.
+	// contactLost is set once the loss of a leader's contact was logged.
 	contactLost bool
 
-	// What a leader knows of each voter: when it was heard last, since when without a gap, whether its disk
-	// has a problem, which replica is at its address now where its disk is lost, when it was brought the
-	// newest version last, what it has synced, and how far its time of day is from this process's clock.
+	// What a leader knows about each voter: when it was last heard, since when it has been reachable without
+	// interruption, whether its disk has a problem, which replica now runs at its address if its disk is lost, when it
+	// was last sent the newest committed version, which version it has synced, and the offset of its wall clock from
+	// this process's monotonic clock.
 	heardAt          map[string]clock.Micros
 	reachableSince   map[string]clock.Micros
 	voterDiskProblem map[string]bool
@@ -86,20 +88,20 @@
 	wallOffsets      map[string]clock.Micros
 
 	leaderSince clock.Micros
-	// clockCheckedAt is when a leader looked last whether something is due by the time of day.
+	// clockCheckedAt is when a leader last checked whether anything is due by the time of day.
 	clockCheckedAt clock.Micros
-	// ready is set once a leader has committed a version in its own term: only then it serves.
+	// ready is set once a leader has committed a version in its own term. It does not serve before.
 	ready bool
-	// transferring is set while a leader hands its leadership on, and takes no edits.
+	// transferring is set while a leader hands over its leadership. It then accepts no edits.
 	transferring bool
 
 	leases     map[string]*lease
 	leaseCount uint64
 
-	// change is the change of membership whose learners are catching up, if there is one.
+	// change is the membership change whose learners are catching up; nil if there is none.
 	change          *memberChange
 	learnerFailedAt map[string]clock.Micros
-	// leaveRequestedAt is when each voter asked last to be replaced; leaveRequestSentAt is when this one did.
+	// leaveRequestedAt is when each voter last asked to be replaced; leaveRequestSentAt is when this voter last did.
 	leaveRequestedAt   map[string]clock.Micros
 	leaveRequestSentAt clock.Micros
 }
@@ -108,13 +110,13 @@
 	return &Group{partition: partition, host: h, leases: map[string]*lease{}, heardAt: map[string]clock.Micros{}}
 }
 
-// self is the identity of this replica.
+// self returns the identity of this replica.
 func (g *Group) self() string { return g.host.replicaID }
 
-// isVoter reports whether this replica has a vote on the newest version that it holds.
+// isVoter reports whether this replica is a voter by the newest version that it holds.
 func (g *Group) isVoter() bool { return contains(allVoters(g.accepted), g.self()) }
 
-// tick does what is due by the clock, for a voter.
+// tick does what is due at this time if this replica is a voter.
 func (g *Group) tick(ctx *kernel.Context) {
 	switch {
 	case !g.isVoter():
@@ -127,8 +129,8 @@
 	}
 }
 
-// handleThawed ends leadership after the process did not run for a while: it can't know whether another
-// leader was elected meanwhile.
+// handleThawed ends leadership or candidacy after the process was suspended: another leader may have been elected in
+// the meantime.
 func (g *Group) handleThawed(ctx *kernel.Context) {
 	if g.role != follower {
 		g.stepDown(ctx, reasonSuspended)
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -10,19 +10,19 @@
 	"wallport/runtime/wire"
 )
 
-// Partitions is the number of partitions, each with a group of its own.
+// Partitions is the number of partitions. Each one has its own group.
 const Partitions = state.Partitions
 
 const (
-	// pluginName is the name under which the kernel knows the plug-in. "Seat" is what users read for a
-	// replica: files, counters and keys on the wire keep the word.
+	// pluginName is the plug-in's name in the kernel. Operators see a replica as a "seat": files, counters and keys on
+	// the wire keep this word.
 	pluginName = "seats"
 	// timerTick is the key of the only timer.
 	timerTick = "tick"
 )
 
-// Host is the plug-in of a core process: the replica's identity, its disk, and its side of every
-// partition's group. The identity is made on an empty disk and is lost with it.
+// Host is the plug-in of a core process. It owns the replica's identity, its disk, and its state in the group of
+// every partition. The identity is created on an empty disk and is lost with the disk.
 type Host struct {
 	kernel    *kernel.Kernel
 	mesh      *mesh.Mesh
@@ -30,18 +30,18 @@
 	replicaID string
 	groups    []*Group
 	startedAt clock.Micros
-	// stopping is set once the process was told to end.
+	// stopping is set once the process was asked to stop.
 	stopping bool
-	// clockOrigin is where the clock begins that leaders are told: see contact.go.
+	// clockOrigin is the origin of the clock that is sent to leaders: see contact.go.
 	clockOrigin clock.Micros
-	// largeSent is what large versions each connection was sent in answer to pulls.
+	// largeSent records, for each connection, the large versions that were sent on it in replies to pulls.
 	largeSent map[uint64]sentVersions
 
 	disk
 	bootstrapping
 
-	// pullers are the cores that pulled here lately, by mesh address. cachedCores is what liveCores looked
-	// up last, and cachedCoresAt when.
+	// pullers are the cores that recently pulled from this one, by mesh address. cachedCores is the last result of
+	// liveCores, and cachedCoresAt is when it was computed.
 	pullers       map[string]puller
 	cachedCores   []membership.Member
 	cachedCoresAt clock.Micros
@@ -61,10 +61,10 @@
 	}})
 }
 
-// Name is the plug-in's name.
+// Name returns the plug-in's name.
 func (h *Host) Name() string { return pluginName }
 
-// Kinds are the kinds of messages that it takes.
+// Kinds returns the kinds of messages that the plug-in handles.
 func (h *Host) Kinds() []uint8 {
 	return []uint8{
 		wire.KindVote, wire.KindVoteReply, wire.KindAccept, wire.KindAcceptReply, wire.KindLeaderHeartbeat, wire.KindLeaderHeartbeatReply,
@@ -73,7 +73,7 @@
 	}
 }
 
-// Step takes one input.
+// Step handles one input.
 func (h *Host) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
@@ -100,11 +100,11 @@
 	}
 }
 
-// start loads the disk, and makes the identity of the replica where the disk is empty.
+// start loads the disk, and creates the replica's identity if the disk is empty.
 func (h *Host) start(ctx *kernel.Context) {
 	h.startedAt, h.clockOrigin = ctx.Now, 1+ctx.Rand.Int64N(clockOrigins)
 	if h.kernel.Boot.Settings.DataDir == "" && len(h.kernel.Boot.Files) == 0 {
-		// Without a disk there is no replica here: the process only hands on committed versions.
+		// Without a disk this process has no replica and only relays committed versions.
 		ctx.Log(kernel.LevelInfo, "core_without_disk")
 		return
 	}
@@ -122,7 +122,7 @@
 	ctx.After(TickInterval, pluginName, timerTick)
 }
 
-// tick checks the disk, and takes the bootstrap or the groups further. It sets the next tick.
+// tick checks the disk, advances the bootstrap or the groups, and sets the timer of the next tick.
 func (h *Host) tick(ctx *kernel.Context) {
 	ctx.After(TickInterval, pluginName, timerTick)
 	h.checkDisk(ctx)
@@ -144,8 +144,8 @@
 	ctx.Counts.Set("part_in_contact_now", inContact)
 }
 
-// publishCommitted announces a committed version over the mesh, and shows in this process's member entry
-// which configuration is in force here.
+// publishCommitted announces a committed version over the mesh, and publishes the version of the configuration that
+// is in force in this process's member entry.
 func (h *Host) publishCommitted(ctx *kernel.Context, v Committed) {
 	h.mesh.AnnounceVersion(ctx, v.Version)
 	if v.Version.Version.Partition == state.ConfigPartition {
@@ -153,34 +153,35 @@
 	}
 }
 
-// publishMember shows the replica, and how its disk is, in this process's member entry.
+// publishMember publishes the replica's identity and the condition of its disk in this process's member entry.
 func (h *Host) publishMember() {
 	h.members.Update(func(m *wire.Member) {
 		m.Replica, m.Bootstrapped, m.UnhealthyReason = h.replicaID, h.bootstrapped, string(h.diskProblem)
 	})
 }
 
-// wantedVoters is how many voters a group should have.
+// wantedVoters returns the number of voters that a group should have.
 func (h *Host) wantedVoters() int { return h.kernel.Boot.Settings.Voters() }
 
-// Leads reports whether this process leads a partition and may take its edits.
+// Leads reports whether this process leads a partition and is ready to serve.
 func (h *Host) Leads(partition int) bool {
 	return h.groups[partition].role == leader && h.groups[partition].ready
 }
 
-// ReplicaID is the replica's identity; empty until it is synced, and where there is no disk.
+// ReplicaID returns the replica's identity. It is empty until the identity is synced, and in a process without a
+// disk.
 func (h *Host) ReplicaID() string { return h.replicaID }
 
-// CommittedVersion is the newest version of a partition that is known here to be committed.
+// CommittedVersion returns the newest version of a partition that this process knows to be committed.
 func (h *Host) CommittedVersion(partition int) wire.Version {
 	return h.groups[partition].committed.Version
 }
 
-// VotersOf lists the voters of the newest version of a partition that is known here to be committed.
+// VotersOf returns the voters of the newest version of a partition that this process knows to be committed.
 func (h *Host) VotersOf(partition int) []wire.Replica { return h.groups[partition].committed.Voters }
 
-// Leader is the mesh address of the core that leads a partition; empty where this replica has not heard
-// a leader within StepDownAfter.
+// Leader returns the mesh address of the core that leads a partition. It is empty if this replica has not heard a
+// leader within StepDownAfter.
 func (h *Host) Leader(partition int, now clock.Micros) string {
 	g := h.groups[partition]
 	if g.role == leader || g.leader != "" && now-g.leaderSeen < StepDownAfter {
@@ -195,7 +196,7 @@
 	Reply wire.EditReply
 }
 
-// Edit takes an edit, or a read that a majority confirms, of this same process; Replied follows.
+// Edit handles an edit, or a read confirmed by a majority, from this same process. The reply is emitted as Replied.
 func (h *Host) Edit(ctx *kernel.Context, id uint64, edit wire.Edit) {
 	if edit.Partition < 0 || edit.Partition >= Partitions || h.diskDamaged {
 		ctx.Emit(Replied{ID: id, Reply: wire.EditReply{Code: wire.CodeNotLeader}})
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -9,26 +9,27 @@
 const (
 	// HeartbeatInterval is the time between two heartbeat rounds of a leader.
 	HeartbeatInterval = 150 * clock.Millisecond
-	// StepDownAfter is how long after it sent the last heartbeat round that a majority answered a leader steps
-	// down, and how long a follower counts on a leader that it has heard.
+	// StepDownAfter is the maximum age, counted from its sending, of the newest heartbeat round that a majority
+	// answered; when it is exceeded the leader steps down. It is also how long a follower relies on a leader after
+	// hearing it.
 	StepDownAfter = 1 * clock.Second
 )
 
-// stepDownReason says in the log why a leader stepped down.
+// stepDownReason is the reason, as logged, why a leader stepped down.
 type stepDownReason string
 
 const (
 	reasonFenced        stepDownReason = "fenced by a newer term"
 	reasonVotedForOther stepDownReason = "voted for another candidate"
-	reasonOtherLeader   stepDownReason = "another leader"
-	reasonNoContact     stepDownReason = "no majority answers"
+	reasonOtherLeader   stepDownReason = "heard from another leader"
+	reasonNoContact     stepDownReason = "no majority answered a heartbeat round in time"
 	reasonNotCommitted  stepDownReason = "the proposal was not committed in time"
 	reasonSuperseded    stepDownReason = "another group has committed a newer version"
 	reasonSuspended     stepDownReason = "the process was suspended"
 )
 
-// becomeLeader begins a term: the newest version that the election found is committed again under the term,
-// and nothing is served before that, since the version may or may not have been committed already.
+// becomeLeader starts a term of leadership. It commits the newest version found by the election again under the new
+// term, since that version may or may not have been committed already; nothing is served before that.
 func (g *Group) becomeLeader(ctx *kernel.Context, best wire.Versioned) {
 	g.role, g.leader, g.leaderAddress = leader, g.self(), g.host.kernel.Boot.Settings.Mesh
 	g.ready, g.transferring = false, g.host.stopping
@@ -45,7 +46,7 @@
 	g.leaderTick(ctx)
 }
 
-// resetLeaderState forgets what an earlier term of this replica's knew of the voters.
+// resetLeaderState discards what this replica knew about the voters from an earlier term of leadership.
 func (g *Group) resetLeaderState(ctx *kernel.Context) {
 	g.leaderSince, g.heartbeatAt = ctx.Now, 0
 	g.confirmedRounds = map[string]uint64{}
@@ -62,8 +63,8 @@
 	g.leaveRequestedAt = map[string]clock.Micros{}
 }
 
-// stepDown ends leadership or candidature. The outcome of the edits in the proposal under way is unknown: the
-// next leader may find the version or not.
+// stepDown ends leadership or candidacy. The outcome of the edits in the proposal in flight is unknown, because the
+// next leader may or may not find that version.
 func (g *Group) stepDown(ctx *kernel.Context, reason stepDownReason) {
 	if g.role == leader {
 		ctx.Log(kernel.LevelWarn, "leader_stepped_down", "partition", g.partition, "term", g.term, "reason", string(reason))
@@ -81,8 +82,8 @@
 	g.scheduleElection(ctx)
 }
 
-// leaderTick steps down where the leader must not go on, transfers the leadership where another should lead,
-// and else sends what is due.
+// leaderTick steps down if the leader must not continue, transfers leadership if another voter should lead, and
+// otherwise sends what is due.
 func (g *Group) leaderTick(ctx *kernel.Context) {
 	g.watchContact(ctx)
 	switch {
@@ -111,7 +112,8 @@
 	g.proposeNext(ctx)
 }
 
-// newestVersion is the version whose voters a leader must hear from: its proposal, or else the committed one.
+// newestVersion returns the version whose voters must answer the leader: its proposal if there is one, otherwise the
+// committed version.
 func (g *Group) newestVersion() wire.Versioned {
 	if g.proposal != nil {
 		return *g.proposal
@@ -119,7 +121,7 @@
 	return g.committed
 }
 
-// sendHeartbeats begins a heartbeat round.
+// sendHeartbeats starts a heartbeat round.
 func (g *Group) sendHeartbeats(ctx *kernel.Context) {
 	g.heartbeatAt = ctx.Now
 	g.heartbeatRound++
@@ -134,8 +136,8 @@
 	}
 }
 
-// handleHeartbeatReply records what a voter says of itself, brings it the newest version if it lacks that, and
-// answers what waited for the confirmation.
+// handleHeartbeatReply records the state that a voter reports, sends it the newest committed version if it lacks
+// that, and answers the requests that waited for this confirmation.
 func (g *Group) handleHeartbeatReply(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	if g.role != leader {
 		return
@@ -151,7 +153,7 @@
 		return
 	}
 	if reply.Term != g.term {
-		// It answers a heartbeat of an earlier term that was delayed.
+		// The reply is to a delayed heartbeat of an earlier term.
 		return
 	}
 	if ctx.Now-g.heardAt[reply.From] > StepDownAfter || g.reachableSince[reply.From] == 0 {
@@ -167,7 +169,7 @@
 	g.replyConfirmed(ctx)
 }
 
-// fence ends the leadership of a leader that was shown a newer term.
+// fence ends leadership after a reply showed a newer term.
 func (g *Group) fence(ctx *kernel.Context, term uint64) {
 	g.votedTerm = max(g.votedTerm, term)
 	g.stepDown(ctx, reasonFenced)
--- a/control/replica/leases.go
+++ b/control/replica/leases.go
@@ -6,16 +6,16 @@
 	"wallport/runtime/wire"
 )
 
-// Leases are for the singleton tasks, which one node does at a time. A leader grants a lease until
-// LeaseDuration after it sent the last heartbeat round that a majority answered. Some voter of any later
-// leader's majority answered that round before it voted, so the lease has ended once a later leader has led
-// for LeaseDuration, and before that the later leader grants none. A holder counts its lease from when it
-// sent the request, and one that releases it may name its successor.
+// Leases are for singleton tasks, each of which runs on one node at a time. A leader grants a lease until
+// LeaseDuration after it sent the newest heartbeat round that a majority answered. Any later leader is elected by a
+// majority that includes a voter which answered that round before it voted. The lease has therefore ended once the
+// later leader has led for LeaseDuration, and the later leader grants no lease before then. A holder counts its lease
+// from when it sent the request. A holder that releases its lease may name its successor.
 
-// LeaseDuration is how long a lease lasts at most.
+// LeaseDuration is the maximum duration of a lease.
 const LeaseDuration = 800 * clock.Millisecond
 
-// lease is the lease of one singleton task. An empty holder stands for none until then.
+// lease is the lease of one singleton task. With an empty holder, the task is not leased to anyone before until.
 type lease struct {
 	holder string
 	until  clock.Micros
@@ -31,7 +31,7 @@
 	}
 	granted := g.leases[request.Task]
 	if granted == nil {
-		// Whatever an earlier leader granted has ended by then.
+		// Any lease granted by an earlier leader has ended by then.
 		granted = &lease{until: g.leaderSince + LeaseDuration}
 		g.leases[request.Task] = granted
 	}
@@ -48,8 +48,8 @@
 	ctx.Send(conn, wire.KindLeaseReply, id, &wire.LeaseReply{Task: request.Task, Holder: granted.holder, Duration: granted.until - ctx.Now, LeaseID: granted.id})
 }
 
-// releaseLease ends a lease that its holder gives up. A request that was delayed, and is about an earlier
-// lease of the same holder, ends nothing.
+// releaseLease ends a lease at the request of its holder. A delayed request about an earlier lease of the same holder
+// has no effect.
 func (g *Group) releaseLease(ctx *kernel.Context, granted *lease, request wire.LeaseRequest, until clock.Micros) {
 	if granted.holder != request.From || request.LeaseID != 0 && request.LeaseID != granted.id {
 		return
@@ -60,13 +60,13 @@
 	}
 }
 
-// nextLeaseID is a fencing token: it rises from one grant to the next, across leaders as well.
+// nextLeaseID returns a fencing token, which increases with each grant, also from one leader to the next.
 func (g *Group) nextLeaseID() uint64 {
 	g.leaseCount++
 	return g.term<<24 | g.leaseCount
 }
 
-// leaseHolders maps each task whose lease is held to its holder.
+// leaseHolders returns the holder of each task that is currently leased.
 func (g *Group) leaseHolders(ctx *kernel.Context) map[string]string {
 	holders := map[string]string{}
 	for task, granted := range g.leases {
--- a/control/replica/leave.go
+++ b/control/replica/leave.go
@@ -6,20 +6,21 @@
 	"wallport/runtime/wire"
 )
 
-// A voter whose process is to stop asks the leader to be replaced, and stays a voter until a committed change
-// has given its place to a replica that holds the newest version. Where none can take its place it stays a
-// voter until its process ends. Meanwhile it votes and syncs, but does not stand for leader.
+// A voter whose process is to stop asks the leader to replace it. It remains a voter until a change that gives its
+// place to a replica with the newest version is committed, or, if no replica can replace it, until its process ends.
+// Until then it votes and syncs versions, but starts no elections.
 
 const (
-	// LeaveInterval is how often a voter that stops asks to be replaced.
+	// LeaveInterval is the time between two requests of a leaving voter to be replaced.
 	LeaveInterval = 100 * clock.Millisecond
-	// LeaveRequestTimeout is how long a request counts that isn't repeated: its process has ended.
+	// LeaveRequestTimeout is how long a request is valid without being repeated. After that the process is taken to
+	// have ended.
 	LeaveRequestTimeout = 500 * clock.Millisecond
-	// LeaveTimeout is how long a process that stops waits until it is replaced.
+	// LeaveTimeout is how long a stopping process waits to be replaced.
 	LeaveTimeout = 2500 * clock.Millisecond
 )
 
-// HasLeft reports whether this process may end without a group losing a voter or its leader.
+// HasLeft reports whether this process may end without depriving any group of a voter or of its leader.
 func (h *Host) HasLeft() bool {
 	if h.diskDamaged {
 		return true
@@ -32,8 +33,8 @@
 	return true
 }
 
-// handleStopping begins a planned stop: a leader commits its proposal, takes nothing new and transfers its
-// leadership.
+// handleStopping starts a planned stop. A leader first commits its proposal, accepts no further edits and transfers
+// its leadership.
 func (g *Group) handleStopping(ctx *kernel.Context) {
 	g.transferring = true
 	if g.role == leader {
@@ -42,7 +43,7 @@
 	g.requestLeave(ctx)
 }
 
-// requestLeave asks the leader, or every voter where it isn't known, to replace this voter.
+// requestLeave asks the leader, or all voters if the leader isn't known, to replace this voter.
 func (g *Group) requestLeave(ctx *kernel.Context) {
 	if g.role == leader || !g.isVoter() || g.leaveRequestSentAt > 0 && ctx.Now-g.leaveRequestSentAt < LeaveInterval {
 		return
@@ -56,7 +57,8 @@
 	}
 }
 
-// handleLeave records that a voter stops. A replica that is no voter any more is sent the version that says so.
+// handleLeave records that a voter is stopping. A replica that is no longer a voter is sent the committed version,
+// which shows it that it was removed.
 func (g *Group) handleLeave(ctx *kernel.Context, conn uint64, request wire.Leave) {
 	if g.role != leader || !g.ready || request.From == g.self() {
 		return
@@ -71,7 +73,7 @@
 	g.proposeNext(ctx)
 }
 
-// isLeaving reports whether a replica has asked lately to be replaced.
+// isLeaving reports whether a replica has asked to be replaced within LeaveRequestTimeout.
 func (g *Group) isLeaving(ctx *kernel.Context, id string) bool {
 	at, requested := g.leaveRequestedAt[id]
 	return requested && ctx.Now-at < LeaveRequestTimeout
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -9,24 +9,25 @@
 	"wallport/runtime/wire"
 )
 
-// A change of a group's membership has three steps. A replica that is to join is a learner first: it is sent
-// every version, and has no vote, until it has synced the newest one. Then the change is proposed, as a joint
-// version that needs a majority of the voters before and of the voters after it. The version that follows
-// needs the voters after it alone, and only then the next change may begin.
+// A change of a group's membership has three steps. First, a replica that is to join is a learner: it has no vote and
+// is sent every version until it has synced the newest one. Second, the change is proposed as a joint version, which
+// needs a majority of the old voters and a majority of the new voters. Third, the version that follows needs a
+// majority of the new voters only. The next change may begin only after that.
 
 const (
-	// LearnerTimeout is how long a learner may take to sync the newest version, beside what its size takes.
+	// LearnerTimeout is how long a learner may take to sync the newest version, in addition to the time for
+	// transferring it (transferTime).
 	LearnerTimeout = 1500 * clock.Millisecond
-	// LearnerResendInterval is how often a learner that lacks the newest version is sent it again.
+	// LearnerResendInterval is the time after which the newest version is sent again to a learner that lacks it.
 	LearnerResendInterval = 200 * clock.Millisecond
 	// LearnerRetryAfter is how long a learner that failed is not chosen again.
 	LearnerRetryAfter = 2 * clock.Second
-	// LearnerEditPause is how long edits wait, once in each change, for a learner that has synced an earlier
-	// version: otherwise steady edits could keep it one version behind forever.
+	// LearnerEditPause is how long edits are delayed, once per change, for a learner that has synced an earlier
+	// version. Otherwise a steady stream of edits could keep it one version behind forever.
 	LearnerEditPause = 200 * clock.Millisecond
 )
 
-// changeReason says why the voters of a group change, in the log and to operators.
+// changeReason is the reason for a membership change, as it is logged and shown to operators.
 type changeReason string
 
 const (
@@ -37,14 +38,14 @@
 	reasonCrowdedZone  changeReason = "crowded_zone"
 )
 
-// Causes to abandon a change, in the log.
+// Causes for abandoning a change, as logged.
 const (
-	causeNotDue         = "no longer due"
+	causeNotDue         = "the reason for the change no longer applies"
 	causeLearnerSlow    = "learner too slow"
 	causeLearnerRefused = "learner refused: "
 )
 
-// changeCounters names the counter of each reason that has one.
+// changeCounters maps reasons to the names of their counters; not every reason has one.
 var changeCounters = map[changeReason]string{
 	reasonUnresponsive: "part_seats_replaced", reasonCrowdedZone: "part_seats_spread", reasonLeaving: "part_voters_left",
 }
@@ -52,28 +53,29 @@
 // memberChange is a change whose learners are catching up.
 type memberChange struct {
 	reason changeReason
-	// removed is the voter that is replaced, if one is.
+	// removed is the voter that is replaced; empty if the change only adds voters.
 	removed string
-	// voters are those after the change; learners are those of them that are new.
+	// voters are the voters after the change; learners are those of them that are not voters yet.
 	voters, learners []wire.Replica
-	// synced is the newest version that each learner said it has synced.
+	// synced is the newest version that each learner has acknowledged.
 	synced map[string]wire.Version
-	// begunAt is when the change began, and sentAt when the learners were sent a version last.
+	// begunAt is when the change began; sentAt is when a version was last sent to the learners.
 	begunAt, sentAt clock.Micros
-	// editsPausedUntil is the end of the pause of edits; 0 until it has begun.
+	// editsPausedUntil is when the pause of edits ends; 0 if it has not begun.
 	editsPausedUntil clock.Micros
 }
 
-// caughtUp reports whether every learner has synced a version.
+// caughtUp reports whether every learner has synced the given version.
 func (c *memberChange) caughtUp(newest wire.Version) bool {
 	return !slices.ContainsFunc(c.learners, func(r wire.Replica) bool { return c.synced[r.ID] != newest })
 }
 
-// allResponded reports whether every learner has synced some version.
+// allResponded reports whether every learner has acknowledged some version.
 func (c *memberChange) allResponded() bool { return len(c.synced) == len(c.learners) }
 
-// nextMembers gives the voters of the next version, and whether they alone are a reason to propose one: they
-// are where a change waits for its last version, or where its learners have caught up.
+// nextMembers returns the voters of the next version, and whether a version must be proposed for them even without
+// any edit. That is the case when a joint version needs its final version, or when the learners of a change have
+// caught up.
 func (g *Group) nextMembers(ctx *kernel.Context) ([]wire.Replica, bool) {
 	if isJoint(g.committed) {
 		return g.committed.Voters, true
@@ -103,7 +105,7 @@
 	return change.voters, true
 }
 
-// beginChange begins the first change that is due, if one is, and has its learners catch up.
+// beginChange begins the first change that is due, if any, and starts sending versions to its learners.
 func (g *Group) beginChange(ctx *kernel.Context) {
 	plans := []func(*kernel.Context) *memberChange{g.replaceLostDisk, g.replaceLeaving, g.replaceUnresponsive, g.addVoters, g.rebalance}
 	for _, plan := range plans {
@@ -118,7 +120,7 @@
 	}
 }
 
-// reviewChange abandons a change whose reason is gone or whose learners are too slow.
+// reviewChange abandons a change whose reason no longer applies or whose learners are too slow.
 func (g *Group) reviewChange(ctx *kernel.Context) {
 	change := g.change
 	switch {
@@ -135,7 +137,7 @@
 	}
 }
 
-// isStillDue reports whether the reason of a change is still there.
+// isStillDue reports whether the reason for a change still applies.
 func (g *Group) isStillDue(ctx *kernel.Context, change *memberChange) bool {
 	switch change.reason {
 	case reasonDiskLost:
@@ -148,7 +150,7 @@
 	return true
 }
 
-// abandonChange gives a change up. It was never proposed, so nothing needs to be undone.
+// abandonChange abandons the change under way. The change was never proposed, so nothing needs to be undone.
 func (g *Group) abandonChange(ctx *kernel.Context, cause string) {
 	ctx.Log(kernel.LevelWarn, "membership_change_abandoned", "partition", g.partition, "reason", string(g.change.reason), "learners", replicaIDs(g.change.learners), "cause", cause)
 	ctx.Counts.Add("part_changes_abandoned", 1)
@@ -168,8 +170,8 @@
 	}
 }
 
-// learnerResendInterval is how often a learner is sent the newest version again: a large one is still on its
-// way after the usual interval.
+// learnerResendInterval returns the time after which the newest version is sent again to a learner. It is longer for
+// a large version, whose transfer takes longer than the usual interval.
 func (g *Group) learnerResendInterval() clock.Micros {
 	if size := versionSize(g.committed); isLarge(size) {
 		return resendInterval(size)
@@ -177,7 +179,7 @@
 	return LearnerResendInterval
 }
 
-// handleLearnerReply records which version a learner has synced, or that it refused one.
+// handleLearnerReply records the version that a learner has synced, or that the learner refused one.
 func (g *Group) handleLearnerReply(ctx *kernel.Context, reply wire.AcceptReply) {
 	change := g.change
 	if change == nil || !contains(change.learners, reply.From) {
@@ -196,7 +198,7 @@
 	}
 }
 
-// awaitsLearners reports whether edits should wait while the learners sync the newest version.
+// awaitsLearners reports whether edits should wait until the learners have synced the newest version.
 func (g *Group) awaitsLearners(ctx *kernel.Context) bool {
 	change := g.change
 	if change == nil || !change.allResponded() || change.caughtUp(g.committed.Version) {
@@ -208,8 +210,8 @@
 	return ctx.Now < change.editsPausedUntil
 }
 
-// endChange logs that a change is in force and sends its version to the voters that it removed, which would
-// otherwise go on as voters of a group that does without them.
+// endChange logs that a change is complete and sends its final version to the voters that it removed. Otherwise they
+// would continue to act as voters of a group that no longer includes them.
 func (g *Group) endChange(ctx *kernel.Context, before, now wire.Versioned) {
 	if before.Version.Term == 0 || isJoint(now) || !isJoint(before) && sameMembers(before.Voters, now.Voters) {
 		return
--- a/control/replica/messages.go
+++ b/control/replica/messages.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-// decode decodes a message and passes it on. A malformed one ends its connection.
+// decode decodes a message and passes it to handle. A malformed message ends its connection.
 func decode[T any, P interface {
 	*T
 	msgp.Unmarshaler
@@ -24,15 +24,15 @@
 	handle(m)
 }
 
-// handleMessage passes a message to the group of its partition, or to the host.
+// handleMessage dispatches a message to the group of its partition or to the host.
 func (h *Host) handleMessage(ctx *kernel.Context, v kernel.Message) {
 	inGroup := func(partition int, handle func(g *Group)) {
 		if partition >= 0 && partition < len(h.groups) && !h.diskDamaged {
 			handle(h.groups[partition])
 		}
 	}
-	// A machine that lost its disk is another replica at the address of the old one: what is meant for the
-	// old one must not reach it, since the new one knows nothing of the votes and versions that were synced.
+	// A machine that lost its disk runs a different replica at the old address. Messages for the old replica must not
+	// be handled by the new one, which does not know the votes and versions that the old one synced.
 	addressed := func(id string, partition int, handle func(g *Group)) {
 		if id != "" && id != h.replicaID {
 			ctx.Counts.Add("part_misdirected", 1)
@@ -96,8 +96,8 @@
 	}
 }
 
-// reportReplacement tells the leader that heartbeats a replica whose disk is lost which replica is at that
-// address now, so that it can be given the voter's place.
+// reportReplacement replies to a leader's heartbeat for a replica whose disk is lost with the identity of the replica
+// that now runs at this address, so that the leader can make it a voter in place of the lost one.
 func (h *Host) reportReplacement(ctx *kernel.Context, v kernel.Message, id string, partition int) {
 	if v.Kind != wire.KindLeaderHeartbeat || partition < 0 || partition >= len(h.groups) || h.groups[partition].isVoter() {
 		return
@@ -108,7 +108,7 @@
 	ctx.Send(v.Conn, wire.KindLeaderHeartbeatReply, v.ID, &wire.LeaderHeartbeatReply{Partition: partition, From: id, Successor: h.replicaID, Zone: h.kernel.Boot.Settings.Zone})
 }
 
-// sendReplica sends a message to a replica, where its disk is now.
+// sendReplica sends a message to a replica, at the current address of the process that has its disk.
 func (h *Host) sendReplica(ctx *kernel.Context, to wire.Replica, kind uint8, m msgp.Marshaler) {
 	addr := to.Addr
 	switch v := m.(type) {
@@ -126,15 +126,15 @@
 	}
 	ctx.Counts.Add("part_messages", 1)
 	if accept, ok := m.(*wire.Accept); ok {
-		// A replica that is slow or away needs only the newest version, so that one replaces an older
-		// one that is still in the connection's backlog.
+		// A slow or absent replica needs only the newest version, so a new Accept replaces an older one that is still
+		// queued for the connection.
 		ctx.SendLatestTo(addr, kind, m, fmt.Sprintf("version %d", accept.Partition))
 		return
 	}
 	ctx.SendTo(addr, kind, 0, m)
 }
 
-// addressOf is the mesh address of the process that has a replica's disk now; empty where it isn't known.
+// addressOf returns the mesh address of the process that has a replica's disk; empty if it isn't known.
 func (h *Host) addressOf(id string, now clock.Micros) string {
 	if id == h.replicaID {
 		return h.kernel.Boot.Settings.Mesh
--- a/control/replica/placement.go
+++ b/control/replica/placement.go
@@ -6,7 +6,7 @@
 	"wallport/runtime/wire"
 )
 
-// PickVoters chooses up to n voters among the replicas of some cores, spread over the zones.
+// PickVoters chooses up to n voters among the given replicas, spread over the zones.
 func PickVoters(cores []wire.Replica, n int) []wire.Replica {
 	var voters []wire.Replica
 	for range min(n, len(cores)) {
@@ -16,15 +16,15 @@
 	return voters
 }
 
-// survivesZoneLoss reports whether the loss of any one zone leaves a majority of the voters. Where no zone
-// needs to be borne (zones is 0) it is true.
+// survivesZoneLoss reports whether a majority of the voters remains after the loss of any one zone. It is always true
+// if no loss of a zone must be tolerated (zones is 0).
 func survivesZoneLoss(voters []wire.Replica, zones int) bool {
 	return zones == 0 || !slices.ContainsFunc(voters, func(v wire.Replica) bool {
 		return 2*countInZone(voters, v.Zone, "") >= len(voters)
 	})
 }
 
-// countInZone counts the voters in a zone, but for the one whose identity is except.
+// countInZone counts the voters in a zone, not counting the one with identity except.
 func countInZone(voters []wire.Replica, zone, except string) int {
 	n := 0
 	for _, v := range voters {
@@ -35,8 +35,8 @@
 	return n
 }
 
-// leastUsedZone chooses, among the cores that aren't voters yet, the first of the zone with the fewest
-// voters; the voter whose identity is except doesn't count.
+// leastUsedZone returns the first core, among those that aren't voters yet, of the zone with the fewest voters. The
+// voter with identity except is not counted.
 func leastUsedZone(cores, voters []wire.Replica, except string) (wire.Replica, bool) {
 	var best wire.Replica
 	least := -1
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// MaxQueued and MaxQueuedBytes bound the edits that wait for the next proposal.
+	// MaxQueued and MaxQueuedBytes limit the number and the total size of the edits that wait for the next proposal.
 	MaxQueued      = 256
 	MaxQueuedBytes = 8 << 20
-	// ClockInterval is how often a leader looks whether something is due by the time of day.
+	// ClockInterval is the time between two checks of a leader whether anything is due by the time of day.
 	ClockInterval = 200 * clock.Millisecond
-	// sameProcess stands for a connection where a message comes from this very process.
+	// sameProcess is the connection id of requests that come from this same process.
 	sameProcess = 0
 )
 
@@ -23,14 +23,13 @@
 	id    uint64
 	edit  wire.Edit
 	reply wire.EditReply
-	// applied is whether the edit is part of the proposal under way.
+	// applied reports whether the edit is part of the proposal in flight.
 	applied bool
-	// confirmRound is the heartbeat round that a majority must answer before the reply to a read or a
-	// rejection is sent.
+	// confirmRound is the heartbeat round that a majority must answer before a read or a rejection is answered.
 	confirmRound uint64
 }
 
-// handleEdit takes an edit, of an operator or of another plug-in, or a read that a majority confirms.
+// handleEdit handles an edit from an operator or from another plug-in, or a read that a majority must confirm.
 func (g *Group) handleEdit(ctx *kernel.Context, conn, id uint64, edit wire.Edit) {
 	if g.role != leader || g.transferring {
 		g.replyToEdit(ctx, conn, id, wire.EditReply{Code: wire.CodeNotLeader, Addr: g.leaderAddress})
@@ -53,7 +52,7 @@
 	g.awaitConfirmation(ctx, pending)
 }
 
-// queuedBytes is the size of the edits that wait for the next proposal.
+// queuedBytes returns the total size of the edits that wait for the next proposal.
 func (g *Group) queuedBytes() (n int) {
 	for _, pending := range g.queue {
 		n += len(pending.edit.Body)
@@ -61,10 +60,10 @@
 	return n
 }
 
-// proposeNext makes the queue, a change of the voters and what is due by the time of day one proposal, unless
-// there is one under way. Edits that are rejected, or were taken before, are answered with the version that
-// the answer rests on: together with the edits of the batch, or, where nothing is proposed, once a majority
-// has confirmed this leader.
+// proposeNext combines the queued edits, a change of the voters and what is due by the time of day into one proposal,
+// unless a proposal is in flight. Edits that are rejected or were applied before are answered with the version on
+// which the answer rests: together with the batch, or, if nothing is proposed, once a majority has confirmed this
+// leader.
 func (g *Group) proposeNext(ctx *kernel.Context) {
 	if g.role != leader || !g.ready || g.proposal != nil || g.transferring {
 		return
@@ -94,8 +93,8 @@
 	}
 }
 
-// applyBatch applies a batch of edits to the committed value, each to the outcome of those before it, and
-// leaves each one's reply in the batch. It reports whether any was applied.
+// applyBatch applies a batch of edits to the committed value, each one to the outcome of those before it, and stores
+// each reply in the batch. changed reports whether any edit was applied.
 func (g *Group) applyBatch(ctx *kernel.Context, batch []pendingEdit, next wire.Version) (value state.Value, changed bool) {
 	value = state.Value{Body: g.committed.Body, EditLog: g.committed.EditLog}
 	apply := state.ApplyFuncOf(g.partition)
@@ -114,7 +113,7 @@
 	return value, changed
 }
 
-// rejectTooLarge rejects an edit whose outcome is larger than a partition may be.
+// rejectTooLarge rejects an edit whose outcome exceeds the size limit of the partition.
 func (g *Group) rejectTooLarge(ctx *kernel.Context, edit *pendingEdit, before, after state.Value) {
 	if !edit.applied {
 		return
@@ -125,8 +124,8 @@
 	}
 }
 
-// applyClock gives the body after what is due by the time of day, if something is and a majority agrees on
-// the time.
+// applyClock returns the body after applying what is due by the time of day. due is false if nothing is due or if no
+// majority agrees on the time.
 func (g *Group) applyClock(ctx *kernel.Context, body []byte, next wire.Version) (after []byte, due bool) {
 	g.clockCheckedAt = ctx.Now
 	wall, known := g.agreedTime(ctx)
@@ -138,7 +137,8 @@
 	return after, due && len(after) <= state.MaxBody(g.partition)+state.TickAllowance
 }
 
-// awaitConfirmation has a majority confirm this leader before reads and rejections are answered.
+// awaitConfirmation starts a heartbeat round; the given reads and rejections are answered once a majority has
+// answered it.
 func (g *Group) awaitConfirmation(ctx *kernel.Context, edits ...pendingEdit) {
 	for _, pending := range edits {
 		pending.confirmRound = g.heartbeatRound + 1
@@ -148,8 +148,8 @@
 	g.replyConfirmed(ctx)
 }
 
-// replyConfirmed answers the reads and rejections for which a majority has answered a heartbeat round that was
-// sent after they came.
+// replyConfirmed answers the reads and rejections for which a majority has answered a heartbeat round that was sent
+// after they arrived.
 func (g *Group) replyConfirmed(ctx *kernel.Context) {
 	var left []pendingEdit
 	for _, pending := range g.unconfirmed {
@@ -166,7 +166,7 @@
 	g.unconfirmed = left
 }
 
-// replyToEdit sends the reply to an edit where the edit came from.
+// replyToEdit sends the reply to an edit back to where the edit came from.
 func (g *Group) replyToEdit(ctx *kernel.Context, conn, id uint64, reply wire.EditReply) {
 	if conn == sameProcess {
 		ctx.Emit(Replied{ID: id, Reply: reply})
--- a/control/replica/pull.go
+++ b/control/replica/pull.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// LargeResendToPullerAfter is how long a large version counts as on its way to a process that pulled it.
+	// LargeResendToPullerAfter is how long a large version is assumed to be in transit to a process that pulled it.
 	LargeResendToPullerAfter = 4 * clock.Second
-	// maxTrackedConns bounds the connections for which that is remembered.
+	// maxTrackedConns is the number of connections for which sent large versions are recorded; at this number the
+	// records are cleared.
 	maxTrackedConns = 256
 )
 
-// sentVersions are the large versions that were sent on a connection, by partition.
+// sentVersions are the large versions that were sent on one connection, by partition.
 type sentVersions map[int]sentVersion
 
 // sentVersion is a large version and when it was sent.
@@ -23,8 +24,8 @@
 	sentAt  clock.Micros
 }
 
-// handlePull answers a pull of the configuration sync with every committed version that is newer than
-// what the asking process has, the leaders that are known, and which of it is confirmed by contact.
+// handlePull answers a pull of the configuration sync with every committed version that is newer than the version of
+// the pulling process, the known leaders, and the partitions whose state is confirmed by contact with a majority.
 func (h *Host) handlePull(ctx *kernel.Context, conn, id uint64, request wire.Pull) {
 	var reply wire.PullReply
 	h.recordPuller(ctx, request)
@@ -35,7 +36,7 @@
 	for _, g := range h.groups {
 		newest := g.committed
 		if m, ok := h.mesh.Partition(g.partition); ok && mesh.Newer(m.Version, newest.Version) {
-			// A core that has no replica of the partition hands on what the mesh brought it.
+			// A core without a replica of the partition relays the version that it received over the mesh.
 			newest = m
 		}
 		g.reportContact(ctx.Now, newest.Version, &reply)
@@ -50,16 +51,16 @@
 	ctx.Send(conn, wire.KindPullReply, id, &reply)
 }
 
-// limitPull leaves out of a reply the large versions that are on their way on the connection already, and
-// those that don't fit into one message: the next pull brings them.
+// limitPull removes from a reply the large versions that are already in transit on the connection, and those that
+// don't fit into one message: a later pull gets them.
 func (h *Host) limitPull(now clock.Micros, conn uint64, reply *wire.PullReply) {
 	capacity := wire.MaxMessage - wire.MaxSingleFrame
 	versions := reply.Versions
 	reply.Versions = nil
 	for _, v := range versions {
 		if capacity < len(v.Body) || isLarge(len(v.Body)) && !h.maySendLarge(now, conn, v.Version) {
-			// Without this version the asking process lacks something that was acknowledged before the
-			// contact, so the contact proves nothing for the partition.
+			// Without this version the pulling process lacks something that was acknowledged before the contact, so the
+			// contact proves nothing for this partition.
 			withheld := partitionBit(v.Version.Partition)
 			reply.Partial, reply.ContactMask, reply.RelayedMask = true, reply.ContactMask&^withheld, reply.RelayedMask&^withheld
 			continue
@@ -69,7 +70,8 @@
 	}
 }
 
-// maySendLarge reports whether a large version isn't on its way on a connection, and records that it is now.
+// maySendLarge reports whether a large version is not yet in transit on a connection. If so, it records that it is
+// now.
 func (h *Host) maySendLarge(now clock.Micros, conn uint64, version wire.Version) bool {
 	if len(h.largeSent) >= maxTrackedConns || h.largeSent == nil {
 		h.largeSent = map[uint64]sentVersions{}
--- a/control/replica/quorum.go
+++ b/control/replica/quorum.go
@@ -6,7 +6,7 @@
 	"wallport/runtime/wire"
 )
 
-// contains reports whether a replica is among some.
+// contains reports whether a list of replicas includes the one with this identity.
 func contains(replicas []wire.Replica, id string) bool {
 	for _, r := range replicas {
 		if r.ID == id {
@@ -16,7 +16,7 @@
 	return false
 }
 
-// majority reports whether more than half of the voters fulfil a condition; no voters have no majority.
+// majority reports whether more than half of the voters meet a condition. An empty list has no majority.
 func majority(voters []wire.Replica, fulfils func(id string) bool) bool {
 	n := 0
 	for _, v := range voters {
@@ -27,13 +27,13 @@
 	return len(voters) > 0 && n > len(voters)/2
 }
 
-// quorum reports whether a majority of a version's voters fulfils a condition and, where the version
-// changes the voters, a majority of those before as well (joint consensus).
+// quorum reports whether a majority of a version's voters meets a condition and, if the version changes the voters,
+// also a majority of the previous voters (joint consensus).
 func quorum(v wire.Versioned, fulfils func(id string) bool) bool {
 	return majority(v.Voters, fulfils) && (len(v.PreviousVoters) == 0 || majority(v.PreviousVoters, fulfils))
 }
 
-// allVoters lists every replica that may count for a version's quorum.
+// allVoters returns every replica that may count toward a version's quorum.
 func allVoters(v wire.Versioned) []wire.Replica {
 	all := append([]wire.Replica(nil), v.Voters...)
 	for _, voter := range v.PreviousVoters {
@@ -44,17 +44,17 @@
 	return all
 }
 
-// isJoint reports whether a version needs the voters before a change as well as those after it.
+// isJoint reports whether a version needs a majority of the voters before a change as well as of those after it.
 func isJoint(v wire.Versioned) bool {
 	return len(v.PreviousVoters) > 0 && !sameMembers(v.PreviousVoters, v.Voters)
 }
 
-// sameMembers reports whether two lists name the same replicas in the same order.
+// sameMembers reports whether two lists contain the same replicas in the same order.
 func sameMembers(a, b []wire.Replica) bool {
 	return slices.EqualFunc(a, b, func(a, b wire.Replica) bool { return a.ID == b.ID })
 }
 
-// replicaIDs lists the identities of replicas, for the log.
+// replicaIDs returns the identities of replicas, for the log.
 func replicaIDs(replicas []wire.Replica) []string {
 	ids := make([]string, 0, len(replicas))
 	for _, r := range replicas {
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -7,10 +7,10 @@
 	"wallport/runtime/wire"
 )
 
-// LeaderlessFor is how long a replica must not have heard of a leader before it takes part in a rebuild.
+// LeaderlessFor is how long a replica must not have heard a leader before it takes part in a rebuild.
 const LeaderlessFor = 5 * clock.Second
 
-// Refusals of a rebuild, as operators are shown them.
+// Reasons for refusing a rebuild, as shown to operators.
 const (
 	refusalHasLeader   = "the part has an owner"
 	refusalHoldsNewer  = "it holds or has promised something newer"
@@ -18,10 +18,10 @@
 	noRefusal          = ""
 )
 
-// handleRebuild takes part in forming a partition's group anew, on an operator's explicit command, when a
-// majority of its disks is gone for good. Asked first, it replies with the version that it holds; then it
-// takes the version that the operator's process found to be the newest. A replica that hears a leader refuses,
-// and so does one that has voted in or holds something newer.
+// handleRebuild takes part in rebuilding a partition's group, on an explicit command of an operator, after a majority
+// of its disks was lost permanently. The first request asks for the version that this replica holds. A request with
+// Apply then brings the version that the operator's process found to be the newest, which this replica syncs. A
+// replica refuses if it hears a leader, if its disk has a problem, or if it holds or has voted in something newer.
 func (g *Group) handleRebuild(ctx *kernel.Context, conn, id uint64, request wire.Rebuild) {
 	reply := func(ctx *kernel.Context, refusal string) {
 		stored := g.accepted
@@ -61,9 +61,9 @@
 	})
 }
 
-// isSuperseded reports whether the mesh shows a committed version that is newer than best, the newest version
-// of a majority of this group: then the group was rebuilt without this replica, which must not lead until it
-// is given the newer version.
+// isSuperseded reports whether the mesh shows a committed version newer than best, the newest version held by a
+// majority of this group. In that case the group was rebuilt without this replica, which must not lead until it
+// receives the newer version.
 func (g *Group) isSuperseded(ctx *kernel.Context, best wire.Versioned) bool {
 	v, ok := g.host.mesh.Partition(g.partition)
 	if !ok || !mesh.Newer(v.Version, best.Version) {
--- a/control/replica/replication.go
+++ b/control/replica/replication.go
@@ -10,19 +10,20 @@
 	"wallport/runtime/wire"
 )
 
-// ProposalTimeout is how long a proposal may be under way, beside what its size takes (transferTime).
+// ProposalTimeout is how long a proposal may be in flight, in addition to the time for transferring it
+// (transferTime).
 const ProposalTimeout = 10 * clock.Second
 
-// propose has the voters sync a version. base is the version whose body and log of edits it has, if there is
-// one: voters that hold that one needn't be sent them.
+// propose sends a version to the voters to be synced. base is the version that has the same body and edit log, if
+// there is one: voters that hold base need not be sent them.
 func (g *Group) propose(ctx *kernel.Context, v wire.Versioned, base wire.Version) {
 	g.proposal, g.proposedAt = &v, ctx.Now
 	g.acked = map[string]bool{}
 	g.sendProposal(ctx, base)
 }
 
-// proposalIsOverdue reports whether no majority has synced the proposal in time. Whoever leads next finds it
-// at some voter, or not; this leader can do no more for it.
+// proposalIsOverdue reports whether the proposal was not synced by a majority in time. This leader can then do no
+// more for it; the next leader may or may not find it at some voter.
 func (g *Group) proposalIsOverdue(now clock.Micros) bool {
 	if g.proposal == nil {
 		return false
@@ -48,7 +49,7 @@
 	g.sendToLearners(ctx, *g.proposal)
 }
 
-// sendFullProposal sends the proposal with its body to a voter that lacks the version that the body is of.
+// sendFullProposal sends the proposal with its body to a voter that does not hold the base version.
 func (g *Group) sendFullProposal(ctx *kernel.Context, reply wire.AcceptReply) {
 	if g.proposal == nil || reply.Version != g.proposal.Version {
 		return
@@ -61,18 +62,18 @@
 	}
 }
 
-// sendVersion sends a version with its body to a replica.
+// sendVersion sends a version, including its body, to a replica.
 func (g *Group) sendVersion(ctx *kernel.Context, to wire.Replica, v wire.Versioned) {
 	accept := g.newAccept(v)
 	g.host.sendReplica(ctx, to, wire.KindAccept, &accept)
 }
 
-// newAccept is the message that brings a version to a replica, in this leader's term.
+// newAccept returns the message that sends a version to a replica in this leader's term.
 func (g *Group) newAccept(v wire.Versioned) wire.Accept {
 	return wire.Accept{Partition: g.partition, Term: g.term, From: g.self(), Versioned: v}
 }
 
-// handleAcceptReply counts an acknowledgement of the proposal, or takes a refusal.
+// handleAcceptReply counts an acknowledgement of the proposal, or handles a refusal.
 func (g *Group) handleAcceptReply(ctx *kernel.Context, reply wire.AcceptReply) {
 	if g.role != leader {
 		return
@@ -100,12 +101,12 @@
 	}
 }
 
-// commitProposal ends the proposal that a quorum has synced: its edits are answered, the followers are told,
-// and the edits that came meanwhile are proposed.
+// commitProposal commits a proposal that a quorum has synced: it answers the proposal's edits, notifies the
+// followers, and proposes the edits that have arrived in the meantime.
 func (g *Group) commitProposal(ctx *kernel.Context) {
 	v, edits := *g.proposal, g.proposedEdits
 	g.proposal, g.proposedEdits = nil, nil
-	// The first proposal of a term is the adopted version: with it committed the leader may serve.
+	// The first proposal of a term is the adopted version. Once it is committed the leader may serve.
 	g.ready = true
 	g.checkLeaderTerm(ctx, v)
 	g.commit(ctx, v)
@@ -133,31 +134,30 @@
 	ctx.Emit(Committed{Version: v})
 }
 
-// syncedVersion is the newest version that a replica said it has synced, and the newest heartbeat round when
-// it did.
+// syncedVersion is the newest version that a replica has acknowledged, and the newest heartbeat round at that time.
 type syncedVersion struct {
 	version        wire.Version
 	heartbeatRound uint64
-	// supportsBase is whether the replica takes a version without its body: releases before 3 don't.
+	// supportsBase reports whether the replica accepts a version without its body. Releases before 3 do not.
 	supportsBase bool
 }
 
-// recordSynced remembers the newest version that a replica has acknowledged.
+// recordSynced records the newest version that a replica has acknowledged.
 func (g *Group) recordSynced(reply wire.AcceptReply) {
 	if mesh.Newer(reply.Version, g.synced[reply.From].version) {
 		g.synced[reply.From] = syncedVersion{reply.Version, g.heartbeatRound, reply.SupportsBase}
 	}
 }
 
-// recordVoterVersions remembers what the voters of an election hold.
+// recordVoterVersions records the versions that the voters of an election hold.
 func (g *Group) recordVoterVersions(votes map[string]wire.VoteReply) {
 	for id, v := range votes {
 		g.synced[id] = syncedVersion{v.Stored.Version, g.heartbeatRound, v.SupportsBase}
 	}
 }
 
-// detectRollback reports a replica that holds an older version than it has acknowledged in this term: its disk
-// returned to an older content, which the algorithm assumes does not happen.
+// detectRollback reports a replica that holds an older version than it has acknowledged in this term: its disk has
+// returned to an older state, which the algorithm assumes never happens.
 func (g *Group) detectRollback(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	was, known := g.synced[reply.From]
 	if !known || reply.Round <= was.heartbeatRound || !mesh.Newer(was.version, reply.Stored) {
@@ -169,7 +169,8 @@
 		"action", "stop this core, empty its data folder, start it again: it comes back as a new replica")
 }
 
-// baseFor is the committed version, if a new value has its body and its log of edits: only the voters change.
+// baseFor returns the committed version if the new value has the same body and edit log, so that only the voters
+// change; otherwise the zero version.
 func (g *Group) baseFor(value state.Value) (base wire.Version) {
 	if bytes.Equal(value.Body, g.committed.Body) && bytes.Equal(value.EditLog, g.committed.EditLog) {
 		base = g.committed.Version
@@ -177,7 +178,7 @@
 	return base
 }
 
-// withBase leaves a large body out of the message to a replica that holds it as the version base.
+// withBase omits a large body from a message to a replica that holds the same body as version base.
 func (g *Group) withBase(accept wire.Accept, id string, base wire.Version) wire.Accept {
 	held := g.synced[id]
 	if isLarge(versionSize(accept.Versioned)) && base.Term > 0 && held.supportsBase && held.version == base {
--- a/control/replica/status.go
+++ b/control/replica/status.go
@@ -6,26 +6,26 @@
 	"wallport/runtime/wire"
 )
 
-// replicaState is the state of a replica as operators are shown it.
+// replicaState is the state of a replica as shown to operators.
 type replicaState string
 
 const (
 	stateLeader replicaState = "leader"
-	// stateNewLeader is a leader that has not committed a version of its own term yet.
+	// stateNewLeader is a leader that has not committed a version in its own term yet.
 	stateNewLeader replicaState = "new_leader"
 	stateCandidate replicaState = "candidate"
 	stateFollower  replicaState = "follower"
 	// stateStandby is a replica without a vote.
 	stateStandby replicaState = "standby"
-	// stateDamaged is a replica whose disk can't be trusted.
+	// stateDamaged is a replica whose disk content cannot be trusted.
 	stateDamaged replicaState = "damaged"
 )
 
-// changeAwaitingCommit is shown in place of a reason while a change waits for its last version.
+// changeAwaitingCommit is shown instead of a reason while a joint version waits for the final version of its change.
 const changeAwaitingCommit changeReason = "settling"
 
-// Status is what operators are shown of this process's replicas: their state, their contact with a majority,
-// their versions and the change of membership under way.
+// Status returns the state of this process's replicas as shown to operators: their roles, their contact with a
+// majority, their versions and the membership change under way.
 func (h *Host) Status(now clock.Micros) *wire.StatusReply {
 	reply := &wire.StatusReply{Addr: h.kernel.Boot.Settings.Mesh}
 	for _, g := range h.groups {
@@ -34,12 +34,12 @@
 	return reply
 }
 
-// sendStatus replies to a request for the status.
+// sendStatus replies to a status request.
 func (h *Host) sendStatus(ctx *kernel.Context, v kernel.Message) {
 	ctx.Send(v.Conn, wire.KindStatusReply, v.ID, h.Status(ctx.Now))
 }
 
-// status is what operators are shown of the replica of one partition.
+// status returns the status of the replica of one partition.
 func (g *Group) status(now clock.Micros) wire.ReplicaStatus {
 	status := wire.ReplicaStatus{
 		Partition: g.partition, State: string(g.state()), Term: max(g.term, g.votedTerm), Leader: g.host.Leader(g.partition, now),
@@ -52,7 +52,7 @@
 	return status
 }
 
-// state is the state of the replica as operators are shown it.
+// state returns the state of the replica as shown to operators.
 func (g *Group) state() replicaState {
 	switch {
 	case g.host.diskDamaged:
@@ -69,8 +69,8 @@
 	return stateCandidate
 }
 
-// currentChange is the reason of the change of membership whose learners are catching up, changeAwaitingCommit
-// where a change is proposed and waits for its last version, and empty where there is none.
+// currentChange returns the reason of the membership change whose learners are catching up, changeAwaitingCommit if a
+// joint version is proposed or committed, and an empty reason if there is no change.
 func (g *Group) currentChange() changeReason {
 	switch {
 	case g.change != nil:
--- a/control/replica/storage.go
+++ b/control/replica/storage.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// DiskCheckInterval is how often a disk with a problem is tried again.
+	// DiskCheckInterval is the time between two test writes to a disk that has a problem.
 	DiskCheckInterval = 200 * clock.Millisecond
-	// SlowDiskAfter is how long a write may take before the disk counts as slow, or as stalled while it lasts.
+	// SlowDiskAfter is the duration after which a completed write marks the disk as slow, and a write in progress
+	// marks it as stalled.
 	SlowDiskAfter = 300 * clock.Millisecond
-	// VersionsKept is how many versions of each partition stay on the disk.
+	// VersionsKept is the number of versions of each partition that are kept on disk.
 	VersionsKept = 3
 )
 
-// Names of files.
+// File names and their formats.
 const (
 	fileReplicaID = "seat"
 	fileBootstrap = "formation"
@@ -41,8 +42,8 @@
 	return fmt.Sprintf(versionFormat, v.Partition, v.Term, v.Seq)
 }
 
-// diskCondition is what is wrong with the disk: one of the constants, or the text of a write's error. It is
-// shown to operators, and to the other processes in this one's member entry.
+// diskCondition is the problem of the disk: one of the constants, or the text of a write error. It is shown to
+// operators, and published in this process's member entry.
 type diskCondition string
 
 const (
@@ -55,31 +56,31 @@
 // writeDone is called when a file is synced (err is empty) or could not be written.
 type writeDone func(ctx *kernel.Context, err string)
 
-// disk is the state of the replica's disk and of the writes under way.
+// disk is the state of the replica's disk and of the writes in progress.
 type disk struct {
-	// diskDamaged is set at the start, when what is on the disk can't be trusted: this replica then
-	// takes part in nothing. futureFormat says so of a file of a newer release.
+	// diskDamaged is set at the start if the content of the disk cannot be trusted; this replica then takes part in
+	// nothing. futureFormat is the error for a file that was written by a newer release.
 	diskDamaged  bool
 	futureFormat string
 	diskProblem  diskCondition
-	// onWritten and writeStartedAt hold the writes under way by their key.
+	// onWritten and writeStartedAt describe the writes in progress, by key.
 	lastWriteID    uint64
 	onWritten      map[string]writeDone
 	writeStartedAt map[string]clock.Micros
-	// checkingDisk is set while the disk is tried again; diskCheckedAt is when that began last.
+	// checkingDisk is set while a test write is in progress; diskCheckedAt is when the last one began.
 	checkingDisk  bool
 	diskCheckedAt clock.Micros
 }
 
-// load reads the disk as it was at the start of the process.
+// load reads the files that were on the disk when the process started.
 func (h *Host) load(ctx *kernel.Context) {
 	for _, name := range sortedKeys(h.kernel.Boot.Files) {
 		h.loadFile(ctx, name, h.kernel.Boot.Files[name])
 	}
 	for _, g := range h.groups {
 		if g.accepted.Version.Term > g.votedTerm {
-			// A leader of that term brought the version, so the term is taken: no candidate may have it, and
-			// an empty votedFor matches none.
+			// A leader of that term sent the version, so the term is taken and must not be granted to any candidate: an
+			// empty votedFor matches no candidate.
 			g.votedTerm, g.votedFor = g.accepted.Version.Term, ""
 		}
 		h.bootstrapped = h.bootstrapped || g.accepted.Version.Term > 0
@@ -92,7 +93,7 @@
 	}
 }
 
-// loadFile takes one file that was on the disk at the start.
+// loadFile loads one of the files that were on the disk at the start.
 func (h *Host) loadFile(ctx *kernel.Context, name string, packed []byte) {
 	isVersion := strings.Contains(name, versionInfix)
 	content, err := diskfile.Unpack(packed)
@@ -104,7 +105,7 @@
 	if err != nil {
 		ctx.Counts.Add("disk_torn", 1)
 		ctx.Log(kernel.LevelWarn, "disk_torn", "file", name)
-		// An incomplete version was never acknowledged, so it can be skipped. Any other file is needed.
+		// An incomplete version file was never acknowledged and can be skipped. Every other file is required.
 		h.diskDamaged = h.diskDamaged || !isVersion
 		return
 	}
@@ -124,7 +125,7 @@
 	h.diskDamaged = wire.Decode(content, &h.bootstrap) != nil || h.diskDamaged
 	h.bootstrapped, h.consentSynced = h.bootstrap.Commit, true
 	if len(h.bootstrap.Voters) > 0 && h.bootstrap.Proposer.ID == "" {
-		// Releases before 2 did not store who proposed: it was the first voter.
+		// Releases before 2 did not store the proposer, which was always the first voter.
 		h.bootstrap.Proposer = h.bootstrap.Voters[0]
 	}
 }
@@ -153,7 +154,7 @@
 	h.groups[partition].votedTerm, h.groups[partition].votedFor = vote.Term, vote.From
 }
 
-// identify makes the identity of the replica on an empty disk. There is none before it is synced.
+// identify creates the replica's identity on an empty disk. The identity is not used before it is synced.
 func (h *Host) identify(ctx *kernel.Context) {
 	id := fmt.Sprintf("%016x", ctx.Rand.Uint64())
 	h.checkingDisk = true
@@ -166,7 +167,7 @@
 	})
 }
 
-// save writes a file and calls done when it is synced or has failed.
+// save writes a file and calls done when it is synced or the write has failed.
 func (h *Host) save(ctx *kernel.Context, file string, content []byte, done writeDone) {
 	h.lastWriteID++
 	key := fmt.Sprintf("w%d", h.lastWriteID)
@@ -175,10 +176,10 @@
 	ctx.Write(pluginName, key, file, diskfile.Pack(content))
 }
 
-// remove removes a file, and does not wait for it.
+// remove deletes a file without waiting for the result.
 func (h *Host) remove(ctx *kernel.Context, file string) { ctx.Write(pluginName, "", file, nil) }
 
-// handleWritten ends a write, and judges the disk by how it went.
+// handleWritten completes a write and updates the condition of the disk from its duration and error.
 func (h *Host) handleWritten(ctx *kernel.Context, v kernel.Written) {
 	done := h.onWritten[v.Key]
 	slow := ctx.Now-h.writeStartedAt[v.Key] > SlowDiskAfter
@@ -198,7 +199,7 @@
 	}
 }
 
-// setDiskProblem logs and publishes a change of the condition of the disk.
+// setDiskProblem records, logs and publishes a change of the disk's condition.
 func (h *Host) setDiskProblem(ctx *kernel.Context, problem diskCondition) {
 	if h.diskProblem == problem {
 		return
@@ -208,7 +209,7 @@
 	h.publishMember()
 }
 
-// checkDisk notices a write that has stalled, and tries a disk with a problem again.
+// checkDisk detects stalled writes, and issues a test write to a disk that has a problem.
 func (h *Host) checkDisk(ctx *kernel.Context) {
 	for _, startedAt := range h.writeStartedAt {
 		if ctx.Now-startedAt > SlowDiskAfter {
@@ -226,5 +227,5 @@
 	h.save(ctx, fileDiskCheck, []byte(fileDiskCheck), func(*kernel.Context, string) { h.checkingDisk = false })
 }
 
-// sortedKeys lists the keys of a map in order, so that steps do not depend on the order of maps.
+// sortedKeys returns the keys of a map in order, so that steps do not depend on the iteration order of maps.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -9,11 +9,11 @@
 	"wallport/runtime/wire"
 )
 
-// RebalanceAfter is how long a leader leads, and a voter has been reachable without a gap, before leadership is
-// transferred, or voters are changed, only to spread them better.
+// RebalanceAfter is the minimum time that a leader has led, and that a voter has been reachable without interruption,
+// before leadership is transferred or voters are changed for the sole purpose of a better spread.
 const RebalanceAfter = 4 * clock.Second
 
-// bestSuccessor is the healthy voter that was heard last; empty where there is none.
+// bestSuccessor returns the healthy voter that was heard most recently; empty if there is none.
 func (g *Group) bestSuccessor(ctx *kernel.Context) string {
 	best, bestHeardAt := "", clock.Micros(0)
 	for _, voter := range g.committed.Voters {
@@ -26,9 +26,10 @@
 	return best
 }
 
-// preferredLeader is the voter that should lead instead, so that the partitions' leaders are spread over the
-// cores: each partition prefers another one of its voters. It is empty where this one is preferred, has not
-// led for long enough or has something under way, or where the preferred one isn't well for long enough.
+// preferredLeader returns the voter that should lead instead of this one. Each partition prefers a different one of
+// its voters, so that the leaders are spread over the cores. The result is empty if this replica is the preferred
+// one, has not led for long enough or has work in progress, or if the preferred voter has not been healthy for long
+// enough.
 func (g *Group) preferredLeader(ctx *kernel.Context) string {
 	if !g.ready || g.proposal != nil || len(g.queue)+len(g.unconfirmed) > 0 || ctx.Now-g.leaderSince < RebalanceAfter {
 		return ""
@@ -48,14 +49,14 @@
 	return preferred
 }
 
-// transferLeadership transfers the leadership to the best successor, if there is one.
+// transferLeadership transfers leadership to the best successor, if there is one.
 func (g *Group) transferLeadership(ctx *kernel.Context) {
 	if successor := g.bestSuccessor(ctx); g.role == leader && successor != "" {
 		g.transferTo(ctx, successor)
 	}
 }
 
-// transferTo steps down and designates a successor, which stands for leader at once.
+// transferTo steps down and designates a successor, which starts an election immediately.
 func (g *Group) transferTo(ctx *kernel.Context, successor string) {
 	heartbeat := wire.LeaderHeartbeat{Partition: g.partition, Term: g.term, From: g.self(), Committed: g.committed.Version, TransferTo: successor}
 	for _, voter := range allVoters(g.committed) {
@@ -65,6 +66,6 @@
 	}
 	ctx.Counts.Add("part_yielded", 1)
 	g.stepDown(ctx, "transferred to "+stepDownReason(successor))
-	// Callers that ask meanwhile are sent to the successor.
+	// Callers that ask in the meantime are redirected to the successor.
 	g.leader, g.leaderAddress, g.leaderSeen = successor, g.host.addressOf(successor, ctx.Now), ctx.Now
 }
--- a/control/replica/wall_clock.go
+++ b/control/replica/wall_clock.go
@@ -7,13 +7,13 @@
 	"wallport/runtime/kernel"
 )
 
-// ClockTolerance is how far two clocks may be apart and still agree.
+// ClockTolerance is the maximum difference between two clocks that agree.
 const ClockTolerance = 2 * clock.Second
 
-// agreedTime is the time of day that a majority of the voters agrees on: the lowest clock of the largest set
-// of clocks within ClockTolerance. Without such a majority it isn't known, and nothing starts or ends by it.
+// agreedTime returns the time of day that a majority of the voters agrees on: the lowest clock of the largest set of
+// clocks within ClockTolerance. Without such a majority the time is unknown, and nothing starts or ends by it.
 func (g *Group) agreedTime(ctx *kernel.Context) (wall clock.Micros, known bool) {
-	// All are offsets from this process's monotonic clock: its own time of day may jump like any other.
+	// All offsets are relative to this process's monotonic clock, because its own time of day may jump as well.
 	offsets := []clock.Micros{ctx.Wall - ctx.Now}
 	for _, voter := range g.committed.Voters {
 		if offset, ok := g.wallOffsets[voter.ID]; ok && ctx.Now-g.heardAt[voter.ID] < StepDownAfter {
