--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -90,12 +90,12 @@
 	out := c.send(wire.KindBootstrap, proposal("f1", "a", "a", "b", "m"))
 	must.SliceEmpty(t, out.Writes)
 	must.True(t, bootstrapReplies(t, out)[0].Forbidden)
-	others(c, 3)
+	announceCores(c, 3)
 	must.SliceEmpty(t, c.tick().Writes)
 }
 
-// others has n other empty cores, the seeds first, make themselves known by pulls.
-func others(c *core, n int) {
+// announceCores has n other empty cores, the seeds first, make themselves known by pulls.
+func announceCores(c *core, n int) {
 	for i := range n {
 		a := string(rune('1' + i))
 		c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0." + a + ":1", Replica: "s" + a, Zone: "z" + a})
@@ -106,7 +106,7 @@
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	c.tick()
 	must.Eq(t, "", c.host.bootstrap.BootstrapID, must.Sprint("nobody else is known yet"))
-	others(c, 3)
+	announceCores(c, 3)
 	out := c.tick()
 	must.Len(t, 3, c.host.bootstrap.Voters)
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before its own consent is synced"))
@@ -117,18 +117,18 @@
 	}
 	must.False(t, c.host.bootstrapped)
 	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before it is synced that it is complete"))
-	gone := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
+	completions := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
 	must.True(t, c.host.bootstrapped)
-	must.Len(t, 2, gone)
-	must.True(t, gone[0].Commit)
+	must.Len(t, 2, completions)
+	must.True(t, completions[0].Commit)
 }
 
 func TestBootstrapOtherCoresWaitForProposer(t *testing.T) {
 	c := emptyCore(t, nil)
-	others(c, 3)
+	announceCores(c, 3)
 	must.SliceEmpty(t, c.tick().Writes)
 	c.now += 2 * SmallestGroupAfter
-	others(c, 3)
+	announceCores(c, 3)
 	must.SliceEmpty(t, c.tick().Writes)
 }
 
@@ -137,16 +137,16 @@
 		e.Mesh, e.Zone, e.Seeds, e.Tolerance.Machines = "10.0.0.0:1", "z0", e.Seeds[:2], 2
 	})
 	c.now += SmallerGroupAfter
-	others(c, 1)
+	announceCores(c, 1)
 	must.SliceEmpty(t, c.tick().Writes, must.Sprint("one seed is not heard"))
-	others(c, 3)
+	announceCores(c, 3)
 	c.tick()
 	must.Len(t, 3, c.host.bootstrap.Voters, must.Sprint("five are wanted, four there: three"))
 }
 
 func TestBootstrapGreaterProposerWithdraws(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Seeds = "10.0.0.0:1", e.Seeds[:2] })
-	others(c, 3)
+	announceCores(c, 3)
 	out := c.sync(c.tick())
 	mine := c.host.bootstrap
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
@@ -158,14 +158,14 @@
 		c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: mine.BootstrapID, From: member.ID, OK: true})
 	}
 	must.False(t, c.host.completing)
-	freed := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
-	must.Len(t, 2, freed)
-	must.True(t, freed[0].Withdrawn && freed[0].BootstrapID == mine.BootstrapID)
+	withdrawals := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
+	must.Len(t, 2, withdrawals)
+	must.True(t, withdrawals[0].Withdrawn && withdrawals[0].BootstrapID == mine.BootstrapID)
 }
 
 func TestBootstrapExcludesRefusers(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
-	others(c, 3)
+	announceCores(c, 3)
 	c.sync(c.tick())
 	f := c.host.bootstrap
 	i := slices.IndexFunc(f.Voters, func(s wire.Replica) bool { return s.ID != "m" })
--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -24,17 +24,17 @@
 // retryAllowance is what the loss of a piece that was sent while the replica was away may cost.
 const retryAllowance = 1 * clock.Second
 
-// caughtUp is what the catch-up of a replica took.
-type caughtUp struct {
+// catchUpResult is what the catch-up of a replica took.
+type catchUpResult struct {
 	us, bytes, body int64
 	// terms is by how much the leader's term rose meanwhile.
 	terms uint64
 }
 
 // catchUpAfter stops a core, changes the body so many times, and starts the core again.
-func catchUpAfter(t testing.TB, size, changes int, emptyDisk bool) caughtUp {
+func catchUpAfter(t testing.TB, size, changes int, emptyDisk bool) catchUpResult {
 	t.Helper()
-	c := newNarrowCluster(t, 0)
+	c := newBandwidthCluster(t, 0)
 	revision := c.grow(size)
 	away := c.awaitConverged()
 	c.stop(away.id)
@@ -42,8 +42,8 @@
 		must.Eq(t, "ok", c.edit(pools(revision, 100, fmt.Sprintf("changed-%d", i%50)), 10*clock.Second).Code)
 		revision++
 	}
-	back := c.now + 3*clock.Second
-	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= back })
+	returnAt := c.now + 3*clock.Second
+	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= returnAt })
 	if emptyDisk {
 		away.files = map[string][]byte{}
 	}
@@ -51,12 +51,12 @@
 	want := c.lead().committed().Version
 	c.start(away.id)
 	us := c.run(catchUpLimit(size), "the replica is whole again", func() bool { return away.hasSynced(want) })
-	return caughtUp{us, away.bytesIn, int64(len(c.lead().committed().Body)), c.lead().committed().Version.Term - want.Term}
+	return catchUpResult{us, away.bytesIn, int64(len(c.lead().committed().Body)), c.lead().committed().Version.Term - want.Term}
 }
 
 // awaitConverged waits until the core that should lead the configuration does, and all hold the same; it
 // gives one of the others.
-func (c *narrowCluster) awaitConverged() *narrowMember {
+func (c *bandwidthCluster) awaitConverged() *bandwidthMember {
 	c.t.Helper()
 	c.run(60*clock.Second, "the preferred core leads", func() bool { return c.members["a"].host.Leads(state.ConfigPartition) })
 	c.awaitAll(60 * clock.Second)
@@ -64,7 +64,7 @@
 }
 
 // bytesIn is what all cores have received.
-func (c *narrowCluster) bytesIn() (n int64) {
+func (c *bandwidthCluster) bytesIn() (n int64) {
 	for _, m := range c.members {
 		n += m.bytesIn
 	}
@@ -83,11 +83,11 @@
 				t.Logf("whole again after %d ms and %d KB", r.us/1000, r.bytes/1000)
 				must.Eq(t, 0, r.terms, must.Sprint("the leader leads on"))
 				// A new disk takes a membership change, and so two versions.
-				most := 3*r.body + r.body/10 + 50_000
+				maxBytes := 3*r.body + r.body/10 + 50_000
 				if !emptyDisk {
-					most = 2*r.body + 50_000
+					maxBytes = 2*r.body + 50_000
 				}
-				must.LessEq(t, most, r.bytes)
+				must.LessEq(t, maxBytes, r.bytes)
 			})
 		}
 	}
@@ -102,15 +102,15 @@
 
 // A large version on its way to a replica must not delay the heartbeats to it and to the others.
 func TestHeartbeatsPassLargeVersion(t *testing.T) {
-	c := newNarrowCluster(t, linkOf10Mbit)
+	c := newBandwidthCluster(t, linkOf10Mbit)
 	revision := c.grow(3_000_000)
 	away := c.awaitConverged()
 	l, term := c.lead(), c.lead().committed().Version.Term
 	c.stop(away.id)
 	must.Eq(t, "ok", c.edit(pools(revision, 100, "changed"), 60*clock.Second).Code)
 	want := l.committed().Version
-	back := c.now + 3*clock.Second
-	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= back })
+	returnAt := c.now + 3*clock.Second
+	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= returnAt })
 	c.start(away.id)
 	g := away.host.groups[state.ConfigPartition]
 	worst := int64(0)
@@ -133,34 +133,34 @@
 	must.NotNil(t, g)
 	c.now += LargeResendInterval
 	g.committed.Body = make([]byte, wire.MaxSingleFrame+1)
-	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, OK: true}
+	reply := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, OK: true}
 	count := func() int64 { return c.kernel.Counts.Of("part_handed_over").Load() }
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, count())
 	for range 5 {
 		c.now += CatchUpInterval / 2
-		c.send(wire.KindLeaderHeartbeatReply, &beat)
+		c.send(wire.KindLeaderHeartbeatReply, &reply)
 	}
 	must.Eq(t, 1, count(), must.Sprint("a large one is on its way"))
 	g.proposal = &wire.Versioned{Version: wire.Version{Term: g.term, Seq: 99}, Voters: g.committed.Voters}
 	c.now += 2 * LargeResendInterval
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, count(), must.Sprint("the one that is proposed takes its place"))
 }
 
 func TestRolledBackDiskIsDetected(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, Stored: wire.Version{}, OK: true}
+	reply := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, Stored: wire.Version{}, OK: true}
 	g.synced["b"] = syncedVersion{version: g.committed.Version, heartbeatRound: g.heartbeatRound}
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 0, c.kernel.Counts.Of("replicas_rolled_back").Load(), must.Sprint("sent before the acknowledgement"))
-	beat.Round++
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
+	reply.Round++
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, c.kernel.Counts.Of("replicas_rolled_back").Load())
-	beat.Stored = g.committed.Version
+	reply.Stored = g.committed.Version
 	g.synced["b"] = syncedVersion{version: g.committed.Version, heartbeatRound: g.heartbeatRound}
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, c.kernel.Counts.Of("replicas_rolled_back").Load())
 }
 
@@ -169,7 +169,7 @@
 		for _, changes := range []int{10, 100, 1000, 5000} {
 			for _, emptyDisk := range []bool{false, true} {
 				b.Run(fmt.Sprintf("size=%d/changes=%d/empty=%v", size, changes, emptyDisk), func(b *testing.B) {
-					var r caughtUp
+					var r catchUpResult
 					for range b.N {
 						r = catchUpAfter(b, size, changes, emptyDisk)
 					}
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -17,7 +17,7 @@
 func (c *simCluster) check(m *simMachine) {
 	for _, g := range m.host.groups {
 		if g.role == leader && g.proposal != nil && isJoint(*g.proposal) {
-			c.checkNewcomers(g)
+			c.checkNewVoters(g)
 		}
 	}
 	g := m.host.groups[0]
@@ -25,25 +25,25 @@
 		return
 	}
 	c.newest = g.committed.Version
-	ledger, err := state.ReadEditLog(g.committed.EditLog)
+	editLog, err := state.ReadEditLog(g.committed.EditLog)
 	if err != nil {
-		c.violations = append(c.violations, "a committed ledger cannot be decoded")
+		c.violations = append(c.violations, "a committed edit log cannot be decoded")
 		return
 	}
-	taken := map[string]bool{}
-	for _, order := range ledger.RoutingEdits {
-		taken[string(order.Digest)] = true
+	applied := map[string]bool{}
+	for _, edit := range editLog.RoutingEdits {
+		applied[string(edit.Digest)] = true
 	}
 	for _, name := range c.acknowledged {
-		if !taken[name] {
+		if !applied[name] {
 			c.violations = append(c.violations, fmt.Sprintf("%d us: the order with digest %x was acknowledged and is not in version %v of %s", c.now, name, g.committed.Version, m.addr))
 			return
 		}
 	}
 }
 
-// checkNewcomers checks that every new voter has synced the version before the change.
-func (c *simCluster) checkNewcomers(g *Group) {
+// checkNewVoters checks that every new voter has synced the version before the change.
+func (c *simCluster) checkNewVoters(g *Group) {
 	oldest := g.committed.Version
 	oldest.Partition = g.partition
 	for _, voter := range g.proposal.Voters {
@@ -80,11 +80,11 @@
 	}
 }
 
-// serves runs until an edit is acknowledged again.
-func (c *simCluster) serves(what string, most clock.Micros) clock.Micros {
+// awaitAck runs until an edit is acknowledged again.
+func (c *simCluster) awaitAck(what string, limit clock.Micros) clock.Micros {
 	c.t.Helper()
 	from := c.now
-	took := c.runUntil(what, most, func() bool { return c.lastAck > from })
+	took := c.runUntil(what, limit, func() bool { return c.lastAck > from })
 	c.verify()
 	return took
 }
--- a/control/replica/cluster_machine_test.go
+++ b/control/replica/cluster_machine_test.go
@@ -13,18 +13,18 @@
 
 // simMachine is a machine with a disk and, while it is up, a process on it.
 type simMachine struct {
-	cluster     *simCluster
-	addr, zone  string
-	disk        map[string][]byte
-	first       bool
-	up          bool
-	stopping    bool
-	incarnation int
-	upAt        clock.Micros
-	kernel      *kernel.Kernel
-	host        *Host
-	writes      []kernel.Write
-	writing     bool
+	cluster      *simCluster
+	addr, zone   string
+	disk         map[string][]byte
+	mayBootstrap bool
+	up           bool
+	stopping     bool
+	incarnation  int
+	upAt         clock.Micros
+	kernel       *kernel.Kernel
+	host         *Host
+	writes       []kernel.Write
+	writing      bool
 }
 
 type simLink struct {
@@ -60,15 +60,15 @@
 	m.kernel = kernel.New(kernel.Boot{
 		Settings: settings.Settings{
 			Name: m.addr, Mesh: m.addr, Zone: m.zone, DataDir: "disk", Seeds: seeds,
-			BootstrapKnown: true, Bootstrap: m.first, Tolerance: c.shape.tolerance,
+			BootstrapKnown: true, Bootstrap: m.mayBootstrap, Tolerance: c.shape.tolerance,
 		},
 		Role: "core", Seed: c.random.Uint64(), Key: kernel.KeyFrom(key), Files: files,
 	})
-	m.first = false
+	m.mayBootstrap = false
 	m.host = kernel.Find[*Host](m.kernel)
 	c.log(m.addr + " starts")
 	m.step(kernel.Start{})
-	m.later(c.random.Int64N(simPullEvery), m.pull)
+	m.schedule(c.random.Int64N(simPullEvery), m.pull)
 }
 
 // kill ends the process at once; writes that are not synced are lost.
@@ -101,13 +101,13 @@
 		m.kill()
 		return
 	}
-	m.later(10*clock.Millisecond, func() { m.awaitLeft(until) })
+	m.schedule(10*clock.Millisecond, func() { m.awaitLeft(until) })
 }
 
-func (m *simMachine) later(d clock.Micros, run func()) {
-	life := m.incarnation
+func (m *simMachine) schedule(d clock.Micros, run func()) {
+	incarnation := m.incarnation
 	m.cluster.after(d, func() {
-		if m.incarnation == life {
+		if m.incarnation == incarnation {
 			run()
 		}
 	})
@@ -115,7 +115,7 @@
 
 // pull stands for the configuration sync, by which a process tells the others of itself.
 func (m *simMachine) pull() {
-	m.later(simPullEvery, m.pull)
+	m.schedule(simPullEvery, m.pull)
 	pull := wire.Pull{Addr: m.addr, Zone: m.zone}
 	if m.host.diskProblem == "" && !m.stopping {
 		pull.Replica = m.host.replicaID
@@ -134,7 +134,7 @@
 		c.log(m.addr + " " + n.Event + " " + fmt.Sprint(n.Fields...))
 	}
 	for _, timer := range out.Timers {
-		m.later(timer.At-m.clock(), func() { m.step(timer.Tick) })
+		m.schedule(timer.At-m.clock(), func() { m.step(timer.Tick) })
 	}
 	m.writes = append(m.writes, out.Writes...)
 	m.write()
@@ -151,7 +151,7 @@
 	}
 	m.writing = true
 	w := m.writes[0]
-	m.later(simSyncTime+m.cluster.random.Int64N(simSyncTime), func() {
+	m.schedule(simSyncTime+m.cluster.random.Int64N(simSyncTime), func() {
 		m.writes, m.writing = m.writes[1:], false
 		if w.Data == nil {
 			delete(m.disk, w.File)
@@ -190,11 +190,11 @@
 		}
 	}
 	if link != nil && link.alive() {
-		link.carry(m, s.Data)
+		link.deliver(m, s.Data)
 	}
 }
 
-func (l *simLink) carry(from *simMachine, data []byte) {
+func (l *simLink) deliver(from *simMachine, data []byte) {
 	c, i := from.cluster, 0
 	if l.ends[1] == from {
 		i = 1
--- a/control/replica/cluster_test.go
+++ b/control/replica/cluster_test.go
@@ -63,12 +63,12 @@
 		links: map[uint64]*simLink{}, direct: map[string]*simLink{}, edits: map[uint64]string{},
 	}
 	for _, zone := range shape.zones {
-		c.addMachine(zone).first = true
+		c.addMachine(zone).mayBootstrap = true
 	}
 	for _, m := range c.machines {
 		m.start()
 	}
-	c.after(0, c.operate)
+	c.after(0, c.editLoop)
 	c.runUntil("the cluster is formed", 15*clock.Second, func() bool { return c.leader(0) != nil && len(c.acknowledged) > 0 })
 	return c
 }
@@ -86,13 +86,13 @@
 }
 
 // runUntil runs until something holds, and fails the test if that takes too long.
-func (c *simCluster) runUntil(what string, most clock.Micros, condition func() bool) (took clock.Micros) {
+func (c *simCluster) runUntil(what string, limit clock.Micros, condition func() bool) (took clock.Micros) {
 	c.t.Helper()
 	for began := c.now; ; c.run(10 * clock.Millisecond) {
 		if condition() {
 			return c.now - began
 		}
-		if c.now-began > most {
+		if c.now-began > limit {
 			c.fail(what)
 		}
 	}
@@ -120,9 +120,9 @@
 	return best
 }
 
-// operate sends an edit to the leader at a steady rate.
-func (c *simCluster) operate() {
-	c.after(simEditEvery, c.operate)
+// editLoop sends an edit to the leader at a steady rate.
+func (c *simCluster) editLoop() {
+	c.after(simEditEvery, c.editLoop)
 	if leader := c.leader(0); leader != nil {
 		c.nextEdit++
 		edit := routingEdit(c.t, c.revision(leader), int64(c.nextEdit), int64(c.nextEdit))
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -45,18 +45,18 @@
 func newCluster(t *testing.T, seed uint64, size int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), conns: map[uint64]*connection{}, direct: map[string]uint64{}}
-	form := wire.Bootstrap{BootstrapID: "f", Commit: true}
+	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true}
 	for i := range size {
 		m := &member{name: fmt.Sprintf("m%d", i), addr: fmt.Sprintf("10.0.0.%d:1", i+1)}
 		if i < (size-1)|1 {
-			form.Voters = append(form.Voters, wire.Replica{ID: m.name, Addr: m.addr, Zone: fmt.Sprintf("z%d", i)})
+			bootstrap.Voters = append(bootstrap.Voters, wire.Replica{ID: m.name, Addr: m.addr, Zone: fmt.Sprintf("z%d", i)})
 		}
 		c.members = append(c.members, m)
 	}
 	for _, m := range c.members {
 		m.files = map[string][]byte{"seat": diskfile.Pack([]byte(m.name))}
-		if contains(form.Voters, m.name) {
-			m.files["formation"] = diskfile.Pack(wire.Encode(&form))
+		if contains(bootstrap.Voters, m.name) {
+			m.files["formation"] = diskfile.Pack(wire.Encode(&bootstrap))
 		}
 		c.start(m)
 	}
@@ -86,11 +86,11 @@
 	c.after(d, func() { c.repeat(d, do) })
 }
 
-// run lets time pass; look is called after each event.
-func (c *cluster) run(d clock.Micros, look func()) {
+// run lets time pass; afterEach is called after each event.
+func (c *cluster) run(d clock.Micros, afterEach func()) {
 	for end := c.now + d; c.advance(end); {
-		if look != nil {
-			look()
+		if afterEach != nil {
+			afterEach()
 		}
 	}
 }
@@ -108,10 +108,10 @@
 }
 
 func (c *cluster) step(m *member, in kernel.Input) {
-	now, life := c.now-m.startedAt, m.incarnation
+	now, incarnation := c.now-m.startedAt, m.incarnation
 	out := m.kernel.Step(now, 1_700_000_000*clock.Second+c.now, in)
 	for _, v := range out.Timers {
-		c.after(v.At-now, func() { c.feed(m, life, v.Tick) })
+		c.after(v.At-now, func() { c.feed(m, incarnation, v.Tick) })
 	}
 	for _, w := range out.Writes {
 		c.write(m, w)
--- a/control/replica/contact_net_test.go
+++ b/control/replica/contact_net_test.go
@@ -15,16 +15,16 @@
 // connection carries frames both ways between a member, or the test, and a member.
 type connection struct {
 	ends [2]*member
-	// free is when the next frame may arrive at an end: frames keep their order.
-	free         [2]clock.Micros
+	// freeAt is when the next frame may arrive at an end: frames keep their order.
+	freeAt       [2]clock.Micros
 	incarnations [2]int
 	reply        func(f wire.Frame)
 }
 
 func (c *cluster) write(m *member, w kernel.Write) {
-	life := m.incarnation
+	incarnation := m.incarnation
 	c.after(clock.Millisecond+c.rnd.Int64N(5*clock.Millisecond), func() {
-		if m.incarnation != life {
+		if m.incarnation != incarnation {
 			return
 		}
 		if w.Data == nil {
@@ -33,7 +33,7 @@
 		}
 		m.files[w.File] = w.Data
 		if w.Key != "" {
-			c.feed(m, life, kernel.Written{Plugin: w.Plugin, Key: w.Key})
+			c.feed(m, incarnation, kernel.Written{Plugin: w.Plugin, Key: w.Key})
 		}
 	})
 }
@@ -53,7 +53,7 @@
 	id := s.Conn
 	if s.Addr != "" {
 		key := fmt.Sprint(m.name, m.incarnation, ">", s.Addr)
-		to := c.at(s.Addr)
+		to := c.memberAt(s.Addr)
 		if to == nil {
 			return
 		}
@@ -74,7 +74,7 @@
 	c.deliver(conn, id, side, s.Data)
 }
 
-func (c *cluster) at(addr string) *member {
+func (c *cluster) memberAt(addr string) *member {
 	for _, m := range c.members {
 		if m.addr == addr {
 			return m
@@ -89,8 +89,8 @@
 		c.held = append(c.held, func() { c.deliver(conn, id, side, data) })
 		return
 	}
-	at := max(c.now+150+c.rnd.Int64N(2*clock.Millisecond), conn.free[side]+1)
-	conn.free[side] = at
+	at := max(c.now+150+c.rnd.Int64N(2*clock.Millisecond), conn.freeAt[side]+1)
+	conn.freeAt[side] = at
 	c.after(at-c.now, func() {
 		if to == nil {
 			f, err := wire.Open(data)
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -20,8 +20,8 @@
 }
 
 // replyToHeartbeat has one of the two other voters reply to the newest heartbeat round.
-func (c *core) replyToHeartbeat(g *Group, steady clock.Micros) kernel.Output {
-	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Clock: steady})
+func (c *core) replyToHeartbeat(g *Group, voterClock clock.Micros) kernel.Output {
+	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Clock: voterClock})
 }
 
 // A process that was delayed for less than what counts as a suspension has not ticked: its replies must go by
@@ -78,8 +78,8 @@
 // heartbeat has the core follow "a" and returns its reply.
 func (c *core) heartbeat(t *testing.T, contactAt clock.Micros, committed wire.Version) wire.LeaderHeartbeatReply {
 	t.Helper()
-	beat := wire.LeaderHeartbeat{Term: 5, From: "a", Round: 1, ContactAt: contactAt, Committed: committed}
-	return sent[wire.LeaderHeartbeatReply](t, c.send(wire.KindLeaderHeartbeat, &beat), wire.KindLeaderHeartbeatReply)[0]
+	heartbeat := wire.LeaderHeartbeat{Term: 5, From: "a", Round: 1, ContactAt: contactAt, Committed: committed}
+	return sent[wire.LeaderHeartbeatReply](t, c.send(wire.KindLeaderHeartbeat, &heartbeat), wire.KindLeaderHeartbeatReply)[0]
 }
 
 // A heartbeat proves contact at a moment of the follower's own clock, however long it was on its way.
@@ -132,9 +132,9 @@
 	c.now += 20 * clock.Millisecond
 	c.replyToHeartbeat(g, 7*clock.Second)
 	c.now += HeartbeatInterval
-	beats := sent[wire.LeaderHeartbeat](t, c.tick(), wire.KindLeaderHeartbeat)
-	must.Len(t, 2, beats)
-	for _, b := range beats {
+	heartbeats := sent[wire.LeaderHeartbeat](t, c.tick(), wire.KindLeaderHeartbeat)
+	must.Len(t, 2, heartbeats)
+	for _, b := range heartbeats {
 		if b.To == "a" {
 			must.Eq(t, 7*clock.Second-20*clock.Millisecond, b.ContactAt)
 			continue
@@ -148,23 +148,23 @@
 func TestStandbyRelaysContactForLimitedTime(t *testing.T) {
 	c := newCore(t, nil)
 	c.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.9:1"}})
-	asked := uint64(0)
+	pullID := uint64(0)
 	for range 40 {
 		c.now += 100 * clock.Millisecond
 		out := c.feed(kernel.Tick{Plugin: "pulls", Key: "pull"})
 		for _, s := range out.Sends {
 			if f, err := wire.Open(s.Data); err == nil && f.Kind == wire.KindPull {
-				asked = f.ID
+				pullID = f.ID
 			}
 		}
-		if asked > 0 {
+		if pullID > 0 {
 			break
 		}
 	}
-	must.Positive(t, asked)
+	must.Positive(t, pullID)
 	at := c.now
 	c.now += 50 * clock.Millisecond
-	c.feed(kernel.Received{Conn: 5, Data: wire.Seal(wire.KindPullReply, asked, &wire.PullReply{ContactMask: 1, RelayedMask: 2})})
+	c.feed(kernel.Received{Conn: 5, Data: wire.Seal(wire.KindPullReply, pullID, &wire.PullReply{ContactMask: 1, RelayedMask: 2})})
 	must.Eq(t, 1, c.pullAll(t).RelayedMask, must.Sprint("what was relayed is not relayed again"))
 	must.Zero(t, c.pullAll(t).ContactMask)
 	c.now = at + RelayedContactFor + 1
--- a/control/replica/contact_test.go
+++ b/control/replica/contact_test.go
@@ -20,8 +20,8 @@
 	editEvery = 230 * clock.Millisecond
 )
 
-// worlds is the number of seeds for each kind of fault.
-var worlds = flag.Uint64("worlds", 2, "worlds for each kind of trouble")
+// seedsPerFault is the number of seeds for each kind of fault.
+var seedsPerFault = flag.Uint64("worlds", 2, "worlds for each kind of trouble")
 
 // acknowledgement is a version that an operator was told to be committed, and when.
 type acknowledgement struct {
@@ -35,13 +35,13 @@
 	acks  []acknowledgement
 	edits int
 	// confirmed counts, by member, the pulls whose replies showed contact; reads counts the reads that were answered.
-	confirmed map[string]int
-	last      map[string]clock.Micros
-	reads     map[string]int
+	confirmed     map[string]int
+	lastConfirmed map[string]clock.Micros
+	reads         map[string]int
 }
 
 func newObserver(c *cluster) *observer {
-	return &observer{c: c, confirmed: map[string]int{}, last: map[string]clock.Micros{}, reads: map[string]int{}}
+	return &observer{c: c, confirmed: map[string]int{}, lastConfirmed: map[string]clock.Micros{}, reads: map[string]int{}}
 }
 
 // newestBy is the newest version that was acknowledged by a moment.
@@ -73,7 +73,7 @@
 
 // read sends a member a read: its reply must contain all that was acknowledged before the read was sent.
 func (o *observer) read(to *member) {
-	asked := o.c.now
+	sentAt := o.c.now
 	o.c.request(to, wire.KindEdit, 1, &wire.Edit{Op: "read"}, func(f wire.Frame) {
 		var r wire.EditReply
 		must.NoError(o.c.t, wire.Decode(f.Body, &r))
@@ -81,14 +81,14 @@
 			return
 		}
 		o.reads[to.name]++
-		must.False(o.c.t, mesh.Newer(o.newestBy(asked), r.Version), must.Sprintf(
-			"%s was asked at %d ms and answered %v; %v was acknowledged", to.name, asked/1000, r.Version, o.newestBy(asked)))
+		must.False(o.c.t, mesh.Newer(o.newestBy(sentAt), r.Version), must.Sprintf(
+			"%s was asked at %d ms and answered %v; %v was acknowledged", to.name, sentAt/1000, r.Version, o.newestBy(sentAt)))
 	})
 }
 
 // pull pulls from a member as a node without any version does.
 func (o *observer) pull(to *member) {
-	asked := o.c.now
+	sentAt := o.c.now
 	o.c.request(to, wire.KindPull, 1, &wire.Pull{}, func(f wire.Frame) {
 		var r wire.PullReply
 		must.NoError(o.c.t, wire.Decode(f.Body, &r))
@@ -98,7 +98,7 @@
 				got = v.Version
 			}
 		}
-		by := asked - ContactFor
+		by := sentAt - ContactFor
 		if r.ContactMask&1 == 0 {
 			by -= RelayedContactFor
 		}
@@ -106,14 +106,14 @@
 			return
 		}
 		o.confirmed[to.name]++
-		o.last[to.name] = o.c.now
+		o.lastConfirmed[to.name] = o.c.now
 		must.False(o.c.t, mesh.Newer(o.newestBy(by), got), must.Sprintf(
-			"%s was pulled at %d ms and confirmed %v; %v was acknowledged by %d ms", to.name, asked/1000, got, o.newestBy(by), by/1000))
+			"%s was pulled at %d ms and confirmed %v; %v was acknowledged by %d ms", to.name, sentAt/1000, got, o.newestBy(by), by/1000))
 	})
 }
 
-// askRepeatedly edits, reads and pulls at an interval.
-func (o *observer) askRepeatedly() {
+// startLoad edits, reads and pulls at an interval.
+func (o *observer) startLoad() {
 	o.c.repeat(pullEvery, func() {
 		for _, m := range o.c.members {
 			o.pull(m)
@@ -144,13 +144,13 @@
 	}
 }
 
-// worldCount is the number of seeds for each kind of fault: one in a short run, which CI makes with the race
+// seedCount is the number of seeds for each kind of fault: one in a short run, which CI makes with the race
 // detector beside the complete one.
-func worldCount() uint64 {
+func seedCount() uint64 {
 	if testing.Short() {
 		return 1
 	}
-	return *worlds
+	return *seedsPerFault
 }
 
 // TestConfirmedVersionsContainAcknowledgedEdits partitions or suspends a leader or a follower for
@@ -158,15 +158,15 @@
 func TestConfirmedVersionsContainAcknowledgedEdits(t *testing.T) {
 	for _, v := range faults() {
 		for _, size := range []int{3, 4, 5} {
-			for _, who := range []string{"leader", "follower"} {
-				for seed := range worldCount() {
-					t.Run(fmt.Sprint(v.name, " ", who, " of ", size, " seed ", seed), func(t *testing.T) {
+			for _, target := range []string{"leader", "follower"} {
+				for seed := range seedCount() {
+					t.Run(fmt.Sprint(v.name, " ", target, " of ", size, " seed ", seed), func(t *testing.T) {
 						c := newCluster(t, seed, size)
 						m := c.committedLeader(0)
-						if who == "follower" {
+						if target == "follower" {
 							m = c.others(m)[0]
 						}
-						playFault(c, v, m)
+						runWithFault(c, v, m)
 					})
 				}
 			}
@@ -174,9 +174,9 @@
 	}
 }
 
-func playFault(c *cluster, v fault, m *member) {
+func runWithFault(c *cluster, v fault, m *member) {
 	o := newObserver(c)
-	o.askRepeatedly()
+	o.startLoad()
 	c.run(2*clock.Second+c.rnd.Int64N(clock.Second), nil)
 	for _, each := range c.members {
 		must.Positive(c.t, o.confirmed[each.name], must.Sprint("in calm times each member has contact: ", each.name))
@@ -185,7 +185,7 @@
 	began, acks := c.now, len(o.acks)
 	c.run(20*clock.Second, nil)
 	must.Greater(c.t, acks+10, len(o.acks), must.Sprint("the majority goes on"))
-	must.Less(c.t, began+ContactFor+RelayedContactFor+clock.Second/2, max(o.last[m.name], 1), must.Sprint("it says for too long that it has contact"))
+	must.Less(c.t, began+ContactFor+RelayedContactFor+clock.Second/2, max(o.lastConfirmed[m.name], 1), must.Sprint("it says for too long that it has contact"))
 	v.end(c, m)
 	for range 100 {
 		// The delayed frames arrive now, the newest last.
@@ -194,5 +194,5 @@
 		c.run(300, nil)
 	}
 	c.run(4*clock.Second, nil)
-	must.Greater(c.t, c.now-clock.Second, o.last[m.name], must.Sprint("it has contact again"))
+	must.Greater(c.t, c.now-clock.Second, o.lastConfirmed[m.name], must.Sprint("it has contact again"))
 }
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -132,8 +132,8 @@
 		reply(ctx, g.grantsPreVote(ctx, request))
 		return
 	}
-	fresh := request.Term > g.votedTerm || request.Term == g.votedTerm && g.votedFor == request.From
-	if !fresh {
+	mayGrant := request.Term > g.votedTerm || request.Term == g.votedTerm && g.votedFor == request.From
+	if !mayGrant {
 		reply(ctx, false)
 		return
 	}
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -23,8 +23,8 @@
 // newCore returns a bootstrapped core with replica "me"; the other voters are "a" and "b".
 func newCore(t *testing.T, more map[string][]byte) *core {
 	t.Helper()
-	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: replicas("a", "b", "me")}
-	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&form))}
+	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: replicas("a", "b", "me")}
+	files := map[string][]byte{"seat": diskfile.Pack([]byte("me")), "formation": diskfile.Pack(wire.Encode(&bootstrap))}
 	for k, v := range more {
 		files[k] = v
 	}
@@ -50,7 +50,7 @@
 	return all
 }
 
-func accepted(t *testing.T, out kernel.Output) wire.AcceptReply {
+func acceptReply(t *testing.T, out kernel.Output) wire.AcceptReply {
 	t.Helper()
 	var r wire.AcceptReply
 	must.Len(t, 1, out.Sends)
@@ -72,18 +72,18 @@
 	must.Len(t, 1, c.sync(out).Sends)
 	out = c.send(wire.KindAccept, &wire.Accept{Term: 4, From: "b", Versioned: version(4, 9)})
 	must.SliceEmpty(t, out.Writes)
-	r := accepted(t, out)
+	r := acceptReply(t, out)
 	must.False(t, r.OK)
 	must.Eq(t, uint64(5), r.Term)
 	out = c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 1)})
 	must.SliceEmpty(t, out.Sends, must.Sprint("no yes before it is synced"))
-	must.True(t, accepted(t, c.sync(out)).OK)
+	must.True(t, acceptReply(t, c.sync(out)).OK)
 }
 
 func TestVoteSurvivesRestart(t *testing.T) {
 	promise := diskfile.Pack(wire.Encode(&wire.Vote{Term: 7, From: "a"}))
 	c := newCore(t, map[string][]byte{voteFile(0): promise})
-	must.False(t, accepted(t, c.send(wire.KindAccept, &wire.Accept{Term: 6, From: "b", Versioned: version(6, 1)})).OK)
+	must.False(t, acceptReply(t, c.send(wire.KindAccept, &wire.Accept{Term: 6, From: "b", Versioned: version(6, 1)})).OK)
 	out := c.send(wire.KindVote, &wire.Vote{Term: 7, From: "b"})
 	must.SliceEmpty(t, out.Writes, must.Sprint("a term is given once"))
 }
@@ -118,7 +118,7 @@
 	c := newCore(t, nil)
 	out := c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 1)})
 	must.Len(t, 1, out.Writes)
-	r := accepted(t, c.feed(kernel.Written{Plugin: "seats", Key: out.Writes[0].Key, Err: "no space left on device"}))
+	r := acceptReply(t, c.feed(kernel.Written{Plugin: "seats", Key: out.Writes[0].Key, Err: "no space left on device"}))
 	must.False(t, r.OK)
 	must.Eq(t, wire.Version{}, c.host.groups[0].accepted.Version)
 	must.Eq(t, "no space left on device", c.host.diskProblem)
--- a/control/replica/invariants_test.go
+++ b/control/replica/invariants_test.go
@@ -16,8 +16,8 @@
 	"wallport/runtime/wire"
 )
 
-// configured returns a version of the configuration whose routing table has a revision.
-func configured(t *testing.T, term, seq uint64, revision int64) wire.Versioned {
+// configVersion returns a version of the configuration whose routing table has a revision.
+func configVersion(t *testing.T, term, seq uint64, revision int64) wire.Versioned {
 	t.Helper()
 	table, err := proto.Marshal(&routingpb.RoutingTable{Revision: revision})
 	must.NoError(t, err)
@@ -40,9 +40,9 @@
 	send := func(v wire.Versioned) (name invariant.Name) {
 		return violation.By(func() { c.sync(c.send(wire.KindAccept, &wire.Accept{Term: v.Version.Term, From: "a", Versioned: v})) })
 	}
-	must.Eq(t, "", send(configured(t, 3, 1, 7)))
-	must.Eq(t, "", send(configured(t, 3, 1, 7)))
-	must.Eq(t, invariant.OneContentPerVersion, send(configured(t, 3, 1, 8)))
+	must.Eq(t, "", send(configVersion(t, 3, 1, 7)))
+	must.Eq(t, "", send(configVersion(t, 3, 1, 7)))
+	must.Eq(t, invariant.OneContentPerVersion, send(configVersion(t, 3, 1, 8)))
 }
 
 func TestInvariantsOfCommit(t *testing.T) {
@@ -50,13 +50,13 @@
 	g := c.host.groups[state.ConfigPartition]
 	step := &kernel.Context{Now: c.now, Counts: c.kernel.Counts}
 	commit := func(v wire.Versioned) invariant.Name { return violation.By(func() { g.commit(step, v) }) }
-	must.Eq(t, "", commit(configured(t, 3, 1, 7)))
-	must.Eq(t, "", commit(configured(t, 3, 2, 9)))
-	must.Eq(t, invariant.RevisionIncreases, commit(configured(t, 4, 3, 8)))
+	must.Eq(t, "", commit(configVersion(t, 3, 1, 7)))
+	must.Eq(t, "", commit(configVersion(t, 3, 2, 9)))
+	must.Eq(t, invariant.RevisionIncreases, commit(configVersion(t, 4, 3, 8)))
 	must.Eq(t, 1, c.kernel.Counts.Of(invariant.Counter(invariant.RevisionIncreases)).Load())
 
 	g.term, g.votedTerm = 4, 5
-	must.Eq(t, invariant.LeaderInItsTerm, violation.By(func() { g.checkLeaderTerm(step, configured(t, 4, 4, 9)) }))
+	must.Eq(t, invariant.LeaderInItsTerm, violation.By(func() { g.checkLeaderTerm(step, configVersion(t, 4, 4, 9)) }))
 	g.votedTerm = 4
-	must.Eq(t, "", violation.By(func() { g.checkLeaderTerm(step, configured(t, 4, 4, 9)) }))
+	must.Eq(t, "", violation.By(func() { g.checkLeaderTerm(step, configVersion(t, 4, 4, 9)) }))
 }
--- a/control/replica/learner_test.go
+++ b/control/replica/learner_test.go
@@ -84,7 +84,7 @@
 		}
 		id := m.host.replicaID
 		m.terminate()
-		c.ends(m)
+		c.awaitExit(m)
 		must.True(t, c.isVoterAnywhere(id))
 		m.start()
 		c.run(2 * clock.Second)
@@ -94,7 +94,7 @@
 		if m.zone == "z1" {
 			id := m.host.replicaID
 			m.terminate()
-			must.Less(t, 1*clock.Second, c.ends(m))
+			must.Less(t, 1*clock.Second, c.awaitExit(m))
 			must.False(t, c.isVoterAnywhere(id))
 		}
 	}
@@ -109,7 +109,7 @@
 	leaving := c.victims(simLosses[0], false)[0]
 	host := leaving.host
 	leaving.terminate()
-	c.ends(leaving)
+	c.awaitExit(leaving)
 	for _, g := range host.groups {
 		must.False(t, g.isVoter())
 		must.False(t, isJoint(g.accepted))
--- a/control/replica/lease_test.go
+++ b/control/replica/lease_test.go
@@ -16,9 +16,9 @@
 
 // leaseHolder renews a lease at an interval, and counts it from when it sent the request.
 type leaseHolder struct {
-	name  string
-	until clock.Micros
-	given int
+	name    string
+	until   clock.Micros
+	granted int
 	// to is the member that it takes for the leader.
 	to func() *member
 }
@@ -29,13 +29,13 @@
 	if to == nil {
 		return
 	}
-	asked := c.now
+	sentAt := c.now
 	c.request(to, wire.KindLeaseRequest, 1, &wire.LeaseRequest{Task: "task", From: h.name}, func(f wire.Frame) {
 		var r wire.LeaseReply
 		must.NoError(c.t, wire.Decode(f.Body, &r))
 		if r.Holder == h.name && r.Duration > 0 {
-			h.given++
-			h.until = max(h.until, asked+r.Duration)
+			h.granted++
+			h.until = max(h.until, sentAt+r.Duration)
 		}
 	})
 }
@@ -43,13 +43,13 @@
 // TestLeaseHasOneHolderAcrossLeaderFaults has one process ask the old leader, as one that is
 // partitioned with it does, and another process the present leader.
 func TestLeaseHasOneHolderAcrossLeaderFaults(t *testing.T) {
-	troubles := map[string]struct{ begin, end func(c *cluster, m *member) }{
+	leaderFaults := map[string]struct{ begin, end func(c *cluster, m *member) }{
 		"cut":    {func(c *cluster, m *member) { c.isolate(m) }, func(c *cluster, m *member) { c.heal() }},
 		"frozen": {func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*clock.Second) }},
 	}
-	for name, trouble := range troubles {
+	for name, f := range leaderFaults {
 		for _, size := range []int{3, 5} {
-			for seed := range 6 * worldCount() {
+			for seed := range 6 * seedCount() {
 				t.Run(fmt.Sprint(name, " ", size, " seed ", seed), func(t *testing.T) {
 					c := newCluster(t, seed, size)
 					old := c.committedLeader(0)
@@ -62,17 +62,17 @@
 					}}
 					kept.renew(c)
 					other.renew(c)
-					look := func() {
+					check := func() {
 						must.False(t, c.now < kept.until && c.now < other.until, must.Sprintf(
 							"two holders at %d ms, until %d and %d ms", c.now/1000, kept.until/1000, other.until/1000))
 					}
-					c.run(2*clock.Second+c.rnd.Int64N(clock.Second), look)
-					must.Positive(t, kept.given)
-					trouble.begin(c, old)
-					c.run(20*clock.Second, look)
-					must.Positive(t, other.given, must.Sprint("nobody else got the lease"))
-					trouble.end(c, old)
-					c.run(3*clock.Second, look)
+					c.run(2*clock.Second+c.rnd.Int64N(clock.Second), check)
+					must.Positive(t, kept.granted)
+					f.begin(c, old)
+					c.run(20*clock.Second, check)
+					must.Positive(t, other.granted, must.Sprint("nobody else got the lease"))
+					f.end(c, old)
+					c.run(3*clock.Second, check)
 				})
 			}
 		}
--- a/control/replica/leave_test.go
+++ b/control/replica/leave_test.go
@@ -56,31 +56,31 @@
 	return newest
 }
 
-// ends runs until a machine's process has ended, and returns how long that took.
-func (c *simCluster) ends(m *simMachine) clock.Micros {
+// awaitExit runs until a machine's process has ended, and returns how long that took.
+func (c *simCluster) awaitExit(m *simMachine) clock.Micros {
 	c.t.Helper()
 	return c.runUntil("the process ends", LeaveTimeout+100*clock.Millisecond, func() bool { return !m.up })
 }
 
 func TestLeavingVoterIsMovedOut(t *testing.T) {
 	for _, shape := range simShapes[1:] {
-		for _, who := range []string{"leader", "another voter"} {
-			t.Run(shape.name+"/"+who, func(t *testing.T) {
+		for _, target := range []string{"leader", "another voter"} {
+			t.Run(shape.name+"/"+target, func(t *testing.T) {
 				c := newSimCluster(t, shape, 11)
 				c.run(2 * clock.Second)
 				leaving := c.leader(0)
-				if who != "leader" {
+				if target != "leader" {
 					leaving = c.victims(simLosses[0], false)[0]
 				}
 				id := leaving.host.replicaID
 				must.True(t, c.isVoterAnywhere(id))
 				leaving.terminate()
-				must.Less(t, 1*clock.Second, c.ends(leaving))
+				must.Less(t, 1*clock.Second, c.awaitExit(leaving))
 				must.False(t, c.isVoterAnywhere(id), must.Sprint("its place was given away before its process ended"))
 				for _, m := range c.secondVictims() {
 					m.kill()
 				}
-				c.serves("edits are taken after a loss right after the leaving", simServeWithin)
+				c.awaitAck("edits are taken after a loss right after the leaving", simServeWithin)
 			})
 		}
 	}
@@ -94,14 +94,14 @@
 	leaving.terminate()
 	c.run(200 * clock.Millisecond)
 	must.False(t, leaving.host.Leads(0), must.Sprint("leadership is handed over at once"))
-	c.serves("another one leads", 500*clock.Millisecond)
-	must.GreaterEq(t, LeaveTimeout-1*clock.Second, c.ends(leaving))
+	c.awaitAck("another one leads", 500*clock.Millisecond)
+	must.GreaterEq(t, LeaveTimeout-1*clock.Second, c.awaitExit(leaving))
 	must.True(t, c.isVoterAnywhere(id))
 	must.Eq(t, 3, len(c.newestOf(0).Voters))
 	leaving.start()
 	c.run(1 * clock.Second)
 	must.True(t, c.isVoterAnywhere(id))
-	c.serves("all are back", simServeWithin)
+	c.awaitAck("all are back", simServeWithin)
 }
 
 func TestLeavingVotersAreMovedOneByOne(t *testing.T) {
@@ -126,7 +126,7 @@
 		}
 	}
 	must.False(t, c.isVoterAnywhere(first.host.replicaID) || c.isVoterAnywhere(second.host.replicaID))
-	c.serves("edits are taken", 500*clock.Millisecond)
+	c.awaitAck("edits are taken", 500*clock.Millisecond)
 }
 
 // changedVoters counts the voters that a version adds.
@@ -153,11 +153,11 @@
 	leaving := c.leader(0)
 	standby.host.stopping = true
 	leaving.terminate()
-	c.ends(leaving)
+	c.awaitExit(leaving)
 	must.False(t, c.isVoterAnywhere(standby.host.replicaID))
 	must.True(t, c.isVoterAnywhere(leaving.host.replicaID), must.Sprint("better a voter that comes back than one that goes"))
 	leaving.start()
-	c.serves("all are back", simServeWithin)
+	c.awaitAck("all are back", simServeWithin)
 }
 
 func TestDeadStandbyBecomesNoVoter(t *testing.T) {
@@ -199,7 +199,7 @@
 					must.True(t, c.hasMajorities())
 					return m.up && !m.stopping
 				})
-				c.serves("edits go on", 1500*clock.Millisecond)
+				c.awaitAck("edits go on", 1500*clock.Millisecond)
 				c.run(1300 * clock.Millisecond)
 			}
 			c.verify()
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -35,14 +35,14 @@
 }
 
 // commitProposal has some replicas, and this one's disk, sync the proposal, and returns it.
-func (c *core) commitProposal(t *testing.T, g *Group, who ...string) wire.Versioned {
+func (c *core) commitProposal(t *testing.T, g *Group, from ...string) wire.Versioned {
 	t.Helper()
 	must.NotNil(t, g.proposal)
 	v := *g.proposal
 	for key := range c.host.onWritten {
 		c.feed(kernel.Written{Plugin: "seats", Key: key})
 	}
-	for _, id := range who {
+	for _, id := range from {
 		c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: id, Version: v.Version, OK: true})
 	}
 	must.Eq(t, v.Version, g.committed.Version)
@@ -50,12 +50,12 @@
 }
 
 // syncLearners has the learners of the change under way sync the newest version, before which nothing is proposed.
-func (c *core) syncLearners(t *testing.T, g *Group, who ...string) {
+func (c *core) syncLearners(t *testing.T, g *Group, from ...string) {
 	t.Helper()
 	must.Nil(t, g.proposal, must.Sprint("no change is proposed before its learners have caught up"))
 	must.NotNil(t, g.change)
-	must.Eq(t, who, ids(g.change.learners))
-	for _, id := range who {
+	must.Eq(t, from, ids(g.change.learners))
+	for _, id := range from {
 		c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: id, Version: g.committed.Version, OK: true})
 	}
 }
@@ -95,11 +95,11 @@
 func TestUnresponsiveVoterIsReplacedByStandby(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	spare := func() { c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"}) }
-	spare()
+	pullAsStandby := func() { c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"}) }
+	pullAsStandby()
 	c.exchangeHeartbeats(g, ReplaceAfter-200*clock.Millisecond, "a")
 	must.Nil(t, g.proposal, must.Sprint("not yet"))
-	spare()
+	pullAsStandby()
 	c.exchangeHeartbeats(g, 300*clock.Millisecond, "a")
 	c.syncLearners(t, g, "d")
 	v := c.commitProposal(t, g, "a")
@@ -182,16 +182,16 @@
 	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)))
 	out = c.tick()
 	must.Eq(t, follower, g.role)
-	yields := 0
+	transfers := 0
 	for _, s := range out.Sends {
 		f, err := wire.Open(s.Data)
 		must.NoError(t, err)
 		var b wire.LeaderHeartbeat
 		if f.Kind == wire.KindLeaderHeartbeat && wire.Decode(f.Body, &b) == nil && b.Partition == 0 && b.TransferTo != "" {
 			must.Eq(t, "a", b.TransferTo)
-			yields++
+			transfers++
 		}
 	}
-	must.Eq(t, 2, yields)
+	must.Eq(t, 2, transfers)
 	must.Eq(t, "a", g.leader, must.Sprint("who asks meanwhile is sent on"))
 }
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -25,24 +25,24 @@
 	clientConn = 1 << 40
 )
 
-// narrowMember is one core of a cluster.
-type narrowMember struct {
+// bandwidthMember is one core of a cluster.
+type bandwidthMember struct {
 	id          string
 	k           *kernel.Kernel
 	host        *Host
 	files       map[string][]byte
 	up          bool
 	incarnation int
-	free        clock.Micros
+	linkFreeAt  clock.Micros
 	bytesIn     int64
 	replies     map[uint64]wire.EditReply
 }
 
-// narrowCluster joins cores "a", "b" and "c", whose addresses are their names.
-type narrowCluster struct {
+// bandwidthCluster joins cores "a", "b" and "c", whose addresses are their names.
+type bandwidthCluster struct {
 	timeline
 	t        testing.TB
-	members  map[string]*narrowMember
+	members  map[string]*bandwidthMember
 	conns    map[string]uint64    // by dialer and dialed
 	ends     map[uint64][2]string // of the open connections
 	nextConn uint64
@@ -51,23 +51,23 @@
 	nextEdit       uint64
 }
 
-func newNarrowCluster(t testing.TB, bytesPerSecond int64) *narrowCluster {
+func newBandwidthCluster(t testing.TB, bytesPerSecond int64) *bandwidthCluster {
 	t.Helper()
-	c := &narrowCluster{t: t, members: map[string]*narrowMember{}, conns: map[string]uint64{}, ends: map[uint64][2]string{}, bytesPerSecond: bytesPerSecond}
-	form := wire.Bootstrap{BootstrapID: "f", Commit: true}
+	c := &bandwidthCluster{t: t, members: map[string]*bandwidthMember{}, conns: map[string]uint64{}, ends: map[uint64][2]string{}, bytesPerSecond: bytesPerSecond}
+	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true}
 	for _, id := range []string{"a", "b", "c"} {
-		form.Voters = append(form.Voters, wire.Replica{ID: id, Addr: id, Zone: "z" + id})
+		bootstrap.Voters = append(bootstrap.Voters, wire.Replica{ID: id, Addr: id, Zone: "z" + id})
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		files := map[string][]byte{"seat": diskfile.Pack([]byte(id)), "formation": diskfile.Pack(wire.Encode(&form))}
-		c.members[id] = &narrowMember{id: id, files: files}
+		files := map[string][]byte{"seat": diskfile.Pack([]byte(id)), "formation": diskfile.Pack(wire.Encode(&bootstrap))}
+		c.members[id] = &bandwidthMember{id: id, files: files}
 		c.start(id)
 	}
 	return c
 }
 
 // start starts a core with the files that its disk holds.
-func (c *narrowCluster) start(id string) {
+func (c *bandwidthCluster) start(id string) {
 	m := c.members[id]
 	m.up, m.replies, m.bytesIn = true, map[uint64]wire.EditReply{}, 0
 	m.incarnation++
@@ -81,7 +81,7 @@
 }
 
 // stop ends a core as a loss of power does: unsynced writes are lost.
-func (c *narrowCluster) stop(id string) {
+func (c *bandwidthCluster) stop(id string) {
 	m := c.members[id]
 	m.up = false
 	m.incarnation++
@@ -93,19 +93,19 @@
 	}
 }
 
-func (c *narrowCluster) step(m *narrowMember, in kernel.Input) {
+func (c *bandwidthCluster) step(m *bandwidthMember, in kernel.Input) {
 	out := m.k.Step(c.now, c.now, in)
-	life := m.incarnation
+	incarnation := m.incarnation
 	for _, timer := range out.Timers {
 		c.after(timer.At-c.now, func() {
-			if m.incarnation == life {
+			if m.incarnation == incarnation {
 				c.step(m, timer.Tick)
 			}
 		})
 	}
 	for _, w := range out.Writes {
 		c.after(diskDelay, func() {
-			if m.incarnation != life {
+			if m.incarnation != incarnation {
 				return
 			}
 			if m.files[w.File] = w.Data; w.Data == nil {
@@ -122,7 +122,7 @@
 }
 
 // send puts a frame on its connection; a frame that is too large is dropped.
-func (c *narrowCluster) send(m *narrowMember, s kernel.Send) {
+func (c *bandwidthCluster) send(m *bandwidthMember, s kernel.Send) {
 	if s.Conn == clientConn {
 		f, err := wire.Open(s.Data)
 		must.NoError(c.t, err)
@@ -144,21 +144,21 @@
 	if to == m {
 		to = c.members[ends[1]]
 	}
-	at := max(c.now, m.free)
+	at := max(c.now, m.linkFreeAt)
 	if c.bytesPerSecond > 0 {
 		at += int64(b.Len()) * clock.Second / c.bytesPerSecond
 	}
-	m.free = at
-	life := to.incarnation
+	m.linkFreeAt = at
+	incarnation := to.incarnation
 	c.after(at-c.now+linkDelay, func() {
-		if to.incarnation == life && to.up {
+		if to.incarnation == incarnation && to.up {
 			to.bytesIn += int64(len(s.Data))
 			c.step(to, kernel.Received{Conn: conn, Data: s.Data})
 		}
 	})
 }
 
-func (c *narrowCluster) connect(from, to string) uint64 {
+func (c *bandwidthCluster) connect(from, to string) uint64 {
 	key := from + ">" + to
 	if c.members[to] == nil || !c.members[to].up {
 		return 0
@@ -172,19 +172,19 @@
 }
 
 // run runs until a condition holds and returns how long that took; it fails the test after a limit.
-func (c *narrowCluster) run(most clock.Micros, what string, until func() bool) clock.Micros {
+func (c *bandwidthCluster) run(limit clock.Micros, what string, until func() bool) clock.Micros {
 	c.t.Helper()
 	began := c.now
 	for !until() {
-		if !c.advance(began + most) {
-			c.t.Fatalf("not within %d us: %s", most, what)
+		if !c.advance(began + limit) {
+			c.t.Fatalf("not within %d us: %s", limit, what)
 		}
 	}
 	return c.now - began
 }
 
 // leader is the core that leads the configuration and may take its edits.
-func (c *narrowCluster) leader() *narrowMember {
+func (c *bandwidthCluster) leader() *bandwidthMember {
 	for _, id := range []string{"a", "b", "c"} {
 		if m := c.members[id]; m.up && m.host.Leads(state.ConfigPartition) {
 			return m
@@ -193,13 +193,13 @@
 	return nil
 }
 
-func (c *narrowCluster) lead() *narrowMember {
+func (c *bandwidthCluster) lead() *bandwidthMember {
 	c.run(20*clock.Second, "a leader", func() bool { return c.leader() != nil })
 	return c.leader()
 }
 
 // edit sends an edit of the configuration to its leader and waits for the answer.
-func (c *narrowCluster) edit(e *routingpb.RoutingEdit, within clock.Micros) wire.EditReply {
+func (c *bandwidthCluster) edit(e *routingpb.RoutingEdit, within clock.Micros) wire.EditReply {
 	c.t.Helper()
 	m := c.lead()
 	b, err := proto.Marshal(e)
--- a/control/replica/old_members_test.go
+++ b/control/replica/old_members_test.go
@@ -24,7 +24,7 @@
 			m.kill()
 		}
 		c.runUntil("its place is taken", 8*clock.Second, func() bool { return !m.up && !c.isVoterAnywhere(id) })
-		c.serves("edits go on", simServeWithin)
+		c.awaitAck("edits go on", simServeWithin)
 		c.run(500 * clock.Millisecond)
 	}
 	return removed
@@ -55,7 +55,7 @@
 				for _, m := range c.machines {
 					m.start()
 				}
-				c.serves("all are back", simServeWithin)
+				c.awaitAck("all are back", simServeWithin)
 				c.run(3 * clock.Second)
 				c.verify()
 			})
@@ -99,10 +99,10 @@
 					c.run(2 * clock.Second)
 					running := len(c.machines)
 					for _, m := range c.victims(loss, seed%2 == 0) {
-						loss.hit(c, m)
+						loss.inject(c, m)
 					}
 					c.run(50 * clock.Millisecond)
-					c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.back(running) })
+					c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.runningAtLeast(running) })
 					took := c.runUntil("the groups are whole again", simSyncTimeAllowed, c.membershipStable)
 					worst = max(worst, took)
 					c.verify()
--- a/control/replica/second_loss_test.go
+++ b/control/replica/second_loss_test.go
@@ -35,37 +35,37 @@
 type simLoss struct {
 	name string
 	// zone is set where all machines of the first one's zone are lost.
-	zone bool
-	hit  func(c *simCluster, m *simMachine)
+	zone   bool
+	inject func(c *simCluster, m *simMachine)
 }
 
 var simLosses = []simLoss{
-	{name: "machine", hit: func(c *simCluster, m *simMachine) {
+	{name: "machine", inject: func(c *simCluster, m *simMachine) {
 		m.kill()
 		c.after(simDownFor, m.start)
 	}},
-	{name: "disk", hit: func(c *simCluster, m *simMachine) {
+	{name: "disk", inject: func(c *simCluster, m *simMachine) {
 		m.kill()
 		m.wipe()
 		c.after(simDownFor, m.start)
 	}},
-	{name: "machine replaced", hit: func(c *simCluster, m *simMachine) {
+	{name: "machine replaced", inject: func(c *simCluster, m *simMachine) {
 		m.kill()
 		c.after(simDownFor, func() { c.addMachine(m.zone).start() })
 	}},
-	{name: "machine stopped and replaced", hit: func(c *simCluster, m *simMachine) {
+	{name: "machine stopped and replaced", inject: func(c *simCluster, m *simMachine) {
 		m.terminate()
 		c.after(simDownFor, func() { c.addMachine(m.zone).start() })
 	}},
-	{name: "machine rolled", hit: func(c *simCluster, m *simMachine) {
+	{name: "machine rolled", inject: func(c *simCluster, m *simMachine) {
 		m.terminate()
 		c.startWhenEnded(m)
 	}},
-	{name: "zone", zone: true, hit: func(c *simCluster, m *simMachine) {
+	{name: "zone", zone: true, inject: func(c *simCluster, m *simMachine) {
 		m.kill()
 		c.after(simDownFor, m.start)
 	}},
-	{name: "zone with its disks", zone: true, hit: func(c *simCluster, m *simMachine) {
+	{name: "zone with its disks", zone: true, inject: func(c *simCluster, m *simMachine) {
 		m.kill()
 		m.wipe()
 		c.after(simDownFor, m.start)
@@ -105,15 +105,15 @@
 	return out
 }
 
-// back reports whether all machines of a loss, or their successors, run.
-func (c *simCluster) back(up int) bool {
-	n := 0
+// runningAtLeast reports whether all machines of a loss, or their successors, run.
+func (c *simCluster) runningAtLeast(n int) bool {
+	running := 0
 	for _, m := range c.machines {
 		if m.up && !m.stopping {
-			n++
+			running++
 		}
 	}
-	return n >= up
+	return running >= n
 }
 
 // lossStep is the time between two moments of the second loss; a short run takes three of them.
@@ -148,24 +148,24 @@
 	c.run(simStableFor)
 	running := len(c.machines)
 	for _, m := range c.victims(first, leaderFirst) {
-		first.hit(c, m)
+		first.inject(c, m)
 	}
 	c.run(100 * clock.Millisecond)
-	c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.back(running) })
+	c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.runningAtLeast(running) })
 	c.run(gap)
 	second := c.secondVictims()
 	for _, m := range second {
 		m.kill()
 	}
 	if gap >= simSyncTimeAllowed {
-		c.serves("edits are taken again after a loss that must be borne", simServeWithin)
+		c.awaitAck("edits are taken again after a loss that must be borne", simServeWithin)
 	} else {
 		c.run(simDownFor)
 	}
 	for _, m := range second {
 		m.start()
 	}
-	c.serves("edits are taken again once all is back", simServeWithin)
+	c.awaitAck("edits are taken again once all is back", simServeWithin)
 	c.run(1 * clock.Second)
 	c.verify()
 	must.NotNil(t, c.leader(0))
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -20,7 +20,7 @@
 const linkOf10Mbit = 10_000_000 / 8
 
 // follower is a core that does not lead the configuration.
-func (c *narrowCluster) follower() *narrowMember {
+func (c *bandwidthCluster) follower() *bandwidthMember {
 	for _, id := range []string{"a", "b", "c"} {
 		if m := c.members[id]; m != c.lead() {
 			return m
@@ -30,17 +30,17 @@
 }
 
 // hasSynced reports whether a core has committed a version that is at least as new.
-func (m *narrowMember) hasSynced(at wire.Version) bool {
+func (m *bandwidthMember) hasSynced(at wire.Version) bool {
 	g := m.host.groups[state.ConfigPartition]
 	return g.committed.Version == at || g.committed.Version.Term > at.Term || g.committed.Version.Term == at.Term && g.committed.Version.Seq > at.Seq
 }
 
-func (m *narrowMember) committed() wire.Versioned {
+func (m *bandwidthMember) committed() wire.Versioned {
 	return m.host.groups[state.ConfigPartition].committed
 }
 
 // grow commits edits until the configuration has at least so many bytes, and returns its revision.
-func (c *narrowCluster) grow(size int) (revision int64) {
+func (c *bandwidthCluster) grow(size int) (revision int64) {
 	c.t.Helper()
 	for i := 0; ; i++ {
 		have := len(c.lead().committed().Body)
@@ -54,7 +54,7 @@
 }
 
 // awaitAll runs until all cores that are up have committed what the leader has.
-func (c *narrowCluster) awaitAll(within clock.Micros) clock.Micros {
+func (c *bandwidthCluster) awaitAll(within clock.Micros) clock.Micros {
 	c.t.Helper()
 	return c.run(within, "all hold the newest version", func() bool {
 		l := c.leader()
@@ -72,7 +72,7 @@
 
 // Two valid edits of 600 KB make a version that exceeds a frame of 1 MiB.
 func TestVersionLargerThanFrameIsCommitted(t *testing.T) {
-	c := newNarrowCluster(t, linkOf10Mbit)
+	c := newBandwidthCluster(t, linkOf10Mbit)
 	must.Eq(t, "ok", c.edit(pools(0, 600_000, "p"), 10*clock.Second).Code)
 	must.Eq(t, "ok", c.edit(pools(1, 600_000, "q"), 10*clock.Second).Code)
 	must.Eq(t, "ok", c.edit(pools(2, 10, "r"), 10*clock.Second).Code)
@@ -84,7 +84,7 @@
 }
 
 func TestEditExceedingBodyLimitIsRejected(t *testing.T) {
-	c := newNarrowCluster(t, 0)
+	c := newBandwidthCluster(t, 0)
 	revision := c.grow(state.MaxConfigBody - 300_000)
 	before := c.lead().committed().Version
 	reply := c.edit(pools(revision, 400_000, "one-more"), 10*clock.Second)
@@ -104,9 +104,9 @@
 	const diskBytes = 64_000_000
 	total := 0
 	for partition := range state.Partitions {
-		most := state.MaxBody(partition) + state.MaxEditLog(partition) + state.TickAllowance
-		total += (VersionsKept + 1) * most
-		must.LessEq(t, wire.MaxMessage, most+wire.MaxSingleFrame)
+		maxVersion := state.MaxBody(partition) + state.MaxEditLog(partition) + state.TickAllowance
+		total += (VersionsKept + 1) * maxVersion
+		must.LessEq(t, wire.MaxMessage, maxVersion+wire.MaxSingleFrame)
 	}
 	must.LessEq(t, diskBytes*2/3, total)
 }
@@ -146,7 +146,7 @@
 
 // What was committed before is served after a change of leader, in the new leader's term.
 func TestNextLeaderRecommitsLargeVersion(t *testing.T) {
-	c := newNarrowCluster(t, linkOf10Mbit)
+	c := newBandwidthCluster(t, linkOf10Mbit)
 	revision := c.grow(1_500_000)
 	c.awaitAll(20 * clock.Second)
 	old := c.lead()
@@ -172,7 +172,7 @@
 
 // A replica that was away is designated by a leader that stops: it must not lead with its old state.
 func TestNamedSuccessorAdoptsNewestVersion(t *testing.T) {
-	c := newNarrowCluster(t, linkOf10Mbit)
+	c := newBandwidthCluster(t, linkOf10Mbit)
 	c.grow(200_000)
 	c.awaitAll(20 * clock.Second)
 	l := c.lead()
@@ -190,7 +190,7 @@
 }
 
 // pools are the pools of the configuration that the leader has committed.
-func (c *narrowCluster) pools() []string {
+func (c *bandwidthCluster) pools() []string {
 	cfg, err := state.ReadConfig(c.lead().committed().Body)
 	must.NoError(c.t, err)
 	table, err := state.RoutingOf(cfg)
--- a/control/replica/storage_test.go
+++ b/control/replica/storage_test.go
@@ -64,7 +64,7 @@
 	c.sync(out)
 	must.Eq(t, "", c.host.diskProblem)
 	// The version that it missed is sent again, and synced.
-	must.True(t, accepted(t, c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 1)}))).OK)
+	must.True(t, acceptReply(t, c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 1)}))).OK)
 }
 
 func TestReplicaIDIsSyncedBeforeUse(t *testing.T) {
--- a/control/replica/stored_change_test.go
+++ b/control/replica/stored_change_test.go
@@ -60,7 +60,7 @@
 	c := startStored(t, readStored(t, "joint"))
 	held := c.host.groups[0].accepted
 	next := wire.Versioned{Version: wire.Version{Term: 3, Seq: 10}, Voters: held.Voters, PreviousVoters: held.Voters}
-	r := accepted(t, c.send(wire.KindAccept, &wire.Accept{To: storedReplica, Term: 3, From: "a", Versioned: next, Base: wire.Version{Term: 2, Seq: 9}}))
+	r := acceptReply(t, c.send(wire.KindAccept, &wire.Accept{To: storedReplica, Term: 3, From: "a", Versioned: next, Base: wire.Version{Term: 2, Seq: 9}}))
 	must.True(t, r.OK)
 	must.Eq(t, next.Version, r.Version)
 	c.send(wire.KindLeaderHeartbeat, &wire.LeaderHeartbeat{To: storedReplica, Term: 3, From: "a", Round: 1, Committed: next.Version})
--- a/control/replica/stored_make_test.go
+++ b/control/replica/stored_make_test.go
@@ -31,13 +31,13 @@
 	return wire.Edit{Op: "put", Strict: true, Base: base, Body: fmt.Appendf(nil, storedConfiguration, capacity), EditID: id, By: "ann"}
 }
 
-func storedReshardEdit(op, id string, liveCut wire.ShardMap) wire.Edit {
-	return wire.Edit{Op: op, Name: "docs", EditID: id, Body: wire.Encode(&liveCut)}
+func storedReshardEdit(op, id string, target wire.ShardMap) wire.Edit {
+	return wire.Edit{Op: op, Name: "docs", EditID: id, Body: wire.Encode(&target)}
 }
 
 var (
-	storedFirstLiveCut  = wire.ShardMap{Next: "c1", NextShards: 4}
-	storedSecondLiveCut = wire.ShardMap{Next: "c2", NextShards: 8}
+	storedFirstReshard  = wire.ShardMap{Next: "c1", NextShards: 4}
+	storedSecondReshard = wire.ShardMap{Next: "c2", NextShards: 8}
 )
 
 // storedIndexPartition is the partition in which the folders have an index.
@@ -56,8 +56,8 @@
 func makeConsented(t *testing.T) *storedCore {
 	t.Helper()
 	c := startStored(t, nil)
-	form := storedBootstrap(c.host.replicaID)
-	replies := sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &form), wire.KindBootstrapReply)
+	bootstrap := storedBootstrap(c.host.replicaID)
+	replies := sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &bootstrap), wire.KindBootstrapReply)
 	must.Len(t, 1, replies)
 	must.True(t, replies[0].OK)
 	return c
@@ -69,9 +69,9 @@
 func makeCommitted(t *testing.T) *storedCore {
 	t.Helper()
 	c := makeConsented(t)
-	form := storedBootstrap(c.host.replicaID)
-	form.Commit = true
-	c.send(wire.KindBootstrap, &form)
+	bootstrap := storedBootstrap(c.host.replicaID)
+	bootstrap.Commit = true
+	c.send(wire.KindBootstrap, &bootstrap)
 	g := c.lead(0, "a", "b")
 	ok := func(g *Group, e wire.Edit) wire.Version {
 		r := c.edit(g, e, "a", "b")
@@ -87,13 +87,13 @@
 	must.Eq(t, 7, g.committed.Version.Seq)
 	must.Eq(t, []string{"b1"}, storedConfig(t, g.committed).ActiveBookings, must.Sprint("the clocks agree that the booking has begun"))
 	c.send(wire.KindVote, &wire.Vote{Partition: 2, Term: 6, From: "b"})
-	v := wire.Versioned{Version: wire.Version{Partition: 3, Term: 4, Seq: 9}, Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&wire.IndexBody{
+	v := wire.Versioned{Version: wire.Version{Partition: 3, Term: 4, Seq: 9}, Voters: bootstrap.Voters, PreviousVoters: bootstrap.Voters, Body: wire.Encode(&wire.IndexBody{
 		ShardMaps: map[string]wire.ShardMap{"maps": {Name: "m1", Shards: 3}},
 	})}
 	c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 4, From: "b", Versioned: v})
 	g = c.lead(storedIndexPartition, "a", "b")
-	ok(g, storedReshardEdit("cut", "cut-1", storedFirstLiveCut))
-	ok(g, storedReshardEdit("cut", "cut-2", storedSecondLiveCut))
+	ok(g, storedReshardEdit("cut", "cut-1", storedFirstReshard))
+	ok(g, storedReshardEdit("cut", "cut-2", storedSecondReshard))
 	// The node's lease is granted, and recorded, once the leases of any earlier leader have ended.
 	for range 30 {
 		c.tick(TickInterval)
@@ -134,7 +134,7 @@
 func makeBeforeRelease3(t *testing.T) *storedCore {
 	t.Helper()
 	own := "0123456789abcdef"
-	form := wire.Bootstrap{BootstrapID: "old", Voters: storedVoters(own), Commit: true}
+	bootstrap := wire.Bootstrap{BootstrapID: "old", Voters: storedVoters(own), Commit: true}
 	at := func(seq uint64) wire.Version { return wire.Version{Term: 2, Seq: seq} }
 	indexAt := wire.Version{Partition: storedIndexPartition, Term: 3, Seq: 4}
 	settled := makeCommitted(t).host.groups[0].committed
@@ -155,14 +155,14 @@
 	index := wire.IndexBody{
 		ShardMaps:    map[string]wire.ShardMap{"docs": {Name: "c1", Shards: 4, Next: "c2", NextShards: 8}},
 		LeaseHolders: map[string]wire.LeaseHolder{"move docs": {Node: "node-1", LeaseID: 1}},
-		LegacyEdits:  []wire.LegacyEdit{{EditID: "cut-1", Sum: legacySum(storedReshardEdit("cut", "", storedFirstLiveCut)), Version: indexAt}},
+		LegacyEdits:  []wire.LegacyEdit{{EditID: "cut-1", Sum: legacySum(storedReshardEdit("cut", "", storedFirstReshard)), Version: indexAt}},
 	}
 	versions := []wire.Versioned{
-		{Version: at(6), Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&config)},
-		{Version: indexAt, Voters: form.Voters, PreviousVoters: form.Voters, Body: wire.Encode(&index)},
+		{Version: at(6), Voters: bootstrap.Voters, PreviousVoters: bootstrap.Voters, Body: wire.Encode(&config)},
+		{Version: indexAt, Voters: bootstrap.Voters, PreviousVoters: bootstrap.Voters, Body: wire.Encode(&index)},
 	}
 	files := map[string][]byte{
-		"seat": diskfile.Pack([]byte(own)), "formation": diskfile.Pack(wire.Encode(&form)),
+		"seat": diskfile.Pack([]byte(own)), "formation": diskfile.Pack(wire.Encode(&bootstrap)),
 		"part-0.promise":                         diskfile.Pack(wire.Encode(&wire.Vote{Term: 2, From: own})),
 		"part-0.stamp-000000000002-000000000006": diskfile.Pack(wire.Encode(&versions[0])),
 		"part-1.stamp-000000000003-000000000004": diskfile.Pack(wire.Encode(&versions[1])),
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -40,13 +40,13 @@
 	answer := func(f wire.Bootstrap) []wire.BootstrapReply {
 		return sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &f), wire.KindBootstrapReply)
 	}
-	form := storedBootstrap(storedReplica)
-	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "first", From: storedReplica, OK: true}}, answer(form))
-	other := wire.Bootstrap{BootstrapID: "second", Voters: form.Voters, Proposer: form.Voters[2]}
-	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Proposer: form.Voters[1]}}, answer(other))
+	bootstrap := storedBootstrap(storedReplica)
+	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "first", From: storedReplica, OK: true}}, answer(bootstrap))
+	other := wire.Bootstrap{BootstrapID: "second", Voters: bootstrap.Voters, Proposer: bootstrap.Voters[2]}
+	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Proposer: bootstrap.Voters[1]}}, answer(other))
 	must.Eq(t, before, string(c.files["formation"]))
-	form.Commit = true
-	must.SliceEmpty(t, answer(form))
+	bootstrap.Commit = true
+	must.SliceEmpty(t, answer(bootstrap))
 	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Bootstrapped: true}}, answer(other))
 	must.True(t, startStored(t, c.files).host.bootstrapped)
 	must.True(t, c.lead(0, "a").ready)
@@ -80,8 +80,8 @@
 
 	g = c.lead(storedIndexPartition, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstLiveCut), "ok", 1, 2},
-		{"second cut again", storedReshardEdit("cut", "cut-2", storedSecondLiveCut), "ok", 1, 3},
+		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 1, 2},
+		{"second cut again", storedReshardEdit("cut", "cut-2", storedSecondReshard), "ok", 1, 3},
 		{"its id for another one", storedReshardEdit("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
 		{"flip", storedReshardEdit("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
 	})
@@ -106,7 +106,7 @@
 	must.True(t, vote(wire.Vote{Partition: 2, Term: 7, From: "a"}).Granted)
 	must.False(t, vote(wire.Vote{Partition: 3, Term: 3, From: "a"}).Granted)
 	late := wire.Versioned{Version: wire.Version{Partition: 3, Term: 3, Seq: 20}, Voters: storedVoters(storedReplica)}
-	refused := accepted(t, c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 3, From: "a", Versioned: late}))
+	refused := acceptReply(t, c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 3, From: "a", Versioned: late}))
 	must.False(t, refused.OK)
 	must.Eq(t, uint64(4), refused.Term)
 	must.Eq(t, wire.Version{Partition: 3, Term: 4, Seq: 9}, vote(wire.Vote{Partition: 3, Term: 5, From: "a"}).Stored.Version)
@@ -127,17 +127,17 @@
 		{"second sheet again", storedPut(wire.Version{}, 200, "sheet-2"), "ok", 2, 3},
 		{"the first sheet restored", wire.Edit{Op: "return", Name: "2.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 3}}, "ok", 3, 9},
 	})
-	config, ledger := storedConfig(t, g.committed), storedEditLog(t, g.committed)
+	config, editLog := storedConfig(t, g.committed), storedEditLog(t, g.committed)
 	must.True(t, config.LegacyEdits == nil && config.LegacyRevisions == nil && config.LegacyHistory == nil)
 	must.Eq(t, []string{"z8", "z9"}, config.DrainedZones)
-	must.Len(t, 3, ledger.RoutingEdits)
-	must.Len(t, 3, ledger.Edits)
-	must.Len(t, 3, ledger.History)
+	must.Len(t, 3, editLog.RoutingEdits)
+	must.Len(t, 3, editLog.Edits)
+	must.Len(t, 3, editLog.History)
 
 	g = c.lead(storedIndexPartition, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstLiveCut), "ok", 3, 4},
-		{"its id for another one", storedReshardEdit("cut", "cut-1", storedSecondLiveCut), "conflict", 4, 5},
+		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 3, 4},
+		{"its id for another one", storedReshardEdit("cut", "cut-1", storedSecondReshard), "conflict", 4, 5},
 		{"another cut", storedReshardEdit("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
 	})
 }
--- a/control/replica/stored_test.go
+++ b/control/replica/stored_test.go
@@ -26,9 +26,9 @@
 
 func storedEditLog(t *testing.T, v wire.Versioned) wire.EditLog {
 	t.Helper()
-	ledger, err := state.ReadEditLog(v.EditLog)
+	editLog, err := state.ReadEditLog(v.EditLog)
 	must.NoError(t, err)
-	return ledger
+	return editLog
 }
 
 // describe describes what a process has loaded, in words that do not depend on any Go name.
@@ -54,8 +54,8 @@
 			index, err := state.ReadIndex(v.Body)
 			must.NoError(t, err)
 			for _, name := range sortedKeys(index.ShardMaps) {
-				cut := index.ShardMaps[name]
-				line("  index %s cut %s/%d next %s/%d", name, cut.Name, cut.Shards, cut.Next, cut.NextShards)
+				shardMap := index.ShardMaps[name]
+				line("  index %s cut %s/%d next %s/%d", name, shardMap.Name, shardMap.Shards, shardMap.Next, shardMap.NextShards)
 			}
 			for _, task := range sortedKeys(index.LeaseHolders) {
 				line("  task %q holder %s/%d", task, index.LeaseHolders[task].Node, index.LeaseHolders[task].LeaseID)
@@ -77,20 +77,20 @@
 				line("  body sheet %s by %s %x", version(past.Version), past.By, past.Config)
 			}
 		}
-		ledger := storedEditLog(t, v)
-		for _, o := range ledger.RoutingEdits {
+		editLog := storedEditLog(t, v)
+		for _, o := range editLog.RoutingEdits {
 			line("  order %x %d.%d", o.Digest, o.Term, o.Seq)
 		}
-		for _, e := range ledger.Edits {
+		for _, e := range editLog.Edits {
 			line("  edit %s %x %d.%d", e.EditID, e.Digest, e.Term, e.Seq)
 		}
-		for _, past := range ledger.History {
+		for _, past := range editLog.History {
 			line("  past sheet %s by %s %x", version(past.Version), past.By, past.Config)
 		}
-		for _, z := range ledger.Zones {
+		for _, z := range editLog.Zones {
 			line("  zone %s %d.%d", z.Zone, z.Term, z.Seq)
 		}
-		line("  zone floor %s", version(ledger.ZoneFloor))
+		line("  zone floor %s", version(editLog.ZoneFloor))
 	}
 	return b.String()
 }
--- a/control/replica/vote_version_test.go
+++ b/control/replica/vote_version_test.go
@@ -52,7 +52,7 @@
 	next.Body = nil
 	out := c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: next, Base: held.Version})
 	must.Len(t, 1, out.Writes)
-	must.True(t, accepted(t, c.sync(out)).OK)
+	must.True(t, acceptReply(t, c.sync(out)).OK)
 	must.Eq(t, next.Version, c.host.groups[0].accepted.Version)
 	must.Eq(t, len(held.Body), len(c.host.groups[0].accepted.Body))
 }
@@ -64,7 +64,7 @@
 	next.Body = nil
 	out := c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: next, Base: wire.Version{Term: 4, Seq: 7}})
 	must.SliceEmpty(t, out.Writes)
-	r := accepted(t, out)
+	r := acceptReply(t, out)
 	must.False(t, r.OK)
 	must.True(t, r.LacksBase)
 }
