--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -1,5 +1,5 @@
-// Bootstrap: a replica consents to one proposal at a time, only its proposer withdraws it, and nothing is
-// sent before it is synced.
+// Bootstrap: a replica consents to one proposal at a time, only the proposer may withdraw a proposal, and no message
+// is sent before the state that it reports is synced.
 
 package replica
 
@@ -16,7 +16,7 @@
 	"wallport/runtime/wire"
 )
 
-// emptyCore returns a core on a platform whose disk holds only the identity of replica "m".
+// emptyCore returns a core on a platform whose disk contains only the identity of replica "m".
 func emptyCore(t *testing.T, change func(e *settings.Settings)) *core {
 	t.Helper()
 	e := settings.Settings{Mesh: "10.0.0.5:1", Zone: "z5", DataDir: "disk", BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: 1, Zones: 1}}
@@ -36,7 +36,7 @@
 	return &wire.Bootstrap{BootstrapID: id, Voters: replicas(voterIDs...), Proposer: wire.Replica{ID: by, Addr: "10.0.0.1:1"}}
 }
 
-// sent returns the messages of a kind in an output.
+// sent returns the messages of one kind among the sends of an output.
 func sent[T any, P interface {
 	*T
 	UnmarshalMsg([]byte) ([]byte, error)
@@ -64,13 +64,13 @@
 	f1, f2 := proposal("f1", "a", "a", "b", "m"), proposal("f2", "n", "n", "o", "m")
 	out := c.send(wire.KindBootstrap, f1)
 	must.SliceEmpty(t, bootstrapReplies(t, out))
-	must.SliceEmpty(t, bootstrapReplies(t, c.send(wire.KindBootstrap, f1)), must.Sprint("asked again, still not synced"))
+	must.SliceEmpty(t, bootstrapReplies(t, c.send(wire.KindBootstrap, f1)), must.Sprint("proposal repeated before the consent is synced"))
 	must.True(t, bootstrapReplies(t, c.sync(out))[0].OK)
 	must.True(t, bootstrapReplies(t, c.send(wire.KindBootstrap, f1))[0].OK)
 	r := bootstrapReplies(t, c.send(wire.KindBootstrap, f2))[0]
 	must.False(t, r.OK)
 	must.Eq(t, "a", r.Proposer.ID)
-	// Once its proposer has withdrawn the proposal, the replica may consent to another one.
+	// Once the proposer has withdrawn its proposal, the replica may consent to another one.
 	f1.Withdrawn = true
 	c.sync(c.send(wire.KindBootstrap, f1))
 	must.True(t, bootstrapReplies(t, c.sync(c.send(wire.KindBootstrap, f2)))[0].OK)
@@ -94,7 +94,7 @@
 	must.SliceEmpty(t, c.tick().Writes)
 }
 
-// announceCores has n other empty cores, the seeds first, make themselves known by pulls.
+// announceCores sends pulls from n other cores with empty disks, at the addresses of the seeds first.
 func announceCores(c *core, n int) {
 	for i := range n {
 		a := string(rune('1' + i))
@@ -105,18 +105,18 @@
 func TestBootstrapProposerHasLeastSeedAddress(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	c.tick()
-	must.Eq(t, "", c.host.bootstrap.BootstrapID, must.Sprint("nobody else is known yet"))
+	must.Eq(t, "", c.host.bootstrap.BootstrapID, must.Sprint("proposed without knowing any other core"))
 	announceCores(c, 3)
 	out := c.tick()
 	must.Len(t, 3, c.host.bootstrap.Voters)
-	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before its own consent is synced"))
+	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("proposal sent before the proposer's own consent is synced"))
 	out = c.sync(out)
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
 	for _, member := range c.host.bootstrap.Voters {
 		out = c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: c.host.bootstrap.BootstrapID, From: member.ID, OK: true})
 	}
 	must.False(t, c.host.bootstrapped)
-	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("not before it is synced that it is complete"))
+	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("completion sent before it is synced"))
 	completions := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
 	must.True(t, c.host.bootstrapped)
 	must.Len(t, 2, completions)
@@ -138,10 +138,10 @@
 	})
 	c.now += SmallerGroupAfter
 	announceCores(c, 1)
-	must.SliceEmpty(t, c.tick().Writes, must.Sprint("one seed is not heard"))
+	must.SliceEmpty(t, c.tick().Writes, must.Sprint("proposed a smaller group without hearing one of the seeds"))
 	announceCores(c, 3)
 	c.tick()
-	must.Len(t, 3, c.host.bootstrap.Voters, must.Sprint("five are wanted, four there: three"))
+	must.Len(t, 3, c.host.bootstrap.Voters, must.Sprint("five voters are wanted and four cores are known: the largest odd number is three"))
 }
 
 func TestBootstrapGreaterProposerWithdraws(t *testing.T) {
@@ -150,9 +150,9 @@
 	out := c.sync(c.tick())
 	mine := c.host.bootstrap
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
-	must.SliceEmpty(t, c.send(wire.KindBootstrap, proposal("f2", "z", "z", "s1", "s2")).Writes, must.Sprint("z is not less than m"))
+	must.SliceEmpty(t, c.send(wire.KindBootstrap, proposal("f2", "z", "z", "s1", "s2")).Writes, must.Sprint("withdrew in favour of z, which is greater than m"))
 	out = c.send(wire.KindBootstrap, proposal("f3", "a", "a", "s1", "s2"))
-	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("nobody is freed before the withdrawal is synced"))
+	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("withdrawal sent before it is synced"))
 	// A delayed consent has no effect.
 	for _, member := range mine.Voters {
 		c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: mine.BootstrapID, From: member.ID, OK: true})
--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -1,6 +1,6 @@
-// Catch-up of a replica that was away or comes back with an empty disk: its duration does not depend on the
-// number of missed versions, and the leader goes on leading meanwhile. BenchmarkCatchUp gives figures for
-// several sizes and numbers of changes.
+// Catch-up of a replica that was stopped for a while or returns with an empty disk: the duration does not depend on
+// the number of missed versions, and the leader keeps its term. BenchmarkCatchUp reports figures for several sizes
+// and numbers of changes.
 
 package replica
 
@@ -15,23 +15,25 @@
 	"wallport/runtime/wire"
 )
 
-// catchUpLimit is how long a replica that comes back may take: to listen, to be found and made a
-// voter if its disk is new, and twice the time that its link takes for the body.
+// catchUpLimit returns the maximum duration of a catch-up: the time to listen, to be found and, with a new disk, to
+// become a voter, plus twice the transfer time of the body over the replica's link.
 func catchUpLimit(size int) clock.Micros {
 	return ListenBeforeElection + LargeResendInterval + 1*clock.Second + 2*int64(size)*clock.Second/linkOf10Mbit
 }
 
-// retryAllowance is what the loss of a piece that was sent while the replica was away may cost.
+// retryAllowance is the delay allowed for the retransmission of a chunk that was sent while the replica was down and
+// was lost.
 const retryAllowance = 1 * clock.Second
 
-// catchUpResult is what the catch-up of a replica took.
+// catchUpResult contains the duration of a catch-up in microseconds, the bytes that the replica received, and the
+// size of the body.
 type catchUpResult struct {
 	us, bytes, body int64
-	// terms is by how much the leader's term rose meanwhile.
+	// terms is the increase of the leader's term during the catch-up.
 	terms uint64
 }
 
-// catchUpAfter stops a core, changes the body so many times, and starts the core again.
+// catchUpAfter stops a core, commits the given number of changes, starts the core again and measures its catch-up.
 func catchUpAfter(t testing.TB, size, changes int, emptyDisk bool) catchUpResult {
 	t.Helper()
 	c := newBandwidthCluster(t, 0)
@@ -43,19 +45,19 @@
 		revision++
 	}
 	returnAt := c.now + 3*clock.Second
-	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= returnAt })
+	c.run(4*clock.Second, "the core stays stopped for 3 s", func() bool { return c.now >= returnAt })
 	if emptyDisk {
 		away.files = map[string][]byte{}
 	}
 	c.bytesPerSecond = linkOf10Mbit
 	want := c.lead().committed().Version
 	c.start(away.id)
-	us := c.run(catchUpLimit(size), "the replica is whole again", func() bool { return away.hasSynced(want) })
+	us := c.run(catchUpLimit(size), "the replica has caught up", func() bool { return away.hasSynced(want) })
 	return catchUpResult{us, away.bytesIn, int64(len(c.lead().committed().Body)), c.lead().committed().Version.Term - want.Term}
 }
 
-// awaitConverged waits until the core that should lead the configuration does, and all hold the same; it
-// gives one of the others.
+// awaitConverged waits until the preferred leader leads the configuration and all cores hold the same version. It
+// returns one of the other cores.
 func (c *bandwidthCluster) awaitConverged() *bandwidthMember {
 	c.t.Helper()
 	c.run(60*clock.Second, "the preferred core leads", func() bool { return c.members["a"].host.Leads(state.ConfigPartition) })
@@ -63,7 +65,7 @@
 	return c.members["b"]
 }
 
-// bytesIn is what all cores have received.
+// bytesIn returns the bytes received by all cores.
 func (c *bandwidthCluster) bytesIn() (n int64) {
 	for _, m := range c.members {
 		n += m.bytesIn
@@ -80,9 +82,9 @@
 		for _, emptyDisk := range []bool{false, true} {
 			t.Run(fmt.Sprintf("size=%d/empty=%v", size, emptyDisk), func(t *testing.T) {
 				r := catchUpAfter(t, size, min(10, 3_000_000/size+2), emptyDisk)
-				t.Logf("whole again after %d ms and %d KB", r.us/1000, r.bytes/1000)
-				must.Eq(t, 0, r.terms, must.Sprint("the leader leads on"))
-				// A new disk takes a membership change, and so two versions.
+				t.Logf("caught up after %d ms, having received %d KB", r.us/1000, r.bytes/1000)
+				must.Eq(t, 0, r.terms, must.Sprint("the leader changed during the catch-up"))
+				// With a new disk a membership change is needed, and therefore two versions.
 				maxBytes := 3*r.body + r.body/10 + 50_000
 				if !emptyDisk {
 					maxBytes = 2*r.body + 50_000
@@ -100,7 +102,7 @@
 	must.LessEq(t, 2*many.body+50_000, many.bytes)
 }
 
-// A large version on its way to a replica must not delay the heartbeats to it and to the others.
+// A large version in transit to a replica must not delay the heartbeats to that replica or to the others.
 func TestHeartbeatsPassLargeVersion(t *testing.T) {
 	c := newBandwidthCluster(t, linkOf10Mbit)
 	revision := c.grow(3_000_000)
@@ -110,23 +112,23 @@
 	must.Eq(t, "ok", c.edit(pools(revision, 100, "changed"), 60*clock.Second).Code)
 	want := l.committed().Version
 	returnAt := c.now + 3*clock.Second
-	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= returnAt })
+	c.run(4*clock.Second, "the core stays stopped for 3 s", func() bool { return c.now >= returnAt })
 	c.start(away.id)
 	g := away.host.groups[state.ConfigPartition]
 	worst := int64(0)
-	c.run(catchUpLimit(3_000_000), "the replica is whole again", func() bool {
+	c.run(catchUpLimit(3_000_000), "the replica has caught up", func() bool {
 		if g.leaderSeen > 0 {
 			worst = max(worst, c.now-g.leaderSeen)
 		}
 		return away.hasSynced(want)
 	})
-	t.Logf("the longest wait for a heartbeat was %d ms", worst/1000)
+	t.Logf("longest time between two heartbeats: %d ms", worst/1000)
 	must.Less(t, ElectionTimeout, worst)
 	must.Eq(t, l, c.leader())
 	must.Eq(t, term, l.committed().Version.Term)
 }
 
-// A replica that was away while several versions were committed is sent only the newest one.
+// A replica that was down while several versions were committed is sent only the newest one.
 func TestCatchUpSendsOnlyNewestVersion(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -141,11 +143,11 @@
 		c.now += CatchUpInterval / 2
 		c.send(wire.KindLeaderHeartbeatReply, &reply)
 	}
-	must.Eq(t, 1, count(), must.Sprint("a large one is on its way"))
+	must.Eq(t, 1, count(), must.Sprint("the large version is already in transit"))
 	g.proposal = &wire.Versioned{Version: wire.Version{Term: g.term, Seq: 99}, Voters: g.committed.Voters}
 	c.now += 2 * LargeResendInterval
 	c.send(wire.KindLeaderHeartbeatReply, &reply)
-	must.Eq(t, 1, count(), must.Sprint("the one that is proposed takes its place"))
+	must.Eq(t, 1, count(), must.Sprint("the proposal in flight supersedes the committed version"))
 }
 
 func TestRolledBackDiskIsDetected(t *testing.T) {
@@ -154,7 +156,7 @@
 	reply := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, Stored: wire.Version{}, OK: true}
 	g.synced["b"] = syncedVersion{version: g.committed.Version, heartbeatRound: g.heartbeatRound}
 	c.send(wire.KindLeaderHeartbeatReply, &reply)
-	must.Eq(t, 0, c.kernel.Counts.Of("replicas_rolled_back").Load(), must.Sprint("sent before the acknowledgement"))
+	must.Eq(t, 0, c.kernel.Counts.Of("replicas_rolled_back").Load(), must.Sprint("the reply is to a heartbeat sent before the acknowledgement"))
 	reply.Round++
 	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, c.kernel.Counts.Of("replicas_rolled_back").Load())
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -1,4 +1,4 @@
-// Checks of a simulated cluster after each step of a process.
+// Checks of a simulated cluster that are made after each step of a process.
 
 package replica
 
@@ -13,7 +13,8 @@
 	"wallport/runtime/wire"
 )
 
-// check checks a process after a step: what it newly proposes or has committed contains what was acknowledged.
+// check checks the state of a process after a step: new voters in its proposals have synced the version before, and
+// its newest committed version contains every acknowledged edit.
 func (c *simCluster) check(m *simMachine) {
 	for _, g := range m.host.groups {
 		if g.role == leader && g.proposal != nil && isJoint(*g.proposal) {
@@ -36,13 +37,13 @@
 	}
 	for _, name := range c.acknowledged {
 		if !applied[name] {
-			c.violations = append(c.violations, fmt.Sprintf("%d us: the order with digest %x was acknowledged and is not in version %v of %s", c.now, name, g.committed.Version, m.addr))
+			c.violations = append(c.violations, fmt.Sprintf("%d us: the edit with digest %x was acknowledged but is missing from version %v of %s", c.now, name, g.committed.Version, m.addr))
 			return
 		}
 	}
 }
 
-// checkNewVoters checks that every new voter has synced the version before the change.
+// checkNewVoters checks that every voter added by a proposal has synced the version before the change.
 func (c *simCluster) checkNewVoters(g *Group) {
 	oldest := g.committed.Version
 	oldest.Partition = g.partition
@@ -51,12 +52,12 @@
 			continue
 		}
 		if !slices.ContainsFunc(c.machines, func(m *simMachine) bool { return m.hasSynced(voter.ID, oldest) }) {
-			c.violations = append(c.violations, fmt.Sprintf("%d us: partition %d gives %s a vote before it holds %v", c.now, g.partition, voter.ID, g.committed.Version))
+			c.violations = append(c.violations, fmt.Sprintf("%d us: partition %d makes %s a voter before it has synced %v", c.now, g.partition, voter.ID, g.committed.Version))
 		}
 	}
 }
 
-// hasSynced reports whether this disk is that of a replica and has a version that is no older than another.
+// hasSynced reports whether this disk belongs to the given replica and holds a version that is not older than oldest.
 func (m *simMachine) hasSynced(replicaID string, oldest wire.Version) bool {
 	id, err := diskfile.Unpack(m.disk["seat"])
 	if err != nil || string(id) != replicaID {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// verify fails the test if anything was violated so far.
+// verify fails the test if any violation was recorded.
 func (c *simCluster) verify() {
 	c.t.Helper()
 	if len(c.violations) > 0 {
@@ -80,7 +81,7 @@
 	}
 }
 
-// awaitAck runs until an edit is acknowledged again.
+// awaitAck runs until another edit is acknowledged, and returns how long that took. It fails the test after limit.
 func (c *simCluster) awaitAck(what string, limit clock.Micros) clock.Micros {
 	c.t.Helper()
 	from := c.now
@@ -89,7 +90,8 @@
 	return took
 }
 
-// voters lists the machines that vote in a partition, by the newest committed version.
+// voters returns the running machines that are voters of a partition, by the newest version that its leader has
+// committed.
 func (c *simCluster) voters(partition int) (out []*simMachine) {
 	leader := c.leader(partition)
 	if leader == nil {
--- a/control/replica/cluster_machine_test.go
+++ b/control/replica/cluster_machine_test.go
@@ -1,4 +1,4 @@
-// A simulated machine: one process with its clock, disk and connections.
+// A simulated machine: one process with its clock, disk and network links.
 
 package replica
 
@@ -71,10 +71,10 @@
 	m.schedule(c.random.Int64N(simPullEvery), m.pull)
 }
 
-// kill ends the process at once; writes that are not synced are lost.
+// kill ends the process immediately; writes that are not synced are lost.
 func (m *simMachine) kill() {
 	if m.up {
-		m.cluster.log(m.addr + " dies")
+		m.cluster.log(m.addr + " is killed")
 		m.up = false
 		m.incarnation++
 	}
@@ -85,13 +85,13 @@
 	m.disk = map[string][]byte{}
 }
 
-// terminate is a planned stop: the process ends once it has left its groups, or at the end of its time.
+// terminate starts a planned stop: the process ends once it has left its groups, or after LeaveTimeout.
 func (m *simMachine) terminate() {
 	if !m.up || m.stopping {
 		return
 	}
 	m.stopping = true
-	m.cluster.log(m.addr + " is told to stop")
+	m.cluster.log(m.addr + " begins a planned stop")
 	m.step(kernel.Stopping{})
 	m.awaitLeft(m.cluster.now + LeaveTimeout)
 }
@@ -113,7 +113,7 @@
 	})
 }
 
-// pull stands for the configuration sync, by which a process tells the others of itself.
+// pull stands in for the configuration sync, which announces a process to the others.
 func (m *simMachine) pull() {
 	m.schedule(simPullEvery, m.pull)
 	pull := wire.Pull{Addr: m.addr, Zone: m.zone}
@@ -144,7 +144,7 @@
 	c.check(m)
 }
 
-// write carries out one write after the other, each synced before it is answered.
+// write executes the writes one after the other, and reports each one after it is synced.
 func (m *simMachine) write() {
 	if m.writing || len(m.writes) == 0 {
 		return
--- a/control/replica/cluster_test.go
+++ b/control/replica/cluster_test.go
@@ -1,5 +1,5 @@
-// A cluster of cores on simulated time, network and disks, which runs the real state machines under a load of
-// edits and checks the invariants after every step.
+// A cluster of cores with simulated time, network and disks. It runs the real state machines under a load of edits
+// and checks the invariants after every step.
 
 package replica
 
@@ -29,7 +29,7 @@
 	operatorChanID = 1 << 40
 )
 
-// simShape is how many cores there are, in which zones, and which losses must be tolerated.
+// simShape defines the number of cores, their zones, and the losses that must be tolerated.
 type simShape struct {
 	name      string
 	zones     []string
@@ -46,7 +46,8 @@
 	links    map[uint64]*simLink
 	direct   map[string]*simLink
 	nextLink uint64
-	// acknowledged are the digests of the edits that were answered "ok"; edits are those of the ids under way.
+	// acknowledged contains the digests of the edits that were answered "ok"; edits maps request ids to the digests of
+	// the edits.
 	acknowledged []string
 	lastAck      clock.Micros
 	edits        map[uint64]string
@@ -85,7 +86,7 @@
 	}
 }
 
-// runUntil runs until something holds, and fails the test if that takes too long.
+// runUntil runs until the condition holds, and fails the test if that takes longer than limit.
 func (c *simCluster) runUntil(what string, limit clock.Micros, condition func() bool) (took clock.Micros) {
 	c.t.Helper()
 	for began := c.now; ; c.run(10 * clock.Millisecond) {
@@ -110,7 +111,8 @@
 	c.logLines = append(c.logLines, fmt.Sprintf("%9d %s", c.now, text))
 }
 
-// leader is the machine whose process leads a partition with the highest term and may serve.
+// leader returns the machine whose process leads a partition in the highest term and is ready to serve; nil if there
+// is none.
 func (c *simCluster) leader(partition int) (best *simMachine) {
 	for _, m := range c.machines {
 		if m.up && m.host.Leads(partition) && (best == nil || m.host.groups[partition].term > best.host.groups[partition].term) {
@@ -120,7 +122,7 @@
 	return best
 }
 
-// editLoop sends an edit to the leader at a steady rate.
+// editLoop sends an edit to the leader every simEditEvery.
 func (c *simCluster) editLoop() {
 	c.after(simEditEvery, c.editLoop)
 	if leader := c.leader(0); leader != nil {
@@ -134,7 +136,7 @@
 	}
 }
 
-// revision is that of the routing table that a leader has committed.
+// revision returns the revision of the routing table that a leader has committed.
 func (c *simCluster) revision(leader *simMachine) int64 {
 	config, err := state.ReadConfig(leader.host.groups[0].committed.Body)
 	must.NoError(c.t, err)
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -39,7 +39,7 @@
 	// round that a majority has answered was sent.
 	openRounds  []sentRound
 	confirmedAt clock.Micros
-	// offsets are upper bounds of the difference between each voter's clock and the leader's. A delayed reply makes
+	// offsets are lower bounds of the difference between each voter's clock and the leader's: a delayed reply makes
 	// the recorded offset smaller, which only makes the proof appear older.
 	offsets map[string]clock.Micros
 	// provenAt is set on a follower, in its own clock: a time not later than the sending of a heartbeat round that a
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -1,5 +1,5 @@
-// A small cluster of replicas on simulated time: a network with delays and partitions that delay frames, disks
-// with latency, and processes that are suspended.
+// A small cluster of replicas in simulated time: a network with latency and partitions that delay frames, disks with
+// latency, and processes that can be suspended.
 
 package replica
 
@@ -36,12 +36,13 @@
 	conns   map[uint64]*connection
 	direct  map[string]uint64
 	nextID  uint64
-	// isolated is the member that is partitioned from the others; frames between them are delayed until heal.
+	// isolated is the member that a network partition separates from the others. Frames to and from it are held until
+	// heal.
 	isolated *member
 	held     []func()
 }
 
-// newCluster starts members m0, m1 ... of which the first ones, an odd number, form one group.
+// newCluster starts members m0, m1 and so on. The largest odd number of them are the voters of one group.
 func newCluster(t *testing.T, seed uint64, size int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), conns: map[uint64]*connection{}, direct: map[string]uint64{}}
@@ -80,13 +81,13 @@
 	c.step(m, kernel.Start{})
 }
 
-// repeat calls do at an interval.
+// repeat calls do immediately, and again after every interval d.
 func (c *cluster) repeat(d clock.Micros, do func()) {
 	do()
 	c.after(d, func() { c.repeat(d, do) })
 }
 
-// run lets time pass; afterEach is called after each event.
+// run advances the time by d and calls afterEach, if set, after each event.
 func (c *cluster) run(d clock.Micros, afterEach func()) {
 	for end := c.now + d; c.advance(end); {
 		if afterEach != nil {
@@ -95,7 +96,8 @@
 	}
 }
 
-// feed has a member take an input, once it is not suspended, if it is still the same incarnation.
+// feed passes an input to a member if it is still the same incarnation. If the member is suspended, the input waits
+// until it resumes.
 func (c *cluster) feed(m *member, incarnation int, in kernel.Input) {
 	if m.incarnation != incarnation {
 		return
@@ -133,10 +135,11 @@
 	}
 }
 
-// restart ends a member's process and starts it again with its disk.
+// restart ends a member's process and starts it again on the same disk.
 func (c *cluster) restart(m *member) { c.start(m) }
 
-// leader is the member that leads a partition and may take its edits, and follower some other one.
+// leader returns the member that leads a partition and is ready to serve, unless it is suspended or isolated; nil if
+// there is none.
 func (c *cluster) leader(partition int) *member {
 	for _, m := range c.members {
 		if m.host.Leads(partition) && !m.frozen && m != c.isolated {
@@ -146,7 +149,7 @@
 	return nil
 }
 
-// committedLeader runs until a partition has had the same leader for a while.
+// committedLeader runs until a partition has had the same leader for one second, and returns that leader.
 func (c *cluster) committedLeader(partition int) *member {
 	for range 100 {
 		c.run(100*clock.Millisecond, nil)
--- a/control/replica/contact_net_test.go
+++ b/control/replica/contact_net_test.go
@@ -1,4 +1,4 @@
-// The network and the disks of that cluster.
+// The network and the disks of the cluster in contact_cluster_test.go.
 
 package replica
 
@@ -12,10 +12,10 @@
 	"wallport/runtime/wire"
 )
 
-// connection carries frames both ways between a member, or the test, and a member.
+// connection carries frames in both directions between two members, or between the test and a member.
 type connection struct {
 	ends [2]*member
-	// freeAt is when the next frame may arrive at an end: frames keep their order.
+	// freeAt is the earliest arrival time of the next frame at each end, so that frames keep their order.
 	freeAt       [2]clock.Micros
 	incarnations [2]int
 	reply        func(f wire.Frame)
@@ -38,7 +38,7 @@
 	})
 }
 
-// connect opens a connection from a member, or from the test where that is nil, to a member.
+// connect opens a connection to a member, from another member or, if from is nil, from the test.
 func (c *cluster) connect(from, to *member) uint64 {
 	c.nextID++
 	conn := &connection{ends: [2]*member{from, to}, incarnations: [2]int{0, to.incarnation}}
@@ -102,14 +102,15 @@
 	})
 }
 
-// request sends a frame of the test to a member; reply gets whatever comes back on its connection.
+// request sends a frame from the test to a member; reply is called with every frame that the member sends back.
 func (c *cluster) request(to *member, kind uint8, id uint64, m interface{ MarshalMsg([]byte) ([]byte, error) }, reply func(f wire.Frame)) {
 	ch := c.connect(nil, to)
 	c.conns[ch].reply = reply
 	c.deliver(c.conns[ch], ch, 1, wire.Seal(kind, id, m))
 }
 
-// isolate partitions a member from the others; heal delivers the frames that were delayed.
+// isolate separates a member from the others by a network partition; heal ends the partition and delivers the held
+// frames.
 func (c *cluster) isolate(m *member) { c.isolated = m }
 
 func (c *cluster) heal() {
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -1,4 +1,4 @@
-// Single rules of contact with a majority: which replies prove it, and for how long.
+// Rules of contact with a majority: which replies prove it, and for how long.
 
 package replica
 
@@ -13,44 +13,44 @@
 	"wallport/runtime/wire"
 )
 
-// pullAll is the reply to a pull of a process that has no version yet.
+// pullAll returns the reply to a pull from a process that has no version yet.
 func (c *core) pullAll(t *testing.T) wire.PullReply {
 	t.Helper()
 	return sent[wire.PullReply](t, c.send(wire.KindPull, &wire.Pull{}), wire.KindPullReply)[0]
 }
 
-// replyToHeartbeat has one of the two other voters reply to the newest heartbeat round.
+// replyToHeartbeat sends a reply from one of the two other voters to the newest heartbeat round.
 func (c *core) replyToHeartbeat(g *Group, voterClock clock.Micros) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Clock: voterClock})
 }
 
-// A process that was delayed for less than what counts as a suspension has not ticked: its replies must go by
-// the clock as well.
+// A process may be delayed for too short a time to be treated as suspended, and then answer before it ticks. Whether
+// its replies are confirmed must therefore depend on the clock, not on the tick.
 func TestLeaderContactExpiresByClock(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("no round is answered yet"))
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("no heartbeat round was answered yet"))
 	c.now += HeartbeatInterval
 	c.tick()
 	c.replyToHeartbeat(g, 0)
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.tick()
 	must.Eq(t, 1, c.kernel.Counts.Of("part_in_contact_now").Load())
-	must.Zero(t, c.kernel.Counts.Of("part_contact_lost").Load(), must.Sprint("a leader just elected has lost nothing"))
+	must.Zero(t, c.kernel.Counts.Of("part_contact_lost").Load(), must.Sprint("a newly elected leader cannot have lost its contact"))
 	must.Len(t, 1, c.pullAll(t).Leaders)
 	c.now += ContactFor
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.now++
 	must.Zero(t, c.pullAll(t).ContactMask)
-	must.SliceEmpty(t, c.pullAll(t).Leaders, must.Sprint("nobody is sent to a leader without contact"))
-	must.Eq(t, leader, g.role, must.Sprint("it did not tick"))
+	must.SliceEmpty(t, c.pullAll(t).Leaders, must.Sprint("callers must not be sent to a leader without contact"))
+	must.Eq(t, leader, g.role, must.Sprint("it steps down only at the next tick"))
 	c.tick()
 	must.Eq(t, follower, g.role)
 	must.Zero(t, c.kernel.Counts.Of("part_in_contact_now").Load())
 	must.Eq(t, 1, c.kernel.Counts.Of("part_contact_lost").Load())
 }
 
-// Contact counts from when a round was sent: a late reply proves what was true then.
+// Contact counts from when a round was sent: a late reply only proves contact at that time.
 func TestContactCountsFromSendingOfRound(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -75,29 +75,30 @@
 	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.replyToHeartbeat(g, 0)))
 }
 
-// heartbeat has the core follow "a" and returns its reply.
+// heartbeat sends the core a heartbeat of leader "a" in term 5 and returns the core's reply.
 func (c *core) heartbeat(t *testing.T, contactAt clock.Micros, committed wire.Version) wire.LeaderHeartbeatReply {
 	t.Helper()
 	heartbeat := wire.LeaderHeartbeat{Term: 5, From: "a", Round: 1, ContactAt: contactAt, Committed: committed}
 	return sent[wire.LeaderHeartbeatReply](t, c.send(wire.KindLeaderHeartbeat, &heartbeat), wire.KindLeaderHeartbeatReply)[0]
 }
 
-// A heartbeat proves contact at a moment of the follower's own clock, however long it was on its way.
+// A heartbeat proves contact at a time in the follower's own clock, regardless of how long the heartbeat was in
+// transit.
 func TestFollowerContactExpiresByItsClock(t *testing.T) {
 	v := version(5, 1)
 	c := newCore(t, nil)
 	c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: v}))
 	clock := c.heartbeat(t, 0, v.Version).Clock
-	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("its leader has no contact"))
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("the leader has no contact"))
 	c.heartbeat(t, clock, v.Version)
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.now += ContactFor + 1
 	must.Zero(t, c.pullAll(t).ContactMask)
 	c.heartbeat(t, clock, v.Version)
-	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("held up on its way"))
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("the heartbeat was delayed, and its proof is too old"))
 	now := c.heartbeat(t, clock+ContactFor, v.Version).Clock
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
-	// It does not confirm a state that lacks a version which it knows to be committed.
+	// The follower does not confirm its state while it lacks a version that it knows to be committed.
 	c.heartbeat(t, now, wire.Version{Term: 5, Seq: 2})
 	must.Zero(t, c.pullAll(t).ContactMask)
 	c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 2)}))
@@ -105,7 +106,7 @@
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 }
 
-// A heartbeat for an earlier incarnation of this process proves nothing to the present one.
+// A heartbeat for an earlier incarnation of this process proves nothing to the current one.
 func TestContactProofOfEarlierIncarnationIsIgnored(t *testing.T) {
 	v := version(5, 1)
 	first, again := newCore(t, nil), newCore(t, nil)
@@ -122,7 +123,7 @@
 	must.NotEq(t, first.host.clockOrigin, kernel.Find[*Host](other).clockOrigin)
 }
 
-// The proof in a heartbeat is on the receiver's clock, as old as the newest confirmed round.
+// The proof in a heartbeat is expressed in the receiver's clock and is as old as the newest confirmed round.
 func TestHeartbeatsCarryProofOnReceiversClock(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -139,12 +140,12 @@
 			must.Eq(t, 7*clock.Second-20*clock.Millisecond, b.ContactAt)
 			continue
 		}
-		must.Zero(t, b.ContactAt, must.Sprint("its clock is not known"))
+		must.Zero(t, b.ContactAt, must.Sprint("the clock of this voter is not known"))
 	}
 	must.Eq(t, sentAt, g.contact.confirmedAt)
 }
 
-// A core with no replica of a partition relays, for a limited time, the contact of a core that answered it.
+// A core without a replica of a partition relays, for a limited time, the contact of a core that answered its pull.
 func TestStandbyRelaysContactForLimitedTime(t *testing.T) {
 	c := newCore(t, nil)
 	c.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.9:1"}})
@@ -165,7 +166,7 @@
 	at := c.now
 	c.now += 50 * clock.Millisecond
 	c.feed(kernel.Received{Conn: 5, Data: wire.Seal(wire.KindPullReply, pullID, &wire.PullReply{ContactMask: 1, RelayedMask: 2})})
-	must.Eq(t, 1, c.pullAll(t).RelayedMask, must.Sprint("what was relayed is not relayed again"))
+	must.Eq(t, 1, c.pullAll(t).RelayedMask, must.Sprint("relayed contact must not be relayed again"))
 	must.Zero(t, c.pullAll(t).ContactMask)
 	c.now = at + RelayedContactFor + 1
 	must.Zero(t, c.pullAll(t).RelayedMask)
--- a/control/replica/contact_test.go
+++ b/control/replica/contact_test.go
@@ -1,5 +1,5 @@
-// Confirmed versions contain everything that was acknowledged shortly before, whichever member is partitioned
-// or suspended; a member without contact confirms, rejects and reads nothing.
+// Confirmed versions contain everything that was acknowledged up to shortly before, whichever member is partitioned
+// or suspended. A member without contact confirms no version, rejects no edit and answers no read.
 
 package replica
 
@@ -23,18 +23,18 @@
 // seedsPerFault is the number of seeds for each kind of fault.
 var seedsPerFault = flag.Uint64("worlds", 2, "worlds for each kind of trouble")
 
-// acknowledgement is a version that an operator was told to be committed, and when.
+// acknowledgement is a version that was acknowledged to an operator, and when.
 type acknowledgement struct {
 	at      clock.Micros
 	version wire.Version
 }
 
-// observer stands for operators and nodes: it edits, reads and pulls, and checks the replies.
+// observer acts as the operators and nodes: it edits, reads and pulls, and checks the replies.
 type observer struct {
 	c     *cluster
 	acks  []acknowledgement
 	edits int
-	// confirmed counts, by member, the pulls whose replies showed contact; reads counts the reads that were answered.
+	// confirmed counts the pull replies that showed contact, by member; reads counts the answered reads, by member.
 	confirmed     map[string]int
 	lastConfirmed map[string]clock.Micros
 	reads         map[string]int
@@ -44,7 +44,7 @@
 	return &observer{c: c, confirmed: map[string]int{}, lastConfirmed: map[string]clock.Micros{}, reads: map[string]int{}}
 }
 
-// newestBy is the newest version that was acknowledged by a moment.
+// newestBy returns the newest version that was acknowledged at or before a time.
 func (o *observer) newestBy(at clock.Micros) (newest wire.Version) {
 	for _, a := range o.acks {
 		if a.at <= at && mesh.Newer(a.version, newest) {
@@ -54,16 +54,16 @@
 	return newest
 }
 
-// edit sends a member an edit about a zone of its own.
+// edit sends a member an edit of a zone that no other edit names.
 func (o *observer) edit(to *member) {
 	o.edits++
 	id := fmt.Sprint("edit-", o.edits)
-	cut := to == o.c.isolated
+	wasIsolated := to == o.c.isolated
 	o.c.request(to, wire.KindEdit, 1, &wire.Edit{Op: "refill", Name: "zone-" + id, EditID: id}, func(f wire.Frame) {
 		var r wire.EditReply
 		must.NoError(o.c.t, wire.Decode(f.Body, &r))
-		if cut && to == o.c.isolated {
-			must.SliceContains(o.c.t, []wire.Code{wire.CodeNotLeader, wire.CodeUnknown, wire.CodeOverloaded}, r.Code, must.Sprint("from the member that is cut off"))
+		if wasIsolated && to == o.c.isolated {
+			must.SliceContains(o.c.t, []wire.Code{wire.CodeNotLeader, wire.CodeUnknown, wire.CodeOverloaded}, r.Code, must.Sprint("reply of the isolated member"))
 		}
 		if r.Code == "ok" {
 			o.acks = append(o.acks, acknowledgement{o.c.now, r.Version})
@@ -71,7 +71,8 @@
 	})
 }
 
-// read sends a member a read: its reply must contain all that was acknowledged before the read was sent.
+// read sends a member a read and checks that the reply contains everything that was acknowledged before the read was
+// sent.
 func (o *observer) read(to *member) {
 	sentAt := o.c.now
 	o.c.request(to, wire.KindEdit, 1, &wire.Edit{Op: "read"}, func(f wire.Frame) {
@@ -86,7 +87,7 @@
 	})
 }
 
-// pull pulls from a member as a node without any version does.
+// pull pulls from a member like a node that has no version yet, and checks the confirmed version in the reply.
 func (o *observer) pull(to *member) {
 	sentAt := o.c.now
 	o.c.request(to, wire.KindPull, 1, &wire.Pull{}, func(f wire.Frame) {
@@ -112,7 +113,7 @@
 	})
 }
 
-// startLoad edits, reads and pulls at an interval.
+// startLoad starts to pull from, read from and edit at every member, at fixed intervals.
 func (o *observer) startLoad() {
 	o.c.repeat(pullEvery, func() {
 		for _, m := range o.c.members {
@@ -127,25 +128,25 @@
 	})
 }
 
-// fault takes a member's contact away for a while.
+// fault deprives a member of its contact for some time.
 type fault struct {
 	name       string
 	begin, end func(c *cluster, m *member)
 }
 
 func faults() []fault {
-	cut := func(c *cluster, m *member) { c.isolate(m) }
+	isolate := func(c *cluster, m *member) { c.isolate(m) }
 	heal := func(c *cluster, _ *member) { c.heal() }
 	return []fault{
-		{"cut", cut, heal},
+		{"cut", isolate, heal},
 		{"frozen", func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*clock.Second) }},
 		{"cut and started again", func(c *cluster, m *member) { c.isolate(m); c.restart(m) }, heal},
-		{"cut, then started again with the join", cut, func(c *cluster, m *member) { c.restart(m); c.heal() }},
+		{"cut, then started again with the join", isolate, func(c *cluster, m *member) { c.restart(m); c.heal() }},
 	}
 }
 
-// seedCount is the number of seeds for each kind of fault: one in a short run, which CI makes with the race
-// detector beside the complete one.
+// seedCount returns the number of seeds for each kind of fault. It is one in a short run, which CI makes with the
+// race detector in addition to the complete run.
 func seedCount() uint64 {
 	if testing.Short() {
 		return 1
@@ -153,8 +154,8 @@
 	return *seedsPerFault
 }
 
-// TestConfirmedVersionsContainAcknowledgedEdits partitions or suspends a leader or a follower for
-// twenty seconds, under two operators, in groups of 3 and 5, with and without a standby that replaces it.
+// TestConfirmedVersionsContainAcknowledgedEdits partitions or suspends a leader or a follower for twenty seconds,
+// while two operators edit, in groups of 3 and 5 voters, with and without a standby that can replace it.
 func TestConfirmedVersionsContainAcknowledgedEdits(t *testing.T) {
 	for _, v := range faults() {
 		for _, size := range []int{3, 4, 5} {
@@ -179,20 +180,20 @@
 	o.startLoad()
 	c.run(2*clock.Second+c.rnd.Int64N(clock.Second), nil)
 	for _, each := range c.members {
-		must.Positive(c.t, o.confirmed[each.name], must.Sprint("in calm times each member has contact: ", each.name))
+		must.Positive(c.t, o.confirmed[each.name], must.Sprint("member without contact before the fault: ", each.name))
 	}
 	v.begin(c, m)
 	began, acks := c.now, len(o.acks)
 	c.run(20*clock.Second, nil)
-	must.Greater(c.t, acks+10, len(o.acks), must.Sprint("the majority goes on"))
-	must.Less(c.t, began+ContactFor+RelayedContactFor+clock.Second/2, max(o.lastConfirmed[m.name], 1), must.Sprint("it says for too long that it has contact"))
+	must.Greater(c.t, acks+10, len(o.acks), must.Sprint("too few edits were acknowledged by the majority during the fault"))
+	must.Less(c.t, began+ContactFor+RelayedContactFor+clock.Second/2, max(o.lastConfirmed[m.name], 1), must.Sprint("the faulty member claimed contact for too long"))
 	v.end(c, m)
 	for range 100 {
-		// The delayed frames arrive now, the newest last.
+		// The delayed frames arrive during this time, the newest last.
 		o.pull(m)
 		o.read(m)
 		c.run(300, nil)
 	}
 	c.run(4*clock.Second, nil)
-	must.Greater(c.t, c.now-clock.Second, o.lastConfirmed[m.name], must.Sprint("it has contact again"))
+	must.Greater(c.t, c.now-clock.Second, o.lastConfirmed[m.name], must.Sprint("the member has no contact after the end of the fault"))
 }
--- a/control/replica/edits_test.go
+++ b/control/replica/edits_test.go
@@ -1,5 +1,5 @@
-// Edits at a leader: two of one revision in one batch, repeats across an election and a loss of power, a leader
-// without a majority, and who is sent the edit log.
+// Edits at a leader: two edits of one revision in one batch, repeated edits after an election and after a power loss,
+// a leader without a majority, and which messages contain the edit log.
 
 package replica
 
@@ -17,7 +17,8 @@
 	"wallport/runtime/wire"
 )
 
-// routingEdit puts a routing table of a revision, which differs from others in a limit.
+// routingEdit returns an edit that replaces the routing table by one of the given revision; limit makes tables
+// differ.
 func routingEdit(t *testing.T, base, revision, limit int64) wire.Edit {
 	t.Helper()
 	b, err := proto.Marshal(&routingpb.RoutingEdit{
@@ -27,7 +28,7 @@
 	return wire.Edit{Op: "routing", Body: b}
 }
 
-// confirmHeartbeat has a majority reply to the newest heartbeat.
+// confirmHeartbeat sends the reply of a second voter, hence of a majority, to the newest heartbeat round.
 func (c *core) confirmHeartbeat(g *Group) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 }
@@ -48,7 +49,7 @@
 	c := newCore(t, nil)
 	g := electLeader(t, c)
 	c.edit(1, routingEdit(t, 0, 5, 1))
-	// These wait for the proposal under way.
+	// These edits wait for the proposal in flight.
 	c.edit(2, routingEdit(t, 5, 7, 1))
 	c.edit(3, routingEdit(t, 5, 7, 2))
 	c.edit(4, routingEdit(t, 5, 7, 1))
@@ -56,7 +57,7 @@
 	must.Eq(t, map[uint64]string{2: "ok", 3: "lost_race", 4: "ok"}, replies(t, c.acceptProposal(g)))
 }
 
-// The next leader, elected by others or started again after a loss of all power, knows the same edits.
+// The next leader, elected after a change of leader or restarted after a power loss, knows the same edits.
 func TestAcceptedEditsAreKnownToNextLeader(t *testing.T) {
 	_, was := leaderWithTwoEdits(t)
 	held := was.committed
@@ -91,7 +92,7 @@
 	}
 }
 
-// A leader that no majority answers accepts and rejects nothing: neither edits, repeats nor reads.
+// A leader that is not answered by a majority replies to no edit, no repeated edit and no read.
 func TestPartitionedLeaderRepliesToNoEdit(t *testing.T) {
 	c, g := leaderWithTwoEdits(t)
 	for id, e := range []wire.Edit{
@@ -109,7 +110,7 @@
 	must.MapLen(t, 9, told)
 }
 
-// The edit log is sent from replica to replica; pulls, announcements and denied votes leave it out.
+// The edit log is sent between replicas only: pulls, announcements and denied votes omit it.
 func TestEditLogIsSentToReplicasOnly(t *testing.T) {
 	c, g := leaderWithTwoEdits(t)
 	must.NotNil(t, g.committed.EditLog)
@@ -128,7 +129,7 @@
 	must.NoError(t, err)
 	must.True(t, config.LegacyRevisions == nil && config.LegacyEdits == nil && config.LegacyHistory == nil)
 
-	// A denied vote shows the voter's version, and nothing of its content.
+	// A denied vote contains the number of the voter's version and nothing of its content.
 	held := g.committed
 	c = newCore(t, map[string][]byte{versionFile(held.Version): diskfile.Pack(wire.Encode(&held))})
 	must.Eq(t, held.EditLog, c.host.groups[0].accepted.EditLog)
@@ -141,7 +142,7 @@
 	must.Nil(t, vote.Stored.EditLog)
 }
 
-// A delayed edit about a zone is rejected by the leader, and the rejection is confirmed.
+// A delayed edit of a zone is rejected by the leader, and the rejection is confirmed by a majority.
 func TestStaleZoneEditIsRejected(t *testing.T) {
 	c, g := leaderWithTwoEdits(t)
 	c.edit(1, wire.Edit{Op: wire.OpZoneVersion, Name: "z"})
@@ -164,6 +165,6 @@
 			return r.Version
 		}
 	}
-	t.Fatal("no answer")
+	t.Fatal("the output contains no reply to an edit")
 	return wire.Version{}
 }
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -1,4 +1,5 @@
-// Elections: no leader before its own vote is synced, by whose voters votes are counted, and what is adopted.
+// Elections: a candidate does not lead before its own vote is synced, votes are counted against the voters of the
+// newest version, and a new leader adopts that version.
 
 package replica
 
@@ -13,8 +14,8 @@
 	"wallport/runtime/wire"
 )
 
-// A leader whose own vote was not synced could, killed and started again, ask for the same term and give one
-// number to two versions.
+// A leader whose own vote was not synced could, if killed and restarted, request votes for the same term again and
+// assign one number to two versions.
 func TestCandidateSyncsItsVoteBeforeLeading(t *testing.T) {
 	c := newCore(t, nil)
 	g := c.host.groups[0]
@@ -25,7 +26,7 @@
 	must.Eq(t, candidate, g.role)
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true})
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "b", Granted: true})
-	must.Eq(t, candidate, g.role, must.Sprint("its own promise is not synced"))
+	must.Eq(t, candidate, g.role, must.Sprint("the candidate's own vote is not synced"))
 	c.sync(out)
 	must.Eq(t, leader, g.role)
 }
@@ -42,11 +43,11 @@
 		g.scheduleElection(out)
 		at = append(at, g.electionAt)
 	}
-	must.Between(t, ElectionTimeout, at[1], ElectionTimeout+ElectionJitter, must.Sprint("part 1 begins with the second"))
-	must.Between(t, ElectionTimeout+ElectionStagger, at[0], ElectionTimeout+ElectionStagger+ElectionJitter, must.Sprint("the owner that is gone has no turn"))
+	must.Between(t, ElectionTimeout, at[1], ElectionTimeout+ElectionJitter, must.Sprint("the ranking of partition 1 starts at the second voter"))
+	must.Between(t, ElectionTimeout+ElectionStagger, at[0], ElectionTimeout+ElectionStagger+ElectionJitter, must.Sprint("the lost leader takes no rank"))
 }
 
-// A replica that was away holds an older version than the voters: it commits theirs again.
+// A candidate that was down holds an older version than the voters: it commits their version again.
 func TestLeaderAdoptsHighestVersionOfVoters(t *testing.T) {
 	mine, theirs := version(3, 1), version(4, 7)
 	theirs.Body = wire.Encode(&wire.ConfigBody{DrainedZones: []string{"z9"}})
@@ -64,7 +65,7 @@
 	must.Eq(t, theirs.Body, g.proposal.Body)
 }
 
-// After a loss of all processes there is no leader to wait for.
+// After a loss of all processes there is no leader to wait for, so the first election starts sooner.
 func TestElectionTimeoutAtStart(t *testing.T) {
 	for _, c := range []struct {
 		known       bool
@@ -86,7 +87,7 @@
 	}
 }
 
-// campaign has the core stand for leader of partition 0 with its own vote synced, holding a version.
+// campaign makes the core, which holds the given version, a candidate in partition 0 with its own vote synced.
 func campaign(t *testing.T, mine wire.Versioned) (*core, *Group) {
 	t.Helper()
 	c := newCore(t, map[string][]byte{versionFile(mine.Version): diskfile.Pack(wire.Encode(&mine))})
@@ -100,20 +101,20 @@
 	return c, g
 }
 
-// A replaced replica holds an older version. A majority of the voters of that version does not elect it: it needs
-// one of the voters of the newest version.
+// A replica that was replaced holds an older version. A majority of the voters of that version does not elect it: it
+// needs a majority of the voters of the newest version.
 func TestElectionCountsVotersOfNewestVersion(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
 	newest := version(4, 7)
 	newest.Voters = replicas("a", "d", "e")
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: newest})
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "b", Granted: true, Stored: version(3, 1)})
-	must.Eq(t, candidate, g.role, must.Sprint("all of its own voters, and one of three of the newest version"))
+	must.Eq(t, candidate, g.role, must.Sprint("votes of all voters of its own version, and of only one of the three voters of the newest version"))
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "d", Granted: true, Stored: newest})
 	must.Eq(t, leader, g.role)
 }
 
-// The version that a new leader adopted may be on its disk alone: until a majority has synced it in the new term,
+// The version that a new leader adopted may be on its own disk only. Until a majority has synced it in the new term,
 // no reply may rest on it, whichever heartbeats were answered.
 func TestNewLeaderServesAfterItsFirstCommit(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
@@ -135,7 +136,7 @@
 	}
 	must.Eq(t, leader, g.role)
 	for _, reply := range sent[wire.EditReply](t, out, wire.KindEditReply) {
-		must.Eq(t, "not_owner", reply.Code, must.Sprint("a majority answers heartbeats, and none has synced its version"))
+		must.Eq(t, "not_owner", reply.Code, must.Sprint("a majority answers heartbeats, but has not synced the leader's version"))
 	}
 	must.Zero(t, c.pullAll(t).ContactMask)
 	must.Eq(t, string(stateNewLeader), c.partition0Status(t).State)
@@ -143,6 +144,6 @@
 	must.Eq(t, string(stateLeader), c.partition0Status(t).State)
 	c.send(wire.KindEdit, &wire.Edit{Op: wire.OpRead})
 	read := sent[wire.EditReply](t, c.replyToHeartbeat(g, 0), wire.KindEditReply)
-	must.Len(t, 2, read, must.Sprint("the order that waited is refused, the read is answered"))
+	must.Len(t, 2, read, must.Sprint("the queued edit is rejected and the read is answered"))
 	must.Eq(t, "ok", read[1].Code)
 }
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -1,4 +1,4 @@
-// Fencing: a replica that voted in a term takes no version of an older one, and acknowledges only what is synced.
+// Fencing: a replica that voted in a term accepts no version of an older one, and acknowledges only what is synced.
 
 package replica
 
@@ -20,7 +20,7 @@
 	now    clock.Micros
 }
 
-// newCore returns a bootstrapped core with replica "me"; the other voters are "a" and "b".
+// newCore returns a core with replica "me" whose bootstrap is complete; the other voters are "a" and "b".
 func newCore(t *testing.T, more map[string][]byte) *core {
 	t.Helper()
 	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true, Voters: replicas("a", "b", "me")}
@@ -40,7 +40,7 @@
 	return c.feed(kernel.Received{Conn: 5, Data: wire.Seal(kind, 0, m)})
 }
 
-// sync carries out the writes of an output and returns what followed.
+// sync completes the writes of an output and returns what the core sends as a result.
 func (c *core) sync(out kernel.Output) kernel.Output {
 	var all kernel.Output
 	for _, w := range out.Writes {
@@ -68,7 +68,7 @@
 func TestVoteFencesOlderTerms(t *testing.T) {
 	c := newCore(t, nil)
 	out := c.send(wire.KindVote, &wire.Vote{Term: 5, From: "a"})
-	must.SliceEmpty(t, out.Sends, must.Sprint("no vote before it is synced"))
+	must.SliceEmpty(t, out.Sends, must.Sprint("the vote must be synced before it is sent"))
 	must.Len(t, 1, c.sync(out).Sends)
 	out = c.send(wire.KindAccept, &wire.Accept{Term: 4, From: "b", Versioned: version(4, 9)})
 	must.SliceEmpty(t, out.Writes)
@@ -76,7 +76,7 @@
 	must.False(t, r.OK)
 	must.Eq(t, uint64(5), r.Term)
 	out = c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 1)})
-	must.SliceEmpty(t, out.Sends, must.Sprint("no yes before it is synced"))
+	must.SliceEmpty(t, out.Sends, must.Sprint("the version must be synced before it is acknowledged"))
 	must.True(t, acceptReply(t, c.sync(out)).OK)
 }
 
@@ -85,7 +85,7 @@
 	c := newCore(t, map[string][]byte{voteFile(0): promise})
 	must.False(t, acceptReply(t, c.send(wire.KindAccept, &wire.Accept{Term: 6, From: "b", Versioned: version(6, 1)})).OK)
 	out := c.send(wire.KindVote, &wire.Vote{Term: 7, From: "b"})
-	must.SliceEmpty(t, out.Writes, must.Sprint("a term is given once"))
+	must.SliceEmpty(t, out.Writes, must.Sprint("a term is granted to one candidate only"))
 }
 
 func TestTornVersionFileIsSkipped(t *testing.T) {
@@ -124,7 +124,7 @@
 	must.Eq(t, "no space left on device", c.host.diskProblem)
 }
 
-// A machine that lost its disk is another replica at the same address.
+// A machine that lost its disk runs a different replica at the same address.
 func TestMessageForAnotherReplicaIsIgnored(t *testing.T) {
 	c := newCore(t, nil)
 	out := c.send(wire.KindAccept, &wire.Accept{To: "lost", Term: 5, From: "a", Versioned: version(5, 1)})
--- a/control/replica/invariants_test.go
+++ b/control/replica/invariants_test.go
@@ -1,4 +1,4 @@
-// Each check of an invariant reports a violation where the invariant does not hold.
+// Each invariant check reports a violation when the invariant does not hold.
 
 package replica
 
@@ -16,7 +16,7 @@
 	"wallport/runtime/wire"
 )
 
-// configVersion returns a version of the configuration whose routing table has a revision.
+// configVersion returns a version of the configuration whose routing table has the given revision.
 func configVersion(t *testing.T, term, seq uint64, revision int64) wire.Versioned {
 	t.Helper()
 	table, err := proto.Marshal(&routingpb.RoutingTable{Revision: revision})
--- a/control/replica/learner_test.go
+++ b/control/replica/learner_test.go
@@ -1,4 +1,4 @@
-// Learners that do not respond, changes that are no longer due, and replicas that are not chosen.
+// Learners that do not respond, changes whose reason no longer applies, and replicas that must not be chosen.
 
 package replica
 
@@ -28,7 +28,7 @@
 	leaves(LearnerTimeout - 400*clock.Millisecond)
 	pull("d")
 	pull("e")
-	must.Eq(t, []string{"d"}, ids(g.change.learners), must.Sprint("not given up yet"))
+	must.Eq(t, []string{"d"}, ids(g.change.learners), must.Sprint("the learner was abandoned before LearnerTimeout"))
 	leaves(400 * clock.Millisecond)
 	c.syncLearners(t, g, "e")
 	must.Eq(t, []string{"a", "e", "me"}, ids(g.proposal.Voters))
@@ -55,7 +55,7 @@
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	must.NotNil(t, g.change)
-	// Its process has ended, and comes back as the voter that it was.
+	// The process of the leaving voter has ended; it returns as the same voter.
 	c.exchangeHeartbeats(g, LeaveRequestTimeout+TickInterval, "a", "b")
 	must.Nil(t, g.change)
 }
@@ -64,7 +64,7 @@
 	c := newCore(t, nil)
 	g := electLeader(t, c)
 	c.exchangeHeartbeats(g, 200*clock.Millisecond, "a", "b")
-	// Of the two that answer, the one heard last would be taken.
+	// Of two voters that answer, the one heard last would be chosen as the successor.
 	c.now += 1 * clock.Millisecond
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: "b", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
@@ -73,7 +73,7 @@
 	must.Eq(t, "a", g.leader)
 }
 
-// A leaving voter isn't replaced by a standby of a zone that would then have a majority.
+// A leaving voter isn't replaced by a standby in a zone that would then contain a majority.
 func TestLeavingVoterIsNotReplacedFromCrowdedZone(t *testing.T) {
 	shape := simShape{name: "4 cores in 3 zones", zones: []string{"z1", "z2", "z3", "z1"}, tolerance: simShapes[1].tolerance}
 	c := newSimCluster(t, shape, 17)
@@ -89,7 +89,7 @@
 		m.start()
 		c.run(2 * clock.Second)
 	}
-	// A standby of its own zone may replace it.
+	// A standby in the voter's own zone may replace it.
 	for _, m := range c.voters(0) {
 		if m.zone == "z1" {
 			id := m.host.replicaID
@@ -101,7 +101,7 @@
 	c.verify()
 }
 
-// A removed voter is sent the version that removed it and becomes a standby at once; a delayed message of a
+// A removed voter is sent the version that removed it and becomes a standby immediately; a delayed message from a
 // leader gets no reply.
 func TestRemovedVoterIsNotified(t *testing.T) {
 	c := newSimCluster(t, simShapes[1], 18)
--- a/control/replica/lease_test.go
+++ b/control/replica/lease_test.go
@@ -1,4 +1,4 @@
-// A singleton task has one lease holder at a time, whichever leader is elected, partitioned or suspended.
+// A singleton task has at most one lease holder at a time, whichever leader is elected, partitioned or suspended.
 
 package replica
 
@@ -14,12 +14,12 @@
 
 const renewEvery = 200 * clock.Millisecond
 
-// leaseHolder renews a lease at an interval, and counts it from when it sent the request.
+// leaseHolder renews a lease every renewEvery, and counts the lease from when it sent the request.
 type leaseHolder struct {
 	name    string
 	until   clock.Micros
 	granted int
-	// to is the member that it takes for the leader.
+	// to returns the member that the holder sends its requests to as the leader; nil if there is none.
 	to func() *member
 }
 
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestLeaseHasOneHolderAcrossLeaderFaults has one process ask the old leader, as one that is
-// partitioned with it does, and another process the present leader.
+// TestLeaseHasOneHolderAcrossLeaderFaults has one process request the lease from the old leader, like a process in
+// the same side of a network partition, and another process request it from the current leader.
 func TestLeaseHasOneHolderAcrossLeaderFaults(t *testing.T) {
 	leaderFaults := map[string]struct{ begin, end func(c *cluster, m *member) }{
 		"cut":    {func(c *cluster, m *member) { c.isolate(m) }, func(c *cluster, m *member) { c.heal() }},
@@ -64,13 +64,13 @@
 					other.renew(c)
 					check := func() {
 						must.False(t, c.now < kept.until && c.now < other.until, must.Sprintf(
-							"two holders at %d ms, until %d and %d ms", c.now/1000, kept.until/1000, other.until/1000))
+							"two lease holders at %d ms: their leases end at %d and %d ms", c.now/1000, kept.until/1000, other.until/1000))
 					}
 					c.run(2*clock.Second+c.rnd.Int64N(clock.Second), check)
 					must.Positive(t, kept.granted)
 					f.begin(c, old)
 					c.run(20*clock.Second, check)
-					must.Positive(t, other.granted, must.Sprint("nobody else got the lease"))
+					must.Positive(t, other.granted, must.Sprint("the other process never got the lease"))
 					f.end(c, old)
 					c.run(3*clock.Second, check)
 				})
--- a/control/replica/leave_test.go
+++ b/control/replica/leave_test.go
@@ -1,5 +1,5 @@
-// Voters whose process is to stop: replaced by a committed change before it ends, or voters until it ends where
-// nobody can replace them.
+// Voters whose process is to stop: each is replaced by a committed change before its process ends, or remains a voter
+// until then if no replica can replace it.
 
 package replica
 
@@ -13,7 +13,8 @@
 	"wallport/runtime/wire"
 )
 
-// isVoterAnywhere reports whether a replica votes in a partition by the newest version that a leader has committed.
+// isVoterAnywhere reports whether a replica is a voter of any partition, by the newest version that its leader has
+// committed.
 func (c *simCluster) isVoterAnywhere(id string) bool {
 	for partition := range Partitions {
 		leader := c.leader(partition)
@@ -24,7 +25,7 @@
 	return false
 }
 
-// hasMajorities reports whether a majority of the voters of each partition runs.
+// hasMajorities reports whether, in every partition, a quorum of the newest committed version is running.
 func (c *simCluster) hasMajorities() bool {
 	for partition := range Partitions {
 		newest := c.newestOf(partition)
@@ -44,7 +45,7 @@
 	return false
 }
 
-// newestOf is the newest version of a partition that any running process knows to be committed.
+// newestOf returns the newest version of a partition that any running process knows to be committed.
 func (c *simCluster) newestOf(partition int) (newest wire.Versioned) {
 	for _, m := range c.machines {
 		if m.up && newest.Version.Term <= m.host.groups[partition].committed.Version.Term && len(m.host.groups[partition].committed.Voters) > 0 {
@@ -76,11 +77,11 @@
 				must.True(t, c.isVoterAnywhere(id))
 				leaving.terminate()
 				must.Less(t, 1*clock.Second, c.awaitExit(leaving))
-				must.False(t, c.isVoterAnywhere(id), must.Sprint("its place was given away before its process ended"))
+				must.False(t, c.isVoterAnywhere(id), must.Sprint("the voter was not replaced before its process ended"))
 				for _, m := range c.secondVictims() {
 					m.kill()
 				}
-				c.awaitAck("edits are taken after a loss right after the leaving", simServeWithin)
+				c.awaitAck("an edit is acknowledged after a loss that follows the replacement", simServeWithin)
 			})
 		}
 	}
@@ -93,15 +94,15 @@
 	id := leaving.host.replicaID
 	leaving.terminate()
 	c.run(200 * clock.Millisecond)
-	must.False(t, leaving.host.Leads(0), must.Sprint("leadership is handed over at once"))
-	c.awaitAck("another one leads", 500*clock.Millisecond)
+	must.False(t, leaving.host.Leads(0), must.Sprint("a stopping leader did not transfer its leadership"))
+	c.awaitAck("an edit is acknowledged by another leader", 500*clock.Millisecond)
 	must.GreaterEq(t, LeaveTimeout-1*clock.Second, c.awaitExit(leaving))
 	must.True(t, c.isVoterAnywhere(id))
 	must.Eq(t, 3, len(c.newestOf(0).Voters))
 	leaving.start()
 	c.run(1 * clock.Second)
 	must.True(t, c.isVoterAnywhere(id))
-	c.awaitAck("all are back", simServeWithin)
+	c.awaitAck("an edit is acknowledged once all cores run again", simServeWithin)
 }
 
 func TestLeavingVotersAreMovedOneByOne(t *testing.T) {
@@ -120,13 +121,13 @@
 			}
 			for _, g := range m.host.groups {
 				if g.role == leader && g.proposal != nil {
-					must.LessEq(t, 1, changedVoters(*g.proposal), must.Sprint("one at a time"))
+					must.LessEq(t, 1, changedVoters(*g.proposal), must.Sprint("more than one voter is added at a time"))
 				}
 			}
 		}
 	}
 	must.False(t, c.isVoterAnywhere(first.host.replicaID) || c.isVoterAnywhere(second.host.replicaID))
-	c.awaitAck("edits are taken", 500*clock.Millisecond)
+	c.awaitAck("an edit is acknowledged after both voters were replaced", 500*clock.Millisecond)
 }
 
 // changedVoters counts the voters that a version adds.
@@ -149,15 +150,15 @@
 		}
 	}
 	must.NotNil(t, standby)
-	// It is known as a standby from its last pull, and stops before it could be a voter.
+	// The core is still known as a standby from its last pull, but stops before it could become a voter.
 	leaving := c.leader(0)
 	standby.host.stopping = true
 	leaving.terminate()
 	c.awaitExit(leaving)
 	must.False(t, c.isVoterAnywhere(standby.host.replicaID))
-	must.True(t, c.isVoterAnywhere(leaving.host.replicaID), must.Sprint("better a voter that comes back than one that goes"))
+	must.True(t, c.isVoterAnywhere(leaving.host.replicaID), must.Sprint("the leaving voter must remain, since the only standby is leaving too"))
 	leaving.start()
-	c.awaitAck("all are back", simServeWithin)
+	c.awaitAck("an edit is acknowledged once all cores run again", simServeWithin)
 }
 
 func TestDeadStandbyBecomesNoVoter(t *testing.T) {
@@ -179,7 +180,7 @@
 		c.run(100 * clock.Millisecond)
 		must.False(t, c.isVoterAnywhere(id))
 	}
-	// Whichever of the two is back first completes the group.
+	// Whichever of the two returns first completes the group.
 	standby.start()
 	c.run(3 * clock.Second)
 	must.True(t, c.isVoterAnywhere(id))
@@ -195,11 +196,11 @@
 			for _, m := range c.machines {
 				m.terminate()
 				c.startWhenEnded(m)
-				c.runUntil("the machine is back", 10*clock.Second, func() bool {
+				c.runUntil("the machine is running again", 10*clock.Second, func() bool {
 					must.True(t, c.hasMajorities())
 					return m.up && !m.stopping
 				})
-				c.awaitAck("edits go on", 1500*clock.Millisecond)
+				c.awaitAck("an edit is acknowledged after the replacement", 1500*clock.Millisecond)
 				c.run(1300 * clock.Millisecond)
 			}
 			c.verify()
@@ -217,7 +218,7 @@
 	c.edit(2, wire.Edit{Op: "empty", Name: "z1"})
 	c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: "b2", Version: earlier, OK: true})
 	c.acceptProposal(g)
-	must.Nil(t, g.proposal, must.Sprint("the second edit waits for the learner"))
+	must.Nil(t, g.proposal, must.Sprint("the second edit must wait for the learner"))
 	must.Len(t, 1, g.queue)
 	c.send(wire.KindAcceptReply, &wire.AcceptReply{Partition: g.partition, Term: g.term, From: "b2", Version: g.committed.Version, OK: true})
 	must.NotNil(t, g.proposal)
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -1,5 +1,5 @@
-// Replacing and adding voters: one committed change at a time, each followed by a version that needs the new
-// voters alone.
+// Replacing and adding voters: one committed change at a time, each followed by a version that needs a majority of
+// the new voters only.
 
 package replica
 
@@ -23,7 +23,7 @@
 
 func (c *core) tick() kernel.Output { return c.feed(kernel.Tick{Plugin: "seats", Key: "tick"}) }
 
-// exchangeHeartbeats lets time pass while the given voters reply to a leader's heartbeats.
+// exchangeHeartbeats advances the time by span, while the given voters reply to the leader's heartbeats.
 func (c *core) exchangeHeartbeats(g *Group, span clock.Micros, alive ...string) {
 	for end := c.now + span; c.now < end && g.role == leader; {
 		c.now += TickInterval
@@ -34,7 +34,7 @@
 	}
 }
 
-// commitProposal has some replicas, and this one's disk, sync the proposal, and returns it.
+// commitProposal syncs the proposal on this core's disk, acknowledges it from the given replicas, and returns it.
 func (c *core) commitProposal(t *testing.T, g *Group, from ...string) wire.Versioned {
 	t.Helper()
 	must.NotNil(t, g.proposal)
@@ -49,10 +49,11 @@
 	return v
 }
 
-// syncLearners has the learners of the change under way sync the newest version, before which nothing is proposed.
+// syncLearners acknowledges the newest version from the learners of the change under way, which must be the given
+// replicas. Nothing may be proposed before that.
 func (c *core) syncLearners(t *testing.T, g *Group, from ...string) {
 	t.Helper()
-	must.Nil(t, g.proposal, must.Sprint("no change is proposed before its learners have caught up"))
+	must.Nil(t, g.proposal, must.Sprint("the change was proposed before its learners had caught up"))
 	must.NotNil(t, g.change)
 	must.Eq(t, from, ids(g.change.learners))
 	for _, id := range from {
@@ -69,11 +70,11 @@
 	v := c.commitProposal(t, g, "a")
 	must.Eq(t, []string{"a", "b2", "me"}, ids(v.Voters))
 	must.Eq(t, []string{"a", "b", "me"}, ids(v.PreviousVoters))
-	// Without a further edit, the next version no longer needs the old replicas.
+	// Without any further edit, the next version no longer needs the old voters.
 	c.tick()
 	v = c.commitProposal(t, g, "a")
 	must.Eq(t, []string{"a", "b2", "me"}, ids(v.PreviousVoters))
-	must.True(t, quorum(v, func(id string) bool { return id == "b2" || id == "me" }), must.Sprint("a may be lost now"))
+	must.True(t, quorum(v, func(id string) bool { return id == "b2" || id == "me" }), must.Sprint("the new voters without a must be a quorum"))
 }
 
 func TestJointChangeIsCompletedBeforeNext(t *testing.T) {
@@ -83,9 +84,9 @@
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{From: "a", Successor: "a2"})
 	c.tick()
 	c.syncLearners(t, g, "a2")
-	must.Eq(t, []string{"a2", "b", "me"}, ids(g.proposal.Voters), must.Sprint("one at a time"))
+	must.Eq(t, []string{"a2", "b", "me"}, ids(g.proposal.Voters), must.Sprint("two voters must be replaced one at a time"))
 	c.commitProposal(t, g, "b")
-	must.Eq(t, []string{"a2", "b", "me"}, ids(g.proposal.Voters), must.Sprint("settled first"))
+	must.Eq(t, []string{"a2", "b", "me"}, ids(g.proposal.Voters), must.Sprint("the first change must be completed before the next one"))
 	must.Eq(t, ids(g.proposal.Voters), ids(g.proposal.PreviousVoters))
 	c.commitProposal(t, g, "b")
 	c.syncLearners(t, g, "b2")
@@ -98,13 +99,13 @@
 	pullAsStandby := func() { c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"}) }
 	pullAsStandby()
 	c.exchangeHeartbeats(g, ReplaceAfter-200*clock.Millisecond, "a")
-	must.Nil(t, g.proposal, must.Sprint("not yet"))
+	must.Nil(t, g.proposal, must.Sprint("the voter was replaced before ReplaceAfter"))
 	pullAsStandby()
 	c.exchangeHeartbeats(g, 300*clock.Millisecond, "a")
 	c.syncLearners(t, g, "d")
 	v := c.commitProposal(t, g, "a")
 	must.Eq(t, []string{"a", "d", "me"}, ids(v.Voters))
-	// It comes back as a standby, and no voter changes.
+	// The replaced voter returns as a standby, and the voters do not change.
 	c.tick()
 	c.commitProposal(t, g, "a")
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.2:1", Replica: "b", Zone: "z2"})
@@ -161,7 +162,7 @@
 	}
 	pull("d")
 	c.exchangeHeartbeats(g, RebalanceAfter, "a", "b")
-	must.Nil(t, g.proposal, must.Sprint("four seats bear no more than three"))
+	must.Nil(t, g.proposal, must.Sprint("four voters tolerate no more losses than three"))
 	pull("d")
 	pull("e")
 	c.exchangeHeartbeats(g, TickInterval, "a", "b")
@@ -193,5 +194,5 @@
 		}
 	}
 	must.Eq(t, 2, transfers)
-	must.Eq(t, "a", g.leader, must.Sprint("who asks meanwhile is sent on"))
+	must.Eq(t, "a", g.leader, must.Sprint("callers must be redirected to the successor"))
 }
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -1,4 +1,4 @@
-// A group of cores on simulated time, with links of a given bandwidth and a disk each.
+// A group of cores in simulated time, with links of limited bandwidth and a disk each.
 
 package replica
 
@@ -25,7 +25,7 @@
 	clientConn = 1 << 40
 )
 
-// bandwidthMember is one core of a cluster.
+// bandwidthMember is one core of a bandwidthCluster.
 type bandwidthMember struct {
 	id          string
 	k           *kernel.Kernel
@@ -38,15 +38,15 @@
 	replies     map[uint64]wire.EditReply
 }
 
-// bandwidthCluster joins cores "a", "b" and "c", whose addresses are their names.
+// bandwidthCluster connects cores "a", "b" and "c", whose addresses are their names.
 type bandwidthCluster struct {
 	timeline
 	t        testing.TB
 	members  map[string]*bandwidthMember
-	conns    map[string]uint64    // by dialer and dialed
-	ends     map[uint64][2]string // of the open connections
+	conns    map[string]uint64    // connection ids, by the dialing and the dialed core
+	ends     map[uint64][2]string // the cores at both ends of each open connection, by its id
 	nextConn uint64
-	// bytesPerSecond is what each core's link takes; 0 is any number.
+	// bytesPerSecond is the bandwidth of each core's link; 0 is unlimited.
 	bytesPerSecond int64
 	nextEdit       uint64
 }
@@ -66,7 +66,7 @@
 	return c
 }
 
-// start starts a core with the files that its disk holds.
+// start starts a core with the files on its disk.
 func (c *bandwidthCluster) start(id string) {
 	m := c.members[id]
 	m.up, m.replies, m.bytesIn = true, map[uint64]wire.EditReply{}, 0
@@ -80,7 +80,7 @@
 	c.step(m, kernel.Start{})
 }
 
-// stop ends a core as a loss of power does: unsynced writes are lost.
+// stop ends a core like a power loss: writes that are not synced are lost.
 func (c *bandwidthCluster) stop(id string) {
 	m := c.members[id]
 	m.up = false
@@ -121,7 +121,7 @@
 	}
 }
 
-// send puts a frame on its connection; a frame that is too large is dropped.
+// send transmits a frame on its connection; a frame that exceeds the size limit is dropped.
 func (c *bandwidthCluster) send(m *bandwidthMember, s kernel.Send) {
 	if s.Conn == clientConn {
 		f, err := wire.Open(s.Data)
@@ -171,19 +171,19 @@
 	return c.conns[key]
 }
 
-// run runs until a condition holds and returns how long that took; it fails the test after a limit.
+// run runs until a condition holds and returns how long that took; it fails the test after limit.
 func (c *bandwidthCluster) run(limit clock.Micros, what string, until func() bool) clock.Micros {
 	c.t.Helper()
 	began := c.now
 	for !until() {
 		if !c.advance(began + limit) {
-			c.t.Fatalf("not within %d us: %s", limit, what)
+			c.t.Fatalf("not reached within %d us: %s", limit, what)
 		}
 	}
 	return c.now - began
 }
 
-// leader is the core that leads the configuration and may take its edits.
+// leader returns the core that leads the configuration and is ready to serve; nil if there is none.
 func (c *bandwidthCluster) leader() *bandwidthMember {
 	for _, id := range []string{"a", "b", "c"} {
 		if m := c.members[id]; m.up && m.host.Leads(state.ConfigPartition) {
@@ -194,11 +194,11 @@
 }
 
 func (c *bandwidthCluster) lead() *bandwidthMember {
-	c.run(20*clock.Second, "a leader", func() bool { return c.leader() != nil })
+	c.run(20*clock.Second, "a core leads the configuration", func() bool { return c.leader() != nil })
 	return c.leader()
 }
 
-// edit sends an edit of the configuration to its leader and waits for the answer.
+// edit sends an edit of the configuration to its leader and returns the reply.
 func (c *bandwidthCluster) edit(e *routingpb.RoutingEdit, within clock.Micros) wire.EditReply {
 	c.t.Helper()
 	m := c.lead()
@@ -208,11 +208,11 @@
 	id := c.nextEdit
 	edit := wire.Edit{Op: "routing", Body: b, EditID: fmt.Sprint(id)}
 	c.step(m, kernel.Received{Conn: clientConn, Data: wire.Seal(wire.KindEdit, id, &edit)})
-	c.run(within, "an answer to the order", func() bool { _, ok := m.replies[id]; return ok })
+	c.run(within, "a reply to the edit", func() bool { _, ok := m.replies[id]; return ok })
 	return m.replies[id]
 }
 
-// pools is an edit that sets pools of so many bytes of source each.
+// pools returns an edit that sets pools with the given names, each with a source of size bytes.
 func pools(base int64, size int, names ...string) *routingpb.RoutingEdit {
 	up := new(routingpb.RoutingTable)
 	for _, name := range names {
--- a/control/replica/old_members_test.go
+++ b/control/replica/old_members_test.go
@@ -1,5 +1,4 @@
-// Removed voters: whichever of them come back together, partitioned from the others, they elect nobody and
-// acknowledge nothing.
+// Removed voters: when they run together without the other cores, they elect no leader and acknowledge no edit.
 
 package replica
 
@@ -11,8 +10,8 @@
 	"wallport/runtime/clock"
 )
 
-// replaceVoters replaces a majority of partition 0's voters, one after the other, keeps the replaced ones off and
-// returns them.
+// replaceVoters replaces a majority of partition 0's voters, one after the other, leaves the replaced ones stopped
+// and returns them.
 func replaceVoters(c *simCluster, planned bool) []*simMachine {
 	original := c.voters(0)
 	removed := original[:len(original)/2+1]
@@ -23,8 +22,8 @@
 		} else {
 			m.kill()
 		}
-		c.runUntil("its place is taken", 8*clock.Second, func() bool { return !m.up && !c.isVoterAnywhere(id) })
-		c.awaitAck("edits go on", simServeWithin)
+		c.runUntil("the stopped voter is replaced", 8*clock.Second, func() bool { return !m.up && !c.isVoterAnywhere(id) })
+		c.awaitAck("an edit is acknowledged after the replacement", simServeWithin)
 		c.run(500 * clock.Millisecond)
 	}
 	return removed
@@ -55,7 +54,7 @@
 				for _, m := range c.machines {
 					m.start()
 				}
-				c.awaitAck("all are back", simServeWithin)
+				c.awaitAck("an edit is acknowledged once all cores run again", simServeWithin)
 				c.run(3 * clock.Second)
 				c.verify()
 			})
@@ -63,8 +62,8 @@
 	}
 }
 
-// membershipStable reports whether all voters of every partition run, have synced the committed version, and no
-// joint version is under way: from then on a group tolerates as many losses as its size allows.
+// membershipStable reports whether all voters of every partition run and have synced the committed version, and no
+// joint version is under way. From then on a group tolerates as many losses as its size allows.
 func (c *simCluster) membershipStable() bool {
 	for partition := range Partitions {
 		leader := c.leader(partition)
@@ -88,7 +87,7 @@
 	return true
 }
 
-// TestReplacementToleratesNextLossAfterSync measures, for each loss, when the membership is stable again.
+// TestReplacementToleratesNextLossAfterSync measures, for each kind of loss, when the membership is stable again.
 func TestReplacementToleratesNextLossAfterSync(t *testing.T) {
 	for _, shape := range simShapes {
 		for _, loss := range simLosses {
@@ -103,11 +102,11 @@
 					}
 					c.run(50 * clock.Millisecond)
 					c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.runningAtLeast(running) })
-					took := c.runUntil("the groups are whole again", simSyncTimeAllowed, c.membershipStable)
+					took := c.runUntil("the membership of all groups is stable", simSyncTimeAllowed, c.membershipStable)
 					worst = max(worst, took)
 					c.verify()
 				}
-				t.Logf("whole again %d us after the machines are back, at the most of three runs", worst)
+				t.Logf("membership stable %d us after the machines run again, the longest of three runs", worst)
 			})
 		}
 	}
--- a/control/replica/proposals_test.go
+++ b/control/replica/proposals_test.go
@@ -1,5 +1,5 @@
-// Replies of a leader while a proposal is under way: none rests on an uncommitted version, and no rejection is
-// sent before a majority has confirmed the leader.
+// Replies of a leader while a proposal is in flight: none rests on an uncommitted version, and no rejection is sent
+// before a majority has confirmed the leader.
 
 package replica
 
@@ -13,7 +13,8 @@
 	"wallport/runtime/wire"
 )
 
-// electLeader makes the core the leader of partition 0 by the votes and replies of replica "a".
+// electLeader makes the core the leader of partition 0, with the votes of replica "a" and the acknowledgements of "a"
+// and "b".
 func electLeader(t *testing.T, c *core) *Group {
 	t.Helper()
 	g := c.host.groups[0]
@@ -30,7 +31,7 @@
 	return g
 }
 
-// acceptProposal has replicas "a" and "b" acknowledge the proposal.
+// acceptProposal acknowledges the proposal from replicas "a" and "b".
 func (c *core) acceptProposal(g *Group) kernel.Output {
 	if g.proposal == nil {
 		return kernel.Output{}
@@ -41,7 +42,7 @@
 	return c.send(wire.KindAcceptReply, &accepted)
 }
 
-// replies returns the codes of the replies to edits in an output, by the id of the request.
+// replies returns the codes of the replies to edits in an output, by request id.
 func replies(t *testing.T, out kernel.Output) map[uint64]string {
 	t.Helper()
 	got := map[uint64]string{}
@@ -67,11 +68,11 @@
 	empty := wire.Edit{Op: "empty", Name: "z1", EditID: "one"}
 	other := wire.Edit{Op: "refill", Name: "z1", EditID: "one"}
 	must.MapEmpty(t, replies(t, c.edit(1, wire.Edit{Op: "empty", Name: "z0", EditID: "zero"})))
-	// These wait for the proposal under way and become one batch after it.
+	// These edits wait for the proposal in flight and become one batch after it.
 	must.MapEmpty(t, replies(t, c.edit(2, empty)))
 	must.MapEmpty(t, replies(t, c.edit(3, empty)))
 	must.MapEmpty(t, replies(t, c.edit(4, other)))
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("the repeat rests on what is not committed"))
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("the reply to the repeated edit would rest on an uncommitted version"))
 	must.Eq(t, map[uint64]string{2: "ok", 3: "ok", 4: "conflict"}, replies(t, c.acceptProposal(g)))
 }
 
@@ -86,7 +87,8 @@
 	must.Eq(t, map[uint64]string{2: "unknown", 3: "unknown"}, replies(t, out))
 }
 
-// A partitioned leader may reject by a state that was replaced long ago: it rejects only once a majority answers.
+// A partitioned leader might reject an edit because of a state that was replaced long ago: it may reject only once a
+// majority has answered.
 func TestRejectionsAreConfirmedByMajority(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
--- a/control/replica/pull_large_test.go
+++ b/control/replica/pull_large_test.go
@@ -1,4 +1,4 @@
-// Large versions in the replies to pulls, and what is left out of them.
+// Large versions in the replies to pulls, and the large versions that a reply omits.
 
 package replica
 
@@ -11,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-// A large version is in the reply to one pull, not in each one while it is under way.
+// A large version is contained in the reply to one pull, not in every reply while it is in transit.
 func TestLargeVersionIsPulledOnce(t *testing.T) {
 	c := newCore(t, nil)
 	large := func(partition, size int) {
@@ -29,7 +29,7 @@
 		return parts, r.Partial
 	}
 	parts, partial := pull()
-	must.Eq(t, []int{0, 2}, parts, must.Sprint("two large ones do not fit into one message"))
+	must.Eq(t, []int{0, 2}, parts, must.Sprint("two large versions do not fit into one message"))
 	must.True(t, partial)
 	parts, partial = pull()
 	must.Eq(t, []int{1, 2}, parts)
@@ -39,7 +39,8 @@
 	must.Eq(t, []int{0, 2}, parts)
 }
 
-// A withheld version is not confirmed: a process that starts must not take its older state for the newest.
+// A partition whose version is withheld is not confirmed: a process that starts must not take its older state for the
+// newest.
 func TestWithheldVersionIsNotConfirmed(t *testing.T) {
 	c := newCore(t, nil)
 	v := wire.Versioned{Version: wire.Version{Partition: 1, Term: 1, Seq: 1}, Body: make([]byte, wire.MaxSingleFrame+1)}
@@ -55,7 +56,7 @@
 	}
 }
 
-// reassemble sends a core a message and joins the pieces of its reply.
+// reassemble sends a core a message and joins the chunks of its reply.
 func reassemble(t *testing.T, c *core, kind uint8, m interface{ MarshalMsg([]byte) ([]byte, error) }) []byte {
 	t.Helper()
 	out := c.send(kind, m)
--- a/control/replica/second_loss_test.go
+++ b/control/replica/second_loss_test.go
@@ -1,5 +1,5 @@
-// A second loss at every quarter of a second after a repair or a replacement: no acknowledged edit is lost, and
-// from the sync time on the cluster serves through it.
+// A second loss, at every quarter of a second after a repair or a replacement: no acknowledged edit is lost, and once
+// the sync time has passed the cluster keeps serving through the second loss.
 
 package replica
 
@@ -14,14 +14,14 @@
 )
 
 const (
-	// simSyncTimeAllowed is the platform's sync_time_s: for so long after it is back, or its successor started, a
-	// machine counts as lost.
+	// simSyncTimeAllowed is the platform's sync_time_s: for this long after it runs again, or after its successor has
+	// started, a machine still counts as lost.
 	simSyncTimeAllowed = 4 * clock.Second
 	simLossStep        = 250 * clock.Millisecond
 	simDownFor         = 1 * clock.Second
-	// simStableFor is how long a cluster serves before the first loss.
+	// simStableFor is how long a cluster runs before the first loss.
 	simStableFor = 500 * clock.Millisecond
-	// simServeWithin is how soon edits are taken again after a loss that is tolerated.
+	// simServeWithin is the time limit for the next acknowledged edit after a loss that is tolerated.
 	simServeWithin = 4 * clock.Second
 )
 
@@ -31,10 +31,10 @@
 	{name: "5 of 8", zones: []string{"z1", "z2", "z3", "z4", "z1", "z2", "z3", "z4"}, tolerance: settings.Tolerance{Machines: 2, Zones: 1}},
 }
 
-// simLoss takes machines away, and brings them or their successors back after a while.
+// simLoss stops machines, and later starts them again or starts their successors.
 type simLoss struct {
 	name string
-	// zone is set where all machines of the first one's zone are lost.
+	// zone is set if all machines in the zone of the first machine are lost.
 	zone   bool
 	inject func(c *simCluster, m *simMachine)
 }
@@ -72,7 +72,7 @@
 	}},
 }
 
-// startWhenEnded starts a machine again once its planned stop is over.
+// startWhenEnded starts a machine again a while after its planned stop has ended.
 func (c *simCluster) startWhenEnded(m *simMachine) {
 	if m.up && m.stopping {
 		c.after(10*clock.Millisecond, func() { c.startWhenEnded(m) })
@@ -81,7 +81,8 @@
 	c.after(simDownFor/4, m.start)
 }
 
-// victims are as many machines as may be lost at once: voters first, the leader at the head or at the end.
+// victims returns as many machines as may be lost together. The order is that of the voters, with the leader first or
+// left out; for the loss of a zone they are all running machines in the zone of the first one.
 func (c *simCluster) victims(loss simLoss, leaderFirst bool) (out []*simMachine) {
 	voters := c.voters(0)
 	leader := c.leader(0)
@@ -105,7 +106,7 @@
 	return out
 }
 
-// runningAtLeast reports whether all machines of a loss, or their successors, run.
+// runningAtLeast reports whether at least n machines run, not counting those in a planned stop.
 func (c *simCluster) runningAtLeast(n int) bool {
 	running := 0
 	for _, m := range c.machines {
@@ -116,7 +117,7 @@
 	return running >= n
 }
 
-// lossStep is the time between two moments of the second loss; a short run takes three of them.
+// lossStep returns the step between the delays of the second loss; a short run tests three delays.
 func lossStep() clock.Micros {
 	if testing.Short() {
 		return simSyncTimeAllowed / 2
@@ -129,7 +130,7 @@
 		for _, first := range simLosses {
 			t.Run(shape.name+"/"+first.name, func(t *testing.T) {
 				t.Parallel()
-				// The leader is among the first lost at every other step.
+				// The leader is among the first lost machines at every other step.
 				leaderFirst := true
 				for gap := clock.Micros(0); gap <= simSyncTimeAllowed+simLossStep; gap += lossStep() {
 					secondLoss(t, shape, first, leaderFirst, gap)
@@ -158,24 +159,24 @@
 		m.kill()
 	}
 	if gap >= simSyncTimeAllowed {
-		c.awaitAck("edits are taken again after a loss that must be borne", simServeWithin)
+		c.awaitAck("an edit is acknowledged after a loss that must be tolerated", simServeWithin)
 	} else {
 		c.run(simDownFor)
 	}
 	for _, m := range second {
 		m.start()
 	}
-	c.awaitAck("edits are taken again once all is back", simServeWithin)
+	c.awaitAck("an edit is acknowledged once all machines run again", simServeWithin)
 	c.run(1 * clock.Second)
 	c.verify()
 	must.NotNil(t, c.leader(0))
 }
 
-// secondVictims are as many voters as may be lost at once, the leader first.
+// secondVictims returns as many voters as may be lost together, the leader first.
 func (c *simCluster) secondVictims() []*simMachine {
 	voters := c.voters(0)
 	if len(voters) == 0 {
-		// There is no leader yet: any machine that runs.
+		// There is no leader yet: use any running machine.
 		for _, m := range c.machines {
 			if m.up {
 				voters = append(voters, m)
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -1,5 +1,5 @@
-// Versions that are larger than a frame: committed, brought to every replica and adopted by the next leader. An
-// edit whose outcome is too large is rejected before it is proposed.
+// Versions larger than a frame: they are committed, sent to every replica and adopted by the next leader. An edit
+// whose outcome is too large is rejected before it is proposed.
 
 package replica
 
@@ -16,10 +16,10 @@
 	"wallport/runtime/wire"
 )
 
-// linkOf10Mbit is the bandwidth of a link of 10 Mbit/s in bytes a second.
+// linkOf10Mbit is the bandwidth of a 10 Mbit/s link in bytes per second.
 const linkOf10Mbit = 10_000_000 / 8
 
-// follower is a core that does not lead the configuration.
+// follower returns a core that does not lead the configuration.
 func (c *bandwidthCluster) follower() *bandwidthMember {
 	for _, id := range []string{"a", "b", "c"} {
 		if m := c.members[id]; m != c.lead() {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// hasSynced reports whether a core has committed a version that is at least as new.
+// hasSynced reports whether the newest version that a core knows to be committed is not older than at.
 func (m *bandwidthMember) hasSynced(at wire.Version) bool {
 	g := m.host.groups[state.ConfigPartition]
 	return g.committed.Version == at || g.committed.Version.Term > at.Term || g.committed.Version.Term == at.Term && g.committed.Version.Seq > at.Seq
@@ -39,7 +39,7 @@
 	return m.host.groups[state.ConfigPartition].committed
 }
 
-// grow commits edits until the configuration has at least so many bytes, and returns its revision.
+// grow commits edits until the configuration has at least size bytes, and returns its revision.
 func (c *bandwidthCluster) grow(size int) (revision int64) {
 	c.t.Helper()
 	for i := 0; ; i++ {
@@ -53,10 +53,10 @@
 	}
 }
 
-// awaitAll runs until all cores that are up have committed what the leader has.
+// awaitAll runs until all running cores have committed the leader's newest version.
 func (c *bandwidthCluster) awaitAll(within clock.Micros) clock.Micros {
 	c.t.Helper()
-	return c.run(within, "all hold the newest version", func() bool {
+	return c.run(within, "all running cores have committed the newest version", func() bool {
 		l := c.leader()
 		if l == nil {
 			return false
@@ -92,14 +92,14 @@
 	must.Len(t, 1, reply.Findings)
 	must.Eq(t, "configuration", reply.Findings[0].Path)
 	must.StrContains(t, reply.Findings[0].Text, fmt.Sprint(state.MaxConfigBody))
-	must.Eq(t, before, c.lead().committed().Version, must.Sprint("nothing was proposed"))
+	must.Eq(t, before, c.lead().committed().Version, must.Sprint("the rejected edit must not be proposed"))
 	must.Eq(t, "ok", c.edit(pools(revision, 1000, "small"), 10*clock.Second).Code)
-	// An edit that makes it smaller is taken.
+	// An edit that makes the configuration smaller is accepted.
 	must.Eq(t, "ok", c.edit(pools(revision+1, 1000, "pool-0"), 10*clock.Second).Code)
 	must.Eq(t, "ok", c.edit(pools(revision+2, 400_000, "one-more"), 10*clock.Second).Code)
 }
 
-// Three versions of each partition, and a fourth while it is written, fit a disk of 64 MB.
+// Three versions of each partition, plus a fourth that is being written, fit on a disk of 64 MB.
 func TestLargestVersionsFitDisk(t *testing.T) {
 	const diskBytes = 64_000_000
 	total := 0
@@ -111,7 +111,7 @@
 	must.LessEq(t, diskBytes*2/3, total)
 }
 
-// A leader that hears a majority whose disks never sync must not keep its edits forever.
+// A leader that hears a majority of voters whose disks never sync must not keep its edits forever.
 func TestLeaderStepsDownWithoutAcks(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -144,7 +144,7 @@
 	}
 }
 
-// What was committed before is served after a change of leader, in the new leader's term.
+// A version committed before a change of leader is served afterwards, committed again in the new leader's term.
 func TestNextLeaderRecommitsLargeVersion(t *testing.T) {
 	c := newBandwidthCluster(t, linkOf10Mbit)
 	revision := c.grow(1_500_000)
@@ -153,10 +153,10 @@
 	was := old.committed()
 	before := c.bytesIn()
 	c.stop(old.id)
-	took := c.run(30*clock.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != old })
+	took := c.run(30*clock.Second, "another core leads", func() bool { l := c.leader(); return l != nil && l != old })
 	moved := c.bytesIn() - before
-	t.Logf("served again after %d ms, %d KB moved", took/1000, moved/1000)
-	must.LessEq(t, 100_000, moved, must.Sprint("both hold the body already"))
+	t.Logf("new leader after %d ms, %d KB transferred", took/1000, moved/1000)
+	must.LessEq(t, 100_000, moved, must.Sprint("both remaining cores already hold the body"))
 	now := c.lead().committed()
 	must.Greater(t, was.Version.Term, now.Version.Term)
 	must.True(t, bytes.Equal(was.Body, now.Body))
@@ -166,11 +166,12 @@
 			n++
 		}
 	}
-	must.Eq(t, 2, n, must.Sprint("a majority has synced it in that term"))
+	must.Eq(t, 2, n, must.Sprint("a majority must have synced the version in the new term"))
 	must.Eq(t, "ok", c.edit(pools(revision, 10, "next"), 20*clock.Second).Code)
 }
 
-// A replica that was away is designated by a leader that stops: it must not lead with its old state.
+// A replica that was down is designated as the successor by a leader that stops: it must not lead with its older
+// state.
 func TestNamedSuccessorAdoptsNewestVersion(t *testing.T) {
 	c := newBandwidthCluster(t, linkOf10Mbit)
 	c.grow(200_000)
@@ -181,15 +182,15 @@
 	was := c.edit(pools(int64(len(c.pools())), 900_000, "new"), 20*clock.Second).Version
 	c.start(away.id)
 	g := away.host.groups[state.ConfigPartition]
-	c.run(5*clock.Second, "it follows", func() bool { return g.leader == l.id || g.isVoter() })
+	c.run(5*clock.Second, "the core follows the leader", func() bool { return g.leader == l.id || g.isVoter() })
 	must.False(t, away.hasSynced(was))
 	c.stop(l.id)
 	c.step(away, kernel.Received{Conn: 1 << 41, Data: wire.Seal(wire.KindLeaderHeartbeat, 0, &wire.LeaderHeartbeat{Partition: state.ConfigPartition, Term: g.votedTerm + 1, From: l.id, TransferTo: away.id})})
-	c.run(30*clock.Second, "a leader", func() bool { return c.leader() != nil })
+	c.run(30*clock.Second, "a core leads the configuration", func() bool { return c.leader() != nil })
 	must.True(t, c.leader().hasSynced(was))
 }
 
-// pools are the pools of the configuration that the leader has committed.
+// pools returns the names of the pools in the configuration that the leader has committed.
 func (c *bandwidthCluster) pools() []string {
 	cfg, err := state.ReadConfig(c.lead().committed().Body)
 	must.NoError(c.t, err)
--- a/control/replica/status_test.go
+++ b/control/replica/status_test.go
@@ -1,4 +1,4 @@
-// What operators are shown of a replica.
+// The status of a replica as shown to operators.
 
 package replica
 
@@ -11,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-// partition0Status is the status of partition 0.
+// partition0Status returns the status of partition 0.
 func (c *core) partition0Status(t *testing.T) wire.ReplicaStatus {
 	t.Helper()
 	reply := sent[wire.StatusReply](t, c.send(wire.KindStatusRequest, &wire.StatusRequest{}), wire.KindStatusReply)[0]
@@ -36,7 +36,7 @@
 	must.Eq(t, 3, s.Voters)
 	c.now += ContactFor + 1
 	must.False(t, c.partition0Status(t).InContact)
-	must.Eq(t, string(stateLeader), c.partition0Status(t).State, must.Sprint("it did not tick yet"))
+	must.Eq(t, string(stateLeader), c.partition0Status(t).State, must.Sprint("the leader steps down only at the next tick"))
 	c.tick()
 	must.Eq(t, string(stateFollower), c.partition0Status(t).State)
 }
@@ -49,8 +49,8 @@
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	must.Eq(t, string(reasonLeaving), c.partition0Status(t).Change)
 	c.syncLearners(t, g, "d")
-	must.Eq(t, string(changeAwaitingCommit), c.partition0Status(t).Change, must.Sprint("the joint version is under way"))
-	must.Eq(t, 3, c.partition0Status(t).Voters, must.Sprint("of the version on its disk, which the joint one is not yet"))
+	must.Eq(t, string(changeAwaitingCommit), c.partition0Status(t).Change, must.Sprint("the joint version is proposed"))
+	must.Eq(t, 3, c.partition0Status(t).Voters, must.Sprint("counted by the version on the leader's disk, which is not the joint one yet"))
 }
 
 func TestStatusOfStandbyAndDamagedDisk(t *testing.T) {
--- a/control/replica/storage_test.go
+++ b/control/replica/storage_test.go
@@ -1,5 +1,5 @@
-// Disks that are slow, stalled or full: the group goes on without the replica, which takes part again once its
-// disk is healthy.
+// Disks that are slow, stalled or full: the group continues without the replica, which takes part again once its disk
+// is healthy.
 
 package replica
 
@@ -18,7 +18,7 @@
 	g := electLeader(t, c)
 	c.exchangeHeartbeats(g, 200*clock.Millisecond, "a", "b")
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("two of three hold it"))
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("two of three voters have synced the edit"))
 	c.exchangeHeartbeats(g, SlowDiskAfter+2*TickInterval, "a", "b")
 	must.Eq(t, "stalled", c.host.diskProblem)
 	must.Eq(t, follower, g.role)
@@ -49,7 +49,7 @@
 	out := c.send(wire.KindVote, &wire.Vote{Term: 5, From: "a"})
 	must.Len(t, 1, out.Writes)
 	out = c.feed(kernel.Written{Plugin: "seats", Key: out.Writes[0].Key, Err: "no space left on device"})
-	must.SliceEmpty(t, out.Sends, must.Sprint("a promise that is not on the disk is none"))
+	must.SliceEmpty(t, out.Sends, must.Sprint("a vote that could not be synced must not be sent"))
 }
 
 func TestFullDiskRecovers(t *testing.T) {
@@ -60,10 +60,10 @@
 	c.now += DiskCheckInterval
 	out = c.tick()
 	must.Len(t, 1, out.Writes)
-	must.SliceEmpty(t, c.tick().Writes, must.Sprint("one try at a time"))
+	must.SliceEmpty(t, c.tick().Writes, must.Sprint("only one test write at a time"))
 	c.sync(out)
 	must.Eq(t, "", c.host.diskProblem)
-	// The version that it missed is sent again, and synced.
+	// The version that the replica missed is sent again and synced.
 	must.True(t, acceptReply(t, c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: version(5, 1)}))).OK)
 }
 
--- a/control/replica/stored_change_test.go
+++ b/control/replica/stored_change_test.go
@@ -1,5 +1,5 @@
-// A membership change that was under way when the process ended resumes: the joint version needs both
-// majorities, and the version after it the new voters alone.
+// A membership change that was in progress when the process ended is resumed: the joint version needs both
+// majorities, and the version after it needs the new voters only.
 
 package replica
 
@@ -25,14 +25,14 @@
 	must.Eq(t, wire.Version{Term: 3, Seq: 11}, c.host.CommittedVersion(0))
 	must.Eq(t, []string{storedReplica, "a", "b2"}, ids(c.host.VotersOf(0)))
 	must.Eq(t, []string{storedReplica, "a", "b2"}, ids(g.committed.PreviousVoters))
-	// Edits from before the change are known, and new ones need the new voters alone.
+	// Edits from before the change are still known, and new ones need the new voters only.
 	c.checkReplies(g, []string{"b2"}, []storedReply{
-		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
-		{"second table again", routingEdit(t, 5, 7, 1), "ok", 1, 5},
-		{"a new table", routingEdit(t, 7, 9, 1), "ok", 3, 12},
+		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
+		{"second routing table repeated", routingEdit(t, 5, 7, 1), "ok", 1, 5},
+		{"a new routing table", routingEdit(t, 7, 9, 1), "ok", 3, 12},
 	})
 	must.Eq(t, []wire.Replica{{ID: storedReplica, Zone: "z1", Addr: "10.0.0.1:1"}, {ID: "a", Zone: "z2", Addr: "10.0.0.2:1"}, {ID: "b2", Zone: "z3", Addr: "10.0.0.3:1"}}, c.host.VotersOf(0))
-	// The process after this one finds the change done.
+	// The next process finds the change completed.
 	again := startStored(t, c.files)
 	must.False(t, isJoint(again.host.groups[0].accepted))
 	must.Eq(t, wire.Version{Term: 3, Seq: 12}, again.host.groups[0].accepted.Version)
@@ -44,18 +44,18 @@
 			c := startStored(t, readStored(t, "joint"))
 			g := c.preVote(0)
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: alone, Pre: true, Granted: true})
-			must.Eq(t, preCandidate, g.role, must.Sprint("one of the two majorities"))
+			must.Eq(t, preCandidate, g.role, must.Sprint("votes from only one of the two majorities"))
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true})
 			must.Eq(t, candidate, g.role)
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: alone, Granted: true})
-			must.Eq(t, candidate, g.role, must.Sprint("one of the two majorities"))
+			must.Eq(t, candidate, g.role, must.Sprint("votes from only one of the two majorities"))
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true})
 			must.Eq(t, leader, g.role)
 		})
 	}
 }
 
-// Another voter may continue as leader: this one then takes the versions after the joint one by their base.
+// Another voter may continue as the leader: this replica then accepts the versions after the joint one by their base.
 func TestStoredMembershipChangeIsFollowed(t *testing.T) {
 	c := startStored(t, readStored(t, "joint"))
 	held := c.host.groups[0].accepted
--- a/control/replica/stored_driver_test.go
+++ b/control/replica/stored_driver_test.go
@@ -1,4 +1,4 @@
-// A core on a data folder: every write is carried out at once, in order, on the files that the next process
+// A core on a data folder: every write is executed immediately and in order, on the files that the next process
 // starts with.
 
 package replica
@@ -19,18 +19,18 @@
 
 const storedFolder = "testdata/stored"
 
-// storedCore is a core whose files are kept; its peers are replicas "a", "b" and those that join.
+// storedCore is a core whose files are kept; its peers are the replicas "a", "b" and those that join.
 type storedCore struct {
 	t     *testing.T
 	k     *kernel.Kernel
 	host  *Host
 	now   clock.Micros
 	files map[string][]byte
-	// full has every write fail, as on a full disk.
+	// full makes every write fail, as on a full disk.
 	full bool
 }
 
-// startStored starts a process on files. What it writes changes a copy of them.
+// startStored starts a process on files. Its writes change a copy of them.
 func startStored(t *testing.T, files map[string][]byte) *storedCore {
 	t.Helper()
 	k := kernel.New(kernel.Boot{
@@ -45,7 +45,7 @@
 	return c
 }
 
-// step feeds an input, carries out its writes and returns all that is sent.
+// step passes an input to the core, executes its writes and returns everything that it sends.
 func (c *storedCore) step(in kernel.Input) []kernel.Send {
 	out := c.k.Step(c.now, c.now, in)
 	sends := out.Sends
@@ -75,7 +75,7 @@
 	c.step(kernel.Tick{Plugin: "seats", Key: "tick"})
 }
 
-// preVote has the core ask for pre-votes for the next term of a partition.
+// preVote runs the core until it asks for pre-votes for the next term of a partition.
 func (c *storedCore) preVote(partition int) *Group {
 	c.t.Helper()
 	g := c.host.groups[partition]
@@ -89,7 +89,7 @@
 	return g
 }
 
-// lead has the core win the next term of a partition by the votes of others that hold nothing newer.
+// lead makes the core win the next term of a partition with the votes of others that hold nothing newer.
 func (c *storedCore) lead(partition int, voters ...string) *Group {
 	c.t.Helper()
 	g := c.preVote(partition)
@@ -104,7 +104,7 @@
 	return g
 }
 
-// commit has others sync the proposal.
+// commit acknowledges the proposal from the given voters.
 func (c *storedCore) commit(g *Group, voters ...string) {
 	c.t.Helper()
 	must.NotNil(c.t, g.proposal)
@@ -115,14 +115,14 @@
 	must.Eq(c.t, at, g.committed.Version)
 }
 
-// replyToHeartbeat has another voter answer the newest heartbeat, with a clock that agrees.
+// replyToHeartbeat sends another voter's reply to the newest heartbeat, with a clock that agrees with this core's.
 func (c *storedCore) replyToHeartbeat(g *Group, id string) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{
 		Partition: g.partition, Term: g.term, From: id, Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Wall: c.now,
 	})
 }
 
-// edit sends an edit, has it committed or confirmed by others, and returns the reply.
+// edit sends an edit, has the given voters acknowledge or confirm it, and returns the reply.
 func (c *storedCore) edit(g *Group, e wire.Edit, voters ...string) wire.EditReply {
 	c.t.Helper()
 	e.Partition = g.partition
--- a/control/replica/stored_make_test.go
+++ b/control/replica/stored_make_test.go
@@ -1,5 +1,5 @@
-// How the folders of testdata/stored were made: by the process itself where this release still writes the same,
-// else field by field as the earlier release wrote them.
+// How the folders of testdata/stored were created: by running the process where this release still writes the same
+// data, otherwise field by field as the earlier release wrote them.
 
 package replica
 
@@ -19,11 +19,11 @@
 	"wallport/runtime/wire"
 )
 
-// updateStored is given, with -run StoredData, only to add a folder: those that are there stand for
-// earlier releases and are never written anew to get a pass.
+// updateStored is set, with -run StoredData, only to add a folder. The existing folders represent earlier releases
+// and are never regenerated to make a test pass.
 var updateStored = flag.Bool("update-stored", false, "write the folders of stored data anew")
 
-// storedConfiguration is a configuration with one service, whose capacity differs, and an active booking.
+// storedConfiguration is a configuration with one service of the given capacity and an active booking.
 const storedConfiguration = `{"services":[{"index":"a","capacity":%d,"required_share":75,"deadline_us":"500000","max_deadline_us":1000000,"hedge_us":40000,"ramp_us":1000000}],
  "rows":[{"index":"a","kind":"search","share":70},{"index":"a","kind":"read","share":30,"ceiling":50}],"bookings":[{"id":"b1","index":"a","kind":"search","slice":60,"starts_us":1,"ends_us":4000000000000000}]}`
 
@@ -40,10 +40,10 @@
 	storedSecondReshard = wire.ShardMap{Next: "c2", NextShards: 8}
 )
 
-// storedIndexPartition is the partition in which the folders have an index.
+// storedIndexPartition is the partition that contains an index in the folders.
 const storedIndexPartition = 1
 
-// storedVoters are the voters of the folders: this core, "a" and "b".
+// storedVoters returns the voters in the folders: this core, "a" and "b".
 func storedVoters(self string) []wire.Replica {
 	return []wire.Replica{{ID: self, Zone: "z1", Addr: "10.0.0.1:1"}, {ID: "a", Zone: "z2", Addr: "10.0.0.2:1"}, {ID: "b", Zone: "z3", Addr: "10.0.0.3:1"}}
 }
@@ -63,9 +63,10 @@
 	return c
 }
 
-// makeCommitted returns a core with every kind of file: partition 0 has a configuration with an active booking, its
-// history, a routing table and drained zones, partition 1 an index that is resharded and the lease holder of that
-// task, 2 only a vote, 3 a version of another leader, and 4 nothing. Its disk was full for a while.
+// makeCommitted returns a core with every kind of file. Partition 0 has a configuration with an active booking, its
+// history, a routing table and drained zones. Partition 1 has an index that is being resharded and the lease holder
+// of that task. Partition 2 has only a vote, partition 3 a version from another leader, and partition 4 nothing. The
+// disk was full for a while.
 func makeCommitted(t *testing.T) *storedCore {
 	t.Helper()
 	c := makeConsented(t)
@@ -85,7 +86,7 @@
 	ok(g, wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"})
 	ok(g, wire.Edit{Op: "empty", Name: "z8", EditID: "drain-2"})
 	must.Eq(t, 7, g.committed.Version.Seq)
-	must.Eq(t, []string{"b1"}, storedConfig(t, g.committed).ActiveBookings, must.Sprint("the clocks agree that the booking has begun"))
+	must.Eq(t, []string{"b1"}, storedConfig(t, g.committed).ActiveBookings, must.Sprint("the voters' clocks agree that the booking has started"))
 	c.send(wire.KindVote, &wire.Vote{Partition: 2, Term: 6, From: "b"})
 	v := wire.Versioned{Version: wire.Version{Partition: 3, Term: 4, Seq: 9}, Voters: bootstrap.Voters, PreviousVoters: bootstrap.Voters, Body: wire.Encode(&wire.IndexBody{
 		ShardMaps: map[string]wire.ShardMap{"maps": {Name: "m1", Shards: 3}},
@@ -94,7 +95,7 @@
 	g = c.lead(storedIndexPartition, "a", "b")
 	ok(g, storedReshardEdit("cut", "cut-1", storedFirstReshard))
 	ok(g, storedReshardEdit("cut", "cut-2", storedSecondReshard))
-	// The node's lease is granted, and recorded, once the leases of any earlier leader have ended.
+	// The node's lease is granted and recorded once the leases of any earlier leader have ended.
 	for range 30 {
 		c.tick(TickInterval)
 		c.replyToHeartbeat(g, "a")
@@ -104,7 +105,7 @@
 		}
 	}
 	must.Eq(t, 4, g.committed.Version.Seq)
-	// The vote of partition 4 can't be synced; the disk is checked, and healthy again.
+	// The vote in partition 4 cannot be synced; then a test write shows that the disk is healthy again.
 	c.full = true
 	c.send(wire.KindVote, &wire.Vote{Partition: 4, Term: 3, From: "b"})
 	c.full = false
@@ -113,8 +114,8 @@
 	return c
 }
 
-// makeJoint returns that core once replica "b2", on the emptied disk of "b", has caught up: the joint version is
-// the newest.
+// makeJoint returns that core after replica "b2", on the emptied disk of "b", has caught up, so that the joint
+// version is the newest.
 func makeJoint(t *testing.T) *storedCore {
 	t.Helper()
 	c := startStored(t, makeCommitted(t).files)
@@ -129,7 +130,7 @@
 	return c
 }
 
-// makeBeforeRelease3 makes a folder of release 1: the bootstrap does not name its proposer, and the bodies hold
+// makeBeforeRelease3 creates a folder of release 1: the bootstrap does not name its proposer, and the bodies contain
 // what has been in the edit log since release 3.
 func makeBeforeRelease3(t *testing.T) *storedCore {
 	t.Helper()
@@ -170,7 +171,7 @@
 	return startStored(t, files)
 }
 
-// legacySum is the digest of an edit that releases before 3 stored.
+// legacySum returns the digest of an edit as releases before 3 stored it.
 func legacySum(e wire.Edit) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(e.Op + "\x00" + e.Name + "\x00"))
@@ -178,7 +179,7 @@
 	return h.Sum64()
 }
 
-// storedFolders are the folders and how they were made.
+// storedFolders lists the folders and the functions that create them.
 var storedFolders = []struct {
 	name string
 	make func(*testing.T) *storedCore
@@ -189,7 +190,8 @@
 	{"before-release-3", makeBeforeRelease3},
 }
 
-// TestStoredDataIsWrittenAsBefore makes the folders again and compares them: this release writes the same files.
+// TestStoredDataIsWrittenAsBefore creates the folders again and compares them: this release must write the same
+// files.
 func TestStoredDataIsWrittenAsBefore(t *testing.T) {
 	for _, folder := range storedFolders {
 		t.Run(folder.name, func(t *testing.T) {
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -1,4 +1,4 @@
-// A process on stored data: it replies to known edits, votes as its stored votes bind it, and takes new edits.
+// A process on stored data: it replies to known edits, honours its stored votes, and accepts new edits.
 
 package replica
 
@@ -11,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-// storedReplica is the replica of the folders that this code wrote from an empty disk.
+// storedReplica is the identity of the replica in the folders that this code creates from an empty disk.
 const storedReplica = "b5e38c12376b5207"
 
 // storedReply is an edit and its expected reply.
@@ -19,11 +19,11 @@
 	name string
 	edit wire.Edit
 	code wire.Code
-	// term and seq are those of the version in the reply.
+	// term and seq are the version in the reply.
 	term, seq uint64
 }
 
-// checkReplies sends edits to a leader, one after the other.
+// checkReplies sends edits to a leader, one after the other, and checks the replies.
 func (c *storedCore) checkReplies(g *Group, voters []string, want []storedReply) {
 	c.t.Helper()
 	for _, a := range want {
@@ -56,22 +56,22 @@
 	c := startStored(t, readStored(t, "settled"))
 	g := c.lead(0, "a")
 	must.Eq(t, wire.Version{Term: 2, Seq: 8}, c.host.CommittedVersion(0))
-	sheetAt := wire.Version{Term: 1, Seq: 3}
+	configAt := wire.Version{Term: 1, Seq: 3}
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
-		{"second sheet again", storedPut(wire.Version{Term: 1, Seq: 2}, 200, "sheet-2"), "ok", 1, 3},
-		{"its id for another one", storedPut(sheetAt, 300, "sheet-2"), "conflict", 2, 8},
-		{"a sheet on an earlier one", storedPut(wire.Version{Term: 1, Seq: 2}, 300, "sheet-3"), "lost_race", 1, 3},
-		{"first table again", routingEdit(t, 0, 5, 1), "ok", 1, 4},
-		{"second table again", routingEdit(t, 5, 7, 1), "ok", 1, 5},
-		{"another table of that number", routingEdit(t, 5, 7, 2), "lost_race", 2, 8},
-		{"zone drained again", wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"}, "ok", 1, 6},
-		{"when the zone was drained", wire.Edit{Op: wire.OpZoneVersion, Name: "z9"}, wire.CodeVersion, 1, 6},
-		{"a late order about the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "late"}, wire.CodeStale, 2, 8},
-		{"a new order about the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "timely", Base: wire.Version{Term: 1, Seq: 6}}, "ok", 2, 9},
-		{"a new table", routingEdit(t, 7, 9, 1), "ok", 2, 10},
-		{"a new sheet", storedPut(sheetAt, 300, "sheet-3"), "ok", 2, 11},
-		{"the first sheet restored", wire.Edit{Op: "return", Name: "1.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 11}}, "ok", 2, 12},
+		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
+		{"second configuration repeated", storedPut(wire.Version{Term: 1, Seq: 2}, 200, "sheet-2"), "ok", 1, 3},
+		{"the same id with another content", storedPut(configAt, 300, "sheet-2"), "conflict", 2, 8},
+		{"a configuration based on an earlier one", storedPut(wire.Version{Term: 1, Seq: 2}, 300, "sheet-3"), "lost_race", 1, 3},
+		{"first routing table repeated", routingEdit(t, 0, 5, 1), "ok", 1, 4},
+		{"second routing table repeated", routingEdit(t, 5, 7, 1), "ok", 1, 5},
+		{"another routing table of the same revision", routingEdit(t, 5, 7, 2), "lost_race", 2, 8},
+		{"zone drain repeated", wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"}, "ok", 1, 6},
+		{"the version of the zone's drain", wire.Edit{Op: wire.OpZoneVersion, Name: "z9"}, wire.CodeVersion, 1, 6},
+		{"an outdated edit of the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "late"}, wire.CodeStale, 2, 8},
+		{"a current edit of the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "timely", Base: wire.Version{Term: 1, Seq: 6}}, "ok", 2, 9},
+		{"a new routing table", routingEdit(t, 7, 9, 1), "ok", 2, 10},
+		{"a new configuration", storedPut(configAt, 300, "sheet-3"), "ok", 2, 11},
+		{"the first configuration restored", wire.Edit{Op: "return", Name: "1.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 11}}, "ok", 2, 12},
 	})
 	config := storedConfig(t, g.committed)
 	must.Eq(t, []string{"b1"}, config.ActiveBookings)
@@ -80,10 +80,10 @@
 
 	g = c.lead(storedIndexPartition, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 1, 2},
-		{"second cut again", storedReshardEdit("cut", "cut-2", storedSecondReshard), "ok", 1, 3},
-		{"its id for another one", storedReshardEdit("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
-		{"flip", storedReshardEdit("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
+		{"first resharding repeated", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 1, 2},
+		{"second resharding repeated", storedReshardEdit("cut", "cut-2", storedSecondReshard), "ok", 1, 3},
+		{"the same id with another content", storedReshardEdit("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
+		{"switch to the new shard map", storedReshardEdit("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
 	})
 	index, err := state.ReadIndex(g.committed.Body)
 	must.NoError(t, err)
@@ -115,17 +115,17 @@
 func TestStoredBodiesWithoutEditLogAreAdopted(t *testing.T) {
 	c := startStored(t, readStored(t, "before-release-3"))
 	must.Eq(t, "0123456789abcdef", c.host.ReplicaID())
-	must.Eq(t, "0123456789abcdef", c.host.bootstrap.Proposer.ID, must.Sprint("the first voter proposed it"))
+	must.Eq(t, "0123456789abcdef", c.host.bootstrap.Proposer.ID, must.Sprint("the first voter is taken as the proposer"))
 	g := c.lead(0, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
-		{"its id for another one", storedPut(wire.Version{Term: 2, Seq: 3}, 300, "sheet-2"), "conflict", 3, 7},
-		{"first table again", routingEdit(t, 0, 5, 1), "ok", 2, 4},
-		{"second table again", routingEdit(t, 5, 7, 1), "ok", 2, 5},
-		{"another table of that number", routingEdit(t, 5, 7, 2), "lost_race", 3, 7},
-		{"a new table", routingEdit(t, 7, 9, 1), "ok", 3, 8},
-		{"second sheet again", storedPut(wire.Version{}, 200, "sheet-2"), "ok", 2, 3},
-		{"the first sheet restored", wire.Edit{Op: "return", Name: "2.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 3}}, "ok", 3, 9},
+		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
+		{"the same id with another content", storedPut(wire.Version{Term: 2, Seq: 3}, 300, "sheet-2"), "conflict", 3, 7},
+		{"first routing table repeated", routingEdit(t, 0, 5, 1), "ok", 2, 4},
+		{"second routing table repeated", routingEdit(t, 5, 7, 1), "ok", 2, 5},
+		{"another routing table of the same revision", routingEdit(t, 5, 7, 2), "lost_race", 3, 7},
+		{"a new routing table", routingEdit(t, 7, 9, 1), "ok", 3, 8},
+		{"second configuration repeated", storedPut(wire.Version{}, 200, "sheet-2"), "ok", 2, 3},
+		{"the first configuration restored", wire.Edit{Op: "return", Name: "2.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 3}}, "ok", 3, 9},
 	})
 	config, editLog := storedConfig(t, g.committed), storedEditLog(t, g.committed)
 	must.True(t, config.LegacyEdits == nil && config.LegacyRevisions == nil && config.LegacyHistory == nil)
@@ -136,8 +136,8 @@
 
 	g = c.lead(storedIndexPartition, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 3, 4},
-		{"its id for another one", storedReshardEdit("cut", "cut-1", storedSecondReshard), "conflict", 4, 5},
-		{"another cut", storedReshardEdit("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
+		{"first resharding repeated", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 3, 4},
+		{"the same id with another content", storedReshardEdit("cut", "cut-1", storedSecondReshard), "conflict", 4, 5},
+		{"another resharding", storedReshardEdit("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
 	})
 }
--- a/control/replica/stored_test.go
+++ b/control/replica/stored_test.go
@@ -1,5 +1,5 @@
-// Data that an earlier release stored: a process of this release starts with it and continues. How the folders
-// were made is in stored_make_test.go.
+// Data that an earlier release stored: a process of this release starts with it and continues. See
+// stored_make_test.go for how the folders were created.
 
 package replica
 
@@ -31,7 +31,7 @@
 	return editLog
 }
 
-// describe describes what a process has loaded, in words that do not depend on any Go name.
+// describe returns a description of what a process has loaded. The text does not depend on any Go name.
 func describe(t *testing.T, host *Host) string {
 	t.Helper()
 	var b strings.Builder
@@ -106,7 +106,7 @@
 				must.NoError(t, err, must.Sprint(name))
 			}
 			c := startStored(t, files)
-			must.Eq(t, sortedKeys(files), sortedKeys(c.files), must.Sprint("a start writes nothing"))
+			must.Eq(t, sortedKeys(files), sortedKeys(c.files), must.Sprint("the start of the process must not write any file"))
 			path := filepath.Join(storedFolder, folder.name+".golden")
 			got := describe(t, c.host)
 			if *updateStored {
--- a/control/replica/timeline_test.go
+++ b/control/replica/timeline_test.go
@@ -1,4 +1,4 @@
-// The time of a simulated cluster, and its events in the order of their moments.
+// The clock of a simulated cluster, and its events in order of time.
 
 package replica
 
@@ -8,7 +8,7 @@
 	"wallport/runtime/clock"
 )
 
-// event is something that happens at a moment; events of one moment keep their order.
+// event is an action at a time; events at the same time keep the order in which they were added.
 type event struct {
 	at  clock.Micros
 	seq int64
@@ -27,7 +27,7 @@
 // Push adds an event at the end, for heap.Push.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop takes the last event, for heap.Pop.
+// Pop removes the last event, for heap.Pop.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -38,23 +38,23 @@
 // add adds an event.
 func (q *eventQueue) add(e event) { heap.Push(q, e) }
 
-// next takes the first event.
+// next removes and returns the earliest event.
 func (q *eventQueue) next() event { return heap.Pop(q).(event) }
 
-// timeline is the time of a simulated cluster; each of them embeds one.
+// timeline is the simulated time of a cluster; each kind of cluster embeds one.
 type timeline struct {
 	now     clock.Micros
 	nextSeq int64
 	events  eventQueue
 }
 
-// after schedules do.
+// after schedules do to run after d.
 func (l *timeline) after(d clock.Micros, do func()) {
 	l.nextSeq++
 	l.events.add(event{l.now + max(d, 0), l.nextSeq, do})
 }
 
-// advance carries out the next event and returns true; where that is after the end, it advances to the end and
+// advance runs the next event and returns true. If that event is later than end, advance sets the time to end and
 // returns false.
 func (l *timeline) advance(end clock.Micros) bool {
 	if len(l.events) == 0 || l.events[0].at > end {
--- a/control/replica/vote_version_test.go
+++ b/control/replica/vote_version_test.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-// A replica that holds an older version is not elected where one with a newer version is up.
+// A replica that holds an older version is not elected while one with a newer version is running.
 func TestCandidateWithOlderVersionIsNotElected(t *testing.T) {
 	newer := version(4, 7)
 	c := newCore(t, nil)
@@ -21,10 +21,10 @@
 	must.False(t, ask(version(4, 6).Version))
 	must.True(t, ask(newer.Version))
 	c.host.stopping = true
-	must.True(t, ask(version(4, 6).Version), must.Sprint("who stops doesn't stand itself"))
+	must.True(t, ask(version(4, 6).Version), must.Sprint("a stopping replica starts no election itself, so it grants the pre-vote"))
 }
 
-// The body is in a vote reply only for a candidate that lacks it.
+// A vote reply contains the body only for a candidate that lacks it.
 func TestVoteRepliesCarryOnlyNewerVersions(t *testing.T) {
 	newer := version(4, 7)
 	for held, want := range map[wire.Version]int{version(4, 6).Version: len(newer.Body), newer.Version: 0, version(5, 1).Version: 0} {
@@ -38,7 +38,7 @@
 	}
 }
 
-// large is a version whose body travels in pieces.
+// large returns a version whose body is transferred in chunks.
 func large(term, seq uint64) wire.Versioned {
 	v := version(term, seq)
 	v.Body = make([]byte, wire.MaxSingleFrame+1)
@@ -69,7 +69,7 @@
 	must.True(t, r.LacksBase)
 }
 
-// A body is left out only for replicas that said that they hold it and that they support Base.
+// A body is omitted only for replicas that have reported that they hold it and that they support Base.
 func TestProposalOmitsHeldBody(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -97,5 +97,5 @@
 	must.Eq(t, "b", sentAgain[0].To)
 	must.Eq(t, g.proposal.Body, sentAgain[0].Versioned.Body)
 	out = c.send(wire.KindAcceptReply, &wire.AcceptReply{Term: g.term, From: "b", Version: wire.Version{Term: 1}, LacksBase: true})
-	must.SliceEmpty(t, sent[wire.Accept](t, out, wire.KindAccept), must.Sprint("not of the version under way"))
+	must.SliceEmpty(t, sent[wire.Accept](t, out, wire.KindAccept), must.Sprint("the reply is not about the version in flight"))
 }
