--- a/control/replica/cluster_machine_test.go
+++ b/control/replica/cluster_machine_test.go
@@ -105,9 +105,9 @@
 }
 
 func (m *simMachine) schedule(d clock.Micros, run func()) {
-	incarnation := m.incarnation
+	expected := m.incarnation
 	m.cluster.after(d, func() {
-		if m.incarnation == incarnation {
+		if m.incarnation == expected {
 			run()
 		}
 	})
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -42,7 +42,8 @@
 	held     []func()
 }
 
-// newCluster starts members m0, m1 and so on. The largest odd number of them are the voters of one group.
+// newCluster starts members m0, m1 and so on as one group, whose voters are the first members, as many as make an odd
+// number. An additional member is a standby.
 func newCluster(t *testing.T, seed uint64, size int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), conns: map[uint64]*connection{}, direct: map[string]uint64{}}
@@ -110,10 +111,10 @@
 }
 
 func (c *cluster) step(m *member, in kernel.Input) {
-	now, incarnation := c.now-m.startedAt, m.incarnation
+	now, expected := c.now-m.startedAt, m.incarnation
 	out := m.kernel.Step(now, 1_700_000_000*clock.Second+c.now, in)
 	for _, v := range out.Timers {
-		c.after(v.At-now, func() { c.feed(m, incarnation, v.Tick) })
+		c.after(v.At-now, func() { c.feed(m, expected, v.Tick) })
 	}
 	for _, w := range out.Writes {
 		c.write(m, w)
--- a/control/replica/contact_net_test.go
+++ b/control/replica/contact_net_test.go
@@ -22,9 +22,9 @@
 }
 
 func (c *cluster) write(m *member, w kernel.Write) {
-	incarnation := m.incarnation
+	expected := m.incarnation
 	c.after(clock.Millisecond+c.rnd.Int64N(5*clock.Millisecond), func() {
-		if m.incarnation != incarnation {
+		if m.incarnation != expected {
 			return
 		}
 		if w.Data == nil {
@@ -33,7 +33,7 @@
 		}
 		m.files[w.File] = w.Data
 		if w.Key != "" {
-			c.feed(m, incarnation, kernel.Written{Plugin: w.Plugin, Key: w.Key})
+			c.feed(m, expected, kernel.Written{Plugin: w.Plugin, Key: w.Key})
 		}
 	})
 }
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -78,8 +78,8 @@
 // heartbeat sends the core a heartbeat of leader "a" in term 5 and returns the core's reply.
 func (c *core) heartbeat(t *testing.T, contactAt clock.Micros, committed wire.Version) wire.LeaderHeartbeatReply {
 	t.Helper()
-	heartbeat := wire.LeaderHeartbeat{Term: 5, From: "a", Round: 1, ContactAt: contactAt, Committed: committed}
-	return sent[wire.LeaderHeartbeatReply](t, c.send(wire.KindLeaderHeartbeat, &heartbeat), wire.KindLeaderHeartbeatReply)[0]
+	message := wire.LeaderHeartbeat{Term: 5, From: "a", Round: 1, ContactAt: contactAt, Committed: committed}
+	return sent[wire.LeaderHeartbeatReply](t, c.send(wire.KindLeaderHeartbeat, &message), wire.KindLeaderHeartbeatReply)[0]
 }
 
 // A heartbeat proves contact at a time in the follower's own clock, regardless of how long the heartbeat was in
--- a/control/replica/contact_test.go
+++ b/control/replica/contact_test.go
@@ -135,13 +135,13 @@
 }
 
 func faults() []fault {
-	isolate := func(c *cluster, m *member) { c.isolate(m) }
+	isolateMember := func(c *cluster, m *member) { c.isolate(m) }
 	heal := func(c *cluster, _ *member) { c.heal() }
 	return []fault{
-		{"cut", isolate, heal},
+		{"cut", isolateMember, heal},
 		{"frozen", func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*clock.Second) }},
 		{"cut and started again", func(c *cluster, m *member) { c.isolate(m); c.restart(m) }, heal},
-		{"cut, then started again with the join", isolate, func(c *cluster, m *member) { c.restart(m); c.heal() }},
+		{"cut, then started again with the join", isolateMember, func(c *cluster, m *member) { c.restart(m); c.heal() }},
 	}
 }
 
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -144,8 +144,8 @@
 	ctx.Counts.Set("part_in_contact_now", inContact)
 }
 
-// publishCommitted announces a committed version over the mesh, and publishes the version of the configuration that
-// is in force in this process's member entry.
+// publishCommitted announces a committed version over the mesh, and publishes in this process's member entry which
+// version of the configuration is in force here.
 func (h *Host) publishCommitted(ctx *kernel.Context, v Committed) {
 	h.mesh.AnnounceVersion(ctx, v.Version)
 	if v.Version.Version.Partition == state.ConfigPartition {
--- a/control/replica/lease_test.go
+++ b/control/replica/lease_test.go
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestLeaseHasOneHolderAcrossLeaderFaults has one process request the lease from the old leader, like a process in
-// the same side of a network partition, and another process request it from the current leader.
+// TestLeaseHasOneHolderAcrossLeaderFaults has one process request the lease from the old leader, like a process on
+// its side of a network partition, and another process request it from the current leader.
 func TestLeaseHasOneHolderAcrossLeaderFaults(t *testing.T) {
 	leaderFaults := map[string]struct{ begin, end func(c *cluster, m *member) }{
 		"cut":    {func(c *cluster, m *member) { c.isolate(m) }, func(c *cluster, m *member) { c.heal() }},
--- a/control/replica/leave.go
+++ b/control/replica/leave.go
@@ -20,7 +20,7 @@
 	LeaveTimeout = 2500 * clock.Millisecond
 )
 
-// HasLeft reports whether this process may end without depriving any group of a voter or of its leader.
+// HasLeft reports whether this process may end without any group losing a voter or its leader.
 func (h *Host) HasLeft() bool {
 	if h.diskDamaged {
 		return true
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -74,7 +74,7 @@
 	c.tick()
 	v = c.commitProposal(t, g, "a")
 	must.Eq(t, []string{"a", "b2", "me"}, ids(v.PreviousVoters))
-	must.True(t, quorum(v, func(id string) bool { return id == "b2" || id == "me" }), must.Sprint("the new voters without a must be a quorum"))
+	must.True(t, quorum(v, func(id string) bool { return id == "b2" || id == "me" }), must.Sprint("the quorum must no longer need replica a"))
 }
 
 func TestJointChangeIsCompletedBeforeNext(t *testing.T) {
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -95,17 +95,17 @@
 
 func (c *bandwidthCluster) step(m *bandwidthMember, in kernel.Input) {
 	out := m.k.Step(c.now, c.now, in)
-	incarnation := m.incarnation
+	expected := m.incarnation
 	for _, timer := range out.Timers {
 		c.after(timer.At-c.now, func() {
-			if m.incarnation == incarnation {
+			if m.incarnation == expected {
 				c.step(m, timer.Tick)
 			}
 		})
 	}
 	for _, w := range out.Writes {
 		c.after(diskDelay, func() {
-			if m.incarnation != incarnation {
+			if m.incarnation != expected {
 				return
 			}
 			if m.files[w.File] = w.Data; w.Data == nil {
@@ -149,9 +149,9 @@
 		at += int64(b.Len()) * clock.Second / c.bytesPerSecond
 	}
 	m.linkFreeAt = at
-	incarnation := to.incarnation
+	expected := to.incarnation
 	c.after(at-c.now+linkDelay, func() {
-		if to.incarnation == incarnation && to.up {
+		if to.incarnation == expected && to.up {
 			to.bytesIn += int64(len(s.Data))
 			c.step(to, kernel.Received{Conn: conn, Data: s.Data})
 		}
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -23,7 +23,7 @@
 	id    uint64
 	edit  wire.Edit
 	reply wire.EditReply
-	// applied reports whether the edit is part of the proposal in flight.
+	// applied is set if the edit is part of the proposal in flight.
 	applied bool
 	// confirmRound is the heartbeat round that a majority must answer before a read or a rejection is answered.
 	confirmRound uint64
--- a/control/replica/replication.go
+++ b/control/replica/replication.go
@@ -138,7 +138,7 @@
 type syncedVersion struct {
 	version        wire.Version
 	heartbeatRound uint64
-	// supportsBase reports whether the replica accepts a version without its body. Releases before 3 do not.
+	// supportsBase is set if the replica accepts a version without its body. Releases before 3 do not.
 	supportsBase bool
 }
 
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -60,7 +60,7 @@
 	c.checkReplies(g, []string{"a"}, []storedReply{
 		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
 		{"second configuration repeated", storedPut(wire.Version{Term: 1, Seq: 2}, 200, "sheet-2"), "ok", 1, 3},
-		{"the same id with another content", storedPut(configAt, 300, "sheet-2"), "conflict", 2, 8},
+		{"the same id with different content", storedPut(configAt, 300, "sheet-2"), "conflict", 2, 8},
 		{"a configuration based on an earlier one", storedPut(wire.Version{Term: 1, Seq: 2}, 300, "sheet-3"), "lost_race", 1, 3},
 		{"first routing table repeated", routingEdit(t, 0, 5, 1), "ok", 1, 4},
 		{"second routing table repeated", routingEdit(t, 5, 7, 1), "ok", 1, 5},
@@ -82,7 +82,7 @@
 	c.checkReplies(g, []string{"a"}, []storedReply{
 		{"first resharding repeated", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 1, 2},
 		{"second resharding repeated", storedReshardEdit("cut", "cut-2", storedSecondReshard), "ok", 1, 3},
-		{"the same id with another content", storedReshardEdit("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
+		{"the same id with different content", storedReshardEdit("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
 		{"switch to the new shard map", storedReshardEdit("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
 	})
 	index, err := state.ReadIndex(g.committed.Body)
@@ -119,7 +119,7 @@
 	g := c.lead(0, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
 		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
-		{"the same id with another content", storedPut(wire.Version{Term: 2, Seq: 3}, 300, "sheet-2"), "conflict", 3, 7},
+		{"the same id with different content", storedPut(wire.Version{Term: 2, Seq: 3}, 300, "sheet-2"), "conflict", 3, 7},
 		{"first routing table repeated", routingEdit(t, 0, 5, 1), "ok", 2, 4},
 		{"second routing table repeated", routingEdit(t, 5, 7, 1), "ok", 2, 5},
 		{"another routing table of the same revision", routingEdit(t, 5, 7, 2), "lost_race", 3, 7},
@@ -137,7 +137,7 @@
 	g = c.lead(storedIndexPartition, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
 		{"first resharding repeated", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 3, 4},
-		{"the same id with another content", storedReshardEdit("cut", "cut-1", storedSecondReshard), "conflict", 4, 5},
+		{"the same id with different content", storedReshardEdit("cut", "cut-1", storedSecondReshard), "conflict", 4, 5},
 		{"another resharding", storedReshardEdit("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
 	})
 }
--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -28,8 +28,8 @@
 
 // preferredLeader returns the voter that should lead instead of this one. Each partition prefers a different one of
 // its voters, so that the leaders are spread over the cores. The result is empty if this replica is the preferred
-// one, has not led for long enough or has work in progress, or if the preferred voter has not been healthy for long
-// enough.
+// one, has not led for RebalanceAfter or has work in progress, or if the preferred voter has not been healthy for
+// long enough.
 func (g *Group) preferredLeader(ctx *kernel.Context) string {
 	if !g.ready || g.proposal != nil || len(g.queue)+len(g.unconfirmed) > 0 || ctx.Now-g.leaderSince < RebalanceAfter {
 		return ""
