--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -22,7 +22,7 @@
 	reasonFenced        stepDownReason = "fenced by a newer term"
 	reasonVotedForOther stepDownReason = "voted for another candidate"
 	reasonOtherLeader   stepDownReason = "heard from another leader"
-	reasonNoContact     stepDownReason = "no majority answered a heartbeat round in time"
+	reasonNoContact     stepDownReason = "no majority answers"
 	reasonNotCommitted  stepDownReason = "the proposal was not committed in time"
 	reasonSuperseded    stepDownReason = "another group has committed a newer version"
 	reasonSuspended     stepDownReason = "the process was suspended"
