--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -1,6 +1,6 @@
-// Catch-up of a replica that was away or comes back with an empty disk: its duration does not depend on the
-// number of missed versions, and the leader goes on leading meanwhile. BenchmarkCatchUp gives figures for
-// several sizes and numbers of changes.
+// Catch-up of a replica that was stopped for a while or returns with an empty disk: the duration does not depend on
+// the number of missed versions, and the leader keeps its term. BenchmarkCatchUp reports figures for several sizes
+// and numbers of changes.
 
 package replica
 
@@ -15,26 +15,28 @@
 	"wallport/runtime/wire"
 )
 
-// catchUpLimit is how long a replica that comes back may take: to listen, to be found and made a
-// voter if its disk is new, and twice the time that its link takes for the body.
+// catchUpLimit returns the maximum duration of a catch-up: the time to listen, to be found and, with a new disk, to
+// become a voter, plus twice the transfer time of the body over the replica's link.
 func catchUpLimit(size int) clock.Micros {
 	return ListenBeforeElection + LargeResendInterval + 1*clock.Second + 2*int64(size)*clock.Second/linkOf10Mbit
 }
 
-// retryAllowance is what the loss of a piece that was sent while the replica was away may cost.
+// retryAllowance is the delay allowed for the retransmission of a chunk that was sent while the replica was down and
+// was lost.
 const retryAllowance = 1 * clock.Second
 
-// caughtUp is what the catch-up of a replica took.
-type caughtUp struct {
+// catchUpResult contains the duration of a catch-up in microseconds, the bytes that the replica received, and the
+// size of the body.
+type catchUpResult struct {
 	us, bytes, body int64
-	// terms is by how much the leader's term rose meanwhile.
+	// terms is the increase of the leader's term during the catch-up.
 	terms uint64
 }
 
-// catchUpAfter stops a core, changes the body so many times, and starts the core again.
-func catchUpAfter(t testing.TB, size, changes int, emptyDisk bool) caughtUp {
+// catchUpAfter stops a core, commits the given number of changes, starts the core again and measures its catch-up.
+func catchUpAfter(t testing.TB, size, changes int, emptyDisk bool) catchUpResult {
 	t.Helper()
-	c := newNarrowCluster(t, 0)
+	c := newBandwidthCluster(t, 0)
 	revision := c.grow(size)
 	away := c.awaitConverged()
 	c.stop(away.id)
@@ -42,29 +44,29 @@
 		must.Eq(t, "ok", c.edit(pools(revision, 100, fmt.Sprintf("changed-%d", i%50)), 10*clock.Second).Code)
 		revision++
 	}
-	back := c.now + 3*clock.Second
-	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= back })
+	returnAt := c.now + 3*clock.Second
+	c.run(4*clock.Second, "the core stays stopped for 3 s", func() bool { return c.now >= returnAt })
 	if emptyDisk {
 		away.files = map[string][]byte{}
 	}
 	c.bytesPerSecond = linkOf10Mbit
 	want := c.lead().committed().Version
 	c.start(away.id)
-	us := c.run(catchUpLimit(size), "the replica is whole again", func() bool { return away.hasSynced(want) })
-	return caughtUp{us, away.bytesIn, int64(len(c.lead().committed().Body)), c.lead().committed().Version.Term - want.Term}
+	us := c.run(catchUpLimit(size), "the replica has caught up", func() bool { return away.hasSynced(want) })
+	return catchUpResult{us, away.bytesIn, int64(len(c.lead().committed().Body)), c.lead().committed().Version.Term - want.Term}
 }
 
-// awaitConverged waits until the core that should lead the configuration does, and all hold the same; it
-// gives one of the others.
-func (c *narrowCluster) awaitConverged() *narrowMember {
+// awaitConverged waits until the preferred leader leads the configuration and all cores hold the same version. It
+// returns one of the other cores.
+func (c *bandwidthCluster) awaitConverged() *bandwidthMember {
 	c.t.Helper()
 	c.run(60*clock.Second, "the preferred core leads", func() bool { return c.members["a"].host.Leads(state.ConfigPartition) })
 	c.awaitAll(60 * clock.Second)
 	return c.members["b"]
 }
 
-// bytesIn is what all cores have received.
-func (c *narrowCluster) bytesIn() (n int64) {
+// bytesIn returns the bytes received by all cores.
+func (c *bandwidthCluster) bytesIn() (n int64) {
 	for _, m := range c.members {
 		n += m.bytesIn
 	}
@@ -80,14 +82,14 @@
 		for _, emptyDisk := range []bool{false, true} {
 			t.Run(fmt.Sprintf("size=%d/empty=%v", size, emptyDisk), func(t *testing.T) {
 				r := catchUpAfter(t, size, min(10, 3_000_000/size+2), emptyDisk)
-				t.Logf("whole again after %d ms and %d KB", r.us/1000, r.bytes/1000)
-				must.Eq(t, 0, r.terms, must.Sprint("the leader leads on"))
-				// A new disk takes a membership change, and so two versions.
-				most := 3*r.body + r.body/10 + 50_000
+				t.Logf("caught up after %d ms, having received %d KB", r.us/1000, r.bytes/1000)
+				must.Eq(t, 0, r.terms, must.Sprint("the leader changed during the catch-up"))
+				// With a new disk a membership change is needed, and therefore two versions.
+				maxBytes := 3*r.body + r.body/10 + 50_000
 				if !emptyDisk {
-					most = 2*r.body + 50_000
+					maxBytes = 2*r.body + 50_000
 				}
-				must.LessEq(t, most, r.bytes)
+				must.LessEq(t, maxBytes, r.bytes)
 			})
 		}
 	}
@@ -100,67 +102,67 @@
 	must.LessEq(t, 2*many.body+50_000, many.bytes)
 }
 
-// A large version on its way to a replica must not delay the heartbeats to it and to the others.
+// A large version in transit to a replica must not delay the heartbeats to that replica or to the others.
 func TestHeartbeatsPassLargeVersion(t *testing.T) {
-	c := newNarrowCluster(t, linkOf10Mbit)
+	c := newBandwidthCluster(t, linkOf10Mbit)
 	revision := c.grow(3_000_000)
 	away := c.awaitConverged()
 	l, term := c.lead(), c.lead().committed().Version.Term
 	c.stop(away.id)
 	must.Eq(t, "ok", c.edit(pools(revision, 100, "changed"), 60*clock.Second).Code)
 	want := l.committed().Version
-	back := c.now + 3*clock.Second
-	c.run(4*clock.Second, "it is away for a while", func() bool { return c.now >= back })
+	returnAt := c.now + 3*clock.Second
+	c.run(4*clock.Second, "the core stays stopped for 3 s", func() bool { return c.now >= returnAt })
 	c.start(away.id)
 	g := away.host.groups[state.ConfigPartition]
 	worst := int64(0)
-	c.run(catchUpLimit(3_000_000), "the replica is whole again", func() bool {
+	c.run(catchUpLimit(3_000_000), "the replica has caught up", func() bool {
 		if g.leaderSeen > 0 {
 			worst = max(worst, c.now-g.leaderSeen)
 		}
 		return away.hasSynced(want)
 	})
-	t.Logf("the longest wait for a heartbeat was %d ms", worst/1000)
+	t.Logf("longest time between two heartbeats: %d ms", worst/1000)
 	must.Less(t, ElectionTimeout, worst)
 	must.Eq(t, l, c.leader())
 	must.Eq(t, term, l.committed().Version.Term)
 }
 
-// A replica that was away while several versions were committed is sent only the newest one.
+// A replica that was down while several versions were committed is sent only the newest one.
 func TestCatchUpSendsOnlyNewestVersion(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
 	must.NotNil(t, g)
 	c.now += LargeResendInterval
 	g.committed.Body = make([]byte, wire.MaxSingleFrame+1)
-	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, OK: true}
+	reply := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, OK: true}
 	count := func() int64 { return c.kernel.Counts.Of("part_handed_over").Load() }
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, count())
 	for range 5 {
 		c.now += CatchUpInterval / 2
-		c.send(wire.KindLeaderHeartbeatReply, &beat)
+		c.send(wire.KindLeaderHeartbeatReply, &reply)
 	}
-	must.Eq(t, 1, count(), must.Sprint("a large one is on its way"))
+	must.Eq(t, 1, count(), must.Sprint("the large version is already in transit"))
 	g.proposal = &wire.Versioned{Version: wire.Version{Term: g.term, Seq: 99}, Voters: g.committed.Voters}
 	c.now += 2 * LargeResendInterval
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
-	must.Eq(t, 1, count(), must.Sprint("the one that is proposed takes its place"))
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
+	must.Eq(t, 1, count(), must.Sprint("the proposal in flight supersedes the committed version"))
 }
 
 func TestRolledBackDiskIsDetected(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	beat := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, Stored: wire.Version{}, OK: true}
+	reply := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, Stored: wire.Version{}, OK: true}
 	g.synced["b"] = syncedVersion{version: g.committed.Version, heartbeatRound: g.heartbeatRound}
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
-	must.Eq(t, 0, c.kernel.Counts.Of("replicas_rolled_back").Load(), must.Sprint("sent before the acknowledgement"))
-	beat.Round++
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
+	must.Eq(t, 0, c.kernel.Counts.Of("replicas_rolled_back").Load(), must.Sprint("the reply is to a heartbeat sent before the acknowledgement"))
+	reply.Round++
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, c.kernel.Counts.Of("replicas_rolled_back").Load())
-	beat.Stored = g.committed.Version
+	reply.Stored = g.committed.Version
 	g.synced["b"] = syncedVersion{version: g.committed.Version, heartbeatRound: g.heartbeatRound}
-	c.send(wire.KindLeaderHeartbeatReply, &beat)
+	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, c.kernel.Counts.Of("replicas_rolled_back").Load())
 }
 
@@ -169,7 +171,7 @@
 		for _, changes := range []int{10, 100, 1000, 5000} {
 			for _, emptyDisk := range []bool{false, true} {
 				b.Run(fmt.Sprintf("size=%d/changes=%d/empty=%v", size, changes, emptyDisk), func(b *testing.B) {
-					var r caughtUp
+					var r catchUpResult
 					for range b.N {
 						r = catchUpAfter(b, size, changes, emptyDisk)
 					}
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -1,4 +1,4 @@
-// Checks of a simulated cluster after each step of a process.
+// Checks of a simulated cluster that are made after each step of a process.
 
 package replica
 
@@ -13,11 +13,12 @@
 	"wallport/runtime/wire"
 )
 
-// check checks a process after a step: what it newly proposes or has committed contains what was acknowledged.
+// check checks the state of a process after a step: new voters in its proposals have synced the version before, and
+// its newest committed version contains every acknowledged edit.
 func (c *simCluster) check(m *simMachine) {
 	for _, g := range m.host.groups {
 		if g.role == leader && g.proposal != nil && isJoint(*g.proposal) {
-			c.checkNewcomers(g)
+			c.checkNewVoters(g)
 		}
 	}
 	g := m.host.groups[0]
@@ -25,25 +26,25 @@
 		return
 	}
 	c.newest = g.committed.Version
-	ledger, err := state.ReadEditLog(g.committed.EditLog)
+	editLog, err := state.ReadEditLog(g.committed.EditLog)
 	if err != nil {
-		c.violations = append(c.violations, "a committed ledger cannot be decoded")
+		c.violations = append(c.violations, "a committed edit log cannot be decoded")
 		return
 	}
-	taken := map[string]bool{}
-	for _, order := range ledger.RoutingEdits {
-		taken[string(order.Digest)] = true
+	applied := map[string]bool{}
+	for _, edit := range editLog.RoutingEdits {
+		applied[string(edit.Digest)] = true
 	}
 	for _, name := range c.acknowledged {
-		if !taken[name] {
-			c.violations = append(c.violations, fmt.Sprintf("%d us: the order with digest %x was acknowledged and is not in version %v of %s", c.now, name, g.committed.Version, m.addr))
+		if !applied[name] {
+			c.violations = append(c.violations, fmt.Sprintf("%d us: the edit with digest %x was acknowledged but is missing from version %v of %s", c.now, name, g.committed.Version, m.addr))
 			return
 		}
 	}
 }
 
-// checkNewcomers checks that every new voter has synced the version before the change.
-func (c *simCluster) checkNewcomers(g *Group) {
+// checkNewVoters checks that every voter added by a proposal has synced the version before the change.
+func (c *simCluster) checkNewVoters(g *Group) {
 	oldest := g.committed.Version
 	oldest.Partition = g.partition
 	for _, voter := range g.proposal.Voters {
@@ -51,12 +52,12 @@
 			continue
 		}
 		if !slices.ContainsFunc(c.machines, func(m *simMachine) bool { return m.hasSynced(voter.ID, oldest) }) {
-			c.violations = append(c.violations, fmt.Sprintf("%d us: partition %d gives %s a vote before it holds %v", c.now, g.partition, voter.ID, g.committed.Version))
+			c.violations = append(c.violations, fmt.Sprintf("%d us: partition %d makes %s a voter before it has synced %v", c.now, g.partition, voter.ID, g.committed.Version))
 		}
 	}
 }
 
-// hasSynced reports whether this disk is that of a replica and has a version that is no older than another.
+// hasSynced reports whether this disk belongs to the given replica and holds a version that is not older than oldest.
 func (m *simMachine) hasSynced(replicaID string, oldest wire.Version) bool {
 	id, err := diskfile.Unpack(m.disk["seat"])
 	if err != nil || string(id) != replicaID {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// verify fails the test if anything was violated so far.
+// verify fails the test if any violation was recorded.
 func (c *simCluster) verify() {
 	c.t.Helper()
 	if len(c.violations) > 0 {
@@ -80,16 +81,17 @@
 	}
 }
 
-// serves runs until an edit is acknowledged again.
-func (c *simCluster) serves(what string, most clock.Micros) clock.Micros {
+// awaitAck runs until another edit is acknowledged, and returns how long that took. It fails the test after limit.
+func (c *simCluster) awaitAck(what string, limit clock.Micros) clock.Micros {
 	c.t.Helper()
 	from := c.now
-	took := c.runUntil(what, most, func() bool { return c.lastAck > from })
+	took := c.runUntil(what, limit, func() bool { return c.lastAck > from })
 	c.verify()
 	return took
 }
 
-// voters lists the machines that vote in a partition, by the newest committed version.
+// voters returns the running machines that are voters of a partition, by the newest version that its leader has
+// committed.
 func (c *simCluster) voters(partition int) (out []*simMachine) {
 	leader := c.leader(partition)
 	if leader == nil {
--- a/control/replica/lease_test.go
+++ b/control/replica/lease_test.go
@@ -1,4 +1,4 @@
-// A singleton task has one lease holder at a time, whichever leader is elected, partitioned or suspended.
+// A singleton task has at most one lease holder at a time, whichever leader is elected, partitioned or suspended.
 
 package replica
 
@@ -14,12 +14,12 @@
 
 const renewEvery = 200 * clock.Millisecond
 
-// leaseHolder renews a lease at an interval, and counts it from when it sent the request.
+// leaseHolder renews a lease every renewEvery, and counts the lease from when it sent the request.
 type leaseHolder struct {
-	name  string
-	until clock.Micros
-	given int
-	// to is the member that it takes for the leader.
+	name    string
+	until   clock.Micros
+	granted int
+	// to returns the member that the holder sends its requests to as the leader; nil if there is none.
 	to func() *member
 }
 
@@ -29,27 +29,27 @@
 	if to == nil {
 		return
 	}
-	asked := c.now
+	sentAt := c.now
 	c.request(to, wire.KindLeaseRequest, 1, &wire.LeaseRequest{Task: "task", From: h.name}, func(f wire.Frame) {
 		var r wire.LeaseReply
 		must.NoError(c.t, wire.Decode(f.Body, &r))
 		if r.Holder == h.name && r.Duration > 0 {
-			h.given++
-			h.until = max(h.until, asked+r.Duration)
+			h.granted++
+			h.until = max(h.until, sentAt+r.Duration)
 		}
 	})
 }
 
-// TestLeaseHasOneHolderAcrossLeaderFaults has one process ask the old leader, as one that is
-// partitioned with it does, and another process the present leader.
+// TestLeaseHasOneHolderAcrossLeaderFaults has one process request the lease from the old leader, like a process on
+// its side of a network partition, and another process request it from the current leader.
 func TestLeaseHasOneHolderAcrossLeaderFaults(t *testing.T) {
-	troubles := map[string]struct{ begin, end func(c *cluster, m *member) }{
+	leaderFaults := map[string]struct{ begin, end func(c *cluster, m *member) }{
 		"cut":    {func(c *cluster, m *member) { c.isolate(m) }, func(c *cluster, m *member) { c.heal() }},
 		"frozen": {func(c *cluster, m *member) { c.freeze(m) }, func(c *cluster, m *member) { c.thaw(m, 20*clock.Second) }},
 	}
-	for name, trouble := range troubles {
+	for name, f := range leaderFaults {
 		for _, size := range []int{3, 5} {
-			for seed := range 6 * worldCount() {
+			for seed := range 6 * seedCount() {
 				t.Run(fmt.Sprint(name, " ", size, " seed ", seed), func(t *testing.T) {
 					c := newCluster(t, seed, size)
 					old := c.committedLeader(0)
@@ -62,17 +62,17 @@
 					}}
 					kept.renew(c)
 					other.renew(c)
-					look := func() {
+					check := func() {
 						must.False(t, c.now < kept.until && c.now < other.until, must.Sprintf(
-							"two holders at %d ms, until %d and %d ms", c.now/1000, kept.until/1000, other.until/1000))
+							"two lease holders at %d ms: their leases end at %d and %d ms", c.now/1000, kept.until/1000, other.until/1000))
 					}
-					c.run(2*clock.Second+c.rnd.Int64N(clock.Second), look)
-					must.Positive(t, kept.given)
-					trouble.begin(c, old)
-					c.run(20*clock.Second, look)
-					must.Positive(t, other.given, must.Sprint("nobody else got the lease"))
-					trouble.end(c, old)
-					c.run(3*clock.Second, look)
+					c.run(2*clock.Second+c.rnd.Int64N(clock.Second), check)
+					must.Positive(t, kept.granted)
+					f.begin(c, old)
+					c.run(20*clock.Second, check)
+					must.Positive(t, other.granted, must.Sprint("the other process never got the lease"))
+					f.end(c, old)
+					c.run(3*clock.Second, check)
 				})
 			}
 		}
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -1,4 +1,4 @@
-// A group of cores on simulated time, with links of a given bandwidth and a disk each.
+// A group of cores in simulated time, with links of limited bandwidth and a disk each.
 
 package replica
 
@@ -25,49 +25,49 @@
 	clientConn = 1 << 40
 )
 
-// narrowMember is one core of a cluster.
-type narrowMember struct {
+// bandwidthMember is one core of a bandwidthCluster.
+type bandwidthMember struct {
 	id          string
 	k           *kernel.Kernel
 	host        *Host
 	files       map[string][]byte
 	up          bool
 	incarnation int
-	free        clock.Micros
+	linkFreeAt  clock.Micros
 	bytesIn     int64
 	replies     map[uint64]wire.EditReply
 }
 
-// narrowCluster joins cores "a", "b" and "c", whose addresses are their names.
-type narrowCluster struct {
+// bandwidthCluster connects cores "a", "b" and "c", whose addresses are their names.
+type bandwidthCluster struct {
 	timeline
 	t        testing.TB
-	members  map[string]*narrowMember
-	conns    map[string]uint64    // by dialer and dialed
-	ends     map[uint64][2]string // of the open connections
+	members  map[string]*bandwidthMember
+	conns    map[string]uint64    // connection ids, by the dialing and the dialed core
+	ends     map[uint64][2]string // the cores at both ends of each open connection, by its id
 	nextConn uint64
-	// bytesPerSecond is what each core's link takes; 0 is any number.
+	// bytesPerSecond is the bandwidth of each core's link; 0 is unlimited.
 	bytesPerSecond int64
 	nextEdit       uint64
 }
 
-func newNarrowCluster(t testing.TB, bytesPerSecond int64) *narrowCluster {
+func newBandwidthCluster(t testing.TB, bytesPerSecond int64) *bandwidthCluster {
 	t.Helper()
-	c := &narrowCluster{t: t, members: map[string]*narrowMember{}, conns: map[string]uint64{}, ends: map[uint64][2]string{}, bytesPerSecond: bytesPerSecond}
-	form := wire.Bootstrap{BootstrapID: "f", Commit: true}
+	c := &bandwidthCluster{t: t, members: map[string]*bandwidthMember{}, conns: map[string]uint64{}, ends: map[uint64][2]string{}, bytesPerSecond: bytesPerSecond}
+	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true}
 	for _, id := range []string{"a", "b", "c"} {
-		form.Voters = append(form.Voters, wire.Replica{ID: id, Addr: id, Zone: "z" + id})
+		bootstrap.Voters = append(bootstrap.Voters, wire.Replica{ID: id, Addr: id, Zone: "z" + id})
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		files := map[string][]byte{"seat": diskfile.Pack([]byte(id)), "formation": diskfile.Pack(wire.Encode(&form))}
-		c.members[id] = &narrowMember{id: id, files: files}
+		files := map[string][]byte{"seat": diskfile.Pack([]byte(id)), "formation": diskfile.Pack(wire.Encode(&bootstrap))}
+		c.members[id] = &bandwidthMember{id: id, files: files}
 		c.start(id)
 	}
 	return c
 }
 
-// start starts a core with the files that its disk holds.
-func (c *narrowCluster) start(id string) {
+// start starts a core with the files on its disk.
+func (c *bandwidthCluster) start(id string) {
 	m := c.members[id]
 	m.up, m.replies, m.bytesIn = true, map[uint64]wire.EditReply{}, 0
 	m.incarnation++
@@ -80,8 +80,8 @@
 	c.step(m, kernel.Start{})
 }
 
-// stop ends a core as a loss of power does: unsynced writes are lost.
-func (c *narrowCluster) stop(id string) {
+// stop ends a core like a power loss: writes that are not synced are lost.
+func (c *bandwidthCluster) stop(id string) {
 	m := c.members[id]
 	m.up = false
 	m.incarnation++
@@ -93,19 +93,19 @@
 	}
 }
 
-func (c *narrowCluster) step(m *narrowMember, in kernel.Input) {
+func (c *bandwidthCluster) step(m *bandwidthMember, in kernel.Input) {
 	out := m.k.Step(c.now, c.now, in)
-	life := m.incarnation
+	expected := m.incarnation
 	for _, timer := range out.Timers {
 		c.after(timer.At-c.now, func() {
-			if m.incarnation == life {
+			if m.incarnation == expected {
 				c.step(m, timer.Tick)
 			}
 		})
 	}
 	for _, w := range out.Writes {
 		c.after(diskDelay, func() {
-			if m.incarnation != life {
+			if m.incarnation != expected {
 				return
 			}
 			if m.files[w.File] = w.Data; w.Data == nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// send puts a frame on its connection; a frame that is too large is dropped.
-func (c *narrowCluster) send(m *narrowMember, s kernel.Send) {
+// send transmits a frame on its connection; a frame that exceeds the size limit is dropped.
+func (c *bandwidthCluster) send(m *bandwidthMember, s kernel.Send) {
 	if s.Conn == clientConn {
 		f, err := wire.Open(s.Data)
 		must.NoError(c.t, err)
@@ -144,21 +144,21 @@
 	if to == m {
 		to = c.members[ends[1]]
 	}
-	at := max(c.now, m.free)
+	at := max(c.now, m.linkFreeAt)
 	if c.bytesPerSecond > 0 {
 		at += int64(b.Len()) * clock.Second / c.bytesPerSecond
 	}
-	m.free = at
-	life := to.incarnation
+	m.linkFreeAt = at
+	expected := to.incarnation
 	c.after(at-c.now+linkDelay, func() {
-		if to.incarnation == life && to.up {
+		if to.incarnation == expected && to.up {
 			to.bytesIn += int64(len(s.Data))
 			c.step(to, kernel.Received{Conn: conn, Data: s.Data})
 		}
 	})
 }
 
-func (c *narrowCluster) connect(from, to string) uint64 {
+func (c *bandwidthCluster) connect(from, to string) uint64 {
 	key := from + ">" + to
 	if c.members[to] == nil || !c.members[to].up {
 		return 0
@@ -171,20 +171,20 @@
 	return c.conns[key]
 }
 
-// run runs until a condition holds and returns how long that took; it fails the test after a limit.
-func (c *narrowCluster) run(most clock.Micros, what string, until func() bool) clock.Micros {
+// run runs until a condition holds and returns how long that took; it fails the test after limit.
+func (c *bandwidthCluster) run(limit clock.Micros, what string, until func() bool) clock.Micros {
 	c.t.Helper()
 	began := c.now
 	for !until() {
-		if !c.advance(began + most) {
-			c.t.Fatalf("not within %d us: %s", most, what)
+		if !c.advance(began + limit) {
+			c.t.Fatalf("not reached within %d us: %s", limit, what)
 		}
 	}
 	return c.now - began
 }
 
-// leader is the core that leads the configuration and may take its edits.
-func (c *narrowCluster) leader() *narrowMember {
+// leader returns the core that leads the configuration and is ready to serve; nil if there is none.
+func (c *bandwidthCluster) leader() *bandwidthMember {
 	for _, id := range []string{"a", "b", "c"} {
 		if m := c.members[id]; m.up && m.host.Leads(state.ConfigPartition) {
 			return m
@@ -193,13 +193,13 @@
 	return nil
 }
 
-func (c *narrowCluster) lead() *narrowMember {
-	c.run(20*clock.Second, "a leader", func() bool { return c.leader() != nil })
+func (c *bandwidthCluster) lead() *bandwidthMember {
+	c.run(20*clock.Second, "a core leads the configuration", func() bool { return c.leader() != nil })
 	return c.leader()
 }
 
-// edit sends an edit of the configuration to its leader and waits for the answer.
-func (c *narrowCluster) edit(e *routingpb.RoutingEdit, within clock.Micros) wire.EditReply {
+// edit sends an edit of the configuration to its leader and returns the reply.
+func (c *bandwidthCluster) edit(e *routingpb.RoutingEdit, within clock.Micros) wire.EditReply {
 	c.t.Helper()
 	m := c.lead()
 	b, err := proto.Marshal(e)
@@ -208,11 +208,11 @@
 	id := c.nextEdit
 	edit := wire.Edit{Op: "routing", Body: b, EditID: fmt.Sprint(id)}
 	c.step(m, kernel.Received{Conn: clientConn, Data: wire.Seal(wire.KindEdit, id, &edit)})
-	c.run(within, "an answer to the order", func() bool { _, ok := m.replies[id]; return ok })
+	c.run(within, "a reply to the edit", func() bool { _, ok := m.replies[id]; return ok })
 	return m.replies[id]
 }
 
-// pools is an edit that sets pools of so many bytes of source each.
+// pools returns an edit that sets pools with the given names, each with a source of size bytes.
 func pools(base int64, size int, names ...string) *routingpb.RoutingEdit {
 	up := new(routingpb.RoutingTable)
 	for _, name := range names {
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -1,4 +1,4 @@
-// A process on stored data: it replies to known edits, votes as its stored votes bind it, and takes new edits.
+// A process on stored data: it replies to known edits, honours its stored votes, and accepts new edits.
 
 package replica
 
@@ -11,7 +11,7 @@
 	"wallport/runtime/wire"
 )
 
-// storedReplica is the replica of the folders that this code wrote from an empty disk.
+// storedReplica is the identity of the replica in the folders that this code creates from an empty disk.
 const storedReplica = "b5e38c12376b5207"
 
 // storedReply is an edit and its expected reply.
@@ -19,11 +19,11 @@
 	name string
 	edit wire.Edit
 	code wire.Code
-	// term and seq are those of the version in the reply.
+	// term and seq are the version in the reply.
 	term, seq uint64
 }
 
-// checkReplies sends edits to a leader, one after the other.
+// checkReplies sends edits to a leader, one after the other, and checks the replies.
 func (c *storedCore) checkReplies(g *Group, voters []string, want []storedReply) {
 	c.t.Helper()
 	for _, a := range want {
@@ -40,13 +40,13 @@
 	answer := func(f wire.Bootstrap) []wire.BootstrapReply {
 		return sent[wire.BootstrapReply](t, c.send(wire.KindBootstrap, &f), wire.KindBootstrapReply)
 	}
-	form := storedBootstrap(storedReplica)
-	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "first", From: storedReplica, OK: true}}, answer(form))
-	other := wire.Bootstrap{BootstrapID: "second", Voters: form.Voters, Proposer: form.Voters[2]}
-	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Proposer: form.Voters[1]}}, answer(other))
+	bootstrap := storedBootstrap(storedReplica)
+	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "first", From: storedReplica, OK: true}}, answer(bootstrap))
+	other := wire.Bootstrap{BootstrapID: "second", Voters: bootstrap.Voters, Proposer: bootstrap.Voters[2]}
+	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Proposer: bootstrap.Voters[1]}}, answer(other))
 	must.Eq(t, before, string(c.files["formation"]))
-	form.Commit = true
-	must.SliceEmpty(t, answer(form))
+	bootstrap.Commit = true
+	must.SliceEmpty(t, answer(bootstrap))
 	must.Eq(t, []wire.BootstrapReply{{BootstrapID: "second", From: storedReplica, Bootstrapped: true}}, answer(other))
 	must.True(t, startStored(t, c.files).host.bootstrapped)
 	must.True(t, c.lead(0, "a").ready)
@@ -56,22 +56,22 @@
 	c := startStored(t, readStored(t, "settled"))
 	g := c.lead(0, "a")
 	must.Eq(t, wire.Version{Term: 2, Seq: 8}, c.host.CommittedVersion(0))
-	sheetAt := wire.Version{Term: 1, Seq: 3}
+	configAt := wire.Version{Term: 1, Seq: 3}
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
-		{"second sheet again", storedPut(wire.Version{Term: 1, Seq: 2}, 200, "sheet-2"), "ok", 1, 3},
-		{"its id for another one", storedPut(sheetAt, 300, "sheet-2"), "conflict", 2, 8},
-		{"a sheet on an earlier one", storedPut(wire.Version{Term: 1, Seq: 2}, 300, "sheet-3"), "lost_race", 1, 3},
-		{"first table again", routingEdit(t, 0, 5, 1), "ok", 1, 4},
-		{"second table again", routingEdit(t, 5, 7, 1), "ok", 1, 5},
-		{"another table of that number", routingEdit(t, 5, 7, 2), "lost_race", 2, 8},
-		{"zone drained again", wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"}, "ok", 1, 6},
-		{"when the zone was drained", wire.Edit{Op: wire.OpZoneVersion, Name: "z9"}, wire.CodeVersion, 1, 6},
-		{"a late order about the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "late"}, wire.CodeStale, 2, 8},
-		{"a new order about the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "timely", Base: wire.Version{Term: 1, Seq: 6}}, "ok", 2, 9},
-		{"a new table", routingEdit(t, 7, 9, 1), "ok", 2, 10},
-		{"a new sheet", storedPut(sheetAt, 300, "sheet-3"), "ok", 2, 11},
-		{"the first sheet restored", wire.Edit{Op: "return", Name: "1.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 11}}, "ok", 2, 12},
+		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
+		{"second configuration repeated", storedPut(wire.Version{Term: 1, Seq: 2}, 200, "sheet-2"), "ok", 1, 3},
+		{"the same id with different content", storedPut(configAt, 300, "sheet-2"), "conflict", 2, 8},
+		{"a configuration based on an earlier one", storedPut(wire.Version{Term: 1, Seq: 2}, 300, "sheet-3"), "lost_race", 1, 3},
+		{"first routing table repeated", routingEdit(t, 0, 5, 1), "ok", 1, 4},
+		{"second routing table repeated", routingEdit(t, 5, 7, 1), "ok", 1, 5},
+		{"another routing table of the same revision", routingEdit(t, 5, 7, 2), "lost_race", 2, 8},
+		{"zone drain repeated", wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"}, "ok", 1, 6},
+		{"the version of the zone's drain", wire.Edit{Op: wire.OpZoneVersion, Name: "z9"}, wire.CodeVersion, 1, 6},
+		{"an outdated edit of the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "late"}, wire.CodeStale, 2, 8},
+		{"a current edit of the zone", wire.Edit{Op: "refill", Name: "z9", EditID: "timely", Base: wire.Version{Term: 1, Seq: 6}}, "ok", 2, 9},
+		{"a new routing table", routingEdit(t, 7, 9, 1), "ok", 2, 10},
+		{"a new configuration", storedPut(configAt, 300, "sheet-3"), "ok", 2, 11},
+		{"the first configuration restored", wire.Edit{Op: "return", Name: "1.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 11}}, "ok", 2, 12},
 	})
 	config := storedConfig(t, g.committed)
 	must.Eq(t, []string{"b1"}, config.ActiveBookings)
@@ -80,10 +80,10 @@
 
 	g = c.lead(storedIndexPartition, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstLiveCut), "ok", 1, 2},
-		{"second cut again", storedReshardEdit("cut", "cut-2", storedSecondLiveCut), "ok", 1, 3},
-		{"its id for another one", storedReshardEdit("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
-		{"flip", storedReshardEdit("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
+		{"first resharding repeated", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 1, 2},
+		{"second resharding repeated", storedReshardEdit("cut", "cut-2", storedSecondReshard), "ok", 1, 3},
+		{"the same id with different content", storedReshardEdit("cut", "cut-2", wire.ShardMap{Next: "c3", NextShards: 1}), "conflict", 2, 5},
+		{"switch to the new shard map", storedReshardEdit("flip", "flip-1", wire.ShardMap{Name: "c1", Shards: 4, Next: "c2", NextShards: 8}), "ok", 2, 6},
 	})
 	index, err := state.ReadIndex(g.committed.Body)
 	must.NoError(t, err)
@@ -106,7 +106,7 @@
 	must.True(t, vote(wire.Vote{Partition: 2, Term: 7, From: "a"}).Granted)
 	must.False(t, vote(wire.Vote{Partition: 3, Term: 3, From: "a"}).Granted)
 	late := wire.Versioned{Version: wire.Version{Partition: 3, Term: 3, Seq: 20}, Voters: storedVoters(storedReplica)}
-	refused := accepted(t, c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 3, From: "a", Versioned: late}))
+	refused := acceptReply(t, c.send(wire.KindAccept, &wire.Accept{Partition: 3, Term: 3, From: "a", Versioned: late}))
 	must.False(t, refused.OK)
 	must.Eq(t, uint64(4), refused.Term)
 	must.Eq(t, wire.Version{Partition: 3, Term: 4, Seq: 9}, vote(wire.Vote{Partition: 3, Term: 5, From: "a"}).Stored.Version)
@@ -115,29 +115,29 @@
 func TestStoredBodiesWithoutEditLogAreAdopted(t *testing.T) {
 	c := startStored(t, readStored(t, "before-release-3"))
 	must.Eq(t, "0123456789abcdef", c.host.ReplicaID())
-	must.Eq(t, "0123456789abcdef", c.host.bootstrap.Proposer.ID, must.Sprint("the first voter proposed it"))
+	must.Eq(t, "0123456789abcdef", c.host.bootstrap.Proposer.ID, must.Sprint("the first voter is taken as the proposer"))
 	g := c.lead(0, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first sheet again", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
-		{"its id for another one", storedPut(wire.Version{Term: 2, Seq: 3}, 300, "sheet-2"), "conflict", 3, 7},
-		{"first table again", routingEdit(t, 0, 5, 1), "ok", 2, 4},
-		{"second table again", routingEdit(t, 5, 7, 1), "ok", 2, 5},
-		{"another table of that number", routingEdit(t, 5, 7, 2), "lost_race", 3, 7},
-		{"a new table", routingEdit(t, 7, 9, 1), "ok", 3, 8},
-		{"second sheet again", storedPut(wire.Version{}, 200, "sheet-2"), "ok", 2, 3},
-		{"the first sheet restored", wire.Edit{Op: "return", Name: "2.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 3}}, "ok", 3, 9},
+		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
+		{"the same id with different content", storedPut(wire.Version{Term: 2, Seq: 3}, 300, "sheet-2"), "conflict", 3, 7},
+		{"first routing table repeated", routingEdit(t, 0, 5, 1), "ok", 2, 4},
+		{"second routing table repeated", routingEdit(t, 5, 7, 1), "ok", 2, 5},
+		{"another routing table of the same revision", routingEdit(t, 5, 7, 2), "lost_race", 3, 7},
+		{"a new routing table", routingEdit(t, 7, 9, 1), "ok", 3, 8},
+		{"second configuration repeated", storedPut(wire.Version{}, 200, "sheet-2"), "ok", 2, 3},
+		{"the first configuration restored", wire.Edit{Op: "return", Name: "2.2", EditID: "back", Base: wire.Version{Term: 2, Seq: 3}}, "ok", 3, 9},
 	})
-	config, ledger := storedConfig(t, g.committed), storedEditLog(t, g.committed)
+	config, editLog := storedConfig(t, g.committed), storedEditLog(t, g.committed)
 	must.True(t, config.LegacyEdits == nil && config.LegacyRevisions == nil && config.LegacyHistory == nil)
 	must.Eq(t, []string{"z8", "z9"}, config.DrainedZones)
-	must.Len(t, 3, ledger.RoutingEdits)
-	must.Len(t, 3, ledger.Edits)
-	must.Len(t, 3, ledger.History)
+	must.Len(t, 3, editLog.RoutingEdits)
+	must.Len(t, 3, editLog.Edits)
+	must.Len(t, 3, editLog.History)
 
 	g = c.lead(storedIndexPartition, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
-		{"first cut again", storedReshardEdit("cut", "cut-1", storedFirstLiveCut), "ok", 3, 4},
-		{"its id for another one", storedReshardEdit("cut", "cut-1", storedSecondLiveCut), "conflict", 4, 5},
-		{"another cut", storedReshardEdit("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
+		{"first resharding repeated", storedReshardEdit("cut", "cut-1", storedFirstReshard), "ok", 3, 4},
+		{"the same id with different content", storedReshardEdit("cut", "cut-1", storedSecondReshard), "conflict", 4, 5},
+		{"another resharding", storedReshardEdit("cut", "cut-3", wire.ShardMap{Next: "c3", NextShards: 2}), "ok", 4, 6},
 	})
 }
