--- a/cmd/lab/cover.go
+++ b/cmd/lab/cover.go
@@ -9,15 +9,15 @@
 	"wallport/lab/rules"
 )
 
-// cover prints how often each was met, and returns what never was.
-func cover(sums, tested map[string]int64) (never []string) {
+// printCoverage prints how often each was tested and returns the names of those that never were.
+func printCoverage(sums, tested map[string]int64) (unmet []string) {
 	print := func(title, prefix string, names []string, from map[string]int64) {
 		fmt.Println(title)
 		for _, name := range names {
 			n := from[prefix+name]
 			fmt.Printf("  %-32s %d\n", name, n)
 			if n == 0 {
-				never = append(never, title+" "+name)
+				unmet = append(unmet, title+" "+name)
 			}
 		}
 	}
@@ -25,5 +25,5 @@
 	print("kind", "kind.", kinds, sums)
 	print("way", "way.", ways, sums)
 	print("rule", "", rules.Names(), tested)
-	return never
+	return unmet
 }
--- a/cmd/lab/draw.go
+++ b/cmd/lab/draw.go
@@ -13,10 +13,10 @@
 	"wallport/lab/sim"
 )
 
-// drawn makes the scenarios; odd and even numbers take the two deployments in turn.
-func (c *simCmd) drawn() ([]simJob, error) {
+// drawJobs makes the scenarios; odd and even numbers take the two deployments in turn.
+func (c *simCmd) drawJobs() ([]simJob, error) {
 	var jobs []simJob
-	met := map[string]map[string]int{}
+	pairCounts := map[string]map[string]int{}
 	for i := range c.Draw {
 		n := c.Seed + i
 		if c.Days || c.Site != "" {
@@ -46,22 +46,22 @@
 		}
 		for _, a := range d.Faults {
 			for _, b := range d.Faults {
-				if met[a] == nil {
-					met[a] = map[string]int{}
+				if pairCounts[a] == nil {
+					pairCounts[a] = map[string]int{}
 				}
-				met[a][b]++
+				pairCounts[a][b]++
 			}
 		}
 		jobs = append(jobs, simJob{s: s, seed: n, text: d.Text})
 	}
 	if c.Matrix {
-		matrix(met)
+		printMatrix(pairCounts)
 	}
 	return jobs, nil
 }
 
-// matrix prints how often each pair came together; the diagonal is each alone or with any other.
-func matrix(met map[string]map[string]int) {
+// printMatrix prints how often each pair came together; the diagonal is each alone or with any other.
+func printMatrix(pairCounts map[string]map[string]int) {
 	names := draw.Names()
 	never, least, most := 0, 1<<30, 0
 	fmt.Printf("%-16s", "")
@@ -72,12 +72,12 @@
 	for i, a := range names {
 		fmt.Printf("%2d %-13.13s", i, a)
 		for _, b := range names {
-			fmt.Printf(" %3d", met[a][b])
+			fmt.Printf(" %3d", pairCounts[a][b])
 		}
 		fmt.Println()
 	}
 	for _, p := range draw.Pairs() {
-		n := met[p[0]][p[1]]
+		n := pairCounts[p[0]][p[1]]
 		least, most = min(least, n), max(most, n)
 		if n == 0 {
 			never++
@@ -86,8 +86,8 @@
 	fmt.Printf("pairs=%d never=%d least=%d most=%d\n", len(draw.Pairs()), never, least, most)
 }
 
-// shrunk is the scenario of a failing run, without what the failure does not need.
-func (c *simCmd) shrunk(j simJob, r sim.Result) string {
+// shrinkFailure returns the scenario of a failing run, without what the failure does not need.
+func (c *simCmd) shrinkFailure(j simJob, r sim.Result) string {
 	if !c.Shrink {
 		return ""
 	}
--- a/cmd/lab/folders.go
+++ b/cmd/lab/folders.go
@@ -7,9 +7,9 @@
 	"path/filepath"
 )
 
-// folders fills in what the command line left open: the folder of this program for bin, a new temporary
+// defaultFolders fills in what the command line left open: the folder of this program for bin, a new temporary
 // one, whose name begins as told, for dir.
-func folders(bin, dir *string, prefix string) error {
+func defaultFolders(bin, dir *string, prefix string) error {
 	if *bin == "" {
 		self, err := os.Executable()
 		if err != nil {
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -75,7 +75,7 @@
 func (c *fleetCmd) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := folders(&c.Bin, &c.Dir, "wallport-fleet-"); err != nil {
+	if err := defaultFolders(&c.Bin, &c.Dir, "wallport-fleet-"); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -43,9 +43,9 @@
 func (c *scaleCmd) Execute([]string) error {
 	switch {
 	case c.Simulated:
-		return c.simulated()
+		return c.runSimulated()
 	case c.Healed:
-		return c.healed()
+		return c.measureHealing()
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -79,9 +79,9 @@
 	return os.RemoveAll(dir)
 }
 
-// simulated prints what a process does in each phase; counts that grow faster than the
+// runSimulated prints what a process does in each phase; counts that grow faster than the
 // square root of the fleet fail it.
-func (c *scaleCmd) simulated() error {
+func (c *scaleCmd) runSimulated() error {
 	var sizes []sim.Growth
 	for _, n := range c.Nodes {
 		sizes = append(sizes, sim.Growth{Nodes: n, Cores: c.Cores, Servers: int(float64(n) * c.Servers), Seed: c.Seed, Brief: c.Brief})
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// healed prints the mesh's volume, the times of changes and that of a healed split.
-func (c *scaleCmd) healed() error {
+// measureHealing prints the mesh's volume, the times of changes and that of a healed split.
+func (c *scaleCmd) measureHealing() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "nodes\tmesh frames/s per process\tbytes/s per process\tframes per change\tin force, median ms\tworst ms\tafter a healed split, ms")
 	for _, n := range c.Nodes {
--- a/cmd/lab/sim.go
+++ b/cmd/lab/sim.go
@@ -53,18 +53,18 @@
 	case c.Draw > 0 && len(c.Args.Files) > 0:
 		return errors.New("--draw takes no scenario files")
 	case c.Draw > 0:
-		jobs, err = c.drawn()
+		jobs, err = c.drawJobs()
 	case len(c.Args.Files) == 0:
 		return errors.New("needs scenario files, or --draw N")
 	default:
-		jobs, err = c.files()
+		jobs, err = c.fileJobs()
 	}
 	if err != nil || c.Show {
 		return err
 	}
 	failed := 0
 	sums, tested := map[string]int64{}, map[string]int64{}
-	c.each(jobs, func(j simJob, r sim.Result) {
+	c.runJobs(jobs, func(j simJob, r sim.Result) {
 		for name, n := range r.Counts {
 			sums[name] += n
 		}
@@ -78,7 +78,7 @@
 		}
 		if len(r.Faults) > 0 {
 			failed++
-			c.failed(j, r)
+			c.reportFailure(j, r)
 		}
 	})
 	for _, name := range []string{"refused_for.claims", "refused_for.no_server", "refused_for.server", "refused_for.repeat", "asks_of_isolated"} {
@@ -86,7 +86,7 @@
 	}
 	fmt.Printf("\nruns=%d failed=%d\n", len(jobs), failed)
 	if c.Cover {
-		if never := cover(sums, tested); len(never) > 0 {
+		if never := printCoverage(sums, tested); len(never) > 0 {
 			return fmt.Errorf("never put to the test: %s", strings.Join(never, ", "))
 		}
 	}
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// files reads the scenarios, at the full size of a deployment if one is named.
-func (c *simCmd) files() ([]simJob, error) {
+// fileJobs reads the scenarios, at the full size of a deployment if one is named.
+func (c *simCmd) fileJobs() ([]simJob, error) {
 	var jobs []simJob
 	for _, f := range c.Args.Files {
 		s, err := script.Load(f)
@@ -123,8 +123,8 @@
 	return jobs, nil
 }
 
-// each plays all jobs on all processors and hands over the results one at a time.
-func (c *simCmd) each(jobs []simJob, done func(j simJob, r sim.Result)) {
+// runJobs plays all jobs on all processors and hands over the results one at a time.
+func (c *simCmd) runJobs(jobs []simJob, done func(j simJob, r sim.Result)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next := make(chan simJob)
@@ -149,7 +149,7 @@
 	wg.Wait()
 }
 
-func (c *simCmd) failed(j simJob, r sim.Result) {
+func (c *simCmd) reportFailure(j simJob, r sim.Result) {
 	replay := fmt.Sprintf("lab sim --seed %d --trace", j.seed)
 	switch {
 	case c.Draw > 0 && (c.Days || c.Site != ""):
@@ -174,6 +174,6 @@
 		}
 	}
 	if j.text != "" {
-		fmt.Print(c.shrunk(j, r))
+		fmt.Print(c.shrinkFailure(j, r))
 	}
 }
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -36,7 +36,7 @@
 func (c *soakCmd) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := folders(&c.Bin, &c.Dir, "soak-"); err != nil {
+	if err := defaultFolders(&c.Bin, &c.Dir, "soak-"); err != nil {
 		return err
 	}
 	slots := make(chan struct{}, max(1, c.Jobs))
@@ -47,10 +47,10 @@
 		slots <- struct{}{}
 		all.Go(func() {
 			defer func() { <-slots }()
-			report, err := c.one(ctx, seed)
+			report, err := c.runSeed(ctx, seed)
 			mu.Lock()
 			defer mu.Unlock()
-			if !c.show(seed, report, err) {
+			if !c.printReport(seed, report, err) {
 				failed++
 			}
 		})
@@ -63,13 +63,13 @@
 	return nil
 }
 
-func (c *soakCmd) folder(seed uint64) string {
+func (c *soakCmd) seedFolder(seed uint64) string {
 	return filepath.Join(c.Dir, fmt.Sprintf("seed-%d", seed))
 }
 
-// one carries out the run of one seed; its schedule is written beside its logs.
-func (c *soakCmd) one(ctx context.Context, seed uint64) (*soak.Report, error) {
-	dir := c.folder(seed)
+// runSeed carries out the run of one seed; its schedule is written beside its logs.
+func (c *soakCmd) runSeed(ctx context.Context, seed uint64) (*soak.Report, error) {
+	dir := c.seedFolder(seed)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -97,10 +97,10 @@
 	return report, err
 }
 
-// show prints what a run came to; true is that there is nothing to find fault with.
-func (c *soakCmd) show(seed uint64, r *soak.Report, err error) bool {
+// printReport prints what a run came to; true is that there is nothing to find fault with.
+func (c *soakCmd) printReport(seed uint64, r *soak.Report, err error) bool {
 	if err != nil {
-		fmt.Printf("seed=%d error=%q folder=%s\n", seed, err, c.folder(seed))
+		fmt.Printf("seed=%d error=%q folder=%s\n", seed, err, c.seedFolder(seed))
 		return false
 	}
 	tested, _ := json.Marshal(r.Tested)
@@ -115,10 +115,10 @@
 	}
 	if len(r.Findings) == 0 {
 		if !c.Keep {
-			os.RemoveAll(c.folder(seed))
+			os.RemoveAll(c.seedFolder(seed))
 		}
 		return true
 	}
-	fmt.Printf("  kept in %s; again: lab soak --seed %d --for %v --rate %v --gap %v\n", c.folder(seed), seed, c.For, c.Rate, c.Gap)
+	fmt.Printf("  kept in %s; again: lab soak --seed %d --for %v --rate %v --gap %v\n", c.seedFolder(seed), seed, c.For, c.Rate, c.Gap)
 	return false
 }
--- a/cmd/wallport/admin.go
+++ b/cmd/wallport/admin.go
@@ -86,8 +86,8 @@
 	return encoder.Encode(v)
 }
 
-// printTaken prints the result of a change, or returns its error.
-func printTaken(t *operator.Taken, err error) error {
+// printChange prints the result of a change, or returns its error.
+func printChange(t *operator.Taken, err error) error {
 	if err != nil {
 		return commandError(err)
 	}
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	return printTaken(client.EditSheet(ctx, &operator.EditSheetPayload{
+	return printChange(client.EditSheet(ctx, &operator.EditSheetPayload{
 		Token: e.token(), EditID: optional(e.EditID), BasedOn: base, By: optional(e.By), Edits: edits,
 	}))
 }
--- a/cmd/wallport/config.go
+++ b/cmd/wallport/config.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	return printTaken(client.PutSheet(ctx, &operator.PutSheetPayload{Token: c.token(), EditID: optional(c.EditID), BasedOn: base, By: optional(c.By), Sheet: content}))
+	return printChange(client.PutSheet(ctx, &operator.PutSheetPayload{Token: c.token(), EditID: optional(c.EditID), BasedOn: base, By: optional(c.By), Sheet: content}))
 }
 
 type configEdit struct {
@@ -219,5 +219,5 @@
 	if err != nil {
 		return err
 	}
-	return printTaken(client.ReturnSheet(ctx, &operator.ReturnSheetPayload{Token: c.token(), EditID: optional(c.EditID), BasedOn: base, By: optional(c.By), Stamp: c.Args.Stamp}))
+	return printChange(client.ReturnSheet(ctx, &operator.ReturnSheetPayload{Token: c.token(), EditID: optional(c.EditID), BasedOn: base, By: optional(c.By), Stamp: c.Args.Stamp}))
 }
--- a/cmd/wallport/daemon.go
+++ b/cmd/wallport/daemon.go
@@ -39,7 +39,7 @@
 
 func (c *daemonCmd) run(role string) error {
 	if c.OnPlatform {
-		return onPlatform(role, platformFlags{metricsPort: c.MetricsPort, meshListen: c.MeshListen})
+		return runOnPlatform(role, platformFlags{metricsPort: c.MetricsPort, meshListen: c.MeshListen})
 	}
 	return runDaemon(c.Settings, role)
 }
--- a/cmd/wallport/fleet.go
+++ b/cmd/wallport/fleet.go
@@ -70,7 +70,7 @@
 }
 
 func (e editFlags) changeZone(zone, action string) error {
-	return printTaken(e.client().Zone(context.Background(), &operator.ZonePayload{Token: e.token(), EditID: optional(e.EditID), By: optional(e.By), Zone: zone, Action: action}))
+	return printChange(e.client().Zone(context.Background(), &operator.ZonePayload{Token: e.token(), EditID: optional(e.EditID), By: optional(e.By), Zone: zone, Action: action}))
 }
 
 func (c *zoneDrain) Execute([]string) error   { return c.changeZone(c.Args.Zone, "empty") }
@@ -87,7 +87,7 @@
 }
 
 func (c *reshardCmd) Execute([]string) error {
-	return printTaken(c.client().Cut(context.Background(), &operator.CutPayload{
+	return printChange(c.client().Cut(context.Background(), &operator.CutPayload{
 		Token: c.token(), EditID: optional(c.EditID), By: optional(c.By), Index: c.Args.Index, Cut: c.Args.Cut, Shards: c.Args.Shards,
 	}))
 }
@@ -102,7 +102,7 @@
 }
 
 func (c *rebuildCmd) Execute([]string) error {
-	return printTaken(c.client().Rebuild(context.Background(), &operator.RebuildPayload{Token: c.token(), By: optional(c.By), Part: c.Args.Part}))
+	return printChange(c.client().Rebuild(context.Background(), &operator.RebuildPayload{Token: c.token(), By: optional(c.By), Part: c.Args.Part}))
 }
 
 // membersCmd lists the processes, and then the replicas of the control state.
--- a/cmd/wallport/platform.go
+++ b/cmd/wallport/platform.go
@@ -55,13 +55,13 @@
 	server  *httpapi.Server
 	// seeds are the seeds of the mesh that the process was last told.
 	seeds []string
-	// stopRole ends what the platform calls: the gateway of a node, the control address of a core.
-	stopRole func()
-	failed   chan error
+	// closeRoleListeners ends what the platform calls: the gateway of a node, the control address of a core.
+	closeRoleListeners func()
+	failed             chan error
 }
 
-// onPlatform runs a role with the platform's settings until it is told to stop.
-func onPlatform(role string, flags platformFlags) error {
+// runOnPlatform runs a role with the platform's settings until it is told to stop.
+func runOnPlatform(role string, flags platformFlags) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	path := platform.SettingsPath()
@@ -95,15 +95,15 @@
 		return err
 	}
 	openMetrics(d.process, d.server, configured.Settings, flags.metricsPort)
-	if d.stopRole, err = d.openRole(configured); err != nil {
+	if d.closeRoleListeners, err = d.openRoleListeners(configured); err != nil {
 		d.process.Stop()
 		return err
 	}
 	return nil
 }
 
-// openRole opens what the platform calls: on a node the clients' address and readiness, on a core the control address.
-func (d *platformDaemon) openRole(configured platform.ProcessSettings) (stop func(), err error) {
+// openRoleListeners opens what the platform calls: on a node the clients' address and readiness, on a core the control address.
+func (d *platformDaemon) openRoleListeners(configured platform.ProcessSettings) (stop func(), err error) {
 	if d.role == settings.RoleCore {
 		control := &platform.Control{Call: d.process.Call, Log: platform.AuditLog(d.process.Log)}
 		return control.Serve(configured.Control, d.process.Log, d.failed)
@@ -123,10 +123,10 @@
 				return nil
 			}
 			d.watch.Changed()
-			d.reread()
+			d.reloadSettings()
 		case <-ticker.C:
 			if d.watch.Changed() {
-				d.reread()
+				d.reloadSettings()
 			}
 		case err := <-d.server.Failed():
 			d.process.Stop()
@@ -142,14 +142,14 @@
 func (d *platformDaemon) stop() {
 	d.server.Drain()
 	leaveGroups(d.process)
-	d.stopRole()
+	d.closeRoleListeners()
 	d.server.Stop()
 	d.process.Stop()
 	d.process.Log.Info("stopped")
 }
 
-// reread takes over what may change while a process runs: the seeds. A file with findings changes nothing.
-func (d *platformDaemon) reread() {
+// reloadSettings takes over what may change while a process runs: the seeds. A file with findings changes nothing.
+func (d *platformDaemon) reloadSettings() {
 	configured, found := platform.ReadSettings(d.path, d.role)
 	for _, finding := range found {
 		d.process.Log.Warn("settings_refused", zap.String("place", finding.Location), zap.String("finding", finding.Text))
