--- a/api/design/caller.go
+++ b/api/design/caller.go
@@ -1,10 +1,10 @@
-// The caller's side of the schema: search, read, correct and part fetch.
+// Schema of the caller API: searches, reads, corrections and part fetches.
 
 package design
 
 import . "goa.design/goa/v3/dsl"
 
-// Record is one record of an answer.
+// Record is one record of a result.
 var Record = Type("Record", func() {
 	Attribute("id", String)
 	Attribute("score", Int64)
@@ -12,7 +12,7 @@
 	Required("id", "score")
 })
 
-// Merged is a merged search.
+// Merged is the result of a search, merged from the results of the shards.
 var Merged = Type("Merged", func() {
 	Attribute("inquiry", String, "Id to explain the inquiry by")
 	Attribute("cut", String, "Cut of the index that every shard answered from")
@@ -22,7 +22,7 @@
 	Required("inquiry", "cut", "shards", "missing", "records")
 })
 
-// Single is the answer to a read, a correction or a part fetch.
+// Single is the result of a read, a correction or a part fetch.
 var Single = Type("Single", func() {
 	Attribute("inquiry", String)
 	Attribute("cut", String)
@@ -43,14 +43,16 @@
 	Required("index", "id")
 }
 
-// key is how a repeat is known. An inquiry that is sent again, for whatever reason,
-// carries the key of the first time: a correction or part fetch then runs once, and
-// what a search or read adds is paid from the pool's budget of repeated tries.
+// key adds the idempotency key, which identifies repeated requests. A request that is
+// sent again, for whatever reason, has the same key as the first time. A correction or
+// part fetch then runs only once, and a repeated search or read is charged to the
+// pool's retry budget.
 func key() {
 	Attribute("key", String, "Inquiry key: the same for every sending of one inquiry", func() { MaxLength(128) })
 }
 
-// firstTry lets a key in where so much was lost that nobody can know of earlier tries.
+// firstTry adds the caller's statement that it never sent the key before. With it a key is
+// admitted even if the records of earlier attempts may have been lost.
 func firstTry() {
 	Attribute("first_try", Boolean, "The caller's word that it never sent this key before")
 }
--- a/api/design/design.go
+++ b/api/design/design.go
@@ -1,6 +1,6 @@
-// Package design is wallport's API schema: what callers and operators may
-// send, what they get, and with which status and Retry-After each fault is
-// answered. goa turns it into the servers, clients and OpenAPI pages under gen.
+// Package design is wallport's API schema: the requests of callers and operators,
+// their results, and the status and Retry-After header of each failure. goa
+// generates the servers, clients and OpenAPI documents in the folder gen from it.
 package design
 
 import . "goa.design/goa/v3/dsl"
@@ -14,7 +14,8 @@
 	})
 })
 
-// Failure is the shape of every error. Ran tells "no" from "unknown".
+// Failure is the body of every error response. Its field ran says whether it is certain
+// that the request did not run ("no") or not ("unknown").
 var Failure = Type("Failure", func() {
 	ErrorName("name", String, "Stable code of the fault")
 	Attribute("message", String, "What happened, in words")
@@ -26,7 +27,7 @@
 	Required("name", "message", "ran")
 })
 
-// Finding is one fault in what was sent.
+// Finding is one error in a request, with its location.
 var Finding = Type("Finding", func() {
 	Attribute("place", String, "Row and field")
 	Attribute("text", String, "What is wrong there")
--- a/api/design/operator.go
+++ b/api/design/operator.go
@@ -1,10 +1,10 @@
-// The operator's side of the schema: sheets, bookings, zones, cuts, members.
+// Schema of the operator API: sheets, bookings, zones, cuts and members.
 
 package design
 
 import . "goa.design/goa/v3/dsl"
 
-// Taken tells that a change is committed, and how far it is in force.
+// Taken is the result of a committed change, with the nodes that have it in force.
 var Taken = Type("Taken", func() {
 	Attribute("stamp", String, "Stamp of the change")
 	Attribute("in_force", Int, "Nodes that have it in force")
@@ -12,14 +12,14 @@
 	Required("stamp", "in_force", "laggards")
 })
 
-// SheetNow is the sheet in force at the answering node.
+// SheetNow is the sheet in force on the node that responds.
 var SheetNow = Type("SheetNow", func() {
 	Attribute("stamp", String)
 	Attribute("sheet", Any)
 	Required("stamp", "sheet")
 })
 
-// PastSheet is an earlier sheet.
+// PastSheet is a sheet that was in force before.
 var PastSheet = Type("PastSheet", func() {
 	Attribute("stamp", String)
 	Attribute("by", String)
@@ -27,7 +27,7 @@
 	Required("stamp", "by", "sheet")
 })
 
-// Status is a node's or core's own view.
+// Status is the state of a node or core.
 var Status = Type("Status", func() {
 	Attribute("name", String)
 	Attribute("role", String)
@@ -41,7 +41,7 @@
 	Required("name", "role", "zone", "addr", "live", "in_force")
 })
 
-// ServerStatus is the merged verdict on a backend.
+// ServerStatus is a backend with its health state, merged from the reports of all nodes.
 var ServerStatus = Type("ServerStatus", func() {
 	Attribute("id", String)
 	Attribute("addr", String)
--- a/api/design/status.go
+++ b/api/design/status.go
@@ -1,4 +1,4 @@
-// The schema of what operators are shown of the control state's replicas.
+// Schema of the state of the control state's replicas, as operators see it.
 
 package design
 
