--- a/cmd/wallport/admin.go
+++ b/cmd/wallport/admin.go
@@ -17,10 +17,10 @@
 	"wallport/request/httpapi"
 )
 
-// requestTimeout bounds a call of the operator API.
+// requestTimeout limits the duration of a call of the operator API.
 const requestTimeout = 15 * time.Second
 
-// remoteFlags say which node to call, and with which token.
+// remoteFlags select the node to call and the operator token to send.
 type remoteFlags struct {
 	Addr  string `long:"operator" description:"IP:port of any node's operator API" default:"127.0.0.1:9001" env:"WALLPORT_OPERATOR"`
 	Token string `long:"operator-token" description:"the operator token" env:"WALLPORT_OPERATOR_TOKEN"`
@@ -34,7 +34,7 @@
 	)
 }
 
-// token returns the value of the Authorization header; nil without a token.
+// token returns the value of the Authorization header, nil if no token is set.
 func (r remoteFlags) token() *string {
 	if r.Token == "" {
 		return nil
@@ -43,7 +43,7 @@
 	return &header
 }
 
-// optional returns an optional field: nil for an empty text.
+// optional returns the value of an optional field: nil for an empty string.
 func optional(s string) *string {
 	if s == "" {
 		return nil
@@ -51,7 +51,7 @@
 	return &s
 }
 
-// exitCodes are the exit codes of failures by their names; any other failure is exitFailed.
+// exitCodes maps the names of failures to exit codes. The exit code of any other failure is exitFailed.
 var exitCodes = map[string]int{
 	httpapi.FailureMalformed:      exitInvalid,
 	httpapi.FailureConflict:       exitInvalid,
@@ -60,7 +60,7 @@
 	httpapi.FailureOverloaded:     exitOverloaded,
 }
 
-// commandError turns an error of the operator API into a message and the exit code that it stands for.
+// commandError converts an error of the operator API to an exitError with its message, findings and exit code.
 func commandError(err error) error {
 	var failure *operator.Failure
 	if !errors.As(err, &failure) {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// adminCmd are the sub-commands of admin.
+// adminCmd contains the sub-commands of admin.
 type adminCmd struct {
 	Config   configCmd   `command:"sheet" description:"get, check, put or edit the sheet"`
 	Booking  bookingCmd  `command:"booking" description:"add or remove a booking"`
@@ -106,7 +106,7 @@
 	Backends backendsCmd `command:"servers" description:"list back ends and the verdict on each"`
 }
 
-// editFlags are the flags of every command that changes something.
+// editFlags are the flags of all commands that change the state of the fleet.
 type editFlags struct {
 	remoteFlags
 	EditID  string `long:"edit-id" description:"id under which a retry of this edit gets the first answer"`
@@ -114,7 +114,7 @@
 	By      string `long:"by" description:"who, for the audit" env:"USER"`
 }
 
-// baseVersion returns the version that the edit is based on: the one given, or else the one in force.
+// baseVersion returns the version that the edit is based on: that of --based-on or, without it, the one in force.
 func (e editFlags) baseVersion(ctx context.Context, c *operator.Client) (*string, error) {
 	if e.BasedOn != "" {
 		return &e.BasedOn, nil
@@ -126,7 +126,7 @@
 	return &now.Stamp, nil
 }
 
-// sendEdits sends row edits.
+// sendEdits sends row edits as one change and prints the result.
 func (e editFlags) sendEdits(edits []*operator.RowEdit) error {
 	ctx, client := context.Background(), e.client()
 	base, err := e.baseVersion(ctx, client)
--- a/cmd/wallport/config.go
+++ b/cmd/wallport/config.go
@@ -15,7 +15,7 @@
 	"wallport/runtime/wire"
 )
 
-// configCmd are the sub-commands about the configuration, which users know as the sheet.
+// configCmd contains the sub-commands for the configuration, which users know as the sheet.
 type configCmd struct {
 	Get     configGet     `command:"get" description:"show the sheet and its stamp"`
 	Check   configCheck   `command:"check" description:"check a sheet file without changing anything"`
@@ -26,7 +26,7 @@
 	Revert  configRevert  `command:"return" description:"put an earlier sheet in force again, under a new stamp"`
 }
 
-// readJSON reads a JSON file, or standard input where the name is "-".
+// readJSON reads a JSON file, or standard input if the name is "-".
 func readJSON(file string) (json.RawMessage, error) {
 	b, err := os.ReadFile(file)
 	if file == "-" {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// parseConfig reads the configuration in a response of the API.
+// parseConfig parses the configuration in a response of the operator API.
 func parseConfig(v any) (*configpb.Sheet, error) {
 	encoded, err := json.Marshal(v)
 	if err != nil {
@@ -167,12 +167,12 @@
 	}
 	s, found := config.Read(encoded)
 	if len(found) > 0 {
-		return nil, exitError{exitFailed, "the node's sheet cannot be read: " + findingLines(found)}
+		return nil, exitError{exitFailed, "the sheet in the node's response cannot be parsed: " + findingLines(found)}
 	}
 	return s, nil
 }
 
-// findingLines returns the findings as sorted lines.
+// findingLines returns the findings as sorted lines of text.
 func findingLines(found []wire.Finding) string {
 	var out []string
 	for _, f := range found {
--- a/cmd/wallport/daemon.go
+++ b/cmd/wallport/daemon.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	// The plug-ins register themselves.
+	// Imported for registration: each package registers its plug-in.
 	_ "wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
 	_ "wallport/control/operations"
@@ -24,7 +24,7 @@
 	"wallport/runtime/settings"
 )
 
-// daemonCmd are the flags of a role: the settings, and where else to take them from.
+// daemonCmd contains the flags of a role: its settings, or that they are read from the platform's settings file.
 type daemonCmd struct {
 	settings.Settings
 	OnPlatform  bool   `long:"on-platform" description:"take everything from the platform's settings file, which WALLPORT_CONFIG names"`
@@ -44,7 +44,7 @@
 	return runDaemon(c.Settings, role)
 }
 
-// checkEnvCmd lists the findings about a settings file.
+// checkEnvCmd checks a settings file and prints the findings.
 type checkEnvCmd struct {
 	Role       string `long:"role" choice:"node" choice:"core" default:"node" description:"the role it is for"`
 	OnPlatform bool   `long:"on-platform" description:"FILE is the platform's settings file"`
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// runDaemon runs a role with the settings of the command line and its env file until it is told to stop.
+// runDaemon runs a role with the settings of the command line and its env file until it receives SIGTERM or SIGINT, or
+// until a listener fails.
 func runDaemon(set settings.Settings, role string) error {
 	if found := settings.Load(&set, role); len(found) > 0 {
 		return exitError{exitInvalid, found.Error()}
@@ -89,7 +90,7 @@
 	log.Info("started", zap.String("release", release), zap.String("role", role), zap.String("zone", set.Zone), zap.String("mesh", set.Mesh),
 		zap.String("caller", set.Caller), zap.String("operator", set.Operator), zap.Bool("authorisation", set.OperatorToken != ""), zap.Bool("fleet_secret", set.FleetSecret != ""))
 	if role == settings.RoleNode && set.OperatorToken == "" {
-		log.Warn("authorisation_off", zap.String("reason", "no operator token is set; anyone who reaches the operator API may change the fleet"))
+		log.Warn("authorisation_off", zap.String("reason", "no operator token is set; anyone who can reach the operator API can change the fleet"))
 	}
 	select {
 	case <-signals:
--- a/cmd/wallport/fleet.go
+++ b/cmd/wallport/fleet.go
@@ -11,7 +11,7 @@
 	"wallport/gen/operator"
 )
 
-// bookingCmd are the sub-commands about bookings, which are rows of the configuration.
+// bookingCmd contains the sub-commands for bookings, which are rows of the configuration.
 type bookingCmd struct {
 	Add    bookingAdd    `command:"add" description:"book a slice of a pool for a window of time"`
 	Remove bookingRemove `command:"remove" description:"remove a booking"`
@@ -49,7 +49,7 @@
 	return c.sendEdits([]*operator.RowEdit{{Op: "remove", Table: "bookings", Row: map[string]any{"id": c.ID}}})
 }
 
-// zoneCmd drains zones and restores them.
+// zoneCmd contains the sub-commands that drain and restore a zone.
 type zoneCmd struct {
 	Drain   zoneDrain   `command:"empty" description:"give a zone's back ends no more work"`
 	Restore zoneRestore `command:"refill" description:"give them work again"`
@@ -92,7 +92,7 @@
 	}))
 }
 
-// rebuildCmd makes a partition's group anew.
+// rebuildCmd rebuilds the replica group of a partition of the control state, after a majority of its disks was lost.
 type rebuildCmd struct {
 	editFlags
 	Sure bool `long:"the-old-disks-are-gone" required:"yes" description:"say that the lost disks will never come back"`
@@ -105,7 +105,7 @@
 	return printChange(c.client().Rebuild(context.Background(), &operator.RebuildPayload{Token: c.token(), By: optional(c.By), Part: c.Args.Part}))
 }
 
-// membersCmd lists the processes, and then the replicas of the control state.
+// membersCmd lists the processes of the fleet and then the replicas of the control state.
 type membersCmd struct{ remoteFlags }
 
 func (c *membersCmd) Execute([]string) error {
@@ -124,7 +124,7 @@
 	return c.replicas()
 }
 
-// replicas prints the replicas that the cores report, by partition.
+// replicas prints one line for each replica, with its partition and core.
 func (c *membersCmd) replicas() error {
 	list, err := c.client().Replicas(context.Background(), &operator.ReplicasPayload{Token: c.token()})
 	if err != nil {
@@ -142,10 +142,10 @@
 	return w.Flush()
 }
 
-// isTrue reports whether an optional field is there and true.
+// isTrue reports whether an optional field is set and true.
 func isTrue(b *bool) bool { return b != nil && *b }
 
-// orDash returns the text of an optional field, or "-" for an empty one.
+// orDash returns the value of an optional field, or "-" if it is not set or empty.
 func orDash(s *string) string {
 	if s == nil || *s == "" {
 		return "-"
@@ -153,7 +153,7 @@
 	return *s
 }
 
-// backendsCmd lists the backends.
+// backendsCmd lists the backends with their health.
 type backendsCmd struct{ remoteFlags }
 
 func (c *backendsCmd) Execute([]string) error {
--- a/cmd/wallport/gateway.go
+++ b/cmd/wallport/gateway.go
@@ -14,11 +14,11 @@
 	"wallport/runtime/process"
 )
 
-// thawTimeout bounds how long a request waits after a freeze for a fresh snapshot.
+// thawTimeout limits how long a request waits for an up-to-date snapshot after the process was frozen.
 const thawTimeout = 500 * time.Millisecond
 
-// openGateway serves the platform's clients and the readiness page, over one dispatcher and one client of the backends,
-// until stop is called. The error of a listener that ends by itself is sent to failed.
+// openGateway opens the listeners for the platform's clients and its readiness checks. All requests share one dispatcher
+// and one backend client. The listeners are open until stop is called; if one fails before that, its error is sent to failed.
 func openGateway(p *process.Process, operators *httpapi.Server, configured platform.ProcessSettings, failed chan<- error) (stop func(), err error) {
 	set, table := p.Kernel.Boot.Settings, kernel.Find[*snapshot.Table](p.Kernel)
 	dispatcher := dispatch.NewDispatcher(dispatch.Config{
--- a/cmd/wallport/hangup.go
+++ b/cmd/wallport/hangup.go
@@ -1,6 +1,6 @@
-// The platform sends SIGHUP when the settings file has changed. It may arrive before the Go runtime and the packages are
-// initialised, when its default action would end the process. It is ignored until its handler is installed: the file is
-// read after that anyway.
+// The platform sends SIGHUP when the settings file has changed. The signal may arrive before the Go runtime and the
+// packages are initialised, when its default action would end the process. It is therefore ignored until its handler is
+// installed. No change is missed, because the file is read only after that.
 
 package main
 
@@ -8,8 +8,8 @@
 #include <signal.h>
 #include <string.h>
 
-// ignoreHangup runs before the runtime; the C library hands the command line to it. What is ignored
-// here the runtime leaves so until somebody asks for it.
+// ignoreHangup runs before the Go runtime starts; the C library passes the command line to it. The runtime
+// leaves the signal ignored until the program calls signal.Notify for it.
 static void __attribute__((constructor)) ignoreHangup(int argc, char **argv) {
 	for (int i = 1; i < argc; i++)
 		if (strcmp(argv[i], "--on-platform") == 0)
--- a/cmd/wallport/hangup_test.go
+++ b/cmd/wallport/hangup_test.go
@@ -16,7 +16,7 @@
 var ignoredAtStart = signal.Ignored(syscall.SIGHUP)
 
 // printIgnoredArgument is the argument with which this program prints ignoredAtStart instead of running tests.
-const printIgnoredArgument = "tells-whether-hangup-is-ignored"
+const printIgnoredArgument = "print-whether-sighup-is-ignored"
 
 func TestMain(m *testing.M) {
 	if slices.Contains(os.Args, printIgnoredArgument) {
@@ -27,8 +27,8 @@
 }
 
 func TestHangupIsIgnoredDuringStartOnPlatform(t *testing.T) {
-	// A signal that this process ignores, as under nohup, would be ignored in its children too; one that it
-	// catches is not.
+	// Child processes inherit an ignored signal, as under nohup, but not a caught one. SIGHUP is caught here so
+	// that the child starts with its default action.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	t.Cleanup(func() { signal.Stop(hangups) })
--- a/cmd/wallport/leave.go
+++ b/cmd/wallport/leave.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// leavePollInterval is the time between two looks whether a stopping core has left its groups.
+	// leavePollInterval is the interval at which a stopping core checks whether it has left its replica groups.
 	leavePollInterval = 10 * time.Millisecond
-	// finalSendDelay is how long the last frames have to leave the process.
+	// finalSendDelay is the time that the last frames have to be sent before the process ends.
 	finalSendDelay = 50 * time.Millisecond
 )
 
-// leaveGroups waits until a stopping core leads no group and votes in none, at most for replica.LeaveWithin: where no
-// other core can take its place, it stays a voter to the end. On a node it returns at once.
+// leaveGroups waits until a stopping core is neither leader nor voter of any replica group, but at most for
+// replica.LeaveTimeout: if no other core can replace it, it remains a voter until the process ends. On a node it returns
+// immediately.
 func leaveGroups(p *process.Process) {
 	host := kernel.Find[*replica.Host](p.Kernel)
 	if host == nil {
--- a/cmd/wallport/logger.go
+++ b/cmd/wallport/logger.go
@@ -11,9 +11,9 @@
 	"wallport/runtime/asynclog"
 )
 
-// newLogger returns a logger that writes lines in logfmt to standard error, each with the name of the process. A reader
-// that is slow or gone does not block it: lines are dropped then, and counted in a line of their own. An unknown
-// level means "info".
+// newLogger returns a logger that writes logfmt lines with the name of the process to standard error. It does not block
+// if the reader of standard error is slow or gone: it then drops lines and logs their number in a separate line. An
+// unknown level means "info".
 func newLogger(level, name string) *zap.Logger {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -25,7 +25,7 @@
 	return zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(encoding), asynclog.New(os.Stderr, lostLinesRecord), minLevel)).With(zap.String("who", name))
 }
 
-// lostLinesRecord returns the line that counts the lines dropped.
+// lostLinesRecord returns the log line with the number of dropped lines.
 func lostLinesRecord(n int) []byte {
 	return fmt.Appendf(nil, "level=warn event=log_lines_lost n=%d\n", n)
 }
--- a/cmd/wallport/logger_test.go
+++ b/cmd/wallport/logger_test.go
@@ -10,10 +10,10 @@
 	"go.uber.org/zap"
 )
 
-// hangTimeout is how long a test waits for what must not block: only a hang lasts so long.
+// hangTimeout limits the wait for an operation that must not block. Only a hang takes that long.
 const hangTimeout = 10 * time.Second
 
-// replaceStderrWithUnreadPipe makes standard error a pipe that nobody reads, until the test ends.
+// replaceStderrWithUnreadPipe replaces standard error by a pipe without a reader until the test ends.
 func replaceStderrWithUnreadPipe(t *testing.T) {
 	t.Helper()
 	read, write, err := os.Pipe()
@@ -43,6 +43,6 @@
 	select {
 	case <-written:
 	case <-ctx.Done():
-		t.Fatal("a line waits for the log's reader")
+		t.Fatal("the logger blocked on a standard error that is not read")
 	}
 }
--- a/cmd/wallport/main.go
+++ b/cmd/wallport/main.go
@@ -1,7 +1,7 @@
 // Command wallport is the whole product. Its sub-commands run the two roles, node and core, and operate a fleet.
 //
-// The package has the command lines, the printing of results and the wiring of the roles; everything else is
-// in packages of its own.
+// This package parses the command lines, prints results and connects the components of each role; everything else
+// is in separate packages.
 package main
 
 import (
@@ -12,24 +12,24 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// release is the program's release. It is a variable so that the linker can set it.
+// release is the version of the program. It is a variable so that the linker can set it.
 var release = "0.1.0"
 
 // Exit codes, for scripts.
 const (
 	exitFailed = 1
 	exitUsage  = 2
-	// exitInvalid: settings or a configuration have findings, which were printed.
+	// exitInvalid means that settings or a configuration have findings, which were printed.
 	exitInvalid = 3
-	// exitLostRace: another edit was committed first.
+	// exitLostRace means that another edit was committed first.
 	exitLostRace = 4
-	// exitUnknown: the edit may or may not be committed; the same edit id makes a retry harmless.
+	// exitUnknown means that the edit may or may not have been committed. A retry with the same edit id is safe.
 	exitUnknown = 5
-	// exitOverloaded: nothing was changed, the command may be tried again.
+	// exitOverloaded means that nothing was changed and the command may be retried.
 	exitOverloaded = 6
 )
 
-// exitError is an error with the exit code that it stands for.
+// exitError is an error with the exit code of the command.
 type exitError struct {
 	code int
 	text string
@@ -37,7 +37,7 @@
 
 func (c exitError) Error() string { return c.text }
 
-// options are the sub-commands.
+// options contains the sub-commands and global flags.
 type options struct {
 	Release  func()      `long:"version" description:"show the release and exit"`
 	Node     nodeCmd     `command:"node" description:"run a node: mesh, caller API, operator API; needs no disk"`
--- a/cmd/wallport/platform.go
+++ b/cmd/wallport/platform.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// heapShare is the share of the machine's memory that the heap may take. The rest is for stacks, buffers of
-	// connections and bytes that have arrived unread.
+	// heapShare is the fraction of the machine's memory that the heap may use. The remaining memory is for stacks,
+	// buffers of connections, and received bytes that have not been read yet.
 	heapShare = 0.6
 	gcPercent = 200
-	// watchInterval is the time between two looks at the settings file.
+	// watchInterval is the interval at which the settings file is checked for changes.
 	watchInterval = time.Second
 )
 
-// limitRuntime bounds the processors and the memory that this process uses.
+// limitRuntime limits the processors and the memory that this process uses.
 func limitRuntime(machine settings.Machine) {
 	runtime.GOMAXPROCS(1)
 	if machine.MemoryMB > 0 {
@@ -39,10 +39,10 @@
 	debug.SetGCPercent(gcPercent)
 }
 
-// platformFlags are what the command line adds to the platform's settings.
+// platformFlags are the command-line flags that add to the platform's settings.
 type platformFlags struct {
 	metricsPort uint16
-	// meshListen is where the mesh listens, where that is not the address that others reach.
+	// meshListen is the listen address of the mesh if it differs from the address at which others reach it.
 	meshListen string
 }
 
@@ -53,19 +53,19 @@
 	watch   *platform.SettingsWatch
 	process *process.Process
 	server  *httpapi.Server
-	// seeds are the seeds of the mesh that the process was last told.
+	// seeds are the mesh seeds that were last passed to the process.
 	seeds []string
-	// closeRoleListeners ends what the platform calls: the gateway of a node, the control address of a core.
+	// closeRoleListeners closes what openRoleListeners opened: the gateway of a node or the control address of a core.
 	closeRoleListeners func()
 	failed             chan error
 }
 
-// runOnPlatform runs a role with the platform's settings until it is told to stop.
+// runOnPlatform runs a role with the platform's settings until it receives SIGTERM or SIGINT, or until a listener fails.
 func runOnPlatform(role string, flags platformFlags) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	path := platform.SettingsPath()
-	// The watch begins before the file is read: a change in between is noticed.
+	// The watch starts before the file is read, so that a change in between is noticed.
 	watch := platform.NewSettingsWatch(path)
 	configured, found := platform.ReadSettings(path, role)
 	if len(found) > 0 {
@@ -102,7 +102,8 @@
 	return nil
 }
 
-// openRoleListeners opens what the platform calls: on a node the clients' address and readiness, on a core the control address.
+// openRoleListeners opens the addresses that the platform calls: on a node those for clients and readiness checks, on a
+// core the control address.
 func (d *platformDaemon) openRoleListeners(configured platform.ProcessSettings) (stop func(), err error) {
 	if d.role == settings.RoleCore {
 		control := &platform.Control{Call: d.process.Call, Log: platform.AuditLog(d.process.Log)}
@@ -111,7 +112,7 @@
 	return openGateway(d.process, d.server, configured, d.failed)
 }
 
-// run waits for signals, changes of the settings file and failures, until the daemon ends.
+// run handles signals, changes of the settings file and failures of listeners until the daemon ends.
 func (d *platformDaemon) run(signals <-chan os.Signal) error {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -138,7 +139,7 @@
 	}
 }
 
-// stop is the planned stop.
+// stop carries out a planned stop: the process drains and leaves its replica groups before its listeners close.
 func (d *platformDaemon) stop() {
 	d.server.Drain()
 	leaveGroups(d.process)
@@ -148,7 +149,8 @@
 	d.process.Log.Info("stopped")
 }
 
-// reloadSettings takes over what may change while a process runs: the seeds. A file with findings changes nothing.
+// reloadSettings reads the settings file again and applies the seeds, the only setting that may change while a process
+// runs. A file with findings changes nothing.
 func (d *platformDaemon) reloadSettings() {
 	configured, found := platform.ReadSettings(d.path, d.role)
 	for _, finding := range found {
@@ -162,8 +164,8 @@
 	d.process.Post(kernel.SeedsChanged{Seeds: slices.Clone(d.seeds)})
 }
 
-// openMetrics serves the metrics on a port of the machine's address; 0 means on none. A port that cannot be had is only logged: the
-// operators' address has the metrics as well.
+// openMetrics serves the metrics on a port of the machine's address; with port 0 it does nothing. If the port cannot be
+// opened, the error is only logged, because the operators' address serves the metrics too.
 func openMetrics(p *process.Process, server *httpapi.Server, set settings.Settings, port uint16) {
 	if port == 0 {
 		return
