--- a/cmd/lab/cover.go
+++ b/cmd/lab/cover.go
@@ -1,4 +1,4 @@
-// What a sweep of drawn days put to the test: each kind of fault, each of its ways, and each rule.
+// Coverage of a series of random days: how often each kind of fault, each of its modes, and each rule was tested.
 
 package main
 
--- a/cmd/lab/draw.go
+++ b/cmd/lab/draw.go
@@ -1,5 +1,5 @@
-// Drawn scenarios: making them, shrinking one that fails, and the matrix of
-// which failures came together.
+// Random scenarios: generating them, shrinking one that fails, and the matrix of
+// the failures that were combined.
 
 package main
 
@@ -13,7 +13,8 @@
 	"wallport/lab/sim"
 )
 
-// drawJobs makes the scenarios; odd and even numbers take the two deployments in turn.
+// drawJobs generates random scenarios. If no shape is set, odd and even numbers run on the two deployments alternately,
+// in an order that changes after each round of all pairs of failures.
 func (c *simCmd) drawJobs() ([]simJob, error) {
 	var jobs []simJob
 	pairCounts := map[string]map[string]int{}
@@ -33,7 +34,7 @@
 		}
 		shape := c.Shape
 		if shape == "" {
-			// Every pair of failures meets both shapes within two rounds of all pairs.
+			// Every pair of failures runs on both shapes within two rounds of all pairs.
 			shape = []string{"trust", "registry"}[(n+n/uint64(len(draw.Pairs())))%2]
 		}
 		d := draw.Make(n, fleet.Shapes[shape], c.Rate)
@@ -60,7 +61,7 @@
 	return jobs, nil
 }
 
-// printMatrix prints how often each pair came together; the diagonal is each alone or with any other.
+// printMatrix prints how often each pair of failures was combined. The diagonal counts the scenarios with each failure.
 func printMatrix(pairCounts map[string]map[string]int) {
 	names := draw.Names()
 	never, least, most := 0, 1<<30, 0
@@ -86,7 +87,8 @@
 	fmt.Printf("pairs=%d never=%d least=%d most=%d\n", len(draw.Pairs()), never, least, most)
 }
 
-// shrinkFailure returns the scenario of a failing run, without what the failure does not need.
+// shrinkFailure returns the scenario of a failing run without the lines that the failure does not need. It returns an
+// empty string without --shrink.
 func (c *simCmd) shrinkFailure(j simJob, r sim.Result) string {
 	if !c.Shrink {
 		return ""
--- a/cmd/lab/folders.go
+++ b/cmd/lab/folders.go
@@ -1,4 +1,4 @@
-// Folders of a command's programs and of what it leaves.
+// Default folders for the programs that a command runs and for its output.
 
 package main
 
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// defaultFolders fills in what the command line left open: the folder of this program for bin, a new temporary
-// one, whose name begins as told, for dir.
+// defaultFolders sets the folders that the command line left empty: bin to the folder of this program, dir to a
+// new temporary folder whose name begins with prefix.
 func defaultFolders(bin, dir *string, prefix string) error {
 	if *bin == "" {
 		self, err := os.Executable()
--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -1,4 +1,4 @@
-// The load runs' command.
+// The command load: load runs on real processes.
 
 package main
 
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,5 +1,5 @@
-// Command lab holds the stand-ins and runners that wallport is tested with. It
-// is no part of the product.
+// Command lab contains the simulated peers and the test runners with which wallport
+// is tested. It is not part of the product.
 package main
 
 import (
--- a/cmd/lab/model.go
+++ b/cmd/lab/model.go
@@ -1,5 +1,5 @@
-// The model checker's command: explore every configuration up to a bound, then
-// walk at random beyond it.
+// The command model: the model checker explores every configuration up to a bound,
+// then makes random walks beyond it.
 
 package main
 
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// explore prints what one configuration came to, and gives the number of failures.
+// explore explores one configuration, prints the result and returns the number of failures.
 func (c *modelCmd) explore(config model.Config) int {
 	began := time.Now()
 	w := model.NewWorld(config)
 	r := w.Explore(model.Bound{Depth: c.Depth, States: c.States})
-	fmt.Printf("%v\n   %v\n   brought about %+v in %.1f s\n", w, r, w.Seen, time.Since(began).Seconds())
+	fmt.Printf("%v\n   %v\n   counted %+v in %.1f s\n", w, r, w.Seen, time.Since(began).Seconds())
 	return printFailure(r.Failure)
 }
 
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -1,5 +1,6 @@
-// The measurement of the control plane's growth: on real and hollow processes, and on
-// simulated time; and the hosts of hollow processes that it starts.
+// The commands scale and hollow. scale measures how the cost of the control plane grows with
+// the fleet, on real and hollow processes or on simulated time; hollow hosts the hollow processes
+// that scale starts.
 
 package main
 
@@ -79,8 +80,8 @@
 	return os.RemoveAll(dir)
 }
 
-// runSimulated prints what a process does in each phase; counts that grow faster than the
-// square root of the fleet fail it.
+// runSimulated prints counts of what a process does in each phase. It fails if a count grows
+// faster than the square root of the fleet's size.
 func (c *scaleCmd) runSimulated() error {
 	var sizes []sim.Growth
 	for _, n := range c.Nodes {
@@ -102,10 +103,11 @@
 	return nil
 }
 
-// measureHealing prints the mesh's volume, the times of changes and that of a healed split.
+// measureHealing prints the traffic of the mesh, the time until changes are in force, and the time until the fleet agrees
+// after a network partition has healed.
 func (c *scaleCmd) measureHealing() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "nodes\tmesh frames/s per process\tbytes/s per process\tframes per change\tin force, median ms\tworst ms\tafter a healed split, ms")
+	fmt.Fprintln(w, "nodes\tmesh frames/s per process\tbytes/s per process\tframes per change\tin force, median ms\tworst ms\tagreement after a healed partition, ms")
 	for _, n := range c.Nodes {
 		r, err := sim.Scale(n, c.Seed)
 		if err != nil {
--- a/cmd/lab/sim.go
+++ b/cmd/lab/sim.go
@@ -1,6 +1,6 @@
-// The simulator's command: one run, or a sweep of seeds that prints each
-// failing one with the command that replays it, on the scenarios' own shapes or
-// at the full size of a deployment.
+// The command sim: one simulated run, or a run for each of several seeds. It prints
+// each failing seed with the command that replays it. Runs have the scenarios' own
+// sizes or the full size of a deployment.
 
 package main
 
@@ -51,11 +51,11 @@
 	var err error
 	switch {
 	case c.Draw > 0 && len(c.Args.Files) > 0:
-		return errors.New("--draw takes no scenario files")
+		return errors.New("--draw cannot be combined with scenario files")
 	case c.Draw > 0:
 		jobs, err = c.drawJobs()
 	case len(c.Args.Files) == 0:
-		return errors.New("needs scenario files, or --draw N")
+		return errors.New("scenario files or --draw N are required")
 	default:
 		jobs, err = c.fileJobs()
 	}
@@ -87,7 +87,7 @@
 	fmt.Printf("\nruns=%d failed=%d\n", len(jobs), failed)
 	if c.Cover {
 		if never := printCoverage(sums, tested); len(never) > 0 {
-			return fmt.Errorf("never put to the test: %s", strings.Join(never, ", "))
+			return fmt.Errorf("never tested: %s", strings.Join(never, ", "))
 		}
 	}
 	if failed > 0 {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// fileJobs reads the scenarios, at the full size of a deployment if one is named.
+// fileJobs reads the scenario files, and sets them to the full size of a deployment if one is named.
 func (c *simCmd) fileJobs() ([]simJob, error) {
 	var jobs []simJob
 	for _, f := range c.Args.Files {
@@ -123,7 +123,7 @@
 	return jobs, nil
 }
 
-// runJobs plays all jobs on all processors and hands over the results one at a time.
+// runJobs runs all jobs on all processors and calls done with each result, for one result at a time.
 func (c *simCmd) runJobs(jobs []simJob, done func(j simJob, r sim.Result)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -1,5 +1,5 @@
-// The soak's command: real processes on the platform's path under overlapping faults, one run for each seed.
-// What a failing seed left is kept.
+// The command soak: real processes in the users' platform's set-up under overlapping faults, one run for each seed.
+// The folder of a failing run is kept.
 
 package main
 
@@ -67,7 +67,7 @@
 	return filepath.Join(c.Dir, fmt.Sprintf("seed-%d", seed))
 }
 
-// runSeed carries out the run of one seed; its schedule is written beside its logs.
+// runSeed carries out the run of one seed and writes its schedule to events.txt in the folder of its logs.
 func (c *soakCmd) runSeed(ctx context.Context, seed uint64) (*soak.Report, error) {
 	dir := c.seedFolder(seed)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -97,7 +97,8 @@
 	return report, err
 }
 
-// printReport prints what a run came to; true is that there is nothing to find fault with.
+// printReport prints the result of a run and reports whether the run had neither an error nor findings. It removes the
+// folder of a run without findings unless --keep is set.
 func (c *soakCmd) printReport(seed uint64, r *soak.Report, err error) bool {
 	if err != nil {
 		fmt.Printf("seed=%d error=%q folder=%s\n", seed, err, c.seedFolder(seed))
@@ -119,6 +120,6 @@
 		}
 		return true
 	}
-	fmt.Printf("  kept in %s; again: lab soak --seed %d --for %v --rate %v --gap %v\n", c.seedFolder(seed), seed, c.For, c.Rate, c.Gap)
+	fmt.Printf("  kept in %s; replay: lab soak --seed %d --for %v --rate %v --gap %v\n", c.seedFolder(seed), seed, c.For, c.Rate, c.Gap)
 	return false
 }
--- a/cmd/lab/tail.go
+++ b/cmd/lab/tail.go
@@ -1,4 +1,4 @@
-// The tail of requests that wait for many parts, drawn with a seed.
+// The command tail: the tail latency of requests that wait for many parts, on random times from a seed.
 
 package main
 
@@ -19,7 +19,7 @@
 }
 
 func (c *tailCmd) Execute([]string) error {
-	fmt.Printf("a share of %.3g of parts over %.0f ms makes one request in a hundred late; %.3g if each is asked again\n",
+	fmt.Printf("one request in a hundred is late if a fraction of %.3g of the parts takes more than %.0f ms; %.3g with a second attempt for each slow part\n",
 		scale.SlowMost(c.Parts, 0.01), c.WithinMs, scale.SlowMostTwice(c.Parts, 0.01))
 	part := scale.Part{MedianUs: c.WorkMs * 1e3, Sigma: c.Sigma}
 	kinds := []scale.Part{part, part, part, part}
