--- a/api/design/design.go
+++ b/api/design/design.go
@@ -14,8 +14,8 @@
 	})
 })
 
-// Failure is the body of every error response. Its field ran says whether it is certain
-// that the request did not run ("no") or not ("unknown").
+// Failure is the body of every error response. Its field ran is "no" if the
+// request certainly did not run, and "unknown" if it may have run.
 var Failure = Type("Failure", func() {
 	ErrorName("name", String, "Stable code of the fault")
 	Attribute("message", String, "What happened, in words")
--- a/api/design/operator.go
+++ b/api/design/operator.go
@@ -27,7 +27,7 @@
 	Required("stamp", "by", "sheet")
 })
 
-// Status is the state of a node or core.
+// Status is the state of a node or core, as the responding node knows it.
 var Status = Type("Status", func() {
 	Attribute("name", String)
 	Attribute("role", String)
--- a/cmd/lab/cover.go
+++ b/cmd/lab/cover.go
@@ -9,7 +9,7 @@
 	"wallport/lab/rules"
 )
 
-// printCoverage prints how often each was tested and returns the names of those that never were.
+// printCoverage prints how often each kind, mode and rule was tested, and returns those that never were.
 func printCoverage(sums, tested map[string]int64) (unmet []string) {
 	print := func(title, prefix string, names []string, from map[string]int64) {
 		fmt.Println(title)
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -1,6 +1,7 @@
 // The commands scale and hollow. scale measures how the cost of the control plane grows with
 // the fleet, on real and hollow processes or on simulated time; hollow hosts the hollow processes
-// that scale starts.
+// that scale starts. A hollow process is a node or core without the request path and HTTP interfaces
+// that shares one process of the operating system with others.
 
 package main
 
--- a/cmd/wallport/daemon.go
+++ b/cmd/wallport/daemon.go
@@ -24,7 +24,8 @@
 	"wallport/runtime/settings"
 )
 
-// daemonCmd contains the flags of a role: its settings, or that they are read from the platform's settings file.
+// daemonCmd contains the flags of a role: its settings, or OnPlatform to read them from the platform's settings
+// file instead.
 type daemonCmd struct {
 	settings.Settings
 	OnPlatform  bool   `long:"on-platform" description:"take everything from the platform's settings file, which WALLPORT_CONFIG names"`
