--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -1,5 +1,7 @@
-// The measurement of the control plane's growth: on real and hollow processes, and on
-// simulated time; and the hosts of hollow processes that it starts.
+// The commands scale and hollow. scale measures how the cost of the control plane grows with
+// the fleet, on real and hollow processes or on simulated time; hollow hosts the hollow processes
+// that scale starts. A hollow process is a node or core without the request path and HTTP interfaces
+// that shares one process of the operating system with others.
 
 package main
 
@@ -43,9 +45,9 @@
 func (c *scaleCmd) Execute([]string) error {
 	switch {
 	case c.Simulated:
-		return c.simulated()
+		return c.runSimulated()
 	case c.Healed:
-		return c.healed()
+		return c.measureHealing()
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -79,9 +81,9 @@
 	return os.RemoveAll(dir)
 }
 
-// simulated prints what a process does in each phase; counts that grow faster than the
-// square root of the fleet fail it.
-func (c *scaleCmd) simulated() error {
+// runSimulated prints counts of what a process does in each phase. It fails if a count grows
+// faster than the square root of the fleet's size.
+func (c *scaleCmd) runSimulated() error {
 	var sizes []sim.Growth
 	for _, n := range c.Nodes {
 		sizes = append(sizes, sim.Growth{Nodes: n, Cores: c.Cores, Servers: int(float64(n) * c.Servers), Seed: c.Seed, Brief: c.Brief})
@@ -102,10 +104,11 @@
 	return nil
 }
 
-// healed prints the mesh's volume, the times of changes and that of a healed split.
-func (c *scaleCmd) healed() error {
+// measureHealing prints the traffic of the mesh, the time until changes are in force, and the time until the fleet agrees
+// after a network partition has healed.
+func (c *scaleCmd) measureHealing() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "nodes\tmesh frames/s per process\tbytes/s per process\tframes per change\tin force, median ms\tworst ms\tafter a healed split, ms")
+	fmt.Fprintln(w, "nodes\tmesh frames/s per process\tbytes/s per process\tframes per change\tin force, median ms\tworst ms\tagreement after a healed partition, ms")
 	for _, n := range c.Nodes {
 		r, err := sim.Scale(n, c.Seed)
 		if err != nil {
