--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -155,7 +155,7 @@
 		if 2*len(rebuild.agreed) > len(rebuild.voters) {
 			s.finishRebuild(ctx, id, rebuild, wire.CodeOK, "")
 		} else {
-			s.finishRebuild(ctx, id, rebuild, wire.CodeUnknown, fmt.Sprint("fewer than a majority of the new voters stored the version: ", rebuild.refusals))
+			s.finishRebuild(ctx, id, rebuild, wire.CodeUnknown, fmt.Sprint("too few cores hold it: ", rebuild.refusals))
 		}
 		return
 	}
@@ -163,7 +163,7 @@
 	case len(rebuild.refusals) > 0:
 		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, fmt.Sprint(rebuild.refusals))
 	case rebuild.fetching:
-		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "time-out while fetching the newest version from replica "+rebuild.newestReplica)
+		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "the newest version did not arrive from "+rebuild.newestReplica)
 	case s.fetchNewest(ctx, id, rebuild):
 	default:
 		s.applyRebuild(ctx, id, rebuild)
@@ -180,7 +180,7 @@
 	}
 	rebuild.voters = rebuiltVoters(agreed, s.targetVoters)
 	if len(rebuild.voters) == 0 {
-		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "needs at least three live cores with healthy disks")
+		s.finishRebuild(ctx, id, rebuild, wire.CodeInvalid, "needs three live cores with sound disks")
 		return
 	}
 	versioned := &rebuild.versioned
