--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -20,8 +20,8 @@
 	"wallport/runtime/wire"
 )
 
-// lean is a backend that responds to each request with a body and the id of the request.
-func lean(b *testing.B, body []byte) *net.TCPAddr {
+// minimalBackend is a backend that responds to each request with a body and the id of the request.
+func minimalBackend(b *testing.B, body []byte) *net.TCPAddr {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	must.NoError(b, err)
 	b.Cleanup(func() { l.Close() })
@@ -65,11 +65,11 @@
 var shardBody = bytes.Repeat([]byte{7}, 640)
 
 func BenchmarkExchange(b *testing.B) {
-	addr := lean(b, shardBody)
+	addr := minimalBackend(b, shardBody)
 	cl := newTestClient(b, Config{})
 	pool := &snapshot.Pool{Pool: &routingpb.Pool{}}
 	server := &snapshot.Backend{Backend: wire.Backend{ID: "s-1", Addr: addr.String()}, Gauge: &snapshot.Gauge{}}
-	ask := func(id string) dispatch.Send {
+	attempt := func(id string) dispatch.Send {
 		return dispatch.Send{
 			Pool: pool, Backend: server, Timeout: 5 * clock.Second,
 			Request: &dispatch.Request{ID: id, Method: "GET", Target: "/search", Host: "site.example", Header: []byte("Try-Id: " + id + "\r\n")},
@@ -78,7 +78,7 @@
 	b.ReportAllocs()
 	at := cpuUs()
 	for b.Loop() {
-		if rep := cl.Start(ask("abcdef0123456789")).Run(); rep.Class != dispatch.ClassResponse {
+		if rep := cl.Start(attempt("abcdef0123456789")).Run(); rep.Class != dispatch.ClassResponse {
 			b.Fatal(rep.Class, rep.Reason)
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 func BenchmarkBare(b *testing.B) {
-	addr := lean(b, shardBody)
+	addr := minimalBackend(b, shardBody)
 	c, err := net.DialTCP("tcp", nil, addr)
 	must.NoError(b, err)
 	defer c.Close()
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -89,8 +89,8 @@
 	return c.setDeadline(time.Time{}) == nil
 }
 
-// mayNotWrite attaches a connection and returns why nothing may be written to it, or nothing if it may.
-func (x *Exchange) mayNotWrite(c *conn) string {
+// attachForWrite attaches a connection and returns why nothing may be written to it, or nothing if it may.
+func (x *Exchange) attachForWrite(c *conn) string {
 	ok, abandoned := x.attach(c)
 	switch {
 	case !ok:
@@ -98,11 +98,11 @@
 	case abandoned:
 		return reasonAbandoned
 	}
-	return x.tooLate()
+	return x.writeBlockedReason()
 }
 
-// tooLate returns why the request may not be written any more, on any connection, or nothing if it may.
-func (x *Exchange) tooLate() string {
+// writeBlockedReason returns why the request may not be written any more, on any connection, or nothing if it may.
+func (x *Exchange) writeBlockedReason() string {
 	switch {
 	case x.frozen():
 		return reasonFrozen
@@ -171,7 +171,7 @@
 // connection was an idle one that proved closed before the write.
 func (x *Exchange) runOn(c *conn) (result dispatch.Result, again bool) {
 	left := time.Until(x.deadline)
-	if reason := x.mayNotWrite(c); reason != "" {
+	if reason := x.attachForWrite(c); reason != "" {
 		c.release(x.detach())
 		return notSent(reason), false
 	}
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -13,28 +13,28 @@
 	"wallport/runtime/clock"
 )
 
-// greeter does something to each new connection before a request arrives, when the test lets it.
-type greeter struct {
+// preRequestBackend does something to each new connection before a request arrives, when the test lets it.
+type preRequestBackend struct {
 	*fakeBackend
 	begin, done chan bool
 }
 
-func newGreeter(t *testing.T, greet func(c *net.TCPConn)) *greeter {
+func newPreRequestBackend(t *testing.T, onAccept func(c *net.TCPConn)) *preRequestBackend {
 	t.Helper()
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("served")); return true })
-	g := &greeter{f, make(chan bool), make(chan bool)}
+	g := &preRequestBackend{f, make(chan bool), make(chan bool)}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.accepted = func(c *net.TCPConn) {
 		<-g.begin
-		greet(c)
+		onAccept(c)
 		g.done <- true
 	}
 	return g
 }
 
 // dial returns a new connection on which the bytes sent before any request have arrived.
-func (g *greeter) dial(t *testing.T, cl *Client) *conn {
+func (g *preRequestBackend) dial(t *testing.T, cl *Client) *conn {
 	t.Helper()
 	_, pool, room := cl.acquire(g.backend(), 1)
 	must.True(t, room)
@@ -49,12 +49,12 @@
 // TestNewConnectionClosedByBackend has the backend close a connection before anything was written to it, as
 // one does that has too many: the request was not sent and may go elsewhere.
 func TestNewConnectionClosedByBackend(t *testing.T) {
-	for name, greet := range map[string]func(c *net.TCPConn){
+	for name, onAccept := range map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newGreeter(t, greet)
+			f := newPreRequestBackend(t, onAccept)
 			cl := newTestClient(t, Config{})
 			x := cl.Start(f.attemptOnce("a"))
 			rep, again := x.runOn(f.dial(t, cl))
@@ -69,13 +69,13 @@
 // TestResponseBeforeRequest has responses arrive before the request, one of them with the request's own id:
 // they are no response to it, and the request is not written there.
 func TestResponseBeforeRequest(t *testing.T) {
-	for name, answer := range map[string]string{
-		"promise": "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
-		"answer":  responseTo("a", "early"),
-		"interim": "HTTP/1.1 100 Continue\r\n\r\n",
+	for name, response := range map[string]string{
+		"not executed": "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
+		"response":     responseTo("a", "early"),
+		"interim":      "HTTP/1.1 100 Continue\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newGreeter(t, func(c *net.TCPConn) { c.Write([]byte(answer)) })
+			f := newPreRequestBackend(t, func(c *net.TCPConn) { c.Write([]byte(response)) })
 			cl := newTestClient(t, Config{})
 			x := cl.Start(f.attemptOnce("a"))
 			rep, again := x.runOn(f.dial(t, cl))
@@ -90,18 +90,18 @@
 // is over, or notices the freeze.
 func TestFreezeBeforeWrite(t *testing.T) {
 	for _, reused := range []bool{false, true} {
-		var looks, thaws atomic.Int64
+		var checks, thaws atomic.Int64
 		frozenAt := int64(-1)
 		f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 		cl := newTestClient(t, Config{
 			Thaws:  thaws.Load,
-			Frozen: func() bool { return looks.Add(1) == frozenAt },
+			Frozen: func() bool { return checks.Add(1) == frozenAt },
 		})
 		if reused {
 			run(t, cl, f.attemptOnce("first"), dispatch.ClassResponse)
 		}
 		// The first check is before the request is assembled, the second right before its write.
-		frozenAt = looks.Load() + 2
+		frozenAt = checks.Load() + 2
 		rep := run(t, cl, f.attemptOnce("a"), dispatch.ClassNotSent)
 		must.Eq(t, "the process was frozen", rep.Reason)
 		must.Eq(t, 0, f.times("a"))
@@ -115,9 +115,9 @@
 func TestDeadlinePassesBeforeWrite(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	var x *Exchange
-	looks := 0
+	checks := 0
 	cl := newTestClient(t, Config{Frozen: func() bool {
-		if looks++; looks == 2 {
+		if checks++; checks == 2 {
 			x.deadline = x.deadline.Add(-time.Duration(x.attempt.Timeout) * time.Microsecond)
 		}
 		return false
--- a/request/backend/response_test.go
+++ b/request/backend/response_test.go
@@ -27,16 +27,16 @@
 	return n, nil
 }
 
-// feed reads one response from bytes in fragments; rest is how many were left in the buffer, and end is set
+// readFragments reads one response from bytes in fragments; rest is how many were left in the buffer, and end is set
 // if more were read than there are.
-func feed(b []byte, size int) (resp *http.Response, body []byte, rest int, end bool, err error) {
+func readFragments(b []byte, size int) (resp *http.Response, body []byte, rest int, end bool, err error) {
 	p := &fragmentReader{b: b, size: size}
 	r := bufio.NewReaderSize(p, MaxHeadBytes)
 	resp, body, err = readResponse(r, "GET")
 	return resp, body, r.Buffered(), p.end, err
 }
 
-var answers = []string{
+var responses = []string{
 	"HTTP/1.1 200 OK\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 11\r\n\r\nhello world",
 	"HTTP/1.1 200 OK\r\nTry-Id: a\r\nStamp: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6;a=b\r\n world\r\n0\r\nX: y\r\n\r\n",
 	"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 11\r\n\r\nhello world",
@@ -44,9 +44,9 @@
 }
 
 func TestResponsesInFragments(t *testing.T) {
-	for _, b := range answers {
+	for _, b := range responses {
 		for size := 1; size <= len(b); size++ {
-			resp, body, rest, end, err := feed([]byte(b), size)
+			resp, body, rest, end, err := readFragments([]byte(b), size)
 			must.NoError(t, err, must.Sprint(size))
 			must.Eq(t, "hello world", string(body))
 			must.Eq(t, "s", resp.Header.Get("Stamp"))
@@ -54,7 +54,7 @@
 			must.False(t, end)
 		}
 		for cut := range len(b) {
-			_, _, _, end, err := feed([]byte(b[:cut]), 7)
+			_, _, _, end, err := readFragments([]byte(b[:cut]), 7)
 			must.Error(t, err, must.Sprint("cut at ", cut))
 			must.True(t, end, must.Sprint("the connection's own end"))
 		}
@@ -63,14 +63,14 @@
 
 // FuzzResponse compares what is accepted as a complete response with what net/http accepts as one.
 func FuzzResponse(f *testing.F) {
-	for _, s := range answers {
+	for _, s := range responses {
 		f.Add([]byte(s), 3)
 	}
 	f.Add([]byte("HTTP/1.1 204 x\r\nStamp: s\r\n\r\n"), 9)
 	f.Add([]byte("HTTP/1.0 200 OK\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n"), 1)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nrest"), 1)
 	f.Fuzz(func(t *testing.T, b []byte, size int) {
-		got, had, _, _, err := feed(b, max(1, size))
+		got, had, _, _, err := readFragments(b, max(1, size))
 		if err != nil {
 			return
 		}
--- a/request/backend/roundtrip.go
+++ b/request/backend/roundtrip.go
@@ -88,7 +88,7 @@
 			c.phase = phaseWrite
 		case phaseWrite:
 			// Nothing happens between this check and the write, so that a freeze before the write is noticed.
-			if c.blocked = c.exchange.tooLate(); c.blocked != "" {
+			if c.blocked = c.exchange.writeBlockedReason(); c.blocked != "" {
 				c.phase = phaseDone
 				return true
 			}
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -42,7 +42,7 @@
 // with four backends.
 func benchTable(shards int, addrs []string) *snapshot.Snapshot {
 	src := &routingpb.RoutingTable{Revision: 1, Limits: &routingpb.Limits{}}
-	cp := &snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
+	snap := &snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
 	var names []string
 	for i := range len(addrs) / 4 {
 		name := fmt.Sprint("pool-", i)
@@ -52,14 +52,14 @@
 		for k, addr := range addrs[4*i : 4*i+4] {
 			p.Backends = append(p.Backends, &snapshot.Backend{Backend: wire.Backend{ID: fmt.Sprint("i-", i, "-", k), Addr: addr, Pool: name, Slots: 8, Incarnation: 1}, Gauge: new(snapshot.Gauge)})
 		}
-		cp.Pools[name] = p
+		snap.Pools[name] = p
 	}
 	src.Routes = []*routingpb.Route{
 		{Name: "all", Host: "h.example", Prefix: "/all/", Repeatable: true, TimeoutUs: 5_000_000, TargetLatencyUs: 1_000_000, MaxBackends: 2, FanoutPools: names[:shards], ResultLimit: 20, MinCoverage: 0.5},
 		{Name: "one", Host: "h.example", Prefix: "/one/", TimeoutUs: 5_000_000, TargetLatencyUs: 1_000_000, MaxBackends: 1, Pool: names[0]},
 	}
-	cp.Routing = routing.Compile(src)
-	return cp
+	snap.Routing = routing.Compile(src)
+	return snap
 }
 
 func BenchmarkRequest(b *testing.B) {
@@ -93,16 +93,18 @@
 	must.NoError(b, from.Decode(&addrs))
 
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	cp, counts, began := benchTable(shards, addrs), kernel.NewCounts(), time.Now()
+	snap, counts, began := benchTable(shards, addrs), kernel.NewCounts(), time.Now()
 	now := func() int64 { return time.Since(began).Microseconds() }
-	get := func() *snapshot.Snapshot { return cp }
-	desk := dispatch.NewDispatcher(dispatch.Config{Snapshot: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
+	get := func() *snapshot.Snapshot { return snap }
+	dispatcher := dispatch.NewDispatcher(dispatch.Config{Snapshot: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
 	cl := backend.New(backend.Config{Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotExecuted: "Did-Not-Run"}, Counts: counts})
 	defer cl.Close()
 	s, err := Open(Config{
 		ClientAddr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", ShardSeals: "Stamps", MissingShards: "Parts-Missing"},
 		Log: zap.NewNop(), Counts: counts, Backends: cl, Snapshot: get, Now: now, GracePeriod: 1 * clock.Second,
-		NewStateMachine: func(r dispatch.Request, now clock.Micros) StateMachine { return dispatch.NewStateMachine(desk, r, now) },
+		NewStateMachine: func(r dispatch.Request, now clock.Micros) StateMachine {
+			return dispatch.NewStateMachine(dispatcher, r, now)
+		},
 	})
 	must.NoError(b, err)
 	defer s.Stop()
--- a/request/gateway/connections_test.go
+++ b/request/gateway/connections_test.go
@@ -12,7 +12,7 @@
 
 // TestRepeatedLimitsReuseHTTPServer starts no more http.Servers than there are different limits.
 func TestRepeatedLimitsReuseHTTPServer(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	for i := range int64(20) {
 		w.limits(&routingpb.Limits{IdleTimeoutUs: 10*clock.Second + i%2})
 		c := w.dial()
@@ -27,7 +27,7 @@
 // TestLateResponseHasFullWriteTimeout counts the time to read a response from when there is one.
 func TestLateResponseHasFullWriteTimeout(t *testing.T) {
 	const timeout = 100 * time.Millisecond
-	w := newWorld(t, func(_ *world, c *Config) { c.WriteTimeout = timeout })
+	w := newFixture(t, func(_ *fixture, c *Config) { c.WriteTimeout = timeout })
 	h := w.block("/a")
 	c := w.dial()
 	sent := time.Now()
--- a/request/gateway/driver.go
+++ b/request/gateway/driver.go
@@ -21,8 +21,8 @@
 	mu      sync.Mutex
 	machine StateMachine
 	timer   *time.Timer
-	// wakeAt is the moment that the machine set its timer to; 0 is none.
-	wakeAt   clock.Micros
+	// timerAt is the moment that the machine set its timer to; 0 is none.
+	timerAt  clock.Micros
 	attempts []attempt
 	// inline is the first storage of attempts, so that most requests allocate no other.
 	inline   [4]attempt
@@ -49,7 +49,7 @@
 	d.mu.Unlock()
 	stopWatching := context.AfterFunc(ctx, func() { d.step(dispatch.ClientGone{}) })
 	for len(started) == 1 && started[0].replyOnly {
-		started = d.replied(started[0], started[0].exchange.Run())
+		started = d.attemptDone(started[0], started[0].exchange.Run())
 	}
 	d.start(started)
 	<-d.done
@@ -67,8 +67,8 @@
 	}
 }
 
-// replied steps the machine with the result of an attempt and returns the attempts to start.
-func (d *driver) replied(a attempt, result dispatch.Result) []attempt {
+// attemptDone steps the machine with the result of an attempt and returns the attempts to start.
+func (d *driver) attemptDone(a attempt, result dispatch.Result) []attempt {
 	next := d.advance(dispatch.AttemptDone{N: a.number, Result: result})
 	d.server.exchanges.Add(-1)
 	return next
@@ -107,7 +107,7 @@
 				}
 			}
 		case dispatch.SetTimer:
-			d.wake(v.At)
+			d.setTimer(v.At)
 		case dispatch.Finish:
 			d.finish(v.Outcome)
 		}
@@ -124,9 +124,9 @@
 	close(d.done)
 }
 
-// wake sets the timer of the machine. The lock is held.
-func (d *driver) wake(at clock.Micros) {
-	d.wakeAt = at
+// setTimer sets the timer of the machine. The lock is held.
+func (d *driver) setTimer(at clock.Micros) {
+	d.timerAt = at
 	delay := clock.Duration(at - d.server.config.Now())
 	if d.timer == nil {
 		d.timer = time.AfterFunc(delay, d.timerFired)
@@ -138,17 +138,17 @@
 // timerFired steps the machine when its timer is due.
 func (d *driver) timerFired() {
 	d.mu.Lock()
-	if d.finished || d.wakeAt == 0 {
+	if d.finished || d.timerAt == 0 {
 		d.mu.Unlock()
 		return
 	}
-	if now := d.server.config.Now(); now < d.wakeAt {
+	if now := d.server.config.Now(); now < d.timerAt {
 		// The machine has set a later moment meanwhile.
-		d.wake(d.wakeAt)
+		d.setTimer(d.timerAt)
 		d.mu.Unlock()
 		return
 	}
-	d.wakeAt = 0
+	d.timerAt = 0
 	d.mu.Unlock()
 	d.step(dispatch.TimerFired{})
 }
@@ -180,7 +180,7 @@
 
 func (w *workers) loop(t task) {
 	for {
-		t.driver.start(t.driver.replied(t.attempt, t.attempt.exchange.Run()))
+		t.driver.start(t.driver.attemptDone(t.attempt, t.attempt.exchange.Run()))
 		t = task{}
 		w.mu.Lock()
 		if w.idle >= maxIdleWorkers {
--- a/request/gateway/driver_test.go
+++ b/request/gateway/driver_test.go
@@ -20,7 +20,7 @@
 }
 
 // block makes the backend block requests for the paths.
-func (w *world) block(paths ...string) *blockedBackend {
+func (w *fixture) block(paths ...string) *blockedBackend {
 	blocked := &blockedBackend{enter: make(chan string, 10), leave: map[string]chan bool{}, abandoned: make(chan string, 10)}
 	for _, p := range paths {
 		blocked.leave[p] = make(chan bool, 1)
@@ -53,7 +53,7 @@
 
 func TestHedgedRequest(t *testing.T) {
 	for _, warm := range []bool{false, true} {
-		w := newWorld(t, nil)
+		w := newFixture(t, nil)
 		if warm {
 			// With an idle connection, the client's goroutine runs the first attempt itself.
 			c := w.dial()
@@ -96,7 +96,7 @@
 
 // TestGatheredResponse sends several attempts at once and responds before all of them have a result.
 func TestGatheredResponse(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	paths := []string{"/0", "/1", "/2", "/3", "/4", "/5"}
 	h := w.block(paths...)
 	w.step = func(s *script, ev dispatch.Event) (actions []dispatch.Action) {
@@ -135,7 +135,7 @@
 
 // TestClientDisconnects tells the state machine that the client has closed its connection.
 func TestClientDisconnects(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	h := w.block("/once", "/again")
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		switch ev.(type) {
@@ -167,7 +167,7 @@
 
 // TestExchangeFailures tells the state machine the result of each failed attempt, and retries nothing itself.
 func TestExchangeFailures(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.handleBackend = func(rw http.ResponseWriter, r *http.Request) {
 		conn, _, _ := http.NewResponseController(rw).Hijack()
 		if r.Header.Get("Try-Id") == "cut" {
@@ -175,12 +175,12 @@
 		}
 		conn.Close()
 	}
-	nobody := snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: freeAddr(t)}}
+	unreachable := snapshot.Backend{Backend: wire.Backend{ID: "i-1", Addr: freeAddr(t)}}
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
 		actions := forwardOnce(s, ev)
-		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "nobody" {
+		if _, ok := ev.(dispatch.Begin); ok && s.req.ID == "unreachable" {
 			a := actions[0].(dispatch.Send)
-			a.Backend = &nobody
+			a.Backend = &unreachable
 			return []dispatch.Action{a}
 		}
 		return actions
@@ -193,7 +193,7 @@
 		must.StrContains(t, body, `"code":"unknown"`)
 		must.StrNotContains(t, body, "half")
 	}
-	c.send(get("nobody"))
+	c.send(get("unreachable"))
 	_, body := c.readResponse("GET")
 	must.StrContains(t, body, "dial: ")
 	must.Len(t, 2, w.requests())
@@ -201,7 +201,7 @@
 
 // TestConnectionIsAbortedWithoutOutcome closes the connection if the outcome has no status.
 func TestConnectionIsAbortedWithoutOutcome(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.step = func(*script, dispatch.Event) []dispatch.Action {
 		return []dispatch.Action{finish(dispatch.Outcome{Code: dispatch.CodeClientGone})}
 	}
@@ -214,7 +214,7 @@
 func TestRequestIsDecidedAfterThaw(t *testing.T) {
 	var frozen atomic.Bool
 	thaw := make(chan bool)
-	w := newWorld(t, func(_ *world, c *Config) {
+	w := newFixture(t, func(_ *fixture, c *Config) {
 		c.AwaitThaw = func() {
 			if frozen.Load() {
 				<-thaw
--- a/request/gateway/limits_test.go
+++ b/request/gateway/limits_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestLimits(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.limits(&routingpb.Limits{MaxHeaderBytes: 400, MaxBodyBytes: 1000})
 	post := func(head, body int, chunked bool) string {
 		s := "POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\nX: " + strings.Repeat("x", head) + "\r\n"
@@ -56,7 +56,7 @@
 
 // TestHeaderAndIdleTimeouts closes an idle connection without a response, and one with a part of a request with one.
 func TestHeaderAndIdleTimeouts(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.limits(&routingpb.Limits{HeaderTimeoutUs: 1, IdleTimeoutUs: 1})
 	w.dial().ends()
 	c := w.dial()
@@ -74,7 +74,7 @@
 // TestSlowBodyTimesOut waits longer for a body than for a header, but not without a bound.
 func TestSlowBodyTimesOut(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 5", "Transfer-Encoding: chunked"} {
-		w := newWorld(t, nil)
+		w := newFixture(t, nil)
 		w.server.bodyTimeout = 0
 		w.limits(&routingpb.Limits{HeaderTimeoutUs: 1})
 		c := w.dial()
@@ -89,7 +89,7 @@
 // TestBodyBytesAreBounded rejects a body before it is read while those of other requests fill the bound, and
 // accepts one after that.
 func TestBodyBytesAreBounded(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.server.maxBodyBytes = 100
 	h := w.block("/a")
 	post := func(framing string) string {
@@ -116,7 +116,7 @@
 }
 
 func TestRejectsWithoutRoutingTable(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	c := w.dial()
 	c.send(get("a"))
 	c.readResponse("GET")
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -23,9 +23,9 @@
 	briefTimeout = 250 * clock.Millisecond
 )
 
-// newOnceWorld returns a world with the product's own state machine, routes that are not idempotent, and a
+// newAtMostOnceFixture returns a world with the product's own state machine, routes that are not idempotent, and a
 // pool of two backends, both at the one address of the world's backend.
-func newOnceWorld(t *testing.T) *world {
+func newAtMostOnceFixture(t *testing.T) *fixture {
 	t.Helper()
 	config := &routingpb.RoutingTable{
 		Revision: 1,
@@ -36,7 +36,7 @@
 		Pools:  []*routingpb.Pool{{Name: "desk", MaxConnections: 10}},
 		Limits: &routingpb.Limits{},
 	}
-	w := newWorld(t, func(w *world, c *Config) {
+	w := newFixture(t, func(w *fixture, c *Config) {
 		dispatcher := dispatch.NewDispatcher(dispatch.Config{Snapshot: w.snapshot.Load, Counts: w.counts, Seed: 1, StartedAt: w.now(), Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60, Window: 10 * clock.Second}})
 		c.NewStateMachine = func(r dispatch.Request, now clock.Micros) StateMachine {
 			return dispatch.NewStateMachine(dispatcher, r, now)
@@ -56,7 +56,7 @@
 }
 
 // times returns how often a request was sent to a backend.
-func (w *world) times(id string) (n int) {
+func (w *fixture) times(id string) (n int) {
 	for _, r := range w.requests() {
 		if r.head.Get("Try-Id") == id {
 			n++
@@ -124,7 +124,7 @@
 		{"a success with Did-Not-Run", rawResponse("HTTP/1.1 200 OK\r\nDid-Not-Run: 1\r\n"+headerAndBody, true), long, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newOnceWorld(t)
+			w := newAtMostOnceFixture(t)
 			w.setHandler(c.serve)
 			client := w.dial()
 			client.send(post(c.path, "a"))
@@ -151,7 +151,7 @@
 // run, and tells the client so if both do.
 func TestNotExecutedReplyIsRetriedElsewhere(t *testing.T) {
 	const notExecuted = "HTTP/1.1 503 Full\r\nTry-Id: ID\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-	w := newOnceWorld(t)
+	w := newAtMostOnceFixture(t)
 	client := w.dial()
 	for i := range 60 {
 		// They fill the retry budget.
--- a/request/gateway/request_test.go
+++ b/request/gateway/request_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.handleBackend = func(rw http.ResponseWriter, _ *http.Request) {
 		h := rw.Header()
 		h.Set("X-Own", "v")
@@ -53,7 +53,7 @@
 
 // TestFramings sends the same body with a length, in chunks, and after a 100 Continue.
 func TestFramings(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	c := w.dial()
 	head := "POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n"
 	for _, s := range []string{
@@ -98,7 +98,7 @@
 
 // TestNoBodyIsAdded forwards a request without a body without one.
 func TestNoBodyIsAdded(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	c := w.dial()
 	for _, s := range []string{get("a"), get("a", "Content-Length: 0\r\n"), strings.Replace(get("a"), "GET", "DELETE", 1)} {
 		c.send(s)
@@ -115,59 +115,59 @@
 
 // TestResponses writes each kind of outcome.
 func TestResponses(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	var o atomic.Pointer[dispatch.Outcome]
 	w.step = func(*script, dispatch.Event) []dispatch.Action { return []dispatch.Action{finish(*o.Load())} }
 	c := w.dial()
-	ask := func(method string, out dispatch.Outcome) (*http.Response, string) {
+	exchange := func(method string, out dispatch.Outcome) (*http.Response, string) {
 		o.Store(&out)
 		c.send(strings.Replace(get("a"), "GET", method, 1))
 		return c.readResponse(method)
 	}
-	resp, body := ask("GET", dispatch.Outcome{Status: 200, Code: dispatch.CodeOK, Seals: []string{"a.1", "b.2"}, Missing: 1, Body: []byte("0123456789abcdef")})
+	resp, body := exchange("GET", dispatch.Outcome{Status: 200, Code: dispatch.CodeOK, Seals: []string{"a.1", "b.2"}, Missing: 1, Body: []byte("0123456789abcdef")})
 	must.Eq(t, 200, resp.StatusCode)
 	must.Eq(t, []string{"a.1, b.2"}, resp.Header["Stamps"])
 	must.Eq(t, []string{"1"}, resp.Header["Parts-Missing"])
 	must.Eq(t, "0123456789abcdef", body)
 	must.MapNotContainsKeys(t, resp.Header, []string{"Content-Type"})
 
-	resp, body = ask("GET", dispatch.Outcome{Status: 200, Code: dispatch.CodeOK, Seals: []string{"a.1"}, Body: []byte{}})
+	resp, body = exchange("GET", dispatch.Outcome{Status: 200, Code: dispatch.CodeOK, Seals: []string{"a.1"}, Body: []byte{}})
 	must.Eq(t, []string{"a.1"}, resp.Header["Stamps"])
 	must.MapNotContainsKeys(t, resp.Header, []string{"Parts-Missing"})
 	must.Eq(t, "", body)
 
-	resp, body = ask("GET", dispatch.Outcome{Status: 503, Code: dispatch.CodeRejected, Reason: "full \"up\"", RetryAfter: 123_456})
+	resp, body = exchange("GET", dispatch.Outcome{Status: 503, Code: dispatch.CodeRejected, Reason: "full \"up\"", RetryAfter: 123_456})
 	must.Eq(t, 503, resp.StatusCode)
 	must.Eq(t, "0.123", resp.Header.Get("Retry-After"))
 	must.Eq(t, "application/json", resp.Header.Get("Content-Type"))
 	must.Eq(t, "{\"code\":\"refused\",\"why\":\"full \\\"up\\\"\"}\n", body)
 
-	resp, _ = ask("GET", dispatch.Outcome{Status: 404, Code: "no_route"})
+	resp, _ = exchange("GET", dispatch.Outcome{Status: 404, Code: "no_route"})
 	must.Eq(t, 404, resp.StatusCode)
 	must.MapNotContainsKeys(t, resp.Header, []string{"Retry-After"})
 
-	answer := &dispatch.Result{Status: 500, Header: http.Header{"Date": {"then"}, "Stamp": {"s"}}, Body: []byte("no")}
-	resp, body = ask("GET", dispatch.Outcome{Status: 500, Code: "passed", Response: answer})
+	response := &dispatch.Result{Status: 500, Header: http.Header{"Date": {"then"}, "Stamp": {"s"}}, Body: []byte("no")}
+	resp, body = exchange("GET", dispatch.Outcome{Status: 500, Code: "passed", Response: response})
 	must.Eq(t, 500, resp.StatusCode)
 	must.Eq(t, []string{"then"}, resp.Header["Date"])
 	must.Eq(t, "no", body)
 
-	resp, body = ask("HEAD", dispatch.Outcome{Status: 200, Response: &dispatch.Result{Status: 200, Header: http.Header{"Content-Length": {"77"}}}})
+	resp, body = exchange("HEAD", dispatch.Outcome{Status: 200, Response: &dispatch.Result{Status: 200, Header: http.Header{"Content-Length": {"77"}}}})
 	must.Eq(t, 77, resp.ContentLength)
 	must.Eq(t, "", body)
-	resp, _ = ask("HEAD", dispatch.Outcome{Status: 404, Code: "no_route"})
+	resp, _ = exchange("HEAD", dispatch.Outcome{Status: 404, Code: "no_route"})
 	must.Eq(t, 404, resp.StatusCode)
 
-	resp, body = ask("GET", dispatch.Outcome{Status: 204, Response: &dispatch.Result{Status: 204, Header: http.Header{"Stamp": {"s"}}}})
+	resp, body = exchange("GET", dispatch.Outcome{Status: 204, Response: &dispatch.Result{Status: 204, Header: http.Header{"Stamp": {"s"}}}})
 	must.Eq(t, 204, resp.StatusCode)
 	must.Eq(t, "", body)
-	resp, _ = ask("GET", dispatch.Outcome{Status: 299, Response: &dispatch.Result{Status: 299, Body: []byte("x")}})
+	resp, _ = exchange("GET", dispatch.Outcome{Status: 299, Response: &dispatch.Result{Status: 299, Body: []byte("x")}})
 	must.Eq(t, 299, resp.StatusCode)
 }
 
 // TestLargeResponse has a response that is larger than what a client reads at once.
 func TestLargeResponse(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	big := strings.Repeat("0123456789abcdef", 1<<17)
 	w.handleBackend = func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, big) }
 	c := w.dial()
@@ -180,7 +180,7 @@
 
 // TestConnectionReuse has connections that are kept, closed and used for pipelined requests.
 func TestConnectionReuse(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	c := w.dial()
 	c.send(get("a") + get("b") + get("c", "Connection: close\r\n") + get("never"))
 	for _, id := range []string{"a", "b", "c"} {
--- a/request/gateway/smuggle_test.go
+++ b/request/gateway/smuggle_test.go
@@ -56,7 +56,7 @@
 		"two empty lines before one":   {"\r\n\r\nGET /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newFixture(t, nil)
 			client := w.dial()
 			client.send(c.send + hidden)
 			resp, _ := client.readResponse("POST")
@@ -85,7 +85,7 @@
 		"two equal lengths":  {start + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi", "hi", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newFixture(t, nil)
 			client := w.dial()
 			client.send(c.send)
 			resp, _ := client.readResponse("POST")
@@ -108,7 +108,7 @@
 // TestRequestHiddenInBodyIsNotServed forwards a body that looks like a request as a body.
 func TestRequestHiddenInBodyIsNotServed(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	c := w.dial()
 	c.send("GET /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\nContent-Length: 49\r\n\r\n" + hidden)
 	c.readResponse("GET")
--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -31,7 +31,7 @@
 func TestReadiness(t *testing.T) {
 	var force atomic.Bool
 	var addr string
-	w := newWorld(t, func(w *world, c *Config) {
+	w := newFixture(t, func(w *fixture, c *Config) {
 		c.ReadinessAddr = freeAddr(t)
 		addr = c.ReadinessAddr
 		c.Ready = func() bool { return force.Load() && w.snapshot.Load().Ready() }
@@ -55,14 +55,14 @@
 }
 
 func TestStopBeforeReadiness(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.Ready = func() bool { return false } })
+	w := newFixture(t, func(_ *fixture, c *Config) { c.Ready = func() bool { return false } })
 	w.server.Stop()
 	must.Eq(t, "", w.server.Addr())
 }
 
 // TestStopFinishesRequestsInFlight responds to what was read, closes its connection then, and closes idle ones at once.
 func TestStopFinishesRequestsInFlight(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	h := w.block("/a")
 	idle, active := w.dial(), w.dial()
 	active.send(get("a"))
@@ -87,7 +87,7 @@
 
 // TestStopKeepsAcceptingAtFirst serves new connections for a while; each response is the last on its connection.
 func TestStopKeepsAcceptingAtFirst(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 300 * clock.Millisecond })
+	w := newFixture(t, func(_ *fixture, c *Config) { c.AcceptTime = 300 * clock.Millisecond })
 	old := w.dial()
 	old.send(get("a"))
 	resp, _ := old.readResponse("GET")
@@ -107,7 +107,7 @@
 }
 
 func TestStopWaitsForAbandonedExchanges(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	h := w.block("/left")
 	entered := make(chan bool)
 	w.step = func(s *script, ev dispatch.Event) []dispatch.Action {
@@ -140,7 +140,7 @@
 // TestStopAbortsAtEndOfGrace ends in time although a backend does not respond; the client gets no response that
 // looks complete.
 func TestStopAbortsAtEndOfGrace(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.GracePeriod = 1 })
+	w := newFixture(t, func(_ *fixture, c *Config) { c.GracePeriod = 1 })
 	h := w.block("/a")
 	c := w.dial()
 	c.send(get("a"))
@@ -152,7 +152,7 @@
 // TestStopUnderLoadLosesNothing compares the requests that a backend received with those whose clients got
 // a complete response, with many clients that come and go while the node stops.
 func TestStopUnderLoadLosesNothing(t *testing.T) {
-	w := newWorld(t, func(_ *world, c *Config) { c.AcceptTime = 100 * clock.Millisecond })
+	w := newFixture(t, func(_ *fixture, c *Config) { c.AcceptTime = 100 * clock.Millisecond })
 	addr := w.dial().RemoteAddr().String()
 	var clients sync.WaitGroup
 	var mu sync.Mutex
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -30,7 +30,7 @@
 
 // script is a scripted state machine: its step function returns the actions for each event.
 type script struct {
-	w        *world
+	w        *fixture
 	req      dispatch.Request
 	step     func(s *script, ev dispatch.Event) []dispatch.Action
 	finished bool
@@ -76,7 +76,7 @@
 }
 
 // world is a server with scripted state machines and a backend that is an httptest.Server.
-type world struct {
+type fixture struct {
 	t             *testing.T
 	server        *Server
 	backend       snapshot.Backend
@@ -93,21 +93,21 @@
 }
 
 // setHandler replaces the handler of the backend.
-func (w *world) setHandler(serve func(http.ResponseWriter, *http.Request)) {
+func (w *fixture) setHandler(serve func(http.ResponseWriter, *http.Request)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.handleBackend = serve
 }
 
-func (w *world) backendHandler() func(http.ResponseWriter, *http.Request) {
+func (w *fixture) backendHandler() func(http.ResponseWriter, *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.handleBackend
 }
 
-func newWorld(t *testing.T, change func(w *world, c *Config)) *world {
+func newFixture(t *testing.T, change func(w *fixture, c *Config)) *fixture {
 	t.Helper()
-	w := &world{t: t, step: forwardOnce, events: map[string][]dispatch.Event{}, delivered: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
+	w := &fixture{t: t, step: forwardOnce, events: map[string][]dispatch.Event{}, delivered: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
 	w.handleBackend = func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") }
 	b := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -144,11 +144,11 @@
 	return w
 }
 
-func (w *world) limits(l *routingpb.Limits) {
+func (w *fixture) limits(l *routingpb.Limits) {
 	w.snapshot.Store(&snapshot.Snapshot{Complete: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
 }
 
-func (w *world) record(id string, ev dispatch.Event) {
+func (w *fixture) record(id string, ev dispatch.Event) {
 	w.mu.Lock()
 	w.events[id] = append(w.events[id], ev)
 	w.mu.Unlock()
@@ -156,7 +156,7 @@
 }
 
 // await waits for an event of a type at a state machine.
-func await[E dispatch.Event](w *world) E {
+func await[E dispatch.Event](w *fixture) E {
 	for {
 		if ev, ok := (<-w.delivered).(E); ok {
 			return ev
@@ -164,7 +164,7 @@
 	}
 }
 
-func (w *world) requests() []receivedRequest {
+func (w *fixture) requests() []receivedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]receivedRequest(nil), w.received...)
@@ -172,14 +172,14 @@
 
 // wireConn is a client's connection.
 type wireConn struct {
-	w *world
+	w *fixture
 	t *testing.T
 	*net.TCPConn
 	r *bufio.Reader
 }
 
 // dial opens a client's connection once the server listens.
-func (w *world) dial() *wireConn {
+func (w *fixture) dial() *wireConn {
 	w.t.Helper()
 	for w.server.Addr() == "" {
 		runtime.Gosched()
--- a/request/httpapi/authorizer.go
+++ b/request/httpapi/authorizer.go
@@ -76,33 +76,33 @@
 // for the one token of the settings, and where no token is set at all.
 func (a *authorizer) authorize(token *string, scope string, indexes []string) (string, error) {
 	got := []byte(strings.TrimPrefix(deref(token), "Bearer "))
-	same := func(want string) bool { return want != "" && subtle.ConstantTimeCompare([]byte(want), got) == 1 }
-	master, list := a.process.Kernel.Boot.Settings.OperatorToken, a.tokens.Load()
-	if master == "" && list == nil || same(master) {
+	matches := func(want string) bool { return want != "" && subtle.ConstantTimeCompare([]byte(want), got) == 1 }
+	settingsToken, list := a.process.Kernel.Boot.Settings.OperatorToken, a.tokens.Load()
+	if settingsToken == "" && list == nil || matches(settingsToken) {
 		return "", nil
 	}
-	var mine *configpb.Token
+	var matched *configpb.Token
 	for _, t := range list.GetTokens() {
-		if same(t.Token) {
-			mine = t
+		if matches(t.Token) {
+			matched = t
 		}
 	}
 	a.process.Kernel.Counts.Add("operator_forbidden", 1)
 	switch {
-	case mine == nil:
+	case matched == nil:
 		return "", newFailure(FailureForbidden, "the operator token is missing or wrong")
-	case mine.Scope == config.ScopeAll, scope == config.ScopeRead:
-	case scope == config.ScopeAll || mine.Scope == config.ScopeRead:
-		return "", outOfScope(mine, scope)
+	case matched.Scope == config.ScopeAll, scope == config.ScopeRead:
+	case scope == config.ScopeAll || matched.Scope == config.ScopeRead:
+		return "", outOfScope(matched, scope)
 	default:
 		for _, index := range indexes {
-			if !slices.Contains(mine.Indexes, index) {
-				return "", outOfScope(mine, scope+" of the index "+index)
+			if !slices.Contains(matched.Indexes, index) {
+				return "", outOfScope(matched, scope+" of the index "+index)
 			}
 		}
 	}
 	a.process.Kernel.Counts.Add("operator_forbidden", -1)
-	return mine.Who, nil
+	return matched.Who, nil
 }
 
 // outOfScope returns the failure of a token that lacks a scope.
--- a/request/httpapi/explain.go
+++ b/request/httpapi/explain.go
@@ -83,8 +83,8 @@
 func (a operatorAPI) explainOnAllNodes(ctx context.Context, p *operator.ExplainPayload) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
-	here := true
-	request := &operator.ExplainPayload{Token: p.Token, ID: p.ID, Here: &here}
+	thisNodeOnly := true
+	request := &operator.ExplainPayload{Token: p.Token, ID: p.ID, Here: &thisNodeOnly}
 	found := make(chan any, 1)
 	var group sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentExplains)
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -59,15 +59,15 @@
 // sendAdmitRequests sends the request to every owner that has not admitted the key yet.
 func (c *Coordinator) sendAdmitRequests(ctx *kernel.Context, n uint64, pending *admission) {
 	m := wire.AdmitRequest{Key: pending.request.Key, Index: pending.request.Index, From: c.token(n), Sum: pending.request.Digest}
-	for _, h := range pending.owners {
+	for _, owner := range pending.owners {
 		switch {
 		case c.admissions[n] == nil:
 			return
-		case pending.replies[h.Name].code == replyAdmitted:
-		case h.Origin == c.mesh.Self():
+		case pending.replies[owner.Name].code == replyAdmitted:
+		case owner.Origin == c.mesh.Self():
 			c.receiveReply(ctx, n, c.handleAdmitRequest(ctx, m))
 		default:
-			ctx.SendTo(h.Addr, wire.KindAdmitRequest, n, &m)
+			ctx.SendTo(owner.Addr, wire.KindAdmitRequest, n, &m)
 		}
 	}
 }
@@ -77,10 +77,10 @@
 	if pending == nil || pending.request.Key != r.Key {
 		return
 	}
-	for _, h := range pending.owners {
+	for _, owner := range pending.owners {
 		// By name: an owner that restarted replies in the place of its earlier process, as one that is uncertain.
-		if h.Name == r.Name || h.Origin == r.From {
-			pending.replies[h.Name] = ownerReply{code: r.Code, owners: r.KeyOwners}
+		if owner.Name == r.Name || owner.Origin == r.From {
+			pending.replies[owner.Name] = ownerReply{code: r.Code, owners: r.KeyOwners}
 		}
 	}
 	pending.attempted = pending.attempted || r.Attempted
@@ -151,9 +151,9 @@
 
 // addOwners adds owners that this node has learned of meanwhile. None is removed: it may have a record.
 func (a *admission) addOwners(owners []snapshot.Node) {
-	for _, h := range owners {
-		if !slices.ContainsFunc(a.owners, func(o snapshot.Node) bool { return o.Name == h.Name }) {
-			a.owners = append(a.owners, h)
+	for _, owner := range owners {
+		if !slices.ContainsFunc(a.owners, func(known snapshot.Node) bool { return known.Name == owner.Name }) {
+			a.owners = append(a.owners, owner)
 		}
 	}
 }
@@ -195,11 +195,11 @@
 }
 
 func (c *Coordinator) broadcast(ctx *kernel.Context, owners []snapshot.Node, m wire.Outcome) {
-	for _, h := range owners {
-		if h.Origin == c.mesh.Self() {
+	for _, owner := range owners {
+		if owner.Origin == c.mesh.Self() {
 			c.updateRecord(ctx, m)
 			continue
 		}
-		ctx.SendTo(h.Addr, wire.KindOutcome, 0, &m)
+		ctx.SendTo(owner.Addr, wire.KindOutcome, 0, &m)
 	}
 }
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -80,8 +80,8 @@
 		}
 		prev := Owners(key, before)
 		n := 0
-		for _, h := range prev {
-			if e.handedOver[h.Name] {
+		for _, owner := range prev {
+			if e.handedOver[owner.Name] {
 				n++
 			}
 		}
@@ -99,8 +99,8 @@
 		return
 	}
 	c.updateMaxDeadline(current, ctx.Now)
-	small := c.inMinority(current, ctx.Now)
-	if small {
+	minority := c.inMinority(current, ctx.Now)
+	if minority {
 		// This process does not learn what the others admit meanwhile.
 		c.invalidateRecords(ctx)
 		clear(c.initialIndexes)
@@ -118,7 +118,7 @@
 		c.requestHandOvers(ctx)
 	}
 	c.prune(ctx.Now)
-	if small || slices.ContainsFunc(c.epochs, func(e *epoch) bool { return !e.converged(ctx.Now) }) {
+	if minority || slices.ContainsFunc(c.epochs, func(e *epoch) bool { return !e.converged(ctx.Now) }) {
 		c.scheduleRosterCheck(ctx, ActiveRosterCheck)
 	} else {
 		c.scheduleRosterCheck(ctx, IdleRosterCheck)
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -30,42 +30,42 @@
 		return
 	}
 	m.lastCall++
-	here := n.incarnation()
+	process := n.incarnation()
 	m.calls[m.lastCall] = func(v search.Admission) {
 		if v.Code != "in" {
 			again()
 			return
 		}
-		m.admit(here, key, v.Token)
+		m.admit(process, key, v.Token)
 	}
 	n.step(kernel.Call{Plugin: "idempotency", ID: m.lastCall, Request: Admit{Key: key, Index: "index", Digest: 7, Timeout: 2 * second}})
 }
 
 // selectNode is a node that a caller comes to: every other time one that has just started, if there is one.
 func (m *model) selectNode() *modelNode {
-	young := slices.DeleteFunc(slices.Clone(m.nodes), func(n *modelNode) bool { return !n.up || m.now-n.upAt > justStartedFor })
-	if len(young) > 0 && m.rand.IntN(2) == 0 {
-		return young[m.rand.IntN(len(young))]
+	justStarted := slices.DeleteFunc(slices.Clone(m.nodes), func(n *modelNode) bool { return !n.up || m.now-n.upAt > justStartedFor })
+	if len(justStarted) > 0 && m.rand.IntN(2) == 0 {
+		return justStarted[m.rand.IntN(len(justStarted))]
 	}
 	return m.nodes[m.rand.IntN(len(m.nodes))]
 }
 
 // admit runs an admitted request; its process records the outcome, if it lives to do so.
-func (m *model) admit(here incarnation, key, token string) {
+func (m *model) admit(process incarnation, key, token string) {
 	m.admitted++
 	if m.admittedKeys[key] {
-		m.admittedTwice = append(m.admittedTwice, fmt.Sprintf("%s let in again by %s at %.3f s", key, here.node.name, float64(m.now)/1e6))
+		m.admittedTwice = append(m.admittedTwice, fmt.Sprintf("%s let in again by %s at %.3f s", key, process.node.name, float64(m.now)/1e6))
 	}
 	m.admittedKeys[key] = true
-	refused := m.rand.IntN(8) == 0
+	released := m.rand.IntN(8) == 0
 	m.after(m.between(5*ms, 600*ms), func() {
 		switch {
-		case !here.alive():
-		case refused:
+		case !process.alive():
+		case released:
 			delete(m.admittedKeys, key)
-			here.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "released", Token: token}})
+			process.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "released", Token: token}})
 		default:
-			here.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "done", Outcome: search.Outcome{Code: search.CodeOK}}})
+			process.node.step(kernel.Call{Plugin: "idempotency", Request: RecordOutcome{Key: key, Code: "done", Outcome: search.Outcome{Code: search.CodeOK}}})
 		}
 	})
 }
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -72,13 +72,13 @@
 func (n *modelNode) step(in kernel.Input) {
 	ctx := &kernel.Context{Now: n.model.now, Rand: n.model.rand, Counts: kernel.NewCounts()}
 	n.coordinator.Step(ctx, in)
-	here := n.incarnation()
+	process := n.incarnation()
 	for _, s := range ctx.Output.Sends {
-		n.model.send(here, s)
+		n.model.send(process, s)
 	}
 	for _, timer := range ctx.Output.Timers {
 		n.model.after(timer.At-n.model.now, func() {
-			if here.alive() {
+			if process.alive() {
 				n.step(timer.Tick)
 			}
 		})
@@ -93,7 +93,7 @@
 // restart starts a process that sees some of the others first, and all of them later.
 func (n *modelNode) restart() {
 	n.start()
-	m, here := n.model, n.incarnation()
+	m, process := n.model, n.incarnation()
 	some := []*modelNode{n}
 	for _, o := range m.nodes {
 		if o != n && m.rand.IntN(3) == 0 {
@@ -102,13 +102,13 @@
 	}
 	first := m.between(20*ms, 200*ms)
 	m.after(first, func() {
-		if here.alive() {
+		if process.alive() {
 			n.observe(some)
 			n.step(mesh.CaughtUp{})
 		}
 	})
 	m.after(first+m.between(0, second), func() {
-		if here.alive() {
+		if process.alive() {
 			n.observe(m.nodes)
 		}
 	})
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -20,9 +20,9 @@
 const (
 	ms     = int64(1000)
 	second = 1000 * ms
-	// modelLoss is how many of the model's nodes are lost at once at most: fewer than half.
-	modelNodes, modelLoss = 8, 3
-	modelSeconds          = 40 * second
+	// modelMaxCrashes is how many of the model's nodes are lost at once at most: fewer than half.
+	modelNodes, modelMaxCrashes = 8, 3
+	modelSeconds                = 40 * second
 	// justStartedFor is for how long a node counts as just started.
 	justStartedFor = 1500 * ms
 )
@@ -148,25 +148,25 @@
 func (m *model) crashSome() {
 	all := slices.Clone(m.nodes)
 	m.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	away := m.between(200*ms, 2*second)
+	downtime := m.between(200*ms, 2*second)
 	if m.rand.IntN(3) == 0 {
-		away += snapshot.RosterTTL
+		downtime += snapshot.RosterTTL
 	}
-	for _, n := range all[:1+m.rand.IntN(modelLoss)] {
+	for _, n := range all[:1+m.rand.IntN(modelMaxCrashes)] {
 		n.up, n.downAt = false, m.now
-		m.after(away+m.between(0, 300*ms), n.restart)
+		m.after(downtime+m.between(0, 300*ms), n.restart)
 	}
 	m.announceRoster()
 	m.after(snapshot.RosterTTL, m.announceRoster)
-	m.after(away+m.between(4*second, 6*second), m.crashSome)
+	m.after(downtime+m.between(4*second, 6*second), m.crashSome)
 }
 
 // announceRoster has every node see, each after its own while, what the fleet is then.
 func (m *model) announceRoster() {
 	for _, n := range m.nodes {
-		here := n.incarnation()
+		process := n.incarnation()
 		m.after(m.between(5*ms, second), func() {
-			if here.alive() {
+			if process.alive() {
 				n.observe(m.nodes)
 			}
 		})
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -53,12 +53,12 @@
 // repeatOwner returns the address of the live owner that remembers a key, empty for this process itself. ok is
 // false if no owner is live.
 func (c *Coordinator) repeatOwner(key string) (addr string, ok bool) {
-	for _, h := range Owners(key, c.snapshot().KeyOwners) {
-		if h.Origin == c.mesh.Self() {
+	for _, owner := range Owners(key, c.snapshot().KeyOwners) {
+		if owner.Origin == c.mesh.Self() {
 			return "", true
 		}
-		if h.Live {
-			return h.Addr, true
+		if owner.Live {
+			return owner.Addr, true
 		}
 	}
 	return "", false
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -148,10 +148,10 @@
 	n := newNode(t)
 	n.c.epochs = nil
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
-	ask := &wire.RecordsRequest{Epoch: 4, Name: "z", NewNodes: encodeRoster(append([]snapshot.Node{{Name: "z"}}, n.c.roster...))}
-	must.SliceEmpty(t, n.receive(wire.KindRecordsRequest, 0, ask).Sends)
+	request := &wire.RecordsRequest{Epoch: 4, Name: "z", NewNodes: encodeRoster(append([]snapshot.Node{{Name: "z"}}, n.c.roster...))}
+	must.SliceEmpty(t, n.receive(wire.KindRecordsRequest, 0, request).Sends)
 	n.c.roster = append(n.c.roster, snapshot.Node{Name: "z"})
-	must.Len(t, 1, n.receive(wire.KindRecordsRequest, 0, ask).Sends)
+	must.Len(t, 1, n.receive(wire.KindRecordsRequest, 0, request).Sends)
 }
 
 // An owner that lost its records and sees two others of eight needs as many of them to hand over
@@ -161,13 +161,13 @@
 	all := otherNodes(7)
 	n.c.roster = append([]snapshot.Node{n.self()}, all[:2]...)
 	n.c.invalidateRecords(&kernel.Context{Now: n.now})
-	lost := n.c.epochs[0]
+	lossEpoch := n.c.epochs[0]
 	for i, o := range all[:4] {
 		must.False(t, n.c.canVouch("k", "index", n.now), must.Sprintf("%d of seven others", i))
 		if i == 2 {
 			n.c.roster = append([]snapshot.Node{n.self()}, all...)
 		}
-		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.id, Name: o.Name, Last: true, KeyOwners: 8})
+		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lossEpoch.id, Name: o.Name, Last: true, KeyOwners: 8})
 	}
 	must.True(t, n.c.canVouch("k", "index", n.now), must.Sprint("four of seven others"))
 }
@@ -177,14 +177,14 @@
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
 	n.c.invalidateRecords(&kernel.Context{Now: n.now})
-	lost := n.c.epochs[0]
-	claim := wire.AdmitRequest{Key: "k", From: "later#1", Sum: 5}
-	must.Eq(t, "unsure", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	lossEpoch := n.c.epochs[0]
+	admit := wire.AdmitRequest{Key: "k", From: "later#1", Sum: 5}
+	must.Eq(t, "unsure", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, admit).Code)
 	for _, o := range otherNodes(2) {
-		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lost.id, Name: o.Name, Last: true, Records: []wire.Outcome{{Key: "k", Code: "running", Status: 5, Body: []byte("earlier#1")}}})
+		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lossEpoch.id, Name: o.Name, Last: true, Records: []wire.Outcome{{Key: "k", Code: "running", Status: 5, Body: []byte("earlier#1")}}})
 	}
-	must.Eq(t, "running", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	must.Eq(t, "running", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, admit).Code)
 	// The one's release is not the other's.
 	n.receive(wire.KindOutcome, 0, &wire.Outcome{Key: "k", Code: "released", Body: []byte("later#1")})
-	must.Eq(t, "running", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, claim).Code)
+	must.Eq(t, "running", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, admit).Code)
 }
--- a/request/search/explain_test.go
+++ b/request/search/explain_test.go
@@ -21,17 +21,17 @@
 	must.True(t, ok)
 	e := Explain(tr, func(*snapshot.Snapshot) string { return "1.1" })
 	must.Len(t, 6, e.Candidates)
-	picked := 0
+	selected := 0
 	for _, k := range e.Candidates {
 		must.NotEq(t, "", k.Reason)
 		if k.Reason == "picked" {
-			picked++
+			selected++
 		}
 		if k.Backend == "s0-1" {
 			must.Eq(t, "condition is lost", k.Reason)
 		}
 	}
-	must.Eq(t, 2, picked)
+	must.Eq(t, 2, selected)
 	_, ok = d.Traces.Get("n-ffff")
 	must.False(t, ok)
 }
