--- a/request/search/actions.go
+++ b/request/search/actions.go
@@ -5,12 +5,12 @@
 	"wallport/runtime/clock"
 )
 
-// Action is an output of the state machine for its driver: one of the types below.
+// Action is an instruction of the state machine to its driver: one of the types below.
 type Action any
 
 // Send sends an attempt to a backend.
 type Send struct {
-	// Attempt is the number by which [AttemptDone] and [Cancel] name the attempt.
+	// Attempt is the number by which [AttemptDone] and [Cancel] refer to the attempt.
 	Attempt    int
 	ID         string
 	Backend    *snapshot.Backend
@@ -18,60 +18,63 @@
 	ShardCount int
 	// ShardMap is the name of the shard map that the shard belongs to.
 	ShardMap string
-	// Timeout is the time left until the request's deadline.
+	// Timeout is the time that is left until the request's deadline.
 	Timeout clock.Micros
 	Request *Request
-	// Retry marks a retry or hedged request, which the retry budget paid for.
+	// Retry marks an attempt that was charged to the retry budget: a retry, a hedged request, or the
+	// first attempt for a shard in a caller's repeat.
 	Retry bool
-	// Replacement marks an attempt that replaces one of which nothing was written.
+	// Replacement marks an attempt that replaces one of which no byte was written.
 	Replacement bool
 }
 
 type (
-	// Cancel cancels an attempt, whose result is not wanted any more.
+	// Cancel cancels an attempt whose result is no longer needed.
 	Cancel struct{ Attempt int }
-	// AdmitKey asks the owners of an idempotency key whether the request may run.
+	// AdmitKey asks the owners of an idempotency key to admit the request.
 	AdmitKey struct {
 		Key    string
 		Index  string
 		Digest uint64
-		// FirstAttempt is the caller's statement that it never sent the key before.
+		// FirstAttempt is the caller's assertion that it has never sent the key before.
 		FirstAttempt bool
-		// Timeout bounds the wait for the owners. It is 0 with OnlyDetectRepeat, for which the
-		// coordinator has a bound of its own.
+		// Timeout bounds the wait for the owners. It is 0 with OnlyDetectRepeat, because the
+		// coordinator applies its own time-out to repeat checks.
 		Timeout clock.Micros
-		// OnlyDetectRepeat asks only whether a search or read was sent before.
+		// OnlyDetectRepeat asks only whether the key of a search or read was used before.
 		OnlyDetectRepeat bool
 	}
-	// ResolveKey tells the owners of a key what became of the request that they admitted.
+	// ResolveKey reports the resolution of an admitted request to the owners of its key.
 	ResolveKey struct {
 		Key        string
 		Resolution Resolution
 		Token      string
-		// Attempted says that an attempt was made, so that a repeat of the key costs the retry budget.
+		// Attempted reports whether an attempt was made. If so, a repeat of the key is charged to
+		// the retry budget.
 		Attempted bool
 		Outcome   Outcome
 	}
-	// SetTimer asks for [TimerFired] at a moment; it replaces the timer set before.
+	// SetTimer requests a [TimerFired] event at the given time. It replaces the previous timer.
 	SetTimer struct{ At clock.Micros }
-	// Finish gives the final outcome.
+	// Finish ends the request with its outcome.
 	Finish struct{ Outcome Outcome }
 )
 
-// Resolution is what became of an admitted key.
+// Resolution is how the admission of a key ended.
 type Resolution string
 
 // The resolutions of a key.
 const (
-	// ResolutionCompleted has the owners keep the outcome for repeats.
+	// ResolutionCompleted makes the owners store the outcome and return it to repeats.
 	ResolutionCompleted Resolution = "done"
-	// ResolutionReleased frees the key: the request did not run.
+	// ResolutionReleased frees the key, because the request did not run.
 	ResolutionReleased Resolution = "released"
-	// ResolutionNotSent has the owners forget a search or read that was sent to no backend.
+	// ResolutionNotSent makes the owner forget the key of a search or read that was not sent to
+	// any backend.
 	ResolutionNotSent Resolution = "unseen"
 )
 
-// Code is the code of an outcome: ok or the name of a failure of the caller API.
+// Code is the result code of a request: ok, or the name of a failure of the caller API.
 type Code string
 
 // The codes of outcomes.
@@ -86,35 +89,35 @@
 	CodeConflict       Code = "conflict"
 )
 
-// Execution says, of a failed request, whether it ran.
+// Execution states whether a failed request ran.
 type Execution string
 
-// What is known of the execution of a request without a successful response.
+// The values of Execution.
 const (
-	// ExecutionNone says that the request did not run and will not.
+	// ExecutionNone means that the request did not run and will not run.
 	ExecutionNone Execution = "no"
-	// ExecutionUnknown says that it may have run.
+	// ExecutionUnknown means that the request may have run.
 	ExecutionUnknown Execution = "unknown"
 )
 
-// Outcome is what the caller is told. The owners of a key store it encoded and return it to
-// repeats, so that its fields keep their names.
+// Outcome is the result of a request as the caller receives it. The owners of a key store the
+// JSON encoding and return it to repeats, so the field names must not change.
 type Outcome struct {
 	ID   string
 	Code Code
-	// Why is the reason of a failure.
+	// Why is the reason for a failure.
 	Why string
 	// Ran is empty for a success.
 	Ran Execution
-	// Retry is after how many seconds the caller may retry; 0 is not at all.
+	// Retry is the number of seconds after which the caller may retry; 0 means that it should not.
 	Retry int
-	// Cut is the name of the shard map that the request was served by.
+	// Cut is the name of the shard map that served the request.
 	Cut   string
 	Shard int
-	// Shards and Missing are the shards of a search that answered and that did not.
+	// Shards lists the shards that answered a search, Missing those that did not.
 	Shards  []int
 	Missing []int
 	Records []Record
-	// Repeat marks the outcome of an earlier request under the same key.
+	// Repeat marks the stored outcome of an earlier request under the same key.
 	Repeat bool
 }
--- a/request/search/dispatcher.go
+++ b/request/search/dispatcher.go
@@ -12,16 +12,16 @@
 	"wallport/runtime/random"
 )
 
-// Dispatcher is what all requests of one node share. It may be used by many goroutines.
+// Dispatcher holds the state that all requests of one node share. It is safe for concurrent use.
 type Dispatcher struct {
-	// Snapshot returns the newest routing snapshot, nil before the first.
+	// Snapshot returns the newest routing snapshot, or nil before the first one.
 	Snapshot   func() *snapshot.Snapshot
 	LoadReport *loadreport.Reporter
 	Counts     *kernel.Counts
 	Traces     *TraceRing
-	// Name is the node's name; requests' ids begin with it.
+	// Name is the node's name, with which the ids of its requests begin.
 	Name string
-	// Seed is where the random sources of requests start from.
+	// Seed is the base of the seeds of the requests' random sources.
 	Seed      uint64
 	StartedAt clock.Micros
 
@@ -30,7 +30,7 @@
 	limiters     sync.Map // index -> *indexLimiters
 }
 
-// Config is what a dispatcher is made of.
+// Config holds the dependencies and parameters of a dispatcher.
 type Config struct {
 	Snapshots  *snapshot.Table
 	LoadReport *loadreport.Reporter
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -1,7 +1,7 @@
 package search
 
-// State is a state of the state machine. The texts are those of traces, which operators read and which
-// therefore keep older words than the constants.
+// State is a state of the state machine. Its text appears in traces that operators read, so it keeps
+// older terms than the names of the constants.
 type State string
 
 // The states of a request.
@@ -26,75 +26,76 @@
 	Begin struct{}
 	// KeyChecked answers [AdmitKey].
 	KeyChecked struct{ Admission Admission }
-	// AttemptDone gives the result of a [Send].
+	// AttemptDone reports the result of a [Send].
 	AttemptDone struct {
 		Attempt int
 		Result  Result
 	}
-	// TimerFired says that the moment of the last [SetTimer] has come.
+	// TimerFired reports that the time of the last [SetTimer] has been reached.
 	TimerFired struct{}
 )
 
-// AdmissionCode is what the owners of an idempotency key decided.
+// AdmissionCode is the decision on the admission of an idempotency key.
 type AdmissionCode string
 
 // The decisions on an idempotency key.
 const (
-	// AdmissionGranted lets the request run.
+	// AdmissionGranted permits the request to run.
 	AdmissionGranted AdmissionCode = "in"
-	// AdmissionInProgress says that a request of this key is running.
+	// AdmissionInProgress means that a request with this key is still running.
 	AdmissionInProgress AdmissionCode = "running"
-	// AdmissionCompleted says that a request of this key has run; its outcome comes along.
+	// AdmissionCompleted means that a request with this key has run. The admission carries its outcome.
 	AdmissionCompleted AdmissionCode = "done"
-	// AdmissionConflict says that the key was used for another request.
+	// AdmissionConflict means that the key was used for a different request.
 	AdmissionConflict AdmissionCode = "conflict"
-	// AdmissionNoQuorum says that too few owners of the key answered.
+	// AdmissionNoQuorum means that too few owners of the key answered.
 	AdmissionNoQuorum AdmissionCode = "short"
-	// AdmissionStateLost says that the owners that answered have lost what they knew of the key.
+	// AdmissionStateLost means that the owners that answered may have lost their record of the key.
 	AdmissionStateLost AdmissionCode = "unknown"
 )
 
-// Admission is the answer of a key's owners.
+// Admission is the result of asking a key's owners.
 type Admission struct {
 	Code AdmissionCode
-	// Token names this one admission, for its release.
+	// Token identifies this admission. Only a release with the same token frees the key.
 	Token  string
 	Reason string
-	// Outcome is the encoded [Outcome] of the earlier request, with AdmissionCompleted.
+	// Outcome is the encoded [Outcome] of the earlier request if Code is AdmissionCompleted.
 	Outcome []byte
-	// Repeat says that an earlier attempt under the key reached a backend.
+	// Repeat reports that the key was used before by a request for which an attempt was made.
 	Repeat bool
 }
 
-// Class says what is known of an attempt once it has ended, and thereby whether the request may be sent again.
+// Class classifies the result of an attempt. It determines whether the request may be sent again.
 type Class string
 
 // The classes of results.
 const (
 	ClassOK Class = "ok"
-	// ClassNotSent says that not one byte was written to the backend.
+	// ClassNotSent means that no byte was written to the backend.
 	ClassNotSent Class = "not_written"
-	// ClassRejected is the backend's statement that it did not run the request.
+	// ClassRejected means that the backend stated that it did not run the request.
 	ClassRejected Class = "shed"
-	// ClassFailed is an attempt that was written and got no response, or a failure.
+	// ClassFailed means that the request was written but got no complete response, or a response
+	// with an error status.
 	ClassFailed Class = "failed"
-	// ClassInvalid is a response that failed the checks of [CheckResponse].
+	// ClassInvalid means that the response failed the checks of [CheckResponse].
 	ClassInvalid Class = "garbage"
-	// ClassNotFound says that the backend has no such record.
+	// ClassNotFound means that the backend does not have the record.
 	ClassNotFound Class = "absent"
 )
 
-// Result is a checked response of a backend, or why there is none.
+// Result is the validated response of a backend, or the reason why there is none.
 type Result struct {
 	Class       Class
 	Reason      string
 	Records     []Record
 	Incarnation int64
-	// Load is how many requests the backend reports to have under way.
+	// Load is the number of requests in progress that the backend reports.
 	Load int64
 }
 
-// Record is one record.
+// Record is one record of an index.
 type Record struct {
 	ID    string `json:"id"`
 	Score int64  `json:"score"`
--- a/request/search/explain.go
+++ b/request/search/explain.go
@@ -15,7 +15,7 @@
 	Candidates []Candidate `json:"candidates"`
 }
 
-// Candidate is a backend as it stood when the request was decided, and why it was or was not selected.
+// Candidate is a backend as the request's snapshot shows it, and why it was or was not selected.
 type Candidate struct {
 	Shard             int    `json:"shard"`
 	Backend           string `json:"server"`
@@ -25,7 +25,7 @@
 	Reason            string `json:"why"`
 }
 
-// Why a candidate was or was not selected, in the API's words.
+// The reasons why a candidate was or was not selected, as the API returns them.
 const (
 	reasonNotSampled = "in the draw, not drawn"
 	reasonHigherCost = "drawn, the other cost less"
@@ -34,8 +34,8 @@
 	reasonUnhealthy  = "condition is "
 )
 
-// Explain returns a trace with the candidates of every shard that it selected a backend for.
-// versionText writes the version of the snapshot that the request was decided by.
+// Explain returns a trace together with the candidates of every shard for which a backend was
+// selected. versionText formats the version of the request's snapshot.
 func Explain(t *Trace, versionText func(*snapshot.Snapshot) string) Explanation {
 	e := Explanation{Trace: t, Outcome: t.Outcome, Candidates: []Candidate{}}
 	if t.snapshot == nil {
--- a/request/search/gather.go
+++ b/request/search/gather.go
@@ -36,8 +36,9 @@
 	}
 }
 
-// resolveSearch finishes a search when all shards have answered or are missing, when its
-// required share can't be reached any more, and in time for its deadline.
+// resolveSearch finishes a search when all shards have answered or are missing, when its required
+// share has been reached and partialAt has passed, when that share can no longer be reached, or at
+// its deadline.
 func (m *StateMachine) resolveSearch(now clock.Micros) {
 	answered, pending, attempts := 0, 0, 0
 	why := ""
@@ -53,7 +54,7 @@
 			pending++
 		}
 	}
-	// Both sides of the comparisons are in hundredths of shards.
+	// Both sides of the comparisons below are in hundredths of a shard.
 	required := int(m.index.Service.RequiredShare) * len(m.shardRequests)
 	enough := answered > 0 && answered*100 >= required
 	switch {
@@ -71,7 +72,7 @@
 	}
 }
 
-// Before orders the records of a search: by falling score, then by id. It compares as [cmp.Compare].
+// Before compares two records of a search like [cmp.Compare]: by descending score, then by id.
 func Before(a, b Record) int {
 	if a.Score != b.Score {
 		return cmp.Compare(b.Score, a.Score)
@@ -79,8 +80,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// merge finishes a search with the first records of the shards' sorted lists, each record once.
-// All lists are of one shard map.
+// merge finishes a search with the first Limit records of the shards' sorted lists, without
+// duplicates. All lists belong to the same shard map.
 func (m *StateMachine) merge(now clock.Micros) {
 	answered, missing := m.answeredShards()
 	m.transition(now, StateGathered, "")
@@ -109,7 +110,7 @@
 	m.finish(now, StateAnswered, Outcome{Code: CodeOK, Cut: m.shardMap, Shards: answered, Missing: missing, Records: slices.Clip(merged)})
 }
 
-// answeredShards returns the shards that have answered and those that have not, in order.
+// answeredShards returns the shards that have answered and those that have not, each in ascending order.
 func (m *StateMachine) answeredShards() (answered, missing []int) {
 	answered, missing = []int{}, []int{}
 	for i := range m.shardRequests {
--- a/request/search/golden_test.go
+++ b/request/search/golden_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The digest by which owners of a key, of two releases, tell two inquiries under one key apart.
+// Owners of a key that run different releases compare these digests to detect different requests under
+// one key, so a release must not change them.
 func TestRequestDigestIsUnchanged(t *testing.T) {
 	for kind, sum := range map[Kind]uint64{
 		"search":  17592480188054273655,
@@ -20,14 +21,15 @@
 	must.Eq(t, []Kind{"search", "read", "correct", "part"}, []Kind{KindSearch, KindRead, KindCorrect, KindPart})
 }
 
-// A record stays on the shard that it is stored on.
+// If the mapping changed, requests would go to a shard that does not store the record.
 func TestShardOfIsUnchanged(t *testing.T) {
 	for record, shards := range map[string][2]int{"": {2, 5}, "r1": {4, 44}, "r2": {5, 37}} {
 		must.Eq(t, shards, [2]int{ShardOf(record, 7), ShardOf(record, 64)}, must.Sprint(record))
 	}
 }
 
-// The owners of a key keep the encoded outcome and give it to repeats, also to those of another release.
+// The owners of a key store the encoded outcome and return it to repeats, also through nodes of another
+// release.
 func TestOutcomeEncodingIsUnchanged(t *testing.T) {
 	o := Outcome{
 		ID: "n-1", Code: CodeOK, Why: "why", Ran: "no", Retry: 1, Cut: "c1", Shard: 2, Shards: []int{0}, Missing: []int{1},
--- a/request/search/key_admission.go
+++ b/request/search/key_admission.go
@@ -7,22 +7,25 @@
 )
 
 const (
-	// maxAdmissionWait bounds the wait for the owners of a key; half of the deadline does too.
+	// maxAdmissionWait bounds the wait for the owners of a key, which is at most half of the time
+	// until the deadline.
 	maxAdmissionWait = 900 * clock.Millisecond
-	// admissionSlack is how much longer than the owners' coordinator the state machine waits.
+	// admissionSlack is how much longer the state machine waits than the idempotency coordinator,
+	// which asks the owners.
 	admissionSlack = 50 * clock.Millisecond
 )
 
 const (
-	// ReasonRetryBudgetExhausted is the reason of a rejected repeat that the retry budget cannot
-	// pay for.
-	ReasonRetryBudgetExhausted = "a repeat, and the pool's budget of repeated tries is used up"
-	// ReasonTooFewKeyOwners begins the reason of a rejection because too few owners of the key answer.
-	ReasonTooFewKeyOwners = "too few home nodes of the key: "
+	// ReasonRetryBudgetExhausted is the reason for rejecting a repeat that the retry budget does not
+	// cover.
+	ReasonRetryBudgetExhausted = "a repeat, and the pool's retry budget is used up"
+	// ReasonTooFewKeyOwners is the prefix of the reason for rejecting a request because too few
+	// owners of its key answered.
+	ReasonTooFewKeyOwners = "too few owners of the key: "
 )
 
-// requestAdmission asks the key's owners to admit the request. A search or read may run again;
-// for these it is only asked whether they are repeats.
+// requestAdmission asks the key's owners to admit the request. For a search or read, which may run
+// again, it only asks whether the request is a repeat.
 func (m *StateMachine) requestAdmission(now clock.Micros) {
 	if !m.request.AtMostOnce() {
 		m.emit(AdmitKey{Key: m.request.Key, OnlyDetectRepeat: true})
@@ -37,7 +40,7 @@
 	m.emit(SetTimer{At: min(m.deadline, now+timeout+admissionSlack)})
 }
 
-// keyChecked goes on with an admitted request and finishes any other.
+// keyChecked sends the request if its key was admitted and finishes it otherwise.
 func (m *StateMachine) keyChecked(now clock.Micros, a Admission) {
 	if m.state != StateClassified {
 		return
@@ -50,18 +53,18 @@
 	case AdmissionCompleted:
 		var o Outcome
 		if json.Unmarshal(a.Outcome, &o) != nil {
-			o = Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "an earlier inquiry of this key has no known outcome"}
+			o = Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the outcome of an earlier inquiry with this key is not known"}
 		}
 		o.Repeat = true
 		m.finish(now, StateAnswered, o)
 	case AdmissionInProgress:
-		m.finish(now, StateRejected, Outcome{Code: CodeConflict, Why: "an inquiry of this key is under way", Ran: ExecutionUnknown, Retry: 1})
+		m.finish(now, StateRejected, Outcome{Code: CodeConflict, Why: "an inquiry with this key is in progress", Ran: ExecutionUnknown, Retry: 1})
 	case AdmissionConflict:
 		m.finish(now, StateRejected, Outcome{Code: CodeConflict, Why: "the key was used for another inquiry", Ran: ExecutionNone})
 	case AdmissionStateLost:
 		m.finish(now, StateAnswered, Outcome{
 			Code: CodeOutcomeUnknown, Ran: ExecutionUnknown,
-			Why: "so soon after a loss nobody knows whether an earlier inquiry of this key ran",
+			Why: "the owners of this key may have lost their records: it is not known whether an earlier inquiry with it ran",
 		})
 	default:
 		m.dispatcher.Counts.Add("shed_claims", 1)
@@ -69,13 +72,15 @@
 	}
 }
 
-// LateAdmission returns how to resolve an admission that came after its request had finished, and
-// whether there is anything to resolve: a key admitted for nothing must not stay in progress.
+// LateAdmission returns the resolution of an admission that arrived after its request had finished,
+// and whether the key was admitted at all. A key that was admitted too late must be released, or it
+// would stay in progress.
 func LateAdmission(key string, a Admission) (ResolveKey, bool) {
 	return ResolveKey{Key: key, Resolution: ResolutionReleased, Token: a.Token}, a.Code == AdmissionGranted
 }
 
-// resolveKey tells the key's owners what became of the request that they admitted.
+// resolveKey emits the resolution of an admitted key for its owners. The key of a search or read is
+// resolved only if it is not a repeat and was sent to no backend.
 func (m *StateMachine) resolveKey(o *Outcome) {
 	if !m.keyAdmitted {
 		return
--- a/request/search/limits.go
+++ b/request/search/limits.go
@@ -7,7 +7,7 @@
 	"wallport/runtime/clock"
 )
 
-// limitName names the limit that admitted or rejected a request, in traces and failures.
+// limitName identifies the limit that admitted or rejected a request, in traces and failure reasons.
 type limitName string
 
 const (
@@ -19,19 +19,22 @@
 )
 
 const (
-	// burstSeconds is how many seconds of its rate a limiter may save.
+	// burstSeconds is the capacity of a limiter, in seconds of its rate.
 	burstSeconds = 2
-	// refilledBeforeStart, as the time of the last refill, makes a limiter begin full.
+	// refilledBeforeStart is the initial time of the last refill. It lies far enough in the past
+	// for a limiter to start full.
 	refilledBeforeStart = -1 * clock.Minute
 )
 
-// limiter is this node's part of one limit.
+// limiter is this node's share of one fleet-wide limit.
 type limiter struct{ tokenbucket.Bucket }
 
-// allow takes a request from a limit, in requests a second of the whole fleet. This node has a part
-// of it: that of the fleet's requests which it gets, by meter. What it saves, up to the equal part
-// of one of so many nodes, is for callers who move to it before the other nodes know. With force
-// the request is taken anyway, and the limiter may owe as much as it may save.
+// allow charges one request to a limit and reports whether the limit admits it. limit is in requests
+// per second for the whole fleet. This node's share of it is the node's share of the fleet's
+// requests according to meter. The capacity is computed from at least an equal share among the
+// given number of nodes, which covers callers that move to this node before the other nodes have
+// learned of it. With force the request is charged even without credit, and the balance may go
+// down to minus the capacity.
 func (l *limiter) allow(now clock.Micros, limit float64, meter *loadreport.Meter, nodes int, force bool) bool {
 	part := meter.LocalLimit(limit, nodes)
 	capacity := max(tokenbucket.One, int64(burstSeconds*tokenbucket.One*max(part, limit/float64(max(1, nodes)))))
@@ -42,7 +45,7 @@
 	return limit > 0 && l.Take(tokenbucket.One, tokenbucket.One, capacity)
 }
 
-// indexLimiters are the limiters of an index: three a kind, and one for the capacity that is not
+// indexLimiters holds the limiters of an index: three per kind, and one for the capacity that is not
 // reserved for any kind.
 type indexLimiters struct {
 	unreserved limiter
@@ -68,9 +71,9 @@
 	return v.(*indexLimiters)
 }
 
-// withinLimits decides whether a request is admitted by the limits of its kind, and by which. A kind
-// inside its quota or its reservation is admitted whatever the others do; above it, the kind may
-// use what the others leave, up to its rate limit.
+// withinLimits reports whether the limits of its kind admit a request, and which limit decided. A
+// kind within its quota or its reservation is admitted regardless of the load of other kinds. Above
+// that it may use the capacity that other kinds leave unused, up to its rate limit.
 func (d *Dispatcher) withinLimits(snap *snapshot.Snapshot, index *snapshot.Index, kind Kind, now clock.Micros) (bool, limitName) {
 	kindMeter, indexMeter := d.LoadReport.Meter(index.Name, string(kind)), d.LoadReport.Meter(index.Name, "")
 	kindMeter.Inc()
@@ -86,7 +89,7 @@
 	if limit.Reserved > 0 && own.reserved.allow(now, limit.Reserved, kindMeter, snap.Peers, false) {
 		return true, limitReserved
 	}
-	// What is reserved is kept for its kind, used or not; the rest is shared out.
+	// Reserved capacity stays with its kind even when unused; only the remainder is shared.
 	unreserved := index.Capacity
 	for _, other := range index.Limits {
 		unreserved -= other.Reserved
--- a/request/search/response.go
+++ b/request/search/response.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// BackendResponse is the body of a backend's response.
+// BackendResponse is the JSON body of a backend's response.
 type BackendResponse struct {
 	RequestID   string   `json:"inquiry"`
 	ShardMap    string   `json:"cut"`
@@ -18,25 +18,26 @@
 	Records     []Record `json:"records"`
 }
 
-// RawResponse is a response before it is checked.
+// RawResponse is a backend's response before [CheckResponse] has validated it.
 type RawResponse struct {
 	Status int
-	// Length is the Content-Length field; below 0 without one.
+	// Length is the value of the Content-Length field; negative if the field is absent.
 	Length int64
-	// Digest is the Content-Digest field.
+	// Digest is the value of the Content-Digest field.
 	Digest string
 	Body   []byte
 }
 
-// ContentDigest returns the Content-Digest field of a body.
+// ContentDigest returns the value of the Content-Digest field for a body.
 func ContentDigest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 }
 
-// CheckResponse checks the response to an attempt. It must be complete by length and digest, echo
-// the attempt, its shard and its shard map, and hold records of that shard, in order and each once.
-// Any other response is [ClassInvalid], with the reason, and its content is never passed on.
+// CheckResponse validates the response to an attempt. The length and the digest of the body must
+// match, the response must echo the attempt's id, shard and shard map, and its records must belong
+// to that shard, be sorted and contain no duplicates. A response that fails a check yields
+// [ClassInvalid] with the reason, and its content is never passed on.
 func CheckResponse(a *Send, raw RawResponse) Result {
 	if raw.Length >= 0 && raw.Length != int64(len(raw.Body)) {
 		return invalid("length")
@@ -77,7 +78,7 @@
 
 func invalid(reason string) Result { return Result{Class: ClassInvalid, Reason: reason} }
 
-// checkRecords returns what is wrong with the records of a response, or nothing.
+// checkRecords returns why the records of a response are invalid, or an empty string if they are valid.
 func checkRecords(a *Send, records []Record) string {
 	if !slices.IsSortedFunc(records, Before) {
 		return "records out of order"
--- a/request/search/retry_budget.go
+++ b/request/search/retry_budget.go
@@ -7,12 +7,13 @@
 	"wallport/runtime/clock"
 )
 
-// The retry budget: in any ten seconds all nodes together may add a fifth of a pool's traffic and
-// about sixty attempts. Each node earns the fifth from its own initial attempts as they happen, so
-// that what was earned long ago is not spent in a burst. Of the sixty, fifty may be saved and ten
-// come with time, both divided by the largest fleet seen lately.
+// The retry budget limits retries and hedged requests: in any ten seconds all nodes together may add
+// a fifth of a pool's traffic plus about sixty attempts. Each node earns the fifth from its own
+// initial attempts as they happen, and the balance is capped, so that credit earned long ago is not
+// spent in a burst. Of the sixty attempts, fifty may be saved up and ten accrue over the ten seconds;
+// both are divided by the size of the largest fleet seen recently.
 //
-// The constants are in thousandths of attempts.
+// The constants are in thousandths of an attempt.
 const (
 	oneAttempt       = tokenbucket.One
 	earnedPerAttempt = oneAttempt / 5
@@ -20,7 +21,7 @@
 	fleetPerSecond   = 1 * oneAttempt
 )
 
-// retryBudgetOf returns what this node may spend on the pool of an index.
+// retryBudgetOf returns this node's retry budget for the pool of an index and creates it if necessary.
 func (d *Dispatcher) retryBudgetOf(index string) *retrybudget.Budget {
 	if v, ok := d.retryBudgets.Load(index); ok {
 		return v.(*retrybudget.Budget)
@@ -31,22 +32,22 @@
 	return v.(*retrybudget.Budget)
 }
 
-// retryBudget returns the budget of an index's pool and how much of it this node may save.
+// retryBudget returns this node's retry budget for the pool of an index, and the budget's capacity.
 func (d *Dispatcher) retryBudget(snap *snapshot.Snapshot, index string, now clock.Micros) (budget *retrybudget.Budget, capacity int64) {
 	budget = d.retryBudgetOf(index)
 	capacity, _ = budget.Limits(now, fleetSavedMax/int64(snap.Divisor))
 	return budget, capacity
 }
 
-// replenishRetryBudget adds what an initial attempt earns.
+// replenishRetryBudget credits the retry budget with the share that one initial attempt earns.
 func (d *Dispatcher) replenishRetryBudget(snap *snapshot.Snapshot, index string, now clock.Micros) {
 	budget, capacity := d.retryBudget(snap, index, now)
 	budget.Add(earnedPerAttempt, capacity)
 }
 
-// takeRetries takes n attempts from the budget of an index's pool and reports whether they may be
-// made. A caller's repeat takes all its attempts at once; where they cost more than can be saved,
-// it takes all that can be, and the rest is owed.
+// takeRetries charges n attempts to the retry budget of an index's pool and reports whether they may
+// be made. A caller's repeat takes all its attempts in one call. If these exceed the capacity, a full
+// budget is enough, and the balance becomes negative.
 func (d *Dispatcher) takeRetries(snap *snapshot.Snapshot, index string, now clock.Micros, n int64) bool {
 	budget, capacity := d.retryBudget(snap, index, now)
 	budget.Refill(now, fleetPerSecond/int64(snap.Divisor), capacity)
--- a/request/search/retry_budget_test.go
+++ b/request/search/retry_budget_test.go
@@ -8,8 +8,8 @@
 	"wallport/runtime/clock"
 )
 
-// TestRetryBudgetHoldsInAnyTenSeconds has traffic that stops dead now and then,
-// for what was earned before a window began must not be spent within it.
+// TestRetryBudgetHoldsInAnyTenSeconds interrupts the traffic for some seconds at a time: credit that was
+// earned before a window of ten seconds must not exceed the budget of that window.
 func TestRetryBudgetHoldsInAnyTenSeconds(t *testing.T) {
 	snap := newSnapshot(1, 1)
 	d := newTestDispatcher(snap)
@@ -37,5 +37,5 @@
 		all += e
 		must.LessEq(t, f/5+60, e, must.Sprintf("from second %d", s))
 	}
-	must.Greater(t, 1000, all, must.Sprint("and the allowance is used"))
+	must.Greater(t, 1000, all, must.Sprint("the budget must be used to a good part"))
 }
--- a/request/search/selection.go
+++ b/request/search/selection.go
@@ -8,17 +8,17 @@
 	"wallport/runtime/random"
 )
 
-// Selection is the backend selected for an attempt and how it was found, for explain.
+// Selection is the backend selected for an attempt, with the details that the explain API shows.
 type Selection struct {
 	Backend *snapshot.Backend
-	// Sampled are the ids of the two backends that were drawn.
+	// Sampled lists the ids of the two backends that were sampled.
 	Sampled []string
-	// Tier is the name of the best tier that had any backend.
+	// Tier is the name of the best non-empty tier, from which the backend was selected.
 	Tier      string
 	WarmingUp bool
 }
 
-// tier ranks backends by health: the lowest that has any backend is selected from.
+// tier ranks backends by health. Backends are selected from the lowest tier that is not empty.
 type tier int
 
 const (
@@ -31,10 +31,10 @@
 	tierCount
 )
 
-// tierNames are the tiers' names in traces.
+// tierNames holds the names of the tiers in traces.
 var tierNames = [tierCount]string{"usable", "slow", "doubtful", "lost", "garbage"}
 
-// tierOf returns the tier of a backend. Draining backends and drained zones are never selected.
+// tierOf returns the tier of a backend. Draining backends and backends in drained zones are excluded.
 func tierOf(s *snapshot.Backend, now clock.Micros) tier {
 	switch {
 	case s.Health == snapshot.Draining || s.Health == snapshot.ZoneDrained:
@@ -51,12 +51,14 @@
 	return tierHealthy
 }
 
-// selectBackend selects a backend for an attempt by the power of two choices: of two backends drawn at
-// random from the best tier, that with the shorter expected wait. One of the two is of the node's
-// own zone where that is possible. Servers in attempted are left out. It reports whether there is one.
+// selectBackend selects a backend for an attempt by the power of two choices: it samples two backends
+// from the best tier and takes the one with the shorter expected wait. If possible, one of the two is
+// in the node's own zone. Backends in attempted are skipped. The second result reports whether a
+// backend was found.
 //
-// A backend in slow start is drawn only as often as its warmth allows. That bounds its load for the
-// whole fleet without any counting; where the whole tier is warming up, warmth is relative.
+// A backend in slow start is a candidate only with the probability of its slow-start share. That
+// bounds its load across the whole fleet without coordination. If all backends of the tier are in slow
+// start, their shares count relative to the largest.
 func selectBackend(snap *snapshot.Snapshot, index *snapshot.Index, backends []*snapshot.Backend, attempted []string, now clock.Micros, rnd *random.Source) (Selection, bool) {
 	candidates, best := bestTier(backends, attempted, now)
 	if len(candidates) == 0 {
@@ -67,8 +69,9 @@
 	if len(candidates) > 1 {
 		warm = sampleByWarmth(candidates, now, slowStart, rnd)
 	}
-	// The first is of the own zone, if its warmth allows: a zone whose backends are all warming up
-	// must not send all the work of its nodes to the one that chance lets through.
+	// The first sample is from the node's own zone if it passes the slow-start sampling, and from
+	// any zone otherwise: if all backends of the zone are in slow start, the zone's nodes must not
+	// send all their requests to the one that happens to pass.
 	first := sampleOne(inZone(candidates, snap.Zone), rnd)
 	if !slices.Contains(warm, first) && len(candidates) > 1 {
 		first = sampleOne(warm, rnd)
@@ -84,7 +87,7 @@
 	}, true
 }
 
-// bestTier returns the backends of the best tier that has any, without those in attempted.
+// bestTier returns the backends of the best non-empty tier, without those in attempted, and that tier.
 func bestTier(backends []*snapshot.Backend, attempted []string, now clock.Micros) ([]*snapshot.Backend, tier) {
 	var best []*snapshot.Backend
 	lowest := tierCount
@@ -104,8 +107,8 @@
 	return best, lowest
 }
 
-// sampleByWarmth keeps each backend with a probability of its slow-start share, relative to that of
-// the warmest.
+// sampleByWarmth keeps each backend with a probability equal to its slow-start share divided by the
+// largest share among the backends.
 func sampleByWarmth(backends []*snapshot.Backend, now, slowStart clock.Micros, rnd *random.Source) []*snapshot.Backend {
 	warmest := int64(1)
 	for _, s := range backends {
@@ -121,7 +124,7 @@
 	return kept
 }
 
-// inZone returns the backends of a zone, or all where it has none.
+// inZone returns the backends in a zone, or all backends if there are none in it.
 func inZone(backends []*snapshot.Backend, zone string) []*snapshot.Backend {
 	var found []*snapshot.Backend
 	for _, s := range backends {
@@ -139,13 +142,13 @@
 	return backends[rnd.IntN(len(backends))]
 }
 
-// minLatency, half a millisecond, is added to a backend's latency, so that one that has not answered
-// yet has a cost too.
+// minLatency, half a millisecond, is added to a backend's latency, so that the cost of a backend that
+// has not answered yet is not zero.
 const minLatency clock.Micros = 500
 
-// expectedWait estimates how long a request to a backend would wait, on a scale of its own: the
-// requests that this node has outstanding there, fourfold, and the load that the backend reports,
-// times its latency. Another zone costs a quarter more.
+// expectedWait estimates how long a request to a backend would wait, in relative units: four times
+// the requests that this node has outstanding at the backend plus the load that the backend reports,
+// multiplied by its latency. A backend in another zone costs a quarter more.
 func expectedWait(s *snapshot.Backend, zone string) int64 {
 	latency := s.Gauge.Latency.Load() + minLatency
 	wait := (s.Gauge.Outstanding.Load()*4 + s.Gauge.Usage.Load() + 4) * latency
--- a/request/search/selection_test.go
+++ b/request/search/selection_test.go
@@ -18,7 +18,7 @@
 	for range 50 {
 		c, ok := selectBackend(snap, snap.Indexes["a"], backends, nil, 0, &r)
 		must.True(t, ok)
-		must.Eq(t, backends[2].ID, c.Backend.ID, must.Sprint("the least bad"))
+		must.Eq(t, backends[2].ID, c.Backend.ID, must.Sprint("the only backend that is not draining"))
 	}
 	_, ok := selectBackend(snap, snap.Indexes["a"], backends, []string{backends[2].ID}, 0, &r)
 	must.False(t, ok)
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -5,29 +5,29 @@
 	"wallport/runtime/clock"
 )
 
-// maxAttempts bounds the attempts for one shard of which anything was written.
+// maxAttempts bounds the attempts per shard, not counting those of which no byte was written.
 const maxAttempts = 3
 
-// shardRequest is what a request does at one shard.
+// shardRequest is the state of a request at one shard.
 type shardRequest struct {
 	answered bool
-	// missing says that no answer of the shard can come any more.
+	// missing is set once no answer of the shard can arrive any more.
 	missing bool
 	records []Record
-	// reason is why the shard was asked again or is missing.
+	// reason is why the shard was retried or hedged, or why it is missing.
 	reason string
-	// attempts counts all attempts, openAttempts those under way, and unwritten those of which
-	// nothing was written, which cost no backend anything.
+	// attempts counts all attempts, openAttempts those in progress, and unwritten those of which no
+	// byte was written and which therefore put no load on a backend.
 	attempts     int
 	openAttempts int
 	unwritten    int
-	// attemptedBackends are the ids of the backends that are not selected again.
+	// attemptedBackends lists the ids of the backends that must not be selected again.
 	attemptedBackends []string
-	// hedgeAt is when a hedged request is due.
+	// hedgeAt is the time at which a hedged request is due.
 	hedgeAt clock.Micros
 }
 
-// attempt is one sending of the request to a backend.
+// attempt is one transmission of the request to a backend.
 type attempt struct {
 	shard   int
 	backend *snapshot.Backend
@@ -35,25 +35,26 @@
 	open    bool
 }
 
-// sendReason says what an attempt is made for, and thereby who pays for it.
+// sendReason is why an attempt is made. It determines whether the retry budget pays for it.
 type sendReason uint8
 
 const (
 	sendFirst sendReason = iota
-	// sendRetry is a retry or hedged request, which the retry budget pays for.
+	// sendRetry is a retry or hedged request, which is charged to the retry budget.
 	sendRetry
-	// sendReplacement replaces one of which nothing was written. It adds nothing to the pool's
-	// traffic and is free.
+	// sendReplacement replaces an attempt of which no byte was written. It adds nothing to the
+	// pool's traffic and is not charged.
 	sendReplacement
-	// sendPrepaid belongs to a caller's repeat, for which the budget has paid as a whole.
+	// sendPrepaid is an attempt of a caller's repeat, whose first attempts were charged to the retry
+	// budget together.
 	sendPrepaid
 )
 
-// sendToShards sends the admitted request to each shard that it needs. What a caller's repeat will
-// cost is taken from the retry budget first.
+// sendToShards sends the admitted request to each shard that it needs. For a caller's repeat it first
+// charges one attempt per shard to the retry budget.
 func (m *StateMachine) sendToShards(now clock.Micros) {
 	if now >= m.deadline {
-		m.reject(now, CodeGivenUp, "the deadline passed before a server was asked", 1)
+		m.reject(now, CodeGivenUp, "the deadline passed before a server was selected", 1)
 		return
 	}
 	if len(m.index.Shards) == 0 {
@@ -83,8 +84,8 @@
 	m.scheduleTimer(now)
 }
 
-// refreshSnapshot takes the newest snapshot for further attempts if it still serves the request's
-// shard map: what has begun to drain since must not be selected.
+// refreshSnapshot switches to the newest snapshot for further attempts if that still serves the
+// request's shard map, so that backends that began to drain in the meantime are not selected.
 func (m *StateMachine) refreshSnapshot() {
 	newest := m.dispatcher.Snapshot()
 	index := newest.Indexes[m.request.Index]
@@ -93,15 +94,15 @@
 	}
 }
 
-// send selects a backend for a shard and sends an attempt to it. Without a backend, or without
-// budget, the shard is missing once no attempt is open.
+// send selects a backend for a shard and sends an attempt to it. If no backend can be selected or the
+// retry budget is used up, it marks the shard missing unless another attempt is still open.
 func (m *StateMachine) send(now clock.Micros, shardIndex int, why sendReason) {
 	shard := &m.shardRequests[shardIndex]
 	selected, ok := selectBackend(m.snapshot, m.index, m.index.Shards[shardIndex], shard.attemptedBackends, now, &m.rnd)
 	if !ok {
 		shard.missing = shard.openAttempts == 0
 		if shard.reason == "" {
-			shard.reason = "no server may be asked"
+			shard.reason = "no server can be selected"
 		}
 		return
 	}
@@ -111,12 +112,12 @@
 	case sendRetry:
 		if !m.dispatcher.takeRetries(m.snapshot, m.request.Index, now, 1) {
 			shard.missing = shard.openAttempts == 0
-			shard.reason = "budget of repeated tries is used up; " + shard.reason
+			shard.reason = "retry budget is used up; " + shard.reason
 			return
 		}
 		m.transition(now, StateRetried, shard.reason)
 	case sendPrepaid:
-		m.transition(now, StateSelected, "a repeat of the caller's")
+		m.transition(now, StateSelected, "repeat by the caller")
 	default:
 		m.transition(now, StateSelected, "")
 		m.dispatcher.replenishRetryBudget(m.snapshot, m.request.Index, now)
@@ -140,10 +141,10 @@
 	})
 }
 
-// attemptSuffix tells the ids of a request's attempts apart.
+// attemptSuffix returns the suffix that makes the id of an attempt unique within its request.
 func attemptSuffix(n int) string { return string(rune('a'+n%26)) + string(rune('a'+n/26%26)) }
 
-// attemptDone takes the result of an open attempt, and retries the shard where it may.
+// attemptDone processes the result of an open attempt and retries the shard if that is permitted.
 func (m *StateMachine) attemptDone(now clock.Micros, done AttemptDone) {
 	if done.Attempt >= len(m.attempts) || !m.attempts[done.Attempt].open {
 		return
@@ -192,12 +193,12 @@
 	m.send(now, shardIndex, why)
 }
 
-// mayHedge reports whether a slow shard may be sent another attempt before its deadline.
+// mayHedge reports whether a shard may be sent a hedged request before the deadline.
 func (m *StateMachine) mayHedge(shard *shardRequest) bool {
 	return !m.request.AtMostOnce() && shard.attempts-shard.unwritten < maxAttempts && shard.hedgeAt < m.deadline
 }
 
-// hedgeSlow sends another attempt for each shard whose last one has taken too long.
+// hedgeSlow sends a hedged request for each shard whose last attempt has taken too long.
 func (m *StateMachine) hedgeSlow(now clock.Micros) {
 	for shardIndex := range m.shardRequests {
 		shard := &m.shardRequests[shardIndex]
@@ -222,7 +223,8 @@
 	}
 }
 
-// cancelAttempt cancels an open attempt. It counts in its backend's latency as if it took until now.
+// cancelAttempt cancels an open attempt. If the attempt has already taken longer than its backend's
+// average latency, that time enters the average.
 func (m *StateMachine) cancelAttempt(now clock.Micros, n int) {
 	attempt := &m.attempts[n]
 	gauge := attempt.backend.Gauge
@@ -233,7 +235,7 @@
 	m.emit(Cancel{Attempt: n})
 }
 
-// closeAttempt ends an open attempt and updates its backend's gauge by the result.
+// closeAttempt closes an open attempt and updates its backend's gauge from the result.
 func (m *StateMachine) closeAttempt(now clock.Micros, n int, result Result) {
 	attempt := &m.attempts[n]
 	if !attempt.open {
@@ -258,7 +260,7 @@
 	}
 }
 
-// recordLateResult takes a result that came after the outcome; it still updates the gauge.
+// recordLateResult updates the backend's gauge from a result that arrived after the request finished.
 func (m *StateMachine) recordLateResult(now clock.Micros, late AttemptDone) {
 	if late.Attempt < len(m.attempts) {
 		m.closeAttempt(now, late.Attempt, late.Result)
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// maxReplyMargin bounds what is kept of a deadline for the response's own way back, which is
-	// a twentieth of it.
+	// maxReplyMargin bounds the part of a deadline that is reserved for returning the response to
+	// the caller, which is a twentieth of the deadline.
 	maxReplyMargin = 20 * clock.Millisecond
-	// partialAfterPercent is how much of its deadline a search waits for its last shards once it
-	// has its required share.
+	// partialAfterPercent is the percentage of its deadline after which a search that has its
+	// required share of shards stops waiting for the remaining ones.
 	partialAfterPercent = 80
-	// staleRecheckInterval is how often a request that waits for the fresh snapshot of a thawed
-	// node looks again.
+	// staleRecheckInterval is how often a request on a node that has just thawed checks whether
+	// the snapshot is fresh again.
 	staleRecheckInterval = 10 * clock.Millisecond
 )
 
-// StateMachine is one request under way. It is used by one goroutine at a time.
+// StateMachine processes one request. It must not be used by several goroutines at the same time.
 type StateMachine struct {
 	dispatcher *Dispatcher
 	request    Request
@@ -27,22 +27,23 @@
 	startedAt  clock.Micros
 	deadline   clock.Micros
 
-	// snapshot and index are what backends are selected from; they are replaced by newer ones
-	// while these have the same shard map, which stays for the whole request.
+	// Backends are selected from snapshot and index. Newer ones replace them only if they serve the
+	// same shard map, since shardMap is fixed for the whole request.
 	snapshot *snapshot.Snapshot
 	index    *snapshot.Index
 	shardMap string
 
-	// shardRequests has an element for each shard; of a request for one record, only that of
-	// recordShard is used.
+	// shardRequests has one element per shard. A request for a single record uses only the element
+	// at recordShard.
 	shardRequests []shardRequest
 	recordShard   int
 	attempts      []attempt
 
-	// keyAdmitted says that the key's owners admitted the request, under keyToken.
+	// keyAdmitted reports whether the key's owners admitted the request; keyToken identifies the
+	// admission.
 	keyAdmitted bool
 	keyToken    string
-	// isRepeat marks a caller's repeat: its attempts are paid from the retry budget.
+	// isRepeat marks a repeat by the caller, whose attempts are charged to the retry budget.
 	isRepeat bool
 
 	rnd     random.Source
@@ -50,7 +51,7 @@
 	trace   *Trace
 }
 
-// NewStateMachine returns the state machine of a checked request.
+// NewStateMachine returns the state machine for a validated request.
 func NewStateMachine(d *Dispatcher, request Request, now clock.Micros) *StateMachine {
 	id := d.newID()
 	m := &StateMachine{dispatcher: d, request: request, startedAt: now, state: StateRead, rnd: d.newRandom()}
@@ -58,16 +59,16 @@
 	return m
 }
 
-// ID returns the request's id.
+// ID returns the id of the request.
 func (m *StateMachine) ID() string { return m.trace.ID }
 
-// State returns the state that the request is in.
+// State returns the current state of the request.
 func (m *StateMachine) State() State { return m.state }
 
-// Done reports whether the outcome has been given.
+// Done reports whether the request has finished.
 func (m *StateMachine) Done() bool { return m.finished }
 
-// Step takes one event and returns the actions to carry out, in order.
+// Step processes one event and returns the actions to execute, in order.
 func (m *StateMachine) Step(now clock.Micros, event Event) []Action {
 	m.actions = nil
 	if m.finished {
@@ -96,7 +97,8 @@
 
 func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// begin classifies the request and admits it by the limits. Where the snapshot is stale, it waits.
+// begin classifies the request and checks it against the limits. While the snapshot is stale, for at
+// most snapshot.MaxStale after the start, it only sets a timer to check again.
 func (m *StateMachine) begin(now clock.Micros) {
 	m.snapshot = m.dispatcher.Snapshot()
 	if m.snapshot != nil && m.snapshot.Stale && now-m.startedAt < snapshot.MaxStale {
@@ -105,7 +107,7 @@
 	}
 	m.dispatcher.Counts.Add("inquiries", 1)
 	if !m.snapshot.Ready() {
-		m.reject(now, CodeUnavailable, "this node has no table yet", 1)
+		m.reject(now, CodeUnavailable, "this node has no complete routing snapshot yet", 1)
 		return
 	}
 	m.trace.snapshot = m.snapshot
@@ -131,7 +133,8 @@
 	m.sendToShards(now)
 }
 
-// setDeadline takes the caller's deadline, or the index's, and keeps a margin for the way back.
+// setDeadline sets the deadline from the caller's or else the index's default, capped at the index's
+// maximum, less a margin for returning the response.
 func (m *StateMachine) setDeadline() {
 	timeout := m.request.Deadline
 	if timeout == 0 {
@@ -141,15 +144,15 @@
 	m.deadline = m.startedAt + timeout - min(timeout/20, maxReplyMargin)
 }
 
-// timerFired starts a request that waited for a snapshot, rejects one whose key was not admitted
-// in time, and hedges attempts that are slow.
+// timerFired starts a request that waited for a fresh snapshot, rejects one whose key was not
+// admitted in time, and hedges slow attempts of one that was sent.
 func (m *StateMachine) timerFired(now clock.Micros) {
 	switch m.state {
 	case StateRead:
 		m.begin(now)
 	case StateClassified:
 		m.dispatcher.Counts.Add("shed_claims", 1)
-		m.reject(now, CodeUnavailable, ReasonTooFewKeyOwners+"no verdict in time", 1)
+		m.reject(now, CodeUnavailable, ReasonTooFewKeyOwners+"no decision in time", 1)
 	default:
 		m.refreshSnapshot()
 		m.hedgeSlow(now)
@@ -158,7 +161,8 @@
 	}
 }
 
-// scheduleTimer sets the timer to the next moment at which time alone changes what is to be done.
+// scheduleTimer sets the timer to the earliest of the deadline, the next hedged request and the time
+// at which a search may return a partial result.
 func (m *StateMachine) scheduleTimer(now clock.Micros) {
 	if m.finished {
 		return
@@ -178,17 +182,18 @@
 	m.emit(SetTimer{At: max(at, now+1)})
 }
 
-// partialAt is when a search stops waiting for shards beyond its required share.
+// partialAt returns when a search that has its required share stops waiting for more shards.
 func (m *StateMachine) partialAt() clock.Micros {
 	return m.startedAt + (m.deadline-m.startedAt)*partialAfterPercent/100
 }
 
-// reject finishes a request that did not run; the caller may retry after so many seconds.
+// reject finishes a request that did not run. retryAfter is in seconds.
 func (m *StateMachine) reject(now clock.Micros, code Code, why string, retryAfter int) {
 	m.finish(now, StateRejected, Outcome{Code: code, Why: why, Ran: ExecutionNone, Retry: retryAfter})
 }
 
-// finish cancels what is open, resolves the key and gives the outcome, once.
+// finish cancels the open attempts, resolves the key and emits the outcome. Only the first call has
+// an effect.
 func (m *StateMachine) finish(now clock.Micros, last State, o Outcome) {
 	if m.finished {
 		return
--- a/request/search/state_machine_test.go
+++ b/request/search/state_machine_test.go
@@ -15,7 +15,7 @@
 	"wallport/runtime/wire"
 )
 
-// newSnapshot has one index, a, with so many backends in two zones for each of its shards.
+// newSnapshot returns a snapshot with one index, a, and perShard backends in two zones for each shard.
 func newSnapshot(perShard, shards int) *snapshot.Snapshot {
 	svc := &configpb.Service{Index: "a", Capacity: 10000, RequiredShare: 75, DeadlineUs: 500 * clock.Millisecond, MaxDeadlineUs: clock.Second, HedgeUs: 40 * clock.Millisecond, RampUs: clock.Second}
 	x := &snapshot.Index{Name: "a", ShardMap: wire.ShardMap{Name: "c1", Shards: shards}, Service: svc, Limits: map[string]snapshot.Limit{}, Capacity: 10000}
@@ -29,13 +29,13 @@
 	return &snapshot.Snapshot{Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*snapshot.Index{"a": x}}
 }
 
-// newTestDispatcher is that of a node that started long ago.
+// newTestDispatcher returns the dispatcher of a node that started 100 s ago.
 func newTestDispatcher(snap *snapshot.Snapshot) *Dispatcher {
 	k := kernel.New(kernel.Boot{Settings: settings.Settings{}, Role: "none", Key: kernel.KeyFrom(make([]byte, 32))})
 	return &Dispatcher{Snapshot: func() *snapshot.Snapshot { return snap }, LoadReport: &loadreport.Reporter{}, Counts: k.Counts, Traces: newTraceRing(), Name: "n", Seed: 1, StartedAt: -100 * clock.Second}
 }
 
-// sends returns the attempts among the actions.
+// sends returns the Send actions.
 func sends(actions []Action) (out []Send) {
 	for _, a := range actions {
 		if v, ok := a.(Send); ok {
@@ -45,7 +45,7 @@
 	return out
 }
 
-// outcome returns the outcome among the actions, nil without one.
+// outcome returns the outcome of the Finish action, or nil if there is none.
 func outcome(actions []Action) *Outcome {
 	for _, a := range actions {
 		if v, ok := a.(Finish); ok {
@@ -76,10 +76,10 @@
 	second := sends(m.Step(clock.Millisecond, AttemptDone{Attempt: 0, Result: Result{Class: ClassNotSent}}))
 	must.Len(t, 1, second)
 	must.NotEq(t, first[0].Backend.ID, second[0].Backend.ID)
-	must.True(t, second[0].Replacement, must.Sprint("it adds nothing to the pool's traffic"))
+	must.True(t, second[0].Replacement, must.Sprint("a replacement adds nothing to the pool's traffic"))
 	must.Eq(t, 0, d.Counts.Of("extra_tries").Load())
 	third := sends(m.Step(2*clock.Millisecond, AttemptDone{Attempt: 1, Result: Result{Class: ClassRejected}}))
-	must.Len(t, 1, third, must.Sprint("a server's own refusal did not run it"))
+	must.Len(t, 1, third, must.Sprint("a backend that rejects a request did not run it"))
 	must.True(t, third[0].Retry)
 	must.Eq(t, 1, d.Counts.Of("extra_tries").Load())
 }
@@ -98,9 +98,9 @@
 func TestSearchFailsAtOnceBelowRequiredShare(t *testing.T) {
 	m := NewStateMachine(newTestDispatcher(newSnapshot(1, 4)), Request{Kind: KindSearch, Index: "a", Limit: 5}, 0)
 	m.Step(0, Begin{})
-	must.Nil(t, outcome(m.Step(clock.Millisecond, AttemptDone{Attempt: 0, Result: Result{Class: ClassFailed}})), must.Sprint("three of four are still enough"))
+	must.Nil(t, outcome(m.Step(clock.Millisecond, AttemptDone{Attempt: 0, Result: Result{Class: ClassFailed}})), must.Sprint("three of four shards are enough"))
 	o := outcome(m.Step(2*clock.Millisecond, AttemptDone{Attempt: 1, Result: Result{Class: ClassFailed}}))
-	must.NotNil(t, o, must.Sprint("two of four never are: no waiting for the deadline"))
+	must.NotNil(t, o, must.Sprint("two of four shards are never enough: the search must not wait for its deadline"))
 	must.Eq(t, CodeGivenUp, o.Code)
 	must.Positive(t, o.Retry)
 }
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -9,7 +9,8 @@
 	"wallport/runtime/clock"
 )
 
-// Trace is what is kept of one request. Its times count from the request's start.
+// Trace records the decisions made for one request. The times of its entries count from the start of
+// the request.
 type Trace struct {
 	ID          string         `json:"inquiry"`
 	Kind        Kind           `json:"kind"`
@@ -20,11 +21,11 @@
 	Attempts    []AttemptTrace `json:"picks"`
 	Outcome     Outcome        `json:"-"`
 	Duration    clock.Micros   `json:"took_us"`
-	// snapshot is what the request was decided by.
+	// snapshot is the routing snapshot that the request used at its start.
 	snapshot *snapshot.Snapshot
 }
 
-// Transition is a transition of the state machine.
+// Transition is a state change of the state machine.
 type Transition struct {
 	At     clock.Micros `json:"at_us"`
 	State  State        `json:"state"`
@@ -74,25 +75,25 @@
 	}
 }
 
-// traceRingSize is how many requests of a node a trace ring can hold.
+// traceRingSize is the number of requests whose traces a ring holds.
 const traceRingSize = 2048
 
-// TraceRing keeps the traces of a node's last requests for explain. A request's id gives its slot,
-// so that keeping a trace costs one store.
+// TraceRing keeps the traces of a node's most recent requests for the explain API. The slot is derived
+// from the request's id, so storing a trace takes a single atomic store.
 type TraceRing struct {
 	slots [traceRingSize]atomic.Pointer[Trace]
 }
 
 func newTraceRing() *TraceRing { return &TraceRing{} }
 
-// slotOf returns the slot of a request's id, NODE-NUMBER, and whether it is one.
+// slotOf returns the slot for a request id of the form NODE-NUMBER, and whether the id has that form.
 func slotOf(id string) (uint64, bool) {
 	i := strings.LastIndexByte(id, '-')
 	n, err := strconv.ParseUint(id[i+1:], 16, 64)
 	return n % traceRingSize, i >= 0 && err == nil
 }
 
-// put keeps the trace of a finished request, without the records of its outcome.
+// put stores the trace of a finished request, without the records of its outcome.
 func (r *TraceRing) put(t *Trace, now clock.Micros, o Outcome) {
 	t.Duration = now - t.StartedAt
 	o.Records = nil
@@ -102,7 +103,7 @@
 	}
 }
 
-// Get returns the trace of a request, and whether it is still kept.
+// Get returns the trace of a request and reports whether it is still stored.
 func (r *TraceRing) Get(id string) (*Trace, bool) {
 	slot, ok := slotOf(id)
 	if !ok {
