--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -12,26 +12,26 @@
 	"wallport/runtime/wire"
 )
 
-// admission is a key that this node asks the owners to admit.
+// admission is a key's admission that this node has requested from the owners and that is not decided yet.
 type admission struct {
 	id       uint64
 	request  Admit
 	owners   []snapshot.Node
 	deadline clock.Micros
-	// replies are the last replies, by the name of the owner.
+	// replies holds the last reply of each owner, by the owner's name.
 	replies map[string]ownerReply
-	// attempted reports whether an earlier attempt of the key reached a backend.
+	// attempted reports whether an earlier request with the key was released after an attempt.
 	attempted bool
-	// decideAt is set once a majority admitted the key and only slower owners are waited for.
+	// decideAt is set once a majority admitted the key. Until then the admission waits for the remaining owners.
 	decideAt clock.Micros
 }
 
-// admit begins the admission of a key. It takes until a reply of the owners decides, or the deadline.
+// admit starts the admission of a key, which ends when the owners' replies decide it or at its deadline.
 func (c *Coordinator) admit(ctx *kernel.Context, id uint64, a Admit) {
 	current := c.snapshot()
 	if c.inMinority(current, ctx.Now) {
 		ctx.Counts.Add("claims_minority", 1)
-		ctx.Reply(id, search.Admission{Code: search.AdmissionNoQuorum, Reason: "this node sees too few of the fleet to vouch for a key"})
+		ctx.Reply(id, search.Admission{Code: search.AdmissionNoQuorum, Reason: "this node sees only a minority of the fleet"})
 		return
 	}
 	c.lastID++
@@ -47,8 +47,8 @@
 	}
 }
 
-// rosterUnknown reports whether this process has just started and does not know the roster yet: the owners
-// that it would ask were too few.
+// rosterUnknown reports whether this process has just started and does not have the complete roster yet. It
+// would ask too few owners.
 func (c *Coordinator) rosterUnknown(now clock.Micros) bool {
 	if c.caughtUpAt == 0 {
 		return now-c.startedAt < RosterConvergence
@@ -56,7 +56,7 @@
 	return now-c.caughtUpAt < RosterLoadWait
 }
 
-// sendAdmitRequests sends the request to every owner that has not admitted the key yet.
+// sendAdmitRequests sends an admission request to every owner that has not admitted the key yet.
 func (c *Coordinator) sendAdmitRequests(ctx *kernel.Context, n uint64, pending *admission) {
 	m := wire.AdmitRequest{Key: pending.request.Key, Index: pending.request.Index, From: c.token(n), Sum: pending.request.Digest}
 	for _, owner := range pending.owners {
@@ -78,7 +78,8 @@
 		return
 	}
 	for _, owner := range pending.owners {
-		// By name: an owner that restarted replies in the place of its earlier process, as one that is uncertain.
+		// Replies are stored by name, so that the reply of a restarted owner, which is uncertain, replaces the
+		// reply of its previous process.
 		if owner.Name == r.Name || owner.Origin == r.From {
 			pending.replies[owner.Name] = ownerReply{code: r.Code, owners: r.KeyOwners}
 		}
@@ -92,15 +93,15 @@
 	c.decide(ctx, n, pending)
 }
 
-// decide admits a key that a majority of its owners admitted. The caller's statement that this is its first
-// attempt makes up for owners that are uncertain.
+// decide admits a key that a majority of its owners admitted. If the caller asserts that this is its first
+// attempt, uncertain owners count towards the majority.
 func (c *Coordinator) decide(ctx *kernel.Context, n uint64, pending *admission) {
 	if len(pending.owners) == 0 {
 		return
 	}
 	switch {
 	case !pending.majority(pending.request.FirstAttempt):
-		// An owner that admitted it may have lost it since, or the roster has grown.
+		// Even if there was a majority before, an owner may have lost its record since or the roster may have grown.
 		return
 	case len(pending.replies) == len(pending.owners):
 	case pending.decideAt == 0:
@@ -113,14 +114,15 @@
 	c.finish(ctx, n, search.Admission{Code: search.AdmissionGranted, Token: c.token(n), Repeat: pending.attempted})
 }
 
-// onTimer handles the timer of an admission: it decides, asks again, or gives up.
+// onTimer handles the timer of an admission. It decides the admission, asks the owners again, or ends the
+// admission at its deadline.
 func (c *Coordinator) onTimer(ctx *kernel.Context, n uint64) {
 	pending := c.admissions[n]
 	switch {
 	case pending == nil:
 		return
 	case pending.request.Repeatable:
-		// The owner is silent: the request counts as a first attempt.
+		// The owner did not reply in time. The request counts as a first attempt.
 		delete(c.admissions, n)
 		ctx.Reply(pending.id, search.Admission{Code: search.AdmissionGranted})
 		return
@@ -140,16 +142,18 @@
 		return
 	}
 	if pending.majority(true) {
-		// The owners that would know have lost their records, and an earlier attempt may have run.
+		// A majority has no conflicting record, but only by counting owners that may have lost theirs. An earlier
+		// request may have run.
 		ctx.Counts.Add("claims_unknown", 1)
 		c.finish(ctx, n, search.Admission{Code: search.AdmissionStateLost})
 		return
 	}
 	ctx.Counts.Add("claims_short", 1)
-	c.finish(ctx, n, search.Admission{Code: search.AdmissionNoQuorum, Reason: fmt.Sprintf("%d of the key's %d home nodes answered", pending.countAgreeing(), len(pending.owners))})
+	c.finish(ctx, n, search.Admission{Code: search.AdmissionNoQuorum, Reason: fmt.Sprintf("%d of %d owners answered", pending.countAgreeing(), len(pending.owners))})
 }
 
-// addOwners adds owners that this node has learned of meanwhile. None is removed: it may have a record.
+// addOwners adds owners that this node has learned of since the admission started. It removes none, because
+// each may have a record of the key.
 func (a *admission) addOwners(owners []snapshot.Node) {
 	for _, owner := range owners {
 		if !slices.ContainsFunc(a.owners, func(known snapshot.Node) bool { return known.Name == owner.Name }) {
@@ -158,11 +162,11 @@
 	}
 }
 
-// token names one admission, not its node: of two admissions of one key through one node neither may
-// release the other.
+// token returns the token of an admission. It is unique per admission rather than per node, so that of two
+// admissions of one key through the same node neither can release the other.
 func (c *Coordinator) token(n uint64) string { return fmt.Sprintf("%s#%d", c.mesh.Self(), n) }
 
-// finish replies to the caller and tells the owners what became of a key that was not admitted.
+// finish replies to the caller. If the key was not admitted, it also sends the owners the outcome.
 func (c *Coordinator) finish(ctx *kernel.Context, n uint64, result search.Admission) {
 	pending := c.admissions[n]
 	delete(c.admissions, n)
@@ -170,7 +174,8 @@
 	switch result.Code {
 	case search.AdmissionGranted:
 	case search.AdmissionStateLost:
-		// It stays so: what nobody could vouch for now must not be admitted later either.
+		// The key is marked as completed without a known outcome, since a key for which no majority could vouch
+		// must not be admitted later either.
 		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: outcomeCompleted})
 	default:
 		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: outcomeReleased, Body: []byte(c.token(n))})
--- a/request/idempotency/doc.go
+++ b/request/idempotency/doc.go
@@ -1,18 +1,19 @@
-// Package idempotency keeps idempotency keys in the memory of the nodes that own them, so that a correction
-// or part fetch that a caller repeats through another node runs once.
+// Package idempotency tracks idempotency keys in the memory of the nodes, so that a correction or part fetch
+// that a caller repeats, even through another node, runs at most once.
 //
-// A key has up to eleven owners among the nodes, by rendezvous hashing. The node that a request reached sends
-// an admission request to all of them, and the request runs only if a majority admits its key. Later the
-// node records the outcome at the owners, or releases the key if no backend took the request.
+// A key has up to eleven owners among the nodes, selected by rendezvous hashing. The node that received a
+// request sends an admission request to all owners of its key, and the request runs only if a majority admits
+// the key. Afterwards the node records the outcome at the owners, or releases the key if the request did not run.
 //
-// An owner that cannot be sure that it would know of a key says so ("unsure"): one that just started, thawed,
-// was in a minority or became owner when the roster changed. Each of these opens an epoch, in which the owner
-// requests the records of the nodes that were owners before. It vouches for a key again once so many of them
-// handed over that every earlier majority includes one, or after the longest deadline and a grace period.
+// An owner that may have lost its record of a key replies that it is uncertain ("unsure"). This is the case
+// after it started, thawed, was in the minority of a network partition, or became an owner through a change of
+// the roster. Each of these events opens an epoch, in which the owner requests the records of the other
+// owners. It can vouch for a key again once so many owners have handed over their records that every earlier
+// majority includes one of them, or after the longest deadline plus a grace period.
 //
-// Searches and reads may run again. For them one owner remembers for a while whether a key was used, so that
-// a repeat counts against the retry budget (repeats.go).
+// Searches and reads may run again. For them a single owner remembers for some time whether a key was used, so
+// that a repeat is charged to the retry budget (repeats.go).
 //
-// Inputs are the calls [Admit] and [RecordOutcome] and the messages between nodes. All state is in memory
-// and owned by [Coordinator]. docs/design/inquiry-keys.md has the reasons.
+// The inputs are the calls [Admit] and [RecordOutcome] and the messages between nodes. All state is in memory
+// and owned by [Coordinator]. The design is explained in docs/design/inquiry-keys.md.
 package idempotency
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -10,24 +10,26 @@
 	"wallport/runtime/wire"
 )
 
-// epoch is a time in which this process may lack records that it should have as an owner. Each start, thaw,
-// stay in a minority or change of the roster opens one, and in it the owner requests the records of the
-// others. A key that was admitted had a majority of its owners of then: once so many of them handed over that
-// every majority includes one, the lack of a record means that the key was never admitted. If too many are
-// lost for that, the epoch ends with the longest deadline and a grace period.
+// epoch is a period in which this process may lack records that it should have as an owner. A start, a thaw,
+// being in the minority of a network partition and a change of the roster each open one, and this process then
+// requests the records of the other owners. Every admitted key was admitted by a majority of its owners at the
+// time. Once so many of these have handed over their records that every majority includes one of them, the
+// absence of a record means that the key was never admitted. If too many of them are lost, the epoch ends after
+// the longest deadline plus a grace period.
 type epoch struct {
 	id       uint64
 	openedAt clock.Micros
-	// previousRoster is the roster before the change; nil if this process may have lost its own records.
+	// previousRoster is the roster before the change that opened the epoch. It is nil if this process may have
+	// lost its own records.
 	previousRoster []snapshot.Node
 	handedOver     map[string]bool
-	// maxOwners is the largest number of owners that any of those counts.
+	// maxOwners is the largest number of owners per key that any node that handed over reported.
 	maxOwners int
 	complete  bool
 }
 
-// handOversNeeded returns how many of a key's owners must have handed over, of as many as this process knows.
-// In an epoch in which it may have lost its records, others may count more owners than it does.
+// handOversNeeded returns how many of a key's owners must have handed over their records, given the number of
+// owners that this process knows. After a loss of its records other nodes may know more owners than it does.
 func (e *epoch) handOversNeeded(owners int) int {
 	if e.previousRoster == nil {
 		owners = max(owners, e.maxOwners)
@@ -35,7 +37,7 @@
 	return intersectingQuorum(owners)
 }
 
-// converged reports whether all needed nodes handed over, and every node had the time to learn the roster.
+// converged reports whether enough nodes handed over their records and every node had time to learn the roster.
 func (e *epoch) converged(now clock.Micros) bool {
 	return e.complete && now-e.openedAt >= RosterConvergence
 }
@@ -50,7 +52,7 @@
 	return &epoch{id: c.lastID, openedAt: ctx.Now, previousRoster: before, handedOver: map[string]bool{}}
 }
 
-// uncertainFor returns how long a request that was admitted before may still be running.
+// uncertainFor returns how long after its admission a request may still be running.
 func (c *Coordinator) uncertainFor() clock.Micros {
 	if c.maxDeadline == 0 {
 		return UncertaintyUnconfigured
@@ -58,10 +60,10 @@
 	return max(c.maxDeadline+GracePeriod, MinUncertainty)
 }
 
-// canVouch reports whether the lack of a record means that the key was never admitted.
+// canVouch reports whether the absence of a record means that the key was never admitted.
 func (c *Coordinator) canVouch(key, index string, now clock.Micros) bool {
 	if len(c.roster) > 0 && !isOwner(key, c.name(), c.roster) {
-		// Whoever takes this process for an owner has an older roster.
+		// A node that takes this process for an owner of the key has an older roster.
 		return false
 	}
 	for _, e := range c.epochs {
@@ -75,7 +77,7 @@
 		case before == nil:
 			before = c.roster
 		case now-e.openedAt < RosterConvergence:
-			// Others may not have the new roster yet and ask the old owners.
+			// Other nodes may not have the new roster yet and still ask the previous owners.
 			return false
 		}
 		prev := Owners(key, before)
@@ -92,7 +94,7 @@
 	return true
 }
 
-// checkRoster notices a changed roster, and requests the records that are still to be handed over.
+// checkRoster opens an epoch if the roster changed, and requests the records that have not been handed over yet.
 func (c *Coordinator) checkRoster(ctx *kernel.Context) {
 	current := c.snapshot()
 	if current == nil {
@@ -101,7 +103,7 @@
 	c.updateMaxDeadline(current, ctx.Now)
 	minority := c.inMinority(current, ctx.Now)
 	if minority {
-		// This process does not learn what the others admit meanwhile.
+		// This process misses the admissions that the majority makes in the meantime.
 		c.invalidateRecords(ctx)
 		clear(c.initialIndexes)
 	}
@@ -125,19 +127,21 @@
 	}
 }
 
-// Bounds of what a changing roster costs: the open epochs, beyond which this process cannot vouch for any
-// key, and the requests at a time in a fleet larger than the number of a key's owners.
+// Bounds of the cost of a changing roster. With more than maxEpochs open epochs this process treats all its
+// records as lost. maxHandOverRequests bounds the requests per check in a fleet with more nodes than a key has
+// owners.
 const (
 	maxEpochs           = 8
 	maxHandOverRequests = 8
 )
 
-// requestHandOvers requests the records that are still to be handed over. Without a configuration there are
-// none: no key was ever admitted.
+// requestHandOvers requests the records that have not been handed over yet. Before there is a configuration it
+// is not called, since no key was ever admitted.
 func (c *Coordinator) requestHandOvers(ctx *kernel.Context) {
 	requests := 0
 	for _, e := range c.epochs {
-		// In a fleet where every node owns every key, so many are enough for every key.
+		// If every node owns every key, this number is enough for every key. In a larger fleet all other nodes
+		// are needed.
 		left := e.handOversNeeded(len(c.roster))
 		if len(c.roster) > maxOwners {
 			left = len(c.roster) - 1
@@ -147,9 +151,9 @@
 				left--
 			}
 		}
-		// A process that sees no other node has no records of them.
+		// A process that sees no other node cannot have received their records.
 		e.complete = len(c.roster) > 1 && left <= 0
-		// From another node each time: one that is uncertain itself does not answer.
+		// Each check starts with a random node, because a node that is uncertain itself does not reply.
 		from := ctx.Rand.IntN(max(1, len(c.roster)))
 		for i := range c.roster {
 			n := c.roster[(i+from)%len(c.roster)]
@@ -162,7 +166,7 @@
 	}
 }
 
-// updateMaxDeadline keeps the longest time that a request may take.
+// updateMaxDeadline updates the longest time that a running request may still take.
 func (c *Coordinator) updateMaxDeadline(current *snapshot.Snapshot, now clock.Micros) {
 	if current.Configuration == nil {
 		return
@@ -171,13 +175,13 @@
 	for _, s := range current.Configuration.Services {
 		longest = max(longest, s.MaxDeadlineUs)
 	}
-	// A request that was admitted under a longer deadline may run for that long.
+	// A request that was admitted under an earlier, longer deadline may still run for the rest of it.
 	c.maxDeadline = max(longest, c.maxDeadline-(now-c.deadlineReadAt))
 	c.deadlineReadAt = now
 }
 
-// recordInitialIndexes keeps which indexes had a shard map when a partition was first seen: requests of these may have run
-// before this process started, see startedBefore.
+// recordInitialIndexes records which indexes had a shard map when this process first received the state of a
+// partition. Requests to these may have run before this process started, see startedBefore.
 func (c *Coordinator) recordInitialIndexes(e *wire.Entry) {
 	partition := e.Version.Partition
 	if partition == state.ConfigPartition || c.initialIndexes[partition] != nil {
@@ -193,15 +197,15 @@
 	}
 }
 
-// startedBefore reports whether this process started before the index had its first shard map. Then no
-// request of it can have run before. So the first start of a fleet needs no quarantine, and the start after
-// a total loss has one.
+// startedBefore reports whether this process started before the index had its first shard map, in which case
+// no request to the index can have run earlier. As a result keys are admitted without waiting on the first start
+// of a fleet, but not on a start after all nodes were lost.
 func (c *Coordinator) startedBefore(index string) bool {
 	had := c.initialIndexes[state.PartitionOf(index)]
 	return had != nil && !had[index]
 }
 
-// startedBeforeAll reports whether no request at all can have run before this process started.
+// startedBeforeAll reports whether no request to any index can have run before this process started.
 func (c *Coordinator) startedBeforeAll() bool {
 	for _, had := range c.initialIndexes {
 		if len(had) > 0 {
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -16,7 +16,7 @@
 	now := int64(1_000_000)
 	k.Step(now, now, kernel.Start{})
 	k.Step(now, now, kernel.Tick{Plugin: "table", Key: "build"})
-	must.Len(t, 1, c.table.Current().KeyOwners, must.Sprint("itself, as far as it knows"))
+	must.Len(t, 1, c.table.Current().KeyOwners, must.Sprint("a node that has just started knows only itself"))
 	k.Step(now, now, kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", FirstAttempt: true, Timeout: 5_000_000}})
 	must.MapLen(t, 1, c.admissions)
 	for n, w := range c.admissions {
@@ -28,6 +28,6 @@
 		k.Step(now, now, mesh.CaughtUp{})
 		now += RosterLoadWait
 		out = k.Step(now, now, kernel.Tick{Plugin: "idempotency", ID: n})
-		must.Len(t, 1, w.owners, must.Sprint("now it knows, and asks"))
+		must.Len(t, 1, w.owners, must.Sprint("once the roster is known, its owners are asked"))
 	}
 }
--- a/request/idempotency/golden_test.go
+++ b/request/idempotency/golden_test.go
@@ -9,7 +9,7 @@
 	"wallport/request/snapshot"
 )
 
-// Nodes of two releases must agree on the owners of a key.
+// Nodes of two releases run at the same time during an upgrade and must agree on the owners of a key.
 func TestOwnersMatchEarlierReleases(t *testing.T) {
 	var roster []snapshot.Node
 	for i := range 14 {
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -25,12 +25,12 @@
 	return out
 }
 
-// maxHandOverBytes bounds one frame of records, in bytes of their bodies.
+// maxHandOverBytes is the size of the records, in bytes, after which a frame is sent.
 const maxHandOverBytes = 256 << 10
 
-// sendRecords sends an owner the records that it should have. A process that may have lost records itself, or
-// does not have the requester in its roster yet, does not answer and is asked again: the records that it
-// admits afterwards by a smaller roster would be missing.
+// sendRecords sends an owner the records that it should have. It does not reply if this process may have lost
+// records itself, or if the requester is not in its roster yet: the requester would miss the records of keys
+// that this process admits later by the smaller roster. The requester asks again.
 func (c *Coordinator) sendRecords(ctx *kernel.Context, conn uint64, m wire.RecordsRequest) {
 	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.previousRoster == nil && !e.converged(ctx.Now) && !c.startedBeforeAll() }) {
 		return
@@ -42,8 +42,8 @@
 	out := wire.RecordsReply{Epoch: m.Epoch, Name: c.name(), KeyOwners: c.ownerCount()}
 	size := 0
 	var keys []string
-	// In a fleet of up to maxOwners nodes each of them owns every key: the empty key stands for all, and who was an
-	// owner before has all records already.
+	// With up to maxOwners nodes every node owns every key, so the empty key stands for any key, and a requester
+	// that was an owner before has all records already.
 	if len(before) == 0 || len(before) > maxOwners || !isOwner("", m.Name, before) {
 		keys = slices.Sorted(maps.Keys(c.records))
 	}
@@ -67,7 +67,7 @@
 	ctx.Send(conn, wire.KindRecordsReply, 0, &out)
 }
 
-// receiveRecords takes over the records of another owner, and notes that it handed over all of them.
+// receiveRecords adds the records of another owner, and after the last frame marks its hand-over as complete.
 func (c *Coordinator) receiveRecords(ctx *kernel.Context, m wire.RecordsReply) {
 	for _, s := range m.Records {
 		c.updateRecord(ctx, s)
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -11,42 +11,44 @@
 )
 
 const (
-	// GracePeriod is how long, beyond the configuration's longest deadline, an owner that lost its records
-	// stays uncertain, and a key may stay without an outcome.
+	// GracePeriod is added to the longest deadline of the configuration. The sum is how long an owner that
+	// lost its records stays uncertain, and how long an admitted key may stay without an outcome.
 	GracePeriod = 3 * clock.Second
-	// MinUncertainty is the least such time: within it callers repeat requests after everything was lost.
+	// MinUncertainty is the minimum of that sum. It covers the time in which callers repeat their requests
+	// after all owners have lost their records.
 	MinUncertainty = 9 * clock.Second
-	// UncertaintyUnconfigured replaces it while there is no configuration that tells the longest deadline.
+	// UncertaintyUnconfigured replaces the sum while the longest deadline is not known, because there is no
+	// configuration yet.
 	UncertaintyUnconfigured = 15 * clock.Second
-	// RosterConvergence is how long it takes until every node has a new roster.
+	// RosterConvergence is the time within which every node learns a new roster.
 	RosterConvergence = 2_500 * clock.Millisecond
-	// RosterLoadWait is how long after catching up a process has the whole roster.
+	// RosterLoadWait is the time after catching up within which a process has the complete roster.
 	RosterLoadWait = 100 * clock.Millisecond
-	// MaxRecords bounds the records of an owner, KeyTTL their age.
+	// MaxRecords bounds the number of records of an owner, KeyTTL their age.
 	MaxRecords = 32768
 	KeyTTL     = 5 * clock.Minute
-	// StragglerWait is how long, once a majority admitted a key, the slower owners are waited for.
+	// StragglerWait is how long an admission waits for the remaining owners after a majority admitted the key.
 	StragglerWait = 40 * clock.Millisecond
-	// ResendInterval is the time after which owners that were silent or uncertain are asked again.
+	// ResendInterval is the interval at which owners that did not reply, or were uncertain, are asked again.
 	ResendInterval = 80 * clock.Millisecond
-	// MaxAdmissionWait bounds the time that an admission takes.
+	// MaxAdmissionWait bounds the duration of an admission.
 	MaxAdmissionWait = 900 * clock.Millisecond
-	// ActiveRosterCheck is how soon a change of the roster is noticed, and how often the roster is checked
-	// while an epoch is open; IdleRosterCheck is how often otherwise.
+	// ActiveRosterCheck is the delay of a roster check after a new snapshot, and the interval of the checks
+	// while an epoch has not converged. IdleRosterCheck is the interval otherwise.
 	ActiveRosterCheck = 200 * clock.Millisecond
 	IdleRosterCheck   = clock.Second
 )
 
 const (
 	pluginName = "idempotency"
-	// timerRoster checks the roster. All other timers carry the id of an admission.
+	// timerRoster is the key of the timer for roster checks. All other timers carry the id of an admission.
 	timerRoster = "roster"
 )
 
 // Codes of a wire.AdmitReply.
 const (
 	replyAdmitted = "in"
-	// replyUncertain admits the key as far as the owner knows, which may have lost an earlier admission.
+	// replyUncertain means that the owner has no conflicting record, but may have lost one.
 	replyUncertain  = "unsure"
 	replyInProgress = "running"
 	replyCompleted  = "done"
@@ -55,52 +57,56 @@
 
 // Codes of a wire.Outcome.
 const (
-	// outcomeReleased frees the key: its request did not run.
+	// outcomeReleased frees the key, because its request did not run.
 	outcomeReleased  = "released"
 	outcomeCompleted = "done"
-	// outcomePending is a record without an outcome, when it is handed over.
+	// outcomePending marks a record without an outcome in a hand-over.
 	outcomePending = "running"
 )
 
-// Admit is a Call to admit a key. It is answered by a [search.Admission].
+// Admit is a kernel call that requests the admission of a key. The reply is a [search.Admission].
 type Admit struct {
 	Key   string
 	Index string
 	// Digest identifies the content of the request.
 	Digest uint64
-	// FirstAttempt is the caller's statement that it never sent this key before.
+	// FirstAttempt is the caller's assertion that it has never sent this key before.
 	FirstAttempt bool
-	// Timeout bounds the admission, as MaxAdmissionWait does; it is not read where Repeatable is set.
+	// Timeout bounds the duration of the admission, in addition to MaxAdmissionWait. It is ignored if Repeatable
+	// is set.
 	Timeout clock.Micros
-	// Repeatable marks a search or read. It is always admitted, but a repeat costs the retry budget.
+	// Repeatable marks a search or read. It is always admitted, and only checked for being a repeat, which is
+	// charged to the retry budget.
 	Repeatable bool
 }
 
-// RecordOutcome is a Call that ends the admission of a key. It has no answer. Code is a
+// RecordOutcome is a kernel call that ends the admission of a key. It has no reply. Code is a
 // [search.Resolution].
 type RecordOutcome struct {
 	Key  string
 	Code string
-	// Token is that of the admission.
+	// Token is the token of the admission.
 	Token string
-	// Attempted reports whether an attempt was made before the key is released: a repeat then costs the retry budget.
+	// Attempted reports whether an attempt was made before the key was released. If so, a repeat is charged to
+	// the retry budget.
 	Attempted bool
 	Outcome   search.Outcome
 }
 
-// record is what an owner knows of a key.
+// record is an owner's record of a key.
 type record struct {
 	digest uint64
-	// token names the admission; it is contested if there may have been two.
+	// token identifies the admission. It is contested if two requests may have been admitted.
 	token     string
 	completed bool
-	// uncertain reports that the owner could not vouch for the key when it last answered the admission.
+	// uncertain reports that the owner could not vouch for the key when it last replied to the admission request.
 	uncertain  bool
 	outcome    []byte
 	admittedAt clock.Micros
 }
 
-// Coordinator is the plug-in of a node: it admits keys for the requests of this node, and owns keys.
+// Coordinator is a node's plug-in for idempotency keys. It requests admissions for the node's own requests, and
+// acts as an owner of keys for all nodes.
 type Coordinator struct {
 	mesh       *mesh.Mesh
 	table      *snapshot.Table
@@ -112,18 +118,20 @@
 	recordOrder []string
 	admissions  map[uint64]*admission
 	lastID      uint64
-	// roster is the snapshot's KeyOwners, not its Roster, as of the last check: a change of it opens an epoch.
+	// roster holds the KeyOwners (not the Roster) of the snapshot as of the last roster check. A change opens an
+	// epoch.
 	roster []snapshot.Node
 	epochs []*epoch
-	// maxDeadline is the longest deadline of the configurations that requests may still run under, as of
-	// deadlineReadAt.
+	// maxDeadline is the longest deadline of all configurations under which requests may still be running, as
+	// of deadlineReadAt.
 	maxDeadline, deadlineReadAt clock.Micros
-	// startedAt is when this process started, caughtUpAt when it first had all that a peer has; 0 is never.
+	// startedAt is when this process started. caughtUpAt is when it first had all entries of a peer; 0 means not yet.
 	startedAt, caughtUpAt clock.Micros
-	// rosterCheckAt is when the roster is checked next; 0 is not set.
+	// rosterCheckAt is the time of the next roster check; 0 means that none is scheduled.
 	rosterCheckAt clock.Micros
 	recent        recentKeys
-	// initialIndexes holds, per partition, the indexes that had a shard map when this process first saw it.
+	// initialIndexes holds, per partition of the control state, the indexes that had a shard map when this process
+	// first received the partition's state.
 	initialIndexes map[int]map[string]bool
 }
 
@@ -145,7 +153,7 @@
 	return []uint8{wire.KindAdmitRequest, wire.KindAdmitReply, wire.KindOutcome, wire.KindRecordsRequest, wire.KindRecordsReply, wire.KindSeenRequest, wire.KindSeenReply}
 }
 
-// Step handles one input.
+// Step processes one input.
 func (c *Coordinator) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
@@ -237,7 +245,7 @@
 	}
 }
 
-// scheduleRosterCheck has the roster checked within a time. An earlier check replaces a later one.
+// scheduleRosterCheck schedules a roster check after the given time, unless an earlier one is scheduled already.
 func (c *Coordinator) scheduleRosterCheck(ctx *kernel.Context, within clock.Micros) {
 	if at := ctx.Now + within; c.rosterCheckAt == 0 || at < c.rosterCheckAt {
 		c.rosterCheckAt = at
--- a/request/idempotency/majority.go
+++ b/request/idempotency/majority.go
@@ -5,19 +5,20 @@
 // ownerReply is the last reply of one owner to an admission request.
 type ownerReply struct {
 	code string
-	// owners is how many owners it counts; 0 if it does not say.
+	// owners is the number of owners per key that the owner reported; 0 if it reported none.
 	owners int
 }
 
-// agrees reports whether an owner admitted the key, or with uncertainToo whether it did as far as it knows.
+// agrees reports whether an owner admitted the key. With uncertainToo, the reply of an uncertain owner counts
+// as well.
 func (r ownerReply) agrees(uncertainToo bool) bool {
 	return r.code == replyAdmitted || uncertainToo && r.code == replyUncertain
 }
 
-// majority reports whether the owners that admitted the key are enough. With uncertainToo those that are
-// uncertain count as well. Rosters differ for a while after nodes came or went, so each owner says how many
-// owners it counts, and those that agree must be a majority of the largest number that any of them counts.
-// Two admissions of one key then always share an owner.
+// majority reports whether enough owners admitted the key. With uncertainToo, uncertain owners count as well.
+// Rosters differ for a while after nodes joined or left, so each owner reports how many owners it knows, and
+// the agreeing owners must be a majority of the largest number that any of them reported. Two admissions of
+// one key therefore always share an owner.
 func (a *admission) majority(uncertainToo bool) bool {
 	counted := make([]int, 0, len(a.replies))
 	for _, r := range a.replies {
@@ -25,7 +26,8 @@
 			counted = append(counted, r.owners)
 		}
 	}
-	// Those that count the fewest first: one that counts more is left out where it is not needed.
+	// Owners that reported the fewest come first, so that an owner that reported more does not raise the
+	// required number if the others are a majority without it.
 	slices.Sort(counted)
 	for i, owners := range counted {
 		if i+1 >= quorum(max(owners, len(a.owners))) {
@@ -35,7 +37,7 @@
 	return false
 }
 
-// countAgreeing returns how many owners admitted the key, the uncertain ones included.
+// countAgreeing returns how many owners admitted the key, including uncertain ones.
 func (a *admission) countAgreeing() (count int) {
 	for _, r := range a.replies {
 		if r.agrees(true) {
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -8,7 +8,8 @@
 	"wallport/runtime/kernel"
 )
 
-// callers send a key through several nodes, some before they have heard of an answer.
+// callers sends a new key up to four times through random nodes, possibly before an earlier request has been
+// answered, and schedules the next key.
 func (m *model) callers(number int) {
 	key := fmt.Sprintf("key-%d", number)
 	tries := 1 + m.rand.IntN(4)
@@ -41,7 +42,7 @@
 	n.step(kernel.Call{Plugin: "idempotency", ID: m.lastCall, Request: Admit{Key: key, Index: "index", Digest: 7, Timeout: 2 * second}})
 }
 
-// selectNode is a node that a caller comes to: every other time one that has just started, if there is one.
+// selectNode returns the node for a request: half of the time one that has just started, if there is any.
 func (m *model) selectNode() *modelNode {
 	justStarted := slices.DeleteFunc(slices.Clone(m.nodes), func(n *modelNode) bool { return !n.up || m.now-n.upAt > justStartedFor })
 	if len(justStarted) > 0 && m.rand.IntN(2) == 0 {
@@ -50,11 +51,12 @@
 	return m.nodes[m.rand.IntN(len(m.nodes))]
 }
 
-// admit runs an admitted request; its process records the outcome, if it lives to do so.
+// admit records an admission and checks that it is the only one of the key. Later the process releases the key or
+// records an outcome, unless it has crashed by then.
 func (m *model) admit(process incarnation, key, token string) {
 	m.admitted++
 	if m.admittedKeys[key] {
-		m.admittedTwice = append(m.admittedTwice, fmt.Sprintf("%s let in again by %s at %.3f s", key, process.node.name, float64(m.now)/1e6))
+		m.admittedTwice = append(m.admittedTwice, fmt.Sprintf("%s admitted again by %s at %.3f s", key, process.node.name, float64(m.now)/1e6))
 	}
 	m.admittedKeys[key] = true
 	released := m.rand.IntN(8) == 0
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -11,13 +11,13 @@
 	"wallport/runtime/settings"
 )
 
-// modelNode is a node with its process of now, or its last one.
+// modelNode is a node with its current process or, while it is down, its last one.
 type modelNode struct {
 	model *model
 	name  string
 	count int
 	up    bool
-	// upAt is when its process started, downAt when its last one ended.
+	// upAt is when its process started, downAt when its last process crashed.
 	upAt, downAt int64
 	coordinator  *Coordinator
 	view         *snapshot.Snapshot
@@ -28,7 +28,7 @@
 
 func (l incarnation) alive() bool { return l.node.up && l.node.count == l.count }
 
-// start begins a process of the node, which sees nobody else yet.
+// start starts a process of the node that does not see any other node yet.
 func (n *modelNode) start() {
 	n.count++
 	n.up, n.upAt = true, n.model.now
@@ -41,7 +41,7 @@
 	n.step(kernel.Start{})
 }
 
-// observe has the node's roster follow what is told of others.
+// observe rebuilds the node's roster from the given nodes.
 func (n *modelNode) observe(others []*modelNode) {
 	n.updateView(others)
 	n.step(snapshot.Built{})
@@ -68,7 +68,7 @@
 	}
 }
 
-// step gives the node's process an input and carries out what it asks for.
+// step passes an input to the node's process and carries out its output.
 func (n *modelNode) step(in kernel.Input) {
 	ctx := &kernel.Context{Now: n.model.now, Rand: n.model.rand, Counts: kernel.NewCounts()}
 	n.coordinator.Step(ctx, in)
@@ -90,7 +90,7 @@
 	}
 }
 
-// restart starts a process that sees some of the others first, and all of them later.
+// restart starts a process that at first sees a random subset of the other nodes, and all of them later.
 func (n *modelNode) restart() {
 	n.start()
 	m, process := n.model, n.incarnation()
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -20,14 +20,15 @@
 const (
 	ms     = int64(1000)
 	second = 1000 * ms
-	// modelMaxCrashes is how many of the model's nodes are lost at once at most: fewer than half.
+	// modelMaxCrashes is how many of the model's nodes crash at the same time at most: fewer than half.
 	modelNodes, modelMaxCrashes = 8, 3
 	modelSeconds                = 40 * second
-	// justStartedFor is for how long a node counts as just started.
+	// justStartedFor is how long a node counts as just started.
 	justStartedFor = 1500 * ms
 )
 
-// modelSeeds is how many runs of the model are made: go test ./request/idempotency -model.seeds 500.
+// modelSeeds is the number of runs of the model, each with its own seed. For more runs use
+// go test ./request/idempotency -model.seeds 500.
 var modelSeeds = flag.Uint64("model.seeds", 12, "runs of the model")
 
 type modelEvent struct {
@@ -50,8 +51,8 @@
 	return last
 }
 
-// model is a fleet whose nodes see different rosters while some of them crash and restart. Every node runs
-// the package's own code over simulated time; messages are late, and lost with their node.
+// model simulates a fleet whose nodes have different rosters while some of them crash and restart. Every node runs
+// the package's code in simulated time. Messages are delayed, and lost if their receiver has crashed.
 type model struct {
 	t *testing.T
 
@@ -60,12 +61,13 @@
 	seq   int
 	queue modelQueue
 	nodes []*modelNode
-	// replyRoutes are the way back of each message that was received.
+	// replyRoutes holds the sender and receiver of each message, by the connection on which it was received.
 	replyRoutes map[uint64]route
 	lastConn    uint64
-	// arrives is when the last message between two incarnations of nodes arrives: they keep their order.
+	// arrives is when the last message between two incarnations of nodes arrives. A later message does not
+	// arrive before it.
 	arrives map[[2]incarnation]int64
-	// admittedKeys are the keys that were admitted and not released; admitted counts them.
+	// admittedKeys holds the keys that were admitted and not released; admitted counts all admissions.
 	admittedKeys  map[string]bool
 	admitted      int
 	admittedTwice []string
@@ -95,7 +97,7 @@
 	for _, n := range m.nodes {
 		n.observe(m.nodes)
 		n.step(mesh.CaughtUp{})
-		// The first start of a fleet: nothing was let in before.
+		// On the first start of a fleet no key was admitted before.
 		n.coordinator.epochs = nil
 	}
 	return m
@@ -106,7 +108,7 @@
 	heap.Push(&m.queue, modelEvent{m.now + wait, m.seq, do})
 }
 
-// between draws a time.
+// between returns a random time between two bounds, both included.
 func (m *model) between(least, most int64) int64 { return least + m.rand.Int64N(most-least+1) }
 
 func (m *model) run(until int64) {
@@ -117,7 +119,8 @@
 	}
 }
 
-// send brings a message to a node's process of then, or back on the channel of a question.
+// send delivers a message to the current process of the addressed node, or a reply to the process that sent
+// the request.
 func (m *model) send(from incarnation, s kernel.Send) {
 	to := m.replyRoutes[s.Conn].from
 	if s.Addr != "" {
@@ -143,8 +146,8 @@
 	})
 }
 
-// crashSome ends some nodes at once; each comes back after a while, at times when the others have
-// ceased to count it.
+// crashSome crashes some nodes at the same time. Each restarts later, in one of three cases only after
+// the other nodes have removed it from their rosters.
 func (m *model) crashSome() {
 	all := slices.Clone(m.nodes)
 	m.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -161,7 +164,7 @@
 	m.after(downtime+m.between(4*second, 6*second), m.crashSome)
 }
 
-// announceRoster has every node see, each after its own while, what the fleet is then.
+// announceRoster makes every node update its roster after a random delay, to the state of the fleet at that time.
 func (m *model) announceRoster() {
 	for _, n := range m.nodes {
 		process := n.incarnation()
@@ -187,6 +190,6 @@
 		must.SliceEmpty(t, m.admittedTwice, must.Sprintf("seed %d", seed))
 		admitted += m.admitted
 	}
-	t.Logf("%d seeds, %d keys let in", seeds, admitted)
-	must.Greater(t, int(seeds)*500, admitted, must.Sprint("keys are let in"))
+	t.Logf("%d seeds, %d keys admitted", seeds, admitted)
+	must.Greater(t, int(seeds)*500, admitted, must.Sprint("too few keys were admitted for the test to be meaningful"))
 }
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -6,7 +6,7 @@
 	"wallport/runtime/wire"
 )
 
-// handleAdmitRequest answers an admission request as an owner of its key, and keeps a record of it.
+// handleAdmitRequest returns this process's reply as an owner of the key, and records the admission.
 func (c *Coordinator) handleAdmitRequest(ctx *kernel.Context, m wire.AdmitRequest) wire.AdmitReply {
 	r := wire.AdmitReply{Key: m.Key, From: c.mesh.Self(), Name: c.name(), KeyOwners: c.ownerCount()}
 	rec := c.records[m.Key]
@@ -26,7 +26,7 @@
 	case rec.completed:
 		r.Code, r.Body = replyCompleted, rec.outcome
 	case ctx.Now-rec.admittedAt > c.uncertainFor():
-		// No outcome came from whoever ran it: it stays unknown.
+		// The node that was admitted never reported an outcome, so the outcome stays unknown.
 		r.Code = replyCompleted
 	default:
 		r.Code = replyInProgress
@@ -36,7 +36,7 @@
 
 func (c *Coordinator) name() string { return c.table.Self() }
 
-// updateRecord takes an outcome, or a record that another owner handed over, into the records.
+// updateRecord applies an outcome, or a record that another owner handed over, to the records.
 func (c *Coordinator) updateRecord(ctx *kernel.Context, m wire.Outcome) {
 	rec := c.records[m.Key]
 	switch m.Code {
@@ -60,21 +60,21 @@
 		case rec == nil:
 			c.addRecord(m.Key, &record{digest: uint64(m.Status), token: string(m.Body), admittedAt: ctx.Now})
 		case rec.uncertain && !rec.completed && rec.token != string(m.Body):
-			// Either request may have been admitted: neither's release frees the key.
+			// Either request may have been admitted, so the release of neither frees the key.
 			rec.token = contested
 		}
 	}
 }
 
-// contested is the token of a record under which two requests may have been admitted.
+// contested is the token of a record for which two different requests may have been admitted.
 const contested = ""
 
-// ownerCount returns how many owners a key has by what this process knows of the fleet.
+// ownerCount returns the number of owners per key, given the nodes that this process knows.
 func (c *Coordinator) ownerCount() int {
 	return min(maxOwners, max(len(c.roster), len(c.snapshot().KeyOwners)))
 }
 
-// addRecord keeps a record and drops the oldest ones beyond the bound.
+// addRecord adds a record and drops the oldest ones beyond MaxRecords.
 func (c *Coordinator) addRecord(key string, r *record) {
 	c.records[key] = r
 	c.recordOrder = append(c.recordOrder, key)
@@ -84,7 +84,7 @@
 	}
 }
 
-// prune drops the records that are too old.
+// prune drops the records that are older than KeyTTL.
 func (c *Coordinator) prune(now clock.Micros) {
 	for len(c.recordOrder) > 0 {
 		r := c.records[c.recordOrder[0]]
--- a/request/idempotency/owners.go
+++ b/request/idempotency/owners.go
@@ -10,12 +10,13 @@
 	"wallport/runtime/clock"
 )
 
-// maxOwners bounds the owners of a key. It is odd, and at least the size of today's fleets: where all nodes are
-// owners, only one side of a partitioned fleet can have a majority of a key's owners.
+// maxOwners bounds the owners of a key. It is odd, and at least the size of current fleets: if all nodes are
+// owners, only one side of a network partition can have a majority of a key's owners.
 const maxOwners = 11
 
-// Owners lists the owners of a key: all nodes of a fleet of up to eleven, otherwise the eleven of the highest
-// rendezvous weight, spread over the zones. Releases must agree on it, since nodes of two run side by side.
+// Owners returns the owners of a key: all nodes of a fleet of up to eleven, otherwise the eleven with the highest
+// rendezvous weight, spread over the zones. The result must be the same in all releases, since nodes of two
+// releases run at the same time during an upgrade.
 func Owners(key string, roster []snapshot.Node) []snapshot.Node {
 	type ranked struct {
 		w uint64
@@ -35,7 +36,7 @@
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.w, a.w) })
 	want := min(maxOwners, len(all))
-	// In each round a zone gives one owner, so that no zone has more than it must.
+	// Each round takes at most one owner from every zone, which spreads the owners evenly.
 	out := make([]snapshot.Node, 0, want)
 	taken := make([]bool, len(all))
 	for len(out) < want {
@@ -58,14 +59,14 @@
 	return slices.ContainsFunc(roster, func(n snapshot.Node) bool { return n.Name == name })
 }
 
-// quorum returns how many of so many owners must admit a key; intersectingQuorum, how many of them share an
-// owner with every quorum.
+// quorum returns how many of a key's owners must admit it. intersectingQuorum returns the smallest number of
+// owners of which any selection shares an owner with every quorum.
 func quorum(owners int) int             { return owners/2 + 1 }
 func intersectingQuorum(owners int) int { return owners - quorum(owners) + 1 }
 
-// inMinority reports whether this node is not on the side of a network partition that may go on admitting
-// keys: the one with more than half of the nodes. Of two equal halves it is the one that hears the leader
-// of the configuration, which a majority of the cores follows.
+// inMinority reports whether this node is on a side of a network partition that must not admit keys. Only the
+// side with more than half of the nodes may admit keys, or, of two equal halves, the side that is in contact with
+// the leader of the configuration's partition, which a majority of the cores follows.
 func (c *Coordinator) inMinority(current *snapshot.Snapshot, now clock.Micros) bool {
 	votes := 2 * current.Peers
 	if c.configSync.HearsLeader(state.ConfigPartition, now) {
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -7,23 +7,24 @@
 	"wallport/runtime/wire"
 )
 
-// Searches and reads may run again, but a repeat is paid from the pool's retry budget, through whichever node
-// it comes. One owner of the key says whether it was used before.
+// Searches and reads may run again, but a repeat is charged to the pool's retry budget, no matter which node
+// receives it. One owner of the key reports whether it was used before.
 const (
-	// RepeatCheckTimeout is how long the owner is waited for. Without a reply the request is a first attempt.
+	// RepeatCheckTimeout bounds the wait for that owner's reply. Without a reply the request counts as a first
+	// attempt.
 	RepeatCheckTimeout = 20 * clock.Millisecond
-	// RepeatWindow is how long a key is remembered, MaxRecentKeys how many are.
+	// RepeatWindow is how long a key is remembered after its last use, and MaxRecentKeys how many keys are.
 	RepeatWindow  = clock.Minute
 	MaxRecentKeys = 65536
 )
 
-// recentKeys remembers the keys that were used lately.
+// recentKeys remembers the keys that were used within the RepeatWindow.
 type recentKeys struct {
 	seenAt map[string]clock.Micros
 	order  []string
 }
 
-// add remembers a key and reports whether it was there before.
+// add records the use of a key and reports whether the key was used before.
 func (s *recentKeys) add(key string, now clock.Micros) bool {
 	at, ok := s.seenAt[key]
 	before := ok && now-at < RepeatWindow
@@ -43,15 +44,15 @@
 	return ok && now-at < RepeatWindow
 }
 
-// forget lets the next attempt of a key count as the first.
+// forget makes the next use of a key count as the first.
 func (s *recentKeys) forget(key string) {
 	if _, ok := s.seenAt[key]; ok {
 		s.seenAt[key] = -RepeatWindow
 	}
 }
 
-// repeatOwner returns the address of the live owner that remembers a key, empty for this process itself. ok is
-// false if no owner is live.
+// repeatOwner returns the address of the first live owner of a key, which remembers its use. The address is empty
+// if that is this process. ok is false if no owner is live.
 func (c *Coordinator) repeatOwner(key string) (addr string, ok bool) {
 	for _, owner := range Owners(key, c.snapshot().KeyOwners) {
 		if owner.Origin == c.mesh.Self() {
@@ -89,7 +90,7 @@
 	ctx.Reply(pending.id, search.Admission{Code: search.AdmissionGranted, Repeat: m.Seen})
 }
 
-// forgetRepeat has the owner forget a key whose request was sent to no backend.
+// forgetRepeat makes the owner forget a key whose request was not sent to any backend.
 func (c *Coordinator) forgetRepeat(ctx *kernel.Context, key string) {
 	if addr, ok := c.repeatOwner(key); ok && addr != "" {
 		ctx.SendTo(addr, wire.KindSeenRequest, 0, &wire.SeenRequest{Key: key, Forget: true})
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -13,14 +13,14 @@
 	"wallport/runtime/wire"
 )
 
-// node is one process under test that has just started, and its clock.
+// node is a process under test that has just started, with a simulated clock.
 type node struct {
 	k   *kernel.Kernel
 	c   *Coordinator
 	now int64
 }
 
-// peerConn is the channel of whoever asks the node under test.
+// peerConn is the connection on which other nodes send messages to the node under test.
 const peerConn = 7
 
 func newNode(t *testing.T) *node {
@@ -41,7 +41,7 @@
 	return n.step(kernel.Received{Conn: peerConn, Data: wire.Seal(kind, id, m)})
 }
 
-// otherNodes are so many nodes of a fleet beside the one under test.
+// otherNodes returns the given number of nodes of a fleet, not including the one under test.
 func otherNodes(count int) (out []snapshot.Node) {
 	for i := range count {
 		name := string(rune('b' + i))
@@ -50,10 +50,11 @@
 	return out
 }
 
-// self is the node under test as its roster has it.
+// self returns the node under test as it appears in its own roster.
 func (n *node) self() snapshot.Node { return n.c.table.Current().KeyOwners[0] }
 
-// startAdmission begins a claim, by a caller's first try, at the node under test and other owners, and returns its number.
+// startAdmission starts an admission for a caller's first attempt, with the node under test and the given nodes as
+// owners, and returns its id.
 func (n *node) startAdmission(t *testing.T, others []snapshot.Node) uint64 {
 	t.Helper()
 	n.step(kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", Digest: 5, FirstAttempt: true, Timeout: 5_000_000}})
@@ -61,13 +62,13 @@
 	for id, w := range n.c.admissions {
 		w.owners = append([]snapshot.Node{n.self()}, others...)
 		n.now += ResendInterval
-		must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("one of several owners let it in"))
+		must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("only one of several owners admitted the key"))
 		return id
 	}
 	return 0
 }
 
-// tick is the timer of a claim.
+// tick fires the timer of an admission.
 func (n *node) tick(id uint64) kernel.Output {
 	return n.step(kernel.Tick{Plugin: "idempotency", ID: id})
 }
@@ -78,8 +79,8 @@
 	return out.Replies[0].Value.(search.Admission)
 }
 
-// A node that has just started may see two others of eight. What those two and itself let in
-// another node, that asks the other five, could let in too.
+// A node that has just started may see only two of the seven other nodes. If the three of them were enough to
+// admit a key, another node could get the same key admitted by the remaining five.
 func TestMajorityIsOfTheLargestRosterAmongAgreeingOwners(t *testing.T) {
 	for _, c := range []struct {
 		counted int
@@ -95,14 +96,15 @@
 				must.Eq(t, "in", soleAdmission(t, out).Code)
 				return
 			}
-			must.SliceEmpty(t, out.Replies, must.Sprint("three of more owners are no majority"))
+			must.SliceEmpty(t, out.Replies, must.Sprint("three owners are not a majority of the reported number"))
 			n.now += MaxAdmissionWait
 			must.Eq(t, "short", soleAdmission(t, n.tick(id)).Code)
 		})
 	}
 }
 
-// Owners that see a larger roster are not needed where those that see a smaller one are a majority of it.
+// An owner with a larger roster must not raise the required number if the owners with a smaller roster are
+// a majority of that one.
 func TestMajorityDoesNotNeedOwnersWithALargerRoster(t *testing.T) {
 	n := newNode(t)
 	owners := otherNodes(2)
@@ -112,7 +114,7 @@
 	must.Eq(t, "in", soleAdmission(t, out).Code)
 }
 
-// An owner that let the claim in may have lost it before the claim is decided.
+// An owner that admitted the key may restart and lose its record before the admission is decided.
 func TestMajorityLostWhileWaitingForStragglersAdmitsNothing(t *testing.T) {
 	n := newNode(t)
 	owners := otherNodes(4)
@@ -122,14 +124,15 @@
 		out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: o.Name, From: o.Origin, Code: "in"})
 		must.SliceEmpty(t, out.Replies)
 	}
-	must.Positive(t, n.c.admissions[id].decideAt, must.Sprint("three of five: the others are waited for"))
+	must.Positive(t, n.c.admissions[id].decideAt, must.Sprint("three of five owners admitted the key: the admission waits for the others"))
 	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: "a new process", Code: "unsure"})
 	n.now += StragglerWait
-	must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("two of five"))
+	must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("only two of five owners still have the key"))
 	must.Eq(t, "in", soleAdmission(t, n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
 }
 
-// An owner says how many owners it counts.
+// Without the owner count in its replies, nodes with a small roster could not notice that a majority of it is too
+// small.
 func TestAdmitReplyCarriesTheOwnerCount(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(7)...)
@@ -142,8 +145,8 @@
 	must.Eq(t, 8, r.KeyOwners)
 }
 
-// What is handed over to a node that the sender does not count yet would miss what it lets in
-// afterwards, as one of the fewer owners that it counts.
+// Records that are handed over to a node outside the sender's roster would lack the keys that the sender admits
+// afterwards by that smaller roster.
 func TestRecordsAreHandedOverOnlyToARosterMember(t *testing.T) {
 	n := newNode(t)
 	n.c.epochs = nil
@@ -154,8 +157,8 @@
 	must.Len(t, 1, n.receive(wire.KindRecordsRequest, 0, request).Sends)
 }
 
-// An owner that lost its records and sees two others of eight needs as many of them to hand over
-// as share one with every majority of eight.
+// An owner that lost its records and sees only two of the seven other nodes must not vouch for a key before so
+// many nodes have handed over their records that every majority of eight includes one of them.
 func TestOwnerVouchesOnceEnoughOfTheLargestRosterHandedOver(t *testing.T) {
 	n := newNode(t)
 	all := otherNodes(7)
@@ -163,16 +166,17 @@
 	n.c.invalidateRecords(&kernel.Context{Now: n.now})
 	lossEpoch := n.c.epochs[0]
 	for i, o := range all[:4] {
-		must.False(t, n.c.canVouch("k", "index", n.now), must.Sprintf("%d of seven others", i))
+		must.False(t, n.c.canVouch("k", "index", n.now), must.Sprintf("after %d of seven hand-overs", i))
 		if i == 2 {
 			n.c.roster = append([]snapshot.Node{n.self()}, all...)
 		}
 		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lossEpoch.id, Name: o.Name, Last: true, KeyOwners: 8})
 	}
-	must.True(t, n.c.canVouch("k", "index", n.now), must.Sprint("four of seven others"))
+	must.True(t, n.c.canVouch("k", "index", n.now), must.Sprint("after four of seven hand-overs"))
 }
 
-// A claim that came while the owner could not vouch for the key hides none that was let in before.
+// The record of an admission request that came while the owner could not vouch for the key must not hide an
+// earlier admission that another owner hands over.
 func TestUncertainRecordYieldsToOneThatIsHandedOver(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
@@ -184,7 +188,7 @@
 		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lossEpoch.id, Name: o.Name, Last: true, Records: []wire.Outcome{{Key: "k", Code: "running", Status: 5, Body: []byte("earlier#1")}}})
 	}
 	must.Eq(t, "running", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, admit).Code)
-	// The one's release is not the other's.
+	// A release of the later request must not free the key for which the earlier one was admitted.
 	n.receive(wire.KindOutcome, 0, &wire.Outcome{Key: "k", Code: "released", Body: []byte("later#1")})
 	must.Eq(t, "running", n.c.handleAdmitRequest(&kernel.Context{Now: n.now, Counts: n.k.Counts}, admit).Code)
 }
