--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -1,5 +1,5 @@
-// The benchmarks run clients and backends in another process, so that the processor time and the
-// allocations of this one are the node's alone.
+// The benchmarks run clients and backends in a separate process, so that the CPU time and the allocations of
+// this process are those of the node alone.
 
 package gateway
 
@@ -38,8 +38,8 @@
 	os.Exit(m.Run())
 }
 
-// benchTable returns a snapshot with a fan-out route over some shards and a route to one pool, each pool
-// with four backends.
+// benchTable returns a snapshot with a fan-out route over the given number of shards and a route to a single
+// pool. Each pool has four backends.
 func benchTable(shards int, addrs []string) *snapshot.Snapshot {
 	src := &routingpb.RoutingTable{Revision: 1, Limits: &routingpb.Limits{}}
 	snap := &snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
@@ -129,7 +129,7 @@
 	u1, s1 := cpu()
 	runtime.ReadMemStats(&m1)
 	if j.Path != "/none" && good < n {
-		b.Errorf("%d of %d answers were 200", good, n)
+		b.Errorf("%d of %d responses have status 200, want all", good, n)
 	}
 	b.ReportMetric(float64(u1-u0)/float64(n), "user-ns/op")
 	b.ReportMetric(float64(s1-s0)/float64(n), "system-ns/op")
@@ -137,7 +137,7 @@
 	b.ReportMetric(float64(m1.TotalAlloc-m0.TotalAlloc)/float64(n), "malloc-B/op")
 }
 
-// cpu is the process's own processor time so far, in nanoseconds.
+// cpu returns the CPU time that this process has used so far, in nanoseconds.
 func cpu() (user, system int64) {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
--- a/request/gateway/connections.go
+++ b/request/gateway/connections.go
@@ -11,13 +11,15 @@
 	"go.uber.org/zap"
 )
 
-// connections are the clients' connections. An http.Server has its limits for good: a change of the
-// limits starts another one for new connections, and those that are open keep theirs.
+// connections tracks the clients' connections. The limits of an http.Server cannot change while it runs, so
+// after a change of the limits a new http.Server serves the new connections, and open connections stay
+// with theirs.
 type connections struct {
 	mu       sync.Mutex
 	listener net.Listener
 	states   map[net.Conn]http.ConnState
-	// httpServers are all that were started; handoffs has the channel of accepted connections for each.
+	// httpServers lists all servers that were started. handoffs holds the channel of accepted connections
+	// of the server for each set of limits.
 	httpServers []*http.Server
 	handoffs    map[serverLimits]chan net.Conn
 	closing     bool
@@ -30,7 +32,7 @@
 	maxHeaderBytes           int
 }
 
-// addr returns the address that clients are served on, or nothing before they are.
+// addr returns the address that clients connect to, or an empty string before the server listens.
 func (c *connections) addr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,9 +42,9 @@
 	return c.listener.Addr().String()
 }
 
-// listen opens the clients' address and starts to accept connections.
+// listen starts to listen on the clients' address and to accept connections.
 func (s *Server) listen() error {
-	// Without keep-alive probes: idle connections time out.
+	// Keep-alive probes are not needed, because idle connections time out.
 	l, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", s.config.ClientAddr)
 	if err != nil {
 		return err
@@ -67,7 +69,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			// As when no file descriptor is free: it passes.
+			// The error is temporary, for example because no file descriptor is free.
 			s.config.Counts.Add("clients_not_accepted", 1)
 			time.Sleep(acceptRetryDelay)
 			continue
@@ -87,8 +89,8 @@
 	}
 }
 
-// assign registers a connection and returns the channel to the http.Server for the limits in force, or
-// nil if the shutdown does not accept connections any more.
+// assign registers a connection and returns the channel to the http.Server with the current limits. It
+// returns nil once a shutdown has stopped accepting connections.
 func (s *Server) assign(c net.Conn) chan net.Conn {
 	conns := &s.connections
 	l := s.limits()
@@ -106,7 +108,7 @@
 	return handoff
 }
 
-// serveWith starts an http.Server with the limits and returns its channel. The connections' lock is held.
+// serveWith starts an http.Server with the limits and returns its channel. The caller holds connections.mu.
 func (s *Server) serveWith(limits serverLimits) chan net.Conn {
 	conns, handoff := &s.connections, make(chan net.Conn)
 	server := &http.Server{
@@ -119,8 +121,8 @@
 	return handoff
 }
 
-// stateChanged records a connection's state. A connection that became active just when closeIdle
-// expired its deadline is not closed: its request was read.
+// stateChanged records the state of a connection. If a connection became active just as closeIdle expired
+// its read deadline, the deadline is removed, so that the request that was read is served.
 func (s *Server) stateChanged(c net.Conn, state http.ConnState) {
 	conns := &s.connections
 	conns.mu.Lock()
@@ -137,8 +139,8 @@
 	conns.states[c] = state
 }
 
-// closeConnections closes the listener and the idle connections and waits for the others, until a
-// moment at the latest. It returns how many connections were aborted then.
+// closeConnections closes the listener and the idle connections, and waits for the other connections until
+// the given time at most. It returns the number of connections that were aborted at that time.
 func (s *Server) closeConnections(until time.Time) (aborted int) {
 	conns := &s.connections
 	conns.mu.Lock()
@@ -159,9 +161,9 @@
 	return aborted
 }
 
-// closeIdle ends the connections that are not active and returns how many connections there still
-// are. It expires their read deadlines instead of closing them: a read either fails before it returns
-// a byte or has read a request, which is then served.
+// closeIdle ends the connections that are not active and returns the number of connections that are still
+// open. It expires their read deadlines instead of closing them, so that a read either fails without
+// returning a byte or returns a request, which is then served.
 func (s *Server) closeIdle() int {
 	conns := &s.connections
 	conns.mu.Lock()
@@ -174,7 +176,7 @@
 	return len(conns.states)
 }
 
-// handoffListener is the listener of an http.Server whose connections are accepted elsewhere.
+// handoffListener is a net.Listener for an http.Server whose connections are accepted by Server.accept.
 type handoffListener struct {
 	addr   net.Addr
 	conns  chan net.Conn
--- a/request/gateway/connections_test.go
+++ b/request/gateway/connections_test.go
@@ -10,7 +10,8 @@
 	"wallport/runtime/clock"
 )
 
-// TestRepeatedLimitsReuseHTTPServer starts no more http.Servers than there are different limits.
+// TestRepeatedLimitsReuseHTTPServer alternates between two sets of limits: at most one http.Server may be
+// started for each of them.
 func TestRepeatedLimitsReuseHTTPServer(t *testing.T) {
 	w := newFixture(t, nil)
 	for i := range int64(20) {
@@ -24,7 +25,8 @@
 	must.Between(t, 1, len(w.server.connections.httpServers), 2)
 }
 
-// TestLateResponseHasFullWriteTimeout counts the time to read a response from when there is one.
+// TestLateResponseHasFullWriteTimeout has a backend that takes longer to respond than the write time-out. The
+// client still gets the response, since the time-out restarts when there is one.
 func TestLateResponseHasFullWriteTimeout(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	w := newFixture(t, func(_ *fixture, c *Config) { c.WriteTimeout = timeout })
--- a/request/gateway/doc.go
+++ b/request/gateway/doc.go
@@ -1,10 +1,11 @@
 // Package gateway serves the platform's clients over plain HTTP, on net/http.
 //
-// A request is read completely and within limits, and goes through its state machine (package
-// dispatch): a [driver] steps the machine, carries out its actions with exchanges (package backend)
-// and timers, and ends with one outcome, which is written as the response. Requests that net/http
-// accepts but that others could read differently (RFC 9112, section 11.2) end their connection.
+// A request is read completely, within limits, and processed by its state machine (package dispatch). A
+// [driver] steps the machine, executes its actions with exchanges (package backend) and timers, and
+// returns one outcome, which is written as the response. A request that net/http accepts but that other
+// HTTP implementations could parse differently (RFC 9112, section 11.2) is the last on its connection.
 //
 // The package owns the clients' connections, the requests in flight and the bytes of their bodies. It
-// reports readiness on an address of its own and shuts down gracefully: what was read is finished.
+// reports readiness on a separate address and shuts down gracefully: it finishes the requests that it
+// has read.
 package gateway
--- a/request/gateway/driver.go
+++ b/request/gateway/driver.go
@@ -10,10 +10,11 @@
 	"wallport/runtime/clock"
 )
 
-// driver drives the state machine of one request. Whoever has an event steps the machine under the
-// lock: the client's own goroutine, workers that run exchanges, and the timer. The client's goroutine
-// runs an attempt itself where only its result can end the wait, and returns once there is an outcome.
-// Attempts that the machine abandoned run out in the workers, and it is told their results.
+// driver drives the state machine of one request. The goroutine of the client's connection, the workers
+// that run exchanges, and the timer step the machine with their events under the lock. The connection's
+// goroutine runs an attempt itself if only the attempt's result can advance the request, and returns once
+// there is an outcome. Workers finish the attempts that the machine has abandoned and deliver their results
+// to it.
 type driver struct {
 	server *Server
 	// done is closed once there is an outcome.
@@ -21,25 +22,25 @@
 	mu      sync.Mutex
 	machine StateMachine
 	timer   *time.Timer
-	// timerAt is the moment that the machine set its timer to; 0 is none.
+	// timerAt is the time to which the machine set its timer; 0 means that no timer is set.
 	timerAt  clock.Micros
 	attempts []attempt
-	// inline is the first storage of attempts, so that most requests allocate no other.
+	// inline is the initial storage of attempts, which saves most requests an allocation.
 	inline   [4]attempt
 	finished bool
 	outcome  dispatch.Outcome
 }
 
-// attempt is one attempt that was started.
+// attempt is an attempt that was started.
 type attempt struct {
 	number   int
 	exchange *backend.Exchange
-	// replyOnly is set where nothing but its result, or its timeout, can advance the request: it is sent at most
-	// once, so that no hedged request follows.
+	// replyOnly is set if only the attempt's result or its time-out can advance the request. This is so for a
+	// request that must be sent at most once, since it is never hedged.
 	replyOnly bool
 }
 
-// drive takes a request through its state machine and returns the outcome.
+// drive runs the state machine of a request and returns the outcome.
 func (s *Server) drive(ctx context.Context, req dispatch.Request) dispatch.Outcome {
 	now := s.config.Now()
 	d := &driver{server: s, done: make(chan struct{}), machine: s.config.NewStateMachine(req, now)}
@@ -67,18 +68,18 @@
 	}
 }
 
-// attemptDone steps the machine with the result of an attempt and returns the attempts to start.
+// attemptDone steps the machine with the result of an attempt and returns the attempts to start next.
 func (d *driver) attemptDone(a attempt, result dispatch.Result) []attempt {
 	next := d.advance(dispatch.AttemptDone{N: a.number, Result: result})
 	d.server.exchanges.Add(-1)
 	return next
 }
 
-// step steps the machine and starts the attempts that it sends.
+// step steps the machine and starts the attempts that it requests.
 func (d *driver) step(ev dispatch.Event) { d.start(d.advance(ev)) }
 
-// advance steps the machine and returns the attempts to start. Where the process has just been frozen it first waits
-// for a fresh snapshot, so that nothing is decided by what was true before the freeze.
+// advance steps the machine and returns the attempts to start. After a freeze of the process it first waits for a
+// fresh snapshot, so that the machine does not decide on stale state.
 func (d *driver) advance(ev dispatch.Event) []attempt {
 	d.server.config.AwaitThaw()
 	d.mu.Lock()
@@ -86,7 +87,7 @@
 	return d.execute(d.machine.Step(d.server.config.Now(), ev))
 }
 
-// execute carries out the machine's actions and returns the attempts to start. The lock is held.
+// execute executes the machine's actions and returns the attempts to start. The caller holds the lock.
 func (d *driver) execute(actions []dispatch.Action) []attempt {
 	firstNew := len(d.attempts)
 	for _, action := range actions {
@@ -115,7 +116,7 @@
 	return d.attempts[firstNew:]
 }
 
-// finish records the first outcome. The lock is held.
+// finish records the outcome and ignores later ones. The caller holds the lock.
 func (d *driver) finish(o dispatch.Outcome) {
 	if d.finished {
 		return
@@ -124,7 +125,7 @@
 	close(d.done)
 }
 
-// setTimer sets the timer of the machine. The lock is held.
+// setTimer sets the timer of the machine. The caller holds the lock.
 func (d *driver) setTimer(at clock.Micros) {
 	d.timerAt = at
 	delay := clock.Duration(at - d.server.config.Now())
@@ -135,7 +136,7 @@
 	d.timer.Reset(delay)
 }
 
-// timerFired steps the machine when its timer is due.
+// timerFired steps the machine if its timer is due.
 func (d *driver) timerFired() {
 	d.mu.Lock()
 	if d.finished || d.timerAt == 0 {
@@ -143,7 +144,7 @@
 		return
 	}
 	if now := d.server.config.Now(); now < d.timerAt {
-		// The machine has set a later moment meanwhile.
+		// The machine has set its timer to a later time since this timer was started.
 		d.setTimer(d.timerAt)
 		d.mu.Unlock()
 		return
@@ -159,10 +160,11 @@
 	attempt attempt
 }
 
-// maxIdleWorkers bounds the workers that wait for a task.
+// maxIdleWorkers bounds the number of workers that wait for a task.
 const maxIdleWorkers = 128
 
-// workers are goroutines that run attempts. Idle ones are kept, since their stacks have grown already.
+// workers is a pool of goroutines that run attempts. Idle goroutines are reused because their stacks have
+// already grown.
 type workers struct {
 	tasks chan task
 	mu    sync.Mutex
--- a/request/gateway/driver_test.go
+++ b/request/gateway/driver_test.go
@@ -12,14 +12,15 @@
 	"wallport/runtime/wire"
 )
 
-// blockedBackend is a backend that blocks each request until the test lets it go on, by its path.
+// blockedBackend is a backend that blocks each request until the test sends to the channel of its path in
+// leave. enter receives the paths of arriving requests, abandoned those of requests that were aborted.
 type blockedBackend struct {
 	enter     chan string
 	leave     map[string]chan bool
 	abandoned chan string
 }
 
-// block makes the backend block requests for the paths.
+// block makes the backend block requests to the given paths.
 func (w *fixture) block(paths ...string) *blockedBackend {
 	blocked := &blockedBackend{enter: make(chan string, 10), leave: map[string]chan bool{}, abandoned: make(chan string, 10)}
 	for _, p := range paths {
@@ -42,7 +43,7 @@
 	return blocked
 }
 
-// attemptTo returns an attempt with a path of its own, by which the backend can tell it from others.
+// attemptTo returns an attempt with its own path, by which the backend can identify it.
 func (s *script) attemptTo(n int, path string, once bool) dispatch.Send {
 	a := s.attempt(n, once)
 	req := *a.Request
@@ -55,7 +56,7 @@
 	for _, warm := range []bool{false, true} {
 		w := newFixture(t, nil)
 		if warm {
-			// With an idle connection, the client's goroutine runs the first attempt itself.
+			// This leaves an idle connection for the attempts below.
 			c := w.dial()
 			c.send(get("warm"))
 			c.readResponse("GET")
@@ -76,14 +77,14 @@
 		}
 		c := w.dial()
 		c.send(get("a"))
-		// Both attempts are at the backend before either has a response. Their order there is not
-		// determined: each has a connection of its own.
+		// Both attempts reach the backend before either has a response. Their order is not determined, because
+		// each uses its own connection.
 		must.SliceContainsAll(t, []string{"/first", "/second"}, []string{<-h.enter, <-h.enter})
 		h.leave["/second"] <- true
 		resp, body := c.readResponse("GET")
 		must.Eq(t, 200, resp.StatusCode)
 		must.Eq(t, "/second", body)
-		// The abandoned attempt runs out, and the state machine is told its result.
+		// The abandoned attempt still completes, and the state machine receives its result.
 		h.leave["/first"] <- true
 		for {
 			if r := await[dispatch.AttemptDone](w); r.N == 0 && string(r.Result.Body) == "/first" {
@@ -94,7 +95,7 @@
 	}
 }
 
-// TestGatheredResponse sends several attempts at once and responds before all of them have a result.
+// TestGatheredResponse sends several attempts at the same time and responds before all of them have a result.
 func TestGatheredResponse(t *testing.T) {
 	w := newFixture(t, nil)
 	paths := []string{"/0", "/1", "/2", "/3", "/4", "/5"}
@@ -123,17 +124,17 @@
 	resp, _ := c.readResponse("GET")
 	must.Eq(t, "3", resp.Header.Get("Parts-Missing"))
 	canceled := map[string]bool{<-h.abandoned: true, <-h.abandoned: true}
-	must.Eq(t, map[string]bool{"/4": true, "/5": true}, canceled, must.Sprint("the cancelled attempts are aborted"))
+	must.Eq(t, map[string]bool{"/4": true, "/5": true}, canceled, must.Sprint("the cancelled attempts must be aborted"))
 	h.leave["/3"] <- true
 	for {
 		if r := await[dispatch.AttemptDone](w); r.N == 3 {
-			must.Eq(t, dispatch.ClassResponse, r.Result.Class, must.Sprint("the abandoned attempt is not"))
+			must.Eq(t, dispatch.ClassResponse, r.Result.Class, must.Sprint("the abandoned attempt must not be aborted"))
 			return
 		}
 	}
 }
 
-// TestClientDisconnects tells the state machine that the client has closed its connection.
+// TestClientDisconnects checks that the state machine receives ClientGone when the client closes its connection.
 func TestClientDisconnects(t *testing.T) {
 	w := newFixture(t, nil)
 	h := w.block("/once", "/again")
@@ -165,7 +166,8 @@
 	}
 }
 
-// TestExchangeFailures tells the state machine the result of each failed attempt, and retries nothing itself.
+// TestExchangeFailures checks that the state machine receives the result of each failed attempt, and that the
+// server does not retry by itself.
 func TestExchangeFailures(t *testing.T) {
 	w := newFixture(t, nil)
 	w.handleBackend = func(rw http.ResponseWriter, r *http.Request) {
@@ -199,7 +201,8 @@
 	must.Len(t, 2, w.requests())
 }
 
-// TestConnectionIsAbortedWithoutOutcome closes the connection if the outcome has no status.
+// TestConnectionIsAbortedWithoutOutcome checks that the connection is closed without a response if the outcome
+// has no status.
 func TestConnectionIsAbortedWithoutOutcome(t *testing.T) {
 	w := newFixture(t, nil)
 	w.step = func(*script, dispatch.Event) []dispatch.Action {
@@ -210,7 +213,8 @@
 	c.ends()
 }
 
-// TestRequestIsDecidedAfterThaw delivers no event to a state machine before the snapshot is fresh again.
+// TestRequestIsDecidedAfterThaw checks that after a freeze no event reaches a state machine before the snapshot
+// is fresh again.
 func TestRequestIsDecidedAfterThaw(t *testing.T) {
 	var frozen atomic.Bool
 	thaw := make(chan bool)
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -18,74 +18,81 @@
 	"wallport/runtime/kernel"
 )
 
-// Names are the names of header fields and the path that a platform uses.
+// Names holds the names of the header fields, and the readiness path, that a platform uses.
 type Names struct {
-	// ID is a client's id of one attempt, Budget what is left of its time, in whole milliseconds.
+	// ID carries the client's id of one attempt at a request, Budget the time that is left for it, in whole
+	// milliseconds.
 	ID, Budget string
-	// Target is the backend that a request is meant for, Member the backend that responds.
+	// Target carries the id of the backend that a request is sent to, Member that of the responding backend.
 	Target, Member string
-	// Seal is a backend's seal of a response, Load its load, NotExecuted its statement that a request did not run.
+	// Seal carries a backend's seal of a response and Load its load. NotExecuted states that the request did not run.
 	Seal, Load, NotExecuted string
-	// ShardSeals are the seals of a merged response, MissingShards the number of shards that it lacks.
+	// ShardSeals carries the seals of the parts of a merged response, MissingShards the number of shards that it lacks.
 	ShardSeals, MissingShards string
-	// ReadinessPath is the path that readiness is requested at.
+	// ReadinessPath is the URL path of readiness checks.
 	ReadinessPath string
 }
 
-// StateMachine is the state machine of one request, as dispatch.StateMachine.
+// StateMachine is the state machine of one request. dispatch.StateMachine implements it.
 type StateMachine interface {
 	Step(now clock.Micros, ev dispatch.Event) []dispatch.Action
 	Done() bool
 }
 
-// Config is what a server is made of.
+// Config holds the parameters and dependencies of a server.
 type Config struct {
-	// ClientAddr is the address for clients, ReadinessAddr that for readiness checks; empty is none.
+	// ClientAddr is the address that clients connect to, ReadinessAddr that for readiness checks. Without a
+	// ReadinessAddr no readiness checks are served.
 	ClientAddr, ReadinessAddr string
 	Names                     Names
 	Log                       *zap.Logger
-	// Sampled is the log for events that clients can cause; nil is Log.
+	// Sampled is the log for events that clients can cause; nil selects Log.
 	Sampled  *zap.Logger
 	Counts   *kernel.Counts
 	Backends *backend.Client
-	// Snapshot returns the routing snapshot in force.
+	// Snapshot returns the current routing snapshot.
 	Snapshot func() *snapshot.Snapshot
 	// NewStateMachine returns the state machine of a request.
 	NewStateMachine func(r dispatch.Request, now clock.Micros) StateMachine
-	// Ready reports whether clients may be served; nil asks the snapshot, which must be ready and have a routing table.
+	// Ready reports whether clients may be served. If it is nil, the snapshot must be ready and have a routing table.
 	Ready func() bool
-	// Now is the process's clock. AwaitThaw, if set, waits after a freeze until the snapshot is fresh.
+	// Now returns the time of the process's clock. AwaitThaw, if set, waits after a freeze until the snapshot is
+	// fresh.
 	Now       func() clock.Micros
 	AwaitThaw func()
-	// GracePeriod is the time that the platform gives a graceful shutdown. AcceptTime is how long new
-	// connections are still accepted then, until no client is sent here any more; 0 is DefaultAcceptTime.
+	// GracePeriod is the time that the platform allows for a graceful shutdown. AcceptTime is how long a
+	// shutdown still accepts new connections, until clients are no longer directed to this node; 0 selects
+	// DefaultAcceptTime.
 	GracePeriod, AcceptTime clock.Micros
-	// WriteTimeout bounds how long a client may take to read its response; 0 is DefaultWriteTimeout.
+	// WriteTimeout bounds how long a client may take to read its response; 0 selects DefaultWriteTimeout.
 	WriteTimeout time.Duration
 }
 
 const (
 	// DefaultWriteTimeout bounds how long a client may take to read its response.
 	DefaultWriteTimeout = 60 * time.Second
-	// DefaultAcceptTime is how long a shutdown still accepts connections.
+	// DefaultAcceptTime is how long a shutdown still accepts new connections.
 	DefaultAcceptTime = 2200 * clock.Millisecond
-	// PollInterval is how often readiness and, in a shutdown, the open connections are looked at.
+	// PollInterval is how often readiness and, during a shutdown, the open connections are checked.
 	PollInterval = 20 * time.Millisecond
 	// acceptRetryDelay is the pause after a failed accept.
 	acceptRetryDelay = 5 * time.Millisecond
-	// abandonedTimeout is how long a shutdown waits for abandoned exchanges, abandonedPoll how often it looks.
+	// abandonedTimeout bounds how long a shutdown waits for abandoned exchanges, which it checks every
+	// abandonedPoll.
 	abandonedTimeout = time.Second
 	abandonedPoll    = 10 * time.Millisecond
-	// graceReserve divides the grace period: a sixth of it is kept for the end of the shutdown.
+	// graceReserve is the divisor that yields the part of the grace period, a sixth, that is reserved for
+	// the end of the shutdown.
 	graceReserve = 6
-	// retryAfter is what clients of a node that cannot serve yet are told to wait.
+	// retryAfter is the Retry-After time of responses of a node that cannot serve a request at the moment.
 	retryAfter = 200 * clock.Millisecond
 )
 
-// codeInvalid is the code of a request that is invalid or cannot be read. It never reaches a state machine.
+// codeInvalid is the code of a request that is invalid or cannot be read. Such a request never reaches a state
+// machine.
 const codeInvalid dispatch.Code = "invalid"
 
-// Server serves clients and readiness.
+// Server serves clients and readiness checks.
 type Server struct {
 	config      Config
 	handler     handler
@@ -98,14 +105,14 @@
 	// draining is set once the shutdown has begun.
 	draining                 atomic.Bool
 	read, rejected, accepted *atomic.Int64
-	// The gauges of requests in flight, of exchanges in flight, abandoned ones included, and of the bytes
+	// Gauges of the requests in flight, of the exchanges in flight including abandoned ones, and of the bytes
 	// of all bodies.
 	inFlight, exchanges, bodyBytes *atomic.Int64
 	maxBodyBytes                   int64
 }
 
-// Open starts a server. It listens for readiness checks at once, and for clients as soon as the node is
-// ready. It fails if the address for readiness checks cannot be opened; later errors go to [Server.Failed].
+// Open starts a server. It listens for readiness checks immediately and for clients as soon as the node is
+// ready. It returns an error if it cannot listen for readiness checks; [Server.Failed] reports later errors.
 func Open(c Config) (*Server, error) {
 	if c.AwaitThaw == nil {
 		c.AwaitThaw = func() {}
@@ -146,7 +153,8 @@
 	}
 }
 
-// openClients listens for clients once the node is ready: until then they are refused and go elsewhere.
+// openClients listens for clients once the node is ready. Until then their connections are refused, so that
+// they connect to other nodes.
 func (s *Server) openClients() {
 	poll := time.NewTicker(PollInterval)
 	defer poll.Stop()
@@ -162,8 +170,8 @@
 	}
 }
 
-// isReady reports whether clients may be sent here: a routing table is in force, or Config.Ready says so, and no
-// shutdown has begun.
+// isReady reports whether the node can serve clients: no shutdown has begun, and Config.Ready says so or, without
+// that function, the snapshot is ready and has a routing table.
 func (s *Server) isReady() bool {
 	if s.draining.Load() {
 		return false
@@ -187,21 +195,22 @@
 	w.WriteHeader(status)
 }
 
-// Failed receives the errors after which the server does not serve.
+// Failed returns a channel of the errors that stop the server from serving.
 func (s *Server) Failed() <-chan error { return s.errors }
 
-// Addr returns the address that clients are served on, or nothing before they are.
+// Addr returns the address that clients connect to, or an empty string before the server listens.
 func (s *Server) Addr() string { return s.connections.addr() }
 
-// shutdownDeadline returns when a graceful shutdown aborts what is still in flight: a sixth of the
-// grace period before its end, but not more than a second before it, and after one second at the earliest.
+// shutdownDeadline returns the time at which a graceful shutdown aborts the requests still in flight. It is a
+// sixth of the grace period before its end, but at most one second before the end, and at least one second
+// after the start.
 func shutdownDeadline(start time.Time, grace time.Duration) time.Time {
 	return start.Add(max(time.Second, grace-min(time.Second, grace/graceReserve)))
 }
 
-// Stop shuts the server down gracefully and returns when it is done. Readiness ends at once, new
-// connections are accepted for AcceptTime, and requests that were read are finished, until
-// shutdownDeadline at the latest.
+// Stop shuts the server down gracefully and returns when that is done. Readiness checks fail immediately, new
+// connections are accepted for AcceptTime, and requests that were read are finished, until shutdownDeadline at
+// the latest.
 func (s *Server) Stop() {
 	if s.draining.Swap(true) {
 		return
@@ -221,7 +230,7 @@
 	}
 }
 
-// awaitAbandoned waits for exchanges that were abandoned, so that backends can finish them.
+// awaitAbandoned waits for abandoned exchanges, so that backends can finish them.
 func (s *Server) awaitAbandoned(deadline time.Time) {
 	for last := time.Now().Add(abandonedTimeout); s.exchanges.Load() > 0 && time.Now().Before(last) && time.Now().Before(deadline); {
 		time.Sleep(abandonedPoll)
--- a/request/gateway/handler.go
+++ b/request/gateway/handler.go
@@ -43,8 +43,8 @@
 	h.serve(w, r)
 }
 
-// countPanic counts a panic, other than the one by which the handler aborts a connection, and goes on
-// with it: net/http logs it with its stack and ends the connection.
+// countPanic counts a panic, except http.ErrAbortHandler, with which the handler aborts a connection, and
+// panics again: net/http logs the panic with its stack and closes the connection.
 func (h *handler) countPanic() {
 	v := recover()
 	if v == nil {
@@ -59,19 +59,19 @@
 func (h *handler) serve(w http.ResponseWriter, r *http.Request) {
 	s := h.server
 	if !r.ProtoAtLeast(1, 1) || len(r.TransferEncoding) > 0 {
-		// No other request is read on a connection after a chunked one: if that had a length as well,
-		// what follows could be part of its body.
+		// No further request is read on a connection after a chunked one. If that request had a
+		// Content-Length as well, the following bytes could belong to its body.
 		closeAfterResponse(w)
 	}
 	if !headerFits(r, s.limits()) {
-		h.reject(w, r, http.StatusRequestHeaderFieldsTooLarge, "the head is larger than the limit")
+		h.reject(w, r, http.StatusRequestHeaderFieldsTooLarge, "the target and header fields exceed the size limit")
 		return
 	}
 	reservation := bodyReservation{server: s}
 	defer reservation.release()
 	body, status := h.readBody(w, r, &reservation)
 	if status != 0 {
-		h.reject(w, r, status, "the body could not be read whole")
+		h.reject(w, r, status, "the body could not be read completely")
 		return
 	}
 	req, invalid := h.newRequest(r, body)
@@ -88,8 +88,8 @@
 	h.writeOutcome(w, r, &outcome)
 }
 
-// extendWriteDeadline restarts the client's time to read its response if the request took half of it
-// or more: net/http counts it from the request's header.
+// extendWriteDeadline restarts the write time-out if the request took more than half of it, because net/http
+// counts the time-out from the reading of the request's header.
 func (h *handler) extendWriteDeadline(w http.ResponseWriter, readAt clock.Micros) {
 	timeout := h.server.config.WriteTimeout
 	if took := clock.Duration(h.server.config.Now() - readAt); took > timeout/2 {
@@ -97,7 +97,7 @@
 	}
 }
 
-// handle returns the outcome of a request. An outcome without a status means that there is no response.
+// handle returns the outcome of a request. If the outcome has no status, there is no response.
 func (h *handler) handle(r *http.Request, req dispatch.Request) dispatch.Outcome {
 	s := h.server
 	s.inFlight.Add(1)
@@ -109,7 +109,7 @@
 	return s.drive(r.Context(), req)
 }
 
-// reject responds to a request that is invalid or cannot be read, and ends the connection.
+// reject responds to a request that is invalid or cannot be read, and closes the connection.
 func (h *handler) reject(w http.ResponseWriter, r *http.Request, status int, reason string) {
 	h.server.rejected.Add(1)
 	h.server.config.Sampled.Warn("request_invalid", zap.String("from", r.RemoteAddr), zap.Strings("id", r.Header[h.names.ID]), zap.String("method", r.Method),
@@ -122,10 +122,10 @@
 	writeOwnResponse(w, &o)
 }
 
-// closeAfterResponse makes the connection end with this response.
+// closeAfterResponse makes net/http close the connection after this response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header()["Connection"] = []string{"close"} }
 
-// readBody reads the complete body. If it cannot, it returns the status of the response that says why.
+// readBody reads the complete body. On failure it returns the status of the response that reports it.
 func (h *handler) readBody(w http.ResponseWriter, r *http.Request, reservation *bodyReservation) (b []byte, status int) {
 	if r.Body == http.NoBody {
 		return nil, 0
@@ -162,15 +162,15 @@
 	return nil, http.StatusBadRequest
 }
 
-// newRequest returns the request for the state machine, or what is wrong with the client's.
+// newRequest returns the request for the state machine, or why the client's request is invalid.
 func (h *handler) newRequest(r *http.Request, body []byte) (dispatch.Request, string) {
 	ids := r.Header[h.names.ID]
 	if len(ids) != 1 || ids[0] == "" {
-		return dispatch.Request{}, "one " + h.names.ID + " is needed"
+		return dispatch.Request{}, "exactly one non-empty " + h.names.ID + " field is required"
 	}
 	target := originForm(r.RequestURI)
 	if target == "" {
-		return dispatch.Request{}, "the target has no path"
+		return dispatch.Request{}, "the request target has no path"
 	}
 	path, _, _ := strings.Cut(target, "?")
 	req := dispatch.Request{
@@ -185,7 +185,7 @@
 	return req, ""
 }
 
-// originForm returns the path and query of a request's target (RFC 9112, section 3.2), or nothing if it has no path.
+// originForm returns the path and query of a request target (RFC 9112, section 3.2), or an empty string if it has no path.
 func originForm(target string) string {
 	if strings.HasPrefix(target, "/") {
 		return target
@@ -198,7 +198,7 @@
 	return rest[path:]
 }
 
-// forwardedFields returns the header lines that are forwarded to a backend. It removes the others from the header.
+// forwardedFields returns the header lines that are forwarded to a backend. It removes all other fields from header.
 func (h *handler) forwardedFields(header http.Header) []byte {
 	backend.RemoveHopByHop(header, h.names.ID)
 	for _, name := range [...]string{h.names.Budget, h.names.Target, "Content-Length", "Expect"} {
--- a/request/gateway/limits.go
+++ b/request/gateway/limits.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// Leniency is how many times the configured limits are tolerated before a request is rejected.
+	// Leniency is the factor by which a request may exceed the configured limits before it is rejected.
 	Leniency = 2
 
-	// maxBodiesBytes bounds the bodies of all requests together, so that slow or large ones can't take the
-	// process's memory; beyond it requests are rejected with 503.
+	// maxBodiesBytes bounds the total size of the bodies of all requests, so that slow or large ones cannot
+	// exhaust the process's memory. Requests beyond it are rejected with 503.
 	maxBodiesBytes = 32 << 20
-	// defaultBodyTimeout is how long a body may take after the header's time.
+	// defaultBodyTimeout bounds the reading of a body, in addition to the time-out of the header.
 	defaultBodyTimeout = 10 * time.Second
-	// minTimeout is the least time-out that a routing table can set, whatever it says.
+	// minTimeout is the lower bound of the time-outs that a routing table can set.
 	minTimeout = 200 * time.Millisecond
 
-	// The limits where the routing table sets none, and the most that it can set for the header.
+	// The defaults of the limits that a routing table does not set, and the upper bound of its limit on the
+	// header.
 	defaultIdleTimeout    = 30 * time.Second
 	defaultHeadTimeout    = 10 * time.Second
 	defaultMaxHeaderBytes = 64 << 10
@@ -30,7 +31,7 @@
 	maxMaxHeaderBytes     = 1 << 20
 )
 
-// limits returns the limits of the routing table in force, or empty ones.
+// limits returns the limits of the current routing table, or empty limits if there are none.
 func (s *Server) limits() *routingpb.Limits {
 	if view := s.config.Snapshot(); view != nil && view.Routing != nil && view.Routing.Limits != nil {
 		return view.Routing.Limits
@@ -68,10 +69,10 @@
 }
 
 // errBodyBudget is returned when the bodies of all requests together exceed maxBodiesBytes.
-var errBodyBudget = errors.New("too many bodies at once")
+var errBodyBudget = errors.New("the bodies of all requests together exceed the limit")
 
-// bodyReservation counts the bytes of one body against the bound of all bodies, until it is released
-// when the request has its response.
+// bodyReservation counts the bytes of one body towards the bound for all bodies. It is released once the
+// request has its response.
 type bodyReservation struct {
 	server   *Server
 	reader   io.Reader
@@ -95,7 +96,7 @@
 	return n, err
 }
 
-// headerFits reports whether a request's target and header fields are within the limit.
+// headerFits reports whether the size of a request's target and header fields is within the limit.
 func headerFits(r *http.Request, l *routingpb.Limits) bool {
 	const punctuation = len(": \r\n")
 	size := len(r.RequestURI) + len(r.Host)
--- a/request/gateway/limits_test.go
+++ b/request/gateway/limits_test.go
@@ -39,11 +39,11 @@
 			client.send(c.send)
 			resp, _ := client.readResponse("POST")
 			must.Eq(t, c.status, resp.StatusCode)
-			// No other request is read after a chunked one.
+			// No further request is read on a connection after a chunked one.
 			must.Eq(t, c.status != 200 || strings.Contains(c.send, "chunked"), resp.Close)
 		})
 	}
-	// A change applies to open connections.
+	// A change of the limits also applies to requests on open connections.
 	client := w.dial()
 	client.send(post(0, 2000, false))
 	resp, _ := client.readResponse("POST")
@@ -54,7 +54,8 @@
 	must.Eq(t, 413, resp.StatusCode)
 }
 
-// TestHeaderAndIdleTimeouts closes an idle connection without a response, and one with a part of a request with one.
+// TestHeaderAndIdleTimeouts checks that an idle connection times out without a response, and one with a part of a
+// request with status 400.
 func TestHeaderAndIdleTimeouts(t *testing.T) {
 	w := newFixture(t, nil)
 	w.limits(&routingpb.Limits{HeaderTimeoutUs: 1, IdleTimeoutUs: 1})
@@ -71,7 +72,7 @@
 	must.Len(t, 1, w.requests())
 }
 
-// TestSlowBodyTimesOut waits longer for a body than for a header, but not without a bound.
+// TestSlowBodyTimesOut checks that a body that does not arrive in time is rejected with status 408.
 func TestSlowBodyTimesOut(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 5", "Transfer-Encoding: chunked"} {
 		w := newFixture(t, nil)
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestBodyBytesAreBounded rejects a body before it is read while those of other requests fill the bound, and
-// accepts one after that.
+// TestBodyBytesAreBounded checks that a body is rejected before it has been read completely while, together with
+// the bodies of other requests, it exceeds the bound, and that bodies are accepted again after that.
 func TestBodyBytesAreBounded(t *testing.T) {
 	w := newFixture(t, nil)
 	w.server.maxBodyBytes = 100
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -17,14 +17,14 @@
 	"wallport/runtime/clock"
 )
 
-// longTimeout is one that no test reaches, briefTimeout one that a silent backend reaches.
+// longTimeout is never reached in a test. briefTimeout is reached when a backend does not respond.
 const (
 	longTimeout  = 20 * clock.Second
 	briefTimeout = 250 * clock.Millisecond
 )
 
-// newAtMostOnceFixture returns a world with the product's own state machine, routes that are not idempotent, and a
-// pool of two backends, both at the one address of the world's backend.
+// newAtMostOnceFixture returns a fixture with dispatch.StateMachine, routes that are not idempotent, and a
+// pool of two backends, which share the address of the fixture's backend.
 func newAtMostOnceFixture(t *testing.T) *fixture {
 	t.Helper()
 	config := &routingpb.RoutingTable{
@@ -55,7 +55,7 @@
 	return w
 }
 
-// times returns how often a request was sent to a backend.
+// times returns how often the request with the id was received by a backend.
 func (w *fixture) times(id string) (n int) {
 	for _, r := range w.requests() {
 		if r.head.Get("Try-Id") == id {
@@ -69,8 +69,8 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: h\r\nTry-Id: " + id + "\r\nContent-Length: 3\r\n\r\nabc"
 }
 
-// rawResponse returns a handler that writes bytes in place of a response and then closes the connection,
-// if reset is set, or stays silent.
+// rawResponse returns a handler that writes raw bytes instead of a response. If reset is set it then closes the
+// connection; otherwise it sends nothing more.
 func rawResponse(bytes string, reset bool) func(http.ResponseWriter, *http.Request) {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(rw).Hijack()
@@ -82,7 +82,7 @@
 			conn.Close()
 			return
 		}
-		// Until the node closes the connection.
+		// Wait until the node closes the connection.
 		io.Copy(io.Discard, conn)
 		conn.Close()
 	}
@@ -130,13 +130,14 @@
 			client.send(post(c.path, "a"))
 			resp, _ := client.readResponse("POST")
 			if c.path == brief {
-				// The node or the backend may notice the timeout first: neither says that the request did not run.
+				// Either the node or the backend may notice the time-out first. Neither status states that the
+				// request did not run.
 				must.SliceContains(t, []int{502, 504}, resp.StatusCode)
 			} else {
 				must.Eq(t, c.status, resp.StatusCode)
 			}
-			must.Eq(t, 1, w.times("a"), must.Sprint("one attempt, at one backend"))
-			// Its connection is not used again, and the next request is served.
+			must.Eq(t, 1, w.times("a"), must.Sprint("the request must reach a single backend once"))
+			// The connection must not be reused, and the next request must be served.
 			w.setHandler(func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, "right") })
 			client.send(post(long, "b"))
 			resp, body := client.readResponse("POST")
@@ -147,14 +148,14 @@
 	}
 }
 
-// TestNotExecutedReplyIsRetriedElsewhere retries at the other backend if one says that the request did not
-// run, and tells the client so if both do.
+// TestNotExecutedReplyIsRetriedElsewhere checks that a request is retried at the other backend if the first one
+// states that it did not run, and that the client gets status 503 if both do.
 func TestNotExecutedReplyIsRetriedElsewhere(t *testing.T) {
 	const notExecuted = "HTTP/1.1 503 Full\r\nTry-Id: ID\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	w := newAtMostOnceFixture(t)
 	client := w.dial()
 	for i := range 60 {
-		// They fill the retry budget.
+		// Each successful request adds to the retry budget.
 		client.send(post("/a", fmt.Sprint("saved-", i)))
 		client.readResponse("POST")
 	}
@@ -162,7 +163,7 @@
 	client.send(post("/a", "a"))
 	resp, _ := client.readResponse("POST")
 	must.Eq(t, 503, resp.StatusCode)
-	must.Eq(t, 2, w.times("a"), must.Sprint("one attempt at each backend"))
+	must.Eq(t, 2, w.times("a"), must.Sprint("want one attempt at each backend"))
 	seen := map[string]bool{}
 	for _, r := range w.requests()[60:] {
 		seen[r.head.Get("Meant-For")] = true
--- a/request/gateway/peer_test.go
+++ b/request/gateway/peer_test.go
@@ -1,4 +1,4 @@
-// The other process of the benchmarks: backends that respond at once, and clients.
+// The second process of the benchmarks, which runs the clients, and backends that respond immediately.
 
 package gateway
 
@@ -13,7 +13,8 @@
 	"sync"
 )
 
-// job is a load: requests over some connections, each for many requests or for one.
+// job is a number of requests that are sent by concurrent clients. Each client uses one connection, or with Fresh a
+// new connection for each request.
 type job struct {
 	Addr, Path string
 	Post       bool
@@ -22,7 +23,8 @@
 	Fresh      bool
 }
 
-// peerMain is the main function of the other process: it prints the addresses of its backends and runs the jobs.
+// peerMain is the main function of the second process. It prints the addresses of its backends, and then runs the
+// jobs that it reads from standard input.
 func peerMain() {
 	n, _ := strconv.Atoi(os.Getenv(peerVar))
 	var addrs []string
--- a/request/gateway/request_log.go
+++ b/request/gateway/request_log.go
@@ -6,8 +6,8 @@
 	"wallport/request/dispatch"
 )
 
-// LogFailures returns a function that logs a line for each request that ended without a success, to look into incidents
-// from. The logger is to sample: of one event only a few lines a second are wanted, the counters have the rest.
+// LogFailures returns a function that logs a line for each failed request, for the analysis of incidents. The logger
+// should sample, so that each event produces only a few lines a second; the counters cover all failures.
 func LogFailures(log *zap.Logger) func(trace *dispatch.Trace) {
 	return func(trace *dispatch.Trace) {
 		if !trace.Failed() {
@@ -24,8 +24,8 @@
 	}
 }
 
-// failureEvent returns the event of a failed request. Rejections, of which there may be many, have an event of their own,
-// so that sampling them hides no other failures.
+// failureEvent returns the log event of a failed request. Rejections, which may be frequent, have a separate event, so
+// that sampling does not drop other failures in their favor.
 func failureEvent(trace *dispatch.Trace) string {
 	switch trace.Code {
 	case dispatch.CodeRejected:
--- a/request/gateway/request_test.go
+++ b/request/gateway/request_test.go
@@ -51,7 +51,8 @@
 	must.Eq(t, 1, len(got.head["Left"]))
 }
 
-// TestFramings sends the same body with a length, in chunks, and after a 100 Continue.
+// TestFramings sends the same body with a Content-Length, chunked, and after a 100 Continue. The backend must
+// always receive it with a Content-Length.
 func TestFramings(t *testing.T) {
 	w := newFixture(t, nil)
 	c := w.dial()
@@ -67,7 +68,7 @@
 		must.Eq(t, "hello", body)
 		c = c.next(resp)
 	}
-	// Byte by byte.
+	// Send a request byte by byte.
 	for _, b := range []byte(head + "Transfer-Encoding: chunked\r\n\r\nb\r\nhello world\r\n0\r\n\r\n") {
 		c.send(string(b))
 	}
@@ -96,7 +97,7 @@
 	}
 }
 
-// TestNoBodyIsAdded forwards a request without a body without one.
+// TestNoBodyIsAdded checks that a request without a body is forwarded without one.
 func TestNoBodyIsAdded(t *testing.T) {
 	w := newFixture(t, nil)
 	c := w.dial()
@@ -113,7 +114,7 @@
 	must.Eq(t, []string{"0"}, w.requests()[3].head["Content-Length"])
 }
 
-// TestResponses writes each kind of outcome.
+// TestResponses checks the response to each kind of outcome.
 func TestResponses(t *testing.T) {
 	w := newFixture(t, nil)
 	var o atomic.Pointer[dispatch.Outcome]
@@ -165,7 +166,7 @@
 	must.Eq(t, 299, resp.StatusCode)
 }
 
-// TestLargeResponse has a response that is larger than what a client reads at once.
+// TestLargeResponse has a response that does not fit into a single read or write.
 func TestLargeResponse(t *testing.T) {
 	w := newFixture(t, nil)
 	big := strings.Repeat("0123456789abcdef", 1<<17)
@@ -178,7 +179,7 @@
 	}
 }
 
-// TestConnectionReuse has connections that are kept, closed and used for pipelined requests.
+// TestConnectionReuse covers pipelined requests, requests that close the connection, and HTTP/1.0.
 func TestConnectionReuse(t *testing.T) {
 	w := newFixture(t, nil)
 	c := w.dial()
--- a/request/gateway/smuggle_test.go
+++ b/request/gateway/smuggle_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestUnusualRequestsAreAccepted has requests that net/http tolerates: they are forwarded in the one way in
-// which they were read, and nothing in them is read as another request.
+// TestUnusualRequestsAreAccepted sends malformed requests that net/http tolerates. They must be forwarded in the
+// form in which they were parsed, and no part of them may be parsed as another request.
 func TestUnusualRequestsAreAccepted(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
 	start := "POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n"
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestRequestHiddenInBodyIsNotServed forwards a body that looks like a request as a body.
+// TestRequestHiddenInBodyIsNotServed checks that a body that looks like a request is forwarded as a body.
 func TestRequestHiddenInBodyIsNotServed(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
 	w := newFixture(t, nil)
--- a/request/gateway/stop_test.go
+++ b/request/gateway/stop_test.go
@@ -19,7 +19,7 @@
 	"wallport/runtime/clock"
 )
 
-// freeAddr returns a free address.
+// freeAddr returns a local TCP address on which nothing listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 	}
 	must.Eq(t, 503, status("/ready"))
 	must.Eq(t, 404, status("/other"))
-	must.Eq(t, "", w.server.Addr(), must.Sprint("no client is served before the node is ready"))
+	must.Eq(t, "", w.server.Addr(), must.Sprint("the server must not listen for clients before the node is ready"))
 	force.Store(true)
 	must.Eq(t, 200, status("/ready"))
 	c := w.dial()
@@ -60,7 +60,8 @@
 	must.Eq(t, "", w.server.Addr())
 }
 
-// TestStopFinishesRequestsInFlight responds to what was read, closes its connection then, and closes idle ones at once.
+// TestStopFinishesRequestsInFlight checks that a stop closes idle connections immediately, and other connections after
+// the response to the request that was read.
 func TestStopFinishesRequestsInFlight(t *testing.T) {
 	w := newFixture(t, nil)
 	h := w.block("/a")
@@ -74,7 +75,7 @@
 	must.Error(t, err)
 	select {
 	case <-stopped:
-		t.Fatal("the stop waits for what was read")
+		t.Fatal("Stop returned before the request in flight was finished")
 	default:
 	}
 	h.leave["/a"] <- true
@@ -85,7 +86,8 @@
 	<-stopped
 }
 
-// TestStopKeepsAcceptingAtFirst serves new connections for a while; each response is the last on its connection.
+// TestStopKeepsAcceptingAtFirst checks that new connections are served during AcceptTime, and that each response is the
+// last on its connection.
 func TestStopKeepsAcceptingAtFirst(t *testing.T) {
 	w := newFixture(t, func(_ *fixture, c *Config) { c.AcceptTime = 300 * clock.Millisecond })
 	old := w.dial()
@@ -119,7 +121,7 @@
 		case <-entered:
 			return []dispatch.Action{dispatch.Abandon{N: 0}, finish(dispatch.Outcome{Status: 504, Code: dispatch.CodeFailed})}
 		default:
-			// An exchange that is abandoned before the backend has it would never enter.
+			// An exchange that is abandoned before the request is written would never reach the backend.
 			return []dispatch.Action{again}
 		}
 	}
@@ -137,8 +139,8 @@
 	must.Eq(t, 0, len(h.abandoned))
 }
 
-// TestStopAbortsAtEndOfGrace ends in time although a backend does not respond; the client gets no response that
-// looks complete.
+// TestStopAbortsAtEndOfGrace checks that a stop ends in time although a backend does not respond, and that the
+// client gets no response that looks complete.
 func TestStopAbortsAtEndOfGrace(t *testing.T) {
 	w := newFixture(t, func(_ *fixture, c *Config) { c.GracePeriod = 1 })
 	h := w.block("/a")
@@ -149,8 +151,8 @@
 	c.ends()
 }
 
-// TestStopUnderLoadLosesNothing compares the requests that a backend received with those whose clients got
-// a complete response, with many clients that come and go while the node stops.
+// TestStopUnderLoadLosesNothing stops the node while many clients open and close connections. Every request that
+// a backend received must have got a complete response.
 func TestStopUnderLoadLosesNothing(t *testing.T) {
 	w := newFixture(t, func(_ *fixture, c *Config) { c.AcceptTime = 100 * clock.Millisecond })
 	addr := w.dial().RemoteAddr().String()
@@ -208,13 +210,13 @@
 	must.Eq(t, 0, w.server.inFlight.Load())
 	got := w.requests()
 	for _, s := range got {
-		must.True(t, complete[s.head.Get("Try-Id")], must.Sprint(s.head.Get("Try-Id"), " was lost"))
+		must.True(t, complete[s.head.Get("Try-Id")], must.Sprint(s.head.Get("Try-Id"), " reached the backend, but its client got no complete response"))
 	}
 	must.Eq(t, len(got), len(complete))
 	t.Logf("%d requests, none lost", len(got))
 }
 
-// TestStopEndsInLastSixthOfGrace aborts nothing before the last sixth of the grace period.
+// TestStopEndsInLastSixthOfGrace checks that a stop aborts no request before the last sixth of the grace period.
 func TestStopEndsInLastSixthOfGrace(t *testing.T) {
 	start := time.Unix(100, 0)
 	for _, grace := range []time.Duration{2 * time.Second, 3 * time.Second, 6 * time.Second, 30 * time.Second} {
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -55,7 +55,7 @@
 
 func finish(o dispatch.Outcome) dispatch.Finish { return dispatch.Finish{Outcome: o} }
 
-// forwardOnce sends one attempt and responds with its result.
+// forwardOnce is a step function that sends one attempt and responds with its result.
 func forwardOnce(s *script, ev dispatch.Event) []dispatch.Action {
 	switch v := ev.(type) {
 	case dispatch.Begin:
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// receivedRequest is a request at the backend.
+// receivedRequest is a request that the backend received.
 type receivedRequest struct {
 	method, uri, host, body string
 	head                    http.Header
 }
 
-// world is a server with scripted state machines and a backend that is an httptest.Server.
+// fixture is a server with scripted state machines and an httptest.Server as its backend.
 type fixture struct {
 	t             *testing.T
 	server        *Server
@@ -155,7 +155,7 @@
 	w.delivered <- ev
 }
 
-// await waits for an event of a type at a state machine.
+// await waits until a state machine receives an event of type E, and returns the event.
 func await[E dispatch.Event](w *fixture) E {
 	for {
 		if ev, ok := (<-w.delivered).(E); ok {
@@ -170,7 +170,7 @@
 	return append([]receivedRequest(nil), w.received...)
 }
 
-// wireConn is a client's connection.
+// wireConn is the connection of a test client.
 type wireConn struct {
 	w *fixture
 	t *testing.T
@@ -178,7 +178,7 @@
 	r *bufio.Reader
 }
 
-// dial opens a client's connection once the server listens.
+// dial opens a client connection once the server listens.
 func (w *fixture) dial() *wireConn {
 	w.t.Helper()
 	for w.server.Addr() == "" {
@@ -206,7 +206,7 @@
 	return resp, string(body)
 }
 
-// next returns the connection for the next request: another one if the response was the last on this one.
+// next returns the connection for the next request, which is a new one if the response was the last on this one.
 func (c *wireConn) next(resp *http.Response) *wireConn {
 	c.t.Helper()
 	if resp.Close {
@@ -216,14 +216,14 @@
 	return c
 }
 
-// ends expects that the server closes the connection without sending more.
+// ends checks that the server closes the connection without sending more bytes.
 func (c *wireConn) ends() {
 	c.t.Helper()
 	rest, _ := io.ReadAll(c.r)
 	must.Eq(c.t, "", string(rest))
 }
 
-// get returns a complete request.
+// get returns a complete GET request with the given id and header lines.
 func get(id string, more ...string) string {
 	return "GET /a?b HTTP/1.1\r\nHost: h\r\nTry-Id: " + id + "\r\n" + strings.Join(more, "") + "\r\n"
 }
