--- a/request/backend/backend.go
+++ b/request/backend/backend.go
@@ -9,46 +9,47 @@
 	"wallport/runtime/kernel"
 )
 
-// Names are the names of the header fields that a platform uses.
+// Names holds the names of the header fields that a platform uses.
 type Names struct {
-	// ID is a client's id of one attempt, echoed by backends; Budget what is left of its time, in whole
-	// milliseconds; Target the backend that a request is meant for.
+	// ID carries the client's id of one attempt at a request, which backends echo. Budget carries the time that
+	// is left for the request, in whole milliseconds, and Target the id of the backend that it is sent to.
 	ID, Budget, Target string
-	// Seal is a backend's seal of a response, Load its load (running, queued, slots), NotExecuted its
-	// statement that a request did not run.
+	// Seal carries a backend's seal of a response and Load its load (running, queued, slots). NotExecuted
+	// states that the request did not run.
 	Seal, Load, NotExecuted string
 }
 
-// Config is what a client is made of.
+// Config holds the parameters and dependencies of a client.
 type Config struct {
 	Names  Names
 	Counts *kernel.Counts
-	// NodeCount returns how many nodes share a backend's connections; nil is 1.
+	// NodeCount returns the number of nodes that share a backend's connections; nil means 1.
 	NodeCount func() int
-	// Frozen and Thaws are those of the process: a request that was decided before a freeze is not written.
-	// Nil means that there are no freezes.
+	// Frozen reports whether the process is frozen, and Thaws returns how often it has thawed. A request that
+	// was decided before a freeze is not written. Nil means that there are no freezes.
 	Frozen func() bool
 	Thaws  func() int64
 }
 
 const (
-	// DialTimeout bounds the opening of a connection, UnackedTimeout how long sent bytes may stay
+	// DialTimeout bounds the time to open a connection. UnackedTimeout bounds how long sent bytes may stay
 	// unacknowledged (the TCP user timeout, RFC 5482).
 	DialTimeout    = 400 * time.Millisecond
 	UnackedTimeout = 1500 * time.Millisecond
-	// MaxIdleTime bounds how long a connection is kept idle, SweepInterval is how often idle ones are looked at.
+	// MaxIdleTime bounds how long a connection is kept idle. SweepInterval is the interval at which idle
+	// connections are checked.
 	MaxIdleTime   = 15 * time.Second
 	SweepInterval = time.Second
-	// MaxBodyBytes and MaxHeadBytes bound a response.
+	// MaxBodyBytes and MaxHeadBytes bound the body and the header of a response.
 	MaxBodyBytes = 16 << 20
 	MaxHeadBytes = 16 << 10
-	// sharedThousandths is how many thousandths of a backend's connections all nodes together may open.
+	// sharedThousandths is the part of a backend's connections, in thousandths, that all nodes together may open.
 	sharedThousandths = 800
-	// defaultMaxConnections is how many connections a node may open to a backend whose pool sets no bound.
+	// defaultMaxConnections bounds a node's connections to a backend whose pool sets no bound.
 	defaultMaxConnections = 64
 )
 
-// Client owns the connections to all backends. Any goroutine may use it.
+// Client owns the connections to all backends. It is safe for concurrent use.
 type Client struct {
 	config   Config
 	names    Names // canonical
@@ -61,12 +62,12 @@
 	counters counters
 }
 
-// poolKey names a backend at an address: an address that another backend gets has a new pool.
+// poolKey identifies a backend at an address. If another backend is assigned the address, it gets a new pool.
 type poolKey struct{ addr, id string }
 
 type counters struct{ dials, dialsFailed, reused, idleDead, garbage, full, connections *atomic.Int64 }
 
-// New returns a client without connections and starts its sweep, which runs until Close.
+// New returns a client without connections and starts its sweep of idle connections, which runs until Close.
 func New(c Config) *Client {
 	if c.NodeCount == nil {
 		c.NodeCount = func() int { return 1 }
@@ -93,7 +94,7 @@
 	return cl
 }
 
-// Close closes the idle connections. Exchanges in flight end by themselves.
+// Close closes the idle connections. It does not abort exchanges in flight.
 func (cl *Client) Close() {
 	cl.mu.Lock()
 	if cl.closed {
@@ -106,7 +107,7 @@
 	cl.trim(func(*conn) bool { return true })
 }
 
-// sweep closes the connections that were idle for too long.
+// sweep periodically closes the connections that have been idle for too long.
 func (cl *Client) sweep() {
 	interval := time.NewTicker(SweepInterval)
 	defer interval.Stop()
@@ -121,7 +122,7 @@
 	}
 }
 
-// trim closes the idle connections that are expired and removes the pools without any connection.
+// trim closes the expired idle connections and removes the pools that have no connections left.
 func (cl *Client) trim(expired func(*conn) bool) {
 	cl.mu.Lock()
 	var closing []*conn
--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -18,7 +18,7 @@
 	defer close(done)
 	cl := newTestClient(t, Config{})
 	a := f.attemptOnce("a")
-	// Long enough that the request is written by then, however busy the machine is.
+	// Long enough for the request to be written in time even on a busy machine.
 	a.Timeout = 2 * clock.Second
 	rep := run(t, cl, a, dispatch.ClassFailed)
 	must.True(t, rep.TimedOut)
@@ -27,7 +27,7 @@
 	must.Eq(t, 0, cl.open.Load())
 }
 
-// TestCancelClosesTheConnection notifies the backend by the end of the connection.
+// TestCancelClosesTheConnection checks that the backend sees the end of the connection of a canceled exchange.
 func TestCancelClosesTheConnection(t *testing.T) {
 	enter, ended := make(chan bool), make(chan error, 1)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -44,12 +44,12 @@
 	x.Cancel()
 	rep := <-back
 	must.Eq(t, dispatch.ClassFailed, rep.Class)
-	must.False(t, rep.TimedOut, must.Sprint("it is not the backend's failure"))
+	must.False(t, rep.TimedOut, must.Sprint("a cancellation is not a time-out of the backend"))
 	must.Error(t, <-ended)
 }
 
 func TestCancelWhileDialing(t *testing.T) {
-	// Nobody accepts the connection.
+	// The listener never accepts a connection.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -62,7 +62,8 @@
 	must.Eq(t, 0, cl.open.Load())
 }
 
-// TestAbandonedExchangeIsNotWritten writes no abandoned request, and leaves one that was written undisturbed.
+// TestAbandonedExchangeIsNotWritten checks that an abandoned request is not written, and that one that was already
+// written is completed.
 func TestAbandonedExchangeIsNotWritten(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -86,5 +87,5 @@
 	x.Abandon()
 	must.Eq(t, "not wanted any more", x.Run().Reason)
 	must.Eq(t, 0, f.times("b"))
-	must.Eq(t, 1, cl.open.Load(), must.Sprint("the connection is kept"))
+	must.Eq(t, 1, cl.open.Load(), must.Sprint("the connection must be kept"))
 }
--- a/request/backend/classify.go
+++ b/request/backend/classify.go
@@ -13,7 +13,7 @@
 	"wallport/request/dispatch"
 )
 
-// classify returns the result of a complete response, and whether its connection may be used again.
+// classify returns the result for a complete response, and whether its connection may be reused.
 func (x *Exchange) classify(c *conn, resp *http.Response, body []byte) (result dispatch.Result, keep bool) {
 	names, header := &x.client.names, resp.Header
 	ids, seals := header[names.ID], header[names.Seal]
@@ -30,7 +30,7 @@
 		Seal: header.Get(names.Seal), Load: parseLoad(header.Get(names.Load)),
 		Draining: resp.Close || resp.ProtoMinor == 0,
 	}
-	// Bytes after a complete response belong to no request.
+	// A connection with bytes after a complete response is not reused, because they belong to no request.
 	keep = !result.Draining && !c.surplus && c.readKeepAlive(header)
 	_, notExecuted := header[names.NotExecuted]
 	RemoveHopByHop(header, names.ID)
@@ -45,16 +45,17 @@
 	case result.Status/100 == 2 && result.Seal == "":
 		return x.malformedReply("a success without a seal"), false
 	}
-	// Without the request's id the response may be an earlier request's. A statement that the request did
-	// not run is then believed only for a request that may run again, or on a connection that carried no other.
+	// A response without the request's id may belong to an earlier request. A statement that the request did
+	// not run is then accepted only if the request may run again or the connection has carried no other request.
 	if len(ids) == 0 && (result.Class == dispatch.ClassResponse || x.attempt.AtMostOnce && c.reused) {
 		return x.malformedReply("an answer without the request's id"), false
 	}
 	return result, keep && len(ids) == 1
 }
 
-// readKeepAlive sets how long the connection may stay idle from the backend's keep-alive time, less a
-// margin of three tenths, a second at least. It reports whether the connection is worth keeping.
+// readKeepAlive sets how long the connection may stay idle to the backend's keep-alive time less a margin of
+// three tenths. The margin is at least one second, or half of a time below two seconds. It reports whether any
+// idle time is left, so that the connection can be kept.
 func (c *conn) readKeepAlive(header http.Header) bool {
 	const maxSeconds = 3600
 	for item := range listItems(header, "Keep-Alive") {
@@ -71,7 +72,8 @@
 	return c.idleFor > 0
 }
 
-// parseLoad parses a backend's load: requests running, queued, and slots. Anything else is no report.
+// parseLoad parses a backend's load: the numbers of running requests, queued requests and slots. For any other
+// format it returns a report that is not Known.
 func parseLoad(s string) (load dispatch.LoadReport) {
 	fields := strings.Split(s, ",")
 	if len(fields) != 3 {
@@ -88,7 +90,7 @@
 	return load
 }
 
-// classifyFailure returns the result of an exchange without a complete response.
+// classifyFailure returns the result of an exchange that got no complete response.
 func (x *Exchange) classifyFailure(c *conn, err error) dispatch.Result {
 	switch {
 	case c.written == 0:
@@ -103,13 +105,13 @@
 	return result
 }
 
-// malformedReply returns the result of a response that is malformed or another request's.
+// malformedReply returns the result for a response that is malformed or belongs to another request.
 func (x *Exchange) malformedReply(reason string) dispatch.Result {
 	x.client.counters.garbage.Add(1)
 	return dispatch.Result{Class: dispatch.ClassInvalid, Reason: reason}
 }
 
-// errorText returns the text of an error without the addresses that net adds.
+// errorText returns the text of an error without the addresses that package net adds.
 func errorText(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
 		return "timed out"
--- a/request/backend/conn.go
+++ b/request/backend/conn.go
@@ -12,34 +12,34 @@
 	"wallport/request/snapshot"
 )
 
-// connPool is the connections to one backend at one address.
+// connPool holds the connections to one backend at one address.
 type connPool struct {
 	mu sync.Mutex
-	// idle are the idle connections, the one used last at the end.
+	// idle lists the idle connections, with the most recently used one last.
 	idle []*conn
-	// open counts the connections that are open or being opened.
+	// open is the number of connections that are open or being opened.
 	open int
-	// removed is set once the client has dropped the pool: its connections are not kept any more.
+	// removed is set once the client has removed the pool. Its connections are then closed after use.
 	removed bool
 }
 
-// conn is one connection to a backend. One exchange at a time uses it.
+// conn is a connection to a backend. It is used by one exchange at a time.
 type conn struct {
 	client *Client
 	pool   *connPool
 	raw    *net.TCPConn
 	sys    syscall.RawConn
-	// advanceFunc is the method advance, bound once so that exchanges need not allocate it.
+	// advanceFunc is the method value advance, created once to save each exchange an allocation.
 	advanceFunc func(fd uintptr) bool
-	// idleSince is when it was put back, idleFor how long it may stay idle: the backend's keep-alive time
-	// less a margin.
+	// idleSince is when the connection was put back into its pool. idleFor is how long it may stay idle: the
+	// backend's keep-alive time less a margin, or MaxIdleTime if the backend has not sent one.
 	idleSince time.Time
 	idleFor   time.Duration
 	reused    bool
 	exchangeState
 }
 
-// usable reports whether an idle connection may still be used.
+// usable reports whether an idle connection may still be used at the given time.
 func (c *conn) usable(now time.Time) bool { return now.Sub(c.idleSince) < c.idleFor }
 
 func (c *conn) closeSocket() {
@@ -55,7 +55,7 @@
 	return max(1, int(p.MaxConnections*sharedThousandths/1000)/max(1, cl.config.NodeCount()))
 }
 
-// lockPool returns the pool of a backend, locked.
+// lockPool returns the pool of a backend with its lock held, and creates it if necessary.
 func (cl *Client) lockPool(b *snapshot.Backend) *connPool {
 	id := poolKey{b.Addr, b.ID}
 	cl.mu.Lock()
@@ -69,8 +69,8 @@
 	return pool
 }
 
-// acquire returns an idle connection, the one used last first. Without one it reports whether the
-// caller may open a connection, which then is counted already.
+// acquire returns the most recently used idle connection. If there is none, it reports whether the caller
+// may open a connection, which is then already counted in the pool.
 func (cl *Client) acquire(b *snapshot.Backend, limit int) (c *conn, pool *connPool, mayDial bool) {
 	pool = cl.lockPool(b)
 	defer pool.mu.Unlock()
@@ -93,7 +93,7 @@
 	return nil, pool, mayDial
 }
 
-// release puts a connection back into its pool if it is to be kept, and closes it otherwise.
+// release puts a connection back into its pool if keep is set, and closes it otherwise.
 func (c *conn) release(keep bool) {
 	c.pool.mu.Lock()
 	if keep && !c.pool.removed {
@@ -107,7 +107,7 @@
 	c.closeSocket()
 }
 
-// dial opens a connection that acquire has counted.
+// dial opens a connection that acquire has already counted, and corrects the count on failure.
 func (cl *Client) dial(ctx context.Context, b *snapshot.Backend, pool *connPool) (*conn, error) {
 	dialer := net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: setUserTimeout}
 	cl.counters.dials.Add(1)
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -16,7 +16,7 @@
 	"wallport/runtime/wire"
 )
 
-// run runs an attempt and expects a class of result.
+// run runs an attempt and checks the class of its result.
 func run(t *testing.T, cl *Client, a dispatch.Send, class dispatch.Class) dispatch.Result {
 	t.Helper()
 	rep := cl.Start(a).Run()
@@ -24,7 +24,8 @@
 	return rep
 }
 
-// TestIdleConnectionClosedByBackend sends the next request on a new connection.
+// TestIdleConnectionClosedByBackend checks that a request is sent on a new connection if the backend has closed
+// the idle one.
 func TestIdleConnectionClosedByBackend(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return c.n > 1 })
@@ -37,7 +38,8 @@
 	must.Eq(t, 1, f.times("b"))
 }
 
-// TestLateSurplus does not take a response that arrives on an idle connection for that to the next request.
+// TestLateSurplus checks that a response that arrives on an idle connection is not taken for that to the next
+// request.
 func TestLateSurplus(t *testing.T) {
 	surplus := make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -57,7 +59,8 @@
 	must.False(t, rep.ReusedConn)
 }
 
-// TestSurplusIsNotTakenForNextResponse has a second response arrive only after the next request was written.
+// TestSurplusIsNotTakenForNextResponse has a second response to a request arrive only after the next request was
+// written.
 func TestSurplusIsNotTakenForNextResponse(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n == 2 {
@@ -74,7 +77,8 @@
 	must.False(t, run(t, cl, f.attemptOnce("c"), dispatch.ClassResponse).ReusedConn)
 }
 
-// TestResetOnReuse has the backend reset a reused connection after it read the request, which may have run then.
+// TestResetOnReuse has the backend reset a reused connection after it read the request. The request may have run
+// and must not be sent again.
 func TestResetOnReuse(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n == 2 {
@@ -89,12 +93,12 @@
 	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassFailed)
 	must.True(t, rep.ReusedConn)
 	must.False(t, rep.TimedOut)
-	must.Eq(t, 1, f.times("b"), must.Sprint("this package does not retry"))
+	must.Eq(t, 1, f.times("b"), must.Sprint("the client must not retry"))
 	must.Eq(t, 1, f.connections())
 }
 
-// TestNotExecutedReplyWithoutID: on a reused connection such a response may be that to an earlier request, so that
-// it is not believed for a request that must not run twice.
+// TestNotExecutedReplyWithoutID checks that a statement that a request did not run, without the request's id and on
+// a reused connection, is not accepted for a request that must not run twice: it may belong to an earlier request.
 func TestNotExecutedReplyWithoutID(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n%2 == 1 {
@@ -118,7 +122,7 @@
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{Frozen: frozen.Load, Thaws: thaws.Load})
 	for range 2 {
-		// The second time there is an idle connection.
+		// In the second round there is an idle connection.
 		frozen.Store(true)
 		must.Eq(t, "the process was frozen", run(t, cl, f.attemptOnce("no"), dispatch.ClassNotSent).Reason)
 		frozen.Store(false)
@@ -126,7 +130,7 @@
 		x := cl.Start(f.attemptOnce("no"))
 		thaws.Add(1)
 		rep := x.Run()
-		must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint("decided before the freeze"))
+		must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint("the attempt was decided before the freeze"))
 
 		a := f.attemptOnce("no")
 		a.Timeout = 900
@@ -141,7 +145,7 @@
 	}
 	must.Eq(t, 0, f.times("no"))
 	must.Eq(t, 2, f.times("yes"))
-	must.Eq(t, 1, cl.open.Load(), must.Sprint("connections that were not written to are kept"))
+	must.Eq(t, 1, cl.open.Load(), must.Sprint("connections that were not written to must be kept"))
 }
 
 func TestDialFailures(t *testing.T) {
@@ -161,7 +165,8 @@
 	must.Eq(t, 0, f.connections())
 }
 
-// TestConnectionLimitIsShared opens no more connections than this node's share, and says so without dialing.
+// TestConnectionLimitIsShared checks that a node opens no more connections than its share of the limit, and that
+// further attempts fail without dialing.
 func TestConnectionLimitIsShared(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -171,7 +176,7 @@
 		return true
 	})
 	cl := newTestClient(t, Config{NodeCount: func() int { return 4 }})
-	must.Eq(t, 1, cl.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("one at least"))
+	must.Eq(t, 1, cl.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("the share is at least one connection"))
 	must.Eq(t, defaultMaxConnections, cl.connectionLimit(&snapshot.Pool{}))
 	back := make(chan dispatch.Result, 2)
 	for _, id := range []string{"a", "b"} {
@@ -180,7 +185,7 @@
 	}
 	rep := run(t, cl, f.attempt("c"), dispatch.ClassNotSent)
 	must.Eq(t, reasonNoConnection, rep.Reason)
-	must.True(t, rep.ReusedConn, must.Sprint("it is not the backend's failure"))
+	must.True(t, rep.ReusedConn, must.Sprint("must not count as a failure of the backend"))
 	leave <- true
 	leave <- true
 	for range 2 {
@@ -190,7 +195,8 @@
 	must.Eq(t, 0, f.times("c"))
 }
 
-// TestKeepAliveTimeout does not use a connection that the backend may close at any moment.
+// TestKeepAliveTimeout checks that a connection is not used near the end of the backend's keep-alive time, when the
+// backend may close it at any moment.
 func TestKeepAliveTimeout(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write("HTTP/1.1 200 OK\r\nTry-Id: " + c.req.Header.Get("Try-Id") + "\r\nStamp: s\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n")
@@ -207,7 +213,8 @@
 	must.Eq(t, 1, cl.open.Load())
 }
 
-// TestAddressReusedByAnotherBackend uses no connection of one backend for another that has got its address.
+// TestAddressReusedByAnotherBackend checks that a connection to one backend is not used for another backend that
+// was assigned its address.
 func TestAddressReusedByAnotherBackend(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{})
@@ -218,7 +225,8 @@
 	must.Eq(t, 2, f.connections())
 }
 
-// TestCloseAfterUse has a backend with too few connections for every node to keep an idle one.
+// TestCloseAfterUse checks that no connection to a backend marked CloseAfterUse is kept. Such a backend has too few
+// connections for every node to keep an idle one.
 func TestCloseAfterUse(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
@@ -231,5 +239,5 @@
 	must.Eq(t, 2, counts.Of("backend_dials").Load())
 	must.Eq(t, 0, cl.open.Load())
 	run(t, cl, f.attemptOnce("c"), dispatch.ClassResponse)
-	must.True(t, run(t, cl, f.attemptOnce("d"), dispatch.ClassResponse).ReusedConn, must.Sprint("kept where nothing forbids it"))
+	must.True(t, run(t, cl, f.attemptOnce("d"), dispatch.ClassResponse).ReusedConn, must.Sprint("without CloseAfterUse the connection must be kept"))
 }
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -1,6 +1,7 @@
-// The benchmarks compare an exchange with a lean backend to bare writes and reads of the same bytes. Half
-// of the bare cost is the backend's, so the node's cost is that of the exchange less half of the bare one.
-// It is measured as processor time of the process, which other programs on the machine disturb little.
+// The benchmarks compare an exchange with a minimal backend to plain writes and reads on a socket with the same
+// backend. Half of the cost of the plain variant is the backend's, so the node's cost is that of the exchange less
+// half of the plain one. The cost is the CPU time of the process, on which other load on the machine has little
+// influence.
 
 package backend
 
@@ -20,7 +21,8 @@
 	"wallport/runtime/wire"
 )
 
-// minimalBackend is a backend that responds to each request with a body and the id of the request.
+// minimalBackend starts a backend that responds to each request with the body and the request's id, and returns its
+// address.
 func minimalBackend(b *testing.B, body []byte) *net.TCPAddr {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	must.NoError(b, err)
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -11,46 +11,48 @@
 	"wallport/runtime/clock"
 )
 
-// The reasons why a request was not written.
+// Reasons why a request was not written.
 const (
 	reasonCanceled  = "cancelled"
 	reasonAbandoned = "not wanted any more"
 	reasonFrozen    = "the process was frozen"
 	reasonTooLate   = "no time left"
 	reasonClosed    = "the connection ended before anything was written"
-	// reasonNoConnection is given when all connections that this node may open to the backend are in use.
+	// reasonNoConnection means that all connections that this node may open to the backend are in use.
 	reasonNoConnection = "no connection free"
 )
 
-// maxKeptBuffer bounds the request buffers that are kept for later requests.
+// maxKeptBuffer is the maximum capacity, in bytes, of a request buffer that is reused.
 const maxKeptBuffer = 64 << 10
 
 // Exchange is one attempt at a request with one backend.
 type Exchange struct {
 	client  *Client
 	attempt dispatch.Send
-	// thaws is the process's count of thaws when the attempt was decided.
+	// thaws is the number of thaws of the process when the attempt was decided.
 	thaws     int64
 	startedAt time.Time
 	deadline  time.Time
-	// writtenAfter is the time from the start until the kernel accepted the first bytes; 0 is never.
+	// writtenAfter is the time from the start until the kernel accepted the first bytes; 0 means that it has
+	// not accepted any.
 	writtenAfter clock.Micros
 
 	mu sync.Mutex
-	// conn is the connection in use, where Cancel can reach it.
+	// conn is the connection in use, which Cancel interrupts.
 	conn       *conn
 	canceled   bool
 	abandoned  bool
 	cancelDial func()
 }
 
-// Start prepares an exchange, whose time runs from now on. Run carries it out.
+// Start prepares an exchange and starts its time-out. Run carries it out.
 func (cl *Client) Start(a dispatch.Send) *Exchange {
 	now := time.Now()
 	return &Exchange{client: cl, attempt: a, thaws: cl.config.Thaws(), startedAt: now, deadline: now.Add(clock.Duration(a.Timeout))}
 }
 
-// Cancel ends an exchange from any goroutine: Run returns soon, and a connection that was written to is closed.
+// Cancel aborts an exchange: Run returns soon, and a connection that was written to is closed. It may be called
+// from any goroutine.
 func (x *Exchange) Cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -63,16 +65,16 @@
 	}
 }
 
-// Abandon says that the response is not wanted any more. A request that has not been written will not
-// be; one that has is left undisturbed.
+// Abandon declares that the response is no longer needed. A request that has not been written yet will not
+// be written; one that has is completed normally.
 func (x *Exchange) Abandon() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.abandoned = true
 }
 
-// attach makes a connection the one in use and sets its deadline. It reports whether the exchange may go
-// on, and whether it was abandoned.
+// attach makes a connection the one in use and sets its deadline. ok is false if the exchange was canceled or
+// the deadline could not be set.
 func (x *Exchange) attach(c *conn) (ok, abandoned bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -80,7 +82,8 @@
 	return !x.canceled && c.setDeadline(x.deadline) == nil, x.abandoned
 }
 
-// detach ends the use of the connection and clears its deadline. It reports whether the connection can be kept.
+// detach ends the use of the connection and clears its deadline. It reports whether that succeeded, so that the
+// connection can be kept.
 func (x *Exchange) detach() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -89,7 +92,8 @@
 	return c.setDeadline(time.Time{}) == nil
 }
 
-// attachForWrite attaches a connection and returns why nothing may be written to it, or nothing if it may.
+// attachForWrite attaches a connection and returns why the request may not be written to it, or an empty string
+// if it may.
 func (x *Exchange) attachForWrite(c *conn) string {
 	ok, abandoned := x.attach(c)
 	switch {
@@ -101,7 +105,8 @@
 	return x.writeBlockedReason()
 }
 
-// writeBlockedReason returns why the request may not be written any more, on any connection, or nothing if it may.
+// writeBlockedReason returns why the request may no longer be written to any connection, or an empty string if it
+// may. The process must not be or have been frozen, and at least a millisecond must be left.
 func (x *Exchange) writeBlockedReason() string {
 	switch {
 	case x.frozen():
@@ -112,7 +117,7 @@
 	return ""
 }
 
-// frozen reports whether the process is frozen or was since the attempt was decided.
+// frozen reports whether the process is frozen or was frozen since the attempt was decided.
 func (x *Exchange) frozen() bool {
 	return x.client.config.Frozen() || x.client.config.Thaws() != x.thaws
 }
@@ -121,14 +126,14 @@
 	return dispatch.Result{Class: dispatch.ClassNotSent, Reason: reason}
 }
 
-// Run carries the exchange out and returns its result, at the attempt's timeout at the latest.
+// Run carries out the exchange and returns its result, at the latest when the attempt times out.
 func (x *Exchange) Run() dispatch.Result {
 	for {
 		c, failure := x.connect()
 		if c == nil {
 			result := notSent(failure)
-			// That the node's own share is in use must not count as a failure of the backend, and dispatch counts
-			// none for what was not sent on a reused connection.
+			// The result is marked as one on a reused connection, for which dispatch counts no failure of the
+			// backend: the node has merely used up its own share of the connections.
 			result.ReusedConn = failure == reasonNoConnection
 			return result
 		}
@@ -140,7 +145,7 @@
 	}
 }
 
-// connect returns an idle or a new connection, or why there is none.
+// connect returns an idle or a new connection, or the reason why there is none.
 func (x *Exchange) connect() (c *conn, failure string) {
 	c, pool, mayDial := x.client.acquire(x.attempt.Backend, x.client.connectionLimit(x.attempt.Pool))
 	if c != nil {
@@ -167,8 +172,8 @@
 	return c, ""
 }
 
-// runOn carries the exchange out on a connection. It reports whether to try another one, since the
-// connection was an idle one that proved closed before the write.
+// runOn carries out the exchange on a connection. again is set if the connection was a reused one that turned out
+// to be closed before the write, so that the caller should use another one.
 func (x *Exchange) runOn(c *conn) (result dispatch.Result, again bool) {
 	left := time.Until(x.deadline)
 	if reason := x.attachForWrite(c); reason != "" {
@@ -205,8 +210,8 @@
 	return result, false
 }
 
-// appendRequest appends the bytes of the request: the request line, the client's fields, those that the
-// node sets, and the body.
+// appendRequest appends the bytes of the request: the request line, the fields of the client's request, the
+// fields that the node sets, and the body.
 func (x *Exchange) appendRequest(b []byte, left time.Duration) []byte {
 	r, names := x.attempt.Request, &x.client.config.Names
 	b = append(append(append(b, r.Method...), ' '), r.Target...)
--- a/request/backend/exchange_test.go
+++ b/request/backend/exchange_test.go
@@ -78,7 +78,7 @@
 			must.Eq(t, c.class, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, c.why, rep.Reason)
 			must.False(t, rep.ReusedConn)
-			must.Eq(t, 1, f.times("a"), must.Sprint("written once"))
+			must.Eq(t, 1, f.times("a"), must.Sprint("the request must be written once"))
 			rep = cl.Start(f.attemptOnce("b")).Run()
 			must.Eq(t, dispatch.ClassResponse, rep.Class, must.Sprint(rep.Reason))
 			must.Eq(t, "second", string(rep.Body))
@@ -104,7 +104,7 @@
 	must.Eq(t, dispatch.LoadReport{Running: 1, Queued: 2, Slots: 3, Known: true}, rep.Load)
 	must.Eq(t, http.Header{"Try-Id": {"a"}, "Stamp": {"s.1"}, "Busy": {"1, 2,3"}, "X-Own": {"v", "w"}}, rep.Header)
 	must.False(t, rep.Draining)
-	must.Eq(t, "2.8s", idleConn(t, cl).idleFor.String(), must.Sprint("four seconds less three tenths"))
+	must.Eq(t, "2.8s", idleConn(t, cl).idleFor.String(), must.Sprint("want four seconds less a margin of three tenths"))
 }
 
 func TestRequestBytes(t *testing.T) {
@@ -120,7 +120,8 @@
 	must.StrContains(t, string(cl.Start(a).appendRequest(nil, 1_000_000)), "Content-Length: 0\r\n\r\n")
 }
 
-// TestLargeBodies writes more than the kernel accepts at once, and reads a response as large.
+// TestLargeBodies writes a body that the kernel does not accept in a single write, and reads a response of the
+// same size.
 func TestLargeBodies(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good(string(c.body))); return true })
--- a/request/backend/fake_test.go
+++ b/request/backend/fake_test.go
@@ -21,7 +21,8 @@
 	"wallport/runtime/wire"
 )
 
-// receivedRequest is a request that the fake received: number n of all, on its connection number conn.
+// receivedRequest is a request that a fakeBackend received. n is its number among all requests, and conn the
+// number of its connection, both counted from 1.
 type receivedRequest struct {
 	n, conn int
 	c       *net.TCPConn
@@ -31,7 +32,7 @@
 
 func (c *receivedRequest) write(s string) { io.WriteString(c.c, s) }
 
-// arrived waits until more has arrived on the request's connection, and leaves it unread.
+// arrived waits until more bytes have arrived on the request's connection, without reading them.
 func (c *receivedRequest) arrived() {
 	raw, err := c.c.SyscallConn()
 	if err != nil {
@@ -46,7 +47,7 @@
 	return err != unix.EAGAIN
 }
 
-// good returns a complete response to the request.
+// good returns a complete response to the request with status 200.
 func (c *receivedRequest) good(body string) string {
 	return responseTo(c.req.Header.Get("Try-Id"), body)
 }
@@ -55,13 +56,13 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nTry-Id: %s\r\nStamp: s-%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
 }
 
-// fakeBackend is a backend that reads requests with net/http and responds byte by byte as a test says.
+// fakeBackend is a backend that parses requests with net/http and responds with the raw bytes that a test writes.
 type fakeBackend struct {
 	l     *net.TCPListener
 	serve func(c *receivedRequest) (keep bool)
-	// accepted, if set, is called with each connection before anything is read from it.
+	// accepted, if set, is called with each new connection before any byte is read from it.
 	accepted func(c *net.TCPConn)
-	// resetAfter, if above 0, is the number of bytes of a body after which the connection is reset.
+	// resetAfter, if positive, is the number of body bytes after which the connection is reset.
 	resetAfter atomic.Int64
 	mu         sync.Mutex
 	calls      []*receivedRequest
@@ -126,7 +127,7 @@
 	f.calls = append(f.calls, c)
 }
 
-// times returns how often a request was received.
+// times returns how often the request with the id was received.
 func (f *fakeBackend) times(id string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -173,7 +174,7 @@
 	return a
 }
 
-// idleConn returns the one idle connection of a client.
+// idleConn returns the only idle connection of a client.
 func idleConn(t *testing.T, cl *Client) *conn {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -190,7 +191,7 @@
 	return found
 }
 
-// readable waits until a connection has something to read, or has ended.
+// readable waits until a connection has bytes to read, or has ended.
 func readable(t *testing.T, c *conn) {
 	must.NoError(t, c.sys.Read(somethingToRead))
 }
--- a/request/backend/hopbyhop.go
+++ b/request/backend/hopbyhop.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, section 7.6.1).
+// hopByHop lists the fields that apply to a single connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop removes the fields that concern one connection only and those that Connection names,
-// except the field to keep.
+// RemoveHopByHop removes the fields that apply to a single connection only, and the fields that Connection
+// lists except keep.
 func RemoveHopByHop(h http.Header, keep string) {
 	for name := range listItems(h, "Connection") {
 		if name = http.CanonicalHeaderKey(name); name != keep {
@@ -23,7 +23,7 @@
 	}
 }
 
-// listItems visits the items of the comma-separated lists of a field.
+// listItems returns an iterator over the non-empty items of all comma-separated lists of a field.
 func listItems(h http.Header, name string) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for _, list := range h[name] {
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -13,7 +13,8 @@
 	"wallport/runtime/clock"
 )
 
-// preRequestBackend does something to each new connection before a request arrives, when the test lets it.
+// preRequestBackend is a fakeBackend that calls a function with each new connection, before it reads a request. The
+// test starts the call by sending to begin and receives from done when it has returned.
 type preRequestBackend struct {
 	*fakeBackend
 	begin, done chan bool
@@ -33,7 +34,7 @@
 	return g
 }
 
-// dial returns a new connection on which the bytes sent before any request have arrived.
+// dial returns a new connection on which the effect of the function, bytes or the end of the stream, has arrived.
 func (g *preRequestBackend) dial(t *testing.T, cl *Client) *conn {
 	t.Helper()
 	_, pool, room := cl.acquire(g.backend(), 1)
@@ -46,8 +47,8 @@
 	return c
 }
 
-// TestNewConnectionClosedByBackend has the backend close a connection before anything was written to it, as
-// one does that has too many: the request was not sent and may go elsewhere.
+// TestNewConnectionClosedByBackend has the backend close a new connection before any byte was written to it, as a
+// backend with too many connections does. The request was not sent and may be sent to another backend.
 func TestNewConnectionClosedByBackend(t *testing.T) {
 	for name, onAccept := range map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.CloseWrite() },
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestResponseBeforeRequest has responses arrive before the request, one of them with the request's own id:
-// they are no response to it, and the request is not written there.
+// TestResponseBeforeRequest has a response arrive before the request was written, in one case with the request's
+// id. It must not be taken for the response to the request, which must not be written to that connection.
 func TestResponseBeforeRequest(t *testing.T) {
 	for name, response := range map[string]string{
 		"not executed": "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestFreezeBeforeWrite freezes the process after it has decided to write. It thaws when the request's time
-// is over, or notices the freeze.
+// TestFreezeBeforeWrite has the process frozen between the decision to write a request and the write. The request
+// must not be written, since its deadline may have passed when the process thaws.
 func TestFreezeBeforeWrite(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		var checks, thaws atomic.Int64
@@ -100,18 +101,19 @@
 		if reused {
 			run(t, cl, f.attemptOnce("first"), dispatch.ClassResponse)
 		}
-		// The first check is before the request is assembled, the second right before its write.
+		// The first check comes before the request is assembled, the second immediately before its write.
 		frozenAt = checks.Load() + 2
 		rep := run(t, cl, f.attemptOnce("a"), dispatch.ClassNotSent)
 		must.Eq(t, "the process was frozen", rep.Reason)
 		must.Eq(t, 0, f.times("a"))
-		must.Eq(t, 1, cl.open.Load(), must.Sprint("nothing was written: the connection is kept"))
+		must.Eq(t, 1, cl.open.Load(), must.Sprint("the connection must be kept, because nothing was written"))
 		run(t, cl, f.attemptOnce("b"), dispatch.ClassResponse)
 		must.Eq(t, 1, f.connections())
 	}
 }
 
-// TestDeadlinePassesBeforeWrite goes on after the request's time without a noticed freeze.
+// TestDeadlinePassesBeforeWrite has the deadline pass between the decision to write a request and the write, without
+// a freeze that the process detects.
 func TestDeadlinePassesBeforeWrite(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	var x *Exchange
@@ -128,8 +130,8 @@
 	must.Eq(t, 0, f.times("a"))
 }
 
-// TestResponseAfterDeadline has the response arrive too late: it belongs to no request, and its connection is
-// not used again.
+// TestResponseAfterDeadline has a response arrive after the deadline. The connection must not be reused, or the
+// response could be taken for that to the next request.
 func TestResponseAfterDeadline(t *testing.T) {
 	late, wrote := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -144,7 +146,7 @@
 	})
 	cl := newTestClient(t, Config{})
 	a := f.attemptOnce("a")
-	a.Timeout = 2 * clock.Second // long enough that the request is written by then, however busy the machine is
+	a.Timeout = 2 * clock.Second // long enough for the request to be written in time even on a busy machine
 	must.True(t, run(t, cl, a, dispatch.ClassFailed).TimedOut)
 	must.Eq(t, 0, cl.open.Load())
 	late <- true
@@ -156,8 +158,8 @@
 	must.Eq(t, 2, f.connections())
 }
 
-// TestBodyPartlyWritten has the backend close the connection after a part of a body that the kernel does not
-// accept at once: the request may have run.
+// TestBodyPartlyWritten has the backend reset the connection after a part of a body that the kernel does not
+// accept in a single write. The request may have run.
 func TestBodyPartlyWritten(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
@@ -172,12 +174,12 @@
 		must.Eq(t, reused, rep.ReusedConn)
 		must.Eq(t, 1, f.times("a"))
 		must.Eq(t, 0, cl.open.Load())
-		must.Eq(t, 1, f.connections(), must.Sprint("written to one connection"))
+		must.Eq(t, 1, f.connections(), must.Sprint("the request must be written to a single connection"))
 	}
 }
 
-// TestInterimAfterResponse does not use a connection again on which anything follows the response, even an
-// interim response, together with it or later.
+// TestInterimAfterResponse checks that a connection is not reused if any bytes follow the response, even an interim
+// response, whether they arrive together with it or later.
 func TestInterimAfterResponse(t *testing.T) {
 	const interim = "HTTP/1.1 100 Continue\r\n\r\n"
 	for _, later := range []bool{false, true} {
@@ -208,15 +210,15 @@
 	}
 }
 
-// TestBackendClosesWhenReused has the backend close an idle connection just when the next request arrives:
-// the request may have run.
+// TestBackendClosesWhenReused has the backend close an idle connection just as the next request arrives. The client
+// cannot know whether the request has run.
 func TestBackendClosesWhenReused(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		c.write(c.good(""))
 		if c.n > 1 {
 			return true
 		}
-		// The request has arrived and is discarded unread, as by an idle timer that was due.
+		// The next request has arrived and is discarded unread, as by a backend whose idle timer has just expired.
 		c.arrived()
 		return false
 	})
@@ -225,6 +227,6 @@
 	rep := run(t, cl, f.attemptOnce("b"), dispatch.ClassFailed)
 	must.True(t, rep.ReusedConn)
 	must.Eq(t, 0, f.times("b"))
-	must.Eq(t, 1, f.connections(), must.Sprint("it was not written again elsewhere"))
+	must.Eq(t, 1, f.connections(), must.Sprint("the request must not be written to another connection"))
 	must.Eq(t, 0, cl.open.Load())
 }
--- a/request/backend/response.go
+++ b/request/backend/response.go
@@ -10,23 +10,23 @@
 	"sync"
 )
 
-// malformedError is the error of a response that is malformed, by this package's checks or by RFC 9112.
+// malformedError is the error for a response that violates this package's checks or RFC 9112.
 type malformedError string
 
 func (m malformedError) Error() string { return string(m) }
 
-// maxInterim bounds the interim responses before the final one.
+// maxInterim is the maximum number of interim responses before the final one.
 const maxInterim = 4
 
 var (
-	// readers are buffers that hold a complete header.
+	// readers pools buffered readers whose buffer can hold a complete header.
 	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxHeadBytes) }}
-	// headRequest tells net/http that a response has no body.
+	// headRequest makes net/http parse a response to a HEAD request, which has no body.
 	headRequest = &http.Request{Method: http.MethodHead}
 )
 
-// readResponse reads one complete response. An error that is not the connection's own means that the
-// response is malformed.
+// readResponse reads one complete response. An error other than a read error of the connection means that
+// the response is malformed.
 func readResponse(r *bufio.Reader, method string) (*http.Response, []byte, error) {
 	var req *http.Request
 	if method == http.MethodHead {
@@ -51,7 +51,8 @@
 	return nil, nil, malformedError("interim answers")
 }
 
-// readHead reads until the buffer has a complete header and returns it. It is valid until the next read.
+// readHead reads until the buffer holds a complete header, and returns the header without consuming it. The
+// bytes are valid until the next read.
 func readHead(r *bufio.Reader) ([]byte, error) {
 	for scan := 0; ; {
 		b, _ := r.Peek(r.Buffered())
@@ -72,7 +73,7 @@
 	}
 }
 
-// validateHead rejects what net/http tolerates and others read in another way.
+// validateHead rejects headers that net/http tolerates but other implementations parse differently.
 func validateHead(b []byte) error {
 	for line := range bytes.Lines(b) {
 		switch {
@@ -85,11 +86,12 @@
 	return nil
 }
 
-// readBody reads the body of a response, given its raw header.
+// readBody reads the body of a response. raw is the header of the response.
 func readBody(resp *http.Response, raw []byte, method string) ([]byte, error) {
 	chunked := len(resp.TransferEncoding) > 0
 	if chunked || resp.ProtoMinor == 0 {
-		// With both a length and chunks, and with chunks in HTTP/1.0, net/http ignores one of them.
+		// Of a Content-Length and a chunked encoding, net/http ignores one, and it ignores a chunked encoding in
+		// HTTP/1.0. Both are ambiguous.
 		b := bytes.ToLower(raw)
 		if bytes.Contains(b, []byte("\ntransfer-encoding:")) && (!chunked || bytes.Contains(b, []byte("\ncontent-length:"))) {
 			return nil, malformedError("a length and chunks")
--- a/request/backend/response_test.go
+++ b/request/backend/response_test.go
@@ -10,7 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// fragmentReader returns bytes in fragments of a size, as a connection may, and then no more.
+// fragmentReader returns its bytes in fragments of the given size, as a connection may, and then
+// io.ErrUnexpectedEOF.
 type fragmentReader struct {
 	b    []byte
 	size int
@@ -27,8 +28,8 @@
 	return n, nil
 }
 
-// readFragments reads one response from bytes in fragments; rest is how many were left in the buffer, and end is set
-// if more were read than there are.
+// readFragments reads one response from bytes that arrive in fragments. rest is the number of bytes left in the
+// buffer. end is set if the response reader tried to read beyond the end.
 func readFragments(b []byte, size int) (resp *http.Response, body []byte, rest int, end bool, err error) {
 	p := &fragmentReader{b: b, size: size}
 	r := bufio.NewReaderSize(p, MaxHeadBytes)
@@ -56,12 +57,13 @@
 		for cut := range len(b) {
 			_, _, _, end, err := readFragments([]byte(b[:cut]), 7)
 			must.Error(t, err, must.Sprint("cut at ", cut))
-			must.True(t, end, must.Sprint("the connection's own end"))
+			must.True(t, end, must.Sprint("the error must be the end of the connection"))
 		}
 	}
 }
 
-// FuzzResponse compares what is accepted as a complete response with what net/http accepts as one.
+// FuzzResponse checks that every response that readResponse accepts as complete is accepted by net/http too, with
+// the same status, header and body.
 func FuzzResponse(f *testing.F) {
 	for _, s := range responses {
 		f.Add([]byte(s), 3)
--- a/request/backend/roundtrip.go
+++ b/request/backend/roundtrip.go
@@ -15,16 +15,16 @@
 type exchangeState struct {
 	exchange *Exchange
 	phase    phase
-	// out is the request, written how many bytes of it the kernel has accepted.
+	// out holds the bytes of the request. written is the number of them that the kernel has accepted.
 	out     []byte
 	written int
-	// err is the connection's own error, the end of the stream included.
+	// err is an error of the connection itself, including the end of the stream.
 	err error
-	// stale is set if the connection proved closed, or had something to read, before the write.
+	// stale is set if the connection was closed or had bytes to read before the write.
 	stale bool
-	// blocked is why nothing was written although the connection is good.
+	// blocked is the reason why nothing was written although the connection is usable.
 	blocked string
-	// surplus is set if more arrived than the response.
+	// surplus is set if bytes arrived after the response.
 	surplus bool
 }
 
@@ -32,25 +32,25 @@
 type phase uint8
 
 const (
-	// phaseCheck looks whether the connection is open and has nothing to read.
+	// phaseCheck checks that the connection is open and has no bytes to read.
 	phaseCheck phase = iota
 	phaseWrite
 	phaseWait
 	phaseDone
 )
 
-// requestBuffers are buffers for requests.
+// requestBuffers pools the buffers for the bytes of requests.
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
 
-// roundTrip writes a request and reads its response, in as few system calls as it takes: a look at the
-// connection, the write, a wait until there is something to read, and net/http's reading. An error that
-// is not in the state's err as well is a malformed response.
+// roundTrip writes a request and reads its response with as few system calls as possible: a check of the
+// connection, the write, a wait until there are bytes to read, and the reads by net/http. If it returns an
+// error while exchangeState.err is nil, the response is malformed.
 func (c *conn) roundTrip(x *Exchange, out []byte) (resp *http.Response, body []byte, err error) {
 	c.exchangeState = exchangeState{exchange: x, out: out, phase: phaseCheck}
 	defer func() { c.exchange, c.out = nil, nil }()
 	err = c.sys.Read(c.advanceFunc)
 	if err == nil && c.phase == phaseWrite && c.err == nil {
-		// The kernel accepted a part: the rest is written the usual way.
+		// The kernel accepted only a part. The remaining bytes are written with the blocking Write.
 		var n int
 		n, err = c.raw.Write(out[c.written:])
 		c.written += n
@@ -70,8 +70,8 @@
 	return resp, body, err
 }
 
-// advance goes on as far as it can without blocking. It returns false to be called again when there is
-// something to read, as syscall.RawConn asks for.
+// advance proceeds as far as possible without blocking. As specified by syscall.RawConn.Read, it returns false to
+// be called again when there are bytes to read.
 func (c *conn) advance(fd uintptr) bool {
 	for {
 		switch c.phase {
@@ -87,14 +87,14 @@
 			}
 			c.phase = phaseWrite
 		case phaseWrite:
-			// Nothing happens between this check and the write, so that a freeze before the write is noticed.
+			// This check comes immediately before the write, so that a freeze before the write is detected.
 			if c.blocked = c.exchange.writeBlockedReason(); c.blocked != "" {
 				c.phase = phaseDone
 				return true
 			}
 			n, err := unix.Write(int(fd), c.out[c.written:])
 			if err == unix.EINTR {
-				// Nothing was accepted.
+				// The kernel accepted no byte.
 				continue
 			}
 			c.written += max(0, n)
@@ -117,7 +117,7 @@
 	}
 }
 
-// Read reads from the connection and records its error.
+// Read reads from the connection and records an error in exchangeState.err.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.raw.Read(b)
 	if err == io.EOF {
@@ -129,5 +129,5 @@
 	return n, err
 }
 
-// setDeadline bounds the reads and writes that follow; the zero time is no bound.
+// setDeadline sets the deadline of reads and writes; the zero time removes it.
 func (c *conn) setDeadline(deadline time.Time) error { return c.raw.SetDeadline(deadline) }
