--- a/request/httpapi/authorizer.go
+++ b/request/httpapi/authorizer.go
@@ -16,11 +16,12 @@
 	"wallport/runtime/process"
 )
 
-// tokensPollInterval is the time between two looks at the tokens file.
+// tokensPollInterval is the interval at which the tokens file is checked for changes.
 const tokensPollInterval = time.Second
 
-// authorizer decides what the bearer of an operator token may do: everything with the one token of the settings, or what
-// the scopes in a tokens file permit. The file takes effect without a restart; one with faults changes nothing.
+// authorizer decides what the bearer of an operator token may do. The token in the settings permits everything, and a
+// token in the tokens file what its scope permits. Changes of the file take effect without a restart, and an invalid
+// file is ignored.
 type authorizer struct {
 	process  *process.Process
 	file     string
@@ -28,8 +29,8 @@
 	tokens   atomic.Pointer[configpb.Tokens]
 }
 
-// openAuthorizer reads the tokens file, if the settings name one, and watches it until over is closed. A file with faults is an
-// error: the process does not start.
+// openAuthorizer reads the tokens file, if the settings name one, and watches it until over is closed. It returns an
+// error for an invalid file, which keeps the process from starting.
 func openAuthorizer(p *process.Process, over <-chan struct{}) (*authorizer, error) {
 	a := &authorizer{process: p, file: p.Kernel.Boot.Settings.OperatorTokensFile}
 	if a.file == "" {
@@ -53,7 +54,8 @@
 	return a, nil
 }
 
-// read takes the tokens of the file, if it changed and has no faults.
+// read loads the tokens of the file if it has changed. It returns an error, and keeps the current tokens, if the file is
+// invalid.
 func (a *authorizer) read() error {
 	content, err := os.ReadFile(a.file)
 	if err != nil {
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// authorize returns whose a token is, or a failure where it does not grant a scope over the indexes. The name is empty
-// for the one token of the settings, and where no token is set at all.
+// authorize returns the name of a token's holder, or a failure if the token does not grant the scope on the indexes. The
+// name is empty for the token in the settings, and if no token is configured at all.
 func (a *authorizer) authorize(token *string, scope string, indexes []string) (string, error) {
 	got := []byte(strings.TrimPrefix(deref(token), "Bearer "))
 	matches := func(want string) bool { return want != "" && subtle.ConstantTimeCompare([]byte(want), got) == 1 }
@@ -105,7 +107,7 @@
 	return matched.Who, nil
 }
 
-// outOfScope returns the failure of a token that lacks a scope.
+// outOfScope returns the failure for a token that does not grant the required scope.
 func outOfScope(t *configpb.Token, scope string) *operator.Failure {
 	return newFailure(FailureOutOfScope, "the token of "+t.Who+" has the scope "+t.Scope+" and lacks "+scope)
 }
--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -15,19 +15,19 @@
 	"wallport/runtime/clock"
 )
 
-// Bounds of the connections to backends.
+// Limits of connections to backends and of their responses.
 const (
-	// maxResponseBytes bounds the body of a response.
+	// maxResponseBytes is the maximum size of the body of a response.
 	maxResponseBytes       = 4 << 20
 	maxResponseHeaderBytes = 16 << 10
 	backendDialTimeout     = 300 * time.Millisecond
 	backendKeepAlive       = 15 * time.Second
 	backendIdleTimeout     = 20 * time.Second
-	// maxIdleConns bounds the unused connections to one backend.
+	// maxIdleConns is the maximum number of idle connections to one backend.
 	maxIdleConns = 64
 )
 
-// BackendRequest is the body of a request to a backend.
+// BackendRequest is the JSON body of a request to a backend.
 type BackendRequest struct {
 	ID       string      `json:"inquiry"`
 	Kind     search.Kind `json:"kind"`
@@ -40,11 +40,11 @@
 	Part     int         `json:"part,omitempty"`
 	Body     string      `json:"body,omitempty"`
 	Key      string      `json:"key,omitempty"`
-	// Timeout is the time that the backend has, in microseconds.
+	// Timeout is the time within which the backend must respond, in microseconds.
 	Timeout clock.Micros `json:"within_us"`
 }
 
-// NewBackendRequest returns the body of an attempt.
+// NewBackendRequest returns the request body for an attempt.
 func NewBackendRequest(attempt *search.Send) BackendRequest {
 	request := attempt.Request
 	return BackendRequest{
@@ -54,8 +54,8 @@
 	}
 }
 
-// backendClient sends attempts to backends. The transport must not repeat a request by itself: the body cannot be
-// rewound, and no header marks the request as idempotent.
+// backendClient sends attempts to backends. The transport must not repeat a request by itself. This is ensured by a body
+// that cannot be rewound, and by not sending a header that marks the request as idempotent.
 type backendClient struct{ client *http.Client }
 
 func newBackendClient() *backendClient {
@@ -69,12 +69,12 @@
 	}}
 }
 
-// unrewindable hides a body's type, so that net/http makes no GetBody for it.
+// unrewindable hides the type of a body from net/http, which then does not set Request.GetBody.
 type unrewindable struct{ io.Reader }
 
 func (unrewindable) Close() error { return nil }
 
-// send sends an attempt and checks the response. The request is written to one connection at most.
+// send sends an attempt and validates the response. The request is written to at most one connection.
 func (c *backendClient) send(ctx context.Context, attempt *search.Send) search.Result {
 	request := NewBackendRequest(attempt)
 	body, err := json.Marshal(&request)
@@ -89,9 +89,10 @@
 	}
 }
 
-// sendOnce sends an attempt on one connection. again reports whether to try another connection: this one had been
-// abandoned before anything was written to it. net/http does not tell whether an error came before the write; the
-// client trace tells whether there was a connection at all, so that [search.ClassNotSent] is given only where that is certain.
+// sendOnce sends an attempt on one connection. again is set if the connection had been abandoned before any byte of the
+// request was written, so that another one can be tried. net/http does not report whether an error occurred before the
+// write. The client trace shows whether a connection was used at all and what was written to it, so that
+// [search.ClassNotSent] is returned only if that is certain.
 func (c *backendClient) sendOnce(ctx context.Context, attempt *search.Send, kind string, body []byte) (reply search.Result, again bool) {
 	var use atomic.Pointer[connUse]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { use.Store(beginUse(i.Conn)) }})
@@ -118,19 +119,19 @@
 	return reply, false
 }
 
-// readReply reads a complete response and checks it.
+// readReply reads a complete response and validates it.
 func readReply(attempt *search.Send, resp *http.Response) search.Result {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(body) > maxResponseBytes {
-		return search.Result{Class: search.ClassFailed, Reason: "answer cut short or too large"}
+		return search.Result{Class: search.ClassFailed, Reason: "response truncated or too large"}
 	}
 	return search.CheckResponse(attempt, search.RawResponse{
 		Status: resp.StatusCode, Length: resp.ContentLength, Digest: resp.Header.Get("Content-Digest"), Body: body,
 	})
 }
 
-// errorReason returns the reason of a failed attempt, without the method and address that net/http puts before it.
+// errorReason returns the reason for a failed attempt, without the method and URL that net/http adds.
 func errorReason(err error) string {
 	if wrapped, ok := err.(interface{ Unwrap() error }); ok {
 		err = wrapped.Unwrap()
--- a/request/httpapi/backend_client_test.go
+++ b/request/httpapi/backend_client_test.go
@@ -18,7 +18,7 @@
 	"wallport/runtime/wire"
 )
 
-// correction returns an attempt of a correction at a backend's address.
+// correction returns an attempt to send a correction to the backend at an address.
 func correction(addr string) *search.Send {
 	return &search.Send{
 		ID: "n-1.aa", Backend: &snapshot.Backend{Backend: wire.Backend{Addr: addr}}, ShardCount: 1, ShardMap: "c1", Timeout: 1_000_000,
@@ -26,7 +26,8 @@
 	}
 }
 
-// net/http retries by itself where a server closes a kept connection after it has read the next request.
+// By default net/http retries a request by itself if the server closes a reused connection after it has read the
+// request.
 func TestSendIsNotRetriedByTransport(t *testing.T) {
 	var ran atomic.Int64
 	var peers sync.Map
@@ -36,7 +37,7 @@
 		io.ReadAll(r.Body)
 		peers.Store(r.RemoteAddr, true)
 		if ran.Add(1) == 1 {
-			// A good answer: after another kind the connection would not be used again.
+			// The response must be valid, or the connection would not be reused.
 			body, _ := json.Marshal(search.BackendResponse{RequestID: request.ID, ShardMap: request.ShardMap, Shard: request.Shard, Records: []search.Record{{ID: request.Record}}})
 			w.Header().Set("Content-Digest", search.ContentDigest(body))
 			w.Write(body)
@@ -52,10 +53,10 @@
 	addr := srv.Listener.Addr().String()
 	must.Eq(t, search.ClassOK, client.send(context.Background(), correction(addr)).Class)
 	must.Eq(t, search.ClassFailed, client.send(context.Background(), correction(addr)).Class)
-	must.Eq(t, 2, ran.Load(), must.Sprint("the second was written exactly once"))
+	must.Eq(t, 2, ran.Load(), must.Sprint("the second request must be written exactly once"))
 	connections := 0
 	peers.Range(func(any, any) bool { connections++; return true })
-	must.Eq(t, 1, connections, must.Sprint("on the connection of the first"))
+	must.Eq(t, 1, connections, must.Sprint("the second request must reuse the connection of the first"))
 }
 
 func TestSendWithoutConnectionIsNotWritten(t *testing.T) {
--- a/request/httpapi/backend_conn.go
+++ b/request/httpapi/backend_conn.go
@@ -8,10 +8,10 @@
 )
 
 // errAbandoned is returned for a write to an abandoned connection.
-var errAbandoned = errors.New("the connection was given up")
+var errAbandoned = errors.New("the connection was abandoned after an invalid response")
 
-// backendConn is a connection to a backend that takes no more requests once it was abandoned. It is needed since net/http
-// keeps a connection for later use before the response on it was checked.
+// backendConn is a connection to a backend that accepts no further writes once it was abandoned. It is needed because
+// net/http makes a connection available for reuse before the response on it has been validated.
 type backendConn struct {
 	net.Conn
 	abandoned atomic.Bool
@@ -36,7 +36,7 @@
 	writtenBefore int64
 }
 
-// beginUse begins a request's use of a connection.
+// beginUse records the start of a request's use of a connection.
 func beginUse(conn net.Conn) *connUse {
 	c, ok := conn.(*backendConn)
 	if !ok {
@@ -45,19 +45,19 @@
 	return &connUse{conn: c, writtenBefore: c.written.Load()}
 }
 
-// unwritten reports whether an error of the request means that nothing of it was written or will be.
+// unwritten reports whether an error of the request means that no byte of it was or will be written.
 func (u *connUse) unwritten(err error) bool {
 	return errors.Is(err, errAbandoned) && u.conn != nil && u.conn.written.Load() == u.writtenBefore
 }
 
-// abandon keeps the connection from being used again: a response may still be outstanding on it.
+// abandon prevents further requests on the connection, since the response to an earlier one may still be outstanding.
 func (u *connUse) abandon() {
 	if u.conn != nil {
 		u.conn.abandoned.Store(true)
 	}
 }
 
-// dialBackend returns a dial function whose connections can be abandoned.
+// dialBackend returns a dial function that returns connections of type backendConn.
 func dialBackend(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, addr)
--- a/request/httpapi/backend_conn_test.go
+++ b/request/httpapi/backend_conn_test.go
@@ -16,8 +16,8 @@
 	"wallport/request/search"
 )
 
-// lateBackend responds on its first connection with the response to the request before, and on all others with the
-// right one.
+// lateBackend responds to each request on its first connection with the response to the previous request, and on all
+// other connections with the correct one.
 type lateBackend struct {
 	l     net.Listener
 	conns atomic.Int64
@@ -77,7 +77,8 @@
 	must.Eq(t, 2, s.conns.Load())
 }
 
-// A connection that is abandoned while a request is being written to it has carried a part of the request.
+// If a connection is abandoned while a request is being written to it, a part of the request was written, so it must not
+// count as unwritten.
 func TestPartlyWrittenRequestIsNotUnwritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -92,5 +93,5 @@
 	must.ErrorIs(t, err, errAbandoned)
 	must.False(t, first.unwritten(err))
 	must.True(t, second.unwritten(err))
-	must.False(t, second.unwritten(net.ErrClosed), must.Sprint("a write may follow"))
+	must.False(t, second.unwritten(net.ErrClosed), must.Sprint("bytes may still be written after such an error"))
 }
--- a/request/httpapi/caller.go
+++ b/request/httpapi/caller.go
@@ -7,7 +7,7 @@
 	"wallport/request/search"
 )
 
-// callerAPI implements the caller service that goa generates.
+// callerAPI implements the caller service interface that goa generates.
 type callerAPI struct{ node *Node }
 
 // deref returns what an optional field points to, or the zero value.
@@ -42,12 +42,12 @@
 	return a.single(search.Request{Kind: search.KindRead, Index: p.Index, Record: p.ID, Deadline: deref(p.DeadlineUs), Key: deref(p.Key)})
 }
 
-// Correct changes one record, at most once under a key.
+// Correct changes one record, at most once per idempotency key.
 func (a callerAPI) Correct(_ context.Context, p *caller.CorrectPayload) (*caller.Single, error) {
 	return a.single(search.Request{Kind: search.KindCorrect, Index: p.Index, Record: p.ID, Body: p.Body, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
 }
 
-// Part runs one part of the work on a record, at most once under a key.
+// Part runs one part of the work on a record, at most once per idempotency key.
 func (a callerAPI) Part(_ context.Context, p *caller.PartPayload) (*caller.Single, error) {
 	return a.single(search.Request{Kind: search.KindPart, Index: p.Index, Record: p.ID, Part: p.Part, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
 }
@@ -77,7 +77,7 @@
 	return out
 }
 
-// failure turns an outcome without success into the API's error.
+// failure converts the outcome of a failed request into the error of the caller API.
 func failure(o search.Outcome) *caller.Failure {
 	f := &caller.Failure{Name: string(o.Code), Message: o.Why, Ran: string(o.Ran), Inquiry: &o.ID}
 	if f.Ran == "" {
--- a/request/httpapi/drain.go
+++ b/request/httpapi/drain.go
@@ -9,7 +9,8 @@
 	"wallport/runtime/kernel"
 )
 
-// Drain begins a planned stop: the process announces that it drains, and releases its leases. It may be called again.
+// Drain begins a planned stop: the process announces that it is draining, and releases its leases. Further calls have no
+// effect.
 func (s *Server) Drain() {
 	if s.draining.Swap(true) {
 		return
@@ -19,7 +20,8 @@
 	s.logDrainStep("draining")
 }
 
-// Stop drains the process, waits until others have noticed, and finishes the requests in flight within drainTimeout.
+// Stop drains the process, waits until callers and other processes have noticed, and waits up to drainTimeout for the
+// requests in flight.
 func (s *Server) Stop() {
 	s.Drain()
 	s.mu.Lock()
@@ -38,7 +40,7 @@
 	s.operatorServer.Shutdown(ctx)
 }
 
-// logDrainStep logs a step of the stop with the counts of requests, on a process that has callers.
+// logDrainStep logs a step of the stop with the counts of requests. A node without a caller API logs nothing.
 func (s *Server) logDrainStep(event string) {
 	if s.node == nil || s.process.Kernel.Boot.Settings.Caller != "" {
 		s.process.Log.Info(event, zap.Int64("read", s.process.Kernel.Counts.Of("inquiries_read").Load()), zap.Int64("open", s.openRequests.Load()))
--- a/request/httpapi/errors.go
+++ b/request/httpapi/errors.go
@@ -19,7 +19,7 @@
 	"wallport/runtime/wire"
 )
 
-// Names of failures of the operator API, and of both APIs for requests that reach no service.
+// Names of failures of the operator API, and of both APIs for requests that do not reach a service.
 const (
 	FailureMalformed      = "malformed"
 	FailureConflict       = "conflict"
@@ -33,13 +33,13 @@
 	failureInternal       = "internal"
 )
 
-// Whether a failed request may have run, as failures say it.
+// The values of the field of a failure that states whether the request may have run.
 const (
 	ranNo      = string(search.ExecutionNone)
 	ranUnknown = string(search.ExecutionUnknown)
 )
 
-// errorBody is the JSON form of every failure, whichever layer found it.
+// errorBody is the JSON form of all failures, regardless of the layer that detected them.
 type errorBody struct {
 	status    int
 	Name      string  `json:"name"`
@@ -60,7 +60,7 @@
 	Text string `json:"text"`
 }
 
-// tokenFaults returns the error of a tokens file: a line for each finding.
+// tokenFaults returns the error for an invalid tokens file, with one line per finding.
 func tokenFaults(file string, found []wire.Finding) error {
 	var lines []string
 	for _, f := range found {
@@ -69,8 +69,8 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// refuseDuplicateKeys refuses a JSON body that has a name twice in one object, since a decoder would silently keep one
-// of the two.
+// refuseDuplicateKeys rejects a JSON body with duplicate names in an object, of which a decoder would silently keep only
+// one.
 func refuseDuplicateKeys(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -95,7 +95,7 @@
 	return list
 }
 
-// formatError gives goa's own errors and those of the services the same form.
+// formatError converts goa's own errors and those of the services to the same JSON form.
 func formatError(_ context.Context, err error) goahttp.Statuser {
 	var goaErr *goa.ServiceError
 	var callerErr *caller.Failure
--- a/request/httpapi/explain.go
+++ b/request/httpapi/explain.go
@@ -23,21 +23,22 @@
 )
 
 const (
-	// explainTimeout bounds the search for a trace on other nodes.
+	// explainTimeout bounds the lookup of a trace on other nodes.
 	explainTimeout = 2 * time.Second
-	// maxConcurrentExplains bounds the nodes that one call asks at the same time.
+	// maxConcurrentExplains is the maximum number of nodes that one call asks at the same time.
 	maxConcurrentExplains = 16
 )
 
-// Explain returns the trace of a request, from whichever node has it. The id of a caller's request begins with the name of
-// the node that served it. The id of a request on a platform is its client's and names no node: all are asked.
+// Explain returns the trace of a request, which may be stored on another node. The id of a request of the caller API
+// begins with the name of the node that served it. The id of a request on a platform is assigned by its client and names
+// no node, so all nodes are asked.
 func (a operatorAPI) Explain(ctx context.Context, p *operator.ExplainPayload) (any, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
 	find, name := a.node.platformTrace.Load(), nodeOf(p.ID)
 	if find == nil && name == "" {
-		return nil, newFailure(FailureMalformed, "not an inquiry's id: it looks like NODE-NUMBER")
+		return nil, newFailure(FailureMalformed, "the id of an inquiry must have the form NODE-NUMBER")
 	}
 	if find != nil {
 		if trace, ok := (*find)(p.ID); ok {
@@ -55,15 +56,15 @@
 		return a.explainOnNode(ctx, name, addr, p)
 	}
 	if find == nil || p.Here != nil && *p.Here {
-		return nil, newFailure(FailureUnknown, "no such request here, or it is no longer kept")
+		return nil, newFailure(FailureUnknown, "no such request on this node, or it is no longer kept")
 	}
 	return a.explainOnAllNodes(ctx, p)
 }
 
-// nodeOf returns the node that the id of a caller's request names: the part before the last hyphen.
+// nodeOf returns the name of the node in the id of a request of the caller API: the part before the last hyphen.
 func nodeOf(id string) string { return id[:max(0, strings.LastIndexByte(id, '-'))] }
 
-// operatorAddress returns the operator address of a live node; empty where none has that name.
+// operatorAddress returns the operator address of a live node, or an empty string if no live node has that name.
 func (a operatorAPI) operatorAddress(name string) string {
 	return a.operatorAddresses()[name]
 }
@@ -109,11 +110,11 @@
 	case v := <-found:
 		return v, nil
 	default:
-		return nil, newFailure(FailureUnknown, "no live node keeps a request of this id: it ended well, or too many have since")
+		return nil, newFailure(FailureUnknown, "no live node has a trace of a request with this id: the request succeeded, or later traces have replaced it")
 	}
 }
 
-// explainOnNode asks another node for the trace.
+// explainOnNode requests the trace from another node.
 func (a operatorAPI) explainOnNode(ctx context.Context, name, addr string, p *operator.ExplainPayload) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -15,14 +15,14 @@
 	"wallport/runtime/process"
 )
 
-// Node is the request path of one node. Its methods may be called by many goroutines.
+// Node is the request path of one node. It is safe for concurrent use.
 type Node struct {
 	process    *process.Process
 	dispatcher *search.Dispatcher
 	table      *snapshot.Table
 	client     *backendClient
 	authorizer *authorizer
-	// platformTrace finds the trace of a request of the platform's clients.
+	// platformTrace finds the trace of a request of a platform's client.
 	platformTrace atomic.Pointer[func(id string) (any, bool)]
 }
 
@@ -37,21 +37,21 @@
 	return n
 }
 
-// idempotencyPlugin names the plug-in that asks the owners of keys.
+// idempotencyPlugin is the name of the plug-in that asks the owners of keys.
 const idempotencyPlugin = "idempotency"
 
 const (
-	// thawTimeout bounds how long a request that is read right after a freeze waits for a fresh snapshot.
+	// thawTimeout bounds how long a request waits for a fresh snapshot after a freeze.
 	thawTimeout = 500 * time.Millisecond
-	// admitTimeout bounds the wait for the owners of a key. It is longer than the state machine's own, so that an
-	// admission that comes too late for the request is still seen and can be released.
+	// admitTimeout bounds the wait for the owners of a key. It is longer than the state machine's own time-out, so that
+	// an admission that arrives too late for the request is still received and can be released.
 	admitTimeout = 2 * time.Second
-	// eventBuffer is how many events of a request may wait for its loop.
+	// eventBuffer is the number of events of a request that can be queued for its loop.
 	eventBuffer = 8
 )
 
-// Run takes one request through its state machine and returns the outcome. It does not end when the caller goes away: the outcome of
-// a request that must not run twice is to become known.
+// Run runs the state machine of a request and returns the outcome. It continues if the caller disconnects, so that the
+// outcome of a request that must not run twice becomes known.
 func (n *Node) Run(request search.Request) search.Outcome {
 	n.process.AwaitThaw(thawTimeout)
 	r := &run{
@@ -68,11 +68,11 @@
 	node    *Node
 	machine *search.StateMachine
 	events  chan search.Event
-	// finished is closed once the loop has returned; nothing reads events any more.
+	// finished is closed once the loop has returned and no longer reads events.
 	finished chan struct{}
-	// cancels ends the attempts, by their numbers.
+	// cancels holds the functions that cancel the attempts, by attempt number.
 	cancels map[int]context.CancelFunc
-	// mu guards ended, which is set once events was drained for the last time.
+	// mu guards ended, which is set when events is drained for the last time.
 	mu    sync.Mutex
 	ended bool
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// drainEvents takes the events that arrived after the state machine finished. The admission of a key among them must not
-// be lost, since its owners wait for the outcome.
+// drainEvents processes the events that arrived after the state machine finished. An admission of the key among them must
+// not be dropped, since its owners would keep the key in progress.
 func (r *run) drainEvents(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,14 +103,14 @@
 	}
 }
 
-// recordLateAdmission tells the owners of a key that the request they admitted too late did not run.
+// recordLateAdmission releases the key if it was admitted too late, since the request did not run.
 func (r *run) recordLateAdmission(key string, admission search.Admission) {
 	if resolved, admitted := search.LateAdmission(key, admission); admitted {
 		r.recordOutcome(resolved)
 	}
 }
 
-// recordOutcome tells the owners of a key what became of the request. Nobody waits for their reply.
+// recordOutcome records the outcome of the request at the owners of its key, without waiting for a reply.
 func (r *run) recordOutcome(resolved search.ResolveKey) {
 	outcome := idempotency.RecordOutcome{
 		Key: resolved.Key, Code: string(resolved.Resolution), Token: resolved.Token, Attempted: resolved.Attempted, Outcome: resolved.Outcome,
@@ -118,7 +118,7 @@
 	r.node.process.Post(kernel.Call{Plugin: idempotencyPlugin, Request: outcome})
 }
 
-// loop carries out the state machine's actions and feeds it events until it finishes.
+// loop executes the state machine's actions and passes it events until it finishes, and returns the outcome.
 func (r *run) loop() search.Outcome {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -153,7 +153,8 @@
 	}
 }
 
-// admit asks the owners of the request's key. An admission that comes after the request has finished is resolved here.
+// admit asks the owners of the request's key to admit it and posts the result. If the request has already finished, an
+// admitted key is released.
 func (r *run) admit(request search.AdmitKey) {
 	ctx, cancel := context.WithTimeout(context.Background(), admitTimeout)
 	defer cancel()
@@ -174,9 +175,9 @@
 	r.recordLateAdmission(request.Key, admission)
 }
 
-// send sends an attempt in a goroutine of its own. A caller that goes away does not cancel it, so that the outcome of
-// a request that must not run twice becomes known. Nothing is sent once the process was frozen: the attempt's
-// time may be over.
+// send sends an attempt in a separate goroutine. It is not canceled if the caller disconnects, so that the outcome of a
+// request that must not run twice becomes known. After a freeze of the process the attempt is not sent, since its
+// time-out may have passed.
 func (r *run) send(attempt search.Send) {
 	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(attempt.Timeout))
 	r.cancels[attempt.Attempt] = cancel
@@ -184,7 +185,7 @@
 	go func() {
 		defer cancel()
 		if r.node.process.Frozen() || r.node.process.Thaws() != thaws {
-			reply := search.Result{Class: search.ClassNotSent, Reason: "the node was frozen before it wrote"}
+			reply := search.Result{Class: search.ClassNotSent, Reason: "the node was frozen before it wrote the request"}
 			r.post(search.AttemptDone{Attempt: attempt.Attempt, Result: reply})
 			return
 		}
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -15,30 +15,31 @@
 	"wallport/runtime/wire"
 )
 
-// operatorAPI implements the operator service that goa generates. Every change goes to the leader of its partition;
-// the response names the version that took it, and the nodes that do not have it in force yet.
+// operatorAPI implements the operator service interface that goa generates. Every change is sent to the leader of its
+// partition of the control state. The response contains the version that includes the change, and lists the nodes that
+// have not applied it yet.
 type operatorAPI struct{ node *Node }
 
-// newFailure returns a failure of a command that did not run.
+// newFailure returns the failure of a command that did not run.
 func newFailure(code, message string) *operator.Failure {
 	return &operator.Failure{Name: code, Message: message, Ran: ranNo}
 }
 
-// allowed returns an error where a token may not read.
+// allowed returns an error unless the token grants the read scope.
 func (a operatorAPI) allowed(token *string) error {
 	_, err := a.node.authorizer.authorize(token, config.ScopeRead, nil)
 	return err
 }
 
-// noVersion is what the first edit of a fleet is based on.
+// noVersion is the version that the first edit of a fleet is based on.
 const noVersion = "0.0"
 
-// editParams are the parameters that all edits have.
+// editParams holds the parameters that all edits have in common.
 type editParams struct {
 	token, editID, basedOn, by *string
 }
 
-// submitEdit authorizes an edit, completes it with its parameters, and submits it.
+// submitEdit authorizes an edit, sets its parameters, and submits it.
 func (a operatorAPI) submitEdit(ctx context.Context, params editParams, edit wire.Edit) (*operator.Taken, error) {
 	scope, indexes := config.ScopeAll, []string(nil)
 	if edit.Op == wire.OpEditRows {
@@ -50,7 +51,7 @@
 	}
 	edit.EditID, edit.By = deref(params.editID), deref(params.by)
 	if who != "" {
-		// The audit and the history name whom the token names, not whom the caller names.
+		// The audit log and the history show the name of the token's holder, not the name that the operator sent.
 		edit.By = who
 	}
 	if edit.Strict {
@@ -66,7 +67,7 @@
 	return a.submit(ctx, edit, operations.Submit{Edit: edit, AwaitInForce: true})
 }
 
-// findingsFailure returns a failure with findings about what the operator sent.
+// findingsFailure returns a failure with the findings about an operator's input.
 func findingsFailure(code string, list []wire.Finding) *operator.Failure {
 	f := newFailure(code, "nothing was changed")
 	for _, v := range list {
@@ -75,7 +76,7 @@
 	return f
 }
 
-// encodeJSON encodes a decoded payload again; nil where that fails.
+// encodeJSON encodes a decoded payload as JSON again. It returns nil if that fails.
 func encodeJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return b
 }
 
-// Sheet returns the configuration in force at this node, with its version.
+// Sheet returns the configuration that this node currently applies, with its version.
 func (a operatorAPI) Sheet(_ context.Context, p *operator.SheetPayload) (*operator.SheetNow, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
@@ -101,7 +102,7 @@
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: wire.OpPutConfig, Strict: true, Body: encodeJSON(p.Sheet)})
 }
 
-// CheckSheet returns the findings about a configuration and changes nothing.
+// CheckSheet validates a configuration and returns the findings, without changing anything.
 func (a operatorAPI) CheckSheet(_ context.Context, p *operator.CheckSheetPayload) ([]*operator.Finding, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
@@ -113,7 +114,7 @@
 	return append([]*operator.Finding{}, findingsFailure("", found).Findings...), nil
 }
 
-// History returns the earlier configurations and the one in force, the newest last.
+// History returns the earlier configurations and the current one, the newest last.
 func (a operatorAPI) History(ctx context.Context, p *operator.HistoryPayload) ([]*operator.PastSheet, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
@@ -133,12 +134,12 @@
 	return list, nil
 }
 
-// ReturnSheet puts an earlier configuration in force again, under a new version.
+// ReturnSheet restores an earlier configuration under a new version.
 func (a operatorAPI) ReturnSheet(ctx context.Context, p *operator.ReturnSheetPayload) (*operator.Taken, error) {
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: wire.OpRevertConfig, Strict: true, Name: p.Stamp})
 }
 
-// EditSheet sets or removes single rows of the configuration.
+// EditSheet sets or removes individual rows of the configuration.
 func (a operatorAPI) EditSheet(ctx context.Context, p *operator.EditSheetPayload) (*operator.Taken, error) {
 	edits := make([]config.RowEdit, 0, len(p.Edits))
 	for _, e := range p.Edits {
@@ -152,7 +153,7 @@
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Op: p.Action, Name: p.Zone})
 }
 
-// Cut begins to move an index to another shard map.
+// Cut starts moving an index to another shard map.
 func (a operatorAPI) Cut(ctx context.Context, p *operator.CutPayload) (*operator.Taken, error) {
 	body := wire.Encode(&wire.ShardMap{Next: p.Cut, NextShards: p.Shards})
 	return a.submitEdit(ctx, editParams{p.Token, p.EditID, p.BasedOn, p.By}, wire.Edit{Partition: state.PartitionOf(p.Index), Op: wire.OpReshard, Name: p.Index, Body: body})
@@ -172,7 +173,7 @@
 	return list, nil
 }
 
-// memberStatus returns the API's form of a member, with the version of the configuration that it has in force.
+// memberStatus converts a member to its form in the API, with the version of the configuration that it applies.
 func memberStatus(member membership.Member) *operator.Status {
 	status := &operator.Status{
 		Name: member.Name, Role: member.Role, Zone: member.Zone, Addr: member.Addr, Live: member.Live,
@@ -189,7 +190,7 @@
 	return status
 }
 
-// Servers lists the backends with this node's health state of each.
+// Servers lists the backends, with the health state that this node has determined for each.
 func (a operatorAPI) Servers(_ context.Context, p *operator.ServersPayload) ([]*operator.ServerStatus, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
--- a/request/httpapi/server.go
+++ b/request/httpapi/server.go
@@ -25,36 +25,37 @@
 	"wallport/runtime/settings"
 )
 
-// Bounds of requests and connections.
+// Limits of requests and connections.
 const (
-	// maxCallerBody and maxOperatorBody bound the bodies that callers and operators send, in bytes.
+	// maxCallerBody and maxOperatorBody are the maximum sizes of request bodies of callers and operators, in bytes.
 	maxCallerBody   = 128 << 10
 	maxOperatorBody = 768 << 10
 	maxHeaderBytes  = 16 << 10
-	// readTimeout bounds the reading of a header; a whole request may take twice as long.
+	// readTimeout bounds the reading of a header; reading a complete request may take twice as long.
 	readTimeout = 5 * time.Second
 	idleTimeout = 60 * time.Second
-	// readyPollInterval is the time between two looks whether the node can serve.
+	// readyPollInterval is the interval at which a node checks whether it can open its caller API.
 	readyPollInterval = 20 * time.Millisecond
-	// drainGrace is how long a draining node goes on taking requests, until others have noticed that it drains.
+	// drainGrace is how long a draining node still accepts requests, until callers and other processes have noticed that
+	// it is draining.
 	drainGrace = 1 * time.Second
 	// drainTimeout bounds the wait for the requests in flight.
 	drainTimeout = 65 * time.Second
-	// maxConcurrentCalls bounds the requests in flight of each API.
+	// maxConcurrentCalls is the maximum number of requests in flight on each API.
 	maxConcurrentCalls = 4096
-	// retryAfterOverload is in seconds.
+	// retryAfterOverload is the value of Retry-After, in seconds, of responses with status 503.
 	retryAfterOverload = "1"
 	jsonContent        = "application/json"
 	contentTypeHeader  = "Content-Type"
 )
 
-// Paths of the pages beside the APIs.
+// Paths of the pages that are served in addition to the APIs.
 const (
 	conditionPath = "/condition"
 	metricsPath   = "/metrics"
 )
 
-// writeError writes a failure for a request that reached no service.
+// writeError writes the failure for a request that did not reach a service.
 func writeError(w http.ResponseWriter, status int, name, message string) {
 	w.Header().Set(contentTypeHeader, jsonContent)
 	if status == http.StatusServiceUnavailable {
@@ -64,12 +65,13 @@
 	fmt.Fprintf(w, `{"name":%q,"message":%q,"ran":"no"}`+"\n", name, message)
 }
 
-// limited bounds the requests in flight and reads the complete body, of at most maxBody bytes, before it calls next.
+// limited returns a handler that bounds the requests in flight, and reads the complete body of at most maxBody bytes
+// before it calls next.
 func limited(maxBody int64, open *atomic.Int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if open.Add(1) > maxConcurrentCalls {
 			open.Add(-1)
-			writeError(w, http.StatusServiceUnavailable, FailureOverloaded, "too many inquiries at once on this node")
+			writeError(w, http.StatusServiceUnavailable, FailureOverloaded, "too many inquiries in progress on this node")
 			return
 		}
 		defer open.Add(-1)
@@ -80,7 +82,7 @@
 			writeError(w, http.StatusRequestEntityTooLarge, failureOversize, fmt.Sprintf("the body is larger than %d bytes", maxBody))
 			return
 		case err != nil:
-			writeError(w, http.StatusBadRequest, FailureMalformed, "the body could not be read whole")
+			writeError(w, http.StatusBadRequest, FailureMalformed, "the body could not be read completely")
 			return
 		}
 		if len(body) > 0 && r.Header.Get(contentTypeHeader) == "" {
@@ -91,13 +93,13 @@
 	})
 }
 
-// Server has the listeners of one process.
+// Server owns the HTTP listeners of one process.
 type Server struct {
 	process        *process.Process
 	node           *Node
 	callerServer   *http.Server
 	operatorServer *http.Server
-	// openRequests counts the callers' requests in flight.
+	// openRequests is the number of requests in flight on the caller API.
 	openRequests atomic.Int64
 	failures     chan error
 	draining     atomic.Bool
@@ -105,7 +107,8 @@
 	mu           sync.Mutex
 }
 
-// Open listens on the process's HTTP addresses. The caller API of a node opens once the node can serve; a core has none.
+// Open listens on the HTTP addresses of a process. The caller API of a node opens once the node can serve requests; a
+// core has no caller API.
 func Open(p *process.Process) (*Server, error) {
 	s := &Server{process: p, failures: make(chan error, 2), stopping: make(chan struct{})}
 	onErr := func(_ context.Context, _ http.ResponseWriter, err error) {
@@ -134,14 +137,14 @@
 	h := callersrv.New(caller.NewEndpoints(callerAPI{s.node}), cmux, goahttp.RequestDecoder, goahttp.ResponseEncoder, onErr, formatError)
 	callersrv.Mount(cmux, h)
 	cmux.Handle(http.MethodGet, conditionPath, s.condition)
-	// Nobody listens before the first snapshot is there: a caller that comes too early is refused the
-	// connection and goes to another node, instead of getting a failure from this one.
+	// The caller API is not open before the first snapshot. Until then connections are refused, so that callers use
+	// another node instead of getting a failure from this one.
 	go s.openCaller(limited(maxCallerBody, &s.openRequests, s.countRequests(cmux)))
 	return s, nil
 }
 
-// countRequests counts the requests that were read. A draining node closes the connections, so that its callers open their
-// next ones to other nodes.
+// countRequests returns a handler that counts the requests that were read. While the node drains, it closes each
+// connection after the response, so that callers connect to other nodes.
 func (s *Server) countRequests(next http.Handler) http.Handler {
 	read := s.process.Kernel.Counts.Of("inquiries_read")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -155,7 +158,7 @@
 	})
 }
 
-// openCaller opens the caller API once requests can be served.
+// openCaller opens the caller API once the routing snapshot is ready.
 func (s *Server) openCaller(h http.Handler) {
 	for !s.node.table.Current().Ready() {
 		select {
@@ -192,7 +195,7 @@
 	return srv, nil
 }
 
-// condition serves the page that says whether this process should be given work.
+// condition serves the page that reports whether this process is ready for requests.
 func (s *Server) condition(w http.ResponseWriter, _ *http.Request) {
 	ready, why, version := true, "", ""
 	if s.node != nil {
@@ -214,7 +217,7 @@
 	fmt.Fprintf(w, `{"name":%q,"role":%q,"ready":%t,"why":%q,"in_force":%q}`+"\n", s.process.Kernel.Boot.Settings.Name, s.process.Kernel.Boot.Role, ready, why, version)
 }
 
-// metrics serves the counters in the text format of Prometheus.
+// metrics serves the counters in the Prometheus text format.
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(contentTypeHeader, "text/plain; version=0.0.4")
 	s.process.Kernel.Counts.Each(func(name string, n int64) {
@@ -227,7 +230,7 @@
 	fmt.Fprintf(w, "wallport_open_inquiries %d\n", s.openRequests.Load())
 }
 
-// OpenMetrics serves the metrics page on another address as well, until the process ends.
+// OpenMetrics serves the metrics page on an additional address until the process exits.
 func (s *Server) OpenMetrics(addr string) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+metricsPath, s.metrics)
@@ -235,12 +238,12 @@
 	return err
 }
 
-// ExplainBy sets the function that finds the traces of the platform's clients' requests by their ids.
+// ExplainBy sets the function that finds the trace of a request of a platform's client by its id.
 func (s *Server) ExplainBy(find func(id string) (any, bool)) {
 	if s.node != nil {
 		s.node.platformTrace.Store(&find)
 	}
 }
 
-// Failed delivers the error of a listener that ended by itself.
+// Failed returns a channel of the errors of listeners that ended unexpectedly.
 func (s *Server) Failed() <-chan error { return s.failures }
--- a/request/httpapi/status.go
+++ b/request/httpapi/status.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-// Replicas lists the replicas of the control state as every known core reports them.
+// Replicas lists the replicas of the control state that the known cores report.
 func (a operatorAPI) Replicas(ctx context.Context, p *operator.ReplicasPayload) ([]*operator.ReplicaStatus, error) {
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
@@ -20,12 +20,12 @@
 	answer, err := a.node.process.Call(ctx, operations.PluginName, operations.ReadStatus{})
 	status, known := answer.(operations.Status)
 	if err != nil || !known {
-		return nil, newFailure(FailureOverloaded, "the cores were not asked in time")
+		return nil, newFailure(FailureOverloaded, "the status of the cores could not be read in time")
 	}
 	return replicaRows(status), nil
 }
 
-// replicaRows returns a row for each replica, ordered by partition.
+// replicaRows returns a row for each replica, and for each core that did not respond, ordered by partition.
 func replicaRows(status operations.Status) []*operator.ReplicaStatus {
 	newest := status.Newest()
 	rows := []*operator.ReplicaStatus{}
@@ -39,7 +39,8 @@
 	return rows
 }
 
-// replicaRow returns a core's row for a partition; nil where the core responded and has no replica of it.
+// replicaRow returns the row of a core for a partition. It returns nil if the core responded and has no replica of the
+// partition.
 func replicaRow(core operations.CoreStatus, partition int, newest wire.Version) *operator.ReplicaStatus {
 	row := &operator.ReplicaStatus{Core: core.Name, Zone: core.Zone, Part: partition, State: operations.StateTimedOut}
 	if !core.Responded {
--- a/request/httpapi/submit.go
+++ b/request/httpapi/submit.go
@@ -12,10 +12,10 @@
 	"wallport/runtime/wire"
 )
 
-// callTimeout bounds an operator's call.
+// callTimeout bounds the duration of an operator API call.
 const callTimeout = 10 * time.Second
 
-// Rebuild makes a partition's group anew, see [operations.Rebuild].
+// Rebuild creates a new replica group for a partition of the control state, see [operations.Rebuild].
 func (a operatorAPI) Rebuild(ctx context.Context, p *operator.RebuildPayload) (*operator.Taken, error) {
 	who, err := a.node.authorizer.authorize(p.Token, config.ScopeAll, nil)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return a.submit(ctx, wire.Edit{Op: wire.OpRebuild, Partition: p.Part, By: who}, operations.Rebuild{Partition: p.Part})
 }
 
-// submit has a command carried out, logs it for the audit, and turns its result into a response.
+// submit runs a command, writes the audit log entry for it, and converts its result into a response.
 func (a operatorAPI) submit(ctx context.Context, edit wire.Edit, command any) (*operator.Taken, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -40,7 +40,7 @@
 	return taken(result)
 }
 
-// audit logs who did what, and what came of it.
+// audit logs an edit, the operator who made it, and its result.
 func (a operatorAPI) audit(edit wire.Edit, reply wire.EditReply) {
 	a.node.process.Log.Info("audit",
 		zap.String("op", edit.Op), zap.Int("partition", edit.Partition), zap.String("name", edit.Name), zap.String("by", edit.By),
@@ -48,7 +48,7 @@
 		zap.String("version", config.VersionText(reply.Version)), zap.Int("findings", len(reply.Findings)))
 }
 
-// taken returns the response to a command, or the failure that its code stands for.
+// taken returns the response to a command that was applied, or the failure for the code of its result.
 func taken(result operations.Result) (*operator.Taken, error) {
 	version := config.VersionText(result.Reply.Version)
 	switch result.Reply.Code {
@@ -60,12 +60,12 @@
 		return nil, findingsFailure(FailureConflict, result.Reply.Findings)
 	case wire.CodeLostRace:
 		f := findingsFailure(FailureLostRace, result.Reply.Findings)
-		f.Message = "another edit came first; read the sheet again and base the edit on it"
+		f.Message = "the sheet was changed by another edit; read it again and base the edit on its new stamp"
 		f.Stamp = &version
 		return nil, f
 	case wire.CodeOverloaded:
 		retry := 1
-		return nil, &operator.Failure{Name: FailureOverloaded, Message: "no owner of this part can be reached; nothing was changed", Ran: ranNo, RetryAfter: &retry}
+		return nil, &operator.Failure{Name: FailureOverloaded, Message: "no leader of this part can be reached; nothing was changed", Ran: ranNo, RetryAfter: &retry}
 	}
-	return nil, &operator.Failure{Name: FailureOutcomeUnknown, Message: "the owner did not say what became of the edit; send it again with the same Edit-Id", Ran: ranUnknown}
+	return nil, &operator.Failure{Name: FailureOutcomeUnknown, Message: "the leader did not report the result of the edit; send it again with the same Edit-Id", Ran: ranUnknown}
 }
