--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -14,12 +14,12 @@
 // Reasons why a request was not written.
 const (
 	reasonCanceled  = "cancelled"
-	reasonAbandoned = "not wanted any more"
+	reasonAbandoned = "response no longer needed"
 	reasonFrozen    = "the process was frozen"
-	reasonTooLate   = "no time left"
-	reasonClosed    = "the connection ended before anything was written"
+	reasonTooLate   = "no time left before the deadline"
+	reasonClosed    = "connection closed before the request was written"
 	// reasonNoConnection means that all connections that this node may open to the backend are in use.
-	reasonNoConnection = "no connection free"
+	reasonNoConnection = "all connections to the backend are in use"
 )
 
 // maxKeptBuffer is the maximum capacity, in bytes, of a request buffer that is reused.
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -173,7 +173,7 @@
 	default:
 		shard.reason = string(done.Result.Class) + ": " + done.Result.Reason
 		if m.request.AtMostOnce() {
-			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and gave no whole answer: " + done.Result.Reason, Shard: shardIndex})
+			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and sent no complete response: " + done.Result.Reason, Shard: shardIndex})
 			return
 		}
 		m.retry(now, shardIndex, sendRetry)
