--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -85,7 +85,7 @@
 
 	x = cl.Start(f.attempt("b"))
 	x.Abandon()
-	must.Eq(t, "response no longer needed", x.Run().Reason)
+	must.Eq(t, "not wanted any more", x.Run().Reason)
 	must.Eq(t, 0, f.times("b"))
 	must.Eq(t, 1, cl.open.Load(), must.Sprint("the connection must be kept"))
 }
--- a/request/backend/classify.go
+++ b/request/backend/classify.go
@@ -21,9 +21,9 @@
 	case len(ids) > 1 || len(ids) == 1 && ids[0] != x.attempt.Request.ID:
 		return x.malformedReply("another request's answer"), false
 	case len(seals) > 1:
-		return x.malformedReply("response with more than one seal"), false
+		return x.malformedReply("two seals"), false
 	case len(header["Content-Encoding"]) > 0:
-		return x.malformedReply("response with a Content-Encoding"), false
+		return x.malformedReply("an encoded answer"), false
 	}
 	result = dispatch.Result{
 		Class: dispatch.ClassResponse, Status: resp.StatusCode, Header: header, Body: body,
@@ -39,16 +39,16 @@
 	}
 	switch {
 	case result.Status == http.StatusMisdirectedRequest:
-		result.Class, result.WrongBackend, result.Reason, keep = dispatch.ClassRejected, true, "address of another backend", false
+		result.Class, result.WrongBackend, result.Reason, keep = dispatch.ClassRejected, true, "another backend", false
 	case notExecuted && result.Status >= 300:
-		result.Class, result.Reason = dispatch.ClassRejected, "rejected by the backend"
+		result.Class, result.Reason = dispatch.ClassRejected, "turned away"
 	case result.Status/100 == 2 && result.Seal == "":
 		return x.malformedReply("a success without a seal"), false
 	}
 	// A response without the request's id may belong to an earlier request. A statement that the request did
 	// not run is then accepted only if the request may run again or the connection has carried no other request.
 	if len(ids) == 0 && (result.Class == dispatch.ClassResponse || x.attempt.AtMostOnce && c.reused) {
-		return x.malformedReply("response without the request's id"), false
+		return x.malformedReply("an answer without the request's id"), false
 	}
 	return result, keep && len(ids) == 1
 }
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -14,12 +14,12 @@
 // Reasons why a request was not written.
 const (
 	reasonCanceled  = "cancelled"
-	reasonAbandoned = "response no longer needed"
+	reasonAbandoned = "not wanted any more"
 	reasonFrozen    = "the process was frozen"
-	reasonTooLate   = "no time left before the deadline"
-	reasonClosed    = "connection closed before the request was written"
+	reasonTooLate   = "no time left"
+	reasonClosed    = "the connection ended before anything was written"
 	// reasonNoConnection means that all connections that this node may open to the backend are in use.
-	reasonNoConnection = "all connections to the backend are in use"
+	reasonNoConnection = "no connection free"
 )
 
 // maxKeptBuffer is the maximum capacity, in bytes, of a request buffer that is reused.
--- a/request/backend/response.go
+++ b/request/backend/response.go
@@ -42,13 +42,13 @@
 		case err != nil:
 			return nil, nil, err
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, nil, malformedError("unexpected protocol switch")
+			return nil, nil, malformedError("interim answers")
 		case resp.StatusCode >= 200:
 			body, err := readBody(resp, raw, method)
 			return resp, body, err
 		}
 	}
-	return nil, nil, malformedError("too many interim responses")
+	return nil, nil, malformedError("interim answers")
 }
 
 // readHead reads until the buffer holds a complete header, and returns the header without consuming it. The
@@ -58,7 +58,7 @@
 		b, _ := r.Peek(r.Buffered())
 		start := string(b[:min(len(b), 9)])
 		if !strings.HasPrefix("HTTP/1.1 ", start) && !strings.HasPrefix("HTTP/1.0 ", start) {
-			return nil, malformedError("not an HTTP/1.x response")
+			return nil, malformedError("not an answer")
 		}
 		if i := bytes.Index(b[scan:], []byte("\r\n\r\n")); i >= 0 {
 			b = b[:scan+i+2]
@@ -66,7 +66,7 @@
 		}
 		scan = max(0, len(b)-3)
 		if _, err := r.Peek(len(b) + 1); errors.Is(err, bufio.ErrBufferFull) {
-			return nil, malformedError("response header too large")
+			return nil, malformedError("head too large")
 		} else if err != nil {
 			return nil, err
 		}
@@ -78,9 +78,9 @@
 	for line := range bytes.Lines(b) {
 		switch {
 		case !bytes.HasSuffix(line, []byte("\r\n")):
-			return malformedError("header line without CR LF")
+			return malformedError("a line without CR LF")
 		case line[0] == ' ' || line[0] == '\t':
-			return malformedError("malformed header field")
+			return malformedError("a malformed field")
 		}
 	}
 	return nil
@@ -94,28 +94,28 @@
 		// HTTP/1.0. Both are ambiguous.
 		b := bytes.ToLower(raw)
 		if bytes.Contains(b, []byte("\ntransfer-encoding:")) && (!chunked || bytes.Contains(b, []byte("\ncontent-length:"))) {
-			return nil, malformedError("ambiguous length: Transfer-Encoding with Content-Length or HTTP/1.0")
+			return nil, malformedError("a length and chunks")
 		}
 	}
 	for name := range resp.Header {
 		if strings.IndexByte(name, ' ') >= 0 {
-			return nil, malformedError("malformed header field")
+			return nil, malformedError("a malformed field")
 		}
 	}
 	n := resp.ContentLength
 	switch {
 	case n > MaxBodyBytes:
-		return nil, malformedError("response body too large")
+		return nil, malformedError("answer too large")
 	case method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified:
 		return nil, nil
 	case chunked:
 		b, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes+1))
 		if len(b) > MaxBodyBytes {
-			return nil, malformedError("response body too large")
+			return nil, malformedError("answer too large")
 		}
 		return b, err
 	case n < 0:
-		return nil, malformedError("response without a length")
+		return nil, malformedError("an answer without a length")
 	}
 	b := make([]byte, n)
 	_, err := io.ReadFull(resp.Body, b)
--- a/request/gateway/handler.go
+++ b/request/gateway/handler.go
@@ -64,14 +64,14 @@
 		closeAfterResponse(w)
 	}
 	if !headerFits(r, s.limits()) {
-		h.reject(w, r, http.StatusRequestHeaderFieldsTooLarge, "the target and header fields exceed the size limit")
+		h.reject(w, r, http.StatusRequestHeaderFieldsTooLarge, "the head is larger than the limit")
 		return
 	}
 	reservation := bodyReservation{server: s}
 	defer reservation.release()
 	body, status := h.readBody(w, r, &reservation)
 	if status != 0 {
-		h.reject(w, r, status, "the body could not be read completely")
+		h.reject(w, r, status, "the body could not be read whole")
 		return
 	}
 	req, invalid := h.newRequest(r, body)
@@ -166,11 +166,11 @@
 func (h *handler) newRequest(r *http.Request, body []byte) (dispatch.Request, string) {
 	ids := r.Header[h.names.ID]
 	if len(ids) != 1 || ids[0] == "" {
-		return dispatch.Request{}, "exactly one non-empty " + h.names.ID + " field is required"
+		return dispatch.Request{}, "one " + h.names.ID + " is needed"
 	}
 	target := originForm(r.RequestURI)
 	if target == "" {
-		return dispatch.Request{}, "the request target has no path"
+		return dispatch.Request{}, "the target has no path"
 	}
 	path, _, _ := strings.Cut(target, "?")
 	req := dispatch.Request{
--- a/request/gateway/limits.go
+++ b/request/gateway/limits.go
@@ -69,7 +69,7 @@
 }
 
 // errBodyBudget is returned when the bodies of all requests together exceed maxBodiesBytes.
-var errBodyBudget = errors.New("the bodies of all requests together exceed the limit")
+var errBodyBudget = errors.New("too many bodies at once")
 
 // bodyReservation counts the bytes of one body towards the bound for all bodies. It is released once the
 // request has its response.
--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -124,7 +124,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(body) > maxResponseBytes {
-		return search.Result{Class: search.ClassFailed, Reason: "response truncated or too large"}
+		return search.Result{Class: search.ClassFailed, Reason: "answer cut short or too large"}
 	}
 	return search.CheckResponse(attempt, search.RawResponse{
 		Status: resp.StatusCode, Length: resp.ContentLength, Digest: resp.Header.Get("Content-Digest"), Body: body,
--- a/request/httpapi/backend_conn.go
+++ b/request/httpapi/backend_conn.go
@@ -8,7 +8,7 @@
 )
 
 // errAbandoned is returned for a write to an abandoned connection.
-var errAbandoned = errors.New("the connection was abandoned after an invalid response")
+var errAbandoned = errors.New("the connection was given up")
 
 // backendConn is a connection to a backend that accepts no further writes once it was abandoned. It is needed because
 // net/http makes a connection available for reuse before the response on it has been validated.
--- a/request/httpapi/explain.go
+++ b/request/httpapi/explain.go
@@ -38,7 +38,7 @@
 	}
 	find, name := a.node.platformTrace.Load(), nodeOf(p.ID)
 	if find == nil && name == "" {
-		return nil, newFailure(FailureMalformed, "the id of an inquiry must have the form NODE-NUMBER")
+		return nil, newFailure(FailureMalformed, "not an inquiry's id: it looks like NODE-NUMBER")
 	}
 	if find != nil {
 		if trace, ok := (*find)(p.ID); ok {
@@ -56,7 +56,7 @@
 		return a.explainOnNode(ctx, name, addr, p)
 	}
 	if find == nil || p.Here != nil && *p.Here {
-		return nil, newFailure(FailureUnknown, "no such request on this node, or it is no longer kept")
+		return nil, newFailure(FailureUnknown, "no such request here, or it is no longer kept")
 	}
 	return a.explainOnAllNodes(ctx, p)
 }
@@ -110,7 +110,7 @@
 	case v := <-found:
 		return v, nil
 	default:
-		return nil, newFailure(FailureUnknown, "no live node has a trace of a request with this id: the request succeeded, or later traces have replaced it")
+		return nil, newFailure(FailureUnknown, "no live node keeps a request of this id: it ended well, or too many have since")
 	}
 }
 
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -185,7 +185,7 @@
 	go func() {
 		defer cancel()
 		if r.node.process.Frozen() || r.node.process.Thaws() != thaws {
-			reply := search.Result{Class: search.ClassNotSent, Reason: "the node was frozen before it wrote the request"}
+			reply := search.Result{Class: search.ClassNotSent, Reason: "the node was frozen before it wrote"}
 			r.post(search.AttemptDone{Attempt: attempt.Attempt, Result: reply})
 			return
 		}
--- a/request/httpapi/server.go
+++ b/request/httpapi/server.go
@@ -71,7 +71,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if open.Add(1) > maxConcurrentCalls {
 			open.Add(-1)
-			writeError(w, http.StatusServiceUnavailable, FailureOverloaded, "too many inquiries in progress on this node")
+			writeError(w, http.StatusServiceUnavailable, FailureOverloaded, "too many inquiries at once on this node")
 			return
 		}
 		defer open.Add(-1)
@@ -82,7 +82,7 @@
 			writeError(w, http.StatusRequestEntityTooLarge, failureOversize, fmt.Sprintf("the body is larger than %d bytes", maxBody))
 			return
 		case err != nil:
-			writeError(w, http.StatusBadRequest, FailureMalformed, "the body could not be read completely")
+			writeError(w, http.StatusBadRequest, FailureMalformed, "the body could not be read whole")
 			return
 		}
 		if len(body) > 0 && r.Header.Get(contentTypeHeader) == "" {
--- a/request/httpapi/status.go
+++ b/request/httpapi/status.go
@@ -20,7 +20,7 @@
 	answer, err := a.node.process.Call(ctx, operations.PluginName, operations.ReadStatus{})
 	status, known := answer.(operations.Status)
 	if err != nil || !known {
-		return nil, newFailure(FailureOverloaded, "the status of the cores could not be read in time")
+		return nil, newFailure(FailureOverloaded, "the cores were not asked in time")
 	}
 	return replicaRows(status), nil
 }
--- a/request/httpapi/submit.go
+++ b/request/httpapi/submit.go
@@ -60,12 +60,12 @@
 		return nil, findingsFailure(FailureConflict, result.Reply.Findings)
 	case wire.CodeLostRace:
 		f := findingsFailure(FailureLostRace, result.Reply.Findings)
-		f.Message = "the sheet was changed by another edit; read it again and base the edit on its new stamp"
+		f.Message = "another edit came first; read the sheet again and base the edit on it"
 		f.Stamp = &version
 		return nil, f
 	case wire.CodeOverloaded:
 		retry := 1
-		return nil, &operator.Failure{Name: FailureOverloaded, Message: "no leader of this part can be reached; nothing was changed", Ran: ranNo, RetryAfter: &retry}
+		return nil, &operator.Failure{Name: FailureOverloaded, Message: "no owner of this part can be reached; nothing was changed", Ran: ranNo, RetryAfter: &retry}
 	}
-	return nil, &operator.Failure{Name: FailureOutcomeUnknown, Message: "the leader did not report the result of the edit; send it again with the same Edit-Id", Ran: ranUnknown}
+	return nil, &operator.Failure{Name: FailureOutcomeUnknown, Message: "the owner did not say what became of the edit; send it again with the same Edit-Id", Ran: ranUnknown}
 }
--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -31,7 +31,7 @@
 	current := c.snapshot()
 	if c.inMinority(current, ctx.Now) {
 		ctx.Counts.Add("claims_minority", 1)
-		ctx.Reply(id, search.Admission{Code: search.AdmissionNoQuorum, Reason: "this node sees only a minority of the fleet"})
+		ctx.Reply(id, search.Admission{Code: search.AdmissionNoQuorum, Reason: "this node sees too few of the fleet to vouch for a key"})
 		return
 	}
 	c.lastID++
@@ -149,7 +149,7 @@
 		return
 	}
 	ctx.Counts.Add("claims_short", 1)
-	c.finish(ctx, n, search.Admission{Code: search.AdmissionNoQuorum, Reason: fmt.Sprintf("%d of %d owners answered", pending.countAgreeing(), len(pending.owners))})
+	c.finish(ctx, n, search.Admission{Code: search.AdmissionNoQuorum, Reason: fmt.Sprintf("%d of the key's %d home nodes answered", pending.countAgreeing(), len(pending.owners))})
 }
 
 // addOwners adds owners that this node has learned of since the admission started. It removes none, because
--- a/request/search/gather.go
+++ b/request/search/gather.go
@@ -62,7 +62,7 @@
 		m.merge(now)
 	case (answered+pending)*100 < required || len(m.shardRequests) == 0:
 		if attempts == 0 || len(m.shardRequests) == 0 {
-			m.reject(now, CodeUnavailable, "too few shards have an available server: "+why, 1)
+			m.reject(now, CodeUnavailable, "too few shards have a server: "+why, 1)
 			return
 		}
 		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: ExecutionUnknown, Why: "too many shards failed: " + why, Retry: 1})
--- a/request/search/key_admission.go
+++ b/request/search/key_admission.go
@@ -18,10 +18,10 @@
 const (
 	// ReasonRetryBudgetExhausted is the reason for rejecting a repeat that the retry budget does not
 	// cover.
-	ReasonRetryBudgetExhausted = "a repeat, and the pool's retry budget is used up"
+	ReasonRetryBudgetExhausted = "a repeat, and the pool's budget of repeated tries is used up"
 	// ReasonTooFewKeyOwners is the prefix of the reason for rejecting a request because too few
 	// owners of its key answered.
-	ReasonTooFewKeyOwners = "too few owners of the key: "
+	ReasonTooFewKeyOwners = "too few home nodes of the key: "
 )
 
 // requestAdmission asks the key's owners to admit the request. For a search or read, which may run
@@ -53,18 +53,18 @@
 	case AdmissionCompleted:
 		var o Outcome
 		if json.Unmarshal(a.Outcome, &o) != nil {
-			o = Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the outcome of an earlier inquiry with this key is not known"}
+			o = Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "an earlier inquiry of this key has no known outcome"}
 		}
 		o.Repeat = true
 		m.finish(now, StateAnswered, o)
 	case AdmissionInProgress:
-		m.finish(now, StateRejected, Outcome{Code: CodeConflict, Why: "an inquiry with this key is in progress", Ran: ExecutionUnknown, Retry: 1})
+		m.finish(now, StateRejected, Outcome{Code: CodeConflict, Why: "an inquiry of this key is under way", Ran: ExecutionUnknown, Retry: 1})
 	case AdmissionConflict:
 		m.finish(now, StateRejected, Outcome{Code: CodeConflict, Why: "the key was used for another inquiry", Ran: ExecutionNone})
 	case AdmissionStateLost:
 		m.finish(now, StateAnswered, Outcome{
 			Code: CodeOutcomeUnknown, Ran: ExecutionUnknown,
-			Why: "the owners of this key may have lost their records: it is not known whether an earlier inquiry with it ran",
+			Why: "so soon after a loss nobody knows whether an earlier inquiry of this key ran",
 		})
 	default:
 		m.dispatcher.Counts.Add("shed_claims", 1)
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -54,7 +54,7 @@
 // charges one attempt per shard to the retry budget.
 func (m *StateMachine) sendToShards(now clock.Micros) {
 	if now >= m.deadline {
-		m.reject(now, CodeGivenUp, "the deadline passed before a server was selected", 1)
+		m.reject(now, CodeGivenUp, "the deadline passed before a server was asked", 1)
 		return
 	}
 	if len(m.index.Shards) == 0 {
@@ -102,7 +102,7 @@
 	if !ok {
 		shard.missing = shard.openAttempts == 0
 		if shard.reason == "" {
-			shard.reason = "no server can be selected"
+			shard.reason = "no server may be asked"
 		}
 		return
 	}
@@ -112,12 +112,12 @@
 	case sendRetry:
 		if !m.dispatcher.takeRetries(m.snapshot, m.request.Index, now, 1) {
 			shard.missing = shard.openAttempts == 0
-			shard.reason = "retry budget is used up; " + shard.reason
+			shard.reason = "budget of repeated tries is used up; " + shard.reason
 			return
 		}
 		m.transition(now, StateRetried, shard.reason)
 	case sendPrepaid:
-		m.transition(now, StateSelected, "repeat by the caller")
+		m.transition(now, StateSelected, "a repeat of the caller's")
 	default:
 		m.transition(now, StateSelected, "")
 		m.dispatcher.replenishRetryBudget(m.snapshot, m.request.Index, now)
@@ -173,7 +173,7 @@
 	default:
 		shard.reason = string(done.Result.Class) + ": " + done.Result.Reason
 		if m.request.AtMostOnce() {
-			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and sent no complete response: " + done.Result.Reason, Shard: shardIndex})
+			m.finish(now, StateGivenUp, Outcome{Code: CodeOutcomeUnknown, Ran: ExecutionUnknown, Why: "the server was written to and gave no whole answer: " + done.Result.Reason, Shard: shardIndex})
 			return
 		}
 		m.retry(now, shardIndex, sendRetry)
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -107,7 +107,7 @@
 	}
 	m.dispatcher.Counts.Add("inquiries", 1)
 	if !m.snapshot.Ready() {
-		m.reject(now, CodeUnavailable, "this node has no complete routing snapshot yet", 1)
+		m.reject(now, CodeUnavailable, "this node has no table yet", 1)
 		return
 	}
 	m.trace.snapshot = m.snapshot
@@ -152,7 +152,7 @@
 		m.begin(now)
 	case StateClassified:
 		m.dispatcher.Counts.Add("shed_claims", 1)
-		m.reject(now, CodeUnavailable, ReasonTooFewKeyOwners+"no decision in time", 1)
+		m.reject(now, CodeUnavailable, ReasonTooFewKeyOwners+"no verdict in time", 1)
 	default:
 		m.refreshSnapshot()
 		m.hedgeSlow(now)
