--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -1,5 +1,5 @@
-// The benchmarks run clients and backends in another process, so that the processor time and the
-// allocations of this one are the node's alone.
+// The benchmarks run clients and backends in a separate process, so that the CPU time and the allocations of
+// this process are those of the node alone.
 
 package gateway
 
@@ -38,11 +38,11 @@
 	os.Exit(m.Run())
 }
 
-// benchTable returns a snapshot with a fan-out route over some shards and a route to one pool, each pool
-// with four backends.
+// benchTable returns a snapshot with a fan-out route over the given number of shards and a route to a single
+// pool. Each pool has four backends.
 func benchTable(shards int, addrs []string) *snapshot.Snapshot {
 	src := &routingpb.RoutingTable{Revision: 1, Limits: &routingpb.Limits{}}
-	cp := &snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
+	snap := &snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
 	var names []string
 	for i := range len(addrs) / 4 {
 		name := fmt.Sprint("pool-", i)
@@ -52,14 +52,14 @@
 		for k, addr := range addrs[4*i : 4*i+4] {
 			p.Backends = append(p.Backends, &snapshot.Backend{Backend: wire.Backend{ID: fmt.Sprint("i-", i, "-", k), Addr: addr, Pool: name, Slots: 8, Incarnation: 1}, Gauge: new(snapshot.Gauge)})
 		}
-		cp.Pools[name] = p
+		snap.Pools[name] = p
 	}
 	src.Routes = []*routingpb.Route{
 		{Name: "all", Host: "h.example", Prefix: "/all/", Repeatable: true, TimeoutUs: 5_000_000, TargetLatencyUs: 1_000_000, MaxBackends: 2, FanoutPools: names[:shards], ResultLimit: 20, MinCoverage: 0.5},
 		{Name: "one", Host: "h.example", Prefix: "/one/", TimeoutUs: 5_000_000, TargetLatencyUs: 1_000_000, MaxBackends: 1, Pool: names[0]},
 	}
-	cp.Routing = routing.Compile(src)
-	return cp
+	snap.Routing = routing.Compile(src)
+	return snap
 }
 
 func BenchmarkRequest(b *testing.B) {
@@ -93,16 +93,18 @@
 	must.NoError(b, from.Decode(&addrs))
 
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	cp, counts, began := benchTable(shards, addrs), kernel.NewCounts(), time.Now()
+	snap, counts, began := benchTable(shards, addrs), kernel.NewCounts(), time.Now()
 	now := func() int64 { return time.Since(began).Microseconds() }
-	get := func() *snapshot.Snapshot { return cp }
-	desk := dispatch.NewDispatcher(dispatch.Config{Snapshot: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
+	get := func() *snapshot.Snapshot { return snap }
+	dispatcher := dispatch.NewDispatcher(dispatch.Config{Snapshot: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
 	cl := backend.New(backend.Config{Names: backend.Names{ID: "Try-Id", Budget: "Left", Target: "Meant-For", Seal: "Stamp", Load: "Busy", NotExecuted: "Did-Not-Run"}, Counts: counts})
 	defer cl.Close()
 	s, err := Open(Config{
 		ClientAddr: "127.0.0.1:0", Names: Names{ID: "Try-Id", Budget: "Left", Seal: "Stamp", ShardSeals: "Stamps", MissingShards: "Parts-Missing"},
 		Log: zap.NewNop(), Counts: counts, Backends: cl, Snapshot: get, Now: now, GracePeriod: 1 * clock.Second,
-		NewStateMachine: func(r dispatch.Request, now clock.Micros) StateMachine { return dispatch.NewStateMachine(desk, r, now) },
+		NewStateMachine: func(r dispatch.Request, now clock.Micros) StateMachine {
+			return dispatch.NewStateMachine(dispatcher, r, now)
+		},
 	})
 	must.NoError(b, err)
 	defer s.Stop()
@@ -127,7 +129,7 @@
 	u1, s1 := cpu()
 	runtime.ReadMemStats(&m1)
 	if j.Path != "/none" && good < n {
-		b.Errorf("%d of %d answers were 200", good, n)
+		b.Errorf("%d of %d responses have status 200, want all", good, n)
 	}
 	b.ReportMetric(float64(u1-u0)/float64(n), "user-ns/op")
 	b.ReportMetric(float64(s1-s0)/float64(n), "system-ns/op")
@@ -135,7 +137,7 @@
 	b.ReportMetric(float64(m1.TotalAlloc-m0.TotalAlloc)/float64(n), "malloc-B/op")
 }
 
-// cpu is the process's own processor time so far, in nanoseconds.
+// cpu returns the CPU time that this process has used so far, in nanoseconds.
 func cpu() (user, system int64) {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
--- a/request/gateway/connections_test.go
+++ b/request/gateway/connections_test.go
@@ -10,9 +10,10 @@
 	"wallport/runtime/clock"
 )
 
-// TestRepeatedLimitsReuseHTTPServer starts no more http.Servers than there are different limits.
+// TestRepeatedLimitsReuseHTTPServer alternates between two sets of limits: at most one http.Server may be
+// started for each of them.
 func TestRepeatedLimitsReuseHTTPServer(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	for i := range int64(20) {
 		w.limits(&routingpb.Limits{IdleTimeoutUs: 10*clock.Second + i%2})
 		c := w.dial()
@@ -24,10 +25,11 @@
 	must.Between(t, 1, len(w.server.connections.httpServers), 2)
 }
 
-// TestLateResponseHasFullWriteTimeout counts the time to read a response from when there is one.
+// TestLateResponseHasFullWriteTimeout has a backend that takes longer to respond than the write time-out. The
+// client still gets the response, since the time-out restarts when there is one.
 func TestLateResponseHasFullWriteTimeout(t *testing.T) {
 	const timeout = 100 * time.Millisecond
-	w := newWorld(t, func(_ *world, c *Config) { c.WriteTimeout = timeout })
+	w := newFixture(t, func(_ *fixture, c *Config) { c.WriteTimeout = timeout })
 	h := w.block("/a")
 	c := w.dial()
 	sent := time.Now()
--- a/request/gateway/limits_test.go
+++ b/request/gateway/limits_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestLimits(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.limits(&routingpb.Limits{MaxHeaderBytes: 400, MaxBodyBytes: 1000})
 	post := func(head, body int, chunked bool) string {
 		s := "POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\nX: " + strings.Repeat("x", head) + "\r\n"
@@ -39,11 +39,11 @@
 			client.send(c.send)
 			resp, _ := client.readResponse("POST")
 			must.Eq(t, c.status, resp.StatusCode)
-			// No other request is read after a chunked one.
+			// No further request is read on a connection after a chunked one.
 			must.Eq(t, c.status != 200 || strings.Contains(c.send, "chunked"), resp.Close)
 		})
 	}
-	// A change applies to open connections.
+	// A change of the limits also applies to requests on open connections.
 	client := w.dial()
 	client.send(post(0, 2000, false))
 	resp, _ := client.readResponse("POST")
@@ -54,9 +54,10 @@
 	must.Eq(t, 413, resp.StatusCode)
 }
 
-// TestHeaderAndIdleTimeouts closes an idle connection without a response, and one with a part of a request with one.
+// TestHeaderAndIdleTimeouts checks that an idle connection times out without a response, and one with a part of a
+// request with status 400.
 func TestHeaderAndIdleTimeouts(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.limits(&routingpb.Limits{HeaderTimeoutUs: 1, IdleTimeoutUs: 1})
 	w.dial().ends()
 	c := w.dial()
@@ -71,10 +72,10 @@
 	must.Len(t, 1, w.requests())
 }
 
-// TestSlowBodyTimesOut waits longer for a body than for a header, but not without a bound.
+// TestSlowBodyTimesOut checks that a body that does not arrive in time is rejected with status 408.
 func TestSlowBodyTimesOut(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 5", "Transfer-Encoding: chunked"} {
-		w := newWorld(t, nil)
+		w := newFixture(t, nil)
 		w.server.bodyTimeout = 0
 		w.limits(&routingpb.Limits{HeaderTimeoutUs: 1})
 		c := w.dial()
@@ -86,10 +87,10 @@
 	}
 }
 
-// TestBodyBytesAreBounded rejects a body before it is read while those of other requests fill the bound, and
-// accepts one after that.
+// TestBodyBytesAreBounded checks that a body is rejected before it has been read completely while, together with
+// the bodies of other requests, it exceeds the bound, and that bodies are accepted again after that.
 func TestBodyBytesAreBounded(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.server.maxBodyBytes = 100
 	h := w.block("/a")
 	post := func(framing string) string {
@@ -116,7 +117,7 @@
 }
 
 func TestRejectsWithoutRoutingTable(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	c := w.dial()
 	c.send(get("a"))
 	c.readResponse("GET")
--- a/request/gateway/smuggle_test.go
+++ b/request/gateway/smuggle_test.go
@@ -56,7 +56,7 @@
 		"two empty lines before one":   {"\r\n\r\nGET /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n\r\n", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newFixture(t, nil)
 			client := w.dial()
 			client.send(c.send + hidden)
 			resp, _ := client.readResponse("POST")
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestUnusualRequestsAreAccepted has requests that net/http tolerates: they are forwarded in the one way in
-// which they were read, and nothing in them is read as another request.
+// TestUnusualRequestsAreAccepted sends malformed requests that net/http tolerates. They must be forwarded in the
+// form in which they were parsed, and no part of them may be parsed as another request.
 func TestUnusualRequestsAreAccepted(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
 	start := "POST /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n"
@@ -85,7 +85,7 @@
 		"two equal lengths":  {start + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi", "hi", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newFixture(t, nil)
 			client := w.dial()
 			client.send(c.send)
 			resp, _ := client.readResponse("POST")
@@ -105,10 +105,10 @@
 	}
 }
 
-// TestRequestHiddenInBodyIsNotServed forwards a body that looks like a request as a body.
+// TestRequestHiddenInBodyIsNotServed checks that a body that looks like a request is forwarded as a body.
 func TestRequestHiddenInBodyIsNotServed(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\nTry-Id: hidden\r\n\r\n"
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	c := w.dial()
 	c.send("GET /x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\nContent-Length: 49\r\n\r\n" + hidden)
 	c.readResponse("GET")
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -30,7 +30,7 @@
 
 // script is a scripted state machine: its step function returns the actions for each event.
 type script struct {
-	w        *world
+	w        *fixture
 	req      dispatch.Request
 	step     func(s *script, ev dispatch.Event) []dispatch.Action
 	finished bool
@@ -55,7 +55,7 @@
 
 func finish(o dispatch.Outcome) dispatch.Finish { return dispatch.Finish{Outcome: o} }
 
-// forwardOnce sends one attempt and responds with its result.
+// forwardOnce is a step function that sends one attempt and responds with its result.
 func forwardOnce(s *script, ev dispatch.Event) []dispatch.Action {
 	switch v := ev.(type) {
 	case dispatch.Begin:
@@ -69,14 +69,14 @@
 	return nil
 }
 
-// receivedRequest is a request at the backend.
+// receivedRequest is a request that the backend received.
 type receivedRequest struct {
 	method, uri, host, body string
 	head                    http.Header
 }
 
-// world is a server with scripted state machines and a backend that is an httptest.Server.
-type world struct {
+// fixture is a server with scripted state machines and an httptest.Server as its backend.
+type fixture struct {
 	t             *testing.T
 	server        *Server
 	backend       snapshot.Backend
@@ -93,21 +93,21 @@
 }
 
 // setHandler replaces the handler of the backend.
-func (w *world) setHandler(serve func(http.ResponseWriter, *http.Request)) {
+func (w *fixture) setHandler(serve func(http.ResponseWriter, *http.Request)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.handleBackend = serve
 }
 
-func (w *world) backendHandler() func(http.ResponseWriter, *http.Request) {
+func (w *fixture) backendHandler() func(http.ResponseWriter, *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.handleBackend
 }
 
-func newWorld(t *testing.T, change func(w *world, c *Config)) *world {
+func newFixture(t *testing.T, change func(w *fixture, c *Config)) *fixture {
 	t.Helper()
-	w := &world{t: t, step: forwardOnce, events: map[string][]dispatch.Event{}, delivered: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
+	w := &fixture{t: t, step: forwardOnce, events: map[string][]dispatch.Event{}, delivered: make(chan dispatch.Event, 1000), counts: kernel.NewCounts()}
 	w.handleBackend = func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") }
 	b := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -144,19 +144,19 @@
 	return w
 }
 
-func (w *world) limits(l *routingpb.Limits) {
+func (w *fixture) limits(l *routingpb.Limits) {
 	w.snapshot.Store(&snapshot.Snapshot{Complete: true, Routing: routing.Compile(&routingpb.RoutingTable{Revision: 1, Limits: l})})
 }
 
-func (w *world) record(id string, ev dispatch.Event) {
+func (w *fixture) record(id string, ev dispatch.Event) {
 	w.mu.Lock()
 	w.events[id] = append(w.events[id], ev)
 	w.mu.Unlock()
 	w.delivered <- ev
 }
 
-// await waits for an event of a type at a state machine.
-func await[E dispatch.Event](w *world) E {
+// await waits until a state machine receives an event of type E, and returns the event.
+func await[E dispatch.Event](w *fixture) E {
 	for {
 		if ev, ok := (<-w.delivered).(E); ok {
 			return ev
@@ -164,22 +164,22 @@
 	}
 }
 
-func (w *world) requests() []receivedRequest {
+func (w *fixture) requests() []receivedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]receivedRequest(nil), w.received...)
 }
 
-// wireConn is a client's connection.
+// wireConn is the connection of a test client.
 type wireConn struct {
-	w *world
+	w *fixture
 	t *testing.T
 	*net.TCPConn
 	r *bufio.Reader
 }
 
-// dial opens a client's connection once the server listens.
-func (w *world) dial() *wireConn {
+// dial opens a client connection once the server listens.
+func (w *fixture) dial() *wireConn {
 	w.t.Helper()
 	for w.server.Addr() == "" {
 		runtime.Gosched()
@@ -206,7 +206,7 @@
 	return resp, string(body)
 }
 
-// next returns the connection for the next request: another one if the response was the last on this one.
+// next returns the connection for the next request, which is a new one if the response was the last on this one.
 func (c *wireConn) next(resp *http.Response) *wireConn {
 	c.t.Helper()
 	if resp.Close {
@@ -216,14 +216,14 @@
 	return c
 }
 
-// ends expects that the server closes the connection without sending more.
+// ends checks that the server closes the connection without sending more bytes.
 func (c *wireConn) ends() {
 	c.t.Helper()
 	rest, _ := io.ReadAll(c.r)
 	must.Eq(c.t, "", string(rest))
 }
 
-// get returns a complete request.
+// get returns a complete GET request with the given id and header lines.
 func get(id string, more ...string) string {
 	return "GET /a?b HTTP/1.1\r\nHost: h\r\nTry-Id: " + id + "\r\n" + strings.Join(more, "") + "\r\n"
 }
--- a/request/search/key_admission.go
+++ b/request/search/key_admission.go
@@ -7,22 +7,25 @@
 )
 
 const (
-	// maxAdmissionWait bounds the wait for the owners of a key; half of the deadline does too.
+	// maxAdmissionWait bounds the wait for the owners of a key, which is at most half of the time
+	// until the deadline.
 	maxAdmissionWait = 900 * clock.Millisecond
-	// admissionSlack is how much longer than the owners' coordinator the state machine waits.
+	// admissionSlack is how much longer the state machine waits than the idempotency coordinator,
+	// which asks the owners.
 	admissionSlack = 50 * clock.Millisecond
 )
 
 const (
-	// ReasonRetryBudgetExhausted is the reason of a rejected repeat that the retry budget cannot
-	// pay for.
+	// ReasonRetryBudgetExhausted is the reason for rejecting a repeat that the retry budget does not
+	// cover.
 	ReasonRetryBudgetExhausted = "a repeat, and the pool's budget of repeated tries is used up"
-	// ReasonTooFewKeyOwners begins the reason of a rejection because too few owners of the key answer.
+	// ReasonTooFewKeyOwners is the prefix of the reason for rejecting a request because too few
+	// owners of its key answered.
 	ReasonTooFewKeyOwners = "too few home nodes of the key: "
 )
 
-// requestAdmission asks the key's owners to admit the request. A search or read may run again;
-// for these it is only asked whether they are repeats.
+// requestAdmission asks the key's owners to admit the request. For a search or read, which may run
+// again, it only asks whether the request is a repeat.
 func (m *StateMachine) requestAdmission(now clock.Micros) {
 	if !m.request.AtMostOnce() {
 		m.emit(AdmitKey{Key: m.request.Key, OnlyDetectRepeat: true})
@@ -37,7 +40,7 @@
 	m.emit(SetTimer{At: min(m.deadline, now+timeout+admissionSlack)})
 }
 
-// keyChecked goes on with an admitted request and finishes any other.
+// keyChecked sends the request if its key was admitted and finishes it otherwise.
 func (m *StateMachine) keyChecked(now clock.Micros, a Admission) {
 	if m.state != StateClassified {
 		return
@@ -69,13 +72,15 @@
 	}
 }
 
-// LateAdmission returns how to resolve an admission that came after its request had finished, and
-// whether there is anything to resolve: a key admitted for nothing must not stay in progress.
+// LateAdmission returns the resolution of an admission that arrived after its request had finished,
+// and whether the key was admitted at all. A key that was admitted too late must be released, or it
+// would stay in progress.
 func LateAdmission(key string, a Admission) (ResolveKey, bool) {
 	return ResolveKey{Key: key, Resolution: ResolutionReleased, Token: a.Token}, a.Code == AdmissionGranted
 }
 
-// resolveKey tells the key's owners what became of the request that they admitted.
+// resolveKey emits the resolution of an admitted key for its owners. The key of a search or read is
+// resolved only if it is not a repeat and was sent to no backend.
 func (m *StateMachine) resolveKey(o *Outcome) {
 	if !m.keyAdmitted {
 		return
