--- a/review/lab/client.go
+++ b/review/lab/client.go
@@ -36,7 +36,7 @@
 	parts string
 	body  string
 	// kept reports whether the request went on a connection that had served before.
-	kept bool
+	reused bool
 }
 
 // dial opens a connection to a machine's node, which gets one second to come up.
@@ -49,21 +49,21 @@
 }
 
 // send sends one request and waits for the answer within a time. After an error the connection is closed.
-func (k *conn) send(method, host, path, body string, most time.Duration) (a answer, err error) {
-	a = answer{id: fmt.Sprintf("%016x", 0x1c41d07be2a30000+k.client.next.Add(1)), kept: k.served > 0}
+func (k *conn) send(method, host, path, body string, timeout time.Duration) (a answer, err error) {
+	a = answer{id: fmt.Sprintf("%016x", 0x1c41d07be2a30000+k.client.next.Add(1)), reused: k.served > 0}
 	rec, started := k.client.f.rec, time.Now()
 	defer func() {
 		if err != nil {
 			k.raw.Close()
-			rec.event("client: %s to machine %d, kept %t: no answer after %d ms: %v", a.id, k.machine, a.kept, time.Since(started).Milliseconds(), err)
+			rec.event("client: %s to machine %d, kept %t: no answer after %d ms: %v", a.id, k.machine, a.reused, time.Since(started).Milliseconds(), err)
 			return
 		}
 		k.served++
-		rec.event("client: %s to machine %d, kept %t: %d after %d ms", a.id, k.machine, a.kept, a.status, time.Since(started).Milliseconds())
+		rec.event("client: %s to machine %d, kept %t: %d after %d ms", a.id, k.machine, a.reused, a.status, time.Since(started).Milliseconds())
 	}()
-	k.raw.SetDeadline(started.Add(most))
+	k.raw.SetDeadline(started.Add(timeout))
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nTime-Budget: %d\r\n", method, path, host, a.id, most.Milliseconds())
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nTime-Budget: %d\r\n", method, path, host, a.id, timeout.Milliseconds())
 	if body != "" {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
 	}
@@ -92,13 +92,13 @@
 func (k *conn) closed() bool { return k.served < 0 }
 
 // once sends one request on a connection of its own.
-func (c *client) once(machine int, method, host, path, body string, most time.Duration) answer {
+func (c *client) once(machine int, method, host, path, body string, timeout time.Duration) answer {
 	k, err := c.dial(machine)
 	if err != nil {
 		c.f.rec.event("client: no connection to machine %d: %v", machine, err)
 		return answer{}
 	}
 	defer k.raw.Close()
-	a, _ := k.send(method, host, path, body, most)
+	a, _ := k.send(method, host, path, body, timeout)
 	return a
 }
--- a/review/lab/first_start_one.go
+++ b/review/lab/first_start_one.go
@@ -24,31 +24,31 @@
 // firstStartOneKilled starts a fleet of three machines for the first time and kills one core while it starts. It comes
 // back with the settings of that moment, in which bootstrap is false. The operator's first configuration is
 // acknowledged. Once the killed machine has been back for sync_time_s, another one loses its disk.
-func firstStartOneKilled(f *fleet, trouble bool) error {
+func firstStartOneKilled(f *fleet, disrupt bool) error {
 	start := func(machine int) error { return f.startMachine(machine, true) }
 	if err := start(2); err != nil {
 		return err
 	}
-	f.rec.at(0.15)
-	if trouble {
+	f.rec.waitUntil(0.15)
+	if disrupt {
 		f.kill(2, roleCore)
 	}
 	if err := errors.Join(start(0), start(1)); err != nil {
 		return err
 	}
-	if trouble {
-		f.rec.at(0.5)
+	if disrupt {
+		f.rec.waitUntil(0.5)
 		if err := f.start(2, roleCore, false); err != nil {
 			return err
 		}
 	}
 	back := time.Now()
 	o := newOperator(f)
-	if status := o.order(0, http.MethodPut, "/-/config", 0, []byte(firstConfig), 20*time.Second); status != http.StatusOK {
+	if status := o.submit(0, http.MethodPut, "/-/config", 0, []byte(firstConfig), 20*time.Second); status != http.StatusOK {
 		return fmt.Errorf("the first configuration was not acknowledged: %d", status)
 	}
 	time.Sleep(time.Until(back.Add(syncTime + 500*time.Millisecond)))
-	if trouble {
+	if disrupt {
 		// Neither of the two was in trouble before. The one that has stored more is taken, as a day's "leader" would be.
 		victim := f.fullestDisk(0, 1)
 		f.kill(victim, roleCore)
--- a/review/lab/first_start_removed.go
+++ b/review/lab/first_start_removed.go
@@ -13,15 +13,15 @@
 // firstStartOneRemoved starts a fleet of three machines for the first time, within 0.3 s, and removes machine 2 for good
 // while it starts. Another machine with the same roles, at a new address and with an empty disk, is there 1 s later. The
 // operator sends its first configuration until it is taken, and clients send requests.
-func firstStartOneRemoved(f *fleet, trouble bool) error {
+func firstStartOneRemoved(f *fleet, disrupt bool) error {
 	if err := serveOneBackend(f); err != nil {
 		return err
 	}
 	if err := f.startMachine(2, true); err != nil {
 		return err
 	}
-	f.rec.at(0.2)
-	if trouble {
+	f.rec.waitUntil(0.2)
+	if disrupt {
 		f.kill(2, roleCore)
 		f.kill(2, roleNode)
 	}
@@ -29,14 +29,14 @@
 		return err
 	}
 	o := newOperator(f)
-	if trouble {
-		f.rec.at(1.2)
+	if disrupt {
+		f.rec.waitUntil(1.2)
 		if err := f.startMachine(replacement, false); err != nil {
 			return err
 		}
 		// The list that callers choose from lags by seed_lag_s.
-		f.rec.at(4.2)
+		f.rec.waitUntil(4.2)
 		o.machines = []int{0, 1, replacement}
 	}
-	return serveAtLast(f, o, 45*time.Second)
+	return awaitService(f, o, 45*time.Second)
 }
--- a/review/lab/first_start_seed.go
+++ b/review/lab/first_start_seed.go
@@ -13,36 +13,36 @@
 // firstStartSeedKilled starts a fleet of three machines for the first time, within 0.3 s, and kills the core of the
 // first machine while it starts. It comes back half a second later with the settings of that moment, in which bootstrap
 // is false. The operator sends its first configuration until it is taken, and clients send requests.
-func firstStartSeedKilled(f *fleet, trouble bool) error {
+func firstStartSeedKilled(f *fleet, disrupt bool) error {
 	if err := serveOneBackend(f); err != nil {
 		return err
 	}
 	if err := f.startMachine(0, true); err != nil {
 		return err
 	}
-	f.rec.at(0.2)
-	if trouble {
+	f.rec.waitUntil(0.2)
+	if disrupt {
 		f.kill(0, roleCore)
 	}
 	if err := errors.Join(f.startMachine(1, true), f.startMachine(2, true)); err != nil {
 		return err
 	}
-	if trouble {
-		f.rec.at(0.7)
+	if disrupt {
+		f.rec.waitUntil(0.7)
 		if err := f.start(0, roleCore, false); err != nil {
 			return err
 		}
 	}
-	return serveAtLast(f, newOperator(f), 45*time.Second)
+	return awaitService(f, newOperator(f), 45*time.Second)
 }
 
-// serveAtLast sends the first configuration until it is taken, and requests to all machines, for some time. It breaks
+// awaitService sends the first configuration until it is taken, and requests to all machines, for some time. It breaks
 // the rule if none is ever served.
-func serveAtLast(f *fleet, o *operator, most time.Duration) error {
+func awaitService(f *fleet, o *operator, timeout time.Duration) error {
 	c, status, sent, served := &client{f: f}, 0, 0, 0
-	for end := time.Now().Add(most); time.Now().Before(end) && served < 10; {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && served < 10; {
 		if status != http.StatusOK {
-			status = o.order(0, http.MethodPut, "/-/config", 0, []byte(firstConfig), 4*time.Second)
+			status = o.submit(0, http.MethodPut, "/-/config", 0, []byte(firstConfig), 4*time.Second)
 		}
 		for _, machine := range o.machines {
 			sent++
@@ -54,7 +54,7 @@
 	}
 	if status != http.StatusOK || served == 0 {
 		return fmt.Errorf("%w: the last answer to the first configuration is %d, and %d of %d requests were served in %.0f s",
-			errBroken, status, served, sent, f.rec.since())
+			errBroken, status, served, sent, f.rec.elapsed())
 	}
 	return nil
 }
@@ -62,6 +62,6 @@
 // serveOneBackend serves the platform's list with one sound backend.
 func serveOneBackend(f *fleet) error {
 	p, b := &platform{}, &backend{rec: f.rec, id: "i-one", ran: &sync.Map{}, work: func() time.Duration { return 5 * time.Millisecond }}
-	p.list(member{ID: b.id, Pool: "p-one", Address: f.backendAddress(1), Zone: f.zones[0], Revision: "v1", Capacity: 4, AdminState: "in_service"})
+	p.setMember(member{ID: b.id, Pool: "p-one", Address: f.backendAddress(1), Zone: f.zones[0], Revision: "v1", Capacity: 4, AdminState: "in_service"})
 	return errors.Join(p.serve(f.platformAddress()), serveHTTP(f.backendAddress(1), b))
 }
--- a/review/lab/fleet.go
+++ b/review/lab/fleet.go
@@ -43,8 +43,8 @@
 
 	mu        sync.Mutex
 	processes map[string]*process
-	// selfEnds counts how often each process ended by itself.
-	selfEnds map[string]int
+	// unexpectedExits counts how often each process ended by itself.
+	unexpectedExits map[string]int
 	// stopped is set once all processes are to end: no other is started.
 	stopped bool
 }
@@ -53,13 +53,13 @@
 type process struct {
 	name   string
 	cmd    *exec.Cmd
-	ended  chan struct{}
+	exited chan struct{}
 	killed bool
 }
 
 // newFleet returns a fleet of machines in as many zones, on addresses and ports that are free.
 func newFleet(rec *record, binary, dir string, machines int) (*fleet, error) {
-	f := &fleet{rec: rec, binary: binary, dir: dir, machines: machines, processes: map[string]*process{}, selfEnds: map[string]int{}}
+	f := &fleet{rec: rec, binary: binary, dir: dir, machines: machines, processes: map[string]*process{}, unexpectedExits: map[string]int{}}
 	for i := range machines {
 		f.zones = append(f.zones, fmt.Sprintf("z%d", i+1))
 	}
@@ -164,20 +164,20 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p := &process{name: name, cmd: cmd, ended: make(chan struct{})}
+	p := &process{name: name, cmd: cmd, exited: make(chan struct{})}
 	f.processes[name] = p
 	go func() {
 		err := cmd.Wait()
 		f.mu.Lock()
 		killed := p.killed
 		if !killed {
-			f.selfEnds[name]++
+			f.unexpectedExits[name]++
 		}
 		f.mu.Unlock()
 		if !killed {
 			f.rec.event("%s ends by itself: %v", name, err)
 		}
-		close(p.ended)
+		close(p.exited)
 	}()
 	f.rec.event("%s starts, bootstrap = %t", name, bootstrap)
 	return nil
@@ -195,10 +195,10 @@
 }
 
 // ends returns how often a process has ended by itself.
-func (f *fleet) ends(machine int, role string) int {
+func (f *fleet) exits(machine int, role string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.selfEnds[fmt.Sprintf("%s-%d", role, machine)]
+	return f.unexpectedExits[fmt.Sprintf("%s-%d", role, machine)]
 }
 
 // kill ends a process with SIGKILL and waits for its end.
@@ -208,7 +208,7 @@
 	p.killed = true
 	f.mu.Unlock()
 	p.cmd.Process.Signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 	f.rec.event("%s is killed", p.name)
 }
 
@@ -220,7 +220,7 @@
 
 // fullestDisk returns which of some machines has the most bytes in its data folder.
 func (f *fleet) fullestDisk(machines ...int) int {
-	best, most := machines[0], int64(-1)
+	best, bestSize := machines[0], int64(-1)
 	for _, machine := range machines {
 		size := int64(0)
 		entries, _ := os.ReadDir(f.dataDir(machine))
@@ -230,8 +230,8 @@
 			}
 		}
 		f.rec.event("machine %d has %d bytes on its disk", machine, size)
-		if size > most {
-			best, most = machine, size
+		if size > bestSize {
+			best, bestSize = machine, size
 		}
 	}
 	return best
@@ -250,7 +250,7 @@
 	for _, p := range all {
 		p.cmd.Process.Signal(syscall.SIGKILL)
 		select {
-		case <-p.ended:
+		case <-p.exited:
 		case <-time.After(5 * time.Second):
 		}
 	}
--- a/review/lab/main.go
+++ b/review/lab/main.go
@@ -26,7 +26,7 @@
 var errBroken = errors.New("the rule is broken")
 
 // cases are the cases by their names. Each file of a case adds its own.
-var cases = map[string]func(f *fleet, trouble bool) error{}
+var cases = map[string]func(f *fleet, disrupt bool) error{}
 
 func main() { os.Exit(run(os.Args[1:])) }
 
@@ -57,7 +57,7 @@
 		return exitNotRun
 	}
 	defer f.stopAll()
-	go stopEarly(f)
+	go stopOnSignalOrTimeout(f)
 	err = cases[args[0]](f, os.Getenv("TROUBLE") != "0")
 	switch {
 	case err == nil:
@@ -74,16 +74,16 @@
 	return exitNotRun
 }
 
-// mostTime is how long a case may run at most.
-const mostTime = 115 * time.Second
+// maxCaseTime is how long a case may run at most.
+const maxCaseTime = 115 * time.Second
 
-// stopEarly ends everything when this program is told to end or the case takes too long.
-func stopEarly(f *fleet) {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
+// stopOnSignalOrTimeout ends everything when this program is told to end or the case takes too long.
+func stopOnSignalOrTimeout(f *fleet) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
-	case <-told:
-	case <-time.After(mostTime):
+	case <-signals:
+	case <-time.After(maxCaseTime):
 	}
 	f.rec.event("verdict: could not run to its end")
 	f.stopAll()
--- a/review/lab/operator.go
+++ b/review/lab/operator.go
@@ -50,9 +50,9 @@
 
 // order sends an order to one machine after the other until one acknowledges it, refuses it clearly, or the time is
 // over. It returns the last status.
-func (o *operator) order(first int, method, path string, match int, body []byte, most time.Duration) int {
+func (o *operator) submit(first int, method, path string, match int, body []byte, timeout time.Duration) int {
 	pause, status := 50*time.Millisecond, 0
-	for end, i := time.Now().Add(most), first; time.Now().Before(end); i++ {
+	for end, i := time.Now().Add(timeout), first; time.Now().Before(end); i++ {
 		machine := o.machines[i%len(o.machines)]
 		status, _ = o.call(machine, method, path, match, body)
 		o.f.rec.event("operator: %s %s If-Match %d at machine %d: %d", method, path, match, machine, status)
@@ -77,8 +77,8 @@
 
 // readBack asks all machines for the configuration, again and again, until one answers with a revision or the time is
 // over.
-func (o *operator) readBack(most time.Duration) (revision int) {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
+func (o *operator) readBack(timeout time.Duration) (revision int) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
 		for _, machine := range o.machines {
 			revision, status := o.revisionAt(machine)
 			o.f.rec.event("operator: GET /-/config at machine %d: %d, revision %d", machine, status, revision)
--- a/review/lab/ramp.go
+++ b/review/lab/ramp.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func init() { cases["ramp-without-bound"] = ramp }
+func init() { cases["ramp-without-bound"] = rampWithoutBound }
 
 // rampConfig is a configuration of one route and one pool, with the pool's ramp_per_s.
 func rampConfig(revision int, ramp string) []byte {
@@ -23,9 +23,9 @@
 // restartAfter is how long after its end a process is started again.
 const restartAfter = 500 * time.Millisecond
 
-// ramp starts backends while traffic flows, after the operator has set a ramp_per_s so high that it bounds nothing.
+// rampWithoutBound starts backends while traffic flows, after the operator has set a ramp_per_s so high that it bounds nothing.
 // Without the trouble the operator leaves it at 0. Processes that end are started again.
-func ramp(f *fleet, trouble bool) error {
+func rampWithoutBound(f *fleet, disrupt bool) error {
 	p, c, o := &platform{}, &client{f: f}, newOperator(f)
 	add := func(n int, slowStart float64) error {
 		b := &backend{rec: f.rec, id: fmt.Sprintf("i-%d", n), ran: &sync.Map{}, slots: make(chan struct{}, 2), work: func() time.Duration {
@@ -34,7 +34,7 @@
 			}
 			return 20 * time.Millisecond
 		}}
-		p.list(member{ID: b.id, Pool: "p-one", Address: f.backendAddress(n), Zone: f.zones[n%3], Revision: "v1", Capacity: 2, AdminState: "in_service", SlowStart: slowStart})
+		p.setMember(member{ID: b.id, Pool: "p-one", Address: f.backendAddress(n), Zone: f.zones[n%3], Revision: "v1", Capacity: 2, AdminState: "in_service", SlowStart: slowStart})
 		return serveHTTP(f.backendAddress(n), b)
 	}
 	if err := errors.Join(p.serve(f.platformAddress()), add(1, 0), add(2, 0), add(3, 0)); err != nil {
@@ -45,10 +45,10 @@
 			return err
 		}
 	}
-	if status := o.order(0, http.MethodPut, "/-/config", 0, rampConfig(7, "0.0"), 20*time.Second); status != http.StatusOK {
+	if status := o.submit(0, http.MethodPut, "/-/config", 0, rampConfig(7, "0.0"), 20*time.Second); status != http.StatusOK {
 		return fmt.Errorf("the first configuration was not acknowledged: %d", status)
 	}
-	f.rec.at(6)
+	f.rec.waitUntil(6)
 	var lost, sent atomic.Int64
 	var all sync.WaitGroup
 	stop := make(chan struct{})
@@ -58,34 +58,34 @@
 		}
 		all.Go(func() { keepRunning(f, machine, stop) })
 	}
-	f.rec.at(14)
-	if trouble {
-		if status := o.order(0, http.MethodPut, "/-/config", 7, rampConfig(9, "1000000000"), 5*time.Second); status != http.StatusOK {
+	f.rec.waitUntil(14)
+	if disrupt {
+		if status := o.submit(0, http.MethodPut, "/-/config", 7, rampConfig(9, "1000000000"), 5*time.Second); status != http.StatusOK {
 			return fmt.Errorf("the second configuration was not acknowledged: %d", status)
 		}
 	}
 	for n := range 14 {
-		f.rec.at(18 + 4*float64(n))
+		f.rec.waitUntil(18 + 4*float64(n))
 		f.rec.event("backend %d starts", 4+n)
 		if err := add(4+n, 3000); err != nil {
 			return err
 		}
 	}
-	f.rec.at(74)
+	f.rec.waitUntil(74)
 	close(stop)
 	all.Wait()
-	often := 0
+	crashing := 0
 	for machine := range f.machines {
-		n := f.ends(machine, roleNode)
+		n := f.exits(machine, roleNode)
 		f.rec.event("node-%d has ended %d times by itself", machine, n)
 		if n >= 3 {
-			often++
+			crashing++
 		}
 	}
 	f.rec.event("%d requests sent, %d kept connections closed without an answer", sent.Load(), lost.Load())
-	if often >= 2 {
+	if crashing >= 2 {
 		return fmt.Errorf("%w: on %d of %d machines the node ended by itself three times or more, and %d kept connections were closed without an answer",
-			errBroken, often, f.machines, lost.Load())
+			errBroken, crashing, f.machines, lost.Load())
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 		}
 		sent.Add(1)
 		a, err := k.send(http.MethodGet, "file10.example", "/one/a", "", 2*time.Second)
-		if err != nil && a.kept {
+		if err != nil && a.reused {
 			lost.Add(1)
 		}
 		if err != nil || k.closed() {
@@ -124,7 +124,7 @@
 		select {
 		case <-stop:
 			return
-		case <-f.process(machine, roleNode).ended:
+		case <-f.process(machine, roleNode).exited:
 		}
 		time.Sleep(restartAfter)
 		if err := f.start(machine, roleNode, false); err != nil {
--- a/review/lab/record.go
+++ b/review/lab/record.go
@@ -30,9 +30,9 @@
 }
 
 // at waits for a moment, counted from the start.
-func (r *record) at(seconds float64) {
+func (r *record) waitUntil(seconds float64) {
 	time.Sleep(time.Until(r.start.Add(time.Duration(seconds * float64(time.Second)))))
 }
 
 // since returns the seconds since the start.
-func (r *record) since() float64 { return time.Since(r.start).Seconds() }
+func (r *record) elapsed() float64 { return time.Since(r.start).Seconds() }
--- a/review/lab/shards.go
+++ b/review/lab/shards.go
@@ -48,14 +48,14 @@
 
 // shardNamedTwice has the operator set a configuration whose gathered route names one shard twice. It is a change that
 // no page calls invalid; where it is refused, the rule holds.
-func shardNamedTwice(f *fleet, trouble bool) error {
+func shardNamedTwice(f *fleet, disrupt bool) error {
 	p, c, o := &platform{}, &client{f: f}, newOperator(f)
 	if err := p.serve(f.platformAddress()); err != nil {
 		return err
 	}
 	for n, pool := range []string{"p-a", "p-a", "p-b", "p-b", "p-c", "p-c", "p-d", "p-d"} {
 		b := &backend{rec: f.rec, id: fmt.Sprintf("i-%d", n), ran: &sync.Map{}, pool: pool, body: records(pool), work: func() time.Duration { return 5 * time.Millisecond }}
-		p.list(member{ID: b.id, Pool: pool, Address: f.backendAddress(n), Zone: f.zones[n%3], Revision: "v1", Capacity: 4, AdminState: "in_service"})
+		p.setMember(member{ID: b.id, Pool: pool, Address: f.backendAddress(n), Zone: f.zones[n%3], Revision: "v1", Capacity: 4, AdminState: "in_service"})
 		if err := serveHTTP(f.backendAddress(n), b); err != nil {
 			return err
 		}
@@ -65,14 +65,14 @@
 			return err
 		}
 	}
-	if status := o.order(0, http.MethodPut, "/-/config", 0, shardConfig(7, "p-a", "p-b", "p-c", "p-d"), 20*time.Second); status != http.StatusOK {
+	if status := o.submit(0, http.MethodPut, "/-/config", 0, shardConfig(7, "p-a", "p-b", "p-c", "p-d"), 20*time.Second); status != http.StatusOK {
 		return fmt.Errorf("the first configuration was not acknowledged: %d", status)
 	}
-	f.rec.at(6)
-	if trouble {
-		status := o.order(0, http.MethodPut, "/-/config", 7, shardConfig(9, "p-a", "p-b", "p-c", "p-a"), 5*time.Second)
+	f.rec.waitUntil(6)
+	if disrupt {
+		status := o.submit(0, http.MethodPut, "/-/config", 7, shardConfig(9, "p-a", "p-b", "p-c", "p-a"), 5*time.Second)
 		f.rec.event("the order that names p-a twice is answered %d", status)
-		f.rec.at(10) // config_apply_ms and a second later
+		f.rec.waitUntil(10) // config_apply_ms and a second later
 	}
 	good, bad := 0, 0
 	for range 50 {
@@ -81,7 +81,7 @@
 			if a.status != http.StatusOK {
 				continue
 			}
-			if fault := judgeParts(a); fault != nil {
+			if fault := checkParts(a); fault != nil {
 				bad++
 				f.rec.event("client: %s: %v", a.id, fault)
 				continue
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// judgeParts judges a gathered success by its stamps, MEMBER.SERVICE.NUMBER, and its body.
-func judgeParts(a answer) error {
+// checkParts judges a gathered success by its stamps, MEMBER.SERVICE.NUMBER, and its body.
+func checkParts(a answer) error {
 	var pools []string
 	for part := range strings.SplitSeq(a.parts, ",") {
 		fields := strings.Split(strings.TrimSpace(part), ".")
--- a/review/lab/standins.go
+++ b/review/lab/standins.go
@@ -42,7 +42,7 @@
 }
 
 // list adds a member, or replaces the one of the same id.
-func (p *platform) list(m member) {
+func (p *platform) setMember(m member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.members {
--- a/smoke/platform_test.go
+++ b/smoke/platform_test.go
@@ -94,16 +94,16 @@
 	return o.b.String()
 }
 
-// until looks for an event again and again; only a hang reaches its end.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor looks for an event again and again; only a hang reaches its end.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	look := time.NewTicker(20 * time.Millisecond)
-	defer look.Stop()
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
 	for !ok() {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			t.Fatal("never happened: " + what)
 		}
@@ -171,7 +171,7 @@
 	}
 	config := `{"revision":3,"routing_table":[{"name":"r","virtual_host":"h.example","path_prefix":"/a/","route_type":"idempotent","timeout_ms":5000,"target_latency_ms":500,"priority":0,"pool":"p","max_retries":2,"new":1}],` +
 		`"pools":[{"name":"p","health_probe":"/health","max_connections":80,"slow_start_s":3.0,"ramp_per_s":0.0}]}`
-	until(t, "the first configuration is taken", func() bool {
+	waitFor(t, "the first configuration is taken", func() bool {
 		status, _, _ := send("PUT", at(6)+"/-/config", "0", config)
 		return status == 200
 	})
@@ -180,22 +180,22 @@
 	must.Eq(t, config+"\n", got)
 	status, _, _ = send("PUT", at(6)+"/-/config", "0", strings.Replace(config, "5000", "4000", 1))
 	must.Eq(t, 412, status)
-	until(t, "the node is ready", func() bool { status, _, _ := send("GET", at(5)+"/-/readiness", "", ""); return status == 200 })
+	waitFor(t, "the node is ready", func() bool { status, _, _ := send("GET", at(5)+"/-/readiness", "", ""); return status == 200 })
 	var head http.Header
-	until(t, "a request is served", func() bool {
+	waitFor(t, "a request is served", func() bool {
 		status, head, got = send("GET", at(4)+"/a/x?y=1", "", "")
 		return status == 200
 	})
 	must.Eq(t, "from the backend", got)
 	must.Eq(t, "seal-of-/a/x", head.Get("Answer-Seal"))
-	seesFailure(t, at(4), at(2), outs[1])
+	checkFailureIsExplained(t, at(4), at(2), outs[1])
 	for _, method := range []string{"POST", "DELETE"} {
 		status, _, _ = send(method, at(6)+"/-/evacuate/z1", "", "")
 		must.Eq(t, 200, status)
 	}
 
 	write(seed, "[broken\n")
-	until(t, "both refuse the broken settings", func() bool {
+	waitFor(t, "both refuse the broken settings", func() bool {
 		return strings.Contains(outs[0].String(), "settings_refused") && strings.Contains(outs[1].String(), "settings_refused")
 	})
 	cmd := exec.Command(filepath.Join(bin, "wallport"), "check-env", "--on-platform", file)
@@ -207,7 +207,7 @@
 	for _, p := range procs {
 		must.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	}
-	until(t, "both take up the new seeds", func() bool {
+	waitFor(t, "both take up the new seeds", func() bool {
 		return strings.Contains(outs[0].String(), "seeds_changed") && strings.Contains(outs[1].String(), "seeds_changed")
 	})
 	text, err = exec.Command(filepath.Join(bin, "wallport"), "check-env", "--on-platform", "--role", "core", file).CombinedOutput()
--- a/smoke/sight_test.go
+++ b/smoke/sight_test.go
@@ -11,12 +11,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// seesFailure sends a request that its backend fails and looks for all that tells of it.
-func seesFailure(t *testing.T, clients, operator string, log *output) {
+// checkFailureIsExplained sends a request that its backend fails and looks for all that tells of it.
+func checkFailureIsExplained(t *testing.T, clients, operator string, log *output) {
 	t.Helper()
 	status, _, _ := send("GET", clients+"/a/fails", "", "")
 	must.Eq(t, http.StatusBadGateway, status)
-	until(t, "the failed request has its line", func() bool {
+	waitFor(t, "the failed request has its line", func() bool {
 		text := log.String()
 		at := strings.Index(text, "event=request_failed")
 		return at >= 0 && strings.Contains(text[at:], "id=a1 ") && strings.Contains(text[at:], "a success without a seal")
--- a/surface/commands_test.go
+++ b/surface/commands_test.go
@@ -18,8 +18,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// formsWithin is a limit that only a hang reaches.
-const formsWithin = time.Minute
+// startTimeout is a limit that only a hang reaches.
+const startTimeout = time.Minute
 
 // run gives what a command prints, without the environment's defaults; it may fail.
 func run(t *testing.T, bin string, args ...string) string {
@@ -110,7 +110,7 @@
 // fleet starts three cores and waits until each has written all kinds of files, the last being a
 // part's content. The names on the figures' page that a core has from its start are compared.
 func fleet(t *testing.T, bin string) {
-	ctx, cancel := context.WithTimeout(t.Context(), formsWithin)
+	ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
 	defer cancel()
 	const cores = 3
 	at, dir := freePorts(t, 2*cores), t.TempDir()
@@ -130,7 +130,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("no part was written within %s: %v", formsWithin, names)
+			t.Fatalf("no part was written within %s: %v", startTimeout, names)
 		case <-tick.C:
 		}
 	}
--- a/surface/golden_test.go
+++ b/surface/golden_test.go
@@ -63,12 +63,12 @@
 // diff shows the lines that only one of two texts has.
 func diff(want, got string) string {
 	only := func(a, b, sign string) (out string) {
-		there := map[string]int{}
+		unmatched := map[string]int{}
 		for _, l := range strings.Split(b, "\n") {
-			there[l]++
+			unmatched[l]++
 		}
 		for i, l := range strings.Split(a, "\n") {
-			if there[l]--; there[l] < 0 {
+			if unmatched[l]--; unmatched[l] < 0 {
 				out += fmt.Sprintf("%s%d: %s\n", sign, i+1, l)
 			}
 		}
--- a/surface/source_test.go
+++ b/surface/source_test.go
@@ -16,8 +16,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// noProduct are folders, at any depth, whose code is not part of the deployed program.
-var noProduct = regexp.MustCompile(`(^|/)(lab|tools|design|gen)/`)
+// notDeployed are folders, at any depth, whose code is not part of the deployed program.
+var notDeployed = regexp.MustCompile(`(^|/)(lab|tools|design|gen)/`)
 
 // sources parses the module's Go files that are no tests, wherever they stand.
 func sources(t *testing.T) (all, product []*ast.File) {
@@ -37,7 +37,7 @@
 			return err
 		}
 		all = append(all, f)
-		if rel := filepath.ToSlash(strings.TrimPrefix(path, top)); !ast.IsGenerated(f) && !noProduct.MatchString(rel) {
+		if rel := filepath.ToSlash(strings.TrimPrefix(path, top)); !ast.IsGenerated(f) && !notDeployed.MatchString(rel) {
 			product = append(product, f)
 		}
 		return nil
@@ -58,12 +58,12 @@
 
 // texts are the string literals in a tree, without imports and tags.
 func texts(root ast.Node) []string {
-	aside := map[*ast.BasicLit]bool{}
-	each(root, func(i *ast.ImportSpec) { aside[i.Path] = true })
-	each(root, func(f *ast.Field) { aside[f.Tag] = true })
+	excluded := map[*ast.BasicLit]bool{}
+	each(root, func(i *ast.ImportSpec) { excluded[i.Path] = true })
+	each(root, func(f *ast.Field) { excluded[f.Tag] = true })
 	var out []string
 	each(root, func(l *ast.BasicLit) {
-		if s, err := strconv.Unquote(l.Value); l.Kind == token.STRING && !aside[l] && err == nil {
+		if s, err := strconv.Unquote(l.Value); l.Kind == token.STRING && !excluded[l] && err == nil {
 			out = append(out, s)
 		}
 	})
--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -14,60 +14,60 @@
 
 const listedLine = "wallport/a.TestKnown, a cause, with commas, #21\n"
 
-// judged runs the judgement over events, one JSON object a line.
-func judged(t *testing.T, list string, exited bool, events ...string) []string {
+// problemsOf runs the judgement over events, one JSON object a line.
+func problemsOf(t *testing.T, list string, nonZeroExit bool, events ...string) []string {
 	t.Helper()
 	known, err := parseList(strings.NewReader(list))
 	must.NoError(t, err)
 	o := newOutcome()
 	must.NoError(t, o.read(bufio.NewReader(strings.NewReader(strings.Join(events, "\n"))), io.Discard))
-	wrong := o.judge(known, exited)
-	slices.Sort(wrong)
-	return wrong
+	problems := o.problems(known, nonZeroExit)
+	slices.Sort(problems)
+	return problems
 }
 
-func ended(action, pkg, test string) string {
+func endEvent(action, pkg, test string) string {
 	return `{"Action":"` + action + `","Package":"` + pkg + `","Test":"` + test + `"}`
 }
 
 func TestOnlyListedFailuresPass(t *testing.T) {
-	passes := ended(passed, "wallport/a", "TestFine")
-	fails := ended(failed, "wallport/a", "TestKnown")
-	packageFails := ended(failed, "wallport/a", "")
+	passes := endEvent(passed, "wallport/a", "TestFine")
+	fails := endEvent(failed, "wallport/a", "TestKnown")
+	packageFails := endEvent(failed, "wallport/a", "")
 	for _, c := range []struct {
-		name, list string
-		exited     bool
-		events     []string
-		want       []string
+		name, list  string
+		nonZeroExit bool
+		events      []string
+		want        []string
 	}{
-		{"all pass", "", false, []string{passes, ended(passed, "wallport/a", "")}, nil},
+		{"all pass", "", false, []string{passes, endEvent(passed, "wallport/a", "")}, nil},
 		{"a listed one fails", listedLine, true, []string{passes, fails, packageFails}, nil},
-		{"with a subtest of its own", listedLine, true, []string{ended(failed, "wallport/a", "TestKnown/sub"), fails, packageFails}, nil},
+		{"with a subtest of its own", listedLine, true, []string{endEvent(failed, "wallport/a", "TestKnown/sub"), fails, packageFails}, nil},
 		{"an unlisted one fails", "", true, []string{fails, packageFails}, []string{"package wallport/a failed", "wallport/a.TestKnown failed"}},
-		{"another fails beside it", listedLine, true, []string{fails, ended(failed, "wallport/a", "TestOther"), packageFails}, []string{"wallport/a.TestOther failed"}},
-		{"one of that name elsewhere fails", listedLine, true, []string{fails, packageFails, ended(failed, "wallport/b", "TestKnown"), ended(failed, "wallport/b", "")},
+		{"another fails beside it", listedLine, true, []string{fails, endEvent(failed, "wallport/a", "TestOther"), packageFails}, []string{"wallport/a.TestOther failed"}},
+		{"one of that name elsewhere fails", listedLine, true, []string{fails, packageFails, endEvent(failed, "wallport/b", "TestKnown"), endEvent(failed, "wallport/b", "")},
 			[]string{"package wallport/b failed", "wallport/b.TestKnown failed"}},
-		{"the listed one passes", listedLine, false, []string{ended(passed, "wallport/a", "TestKnown")}, []string{"wallport/a.TestKnown is listed and passes: take it off the list"}},
+		{"the listed one passes", listedLine, false, []string{endEvent(passed, "wallport/a", "TestKnown")}, []string{"wallport/a.TestKnown is listed and passes: take it off the list"}},
 		{"the listed one is not there", listedLine, false, []string{passes}, []string{"wallport/a.TestKnown is listed and did not run"}},
-		{"the listed one is skipped", listedLine, false, []string{ended(skipped, "wallport/a", "TestKnown")}, nil},
+		{"the listed one is skipped", listedLine, false, []string{endEvent(skipped, "wallport/a", "TestKnown")}, nil},
 		{"it ends its whole package", listedLine, true, []string{`{"Action":"output","Package":"wallport/a","Test":"TestKnown","Output":"panic: boom\n"}`, fails, packageFails},
 			[]string{"package wallport/a failed"}},
-		{"a package does not build", listedLine, true, []string{fails, packageFails, ended(failed, "wallport/b", "")}, []string{"package wallport/b failed"}},
+		{"a package does not build", listedLine, true, []string{fails, packageFails, endEvent(failed, "wallport/b", "")}, []string{"package wallport/b failed"}},
 		{"nothing builds", "", true, []string{"some text"}, []string{"go test failed before any test ran", "no test ran in 0 failed packages"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			must.Eq(t, c.want, judged(t, c.list, c.exited, c.events...))
+			must.Eq(t, c.want, problemsOf(t, c.list, c.nonZeroExit, c.events...))
 		})
 	}
 }
 
-func TestWhatATestPrintedThatNeverEndedIsShown(t *testing.T) {
+func TestOutputOfUnfinishedTestIsPrinted(t *testing.T) {
 	var out strings.Builder
 	o := newOutcome()
 	must.NoError(t, o.read(bufio.NewReader(strings.NewReader(strings.Join([]string{
 		`{"Action":"output","Package":"wallport/a","Test":"TestHangs","Output":"panic: test timed out\n"}`,
 		`{"Action":"output","Package":"wallport/a","Test":"TestFine","Output":"of no interest\n"}`,
-		ended(passed, "wallport/a", "TestFine"), ended(failed, "wallport/a", ""),
+		endEvent(passed, "wallport/a", "TestFine"), endEvent(failed, "wallport/a", ""),
 	}, "\n"))), &out))
 	must.Eq(t, "panic: test timed out\n", out.String())
 }
--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// entriesMost is how many known failures there may be.
-const entriesMost = 3
+// maxEntries is how many known failures there may be.
+const maxEntries = 3
 
 // entry is one known failure. Its test is written PACKAGE.TestName, the package as go test prints it.
 type entry struct{ test, cause, issue string }
@@ -31,8 +31,8 @@
 		}
 		out = append(out, e)
 	}
-	if len(out) > entriesMost {
-		return nil, fmt.Errorf("%s: %d lines, %d may be", listFile, len(out), entriesMost)
+	if len(out) > maxEntries {
+		return nil, fmt.Errorf("%s: %d lines, %d may be", listFile, len(out), maxEntries)
 	}
 	return out, lines.Err()
 }
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -45,13 +45,13 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	seen := newOutcome()
-	readErr := seen.read(bufio.NewReader(events), out)
+	result := newOutcome()
+	readErr := result.read(bufio.NewReader(events), out)
 	exit := cmd.Wait()
 	if readErr != nil {
 		return readErr
 	}
-	return report(out, seen.judge(known, exit != nil), known)
+	return report(out, result.problems(known, exit != nil), known)
 }
 
 // readList reads the known failures; without the file there are none.
@@ -68,16 +68,16 @@
 }
 
 // report prints the known failures and what is wrong beside them.
-func report(out io.Writer, wrong []string, known []entry) error {
+func report(out io.Writer, problems []string, known []entry) error {
 	for _, e := range known {
 		fmt.Fprintf(out, "known red: %s, %s, %s\n", e.test, e.cause, e.issue)
 	}
-	slices.Sort(wrong)
-	for _, w := range wrong {
+	slices.Sort(problems)
+	for _, w := range problems {
 		fmt.Fprintln(out, "knownred:", w)
 	}
-	if len(wrong) > 0 {
-		return fmt.Errorf("%d findings", len(wrong))
+	if len(problems) > 0 {
+		return fmt.Errorf("%d findings", len(problems))
 	}
 	return nil
 }
--- a/tools/knownred/outcome.go
+++ b/tools/knownred/outcome.go
@@ -76,16 +76,16 @@
 	case "build-output":
 		io.WriteString(out, e.Output)
 	case passed, failed, skipped:
-		o.ended(e, key, printed, out)
+		o.recordEnd(e, key, printed, out)
 	}
 }
 
-// ended takes the end of a test or a package.
-func (o *outcome) ended(e event, key string, printed map[string][]string, out io.Writer) {
+// recordEnd takes the end of a test or a package.
+func (o *outcome) recordEnd(e event, key string, printed map[string][]string, out io.Writer) {
 	switch {
 	case e.Test == "" && e.Action == failed:
 		o.packages[e.Package] = true
-		printUnended(e.Package, printed, out)
+		printUnfinished(e.Package, printed, out)
 	case e.Test == "" || strings.Contains(e.Test, "/"):
 	default:
 		o.tests[key] = e.Action
@@ -96,8 +96,8 @@
 	}
 }
 
-// printUnended prints what tests of a failed package printed that have no end: one of them ended it, or hung.
-func printUnended(name string, printed map[string][]string, out io.Writer) {
+// printUnfinished prints what tests of a failed package printed that have no end: one of them ended it, or hung.
+func printUnfinished(name string, printed map[string][]string, out io.Writer) {
 	for key, lines := range printed {
 		if strings.HasPrefix(key, name+".Test") {
 			io.WriteString(out, strings.Join(lines, ""))
@@ -105,17 +105,17 @@
 	}
 }
 
-// judge lists what is wrong in a run beside the known failures.
-func (o *outcome) judge(known []entry, exited bool) []string {
-	var wrong []string
+// problems lists what is wrong in a run beside the known failures.
+func (o *outcome) problems(known []entry, nonZeroExit bool) []string {
+	var problems []string
 	listed := map[string]bool{}
 	for _, e := range known {
 		listed[e.test] = true
 		switch o.tests[e.test] {
 		case passed:
-			wrong = append(wrong, e.test+" is listed and passes: take it off the list")
+			problems = append(problems, e.test+" is listed and passes: take it off the list")
 		case "":
-			wrong = append(wrong, e.test+" is listed and did not run")
+			problems = append(problems, e.test+" is listed and did not run")
 		}
 	}
 	explained := map[string]bool{}
@@ -124,23 +124,23 @@
 			continue
 		}
 		if !listed[test] {
-			wrong = append(wrong, test+" failed")
+			problems = append(problems, test+" failed")
 			continue
 		}
 		explained[packageOf(test)] = true
 	}
 	for name := range o.packages {
 		if !explained[name] || o.crashed[name] {
-			wrong = append(wrong, "package "+name+" failed")
+			problems = append(problems, "package "+name+" failed")
 		}
 	}
-	if exited && len(o.packages) == 0 {
-		wrong = append(wrong, "go test failed before any test ran")
+	if nonZeroExit && len(o.packages) == 0 {
+		problems = append(problems, "go test failed before any test ran")
 	}
 	if len(o.tests) == 0 {
-		wrong = append(wrong, fmt.Sprintf("no test ran in %d failed packages", len(o.packages)))
+		problems = append(problems, fmt.Sprintf("no test ran in %d failed packages", len(o.packages)))
 	}
-	return wrong
+	return problems
 }
 
 // packageOf is the package of PACKAGE.TestName.
--- a/tools/mutate/lists_test.go
+++ b/tools/mutate/lists_test.go
@@ -13,7 +13,7 @@
 )
 
 // A mutant whose code has moved proves nothing: each entry must name code that stands once in its file.
-func TestEachMutantNamesCodeThatIsThere(t *testing.T) {
+func TestMutantCodeOccursOnceInItsFile(t *testing.T) {
 	t.Chdir("../..")
 	lists, err := filepath.Glob("tools/mutate/*.txt")
 	must.NoError(t, err)
@@ -64,7 +64,7 @@
 	return append(out, pattern[from:])
 }
 
-func TestAlternativesStandOutsideParentheses(t *testing.T) {
+func TestAlternativesIgnoresBarsInParentheses(t *testing.T) {
 	must.Eq(t, []string{"A", "B/(c|d)", "E"}, alternatives("A|B/(c|d)|E"))
 }
 
@@ -76,17 +76,17 @@
 	for _, list := range lists {
 		for _, m := range read(list) {
 			args := strings.Fields(m.test)
-			at := slices.Index(args, "-run")
-			if at < 0 {
+			runIndex := slices.Index(args, "-run")
+			if runIndex < 0 {
 				continue
 			}
 			var names []string
-			for _, arg := range slices.Delete(slices.Clone(args), at, at+2) {
+			for _, arg := range slices.Delete(slices.Clone(args), runIndex, runIndex+2) {
 				if strings.HasPrefix(arg, "./") {
 					names = append(names, testsOf(t, arg)...)
 				}
 			}
-			for _, alternative := range alternatives(args[at+1]) {
+			for _, alternative := range alternatives(args[runIndex+1]) {
 				top, _, _ := strings.Cut(alternative, "/")
 				pattern, err := regexp.Compile(top)
 				must.NoError(t, err)
--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -30,12 +30,12 @@
 		if len(os.Args) > 1 && !strings.Contains(m.guard, os.Args[1]) {
 			continue
 		}
-		saw, err := try(m, seeds)
+		caught, err := try(m, seeds)
 		switch {
 		case err != nil:
 			survived++
 			fmt.Printf("BROKEN   %-55s %v\n", m.guard, err)
-		case saw:
+		case caught:
 			fmt.Printf("caught   %-55s %s by %s\n", m.guard, m.point, m.scenario)
 		default:
 			survived++
--- a/tools/pages/pages_test.go
+++ b/tools/pages/pages_test.go
@@ -25,8 +25,8 @@
 	return string(b)
 }
 
-// there lists what the tree has, by kind and name.
-func there(t *testing.T) map[string]bool {
+// existingNames lists what the tree has, by kind and name.
+func existingNames(t *testing.T) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
 	files := func(kind, pattern string) {
@@ -67,8 +67,8 @@
 	return out
 }
 
-func TestWhatThePagesNameIsThere(t *testing.T) {
-	have := there(t)
+func TestNamesOnPagesExist(t *testing.T) {
+	have := existingNames(t)
 	for _, page := range []string{"docs/brief.md", "docs/proof.md"} {
 		all := named.FindAllStringSubmatch(read(t, page), -1)
 		must.Positive(t, len(all), must.Sprint(page))
@@ -78,9 +78,9 @@
 	}
 }
 
-func TestWhatIsThereIsNamed(t *testing.T) {
+func TestExistingNamesAreOnPages(t *testing.T) {
 	text := read(t, "docs/brief.md") + read(t, "docs/proof.md")
-	for name := range there(t) {
+	for name := range existingNames(t) {
 		if !strings.HasPrefix(name, "test/") {
 			must.StrContains(t, text, "`"+name+"`", must.Sprint("neither page names "+name))
 		}
--- a/tools/pages/references_test.go
+++ b/tools/pages/references_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestReferencesToCodeAreThere(t *testing.T) {
+func TestCodeReferencesExist(t *testing.T) {
 	packages := map[string]map[string]bool{}
 	for _, page := range pagesOf(t) {
 		text := read(t, page)
@@ -139,9 +139,9 @@
 // testName is the name of a test, or the beginning of several.
 var testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
 
-func TestNamedTestsAreThere(t *testing.T) {
+func TestTestNamesOnPagesExist(t *testing.T) {
 	var names []string
-	for name := range there(t) {
+	for name := range existingNames(t) {
 		if test, ok := strings.CutPrefix(name, "test/"); ok {
 			names = append(names, test)
 		}
