--- a/tools/mutate/lists_test.go
+++ b/tools/mutate/lists_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A mutant whose code has moved proves nothing: each entry must name code that stands once in its file.
+// A mutant whose old code is no longer in its file cannot be applied: the code of each entry must occur exactly once.
 func TestMutantCodeOccursOnceInItsFile(t *testing.T) {
 	t.Chdir("../..")
 	lists, err := filepath.Glob("tools/mutate/*.txt")
@@ -28,10 +28,10 @@
 	}
 }
 
-// testFunction finds the names of a package's tests.
+// testFunction matches the declaration of a test function.
 var testFunction = regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 
-// testsOf lists the names of the tests of a package.
+// testsOf returns the names of the test functions of the package in dir.
 func testsOf(t *testing.T, dir string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
@@ -47,7 +47,7 @@
 	return out
 }
 
-// alternatives splits a pattern at the bars that stand outside parentheses.
+// alternatives splits a -run pattern at the vertical bars outside parentheses.
 func alternatives(pattern string) (out []string) {
 	depth, from := 0, 0
 	for i, r := range pattern {
@@ -68,7 +68,7 @@
 	must.Eq(t, []string{"A", "B/(c|d)", "E"}, alternatives("A|B/(c|d)|E"))
 }
 
-// A pattern that matches no test lets its mutant survive unseen: each alternative must match one.
+// If a -run pattern matches no test, go test passes and the mutant survives: each alternative must match a test.
 func TestPatternsMatchTests(t *testing.T) {
 	t.Chdir("../..")
 	lists, err := filepath.Glob("tools/mutate/*.txt")
--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -1,8 +1,11 @@
-// Command mutate proves that the checkers can fail: it takes one guard at a
-// time out of a copy of the tree and runs the scenario that must notice. The
-// list is a text file; each entry names the guard, the file, the code, what it
-// becomes, and the scenario with the point that must be violated, or the test
-// that must fail.
+// Command mutate checks that the tests and checkers detect faults. For each
+// mutant it removes one guard from a copy of the source tree, and runs the test
+// that must fail or the scenario in which a check must report a violation.
+//
+// The mutants are listed in tools/mutate/*.txt. An entry has the title of the
+// guard, the file, the old and the new code, and either the scenario with the
+// point that must be violated or the arguments of go test. With an argument,
+// only mutants whose title contains it are run.
 package main
 
 import (
@@ -47,7 +50,7 @@
 	}
 }
 
-// read takes the entries of one list.
+// read parses the entries of one list, which are separated by blank lines.
 func read(list string) (all []mutant) {
 	b, err := os.ReadFile(list)
 	if err != nil {
@@ -73,7 +76,7 @@
 			case "test":
 				m.test, m.scenario, m.point = v, v, "failed"
 			default:
-				fail(fmt.Errorf("%s: entry %d: no such line: %s", list, i+1, line))
+				fail(fmt.Errorf("%s: entry %d: unknown key in line: %s", list, i+1, line))
 			}
 		}
 		all = append(all, m)
@@ -81,8 +84,9 @@
 	return all
 }
 
-// try builds the mutant, in a copy of the tree whose path leaves no trace, so that packages that did not
-// change are built once for all mutants. It looks for the violation.
+// try applies the mutant to a copy of the source tree, runs its test or scenario, and reports whether the mutant was
+// caught. It builds with -trimpath: the path of the copy does not enter the build, so that unchanged packages are
+// built only once for all mutants.
 func try(m mutant, seeds string) (bool, error) {
 	dir, err := os.MkdirTemp("", "wallport-mutant-")
 	if err != nil {
@@ -98,7 +102,7 @@
 		return false, err
 	}
 	if n := strings.Count(string(b), m.old); n != 1 {
-		return false, fmt.Errorf("%s has the code %d times", m.file, n)
+		return false, fmt.Errorf("%s contains the old code %d times, want 1", m.file, n)
 	}
 	if err := os.WriteFile(path, []byte(strings.Replace(string(b), m.old, m.new, 1)), 0o600); err != nil {
 		return false, err
