--- a/surface/commands_test.go
+++ b/surface/commands_test.go
@@ -18,10 +18,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// startTimeout is a limit that only a hang reaches.
+// startTimeout bounds the wait for a fleet's files. It is generous: only a hang reaches it.
 const startTimeout = time.Minute
 
-// run gives what a command prints, without the environment's defaults; it may fail.
+// run returns the output of a command, which runs without the test's environment. The command may exit with an error.
 func run(t *testing.T, bin string, args ...string) string {
 	t.Helper()
 	c := exec.Command(bin, args...)
@@ -35,7 +35,7 @@
 
 var commandsListed = regexp.MustCompile(`(?s)Available commands:\n(.*)$`)
 
-// help is a command's help page, and those of its sub-commands.
+// help returns the help page of a command, followed by those of its sub-commands.
 func help(t *testing.T, bin string, words ...string) []string {
 	t.Helper()
 	page := run(t, bin, append(slices.Clone(words), "--help")...)
@@ -52,7 +52,7 @@
 
 func TestCommandsAreUnchanged(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real processes run in the plain test step")
+		t.Skip("tests with real processes are skipped in -short mode")
 	}
 	bin := t.TempDir()
 	for _, p := range []string{"wallport", "lab"} {
@@ -79,7 +79,7 @@
 	t.Run("files and figures of a fleet", func(t *testing.T) { fleet(t, product) })
 }
 
-// envKeys tells for each flag of a node whether an env file may have it.
+// envKeys returns a line for each flag of a node: its name and whether an env file may set it.
 func envKeys(t *testing.T, bin string) []string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "env")
@@ -92,7 +92,7 @@
 	return out
 }
 
-// freePorts are addresses that the system has just given out.
+// freePorts returns n loopback addresses whose ports were free during the call.
 func freePorts(t *testing.T, n int) []string {
 	t.Helper()
 	var out []string
@@ -107,8 +107,9 @@
 
 var digits = regexp.MustCompile(`[0-9]+`)
 
-// fleet starts three cores and waits until each has written all kinds of files, the last being a
-// part's content. The names on the figures' page that a core has from its start are compared.
+// fleet starts three cores, waits until they have written files of all kinds, the last of which holds
+// the content of a partition, and compares the files' names. It also compares the names of the
+// metrics that a core exports from its start.
 func fleet(t *testing.T, bin string) {
 	ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
 	defer cancel()
@@ -130,11 +131,11 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("no part was written within %s: %v", startTimeout, names)
+			t.Fatalf("no files of a partition were written within %s, only: %v", startTimeout, names)
 		case <-tick.C:
 		}
 	}
-	// A disk that is slow for a moment gets a probe, so whether the file is there depends on the machine.
+	// A core writes a probe file if its disk was slow. Whether the file exists therefore depends on the machine.
 	goldenSet(t, "files.txt", append(names, "probe"))
 	resp, err := http.Get("http://" + at[cores] + "/metrics")
 	must.NoError(t, err)
@@ -144,7 +145,7 @@
 	goldenSet(t, "metrics_page.txt", regexp.MustCompile(`(?m)^wallport_(?:invariant_|frames_(?:in|out)|frame_bytes_|open_|steps|inquiries_read)\S*`).FindAllString(string(page), -1))
 }
 
-// filesOf are the names of the files in the folders, with N for each number.
+// filesOf returns the names of the files in the folders below dir, with N in place of each number.
 func filesOf(t *testing.T, dir string) []string {
 	t.Helper()
 	list, err := filepath.Glob(filepath.Join(dir, "*", "*"))
--- a/surface/golden_test.go
+++ b/surface/golden_test.go
@@ -1,8 +1,9 @@
-// Package surface holds golden lists of what others see of the program: flags, settings, calls,
-// formats, figures and file names. They are read from sources, generated files and the built
-// commands, so that they do not depend on where code stands or what it is called in Go.
+// Package surface compares the program's external interface with golden lists: flags, settings,
+// API calls, encodings, metrics and file names. The lists are generated from the source code,
+// generated files and the built commands. They do not depend on the package of a declaration or
+// on its name in Go.
 //
-// After a change of the surface that is meant: go test ./surface -update
+// After an intended change of the interface, run: go test ./surface -update
 package surface
 
 import (
@@ -19,7 +20,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// root is the module's folder: the nearest one above with a go.mod.
+// root returns the module's folder: the nearest parent folder with a go.mod.
 func root(t *testing.T) string {
 	t.Helper()
 	dir, err := os.Getwd()
@@ -28,12 +29,12 @@
 		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
 			return dir
 		}
-		must.NotEq(t, dir, filepath.Dir(dir), must.Sprint("no go.mod above the test's folder"))
+		must.NotEq(t, dir, filepath.Dir(dir), must.Sprint("no parent of the test's folder has a go.mod"))
 		dir = filepath.Dir(dir)
 	}
 }
 
-// goldenSet compares a sorted set of lines with a file in testdata.
+// goldenSet sorts lines, removes duplicates, and compares the result with a file in testdata.
 func goldenSet(t *testing.T, name string, lines []string) {
 	t.Helper()
 	slices.Sort(lines)
@@ -56,11 +57,11 @@
 	want, err := os.ReadFile(path)
 	must.NoError(t, err)
 	if string(want) != got {
-		t.Errorf("the surface differs from %s (- golden, + now; none where just the order differs):\n%s", path, diff(string(want), got))
+		t.Errorf("the interface differs from %s (-want +got, no lines if only the order differs):\n%s", path, diff(string(want), got))
 	}
 }
 
-// diff shows the lines that only one of two texts has.
+// diff returns the lines that only one of the two texts has, with their line numbers.
 func diff(want, got string) string {
 	only := func(a, b, sign string) (out string) {
 		unmatched := map[string]int{}
--- a/surface/names_test.go
+++ b/surface/names_test.go
@@ -26,15 +26,16 @@
 	goldenLines(t, "json_tags.txt", names)
 }
 
-// TestMetricNamesAreUnchanged collects the names by which counters are reached; "of" is what
-// packages call the method where they keep counters, one of them with backend_ before the name.
+// TestMetricNamesAreUnchanged collects the first arguments of the methods and functions that access
+// counters. "of" is the name of such a method in packages with their own counters; one of these
+// puts backend_ before the name.
 func TestMetricNamesAreUnchanged(t *testing.T) {
 	_, product := sources(t)
 	goldenSet(t, "metrics.txt", matching(firstArguments(product, "Add", "Of", "Set", "of"), `^[a-z0-9_]+(\{.*)?$`))
 }
 
-// TestHeaderNamesAreUnchanged takes what a header's methods are given, and every literal in a
-// header's form with a hyphen.
+// TestHeaderNamesAreUnchanged collects the first arguments of http.Header's methods, and every
+// literal that has a hyphen and the form of a header name.
 func TestHeaderNamesAreUnchanged(t *testing.T) {
 	_, product := sources(t)
 	names := matching(firstArguments(product, "Get", "Set", "Add", "Del", "Values"), `^[A-Z][A-Za-z-]*$`)
@@ -44,8 +45,8 @@
 	goldenSet(t, "headers.txt", names)
 }
 
-// TestWordsAreUnchanged is the coarse net under the other lists: every literal without a space,
-// be it a key of the settings, a field, a code, a path, a file's name or a log line's event.
+// TestWordsAreUnchanged collects every literal without a space. It covers names that the other lists
+// miss, such as setting keys, fields, codes, paths, file names and the events of log lines.
 func TestWordsAreUnchanged(t *testing.T) {
 	_, product := sources(t)
 	var words []string
@@ -55,9 +56,9 @@
 	goldenSet(t, "words.txt", words)
 }
 
-// TestMsgpKeysAreUnchanged lists the tags of each struct in the order in which they are encoded
-// and, as a check of what is made of them, the keys that each generated reader knows. A struct
-// encoded as a tuple has no keys, but a length.
+// TestMsgpKeysAreUnchanged lists the tags of each struct in the order in which they are encoded and,
+// as a check of the code generated from them, the keys that each generated reader accepts. A struct
+// that is encoded as a tuple has no keys and is listed with its number of fields.
 func TestMsgpKeysAreUnchanged(t *testing.T) {
 	all, _ := sources(t)
 	var lines []string
@@ -89,7 +90,7 @@
 	goldenLines(t, "msgp.txt", lines)
 }
 
-// tupleNames are the structs that a file's directives have encoded as tuples.
+// tupleNames returns the names of the structs that are encoded as tuples, from the file's directives.
 func tupleNames(f *ast.File) map[string]bool {
 	out := map[string]bool{}
 	for _, group := range f.Comments {
@@ -104,7 +105,8 @@
 	return out
 }
 
-// msgpKeys are a struct's keys, empty where no field has a tag; without one the key is Go's name.
+// msgpKeys returns the keys of a struct, or "" if none of its fields has a tag. The key of a field
+// without a tag is its name in Go.
 func msgpKeys(s *ast.StructType) string {
 	keys, tagged := "", false
 	for _, f := range s.Fields.List {
--- a/surface/schema_test.go
+++ b/surface/schema_test.go
@@ -17,11 +17,12 @@
 	_ "wallport/api/routingpb"
 )
 
-// apiProse are the keys of an OpenAPI description that callers do not depend on.
+// apiProse has the keys of an OpenAPI description on which callers do not depend.
 var apiProse = []string{"description", "summary", "operationId", "tags", "example", "examples"}
 
-// apiLines flattens a part of an OpenAPI description. References are followed, since the schemas'
-// names are Go's; named tells that the keys of this part are names that the API gives.
+// apiLines flattens a part of an OpenAPI description. It resolves references, because the names of
+// the schemas are derived from Go's type names. named tells that the keys of v are names that the
+// API defines and not keywords of OpenAPI.
 func apiLines(at string, v any, schemas map[string]any, named bool) []string {
 	var out []string
 	switch v := v.(type) {
@@ -47,7 +48,8 @@
 	return out
 }
 
-// apiName tells a parameter from the others in its list.
+// apiName returns the location and name of a parameter, which distinguish it in its list, or "" if v
+// is not a parameter.
 func apiName(v any) string {
 	if p, ok := v.(map[string]any); ok && p["name"] != nil {
 		return fmt.Sprintf(" %v %v", p["in"], p["name"])
@@ -70,8 +72,9 @@
 	goldenSet(t, "api.txt", lines)
 }
 
-// TestProtobufIsUnchanged lists the messages that are in no other, without their names, which are
-// neither in the encoding nor in JSON, and under each field of a message type that message's fields.
+// TestProtobufIsUnchanged lists the messages that are not nested in another message. A message's name
+// is left out, because it occurs neither in the encoding nor in JSON. The fields of a nested message
+// are listed below the field that holds it.
 func TestProtobufIsUnchanged(t *testing.T) {
 	var all []protoreflect.MessageDescriptor
 	inner := map[protoreflect.FullName]bool{}
--- a/surface/source_test.go
+++ b/surface/source_test.go
@@ -16,10 +16,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// notDeployed are folders, at any depth, whose code is not part of the deployed program.
+// notDeployed matches the folders, at any depth, whose code is not part of the deployed program.
 var notDeployed = regexp.MustCompile(`(^|/)(lab|tools|design|gen)/`)
 
-// sources parses the module's Go files that are no tests, wherever they stand.
+// sources parses the module's Go files except tests, and returns all of them and those of the deployed
+// program that are not generated.
 func sources(t *testing.T) (all, product []*ast.File) {
 	t.Helper()
 	top := root(t)
@@ -46,7 +47,7 @@
 	return all, product
 }
 
-// each visits all nodes of a kind.
+// each calls visit for every node of type N in a tree.
 func each[N ast.Node](root ast.Node, visit func(N)) {
 	ast.Inspect(root, func(n ast.Node) bool {
 		if v, ok := n.(N); ok {
@@ -56,7 +57,7 @@
 	})
 }
 
-// texts are the string literals in a tree, without imports and tags.
+// texts returns the string literals in a tree, except import paths and struct tags.
 func texts(root ast.Node) []string {
 	excluded := map[*ast.BasicLit]bool{}
 	each(root, func(i *ast.ImportSpec) { excluded[i.Path] = true })
@@ -70,7 +71,7 @@
 	return out
 }
 
-// firstArguments are the literals in the first argument of calls of functions and methods with some names.
+// firstArguments returns the string literals in the first argument of calls of functions and methods with the given names.
 func firstArguments(files []*ast.File, names ...string) []string {
 	var out []string
 	for _, f := range files {
@@ -90,7 +91,7 @@
 	return out
 }
 
-// tags are all tags in the files that have a key, with the values of the key.
+// tags returns the struct tags that contain a key, and the values of the key.
 func tags(files []*ast.File, key string) (whole, values []string) {
 	for _, f := range files {
 		each(f, func(f *ast.Field) {
@@ -111,7 +112,7 @@
 	return whole, value, ok
 }
 
-// matching are the texts of a form.
+// matching returns the texts that match the regular expression form.
 func matching(in []string, form string) []string {
 	re := regexp.MustCompile(form)
 	return slices.DeleteFunc(in, func(s string) bool { return !re.MatchString(s) })
