--- a/smoke/api_test.go
+++ b/smoke/api_test.go
@@ -1,5 +1,5 @@
-// The APIs and the operator's commands against a small fleet of real processes:
-// what each answers to good and bad input, with status, shape and exit code.
+// Tests of the APIs and of the operator's commands with a small fleet of real
+// processes: the status, form and exit code for valid and invalid input.
 
 package smoke
 
@@ -51,7 +51,7 @@
 	return resp.StatusCode, resp.Header, out
 }
 
-// admin runs wallport against one node and gives its exit code and output.
+// admin runs a wallport command with node-1 as its operator address, and returns the exit code and the output.
 func (r rig) admin(args ...string) (int, string) {
 	cmd := exec.Command(filepath.Join(r.bin, "wallport"), args...)
 	cmd.Env = append(os.Environ(), "WALLPORT_OPERATOR="+r.f.OperatorAddrs["node-1"], "WALLPORT_OPERATOR_TOKEN="+token)
@@ -66,7 +66,7 @@
 
 func TestAPIs(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real processes run in the plain test step")
+		t.Skip("tests with real processes are skipped in -short mode")
 	}
 	r := rig{t: t, bin: build(t), dir: t.TempDir()}
 	tokens := filepath.Join(r.dir, "tokens.json")
@@ -114,7 +114,7 @@
 func (r rig) operatorFaults() {
 	base := r.f.OperatorAddrs["node-0"]
 	status, _, got := r.call("PUT", base+"/v1/sheet", `{"services":[]}`)
-	must.Eq(r.t, 400, status, must.Sprint("no If-Match"))
+	must.Eq(r.t, 400, status, must.Sprint("PUT /v1/sheet without If-Match must be refused"))
 	must.StrContains(r.t, got["findings"].([]any)[0].(map[string]any)["place"].(string), "If-Match")
 	status, _, got = r.call("PUT", base+"/v1/sheet", `{"services":[]}`, "If-Match", "0.7")
 	must.Eq(r.t, 412, status)
@@ -135,7 +135,7 @@
 	}
 	status, _, now := r.call("GET", base+"/v1/sheet", "")
 	must.Eq(r.t, 200, status)
-	must.Eq(r.t, stamp, now["stamp"].(string), must.Sprint("nothing was changed"))
+	must.Eq(r.t, stamp, now["stamp"].(string), must.Sprint("refused edits must not change the configuration version"))
 	for _, wrong := range []string{"", "Bearer ", "Bearer s3cre", "Bearer s3cret2", "s3cretx"} {
 		for _, c := range []struct{ method, path, body string }{
 			{"GET", "/v1/sheet", ""}, {"PUT", "/v1/sheet", `{}`}, {"POST", "/v1/zones/z1/empty", ""}, {"GET", "/v1/members", ""},
--- a/smoke/ceiling_test.go
+++ b/smoke/ceiling_test.go
@@ -1,4 +1,4 @@
-// Ceilings of a kind of inquiry on real processes.
+// Tests of the ceiling of a request kind, and of the explain command, with real processes.
 
 package smoke
 
@@ -9,7 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// ceiling lowers a kind's ceiling and sees it hold, with 429 and Retry-After.
+// ceiling lowers the ceiling of a request kind and checks that requests over it get status 429 and Retry-After. It then
+// removes the ceiling and checks that a request succeeds.
 func (r rig) ceiling() {
 	file := filepath.Join(r.dir, "rows.json")
 	rows := func(ceiling string) {
--- a/smoke/platform_test.go
+++ b/smoke/platform_test.go
@@ -1,6 +1,7 @@
-// A core and a node as real processes on the users' platform, with a list of
-// members and a backend played here: the first configuration, a request, a zone,
-// settings that change and settings that are broken, and the planned stop.
+// Test of a core and a node as real processes with the settings of the users'
+// platform. The test serves the member list and a backend itself. It covers the
+// first configuration, a request, a zone's evacuation, changed and invalid
+// settings, and the graceful stop.
 
 package smoke
 
@@ -24,7 +25,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// ports finds so many free ports in a row.
+// ports finds n consecutive free ports and returns the first.
 func ports(t *testing.T, n int) int {
 	t.Helper()
 	for range 100 {
@@ -44,7 +45,7 @@
 			return first
 		}
 	}
-	t.Fatal("no ports in a row are free")
+	t.Fatal("found no consecutive free ports in 100 tries")
 	return 0
 }
 
@@ -76,7 +77,7 @@
 `, first, first+3, seeds, data, at(4), at(5), at(6), list)
 }
 
-// output keeps what a process writes.
+// output is a buffer for the output of a process, safe for concurrent use.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -94,7 +95,7 @@
 	return o.b.String()
 }
 
-// waitFor looks for an event again and again; only a hang reaches its end.
+// waitFor polls a condition until it holds. Its timeout of two minutes is generous: only a hang reaches it.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
@@ -105,7 +106,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatal("never happened: " + what)
+			t.Fatal("condition not met within two minutes: " + what)
 		}
 	}
 }
@@ -133,7 +134,7 @@
 
 func TestOnThePlatform(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real processes run in the plain test step")
+		t.Skip("tests with real processes are skipped in -short mode")
 	}
 	bin, dir := build(t), t.TempDir()
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -171,7 +172,7 @@
 	}
 	config := `{"revision":3,"routing_table":[{"name":"r","virtual_host":"h.example","path_prefix":"/a/","route_type":"idempotent","timeout_ms":5000,"target_latency_ms":500,"priority":0,"pool":"p","max_retries":2,"new":1}],` +
 		`"pools":[{"name":"p","health_probe":"/health","max_connections":80,"slow_start_s":3.0,"ramp_per_s":0.0}]}`
-	waitFor(t, "the first configuration is taken", func() bool {
+	waitFor(t, "the first configuration is acknowledged", func() bool {
 		status, _, _ := send("PUT", at(6)+"/-/config", "0", config)
 		return status == 200
 	})
@@ -195,7 +196,7 @@
 	}
 
 	write(seed, "[broken\n")
-	waitFor(t, "both refuse the broken settings", func() bool {
+	waitFor(t, "core and node refuse the invalid settings", func() bool {
 		return strings.Contains(outs[0].String(), "settings_refused") && strings.Contains(outs[1].String(), "settings_refused")
 	})
 	cmd := exec.Command(filepath.Join(bin, "wallport"), "check-env", "--on-platform", file)
@@ -207,13 +208,13 @@
 	for _, p := range procs {
 		must.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	}
-	waitFor(t, "both take up the new seeds", func() bool {
+	waitFor(t, "core and node apply the new seeds", func() bool {
 		return strings.Contains(outs[0].String(), "seeds_changed") && strings.Contains(outs[1].String(), "seeds_changed")
 	})
 	text, err = exec.Command(filepath.Join(bin, "wallport"), "check-env", "--on-platform", "--role", "core", file).CombinedOutput()
 	must.NoError(t, err, must.Sprint(string(text)))
 	status, _, _ = send("GET", at(5)+"/-/readiness", "", "")
-	must.Eq(t, 200, status, must.Sprint("it serves on"))
+	must.Eq(t, 200, status, must.Sprint("the node must stay ready after invalid and changed settings"))
 
 	for i, p := range procs {
 		must.NoError(t, p.Process.Signal(syscall.SIGTERM))
--- a/smoke/replicas_test.go
+++ b/smoke/replicas_test.go
@@ -1,4 +1,4 @@
-// `admin members` shows the replicas of every partition on real processes.
+// Test of the table of replicas that `admin members` prints, with real processes.
 
 package smoke
 
@@ -12,13 +12,14 @@
 	"wallport/control/state"
 )
 
-// Waiting for every partition to have a leader: a loaded machine may be in the middle of an election.
+// Number of tries, and the pause between them, until every partition has a leader: on a loaded machine, an election may
+// be in progress.
 const (
 	replicaTries = 100
 	replicaPause = 200 * time.Millisecond
 )
 
-// replicas sees one leader in contact for each partition, and every core's row beside it.
+// replicas waits until the table shows exactly one leader in contact for each partition, and a row for each core.
 func (r rig) replicas() {
 	r.t.Helper()
 	var err error
@@ -33,17 +34,17 @@
 	r.t.Fatal(err)
 }
 
-// checkReplicas tells what is wrong with the second table that the command prints.
+// checkReplicas checks the second table that the command prints, which lists the replicas.
 func checkReplicas(out string) error {
 	_, table, found := strings.Cut(out, "PART ")
 	if !found {
-		return fmt.Errorf("no table of replicas: %s", out)
+		return fmt.Errorf("output has no table of replicas: %s", out)
 	}
 	leaders, rows := map[string]int{}, 0
 	for _, line := range strings.Split(strings.TrimSpace(table), "\n")[1:] {
 		field := strings.Fields(line)
 		if len(field) != 9 {
-			return fmt.Errorf("a row of %d columns: %s", len(field), line)
+			return fmt.Errorf("row has %d columns, want 9: %s", len(field), line)
 		}
 		rows++
 		if part, role, contact, behind := field[0], field[2], field[3], field[6]; role == "leader" && contact == "true" && behind == "0" {
@@ -51,11 +52,11 @@
 		}
 	}
 	if len(leaders) != state.Partitions || rows%state.Partitions != 0 {
-		return fmt.Errorf("leaders %v in %d rows: %s", leaders, rows, out)
+		return fmt.Errorf("not every partition has a leader in contact and a row per core: leaders %v in %d rows: %s", leaders, rows, out)
 	}
 	for part, n := range leaders {
 		if n != 1 {
-			return fmt.Errorf("part %s has %d leaders in contact: %s", part, n, out)
+			return fmt.Errorf("partition %s has %d leaders in contact, want 1: %s", part, n, out)
 		}
 	}
 	return nil
--- a/smoke/scopes_test.go
+++ b/smoke/scopes_test.go
@@ -1,4 +1,4 @@
-// Operators' tokens with scopes: every endpoint under every scope.
+// Test of the operators' token scopes: every endpoint is called under every scope.
 
 package smoke
 
@@ -18,7 +18,7 @@
 func (r rig) scopes() {
 	base := r.f.OperatorAddrs["node-0"]
 	rows := `{"edits":[{"op":"set","table":"bookings","row":{"id":"scoped","index":"scores","kind":"read","slice":1,"starts_us":"1","ends_us":"2"}}]}`
-	// For each endpoint the status under read, rows of the index, rows of another, all.
+	// want holds the status under the scopes read, rows of the edited index, rows of another index, and all.
 	for _, c := range []struct {
 		method, path, body string
 		want               [4]int
@@ -53,8 +53,8 @@
 	}
 	code, out := r.admin("admin", "sheet", "history")
 	must.Eq(r.t, 0, code)
-	must.StrContains(r.t, out, "choir-team", must.Sprint("the token names who"))
-	// Replaced without a restart; one with faults changes nothing.
+	must.StrContains(r.t, out, "choir-team", must.Sprint("the history must name the owner of the token"))
+	// A new tokens file is applied without a restart. An invalid file is ignored.
 	file := filepath.Join(r.dir, "tokens.json")
 	must.NoError(r.t, os.WriteFile(file, []byte(`{"tokens":[{"token":"x"}]}`), 0o600))
 	must.NoError(r.t, os.WriteFile(file, []byte(`{"tokens":[{"token":"token-new","who":"ops","scope":"read"}]}`), 0o600))
@@ -63,8 +63,8 @@
 		if status == 200 {
 			break
 		}
-		must.Eq(r.t, 401, status, must.Sprint("not yet taken up"))
+		must.Eq(r.t, 401, status, must.Sprint("until the new tokens are applied, the new token must be refused"))
 	}
 	status, _, _ := r.call("GET", base+"/v1/members", "", "Authorization", "Bearer token-all")
-	must.Eq(r.t, 401, status, must.Sprint("the old one is gone"))
+	must.Eq(r.t, 401, status, must.Sprint("a token that is not in the new file must be refused"))
 }
--- a/smoke/sight_test.go
+++ b/smoke/sight_test.go
@@ -1,4 +1,4 @@
-// What explains a failed request afterwards: its log line, its trace from any node, and the figures.
+// Checks of the diagnostics of a failed request: its log line, its trace, and the metrics.
 
 package smoke
 
@@ -11,12 +11,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// checkFailureIsExplained sends a request that its backend fails and looks for all that tells of it.
+// checkFailureIsExplained sends a request that fails because its backend's response has no seal. It then checks that the
+// log line, the trace and the metrics report the failure.
 func checkFailureIsExplained(t *testing.T, clients, operator string, log *output) {
 	t.Helper()
 	status, _, _ := send("GET", clients+"/a/fails", "", "")
 	must.Eq(t, http.StatusBadGateway, status)
-	waitFor(t, "the failed request has its line", func() bool {
+	waitFor(t, "the failed request is logged", func() bool {
 		text := log.String()
 		at := strings.Index(text, "event=request_failed")
 		return at >= 0 && strings.Contains(text[at:], "id=a1 ") && strings.Contains(text[at:], "a success without a seal")
--- a/smoke/smoke_test.go
+++ b/smoke/smoke_test.go
@@ -1,6 +1,6 @@
-// Package smoke runs a small fleet of real processes: real TLS, HTTP, disks and
-// signals, on ports that the system gives out. It waits on events, bounded only
-// by a generous limit that a hang alone would reach.
+// Package smoke tests a small fleet of real processes with real TLS, HTTP, disks
+// and signals, on ports that the system assigns. The tests wait for conditions
+// with generous timeouts, which only a hang reaches.
 package smoke
 
 import (
@@ -26,11 +26,11 @@
 	return bin
 }
 
-// TestRealFleet starts a fleet, sends inquiries, restarts every node as
-// planned, kills and freezes a core and a server, and judges all answers.
+// TestRealFleet starts a fleet and sends requests while every node is restarted
+// gracefully, a core is killed and a server is frozen. It checks all responses.
 func TestRealFleet(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real processes run in the plain test step")
+		t.Skip("tests with real processes are skipped in -short mode")
 	}
 	s, err := script.Load("rolling.script")
 	must.NoError(t, err)
@@ -46,9 +46,9 @@
 	must.Positive(t, r.Callers.Outcomes["search ok"])
 	must.Positive(t, r.Callers.Outcomes["read ok"])
 	must.Positive(t, r.Callers.Outcomes["correct ok"]+r.Callers.Outcomes["part ok"])
-	// No inquiry that was read is cut by a planned restart: the nodes have read
-	// exactly as many as callers got answers. Whoever met a closing connection
-	// was never read.
+	// A graceful restart does not abort any request that the node has read: the
+	// nodes have read exactly as many requests as the callers got responses. A
+	// request that was aborted on a closing connection was never read.
 	answered := r.Callers.Sent - r.Callers.Aborted
-	must.Eq(t, int64(answered), r.Counts["inquiries_read"], must.Sprintf("%d of %d met a closed connection", r.Callers.Aborted, r.Callers.Sent))
+	must.Eq(t, int64(answered), r.Counts["inquiries_read"], must.Sprintf("%d of %d requests were aborted on a closed connection", r.Callers.Aborted, r.Callers.Sent))
 }
