--- a/tools/gen_proto/main.go
+++ b/tools/gen_proto/main.go
@@ -1,5 +1,5 @@
-// Command gen_proto compiles proto files with a pure Go compiler and hands the
-// descriptors to protoc-gen-go, so that no protoc binary is needed.
+// Command gen_proto compiles the proto files with a compiler written in Go and
+// passes the descriptors to protoc-gen-go. It therefore needs no protoc binary.
 package main
 
 import (
--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -1,4 +1,5 @@
-// The judgement of a run by the list, on events as go test -json prints them.
+// Tests of the accepted and reported failures, on events as go test -json prints
+// them.
 
 package main
 
@@ -14,7 +15,7 @@
 
 const listedLine = "wallport/a.TestKnown, a cause, with commas, #21\n"
 
-// problemsOf runs the judgement over events, one JSON object a line.
+// problemsOf returns the sorted problems of a run with the given events, each a JSON object.
 func problemsOf(t *testing.T, list string, nonZeroExit bool, events ...string) []string {
 	t.Helper()
 	known, err := parseList(strings.NewReader(list))
@@ -41,19 +42,19 @@
 		want        []string
 	}{
 		{"all pass", "", false, []string{passes, endEvent(passed, "wallport/a", "")}, nil},
-		{"a listed one fails", listedLine, true, []string{passes, fails, packageFails}, nil},
-		{"with a subtest of its own", listedLine, true, []string{endEvent(failed, "wallport/a", "TestKnown/sub"), fails, packageFails}, nil},
-		{"an unlisted one fails", "", true, []string{fails, packageFails}, []string{"package wallport/a failed", "wallport/a.TestKnown failed"}},
-		{"another fails beside it", listedLine, true, []string{fails, endEvent(failed, "wallport/a", "TestOther"), packageFails}, []string{"wallport/a.TestOther failed"}},
-		{"one of that name elsewhere fails", listedLine, true, []string{fails, packageFails, endEvent(failed, "wallport/b", "TestKnown"), endEvent(failed, "wallport/b", "")},
+		{"a listed test fails", listedLine, true, []string{passes, fails, packageFails}, nil},
+		{"a listed test and its subtest fail", listedLine, true, []string{endEvent(failed, "wallport/a", "TestKnown/sub"), fails, packageFails}, nil},
+		{"an unlisted test fails", "", true, []string{fails, packageFails}, []string{"package wallport/a failed", "wallport/a.TestKnown failed"}},
+		{"a listed and an unlisted test fail", listedLine, true, []string{fails, endEvent(failed, "wallport/a", "TestOther"), packageFails}, []string{"wallport/a.TestOther failed"}},
+		{"a test with the listed name fails in another package", listedLine, true, []string{fails, packageFails, endEvent(failed, "wallport/b", "TestKnown"), endEvent(failed, "wallport/b", "")},
 			[]string{"package wallport/b failed", "wallport/b.TestKnown failed"}},
-		{"the listed one passes", listedLine, false, []string{endEvent(passed, "wallport/a", "TestKnown")}, []string{"wallport/a.TestKnown is listed and passes: take it off the list"}},
-		{"the listed one is not there", listedLine, false, []string{passes}, []string{"wallport/a.TestKnown is listed and did not run"}},
-		{"the listed one is skipped", listedLine, false, []string{endEvent(skipped, "wallport/a", "TestKnown")}, nil},
-		{"it ends its whole package", listedLine, true, []string{`{"Action":"output","Package":"wallport/a","Test":"TestKnown","Output":"panic: boom\n"}`, fails, packageFails},
+		{"the listed test passes", listedLine, false, []string{endEvent(passed, "wallport/a", "TestKnown")}, []string{"wallport/a.TestKnown is listed and passes: take it off the list"}},
+		{"the listed test does not run", listedLine, false, []string{passes}, []string{"wallport/a.TestKnown is listed and did not run"}},
+		{"the listed test is skipped", listedLine, false, []string{endEvent(skipped, "wallport/a", "TestKnown")}, nil},
+		{"the listed test terminates the test binary", listedLine, true, []string{`{"Action":"output","Package":"wallport/a","Test":"TestKnown","Output":"panic: boom\n"}`, fails, packageFails},
 			[]string{"package wallport/a failed"}},
 		{"a package does not build", listedLine, true, []string{fails, packageFails, endEvent(failed, "wallport/b", "")}, []string{"package wallport/b failed"}},
-		{"nothing builds", "", true, []string{"some text"}, []string{"go test failed before any test ran", "no test ran in 0 failed packages"}},
+		{"no package builds", "", true, []string{"some text"}, []string{"go test failed before any test ran", "no test ran in 0 failed packages"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			must.Eq(t, c.want, problemsOf(t, c.list, c.nonZeroExit, c.events...))
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,7 +1,7 @@
-// Command knownred runs the Go tests and lets just those failures pass that
-// KNOWN-RED.txt lists: real faults that are known and not mended yet. A listed
-// test that passes, or that is not there, fails the run, and so do more than
-// three lines.
+// Command knownred runs the Go tests and accepts only the failures that are
+// listed in KNOWN-RED.txt, which are known faults that are not fixed yet. The run
+// also fails if a listed test passes or does not run, or if the file lists more
+// than three tests.
 //
 //	go run ./tools/knownred -- -count=1 ./...
 package main
@@ -17,7 +17,7 @@
 	"slices"
 )
 
-// listFile holds the known failures, at the root of the tree.
+// listFile lists the known failures. It is at the root of the source tree.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
@@ -27,7 +27,7 @@
 	}
 }
 
-// run reads the list, runs go test with some arguments and judges what it reports.
+// run reads the list, runs go test with args, and prints the known failures and the problems found to out.
 func run(args []string, out io.Writer) error {
 	if len(args) > 0 && args[0] == "--" {
 		args = args[1:]
@@ -54,7 +54,7 @@
 	return report(out, result.problems(known, exit != nil), known)
 }
 
-// readList reads the known failures; without the file there are none.
+// readList reads the list of known failures. If the file does not exist, the list is empty.
 func readList(path string) ([]entry, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -67,7 +67,7 @@
 	return parseList(f)
 }
 
-// report prints the known failures and what is wrong beside them.
+// report prints the known failures and the problems, and returns an error if there are problems.
 func report(out io.Writer, problems []string, known []entry) error {
 	for _, e := range known {
 		fmt.Fprintf(out, "known red: %s, %s, %s\n", e.test, e.cause, e.issue)
--- a/tools/knownred/outcome.go
+++ b/tools/knownred/outcome.go
@@ -1,5 +1,5 @@
-// What go test -json reported: which tests failed, passed or were skipped, and
-// which packages failed without a test of theirs to show for it.
+// The result of a run, from the events of go test -json: the tests that failed,
+// passed or were skipped, and the packages that failed.
 
 package main
 
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// event is one line of go test -json.
+// event is one event of go test -json.
 type event struct {
 	Action, Package, Test, Output string
 }
@@ -24,11 +24,11 @@
 	skipped = "skip"
 )
 
-// outcome gathers the events of one run.
+// outcome is the result of one run of go test.
 type outcome struct {
-	// tests holds the last action of each top-level test, by PACKAGE.TestName.
+	// tests maps each top-level test, PACKAGE.TestName, to its last action.
 	tests map[string]string
-	// packages holds the failed packages, crashed those in which a test ended the whole program.
+	// packages contains the failed packages, crashed those in which a test terminated the whole test binary.
 	packages, crashed map[string]bool
 }
 
@@ -36,7 +36,7 @@
 	return &outcome{tests: map[string]string{}, packages: map[string]bool{}, crashed: map[string]bool{}}
 }
 
-// read takes all events, and prints what the tests printed of failures and packages.
+// read reads all events. It prints the output of failed tests and of packages.
 func (o *outcome) read(r *bufio.Reader, out io.Writer) error {
 	printed := map[string][]string{}
 	for {
@@ -53,11 +53,11 @@
 	}
 }
 
-// line takes one line. Output of a test is held until it is known whether the test failed.
+// line handles one line. The output of a test is kept in printed until the test ends.
 func (o *outcome) line(line []byte, printed map[string][]string, out io.Writer) {
 	var e event
 	if json.Unmarshal(line, &e) != nil {
-		// Not an event: of the build, most likely.
+		// The line is not an event, but most likely output of the build.
 		out.Write(line)
 		return
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// recordEnd takes the end of a test or a package.
+// recordEnd records the end of a test or a package, and prints the output of a failed test.
 func (o *outcome) recordEnd(e event, key string, printed map[string][]string, out io.Writer) {
 	switch {
 	case e.Test == "" && e.Action == failed:
@@ -96,7 +96,8 @@
 	}
 }
 
-// printUnfinished prints what tests of a failed package printed that have no end: one of them ended it, or hung.
+// printUnfinished prints the output of those tests of a failed package that did not end: one of them terminated the
+// test binary or did not return before the timeout.
 func printUnfinished(name string, printed map[string][]string, out io.Writer) {
 	for key, lines := range printed {
 		if strings.HasPrefix(key, name+".Test") {
@@ -105,7 +106,9 @@
 	}
 }
 
-// problems lists what is wrong in a run beside the known failures.
+// problems returns the problems of a run: failures that are not known, and known failures that did not occur. A failed
+// package is a problem unless a known failure explains it and no test terminated its test binary. nonZeroExit tells
+// whether go test exited with an error.
 func (o *outcome) problems(known []entry, nonZeroExit bool) []string {
 	var problems []string
 	listed := map[string]bool{}
@@ -143,5 +146,5 @@
 	return problems
 }
 
-// packageOf is the package of PACKAGE.TestName.
+// packageOf returns the package of a test in the form PACKAGE.TestName.
 func packageOf(test string) string { return test[:strings.LastIndex(test, ".Test")] }
--- a/tools/pages/doc.go
+++ b/tools/pages/doc.go
@@ -1,2 +1,3 @@
-// Package pages checks that what the documentation names is there, and that what is there is named.
+// Package pages has tests of the documentation: what it names must exist in the source tree, and every scenario, fleet
+// script, mutant and checked point must be named in it.
 package pages
--- a/tools/pages/pages_test.go
+++ b/tools/pages/pages_test.go
@@ -1,6 +1,7 @@
-// The pages that say how a thing is proved are themselves checked: whatever they
-// name is there, and whatever is there is named. Names stand in backquotes:
-// scenario/NAME, fleet/NAME, test/NAME, mutant/GUARD, judge/POINT.
+// The pages that describe how requirements are tested name scenarios, fleet
+// scripts, tests, mutants and points of the checkers. Every name must exist, and
+// everything but the tests must be named on a page. The names are written in
+// backquotes: scenario/NAME, fleet/NAME, test/NAME, mutant/GUARD, judge/POINT.
 
 package pages
 
@@ -25,7 +26,7 @@
 	return string(b)
 }
 
-// existingNames lists what the tree has, by kind and name.
+// existingNames returns what the source tree contains, as KIND/NAME.
 func existingNames(t *testing.T) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
@@ -73,7 +74,7 @@
 		all := named.FindAllStringSubmatch(read(t, page), -1)
 		must.Positive(t, len(all), must.Sprint(page))
 		for _, m := range all {
-			must.True(t, have[m[1]+"/"+m[2]], must.Sprintf("%s names %s/%s, which is not there", page, m[1], m[2]))
+			must.True(t, have[m[1]+"/"+m[2]], must.Sprintf("%s names %s/%s, which does not exist in the source tree", page, m[1], m[2]))
 		}
 	}
 }
@@ -82,7 +83,7 @@
 	text := read(t, "docs/brief.md") + read(t, "docs/proof.md")
 	for name := range existingNames(t) {
 		if !strings.HasPrefix(name, "test/") {
-			must.StrContains(t, text, "`"+name+"`", must.Sprint("neither page names "+name))
+			must.StrContains(t, text, "`"+name+"`", must.Sprint("docs/brief.md or docs/proof.md must name "+name))
 		}
 	}
 }
--- a/tools/pages/references_test.go
+++ b/tools/pages/references_test.go
@@ -14,21 +14,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// areas are the folders whose code the pages refer to.
+// areas matches the top-level folders that references to code begin with.
 const areas = `(?:api|cluster|cmd|control|lab|platform|request|runtime|scenarios|smoke|surface|tools)`
 
 var (
-	// declaration is a reference such as `request/dispatch.StateMachine.Step`.
+	// declaration matches a reference to a declaration, such as `request/dispatch.StateMachine.Step`.
 	declaration = regexp.MustCompile("`(" + areas + `(?:/\w+)*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)` + "(?:\\([^`]*\\))?`")
-	// fileExtension tells a file's name from a declaration's.
+	// fileExtension has the extensions by which a file name is distinguished from the name of a declaration.
 	fileExtension = map[string]bool{"go": true, "json": true, "md": true, "proto": true, "sh": true, "toml": true, "txt": true}
-	// sourceFile is a reference such as `request/dispatch/retry.go`.
+	// sourceFile matches a reference to a file, such as `request/dispatch/retry.go`.
 	sourceFile = regexp.MustCompile("`(" + areas + `(?:/[\w-]+)*\.(?:go|txt|proto|sh))` + "`")
-	// link is a link to another page.
+	// link matches a link to another page.
 	link = regexp.MustCompile(`\]\(([^):#]+\.md)(?:#[^)]*)?\)`)
 )
 
-// pagesOf lists the documentation, the accounts of past incidents apart: these name the code of their day.
+// pagesOf returns the pages of the documentation, without the reports of past incidents: these name the code as it was
+// at the time of the incident.
 func pagesOf(t *testing.T) []string {
 	t.Helper()
 	out := []string{"README.md", "DEVELOPERS.md"}
@@ -44,7 +45,8 @@
 	return out
 }
 
-// declared lists the names of a package: NAME of each top-level declaration, TYPE.MEMBER of each method and field.
+// declared returns the names that a package declares: NAME for each top-level declaration and TYPE.MEMBER for each
+// method and field.
 func declared(t *testing.T, dir string) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
@@ -67,7 +69,7 @@
 	return out
 }
 
-// receiver is the name of a method's type with a dot, or nothing.
+// receiver returns the name of a method's receiver type followed by a dot, or "" for a function.
 func receiver(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
@@ -82,7 +84,7 @@
 	return typ.(*ast.Ident).Name + "."
 }
 
-// add puts the names that a type, constant or variable declares.
+// add adds the names that a type, constant or variable specification declares to out.
 func add(out map[string]bool, spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
@@ -114,7 +116,7 @@
 		text := read(t, page)
 		for _, m := range declaration.FindAllStringSubmatch(text, -1) {
 			if fileExtension[m[2]] {
-				continue // a file's name, and not a declaration
+				continue // a file name, not a declaration
 			}
 			if packages[m[1]] == nil {
 				packages[m[1]] = declared(t, m[1])
@@ -123,7 +125,7 @@
 		}
 		for _, m := range sourceFile.FindAllStringSubmatch(text, -1) {
 			if fileExtension[strings.TrimPrefix(filepath.Ext(m[1]), ".")] && !strings.Contains(m[1], "/") {
-				continue // a file of the folder that the page speaks of
+				continue // a file name without a folder: the page's text names the folder
 			}
 			_, err := os.Stat(filepath.Join(root, m[1]))
 			must.NoError(t, err, must.Sprintf("%s names the file %s", page, m[1]))
@@ -136,7 +138,7 @@
 	must.Greater(t, 10, len(packages))
 }
 
-// testName is the name of a test, or the beginning of several.
+// testName matches the name of a test, or a common prefix of the names of several tests.
 var testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
 
 func TestTestNamesOnPagesExist(t *testing.T) {
@@ -149,7 +151,7 @@
 	for _, page := range pagesOf(t) {
 		for _, begin := range testName.FindAllString(read(t, page), -1) {
 			must.True(t, slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, begin) }),
-				must.Sprintf("%s names the test %s, which is not there", page, begin))
+				must.Sprintf("%s names the test %s, but no test name begins with it", page, begin))
 		}
 	}
 }
--- a/tools/source/doc.go
+++ b/tools/source/doc.go
@@ -1,3 +1,3 @@
-// Package source checks what the formatter and the linter do not: that the areas import downwards only, that
-// imports stand in groups, and that each package has one package comment.
+// Package source has tests of the source code for rules that the formatter and the linter do not check: packages
+// import only from areas of the same or a lower layer, imports are grouped, and each package has one package comment.
 package source
--- a/tools/source/source_test.go
+++ b/tools/source/source_test.go
@@ -18,8 +18,8 @@
 	module = "wallport/"
 )
 
-// layer orders the areas: a package imports from areas of its own layer's number or a lower one.
-// Folders that are not listed are checks and examples, which nothing imports.
+// layer maps each area, a top-level folder, to its layer. A package may import only from areas of its own or a lower
+// layer. Areas that are not listed contain checks and examples, which no listed area may import.
 var layer = map[string]int{
 	"gen": 0, "api": 0,
 	"runtime":  1,
@@ -31,9 +31,9 @@
 	"cmd":      7,
 }
 
-// file is one hand-written source file of the module.
+// file is a source file of the module that is not generated.
 type file struct {
-	path   string // from the module's root, with slashes
+	path   string // relative to the module's root, with slashes
 	syntax *ast.File
 	fset   *token.FileSet
 }
@@ -42,7 +42,7 @@
 
 func (f file) test() bool { return strings.HasSuffix(f.path, "_test.go") }
 
-// files parses every hand-written source file.
+// files parses every source file of the module that is not generated.
 func files(t *testing.T) []file {
 	t.Helper()
 	var out []file
@@ -94,13 +94,14 @@
 			}
 			area := strings.SplitN(path, "/", 2)[0]
 			other, ranked := layer[area]
-			must.True(t, ranked, must.Sprintf("%s imports %s, which nothing may import", f.path, path))
-			must.LessEq(t, own, other, must.Sprintf("%s imports %s, an area above its own", f.path, path))
+			must.True(t, ranked, must.Sprintf("%s imports %s, whose area has no layer and must not be imported", f.path, path))
+			must.LessEq(t, own, other, must.Sprintf("%s imports %s, whose area is in a higher layer", f.path, path))
 		}
 	}
 }
 
-// group is the position of an import's group: the standard library, other modules, this module.
+// group returns the position of the group of an import: 0 for the standard library, 1 for other modules and 2 for
+// this module.
 func group(path string) int {
 	switch first := strings.SplitN(path, "/", 2)[0]; {
 	case strings.HasPrefix(path, module):
@@ -118,8 +119,8 @@
 		for _, spec := range f.syntax.Imports {
 			now, at := group(importPath(spec)), f.fset.Position(spec.Pos()).Line
 			if previous >= 0 {
-				must.GreaterEq(t, previous, now, must.Sprintf("%s:%d: %s stands behind a later group", f.path, at, spec.Path.Value))
-				must.Eq(t, now != previous, at > line+1, must.Sprintf("%s:%d: a blank line divides groups, and nothing else", f.path, at))
+				must.GreaterEq(t, previous, now, must.Sprintf("%s:%d: import %s must come before the imports of later groups", f.path, at, spec.Path.Value))
+				must.Eq(t, now != previous, at > line+1, must.Sprintf("%s:%d: imports must be separated by a blank line between groups, and only there", f.path, at))
 			}
 			previous, line = now, at
 		}
@@ -138,6 +139,6 @@
 		}
 	}
 	for dir, list := range comments {
-		must.Len(t, 1, list, must.Sprintf("%s: package comments stand in %v", dir, list))
+		must.Len(t, 1, list, must.Sprintf("%s: want one package comment, got comments in %v", dir, list))
 	}
 }
