--- a/generate.sh
+++ b/generate.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Makes all generated code anew: the API from design, messages from wire, the sheet from proto.
+# Regenerates all generated code: the API from its design, the encoding of messages in runtime/wire, and the
+# configuration and the routing table from their proto files.
 set -eu
 cd "$(dirname "$0")"
 go tool goa gen wallport/api/design >/dev/null
--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that deploy/system.toml lists for a clean build, where one is missing.
+# Installs the missing ones of the Debian packages that deploy/system.toml lists for a clean build.
 set -eu
 cd "$(dirname "$0")/.."
 packages=$(sed -n 's/^packages = \[\(.*\)\]$/\1/p' deploy/system.toml | tr -d '",')
