--- a/tools/mutate/lists_test.go
+++ b/tools/mutate/lists_test.go
@@ -22,7 +22,7 @@
 		for _, m := range read(list) {
 			source, err := os.ReadFile(m.file)
 			must.NoError(t, err, must.Sprint(m.guard))
-			must.Eq(t, 1, strings.Count(string(source), m.old), must.Sprintf("%s: %s: %s", list, m.guard, m.file))
+			must.Eq(t, 1, strings.Count(string(source), m.old), must.Sprintf("%s: %s: occurrences of the old code in %s", list, m.guard, m.file))
 			must.True(t, m.test != "" || m.scenario != "", must.Sprint(m.guard))
 		}
 	}
