--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -1,5 +1,5 @@
-// Tests of the accepted and reported failures, on events as go test -json prints
-// them.
+// Tests of which failures are accepted and which are reported, on events in the
+// form of go test -json.
 
 package main
 
@@ -22,7 +22,7 @@
 	must.NoError(t, err)
 	o := newOutcome()
 	must.NoError(t, o.read(bufio.NewReader(strings.NewReader(strings.Join(events, "\n"))), io.Discard))
-	problems := o.problems(known, nonZeroExit)
+	problems := o.findProblems(known, nonZeroExit)
 	slices.Sort(problems)
 	return problems
 }
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -51,7 +51,7 @@
 	if readErr != nil {
 		return readErr
 	}
-	return report(out, result.problems(known, exit != nil), known)
+	return report(out, result.findProblems(known, exit != nil), known)
 }
 
 // readList reads the list of known failures. If the file does not exist, the list is empty.
--- a/tools/knownred/outcome.go
+++ b/tools/knownred/outcome.go
@@ -106,10 +106,10 @@
 	}
 }
 
-// problems returns the problems of a run: failures that are not known, and known failures that did not occur. A failed
-// package is a problem unless a known failure explains it and no test terminated its test binary. nonZeroExit tells
-// whether go test exited with an error.
-func (o *outcome) problems(known []entry, nonZeroExit bool) []string {
+// findProblems returns the problems of a run: failed tests that are not listed as known, and listed tests that passed
+// or did not run. A failed package is a problem unless a known failure explains it and no test terminated its test
+// binary. nonZeroExit tells whether go test exited with an error.
+func (o *outcome) findProblems(known []entry, nonZeroExit bool) []string {
 	var problems []string
 	listed := map[string]bool{}
 	for _, e := range known {
