--- a/review/lab/first_start_removed.go
+++ b/review/lab/first_start_removed.go
@@ -11,7 +11,7 @@
 const replacement = 5
 
 // firstStartOneRemoved starts a new fleet of three machines within 0.3 s and removes machine 2 permanently during this
-// first start. One second later, another machine with the same roles starts at a new address with an empty disk. The
+// first start. Another machine with the same roles starts 1 s later, at a new address and with an empty disk. The
 // operator sends its first configuration until it is acknowledged, and clients send requests.
 func firstStartOneRemoved(f *fleet, disrupt bool) error {
 	if err := serveOneBackend(f); err != nil {
--- a/review/lab/fleet.go
+++ b/review/lab/fleet.go
@@ -177,7 +177,7 @@
 		}
 		f.mu.Unlock()
 		if !killed {
-			f.rec.event("%s ends by itself: %v", name, err)
+			f.rec.event("%s exits by itself: %v", name, err)
 		}
 		close(p.exited)
 	}()
--- a/review/lab/ramp.go
+++ b/review/lab/ramp.go
@@ -78,12 +78,12 @@
 	crashing := 0
 	for machine := range f.machines {
 		n := f.exits(machine, roleNode)
-		f.rec.event("node-%d has ended %d times by itself", machine, n)
+		f.rec.event("node-%d has exited %d times by itself", machine, n)
 		if n >= 3 {
 			crashing++
 		}
 	}
-	f.rec.event("%d requests sent, %d kept connections closed without an answer", sent.Load(), lost.Load())
+	f.rec.event("%d requests sent, %d reused connections closed without a response", sent.Load(), lost.Load())
 	if crashing >= 2 {
 		return fmt.Errorf("%w: on %d of %d machines the node exited by itself three times or more, and %d reused connections were closed without a response",
 			errBroken, crashing, f.machines, lost.Load())
--- a/review/lab/shards.go
+++ b/review/lab/shards.go
@@ -71,7 +71,7 @@
 	f.rec.waitUntil(6)
 	if disrupt {
 		status := o.submit(0, http.MethodPut, "/-/config", 7, shardConfig(9, "p-a", "p-b", "p-c", "p-a"), 5*time.Second)
-		f.rec.event("the order that names p-a twice is answered %d", status)
+		f.rec.event("the configuration that names p-a twice is answered with status %d", status)
 		f.rec.waitUntil(10) // 6 s, config_apply_ms (3 s) and one more second
 	}
 	good, bad := 0, 0
@@ -90,7 +90,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	f.rec.event("%d good successes, %d wrong ones", good, bad)
+	f.rec.event("%d successful responses have correct parts, %d have wrong parts", good, bad)
 	if good+bad == 0 {
 		return errors.New("no gathered request returned status 200")
 	}
--- a/review/lab/standins.go
+++ b/review/lab/standins.go
@@ -104,7 +104,7 @@
 	if b.slots != nil {
 		if b.waiting.Add(1) > 2*int64(cap(b.slots)) {
 			b.waiting.Add(-1)
-			b.rec.event("backend %s is full and turns %s away", b.id, attempt)
+			b.rec.event("backend %s has a full queue and rejects %s", b.id, attempt)
 			w.Header().Set("Attempt-Id", attempt)
 			w.Header().Set("Not-Executed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
