--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -162,7 +162,7 @@
 		}
 		return
 	case m.Kind == search.KindSearch:
-		s.spoil(w, f, &m, records.Top(m.Index, m.Query, m.Limit, m.Shard, s.config.Shards))
+		s.sendWithDefect(w, f, &m, records.Top(m.Index, m.Query, m.Limit, m.Shard, s.config.Shards))
 		return
 	}
 	rec, ok := records.Of(m.Record)
@@ -170,7 +170,7 @@
 		s.send(w, 404, &m)
 		return
 	}
-	s.spoil(w, f, &m, []search.Record{rec})
+	s.sendWithDefect(w, f, &m, []search.Record{rec})
 }
 
 // drawServiceTime draws how long a request takes: longer while cold, and as the fault says when slow.
@@ -185,21 +185,21 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-func (s *Server) sealed(m *httpapi.BackendRequest, recs []search.Record) search.BackendResponse {
+func (s *Server) newResponse(m *httpapi.BackendRequest, recs []search.Record) search.BackendResponse {
 	return search.BackendResponse{RequestID: m.ID, ShardMap: s.config.ShardMap, Shard: s.config.Shard, Incarnation: s.began.UnixMicro(), Load: s.busy.Load(), Records: recs}
 }
 
 func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.BackendRequest) {
-	raw, _ := Spoil("", status, s.sealed(m, nil))
+	raw, _ := Spoil("", status, s.newResponse(m, nil))
 	w.Header().Set("Content-Digest", raw.Digest)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(raw.Status)
 	w.Write(raw.Body)
 }
 
-// spoil sends the response, with the defect that the fault names.
-func (s *Server) spoil(w http.ResponseWriter, f *Fault, m *httpapi.BackendRequest, recs []search.Record) {
-	raw, closed := Spoil(f.Mode, 200, s.sealed(m, recs))
+// sendWithDefect sends the response, with the defect that the fault names.
+func (s *Server) sendWithDefect(w http.ResponseWriter, f *Fault, m *httpapi.BackendRequest, recs []search.Record) {
+	raw, closed := Spoil(f.Mode, 200, s.newResponse(m, recs))
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if raw.Digest != "" {
--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -23,15 +23,15 @@
 
 // Config holds the callers' options.
 type Config struct {
-	Platform  string       `long:"platform" required:"yes" description:"URL of the platform that hands out nodes"`
-	Index     string       `long:"index" required:"yes" description:"index to ask"`
-	Rate      float64      `long:"rate" default:"530" description:"inquiries a second"`
-	Seconds   float64      `long:"seconds" default:"10" description:"how long"`
-	Least     clock.Micros `long:"deadline-least-us" default:"250000" description:"shortest deadline"`
-	Most      clock.Micros `long:"deadline-most-us" default:"1500000" description:"longest deadline"`
-	Repeat    float64      `long:"repeat" default:"0.05" description:"share of keyed inquiries sent again through another node"`
-	Seed      uint64       `long:"seed" default:"1" description:"seed"`
-	ShardMaps string       `long:"cuts" default:"" description:"cut=shards pairs that may answer, comma separated; empty trusts any"`
+	Platform    string       `long:"platform" required:"yes" description:"URL of the platform that hands out nodes"`
+	Index       string       `long:"index" required:"yes" description:"index to ask"`
+	Rate        float64      `long:"rate" default:"530" description:"inquiries a second"`
+	Seconds     float64      `long:"seconds" default:"10" description:"how long"`
+	MinDeadline clock.Micros `long:"deadline-least-us" default:"250000" description:"shortest deadline"`
+	MaxDeadline clock.Micros `long:"deadline-most-us" default:"1500000" description:"longest deadline"`
+	Repeat      float64      `long:"repeat" default:"0.05" description:"share of keyed inquiries sent again through another node"`
+	Seed        uint64       `long:"seed" default:"1" description:"seed"`
+	ShardMaps   string       `long:"cuts" default:"" description:"cut=shards pairs that may answer, comma separated; empty trusts any"`
 }
 
 // Summary is the outcome of a run; latencies are in microseconds.
@@ -53,7 +53,7 @@
 type Caller struct {
 	config      Config
 	client      *http.Client
-	rnd         *rand.Rand
+	rng         *rand.Rand
 	mu          sync.Mutex
 	nodes       []platform.Node
 	summary     Summary
@@ -66,7 +66,7 @@
 // New returns a caller.
 func New(c Config) *Caller {
 	k := &Caller{
-		config: c, rnd: rand.New(rand.NewPCG(c.Seed, 7)), refusedKeys: map[string]bool{}, shards: map[string]int{},
+		config: c, rng: rand.New(rand.NewPCG(c.Seed, 7)), refusedKeys: map[string]bool{}, shards: map[string]int{},
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 5 * time.Second}},
 		summary: Summary{Outcomes: map[string]int{}, LatencyUs: map[string]int64{}, Seconds: map[string]int{}, Wrong: []string{}, Refused: []string{}},
 	}
@@ -83,13 +83,13 @@
 // Run sends requests for the configured time and returns the summary.
 func (k *Caller) Run(ctx context.Context) Summary {
 	k.began = time.Now()
-	k.learnNodes()
+	k.refreshNodes()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(k.config.Seconds*float64(time.Second)))
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(250 * time.Millisecond)
-			k.learnNodes()
+			k.refreshNodes()
 		}
 	}()
 	var wg sync.WaitGroup
@@ -120,7 +120,7 @@
 	return k.summary
 }
 
-func (k *Caller) learnNodes() {
+func (k *Caller) refreshNodes() {
 	resp, err := k.client.Get(k.config.Platform + "/nodes")
 	if err != nil {
 		return
@@ -150,9 +150,9 @@
 func (k *Caller) drawRequest(n int) request {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	o := request{kind: search.KindSearch, limit: 10 + k.rnd.IntN(20), query: fmt.Sprintf("q%d", k.rnd.IntN(1000)), record: records.ID(k.rnd.IntN(records.Size))}
-	o.deadline = k.config.Least + k.rnd.Int64N(k.config.Most-k.config.Least+1)
-	switch r := k.rnd.Float64(); {
+	o := request{kind: search.KindSearch, limit: 10 + k.rng.IntN(20), query: fmt.Sprintf("q%d", k.rng.IntN(1000)), record: records.ID(k.rng.IntN(records.Size))}
+	o.deadline = k.config.MinDeadline + k.rng.Int64N(k.config.MaxDeadline-k.config.MinDeadline+1)
+	switch r := k.rng.Float64(); {
 	case r < 2.0/3:
 	case r < 2.0/3+1.0/6:
 		o.kind = search.KindRead
@@ -163,25 +163,25 @@
 	}
 	if o.kind == search.KindCorrect || o.kind == search.KindPart {
 		o.key = fmt.Sprintf("key-%d-%d", k.config.Seed, n)
-		o.repeat = k.rnd.Float64() < k.config.Repeat
+		o.repeat = k.rng.Float64() < k.config.Repeat
 	}
 	if len(k.nodes) > 0 {
-		o.nodes = [2]platform.Node{k.nodes[k.rnd.IntN(len(k.nodes))], k.nodes[k.rnd.IntN(len(k.nodes))]}
+		o.nodes = [2]platform.Node{k.nodes[k.rng.IntN(len(k.nodes))], k.nodes[k.rng.IntN(len(k.nodes))]}
 	}
 	return o
 }
 
 func (k *Caller) send(o request) {
-	k.once(o, o.nodes[0])
+	k.sendOnce(o, o.nodes[0])
 	if o.repeat {
 		k.mu.Lock()
 		k.summary.Repeats++
 		k.mu.Unlock()
-		k.once(o, o.nodes[1])
+		k.sendOnce(o, o.nodes[1])
 	}
 }
 
-func (k *Caller) once(o request, n platform.Node) {
+func (k *Caller) sendOnce(o request, n platform.Node) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(o.deadline)*time.Microsecond+2*time.Second)
 	defer cancel()
@@ -213,7 +213,7 @@
 		body, err = io.ReadAll(resp.Body)
 		resp.Body.Close()
 	}
-	took := time.Since(began)
+	elapsed := time.Since(began)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.summary.Sent++
@@ -222,5 +222,5 @@
 		k.summary.Outcomes["connection"]++
 		return
 	}
-	k.checkResponse(o, n, resp, body, took)
+	k.checkResponse(o, n, resp, body, elapsed)
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -65,10 +65,10 @@
 	stopped       map[string]bool
 	operators     *operators
 	network       *relay.Network
-	// zonesOrdered are the zones that a scenario's operators drain and restore.
-	zonesOrdered []string
+	// commandedZones are the zones that a scenario's operators drain and restore.
+	commandedZones []string
 	// started counts the daemons that were given an address of their own.
-	started int
+	uniqueAddressCount int
 }
 
 // New returns a fleet without processes.
@@ -169,14 +169,14 @@
 	}
 	args := []string{filepath.Join(bin, "wallport"), role, "--name", name, "--zone", zone, "--mesh", mesh, "--operator", oper}
 	if f.options.Relays {
-		listens, err := f.ownAddress()
+		listenAddr, err := f.uniqueAddress()
 		if err != nil {
 			return err
 		}
-		if err := f.network.Pass(name, mesh, listens); err != nil {
+		if err := f.network.AddRelay(name, mesh, listenAddr); err != nil {
 			return err
 		}
-		args = append(args, "--mesh-listen", listens)
+		args = append(args, "--mesh-listen", listenAddr)
 	}
 	for _, s := range f.seeds {
 		args = append(args, "--seed", s)
@@ -197,11 +197,11 @@
 	return f.Start(p)
 }
 
-// ownAddress returns a free port of a loopback address that no other daemon has.
-func (f *Fleet) ownAddress() (string, error) {
+// uniqueAddress returns a free port of a loopback address that no other daemon has.
+func (f *Fleet) uniqueAddress() (string, error) {
 	f.mu.Lock()
-	f.started++
-	ip := fmt.Sprintf("127.1.%d.%d", f.started/250, 1+f.started%250)
+	f.uniqueAddressCount++
+	ip := fmt.Sprintf("127.1.%d.%d", f.uniqueAddressCount/250, 1+f.uniqueAddressCount%250)
 	f.mu.Unlock()
 	free, err := ports(ip, 1)
 	if err != nil {
--- a/lab/fleet/gather.go
+++ b/lab/fleet/gather.go
@@ -13,9 +13,9 @@
 	"wallport/lab/backend"
 )
 
-// Ran counts how often each key ran, over all servers that answer.
-func (f *Fleet) Ran() (ran map[string]int, asked map[string]backend.Report) {
-	ran, asked = map[string]int{}, map[string]backend.Report{}
+// CountRuns counts how often each key ran, over all servers that answer.
+func (f *Fleet) CountRuns() (ran map[string]int, reports map[string]backend.Report) {
+	ran, reports = map[string]int{}, map[string]backend.Report{}
 	for _, s := range f.backends {
 		resp, err := f.client.Get("http://" + s.Addr + "/lab/report")
 		if err != nil {
@@ -27,7 +27,7 @@
 		if err != nil {
 			continue
 		}
-		asked[s.ID] = r
+		reports[s.ID] = r
 	}
 	// From the journals as well, which outlive a killed server.
 	for _, s := range f.backends {
@@ -39,7 +39,7 @@
 			ran[key]++
 		}
 	}
-	return ran, asked
+	return ran, reports
 }
 
 // Metric returns the sum of a counter over the live nodes.
@@ -50,12 +50,12 @@
 		if err != nil {
 			continue
 		}
-		sum += scan(resp, "wallport_"+name)
+		sum += readMetric(resp, "wallport_"+name)
 	}
 	return sum
 }
 
-func scan(resp *http.Response, name string) int64 {
+func readMetric(resp *http.Response, name string) int64 {
 	defer resp.Body.Close()
 	var buf strings.Builder
 	b := make([]byte, 64<<10)
--- a/lab/fleet/load.go
+++ b/lab/fleet/load.go
@@ -17,10 +17,10 @@
 
 // Case is one load to measure.
 type Case struct {
-	Name   string
-	Times  float64
-	Repeat float64
-	Script string
+	Name       string
+	LoadFactor float64
+	Repeat     float64
+	Script     string
 }
 
 // Cases are the measured loads.
@@ -92,7 +92,7 @@
 	if abs, err := filepath.Abs(bin); err == nil {
 		run.Bin = abs
 	}
-	r, err := Run(ctx, RunOptions{Options: run, Rate: o.Rate * c.Times, Seconds: o.Seconds, Repeat: c.Repeat, Seed: seed, Script: s, UpWithin: time.Minute})
+	r, err := Run(ctx, RunOptions{Options: run, Rate: o.Rate * c.LoadFactor, Seconds: o.Seconds, Repeat: c.Repeat, Seed: seed, Script: s, UpWithin: time.Minute})
 	if err != nil {
 		return CaseResult{}, err
 	}
--- a/lab/fleet/logs.go
+++ b/lab/fleet/logs.go
@@ -11,8 +11,8 @@
 
 var served = regexp.MustCompile(`event=served .*read=([0-9]+)`)
 
-// stoppedRead sums the requests that nodes had in hand when they stopped gracefully.
-func (f *Fleet) stoppedRead() (sum int64) {
+// readByStoppedNodes sums the requests that nodes had in hand when they stopped gracefully.
+func (f *Fleet) readByStoppedNodes() (sum int64) {
 	for _, n := range f.Nodes {
 		b, err := os.ReadFile(filepath.Join(f.options.Dir, n.Name+".log"))
 		if err != nil {
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -82,7 +82,7 @@
 
 // edits sends n complete configurations: in a race all at once, based on one version; in a storm one after
 // another, each based on what is then in force.
-func (o *operators) edits(ctx context.Context, n int, gap time.Duration, race bool) {
+func (o *operators) sendEdits(ctx context.Context, n int, gap time.Duration, race bool) {
 	o.wait.Go(func() {
 		base, err := o.readConfig("node-1")
 		for i := range n {
@@ -113,8 +113,8 @@
 	stamp, _ := config.ParseVersion(0, base.Version)
 	t := check.Edit{Mark: mark, Base: stamp, Began: o.now(), Ended: 1 << 62, Code: check.CodeOpen}
 	o.withChecker(func(c *check.Checker) { c.EditBegan(t) })
-	code, taken := o.send(node, body, base.Version)
-	t.Code, t.Version, t.Ended = code, taken, o.now()
+	code, ack := o.send(node, body, base.Version)
+	t.Code, t.Version, t.Ended = code, ack, o.now()
 	o.withChecker(func(c *check.Checker) { c.EditEnded(t); c.Count("edits."+string(code), 1) })
 }
 
@@ -181,7 +181,7 @@
 }
 
 // served reports to the checker what callers got, second by second from a moment on.
-func (o *operators) served(from clock.Micros, seconds map[string]int) {
+func (o *operators) recordServed(from clock.Micros, seconds map[string]int) {
 	for k, n := range seconds {
 		var s int64
 		fmt.Sscan(strings.TrimLeft(k, "0"), &s)
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -62,7 +62,7 @@
 }
 
 // begin records the configuration in force before any edit, with which histories begin.
-func (o *operators) begin(ctx context.Context) error {
+func (o *operators) recordInitialConfig(ctx context.Context) error {
 	return poll(ctx, "the first sheet", func() error {
 		first, err := o.readConfig("node-1")
 		if err != nil {
@@ -76,7 +76,7 @@
 
 // reads reads the newest configuration from one node after another, confirmed by a majority, until the context
 // ends.
-func (o *operators) reads(ctx context.Context) {
+func (o *operators) startReads(ctx context.Context) {
 	o.wait.Go(func() {
 		for i := 0; ctx.Err() == nil; i++ {
 			o.readNewest(fmt.Sprintf("node-%d", i%o.fleet.options.Shape.Nodes))
@@ -87,21 +87,21 @@
 
 // readNewest reads the history of the configuration, whose last entry is the newest.
 func (o *operators) readNewest(node string) {
-	var past []configInForce
+	var history []configInForce
 	began := o.now()
-	code := o.call(http.MethodGet, node, "/v1/sheet/history", &past)
+	code := o.call(http.MethodGet, node, "/v1/sheet/history", &history)
 	ended := o.now()
 	o.withChecker(func(c *check.Checker) { c.Count("reads."+string(code), 1) })
-	if code != wire.CodeOK || len(past) == 0 {
+	if code != wire.CodeOK || len(history) == 0 {
 		return
 	}
-	newest := past[len(past)-1]
+	newest := history[len(history)-1]
 	stamp, _ := config.ParseVersion(0, newest.Version)
 	o.withChecker(func(c *check.Checker) { c.ConfigRead(readingClient, stamp, newest.mark(), began, ended) })
 }
 
 // zones makes operators drain and restore a zone alternately, two at a time through different nodes.
-func (o *operators) zones(ctx context.Context, zone string, n int, gap time.Duration) {
+func (o *operators) sendZoneCommands(ctx context.Context, zone string, n int, gap time.Duration) {
 	o.wait.Go(func() {
 		for i := range n {
 			if ctx.Err() != nil {
@@ -118,9 +118,9 @@
 	if drained {
 		action = "empty"
 	}
-	var taken struct{ Stamp string }
+	var ack struct{ Stamp string }
 	began := o.now()
-	code := o.call(http.MethodPost, node, "/v1/zones/"+zone+"/"+action, &taken)
+	code := o.call(http.MethodPost, node, "/v1/zones/"+zone+"/"+action, &ack)
 	ended := o.now()
 	o.withChecker(func(c *check.Checker) {
 		c.ZoneSet(client, zone, drained, code, began, ended)
@@ -132,13 +132,13 @@
 // acknowledgement of an edit without effect gives the version to wait for.
 func (o *operators) readZone(ctx context.Context, zone string) error {
 	began := o.now()
-	var taken struct {
+	var ack struct {
 		InForce  int `json:"in_force"`
 		Laggards []string
 	}
 	return poll(ctx, "the state of "+zone, func() error {
-		if code := o.call(http.MethodPost, "node-0", "/v1/zones/"+unusedZone+"/refill", &taken); code != wire.CodeOK || len(taken.Laggards) > 0 {
-			return fmt.Errorf("%s, not in force at %v", code, taken.Laggards)
+		if code := o.call(http.MethodPost, "node-0", "/v1/zones/"+unusedZone+"/refill", &ack); code != wire.CodeOK || len(ack.Laggards) > 0 {
+			return fmt.Errorf("%s, not in force at %v", code, ack.Laggards)
 		}
 		var servers []struct{ Zone, Verdict string }
 		if code := o.call(http.MethodGet, "node-0", "/v1/servers", &servers); code != wire.CodeOK {
--- a/lab/fleet/replace.go
+++ b/lab/fleet/replace.go
@@ -27,8 +27,8 @@
 	return f.daemon("core", name, zone, addrs[0], addrs[1], "--data", filepath.Join(f.options.Dir, name))
 }
 
-// owner returns the core that leads the most partitions, by the cores' own status.
-func (f *Fleet) owner() string {
+// leadingCore returns the core that leads the most partitions, by the cores' own status.
+func (f *Fleet) leadingCore() string {
 	best, most := "core-0", int64(-1)
 	for name, p := range f.processes {
 		if p.Data == "" || f.stopped[name] {
@@ -38,7 +38,7 @@
 		if err != nil {
 			continue
 		}
-		if n := scan(resp, "wallport_part_owned_now"); n > most {
+		if n := readMetric(resp, "wallport_part_owned_now"); n > most {
 			best, most = name, n
 		}
 	}
@@ -46,22 +46,22 @@
 }
 
 // fileLimit makes writes beyond this many bytes of a file fail, as on a full disk.
-func (f *Fleet) fileLimit(name string, most uint64) error {
+func (f *Fleet) fileLimit(name string, maxBytes uint64) error {
 	f.mu.Lock()
 	p := f.processes[name]
 	f.mu.Unlock()
 	if p == nil {
 		return fmt.Errorf("no process %s", name)
 	}
-	lim := unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}
-	if most == 0 {
+	lim := unix.Rlimit{Cur: maxBytes, Max: unix.RLIM_INFINITY}
+	if maxBytes == 0 {
 		lim.Cur = unix.RLIM_INFINITY
 	}
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &lim, nil)
 }
 
 // all applies do to every process of the fleet but the platform.
-func (f *Fleet) all(do func(name string) error) error {
+func (f *Fleet) forEachProcess(do func(name string) error) error {
 	f.mu.Lock()
 	var names []string
 	for name := range f.processes {
--- a/lab/fleet/run.go
+++ b/lab/fleet/run.go
@@ -44,9 +44,9 @@
 	f := New(o.Options)
 	defer f.Down()
 	began := time.Now()
-	up, cancel := context.WithTimeout(ctx, o.UpWithin)
+	upCtx, cancel := context.WithTimeout(ctx, o.UpWithin)
 	defer cancel()
-	if err := f.Up(up); err != nil {
+	if err := f.Up(upCtx); err != nil {
 		return nil, err
 	}
 	r := &Result{Shape: o.Shape.Name, UpMs: time.Since(began).Milliseconds(), Counts: map[string]int64{}, Violations: []string{}}
@@ -55,22 +55,22 @@
 	}
 	before := f.Metric("inquiries_read")
 	if o.Rate > 0 {
-		if err := f.operators.begin(up); err != nil {
+		if err := f.operators.recordInitialConfig(upCtx); err != nil {
 			return nil, err
 		}
 		played := make(chan error, 1)
 		from := f.operators.now()
-		watched, enough := context.WithCancel(ctx)
-		f.operators.watch(watched)
-		f.operators.reads(watched)
+		watchCtx, stopWatching := context.WithCancel(ctx)
+		f.operators.watch(watchCtx)
+		f.operators.startReads(watchCtx)
 		go func() { played <- f.Play(ctx, o.Script) }()
 		r.Callers = caller.New(caller.Config{
 			Platform: f.Platform, Index: o.Shape.Index, Rate: o.Rate, Seconds: o.Seconds, Repeat: o.Repeat, Seed: o.Seed,
-			Least: o.Shape.Least, Most: o.Shape.Most,
+			MinDeadline: o.Shape.Least, MaxDeadline: o.Shape.Most,
 		}).Run(ctx)
-		enough()
+		stopWatching()
 		f.operators.wait.Wait()
-		f.operators.served(from, r.Callers.Seconds)
+		f.operators.recordServed(from, r.Callers.Seconds)
 		if err := <-played; err != nil {
 			return nil, err
 		}
@@ -79,7 +79,7 @@
 		}
 	}
 	f.check(r)
-	r.Counts["inquiries_read"] = f.Metric("inquiries_read") + f.stoppedRead() - before
+	r.Counts["inquiries_read"] = f.Metric("inquiries_read") + f.readByStoppedNodes() - before
 	if o.Stay {
 		<-ctx.Done()
 	}
@@ -88,10 +88,10 @@
 
 // readZones reads at the end the state of the zones that commands were given for.
 func (f *Fleet) readZones(ctx context.Context) error {
-	within, cancel := context.WithTimeout(ctx, zonesReadWithin)
+	readCtx, cancel := context.WithTimeout(ctx, zonesReadWithin)
 	defer cancel()
-	for _, zone := range f.zonesOrdered {
-		if err := f.operators.readZone(within, zone); err != nil {
+	for _, zone := range f.commandedZones {
+		if err := f.operators.readZone(readCtx, zone); err != nil {
 			return err
 		}
 	}
@@ -109,7 +109,7 @@
 func (f *Fleet) check(r *Result) {
 	c := f.operators.checker
 	c.Chain()
-	ran, reports := f.Ran()
+	ran, reports := f.CountRuns()
 	for key, n := range ran {
 		c.RanTimes(key, n)
 	}
--- a/lab/fleet/signals.go
+++ b/lab/fleet/signals.go
@@ -36,7 +36,7 @@
 
 // Down stops every process.
 func (f *Fleet) Down() {
-	f.network.End()
+	f.network.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.processes {
--- a/lab/fleet/verbs.go
+++ b/lab/fleet/verbs.go
@@ -42,7 +42,7 @@
 		return ""
 	}
 	each := func(do func(name string) error) error {
-		for _, name := range f.match(st.Args) {
+		for _, name := range f.expandNames(st.Args) {
 			if err := do(name); err != nil {
 				return err
 			}
@@ -62,10 +62,10 @@
 		return each(f.Restart)
 	case "lose-all":
 		f.operators.lostAt.Store(f.operators.now())
-		return f.all(func(n string) error { return f.Signal(n, syscall.SIGKILL) })
+		return f.forEachProcess(func(n string) error { return f.Signal(n, syscall.SIGKILL) })
 	case "start-all":
 		f.operators.restoredAt.Store(f.operators.now())
-		return f.all(f.Restart)
+		return f.forEachProcess(f.Restart)
 	case "lose-disk":
 		return each(func(n string) error { return os.RemoveAll(f.processes[n].Data) })
 	case "fault":
@@ -75,7 +75,7 @@
 		if len(st.Args) < 2 {
 			return fmt.Errorf("%s takes a name and the names that it is cut off from", st.Verb)
 		}
-		f.network.Set(f.match(st.Args[:1]), f.match(st.Args[1:]), st.Verb == "cut-off")
+		f.network.SetPartition(f.expandNames(st.Args[:1]), f.expandNames(st.Args[1:]), st.Verb == "cut-off")
 		return nil
 	case "leave":
 		f.setState(st.Args, "leaving")
@@ -93,13 +93,13 @@
 	case "race", "storm":
 		n, _ := strconv.Atoi(arg(0))
 		gap, _ := time.ParseDuration(arg(1))
-		f.operators.edits(ctx, n, gap, st.Verb == "race")
+		f.operators.sendEdits(ctx, n, gap, st.Verb == "race")
 		return nil
 	case "zone-orders":
 		n, _ := strconv.Atoi(arg(1))
 		gap, _ := time.ParseDuration(arg(2))
-		f.zonesOrdered = append(f.zonesOrdered, arg(0))
-		f.operators.zones(ctx, arg(0), n, gap)
+		f.commandedZones = append(f.commandedZones, arg(0))
+		f.operators.sendZoneCommands(ctx, arg(0), n, gap)
 		return nil
 	case "seeds":
 		// Processes that start from now on are given other seeds.
@@ -111,17 +111,17 @@
 		}
 		return nil
 	case "upgrade", "downgrade":
-		return each(func(n string) error { return f.release(n, st.Verb == "upgrade") })
+		return each(func(n string) error { return f.switchRelease(n, st.Verb == "upgrade") })
 	case "replace-core":
 		return f.replaceCore(arg(0), arg(1))
 	case "file-limit":
 		// Every write beyond this many bytes of a file fails from now on; 0 ends it.
-		most, err := strconv.ParseUint(arg(0), 10, 64)
+		maxBytes, err := strconv.ParseUint(arg(0), 10, 64)
 		if err != nil {
 			return fmt.Errorf("file-limit BYTES NAME...: %w", err)
 		}
-		for _, n := range f.match(st.Args[1:]) {
-			if err := f.fileLimit(n, most); err != nil {
+		for _, n := range f.expandNames(st.Args[1:]) {
+			if err := f.fileLimit(n, maxBytes); err != nil {
 				return err
 			}
 		}
@@ -135,8 +135,8 @@
 
 const platformLag = 300 * time.Millisecond
 
-// match expands "zone:z1" to the names of everything in the zone.
-func (f *Fleet) match(args []string) []string {
+// expandNames expands "zone:z1" to the names of everything in the zone.
+func (f *Fleet) expandNames(args []string) []string {
 	var out []string
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +151,7 @@
 			continue
 		}
 		if a == "owner" {
-			out = append(out, f.owner())
+			out = append(out, f.leadingCore())
 			continue
 		}
 		if !byZone {
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -52,10 +52,10 @@
 	if err != nil {
 		return err
 	}
-	go p.watch()
+	go p.pollReadiness()
 	m := http.NewServeMux()
 	m.HandleFunc("GET /list", p.serveList)
-	m.HandleFunc("GET /nodes", p.handOut)
+	m.HandleFunc("GET /nodes", p.serveNodes)
 	m.HandleFunc("POST /lab/servers", func(w http.ResponseWriter, r *http.Request) {
 		var l wire.BackendList
 		if json.NewDecoder(r.Body).Decode(&l) != nil {
@@ -123,14 +123,14 @@
 	json.NewEncoder(w).Encode(out)
 }
 
-func (p *Platform) handOut(w http.ResponseWriter, _ *http.Request) {
+func (p *Platform) serveNodes(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	json.NewEncoder(w).Encode(p.nodes)
 }
 
-// watch polls the health of every node.
-func (p *Platform) watch() {
+// pollReadiness polls the health of every node.
+func (p *Platform) pollReadiness() {
 	client := &http.Client{Timeout: 300 * time.Millisecond}
 	for {
 		time.Sleep(300 * time.Millisecond)
--- a/lab/records/records.go
+++ b/lab/records/records.go
@@ -34,8 +34,8 @@
 	shard, shards int
 }
 
-// cacheMost bounds the number of cached sorted lists.
-const cacheMost = 8192
+// maxCached bounds the number of cached sorted lists.
+const maxCached = 8192
 
 var (
 	cache     sync.Map
@@ -57,7 +57,7 @@
 		}
 	}
 	slices.SortFunc(all, search.Before)
-	if cacheSize.Load() < cacheMost {
+	if cacheSize.Load() < maxCached {
 		cache.Store(k, all)
 		cacheSize.Add(1)
 	}
--- a/lab/relay/ends.go
+++ b/lab/relay/ends.go
@@ -12,8 +12,8 @@
 	conn.Close()
 }
 
-// endWriting forwards the end of one direction.
-func endWriting(conn net.Conn) {
+// closeWrite forwards the end of one direction.
+func closeWrite(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 		return
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -20,8 +20,8 @@
 	partitioned map[[2]string]bool
 	// links are the connections that are relayed now.
 	links map[*link]bool
-	// ended reports that the test is over: nothing is delayed any more.
-	ended     bool
+	// closed reports that the test is over: nothing is delayed any more.
+	closed    bool
 	listeners []net.Listener
 }
 
@@ -42,31 +42,31 @@
 
 // Pass forwards connections to the address `to` to a process that listens at `listens`. Callers from that IP are
 // known by the process's name from then on.
-func (n *Network) Pass(name, to, listens string) error {
-	host, _, err := net.SplitHostPort(listens)
+func (n *Network) AddRelay(name, addr, target string) error {
+	host, _, err := net.SplitHostPort(target)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
 	n.processByIP[host] = name
 	n.mu.Unlock()
-	return n.PassFrom("", name, to, listens)
+	return n.AddRelayFor("", name, addr, target)
 }
 
-// PassFrom is Pass for a relay that only one caller uses; an empty caller is identified by its address.
-func (n *Network) PassFrom(caller, name, to, listens string) error {
-	l, err := net.Listen("tcp", to)
+// AddRelayFor is Pass for a relay that only one caller uses; an empty caller is identified by its address.
+func (n *Network) AddRelayFor(caller, name, addr, target string) error {
+	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
 	n.listeners = append(n.listeners, l)
 	n.mu.Unlock()
-	go n.accept(l, caller, name, listens)
+	go n.accept(l, caller, name, target)
 	return nil
 }
 
-func (n *Network) accept(l net.Listener, caller, name, listens string) {
+func (n *Network) accept(l net.Listener, caller, name, target string) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -76,7 +76,7 @@
 		if from == "" {
 			from = n.nameOf(conn.RemoteAddr())
 		}
-		go n.carry(conn, from, name, listens)
+		go n.relayConn(conn, from, name, target)
 	}
 }
 
@@ -91,11 +91,11 @@
 	return n.processByIP[host]
 }
 
-// carry relays one connection, once its caller is not partitioned from the process.
-func (n *Network) carry(from net.Conn, caller, name, listens string) {
+// relayConn relays one connection, once its caller is not partitioned from the process.
+func (n *Network) relayConn(from net.Conn, caller, name, target string) {
 	defer from.Close()
 	n.awaitHealed(caller, name)
-	to, err := net.Dial("tcp", listens)
+	to, err := net.Dial("tcp", target)
 	if err != nil {
 		reset(from)
 		return
@@ -105,10 +105,10 @@
 	n.mu.Lock()
 	n.links[l] = true
 	n.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { n.forward(l, to, from, caller, name) })
-	both.Go(func() { n.forward(l, from, to, name, caller) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.forward(l, to, from, caller, name) })
+	directions.Go(func() { n.forward(l, from, to, name, caller) })
+	directions.Wait()
 	n.mu.Lock()
 	delete(n.links, l)
 	n.mu.Unlock()
@@ -132,7 +132,7 @@
 		}
 		switch {
 		case err == io.EOF:
-			endWriting(to)
+			closeWrite(to)
 			return
 		case err != nil:
 			reset(to)
@@ -145,7 +145,7 @@
 func (n *Network) awaitHealed(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for n.partitioned[[2]string{a, b}] && !n.ended {
+	for n.partitioned[[2]string{a, b}] && !n.closed {
 		n.healed.Wait()
 	}
 }
@@ -154,30 +154,30 @@
 func (n *Network) awaitOpen(l *link) (over bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for l.halfOpen && !n.ended {
+	for l.halfOpen && !n.closed {
 		n.healed.Wait()
 	}
 	return l.halfOpen
 }
 
 // Set partitions each of some processes from each of others, both ways, or heals the partition.
-func (n *Network) Set(some, others []string, apart bool) {
+func (n *Network) SetPartition(some, others []string, blocked bool) {
 	for _, a := range some {
 		for _, b := range others {
-			n.SetOneWay(a, b, apart)
-			n.SetOneWay(b, a, apart)
+			n.SetOneWayPartition(a, b, blocked)
+			n.SetOneWayPartition(b, a, blocked)
 		}
 	}
 }
 
-// SetOneWay partitions only the direction from a to b, or heals it.
-func (n *Network) SetOneWay(a, b string, apart bool) {
+// SetOneWayPartition partitions only the direction from a to b, or heals it.
+func (n *Network) SetOneWayPartition(a, b string, blocked bool) {
 	if a == b {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned[[2]string{a, b}] = apart
+	n.partitioned[[2]string{a, b}] = blocked
 	n.healed.Broadcast()
 }
 
@@ -220,10 +220,10 @@
 }
 
 // End closes the relays and releases what they hold back.
-func (n *Network) End() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ended = true
+	n.closed = true
 	for _, l := range n.listeners {
 		l.Close()
 	}
--- a/lab/relay/relay_test.go
+++ b/lab/relay/relay_test.go
@@ -23,13 +23,13 @@
 	must.NoError(t, err)
 	announced, err := freePort()
 	must.NoError(t, err)
-	must.NoError(t, n.Pass(name, announced, l.Addr().String()))
-	t.Cleanup(func() { l.Close(); n.End() })
+	must.NoError(t, n.AddRelay(name, announced, l.Addr().String()))
+	t.Cleanup(func() { l.Close(); n.Close() })
 	return &peer{name, ip, announced, l}
 }
 
-// writes connects to another peer's announced address and writes a byte.
-func (p *peer) writes(t *testing.T, to *peer, b byte) net.Conn {
+// dialAndSend connects to another peer's announced address and writes a byte.
+func (p *peer) dialAndSend(t *testing.T, to *peer, b byte) net.Conn {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(p.ip)}}
 	conn, err := d.Dial("tcp", to.announced)
@@ -40,8 +40,8 @@
 	return conn
 }
 
-// reads accepts a connection and reads a byte of it.
-func (p *peer) reads(t *testing.T) (net.Conn, byte) {
+// acceptAndRead accepts a connection and reads a byte of it.
+func (p *peer) acceptAndRead(t *testing.T) (net.Conn, byte) {
 	t.Helper()
 	conn, err := p.listener.Accept()
 	must.NoError(t, err)
@@ -60,34 +60,34 @@
 func TestNewConnectionWaitsUntilPartitionHeals(t *testing.T) {
 	n := New()
 	a, b, c := newPeer(t, n, "a", "127.1.9.1"), newPeer(t, n, "b", "127.1.9.2"), newPeer(t, n, "c", "127.1.9.3")
-	n.Set([]string{"a"}, []string{"b"}, true)
-	a.writes(t, b, 'a')
-	c.writes(t, b, 'c')
-	_, first := b.reads(t)
+	n.SetPartition([]string{"a"}, []string{"b"}, true)
+	a.dialAndSend(t, b, 'a')
+	c.dialAndSend(t, b, 'c')
+	_, first := b.acceptAndRead(t)
 	must.Eq(t, 'c', first, must.Sprint("only the one that is not cut off arrives"))
-	n.Set([]string{"b"}, []string{"a"}, false)
-	_, second := b.reads(t)
+	n.SetPartition([]string{"b"}, []string{"a"}, false)
+	_, second := b.acceptAndRead(t)
 	must.Eq(t, 'a', second)
 }
 
 func TestBytesSentDuringPartitionArriveWhenItHeals(t *testing.T) {
 	n := New()
 	a, b, c := newPeer(t, n, "a", "127.1.9.4"), newPeer(t, n, "b", "127.1.9.5"), newPeer(t, n, "c", "127.1.9.6")
-	fromA := a.writes(t, b, '1')
-	atB, first := b.reads(t)
+	fromA := a.dialAndSend(t, b, '1')
+	atB, first := b.acceptAndRead(t)
 	must.Eq(t, '1', first)
-	n.Set([]string{"a", "b"}, []string{"a", "b"}, true)
+	n.SetPartition([]string{"a", "b"}, []string{"a", "b"}, true)
 	_, err := fromA.Write([]byte{'2'})
 	must.NoError(t, err)
 	_, err = atB.Write([]byte{'3'})
 	must.NoError(t, err)
 	// A third one comes and goes meanwhile, both ways.
-	fromC := c.writes(t, b, 'c')
-	toC, _ := b.reads(t)
+	fromC := c.dialAndSend(t, b, 'c')
+	toC, _ := b.acceptAndRead(t)
 	_, err = toC.Write([]byte{'d'})
 	must.NoError(t, err)
 	must.Eq(t, 'd', readByte(t, fromC))
-	n.Set([]string{"a"}, []string{"b"}, false)
+	n.SetPartition([]string{"a"}, []string{"b"}, false)
 	must.Eq(t, '2', readByte(t, atB))
 	must.Eq(t, '3', readByte(t, fromA))
 }
@@ -95,8 +95,8 @@
 func TestEndOfConnectionIsForwarded(t *testing.T) {
 	n := New()
 	a, b := newPeer(t, n, "a", "127.1.9.7"), newPeer(t, n, "b", "127.1.9.8")
-	fromA := a.writes(t, b, '1')
-	atB, _ := b.reads(t)
+	fromA := a.dialAndSend(t, b, '1')
+	atB, _ := b.acceptAndRead(t)
 	must.NoError(t, fromA.Close())
 	_, err := atB.Read(make([]byte, 1))
 	must.Error(t, err)
@@ -115,9 +115,9 @@
 func TestOneWayPartitionBlocksThatDirectionOnly(t *testing.T) {
 	n := New()
 	a, b := newPeer(t, n, "a", "127.1.9.9"), newPeer(t, n, "b", "127.1.9.10")
-	fromA := a.writes(t, b, '1')
-	atB, _ := b.reads(t)
-	n.SetOneWay("a", "b", true)
+	fromA := a.dialAndSend(t, b, '1')
+	atB, _ := b.acceptAndRead(t)
+	n.SetOneWayPartition("a", "b", true)
 	_, err := fromA.Write([]byte{'2'})
 	must.NoError(t, err)
 	_, err = atB.Write([]byte{'3'})
@@ -130,8 +130,8 @@
 func TestResetReachesBothEnds(t *testing.T) {
 	n := New()
 	a, b := newPeer(t, n, "a", "127.1.9.11"), newPeer(t, n, "b", "127.1.9.12")
-	fromA := a.writes(t, b, '1')
-	atB, _ := b.reads(t)
+	fromA := a.dialAndSend(t, b, '1')
+	atB, _ := b.acceptAndRead(t)
 	n.Reset("b", "a")
 	for _, conn := range []net.Conn{fromA, atB} {
 		_, err := conn.Read(make([]byte, 1))
@@ -142,15 +142,15 @@
 func TestHalfOpenConnectionForwardsNothing(t *testing.T) {
 	n := New()
 	a, b := newPeer(t, n, "a", "127.1.9.13"), newPeer(t, n, "b", "127.1.9.14")
-	fromA := a.writes(t, b, '1')
-	atB, _ := b.reads(t)
+	fromA := a.dialAndSend(t, b, '1')
+	atB, _ := b.acceptAndRead(t)
 	n.HalfOpen("a", "b")
 	_, err := fromA.Write([]byte{'2'})
 	must.NoError(t, err)
-	a.writes(t, b, '3')
-	_, got := b.reads(t)
+	a.dialAndSend(t, b, '3')
+	_, got := b.acceptAndRead(t)
 	must.Eq(t, '3', got)
-	n.End()
+	n.Close()
 	_, err = atB.Read(make([]byte, 1))
 	must.Error(t, err, must.Sprint("what was held is lost"))
 }
--- a/lab/soak/backend.go
+++ b/lab/soak/backend.go
@@ -50,8 +50,8 @@
 	once     sync.Once
 }
 
-// queueMost is how many requests wait for a slot; further ones are rejected.
-const queueMost = 24
+// maxQueued is how many requests wait for a slot; further ones are rejected.
+const maxQueued = 24
 
 // startBackend starts a backend at an address.
 func startBackend(j *journal, id, pool, zone, addr string, slots int, work time.Duration) (*backend, error) {
@@ -64,7 +64,7 @@
 		record: &rules.Backend{ID: id, Pool: pool, Zone: zone, Born: j.now(), Ended: rules.Never, Shown: rules.Never},
 	}
 	b.behaviour.Store(&behaviour{})
-	j.with(func() { j.Backends = append(j.Backends, b.record) })
+	j.withLock(func() { j.Backends = append(j.Backends, b.record) })
 	b.server = &http.Server{Handler: b, IdleTimeout: 20 * time.Second}
 	go b.server.Serve(l)
 	return b, nil
@@ -74,7 +74,7 @@
 func (b *backend) crash() {
 	b.once.Do(func() {
 		at := b.journal.now()
-		b.journal.with(func() { b.record.Ended = at })
+		b.journal.withLock(func() { b.record.Ended = at })
 		b.server.Close()
 	})
 }
@@ -98,14 +98,14 @@
 	}
 	a := &rules.Arrival{Attempt: r.Header.Get(platform.HeaderAttempt), Backend: b.record, Method: r.Method, Target: r.RequestURI, Body: body, At: b.journal.now()}
 	a.Sent = a.At
-	b.journal.with(func() { b.journal.Arrivals = append(b.journal.Arrivals, a) })
+	b.journal.withLock(func() { b.journal.Arrivals = append(b.journal.Arrivals, a) })
 	w.Header().Set(platform.HeaderAttempt, a.Attempt)
 	w.Header().Set(platform.HeaderLoad, fmt.Sprintf("%d,%d,%d", len(b.slots), b.queued.Load(), cap(b.slots)))
 	if b.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	if r.Header.Get(platform.HeaderTarget) != b.id || m.misdirected {
-		b.journal.with(func() { a.Wrong, a.Status = true, http.StatusMisdirectedRequest })
+		b.journal.withLock(func() { a.Wrong, a.Status = true, http.StatusMisdirectedRequest })
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -114,8 +114,8 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !b.takeSlot(r, time.Duration(budget)*time.Millisecond) {
-		b.journal.with(func() { a.Status = http.StatusServiceUnavailable })
+	if !b.acquireSlot(r, time.Duration(budget)*time.Millisecond) {
+		b.journal.withLock(func() { a.Status = http.StatusServiceUnavailable })
 		w.Header().Set(platform.HeaderNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -123,9 +123,9 @@
 	b.run(w, r, a, m)
 }
 
-// takeSlot waits for a slot, at most as long as the request has; false means that it is rejected.
-func (b *backend) takeSlot(r *http.Request, within time.Duration) bool {
-	if b.queued.Add(1) > queueMost {
+// acquireSlot waits for a slot, at most as long as the request has; false means that it is rejected.
+func (b *backend) acquireSlot(r *http.Request, within time.Duration) bool {
+	if b.queued.Add(1) > maxQueued {
 		b.queued.Add(-1)
 		return false
 	}
@@ -144,7 +144,7 @@
 // run works on a request and responds as the behaviour says.
 func (b *backend) run(w http.ResponseWriter, r *http.Request, a *rules.Arrival, m behaviour) {
 	defer func() { <-b.slots }()
-	b.journal.with(func() { a.Ran = true })
+	b.journal.withLock(func() { a.Ran = true })
 	work := b.work/2 + time.Duration(rand.Int64N(int64(b.work)))
 	if m.slow > 1 {
 		work *= time.Duration(m.slow)
@@ -165,7 +165,7 @@
 	}
 	body := responseBody(a.Attempt, b.pool)
 	seal := fmt.Sprintf("%s.%d.%x", b.id, b.seals.Add(1), sha256.Sum256(body))[:40]
-	b.journal.with(func() { a.Status, a.Answer, a.Seal = status, body, seal })
+	b.journal.withLock(func() { a.Status, a.Answer, a.Seal = status, body, seal })
 	if m.early {
 		b.respondEarly(w, r, a, body, seal)
 		return
--- a/lab/soak/calm.go
+++ b/lab/soak/calm.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// calm counts the faults of the cores.
-type calm struct {
+// coreFaultGate counts the faults of the cores.
+type coreFaultGate struct {
 	mu       sync.Mutex
 	faults   int
 	endedAt  time.Time
@@ -17,7 +17,7 @@
 }
 
 // begin records a fault, once no disk is being lost.
-func (c *calm) begin() {
+func (c *coreFaultGate) begin() {
 	for {
 		c.mu.Lock()
 		if !c.acquired {
@@ -30,7 +30,7 @@
 	}
 }
 
-func (c *calm) end() {
+func (c *coreFaultGate) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults--
@@ -38,7 +38,7 @@
 }
 
 // tryAcquire acquires the right to lose a disk; false means that the cores are not calm.
-func (c *calm) tryAcquire() bool {
+func (c *coreFaultGate) tryAcquire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.acquired || c.faults > 0 || time.Since(c.endedAt) < syncTime {
@@ -48,7 +48,7 @@
 	return true
 }
 
-func (c *calm) release() {
+func (c *coreFaultGate) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.acquired, c.endedAt = false, time.Now()
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -31,18 +31,18 @@
 
 // Constants of clients.
 const (
-	retriesMost = 2
-	connectMost = time.Second
+	maxRetries     = 2
+	connectTimeout = time.Second
 	// abandonShare of the requests are abandoned by their client before the response; slowShare send their head
 	// slowly.
-	abandonShare = 0.02
-	slowShare    = 0.005
-	keepShare    = 0.9
-	responseMost = 1 << 20
+	abandonShare     = 0.02
+	slowShare        = 0.005
+	reuseShare       = 0.9
+	maxResponseBytes = 1 << 20
 )
 
 // kinds are the requests of a run; those of changing routes are added.
-var kinds = []requestKind{
+var requestKinds = []requestKind{
 	{"search", "GET", "/search/", true, 800 * time.Millisecond, 0, 0.4},
 	{"read", "GET", "/read/", true, 1500 * time.Millisecond, 0, 0.2},
 	{"fix", "POST", "/fix/", false, 1500 * time.Millisecond, 700, 0.3},
@@ -54,7 +54,7 @@
 	journal *journal
 	rate    float64
 	// to holds the addresses of the machines by name, through the relays.
-	to    map[string]string
+	addrs map[string]string
 	names []string
 
 	mu        sync.Mutex
@@ -70,18 +70,18 @@
 	used time.Time
 }
 
-// idleMost is how long a connection may be idle and be reused: less than the configured limit.
-const idleMost = 8 * time.Second
+// maxConnIdle is how long a connection may be idle and be reused: less than the configured limit.
+const maxConnIdle = 8 * time.Second
 
 // run sends requests at the rate until the context ends, and waits for those in flight.
 func (c *clients) run(ctx context.Context) {
-	drawn := rand.New(rand.NewPCG(uint64(c.next), 7))
+	rng := rand.New(rand.NewPCG(uint64(c.next), 7))
 	for ctx.Err() == nil {
-		wait := time.Duration(drawn.ExpFloat64() / c.rate * float64(time.Second))
+		wait := time.Duration(rng.ExpFloat64() / c.rate * float64(time.Second))
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
-			k := drawKind(drawn)
+			k := drawKind(rng)
 			c.all.Go(func() { c.request(k) })
 		}
 	}
@@ -95,20 +95,20 @@
 	}
 }
 
-func drawKind(drawn *rand.Rand) requestKind {
-	x := drawn.Float64()
-	for _, k := range kinds {
+func drawKind(rng *rand.Rand) requestKind {
+	x := rng.Float64()
+	for _, k := range requestKinds {
 		if x -= k.share; x < 0 {
 			return k
 		}
 	}
-	return kinds[0]
+	return requestKinds[0]
 }
 
 // request sends one request, with the retries that clients may make.
 func (c *clients) request(k requestKind) {
 	deadline := time.Now().Add(k.deadline)
-	for n := 0; n <= retriesMost && time.Until(deadline) > 20*time.Millisecond; n++ {
+	for n := 0; n <= maxRetries && time.Until(deadline) > 20*time.Millisecond; n++ {
 		attempt := c.sendAttempt(k, c.names[rand.IntN(len(c.names))], n, deadline)
 		if attempt.Served() || attempt.GaveUp {
 			return
@@ -144,7 +144,7 @@
 	if k.bodyBytes > 0 {
 		attempt.Body = bytes.Repeat([]byte(id), k.bodyBytes/len(id))
 	}
-	c.journal.with(func() { c.journal.Attempts = append(c.journal.Attempts, attempt) })
+	c.journal.withLock(func() { c.journal.Attempts = append(c.journal.Attempts, attempt) })
 	return attempt
 }
 
@@ -157,21 +157,21 @@
 		return attempt
 	}
 	conn.conn.SetDeadline(deadline)
-	leaves := rand.Float64() < abandonShare
-	if leaves {
+	abandons := rand.Float64() < abandonShare
+	if abandons {
 		early := time.AfterFunc(time.Duration(rand.Int64N(int64(k.deadline/8))), func() {
-			c.journal.with(func() { attempt.GaveUp = attempt.Ended == rules.Never })
+			c.journal.withLock(func() { attempt.GaveUp = attempt.Ended == rules.Never })
 			conn.conn.Close()
 		})
 		defer early.Stop()
 	}
-	err := send(conn.conn, request(attempt, time.Until(deadline)), rand.Float64() < slowShare)
+	err := send(conn.conn, requestText(attempt, time.Until(deadline)), rand.Float64() < slowShare)
 	if err != nil {
 		conn.conn.Close()
 		c.end(attempt, func() {})
 		return attempt
 	}
-	c.journal.with(func() { attempt.Read = max(1, c.journal.now()) })
+	c.journal.withLock(func() { attempt.Read = max(1, c.journal.now()) })
 	resp, body, err := receive(conn.r, k.method)
 	switch {
 	case err != nil:
@@ -187,7 +187,7 @@
 
 func (c *clients) end(attempt *rules.Attempt, f func()) {
 	at := c.journal.now()
-	c.journal.with(func() { f(); attempt.Ended = at })
+	c.journal.withLock(func() { f(); attempt.Ended = at })
 }
 
 // recordResponse records a response.
@@ -202,13 +202,13 @@
 }
 
 // connect reuses a kept connection, or opens a new one.
-func (c *clients) connect(attempt *rules.Attempt, mayKeep bool, deadline time.Time) *idleConn {
-	if mayKeep && rand.Float64() < keepShare {
+func (c *clients) connect(attempt *rules.Attempt, mayReuse bool, deadline time.Time) *idleConn {
+	if mayReuse && rand.Float64() < reuseShare {
 		c.mu.Lock()
 		for all := c.idleConns[attempt.Machine]; len(all) > 0; all = c.idleConns[attempt.Machine] {
 			k := all[len(all)-1]
 			c.idleConns[attempt.Machine] = all[:len(all)-1]
-			if time.Since(k.used) < idleMost {
+			if time.Since(k.used) < maxConnIdle {
 				c.mu.Unlock()
 				return k
 			}
@@ -216,7 +216,7 @@
 		}
 		c.mu.Unlock()
 	}
-	conn, err := net.DialTimeout("tcp", c.to[attempt.Machine], min(connectMost, time.Until(deadline)))
+	conn, err := net.DialTimeout("tcp", c.addrs[attempt.Machine], min(connectTimeout, time.Until(deadline)))
 	if err != nil {
 		return nil
 	}
--- a/lab/soak/closing.go
+++ b/lab/soak/closing.go
@@ -12,39 +12,39 @@
 
 // The kinds of closing faults.
 const (
-	closesQuietly = iota
-	closesWithPower
-	closesWithPowerAndDisk
-	closings
+	closingNone = iota
+	closingPowerLoss
+	closingPowerAndDiskLoss
+	closingKindCount
 )
 
-// closing injects the closing fault that is drawn for the run, and heals.
-func (r *run) closing(ctx context.Context) {
-	drawn := rand.New(rand.NewPCG(r.options.Seed, 0x636c6f73))
-	how, wiped, away := drawn.IntN(closings), anyCore(r, drawn), time.Duration(200+drawn.IntN(1200))*time.Millisecond
-	if how == closesQuietly {
+// injectClosingFault injects the closing fault that is drawn for the run, and heals.
+func (r *run) injectClosingFault(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, 0x636c6f73))
+	kind, wiped, outage := rng.IntN(closingKindCount), anyCore(r, rng), time.Duration(200+rng.IntN(1200))*time.Millisecond
+	if kind == closingNone {
 		return
 	}
-	if wiped.gone() {
-		how = closesWithPower
+	if wiped.isRemoved() {
+		kind = closingPowerLoss
 	}
-	if how == closesWithPowerAndDisk {
+	if kind == closingPowerAndDiskLoss {
 		// A disk may be lost only once every other core has had its time to catch up.
 		sleep(ctx, syncTime)
 	}
 	r.changeOnce(ctx, false, false)
 	var s faultSpan
-	s.unsettles = true
+	s.disruptsCores = true
 	for n := range machineCount {
 		s.machines = append(s.machines, machineName(n))
 	}
-	r.span(s, func() { r.losePower(ctx, how, wiped, away) })
+	r.recordFault(s, func() { r.losePower(ctx, kind, wiped, outage) })
 	r.heal(ctx)
 }
 
 // losePower kills every process at once, and restarts them after a while.
-func (r *run) losePower(ctx context.Context, how int, wiped *daemon, away time.Duration) {
-	r.say("all machines lose power for %v", away)
+func (r *run) losePower(ctx context.Context, kind int, wiped *daemon, outage time.Duration) {
+	r.logf("all machines lose power for %v", outage)
 	for _, d := range r.daemons {
 		d.setDown(true)
 	}
@@ -56,11 +56,11 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if how == closesWithPowerAndDisk {
-		r.say("%s loses its disk", wiped.name)
-		os.RemoveAll(r.place.dataDir(wiped.machine))
+	if kind == closingPowerAndDiskLoss {
+		r.logf("%s loses its disk", wiped.name)
+		os.RemoveAll(r.layout.dataDir(wiped.machine))
 	}
-	sleep(ctx, away)
+	sleep(ctx, outage)
 	for _, d := range r.daemons {
 		d.setDown(false)
 	}
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -23,9 +23,9 @@
 func shardPool(n int) string { return fmt.Sprintf("shard%d", n) }
 
 // routeText returns one route of a configuration.
-func routeText(name, prefix, kind, where string, timeoutMs, most int) string {
+func routeText(name, prefix, kind, where string, timeoutMs, retries int) string {
 	return fmt.Sprintf(`{"name":%q,"virtual_host":%q,"path_prefix":%q,"route_type":%q,"timeout_ms":%d,"target_latency_ms":150,"priority":1,%s,"max_retries":%d}`,
-		name, siteHost, prefix, kind, timeoutMs, where, most)
+		name, siteHost, prefix, kind, timeoutMs, where, retries)
 }
 
 // changingRoute returns the route that every change moves. The serial number makes each change a different one:
--- a/lab/soak/config_test.go
+++ b/lab/soak/config_test.go
@@ -14,12 +14,12 @@
 func TestEveryChangeDiffers(t *testing.T) {
 	must.NotEq(t, completeText(5, 1), completeText(5, 2))
 	must.NotEq(t, patchText(5, 1), patchText(5, 2))
-	whole := applied(nil, completeText(5, 1), 0, false)
-	must.SliceEmpty(t, routing.Check(whole))
-	patched := applied(whole, patchText(7, 2), 5, true)
+	full := applied(nil, completeText(5, 1), 0, false)
+	must.SliceEmpty(t, routing.Check(full))
+	patched := applied(full, patchText(7, 2), 5, true)
 	must.SliceEmpty(t, routing.Check(patched))
 	must.Eq(t, 7, patched.Revision)
-	must.False(t, proto.Equal(patched, applied(whole, patchText(7, 3), 5, true)))
+	must.False(t, proto.Equal(patched, applied(full, patchText(7, 3), 5, true)))
 	must.SliceNotEmpty(t, routing.Check(applied(nil, badText(5, 1), 0, false)))
 	must.Nil(t, applied(nil, "{", 0, false))
 }
--- a/lab/soak/core_faults.go
+++ b/lab/soak/core_faults.go
@@ -20,57 +20,57 @@
 		{"core_kill", 4, killCore},
 		{"core_freeze", 3, freeze(roleCore)},
 		{"core_stop", 3, stopCore},
-		{"core_power_all", 1, powerAllCores},
+		{"core_power_all", 1, powerOffAllCores},
 		{"disk_full", 2, diskFull},
 		{"disk_stall", 2, diskStall},
 		{"disk_lost", 1, diskLost},
 	}
 }
 
-func anyCore(r *run, drawn *rand.Rand) *daemon { return r.daemonOf(roleCore, drawn.IntN(coreCount)) }
+func anyCore(r *run, rng *rand.Rand) *daemon { return r.daemonOf(roleCore, rng.IntN(coreCount)) }
 
-func killCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(faultSpan{unsettles: true}, func() { killFor(ctx, anyCore(r, drawn), lasts) })
+func killCore(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	r.withFault(faultSpan{disruptsCores: true}, func() { killFor(ctx, anyCore(r, rng), duration) })
 }
 
-func stopCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(faultSpan{unsettles: true, planned: true}, func() { r.stopOnce(anyCore(r, drawn)) })
+func stopCore(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	r.withFault(faultSpan{disruptsCores: true, planned: true}, func() { r.stopGracefully(anyCore(r, rng)) })
 }
 
-// powerAllCores kills all cores at the same moment; their disks stay.
-func powerAllCores(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(faultSpan{unsettles: true}, func() {
+// powerOffAllCores kills all cores at the same moment; their disks stay.
+func powerOffAllCores(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	r.withFault(faultSpan{disruptsCores: true}, func() {
 		var all sync.WaitGroup
 		for n := range coreCount {
-			all.Go(func() { killFor(ctx, r.daemonOf(roleCore, n), lasts/4) })
+			all.Go(func() { killFor(ctx, r.daemonOf(roleCore, n), duration/4) })
 		}
 		all.Wait()
 	})
 }
 
 // diskFull makes every write of a core fail.
-func diskFull(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	d := anyCore(r, drawn)
-	r.during(faultSpan{unsettles: true}, func() {
-		r.say("the disk of %s is full", d.name)
+func diskFull(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	d := anyCore(r, rng)
+	r.withFault(faultSpan{disruptsCores: true}, func() {
+		r.logf("the disk of %s is full", d.name)
 		limitFiles(d, 1)
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 		limitFiles(d, unix.RLIM_INFINITY)
 	})
 }
 
 // limitFiles bounds the size of the files that a process may write.
-func limitFiles(d *daemon, most uint64) {
+func limitFiles(d *daemon, maxBytes uint64) {
 	if pid := d.pid(); pid > 0 {
-		unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
+		unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: maxBytes, Max: unix.RLIM_INFINITY}, nil)
 	}
 }
 
 // diskStall makes a core's writes hang and then fail: a pipe that nobody reads stands where its votes and its
 // probe file are written.
-func diskStall(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	d := anyCore(r, drawn)
-	dir := r.place.dataDir(d.machine)
+func diskStall(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	d := anyCore(r, rng)
+	dir := r.layout.dataDir(d.machine)
 	var pipes []string
 	for _, name := range nextFiles(dir) {
 		path := filepath.Join(dir, name+".aside")
@@ -78,17 +78,17 @@
 			pipes = append(pipes, path)
 		}
 	}
-	r.during(faultSpan{unsettles: true}, func() {
-		r.say("the disk of %s stalls", d.name)
-		sleep(ctx, lasts)
+	r.withFault(faultSpan{disruptsCores: true}, func() {
+		r.logf("the disk of %s stalls", d.name)
+		sleep(ctx, duration)
 		for _, path := range pipes {
 			drainPipe(path)
 		}
 	})
 }
 
-// preparedFilesMost is for how many versions ahead of the newest a stalled disk has pipes.
-const preparedFilesMost = 6
+// maxPreparedFiles is for how many versions ahead of the newest a stalled disk has pipes.
+const maxPreparedFiles = 6
 
 // nextFiles returns the files that a core writes next: the existing ones, and the versions that follow the
 // newest of each partition in its term.
@@ -105,7 +105,7 @@
 			names = append(names, e.Name())
 			continue
 		}
-		for ahead := uint64(1); ahead <= preparedFilesMost; ahead++ {
+		for ahead := uint64(1); ahead <= maxPreparedFiles; ahead++ {
 			names = append(names, fmt.Sprintf("part-%d.stamp-%012d-%012d", part, term, seq+ahead))
 		}
 	}
@@ -126,20 +126,20 @@
 
 // diskLost makes a core lose its disk while it is down. One disk is lost at a time, and none while another core
 // is faulty or has just been: the loss could be more than the deployment tolerates.
-func diskLost(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	if !r.coreCalm.tryAcquire() {
+func diskLost(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	if !r.coreGate.tryAcquire() {
 		return
 	}
-	defer r.coreCalm.release()
-	d := anyCore(r, drawn)
-	r.span(faultSpan{unsettles: true}, func() {
+	defer r.coreGate.release()
+	d := anyCore(r, rng)
+	r.recordFault(faultSpan{disruptsCores: true}, func() {
 		d.setDown(true)
 		d.signal(syscall.SIGKILL)
 		for d.pid() != 0 {
 			time.Sleep(5 * time.Millisecond)
 		}
-		os.RemoveAll(r.place.dataDir(d.machine))
-		sleep(ctx, lasts/2)
+		os.RemoveAll(r.layout.dataDir(d.machine))
+		sleep(ctx, duration/2)
 		d.setDown(false)
 	})
 	sleep(ctx, syncTime)
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -44,7 +44,7 @@
 // fleet holds the backends and serves the list.
 type fleet struct {
 	journal *journal
-	place   *place
+	layout  *layout
 	mu      sync.Mutex
 	// backends are the running ones, in the order in which they started.
 	backends  []*backend
@@ -63,8 +63,8 @@
 	members []member
 }
 
-func newFleet(j *journal, p *place) (*fleet, error) {
-	f := &fleet{journal: j, place: p, members: map[string]member{}}
+func newFleet(j *journal, p *layout) (*fleet, error) {
+	f := &fleet{journal: j, layout: p, members: map[string]member{}}
 	l, err := net.Listen("tcp", net.JoinHostPort(p.standInIP(), "0"))
 	if err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 	defer f.mu.Unlock()
 	f.started++
 	if addr == "" {
-		addr = net.JoinHostPort(f.place.standInIP(), "0")
+		addr = net.JoinHostPort(f.layout.standInIP(), "0")
 	}
 	b, err := startBackend(f.journal, fmt.Sprintf("i-%s-%d", pool, f.started), pool, zoneOf(f.started), addr, slots, work)
 	if err != nil {
@@ -89,12 +89,12 @@
 	}
 	f.backends = append(f.backends, b)
 	f.members[b.id] = member{ID: b.id, Pool: pool, Address: b.addr, Zone: b.zone, Revision: "v1", Capacity: slots, State: "in_service"}
-	f.record()
+	f.publish()
 	return b, nil
 }
 
 // of returns the running backends of a pool that do not drain; "" is all pools.
-func (f *fleet) of(pool string) (out []*backend) {
+func (f *fleet) running(pool string) (out []*backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range f.backends {
@@ -111,15 +111,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remove(b)
-	time.AfterFunc(delistAfter, func() { f.forget(b) })
+	time.AfterFunc(delistAfter, func() { f.delist(b) })
 }
 
 // forget removes a backend from the list.
-func (f *fleet) forget(b *backend) {
+func (f *fleet) delist(b *backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.members, b.id)
-	f.record()
+	f.publish()
 }
 
 func (f *fleet) remove(b *backend) {
@@ -136,32 +136,32 @@
 	m := f.members[b.id]
 	m.State = "draining"
 	f.members[b.id] = m
-	f.record()
+	f.publish()
 	f.mu.Unlock()
 	b.draining.Store(true)
 	// Clients of the list see it after its lag.
 	time.AfterFunc(listLagMs*time.Millisecond, func() {
 		at := f.journal.now()
-		f.journal.with(func() { b.record.Shown = at })
+		f.journal.withLock(func() { b.record.Shown = at })
 	})
 	time.AfterFunc(drainMs*time.Millisecond+2*time.Second, func() {
 		f.mu.Lock()
 		f.remove(b)
 		f.mu.Unlock()
 		b.crash()
-		f.forget(b)
+		f.delist(b)
 	})
 }
 
 // set changes how the list misbehaves.
-func (f *fleet) set(m listBehaviour) {
+func (f *fleet) setBehaviour(m listBehaviour) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.behaviour = m
 }
 
 // record keeps what the list shows from now on; the caller holds the lock.
-func (f *fleet) record() {
+func (f *fleet) publish() {
 	newest := publishedList{at: time.Now()}
 	for _, m := range f.members {
 		newest.members = append(newest.members, m)
@@ -224,7 +224,7 @@
 // close stops the list and all backends.
 func (f *fleet) close() {
 	f.server.Close()
-	for _, b := range f.of("") {
+	for _, b := range f.running("") {
 		b.crash()
 	}
 }
--- a/lab/soak/evacuations.go
+++ b/lab/soak/evacuations.go
@@ -12,12 +12,12 @@
 )
 
 // evacuate drains a zone for a while and restores it.
-func (o *operators) evacuate(ctx context.Context, zone string, lasts time.Duration) {
-	order := &rules.Evacuation{Zone: zone, Sent: o.journal.now(), Acked: rules.Never, RestoreSent: rules.Never, RestoreAcked: rules.Never}
-	o.journal.with(func() { o.journal.Evacuations = append(o.journal.Evacuations, order) })
-	note := func(at *clock.Micros) func(int64) {
+func (o *operators) evacuate(ctx context.Context, zone string, duration time.Duration) {
+	evacuation := &rules.Evacuation{Zone: zone, Sent: o.journal.now(), Acked: rules.Never, RestoreSent: rules.Never, RestoreAcked: rules.Never}
+	o.journal.withLock(func() { o.journal.Evacuations = append(o.journal.Evacuations, evacuation) })
+	recordAck := func(at *clock.Micros) func(int64) {
 		return func(now clock.Micros) {
-			o.journal.with(func() {
+			o.journal.withLock(func() {
 				if *at == 0 {
 					*at = now
 				}
@@ -25,16 +25,16 @@
 		}
 	}
 	calls := context.WithoutCancel(ctx)
-	if r := o.sendUntilFinal(calls, http.MethodPost, evacuatePath+zone, "", "", note(&order.FirstAcked)); r.status == 200 {
-		o.journal.with(func() { order.Acked = o.journal.now() })
+	if r := o.sendUntilFinal(calls, http.MethodPost, evacuatePath+zone, "", "", recordAck(&evacuation.FirstAcked)); r.status == 200 {
+		o.journal.withLock(func() { evacuation.Acked = o.journal.now() })
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(lasts):
+	case <-time.After(duration):
 	}
-	o.journal.with(func() { order.RestoreSent = o.journal.now() })
-	if r := o.sendUntilFinal(calls, http.MethodDelete, evacuatePath+zone, "", "", note(&order.RestoreFirstAcked)); r.status == 200 {
-		o.journal.with(func() { order.RestoreAcked = o.journal.now() })
+	o.journal.withLock(func() { evacuation.RestoreSent = o.journal.now() })
+	if r := o.sendUntilFinal(calls, http.MethodDelete, evacuatePath+zone, "", "", recordAck(&evacuation.RestoreFirstAcked)); r.status == 200 {
+		o.journal.withLock(func() { evacuation.RestoreAcked = o.journal.now() })
 	}
 }
 
--- a/lab/soak/exchange.go
+++ b/lab/soak/exchange.go
@@ -17,7 +17,7 @@
 )
 
 // request returns the text of an attempt's request.
-func request(attempt *rules.Attempt, left time.Duration) []byte {
+func requestText(attempt *rules.Attempt, left time.Duration) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", attempt.Method, attempt.Target, attempt.Host, platform.HeaderAttempt, attempt.ID, platform.HeaderBudget, left.Milliseconds())
 	if len(attempt.Body) > 0 {
@@ -48,7 +48,7 @@
 		return nil, nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, responseMost))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp, body, err
 }
 
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -14,13 +14,13 @@
 type scheduledFault struct {
 	kind string
 	at   time.Duration
-	// lasts is how long it lasts; seed draws whom it hits.
-	lasts time.Duration
-	seed  uint64
+	// duration is how long it lasts; seed draws whom it hits.
+	duration time.Duration
+	seed     uint64
 }
 
 // inject injects a fault; it returns when the fault is over.
-type inject func(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration)
+type inject func(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration)
 
 // faultKind is a kind of fault: its weight among the others, and what it does.
 type faultKind struct {
@@ -36,14 +36,14 @@
 
 // Times of the schedule.
 const (
-	gapMean    = 1400 * time.Millisecond
-	lastsLeast = 700 * time.Millisecond
-	lastsMost  = 5 * time.Second
+	meanGap     = 1400 * time.Millisecond
+	minDuration = 700 * time.Millisecond
+	maxDuration = 5 * time.Second
 )
 
 // schedule draws the faults of a run: two or three are active at most times.
 func schedule(o Options) []scheduledFault {
-	drawn := rand.New(rand.NewPCG(o.Seed, 0x736f616b))
+	rng := rand.New(rand.NewPCG(o.Seed, 0x736f616b))
 	kinds := faultKinds()
 	if len(o.Only) > 0 {
 		kinds = slices.DeleteFunc(kinds, func(k faultKind) bool { return !slices.Contains(o.Only, k.name) })
@@ -53,16 +53,16 @@
 		sum += k.weight
 	}
 	var out []scheduledFault
-	gap := float64(cmp.Or(o.Gap, gapMean))
-	for at := time.Second; at < o.For && sum > 0; at += time.Duration(drawn.ExpFloat64() * gap) {
-		n := drawn.IntN(sum)
+	gap := float64(cmp.Or(o.Gap, meanGap))
+	for at := time.Second; at < o.For && sum > 0; at += time.Duration(rng.ExpFloat64() * gap) {
+		n := rng.IntN(sum)
 		i := 0
 		for n >= kinds[i].weight {
 			n -= kinds[i].weight
 			i++
 		}
-		lasts := lastsLeast + time.Duration(drawn.Int64N(int64(lastsMost-lastsLeast)))
-		out = append(out, scheduledFault{kind: kinds[i].name, at: at, lasts: lasts, seed: drawn.Uint64()})
+		duration := minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration)))
+		out = append(out, scheduledFault{kind: kinds[i].name, at: at, duration: duration, seed: rng.Uint64()})
 	}
 	return out
 }
--- a/lab/soak/healing.go
+++ b/lab/soak/healing.go
@@ -23,13 +23,13 @@
 		seeds = r.seeds[d]
 	}
 	r.seeds[d] = seeds
-	return r.place.writeSettings(d.machine, d.role, r.place.settings(d.machine, d.role, seeds, r.fleet.addr, bootstrap), torn)
+	return r.layout.writeSettings(d.machine, d.role, r.layout.settings(d.machine, d.role, seeds, r.fleet.addr, bootstrap), torn)
 }
 
-// awaitSettingsRead writes a process's settings file during the run.
-func (r *run) awaitSettingsRead(d *daemon, seeds []int, torn bool) {
+// rewriteSettings writes a process's settings file during the run.
+func (r *run) rewriteSettings(d *daemon, seeds []int, torn bool) {
 	if err := r.writeSettings(d, seeds, false, torn); err != nil {
-		r.find("settings of %s: %v", d.name, err)
+		r.addFinding("settings of %s: %v", d.name, err)
 	}
 }
 
@@ -42,19 +42,19 @@
 }
 
 // find records a finding beside the rules.
-func (r *run) find(format string, args ...any) {
+func (r *run) addFinding(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.findings = append(r.findings, fmt.Sprintf(format, args...))
 }
 
-// operate makes operators change and read the configuration until the run is over.
-func (r *run) operate(ctx context.Context) {
-	drawn := rand.New(rand.NewPCG(r.options.Seed, 0x6f7065))
+// runOperators makes operators change and read the configuration until the run is over.
+func (r *run) runOperators(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, 0x6f7065))
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(200+drawn.IntN(800))*time.Millisecond)
-		if drawn.IntN(3) == 0 {
-			r.changeOnce(ctx, drawn.IntN(2) == 0, false)
+		sleep(ctx, time.Duration(200+rng.IntN(800))*time.Millisecond)
+		if rng.IntN(3) == 0 {
+			r.changeOnce(ctx, rng.IntN(2) == 0, false)
 		}
 		r.operators.readAll(ctx)
 	}
@@ -78,35 +78,35 @@
 // heal repairs everything and waits until all processes serve again.
 func (r *run) heal(ctx context.Context) {
 	r.network.HealAll()
-	seeds := r.coresNow()
+	seeds := r.coreMachines()
 	for _, d := range r.daemons {
 		d.setDown(false)
-		r.awaitSettingsRead(d, seeds, false)
+		r.rewriteSettings(d, seeds, false)
 	}
-	ctx, cancel := context.WithTimeout(ctx, bringUpMost)
+	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
 	began := time.Now()
 	if !r.awaitReady(ctx) {
-		r.find("not healed: nodes are not ready %v after the last trouble", time.Since(began).Round(time.Second))
+		r.addFinding("not healed: nodes are not ready %v after the last trouble", time.Since(began).Round(time.Second))
 		return
 	}
-	for _, k := range kinds {
+	for _, k := range requestKinds {
 		for n := range machineCount {
-			if !r.serves(ctx, k, n) {
-				r.find("not healed: %s does not serve %s", machineName(n), k.name)
+			if !r.awaitServing(ctx, k, n) {
+				r.addFinding("not healed: %s does not serve %s", machineName(n), k.name)
 			}
 		}
 	}
-	if !r.acceptsCommands(ctx) {
-		r.find("not healed: no change is taken")
+	if !r.awaitChangeAccepted(ctx) {
+		r.addFinding("not healed: no change is taken")
 	}
-	r.say("healed after %v", time.Since(began).Round(time.Millisecond))
+	r.logf("healed after %v", time.Since(began).Round(time.Millisecond))
 }
 
-// coresNow returns the machines that have a core.
-func (r *run) coresNow() (out []int) {
+// coreMachines returns the machines that have a core.
+func (r *run) coreMachines() (out []int) {
 	for _, d := range r.daemons {
-		if d.role == roleCore && !d.gone() && d != r.spare {
+		if d.role == roleCore && !d.isRemoved() && d != r.spare {
 			out = append(out, d.machine)
 		}
 	}
@@ -116,7 +116,7 @@
 // awaitReady waits until every node reports that it is ready.
 func (r *run) awaitReady(ctx context.Context) bool {
 	for n := range machineCount {
-		url := "http://" + r.place.at(n, portReadiness) + "/-/readiness"
+		url := "http://" + r.layout.at(n, portReadiness) + "/-/readiness"
 		for !respondsOK(ctx, url) {
 			if ctx.Err() != nil {
 				return false
@@ -127,15 +127,15 @@
 	return true
 }
 
-// probes is the HTTP client for the run's own processes; connections are not kept.
-var probes = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// probeClient is the HTTP client for the run's own processes; connections are not kept.
+var probeClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func respondsOK(ctx context.Context, url string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
 	}
-	resp, err := probes.Do(req)
+	resp, err := probeClient.Do(req)
 	if err != nil {
 		return false
 	}
@@ -143,8 +143,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// serves waits until a machine answers a request of a kind with a success.
-func (r *run) serves(ctx context.Context, k requestKind, machine int) bool {
+// awaitServing waits until a machine answers a request of a kind with a success.
+func (r *run) awaitServing(ctx context.Context, k requestKind, machine int) bool {
 	for ctx.Err() == nil {
 		if attempt := r.clients.attemptAt(k, machineName(machine)); attempt.Served() {
 			return true
@@ -154,8 +154,8 @@
 	return false
 }
 
-// acceptsCommands waits until a change is acknowledged, and reads it back at every core.
-func (r *run) acceptsCommands(ctx context.Context) bool {
+// awaitChangeAccepted waits until a change is acknowledged, and reads it back at every core.
+func (r *run) awaitChangeAccepted(ctx context.Context) bool {
 	r.operators.acksToLose.Store(0)
 	r.operators.refresh(ctx)
 	r.operators.mu.Lock()
@@ -175,27 +175,27 @@
 
 // readBack reads the configuration at the end, for the rules.
 func (r *run) readBack(ctx context.Context) bool {
-	asked := r.journal.now()
+	sentAt := r.journal.now()
 	got := r.operators.sendUntilFinal(ctx, http.MethodGet, configPath, "", "", func(int64) {})
 	if got.status != http.StatusOK {
 		return false
 	}
 	at := r.journal.now()
-	r.journal.with(func() {
-		r.journal.ReadBack = append(r.journal.ReadBack, rules.Reading{RequestedAt: asked, At: at, Table: readTable(got.body)})
+	r.journal.withLock(func() {
+		r.journal.ReadBack = append(r.journal.ReadBack, rules.Reading{RequestedAt: sentAt, At: at, Table: readTable(got.body)})
 	})
 	return true
 }
 
-// restWithin is how long after the last request nothing may be in flight any more.
-const restWithin = time.Minute
+// quiesceTimeout is how long after the last request nothing may be in flight any more.
+const quiesceTimeout = time.Minute
 
-// gauges must be 0 in a node at rest.
-var gauges = []string{"wallport_requests_open", "wallport_asks_open", "wallport_bodies_held_bytes"}
+// inFlightGauges must be 0 in a node at rest.
+var inFlightGauges = []string{"wallport_requests_open", "wallport_asks_open", "wallport_bodies_held_bytes"}
 
-// checkRest waits until every node is at rest, and checks its metrics.
-func (r *run) checkRest(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, restWithin)
+// checkQuiescent waits until every node is at rest, and checks its metrics.
+func (r *run) checkQuiescent(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, quiesceTimeout)
 	defer cancel()
 	for n := range machineCount {
 		left := ""
@@ -204,7 +204,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				r.find("%s is not at rest: %s", machineName(n), left)
+				r.addFinding("%s is not at rest: %s", machineName(n), left)
 				break
 			}
 			sleep(ctx, 100*time.Millisecond)
@@ -214,20 +214,20 @@
 
 // inFlight returns the gauges of a node that are not 0.
 func (r *run) inFlight(machine int) string {
-	resp, err := probes.Get("http://" + r.place.at(machine, portNodeOperator) + "/metrics")
+	resp, err := probeClient.Get("http://" + r.layout.at(machine, portNodeOperator) + "/metrics")
 	if err != nil {
 		return err.Error()
 	}
 	defer resp.Body.Close()
 	var out []string
 	for name, value := range readMetrics(resp.Body) {
-		for _, g := range gauges {
+		for _, g := range inFlightGauges {
 			if name == g && value != "0" {
 				out = append(out, name+"="+value)
 			}
 		}
 		if n, _ := strconv.Atoi(value); strings.HasPrefix(name, "wallport_invariant_violations") && n > 0 {
-			r.find("%s: %s %s", machineName(machine), name, value)
+			r.addFinding("%s: %s %s", machineName(machine), name, value)
 		}
 	}
 	return strings.Join(out, " ")
--- a/lab/soak/journal.go
+++ b/lab/soak/journal.go
@@ -31,7 +31,7 @@
 func (j *journal) now() int64 { return time.Since(j.began).Microseconds() }
 
 // with runs f under the journal's lock.
-func (j *journal) with(f func()) {
+func (j *journal) withLock(f func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	f()
@@ -39,9 +39,9 @@
 
 // faultSpan is an active fault: where it counts, and whether it is planned work.
 type faultSpan struct {
-	machines  []string
-	unsettles bool
-	planned   bool
+	machines      []string
+	disruptsCores bool
+	planned       bool
 }
 
 // beginFault and endFault record a fault's begin and end. Overlapping faults count until the last of them ends.
@@ -50,14 +50,14 @@
 
 func (j *journal) setFault(s faultSpan, begins bool) {
 	at := j.now()
-	j.with(func() {
+	j.withLock(func() {
 		for _, m := range s.machines {
 			setSpan(j.Faults.Of(m), at, begins)
 			if !s.planned {
 				setSpan(j.unplannedOnly.Of(m), at, begins)
 			}
 		}
-		if s.unsettles {
+		if s.disruptsCores {
 			setSpan(&j.Faults.Unsettled, at, begins)
 			setSpan(&j.Faults.NoMajority, at, begins)
 		}
--- a/lab/soak/logs.go
+++ b/lab/soak/logs.go
@@ -37,7 +37,7 @@
 // logFaults returns the faults that the process's exits and logs show.
 func (d *daemon) logFaults() []string {
 	d.mu.Lock()
-	out := append([]string(nil), d.ownEnds...)
+	out := append([]string(nil), d.unexpectedExits...)
 	d.mu.Unlock()
 	text, err := os.ReadFile(d.logPath)
 	if os.IsNotExist(err) {
--- a/lab/soak/lookup.go
+++ b/lab/soak/lookup.go
@@ -24,8 +24,8 @@
 	return out
 }
 
-// stopOnce stops a process gracefully and records one that exceeds its time limit.
-func (r *run) stopOnce(d *daemon) {
+// stopGracefully stops a process gracefully and records one that exceeds its time limit.
+func (r *run) stopGracefully(d *daemon) {
 	if d.stop() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/lab/soak/network_faults.go
+++ b/lab/soak/network_faults.go
@@ -17,7 +17,7 @@
 		{"mesh_reset", 2, meshReset},
 		{"mesh_half_open", 2, meshHalfOpen},
 		{"core_cut", 3, partitionCore},
-		{"core_halves", 1, splitCore},
+		{"core_halves", 1, partitionAllCores},
 		{"clients_cut", 2, partitionClients},
 		{"clients_reset", 2, clientsReset},
 		{"clients_half_open", 1, clientsHalfOpen},
@@ -45,123 +45,123 @@
 }
 
 // partitionMesh partitions a node from all other processes.
-func partitionMesh(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	n := anyMachine(drawn)
-	r.during(nodeFault(n), func() {
-		r.network.Set([]string{nodeName(n)}, everyProcess(), true)
-		sleep(ctx, lasts)
-		r.network.Set([]string{nodeName(n)}, everyProcess(), false)
+func partitionMesh(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	n := anyMachine(rng)
+	r.withFault(nodeFault(n), func() {
+		r.network.SetPartition([]string{nodeName(n)}, everyProcess(), true)
+		sleep(ctx, duration)
+		r.network.SetPartition([]string{nodeName(n)}, everyProcess(), false)
 	})
 }
 
 // partitionMeshOneWay blocks everything from a node, or everything to it.
-func partitionMeshOneWay(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	n, out := anyMachine(drawn), drawn.IntN(2) == 0
-	set := func(apart bool) {
+func partitionMeshOneWay(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	n, outbound := anyMachine(rng), rng.IntN(2) == 0
+	set := func(blocked bool) {
 		for _, other := range everyProcess() {
-			if out {
-				r.network.SetOneWay(nodeName(n), other, apart)
+			if outbound {
+				r.network.SetOneWayPartition(nodeName(n), other, blocked)
 			} else {
-				r.network.SetOneWay(other, nodeName(n), apart)
+				r.network.SetOneWayPartition(other, nodeName(n), blocked)
 			}
 		}
 	}
-	r.during(nodeFault(n), func() {
+	r.withFault(nodeFault(n), func() {
 		set(true)
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 		set(false)
 	})
 }
 
 // meshReset resets a node's connections to all others.
-func meshReset(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	n := anyMachine(drawn)
-	r.during(nodeFault(n), func() {
+func meshReset(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	n := anyMachine(rng)
+	r.withFault(nodeFault(n), func() {
 		for range 3 {
 			for _, other := range everyProcess() {
 				r.network.Reset(nodeName(n), other)
 			}
-			sleep(ctx, lasts/3)
+			sleep(ctx, duration/3)
 		}
 	})
 }
 
 // meshHalfOpen leaves a node's connections half open.
-func meshHalfOpen(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	n := anyMachine(drawn)
-	r.during(nodeFault(n), func() {
+func meshHalfOpen(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	n := anyMachine(rng)
+	r.withFault(nodeFault(n), func() {
 		for _, other := range everyProcess() {
 			r.network.HalfOpen(nodeName(n), other)
 		}
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 	})
 }
 
 // partitionCore partitions a core from everyone, or only from the other cores.
-func partitionCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	n, all := drawn.IntN(coreCount), drawn.IntN(2) == 0
+func partitionCore(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	n, all := rng.IntN(coreCount), rng.IntN(2) == 0
 	others := everyProcess()
 	if !all {
 		others = others[machineCount:]
 	}
-	r.during(faultSpan{unsettles: true}, func() {
-		r.network.Set([]string{coreName(n)}, others, true)
-		sleep(ctx, lasts)
-		r.network.Set([]string{coreName(n)}, others, false)
+	r.withFault(faultSpan{disruptsCores: true}, func() {
+		r.network.SetPartition([]string{coreName(n)}, others, true)
+		sleep(ctx, duration)
+		r.network.SetPartition([]string{coreName(n)}, others, false)
 	})
 }
 
-// splitCore partitions every core from every other one.
-func splitCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
+// partitionAllCores partitions every core from every other one.
+func partitionAllCores(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
 	cores := everyProcess()[machineCount:]
-	r.during(faultSpan{unsettles: true}, func() {
-		r.network.Set(cores, cores, true)
-		sleep(ctx, lasts)
-		r.network.Set(cores, cores, false)
+	r.withFault(faultSpan{disruptsCores: true}, func() {
+		r.network.SetPartition(cores, cores, true)
+		sleep(ctx, duration)
+		r.network.SetPartition(cores, cores, false)
 	})
 }
 
 // partitionClients delays what clients send to a machine, or its responses, or both.
-func partitionClients(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	n, how := anyMachine(drawn), drawn.IntN(3)
-	r.during(nodeFault(n), func() {
-		set := func(apart bool) {
-			if how != 1 {
-				r.network.SetOneWay(clientsName, machineName(n), apart)
+func partitionClients(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	n, direction := anyMachine(rng), rng.IntN(3)
+	r.withFault(nodeFault(n), func() {
+		set := func(blocked bool) {
+			if direction != 1 {
+				r.network.SetOneWayPartition(clientsName, machineName(n), blocked)
 			}
-			if how != 0 {
-				r.network.SetOneWay(machineName(n), clientsName, apart)
+			if direction != 0 {
+				r.network.SetOneWayPartition(machineName(n), clientsName, blocked)
 			}
 		}
 		set(true)
-		sleep(ctx, lasts/2)
+		sleep(ctx, duration/2)
 		set(false)
 	})
 }
 
-func clientsReset(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	n := anyMachine(drawn)
-	r.during(nodeFault(n), func() {
+func clientsReset(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	n := anyMachine(rng)
+	r.withFault(nodeFault(n), func() {
 		for range 4 {
 			r.network.Reset(clientsName, machineName(n))
-			sleep(ctx, lasts/8)
+			sleep(ctx, duration/8)
 		}
 	})
 }
 
-func clientsHalfOpen(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	n := anyMachine(drawn)
-	r.during(nodeFault(n), func() {
+func clientsHalfOpen(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	n := anyMachine(rng)
+	r.withFault(nodeFault(n), func() {
 		r.network.HalfOpen(clientsName, machineName(n))
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 	})
 }
 
 // logUnread stops reading the logs of a machine's processes.
-func logUnread(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	for _, d := range r.ofMachine(anyMachine(drawn)) {
+func logUnread(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	for _, d := range r.ofMachine(anyMachine(rng)) {
 		d.log.paused.Lock()
 		defer d.log.paused.Unlock()
 	}
-	sleep(ctx, 2*lasts)
+	sleep(ctx, 2*duration)
 }
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -22,7 +22,7 @@
 // operators sends the commands of a run.
 type operators struct {
 	journal *journal
-	to      []string
+	addrs   []string
 	client  *http.Client
 	// acksToLose is the share of the answers that are lost, in thousandths.
 	acksToLose atomic.Int64
@@ -33,34 +33,34 @@
 	// newestRevision is the newest revision that is known to be in force; table is its table.
 	newestRevision int64
 	table          *routingpb.RoutingTable
-	last           int64
-	// unclear reports that some command's outcome is unknown: it may take effect late.
-	unclear bool
+	lastRevision   int64
+	// outcomeUnknown reports that some command's outcome is unknown: it may take effect late.
+	outcomeUnknown bool
 }
 
 // Constants of operators.
 const (
 	responseTimeout = time.Second
-	callsMost       = 60
-	loseAlways      = 30
+	maxCalls        = 60
+	baselineAckLoss = 30
 )
 
-func newOperators(j *journal, to []string) *operators {
-	o := &operators{journal: j, to: to, client: &http.Client{
+func newOperators(j *journal, addrs []string) *operators {
+	o := &operators{journal: j, addrs: addrs, client: &http.Client{
 		Timeout: responseTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
-	o.acksToLose.Store(loseAlways)
+	o.acksToLose.Store(baselineAckLoss)
 	return o
 }
 
 // replace makes operators call another core in place of a removed one.
-func (o *operators) replace(gone, by string) {
+func (o *operators) replace(oldAddr, newAddr string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i, addr := range o.to {
-		if addr == gone {
-			o.to[i] = by
+	for i, addr := range o.addrs {
+		if addr == oldAddr {
+			o.addrs[i] = newAddr
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func (o *operators) anyCore() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.to[rand.IntN(len(o.to))]
+	return o.addrs[rand.IntN(len(o.addrs))]
 }
 
 // reply is the outcome of a call; status 0 means no answer, lost that the answer did not arrive.
@@ -107,12 +107,12 @@
 
 // sendUntilFinal repeats a command until its answer is final; taken is called when the first acknowledgement
 // left a core, lost on its way or not. A command whose outcome is still unknown after many calls is left so.
-func (o *operators) sendUntilFinal(ctx context.Context, method, path, match, body string, taken func(at int64)) reply {
+func (o *operators) sendUntilFinal(ctx context.Context, method, path, match, body string, onAck func(at int64)) reply {
 	pause := 50 * time.Millisecond
-	for range callsMost {
+	for range maxCalls {
 		r := o.call(ctx, method, path, match, body)
 		if r.status == 200 {
-			taken(o.journal.now())
+			onAck(o.journal.now())
 		}
 		if final(r.status) && !r.lost {
 			return r
@@ -134,11 +134,11 @@
 func (o *operators) change(ctx context.Context, text changeText, patch, invalid, alone bool, step int64) {
 	o.mu.Lock()
 	base, before := o.newestRevision, o.table
-	revision := max(base, o.last) + step
+	revision := max(base, o.lastRevision) + step
 	if alone {
-		o.last = revision
+		o.lastRevision = revision
 	}
-	alone = alone && !o.unclear
+	alone = alone && !o.outcomeUnknown
 	o.mu.Unlock()
 	body, method := text(revision, o.serial.Add(1)), http.MethodPut
 	if patch {
@@ -146,9 +146,9 @@
 	}
 	version := &rules.Version{Revision: revision, Base: base, Sent: o.journal.now(), Acked: rules.Never, Refused: rules.Never, Invalid: invalid, Alone: alone}
 	version.Table = applied(before, body, base, patch)
-	o.journal.with(func() { o.journal.Versions = append(o.journal.Versions, version) })
+	o.journal.withLock(func() { o.journal.Versions = append(o.journal.Versions, version) })
 	r := o.sendUntilFinal(ctx, method, configPath, strconv.FormatInt(base, 10), body, func(at clock.Micros) {
-		o.journal.with(func() {
+		o.journal.withLock(func() {
 			if version.FirstAcked == 0 {
 				version.FirstAcked = at
 			}
@@ -157,7 +157,7 @@
 	at := o.journal.now()
 	switch r.status {
 	case 200:
-		o.journal.with(func() { version.Acked = at })
+		o.journal.withLock(func() { version.Acked = at })
 		o.mu.Lock()
 		if revision > o.newestRevision {
 			o.newestRevision, o.table = revision, version.Table
@@ -165,10 +165,10 @@
 		o.mu.Unlock()
 	case 0:
 		o.mu.Lock()
-		o.unclear = true
+		o.outcomeUnknown = true
 		o.mu.Unlock()
 	default:
-		o.journal.with(func() { version.Refused = at })
+		o.journal.withLock(func() { version.Refused = at })
 	}
 }
 
@@ -196,33 +196,33 @@
 // refresh reads the configuration in force, to base changes on: after a race, or a command without a final
 // answer.
 func (o *operators) refresh(ctx context.Context) {
-	asked := o.journal.now()
+	sentAt := o.journal.now()
 	r := o.sendUntilFinal(ctx, http.MethodGet, configPath, "", "", func(int64) {})
 	if r.status != 200 {
 		return
 	}
-	o.read(asked, r)
+	o.read(sentAt, r)
 	t := readTable(r.body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if t.GetRevision() > o.newestRevision {
 		o.newestRevision, o.table = t.GetRevision(), t
 	}
-	o.last = max(o.last, o.newestRevision)
+	o.lastRevision = max(o.lastRevision, o.newestRevision)
 }
 
 // read records a reading.
-func (o *operators) read(asked int64, r reply) {
+func (o *operators) read(sentAt int64, r reply) {
 	at, t := o.journal.now(), readTable(r.body)
-	o.journal.with(func() {
-		o.journal.Confirmed = append(o.journal.Confirmed, rules.ConfirmedReading{Sent: asked, At: at, Table: t, TableOnly: true})
+	o.journal.withLock(func() {
+		o.journal.Confirmed = append(o.journal.Confirmed, rules.ConfirmedReading{Sent: sentAt, At: at, Table: t, TableOnly: true})
 	})
 }
 
 // readAll reads the configuration once, at any core.
 func (o *operators) readAll(ctx context.Context) {
-	asked := o.journal.now()
+	sentAt := o.journal.now()
 	if r := o.call(ctx, http.MethodGet, configPath, "", ""); r.status == 200 {
-		o.read(asked, r)
+		o.read(sentAt, r)
 	}
 }
--- a/lab/soak/processes.go
+++ b/lab/soak/processes.go
@@ -46,20 +46,20 @@
 	// killed reports that it was killed: it cannot stop gracefully.
 	killed       bool
 	incarnations int
-	// ownEnds describes the incarnations that ended by themselves.
-	ownEnds []string
-	closed  bool
-	ended   chan struct{}
+	// unexpectedExits describes the incarnations that ended by themselves.
+	unexpectedExits []string
+	closed          bool
+	ended           chan struct{}
 }
 
 // newDaemon returns a process that does not run yet.
-func newDaemon(o Options, p *place, machine int, role string) *daemon {
+func newDaemon(o Options, p *layout, machine int, role string) *daemon {
 	name := fmt.Sprintf("%s-%d", role, machine)
 	d := &daemon{name: name, role: role, machine: machine, logPath: filepath.Join(o.Dir, name+".log"), ended: make(chan struct{})}
 	d.log.path = d.logPath
-	behind := fmt.Sprintf("%s:%d", p.behindIP(machine, role), p.first)
+	listenAddr := fmt.Sprintf("%s:%d", p.listenIP(machine, role), p.first)
 	d.start = func() *exec.Cmd {
-		cmd := exec.Command(filepath.Join(o.Bin, "wallport"), role, "--on-platform", "--mesh-listen", behind)
+		cmd := exec.Command(filepath.Join(o.Bin, "wallport"), role, "--on-platform", "--mesh-listen", listenAddr)
 		cmd.Env = append(os.Environ(), "WALLPORT_CONFIG="+p.settingsPath(machine, role))
 		return cmd
 	}
@@ -73,10 +73,10 @@
 		if d.awaitUp() {
 			return
 		}
-		err := d.live()
+		err := d.runIncarnation()
 		d.mu.Lock()
-		if !d.closed && !d.explains(err) {
-			d.ownEnds = append(d.ownEnds, fmt.Sprintf("%s, life %d: %v", d.name, d.incarnations, err))
+		if !d.closed && !d.expectedExit(err) {
+			d.unexpectedExits = append(d.unexpectedExits, fmt.Sprintf("%s, life %d: %v", d.name, d.incarnations, err))
 		}
 		d.cmd = nil
 		d.mu.Unlock()
@@ -87,7 +87,7 @@
 // explains reports whether an incarnation was to end as it did: it was killed, or told to stop and did so,
 // gracefully or by the signal itself where that came before the program could handle it. The caller holds the
 // lock.
-func (d *daemon) explains(err error) bool {
+func (d *daemon) expectedExit(err error) bool {
 	return d.killed || d.stopRequested && (err == nil || err.Error() == "signal: terminated")
 }
 
@@ -105,7 +105,7 @@
 }
 
 // live runs one incarnation of the process to its end.
-func (d *daemon) live() error {
+func (d *daemon) runIncarnation() error {
 	cmd := d.start()
 	read, write, err := os.Pipe()
 	if err != nil {
--- a/lab/soak/replace_faults.go
+++ b/lab/soak/replace_faults.go
@@ -16,11 +16,11 @@
 
 // coreReplaced removes a core for good, gracefully or not, and adds a spare machine's core in its place: one at
 // a time, while the cores are calm, and once in a run.
-func coreReplaced(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	if !r.coreCalm.tryAcquire() {
+func coreReplaced(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	if !r.coreGate.tryAcquire() {
 		return
 	}
-	defer r.coreCalm.release()
+	defer r.coreGate.release()
 	r.mu.Lock()
 	spare := r.spare
 	r.spare = nil
@@ -28,21 +28,21 @@
 	if spare == nil {
 		return
 	}
-	gone := anyCore(r, drawn)
-	r.span(faultSpan{unsettles: true}, func() {
-		gone.setDown(true)
-		if drawn.IntN(2) == 0 {
-			r.stopOnce(gone)
+	replaced := anyCore(r, rng)
+	r.recordFault(faultSpan{disruptsCores: true}, func() {
+		replaced.setDown(true)
+		if rng.IntN(2) == 0 {
+			r.stopGracefully(replaced)
 		}
-		gone.remove()
-		for gone.pid() != 0 {
+		replaced.remove()
+		for replaced.pid() != 0 {
 			time.Sleep(5 * time.Millisecond)
 		}
-		os.RemoveAll(r.place.dataDir(gone.machine))
-		r.say("%s is replaced by %s", gone.name, spare.name)
-		r.operators.replace(r.place.at(gone.machine, portControl), r.place.at(spare.machine, portControl))
+		os.RemoveAll(r.layout.dataDir(replaced.machine))
+		r.logf("%s is replaced by %s", replaced.name, spare.name)
+		r.operators.replace(r.layout.at(replaced.machine, portControl), r.layout.at(spare.machine, portControl))
 		go spare.run()
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 	})
 	sleep(ctx, 2*syncTime)
 }
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -35,25 +35,25 @@
 // without a final answer overlapped.
 const undecidedMark = "undecided after"
 
-// untimed are the rules that hold however busy the machine is.
-var untimed = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "HISTORY"}
+// untimedRules are the rules that hold however busy the machine is.
+var untimedRules = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "HISTORY"}
 
 // report checks the run. Violations of rules with time bounds count only if that was asked for.
 func (r *run) report() *Report {
 	out := &Report{Seed: r.options.Seed, Findings: slices.Clone(r.findings)}
-	r.journal.with(func() {
+	r.journal.withLock(func() {
 		r.journal.End = r.journal.now()
-		r.nameMachines()
+		r.setArrivalMachines()
 		r.journal.Check()
 		for _, f := range r.journal.Findings {
 			text := fmt.Sprintf("%s at %.3f s: %s (%d in all)", f.Rule, float64(f.At)/float64(clock.Second), f.Text, r.journal.Broken[f.Rule])
 			switch {
 			case strings.Contains(f.Text, undecidedMark):
 				out.Undecided = append(out.Undecided, text)
-			case r.options.Timed || slices.Contains(untimed, f.Rule):
+			case r.options.Timed || slices.Contains(untimedRules, f.Rule):
 				out.Findings = append(out.Findings, text)
 			default:
-				r.say("not judged, since it depends on time: %s", text)
+				r.logf("not judged, since it depends on time: %s", text)
 			}
 		}
 		out.Tested = r.journal.Tested
@@ -72,7 +72,7 @@
 	})
 	for _, d := range r.daemons {
 		out.Starts += d.incarnations
-		out.Findings = append(out.Findings, r.explained(d)...)
+		out.Findings = append(out.Findings, r.unexcusedFaults(d)...)
 	}
 	if r.options.Timed {
 		out.Findings = append(out.Findings, r.overdue...)
@@ -83,8 +83,8 @@
 	return out
 }
 
-// nameMachines sets for each arrival the machine to which the client had sent the request.
-func (r *run) nameMachines() {
+// setArrivalMachines sets for each arrival the machine to which the client had sent the request.
+func (r *run) setArrivalMachines() {
 	at := map[string]string{}
 	for _, attempt := range r.journal.Attempts {
 		at[attempt.ID] = attempt.Machine
@@ -94,8 +94,8 @@
 	}
 }
 
-// explained returns a process's faults, except for ends over an incomplete settings file.
-func (r *run) explained(d *daemon) (out []string) {
+// unexcusedFaults returns a process's faults, except for ends over an incomplete settings file.
+func (r *run) unexcusedFaults(d *daemon) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range d.logFaults() {
@@ -140,7 +140,7 @@
 // historyText lists what operators did and read, for whoever investigates a finding.
 func (r *run) historyText() string {
 	var b strings.Builder
-	r.journal.with(func() {
+	r.journal.withLock(func() {
 		for _, op := range r.journal.OperatorsHistory().Operations {
 			fmt.Fprintf(&b, "%+v\n", op)
 		}
--- a/lab/soak/resource_faults.go
+++ b/lab/soak/resource_faults.go
@@ -21,16 +21,16 @@
 
 func resourceFaults() []faultKind {
 	return []faultKind{
-		{"descriptors_out", 2, descriptorsOut},
+		{"descriptors_out", 2, exhaustDescriptors},
 		{"client_flood", 2, clientFlood},
 		{"client_garbage", 2, clientGarbage},
 		{"client_unread", 2, clientUnread},
 	}
 }
 
-// descriptorsOut leaves a process no descriptors beyond those that it has.
-func descriptorsOut(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	d := r.daemons[drawn.IntN(len(r.daemons))]
+// exhaustDescriptors leaves a process no descriptors beyond those that it has.
+func exhaustDescriptors(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	d := r.daemons[rng.IntN(len(r.daemons))]
 	pid := d.pid()
 	open, err := os.ReadDir(filepath.Join("/proc", fmt.Sprint(pid), "fd"))
 	var was unix.Rlimit
@@ -38,11 +38,11 @@
 		return
 	}
 	s := nodeFault(d.machine)
-	s.unsettles = d.role == roleCore
-	r.during(s, func() {
-		r.say("%s has no descriptors beyond its %d", d.name, len(open))
+	s.disruptsCores = d.role == roleCore
+	r.withFault(s, func() {
+		r.logf("%s has no descriptors beyond its %d", d.name, len(open))
 		unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(len(open)), Max: was.Max}, nil)
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 		if d.pid() == pid {
 			unix.Prlimit(pid, unix.RLIMIT_NOFILE, &was, nil)
 		}
@@ -53,53 +53,53 @@
 const floodConnections = 300
 
 // clientFlood opens many connections to a node, some with half a head, and keeps them.
-func clientFlood(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	addr := r.clients.to[machineName(anyMachine(drawn))]
+func clientFlood(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	addr := r.clients.addrs[machineName(anyMachine(rng))]
 	var open []net.Conn
 	for range floodConnections {
-		conn, err := net.DialTimeout("tcp", addr, connectMost)
+		conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 		if err != nil {
 			break
 		}
 		open = append(open, conn)
-		if drawn.IntN(2) == 0 {
+		if rng.IntN(2) == 0 {
 			io.WriteString(conn, "GET /read/never HTTP/1.1\r\nHost: "+siteHost)
 		}
 	}
-	sleep(ctx, lasts)
+	sleep(ctx, duration)
 	for _, conn := range open {
 		conn.Close()
 	}
 }
 
-// garbage returns malformed or forbidden requests; none of them may run.
-func garbage(n int) []string {
+// malformedRequests returns malformed or forbidden requests; none of them may run.
+func malformedRequests(n int) []string {
 	id := fmt.Sprintf("bad-%d", n)
 	head := "POST /fix/" + id + " HTTP/1.1\r\nHost: " + siteHost + "\r\n"
-	one := platform.HeaderAttempt + ": " + id + "\r\n"
+	attemptHeader := platform.HeaderAttempt + ": " + id + "\r\n"
 	return []string{
 		head + "Content-Length: 3\r\n\r\nabc",
-		head + one + platform.HeaderAttempt + ": " + id + "x\r\nContent-Length: 3\r\n\r\nabc",
-		head + one + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
-		head + one + "Content-Length: -1\r\n\r\nabc",
-		head + one + "X: " + strings.Repeat("x", 70_000) + "\r\n\r\n",
-		head + one + "Content-Length: 99999999\r\n\r\nabc",
-		head + one + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc",
-		head + one + "Content-Length: 10\r\n\r\nabc",
+		head + attemptHeader + platform.HeaderAttempt + ": " + id + "x\r\nContent-Length: 3\r\n\r\nabc",
+		head + attemptHeader + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
+		head + attemptHeader + "Content-Length: -1\r\n\r\nabc",
+		head + attemptHeader + "X: " + strings.Repeat("x", 70_000) + "\r\n\r\n",
+		head + attemptHeader + "Content-Length: 99999999\r\n\r\nabc",
+		head + attemptHeader + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc",
+		head + attemptHeader + "Content-Length: 10\r\n\r\nabc",
 		"\x16\x03\x01\x02\x00",
-		"GET /nowhere HTTP/1.1\r\nHost: " + siteHost + "\r\n" + one + "\r\n",
+		"GET /nowhere HTTP/1.1\r\nHost: " + siteHost + "\r\n" + attemptHeader + "\r\n",
 	}
 }
 
 // clientGarbage sends malformed requests to a node.
-func clientGarbage(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	addr := r.clients.to[machineName(anyMachine(drawn))]
-	for n, text := range garbage(drawn.IntN(1_000_000)) {
-		conn, err := net.DialTimeout("tcp", addr, connectMost)
+func clientGarbage(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	addr := r.clients.addrs[machineName(anyMachine(rng))]
+	for n, text := range malformedRequests(rng.IntN(1_000_000)) {
+		conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 		if err != nil {
 			return
 		}
-		conn.SetDeadline(time.Now().Add(lasts / 4))
+		conn.SetDeadline(time.Now().Add(duration / 4))
 		io.WriteString(conn, text)
 		if n%2 == 0 {
 			io.Copy(io.Discard, conn)
@@ -109,20 +109,20 @@
 }
 
 // clientUnread sends requests to a node and reads no response until the fault is over.
-func clientUnread(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	addr := r.clients.to[machineName(anyMachine(drawn))]
-	conn, err := net.DialTimeout("tcp", addr, connectMost)
+func clientUnread(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	addr := r.clients.addrs[machineName(anyMachine(rng))]
+	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(1)
-	conn.SetDeadline(time.Now().Add(lasts))
-	k := kinds[1]
+	conn.SetDeadline(time.Now().Add(duration))
+	k := requestKinds[1]
 	for ctx.Err() == nil {
 		attempt := r.clients.newAttempt(k, "", 1, time.Now().Add(k.deadline))
 		r.clients.end(attempt, func() { attempt.GaveUp = true })
-		if _, err := conn.Write(request(attempt, k.deadline)); err != nil {
+		if _, err := conn.Write(requestText(attempt, k.deadline)); err != nil {
 			return
 		}
 		sleep(ctx, 20*time.Millisecond)
--- a/lab/soak/responses.go
+++ b/lab/soak/responses.go
@@ -26,7 +26,7 @@
 	b.respond(w, http.StatusOK, body, seal, behaviour{})
 	c.Flush()
 	if sent, err := io.ReadAll(r.Body); err == nil {
-		b.journal.with(func() { a.Body = sent })
+		b.journal.withLock(func() { a.Body = sent })
 	}
 }
 
@@ -66,12 +66,12 @@
 	}
 }
 
-// surplusWithin is how long a backend waits for the request in whose place it sends a surplus response.
-const surplusWithin = 2 * time.Second
+// surplusTimeout is how long a backend waits for the request in whose place it sends a surplus response.
+const surplusTimeout = 2 * time.Second
 
 // surplus sends one more response of an earlier request where the next one's is due, and closes the connection.
 func surplus(conn net.Conn, buffered *bufio.ReadWriter, head http.Header) {
-	conn.SetDeadline(time.Now().Add(surplusWithin))
+	conn.SetDeadline(time.Now().Add(surplusTimeout))
 	next, err := http.ReadRequest(buffered.Reader)
 	if err != nil {
 		return
@@ -91,11 +91,11 @@
 func responseBody(attempt, pool string) []byte {
 	h := fnv.New64a()
 	io.WriteString(h, attempt+" "+pool)
-	drawn := rand.New(rand.NewPCG(h.Sum64(), 1))
+	rng := rand.New(rand.NewPCG(h.Sum64(), 1))
 	out := make([]byte, 0, 40*recordSize)
-	for range 4 + drawn.IntN(30) {
-		out = binary.BigEndian.AppendUint64(out, drawn.Uint64N(64)<<58|drawn.Uint64()>>8)
-		out = binary.BigEndian.AppendUint64(out, drawn.Uint64N(4))
+	for range 4 + rng.IntN(30) {
+		out = binary.BigEndian.AppendUint64(out, rng.Uint64N(64)<<58|rng.Uint64()>>8)
+		out = binary.BigEndian.AppendUint64(out, rng.Uint64N(4))
 	}
 	return append(out, "rest"...)
 }
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -20,13 +20,13 @@
 type run struct {
 	options   Options
 	journal   *journal
-	place     *place
+	layout    *layout
 	network   *relay.Network
 	fleet     *fleet
 	daemons   []*daemon
 	clients   *clients
 	operators *operators
-	coreCalm  calm
+	coreGate  coreFaultGate
 	// changes and zones serialise the operators' changes and the evacuations.
 	changes, zones sync.Mutex
 
@@ -57,13 +57,13 @@
 	defer stopLoad()
 	var work sync.WaitGroup
 	work.Go(func() { r.clients.run(load) })
-	work.Go(func() { r.operate(load) })
+	work.Go(func() { r.runOperators(load) })
 	r.injectFaults(ctx)
 	r.heal(ctx)
-	r.closing(ctx)
+	r.injectClosingFault(ctx)
 	stopLoad()
 	work.Wait()
-	r.checkRest(ctx)
+	r.checkQuiescent(ctx)
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
@@ -74,12 +74,12 @@
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	p, err := findPlace(o.Dir)
+	p, err := findLayout(o.Dir)
 	if err != nil {
 		return nil, err
 	}
 	j := newJournal()
-	r := &run{options: o, journal: j, place: p, network: relay.New(), torn: map[*daemon]bool{}, seeds: map[*daemon][]int{}}
+	r := &run{options: o, journal: j, layout: p, network: relay.New(), torn: map[*daemon]bool{}, seeds: map[*daemon][]int{}}
 	if r.fleet, err = newFleet(j, p); err != nil {
 		return nil, err
 	}
@@ -88,33 +88,33 @@
 
 // relays opens the relays for the mesh and for clients.
 func (r *run) relays() error {
-	to, names, cores := map[string]string{}, []string{}, []string{}
+	addrs, names, cores := map[string]string{}, []string{}, []string{}
 	for n := range machineCount {
 		mesh := map[string]int{roleNode: portNodeMesh}
 		if n < coreCount {
 			mesh[roleCore] = portCoreMesh
-			cores = append(cores, r.place.at(n, portControl))
+			cores = append(cores, r.layout.at(n, portControl))
 		}
 		for role, port := range mesh {
-			behind := net.JoinHostPort(r.place.behindIP(n, role), fmt.Sprint(r.place.first))
-			if err := r.network.Pass(fmt.Sprintf("%s-%d", role, n), r.place.at(n, port), behind); err != nil {
+			listenAddr := net.JoinHostPort(r.layout.listenIP(n, role), fmt.Sprint(r.layout.first))
+			if err := r.network.AddRelay(fmt.Sprintf("%s-%d", role, n), r.layout.at(n, port), listenAddr); err != nil {
 				return err
 			}
-			d := newDaemon(r.options, r.place, n, role)
-			d.report = r.say
+			d := newDaemon(r.options, r.layout, n, role)
+			d.report = r.logf
 			r.daemons = append(r.daemons, d)
 		}
-		front := net.JoinHostPort(r.place.standInIP(), fmt.Sprint(r.place.first+n))
-		if err := r.network.PassFrom(clientsName, machineName(n), front, r.place.at(n, portHTTP)); err != nil {
+		front := net.JoinHostPort(r.layout.standInIP(), fmt.Sprint(r.layout.first+n))
+		if err := r.network.AddRelayFor(clientsName, machineName(n), front, r.layout.at(n, portHTTP)); err != nil {
 			return err
 		}
-		to[machineName(n)] = front
+		addrs[machineName(n)] = front
 		names = append(names, machineName(n))
 	}
 	if err := r.addSpare(); err != nil {
 		return err
 	}
-	r.clients = &clients{journal: r.journal, rate: r.options.Rate, to: to, names: names, idleConns: map[string][]*idleConn{}}
+	r.clients = &clients{journal: r.journal, rate: r.options.Rate, addrs: addrs, names: names, idleConns: map[string][]*idleConn{}}
 	r.operators = newOperators(r.journal, cores)
 	return nil
 }
@@ -122,18 +122,18 @@
 // addSpare creates the core of a spare machine, which does not run yet. Its machine already has a node: what
 // matters is that its disk is empty and its address a new one.
 func (r *run) addSpare() error {
-	behind := net.JoinHostPort(r.place.behindIP(spareMachine, roleCore), fmt.Sprint(r.place.first))
-	if err := r.network.Pass(coreName(spareMachine), r.place.at(spareMachine, portCoreMesh), behind); err != nil {
+	listenAddr := net.JoinHostPort(r.layout.listenIP(spareMachine, roleCore), fmt.Sprint(r.layout.first))
+	if err := r.network.AddRelay(coreName(spareMachine), r.layout.at(spareMachine, portCoreMesh), listenAddr); err != nil {
 		return err
 	}
-	r.spare = newDaemon(r.options, r.place, spareMachine, roleCore)
-	r.spare.report = r.say
+	r.spare = newDaemon(r.options, r.layout, spareMachine, roleCore)
+	r.spare.report = r.logf
 	r.daemons = append(r.daemons, r.spare)
 	return nil
 }
 
-// bringUpMost bounds the start and the healing of all processes: only a hang takes as long.
-const bringUpMost = 2 * time.Minute
+// startupTimeout bounds the start and the healing of all processes: only a hang takes as long.
+const startupTimeout = 2 * time.Minute
 
 // begin starts everything and waits until each node is ready.
 func (r *run) begin(ctx context.Context) error {
@@ -156,7 +156,7 @@
 			go d.run()
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, bringUpMost)
+	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
 	go r.faultBootstrap(ctx)
 	if !r.operators.first(ctx) {
@@ -186,33 +186,33 @@
 			break
 		}
 		all.Go(func() {
-			drawn := rand.New(rand.NewPCG(t.seed, 1))
-			r.say("begins %s for %v", t.kind, t.lasts.Round(time.Millisecond))
-			kindNamed(t.kind).do(ctx, r, drawn, t.lasts)
-			r.say("ends %s", t.kind)
+			rng := rand.New(rand.NewPCG(t.seed, 1))
+			r.logf("begins %s for %v", t.kind, t.duration.Round(time.Millisecond))
+			kindNamed(t.kind).do(ctx, r, rng, t.duration)
+			r.logf("ends %s", t.kind)
 		})
 	}
 	all.Wait()
 }
 
-// say logs an event.
-func (r *run) say(format string, args ...any) {
+// logf logs an event.
+func (r *run) logf(format string, args ...any) {
 	if r.options.Log != nil {
 		r.options.Log(fmt.Sprintf("%8.3f ", float64(r.journal.now())/float64(clock.Second)) + fmt.Sprintf(format, args...))
 	}
 }
 
-// during records a fault for as long as f runs; one that unsettles the core keeps disks from being lost.
-func (r *run) during(s faultSpan, f func()) {
-	if s.unsettles {
-		r.coreCalm.begin()
-		defer r.coreCalm.end()
+// withFault records a fault for as long as f runs; one that unsettles the core keeps disks from being lost.
+func (r *run) withFault(s faultSpan, f func()) {
+	if s.disruptsCores {
+		r.coreGate.begin()
+		defer r.coreGate.end()
 	}
-	r.span(s, f)
+	r.recordFault(s, f)
 }
 
 // span records a fault for as long as f runs.
-func (r *run) span(s faultSpan, f func()) {
+func (r *run) recordFault(s faultSpan, f func()) {
 	r.journal.beginFault(s)
 	defer r.journal.endFault(s)
 	f()
@@ -220,7 +220,7 @@
 
 // end stops all processes and stand-ins.
 func (r *run) end() {
-	r.network.End()
+	r.network.Close()
 	for _, d := range r.daemons {
 		d.close()
 	}
--- a/lab/soak/settings.go
+++ b/lab/soak/settings.go
@@ -10,12 +10,12 @@
 )
 
 // settingsPath returns the path of a process's settings file.
-func (p *place) settingsPath(machine int, role string) string {
+func (p *layout) settingsPath(machine int, role string) string {
 	return filepath.Join(p.dir, fmt.Sprintf("settings-%d-%s.toml", machine, role))
 }
 
 // settings returns the text of a process's settings file.
-func (p *place) settings(machine int, role string, seeds []int, list string, bootstrap bool) string {
+func (p *layout) settings(machine int, role string, seeds []int, list string, bootstrap bool) string {
 	quoted := make([]string, len(seeds))
 	for i, n := range seeds {
 		quoted[i] = fmt.Sprintf("%q", p.at(n, portControl))
@@ -66,11 +66,11 @@
 max_lag_ms = %d
 `, machine, role, p.machineIP(machine), zoneOf(machine), p.first, p.first+portCoreOperator, strings.Join(quoted, ","), bootstrap, role == roleCore,
 		data, zones.String(), p.at(machine, portHTTP), p.at(machine, portReadiness), p.at(machine, portControl),
-		contactMs, graceS, drainMs, applyMs, emptyMs, retryRate, windowS, retryMore, list, listRate, listLagMs)
+		contactMs, graceS, drainMs, applyMs, evacuateMs, retryRate, windowS, retryAllowance, list, listRate, listLagMs)
 }
 
 // writeSettings replaces a process's settings file atomically or, torn, in two halves.
-func (p *place) writeSettings(machine int, role, text string, torn bool) error {
+func (p *layout) writeSettings(machine int, role, text string, torn bool) error {
 	path := p.settingsPath(machine, role)
 	if torn {
 		return os.WriteFile(path, []byte(text[:len(text)/2]), 0o600)
--- a/lab/soak/signals.go
+++ b/lab/soak/signals.go
@@ -17,7 +17,7 @@
 	if d.cmd == nil {
 		return
 	}
-	if sig == syscall.SIGHUP && !runs(d.cmd.Process.Pid) {
+	if sig == syscall.SIGHUP && !handlesSignals(d.cmd.Process.Pid) {
 		// The loader is still at work: no program can be ready for a signal.
 		return
 	}
@@ -35,7 +35,7 @@
 }
 
 // runs reports whether a process is far enough to handle or ignore signals.
-func runs(pid int) bool {
+func handlesSignals(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return false
@@ -53,7 +53,7 @@
 func (d *daemon) kill() { d.signal(syscall.SIGKILL) }
 
 // gone reports whether the process's machine was removed.
-func (d *daemon) gone() bool {
+func (d *daemon) isRemoved() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.removed
@@ -116,13 +116,13 @@
 	d.mu.Unlock()
 	d.signal(syscall.SIGCONT)
 	d.signal(syscall.SIGKILL)
-	if d.began() {
+	if d.everStarted() {
 		<-d.ended
 	}
 }
 
 // began reports whether the process was ever to run.
-func (d *daemon) began() bool {
+func (d *daemon) everStarted() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.incarnations > 0
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -58,28 +58,28 @@
 
 // Bounds of the rules, as in the processes' settings.
 const (
-	contactMs = 4000
-	ackMs     = 5000
-	drainMs   = 3000
-	graceS    = 6
-	applyMs   = 3000
-	emptyMs   = 5000
-	stretchMs = 12000
-	recoverS  = 12
-	lossMs    = 200
-	retryRate = 0.2
-	retryMore = 62
-	windowS   = 10
-	listRate  = 44.0
-	listLagMs = 300
+	contactMs      = 4000
+	ackMs          = 5000
+	drainMs        = 3000
+	graceS         = 6
+	applyMs        = 3000
+	evacuateMs     = 5000
+	stretchMs      = 12000
+	recoverS       = 12
+	lossMs         = 200
+	retryRate      = 0.2
+	retryAllowance = 62
+	windowS        = 10
+	listRate       = 44.0
+	listLagMs      = 300
 )
 
 // bounds returns the bounds of the rules.
 func bounds() rules.Bounds {
 	return rules.Bounds{
 		ContactUs: contactMs * clock.Millisecond, AckUs: ackMs * clock.Millisecond, DrainUs: drainMs * clock.Millisecond, GraceUs: graceS * clock.Second,
-		LossUs: lossMs * clock.Millisecond, ApplyUs: applyMs * clock.Millisecond, StretchUs: stretchMs * clock.Millisecond, EvacuateUs: emptyMs * clock.Millisecond,
-		RecoverUs: recoverS * clock.Second, RetryRatio: retryRate, RetryAllowance: retryMore, RetryWindowUs: windowS * clock.Second,
+		LossUs: lossMs * clock.Millisecond, ApplyUs: applyMs * clock.Millisecond, StretchUs: stretchMs * clock.Millisecond, EvacuateUs: evacuateMs * clock.Millisecond,
+		RecoverUs: recoverS * clock.Second, RetryRatio: retryRate, RetryAllowance: retryAllowance, RetryWindowUs: windowS * clock.Second,
 		SlowStartOverrun: 1.5, SlowStartTolerance: 5,
 	}
 }
@@ -87,16 +87,16 @@
 // zoneOf returns the zone of the nth machine or backend.
 func zoneOf(n int) string { return fmt.Sprintf("z%d", n%zoneCount+1) }
 
-// place holds the addresses of a run: a loopback network of its own.
-type place struct {
+// layout holds the addresses of a run: a loopback network of its own.
+type layout struct {
 	network string
 	first   int
 	dir     string
 }
 
 // machineIP returns the address at which others reach a machine; behindIP where its mesh listens.
-func (p *place) machineIP(n int) string { return fmt.Sprintf("%s.%d", p.network, 10+n) }
-func (p *place) behindIP(n int, role string) string {
+func (p *layout) machineIP(n int) string { return fmt.Sprintf("%s.%d", p.network, 10+n) }
+func (p *layout) listenIP(n int, role string) string {
 	if role == roleCore {
 		return fmt.Sprintf("%s.%d", p.network, 150+n)
 	}
@@ -104,21 +104,21 @@
 }
 
 // standInIP returns the address of the run's own stand-ins.
-func (p *place) standInIP() string { return p.network + ".200" }
+func (p *layout) standInIP() string { return p.network + ".200" }
 
 // at returns the address of a machine's port.
-func (p *place) at(n, port int) string {
+func (p *layout) at(n, port int) string {
 	return net.JoinHostPort(p.machineIP(n), fmt.Sprint(p.first+port))
 }
 
-// placesTried bounds how many networks are tried until one is free.
-const placesTried = 100
+// maxLayoutAttempts bounds how many networks are tried until one is free.
+const maxLayoutAttempts = 100
 
 // findPlace finds a loopback network in which all ports are free. It is not drawn from the seed: two
 // runs of one seed may be under way at once.
-func findPlace(dir string) (*place, error) {
-	for range placesTried {
-		p := &place{
+func findLayout(dir string) (*layout, error) {
+	for range maxLayoutAttempts {
+		p := &layout{
 			network: fmt.Sprintf("127.%d.%d", 32+rand.IntN(200), rand.IntN(250)), first: 12_000 + rand.IntN(15_000),
 			dir: dir,
 		}
@@ -129,7 +129,7 @@
 	return nil, fmt.Errorf("no loopback network has free ports")
 }
 
-func (p *place) free() bool {
+func (p *layout) free() bool {
 	for n := range machineCount {
 		for port := range portCount {
 			l, err := net.Listen("tcp", p.at(n, port))
@@ -143,4 +143,4 @@
 }
 
 // dataDir is a core's data folder.
-func (p *place) dataDir(n int) string { return filepath.Join(p.dir, fmt.Sprintf("data-%d", n)) }
+func (p *layout) dataDir(n int) string { return filepath.Join(p.dir, fmt.Sprintf("data-%d", n)) }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -55,7 +55,7 @@
 	for i := range a {
 		must.True(t, a[i] == b[i])
 		seen[a[i].kind] = true
-		if i > 0 && a[i].at < a[i-1].at+a[i-1].lasts {
+		if i > 0 && a[i].at < a[i-1].at+a[i-1].duration {
 			overlaps++
 		}
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-func TestDiskIsLostOnlyWhileCoresAreCalm(t *testing.T) {
-	c := &calm{}
+func TestDiskIsLostOnlyWhileNoCoreIsFaulty(t *testing.T) {
+	c := &coreFaultGate{}
 	c.begin()
 	must.False(t, c.tryAcquire())
 	c.end()
@@ -84,8 +84,8 @@
 	c.begin()
 }
 
-// judged is a run without processes whose journal a test has written.
-func judged(t *testing.T, write func(j *journal)) *Report {
+// reportFor is a run without processes whose journal a test has written.
+func reportFor(t *testing.T, write func(j *journal)) *Report {
 	t.Helper()
 	r := &run{journal: newJournal(), torn: map[*daemon]bool{}}
 	write(r.journal)
@@ -93,20 +93,20 @@
 }
 
 func TestAbortedRequestThatRanIsFound(t *testing.T) {
-	cut := func(j *journal) {
+	writeAborted := func(j *journal) {
 		b := &rules.Backend{ID: "b", Ended: rules.Never, Shown: rules.Never}
 		j.Attempts = []*rules.Attempt{{ID: "t", Machine: "m", Repeatable: true, Read: 1, Sent: 10 * clock.Second, Ended: 11 * clock.Second, Aborted: true}}
 		j.Arrivals = []*rules.Arrival{{Attempt: "t", Backend: b, Ran: true, Status: 200, Answer: []byte("x"), At: 10 * clock.Second}}
 	}
-	r := judged(t, cut)
+	r := reportFor(t, writeAborted)
 	must.StrContains(t, strings.Join(r.Findings, "\n"), "CUT at 11.000 s")
-	r = judged(t, func(j *journal) {
-		cut(j)
+	r = reportFor(t, func(j *journal) {
+		writeAborted(j)
 		j.setFault(faultSpan{machines: []string{"m"}}, true)
 	})
 	must.StrNotContains(t, strings.Join(r.Findings, "\n"), "CUT", must.Sprint("the node itself was in trouble"))
-	r = judged(t, func(j *journal) {
-		cut(j)
+	r = reportFor(t, func(j *journal) {
+		writeAborted(j)
 		j.setFault(faultSpan{machines: []string{"m"}, planned: true}, true)
 	})
 	must.StrContains(t, strings.Join(r.Findings, "\n"), "CUT", must.Sprint("a planned stop is no excuse"))
