--- a/lab/fleet/configure.go
+++ b/lab/fleet/configure.go
@@ -1,4 +1,4 @@
-// Configuring the stand-in platform and the fleet for a run.
+// Configures the stand-in platform and the fleet for a run.
 
 package fleet
 
@@ -14,6 +14,7 @@
 	"wallport/runtime/wire"
 )
 
+// notifyPlatform sends the current backends and nodes to the stand-in platform, and retries until it accepts both.
 func (f *Fleet) notifyPlatform(ctx context.Context) error {
 	return poll(ctx, "platform", func() error {
 		f.mu.Lock()
@@ -26,17 +27,17 @@
 	})
 }
 
-// configure puts the first configuration and shard map and waits until every node answers a search.
+// configure writes the first configuration and the first shard map, and waits until every node answers a search.
 func (f *Fleet) configure(ctx context.Context) error {
 	s := f.options.Shape
 	oper := f.OperatorAddrs["node-0"]
-	err := poll(ctx, "first sheet", func() error {
+	err := poll(ctx, "put first configuration", func() error {
 		return f.call(http.MethodPut, "http://"+oper+"/v1/sheet", s.Config(), map[string]string{"If-Match": "0.0", "Edit-Id": "first-sheet"})
 	})
 	if err != nil {
 		return err
 	}
-	err = poll(ctx, "first cut", func() error {
+	err = poll(ctx, "install first shard map", func() error {
 		return f.post("http://"+oper+"/v1/indexes/"+s.Index+"/cut", map[string]any{"cut": "c1", "shards": s.Shards})
 	})
 	if err != nil {
@@ -55,6 +56,7 @@
 
 func (f *Fleet) post(url string, v any) error { return f.call(http.MethodPost, url, v, nil) }
 
+// call sends v as JSON with the operator token and the given headers. A status other than 2xx is an error.
 func (f *Fleet) call(method, url string, v any, head map[string]string) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// poll retries until try succeeds or the context ends.
+// poll calls try every 50 ms until it succeeds or the context ends; what names the operation in the error.
 func poll(ctx context.Context, what string, try func() error) error {
 	for {
 		err := try()
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,4 +1,4 @@
-// The processes of a fleet: starting, finding, signalling and ending them, each by its own process id.
+// Starts and configures the processes of a fleet.
 
 package fleet
 
@@ -19,20 +19,21 @@
 	"wallport/runtime/wire"
 )
 
-// Options say what to start and where.
+// Options are the programs, folders and credentials of a fleet.
 type Options struct {
 	Shape Shape
 	Dir   string
 	Bin   string
-	// Before is the folder of an earlier release's programs, with which the daemons start.
+	// Before is the folder of an earlier release's programs; if set, cores and nodes start from it instead of Bin.
 	Before string
 	Log    io.Writer
-	// Token is the operator token of the nodes, Secret the fleet's secret.
+	// Token is the operator token of the nodes.
 	Token string
-	// Tokens is a file of tokens with scopes for the nodes.
+	// Tokens is the path of a file of scoped operator tokens for the nodes.
 	Tokens string
+	// Secret is the shared secret of the fleet's processes.
 	Secret string
-	// Relays puts a relay before each daemon's mesh address, so that daemons can be partitioned.
+	// Relays puts a relay in front of the mesh address of each core and node, so that they can be partitioned.
 	Relays bool
 }
 
@@ -46,7 +47,7 @@
 	mesh     string
 	operator string
 	zone     string
-	// stopping reports that it was told to end.
+	// stopping reports that the process was sent SIGTERM or SIGKILL.
 	stopping bool
 }
 
@@ -65,9 +66,9 @@
 	stopped       map[string]bool
 	operators     *operators
 	network       *relay.Network
-	// commandedZones are the zones that a scenario's operators drain and restore.
+	// commandedZones are the zones that operators drain and restore in the scenario.
 	commandedZones []string
-	// started counts the daemons that were given an address of their own.
+	// uniqueAddressCount counts the loopback addresses that uniqueAddress has returned.
 	uniqueAddressCount int
 }
 
@@ -81,10 +82,10 @@
 	return f
 }
 
-// commonIP is the loopback address of processes without one of their own.
+// commonIP is the loopback address of processes that have no unique address.
 const commonIP = "127.0.0.1"
 
-// ports returns n free ports of a loopback address, which differ from each other.
+// ports returns n different free addresses, as ip:port, on a loopback IP.
 func ports(ip string, n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -98,7 +99,7 @@
 	return out, nil
 }
 
-// Start starts a process and waits for its end in the background.
+// Start starts a process, appends its output to its log file and reaps it in the background.
 func (f *Fleet) Start(p *Process) error {
 	logf, err := os.OpenFile(filepath.Join(f.options.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// Up starts everything and returns once every node is ready for callers.
+// Up starts the platform, cores, nodes and backends, and returns once every node answers a search.
 func (f *Fleet) Up(ctx context.Context) error {
 	s := f.options.Shape
 	addrs, err := ports(commonIP, 1+2*s.Cores+3*s.Nodes+s.PerShard*s.Shards)
@@ -162,6 +163,7 @@
 	return f.configure(ctx)
 }
 
+// daemon starts a core or a node.
 func (f *Fleet) daemon(role, name, zone, mesh, oper string, more ...string) error {
 	bin := f.options.Bin
 	if f.options.Before != "" {
@@ -197,7 +199,8 @@
 	return f.Start(p)
 }
 
-// uniqueAddress returns a free port of a loopback address that no other daemon has.
+// uniqueAddress returns a free port on a loopback IP that no other core or node uses: relays identify processes by
+// their IP.
 func (f *Fleet) uniqueAddress() (string, error) {
 	f.mu.Lock()
 	f.uniqueAddressCount++
@@ -210,7 +213,7 @@
 	return free[0], nil
 }
 
-// Backends starts n servers of a shard map.
+// Backends starts n backends of a shard map, on addrs or, if there are too few, on free ports.
 func (f *Fleet) Backends(shardMap string, shards, n int, addrs []string) error {
 	s := f.options.Shape
 	if len(addrs) < n {
--- a/lab/fleet/gather.go
+++ b/lab/fleet/gather.go
@@ -1,4 +1,4 @@
-// Collecting what the stand-ins saw and what the nodes counted.
+// Collects the reports of the backends and the metrics of the nodes.
 
 package fleet
 
@@ -13,7 +13,8 @@
 	"wallport/lab/backend"
 )
 
-// CountRuns counts how often each key ran, over all servers that answer.
+// CountRuns returns how often each key was executed, by the journals of all backends, and the reports of the
+// backends that respond.
 func (f *Fleet) CountRuns() (ran map[string]int, reports map[string]backend.Report) {
 	ran, reports = map[string]int{}, map[string]backend.Report{}
 	for _, s := range f.backends {
@@ -29,7 +30,7 @@
 		}
 		reports[s.ID] = r
 	}
-	// From the journals as well, which outlive a killed server.
+	// Executions are counted from the journal files because these survive a killed backend.
 	for _, s := range f.backends {
 		b, err := os.ReadFile(filepath.Join(f.options.Dir, s.ID+".ran"))
 		if err != nil {
@@ -42,7 +43,7 @@
 	return ran, reports
 }
 
-// Metric returns the sum of a counter over the live nodes.
+// Metric returns the sum of a counter over the nodes that respond.
 func (f *Fleet) Metric(name string) int64 {
 	var sum int64
 	for _, oper := range f.OperatorAddrs {
@@ -55,6 +56,7 @@
 	return sum
 }
 
+// readMetric returns the value of a metric on a metrics page, 0 if the page does not have it, and closes the body.
 func readMetric(resp *http.Response, name string) int64 {
 	defer resp.Body.Close()
 	var buf strings.Builder
--- a/lab/fleet/load.go
+++ b/lab/fleet/load.go
@@ -1,5 +1,6 @@
-// Load runs on real processes: the same fleet shape under several loads and faults, each in a fresh fleet,
-// alternating between two builds when a second one is given, so that both meet the same machine.
+// Load measurements on real processes: the same fleet shape under several loads and faults, each in a new fleet. If
+// a second build is given, the runs alternate between the two builds, so that both are measured under the same
+// conditions of the machine.
 
 package fleet
 
@@ -15,7 +16,8 @@
 	"wallport/lab/script"
 )
 
-// Case is one load to measure.
+// Case is one load to measure: LoadFactor multiplies the normal rate, Repeat is the share of keyed requests that are
+// sent twice, Script holds the faults.
 type Case struct {
 	Name       string
 	LoadFactor float64
@@ -33,7 +35,8 @@
 	{"retrying callers", 1, 0.9, ""},
 }
 
-// LoadOptions are the options of a load measurement.
+// LoadOptions are the options of a load measurement. Against is the folder of the second build, Rate the normal rate
+// in requests per second.
 type LoadOptions struct {
 	Options
 	Against string
@@ -49,7 +52,7 @@
 	Balance                                                      float64
 }
 
-// Load runs every case and writes a line for each build and round.
+// Load runs every case, or only the case that is named by o.Only, and writes a line for each build and round.
 func Load(ctx context.Context, o LoadOptions, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "case\tbuild\tgood/s\tp50 us\tp99 us\textra tries\trefused\tunknown\tpartial\tbusiest/mean\tviolations")
@@ -78,6 +81,7 @@
 	return nil
 }
 
+// runCase runs one case with one build, in a new folder.
 func (o LoadOptions) runCase(ctx context.Context, c Case, bin string, seed uint64) (CaseResult, error) {
 	s, err := script.Parse(c.Name, c.Script)
 	if err != nil {
--- a/lab/fleet/logs.go
+++ b/lab/fleet/logs.go
@@ -1,4 +1,4 @@
-// The logs of processes that have ended.
+// Counters from the logs of processes that have stopped.
 
 package fleet
 
@@ -11,7 +11,8 @@
 
 var served = regexp.MustCompile(`event=served .*read=([0-9]+)`)
 
-// readByStoppedNodes sums the requests that nodes had in hand when they stopped gracefully.
+// readByStoppedNodes returns the number of requests that were read by nodes that have stopped gracefully. Each node
+// logs its counter when it stops, since its metrics are lost with the process.
 func (f *Fleet) readByStoppedNodes() (sum int64) {
 	for _, n := range f.Nodes {
 		b, err := os.ReadFile(filepath.Join(f.options.Dir, n.Name+".log"))
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -1,6 +1,6 @@
-// Operators of a real fleet: they edit the configuration in storms and races while faults happen, and poll every
-// node ten times a second; package check evaluates the record as it does for the simulator. Each configuration
-// is recognised by its ramp, as in the simulator.
+// Operators of a real fleet: they edit the configuration, one edit after another or concurrently, while faults are
+// injected, and poll every node ten times a second. Package check evaluates the record as it does for the simulator.
+// As in the simulator, each edit sets a unique ramp_us, the mark by which its configuration is recognised.
 
 package fleet
 
@@ -23,6 +23,7 @@
 	"wallport/runtime/wire"
 )
 
+// operators sends the operators' commands and records them for the checker.
 type operators struct {
 	fleet   *Fleet
 	began   time.Time
@@ -31,7 +32,7 @@
 	mark    int64
 	wait    sync.WaitGroup
 	upSince map[string]int64
-	// lostAt and restoredAt are when everything was lost and started again.
+	// lostAt and restoredAt are the times at which all processes were killed and were started again.
 	lostAt, restoredAt atomic.Int64
 }
 
@@ -43,6 +44,7 @@
 
 func (o *operators) now() int64 { return time.Since(o.began).Microseconds() }
 
+// configInForce is a configuration with its version, as returned by a node.
 type configInForce struct {
 	Version string `json:"stamp"`
 	Config  struct {
@@ -52,7 +54,7 @@
 	} `json:"sheet"`
 }
 
-// mark returns the ramp by which a configuration is recognised, 0 where there is none.
+// mark returns the ramp by which a configuration is recognised, 0 if it has none.
 func (s configInForce) mark() (mark int64) {
 	if len(s.Config.Services) > 0 {
 		fmt.Sscan(fmt.Sprint(s.Config.Services[0]["ramp_us"]), &mark)
@@ -60,7 +62,7 @@
 	return mark
 }
 
-// readConfig reads the configuration in force at a node, as an operator does.
+// readConfig returns the configuration that a node applies, read through the operators' API.
 func (o *operators) readConfig(node string) (s configInForce, err error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+o.fleet.OperatorAddrs[node]+"/v1/sheet", nil)
 	if err != nil {
@@ -75,13 +77,13 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("status %d", resp.StatusCode)
+		return s, fmt.Errorf("read configuration: status %d", resp.StatusCode)
 	}
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// edits sends n complete configurations: in a race all at once, based on one version; in a storm one after
-// another, each based on what is then in force.
+// sendEdits sends n complete configurations in the background, one every gap and without waiting for responses. In a
+// race all are based on the same version; otherwise each is based on the version that its node then applies.
 func (o *operators) sendEdits(ctx context.Context, n int, gap time.Duration, race bool) {
 	o.wait.Go(func() {
 		base, err := o.readConfig("node-1")
@@ -101,6 +103,7 @@
 	})
 }
 
+// putConfig sends a copy of base with a new mark to a node, and records the edit and its outcome.
 func (o *operators) putConfig(node string, base configInForce) {
 	o.mu.Lock()
 	o.mark++
@@ -118,7 +121,8 @@
 	o.withChecker(func(c *check.Checker) { c.EditEnded(t); c.Count("edits."+string(code), 1) })
 }
 
-// send puts a configuration and returns the code of the answer, "open" where no answer came.
+// send sends a configuration that is based on the version base. It returns the code of the response,
+// check.CodeOpen if there is no response, and the version that was written.
 func (o *operators) send(node string, body any, base string) (wire.Code, wire.Version) {
 	b, _ := json.Marshal(body)
 	req, err := http.NewRequest(http.MethodPut, "http://"+o.fleet.OperatorAddrs[node]+"/v1/sheet", strings.NewReader(string(b)))
@@ -149,7 +153,7 @@
 	f(o.checker)
 }
 
-// watch polls every node until the context ends.
+// watch reads the configuration of every node every 100 ms in the background until the context ends.
 func (o *operators) watch(ctx context.Context) {
 	for _, n := range o.fleet.Nodes {
 		o.wait.Go(func() {
@@ -163,8 +167,8 @@
 	}
 }
 
-// observe reports to the checker what a node has in force. A node that did not answer in time was not there, and
-// is bound again from when it answers.
+// observe passes the configuration that a node applies to the checker. A node that does not respond in time counts
+// as down; the checker holds it to acknowledged configurations again from its next response.
 func (o *operators) observe(c *check.Checker, node string, s configInForce, err error, asked int64) {
 	if err != nil || len(s.Config.Services) == 0 {
 		if o.upSince[node] > 0 {
@@ -180,7 +184,8 @@
 	c.InForce(node, stamp, s.mark(), asked, o.upSince[node])
 }
 
-// served reports to the checker what callers got, second by second from a moment on.
+// recordServed passes the callers' successful responses to the checker. The keys of seconds are seconds since from.
+// After a total loss it also lets the checker test the recovery.
 func (o *operators) recordServed(from clock.Micros, seconds map[string]int) {
 	for k, n := range seconds {
 		var s int64
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -1,5 +1,5 @@
-// Operators' reads and zone commands on a real fleet, for the history that is checked together with the edits of
-// the configuration.
+// Operators' reads and zone commands on a real fleet. They are recorded in the history that is checked together with
+// the edits of the configuration.
 
 package fleet
 
@@ -15,17 +15,17 @@
 	"wallport/runtime/wire"
 )
 
-// Client numbers, in the history, of operators that do not edit the configuration.
+// Client numbers in the history for operators that do not edit the configuration.
 const (
 	readingClient = 1_000_000
 	zoneClient    = 2_000_000
 )
 
-// readInterval is the interval between two confirmed reads.
+// readInterval is the pause between two confirmed reads.
 const readInterval = 500 * time.Millisecond
 
-// call sends one request of an operator and decodes a JSON answer; it returns the code as package check knows
-// it.
+// call sends one operator's request, decodes the JSON response into into, and returns the result as a code of package
+// check.
 func (o *operators) call(method, node, path string, into any) wire.Code {
 	ctx, cancel := context.WithTimeout(context.Background(), o.fleet.client.Timeout)
 	defer cancel()
@@ -50,7 +50,7 @@
 	return codeOf(refused.Name)
 }
 
-// codeOf returns package check's code for an answer that is not a 200; check.CodeOpen where its outcome is unknown.
+// codeOf returns package check's code for a response whose status is not 200, check.CodeOpen if name is not known.
 func codeOf(name string) wire.Code {
 	code, known := map[string]wire.Code{
 		"lost_race": wire.CodeLostRace, "malformed": wire.CodeInvalid, "outcome_unknown": wire.CodeUnknown, "shed": wire.CodeOverloaded,
@@ -61,9 +61,9 @@
 	return code
 }
 
-// begin records the configuration in force before any edit, with which histories begin.
+// recordInitialConfig records the configuration before the first edit, which is the initial state of the histories.
 func (o *operators) recordInitialConfig(ctx context.Context) error {
-	return poll(ctx, "the first sheet", func() error {
+	return poll(ctx, "read first configuration", func() error {
 		first, err := o.readConfig("node-1")
 		if err != nil {
 			return err
@@ -74,8 +74,8 @@
 	})
 }
 
-// reads reads the newest configuration from one node after another, confirmed by a majority, until the context
-// ends.
+// startReads reads the newest configuration in the background until the context ends, through each node in turn. The
+// reads are confirmed by a majority.
 func (o *operators) startReads(ctx context.Context) {
 	o.wait.Go(func() {
 		for i := 0; ctx.Err() == nil; i++ {
@@ -85,7 +85,7 @@
 	})
 }
 
-// readNewest reads the history of the configuration, whose last entry is the newest.
+// readNewest reads the history of the configuration through a node and records its last entry, which is the newest.
 func (o *operators) readNewest(node string) {
 	var history []configInForce
 	began := o.now()
@@ -100,7 +100,8 @@
 	o.withChecker(func(c *check.Checker) { c.ConfigRead(readingClient, stamp, newest.mark(), began, ended) })
 }
 
-// zones makes operators drain and restore a zone alternately, two at a time through different nodes.
+// sendZoneCommands sends n commands in the background that drain and restore a zone alternately, one every gap,
+// through each node in turn and without waiting for responses.
 func (o *operators) sendZoneCommands(ctx context.Context, zone string, n int, gap time.Duration) {
 	o.wait.Go(func() {
 		for i := range n {
@@ -113,6 +114,7 @@
 	})
 }
 
+// setZone drains or restores a zone through a node, and records the command and its outcome.
 func (o *operators) setZone(client int, node, zone string, drained bool) {
 	action := "refill"
 	if drained {
@@ -128,21 +130,22 @@
 	})
 }
 
-// readZone reads a zone's state at a node that has everything in force that was acknowledged before: the
-// acknowledgement of an edit without effect gives the version to wait for.
+// readZone reads a zone's state through a node that has applied everything that was acknowledged before the read. To
+// ensure that, it first sends a command without effect, whose acknowledgement lists the nodes that have not applied
+// it yet, and retries until none is listed.
 func (o *operators) readZone(ctx context.Context, zone string) error {
 	began := o.now()
 	var ack struct {
 		InForce  int `json:"in_force"`
 		Laggards []string
 	}
-	return poll(ctx, "the state of "+zone, func() error {
+	return poll(ctx, "read state of zone "+zone, func() error {
 		if code := o.call(http.MethodPost, "node-0", "/v1/zones/"+unusedZone+"/refill", &ack); code != wire.CodeOK || len(ack.Laggards) > 0 {
-			return fmt.Errorf("%s, not in force at %v", code, ack.Laggards)
+			return fmt.Errorf("restore unused zone: got %s, not yet applied by %v", code, ack.Laggards)
 		}
 		var servers []struct{ Zone, Verdict string }
 		if code := o.call(http.MethodGet, "node-0", "/v1/servers", &servers); code != wire.CodeOK {
-			return fmt.Errorf("servers: %s", code)
+			return fmt.Errorf("list servers: got %s", code)
 		}
 		drained := false
 		for _, s := range servers {
@@ -154,5 +157,5 @@
 	})
 }
 
-// unusedZone has no backends; a command to restore it makes a version and changes nothing.
+// unusedZone has no backends: a command to restore it creates a version and changes nothing else.
 const unusedZone = "no-zone"
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -1,4 +1,4 @@
-// Rolling from an earlier release's programs to the current ones and back, one process at a time.
+// Rolling upgrades from an earlier release's programs to the current ones, and downgrades, one process at a time.
 
 package fleet
 
@@ -9,13 +9,15 @@
 	"syscall"
 )
 
-// unsignedHeartbeatsFlag holds the settings that this release's programs need beside those that do not sign their heartbeats.
+// unsignedHeartbeatsFlag makes this release's programs accept the heartbeats of earlier releases, which are not
+// signed.
 const unsignedHeartbeatsFlag = "--unsigned-beats"
 
-// release stops a process gracefully and starts it with the other release's program.
+// switchRelease stops a process gracefully and restarts it with the current program if newer is true, otherwise with
+// the earlier release's.
 func (f *Fleet) switchRelease(name string, newer bool) error {
 	if f.options.Before == "" {
-		return fmt.Errorf("needs --before, the folder of an earlier release's programs")
+		return fmt.Errorf("cannot change the release of %s without --before, the folder of an earlier release's programs", name)
 	}
 	if err := f.Signal(name, syscall.SIGTERM); err != nil {
 		return err
--- a/lab/fleet/replace.go
+++ b/lab/fleet/replace.go
@@ -1,4 +1,4 @@
-// Core machines that are replaced, looked up, or short of disk.
+// Replaces cores, finds the leading core and limits the file sizes of processes.
 
 package fleet
 
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// replaceCore stops a core for good and starts an empty one in its zone at a new address.
+// replaceCore kills a core permanently and starts a core without data in the same zone at a new address.
 func (f *Fleet) replaceCore(old, name string) error {
 	if err := f.Signal(old, syscall.SIGKILL); err != nil {
 		return err
@@ -27,7 +27,8 @@
 	return f.daemon("core", name, zone, addrs[0], addrs[1], "--data", filepath.Join(f.options.Dir, name))
 }
 
-// leadingCore returns the core that leads the most partitions, by the cores' own status.
+// leadingCore returns the core that leads the most partitions of the control state, by the cores' own metrics. It
+// returns core-0 if no core responds.
 func (f *Fleet) leadingCore() string {
 	best, most := "core-0", int64(-1)
 	for name, p := range f.processes {
@@ -45,7 +46,8 @@
 	return best
 }
 
-// fileLimit makes writes beyond this many bytes of a file fail, as on a full disk.
+// fileLimit makes a process's writes fail, as on a full disk, where they would extend a file beyond maxBytes; 0
+// removes the limit.
 func (f *Fleet) fileLimit(name string, maxBytes uint64) error {
 	f.mu.Lock()
 	p := f.processes[name]
@@ -60,7 +62,7 @@
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &lim, nil)
 }
 
-// all applies do to every process of the fleet but the platform.
+// forEachProcess calls do for every process except the platform and replaced cores, and stops at the first error.
 func (f *Fleet) forEachProcess(do func(name string) error) error {
 	f.mu.Lock()
 	var names []string
--- a/lab/fleet/run.go
+++ b/lab/fleet/run.go
@@ -1,4 +1,4 @@
-// One run: start the fleet, send load, play a scenario, collect, check.
+// One run: starts the fleet, sends load, plays a scenario, collects the observations and checks them.
 
 package fleet
 
@@ -12,7 +12,8 @@
 	"wallport/lab/script"
 )
 
-// RunOptions are the options of a run.
+// RunOptions are the options of a run. Rate is in requests per second; with Stay the fleet runs on until the context
+// ends; UpWithin bounds the time until all nodes are ready.
 type RunOptions struct {
 	Options
 	Rate     float64
@@ -24,7 +25,7 @@
 	UpWithin time.Duration
 }
 
-// zonesReadWithin bounds how long it may take, at the end, until every node has in force what was acknowledged.
+// zonesReadWithin bounds the time at the end of a run until every node has applied what was acknowledged.
 const zonesReadWithin = 30 * time.Second
 
 // Result is the outcome of a run.
@@ -34,11 +35,11 @@
 	Callers    caller.Summary   `json:"callers"`
 	Counts     map[string]int64 `json:"counts"`
 	Violations []string         `json:"violations"`
-	// Balance is the busiest server's number of requests over the mean of those that got any.
+	// Balance is the busiest backend's number of requests divided by the mean over all backends that reported.
 	Balance float64 `json:"balance"`
 }
 
-// Run performs a run; the fleet is stopped at the end whatever the outcome.
+// Run performs one run. The fleet is always stopped at the end, also after an error.
 func Run(ctx context.Context, o RunOptions) (*Result, error) {
 	o.Relays = o.Script.Uses("cut-off")
 	f := New(o.Options)
@@ -86,7 +87,7 @@
 	return r, nil
 }
 
-// readZones reads at the end the state of the zones that commands were given for.
+// readZones reads the final state of each zone that operators drained or restored.
 func (f *Fleet) readZones(ctx context.Context) error {
 	readCtx, cancel := context.WithTimeout(ctx, zonesReadWithin)
 	defer cancel()
@@ -98,6 +99,7 @@
 	return nil
 }
 
+// announce logs the addresses of the platform and the nodes.
 func (f *Fleet) announce() {
 	fmt.Fprintf(f.options.Log, "platform=%s logs=%s\n", f.Platform, f.options.Dir)
 	for _, n := range f.Nodes {
@@ -105,7 +107,8 @@
 	}
 }
 
-// check feeds what the stand-ins saw to the same checker as the simulator's, and collects counts.
+// check passes the observations of the stand-ins to the checker, which is the simulator's too, and fills in the
+// result's violations and counts.
 func (f *Fleet) check(r *Result) {
 	c := f.operators.checker
 	c.Chain()
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -1,6 +1,7 @@
-// Package fleet starts a fleet of real processes with the shape of one of the deployments, plays a scenario's
-// faults on it, and checks and counts the outcome. Input are [RunOptions] or [LoadOptions]; the package owns the
-// processes, their data folders and their ports. It is a test tool: the product itself starts no process.
+// Package fleet starts a fleet of real processes in the shape of one of the deployments, injects a scenario's faults,
+// and checks the outcome. [Run] performs one run by its [RunOptions], [Load] a series of measurements by its
+// [LoadOptions]. The package owns the processes, their data folders and their ports. It is a test tool: the product
+// itself starts no processes.
 package fleet
 
 import (
@@ -14,7 +15,8 @@
 	"wallport/runtime/wire"
 )
 
-// Shape is the size of a deployment.
+// Shape is the size of a deployment. PerShard is the number of backends per shard; Least and Most are the callers'
+// shortest and longest deadlines.
 type Shape struct {
 	Name     string
 	Index    string
@@ -27,17 +29,17 @@
 	Most     clock.Micros
 }
 
-// Shapes are the deployments, and a small shape for quick tests.
+// Shapes are the known deployments and a small shape for quick tests.
 var Shapes = map[string]Shape{
 	"trust":    {"trust", "scores", 4, 11, 4, 12, 4, 250 * clock.Millisecond, 1500 * clock.Millisecond},
 	"registry": {"registry", "tenancies", 3, 10, 3, 17, 4, 500 * clock.Millisecond, 5 * clock.Second},
 	"small":    {"small", "scores", 3, 3, 3, 2, 2, 500 * clock.Millisecond, 1500 * clock.Millisecond},
 }
 
-// Zone returns the zone of the i-th machine.
+// Zone returns the zone of the i-th machine: machines are spread over the zones in turn.
 func (s Shape) Zone(i int) string { return fmt.Sprintf("z%d", i%s.Zones+1) }
 
-// Backend returns the i-th server of a shard map, with its zone and address.
+// Backend returns the i-th backend of a shard map: backends are spread over the shards in turn.
 func (s Shape) Backend(i int, shardMap string, shards int, addr string) wire.Backend {
 	return wire.Backend{
 		ID: fmt.Sprintf("%s-%d-%d", shardMap, i%shards, i/shards), Addr: addr, Zone: s.Zone(i / shards), Index: s.Index,
@@ -45,7 +47,7 @@
 	}
 }
 
-// Config returns a configuration that fits the shape.
+// Config returns a configuration for the shape, as JSON.
 func (s Shape) Config() json.RawMessage {
 	kinds := []map[string]any{}
 	for _, k := range []struct {
@@ -70,11 +72,11 @@
 // Config returns the configuration that the fleet was started with.
 func (f *Fleet) Config() json.RawMessage { return f.options.Shape.Config() }
 
-// FullRate is what a deployment serves today, in requests a second.
+// FullRate is the present load of a deployment, in requests per second.
 const FullRate = 530
 
-// Full makes a scenario run at the full size of the shape: its machines, zones, cores, backends and deadlines,
-// at its rate. The capacity grows with the rate.
+// Full changes a scenario to the full size of the shape: its machines, zones, cores, backends and deadlines, at
+// FullRate. The configured capacity is scaled with the rate.
 func (s Shape) Full(sc *script.Script) {
 	rate := sc.Int("rate", 100)
 	if c := sc.Int("capacity", 0); c > 0 && rate > 0 {
@@ -82,7 +84,7 @@
 	}
 	sc.Expects = slices.Clone(sc.Expects)
 	for i := range sc.Expects {
-		// What a fault may cost at most grows with the load too.
+		// Upper bounds on counts of failures are scaled with the rate too; percentages and small bounds are not.
 		if e := &sc.Expects[i]; e.Op == "<=" && e.Want > 100 && !strings.Contains(e.Name, "percent") {
 			e.Want = e.Want * FullRate / rate
 		}
@@ -90,7 +92,7 @@
 	sc.Set["shape"] = s.Name
 	sc.Set["rate"] = fmt.Sprint(FullRate)
 	if sc.Int("cores", 0) <= int64(s.Cores) {
-		// Scenarios that need more disk machines than a deployment has keep their own number.
+		// Scenarios that need more cores than the deployment has keep their own number.
 		delete(sc.Set, "cores")
 	}
 	delete(sc.Set, "nodes")
--- a/lab/fleet/signals.go
+++ b/lab/fleet/signals.go
@@ -1,4 +1,4 @@
-// Signals, restarts and the end of a fleet's processes, each by its own process id.
+// Signals, restarts and stops the processes of a fleet, each by its own process id.
 
 package fleet
 
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// Signal sends a signal to one process by its id.
+// Signal sends a signal to a process of the fleet by its name.
 func (f *Fleet) Signal(name string, sig syscall.Signal) error {
 	f.mu.Lock()
 	p := f.processes[name]
@@ -19,7 +19,8 @@
 	return p.cmd.Process.Signal(sig)
 }
 
-// Restart starts a stopped process again with the same arguments; running ones are left alone.
+// Restart starts a process again with the same arguments after it was sent SIGTERM or SIGKILL and has ended. It does
+// nothing for other processes.
 func (f *Fleet) Restart(name string) error {
 	f.mu.Lock()
 	p := f.processes[name]
@@ -34,7 +35,7 @@
 	return f.Start(p)
 }
 
-// Down stops every process.
+// Down closes the relays, kills every process and waits until all have ended.
 func (f *Fleet) Down() {
 	f.network.Close()
 	f.mu.Lock()
--- a/lab/fleet/verbs.go
+++ b/lab/fleet/verbs.go
@@ -1,4 +1,4 @@
-// The verbs of scenarios on a real fleet, and the collection of what the stand-ins saw.
+// Executes the verbs of scenarios on a real fleet.
 
 package fleet
 
@@ -15,7 +15,7 @@
 	"wallport/lab/script"
 )
 
-// Play runs a scenario's steps at their times.
+// Play executes a scenario's steps at their times, and ends early without an error if the context ends.
 func (f *Fleet) Play(ctx context.Context, s *script.Script) error {
 	began := time.Now()
 	for _, st := range s.Steps {
@@ -34,6 +34,7 @@
 	return nil
 }
 
+// runStep executes one step.
 func (f *Fleet) runStep(ctx context.Context, st script.Step) error {
 	arg := func(i int) string {
 		if i < len(st.Args) {
@@ -73,7 +74,7 @@
 		return f.post("http://"+f.addr(arg(0))+"/lab/fault", backend.Fault{Mode: arg(1), Us: us})
 	case "cut-off", "join":
 		if len(st.Args) < 2 {
-			return fmt.Errorf("%s takes a name and the names that it is cut off from", st.Verb)
+			return fmt.Errorf("usage: %s NAME NAME...", st.Verb)
 		}
 		f.network.SetPartition(f.expandNames(st.Args[:1]), f.expandNames(st.Args[1:]), st.Verb == "cut-off")
 		return nil
@@ -102,7 +103,7 @@
 		f.operators.sendZoneCommands(ctx, arg(0), n, gap)
 		return nil
 	case "seeds":
-		// Processes that start from now on are given other seeds.
+		// Only processes that start from now on get the new seeds.
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.seeds = nil
@@ -115,7 +116,7 @@
 	case "replace-core":
 		return f.replaceCore(arg(0), arg(1))
 	case "file-limit":
-		// Every write beyond this many bytes of a file fails from now on; 0 ends it.
+		// Writes beyond this size of a file fail from now on; 0 removes the limit.
 		maxBytes, err := strconv.ParseUint(arg(0), 10, 64)
 		if err != nil {
 			return fmt.Errorf("file-limit BYTES NAME...: %w", err)
@@ -130,12 +131,14 @@
 		shards, _ := strconv.Atoi(arg(1))
 		return f.post("http://"+f.OperatorAddrs["node-1"]+"/v1/indexes/"+f.options.Shape.Index+"/cut", map[string]any{"cut": arg(0), "shards": shards})
 	}
-	return fmt.Errorf("no verb %q on real processes", st.Verb)
+	return fmt.Errorf("verb %q is not supported on real processes", st.Verb)
 }
 
+// platformLag is the time until the stand-in platform's list shows a change, as in its default setting.
 const platformLag = 300 * time.Millisecond
 
-// expandNames expands "zone:z1" to the names of everything in the zone.
+// expandNames expands a step's arguments to names of processes: "zone:z1" to everything in the zone, "core-*" to all
+// running processes with the prefix, "owner" to the leading core.
 func (f *Fleet) expandNames(args []string) []string {
 	var out []string
 	f.mu.Lock()
@@ -177,6 +180,7 @@
 	return out
 }
 
+// setState sets the state of backends on the platform's list and records when they begin to drain.
 func (f *Fleet) setState(ids []string, state string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,13 +188,14 @@
 		for _, id := range ids {
 			if f.backends[i].ID == id {
 				f.backends[i].State = state
-				// The platform shows it after its lag.
+				// The platform's list shows the state after its lag.
 				f.drainingSince[id] = time.Now().Add(platformLag).UnixMicro()
 			}
 		}
 	}
 }
 
+// addr returns the address of a backend, "" if it is unknown.
 func (f *Fleet) addr(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
