--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is a stand-in index server: it answers search requests and health checks, counts what it ran,
-// is cold after a restart, and can be told to misbehave in each of the ways that the product must survive.
+// Package backend is a stand-in index server. It serves requests and health checks, counts the requests that it runs, is
+// slower for some time after a start, and can be made to misbehave in each of the ways that the product must tolerate.
 package backend
 
 import (
@@ -21,7 +21,8 @@
 	"wallport/runtime/clock"
 )
 
-// Config holds a server's address, content and speed.
+// Config holds a server's address, content and speed. ServiceTime is the processing time in microseconds after the slow
+// start, SlowStart the length of the slow start.
 type Config struct {
 	ID          string       `long:"id" required:"yes" description:"server id"`
 	Addr        string       `long:"addr" required:"yes" description:"IP:port"`
@@ -34,13 +35,14 @@
 	SlowStart   clock.Micros `long:"ramp-us" default:"3000000" description:"microseconds until warm; cold answers take up to five times as long"`
 }
 
-// Fault is a mode of misbehaviour; Us is its duration where it has one.
+// Fault is a mode of misbehaviour, "" for none; Us is the processing time in mode "slow", in microseconds.
 type Fault struct {
 	Mode string       `json:"mode"`
 	Us   clock.Micros `json:"us"`
 }
 
-// Report is what a server ran, for the checkers.
+// Report holds a server's counters for the checkers: the requests received, the searches, the time of the last request,
+// and how often each key was executed.
 type Report struct {
 	ID       string         `json:"id"`
 	Asked    int64          `json:"asked"`
@@ -63,7 +65,7 @@
 	journal  *os.File
 }
 
-// New returns a server.
+// New returns a server that does not listen yet.
 func New(c Config) *Server {
 	s := &Server{config: c, began: time.Now(), ran: map[string]int{}}
 	s.fault.Store(&Fault{})
@@ -103,6 +105,7 @@
 	return m
 }
 
+// serveHealth serves a health check.
 func (s *Server) serveHealth(w http.ResponseWriter, r *http.Request) {
 	if s.fault.Load().Mode == "hang" {
 		<-r.Context().Done()
@@ -113,12 +116,14 @@
 	})
 }
 
+// report serves the server's counters.
 func (s *Server) report(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	json.NewEncoder(w).Encode(Report{ID: s.config.ID, Asked: s.asked.Load(), Searches: s.searches.Load(), Last: s.last.Load(), Ran: s.ran})
 }
 
+// serve serves a request according to the current fault.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	var m httpapi.BackendRequest
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
@@ -145,7 +150,7 @@
 		s.mu.Lock()
 		s.ran[key]++
 		if s.journal != nil {
-			// Synced before the response: killing this process does not lose it.
+			// Written before the response, so that a kill of this process does not lose the entry.
 			fmt.Fprintln(s.journal, key)
 		}
 		s.mu.Unlock()
@@ -154,7 +159,7 @@
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(s.drawServiceTime(f))
+	time.Sleep(s.serviceTime(f))
 	switch {
 	case f.Mode == "close":
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
@@ -173,8 +178,9 @@
 	s.sendWithDefect(w, f, &m, []search.Record{rec})
 }
 
-// drawServiceTime draws how long a request takes: longer while cold, and as the fault says when slow.
-func (s *Server) drawServiceTime(f *Fault) time.Duration {
+// serviceTime returns the processing time of a request. The fault "slow" sets its base; during the slow start it is
+// up to five times as long.
+func (s *Server) serviceTime(f *Fault) time.Duration {
 	us := s.config.ServiceTime
 	if f.Mode == "slow" {
 		us = f.Us
@@ -185,10 +191,12 @@
 	return time.Duration(us) * time.Microsecond
 }
 
+// newResponse returns the response to a request, with the server's shard, incarnation and load.
 func (s *Server) newResponse(m *httpapi.BackendRequest, recs []search.Record) search.BackendResponse {
 	return search.BackendResponse{RequestID: m.ID, ShardMap: s.config.ShardMap, Shard: s.config.Shard, Incarnation: s.began.UnixMicro(), Load: s.busy.Load(), Records: recs}
 }
 
+// send sends a response without records and with the given status.
 func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.BackendRequest) {
 	raw, _ := Spoil("", status, s.newResponse(m, nil))
 	w.Header().Set("Content-Digest", raw.Digest)
@@ -197,7 +205,7 @@
 	w.Write(raw.Body)
 }
 
-// sendWithDefect sends the response, with the defect that the fault names.
+// sendWithDefect sends a response with the given records and with the defect that the fault's mode names.
 func (s *Server) sendWithDefect(w http.ResponseWriter, f *Fault, m *httpapi.BackendRequest, recs []search.Record) {
 	raw, closed := Spoil(f.Mode, 200, s.newResponse(m, recs))
 	h := w.Header()
--- a/lab/backend/spoil.go
+++ b/lab/backend/spoil.go
@@ -1,4 +1,4 @@
-// The defects of a stand-in's response, for real servers and simulated ones alike.
+// Defects of the stand-ins' responses, for real and simulated servers.
 
 package backend
 
@@ -10,8 +10,8 @@
 	"wallport/request/search"
 )
 
-// Spoil returns the raw response of a sealed one, with the defect that mode names; closed reports that the
-// connection ends before the announced length.
+// Spoil encodes a response with the defect that mode names; other modes add none. closed reports that the connection
+// must be closed before the announced length is sent.
 func Spoil(mode string, status int, s search.BackendResponse) (raw search.RawResponse, closed bool) {
 	switch mode {
 	case "foreign":
@@ -24,7 +24,7 @@
 		s.Records = slices.Clone(s.Records)
 		slices.Reverse(s.Records)
 	case "wrongrecord":
-		// Properly sealed, of the right shard, but not the requested record.
+		// The response is well-formed and of the right shard, but the record is not the requested one.
 		if len(s.Records) == 1 {
 			s.Records = slices.Clone(s.Records)
 			for n := 0; ; n++ {
@@ -35,7 +35,7 @@
 			}
 		}
 	case "otherrecord":
-		// Properly sealed, but of another shard, or not what was requested.
+		// The response is well-formed, but the records belong to other shards.
 		s.Records = slices.Clone(s.Records)
 		for i := range s.Records {
 			for n := 0; ; n++ {
--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a load generator that stands in for many callers: wide searches, single reads, corrections
-// and part fetches at a steady rate, some repeated under the same key through another node. Every response is
-// checked exactly.
+// Package caller is a load generator that stands in for many callers. It sends searches, reads, corrections and part
+// fetches at a constant rate and repeats some of them with the same idempotency key through another node. Every response
+// is checked exactly.
 package caller
 
 import (
@@ -80,7 +80,7 @@
 	return k
 }
 
-// Run sends requests for the configured time and returns the summary.
+// Run sends requests for the configured time, waits for all responses and returns the summary.
 func (k *Caller) Run(ctx context.Context) Summary {
 	k.began = time.Now()
 	k.refreshNodes()
@@ -120,6 +120,7 @@
 	return k.summary
 }
 
+// refreshNodes reads the ready nodes from the platform. It keeps the known nodes if none is ready.
 func (k *Caller) refreshNodes() {
 	resp, err := k.client.Get(k.config.Platform + "/nodes")
 	if err != nil {
@@ -138,6 +139,7 @@
 	}
 }
 
+// request is one request. nodes are the node that it is sent to and the node for its repeat.
 type request struct {
 	kind               search.Kind
 	key, record, query string
@@ -147,6 +149,8 @@
 	nodes              [2]platform.Node
 }
 
+// drawRequest draws the n-th request: two thirds of all are searches, a sixth reads, a twelfth each corrections and
+// part fetches.
 func (k *Caller) drawRequest(n int) request {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -171,6 +175,7 @@
 	return o
 }
 
+// send sends a request and, if drawn, its repeat.
 func (k *Caller) send(o request) {
 	k.sendOnce(o, o.nodes[0])
 	if o.repeat {
@@ -181,6 +186,7 @@
 	}
 }
 
+// sendOnce sends a request to a node and checks the response.
 func (k *Caller) sendOnce(o request, n platform.Node) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(o.deadline)*time.Microsecond+2*time.Second)
--- a/lab/caller/check.go
+++ b/lab/caller/check.go
@@ -1,4 +1,4 @@
-// The exact check of every answer that a caller gets.
+// Checks every response exactly.
 
 package caller
 
@@ -15,6 +15,7 @@
 	"wallport/runtime/clock"
 )
 
+// searchResponse is the response to a search.
 type searchResponse struct {
 	Request  string          `json:"inquiry"`
 	ShardMap string          `json:"cut"`
@@ -23,6 +24,7 @@
 	Records  []search.Record `json:"records"`
 }
 
+// recordResponse is the response to a request for one record.
 type recordResponse struct {
 	ShardMap string        `json:"cut"`
 	Shard    int           `json:"shard"`
@@ -30,10 +32,12 @@
 	Repeat   bool          `json:"repeat"`
 }
 
+// errorResponse is the body of a response with another status than 200.
 type errorResponse struct {
 	Name, Message, Ran string
 }
 
+// checkResponse checks a response and counts its outcome. The caller holds the lock.
 func (k *Caller) checkResponse(o request, n platform.Node, resp *http.Response, body []byte, elapsed time.Duration) {
 	if elapsed.Microseconds() > o.deadline+150*clock.Millisecond {
 		k.summary.Late++
@@ -64,7 +68,7 @@
 	}
 	var s recordResponse
 	if err := json.Unmarshal(body, &s); err != nil {
-		k.recordWrong("%s: %v", o.kind, err)
+		k.recordWrong("%s: invalid response body: %v", o.kind, err)
 		return
 	}
 	if s.Repeat {
@@ -72,14 +76,15 @@
 		return
 	}
 	if want, _ := records.Of(o.record); s.Record != want {
-		k.recordWrong("%s of %s got %+v", o.kind, o.record, s.Record)
+		k.recordWrong("%s of %s: unexpected record %+v", o.kind, o.record, s.Record)
 	}
 }
 
+// checkSearch compares a search response with the expected merge of the shards that it names.
 func (k *Caller) checkSearch(o request, body []byte) {
 	var m searchResponse
 	if err := json.Unmarshal(body, &m); err != nil {
-		k.recordWrong("search: %v", err)
+		k.recordWrong("search: invalid response body: %v", err)
 		return
 	}
 	if len(m.Missing) > 0 {
@@ -88,20 +93,21 @@
 	k.summary.Outcomes["cut "+m.ShardMap]++
 	shards := len(m.Shards) + len(m.Missing)
 	if want, ok := k.shards[m.ShardMap]; len(k.shards) > 0 && (!ok || want != shards) {
-		k.recordWrong("search: cut %q with %d shards", m.ShardMap, shards)
+		k.recordWrong("search: response from shard map %q with %d shards is not expected", m.ShardMap, shards)
 		return
 	}
 	sorted := slices.Clone(m.Shards)
 	slices.Sort(sorted)
 	if len(slices.Compact(sorted)) != len(m.Shards) {
-		k.recordWrong("search: a shard twice: %v", m.Shards)
+		k.recordWrong("search: duplicate shard in response: %v", m.Shards)
 	}
 	want := records.Merged(k.config.Index, o.query, o.limit, m.Shards, shards)
 	if !slices.Equal(want, m.Records) {
-		k.recordWrong("search %s of %s: %d records differ from the %d expected", o.query, m.Request, len(m.Records), len(want))
+		k.recordWrong("search %s of request %s: the %d records differ from the %d expected ones", o.query, m.Request, len(m.Records), len(want))
 	}
 }
 
+// recordWrong counts a wrong response and keeps the texts of the first 20.
 func (k *Caller) recordWrong(text string, args ...any) {
 	k.summary.WrongN++
 	if len(k.summary.Wrong) < 20 {
--- a/lab/fleet/verbs.go
+++ b/lab/fleet/verbs.go
@@ -74,7 +74,7 @@
 		return f.post("http://"+f.addr(arg(0))+"/lab/fault", backend.Fault{Mode: arg(1), Us: us})
 	case "cut-off", "join":
 		if len(st.Args) < 2 {
-			return fmt.Errorf("usage: %s NAME NAME...", st.Verb)
+			return fmt.Errorf("usage: %s NAME PEER [PEER ...]", st.Verb)
 		}
 		f.network.SetPartition(f.expandNames(st.Args[:1]), f.expandNames(st.Args[1:]), st.Verb == "cut-off")
 		return nil
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the stand-in of the hosting platform: it serves a lagging, rate-limited list of backends,
-// and assigns ready nodes to callers by zone.
+// Package platform is a stand-in for the hosting platform. It serves a lagging, rate-limited list of backends, and a
+// list of nodes with their zones and readiness.
 package platform
 
 import (
@@ -12,14 +12,15 @@
 	"wallport/runtime/wire"
 )
 
-// Config holds the platform's options.
+// Config holds the platform's options: LagMs is the lag of the list, Allowed the maximal number of calls to the list in
+// 10 s.
 type Config struct {
 	Addr    string `long:"addr" required:"yes" description:"IP:port"`
 	LagMs   int    `long:"lag-ms" default:"300" description:"how old the list is"`
 	Allowed int    `long:"allowed-per-10s" default:"20" description:"calls to the list allowed in 10 s"`
 }
 
-// Node is a node as the platform lists it.
+// Node is a node on the platform's list.
 type Node struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`
@@ -27,12 +28,13 @@
 	Ready  bool   `json:"ready"`
 }
 
+// publishedList is a list of backends and the time from which it is the current one.
 type publishedList struct {
 	at   time.Time
 	list wire.BackendList
 }
 
-// Platform is the stand-in of the hosting platform.
+// Platform is a stand-in for the hosting platform.
 type Platform struct {
 	config    Config
 	mu        sync.Mutex
@@ -43,7 +45,7 @@
 	mode      string
 }
 
-// New returns a platform.
+// New returns a platform that does not listen yet.
 func New(c Config) *Platform { return &Platform{config: c} }
 
 // Run serves until the listener fails.
@@ -92,7 +94,8 @@
 	return http.Serve(l, m)
 }
 
-// serveList serves the newest list that is older than the lag.
+// serveList serves the newest list that is at least as old as the lag, an empty list in mode "empty", and an error in
+// mode "fail" or beyond the rate limit.
 func (p *Platform) serveList(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,13 +126,14 @@
 	json.NewEncoder(w).Encode(out)
 }
 
+// serveNodes serves the list of nodes.
 func (p *Platform) serveNodes(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	json.NewEncoder(w).Encode(p.nodes)
 }
 
-// pollReadiness polls the health of every node.
+// pollReadiness polls the health of every node, each 300 ms after the previous poll has ended.
 func (p *Platform) pollReadiness() {
 	client := &http.Client{Timeout: 300 * time.Millisecond}
 	for {
--- a/lab/records/records.go
+++ b/lab/records/records.go
@@ -1,4 +1,4 @@
-// Package records generates the content of the stand-in indexes. Scores are a function of query and record, so
+// Package records generates the content of the stand-in indexes. Scores are a function of index, query and record, so
 // that any response can be checked exactly.
 package records
 
@@ -15,10 +15,10 @@
 // Size is the number of records of an index.
 const Size = 240
 
-// ID returns the id of the nth record.
+// ID returns the id of the n-th record.
 func ID(n int) string { return fmt.Sprintf("rec-%04d", n) }
 
-// Score returns the score of a record for a query.
+// Score returns the score of a record for a query, from 0 to 999.
 func Score(index, query, id string) int64 {
 	h := fnv.New64a()
 	h.Write([]byte(index + "\x00" + query + "\x00" + id))
@@ -29,12 +29,13 @@
 	return int64(x % 1000)
 }
 
+// cacheKey identifies a shard's complete sorted response to a query.
 type cacheKey struct {
 	index, query  string
 	shard, shards int
 }
 
-// maxCached bounds the number of cached sorted lists.
+// maxCached is the number of sorted lists from which on no more are cached.
 const maxCached = 8192
 
 var (
@@ -42,7 +43,7 @@
 	cacheSize atomic.Int64
 )
 
-// Top returns a shard's sorted response to a query.
+// Top returns a shard's best records for a query, sorted, at most limit of them.
 func Top(index, query string, limit, shard, shards int) []search.Record {
 	k := cacheKey{index, query, shard, shards}
 	if v, ok := cache.Load(k); ok {
@@ -64,7 +65,7 @@
 	return slices.Clone(all[:min(limit, len(all))])
 }
 
-// Merged returns the complete response to a query from the given shards.
+// Merged returns the merged response of the given shards to a query, at most limit records.
 func Merged(index, query string, limit int, from []int, shards int) []search.Record {
 	var out []search.Record
 	for _, s := range from {
@@ -74,7 +75,7 @@
 	return out[:min(limit, len(out))]
 }
 
-// Of returns the record with an id, as stored.
+// Of returns the stored record with an id, false if there is none.
 func Of(id string) (search.Record, bool) {
 	for n := range Size {
 		if ID(n) == id {
--- a/lab/relay/ends.go
+++ b/lab/relay/ends.go
@@ -1,10 +1,10 @@
-// The ends of connections: a reset, or the end of one direction.
+// Ends connections: both directions by a reset, or one direction.
 
 package relay
 
 import "net"
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection so that its peer receives a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -12,7 +12,7 @@
 	conn.Close()
 }
 
-// closeWrite forwards the end of one direction.
+// closeWrite ends the sending direction of a connection, or closes the whole connection if it is not TCP.
 func closeWrite(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -6,30 +6,31 @@
 	"sync"
 )
 
-// bufferSize is how many bytes a relay forwards at a time.
+// bufferSize is the maximal number of bytes that a relay forwards at a time.
 const bufferSize = 16 << 10
 
 // Network holds the processes' addresses, the partitions between them and the relayed connections. Its methods
 // may be called from any goroutine.
 type Network struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// healed is signalled when a partition changes and when the network is closed.
 	healed *sync.Cond
-	// processByIP maps the processes' own IP addresses to their names.
+	// processByIP maps the processes' loopback IPs to their names.
 	processByIP map[string]string
-	// partitioned holds each blocked direction, from the first process to the second.
+	// partitioned holds the blocked directions, each from the first process to the second.
 	partitioned map[[2]string]bool
-	// links are the connections that are relayed now.
+	// links holds the connections that are being relayed.
 	links map[*link]bool
-	// closed reports that the test is over: nothing is delayed any more.
+	// closed reports that the network was closed; nothing is held back any more.
 	closed    bool
 	listeners []net.Listener
 }
 
-// link is one connection through a relay.
+// link is one connection through a relay, from the process caller to the process name.
 type link struct {
 	caller, name string
 	from, to     net.Conn
-	// halfOpen reports that nothing is forwarded any more, without either side being told.
+	// halfOpen reports that nothing is forwarded any more, although both sides take the connection for established.
 	halfOpen bool
 }
 
@@ -40,8 +41,8 @@
 	return n
 }
 
-// Pass forwards connections to the address `to` to a process that listens at `listens`. Callers from that IP are
-// known by the process's name from then on.
+// AddRelay adds a relay that listens on addr and forwards connections to the process name, which listens on target.
+// From then on connections that come from target's IP are attributed to that process.
 func (n *Network) AddRelay(name, addr, target string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return n.AddRelayFor("", name, addr, target)
 }
 
-// AddRelayFor is Pass for a relay that only one caller uses; an empty caller is identified by its address.
+// AddRelayFor adds a relay that only the process caller uses. If caller is empty, callers are identified by their IPs.
 func (n *Network) AddRelayFor(caller, name, addr, target string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -66,6 +67,7 @@
 	return nil
 }
 
+// accept accepts and relays connections until the listener is closed.
 func (n *Network) accept(l net.Listener, caller, name, target string) {
 	for {
 		conn, err := l.Accept()
@@ -80,7 +82,7 @@
 	}
 }
 
-// nameOf returns the process that connects from an address, "" for any other caller.
+// nameOf returns the name of the process that uses an address's IP, "" if no process does.
 func (n *Network) nameOf(addr net.Addr) string {
 	host, _, err := net.SplitHostPort(addr.String())
 	if err != nil {
@@ -91,7 +93,8 @@
 	return n.processByIP[host]
 }
 
-// relayConn relays one connection, once its caller is not partitioned from the process.
+// relayConn relays one connection until both directions have ended. It connects to the process only when the direction
+// from the caller to the process is not partitioned.
 func (n *Network) relayConn(from net.Conn, caller, name, target string) {
 	defer from.Close()
 	n.awaitHealed(caller, name)
@@ -114,8 +117,8 @@
 	n.mu.Unlock()
 }
 
-// forward forwards bytes in one direction until either side ends; while that direction is partitioned they wait.
-// Each end is forwarded as it came: the end of one direction, or a reset.
+// forward forwards bytes in one direction until either side closes it. While that direction is partitioned the bytes
+// wait. The end of the direction is forwarded as such, any other error as a reset.
 func (n *Network) forward(l *link, to, from net.Conn, sender, receiver string) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -141,7 +144,7 @@
 	}
 }
 
-// awaitHealed returns once the direction from a to b is not partitioned.
+// awaitHealed waits until the direction from a to b is not partitioned or the network is closed.
 func (n *Network) awaitHealed(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -150,7 +153,8 @@
 	}
 }
 
-// awaitOpen returns at once unless the connection is half open; then it waits for the end of the test.
+// awaitOpen returns immediately unless the connection is half-open; then it waits until the network is closed and
+// returns true.
 func (n *Network) awaitOpen(l *link) (over bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -160,7 +164,8 @@
 	return l.halfOpen
 }
 
-// Set partitions each of some processes from each of others, both ways, or heals the partition.
+// SetPartition partitions each process of some from each process of others, in both directions, or heals the
+// partition if blocked is false.
 func (n *Network) SetPartition(some, others []string, blocked bool) {
 	for _, a := range some {
 		for _, b := range others {
@@ -170,7 +175,7 @@
 	}
 }
 
-// SetOneWayPartition partitions only the direction from a to b, or heals it.
+// SetOneWayPartition blocks the direction from a to b, or heals it if blocked is false.
 func (n *Network) SetOneWayPartition(a, b string, blocked bool) {
 	if a == b {
 		return
@@ -189,7 +194,7 @@
 	n.healed.Broadcast()
 }
 
-// linksBetween returns the open connections between two processes, whoever opened them.
+// linksBetween returns the connections between two processes, in either direction. The caller holds the lock.
 func (n *Network) linksBetween(a, b string) (out []*link) {
 	for l := range n.links {
 		if l.caller == a && l.name == b || l.caller == b && l.name == a {
@@ -199,7 +204,7 @@
 	return out
 }
 
-// Reset resets the connections between two processes, on both sides.
+// Reset resets the present connections between two processes, on both sides.
 func (n *Network) Reset(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -209,8 +214,8 @@
 	}
 }
 
-// HalfOpen leaves the connections between two processes half open: both sides take them for established, and
-// nothing passes any more. New ones are not affected.
+// HalfOpen makes the present connections between two processes half-open: both sides take them for established, but
+// nothing is forwarded any more. New connections are not affected.
 func (n *Network) HalfOpen(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -219,7 +224,7 @@
 	}
 }
 
-// End closes the relays and releases what they hold back.
+// Close closes all relays and their connections, and unblocks everything that waits for a partition to heal.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/lab/relay/relay_test.go
+++ b/lab/relay/relay_test.go
@@ -1,4 +1,4 @@
-// What a relay passes on, and when.
+// Tests what relays forward, and when, under partitions, resets and half-open connections.
 
 package relay
 
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// peer is a process behind a relay, with an address of its own.
+// peer is a process behind a relay, with its own loopback IP; announced is the address of the relay.
 type peer struct {
 	name, ip, announced string
 	listener            net.Listener
@@ -28,7 +28,7 @@
 	return &peer{name, ip, announced, l}
 }
 
-// dialAndSend connects to another peer's announced address and writes a byte.
+// dialAndSend connects to another peer's relay and writes one byte.
 func (p *peer) dialAndSend(t *testing.T, to *peer, b byte) net.Conn {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(p.ip)}}
@@ -40,7 +40,7 @@
 	return conn
 }
 
-// acceptAndRead accepts a connection and reads a byte of it.
+// acceptAndRead accepts a connection and reads one byte from it.
 func (p *peer) acceptAndRead(t *testing.T) (net.Conn, byte) {
 	t.Helper()
 	conn, err := p.listener.Accept()
@@ -64,7 +64,7 @@
 	a.dialAndSend(t, b, 'a')
 	c.dialAndSend(t, b, 'c')
 	_, first := b.acceptAndRead(t)
-	must.Eq(t, 'c', first, must.Sprint("only the one that is not cut off arrives"))
+	must.Eq(t, 'c', first, must.Sprint("only the connection of c, which is not partitioned from b, arrives"))
 	n.SetPartition([]string{"b"}, []string{"a"}, false)
 	_, second := b.acceptAndRead(t)
 	must.Eq(t, 'a', second)
@@ -81,7 +81,7 @@
 	must.NoError(t, err)
 	_, err = atB.Write([]byte{'3'})
 	must.NoError(t, err)
-	// A third one comes and goes meanwhile, both ways.
+	// During the partition a third process can still exchange bytes with b, in both directions.
 	fromC := c.dialAndSend(t, b, 'c')
 	toC, _ := b.acceptAndRead(t)
 	_, err = toC.Write([]byte{'d'})
@@ -102,7 +102,7 @@
 	must.Error(t, err)
 }
 
-// freePort is an address that nobody listens on.
+// freePort returns a free loopback address.
 func freePort() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -152,5 +152,5 @@
 	must.Eq(t, '3', got)
 	n.Close()
 	_, err = atB.Read(make([]byte, 1))
-	must.Error(t, err, must.Sprint("what was held is lost"))
+	must.Error(t, err, must.Sprint("bytes held back by the half-open connection are lost"))
 }
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -109,8 +109,8 @@
 }
 
 // sendUntilFinal repeats a command until its response is final. onAck is called for every acknowledgement that a core
-// returns, including those that count as lost. It returns an empty reply if the outcome is still unknown after maxCalls calls or at the
-// end of the context.
+// returns, including those that count as lost. It returns an empty reply if the outcome is still unknown after
+// maxCalls calls or at the end of the context.
 func (o *operators) sendUntilFinal(ctx context.Context, method, path, match, body string, onAck func(at int64)) reply {
 	pause := 50 * time.Millisecond
 	for range maxCalls {
