--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -113,12 +113,12 @@
 	body.Services = slices.Clone(body.Services)
 	body.Services[0] = maps.Clone(body.Services[0])
 	body.Services[0]["ramp_us"] = mark
-	stamp, _ := config.ParseVersion(0, base.Version)
-	t := check.Edit{Mark: mark, Base: stamp, Began: o.now(), Ended: 1 << 62, Code: check.CodeOpen}
-	o.withChecker(func(c *check.Checker) { c.EditBegan(t) })
-	code, ack := o.send(node, body, base.Version)
-	t.Code, t.Version, t.Ended = code, ack, o.now()
-	o.withChecker(func(c *check.Checker) { c.EditEnded(t); c.Count("edits."+string(code), 1) })
+	version, _ := config.ParseVersion(0, base.Version)
+	edit := check.Edit{Mark: mark, Base: version, Began: o.now(), Ended: 1 << 62, Code: check.CodeOpen}
+	o.withChecker(func(c *check.Checker) { c.EditBegan(edit) })
+	code, newVersion := o.send(node, body, base.Version)
+	edit.Code, edit.Version, edit.Ended = code, newVersion, o.now()
+	o.withChecker(func(c *check.Checker) { c.EditEnded(edit); c.Count("edits."+string(code), 1) })
 }
 
 // send sends a configuration that is based on the version base. It returns the code of the response,
@@ -140,11 +140,11 @@
 	raw, _ := io.ReadAll(resp.Body)
 	var got struct{ Stamp, Name string }
 	json.Unmarshal(raw, &got)
-	stamp, _ := config.ParseVersion(0, got.Stamp)
+	version, _ := config.ParseVersion(0, got.Stamp)
 	if resp.StatusCode == http.StatusOK {
-		return wire.CodeOK, stamp
+		return wire.CodeOK, version
 	}
-	return codeOf(got.Name), stamp
+	return codeOf(got.Name), version
 }
 
 func (o *operators) withChecker(f func(c *check.Checker)) {
@@ -158,9 +158,9 @@
 	for _, n := range o.fleet.Nodes {
 		o.wait.Go(func() {
 			for ctx.Err() == nil {
-				asked := o.now()
+				sentAt := o.now()
 				s, err := o.readConfig(n.Name)
-				o.withChecker(func(c *check.Checker) { o.observe(c, n.Name, s, err, asked) })
+				o.withChecker(func(c *check.Checker) { o.observe(c, n.Name, s, err, sentAt) })
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
@@ -169,7 +169,7 @@
 
 // observe passes the configuration that a node applies to the checker. A node that does not respond in time counts
 // as down; the checker holds it to acknowledged configurations again from its next response.
-func (o *operators) observe(c *check.Checker, node string, s configInForce, err error, asked int64) {
+func (o *operators) observe(c *check.Checker, node string, s configInForce, err error, sentAt int64) {
 	if err != nil || len(s.Config.Services) == 0 {
 		if o.upSince[node] > 0 {
 			c.Restarted(node)
@@ -180,8 +180,8 @@
 	if o.upSince[node] == 0 {
 		o.upSince[node] = o.now()
 	}
-	stamp, _ := config.ParseVersion(0, s.Version)
-	c.InForce(node, stamp, s.mark(), asked, o.upSince[node])
+	version, _ := config.ParseVersion(0, s.Version)
+	c.InForce(node, version, s.mark(), sentAt, o.upSince[node])
 }
 
 // recordServed passes the callers' successful responses to the checker. The keys of seconds are seconds since from.
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -68,8 +68,8 @@
 		if err != nil {
 			return err
 		}
-		stamp, _ := config.ParseVersion(0, first.Version)
-		o.withChecker(func(c *check.Checker) { c.BeganWith(stamp) })
+		version, _ := config.ParseVersion(0, first.Version)
+		o.withChecker(func(c *check.Checker) { c.BeganWith(version) })
 		return nil
 	})
 }
@@ -96,8 +96,8 @@
 		return
 	}
 	newest := history[len(history)-1]
-	stamp, _ := config.ParseVersion(0, newest.Version)
-	o.withChecker(func(c *check.Checker) { c.ConfigRead(readingClient, stamp, newest.mark(), began, ended) })
+	version, _ := config.ParseVersion(0, newest.Version)
+	o.withChecker(func(c *check.Checker) { c.ConfigRead(readingClient, version, newest.mark(), began, ended) })
 }
 
 // sendZoneCommands sends n commands in the background that drain and restore a zone alternately, one every gap,
--- a/lab/soak/core_faults.go
+++ b/lab/soak/core_faults.go
@@ -99,14 +99,14 @@
 	}
 	names := []string{"probe"}
 	for _, e := range entries {
-		var part int
+		var partition int
 		var term, seq uint64
-		if n, _ := fmt.Sscanf(e.Name(), "part-%d.stamp-%d-%d", &part, &term, &seq); n != 3 {
+		if n, _ := fmt.Sscanf(e.Name(), "part-%d.stamp-%d-%d", &partition, &term, &seq); n != 3 {
 			names = append(names, e.Name())
 			continue
 		}
 		for ahead := uint64(1); ahead <= maxPreparedFiles; ahead++ {
-			names = append(names, fmt.Sprintf("part-%d.stamp-%012d-%012d", part, term, seq+ahead))
+			names = append(names, fmt.Sprintf("part-%d.stamp-%012d-%012d", partition, term, seq+ahead))
 		}
 	}
 	return names
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -34,7 +34,8 @@
 	return slices.Concat(processFaults(), coreFaults(), networkFaults(), backendFaults(), operatorFaults(), resourceFaults(), replaceFaults())
 }
 
-// meanGap is the default mean time between the starts of two faults.
+// meanGap is the default mean time between the starts of two faults; minDuration and maxDuration bound their
+// durations.
 const (
 	meanGap     = 1400 * time.Millisecond
 	minDuration = 700 * time.Millisecond
