--- a/lab/fleet/gather.go
+++ b/lab/fleet/gather.go
@@ -1,4 +1,4 @@
-// Collecting what the stand-ins saw and what the nodes counted.
+// Collects the reports of the backends and the metrics of the nodes.
 
 package fleet
 
@@ -13,9 +13,10 @@
 	"wallport/lab/backend"
 )
 
-// Ran counts how often each key ran, over all servers that answer.
-func (f *Fleet) Ran() (ran map[string]int, asked map[string]backend.Report) {
-	ran, asked = map[string]int{}, map[string]backend.Report{}
+// CountRuns returns how often each key was executed, by the journals of all backends, and the reports of the
+// backends that respond.
+func (f *Fleet) CountRuns() (ran map[string]int, reports map[string]backend.Report) {
+	ran, reports = map[string]int{}, map[string]backend.Report{}
 	for _, s := range f.backends {
 		resp, err := f.client.Get("http://" + s.Addr + "/lab/report")
 		if err != nil {
@@ -27,9 +28,9 @@
 		if err != nil {
 			continue
 		}
-		asked[s.ID] = r
+		reports[s.ID] = r
 	}
-	// From the journals as well, which outlive a killed server.
+	// Executions are counted from the journal files because these survive a killed backend.
 	for _, s := range f.backends {
 		b, err := os.ReadFile(filepath.Join(f.options.Dir, s.ID+".ran"))
 		if err != nil {
@@ -39,10 +40,10 @@
 			ran[key]++
 		}
 	}
-	return ran, asked
+	return ran, reports
 }
 
-// Metric returns the sum of a counter over the live nodes.
+// Metric returns the sum of a counter over the nodes that respond.
 func (f *Fleet) Metric(name string) int64 {
 	var sum int64
 	for _, oper := range f.OperatorAddrs {
@@ -50,12 +51,13 @@
 		if err != nil {
 			continue
 		}
-		sum += scan(resp, "wallport_"+name)
+		sum += readMetric(resp, "wallport_"+name)
 	}
 	return sum
 }
 
-func scan(resp *http.Response, name string) int64 {
+// readMetric returns the value of a metric on a metrics page, 0 if the page does not have it, and closes the body.
+func readMetric(resp *http.Response, name string) int64 {
 	defer resp.Body.Close()
 	var buf strings.Builder
 	b := make([]byte, 64<<10)
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -1,4 +1,4 @@
-// Rolling from an earlier release's programs to the current ones and back, one process at a time.
+// Rolling upgrades from an earlier release's programs to the current ones, and downgrades, one process at a time.
 
 package fleet
 
@@ -9,13 +9,15 @@
 	"syscall"
 )
 
-// mixed holds the settings that this release's programs need beside those that do not sign their heartbeats.
-const mixed = "--unsigned-beats"
+// unsignedHeartbeatsFlag makes this release's programs accept the heartbeats of earlier releases, which are not
+// signed.
+const unsignedHeartbeatsFlag = "--unsigned-beats"
 
-// release stops a process gracefully and starts it with the other release's program.
-func (f *Fleet) release(name string, newer bool) error {
+// switchRelease stops a process gracefully and restarts it with the current program if newer is true, otherwise with
+// the earlier release's.
+func (f *Fleet) switchRelease(name string, newer bool) error {
 	if f.options.Before == "" {
-		return fmt.Errorf("needs --before, the folder of an earlier release's programs")
+		return fmt.Errorf("verbs upgrade and downgrade need --before, the folder of an earlier release's programs")
 	}
 	if err := f.Signal(name, syscall.SIGTERM); err != nil {
 		return err
@@ -24,11 +26,11 @@
 	p := f.processes[name]
 	f.mu.Unlock()
 	<-p.done
-	p.args = slices.DeleteFunc(slices.Clone(p.args), func(a string) bool { return a == mixed })
+	p.args = slices.DeleteFunc(slices.Clone(p.args), func(a string) bool { return a == unsignedHeartbeatsFlag })
 	p.args[0] = filepath.Join(f.options.Before, "wallport")
 	if newer {
 		p.args[0] = filepath.Join(f.options.Bin, "wallport")
-		p.args = append(p.args, mixed)
+		p.args = append(p.args, unsignedHeartbeatsFlag)
 	}
 	return f.Start(p)
 }
--- a/lab/fleet/verbs.go
+++ b/lab/fleet/verbs.go
@@ -1,4 +1,4 @@
-// The verbs of scenarios on a real fleet, and the collection of what the stand-ins saw.
+// Executes the verbs of scenarios on a real fleet.
 
 package fleet
 
@@ -15,7 +15,7 @@
 	"wallport/lab/script"
 )
 
-// Play runs a scenario's steps at their times.
+// Play executes a scenario's steps at their times, and ends early without an error if the context ends.
 func (f *Fleet) Play(ctx context.Context, s *script.Script) error {
 	began := time.Now()
 	for _, st := range s.Steps {
@@ -34,6 +34,7 @@
 	return nil
 }
 
+// runStep executes one step.
 func (f *Fleet) runStep(ctx context.Context, st script.Step) error {
 	arg := func(i int) string {
 		if i < len(st.Args) {
@@ -42,7 +43,7 @@
 		return ""
 	}
 	each := func(do func(name string) error) error {
-		for _, name := range f.match(st.Args) {
+		for _, name := range f.expandNames(st.Args) {
 			if err := do(name); err != nil {
 				return err
 			}
@@ -62,10 +63,10 @@
 		return each(f.Restart)
 	case "lose-all":
 		f.operators.lostAt.Store(f.operators.now())
-		return f.all(func(n string) error { return f.Signal(n, syscall.SIGKILL) })
+		return f.forEachProcess(func(n string) error { return f.Signal(n, syscall.SIGKILL) })
 	case "start-all":
 		f.operators.restoredAt.Store(f.operators.now())
-		return f.all(f.Restart)
+		return f.forEachProcess(f.Restart)
 	case "lose-disk":
 		return each(func(n string) error { return os.RemoveAll(f.processes[n].Data) })
 	case "fault":
@@ -73,9 +74,9 @@
 		return f.post("http://"+f.addr(arg(0))+"/lab/fault", backend.Fault{Mode: arg(1), Us: us})
 	case "cut-off", "join":
 		if len(st.Args) < 2 {
-			return fmt.Errorf("%s takes a name and the names that it is cut off from", st.Verb)
+			return fmt.Errorf("usage: %s NAME PEER [PEER ...]", st.Verb)
 		}
-		f.network.Set(f.match(st.Args[:1]), f.match(st.Args[1:]), st.Verb == "cut-off")
+		f.network.SetPartition(f.expandNames(st.Args[:1]), f.expandNames(st.Args[1:]), st.Verb == "cut-off")
 		return nil
 	case "leave":
 		f.setState(st.Args, "leaving")
@@ -93,16 +94,16 @@
 	case "race", "storm":
 		n, _ := strconv.Atoi(arg(0))
 		gap, _ := time.ParseDuration(arg(1))
-		f.operators.edits(ctx, n, gap, st.Verb == "race")
+		f.operators.sendEdits(ctx, n, gap, st.Verb == "race")
 		return nil
 	case "zone-orders":
 		n, _ := strconv.Atoi(arg(1))
 		gap, _ := time.ParseDuration(arg(2))
-		f.zonesOrdered = append(f.zonesOrdered, arg(0))
-		f.operators.zones(ctx, arg(0), n, gap)
+		f.commandedZones = append(f.commandedZones, arg(0))
+		f.operators.sendZoneCommands(ctx, arg(0), n, gap)
 		return nil
 	case "seeds":
-		// Processes that start from now on are given other seeds.
+		// Only processes that start from now on get the new seeds.
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.seeds = nil
@@ -111,17 +112,17 @@
 		}
 		return nil
 	case "upgrade", "downgrade":
-		return each(func(n string) error { return f.release(n, st.Verb == "upgrade") })
+		return each(func(n string) error { return f.switchRelease(n, st.Verb == "upgrade") })
 	case "replace-core":
 		return f.replaceCore(arg(0), arg(1))
 	case "file-limit":
-		// Every write beyond this many bytes of a file fails from now on; 0 ends it.
-		most, err := strconv.ParseUint(arg(0), 10, 64)
+		// Writes beyond this size of a file fail from now on; 0 removes the limit.
+		maxBytes, err := strconv.ParseUint(arg(0), 10, 64)
 		if err != nil {
 			return fmt.Errorf("file-limit BYTES NAME...: %w", err)
 		}
-		for _, n := range f.match(st.Args[1:]) {
-			if err := f.fileLimit(n, most); err != nil {
+		for _, n := range f.expandNames(st.Args[1:]) {
+			if err := f.fileLimit(n, maxBytes); err != nil {
 				return err
 			}
 		}
@@ -130,13 +131,15 @@
 		shards, _ := strconv.Atoi(arg(1))
 		return f.post("http://"+f.OperatorAddrs["node-1"]+"/v1/indexes/"+f.options.Shape.Index+"/cut", map[string]any{"cut": arg(0), "shards": shards})
 	}
-	return fmt.Errorf("no verb %q on real processes", st.Verb)
+	return fmt.Errorf("verb %q is not supported on real processes", st.Verb)
 }
 
+// platformLag is the time until the stand-in platform's list shows a change, as in its default setting.
 const platformLag = 300 * time.Millisecond
 
-// match expands "zone:z1" to the names of everything in the zone.
-func (f *Fleet) match(args []string) []string {
+// expandNames expands a step's arguments to names of processes: "zone:z1" to everything in the zone, "core-*" to all
+// running processes with the prefix, "owner" to the leading core.
+func (f *Fleet) expandNames(args []string) []string {
 	var out []string
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +154,7 @@
 			continue
 		}
 		if a == "owner" {
-			out = append(out, f.owner())
+			out = append(out, f.leadingCore())
 			continue
 		}
 		if !byZone {
@@ -177,6 +180,7 @@
 	return out
 }
 
+// setState sets the state of backends on the platform's list and records when they begin to drain.
 func (f *Fleet) setState(ids []string, state string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,13 +188,14 @@
 		for _, id := range ids {
 			if f.backends[i].ID == id {
 				f.backends[i].State = state
-				// The platform shows it after its lag.
+				// The platform's list shows the state after its lag.
 				f.drainingSince[id] = time.Now().Add(platformLag).UnixMicro()
 			}
 		}
 	}
 }
 
+// addr returns the address of a backend, "" if it is unknown.
 func (f *Fleet) addr(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -6,30 +6,31 @@
 	"sync"
 )
 
-// bufferSize is how many bytes a relay forwards at a time.
+// bufferSize is the maximal number of bytes that a relay forwards at a time.
 const bufferSize = 16 << 10
 
 // Network holds the processes' addresses, the partitions between them and the relayed connections. Its methods
 // may be called from any goroutine.
 type Network struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// healed is signalled when a partition changes and when the network is closed.
 	healed *sync.Cond
-	// processByIP maps the processes' own IP addresses to their names.
+	// processByIP maps the processes' loopback IPs to their names.
 	processByIP map[string]string
-	// partitioned holds each blocked direction, from the first process to the second.
+	// partitioned holds the blocked directions, each from the first process to the second.
 	partitioned map[[2]string]bool
-	// links are the connections that are relayed now.
+	// links holds the connections that are being relayed.
 	links map[*link]bool
-	// ended reports that the test is over: nothing is delayed any more.
-	ended     bool
+	// closed reports that the network was closed; nothing is held back any more.
+	closed    bool
 	listeners []net.Listener
 }
 
-// link is one connection through a relay.
+// link is one connection through a relay, from the process caller to the process name.
 type link struct {
 	caller, name string
 	from, to     net.Conn
-	// halfOpen reports that nothing is forwarded any more, without either side being told.
+	// halfOpen reports that nothing is forwarded any more, although both sides take the connection for established.
 	halfOpen bool
 }
 
@@ -40,33 +41,34 @@
 	return n
 }
 
-// Pass forwards connections to the address `to` to a process that listens at `listens`. Callers from that IP are
-// known by the process's name from then on.
-func (n *Network) Pass(name, to, listens string) error {
-	host, _, err := net.SplitHostPort(listens)
+// AddRelay adds a relay that listens on addr and forwards connections to the process name, which listens on target.
+// From then on connections that come from target's IP are attributed to that process.
+func (n *Network) AddRelay(name, addr, target string) error {
+	host, _, err := net.SplitHostPort(target)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
 	n.processByIP[host] = name
 	n.mu.Unlock()
-	return n.PassFrom("", name, to, listens)
+	return n.AddRelayFor("", name, addr, target)
 }
 
-// PassFrom is Pass for a relay that only one caller uses; an empty caller is identified by its address.
-func (n *Network) PassFrom(caller, name, to, listens string) error {
-	l, err := net.Listen("tcp", to)
+// AddRelayFor adds a relay that only the process caller uses. If caller is empty, callers are identified by their IPs.
+func (n *Network) AddRelayFor(caller, name, addr, target string) error {
+	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
 	n.listeners = append(n.listeners, l)
 	n.mu.Unlock()
-	go n.accept(l, caller, name, listens)
+	go n.accept(l, caller, name, target)
 	return nil
 }
 
-func (n *Network) accept(l net.Listener, caller, name, listens string) {
+// accept accepts and relays connections until the listener is closed.
+func (n *Network) accept(l net.Listener, caller, name, target string) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -76,11 +78,11 @@
 		if from == "" {
 			from = n.nameOf(conn.RemoteAddr())
 		}
-		go n.carry(conn, from, name, listens)
+		go n.relayConn(conn, from, name, target)
 	}
 }
 
-// nameOf returns the process that connects from an address, "" for any other caller.
+// nameOf returns the name of the process that uses an address's IP, "" if no process does.
 func (n *Network) nameOf(addr net.Addr) string {
 	host, _, err := net.SplitHostPort(addr.String())
 	if err != nil {
@@ -91,11 +93,12 @@
 	return n.processByIP[host]
 }
 
-// carry relays one connection, once its caller is not partitioned from the process.
-func (n *Network) carry(from net.Conn, caller, name, listens string) {
+// relayConn relays one connection until both directions have ended. It connects to the process only when the direction
+// from the caller to the process is not partitioned.
+func (n *Network) relayConn(from net.Conn, caller, name, target string) {
 	defer from.Close()
 	n.awaitHealed(caller, name)
-	to, err := net.Dial("tcp", listens)
+	to, err := net.Dial("tcp", target)
 	if err != nil {
 		reset(from)
 		return
@@ -105,17 +108,17 @@
 	n.mu.Lock()
 	n.links[l] = true
 	n.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { n.forward(l, to, from, caller, name) })
-	both.Go(func() { n.forward(l, from, to, name, caller) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.forward(l, to, from, caller, name) })
+	directions.Go(func() { n.forward(l, from, to, name, caller) })
+	directions.Wait()
 	n.mu.Lock()
 	delete(n.links, l)
 	n.mu.Unlock()
 }
 
-// forward forwards bytes in one direction until either side ends; while that direction is partitioned they wait.
-// Each end is forwarded as it came: the end of one direction, or a reset.
+// forward forwards bytes in one direction until either side closes it. While that direction is partitioned the bytes
+// wait. The end of the direction is forwarded as such, any other error as a reset.
 func (n *Network) forward(l *link, to, from net.Conn, sender, receiver string) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -132,7 +135,7 @@
 		}
 		switch {
 		case err == io.EOF:
-			endWriting(to)
+			closeWrite(to)
 			return
 		case err != nil:
 			reset(to)
@@ -141,43 +144,45 @@
 	}
 }
 
-// awaitHealed returns once the direction from a to b is not partitioned.
+// awaitHealed waits until the direction from a to b is not partitioned or the network is closed.
 func (n *Network) awaitHealed(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for n.partitioned[[2]string{a, b}] && !n.ended {
+	for n.partitioned[[2]string{a, b}] && !n.closed {
 		n.healed.Wait()
 	}
 }
 
-// awaitOpen returns at once unless the connection is half open; then it waits for the end of the test.
+// awaitOpen returns immediately unless the connection is half-open; then it waits until the network is closed and
+// returns true.
 func (n *Network) awaitOpen(l *link) (over bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for l.halfOpen && !n.ended {
+	for l.halfOpen && !n.closed {
 		n.healed.Wait()
 	}
 	return l.halfOpen
 }
 
-// Set partitions each of some processes from each of others, both ways, or heals the partition.
-func (n *Network) Set(some, others []string, apart bool) {
+// SetPartition partitions each process of some from each process of others, in both directions, or heals the
+// partition if blocked is false.
+func (n *Network) SetPartition(some, others []string, blocked bool) {
 	for _, a := range some {
 		for _, b := range others {
-			n.SetOneWay(a, b, apart)
-			n.SetOneWay(b, a, apart)
+			n.SetOneWayPartition(a, b, blocked)
+			n.SetOneWayPartition(b, a, blocked)
 		}
 	}
 }
 
-// SetOneWay partitions only the direction from a to b, or heals it.
-func (n *Network) SetOneWay(a, b string, apart bool) {
+// SetOneWayPartition blocks the direction from a to b, or heals it if blocked is false.
+func (n *Network) SetOneWayPartition(a, b string, blocked bool) {
 	if a == b {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned[[2]string{a, b}] = apart
+	n.partitioned[[2]string{a, b}] = blocked
 	n.healed.Broadcast()
 }
 
@@ -189,7 +194,7 @@
 	n.healed.Broadcast()
 }
 
-// linksBetween returns the open connections between two processes, whoever opened them.
+// linksBetween returns the connections between two processes, in either direction. The caller holds the lock.
 func (n *Network) linksBetween(a, b string) (out []*link) {
 	for l := range n.links {
 		if l.caller == a && l.name == b || l.caller == b && l.name == a {
@@ -199,7 +204,7 @@
 	return out
 }
 
-// Reset resets the connections between two processes, on both sides.
+// Reset resets the present connections between two processes, on both sides.
 func (n *Network) Reset(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -209,8 +214,8 @@
 	}
 }
 
-// HalfOpen leaves the connections between two processes half open: both sides take them for established, and
-// nothing passes any more. New ones are not affected.
+// HalfOpen makes the present connections between two processes half-open: both sides take them for established, but
+// nothing is forwarded any more. New connections are not affected.
 func (n *Network) HalfOpen(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -219,11 +224,11 @@
 	}
 }
 
-// End closes the relays and releases what they hold back.
-func (n *Network) End() {
+// Close closes all relays and their connections, and unblocks everything that waits for a partition to heal.
+func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ended = true
+	n.closed = true
 	for _, l := range n.listeners {
 		l.Close()
 	}
--- a/lab/soak/calm.go
+++ b/lab/soak/calm.go
@@ -1,5 +1,5 @@
-// Whether the cores are calm: a disk may be lost only while no other core is faulty or has just been, and no
-// other fault may begin then.
+// Mutual exclusion between the loss of a core's data and other faults of cores: a disk may be lost only while no core
+// is or recently was faulty, and no other fault of a core may begin during the loss.
 
 package soak
 
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// calm counts the faults of the cores.
-type calm struct {
+// coreFaultGate counts the active faults of cores. acquired means that a core is losing its data.
+type coreFaultGate struct {
 	mu       sync.Mutex
 	faults   int
 	endedAt  time.Time
 	acquired bool
 }
 
-// begin records a fault, once no disk is being lost.
-func (c *calm) begin() {
+// begin records the start of a fault; it first waits until no core is losing its data.
+func (c *coreFaultGate) begin() {
 	for {
 		c.mu.Lock()
 		if !c.acquired {
@@ -30,15 +30,16 @@
 	}
 }
 
-func (c *calm) end() {
+// end records the end of a fault.
+func (c *coreFaultGate) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults--
 	c.endedAt = time.Now()
 }
 
-// tryAcquire acquires the right to lose a disk; false means that the cores are not calm.
-func (c *calm) tryAcquire() bool {
+// tryAcquire acquires the right to delete a core's data; false means that a core is, or was within syncTime, faulty.
+func (c *coreFaultGate) tryAcquire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.acquired || c.faults > 0 || time.Since(c.endedAt) < syncTime {
@@ -48,7 +49,8 @@
 	return true
 }
 
-func (c *calm) release() {
+// release gives the right back; the loss counts as a fault that ends now.
+func (c *coreFaultGate) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.acquired, c.endedAt = false, time.Now()
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -1,5 +1,5 @@
-// Clients as the platform's pages describe them: kept connections, deadlines, retries of their own; and some
-// that leave early, or send and read badly.
+// Clients that behave as the platform's documentation describes: they reuse connections, set deadlines and retry.
+// Some abandon their requests or send them slowly.
 
 package soak
 
@@ -20,7 +20,8 @@
 	"wallport/runtime/clock"
 )
 
-// requestKind is a kind of request: its route's path and what clients expect of it.
+// requestKind is a kind of request: its route's path, deadline and body size, whether it may be retried after it may
+// have run, and its share of all requests.
 type requestKind struct {
 	name, method, path string
 	repeatable         bool
@@ -29,20 +30,20 @@
 	share              float64
 }
 
-// Constants of clients.
+// Limits and probabilities of the clients' behaviour.
 const (
-	retriesMost = 2
-	connectMost = time.Second
-	// abandonShare of the requests are abandoned by their client before the response; slowShare send their head
-	// slowly.
-	abandonShare = 0.02
-	slowShare    = 0.005
-	keepShare    = 0.9
-	responseMost = 1 << 20
+	maxRetries     = 2
+	connectTimeout = time.Second
+	// abandonShare is the share of attempts whose client may close the connection before the response. slowShare is
+	// the share of attempts that are sent slowly, reuseShare that of first attempts that may reuse a connection.
+	abandonShare     = 0.02
+	slowShare        = 0.005
+	reuseShare       = 0.9
+	maxResponseBytes = 1 << 20
 )
 
-// kinds are the requests of a run; those of changing routes are added.
-var kinds = []requestKind{
+// requestKinds are the kinds of requests in a run. The route of "changing" is modified by every change.
+var requestKinds = []requestKind{
 	{"search", "GET", "/search/", true, 800 * time.Millisecond, 0, 0.4},
 	{"read", "GET", "/read/", true, 1500 * time.Millisecond, 0, 0.2},
 	{"fix", "POST", "/fix/", false, 1500 * time.Millisecond, 700, 0.3},
@@ -53,8 +54,8 @@
 type clients struct {
 	journal *journal
 	rate    float64
-	// to holds the addresses of the machines by name, through the relays.
-	to    map[string]string
+	// addrs holds the addresses of the machines' relays by machine name.
+	addrs map[string]string
 	names []string
 
 	mu        sync.Mutex
@@ -63,25 +64,27 @@
 	all       sync.WaitGroup
 }
 
-// idleConn is a connection to a machine.
+// idleConn is a connection to a machine that may be reused.
 type idleConn struct {
 	conn net.Conn
 	r    *bufio.Reader
 	used time.Time
 }
 
-// idleMost is how long a connection may be idle and be reused: less than the configured limit.
-const idleMost = 8 * time.Second
+// maxConnIdle is the idle time after which a connection is not reused. It is below the configured idle time-out, at
+// which the node closes the connection.
+const maxConnIdle = 8 * time.Second
 
-// run sends requests at the rate until the context ends, and waits for those in flight.
+// run sends requests at the configured mean rate until the context ends, waits for those in flight and closes the
+// idle connections.
 func (c *clients) run(ctx context.Context) {
-	drawn := rand.New(rand.NewPCG(uint64(c.next), 7))
+	rng := rand.New(rand.NewPCG(uint64(c.next), 7))
 	for ctx.Err() == nil {
-		wait := time.Duration(drawn.ExpFloat64() / c.rate * float64(time.Second))
+		wait := time.Duration(rng.ExpFloat64() / c.rate * float64(time.Second))
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
-			k := drawKind(drawn)
+			k := drawKind(rng)
 			c.all.Go(func() { c.request(k) })
 		}
 	}
@@ -95,20 +98,21 @@
 	}
 }
 
-func drawKind(drawn *rand.Rand) requestKind {
-	x := drawn.Float64()
-	for _, k := range kinds {
+// drawKind draws a kind of request by the shares.
+func drawKind(rng *rand.Rand) requestKind {
+	x := rng.Float64()
+	for _, k := range requestKinds {
 		if x -= k.share; x < 0 {
 			return k
 		}
 	}
-	return kinds[0]
+	return requestKinds[0]
 }
 
-// request sends one request, with the retries that clients may make.
+// request sends one request and the retries that a client may send.
 func (c *clients) request(k requestKind) {
 	deadline := time.Now().Add(k.deadline)
-	for n := 0; n <= retriesMost && time.Until(deadline) > 20*time.Millisecond; n++ {
+	for n := 0; n <= maxRetries && time.Until(deadline) > 20*time.Millisecond; n++ {
 		attempt := c.sendAttempt(k, c.names[rand.IntN(len(c.names))], n, deadline)
 		if attempt.Served() || attempt.GaveUp {
 			return
@@ -121,7 +125,7 @@
 	}
 }
 
-// promisesNotRun reports whether a status means that a request has not run and never will.
+// promisesNotRun reports whether a status guarantees that the request has not run and will not run.
 func promisesNotRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
@@ -131,7 +135,7 @@
 	return c.sendAttempt(k, machine, 0, time.Now().Add(k.deadline))
 }
 
-// newAttempt records an attempt in the journal.
+// newAttempt creates an attempt with a unique id and records it in the journal; n is the number of earlier attempts.
 func (c *clients) newAttempt(k requestKind, machine string, n int, deadline time.Time) *rules.Attempt {
 	c.mu.Lock()
 	c.next++
@@ -144,11 +148,12 @@
 	if k.bodyBytes > 0 {
 		attempt.Body = bytes.Repeat([]byte(id), k.bodyBytes/len(id))
 	}
-	c.journal.with(func() { c.journal.Attempts = append(c.journal.Attempts, attempt) })
+	c.journal.withLock(func() { c.journal.Attempts = append(c.journal.Attempts, attempt) })
 	return attempt
 }
 
-// sendAttempt sends one attempt. What is recorded while it is in flight is recorded under the journal's lock.
+// sendAttempt sends one attempt and waits for the response. While the attempt is in flight it is modified only under
+// the journal's lock.
 func (c *clients) sendAttempt(k requestKind, machine string, n int, deadline time.Time) *rules.Attempt {
 	attempt := c.newAttempt(k, machine, n, deadline)
 	conn := c.connect(attempt, n == 0, deadline)
@@ -157,21 +162,21 @@
 		return attempt
 	}
 	conn.conn.SetDeadline(deadline)
-	leaves := rand.Float64() < abandonShare
-	if leaves {
+	abandons := rand.Float64() < abandonShare
+	if abandons {
 		early := time.AfterFunc(time.Duration(rand.Int64N(int64(k.deadline/8))), func() {
-			c.journal.with(func() { attempt.GaveUp = attempt.Ended == rules.Never })
+			c.journal.withLock(func() { attempt.GaveUp = attempt.Ended == rules.Never })
 			conn.conn.Close()
 		})
 		defer early.Stop()
 	}
-	err := send(conn.conn, request(attempt, time.Until(deadline)), rand.Float64() < slowShare)
+	err := send(conn.conn, requestText(attempt, time.Until(deadline)), rand.Float64() < slowShare)
 	if err != nil {
 		conn.conn.Close()
 		c.end(attempt, func() {})
 		return attempt
 	}
-	c.journal.with(func() { attempt.Read = max(1, c.journal.now()) })
+	c.journal.withLock(func() { attempt.Read = max(1, c.journal.now()) })
 	resp, body, err := receive(conn.r, k.method)
 	switch {
 	case err != nil:
@@ -185,12 +190,13 @@
 	return attempt
 }
 
+// end applies f to an attempt and records the attempt's end.
 func (c *clients) end(attempt *rules.Attempt, f func()) {
 	at := c.journal.now()
-	c.journal.with(func() { f(); attempt.Ended = at })
+	c.journal.withLock(func() { f(); attempt.Ended = at })
 }
 
-// recordResponse records a response.
+// recordResponse records a response in its attempt.
 func recordResponse(attempt *rules.Attempt, resp *http.Response, body []byte) {
 	attempt.Status, attempt.Answer, attempt.Seal = resp.StatusCode, body, resp.Header.Get(platform.HeaderSeal)
 	attempt.Seals = splitSeals(resp.Header.Values(platform.HeaderPartSeals))
@@ -201,14 +207,14 @@
 	}
 }
 
-// connect reuses a kept connection, or opens a new one.
-func (c *clients) connect(attempt *rules.Attempt, mayKeep bool, deadline time.Time) *idleConn {
-	if mayKeep && rand.Float64() < keepShare {
+// connect returns a reused connection, if that is allowed and drawn, or a new one, nil if it cannot be opened.
+func (c *clients) connect(attempt *rules.Attempt, mayReuse bool, deadline time.Time) *idleConn {
+	if mayReuse && rand.Float64() < reuseShare {
 		c.mu.Lock()
 		for all := c.idleConns[attempt.Machine]; len(all) > 0; all = c.idleConns[attempt.Machine] {
 			k := all[len(all)-1]
 			c.idleConns[attempt.Machine] = all[:len(all)-1]
-			if time.Since(k.used) < idleMost {
+			if time.Since(k.used) < maxConnIdle {
 				c.mu.Unlock()
 				return k
 			}
@@ -216,14 +222,14 @@
 		}
 		c.mu.Unlock()
 	}
-	conn, err := net.DialTimeout("tcp", c.to[attempt.Machine], min(connectMost, time.Until(deadline)))
+	conn, err := net.DialTimeout("tcp", c.addrs[attempt.Machine], min(connectTimeout, time.Until(deadline)))
 	if err != nil {
 		return nil
 	}
 	return &idleConn{conn: conn, r: bufio.NewReader(conn)}
 }
 
-// releaseConn returns a connection to the pool, unless it ends.
+// releaseConn returns a connection to the pool, or closes it if the server closes it or has sent unexpected bytes.
 func (c *clients) releaseConn(machine string, k *idleConn, resp *http.Response) {
 	if resp.Close || k.r.Buffered() > 0 {
 		k.conn.Close()
--- a/lab/soak/core_faults.go
+++ b/lab/soak/core_faults.go
@@ -1,4 +1,4 @@
-// Core faults: kills, freezes, graceful stops, all at once; disks that are full, stalled or lost.
+// Faults of cores: kills, freezes, graceful stops, a kill of all cores, and disks that are full, stalled or lost.
 
 package soak
 
@@ -20,57 +20,57 @@
 		{"core_kill", 4, killCore},
 		{"core_freeze", 3, freeze(roleCore)},
 		{"core_stop", 3, stopCore},
-		{"core_power_all", 1, powerAllCores},
+		{"core_power_all", 1, powerOffAllCores},
 		{"disk_full", 2, diskFull},
 		{"disk_stall", 2, diskStall},
 		{"disk_lost", 1, diskLost},
 	}
 }
 
-func anyCore(r *run, drawn *rand.Rand) *daemon { return r.daemonOf(roleCore, drawn.IntN(coreCount)) }
+func anyCore(r *run, rng *rand.Rand) *daemon { return r.daemonOf(roleCore, rng.IntN(coreCount)) }
 
-func killCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(faultSpan{unsettles: true}, func() { killFor(ctx, anyCore(r, drawn), lasts) })
+func killCore(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	r.withFault(faultSpan{disruptsCores: true}, func() { killFor(ctx, anyCore(r, rng), duration) })
 }
 
-func stopCore(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(faultSpan{unsettles: true, planned: true}, func() { r.stopOnce(anyCore(r, drawn)) })
+func stopCore(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	r.withFault(faultSpan{disruptsCores: true, planned: true}, func() { r.stopGracefully(anyCore(r, rng)) })
 }
 
-// powerAllCores kills all cores at the same moment; their disks stay.
-func powerAllCores(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	r.during(faultSpan{unsettles: true}, func() {
+// powerOffAllCores kills all cores at the same time; they keep their disks.
+func powerOffAllCores(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	r.withFault(faultSpan{disruptsCores: true}, func() {
 		var all sync.WaitGroup
 		for n := range coreCount {
-			all.Go(func() { killFor(ctx, r.daemonOf(roleCore, n), lasts/4) })
+			all.Go(func() { killFor(ctx, r.daemonOf(roleCore, n), duration/4) })
 		}
 		all.Wait()
 	})
 }
 
-// diskFull makes every write of a core fail.
-func diskFull(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	d := anyCore(r, drawn)
-	r.during(faultSpan{unsettles: true}, func() {
-		r.say("the disk of %s is full", d.name)
+// diskFull makes all writes of a core fail.
+func diskFull(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	d := anyCore(r, rng)
+	r.withFault(faultSpan{disruptsCores: true}, func() {
+		r.logf("the disk of %s is full", d.name)
 		limitFiles(d, 1)
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 		limitFiles(d, unix.RLIM_INFINITY)
 	})
 }
 
-// limitFiles bounds the size of the files that a process may write.
-func limitFiles(d *daemon, most uint64) {
+// limitFiles sets the maximal size of the files that a process may write.
+func limitFiles(d *daemon, maxBytes uint64) {
 	if pid := d.pid(); pid > 0 {
-		unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
+		unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: maxBytes, Max: unix.RLIM_INFINITY}, nil)
 	}
 }
 
-// diskStall makes a core's writes hang and then fail: a pipe that nobody reads stands where its votes and its
-// probe file are written.
-func diskStall(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	d := anyCore(r, drawn)
-	dir := r.place.dataDir(d.machine)
+// diskStall makes a core's writes hang and then fail. It creates named pipes without a reader at the paths of the
+// temporary files that the core writes next: its votes, versions and disk probe.
+func diskStall(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	d := anyCore(r, rng)
+	dir := r.layout.dataDir(d.machine)
 	var pipes []string
 	for _, name := range nextFiles(dir) {
 		path := filepath.Join(dir, name+".aside")
@@ -78,20 +78,20 @@
 			pipes = append(pipes, path)
 		}
 	}
-	r.during(faultSpan{unsettles: true}, func() {
-		r.say("the disk of %s stalls", d.name)
-		sleep(ctx, lasts)
+	r.withFault(faultSpan{disruptsCores: true}, func() {
+		r.logf("the disk of %s stalls", d.name)
+		sleep(ctx, duration)
 		for _, path := range pipes {
 			drainPipe(path)
 		}
 	})
 }
 
-// preparedFilesMost is for how many versions ahead of the newest a stalled disk has pipes.
-const preparedFilesMost = 6
+// maxPreparedFiles is the number of versions after the newest one for which a stalled disk has pipes.
+const maxPreparedFiles = 6
 
-// nextFiles returns the files that a core writes next: the existing ones, and the versions that follow the
-// newest of each partition in its term.
+// nextFiles returns the names of the files that a core writes next: the probe file, the existing files that are
+// not versions, and the versions that follow each existing version of a partition in the same term.
 func nextFiles(dir string) []string {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -99,20 +99,20 @@
 	}
 	names := []string{"probe"}
 	for _, e := range entries {
-		var part int
+		var partition int
 		var term, seq uint64
-		if n, _ := fmt.Sscanf(e.Name(), "part-%d.stamp-%d-%d", &part, &term, &seq); n != 3 {
+		if n, _ := fmt.Sscanf(e.Name(), "part-%d.stamp-%d-%d", &partition, &term, &seq); n != 3 {
 			names = append(names, e.Name())
 			continue
 		}
-		for ahead := uint64(1); ahead <= preparedFilesMost; ahead++ {
-			names = append(names, fmt.Sprintf("part-%d.stamp-%012d-%012d", part, term, seq+ahead))
+		for ahead := uint64(1); ahead <= maxPreparedFiles; ahead++ {
+			names = append(names, fmt.Sprintf("part-%d.stamp-%012d-%012d", partition, term, seq+ahead))
 		}
 	}
 	return names
 }
 
-// drainPipe releases whoever waits to write to a pipe, and removes it.
+// drainPipe unblocks the writers of a pipe and removes it.
 func drainPipe(path string) {
 	defer os.Remove(path)
 	f, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
@@ -120,31 +120,31 @@
 		return
 	}
 	defer f.Close()
-	// Whoever waited can write now, to nowhere.
+	// Blocked writers proceed now; what they write is discarded.
 	time.Sleep(50 * time.Millisecond)
 }
 
-// diskLost makes a core lose its disk while it is down. One disk is lost at a time, and none while another core
-// is faulty or has just been: the loss could be more than the deployment tolerates.
-func diskLost(ctx context.Context, r *run, drawn *rand.Rand, lasts time.Duration) {
-	if !r.coreCalm.tryAcquire() {
+// diskLost deletes a core's data while the core is down. Only one disk is lost at a time, and none while another core
+// is or recently was faulty, because together these faults could exceed what the deployment tolerates.
+func diskLost(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
+	if !r.coreGate.tryAcquire() {
 		return
 	}
-	defer r.coreCalm.release()
-	d := anyCore(r, drawn)
-	r.span(faultSpan{unsettles: true}, func() {
+	defer r.coreGate.release()
+	d := anyCore(r, rng)
+	r.recordFault(faultSpan{disruptsCores: true}, func() {
 		d.setDown(true)
 		d.signal(syscall.SIGKILL)
 		for d.pid() != 0 {
 			time.Sleep(5 * time.Millisecond)
 		}
-		os.RemoveAll(r.place.dataDir(d.machine))
-		sleep(ctx, lasts/2)
+		os.RemoveAll(r.layout.dataDir(d.machine))
+		sleep(ctx, duration/2)
 		d.setDown(false)
 	})
 	sleep(ctx, syncTime)
 }
 
-// syncTime is how long a machine counts as lost after its return; the cores must have been calm for as long
-// before a disk may be lost.
+// syncTime is the time for which a core still counts as lost after its restart, since it may not have caught up. A
+// disk may be lost only if no core was faulty for that time.
 const syncTime = 6 * time.Second
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -1,5 +1,4 @@
-// The stand-in backends of a run, by pool, and the platform's list of them with its lag, its pages and its rate
-// limit.
+// The stand-in backends of a run, and the platform's list of them, which is paginated, lags and is rate-limited.
 
 package soak
 
@@ -17,13 +16,13 @@
 
 const (
 	healthPath = "/health"
-	// pageSize is how many members a page of the list has.
+	// pageSize is the maximal number of members on a page of the list.
 	pageSize = 7
-	// delistAfter is how long a crashed backend stays on the list.
+	// delistAfter is the time for which a crashed backend stays on the list.
 	delistAfter = 3 * time.Second
 )
 
-// member is a backend as the list shows it.
+// member is a backend on the list.
 type member struct {
 	ID       string `json:"member_id"`
 	Pool     string `json:"pool"`
@@ -35,36 +34,39 @@
 	WarmUpMs int    `json:"slow_start_ms"`
 }
 
-// listBehaviour is how the list misbehaves.
+// listBehaviour configures how the list misbehaves; the zero value is healthy.
 type listBehaviour struct {
-	// fails answers 500, hangs does not answer, garbles sends half a page, loses omits every second page.
+	// fails responds with status 500, hangs sends no response, garbles sends half of each page, loses responds with
+	// status 500 to a random half of the requests for later pages.
 	fails, hangs, garbles, loses bool
 }
 
-// fleet holds the backends and serves the list.
+// fleet holds the running backends and serves the list.
 type fleet struct {
 	journal *journal
-	place   *place
+	layout  *layout
 	mu      sync.Mutex
-	// backends are the running ones, in the order in which they started.
+	// backends are the running backends in the order of their starts.
 	backends  []*backend
 	members   map[string]member
 	behaviour listBehaviour
 	calls     []time.Time
 	started   int
-	// published is what the list showed, for its lag.
+	// published holds past states of the list, oldest first, to simulate its lag.
 	published []publishedList
 	server    *http.Server
 	addr      string
 }
 
+// publishedList is the state of the list from a point in time on.
 type publishedList struct {
 	at      time.Time
 	members []member
 }
 
-func newFleet(j *journal, p *place) (*fleet, error) {
-	f := &fleet{journal: j, place: p, members: map[string]member{}}
+// newFleet creates a fleet without backends and starts to serve its list.
+func newFleet(j *journal, p *layout) (*fleet, error) {
+	f := &fleet{journal: j, layout: p, members: map[string]member{}}
 	l, err := net.Listen("tcp", net.JoinHostPort(p.standInIP(), "0"))
 	if err != nil {
 		return nil, err
@@ -75,13 +77,13 @@
 	return f, nil
 }
 
-// add starts a backend of a pool; an empty address is a new one.
+// add starts a backend of a pool and lists it; an empty address means a new one.
 func (f *fleet) add(pool string, slots int, work time.Duration, addr string) (*backend, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.started++
 	if addr == "" {
-		addr = net.JoinHostPort(f.place.standInIP(), "0")
+		addr = net.JoinHostPort(f.layout.standInIP(), "0")
 	}
 	b, err := startBackend(f.journal, fmt.Sprintf("i-%s-%d", pool, f.started), pool, zoneOf(f.started), addr, slots, work)
 	if err != nil {
@@ -89,12 +91,12 @@
 	}
 	f.backends = append(f.backends, b)
 	f.members[b.id] = member{ID: b.id, Pool: pool, Address: b.addr, Zone: b.zone, Revision: "v1", Capacity: slots, State: "in_service"}
-	f.record()
+	f.publish()
 	return b, nil
 }
 
-// of returns the running backends of a pool that do not drain; "" is all pools.
-func (f *fleet) of(pool string) (out []*backend) {
+// running returns the running backends of a pool that are not draining; "" means all pools.
+func (f *fleet) running(pool string) (out []*backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range f.backends {
@@ -105,23 +107,24 @@
 	return out
 }
 
-// crash ends a backend at once; the list still shows it for a while.
+// crash stops a backend immediately. It stays on the list for delistAfter.
 func (f *fleet) crash(b *backend) {
 	b.crash()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remove(b)
-	time.AfterFunc(delistAfter, func() { f.forget(b) })
+	time.AfterFunc(delistAfter, func() { f.delist(b) })
 }
 
-// forget removes a backend from the list.
-func (f *fleet) forget(b *backend) {
+// delist removes a backend from the list.
+func (f *fleet) delist(b *backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.members, b.id)
-	f.record()
+	f.publish()
 }
 
+// remove removes a backend from the running ones; the caller holds the lock.
 func (f *fleet) remove(b *backend) {
 	for i, other := range f.backends {
 		if other == b {
@@ -130,38 +133,39 @@
 	}
 }
 
-// drain drains a backend: the list shows it so, it serves on, and ends some time after its last due moment.
+// drain marks a backend as draining on the list. The backend continues to serve for drainMs, within which
+// nodes must stop sending to it, and for 2 s more.
 func (f *fleet) drain(b *backend) {
 	f.mu.Lock()
 	m := f.members[b.id]
 	m.State = "draining"
 	f.members[b.id] = m
-	f.record()
+	f.publish()
 	f.mu.Unlock()
 	b.draining.Store(true)
-	// Clients of the list see it after its lag.
+	// Readers of the list see the change after the list's lag.
 	time.AfterFunc(listLagMs*time.Millisecond, func() {
 		at := f.journal.now()
-		f.journal.with(func() { b.record.Shown = at })
+		f.journal.withLock(func() { b.record.Shown = at })
 	})
 	time.AfterFunc(drainMs*time.Millisecond+2*time.Second, func() {
 		f.mu.Lock()
 		f.remove(b)
 		f.mu.Unlock()
 		b.crash()
-		f.forget(b)
+		f.delist(b)
 	})
 }
 
-// set changes how the list misbehaves.
-func (f *fleet) set(m listBehaviour) {
+// setBehaviour sets how the list misbehaves.
+func (f *fleet) setBehaviour(m listBehaviour) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.behaviour = m
 }
 
-// record keeps what the list shows from now on; the caller holds the lock.
-func (f *fleet) record() {
+// publish records the present state of the list; the caller holds the lock.
+func (f *fleet) publish() {
 	newest := publishedList{at: time.Now()}
 	for _, m := range f.members {
 		newest.members = append(newest.members, m)
@@ -170,7 +174,7 @@
 	f.published = append(f.published, newest)
 }
 
-// lagged returns the list as it was before the lag.
+// lagged returns the list as it was one lag ago; the caller holds the lock.
 func (f *fleet) lagged(now time.Time) []member {
 	for len(f.published) > 1 && now.Sub(f.published[1].at) >= listLagMs*time.Millisecond {
 		f.published = f.published[1:]
@@ -181,7 +185,8 @@
 	return f.published[0].members
 }
 
-// allowed counts a call against the rate limit of all nodes together, and reports whether it is within it.
+// allowed counts a call against the rate limit, which all nodes share, and reports whether the call is within it. The
+// caller holds the lock.
 func (f *fleet) allowed(now time.Time) bool {
 	for len(f.calls) > 0 && now.Sub(f.calls[0]) > time.Second {
 		f.calls = f.calls[1:]
@@ -190,6 +195,7 @@
 	return len(f.calls) <= listRate
 }
 
+// serve serves one page of the list.
 func (f *fleet) serve(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	now := time.Now()
@@ -221,10 +227,10 @@
 	w.Write(text)
 }
 
-// close stops the list and all backends.
+// close stops the list and all backends that are not draining.
 func (f *fleet) close() {
 	f.server.Close()
-	for _, b := range f.of("") {
+	for _, b := range f.running("") {
 		b.crash()
 	}
 }
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -1,5 +1,5 @@
-// Operators: changes one after another and in races, evacuations and reads, each repeated unchanged at any core
-// until its answer is final. Some answers are lost on their way.
+// Operators: they change the configuration sequentially and concurrently, evacuate zones and read. Each command is
+// repeated unchanged, at any core, until its response is final. Some responses are lost.
 
 package soak
 
@@ -19,67 +19,70 @@
 	"wallport/runtime/clock"
 )
 
-// operators sends the commands of a run.
+// operators sends and records the commands of a run.
 type operators struct {
 	journal *journal
-	to      []string
+	addrs   []string
 	client  *http.Client
-	// acksToLose is the share of the answers that are lost, in thousandths.
+	// acksToLose is the share of the responses that are lost, in thousandths.
 	acksToLose atomic.Int64
-	// serial counts the changes.
+	// serial counts the changes, so that each one is different.
 	serial atomic.Int64
 
 	mu sync.Mutex
-	// newestRevision is the newest revision that is known to be in force; table is its table.
+	// newestRevision is the newest revision that is known to be committed, table its routing table. lastRevision is
+	// the highest revision that was read or was used by a change without concurrent changes.
 	newestRevision int64
 	table          *routingpb.RoutingTable
-	last           int64
-	// unclear reports that some command's outcome is unknown: it may take effect late.
-	unclear bool
+	lastRevision   int64
+	// outcomeUnknown reports that some command's outcome is unknown; it may still take effect later.
+	outcomeUnknown bool
 }
 
-// Constants of operators.
+// responseTimeout bounds one call, maxCalls the number of calls for one command. baselineAckLoss is the usual value of
+// acksToLose.
 const (
 	responseTimeout = time.Second
-	callsMost       = 60
-	loseAlways      = 30
+	maxCalls        = 60
+	baselineAckLoss = 30
 )
 
-func newOperators(j *journal, to []string) *operators {
-	o := &operators{journal: j, to: to, client: &http.Client{
+func newOperators(j *journal, addrs []string) *operators {
+	o := &operators{journal: j, addrs: addrs, client: &http.Client{
 		Timeout: responseTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
-	o.acksToLose.Store(loseAlways)
+	o.acksToLose.Store(baselineAckLoss)
 	return o
 }
 
-// replace makes operators call another core in place of a removed one.
-func (o *operators) replace(gone, by string) {
+// replace makes operators call the core at newAddr instead of the removed core at oldAddr.
+func (o *operators) replace(oldAddr, newAddr string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i, addr := range o.to {
-		if addr == gone {
-			o.to[i] = by
+	for i, addr := range o.addrs {
+		if addr == oldAddr {
+			o.addrs[i] = newAddr
 		}
 	}
 }
 
-// anyCore returns the address of some core.
+// anyCore returns the address of a random core.
 func (o *operators) anyCore() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.to[rand.IntN(len(o.to))]
+	return o.addrs[rand.IntN(len(o.addrs))]
 }
 
-// reply is the outcome of a call; status 0 means no answer, lost that the answer did not arrive.
+// reply is the outcome of a call. Status 0 means that the core did not respond; lost means that it responded, but that
+// the operator does not receive the response.
 type reply struct {
 	status int
 	body   []byte
 	lost   bool
 }
 
-// call calls some core once.
+// call sends one request to a random core; match is the If-Match header, if not empty.
 func (o *operators) call(ctx context.Context, method, path, match, body string) reply {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.anyCore()+path, strings.NewReader(body))
 	if err != nil {
@@ -100,19 +103,20 @@
 	return reply{resp.StatusCode, text, rand.Int64N(1000) < o.acksToLose.Load()}
 }
 
-// final reports whether a call's answer ends the command.
+// final reports whether a response with this status ends the command, so that it is not repeated.
 func final(status int) bool {
 	return status == 200 || status == 400 || status == 404 || status == 409 || status == 412 || status == 413 || status == 422
 }
 
-// sendUntilFinal repeats a command until its answer is final; taken is called when the first acknowledgement
-// left a core, lost on its way or not. A command whose outcome is still unknown after many calls is left so.
-func (o *operators) sendUntilFinal(ctx context.Context, method, path, match, body string, taken func(at int64)) reply {
+// sendUntilFinal repeats a command until its response is final. onAck is called for every acknowledgement that a core
+// returns, including those that count as lost. It returns an empty reply if the outcome is still unknown after
+// maxCalls calls or at the end of the context.
+func (o *operators) sendUntilFinal(ctx context.Context, method, path, match, body string, onAck func(at int64)) reply {
 	pause := 50 * time.Millisecond
-	for range callsMost {
+	for range maxCalls {
 		r := o.call(ctx, method, path, match, body)
 		if r.status == 200 {
-			taken(o.journal.now())
+			onAck(o.journal.now())
 		}
 		if final(r.status) && !r.lost {
 			return r
@@ -127,18 +131,19 @@
 	return reply{}
 }
 
-// changeText returns a change's text.
+// changeText returns the text of a change with this revision and serial number.
 type changeText func(revision, serial int64) string
 
-// change sends a change based on the newest version, with a higher revision.
+// change sends a change that is based on the newest known version, with a revision that is higher by step, and records
+// it with its outcome. alone means that no concurrent change is sent.
 func (o *operators) change(ctx context.Context, text changeText, patch, invalid, alone bool, step int64) {
 	o.mu.Lock()
 	base, before := o.newestRevision, o.table
-	revision := max(base, o.last) + step
+	revision := max(base, o.lastRevision) + step
 	if alone {
-		o.last = revision
+		o.lastRevision = revision
 	}
-	alone = alone && !o.unclear
+	alone = alone && !o.outcomeUnknown
 	o.mu.Unlock()
 	body, method := text(revision, o.serial.Add(1)), http.MethodPut
 	if patch {
@@ -146,9 +151,9 @@
 	}
 	version := &rules.Version{Revision: revision, Base: base, Sent: o.journal.now(), Acked: rules.Never, Refused: rules.Never, Invalid: invalid, Alone: alone}
 	version.Table = applied(before, body, base, patch)
-	o.journal.with(func() { o.journal.Versions = append(o.journal.Versions, version) })
+	o.journal.withLock(func() { o.journal.Versions = append(o.journal.Versions, version) })
 	r := o.sendUntilFinal(ctx, method, configPath, strconv.FormatInt(base, 10), body, func(at clock.Micros) {
-		o.journal.with(func() {
+		o.journal.withLock(func() {
 			if version.FirstAcked == 0 {
 				version.FirstAcked = at
 			}
@@ -157,7 +162,7 @@
 	at := o.journal.now()
 	switch r.status {
 	case 200:
-		o.journal.with(func() { version.Acked = at })
+		o.journal.withLock(func() { version.Acked = at })
 		o.mu.Lock()
 		if revision > o.newestRevision {
 			o.newestRevision, o.table = revision, version.Table
@@ -165,16 +170,16 @@
 		o.mu.Unlock()
 	case 0:
 		o.mu.Lock()
-		o.unclear = true
+		o.outcomeUnknown = true
 		o.mu.Unlock()
 	default:
-		o.journal.with(func() { version.Refused = at })
+		o.journal.withLock(func() { version.Refused = at })
 	}
 }
 
 const configPath = "/-/config"
 
-// first sends the first configuration until it is accepted.
+// first sends the first configuration and reports whether it was accepted.
 func (o *operators) first(ctx context.Context) bool {
 	o.change(ctx, completeText, false, false, true, 3)
 	o.mu.Lock()
@@ -182,7 +187,7 @@
 	return o.newestRevision > 0
 }
 
-// race makes several operators change the same version at once, some under one revision.
+// race makes n operators change the same version concurrently, in pairs that use the same revision.
 func (o *operators) race(ctx context.Context, n int) {
 	var all sync.WaitGroup
 	texts := []changeText{completeText, patchText}
@@ -193,36 +198,36 @@
 	o.refresh(ctx)
 }
 
-// refresh reads the configuration in force, to base changes on: after a race, or a command without a final
-// answer.
+// refresh reads the current configuration, on which the next changes are based. It is needed after a race and after a
+// command without a final response.
 func (o *operators) refresh(ctx context.Context) {
-	asked := o.journal.now()
+	sentAt := o.journal.now()
 	r := o.sendUntilFinal(ctx, http.MethodGet, configPath, "", "", func(int64) {})
 	if r.status != 200 {
 		return
 	}
-	o.read(asked, r)
+	o.read(sentAt, r)
 	t := readTable(r.body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if t.GetRevision() > o.newestRevision {
 		o.newestRevision, o.table = t.GetRevision(), t
 	}
-	o.last = max(o.last, o.newestRevision)
+	o.lastRevision = max(o.lastRevision, o.newestRevision)
 }
 
-// read records a reading.
-func (o *operators) read(asked int64, r reply) {
+// read records a configuration that was read; sentAt is when the read was sent.
+func (o *operators) read(sentAt int64, r reply) {
 	at, t := o.journal.now(), readTable(r.body)
-	o.journal.with(func() {
-		o.journal.Confirmed = append(o.journal.Confirmed, rules.ConfirmedReading{Sent: asked, At: at, Table: t, TableOnly: true})
+	o.journal.withLock(func() {
+		o.journal.Confirmed = append(o.journal.Confirmed, rules.ConfirmedReading{Sent: sentAt, At: at, Table: t, TableOnly: true})
 	})
 }
 
-// readAll reads the configuration once, at any core.
+// readAll reads the configuration once from a random core and records it.
 func (o *operators) readAll(ctx context.Context) {
-	asked := o.journal.now()
+	sentAt := o.journal.now()
 	if r := o.call(ctx, http.MethodGet, configPath, "", ""); r.status == 200 {
-		o.read(asked, r)
+		o.read(sentAt, r)
 	}
 }
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -1,4 +1,4 @@
-// The report of a run.
+// Evaluates the journal, the logs and the exits of a run.
 
 package soak
 
@@ -18,42 +18,45 @@
 // Report is the outcome of a run.
 type Report struct {
 	Seed uint64
-	// Findings are the violated rules and other findings.
+	// Findings are the violations of rules and all other failures.
 	Findings []string
-	// Tested counts how often each rule was tested.
+	// Tested counts by rule how often the rule was applied.
 	Tested map[string]int64
-	// Undecided are histories that the checker could not decide within its bound: neither passed nor a finding.
+	// Undecided describes histories that the checker could not decide within its bound: they count neither as passed
+	// nor as findings.
 	Undecided []string
-	// Requests, Served, Arrivals, Changes, Acked and Starts are counts of the run.
+	// Requests counts the attempts of clients, Served those that were served, Arrivals the requests that reached
+	// backends, Changes the configuration changes, Acked those that were acknowledged, Starts the incarnations.
 	Requests, Served, Arrivals, Changes, Acked, Starts int
 }
 
-// never is a moment that has not come.
+// never is the time of events that have not happened.
 const never = rules.Never
 
-// undecidedMark is the text of the history checker's error for a history that it gave up: too many commands
-// without a final answer overlapped.
+// undecidedMark is a part of the history checker's message for a history that it gave up on, because too many commands
+// without a final response overlapped.
 const undecidedMark = "undecided after"
 
-// untimed are the rules that hold however busy the machine is.
-var untimed = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "HISTORY"}
+// untimedRules are the rules without time bounds, which hold on a busy machine too.
+var untimedRules = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "HISTORY"}
 
-// report checks the run. Violations of rules with time bounds count only if that was asked for.
+// report checks the run. Violations of rules with time bounds are findings only with Options.Timed, and are logged
+// otherwise. If there are findings, the operators' history is written to history.txt in the run's folder.
 func (r *run) report() *Report {
 	out := &Report{Seed: r.options.Seed, Findings: slices.Clone(r.findings)}
-	r.journal.with(func() {
+	r.journal.withLock(func() {
 		r.journal.End = r.journal.now()
-		r.nameMachines()
+		r.setArrivalMachines()
 		r.journal.Check()
 		for _, f := range r.journal.Findings {
 			text := fmt.Sprintf("%s at %.3f s: %s (%d in all)", f.Rule, float64(f.At)/float64(clock.Second), f.Text, r.journal.Broken[f.Rule])
 			switch {
 			case strings.Contains(f.Text, undecidedMark):
 				out.Undecided = append(out.Undecided, text)
-			case r.options.Timed || slices.Contains(untimed, f.Rule):
+			case r.options.Timed || slices.Contains(untimedRules, f.Rule):
 				out.Findings = append(out.Findings, text)
 			default:
-				r.say("not judged, since it depends on time: %s", text)
+				r.logf("ignored violation of a rule with a time bound: %s", text)
 			}
 		}
 		out.Tested = r.journal.Tested
@@ -72,7 +75,7 @@
 	})
 	for _, d := range r.daemons {
 		out.Starts += d.incarnations
-		out.Findings = append(out.Findings, r.explained(d)...)
+		out.Findings = append(out.Findings, r.unexcusedFaults(d)...)
 	}
 	if r.options.Timed {
 		out.Findings = append(out.Findings, r.overdue...)
@@ -83,8 +86,8 @@
 	return out
 }
 
-// nameMachines sets for each arrival the machine to which the client had sent the request.
-func (r *run) nameMachines() {
+// setArrivalMachines sets the machine of each arrival to the one to which the client sent the attempt.
+func (r *run) setArrivalMachines() {
 	at := map[string]string{}
 	for _, attempt := range r.journal.Attempts {
 		at[attempt.ID] = attempt.Machine
@@ -94,8 +97,9 @@
 	}
 }
 
-// explained returns a process's faults, except for ends over an incomplete settings file.
-func (r *run) explained(d *daemon) (out []string) {
+// unexcusedFaults returns the faults that a process's logs and exits show, except exits because of an incomplete
+// settings file.
+func (r *run) unexcusedFaults(d *daemon) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range d.logFaults() {
@@ -106,8 +110,8 @@
 	return out
 }
 
-// abortedRequests returns requests that a healthy node read completely and ended without a response, though the
-// backend to which it had passed them had answered. A graceful stop is no excuse.
+// abortedRequests returns a finding for each attempt that a healthy node aborted without a response although a backend
+// had responded to it. A graceful stop of the node does not justify this.
 func (r *run) abortedRequests() (out []string) {
 	ran := map[string]bool{}
 	for _, a := range r.journal.Arrivals {
@@ -125,7 +129,7 @@
 	return out
 }
 
-// readMetrics parses a page of metrics by name.
+// readMetrics parses a metrics page into values by name, with labels.
 func readMetrics(r io.Reader) map[string]string {
 	out := map[string]string{}
 	lines := bufio.NewScanner(r)
@@ -137,10 +141,10 @@
 	return out
 }
 
-// historyText lists what operators did and read, for whoever investigates a finding.
+// historyText returns the operators' commands and reads, one per line, for the investigation of findings.
 func (r *run) historyText() string {
 	var b strings.Builder
-	r.journal.with(func() {
+	r.journal.withLock(func() {
 		for _, op := range r.journal.OperatorsHistory().Operations {
 			fmt.Fprintf(&b, "%+v\n", op)
 		}
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -1,5 +1,4 @@
-// One run: everything is started, faults are injected at their times, all is repaired, and the observations are
-// checked.
+// One run: starts all processes, injects the scheduled faults, repairs them, and checks the observations.
 
 package soak
 
@@ -20,30 +19,30 @@
 type run struct {
 	options   Options
 	journal   *journal
-	place     *place
+	layout    *layout
 	network   *relay.Network
 	fleet     *fleet
 	daemons   []*daemon
 	clients   *clients
 	operators *operators
-	coreCalm  calm
-	// changes and zones serialise the operators' changes and the evacuations.
+	coreGate  coreFaultGate
+	// changes serialises the operators' configuration changes, zones the evacuations.
 	changes, zones sync.Mutex
 
 	mu sync.Mutex
-	// torn holds the processes whose settings file was ever incomplete.
+	// torn holds the processes whose settings file was incomplete at some time of the run.
 	torn map[*daemon]bool
-	// spare is a core that may replace another one, nil once it has.
+	// spare is the core that may replace another core, nil after it has done so.
 	spare *daemon
-	// seeds holds the seeds that each process was given last.
+	// seeds holds the seeds in each process's newest settings.
 	seeds map[*daemon][]int
-	// overdue lists the graceful stops that exceeded their time limit.
+	// overdue describes the graceful stops that exceeded their time limit.
 	overdue []string
-	// findings are those beside the rules.
+	// findings are the findings that are not violations of rules.
 	findings []string
 }
 
-// Run carries out one run.
+// Run performs one run. An error means that the run could not be completed; findings are in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	r, err := newRun(o)
 	if err != nil {
@@ -57,85 +56,87 @@
 	defer stopLoad()
 	var work sync.WaitGroup
 	work.Go(func() { r.clients.run(load) })
-	work.Go(func() { r.operate(load) })
+	work.Go(func() { r.runOperators(load) })
 	r.injectFaults(ctx)
 	r.heal(ctx)
-	r.closing(ctx)
+	r.injectClosingFault(ctx)
 	stopLoad()
 	work.Wait()
-	r.checkRest(ctx)
+	r.checkQuiescent(ctx)
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
 	return r.report(), nil
 }
 
+// newRun creates a run with its relays and stand-ins; it starts no process of the product.
 func newRun(o Options) (*run, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	p, err := findPlace(o.Dir)
+	p, err := findLayout(o.Dir)
 	if err != nil {
 		return nil, err
 	}
 	j := newJournal()
-	r := &run{options: o, journal: j, place: p, network: relay.New(), torn: map[*daemon]bool{}, seeds: map[*daemon][]int{}}
+	r := &run{options: o, journal: j, layout: p, network: relay.New(), torn: map[*daemon]bool{}, seeds: map[*daemon][]int{}}
 	if r.fleet, err = newFleet(j, p); err != nil {
 		return nil, err
 	}
 	return r, r.relays()
 }
 
-// relays opens the relays for the mesh and for clients.
+// relays creates the relays in front of the processes' mesh addresses and between clients and machines, and the
+// processes, clients and operators that use them.
 func (r *run) relays() error {
-	to, names, cores := map[string]string{}, []string{}, []string{}
+	addrs, names, cores := map[string]string{}, []string{}, []string{}
 	for n := range machineCount {
 		mesh := map[string]int{roleNode: portNodeMesh}
 		if n < coreCount {
 			mesh[roleCore] = portCoreMesh
-			cores = append(cores, r.place.at(n, portControl))
+			cores = append(cores, r.layout.at(n, portControl))
 		}
 		for role, port := range mesh {
-			behind := net.JoinHostPort(r.place.behindIP(n, role), fmt.Sprint(r.place.first))
-			if err := r.network.Pass(fmt.Sprintf("%s-%d", role, n), r.place.at(n, port), behind); err != nil {
+			listenAddr := net.JoinHostPort(r.layout.listenIP(n, role), fmt.Sprint(r.layout.first))
+			if err := r.network.AddRelay(fmt.Sprintf("%s-%d", role, n), r.layout.at(n, port), listenAddr); err != nil {
 				return err
 			}
-			d := newDaemon(r.options, r.place, n, role)
-			d.report = r.say
+			d := newDaemon(r.options, r.layout, n, role)
+			d.report = r.logf
 			r.daemons = append(r.daemons, d)
 		}
-		front := net.JoinHostPort(r.place.standInIP(), fmt.Sprint(r.place.first+n))
-		if err := r.network.PassFrom(clientsName, machineName(n), front, r.place.at(n, portHTTP)); err != nil {
+		front := net.JoinHostPort(r.layout.standInIP(), fmt.Sprint(r.layout.first+n))
+		if err := r.network.AddRelayFor(clientsName, machineName(n), front, r.layout.at(n, portHTTP)); err != nil {
 			return err
 		}
-		to[machineName(n)] = front
+		addrs[machineName(n)] = front
 		names = append(names, machineName(n))
 	}
 	if err := r.addSpare(); err != nil {
 		return err
 	}
-	r.clients = &clients{journal: r.journal, rate: r.options.Rate, to: to, names: names, idleConns: map[string][]*idleConn{}}
+	r.clients = &clients{journal: r.journal, rate: r.options.Rate, addrs: addrs, names: names, idleConns: map[string][]*idleConn{}}
 	r.operators = newOperators(r.journal, cores)
 	return nil
 }
 
-// addSpare creates the core of a spare machine, which does not run yet. Its machine already has a node: what
-// matters is that its disk is empty and its address a new one.
+// addSpare creates the spare core without starting it. The spare machine already runs a node, but a replacement only
+// needs an empty disk and a new address.
 func (r *run) addSpare() error {
-	behind := net.JoinHostPort(r.place.behindIP(spareMachine, roleCore), fmt.Sprint(r.place.first))
-	if err := r.network.Pass(coreName(spareMachine), r.place.at(spareMachine, portCoreMesh), behind); err != nil {
+	listenAddr := net.JoinHostPort(r.layout.listenIP(spareMachine, roleCore), fmt.Sprint(r.layout.first))
+	if err := r.network.AddRelay(coreName(spareMachine), r.layout.at(spareMachine, portCoreMesh), listenAddr); err != nil {
 		return err
 	}
-	r.spare = newDaemon(r.options, r.place, spareMachine, roleCore)
-	r.spare.report = r.say
+	r.spare = newDaemon(r.options, r.layout, spareMachine, roleCore)
+	r.spare.report = r.logf
 	r.daemons = append(r.daemons, r.spare)
 	return nil
 }
 
-// bringUpMost bounds the start and the healing of all processes: only a hang takes as long.
-const bringUpMost = 2 * time.Minute
+// startupTimeout bounds the start and the recovery of all processes. Only a hang takes so long.
+const startupTimeout = 2 * time.Minute
 
-// begin starts everything and waits until each node is ready.
+// begin starts the backends and the processes, sends the first configuration and waits until every node is ready.
 func (r *run) begin(ctx context.Context) error {
 	for _, pool := range poolNames() {
 		n := perShard
@@ -156,16 +157,16 @@
 			go d.run()
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, bringUpMost)
+	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
 	go r.faultBootstrap(ctx)
 	if !r.operators.first(ctx) {
-		return fmt.Errorf("the first configuration was not taken")
+		return fmt.Errorf("first configuration was not accepted by any core")
 	}
 	if !r.awaitReady(ctx) {
-		return fmt.Errorf("not all nodes became ready")
+		return fmt.Errorf("not all nodes became ready after the first configuration")
 	}
-	// The disks are no longer empty.
+	// From now on the disks are not empty, so no process may bootstrap.
 	for _, d := range r.daemons {
 		if err := r.writeSettings(d, []int{0, 1, 2}, false, false); err != nil {
 			return err
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// injectFaults injects the faults at their times, and waits until the last one is over.
+// injectFaults injects the scheduled faults, and waits until all of them are over.
 func (r *run) injectFaults(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.For)
 	defer cancel()
@@ -186,41 +187,42 @@
 			break
 		}
 		all.Go(func() {
-			drawn := rand.New(rand.NewPCG(t.seed, 1))
-			r.say("begins %s for %v", t.kind, t.lasts.Round(time.Millisecond))
-			kindNamed(t.kind).do(ctx, r, drawn, t.lasts)
-			r.say("ends %s", t.kind)
+			rng := rand.New(rand.NewPCG(t.seed, 1))
+			r.logf("begins %s for %v", t.kind, t.duration.Round(time.Millisecond))
+			kindNamed(t.kind).do(ctx, r, rng, t.duration)
+			r.logf("ends %s", t.kind)
 		})
 	}
 	all.Wait()
 }
 
-// say logs an event.
-func (r *run) say(format string, args ...any) {
+// logf logs an event with its time in seconds since the start.
+func (r *run) logf(format string, args ...any) {
 	if r.options.Log != nil {
 		r.options.Log(fmt.Sprintf("%8.3f ", float64(r.journal.now())/float64(clock.Second)) + fmt.Sprintf(format, args...))
 	}
 }
 
-// during records a fault for as long as f runs; one that unsettles the core keeps disks from being lost.
-func (r *run) during(s faultSpan, f func()) {
-	if s.unsettles {
-		r.coreCalm.begin()
-		defer r.coreCalm.end()
+// withFault calls f and records the fault for that time. A fault that affects the cores also prevents the loss of
+// disks for that time.
+func (r *run) withFault(s faultSpan, f func()) {
+	if s.disruptsCores {
+		r.coreGate.begin()
+		defer r.coreGate.end()
 	}
-	r.span(s, f)
+	r.recordFault(s, f)
 }
 
-// span records a fault for as long as f runs.
-func (r *run) span(s faultSpan, f func()) {
+// recordFault calls f and records the fault for that time.
+func (r *run) recordFault(s faultSpan, f func()) {
 	r.journal.beginFault(s)
 	defer r.journal.endFault(s)
 	f()
 }
 
-// end stops all processes and stand-ins.
+// end stops all relays, processes and backends.
 func (r *run) end() {
-	r.network.End()
+	r.network.Close()
 	for _, d := range r.daemons {
 		d.close()
 	}
