--- a/request/dispatch/admission.go
+++ b/request/dispatch/admission.go
@@ -6,7 +6,7 @@
 	"wallport/runtime/clock"
 )
 
-// Reasons of rejections, as clients and traces see them.
+// Reasons for rejections, as shown to clients and in traces.
 const (
 	reasonNoTable        = "this node has no routing table yet"
 	reasonNoRoute        = "no route"
@@ -22,8 +22,9 @@
 	reasonRejectedPrefix = "turned away: "
 )
 
-// Bounds of the Retry-After times of rejections. minRetryAfter and maxRetryAfter apply before jitter, which at most
-// doubles the time.
+// Bounds for the Retry-After times of rejections. minRetryAfter and maxRetryAfter apply before jitter, which at most
+// doubles the time, and leastRetryAfter to the final time. notReadyRetryAfter is used while the node has no routing
+// table; maxRetryAfterDown is the upper bound while all backends of a pool are down.
 const (
 	notReadyRetryAfter = 150 * clock.Millisecond
 	leastRetryAfter    = 1 * clock.Millisecond
@@ -41,12 +42,12 @@
 	queueTimeHigh   = 0.7
 	utilizationLow  = 0.5
 	utilizationHigh = 0.9
-	// lowPriorityFactor multiplies the pressure for routes that are less important than highPriority.
+	// lowPriorityFactor multiplies the pressure for routes whose priority is lower than highPriority.
 	lowPriorityFactor = 1.5
 )
 
 // admit sends the request to a backend. If no backend is expected to respond in time, it rejects the request
-// immediately, which leaves the client time to try another node.
+// immediately, so that the client has time to try another node.
 func (m *StateMachine) admit(now clock.Micros) {
 	if m.route.FansOut() {
 		m.admitFanOut(now)
@@ -82,7 +83,8 @@
 }
 
 // selectPool draws one of the route's pools by weight and returns its index in the plan. If no backend of that pool
-// is available, it returns the first pool with a weight above 0 that has one, or else the pool that was drawn.
+// is available, it returns the first pool with a weight above 0 and an available backend, or else the pool that was
+// drawn.
 func (m *StateMachine) selectPool(now clock.Micros) int {
 	plan := m.plan
 	if len(plan.pools) == 1 {
@@ -112,7 +114,7 @@
 
 // rejectsAt reports whether the request is rejected under this pressure, given a number drawn from [0, 1), and
 // counts the rejection. A request that fans out is counted once for each overloaded pool, even if it is served by
-// the other pools. Under the same pressure less important routes are rejected more often.
+// the other pools. Under the same pressure, routes of lower priority are rejected more often.
 func (m *StateMachine) rejectsAt(pressure, drawn float64) bool {
 	if m.route.Priority > highPriority {
 		pressure *= lowPriorityFactor
@@ -151,7 +153,8 @@
 		pressure = min(pressure, 1, m.endpointPressure(now, e, shard.latency))
 	}
 	if pressure == unknown {
-		// All backends that can be used are ejected, and no pressure is computed for these: they are tried.
+		// All backends that can be used, if any, are ejected. No pressure is computed for ejected backends, so that
+		// requests still try them.
 		return best, 0
 	}
 	return best, max(0, pressure)
@@ -187,14 +190,14 @@
 	return max(after, leastRetryAfter)
 }
 
-// retryAfterDown returns the time after which a client may retry whose pool is down. It is usually longer than
-// retryAfter, but still within the time that remains until the deadline.
+// retryAfterDown returns the time after which a client may retry if no backend of the pool can be used. It is usually
+// longer than the result of retryAfter, but still within the time that remains until the deadline.
 func (m *StateMachine) retryAfterDown(now clock.Micros) clock.Micros {
 	left := m.deadline - now
 	return max(m.retryAfter(now), min(maxRetryAfterDown, left/5+int64(m.random.IntN(int(max(1, left/8))))))
 }
 
-// reject ends a request that no backend has run with status 503.
+// reject ends the request with status 503. It must not be called once a backend may have run the request.
 func (m *StateMachine) reject(now clock.Micros, reason string, retryAfter clock.Micros) {
 	if retryAfter <= 0 {
 		retryAfter = minRetryAfter
--- a/request/dispatch/backend.go
+++ b/request/dispatch/backend.go
@@ -16,7 +16,7 @@
 // update, determine the node's health reports and where package search sends requests.
 type backend struct {
 	// inFlight counts this node's attempts in flight. progressAt is when the first of them began or when the backend
-	// last ended an attempt itself, whichever is later.
+	// itself last ended an attempt, whichever is later.
 	inFlight, progressAt atomic.Int64
 
 	// latencyRatio is the smoothed response time relative to the pool's median, as of latencyRatioAt.
@@ -26,12 +26,13 @@
 	consecutiveFailures        atomic.Int64
 	succeededAt                atomic.Int64
 
-	// ejections counts consecutive ejections, 0 if the backend is not ejected. The last one began at ejectedAt; a
-	// trial request is due at ejectedUntil.
+	// ejections counts consecutive ejections, 0 if the backend is not ejected. The last ejection began at ejectedAt;
+	// a trial request is due at ejectedUntil.
 	ejections, ejectedAt, ejectedUntil atomic.Int64
 	// unresponsive is set if the backend was ejected because an attempt timed out.
 	unresponsive atomic.Bool
-	// replacedUntil is until when the backend is considered gone because another backend responded at its address.
+	// replacedUntil is the end of the time for which the backend is considered gone because another backend responded
+	// at its address.
 	replacedUntil atomic.Int64
 
 	// reportedLoad is the number of running and queued requests that the backend last reported, as of reportedAt;
@@ -48,7 +49,7 @@
 
 	// listedAt is when a snapshot last listed the backend.
 	listedAt atomic.Int64
-	// listedWarmUp and zoneDrained are the values of the last snapshot. Only the goroutine that builds a view
+	// listedWarmUp and zoneDrained hold the values from the last snapshot. Only the goroutine that builds a view
 	// accesses them.
 	listedWarmUp clock.Micros
 	zoneDrained  bool
@@ -62,7 +63,7 @@
 	failureRateHalfLife  = 3 * clock.Second
 	minLatencyRatio      = 250
 	maxLatencyRatio      = 40_000
-	// warmingUpRatio is the minimum latency ratio that is assumed of a backend in slow start.
+	// warmingUpRatio is the minimum latency ratio that is assumed for a backend in slow start.
 	warmingUpRatio = 1600
 
 	// defaultConcurrency is assumed if the number of slots is unknown.
@@ -76,7 +77,7 @@
 	minStall = 25 * clock.Millisecond
 	maxStall = 20 * clock.Second
 
-	// forgetBackendAfter is how long the measurements of a backend are kept that no snapshot lists.
+	// forgetBackendAfter is how long the measurements of a backend are kept after a snapshot last listed it.
 	forgetBackendAfter = 60 * clock.Second
 )
 
@@ -106,8 +107,8 @@
 	})
 }
 
-// update applies a snapshot's data on the backend. startedAt is when this process started. It must not be called
-// concurrently.
+// update updates the measurements from the backend's entry s in a snapshot. startedAt is when this process started.
+// update must not be called concurrently.
 func (b *backend) update(snap *snapshot.Snapshot, p *snapshot.Pool, s *snapshot.Backend, startedAt clock.Micros) {
 	firstListed := b.listedAt.Load() == 0
 	b.listedAt.Store(max(1, snap.At))
@@ -142,7 +143,7 @@
 	}
 }
 
-// attemptEnded records the end of an attempt. alive says whether the backend itself ended it, which counts as
+// attemptEnded records the end of an attempt. alive says that the backend itself ended the attempt, which counts as
 // progress.
 func (b *backend) attemptEnded(now clock.Micros, alive bool) {
 	b.inFlight.Add(-1)
@@ -159,7 +160,7 @@
 	if wasEjected = b.ejections.Load() > 0; wasEjected {
 		b.ejections.Store(0)
 		if b.unresponsive.Swap(false) {
-			// A period without responses that has ended predicts little about the next responses.
+			// Failures from a period without responses say little about the backend once it responds again.
 			failureRate /= 4
 		}
 	}
@@ -230,16 +231,17 @@
 	return defaultConcurrency
 }
 
-// stalled reports whether attempts are in flight and none has made progress for longer than usual and minStall, but
-// not yet for maxStall.
+// stalled reports whether attempts are in flight without progress: the last progress was longer ago than both usual
+// and minStall, but less than maxStall ago.
 func (b *backend) stalled(now, usual clock.Micros) bool {
 	age := now - b.progressAt.Load()
 	return age > max(minStall, usual) && age < maxStall && b.inFlight.Load() > 0
 }
 
-// estimatedLoad returns the estimated number of requests that the backend is handling, in thousandths: its last
-// report, which decays to the mean of its reports, which in turn decays to 0, and at least this node's own attempts
-// in flight. work is the time that one request takes.
+// estimatedLoad returns the estimated number of requests that the backend is handling, in thousandths. With the age of
+// the last report, the estimate decays from the reported load to the mean of the reports, and that mean decays to 0.
+// The estimate is never below the number of this node's own attempts in flight. work is the time that one request
+// takes.
 func (b *backend) estimatedLoad(now, work clock.Micros) int64 {
 	age := max(0, now-b.reportedAt.Load())
 	mean := decay(b.meanLoad.Load(), 0, age, meanLoadHalfLife)
--- a/request/dispatch/bench_test.go
+++ b/request/dispatch/bench_test.go
@@ -33,7 +33,7 @@
 					m.Step(now+500, AttemptDone{N: i, Result: replies[i]})
 				}
 				if !m.Done() {
-					b.Fatal("not done")
+					b.Fatal("the request has not finished after the responses of all shards")
 				}
 			}
 		})
--- a/request/dispatch/deployments_test.go
+++ b/request/dispatch/deployments_test.go
@@ -1,4 +1,4 @@
-// The rules of rules_test.go in deployments of other sizes.
+// Tests that the rules of rules_test.go also hold in deployments of other sizes.
 
 package dispatch
 
--- a/request/dispatch/dispatcher.go
+++ b/request/dispatch/dispatcher.go
@@ -50,7 +50,7 @@
 	retryBudgets  sync.Map // pool name -> *retryBudget
 	lag           lag
 	count         counters
-	// Traces keeps the newest traces that were passed to Config.OnTrace.
+	// Traces keeps the newest traces of the requests that Config.OnTrace describes.
 	Traces *TraceRing
 }
 
--- a/request/dispatch/dispatcher_test.go
+++ b/request/dispatch/dispatcher_test.go
@@ -73,9 +73,9 @@
 		return n
 	}
 	must.Eq(t, 0, countRejections(0))
-	must.Eq(t, 0, countRejections(20_000), must.Sprint("a lag of 20 ms is tolerated"))
+	must.Eq(t, 0, countRejections(20_000), must.Sprint("no request is rejected at a lag of 20 ms"))
 	must.Between(t, 30, countRejections(90_000), 100)
-	must.Between(t, 0, countRejections(0), 10, must.Sprint("the lag decays"))
+	must.Between(t, 0, countRejections(0), 10, must.Sprint("the estimated lag decays once steps are on time again"))
 }
 
 func TestStaleConnectionDoesNotEject(t *testing.T) {
@@ -120,5 +120,5 @@
 	must.Eq(t, 192_000, sends(m.Step(startTime, Begin{}))[0].Timeout, must.Sprint("the client's timeout less the network allowance"))
 	m = NewStateMachine(f.Dispatcher, Request{Path: "/once/", Host: "site.example", Timeout: 200_000, ReadAt: startTime - 300_000}, startTime)
 	o = outcomeOf(m.Step(startTime, Begin{}))
-	must.Eq(t, 503, o.Status, must.Sprint("the client's timeout had expired before any attempt"))
+	must.Eq(t, 503, o.Status, must.Sprint("the request is rejected, since the client's timeout expired before any attempt"))
 }
--- a/request/dispatch/doc.go
+++ b/request/dispatch/doc.go
@@ -8,8 +8,9 @@
 //
 //	read -> matched -> admitted -> asked -> (re_asked) -> (gathered) -> answered | refused | given_up
 //
-// A request is sent to one pool, or it fans out to one backend of each of the route's pools (shards) and their
-// records are merged into one response. In both cases each pool has a shardRequest with its attempts.
+// A request is sent to one pool, or it fans out to one backend of each of the route's pools (shards) and the records
+// that these backends return are merged into one response. In both cases each pool has a shardRequest with its
+// attempts.
 //
 // A [Dispatcher] owns the state that all requests of a node share: the view of the newest routing snapshot, this
 // node's measurements of each backend and of each pool's latency, the retry budgets, the scheduling lag and the
@@ -22,7 +23,7 @@
 //   - A rejection (503, 429, 408, 421) states that the request has not run: it is never returned while an attempt is
 //     in flight or may have run. A backend's response with such a status is replaced by 502 unless the backend
 //     stated that the request has not run.
-//   - A success is one backend's complete sealed response, or one sealed response of each gathered shard.
+//   - A success is one backend's complete sealed response, or one sealed response from each gathered shard.
 //   - No new attempt is sent to a draining backend, to a drained zone or to a pool that the route no longer uses.
 //   - All nodes together stay within the pools' retry budgets and within the request rate of backends in slow start.
 //
--- a/request/dispatch/ejection.go
+++ b/request/dispatch/ejection.go
@@ -8,25 +8,26 @@
 const (
 	// ejectAfterFailures is the number of consecutive failures that eject a backend.
 	ejectAfterFailures = 3
-	// baseEjection is the period of the first ejection. It doubles with each further one, at most maxDoublings times
-	// and up to a cap: ejectionCap, which grows in proportion to the fleet beyond ejectionCapNodes nodes, but is
-	// never above maxEjection.
+	// baseEjection is the period of the first ejection. The period doubles with each further consecutive ejection, at
+	// most maxDoublings times and up to a cap. The cap is ejectionCap for up to ejectionCapNodes nodes, grows in
+	// proportion to the fleet beyond that, and is never above maxEjection.
 	baseEjection     = 400 * clock.Millisecond
 	ejectionCap      = 700 * clock.Millisecond
 	ejectionCapNodes = 8
 	maxEjection      = 6 * clock.Second
 	maxDoublings     = 5
-	// replacedFor is how long a backend is considered gone after another one responded at its address. By the end of
-	// that time the platform's list no longer contains it.
+	// replacedFor is how long a backend is considered gone after another backend responded at its address. By the end
+	// of that time the platform's list no longer contains the backend that is gone.
 	replacedFor = 6 * clock.Second
-	// trialsWithin bounds the time until the other ejected backends of a pool are tried once one has recovered.
+	// trialsWithin bounds the time until the other ejected backends of a pool are tried after one of the pool's
+	// backends has recovered.
 	trialsWithin = 150 * clock.Millisecond
 )
 
 // failure describes a failed attempt.
 type failure struct {
 	startedAt clock.Micros
-	// weight is the number of failures that it counts as.
+	// weight is the number of failures that the attempt counts as.
 	weight int64
 	// timedOut is set if the backend did not respond within the pool's response timeout.
 	timedOut bool
@@ -34,7 +35,7 @@
 
 // recordFailure records a failure and reports whether it ejects the backend or extends its ejection. A backend is
 // ejected after ejectAfterFailures consecutive failures, or immediately if the attempt timed out. While it is
-// ejected, every failure of an attempt that began after the last ejection ejects it again; earlier attempts do not.
+// ejected, a failure ejects it again only if the attempt began after the start of the last ejection.
 func (b *backend) recordFailure(now clock.Micros, f failure, nodes int) (ejected bool) {
 	rate := b.currentFailureRate(now)
 	for range f.weight {
@@ -59,23 +60,24 @@
 	return true
 }
 
-// markReplaced records that the backend is gone because another one responded at its address. It reports whether
-// the backend was not already marked as replaced.
+// markReplaced records that the backend is gone because another backend responded at its address. It returns false if
+// the backend was already marked as replaced.
 func (b *backend) markReplaced(now clock.Micros) bool {
 	return b.replacedUntil.Swap(now+replacedFor) <= now
 }
 
 // ejectionPeriod returns the duration of the nth consecutive ejection. It is jittered, so that the trials of a
-// pool's backends do not coincide if these became unresponsive together. It grows with the fleet, so that the trials
-// of all nodes do not coincide either.
+// pool's backends do not coincide if these became unresponsive together. Its cap grows with the fleet, so that the
+// trials of all nodes do not coincide either.
 func (b *backend) ejectionPeriod(now clock.Micros, n int64, nodes int) clock.Micros {
 	most := min(maxEjection, max(ejectionCap, ejectionCap*int64(nodes)/ejectionCapNodes))
 	rnd := random.Source(now ^ b.listedAt.Load()<<20 ^ b.reportedAt.Load()<<10)
 	return min(most, baseEjection<<min(n-1, maxDoublings)) * int64(512+rnd.IntN(512)) / 1024
 }
 
-// claimTrial claims the trial that is due and reports whether this request is the trial. The time until the next
-// trial is doubled for requests that may be sent only once, since a failed trial then loses the whole request.
+// claimTrial claims the backend's trial for this request and reports whether it succeeded; it fails if no trial is due
+// or another request has claimed it. If the request may be sent only once, the time until the next trial is doubled,
+// since a failed trial then loses the whole request.
 func (b *backend) claimTrial(now clock.Micros, nodes int, atMostOnce bool) bool {
 	due := b.ejectedUntil.Load()
 	period := b.ejectionPeriod(now, max(1, b.ejections.Load()), nodes)
@@ -86,7 +88,7 @@
 }
 
 // scheduleTrials makes the trials of the pool's ejected backends due within trialsWithin. It is called when one of
-// them has recovered, since the others may have recovered from the same fault.
+// the pool's backends has recovered, since the others may have recovered from the same fault.
 func (p *pool) scheduleTrials(now clock.Micros, rnd *random.Source) {
 	for i := range p.endpoints {
 		b := p.endpoints[i].backend
--- a/request/dispatch/ejection_test.go
+++ b/request/dispatch/ejection_test.go
@@ -1,4 +1,5 @@
-// Tests of a backend whose address another backend has taken over. A single response of the other backend proves it.
+// Tests of a backend whose address another backend has taken over. A single response from the other backend suffices
+// to detect this.
 
 package dispatch
 
@@ -10,7 +11,7 @@
 	"wallport/runtime/clock"
 )
 
-// wrongBackendResult returns the response of another backend at the address.
+// wrongBackendResult returns the result of an attempt to which another backend at the address responded.
 func wrongBackendResult() Result {
 	return Result{Class: ClassRejected, Status: 421, WrongBackend: true}
 }
--- a/request/dispatch/events.go
+++ b/request/dispatch/events.go
@@ -7,8 +7,8 @@
 	"wallport/runtime/clock"
 )
 
-// State is a state of a request. Traces contain the texts. They keep older names than the constants because operators
-// read them.
+// State is a state of a request. Its text appears in traces, which operators read; some texts therefore keep older
+// names than the constants.
 type State string
 
 // The states of a request. The last three are final.
@@ -117,7 +117,7 @@
 	// Seal is the backend's seal of its response, empty if the response has none.
 	Seal string
 	Load LoadReport
-	// Draining is set if the backend announced that it closes its connections.
+	// Draining is set if the backend announced that it will close its connections.
 	Draining bool
 	// WrongBackend is set if another backend responded at the address.
 	WrongBackend bool
--- a/request/dispatch/faults_test.go
+++ b/request/dispatch/faults_test.go
@@ -1,4 +1,4 @@
-// Faults of the simulated deployment, and the minimum value that clients receive under each.
+// Tests that clients receive a minimum value while a fault is injected into the simulated deployment.
 
 package dispatch
 
@@ -13,7 +13,8 @@
 	"wallport/runtime/clock"
 )
 
-// someBackends draws the given share, and at least one, of the backends of the pools with each name prefix.
+// someBackends draws backends at random: for each name prefix in pools, the given share of the backends in the pools
+// with that prefix, and at least one backend.
 func (w *simulation) someBackends(share float64, pools ...string) (out []*simBackend) {
 	for _, p := range pools {
 		var all []*simBackend
@@ -36,7 +37,7 @@
 	}
 }
 
-// crash stops backends. New ones replace them after s seconds.
+// crash stops backends. After s seconds new backends replace them.
 func (w *simulation) crash(s float64, all []*simBackend) {
 	for _, b := range all {
 		b.down = true
@@ -49,7 +50,7 @@
 	}
 }
 
-// fault is a fault that is injected at 3 s.
+// fault is a fault that TestFaults injects 3 s after clients start to send requests.
 type fault struct {
 	name string
 	// least is the minimum share of the possible value that clients must receive.
@@ -126,8 +127,8 @@
 				s.onceMaxBackends = 1 + int(seed)
 				w := newSimulation(s)
 				w.run(t, cmp.Or(tr.seconds, defaultSeconds), map[float64]func(){3: func() { tr.inject(w) }})
-				t.Logf("seed %d: clients received %.3f of the possible value, required are %.2f", w.seed, w.journal.earned(), tr.least)
-				must.GreaterEq(t, tr.least, w.journal.earned(), must.Sprintf("seed %d", w.seed))
+				t.Logf("seed %d: clients received %.3f of the possible value; at least %.2f is required", w.seed, w.journal.earned(), tr.least)
+				must.GreaterEq(t, tr.least, w.journal.earned(), must.Sprintf("seed %d: share of the possible value that clients received", w.seed))
 			}
 		})
 	}
@@ -180,8 +181,8 @@
 				}
 				return float64(n) / float64(max(1, all))
 			}
-			must.Greater(t, 0.7, count(from+1_500_000, from+3_900_000, 503), must.Sprintf("seed %d", seed))
-			must.Greater(t, 0.8, count(from+5*second, from+6*second, 200), must.Sprintf("seed %d", seed))
+			must.Greater(t, 0.7, count(from+1_500_000, from+3_900_000, 503), must.Sprintf("seed %d: share of requests rejected with 503 while the pool is unresponsive", seed))
+			must.Greater(t, 0.8, count(from+5*second, from+6*second, 200), must.Sprintf("seed %d: share of requests that succeed after the pool has recovered", seed))
 		}
 	}
 }
--- a/request/dispatch/fleet_test.go
+++ b/request/dispatch/fleet_test.go
@@ -28,8 +28,8 @@
 			w := newSimulation(s)
 			r := rand.New(rand.NewPCG(seed, 1))
 			faultsAt := map[float64]func(){
-				// The budgets are as full as they get when backends begin to lose 60 % of the responses. At 14 s the traffic drops to
-				// almost nothing.
+				// The budgets are full when all backends begin to lose 60 % of the responses at 5 s. At 14 s the traffic
+				// drops to almost nothing.
 				5: func() {
 					for _, b := range w.backends {
 						b.lossRate = 0.6
@@ -137,7 +137,7 @@
 				}
 			}
 		}
-		must.SliceEmpty(t, j.checkRetryBudget(0.2, allowance, 10*second, func(string) []string { return []string{"p"} }), must.Sprintf("seed %d", seed))
-		must.Greater(t, 500, len(j.arrivals), must.Sprint("the budget is actually used"))
+		must.SliceEmpty(t, j.checkRetryBudget(0.2, allowance, 10*second, func(string) []string { return []string{"p"} }), must.Sprintf("seed %d: the fleet exceeds the retry budget", seed))
+		must.Greater(t, 500, len(j.arrivals), must.Sprint("the number of retries shows that the budget is used"))
 	}
 }
--- a/request/dispatch/gather.go
+++ b/request/dispatch/gather.go
@@ -8,8 +8,8 @@
 )
 
 // Minimum values, in thousandths of the value of a complete response, at which a gathered response with missing
-// shards is returned once the latency target has passed. A node does not know how much value a late response loses;
-// routes of highPriority and above wait longer for the missing shards.
+// shards is returned once the latency target has passed. A node does not know how much value a late response loses. The
+// minimum is greater for routes of highPriority and above, so that they wait longer for missing shards.
 const (
 	minValueHighPriority = 800
 	minValue             = 500
@@ -44,7 +44,8 @@
 // excludeShards determines the pools that the request is not sent to: those without a usable backend, then those
 // whose backends are all ejected, then those that are overloaded. It returns a reason to reject the request if too
 // few pools remain or if their response would have too little value. One random number is drawn for all pools, so
-// that the request is rejected as a whole if all are equally loaded: a partial response is worth less than it costs.
+// that the request is rejected as a whole if all pools are equally loaded: a partial response is worth less than it
+// costs.
 func (m *StateMachine) excludeShards(now clock.Micros) (reason string, retryAfter clock.Micros) {
 	all, need, drawn := len(m.shards), m.requiredShards(), m.random.Float64()
 	if m.rejectsAt(m.lagPressure(now), drawn) {
@@ -132,8 +133,9 @@
 	}
 }
 
-// enoughShards reports whether to respond with the shards that succeeded although others are pending: if the latency
-// target has passed and the response has enough value, or if no pending attempt is still expected to succeed.
+// enoughShards reports whether to respond with the shards that succeeded although others are pending. It returns true
+// if the latency target has passed and the response has enough value, or if no pending attempt is still expected to
+// succeed.
 func (m *StateMachine) enoughShards(now clock.Micros, succeeded int) bool {
 	if now >= m.targetAt {
 		least := minValue
@@ -162,7 +164,7 @@
 	return attempt.startedAt + max(maxPause, 8*p95)
 }
 
-// respondGathered merges the shards that succeeded into the response.
+// respondGathered finishes the request with the merged records of the shards that succeeded.
 func (m *StateMachine) respondGathered(now clock.Micros, succeeded int) {
 	m.transition(now, StateGathered, "")
 	bodies, seals := make([][]byte, 0, succeeded), make([]string, 0, succeeded)
--- a/request/dispatch/gather_test.go
+++ b/request/dispatch/gather_test.go
@@ -1,4 +1,4 @@
-// Tests of single requests that fan out and gather their responses.
+// Tests of the state machine of a single request that fans out.
 
 package dispatch
 
@@ -71,7 +71,7 @@
 		}
 		o := outcomeOf(m.Step(m.targetAt, TimerFired{}))
 		if priority == 2 {
-			must.Eq(t, 1, o.Missing, must.Sprint("responds without the missing shard"))
+			must.Eq(t, 1, o.Missing, must.Sprint("the request of lower priority responds without the missing shard"))
 			continue
 		}
 		must.Nil(t, o, must.Sprint("the request of higher priority keeps waiting"))
@@ -105,13 +105,13 @@
 	m.Step(startTime, Begin{})
 	f.table.Routes[0].FanoutPools = []string{"p1", "p2", "p3"}
 	f.publishTable()
-	must.SliceEmpty(t, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})), must.Sprint("nothing more is sent to p0"))
+	must.SliceEmpty(t, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})), must.Sprint("the request is not retried at p0, which the route no longer uses"))
 	must.Len(t, 1, sends(m.Step(startTime+1000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})))
 	m.Step(startTime+1000, AttemptDone{N: 2, Result: shardResult("s2", "b")})
 	m.Step(startTime+1000, AttemptDone{N: 3, Result: shardResult("s3", "b")})
 	o := outcomeOf(m.Step(startTime+2000, AttemptDone{N: 4, Result: shardResult("s1", "b")}))
 	must.Eq(t, 200, o.Status)
-	must.Eq(t, 1, o.Missing, must.Sprint("p0 counts as missing: it is a pool of the version that the request began with"))
+	must.Eq(t, 1, o.Missing, must.Sprint("p0 counts as missing: the routing table had it when the request began"))
 }
 
 func TestMergeMatchesSort(t *testing.T) {
--- a/request/dispatch/invariants.go
+++ b/request/dispatch/invariants.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// checkGauges checks the count of a shard's attempts in flight.
+// checkGauges checks that the count of a shard's attempts in flight is not negative.
 func (m *StateMachine) checkGauges(shard *shardRequest) {
 	if shard.inFlight < 0 {
 		m.dispatcher.cfg.Invariants.Violated(invariant.GaugesNotNegative, "request %s has a negative count of attempts in flight: %d", m.request.ID, shard.inFlight)
--- a/request/dispatch/invariants_test.go
+++ b/request/dispatch/invariants_test.go
@@ -23,20 +23,20 @@
 	return m, a[0]
 }
 
-// violationOfSend sends the request's first shard again, regardless of the previous attempt, and returns the violated
-// invariant.
+// violationOfSend sends the request to the pool of its first shard again, regardless of the previous attempt, and
+// returns the violated invariant.
 func violationOfSend(m *StateMachine) invariant.Name {
 	return violation.By(func() { m.send(startTime+1_000, 0, sendReplacement) })
 }
 
 func TestViolationsOfSends(t *testing.T) {
 	m, _ := startRequest(t, "once2")
-	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("an attempt is in flight"))
+	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("the request is sent again while an attempt is in flight"))
 
 	m, a := startRequest(t, "once2")
 	m.Step(startTime+1_000, AttemptDone{N: a.N, Result: Result{Class: ClassFailed}})
 	m.finished = false
-	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("an attempt may have run"))
+	must.Eq(t, invariant.AtMostOnce, violationOfSend(m), must.Sprint("the request is sent again although the first attempt may have run"))
 
 	m, a = startRequest(t, "once2")
 	m.Step(startTime+1_000, AttemptDone{N: a.N, Result: success("x")})
--- a/request/dispatch/journal_test.go
+++ b/request/dispatch/journal_test.go
@@ -1,4 +1,4 @@
-// The record of a simulation's network traffic, and a checker for each rule that returns its violations.
+// The journal of a simulation's network traffic. Its checks return the violations of one rule each.
 
 package dispatch
 
@@ -52,7 +52,7 @@
 	seals         map[string]*exchange
 	successSeals  map[string]bool
 	bodies        map[string][]byte
-	// misrouted lists the attempts that violate the sending node's own snapshot.
+	// misrouted describes the attempts that the newest snapshot of the sending node did not allow.
 	misrouted []string
 }
 
@@ -69,12 +69,12 @@
 	j.kinds[id] = k
 }
 
-// recordSend checks an attempt against the newest snapshot of its node: the backend must be neither draining nor in
-// a drained zone, and the route must send to the pool.
+// recordSend checks an attempt against the newest snapshot of its node and records it as misrouted if it fails the
+// check: the backend must be listed and neither draining nor in a drained zone, and the route must use the pool.
 func (j *journal) recordSend(n *simNode, a Send) {
 	p := n.snap.Pools[a.Pool.Name]
 	if p == nil || !serves(n.snap.Routing.Match(a.Request.Host, a.Request.Path), a.Pool.Name) {
-		j.misrouted = append(j.misrouted, a.Request.ID+" sent to "+a.Pool.Name)
+		j.misrouted = append(j.misrouted, a.Request.ID+" was sent to a pool that its route does not use: "+a.Pool.Name)
 		return
 	}
 	for _, s := range p.Backends {
@@ -82,7 +82,7 @@
 			return
 		}
 	}
-	j.misrouted = append(j.misrouted, a.Request.ID+" sent to "+a.Backend.ID+", which is draining, in a drained zone or not listed")
+	j.misrouted = append(j.misrouted, a.Request.ID+" was sent to "+a.Backend.ID+", which is draining, in a drained zone or not listed")
 }
 
 func (j *journal) recordArrival(at clock.Micros, x *exchange) *arrival {
@@ -115,15 +115,15 @@
 	for _, a := range j.arrivals {
 		if a.ran && j.kinds[a.id].atMostOnce {
 			if runs[a.id]++; runs[a.id] == 2 {
-				out = append(out, "ran twice: "+a.id)
+				out = append(out, "request that must run at most once ran twice: "+a.id)
 			}
 		}
 	}
 	return out
 }
 
-// checkRejectedNotRun checks that no request that ran, before or after its outcome, was answered with a status that
-// promises that it has not run.
+// checkRejectedNotRun checks requests that must run at most once: if a backend ran such a request, before or after its
+// outcome, the status of the outcome must not promise that the request has not run.
 func (j *journal) checkRejectedNotRun() (out []string) {
 	ran := map[string]bool{}
 	for _, a := range j.arrivals {
@@ -137,7 +137,8 @@
 	return out
 }
 
-// checkRetryBudget checks that the repeated arrivals at each pool stay within its retry budget in every window.
+// checkRetryBudget checks that the repeated arrivals at each pool stay within its retry budget in every window. The
+// number of requests is the greatest of that window and of the windows that begin half a window and a window earlier.
 func (j *journal) checkRetryBudget(ratio, allowance float64, window clock.Micros, pools func(kind string) []string) (out []string) {
 	requested := map[string][]clock.Micros{}
 	for _, t := range j.attempts {
@@ -173,7 +174,8 @@
 	return out
 }
 
-// checkSlowStart checks that no backend in slow start received more requests in a second than its limit.
+// checkSlowStart checks that within a second no backend in slow start received more requests than perS, plus a
+// tolerance of half of perS and 5 requests.
 func (j *journal) checkSlowStart(perS float64) (out []string) {
 	cold := map[*simBackend][]clock.Micros{}
 	for _, a := range j.arrivals {
@@ -185,7 +187,7 @@
 		for i, from := range times {
 			k, _ := slices.BinarySearch(times, from+1_000_000)
 			if float64(k-i) > perS*1.5+5 {
-				out = append(out, fmt.Sprintf("backend %s: %d requests within a second of slow start", b.id, k-i))
+				out = append(out, fmt.Sprintf("backend %s received %d requests within one second during slow start", b.id, k-i))
 				break
 			}
 		}
@@ -204,8 +206,9 @@
 }
 
 // checkGathered checks every successful gathered response: it contains the greatest records of the shards that its
-// seals name; the seals belong to successes of the same request, at most one of each pool; and these pools together
-// with the missing ones are the pools of one version of the routing table.
+// seals identify; the seals belong to successful responses to the same request, at most one from each pool; all these
+// pools are used by one version of the route, which has as many pools as the response has shards, including missing
+// shards; and the response has at least the share of shards that least specifies.
 func (j *journal) checkGathered(limit map[string]int, least map[string]float64, sets func(kind string) [][]string) (out []string) {
 	for _, t := range j.outcomes {
 		if t.outcome.Seals == nil || t.outcome.Status != 200 {
@@ -217,7 +220,7 @@
 		for _, s := range t.outcome.Seals {
 			x := j.seals[s]
 			if x == nil || x.id != t.id || !j.successSeals[s] {
-				bad("not a seal of this request: " + s)
+				bad("seal of no successful response to this request: " + s)
 				continue
 			}
 			pools = append(pools, x.backend.pool)
@@ -227,15 +230,15 @@
 		}
 		slices.Sort(pools)
 		if len(slices.Compact(slices.Clone(pools))) != len(pools) {
-			bad("two shards of one pool")
+			bad("response contains two shards of one pool")
 		}
 		if !slices.ContainsFunc(sets(t.kind.name), func(set []string) bool {
 			return len(set) == len(pools)+t.outcome.Missing && !slices.ContainsFunc(pools, func(p string) bool { return !slices.Contains(set, p) })
 		}) {
-			bad("shards match no version of the routing table: " + strings.Join(pools, " "))
+			bad("response has shards that match no version of the routing table: " + strings.Join(pools, " "))
 		}
 		if float64(len(pools)) < least[t.kind.name]*float64(len(pools)+t.outcome.Missing) {
-			bad("too few shards")
+			bad("response has too few shards")
 		}
 		slices.SortFunc(all, func(a, b []byte) int { return bytes.Compare(b, a) })
 		if !bytes.Equal(bytes.Join(all[:min(len(all), limit[t.kind.name])], nil), t.outcome.Body) {
--- a/request/dispatch/latency.go
+++ b/request/dispatch/latency.go
@@ -14,13 +14,13 @@
 	minCrossZonePenalty clock.Micros = 800
 )
 
-// Bounds of a pool's expected latency.
+// Bounds for the estimated latency and for the hedge delays and timeouts that are derived from it.
 const (
 	// minHedgeDelay is the minimum delay before a hedged request.
 	minHedgeDelay clock.Micros = 2_500
 	// maxPause is the longest time for which a healthy backend may pause.
 	maxPause = 250 * clock.Millisecond
-	// minMedian is the lower bound of the estimated median.
+	// minMedian is the lower bound of the estimates of both the median and the 95th percentile.
 	minMedian clock.Micros = 200
 )
 
@@ -39,18 +39,19 @@
 	p95Quantile    = 950
 )
 
-// latencyKey identifies a pool as used by one route: routes differ in how long their requests take.
+// latencyKey identifies a pool as used by one route. Latency is estimated for each route separately, since routes
+// differ in how long their requests take.
 type latencyKey struct{ pool, route string }
 
 // latencyStats estimates the latency of one pool's responses to the requests of one route. Each response moves the
-// estimates by a fraction of their value, so that they need only a few words of memory and no lock.
+// estimates by a fraction of their value, so that an estimate needs only a few words of memory and no lock.
 type latencyStats struct {
 	samples atomic.Int64
 	// median estimates the median without the time in the backend's queue, p95 the 95th percentile of the total time,
 	// including the time in the queue.
 	median, p95 atomic.Int64
-	// crossZonePenalty is by how much the response time of a backend in this node's zone may exceed that of a backend
-	// in another zone before the latter is preferred: traffic between zones is expensive, and a response that meets
+	// crossZonePenalty is the time by which a backend in this node's zone may be slower than a backend in another zone
+	// before the backend in the other zone is preferred: traffic between zones is expensive, and a response that meets
 	// the latency target gains no value by being faster.
 	crossZonePenalty atomic.Int64
 }
--- a/request/dispatch/merge.go
+++ b/request/dispatch/merge.go
@@ -9,7 +9,7 @@
 // recordSize is the size of a record in bytes. A shorter remainder at the end of a body is ignored.
 const recordSize = 16
 
-// record is a record, interpreted as a big-endian number of 128 bits.
+// record is one record of a body, interpreted as a big-endian number of 128 bits.
 type record struct{ hi, lo uint64 }
 
 func (a record) less(b record) bool { return a.hi < b.hi || a.hi == b.hi && a.lo < b.lo }
--- a/request/dispatch/reconfiguration_test.go
+++ b/request/dispatch/reconfiguration_test.go
@@ -11,7 +11,7 @@
 	"wallport/runtime/clock"
 )
 
-// deliverySlack is how long an attempt may be in transit after its node saw a change.
+// deliverySlack is how long after a node has received a change its earlier attempts may still arrive at backends.
 const deliverySlack = 20 * clock.Millisecond
 
 func TestDrainingBackendGetsNoRequests(t *testing.T) {
@@ -33,7 +33,7 @@
 			w.publishSnapshots()
 		}})
 		for _, b := range left {
-			must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
+			must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d: attempts reached a draining backend", seed))
 			must.SliceNotEmpty(t, w.journal.arrivalsAt(b, when-2*second, when), must.Sprint("the backend received requests before it drained"))
 		}
 	}
@@ -53,7 +53,7 @@
 			if b.zone != "z1" {
 				continue
 			}
-			must.SliceEmpty(t, w.journal.arrivalsAt(b, from+300_000+deliverySlack, to), must.Sprintf("seed %d", seed))
+			must.SliceEmpty(t, w.journal.arrivalsAt(b, from+300_000+deliverySlack, to), must.Sprintf("seed %d: attempts reached a backend in the drained zone", seed))
 			after += len(w.journal.arrivalsAt(b, to+300_000, w.now))
 		}
 		must.Positive(t, after, must.Sprint("the restored zone receives requests again"))
@@ -100,8 +100,9 @@
 		})
 		for _, b := range old {
 			if b.pool != "shard3" && b.pool != "spare" {
-				// A request that began before the change sends only its first attempts, immediately, to the old shards.
-				must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d", seed))
+				// A request that began before the change sent its first attempts to the old shards immediately. Its later
+				// attempts are not sent to the old shards.
+				must.SliceEmpty(t, w.journal.arrivalsAt(b, when+300_000+deliverySlack, w.now), must.Sprintf("seed %d: attempts reached a pool that no route uses any more", seed))
 			}
 		}
 		must.SliceNotEmpty(t, w.journal.arrivalsAt(w.backends[len(w.backends)-1], when, w.now))
--- a/request/dispatch/retry.go
+++ b/request/dispatch/retry.go
@@ -9,7 +9,8 @@
 // maxUnsent bounds, for one shard, the number of attempts of which no byte was written.
 const maxUnsent = 4
 
-// staleConnWithin is the time within which an attempt fails if the backend had closed its idle connection.
+// staleConnWithin is the time within which an attempt fails if the backend has already closed the idle connection
+// that it uses.
 const staleConnWithin = 10 * clock.Millisecond
 
 // attemptDone handles the result of an attempt. Its shard then succeeds, is retried or is marked as missing.
--- a/request/dispatch/retrybudget.go
+++ b/request/dispatch/retrybudget.go
@@ -7,19 +7,20 @@
 	"wallport/runtime/random"
 )
 
-// The fractions of the fleet's budget that nodes use. The remainder is a margin, since nodes do not see each other's
+// The fractions of RetryConfig that the nodes use. The remainder is a margin, since nodes do not see each other's
 // retries.
 const (
-	// Each request of the pool adds earnedFraction of Ratio to the budget.
+	// Each request to the pool adds earnedFraction of Ratio to the budget.
 	earnedFraction = 0.9
-	// The nodes together may save burstFraction of Allowance and are refilled with refillFraction of it in each Window.
+	// The budgets of all nodes together hold at most burstFraction of Allowance and are refilled with refillFraction of
+	// Allowance in each Window.
 	burstFraction  = 0.7
 	refillFraction = 0.15
 )
 
-// retryBudget is a node's part of the budget for retries and hedged requests to one pool. Each request of the node
-// adds slightly less than Ratio. Most of the Allowance may be saved, and a small part of it is refilled over time;
-// both are divided by the largest recent size of the fleet. It is safe for concurrent use.
+// retryBudget is a node's part of the budget for retries and hedged requests to one pool. Each request that the node
+// receives for the pool adds slightly less than Ratio. Most of the Allowance may be saved, and a small part of it is
+// refilled over time; both are divided by the largest recent size of the fleet. It is safe for concurrent use.
 type retryBudget struct {
 	retrybudget.Budget
 	config RetryConfig
@@ -45,9 +46,9 @@
 	return b.Limits(now, int64(burstFraction*b.config.Allowance*tokenbucket.One/float64(max(1, nodes))))
 }
 
-// replenish credits the budget for one request of the pool. If the fair share is less than one attempt and a whole
-// attempt is saved, the attempt is removed with a probability of 1 minus the fair share. Otherwise the attempts that
-// the nodes of a very large fleet have saved would together exceed the allowance.
+// replenish credits the budget for one request to the pool. If the fair share is less than one attempt and a whole
+// attempt is saved, the attempt is removed with a probability of 1 minus the fair share. Without this, the attempts
+// that the nodes of a very large fleet have saved would together exceed the allowance.
 func (b *retryBudget) replenish(now clock.Micros, nodes int, rnd *random.Source) {
 	burst, fairShare := b.limits(now, nodes)
 	earned := int64(earnedFraction * b.config.Ratio * tokenbucket.One)
--- a/request/dispatch/rules_test.go
+++ b/request/dispatch/rules_test.go
@@ -13,7 +13,7 @@
 var resultLimits = map[string]int{"search": 20, "quick": 5}
 var minCoverages = map[string]float64{"search": 0.75, "quick": 0.5}
 
-// pools returns, for each version of the routing table, the pools of a kind of request.
+// pools returns, for each version of the routing table, the pools to which it routes a kind of request.
 func (w *simulation) pools(kind string) [][]string {
 	var out [][]string
 	for _, c := range w.tables {
@@ -54,11 +54,11 @@
 	}
 }
 
-// second is clock.Second as an untyped constant, which can be multiplied with fractions.
+// second is clock.Second as an untyped constant, which can be multiplied by fractions.
 const second = 1_000_000
 
-// run simulates clients for the given number of seconds, calls the faults at their times (in seconds) and checks the
-// rules.
+// run simulates clients for the given number of seconds, injects each fault at its time (the key, in seconds) and
+// checks the rules.
 func (w *simulation) run(t *testing.T, seconds int64, faults map[float64]func()) {
 	t.Helper()
 	from := w.now
--- a/request/dispatch/selection.go
+++ b/request/dispatch/selection.go
@@ -8,7 +8,7 @@
 	"wallport/runtime/random"
 )
 
-// standing ranks how far a backend can be relied on, from best to worst.
+// standing says how usable a backend is for an attempt. The values are ordered from best to worst.
 type standing uint8
 
 const (
@@ -17,8 +17,8 @@
 	standingTrial
 	// standingEjected means that the backend is ejected, but may be used if there is no better one.
 	standingEjected
-	// standingRiskyTrial means that the backend is ejected and a trial is due, but the request may be sent only once:
-	// it is used for the trial only if it would otherwise be rejected or wait too long.
+	// standingRiskyTrial means that the backend is ejected and a trial is due, but the request may be sent only once.
+	// Such a request is used for a trial only if it would otherwise be rejected or wait too long.
 	standingRiskyTrial
 	// standingDown means that the backend failed its trials or is unresponsive.
 	standingDown
@@ -27,7 +27,7 @@
 )
 
 const (
-	// successTrustedFor is how long a success of this node's own overrides the fleet's health reports.
+	// successTrustedFor is how long a successful attempt of this node overrides the fleet's health reports.
 	successTrustedFor = 2 * clock.Second
 	// downFailureRate is the share of failures, in thousandths, at which a backend that failed its trial is considered
 	// down.
@@ -63,16 +63,16 @@
 	return standingTrial
 }
 
-// Costs in addition to the work itself.
+// Costs of a backend that are added to the expected time of the work itself; see endpoint.cost.
 const (
-	// idleQueueCost is by how much a request takes longer if all slots are in use but none is waiting, in
-	// thousandths of its work.
+	// idleQueueCost is the additional time that a request takes if all slots are in use but no request is queued, in
+	// thousandths of its work. It applies in proportion to the slots in use.
 	idleQueueCost = 150
 	// failureCostOnce and failureCostRetry are the costs of a failure, in multiples of the median: the whole request
 	// is lost if it may be sent only once, otherwise another attempt is needed.
 	failureCostOnce  = 40
 	failureCostRetry = 6
-	// stallCost multiplies the time for which a backend has stalled.
+	// stallCost multiplies the time for which a backend has been stalled.
 	stallCost = 6
 	// riskyTrialThreshold is the highest cost, in multiples of the median, at which a request that may be sent only
 	// once is still sent to the best other backend instead of being used for a trial.
@@ -110,7 +110,7 @@
 }
 
 // queueTime returns the expected time that a request waits at a backend with the given load (in thousandths of
-// requests) and number of slots, if each request takes work.
+// requests) and number of slots. work is the time that one request takes.
 func queueTime(load, slots int64, work clock.Micros) clock.Micros {
 	full := slots * unit
 	wait := work * idleQueueCost / unit * min(load, full) / full
@@ -127,8 +127,8 @@
 	cost     clock.Micros
 }
 
-// selectEndpoint returns the endpoint with the least expected time until a successful response, leaving out those in
-// tried. Pools are small, so it examines every endpoint. It adds a random part of up to a tenth to each cost so that
+// selectEndpoint returns the endpoint with the least expected time until a successful response. It skips the backends
+// in tried. Pools are small, so it examines every endpoint. It adds a random part of up to a tenth to each cost so that
 // the nodes do not all switch to the same backend. A trial that is due takes precedence: it costs the request little,
 // since another backend can be tried soon after, and only a trial can end the backend's ejection. A request that may
 // be sent only once is used for a trial only if it would otherwise be rejected or wait too long.
@@ -185,7 +185,7 @@
 	return false
 }
 
-// warmingUp reports whether a backend is in slow start, so that requests to it need a token.
+// warmingUp reports whether a backend is in slow start and requests to it need a token.
 func (p *pool) warmingUp(now clock.Micros, b *backend) bool {
 	return p.RampPerS > 0 && now < b.warmingUntil.Load()
 }
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -19,8 +19,8 @@
 // extra reports whether the attempt adds to the requests that the pool receives.
 func (r sendReason) extra() bool { return r == sendRetry || r == sendHedge }
 
-// send starts an attempt at a backend of the shard's pool and reports whether it could. If it could not for want of a
-// usable backend, retry budget or slow-start token, it sets the shard's reason.
+// send starts an attempt at a backend of the shard's pool and reports whether it did. If no backend is usable, or the
+// retry budget or the backend's slow start does not allow the attempt, it sets the shard's reason.
 func (m *StateMachine) send(now clock.Micros, shardIndex int, why sendReason) bool {
 	shard := &m.shards[shardIndex]
 	chosen, reason := m.selectFor(now, shard, why)
@@ -47,12 +47,12 @@
 	return true
 }
 
-// selectFor selects the endpoint of an attempt. If there is none, it returns the reason.
+// selectFor selects the endpoint of an attempt. If no endpoint is usable, it returns the reason.
 func (m *StateMachine) selectFor(now clock.Micros, shard *shardRequest, why sendReason) (chosen selection, reason string) {
 	snap := m.view.snapshot
 	chosen = selectEndpoint(shard.pool, snap, shard.latency, shard.tried, m.atMostOnce(), now, &m.random)
 	if chosen.endpoint == nil && shard.staleConn && why != sendHedge {
-		// Only an idle connection was closed, which says nothing about the backend: it may be used again.
+		// The backend only closed an idle connection, which says nothing about its health: it may be tried again.
 		chosen = selectEndpoint(shard.pool, snap, shard.latency, nil, m.atMostOnce(), now, &m.random)
 	}
 	switch {
--- a/request/dispatch/sim_backend_test.go
+++ b/request/dispatch/sim_backend_test.go
@@ -18,7 +18,8 @@
 	queued            []*exchange
 	paused            bool
 	deferred          []func()
-	// workFactor multiplies the work. Each rate is the share of requests that fail in that way.
+	// workFactor multiplies the time that a request takes. Each rate is the share of requests that fail in the way that
+	// its name says.
 	workFactor                       float64
 	errorRate, invalidRate, lossRate float64
 	unresponsive, down               bool
@@ -26,7 +27,7 @@
 	warmUntil                        clock.Micros
 }
 
-// exchange is one attempt as a backend sees it.
+// exchange is an attempt on the side of the backend.
 type exchange struct {
 	backend  *simBackend
 	node     *simNode
@@ -68,14 +69,14 @@
 	a := w.journal.recordArrival(w.now, x)
 	switch {
 	case b.unresponsive:
-		a.ran = true // it has to be assumed to have run
+		a.ran = true // the node must assume that the request has run
 		return
 	case b.running >= b.slots && len(b.queued) >= b.queueLimit:
 		x.respond(Result{Class: ClassRejected, Status: 503, Load: b.load(), Reason: "full"})
 		return
 	case w.rnd.Float64() < b.errorRate:
 		a.ran = true
-		// The backend's own failure: the request ran, whatever the status suggests.
+		// The backend itself fails: the request ran, even if a status such as 503 suggests that it did not.
 		status := []int{500, 500, 503, 429, 504}[w.rnd.IntN(5)]
 		x.respond(Result{Class: ClassResponse, Status: status, Seal: w.journal.newSeal(x, false), Load: b.load()})
 		return
@@ -139,7 +140,8 @@
 	x.respond(Result{Class: ClassResponse, Status: 200, Seal: seal, Body: body, Load: b.load()})
 }
 
-// send delivers an attempt to its backend and the result to replied. It returns a function that cancels the attempt.
+// send delivers an attempt to its backend and calls replied with the result. It returns a function that cancels the
+// attempt.
 func (n *simNode) send(a Send, replied func(Result)) (cancel func()) {
 	w := n.simulation
 	b := w.byID[a.Backend.ID]
@@ -169,7 +171,7 @@
 		}
 		b.arrive(x)
 	})
-	// A driver may report the timeout slightly later than the state machine's own timer fires.
+	// Report the timeout slightly late, since a driver may report it only after the state machine's own timer has fired.
 	w.after(a.Timeout+int64(w.rnd.IntN(4_000)), func() {
 		if !over {
 			over, x.canceled = true, true
--- a/request/dispatch/sim_client_test.go
+++ b/request/dispatch/sim_client_test.go
@@ -9,8 +9,8 @@
 	"wallport/runtime/clock"
 )
 
-// requestKind is a kind of request. value is the value of a response within the latency target, lateValue the share
-// of it that a later response has.
+// requestKind is a kind of request. value is the value of a response that meets the latency target; a later response
+// has the share lateValue of that value.
 type requestKind struct {
 	name             string
 	target, deadline clock.Micros
@@ -47,8 +47,8 @@
 	})
 }
 
-// clientAttempt sends one attempt of a client request that began at began and may be followed by more attempts.
-// rejectedEarly says that the previous attempt was rejected early.
+// clientAttempt sends one attempt of the client request that started at began. If the attempt fails, up to more further
+// attempts follow. rejectedEarly says that the previous attempt was rejected early.
 func (w *simulation) clientAttempt(k *requestKind, began clock.Micros, rejectedEarly bool, more int) {
 	w.lastID++
 	id := fmt.Sprintf("%s-%d", k.name, w.lastID)
@@ -99,7 +99,8 @@
 	return float64(len(o.Seals)) / float64(len(o.Seals)+o.Missing)
 }
 
-// drive carries out a state machine's actions until it has finished or the node has stopped or restarted.
+// drive runs the state machine of a request and carries out its actions until the node stops or restarts. It calls
+// ended with the outcome.
 func (n *simNode) drive(r Request, ended func(Outcome)) {
 	m, w, dispatcher := NewStateMachine(n.dispatcher, r, n.simulation.now), n.simulation, n.dispatcher
 	cancels := map[int]func(){}
@@ -176,5 +177,5 @@
 			extra[a.pool]++
 		}
 	}
-	return fmt.Sprintf("%sall: %.4f; arrivals %d, extra %v\n", out, earned/max(1, possible), len(j.arrivals), extra)
+	return fmt.Sprintf("%sall: earned %.4f; arrivals %d, repeated by pool %v\n", out, earned/max(1, possible), len(j.arrivals), extra)
 }
--- a/request/dispatch/slow_start.go
+++ b/request/dispatch/slow_start.go
@@ -15,9 +15,10 @@
 	tokenLifetime = 150 * clock.Millisecond
 )
 
-// slowStart limits the requests that this node sends to a backend in slow start, such that all nodes together keep
-// within a rate. The node receives one whole token at a time, at times of its own, and each token expires soon: if
-// tokens could be saved, many nodes might spend theirs within the same second. It is safe for concurrent use.
+// slowStart limits the requests that this node sends to a backend in slow start, so that all nodes together stay
+// within a rate. Each node receives one whole token at a time, with a random phase, and a token expires after
+// tokenLifetime: if tokens could be saved, many nodes might spend theirs within the same second. It is safe for
+// concurrent use.
 type slowStart struct {
 	// nextToken is when the next token becomes available; 0 before the first use.
 	nextToken atomic.Int64
--- a/request/dispatch/state_machine.go
+++ b/request/dispatch/state_machine.go
@@ -38,12 +38,12 @@
 	plan  *routePlan
 
 	startedAt clock.Micros
-	// targetAt is until when a response has its full value, deadline until when the outcome must be returned.
+	// A response has its full value until targetAt. The outcome must be returned by deadline.
 	targetAt, deadline clock.Micros
 	// timerAt is the time that the last timer was set to, 0 before the first.
 	timerAt clock.Micros
 
-	// shards holds one element, or one for each pool of a route that fans out.
+	// shards holds one element for each pool of a route that fans out, and a single element for other routes.
 	shards []shardRequest
 	// attempts holds all attempts by number.
 	attempts []attempt
@@ -61,7 +61,7 @@
 type shardRequest struct {
 	pool    *pool
 	latency *latencyStats
-	// tried holds the backends of its attempts.
+	// tried holds the backends that the attempts were sent to.
 	tried    []*backend
 	triedBuf [3]*backend
 
@@ -73,7 +73,8 @@
 
 	// The flags are adjacent so that they share one word.
 
-	// succeeded is set once a successful response was received, missing once none is possible any more.
+	// succeeded is set once a successful response has been received, missing once no such response is possible any
+	// more.
 	succeeded, missing bool
 	// staleConn is set if an attempt failed in the way that is typical of a closed idle connection.
 	staleConn bool
@@ -83,12 +84,12 @@
 	bestStanding standing
 	overloaded   bool
 
-	// inFlight counts the attempts in flight, sent those that count against max_backends, unsent those of which no
-	// byte was written.
+	// inFlight counts the attempts in flight, sent the attempts that count against max_backends, and unsent the
+	// attempts of which no byte was written.
 	inFlight, sent, unsent int
 	// hedgeAt is when a hedged request is due.
 	hedgeAt clock.Micros
-	// reason says why the last attempt failed or why none could be started.
+	// reason says why the last attempt failed or why no attempt could be started.
 	reason string
 }
 
@@ -101,7 +102,7 @@
 	// load is the backend's estimated load when the attempt began, in thousandths of requests.
 	load     int64
 	inFlight bool
-	// abandoned is set once its response is no longer needed.
+	// abandoned is set once the response is no longer needed, if the attempt was not cancelled.
 	abandoned bool
 }
 
@@ -206,8 +207,8 @@
 // nodes returns the number of nodes by which budgets and rates are divided.
 func (m *StateMachine) nodes() int { return m.view.snapshot.Divisor }
 
-// timerFired starts a request that waits for a fresh snapshot. Otherwise it sends the hedged requests that are due and
-// resolves the request if its deadline has passed.
+// timerFired starts the request if it has been waiting for a fresh snapshot. Otherwise it sends the hedged requests
+// that are due and finishes the request if its outcome is known, for example because its deadline has passed.
 func (m *StateMachine) timerFired(now clock.Micros) {
 	if m.state == StateRead {
 		m.begin(now)
@@ -227,8 +228,8 @@
 	m.scheduleTimer(now)
 }
 
-// clientGone ends a request whose client closed its connection. Attempts are cancelled, except those of a request that
-// must not run twice, which are abandoned.
+// clientGone ends a request whose client closed its connection. It cancels the attempts in flight, or abandons them if
+// the request must not run twice.
 func (m *StateMachine) clientGone(now clock.Micros) {
 	for n := range m.attempts {
 		if attempt := &m.attempts[n]; attempt.wanted() {
--- a/request/dispatch/state_machine_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -168,11 +168,11 @@
 	m := f.stateMachine("once")
 	first := sends(m.Step(startTime, Begin{}))
 	second := sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassNotSent}}))
-	must.Len(t, 1, second, must.Sprint("no byte was written"))
+	must.Len(t, 1, second, must.Sprint("a request of which no byte was written is sent again"))
 	must.NotEq(t, first[0].Backend.ID, second[0].Backend.ID)
 	must.Eq(t, 0, f.count.retries.Load())
 	o := outcomeOf(m.Step(startTime+2000, AttemptDone{N: 1, Result: Result{Class: ClassRejected, Status: 503}}))
-	must.Eq(t, 503, o.Status, must.Sprint("the route allows one backend"))
+	must.Eq(t, 503, o.Status, must.Sprint("the request is not sent again, since the route allows only one backend"))
 	must.Positive(t, o.RetryAfter)
 
 	m = f.stateMachine("once2")
@@ -199,7 +199,7 @@
 	m := f.stateMachine("read")
 	m.Step(startTime, Begin{})
 	o := outcomeOf(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassResponse, Status: 500, Seal: "s", Body: []byte("why")}}))
-	must.NotNil(t, o, must.Sprint("the retry budget is used up"))
+	must.NotNil(t, o, must.Sprint("the request ends without a retry, since the retry budget is used up"))
 	must.Eq(t, 500, o.Status, must.Sprint("the backend's own response is passed on"))
 	must.Eq(t, CodePassedThrough, o.Code)
 	must.Eq(t, "why", string(o.Response.Body))
@@ -207,7 +207,7 @@
 	m = f.stateMachine("read")
 	m.Step(startTime, Begin{})
 	must.Len(t, 1, sends(m.Step(startTime+1000, AttemptDone{N: 0, Result: Result{Class: ClassFailed}})))
-	must.Eq(t, 502, outcomeOf(m.Step(startTime+2000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})).Status, must.Sprint("the route allows two backends"))
+	must.Eq(t, 502, outcomeOf(m.Step(startTime+2000, AttemptDone{N: 1, Result: Result{Class: ClassFailed}})).Status, must.Sprint("the request is not sent a third time, since the route allows only two backends"))
 }
 
 func TestHedgeTakesFirstSuccessAndAbandonsOther(t *testing.T) {
--- a/request/dispatch/trace.go
+++ b/request/dispatch/trace.go
@@ -26,7 +26,7 @@
 	// Cost is the expected time until a successful response at the time of selection.
 	Cost   clock.Micros `json:"cost_us"`
 	Reason string       `json:"why"`
-	// Result is the class of its result and the reason; empty if it was still in flight.
+	// Result is the class of the attempt's result and the reason; empty if the attempt was still in flight.
 	Result string `json:"reply,omitempty"`
 	// WrittenAt is when the first byte of the request was written to the backend; 0 if none was.
 	WrittenAt clock.Micros `json:"written_us,omitempty"`
@@ -58,8 +58,8 @@
 // lack shards.
 func (t *Trace) Failed() bool { return t.Code != CodeOK }
 
-// AttemptSummary returns the request's attempts in one line: for each its reason and backend, when it was started and
-// written, and its result.
+// AttemptSummary returns the request's attempts in one line: for each attempt the reason, the backend, the times of its
+// start and of the first byte written, and the result.
 func (t *Trace) AttemptSummary() string {
 	var b strings.Builder
 	for i := range t.Attempts {
--- a/request/dispatch/view.go
+++ b/request/dispatch/view.go
@@ -16,7 +16,7 @@
 	plans    sync.Map // *routing.Route -> *routePlan
 }
 
-// pool is a pool with its eligible backends, which are neither draining nor in a drained zone.
+// pool is a pool of the routing table with its eligible backends, which are neither draining nor in a drained zone.
 type pool struct {
 	*snapshot.Pool
 	name        string
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -15,7 +15,7 @@
 	"wallport/runtime/wire"
 )
 
-// event is a scheduled function; seq orders events of the same time.
+// event is a scheduled function; seq orders events that are scheduled for the same time.
 type event struct {
 	at  clock.Micros
 	seq int
@@ -87,11 +87,11 @@
 	snap       *snapshot.Snapshot
 	table      *routing.Table
 	down       bool
-	// propagationDelay is the delay after which the node sees a change.
+	// propagationDelay is the delay after which the node receives a change.
 	propagationDelay clock.Micros
 }
 
-// after schedules a function.
+// after schedules do to run after the delay.
 func (w *simulation) after(delay clock.Micros, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: w.now + delay, seq: w.seq, do: do})
@@ -168,7 +168,7 @@
 	return b
 }
 
-// publishSnapshots makes every node see the current state of the simulation after its own delay.
+// publishSnapshots schedules a refresh of every node's snapshot after the node's propagation delay.
 func (w *simulation) publishSnapshots() {
 	for _, n := range w.nodes {
 		w.after(n.propagationDelay, n.refreshSnapshot)
