--- a/request/snapshot/config.go
+++ b/request/snapshot/config.go
@@ -18,7 +18,7 @@
 	configuration *configpb.Sheet
 }
 
-// loadConfig sets the snapshot's configuration to the current version, which it decodes only once.
+// loadConfig sets the snapshot's configuration to the current version. It decodes each version only once.
 func (table *Table) loadConfig(ctx *kernel.Context, snap *Snapshot) {
 	v, ok := table.mesh.Partition(state.ConfigPartition)
 	if !ok {
@@ -44,7 +44,7 @@
 }
 
 // complete reports whether requests may be served, that is, whether all state is present and confirmed. Once it has
-// returned true it continues to do so: losses after that are handled for each backend by its health.
+// returned true, it always does: if state is lost later, only the health of the affected backends changes.
 func (table *Table) complete(ctx *kernel.Context, snap *Snapshot) bool {
 	if was := table.current.Load(); was != nil && was.Complete {
 		return true
@@ -70,9 +70,9 @@
 	return anyShardMap
 }
 
-// awaitConfirmed builds a snapshot once the configuration counts as confirmed, which after
-// [configsync.UnconfirmedTimeout] includes state that no majority has confirmed. Until then it checks again after
-// awaitInterval.
+// awaitConfirmed builds a snapshot once the configuration counts as confirmed. After
+// [configsync.UnconfirmedTimeout], that includes state that no majority has confirmed. Until then it checks
+// again after awaitInterval.
 func (table *Table) awaitConfirmed(ctx *kernel.Context) {
 	switch {
 	case table.current.Load().Complete:
--- a/request/snapshot/gauge.go
+++ b/request/snapshot/gauge.go
@@ -24,8 +24,8 @@
 	// valid one.
 	Failures         atomic.Int64
 	CorruptResponses atomic.Int64
-	// EjectedUntil is until when package search avoids the backend; 0 if it is not ejected. The node
-	// checks the health of the backends that it has ejected.
+	// EjectedUntil is the time until which package search avoids the backend; 0 if it is not ejected. The
+	// node checks the health of the backends that it has ejected.
 	EjectedUntil atomic.Int64
 	// Incarnation is the newest incarnation that the backend reported, 0 before its first report.
 	Incarnation atomic.Int64
@@ -34,12 +34,12 @@
 	SlowStartUntil atomic.Int64
 }
 
-// Constants of ejection.
+// Threshold and durations of ejections, and the smoothing of the latency.
 const (
 	// EjectThreshold is the number of consecutive failures that eject a backend.
 	EjectThreshold = 3
-	// The ejection lasts EjectTime for each consecutive failure, of which at most maxEjectFactor count. A
-	// corrupt response ejects for corruptEjectFactor times EjectTime.
+	// An ejection lasts EjectTime times the number of consecutive failures, of which at most
+	// maxEjectFactor count. A corrupt response ejects the backend for corruptEjectFactor times EjectTime.
 	EjectTime          = 500 * clock.Millisecond
 	maxEjectFactor     = 10
 	corruptEjectFactor = 4
--- a/request/snapshot/health.go
+++ b/request/snapshot/health.go
@@ -32,7 +32,8 @@
 	return counts
 }
 
-// add counts a report. It ignores reports on earlier incarnations, since they do not apply to the newest one.
+// add counts a report. It ignores reports on earlier incarnations, since they do not apply to the newest
+// incarnation. Reports with the unknown incarnation 0 are counted.
 func (c *reportCounts) add(report healthReport, local bool) {
 	if report.Incarnation > c.incarnation {
 		*c = reportCounts{incarnation: report.Incarnation, uptime: report.Uptime}
@@ -54,8 +55,8 @@
 }
 
 // healthState merges the reports. A backend is unhealthy for the fleet if at least two nodes and half of
-// all reporting nodes agree. A report by this node that too few others share makes the backend suspect,
-// for this node only.
+// all reporting nodes agree. If this node reports the backend as unreachable or corrupt but too few others
+// agree, the backend is suspect, for this node only.
 func (c *reportCounts) healthState() HealthState {
 	agreed := func(n int) bool { return n >= 2 && 2*n >= c.total }
 	switch {
--- a/request/snapshot/healthreports.go
+++ b/request/snapshot/healthreports.go
@@ -29,7 +29,8 @@
 // healthReports holds the decoded reports on each backend, by backend id and sorted by origin.
 type healthReports map[string][]healthReport
 
-// apply stores a report in place of an earlier one of its origin, which it drops if the entry is a tombstone.
+// apply replaces the earlier report of the entry's origin on the backend. If the entry is a tombstone or cannot
+// be decoded, it only removes the earlier report.
 func (all healthReports) apply(v mesh.Stored) {
 	backend := v.Entry.ID
 	of := all[backend]
@@ -50,8 +51,8 @@
 	all[backend] = of
 }
 
-// CountAgreeing returns the number of other live nodes that report the same state of a backend, for the
-// same or a newer incarnation.
+// CountAgreeing returns the number of other live nodes that report the same state of a backend as report, for
+// the same or a newer incarnation.
 func (table *Table) CountAgreeing(backend string, report wire.HealthReport, now clock.Micros) (n int) {
 	for _, other := range table.healthReports[backend] {
 		if other.State == report.State && other.Incarnation >= report.Incarnation && other.origin != table.mesh.Self() && table.mesh.Live(other.origin, now) {
--- a/request/snapshot/index.go
+++ b/request/snapshot/index.go
@@ -8,7 +8,7 @@
 	"wallport/runtime/wire"
 )
 
-// buildIndex builds the index of a service of the configuration.
+// buildIndex builds the index that a service of the configuration describes.
 func (table *Table) buildIndex(snap *Snapshot, service *configpb.Service) *Index {
 	index := &Index{Name: service.Index, Service: service, Capacity: float64(service.Capacity)}
 	if v, ok := table.mesh.Partition(state.PartitionOf(service.Index)); ok {
@@ -50,9 +50,9 @@
 	return byKind
 }
 
-// servable returns the shard map to serve from: normally the live one. As long as this node knows of no
-// usable backend for some shard of the live map, but of one for each shard of the map served before, it
-// returns the latter, since a new shard map may arrive before the matching platform's list.
+// servable returns the shard map to serve from, normally the live shard map. It returns the map served before
+// as long as this node knows a usable backend for each shard of that map but not for each shard of the live
+// map, since a new shard map may arrive before the platform's list with its backends.
 func (table *Table) servable(all []*Backend, index string, live wire.ShardMap) wire.ShardMap {
 	was := table.servedShardMaps[index]
 	if was.Name == live.Name || was.Name == "" || servesAll(all, index, live) || !servesAll(all, index, was) {
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -7,8 +7,8 @@
 	"wallport/control/routing"
 )
 
-// buildPools sets the snapshot's routing table, which is compiled once for each version, and the pools
-// of that table.
+// buildPools sets the snapshot's routing table and the pools of that table. The routing table is compiled only
+// once for each version.
 func (table *Table) buildPools(snap *Snapshot) {
 	if len(snap.Config.Routing) == 0 {
 		return
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -52,7 +52,7 @@
 	return &wire.PullReply{Versions: []wire.Versioned{v}, ContactMask: f.contact, RelayedMask: f.relayed}
 }
 
-// node is one node's process. The test simulates the cores, by address, and the platform.
+// node is one node's process. The test simulates the platform and the cores, which cores holds by address.
 type node struct {
 	t      *testing.T
 	kernel *kernel.Kernel
@@ -153,12 +153,13 @@
 		must.Less(t, second, n.readyWithin(2*second))
 		must.Eq(t, 9, n.table.Current().Routing.Revision)
 		n.run(10 * second)
-		must.Less(t, 10, old.requested, must.Sprint("a core without contact is seldom pulled from"))
+		must.Less(t, 10, old.requested, must.Sprint("the node seldom pulls from a core that is not in contact with a majority"))
 	}
 }
 
 // TestStartedNodePullsFromOneCoreAfterAnother checks that a started node finds the only one of three cores
-// that is in contact with a majority. Followers that are partitioned together with a former leader are not.
+// that is in contact with a majority. A former leader and followers that are partitioned together with it have
+// no such contact.
 func TestStartedNodePullsFromOneCoreAfterAnother(t *testing.T) {
 	for _, inContact := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		cores := map[string]*fakeCore{}
@@ -181,9 +182,10 @@
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
-// TestNodeServesUnconfirmedAfterDelayWithoutContact checks a node that reaches only a core without contact,
-// because a majority of the disks is lost or that core is partitioned. The node serves the unconfirmed
-// state, but only after UnconfirmedTimeout, during which it looks for a core in contact.
+// TestNodeServesUnconfirmedAfterDelayWithoutContact checks a node that reaches only one core, which is not in
+// contact with a majority because a majority of the disks is lost or that core is partitioned. The node serves
+// the unconfirmed state, but only after UnconfirmedTimeout. Until then it looks for a core in contact with a
+// majority.
 func TestNodeServesUnconfirmedAfterDelayWithoutContact(t *testing.T) {
 	old := &fakeCore{term: 3, revision: 7}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": old, "10.0.0.2:1": {unresponsive: true}, "10.0.0.3:1": {unresponsive: true}})
@@ -192,11 +194,11 @@
 	must.Eq(t, 1, n.kernel.Counts.Of("table_unconfirmed").Load())
 	before := old.requested
 	n.run(10 * second)
-	must.Between(t, 5, old.requested-before, 60, must.Sprint("the core is pulled from no more often than usual"))
+	must.Between(t, 5, old.requested-before, 60, must.Sprint("the node pulls from the core no more often than usual"))
 }
 
 // TestUnconfirmedStateIsNotServedWhileCoreHasContact checks that unconfirmed state is not served if a core
-// in contact becomes reachable before UnconfirmedTimeout.
+// in contact with a majority becomes reachable before UnconfirmedTimeout.
 func TestUnconfirmedStateIsNotServedWhileCoreHasContact(t *testing.T) {
 	inContact := &fakeCore{term: 4, revision: 9, contact: 1, unresponsive: true}
 	cores := map[string]*fakeCore{"10.0.0.1:1": {term: 3, revision: 7}, "10.0.0.2:1": inContact, "10.0.0.3:1": {unresponsive: true}}
@@ -208,8 +210,9 @@
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
-// TestRelayedContactConfirmsAndRunningNodeKeepsServing checks that a confirmation that a core relays for
-// another one suffices, and that a serving process continues after all cores have lost contact.
+// TestRelayedContactConfirmsAndRunningNodeKeepsServing checks that a confirmation that one core relays
+// for another core suffices, and that a serving process continues to serve after all cores have lost contact
+// with a majority.
 func TestRelayedContactConfirmsAndRunningNodeKeepsServing(t *testing.T) {
 	core := &fakeCore{term: 3, revision: 7, relayed: 1}
 	n := startNode(t, map[string]*fakeCore{"10.0.0.1:1": core, "10.0.0.2:1": core, "10.0.0.3:1": core})
@@ -217,7 +220,7 @@
 	core.relayed = 0
 	n.run(30 * second)
 	must.True(t, n.table.Current().Ready())
-	// Any newer version has been committed by a majority, whichever core it comes from.
+	// The node accepts a newer version from any core, since a majority has committed it.
 	core.term, core.revision = 5, 8
 	n.run(5 * second)
 	must.Eq(t, 8, n.table.Current().Routing.Revision)
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -15,8 +15,8 @@
 // idempotency keys.
 const RosterTTL = 6 * clock.Second
 
-// MaxKeyOwners bounds the number of nodes that may own idempotency keys, since each of them queries every
-// other one when the set changes.
+// MaxKeyOwners bounds the number of nodes that may own idempotency keys, since each of these nodes queries
+// all others when the set changes.
 const MaxKeyOwners = 33
 
 // keyOwners selects up to MaxKeyOwners key owners from the roster: round-robin over the zones, and within a
@@ -68,7 +68,8 @@
 			return
 		}
 		n := Node{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Origin: origin, Live: live}
-		// Members are sorted by name. If several have the same name, a live one replaces one that is not.
+		// Members are sorted by name. If several have the same name, a live member replaces one that is not
+		// live.
 		last := len(out) - 1
 		switch {
 		case last < 0 || out[last].Name != n.Name:
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -50,8 +50,8 @@
 	CloseAfterUse bool
 }
 
-// SlowStartShare returns the share of its full traffic, in thousandths, that the backend receives if its
-// slow start lasts for slowStart.
+// SlowStartShare returns the share of its full traffic, in thousandths, that the backend receives at the time
+// now if its slow start lasts for slowStart.
 func (s *Backend) SlowStartShare(now, slowStart clock.Micros) int64 {
 	if slowStart <= 0 || s.Incarnation == 0 {
 		return fullShare
@@ -98,7 +98,7 @@
 	Backends []*Backend
 }
 
-// Node is a node of the fleet that may own idempotency keys.
+// Node is a node of the fleet, as listed in a snapshot's Roster.
 type Node struct {
 	Name, Zone, Addr, Origin string
 	Live                     bool
@@ -106,7 +106,7 @@
 
 // Snapshot is the state of the fleet as seen by this node. It is not modified once it has been published.
 type Snapshot struct {
-	// At is when it was built.
+	// At is when the snapshot was built.
 	At clock.Micros
 	// Version is the configuration's version, Config its body and Configuration the decoded document.
 	Version       wire.Version
@@ -114,7 +114,7 @@
 	Configuration *configpb.Sheet
 	Indexes       map[string]*Index
 	// Roster holds all nodes, including those that stopped being live within the last RosterTTL.
-	// KeyOwners holds those that may own idempotency keys.
+	// KeyOwners holds the nodes that may own idempotency keys.
 	Roster    []Node
 	KeyOwners []Node
 	// Divisor is the number of nodes by which limits of the fleet are divided. It is the greatest recent
--- a/request/snapshot/subset.go
+++ b/request/snapshot/subset.go
@@ -10,7 +10,8 @@
 // idle.
 const maxIdleMille = 600
 
-// exceedsIdleLimit reports whether one idle connection from each node would exceed a backend's limit.
+// exceedsIdleLimit reports whether one idle connection from each node would exceed the share of a backend's
+// connections that may be idle.
 func exceedsIdleLimit(connections int64, nodes int) bool {
 	return connections > 0 && int64(nodes)*1000 > connections*maxIdleMille
 }
--- a/request/snapshot/subset_test.go
+++ b/request/snapshot/subset_test.go
@@ -52,7 +52,7 @@
 		nodes, fewest int
 	}{
 		{"more nodes than connections", 8, 26, 88, 1},
-		{"too few connections for idle ones", 4, 24, 88, 0},
+		{"too few connections to keep any idle", 4, 24, 88, 0},
 		{"connections for all nodes", 8, 330, 72, 8},
 		{"a small fleet", 4, 69, 11, 4},
 		{"a small fleet with many connections", 4, 110, 11, 4},
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -14,13 +14,13 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of building.
+// Delays, intervals and retention times for building snapshots.
 const (
 	// Changes other than new versions of partitions and new lists are batched: a build waits BuildDelay
 	// for further changes, and two such builds are at least BuildInterval apart.
 	BuildDelay    = 25 * clock.Millisecond
 	BuildInterval = 100 * clock.Millisecond
-	// AbsentTTL is how long a backend is kept that is missing from incomplete lists.
+	// AbsentTTL is how long a backend that is missing from incomplete lists is kept.
 	AbsentTTL = 60 * clock.Second
 	// awaitInterval is the interval at which a process without confirmed state checks for it.
 	awaitInterval = 250 * clock.Millisecond
@@ -68,8 +68,9 @@
 	servedShardMaps map[string]wire.ShardMap
 }
 
-// staleness tracks whether a thawed process has received the changes that it missed: until is when it stops
-// waiting for them, mesh and pulled say whether it has caught up with the mesh and pulled from a core.
+// staleness tracks whether a thawed process has received the changes that it missed. until is when it stops
+// waiting for them. mesh says that it has caught up with the mesh, pulled that it has pulled from a core in
+// contact with a majority.
 type staleness struct {
 	until  clock.Micros
 	mesh   bool
@@ -150,8 +151,8 @@
 	}
 }
 
-// scheduleBuild schedules a build, unless one is already scheduled, so that one build covers all changes
-// until then.
+// scheduleBuild schedules a build unless a build is already scheduled. That build covers all changes up to the
+// time at which it runs.
 func (table *Table) scheduleBuild(ctx *kernel.Context) {
 	if !table.buildScheduled {
 		table.buildScheduled = true
@@ -159,8 +160,8 @@
 	}
 }
 
-// updateStaleness applies f, which records that a thawed process has caught up with one source, and builds
-// a snapshot if it has now caught up with all.
+// updateStaleness calls f, which records that a thawed process has caught up with one source of changes. If the
+// process has now caught up with all sources, it builds a snapshot.
 func (table *Table) updateStaleness(ctx *kernel.Context, f func(s *staleness)) {
 	if !table.staleness.active(ctx.Now) {
 		return
@@ -183,8 +184,8 @@
 	}
 }
 
-// applyBackendList applies an announced platform's list unless a newer one is known. A list is newer if it
-// has a higher lease id or, among lists of the same origin, if its entry has a higher count.
+// applyBackendList applies an announced version of the platform's list unless a newer list is known. A list is
+// newer if it has a higher lease id or, among lists of the same origin, if its entry has a higher count.
 func (table *Table) applyBackendList(ctx *kernel.Context, v mesh.Stored) {
 	var list wire.BackendList
 	if wire.Decode(v.Entry.Body, &list) != nil || list.LeaseID < table.backendList.LeaseID {
@@ -259,7 +260,7 @@
 type Built struct{}
 
 // reannounceBackendList announces the current list again if the node that had announced it was forgotten,
-// so that nodes that start later receive it. Only the first live node by name does so.
+// so that nodes that start later receive it. Only the first live node by name announces it.
 func (table *Table) reannounceBackendList(ctx *kernel.Context, forgotten string) {
 	live := table.members.Live(ctx.Now, settings.RoleNode)
 	if forgotten == table.backendListOrigin && len(live) > 0 && live[0].Origin == table.mesh.Self() {
