--- a/request/discovery/change.go
+++ b/request/discovery/change.go
@@ -9,8 +9,8 @@
 	"wallport/runtime/wire"
 )
 
-// changed reports whether a list differs from the last announced one. The decrease of a slow start's
-// remaining time is not a difference.
+// changed reports whether a list differs from the list that was announced last. That the remaining time of a
+// slow start has decreased does not count as a difference.
 func (p *Lister) changed(now clock.Micros, l *wire.BackendList) bool {
 	slices.SortFunc(l.Backends, func(a, b wire.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	announced, changed := p.slowStartUntil, false
--- a/request/discovery/discovery.go
+++ b/request/discovery/discovery.go
@@ -18,12 +18,12 @@
 // entries that the reader announces.
 const LeaseTask = "platform-list"
 
-// Constants of reading the list.
+// Intervals, timeouts and bounds for reading the list.
 const (
 	// RenewInterval is the time between two renewals of the lease.
 	RenewInterval = 200 * clock.Millisecond
 	// StaleAfter is the time without an announced reading after which nodes read the list without the
-	// lease. Each rank waits RankStep longer than the previous one.
+	// lease. The node of each rank waits RankStep longer than the node of the previous rank.
 	StaleAfter = 1500 * clock.Millisecond
 	RankStep   = 200 * clock.Millisecond
 	// FetchTimeout is the timeout of a call to the platform's API.
@@ -31,12 +31,12 @@
 	// MaxRequestGap bounds, in units of RenewInterval, the mean time between two lease requests of a node
 	// that does not hold the lease.
 	MaxRequestGap = 20
-	// ReleaseBackoff is how long a node that has released the lease because it could not reach the platform
-	// does not request it again.
+	// ReleaseBackoff is the time for which a node does not request the lease after it has released the lease
+	// because it could not reach the platform.
 	ReleaseBackoff = 5 * clock.Second
 	// AnnounceInterval is the interval at which the complete list is announced even if it has not changed.
 	AnnounceInterval = 10 * clock.Second
-	// SlowStartTolerance is by how much the end of a backend's slow start may shift before it counts as a
+	// SlowStartTolerance is the time by which the end of a backend's slow start must shift to count as a
 	// change of the list.
 	SlowStartTolerance = 1 * clock.Second
 	// maxSlowdown bounds the backoff factor of a node that reads without the lease.
@@ -60,19 +60,20 @@
 	// leaseUntil is when this node's lease expires; leaseID is the id of the last lease granted to it.
 	leaseUntil clock.Micros
 	leaseID    uint64
-	// newestLeaseID is the highest known lease id. A list that is read without a lease carries it, so that
-	// other nodes do not discard the list as older than the one they know.
+	// newestLeaseID is the highest known lease id. A list that is read without a lease carries this id, so
+	// that other nodes do not discard the list as older than the list that they know.
 	newestLeaseID uint64
-	// requestedAt is when each lease request was sent for which a reply is still accepted, by request id.
+	// requestedAt holds, by request id, when each lease request was sent. It contains only the requests whose
+	// reply is still accepted.
 	requestedAt   map[uint64]clock.Micros
 	lastRequestID uint64
 	nextRequestAt clock.Micros
-	// noRequestUntil is until when this node does not request the lease.
+	// noRequestUntil is the time until which this node does not request the lease.
 	noRequestUntil clock.Micros
 
 	readAt  clock.Micros
 	reading bool
-	// lastReadingAt is when the last reading, of any node, was announced.
+	// lastReadingAt is when the last reading by any node was announced.
 	lastReadingAt clock.Micros
 	// soleReader says that the last announced reading was this node's own.
 	soleReader bool
@@ -199,9 +200,9 @@
 }
 
 // readsWithoutLease reports whether this node may read the list without the lease: because the last reading
-// was its own, or because none has been announced for StaleAfter plus RankStep for each live node of a lower
-// rank. Nodes rank by origin, which is random for each process, so that the nodes of one zone do not have
-// adjacent ranks.
+// was its own, or because no reading has been announced for StaleAfter plus RankStep for each live node of a
+// lower rank. Nodes rank by origin, which is random for each process, so that the nodes of one zone do not
+// have adjacent ranks.
 func (p *Lister) readsWithoutLease(ctx *kernel.Context) bool {
 	if p.soleReader {
 		// No other node reads: continue until another node announces a reading.
@@ -239,8 +240,8 @@
 	p.mesh.Announce(ctx, mesh.EntryBackendList, LeaseTask, wire.Encode(&list), false)
 }
 
-// handleFailure handles a reading that failed or returned no backend. The attempt is announced even so, to
-// keep the other nodes from all repeating it.
+// handleFailure handles a reading that failed or returned no backend. It announces the attempt nevertheless,
+// since otherwise all other nodes would consider the list stale and read it too.
 func (p *Lister) handleFailure(ctx *kernel.Context, v kernel.Fetched) {
 	ctx.Counts.Add("platform_failed", 1)
 	if v.Status == http.StatusTooManyRequests {
--- a/request/discovery/discovery_test.go
+++ b/request/discovery/discovery_test.go
@@ -27,7 +27,7 @@
 	timers        []kernel.Timer
 	fetches       []int64
 	leaseRequests []wire.LeaseRequest
-	// status and list are the platform's response. If grants is set, lease requests are granted.
+	// status and list are the platform's response. If grants is set, the simulated leader grants lease requests.
 	status int
 	list   wire.BackendList
 	grants bool
@@ -148,7 +148,7 @@
 		{second, 440, 5, 9, 10},
 		// Five calls per reading with an allowance of five per second: readings are eight fifths of a second apart.
 		{second, 50, 5, 5, 7},
-		// Without a configured interval: five eighths of the allowance.
+		// Without a configured interval, readings use five eighths of the allowance.
 		{0, 20, 0, 12, 13},
 	} {
 		r := newRig(t, settings.Settings{ListInterval: c.every, PollsPer10s: c.polls})
@@ -166,11 +166,11 @@
 	// Assume that a list is known: a node without one reads it soon after start (firstread_test.go).
 	r.lister.listUnknown = false
 	r.run(StaleAfter)
-	must.SliceEmpty(t, r.fetches, must.Sprint("StaleAfter has not passed yet"))
+	must.SliceEmpty(t, r.fetches, must.Sprint("the node does not read the list before StaleAfter has passed"))
 	r.run(2 * RenewInterval)
-	must.Len(t, 1, r.fetches, must.Sprint("this node has the first rank"))
+	must.Len(t, 1, r.fetches, must.Sprint("this node reads the list first, since it has the first rank"))
 	r.run(5 * second)
-	must.Between(t, 5, len(r.fetches), 6, must.Sprint("reads once per second while no other node reads"))
+	must.Between(t, 5, len(r.fetches), 6, must.Sprint("the node reads once per second while no other node reads"))
 }
 
 func TestLeaseHolderWithoutResponsesReleasesLease(t *testing.T) {
@@ -195,7 +195,7 @@
 		must.Positive(t, releases)
 		requestsBefore := len(r.leaseRequests)
 		r.run(2 * second)
-		must.Eq(t, requestsBefore, len(r.leaseRequests), must.Sprint("does not request the lease during ReleaseBackoff"))
+		must.Eq(t, requestsBefore, len(r.leaseRequests), must.Sprint("the node does not request the lease during ReleaseBackoff"))
 		r.run(ReleaseBackoff)
 		must.Less(t, len(r.leaseRequests), requestsBefore)
 	}
--- a/request/discovery/doc.go
+++ b/request/discovery/doc.go
@@ -6,7 +6,7 @@
 // reachable, nodes read it without the lease, in the order of their ranks. A failed or empty response is
 // never announced as a list.
 //
-// The inputs are the mesh and the platform's HTTP API. The output is an entry of the mesh: one with the list
-// ([mesh.EntryBackendList]) if it has changed, or else one that says that it was read ([mesh.EntryPolled]).
+// The inputs are the mesh and the platform's HTTP API. The output is an entry of the mesh: the list itself
+// ([mesh.EntryBackendList]) if it has changed, or else a record that it was read ([mesh.EntryPolled]).
 // The state is kept in memory: the lease and the last announced list's contents.
 package discovery
--- a/request/discovery/firstread.go
+++ b/request/discovery/firstread.go
@@ -17,7 +17,7 @@
 // scheduleFirstRead sets the timer of the first reading if the settings specify a read interval. A node
 // without a list does not wait for the lease: after a loss of the whole fleet no node can serve, and no
 // lease can be granted, until one node has read the list. Quorum members read almost immediately, other nodes
-// only if no quorum member has.
+// only if no quorum member has read the list by then.
 func (p *Lister) scheduleFirstRead(ctx *kernel.Context) {
 	settings := &p.k.Boot.Settings
 	switch {
@@ -29,7 +29,7 @@
 	}
 }
 
-// readFirst reads the list unless one has been announced by now, and retries with backoff.
+// readFirst reads the list, with retries and backoff, until some node has announced a list.
 func (p *Lister) readFirst(ctx *kernel.Context) {
 	if !p.listUnknown {
 		return
--- a/request/discovery/lease.go
+++ b/request/discovery/lease.go
@@ -41,7 +41,7 @@
 }
 
 // releaseLease hands the lease over to the first other live node by name that is not draining, if this node
-// holds the lease and such a node exists. It reports whether it did.
+// holds the lease and such a node exists. It reports whether it handed over the lease.
 func (p *Lister) releaseLease(ctx *kernel.Context) bool {
 	partition := state.PartitionOf(LeaseTask)
 	addr := p.configSync.Leader(partition)
--- a/request/discovery/lease_test.go
+++ b/request/discovery/lease_test.go
@@ -39,8 +39,8 @@
 	must.Less(t, requestedAt+800_001, r.lister.leaseUntil, must.Sprint("a reply to an unknown request is ignored"))
 }
 
-// TestReleasedLeaseIsNotResumed checks that a grant is ignored that was in transit while the lease was
-// released or the process was frozen.
+// TestReleasedLeaseIsNotResumed checks that a node ignores a granted lease whose reply was in transit when the
+// node gave up its lease: because it released the lease or, as here, because its process was frozen.
 func TestReleasedLeaseIsNotResumed(t *testing.T) {
 	r := newRig(t, settings.Settings{PollsPer10s: 20})
 	r.learnLeader()
--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -14,7 +14,7 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of checking and reporting.
+// Intervals and thresholds of health checks and reports.
 const (
 	// Observers is the number of nodes that regularly check each backend.
 	Observers = 3
@@ -30,15 +30,16 @@
 	MissedThreshold = 2
 	// CorruptThreshold is the number of corrupt responses after which a backend is corrupt.
 	CorruptThreshold = 2
-	// EnoughReporters is the number of other nodes reporting the same state of a backend from which on a node
-	// that is not an observer does not start to report it too. It bounds the number of reports when many nodes
-	// observe the same failure at the same time.
+	// If EnoughReporters other nodes already report the same state of a backend, a node that is not one of
+	// its observers does not start to report that state too. This bounds the number of reports when many
+	// nodes observe the same failure at the same time.
 	EnoughReporters = 6
 	// A backend is slow if its latency exceeds both MinSlowLatency and SlowFactor times the median of its
 	// shard.
 	SlowFactor     = 4
 	MinSlowLatency = 50 * clock.Millisecond
-	// CorruptRetryDelay is how long after the end of its ejection a corrupt backend is tried again.
+	// CorruptRetryDelay is the time from the end of a corrupt backend's ejection until its corrupt responses
+	// are forgotten and it is tried again.
 	CorruptRetryDelay = 8 * clock.Second
 )
 
@@ -58,7 +59,7 @@
 	// Usage is the number of requests that the backend is processing.
 	Usage    int64  `json:"usage"`
 	ShardMap string `json:"cut"`
-	// SlowStart is the remaining slow start that the backend reports, in microseconds.
+	// SlowStart is the remaining time of the backend's slow start, in microseconds.
 	SlowStart int64 `json:"cold_us,omitempty"`
 }
 
@@ -217,8 +218,8 @@
 	}
 	state.missed, state.uptime, state.incarnation = 0, response.UpUs, response.Incarnation
 	if gauge.CorruptResponses.Load() == 0 || response.Incarnation != gauge.Incarnation.Load() {
-		// A backend that passes its checks may still send corrupt responses to requests; only a new
-		// incarnation ends that ejection early.
+		// A backend that passes its checks may still send corrupt responses to requests. An ejection for
+		// corrupt responses therefore ends early only if the backend has a new incarnation.
 		gauge.Failures.Store(0)
 		gauge.EjectedUntil.Store(0)
 		gauge.CorruptResponses.Store(0)
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -62,7 +62,8 @@
 
 func (n *node) reports() int64 { return n.k.Counts.Of("opinions_told").Load() }
 
-// setFailures sets the node's number of consecutive failures of the backend and evaluates it.
+// setFailures sets the number of consecutive failures that the node has counted for the backend, and makes the node
+// evaluate its backends.
 func (n *node) setFailures(fails int64) {
 	kernel.Find[*snapshot.Table](n.k).Gauges.Of(unhealthy).Failures.Store(fails)
 	n.evaluate()
@@ -94,7 +95,7 @@
 }
 
 // TestReportingNodeKeepsReporting checks that a node keeps its report although enough other nodes report the
-// same, and that it withdraws the report when the backend is healthy again.
+// same state, and that it withdraws the report when the backend is healthy again.
 func TestReportingNodeKeepsReporting(t *testing.T) {
 	n := newNode(EnoughReporters)
 	n.setFailures(snapshot.EjectThreshold)
