--- a/request/reshard/reshard.go
+++ b/request/reshard/reshard.go
@@ -21,7 +21,8 @@
 const (
 	// CheckInterval is the time between two checks while an index is being resharded.
 	CheckInterval = 500 * clock.Millisecond
-	// MinWarmth is the progress in its slow start, in thousandths, from which on a backend counts as warm.
+	// MinWarmth is the minimum share of its full traffic, in thousandths, at which a backend in slow start counts
+	// as warm.
 	MinWarmth = 500
 	// MinBackends is the number of warm backends that each shard of the next shard map needs. Fewer suffice if
 	// a shard of the current map has fewer.
@@ -107,7 +108,8 @@
 }
 
 // shouldRequest counts a check and reports whether this node requests switches in it. The first live node by
-// name always does. The nodes also do so one after another, in case the requests of the first do not arrive.
+// name always does. In addition, each live node requests them in rotation, in case the requests of the first node do
+// not arrive.
 func (r *Resharder) shouldRequest(live []membership.Member) bool {
 	r.checks++
 	requester := live[(r.checks/checksPerRequester)%len(live)]
--- a/request/reshard/reshard_test.go
+++ b/request/reshard/reshard_test.go
@@ -24,12 +24,12 @@
 		live, next [][]*snapshot.Backend
 		ready      bool
 	}{
-		"two warm backends in each shard":        {live: pair, next: [][]*snapshot.Backend{{warm, warm}, {cold, warm, warm}}, ready: true},
-		"one warm backend in a shard":            {live: pair, next: [][]*snapshot.Backend{{warm, warm}, {warm, cold}}},
-		"one healthy backend in a shard":         {live: pair, next: [][]*snapshot.Backend{{warm, unhealthy}}},
-		"one, as in a shard of the current map":  {live: [][]*snapshot.Backend{{warm, warm}, {warm}}, next: [][]*snapshot.Backend{{warm}}, ready: true},
-		"none, as in a shard of the current map": {live: [][]*snapshot.Backend{{}}, next: [][]*snapshot.Backend{{}}},
-		"no next shard map":                      {live: pair},
+		"two warm backends in each shard":                    {live: pair, next: [][]*snapshot.Backend{{warm, warm}, {cold, warm, warm}}, ready: true},
+		"one warm backend in a shard":                        {live: pair, next: [][]*snapshot.Backend{{warm, warm}, {warm, cold}}},
+		"one healthy backend in a shard":                     {live: pair, next: [][]*snapshot.Backend{{warm, unhealthy}}},
+		"one warm backend, as in a shard of the current map": {live: [][]*snapshot.Backend{{warm, warm}, {warm}}, next: [][]*snapshot.Backend{{warm}}, ready: true},
+		"no backend, as in a shard of the current map":       {live: [][]*snapshot.Backend{{}}, next: [][]*snapshot.Backend{{}}},
+		"no next shard map":                                  {live: pair},
 	} {
 		t.Run(name, func(t *testing.T) {
 			index := &snapshot.Index{Service: &configpb.Service{RampUs: slowStart}, Shards: c.live, NextShards: c.next}
--- a/request/tokenbucket/tokenbucket.go
+++ b/request/tokenbucket/tokenbucket.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Refill adds perSecond for each second since the last refill, up to the capacity. If that is less than a
-// thousandth of a token, it does nothing, and the time counts towards the next refill.
+// Refill adds perSecond for each second since the last refill, up to the capacity. If the amount is less than a
+// thousandth of a token, Refill does nothing and the elapsed time counts towards the next refill.
 func (b *Bucket) Refill(now clock.Micros, perSecond, capacity int64) {
 	for {
 		last := b.RefilledAt.Load()
@@ -53,8 +53,8 @@
 }
 
 // Take takes n if the bucket holds at least required, and reports whether it did. An amount beyond the
-// capacity does not count, and a successful call discards it. If the bucket holds less than n, its balance
-// becomes negative.
+// capacity does not count, and a successful call discards it. If the bucket holds less than n (required may be
+// smaller than n), its balance becomes negative.
 func (b *Bucket) Take(n, required, capacity int64) bool {
 	for {
 		old := b.balance.Load()
