--- a/request/search/actions.go
+++ b/request/search/actions.go
@@ -21,10 +21,10 @@
 	// Timeout is the time that is left until the request's deadline.
 	Timeout clock.Micros
 	Request *Request
-	// Retry marks an attempt that was charged to the retry budget: a retry, a hedged request, or the
-	// first attempt for a shard in a caller's repeat.
+	// Retry marks an attempt that was charged to the retry budget: a retry, a hedged request, or a
+	// first attempt of a request that the caller has repeated.
 	Retry bool
-	// Replacement marks an attempt that replaces one of which no byte was written.
+	// Replacement marks an attempt that replaces an earlier attempt of which no byte was written.
 	Replacement bool
 }
 
@@ -38,8 +38,8 @@
 		Digest uint64
 		// FirstAttempt is the caller's assertion that it has never sent the key before.
 		FirstAttempt bool
-		// Timeout bounds the wait for the owners. It is 0 with OnlyDetectRepeat, because the
-		// coordinator applies its own time-out to repeat checks.
+		// Timeout bounds the wait for the owners. It is 0 if OnlyDetectRepeat is set, because the
+		// idempotency coordinator has its own time-out for that check.
 		Timeout clock.Micros
 		// OnlyDetectRepeat asks only whether the key of a search or read was used before.
 		OnlyDetectRepeat bool
@@ -49,8 +49,8 @@
 		Key        string
 		Resolution Resolution
 		Token      string
-		// Attempted reports whether an attempt was made. If so, a repeat of the key is charged to
-		// the retry budget.
+		// Attempted reports whether an attempt was made. If so, the next request with the key is
+		// charged to the retry budget.
 		Attempted bool
 		Outcome   Outcome
 	}
@@ -60,12 +60,13 @@
 	Finish struct{ Outcome Outcome }
 )
 
-// Resolution is how the admission of a key ended.
+// Resolution states how the admission of a key ended.
 type Resolution string
 
 // The resolutions of a key.
 const (
-	// ResolutionCompleted makes the owners store the outcome and return it to repeats.
+	// ResolutionCompleted makes the owners store the outcome and return it to later requests with
+	// the key.
 	ResolutionCompleted Resolution = "done"
 	// ResolutionReleased frees the key, because the request did not run.
 	ResolutionReleased Resolution = "released"
@@ -100,8 +101,8 @@
 	ExecutionUnknown Execution = "unknown"
 )
 
-// Outcome is the result of a request as the caller receives it. The owners of a key store the
-// JSON encoding and return it to repeats, so the field names must not change.
+// Outcome is the result of a request as the caller receives it. The owners of a key store its JSON
+// encoding and return it to repeated requests, so the field names must not change.
 type Outcome struct {
 	ID   string
 	Code Code
--- a/request/search/dispatcher.go
+++ b/request/search/dispatcher.go
@@ -19,9 +19,9 @@
 	LoadReport *loadreport.Reporter
 	Counts     *kernel.Counts
 	Traces     *TraceRing
-	// Name is the node's name, with which the ids of its requests begin.
+	// Name is the node's name. The ids of its requests begin with it.
 	Name string
-	// Seed is the base of the seeds of the requests' random sources.
+	// Seed is the number from which the random seed of each request is derived.
 	Seed      uint64
 	StartedAt clock.Micros
 
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -1,7 +1,7 @@
 package search
 
-// State is a state of the state machine. Its text appears in traces that operators read, so it keeps
-// older terms than the names of the constants.
+// State is a state of the state machine. Operators see its text in traces. The texts do not change,
+// so some of them are older terms than the names of the constants.
 type State string
 
 // The states of a request.
@@ -44,13 +44,15 @@
 	AdmissionGranted AdmissionCode = "in"
 	// AdmissionInProgress means that a request with this key is still running.
 	AdmissionInProgress AdmissionCode = "running"
-	// AdmissionCompleted means that a request with this key has run. The admission carries its outcome.
+	// AdmissionCompleted means that a request with this key has run. Admission.Outcome holds its
+	// outcome, if it is known.
 	AdmissionCompleted AdmissionCode = "done"
 	// AdmissionConflict means that the key was used for a different request.
 	AdmissionConflict AdmissionCode = "conflict"
 	// AdmissionNoQuorum means that too few owners of the key answered.
 	AdmissionNoQuorum AdmissionCode = "short"
-	// AdmissionStateLost means that the owners that answered may have lost their record of the key.
+	// AdmissionStateLost means that too many of the owners that answered may have lost their record
+	// of the key.
 	AdmissionStateLost AdmissionCode = "unknown"
 )
 
--- a/request/search/explain.go
+++ b/request/search/explain.go
@@ -15,7 +15,8 @@
 	Candidates []Candidate `json:"candidates"`
 }
 
-// Candidate is a backend as the request's snapshot shows it, and why it was or was not selected.
+// Candidate describes a backend according to the request's snapshot, and states why the backend was
+// or was not selected.
 type Candidate struct {
 	Shard             int    `json:"shard"`
 	Backend           string `json:"server"`
--- a/request/search/gather.go
+++ b/request/search/gather.go
@@ -25,7 +25,8 @@
 	case shard.missing && shard.attempts == 0:
 		m.reject(now, CodeUnavailable, shard.reason, 1)
 	case shard.missing && m.request.AtMostOnce():
-		// Nothing was written in any attempt, or attemptDone would have finished the request.
+		// No attempt ran: each was either not written or rejected by its backend. After any other
+		// failure attemptDone would have finished the request.
 		m.reject(now, CodeUnavailable, "no server could be reached: "+shard.reason, 1)
 	case shard.missing:
 		m.finish(now, StateGivenUp, Outcome{Code: CodeGivenUp, Ran: ExecutionUnknown, Why: shard.reason, Retry: 1})
@@ -80,8 +81,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// merge finishes a search with the first Limit records of the shards' sorted lists, without
-// duplicates. All lists belong to the same shard map.
+// merge finishes a search. It merges the sorted lists of the shards, drops duplicates and keeps the
+// first Limit records. All lists belong to the same shard map.
 func (m *StateMachine) merge(now clock.Micros) {
 	answered, missing := m.answeredShards()
 	m.transition(now, StateGathered, "")
--- a/request/search/golden_test.go
+++ b/request/search/golden_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// The owners of a key store the encoded outcome and return it to repeats, also through nodes of another
-// release.
+// The owners of a key store the encoded outcome and return it to repeated requests, possibly through a
+// node of another release, so a release must not change the encoding.
 func TestOutcomeEncodingIsUnchanged(t *testing.T) {
 	o := Outcome{
 		ID: "n-1", Code: CodeOK, Why: "why", Ran: "no", Retry: 1, Cut: "c1", Shard: 2, Shards: []int{0}, Missing: []int{1},
--- a/request/search/key_admission.go
+++ b/request/search/key_admission.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxAdmissionWait bounds the wait for the owners of a key, which is at most half of the time
-	// until the deadline.
+	// maxAdmissionWait bounds the wait for the owners of a key. The wait is otherwise half of the
+	// time until the deadline.
 	maxAdmissionWait = 900 * clock.Millisecond
 	// admissionSlack is how much longer the state machine waits than the idempotency coordinator,
 	// which asks the owners.
@@ -16,8 +16,8 @@
 )
 
 const (
-	// ReasonRetryBudgetExhausted is the reason for rejecting a repeat that the retry budget does not
-	// cover.
+	// ReasonRetryBudgetExhausted is the reason for rejecting a repeated request whose first attempts
+	// exceed the retry budget.
 	ReasonRetryBudgetExhausted = "a repeat, and the pool's budget of repeated tries is used up"
 	// ReasonTooFewKeyOwners is the prefix of the reason for rejecting a request because too few
 	// owners of its key answered.
@@ -25,7 +25,7 @@
 )
 
 // requestAdmission asks the key's owners to admit the request. For a search or read, which may run
-// again, it only asks whether the request is a repeat.
+// again, it only asks whether the key was used before.
 func (m *StateMachine) requestAdmission(now clock.Micros) {
 	if !m.request.AtMostOnce() {
 		m.emit(AdmitKey{Key: m.request.Key, OnlyDetectRepeat: true})
@@ -73,14 +73,14 @@
 }
 
 // LateAdmission returns the resolution of an admission that arrived after its request had finished,
-// and whether the key was admitted at all. A key that was admitted too late must be released, or it
-// would stay in progress.
+// and reports whether the key was admitted. A key that was admitted too late must be released;
+// otherwise it would stay in progress.
 func LateAdmission(key string, a Admission) (ResolveKey, bool) {
 	return ResolveKey{Key: key, Resolution: ResolutionReleased, Token: a.Token}, a.Code == AdmissionGranted
 }
 
-// resolveKey emits the resolution of an admitted key for its owners. The key of a search or read is
-// resolved only if it is not a repeat and was sent to no backend.
+// resolveKey emits the resolution of an admitted key for its owners. For a search or read it does so
+// only if the request was sent to no backend and the key was not used before.
 func (m *StateMachine) resolveKey(o *Outcome) {
 	if !m.keyAdmitted {
 		return
--- a/request/search/limits.go
+++ b/request/search/limits.go
@@ -30,11 +30,11 @@
 type limiter struct{ tokenbucket.Bucket }
 
 // allow charges one request to a limit and reports whether the limit admits it. limit is in requests
-// per second for the whole fleet. This node's share of it is the node's share of the fleet's
-// requests according to meter. The capacity is computed from at least an equal share among the
-// given number of nodes, which covers callers that move to this node before the other nodes have
-// learned of it. With force the request is charged even without credit, and the balance may go
-// down to minus the capacity.
+// per second for the whole fleet. The node's part of the limit corresponds to its part of the
+// fleet's requests, as measured by meter. The capacity of the limiter is computed from that part or
+// from an equal share among the given number of nodes, whichever is larger. The equal share covers
+// callers that move to this node before the other nodes have learned of it. With force the request
+// is charged even if no credit is left, and the balance may go down to minus the capacity.
 func (l *limiter) allow(now clock.Micros, limit float64, meter *loadreport.Meter, nodes int, force bool) bool {
 	part := meter.LocalLimit(limit, nodes)
 	capacity := max(tokenbucket.One, int64(burstSeconds*tokenbucket.One*max(part, limit/float64(max(1, nodes)))))
@@ -71,9 +71,10 @@
 	return v.(*indexLimiters)
 }
 
-// withinLimits reports whether the limits of its kind admit a request, and which limit decided. A
-// kind within its quota or its reservation is admitted regardless of the load of other kinds. Above
-// that it may use the capacity that other kinds leave unused, up to its rate limit.
+// withinLimits reports whether the limits of its kind admit a request, and which limit decided.
+// Requests above the rate limit of their kind are rejected. A kind within its quota or its
+// reservation is admitted regardless of the load of other kinds. Above both it may use the
+// unreserved capacity that other kinds leave unused.
 func (d *Dispatcher) withinLimits(snap *snapshot.Snapshot, index *snapshot.Index, kind Kind, now clock.Micros) (bool, limitName) {
 	kindMeter, indexMeter := d.LoadReport.Meter(index.Name, string(kind)), d.LoadReport.Meter(index.Name, "")
 	kindMeter.Inc()
--- a/request/search/retry_budget.go
+++ b/request/search/retry_budget.go
@@ -7,11 +7,12 @@
 	"wallport/runtime/clock"
 )
 
-// The retry budget limits retries and hedged requests: in any ten seconds all nodes together may add
-// a fifth of a pool's traffic plus about sixty attempts. Each node earns the fifth from its own
-// initial attempts as they happen, and the balance is capped, so that credit earned long ago is not
-// spent in a burst. Of the sixty attempts, fifty may be saved up and ten accrue over the ten seconds;
-// both are divided by the size of the largest fleet seen recently.
+// The retry budget limits retries and hedged requests. In any ten seconds all nodes together may make
+// one of them for every five initial attempts to a pool, plus about sixty. Each initial attempt of a
+// node credits the node's budget with a fifth of an attempt. The balance is capped, so that credit
+// earned long ago is not spent in a burst. Fifty of the sixty attempts may be saved up, and ten accrue
+// over the ten seconds. Each node's part of the sixty is computed by dividing by the size of the
+// largest fleet seen recently.
 //
 // The constants are in thousandths of an attempt.
 const (
@@ -46,8 +47,8 @@
 }
 
 // takeRetries charges n attempts to the retry budget of an index's pool and reports whether they may
-// be made. A caller's repeat takes all its attempts in one call. If these exceed the capacity, a full
-// budget is enough, and the balance becomes negative.
+// be made. The first attempts of a request that the caller has repeated are charged in one call. If n
+// exceeds the capacity, a full budget is enough, and the balance becomes negative.
 func (d *Dispatcher) takeRetries(snap *snapshot.Snapshot, index string, now clock.Micros, n int64) bool {
 	budget, capacity := d.retryBudget(snap, index, now)
 	budget.Refill(now, fleetPerSecond/int64(snap.Divisor), capacity)
--- a/request/search/retry_budget_test.go
+++ b/request/search/retry_budget_test.go
@@ -8,8 +8,9 @@
 	"wallport/runtime/clock"
 )
 
-// TestRetryBudgetHoldsInAnyTenSeconds interrupts the traffic for some seconds at a time: credit that was
-// earned before a window of ten seconds must not exceed the budget of that window.
+// TestRetryBudgetHoldsInAnyTenSeconds guards against bursts of retries after a pause. It interrupts the
+// traffic for some seconds at a time: credit that was earned before a window of ten seconds must not
+// raise the number of retries in that window above the window's budget.
 func TestRetryBudgetHoldsInAnyTenSeconds(t *testing.T) {
 	snap := newSnapshot(1, 1)
 	d := newTestDispatcher(snap)
@@ -35,7 +36,7 @@
 			f += firsts[i]
 		}
 		all += e
-		must.LessEq(t, f/5+60, e, must.Sprintf("from second %d", s))
+		must.LessEq(t, f/5+60, e, must.Sprintf("too many retries in the ten seconds from second %d", s))
 	}
-	must.Greater(t, 1000, all, must.Sprint("the budget must be used to a good part"))
+	must.Greater(t, 1000, all, must.Sprint("too few retries were granted for the test to be meaningful"))
 }
--- a/request/search/selection.go
+++ b/request/search/selection.go
@@ -58,7 +58,7 @@
 //
 // A backend in slow start is a candidate only with the probability of its slow-start share. That
 // bounds its load across the whole fleet without coordination. If all backends of the tier are in slow
-// start, their shares count relative to the largest.
+// start, the probabilities are relative to the largest share.
 func selectBackend(snap *snapshot.Snapshot, index *snapshot.Index, backends []*snapshot.Backend, attempted []string, now clock.Micros, rnd *random.Source) (Selection, bool) {
 	candidates, best := bestTier(backends, attempted, now)
 	if len(candidates) == 0 {
@@ -69,9 +69,9 @@
 	if len(candidates) > 1 {
 		warm = sampleByWarmth(candidates, now, slowStart, rnd)
 	}
-	// The first sample is from the node's own zone if it passes the slow-start sampling, and from
-	// any zone otherwise: if all backends of the zone are in slow start, the zone's nodes must not
-	// send all their requests to the one that happens to pass.
+	// The first sample is taken from the node's own zone. If the slow-start sampling dropped it, a
+	// sample from any zone replaces it. Otherwise, if all backends of a zone are in slow start, the
+	// nodes of the zone would send all their requests to whichever of these backends was kept.
 	first := sampleOne(inZone(candidates, snap.Zone), rnd)
 	if !slices.Contains(warm, first) && len(candidates) > 1 {
 		first = sampleOne(warm, rnd)
@@ -146,9 +146,10 @@
 // has not answered yet is not zero.
 const minLatency clock.Micros = 500
 
-// expectedWait estimates how long a request to a backend would wait, in relative units: four times
-// the requests that this node has outstanding at the backend plus the load that the backend reports,
-// multiplied by its latency. A backend in another zone costs a quarter more.
+// expectedWait estimates how long a request to a backend would wait, in relative units. It adds four
+// times the number of this node's outstanding requests, counting the new one, to the load that the
+// backend reports, and multiplies the sum by the backend's latency. The result is a quarter higher for
+// a backend in another zone.
 func expectedWait(s *snapshot.Backend, zone string) int64 {
 	latency := s.Gauge.Latency.Load() + minLatency
 	wait := (s.Gauge.Outstanding.Load()*4 + s.Gauge.Usage.Load() + 4) * latency
--- a/request/search/selection_test.go
+++ b/request/search/selection_test.go
@@ -18,7 +18,7 @@
 	for range 50 {
 		c, ok := selectBackend(snap, snap.Indexes["a"], backends, nil, 0, &r)
 		must.True(t, ok)
-		must.Eq(t, backends[2].ID, c.Backend.ID, must.Sprint("the only backend that is not draining"))
+		must.Eq(t, backends[2].ID, c.Backend.ID, must.Sprint("the only backend that is not draining must be selected"))
 	}
 	_, ok := selectBackend(snap, snap.Indexes["a"], backends, []string{backends[2].ID}, 0, &r)
 	must.False(t, ok)
@@ -40,7 +40,7 @@
 			}
 		}
 		fair := 20000 * max(100, at*1000/clock.Second) / 1000 / 10
-		must.Less(t, int(fair)*3/2, n, must.Sprintf("at %d", at))
+		must.Less(t, int(fair)*3/2, n, must.Sprintf("selected too often %d us after its start", at))
 	}
 }
 
--- a/request/search/shard_requests.go
+++ b/request/search/shard_requests.go
@@ -16,8 +16,8 @@
 	records []Record
 	// reason is why the shard was retried or hedged, or why it is missing.
 	reason string
-	// attempts counts all attempts, openAttempts those in progress, and unwritten those of which no
-	// byte was written and which therefore put no load on a backend.
+	// attempts counts all attempts, and openAttempts the attempts in progress. unwritten counts the
+	// attempts of which no byte was written. These put no load on a backend.
 	attempts     int
 	openAttempts int
 	unwritten    int
@@ -35,7 +35,8 @@
 	open    bool
 }
 
-// sendReason is why an attempt is made. It determines whether the retry budget pays for it.
+// sendReason is why an attempt is made. It determines whether the attempt is charged to the retry
+// budget.
 type sendReason uint8
 
 const (
@@ -45,13 +46,13 @@
 	// sendReplacement replaces an attempt of which no byte was written. It adds nothing to the
 	// pool's traffic and is not charged.
 	sendReplacement
-	// sendPrepaid is an attempt of a caller's repeat, whose first attempts were charged to the retry
-	// budget together.
+	// sendPrepaid is a first attempt of a request that the caller has repeated. The first attempts
+	// for all its shards were charged to the retry budget together, before any was sent.
 	sendPrepaid
 )
 
-// sendToShards sends the admitted request to each shard that it needs. For a caller's repeat it first
-// charges one attempt per shard to the retry budget.
+// sendToShards sends the admitted request to each shard that it needs. If the caller has repeated the
+// request, it first charges one attempt per shard to the retry budget.
 func (m *StateMachine) sendToShards(now clock.Micros) {
 	if now >= m.deadline {
 		m.reject(now, CodeGivenUp, "the deadline passed before a server was asked", 1)
@@ -84,8 +85,8 @@
 	m.scheduleTimer(now)
 }
 
-// refreshSnapshot switches to the newest snapshot for further attempts if that still serves the
-// request's shard map, so that backends that began to drain in the meantime are not selected.
+// refreshSnapshot makes further attempts use the newest snapshot, if it still serves the request's
+// shard map. Backends that have begun to drain since the previous snapshot are then not selected.
 func (m *StateMachine) refreshSnapshot() {
 	newest := m.dispatcher.Snapshot()
 	index := newest.Indexes[m.request.Index]
@@ -224,7 +225,7 @@
 }
 
 // cancelAttempt cancels an open attempt. If the attempt has already taken longer than its backend's
-// average latency, that time enters the average.
+// average latency, the elapsed time is included in the average.
 func (m *StateMachine) cancelAttempt(now clock.Micros, n int) {
 	attempt := &m.attempts[n]
 	gauge := attempt.backend.Gauge
--- a/request/search/state_machine.go
+++ b/request/search/state_machine.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// maxReplyMargin bounds the part of a deadline that is reserved for returning the response to
-	// the caller, which is a twentieth of the deadline.
+	// maxReplyMargin bounds the margin that is reserved for returning the response to the caller. The
+	// margin is a twentieth of the time until the deadline.
 	maxReplyMargin = 20 * clock.Millisecond
 	// partialAfterPercent is the percentage of its deadline after which a search that has its
 	// required share of shards stops waiting for the remaining ones.
 	partialAfterPercent = 80
-	// staleRecheckInterval is how often a request on a node that has just thawed checks whether
-	// the snapshot is fresh again.
+	// staleRecheckInterval is the interval at which a request on a node that has just thawed checks
+	// whether the snapshot is fresh again.
 	staleRecheckInterval = 10 * clock.Millisecond
 )
 
@@ -27,8 +27,8 @@
 	startedAt  clock.Micros
 	deadline   clock.Micros
 
-	// Backends are selected from snapshot and index. Newer ones replace them only if they serve the
-	// same shard map, since shardMap is fixed for the whole request.
+	// Backends are selected from index, which is part of snapshot. A newer snapshot replaces them only
+	// if it serves the same shard map, because shardMap is fixed for the whole request.
 	snapshot *snapshot.Snapshot
 	index    *snapshot.Index
 	shardMap string
@@ -43,7 +43,8 @@
 	// admission.
 	keyAdmitted bool
 	keyToken    string
-	// isRepeat marks a repeat by the caller, whose attempts are charged to the retry budget.
+	// isRepeat is set if the key was used before. The first attempts of the request are then charged
+	// to the retry budget.
 	isRepeat bool
 
 	rnd     random.Source
@@ -97,8 +98,8 @@
 
 func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// begin classifies the request and checks it against the limits. While the snapshot is stale, for at
-// most snapshot.MaxStale after the start, it only sets a timer to check again.
+// begin classifies the request and checks it against the limits. If the snapshot is stale and less
+// than snapshot.MaxStale has passed since the start, it only sets a timer to check again.
 func (m *StateMachine) begin(now clock.Micros) {
 	m.snapshot = m.dispatcher.Snapshot()
 	if m.snapshot != nil && m.snapshot.Stale && now-m.startedAt < snapshot.MaxStale {
@@ -133,8 +134,8 @@
 	m.sendToShards(now)
 }
 
-// setDeadline sets the deadline from the caller's or else the index's default, capped at the index's
-// maximum, less a margin for returning the response.
+// setDeadline sets the deadline. The time until it is the caller's or, without one, the default of
+// the index. It is capped at the index's maximum and reduced by a margin for returning the response.
 func (m *StateMachine) setDeadline() {
 	timeout := m.request.Deadline
 	if timeout == 0 {
@@ -144,8 +145,9 @@
 	m.deadline = m.startedAt + timeout - min(timeout/20, maxReplyMargin)
 }
 
-// timerFired starts a request that waited for a fresh snapshot, rejects one whose key was not
-// admitted in time, and hedges slow attempts of one that was sent.
+// timerFired handles the timer. It starts a request that waited for a fresh snapshot, and rejects a
+// request whose key was not admitted in time. For a request that was sent it hedges slow attempts
+// and checks whether the outcome is known.
 func (m *StateMachine) timerFired(now clock.Micros) {
 	switch m.state {
 	case StateRead:
--- a/request/search/state_machine_test.go
+++ b/request/search/state_machine_test.go
@@ -15,7 +15,8 @@
 	"wallport/runtime/wire"
 )
 
-// newSnapshot returns a snapshot with one index, a, and perShard backends in two zones for each shard.
+// newSnapshot returns a snapshot with one index named "a". Each shard has perShard backends, spread over
+// two zones.
 func newSnapshot(perShard, shards int) *snapshot.Snapshot {
 	svc := &configpb.Service{Index: "a", Capacity: 10000, RequiredShare: 75, DeadlineUs: 500 * clock.Millisecond, MaxDeadlineUs: clock.Second, HedgeUs: 40 * clock.Millisecond, RampUs: clock.Second}
 	x := &snapshot.Index{Name: "a", ShardMap: wire.ShardMap{Name: "c1", Shards: shards}, Service: svc, Limits: map[string]snapshot.Limit{}, Capacity: 10000}
@@ -76,10 +77,10 @@
 	second := sends(m.Step(clock.Millisecond, AttemptDone{Attempt: 0, Result: Result{Class: ClassNotSent}}))
 	must.Len(t, 1, second)
 	must.NotEq(t, first[0].Backend.ID, second[0].Backend.ID)
-	must.True(t, second[0].Replacement, must.Sprint("a replacement adds nothing to the pool's traffic"))
+	must.True(t, second[0].Replacement, must.Sprint("the second attempt must be marked as a replacement, which is not charged to the retry budget"))
 	must.Eq(t, 0, d.Counts.Of("extra_tries").Load())
 	third := sends(m.Step(2*clock.Millisecond, AttemptDone{Attempt: 1, Result: Result{Class: ClassRejected}}))
-	must.Len(t, 1, third, must.Sprint("a backend that rejects a request did not run it"))
+	must.Len(t, 1, third, must.Sprint("a request that a backend rejected did not run, so it must be retried"))
 	must.True(t, third[0].Retry)
 	must.Eq(t, 1, d.Counts.Of("extra_tries").Load())
 }
@@ -98,9 +99,9 @@
 func TestSearchFailsAtOnceBelowRequiredShare(t *testing.T) {
 	m := NewStateMachine(newTestDispatcher(newSnapshot(1, 4)), Request{Kind: KindSearch, Index: "a", Limit: 5}, 0)
 	m.Step(0, Begin{})
-	must.Nil(t, outcome(m.Step(clock.Millisecond, AttemptDone{Attempt: 0, Result: Result{Class: ClassFailed}})), must.Sprint("three of four shards are enough"))
+	must.Nil(t, outcome(m.Step(clock.Millisecond, AttemptDone{Attempt: 0, Result: Result{Class: ClassFailed}})), must.Sprint("the search must not fail while three of four shards can still answer"))
 	o := outcome(m.Step(2*clock.Millisecond, AttemptDone{Attempt: 1, Result: Result{Class: ClassFailed}}))
-	must.NotNil(t, o, must.Sprint("two of four shards are never enough: the search must not wait for its deadline"))
+	must.NotNil(t, o, must.Sprint("two of four shards are below the required share, so the search must fail without waiting for its deadline"))
 	must.Eq(t, CodeGivenUp, o.Code)
 	must.Positive(t, o.Retry)
 }
--- a/request/search/trace.go
+++ b/request/search/trace.go
@@ -32,7 +32,7 @@
 	Detail string       `json:"note,omitempty"`
 }
 
-// AttemptTrace is one attempt and how its backend was selected.
+// AttemptTrace records one attempt and how its backend was selected.
 type AttemptTrace struct {
 	At        clock.Micros `json:"at_us"`
 	Attempt   int          `json:"n"`
