--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/wire"
 )
 
-// admission is a key's admission that this node has requested from the owners and that is not decided yet.
+// admission is an undecided admission of a key for a request that this node received.
 type admission struct {
 	id       uint64
 	request  Admit
@@ -22,7 +22,8 @@
 	replies map[string]ownerReply
 	// attempted reports whether an earlier request with the key was released after an attempt.
 	attempted bool
-	// decideAt is set once a majority admitted the key. Until then the admission waits for the remaining owners.
+	// decideAt is set once a majority admitted the key. It is the time until which the admission waits for the
+	// remaining owners.
 	decideAt clock.Micros
 }
 
@@ -47,8 +48,8 @@
 	}
 }
 
-// rosterUnknown reports whether this process has just started and does not have the complete roster yet. It
-// would ask too few owners.
+// rosterUnknown reports whether this process has just started and may not have the complete roster yet. With an
+// incomplete roster it would ask too few owners.
 func (c *Coordinator) rosterUnknown(now clock.Micros) bool {
 	if c.caughtUpAt == 0 {
 		return now-c.startedAt < RosterConvergence
@@ -101,7 +102,7 @@
 	}
 	switch {
 	case !pending.majority(pending.request.FirstAttempt):
-		// Even if there was a majority before, an owner may have lost its record since or the roster may have grown.
+		// An earlier majority may no longer exist, because an owner lost its record or the roster grew.
 		return
 	case len(pending.replies) == len(pending.owners):
 	case pending.decideAt == 0:
@@ -142,8 +143,8 @@
 		return
 	}
 	if pending.majority(true) {
-		// A majority has no conflicting record, but only by counting owners that may have lost theirs. An earlier
-		// request may have run.
+		// The owners without a conflicting record are a majority only if owners that may have lost their records
+		// are counted. An earlier request may therefore have run.
 		ctx.Counts.Add("claims_unknown", 1)
 		c.finish(ctx, n, search.Admission{Code: search.AdmissionStateLost})
 		return
@@ -152,8 +153,8 @@
 	c.finish(ctx, n, search.Admission{Code: search.AdmissionNoQuorum, Reason: fmt.Sprintf("%d of the key's %d home nodes answered", pending.countAgreeing(), len(pending.owners))})
 }
 
-// addOwners adds owners that this node has learned of since the admission started. It removes none, because
-// each may have a record of the key.
+// addOwners adds owners that this node has learned of since the admission started. It removes no owner, because
+// each of them may have a record of the key.
 func (a *admission) addOwners(owners []snapshot.Node) {
 	for _, owner := range owners {
 		if !slices.ContainsFunc(a.owners, func(known snapshot.Node) bool { return known.Name == owner.Name }) {
@@ -162,11 +163,12 @@
 	}
 }
 
-// token returns the token of an admission. It is unique per admission rather than per node, so that of two
-// admissions of one key through the same node neither can release the other.
+// token returns the token of an admission. It is unique per admission rather than per node, so that two
+// admissions of one key through the same node cannot release each other.
 func (c *Coordinator) token(n uint64) string { return fmt.Sprintf("%s#%d", c.mesh.Self(), n) }
 
-// finish replies to the caller. If the key was not admitted, it also sends the owners the outcome.
+// finish ends an admission and replies to the caller. If the key was not admitted, it also makes the owners release
+// the key or, after a loss of their records, mark it as completed.
 func (c *Coordinator) finish(ctx *kernel.Context, n uint64, result search.Admission) {
 	pending := c.admissions[n]
 	delete(c.admissions, n)
@@ -174,8 +176,8 @@
 	switch result.Code {
 	case search.AdmissionGranted:
 	case search.AdmissionStateLost:
-		// The key is marked as completed without a known outcome, since a key for which no majority could vouch
-		// must not be admitted later either.
+		// An earlier request with the key may have run, so the key must not be admitted later either. It is marked
+		// as completed without a known outcome.
 		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: outcomeCompleted})
 	default:
 		c.broadcast(ctx, pending.owners, wire.Outcome{Key: pending.request.Key, Code: outcomeReleased, Body: []byte(c.token(n))})
--- a/request/idempotency/doc.go
+++ b/request/idempotency/doc.go
@@ -8,11 +8,11 @@
 // An owner that may have lost its record of a key replies that it is uncertain ("unsure"). This is the case
 // after it started, thawed, was in the minority of a network partition, or became an owner through a change of
 // the roster. Each of these events opens an epoch, in which the owner requests the records of the other
-// owners. It can vouch for a key again once so many owners have handed over their records that every earlier
-// majority includes one of them, or after the longest deadline plus a grace period.
+// owners. The owner is certain again once it has the records of enough owners that every earlier majority
+// includes one of them, or after the longest deadline plus a grace period.
 //
 // Searches and reads may run again. For them a single owner remembers for some time whether a key was used, so
-// that a repeat is charged to the retry budget (repeats.go).
+// that a repeated request is charged to the retry budget (repeats.go).
 //
 // The inputs are the calls [Admit] and [RecordOutcome] and the messages between nodes. All state is in memory
 // and owned by [Coordinator]. The design is explained in docs/design/inquiry-keys.md.
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -10,12 +10,12 @@
 	"wallport/runtime/wire"
 )
 
-// epoch is a period in which this process may lack records that it should have as an owner. A start, a thaw,
-// being in the minority of a network partition and a change of the roster each open one, and this process then
-// requests the records of the other owners. Every admitted key was admitted by a majority of its owners at the
-// time. Once so many of these have handed over their records that every majority includes one of them, the
-// absence of a record means that the key was never admitted. If too many of them are lost, the epoch ends after
-// the longest deadline plus a grace period.
+// epoch is a period in which this process may lack records that it should have as an owner. An epoch is opened by
+// a start, by a thaw, by being in the minority of a network partition, and by a change of the roster. During an
+// epoch this process requests the records of the other owners. Every admitted key was admitted by a majority of
+// the owners that it had at that time. Once enough of these owners have handed over their records that every
+// majority includes one of them, the absence of a record proves that the key was never admitted. If too many of
+// these owners are lost, the epoch ends after the longest deadline plus a grace period.
 type epoch struct {
 	id       uint64
 	openedAt clock.Micros
@@ -23,13 +23,14 @@
 	// lost its own records.
 	previousRoster []snapshot.Node
 	handedOver     map[string]bool
-	// maxOwners is the largest number of owners per key that any node that handed over reported.
+	// maxOwners is the largest number of owners per key that was reported with a hand-over.
 	maxOwners int
 	complete  bool
 }
 
 // handOversNeeded returns how many of a key's owners must have handed over their records, given the number of
-// owners that this process knows. After a loss of its records other nodes may know more owners than it does.
+// owners that this process knows. A process that lost its records may know fewer owners than other nodes do, so
+// in that case the numbers that they reported count as well.
 func (e *epoch) handOversNeeded(owners int) int {
 	if e.previousRoster == nil {
 		owners = max(owners, e.maxOwners)
@@ -42,7 +43,7 @@
 	return e.complete && now-e.openedAt >= RosterConvergence
 }
 
-// invalidateRecords opens an epoch in which this process cannot vouch for any key.
+// invalidateRecords replaces all epochs by a new one that treats the records of this process as lost.
 func (c *Coordinator) invalidateRecords(ctx *kernel.Context) {
 	c.epochs = []*epoch{c.newEpoch(ctx, nil)}
 }
@@ -52,7 +53,7 @@
 	return &epoch{id: c.lastID, openedAt: ctx.Now, previousRoster: before, handedOver: map[string]bool{}}
 }
 
-// uncertainFor returns how long after its admission a request may still be running.
+// uncertainFor returns how long after its admission a request may still be running. No epoch lasts longer.
 func (c *Coordinator) uncertainFor() clock.Micros {
 	if c.maxDeadline == 0 {
 		return UncertaintyUnconfigured
@@ -60,10 +61,10 @@
 	return max(c.maxDeadline+GracePeriod, MinUncertainty)
 }
 
-// canVouch reports whether the absence of a record means that the key was never admitted.
-func (c *Coordinator) canVouch(key, index string, now clock.Micros) bool {
+// isCertain reports whether the absence of a record proves that the key was never admitted.
+func (c *Coordinator) isCertain(key, index string, now clock.Micros) bool {
 	if len(c.roster) > 0 && !isOwner(key, c.name(), c.roster) {
-		// A node that takes this process for an owner of the key has an older roster.
+		// This process is not an owner of the key. The node that asks it has an older roster.
 		return false
 	}
 	for _, e := range c.epochs {
@@ -103,7 +104,7 @@
 	c.updateMaxDeadline(current, ctx.Now)
 	minority := c.inMinority(current, ctx.Now)
 	if minority {
-		// This process misses the admissions that the majority makes in the meantime.
+		// This process does not receive the admissions that the majority side makes during the partition.
 		c.invalidateRecords(ctx)
 		clear(c.initialIndexes)
 	}
@@ -127,21 +128,21 @@
 	}
 }
 
-// Bounds of the cost of a changing roster. With more than maxEpochs open epochs this process treats all its
-// records as lost. maxHandOverRequests bounds the requests per check in a fleet with more nodes than a key has
-// owners.
+// These constants bound the cost of frequent roster changes. With more than maxEpochs open epochs this process
+// treats all its records as lost. maxHandOverRequests bounds the requests per roster check in a fleet with more
+// nodes than a key has owners.
 const (
 	maxEpochs           = 8
 	maxHandOverRequests = 8
 )
 
-// requestHandOvers requests the records that have not been handed over yet. Before there is a configuration it
-// is not called, since no key was ever admitted.
+// requestHandOvers requests the records that have not been handed over yet. It is not called before there is a
+// configuration, because no key has been admitted by then.
 func (c *Coordinator) requestHandOvers(ctx *kernel.Context) {
 	requests := 0
 	for _, e := range c.epochs {
-		// If every node owns every key, this number is enough for every key. In a larger fleet all other nodes
-		// are needed.
+		// left is the number of hand-overs that are still needed. If every node owns every key, handOversNeeded is
+		// enough for every key. In a larger fleet the records of all other nodes are needed.
 		left := e.handOversNeeded(len(c.roster))
 		if len(c.roster) > maxOwners {
 			left = len(c.roster) - 1
@@ -151,7 +152,7 @@
 				left--
 			}
 		}
-		// A process that sees no other node cannot have received their records.
+		// A process that sees no other node cannot have received the records of other nodes.
 		e.complete = len(c.roster) > 1 && left <= 0
 		// Each check starts with a random node, because a node that is uncertain itself does not reply.
 		from := ctx.Rand.IntN(max(1, len(c.roster)))
@@ -175,13 +176,13 @@
 	for _, s := range current.Configuration.Services {
 		longest = max(longest, s.MaxDeadlineUs)
 	}
-	// A request that was admitted under an earlier, longer deadline may still run for the rest of it.
+	// A request that was admitted under an earlier, longer deadline may still run until that deadline.
 	c.maxDeadline = max(longest, c.maxDeadline-(now-c.deadlineReadAt))
 	c.deadlineReadAt = now
 }
 
 // recordInitialIndexes records which indexes had a shard map when this process first received the state of a
-// partition. Requests to these may have run before this process started, see startedBefore.
+// partition. Requests to these indexes may have run before this process started, see startedBefore.
 func (c *Coordinator) recordInitialIndexes(e *wire.Entry) {
 	partition := e.Version.Partition
 	if partition == state.ConfigPartition || c.initialIndexes[partition] != nil {
@@ -197,9 +198,9 @@
 	}
 }
 
-// startedBefore reports whether this process started before the index had its first shard map, in which case
-// no request to the index can have run earlier. As a result keys are admitted without waiting on the first start
-// of a fleet, but not on a start after all nodes were lost.
+// startedBefore reports whether this process started before the index had its first shard map. If it did, no
+// request to the index can have run before the start. Keys can therefore be admitted without delay on the first
+// start of a fleet, but not on a start after all nodes were lost.
 func (c *Coordinator) startedBefore(index string) bool {
 	had := c.initialIndexes[state.PartitionOf(index)]
 	return had != nil && !had[index]
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -28,6 +28,6 @@
 		k.Step(now, now, mesh.CaughtUp{})
 		now += RosterLoadWait
 		out = k.Step(now, now, kernel.Tick{Plugin: "idempotency", ID: n})
-		must.Len(t, 1, w.owners, must.Sprint("once the roster is known, its owners are asked"))
+		must.Len(t, 1, w.owners, must.Sprint("once the roster is known, the admission must ask its owners"))
 	}
 }
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -25,12 +25,13 @@
 	return out
 }
 
-// maxHandOverBytes is the size of the records, in bytes, after which a frame is sent.
+// maxHandOverBytes is the total size of records, in bytes, above which they are sent in a frame of their own.
 const maxHandOverBytes = 256 << 10
 
-// sendRecords sends an owner the records that it should have. It does not reply if this process may have lost
-// records itself, or if the requester is not in its roster yet: the requester would miss the records of keys
-// that this process admits later by the smaller roster. The requester asks again.
+// sendRecords sends the requester the records of the keys that it owns now and did not own before. It sends nothing
+// if this process may have lost records itself. It also sends nothing if the requester is not in this process's
+// roster yet: the requester would miss the records of keys that this process admits later under the smaller roster.
+// In both cases the requester asks again.
 func (c *Coordinator) sendRecords(ctx *kernel.Context, conn uint64, m wire.RecordsRequest) {
 	if slices.ContainsFunc(c.epochs, func(e *epoch) bool { return e.previousRoster == nil && !e.converged(ctx.Now) && !c.startedBeforeAll() }) {
 		return
@@ -42,8 +43,8 @@
 	out := wire.RecordsReply{Epoch: m.Epoch, Name: c.name(), KeyOwners: c.ownerCount()}
 	size := 0
 	var keys []string
-	// With up to maxOwners nodes every node owns every key, so the empty key stands for any key, and a requester
-	// that was an owner before has all records already.
+	// In a fleet of up to maxOwners nodes every node owns every key, so isOwner can be called with an empty key. A
+	// requester that was already an owner in such a fleet has all records.
 	if len(before) == 0 || len(before) > maxOwners || !isOwner("", m.Name, before) {
 		keys = slices.Sorted(maps.Keys(c.records))
 	}
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -14,15 +14,15 @@
 	// GracePeriod is added to the longest deadline of the configuration. The sum is how long an owner that
 	// lost its records stays uncertain, and how long an admitted key may stay without an outcome.
 	GracePeriod = 3 * clock.Second
-	// MinUncertainty is the minimum of that sum. It covers the time in which callers repeat their requests
-	// after all owners have lost their records.
+	// MinUncertainty is the lower bound of the sum of GracePeriod and the longest deadline. It covers the time
+	// in which callers repeat their requests after all owners have lost their records.
 	MinUncertainty = 9 * clock.Second
-	// UncertaintyUnconfigured replaces the sum while the longest deadline is not known, because there is no
-	// configuration yet.
+	// UncertaintyUnconfigured replaces the sum of GracePeriod and the longest deadline while there is no
+	// configuration that states the deadlines.
 	UncertaintyUnconfigured = 15 * clock.Second
 	// RosterConvergence is the time within which every node learns a new roster.
 	RosterConvergence = 2_500 * clock.Millisecond
-	// RosterLoadWait is the time after catching up within which a process has the complete roster.
+	// RosterLoadWait is how long after it caught up with a peer a process may still lack the complete roster.
 	RosterLoadWait = 100 * clock.Millisecond
 	// MaxRecords bounds the number of records of an owner, KeyTTL their age.
 	MaxRecords = 32768
@@ -72,11 +72,10 @@
 	Digest uint64
 	// FirstAttempt is the caller's assertion that it has never sent this key before.
 	FirstAttempt bool
-	// Timeout bounds the duration of the admission, in addition to MaxAdmissionWait. It is ignored if Repeatable
-	// is set.
+	// Timeout bounds the duration of the admission, as does MaxAdmissionWait. It is ignored if Repeatable is set.
 	Timeout clock.Micros
-	// Repeatable marks a search or read. It is always admitted, and only checked for being a repeat, which is
-	// charged to the retry budget.
+	// Repeatable marks a search or read, which is always admitted. The reply only states whether the key was
+	// used before, in which case the request is charged to the retry budget.
 	Repeatable bool
 }
 
@@ -87,8 +86,8 @@
 	Code string
 	// Token is the token of the admission.
 	Token string
-	// Attempted reports whether an attempt was made before the key was released. If so, a repeat is charged to
-	// the retry budget.
+	// Attempted reports whether an attempt was made before the key was released. If so, the next request with
+	// the key is charged to the retry budget.
 	Attempted bool
 	Outcome   search.Outcome
 }
@@ -99,7 +98,7 @@
 	// token identifies the admission. It is contested if two requests may have been admitted.
 	token     string
 	completed bool
-	// uncertain reports that the owner could not vouch for the key when it last replied to the admission request.
+	// uncertain reports whether the owner's last reply to an admission request for the key was uncertain.
 	uncertain  bool
 	outcome    []byte
 	admittedAt clock.Micros
--- a/request/idempotency/majority.go
+++ b/request/idempotency/majority.go
@@ -26,8 +26,8 @@
 			counted = append(counted, r.owners)
 		}
 	}
-	// Owners that reported the fewest come first, so that an owner that reported more does not raise the
-	// required number if the others are a majority without it.
+	// The reported numbers are checked in ascending order, so that an owner that reports a larger number does
+	// not raise the required number if the other owners are a majority without it.
 	slices.Sort(counted)
 	for i, owners := range counted {
 		if i+1 >= quorum(max(owners, len(a.owners))) {
--- a/request/idempotency/model_callers_test.go
+++ b/request/idempotency/model_callers_test.go
@@ -8,8 +8,8 @@
 	"wallport/runtime/kernel"
 )
 
-// callers sends a new key up to four times through random nodes, possibly before an earlier request has been
-// answered, and schedules the next key.
+// callers sends up to four requests with a new key through random nodes. A request may be sent before an earlier
+// one has been answered. Then it schedules the requests with the next key.
 func (m *model) callers(number int) {
 	key := fmt.Sprintf("key-%d", number)
 	tries := 1 + m.rand.IntN(4)
@@ -42,7 +42,8 @@
 	n.step(kernel.Call{Plugin: "idempotency", ID: m.lastCall, Request: Admit{Key: key, Index: "index", Digest: 7, Timeout: 2 * second}})
 }
 
-// selectNode returns the node for a request: half of the time one that has just started, if there is any.
+// selectNode returns a random node for a request. Half of the time it selects only among the nodes that have just
+// started, if there are any.
 func (m *model) selectNode() *modelNode {
 	justStarted := slices.DeleteFunc(slices.Clone(m.nodes), func(n *modelNode) bool { return !n.up || m.now-n.upAt > justStartedFor })
 	if len(justStarted) > 0 && m.rand.IntN(2) == 0 {
@@ -51,8 +52,8 @@
 	return m.nodes[m.rand.IntN(len(m.nodes))]
 }
 
-// admit records an admission and checks that it is the only one of the key. Later the process releases the key or
-// records an outcome, unless it has crashed by then.
+// admit records the admission of a key, and an error if the key was admitted before and not released. Later the
+// process releases the key or records an outcome, unless it has crashed by then.
 func (m *model) admit(process incarnation, key, token string) {
 	m.admitted++
 	if m.admittedKeys[key] {
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -11,13 +11,13 @@
 	"wallport/runtime/settings"
 )
 
-// modelNode is a node with its current process or, while it is down, its last one.
+// modelNode is a node of the model. Its fields describe its current process or, while it is down, its last process.
 type modelNode struct {
 	model *model
 	name  string
 	count int
 	up    bool
-	// upAt is when its process started, downAt when its last process crashed.
+	// upAt is when the node's latest process started. downAt is when a process of the node last crashed.
 	upAt, downAt int64
 	coordinator  *Coordinator
 	view         *snapshot.Snapshot
@@ -90,7 +90,8 @@
 	}
 }
 
-// restart starts a process that at first sees a random subset of the other nodes, and all of them later.
+// restart starts a process of the node. At first the process sees a random subset of the other nodes, and later all
+// of them.
 func (n *modelNode) restart() {
 	n.start()
 	m, process := n.model, n.incarnation()
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -20,10 +20,10 @@
 const (
 	ms     = int64(1000)
 	second = 1000 * ms
-	// modelMaxCrashes is how many of the model's nodes crash at the same time at most: fewer than half.
+	// modelMaxCrashes is the maximum number of nodes that crash at the same time. It is less than half of modelNodes.
 	modelNodes, modelMaxCrashes = 8, 3
 	modelSeconds                = 40 * second
-	// justStartedFor is how long a node counts as just started.
+	// justStartedFor is how long after its start a node counts as just started.
 	justStartedFor = 1500 * ms
 )
 
@@ -64,8 +64,8 @@
 	// replyRoutes holds the sender and receiver of each message, by the connection on which it was received.
 	replyRoutes map[uint64]route
 	lastConn    uint64
-	// arrives is when the last message between two incarnations of nodes arrives. A later message does not
-	// arrive before it.
+	// arrives holds, for a sender and a receiver, when the last message arrives. Messages from one to the other
+	// arrive in the order in which they were sent.
 	arrives map[[2]incarnation]int64
 	// admittedKeys holds the keys that were admitted and not released; admitted counts all admissions.
 	admittedKeys  map[string]bool
@@ -97,7 +97,7 @@
 	for _, n := range m.nodes {
 		n.observe(m.nodes)
 		n.step(mesh.CaughtUp{})
-		// On the first start of a fleet no key was admitted before.
+		// This is the first start of the fleet, so no key was admitted before and no records can be missing.
 		n.coordinator.epochs = nil
 	}
 	return m
@@ -146,8 +146,8 @@
 	})
 }
 
-// crashSome crashes some nodes at the same time. Each restarts later, in one of three cases only after
-// the other nodes have removed it from their rosters.
+// crashSome crashes some nodes at the same time. They restart later; in one of three crashes they restart only
+// after the other nodes have removed them from their rosters.
 func (m *model) crashSome() {
 	all := slices.Clone(m.nodes)
 	m.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -187,7 +187,7 @@
 		m.after(second, func() { m.callers(0) })
 		m.after(2*second, m.crashSome)
 		m.run(modelSeconds)
-		must.SliceEmpty(t, m.admittedTwice, must.Sprintf("seed %d", seed))
+		must.SliceEmpty(t, m.admittedTwice, must.Sprintf("seed %d: a key was admitted twice", seed))
 		admitted += m.admitted
 	}
 	t.Logf("%d seeds, %d keys admitted", seeds, admitted)
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -17,7 +17,7 @@
 			c.addRecord(m.Key, rec)
 		}
 		r.Code, r.Attempted = replyAdmitted, c.recent.has(m.Key, ctx.Now)
-		if rec.uncertain = !c.canVouch(m.Key, m.Index, ctx.Now); rec.uncertain {
+		if rec.uncertain = !c.isCertain(m.Key, m.Index, ctx.Now); rec.uncertain {
 			ctx.Counts.Add("claims_unsure", 1)
 			r.Code = replyUncertain
 		}
@@ -26,7 +26,7 @@
 	case rec.completed:
 		r.Code, r.Body = replyCompleted, rec.outcome
 	case ctx.Now-rec.admittedAt > c.uncertainFor():
-		// The node that was admitted never reported an outcome, so the outcome stays unknown.
+		// The node whose request was admitted never reported an outcome, so the outcome stays unknown.
 		r.Code = replyCompleted
 	default:
 		r.Code = replyInProgress
@@ -60,7 +60,7 @@
 		case rec == nil:
 			c.addRecord(m.Key, &record{digest: uint64(m.Status), token: string(m.Body), admittedAt: ctx.Now})
 		case rec.uncertain && !rec.completed && rec.token != string(m.Body):
-			// Either request may have been admitted, so the release of neither frees the key.
+			// Either of the two requests may have been admitted, so a release by one of them must not free the key.
 			rec.token = contested
 		}
 	}
@@ -74,7 +74,7 @@
 	return min(maxOwners, max(len(c.roster), len(c.snapshot().KeyOwners)))
 }
 
-// addRecord adds a record and drops the oldest ones beyond MaxRecords.
+// addRecord adds a record, and drops the oldest records while there are more than MaxRecords.
 func (c *Coordinator) addRecord(key string, r *record) {
 	c.records[key] = r
 	c.recordOrder = append(c.recordOrder, key)
--- a/request/idempotency/owners.go
+++ b/request/idempotency/owners.go
@@ -59,14 +59,15 @@
 	return slices.ContainsFunc(roster, func(n snapshot.Node) bool { return n.Name == name })
 }
 
-// quorum returns how many of a key's owners must admit it. intersectingQuorum returns the smallest number of
-// owners of which any selection shares an owner with every quorum.
+// quorum returns how many of a key's owners must admit it. intersectingQuorum returns the smallest n such that
+// any n owners include a member of every quorum.
 func quorum(owners int) int             { return owners/2 + 1 }
 func intersectingQuorum(owners int) int { return owners - quorum(owners) + 1 }
 
 // inMinority reports whether this node is on a side of a network partition that must not admit keys. Only the
-// side with more than half of the nodes may admit keys, or, of two equal halves, the side that is in contact with
-// the leader of the configuration's partition, which a majority of the cores follows.
+// side with more than half of the nodes may admit keys. If both sides have half of the nodes, the side that is in
+// contact with the leader of state.ConfigPartition may admit keys: a majority of the cores follows that leader,
+// so at most one side has such a leader.
 func (c *Coordinator) inMinority(current *snapshot.Snapshot, now clock.Micros) bool {
 	votes := 2 * current.Peers
 	if c.configSync.HearsLeader(state.ConfigPartition, now) {
--- a/request/idempotency/repeats.go
+++ b/request/idempotency/repeats.go
@@ -7,13 +7,14 @@
 	"wallport/runtime/wire"
 )
 
-// Searches and reads may run again, but a repeat is charged to the pool's retry budget, no matter which node
-// receives it. One owner of the key reports whether it was used before.
+// Searches and reads may run again, but a repeated request is charged to the pool's retry budget, no matter which
+// node receives it. One owner of the key reports whether the key was used before.
 const (
 	// RepeatCheckTimeout bounds the wait for that owner's reply. Without a reply the request counts as a first
 	// attempt.
 	RepeatCheckTimeout = 20 * clock.Millisecond
-	// RepeatWindow is how long a key is remembered after its last use, and MaxRecentKeys how many keys are.
+	// RepeatWindow is how long a key is remembered after its last use. MaxRecentKeys is the maximum number of
+	// keys that are remembered.
 	RepeatWindow  = clock.Minute
 	MaxRecentKeys = 65536
 )
@@ -51,8 +52,8 @@
 	}
 }
 
-// repeatOwner returns the address of the first live owner of a key, which remembers its use. The address is empty
-// if that is this process. ok is false if no owner is live.
+// repeatOwner returns the address of the owner that remembers whether a key was used: the first live one. addr is
+// empty if this process is that owner. ok is false if no owner is live.
 func (c *Coordinator) repeatOwner(key string) (addr string, ok bool) {
 	for _, owner := range Owners(key, c.snapshot().KeyOwners) {
 		if owner.Origin == c.mesh.Self() {
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -62,7 +62,7 @@
 	for id, w := range n.c.admissions {
 		w.owners = append([]snapshot.Node{n.self()}, others...)
 		n.now += ResendInterval
-		must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("only one of several owners admitted the key"))
+		must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("the admission must not be decided: only one of several owners admitted the key"))
 		return id
 	}
 	return 0
@@ -79,8 +79,8 @@
 	return out.Replies[0].Value.(search.Admission)
 }
 
-// A node that has just started may see only two of the seven other nodes. If the three of them were enough to
-// admit a key, another node could get the same key admitted by the remaining five.
+// A node that has just started may see only two of the seven other nodes. If it and these two were enough to admit a
+// key, another node could get the same key admitted by the remaining five.
 func TestMajorityIsOfTheLargestRosterAmongAgreeingOwners(t *testing.T) {
 	for _, c := range []struct {
 		counted int
@@ -96,15 +96,15 @@
 				must.Eq(t, "in", soleAdmission(t, out).Code)
 				return
 			}
-			must.SliceEmpty(t, out.Replies, must.Sprint("three owners are not a majority of the reported number"))
+			must.SliceEmpty(t, out.Replies, must.Sprint("the admission must not be decided: three owners are not a majority of the reported number"))
 			n.now += MaxAdmissionWait
 			must.Eq(t, "short", soleAdmission(t, n.tick(id)).Code)
 		})
 	}
 }
 
-// An owner with a larger roster must not raise the required number if the owners with a smaller roster are
-// a majority of that one.
+// An owner with a larger roster must not raise the number of owners required if the owners with a smaller roster
+// are a majority of the smaller roster.
 func TestMajorityDoesNotNeedOwnersWithALargerRoster(t *testing.T) {
 	n := newNode(t)
 	owners := otherNodes(2)
@@ -114,7 +114,8 @@
 	must.Eq(t, "in", soleAdmission(t, out).Code)
 }
 
-// An owner that admitted the key may restart and lose its record before the admission is decided.
+// An owner that admitted the key may restart and lose its record before the admission is decided. Its earlier reply
+// must not count any more.
 func TestMajorityLostWhileWaitingForStragglersAdmitsNothing(t *testing.T) {
 	n := newNode(t)
 	owners := otherNodes(4)
@@ -124,15 +125,15 @@
 		out := n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: o.Name, From: o.Origin, Code: "in"})
 		must.SliceEmpty(t, out.Replies)
 	}
-	must.Positive(t, n.c.admissions[id].decideAt, must.Sprint("three of five owners admitted the key: the admission waits for the others"))
+	must.Positive(t, n.c.admissions[id].decideAt, must.Sprint("three of five owners admitted the key, so the admission must wait for the others"))
 	n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[0].Name, From: "a new process", Code: "unsure"})
 	n.now += StragglerWait
-	must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("only two of five owners still have the key"))
+	must.SliceEmpty(t, n.tick(id).Replies, must.Sprint("the key must not be admitted: only two of five owners still have its record"))
 	must.Eq(t, "in", soleAdmission(t, n.receive(wire.KindAdmitReply, id, &wire.AdmitReply{Key: "k", Name: owners[3].Name, From: owners[3].Origin, Code: "in"})).Code)
 }
 
-// Without the owner count in its replies, nodes with a small roster could not notice that a majority of it is too
-// small.
+// An owner must report its owner count in its replies. Otherwise a node with a smaller roster could not notice that
+// a majority of that roster is too small.
 func TestAdmitReplyCarriesTheOwnerCount(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(7)...)
@@ -145,8 +146,8 @@
 	must.Eq(t, 8, r.KeyOwners)
 }
 
-// Records that are handed over to a node outside the sender's roster would lack the keys that the sender admits
-// afterwards by that smaller roster.
+// A node must not hand over its records to a node that is not in its roster. The receiver would lack the records of
+// the keys that the sender admits afterwards under that smaller roster.
 func TestRecordsAreHandedOverOnlyToARosterMember(t *testing.T) {
 	n := newNode(t)
 	n.c.epochs = nil
@@ -157,26 +158,27 @@
 	must.Len(t, 1, n.receive(wire.KindRecordsRequest, 0, request).Sends)
 }
 
-// An owner that lost its records and sees only two of the seven other nodes must not vouch for a key before so
-// many nodes have handed over their records that every majority of eight includes one of them.
-func TestOwnerVouchesOnceEnoughOfTheLargestRosterHandedOver(t *testing.T) {
+// An owner that lost its records sees only two of the seven other nodes at first. It must not treat a missing record
+// as proof that a key was never admitted until four of the other nodes have handed over their records: every
+// majority of eight owners includes one of any four.
+func TestOwnerIsCertainOnceEnoughOfTheLargestRosterHandedOver(t *testing.T) {
 	n := newNode(t)
 	all := otherNodes(7)
 	n.c.roster = append([]snapshot.Node{n.self()}, all[:2]...)
 	n.c.invalidateRecords(&kernel.Context{Now: n.now})
 	lossEpoch := n.c.epochs[0]
 	for i, o := range all[:4] {
-		must.False(t, n.c.canVouch("k", "index", n.now), must.Sprintf("after %d of seven hand-overs", i))
+		must.False(t, n.c.isCertain("k", "index", n.now), must.Sprintf("the owner must be uncertain after %d of seven hand-overs", i))
 		if i == 2 {
 			n.c.roster = append([]snapshot.Node{n.self()}, all...)
 		}
 		n.receive(wire.KindRecordsReply, 0, &wire.RecordsReply{Epoch: lossEpoch.id, Name: o.Name, Last: true, KeyOwners: 8})
 	}
-	must.True(t, n.c.canVouch("k", "index", n.now), must.Sprint("after four of seven hand-overs"))
+	must.True(t, n.c.isCertain("k", "index", n.now), must.Sprint("the owner must be certain after four of seven hand-overs"))
 }
 
-// The record of an admission request that came while the owner could not vouch for the key must not hide an
-// earlier admission that another owner hands over.
+// While an owner is uncertain about a key, it still records an admission request for it. That record must not hide an
+// earlier admission of the key that another owner hands over.
 func TestUncertainRecordYieldsToOneThatIsHandedOver(t *testing.T) {
 	n := newNode(t)
 	n.c.roster = append([]snapshot.Node{n.self()}, otherNodes(2)...)
