--- a/request/gateway/connections.go
+++ b/request/gateway/connections.go
@@ -12,14 +12,14 @@
 )
 
 // connections tracks the clients' connections. The limits of an http.Server cannot change while it runs, so
-// after a change of the limits a new http.Server serves the new connections, and open connections stay
-// with theirs.
+// after a change of the limits another http.Server serves the new connections. Open connections stay with the
+// http.Server that already serves them.
 type connections struct {
 	mu       sync.Mutex
 	listener net.Listener
 	states   map[net.Conn]http.ConnState
-	// httpServers lists all servers that were started. handoffs holds the channel of accepted connections
-	// of the server for each set of limits.
+	// httpServers lists all servers that were started. For each set of limits, handoffs holds the channel from
+	// which the server with these limits receives its connections.
 	httpServers []*http.Server
 	handoffs    map[serverLimits]chan net.Conn
 	closing     bool
--- a/request/gateway/connections_test.go
+++ b/request/gateway/connections_test.go
@@ -26,7 +26,7 @@
 }
 
 // TestLateResponseHasFullWriteTimeout has a backend that takes longer to respond than the write time-out. The
-// client still gets the response, since the time-out restarts when there is one.
+// client must still get the response, since the time-out restarts when the response is available.
 func TestLateResponseHasFullWriteTimeout(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	w := newFixture(t, func(_ *fixture, c *Config) { c.WriteTimeout = timeout })
--- a/request/gateway/driver.go
+++ b/request/gateway/driver.go
@@ -116,7 +116,7 @@
 	return d.attempts[firstNew:]
 }
 
-// finish records the outcome and ignores later ones. The caller holds the lock.
+// finish records the outcome. Only the first call has an effect. The caller holds the lock.
 func (d *driver) finish(o dispatch.Outcome) {
 	if d.finished {
 		return
--- a/request/gateway/driver_test.go
+++ b/request/gateway/driver_test.go
@@ -12,8 +12,8 @@
 	"wallport/runtime/wire"
 )
 
-// blockedBackend is a backend that blocks each request until the test sends to the channel of its path in
-// leave. enter receives the paths of arriving requests, abandoned those of requests that were aborted.
+// blockedBackend is a backend that blocks each request until the test sends to the channel for the request's path
+// in leave. The backend sends the paths of arriving requests to enter, and the paths of aborted requests to abandoned.
 type blockedBackend struct {
 	enter     chan string
 	leave     map[string]chan bool
@@ -43,7 +43,7 @@
 	return blocked
 }
 
-// attemptTo returns an attempt with its own path, by which the backend can identify it.
+// attemptTo returns an attempt with the given path. The path tells the backend which attempt it is.
 func (s *script) attemptTo(n int, path string, once bool) dispatch.Send {
 	a := s.attempt(n, once)
 	req := *a.Request
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -27,7 +27,8 @@
 	Target, Member string
 	// Seal carries a backend's seal of a response and Load its load. NotExecuted states that the request did not run.
 	Seal, Load, NotExecuted string
-	// ShardSeals carries the seals of the parts of a merged response, MissingShards the number of shards that it lacks.
+	// ShardSeals carries the seals of the parts of a merged response. MissingShards carries the number of shards whose
+	// parts are missing from it.
 	ShardSeals, MissingShards string
 	// ReadinessPath is the URL path of readiness checks.
 	ReadinessPath string
@@ -81,8 +82,8 @@
 	// abandonedPoll.
 	abandonedTimeout = time.Second
 	abandonedPoll    = 10 * time.Millisecond
-	// graceReserve is the divisor that yields the part of the grace period, a sixth, that is reserved for
-	// the end of the shutdown.
+	// graceReserve is the divisor for the reserved part of the grace period: a sixth of the period is reserved
+	// for the end of the shutdown.
 	graceReserve = 6
 	// retryAfter is the Retry-After time of responses of a node that cannot serve a request at the moment.
 	retryAfter = 200 * clock.Millisecond
@@ -201,9 +202,9 @@
 // Addr returns the address that clients connect to, or an empty string before the server listens.
 func (s *Server) Addr() string { return s.connections.addr() }
 
-// shutdownDeadline returns the time at which a graceful shutdown aborts the requests still in flight. It is a
-// sixth of the grace period before its end, but at most one second before the end, and at least one second
-// after the start.
+// shutdownDeadline returns the time at which a graceful shutdown aborts the requests still in flight. That is a
+// sixth of the grace period before the end of the period, but at most one second before the end, and at least
+// one second after the start.
 func shutdownDeadline(start time.Time, grace time.Duration) time.Time {
 	return start.Add(max(time.Second, grace-min(time.Second, grace/graceReserve)))
 }
@@ -230,7 +231,8 @@
 	}
 }
 
-// awaitAbandoned waits for abandoned exchanges, so that backends can finish them.
+// awaitAbandoned waits until the abandoned exchanges have ended, so that backends can finish their requests. It
+// waits for abandonedTimeout, and until the deadline, at most.
 func (s *Server) awaitAbandoned(deadline time.Time) {
 	for last := time.Now().Add(abandonedTimeout); s.exchanges.Load() > 0 && time.Now().Before(last) && time.Now().Before(deadline); {
 		time.Sleep(abandonedPoll)
--- a/request/gateway/handler.go
+++ b/request/gateway/handler.go
@@ -43,8 +43,8 @@
 	h.serve(w, r)
 }
 
-// countPanic counts a panic, except http.ErrAbortHandler, with which the handler aborts a connection, and
-// panics again: net/http logs the panic with its stack and closes the connection.
+// countPanic counts a panic and panics again, so that net/http logs the panic with its stack and closes the
+// connection. http.ErrAbortHandler is not counted: the handler panics with it to abort a connection.
 func (h *handler) countPanic() {
 	v := recover()
 	if v == nil {
@@ -59,8 +59,8 @@
 func (h *handler) serve(w http.ResponseWriter, r *http.Request) {
 	s := h.server
 	if !r.ProtoAtLeast(1, 1) || len(r.TransferEncoding) > 0 {
-		// No further request is read on a connection after a chunked one. If that request had a
-		// Content-Length as well, the following bytes could belong to its body.
+		// No further request is read on a connection after a chunked request. If the chunked request also
+		// had a Content-Length, the bytes that follow it could belong to its body.
 		closeAfterResponse(w)
 	}
 	if !headerFits(r, s.limits()) {
--- a/request/gateway/limits.go
+++ b/request/gateway/limits.go
@@ -14,16 +14,16 @@
 	// Leniency is the factor by which a request may exceed the configured limits before it is rejected.
 	Leniency = 2
 
-	// maxBodiesBytes bounds the total size of the bodies of all requests, so that slow or large ones cannot
-	// exhaust the process's memory. Requests beyond it are rejected with 503.
+	// maxBodiesBytes bounds the total size of the bodies of all requests in flight, so that slow or large
+	// requests cannot exhaust the process's memory. A request that exceeds the bound is rejected with status 503.
 	maxBodiesBytes = 32 << 20
 	// defaultBodyTimeout bounds the reading of a body, in addition to the time-out of the header.
 	defaultBodyTimeout = 10 * time.Second
 	// minTimeout is the lower bound of the time-outs that a routing table can set.
 	minTimeout = 200 * time.Millisecond
 
-	// The defaults of the limits that a routing table does not set, and the upper bound of its limit on the
-	// header.
+	// The default limits apply if the routing table does not set its own. maxMaxHeaderBytes is the upper bound
+	// of the limit on the header that a routing table can set.
 	defaultIdleTimeout    = 30 * time.Second
 	defaultHeadTimeout    = 10 * time.Second
 	defaultMaxHeaderBytes = 64 << 10
--- a/request/gateway/limits_test.go
+++ b/request/gateway/limits_test.go
@@ -54,8 +54,8 @@
 	must.Eq(t, 413, resp.StatusCode)
 }
 
-// TestHeaderAndIdleTimeouts checks that an idle connection times out without a response, and one with a part of a
-// request with status 400.
+// TestHeaderAndIdleTimeouts checks that an idle connection times out without a response, and that an incomplete header
+// times out with status 400.
 func TestHeaderAndIdleTimeouts(t *testing.T) {
 	w := newFixture(t, nil)
 	w.limits(&routingpb.Limits{HeaderTimeoutUs: 1, IdleTimeoutUs: 1})
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestBodyBytesAreBounded checks that a body is rejected before it has been read completely while, together with
-// the bodies of other requests, it exceeds the bound, and that bodies are accepted again after that.
+// TestBodyBytesAreBounded checks that a body that exceeds the bound together with the bodies of other requests is
+// rejected before it has been read completely. After the other requests have ended, a body must be accepted again.
 func TestBodyBytesAreBounded(t *testing.T) {
 	w := newFixture(t, nil)
 	w.server.maxBodyBytes = 100
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -114,13 +114,13 @@
 		{"half an answer and silence", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: ID\r\n", false), brief, 504},
 		{"only an interim answer", rawResponse("HTTP/1.1 100 Continue\r\n\r\n", false), brief, 504},
 		{"noise", rawResponse("\x00\x01\x02\r\n\r\n", true), long, 502},
-		{"another request's", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
+		{"the id of another request", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
 		{"no id", rawResponse("HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
 		{"no seal", rawResponse("HTTP/1.1 200 OK\r\nTry-Id: ID\r\nContent-Length: 2\r\n\r\nhi", true), long, 502},
 		{"503 without Did-Not-Run", rawResponse("HTTP/1.1 503 Busy\r\n"+headerAndBody, true), long, 502},
 		{"429 without Did-Not-Run", rawResponse("HTTP/1.1 429 Busy\r\n"+headerAndBody, true), long, 502},
 		{"408 without Did-Not-Run", rawResponse("HTTP/1.1 408 Late\r\n"+headerAndBody, true), long, 502},
-		{"its own failure", rawResponse("HTTP/1.1 500 Oh\r\n"+headerAndBody, true), long, 500},
+		{"a failure with a seal", rawResponse("HTTP/1.1 500 Oh\r\n"+headerAndBody, true), long, 500},
 		{"a success with Did-Not-Run", rawResponse("HTTP/1.1 200 OK\r\nDid-Not-Run: 1\r\n"+headerAndBody, true), long, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -163,7 +163,7 @@
 	client.send(post("/a", "a"))
 	resp, _ := client.readResponse("POST")
 	must.Eq(t, 503, resp.StatusCode)
-	must.Eq(t, 2, w.times("a"), must.Sprint("want one attempt at each backend"))
+	must.Eq(t, 2, w.times("a"), must.Sprint("the request must be sent to each backend once"))
 	seen := map[string]bool{}
 	for _, r := range w.requests()[60:] {
 		seen[r.head.Get("Meant-For")] = true
--- a/request/gateway/peer_test.go
+++ b/request/gateway/peer_test.go
@@ -1,4 +1,4 @@
-// The second process of the benchmarks, which runs the clients, and backends that respond immediately.
+// This file contains the second process of the benchmarks. It runs the clients, and backends that respond immediately.
 
 package gateway
 
--- a/request/gateway/world_test.go
+++ b/request/gateway/world_test.go
@@ -206,7 +206,7 @@
 	return resp, string(body)
 }
 
-// next returns the connection for the next request, which is a new one if the response was the last on this one.
+// next returns the connection for the next request: this one, or a new one if resp was the last response on this one.
 func (c *wireConn) next(resp *http.Response) *wireConn {
 	c.t.Helper()
 	if resp.Close {
