--- a/request/backend/backend.go
+++ b/request/backend/backend.go
@@ -25,8 +25,9 @@
 	Counts *kernel.Counts
 	// NodeCount returns the number of nodes that share a backend's connections; nil means 1.
 	NodeCount func() int
-	// Frozen reports whether the process is frozen, and Thaws returns how often it has thawed. A request that
-	// was decided before a freeze is not written. Nil means that there are no freezes.
+	// Frozen reports whether the process is frozen, and Thaws returns how often it has thawed. A request whose
+	// exchange was started before a freeze is not written after it. A nil function means that the process is
+	// never frozen.
 	Frozen func() bool
 	Thaws  func() int64
 }
--- a/request/backend/cancel_test.go
+++ b/request/backend/cancel_test.go
@@ -44,7 +44,7 @@
 	x.Cancel()
 	rep := <-back
 	must.Eq(t, dispatch.ClassFailed, rep.Class)
-	must.False(t, rep.TimedOut, must.Sprint("a cancellation is not a time-out of the backend"))
+	must.False(t, rep.TimedOut, must.Sprint("a cancellation must not be reported as a time-out of the backend"))
 	must.Error(t, <-ended)
 }
 
@@ -62,8 +62,8 @@
 	must.Eq(t, 0, cl.open.Load())
 }
 
-// TestAbandonedExchangeIsNotWritten checks that an abandoned request is not written, and that one that was already
-// written is completed.
+// TestAbandonedExchangeIsNotWritten checks that an abandoned request is not written, and that an abandoned exchange is
+// completed if its request was already written.
 func TestAbandonedExchangeIsNotWritten(t *testing.T) {
 	enter, leave := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
--- a/request/backend/classify.go
+++ b/request/backend/classify.go
@@ -53,9 +53,10 @@
 	return result, keep && len(ids) == 1
 }
 
-// readKeepAlive sets how long the connection may stay idle to the backend's keep-alive time less a margin of
-// three tenths. The margin is at least one second, or half of a time below two seconds. It reports whether any
-// idle time is left, so that the connection can be kept.
+// readKeepAlive updates how long the connection may stay idle if the response states the backend's keep-alive
+// time: that time less a margin of three tenths of it. The margin is at least one second or, if the keep-alive
+// time is below two seconds, half of that time. readKeepAlive reports whether the connection may stay idle at all,
+// so that it can be kept.
 func (c *conn) readKeepAlive(header http.Header) bool {
 	const maxSeconds = 3600
 	for item := range listItems(header, "Keep-Alive") {
@@ -72,8 +73,8 @@
 	return c.idleFor > 0
 }
 
-// parseLoad parses a backend's load: the numbers of running requests, queued requests and slots. For any other
-// format it returns a report that is not Known.
+// parseLoad parses a backend's load: the numbers of running requests, queued requests and slots. If the text has
+// another format, Known is false in the returned report.
 func parseLoad(s string) (load dispatch.LoadReport) {
 	fields := strings.Split(s, ",")
 	if len(fields) != 3 {
--- a/request/backend/conn_test.go
+++ b/request/backend/conn_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestIdleConnectionClosedByBackend checks that a request is sent on a new connection if the backend has closed
-// the idle one.
+// the idle connection.
 func TestIdleConnectionClosedByBackend(t *testing.T) {
 	counts := kernel.NewCounts()
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return c.n > 1 })
@@ -38,7 +38,7 @@
 	must.Eq(t, 1, f.times("b"))
 }
 
-// TestLateSurplus checks that a response that arrives on an idle connection is not taken for that to the next
+// TestLateSurplus checks that a response that arrives on an idle connection is not taken for the response to the next
 // request.
 func TestLateSurplus(t *testing.T) {
 	surplus := make(chan bool)
@@ -60,7 +60,7 @@
 }
 
 // TestSurplusIsNotTakenForNextResponse has a second response to a request arrive only after the next request was
-// written.
+// written. It must not be taken for the response to the next request.
 func TestSurplusIsNotTakenForNextResponse(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n == 2 {
@@ -97,8 +97,9 @@
 	must.Eq(t, 1, f.connections())
 }
 
-// TestNotExecutedReplyWithoutID checks that a statement that a request did not run, without the request's id and on
-// a reused connection, is not accepted for a request that must not run twice: it may belong to an earlier request.
+// TestNotExecutedReplyWithoutID has the backend state on a reused connection, without a request's id, that a request
+// did not run. The statement may belong to an earlier request, so it must not be accepted for a request that must
+// not run twice.
 func TestNotExecutedReplyWithoutID(t *testing.T) {
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
 		if c.n%2 == 1 {
@@ -122,7 +123,7 @@
 	f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
 	cl := newTestClient(t, Config{Frozen: frozen.Load, Thaws: thaws.Load})
 	for range 2 {
-		// In the second round there is an idle connection.
+		// In the second iteration the client has an idle connection.
 		frozen.Store(true)
 		must.Eq(t, "the process was frozen", run(t, cl, f.attemptOnce("no"), dispatch.ClassNotSent).Reason)
 		frozen.Store(false)
@@ -130,7 +131,7 @@
 		x := cl.Start(f.attemptOnce("no"))
 		thaws.Add(1)
 		rep := x.Run()
-		must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint("the attempt was decided before the freeze"))
+		must.Eq(t, dispatch.ClassNotSent, rep.Class, must.Sprint("the request must not be written, because the attempt was decided before the freeze"))
 
 		a := f.attemptOnce("no")
 		a.Timeout = 900
@@ -176,7 +177,7 @@
 		return true
 	})
 	cl := newTestClient(t, Config{NodeCount: func() int { return 4 }})
-	must.Eq(t, 1, cl.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("the share is at least one connection"))
+	must.Eq(t, 1, cl.connectionLimit(&snapshot.Pool{Pool: &routingpb.Pool{MaxConnections: 3}}), must.Sprint("the share must be at least one connection"))
 	must.Eq(t, defaultMaxConnections, cl.connectionLimit(&snapshot.Pool{}))
 	back := make(chan dispatch.Result, 2)
 	for _, id := range []string{"a", "b"} {
@@ -185,7 +186,7 @@
 	}
 	rep := run(t, cl, f.attempt("c"), dispatch.ClassNotSent)
 	must.Eq(t, reasonNoConnection, rep.Reason)
-	must.True(t, rep.ReusedConn, must.Sprint("must not count as a failure of the backend"))
+	must.True(t, rep.ReusedConn, must.Sprint("the result must be marked so that it does not count as a failure of the backend"))
 	leave <- true
 	leave <- true
 	for range 2 {
--- a/request/backend/cost_test.go
+++ b/request/backend/cost_test.go
@@ -1,7 +1,7 @@
 // The benchmarks compare an exchange with a minimal backend to plain writes and reads on a socket with the same
-// backend. Half of the cost of the plain variant is the backend's, so the node's cost is that of the exchange less
-// half of the plain one. The cost is the CPU time of the process, on which other load on the machine has little
-// influence.
+// backend. Half of the cost of the plain variant is caused by the backend, so the cost of the node is the cost of the
+// exchange less half of the cost of the plain variant. The cost is the CPU time of the process, on which other load on
+// the machine has little influence.
 
 package backend
 
--- a/request/backend/doc.go
+++ b/request/backend/doc.go
@@ -6,6 +6,7 @@
 // closed before a byte was written.
 //
 // The class of a result must be exact, because it determines whether a request may be sent again: "not
-// sent" means that the kernel accepted no byte of it. Responses pass stricter checks before net/http parses
-// them, so that no response can be taken for that of another request (RFC 9112, sections 6.3 and 11).
+// sent" means that the kernel accepted no byte of the request. Before net/http parses a response, it is checked
+// more strictly than net/http does, so that it cannot be taken for the response to another request (RFC 9112,
+// sections 6.3 and 11).
 package backend
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -29,7 +29,7 @@
 type Exchange struct {
 	client  *Client
 	attempt dispatch.Send
-	// thaws is the number of thaws of the process when the attempt was decided.
+	// thaws is how often the process had thawed when the exchange was prepared.
 	thaws     int64
 	startedAt time.Time
 	deadline  time.Time
@@ -66,15 +66,15 @@
 }
 
 // Abandon declares that the response is no longer needed. A request that has not been written yet will not
-// be written; one that has is completed normally.
+// be written. An exchange whose request has been written is completed normally.
 func (x *Exchange) Abandon() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.abandoned = true
 }
 
-// attach makes a connection the one in use and sets its deadline. ok is false if the exchange was canceled or
-// the deadline could not be set.
+// attach makes c the connection of the exchange and sets its deadline. ok is false if the exchange was canceled or
+// the deadline could not be set. abandoned reports whether the response is no longer needed.
 func (x *Exchange) attach(c *conn) (ok, abandoned bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -106,7 +106,8 @@
 }
 
 // writeBlockedReason returns why the request may no longer be written to any connection, or an empty string if it
-// may. The process must not be or have been frozen, and at least a millisecond must be left.
+// may. A request may be written if the process has not been frozen since the exchange was prepared, and at least a
+// millisecond is left until the deadline.
 func (x *Exchange) writeBlockedReason() string {
 	switch {
 	case x.frozen():
@@ -117,7 +118,7 @@
 	return ""
 }
 
-// frozen reports whether the process is frozen or was frozen since the attempt was decided.
+// frozen reports whether the process is frozen or has been frozen since the exchange was prepared.
 func (x *Exchange) frozen() bool {
 	return x.client.config.Frozen() || x.client.config.Thaws() != x.thaws
 }
@@ -132,8 +133,8 @@
 		c, failure := x.connect()
 		if c == nil {
 			result := notSent(failure)
-			// The result is marked as one on a reused connection, for which dispatch counts no failure of the
-			// backend: the node has merely used up its own share of the connections.
+			// Mark the result as if it came from a reused connection, so that dispatch does not count it as a
+			// failure of the backend: the node has merely used up its own share of the connections.
 			result.ReusedConn = failure == reasonNoConnection
 			return result
 		}
@@ -172,8 +173,8 @@
 	return c, ""
 }
 
-// runOn carries out the exchange on a connection. again is set if the connection was a reused one that turned out
-// to be closed before the write, so that the caller should use another one.
+// runOn carries out the exchange on a connection. again is set if a reused connection turned out to be closed, or to
+// have bytes to read, before the write. The caller should then use another connection.
 func (x *Exchange) runOn(c *conn) (result dispatch.Result, again bool) {
 	left := time.Until(x.deadline)
 	if reason := x.attachForWrite(c); reason != "" {
--- a/request/backend/exchange_test.go
+++ b/request/backend/exchange_test.go
@@ -22,12 +22,12 @@
 	}{
 		{"complete", head + "Content-Length: 2\r\n\r\nhi", dispatch.ClassResponse, true, ""},
 		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=y\r\ni\r\n0\r\nTail: 1\r\n\r\n", dispatch.ClassResponse, true, ""},
-		{"a failure of its own with a seal", "HTTP/1.1 500 No\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
+		{"a failure with a seal", "HTTP/1.1 500 No\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
 		{"503 without Did-Not-Run", "HTTP/1.1 503 No\r\nTry-Id: a\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
 		{"interim first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + head + "Content-Length: 0\r\n\r\n", dispatch.ClassResponse, true, ""},
 		{"no content", "HTTP/1.1 204 None\r\nTry-Id: a\r\nStamp: s\r\n\r\n", dispatch.ClassResponse, true, ""},
 		{"connection closes", head + "Connection: close\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
-		{"older protocol", "HTTP/1.0 200 OK\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
+		{"HTTP 1.0", "HTTP/1.0 200 OK\r\nTry-Id: a\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
 		{"surplus", head + "Content-Length: 2\r\n\r\nhi" + head + "Content-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
 		{"surplus bytes", head + "Content-Length: 2\r\n\r\nhi!", dispatch.ClassResponse, false, ""},
 		{"no keep-alive time", head + "Keep-Alive: timeout=0\r\nContent-Length: 0\r\n\r\n", dispatch.ClassResponse, false, ""},
@@ -38,7 +38,7 @@
 		{"cut head", head, dispatch.ClassFailed, false, "unexpected EOF"},
 		{"cut chunks", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", dispatch.ClassFailed, false, "unexpected EOF"},
 		{"no response", "", dispatch.ClassFailed, false, "unexpected EOF"},
-		{"another request's", "HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "another request's answer"},
+		{"the id of another request", "HTTP/1.1 200 OK\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "another request's answer"},
 		{"two ids", "HTTP/1.1 200 OK\r\nTry-Id: a\r\nTry-Id: z\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "another request's answer"},
 		{"no id", "HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "an answer without the request's id"},
 		{"a failure without id", "HTTP/1.1 500 No\r\nStamp: s\r\nContent-Length: 2\r\n\r\nhi", dispatch.ClassInvalid, false, "an answer without the request's id"},
@@ -60,7 +60,7 @@
 		{"bare line feed in a field", "HTTP/1.1 200 OK\r\nX: y\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a line without CR LF"},
 		{"folded", "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nStamp: s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a malformed field"},
 		{"space before the colon", "HTTP/1.1 200 OK\r\nStamp : s\r\nContent-Length: 0\r\n\r\n", dispatch.ClassInvalid, false, "a malformed field"},
-		{"another protocol", "HTTP/1.1 101 Switch\r\n\r\n", dispatch.ClassInvalid, false, "interim answers"},
+		{"switch of protocols", "HTTP/1.1 101 Switch\r\n\r\n", dispatch.ClassInvalid, false, "interim answers"},
 		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 2*MaxHeadBytes), dispatch.ClassInvalid, false, "head too large"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 	must.Eq(t, dispatch.LoadReport{Running: 1, Queued: 2, Slots: 3, Known: true}, rep.Load)
 	must.Eq(t, http.Header{"Try-Id": {"a"}, "Stamp": {"s.1"}, "Busy": {"1, 2,3"}, "X-Own": {"v", "w"}}, rep.Header)
 	must.False(t, rep.Draining)
-	must.Eq(t, "2.8s", idleConn(t, cl).idleFor.String(), must.Sprint("want four seconds less a margin of three tenths"))
+	must.Eq(t, "2.8s", idleConn(t, cl).idleFor.String(), must.Sprint("want four seconds less a margin of 30%"))
 }
 
 func TestRequestBytes(t *testing.T) {
--- a/request/backend/hopbyhop.go
+++ b/request/backend/hopbyhop.go
@@ -10,8 +10,8 @@
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop removes the fields that apply to a single connection only, and the fields that Connection
-// lists except keep.
+// RemoveHopByHop removes the fields that apply to a single connection only, and all fields that Connection lists
+// except the field named keep.
 func RemoveHopByHop(h http.Header, keep string) {
 	for name := range listItems(h, "Connection") {
 		if name = http.CanonicalHeaderKey(name); name != keep {
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -34,7 +34,8 @@
 	return g
 }
 
-// dial returns a new connection on which the effect of the function, bytes or the end of the stream, has arrived.
+// dial opens a connection and returns it once the bytes that the function sends, or the end of the stream, have
+// arrived on it.
 func (g *preRequestBackend) dial(t *testing.T, cl *Client) *conn {
 	t.Helper()
 	_, pool, room := cl.acquire(g.backend(), 1)
@@ -68,7 +69,7 @@
 }
 
 // TestResponseBeforeRequest has a response arrive before the request was written, in one case with the request's
-// id. It must not be taken for the response to the request, which must not be written to that connection.
+// id. It must not be taken for the response to the request, and the request must not be written to that connection.
 func TestResponseBeforeRequest(t *testing.T) {
 	for name, response := range map[string]string{
 		"not executed": "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -130,8 +131,8 @@
 	must.Eq(t, 0, f.times("a"))
 }
 
-// TestResponseAfterDeadline has a response arrive after the deadline. The connection must not be reused, or the
-// response could be taken for that to the next request.
+// TestResponseAfterDeadline has a response arrive after the deadline. The connection must not be reused; otherwise the
+// response could be taken for the response to the next request.
 func TestResponseAfterDeadline(t *testing.T) {
 	late, wrote := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
--- a/request/backend/response.go
+++ b/request/backend/response.go
@@ -90,8 +90,8 @@
 func readBody(resp *http.Response, raw []byte, method string) ([]byte, error) {
 	chunked := len(resp.TransferEncoding) > 0
 	if chunked || resp.ProtoMinor == 0 {
-		// Of a Content-Length and a chunked encoding, net/http ignores one, and it ignores a chunked encoding in
-		// HTTP/1.0. Both are ambiguous.
+		// If a response has both a Content-Length and a chunked encoding, net/http ignores one of them. In
+		// HTTP/1.0 it ignores the chunked encoding. Such responses are ambiguous, so they are rejected.
 		b := bytes.ToLower(raw)
 		if bytes.Contains(b, []byte("\ntransfer-encoding:")) && (!chunked || bytes.Contains(b, []byte("\ncontent-length:"))) {
 			return nil, malformedError("a length and chunks")
--- a/request/backend/response_test.go
+++ b/request/backend/response_test.go
@@ -56,8 +56,8 @@
 		}
 		for cut := range len(b) {
 			_, _, _, end, err := readFragments([]byte(b[:cut]), 7)
-			must.Error(t, err, must.Sprint("cut at ", cut))
-			must.True(t, end, must.Sprint("the error must be the end of the connection"))
+			must.Error(t, err, must.Sprint("response cut at byte ", cut))
+			must.True(t, end, must.Sprint("the error must be caused by the end of the connection"))
 		}
 	}
 }
--- a/request/backend/roundtrip.go
+++ b/request/backend/roundtrip.go
@@ -50,7 +50,7 @@
 	defer func() { c.exchange, c.out = nil, nil }()
 	err = c.sys.Read(c.advanceFunc)
 	if err == nil && c.phase == phaseWrite && c.err == nil {
-		// The kernel accepted only a part. The remaining bytes are written with the blocking Write.
+		// The kernel accepted only a part of the bytes. The blocking Write writes the remaining ones.
 		var n int
 		n, err = c.raw.Write(out[c.written:])
 		c.written += n
