--- a/request/httpapi/authorizer.go
+++ b/request/httpapi/authorizer.go
@@ -19,9 +19,9 @@
 // tokensPollInterval is the interval at which the tokens file is checked for changes.
 const tokensPollInterval = time.Second
 
-// authorizer decides what the bearer of an operator token may do. The token in the settings permits everything, and a
-// token in the tokens file what its scope permits. Changes of the file take effect without a restart, and an invalid
-// file is ignored.
+// authorizer decides what the bearer of an operator token may do. The token in the settings permits everything. A token
+// in the tokens file permits what its scope covers. Changes of the file take effect without a restart. If a changed file
+// is invalid, the current tokens stay valid.
 type authorizer struct {
 	process  *process.Process
 	file     string
--- a/request/httpapi/backend_client.go
+++ b/request/httpapi/backend_client.go
@@ -90,9 +90,9 @@
 }
 
 // sendOnce sends an attempt on one connection. again is set if the connection had been abandoned before any byte of the
-// request was written, so that another one can be tried. net/http does not report whether an error occurred before the
-// write. The client trace shows whether a connection was used at all and what was written to it, so that
-// [search.ClassNotSent] is returned only if that is certain.
+// request was written; the caller can then try another connection. net/http does not report whether an error occurred
+// before the write. sendOnce therefore uses a client trace, which shows whether a connection was used at all and what was
+// written to it. It returns [search.ClassNotSent] only if it is certain that no byte was written.
 func (c *backendClient) sendOnce(ctx context.Context, attempt *search.Send, kind string, body []byte) (reply search.Result, again bool) {
 	var use atomic.Pointer[connUse]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { use.Store(beginUse(i.Conn)) }})
--- a/request/httpapi/backend_client_test.go
+++ b/request/httpapi/backend_client_test.go
@@ -27,7 +27,7 @@
 }
 
 // By default net/http retries a request by itself if the server closes a reused connection after it has read the
-// request.
+// request. The backend client must prevent this, because a correction must not run twice.
 func TestSendIsNotRetriedByTransport(t *testing.T) {
 	var ran atomic.Int64
 	var peers sync.Map
@@ -37,7 +37,7 @@
 		io.ReadAll(r.Body)
 		peers.Store(r.RemoteAddr, true)
 		if ran.Add(1) == 1 {
-			// The response must be valid, or the connection would not be reused.
+			// The response must be valid; otherwise the connection would not be reused.
 			body, _ := json.Marshal(search.BackendResponse{RequestID: request.ID, ShardMap: request.ShardMap, Shard: request.Shard, Records: []search.Record{{ID: request.Record}}})
 			w.Header().Set("Content-Digest", search.ContentDigest(body))
 			w.Write(body)
--- a/request/httpapi/backend_conn_test.go
+++ b/request/httpapi/backend_conn_test.go
@@ -16,8 +16,8 @@
 	"wallport/request/search"
 )
 
-// lateBackend responds to each request on its first connection with the response to the previous request, and on all
-// other connections with the correct one.
+// lateBackend responds to each request on its first connection with the response to the previous request. On all other
+// connections it responds correctly.
 type lateBackend struct {
 	l     net.Listener
 	conns atomic.Int64
@@ -93,5 +93,5 @@
 	must.ErrorIs(t, err, errAbandoned)
 	must.False(t, first.unwritten(err))
 	must.True(t, second.unwritten(err))
-	must.False(t, second.unwritten(net.ErrClosed), must.Sprint("bytes may still be written after such an error"))
+	must.False(t, second.unwritten(net.ErrClosed), must.Sprint("the request must not count as unwritten, because bytes may still be written after this error"))
 }
--- a/request/httpapi/caller.go
+++ b/request/httpapi/caller.go
@@ -47,7 +47,7 @@
 	return a.single(search.Request{Kind: search.KindCorrect, Index: p.Index, Record: p.ID, Body: p.Body, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
 }
 
-// Part runs one part of the work on a record, at most once per idempotency key.
+// Part fetches one part of a record, at most once per idempotency key.
 func (a callerAPI) Part(_ context.Context, p *caller.PartPayload) (*caller.Single, error) {
 	return a.single(search.Request{Kind: search.KindPart, Index: p.Index, Record: p.ID, Part: p.Part, Deadline: deref(p.DeadlineUs), Key: deref(p.Key), FirstAttempt: deref(p.FirstTry)})
 }
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -22,7 +22,7 @@
 	table      *snapshot.Table
 	client     *backendClient
 	authorizer *authorizer
-	// platformTrace finds the trace of a request of a platform's client.
+	// platformTrace finds the trace of a request from a platform's client by the request's id.
 	platformTrace atomic.Pointer[func(id string) (any, bool)]
 }
 
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -76,7 +76,7 @@
 	return f
 }
 
-// encodeJSON encodes a decoded payload as JSON again. It returns nil if that fails.
+// encodeJSON encodes a decoded payload as JSON again. It returns nil if the payload cannot be encoded.
 func encodeJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
