--- a/request/search/doc.go
+++ b/request/search/doc.go
@@ -8,7 +8,7 @@
 // driver executes the actions over HTTP (request/httpapi) or in the simulator (lab/sim). The driver
 // also supplies the time and the random seed, which makes runs reproducible.
 //
-// A request passes through the following states. They are given by their texts in traces, for example
+// A request passes through the following states. The list shows their texts in traces, for example
 // "picked" for StateSelected (see [State]):
 //
 //	read -> classified -> let_in -> picked -> asked -> (re_asked) -> gathered ->
--- a/request/search/events.go
+++ b/request/search/events.go
@@ -1,7 +1,7 @@
 package search
 
 // State is a state of the state machine. Operators see its text in traces. The texts do not change,
-// so some of them are older terms than the names of the constants.
+// so some of them use older terms than the names of the constants.
 type State string
 
 // The states of a request.
--- a/request/search/retry_budget.go
+++ b/request/search/retry_budget.go
@@ -11,8 +11,8 @@
 // one of them for every five initial attempts to a pool, plus about sixty. Each initial attempt of a
 // node credits the node's budget with a fifth of an attempt. The balance is capped, so that credit
 // earned long ago is not spent in a burst. Fifty of the sixty attempts may be saved up, and ten accrue
-// over the ten seconds. Each node's part of the sixty is computed by dividing by the size of the
-// largest fleet seen recently.
+// over the ten seconds. A node's part of the sixty is that number divided by the size of the largest
+// fleet seen recently.
 //
 // The constants are in thousandths of an attempt.
 const (
@@ -40,7 +40,7 @@
 	return budget, capacity
 }
 
-// replenishRetryBudget credits the retry budget with the share that one initial attempt earns.
+// replenishRetryBudget credits the retry budget with earnedPerAttempt, for one initial attempt.
 func (d *Dispatcher) replenishRetryBudget(snap *snapshot.Snapshot, index string, now clock.Micros) {
 	budget, capacity := d.retryBudget(snap, index, now)
 	budget.Add(earnedPerAttempt, capacity)
--- a/request/search/selection.go
+++ b/request/search/selection.go
@@ -52,7 +52,7 @@
 }
 
 // selectBackend selects a backend for an attempt by the power of two choices: it samples two backends
-// from the best tier and takes the one with the shorter expected wait. If possible, one of the two is
+// from the best tier and takes the backend with the shorter expected wait. If possible, one of the two is
 // in the node's own zone. Backends in attempted are skipped. The second result reports whether a
 // backend was found.
 //
@@ -87,7 +87,7 @@
 	}, true
 }
 
-// bestTier returns the backends of the best non-empty tier, without those in attempted, and that tier.
+// bestTier returns the backends of the best non-empty tier, and the tier. Backends in attempted are ignored.
 func bestTier(backends []*snapshot.Backend, attempted []string, now clock.Micros) ([]*snapshot.Backend, tier) {
 	var best []*snapshot.Backend
 	lowest := tierCount
@@ -124,7 +124,7 @@
 	return kept
 }
 
-// inZone returns the backends in a zone, or all backends if there are none in it.
+// inZone returns the backends in a zone, or all given backends if none of them is in the zone.
 func inZone(backends []*snapshot.Backend, zone string) []*snapshot.Backend {
 	var found []*snapshot.Backend
 	for _, s := range backends {
@@ -142,8 +142,8 @@
 	return backends[rnd.IntN(len(backends))]
 }
 
-// minLatency, half a millisecond, is added to a backend's latency, so that the cost of a backend that
-// has not answered yet is not zero.
+// minLatency, half a millisecond, is added to a backend's latency, so that the expected wait at a backend
+// that has not answered yet is not zero.
 const minLatency clock.Micros = 500
 
 // expectedWait estimates how long a request to a backend would wait, in relative units. It adds four
