--- a/request/idempotency/admission.go
+++ b/request/idempotency/admission.go
@@ -27,7 +27,7 @@
 	decideAt clock.Micros
 }
 
-// admit starts the admission of a key, which ends when the owners' replies decide it or at its deadline.
+// admit starts the admission of a key. The admission ends when the owners' replies decide it, or at its deadline.
 func (c *Coordinator) admit(ctx *kernel.Context, id uint64, a Admit) {
 	current := c.snapshot()
 	if c.inMinority(current, ctx.Now) {
@@ -94,8 +94,9 @@
 	c.decide(ctx, n, pending)
 }
 
-// decide admits a key that a majority of its owners admitted. If the caller asserts that this is its first
-// attempt, uncertain owners count towards the majority.
+// decide grants the admission if a majority of the key's owners admitted the key, after waiting up to StragglerWait
+// for the remaining owners. If the caller asserts that this is its first attempt, uncertain owners count towards the
+// majority.
 func (c *Coordinator) decide(ctx *kernel.Context, n uint64, pending *admission) {
 	if len(pending.owners) == 0 {
 		return
--- a/request/idempotency/doc.go
+++ b/request/idempotency/doc.go
@@ -8,8 +8,8 @@
 // An owner that may have lost its record of a key replies that it is uncertain ("unsure"). This is the case
 // after it started, thawed, was in the minority of a network partition, or became an owner through a change of
 // the roster. Each of these events opens an epoch, in which the owner requests the records of the other
-// owners. The owner is certain again once it has the records of enough owners that every earlier majority
-// includes one of them, or after the longest deadline plus a grace period.
+// owners. The owner is certain again once the owners that have handed over their records include a member of
+// every earlier majority, or after the longest deadline plus a grace period.
 //
 // Searches and reads may run again. For them a single owner remembers for some time whether a key was used, so
 // that a repeated request is charged to the retry budget (repeats.go).
--- a/request/idempotency/epochs.go
+++ b/request/idempotency/epochs.go
@@ -13,9 +13,9 @@
 // epoch is a period in which this process may lack records that it should have as an owner. An epoch is opened by
 // a start, by a thaw, by being in the minority of a network partition, and by a change of the roster. During an
 // epoch this process requests the records of the other owners. Every admitted key was admitted by a majority of
-// the owners that it had at that time. Once enough of these owners have handed over their records that every
-// majority includes one of them, the absence of a record proves that the key was never admitted. If too many of
-// these owners are lost, the epoch ends after the longest deadline plus a grace period.
+// the owners that it had at that time. Once the owners that have handed over their records include a member of
+// every such majority, the absence of a record proves that the key was never admitted. If too many owners are
+// lost, the epoch ends after the longest deadline plus a grace period.
 type epoch struct {
 	id       uint64
 	openedAt clock.Micros
--- a/request/idempotency/handover.go
+++ b/request/idempotency/handover.go
@@ -25,7 +25,8 @@
 	return out
 }
 
-// maxHandOverBytes is the total size of records, in bytes, above which they are sent in a frame of their own.
+// maxHandOverBytes is the size of the collected records, in bytes, above which sendRecords sends them as a frame and
+// starts the next one.
 const maxHandOverBytes = 256 << 10
 
 // sendRecords sends the requester the records of the keys that it owns now and did not own before. It sends nothing
@@ -68,7 +69,7 @@
 	ctx.Send(conn, wire.KindRecordsReply, 0, &out)
 }
 
-// receiveRecords adds the records of another owner, and after the last frame marks its hand-over as complete.
+// receiveRecords adds the records from a frame of another owner. The last frame completes that owner's hand-over.
 func (c *Coordinator) receiveRecords(ctx *kernel.Context, m wire.RecordsReply) {
 	for _, s := range m.Records {
 		c.updateRecord(ctx, s)
--- a/request/idempotency/model_test.go
+++ b/request/idempotency/model_test.go
@@ -164,7 +164,8 @@
 	m.after(downtime+m.between(4*second, 6*second), m.crashSome)
 }
 
-// announceRoster makes every node update its roster after a random delay, to the state of the fleet at that time.
+// announceRoster makes every node update its roster after a random delay. The new roster reflects the state of the
+// fleet at the time of the update.
 func (m *model) announceRoster() {
 	for _, n := range m.nodes {
 		process := n.incarnation()
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -159,8 +159,8 @@
 }
 
 // An owner that lost its records sees only two of the seven other nodes at first. It must not treat a missing record
-// as proof that a key was never admitted until four of the other nodes have handed over their records: every
-// majority of eight owners includes one of any four.
+// as proof that a key was never admitted until four of the other nodes have handed over their records: any four of
+// eight owners include a member of every majority.
 func TestOwnerIsCertainOnceEnoughOfTheLargestRosterHandedOver(t *testing.T) {
 	n := newNode(t)
 	all := otherNodes(7)
