--- a/request/gateway/connections.go
+++ b/request/gateway/connections.go
@@ -162,8 +162,8 @@
 }
 
 // closeIdle ends the connections that are not active and returns the number of connections that are still
-// open. It expires their read deadlines instead of closing them, so that a read either fails without
-// returning a byte or returns a request, which is then served.
+// open. It does not close the idle connections but sets their read deadlines to a time in the past. A read then
+// either fails without returning a byte or returns a request, which is served.
 func (s *Server) closeIdle() int {
 	conns := &s.connections
 	conns.mu.Lock()
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -20,10 +20,10 @@
 
 // Names holds the names of the header fields, and the readiness path, that a platform uses.
 type Names struct {
-	// ID carries the client's id of one attempt at a request, Budget the time that is left for it, in whole
-	// milliseconds.
+	// ID carries the client's id of one attempt at a request. Budget carries the time that is left for the
+	// attempt, in whole milliseconds.
 	ID, Budget string
-	// Target carries the id of the backend that a request is sent to, Member that of the responding backend.
+	// Target carries the id of the backend that a request is sent to, Member the id of the responding backend.
 	Target, Member string
 	// Seal carries a backend's seal of a response and Load its load. NotExecuted states that the request did not run.
 	Seal, Load, NotExecuted string
@@ -42,8 +42,8 @@
 
 // Config holds the parameters and dependencies of a server.
 type Config struct {
-	// ClientAddr is the address that clients connect to, ReadinessAddr that for readiness checks. Without a
-	// ReadinessAddr no readiness checks are served.
+	// ClientAddr is the address that clients connect to. ReadinessAddr is the address for readiness checks. If it
+	// is empty, no readiness checks are served.
 	ClientAddr, ReadinessAddr string
 	Names                     Names
 	Log                       *zap.Logger
@@ -78,8 +78,8 @@
 	PollInterval = 20 * time.Millisecond
 	// acceptRetryDelay is the pause after a failed accept.
 	acceptRetryDelay = 5 * time.Millisecond
-	// abandonedTimeout bounds how long a shutdown waits for abandoned exchanges, which it checks every
-	// abandonedPoll.
+	// abandonedTimeout bounds how long a shutdown waits for abandoned exchanges. abandonedPoll is the interval
+	// at which it checks whether any are left.
 	abandonedTimeout = time.Second
 	abandonedPoll    = 10 * time.Millisecond
 	// graceReserve is the divisor for the reserved part of the grace period: a sixth of the period is reserved
@@ -171,8 +171,8 @@
 	}
 }
 
-// isReady reports whether the node can serve clients: no shutdown has begun, and Config.Ready says so or, without
-// that function, the snapshot is ready and has a routing table.
+// isReady reports whether the node can serve clients: no shutdown has begun, and Config.Ready returns true. If
+// Config.Ready is nil, the snapshot must instead be ready and have a routing table.
 func (s *Server) isReady() bool {
 	if s.draining.Load() {
 		return false
--- a/request/gateway/handler.go
+++ b/request/gateway/handler.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// handle returns the outcome of a request. If the outcome has no status, there is no response.
+// handle returns the outcome of a request. If the outcome has no status, no response is sent.
 func (h *handler) handle(r *http.Request, req dispatch.Request) dispatch.Outcome {
 	s := h.server
 	s.inFlight.Add(1)
@@ -125,7 +125,7 @@
 // closeAfterResponse makes net/http close the connection after this response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header()["Connection"] = []string{"close"} }
 
-// readBody reads the complete body. On failure it returns the status of the response that reports it.
+// readBody reads the complete body. On failure it returns the status of the error response.
 func (h *handler) readBody(w http.ResponseWriter, r *http.Request, reservation *bodyReservation) (b []byte, status int) {
 	if r.Body == http.NoBody {
 		return nil, 0
