--- a/request/backend/backend.go
+++ b/request/backend/backend.go
@@ -11,8 +11,8 @@
 
 // Names holds the names of the header fields that a platform uses.
 type Names struct {
-	// ID carries the client's id of one attempt at a request, which backends echo. Budget carries the time that
-	// is left for the request, in whole milliseconds, and Target the id of the backend that it is sent to.
+	// ID carries the client's id of one attempt at a request; backends echo it. Budget carries the time that is
+	// left for the request, in whole milliseconds. Target carries the id of the backend that the request is sent to.
 	ID, Budget, Target string
 	// Seal carries a backend's seal of a response and Load its load (running, queued, slots). NotExecuted
 	// states that the request did not run.
@@ -53,7 +53,7 @@
 // Client owns the connections to all backends. It is safe for concurrent use.
 type Client struct {
 	config   Config
-	names    Names // canonical
+	names    Names // in canonical form
 	mu       sync.Mutex
 	pools    map[poolKey]*connPool
 	closed   bool
--- a/request/backend/exchange.go
+++ b/request/backend/exchange.go
@@ -92,8 +92,8 @@
 	return c.setDeadline(time.Time{}) == nil
 }
 
-// attachForWrite attaches a connection and returns why the request may not be written to it, or an empty string
-// if it may.
+// attachForWrite attaches a connection. It returns why the request may not be written to the connection, or an empty
+// string if it may be written.
 func (x *Exchange) attachForWrite(c *conn) string {
 	ok, abandoned := x.attach(c)
 	switch {
@@ -106,8 +106,8 @@
 }
 
 // writeBlockedReason returns why the request may no longer be written to any connection, or an empty string if it
-// may. A request may be written if the process has not been frozen since the exchange was prepared, and at least a
-// millisecond is left until the deadline.
+// may be written. A request may be written if the process has not been frozen since the exchange was prepared, and
+// at least a millisecond is left until the deadline.
 func (x *Exchange) writeBlockedReason() string {
 	switch {
 	case x.frozen():
--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -13,8 +13,8 @@
 	"wallport/runtime/clock"
 )
 
-// preRequestBackend is a fakeBackend that calls a function with each new connection, before it reads a request. The
-// test starts the call by sending to begin and receives from done when it has returned.
+// preRequestBackend is a fakeBackend that calls a function with each new connection, before it reads a request from the
+// connection. The test starts each call by sending to begin, and receives from done when the call has returned.
 type preRequestBackend struct {
 	*fakeBackend
 	begin, done chan bool
@@ -160,7 +160,7 @@
 }
 
 // TestBodyPartlyWritten has the backend reset the connection after a part of a body that the kernel does not
-// accept in a single write. The request may have run.
+// accept in a single write. The request may have run and must not be written to another connection.
 func TestBodyPartlyWritten(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
