--- a/request/httpapi/backend_conn.go
+++ b/request/httpapi/backend_conn.go
@@ -10,7 +10,7 @@
 // errAbandoned is returned for a write to an abandoned connection.
 var errAbandoned = errors.New("the connection was given up")
 
-// backendConn is a connection to a backend that accepts no further writes once it was abandoned. It is needed because
+// backendConn is a connection to a backend that accepts no further writes once it has been abandoned. It is needed because
 // net/http makes a connection available for reuse before the response on it has been validated.
 type backendConn struct {
 	net.Conn
@@ -50,7 +50,7 @@
 	return errors.Is(err, errAbandoned) && u.conn != nil && u.conn.written.Load() == u.writtenBefore
 }
 
-// abandon prevents further requests on the connection, since the response to an earlier one may still be outstanding.
+// abandon prevents further requests on the connection, since the response to an earlier request may be outstanding.
 func (u *connUse) abandon() {
 	if u.conn != nil {
 		u.conn.abandoned.Store(true)
--- a/request/httpapi/drain.go
+++ b/request/httpapi/drain.go
@@ -20,8 +20,8 @@
 	s.logDrainStep("draining")
 }
 
-// Stop drains the process, waits until callers and other processes have noticed, and waits up to drainTimeout for the
-// requests in flight.
+// Stop drains the process. If the caller API is open, it then waits for drainGrace, so that callers and other processes
+// notice the draining. Finally it waits up to drainTimeout for the requests in flight.
 func (s *Server) Stop() {
 	s.Drain()
 	s.mu.Lock()
--- a/request/httpapi/errors.go
+++ b/request/httpapi/errors.go
@@ -19,7 +19,7 @@
 	"wallport/runtime/wire"
 )
 
-// Names of failures of the operator API, and of both APIs for requests that do not reach a service.
+// The names of the operator API's failures. Both APIs also use some of them for requests that do not reach a service.
 const (
 	FailureMalformed      = "malformed"
 	FailureConflict       = "conflict"
@@ -69,8 +69,8 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// refuseDuplicateKeys rejects a JSON body with duplicate names in an object, of which a decoder would silently keep only
-// one.
+// refuseDuplicateKeys rejects a JSON body in which an object has duplicate names. A decoder would silently keep only one
+// of the duplicates.
 func refuseDuplicateKeys(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// drainEvents processes the events that arrived after the state machine finished. An admission of the key among them must
-// not be dropped, since its owners would keep the key in progress.
+// drainEvents processes the events that arrived after the state machine finished. An admission of the key must not be
+// dropped; otherwise the owners of the key would keep it in progress.
 func (r *run) drainEvents(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
