--- a/request/backend/once_test.go
+++ b/request/backend/once_test.go
@@ -13,8 +13,8 @@
 	"wallport/runtime/clock"
 )
 
-// preRequestBackend is a fakeBackend that calls a function with each new connection, before it reads a request. The
-// test starts the call by sending to begin and receives from done when it has returned.
+// preRequestBackend is a fakeBackend that calls a function with each new connection, before it reads a request from the
+// connection. The test starts each call by sending to begin, and receives from done when the call has returned.
 type preRequestBackend struct {
 	*fakeBackend
 	begin, done chan bool
@@ -34,7 +34,8 @@
 	return g
 }
 
-// dial returns a new connection on which the effect of the function, bytes or the end of the stream, has arrived.
+// dial opens a connection and returns it once the bytes that the function sends, or the end of the stream, have
+// arrived on it.
 func (g *preRequestBackend) dial(t *testing.T, cl *Client) *conn {
 	t.Helper()
 	_, pool, room := cl.acquire(g.backend(), 1)
@@ -68,7 +69,7 @@
 }
 
 // TestResponseBeforeRequest has a response arrive before the request was written, in one case with the request's
-// id. It must not be taken for the response to the request, which must not be written to that connection.
+// id. It must not be taken for the response to the request, and the request must not be written to that connection.
 func TestResponseBeforeRequest(t *testing.T) {
 	for name, response := range map[string]string{
 		"not executed": "HTTP/1.1 503 Full\r\nDid-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -130,8 +131,8 @@
 	must.Eq(t, 0, f.times("a"))
 }
 
-// TestResponseAfterDeadline has a response arrive after the deadline. The connection must not be reused, or the
-// response could be taken for that to the next request.
+// TestResponseAfterDeadline has a response arrive after the deadline. The connection must not be reused; otherwise the
+// response could be taken for the response to the next request.
 func TestResponseAfterDeadline(t *testing.T) {
 	late, wrote := make(chan bool), make(chan bool)
 	f := newFakeBackend(t, func(c *receivedRequest) bool {
@@ -159,7 +160,7 @@
 }
 
 // TestBodyPartlyWritten has the backend reset the connection after a part of a body that the kernel does not
-// accept in a single write. The request may have run.
+// accept in a single write. The request may have run and must not be written to another connection.
 func TestBodyPartlyWritten(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		f := newFakeBackend(t, func(c *receivedRequest) bool { c.write(c.good("")); return true })
--- a/request/gateway/connections.go
+++ b/request/gateway/connections.go
@@ -12,14 +12,14 @@
 )
 
 // connections tracks the clients' connections. The limits of an http.Server cannot change while it runs, so
-// after a change of the limits a new http.Server serves the new connections, and open connections stay
-// with theirs.
+// after a change of the limits another http.Server serves the new connections. Open connections stay with the
+// http.Server that already serves them.
 type connections struct {
 	mu       sync.Mutex
 	listener net.Listener
 	states   map[net.Conn]http.ConnState
-	// httpServers lists all servers that were started. handoffs holds the channel of accepted connections
-	// of the server for each set of limits.
+	// httpServers lists all servers that were started. For each set of limits, handoffs holds the channel from
+	// which the server with these limits receives its connections.
 	httpServers []*http.Server
 	handoffs    map[serverLimits]chan net.Conn
 	closing     bool
@@ -162,8 +162,8 @@
 }
 
 // closeIdle ends the connections that are not active and returns the number of connections that are still
-// open. It expires their read deadlines instead of closing them, so that a read either fails without
-// returning a byte or returns a request, which is then served.
+// open. It does not close the idle connections but sets their read deadlines to a time in the past. A read then
+// either fails without returning a byte or returns a request, which is served.
 func (s *Server) closeIdle() int {
 	conns := &s.connections
 	conns.mu.Lock()
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -20,14 +20,15 @@
 
 // Names holds the names of the header fields, and the readiness path, that a platform uses.
 type Names struct {
-	// ID carries the client's id of one attempt at a request, Budget the time that is left for it, in whole
-	// milliseconds.
+	// ID carries the client's id of one attempt at a request. Budget carries the time that is left for the
+	// attempt, in whole milliseconds.
 	ID, Budget string
-	// Target carries the id of the backend that a request is sent to, Member that of the responding backend.
+	// Target carries the id of the backend that a request is sent to, Member the id of the responding backend.
 	Target, Member string
 	// Seal carries a backend's seal of a response and Load its load. NotExecuted states that the request did not run.
 	Seal, Load, NotExecuted string
-	// ShardSeals carries the seals of the parts of a merged response, MissingShards the number of shards that it lacks.
+	// ShardSeals carries the seals of the parts of a merged response. MissingShards carries the number of shards whose
+	// parts are missing from it.
 	ShardSeals, MissingShards string
 	// ReadinessPath is the URL path of readiness checks.
 	ReadinessPath string
@@ -41,8 +42,8 @@
 
 // Config holds the parameters and dependencies of a server.
 type Config struct {
-	// ClientAddr is the address that clients connect to, ReadinessAddr that for readiness checks. Without a
-	// ReadinessAddr no readiness checks are served.
+	// ClientAddr is the address that clients connect to. ReadinessAddr is the address for readiness checks. If it
+	// is empty, no readiness checks are served.
 	ClientAddr, ReadinessAddr string
 	Names                     Names
 	Log                       *zap.Logger
@@ -77,12 +78,12 @@
 	PollInterval = 20 * time.Millisecond
 	// acceptRetryDelay is the pause after a failed accept.
 	acceptRetryDelay = 5 * time.Millisecond
-	// abandonedTimeout bounds how long a shutdown waits for abandoned exchanges, which it checks every
-	// abandonedPoll.
+	// abandonedTimeout bounds how long a shutdown waits for abandoned exchanges. abandonedPoll is the interval
+	// at which it checks whether any are left.
 	abandonedTimeout = time.Second
 	abandonedPoll    = 10 * time.Millisecond
-	// graceReserve is the divisor that yields the part of the grace period, a sixth, that is reserved for
-	// the end of the shutdown.
+	// graceReserve is the divisor for the reserved part of the grace period: a sixth of the period is reserved
+	// for the end of the shutdown.
 	graceReserve = 6
 	// retryAfter is the Retry-After time of responses of a node that cannot serve a request at the moment.
 	retryAfter = 200 * clock.Millisecond
@@ -170,8 +171,8 @@
 	}
 }
 
-// isReady reports whether the node can serve clients: no shutdown has begun, and Config.Ready says so or, without
-// that function, the snapshot is ready and has a routing table.
+// isReady reports whether the node can serve clients: no shutdown has begun, and Config.Ready returns true. If
+// Config.Ready is nil, the snapshot must instead be ready and have a routing table.
 func (s *Server) isReady() bool {
 	if s.draining.Load() {
 		return false
@@ -201,9 +202,9 @@
 // Addr returns the address that clients connect to, or an empty string before the server listens.
 func (s *Server) Addr() string { return s.connections.addr() }
 
-// shutdownDeadline returns the time at which a graceful shutdown aborts the requests still in flight. It is a
-// sixth of the grace period before its end, but at most one second before the end, and at least one second
-// after the start.
+// shutdownDeadline returns the time at which a graceful shutdown aborts the requests still in flight. That is a
+// sixth of the grace period before the end of the period, but at most one second before the end, and at least
+// one second after the start.
 func shutdownDeadline(start time.Time, grace time.Duration) time.Time {
 	return start.Add(max(time.Second, grace-min(time.Second, grace/graceReserve)))
 }
@@ -230,7 +231,8 @@
 	}
 }
 
-// awaitAbandoned waits for abandoned exchanges, so that backends can finish them.
+// awaitAbandoned waits until the abandoned exchanges have ended, so that backends can finish their requests. It
+// waits for abandonedTimeout, and until the deadline, at most.
 func (s *Server) awaitAbandoned(deadline time.Time) {
 	for last := time.Now().Add(abandonedTimeout); s.exchanges.Load() > 0 && time.Now().Before(last) && time.Now().Before(deadline); {
 		time.Sleep(abandonedPoll)
