--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -61,14 +61,14 @@
 	zoneDrainedAt map[string]int64
 	edits         editLog
 	// otherOperations are the operations of histories that are not edits of the configuration.
-	otherOperations []history.Operation
-	firsts          map[string]map[int64]int64
-	extras          map[string]map[int64]int64
-	slowStarts      map[string]*slowStartCount
-	okSecond        map[int64]int64
-	admitted        map[string]*admissions
-	limits          []Limits
-	moves           []int64
+	otherOperations   []history.Operation
+	firstAttempts     map[string]map[int64]int64
+	extraAttempts     map[string]map[int64]int64
+	slowStarts        map[string]*slowStartCount
+	servedPerSecond   map[int64]int64
+	admitted          map[string]*admissions
+	limits            []Limits
+	membershipChanges []int64
 }
 
 // New returns an empty checker.
@@ -76,16 +76,16 @@
 	return &Checker{
 		Tested: map[string]int64{}, Counts: map[string]int64{}, ran: map[string]int{}, refused: map[string]int64{},
 		drainingSince: map[string]int64{}, zoneDrainedAt: map[string]int64{}, edits: newEditLog(),
-		firsts: map[string]map[int64]int64{}, extras: map[string]map[int64]int64{}, slowStarts: map[string]*slowStartCount{}, okSecond: map[int64]int64{}, admitted: map[string]*admissions{},
+		firstAttempts: map[string]map[int64]int64{}, extraAttempts: map[string]map[int64]int64{}, slowStarts: map[string]*slowStartCount{}, servedPerSecond: map[int64]int64{}, admitted: map[string]*admissions{},
 	}
 }
 
-const violationsMost = 50
+const maxViolations = 50
 
 // Fail records a violation.
 func (c *Checker) Fail(point string, at clock.Micros, text string, args ...any) {
 	c.Counts["violations."+point]++
-	if len(c.Violations) < violationsMost {
+	if len(c.Violations) < maxViolations {
 		c.Violations = append(c.Violations, Violation{point, at, fmt.Sprintf(text, args...)})
 	}
 }
@@ -178,8 +178,8 @@
 
 // RequestFromIsolated records work from a node that has been isolated for a while and reads the platform's list
 // for itself; it has as long again to notice that it is isolated.
-func (c *Checker) RequestFromIsolated(server string, at, alone int64) {
-	if t, ok := c.drainingSince[server]; ok && alone > IsolatedWithin {
+func (c *Checker) RequestFromIsolated(server string, at, isolatedFor int64) {
+	if t, ok := c.drainingSince[server]; ok && isolatedFor > IsolatedWithin {
 		c.tested(DrainingWork)
 		c.Counts["tested_alone"]++
 		if at-t > DrainingWithin {
@@ -189,7 +189,7 @@
 }
 
 // Request records one request sent to a server.
-func (c *Checker) Request(pool, server, zone string, at clock.Micros, again, instead bool) {
+func (c *Checker) Request(pool, server, zone string, at clock.Micros, extra, replacement bool) {
 	if t, ok := c.drainingSince[server]; ok {
 		c.tested(DrainingWork)
 		if at-t > DrainingWithin {
@@ -202,12 +202,12 @@
 			c.Fail(DrainedZoneWork, at, "%s in %s got work %d us after the zone was emptied", server, zone, at-t)
 		}
 	}
-	if instead {
+	if replacement {
 		return
 	}
-	m := c.firsts
-	if again {
-		m = c.extras
+	m := c.firstAttempts
+	if extra {
+		m = c.extraAttempts
 	}
 	if m[pool] == nil {
 		m[pool] = map[int64]int64{}
--- a/lab/check/histories.go
+++ b/lab/check/histories.go
@@ -27,8 +27,8 @@
 	}
 	for i, mark := range s.order {
 		t := s.byMark[mark]
-		outcome, took := outcomeOf(t.Code)
-		if !took {
+		outcome, possible := outcomeOf(t.Code)
+		if !possible {
 			continue
 		}
 		at := t.Version
--- a/lab/check/histories_test.go
+++ b/lab/check/histories_test.go
@@ -68,7 +68,7 @@
 }
 
 func TestReadAndZoneHistoriesWithPlantedFaultsFail(t *testing.T) {
-	for name, plant := range map[string]func(c *Checker){
+	for name, inject := range map[string]func(c *Checker){
 		"an old sheet is read":     func(c *Checker) { c.ConfigRead(9, at(2), 1, 7, 8) },
 		"a later one, then before": func(c *Checker) { c.ConfigRead(9, at(5), 2, 4, 5); c.ConfigRead(8, at(2), 1, 6, 7) },
 		"an acknowledged drain is gone": func(c *Checker) {
@@ -83,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := edits(Edit{Mark: 1, Version: at(2), Began: 1, Ended: 2, Code: "ok"}, Edit{Mark: 2, Base: at(2), Version: at(5), Began: 3, Ended: 6, Code: "ok"})
-			plant(c)
+			inject(c)
 			c.linearizable()
 			must.Positive(t, len(c.Violations))
 			must.Eq(t, NotLinearizable, c.Violations[len(c.Violations)-1].Point)
--- a/lab/check/limits.go
+++ b/lab/check/limits.go
@@ -56,7 +56,7 @@
 
 // Moved records that nodes left or joined, and the load with them: for a while capacity may be left unused, but
 // no limit may be exceeded.
-func (c *Checker) Moved(at clock.Micros) { c.moves = append(c.moves, at) }
+func (c *Checker) Moved(at clock.Micros) { c.membershipChanges = append(c.membershipChanges, at) }
 
 // CheckLimits checks every window of ten seconds up to an end.
 func (c *Checker) CheckLimits(end clock.Micros) {
@@ -66,21 +66,21 @@
 			to = c.limits[i+1].From
 		}
 		for s := (l.From+LimitSettles)/clock.Second + 1; (s+10)*clock.Second <= to; s++ {
-			c.limitWindow(l, s)
+			c.checkWindow(l, s)
 		}
 	}
 }
 
-func (c *Checker) window(kind string, s int64) (came, in float64) {
+func (c *Checker) window(kind string, s int64) (arrivals, in float64) {
 	counts := c.admitted[kind]
 	for k := s; counts != nil && k < s+10; k++ {
-		came += float64(counts.arrived[k])
+		arrivals += float64(counts.arrived[k])
 		in += float64(counts.admitted[k])
 	}
-	return came, in
+	return arrivals, in
 }
 
-func (c *Checker) limitWindow(l Limits, s int64) {
+func (c *Checker) checkWindow(l Limits, s int64) {
 	at := s * clock.Second
 	over := func(what string, in, limit float64) {
 		c.tested(OverLimit)
@@ -90,7 +90,7 @@
 		}
 	}
 	under := func(what string, in, due float64) {
-		if slices.ContainsFunc(c.moves, func(m int64) bool { return m > at-LimitSettles && m < at+10*clock.Second }) {
+		if slices.ContainsFunc(c.membershipChanges, func(m int64) bool { return m > at-LimitSettles && m < at+10*clock.Second }) {
 			return
 		}
 		c.tested(UnderLimit)
@@ -98,22 +98,22 @@
 			c.Fail(UnderLimit, at, "%s: %.0f let in within 10 s, %.0f were due", what, in, due)
 		}
 	}
-	came, in := c.window("", s)
+	arrivals, in := c.window("", s)
 	over("the pool", in, l.Capacity)
 	free, booked := 0.0, 0.0
 	for _, kind := range slices.Sorted(maps.Keys(l.Shares)) {
-		wanted, n := c.window(kind, s)
+		requested, n := c.window(kind, s)
 		most := l.Spare[kind]
 		if ceil := l.Ceilings[kind]; ceil > 0 {
 			over(kind, n, ceil)
 			most = min(most, ceil)
 		}
-		under(kind, n, min(wanted, 10*min(l.Shares[kind], most)))
+		under(kind, n, min(requested, 10*min(l.Shares[kind], most)))
 		if l.Booked[kind] {
-			booked += min(wanted, 10*most)
+			booked += min(requested, 10*most)
 		} else {
-			free += min(wanted, 10*most)
+			free += min(requested, 10*most)
 		}
 	}
-	under("the pool", in, min(came, booked+min(free, 10*l.Free), 10*l.Capacity))
+	under("the pool", in, min(arrivals, booked+min(free, 10*l.Free), 10*l.Capacity))
 }
--- a/lab/check/load.go
+++ b/lab/check/load.go
@@ -47,13 +47,13 @@
 
 // Budgets checks the retry budget in every ten seconds of every pool.
 func (c *Checker) Budgets() {
-	for pool, extras := range c.extras {
-		for sec := range extras {
+	for pool, extraAttempts := range c.extraAttempts {
+		for sec := range extraAttempts {
 			for start := sec - 9; start <= sec; start++ {
 				var e, f int64
 				for s := start; s < start+10; s++ {
-					e += extras[s]
-					f += c.firsts[pool][s]
+					e += extraAttempts[s]
+					f += c.firstAttempts[pool][s]
 				}
 				c.tested(Budget)
 				if e > f/5+60 {
@@ -76,7 +76,7 @@
 
 // SlowStart records a request to a shard: whether it went to a server that is cold since began, with a slow
 // start of the given length, and which share a warm server would get of it.
-func (c *Checker) SlowStart(server string, began, duration int64, at clock.Micros, mine bool, fair int64) {
+func (c *Checker) SlowStart(server string, began, duration int64, at clock.Micros, toServer bool, fair int64) {
 	k := c.slowStarts[server]
 	if k == nil || k.began != began {
 		k = &slowStartCount{began: began, duration: duration, slots: map[int64]int64{}, fair: map[int64]int64{}}
@@ -87,7 +87,7 @@
 		return
 	}
 	k.fair[slot] += fair
-	if mine {
+	if toServer {
 		k.slots[slot]++
 	}
 }
@@ -118,7 +118,7 @@
 }
 
 // Served records a good response.
-func (c *Checker) Served(at clock.Micros) { c.okSecond[at/clock.Second]++ }
+func (c *Checker) Served(at clock.Micros) { c.servedPerSecond[at/clock.Second]++ }
 
 // Recovers checks that service is above a quarter of its former level in time after a total loss, from the
 // seconds before the loss and those after the allowed time.
@@ -127,11 +127,11 @@
 	var normal, now int64
 	from := lost/clock.Second - 5
 	for s := from; s < from+4; s++ {
-		normal += c.okSecond[s]
+		normal += c.servedPerSecond[s]
 	}
 	from = (back + RecoverWithin) / clock.Second
 	for s := from; s < from+4; s++ {
-		now += c.okSecond[s]
+		now += c.servedPerSecond[s]
 	}
 	if normal == 0 || now*4 < normal {
 		c.Fail(SlowBack, back+RecoverWithin, "%d answers in 4 s after the time to recover, %d before the loss", now, normal)
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -11,11 +11,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// StepsMost bounds the search for a sequential order of one register's operations.
-const StepsMost = 2_000_000
+// MaxSteps bounds the search for a sequential order of one register's operations.
+const MaxSteps = 2_000_000
 
-// shownMost is how many operations an error lists.
-const shownMost = 12
+// maxShownOperations is how many operations an error lists.
+const maxShownOperations = 12
 
 // NotLinearizable is the error for a register whose operations fit no sequential order.
 type NotLinearizable struct {
@@ -27,7 +27,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: no order explains its %d operations", e.Register, len(e.Operations))
 	for i, op := range e.Operations {
-		if i == shownMost {
+		if i == maxShownOperations {
 			b.WriteString("; ...")
 			break
 		}
@@ -77,7 +77,7 @@
 	slices.Sort(names)
 	var errs []error
 	for _, name := range names {
-		if err := checkRegister(name, registers[name], StepsMost); err != nil {
+		if err := checkRegister(name, registers[name], MaxSteps); err != nil {
 			errs = append(errs, err)
 		}
 	}
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -14,7 +14,7 @@
 	return Operation{Register: Configuration, Kind: Change, ID: id, Base: base, Begin: begin, End: end, Outcome: outcome}
 }
 
-func numbered(id, version, base string, begin, end int64, outcome Outcome) Operation {
+func changeWithVersion(id, version, base string, begin, end int64, outcome Outcome) Operation {
 	return Operation{Register: Configuration, Kind: Change, ID: id, Version: version, Base: base, Begin: begin, End: end, Outcome: outcome}
 }
 
@@ -22,15 +22,15 @@
 	return Operation{Register: Configuration, Kind: Read, Value: value, Begin: begin, End: end, Outcome: Accepted}
 }
 
-func drain(zone, to string, begin, end int64, outcome Outcome) Operation {
+func setZone(zone, to string, begin, end int64, outcome Outcome) Operation {
 	return Operation{Register: Zone(zone), Kind: Set, ID: to, Begin: begin, End: end, Outcome: outcome}
 }
 
-func drained(zone, value string, begin, end int64) Operation {
+func readZone(zone, value string, begin, end int64) Operation {
 	return Operation{Register: Zone(zone), Kind: Read, Value: value, Begin: begin, End: end, Outcome: Accepted}
 }
 
-func of(operations ...Operation) *History {
+func historyOf(operations ...Operation) *History {
 	h := &History{}
 	for _, op := range operations {
 		h.Add(op)
@@ -40,20 +40,20 @@
 
 func TestSoundHistoriesPass(t *testing.T) {
 	for name, h := range map[string]*History{
-		"one after another":                of(change("a", "", 1, 2, Accepted), read("a", 3, 4), change("b", "a", 5, 6, Accepted), read("b", 7, 8)),
-		"of two on one base one loses":     of(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Refused), read("a", 6, 7)),
-		"a read beside a change sees old":  of(change("a", "", 1, 9, Accepted), read("", 2, 3)),
-		"a read beside a change sees new":  of(change("a", "", 1, 9, Accepted), read("a", 2, 3)),
-		"an unknown change that took":      of(change("a", "", 1, 2, Unknown), read("a", 3, 4), change("b", "a", 5, 6, Accepted)),
-		"an unknown change that did not":   of(change("a", "", 1, 2, Unknown), read("", 3, 4), change("b", "", 5, 6, Accepted)),
-		"an unknown change that took late": of(change("a", "", 1, 2, Unknown), read("", 3, 4), read("a", 5, 6)),
-		"a repeat of what was taken":       of(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("b", 7, 8)),
-		"refused, then valid":              of(change("b", "a", 1, 2, Refused), change("a", "", 3, 4, Accepted), change("b", "a", 5, 6, Accepted)),
-		"invalid on the current version":   of(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Refused}, read("", 3, 4)),
-		"a zone drained and restored":      of(drain("z", Drained, 1, 2, Accepted), drained("z", Drained, 3, 4), drain("z", Restored, 5, 6, Accepted), drained("z", Restored, 7, 8)),
-		"registers are judged apart":       of(change("a", "", 1, 2, Accepted), drain("z", Drained, 1, 2, Accepted), drained("y", Restored, 3, 4), read("a", 3, 4)),
-		"two orders of one number":         of(numbered("a", "1", "", 1, 5, Accepted), numbered("b", "1", "", 1, 5, Refused), numbered("c", "2", "1", 6, 7, Accepted)),
-		"a read without an answer":         of(Operation{Register: Configuration, Kind: Read, Begin: 1, Outcome: Unknown}),
+		"one after another":                historyOf(change("a", "", 1, 2, Accepted), read("a", 3, 4), change("b", "a", 5, 6, Accepted), read("b", 7, 8)),
+		"of two on one base one loses":     historyOf(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Refused), read("a", 6, 7)),
+		"a read beside a change sees old":  historyOf(change("a", "", 1, 9, Accepted), read("", 2, 3)),
+		"a read beside a change sees new":  historyOf(change("a", "", 1, 9, Accepted), read("a", 2, 3)),
+		"an unknown change that took":      historyOf(change("a", "", 1, 2, Unknown), read("a", 3, 4), change("b", "a", 5, 6, Accepted)),
+		"an unknown change that did not":   historyOf(change("a", "", 1, 2, Unknown), read("", 3, 4), change("b", "", 5, 6, Accepted)),
+		"an unknown change that took late": historyOf(change("a", "", 1, 2, Unknown), read("", 3, 4), read("a", 5, 6)),
+		"a repeat of what was taken":       historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("b", 7, 8)),
+		"refused, then valid":              historyOf(change("b", "a", 1, 2, Refused), change("a", "", 3, 4, Accepted), change("b", "a", 5, 6, Accepted)),
+		"invalid on the current version":   historyOf(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Refused}, read("", 3, 4)),
+		"a zone drained and restored":      historyOf(setZone("z", Drained, 1, 2, Accepted), readZone("z", Drained, 3, 4), setZone("z", Restored, 5, 6, Accepted), readZone("z", Restored, 7, 8)),
+		"registers are judged apart":       historyOf(change("a", "", 1, 2, Accepted), setZone("z", Drained, 1, 2, Accepted), readZone("y", Restored, 3, 4), read("a", 3, 4)),
+		"two orders of one number":         historyOf(changeWithVersion("a", "1", "", 1, 5, Accepted), changeWithVersion("b", "1", "", 1, 5, Refused), changeWithVersion("c", "2", "1", 6, 7, Accepted)),
+		"a read without an answer":         historyOf(Operation{Register: Configuration, Kind: Read, Begin: 1, Outcome: Unknown}),
 	} {
 		t.Run(name, func(t *testing.T) { must.SliceEmpty(t, h.Check()) })
 	}
@@ -61,20 +61,20 @@
 
 func TestPlantedFaultsFail(t *testing.T) {
 	for name, h := range map[string]*History{
-		"two orders on one base both acknowledged":   of(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Accepted)),
-		"two orders of one number both acknowledged": of(numbered("a", "1", "", 1, 5, Accepted), numbered("b", "1", "", 1, 5, Accepted)),
-		"a stale read":                               of(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), read("a", 5, 6)),
-		"reads that go back":                         of(change("a", "", 1, 9, Accepted), read("a", 2, 3), read("", 4, 5)),
-		"a lost acknowledged write":                  of(change("a", "", 1, 2, Accepted), read("", 3, 4)),
-		"a lost acknowledged write, by a later base": of(change("a", "", 1, 2, Accepted), change("b", "", 3, 4, Accepted)),
-		"an acknowledged repeat refused":             of(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Refused)),
-		"a repeat refused while its order was taken": of(change("a", "", 1, 2, Unknown), read("a", 3, 4), change("a", "", 5, 6, Refused)),
-		"a refused order that took effect":           of(change("a", "", 1, 2, Accepted), change("b", "", 1, 2, Refused), read("b", 3, 4)),
-		"a proper order refused":                     of(change("a", "", 1, 2, Refused), read("", 3, 4)),
-		"an invalid order acknowledged":              of(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Accepted}),
-		"a repeat that is applied again":             of(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("a", 7, 8)),
-		"a late drain after an acknowledged restore": of(drain("z", Drained, 1, 2, Accepted), drain("z", Restored, 3, 4, Accepted), drained("z", Drained, 5, 6)),
-		"a lost drain":                               of(drain("z", Drained, 1, 2, Accepted), drained("z", Restored, 3, 4)),
+		"two orders on one base both acknowledged":   historyOf(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Accepted)),
+		"two orders of one number both acknowledged": historyOf(changeWithVersion("a", "1", "", 1, 5, Accepted), changeWithVersion("b", "1", "", 1, 5, Accepted)),
+		"a stale read":                               historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), read("a", 5, 6)),
+		"reads that go back":                         historyOf(change("a", "", 1, 9, Accepted), read("a", 2, 3), read("", 4, 5)),
+		"a lost acknowledged write":                  historyOf(change("a", "", 1, 2, Accepted), read("", 3, 4)),
+		"a lost acknowledged write, by a later base": historyOf(change("a", "", 1, 2, Accepted), change("b", "", 3, 4, Accepted)),
+		"an acknowledged repeat refused":             historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Refused)),
+		"a repeat refused while its order was taken": historyOf(change("a", "", 1, 2, Unknown), read("a", 3, 4), change("a", "", 5, 6, Refused)),
+		"a refused order that took effect":           historyOf(change("a", "", 1, 2, Accepted), change("b", "", 1, 2, Refused), read("b", 3, 4)),
+		"a proper order refused":                     historyOf(change("a", "", 1, 2, Refused), read("", 3, 4)),
+		"an invalid order acknowledged":              historyOf(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Accepted}),
+		"a repeat that is applied again":             historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("a", 7, 8)),
+		"a late drain after an acknowledged restore": historyOf(setZone("z", Drained, 1, 2, Accepted), setZone("z", Restored, 3, 4, Accepted), readZone("z", Drained, 5, 6)),
+		"a lost drain":                               historyOf(setZone("z", Drained, 1, 2, Accepted), readZone("z", Restored, 3, 4)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			errs := h.Check()
@@ -86,7 +86,7 @@
 }
 
 func TestUndecidedSearchIsReported(t *testing.T) {
-	h := of(change("a", "", 1, 2, Accepted), read("a", 3, 4))
+	h := historyOf(change("a", "", 1, 2, Accepted), read("a", 3, 4))
 	var undecided *Undecided
 	must.True(t, errors.As(checkRegister(Configuration, h.Operations, 1), &undecided))
 	must.Eq(t, 1, undecided.Steps)
--- a/lab/history/register.go
+++ b/lab/history/register.go
@@ -14,12 +14,12 @@
 type value struct {
 	current string
 	version string
-	taken   string
+	applied string
 }
 
 const separator = "\x00"
 
-func (v value) took(id string) bool { return strings.Contains(v.taken, separator+id+separator) }
+func (v value) hasApplied(id string) bool { return strings.Contains(v.applied, separator+id+separator) }
 
 // register steps the specification and counts the steps against a limit.
 type register struct {
@@ -60,7 +60,7 @@
 	case Read:
 		return op.Value == v.current, v
 	case Set:
-		return op.Outcome != Refused, value{current: op.ID, version: op.ID, taken: v.taken}
+		return op.Outcome != Refused, value{current: op.ID, version: op.ID, applied: v.applied}
 	default:
 		return r.change(v, op)
 	}
@@ -69,30 +69,30 @@
 // change steps a command. One without a clear answer may be placed after everything else, so that taking effect
 // wherever it can covers both that it did and that it did not.
 func (r *register) change(v value, op *Operation) (bool, any) {
-	applies := !op.Invalid && op.Base == v.version && !v.took(op.ID)
+	applies := !op.Invalid && op.Base == v.version && !v.hasApplied(op.ID)
 	switch {
 	case op.Outcome == Refused:
-		return !applies && !v.took(op.ID), v
+		return !applies && !v.hasApplied(op.ID), v
 	case applies:
 		return true, r.apply(v, op)
 	case op.Outcome == Unknown:
 		return true, v
 	default:
-		return v.took(op.ID), v
+		return v.hasApplied(op.ID), v
 	}
 }
 
 func (r *register) apply(v value, op *Operation) value {
-	next := value{current: op.ID, version: op.ID, taken: v.taken}
+	next := value{current: op.ID, version: op.ID, applied: v.applied}
 	if op.Version != "" {
 		next.version = op.Version
 	}
 	if !r.repeated[op.ID] {
 		return next
 	}
-	ids := strings.FieldsFunc(v.taken, func(c rune) bool { return c == 0 })
+	ids := strings.FieldsFunc(v.applied, func(c rune) bool { return c == 0 })
 	ids = append(ids, op.ID)
 	slices.Sort(ids)
-	next.taken = separator + strings.Join(ids, separator) + separator
+	next.applied = separator + strings.Join(ids, separator) + separator
 	return next
 }
--- a/lab/model/action.go
+++ b/lab/model/action.go
@@ -46,11 +46,11 @@
 
 // Action is one step of a schedule.
 type Action struct {
-	Kind           ActionKind
-	Replica, Peer  int
-	Argument       int
-	description    string
-	operatorsOrder string
+	Kind          ActionKind
+	Replica, Peer int
+	Argument      int
+	description   string
+	commandName   string
 }
 
 var actionNames = []string{
@@ -67,7 +67,7 @@
 	case Crash, CrashAlone:
 		return fmt.Sprintf("%s %s with %d pending writes synced", name, replica, a.Argument)
 	case Call:
-		return fmt.Sprintf("%s %s %s", name, replica, a.operatorsOrder)
+		return fmt.Sprintf("%s %s %s", name, replica, a.commandName)
 	case Sync:
 		return fmt.Sprintf("%s %s %s", name, replica, a.description)
 	case Rejoin:
--- a/lab/model/apply.go
+++ b/lab/model/apply.go
@@ -18,23 +18,23 @@
 var errNotEnabled = errors.New("the action is not enabled")
 
 // apply returns the state after an action; the state before is not changed.
-func (w *World) apply(before *system, a Action) (*system, error) {
+func (x *Explorer) apply(before *system, a Action) (*system, error) {
 	s := before.clone()
 	s.path = &link{before: before.path, action: a}
 	s.touched = a.touches()
-	err := w.act(s, a)
-	w.takeTurns(s, w.served(a))
+	err := x.execute(s, a)
+	x.updateSourceOrder(s, x.servedSource(a))
 	if err == nil && len(s.record.events) > len(before.record.events) {
-		err = w.checkHistory(s)
+		err = x.checkHistory(s)
 	}
 	return s, err
 }
 
-// served returns the source that an action takes from, or noSource.
-func (w *World) served(a Action) int {
+// servedSource returns the source that an action takes from, or noSource.
+func (x *Explorer) servedSource(a Action) int {
 	switch a.Kind {
 	case Deliver, Lose, Double, Delay:
-		return w.replicas + a.Replica*w.replicas + a.Peer
+		return x.replicas + a.Replica*x.replicas + a.Peer
 	case Sync:
 		return a.Replica
 	default:
@@ -54,23 +54,23 @@
 	}
 }
 
-func (w *World) act(s *system, a Action) error {
+func (x *Explorer) execute(s *system, a Action) error {
 	i := a.Replica
 	switch a.Kind {
 	case Deliver, Lose, Double, Delay:
-		return w.pass(s, a)
+		return x.transferMessage(s, a)
 	case Sync:
-		return w.sync(s, i)
+		return x.sync(s, i)
 	case Elapse:
 		s.left.Elapses--
-		return w.elapse(s, int64(a.Argument))
+		return x.elapse(s, int64(a.Argument))
 	case Crash, CrashAlone:
 		s.left.Crashes--
-		return w.crash(s, i, a.Argument, a.Kind == CrashAlone)
+		return x.crash(s, i, a.Argument, a.Kind == CrashAlone)
 	case LoseDisk:
 		s.left.LostDisks--
 		s.disks[i] = newDisk(map[string][]byte{})
-		return w.restart(s, i, false)
+		return x.restart(s, i, false)
 	case Isolate:
 		s.left.Isolations--
 		s.isolated |= 1 << i
@@ -78,7 +78,7 @@
 	case Rejoin:
 		s.isolated &^= 1 << i
 		if a.Argument == messagesLost {
-			w.breakConnections(s, i)
+			x.breakConnections(s, i)
 		}
 		return nil
 	case Freeze:
@@ -86,15 +86,15 @@
 		s.frozenAt[i] = s.now
 		return nil
 	case Thaw:
-		return w.thaw(s, i)
+		return x.thaw(s, i)
 	case Announce:
 		s.left.Announces--
-		return w.announce(s, i, a.Peer)
+		return x.announce(s, i, a.Peer)
 	case Stop:
 		s.left.Stops--
-		return w.feed(s, i, kernel.Stopping{})
+		return x.feed(s, i, kernel.Stopping{})
 	case Call:
-		return w.call(s, a.Argument, i)
+		return x.call(s, a.Argument, i)
 	case Hold:
 		s.left.Holds--
 		s.pausedSources |= 1 << a.Argument
@@ -106,9 +106,9 @@
 	return errNotEnabled
 }
 
-// pass delivers, drops, doubles or delays the first message between two replicas.
-func (w *World) pass(s *system, a Action) error {
-	at := a.Replica*w.replicas + a.Peer
+// transferMessage delivers, drops, doubles or delays the first message between two replicas.
+func (x *Explorer) transferMessage(s *system, a Action) error {
+	at := a.Replica*x.replicas + a.Peer
 	m, rest := s.queues[at][0], slices.Clone(s.queues[at][1:])
 	switch a.Kind {
 	case Lose:
@@ -124,35 +124,35 @@
 	if a.Kind == Lose || a.Kind == Delay {
 		return nil
 	}
-	return w.feed(s, a.Peer, kernel.Received{Conn: m.connection, Data: m.data})
+	return x.feed(s, a.Peer, kernel.Received{Conn: m.connection, Data: m.data})
 }
 
 // sync completes the first pending write of a replica and tells it so.
-func (w *World) sync(s *system, i int) error {
+func (x *Explorer) sync(s *system, i int) error {
 	wr := s.processes[i].writes[0]
-	if err := w.write(s, i, wr); err != nil {
+	if err := x.write(s, i, wr); err != nil {
 		return err
 	}
-	return w.feed(s, i, kernel.Written{Plugin: pluginName, Key: wr.key})
+	return x.feed(s, i, kernel.Written{Plugin: pluginName, Key: wr.key})
 }
 
 // write writes one file to a disk and records which version its owner's identity has held.
-func (w *World) write(s *system, i int, wr pendingWrite) error {
+func (x *Explorer) write(s *system, i int, wr pendingWrite) error {
 	s.disks[i] = s.disks[i].with(wr)
 	v, ok := versionIn(wr.file, wr.data)
 	identity := identityIn(s.disks[i].files)
 	if ok && newer(v.Version, s.record.synced[identity]) {
-		s.record = s.record.syncs(identity, v.Version)
+		s.record = s.record.withSynced(identity, v.Version)
 	}
 	return nil
 }
 
 // elapse advances the clock and fires the timers that are due, once each, of the replicas that run.
-func (w *World) elapse(s *system, us clock.Micros) error {
+func (x *Explorer) elapse(s *system, us clock.Micros) error {
 	s.now += us
-	for i := range w.replicas {
+	for i := range x.replicas {
 		if s.frozenAt[i] == 0 {
-			if err := w.fire(s, i); err != nil {
+			if err := x.fire(s, i); err != nil {
 				return err
 			}
 		}
@@ -160,12 +160,12 @@
 	return nil
 }
 
-func (w *World) fire(s *system, i int) error {
+func (x *Explorer) fire(s *system, i int) error {
 	for _, t := range s.processes[i].timers {
 		if t.at > s.now {
 			break
 		}
-		if err := w.feed(s, i, kernel.Tick{Plugin: t.plugin, Key: t.key}); err != nil {
+		if err := x.feed(s, i, kernel.Tick{Plugin: t.plugin, Key: t.key}); err != nil {
 			return err
 		}
 	}
@@ -173,62 +173,62 @@
 }
 
 // crash kills a replica with this many of its pending writes synced, and restarts it.
-func (w *World) crash(s *system, i, kept int, alone bool) error {
+func (x *Explorer) crash(s *system, i, kept int, alone bool) error {
 	for _, wr := range s.processes[i].writes[:kept] {
-		if err := w.write(s, i, wr); err != nil {
+		if err := x.write(s, i, wr); err != nil {
 			return err
 		}
 	}
-	return w.restart(s, i, alone)
+	return x.restart(s, i, alone)
 }
 
-func (w *World) restart(s *system, i int, alone bool) error {
+func (x *Explorer) restart(s *system, i int, alone bool) error {
 	s.frozenAt[i] = 0
-	for from := range w.replicas {
-		queue := &s.queues[from*w.replicas+i]
+	for from := range x.replicas {
+		queue := &s.queues[from*x.replicas+i]
 		*queue = slices.DeleteFunc(slices.Clone(*queue), func(m *message) bool { return alone || !m.request })
 	}
 	for number := range s.calls {
 		s.calls[number].open &^= 1 << i
 	}
-	return w.boot(s, i)
+	return x.boot(s, i)
 }
 
-func (w *World) breakConnections(s *system, i int) {
-	for other := range w.replicas {
-		s.queues[i*w.replicas+other], s.queues[other*w.replicas+i] = nil, nil
+func (x *Explorer) breakConnections(s *system, i int) {
+	for other := range x.replicas {
+		s.queues[i*x.replicas+other], s.queues[other*x.replicas+i] = nil, nil
 	}
 }
 
 // thaw resumes a replica; it is told of a long gap before anything else, and then its timers fire.
-func (w *World) thaw(s *system, i int) error {
+func (x *Explorer) thaw(s *system, i int) error {
 	gap := s.now - s.frozenAt[i]
 	s.frozenAt[i] = 0
 	if gap > FreezeGap {
-		if err := w.feed(s, i, kernel.Thawed{Gap: gap}); err != nil {
+		if err := x.feed(s, i, kernel.Thawed{Gap: gap}); err != nil {
 			return err
 		}
 	}
-	return w.fire(s, i)
+	return x.fire(s, i)
 }
 
-func (w *World) announce(s *system, i, to int) error {
+func (x *Explorer) announce(s *system, i, to int) error {
 	identity := identityIn(s.disks[i].files)
 	if identity == "" || s.frozenAt[to] != 0 {
 		return nil
 	}
-	return w.feed(s, to, kernel.Received{Conn: replicaConnection(i), Data: announceFrame(i, identity)})
+	return x.feed(s, to, kernel.Received{Conn: replicaConnection(i), Data: announceFrame(i, identity)})
 }
 
 // call sends a command to a replica.
-func (w *World) call(s *system, number, to int) error {
+func (x *Explorer) call(s *system, number, to int) error {
 	c := &s.calls[number]
 	if c.sent == 0 {
-		s.record = s.record.began(number)
+		s.record = s.record.withBegin(number)
 	}
 	s.left.Calls--
 	c.status = callOpen
 	c.sent++
 	c.open |= 1 << to
-	return w.feed(s, to, w.callInput(number, to))
+	return x.feed(s, to, x.callInput(number, to))
 }
--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -11,7 +11,7 @@
 	quietSpan     = int(480 * clock.Millisecond)
 	electionSpan  = int(560 * clock.Millisecond)
 	// rivalSpan, twice from the start, makes two of three replicas candidates.
-	rivalSpan = int(270 * clock.Millisecond)
+	splitVoteSpan = int(270 * clock.Millisecond)
 )
 
 // change returns a command that adds an item to a version.
@@ -37,24 +37,24 @@
 	// In behind, the first command is committed without the second replica, which then has to lead.
 	behind := []Action{{Kind: Call, Replica: 0}, {Kind: Isolate, Replica: 0}, {Kind: Rejoin, Replica: 1, Argument: messagesLost}}
 	return []Config{
-		{Name: "election and a crash", Voters: 3, Operators: one, Spans: []int{rivalSpan}, Budget: Budget{Elapses: 2, Crashes: 1, Holds: 1}},
+		{Name: "election and a crash", Voters: 3, Operators: one, Spans: []int{splitVoteSpan}, Budget: Budget{Elapses: 2, Crashes: 1, Holds: 1}},
 		{Name: "election and two crashes", Voters: 3, Operators: one, Spans: both, Budget: Budget{Elapses: 2, Crashes: 2}},
 		{Name: "election, late messages", Voters: 3, Operators: one, Spans: both, Budget: Budget{Elapses: 2, Holds: 1, Calls: 1}},
-		{Name: "two candidates, late messages", Voters: 3, Operators: one, Spans: []int{rivalSpan}, Budget: Budget{Elapses: 2, Holds: 3}},
+		{Name: "two candidates, late messages", Voters: 3, Operators: one, Spans: []int{splitVoteSpan}, Budget: Budget{Elapses: 2, Holds: 3}},
 		{Name: "leader lost with a slow disk", Voters: 3, Operators: one, Spans: []int{heartbeatSpan}, Faulty: []int{0}, SlowDisks: true, Budget: Budget{Elapses: 4, Holds: 1, Crashes: 1, Calls: 1}},
 		{Name: "rivals, late messages", Voters: 3, Settled: true, Operators: rivals, Spans: both, Budget: Budget{Elapses: 1, Holds: 1, Calls: 3}},
 		{Name: "rivals, lost and doubled", Voters: 3, Settled: true, Operators: rivals, Spans: both, Budget: Budget{Elapses: 1, Losses: 1, Doubles: 1, Calls: 2}},
 		{Name: "repeat after a crash", Voters: 3, Settled: true, Operators: two, Spans: election, Budget: Budget{Elapses: 2, Crashes: 1, Calls: 3}},
 		{Name: "leader cut off", Voters: 3, Settled: true, Operators: reader, Spans: election, Budget: Budget{Elapses: 2, Isolations: 1, Calls: 2}},
 		{Name: "leader back with old messages", Voters: 3, Settled: true, Operators: one, Spans: election, Faulty: []int{0}, Budget: Budget{Elapses: 1, Isolations: 1, Holds: 1, Calls: 1}},
-		{Name: "new leader with an older version", Voters: 3, Settled: true, Away: []int{1}, Prelude: behind, Operators: reader, Spans: election, Budget: Budget{Elapses: 1, Holds: 1, Calls: 2}},
+		{Name: "new leader with an older version", Voters: 3, Settled: true, IsolatedAtStart: []int{1}, Prelude: behind, Operators: reader, Spans: election, Budget: Budget{Elapses: 1, Holds: 1, Calls: 2}},
 		{Name: "order to a leader cut off", Voters: 3, Settled: true, Prelude: replaced, Operators: two, Spans: election, Budget: Budget{Holds: 1, Calls: 4}},
 		{Name: "leader frozen", Voters: 3, Settled: true, Operators: reader, Spans: election, Budget: Budget{Elapses: 2, Freezes: 1, Calls: 2}},
 		{Name: "a drain delayed", Voters: 3, Settled: true, Operators: drains, Spans: both, Budget: Budget{Elapses: 1, Delays: 1, Holds: 1, Calls: 2}},
 		{Name: "disk lost", Voters: 3, Settled: true, Operators: two, Spans: both, Budget: Budget{Elapses: 2, LostDisks: 1, Calls: 2}},
-		{Name: "replacement", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Isolations: 1, Calls: 1}},
-		{Name: "replacement and a crash", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Crashes: 1, Calls: 1}},
-		{Name: "replacement, late messages", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Holds: 1, Calls: 1}},
+		{Name: "replacement", Voters: 3, Standbys: 1, Settled: true, IsolatedAtStart: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Isolations: 1, Calls: 1}},
+		{Name: "replacement and a crash", Voters: 3, Standbys: 1, Settled: true, IsolatedAtStart: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Crashes: 1, Calls: 1}},
+		{Name: "replacement, late messages", Voters: 3, Standbys: 1, Settled: true, IsolatedAtStart: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Holds: 1, Calls: 1}},
 		{Name: "planned stop", Voters: 3, Standbys: 1, Settled: true, Operators: two, Spans: election, Budget: Budget{Elapses: 2, Stops: 1, Announces: 1, Calls: 2}},
 	}
 }
--- a/lab/model/enabled.go
+++ b/lab/model/enabled.go
@@ -15,73 +15,73 @@
 const AllInterleavings = -1
 
 // Source numbers: the disks first, then the queues.
-func (w *World) sources() int { return w.replicas + w.replicas*w.replicas }
+func (x *Explorer) sources() int { return x.replicas + x.replicas*x.replicas }
 
-func (w *World) sourceName(source int) string {
-	if source < w.replicas {
+func (x *Explorer) sourceName(source int) string {
+	if source < x.replicas {
 		return "disk of " + replicaName(source)
 	}
-	queue := source - w.replicas
-	return fmt.Sprintf("messages %s->%s", replicaName(queue/w.replicas), replicaName(queue%w.replicas))
+	queue := source - x.replicas
+	return fmt.Sprintf("messages %s->%s", replicaName(queue/x.replicas), replicaName(queue%x.replicas))
 }
 
-func (w *World) filled(s *system, source int) bool {
-	if source < w.replicas {
+func (x *Explorer) filled(s *system, source int) bool {
+	if source < x.replicas {
 		return len(s.processes[source].writes) > 0
 	}
-	return len(s.queues[source-w.replicas]) > 0
+	return len(s.queues[source-x.replicas]) > 0
 }
 
-// takeTurns moves the source that was served, if any, behind the others, and new ones behind it.
-func (w *World) takeTurns(s *system, served int) {
-	s.order = slices.DeleteFunc(s.order, func(source uint8) bool { return int(source) == served || !w.filled(s, int(source)) })
-	for source := range w.sources() {
-		if w.filled(s, source) && !slices.Contains(s.order, uint8(source)) {
+// updateSourceOrder moves the source that was served, if any, behind the others, and new ones behind it.
+func (x *Explorer) updateSourceOrder(s *system, served int) {
+	s.order = slices.DeleteFunc(s.order, func(source uint8) bool { return int(source) == served || !x.filled(s, int(source)) })
+	for source := range x.sources() {
+		if x.filled(s, source) && !slices.Contains(s.order, uint8(source)) {
 			s.order = append(s.order, uint8(source))
 		}
 	}
 }
 
 // ready reports whether a source has something that may happen now.
-func (w *World) ready(s *system, source int) bool {
-	if source < w.replicas {
+func (x *Explorer) ready(s *system, source int) bool {
+	if source < x.replicas {
 		return s.frozenAt[source] == 0 && len(s.processes[source].writes) > 0
 	}
-	queue := source - w.replicas
-	from, to := queue/w.replicas, queue%w.replicas
+	queue := source - x.replicas
+	from, to := queue/x.replicas, queue%x.replicas
 	return s.frozenAt[to] == 0 && s.isolated&(1<<from|1<<to) == 0 && len(s.queues[queue]) > 0
 }
 
 // enabled returns the actions that a state allows.
-func (w *World) enabled(s *system) []Action {
-	all := w.Budget.Holds == AllInterleavings
+func (x *Explorer) enabled(s *system) []Action {
+	all := x.Budget.Holds == AllInterleavings
 	var actions []Action
 	idle := true
 	for _, source := range s.order {
-		if s.pausedSources&(1<<source) != 0 || !w.ready(s, int(source)) {
+		if s.pausedSources&(1<<source) != 0 || !x.ready(s, int(source)) {
 			continue
 		}
 		if all || idle {
-			actions = w.sourceActions(s, int(source), actions)
+			actions = x.sourceActions(s, int(source), actions)
 		}
 		idle = false
 	}
 	for i := range s.processes {
 		if all || idle || s.touched == i || s.touched == everyReplica {
-			actions = w.faultActions(s, i, actions)
+			actions = x.faultActions(s, i, actions)
 		}
 	}
 	if idle || all {
-		actions = w.idleActions(s, actions)
+		actions = x.idleActions(s, actions)
 	}
 	return actions
 }
 
 // idleActions adds the actions that wait until no source is ready, unless all interleavings are wanted.
-func (w *World) idleActions(s *system, actions []Action) []Action {
-	for source := range w.sources() {
+func (x *Explorer) idleActions(s *system, actions []Action) []Action {
+	for source := range x.sources() {
 		if s.pausedSources&(1<<source) != 0 {
-			actions = append(actions, Action{Kind: Release, Argument: source, description: w.sourceName(source)})
+			actions = append(actions, Action{Kind: Release, Argument: source, description: x.sourceName(source)})
 		}
 	}
 	for i, at := range s.frozenAt {
@@ -93,25 +93,25 @@
 		}
 	}
 	if s.left.Elapses > 0 {
-		for _, us := range w.Spans {
+		for _, us := range x.Spans {
 			actions = append(actions, Action{Kind: Elapse, Argument: us})
 		}
 	}
-	actions = w.announceActions(s, actions)
-	return w.callActions(s, actions)
+	actions = x.announceActions(s, actions)
+	return x.callActions(s, actions)
 }
 
 // sourceActions adds what may happen to the first write or message of a source.
-func (w *World) sourceActions(s *system, source int, actions []Action) []Action {
-	if s.left.Holds > 0 && (source < w.replicas || !w.SlowDisks) {
-		actions = append(actions, Action{Kind: Hold, Argument: source, description: w.sourceName(source)})
+func (x *Explorer) sourceActions(s *system, source int, actions []Action) []Action {
+	if s.left.Holds > 0 && (source < x.replicas || !x.SlowDisks) {
+		actions = append(actions, Action{Kind: Hold, Argument: source, description: x.sourceName(source)})
 	}
-	if source < w.replicas {
+	if source < x.replicas {
 		return append(actions, Action{Kind: Sync, Replica: source, description: s.processes[source].writes[0].file})
 	}
-	number := source - w.replicas
+	number := source - x.replicas
 	queue := s.queues[number]
-	a := Action{Replica: number / w.replicas, Peer: number % w.replicas, description: queue[0].frame.text}
+	a := Action{Replica: number / x.replicas, Peer: number % x.replicas, description: queue[0].frame.text}
 	kinds := []ActionKind{Deliver}
 	if s.left.Losses > 0 {
 		kinds = append(kinds, Lose)
@@ -128,14 +128,14 @@
 	return actions
 }
 
-func (w *World) faultActions(s *system, i int, actions []Action) []Action {
-	if s.frozenAt[i] != 0 || len(w.Faulty) > 0 && !slices.Contains(w.Faulty, i) {
+func (x *Explorer) faultActions(s *system, i int, actions []Action) []Action {
+	if s.frozenAt[i] != 0 || len(x.Faulty) > 0 && !slices.Contains(x.Faulty, i) {
 		return actions
 	}
 	if s.left.Crashes > 0 {
 		for kept := range len(s.processes[i].writes) + 1 {
 			actions = append(actions, Action{Kind: Crash, Replica: i, Argument: kept})
-			if w.requested(s, i) {
+			if x.requested(s, i) {
 				actions = append(actions, Action{Kind: CrashAlone, Replica: i, Argument: kept})
 			}
 		}
@@ -152,9 +152,9 @@
 }
 
 // requested reports whether a request to a replica is in flight.
-func (w *World) requested(s *system, i int) bool {
-	for from := range w.replicas {
-		if slices.ContainsFunc(s.queues[from*w.replicas+i], func(m *message) bool { return m.request }) {
+func (x *Explorer) requested(s *system, i int) bool {
+	for from := range x.replicas {
+		if slices.ContainsFunc(s.queues[from*x.replicas+i], func(m *message) bool { return m.request }) {
 			return true
 		}
 	}
@@ -162,12 +162,12 @@
 }
 
 // announceActions adds the announcements of processes that are not voters.
-func (w *World) announceActions(s *system, actions []Action) []Action {
+func (x *Explorer) announceActions(s *system, actions []Action) []Action {
 	if s.left.Announces == 0 {
 		return actions
 	}
-	for i := w.voters; i < w.replicas; i++ {
-		for to := range w.voters {
+	for i := x.voters; i < x.replicas; i++ {
+		for to := range x.voters {
 			if s.frozenAt[i] == 0 && s.frozenAt[to] == 0 {
 				actions = append(actions, Action{Kind: Announce, Replica: i, Peer: to})
 			}
--- a/lab/model/explore.go
+++ b/lab/model/explore.go
@@ -48,23 +48,23 @@
 }
 
 // Explore visits every state that the bound allows, each once.
-func (w *World) Explore(bound Bound) Report {
-	first, err := w.initial()
+func (x *Explorer) Explore(bound Bound) Report {
+	first, err := x.initial()
 	if err != nil {
-		return w.report(Report{Failure: &Failure{Violation: err}})
+		return x.report(Report{Failure: &Failure{Violation: err}})
 	}
 	r := Report{States: 1, Complete: true}
 	seen := map[digest]bool{first.key(): true}
 	for frontier := []*system{first}; len(frontier) > 0 && r.Depth < bound.Depth; r.Depth++ {
 		var next []*system
 		for _, s := range frontier {
-			for _, a := range w.enabled(s) {
-				after, err := w.apply(s, a)
+			for _, a := range x.enabled(s) {
+				after, err := x.apply(s, a)
 				r.Transitions++
 				if err != nil {
 					r.Depth++
 					r.Failure = &Failure{Violation: err, Schedule: after.schedule()}
-					return w.report(r)
+					return x.report(r)
 				}
 				key := after.key()
 				if seen[key] {
@@ -72,7 +72,7 @@
 				}
 				if r.States >= bound.States {
 					r.Complete = false
-					return w.report(r)
+					return x.report(r)
 				}
 				seen[key] = true
 				r.States++
@@ -81,26 +81,26 @@
 		}
 		frontier = next
 	}
-	return w.report(r)
+	return x.report(r)
 }
 
-func (w *World) report(r Report) Report {
-	r.Steps, r.Replayed, r.Processes = w.runtime.Steps, w.runtime.Replayed, len(w.runtime.byState)
+func (x *Explorer) report(r Report) Report {
+	r.Steps, r.Replayed, r.Processes = x.runtime.Steps, x.runtime.Replayed, len(x.runtime.byState)
 	return r
 }
 
 // Replay plays a schedule, leaving out what is not enabled, and gives the violation, if any.
-func (w *World) Replay(schedule []Action) (*Failure, error) {
-	s, err := w.initial()
+func (x *Explorer) Replay(schedule []Action) (*Failure, error) {
+	s, err := x.initial()
 	if err != nil {
 		return nil, err
 	}
 	for _, a := range schedule {
-		enabled, ok := w.find(s, a)
+		enabled, ok := x.find(s, a)
 		if !ok {
 			continue
 		}
-		next, err := w.apply(s, enabled)
+		next, err := x.apply(s, enabled)
 		if err != nil {
 			return &Failure{Violation: err, Schedule: next.schedule()}, nil
 		}
@@ -109,8 +109,8 @@
 	return nil, nil
 }
 
-func (w *World) find(s *system, a Action) (Action, bool) {
-	for _, b := range w.enabled(s) {
+func (x *Explorer) find(s *system, a Action) (Action, bool) {
+	for _, b := range x.enabled(s) {
 		if a.same(b) {
 			return b, true
 		}
--- a/lab/model/fingerprint.go
+++ b/lab/model/fingerprint.go
@@ -22,15 +22,15 @@
 // mesh and its table of members are the same for every state, or told by the caller. Functions
 // are left out as well: what a pending write will do is told by the input that asked for it.
 type walker struct {
-	home    string
-	out     []byte
-	visited map[uintptr]uint64
+	ownPackage string
+	out        []byte
+	visited    map[uintptr]uint64
 }
 
 // fingerprint flattens the plug-in of a process.
 func fingerprint(plugin any) []byte {
 	v := reflect.ValueOf(plugin)
-	w := &walker{home: v.Type().Elem().PkgPath(), visited: map[uintptr]uint64{}, out: make([]byte, 0, 4096)}
+	w := &walker{ownPackage: v.Type().Elem().PkgPath(), visited: map[uintptr]uint64{}, out: make([]byte, 0, 4096)}
 	w.walk(v)
 	return w.out
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	elem := v.Type().Elem()
-	if elem.Kind() == reflect.Struct && elem.PkgPath() != w.home && !isMessage(elem.PkgPath()) {
+	if elem.Kind() == reflect.Struct && elem.PkgPath() != w.ownPackage && !isMessage(elem.PkgPath()) {
 		w.number(1)
 		return
 	}
@@ -103,10 +103,10 @@
 	w.number(uint64(v.Len()))
 	var sum digest
 	for entries := v.MapRange(); entries.Next(); {
-		one := &walker{home: w.home, visited: w.visited}
-		one.walk(entries.Key())
-		one.walk(entries.Value())
-		d := digestOf(one.out)
+		entry := &walker{ownPackage: w.ownPackage, visited: w.visited}
+		entry.walk(entries.Key())
+		entry.walk(entries.Value())
+		d := digestOf(entry.out)
 		for i := range sum {
 			sum[i] ^= d[i]
 		}
--- a/lab/model/invariants.go
+++ b/lab/model/invariants.go
@@ -42,12 +42,12 @@
 func versionText(v wire.Version) string { return fmt.Sprintf("%d.%d", v.Term, v.Seq) }
 
 // checkSent checks what a replica sends: its claim to lead, and the version that it proposes.
-func (w *World) checkSent(s *system, f *frame) error {
+func (x *Explorer) checkSent(s *system, f *frame) error {
 	if f.leader != "" {
 		switch other, known := s.record.leaders[f.term]; {
 		case !known:
-			s.record = s.record.leads(f.term, f.leader)
-			w.Seen.Leaders++
+			s.record = s.record.withLeader(f.term, f.leader)
+			x.Seen.Leaders++
 		case other != f.leader:
 			return violation(InvariantOneLeader, "%s and %s both lead term %d", other, f.leader, f.term)
 		}
@@ -55,24 +55,24 @@
 	if f.version == nil {
 		return nil
 	}
-	return w.checkProposed(s, *f.version)
+	return x.checkProposed(s, *f.version)
 }
 
-func (w *World) checkProposed(s *system, v wire.Versioned) error {
+func (x *Explorer) checkProposed(s *system, v wire.Versioned) error {
 	sum := versionDigest(v)
-	if w.versions[sum] == nil {
+	if x.versions[sum] == nil {
 		c, ok := contentsOf(v.Body)
 		if !ok {
 			return violation(InvariantReadable, "version %s has a body that cannot be read", versionText(v.Version))
 		}
-		w.versions[sum] = &knownVersion{Versioned: v, contents: c}
+		x.versions[sum] = &knownVersion{Versioned: v, contents: c}
 		if len(v.PreviousVoters) > 0 && !sameVoters(v.PreviousVoters, v.Voters) {
-			w.Seen.MemberChanges++
+			x.Seen.MemberChanges++
 		}
 	}
 	switch other, known := s.record.versions[v.Version]; {
 	case !known:
-		s.record = s.record.proposed(v.Version, sum)
+		s.record = s.record.withProposed(v.Version, sum)
 	case other != sum:
 		return violation(InvariantOneVersion, "version %s stands for two contents", versionText(v.Version))
 	}
@@ -80,7 +80,7 @@
 }
 
 // checkCommitted checks a version that a replica takes for committed.
-func (w *World) checkCommitted(s *system, p *process) error {
+func (x *Explorer) checkCommitted(s *system, p *process) error {
 	if p.committed.Term == 0 || slices.Contains(s.record.committed, p.committed) {
 		return nil
 	}
@@ -88,55 +88,55 @@
 	if !ok {
 		return violation(InvariantReadable, "committed version %s has a body that cannot be read", versionText(p.committed))
 	}
-	if known := w.proposal(s, p.committed); known != nil && string(known.Body) != string(p.body) {
+	if known := x.proposal(s, p.committed); known != nil && string(known.Body) != string(p.body) {
 		return violation(InvariantCommittedSame, "version %s", versionText(p.committed))
 	}
-	s.record = s.record.commits(p.committed)
-	w.Seen.Commits++
-	for order, at := range s.record.acknowledged {
-		if err := w.checkCarried(order, at, p.committed, c); err != nil {
+	s.record = s.record.withCommitted(p.committed)
+	x.Seen.Commits++
+	for number, at := range s.record.acknowledged {
+		if err := x.checkIncluded(number, at, p.committed, c); err != nil {
 			return err
 		}
 	}
-	for _, order := range s.record.refused {
-		if w.carries(c, order) {
-			return violation(InvariantRefusedCommand, "%s is in version %s", w.commands[order].Name, versionText(p.committed))
+	for _, number := range s.record.refused {
+		if x.includes(c, number) {
+			return violation(InvariantRefusedCommand, "%s is in version %s", x.commands[number].Name, versionText(p.committed))
 		}
 	}
-	return w.checkChain(s)
+	return x.checkChain(s)
 }
 
-func (w *World) proposal(s *system, v wire.Version) *knownVersion {
-	return w.versions[s.record.versions[v]]
+func (x *Explorer) proposal(s *system, v wire.Version) *knownVersion {
+	return x.versions[s.record.versions[v]]
 }
 
-// carries reports whether contents include a command; commands that later ones may undo are left to the
+// includes reports whether contents include a command; commands that later ones may undo are left to the
 // histories.
-func (w *World) carries(c contents, number int) bool {
-	o := &w.commands[number]
+func (x *Explorer) includes(c contents, number int) bool {
+	o := &x.commands[number]
 	if o.Kind == ChangeCommand {
 		return slices.Contains(c.commands, o.Name)
 	}
-	return o.Kind == DrainCommand && !w.restores[o.Zone] && slices.Contains(c.drained, o.Zone)
+	return o.Kind == DrainCommand && !x.restores[o.Zone] && slices.Contains(c.drained, o.Zone)
 }
 
-func (w *World) lasting(number int) bool {
-	o := &w.commands[number]
-	return o.Kind == ChangeCommand || o.Kind == DrainCommand && !w.restores[o.Zone]
+func (x *Explorer) irreversible(number int) bool {
+	o := &x.commands[number]
+	return o.Kind == ChangeCommand || o.Kind == DrainCommand && !x.restores[o.Zone]
 }
 
-func (w *World) checkCarried(order int, at, committed wire.Version, c contents) error {
-	if w.lasting(order) && !newer(at, committed) && !w.carries(c, order) {
-		return violation(InvariantDurableCommand, "%s was acknowledged at %s and is not in %s", w.commands[order].Name, versionText(at), versionText(committed))
+func (x *Explorer) checkIncluded(number int, at, committed wire.Version, c contents) error {
+	if x.irreversible(number) && !newer(at, committed) && !x.includes(c, number) {
+		return violation(InvariantDurableCommand, "%s was acknowledged at %s and is not in %s", x.commands[number].Name, versionText(at), versionText(committed))
 	}
 	return nil
 }
 
 // checkChain compares the committed versions one after another.
-func (w *World) checkChain(s *system) error {
+func (x *Explorer) checkChain(s *system) error {
 	var before *knownVersion
 	for _, at := range s.record.committed {
-		v := w.proposal(s, at)
+		v := x.proposal(s, at)
 		if v == nil {
 			continue
 		}
@@ -152,30 +152,30 @@
 	return nil
 }
 
-func (w *World) checkRefused(s *system, number int) error {
-	s.record = s.record.refuses(number)
-	w.Seen.Refused++
+func (x *Explorer) checkRefused(s *system, number int) error {
+	s.record = s.record.withRefused(number)
+	x.Seen.Refused++
 	for _, at := range s.record.committed {
-		if v := w.proposal(s, at); v != nil && w.carries(v.contents, number) {
-			return violation(InvariantRefusedCommand, "%s was refused and is in version %s", w.commands[number].Name, versionText(at))
+		if v := x.proposal(s, at); v != nil && x.includes(v.contents, number) {
+			return violation(InvariantRefusedCommand, "%s was refused and is in version %s", x.commands[number].Name, versionText(at))
 		}
 	}
 	return nil
 }
 
-func (w *World) checkAcknowledged(s *system, number int, r wire.EditReply) error {
-	s.record = s.record.acknowledges(number, r.Version)
-	w.Seen.Acknowledged++
-	v := w.proposal(s, r.Version)
+func (x *Explorer) checkAcknowledged(s *system, number int, r wire.EditReply) error {
+	s.record = s.record.withAcknowledged(number, r.Version)
+	x.Seen.Acknowledged++
+	v := x.proposal(s, r.Version)
 	if v == nil {
-		return violation(InvariantMajority, "%s was acknowledged at %s, which nobody proposed", w.commands[number].Name, versionText(r.Version))
+		return violation(InvariantMajority, "%s was acknowledged at %s, which nobody proposed", x.commands[number].Name, versionText(r.Version))
 	}
-	if !w.syncedByMajority(s, v, v.Voters, number) || len(v.PreviousVoters) > 0 && !w.syncedByMajority(s, v, v.PreviousVoters, number) {
-		return violation(InvariantMajority, "%s was acknowledged at %s", w.commands[number].Name, versionText(r.Version))
+	if !x.syncedByMajority(s, v, v.Voters, number) || len(v.PreviousVoters) > 0 && !x.syncedByMajority(s, v, v.PreviousVoters, number) {
+		return violation(InvariantMajority, "%s was acknowledged at %s", x.commands[number].Name, versionText(r.Version))
 	}
 	for _, at := range s.record.committed {
-		if known := w.proposal(s, at); known != nil {
-			if err := w.checkCarried(number, r.Version, at, known.contents); err != nil {
+		if known := x.proposal(s, at); known != nil {
+			if err := x.checkIncluded(number, r.Version, at, known.contents); err != nil {
 				return err
 			}
 		}
@@ -185,12 +185,12 @@
 
 // syncedByMajority reports whether a majority of the voters' disks have held the version, or a later one with
 // the command.
-func (w *World) syncedByMajority(s *system, v *knownVersion, voters []wire.Replica, number int) bool {
+func (x *Explorer) syncedByMajority(s *system, v *knownVersion, voters []wire.Replica, number int) bool {
 	n := 0
 	for _, voter := range voters {
 		at := s.record.synced[voter.ID]
-		known := w.proposal(s, at)
-		if known != nil && !newer(v.Version, at) && (w.carries(known.contents, number) || !w.lasting(number)) {
+		known := x.proposal(s, at)
+		if known != nil && !newer(v.Version, at) && (x.includes(known.contents, number) || !x.irreversible(number)) {
 			n++
 		}
 	}
@@ -202,8 +202,8 @@
 }
 
 // checkHistory checks the operators' history so far; each history is checked once.
-func (w *World) checkHistory(s *system) error {
-	if err, known := w.histories[s.record.played]; known {
+func (x *Explorer) checkHistory(s *system) error {
+	if err, known := x.histories[s.record.eventsSum]; known {
 		return err
 	}
 	h := &history.History{}
@@ -214,11 +214,11 @@
 			continue
 		}
 		ended[e.command] = true
-		w.addEnded(h, e, begins[e.command], int64(i))
+		x.addEnded(h, e, begins[e.command], int64(i))
 	}
-	for order, begin := range begins {
-		if !ended[order] && w.commands[order].Kind != ReadCommand {
-			op := w.changeOf(order)
+	for number, begin := range begins {
+		if !ended[number] && x.commands[number].Kind != ReadCommand {
+			op := x.changeOf(number)
 			op.Begin = begin
 			h.Add(op)
 		}
@@ -227,16 +227,16 @@
 	if errs := h.Check(); len(errs) > 0 {
 		err = violation(InvariantLinearizable, "%v", errs[0])
 	}
-	w.histories[s.record.played] = err
+	x.histories[s.record.eventsSum] = err
 	return err
 }
 
-func (w *World) addEnded(h *history.History, e event, begin, end int64) {
+func (x *Explorer) addEnded(h *history.History, e event, begin, end int64) {
 	operations := []history.Operation{}
 	if e.reading != nil {
-		operations = w.readsOf(e.command, e.reading)
+		operations = x.readsOf(e.command, e.reading)
 	} else {
-		operations = append(operations, w.changeOf(e.command))
+		operations = append(operations, x.changeOf(e.command))
 	}
 	for _, op := range operations {
 		op.Begin, op.End, op.Outcome = begin, end, history.Refused
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -14,23 +14,23 @@
 // statesMost bounds each configuration; all of them end within it. A short run, which CI makes with
 // the race detector beside the whole one, looks at the first statesShort alone.
 const (
-	statesMost  = 100_000
-	statesShort = 1_500
+	maxStates      = 100_000
+	maxStatesShort = 1_500
 )
 
-// everySchedule is a depth that no bounded configuration reaches.
-const everySchedule = 1_000
+// unlimitedDepth is a depth that no bounded configuration reaches.
+const unlimitedDepth = 1_000
 
 func TestInvariantsHoldWithinBound(t *testing.T) {
 	for _, c := range Configs() {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			w := NewWorld(c)
-			bound := Bound{Depth: everySchedule, States: statesMost}
+			x := NewWorld(c)
+			bound := Bound{Depth: unlimitedDepth, States: maxStates}
 			if testing.Short() {
-				bound.States = statesShort
+				bound.States = maxStatesShort
 			}
-			r := w.Explore(bound)
+			r := x.Explore(bound)
 			t.Logf("%s: %v", c.Name, r)
 			if r.Failure != nil {
 				t.Fatal(r.Failure)
@@ -39,30 +39,30 @@
 				return
 			}
 			must.True(t, r.Complete, must.Sprint("states were left out"))
-			broughtAbout(t, w)
+			assertProvoked(t, x)
 		})
 	}
 }
 
 // broughtAbout: a configuration that never comes to what it is there for proves nothing.
-func broughtAbout(t *testing.T, w *World) {
+func assertProvoked(t *testing.T, x *Explorer) {
 	t.Helper()
-	must.Positive(t, w.Seen.Leaders)
-	must.Positive(t, w.Seen.Commits)
-	if w.Budget.Calls > 0 {
-		must.Positive(t, w.Seen.Acknowledged)
+	must.Positive(t, x.Seen.Leaders)
+	must.Positive(t, x.Seen.Commits)
+	if x.Budget.Calls > 0 {
+		must.Positive(t, x.Seen.Acknowledged)
 	}
-	if len(w.Away) > 0 && w.Standbys > 0 || w.Budget.LostDisks > 0 {
-		must.Positive(t, w.Seen.MemberChanges)
+	if len(x.IsolatedAtStart) > 0 && x.Standbys > 0 || x.Budget.LostDisks > 0 {
+		must.Positive(t, x.Seen.MemberChanges)
 	}
-	if len(w.operators) > 1 && w.Operators[1][0].Kind == ReadCommand {
-		must.Positive(t, w.Seen.Reads)
+	if len(x.operators) > 1 && x.Operators[1][0].Kind == ReadCommand {
+		must.Positive(t, x.Seen.Reads)
 	}
 }
 
 func TestExplorationReplays(t *testing.T) {
 	c := Configs()[0]
-	bound := Bound{Depth: everySchedule, States: statesMost}
+	bound := Bound{Depth: unlimitedDepth, States: maxStates}
 	must.Eq(t, NewWorld(c).Explore(bound), NewWorld(c).Explore(bound))
 }
 
@@ -89,26 +89,26 @@
 // would leave something out otherwise.
 func TestEqualFingerprintsBehaveAlike(t *testing.T) {
 	c := Configs()[4]
-	w := NewWorld(c)
+	x := NewWorld(c)
 	checked := 0
-	w.runtime.merged = func(known, other *process) {
+	x.runtime.merged = func(known, other *process) {
 		checked++
 		if checked%mergeSample != 0 {
 			return
 		}
 		at := max(known.at, other.at)
-		must.Eq(t, w.after(known, at), w.after(other, at))
+		must.Eq(t, x.continuation(known, at), x.continuation(other, at))
 	}
-	w.Explore(Bound{Depth: everySchedule, States: statesMost})
+	x.Explore(Bound{Depth: unlimitedDepth, States: maxStates})
 	must.Greater(t, 10*mergeSample, checked)
 }
 
 // mergeSample is that one merge in so many is checked.
 const mergeSample = 10
 
-// after runs a process anew from its history, and then on, from a time, through writes and timers.
-func (w *World) after(p *process, at clock.Micros) (prints []digest) {
-	k := newRuntime().wake(p)
+// continuation runs a process anew from its history, and then on, from a time, through writes and timers.
+func (x *Explorer) continuation(p *process, at clock.Micros) (prints []digest) {
+	k := newRuntime().kernelFor(p)
 	feed := func(input kernel.Input) {
 		fixRandom(k, p.replica, p.incarnation)
 		out := k.Step(at, epoch+at, input)
--- a/lab/model/operators.go
+++ b/lab/model/operators.go
@@ -60,13 +60,13 @@
 
 // callActions adds the calls that operators may make now: an operator's next command waits until the one before
 // has ended, and a change until its base was acknowledged.
-func (w *World) callActions(s *system, actions []Action) []Action {
+func (x *Explorer) callActions(s *system, actions []Action) []Action {
 	if s.left.Calls == 0 {
 		return actions
 	}
 	number := 0
-	for _, orders := range w.operators {
-		for i := range orders {
+	for _, commands := range x.operators {
+		for i := range commands {
 			c := s.calls[number+i]
 			if c.ended() {
 				if c.status == callRefused {
@@ -75,59 +75,59 @@
 				continue
 			}
 			if c.sent < callsPerCommand {
-				actions = w.callEach(s, number+i, actions)
+				actions = x.callReplicas(s, number+i, actions)
 			}
 			break
 		}
-		number += len(orders)
+		number += len(commands)
 	}
 	return actions
 }
 
-func (w *World) callEach(s *system, number int, actions []Action) []Action {
-	for to := range w.voters {
-		if s.frozenAt[to] == 0 && s.calls[number].open&(1<<to) == 0 && w.matters(s, number, to) {
-			actions = append(actions, Action{Kind: Call, Replica: to, Argument: number, operatorsOrder: w.commands[number].Name})
+func (x *Explorer) callReplicas(s *system, number int, actions []Action) []Action {
+	for to := range x.voters {
+		if s.frozenAt[to] == 0 && s.calls[number].open&(1<<to) == 0 && x.hasEffect(s, number, to) {
+			actions = append(actions, Action{Kind: Call, Replica: to, Argument: number, commandName: x.commands[number].Name})
 		}
 	}
 	return actions
 }
 
-// matters reports whether a call does more than to be declined at once by a replica that does not lead.
-func (w *World) matters(s *system, number, to int) bool {
-	e := w.runtime.step(s.processes[to], s.now, w.callInput(number, to))
+// hasEffect reports whether a call does more than to be declined at once by a replica that does not lead.
+func (x *Explorer) hasEffect(s *system, number, to int) bool {
+	e := x.runtime.step(s.processes[to], s.now, x.callInput(number, to))
 	if e.next != s.processes[to] || len(e.sends) != 1 {
 		return true
 	}
 	f := openFrame(e.sends[0].Data)
-	clear, _ := answerClear(f.answer)
-	return f.kind != frameAnswer || clear
+	final, _ := answerFinal(f.answer)
+	return f.kind != frameAnswer || final
 }
 
-func (w *World) callInput(number, to int) kernel.Input {
-	return kernel.Received{Conn: w.callConnection(number, to), Data: commandFrame(uint64(number)+1, &w.commands[number])}
+func (x *Explorer) callInput(number, to int) kernel.Input {
+	return kernel.Received{Conn: x.callConnection(number, to), Data: commandFrame(uint64(number)+1, &x.commands[number])}
 }
 
 // callConnection returns the connection of a command to a replica: each call has its own.
-func (w *World) callConnection(number, replica int) uint64 {
-	return clientConnection + uint64(number*w.replicas+replica)
+func (x *Explorer) callConnection(number, replica int) uint64 {
+	return clientConnection + uint64(number*x.replicas+replica)
 }
 
-// answered handles a replica's answer to a call.
-func (w *World) answered(s *system, connection uint64, r wire.EditReply) error {
-	number, replica := int(connection-clientConnection)/w.replicas, int(connection-clientConnection)%w.replicas
-	order, c := &w.commands[number], &s.calls[number]
+// handleAnswer handles a replica's answer to a call.
+func (x *Explorer) handleAnswer(s *system, connection uint64, r wire.EditReply) error {
+	number, replica := int(connection-clientConnection)/x.replicas, int(connection-clientConnection)%x.replicas
+	command, c := &x.commands[number], &s.calls[number]
 	c.open &^= 1 << replica
-	clear, accepted := answerClear(r)
-	if !clear {
+	final, accepted := answerFinal(r)
+	if !final {
 		return nil
 	}
-	if order.Kind == ReadCommand {
-		return w.readAnswered(s, number, r)
+	if command.Kind == ReadCommand {
+		return x.handleReadAnswer(s, number, r)
 	}
 	if c.ended() {
 		if accepted != (c.status == callAccepted) {
-			return violation(InvariantOneAnswer, "order %s was answered both ways, last %s", order.Name, r.Code)
+			return violation(InvariantOneAnswer, "order %s was answered both ways, last %s", command.Name, r.Code)
 		}
 		return nil
 	}
@@ -135,14 +135,14 @@
 	if accepted {
 		c.status = callAccepted
 	}
-	s.record = s.record.ended(number, accepted, nil)
+	s.record = s.record.withEnd(number, accepted, nil)
 	if !accepted {
-		return w.checkRefused(s, number)
+		return x.checkRefused(s, number)
 	}
-	return w.checkAcknowledged(s, number, r)
+	return x.checkAcknowledged(s, number, r)
 }
 
-func (w *World) readAnswered(s *system, number int, r wire.EditReply) error {
+func (x *Explorer) handleReadAnswer(s *system, number int, r wire.EditReply) error {
 	c := &s.calls[number]
 	if c.ended() || r.Code != "ok" {
 		return nil
@@ -152,14 +152,14 @@
 		return violation(InvariantReadable, "a read returned a body that cannot be read")
 	}
 	c.status = callAccepted
-	w.Seen.Reads++
-	s.record = s.record.ended(number, true, &reading{configuration: w.valueOf(got), drained: got.drained})
+	x.Seen.Reads++
+	s.record = s.record.withEnd(number, true, &reading{configuration: x.valueOf(got), drained: got.drained})
 	return nil
 }
 
 // valueOf returns the name of the command that made the configuration that a read returned.
-func (w *World) valueOf(c contents) string {
-	for _, o := range w.commands {
+func (x *Explorer) valueOf(c contents) string {
+	for _, o := range x.commands {
 		if o.Kind == ChangeCommand && o.Revision == c.revision && slices.Contains(c.commands, o.Name) {
 			return o.Name
 		}
@@ -171,9 +171,9 @@
 }
 
 // changeOf returns a command other than a read as an operation of the history.
-func (w *World) changeOf(number int) history.Operation {
-	o := &w.commands[number]
-	op := history.Operation{Register: history.Configuration, Client: w.operatorOf[number], ID: o.Name}
+func (x *Explorer) changeOf(number int) history.Operation {
+	o := &x.commands[number]
+	op := history.Operation{Register: history.Configuration, Client: x.operatorOf[number], ID: o.Name}
 	switch o.Kind {
 	case ChangeCommand:
 		op.Kind, op.Version, op.Base = history.Change, fmt.Sprint(o.Revision), versionName(o.Base)
@@ -186,10 +186,10 @@
 }
 
 // readsOf returns a read as operations of the history, one of each register.
-func (w *World) readsOf(number int, got *reading) []history.Operation {
-	read := history.Operation{Register: history.Configuration, Client: w.operatorOf[number], Kind: history.Read, Value: got.configuration}
+func (x *Explorer) readsOf(number int, got *reading) []history.Operation {
+	read := history.Operation{Register: history.Configuration, Client: x.operatorOf[number], Kind: history.Read, Value: got.configuration}
 	all := []history.Operation{read}
-	for _, zone := range w.zones {
+	for _, zone := range x.zones {
 		read.Register, read.Value = history.Zone(zone), history.Restored
 		if slices.Contains(got.drained, zone) {
 			read.Value = history.Drained
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -61,23 +61,23 @@
 
 // runtime runs processes and remembers their steps.
 type runtime struct {
-	byState map[digest]*process
-	steps   map[stepKey]*effects
-	starts  map[digest]*effects
-	live    map[int32]*kernel.Kernel
-	order   []int32
+	byState    map[digest]*process
+	steps      map[stepKey]*effects
+	starts     map[digest]*effects
+	cached     map[int32]*kernel.Kernel
+	cacheOrder []int32
 	// Steps counts the steps run on the product's code, Replayed those run again to rebuild a process.
 	Steps, Replayed int
 	// merged, if set, is called for every two histories that were taken for one process.
 	merged func(known, other *process)
 }
 
-// liveMost bounds the number of processes that are kept running.
-const liveMost = 512
+// maxCachedKernels bounds the number of processes that are kept running.
+const maxCachedKernels = 512
 
 func newRuntime() *runtime {
 	return &runtime{
-		byState: map[digest]*process{}, steps: map[stepKey]*effects{}, starts: map[digest]*effects{}, live: map[int32]*kernel.Kernel{},
+		byState: map[digest]*process{}, steps: map[stepKey]*effects{}, starts: map[digest]*effects{}, cached: map[int32]*kernel.Kernel{},
 	}
 }
 
@@ -100,17 +100,17 @@
 	if e := r.steps[key]; e != nil {
 		return e
 	}
-	k := r.wake(p)
+	k := r.kernelFor(p)
 	next := &process{replica: p.replica, incarnation: p.incarnation, parent: p, at: at, input: input, writes: p.writes, timers: p.timers}
 	e := r.run(next, k, p)
 	r.steps[key] = e
 	return e
 }
 
-// wake returns the running process, replayed from its start if it is not running any more.
-func (r *runtime) wake(p *process) *kernel.Kernel {
-	if k := r.live[p.id]; k != nil {
-		delete(r.live, p.id)
+// kernelFor returns the running process, replayed from its start if it is not running any more.
+func (r *runtime) kernelFor(p *process) *kernel.Kernel {
+	if k := r.cached[p.id]; k != nil {
+		delete(r.cached, p.id)
 		return k
 	}
 	var history []*process
@@ -146,7 +146,7 @@
 	} else if r.merged != nil {
 		r.merged(known, next)
 	}
-	r.keep(known.id, k)
+	r.cache(known.id, k)
 	e := &effects{next: known, sends: out.Sends}
 	for _, wr := range out.Writes {
 		if wr.Plugin == pluginName && wr.Data == nil {
@@ -157,15 +157,15 @@
 }
 
 // keep caches a kernel for the next step, and drops the oldest.
-func (r *runtime) keep(id int32, k *kernel.Kernel) {
-	if r.live[id] != nil {
+func (r *runtime) cache(id int32, k *kernel.Kernel) {
+	if r.cached[id] != nil {
 		return
 	}
-	r.live[id] = k
-	r.order = append(r.order, id)
-	if len(r.order) > liveMost {
-		delete(r.live, r.order[0])
-		r.order = r.order[1:]
+	r.cached[id] = k
+	r.cacheOrder = append(r.cacheOrder, id)
+	if len(r.cacheOrder) > maxCachedKernels {
+		delete(r.cached, r.cacheOrder[0])
+		r.cacheOrder = r.cacheOrder[1:]
 	}
 }
 
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -73,14 +73,14 @@
 	return wire.Replica{ID: replicaName(replica), Zone: fmt.Sprintf("zone-%d", replica+1), Addr: replicaAddress(replica)}
 }
 
-// formedDisk returns the disk of a voter of a group that has just been bootstrapped.
-func formedDisk(replica, voters int) map[string][]byte {
-	form := wire.Bootstrap{BootstrapID: "f", Commit: true, Proposer: memberOf(0)}
+// bootstrappedDisk returns the disk of a voter of a group that has just been bootstrapped.
+func bootstrappedDisk(replica, voters int) map[string][]byte {
+	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true, Proposer: memberOf(0)}
 	for i := range voters {
-		form.Voters = append(form.Voters, memberOf(i))
+		bootstrap.Voters = append(bootstrap.Voters, memberOf(i))
 	}
 	files := standbyDisk(replica)
-	files["formation"] = diskfile.Pack(wire.Encode(&form))
+	files["formation"] = diskfile.Pack(wire.Encode(&bootstrap))
 	return files
 }
 
@@ -137,8 +137,8 @@
 	return wire.Seal(wire.KindEdit, id, &e)
 }
 
-// answerClear reports whether an answer is final, and whether it acknowledges the call.
-func answerClear(r wire.EditReply) (clear, accepted bool) {
+// answerFinal reports whether an answer is final, and whether it acknowledges the call.
+func answerFinal(r wire.EditReply) (final, accepted bool) {
 	switch r.Code {
 	case "ok":
 		return true, true
--- a/lab/model/record.go
+++ b/lab/model/record.go
@@ -35,10 +35,10 @@
 	// synced holds the newest version that each identity's disk has ever held.
 	synced map[string]wire.Version
 	// acknowledged holds the version of each acknowledged command.
-	acknowledged map[int]wire.Version
-	refused      []int
-	events       []event
-	sum, played  digest
+	acknowledged   map[int]wire.Version
+	refused        []int
+	events         []event
+	sum, eventsSum digest
 }
 
 func newRecord() *record {
@@ -55,8 +55,8 @@
 
 // seal recomputes the record's digests.
 func (r *record) seal() {
-	r.played = digestOf(eventBytes(r.events))
-	b := slices.Clone(r.played[:])
+	r.eventsSum = digestOf(eventBytes(r.events))
+	b := slices.Clone(r.eventsSum[:])
 	for _, term := range slices.Sorted(maps.Keys(r.leaders)) {
 		b = fmt.Appendf(b, "%d=%s,", term, r.leaders[term])
 	}
@@ -71,8 +71,8 @@
 	for _, id := range slices.Sorted(maps.Keys(r.synced)) {
 		b = fmt.Appendf(b, "%s=%d.%d,", id, r.synced[id].Term, r.synced[id].Seq)
 	}
-	for _, order := range slices.Sorted(maps.Keys(r.acknowledged)) {
-		b = fmt.Appendf(b, "%d=%d.%d,", order, r.acknowledged[order].Term, r.acknowledged[order].Seq)
+	for _, number := range slices.Sorted(maps.Keys(r.acknowledged)) {
+		b = fmt.Appendf(b, "%d=%d.%d,", number, r.acknowledged[number].Term, r.acknowledged[number].Seq)
 	}
 	b = fmt.Appendf(b, "%v", r.refused)
 	r.sum = digestOf(b)
@@ -95,42 +95,42 @@
 	return &c
 }
 
-func (r *record) began(order int) *record {
-	return r.update(func(c *record) { c.events = append(slices.Clip(c.events), event{command: order}) })
+func (r *record) withBegin(number int) *record {
+	return r.update(func(c *record) { c.events = append(slices.Clip(c.events), event{command: number}) })
 }
 
-func (r *record) ended(order int, accepted bool, got *reading) *record {
+func (r *record) withEnd(number int, accepted bool, got *reading) *record {
 	return r.update(func(c *record) {
-		c.events = append(slices.Clip(c.events), event{command: order, end: true, accepted: accepted, reading: got})
+		c.events = append(slices.Clip(c.events), event{command: number, end: true, accepted: accepted, reading: got})
 	})
 }
 
-func (r *record) leads(term uint64, leader string) *record {
+func (r *record) withLeader(term uint64, leader string) *record {
 	return r.update(func(c *record) { c.leaders = withEntry(c.leaders, term, leader) })
 }
 
-func (r *record) proposed(v wire.Version, sum digest) *record {
+func (r *record) withProposed(v wire.Version, sum digest) *record {
 	return r.update(func(c *record) { c.versions = withEntry(c.versions, v, sum) })
 }
 
-func (r *record) commits(v wire.Version) *record {
+func (r *record) withCommitted(v wire.Version) *record {
 	return r.update(func(c *record) {
 		c.committed = append(slices.Clone(c.committed), v)
 		slices.SortFunc(c.committed, compareVersions)
 	})
 }
 
-func (r *record) syncs(identity string, v wire.Version) *record {
+func (r *record) withSynced(identity string, v wire.Version) *record {
 	return r.update(func(c *record) { c.synced = withEntry(c.synced, identity, v) })
 }
 
-func (r *record) acknowledges(order int, v wire.Version) *record {
-	return r.update(func(c *record) { c.acknowledged = withEntry(c.acknowledged, order, v) })
+func (r *record) withAcknowledged(number int, v wire.Version) *record {
+	return r.update(func(c *record) { c.acknowledged = withEntry(c.acknowledged, number, v) })
 }
 
-func (r *record) refuses(order int) *record {
+func (r *record) withRefused(number int) *record {
 	return r.update(func(c *record) {
-		c.refused = append(slices.Clone(c.refused), order)
+		c.refused = append(slices.Clone(c.refused), number)
 		slices.Sort(c.refused)
 	})
 }
--- a/lab/model/walk.go
+++ b/lab/model/walk.go
@@ -19,15 +19,15 @@
 }
 
 // walkTo runs one random schedule of the given length, or to the first violation.
-func (w *World) walkTo(seed uint64, length int) (*system, error) {
+func (x *Explorer) walkTo(seed uint64, length int) (*system, error) {
 	rnd := rand.New(rand.NewPCG(seed, 0x6d6f64656c))
-	s, err := w.initial()
+	s, err := x.initial()
 	for err == nil && s.depth < length {
-		actions := w.enabled(s)
+		actions := x.enabled(s)
 		if len(actions) == 0 {
 			break
 		}
-		s, err = w.apply(s, draw(rnd, actions))
+		s, err = x.apply(s, draw(rnd, actions))
 	}
 	return s, err
 }
@@ -56,34 +56,34 @@
 // Walks runs the schedules of consecutive seeds until one fails, and shrinks that one.
 func (c Config) Walks(first uint64, walks, length int) (WalkReport, error) {
 	var r WalkReport
-	var w *World
+	var x *Explorer
 	for i := range walks {
 		// A world remembers every process it has met: a new one now and then bounds the memory.
-		if i%walksPerWorld == 0 {
-			w = NewWorld(c)
+		if i%walksPerExplorer == 0 {
+			x = NewWorld(c)
 		}
 		seed := first + uint64(i)
-		s, err := w.walkTo(seed, length)
+		s, err := x.walkTo(seed, length)
 		if s == nil {
 			return r, err
 		}
 		r.Walks++
 		r.Steps += s.depth
 		if err != nil {
-			r.Seed, r.Failure = seed, w.Shrink(&Failure{Violation: err, Schedule: s.schedule()})
+			r.Seed, r.Failure = seed, x.Shrink(&Failure{Violation: err, Schedule: s.schedule()})
 			return r, nil
 		}
 	}
 	return r, nil
 }
 
-const walksPerWorld = 50
+const walksPerExplorer = 50
 
 // Shrink removes actions from a failing schedule as long as the same invariant breaks.
-func (w *World) Shrink(f *Failure) *Failure {
+func (x *Explorer) Shrink(f *Failure) *Failure {
 	best := f
 	for size := len(best.Schedule) / 2; size > 0; {
-		smaller := w.without(best, size)
+		smaller := x.without(best, size)
 		if smaller != nil {
 			best = smaller
 			size = min(size, len(best.Schedule))
@@ -95,10 +95,10 @@
 }
 
 // without tries to remove one run of actions, and returns the failure that remains.
-func (w *World) without(f *Failure, size int) *Failure {
+func (x *Explorer) without(f *Failure, size int) *Failure {
 	for from := 0; from+size <= len(f.Schedule); from += size {
 		rest := append(append([]Action(nil), f.Schedule[:from]...), f.Schedule[from+size:]...)
-		got, err := w.Replay(rest)
+		got, err := x.Replay(rest)
 		if err == nil && got != nil && invariantOf(got.Violation) == invariantOf(f.Violation) && len(got.Schedule) < len(f.Schedule) {
 			return got
 		}
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -18,8 +18,8 @@
 	Voters, Standbys int
 	// Settled starts with an elected leader instead of a group that was just bootstrapped.
 	Settled bool
-	// Away are replicas that are partitioned at the start.
-	Away []int
+	// IsolatedAtStart are replicas that are partitioned at the start.
+	IsolatedAtStart []int
 	// Faulty are the replicas that crash, freeze, are partitioned and so on; empty means all.
 	Faulty []int
 	// SlowDisks makes holds pause disks only, not messages.
@@ -38,8 +38,8 @@
 	contents contents
 }
 
-// World explores one configuration.
-type World struct {
+// Explorer explores one configuration.
+type Explorer struct {
 	Config
 	replicas, voters int
 	operators        [][]Command
@@ -66,92 +66,92 @@
 const begin = clock.Second
 
 // NewWorld returns a world for a configuration.
-func NewWorld(c Config) *World {
-	w := &World{
+func NewWorld(c Config) *Explorer {
+	x := &Explorer{
 		Config: c, replicas: c.Voters + c.Standbys, voters: c.Voters, operators: c.Operators, restores: map[string]bool{},
 		runtime: newRuntime(), messages: map[digest]*message{}, versions: map[digest]*knownVersion{}, histories: map[digest]error{},
 	}
-	for operator, orders := range c.Operators {
-		for _, o := range orders {
-			w.commands = append(w.commands, o)
-			w.operatorOf = append(w.operatorOf, operator)
-			if o.Zone != "" && !slices.Contains(w.zones, o.Zone) {
-				w.zones = append(w.zones, o.Zone)
+	for operator, commands := range c.Operators {
+		for _, o := range commands {
+			x.commands = append(x.commands, o)
+			x.operatorOf = append(x.operatorOf, operator)
+			if o.Zone != "" && !slices.Contains(x.zones, o.Zone) {
+				x.zones = append(x.zones, o.Zone)
 			}
-			w.restores[o.Zone] = w.restores[o.Zone] || o.Kind == RestoreCommand
+			x.restores[o.Zone] = x.restores[o.Zone] || o.Kind == RestoreCommand
 		}
 	}
-	return w
+	return x
 }
 
 // initial returns the state at the start of every schedule.
-func (w *World) initial() (*system, error) {
-	n := w.replicas
+func (x *Explorer) initial() (*system, error) {
+	n := x.replicas
 	s := &system{
 		now: begin, processes: make([]*process, n), disks: make([]*disk, n), starts: make([]int, n), frozenAt: make([]int64, n),
-		queues: make([][]*message, n*n), calls: make([]call, len(w.commands)), left: w.Budget, record: newRecord(),
+		queues: make([][]*message, n*n), calls: make([]call, len(x.commands)), left: x.Budget, record: newRecord(),
 	}
 	for i := range n {
 		files := standbyDisk(i)
-		if i < w.voters {
-			files = formedDisk(i, w.voters)
+		if i < x.voters {
+			files = bootstrappedDisk(i, x.voters)
 		}
 		s.disks[i] = newDisk(files)
-		if err := w.boot(s, i); err != nil {
+		if err := x.boot(s, i); err != nil {
 			return nil, err
 		}
 	}
-	if w.Settled {
+	if x.Settled {
 		var err error
-		if s, err = w.elect(s); err != nil {
+		if s, err = x.elect(s); err != nil {
 			return nil, err
 		}
 	}
-	return w.play(s)
+	return x.runPrelude(s)
 }
 
 // elect makes the first replica be elected, with nothing lost and nothing late.
-func (w *World) elect(s *system) (*system, error) {
-	const until = 4
-	for range until {
+func (x *Explorer) elect(s *system) (*system, error) {
+	const rounds = 4
+	for range rounds {
 		s.left.Elapses++
-		next, err := w.apply(s, Action{Kind: Elapse, Argument: heartbeatSpan})
+		next, err := x.apply(s, Action{Kind: Elapse, Argument: heartbeatSpan})
 		if err != nil {
 			return nil, err
 		}
-		if s, err = w.drain(next); err != nil {
+		if s, err = x.runUntilIdle(next); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// play runs the prelude, with as much of everything as it takes, and leaves the budget whole.
-func (w *World) play(s *system) (*system, error) {
-	for _, i := range w.Away {
+// runPrelude runs the prelude, with as much of everything as it takes, and leaves the budget whole.
+func (x *Explorer) runPrelude(s *system) (*system, error) {
+	for _, i := range x.IsolatedAtStart {
 		s.isolated |= 1 << i
 	}
-	for _, a := range w.Prelude {
-		next, err := w.apply(s, a)
+	for _, a := range x.Prelude {
+		next, err := x.apply(s, a)
 		if err != nil {
 			return nil, err
 		}
-		if s, err = w.drain(next); err != nil {
+		if s, err = x.runUntilIdle(next); err != nil {
 			return nil, err
 		}
 	}
-	s.left, s.path, s.depth = w.Budget, nil, 0
+	s.left, s.path, s.depth = x.Budget, nil, 0
 	return s, nil
 }
 
-// drain syncs and delivers until nothing is pending.
-func (w *World) drain(s *system) (*system, error) {
+// runUntilIdle syncs and delivers until nothing is pending.
+func (x *Explorer) runUntilIdle(s *system) (*system, error) {
 	for {
-		a, ok := pendingAction(w.enabled(s))
+		a, ok := pendingAction(x.enabled(s))
 		if !ok {
 			return s, nil
 		}
-		next, err := w.apply(s, a)
+		next, err := x.apply(s, a)
 		if err != nil {
 			return nil, err
 		}
@@ -171,61 +171,61 @@
 }
 
 // boot starts a replica's process on its disk.
-func (w *World) boot(s *system, i int) error {
+func (x *Explorer) boot(s *system, i int) error {
 	s.starts[i]++
-	return w.settleStep(s, i, w.runtime.start(i, s.starts[i], s.now, s.disks[i].files))
+	return x.applyEffects(s, i, x.runtime.start(i, s.starts[i], s.now, s.disks[i].files))
 }
 
 // feed gives a replica one input.
-func (w *World) feed(s *system, i int, input kernel.Input) error {
-	return w.settleStep(s, i, w.runtime.step(s.processes[i], s.now, input))
+func (x *Explorer) feed(s *system, i int, input kernel.Input) error {
+	return x.applyEffects(s, i, x.runtime.step(s.processes[i], s.now, input))
 }
 
-// settleStep carries out what a step asked for and checks it.
-func (w *World) settleStep(s *system, i int, e *effects) error {
+// applyEffects carries out what a step asked for and checks it.
+func (x *Explorer) applyEffects(s *system, i int, e *effects) error {
 	s.processes[i] = e.next
 	if len(e.removes) > 0 {
 		s.disks[i] = s.disks[i].without(e.removes)
 	}
 	for _, wr := range e.next.writes {
 		if v, ok := versionIn(wr.file, wr.data); ok {
-			if err := w.checkProposed(s, v); err != nil {
+			if err := x.checkProposed(s, v); err != nil {
 				return err
 			}
 		}
 	}
 	for _, send := range e.sends {
-		if err := w.sent(s, i, send); err != nil {
+		if err := x.handleSend(s, i, send); err != nil {
 			return err
 		}
 	}
-	return w.checkCommitted(s, e.next)
+	return x.checkCommitted(s, e.next)
 }
 
-// sent puts a frame on its way, or hands an answer to its operator.
-func (w *World) sent(s *system, from int, send kernel.Send) error {
+// handleSend puts a frame on its way, or hands an answer to its operator.
+func (x *Explorer) handleSend(s *system, from int, send kernel.Send) error {
 	f := openFrame(send.Data)
 	switch {
 	case f.kind == frameIgnored:
 		return nil
 	case f.kind == frameAnswer && send.Conn >= clientConnection:
-		return w.answered(s, send.Conn, f.answer)
+		return x.handleAnswer(s, send.Conn, f.answer)
 	}
-	to := w.target(send)
+	to := x.target(send)
 	if to < 0 || to == from {
 		return nil
 	}
-	if err := w.checkSent(s, &f); err != nil {
+	if err := x.checkSent(s, &f); err != nil {
 		return err
 	}
-	m := w.message(replicaConnection(from), send, f)
-	queue := from*w.replicas + to
+	m := x.message(replicaConnection(from), send, f)
+	queue := from*x.replicas + to
 	s.queues[queue] = append(slices.Clip(s.queues[queue]), m)
 	return nil
 }
 
-func (w *World) target(send kernel.Send) int {
-	for i := range w.replicas {
+func (x *Explorer) target(send kernel.Send) int {
+	for i := range x.replicas {
 		if send.Addr == replicaAddress(i) || send.Addr == "" && send.Conn == replicaConnection(i) {
 			return i
 		}
@@ -233,18 +233,18 @@
 	return -1
 }
 
-func (w *World) message(connection uint64, send kernel.Send, f frame) *message {
+func (x *Explorer) message(connection uint64, send kernel.Send, f frame) *message {
 	request := send.Addr != ""
 	b := append(appendNumber(nil, int64(connection)), byte(boolInt(request)))
 	sum := digestOf(append(b, send.Data...))
-	if m := w.messages[sum]; m != nil {
+	if m := x.messages[sum]; m != nil {
 		return m
 	}
 	m := &message{connection: connection, request: request, data: send.Data, digest: sum, frame: f}
-	w.messages[sum] = m
+	x.messages[sum] = m
 	return m
 }
 
-func (w *World) String() string {
-	return fmt.Sprintf("%s: %d voters, %d standbys, %d orders, budget %+v", w.Name, w.voters, w.Standbys, len(w.commands), w.Budget)
+func (x *Explorer) String() string {
+	return fmt.Sprintf("%s: %d voters, %d standbys, %d orders, budget %+v", x.Name, x.voters, x.Standbys, len(x.commands), x.Budget)
 }
--- a/lab/rules/check.go
+++ b/lab/rules/check.go
@@ -23,18 +23,18 @@
 	}
 	for _, rule := range []func(*Journal){
 		mixed, unasked, twice, refused, denied, route, drain, lost,
-		configHandled, configInForce, configRaces, configNumbers, configRepeats, configRead, budget, furtherBackends, failback, evac, recovered, acks, histories,
+		configHandled, configInForce, configRaces, configRevisions, configRepeats, configRead, budget, furtherBackends, failback, evac, recovered, acks, histories,
 	} {
 		rule(j)
 	}
 }
 
-// foundMost bounds the findings of one rule that are kept; Broken counts all.
-const foundMost = 3
+// maxFindingsPerRule bounds the findings of one rule that are kept; Broken counts all.
+const maxFindingsPerRule = 3
 
 func (j *Journal) fail(rule string, at clock.Micros, text string, args ...any) {
 	j.Broken[rule]++
-	if j.Broken[rule] > foundMost {
+	if j.Broken[rule] > maxFindingsPerRule {
 		return
 	}
 	j.Findings = append(j.Findings, Finding{rule, at, fmt.Sprintf(text, args...)})
@@ -81,8 +81,8 @@
 	return false
 }
 
-// may reports whether a version may be in force at a moment: it was sent, is valid, and was not refused.
-func (version *Version) may(at clock.Micros) bool {
+// mayBeInForce reports whether a version may be in force at a moment: it was sent, is valid, and was not refused.
+func (version *Version) mayBeInForce(at clock.Micros) bool {
 	return version.Table != nil && !version.Invalid && version.Refused == Never && version.Sent <= at
 }
 
--- a/lab/rules/config.go
+++ b/lab/rules/config.go
@@ -26,7 +26,7 @@
 	}
 	var out []*Version
 	for _, version := range j.Versions {
-		if version.Revision >= least && version.may(attempt.Ended) {
+		if version.Revision >= least && version.mayBeInForce(attempt.Ended) {
 			out = append(out, version)
 		}
 	}
@@ -92,7 +92,7 @@
 		n       int
 	}
 	last := map[incarnation]int64{}
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, s := range j.InForce {
 		j.tested(Config)
 		at := incarnation{s.Machine, s.Incarnation}
@@ -107,8 +107,8 @@
 			if version.Acked == Never || version.Revision <= s.Revision {
 				continue
 			}
-			if b, ok := j.bound(s.Machine, version.Acked, s.At, j.Bounds.ApplyUs); ok && s.At > version.Acked+b && !told[s.Machine] {
-				told[s.Machine] = true
+			if b, ok := j.bound(s.Machine, version.Acked, s.At, j.Bounds.ApplyUs); ok && s.At > version.Acked+b && !reported[s.Machine] {
+				reported[s.Machine] = true
 				j.fail(Config, s.At, "%s has revision %d in force, %d was acknowledged at %d us", s.Machine, s.Revision, version.Revision, version.Acked)
 			}
 		}
@@ -117,7 +117,7 @@
 
 // configRaces checks CONFIG: of two changes based on one version only one is acknowledged, and no invalid one.
 func configRaces(j *Journal) {
-	by := map[int64]*Version{}
+	byBase := map[int64]*Version{}
 	for _, version := range j.Versions {
 		if version.Acked == Never {
 			continue
@@ -126,10 +126,10 @@
 		if version.Invalid {
 			j.fail(Config, version.Acked, "revision %d is invalid and was acknowledged", version.Revision)
 		}
-		if o := by[version.Base]; o != nil {
-			j.fail(Config, version.Acked, "revisions %d and %d, both on top of %d, were acknowledged", o.Revision, version.Revision, version.Base)
+		if other := byBase[version.Base]; other != nil {
+			j.fail(Config, version.Acked, "revisions %d and %d, both on top of %d, were acknowledged", other.Revision, version.Revision, version.Base)
 		}
-		by[version.Base] = version
+		byBase[version.Base] = version
 	}
 }
 
@@ -158,15 +158,15 @@
 		return
 	}
 	for _, version := range j.Versions {
-		if version.Revision == r.Table.GetRevision() && version.may(r.At) && alike(version.Table, r.Table) {
+		if version.Revision == r.Table.GetRevision() && version.mayBeInForce(r.At) && equalConfigs(version.Table, r.Table) {
 			return
 		}
 	}
 	j.fail(Config, r.At, "what was read back as revision %d differs from what was sent under that number", r.Table.GetRevision())
 }
 
-// alike reports whether two configurations are equal; the order of items does not matter.
-func alike(a, b *routingpb.RoutingTable) bool {
+// equalConfigs reports whether two configurations are equal; the order of items does not matter.
+func equalConfigs(a, b *routingpb.RoutingTable) bool {
 	sorted := func(t *routingpb.RoutingTable) *routingpb.RoutingTable {
 		c := proto.Clone(t).(*routingpb.RoutingTable)
 		slices.SortFunc(c.Routes, func(a, b *routingpb.Route) int { return cmp.Compare(a.Name, b.Name) })
@@ -205,13 +205,13 @@
 			j.fail(Acks, version.Refused, "revision %d, on top of the newest one, was refused", version.Revision)
 		}
 		if !version.Invalid && version.Refused == Never {
-			check("a configuration", version.Sent, firstOf(version.Acked, version.FirstAcked))
+			check("a configuration", version.Sent, firstAcknowledged(version.Acked, version.FirstAcked))
 		}
 	}
 	for _, evacuation := range j.Evacuations {
-		check("an evacuation", evacuation.Sent, firstOf(evacuation.Acked, evacuation.FirstAcked))
+		check("an evacuation", evacuation.Sent, firstAcknowledged(evacuation.Acked, evacuation.FirstAcked))
 		if evacuation.RestoreSent != Never {
-			check("the end of an evacuation", evacuation.RestoreSent, firstOf(evacuation.RestoreAcked, evacuation.RestoreFirstAcked))
+			check("the end of an evacuation", evacuation.RestoreSent, firstAcknowledged(evacuation.RestoreAcked, evacuation.RestoreFirstAcked))
 		}
 	}
 }
--- a/lab/rules/fault_spans.go
+++ b/lab/rules/fault_spans.go
@@ -65,8 +65,8 @@
 	Unplanned, Planned Spans
 }
 
-// settlesUs is how long a version still counts as planned work after it is due everywhere.
-const settlesUs = clock.Second
+// plannedWorkTailUs is how long a version still counts as planned work after it is due everywhere.
+const plannedWorkTailUs = clock.Second
 
 // planned returns all planned work: that of the machines, and each configuration that may be in force, from when
 // it was sent until some time after its acknowledgement.
@@ -78,7 +78,7 @@
 		case version.Acked == Never:
 			spans = append(spans, Span{version.Sent, Never})
 		default:
-			spans = append(spans, Span{version.Sent, version.Acked + j.Bounds.ApplyUs + settlesUs})
+			spans = append(spans, Span{version.Sent, version.Acked + j.Bounds.ApplyUs + plannedWorkTailUs})
 		}
 	}
 	return spans
--- a/lab/rules/histories.go
+++ b/lab/rules/histories.go
@@ -109,7 +109,7 @@
 		return ""
 	}
 	for i, version := range j.Versions {
-		if version.Revision == r.Table.Revision && version.may(r.At) && alike(version.Table, r.Table) {
+		if version.Revision == r.Table.Revision && version.mayBeInForce(r.At) && equalConfigs(version.Table, r.Table) {
 			return versionID(i, version)
 		}
 	}
--- a/lab/rules/histories_test.go
+++ b/lab/rules/histories_test.go
@@ -9,8 +9,8 @@
 )
 
 // read is a calm day with a zone that was drained and restored, and confirmed readings.
-func read() *Journal {
-	j := calm()
+func journalWithReadings() *Journal {
+	j := validJournal()
 	j.Evacuations = []*Evacuation{{Zone: "z1", Sent: 40 * second, Acked: 41 * second, RestoreSent: 50 * second, RestoreAcked: 51 * second}}
 	j.Confirmed = []ConfirmedReading{
 		{Sent: 10 * second, At: 11 * second, Table: table(1, "p")},
@@ -21,14 +21,14 @@
 }
 
 func TestJournalHistoriesPass(t *testing.T) {
-	j := read()
+	j := journalWithReadings()
 	j.Check()
 	must.Zero(t, j.Broken[History], must.Sprint(j.Findings))
 	must.Positive(t, j.Tested[History])
 }
 
 func TestJournalHistoriesWithPlantedFaultsFail(t *testing.T) {
-	for name, plant := range map[string]func(j *Journal){
+	for name, inject := range map[string]func(j *Journal){
 		"two orders on one base acknowledged":  func(j *Journal) { j.Versions = append(j.Versions, version(5, 1, 21*second, table(5, "p"))) },
 		"a stale read":                         func(j *Journal) { j.Confirmed[1].Table = table(1, "p") },
 		"a lost acknowledged write":            func(j *Journal) { j.Confirmed[2].Table = table(1, "p") },
@@ -41,8 +41,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			j := read()
-			plant(j)
+			j := journalWithReadings()
+			inject(j)
 			j.Check()
 			must.Positive(t, j.Broken[History], must.Sprint(j.Findings))
 		})
@@ -51,22 +51,22 @@
 
 // A call about a zone that was given up may have been taken; once the zone was taken back, it has not.
 func TestAbandonedZoneCalls(t *testing.T) {
-	given := &ZoneCall{Zone: "z2", Drains: true, Sent: 30 * second, Acked: Never}
-	back := &ZoneCall{Zone: "z2", Sent: 44 * second, Acked: 45 * second}
+	abandoned := &ZoneCall{Zone: "z2", Drains: true, Sent: 30 * second, Acked: Never}
+	restore := &ZoneCall{Zone: "z2", Sent: 44 * second, Acked: 45 * second}
 	for _, c := range []struct {
 		name   string
 		calls  []*ZoneCall
 		reads  []int
 		broken bool
 	}{
-		{"taken", []*ZoneCall{given}, []int{1, 2}, false},
+		{"taken", []*ZoneCall{abandoned}, []int{1, 2}, false},
 		{"not given", nil, []int{1, 2}, true},
-		{"taken and taken back", []*ZoneCall{given, back}, []int{1}, false},
-		{"before it was given", []*ZoneCall{given}, []int{0, 1, 2}, true},
-		{"taken back, and drained by an acknowledged call before", []*ZoneCall{{Zone: "z2", Drains: true, Sent: 30 * second, Acked: 31 * second}, back}, []int{1, 2}, true},
+		{"taken and taken back", []*ZoneCall{abandoned, restore}, []int{1}, false},
+		{"before it was given", []*ZoneCall{abandoned}, []int{0, 1, 2}, true},
+		{"taken back, and drained by an acknowledged call before", []*ZoneCall{{Zone: "z2", Drains: true, Sent: 30 * second, Acked: 31 * second}, restore}, []int{1, 2}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j := read()
+			j := journalWithReadings()
 			j.ZoneCalls = c.calls
 			for _, i := range c.reads {
 				j.Confirmed[i].Drained = append(j.Confirmed[i].Drained, "z2")
--- a/lab/rules/load.go
+++ b/lab/rules/load.go
@@ -51,7 +51,7 @@
 
 // budget checks BUDGET: beyond each request's first arrival, a service receives few arrivals in any window.
 func budget(j *Journal) {
-	extras, asked := map[string][]int64{}, map[string][]int64{}
+	extras, requests := map[string][]int64{}, map[string][]int64{}
 	seen := map[string]bool{}
 	for _, a := range j.Arrivals {
 		key := a.Attempt + " " + a.Backend.Pool
@@ -63,25 +63,25 @@
 	for _, attempt := range j.Attempts {
 		pools := map[string]bool{}
 		for _, version := range j.Versions {
-			if version.Sent <= attempt.Ended && (version.may(attempt.Ended) || version.Acked != Never) {
+			if version.Sent <= attempt.Ended && (version.mayBeInForce(attempt.Ended) || version.Acked != Never) {
 				for _, p := range poolsOf(routeOf(version.Table, attempt.Host, attempt.Path)) {
 					pools[p] = true
 				}
 			}
 		}
 		for _, p := range slices.Sorted(maps.Keys(pools)) {
-			asked[p] = append(asked[p], attempt.Sent)
+			requests[p] = append(requests[p], attempt.Sent)
 		}
 	}
 	w := j.Bounds.RetryWindowUs
 	for _, pool := range slices.Sorted(maps.Keys(extras)) {
-		ex, first := extras[pool], asked[pool]
-		slices.Sort(ex)
+		extra, first := extras[pool], requests[pool]
+		slices.Sort(extra)
 		slices.Sort(first)
-		for i := range ex {
+		for i := range extra {
 			// Each window begins with an extra arrival: no other window holds more of them.
-			from := ex[i]
-			n := count(ex, from, from+w)
+			from := extra[i]
+			n := count(extra, from, from+w)
 			most := max(count(first, from, from+w), count(first, from-w/2, from+w/2), count(first, from-w, from))
 			j.tested(Budget)
 			if float64(n) > j.Bounds.RetryRatio*float64(most)+j.Bounds.RetryAllowance {
@@ -101,14 +101,14 @@
 
 // failback checks FAILBACK: a cold backend gets no more requests in a second than it can take.
 func failback(j *Journal) {
-	byLife := map[*Backend][]int64{}
+	arrivalsByBackend := map[*Backend][]int64{}
 	for _, a := range j.Arrivals {
 		if b := a.Backend; b.SlowStartPerS > 0 && !a.Wrong && b.SlowStart.Hit(a.At, a.At) {
-			byLife[b] = append(byLife[b], a.At)
+			arrivalsByBackend[b] = append(arrivalsByBackend[b], a.At)
 		}
 	}
 	for _, b := range j.Backends {
-		at := byLife[b]
+		at := arrivalsByBackend[b]
 		slices.Sort(at)
 		most := b.SlowStartPerS*j.Bounds.SlowStartOverrun + j.Bounds.SlowStartTolerance
 		for i, from := range at {
--- a/lab/rules/planned_test.go
+++ b/lab/rules/planned_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestConfigurationCountsAsPlannedWorkUntilDueEverywhere(t *testing.T) {
-	j := calm()
+	j := validJournal()
 	refused := version(4, 3, 40*second, nil)
 	refused.Acked, refused.Refused = Never, 41*second
-	unclear := version(5, 3, 50*second, nil)
-	unclear.Acked = Never
-	j.Versions = append(j.Versions, refused, unclear)
+	unanswered := version(5, 3, 50*second, nil)
+	unanswered.Acked = Never
+	j.Versions = append(j.Versions, refused, unanswered)
 	planned := j.planned()
 	must.True(t, planned.Hit(20*second, 20*second))
 	must.True(t, planned.Hit(24*second, 24*second))
@@ -24,15 +24,15 @@
 }
 
 func TestRequestAbortedDuringPlannedWorkIsLost(t *testing.T) {
-	j := calm()
+	j := validJournal()
 	j.Check()
 	must.Zero(t, j.Tested[LostPlanned])
 	j.Faults.Planned = Spans{{30 * second, 31 * second}}
 	j.Check()
 	must.Positive(t, j.Tested[LostPlanned])
 	must.Zero(t, j.Broken[Lost])
-	cut := j.Attempts[1]
-	cut.Status, cut.Seal, cut.Aborted = 0, "", true
+	aborted := j.Attempts[1]
+	aborted.Status, aborted.Seal, aborted.Aborted = 0, "", true
 	j.Check()
 	must.Eq(t, 1, j.Broken[Lost])
 }
--- a/lab/rules/repeats.go
+++ b/lab/rules/repeats.go
@@ -4,29 +4,29 @@
 
 import "wallport/runtime/clock"
 
-// firstOf returns when something was first acknowledged, whether or not the acknowledgement arrived.
-func firstOf(acked, taken int64) int64 {
-	if taken > 0 {
-		return min(acked, taken)
+// firstAcknowledged returns when something was first acknowledged, whether or not the acknowledgement arrived.
+func firstAcknowledged(acked, acknowledged int64) int64 {
+	if acknowledged > 0 {
+		return min(acked, acknowledged)
 	}
 	return acked
 }
 
-// configNumbers checks CONFIG: no two changes are acknowledged under one revision.
-func configNumbers(j *Journal) {
-	taken, sent := map[int64]*Version{}, map[int64]bool{}
+// configRevisions checks CONFIG: no two changes are acknowledged under one revision.
+func configRevisions(j *Journal) {
+	acknowledged, sent := map[int64]*Version{}, map[int64]bool{}
 	for _, version := range j.Versions {
 		if sent[version.Revision] && !version.Invalid {
 			j.tested(ConfigNumber)
 		}
 		sent[version.Revision] = sent[version.Revision] || !version.Invalid
-		if firstOf(version.Acked, version.FirstAcked) == Never {
+		if firstAcknowledged(version.Acked, version.FirstAcked) == Never {
 			continue
 		}
-		if o := taken[version.Revision]; o != nil {
-			j.fail(Config, firstOf(version.Acked, version.FirstAcked), "two changes were acknowledged under number %d", version.Revision)
+		if other := acknowledged[version.Revision]; other != nil {
+			j.fail(Config, firstAcknowledged(version.Acked, version.FirstAcked), "two changes were acknowledged under number %d", version.Revision)
 		}
-		taken[version.Revision] = version
+		acknowledged[version.Revision] = version
 	}
 }
 
@@ -49,8 +49,8 @@
 // ackLatencyUs is more than the network delay of an acknowledgement that is not lost.
 const ackLatencyUs = 10 * clock.Millisecond
 
-// furtherMost is how many attempts may run on more backends than their route allows.
-const furtherMost = 3
+// maxOverRouteLimit is how many attempts may run on more backends than their route allows.
+const maxOverRouteLimit = 3
 
 // furtherBackends checks BUDGET: hardly any attempt runs on more backends of a service than its route allows.
 func furtherBackends(j *Journal) {
@@ -84,7 +84,7 @@
 			n, at, which = n+1, attempt.Ended, attempt.ID
 		}
 	}
-	if n > furtherMost {
+	if n > maxOverRouteLimit {
 		j.fail(Budget, at, "%d tries, %s the last of them, ran on more backends than their routes allow", n, which)
 	}
 }
--- a/lab/rules/repeats_test.go
+++ b/lab/rules/repeats_test.go
@@ -11,15 +11,15 @@
 	"wallport/runtime/clock"
 )
 
-// secondBackends lets a number of tries run on two backends of one service, well inside the windows' bound.
-func secondBackends(j *Journal, tries int) {
+// addSecondBackendRuns lets a number of tries run on two backends of one service, well inside the windows' bound.
+func addSecondBackendRuns(j *Journal, attempts int) {
 	j.Bounds.RetryAllowance = 100
 	second := backend("bq2", "q")
 	j.Backends = append(j.Backends, second)
-	for i := range tries {
-		attempt := j.one("further-"+string(rune('a'+i)), 30*int64(1e6)+int64(i)*1e6, 1)
+	for i := range attempts {
+		attempt := j.addRequest("further-"+string(rune('a'+i)), 30*int64(1e6)+int64(i)*1e6, 1)
 		attempt.Repeatable = true
-		a := j.arrive(attempt, 1, "", nil)
+		a := j.addArrival(attempt, 1, "", nil)
 		a.Backend = second
 	}
 }
@@ -46,7 +46,7 @@
 			ver.FirstAcked, ver.Acked = ver.Acked, Never
 			j.Versions = append(j.Versions, ver)
 		}},
-		{Budget, "tries run on more backends than allowed", func(j *Journal) { secondBackends(j, furtherMost+1) }},
+		{Budget, "tries run on more backends than allowed", func(j *Journal) { addSecondBackendRuns(j, maxOverRouteLimit+1) }},
 		{Mixed, "a failure with a seal and another status", func(j *Journal) {
 			j.Attempts[0].Status, j.Arrivals[0].Status = 502, 500
 		}},
@@ -56,7 +56,7 @@
 		}},
 	} {
 		t.Run(c.rule+"/"+c.name, func(t *testing.T) {
-			j := calm()
+			j := validJournal()
 			c.broken(j)
 			j.Check()
 			must.Positive(t, j.Broken[c.rule], must.Sprint(j.Findings))
@@ -64,35 +64,35 @@
 	}
 }
 
-func TestRepeatsInOrder(t *testing.T) {
-	j := calm()
+func TestAcceptableRepeatsBreakNoRule(t *testing.T) {
+	j := validJournal()
 	ver := j.Versions[1]
 	ver.FirstAcked, ver.Acked, ver.Repeats = ver.Acked, ver.Acked+2*second, 2
 	loser := version(3, 1, 20*second, table(3, "p"))
 	loser.Alone, loser.Acked, loser.Refused = false, Never, 21*second
 	j.Versions = append(j.Versions, loser)
-	secondBackends(j, furtherMost)
+	addSecondBackendRuns(j, maxOverRouteLimit)
 	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("acknowledged again; of two under one number one lost; three tries too many"))
 	must.Positive(t, j.Tested[ConfigRepeat])
 	must.Positive(t, j.Tested[ConfigNumber])
-	must.Eq(t, furtherMost, j.Tested[BudgetAttempt])
+	must.Eq(t, maxOverRouteLimit, j.Tested[BudgetAttempt])
 }
 
 func TestExcusesOfBackendsAndReadings(t *testing.T) {
-	j := calm()
-	secondBackends(j, furtherMost+1)
+	j := validJournal()
+	addSecondBackendRuns(j, maxOverRouteLimit+1)
 	j.Backends[len(j.Backends)-1].Ended = 30 * second
 	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("a backend that crashed meanwhile doesn't count"))
 
-	j = calm()
+	j = validJournal()
 	j.Versions = append(j.Versions, version(9, 3, 58*second+900*clock.Millisecond, table(9, "q")))
 	j.ReadBack[0].RequestedAt = 58 * second
 	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("it was acknowledged after the question"))
 
-	j = calm()
+	j = validJournal()
 	j.Backends[0].Shown = 6 * second
 	j.Arrivals[0].Held = true
 	j.Check()
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -13,8 +13,8 @@
 
 const recordSize = 16
 
-// naive merges by sorting all records, the greatest first.
-func naive(parts [][]byte, limit int) []byte {
+// naiveMerge merges by sorting all records, the greatest first.
+func naiveMerge(parts [][]byte, limit int) []byte {
 	var all [][]byte
 	for _, p := range parts {
 		for ; len(p) >= recordSize; p = p[recordSize:] {
@@ -42,7 +42,7 @@
 		case attempt.Status == 0:
 		case len(attempt.Seals) > 0:
 			j.tested(Mixed)
-			j.gathered(attempt, bySeal)
+			j.checkFanout(attempt, bySeal)
 		case attempt.Seal == "":
 			if attempt.Served() {
 				j.fail(Mixed, attempt.Ended, "%s got a success without a seal", attempt.ID)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (j *Journal) gathered(attempt *Attempt, bySeal map[string]*Arrival) {
+func (j *Journal) checkFanout(attempt *Attempt, bySeal map[string]*Arrival) {
 	var parts [][]byte
 	pools := map[string]bool{}
 	for _, s := range attempt.Seals {
@@ -87,13 +87,13 @@
 	why := "its parts and what is missing make up the shards of no version"
 	for _, version := range j.Versions {
 		r := routeOf(version.Table, attempt.Host, attempt.Path)
-		if version.Table == nil || version.Sent > attempt.Ended || r == nil || len(r.FanoutPools) != len(pools)+attempt.Missing || !within(pools, r) {
+		if version.Table == nil || version.Sent > attempt.Ended || r == nil || len(r.FanoutPools) != len(pools)+attempt.Missing || !allInRoute(pools, r) {
 			continue
 		}
 		switch {
 		case len(pools) < int(math.Ceil(r.MinCoverage*float64(len(r.FanoutPools))-1e-9)):
 			why = "too few parts are in"
-		case !same(naive(parts, int(r.ResultLimit)), attempt.Answer):
+		case !same(naiveMerge(parts, int(r.ResultLimit)), attempt.Answer):
 			why = "its body is not the merge of its parts"
 		default:
 			return
@@ -102,7 +102,7 @@
 	j.fail(Mixed, attempt.Ended, "%s: %s", attempt.ID, why)
 }
 
-func within(pools map[string]bool, r *routingpb.Route) bool {
+func allInRoute(pools map[string]bool, r *routingpb.Route) bool {
 	n := 0
 	for _, p := range r.FanoutPools {
 		if pools[p] {
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -32,8 +32,8 @@
 	return &Backend{ID: id, Pool: pool, Zone: "z", Ended: Never, Shown: Never}
 }
 
-// calm is a journal in order: two versions, a request of one pool, a gathered one, and a read back.
-func calm() *Journal {
+// validJournal is a journal in order: two versions, a request of one pool, a gathered one, and a read back.
+func validJournal() *Journal {
 	j := &Journal{
 		Bounds: Bounds{
 			ContactUs: 4 * second, AckUs: 5 * second, DrainUs: 3 * second, LossUs: 200 * clock.Millisecond, ApplyUs: 3 * second, StretchUs: 12 * second,
@@ -44,15 +44,15 @@
 		End:      60 * second,
 	}
 	j.ReadBack = []Reading{{RequestedAt: 59 * second, At: 59 * second, Table: table(3, "q")}}
-	j.one("t1", 10*second, 0)
-	j.one("t2", 30*second, 1)
+	j.addRequest("t1", 10*second, 0)
+	j.addRequest("t2", 30*second, 1)
 	attempt := &Attempt{
 		ID: "t3", Machine: "m", Host: "h", Path: "/all/x", Target: "/all/x", Method: "GET", Repeatable: true, Sent: 31 * second, Read: 31 * second, Ended: 31*second + 9000,
 		Status: 200, Seals: []string{"s-b0", "s-b1"}, Answer: []byte("ccccccccccccccccbbbbbbbbbbbbbbbb"),
 	}
 	j.Attempts = append(j.Attempts, attempt)
-	j.arrive(attempt, 2, "s-b0", []byte("aaaaaaaaaaaaaaaaccccccccccccccccrest"))
-	j.arrive(attempt, 3, "s-b1", []byte("bbbbbbbbbbbbbbbb"))
+	j.addArrival(attempt, 2, "s-b0", []byte("aaaaaaaaaaaaaaaaccccccccccccccccrest"))
+	j.addArrival(attempt, 3, "s-b1", []byte("bbbbbbbbbbbbbbbb"))
 	for i := range int64(100) {
 		rev := int64(1)
 		if i > 41 {
@@ -63,18 +63,18 @@
 	return j
 }
 
-// one adds a request that is not repeatable and ran at a backend.
-func (j *Journal) one(id string, at clock.Micros, b int) *Attempt {
+// addRequest adds a request that is not repeatable and ran at a backend.
+func (j *Journal) addRequest(id string, at clock.Micros, b int) *Attempt {
 	attempt := &Attempt{
 		ID: id, Machine: "m", Host: "h", Path: "/one/x", Target: "/one/x?q", Method: "POST", Body: []byte("body"), Sent: at, Read: at + 3000, Ended: at + 9000,
 		Status: 200, Seal: "seal-" + id, Answer: []byte("answer"),
 	}
 	j.Attempts = append(j.Attempts, attempt)
-	j.arrive(attempt, b, attempt.Seal, attempt.Answer)
+	j.addArrival(attempt, b, attempt.Seal, attempt.Answer)
 	return attempt
 }
 
-func (j *Journal) arrive(attempt *Attempt, b int, seal string, answer []byte) *Arrival {
+func (j *Journal) addArrival(attempt *Attempt, b int, seal string, answer []byte) *Arrival {
 	a := &Arrival{
 		Attempt: attempt.ID, Backend: j.Backends[b], Machine: attempt.Machine, Method: attempt.Method, Target: attempt.Target, Body: attempt.Body, Sent: attempt.Sent + 4000, At: attempt.Sent + 5000,
 		Ran: true, Status: 200, Seal: seal, Answer: answer,
@@ -83,8 +83,8 @@
 	return a
 }
 
-func TestCalmJournalBreaksNoRule(t *testing.T) {
-	j := calm()
+func TestValidJournalBreaksNoRule(t *testing.T) {
+	j := validJournal()
 	j.Check()
 	must.Eq(t, nil, j.Findings)
 	for _, rule := range []string{Mixed, Unasked, Twice, Lost, Config, Route, Acks} {
@@ -113,11 +113,11 @@
 		{Unasked, "an id nobody sent", func(j *Journal) { j.Arrivals[0].Attempt = "t9" }},
 		{Unasked, "a changed target", func(j *Journal) { j.Arrivals[0].Target = "/one/x" }},
 		{Unasked, "a changed body", func(j *Journal) { j.Arrivals[0].Body = nil }},
-		{Twice, "a second run", func(j *Journal) { j.arrive(j.Attempts[0], 0, "again", nil) }},
+		{Twice, "a second run", func(j *Journal) { j.addArrival(j.Attempts[0], 0, "again", nil) }},
 		{Refused, "a promise that was not kept", func(j *Journal) { j.Attempts[0].Status, j.Attempts[0].Seal = 503, "" }},
 		{Denied, "proper requests denied", func(j *Journal) {
 			for i := range 6 {
-				v := j.one(fmt.Sprint("d", i), 40*second, 1)
+				v := j.addRequest(fmt.Sprint("d", i), 40*second, 1)
 				v.Status, v.Generated = 403, true
 			}
 		}},
@@ -126,9 +126,9 @@
 		{Lost, "an answer that never came", func(j *Journal) {
 			j.Attempts[0].Status, j.Attempts[0].Seal, j.Attempts[0].Aborted = 0, "", true
 		}},
-		{Config, "the older version after its time", func(j *Journal) { j.one("t9", 24*second, 0) }},
+		{Config, "the older version after its time", func(j *Journal) { j.addRequest("t9", 24*second, 0) }},
 		{Config, "a route denied that is there", func(j *Journal) {
-			v := j.one("t9", 40*second, 1)
+			v := j.addRequest("t9", 40*second, 1)
 			v.Status, v.Generated, j.Arrivals = 404, true, j.Arrivals[:len(j.Arrivals)-1]
 		}},
 		{Config, "a refused version in force", func(j *Journal) {
@@ -167,14 +167,14 @@
 		}},
 		{Budget, "too many extra arrivals", func(j *Journal) {
 			for i := range 5 {
-				j.arrive(last(j), 2, fmt.Sprint("extra-", i), nil)
+				j.addArrival(last(j), 2, fmt.Sprint("extra-", i), nil)
 			}
 		}},
 		{Failback, "a cold backend run over", func(j *Journal) {
 			b := j.Backends[2]
 			b.SlowStartPerS, b.SlowStart = 2, Spans{{30 * second, 33 * second}}
 			for i := range 8 {
-				j.arrive(last(j), 2, fmt.Sprint("extra-", i), nil)
+				j.addArrival(last(j), 2, fmt.Sprint("extra-", i), nil)
 			}
 		}},
 		{Evac, "work for an evacuated zone", func(j *Journal) {
@@ -183,13 +183,13 @@
 		{Recover, "little served after the closing fault", func(j *Journal) {
 			j.Closing = &Closing{At: 32 * second, Back: 33 * second}
 			for i := range 4 {
-				v := j.one(fmt.Sprint("r", i), 50*second, 1)
+				v := j.addRequest(fmt.Sprint("r", i), 50*second, 1)
 				v.Status, v.Seal = 0, ""
 			}
 		}},
 	} {
 		t.Run(c.rule+"/"+c.name, func(t *testing.T) {
-			j := calm()
+			j := validJournal()
 			c.broken(j)
 			j.Check()
 			must.Positive(t, j.Broken[c.rule], must.Sprint(j.Findings))
@@ -197,22 +197,22 @@
 	}
 }
 
-func TestFaultsExcuse(t *testing.T) {
-	j := calm()
-	j.one("t9", 24*second, 0)
+func TestFaultsExcuseViolations(t *testing.T) {
+	j := validJournal()
+	j.addRequest("t9", 24*second, 0)
 	j.Faults.Of("m").Open(18 * second)
 	j.Faults.Of("m").Close(22 * second)
 	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("the machine was not in touch"))
 
-	j = calm()
-	j.one("t9", 24*second, 0)
+	j = validJournal()
+	j.addRequest("t9", 24*second, 0)
 	j.Faults.Unsettled.Moment(22 * second)
 	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("the core was unsettled, and the bound is stretched"))
 
-	j = calm()
-	j.one("t9", 39*second, 0)
+	j = validJournal()
+	j.addRequest("t9", 39*second, 0)
 	j.Faults.Unsettled.Moment(36 * second)
 	j.Check()
 	must.Eq(t, 1, j.Broken[Config], must.Sprint("but not for longer than that"))
--- a/lab/scale/backends.go
+++ b/lab/scale/backends.go
@@ -22,8 +22,8 @@
 
 // Index and Cut are what hollow backends serve.
 const (
-	Index = "scores"
-	Cut   = "c1"
+	Index        = "scores"
+	ShardMapName = "c1"
 )
 
 // StartBackends starts them and gives them as a platform lists them, and what ends them.
@@ -40,13 +40,13 @@
 			stop()
 			return nil, nil, err
 		}
-		id := fmt.Sprintf("%s-%d-%d", Cut, i%c.Shards, i/c.Shards)
-		b := backend.New(backend.Config{ID: id, Index: Index, ShardMap: Cut, Shard: i % c.Shards, Shards: c.Shards})
+		id := fmt.Sprintf("%s-%d-%d", ShardMapName, i%c.Shards, i/c.Shards)
+		b := backend.New(backend.Config{ID: id, Index: Index, ShardMap: ShardMapName, Shard: i % c.Shards, Shards: c.Shards})
 		s := &http.Server{Handler: b.Handler()}
 		all = append(all, s)
 		go s.Serve(l)
 		list = append(list, wire.Backend{
-			ID: id, Addr: l.Addr().String(), Zone: fmt.Sprintf("z%d", i/c.Shards%c.Zones+1), Index: Index, ShardMap: Cut, Shard: i % c.Shards, State: "ready",
+			ID: id, Addr: l.Addr().String(), Zone: fmt.Sprintf("z%d", i/c.Shards%c.Zones+1), Index: Index, ShardMap: ShardMapName, Shard: i % c.Shards, State: "ready",
 		})
 	}
 	return list, stop, nil
--- a/lab/scale/counts.go
+++ b/lab/scale/counts.go
@@ -12,8 +12,8 @@
 	"wallport/lab/sim"
 )
 
-// Root is the exponent of the square root, and a little for the noise of small counts.
-const Root = 0.55
+// MaxExponent is the exponent of the square root, and a little for the noise of small counts.
+const MaxExponent = 0.55
 
 // Verdict is how one count of one role grows.
 type Verdict struct {
@@ -24,7 +24,7 @@
 }
 
 // Over tells that the count grows faster than it may.
-func (v Verdict) Over() bool { return v.Exponent > Root }
+func (v Verdict) Over() bool { return v.Exponent > MaxExponent }
 
 // String names the count, its values and its exponent.
 func (v Verdict) String() string {
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("%s n^%.2f", s, v.Exponent)
 }
 
-// judged are the counts, each of which may grow with the square root of the fleet at most.
-var judged = []struct {
+// checkedCounts are the counts, each of which may grow with the square root of the fleet at most.
+var checkedCounts = []struct {
 	name string
 	of   func(r sim.Rates) float64
 }{
@@ -70,7 +70,7 @@
 	}
 	for i, p := range all[0].Phases {
 		for _, role := range []string{"node", "core"} {
-			for _, j := range judged {
+			for _, j := range checkedCounts {
 				v := Verdict{Phase: p.Name, Role: role, Name: j.name}
 				for _, g := range all {
 					r := g.Phases[i].Node
@@ -107,7 +107,7 @@
 		fmt.Fprintf(w, "\tn^%.2f\t%s\n", v.Exponent, mark)
 	}
 	if len(all) > 0 {
-		kinds(w, all)
+		reportKinds(w, all)
 	}
 	for _, g := range all {
 		fmt.Fprintf(w, "%d+%d: processor of a process, %% of a core, this machine:", g.Nodes, g.Cores)
@@ -127,7 +127,7 @@
 }
 
 // kinds writes the bytes in of each kind of frame.
-func kinds(w io.Writer, all []sim.Grown) {
+func reportKinds(w io.Writer, all []sim.Grown) {
 	for i, p := range all[0].Phases {
 		for k := range sim.Kinds {
 			for _, role := range []string{"node", "core"} {
--- a/lab/scale/events.go
+++ b/lab/scale/events.go
@@ -20,23 +20,23 @@
 	if err := f.watch(ctx, ""); err != nil {
 		return err
 	}
-	var edits []Edited
+	var edits []EditResult
 	var failed error
 	for range f.o.Changes {
-		e, err := f.edit(ctx, Ask{Op: "edit", Body: f.sheet()})
+		e, err := f.edit(ctx, HostRequest{Op: "edit", Body: f.newConfig()})
 		if err != nil {
 			failed = errors.Join(failed, err)
 		} else {
 			edits = append(edits, e)
 		}
-		if err := pause(ctx, changesEvery); err != nil {
+		if err := sleep(ctx, changesEvery); err != nil {
 			return err
 		}
 	}
-	if err := pause(ctx, 2*changesEvery); err != nil {
+	if err := sleep(ctx, 2*changesEvery); err != nil {
 		return err
 	}
-	seen, err := f.seen(ctx)
+	seen, err := f.observations(ctx)
 	if err != nil {
 		return err
 	}
@@ -49,22 +49,22 @@
 
 // inForce works out the times of changes. A node has a change in force from when it has that
 // one or a newer one; before its acknowledgement counts as 0.
-func inForce(edits []Edited, seen []Seen) (ack, every, all Times, never int) {
-	nodes := map[string][]Seen{}
+func inForce(edits []EditResult, seen []Observation) (ack, every, all Times, never int) {
+	nodes := map[string][]Observation{}
 	for _, s := range seen {
 		if s.About == "" {
 			nodes[s.Node] = append(nodes[s.Node], s)
 		}
 	}
 	for _, l := range nodes {
-		slices.SortStableFunc(l, func(a, b Seen) int { return cmp.Compare(a.AtUs, b.AtUs) })
+		slices.SortStableFunc(l, func(a, b Observation) int { return cmp.Compare(a.AtUs, b.AtUs) })
 	}
 	var acks, each, last []int64
 	for _, e := range edits {
 		acks = append(acks, e.AtUs-e.SentUs)
 		most := int64(0)
 		for _, l := range nodes {
-			i := slices.IndexFunc(l, func(s Seen) bool { return !mesh.Newer(e.Stamp, s.Stamp) })
+			i := slices.IndexFunc(l, func(s Observation) bool { return !mesh.Newer(e.Stamp, s.Stamp) })
 			if i < 0 {
 				never++
 				continue
@@ -78,9 +78,9 @@
 	return timesOf(acks), timesOf(each), timesOf(last), never
 }
 
-// noticed works out how long after a moment each of so many nodes came to see whether a
+// detectionTimes works out how long after a moment each of so many nodes came to see whether a
 // node is live, and how many never did.
-func noticed(from int64, about string, live bool, nodes int, seen []Seen) (Times, int) {
+func detectionTimes(from int64, about string, live bool, nodes int, seen []Observation) (Times, int) {
 	at := map[string]int64{}
 	for _, s := range seen {
 		if s.About == about && s.Live == live && s.AtUs >= from && (at[s.Node] == 0 || s.AtUs < at[s.Node]) {
@@ -104,7 +104,7 @@
 	i := slices.IndexFunc(f.children, func(c *child) bool { return c.class == "node" })
 	lost := f.children[i]
 	hollow := f.m.Nodes - f.m.Real
-	var seen []Seen
+	var seen []Observation
 	var at int64
 	err := f.phase(ctx, "loss", func() (err error) {
 		if err = f.watch(ctx, lost.name); err != nil {
@@ -115,33 +115,33 @@
 		f.mu.Lock()
 		f.children = slices.Delete(f.children, i, i+1)
 		f.mu.Unlock()
-		if err = pause(ctx, lossWait); err != nil {
+		if err = sleep(ctx, lossWait); err != nil {
 			return err
 		}
-		seen, err = f.seen(ctx)
+		seen, err = f.observations(ctx)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	f.m.LostUs, f.m.LostSilent = noticed(at, lost.name, false, hollow, seen)
+	f.m.LostUs, f.m.LostSilent = detectionTimes(at, lost.name, false, hollow, seen)
 	err = f.phase(ctx, "join", func() (err error) {
 		if err = f.watch(ctx, lost.name); err != nil {
 			return err
 		}
 		at = wallUs()
-		if _, err = f.real(ctx, "node", 0, seeds); err != nil {
+		if _, err = f.startReal(ctx, "node", 0, seeds); err != nil {
 			return err
 		}
-		if err = pause(ctx, joinWait); err != nil {
+		if err = sleep(ctx, joinWait); err != nil {
 			return err
 		}
-		seen, err = f.seen(ctx)
+		seen, err = f.observations(ctx)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	f.m.MetUs, f.m.MetSilent = noticed(at, lost.name, true, hollow, seen)
+	f.m.MetUs, f.m.MetSilent = detectionTimes(at, lost.name, true, hollow, seen)
 	return nil
 }
--- a/lab/scale/fit_test.go
+++ b/lab/scale/fit_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func law(f func(n float64) float64) (out []Point) {
+func pointsOf(f func(n float64) float64) (out []Point) {
 	for _, n := range []float64{10, 30, 100, 300, 600} {
 		out = append(out, Point{n, f(n)})
 	}
@@ -22,23 +22,23 @@
 	must.InDelta(t, want, got, 1e-6*max(1, math.Abs(want)))
 }
 
-func TestALineIsFoundAgain(t *testing.T) {
-	f := FitTo(law(func(n float64) float64 { return 228 + 1305*n }))
+func TestFitToRecoversLine(t *testing.T) {
+	f := FitTo(pointsOf(func(n float64) float64 { return 228 + 1305*n }))
 	near(t, 228, f.A)
 	near(t, 1305, f.B)
 	near(t, 1, f.LineR2)
 	near(t, 228+1305*1000, f.At(1000))
 }
 
-func TestAPowerLawIsFoundAgain(t *testing.T) {
-	f := FitTo(law(func(n float64) float64 { return 3 * math.Sqrt(n) }))
+func TestFitToRecoversPowerLaw(t *testing.T) {
+	f := FitTo(pointsOf(func(n float64) float64 { return 3 * math.Sqrt(n) }))
 	near(t, 3, f.C)
 	near(t, 0.5, f.E)
 	near(t, 1, f.PowerR2)
 }
 
-func TestWhatDoesNotGrow(t *testing.T) {
-	f := FitTo(law(func(float64) float64 { return 7 }))
+func TestFitToWithoutGrowth(t *testing.T) {
+	f := FitTo(pointsOf(func(float64) float64 { return 7 }))
 	near(t, 7, f.A)
 	near(t, 0, f.B)
 	near(t, 0, f.E)
@@ -51,7 +51,7 @@
 }
 
 func TestSteepest(t *testing.T) {
-	near(t, 0.5, Steepest(law(math.Sqrt)))
+	near(t, 0.5, Steepest(pointsOf(math.Sqrt)))
 	near(t, 2, Steepest([]Point{{40, 2}, {10, 2}, {80, 8}}))
 	must.True(t, math.IsInf(Steepest([]Point{{10, 0}, {40, 4}}), -1), must.Sprint("what was nothing has no exponent"))
 }
@@ -67,8 +67,8 @@
 
 func TestPlot(t *testing.T) {
 	got := Plot("bytes", []Series{
-		{"linear", 'l', law(func(n float64) float64 { return n })},
-		{"level", 'c', law(func(float64) float64 { return 20 })},
+		{"linear", 'l', pointsOf(func(n float64) float64 { return n })},
+		{"level", 'c', pointsOf(func(float64) float64 { return 20 })},
 	})
 	lines := strings.Split(got, "\n")
 	must.Eq(t, "bytes", lines[0])
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -59,8 +59,8 @@
 	ended atomic.Bool
 }
 
-// Up tells where a hollow process listens.
-type Up struct{ Name, Mesh string }
+// Endpoint tells where a hollow process listens.
+type Endpoint struct{ Name, Mesh string }
 
 // StartHollow starts them all.
 func StartHollow(c HollowConfig) (*Hollow, error) {
@@ -76,8 +76,8 @@
 	return h, nil
 }
 
-// startTries is how often a port is chosen anew when another process was faster.
-const startTries = 8
+// maxPortAttempts is how often a port is chosen anew when another process was faster.
+const maxPortAttempts = 8
 
 func (h *Hollow) start(i int) (*hollowNode, error) {
 	c := h.c
@@ -91,7 +91,7 @@
 		e.PlatformURL = c.Platform
 	}
 	var last error
-	for range startTries {
+	for range maxPortAttempts {
 		var err error
 		if e.Mesh, err = freeAddr(c.IP); err != nil {
 			return nil, err
@@ -117,9 +117,9 @@
 }
 
 // Up tells where they listen.
-func (h *Hollow) Up() (out []Up) {
+func (h *Hollow) Up() (out []Endpoint) {
 	for _, n := range h.nodes {
-		out = append(out, Up{n.name, n.p.Kernel.Boot.Settings.Mesh})
+		out = append(out, Endpoint{n.name, n.p.Kernel.Boot.Settings.Mesh})
 	}
 	return out
 }
@@ -131,7 +131,7 @@
 	h.watch = nil
 	h.mu.Unlock()
 	if w != nil {
-		w.end()
+		w.finish()
 	}
 	var wg sync.WaitGroup
 	for _, n := range h.nodes {
@@ -145,55 +145,55 @@
 // Ask is what a host of hollow processes can be asked, Told what it answers: a line
 // of JSON each where the host is another process of the system.
 type (
-	Ask struct {
+	HostRequest struct {
 		// Op is up, sample, watch, seen, edit, cut or kill.
 		Op   string
 		Name string          `json:",omitempty"`
 		Body json.RawMessage `json:",omitempty"`
 	}
-	Told struct {
-		Err    string  `json:",omitempty"`
-		Up     []Up    `json:",omitempty"`
-		Sample *Sample `json:",omitempty"`
-		Seen   []Seen  `json:",omitempty"`
-		Edited *Edited `json:",omitempty"`
+	HostResponse struct {
+		Err    string        `json:",omitempty"`
+		Up     []Endpoint    `json:",omitempty"`
+		Sample *Sample       `json:",omitempty"`
+		Seen   []Observation `json:",omitempty"`
+		Edited *EditResult   `json:",omitempty"`
 	}
 )
 
 // Do answers what is asked.
-func (h *Hollow) Do(a Ask) Told {
+func (h *Hollow) Do(a HostRequest) HostResponse {
 	switch a.Op {
 	case "up":
-		return Told{Up: h.Up()}
+		return HostResponse{Up: h.Up()}
 	case "sample":
 		s := h.sample()
-		return Told{Sample: &s}
+		return HostResponse{Sample: &s}
 	case "watch":
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.watch == nil {
 			h.watch = startWatch(h.nodes)
 		}
-		h.watch.about(a.Name)
-		return Told{}
+		h.watch.addMember(a.Name)
+		return HostResponse{}
 	case "seen":
 		h.mu.Lock()
 		w := h.watch
 		h.watch = nil
 		h.mu.Unlock()
 		if w == nil {
-			return Told{Err: "nothing is watched"}
+			return HostResponse{Err: "nothing is watched"}
 		}
-		return Told{Seen: w.end()}
+		return HostResponse{Seen: w.finish()}
 	case "edit", "cut":
 		return h.edit(a)
 	case "kill":
 		for _, n := range h.nodes {
 			if n.name == a.Name && !n.ended.Swap(true) {
 				n.p.Stop()
-				return Told{}
+				return HostResponse{}
 			}
 		}
 	}
-	return Told{Err: "cannot " + a.Op + " " + a.Name}
+	return HostResponse{Err: "cannot " + a.Op + " " + a.Name}
 }
--- a/lab/scale/hollow_sample.go
+++ b/lab/scale/hollow_sample.go
@@ -20,8 +20,8 @@
 	Goroutines, Collections int
 }
 
-// stuckAfter is how long a loop may take to come to an input before it counts as stuck.
-const stuckAfter = 3 * time.Second
+// stuckTimeout is how long a loop may take to come to an input before it counts as stuck.
+const stuckTimeout = 3 * time.Second
 
 func (h *Hollow) sample() Sample {
 	s := Sample{Counts: map[string]int64{}, Goroutines: runtime.NumGoroutine()}
@@ -43,7 +43,7 @@
 			stuck := 0
 			select {
 			case <-done:
-			case <-time.After(stuckAfter):
+			case <-time.After(stuckTimeout):
 				stuck = 1
 			}
 			mu.Lock()
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -19,7 +19,7 @@
 	"wallport/runtime/wire"
 )
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
@@ -37,10 +37,10 @@
 	return h
 }
 
-// taken does an edit until it is taken.
-func taken(t *testing.T, h *Hollow, a Ask) (e Edited) {
+// editUntilAccepted does an edit until it is taken.
+func editUntilAccepted(t *testing.T, h *Hollow, a HostRequest) (e EditResult) {
 	t.Helper()
-	until(t, a.Op+" is taken", func() bool {
+	waitUntil(t, a.Op+" is taken", func() bool {
 		r := h.Do(a)
 		if r.Edited != nil && r.Edited.Code == "ok" {
 			e = *r.Edited
@@ -51,8 +51,8 @@
 	return e
 }
 
-// allHave tells that all nodes have a change in force.
-func (h *Hollow) allHave(s wire.Version) bool {
+// allHaveVersion tells that all nodes have a change in force.
+func (h *Hollow) allHaveVersion(s wire.Version) bool {
 	for _, n := range h.nodes {
 		if cp := n.table.Current(); !n.ended.Load() && (cp == nil || cp.Config.ConfigVersion != s) {
 			return false
@@ -89,43 +89,43 @@
 	h := startHollow(t, HollowConfig{Role: "node", Count: nodes, Zones: 3, IP: "127.0.0.1", Seeds: seeds, Platform: platform.URL})
 	must.Len(t, nodes, h.Up())
 
-	f := &run{shards: 4, mark: 3_000_000}
-	taken(t, h, Ask{Op: "edit", Body: f.sheet()})
-	taken(t, h, Ask{Op: "cut", Name: Index, Body: json.RawMessage(`{"Name":"c1","Shards":4}`)})
-	until(t, "all are ready", func() bool { return h.Do(Ask{Op: "sample"}).Sample.Ready == nodes })
-	until(t, "all know all", func() bool { return h.liveAt("node-5") == nodes })
+	f := &run{shards: 4, rampUs: 3_000_000}
+	editUntilAccepted(t, h, HostRequest{Op: "edit", Body: f.newConfig()})
+	editUntilAccepted(t, h, HostRequest{Op: "cut", Name: Index, Body: json.RawMessage(`{"Name":"c1","Shards":4}`)})
+	waitUntil(t, "all are ready", func() bool { return h.Do(HostRequest{Op: "sample"}).Sample.Ready == nodes })
+	waitUntil(t, "all know all", func() bool { return h.liveAt("node-5") == nodes })
 
-	must.Eq(t, "", h.Do(Ask{Op: "watch", Name: "node-5"}).Err)
-	change := taken(t, h, Ask{Op: "edit", Body: f.sheet()})
-	until(t, "it is in force everywhere", func() bool { return h.allHave(change.Stamp) })
+	must.Eq(t, "", h.Do(HostRequest{Op: "watch", Name: "node-5"}).Err)
+	change := editUntilAccepted(t, h, HostRequest{Op: "edit", Body: f.newConfig()})
+	waitUntil(t, "it is in force everywhere", func() bool { return h.allHaveVersion(change.Stamp) })
 	lostAt := wallUs()
-	must.Eq(t, "", h.Do(Ask{Op: "kill", Name: "node-5"}).Err)
-	must.NotEq(t, "", h.Do(Ask{Op: "kill", Name: "node-5"}).Err, must.Sprint("it has ended"))
-	until(t, "the others hold it for lost", func() bool { return h.liveAt("node-5") == 0 })
-	seen := h.Do(Ask{Op: "seen"}).Seen
+	must.Eq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err)
+	must.NotEq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err, must.Sprint("it has ended"))
+	waitUntil(t, "the others hold it for lost", func() bool { return h.liveAt("node-5") == 0 })
+	seen := h.Do(HostRequest{Op: "seen"}).Seen
 
-	ack, every, _, never := inForce([]Edited{change}, seen)
+	ack, every, _, never := inForce([]EditResult{change}, seen)
 	must.Eq(t, 1, ack.N)
 	must.Eq(t, nodes, every.N+never, must.Sprint("the one that ended may not have been looked at in time"))
 	must.LessEq(t, 1, never)
-	lost, silent := noticed(lostAt, "node-5", false, nodes-1, seen)
+	lost, silent := detectionTimes(lostAt, "node-5", false, nodes-1, seen)
 	must.Eq(t, 0, silent)
 	must.Eq(t, nodes-1, lost.N)
 	must.Positive(t, lost.P50)
 
-	s := h.Do(Ask{Op: "sample"}).Sample
+	s := h.Do(HostRequest{Op: "sample"}).Sample
 	must.Eq(t, nodes-1, s.Processes)
 	for _, name := range []string{"steps", "frames_in", "frames_out", "frame_bytes_in", "frame_bytes_out", "condition_probes", "mesh_heartbeats_in"} {
 		must.Positive(t, s.Counts[name], must.Sprint(name))
 	}
-	must.NotEq(t, "", h.Do(Ask{Op: "seen"}).Err, must.Sprint("nothing is watched any more"))
-	must.NotEq(t, "", h.Do(Ask{Op: "dance"}).Err)
+	must.NotEq(t, "", h.Do(HostRequest{Op: "seen"}).Err, must.Sprint("nothing is watched any more"))
+	must.NotEq(t, "", h.Do(HostRequest{Op: "dance"}).Err)
 }
 
-func TestTimesOfChanges(t *testing.T) {
+func TestInForceTimes(t *testing.T) {
 	at := func(seq uint64) wire.Version { return wire.Version{Term: 1, Seq: seq} }
-	edits := []Edited{{SentUs: 100, AtUs: 110, Stamp: at(2)}, {SentUs: 200, AtUs: 220, Stamp: at(3)}}
-	seen := []Seen{
+	edits := []EditResult{{SentUs: 100, AtUs: 110, Stamp: at(2)}, {SentUs: 200, AtUs: 220, Stamp: at(3)}}
+	seen := []Observation{
 		{AtUs: 50, Node: "a", Stamp: at(1)}, {AtUs: 105, Node: "a", Stamp: at(2)}, {AtUs: 230, Node: "a", Stamp: at(3)},
 		{AtUs: 50, Node: "b", Stamp: at(1)}, {AtUs: 225, Node: "b", Stamp: at(3)},
 		{AtUs: 50, Node: "c", Stamp: at(1)}, {AtUs: 130, Node: "c", Stamp: at(2)},
@@ -139,13 +139,13 @@
 	must.Eq(t, 1, never)
 }
 
-func TestTimesOfALoss(t *testing.T) {
-	var seen []Seen
+func TestDetectionTimes(t *testing.T) {
+	var seen []Observation
 	for i := range 4 {
 		n := fmt.Sprint(i)
-		seen = append(seen, Seen{AtUs: 10, Node: n, About: "x", Live: true}, Seen{AtUs: int64(100 + i), Node: n, About: "x"}, Seen{AtUs: 900, Node: n, About: "x"})
+		seen = append(seen, Observation{AtUs: 10, Node: n, About: "x", Live: true}, Observation{AtUs: int64(100 + i), Node: n, About: "x"}, Observation{AtUs: 900, Node: n, About: "x"})
 	}
-	got, silent := noticed(50, "x", false, 5, seen)
+	got, silent := detectionTimes(50, "x", false, 5, seen)
 	must.Eq(t, 1, silent)
 	must.Eq(t, Times{N: 4, P50: 51, P99: 53, Most: 53, Sum: 206}, got)
 }
--- a/lab/scale/phases.go
+++ b/lab/scale/phases.go
@@ -12,15 +12,15 @@
 
 // phase does something and notes what the processes used meanwhile.
 func (f *run) phase(ctx context.Context, name string, do func() error) error {
-	from := f.look(ctx)
+	from := f.sampleAll(ctx)
 	if err := do(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	f.note(name, from, f.look(ctx))
+	f.recordPhase(name, from, f.sampleAll(ctx))
 	return nil
 }
 
-func (f *run) note(name string, from, to map[*child]moment) {
+func (f *run) recordPhase(name string, from, to map[*child]childSample) {
 	f.m.Phases[name] = map[string]Rates{}
 	for _, class := range classes {
 		if r := rates(class, from, to); r.Processes > 0 {
@@ -36,13 +36,13 @@
 }
 
 func (f *run) measure(ctx context.Context) error {
-	if err := f.stands(ctx); err != nil {
+	if err := f.startStandIns(ctx); err != nil {
 		return err
 	}
-	f.say("starting, %d backends", f.m.Servers)
+	f.logf("starting, %d backends", f.m.Servers)
 	var seeds []string
 	for i := range f.o.Cores {
-		c, err := f.real(ctx, "core", i, seeds)
+		c, err := f.startReal(ctx, "core", i, seeds)
 		if err != nil {
 			return err
 		}
@@ -51,35 +51,35 @@
 		}
 	}
 	began := time.Now()
-	if err := f.hollow(ctx, f.m.Nodes-f.m.Real, seeds); err != nil {
+	if err := f.startHollowNodes(ctx, f.m.Nodes-f.m.Real, seeds); err != nil {
 		return err
 	}
 	for i := range f.m.Real {
-		if _, err := f.real(ctx, "node", i, seeds); err != nil {
+		if _, err := f.startReal(ctx, "node", i, seeds); err != nil {
 			return err
 		}
 	}
-	from := f.look(ctx)
-	err := f.ready(ctx, began)
+	from := f.sampleAll(ctx)
+	err := f.waitReady(ctx, began)
 	// A fleet that never comes to be ready is measured too, as far as it came.
-	f.note("start", from, f.look(context.WithoutCancel(ctx)))
+	f.recordPhase("start", from, f.sampleAll(context.WithoutCancel(ctx)))
 	if err != nil {
 		return err
 	}
-	f.say("%d hollow nodes ready after %.1f s", f.m.ReadyNodes, float64(f.m.ReadyUs)/1e6)
-	if err := pause(ctx, f.o.Settle); err != nil {
+	f.logf("%d hollow nodes ready after %.1f s", f.m.ReadyNodes, float64(f.m.ReadyUs)/1e6)
+	if err := sleep(ctx, f.o.Settle); err != nil {
 		return err
 	}
 	for _, c := range f.children {
-		if err := forgetPeak(c.cmd.Process.Pid); err != nil {
-			f.say("peaks of %s go on from the start: %v", c.name, err)
+		if err := resetPeakMemory(c.cmd.Process.Pid); err != nil {
+			f.logf("peaks of %s go on from the start: %v", c.name, err)
 		}
 	}
-	f.m.Load = load1()
-	if err := f.phase(ctx, "rest", func() error { return f.rest(ctx) }); err != nil {
+	f.m.Load = loadAverage1m()
+	if err := f.phase(ctx, "rest", func() error { return f.measureIdle(ctx) }); err != nil {
 		return err
 	}
-	f.say("rest: %+v", f.m.Phases["rest"]["hollow"])
+	f.logf("rest: %+v", f.m.Phases["rest"]["hollow"])
 	if err := f.phase(ctx, "changes", func() error { return f.changes(ctx) }); err != nil {
 		return err
 	}
@@ -89,11 +89,11 @@
 	return f.lossAndJoin(ctx, seeds)
 }
 
-// rest measures a while in which nothing happens.
-func (f *run) rest(ctx context.Context) error {
+// measureIdle measures a while in which nothing happens.
+func (f *run) measureIdle(ctx context.Context) error {
 	cpu := f.cpu()
 	at := time.Now()
-	if err := pause(ctx, f.o.Rest); err != nil {
+	if err := sleep(ctx, f.o.Rest); err != nil {
 		return err
 	}
 	f.m.CPUAll = (f.cpu() - cpu) / time.Since(at).Seconds()
@@ -110,27 +110,27 @@
 	return sum
 }
 
-// ready puts the first sheet and cut and waits until every hollow node may serve, or
+// waitReady puts the first sheet and cut and waits until every hollow node may serve, or
 // until the time for that is over: a fleet that never gets there is measured too.
-func (f *run) ready(ctx context.Context, began time.Time) error {
+func (f *run) waitReady(ctx context.Context, began time.Time) error {
 	within, cancel := context.WithTimeout(ctx, f.o.Within)
 	defer cancel()
-	first := f.sheet()
-	err := f.until(within, "first sheet", func() error {
-		_, err := f.edit(within, Ask{Op: "edit", Body: first})
+	first := f.newConfig()
+	err := f.retryUntilDone(within, "first sheet", func() error {
+		_, err := f.edit(within, HostRequest{Op: "edit", Body: first})
 		return err
 	})
 	if err == nil {
-		cut := fmt.Appendf(nil, `{"Name":%q,"Shards":%d}`, Cut, f.shards)
-		err = f.until(within, "first cut", func() error {
-			_, err := f.edit(within, Ask{Op: "cut", Name: Index, Body: cut})
+		cut := fmt.Appendf(nil, `{"Name":%q,"Shards":%d}`, ShardMapName, f.shards)
+		err = f.retryUntilDone(within, "first cut", func() error {
+			_, err := f.edit(within, HostRequest{Op: "cut", Name: Index, Body: cut})
 			return err
 		})
 	}
 	if err != nil {
 		return err
 	}
-	err = f.until(within, "ready", func() error {
+	err = f.retryUntilDone(within, "ready", func() error {
 		if n := f.readyNodes(within); n < f.m.Nodes-f.m.Real {
 			return fmt.Errorf("%d of %d", n, f.m.Nodes-f.m.Real)
 		}
@@ -145,7 +145,7 @@
 }
 
 func (f *run) readyNodes(ctx context.Context) (n int) {
-	for c, m := range f.look(ctx) {
+	for c, m := range f.sampleAll(ctx) {
 		if c.class == "hollow" {
 			n += m.sample.Ready
 		}
@@ -155,24 +155,24 @@
 
 // watch begins to note what the hollow nodes see; seen ends it.
 func (f *run) watch(ctx context.Context, about string) error {
-	return each(f.hosts, func(c *child) error {
-		_, err := c.ask(ctx, Ask{Op: "watch", Name: about})
+	return forEach(f.hosts, func(c *child) error {
+		_, err := c.ask(ctx, HostRequest{Op: "watch", Name: about})
 		return err
 	})
 }
 
-func (f *run) seen(ctx context.Context) ([]Seen, error) {
-	parts := make([][]Seen, len(f.hosts))
+func (f *run) observations(ctx context.Context) ([]Observation, error) {
+	parts := make([][]Observation, len(f.hosts))
 	index := map[*child]int{}
 	for i, c := range f.hosts {
 		index[c] = i
 	}
-	err := each(f.hosts, func(c *child) error {
-		t, err := c.ask(ctx, Ask{Op: "seen"})
+	err := forEach(f.hosts, func(c *child) error {
+		t, err := c.ask(ctx, HostRequest{Op: "seen"})
 		parts[index[c]] = t.Seen
 		return err
 	})
-	var out []Seen
+	var out []Observation
 	for _, p := range parts {
 		out = append(out, p...)
 	}
--- a/lab/scale/plot.go
+++ b/lab/scale/plot.go
@@ -64,13 +64,13 @@
 		label := ""
 		for v := y0; v <= y1; v++ {
 			if int(math.Round((y1-v)/(y1-y0)*(plotHigh-1))) == r {
-				label = short(math.Pow(10, v))
+				label = shortNumber(math.Pow(10, v))
 			}
 		}
 		fmt.Fprintf(&b, "%8s |%s\n", label, strings.TrimRight(string(row), " "))
 	}
 	fmt.Fprintf(&b, "%8s +%s\n", "", strings.Repeat("-", plotWide))
-	left, right := short(math.Pow(10, x0)), short(math.Pow(10, x1))+" nodes"
+	left, right := shortNumber(math.Pow(10, x0)), shortNumber(math.Pow(10, x1))+" nodes"
 	fmt.Fprintf(&b, "%8s  %s%s%s\n", "", left, strings.Repeat(" ", max(1, plotWide-len(left)-len(right))), right)
 	for _, s := range all {
 		fmt.Fprintf(&b, "%8s  %c %s: %s\n", "", s.Mark, s.Name, FitTo(s.Points))
@@ -78,8 +78,8 @@
 	return b.String()
 }
 
-// short is a figure in few characters.
-func short(v float64) string {
+// shortNumber is a figure in few characters.
+func shortNumber(v float64) string {
 	switch {
 	case v >= 1e9:
 		return fmt.Sprintf("%.3gG", v/1e9)
--- a/lab/scale/rates.go
+++ b/lab/scale/rates.go
@@ -30,30 +30,30 @@
 	Files, Sockets            float64
 }
 
-// moment is all that is known of one child at a moment.
-type moment struct {
+// childSample is all that is known of one child at a moment.
+type childSample struct {
 	Usage
 	sample Sample
 }
 
-// lookWithin bounds a look.
-const lookWithin = 20 * time.Second
+// sampleTimeout bounds a look.
+const sampleTimeout = 20 * time.Second
 
-// look asks every child; one that does not answer is left out.
-func (f *run) look(ctx context.Context) map[*child]moment {
-	ctx, cancel := context.WithTimeout(ctx, lookWithin)
+// sampleAll asks every child; one that does not answer is left out.
+func (f *run) sampleAll(ctx context.Context) map[*child]childSample {
+	ctx, cancel := context.WithTimeout(ctx, sampleTimeout)
 	defer cancel()
-	out := map[*child]moment{}
+	out := map[*child]childSample{}
 	var mu sync.Mutex
-	each(f.children, func(c *child) error {
+	forEach(f.children, func(c *child) error {
 		if c.class == "" {
 			return nil
 		}
-		var m moment
+		var m childSample
 		var err error
 		if c.in != nil {
-			var t Told
-			if t, err = c.ask(ctx, Ask{Op: "sample"}); err == nil && t.Sample != nil {
+			var t HostResponse
+			if t, err = c.ask(ctx, HostRequest{Op: "sample"}); err == nil && t.Sample != nil {
 				m.sample = *t.Sample
 			}
 		} else {
@@ -97,7 +97,7 @@
 }
 
 // rates of a class between two looks; children that are not in both are left out.
-func rates(class string, from, to map[*child]moment) (r Rates) {
+func rates(class string, from, to map[*child]childSample) (r Rates) {
 	for c, b := range to {
 		a, ok := from[c]
 		if !ok || c.class != class || b.AtUs <= a.AtUs {
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -19,14 +19,14 @@
 	take       func(m Measured) (v float64, ok bool)
 }
 
-func of(phase, class string, take func(r Rates) float64) func(m Measured) (float64, bool) {
+func phaseRate(phase, class string, take func(r Rates) float64) func(m Measured) (float64, bool) {
 	return func(m Measured) (float64, bool) {
 		r, ok := m.Phases[phase][class]
 		return take(r), ok
 	}
 }
 
-func timed(take func(m Measured) Times, pick func(t Times) int64) func(m Measured) (float64, bool) {
+func timeQuantile(take func(m Measured) Times, pick func(t Times) int64) func(m Measured) (float64, bool) {
 	return func(m Measured) (float64, bool) {
 		t := take(m)
 		return float64(pick(t)) / 1000, t.N > 0
@@ -39,38 +39,38 @@
 
 // figures are the columns of the table, in its order.
 var figures = []figure{
-	{"hollow node at rest: processor", "% of a core", of("rest", "hollow", func(r Rates) float64 { return 100 * r.CPU })},
-	{"real node at rest: processor", "% of a core", of("rest", "node", func(r Rates) float64 { return 100 * r.CPU })},
-	{"real core at rest: processor", "% of a core", of("rest", "core", func(r Rates) float64 { return 100 * r.CPU })},
-	{"hollow node at rest: frame bytes in", "B/s", of("rest", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
-	{"hollow node at rest: frame bytes out", "B/s", of("rest", "hollow", func(r Rates) float64 { return r.FrameBytesOut })},
-	{"real node at rest: bytes read", "B/s", of("rest", "node", func(r Rates) float64 { return r.Read })},
-	{"real node at rest: bytes written", "B/s", of("rest", "node", func(r Rates) float64 { return r.Written })},
-	{"real core at rest: frame bytes in", "B/s", of("rest", "core", func(r Rates) float64 { return r.FrameBytesIn })},
-	{"real core at rest: frame bytes out", "B/s", of("rest", "core", func(r Rates) float64 { return r.FrameBytesOut })},
-	{"hollow node at rest: frames in", "/s", of("rest", "hollow", func(r Rates) float64 { return r.FramesIn })},
-	{"real core at rest: frames in", "/s", of("rest", "core", func(r Rates) float64 { return r.FramesIn })},
-	{"hollow node at rest: steps", "/s", of("rest", "hollow", func(r Rates) float64 { return r.Steps })},
-	{"real core at rest: steps", "/s", of("rest", "core", func(r Rates) float64 { return r.Steps })},
-	{"real node: memory, peak of the start", "MB", of("start", "node", func(r Rates) float64 { return r.PeakRSSMost / (1 << 20) })},
-	{"real node: memory, peak at rest", "MB", of("rest", "node", func(r Rates) float64 { return r.PeakRSSMost / (1 << 20) })},
-	{"real core: memory, peak at rest", "MB", of("rest", "core", func(r Rates) float64 { return r.PeakRSSMost / (1 << 20) })},
-	{"hollow node: memory at rest", "MB", of("rest", "hollow", func(r Rates) float64 { return r.RSS / (1 << 20) })},
-	{"real node: sockets", "", of("rest", "node", func(r Rates) float64 { return r.Sockets })},
-	{"real core: sockets", "", of("rest", "core", func(r Rates) float64 { return r.Sockets })},
-	{"hollow node in the start: frame bytes in", "B/s", of("start", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
-	{"hollow node in the start: processor", "% of a core", of("start", "hollow", func(r Rates) float64 { return 100 * r.CPU })},
-	{"hollow node in changes: frame bytes in", "B/s", of("changes", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
-	{"hollow node in a loss: frame bytes in", "B/s", of("loss", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
-	{"hollow node in a join: frame bytes in", "B/s", of("join", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
+	{"hollow node at rest: processor", "% of a core", phaseRate("rest", "hollow", func(r Rates) float64 { return 100 * r.CPU })},
+	{"real node at rest: processor", "% of a core", phaseRate("rest", "node", func(r Rates) float64 { return 100 * r.CPU })},
+	{"real core at rest: processor", "% of a core", phaseRate("rest", "core", func(r Rates) float64 { return 100 * r.CPU })},
+	{"hollow node at rest: frame bytes in", "B/s", phaseRate("rest", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
+	{"hollow node at rest: frame bytes out", "B/s", phaseRate("rest", "hollow", func(r Rates) float64 { return r.FrameBytesOut })},
+	{"real node at rest: bytes read", "B/s", phaseRate("rest", "node", func(r Rates) float64 { return r.Read })},
+	{"real node at rest: bytes written", "B/s", phaseRate("rest", "node", func(r Rates) float64 { return r.Written })},
+	{"real core at rest: frame bytes in", "B/s", phaseRate("rest", "core", func(r Rates) float64 { return r.FrameBytesIn })},
+	{"real core at rest: frame bytes out", "B/s", phaseRate("rest", "core", func(r Rates) float64 { return r.FrameBytesOut })},
+	{"hollow node at rest: frames in", "/s", phaseRate("rest", "hollow", func(r Rates) float64 { return r.FramesIn })},
+	{"real core at rest: frames in", "/s", phaseRate("rest", "core", func(r Rates) float64 { return r.FramesIn })},
+	{"hollow node at rest: steps", "/s", phaseRate("rest", "hollow", func(r Rates) float64 { return r.Steps })},
+	{"real core at rest: steps", "/s", phaseRate("rest", "core", func(r Rates) float64 { return r.Steps })},
+	{"real node: memory, peak of the start", "MB", phaseRate("start", "node", func(r Rates) float64 { return r.PeakRSSMost / (1 << 20) })},
+	{"real node: memory, peak at rest", "MB", phaseRate("rest", "node", func(r Rates) float64 { return r.PeakRSSMost / (1 << 20) })},
+	{"real core: memory, peak at rest", "MB", phaseRate("rest", "core", func(r Rates) float64 { return r.PeakRSSMost / (1 << 20) })},
+	{"hollow node: memory at rest", "MB", phaseRate("rest", "hollow", func(r Rates) float64 { return r.RSS / (1 << 20) })},
+	{"real node: sockets", "", phaseRate("rest", "node", func(r Rates) float64 { return r.Sockets })},
+	{"real core: sockets", "", phaseRate("rest", "core", func(r Rates) float64 { return r.Sockets })},
+	{"hollow node in the start: frame bytes in", "B/s", phaseRate("start", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
+	{"hollow node in the start: processor", "% of a core", phaseRate("start", "hollow", func(r Rates) float64 { return 100 * r.CPU })},
+	{"hollow node in changes: frame bytes in", "B/s", phaseRate("changes", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
+	{"hollow node in a loss: frame bytes in", "B/s", phaseRate("loss", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
+	{"hollow node in a join: frame bytes in", "B/s", phaseRate("join", "hollow", func(r Rates) float64 { return r.FrameBytesIn })},
 	{"start until all are ready", "s", func(m Measured) (float64, bool) { return float64(m.ReadyUs) / 1e6, m.ReadyUs > 0 }},
-	{"change: sent to acknowledged, p50", "ms", timed(func(m Measured) Times { return m.AckUs }, p50)},
-	{"change: acknowledged to in force, p50", "ms", timed(func(m Measured) Times { return m.InForceUs }, p50)},
-	{"change: acknowledged to in force, p99", "ms", timed(func(m Measured) Times { return m.InForceUs }, p99)},
-	{"change: acknowledged to in force, most", "ms", timed(func(m Measured) Times { return m.InForceUs }, most)},
-	{"lost node: noticed, p50", "ms", timed(func(m Measured) Times { return m.LostUs }, p50)},
-	{"lost node: noticed, most", "ms", timed(func(m Measured) Times { return m.LostUs }, most)},
-	{"new node: noticed, most", "ms", timed(func(m Measured) Times { return m.MetUs }, most)},
+	{"change: sent to acknowledged, p50", "ms", timeQuantile(func(m Measured) Times { return m.AckUs }, p50)},
+	{"change: acknowledged to in force, p50", "ms", timeQuantile(func(m Measured) Times { return m.InForceUs }, p50)},
+	{"change: acknowledged to in force, p99", "ms", timeQuantile(func(m Measured) Times { return m.InForceUs }, p99)},
+	{"change: acknowledged to in force, most", "ms", timeQuantile(func(m Measured) Times { return m.InForceUs }, most)},
+	{"lost node: noticed, p50", "ms", timeQuantile(func(m Measured) Times { return m.LostUs }, p50)},
+	{"lost node: noticed, most", "ms", timeQuantile(func(m Measured) Times { return m.LostUs }, most)},
+	{"new node: noticed, most", "ms", timeQuantile(func(m Measured) Times { return m.MetUs }, most)},
 	{"longest wait of a loop", "ms", func(m Measured) (float64, bool) { return float64(m.LagUs) / 1000, true }},
 	{"all processes: processor", "cores", func(m Measured) (float64, bool) { return m.CPUAll, m.CPUAll > 0 }},
 	{"all processes: memory", "MB", func(m Measured) (float64, bool) { return float64(m.MemoryMost) / (1 << 20), true }},
--- a/lab/scale/report_test.go
+++ b/lab/scale/report_test.go
@@ -23,7 +23,7 @@
 	must.Error(t, err)
 }
 
-func TestProcessorTimeIsFoundBehindAnyName(t *testing.T) {
+func TestCPUOfHandlesParenthesesInName(t *testing.T) {
 	us, err := cpuOf("7 (a ) b (c) S 1 2 3 4 5 6 7 8 9 10 250 50 0 0 20")
 	must.NoError(t, err)
 	must.Eq(t, 3_000_000, us)
@@ -36,14 +36,14 @@
 func TestRatesAreMeansOfProcesses(t *testing.T) {
 	a, b := &child{class: "hollow", count: 10}, &child{class: "hollow", count: 30}
 	other, late := &child{class: "node", count: 1}, &child{class: "hollow", count: 1}
-	look := func(s int64) map[*child]moment {
-		m := func(cpu, frames int64) moment {
-			return moment{Usage{AtUs: s * 1_000_000, CPUUs: cpu * s, RSS: 40, PeakRSS: 80}, Sample{Counts: map[string]int64{"frames_in": frames * s}}}
+	look := func(s int64) map[*child]childSample {
+		m := func(cpu, frames int64) childSample {
+			return childSample{Usage{AtUs: s * 1_000_000, CPUUs: cpu * s, RSS: 40, PeakRSS: 80}, Sample{Counts: map[string]int64{"frames_in": frames * s}}}
 		}
-		return map[*child]moment{a: m(100_000, 100), b: m(900_000, 700), other: m(1, 1)}
+		return map[*child]childSample{a: m(100_000, 100), b: m(900_000, 700), other: m(1, 1)}
 	}
 	from, to := look(1), look(11)
-	to[late] = moment{}
+	to[late] = childSample{}
 	r := rates("hollow", from, to)
 	must.Eq(t, 40, r.Processes)
 	must.InDelta(t, 1.0/40, r.CPU, 1e-9)
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -100,7 +100,7 @@
 	platform string
 	shards   int
 	client   *http.Client
-	mark     int64
+	rampUs   int64
 	memory   atomic.Int64
 }
 
@@ -108,7 +108,7 @@
 func Run(ctx context.Context, nodes int, o Options) (m Measured, err error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, o.Most, fmt.Errorf("the run took longer than %v", o.Most))
 	defer cancel()
-	f := &run{o: o, client: &http.Client{Timeout: 15 * time.Second}, mark: 3_000_000}
+	f := &run{o: o, client: &http.Client{Timeout: 15 * time.Second}, rampUs: 3_000_000}
 	f.dir = filepath.Join(o.Dir, fmt.Sprintf("scale-%d", nodes))
 	if err := os.MkdirAll(f.dir, 0o700); err != nil {
 		return m, err
@@ -120,11 +120,11 @@
 	}
 	f.net = loopback()
 	defer func() {
-		each(f.children, func(c *child) error { c.kill(); return nil })
+		forEach(f.children, func(c *child) error { c.kill(); return nil })
 	}()
 	guard, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	go f.guard(guard, stop)
+	go f.limitMemory(guard, stop)
 	if err := f.measure(guard); err != nil {
 		if cause := context.Cause(guard); cause != nil {
 			err = fmt.Errorf("%w: %w", err, cause)
@@ -132,7 +132,7 @@
 		f.m.Note = err.Error()
 		return f.m, err
 	}
-	f.judge()
+	f.assessSaturation()
 	return f.m, nil
 }
 
@@ -161,19 +161,19 @@
 	return ip
 }
 
-// guard ends the run when its processes hold too much memory.
-func (f *run) guard(ctx context.Context, stop context.CancelCauseFunc) {
-	for pause(ctx, time.Second) == nil {
-		if sum := f.held(); sum > f.o.MemoryMost {
+// limitMemory ends the run when its processes hold too much memory.
+func (f *run) limitMemory(ctx context.Context, stop context.CancelCauseFunc) {
+	for sleep(ctx, time.Second) == nil {
+		if sum := f.residentMemory(); sum > f.o.MemoryMost {
 			stop(fmt.Errorf("all processes held %d MB together, the bound is %d", sum>>20, f.o.MemoryMost>>20))
 			return
 		}
 	}
 }
 
-// judge tells a run whose times are the machine's: a loop that waits, or processors that
+// assessSaturation tells a run whose times are the machine's: a loop that waits, or processors that
 // are nearly all in use.
-func (f *run) judge() {
+func (f *run) assessSaturation() {
 	f.m.MemoryMost = f.memory.Load()
 	full := f.m.CPUAll > 0.7*float64(runtime.NumCPU())
 	if f.m.LagUs > 250_000 || full || f.m.ReadyNodes < f.m.Nodes-f.m.Real {
@@ -183,7 +183,7 @@
 	}
 }
 
-func (f *run) say(format string, v ...any) {
+func (f *run) logf(format string, v ...any) {
 	if f.o.Log != nil {
 		fmt.Fprintf(f.o.Log, "%s %d nodes: %s\n", time.Now().Format("15:04:05"), f.m.Nodes, fmt.Sprintf(format, v...))
 	}
--- a/lab/scale/start.go
+++ b/lab/scale/start.go
@@ -15,26 +15,26 @@
 	"wallport/runtime/wire"
 )
 
-// tries is how often a real process is started anew on another port.
-const tries = 5
+// maxStarts is how often a real process is started anew on another port.
+const maxStarts = 5
 
 func (f *run) add(c *child, piped bool) error {
 	if err := c.start(f.dir, piped); err != nil {
 		return err
 	}
-	f.keep(c)
+	f.register(c)
 	return nil
 }
 
-// keep takes a child for one of the run's.
-func (f *run) keep(c *child) {
+// register takes a child for one of the run's.
+func (f *run) register(c *child) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.children = append(f.children, c)
 }
 
-// stands starts the stand-ins: backends, and the platform that lists them.
-func (f *run) stands(ctx context.Context) error {
+// startStandIns starts the stand-ins: backends, and the platform that lists them.
+func (f *run) startStandIns(ctx context.Context) error {
 	f.shards = max(4, min(140, f.m.Servers/4))
 	f.m.Servers -= f.m.Servers % f.shards
 	lab := filepath.Join(f.o.Bin, "lab")
@@ -56,12 +56,12 @@
 	if err := f.add(&child{name: "platform", args: []string{lab, "platform", "--addr", addr}}, false); err != nil {
 		return err
 	}
-	return f.until(ctx, "platform", func() error { return f.post(ctx, f.platform+"/lab/servers", wire.BackendList{Backends: list}) })
+	return f.retryUntilDone(ctx, "platform", func() error { return f.post(ctx, f.platform+"/lab/servers", wire.BackendList{Backends: list}) })
 }
 
-// real starts a process of the product on ports that the system chose.
-func (f *run) real(ctx context.Context, role string, i int, seeds []string) (*child, error) {
-	for try := range tries {
+// startReal starts a process of the product on ports that the system chose.
+func (f *run) startReal(ctx context.Context, role string, i int, seeds []string) (*child, error) {
+	for try := range maxStarts {
 		c := &child{class: role, name: fmt.Sprintf("%s-%d", role, i), count: 1}
 		var addrs [3]string
 		for j := range addrs {
@@ -86,18 +86,18 @@
 		if err := c.start(f.dir, false); err != nil {
 			return nil, err
 		}
-		if f.answers(ctx, c) {
-			f.keep(c)
+		if f.waitForMetrics(ctx, c) {
+			f.register(c)
 			return c, nil
 		}
 		c.kill()
-		f.say("%s did not come up, try %d", c.name, try+1)
+		f.logf("%s did not come up, try %d", c.name, try+1)
 	}
 	return nil, fmt.Errorf("%s-%d did not come up", role, i)
 }
 
-// answers waits until a process tells its counts; one that has ended never will.
-func (f *run) answers(ctx context.Context, c *child) bool {
+// waitForMetrics waits until a process tells its counts; one that has ended never will.
+func (f *run) waitForMetrics(ctx context.Context, c *child) bool {
 	for ctx.Err() == nil {
 		if _, err := metrics(ctx, f.client, c.operator); err == nil {
 			return true
@@ -112,8 +112,8 @@
 	return false
 }
 
-// hollow starts the hosts of hollow nodes, all at once.
-func (f *run) hollow(ctx context.Context, count int, seeds []string) error {
+// startHollowNodes starts the hosts of hollow nodes, all at once.
+func (f *run) startHollowNodes(ctx context.Context, count int, seeds []string) error {
 	for first := 0; first < count; first += f.o.PerHost {
 		n := min(f.o.PerHost, count-first)
 		c := &child{class: "hollow", name: fmt.Sprintf("hollow-%d", first), count: n, args: []string{
@@ -129,40 +129,40 @@
 		f.hosts = append(f.hosts, c)
 	}
 	f.m.Hosts = len(f.hosts)
-	return each(f.hosts, func(c *child) error {
-		var t Told
+	return forEach(f.hosts, func(c *child) error {
+		var t HostResponse
 		return c.read(ctx, &t)
 	})
 }
 
-// sheet is a sheet under a mark of its own.
-func (f *run) sheet() json.RawMessage {
+// newConfig is a sheet under a mark of its own.
+func (f *run) newConfig() json.RawMessage {
 	s := fleet.Shapes["trust"]
 	s.Index, s.Shards = Index, f.shards
-	f.mark++
-	return bytes.ReplaceAll(s.Config(), []byte(`"ramp_us":3000000`), fmt.Appendf(nil, `"ramp_us":%d`, f.mark))
+	f.rampUs++
+	return bytes.ReplaceAll(s.Config(), []byte(`"ramp_us":3000000`), fmt.Appendf(nil, `"ramp_us":%d`, f.rampUs))
 }
 
 // edit has one of the hollow nodes take an operator's edit.
-func (f *run) edit(ctx context.Context, a Ask) (Edited, error) {
+func (f *run) edit(ctx context.Context, a HostRequest) (EditResult, error) {
 	t, err := f.hosts[0].ask(ctx, a)
 	if err != nil {
-		return Edited{}, err
+		return EditResult{}, err
 	}
 	if t.Edited == nil || t.Edited.Code != "ok" {
-		return Edited{}, fmt.Errorf("%s: %+v", a.Op, t.Edited)
+		return EditResult{}, fmt.Errorf("%s: %+v", a.Op, t.Edited)
 	}
 	return *t.Edited, nil
 }
 
-// until tries until it works.
-func (f *run) until(ctx context.Context, what string, try func() error) error {
+// retryUntilDone tries until it works.
+func (f *run) retryUntilDone(ctx context.Context, what string, try func() error) error {
 	for {
 		err := try()
 		if err == nil {
 			return nil
 		}
-		if pause(ctx, 100*time.Millisecond) != nil {
+		if sleep(ctx, 100*time.Millisecond) != nil {
 			return fmt.Errorf("%s: %w (last: %v)", what, context.Cause(ctx), err)
 		}
 	}
@@ -188,8 +188,8 @@
 	return nil
 }
 
-// held is the memory of all processes of the run, noted at its greatest.
-func (f *run) held() (sum int64) {
+// residentMemory is the memory of all processes of the run, noted at its greatest.
+func (f *run) residentMemory() (sum int64) {
 	f.mu.Lock()
 	all := append([]*child(nil), f.children...)
 	f.mu.Unlock()
--- a/lab/scale/tail_test.go
+++ b/lab/scale/tail_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestShareOfSlowParts(t *testing.T) {
+func TestSlowMost(t *testing.T) {
 	p := SlowMost(140, 0.01)
 	must.InDelta(t, 7.1786e-5, p, 1e-8)
 	must.InDelta(t, 0.01, 1-math.Pow(1-p, 140), 1e-9)
@@ -33,7 +33,7 @@
 	must.Eq(t, 2000, got[1].P99, must.Sprint("asked again after 1 ms, answered after another"))
 }
 
-func TestPausesAreWaitedOut(t *testing.T) {
+func TestDrawTailIncludesPauses(t *testing.T) {
 	p := Part{MedianUs: 1000, PauseUs: 40_000, PauseEveryUs: 4_000_000}
 	got := DrawTail(p, 140, 5_000, 110_000, []Policy{{AskAgainAt: 1}}, 2)[0]
 	must.LessEq(t, 41_000, got.P999)
@@ -46,7 +46,7 @@
 	return DrawTail(p, parts, 5_000, us, []Policy{{AskAgainAt: 1}}, 3)[0].Within
 }
 
-func TestAnswerWithoutTheMissing(t *testing.T) {
+func TestDrawTailAnswersWithoutMissingParts(t *testing.T) {
 	p := Part{MedianUs: 1000, SlowShare: 0.01, SlowUs: 500_000}
 	got := DrawTail(p, 100, 2_000, 110_000, []Policy{{AskAgainAt: 1, AnswerUs: 100_000}}, 4)[0]
 	must.Eq(t, 1, got.Within)
@@ -54,7 +54,7 @@
 	must.InDelta(t, math.Pow(0.99, 100), got.Whole, 0.05)
 }
 
-func TestSameSeedSameTail(t *testing.T) {
+func TestDrawTailIsDeterministic(t *testing.T) {
 	p := Part{MedianUs: 7500, Sigma: 0.5}
 	pol := []Policy{{AskAgainAt: 0.95}}
 	a, b, c := DrawTail(p, 140, 500, 110_000, pol, 7), DrawTail(p, 140, 500, 110_000, pol, 7), DrawTail(p, 140, 500, 110_000, pol, 8)
--- a/lab/scale/usage.go
+++ b/lab/scale/usage.go
@@ -88,13 +88,13 @@
 	return 0
 }
 
-// forgetPeak has the kernel count a process's peak of memory from now on.
-func forgetPeak(pid int) error {
+// resetPeakMemory has the kernel count a process's peak of memory from now on.
+func resetPeakMemory(pid int) error {
 	return os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", pid), []byte("5"), 0)
 }
 
-// load1 is the number of processes that ran or waited to run, over the last minute.
-func load1() float64 {
+// loadAverage1m is the number of processes that ran or waited to run, over the last minute.
+func loadAverage1m() float64 {
 	b, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return 0
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -15,9 +15,9 @@
 	"wallport/runtime/wire"
 )
 
-// Seen is one thing that a hollow node came to see, at a time of this machine's clock in
+// Observation is one thing that a hollow node came to see, at a time of this machine's clock in
 // microseconds: a configuration in force, or, with About, whether a node is live.
-type Seen struct {
+type Observation struct {
 	AtUs  int64
 	Node  string
 	Stamp wire.Version
@@ -25,72 +25,72 @@
 	Live  bool   `json:",omitempty"`
 }
 
-// Edited is what came of an edit; the times are those of its sending and of the
+// EditResult is what came of an edit; the times are those of its sending and of the
 // acknowledgement by the owner of the part.
-type Edited struct {
+type EditResult struct {
 	Code         string
 	Stamp        wire.Version
 	SentUs, AtUs int64
 }
 
-// watchEvery is how often the snapshots are looked at.
-const watchEvery = 2 * time.Millisecond
+// watchInterval is how often the snapshots are looked at.
+const watchInterval = 2 * time.Millisecond
 
 type watch struct {
 	stop chan struct{}
-	done chan []Seen
+	done chan []Observation
 	add  chan string
 }
 
 func wallUs() int64 { return time.Now().UnixMicro() }
 
 func startWatch(nodes []*hollowNode) *watch {
-	w := &watch{stop: make(chan struct{}), done: make(chan []Seen, 1), add: make(chan string)}
+	w := &watch{stop: make(chan struct{}), done: make(chan []Observation, 1), add: make(chan string)}
 	go w.run(nodes)
 	return w
 }
 
-// about has the watch tell of a node's liveness too.
-func (w *watch) about(name string) {
+// addMember has the watch tell of a node's liveness too.
+func (w *watch) addMember(name string) {
 	if name != "" {
 		w.add <- name
 	}
 }
 
-// end stops the watch and gives what it saw.
-func (w *watch) end() []Seen {
+// finish stops the watch and gives what it saw.
+func (w *watch) finish() []Observation {
 	close(w.stop)
 	return <-w.done
 }
 
-// eyes are what the watch knows of one node.
-type eyes struct {
+// nodeWatcher are what the watch knows of one node.
+type nodeWatcher struct {
 	n    *hollowNode
 	last *snapshot.Snapshot
 	live map[string]bool
 }
 
 func (w *watch) run(nodes []*hollowNode) {
-	var out []Seen
-	var all []*eyes
+	var out []Observation
+	var all []*nodeWatcher
 	for _, n := range nodes {
 		if n.table != nil {
-			all = append(all, &eyes{n: n, live: map[string]bool{}})
+			all = append(all, &nodeWatcher{n: n, live: map[string]bool{}})
 		}
 	}
 	var names []string
-	look := func() {
+	observeAll := func() {
 		at := wallUs()
 		for _, e := range all {
-			out = append(out, e.look(at, names)...)
+			out = append(out, e.observe(at, names)...)
 		}
 	}
-	t := time.NewTicker(watchEvery)
+	t := time.NewTicker(watchInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-w.stop:
-			look()
+			observeAll()
 			w.done <- out
 			return
 		case name := <-w.add:
@@ -98,14 +98,14 @@
 			for _, e := range all {
 				e.last = nil
 			}
-			look()
+			observeAll()
 		case <-t.C:
-			look()
+			observeAll()
 		}
 	}
 }
 
-func (e *eyes) look(at int64, names []string) (out []Seen) {
+func (e *nodeWatcher) observe(at int64, names []string) (out []Observation) {
 	if e.n.ended.Load() {
 		return nil
 	}
@@ -114,24 +114,24 @@
 		return nil
 	}
 	if e.last == nil || e.last.Config.ConfigVersion != cp.Config.ConfigVersion {
-		out = append(out, Seen{AtUs: at, Node: e.n.name, Stamp: cp.Config.ConfigVersion})
+		out = append(out, Observation{AtUs: at, Node: e.n.name, Stamp: cp.Config.ConfigVersion})
 	}
 	e.last = cp
 	for _, name := range names {
 		is := slices.ContainsFunc(cp.Roster, func(m snapshot.Node) bool { return m.Name == name && m.Live })
 		if was, known := e.live[name]; !known || was != is {
-			out = append(out, Seen{AtUs: at, Node: e.n.name, About: name, Live: is})
+			out = append(out, Observation{AtUs: at, Node: e.n.name, About: name, Live: is})
 		}
 		e.live[name] = is
 	}
 	return out
 }
 
-// editWithin bounds an edit.
-const editWithin = 8 * time.Second
+// editTimeout bounds an edit.
+const editTimeout = 8 * time.Second
 
 // edit puts a whole sheet through the first node, or begins a cut of an index.
-func (h *Hollow) edit(a Ask) Told {
+func (h *Hollow) edit(a HostRequest) HostResponse {
 	n := h.nodes[0]
 	e := wire.Edit{Op: "put", Strict: true, Body: a.Body}
 	if a.Op == "cut" {
@@ -140,20 +140,20 @@
 			Shards int
 		}
 		if err := json.Unmarshal(a.Body, &cut); err != nil {
-			return Told{Err: err.Error()}
+			return HostResponse{Err: err.Error()}
 		}
 		e = wire.Edit{Partition: state.PartitionOf(a.Name), Op: "cut", Name: a.Name, Body: wire.Encode(&wire.ShardMap{Next: cut.Name, NextShards: cut.Shards})}
 	} else if cp := n.table.Current(); cp != nil {
 		e.Base = cp.Config.ConfigVersion
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), editWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), editTimeout)
 	defer cancel()
-	r := Edited{SentUs: wallUs()}
+	r := EditResult{SentUs: wallUs()}
 	v, err := n.p.Call(ctx, "operate", operations.Submit{Edit: e})
 	if err != nil {
-		return Told{Err: err.Error()}
+		return HostResponse{Err: err.Error()}
 	}
 	reply := v.(operations.Result).Reply
 	r.AtUs, r.Code, r.Stamp = wallUs(), string(reply.Code), reply.Version
-	return Told{Edited: &r}
+	return HostResponse{Edited: &r}
 }
--- a/lab/scale/worker.go
+++ b/lab/scale/worker.go
@@ -28,8 +28,8 @@
 	mu    sync.Mutex
 	done  chan struct{}
 	args  []string
-	// broken is that it has not answered in time.
-	broken bool
+	// timedOut is that it has not answered in time.
+	timedOut bool
 	// operator is the address of a real process's operator API.
 	operator, mesh string
 }
@@ -85,7 +85,7 @@
 		err error
 	}
 	got := make(chan line, 1)
-	if c.broken {
+	if c.timedOut {
 		return fmt.Errorf("%s has not answered before", c.name)
 	}
 	go func() {
@@ -100,16 +100,16 @@
 		return json.Unmarshal(l.b, v)
 	case <-ctx.Done():
 		// What it answers later would be taken for the answer to another question.
-		c.broken = true
+		c.timedOut = true
 		return fmt.Errorf("%s: %w", c.name, ctx.Err())
 	}
 }
 
 // ask asks a host of hollow processes.
-func (c *child) ask(ctx context.Context, a Ask) (Told, error) {
+func (c *child) ask(ctx context.Context, a HostRequest) (HostResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var t Told
+	var t HostResponse
 	b, err := json.Marshal(a)
 	if err != nil {
 		return t, err
@@ -129,12 +129,12 @@
 // Serve answers asks on a host's standard input until that ends.
 func (h *Hollow) Serve(in io.Reader, out io.Writer) error {
 	e := json.NewEncoder(out)
-	if err := e.Encode(Told{Up: h.Up()}); err != nil {
+	if err := e.Encode(HostResponse{Up: h.Up()}); err != nil {
 		return err
 	}
 	d := json.NewDecoder(in)
 	for {
-		var a Ask
+		var a HostRequest
 		if err := d.Decode(&a); err == io.EOF {
 			return nil
 		} else if err != nil {
@@ -147,7 +147,7 @@
 }
 
 // each does something with all of a list at once and gives the first error.
-func each[T any](list []T, f func(T) error) error {
+func forEach[T any](list []T, f func(T) error) error {
 	errs := make([]error, len(list))
 	var wg sync.WaitGroup
 	for i, v := range list {
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// pause waits, or says that the run's time is over.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits, or says that the run's time is over.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
