--- a/lab/model/action.go
+++ b/lab/model/action.go
@@ -1,4 +1,4 @@
-// The actions of a schedule, and which of them a state allows.
+// The actions that a schedule consists of.
 
 package model
 
@@ -11,7 +11,8 @@
 const (
 	// Deliver delivers the first message from Replica to Peer.
 	Deliver ActionKind = iota
-	// Lose drops it, Double delivers it and keeps a copy behind the others, Delay puts it behind the others.
+	// Lose drops that message, Double delivers it and appends a copy to the end of the queue, Delay moves it to
+	// the end of the queue.
 	Lose
 	Double
 	Delay
@@ -19,27 +20,27 @@
 	Sync
 	// Elapse advances time by Argument microseconds and fires the timers of the replicas that run.
 	Elapse
-	// Crash kills Replica and restarts it, with the first Argument of its pending writes synced. Answers on its
-	// connections are lost; requests that wait for a new connection reach its next incarnation, or are lost as
-	// well in CrashAlone.
+	// Crash kills Replica and restarts it after the first Argument of its pending writes were synced. Answers in
+	// flight on its connections are lost. Requests that wait for a new connection reach its next incarnation;
+	// with CrashAlone they are lost too.
 	Crash
 	CrashAlone
-	// LoseDisk does so with an empty disk.
+	// LoseDisk kills Replica and restarts it with an empty disk.
 	LoseDisk
-	// Isolate partitions Replica from all others. Rejoin ends that: with Argument 0 what waited is delivered
-	// late, with 1 the connections broke and it is lost.
+	// Isolate partitions Replica from all others. Rejoin ends the partition: with Argument 0 the messages queued
+	// in the meantime are delivered late, with 1 the connections broke and these messages are lost.
 	Isolate
 	Rejoin
-	// Freeze suspends Replica, Thaw resumes it.
+	// Freeze suspends the process of Replica, Thaw resumes it.
 	Freeze
 	Thaw
 	// Announce makes Replica, which is not a voter, announce itself to Peer.
 	Announce
 	// Stop begins a graceful stop of Replica.
 	Stop
-	// Call sends the operators' command number Argument to Replica.
+	// Call sends the operator command with index Argument to Replica.
 	Call
-	// Hold pauses source number Argument, Release ends that.
+	// Hold pauses the source with index Argument (see Explorer.sources), Release resumes it.
 	Hold
 	Release
 )
@@ -79,7 +80,7 @@
 	}
 }
 
-// same reports whether two actions are the same step, whatever is known of them.
+// same reports whether two actions are the same step; their descriptions are not compared.
 func (a Action) same(b Action) bool {
 	return a.Kind == b.Kind && a.Replica == b.Replica && a.Peer == b.Peer && a.Argument == b.Argument
 }
--- a/lab/model/apply.go
+++ b/lab/model/apply.go
@@ -10,14 +10,16 @@
 	"wallport/runtime/kernel"
 )
 
+// noSource means that an action consumes nothing from a source.
 const noSource = -1
 
-// messagesLost, as the argument of Rejoin, breaks the connections.
+// messagesLost is the argument of a Rejoin after which the connections are broken.
 const messagesLost = 1
 
 var errNotEnabled = errors.New("the action is not enabled")
 
-// apply returns the state after an action; the state before is not changed.
+// apply returns the state after an action and the violation that the action causes, if any. It does not modify
+// before.
 func (x *Explorer) apply(before *system, a Action) (*system, error) {
 	s := before.clone()
 	s.path = &link{before: before.path, action: a}
@@ -30,7 +32,7 @@
 	return s, err
 }
 
-// servedSource returns the source that an action takes from, or noSource.
+// servedSource returns the source from which an action consumes a write or a message, or noSource.
 func (x *Explorer) servedSource(a Action) int {
 	switch a.Kind {
 	case Deliver, Lose, Double, Delay:
@@ -42,7 +44,7 @@
 	}
 }
 
-// touches returns the replica whose process or connections an action changes.
+// touches returns the replica whose process or connections an action changes, or everyReplica.
 func (a Action) touches() int {
 	switch a.Kind {
 	case Deliver, Double, Announce:
@@ -127,7 +129,7 @@
 	return x.feed(s, a.Peer, kernel.Received{Conn: m.connection, Data: m.data})
 }
 
-// sync completes the first pending write of a replica and tells it so.
+// sync completes the first pending write of a replica and delivers the completion to it.
 func (x *Explorer) sync(s *system, i int) error {
 	wr := s.processes[i].writes[0]
 	if err := x.write(s, i, wr); err != nil {
@@ -136,7 +138,8 @@
 	return x.feed(s, i, kernel.Written{Plugin: pluginName, Key: wr.key})
 }
 
-// write writes one file to a disk and records which version its owner's identity has held.
+// write writes one file to a replica's disk. If the file holds a version newer than any that the disk's identity
+// has synced before, write records that version.
 func (x *Explorer) write(s *system, i int, wr pendingWrite) error {
 	s.disks[i] = s.disks[i].with(wr)
 	v, ok := versionIn(wr.file, wr.data)
@@ -147,7 +150,7 @@
 	return nil
 }
 
-// elapse advances the clock and fires the timers that are due, once each, of the replicas that run.
+// elapse advances the clock and fires each due timer once, on every replica that is not frozen.
 func (x *Explorer) elapse(s *system, us clock.Micros) error {
 	s.now += us
 	for i := range x.replicas {
@@ -172,7 +175,7 @@
 	return nil
 }
 
-// crash kills a replica with this many of its pending writes synced, and restarts it.
+// crash syncs the first kept pending writes of a replica, then kills and restarts it.
 func (x *Explorer) crash(s *system, i, kept int, alone bool) error {
 	for _, wr := range s.processes[i].writes[:kept] {
 		if err := x.write(s, i, wr); err != nil {
@@ -200,7 +203,8 @@
 	}
 }
 
-// thaw resumes a replica; it is told of a long gap before anything else, and then its timers fire.
+// thaw resumes a replica. If the gap was longer than FreezeGap, the replica first receives a Thawed input; then its
+// due timers fire.
 func (x *Explorer) thaw(s *system, i int) error {
 	gap := s.now - s.frozenAt[i]
 	s.frozenAt[i] = 0
--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -4,24 +4,25 @@
 
 import "wallport/runtime/clock"
 
-// Spans of time: one in which a leader sends heartbeats, one that is shorter than the first candidate's election
-// time-out, and one that is longer.
+// Time spans by which the clock advances: after heartbeatSpan a leader sends heartbeats; quietSpan is shorter and
+// electionSpan longer than the election time-out of the replica that times out first.
 const (
 	heartbeatSpan = int(160 * clock.Millisecond)
 	quietSpan     = int(480 * clock.Millisecond)
 	electionSpan  = int(560 * clock.Millisecond)
-	// rivalSpan, twice from the start, makes two of three replicas candidates.
+	// splitVoteSpan, elapsed twice from the start, makes two of three replicas candidates.
 	splitVoteSpan = int(270 * clock.Millisecond)
 )
 
-// change returns a command that adds an item to a version.
+// change returns a command that adds an item with the given name to the version with revision base.
 func change(name string, base, revision int64) Command {
 	return Command{Name: name, Kind: ChangeCommand, Base: base, Revision: revision}
 }
 
 func read(name string) Command { return Command{Name: name, Kind: ReadCommand} }
 
-// Configs returns the configurations of the bounded exploration, by what they provoke.
+// Configs returns the configurations of the bounded exploration. Each is named after the situation that it
+// provokes.
 func Configs() []Config {
 	one := [][]Command{{change("a1", 0, 1)}}
 	two := [][]Command{{change("a1", 0, 1), change("a2", 1, 2)}}
@@ -29,12 +30,14 @@
 	reader := [][]Command{{change("a1", 0, 1)}, {read("b-read"), read("b-again")}}
 	drains := [][]Command{{{Name: "a-drain", Kind: DrainCommand, Zone: "zone-1"}}, {read("b-read")}}
 	election, both, quiet := []int{electionSpan}, []int{heartbeatSpan, electionSpan}, []int{quietSpan}
-	// In silent, the standby announces itself while a voter is away, nearly long enough to be replaced.
+	// In silent, a standby announces itself while a voter is isolated, almost long enough for the voter to be
+	// replaced.
 	pass := Action{Kind: Elapse, Argument: quietSpan}
 	silent := []Action{pass, pass, pass, {Kind: Announce, Replica: 3, Peer: 0}}
-	// In replaced, the first replica is partitioned for long enough that another one leads.
+	// In replaced, the first replica is partitioned long enough for another replica to become leader.
 	replaced := []Action{{Kind: Isolate, Replica: 0}, {Kind: Elapse, Argument: electionSpan}}
-	// In behind, the first command is committed without the second replica, which then has to lead.
+	// In behind, the first command is committed without the second replica. Then the first replica is isolated and
+	// the second one rejoins, so the second replica may become leader with an older version.
 	behind := []Action{{Kind: Call, Replica: 0}, {Kind: Isolate, Replica: 0}, {Kind: Rejoin, Replica: 1, Argument: messagesLost}}
 	return []Config{
 		{Name: "election and a crash", Voters: 3, Operators: one, Spans: []int{splitVoteSpan}, Budget: Budget{Elapses: 2, Crashes: 1, Holds: 1}},
@@ -59,8 +62,8 @@
 	}
 }
 
-// Deeper returns a configuration with more of every fault and choice that it has, so that its exploration takes
-// long.
+// Deeper returns a copy of the configuration with each nonzero budget increased by the given number, for a longer
+// exploration.
 func (c Config) Deeper(by int) Config {
 	b := &c.Budget
 	for _, n := range []*int{
@@ -75,7 +78,7 @@
 	return c
 }
 
-// Everything returns the configuration of random walks: every fault, several times.
+// Everything returns the configuration for random walks: all kinds of faults, most of them several times.
 func Everything(replicas int) Config {
 	return Config{
 		Name: "everything", Voters: 3, Standbys: max(0, replicas-3), Spans: []int{heartbeatSpan, quietSpan, electionSpan},
--- a/lab/model/doc.go
+++ b/lab/model/doc.go
@@ -1,6 +1,6 @@
 // Package model is a bounded model checker for the control state's consensus code. It drives the product's own
-// replicas, one process each, through the interleavings of messages, syncs, crashes, lost disks, freezes and
-// operators' calls up to a stated bound, and checks its invariants in every state; beyond the bound it walks at
-// random and shrinks a failing schedule. Input is a [Config]; the output of [Explorer.Explore] is a [Report] with
-// the shortest failing schedule. An [Explorer] owns the processes and messages it has met.
+// replica code, one process per replica, through the interleavings of messages, disk syncs, crashes, disk losses,
+// freezes and operator calls up to a stated bound, and checks the invariants in every state. Beyond the bound it
+// runs random walks and shrinks a failing schedule. The input is a [Config]; [Explorer.Explore] returns a [Report]
+// with the shortest failing schedule. An [Explorer] caches every process and message that it has encountered.
 package model
--- a/lab/model/enabled.go
+++ b/lab/model/enabled.go
@@ -1,8 +1,10 @@
 // Which actions a state allows. A source is a replica's disk, whose first pending write may be synced, or the
-// queue between two replicas, whose first message may be delivered. Either any source may be next, which gives
-// all interleavings, or the sources take turns, from which a schedule departs a bounded number of times by
-// pausing one until nothing else is left to do, and for as long after that as it likes. In the second way a
-// replica's faults come right after a step of its own: at other times they commute.
+// queue from one replica to another, whose first message may be delivered. There are two modes. With
+// AllInterleavings, any source may be served next. Otherwise sources are served in round-robin order, and a
+// schedule departs from that order a bounded number of times by pausing a source: a paused source can be released
+// once no other source is ready, or at any later such point. In the second mode a replica's faults are only
+// enabled right after a step of that replica or when no source is ready; at other times they commute with the
+// steps of other replicas.
 
 package model
 
@@ -11,10 +13,10 @@
 	"slices"
 )
 
-// AllInterleavings is the budget of holds that lets any source be next.
+// AllInterleavings is the value of Budget.Holds with which any source may be served next.
 const AllInterleavings = -1
 
-// Source numbers: the disks first, then the queues.
+// sources returns the number of sources. Their indexes are those of the disks, then those of the queues.
 func (x *Explorer) sources() int { return x.replicas + x.replicas*x.replicas }
 
 func (x *Explorer) sourceName(source int) string {
@@ -25,6 +27,7 @@
 	return fmt.Sprintf("messages %s->%s", replicaName(queue/x.replicas), replicaName(queue%x.replicas))
 }
 
+// filled reports whether a source has a pending write or a message.
 func (x *Explorer) filled(s *system, source int) bool {
 	if source < x.replicas {
 		return len(s.processes[source].writes) > 0
@@ -32,7 +35,8 @@
 	return len(s.queues[source-x.replicas]) > 0
 }
 
-// updateSourceOrder moves the source that was served, if any, behind the others, and new ones behind it.
+// updateSourceOrder moves the served source to the end of the order, removes empty sources and appends newly
+// filled ones.
 func (x *Explorer) updateSourceOrder(s *system, served int) {
 	s.order = slices.DeleteFunc(s.order, func(source uint8) bool { return int(source) == served || !x.filled(s, int(source)) })
 	for source := range x.sources() {
@@ -42,7 +46,8 @@
 	}
 }
 
-// ready reports whether a source has something that may happen now.
+// ready reports whether a source has a write or a message that can be processed now: neither a freeze nor a
+// partition blocks it.
 func (x *Explorer) ready(s *system, source int) bool {
 	if source < x.replicas {
 		return s.frozenAt[source] == 0 && len(s.processes[source].writes) > 0
@@ -77,7 +82,7 @@
 	return actions
 }
 
-// idleActions adds the actions that wait until no source is ready, unless all interleavings are wanted.
+// idleActions adds the actions that are allowed only when no source is ready, or always with AllInterleavings.
 func (x *Explorer) idleActions(s *system, actions []Action) []Action {
 	for source := range x.sources() {
 		if s.pausedSources&(1<<source) != 0 {
@@ -101,7 +106,7 @@
 	return x.callActions(s, actions)
 }
 
-// sourceActions adds what may happen to the first write or message of a source.
+// sourceActions adds the actions on the first write or message of a source.
 func (x *Explorer) sourceActions(s *system, source int, actions []Action) []Action {
 	if s.left.Holds > 0 && (source < x.replicas || !x.SlowDisks) {
 		actions = append(actions, Action{Kind: Hold, Argument: source, description: x.sourceName(source)})
@@ -151,7 +156,7 @@
 	return actions
 }
 
-// requested reports whether a request to a replica is in flight.
+// requested reports whether any request to a replica is in flight.
 func (x *Explorer) requested(s *system, i int) bool {
 	for from := range x.replicas {
 		if slices.ContainsFunc(s.queues[from*x.replicas+i], func(m *message) bool { return m.request }) {
@@ -161,7 +166,7 @@
 	return false
 }
 
-// announceActions adds the announcements of processes that are not voters.
+// announceActions adds the announcements of standbys to each voter.
 func (x *Explorer) announceActions(s *system, actions []Action) []Action {
 	if s.left.Announces == 0 {
 		return actions
--- a/lab/model/explore.go
+++ b/lab/model/explore.go
@@ -1,4 +1,4 @@
-// Exploring breadth first, so that the first violation is one of the shortest.
+// Breadth-first exploration: the first violation found has a schedule of minimal length.
 
 package model
 
@@ -8,17 +8,19 @@
 	"strings"
 )
 
-// Bound limits an exploration by the number of states, not by time, so that it is the same on every machine.
+// Bound limits an exploration by depth and number of states. It is not limited by time, so that the result is the
+// same on every machine.
 type Bound struct{ Depth, States int }
 
 // Report is the outcome of an exploration.
 type Report struct {
-	// States are those found, Transitions the actions tried, Depth the longest schedule of a state.
+	// States counts the distinct states found, Transitions the actions applied; Depth is the length of the longest
+	// schedule explored.
 	States, Transitions, Depth int
-	// Complete is that nothing was left out within the bound of the depth.
+	// Complete reports that no state was skipped within the depth bound.
 	Complete bool
-	// Steps were run on the product's code, Replayed again to rebuild a process; Processes are the
-	// different states of single replicas.
+	// Steps counts the steps run on the product's code, Replayed the steps run again to rebuild a process, and
+	// Processes the distinct states of single replicas.
 	Steps, Replayed, Processes int
 	Failure                    *Failure
 }
@@ -47,7 +49,7 @@
 	return b.String()
 }
 
-// Explore visits every state that the bound allows, each once.
+// Explore visits every reachable state within the bound once and stops at the first violation.
 func (x *Explorer) Explore(bound Bound) Report {
 	first, err := x.initial()
 	if err != nil {
@@ -89,7 +91,7 @@
 	return r
 }
 
-// Replay plays a schedule, leaving out what is not enabled, and gives the violation, if any.
+// Replay runs a schedule, skips actions that are not enabled, and returns the violation, or nil if there is none.
 func (x *Explorer) Replay(schedule []Action) (*Failure, error) {
 	s, err := x.initial()
 	if err != nil {
@@ -109,6 +111,7 @@
 	return nil, nil
 }
 
+// find returns the enabled action that is the same step as a.
 func (x *Explorer) find(s *system, a Action) (Action, bool) {
 	for _, b := range x.enabled(s) {
 		if a.same(b) {
@@ -118,7 +121,7 @@
 	return Action{}, false
 }
 
-// invariantOf names the rule that a failure broke.
+// invariantOf returns the invariant that an error reports as violated, "" for other errors.
 func invariantOf(err error) Invariant {
 	var v *Violation
 	if errors.As(err, &v) {
--- a/lab/model/fingerprint.go
+++ b/lab/model/fingerprint.go
@@ -1,5 +1,5 @@
-// The fingerprint of a replica: a hash over every field of its state machine,
-// read by reflection, so that new fields count without a change here.
+// The fingerprint of a replica: every field of its state machine, read by reflection. New fields are therefore
+// included without a change here.
 
 package model
 
@@ -18,16 +18,16 @@
 	return d
 }
 
-// walker flattens a value. Pointers into other packages are left out: the process itself, its
-// mesh and its table of members are the same for every state, or told by the caller. Functions
-// are left out as well: what a pending write will do is told by the input that asked for it.
+// walker serializes a value. It skips pointers to structs of other packages, except message types: the process
+// itself, its mesh and its membership table are either the same in every state or added by the caller. It also
+// skips functions: the input that requested a pending write determines what the completion of the write does.
 type walker struct {
 	ownPackage string
 	out        []byte
 	visited    map[uintptr]uint64
 }
 
-// fingerprint flattens the plug-in of a process.
+// fingerprint serializes the state of a process's plug-in.
 func fingerprint(plugin any) []byte {
 	v := reflect.ValueOf(plugin)
 	w := &walker{ownPackage: v.Type().Elem().PkgPath(), visited: map[uintptr]uint64{}, out: make([]byte, 0, 4096)}
@@ -98,7 +98,7 @@
 	}
 }
 
-// table adds up the hashes of the entries, so that their order does not matter.
+// table combines the hashes of a map's entries with XOR, so that the order of iteration does not matter.
 func (w *walker) table(v reflect.Value) {
 	w.number(uint64(v.Len()))
 	var sum digest
--- a/lab/model/frames.go
+++ b/lab/model/frames.go
@@ -1,4 +1,4 @@
-// The messages between replicas, as far as the checker reads them.
+// Decoding of the messages between replicas, limited to the parts that the checker reads.
 
 package model
 
@@ -20,20 +20,21 @@
 	frameAnswer
 )
 
-// frame is what the checker reads of a message.
+// frame holds the parts of a message that the checker reads.
 type frame struct {
 	kind frameKind
-	// leader and term are set where only a leader of the term sends it.
+	// leader and term are set for messages that only the leader of that term sends.
 	leader string
 	term   uint64
-	// version is set where the message proposes one.
+	// version is set if the message proposes a version.
 	version *wire.Versioned
 	id      uint64
 	answer  wire.EditReply
 	text    string
 }
 
-// openFrame decodes a message; those of other partitions are ignored.
+// openFrame decodes a message. Messages of control-state partitions other than the configuration's are classified
+// as frameIgnored.
 func openFrame(data []byte) (f frame) {
 	opened, err := wire.Open(data)
 	if err != nil {
@@ -85,7 +86,8 @@
 	}
 }
 
-// partitionOf returns the partition that a message is about, without its type.
+// partitionOf returns the control-state partition (key "p") of an encoded message of any type, -1 if it cannot be
+// decoded.
 func partitionOf(body []byte) int {
 	v, _, err := msgp.ReadMapStrIntfBytes(body, nil)
 	if err != nil {
--- a/lab/model/invariants.go
+++ b/lab/model/invariants.go
@@ -1,4 +1,4 @@
-// The invariants, checked in every state in which something that they depend on changed.
+// The invariants. Each is checked after every step that changes the data it depends on.
 
 package model
 
@@ -10,24 +10,24 @@
 	"wallport/runtime/wire"
 )
 
-// Invariant names a rule that must hold in every state.
+// Invariant is the name of a property that must hold in every state.
 type Invariant string
 
 // The invariants.
 const (
 	InvariantOneVersion     Invariant = "one version for each term and sequence"
 	InvariantOneLeader      Invariant = "one leader for each term"
-	InvariantDurableCommand Invariant = "an acknowledged order is in every later committed version"
-	InvariantRefusedCommand Invariant = "a refused order is in no committed version"
+	InvariantDurableCommand Invariant = "an acknowledged command is in every later committed version"
+	InvariantRefusedCommand Invariant = "a refused command is in no committed version"
 	InvariantMajority       Invariant = "an acknowledged value is synced by a majority of the voters in force"
 	InvariantLinearizable   Invariant = "operators' histories are linearizable"
-	InvariantOneAnswer      Invariant = "an order is answered one way"
-	InvariantChain          Invariant = "a committed version carries on what those before it had"
+	InvariantOneAnswer      Invariant = "a command is never both accepted and refused"
+	InvariantChain          Invariant = "a committed version contains the commands of the committed versions before it"
 	InvariantReadable       Invariant = "a body can be read"
-	InvariantCommittedSame  Invariant = "what is committed is what was proposed"
+	InvariantCommittedSame  Invariant = "a committed body equals the proposed one"
 )
 
-// Violation is an invariant that does not hold.
+// Violation is the error for an invariant that does not hold.
 type Violation struct {
 	Invariant Invariant
 	Text      string
@@ -41,7 +41,8 @@
 
 func versionText(v wire.Version) string { return fmt.Sprintf("%d.%d", v.Term, v.Seq) }
 
-// checkSent checks what a replica sends: its claim to lead, and the version that it proposes.
+// checkSent checks a message that a replica sends: there is at most one leader per term, and a proposed version is
+// valid.
 func (x *Explorer) checkSent(s *system, f *frame) error {
 	if f.leader != "" {
 		switch other, known := s.record.leaders[f.term]; {
@@ -58,6 +59,8 @@
 	return x.checkProposed(s, *f.version)
 }
 
+// checkProposed checks that a proposed version has a readable body and that no other content was proposed under the
+// same term and sequence number.
 func (x *Explorer) checkProposed(s *system, v wire.Versioned) error {
 	sum := versionDigest(v)
 	if x.versions[sum] == nil {
@@ -74,12 +77,13 @@
 	case !known:
 		s.record = s.record.withProposed(v.Version, sum)
 	case other != sum:
-		return violation(InvariantOneVersion, "version %s stands for two contents", versionText(v.Version))
+		return violation(InvariantOneVersion, "version %s was proposed with two different contents", versionText(v.Version))
 	}
 	return nil
 }
 
-// checkCommitted checks a version that a replica takes for committed.
+// checkCommitted checks the version that a replica considers committed, if the schedule has not recorded it yet: it
+// must equal what was proposed, contain every acknowledged command and contain no refused one.
 func (x *Explorer) checkCommitted(s *system, p *process) error {
 	if p.committed.Term == 0 || slices.Contains(s.record.committed, p.committed) {
 		return nil
@@ -89,7 +93,7 @@
 		return violation(InvariantReadable, "committed version %s has a body that cannot be read", versionText(p.committed))
 	}
 	if known := x.proposal(s, p.committed); known != nil && string(known.Body) != string(p.body) {
-		return violation(InvariantCommittedSame, "version %s", versionText(p.committed))
+		return violation(InvariantCommittedSame, "version %s is committed with another body than was proposed", versionText(p.committed))
 	}
 	s.record = s.record.withCommitted(p.committed)
 	x.Seen.Commits++
@@ -100,18 +104,19 @@
 	}
 	for _, number := range s.record.refused {
 		if x.includes(c, number) {
-			return violation(InvariantRefusedCommand, "%s is in version %s", x.commands[number].Name, versionText(p.committed))
+			return violation(InvariantRefusedCommand, "%s was refused and is in the later committed version %s", x.commands[number].Name, versionText(p.committed))
 		}
 	}
 	return x.checkChain(s)
 }
 
+// proposal returns the proposed version, nil if this schedule has not recorded it.
 func (x *Explorer) proposal(s *system, v wire.Version) *knownVersion {
 	return x.versions[s.record.versions[v]]
 }
 
-// includes reports whether contents include a command; commands that later ones may undo are left to the
-// histories.
+// includes reports whether contents include a command. It returns false for commands that a later command may undo;
+// the linearizability check covers those.
 func (x *Explorer) includes(c contents, number int) bool {
 	o := &x.commands[number]
 	if o.Kind == ChangeCommand {
@@ -120,11 +125,14 @@
 	return o.Kind == DrainCommand && !x.restores[o.Zone] && slices.Contains(c.drained, o.Zone)
 }
 
+// irreversible reports whether no other command of the configuration can undo a command.
 func (x *Explorer) irreversible(number int) bool {
 	o := &x.commands[number]
 	return o.Kind == ChangeCommand || o.Kind == DrainCommand && !x.restores[o.Zone]
 }
 
+// checkIncluded checks that a version committed at or after the version of a command's acknowledgement includes the
+// command.
 func (x *Explorer) checkIncluded(number int, at, committed wire.Version, c contents) error {
 	if x.irreversible(number) && !newer(at, committed) && !x.includes(c, number) {
 		return violation(InvariantDurableCommand, "%s was acknowledged at %s and is not in %s", x.commands[number].Name, versionText(at), versionText(committed))
@@ -132,7 +140,7 @@
 	return nil
 }
 
-// checkChain compares the committed versions one after another.
+// checkChain checks that each committed version includes all commands of the committed version before it.
 func (x *Explorer) checkChain(s *system) error {
 	var before *knownVersion
 	for _, at := range s.record.committed {
@@ -168,10 +176,10 @@
 	x.Seen.Acknowledged++
 	v := x.proposal(s, r.Version)
 	if v == nil {
-		return violation(InvariantMajority, "%s was acknowledged at %s, which nobody proposed", x.commands[number].Name, versionText(r.Version))
+		return violation(InvariantMajority, "%s was acknowledged at %s, which no replica proposed", x.commands[number].Name, versionText(r.Version))
 	}
 	if !x.syncedByMajority(s, v, v.Voters, number) || len(v.PreviousVoters) > 0 && !x.syncedByMajority(s, v, v.PreviousVoters, number) {
-		return violation(InvariantMajority, "%s was acknowledged at %s", x.commands[number].Name, versionText(r.Version))
+		return violation(InvariantMajority, "%s was acknowledged at %s before a majority of the voters had synced it", x.commands[number].Name, versionText(r.Version))
 	}
 	for _, at := range s.record.committed {
 		if known := x.proposal(s, at); known != nil {
@@ -183,8 +191,8 @@
 	return nil
 }
 
-// syncedByMajority reports whether a majority of the voters' disks have held the version, or a later one with
-// the command.
+// syncedByMajority reports whether the newest synced version of a majority of the voters is v or a later version.
+// For an irreversible command that version must also include the command.
 func (x *Explorer) syncedByMajority(s *system, v *knownVersion, voters []wire.Replica, number int) bool {
 	n := 0
 	for _, voter := range voters {
@@ -201,7 +209,7 @@
 	return slices.EqualFunc(a, b, func(a, b wire.Replica) bool { return a.ID == b.ID })
 }
 
-// checkHistory checks the operators' history so far; each history is checked once.
+// checkHistory checks the operators' history so far for linearizability. Results are cached per history.
 func (x *Explorer) checkHistory(s *system) error {
 	if err, known := x.histories[s.record.eventsSum]; known {
 		return err
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -1,4 +1,4 @@
-// The bounded part of the exploration, as CI runs it; cmd/lab has the long one.
+// The bounded exploration that CI runs. cmd/lab runs longer ones.
 
 package model
 
@@ -11,14 +11,15 @@
 	"wallport/runtime/kernel"
 )
 
-// statesMost bounds each configuration; all of them end within it. A short run, which CI makes with
-// the race detector beside the whole one, looks at the first statesShort alone.
+// maxStates bounds the exploration of each configuration; all configurations are explored completely within it. A
+// short run, which CI does with the race detector in addition to the full run, explores only the first
+// maxStatesShort states.
 const (
 	maxStates      = 100_000
 	maxStatesShort = 1_500
 )
 
-// unlimitedDepth is a depth that no bounded configuration reaches.
+// unlimitedDepth is a depth that no configuration reaches.
 const unlimitedDepth = 1_000
 
 func TestInvariantsHoldWithinBound(t *testing.T) {
@@ -38,13 +39,14 @@
 			if testing.Short() {
 				return
 			}
-			must.True(t, r.Complete, must.Sprint("states were left out"))
+			must.True(t, r.Complete, must.Sprint("the exploration stopped at the bound of states"))
 			assertProvoked(t, x)
 		})
 	}
 }
 
-// broughtAbout: a configuration that never comes to what it is there for proves nothing.
+// assertProvoked fails if an exploration never reached the events that its configuration is meant to provoke: it
+// would pass without having tested them.
 func assertProvoked(t *testing.T, x *Explorer) {
 	t.Helper()
 	must.Positive(t, x.Seen.Leaders)
@@ -85,8 +87,8 @@
 	must.Eq(t, a.schedule(), b.schedule())
 }
 
-// Two histories that are taken for one state of a replica must go on alike: the fingerprint
-// would leave something out otherwise.
+// Two histories that are merged into one state of a replica must have the same continuation. If they differ, the
+// fingerprint omits something that matters.
 func TestEqualFingerprintsBehaveAlike(t *testing.T) {
 	c := Configs()[4]
 	x := NewWorld(c)
@@ -103,10 +105,11 @@
 	must.Greater(t, 10*mergeSample, checked)
 }
 
-// mergeSample is that one merge in so many is checked.
+// mergeSample is the sampling interval: one merge in mergeSample is checked.
 const mergeSample = 10
 
-// continuation runs a process anew from its history, and then on, from a time, through writes and timers.
+// continuation rebuilds a process from its history, then completes its pending writes at the given time and fires
+// its timers at four later times. It returns a digest of the state and of the sent frames after each input.
 func (x *Explorer) continuation(p *process, at clock.Micros) (prints []digest) {
 	k := newRuntime().kernelFor(p)
 	feed := func(input kernel.Input) {
--- a/lab/model/operators.go
+++ b/lab/model/operators.go
@@ -1,5 +1,5 @@
-// The operators: each has a list of commands and sends one at a time, to any replica, and again while no final
-// answer came.
+// The operators. Each has a list of commands and sends one at a time, to any voter; it retries a command until a
+// final answer arrives.
 
 package model
 
@@ -23,8 +23,8 @@
 	ReadCommand
 )
 
-// Command is one command of an operator. A change adds an item with the command's name, by which it is
-// recognised in every later version.
+// Command is one command of an operator. A change adds an item with the command's name; the checker recognises the
+// change by that item in every later version.
 type Command struct {
 	Name           string
 	Kind           CommandKind
@@ -41,7 +41,8 @@
 	callRefused
 )
 
-// call is the progress of a command; open has a bit for each replica that owes an answer.
+// call is the progress of a command: how often it was sent, and in open a bit for each replica whose answer is
+// outstanding.
 type call struct {
 	status callStatus
 	sent   int
@@ -50,16 +51,17 @@
 
 func (c call) ended() bool { return c.status == callAccepted || c.status == callRefused }
 
-// callsPerCommand bounds how often one command is sent.
+// callsPerCommand is the maximum number of times that one command is sent.
 const callsPerCommand = 3
 
-// clientConnection is the first of the operators' connections; below are those of replicas.
+// clientConnection is the id of the operators' first connection; ids below it belong to replicas.
 const clientConnection = 1000
 
 func replicaConnection(replica int) uint64 { return uint64(100 + replica) }
 
-// callActions adds the calls that operators may make now: an operator's next command waits until the one before
-// has ended, and a change until its base was acknowledged.
+// callActions adds the calls that operators may make now. An operator's next command waits until the previous one
+// has ended, so that a change is sent only once its base was acknowledged; after a refused command the operator
+// sends none of its later ones.
 func (x *Explorer) callActions(s *system, actions []Action) []Action {
 	if s.left.Calls == 0 {
 		return actions
@@ -84,6 +86,7 @@
 	return actions
 }
 
+// callReplicas adds a call of a command to each voter on which it would have an effect.
 func (x *Explorer) callReplicas(s *system, number int, actions []Action) []Action {
 	for to := range x.voters {
 		if s.frozenAt[to] == 0 && s.calls[number].open&(1<<to) == 0 && x.hasEffect(s, number, to) {
@@ -93,7 +96,8 @@
 	return actions
 }
 
-// hasEffect reports whether a call does more than to be declined at once by a replica that does not lead.
+// hasEffect reports whether a call does anything other than return an immediate, non-final answer from a replica
+// that is not leader.
 func (x *Explorer) hasEffect(s *system, number, to int) bool {
 	e := x.runtime.step(s.processes[to], s.now, x.callInput(number, to))
 	if e.next != s.processes[to] || len(e.sends) != 1 {
@@ -108,12 +112,12 @@
 	return kernel.Received{Conn: x.callConnection(number, to), Data: commandFrame(uint64(number)+1, &x.commands[number])}
 }
 
-// callConnection returns the connection of a command to a replica: each call has its own.
+// callConnection returns the id of the connection for a command to a replica. Each such pair has its own.
 func (x *Explorer) callConnection(number, replica int) uint64 {
 	return clientConnection + uint64(number*x.replicas+replica)
 }
 
-// handleAnswer handles a replica's answer to a call.
+// handleAnswer processes a replica's answer to a call.
 func (x *Explorer) handleAnswer(s *system, connection uint64, r wire.EditReply) error {
 	number, replica := int(connection-clientConnection)/x.replicas, int(connection-clientConnection)%x.replicas
 	command, c := &x.commands[number], &s.calls[number]
@@ -127,7 +131,7 @@
 	}
 	if c.ended() {
 		if accepted != (c.status == callAccepted) {
-			return violation(InvariantOneAnswer, "order %s was answered both ways, last %s", command.Name, r.Code)
+			return violation(InvariantOneAnswer, "command %s was both accepted and refused, the last answer is %s", command.Name, r.Code)
 		}
 		return nil
 	}
@@ -149,7 +153,7 @@
 	}
 	got, ok := contentsOf(r.Body)
 	if !ok {
-		return violation(InvariantReadable, "a read returned a body that cannot be read")
+		return violation(InvariantReadable, "a read returned a body that cannot be decoded")
 	}
 	c.status = callAccepted
 	x.Seen.Reads++
@@ -157,7 +161,7 @@
 	return nil
 }
 
-// valueOf returns the name of the command that made the configuration that a read returned.
+// valueOf returns the name of the command that wrote the configuration that a read returned, "" for the initial one.
 func (x *Explorer) valueOf(c contents) string {
 	for _, o := range x.commands {
 		if o.Kind == ChangeCommand && o.Revision == c.revision && slices.Contains(c.commands, o.Name) {
@@ -170,7 +174,7 @@
 	return fmt.Sprint("unknown revision ", c.revision)
 }
 
-// changeOf returns a command other than a read as an operation of the history.
+// changeOf returns a command that is not a read as an operation of the history.
 func (x *Explorer) changeOf(number int) history.Operation {
 	o := &x.commands[number]
 	op := history.Operation{Register: history.Configuration, Client: x.operatorOf[number], ID: o.Name}
@@ -185,7 +189,7 @@
 	return op
 }
 
-// readsOf returns a read as operations of the history, one of each register.
+// readsOf returns a read as operations of the history, one for each register.
 func (x *Explorer) readsOf(number int, got *reading) []history.Operation {
 	read := history.Operation{Register: history.Configuration, Client: x.operatorOf[number], Kind: history.Read, Value: got.configuration}
 	all := []history.Operation{read}
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -1,7 +1,7 @@
-// Replica processes as values. A process is a history of inputs since its start; two histories that lead to the
-// same fingerprint, pending writes and timers are one process. The effect of an input on a process is computed
-// once, on the product's own code, and remembered: processes are deterministic and share nothing, so a state of
-// the whole system is a tuple of processes.
+// Replica processes as immutable values. A process is identified by its history of inputs since its start;
+// histories that lead to the same fingerprint, pending writes and timers are merged into one process. The effect
+// of an input on a process is computed once, by the product's own code, and cached. This is sound because
+// processes are deterministic and share nothing; a state of the whole system is a tuple of processes.
 
 package model
 
@@ -15,11 +15,11 @@
 	"wallport/runtime/wire"
 )
 
-// pendingWrite is a file write that a process requested and that is not synced yet.
+// pendingWrite is a file write that a process requested and that has not been synced.
 type pendingWrite struct {
 	key, file string
 	data      []byte
-	// cause is the digest of the input that requested it, with its time.
+	// cause is the digest of the input that requested the write, including its time.
 	cause digest
 }
 
@@ -32,7 +32,8 @@
 type process struct {
 	id      int32
 	replica int
-	// incarnation counts the replica's starts: its random numbers differ between them.
+	// incarnation counts the replica's starts. It is part of the random seed, so that random numbers differ between
+	// incarnations.
 	incarnation int
 	parent      *process
 	at          clock.Micros
@@ -41,15 +42,15 @@
 	writes      []pendingWrite
 	timers      []timer
 	committed   wire.Version
-	// body is that of the committed version.
+	// body is the body of the committed version.
 	body []byte
 }
 
-// effects holds what a step requested.
+// effects holds the process that results from a step, and what the step requested.
 type effects struct {
 	next  *process
 	sends []kernel.Send
-	// removes are files to be removed; nothing waits for that.
+	// removes lists files to delete. Deletions take effect immediately, as no process waits for them.
 	removes []string
 }
 
@@ -59,16 +60,16 @@
 	input   digest
 }
 
-// runtime runs processes and remembers their steps.
+// runtime runs processes and caches the effects of their steps.
 type runtime struct {
 	byState    map[digest]*process
 	steps      map[stepKey]*effects
 	starts     map[digest]*effects
 	cached     map[int32]*kernel.Kernel
 	cacheOrder []int32
-	// Steps counts the steps run on the product's code, Replayed those run again to rebuild a process.
+	// Steps counts the steps run on the product's code, Replayed the steps run again to rebuild a process.
 	Steps, Replayed int
-	// merged, if set, is called for every two histories that were taken for one process.
+	// merged, if set, is called for each pair of histories that were merged into one process.
 	merged func(known, other *process)
 }
 
@@ -94,7 +95,7 @@
 	return e
 }
 
-// step applies one input to a process.
+// step applies one input to a process and returns the effects, from the cache if they are known.
 func (r *runtime) step(p *process, at clock.Micros, input kernel.Input) *effects {
 	key := stepKey{p.id, at, inputDigest(input)}
 	if e := r.steps[key]; e != nil {
@@ -217,6 +218,7 @@
 	return appendNumber(b, int64(p.committed.Seq))
 }
 
+// inputBytes returns an unambiguous encoding of an input.
 func inputBytes(input kernel.Input) []byte {
 	if v, ok := input.(kernel.Received); ok {
 		return append(appendNumber([]byte("received"), int64(v.Conn)), v.Data...)
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -1,5 +1,5 @@
-// What the checker knows of the product: which package holds the replicated state machine, its messages, files
-// and commands. Nothing else in this package names them.
+// The adapter to the product: the package of the replicated state machine, its messages, files and commands. Other
+// files of this package do not depend on them.
 
 package model
 
@@ -25,16 +25,16 @@
 	"wallport/runtime/wire"
 )
 
-// pluginName is the plug-in under test; inputs go to it alone.
+// pluginName is the name of the plug-in under test; writes and timers of other plug-ins are ignored.
 const pluginName = "seats"
 
-// epoch is the wall clock at the steady clock's zero.
+// epoch is the wall-clock time when the monotonic clock is 0.
 const epoch = int64(1700000000 * clock.Second)
 
-// messages is the path of the package of the messages, of which the product's state holds some.
+// messages is the path of the package that defines the messages. The product's state contains pointers to messages.
 var messages = reflect.TypeFor[wire.Version]().PkgPath()
 
-// isMessage reports whether a type of a package is a message.
+// isMessage reports whether types of the package are messages.
 func isMessage(pkg string) bool { return pkg == messages }
 
 // bootKernel starts a replica's process on the files of its disk.
@@ -49,14 +49,14 @@
 // replicaOf returns the state machine of a process.
 func replicaOf(k *kernel.Kernel) any { return kernel.Find[*replica.Host](k) }
 
-// stateOf returns everything in a process that its replica reads: the state machine itself and the membership
-// table, whose rows it looks up.
+// stateOf returns the fingerprint of everything in a process that its replica reads: the state machine itself and
+// the membership table, in which it looks up rows.
 func stateOf(k *kernel.Kernel) []byte {
 	return append(fingerprint(replicaOf(k)), fingerprint(kernel.Find[*membership.Members](k))...)
 }
 
-// fixRandom makes the next step draw the same random numbers whatever was drawn before: two histories that lead
-// to the same state must not differ by chance.
+// fixRandom reseeds a process's random numbers, so that the next step does not depend on how many numbers earlier
+// steps drew. Otherwise two histories that lead to the same state could have different continuations.
 func fixRandom(k *kernel.Kernel, replica, incarnation int) {
 	k.Rand = rand.New(rand.NewPCG(uint64(replica), uint64(incarnation)))
 }
@@ -73,7 +73,7 @@
 	return wire.Replica{ID: replicaName(replica), Zone: fmt.Sprintf("zone-%d", replica+1), Addr: replicaAddress(replica)}
 }
 
-// bootstrappedDisk returns the disk of a voter of a group that has just been bootstrapped.
+// bootstrappedDisk returns the disk of a voter in a group that has just been bootstrapped.
 func bootstrappedDisk(replica, voters int) map[string][]byte {
 	bootstrap := wire.Bootstrap{BootstrapID: "f", Commit: true, Proposer: memberOf(0)}
 	for i := range voters {
@@ -84,12 +84,12 @@
 	return files
 }
 
-// standbyDisk returns the disk of a process that has an identity and is not a voter.
+// standbyDisk returns the disk of a process that has an identity but is not a voter.
 func standbyDisk(replica int) map[string][]byte {
 	return map[string][]byte{"seat": diskfile.Pack([]byte(replicaName(replica)))}
 }
 
-// versionIn returns the version that a file holds.
+// versionIn returns the version of the configuration that a file holds, false if it holds none.
 func versionIn(file string, data []byte) (wire.Versioned, bool) {
 	var v wire.Versioned
 	if !strings.HasPrefix(file, fmt.Sprintf("part-%d.stamp-", state.ConfigPartition)) {
@@ -102,7 +102,7 @@
 	return v, true
 }
 
-// identityIn returns the identity that a disk holds.
+// identityIn returns the identity that a disk holds, "" if there is none.
 func identityIn(files map[string][]byte) string {
 	content, err := diskfile.Unpack(files["seat"])
 	if err != nil {
@@ -111,15 +111,15 @@
 	return string(content)
 }
 
-// versionDigest covers everything in which equal versions must agree: body and members.
+// versionDigest returns a digest of everything in which two copies of a version must agree: body and members.
 func versionDigest(v wire.Versioned) digest { return digestOf(wire.Encode(&v)) }
 
-// announceFrame returns the message by which a process that is not a voter announces itself.
+// announceFrame returns the message with which a standby announces itself.
 func announceFrame(replica int, identity string) []byte {
 	return wire.Seal(wire.KindPull, 1, &wire.Pull{Addr: replicaAddress(replica), Replica: identity, Zone: fmt.Sprintf("zone-%d", replica+1)})
 }
 
-// commandFrame returns an operator's call.
+// commandFrame returns the message that carries an operator's command.
 func commandFrame(id uint64, o *Command) []byte {
 	e := wire.Edit{Partition: state.ConfigPartition, EditID: o.Name, By: "operator"}
 	switch o.Kind {
@@ -149,8 +149,8 @@
 	}
 }
 
-// contents holds the commands that a version's body includes: the pools by the names of their commands, the
-// revision in force, and the drained zones.
+// contents holds the effects of commands on a version's body: the pool names, which are the names of the changes,
+// the revision in force, and the drained zones.
 type contents struct {
 	revision int64
 	commands []string
--- a/lab/model/record.go
+++ b/lab/model/record.go
@@ -1,5 +1,5 @@
-// The record of a schedule: what invariants over more than one state depend on. It is part of a state's key, and
-// is never changed in place.
+// The record of a schedule: the data for invariants that span more than one state. It is part of a state's key and
+// immutable; each update returns a new record.
 
 package model
 
@@ -18,7 +18,7 @@
 	drained       []string
 }
 
-// event is the begin or the end of a command, in the order in which operators saw them.
+// event is the begin or the end of a command. A record lists events in the order in which operators observed them.
 type event struct {
 	command  int
 	end      bool
@@ -27,17 +27,18 @@
 }
 
 type record struct {
-	// leaders holds the leaders by term; versions the proposed versions.
+	// leaders maps each term to its leader, versions each proposed version to the digest of its content.
 	leaders  map[uint64]string
 	versions map[wire.Version]digest
-	// committed holds the versions that some replica took for committed.
+	// committed holds the versions that any replica has considered committed, in order.
 	committed []wire.Version
-	// synced holds the newest version that each identity's disk has ever held.
+	// synced holds the newest version that the disk of each identity has ever held.
 	synced map[string]wire.Version
-	// acknowledged holds the version of each acknowledged command.
-	acknowledged   map[int]wire.Version
-	refused        []int
-	events         []event
+	// acknowledged holds, for each acknowledged command, the version in the acknowledgement.
+	acknowledged map[int]wire.Version
+	refused      []int
+	events       []event
+	// sum is the digest of the whole record, eventsSum the digest of its events.
 	sum, eventsSum digest
 }
 
--- a/lab/model/system.go
+++ b/lab/model/system.go
@@ -12,14 +12,14 @@
 // Budget bounds how often each kind of fault and choice may occur in one schedule.
 type Budget struct {
 	Elapses, Losses, Doubles, Delays, Crashes, LostDisks, Isolations, Freezes, Announces, Stops, Calls int
-	// Holds is how often a source may be paused, or AllInterleavings.
+	// Holds is the number of times a source may be paused, or AllInterleavings.
 	Holds int
 }
 
-// message is a frame in flight; connection is the one that the receiver answers on.
+// message is a frame in flight; the receiver answers on connection.
 type message struct {
 	connection uint64
-	// request reports that it was sent to an address, over whatever connection there is.
+	// request reports that the frame was sent to an address, not over a particular connection.
 	request bool
 	data    []byte
 	digest  digest
@@ -36,14 +36,14 @@
 	return &disk{files: files, sum: digestOf(filesBytes(files))}
 }
 
-// with returns the disk after one write.
+// with returns a copy of the disk after one write.
 func (d *disk) with(w pendingWrite) *disk {
 	files := maps.Clone(d.files)
 	files[w.file] = w.data
 	return newDisk(files)
 }
 
-// without returns the disk after files were removed.
+// without returns a copy of the disk without the given files.
 func (d *disk) without(names []string) *disk {
 	files := maps.Clone(d.files)
 	for _, name := range names {
@@ -62,34 +62,34 @@
 	return b
 }
 
-// link is one step of a schedule, linked to the one before.
+// link is one step of a schedule, linked to the previous step.
 type link struct {
 	before *link
 	action Action
 }
 
-// everyReplica means that the last step was one of all replicas, or of none.
+// everyReplica means that the last step affected all replicas or none.
 const everyReplica = -1
 
-// system is one state of the whole system; states share what they have in common.
+// system is one state of the whole system. States share their unchanged parts.
 type system struct {
 	now       clock.Micros
 	processes []*process
 	disks     []*disk
-	// starts counts the starts of each replica's process.
+	// starts is the number of starts of each replica's process.
 	starts []int
-	// frozenAt is when each replica was frozen, 0 if it runs.
+	// frozenAt is the time at which each replica was frozen, 0 if it is running.
 	frozenAt []clock.Micros
-	// queues holds the messages from one replica to another, in order, at index from*n+to.
+	// queues holds the messages in flight between each pair of replicas, in order, at index from*n+to.
 	queues [][]*message
 	calls  []call
-	// order holds the sources that have something to do, in the order of their turns.
+	// order lists the nonempty sources in round-robin order.
 	order []uint8
 	// pausedSources has a bit for each paused source.
 	pausedSources uint64
 	// isolated has a bit for each partitioned replica.
 	isolated uint64
-	// touched is the replica of the last step, or everyReplica.
+	// touched is the replica that the last step affected, or everyReplica.
 	touched int
 	left    Budget
 	record  *record
@@ -110,7 +110,7 @@
 	return &c
 }
 
-// key returns the canonical hash of a state: equal states have equal futures.
+// key returns the canonical hash of a state. States with equal keys have the same continuations.
 func (s *system) key() digest {
 	h := sha256.New()
 	var b []byte
--- a/lab/model/walk.go
+++ b/lab/model/walk.go
@@ -1,24 +1,24 @@
-// Random walks beyond the bound of the exploration, and the shrinking of a
-// schedule that fails.
+// Random walks beyond the bound of the exploration, and shrinking of failing schedules.
 
 package model
 
 import "math/rand/v2"
 
-// weights keep a walk going: progress is likelier than faults.
+// weights are the relative probabilities of the kinds of actions. Progress is more likely than faults, so that a
+// walk does not get stuck.
 var weights = map[ActionKind]int{
 	Deliver: 60, Sync: 60, Elapse: 14, Call: 10, Announce: 4, Thaw: 4, Lose: 2, Double: 2, Delay: 4, Crash: 2, CrashAlone: 1, LoseDisk: 1, Isolate: 2, Rejoin: 4, Hold: 2, Release: 4, Freeze: 2, Stop: 1,
 }
 
-// WalkReport is the outcome of a number of walks.
+// WalkReport is the outcome of a series of walks.
 type WalkReport struct {
 	Walks, Steps int
-	// Seed is the seed of the walk that failed.
+	// Seed is the seed of the failed walk.
 	Seed    uint64
 	Failure *Failure
 }
 
-// walkTo runs one random schedule of the given length, or to the first violation.
+// walkTo runs one random schedule up to the given length or the first violation.
 func (x *Explorer) walkTo(seed uint64, length int) (*system, error) {
 	rnd := rand.New(rand.NewPCG(seed, 0x6d6f64656c))
 	s, err := x.initial()
@@ -32,7 +32,7 @@
 	return s, err
 }
 
-// draw draws an action: first a kind, by its weight, then one of that kind.
+// draw picks a random action: first a kind by weight, then uniformly an action of that kind.
 func draw(rnd *rand.Rand, actions []Action) Action {
 	kinds := map[ActionKind][]Action{}
 	total := 0
@@ -53,12 +53,12 @@
 	return actions[0]
 }
 
-// Walks runs the schedules of consecutive seeds until one fails, and shrinks that one.
+// Walks runs random schedules with consecutive seeds until one fails, and shrinks the failing schedule.
 func (c Config) Walks(first uint64, walks, length int) (WalkReport, error) {
 	var r WalkReport
 	var x *Explorer
 	for i := range walks {
-		// A world remembers every process it has met: a new one now and then bounds the memory.
+		// An explorer caches every process it has encountered: replacing it regularly bounds the memory.
 		if i%walksPerExplorer == 0 {
 			x = NewWorld(c)
 		}
@@ -79,7 +79,7 @@
 
 const walksPerExplorer = 50
 
-// Shrink removes actions from a failing schedule as long as the same invariant breaks.
+// Shrink removes actions from a failing schedule as long as the rest violates the same invariant.
 func (x *Explorer) Shrink(f *Failure) *Failure {
 	best := f
 	for size := len(best.Schedule) / 2; size > 0; {
@@ -94,7 +94,8 @@
 	return best
 }
 
-// without tries to remove one run of actions, and returns the failure that remains.
+// without tries to remove one run of size consecutive actions. It returns the remaining failure, nil if there is
+// no such run.
 func (x *Explorer) without(f *Failure, size int) *Failure {
 	for from := 0; from+size <= len(f.Schedule); from += size {
 		rest := append(append([]Action(nil), f.Schedule[:from]...), f.Schedule[from+size:]...)
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -1,4 +1,5 @@
-// The system under exploration: its replicas and operators, and how an action changes a state.
+// The system under exploration: its replicas and operators, its initial state, and how the effects of a step change
+// a state.
 
 package model
 
@@ -11,24 +12,27 @@
 	"wallport/runtime/wire"
 )
 
-// Config describes what is explored.
+// Config describes a system and the schedules to explore.
 type Config struct {
 	Name string
-	// Voters form the group at the start; Standbys are further processes, which are not voters.
+	// Voters is the number of replicas that form the group at the start, Standbys the number of further processes
+	// that are not voters.
 	Voters, Standbys int
-	// Settled starts with an elected leader instead of a group that was just bootstrapped.
+	// Settled starts with an elected leader instead of a group that has just been bootstrapped.
 	Settled bool
-	// IsolatedAtStart are replicas that are partitioned at the start.
+	// IsolatedAtStart lists the replicas that are partitioned from the others at the start.
 	IsolatedAtStart []int
-	// Faulty are the replicas that crash, freeze, are partitioned and so on; empty means all.
+	// Faulty lists the replicas on which faults (crashes, freezes, partitions, stops) may be injected; empty means
+	// all.
 	Faulty []int
-	// SlowDisks makes holds pause disks only, not messages.
+	// SlowDisks restricts holds to disks; message queues are not paused.
 	SlowDisks bool
-	// Prelude are actions before the exploration, each followed by everything that results.
+	// Prelude lists actions that run before the exploration. After each of them, syncs and deliveries run until
+	// none is pending.
 	Prelude []Action
-	// Operators are the commands of each operator, in order.
+	// Operators holds the commands of each operator, in order.
 	Operators [][]Command
-	// Spans are the times that may pass at once, in microseconds.
+	// Spans are the durations by which the clock may advance in one step, in microseconds.
 	Spans  []int
 	Budget Budget
 }
@@ -52,27 +56,28 @@
 	messages  map[digest]*message
 	versions  map[digest]*knownVersion
 	histories map[digest]error
-	// Seen counts what the exploration provoked.
+	// Seen counts the events that the exploration provoked.
 	Seen Seen
 }
 
-// Seen counts what schedules provoked, over all states.
+// Seen counts the events that schedules provoked, over all states.
 type Seen struct{ Leaders, Commits, Acknowledged, Refused, Reads, MemberChanges int }
 
-// FreezeGap is how long a process must have been frozen to be told so, as in the process's own loop.
+// FreezeGap is the time for which a process must have been frozen before it receives a Thawed input. It matches the
+// event loop of a real process.
 const FreezeGap = clock.Second
 
-// begin is the steady clock at the start of a schedule.
+// begin is the monotonic time at the start of a schedule.
 const begin = clock.Second
 
-// NewWorld returns a world for a configuration.
+// NewWorld returns an explorer for a configuration.
 func NewWorld(c Config) *Explorer {
 	x := &Explorer{
 		Config: c, replicas: c.Voters + c.Standbys, voters: c.Voters, operators: c.Operators, restores: map[string]bool{},
 		runtime: newRuntime(), messages: map[digest]*message{}, versions: map[digest]*knownVersion{}, histories: map[digest]error{},
 	}
-	for operator, commands := range c.Operators {
-		for _, o := range commands {
+	for operator, operatorCommands := range c.Operators {
+		for _, o := range operatorCommands {
 			x.commands = append(x.commands, o)
 			x.operatorOf = append(x.operatorOf, operator)
 			if o.Zone != "" && !slices.Contains(x.zones, o.Zone) {
@@ -84,7 +89,7 @@
 	return x
 }
 
-// initial returns the state at the start of every schedule.
+// initial returns the state in which every schedule starts.
 func (x *Explorer) initial() (*system, error) {
 	n := x.replicas
 	s := &system{
@@ -110,7 +115,7 @@
 	return x.runPrelude(s)
 }
 
-// elect makes the first replica be elected, with nothing lost and nothing late.
+// elect lets time pass until the first replica is elected, without lost or delayed messages.
 func (x *Explorer) elect(s *system) (*system, error) {
 	const rounds = 4
 	for range rounds {
@@ -126,7 +131,7 @@
 	return s, nil
 }
 
-// runPrelude runs the prelude, with as much of everything as it takes, and leaves the budget whole.
+// runPrelude isolates the configured replicas and runs the prelude. The prelude does not count against the budget.
 func (x *Explorer) runPrelude(s *system) (*system, error) {
 	for _, i := range x.IsolatedAtStart {
 		s.isolated |= 1 << i
@@ -144,7 +149,7 @@
 	return s, nil
 }
 
-// runUntilIdle syncs and delivers until nothing is pending.
+// runUntilIdle syncs writes and delivers messages until none is pending.
 func (x *Explorer) runUntilIdle(s *system) (*system, error) {
 	for {
 		a, ok := pendingAction(x.enabled(s))
@@ -176,12 +181,13 @@
 	return x.applyEffects(s, i, x.runtime.start(i, s.starts[i], s.now, s.disks[i].files))
 }
 
-// feed gives a replica one input.
+// feed applies one input to a replica.
 func (x *Explorer) feed(s *system, i int, input kernel.Input) error {
 	return x.applyEffects(s, i, x.runtime.step(s.processes[i], s.now, input))
 }
 
-// applyEffects carries out what a step asked for and checks it.
+// applyEffects carries out the file removals and sends that a step requested, and checks the invariants on the
+// resulting writes, messages and committed version.
 func (x *Explorer) applyEffects(s *system, i int, e *effects) error {
 	s.processes[i] = e.next
 	if len(e.removes) > 0 {
@@ -202,7 +208,7 @@
 	return x.checkCommitted(s, e.next)
 }
 
-// handleSend puts a frame on its way, or hands an answer to its operator.
+// handleSend appends a sent frame to the receiver's queue, or passes an answer to its operator.
 func (x *Explorer) handleSend(s *system, from int, send kernel.Send) error {
 	f := openFrame(send.Data)
 	switch {
@@ -224,6 +230,7 @@
 	return nil
 }
 
+// target returns the replica to which a frame is sent, -1 if there is none.
 func (x *Explorer) target(send kernel.Send) int {
 	for i := range x.replicas {
 		if send.Addr == replicaAddress(i) || send.Addr == "" && send.Conn == replicaConnection(i) {
@@ -233,6 +240,7 @@
 	return -1
 }
 
+// message returns the message for a frame; equal messages share one value.
 func (x *Explorer) message(connection uint64, send kernel.Send, f frame) *message {
 	request := send.Addr != ""
 	b := append(appendNumber(nil, int64(connection)), byte(boolInt(request)))
@@ -246,5 +254,5 @@
 }
 
 func (x *Explorer) String() string {
-	return fmt.Sprintf("%s: %d voters, %d standbys, %d orders, budget %+v", x.Name, x.voters, x.Standbys, len(x.commands), x.Budget)
+	return fmt.Sprintf("%s: %d voters, %d standbys, %d commands, budget %+v", x.Name, x.voters, x.Standbys, len(x.commands), x.Budget)
 }
--- a/lab/violation/violation.go
+++ b/lab/violation/violation.go
@@ -3,7 +3,7 @@
 
 import "wallport/runtime/invariant"
 
-// By runs a function and returns the name of the invariant that it violated, "" for none.
+// By calls f and returns the name of the invariant that f violated, "" for none. Other panics are passed on.
 func By(f func()) (name invariant.Name) {
 	defer func() {
 		switch v := recover().(type) {
