--- a/lab/rules/check.go
+++ b/lab/rules/check.go
@@ -1,4 +1,4 @@
-// Running all rules over a journal, and the helpers that they share.
+// Check, which runs all rules over a journal, and the helpers that the rules share.
 
 package rules
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// maxFindingsPerRule bounds the findings of one rule that are kept; Broken counts all.
+// maxFindingsPerRule is the maximum number of findings kept per rule; Broken counts all violations.
 const maxFindingsPerRule = 3
 
 func (j *Journal) fail(rule string, at clock.Micros, text string, args ...any) {
@@ -42,7 +42,8 @@
 
 func (j *Journal) tested(rule string) { j.Tested[rule]++ }
 
-// routeOf returns a table's route for a host and a path: the one with the longest prefix of the path.
+// routeOf returns a table's route for a host and a path: the one with the longest matching prefix, nil if none
+// matches.
 func routeOf(t *routingpb.RoutingTable, host, path string) *routingpb.Route {
 	var best *routingpb.Route
 	for _, r := range t.GetRoutes() {
@@ -53,7 +54,7 @@
 	return best
 }
 
-// poolsOf returns the pools that a route may send a request to.
+// poolsOf returns the pools to which a route may send a request.
 func poolsOf(r *routingpb.Route) []string {
 	switch {
 	case r == nil:
@@ -72,6 +73,7 @@
 	return []string{r.Pool}
 }
 
+// allows reports whether a table may send a request for a host and a path to a pool.
 func allows(t *routingpb.RoutingTable, host, path, pool string) bool {
 	for _, p := range poolsOf(routeOf(t, host, path)) {
 		if p == pool {
@@ -86,7 +88,7 @@
 	return version.Table != nil && !version.Invalid && version.Refused == Never && version.Sent <= at
 }
 
-// newestAcked returns the newest version that was acknowledged by a moment, nil without one.
+// newestAcked returns the newest version that was acknowledged at or before a time, nil if there is none.
 func (j *Journal) newestAcked(at clock.Micros) *Version {
 	var best *Version
 	for _, version := range j.Versions {
@@ -97,7 +99,7 @@
 	return best
 }
 
-// promisesNotRun reports whether a status promises that the request has not run and never will.
+// promisesNotRun reports whether a status guarantees that the request has not run and never will.
 func promisesNotRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
--- a/lab/rules/config.go
+++ b/lab/rules/config.go
@@ -1,4 +1,4 @@
-// The rules on the configuration: CONFIG, ROUTE, and acknowledgements in time.
+// The rules on the configuration: CONFIG, ROUTE, and ACKS (acknowledgements in time).
 
 package rules
 
@@ -12,8 +12,8 @@
 	"wallport/runtime/clock"
 )
 
-// possible returns the versions by which a machine may handle a request, given when it was sent: those that may
-// be in force, but none older than the newest whose bound had passed.
+// possible returns the versions by which a machine may handle a request: those that may be in force when the
+// request ends, except versions older than the newest one that had to be in force when the request was sent.
 func (j *Journal) possible(attempt *Attempt, machine string) []*Version {
 	least := int64(0)
 	for _, version := range j.Versions {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// route checks ROUTE: a service runs only what some configuration sends there.
+// route checks ROUTE: a service runs only requests that some configuration routes to it.
 func route(j *Journal) {
 	for _, a := range j.Arrivals {
 		attempt := j.attempts[a.Attempt]
@@ -44,12 +44,12 @@
 		if !slices.ContainsFunc(j.Versions, func(version *Version) bool {
 			return version.Sent <= a.At && allows(version.Table, attempt.Host, attempt.Path, a.Backend.Pool)
 		}) {
-			j.fail(Route, a.At, "%s of %s runs %s, which no configuration sends there", a.Backend.ID, a.Backend.Pool, attempt.ID)
+			j.fail(Route, a.At, "%s of %s ran %s, which no configuration routes there", a.Backend.ID, a.Backend.Pool, attempt.ID)
 		}
 	}
 }
 
-// configHandled checks CONFIG: requests are handled as a version allows that may still be in force.
+// configHandled checks CONFIG: each request is handled as allowed by some version that may still be in force.
 func configHandled(j *Journal) {
 	for _, attempt := range j.Attempts {
 		if attempt.Status == 0 && len(j.arrivalsByAttempt[attempt.ID]) == 0 {
@@ -71,18 +71,18 @@
 		if attempt.Generated && attempt.Status == 404 {
 			j.tested(Config)
 			if !slices.ContainsFunc(ok, func(version *Version) bool { return routeOf(version.Table, attempt.Host, attempt.Path) == nil }) {
-				j.fail(Config, attempt.Ended, "%s, sent at %d us, got a 404 from %s though its route is there", attempt.ID, attempt.Sent, attempt.Machine)
+				j.fail(Config, attempt.Ended, "%s, sent at %d us, got a 404 from %s although every version that may be in force has its route", attempt.ID, attempt.Sent, attempt.Machine)
 			}
 		}
 	}
 }
 
-// configInForce checks CONFIG: the configuration in force at a node is new enough, was not rejected, and never
-// goes back.
+// configInForce checks CONFIG: the configuration in force at a node is recent enough, was not rejected, and its
+// revision never decreases.
 func configInForce(j *Journal) {
 	byRevision := map[int64]*Version{}
 	for _, version := range j.Versions {
-		// Of two versions under one revision the one that may be in force counts.
+		// If two versions share a revision, the one that was not refused counts.
 		if was := byRevision[version.Revision]; was == nil || was.Refused != Never {
 			byRevision[version.Revision] = version
 		}
@@ -101,7 +101,7 @@
 		}
 		last[at] = s.Revision
 		if version := byRevision[s.Revision]; s.Revision > 0 && (version == nil || version.Invalid || version.Refused != Never) {
-			j.fail(Config, s.At, "%s has revision %d in force, which was never taken", s.Machine, s.Revision)
+			j.fail(Config, s.At, "%s has revision %d in force, which was never accepted", s.Machine, s.Revision)
 		}
 		for _, version := range j.Versions {
 			if version.Acked == Never || version.Revision <= s.Revision {
@@ -115,7 +115,8 @@
 	}
 }
 
-// configRaces checks CONFIG: of two changes based on one version only one is acknowledged, and no invalid one.
+// configRaces checks CONFIG: of several changes based on the same version at most one is acknowledged, and an
+// invalid change never is.
 func configRaces(j *Journal) {
 	byBase := map[int64]*Version{}
 	for _, version := range j.Versions {
@@ -127,14 +128,14 @@
 			j.fail(Config, version.Acked, "revision %d is invalid and was acknowledged", version.Revision)
 		}
 		if other := byBase[version.Base]; other != nil {
-			j.fail(Config, version.Acked, "revisions %d and %d, both on top of %d, were acknowledged", other.Revision, version.Revision, version.Base)
+			j.fail(Config, version.Acked, "revisions %d and %d, both based on %d, were acknowledged", other.Revision, version.Revision, version.Base)
 		}
 		byBase[version.Base] = version
 	}
 }
 
-// configRead checks CONFIG: a configuration that is read back is new enough and is what was sent under its
-// revision.
+// configRead checks CONFIG: a configuration that is read back is recent enough and equals what was sent under its
+// revision. After the closing fault, a configuration that is too old or missing breaks LOST.
 func configRead(j *Journal) {
 	if len(j.Versions) == 0 {
 		return
@@ -146,7 +147,7 @@
 	}
 	if len(j.ReadBack) == 0 {
 		if newest != nil {
-			j.fail(rule, j.End, "the configuration did not come when it was read back")
+			j.fail(rule, j.End, "reading back the configuration got no answer")
 		}
 		return
 	}
@@ -154,7 +155,7 @@
 	newest = j.newestAcked(r.RequestedAt)
 	j.tested(Config)
 	if newest != nil && r.Table.GetRevision() < newest.Revision {
-		j.fail(rule, r.At, "revision %d was read back, %d was acknowledged", r.Table.GetRevision(), newest.Revision)
+		j.fail(rule, r.At, "revision %d was read back although %d was acknowledged before the read", r.Table.GetRevision(), newest.Revision)
 		return
 	}
 	for _, version := range j.Versions {
@@ -162,10 +163,10 @@
 			return
 		}
 	}
-	j.fail(Config, r.At, "what was read back as revision %d differs from what was sent under that number", r.Table.GetRevision())
+	j.fail(Config, r.At, "the configuration read back as revision %d differs from what was sent under that revision", r.Table.GetRevision())
 }
 
-// equalConfigs reports whether two configurations are equal; the order of items does not matter.
+// equalConfigs reports whether two configurations are equal, regardless of the order of their items.
 func equalConfigs(a, b *routingpb.RoutingTable) bool {
 	sorted := func(t *routingpb.RoutingTable) *routingpb.RoutingTable {
 		c := proto.Clone(t).(*routingpb.RoutingTable)
@@ -176,12 +177,14 @@
 	return proto.Equal(sorted(a), sorted(b))
 }
 
-// acks checks ACKS: a valid command is acknowledged within the bound of one span in which the core was settled.
+// acks checks ACKS: a valid command is acknowledged before the core has been settled for longer than the bound
+// without interruption.
 func acks(j *Journal) {
 	c := j.Bounds.ContactUs
 	check := func(what string, sent, acked clock.Micros) {
 		j.tested(Acks)
-		// The longest settled span since it was sent, interrupted by everything that unsettles the core.
+		// from is the start of the current settled span since the command was sent. Everything that unsettles the
+		// core ends a span; the next one begins ContactUs after the core is settled again.
 		from := sent
 		end := min(acked, j.End)
 		for _, s := range j.Faults.Unsettled {
@@ -197,12 +200,12 @@
 			from = max(from, s.To+c)
 		}
 		if end-from > j.Bounds.AckUs {
-			j.fail(Acks, end, "%s, sent at %d us, had no acknowledgement for %d us in a settled core", what, sent, end-from)
+			j.fail(Acks, end, "%s, sent at %d us, got no acknowledgement within %d us while the core was settled", what, sent, end-from)
 		}
 	}
 	for _, version := range j.Versions {
 		if version.Alone && !version.Invalid && version.Refused != Never {
-			j.fail(Acks, version.Refused, "revision %d, on top of the newest one, was refused", version.Revision)
+			j.fail(Acks, version.Refused, "revision %d, based on the newest version and without a concurrent change, was refused", version.Revision)
 		}
 		if !version.Invalid && version.Refused == Never {
 			check("a configuration", version.Sent, firstAcknowledged(version.Acked, version.FirstAcked))
--- a/lab/rules/fault_spans.go
+++ b/lab/rules/fault_spans.go
@@ -1,5 +1,5 @@
-// Which machines were in contact when. Rules with a time bound apply to machines without a fault of their own
-// for a while, as long as the core was settled.
+// The times at which machines were in contact with the core. Rules with a time bound apply to machines that have had
+// no fault of their own for a while, as long as the core was settled.
 
 package rules
 
@@ -9,27 +9,27 @@
 	"wallport/runtime/clock"
 )
 
-// Span is a span of time; To is Never while it lasts. A span whose From equals To is a moment.
+// Span is a closed time interval; To is Never while it lasts. From equals To for an event without duration.
 type Span struct{ From, To clock.Micros }
 
-// Spans is a list of spans in order.
+// Spans is a list of spans in chronological order.
 type Spans []Span
 
-// Open starts a span unless one is open.
+// Open starts a span unless the last one is still open.
 func (s *Spans) Open(at clock.Micros) {
 	if n := len(*s); n == 0 || (*s)[n-1].To != Never {
 		*s = append(*s, Span{at, Never})
 	}
 }
 
-// Close ends the open span.
+// Close ends the open span, if any.
 func (s *Spans) Close(at clock.Micros) {
 	if n := len(*s); n > 0 && (*s)[n-1].To == Never {
 		(*s)[n-1].To = at
 	}
 }
 
-// Set opens or closes a span.
+// Set opens a span if on is true, and closes the open one otherwise.
 func (s *Spans) Set(at clock.Micros, on bool) {
 	if on {
 		s.Open(at)
@@ -38,7 +38,7 @@
 	}
 }
 
-// Moment records an event without duration.
+// Moment records an event without duration, unless it falls into an open span.
 func (s *Spans) Moment(at clock.Micros) {
 	if n := len(*s); n == 0 || (*s)[n-1].To != Never {
 		*s = append(*s, Span{at, at})
@@ -55,21 +55,23 @@
 	return false
 }
 
-// FaultSpans holds when faults lasted.
+// FaultSpans holds the time spans of faults.
 type FaultSpans struct {
-	// Machines holds each machine's own faults: its processes, disk, clock and links to the core.
+	// Machines holds each machine's own faults: faults of its processes, disk, clock and links to the core.
 	Machines map[string]*Spans
-	// Unsettled holds what unsettles the core, NoMajority when half of it or less ran, connected and not slowed.
+	// Unsettled holds the events that unsettle the core. NoMajority holds the spans in which half of the core or
+	// less was running, connected and not slowed.
 	Unsettled, NoMajority Spans
-	// Unplanned holds all faults anywhere that are not planned work, Planned the planned work.
+	// Unplanned holds all faults of any machine that are not planned work, Planned the planned work.
 	Unplanned, Planned Spans
 }
 
-// plannedWorkTailUs is how long a version still counts as planned work after it is due everywhere.
+// plannedWorkTailUs is the time for which a version still counts as planned work after it had to be in force on all
+// nodes.
 const plannedWorkTailUs = clock.Second
 
-// planned returns all planned work: that of the machines, and each configuration that may be in force, from when
-// it was sent until some time after its acknowledgement.
+// planned returns the spans of all planned work: the work on machines, and each configuration that may be in force,
+// from the time it was sent until plannedWorkTailUs after it has to be in force on all nodes.
 func (j *Journal) planned() Spans {
 	spans := slices.Clone(j.Faults.Planned)
 	for _, version := range j.Versions {
@@ -97,16 +99,18 @@
 	return s
 }
 
-// Settled reports whether the core was settled for all of the time from a to b.
+// Settled reports whether the core was settled without interruption from contact before a until b.
 func (t *FaultSpans) Settled(a, b, contact int64) bool { return !t.Unsettled.Hit(a-contact, b) }
 
-// InContact reports whether a machine is in contact at a moment.
+// InContact reports whether a machine is in contact at a time: neither the machine had a fault nor was the core
+// unsettled for the time contact before it.
 func (t *FaultSpans) InContact(machine string, at, contact clock.Micros) bool {
 	return !t.Of(machine).Hit(at-contact, at) && !t.Unsettled.Hit(at-contact, at)
 }
 
-// bound returns how long after an acknowledgement at acked a machine may take at the given time: the bound
-// itself in contact, more while the core is unsettled; false means any time, as the machine is faulty itself.
+// bound returns the time that a machine may take after an acknowledgement at acked, as seen at the given time: the
+// bound itself if the machine is in contact, and StretchUs more if the core is unsettled. It returns false if there
+// is no bound, because the machine itself is faulty or the core lost its majority at some time since acked.
 func (j *Journal) bound(machine string, acked, at, bound clock.Micros) (int64, bool) {
 	c := j.Bounds.ContactUs
 	switch {
--- a/lab/rules/histories.go
+++ b/lab/rules/histories.go
@@ -1,5 +1,5 @@
-// The rule on histories: what operators were answered fits one order of their calls, for the configuration and
-// for each zone. The users' pages have no rule of this name; CONFIG, LOST and EVAC imply it.
+// The rule on histories: the answers to operators' calls are linearizable, for the configuration and for each zone.
+// The users' pages have no rule of this name; CONFIG, LOST and EVAC imply it.
 
 package rules
 
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("revision %d, sent as number %d", version.Revision, i)
 }
 
-// between sets when an operation began, and when and how it ended.
+// between sets the begin, end and outcome of an operation; acked and refused are Never if no such answer came.
 func between(op history.Operation, sent, acked, refused clock.Micros) history.Operation {
 	op.Begin = sent
 	switch {
@@ -73,7 +73,7 @@
 	return op
 }
 
-// addReading adds a read of the configuration and of every zone that was ever drained.
+// addReading adds a confirmed reading as reads of the configuration and of every zone that was ever drained.
 func (j *Journal) addReading(h *history.History, r ConfirmedReading) {
 	op := history.Operation{Register: history.Configuration, Kind: history.Read, Begin: r.Sent, End: r.At, Outcome: history.Accepted}
 	op.Value = j.valueOf(r)
@@ -90,7 +90,7 @@
 	}
 }
 
-// zonesOf returns the zones that were ever drained, and those that a reading shows as drained.
+// zonesOf returns the zones that operators' calls ever named, and those that a reading shows as drained.
 func (j *Journal) zonesOf(r ConfirmedReading) []string {
 	zones := slices.Clone(r.Drained)
 	for _, evacuation := range j.Evacuations {
@@ -103,7 +103,7 @@
 	return slices.Compact(zones)
 }
 
-// valueOf returns the name of the version that a reading shows: the one with its revision and content.
+// valueOf returns the id of the version with the revision and content of a reading, "" for the initial one.
 func (j *Journal) valueOf(r ConfirmedReading) string {
 	if r.Table.GetRevision() == 0 {
 		return ""
@@ -113,5 +113,5 @@
 			return versionID(i, version)
 		}
 	}
-	return fmt.Sprintf("revision %d as nobody sent it", r.Table.Revision)
+	return fmt.Sprintf("revision %d with content that no operator sent", r.Table.Revision)
 }
--- a/lab/rules/histories_test.go
+++ b/lab/rules/histories_test.go
@@ -1,4 +1,4 @@
-// The rule on histories, with one planted fault at a time.
+// Tests of the rule on histories, with one injected fault at a time.
 
 package rules
 
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// read is a calm day with a zone that was drained and restored, and confirmed readings.
+// journalWithReadings returns a valid journal with a zone that was drained and restored, and confirmed readings.
 func journalWithReadings() *Journal {
 	j := validJournal()
 	j.Evacuations = []*Evacuation{{Zone: "z1", Sent: 40 * second, Acked: 41 * second, RestoreSent: 50 * second, RestoreAcked: 51 * second}}
@@ -29,14 +29,14 @@
 
 func TestJournalHistoriesWithPlantedFaultsFail(t *testing.T) {
 	for name, inject := range map[string]func(j *Journal){
-		"two orders on one base acknowledged":  func(j *Journal) { j.Versions = append(j.Versions, version(5, 1, 21*second, table(5, "p"))) },
+		"two changes on one base acknowledged": func(j *Journal) { j.Versions = append(j.Versions, version(5, 1, 21*second, table(5, "p"))) },
 		"a stale read":                         func(j *Journal) { j.Confirmed[1].Table = table(1, "p") },
 		"a lost acknowledged write":            func(j *Journal) { j.Confirmed[2].Table = table(1, "p") },
-		"a read of what nobody sent":           func(j *Journal) { j.Confirmed[2].Table = table(3, "p") },
-		"a drain that was forgotten":           func(j *Journal) { j.Confirmed[1].Drained = nil },
-		"a drain that came back":               func(j *Journal) { j.Confirmed[2].Drained = []string{"z1"} },
-		"a zone drained that nobody asked for": func(j *Journal) { j.Confirmed[0].Drained = []string{"z9"} },
-		"an acknowledged repeat refused": func(j *Journal) {
+		"a read of a version never sent":       func(j *Journal) { j.Confirmed[2].Table = table(3, "p") },
+		"an acknowledged drain lost":           func(j *Journal) { j.Confirmed[1].Drained = nil },
+		"a restored zone drained again":        func(j *Journal) { j.Confirmed[2].Drained = []string{"z1"} },
+		"a zone drained without a call":        func(j *Journal) { j.Confirmed[0].Drained = []string{"z9"} },
+		"a retry of an acknowledged change refused": func(j *Journal) {
 			j.Versions[1].Acked, j.Versions[1].Refused = Never, 25*second
 		},
 	} {
@@ -49,7 +49,8 @@
 	}
 }
 
-// A call about a zone that was given up may have been taken; once the zone was taken back, it has not.
+// A drain call that the operator abandoned may have taken effect. After an acknowledged call that restores the zone,
+// it must not take effect any more.
 func TestAbandonedZoneCalls(t *testing.T) {
 	abandoned := &ZoneCall{Zone: "z2", Drains: true, Sent: 30 * second, Acked: Never}
 	restore := &ZoneCall{Zone: "z2", Sent: 44 * second, Acked: 45 * second}
@@ -59,11 +60,11 @@
 		reads  []int
 		broken bool
 	}{
-		{"taken", []*ZoneCall{abandoned}, []int{1, 2}, false},
-		{"not given", nil, []int{1, 2}, true},
-		{"taken and taken back", []*ZoneCall{abandoned, restore}, []int{1}, false},
-		{"before it was given", []*ZoneCall{abandoned}, []int{0, 1, 2}, true},
-		{"taken back, and drained by an acknowledged call before", []*ZoneCall{{Zone: "z2", Drains: true, Sent: 30 * second, Acked: 31 * second}, restore}, []int{1, 2}, true},
+		{"drain took effect", []*ZoneCall{abandoned}, []int{1, 2}, false},
+		{"no drain sent", nil, []int{1, 2}, true},
+		{"drain took effect, then restored", []*ZoneCall{abandoned, restore}, []int{1}, false},
+		{"drain took effect before it was sent", []*ZoneCall{abandoned}, []int{0, 1, 2}, true},
+		{"restored after an acknowledged drain, still drained", []*ZoneCall{{Zone: "z2", Drains: true, Sent: 30 * second, Acked: 31 * second}, restore}, []int{1, 2}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := journalWithReadings()
--- a/lab/rules/journal.go
+++ b/lab/rules/journal.go
@@ -7,10 +7,10 @@
 	"wallport/runtime/clock"
 )
 
-// Never is a moment that has not come.
+// Never is the time of an event that has not happened.
 const Never = math.MaxInt64
 
-// Names of the rules, as in findings and counts.
+// Names of the rules, as used in findings and counts.
 const (
 	Mixed    = "MIXED"
 	Unasked  = "UNASKED"
@@ -28,18 +28,18 @@
 	Acks     = "ACKS"
 )
 
-// Parts of rules that are counted separately, so that a sweep can tell whether they were tested.
+// Parts of rules that are counted separately, so that a sweep can check that they were tested.
 const (
 	// LostPlanned counts requests near planned work to which LOST was applied.
 	LostPlanned = "LOST near planned work"
-	// MixedFailure counts failures with a backend's seal, whose status must be that backend's.
+	// MixedFailure counts failures that carry a backend's seal; their status must equal that backend's status.
 	MixedFailure = "MIXED in failures"
-	// ConfigRepeat counts repeats of acknowledged changes, ConfigNumber pairs of changes under one revision.
+	// ConfigRepeat counts retries of acknowledged changes, ConfigNumber pairs of changes with the same revision.
 	ConfigRepeat = "CONFIG of repeats"
 	ConfigNumber = "CONFIG of one number"
 	// BudgetAttempt counts attempts that ran on more than one backend of a service.
 	BudgetAttempt = "BUDGET of one try"
-	// DrainUnsettled counts arrivals at draining backends whose time ran while the core was not settled.
+	// DrainUnsettled counts arrivals at draining backends whose time to drain overlapped an unsettled core.
 	DrainUnsettled = "DRAIN over an unsettled core"
 )
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// Bounds are the limits of the rules; times are in microseconds.
+// Bounds holds the limits of the rules; times are in microseconds.
 type Bounds struct {
 	ContactUs, AckUs, DrainUs, GraceUs, LossUs, ApplyUs, StretchUs, EvacuateUs, RecoverUs clock.Micros
 	RetryRatio, RetryAllowance                                                            float64
@@ -59,14 +59,15 @@
 	SlowStartOverrun, SlowStartTolerance                                                  float64
 }
 
-// Attempt is one attempt of a client at a request.
+// Attempt is one attempt of a client to send a request, and its outcome.
 type Attempt struct {
 	ID, Class, Client, Zone, Machine string
 	Host, Method, Target, Path       string
 	Body                             []byte
 	Repeatable, Probe                bool
 	Sent, Read, Ended, Deadline      clock.Micros
-	// Status is what the client got, 0 for none. Generated reports that the node itself made the response.
+	// Status is the HTTP status that the client received, 0 if none. Generated reports that the node itself, not a
+	// backend, produced the response.
 	Status          int
 	Generated       bool
 	Seal            string
@@ -79,7 +80,7 @@
 	Late, Further   bool
 }
 
-// Served reports whether the client got a success.
+// Served reports whether the client received a success status.
 func (attempt *Attempt) Served() bool { return attempt.Status >= 200 && attempt.Status < 300 }
 
 // Arrival is a request that reached a backend.
@@ -90,8 +91,8 @@
 	Method, Target string
 	Body           []byte
 	Sent, At       clock.Micros
-	// Ran reports that work began; Wrong that the backend was not the intended one; Held that a partition
-	// delayed the request.
+	// Ran reports that the backend began to process the request, Wrong that the backend was not the intended one,
+	// and Held that a network partition delayed the request.
 	Ran, Wrong, Held bool
 	Status           int
 	Seal             string
@@ -102,9 +103,10 @@
 type Backend struct {
 	ID, Pool, Zone string
 	Born, Ended    clock.Micros
-	// Shown is when the platform's list first shows it as leaving.
+	// Shown is the time at which the platform's list first showed the backend as leaving.
 	Shown clock.Micros
-	// SlowStart holds when it can take only SlowStartPerS requests a second; 0 is no limit.
+	// SlowStart holds the spans in which the backend can handle only SlowStartPerS requests per second; 0 means no
+	// limit.
 	SlowStart     Spans
 	SlowStartPerS float64
 }
@@ -112,41 +114,42 @@
 // Version is a configuration that an operator sent.
 type Version struct {
 	Revision, Base int64
-	// Table is the complete resulting configuration, nil where there is none.
+	// Table is the complete resulting configuration, nil if there is none.
 	Table *routingpb.RoutingTable
-	// Sent is when it was first sent; Acked and Refused are when the answer came, or Never.
+	// Sent is the time at which the version was first sent; Acked and Refused are the times of the answer, or Never.
 	Sent, Acked, Refused clock.Micros
-	// FirstAcked is when the first acknowledgement left a machine, lost on its way or not, and RefusedAgain when
-	// a repeat of an acknowledged change was rejected; 0 is never. Repeats counts those repeats.
+	// FirstAcked is the time at which a machine sent the first acknowledgement, whether or not it arrived.
+	// RefusedAgain is the time at which a retry of an acknowledged change was rejected. Both are 0 if that never
+	// happened. Repeats counts the retries of acknowledged changes.
 	FirstAcked, RefusedAgain clock.Micros
 	Repeats                  int64
 	Invalid                  bool
-	// Alone reports that it was based on the newest version and had no rival.
+	// Alone reports that the version was based on the newest one and that no concurrent change had the same base.
 	Alone bool
 }
 
-// Evacuation is a planned evacuation of a zone: Acked is when it was acknowledged, RestoreSent when its end was
-// first asked for.
+// Evacuation is a planned evacuation of a zone. Acked is the time at which it was acknowledged, RestoreSent the time
+// at which the operator first requested its end.
 type Evacuation struct {
 	Zone         string
 	Sent, Acked  clock.Micros
 	RestoreSent  clock.Micros
 	RestoreAcked clock.Micros
-	// FirstAcked and RestoreFirstAcked are when the first acknowledgement left a machine, lost on its way or
-	// not; 0 is never.
+	// FirstAcked and RestoreFirstAcked are the times at which a machine sent the first acknowledgement, whether or
+	// not it arrived; 0 means never.
 	FirstAcked, RestoreFirstAcked clock.Micros
 }
 
-// ZoneCall is an operator's call about a zone that is not a planned evacuation: one that is given up on its way,
-// or the one that restores the zone. Acked is Never where its outcome is not known.
+// ZoneCall is an operator's call on a zone outside of planned evacuations: a drain that the operator abandons before
+// the answer, or the call that restores the zone. Acked is Never if the outcome is unknown.
 type ZoneCall struct {
 	Zone        string
 	Drains      bool
 	Sent, Acked clock.Micros
 }
 
-// InForce is the configuration that a node had in force at a moment; Incarnation counts the starts of its
-// process.
+// InForce is the revision of the configuration that a node had in force at a time; Incarnation counts the starts of
+// its process.
 type InForce struct {
 	Machine     string
 	Incarnation int
@@ -154,26 +157,27 @@
 	Revision    int64
 }
 
-// Reading is a configuration that was read back; RequestedAt is when the request was sent that it answers.
+// Reading is a configuration that was read back. RequestedAt is the time of the request, At the time of the answer.
 type Reading struct {
 	RequestedAt clock.Micros
 	At          clock.Micros
 	Table       *routingpb.RoutingTable
 }
 
-// ConfirmedReading is a read that a majority confirmed between Sent and At.
+// ConfirmedReading is a read that a majority of the voters confirmed between Sent and At.
 type ConfirmedReading struct {
 	Sent, At clock.Micros
 	Table    *routingpb.RoutingTable
 	Drained  []string
-	// TableOnly reports that it does not include drained zones.
+	// TableOnly reports that the reading does not include drained zones.
 	TableOnly bool
 }
 
-// Closing is the fault at the end of a day: At is when it struck, Back when the machines ran again.
+// Closing is the fault at the end of a day: At is the time of the fault, Back the time at which the machines were
+// running again.
 type Closing struct{ At, Back clock.Micros }
 
-// Journal is everything that was observed in a day, and what the rules found in it.
+// Journal holds all observations of a day and the findings of the rules.
 type Journal struct {
 	Bounds      Bounds
 	Faults      FaultSpans
@@ -181,15 +185,15 @@
 	Arrivals    []*Arrival
 	Versions    []*Version
 	Evacuations []*Evacuation
-	// ZoneCalls are further calls about zones.
+	// ZoneCalls holds the calls on zones that are not planned evacuations.
 	ZoneCalls []*ZoneCall
 	Backends  []*Backend
 	InForce   []InForce
 	ReadBack  []Reading
-	// Confirmed are the readings that histories are checked against.
+	// Confirmed holds the readings for the linearizability check.
 	Confirmed []ConfirmedReading
 	Closing   *Closing
-	// Drained holds the zones that each machine's node takes for evacuated at the end.
+	// Drained holds, by machine, the zones that its node considers evacuated at the end.
 	Drained map[string][]string
 	End     clock.Micros
 
--- a/lab/rules/load.go
+++ b/lab/rules/load.go
@@ -1,4 +1,4 @@
-// The rules on where and how much is sent: DRAIN, EVAC, BUDGET, FAILBACK, RECOVER.
+// The rules on the destinations and the amount of traffic: DRAIN, EVAC, BUDGET, FAILBACK, RECOVER.
 
 package rules
 
@@ -9,7 +9,8 @@
 	"wallport/runtime/clock"
 )
 
-// drain checks DRAIN: a backend that the list shows as leaving gets no request after the bound.
+// drain checks DRAIN: a backend receives no request later than the bound after the platform's list first showed it
+// as leaving.
 func drain(j *Journal) {
 	for _, a := range j.Arrivals {
 		b := a.Backend
@@ -21,12 +22,12 @@
 			j.tested(DrainUnsettled)
 		}
 		if a.At > b.Shown+j.Bounds.DrainUs {
-			j.fail(Drain, a.At, "%s sent %s to %s %d us after it was shown leaving", a.Machine, a.Attempt, b.ID, a.At-b.Shown)
+			j.fail(Drain, a.At, "%s sent %s to %s %d us after the platform listed that backend as leaving", a.Machine, a.Attempt, b.ID, a.At-b.Shown)
 		}
 	}
 }
 
-// evac checks EVAC: an evacuated zone gets no request after the bound.
+// evac checks EVAC: an evacuated zone receives no request later than the bound after the acknowledgement.
 func evac(j *Journal) {
 	for _, evacuation := range j.Evacuations {
 		if evacuation.Acked == Never {
@@ -40,7 +41,7 @@
 			if !ok || a.At <= evacuation.Acked+bound {
 				continue
 			}
-			// Requests to other zones test the rule too.
+			// Requests to other zones count as tests of the rule too.
 			j.tested(Evac)
 			if a.Backend.Zone == evacuation.Zone {
 				j.fail(Evac, a.At, "%s sent %s to %s, %d us after the evacuation of %s", a.Machine, a.Attempt, a.Backend.ID, a.At-evacuation.Acked, evacuation.Zone)
@@ -49,7 +50,8 @@
 	}
 }
 
-// budget checks BUDGET: beyond each request's first arrival, a service receives few arrivals in any window.
+// budget checks BUDGET: in any window of RetryWindowUs, a service receives at most RetryRatio extra arrivals per
+// request plus RetryAllowance. An extra arrival is any arrival of an attempt at a service after the first one.
 func budget(j *Journal) {
 	extras, requests := map[string][]int64{}, map[string][]int64{}
 	seen := map[string]bool{}
@@ -79,27 +81,28 @@
 		slices.Sort(extra)
 		slices.Sort(first)
 		for i := range extra {
-			// Each window begins with an extra arrival: no other window holds more of them.
+			// It is enough to check windows that begin with an extra arrival: no other window holds more of them.
 			from := extra[i]
 			n := count(extra, from, from+w)
 			most := max(count(first, from, from+w), count(first, from-w/2, from+w/2), count(first, from-w, from))
 			j.tested(Budget)
 			if float64(n) > j.Bounds.RetryRatio*float64(most)+j.Bounds.RetryAllowance {
-				j.fail(Budget, from, "%s got %d extra arrivals beside %d requests in a window", pool, n, most)
+				j.fail(Budget, from, "%s got %d extra arrivals for %d requests in one window", pool, n, most)
 				break
 			}
 		}
 	}
 }
 
-// count returns how many of the sorted moments lie in [a, b).
+// count returns the number of the sorted times in [a, b).
 func count(at []clock.Micros, a, b int64) int {
 	i, _ := slices.BinarySearch(at, a)
 	k, _ := slices.BinarySearch(at, b)
 	return k - i
 }
 
-// failback checks FAILBACK: a cold backend gets no more requests in a second than it can take.
+// failback checks FAILBACK: during its slow start a backend receives no more requests in any second than it can
+// handle.
 func failback(j *Journal) {
 	arrivalsByBackend := map[*Backend][]int64{}
 	for _, a := range j.Arrivals {
@@ -114,14 +117,16 @@
 		for i, from := range at {
 			j.tested(Failback)
 			if n := count(at[i:], from, from+clock.Second); float64(n) > most {
-				j.fail(Failback, from, "%s got %d requests in a second while cold, %.0f may be", b.ID, n, most)
+				j.fail(Failback, from, "%s got %d requests within 1 s during its slow start, at most %.0f are allowed", b.ID, n, most)
 				break
 			}
 		}
 	}
 }
 
-// recovered checks RECOVER: after the closing fault a quarter of the requests is served again in time.
+// recovered checks RECOVER: from RecoverUs after the machines run again at the end of the closing fault, at least a
+// quarter of the requests is served, if that was so before the fault. It also checks LOST: each node still considers
+// a zone evacuated whose evacuation was acknowledged before the closing fault and never ended.
 func recovered(j *Journal) {
 	if j.Closing == nil {
 		return
@@ -143,7 +148,7 @@
 	}
 	j.tested(Recover)
 	if served, all := share(j.Closing.Back+j.Bounds.RecoverUs, j.End); 4*served < all {
-		j.fail(Recover, j.End, "of %d requests after the recovery %d were served", all, served)
+		j.fail(Recover, j.End, "of %d requests after the time to recover only %d were served", all, served)
 	}
 	for _, evacuation := range j.Evacuations {
 		if evacuation.Acked > j.Closing.At || evacuation.RestoreSent != Never {
@@ -152,7 +157,7 @@
 		for _, m := range slices.Sorted(maps.Keys(j.Drained)) {
 			j.tested(Lost)
 			if !slices.Contains(j.Drained[m], evacuation.Zone) {
-				j.fail(Lost, j.End, "%s does not hold %s to be evacuated any more", m, evacuation.Zone)
+				j.fail(Lost, j.End, "%s no longer considers %s evacuated after the closing fault", m, evacuation.Zone)
 			}
 		}
 	}
--- a/lab/rules/repeats.go
+++ b/lab/rules/repeats.go
@@ -1,10 +1,11 @@
-// The rules on repetition: revisions, repeats of changes, and the backends of one attempt.
+// The rules on repetition: reused revisions, retries of changes, and the number of backends of one attempt.
 
 package rules
 
 import "wallport/runtime/clock"
 
-// firstAcknowledged returns when something was first acknowledged, whether or not the acknowledgement arrived.
+// firstAcknowledged returns the time at which a command was first acknowledged, whether or not that acknowledgement
+// arrived.
 func firstAcknowledged(acked, acknowledged int64) int64 {
 	if acknowledged > 0 {
 		return min(acked, acknowledged)
@@ -12,7 +13,7 @@
 	return acked
 }
 
-// configRevisions checks CONFIG: no two changes are acknowledged under one revision.
+// configRevisions checks CONFIG: no two changes are acknowledged with the same revision.
 func configRevisions(j *Journal) {
 	acknowledged, sent := map[int64]*Version{}, map[int64]bool{}
 	for _, version := range j.Versions {
@@ -24,35 +25,36 @@
 			continue
 		}
 		if other := acknowledged[version.Revision]; other != nil {
-			j.fail(Config, firstAcknowledged(version.Acked, version.FirstAcked), "two changes were acknowledged under number %d", version.Revision)
+			j.fail(Config, firstAcknowledged(version.Acked, version.FirstAcked), "two changes with the same revision %d were acknowledged", version.Revision)
 		}
 		acknowledged[version.Revision] = version
 	}
 }
 
-// configRepeats checks CONFIG: an acknowledged change that is sent again is acknowledged or left without an
-// answer, never rejected.
+// configRepeats checks CONFIG: a retry of an acknowledged change is acknowledged or gets no answer; it is never
+// rejected.
 func configRepeats(j *Journal) {
 	for _, version := range j.Versions {
 		if version.Repeats > 0 || version.FirstAcked > 0 && (version.Acked > version.FirstAcked+ackLatencyUs || version.Refused != Never) {
 			j.tested(ConfigRepeat)
 		}
 		if version.FirstAcked > 0 && version.Refused != Never && version.Refused >= version.FirstAcked {
-			j.fail(Config, version.Refused, "revision %d was acknowledged at %d us, sent again as that was lost, and refused", version.Revision, version.FirstAcked)
+			j.fail(Config, version.Refused, "revision %d was acknowledged at %d us; that answer was lost, and the retry was refused", version.Revision, version.FirstAcked)
 		}
 		if version.RefusedAgain > 0 {
-			j.fail(Config, version.RefusedAgain, "revision %d was acknowledged at %d us, sent again and refused", version.Revision, version.Acked)
+			j.fail(Config, version.RefusedAgain, "revision %d was acknowledged at %d us, and a later retry was refused", version.Revision, version.Acked)
 		}
 	}
 }
 
-// ackLatencyUs is more than the network delay of an acknowledgement that is not lost.
+// ackLatencyUs is an upper bound on the network delay of an acknowledgement that is not lost.
 const ackLatencyUs = 10 * clock.Millisecond
 
-// maxOverRouteLimit is how many attempts may run on more backends than their route allows.
+// maxOverRouteLimit is the number of attempts that may run on more backends than their route allows.
 const maxOverRouteLimit = 3
 
-// furtherBackends checks BUDGET: hardly any attempt runs on more backends of a service than its route allows.
+// furtherBackends checks BUDGET: at most maxOverRouteLimit attempts run on more backends of a service than their
+// routes allow.
 func furtherBackends(j *Journal) {
 	n, at, which := 0, int64(0), ""
 	for _, attempt := range j.Attempts {
@@ -85,6 +87,6 @@
 		}
 	}
 	if n > maxOverRouteLimit {
-		j.fail(Budget, at, "%d tries, %s the last of them, ran on more backends than their routes allow", n, which)
+		j.fail(Budget, at, "%d attempts, the last one %s, ran on more backends than their routes allow", n, which)
 	}
 }
--- a/lab/rules/repeats_test.go
+++ b/lab/rules/repeats_test.go
@@ -1,5 +1,5 @@
-// The rules on repeats, numbers, further backends and read-backs, each on a
-// journal in order and on one that breaks it.
+// Tests of the rules on retries, revisions, further backends and read-backs: each on a valid journal and on one that
+// breaks it.
 
 package rules
 
@@ -11,7 +11,8 @@
 	"wallport/runtime/clock"
 )
 
-// addSecondBackendRuns lets a number of tries run on two backends of one service, well inside the windows' bound.
+// addSecondBackendRuns adds attempts that run on two backends of one service, within the bound of BUDGET on extra
+// arrivals in a window.
 func addSecondBackendRuns(j *Journal, attempts int) {
 	j.Bounds.RetryAllowance = 100
 	second := backend("bq2", "q")
@@ -29,28 +30,28 @@
 		rule, name string
 		broken     func(j *Journal)
 	}{
-		{Config, "an acknowledgement that was lost, then a refusal", func(j *Journal) {
+		{Config, "a change refused after its acknowledgement was lost", func(j *Journal) {
 			ver := version(4, 3, 35*second, table(4, "p"))
 			ver.Alone, ver.FirstAcked, ver.Acked, ver.Refused = false, 35*second+500, Never, 37*second
 			j.Versions = append(j.Versions, ver)
 		}},
-		{Config, "a repeat of what was acknowledged is refused", func(j *Journal) {
+		{Config, "a retry of an acknowledged change refused", func(j *Journal) {
 			j.Versions[1].Repeats, j.Versions[1].RefusedAgain = 1, 40*second
 		}},
-		{Config, "two changes acknowledged under one number", func(j *Journal) {
+		{Config, "two changes with one revision acknowledged", func(j *Journal) {
 			ver := version(3, 2, 21*second, table(3, "q"))
 			j.Versions = append(j.Versions, ver)
 		}},
-		{Config, "the second one's acknowledgement was lost", func(j *Journal) {
+		{Config, "two changes with one revision acknowledged, the second answer lost", func(j *Journal) {
 			ver := version(3, 2, 21*second, table(3, "q"))
 			ver.FirstAcked, ver.Acked = ver.Acked, Never
 			j.Versions = append(j.Versions, ver)
 		}},
-		{Budget, "tries run on more backends than allowed", func(j *Journal) { addSecondBackendRuns(j, maxOverRouteLimit+1) }},
+		{Budget, "attempts run on more backends than allowed", func(j *Journal) { addSecondBackendRuns(j, maxOverRouteLimit+1) }},
 		{Mixed, "a failure with a seal and another status", func(j *Journal) {
 			j.Attempts[0].Status, j.Arrivals[0].Status = 502, 500
 		}},
-		{Drain, "work for a backend whose time ran while the core was not settled", func(j *Journal) {
+		{Drain, "request to a backend that drained while the core was unsettled", func(j *Journal) {
 			j.Backends[1].Shown = 22 * second
 			j.Faults.Unsettled = Spans{{22 * second, 25 * second}}
 		}},
@@ -73,7 +74,7 @@
 	j.Versions = append(j.Versions, loser)
 	addSecondBackendRuns(j, maxOverRouteLimit)
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("acknowledged again; of two under one number one lost; three tries too many"))
+	must.Eq(t, nil, j.Findings, must.Sprint("a retry acknowledged again, one of two changes with the same revision refused, three attempts over the route's limit"))
 	must.Positive(t, j.Tested[ConfigRepeat])
 	must.Positive(t, j.Tested[ConfigNumber])
 	must.Eq(t, maxOverRouteLimit, j.Tested[BudgetAttempt])
@@ -84,17 +85,17 @@
 	addSecondBackendRuns(j, maxOverRouteLimit+1)
 	j.Backends[len(j.Backends)-1].Ended = 30 * second
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("a backend that crashed meanwhile doesn't count"))
+	must.Eq(t, nil, j.Findings, must.Sprint("a backend that ended before the attempt did does not count"))
 
 	j = validJournal()
 	j.Versions = append(j.Versions, version(9, 3, 58*second+900*clock.Millisecond, table(9, "q")))
 	j.ReadBack[0].RequestedAt = 58 * second
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("it was acknowledged after the question"))
+	must.Eq(t, nil, j.Findings, must.Sprint("the version was acknowledged after the read was requested"))
 
 	j = validJournal()
 	j.Backends[0].Shown = 6 * second
 	j.Arrivals[0].Held = true
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("a cut held the request up"))
+	must.Eq(t, nil, j.Findings, must.Sprint("a network partition delayed the request"))
 }
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -1,4 +1,4 @@
-// The rules on responses and on what ran: MIXED, UNASKED, TWICE, REFUSED, DENIED, LOST.
+// The rules on responses and on the requests that ran: MIXED, UNASKED, TWICE, REFUSED, DENIED, LOST.
 
 package rules
 
@@ -13,7 +13,7 @@
 
 const recordSize = 16
 
-// naiveMerge merges by sorting all records, the greatest first.
+// naiveMerge merges parts by sorting all their records in descending order; it returns at most limit records.
 func naiveMerge(parts [][]byte, limit int) []byte {
 	var all [][]byte
 	for _, p := range parts {
@@ -28,8 +28,8 @@
 	return bytes.Join(all, nil)
 }
 
-// mixed checks MIXED: a success is one backend's complete success for this very request, or is gathered from
-// such.
+// mixed checks MIXED: a success is one backend's complete successful response to the same attempt, or a merge of
+// such responses.
 func mixed(j *Journal) {
 	bySeal := map[string]*Arrival{}
 	for _, a := range j.Arrivals {
@@ -45,7 +45,7 @@
 			j.checkFanout(attempt, bySeal)
 		case attempt.Seal == "":
 			if attempt.Served() {
-				j.fail(Mixed, attempt.Ended, "%s got a success without a seal", attempt.ID)
+				j.fail(Mixed, attempt.Ended, "%s got a success without the seal of a backend's response", attempt.ID)
 			}
 		default:
 			j.tested(Mixed)
@@ -55,16 +55,18 @@
 			a := bySeal[attempt.Seal]
 			switch {
 			case a == nil:
-				j.fail(Mixed, attempt.Ended, "%s got a seal that no backend gave", attempt.ID)
+				j.fail(Mixed, attempt.Ended, "%s got a seal that no backend sent", attempt.ID)
 			case a.Attempt != attempt.ID:
 				j.fail(Mixed, attempt.Ended, "%s got the answer to %s", attempt.ID, a.Attempt)
 			case a.Status != attempt.Status || !same(a.Answer, attempt.Answer):
-				j.fail(Mixed, attempt.Ended, "%s got status %d and %d bytes where the backend gave %d and %d", attempt.ID, attempt.Status, len(attempt.Answer), a.Status, len(a.Answer))
+				j.fail(Mixed, attempt.Ended, "%s got status %d and %d bytes, the backend sent status %d and %d bytes", attempt.ID, attempt.Status, len(attempt.Answer), a.Status, len(a.Answer))
 			}
 		}
 	}
 }
 
+// checkFanout checks a response that names several backends' seals: it is the merge of these backends' successful
+// parts, and the parts with the missing ones make up the shards of some version's route.
 func (j *Journal) checkFanout(attempt *Attempt, bySeal map[string]*Arrival) {
 	var parts [][]byte
 	pools := map[string]bool{}
@@ -72,10 +74,10 @@
 		a := bySeal[s]
 		switch {
 		case a == nil || a.Attempt != attempt.ID:
-			j.fail(Mixed, attempt.Ended, "%s names a seal that is not for it", attempt.ID)
+			j.fail(Mixed, attempt.Ended, "%s names a seal of no backend's response to it", attempt.ID)
 			return
 		case a.Status < 200 || a.Status > 299:
-			j.fail(Mixed, attempt.Ended, "%s names a backend's failure as a part", attempt.ID)
+			j.fail(Mixed, attempt.Ended, "%s names a backend's failed response as a part", attempt.ID)
 			return
 		case pools[a.Backend.Pool]:
 			j.fail(Mixed, attempt.Ended, "%s names two parts of %s", attempt.ID, a.Backend.Pool)
@@ -84,7 +86,7 @@
 		pools[a.Backend.Pool] = true
 		parts = append(parts, a.Answer)
 	}
-	why := "its parts and what is missing make up the shards of no version"
+	why := "its parts and the number of missing parts match the shards of no version"
 	for _, version := range j.Versions {
 		r := routeOf(version.Table, attempt.Host, attempt.Path)
 		if version.Table == nil || version.Sent > attempt.Ended || r == nil || len(r.FanoutPools) != len(pools)+attempt.Missing || !allInRoute(pools, r) {
@@ -92,7 +94,7 @@
 		}
 		switch {
 		case len(pools) < int(math.Ceil(r.MinCoverage*float64(len(r.FanoutPools))-1e-9)):
-			why = "too few parts are in"
+			why = "it has fewer parts than the minimum coverage of its route"
 		case !same(naiveMerge(parts, int(r.ResultLimit)), attempt.Answer):
 			why = "its body is not the merge of its parts"
 		default:
@@ -102,6 +104,7 @@
 	j.fail(Mixed, attempt.Ended, "%s: %s", attempt.ID, why)
 }
 
+// allInRoute reports whether all pools are fanout pools of the route.
 func allInRoute(pools map[string]bool, r *routingpb.Route) bool {
 	n := 0
 	for _, p := range r.FanoutPools {
@@ -112,7 +115,7 @@
 	return n == len(pools)
 }
 
-// unasked checks UNASKED: a backend runs only what some client sent.
+// unasked checks UNASKED: a backend runs only requests that some client sent, unchanged.
 func unasked(j *Journal) {
 	for _, a := range j.Arrivals {
 		if !a.Ran {
@@ -120,13 +123,14 @@
 		}
 		j.tested(Unasked)
 		if attempt := j.attempts[a.Attempt]; attempt == nil {
-			j.fail(Unasked, a.At, "%s runs %s, which no client sent", a.Backend.ID, a.Attempt)
+			j.fail(Unasked, a.At, "%s ran %s, which no client sent", a.Backend.ID, a.Attempt)
 		} else if a.Method != attempt.Method || a.Target != attempt.Target || !same(a.Body, attempt.Body) {
-			j.fail(Unasked, a.At, "%s runs %s changed", a.Backend.ID, a.Attempt)
+			j.fail(Unasked, a.At, "%s ran %s with another method, target or body than the client sent", a.Backend.ID, a.Attempt)
 		}
 	}
 }
 
+// ran returns how often an attempt ran on backends, and when it last did.
 func (j *Journal) ran(attempt *Attempt) (n int, at clock.Micros) {
 	for _, a := range j.arrivalsByAttempt[attempt.ID] {
 		if a.Ran {
@@ -152,7 +156,7 @@
 	}
 }
 
-// refused checks REFUSED: the promise that a request has not run and never will is kept.
+// refused checks REFUSED: a request whose status guarantees that it has not run and never will does not run.
 func refused(j *Journal) {
 	for _, attempt := range j.Attempts {
 		if attempt.Repeatable || !promisesNotRun(attempt.Status) {
@@ -160,12 +164,13 @@
 		}
 		j.tested(Refused)
 		if n, at := j.ran(attempt); n > 0 {
-			j.fail(Refused, at, "%s was refused with %d and ran", attempt.ID, attempt.Status)
+			j.fail(Refused, at, "%s was refused with status %d although it ran", attempt.ID, attempt.Status)
 		}
 	}
 }
 
-// denied checks DENIED: the node itself does not reject proper requests without such a promise.
+// denied checks DENIED: with few exceptions, a node does not itself answer a request that has a route with a 3xx or
+// 4xx status, except a status that guarantees that the request has not run.
 func denied(j *Journal) {
 	n, at := 0, int64(0)
 	for _, attempt := range j.Attempts {
@@ -182,11 +187,11 @@
 	}
 	j.Tested[Denied] = int64(len(j.Attempts))
 	if most := 5 + len(j.Attempts)/500; n > most {
-		j.fail(Denied, at, "%d proper requests were denied, %d may be", n, most)
+		j.fail(Denied, at, "%d requests that have a route were denied, at most %d may be", n, most)
 	}
 }
 
-// lost checks LOST: a request that was read is answered completely unless a fault excuses it.
+// lost checks LOST: a request that a node has read gets a complete answer unless a fault excuses it.
 func lost(j *Journal) {
 	planned := j.planned()
 	for _, attempt := range j.Attempts {
@@ -199,7 +204,7 @@
 		}
 		offered := len(j.arrivalsByAttempt[attempt.ID]) > 0
 		if attempt.Aborted && !attempt.GaveUp && !attempt.AfterStop && (offered || attempt.Ended-attempt.Sent > j.Bounds.LossUs) {
-			j.fail(Lost, attempt.Ended, "%s was read by %s and its connection ended", attempt.ID, attempt.Machine)
+			j.fail(Lost, attempt.Ended, "%s was read by %s, and its connection ended before a complete answer", attempt.ID, attempt.Machine)
 		}
 	}
 }
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -1,5 +1,4 @@
-// Every rule is seen to hold on a small journal in order and to be found broken
-// on one that breaks it.
+// Tests that each rule holds on a small valid journal and is reported as broken on a journal that breaks it.
 
 package rules
 
@@ -32,7 +31,8 @@
 	return &Backend{ID: id, Pool: pool, Zone: "z", Ended: Never, Shown: Never}
 }
 
-// validJournal is a journal in order: two versions, a request of one pool, a gathered one, and a read back.
+// validJournal returns a journal that breaks no rule: two versions, one request to a pool of each, a fanout request
+// and a read-back.
 func validJournal() *Journal {
 	j := &Journal{
 		Bounds: Bounds{
@@ -63,7 +63,7 @@
 	return j
 }
 
-// addRequest adds a request that is not repeatable and ran at a backend.
+// addRequest adds a request that is not repeatable and ran on the backend with index b.
 func (j *Journal) addRequest(id string, at clock.Micros, b int) *Attempt {
 	attempt := &Attempt{
 		ID: id, Machine: "m", Host: "h", Path: "/one/x", Target: "/one/x?q", Method: "POST", Body: []byte("body"), Sent: at, Read: at + 3000, Ended: at + 9000,
@@ -99,35 +99,35 @@
 		broken     func(j *Journal)
 	}{
 		{Mixed, "no seal", func(j *Journal) { j.Attempts[0].Seal = "" }},
-		{Mixed, "the answer to another", func(j *Journal) { j.Attempts[0].Seal = "seal-t2" }},
+		{Mixed, "the response to another attempt", func(j *Journal) { j.Attempts[0].Seal = "seal-t2" }},
 		{Mixed, "a changed body", func(j *Journal) { j.Attempts[0].Answer = []byte("answe") }},
 		{Mixed, "a failure turned into a success", func(j *Journal) { j.Arrivals[0].Status = 500 }},
-		{Mixed, "another order", func(j *Journal) { last(j).Answer = []byte("bbbbbbbbbbbbbbbbcccccccccccccccc") }},
-		{Mixed, "a record too many", func(j *Journal) { last(j).Answer = append(last(j).Answer, "aaaaaaaaaaaaaaaa"...) }},
+		{Mixed, "records out of order", func(j *Journal) { last(j).Answer = []byte("bbbbbbbbbbbbbbbbcccccccccccccccc") }},
+		{Mixed, "more records than the limit", func(j *Journal) { last(j).Answer = append(last(j).Answer, "aaaaaaaaaaaaaaaa"...) }},
 		{Mixed, "a part twice", func(j *Journal) { last(j).Seals = []string{"s-b0", "s-b0"} }},
 		{Mixed, "a failure as a part", func(j *Journal) { j.Arrivals[3].Status = 500 }},
 		{Mixed, "shards of no version", func(j *Journal) { last(j).Missing = 1 }},
 		{Mixed, "too few parts", func(j *Journal) {
 			last(j).Seals, last(j).Missing, last(j).Answer = []string{"s-b1"}, 1, []byte("bbbbbbbbbbbbbbbb")
 		}},
-		{Unasked, "an id nobody sent", func(j *Journal) { j.Arrivals[0].Attempt = "t9" }},
+		{Unasked, "an id that no client sent", func(j *Journal) { j.Arrivals[0].Attempt = "t9" }},
 		{Unasked, "a changed target", func(j *Journal) { j.Arrivals[0].Target = "/one/x" }},
 		{Unasked, "a changed body", func(j *Journal) { j.Arrivals[0].Body = nil }},
 		{Twice, "a second run", func(j *Journal) { j.addArrival(j.Attempts[0], 0, "again", nil) }},
-		{Refused, "a promise that was not kept", func(j *Journal) { j.Attempts[0].Status, j.Attempts[0].Seal = 503, "" }},
-		{Denied, "proper requests denied", func(j *Journal) {
+		{Refused, "a request that ran answered with 503", func(j *Journal) { j.Attempts[0].Status, j.Attempts[0].Seal = 503, "" }},
+		{Denied, "requests with a route denied", func(j *Journal) {
 			for i := range 6 {
 				v := j.addRequest(fmt.Sprint("d", i), 40*second, 1)
 				v.Status, v.Generated = 403, true
 			}
 		}},
 		{Route, "a pool that no version names", func(j *Journal) { j.Arrivals[0].Backend = backend("bx", "x") }},
-		{Drain, "work for a backend that leaves", func(j *Journal) { j.Backends[0].Shown = 6 * second }},
-		{Lost, "an answer that never came", func(j *Journal) {
+		{Drain, "a request to a draining backend", func(j *Journal) { j.Backends[0].Shown = 6 * second }},
+		{Lost, "a response that never arrived", func(j *Journal) {
 			j.Attempts[0].Status, j.Attempts[0].Seal, j.Attempts[0].Aborted = 0, "", true
 		}},
-		{Config, "the older version after its time", func(j *Journal) { j.addRequest("t9", 24*second, 0) }},
-		{Config, "a route denied that is there", func(j *Journal) {
+		{Config, "an older version used after the bound", func(j *Journal) { j.addRequest("t9", 24*second, 0) }},
+		{Config, "a 404 for an existing route", func(j *Journal) {
 			v := j.addRequest("t9", 40*second, 1)
 			v.Status, v.Generated, j.Arrivals = 404, true, j.Arrivals[:len(j.Arrivals)-1]
 		}},
@@ -137,15 +137,15 @@
 			j.Versions = append(j.Versions, ver)
 			j.InForce = append(j.InForce, InForce{"m", 1, 52 * second, 4})
 		}},
-		{Config, "back to an older version", func(j *Journal) { j.InForce = append(j.InForce, InForce{"m", 1, 52 * second, 1}) }},
-		{Config, "late in force", func(j *Journal) {
+		{Config, "a node goes back to an older version", func(j *Journal) { j.InForce = append(j.InForce, InForce{"m", 1, 52 * second, 1}) }},
+		{Config, "a version in force too late", func(j *Journal) {
 			j.InForce = j.InForce[:42]
 			j.InForce = append(j.InForce, InForce{"m", 1, 24 * second, 1})
 		}},
-		{Config, "both changes on one version", func(j *Journal) { j.Versions = append(j.Versions, version(5, 1, 21*second, table(5, "p"))) }},
+		{Config, "both changes based on one version acknowledged", func(j *Journal) { j.Versions = append(j.Versions, version(5, 1, 21*second, table(5, "p"))) }},
 		{Config, "an invalid version acknowledged", func(j *Journal) { j.Versions[1].Invalid = true }},
 		{Config, "an older version read back", func(j *Journal) { j.ReadBack[0].Table = table(1, "p") }},
-		{Config, "another text read back", func(j *Journal) { j.ReadBack[0].Table = table(3, "p") }},
+		{Config, "different content read back", func(j *Journal) { j.ReadBack[0].Table = table(3, "p") }},
 		{Config, "nothing read back", func(j *Journal) { j.ReadBack = nil }},
 		{Lost, "an older version read back after the closing fault", func(j *Journal) {
 			j.Closing = &Closing{At: 25 * second, Back: 26 * second}
@@ -160,7 +160,7 @@
 			j.Versions[1].Acked = Never
 			j.InForce, j.Attempts, j.Arrivals = nil, nil, nil
 		}},
-		{Acks, "a change on the newest version refused", func(j *Journal) {
+		{Acks, "a change based on the newest version refused", func(j *Journal) {
 			ver := version(4, 3, 35*second, table(4, "p"))
 			ver.Refused, ver.Acked = 36*second, Never
 			j.Versions = append(j.Versions, ver)
@@ -170,14 +170,14 @@
 				j.addArrival(last(j), 2, fmt.Sprint("extra-", i), nil)
 			}
 		}},
-		{Failback, "a cold backend run over", func(j *Journal) {
+		{Failback, "a backend in slow start overloaded", func(j *Journal) {
 			b := j.Backends[2]
 			b.SlowStartPerS, b.SlowStart = 2, Spans{{30 * second, 33 * second}}
 			for i := range 8 {
 				j.addArrival(last(j), 2, fmt.Sprint("extra-", i), nil)
 			}
 		}},
-		{Evac, "work for an evacuated zone", func(j *Journal) {
+		{Evac, "a request to an evacuated zone", func(j *Journal) {
 			j.Evacuations = []*Evacuation{{Zone: "z", Sent: second, Acked: 2 * second, RestoreSent: Never, RestoreAcked: Never}}
 		}},
 		{Recover, "little served after the closing fault", func(j *Journal) {
@@ -203,19 +203,19 @@
 	j.Faults.Of("m").Open(18 * second)
 	j.Faults.Of("m").Close(22 * second)
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("the machine was not in touch"))
+	must.Eq(t, nil, j.Findings, must.Sprint("the machine was not in contact with the core"))
 
 	j = validJournal()
 	j.addRequest("t9", 24*second, 0)
 	j.Faults.Unsettled.Moment(22 * second)
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("the core was unsettled, and the bound is stretched"))
+	must.Eq(t, nil, j.Findings, must.Sprint("the core was unsettled, so the bound is longer"))
 
 	j = validJournal()
 	j.addRequest("t9", 39*second, 0)
 	j.Faults.Unsettled.Moment(36 * second)
 	j.Check()
-	must.Eq(t, 1, j.Broken[Config], must.Sprint("but not for longer than that"))
+	must.Eq(t, 1, j.Broken[Config], must.Sprint("an unsettled core does not excuse more than the longer bound"))
 }
 
 func TestSpans(t *testing.T) {
