--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -8,7 +8,7 @@
 	"wallport/runtime/clock"
 )
 
-// Points name what must never happen, in the order of the brief.
+// Points are the names of the events that must never happen, in the order of the brief.
 const (
 	Twice              = "ran_twice"
 	RanRefused         = "ran_after_refusal"
@@ -38,21 +38,21 @@
 	RecoverWithin   = 12 * clock.Second
 )
 
-// Violation is one thing that must never happen and did.
+// Violation is one observed event that must never happen.
 type Violation struct {
 	Point string       `json:"point"`
 	At    clock.Micros `json:"at_us"`
 	Text  string       `json:"text"`
 }
 
-// Checker collects violations, and how often each point was tested.
+// Checker collects violations and counts how often each point was tested.
 type Checker struct {
 	Violations []Violation
 	Tested     map[string]int64
 	Counts     map[string]int64
-	// CommandsPossible is since when operators' calls can be carried out at all.
+	// CommandsPossible is the time since which operators' calls can be carried out.
 	CommandsPossible clock.Micros
-	// ClocksAgree is since when a majority of the disk machines also agrees on the time.
+	// ClocksAgree is the time since which, in addition, a majority of the disk machines agrees on the time.
 	ClocksAgree clock.Micros
 
 	ran           map[string]int
@@ -60,7 +60,7 @@
 	drainingSince map[string]int64
 	zoneDrainedAt map[string]int64
 	edits         editLog
-	// otherOperations are the operations of histories that are not edits of the configuration.
+	// otherOperations holds the operations of histories other than edits of the configuration.
 	otherOperations   []history.Operation
 	firstAttempts     map[string]map[int64]int64
 	extraAttempts     map[string]map[int64]int64
@@ -82,7 +82,7 @@
 
 const maxViolations = 50
 
-// Fail records a violation.
+// Fail counts a violation and records it, up to maxViolations.
 func (c *Checker) Fail(point string, at clock.Micros, text string, args ...any) {
 	c.Counts["violations."+point]++
 	if len(c.Violations) < maxViolations {
@@ -95,7 +95,8 @@
 // Count adds to a named count.
 func (c *Checker) Count(name string, n int64) { c.Counts[name] += n }
 
-// Value returns a count, a number of tests ("tested.POINT") or of violations ("violations.POINT").
+// Value returns a count by name: a count of Count, the tests of a point ("tested.POINT"), the violations of a point
+// ("violations.POINT") or the number of recorded violations ("violations").
 func (c *Checker) Value(name string) int64 {
 	if n, ok := c.Tested[trim(name, "tested.")]; ok && len(name) > 7 && name[:7] == "tested." {
 		return n
@@ -126,7 +127,7 @@
 	return out
 }
 
-// Ran records that a correction or part fetch ran at a server.
+// Ran records that a correction or part fetch ran on a server.
 func (c *Checker) Ran(key string, at clock.Micros) {
 	c.tested(Twice)
 	c.ran[key]++
@@ -134,18 +135,18 @@
 		c.Fail(Twice, at, "%s ran %d times", key, n)
 	}
 	if when, ok := c.refused[key]; ok {
-		c.Fail(RanRefused, at, "%s ran although refused at %d", key, when)
+		c.Fail(RanRefused, at, "%s ran although it was refused at %d us", key, when)
 	}
 }
 
-// RanTimes records a number of executions at once, from a real run.
+// RanTimes records n executions, as reported by a run of real processes.
 func (c *Checker) RanTimes(key string, n int) {
 	for range n {
 		c.Ran(key, 0)
 	}
 }
 
-// Refused records that a caller was told that its request did not run and never will.
+// Refused records a response which guarantees that the request did not run and never will.
 func (c *Checker) Refused(key string, at clock.Micros) {
 	c.tested(RanRefused)
 	c.refused[key] = at
@@ -154,52 +155,53 @@
 	}
 }
 
-// BackendDrains records when the platform's list first shows a server as leaving.
+// BackendDrains records the time at which the platform's list first shows a server as leaving.
 func (c *Checker) BackendDrains(server string, at clock.Micros) {
 	if _, ok := c.drainingSince[server]; !ok {
 		c.drainingSince[server] = at
 	}
 }
 
-// ZoneDrained records when an operator asked to drain a zone; a negative time ends it.
+// ZoneDrained records the time at which an operator requested to drain a zone; a negative time ends the drain.
 func (c *Checker) ZoneDrained(zone string, at clock.Micros) {
 	if at < 0 {
 		delete(c.zoneDrainedAt, zone)
 		return
 	}
 	if _, asked := c.zoneDrainedAt[zone]; !asked {
-		// An operator who asks again has waited since the first time.
+		// The bound runs from the first request; retries do not restart it.
 		c.zoneDrainedAt[zone] = at
 	}
 }
 
-// IsZoneDrained reports whether an operator asked to drain a zone.
+// IsZoneDrained reports whether an operator has requested to drain a zone.
 func (c *Checker) IsZoneDrained(zone string) bool { _, ok := c.zoneDrainedAt[zone]; return ok }
 
-// RequestFromIsolated records work from a node that has been isolated for a while and reads the platform's list
-// for itself; it has as long again to notice that it is isolated.
+// RequestFromIsolated records a request from an isolated node. Such a node reads the platform's list itself once it
+// has noticed the isolation, for which it has IsolatedWithin; from then on it must not use draining servers.
 func (c *Checker) RequestFromIsolated(server string, at, isolatedFor int64) {
 	if t, ok := c.drainingSince[server]; ok && isolatedFor > IsolatedWithin {
 		c.tested(DrainingWork)
 		c.Counts["tested_alone"]++
 		if at-t > DrainingWithin {
-			c.Fail(DrainingWork, at, "%s got work from a node that is alone, %d us after it was shown leaving", server, at-t)
+			c.Fail(DrainingWork, at, "%s got a request from an isolated node %d us after the platform listed it as leaving", server, at-t)
 		}
 	}
 }
 
-// Request records one request sent to a server.
+// Request records one request sent to a server. extra marks an extra attempt, which counts against the retry budget;
+// a replacement is counted neither as a first nor as an extra attempt.
 func (c *Checker) Request(pool, server, zone string, at clock.Micros, extra, replacement bool) {
 	if t, ok := c.drainingSince[server]; ok {
 		c.tested(DrainingWork)
 		if at-t > DrainingWithin {
-			c.Fail(DrainingWork, at, "%s got work %d us after it was shown leaving", server, at-t)
+			c.Fail(DrainingWork, at, "%s got a request %d us after the platform listed it as leaving", server, at-t)
 		}
 	}
 	if t, ok := c.zoneDrainedAt[zone]; ok {
 		c.tested(DrainedZoneWork)
 		if at-max(t, c.CommandsPossible) > ZoneDrainWithin {
-			c.Fail(DrainedZoneWork, at, "%s in %s got work %d us after the zone was emptied", server, zone, at-t)
+			c.Fail(DrainedZoneWork, at, "%s in %s got a request %d us after an operator requested to drain the zone", server, zone, at-t)
 		}
 	}
 	if replacement {
@@ -215,5 +217,5 @@
 	m[pool][at/clock.Second]++
 }
 
-// Idle records that a draining server or zone was observed to be idle.
+// Idle counts a test of a point: a draining server or zone was observed to be idle.
 func (c *Checker) Idle(point string) { c.tested(point) }
--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -1,6 +1,6 @@
-// Checks of configurations: acknowledged ones are in force in time, no node goes back to an older one, losing
-// and rejected ones never take effect, and the accepted edits form one chain in which each is based on the one
-// before it (the history of a compare-and-set register, checked exactly).
+// Checks of configurations: acknowledged ones are in force in time, no node goes back to an older one, rejected ones
+// (including those that lost a race) never take effect, and the accepted edits form one chain in which each edit is
+// based on the previous one (the history of a compare-and-set register, checked exactly).
 
 package check
 
@@ -35,7 +35,7 @@
 	order  []int64
 	acked  []observed
 	node   map[string]observed
-	// first is the version that was in force before the first edit, where the history does not begin with one.
+	// first is the version that was in force before the first edit, zero if there was none.
 	first  wire.Version
 	marks  map[wire.Version]int64
 	byBase map[wire.Version]int64
@@ -47,7 +47,7 @@
 
 func newer(a, b wire.Version) bool { return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq }
 
-// EditBegan records the start of an edit. Marks are unique to an edit id.
+// EditBegan records the start of an edit. Each edit id has its own mark.
 func (c *Checker) EditBegan(t Edit) {
 	s := &c.edits
 	if s.byMark[t.Mark] == nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// EditEnded records the answer to an edit, or to a retry under the same id. An edit that was acknowledged once
-// stays so.
+// EditEnded records the answer to an edit or to a retry with the same id. Once an edit was acknowledged, later answers
+// do not change its outcome.
 func (c *Checker) EditEnded(t Edit) {
 	s := &c.edits
 	c.EditBegan(t)
@@ -91,18 +91,18 @@
 	}
 }
 
-// InForce records the configuration that a node has in force. Reachable nodes must have what was acknowledged in
-// time; since is from when the node could.
+// InForce records the configuration that a node has in force. A reachable node must apply an acknowledged
+// configuration within ConfigWithin. since is the time from which the node is reachable, negative if it is not.
 func (c *Checker) InForce(node string, version wire.Version, mark int64, at, since clock.Micros) {
 	s := &c.edits
 	if was := s.node[node]; newer(was.version, version) {
-		c.Fail(ConfigWentBack, at, "%s fell back from %v to %v", node, was.version, version)
+		c.Fail(ConfigWentBack, at, "%s went back from version %v to the older version %v", node, was.version, version)
 	}
 	c.tested(ConfigWentBack)
 	s.node[node] = observed{version, at}
 	if version.Term > 0 {
 		if m, ok := s.marks[version]; ok && m != mark {
-			c.Fail(ConfigLoserInForce, at, "%s has %d at %v where others have %d", node, mark, version, m)
+			c.Fail(ConfigLoserInForce, at, "%s has edit %d in force as version %v, which is edit %d on other nodes", node, mark, version, m)
 		}
 		s.marks[version] = mark
 		if t := s.byMark[mark]; t != nil {
@@ -122,16 +122,17 @@
 		}
 		c.tested(ConfigLate)
 		if newer(a.version, version) {
-			c.Fail(ConfigLate, at, "%s has %v, %v was acknowledged %d us ago", node, version, a.version, at-a.at)
+			c.Fail(ConfigLate, at, "%s has version %v in force although version %v was acknowledged %d us ago", node, version, a.version, at-a.at)
 		}
 		return
 	}
 }
 
-// Restarted forgets what a node had in force before its restart; acknowledged configurations still bind it.
+// Restarted forgets the version that a node had in force before its restart. The node must still apply acknowledged
+// configurations in time.
 func (c *Checker) Restarted(node string) { delete(c.edits.node, node) }
 
-// Chain checks the whole history at the end: real-time order and the chain of bases.
+// Chain checks the complete history at the end of a run: linearizability, real-time order and the chain of bases.
 func (c *Checker) Chain() {
 	c.linearizable()
 	s := &c.edits
@@ -150,20 +151,21 @@
 				first, second = tb, ta
 			}
 			if second.Ended < first.Began {
-				c.Fail(BothWon, second.Ended, "edit %d ended before %d began but has a newer stamp", second.Mark, first.Mark)
+				c.Fail(BothWon, second.Ended, "edit %d ended before edit %d began but has the newer version", second.Mark, first.Mark)
 			}
 			if newer(first.Version, second.Base) {
-				c.Fail(BothWon, second.Ended, "edit %d at %v is based on %v, before %v of edit %d", second.Mark, second.Version, second.Base, first.Version, first.Mark)
+				c.Fail(BothWon, second.Ended, "edit %d with version %v is based on %v, which is older than the accepted version %v of edit %d", second.Mark, second.Version, second.Base, first.Version, first.Mark)
 			}
 		}
 	}
 }
 
-// BookingSlack is how far from its window's edges a booking may start or end: a leader election may be under
-// way, and nodes take a while to hear.
+// BookingSlack is how late a booking may start or end, relative to its window: a leader election may be in progress,
+// and the change takes time to reach the nodes.
 const BookingSlack = 5 * clock.Second
 
-// Booking checks whether a node has a booking running exactly within its window.
+// Booking checks that a node has a booking running within its window and not outside of it, with a tolerance of
+// BookingSlack.
 func (c *Checker) Booking(node, id string, runs bool, from, to, at clock.Micros) {
 	if at-c.ClocksAgree <= BookingSlack {
 		return
--- a/lab/check/first_test.go
+++ b/lab/check/first_test.go
@@ -8,7 +8,7 @@
 	"wallport/runtime/wire"
 )
 
-// An order on a version that no order made is explained only where the fleet began with that version.
+// An edit that is based on a version which no edit created is linearizable only if the fleet started with that version.
 func TestHistoryStartsFromConfigInForce(t *testing.T) {
 	for _, began := range []bool{true, false} {
 		c := New()
--- a/lab/check/histories.go
+++ b/lab/check/histories.go
@@ -1,5 +1,5 @@
-// The history of the configuration's edits as a register, for the linearizability checker, in the simulator and
-// on real processes alike.
+// The history of configuration edits as operations on a register, for the linearizability checker. The simulator and
+// the fleet of real processes both use it.
 
 package check
 
@@ -11,7 +11,8 @@
 	"wallport/runtime/wire"
 )
 
-// NotLinearizable is the point that no order of the operators' calls explains their answers.
+// NotLinearizable is the point for a history in which no sequential order of the operators' calls explains their
+// answers.
 const NotLinearizable = "not_linearizable"
 
 // History returns the operators' calls on the configuration and their answers.
@@ -46,7 +47,7 @@
 	return h
 }
 
-// ConfigRead records a read of the newest configuration that a majority confirmed: its mark and its version.
+// ConfigRead records a majority-confirmed read of the newest configuration: the mark and the version that it returned.
 func (c *Checker) ConfigRead(client int, at wire.Version, mark, began, ended int64) {
 	s := &c.edits
 	value := firstConfig
@@ -54,7 +55,7 @@
 		value = editName(mark)
 	}
 	if other, known := s.marks[at]; known && other != mark {
-		c.Fail(ConfigLoserInForce, ended, "a read found %d at %v where others have %d", mark, at, other)
+		c.Fail(ConfigLoserInForce, ended, "a read returned edit %d as version %v, which is edit %d on other nodes", mark, at, other)
 	}
 	s.marks[at] = mark
 	c.otherOperations = append(c.otherOperations, history.Operation{
@@ -73,7 +74,7 @@
 	})
 }
 
-// ZoneRead records a zone's state as read from a replica that held all that was acknowledged before the read.
+// ZoneRead records a zone's state as read from a replica that held all changes acknowledged before the read.
 func (c *Checker) ZoneRead(client int, zone string, drained bool, began, ended clock.Micros) {
 	c.otherOperations = append(c.otherOperations, history.Operation{
 		Register: history.Zone(zone), Client: client, Kind: history.Read, Begin: began, End: ended, Outcome: history.Accepted, Value: zoneState(drained),
@@ -92,7 +93,7 @@
 
 func editName(mark int64) string { return fmt.Sprint("edit ", mark) }
 
-// BeganWith sets the version that was in force before the first edit; later calls change nothing.
+// BeganWith sets the version that was in force before the first edit; later calls have no effect.
 func (c *Checker) BeganWith(at wire.Version) {
 	if c.edits.first.Term == 0 {
 		c.edits.first = at
@@ -120,7 +121,7 @@
 	return fmt.Sprintf("%d.%d", at.Term, at.Seq)
 }
 
-// linearizable checks the history.
+// linearizable checks that the history is linearizable.
 func (c *Checker) linearizable() {
 	h := c.History()
 	for range h.Operations {
@@ -131,7 +132,7 @@
 	}
 }
 
-// lastResponse returns when the last successful answer came.
+// lastResponse returns the time of the last successful answer.
 func (c *Checker) lastResponse() (at clock.Micros) {
 	for _, t := range c.edits.byMark {
 		if t.Code == wire.CodeOK {
--- a/lab/check/histories_test.go
+++ b/lab/check/histories_test.go
@@ -1,4 +1,4 @@
-// The sheet's history, with one planted fault at a time.
+// Tests of the histories of the configuration and of zones, with one injected fault at a time.
 
 package check
 
@@ -12,7 +12,7 @@
 
 func at(seq uint64) wire.Version { return wire.Version{Term: 1, Seq: seq} }
 
-// edits is a judge that was told of some edits.
+// edits returns a checker that has recorded the given edits.
 func edits(all ...Edit) *Checker {
 	c := New()
 	for _, t := range all {
@@ -42,8 +42,8 @@
 			{Mark: 1, Version: at(2), Began: 1, Ended: 2, Code: "ok"}, {Mark: 2, Base: at(2), Version: at(3), Began: 3, Ended: 4, Code: "ok"},
 			{Mark: 3, Base: at(2), Version: at(5), Began: 5, Ended: 6, Code: "ok"},
 		},
-		"a proper order refused": {{Mark: 1, Version: at(2), Began: 1, Ended: 2, Code: "ok"}, {Mark: 2, Base: at(2), Began: 3, Ended: 4, Code: "lost_race"}},
-		"an invalid one taken":   {{Mark: 1, Version: at(2), Began: 1, Ended: 2, Code: "ok", Invalid: true}},
+		"a valid edit refused":     {{Mark: 1, Version: at(2), Began: 1, Ended: 2, Code: "ok"}, {Mark: 2, Base: at(2), Began: 3, Ended: 4, Code: "lost_race"}},
+		"an invalid edit accepted": {{Mark: 1, Version: at(2), Began: 1, Ended: 2, Code: "ok", Invalid: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := edits(all...)
@@ -69,13 +69,13 @@
 
 func TestReadAndZoneHistoriesWithPlantedFaultsFail(t *testing.T) {
 	for name, inject := range map[string]func(c *Checker){
-		"an old sheet is read":     func(c *Checker) { c.ConfigRead(9, at(2), 1, 7, 8) },
-		"a later one, then before": func(c *Checker) { c.ConfigRead(9, at(5), 2, 4, 5); c.ConfigRead(8, at(2), 1, 6, 7) },
-		"an acknowledged drain is gone": func(c *Checker) {
+		"a stale configuration is read": func(c *Checker) { c.ConfigRead(9, at(2), 1, 7, 8) },
+		"reads that go back":            func(c *Checker) { c.ConfigRead(9, at(5), 2, 4, 5); c.ConfigRead(8, at(2), 1, 6, 7) },
+		"an acknowledged drain lost": func(c *Checker) {
 			c.ZoneSet(1, "z1", true, "ok", 1, 3)
 			c.ZoneRead(4, "z1", false, 4, 5)
 		},
-		"an order acts after a later one was acknowledged": func(c *Checker) {
+		"a drain takes effect after a restore was acknowledged": func(c *Checker) {
 			c.ZoneSet(1, "z1", true, "ok", 1, 2)
 			c.ZoneSet(1, "z1", false, "ok", 3, 4)
 			c.ZoneRead(4, "z1", true, 5, 6)
--- a/lab/check/limits.go
+++ b/lab/check/limits.go
@@ -1,6 +1,6 @@
-// Checks of limits, both ways: over any ten seconds in which the configuration and the load stood still, a fleet
-// admits no more than a tenth above a ceiling or a capacity, gives each kind its share, and leaves no requested
-// capacity unused.
+// Checks of limits in both directions. Over any ten seconds in which the configuration and the load do not change, a
+// fleet admits at most a tenth more than a ceiling or a capacity allows, gives each kind its share, and leaves no
+// requested capacity unused.
 
 package check
 
@@ -11,20 +11,20 @@
 	"wallport/runtime/clock"
 )
 
-// OverLimit and UnderLimit name the two points.
+// OverLimit and UnderLimit are the points for admitting too many and too few requests.
 const (
 	OverLimit  = "over_limit"
 	UnderLimit = "under_limit"
 )
 
-// Limits are those of a configuration, in requests a second; shares include booked slices.
+// Limits holds the limits of a configuration, in requests per second; shares include booked slices.
 type Limits struct {
 	From     clock.Micros
 	Capacity float64
 	Shares   map[string]float64
 	Ceilings map[string]float64
-	// Spare is the capacity without the slices booked for others, by kind; Free is the capacity that is not
-	// booked, Booked the kinds that have a slice.
+	// Spare is, by kind, the capacity minus the slices booked for other kinds. Free is the capacity that is not
+	// booked. Booked holds the kinds that have a booked slice.
 	Spare  map[string]float64
 	Free   float64
 	Booked map[string]bool
@@ -32,8 +32,8 @@
 
 type admissions struct{ arrived, admitted map[int64]int64 }
 
-// LimitSettles is how long after a change the limits are not checked: 3 s for the configuration to be in force,
-// and as long for the nodes to learn of each other's load.
+// LimitSettles is the time after a change during which limits are not checked: 3 s until the configuration is in
+// force, and another 3 s until the nodes have learned each other's load.
 const LimitSettles = 6 * clock.Second
 
 // Arrived records a request that was read, and whether the limits admitted it.
@@ -51,14 +51,14 @@
 	}
 }
 
-// Limit sets the limits from a moment on; a change of the load is reported in the same way.
+// Limit sets the limits from l.From on. A change of the load is reported the same way, as it also suspends the checks.
 func (c *Checker) Limit(l Limits) { c.limits = append(c.limits, l) }
 
-// Moved records that nodes left or joined, and the load with them: for a while capacity may be left unused, but
-// no limit may be exceeded.
+// Moved records that nodes joined or left and that load moved with them. For LimitSettles after that, capacity may be
+// left unused, but no limit may be exceeded.
 func (c *Checker) Moved(at clock.Micros) { c.membershipChanges = append(c.membershipChanges, at) }
 
-// CheckLimits checks every window of ten seconds up to an end.
+// CheckLimits checks every window of ten seconds, starting at each full second, that ends by the given time.
 func (c *Checker) CheckLimits(end clock.Micros) {
 	for i, l := range c.limits {
 		to := end
@@ -71,6 +71,7 @@
 	}
 }
 
+// window returns the requests of a kind that arrived and that were admitted in the ten seconds from second s.
 func (c *Checker) window(kind string, s int64) (arrivals, in float64) {
 	counts := c.admitted[kind]
 	for k := s; counts != nil && k < s+10; k++ {
@@ -86,7 +87,7 @@
 		c.tested(OverLimit)
 		c.Counts["most_of_limit_percent"] = max(c.Counts["most_of_limit_percent"], int64(in*10/limit))
 		if in > 11*limit+10 {
-			c.Fail(OverLimit, at, "%s: %.0f let in within 10 s, the limit is %.0f", what, in, limit*10)
+			c.Fail(OverLimit, at, "%s: %.0f requests admitted within 10 s, the limit is %.0f", what, in, limit*10)
 		}
 	}
 	under := func(what string, in, due float64) {
@@ -95,7 +96,7 @@
 		}
 		c.tested(UnderLimit)
 		if in < 0.9*due-10 {
-			c.Fail(UnderLimit, at, "%s: %.0f let in within 10 s, %.0f were due", what, in, due)
+			c.Fail(UnderLimit, at, "%s: %.0f requests admitted within 10 s, at least 90%% of %.0f less 10 expected", what, in, due)
 		}
 	}
 	arrivals, in := c.window("", s)
--- a/lab/check/load.go
+++ b/lab/check/load.go
@@ -11,28 +11,29 @@
 	"wallport/runtime/clock"
 )
 
-// Search checks that a merged response is exact.
+// Search checks that a merged response is exact: it names a known shard map, accounts for all of its shards, has the
+// required share of them in percent, and equals the merge of their records.
 func (c *Checker) Search(index, query string, limit, required int, o *search.Outcome, shards map[string]int, at clock.Micros) {
 	c.tested(BadMerge)
 	n, ok := shards[o.Cut]
 	if !ok {
-		c.Fail(BadMerge, at, "%s names cut %q, which never was", o.ID, o.Cut)
+		c.Fail(BadMerge, at, "%s names shard map %q, which never existed", o.ID, o.Cut)
 		return
 	}
 	got := slices.Clone(o.Shards)
 	slices.Sort(got)
 	if len(slices.Compact(got)) != len(o.Shards) || len(o.Shards)+len(o.Missing) != n {
-		c.Fail(BadMerge, at, "%s names shards %v and lacks %v of %d", o.ID, o.Shards, o.Missing, n)
+		c.Fail(BadMerge, at, "%s names shards %v as present and %v as missing, which are not exactly the %d shards", o.ID, o.Shards, o.Missing, n)
 	}
 	if len(o.Shards)*100 < required*n {
-		c.Fail(BadMerge, at, "%s has %d of %d shards, %d%% are required", o.ID, len(o.Shards), n, required)
+		c.Fail(BadMerge, at, "%s has %d of %d shards, at least %d%% are required", o.ID, len(o.Shards), n, required)
 	}
 	if !slices.IsSortedFunc(o.Records, search.Before) {
-		c.Fail(BadMerge, at, "%s is out of order", o.ID)
+		c.Fail(BadMerge, at, "%s has records out of order", o.ID)
 	}
 	c.tested(NotComplete)
 	if want := records.Merged(index, query, limit, o.Shards, n); !slices.Equal(want, o.Records) {
-		c.Fail(NotComplete, at, "%s differs from the exact answer of its shards", o.ID)
+		c.Fail(NotComplete, at, "%s differs from the merge of its shards' records", o.ID)
 	}
 }
 
@@ -41,11 +42,12 @@
 	c.tested(NotComplete)
 	want, ok := records.Of(record)
 	if !ok || len(o.Records) != 1 || o.Records[0] != want {
-		c.Fail(NotComplete, at, "%s of %s got %v", o.ID, record, o.Records)
+		c.Fail(NotComplete, at, "%s for record %s got %v, not exactly that record", o.ID, record, o.Records)
 	}
 }
 
-// Budgets checks the retry budget in every ten seconds of every pool.
+// Budgets checks the retry budget of every pool: in any ten seconds, at most a fifth of the first attempts plus 60
+// extra attempts.
 func (c *Checker) Budgets() {
 	for pool, extraAttempts := range c.extraAttempts {
 		for sec := range extraAttempts {
@@ -57,7 +59,7 @@
 				}
 				c.tested(Budget)
 				if e > f/5+60 {
-					c.Fail(Budget, start*clock.Second, "%s: %d extra tries beside %d first ones in 10 s", pool, e, f)
+					c.Fail(Budget, start*clock.Second, "%s: %d extra attempts for %d first attempts within 10 s", pool, e, f)
 				}
 			}
 		}
@@ -71,11 +73,12 @@
 	fair     map[int64]int64
 }
 
-// SlowStartSlot is the width of the slots in which a cold server's work is counted.
+// SlowStartSlot is the width of the time slots in which the requests to a server in slow start are counted.
 const SlowStartSlot = 500 * clock.Millisecond
 
-// SlowStart records a request to a shard: whether it went to a server that is cold since began, with a slow
-// start of the given length, and which share a warm server would get of it.
+// SlowStart records a request to a shard that has a server in slow start since began, for the given duration. toServer
+// reports whether the request went to that server; fair is the share of the request, in thousandths, that the server
+// would get if it were warm.
 func (c *Checker) SlowStart(server string, began, duration int64, at clock.Micros, toServer bool, fair int64) {
 	k := c.slowStarts[server]
 	if k == nil || k.began != began {
@@ -92,14 +95,14 @@
 	}
 }
 
-// SlowStarts checks each cold server's work against twice the share that its slow start allows at the slot's
-// end, plus the spread of chance and four requests.
+// SlowStarts checks that each server in slow start got, in each slot, at most twice the requests that its ramp allows at
+// the slot's end, plus an allowance for random variation (twice the square root of that number) and four requests.
 func (c *Checker) SlowStarts() {
 	var all int64
 	ramp := 0.0
 	defer func() {
 		if ramp > 0 {
-			// Over all cold servers together, where chance evens out.
+			// The sum over all servers in slow start, in which random variation averages out.
 			c.Counts["cold_percent_of_ramp"] = int64(float64(all) * 100 / ramp)
 		}
 	}()
@@ -111,17 +114,17 @@
 			allowed := int64(due + 4 + 2*math.Sqrt(due))
 			all, ramp = all+k.slots[slot], ramp+float64(fair*warm)/1e6
 			if got := k.slots[slot]; got > allowed {
-				c.Fail(SlowStartExceeded, k.began+slot*SlowStartSlot, "%s got %d in slot %d, its ramp allows about %d", server, got, slot, allowed)
+				c.Fail(SlowStartExceeded, k.began+slot*SlowStartSlot, "%s got %d requests in slot %d of its slow start, at most %d are allowed", server, got, slot, allowed)
 			}
 		}
 	}
 }
 
-// Served records a good response.
+// Served records a successful response.
 func (c *Checker) Served(at clock.Micros) { c.servedPerSecond[at/clock.Second]++ }
 
-// Recovers checks that service is above a quarter of its former level in time after a total loss, from the
-// seconds before the loss and those after the allowed time.
+// Recovers checks that after a total loss the rate of successful responses is back to at least a quarter of its former
+// level in time. It compares four seconds before the loss with the four seconds from RecoverWithin after back.
 func (c *Checker) Recovers(lost, back clock.Micros) {
 	c.tested(SlowBack)
 	var normal, now int64
@@ -134,12 +137,12 @@
 		now += c.servedPerSecond[s]
 	}
 	if normal == 0 || now*4 < normal {
-		c.Fail(SlowBack, back+RecoverWithin, "%d answers in 4 s after the time to recover, %d before the loss", now, normal)
+		c.Fail(SlowBack, back+RecoverWithin, "%d successful responses in 4 s after the time to recover, %d in 4 s before the loss", now, normal)
 	}
 }
 
-// Proper checks that a request inside the limits is not rejected by us; why names what excuses a rejection,
-// which is counted instead.
+// Proper checks that a request within the limits is not rejected by the product. If why is not empty, it names an
+// excuse, and a rejection is only counted under that name.
 func (c *Checker) Proper(o *search.Outcome, at clock.Micros, why string) {
 	c.tested(ProperRejected)
 	if o.Code != search.CodeUnavailable && o.Code != search.CodeRateLimited {
@@ -149,13 +152,13 @@
 		c.Count("refused_for."+why, 1)
 		return
 	}
-	c.Fail(ProperRejected, at, "%s got %s: %s", o.ID, o.Code, o.Why)
+	c.Fail(ProperRejected, at, "%s within the limits was rejected with %s: %s", o.ID, o.Code, o.Why)
 }
 
-// Aborted checks a request that was read and never answered.
+// Aborted records a request that was read and never answered; that is a violation if the node stopped as planned.
 func (c *Checker) Aborted(node string, at clock.Micros, planned bool) {
 	c.tested(ReadAborted)
 	if planned {
-		c.Fail(ReadAborted, at, "%s cut an inquiry in its planned stop", node)
+		c.Fail(ReadAborted, at, "%s aborted, during its planned stop, a request that it had read", node)
 	}
 }
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -1,5 +1,5 @@
-// Checking a history, each register by itself. The search is bounded by steps, not by time, so that the result
-// is the same on every machine.
+// Checking a history, each register separately. The search is bounded by steps, not by time, so that the result is
+// the same on every machine.
 
 package history
 
@@ -11,13 +11,13 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// MaxSteps bounds the search for a sequential order of one register's operations.
+// MaxSteps is the maximum number of steps in the search for a sequential order of one register's operations.
 const MaxSteps = 2_000_000
 
-// maxShownOperations is how many operations an error lists.
+// maxShownOperations is the maximum number of operations listed in an error.
 const maxShownOperations = 12
 
-// NotLinearizable is the error for a register whose operations fit no sequential order.
+// NotLinearizable is the error for a register whose operations are not explained by any sequential order.
 type NotLinearizable struct {
 	Register   string
 	Operations []Operation
@@ -25,7 +25,7 @@
 
 func (e *NotLinearizable) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: no order explains its %d operations", e.Register, len(e.Operations))
+	fmt.Fprintf(&b, "%s: not linearizable: no sequential order explains its %d operations", e.Register, len(e.Operations))
 	for i, op := range e.Operations {
 		if i == maxShownOperations {
 			b.WriteString("; ...")
@@ -36,14 +36,14 @@
 	return b.String()
 }
 
-// Undecided is the error for a register whose search reached the bound.
+// Undecided is the error for a register whose search reached the bound on steps.
 type Undecided struct {
 	Register string
 	Steps    int
 }
 
 func (e *Undecided) Error() string {
-	return fmt.Sprintf("%s: undecided after %d steps", e.Register, e.Steps)
+	return fmt.Sprintf("%s: linearizability undecided after %d search steps", e.Register, e.Steps)
 }
 
 func (op Operation) String() string {
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("%s %s [%d,%d]", text, outcome, op.Begin, op.End)
 }
 
-// Check returns one error for each register that is not linearizable, or not decided.
+// Check returns one error for each register that is not linearizable or undecided: *NotLinearizable or *Undecided.
 func (h *History) Check() []error {
 	registers := map[string][]Operation{}
 	var names []string
--- a/lab/history/doc.go
+++ b/lab/history/doc.go
@@ -1,5 +1,4 @@
-// Package history records what clients asked of replicated registers and what
-// they were answered, with begin and end, and checks the record for
-// linearizability. A register is the configuration, which is changed by orders
-// built on a version, or one zone's drain state, which is set.
+// Package history records the operations of clients on replicated registers, with their begin, end and outcome, and
+// checks the record for linearizability. A register is either the configuration, which is modified by compare-and-set
+// on its version, or the drain state of one zone, which is set unconditionally.
 package history
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -2,39 +2,39 @@
 
 import "math"
 
-// Never is the end of an operation whose effect may still come.
+// Never is the end of an operation that may still take effect.
 const Never = math.MaxInt64
 
-// Kind is what an operation does to its register.
+// Kind is the kind of an operation on a register.
 type Kind uint8
 
 // Kinds of operations.
 const (
 	// Change replaces the version Base by the version ID, if Base is the current one.
 	Change Kind = iota
-	// Set puts the value ID, whatever the current one is.
+	// Set writes the value ID unconditionally.
 	Set
-	// Read asks for the current value.
+	// Read returns the current value.
 	Read
 )
 
-// Outcome is what the client learned.
+// Outcome is the outcome of an operation as known to the client.
 type Outcome uint8
 
 // Outcomes of operations.
 const (
-	// Unknown means that no final answer came: the operation may have taken effect, or may do so later.
+	// Unknown means that no final answer arrived: the operation may have taken effect or may still do so.
 	Unknown Outcome = iota
-	// Accepted is an acknowledgement, or the value of a read.
+	// Accepted means that a write was acknowledged, or that a read returned a value.
 	Accepted
-	// Refused is a final answer that the change is not accepted and never will be by this call.
+	// Refused means that the change was finally rejected: this call has not taken effect and never will.
 	Refused
 )
 
-// Configuration is the name of the configuration's register.
+// Configuration is the name of the register that holds the configuration.
 const Configuration = "configuration"
 
-// Zone returns the name of the register of a zone's drain state.
+// Zone returns the name of the register that holds a zone's drain state.
 func Zone(zone string) string { return "zone " + zone }
 
 // Values of a zone's register.
@@ -48,27 +48,27 @@
 	Register string
 	Client   int
 	Kind     Kind
-	// ID is the value that it writes; the same ID is the same order sent again.
+	// ID is the value that the operation writes. Operations with equal IDs are retries of the same command.
 	ID string
-	// Version is the name that later changes call its outcome by; ID where it is empty. Two
-	// different changes may have the same.
+	// Version is the name by which later changes refer to the result in Base, "" for the same as ID. Different
+	// changes may have the same Version.
 	Version string
-	// Base is the version that a change builds on; "" is the empty register.
+	// Base is the version on which a change is based; "" is the empty register.
 	Base string
-	// Invalid reports that the change may be refused on any version, and must never be accepted.
+	// Invalid reports that the change may be refused on any version and must never be accepted.
 	Invalid bool
-	// Begin and End are the times of the first request and of the final answer, in microseconds.
+	// Begin is the time of the first request and End that of the final answer, in microseconds.
 	Begin, End int64
 	Outcome    Outcome
-	// Value is what a read returned.
+	// Value is the value that a read returned.
 	Value string
 }
 
-// History is the operations of one run.
+// History holds the operations of one run.
 type History struct{ Operations []Operation }
 
-// Add appends an operation. A read without an answer has no meaning and is left out; a write without one may
-// take effect at any time after it began.
+// Add appends an operation. It drops a read without an answer, which constrains nothing. A write without a final
+// answer may take effect at any time after Begin, so Add sets its End to Never.
 func (h *History) Add(op Operation) {
 	if op.Outcome == Unknown {
 		if op.Kind == Read {
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -1,4 +1,4 @@
-// Histories that must pass, and those with one planted fault each that must not.
+// Tests with linearizable histories, which must pass, and histories with one injected fault each, which must fail.
 
 package history
 
@@ -40,20 +40,20 @@
 
 func TestSoundHistoriesPass(t *testing.T) {
 	for name, h := range map[string]*History{
-		"one after another":                historyOf(change("a", "", 1, 2, Accepted), read("a", 3, 4), change("b", "a", 5, 6, Accepted), read("b", 7, 8)),
-		"of two on one base one loses":     historyOf(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Refused), read("a", 6, 7)),
-		"a read beside a change sees old":  historyOf(change("a", "", 1, 9, Accepted), read("", 2, 3)),
-		"a read beside a change sees new":  historyOf(change("a", "", 1, 9, Accepted), read("a", 2, 3)),
-		"an unknown change that took":      historyOf(change("a", "", 1, 2, Unknown), read("a", 3, 4), change("b", "a", 5, 6, Accepted)),
-		"an unknown change that did not":   historyOf(change("a", "", 1, 2, Unknown), read("", 3, 4), change("b", "", 5, 6, Accepted)),
-		"an unknown change that took late": historyOf(change("a", "", 1, 2, Unknown), read("", 3, 4), read("a", 5, 6)),
-		"a repeat of what was taken":       historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("b", 7, 8)),
-		"refused, then valid":              historyOf(change("b", "a", 1, 2, Refused), change("a", "", 3, 4, Accepted), change("b", "a", 5, 6, Accepted)),
-		"invalid on the current version":   historyOf(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Refused}, read("", 3, 4)),
-		"a zone drained and restored":      historyOf(setZone("z", Drained, 1, 2, Accepted), readZone("z", Drained, 3, 4), setZone("z", Restored, 5, 6, Accepted), readZone("z", Restored, 7, 8)),
-		"registers are judged apart":       historyOf(change("a", "", 1, 2, Accepted), setZone("z", Drained, 1, 2, Accepted), readZone("y", Restored, 3, 4), read("a", 3, 4)),
-		"two orders of one number":         historyOf(changeWithVersion("a", "1", "", 1, 5, Accepted), changeWithVersion("b", "1", "", 1, 5, Refused), changeWithVersion("c", "2", "1", 6, 7, Accepted)),
-		"a read without an answer":         historyOf(Operation{Register: Configuration, Kind: Read, Begin: 1, Outcome: Unknown}),
+		"one after another":                                  historyOf(change("a", "", 1, 2, Accepted), read("a", 3, 4), change("b", "a", 5, 6, Accepted), read("b", 7, 8)),
+		"one of two changes on one base refused":             historyOf(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Refused), read("a", 6, 7)),
+		"a read concurrent with a change sees the old value": historyOf(change("a", "", 1, 9, Accepted), read("", 2, 3)),
+		"a read concurrent with a change sees the new value": historyOf(change("a", "", 1, 9, Accepted), read("a", 2, 3)),
+		"an unknown change that took effect":                 historyOf(change("a", "", 1, 2, Unknown), read("a", 3, 4), change("b", "a", 5, 6, Accepted)),
+		"an unknown change that had no effect":               historyOf(change("a", "", 1, 2, Unknown), read("", 3, 4), change("b", "", 5, 6, Accepted)),
+		"an unknown change that took effect late":            historyOf(change("a", "", 1, 2, Unknown), read("", 3, 4), read("a", 5, 6)),
+		"a retry of an accepted change":                      historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("b", 7, 8)),
+		"refused, then valid":                                historyOf(change("b", "a", 1, 2, Refused), change("a", "", 3, 4, Accepted), change("b", "a", 5, 6, Accepted)),
+		"invalid on the current version":                     historyOf(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Refused}, read("", 3, 4)),
+		"a zone drained and restored":                        historyOf(setZone("z", Drained, 1, 2, Accepted), readZone("z", Drained, 3, 4), setZone("z", Restored, 5, 6, Accepted), readZone("z", Restored, 7, 8)),
+		"registers are checked separately":                   historyOf(change("a", "", 1, 2, Accepted), setZone("z", Drained, 1, 2, Accepted), readZone("y", Restored, 3, 4), read("a", 3, 4)),
+		"two changes with one version":                       historyOf(changeWithVersion("a", "1", "", 1, 5, Accepted), changeWithVersion("b", "1", "", 1, 5, Refused), changeWithVersion("c", "2", "1", 6, 7, Accepted)),
+		"a read without an answer":                           historyOf(Operation{Register: Configuration, Kind: Read, Begin: 1, Outcome: Unknown}),
 	} {
 		t.Run(name, func(t *testing.T) { must.SliceEmpty(t, h.Check()) })
 	}
@@ -61,20 +61,20 @@
 
 func TestPlantedFaultsFail(t *testing.T) {
 	for name, h := range map[string]*History{
-		"two orders on one base both acknowledged":   historyOf(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Accepted)),
-		"two orders of one number both acknowledged": historyOf(changeWithVersion("a", "1", "", 1, 5, Accepted), changeWithVersion("b", "1", "", 1, 5, Accepted)),
-		"a stale read":                               historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), read("a", 5, 6)),
-		"reads that go back":                         historyOf(change("a", "", 1, 9, Accepted), read("a", 2, 3), read("", 4, 5)),
-		"a lost acknowledged write":                  historyOf(change("a", "", 1, 2, Accepted), read("", 3, 4)),
-		"a lost acknowledged write, by a later base": historyOf(change("a", "", 1, 2, Accepted), change("b", "", 3, 4, Accepted)),
-		"an acknowledged repeat refused":             historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Refused)),
-		"a repeat refused while its order was taken": historyOf(change("a", "", 1, 2, Unknown), read("a", 3, 4), change("a", "", 5, 6, Refused)),
-		"a refused order that took effect":           historyOf(change("a", "", 1, 2, Accepted), change("b", "", 1, 2, Refused), read("b", 3, 4)),
-		"a proper order refused":                     historyOf(change("a", "", 1, 2, Refused), read("", 3, 4)),
-		"an invalid order acknowledged":              historyOf(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Accepted}),
-		"a repeat that is applied again":             historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("a", 7, 8)),
-		"a late drain after an acknowledged restore": historyOf(setZone("z", Drained, 1, 2, Accepted), setZone("z", Restored, 3, 4, Accepted), readZone("z", Drained, 5, 6)),
-		"a lost drain":                               historyOf(setZone("z", Drained, 1, 2, Accepted), readZone("z", Restored, 3, 4)),
+		"two changes on one base both acknowledged":      historyOf(change("a", "", 1, 5, Accepted), change("b", "", 1, 5, Accepted)),
+		"two changes with one version both acknowledged": historyOf(changeWithVersion("a", "1", "", 1, 5, Accepted), changeWithVersion("b", "1", "", 1, 5, Accepted)),
+		"a stale read":                                  historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), read("a", 5, 6)),
+		"reads that go back":                            historyOf(change("a", "", 1, 9, Accepted), read("a", 2, 3), read("", 4, 5)),
+		"a lost acknowledged write":                     historyOf(change("a", "", 1, 2, Accepted), read("", 3, 4)),
+		"a lost acknowledged write, by a later base":    historyOf(change("a", "", 1, 2, Accepted), change("b", "", 3, 4, Accepted)),
+		"a retry of an acknowledged change refused":     historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Refused)),
+		"a retry refused though its change took effect": historyOf(change("a", "", 1, 2, Unknown), read("a", 3, 4), change("a", "", 5, 6, Refused)),
+		"a refused change that took effect":             historyOf(change("a", "", 1, 2, Accepted), change("b", "", 1, 2, Refused), read("b", 3, 4)),
+		"a valid change refused":                        historyOf(change("a", "", 1, 2, Refused), read("", 3, 4)),
+		"an invalid change acknowledged":                historyOf(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Accepted}),
+		"a retry that is applied again":                 historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("a", 7, 8)),
+		"a late drain after an acknowledged restore":    historyOf(setZone("z", Drained, 1, 2, Accepted), setZone("z", Restored, 3, 4, Accepted), readZone("z", Drained, 5, 6)),
+		"a lost drain":                                  historyOf(setZone("z", Drained, 1, 2, Accepted), readZone("z", Restored, 3, 4)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			errs := h.Check()
@@ -92,7 +92,8 @@
 	must.Eq(t, 1, undecided.Steps)
 }
 
-// A day has some hundred changes; each is one of two on its base, and every tenth answer is lost.
+// A day has several hundred changes. Here every change has a concurrent rival on the same base, and every tenth answer
+// is lost; the search must still be decided within its bound.
 func TestLongHistoryIsDecided(t *testing.T) {
 	h := &History{}
 	last := ""
--- a/lab/history/register.go
+++ b/lab/history/register.go
@@ -9,8 +9,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// value is the state of a register: the current value, its version, and which of the changes that
-// were sent more than once have been taken.
+// value is the state of a register: the current value, its version, and the IDs of the applied changes among those
+// that were sent more than once.
 type value struct {
 	current string
 	version string
@@ -21,15 +21,15 @@
 
 func (v value) hasApplied(id string) bool { return strings.Contains(v.applied, separator+id+separator) }
 
-// register steps the specification and counts the steps against a limit.
+// register applies operations to the specification and counts the steps against a limit.
 type register struct {
 	repeated map[string]bool
 	steps    int
 	limit    int
 }
 
-// newRegister notes which changes were sent more than once: only of those is it remembered
-// whether they were taken, so that equal states stay equal.
+// newRegister determines which changes were sent more than once. The state records only for these whether they were
+// applied, so that states with the same future compare equal.
 func newRegister(operations []Operation, limit int) *register {
 	r := &register{repeated: map[string]bool{}, limit: limit}
 	sent := map[string]bool{}
@@ -66,8 +66,8 @@
 	}
 }
 
-// change steps a command. One without a clear answer may be placed after everything else, so that taking effect
-// wherever it can covers both that it did and that it did not.
+// change applies a compare-and-set command. A change with unknown outcome always takes effect where it is applicable:
+// since the search may also place it after all other operations, this covers the case that it had no effect.
 func (r *register) change(v value, op *Operation) (bool, any) {
 	applies := !op.Invalid && op.Base == v.version && !v.hasApplied(op.ID)
 	switch {
