--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -37,7 +37,7 @@
 	// In replaced, the first replica is partitioned long enough for another replica to become leader.
 	replaced := []Action{{Kind: Isolate, Replica: 0}, {Kind: Elapse, Argument: electionSpan}}
 	// In behind, the first command is committed without the second replica. Then the first replica is isolated and
-	// the second one rejoins, so the second replica may become leader with an older version.
+	// the second one rejoins and has to become leader although its version is older.
 	behind := []Action{{Kind: Call, Replica: 0}, {Kind: Isolate, Replica: 0}, {Kind: Rejoin, Replica: 1, Argument: messagesLost}}
 	return []Config{
 		{Name: "election and a crash", Voters: 3, Operators: one, Spans: []int{splitVoteSpan}, Budget: Budget{Elapses: 2, Crashes: 1, Holds: 1}},
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -73,7 +73,7 @@
 	merged func(known, other *process)
 }
 
-// maxCachedKernels bounds the number of processes that are kept running.
+// maxCachedKernels is the maximum number of kernels that are kept running.
 const maxCachedKernels = 512
 
 func newRuntime() *runtime {
@@ -108,7 +108,8 @@
 	return e
 }
 
-// kernelFor returns the running process, replayed from its start if it is not running any more.
+// kernelFor returns the kernel of a process and removes it from the cache. A kernel that is not cached is rebuilt by
+// replaying the process's inputs from its start.
 func (r *runtime) kernelFor(p *process) *kernel.Kernel {
 	if k := r.cached[p.id]; k != nil {
 		delete(r.cached, p.id)
@@ -157,7 +158,7 @@
 	return e
 }
 
-// keep caches a kernel for the next step, and drops the oldest.
+// cache keeps a kernel for the next step of its process and evicts the oldest one above maxCachedKernels.
 func (r *runtime) cache(id int32, k *kernel.Kernel) {
 	if r.cached[id] != nil {
 		return
--- a/lab/rules/journal.go
+++ b/lab/rules/journal.go
@@ -111,7 +111,7 @@
 	SlowStartPerS float64
 }
 
-// Version is a configuration that an operator sent.
+// Version is a configuration that an operator sent, and its answers.
 type Version struct {
 	Revision, Base int64
 	// Table is the complete resulting configuration, nil if there is none.
--- a/lab/scale/backends.go
+++ b/lab/scale/backends.go
@@ -1,5 +1,5 @@
-// Hollow backends: many in one process of the system, each with a port of its own at
-// which it tells its condition. They take no requests.
+// Hollow backends: many in one OS process, each with its own port, on which it answers health checks. They receive no
+// search requests.
 
 package scale
 
@@ -12,7 +12,7 @@
 	"wallport/runtime/wire"
 )
 
-// BackendsConfig says which hollow backends to run.
+// BackendsConfig configures the hollow backends.
 type BackendsConfig struct {
 	Count  int    `long:"count" default:"48" description:"how many"`
 	Shards int    `long:"shards" default:"4" description:"shards that they are spread over"`
@@ -20,13 +20,14 @@
 	IP     string `long:"ip" default:"127.0.0.1" description:"loopback address; the system chooses the ports"`
 }
 
-// Index and Cut are what hollow backends serve.
+// Index and ShardMapName are the index and the shard map that hollow backends serve.
 const (
 	Index        = "scores"
 	ShardMapName = "c1"
 )
 
-// StartBackends starts them and gives them as a platform lists them, and what ends them.
+// StartBackends starts hollow backends. It returns them in the form in which the platform lists them, and a function
+// that stops them.
 func StartBackends(c BackendsConfig) (list []wire.Backend, stop func(), err error) {
 	var all []*http.Server
 	stop = func() {
--- a/lab/scale/counts.go
+++ b/lab/scale/counts.go
@@ -1,6 +1,6 @@
-// The verdict on simulated time: what a process sends, receives, steps and keeps open,
-// counted at fleets of growing size, may not grow faster than the square root of the
-// fleet. Counts are a function of sizes and seed, so the verdict is the same every time.
+// The verdict from simulated time: the frames and bytes that a process sends and receives, its steps and its open
+// channels, counted for fleets of increasing size, must not grow faster than the square root of the fleet size. The
+// counts are a function of sizes and seed, so the verdict is reproducible.
 
 package scale
 
@@ -12,21 +12,21 @@
 	"wallport/lab/sim"
 )
 
-// MaxExponent is the exponent of the square root, and a little for the noise of small counts.
+// MaxExponent is the exponent of the square root, 0.5, plus a margin for the noise of small counts.
 const MaxExponent = 0.55
 
-// Verdict is how one count of one role grows.
+// Verdict is the growth of one count of one role in one phase.
 type Verdict struct {
 	Phase, Role, Name string
 	Points            []Point
-	// Exponent is the steepest one between two sizes that follow each other.
+	// Exponent is the greatest growth exponent between two successive sizes.
 	Exponent float64
 }
 
-// Over tells that the count grows faster than it may.
+// Over reports whether the count grows faster than allowed.
 func (v Verdict) Over() bool { return v.Exponent > MaxExponent }
 
-// String names the count, its values and its exponent.
+// String returns the name of the count, its values and its exponent.
 func (v Verdict) String() string {
 	s := fmt.Sprintf("%s, %s, %s:", v.Phase, v.Role, v.Name)
 	for _, p := range v.Points {
@@ -51,7 +51,7 @@
 	{"channels", func(r sim.Rates) float64 { return r.Channels }},
 }
 
-// Counts simulates each size.
+// Counts runs the simulation for each size.
 func Counts(sizes []sim.Growth) (all []sim.Grown, err error) {
 	for _, g := range sizes {
 		r, err := sim.Grow(g)
@@ -63,7 +63,7 @@
 	return all, nil
 }
 
-// Verdicts on every count of every phase and role.
+// Verdicts returns the verdict on every count of every phase and role.
 func Verdicts(all []sim.Grown) (out []Verdict) {
 	if len(all) == 0 {
 		return nil
@@ -87,7 +87,7 @@
 	return out
 }
 
-// ReportCounts writes the counts, their kinds and the verdicts.
+// ReportCounts writes the counts, the traffic by kind of frame and the verdicts.
 func ReportCounts(out io.Writer, all []sim.Grown) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "phase\trole\tcount")
@@ -110,7 +110,7 @@
 		reportKinds(w, all)
 	}
 	for _, g := range all {
-		fmt.Fprintf(w, "%d+%d: processor of a process, %% of a core, this machine:", g.Nodes, g.Cores)
+		fmt.Fprintf(w, "%d+%d: CPU use of one process, %% of a core of this machine:", g.Nodes, g.Cores)
 		for _, p := range g.Phases {
 			fmt.Fprintf(w, " %s %.2f", p.Name, 100*p.CPU)
 		}
@@ -121,12 +121,12 @@
 		for _, us := range g.InForceUs {
 			fmt.Fprintf(w, " %.1f", float64(us)/1000)
 		}
-		fmt.Fprintf(w, " ms; loss noticed by all after %.2f s, join after %.2f s\n", float64(g.LostUs)/1e6, float64(g.MetUs)/1e6)
+		fmt.Fprintf(w, " ms; loss detected by all nodes after %.2f s, join after %.2f s\n", float64(g.LostUs)/1e6, float64(g.MetUs)/1e6)
 	}
 	return w.Flush()
 }
 
-// kinds writes the bytes in of each kind of frame.
+// reportKinds writes the incoming frames and bytes per second of each kind of frame.
 func reportKinds(w io.Writer, all []sim.Grown) {
 	for i, p := range all[0].Phases {
 		for k := range sim.Kinds {
--- a/lab/scale/counts_test.go
+++ b/lab/scale/counts_test.go
@@ -1,4 +1,4 @@
-// Verdicts on how counts grow.
+// Tests of the verdicts on the growth of counts.
 
 package scale
 
--- a/lab/scale/events.go
+++ b/lab/scale/events.go
@@ -1,5 +1,5 @@
-// What is brought about in a run: changes of the configuration, the loss of a real node
-// and its start anew; and the times until all hollow nodes have seen it.
+// The events of a run: changes of the configuration, the loss of a real node and its restart. Each is measured by the
+// times until the hollow nodes have observed it.
 
 package scale
 
@@ -13,7 +13,7 @@
 	"wallport/cluster/mesh"
 )
 
-// changesEvery is the time between two changes.
+// changesEvery is the interval between two changes.
 const changesEvery = time.Second
 
 func (f *run) changes(ctx context.Context) error {
@@ -41,14 +41,16 @@
 		return err
 	}
 	if len(edits) == 0 {
-		return errors.Join(errors.New("no change was taken"), failed)
+		return errors.Join(errors.New("no change of the configuration was accepted"), failed)
 	}
 	f.m.AckUs, f.m.InForceUs, f.m.AllUs, f.m.NeverInForce = inForce(edits, seen)
 	return nil
 }
 
-// inForce works out the times of changes. A node has a change in force from when it has that
-// one or a newer one; before its acknowledgement counts as 0.
+// inForce computes the times of changes: from sending to acknowledgement, from acknowledgement to being in force on
+// each node, and the maximum of the latter for each change. A node has a change in force once it has that or a newer
+// version; if that is before the acknowledgement, the time counts as 0. never is the number of pairs of a node and a
+// change that was not in force at the end.
 func inForce(edits []EditResult, seen []Observation) (ack, every, all Times, never int) {
 	nodes := map[string][]Observation{}
 	for _, s := range seen {
@@ -78,8 +80,8 @@
 	return timesOf(acks), timesOf(each), timesOf(last), never
 }
 
-// detectionTimes works out how long after a moment each of so many nodes came to see whether a
-// node is live, and how many never did.
+// detectionTimes computes the times from a given time until each node first observed the member about as live (or as
+// not live), and the number of nodes that never did.
 func detectionTimes(from int64, about string, live bool, nodes int, seen []Observation) (Times, int) {
 	at := map[string]int64{}
 	for _, s := range seen {
@@ -94,7 +96,7 @@
 	return timesOf(us), nodes - len(us)
 }
 
-// Bounds of the waits for a lost node and for one that came back.
+// lossWait and joinWait are the times waited after a node is killed and after it is restarted.
 const (
 	lossWait = 12 * time.Second
 	joinWait = 15 * time.Second
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -1,6 +1,5 @@
-// Package scale measures how what control costs a process grows with the fleet, on
-// real processes beside hollow ones and on simulated time, and fits slopes to it. It
-// is a test tool.
+// Package scale measures how the cost of the control plane per process grows with the size of the fleet, and fits
+// slopes to the measurements. It runs real processes together with hollow ones, or a simulation. It is a test tool.
 package scale
 
 import (
@@ -10,19 +9,19 @@
 	"slices"
 )
 
-// Fit is a line and a power law through the same points. Line is a + b n; power is
-// c n^e, by least squares of the logarithms. The R2 are the shares of the variance
-// that each explains, of the values and of their logarithms.
+// Fit is a line a + b n and a power law c n^e fitted to the same points by least squares, the power law on the
+// logarithms. LineR2 is the share of the variance of the values that the line explains, PowerR2 the share of the
+// variance of their logarithms that the power law explains.
 type Fit struct {
 	A, B, LineR2  float64
 	C, E, PowerR2 float64
 	Points        int
 }
 
-// Point is a figure y measured at n nodes.
+// Point is a value Y measured with N nodes.
 type Point struct{ N, Y float64 }
 
-// FitTo fits points; those with n or y of 0 or less have no part in the power law.
+// FitTo fits a line and a power law to points. Points with N or Y of 0 or less are ignored for the power law.
 func FitTo(points []Point) Fit {
 	f := Fit{Points: len(points)}
 	f.A, f.B, f.LineR2 = line(points)
@@ -63,23 +62,23 @@
 	return my - b*mx, b, xy * xy / (xx * yy)
 }
 
-// At is the line's value at n nodes.
+// At returns the line's value at n nodes.
 func (f Fit) At(n float64) float64 { return f.A + f.B*n }
 
-// String tells the line and the power law.
+// String returns the line and the power law, "-" for fewer than two points.
 func (f Fit) String() string {
 	switch f.Points {
 	case 0, 1:
 		return "-"
 	case 2:
-		// Two points lie on every line: that says nothing of how well it fits.
+		// A line through two points always fits them, so R2 would mean nothing.
 		return fmt.Sprintf("%.4g %+.4g n; n^%.2f (two points)", f.A, f.B, f.E)
 	}
 	return fmt.Sprintf("%.4g %+.4g n (R2 %.3f); n^%.2f (R2 %.3f)", f.A, f.B, f.LineR2, f.E, f.PowerR2)
 }
 
-// Steepest is the greatest exponent between two sizes that follow each other. A count
-// grows faster than the square root of the fleet where it is over 0.5.
+// Steepest returns the greatest growth exponent between two successive sizes, -Inf if there is none. An exponent above
+// 0.5 means that a count grows faster than the square root of the fleet size.
 func Steepest(points []Point) (exponent float64) {
 	p := slices.Clone(points)
 	slices.SortFunc(p, func(a, b Point) int { return cmp.Compare(a.N, b.N) })
@@ -93,8 +92,7 @@
 	return exponent
 }
 
-// Quantile is the value that a share q of the values does not exceed: of sorted values the
-// one of rank ceil(q n). It is 0 without values.
+// Quantile returns the q-quantile of the values: of the sorted values the one with rank ceil(q n), 0 without values.
 func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/lab/scale/fit_test.go
+++ b/lab/scale/fit_test.go
@@ -1,4 +1,4 @@
-// Slopes, exponents, quantiles and the plot, on figures whose law is known.
+// Tests of fits, exponents, quantiles and the plot, on values of known functions.
 
 package scale
 
@@ -53,7 +53,7 @@
 func TestSteepest(t *testing.T) {
 	near(t, 0.5, Steepest(pointsOf(math.Sqrt)))
 	near(t, 2, Steepest([]Point{{40, 2}, {10, 2}, {80, 8}}))
-	must.True(t, math.IsInf(Steepest([]Point{{10, 0}, {40, 4}}), -1), must.Sprint("what was nothing has no exponent"))
+	must.True(t, math.IsInf(Steepest([]Point{{10, 0}, {40, 4}}), -1), must.Sprint("growth from 0 has no exponent"))
 }
 
 func TestQuantile(t *testing.T) {
@@ -61,7 +61,7 @@
 	for q, want := range map[float64]float64{0: 1, 0.2: 1, 0.5: 3, 0.8: 4, 0.99: 5, 1: 5} {
 		must.Eq(t, want, Quantile(v, q), must.Sprint(q))
 	}
-	must.Eq(t, []float64{5, 1, 4, 2, 3}, v, must.Sprint("left as they were"))
+	must.Eq(t, []float64{5, 1, 4, 2, 3}, v, must.Sprint("the input must not be modified"))
 	must.Eq(t, 0, Quantile(nil, 0.5))
 }
 
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -1,6 +1,6 @@
-// Hollow processes: many nodes or cores in one process of the system, each a real kernel
-// with the real plug-ins on the real driver, its own port and its own channels, without
-// the request path and the HTTP interfaces. What they cost is what control costs.
+// Hollow processes: many nodes or cores in one OS process. Each is a real kernel with the real plug-ins on the real
+// driver and has its own port and channels, but no request path and no HTTP interfaces. Their cost is therefore the
+// cost of the control plane.
 
 package scale
 
@@ -15,7 +15,7 @@
 	"github.com/samber/oops"
 	"go.uber.org/zap"
 
-	// The plug-ins register themselves.
+	// The imported plug-ins register themselves.
 	_ "wallport/cluster/loadreport"
 	_ "wallport/control/configsync"
 	_ "wallport/control/operations"
@@ -30,7 +30,7 @@
 	"wallport/runtime/settings"
 )
 
-// HollowConfig says which hollow processes to run.
+// HollowConfig configures the hollow processes of one host.
 type HollowConfig struct {
 	//lint:ignore SA5008 go-flags takes one choice a tag
 	Role     string   `long:"role" default:"node" choice:"node" choice:"core" description:"their role"`
@@ -43,7 +43,7 @@
 	Data     string   `long:"data" description:"folder for the cores' data folders"`
 }
 
-// Hollow runs them.
+// Hollow is a host of hollow processes.
 type Hollow struct {
 	c     HollowConfig
 	nodes []*hollowNode
@@ -59,10 +59,10 @@
 	ended atomic.Bool
 }
 
-// Endpoint tells where a hollow process listens.
+// Endpoint is the name and the mesh address of a hollow process.
 type Endpoint struct{ Name, Mesh string }
 
-// StartHollow starts them all.
+// StartHollow starts all hollow processes of a host.
 func StartHollow(c HollowConfig) (*Hollow, error) {
 	h := &Hollow{c: c}
 	for i := range c.Count {
@@ -76,7 +76,7 @@
 	return h, nil
 }
 
-// maxPortAttempts is how often a port is chosen anew when another process was faster.
+// maxPortAttempts is the number of ports tried for one hollow process: another process may take a free port first.
 const maxPortAttempts = 8
 
 func (h *Hollow) start(i int) (*hollowNode, error) {
@@ -103,10 +103,10 @@
 		}
 		return &hollowNode{name: e.Name, p: p, table: kernel.Find[*snapshot.Table](p.Kernel)}, nil
 	}
-	return nil, oops.In("hollow").With("name", e.Name).Wrapf(last, "cannot start")
+	return nil, oops.In("hollow").With("name", e.Name).Wrapf(last, "cannot start the hollow process")
 }
 
-// freeAddr has the system choose a port.
+// freeAddr returns an address with a free port that the system chose. Another process may take it before it is used.
 func freeAddr(ip string) (string, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
@@ -116,7 +116,7 @@
 	return l.Addr().String(), nil
 }
 
-// Up tells where they listen.
+// Up returns the endpoints of all hollow processes.
 func (h *Hollow) Up() (out []Endpoint) {
 	for _, n := range h.nodes {
 		out = append(out, Endpoint{n.name, n.p.Kernel.Boot.Settings.Mesh})
@@ -124,7 +124,7 @@
 	return out
 }
 
-// Stop ends them all.
+// Stop stops the watch and all hollow processes, and waits for them.
 func (h *Hollow) Stop() {
 	h.mu.Lock()
 	w := h.watch
@@ -142,8 +142,8 @@
 	wg.Wait()
 }
 
-// Ask is what a host of hollow processes can be asked, Told what it answers: a line
-// of JSON each where the host is another process of the system.
+// HostRequest is a request to a host of hollow processes, HostResponse its answer. If the host is another OS process,
+// each is one line of JSON.
 type (
 	HostRequest struct {
 		// Op is up, sample, watch, seen, edit, cut or kill.
@@ -160,7 +160,7 @@
 	}
 )
 
-// Do answers what is asked.
+// Do executes a request and returns the answer.
 func (h *Hollow) Do(a HostRequest) HostResponse {
 	switch a.Op {
 	case "up":
@@ -182,7 +182,7 @@
 		h.watch = nil
 		h.mu.Unlock()
 		if w == nil {
-			return HostResponse{Err: "nothing is watched"}
+			return HostResponse{Err: "seen: no watch is running"}
 		}
 		return HostResponse{Seen: w.finish()}
 	case "edit", "cut":
@@ -195,5 +195,5 @@
 			}
 		}
 	}
-	return HostResponse{Err: "cannot " + a.Op + " " + a.Name}
+	return HostResponse{Err: "unknown operation or process: " + a.Op + " " + a.Name}
 }
--- a/lab/scale/hollow_sample.go
+++ b/lab/scale/hollow_sample.go
@@ -1,4 +1,4 @@
-// What the hollow processes of one host did, summed.
+// Samples of the counters of the hollow processes of one host.
 
 package scale
 
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Sample is what hollow processes of one host did so far, summed, at a moment.
+// Sample holds the sums of the counters of one host's hollow processes at one time.
 type Sample struct {
 	Processes, Ready int
-	// Stuck are those whose loop took no input in time.
+	// Stuck is the number of processes whose event loop did not process an input within stuckTimeout.
 	Stuck  int
 	Counts map[string]int64
-	// LagUs is the longest that a loop took to come to a new input.
+	// LagUs is the longest time that an event loop took to process a new input, in microseconds.
 	LagUs                   int64
 	HeapBytes, HeapMost     int64
 	Goroutines, Collections int
 }
 
-// stuckTimeout is how long a loop may take to come to an input before it counts as stuck.
+// stuckTimeout is the time after which an event loop that has not processed an input counts as stuck.
 const stuckTimeout = 3 * time.Second
 
 func (h *Hollow) sample() Sample {
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -1,6 +1,6 @@
-// A hollow fleet of six nodes, three cores and backends of its own, in this process: it
-// forms, takes a configuration, changes it, loses a node, and what it did is counted.
-// Ports are the system's choice; waits are on events, and only a hang ends them.
+// Tests with a hollow fleet of six nodes, three cores and its own backends in this process: the fleet forms, accepts a
+// configuration and a change, and loses a node; the counters are checked. The system chooses the ports. Waits end on
+// events; their time limit is only reached by a hang.
 
 package scale
 
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	for !ok() {
-		must.NoError(t, ctx.Err(), must.Sprint("never happened: "+what))
+		must.NoError(t, ctx.Err(), must.Sprint("timed out waiting until "+what))
 		runtime.Gosched()
 	}
 }
@@ -37,10 +37,10 @@
 	return h
 }
 
-// editUntilAccepted does an edit until it is taken.
+// editUntilAccepted retries an edit until it is accepted.
 func editUntilAccepted(t *testing.T, h *Hollow, a HostRequest) (e EditResult) {
 	t.Helper()
-	waitUntil(t, a.Op+" is taken", func() bool {
+	waitUntil(t, a.Op+" is accepted", func() bool {
 		r := h.Do(a)
 		if r.Edited != nil && r.Edited.Code == "ok" {
 			e = *r.Edited
@@ -51,7 +51,7 @@
 	return e
 }
 
-// allHaveVersion tells that all nodes have a change in force.
+// allHaveVersion reports whether all running nodes have a version in force.
 func (h *Hollow) allHaveVersion(s wire.Version) bool {
 	for _, n := range h.nodes {
 		if cp := n.table.Current(); !n.ended.Load() && (cp == nil || cp.Config.ConfigVersion != s) {
@@ -61,6 +61,7 @@
 	return true
 }
 
+// liveAt returns the number of running nodes that consider a member live.
 func (h *Hollow) liveAt(name string) (n int) {
 	for _, v := range h.nodes {
 		for _, m := range v.table.Current().Roster {
@@ -93,20 +94,20 @@
 	editUntilAccepted(t, h, HostRequest{Op: "edit", Body: f.newConfig()})
 	editUntilAccepted(t, h, HostRequest{Op: "cut", Name: Index, Body: json.RawMessage(`{"Name":"c1","Shards":4}`)})
 	waitUntil(t, "all are ready", func() bool { return h.Do(HostRequest{Op: "sample"}).Sample.Ready == nodes })
-	waitUntil(t, "all know all", func() bool { return h.liveAt("node-5") == nodes })
+	waitUntil(t, "all nodes consider node-5 live", func() bool { return h.liveAt("node-5") == nodes })
 
 	must.Eq(t, "", h.Do(HostRequest{Op: "watch", Name: "node-5"}).Err)
 	change := editUntilAccepted(t, h, HostRequest{Op: "edit", Body: f.newConfig()})
-	waitUntil(t, "it is in force everywhere", func() bool { return h.allHaveVersion(change.Stamp) })
+	waitUntil(t, "the change is in force on all nodes", func() bool { return h.allHaveVersion(change.Stamp) })
 	lostAt := wallUs()
 	must.Eq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err)
-	must.NotEq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err, must.Sprint("it has ended"))
-	waitUntil(t, "the others hold it for lost", func() bool { return h.liveAt("node-5") == 0 })
+	must.NotEq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err, must.Sprint("the node has already been stopped"))
+	waitUntil(t, "no other node considers node-5 live", func() bool { return h.liveAt("node-5") == 0 })
 	seen := h.Do(HostRequest{Op: "seen"}).Seen
 
 	ack, every, _, never := inForce([]EditResult{change}, seen)
 	must.Eq(t, 1, ack.N)
-	must.Eq(t, nodes, every.N+never, must.Sprint("the one that ended may not have been looked at in time"))
+	must.Eq(t, nodes, every.N+never, must.Sprint("the stopped node may not have been observed in time"))
 	must.LessEq(t, 1, never)
 	lost, silent := detectionTimes(lostAt, "node-5", false, nodes-1, seen)
 	must.Eq(t, 0, silent)
@@ -118,7 +119,7 @@
 	for _, name := range []string{"steps", "frames_in", "frames_out", "frame_bytes_in", "frame_bytes_out", "condition_probes", "mesh_heartbeats_in"} {
 		must.Positive(t, s.Counts[name], must.Sprint(name))
 	}
-	must.NotEq(t, "", h.Do(HostRequest{Op: "seen"}).Err, must.Sprint("nothing is watched any more"))
+	must.NotEq(t, "", h.Do(HostRequest{Op: "seen"}).Err, must.Sprint("the watch has been stopped"))
 	must.NotEq(t, "", h.Do(HostRequest{Op: "dance"}).Err)
 }
 
@@ -133,7 +134,8 @@
 	}
 	ack, every, all, never := inForce(edits, seen)
 	must.Eq(t, Times{N: 2, P50: 10, P99: 20, Most: 20, Sum: 30}, ack)
-	// Of the first: a at once, b with the second one after 115, c after 20; of the second: 10 and 5, c never.
+	// Times in microseconds from acknowledgement to being in force. First change: node a 0 (before the
+	// acknowledgement), b 115 (with the second change), c 20. Second change: a 10, b 5, c never.
 	must.Eq(t, Times{N: 5, P50: 10, P99: 115, Most: 115, Sum: 150}, every)
 	must.Eq(t, Times{N: 2, P50: 10, P99: 115, Most: 115, Sum: 125}, all)
 	must.Eq(t, 1, never)
--- a/lab/scale/phases.go
+++ b/lab/scale/phases.go
@@ -1,4 +1,4 @@
-// The phases of a run, and what is measured in each.
+// The phases of a run and the measurements in each.
 
 package scale
 
@@ -10,7 +10,7 @@
 
 var classes = []string{"node", "core", "hollow"}
 
-// phase does something and notes what the processes used meanwhile.
+// phase runs do as a named phase and records the resources that the processes used during it.
 func (f *run) phase(ctx context.Context, name string, do func() error) error {
 	from := f.sampleAll(ctx)
 	if err := do(); err != nil {
@@ -61,7 +61,7 @@
 	}
 	from := f.sampleAll(ctx)
 	err := f.waitReady(ctx, began)
-	// A fleet that never comes to be ready is measured too, as far as it came.
+	// The start is recorded even if the fleet did not become ready.
 	f.recordPhase("start", from, f.sampleAll(context.WithoutCancel(ctx)))
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 	}
 	for _, c := range f.children {
 		if err := resetPeakMemory(c.cmd.Process.Pid); err != nil {
-			f.logf("peaks of %s go on from the start: %v", c.name, err)
+			f.logf("cannot reset the peak memory of %s, it includes the start: %v", c.name, err)
 		}
 	}
 	f.m.Load = loadAverage1m()
@@ -89,7 +89,7 @@
 	return f.lossAndJoin(ctx, seeds)
 }
 
-// measureIdle measures a while in which nothing happens.
+// measureIdle waits for the duration Rest without any change and measures the CPU use of all children.
 func (f *run) measureIdle(ctx context.Context) error {
 	cpu := f.cpu()
 	at := time.Now()
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// cpu is the processor time, in seconds, that all children together have used.
+// cpu returns the CPU time that all children together have used so far, in seconds.
 func (f *run) cpu() (sum float64) {
 	for _, c := range f.children {
 		if u, err := ReadUsage(c.cmd.Process.Pid); err == nil {
@@ -110,8 +110,8 @@
 	return sum
 }
 
-// waitReady puts the first sheet and cut and waits until every hollow node may serve, or
-// until the time for that is over: a fleet that never gets there is measured too.
+// waitReady submits the first configuration and shard map and waits until every hollow node is ready to serve. If the
+// nodes are not ready within the time Within, it returns without an error, so that such a fleet is measured too.
 func (f *run) waitReady(ctx context.Context, began time.Time) error {
 	within, cancel := context.WithTimeout(ctx, f.o.Within)
 	defer cancel()
@@ -132,7 +132,7 @@
 	}
 	err = f.retryUntilDone(within, "ready", func() error {
 		if n := f.readyNodes(within); n < f.m.Nodes-f.m.Real {
-			return fmt.Errorf("%d of %d", n, f.m.Nodes-f.m.Real)
+			return fmt.Errorf("%d of %d hollow nodes are ready", n, f.m.Nodes-f.m.Real)
 		}
 		return nil
 	})
@@ -153,7 +153,8 @@
 	return n
 }
 
-// watch begins to note what the hollow nodes see; seen ends it.
+// watch starts recording the observations of the hollow nodes; with a name it also records the liveness of that
+// member. observations ends the recording.
 func (f *run) watch(ctx context.Context, about string) error {
 	return forEach(f.hosts, func(c *child) error {
 		_, err := c.ask(ctx, HostRequest{Op: "watch", Name: about})
@@ -161,6 +162,7 @@
 	})
 }
 
+// observations ends the recording and returns the observations of all hosts.
 func (f *run) observations(ctx context.Context) ([]Observation, error) {
 	parts := make([][]Observation, len(f.hosts))
 	index := map[*child]int{}
--- a/lab/scale/plot.go
+++ b/lab/scale/plot.go
@@ -1,5 +1,5 @@
-// A plot in text: figures over the number of nodes, both axes logarithmic, so that a
-// power law is a straight line and its exponent the slope.
+// A text plot of measurements over the number of nodes. Both axes are logarithmic, so that a power law is a straight
+// line whose slope is its exponent.
 
 package scale
 
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// Series is one line of a plot; Mark is its letter.
+// Series is one line of a plot; its points are drawn as Mark.
 type Series struct {
 	Name   string
 	Mark   rune
 	Points []Point
 }
 
-// Figures of the plot, in characters.
+// plotWide and plotHigh are the size of the plot in characters.
 const (
 	plotWide = 61
 	plotHigh = 16
 )
 
-// Plot draws series on common logarithmic axes. Points of 0 or less are left out; where two
-// fall on one place the later series is seen.
+// Plot draws series on common logarithmic axes. It omits points of 0 or less; where two points share a cell, it shows
+// the later series.
 func Plot(title string, all []Series) string {
 	x0, x1, y0, y1 := math.Inf(1), math.Inf(-1), math.Inf(1), math.Inf(-1)
 	each := func(f func(s Series, x, y float64)) {
@@ -60,7 +60,7 @@
 	var b strings.Builder
 	fmt.Fprintln(&b, title)
 	for r, row := range grid {
-		// A label at the row that is nearest to each power of ten.
+		// Each power of ten labels the row nearest to it.
 		label := ""
 		for v := y0; v <= y1; v++ {
 			if int(math.Round((y1-v)/(y1-y0)*(plotHigh-1))) == r {
@@ -78,7 +78,7 @@
 	return b.String()
 }
 
-// shortNumber is a figure in few characters.
+// shortNumber formats a number with three significant digits and a unit prefix.
 func shortNumber(v float64) string {
 	switch {
 	case v >= 1e9:
--- a/lab/scale/rates.go
+++ b/lab/scale/rates.go
@@ -1,5 +1,5 @@
-// What the processes of each class used between two moments: real nodes, real cores, and
-// hollow nodes, of which a host's use is divided by their number.
+// Resource use per process and second, by class: real nodes, real cores and hollow nodes. The use of a host of hollow
+// nodes is divided by their number.
 
 package scale
 
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// Rates is what one process of a class used, in the mean over the class: processor in
-// cores, the rest a second; frames and their bytes as the processes count them, Read and
-// Written as the kernel does, with TLS and HTTP and files. Most is the worst process of
-// the class (or host's mean) by processor.
+// Rates is the resource use of one process of a class, averaged over the class. CPU is in cores; frames, bytes and steps
+// are per second; memory sizes are in bytes. Frames and their bytes are counted by the processes themselves. Read and
+// Written are counted by the OS kernel and include TLS, HTTP and files. CPUMost and PeakRSSMost are the maxima over the
+// processes of the class, where a host of hollow nodes counts with its mean.
 type Rates struct {
 	Processes                 int
 	CPU, CPUMost              float64
@@ -30,16 +30,16 @@
 	Files, Sockets            float64
 }
 
-// childSample is all that is known of one child at a moment.
+// childSample is the resource use and the counters of one child at one time.
 type childSample struct {
 	Usage
 	sample Sample
 }
 
-// sampleTimeout bounds a look.
+// sampleTimeout is the time limit for sampling all children.
 const sampleTimeout = 20 * time.Second
 
-// sampleAll asks every child; one that does not answer is left out.
+// sampleAll samples every child that has a class. Children that do not answer are missing from the result.
 func (f *run) sampleAll(ctx context.Context) map[*child]childSample {
 	ctx, cancel := context.WithTimeout(ctx, sampleTimeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	return out
 }
 
-// metrics reads a real process's counts.
+// metrics reads the counters of a real process from its operator API.
 func metrics(ctx context.Context, client *http.Client, operator string) (Sample, error) {
 	s := Sample{Processes: 1, Counts: map[string]int64{}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operator+"/metrics", nil)
@@ -85,7 +85,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("%s: status %d", operator, resp.StatusCode)
+		return s, fmt.Errorf("metrics of %s: got status %d", operator, resp.StatusCode)
 	}
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 		if k, v, ok := strings.Cut(lines.Text(), " "); ok {
@@ -96,7 +96,7 @@
 	return s, nil
 }
 
-// rates of a class between two looks; children that are not in both are left out.
+// rates returns the rates of a class between two samples, over the children that are in both.
 func rates(class string, from, to map[*child]childSample) (r Rates) {
 	for c, b := range to {
 		a, ok := from[c]
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -1,4 +1,4 @@
-// The report of a run at several sizes: a table, slopes, plots, and files for later.
+// The report of runs with several sizes: a table, slopes, plots and data files.
 
 package scale
 
@@ -12,8 +12,8 @@
 	"text/tabwriter"
 )
 
-// figure is one column: what it is, and how it is taken from a run; ok is false where the
-// run has none.
+// figure is one row of the table: its name, its unit and how to read it from a run; ok is false if the run did not
+// measure it.
 type figure struct {
 	name, unit string
 	take       func(m Measured) (v float64, ok bool)
@@ -37,7 +37,7 @@
 func p99(t Times) int64  { return t.P99 }
 func most(t Times) int64 { return t.Most }
 
-// figures are the columns of the table, in its order.
+// figures are the rows of the table, in order.
 var figures = []figure{
 	{"hollow node at rest: processor", "% of a core", phaseRate("rest", "hollow", func(r Rates) float64 { return 100 * r.CPU })},
 	{"real node at rest: processor", "% of a core", phaseRate("rest", "node", func(r Rates) float64 { return 100 * r.CPU })},
@@ -76,7 +76,7 @@
 	{"all processes: memory", "MB", func(m Measured) (float64, bool) { return float64(m.MemoryMost) / (1 << 20), true }},
 }
 
-// points are a figure's, over the runs that the machine could carry.
+// points returns the points of a figure over the runs that did not saturate the machine.
 func points(all []Measured, g figure) (out []Point) {
 	for _, m := range all {
 		if v, ok := g.take(m); ok && !m.Saturated {
@@ -86,7 +86,7 @@
 	return out
 }
 
-// Report writes the table with the slopes, and the plots.
+// Report writes the table with the slopes, and plots if there are several runs. An asterisk marks saturated runs.
 func Report(out io.Writer, all []Measured) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "nodes")
@@ -116,7 +116,7 @@
 		return err
 	}
 	for _, m := range all {
-		fmt.Fprintf(out, "%d nodes: %d cores, %d real nodes, %d hosts, %d backends, commit %s, %s, load %.1f at the rest, ready %d; never in force %d, lost unseen %d, met unseen %d. %s\n",
+		fmt.Fprintf(out, "%d nodes: %d cores, %d real nodes, %d hosts, %d backends, commit %s, %s, load %.1f before the idle phase, %d hollow nodes ready; pairs of node and change never in force %d, loss not observed by %d, join not observed by %d. %s\n",
 			m.Nodes, m.Cores, m.Real, m.Hosts, m.Servers, m.Commit, m.Machine, m.Load, m.ReadyNodes, m.NeverInForce, m.LostSilent, m.MetSilent, m.Note)
 	}
 	if len(all) > 1 {
@@ -149,7 +149,7 @@
 	{"bytes a second at rest", []int{3, 5}},
 }
 
-// Write keeps the runs as NAME.json and the table's figures as NAME.csv in a folder.
+// Write writes the runs to NAME.json and the table's figures to NAME.csv in a folder.
 func Write(dir, name string, all []Measured) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/lab/scale/report_test.go
+++ b/lab/scale/report_test.go
@@ -1,4 +1,4 @@
-// What the kernel tells of a process, and the report's table and files.
+// Tests of the resource use of processes, and of the report's table and files.
 
 package scale
 
@@ -68,7 +68,7 @@
 	must.NoError(t, Report(&b, all))
 	must.StrContains(t, b.String(), "300*")
 	must.StrContains(t, b.String(), "n^1.00")
-	must.StrNotContains(t, b.String(), "real node at rest: processor, % of a core  0", must.Sprint("what was not measured is left open"))
+	must.StrNotContains(t, b.String(), "real node at rest: processor, % of a core  0", must.Sprint("a figure that was not measured must not be shown as 0"))
 	dir := filepath.Join(t.TempDir(), "measurements")
 	must.NoError(t, Write(dir, "run", all))
 	raw, err := os.ReadFile(filepath.Join(dir, "run.json"))
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -1,6 +1,5 @@
-// One run at one size: real cores, a few real nodes and many hollow ones over hollow
-// backends, all on loopback; measured while they start, at rest, while the configuration
-// changes, and when a node is lost and comes back.
+// One run with one fleet size: real cores, a few real nodes, many hollow nodes and hollow backends, all on loopback. It
+// measures the start, an idle phase, changes of the configuration, and the loss and restart of a node.
 
 package scale
 
@@ -21,26 +20,27 @@
 	"time"
 )
 
-// Options say what to run and within which bounds.
+// Options configures a run and its limits.
 type Options struct {
-	// Bin is the folder of the programs wallport and lab; Dir is for data and logs.
+	// Bin is the folder of the programs wallport and lab, Dir the folder for data and logs.
 	Bin, Dir string
 	Cores    int
-	// Real nodes are processes of their own; PerHost hollow ones share one.
+	// Real is the number of nodes that are separate OS processes; PerHost is the number of hollow nodes per OS
+	// process.
 	Real, PerHost int
-	// Servers is the number of backends for each node.
+	// Servers is the number of backends per node.
 	Servers float64
-	// Settle is waited after the start, Rest is measured.
+	// Settle is the waiting time after the start, Rest the duration of the measured idle phase.
 	Settle, Rest time.Duration
 	Changes      int
-	// Within bounds the start, and Most the whole run; MemoryMost in bytes bounds what all
-	// processes of the run may hold together.
+	// Within is the time limit for the start, Most that for the whole run. MemoryMost is the limit for the resident
+	// memory of all processes of the run together, in bytes.
 	Within, Most time.Duration
 	MemoryMost   int64
 	Log          io.Writer
 }
 
-// Measured is one size's figures. Times are in microseconds of this machine's clock.
+// Measured holds the results of a run with one fleet size. Times are in microseconds of this machine's clock.
 type Measured struct {
 	At                        time.Time
 	Commit                    string
@@ -49,30 +49,34 @@
 	Servers                   int
 	ReadyUs                   int64
 	ReadyNodes                int
-	// Phases by name (start, rest, changes, loss, join), then by class (node, core, hollow).
+	// Phases holds the rates by phase (start, rest, changes, loss, join) and class (node, core, hollow).
 	Phases map[string]map[string]Rates
-	// AckUs is from an edit's sending to its acknowledgement, InForceUs from that to each
-	// node's having it in force, over all changes; AllUs to the last node's, for each change.
+	// AckUs are the times from sending an edit to its acknowledgement. InForceUs are the times from the
+	// acknowledgement until the edit is in force, for each change and node; AllUs those until it is in force on the
+	// last node, for each change.
 	AckUs, InForceUs, AllUs Times
-	// NeverInForce counts the pairs of a node and a change that it had not in force in the end.
+	// NeverInForce counts the pairs of a node and a change that was not in force on the node at the end.
 	NeverInForce int
-	// LostUs is from a node's kill until each other node holds it for lost, MetUs from its
-	// start anew until each holds it for live; Silent are those that had not seen it in time.
+	// LostUs are the times from killing a node until each hollow node considers it not live, MetUs those from its
+	// restart until each considers it live. LostSilent and MetSilent count the nodes that did not observe this in
+	// time.
 	LostUs, MetUs         Times
 	LostSilent, MetSilent int
-	// LagUs is the longest that a loop took to come to an input, over the samples.
+	// LagUs is the longest time that an event loop took to process an input, over all samples.
 	LagUs int64
-	// Stuck is the most processes whose loop took no input for seconds, over the samples.
+	// Stuck is the greatest number of processes in one sample whose event loop processed no input within
+	// stuckTimeout.
 	Stuck int
-	// Load is the machine's load when the rest began; CPUAll the cores that the whole run used.
+	// Load is the machine's load average before the idle phase; CPUAll is the number of cores that all processes of
+	// the run used during that phase.
 	Load, CPUAll float64
 	MemoryMost   int64
-	// Saturated tells that the machine, not the product, set the times.
+	// Saturated reports that the machine, not the product, determined the measured times.
 	Saturated bool
 	Note      string
 }
 
-// Times are the quantiles of some times.
+// Times holds the number, quantiles, maximum and sum of measured times.
 type Times struct {
 	N                   int
 	P50, P99, Most, Sum int64
@@ -104,9 +108,9 @@
 	memory   atomic.Int64
 }
 
-// Run measures one size.
+// Run measures one fleet size. It returns the results so far if it fails.
 func Run(ctx context.Context, nodes int, o Options) (m Measured, err error) {
-	ctx, cancel := context.WithTimeoutCause(ctx, o.Most, fmt.Errorf("the run took longer than %v", o.Most))
+	ctx, cancel := context.WithTimeoutCause(ctx, o.Most, fmt.Errorf("the run exceeded its time limit of %v", o.Most))
 	defer cancel()
 	f := &run{o: o, client: &http.Client{Timeout: 15 * time.Second}, rampUs: 3_000_000}
 	f.dir = filepath.Join(o.Dir, fmt.Sprintf("scale-%d", nodes))
@@ -136,7 +140,7 @@
 	return f.m, nil
 }
 
-// commit is the one that is checked out here; a plus says that the tree differs from it.
+// commit returns the short hash of the commit that is checked out, with a plus if Go files differ from it.
 func commit() string {
 	rev, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
@@ -149,8 +153,8 @@
 	return out
 }
 
-// loopback is a network of loopback addresses for this run, so that no outgoing
-// connection takes a port on them; where there is none, the usual address.
+// loopback returns a loopback address for this run alone, so that outgoing connections of other processes take no ports
+// on it. If the system has no such address, it returns 127.0.0.1.
 func loopback() string {
 	ip := fmt.Sprintf("127.%d.%d.1", 64+os.Getpid()%128, time.Now().UnixNano()/1000%250+1)
 	l, err := net.Listen("tcp", ip+":0")
@@ -161,24 +165,24 @@
 	return ip
 }
 
-// limitMemory ends the run when its processes hold too much memory.
+// limitMemory cancels the run when its processes together hold more than MemoryMost.
 func (f *run) limitMemory(ctx context.Context, stop context.CancelCauseFunc) {
 	for sleep(ctx, time.Second) == nil {
 		if sum := f.residentMemory(); sum > f.o.MemoryMost {
-			stop(fmt.Errorf("all processes held %d MB together, the bound is %d", sum>>20, f.o.MemoryMost>>20))
+			stop(fmt.Errorf("the processes of the run held %d MB of memory together, the limit is %d MB", sum>>20, f.o.MemoryMost>>20))
 			return
 		}
 	}
 }
 
-// assessSaturation tells a run whose times are the machine's: a loop that waits, or processors that
-// are nearly all in use.
+// assessSaturation marks a run whose times were determined by the machine: an event loop lagged by more than 250 ms, more
+// than 0.7 of the CPU cores were in use, or not all hollow nodes became ready.
 func (f *run) assessSaturation() {
 	f.m.MemoryMost = f.memory.Load()
 	full := f.m.CPUAll > 0.7*float64(runtime.NumCPU())
 	if f.m.LagUs > 250_000 || full || f.m.ReadyNodes < f.m.Nodes-f.m.Real {
 		f.m.Saturated = true
-		f.m.Note = fmt.Sprintf("saturated: %.1f of %d cores in use, longest wait of a loop %d ms, %d stuck, %d hollow nodes ready",
+		f.m.Note = fmt.Sprintf("saturated: %.1f of %d cores in use, longest event loop lag %d ms, %d loops stuck, %d hollow nodes ready",
 			f.m.CPUAll, runtime.NumCPU(), f.m.LagUs/1000, f.m.Stuck, f.m.ReadyNodes)
 	}
 }
--- a/lab/scale/start.go
+++ b/lab/scale/start.go
@@ -1,4 +1,4 @@
-// Starting the processes of a run, and what they hold.
+// Starting the processes of a run, and measuring their memory.
 
 package scale
 
@@ -15,7 +15,7 @@
 	"wallport/runtime/wire"
 )
 
-// maxStarts is how often a real process is started anew on another port.
+// maxStarts is the number of attempts to start a real process, each with new ports.
 const maxStarts = 5
 
 func (f *run) add(c *child, piped bool) error {
@@ -26,14 +26,14 @@
 	return nil
 }
 
-// register takes a child for one of the run's.
+// register adds a child to the run, which samples it and kills it at the end.
 func (f *run) register(c *child) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.children = append(f.children, c)
 }
 
-// startStandIns starts the stand-ins: backends, and the platform that lists them.
+// startStandIns starts the hollow backends and a platform that lists them.
 func (f *run) startStandIns(ctx context.Context) error {
 	f.shards = max(4, min(140, f.m.Servers/4))
 	f.m.Servers -= f.m.Servers % f.shards
@@ -59,7 +59,8 @@
 	return f.retryUntilDone(ctx, "platform", func() error { return f.post(ctx, f.platform+"/lab/servers", wire.BackendList{Backends: list}) })
 }
 
-// startReal starts a process of the product on ports that the system chose.
+// startReal starts a process of the product on free ports. If it does not come up, for instance because another process
+// took a port, it retries with new ports.
 func (f *run) startReal(ctx context.Context, role string, i int, seeds []string) (*child, error) {
 	for try := range maxStarts {
 		c := &child{class: role, name: fmt.Sprintf("%s-%d", role, i), count: 1}
@@ -91,12 +92,12 @@
 			return c, nil
 		}
 		c.kill()
-		f.logf("%s did not come up, try %d", c.name, try+1)
+		f.logf("%s did not come up, attempt %d", c.name, try+1)
 	}
-	return nil, fmt.Errorf("%s-%d did not come up", role, i)
+	return nil, fmt.Errorf("%s-%d did not serve its metrics after any start", role, i)
 }
 
-// waitForMetrics waits until a process tells its counts; one that has ended never will.
+// waitForMetrics waits until a process serves its metrics. It returns false if the process has ended.
 func (f *run) waitForMetrics(ctx context.Context, c *child) bool {
 	for ctx.Err() == nil {
 		if _, err := metrics(ctx, f.client, c.operator); err == nil {
@@ -112,7 +113,7 @@
 	return false
 }
 
-// startHollowNodes starts the hosts of hollow nodes, all at once.
+// startHollowNodes starts all hosts of hollow nodes concurrently and waits until they report their endpoints.
 func (f *run) startHollowNodes(ctx context.Context, count int, seeds []string) error {
 	for first := 0; first < count; first += f.o.PerHost {
 		n := min(f.o.PerHost, count-first)
@@ -135,7 +136,7 @@
 	})
 }
 
-// newConfig is a sheet under a mark of its own.
+// newConfig returns a configuration that differs from all earlier ones of the run in its ramp_us.
 func (f *run) newConfig() json.RawMessage {
 	s := fleet.Shapes["trust"]
 	s.Index, s.Shards = Index, f.shards
@@ -143,19 +144,19 @@
 	return bytes.ReplaceAll(s.Config(), []byte(`"ramp_us":3000000`), fmt.Appendf(nil, `"ramp_us":%d`, f.rampUs))
 }
 
-// edit has one of the hollow nodes take an operator's edit.
+// edit submits an operator's edit through the first host of hollow nodes.
 func (f *run) edit(ctx context.Context, a HostRequest) (EditResult, error) {
 	t, err := f.hosts[0].ask(ctx, a)
 	if err != nil {
 		return EditResult{}, err
 	}
 	if t.Edited == nil || t.Edited.Code != "ok" {
-		return EditResult{}, fmt.Errorf("%s: %+v", a.Op, t.Edited)
+		return EditResult{}, fmt.Errorf("%s was not accepted: %+v", a.Op, t.Edited)
 	}
 	return *t.Edited, nil
 }
 
-// retryUntilDone tries until it works.
+// retryUntilDone calls try every 100 ms until it succeeds or the context ends.
 func (f *run) retryUntilDone(ctx context.Context, what string, try func() error) error {
 	for {
 		err := try()
@@ -183,12 +184,12 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("%s: status %d", url, resp.StatusCode)
+		return fmt.Errorf("POST %s: got status %d", url, resp.StatusCode)
 	}
 	return nil
 }
 
-// residentMemory is the memory of all processes of the run, noted at its greatest.
+// residentMemory returns the resident memory of all processes of the run, in bytes, and records the maximum.
 func (f *run) residentMemory() (sum int64) {
 	f.mu.Lock()
 	all := append([]*child(nil), f.children...)
--- a/lab/scale/tail.go
+++ b/lab/scale/tail.go
@@ -1,7 +1,6 @@
-// The tail of a request that waits for many parts: what share of the parts may be slow,
-// and what asking again costs and gives, worked out and drawn with a printed seed. Parts
-// are independent here; what slows all backends of a shard at once is no matter of asking
-// again.
+// The tail latency of a request that waits for many parts: the share of parts that may be slow, and the costs and
+// benefits of hedging, computed by formula and simulated with a seed that is printed. Parts are independent here;
+// hedging does not help against anything that slows all backends of a shard at the same time.
 
 package scale
 
@@ -13,21 +12,21 @@
 	"text/tabwriter"
 )
 
-// SlowMost is the greatest share of parts that may be slow, when a share of requests over
-// so many parts may be: 1 - (1-p)^parts = requests.
+// SlowMost returns the greatest share p of parts that may be slow if the given share of requests, each over the given
+// number of parts, may be slow: 1 - (1-p)^parts = requests.
 func SlowMost(parts int, requests float64) float64 {
 	return -math.Expm1(math.Log1p(-requests) / float64(parts))
 }
 
-// SlowMostTwice is the same where each slow part is asked again of another backend, which
-// is slow as often and independently: 1 - (1-p^2)^parts = requests.
+// SlowMostTwice returns the same share if each slow part is hedged with a request to another backend, which is slow
+// independently and with the same probability: 1 - (1-p^2)^parts = requests.
 func SlowMostTwice(parts int, requests float64) float64 {
 	return math.Sqrt(SlowMost(parts, requests))
 }
 
-// Part is how long one exchange with a backend takes: a lognormal with a median and a
-// sigma of its logarithm; a pause that a backend makes every so often, whose rest is
-// waited for; and a share that is slow for another reason. Times are in microseconds.
+// Part is the distribution of the duration of one exchange with a backend: a lognormal with a median and the sigma of
+// its logarithm; a pause of PauseUs that a backend makes every PauseEveryUs, whose remainder an exchange waits for; and
+// a share SlowShare that takes SlowUs longer for another reason. Times are in microseconds.
 type Part struct {
 	MedianUs, Sigma       float64
 	PauseUs, PauseEveryUs float64
@@ -37,7 +36,7 @@
 func (p Part) draw(r *rand.Rand) float64 {
 	us := p.MedianUs * math.Exp(p.Sigma*r.NormFloat64())
 	if p.PauseEveryUs > 0 {
-		// The phase of the pause at the moment of arrival.
+		// at is the time of arrival within the period of the pauses; a pause begins at 0.
 		if at := r.Float64() * p.PauseEveryUs; at < p.PauseUs {
 			us += p.PauseUs - at
 		}
@@ -48,17 +47,20 @@
 	return us
 }
 
-// Policy is when a part is asked of another backend, as a quantile of the parts' times (1 is
-// never), and after what time a request answers without the missing parts (0 is never).
+// Policy is a hedging policy. AskAgainAt is the delay after which a part is requested from another backend, as a quantile
+// of the parts' durations; 1 means never. AnswerUs is the time after which a request is answered without the missing
+// parts; 0 means never.
 type Policy struct {
 	AskAgainAt float64
 	AnswerUs   float64
 }
 
-// Tail is what came of many requests.
+// Tail is the result of a simulation of many requests under a policy. Extra is the number of hedged requests per part,
+// Within the share of requests that took at most the wanted time, Whole the share of complete answers, and MeanParts the
+// mean share of parts in an answer.
 type Tail struct {
 	Policy
-	// AgainUs is the time at which a part is asked again.
+	// AgainUs is the delay after which a part is hedged, in microseconds.
 	AgainUs          float64
 	P50, P99, P999   float64
 	Extra            float64
@@ -66,8 +68,8 @@
 	Whole, MeanParts float64
 }
 
-// DrawTail draws requests over so many parts; within is the time that a request should
-// take, in microseconds.
+// DrawTail simulates requests over the given number of parts for each policy. within is the target latency of a request
+// in microseconds.
 func DrawTail(p Part, parts, requests int, within float64, all []Policy, seed uint64) (out []Tail) {
 	r := rand.New(rand.NewPCG(seed, 0x7461696c))
 	sample := make([]float64, 200_000)
@@ -113,10 +115,10 @@
 
 // ReportTail writes a table of policies for a kind of part.
 func ReportTail(out io.Writer, p Part, parts, requests int, within float64, all []Policy, seed uint64) error {
-	fmt.Fprintf(out, "parts %d, requests %d, seed %d; a part: median %.1f ms, sigma %.2f, pauses of %.0f ms each %.1f s, slow %.4f by %.0f ms; p of %.0f ms wanted\n",
+	fmt.Fprintf(out, "parts %d, requests %d, seed %d; a part: median %.1f ms, sigma %.2f, pauses of %.0f ms each %.1f s, a share of %.4f slower by %.0f ms; target %.0f ms\n",
 		parts, requests, seed, p.MedianUs/1e3, p.Sigma, p.PauseUs/1e3, p.PauseEveryUs/1e6, p.SlowShare, p.SlowUs/1e3, within/1e3)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "asked again at\tthat is, ms\textra asks\tp50, ms\tp99, ms\tp99.9, ms\twithin\twhole answers\tparts in")
+	fmt.Fprintln(w, "hedged at quantile\thedge delay, ms\textra requests\tp50, ms\tp99, ms\tp99.9, ms\twithin target\tcomplete answers\tshare of parts")
 	for _, t := range DrawTail(p, parts, requests, within, all, seed) {
 		at, again := "never", "-"
 		if t.AskAgainAt < 1 {
--- a/lab/scale/tail_test.go
+++ b/lab/scale/tail_test.go
@@ -1,5 +1,5 @@
-// The tail of many parts: the formulas against their own inverse, the draws against the
-// formulas, under a fixed seed.
+// Tests of the tail latency of many parts: the formulas against their inverse, and the simulation, with a fixed seed,
+// against the formulas.
 
 package scale
 
@@ -21,7 +21,7 @@
 }
 
 func TestDrawnTailAgreesWithTheFormula(t *testing.T) {
-	// A thousandth of the parts is slow, and nothing else varies.
+	// A thousandth of the parts is slow; nothing else varies.
 	p := Part{MedianUs: 1000, SlowShare: 0.001, SlowUs: 99_000}
 	got := DrawTail(p, 140, 20_000, 50_000, []Policy{{AskAgainAt: 1}, {AskAgainAt: 0.99}}, 1)
 	want := math.Pow(0.999, 140)
@@ -30,7 +30,7 @@
 	must.Eq(t, 0, got[0].Extra)
 	must.InDelta(t, 0.001, got[1].Extra, 0.0002)
 	must.InDelta(t, 1-140e-6, got[1].Within, 0.001)
-	must.Eq(t, 2000, got[1].P99, must.Sprint("asked again after 1 ms, answered after another"))
+	must.Eq(t, 2000, got[1].P99, must.Sprint("hedged after 1 ms, answered 1 ms later"))
 }
 
 func TestDrawTailIncludesPauses(t *testing.T) {
@@ -41,7 +41,7 @@
 	must.InDelta(t, 1-math.Pow(0.99, 140), 1-shareUnder(p, 140, 1000.5), 0.02)
 }
 
-// shareUnder is the share of requests that take at most so long.
+// shareUnder returns the share of requests that take at most us microseconds.
 func shareUnder(p Part, parts int, us float64) float64 {
 	return DrawTail(p, parts, 5_000, us, []Policy{{AskAgainAt: 1}}, 3)[0].Within
 }
--- a/lab/scale/usage.go
+++ b/lab/scale/usage.go
@@ -1,4 +1,4 @@
-// What a process of the system has used so far, as the kernel tells it under /proc.
+// The resource use of an OS process so far, as read from /proc.
 
 package scale
 
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Usage of one process of the system. Times are in microseconds, sizes in bytes; Read and
-// Written are the bytes of all its reads and writes, of sockets with TLS and HTTP as of files.
+// Usage is the resource use of one OS process. Times are in microseconds, sizes in bytes. Read and Written are the bytes
+// of all its reads and writes: on sockets, including TLS and HTTP, and on files.
 type Usage struct {
 	AtUs, CPUUs    int64
 	RSS, PeakRSS   int64
@@ -19,10 +19,10 @@
 	Files, Sockets int64
 }
 
-// clockTick is the unit of times under /proc, 1/100 s on Linux.
+// clockTick is the unit of times under /proc in microseconds: 1/100 s on Linux.
 const clockTick = 10_000
 
-// ReadUsage reads it for a process, which may be this one.
+// ReadUsage reads the resource use of a process, which may be the calling one.
 func ReadUsage(pid int) (u Usage, err error) {
 	u.AtUs = wallUs()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -60,12 +60,12 @@
 	return u, nil
 }
 
-// cpuOf is the user's and the system's time together.
+// cpuOf returns the sum of the user and system CPU time in the content of a /proc/PID/stat file, in microseconds.
 func cpuOf(stat string) (int64, error) {
-	// The name may hold blanks and parentheses; what follows the last one does not.
+	// The command name may contain blanks and parentheses; the fields after the last parenthesis do not.
 	f := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(f) < 13 {
-		return 0, fmt.Errorf("stat has %d fields", len(f))
+		return 0, fmt.Errorf("/proc stat has %d fields after the command name, expected at least 13", len(f))
 	}
 	user, err := strconv.ParseInt(f[11], 10, 64)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return (user + system) * clockTick, err
 }
 
-// field is the first number behind a name of a file of "name: number" lines.
+// field returns the first number after a name in a text of "name: number" lines, 0 if there is none.
 func field(text, name string) int64 {
 	for line := range strings.Lines(text) {
 		if k, v, ok := strings.Cut(line, ":"); ok && k == name {
@@ -88,12 +88,13 @@
 	return 0
 }
 
-// resetPeakMemory has the kernel count a process's peak of memory from now on.
+// resetPeakMemory makes the kernel measure a process's peak memory from now on.
 func resetPeakMemory(pid int) error {
 	return os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", pid), []byte("5"), 0)
 }
 
-// loadAverage1m is the number of processes that ran or waited to run, over the last minute.
+// loadAverage1m returns the load average of the last minute: the mean number of processes that were running or waiting
+// to run; 0 if it cannot be read.
 func loadAverage1m() float64 {
 	b, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -1,5 +1,5 @@
-// When hollow nodes came to have a configuration in force, and when they came to hold a
-// node for lost or for live: looked at in their snapshots, as requests would see them.
+// Recording the times at which hollow nodes put a configuration in force and at which they consider a member live or not
+// live. Both are read from the nodes' snapshots, which is what requests would use.
 
 package scale
 
@@ -15,8 +15,8 @@
 	"wallport/runtime/wire"
 )
 
-// Observation is one thing that a hollow node came to see, at a time of this machine's clock in
-// microseconds: a configuration in force, or, with About, whether a node is live.
+// Observation is a change that was observed on a hollow node: the configuration in force or, if About is set, whether
+// that member is live. AtUs is a time of this machine's clock in microseconds.
 type Observation struct {
 	AtUs  int64
 	Node  string
@@ -25,15 +25,15 @@
 	Live  bool   `json:",omitempty"`
 }
 
-// EditResult is what came of an edit; the times are those of its sending and of the
-// acknowledgement by the owner of the part.
+// EditResult is the result of an edit. SentUs is the time at which it was sent, AtUs the time at which the owner of the
+// control-state partition answered.
 type EditResult struct {
 	Code         string
 	Stamp        wire.Version
 	SentUs, AtUs int64
 }
 
-// watchInterval is how often the snapshots are looked at.
+// watchInterval is the interval at which the snapshots are read.
 const watchInterval = 2 * time.Millisecond
 
 type watch struct {
@@ -50,20 +50,20 @@
 	return w
 }
 
-// addMember has the watch tell of a node's liveness too.
+// addMember makes the watch also record the liveness of a member; an empty name has no effect.
 func (w *watch) addMember(name string) {
 	if name != "" {
 		w.add <- name
 	}
 }
 
-// finish stops the watch and gives what it saw.
+// finish stops the watch and returns its observations.
 func (w *watch) finish() []Observation {
 	close(w.stop)
 	return <-w.done
 }
 
-// nodeWatcher are what the watch knows of one node.
+// nodeWatcher is the state of the watch for one node: its last snapshot and the last known liveness of each member.
 type nodeWatcher struct {
 	n    *hollowNode
 	last *snapshot.Snapshot
@@ -105,6 +105,7 @@
 	}
 }
 
+// observe reads the node's current snapshot and returns what changed since the last call.
 func (e *nodeWatcher) observe(at int64, names []string) (out []Observation) {
 	if e.n.ended.Load() {
 		return nil
@@ -127,10 +128,10 @@
 	return out
 }
 
-// editTimeout bounds an edit.
+// editTimeout is the time limit for an edit.
 const editTimeout = 8 * time.Second
 
-// edit puts a whole sheet through the first node, or begins a cut of an index.
+// edit submits a complete configuration through the first node, or begins resharding an index to a new shard map.
 func (h *Hollow) edit(a HostRequest) HostResponse {
 	n := h.nodes[0]
 	e := wire.Edit{Op: "put", Strict: true, Body: a.Body}
--- a/lab/scale/worker.go
+++ b/lab/scale/worker.go
@@ -1,5 +1,5 @@
-// The lab's own processes: started, asked over their pipes, and ended by closing those,
-// so that none of these outlives the run that started it; real ones it kills by their id.
+// The child processes of a run. The lab's own processes serve requests over their standard input and output and exit when
+// these pipes are closed, so that none outlives the run that started it; real processes are killed by their id.
 
 package scale
 
@@ -17,10 +17,10 @@
 	"time"
 )
 
-// child is one process of the system that a run has started.
+// child is one OS process that a run has started.
 type child struct {
 	class, name string
-	// count is how many processes of wallport it stands for.
+	// count is the number of wallport processes that the child hosts.
 	count int
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -28,13 +28,13 @@
 	mu    sync.Mutex
 	done  chan struct{}
 	args  []string
-	// timedOut is that it has not answered in time.
+	// timedOut reports that the child did not answer a request in time.
 	timedOut bool
-	// operator is the address of a real process's operator API.
+	// operator is the address of a real process's operator API, mesh its mesh address.
 	operator, mesh string
 }
 
-// start runs a program; a piped one is asked over its standard input and output.
+// start starts the child. If piped, it can be sent requests over its standard input and output.
 func (c *child) start(dir string, piped bool) error {
 	logs, err := os.OpenFile(filepath.Join(dir, c.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -43,7 +43,7 @@
 	defer logs.Close()
 	c.cmd = exec.Command(c.args[0], c.args[1:]...)
 	c.cmd.Stderr = logs
-	// In a group of its own: an interrupt of the run is the run's to handle.
+	// The child gets its own process group, so that an interrupt from the terminal reaches only the run.
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if piped {
 		if c.in, err = c.cmd.StdinPipe(); err != nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// kill ends it at once.
+// kill kills the child and waits for it.
 func (c *child) kill() {
 	if c.cmd == nil || c.cmd.Process == nil {
 		return
@@ -78,7 +78,7 @@
 	<-c.done
 }
 
-// read takes one line of JSON off its output.
+// read reads one line of JSON from the child's output.
 func (c *child) read(ctx context.Context, v any) error {
 	type line struct {
 		b   []byte
@@ -86,7 +86,7 @@
 	}
 	got := make(chan line, 1)
 	if c.timedOut {
-		return fmt.Errorf("%s has not answered before", c.name)
+		return fmt.Errorf("%s did not answer an earlier request in time", c.name)
 	}
 	go func() {
 		b, err := c.out.ReadBytes('\n')
@@ -95,17 +95,17 @@
 	select {
 	case l := <-got:
 		if l.err != nil {
-			return fmt.Errorf("%s: %w (see its log)", c.name, l.err)
+			return fmt.Errorf("read answer of %s: %w (see its log)", c.name, l.err)
 		}
 		return json.Unmarshal(l.b, v)
 	case <-ctx.Done():
-		// What it answers later would be taken for the answer to another question.
+		// A late answer would be taken for the answer to the next request.
 		c.timedOut = true
-		return fmt.Errorf("%s: %w", c.name, ctx.Err())
+		return fmt.Errorf("%s did not answer: %w", c.name, ctx.Err())
 	}
 }
 
-// ask asks a host of hollow processes.
+// ask sends a request to a host of hollow processes and returns its answer.
 func (c *child) ask(ctx context.Context, a HostRequest) (HostResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +115,7 @@
 		return t, err
 	}
 	if _, err := c.in.Write(append(b, '\n')); err != nil {
-		return t, fmt.Errorf("%s: %w", c.name, err)
+		return t, fmt.Errorf("send request to %s: %w", c.name, err)
 	}
 	if err := c.read(ctx, &t); err != nil {
 		return t, err
@@ -126,7 +126,7 @@
 	return t, nil
 }
 
-// Serve answers asks on a host's standard input until that ends.
+// Serve writes the endpoints of the hollow processes to out, then answers requests from in until in ends.
 func (h *Hollow) Serve(in io.Reader, out io.Writer) error {
 	e := json.NewEncoder(out)
 	if err := e.Encode(HostResponse{Up: h.Up()}); err != nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-// each does something with all of a list at once and gives the first error.
+// forEach calls f concurrently for all elements of a list and returns the first error in list order.
 func forEach[T any](list []T, f func(T) error) error {
 	errs := make([]error, len(list))
 	var wg sync.WaitGroup
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// sleep waits, or says that the run's time is over.
+// sleep waits for d; it returns the context's error if the context ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
