--- a/lab/model/enabled.go
+++ b/lab/model/enabled.go
@@ -2,9 +2,9 @@
 // queue from one replica to another, whose first message may be delivered. There are two modes. With
 // AllInterleavings, any source may be served next. Otherwise sources are served in round-robin order, and a
 // schedule departs from that order a bounded number of times by pausing a source: a paused source can be released
-// once no other source is ready, or at any later such point. In the second mode a replica's faults are only
-// enabled right after a step of that replica or when no source is ready; at other times they commute with the
-// steps of other replicas.
+// once no other source is ready, or at any later such point. In the second mode a replica's faults are enabled only
+// right after a step of that replica or of no single replica, or when no source is ready; at other times they commute
+// with the steps of other replicas.
 
 package model
 
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -177,11 +177,11 @@
 		if !attempt.Generated || attempt.Status < 300 || attempt.Status > 499 || promisesNotRun(attempt.Status) || !j.Faults.InContact(attempt.Machine, attempt.Ended, j.Bounds.ContactUs) {
 			continue
 		}
-		proper := true
+		routed := true
 		for _, version := range j.possible(attempt, attempt.Machine) {
-			proper = proper && routeOf(version.Table, attempt.Host, attempt.Path) != nil
+			routed = routed && routeOf(version.Table, attempt.Host, attempt.Path) != nil
 		}
-		if proper {
+		if routed {
 			n, at = n+1, attempt.Ended
 		}
 	}
--- a/lab/scale/fit_test.go
+++ b/lab/scale/fit_test.go
@@ -73,12 +73,12 @@
 	lines := strings.Split(got, "\n")
 	must.Eq(t, "bytes", lines[0])
 	must.StrContains(t, lines[1], "1k |")
-	must.StrContains(t, lines[plotHigh], "10 |l")
-	must.StrContains(t, got, "10"+strings.Repeat(" ", plotWide-2-len("600 nodes"))+"600 nodes")
+	must.StrContains(t, lines[plotHeight], "10 |l")
+	must.StrContains(t, got, "10"+strings.Repeat(" ", plotWidth-2-len("600 nodes"))+"600 nodes")
 	must.StrContains(t, got, "n^1.00")
 	must.StrContains(t, got, "n^0.00")
-	for _, l := range lines[1 : plotHigh+1] {
-		must.LessEq(t, 10+plotWide, len(l))
+	for _, l := range lines[1 : plotHeight+1] {
+		must.LessEq(t, 10+plotWidth, len(l))
 	}
 	must.Eq(t, "none: no points\n", Plot("none", []Series{{"x", 'x', []Point{{10, 0}}}}))
 	must.StrContains(t, Plot("one", []Series{{"x", 'x', []Point{{10, 5}}}}), "x")
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -195,5 +195,5 @@
 			}
 		}
 	}
-	return HostResponse{Err: "unknown operation or process: " + a.Op + " " + a.Name}
+	return HostResponse{Err: "unknown operation or no running process of that name: " + a.Op + " " + a.Name}
 }
--- a/lab/scale/plot.go
+++ b/lab/scale/plot.go
@@ -16,10 +16,10 @@
 	Points []Point
 }
 
-// plotWide and plotHigh are the size of the plot in characters.
+// plotWidth and plotHeight are the size of the plot in characters.
 const (
-	plotWide = 61
-	plotHigh = 16
+	plotWidth  = 61
+	plotHeight = 16
 )
 
 // Plot draws series on common logarithmic axes. It omits points of 0 or less; where two points share a cell, it shows
@@ -48,13 +48,13 @@
 	if x1 == x0 {
 		x1 = x0 + 1
 	}
-	grid := make([][]rune, plotHigh)
+	grid := make([][]rune, plotHeight)
 	for i := range grid {
-		grid[i] = []rune(strings.Repeat(" ", plotWide))
+		grid[i] = []rune(strings.Repeat(" ", plotWidth))
 	}
 	each(func(s Series, x, y float64) {
-		c := int(math.Round((x - x0) / (x1 - x0) * (plotWide - 1)))
-		r := int(math.Round((y1 - y) / (y1 - y0) * (plotHigh - 1)))
+		c := int(math.Round((x - x0) / (x1 - x0) * (plotWidth - 1)))
+		r := int(math.Round((y1 - y) / (y1 - y0) * (plotHeight - 1)))
 		grid[r][c] = s.Mark
 	})
 	var b strings.Builder
@@ -63,15 +63,15 @@
 		// Each power of ten labels the row nearest to it.
 		label := ""
 		for v := y0; v <= y1; v++ {
-			if int(math.Round((y1-v)/(y1-y0)*(plotHigh-1))) == r {
+			if int(math.Round((y1-v)/(y1-y0)*(plotHeight-1))) == r {
 				label = shortNumber(math.Pow(10, v))
 			}
 		}
 		fmt.Fprintf(&b, "%8s |%s\n", label, strings.TrimRight(string(row), " "))
 	}
-	fmt.Fprintf(&b, "%8s +%s\n", "", strings.Repeat("-", plotWide))
+	fmt.Fprintf(&b, "%8s +%s\n", "", strings.Repeat("-", plotWidth))
 	left, right := shortNumber(math.Pow(10, x0)), shortNumber(math.Pow(10, x1))+" nodes"
-	fmt.Fprintf(&b, "%8s  %s%s%s\n", "", left, strings.Repeat(" ", max(1, plotWide-len(left)-len(right))), right)
+	fmt.Fprintf(&b, "%8s  %s%s%s\n", "", left, strings.Repeat(" ", max(1, plotWidth-len(left)-len(right))), right)
 	for _, s := range all {
 		fmt.Fprintf(&b, "%8s  %c %s: %s\n", "", s.Mark, s.Name, FitTo(s.Points))
 	}
--- a/lab/scale/start.go
+++ b/lab/scale/start.go
@@ -97,7 +97,7 @@
 	return nil, fmt.Errorf("%s-%d did not serve its metrics after any start", role, i)
 }
 
-// waitForMetrics waits until a process serves its metrics. It returns false if the process has ended.
+// waitForMetrics waits until a process serves its metrics. It returns false if the process or the context has ended.
 func (f *run) waitForMetrics(ctx context.Context, c *child) bool {
 	for ctx.Err() == nil {
 		if _, err := metrics(ctx, f.client, c.operator); err == nil {
