--- a/lab/history/register.go
+++ b/lab/history/register.go
@@ -9,27 +9,27 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// value is the state of a register: the current value, its version, and which of the changes that
-// were sent more than once have been taken.
+// value is the state of a register: the current value, its version, and the IDs of the applied changes among those
+// that were sent more than once.
 type value struct {
 	current string
 	version string
-	taken   string
+	applied string
 }
 
 const separator = "\x00"
 
-func (v value) took(id string) bool { return strings.Contains(v.taken, separator+id+separator) }
+func (v value) hasApplied(id string) bool { return strings.Contains(v.applied, separator+id+separator) }
 
-// register steps the specification and counts the steps against a limit.
+// register applies operations to the specification and counts the steps against a limit.
 type register struct {
 	repeated map[string]bool
 	steps    int
 	limit    int
 }
 
-// newRegister notes which changes were sent more than once: only of those is it remembered
-// whether they were taken, so that equal states stay equal.
+// newRegister determines which changes were sent more than once. The state records only for these whether they were
+// applied, so that states with the same future compare equal.
 func newRegister(operations []Operation, limit int) *register {
 	r := &register{repeated: map[string]bool{}, limit: limit}
 	sent := map[string]bool{}
@@ -60,39 +60,39 @@
 	case Read:
 		return op.Value == v.current, v
 	case Set:
-		return op.Outcome != Refused, value{current: op.ID, version: op.ID, taken: v.taken}
+		return op.Outcome != Refused, value{current: op.ID, version: op.ID, applied: v.applied}
 	default:
 		return r.change(v, op)
 	}
 }
 
-// change steps a command. One without a clear answer may be placed after everything else, so that taking effect
-// wherever it can covers both that it did and that it did not.
+// change applies a compare-and-set command. A change with unknown outcome always takes effect where it is applicable:
+// since the search may also place it after all other operations, this covers the case that it had no effect.
 func (r *register) change(v value, op *Operation) (bool, any) {
-	applies := !op.Invalid && op.Base == v.version && !v.took(op.ID)
+	applies := !op.Invalid && op.Base == v.version && !v.hasApplied(op.ID)
 	switch {
 	case op.Outcome == Refused:
-		return !applies && !v.took(op.ID), v
+		return !applies && !v.hasApplied(op.ID), v
 	case applies:
 		return true, r.apply(v, op)
 	case op.Outcome == Unknown:
 		return true, v
 	default:
-		return v.took(op.ID), v
+		return v.hasApplied(op.ID), v
 	}
 }
 
 func (r *register) apply(v value, op *Operation) value {
-	next := value{current: op.ID, version: op.ID, taken: v.taken}
+	next := value{current: op.ID, version: op.ID, applied: v.applied}
 	if op.Version != "" {
 		next.version = op.Version
 	}
 	if !r.repeated[op.ID] {
 		return next
 	}
-	ids := strings.FieldsFunc(v.taken, func(c rune) bool { return c == 0 })
+	ids := strings.FieldsFunc(v.applied, func(c rune) bool { return c == 0 })
 	ids = append(ids, op.ID)
 	slices.Sort(ids)
-	next.taken = separator + strings.Join(ids, separator) + separator
+	next.applied = separator + strings.Join(ids, separator) + separator
 	return next
 }
--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -4,24 +4,25 @@
 
 import "wallport/runtime/clock"
 
-// Spans of time: one in which a leader sends heartbeats, one that is shorter than the first candidate's election
-// time-out, and one that is longer.
+// Time spans by which the clock advances: after heartbeatSpan a leader sends heartbeats; quietSpan is shorter and
+// electionSpan longer than the election time-out of the replica that times out first.
 const (
 	heartbeatSpan = int(160 * clock.Millisecond)
 	quietSpan     = int(480 * clock.Millisecond)
 	electionSpan  = int(560 * clock.Millisecond)
-	// rivalSpan, twice from the start, makes two of three replicas candidates.
-	rivalSpan = int(270 * clock.Millisecond)
+	// splitVoteSpan, elapsed twice from the start, makes two of three replicas candidates.
+	splitVoteSpan = int(270 * clock.Millisecond)
 )
 
-// change returns a command that adds an item to a version.
+// change returns a command that adds an item with the given name to the version with revision base.
 func change(name string, base, revision int64) Command {
 	return Command{Name: name, Kind: ChangeCommand, Base: base, Revision: revision}
 }
 
 func read(name string) Command { return Command{Name: name, Kind: ReadCommand} }
 
-// Configs returns the configurations of the bounded exploration, by what they provoke.
+// Configs returns the configurations of the bounded exploration. Each is named after the situation that it
+// provokes.
 func Configs() []Config {
 	one := [][]Command{{change("a1", 0, 1)}}
 	two := [][]Command{{change("a1", 0, 1), change("a2", 1, 2)}}
@@ -29,38 +30,40 @@
 	reader := [][]Command{{change("a1", 0, 1)}, {read("b-read"), read("b-again")}}
 	drains := [][]Command{{{Name: "a-drain", Kind: DrainCommand, Zone: "zone-1"}}, {read("b-read")}}
 	election, both, quiet := []int{electionSpan}, []int{heartbeatSpan, electionSpan}, []int{quietSpan}
-	// In silent, the standby announces itself while a voter is away, nearly long enough to be replaced.
+	// In silent, a standby announces itself while a voter is isolated, almost long enough for the voter to be
+	// replaced.
 	pass := Action{Kind: Elapse, Argument: quietSpan}
 	silent := []Action{pass, pass, pass, {Kind: Announce, Replica: 3, Peer: 0}}
-	// In replaced, the first replica is partitioned for long enough that another one leads.
+	// In replaced, the first replica is partitioned long enough for another replica to become leader.
 	replaced := []Action{{Kind: Isolate, Replica: 0}, {Kind: Elapse, Argument: electionSpan}}
-	// In behind, the first command is committed without the second replica, which then has to lead.
+	// In behind, the first command is committed without the second replica. Then the first replica is isolated and
+	// the second one rejoins and has to become leader although its version is older.
 	behind := []Action{{Kind: Call, Replica: 0}, {Kind: Isolate, Replica: 0}, {Kind: Rejoin, Replica: 1, Argument: messagesLost}}
 	return []Config{
-		{Name: "election and a crash", Voters: 3, Operators: one, Spans: []int{rivalSpan}, Budget: Budget{Elapses: 2, Crashes: 1, Holds: 1}},
+		{Name: "election and a crash", Voters: 3, Operators: one, Spans: []int{splitVoteSpan}, Budget: Budget{Elapses: 2, Crashes: 1, Holds: 1}},
 		{Name: "election and two crashes", Voters: 3, Operators: one, Spans: both, Budget: Budget{Elapses: 2, Crashes: 2}},
 		{Name: "election, late messages", Voters: 3, Operators: one, Spans: both, Budget: Budget{Elapses: 2, Holds: 1, Calls: 1}},
-		{Name: "two candidates, late messages", Voters: 3, Operators: one, Spans: []int{rivalSpan}, Budget: Budget{Elapses: 2, Holds: 3}},
+		{Name: "two candidates, late messages", Voters: 3, Operators: one, Spans: []int{splitVoteSpan}, Budget: Budget{Elapses: 2, Holds: 3}},
 		{Name: "leader lost with a slow disk", Voters: 3, Operators: one, Spans: []int{heartbeatSpan}, Faulty: []int{0}, SlowDisks: true, Budget: Budget{Elapses: 4, Holds: 1, Crashes: 1, Calls: 1}},
 		{Name: "rivals, late messages", Voters: 3, Settled: true, Operators: rivals, Spans: both, Budget: Budget{Elapses: 1, Holds: 1, Calls: 3}},
 		{Name: "rivals, lost and doubled", Voters: 3, Settled: true, Operators: rivals, Spans: both, Budget: Budget{Elapses: 1, Losses: 1, Doubles: 1, Calls: 2}},
 		{Name: "repeat after a crash", Voters: 3, Settled: true, Operators: two, Spans: election, Budget: Budget{Elapses: 2, Crashes: 1, Calls: 3}},
 		{Name: "leader cut off", Voters: 3, Settled: true, Operators: reader, Spans: election, Budget: Budget{Elapses: 2, Isolations: 1, Calls: 2}},
 		{Name: "leader back with old messages", Voters: 3, Settled: true, Operators: one, Spans: election, Faulty: []int{0}, Budget: Budget{Elapses: 1, Isolations: 1, Holds: 1, Calls: 1}},
-		{Name: "new leader with an older version", Voters: 3, Settled: true, Away: []int{1}, Prelude: behind, Operators: reader, Spans: election, Budget: Budget{Elapses: 1, Holds: 1, Calls: 2}},
+		{Name: "new leader with an older version", Voters: 3, Settled: true, IsolatedAtStart: []int{1}, Prelude: behind, Operators: reader, Spans: election, Budget: Budget{Elapses: 1, Holds: 1, Calls: 2}},
 		{Name: "order to a leader cut off", Voters: 3, Settled: true, Prelude: replaced, Operators: two, Spans: election, Budget: Budget{Holds: 1, Calls: 4}},
 		{Name: "leader frozen", Voters: 3, Settled: true, Operators: reader, Spans: election, Budget: Budget{Elapses: 2, Freezes: 1, Calls: 2}},
 		{Name: "a drain delayed", Voters: 3, Settled: true, Operators: drains, Spans: both, Budget: Budget{Elapses: 1, Delays: 1, Holds: 1, Calls: 2}},
 		{Name: "disk lost", Voters: 3, Settled: true, Operators: two, Spans: both, Budget: Budget{Elapses: 2, LostDisks: 1, Calls: 2}},
-		{Name: "replacement", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Isolations: 1, Calls: 1}},
-		{Name: "replacement and a crash", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Crashes: 1, Calls: 1}},
-		{Name: "replacement, late messages", Voters: 3, Standbys: 1, Settled: true, Away: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Holds: 1, Calls: 1}},
+		{Name: "replacement", Voters: 3, Standbys: 1, Settled: true, IsolatedAtStart: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Isolations: 1, Calls: 1}},
+		{Name: "replacement and a crash", Voters: 3, Standbys: 1, Settled: true, IsolatedAtStart: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Crashes: 1, Calls: 1}},
+		{Name: "replacement, late messages", Voters: 3, Standbys: 1, Settled: true, IsolatedAtStart: []int{2}, Prelude: silent, Operators: one, Spans: quiet, Budget: Budget{Elapses: 2, Holds: 1, Calls: 1}},
 		{Name: "planned stop", Voters: 3, Standbys: 1, Settled: true, Operators: two, Spans: election, Budget: Budget{Elapses: 2, Stops: 1, Announces: 1, Calls: 2}},
 	}
 }
 
-// Deeper returns a configuration with more of every fault and choice that it has, so that its exploration takes
-// long.
+// Deeper returns a copy of the configuration with each nonzero budget increased by the given number, for a longer
+// exploration.
 func (c Config) Deeper(by int) Config {
 	b := &c.Budget
 	for _, n := range []*int{
@@ -75,7 +78,7 @@
 	return c
 }
 
-// Everything returns the configuration of random walks: every fault, several times.
+// Everything returns the configuration for random walks: all kinds of faults, most of them several times.
 func Everything(replicas int) Config {
 	return Config{
 		Name: "everything", Voters: 3, Standbys: max(0, replicas-3), Spans: []int{heartbeatSpan, quietSpan, electionSpan},
--- a/lab/model/explore.go
+++ b/lab/model/explore.go
@@ -1,4 +1,4 @@
-// Exploring breadth first, so that the first violation is one of the shortest.
+// Breadth-first exploration: the first violation found has a schedule of minimal length.
 
 package model
 
@@ -8,17 +8,19 @@
 	"strings"
 )
 
-// Bound limits an exploration by the number of states, not by time, so that it is the same on every machine.
+// Bound limits an exploration by depth and number of states. It is not limited by time, so that the result is the
+// same on every machine.
 type Bound struct{ Depth, States int }
 
 // Report is the outcome of an exploration.
 type Report struct {
-	// States are those found, Transitions the actions tried, Depth the longest schedule of a state.
+	// States counts the distinct states found, Transitions the actions applied; Depth is the length of the longest
+	// schedule explored.
 	States, Transitions, Depth int
-	// Complete is that nothing was left out within the bound of the depth.
+	// Complete reports that no state was skipped within the depth bound.
 	Complete bool
-	// Steps were run on the product's code, Replayed again to rebuild a process; Processes are the
-	// different states of single replicas.
+	// Steps counts the steps run on the product's code, Replayed the steps run again to rebuild a process, and
+	// Processes the distinct states of single replicas.
 	Steps, Replayed, Processes int
 	Failure                    *Failure
 }
@@ -47,24 +49,24 @@
 	return b.String()
 }
 
-// Explore visits every state that the bound allows, each once.
-func (w *World) Explore(bound Bound) Report {
-	first, err := w.initial()
+// Explore visits every reachable state within the bound once and stops at the first violation.
+func (x *Explorer) Explore(bound Bound) Report {
+	first, err := x.initial()
 	if err != nil {
-		return w.report(Report{Failure: &Failure{Violation: err}})
+		return x.report(Report{Failure: &Failure{Violation: err}})
 	}
 	r := Report{States: 1, Complete: true}
 	seen := map[digest]bool{first.key(): true}
 	for frontier := []*system{first}; len(frontier) > 0 && r.Depth < bound.Depth; r.Depth++ {
 		var next []*system
 		for _, s := range frontier {
-			for _, a := range w.enabled(s) {
-				after, err := w.apply(s, a)
+			for _, a := range x.enabled(s) {
+				after, err := x.apply(s, a)
 				r.Transitions++
 				if err != nil {
 					r.Depth++
 					r.Failure = &Failure{Violation: err, Schedule: after.schedule()}
-					return w.report(r)
+					return x.report(r)
 				}
 				key := after.key()
 				if seen[key] {
@@ -72,7 +74,7 @@
 				}
 				if r.States >= bound.States {
 					r.Complete = false
-					return w.report(r)
+					return x.report(r)
 				}
 				seen[key] = true
 				r.States++
@@ -81,26 +83,26 @@
 		}
 		frontier = next
 	}
-	return w.report(r)
+	return x.report(r)
 }
 
-func (w *World) report(r Report) Report {
-	r.Steps, r.Replayed, r.Processes = w.runtime.Steps, w.runtime.Replayed, len(w.runtime.byState)
+func (x *Explorer) report(r Report) Report {
+	r.Steps, r.Replayed, r.Processes = x.runtime.Steps, x.runtime.Replayed, len(x.runtime.byState)
 	return r
 }
 
-// Replay plays a schedule, leaving out what is not enabled, and gives the violation, if any.
-func (w *World) Replay(schedule []Action) (*Failure, error) {
-	s, err := w.initial()
+// Replay runs a schedule, skips actions that are not enabled, and returns the violation, or nil if there is none.
+func (x *Explorer) Replay(schedule []Action) (*Failure, error) {
+	s, err := x.initial()
 	if err != nil {
 		return nil, err
 	}
 	for _, a := range schedule {
-		enabled, ok := w.find(s, a)
+		enabled, ok := x.find(s, a)
 		if !ok {
 			continue
 		}
-		next, err := w.apply(s, enabled)
+		next, err := x.apply(s, enabled)
 		if err != nil {
 			return &Failure{Violation: err, Schedule: next.schedule()}, nil
 		}
@@ -109,8 +111,9 @@
 	return nil, nil
 }
 
-func (w *World) find(s *system, a Action) (Action, bool) {
-	for _, b := range w.enabled(s) {
+// find returns the enabled action that is the same step as a.
+func (x *Explorer) find(s *system, a Action) (Action, bool) {
+	for _, b := range x.enabled(s) {
 		if a.same(b) {
 			return b, true
 		}
@@ -118,7 +121,7 @@
 	return Action{}, false
 }
 
-// invariantOf names the rule that a failure broke.
+// invariantOf returns the invariant that an error reports as violated, "" for other errors.
 func invariantOf(err error) Invariant {
 	var v *Violation
 	if errors.As(err, &v) {
--- a/lab/model/invariants.go
+++ b/lab/model/invariants.go
@@ -1,4 +1,4 @@
-// The invariants, checked in every state in which something that they depend on changed.
+// The invariants. Each is checked after every step that changes the data it depends on.
 
 package model
 
@@ -10,24 +10,24 @@
 	"wallport/runtime/wire"
 )
 
-// Invariant names a rule that must hold in every state.
+// Invariant is the name of a property that must hold in every state.
 type Invariant string
 
 // The invariants.
 const (
 	InvariantOneVersion     Invariant = "one version for each term and sequence"
 	InvariantOneLeader      Invariant = "one leader for each term"
-	InvariantDurableCommand Invariant = "an acknowledged order is in every later committed version"
-	InvariantRefusedCommand Invariant = "a refused order is in no committed version"
+	InvariantDurableCommand Invariant = "an acknowledged command is in every later committed version"
+	InvariantRefusedCommand Invariant = "a refused command is in no committed version"
 	InvariantMajority       Invariant = "an acknowledged value is synced by a majority of the voters in force"
 	InvariantLinearizable   Invariant = "operators' histories are linearizable"
-	InvariantOneAnswer      Invariant = "an order is answered one way"
-	InvariantChain          Invariant = "a committed version carries on what those before it had"
+	InvariantOneAnswer      Invariant = "a command is never both accepted and refused"
+	InvariantChain          Invariant = "a committed version contains the commands of the committed versions before it"
 	InvariantReadable       Invariant = "a body can be read"
-	InvariantCommittedSame  Invariant = "what is committed is what was proposed"
+	InvariantCommittedSame  Invariant = "a committed body equals the proposed one"
 )
 
-// Violation is an invariant that does not hold.
+// Violation is the error for an invariant that does not hold.
 type Violation struct {
 	Invariant Invariant
 	Text      string
@@ -41,13 +41,14 @@
 
 func versionText(v wire.Version) string { return fmt.Sprintf("%d.%d", v.Term, v.Seq) }
 
-// checkSent checks what a replica sends: its claim to lead, and the version that it proposes.
-func (w *World) checkSent(s *system, f *frame) error {
+// checkSent checks a message that a replica sends: there is at most one leader per term, and a proposed version is
+// valid.
+func (x *Explorer) checkSent(s *system, f *frame) error {
 	if f.leader != "" {
 		switch other, known := s.record.leaders[f.term]; {
 		case !known:
-			s.record = s.record.leads(f.term, f.leader)
-			w.Seen.Leaders++
+			s.record = s.record.withLeader(f.term, f.leader)
+			x.Seen.Leaders++
 		case other != f.leader:
 			return violation(InvariantOneLeader, "%s and %s both lead term %d", other, f.leader, f.term)
 		}
@@ -55,32 +56,35 @@
 	if f.version == nil {
 		return nil
 	}
-	return w.checkProposed(s, *f.version)
+	return x.checkProposed(s, *f.version)
 }
 
-func (w *World) checkProposed(s *system, v wire.Versioned) error {
+// checkProposed checks that a proposed version has a readable body and that no other content was proposed under the
+// same term and sequence number.
+func (x *Explorer) checkProposed(s *system, v wire.Versioned) error {
 	sum := versionDigest(v)
-	if w.versions[sum] == nil {
+	if x.versions[sum] == nil {
 		c, ok := contentsOf(v.Body)
 		if !ok {
 			return violation(InvariantReadable, "version %s has a body that cannot be read", versionText(v.Version))
 		}
-		w.versions[sum] = &knownVersion{Versioned: v, contents: c}
+		x.versions[sum] = &knownVersion{Versioned: v, contents: c}
 		if len(v.PreviousVoters) > 0 && !sameVoters(v.PreviousVoters, v.Voters) {
-			w.Seen.MemberChanges++
+			x.Seen.MemberChanges++
 		}
 	}
 	switch other, known := s.record.versions[v.Version]; {
 	case !known:
-		s.record = s.record.proposed(v.Version, sum)
+		s.record = s.record.withProposed(v.Version, sum)
 	case other != sum:
-		return violation(InvariantOneVersion, "version %s stands for two contents", versionText(v.Version))
+		return violation(InvariantOneVersion, "version %s was proposed with two different contents", versionText(v.Version))
 	}
 	return nil
 }
 
-// checkCommitted checks a version that a replica takes for committed.
-func (w *World) checkCommitted(s *system, p *process) error {
+// checkCommitted checks the version that a replica considers committed, if the schedule has not recorded it yet: it
+// must equal what was proposed, contain every acknowledged command and contain no refused one.
+func (x *Explorer) checkCommitted(s *system, p *process) error {
 	if p.committed.Term == 0 || slices.Contains(s.record.committed, p.committed) {
 		return nil
 	}
@@ -88,55 +92,59 @@
 	if !ok {
 		return violation(InvariantReadable, "committed version %s has a body that cannot be read", versionText(p.committed))
 	}
-	if known := w.proposal(s, p.committed); known != nil && string(known.Body) != string(p.body) {
-		return violation(InvariantCommittedSame, "version %s", versionText(p.committed))
+	if known := x.proposal(s, p.committed); known != nil && string(known.Body) != string(p.body) {
+		return violation(InvariantCommittedSame, "version %s is committed with another body than was proposed", versionText(p.committed))
 	}
-	s.record = s.record.commits(p.committed)
-	w.Seen.Commits++
-	for order, at := range s.record.acknowledged {
-		if err := w.checkCarried(order, at, p.committed, c); err != nil {
+	s.record = s.record.withCommitted(p.committed)
+	x.Seen.Commits++
+	for number, at := range s.record.acknowledged {
+		if err := x.checkIncluded(number, at, p.committed, c); err != nil {
 			return err
 		}
 	}
-	for _, order := range s.record.refused {
-		if w.carries(c, order) {
-			return violation(InvariantRefusedCommand, "%s is in version %s", w.commands[order].Name, versionText(p.committed))
+	for _, number := range s.record.refused {
+		if x.includes(c, number) {
+			return violation(InvariantRefusedCommand, "%s was refused and is in the later committed version %s", x.commands[number].Name, versionText(p.committed))
 		}
 	}
-	return w.checkChain(s)
+	return x.checkChain(s)
 }
 
-func (w *World) proposal(s *system, v wire.Version) *knownVersion {
-	return w.versions[s.record.versions[v]]
+// proposal returns the proposed version, nil if this schedule has not recorded it.
+func (x *Explorer) proposal(s *system, v wire.Version) *knownVersion {
+	return x.versions[s.record.versions[v]]
 }
 
-// carries reports whether contents include a command; commands that later ones may undo are left to the
-// histories.
-func (w *World) carries(c contents, number int) bool {
-	o := &w.commands[number]
+// includes reports whether contents include a command. It returns false for commands that a later command may undo;
+// the linearizability check covers those.
+func (x *Explorer) includes(c contents, number int) bool {
+	o := &x.commands[number]
 	if o.Kind == ChangeCommand {
 		return slices.Contains(c.commands, o.Name)
 	}
-	return o.Kind == DrainCommand && !w.restores[o.Zone] && slices.Contains(c.drained, o.Zone)
+	return o.Kind == DrainCommand && !x.restores[o.Zone] && slices.Contains(c.drained, o.Zone)
 }
 
-func (w *World) lasting(number int) bool {
-	o := &w.commands[number]
-	return o.Kind == ChangeCommand || o.Kind == DrainCommand && !w.restores[o.Zone]
+// irreversible reports whether no other command of the configuration can undo a command.
+func (x *Explorer) irreversible(number int) bool {
+	o := &x.commands[number]
+	return o.Kind == ChangeCommand || o.Kind == DrainCommand && !x.restores[o.Zone]
 }
 
-func (w *World) checkCarried(order int, at, committed wire.Version, c contents) error {
-	if w.lasting(order) && !newer(at, committed) && !w.carries(c, order) {
-		return violation(InvariantDurableCommand, "%s was acknowledged at %s and is not in %s", w.commands[order].Name, versionText(at), versionText(committed))
+// checkIncluded checks that a version committed at or after the version of a command's acknowledgement includes the
+// command.
+func (x *Explorer) checkIncluded(number int, at, committed wire.Version, c contents) error {
+	if x.irreversible(number) && !newer(at, committed) && !x.includes(c, number) {
+		return violation(InvariantDurableCommand, "%s was acknowledged at %s and is not in %s", x.commands[number].Name, versionText(at), versionText(committed))
 	}
 	return nil
 }
 
-// checkChain compares the committed versions one after another.
-func (w *World) checkChain(s *system) error {
+// checkChain checks that each committed version includes all commands of the committed version before it.
+func (x *Explorer) checkChain(s *system) error {
 	var before *knownVersion
 	for _, at := range s.record.committed {
-		v := w.proposal(s, at)
+		v := x.proposal(s, at)
 		if v == nil {
 			continue
 		}
@@ -152,30 +160,30 @@
 	return nil
 }
 
-func (w *World) checkRefused(s *system, number int) error {
-	s.record = s.record.refuses(number)
-	w.Seen.Refused++
+func (x *Explorer) checkRefused(s *system, number int) error {
+	s.record = s.record.withRefused(number)
+	x.Seen.Refused++
 	for _, at := range s.record.committed {
-		if v := w.proposal(s, at); v != nil && w.carries(v.contents, number) {
-			return violation(InvariantRefusedCommand, "%s was refused and is in version %s", w.commands[number].Name, versionText(at))
+		if v := x.proposal(s, at); v != nil && x.includes(v.contents, number) {
+			return violation(InvariantRefusedCommand, "%s was refused and is in version %s", x.commands[number].Name, versionText(at))
 		}
 	}
 	return nil
 }
 
-func (w *World) checkAcknowledged(s *system, number int, r wire.EditReply) error {
-	s.record = s.record.acknowledges(number, r.Version)
-	w.Seen.Acknowledged++
-	v := w.proposal(s, r.Version)
+func (x *Explorer) checkAcknowledged(s *system, number int, r wire.EditReply) error {
+	s.record = s.record.withAcknowledged(number, r.Version)
+	x.Seen.Acknowledged++
+	v := x.proposal(s, r.Version)
 	if v == nil {
-		return violation(InvariantMajority, "%s was acknowledged at %s, which nobody proposed", w.commands[number].Name, versionText(r.Version))
+		return violation(InvariantMajority, "%s was acknowledged at %s, which no replica proposed", x.commands[number].Name, versionText(r.Version))
 	}
-	if !w.syncedByMajority(s, v, v.Voters, number) || len(v.PreviousVoters) > 0 && !w.syncedByMajority(s, v, v.PreviousVoters, number) {
-		return violation(InvariantMajority, "%s was acknowledged at %s", w.commands[number].Name, versionText(r.Version))
+	if !x.syncedByMajority(s, v, v.Voters, number) || len(v.PreviousVoters) > 0 && !x.syncedByMajority(s, v, v.PreviousVoters, number) {
+		return violation(InvariantMajority, "%s was acknowledged at %s before a majority of the voters had synced it", x.commands[number].Name, versionText(r.Version))
 	}
 	for _, at := range s.record.committed {
-		if known := w.proposal(s, at); known != nil {
-			if err := w.checkCarried(number, r.Version, at, known.contents); err != nil {
+		if known := x.proposal(s, at); known != nil {
+			if err := x.checkIncluded(number, r.Version, at, known.contents); err != nil {
 				return err
 			}
 		}
@@ -183,14 +191,14 @@
 	return nil
 }
 
-// syncedByMajority reports whether a majority of the voters' disks have held the version, or a later one with
-// the command.
-func (w *World) syncedByMajority(s *system, v *knownVersion, voters []wire.Replica, number int) bool {
+// syncedByMajority reports whether the newest synced version of a majority of the voters is v or a later version.
+// For an irreversible command that version must also include the command.
+func (x *Explorer) syncedByMajority(s *system, v *knownVersion, voters []wire.Replica, number int) bool {
 	n := 0
 	for _, voter := range voters {
 		at := s.record.synced[voter.ID]
-		known := w.proposal(s, at)
-		if known != nil && !newer(v.Version, at) && (w.carries(known.contents, number) || !w.lasting(number)) {
+		known := x.proposal(s, at)
+		if known != nil && !newer(v.Version, at) && (x.includes(known.contents, number) || !x.irreversible(number)) {
 			n++
 		}
 	}
@@ -201,9 +209,9 @@
 	return slices.EqualFunc(a, b, func(a, b wire.Replica) bool { return a.ID == b.ID })
 }
 
-// checkHistory checks the operators' history so far; each history is checked once.
-func (w *World) checkHistory(s *system) error {
-	if err, known := w.histories[s.record.played]; known {
+// checkHistory checks the operators' history so far for linearizability. Results are cached per history.
+func (x *Explorer) checkHistory(s *system) error {
+	if err, known := x.histories[s.record.eventsSum]; known {
 		return err
 	}
 	h := &history.History{}
@@ -214,11 +222,11 @@
 			continue
 		}
 		ended[e.command] = true
-		w.addEnded(h, e, begins[e.command], int64(i))
+		x.addEnded(h, e, begins[e.command], int64(i))
 	}
-	for order, begin := range begins {
-		if !ended[order] && w.commands[order].Kind != ReadCommand {
-			op := w.changeOf(order)
+	for number, begin := range begins {
+		if !ended[number] && x.commands[number].Kind != ReadCommand {
+			op := x.changeOf(number)
 			op.Begin = begin
 			h.Add(op)
 		}
@@ -227,16 +235,16 @@
 	if errs := h.Check(); len(errs) > 0 {
 		err = violation(InvariantLinearizable, "%v", errs[0])
 	}
-	w.histories[s.record.played] = err
+	x.histories[s.record.eventsSum] = err
 	return err
 }
 
-func (w *World) addEnded(h *history.History, e event, begin, end int64) {
+func (x *Explorer) addEnded(h *history.History, e event, begin, end int64) {
 	operations := []history.Operation{}
 	if e.reading != nil {
-		operations = w.readsOf(e.command, e.reading)
+		operations = x.readsOf(e.command, e.reading)
 	} else {
-		operations = append(operations, w.changeOf(e.command))
+		operations = append(operations, x.changeOf(e.command))
 	}
 	for _, op := range operations {
 		op.Begin, op.End, op.Outcome = begin, end, history.Refused
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -1,4 +1,4 @@
-// The bounded part of the exploration, as CI runs it; cmd/lab has the long one.
+// The bounded exploration that CI runs. cmd/lab runs longer ones.
 
 package model
 
@@ -11,26 +11,27 @@
 	"wallport/runtime/kernel"
 )
 
-// statesMost bounds each configuration; all of them end within it. A short run, which CI makes with
-// the race detector beside the whole one, looks at the first statesShort alone.
+// maxStates bounds the exploration of each configuration; all configurations are explored completely within it. A
+// short run, which CI does with the race detector in addition to the full run, explores only the first
+// maxStatesShort states.
 const (
-	statesMost  = 100_000
-	statesShort = 1_500
+	maxStates      = 100_000
+	maxStatesShort = 1_500
 )
 
-// everySchedule is a depth that no bounded configuration reaches.
-const everySchedule = 1_000
+// unlimitedDepth is a depth that no configuration reaches.
+const unlimitedDepth = 1_000
 
 func TestInvariantsHoldWithinBound(t *testing.T) {
 	for _, c := range Configs() {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			w := NewWorld(c)
-			bound := Bound{Depth: everySchedule, States: statesMost}
+			x := NewWorld(c)
+			bound := Bound{Depth: unlimitedDepth, States: maxStates}
 			if testing.Short() {
-				bound.States = statesShort
+				bound.States = maxStatesShort
 			}
-			r := w.Explore(bound)
+			r := x.Explore(bound)
 			t.Logf("%s: %v", c.Name, r)
 			if r.Failure != nil {
 				t.Fatal(r.Failure)
@@ -38,31 +39,32 @@
 			if testing.Short() {
 				return
 			}
-			must.True(t, r.Complete, must.Sprint("states were left out"))
-			broughtAbout(t, w)
+			must.True(t, r.Complete, must.Sprint("the exploration stopped at the bound of states"))
+			assertProvoked(t, x)
 		})
 	}
 }
 
-// broughtAbout: a configuration that never comes to what it is there for proves nothing.
-func broughtAbout(t *testing.T, w *World) {
+// assertProvoked fails if an exploration never reached the events that its configuration is meant to provoke: it
+// would pass without having tested them.
+func assertProvoked(t *testing.T, x *Explorer) {
 	t.Helper()
-	must.Positive(t, w.Seen.Leaders)
-	must.Positive(t, w.Seen.Commits)
-	if w.Budget.Calls > 0 {
-		must.Positive(t, w.Seen.Acknowledged)
+	must.Positive(t, x.Seen.Leaders)
+	must.Positive(t, x.Seen.Commits)
+	if x.Budget.Calls > 0 {
+		must.Positive(t, x.Seen.Acknowledged)
 	}
-	if len(w.Away) > 0 && w.Standbys > 0 || w.Budget.LostDisks > 0 {
-		must.Positive(t, w.Seen.MemberChanges)
+	if len(x.IsolatedAtStart) > 0 && x.Standbys > 0 || x.Budget.LostDisks > 0 {
+		must.Positive(t, x.Seen.MemberChanges)
 	}
-	if len(w.operators) > 1 && w.Operators[1][0].Kind == ReadCommand {
-		must.Positive(t, w.Seen.Reads)
+	if len(x.operators) > 1 && x.Operators[1][0].Kind == ReadCommand {
+		must.Positive(t, x.Seen.Reads)
 	}
 }
 
 func TestExplorationReplays(t *testing.T) {
 	c := Configs()[0]
-	bound := Bound{Depth: everySchedule, States: statesMost}
+	bound := Bound{Depth: unlimitedDepth, States: maxStates}
 	must.Eq(t, NewWorld(c).Explore(bound), NewWorld(c).Explore(bound))
 }
 
@@ -85,30 +87,31 @@
 	must.Eq(t, a.schedule(), b.schedule())
 }
 
-// Two histories that are taken for one state of a replica must go on alike: the fingerprint
-// would leave something out otherwise.
+// Two histories that are merged into one state of a replica must have the same continuation. If they differ, the
+// fingerprint omits something that matters.
 func TestEqualFingerprintsBehaveAlike(t *testing.T) {
 	c := Configs()[4]
-	w := NewWorld(c)
+	x := NewWorld(c)
 	checked := 0
-	w.runtime.merged = func(known, other *process) {
+	x.runtime.merged = func(known, other *process) {
 		checked++
 		if checked%mergeSample != 0 {
 			return
 		}
 		at := max(known.at, other.at)
-		must.Eq(t, w.after(known, at), w.after(other, at))
+		must.Eq(t, x.continuation(known, at), x.continuation(other, at))
 	}
-	w.Explore(Bound{Depth: everySchedule, States: statesMost})
+	x.Explore(Bound{Depth: unlimitedDepth, States: maxStates})
 	must.Greater(t, 10*mergeSample, checked)
 }
 
-// mergeSample is that one merge in so many is checked.
+// mergeSample is the sampling interval: one merge in mergeSample is checked.
 const mergeSample = 10
 
-// after runs a process anew from its history, and then on, from a time, through writes and timers.
-func (w *World) after(p *process, at clock.Micros) (prints []digest) {
-	k := newRuntime().wake(p)
+// continuation rebuilds a process from its history, then completes its pending writes at the given time and fires
+// its timers at four later times. It returns a digest of the state and of the sent frames after each input.
+func (x *Explorer) continuation(p *process, at clock.Micros) (prints []digest) {
+	k := newRuntime().kernelFor(p)
 	feed := func(input kernel.Input) {
 		fixRandom(k, p.replica, p.incarnation)
 		out := k.Step(at, epoch+at, input)
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -1,7 +1,7 @@
-// Replica processes as values. A process is a history of inputs since its start; two histories that lead to the
-// same fingerprint, pending writes and timers are one process. The effect of an input on a process is computed
-// once, on the product's own code, and remembered: processes are deterministic and share nothing, so a state of
-// the whole system is a tuple of processes.
+// Replica processes as immutable values. A process is identified by its history of inputs since its start;
+// histories that lead to the same fingerprint, pending writes and timers are merged into one process. The effect
+// of an input on a process is computed once, by the product's own code, and cached. This is sound because
+// processes are deterministic and share nothing; a state of the whole system is a tuple of processes.
 
 package model
 
@@ -15,11 +15,11 @@
 	"wallport/runtime/wire"
 )
 
-// pendingWrite is a file write that a process requested and that is not synced yet.
+// pendingWrite is a file write that a process requested and that has not been synced.
 type pendingWrite struct {
 	key, file string
 	data      []byte
-	// cause is the digest of the input that requested it, with its time.
+	// cause is the digest of the input that requested the write, including its time.
 	cause digest
 }
 
@@ -32,7 +32,8 @@
 type process struct {
 	id      int32
 	replica int
-	// incarnation counts the replica's starts: its random numbers differ between them.
+	// incarnation counts the replica's starts. It is part of the random seed, so that random numbers differ between
+	// incarnations.
 	incarnation int
 	parent      *process
 	at          clock.Micros
@@ -41,15 +42,15 @@
 	writes      []pendingWrite
 	timers      []timer
 	committed   wire.Version
-	// body is that of the committed version.
+	// body is the body of the committed version.
 	body []byte
 }
 
-// effects holds what a step requested.
+// effects holds the process that results from a step, and what the step requested.
 type effects struct {
 	next  *process
 	sends []kernel.Send
-	// removes are files to be removed; nothing waits for that.
+	// removes lists files to delete. Deletions take effect immediately, as no process waits for them.
 	removes []string
 }
 
@@ -59,25 +60,25 @@
 	input   digest
 }
 
-// runtime runs processes and remembers their steps.
+// runtime runs processes and caches the effects of their steps.
 type runtime struct {
-	byState map[digest]*process
-	steps   map[stepKey]*effects
-	starts  map[digest]*effects
-	live    map[int32]*kernel.Kernel
-	order   []int32
-	// Steps counts the steps run on the product's code, Replayed those run again to rebuild a process.
+	byState    map[digest]*process
+	steps      map[stepKey]*effects
+	starts     map[digest]*effects
+	cached     map[int32]*kernel.Kernel
+	cacheOrder []int32
+	// Steps counts the steps run on the product's code, Replayed the steps run again to rebuild a process.
 	Steps, Replayed int
-	// merged, if set, is called for every two histories that were taken for one process.
+	// merged, if set, is called for each pair of histories that were merged into one process.
 	merged func(known, other *process)
 }
 
-// liveMost bounds the number of processes that are kept running.
-const liveMost = 512
+// maxCachedKernels is the maximum number of kernels that are kept running.
+const maxCachedKernels = 512
 
 func newRuntime() *runtime {
 	return &runtime{
-		byState: map[digest]*process{}, steps: map[stepKey]*effects{}, starts: map[digest]*effects{}, live: map[int32]*kernel.Kernel{},
+		byState: map[digest]*process{}, steps: map[stepKey]*effects{}, starts: map[digest]*effects{}, cached: map[int32]*kernel.Kernel{},
 	}
 }
 
@@ -94,23 +95,24 @@
 	return e
 }
 
-// step applies one input to a process.
+// step applies one input to a process and returns the effects, from the cache if they are known.
 func (r *runtime) step(p *process, at clock.Micros, input kernel.Input) *effects {
 	key := stepKey{p.id, at, inputDigest(input)}
 	if e := r.steps[key]; e != nil {
 		return e
 	}
-	k := r.wake(p)
+	k := r.kernelFor(p)
 	next := &process{replica: p.replica, incarnation: p.incarnation, parent: p, at: at, input: input, writes: p.writes, timers: p.timers}
 	e := r.run(next, k, p)
 	r.steps[key] = e
 	return e
 }
 
-// wake returns the running process, replayed from its start if it is not running any more.
-func (r *runtime) wake(p *process) *kernel.Kernel {
-	if k := r.live[p.id]; k != nil {
-		delete(r.live, p.id)
+// kernelFor returns the kernel of a process and removes it from the cache. A kernel that is not cached is rebuilt by
+// replaying the process's inputs from its start.
+func (r *runtime) kernelFor(p *process) *kernel.Kernel {
+	if k := r.cached[p.id]; k != nil {
+		delete(r.cached, p.id)
 		return k
 	}
 	var history []*process
@@ -146,7 +148,7 @@
 	} else if r.merged != nil {
 		r.merged(known, next)
 	}
-	r.keep(known.id, k)
+	r.cache(known.id, k)
 	e := &effects{next: known, sends: out.Sends}
 	for _, wr := range out.Writes {
 		if wr.Plugin == pluginName && wr.Data == nil {
@@ -156,16 +158,16 @@
 	return e
 }
 
-// keep caches a kernel for the next step, and drops the oldest.
-func (r *runtime) keep(id int32, k *kernel.Kernel) {
-	if r.live[id] != nil {
+// cache keeps a kernel for the next step of its process and evicts the oldest one above maxCachedKernels.
+func (r *runtime) cache(id int32, k *kernel.Kernel) {
+	if r.cached[id] != nil {
 		return
 	}
-	r.live[id] = k
-	r.order = append(r.order, id)
-	if len(r.order) > liveMost {
-		delete(r.live, r.order[0])
-		r.order = r.order[1:]
+	r.cached[id] = k
+	r.cacheOrder = append(r.cacheOrder, id)
+	if len(r.cacheOrder) > maxCachedKernels {
+		delete(r.cached, r.cacheOrder[0])
+		r.cacheOrder = r.cacheOrder[1:]
 	}
 }
 
@@ -217,6 +219,7 @@
 	return appendNumber(b, int64(p.committed.Seq))
 }
 
+// inputBytes returns an unambiguous encoding of an input.
 func inputBytes(input kernel.Input) []byte {
 	if v, ok := input.(kernel.Received); ok {
 		return append(appendNumber([]byte("received"), int64(v.Conn)), v.Data...)
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -1,4 +1,5 @@
-// The system under exploration: its replicas and operators, and how an action changes a state.
+// The system under exploration: its replicas and operators, its initial state, and how the effects of a step change
+// a state.
 
 package model
 
@@ -11,24 +12,27 @@
 	"wallport/runtime/wire"
 )
 
-// Config describes what is explored.
+// Config describes a system and the schedules to explore.
 type Config struct {
 	Name string
-	// Voters form the group at the start; Standbys are further processes, which are not voters.
+	// Voters is the number of replicas that form the group at the start, Standbys the number of further processes
+	// that are not voters.
 	Voters, Standbys int
-	// Settled starts with an elected leader instead of a group that was just bootstrapped.
+	// Settled starts with an elected leader instead of a group that has just been bootstrapped.
 	Settled bool
-	// Away are replicas that are partitioned at the start.
-	Away []int
-	// Faulty are the replicas that crash, freeze, are partitioned and so on; empty means all.
+	// IsolatedAtStart lists the replicas that are partitioned from the others at the start.
+	IsolatedAtStart []int
+	// Faulty lists the replicas on which faults (crashes, freezes, partitions, stops) may be injected; empty means
+	// all.
 	Faulty []int
-	// SlowDisks makes holds pause disks only, not messages.
+	// SlowDisks restricts holds to disks; message queues are not paused.
 	SlowDisks bool
-	// Prelude are actions before the exploration, each followed by everything that results.
+	// Prelude lists actions that run before the exploration. After each of them, syncs and deliveries run until
+	// none is pending.
 	Prelude []Action
-	// Operators are the commands of each operator, in order.
+	// Operators holds the commands of each operator, in order.
 	Operators [][]Command
-	// Spans are the times that may pass at once, in microseconds.
+	// Spans are the durations by which the clock may advance in one step, in microseconds.
 	Spans  []int
 	Budget Budget
 }
@@ -38,8 +42,8 @@
 	contents contents
 }
 
-// World explores one configuration.
-type World struct {
+// Explorer explores one configuration.
+type Explorer struct {
 	Config
 	replicas, voters int
 	operators        [][]Command
@@ -52,106 +56,107 @@
 	messages  map[digest]*message
 	versions  map[digest]*knownVersion
 	histories map[digest]error
-	// Seen counts what the exploration provoked.
+	// Seen counts the events that the exploration provoked.
 	Seen Seen
 }
 
-// Seen counts what schedules provoked, over all states.
+// Seen counts the events that schedules provoked, over all states.
 type Seen struct{ Leaders, Commits, Acknowledged, Refused, Reads, MemberChanges int }
 
-// FreezeGap is how long a process must have been frozen to be told so, as in the process's own loop.
+// FreezeGap is the time for which a process must have been frozen before it receives a Thawed input. It matches the
+// event loop of a real process.
 const FreezeGap = clock.Second
 
-// begin is the steady clock at the start of a schedule.
+// begin is the monotonic time at the start of a schedule.
 const begin = clock.Second
 
-// NewWorld returns a world for a configuration.
-func NewWorld(c Config) *World {
-	w := &World{
+// NewWorld returns an explorer for a configuration.
+func NewWorld(c Config) *Explorer {
+	x := &Explorer{
 		Config: c, replicas: c.Voters + c.Standbys, voters: c.Voters, operators: c.Operators, restores: map[string]bool{},
 		runtime: newRuntime(), messages: map[digest]*message{}, versions: map[digest]*knownVersion{}, histories: map[digest]error{},
 	}
-	for operator, orders := range c.Operators {
-		for _, o := range orders {
-			w.commands = append(w.commands, o)
-			w.operatorOf = append(w.operatorOf, operator)
-			if o.Zone != "" && !slices.Contains(w.zones, o.Zone) {
-				w.zones = append(w.zones, o.Zone)
+	for operator, operatorCommands := range c.Operators {
+		for _, o := range operatorCommands {
+			x.commands = append(x.commands, o)
+			x.operatorOf = append(x.operatorOf, operator)
+			if o.Zone != "" && !slices.Contains(x.zones, o.Zone) {
+				x.zones = append(x.zones, o.Zone)
 			}
-			w.restores[o.Zone] = w.restores[o.Zone] || o.Kind == RestoreCommand
+			x.restores[o.Zone] = x.restores[o.Zone] || o.Kind == RestoreCommand
 		}
 	}
-	return w
+	return x
 }
 
-// initial returns the state at the start of every schedule.
-func (w *World) initial() (*system, error) {
-	n := w.replicas
+// initial returns the state in which every schedule starts.
+func (x *Explorer) initial() (*system, error) {
+	n := x.replicas
 	s := &system{
 		now: begin, processes: make([]*process, n), disks: make([]*disk, n), starts: make([]int, n), frozenAt: make([]int64, n),
-		queues: make([][]*message, n*n), calls: make([]call, len(w.commands)), left: w.Budget, record: newRecord(),
+		queues: make([][]*message, n*n), calls: make([]call, len(x.commands)), left: x.Budget, record: newRecord(),
 	}
 	for i := range n {
 		files := standbyDisk(i)
-		if i < w.voters {
-			files = formedDisk(i, w.voters)
+		if i < x.voters {
+			files = bootstrappedDisk(i, x.voters)
 		}
 		s.disks[i] = newDisk(files)
-		if err := w.boot(s, i); err != nil {
+		if err := x.boot(s, i); err != nil {
 			return nil, err
 		}
 	}
-	if w.Settled {
+	if x.Settled {
 		var err error
-		if s, err = w.elect(s); err != nil {
+		if s, err = x.elect(s); err != nil {
 			return nil, err
 		}
 	}
-	return w.play(s)
+	return x.runPrelude(s)
 }
 
-// elect makes the first replica be elected, with nothing lost and nothing late.
-func (w *World) elect(s *system) (*system, error) {
-	const until = 4
-	for range until {
+// elect lets time pass until the first replica is elected, without lost or delayed messages.
+func (x *Explorer) elect(s *system) (*system, error) {
+	const rounds = 4
+	for range rounds {
 		s.left.Elapses++
-		next, err := w.apply(s, Action{Kind: Elapse, Argument: heartbeatSpan})
+		next, err := x.apply(s, Action{Kind: Elapse, Argument: heartbeatSpan})
 		if err != nil {
 			return nil, err
 		}
-		if s, err = w.drain(next); err != nil {
+		if s, err = x.runUntilIdle(next); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// play runs the prelude, with as much of everything as it takes, and leaves the budget whole.
-func (w *World) play(s *system) (*system, error) {
-	for _, i := range w.Away {
+// runPrelude isolates the configured replicas and runs the prelude. The prelude does not count against the budget.
+func (x *Explorer) runPrelude(s *system) (*system, error) {
+	for _, i := range x.IsolatedAtStart {
 		s.isolated |= 1 << i
 	}
-	for _, a := range w.Prelude {
-		next, err := w.apply(s, a)
+	for _, a := range x.Prelude {
+		next, err := x.apply(s, a)
 		if err != nil {
 			return nil, err
 		}
-		if s, err = w.drain(next); err != nil {
+		if s, err = x.runUntilIdle(next); err != nil {
 			return nil, err
 		}
 	}
-	s.left, s.path, s.depth = w.Budget, nil, 0
+	s.left, s.path, s.depth = x.Budget, nil, 0
 	return s, nil
 }
 
-// drain syncs and delivers until nothing is pending.
-func (w *World) drain(s *system) (*system, error) {
+// runUntilIdle syncs writes and delivers messages until none is pending.
+func (x *Explorer) runUntilIdle(s *system) (*system, error) {
 	for {
-		a, ok := pendingAction(w.enabled(s))
+		a, ok := pendingAction(x.enabled(s))
 		if !ok {
 			return s, nil
 		}
-		next, err := w.apply(s, a)
+		next, err := x.apply(s, a)
 		if err != nil {
 			return nil, err
 		}
@@ -171,61 +176,63 @@
 }
 
 // boot starts a replica's process on its disk.
-func (w *World) boot(s *system, i int) error {
+func (x *Explorer) boot(s *system, i int) error {
 	s.starts[i]++
-	return w.settleStep(s, i, w.runtime.start(i, s.starts[i], s.now, s.disks[i].files))
+	return x.applyEffects(s, i, x.runtime.start(i, s.starts[i], s.now, s.disks[i].files))
 }
 
-// feed gives a replica one input.
-func (w *World) feed(s *system, i int, input kernel.Input) error {
-	return w.settleStep(s, i, w.runtime.step(s.processes[i], s.now, input))
+// feed applies one input to a replica.
+func (x *Explorer) feed(s *system, i int, input kernel.Input) error {
+	return x.applyEffects(s, i, x.runtime.step(s.processes[i], s.now, input))
 }
 
-// settleStep carries out what a step asked for and checks it.
-func (w *World) settleStep(s *system, i int, e *effects) error {
+// applyEffects carries out the file removals and sends that a step requested, and checks the invariants on the
+// resulting writes, messages and committed version.
+func (x *Explorer) applyEffects(s *system, i int, e *effects) error {
 	s.processes[i] = e.next
 	if len(e.removes) > 0 {
 		s.disks[i] = s.disks[i].without(e.removes)
 	}
 	for _, wr := range e.next.writes {
 		if v, ok := versionIn(wr.file, wr.data); ok {
-			if err := w.checkProposed(s, v); err != nil {
+			if err := x.checkProposed(s, v); err != nil {
 				return err
 			}
 		}
 	}
 	for _, send := range e.sends {
-		if err := w.sent(s, i, send); err != nil {
+		if err := x.handleSend(s, i, send); err != nil {
 			return err
 		}
 	}
-	return w.checkCommitted(s, e.next)
+	return x.checkCommitted(s, e.next)
 }
 
-// sent puts a frame on its way, or hands an answer to its operator.
-func (w *World) sent(s *system, from int, send kernel.Send) error {
+// handleSend appends a sent frame to the receiver's queue, or passes an answer to its operator.
+func (x *Explorer) handleSend(s *system, from int, send kernel.Send) error {
 	f := openFrame(send.Data)
 	switch {
 	case f.kind == frameIgnored:
 		return nil
 	case f.kind == frameAnswer && send.Conn >= clientConnection:
-		return w.answered(s, send.Conn, f.answer)
+		return x.handleAnswer(s, send.Conn, f.answer)
 	}
-	to := w.target(send)
+	to := x.target(send)
 	if to < 0 || to == from {
 		return nil
 	}
-	if err := w.checkSent(s, &f); err != nil {
+	if err := x.checkSent(s, &f); err != nil {
 		return err
 	}
-	m := w.message(replicaConnection(from), send, f)
-	queue := from*w.replicas + to
+	m := x.message(replicaConnection(from), send, f)
+	queue := from*x.replicas + to
 	s.queues[queue] = append(slices.Clip(s.queues[queue]), m)
 	return nil
 }
 
-func (w *World) target(send kernel.Send) int {
-	for i := range w.replicas {
+// target returns the replica to which a frame is sent, -1 if there is none.
+func (x *Explorer) target(send kernel.Send) int {
+	for i := range x.replicas {
 		if send.Addr == replicaAddress(i) || send.Addr == "" && send.Conn == replicaConnection(i) {
 			return i
 		}
@@ -233,18 +240,19 @@
 	return -1
 }
 
-func (w *World) message(connection uint64, send kernel.Send, f frame) *message {
+// message returns the message for a frame; equal messages share one value.
+func (x *Explorer) message(connection uint64, send kernel.Send, f frame) *message {
 	request := send.Addr != ""
 	b := append(appendNumber(nil, int64(connection)), byte(boolInt(request)))
 	sum := digestOf(append(b, send.Data...))
-	if m := w.messages[sum]; m != nil {
+	if m := x.messages[sum]; m != nil {
 		return m
 	}
 	m := &message{connection: connection, request: request, data: send.Data, digest: sum, frame: f}
-	w.messages[sum] = m
+	x.messages[sum] = m
 	return m
 }
 
-func (w *World) String() string {
-	return fmt.Sprintf("%s: %d voters, %d standbys, %d orders, budget %+v", w.Name, w.voters, w.Standbys, len(w.commands), w.Budget)
+func (x *Explorer) String() string {
+	return fmt.Sprintf("%s: %d voters, %d standbys, %d commands, budget %+v", x.Name, x.voters, x.Standbys, len(x.commands), x.Budget)
 }
--- a/lab/rules/repeats.go
+++ b/lab/rules/repeats.go
@@ -1,58 +1,60 @@
-// The rules on repetition: revisions, repeats of changes, and the backends of one attempt.
+// The rules on repetition: reused revisions, retries of changes, and the number of backends of one attempt.
 
 package rules
 
 import "wallport/runtime/clock"
 
-// firstOf returns when something was first acknowledged, whether or not the acknowledgement arrived.
-func firstOf(acked, taken int64) int64 {
-	if taken > 0 {
-		return min(acked, taken)
+// firstAcknowledged returns the time at which a command was first acknowledged, whether or not that acknowledgement
+// arrived.
+func firstAcknowledged(acked, acknowledged int64) int64 {
+	if acknowledged > 0 {
+		return min(acked, acknowledged)
 	}
 	return acked
 }
 
-// configNumbers checks CONFIG: no two changes are acknowledged under one revision.
-func configNumbers(j *Journal) {
-	taken, sent := map[int64]*Version{}, map[int64]bool{}
+// configRevisions checks CONFIG: no two changes are acknowledged with the same revision.
+func configRevisions(j *Journal) {
+	acknowledged, sent := map[int64]*Version{}, map[int64]bool{}
 	for _, version := range j.Versions {
 		if sent[version.Revision] && !version.Invalid {
 			j.tested(ConfigNumber)
 		}
 		sent[version.Revision] = sent[version.Revision] || !version.Invalid
-		if firstOf(version.Acked, version.FirstAcked) == Never {
+		if firstAcknowledged(version.Acked, version.FirstAcked) == Never {
 			continue
 		}
-		if o := taken[version.Revision]; o != nil {
-			j.fail(Config, firstOf(version.Acked, version.FirstAcked), "two changes were acknowledged under number %d", version.Revision)
+		if other := acknowledged[version.Revision]; other != nil {
+			j.fail(Config, firstAcknowledged(version.Acked, version.FirstAcked), "two changes with the same revision %d were acknowledged", version.Revision)
 		}
-		taken[version.Revision] = version
+		acknowledged[version.Revision] = version
 	}
 }
 
-// configRepeats checks CONFIG: an acknowledged change that is sent again is acknowledged or left without an
-// answer, never rejected.
+// configRepeats checks CONFIG: a retry of an acknowledged change is acknowledged or gets no answer; it is never
+// rejected.
 func configRepeats(j *Journal) {
 	for _, version := range j.Versions {
 		if version.Repeats > 0 || version.FirstAcked > 0 && (version.Acked > version.FirstAcked+ackLatencyUs || version.Refused != Never) {
 			j.tested(ConfigRepeat)
 		}
 		if version.FirstAcked > 0 && version.Refused != Never && version.Refused >= version.FirstAcked {
-			j.fail(Config, version.Refused, "revision %d was acknowledged at %d us, sent again as that was lost, and refused", version.Revision, version.FirstAcked)
+			j.fail(Config, version.Refused, "revision %d was acknowledged at %d us; that answer was lost, and the retry was refused", version.Revision, version.FirstAcked)
 		}
 		if version.RefusedAgain > 0 {
-			j.fail(Config, version.RefusedAgain, "revision %d was acknowledged at %d us, sent again and refused", version.Revision, version.Acked)
+			j.fail(Config, version.RefusedAgain, "revision %d was acknowledged at %d us, and a later retry was refused", version.Revision, version.Acked)
 		}
 	}
 }
 
-// ackLatencyUs is more than the network delay of an acknowledgement that is not lost.
+// ackLatencyUs is an upper bound on the network delay of an acknowledgement that is not lost.
 const ackLatencyUs = 10 * clock.Millisecond
 
-// furtherMost is how many attempts may run on more backends than their route allows.
-const furtherMost = 3
+// maxOverRouteLimit is the number of attempts that may run on more backends than their route allows.
+const maxOverRouteLimit = 3
 
-// furtherBackends checks BUDGET: hardly any attempt runs on more backends of a service than its route allows.
+// furtherBackends checks BUDGET: at most maxOverRouteLimit attempts run on more backends of a service than their
+// routes allow.
 func furtherBackends(j *Journal) {
 	n, at, which := 0, int64(0), ""
 	for _, attempt := range j.Attempts {
@@ -84,7 +86,7 @@
 			n, at, which = n+1, attempt.Ended, attempt.ID
 		}
 	}
-	if n > furtherMost {
-		j.fail(Budget, at, "%d tries, %s the last of them, ran on more backends than their routes allow", n, which)
+	if n > maxOverRouteLimit {
+		j.fail(Budget, at, "%d attempts, the last one %s, ran on more backends than their routes allow", n, which)
 	}
 }
--- a/lab/scale/fit_test.go
+++ b/lab/scale/fit_test.go
@@ -1,4 +1,4 @@
-// Slopes, exponents, quantiles and the plot, on figures whose law is known.
+// Tests of fits, exponents, quantiles and the plot, on values of known functions.
 
 package scale
 
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func law(f func(n float64) float64) (out []Point) {
+func pointsOf(f func(n float64) float64) (out []Point) {
 	for _, n := range []float64{10, 30, 100, 300, 600} {
 		out = append(out, Point{n, f(n)})
 	}
@@ -22,23 +22,23 @@
 	must.InDelta(t, want, got, 1e-6*max(1, math.Abs(want)))
 }
 
-func TestALineIsFoundAgain(t *testing.T) {
-	f := FitTo(law(func(n float64) float64 { return 228 + 1305*n }))
+func TestFitToRecoversLine(t *testing.T) {
+	f := FitTo(pointsOf(func(n float64) float64 { return 228 + 1305*n }))
 	near(t, 228, f.A)
 	near(t, 1305, f.B)
 	near(t, 1, f.LineR2)
 	near(t, 228+1305*1000, f.At(1000))
 }
 
-func TestAPowerLawIsFoundAgain(t *testing.T) {
-	f := FitTo(law(func(n float64) float64 { return 3 * math.Sqrt(n) }))
+func TestFitToRecoversPowerLaw(t *testing.T) {
+	f := FitTo(pointsOf(func(n float64) float64 { return 3 * math.Sqrt(n) }))
 	near(t, 3, f.C)
 	near(t, 0.5, f.E)
 	near(t, 1, f.PowerR2)
 }
 
-func TestWhatDoesNotGrow(t *testing.T) {
-	f := FitTo(law(func(float64) float64 { return 7 }))
+func TestFitToWithoutGrowth(t *testing.T) {
+	f := FitTo(pointsOf(func(float64) float64 { return 7 }))
 	near(t, 7, f.A)
 	near(t, 0, f.B)
 	near(t, 0, f.E)
@@ -51,9 +51,9 @@
 }
 
 func TestSteepest(t *testing.T) {
-	near(t, 0.5, Steepest(law(math.Sqrt)))
+	near(t, 0.5, Steepest(pointsOf(math.Sqrt)))
 	near(t, 2, Steepest([]Point{{40, 2}, {10, 2}, {80, 8}}))
-	must.True(t, math.IsInf(Steepest([]Point{{10, 0}, {40, 4}}), -1), must.Sprint("what was nothing has no exponent"))
+	must.True(t, math.IsInf(Steepest([]Point{{10, 0}, {40, 4}}), -1), must.Sprint("growth from 0 has no exponent"))
 }
 
 func TestQuantile(t *testing.T) {
@@ -61,24 +61,24 @@
 	for q, want := range map[float64]float64{0: 1, 0.2: 1, 0.5: 3, 0.8: 4, 0.99: 5, 1: 5} {
 		must.Eq(t, want, Quantile(v, q), must.Sprint(q))
 	}
-	must.Eq(t, []float64{5, 1, 4, 2, 3}, v, must.Sprint("left as they were"))
+	must.Eq(t, []float64{5, 1, 4, 2, 3}, v, must.Sprint("the input must not be modified"))
 	must.Eq(t, 0, Quantile(nil, 0.5))
 }
 
 func TestPlot(t *testing.T) {
 	got := Plot("bytes", []Series{
-		{"linear", 'l', law(func(n float64) float64 { return n })},
-		{"level", 'c', law(func(float64) float64 { return 20 })},
+		{"linear", 'l', pointsOf(func(n float64) float64 { return n })},
+		{"level", 'c', pointsOf(func(float64) float64 { return 20 })},
 	})
 	lines := strings.Split(got, "\n")
 	must.Eq(t, "bytes", lines[0])
 	must.StrContains(t, lines[1], "1k |")
-	must.StrContains(t, lines[plotHigh], "10 |l")
-	must.StrContains(t, got, "10"+strings.Repeat(" ", plotWide-2-len("600 nodes"))+"600 nodes")
+	must.StrContains(t, lines[plotHeight], "10 |l")
+	must.StrContains(t, got, "10"+strings.Repeat(" ", plotWidth-2-len("600 nodes"))+"600 nodes")
 	must.StrContains(t, got, "n^1.00")
 	must.StrContains(t, got, "n^0.00")
-	for _, l := range lines[1 : plotHigh+1] {
-		must.LessEq(t, 10+plotWide, len(l))
+	for _, l := range lines[1 : plotHeight+1] {
+		must.LessEq(t, 10+plotWidth, len(l))
 	}
 	must.Eq(t, "none: no points\n", Plot("none", []Series{{"x", 'x', []Point{{10, 0}}}}))
 	must.StrContains(t, Plot("one", []Series{{"x", 'x', []Point{{10, 5}}}}), "x")
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -1,6 +1,6 @@
-// A hollow fleet of six nodes, three cores and backends of its own, in this process: it
-// forms, takes a configuration, changes it, loses a node, and what it did is counted.
-// Ports are the system's choice; waits are on events, and only a hang ends them.
+// Tests with a hollow fleet of six nodes, three cores and its own backends in this process: the fleet forms, accepts a
+// configuration and a change, and loses a node; the counters are checked. The system chooses the ports. Waits end on
+// events; their time limit is only reached by a hang.
 
 package scale
 
@@ -19,12 +19,12 @@
 	"wallport/runtime/wire"
 )
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	for !ok() {
-		must.NoError(t, ctx.Err(), must.Sprint("never happened: "+what))
+		must.NoError(t, ctx.Err(), must.Sprint("timed out waiting until "+what))
 		runtime.Gosched()
 	}
 }
@@ -37,10 +37,10 @@
 	return h
 }
 
-// taken does an edit until it is taken.
-func taken(t *testing.T, h *Hollow, a Ask) (e Edited) {
+// editUntilAccepted retries an edit until it is accepted.
+func editUntilAccepted(t *testing.T, h *Hollow, a HostRequest) (e EditResult) {
 	t.Helper()
-	until(t, a.Op+" is taken", func() bool {
+	waitUntil(t, a.Op+" is accepted", func() bool {
 		r := h.Do(a)
 		if r.Edited != nil && r.Edited.Code == "ok" {
 			e = *r.Edited
@@ -51,8 +51,8 @@
 	return e
 }
 
-// allHave tells that all nodes have a change in force.
-func (h *Hollow) allHave(s wire.Version) bool {
+// allHaveVersion reports whether all running nodes have a version in force.
+func (h *Hollow) allHaveVersion(s wire.Version) bool {
 	for _, n := range h.nodes {
 		if cp := n.table.Current(); !n.ended.Load() && (cp == nil || cp.Config.ConfigVersion != s) {
 			return false
@@ -61,6 +61,7 @@
 	return true
 }
 
+// liveAt returns the number of running nodes that consider a member live.
 func (h *Hollow) liveAt(name string) (n int) {
 	for _, v := range h.nodes {
 		for _, m := range v.table.Current().Roster {
@@ -89,43 +90,43 @@
 	h := startHollow(t, HollowConfig{Role: "node", Count: nodes, Zones: 3, IP: "127.0.0.1", Seeds: seeds, Platform: platform.URL})
 	must.Len(t, nodes, h.Up())
 
-	f := &run{shards: 4, mark: 3_000_000}
-	taken(t, h, Ask{Op: "edit", Body: f.sheet()})
-	taken(t, h, Ask{Op: "cut", Name: Index, Body: json.RawMessage(`{"Name":"c1","Shards":4}`)})
-	until(t, "all are ready", func() bool { return h.Do(Ask{Op: "sample"}).Sample.Ready == nodes })
-	until(t, "all know all", func() bool { return h.liveAt("node-5") == nodes })
+	f := &run{shards: 4, rampUs: 3_000_000}
+	editUntilAccepted(t, h, HostRequest{Op: "edit", Body: f.newConfig()})
+	editUntilAccepted(t, h, HostRequest{Op: "cut", Name: Index, Body: json.RawMessage(`{"Name":"c1","Shards":4}`)})
+	waitUntil(t, "all are ready", func() bool { return h.Do(HostRequest{Op: "sample"}).Sample.Ready == nodes })
+	waitUntil(t, "all nodes consider node-5 live", func() bool { return h.liveAt("node-5") == nodes })
 
-	must.Eq(t, "", h.Do(Ask{Op: "watch", Name: "node-5"}).Err)
-	change := taken(t, h, Ask{Op: "edit", Body: f.sheet()})
-	until(t, "it is in force everywhere", func() bool { return h.allHave(change.Stamp) })
+	must.Eq(t, "", h.Do(HostRequest{Op: "watch", Name: "node-5"}).Err)
+	change := editUntilAccepted(t, h, HostRequest{Op: "edit", Body: f.newConfig()})
+	waitUntil(t, "the change is in force on all nodes", func() bool { return h.allHaveVersion(change.Stamp) })
 	lostAt := wallUs()
-	must.Eq(t, "", h.Do(Ask{Op: "kill", Name: "node-5"}).Err)
-	must.NotEq(t, "", h.Do(Ask{Op: "kill", Name: "node-5"}).Err, must.Sprint("it has ended"))
-	until(t, "the others hold it for lost", func() bool { return h.liveAt("node-5") == 0 })
-	seen := h.Do(Ask{Op: "seen"}).Seen
+	must.Eq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err)
+	must.NotEq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err, must.Sprint("the node has already been stopped"))
+	waitUntil(t, "no other node considers node-5 live", func() bool { return h.liveAt("node-5") == 0 })
+	seen := h.Do(HostRequest{Op: "seen"}).Seen
 
-	ack, every, _, never := inForce([]Edited{change}, seen)
+	ack, every, _, never := inForce([]EditResult{change}, seen)
 	must.Eq(t, 1, ack.N)
-	must.Eq(t, nodes, every.N+never, must.Sprint("the one that ended may not have been looked at in time"))
+	must.Eq(t, nodes, every.N+never, must.Sprint("the stopped node may not have been observed in time"))
 	must.LessEq(t, 1, never)
-	lost, silent := noticed(lostAt, "node-5", false, nodes-1, seen)
+	lost, silent := detectionTimes(lostAt, "node-5", false, nodes-1, seen)
 	must.Eq(t, 0, silent)
 	must.Eq(t, nodes-1, lost.N)
 	must.Positive(t, lost.P50)
 
-	s := h.Do(Ask{Op: "sample"}).Sample
+	s := h.Do(HostRequest{Op: "sample"}).Sample
 	must.Eq(t, nodes-1, s.Processes)
 	for _, name := range []string{"steps", "frames_in", "frames_out", "frame_bytes_in", "frame_bytes_out", "condition_probes", "mesh_heartbeats_in"} {
 		must.Positive(t, s.Counts[name], must.Sprint(name))
 	}
-	must.NotEq(t, "", h.Do(Ask{Op: "seen"}).Err, must.Sprint("nothing is watched any more"))
-	must.NotEq(t, "", h.Do(Ask{Op: "dance"}).Err)
+	must.NotEq(t, "", h.Do(HostRequest{Op: "seen"}).Err, must.Sprint("the watch has been stopped"))
+	must.NotEq(t, "", h.Do(HostRequest{Op: "dance"}).Err)
 }
 
-func TestTimesOfChanges(t *testing.T) {
+func TestInForceTimes(t *testing.T) {
 	at := func(seq uint64) wire.Version { return wire.Version{Term: 1, Seq: seq} }
-	edits := []Edited{{SentUs: 100, AtUs: 110, Stamp: at(2)}, {SentUs: 200, AtUs: 220, Stamp: at(3)}}
-	seen := []Seen{
+	edits := []EditResult{{SentUs: 100, AtUs: 110, Stamp: at(2)}, {SentUs: 200, AtUs: 220, Stamp: at(3)}}
+	seen := []Observation{
 		{AtUs: 50, Node: "a", Stamp: at(1)}, {AtUs: 105, Node: "a", Stamp: at(2)}, {AtUs: 230, Node: "a", Stamp: at(3)},
 		{AtUs: 50, Node: "b", Stamp: at(1)}, {AtUs: 225, Node: "b", Stamp: at(3)},
 		{AtUs: 50, Node: "c", Stamp: at(1)}, {AtUs: 130, Node: "c", Stamp: at(2)},
@@ -133,19 +134,20 @@
 	}
 	ack, every, all, never := inForce(edits, seen)
 	must.Eq(t, Times{N: 2, P50: 10, P99: 20, Most: 20, Sum: 30}, ack)
-	// Of the first: a at once, b with the second one after 115, c after 20; of the second: 10 and 5, c never.
+	// Times in microseconds from acknowledgement to being in force. First change: node a 0 (before the
+	// acknowledgement), b 115 (with the second change), c 20. Second change: a 10, b 5, c never.
 	must.Eq(t, Times{N: 5, P50: 10, P99: 115, Most: 115, Sum: 150}, every)
 	must.Eq(t, Times{N: 2, P50: 10, P99: 115, Most: 115, Sum: 125}, all)
 	must.Eq(t, 1, never)
 }
 
-func TestTimesOfALoss(t *testing.T) {
-	var seen []Seen
+func TestDetectionTimes(t *testing.T) {
+	var seen []Observation
 	for i := range 4 {
 		n := fmt.Sprint(i)
-		seen = append(seen, Seen{AtUs: 10, Node: n, About: "x", Live: true}, Seen{AtUs: int64(100 + i), Node: n, About: "x"}, Seen{AtUs: 900, Node: n, About: "x"})
+		seen = append(seen, Observation{AtUs: 10, Node: n, About: "x", Live: true}, Observation{AtUs: int64(100 + i), Node: n, About: "x"}, Observation{AtUs: 900, Node: n, About: "x"})
 	}
-	got, silent := noticed(50, "x", false, 5, seen)
+	got, silent := detectionTimes(50, "x", false, 5, seen)
 	must.Eq(t, 1, silent)
 	must.Eq(t, Times{N: 4, P50: 51, P99: 53, Most: 53, Sum: 206}, got)
 }
--- a/lab/scale/plot.go
+++ b/lab/scale/plot.go
@@ -1,5 +1,5 @@
-// A plot in text: figures over the number of nodes, both axes logarithmic, so that a
-// power law is a straight line and its exponent the slope.
+// A text plot of measurements over the number of nodes. Both axes are logarithmic, so that a power law is a straight
+// line whose slope is its exponent.
 
 package scale
 
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// Series is one line of a plot; Mark is its letter.
+// Series is one line of a plot; its points are drawn as Mark.
 type Series struct {
 	Name   string
 	Mark   rune
 	Points []Point
 }
 
-// Figures of the plot, in characters.
+// plotWidth and plotHeight are the size of the plot in characters.
 const (
-	plotWide = 61
-	plotHigh = 16
+	plotWidth  = 61
+	plotHeight = 16
 )
 
-// Plot draws series on common logarithmic axes. Points of 0 or less are left out; where two
-// fall on one place the later series is seen.
+// Plot draws series on common logarithmic axes. It omits points of 0 or less; where two points share a cell, it shows
+// the later series.
 func Plot(title string, all []Series) string {
 	x0, x1, y0, y1 := math.Inf(1), math.Inf(-1), math.Inf(1), math.Inf(-1)
 	each := func(f func(s Series, x, y float64)) {
@@ -48,38 +48,38 @@
 	if x1 == x0 {
 		x1 = x0 + 1
 	}
-	grid := make([][]rune, plotHigh)
+	grid := make([][]rune, plotHeight)
 	for i := range grid {
-		grid[i] = []rune(strings.Repeat(" ", plotWide))
+		grid[i] = []rune(strings.Repeat(" ", plotWidth))
 	}
 	each(func(s Series, x, y float64) {
-		c := int(math.Round((x - x0) / (x1 - x0) * (plotWide - 1)))
-		r := int(math.Round((y1 - y) / (y1 - y0) * (plotHigh - 1)))
+		c := int(math.Round((x - x0) / (x1 - x0) * (plotWidth - 1)))
+		r := int(math.Round((y1 - y) / (y1 - y0) * (plotHeight - 1)))
 		grid[r][c] = s.Mark
 	})
 	var b strings.Builder
 	fmt.Fprintln(&b, title)
 	for r, row := range grid {
-		// A label at the row that is nearest to each power of ten.
+		// Each power of ten labels the row nearest to it.
 		label := ""
 		for v := y0; v <= y1; v++ {
-			if int(math.Round((y1-v)/(y1-y0)*(plotHigh-1))) == r {
-				label = short(math.Pow(10, v))
+			if int(math.Round((y1-v)/(y1-y0)*(plotHeight-1))) == r {
+				label = shortNumber(math.Pow(10, v))
 			}
 		}
 		fmt.Fprintf(&b, "%8s |%s\n", label, strings.TrimRight(string(row), " "))
 	}
-	fmt.Fprintf(&b, "%8s +%s\n", "", strings.Repeat("-", plotWide))
-	left, right := short(math.Pow(10, x0)), short(math.Pow(10, x1))+" nodes"
-	fmt.Fprintf(&b, "%8s  %s%s%s\n", "", left, strings.Repeat(" ", max(1, plotWide-len(left)-len(right))), right)
+	fmt.Fprintf(&b, "%8s +%s\n", "", strings.Repeat("-", plotWidth))
+	left, right := shortNumber(math.Pow(10, x0)), shortNumber(math.Pow(10, x1))+" nodes"
+	fmt.Fprintf(&b, "%8s  %s%s%s\n", "", left, strings.Repeat(" ", max(1, plotWidth-len(left)-len(right))), right)
 	for _, s := range all {
 		fmt.Fprintf(&b, "%8s  %c %s: %s\n", "", s.Mark, s.Name, FitTo(s.Points))
 	}
 	return b.String()
 }
 
-// short is a figure in few characters.
-func short(v float64) string {
+// shortNumber formats a number with three significant digits and a unit prefix.
+func shortNumber(v float64) string {
 	switch {
 	case v >= 1e9:
 		return fmt.Sprintf("%.3gG", v/1e9)
