--- a/control/replica/bootstrap.go
+++ b/control/replica/bootstrap.go
@@ -12,15 +12,15 @@
 )
 
 // Bootstrap forms the groups of a new fleet on empty disks. One replica proposes the voters, and all of them must
-// consent. A replica consents to one proposal at a time and syncs its consent before it replies. Only the proposer
-// may complete a proposal, or withdraw it and thereby release the other voters, and it syncs either decision before
-// it sends it. Hence no replica is part of two proposals that could both be completed. A replica does not propose
-// while any process that it reaches knows of a formed fleet.
+// consent. A replica consents to one proposal at a time and syncs its consent before it replies. Only the proposer may
+// complete a proposal, or withdraw it, which releases the other voters from their consent. The proposer syncs its
+// decision before it sends the decision to the other voters. Hence no replica is part of two proposals that could both
+// be completed. A replica does not propose while any process that it reaches knows of a formed fleet.
 
 const (
 	// BootstrapAfter is how long a core with an empty disk waits before it proposes a bootstrap. Processes of an
-	// existing fleet redial a seed that did not answer once in two seconds (mesh.MaxSeedBackoff, checked at each
-	// heartbeat), so the core learns of such a fleet within this time.
+	// existing fleet redial an unreachable seed at least every two seconds (mesh.MaxSeedBackoff, checked at each
+	// heartbeat), so the core learns of an existing fleet within this time.
 	BootstrapAfter = 4 * clock.Second
 	// ProposeInterval is the time between two transmissions of a proposal.
 	ProposeInterval = 200 * clock.Millisecond
@@ -31,16 +31,16 @@
 // Time limits of the bootstrap on a platform that states that all disks are empty, counted from the start of the
 // process.
 const (
-	// SeedTimeout is how long the proposer waits to hear from every seed, and for cores in enough zones that the
-	// voters survive the loss of one zone.
+	// SeedTimeout is how long the proposer waits until every seed is reachable, and until there are cores in enough
+	// zones that the voters survive the loss of one zone.
 	SeedTimeout = 1500 * clock.Millisecond
-	// SmallerGroupAfter is when a group with fewer voters than wanted is proposed, if every seed was heard but there
-	// are not enough cores.
+	// SmallerGroupAfter is when a group with fewer voters than wanted is proposed, if every seed is reachable but
+	// there are not enough cores.
 	SmallerGroupAfter = 3 * clock.Second
-	// SmallestGroupAfter is when such a smaller group is proposed even if some seed was never heard.
+	// SmallestGroupAfter is when such a smaller group is proposed even if some seed is unreachable.
 	SmallestGroupAfter = 6 * clock.Second
-	// smallestGroup is the minimum size of a group that is proposed without hearing every seed: a single core may
-	// merely be unable to reach the others.
+	// smallestGroup is the minimum size of a group that is proposed while some seed is unreachable: a single core may
+	// merely be cut off from the others.
 	smallestGroup = 3
 	// maxSeeds is the maximum number of seeds that a platform passes to a core.
 	maxSeeds = 3
@@ -60,8 +60,8 @@
 	bootstrapPlannedAt clock.Micros
 	bootstrapSentAt    clock.Micros
 	completing         bool
-	// refusers are the replicas that must not consent, because their disks are empty in a fleet that was formed
-	// before. Proposals leave them out.
+	// refusers are the replicas that have replied that they must not consent, because their disks are empty although
+	// their fleet was formed before. Proposals do not include them.
 	refusers map[string]bool
 }
 
@@ -70,8 +70,8 @@
 	if h.replicaID == "" || h.diskProblem != diskHealthy || h.stopping {
 		return
 	}
-	// A process that holds a committed version also knows of a formed fleet. A group whose disks are lost is rebuilt
-	// only by an operator's command, never by a new bootstrap.
+	// A committed version that was received over the mesh shows that a fleet is already formed. A group whose disks
+	// are lost is rebuilt only by an operator's command, never by a new bootstrap.
 	for partition := range Partitions {
 		if v, ok := h.mesh.Partition(partition); ok && v.Version.Term > 0 {
 			h.joinFleet(ctx)
@@ -80,8 +80,8 @@
 	}
 	settings := &h.kernel.Boot.Settings
 	if slices.ContainsFunc(h.liveCores(ctx.Now), isBootstrapped) {
-		// While a platform bootstraps its fleet, each replica learns of the completion on its own, so this core waits.
-		// A replica that is not among the voters becomes a standby once there is a version.
+		// While a platform bootstraps its fleet, each voter is sent the completion by the proposer, so this core waits
+		// for that. A replica that is not among the voters becomes a standby once the mesh has a committed version.
 		if !settings.BootstrapKnown {
 			h.joinFleet(ctx)
 		}
@@ -104,7 +104,7 @@
 // isBootstrapped reports whether a core knows of a formed fleet.
 func isBootstrapped(core membership.Member) bool { return core.Bootstrapped }
 
-// joinFleet makes this core a standby of the formed fleet that it found. If this replica is a voter of that fleet's
+// joinFleet makes this core a standby of a fleet that is already formed. If this replica is a voter of that fleet's
 // bootstrap, the leaders send it the versions.
 func (h *Host) joinFleet(ctx *kernel.Context) {
 	if h.bootstrapped {
@@ -202,8 +202,8 @@
 	}
 }
 
-// withdrawBootstrap withdraws this replica's own proposal. The withdrawal is synced before it is sent: the voters
-// that consented may consent to another proposal only once this one can no longer be completed.
+// withdrawBootstrap withdraws this replica's own proposal. The withdrawal is synced before it is sent: the voters that
+// consented may consent to another proposal only once this proposal can no longer be completed.
 func (h *Host) withdrawBootstrap(ctx *kernel.Context) {
 	was := h.bootstrap
 	ctx.Log(kernel.LevelWarn, "bootstrap_withdrawn", "bootstrap", was.BootstrapID)
@@ -250,8 +250,8 @@
 			reply(ctx, wire.BootstrapReply{OK: true})
 		}
 	case mine.BootstrapID != "" && mine.Proposer.ID == h.replicaID && proposal.Proposer.ID < h.replicaID && !h.completing:
-		// Of two competing proposals the one from the replica with the lower identity is kept. That replica sends it
-		// again after ProposeInterval.
+		// Of two competing proposals, the proposal of the replica with the lower identity is kept. That replica sends
+		// its proposal again after ProposeInterval.
 		h.withdrawBootstrap(ctx)
 	case mine.BootstrapID != "":
 		reply(ctx, wire.BootstrapReply{Proposer: mine.Proposer})
--- a/control/replica/catch_up.go
+++ b/control/replica/catch_up.go
@@ -35,8 +35,8 @@
 	return 2 * HeartbeatInterval
 }
 
-// catchUp sends the newest committed version to a voter whose heartbeat reply shows an older one. A large committed
-// version is not sent while a proposal is in flight, since the proposal supersedes it.
+// catchUp sends the newest committed version to a voter whose heartbeat reply shows an older version. A large
+// committed version is not sent while a proposal is in flight, since the proposal supersedes it.
 func (g *Group) catchUp(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	size := versionSize(g.committed)
 	underWay := g.proposal != nil && (reply.Stored == g.proposal.Version || isLarge(size))
--- a/control/replica/change_plans.go
+++ b/control/replica/change_plans.go
@@ -37,7 +37,8 @@
 	return !g.isLeaving(ctx, id) && !(failed && ctx.Now-failedAt < LearnerRetryAfter)
 }
 
-// replaceLostDisk replaces a voter whose disk is lost by the replica that now runs at its address.
+// replaceLostDisk returns the change that replaces a voter whose disk is lost by the replica that now runs at the
+// voter's address; nil if there is no such voter.
 func (g *Group) replaceLostDisk(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
 		successor, ok := g.successors[voter.ID]
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// replaceLeaving replaces a leaving voter by a standby, unless the group survives the loss of any one zone now and
-// would not survive it after the change.
+// replaceLeaving returns the change that replaces a leaving voter by a standby; nil if there is none. If the group
+// survives the loss of any one zone now, a replacement after which it would no longer do so is skipped.
 func (g *Group) replaceLeaving(ctx *kernel.Context) *memberChange {
 	zones := g.host.kernel.Boot.Settings.Tolerance.Zones
 	for _, voter := range g.committed.Voters {
@@ -73,7 +74,7 @@
 	return id != g.self() && ctx.Now-g.heardAt[id] >= ReplaceAfter
 }
 
-// replaceUnresponsive replaces a voter that does not respond by a standby.
+// replaceUnresponsive returns the change that replaces an unresponsive voter by a standby; nil if there is none.
 func (g *Group) replaceUnresponsive(ctx *kernel.Context) *memberChange {
 	for _, voter := range g.committed.Voters {
 		if !g.isUnresponsive(ctx, voter.ID) {
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// addVoters adds two voters to a group that has too few. A single additional voter would make the number of voters
-// even and tolerate no more failures.
+// addVoters returns the change that adds two voters to a group that has too few; nil if the group has enough or there
+// are not two standbys. A single additional voter would make the number of voters even and tolerate no more failures.
 func (g *Group) addVoters(ctx *kernel.Context) *memberChange {
 	if len(g.committed.Voters)+2 > g.host.wantedVoters() || ctx.Now-g.leaderSince < RebalanceAfter {
 		return nil
@@ -105,8 +106,9 @@
 	return change
 }
 
-// rebalance replaces a voter in a zone that has at least two voters more than another zone by a standby of the
-// latter, so that the loss of one zone does not take a majority.
+// rebalance returns the change that replaces a voter by a standby in another zone, if the voter's zone has at least
+// two voters more than the standby's zone; otherwise nil. Such changes spread the voters, so that a majority survives
+// the loss of one zone.
 func (g *Group) rebalance(ctx *kernel.Context) *memberChange {
 	voters := g.committed.Voters
 	crowded := slices.ContainsFunc(voters, func(r wire.Replica) bool { return countInZone(voters, r.Zone, "") > 1 })
--- a/control/replica/contact.go
+++ b/control/replica/contact.go
@@ -11,9 +11,9 @@
 )
 
 // Contact with a majority decides what a replica may answer. A leader's replies, its leases, and the confirmations in
-// a core's replies to pulls all rest on heartbeat rounds that a majority has answered, and their age counts from when
-// the round was sent. A leader passes the proof of its contact on to each follower, expressed in that follower's
-// clock.
+// a core's replies to pulls are valid only for a limited time after a heartbeat round that a majority has answered,
+// counted from when the round was sent. In its heartbeats, a leader sends each follower the time of that round as a
+// proof of contact, expressed in the follower's clock.
 
 const (
 	// ContactFor is how long a confirmed heartbeat round proves contact with a majority, counted from when it was
@@ -42,8 +42,9 @@
 	// offsets are lower bounds of the difference between each voter's clock and the leader's: a delayed reply makes
 	// the recorded offset smaller, which only makes the proof appear older.
 	offsets map[string]clock.Micros
-	// provenAt is set on a follower, in its own clock: a time not later than the sending of a heartbeat round that a
-	// majority answered. committed is the version that the leader had committed by then.
+	// provenAt is set on a follower: a time, in the follower's own clock, that is not later than when a heartbeat
+	// round that a majority has answered was sent. committed is the newest version that the leader reported as
+	// committed in its heartbeats with such a proof.
 	provenAt  clock.Micros
 	committed wire.Version
 }
@@ -71,7 +72,7 @@
 	return c.confirmedAt > 0 && now-c.confirmedAt <= span
 }
 
-// proofFor returns the proof of contact for a voter, as a time in that voter's clock; 0 proves nothing.
+// proofFor returns the proof of contact for a voter, as a time in that voter's clock; 0 means that there is no proof.
 func (c *contact) proofFor(id string) clock.Micros {
 	offset, known := c.offsets[id]
 	if !known || c.confirmedAt == 0 {
@@ -140,7 +141,7 @@
 }
 
 // clock returns this process's monotonic clock as it is sent to leaders. Its origin is random for each start, so that
-// a proof for an earlier incarnation proves nothing to this one.
+// a proof for an earlier incarnation is not valid for this one.
 func (h *Host) clock(now clock.Micros) clock.Micros { return h.clockOrigin + now }
 
 // watchContact logs and counts the loss of a leader's contact with a majority.
--- a/control/replica/cores.go
+++ b/control/replica/cores.go
@@ -16,8 +16,8 @@
 	maxPullers = 64
 )
 
-// puller is a core that recently pulled from this one, which shows that it is reachable even if the mesh does not
-// show it. The replica identity is empty while that core's disk is not able to store a partition.
+// puller is a core that recently pulled from this core. The pull shows that the core is reachable, even if the mesh
+// does not list it as live. The replica's identity is empty while that core's disk has a problem.
 type puller struct {
 	replica  wire.Replica
 	pulledAt clock.Micros
@@ -59,8 +59,8 @@
 	h.pullers[request.Addr] = puller{replica: wire.Replica{ID: request.Replica, Zone: request.Zone, Addr: request.Addr}, pulledAt: ctx.Now}
 }
 
-// standbys returns the replicas that could become voters: those of the live cores with a healthy disk, including this
-// one.
+// standbys returns the replicas that could become voters: the replicas of the live cores with a healthy disk,
+// including this core.
 func (h *Host) standbys(now clock.Micros) []wire.Replica {
 	var replicas []wire.Replica
 	if h.replicaID != "" && h.diskProblem == diskHealthy && !h.stopping {
--- a/control/replica/doc.go
+++ b/control/replica/doc.go
@@ -1,12 +1,12 @@
-// Package replica stores the control state. Each partition of it has a consensus group of a few replicas,
-// on the core processes that have a disk.
+// Package replica stores the control state. Each partition of the control state has a consensus group of a few
+// replicas, which run on core processes that have a disk.
 //
 // # What a group agrees on
 //
-// A group does not keep a log of commands. It agrees on the newest value of one register: a version
-// (a term and a sequence number) with a body, the log of the edits that led to it and the voters whose
-// quorum it needs (wire.Versioned). Each version replaces the previous one completely, so a replica that
-// missed any number of versions needs only the newest one, and there is nothing to compact.
+// A group does not keep a log of commands. It agrees on the newest value of one register: a version (a term and a
+// sequence number) with a body, the log of the edits that produced the body, and the voters whose quorum must sync the
+// version (wire.Versioned). Each version replaces the previous one completely, so a replica that missed any number of
+// versions needs only the newest one, and there is nothing to compact.
 //
 // The algorithm is Raft reduced to a log of length one. In the terms of Paxos the term is the ballot,
 // a vote is the promise of phase one, and Accept is phase two. Where the Raft paper has a name, this
@@ -14,17 +14,16 @@
 //
 // # The life of a group
 //
-// A follower that hears no leader first asks the voters whether they would grant it a term (pre-vote), and
-// then requests their votes for the term. Every reply contains the voter's newest version. The winner adopts
-// the newest version among those replies and its own, commits it again under its own term, and serves only
-// after that ([Group.becomeLeader]). From then on it has at most one proposal in flight. Edits that arrive in
-// the meantime are queued and become one batch, in which each edit is validated against the outcome of those
-// before it. A proposal is committed once a quorum has synced it. Heartbeats tell the followers which version
-// is committed.
+// A follower that receives no messages from a leader first asks the voters whether they would vote for it in the next
+// term (pre-vote), and then requests their votes for that term. Every reply contains the voter's newest version. The
+// winner adopts the newest version among those replies and its own, commits it again under its own term, and serves
+// only after that ([Group.becomeLeader]). From then on it has at most one proposal in flight. Edits that arrive in the
+// meantime are queued and become one batch, in which each edit is validated against the result of the edits before it.
+// A proposal is committed once a quorum has synced it. Heartbeats tell the followers which version is committed.
 //
-// A leader steps down when a message shows it a newer term, when no heartbeat round that it sent within
-// [StepDownAfter] was answered by a majority, when its proposal isn't committed in time, when its process
-// was suspended, or when another group, rebuilt by an operator, has committed a newer version.
+// A leader steps down when it receives a message of a newer term, when no heartbeat round that it sent within
+// [StepDownAfter] was answered by a majority, when its proposal isn't committed in time, when its process was
+// suspended, or when another group, rebuilt by an operator, has committed a newer version.
 //
 // # Inputs, outputs, state
 //
@@ -57,15 +56,16 @@
 //     synced the version that contains it.
 //   - Leader completeness: votes are counted against the voters of the newest version found by the election,
 //     so the majority that elects a leader shares a voter with every majority that committed a version.
-//   - Reads and rejections are answered only after a majority has answered a heartbeat round that was sent
-//     after they arrived: a partitioned leader answers nothing from a state that may have been replaced.
+//   - Reads and rejections are answered only after a majority has answered a heartbeat round that was sent after they
+//     arrived: a leader that is cut off by a network partition must not answer from a state that may have been
+//     superseded.
 //   - One membership change at a time, with joint quorums: the first version of a change needs a majority of
 //     the old voters and a majority of the new voters; the next version needs the new voters alone, and only
 //     then may the next change begin. A new voter has synced the newest version before it may vote.
 //   - A lease ends before any later leader may grant it to another holder.
 //
-// Some of these invariants are checked at run time: see invariants.go. They hold as long as no disk returns
-// to an older content; a leader detects such a rollback within its term and reports it.
+// Some of these invariants are checked at run time: see invariants.go. The invariants hold only as long as no disk
+// reverts to older content. A leader detects such a rollback if it happens within the leader's term, and reports it.
 //
 // # Files on disk
 //
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -12,8 +12,8 @@
 
 const (
 	// ElectionTimeout is how long the first-ranked voter waits for a leader before it starts an election. Each further
-	// rank waits ElectionStagger longer, so that two voters rarely start one at the same time, and every voter adds a
-	// random time of up to ElectionJitter.
+	// rank waits ElectionStagger longer, so that two voters rarely start an election at the same time, and every voter
+	// adds a random time of up to ElectionJitter.
 	ElectionTimeout = 500 * clock.Millisecond
 	ElectionStagger = 150 * clock.Millisecond
 	ElectionJitter  = 60 * clock.Millisecond
@@ -21,21 +21,21 @@
 	ElectionTimeoutAtStart = 60 * clock.Millisecond
 	StartPeriod            = 3 * clock.Second
 	// ListenBeforeElection is how long a process that has just started waits before it starts an election: by then it
-	// has learned of a group that an operator rebuilt without it. On a platform, where groups are not rebuilt,
-	// ListenOnPlatform is sufficient.
+	// has learned from the mesh whether an operator has rebuilt the group without it. On a platform, where groups are
+	// not rebuilt, ListenOnPlatform is sufficient.
 	ListenBeforeElection = 1500 * clock.Millisecond
 	ListenOnPlatform     = 200 * clock.Millisecond
 )
 
-// electionTick starts an election when no leader was heard within the election timeout.
+// electionTick starts an election when no message from a leader has arrived within the election timeout.
 func (g *Group) electionTick(ctx *kernel.Context) {
 	if g.electionAt == 0 {
 		g.scheduleElection(ctx)
 	}
 	at := g.electionAt
 	if g.host.diskProblem != diskHealthy {
-		// Replicas with a healthy disk start elections first. If there is none, a leader with a slow disk is better
-		// than no leader.
+		// Replicas with a healthy disk start elections first. If there is no such replica, this one starts an
+		// election, because a leader with a slow disk is better than no leader.
 		at += 2 * ElectionTimeout
 	}
 	if ctx.Now >= at && ctx.Now-g.host.startedAt >= g.host.listenPeriod() {
@@ -58,7 +58,7 @@
 			g.electionAt = ctx.Now + timeout + rank*ElectionStagger + ctx.Rand.Int64N(ElectionJitter)
 			return
 		case g.leader:
-			// The lost leader takes no rank.
+			// The lost leader is left out of the ranking.
 		default:
 			rank++
 		}
@@ -66,14 +66,15 @@
 	g.electionAt = ctx.Now + ElectionTimeout + ctx.Rand.Int64N(ElectionTimeout)
 }
 
-// justStarted reports whether this process has just started on a platform and has not heard a leader yet. After a
-// loss of all processes there is no leader to wait for. If there is one, the voters that hear it deny the pre-vote,
-// which does not bind any voter.
+// justStarted reports whether this process has just started on a platform and has not received a message from a leader
+// yet. Such a replica starts an election early, since there is no leader to wait for after a loss of all processes. If
+// there is a leader, the early election does no harm: the voters that receive the leader's heartbeats deny the
+// pre-vote, and a pre-vote binds no voter.
 func (g *Group) justStarted(ctx *kernel.Context) bool {
 	return g.host.kernel.Boot.Settings.BootstrapKnown && g.leader == "" && g.role != leader && ctx.Now-g.host.startedAt < StartPeriod
 }
 
-// listenPeriod returns how long a process that has just started must not start an election.
+// listenPeriod returns how long a process that has just started waits before it may start an election.
 func (h *Host) listenPeriod() clock.Micros {
 	if h.kernel.Boot.Settings.BootstrapKnown {
 		return ListenOnPlatform
@@ -81,8 +82,8 @@
 	return ListenBeforeElection
 }
 
-// startElection starts an election. A successor designated by the leader skips the pre-vote: the voters would deny
-// it, since they have just heard from that leader.
+// startElection starts an election. A successor designated by the leader skips the pre-vote: the voters would deny it,
+// since they have just received messages from that leader.
 func (g *Group) startElection(ctx *kernel.Context, designated bool) {
 	g.scheduleElection(ctx)
 	g.becomePreCandidate()
@@ -122,7 +123,8 @@
 	}
 }
 
-// handleVote answers a pre-vote immediately, and a vote request once the granted vote is synced.
+// handleVote answers a pre-vote immediately. It denies a vote immediately, and grants a vote only after that vote is
+// synced.
 func (g *Group) handleVote(ctx *kernel.Context, conn, id uint64, request wire.Vote) {
 	reply := func(ctx *kernel.Context, granted bool) { g.replyToVote(ctx, conn, id, request, granted) }
 	if g.host.diskDamaged {
@@ -149,8 +151,9 @@
 	})
 }
 
-// grantsPreVote reports whether this replica would vote for a candidate: it hears no leader, has not voted in this
-// term or a later one, does not hold a newer version with which it should lead itself, and its disk can sync a vote.
+// grantsPreVote reports whether this replica would vote for a candidate: it has not recently received a message from a
+// leader, has not voted in this term or a later one, should not lead instead of the candidate (see outranks), and its
+// disk can sync a vote.
 func (g *Group) grantsPreVote(ctx *kernel.Context, request wire.Vote) bool {
 	hearsNoLeader := g.role != leader && ctx.Now-g.leaderSeen > ElectionTimeout/2
 	canSync := g.host.diskProblem == diskHealthy || g.host.diskProblem == diskIsSlow
@@ -181,8 +184,8 @@
 	ctx.Send(conn, wire.KindVoteReply, id, &reply)
 }
 
-// handleVoteReply counts a vote or a pre-vote. The quorum is that of the newest version among the votes and this
-// replica's own.
+// handleVoteReply counts a vote or a pre-vote. The votes are counted against the voters of the newest version among
+// those in the votes and this replica's own.
 func (g *Group) handleVoteReply(ctx *kernel.Context, reply wire.VoteReply) {
 	if reply.Pre && g.role != preCandidate || !reply.Pre && g.role != candidate {
 		return
--- a/control/replica/follower.go
+++ b/control/replica/follower.go
@@ -16,7 +16,7 @@
 type replyToAccept func(ctx *kernel.Context, reply wire.AcceptReply)
 
 // handleAccept syncs a version and acknowledges it, unless this replica voted in a newer term. It also refuses a
-// version whose term is later than the sender's: no leader can hold one without having been fenced.
+// version whose term is later than the sender's term: a leader that holds such a version has been fenced.
 func (g *Group) handleAccept(ctx *kernel.Context, conn, id uint64, accept wire.Accept) {
 	reply := func(ctx *kernel.Context, r wire.AcceptReply) {
 		r.Partition, r.From, r.SupportsBase = g.partition, g.self(), true
@@ -30,7 +30,7 @@
 		return
 	}
 	if g.host.stopping && !g.isVoter() && !contains(allVoters(accept.Versioned), g.self()) {
-		// A stopping learner would end before it could become a voter.
+		// The process of a stopping learner would end before the learner could become a voter.
 		reply(ctx, wire.AcceptReply{Term: accept.Term, Err: errLeaving})
 		return
 	}
--- a/control/replica/group.go
+++ b/control/replica/group.go
@@ -6,7 +6,8 @@
 	"wallport/runtime/wire"
 )
 
-// TickInterval is the time between two ticks, which drive everything that is due by time.
+// TickInterval is the time between two ticks. A tick performs all periodic work, such as heartbeats, elections and
+// disk checks.
 const TickInterval = 50 * clock.Millisecond
 
 // role is a replica's role in its group, as in the Raft paper.
@@ -14,7 +15,7 @@
 
 const (
 	follower role = iota
-	// preCandidate asks the voters whether they would grant it a term.
+	// A preCandidate asks the voters whether they would vote for it in the next term.
 	preCandidate
 	candidate
 	leader
@@ -39,13 +40,14 @@
 	// committed is the newest version that this replica knows to be committed.
 	committed wire.Versioned
 
-	// The role, and the leader that this replica follows: its identity, its mesh address, and when it was last heard.
+	// The role, and the leader that this replica follows: its identity, its mesh address, and when a message from it
+	// last arrived. lastLeader is used to check an invariant.
 	role          role
 	leader        string
 	leaderAddress string
 	leaderSeen    clock.Micros
 	lastLeader    electedLeader
-	// electionAt is when this replica starts an election unless it hears a leader before.
+	// electionAt is when this replica starts an election, unless a message from a leader arrives before then.
 	electionAt clock.Micros
 
 	// The term of a candidate or leader, and the votes for a candidate, by voter.
@@ -58,8 +60,8 @@
 	acked          map[string]bool
 	proposalSentAt clock.Micros
 	proposedAt     clock.Micros
-	// queue holds the edits for the next proposal, proposedEdits those of the proposal in flight, and unconfirmed the
-	// reads and rejections that wait until a majority confirms this leader.
+	// queue holds the edits for the next proposal, and proposedEdits holds the edits of the proposal in flight.
+	// unconfirmed holds the reads and rejections that wait until a majority confirms this leader.
 	queue         []pendingEdit
 	proposedEdits []pendingEdit
 	unconfirmed   []pendingEdit
@@ -70,15 +72,15 @@
 	heartbeatRound  uint64
 	confirmedRounds map[string]uint64
 	contact         contact
-	// relayedAt is when this core sent its newest pull that was answered by a core in contact with a majority.
+	// relayedAt is when this core sent its latest pull whose reply reported contact with a majority.
 	relayedAt clock.Micros
-	// contactLost is set once the loss of a leader's contact was logged.
+	// contactLost is set while a leader is without contact, so that the loss is logged only once.
 	contactLost bool
 
-	// What a leader knows about each voter: when it was last heard, since when it has been reachable without
-	// interruption, whether its disk has a problem, which replica now runs at its address if its disk is lost, when it
-	// was last sent the newest committed version, which version it has synced, and the offset of its wall clock from
-	// this process's monotonic clock.
+	// What a leader knows about each voter: when a message from the voter last arrived, since when the voter has been
+	// reachable without interruption, whether its disk has a problem, which replica now runs at its address if its
+	// disk is lost, when the leader last sent it the newest committed version, which version it has synced, and the
+	// offset of its wall clock from the leader's monotonic clock.
 	heardAt          map[string]clock.Micros
 	reachableSince   map[string]clock.Micros
 	voterDiskProblem map[string]bool
@@ -88,7 +90,7 @@
 	wallOffsets      map[string]clock.Micros
 
 	leaderSince clock.Micros
-	// clockCheckedAt is when a leader last checked whether anything is due by the time of day.
+	// clockCheckedAt is when a leader last checked whether a scheduled update, such as the start of a booking, is due.
 	clockCheckedAt clock.Micros
 	// ready is set once a leader has committed a version in its own term. It does not serve before.
 	ready bool
@@ -101,7 +103,8 @@
 	// change is the membership change whose learners are catching up; nil if there is none.
 	change          *memberChange
 	learnerFailedAt map[string]clock.Micros
-	// leaveRequestedAt is when each voter last asked to be replaced; leaveRequestSentAt is when this voter last did.
+	// leaveRequestedAt is when each voter last asked to be replaced; leaveRequestSentAt is when this voter last sent
+	// such a request.
 	leaveRequestedAt   map[string]clock.Micros
 	leaveRequestSentAt clock.Micros
 }
@@ -116,7 +119,8 @@
 // isVoter reports whether this replica is a voter by the newest version that it holds.
 func (g *Group) isVoter() bool { return contains(allVoters(g.accepted), g.self()) }
 
-// tick does what is due at this time if this replica is a voter.
+// tick performs the periodic work of a voter: a leader sends heartbeats and proposals, a voter whose process is
+// stopping asks to be replaced, and any other voter starts an election if one is due.
 func (g *Group) tick(ctx *kernel.Context) {
 	switch {
 	case !g.isVoter():
--- a/control/replica/host.go
+++ b/control/replica/host.go
@@ -10,12 +10,12 @@
 	"wallport/runtime/wire"
 )
 
-// Partitions is the number of partitions. Each one has its own group.
+// Partitions is the number of partitions. Each partition has its own group.
 const Partitions = state.Partitions
 
 const (
 	// pluginName is the plug-in's name in the kernel. Operators see a replica as a "seat": files, counters and keys on
-	// the wire keep this word.
+	// the wire use this word.
 	pluginName = "seats"
 	// timerTick is the key of the only timer.
 	timerTick = "tick"
@@ -100,7 +100,7 @@
 	}
 }
 
-// start loads the disk, and creates the replica's identity if the disk is empty.
+// start loads the files on the disk, and creates the replica's identity if the disk is empty.
 func (h *Host) start(ctx *kernel.Context) {
 	h.startedAt, h.clockOrigin = ctx.Now, 1+ctx.Rand.Int64N(clockOrigins)
 	if h.kernel.Boot.Settings.DataDir == "" && len(h.kernel.Boot.Files) == 0 {
@@ -180,8 +180,8 @@
 // VotersOf returns the voters of the newest version of a partition that this process knows to be committed.
 func (h *Host) VotersOf(partition int) []wire.Replica { return h.groups[partition].committed.Voters }
 
-// Leader returns the mesh address of the core that leads a partition. It is empty if this replica has not heard a
-// leader within StepDownAfter.
+// Leader returns the mesh address of the core that leads a partition. It is empty if no message from a leader has
+// arrived within StepDownAfter.
 func (h *Host) Leader(partition int, now clock.Micros) string {
 	g := h.groups[partition]
 	if g.role == leader || g.leader != "" && now-g.leaderSeen < StepDownAfter {
--- a/control/replica/invariants.go
+++ b/control/replica/invariants.go
@@ -12,7 +12,7 @@
 
 // These invariant checks are always active. A violation is counted and logged; a check never changes the behaviour.
 
-// electedLeader is the leader that a replica last heard, and its term.
+// electedLeader is the leader from which a replica last received a message, and its term.
 type electedLeader struct {
 	id   string
 	term uint64
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -9,9 +9,9 @@
 const (
 	// HeartbeatInterval is the time between two heartbeat rounds of a leader.
 	HeartbeatInterval = 150 * clock.Millisecond
-	// StepDownAfter is the maximum age, counted from its sending, of the newest heartbeat round that a majority
-	// answered; when it is exceeded the leader steps down. It is also how long a follower relies on a leader after
-	// hearing it.
+	// StepDownAfter is how long a leader continues to lead after it sent the newest heartbeat round that a majority
+	// has answered; then it steps down. It is also how long a follower considers a leader to be known after a message
+	// from it has arrived.
 	StepDownAfter = 1 * clock.Second
 )
 
@@ -29,7 +29,8 @@
 )
 
 // becomeLeader starts a term of leadership. It commits the newest version found by the election again under the new
-// term, since that version may or may not have been committed already; nothing is served before that.
+// term, since that version may or may not have been committed already; the leader serves no requests before that
+// commit.
 func (g *Group) becomeLeader(ctx *kernel.Context, best wire.Versioned) {
 	g.role, g.leader, g.leaderAddress = leader, g.self(), g.host.kernel.Boot.Settings.Mesh
 	g.ready, g.transferring = false, g.host.stopping
@@ -83,7 +84,7 @@
 }
 
 // leaderTick steps down if the leader must not continue, transfers leadership if another voter should lead, and
-// otherwise sends what is due.
+// otherwise sends the heartbeats and proposals that are due.
 func (g *Group) leaderTick(ctx *kernel.Context) {
 	g.watchContact(ctx)
 	switch {
@@ -136,8 +137,8 @@
 	}
 }
 
-// handleHeartbeatReply records the state that a voter reports, sends it the newest committed version if it lacks
-// that, and answers the requests that waited for this confirmation.
+// handleHeartbeatReply records the state that a voter reports, sends the voter the newest committed version if it
+// lacks that version, and answers the reads and rejections that a majority has now confirmed.
 func (g *Group) handleHeartbeatReply(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	if g.role != leader {
 		return
--- a/control/replica/leases.go
+++ b/control/replica/leases.go
@@ -15,7 +15,8 @@
 // LeaseDuration is the maximum duration of a lease.
 const LeaseDuration = 800 * clock.Millisecond
 
-// lease is the lease of one singleton task. With an empty holder, the task is not leased to anyone before until.
+// lease is the lease of one singleton task. If holder is empty, the task must not be leased to any process before the
+// time in until.
 type lease struct {
 	holder string
 	until  clock.Micros
@@ -31,7 +32,7 @@
 	}
 	granted := g.leases[request.Task]
 	if granted == nil {
-		// Any lease granted by an earlier leader has ended by then.
+		// Any lease that an earlier leader granted ends within LeaseDuration after this leader was elected.
 		granted = &lease{until: g.leaderSince + LeaseDuration}
 		g.leases[request.Task] = granted
 	}
@@ -48,8 +49,8 @@
 	ctx.Send(conn, wire.KindLeaseReply, id, &wire.LeaseReply{Task: request.Task, Holder: granted.holder, Duration: granted.until - ctx.Now, LeaseID: granted.id})
 }
 
-// releaseLease ends a lease at the request of its holder. A delayed request about an earlier lease of the same holder
-// has no effect.
+// releaseLease ends a lease at the request of its holder, and grants it to the successor that the request names, if
+// any. A delayed request about an earlier lease of the same holder has no effect.
 func (g *Group) releaseLease(ctx *kernel.Context, granted *lease, request wire.LeaseRequest, until clock.Micros) {
 	if granted.holder != request.From || request.LeaseID != 0 && request.LeaseID != granted.id {
 		return
--- a/control/replica/leave.go
+++ b/control/replica/leave.go
@@ -6,15 +6,15 @@
 	"wallport/runtime/wire"
 )
 
-// A voter whose process is to stop asks the leader to replace it. It remains a voter until a change that gives its
-// place to a replica with the newest version is committed, or, if no replica can replace it, until its process ends.
-// Until then it votes and syncs versions, but starts no elections.
+// A voter whose process is to stop asks the leader to replace it. It remains a voter until the group has committed a
+// change that replaces it by a replica with the newest version. If no replica can replace it, it remains a voter until
+// its process ends. In the meantime it votes and syncs versions, but starts no elections.
 
 const (
 	// LeaveInterval is the time between two requests of a leaving voter to be replaced.
 	LeaveInterval = 100 * clock.Millisecond
-	// LeaveRequestTimeout is how long a request is valid without being repeated. After that the process is taken to
-	// have ended.
+	// LeaveRequestTimeout is how long a request is valid without being repeated. After that the leader assumes that
+	// the process has ended.
 	LeaveRequestTimeout = 500 * clock.Millisecond
 	// LeaveTimeout is how long a stopping process waits to be replaced.
 	LeaveTimeout = 2500 * clock.Millisecond
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -9,10 +9,11 @@
 	"wallport/runtime/wire"
 )
 
-// A change of a group's membership has three steps. First, a replica that is to join is a learner: it has no vote and
-// is sent every version until it has synced the newest one. Second, the change is proposed as a joint version, which
-// needs a majority of the old voters and a majority of the new voters. Third, the version that follows needs a
-// majority of the new voters only. The next change may begin only after that.
+// A change of a group's membership has three steps. First, a replica that is to join becomes a learner: it has no
+// vote, and the leader sends it every version until it has synced the newest version. Second, the change is proposed
+// as a joint version, which needs a majority of the old voters and a majority of the new voters. Third, the version
+// that follows needs a majority of the new voters only. The next change may begin only after that version is
+// committed.
 
 const (
 	// LearnerTimeout is how long a learner may take to sync the newest version, in addition to the time for
@@ -20,7 +21,7 @@
 	LearnerTimeout = 1500 * clock.Millisecond
 	// LearnerResendInterval is the time after which the newest version is sent again to a learner that lacks it.
 	LearnerResendInterval = 200 * clock.Millisecond
-	// LearnerRetryAfter is how long a learner that failed is not chosen again.
+	// LearnerRetryAfter is how long a replica that failed as a learner is not chosen again.
 	LearnerRetryAfter = 2 * clock.Second
 	// LearnerEditPause is how long edits are delayed, once per change, for a learner that has synced an earlier
 	// version. Otherwise a steady stream of edits could keep it one version behind forever.
@@ -45,7 +46,7 @@
 	causeLearnerRefused = "learner refused: "
 )
 
-// changeCounters maps reasons to the names of their counters; not every reason has one.
+// changeCounters maps reasons to the names of their counters; not every reason has a counter.
 var changeCounters = map[changeReason]string{
 	reasonUnresponsive: "part_seats_replaced", reasonCrowdedZone: "part_seats_spread", reasonLeaving: "part_voters_left",
 }
@@ -55,7 +56,7 @@
 	reason changeReason
 	// removed is the voter that is replaced; empty if the change only adds voters.
 	removed string
-	// voters are the voters after the change; learners are those of them that are not voters yet.
+	// voters are the voters after the change; learners are the ones among them that are not voters yet.
 	voters, learners []wire.Replica
 	// synced is the newest version that each learner has acknowledged.
 	synced map[string]wire.Version
@@ -179,7 +180,8 @@
 	return LearnerResendInterval
 }
 
-// handleLearnerReply records the version that a learner has synced, or that the learner refused one.
+// handleLearnerReply records the version that a learner has synced. If the learner refused a version, it abandons the
+// membership change.
 func (g *Group) handleLearnerReply(ctx *kernel.Context, reply wire.AcceptReply) {
 	change := g.change
 	if change == nil || !contains(change.learners, reply.From) {
--- a/control/replica/messages.go
+++ b/control/replica/messages.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-// decode decodes a message and passes it to handle. A malformed message ends its connection.
+// decode decodes a message and passes it to handle. It closes the connection of a malformed message.
 func decode[T any, P interface {
 	*T
 	msgp.Unmarshaler
@@ -31,8 +31,8 @@
 			handle(h.groups[partition])
 		}
 	}
-	// A machine that lost its disk runs a different replica at the old address. Messages for the old replica must not
-	// be handled by the new one, which does not know the votes and versions that the old one synced.
+	// A machine whose disk was lost runs a different replica at the same address. The new replica must not handle
+	// messages for the old replica, because it does not know the votes and versions that the old replica synced.
 	addressed := func(id string, partition int, handle func(g *Group)) {
 		if id != "" && id != h.replicaID {
 			ctx.Counts.Add("part_misdirected", 1)
@@ -96,8 +96,9 @@
 	}
 }
 
-// reportReplacement replies to a leader's heartbeat for a replica whose disk is lost with the identity of the replica
-// that now runs at this address, so that the leader can make it a voter in place of the lost one.
+// reportReplacement handles a heartbeat that a leader has addressed to a replica whose disk is lost. It replies with
+// the identity of the replica that now runs at this address, so that the leader can make this replica a voter in place
+// of the lost one.
 func (h *Host) reportReplacement(ctx *kernel.Context, v kernel.Message, id string, partition int) {
 	if v.Kind != wire.KindLeaderHeartbeat || partition < 0 || partition >= len(h.groups) || h.groups[partition].isVoter() {
 		return
@@ -134,7 +135,8 @@
 	ctx.SendTo(addr, kind, 0, m)
 }
 
-// addressOf returns the mesh address of the process that has a replica's disk; empty if it isn't known.
+// addressOf returns the mesh address of the process that has a replica's disk; an empty string if the address isn't
+// known.
 func (h *Host) addressOf(id string, now clock.Micros) string {
 	if id == h.replicaID {
 		return h.kernel.Boot.Settings.Mesh
--- a/control/replica/placement.go
+++ b/control/replica/placement.go
@@ -35,8 +35,8 @@
 	return n
 }
 
-// leastUsedZone returns the first core, among those that aren't voters yet, of the zone with the fewest voters. The
-// voter with identity except is not counted.
+// leastUsedZone returns the first core, among the cores that aren't voters yet, whose zone has the fewest voters;
+// false if all cores are voters. The voter with identity except is not counted.
 func leastUsedZone(cores, voters []wire.Replica, except string) (wire.Replica, bool) {
 	var best wire.Replica
 	least := -1
--- a/control/replica/proposals.go
+++ b/control/replica/proposals.go
@@ -11,7 +11,8 @@
 	// MaxQueued and MaxQueuedBytes limit the number and the total size of the edits that wait for the next proposal.
 	MaxQueued      = 256
 	MaxQueuedBytes = 8 << 20
-	// ClockInterval is the time between two checks of a leader whether anything is due by the time of day.
+	// ClockInterval is the time between two checks by a leader whether a scheduled update, such as the start of a
+	// booking, is due.
 	ClockInterval = 200 * clock.Millisecond
 	// sameProcess is the connection id of requests that come from this same process.
 	sameProcess = 0
@@ -60,10 +61,10 @@
 	return n
 }
 
-// proposeNext combines the queued edits, a change of the voters and what is due by the time of day into one proposal,
-// unless a proposal is in flight. Edits that are rejected or were applied before are answered with the version on
-// which the answer rests: together with the batch, or, if nothing is proposed, once a majority has confirmed this
-// leader.
+// proposeNext combines the queued edits, a change of the voters and the scheduled updates that are due into one
+// proposal, unless a proposal is in flight. Replies to edits that are rejected or were applied before contain the
+// version that the reply is based on. They are sent together with the replies to the other edits of the batch or, if
+// nothing is proposed, once a majority has confirmed this leader.
 func (g *Group) proposeNext(ctx *kernel.Context) {
 	if g.role != leader || !g.ready || g.proposal != nil || g.transferring {
 		return
@@ -93,8 +94,8 @@
 	}
 }
 
-// applyBatch applies a batch of edits to the committed value, each one to the outcome of those before it, and stores
-// each reply in the batch. changed reports whether any edit was applied.
+// applyBatch applies a batch of edits to the committed value, each edit to the result of the edits before it, and
+// stores each reply in the batch. changed reports whether any edit was applied.
 func (g *Group) applyBatch(ctx *kernel.Context, batch []pendingEdit, next wire.Version) (value state.Value, changed bool) {
 	value = state.Value{Body: g.committed.Body, EditLog: g.committed.EditLog}
 	apply := state.ApplyFuncOf(g.partition)
@@ -113,7 +114,7 @@
 	return value, changed
 }
 
-// rejectTooLarge rejects an edit whose outcome exceeds the size limit of the partition.
+// rejectTooLarge rejects an edit whose result exceeds the size limit of the partition.
 func (g *Group) rejectTooLarge(ctx *kernel.Context, edit *pendingEdit, before, after state.Value) {
 	if !edit.applied {
 		return
@@ -124,8 +125,8 @@
 	}
 }
 
-// applyClock returns the body after applying what is due by the time of day. due is false if nothing is due or if no
-// majority agrees on the time.
+// applyClock returns the body after applying the scheduled updates that are due at the agreed time of day. due is
+// false if no update is due, if no majority agrees on the time, or if the body would become too large.
 func (g *Group) applyClock(ctx *kernel.Context, body []byte, next wire.Version) (after []byte, due bool) {
 	g.clockCheckedAt = ctx.Now
 	wall, known := g.agreedTime(ctx)
@@ -137,8 +138,8 @@
 	return after, due && len(after) <= state.MaxBody(g.partition)+state.TickAllowance
 }
 
-// awaitConfirmation starts a heartbeat round; the given reads and rejections are answered once a majority has
-// answered it.
+// awaitConfirmation starts a heartbeat round; the given reads and rejections are answered once a majority has answered
+// that round.
 func (g *Group) awaitConfirmation(ctx *kernel.Context, edits ...pendingEdit) {
 	for _, pending := range edits {
 		pending.confirmRound = g.heartbeatRound + 1
--- a/control/replica/pull.go
+++ b/control/replica/pull.go
@@ -10,8 +10,8 @@
 const (
 	// LargeResendToPullerAfter is how long a large version is assumed to be in transit to a process that pulled it.
 	LargeResendToPullerAfter = 4 * clock.Second
-	// maxTrackedConns is the number of connections for which sent large versions are recorded; at this number the
-	// records are cleared.
+	// maxTrackedConns is the number of connections for which sent large versions are recorded; when that number is
+	// reached, the records are cleared.
 	maxTrackedConns = 256
 )
 
@@ -51,16 +51,16 @@
 	ctx.Send(conn, wire.KindPullReply, id, &reply)
 }
 
-// limitPull removes from a reply the large versions that are already in transit on the connection, and those that
-// don't fit into one message: a later pull gets them.
+// limitPull removes from a reply the large versions that are already in transit on the connection, and the versions
+// that don't fit into one message. A later pull can fetch them.
 func (h *Host) limitPull(now clock.Micros, conn uint64, reply *wire.PullReply) {
 	capacity := wire.MaxMessage - wire.MaxSingleFrame
 	versions := reply.Versions
 	reply.Versions = nil
 	for _, v := range versions {
 		if capacity < len(v.Body) || isLarge(len(v.Body)) && !h.maySendLarge(now, conn, v.Version) {
-			// Without this version the pulling process lacks something that was acknowledged before the contact, so the
-			// contact proves nothing for this partition.
+			// Without this version the pulling process lacks something that was acknowledged before the contact, so
+			// the reply must not report contact for this partition.
 			withheld := partitionBit(v.Version.Partition)
 			reply.Partial, reply.ContactMask, reply.RelayedMask = true, reply.ContactMask&^withheld, reply.RelayedMask&^withheld
 			continue
@@ -70,8 +70,8 @@
 	}
 }
 
-// maySendLarge reports whether a large version is not yet in transit on a connection. If so, it records that it is
-// now.
+// maySendLarge reports whether a large version may be sent on a connection, which is the case unless it is already in
+// transit there. If it may be sent, maySendLarge records it as sent now.
 func (h *Host) maySendLarge(now clock.Micros, conn uint64, version wire.Version) bool {
 	if len(h.largeSent) >= maxTrackedConns || h.largeSent == nil {
 		h.largeSent = map[uint64]sentVersions{}
--- a/control/replica/quorum.go
+++ b/control/replica/quorum.go
@@ -6,7 +6,7 @@
 	"wallport/runtime/wire"
 )
 
-// contains reports whether a list of replicas includes the one with this identity.
+// contains reports whether a list of replicas includes the replica with this identity.
 func contains(replicas []wire.Replica, id string) bool {
 	for _, r := range replicas {
 		if r.ID == id {
@@ -44,7 +44,8 @@
 	return all
 }
 
-// isJoint reports whether a version needs a majority of the voters before a change as well as of those after it.
+// isJoint reports whether a version changes the voters, so that it needs a majority of the previous voters as well as
+// a majority of the new voters.
 func isJoint(v wire.Versioned) bool {
 	return len(v.PreviousVoters) > 0 && !sameMembers(v.PreviousVoters, v.Voters)
 }
--- a/control/replica/rebuild.go
+++ b/control/replica/rebuild.go
@@ -7,7 +7,7 @@
 	"wallport/runtime/wire"
 )
 
-// LeaderlessFor is how long a replica must not have heard a leader before it takes part in a rebuild.
+// LeaderlessFor is how long a replica must have received no message from a leader before it takes part in a rebuild.
 const LeaderlessFor = 5 * clock.Second
 
 // Reasons for refusing a rebuild, as shown to operators.
@@ -20,8 +20,10 @@
 
 // handleRebuild takes part in rebuilding a partition's group, on an explicit command of an operator, after a majority
 // of its disks was lost permanently. The first request asks for the version that this replica holds. A request with
-// Apply then brings the version that the operator's process found to be the newest, which this replica syncs. A
-// replica refuses if it hears a leader, if its disk has a problem, or if it holds or has voted in something newer.
+// Apply then contains the newest version that the operator's process has found, and this replica syncs that version. A
+// replica refuses if a message from a leader arrived within LeaderlessFor or if its disk has a problem. It also
+// refuses to apply a version that is not newer than its own, or whose term is not later than the term in which it last
+// voted.
 func (g *Group) handleRebuild(ctx *kernel.Context, conn, id uint64, request wire.Rebuild) {
 	reply := func(ctx *kernel.Context, refusal string) {
 		stored := g.accepted
--- a/control/replica/replication.go
+++ b/control/replica/replication.go
@@ -15,15 +15,15 @@
 const ProposalTimeout = 10 * clock.Second
 
 // propose sends a version to the voters to be synced. base is the version that has the same body and edit log, if
-// there is one: voters that hold base need not be sent them.
+// there is one: the body and the edit log need not be sent to voters that hold base.
 func (g *Group) propose(ctx *kernel.Context, v wire.Versioned, base wire.Version) {
 	g.proposal, g.proposedAt = &v, ctx.Now
 	g.acked = map[string]bool{}
 	g.sendProposal(ctx, base)
 }
 
-// proposalIsOverdue reports whether the proposal was not synced by a majority in time. This leader can then do no
-// more for it; the next leader may or may not find it at some voter.
+// proposalIsOverdue reports whether the proposal was not synced by a majority in time. This leader then gives up; the
+// next leader may or may not find the proposal on a voter.
 func (g *Group) proposalIsOverdue(now clock.Micros) bool {
 	if g.proposal == nil {
 		return false
@@ -157,7 +157,7 @@
 }
 
 // detectRollback reports a replica that holds an older version than it has acknowledged in this term: its disk has
-// returned to an older state, which the algorithm assumes never happens.
+// reverted to an older state. The algorithm assumes that this never happens.
 func (g *Group) detectRollback(ctx *kernel.Context, reply wire.LeaderHeartbeatReply) {
 	was, known := g.synced[reply.From]
 	if !known || reply.Round <= was.heartbeatRound || !mesh.Newer(was.version, reply.Stored) {
--- a/control/replica/storage.go
+++ b/control/replica/storage.go
@@ -25,7 +25,7 @@
 	VersionsKept = 3
 )
 
-// File names and their formats.
+// Names of the files on the disk, and the formats and parts of names that show what a file contains.
 const (
 	fileReplicaID = "seat"
 	fileBootstrap = "formation"
@@ -58,8 +58,8 @@
 
 // disk is the state of the replica's disk and of the writes in progress.
 type disk struct {
-	// diskDamaged is set at the start if the content of the disk cannot be trusted; this replica then takes part in
-	// nothing. futureFormat is the error for a file that was written by a newer release.
+	// diskDamaged is set at the start if the content of the disk cannot be trusted; this replica then takes no part in
+	// any group. futureFormat is the error for a file that was written by a newer release.
 	diskDamaged  bool
 	futureFormat string
 	diskProblem  diskCondition
@@ -79,8 +79,8 @@
 	}
 	for _, g := range h.groups {
 		if g.accepted.Version.Term > g.votedTerm {
-			// A leader of that term sent the version, so the term is taken and must not be granted to any candidate: an
-			// empty votedFor matches no candidate.
+			// A leader of that term sent the version, so the term has a leader already and must not be granted to any
+			// candidate: an empty votedFor matches no candidate.
 			g.votedTerm, g.votedFor = g.accepted.Version.Term, ""
 		}
 		h.bootstrapped = h.bootstrapped || g.accepted.Version.Term > 0
--- a/control/replica/transfer.go
+++ b/control/replica/transfer.go
@@ -13,7 +13,7 @@
 // before leadership is transferred or voters are changed for the sole purpose of a better spread.
 const RebalanceAfter = 4 * clock.Second
 
-// bestSuccessor returns the healthy voter that was heard most recently; empty if there is none.
+// bestSuccessor returns the healthy voter from which a message has arrived most recently; empty if there is none.
 func (g *Group) bestSuccessor(ctx *kernel.Context) string {
 	best, bestHeardAt := "", clock.Micros(0)
 	for _, voter := range g.committed.Voters {
--- a/control/replica/wall_clock.go
+++ b/control/replica/wall_clock.go
@@ -7,11 +7,12 @@
 	"wallport/runtime/kernel"
 )
 
-// ClockTolerance is the maximum difference between two clocks that agree.
+// ClockTolerance is the maximum difference between two clocks that are considered to agree.
 const ClockTolerance = 2 * clock.Second
 
-// agreedTime returns the time of day that a majority of the voters agrees on: the lowest clock of the largest set of
-// clocks within ClockTolerance. Without such a majority the time is unknown, and nothing starts or ends by it.
+// agreedTime returns the time of day that a majority of the voters agrees on: the lowest clock of the largest set in
+// which no clock is more than ClockTolerance ahead of the lowest. known is false if that set is not a majority of the
+// voters; no scheduled update, such as the start of a booking, is then applied.
 func (g *Group) agreedTime(ctx *kernel.Context) (wall clock.Micros, known bool) {
 	// All offsets are relative to this process's monotonic clock, because its own time of day may jump as well.
 	offsets := []clock.Micros{ctx.Wall - ctx.Now}
