--- a/control/replica/bootstrap_test.go
+++ b/control/replica/bootstrap_test.go
@@ -16,7 +16,8 @@
 	"wallport/runtime/wire"
 )
 
-// emptyCore returns a core on a platform whose disk contains only the identity of replica "m".
+// emptyCore returns a core that runs on a platform. Its disk contains only the identity of replica "m"; change, if
+// set, alters its settings.
 func emptyCore(t *testing.T, change func(e *settings.Settings)) *core {
 	t.Helper()
 	e := settings.Settings{Mesh: "10.0.0.5:1", Zone: "z5", DataDir: "disk", BootstrapKnown: true, Bootstrap: true, Tolerance: settings.Tolerance{Machines: 1, Zones: 1}}
@@ -36,7 +37,7 @@
 	return &wire.Bootstrap{BootstrapID: id, Voters: replicas(voterIDs...), Proposer: wire.Replica{ID: by, Addr: "10.0.0.1:1"}}
 }
 
-// sent returns the messages of one kind among the sends of an output.
+// sent decodes and returns the messages of one kind that are sent by an output.
 func sent[T any, P interface {
 	*T
 	UnmarshalMsg([]byte) ([]byte, error)
@@ -64,7 +65,7 @@
 	f1, f2 := proposal("f1", "a", "a", "b", "m"), proposal("f2", "n", "n", "o", "m")
 	out := c.send(wire.KindBootstrap, f1)
 	must.SliceEmpty(t, bootstrapReplies(t, out))
-	must.SliceEmpty(t, bootstrapReplies(t, c.send(wire.KindBootstrap, f1)), must.Sprint("proposal repeated before the consent is synced"))
+	must.SliceEmpty(t, bootstrapReplies(t, c.send(wire.KindBootstrap, f1)), must.Sprint("the consent must not be sent before it is synced, even if the proposal is repeated"))
 	must.True(t, bootstrapReplies(t, c.sync(out))[0].OK)
 	must.True(t, bootstrapReplies(t, c.send(wire.KindBootstrap, f1))[0].OK)
 	r := bootstrapReplies(t, c.send(wire.KindBootstrap, f2))[0]
@@ -94,7 +95,7 @@
 	must.SliceEmpty(t, c.tick().Writes)
 }
 
-// announceCores sends pulls from n other cores with empty disks, at the addresses of the seeds first.
+// announceCores sends pulls from n other cores with empty disks. The first three have the addresses of the seeds.
 func announceCores(c *core, n int) {
 	for i := range n {
 		a := string(rune('1' + i))
@@ -105,18 +106,18 @@
 func TestBootstrapProposerHasLeastSeedAddress(t *testing.T) {
 	c := emptyCore(t, func(e *settings.Settings) { e.Mesh, e.Zone, e.Seeds = "10.0.0.0:1", "z0", e.Seeds[:2] })
 	c.tick()
-	must.Eq(t, "", c.host.bootstrap.BootstrapID, must.Sprint("proposed without knowing any other core"))
+	must.Eq(t, "", c.host.bootstrap.BootstrapID, must.Sprint("a core that knows no other core must not propose a bootstrap"))
 	announceCores(c, 3)
 	out := c.tick()
 	must.Len(t, 3, c.host.bootstrap.Voters)
-	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("proposal sent before the proposer's own consent is synced"))
+	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("the proposal must not be sent before the proposer's own consent is synced"))
 	out = c.sync(out)
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
 	for _, member := range c.host.bootstrap.Voters {
 		out = c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: c.host.bootstrap.BootstrapID, From: member.ID, OK: true})
 	}
 	must.False(t, c.host.bootstrapped)
-	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("completion sent before it is synced"))
+	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("the completion must not be sent before it is synced"))
 	completions := sent[wire.Bootstrap](t, c.sync(out), wire.KindBootstrap)
 	must.True(t, c.host.bootstrapped)
 	must.Len(t, 2, completions)
@@ -138,10 +139,10 @@
 	})
 	c.now += SmallerGroupAfter
 	announceCores(c, 1)
-	must.SliceEmpty(t, c.tick().Writes, must.Sprint("proposed a smaller group without hearing one of the seeds"))
+	must.SliceEmpty(t, c.tick().Writes, must.Sprint("a smaller group must not be proposed while a seed is unreachable"))
 	announceCores(c, 3)
 	c.tick()
-	must.Len(t, 3, c.host.bootstrap.Voters, must.Sprint("five voters are wanted and four cores are known: the largest odd number is three"))
+	must.Len(t, 3, c.host.bootstrap.Voters, must.Sprint("five voters are wanted but only four cores are known: the proposal must contain three, the largest odd number"))
 }
 
 func TestBootstrapGreaterProposerWithdraws(t *testing.T) {
@@ -150,9 +151,9 @@
 	out := c.sync(c.tick())
 	mine := c.host.bootstrap
 	must.Len(t, 2, sent[wire.Bootstrap](t, out, wire.KindBootstrap))
-	must.SliceEmpty(t, c.send(wire.KindBootstrap, proposal("f2", "z", "z", "s1", "s2")).Writes, must.Sprint("withdrew in favour of z, which is greater than m"))
+	must.SliceEmpty(t, c.send(wire.KindBootstrap, proposal("f2", "z", "z", "s1", "s2")).Writes, must.Sprint("the core must not withdraw its proposal in favour of z, whose identity is greater than m"))
 	out = c.send(wire.KindBootstrap, proposal("f3", "a", "a", "s1", "s2"))
-	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("withdrawal sent before it is synced"))
+	must.SliceEmpty(t, sent[wire.Bootstrap](t, out, wire.KindBootstrap), must.Sprint("the withdrawal must not be sent before it is synced"))
 	// A delayed consent has no effect.
 	for _, member := range mine.Voters {
 		c.send(wire.KindBootstrapReply, &wire.BootstrapReply{BootstrapID: mine.BootstrapID, From: member.ID, OK: true})
--- a/control/replica/catch_up_test.go
+++ b/control/replica/catch_up_test.go
@@ -1,5 +1,5 @@
 // Catch-up of a replica that was stopped for a while or returns with an empty disk: the duration does not depend on
-// the number of missed versions, and the leader keeps its term. BenchmarkCatchUp reports figures for several sizes
+// the number of missed versions, and the leader is not replaced. BenchmarkCatchUp reports figures for several sizes
 // and numbers of changes.
 
 package replica
@@ -15,14 +15,15 @@
 	"wallport/runtime/wire"
 )
 
-// catchUpLimit returns the maximum duration of a catch-up: the time to listen, to be found and, with a new disk, to
-// become a voter, plus twice the transfer time of the body over the replica's link.
+// catchUpLimit returns the maximum duration of a catch-up: the time that the replica waits before it may start an
+// election, the time until the leader finds it and, with a new disk, makes it a voter, and twice the transfer time of
+// the body over the replica's link.
 func catchUpLimit(size int) clock.Micros {
 	return ListenBeforeElection + LargeResendInterval + 1*clock.Second + 2*int64(size)*clock.Second/linkOf10Mbit
 }
 
-// retryAllowance is the delay allowed for the retransmission of a chunk that was sent while the replica was down and
-// was lost.
+// retryAllowance is the additional time allowed for retransmitting a chunk that was lost because the replica was down
+// when it was sent.
 const retryAllowance = 1 * clock.Second
 
 // catchUpResult contains the duration of a catch-up in microseconds, the bytes that the replica received, and the
@@ -83,8 +84,9 @@
 			t.Run(fmt.Sprintf("size=%d/empty=%v", size, emptyDisk), func(t *testing.T) {
 				r := catchUpAfter(t, size, min(10, 3_000_000/size+2), emptyDisk)
 				t.Logf("caught up after %d ms, having received %d KB", r.us/1000, r.bytes/1000)
-				must.Eq(t, 0, r.terms, must.Sprint("the leader changed during the catch-up"))
-				// With a new disk a membership change is needed, and therefore two versions.
+				must.Eq(t, 0, r.terms, must.Sprint("the leader must not change during the catch-up"))
+				// A core with a new disk rejoins through a membership change, which commits two more versions: the
+				// joint version and the final version.
 				maxBytes := 3*r.body + r.body/10 + 50_000
 				if !emptyDisk {
 					maxBytes = 2*r.body + 50_000
@@ -143,11 +145,11 @@
 		c.now += CatchUpInterval / 2
 		c.send(wire.KindLeaderHeartbeatReply, &reply)
 	}
-	must.Eq(t, 1, count(), must.Sprint("the large version is already in transit"))
+	must.Eq(t, 1, count(), must.Sprint("a large version must not be sent again while it is in transit"))
 	g.proposal = &wire.Versioned{Version: wire.Version{Term: g.term, Seq: 99}, Voters: g.committed.Voters}
 	c.now += 2 * LargeResendInterval
 	c.send(wire.KindLeaderHeartbeatReply, &reply)
-	must.Eq(t, 1, count(), must.Sprint("the proposal in flight supersedes the committed version"))
+	must.Eq(t, 1, count(), must.Sprint("the committed version must not be sent while a proposal that supersedes it is in flight"))
 }
 
 func TestRolledBackDiskIsDetected(t *testing.T) {
@@ -156,7 +158,7 @@
 	reply := wire.LeaderHeartbeatReply{Term: g.term, From: "b", Round: g.heartbeatRound, Stored: wire.Version{}, OK: true}
 	g.synced["b"] = syncedVersion{version: g.committed.Version, heartbeatRound: g.heartbeatRound}
 	c.send(wire.KindLeaderHeartbeatReply, &reply)
-	must.Eq(t, 0, c.kernel.Counts.Of("replicas_rolled_back").Load(), must.Sprint("the reply is to a heartbeat sent before the acknowledgement"))
+	must.Eq(t, 0, c.kernel.Counts.Of("replicas_rolled_back").Load(), must.Sprint("a reply to a heartbeat that was sent before the acknowledgement must not count as a rollback"))
 	reply.Round++
 	c.send(wire.KindLeaderHeartbeatReply, &reply)
 	must.Eq(t, 1, c.kernel.Counts.Of("replicas_rolled_back").Load())
--- a/control/replica/clock_test.go
+++ b/control/replica/clock_test.go
@@ -1,4 +1,4 @@
-// The time of day that a majority of the voters agrees on, while the clock of a single process jumps.
+// The time of day that a majority of the voters agrees on must not change when the clock of a single process jumps.
 
 package replica
 
--- a/control/replica/cluster_checks_test.go
+++ b/control/replica/cluster_checks_test.go
@@ -13,8 +13,8 @@
 	"wallport/runtime/wire"
 )
 
-// check checks the state of a process after a step: new voters in its proposals have synced the version before, and
-// its newest committed version contains every acknowledged edit.
+// check checks the state of a process after a step: new voters in its proposals have synced the version before the
+// change, and its newest committed version contains every acknowledged edit.
 func (c *simCluster) check(m *simMachine) {
 	for _, g := range m.host.groups {
 		if g.role == leader && g.proposal != nil && isJoint(*g.proposal) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// hasSynced reports whether this disk belongs to the given replica and holds a version that is not older than oldest.
+// hasSynced reports whether the machine's disk belongs to the given replica and holds a version that is not older than
+// oldest.
 func (m *simMachine) hasSynced(replicaID string, oldest wire.Version) bool {
 	id, err := diskfile.Unpack(m.disk["seat"])
 	if err != nil || string(id) != replicaID {
--- a/control/replica/cluster_test.go
+++ b/control/replica/cluster_test.go
@@ -70,7 +70,7 @@
 		m.start()
 	}
 	c.after(0, c.editLoop)
-	c.runUntil("the cluster is formed", 15*clock.Second, func() bool { return c.leader(0) != nil && len(c.acknowledged) > 0 })
+	c.runUntil("the cluster must form", 15*clock.Second, func() bool { return c.leader(0) != nil && len(c.acknowledged) > 0 })
 	return c
 }
 
@@ -104,7 +104,7 @@
 	for _, note := range c.logLines {
 		c.t.Log(note)
 	}
-	c.t.Fatalf("after %d us: %s", c.now, what)
+	c.t.Fatalf("failed at %d us: %s", c.now, what)
 }
 
 func (c *simCluster) log(text string) {
--- a/control/replica/contact_cluster_test.go
+++ b/control/replica/contact_cluster_test.go
@@ -36,14 +36,14 @@
 	conns   map[uint64]*connection
 	direct  map[string]uint64
 	nextID  uint64
-	// isolated is the member that a network partition separates from the others. Frames to and from it are held until
-	// heal.
+	// isolated is the member that a network partition separates from the others. Frames to and from that member are
+	// held until heal is called.
 	isolated *member
 	held     []func()
 }
 
-// newCluster starts members m0, m1 and so on as one group, whose voters are the first members, as many as make an odd
-// number. An additional member is a standby.
+// newCluster starts members m0, m1 and so on as one group. All members are voters if their number is odd. Otherwise
+// the last member is a standby.
 func newCluster(t *testing.T, seed uint64, size int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), conns: map[uint64]*connection{}, direct: map[string]uint64{}}
@@ -98,7 +98,7 @@
 }
 
 // feed passes an input to a member if it is still the same incarnation. If the member is suspended, the input waits
-// until it resumes.
+// until the member resumes.
 func (c *cluster) feed(m *member, incarnation int, in kernel.Input) {
 	if m.incarnation != incarnation {
 		return
--- a/control/replica/contact_rules_test.go
+++ b/control/replica/contact_rules_test.go
@@ -19,38 +19,39 @@
 	return sent[wire.PullReply](t, c.send(wire.KindPull, &wire.Pull{}), wire.KindPullReply)[0]
 }
 
-// replyToHeartbeat sends a reply from one of the two other voters to the newest heartbeat round.
+// replyToHeartbeat sends the reply of voter "a", one of the two other voters, to the newest heartbeat round.
 func (c *core) replyToHeartbeat(g *Group, voterClock clock.Micros) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true, Clock: voterClock})
 }
 
-// A process may be delayed for too short a time to be treated as suspended, and then answer before it ticks. Whether
-// its replies are confirmed must therefore depend on the clock, not on the tick.
+// A process may be delayed for too short a time to be treated as suspended, and then answer requests before its next
+// tick. Whether its replies are confirmed must therefore depend on the clock, not on the tick.
 func TestLeaderContactExpiresByClock(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
-	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("no heartbeat round was answered yet"))
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("contact must not be reported before a heartbeat round is answered"))
 	c.now += HeartbeatInterval
 	c.tick()
 	c.replyToHeartbeat(g, 0)
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.tick()
 	must.Eq(t, 1, c.kernel.Counts.Of("part_in_contact_now").Load())
-	must.Zero(t, c.kernel.Counts.Of("part_contact_lost").Load(), must.Sprint("a newly elected leader cannot have lost its contact"))
+	must.Zero(t, c.kernel.Counts.Of("part_contact_lost").Load(), must.Sprint("a newly elected leader must not be counted as having lost its contact"))
 	must.Len(t, 1, c.pullAll(t).Leaders)
 	c.now += ContactFor
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.now++
 	must.Zero(t, c.pullAll(t).ContactMask)
 	must.SliceEmpty(t, c.pullAll(t).Leaders, must.Sprint("callers must not be sent to a leader without contact"))
-	must.Eq(t, leader, g.role, must.Sprint("it steps down only at the next tick"))
+	must.Eq(t, leader, g.role, must.Sprint("the leader must not step down before the next tick"))
 	c.tick()
 	must.Eq(t, follower, g.role)
 	must.Zero(t, c.kernel.Counts.Of("part_in_contact_now").Load())
 	must.Eq(t, 1, c.kernel.Counts.Of("part_contact_lost").Load())
 }
 
-// Contact counts from when a round was sent: a late reply only proves contact at that time.
+// The age of contact counts from when the round was sent: a late reply only proves that there was contact at that
+// time.
 func TestContactCountsFromSendingOfRound(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -89,13 +90,13 @@
 	c := newCore(t, nil)
 	c.sync(c.send(wire.KindAccept, &wire.Accept{Term: 5, From: "a", Versioned: v}))
 	clock := c.heartbeat(t, 0, v.Version).Clock
-	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("the leader has no contact"))
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("a heartbeat of a leader without contact must not prove contact"))
 	c.heartbeat(t, clock, v.Version)
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	c.now += ContactFor + 1
 	must.Zero(t, c.pullAll(t).ContactMask)
 	c.heartbeat(t, clock, v.Version)
-	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("the heartbeat was delayed, and its proof is too old"))
+	must.Zero(t, c.pullAll(t).ContactMask, must.Sprint("a delayed heartbeat whose proof is too old must not prove contact"))
 	now := c.heartbeat(t, clock+ContactFor, v.Version).Clock
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 	// The follower does not confirm its state while it lacks a version that it knows to be committed.
@@ -106,7 +107,7 @@
 	must.Eq(t, 1, c.pullAll(t).ContactMask)
 }
 
-// A heartbeat for an earlier incarnation of this process proves nothing to the current one.
+// A process ignores the proof of contact in a heartbeat that was sent for its earlier incarnation.
 func TestContactProofOfEarlierIncarnationIsIgnored(t *testing.T) {
 	v := version(5, 1)
 	first, again := newCore(t, nil), newCore(t, nil)
@@ -140,7 +141,7 @@
 			must.Eq(t, 7*clock.Second-20*clock.Millisecond, b.ContactAt)
 			continue
 		}
-		must.Zero(t, b.ContactAt, must.Sprint("the clock of this voter is not known"))
+		must.Zero(t, b.ContactAt, must.Sprint("a heartbeat to a voter whose clock is not known must contain no proof"))
 	}
 	must.Eq(t, sentAt, g.contact.confirmedAt)
 }
--- a/control/replica/contact_test.go
+++ b/control/replica/contact_test.go
@@ -23,7 +23,7 @@
 // seedsPerFault is the number of seeds for each kind of fault.
 var seedsPerFault = flag.Uint64("worlds", 2, "worlds for each kind of trouble")
 
-// acknowledgement is a version that was acknowledged to an operator, and when.
+// acknowledgement is a version that was acknowledged to an operator, and the time of the acknowledgement.
 type acknowledgement struct {
 	at      clock.Micros
 	version wire.Version
@@ -54,7 +54,7 @@
 	return newest
 }
 
-// edit sends a member an edit of a zone that no other edit names.
+// edit sends a member an edit of a zone that is used by no other edit.
 func (o *observer) edit(to *member) {
 	o.edits++
 	id := fmt.Sprint("edit-", o.edits)
@@ -63,7 +63,7 @@
 		var r wire.EditReply
 		must.NoError(o.c.t, wire.Decode(f.Body, &r))
 		if wasIsolated && to == o.c.isolated {
-			must.SliceContains(o.c.t, []wire.Code{wire.CodeNotLeader, wire.CodeUnknown, wire.CodeOverloaded}, r.Code, must.Sprint("reply of the isolated member"))
+			must.SliceContains(o.c.t, []wire.Code{wire.CodeNotLeader, wire.CodeUnknown, wire.CodeOverloaded}, r.Code, must.Sprint("the isolated member must not reply with another code"))
 		}
 		if r.Code == "ok" {
 			o.acks = append(o.acks, acknowledgement{o.c.now, r.Version})
@@ -83,7 +83,7 @@
 		}
 		o.reads[to.name]++
 		must.False(o.c.t, mesh.Newer(o.newestBy(sentAt), r.Version), must.Sprintf(
-			"%s was asked at %d ms and answered %v; %v was acknowledged", to.name, sentAt/1000, r.Version, o.newestBy(sentAt)))
+			"%s answered a read sent at %d ms with version %v, which is older than version %v, acknowledged before the read", to.name, sentAt/1000, r.Version, o.newestBy(sentAt)))
 	})
 }
 
@@ -109,7 +109,7 @@
 		o.confirmed[to.name]++
 		o.lastConfirmed[to.name] = o.c.now
 		must.False(o.c.t, mesh.Newer(o.newestBy(by), got), must.Sprintf(
-			"%s was pulled at %d ms and confirmed %v; %v was acknowledged by %d ms", to.name, sentAt/1000, got, o.newestBy(by), by/1000))
+			"%s replied to a pull sent at %d ms with confirmed version %v, which is older than version %v, acknowledged by %d ms", to.name, sentAt/1000, got, o.newestBy(by), by/1000))
 	})
 }
 
@@ -128,7 +128,7 @@
 	})
 }
 
-// fault deprives a member of its contact for some time.
+// fault begins and ends a disturbance during which a member has no contact with a majority.
 type fault struct {
 	name       string
 	begin, end func(c *cluster, m *member)
@@ -145,8 +145,8 @@
 	}
 }
 
-// seedCount returns the number of seeds for each kind of fault. It is one in a short run, which CI makes with the
-// race detector in addition to the complete run.
+// seedCount returns the number of seeds for each kind of fault. The number is one in a short run; CI makes such a run
+// with the race detector, in addition to the complete run.
 func seedCount() uint64 {
 	if testing.Short() {
 		return 1
@@ -155,7 +155,8 @@
 }
 
 // TestConfirmedVersionsContainAcknowledgedEdits partitions or suspends a leader or a follower for twenty seconds,
-// while two operators edit, in groups of 3 and 5 voters, with and without a standby that can replace it.
+// while edits, reads and pulls are sent to every member, in groups of 3 and 5 voters, with and without a standby that
+// can replace it.
 func TestConfirmedVersionsContainAcknowledgedEdits(t *testing.T) {
 	for _, v := range faults() {
 		for _, size := range []int{3, 4, 5} {
@@ -180,13 +181,13 @@
 	o.startLoad()
 	c.run(2*clock.Second+c.rnd.Int64N(clock.Second), nil)
 	for _, each := range c.members {
-		must.Positive(c.t, o.confirmed[each.name], must.Sprint("member without contact before the fault: ", each.name))
+		must.Positive(c.t, o.confirmed[each.name], must.Sprint("the member must have contact before the fault: ", each.name))
 	}
 	v.begin(c, m)
 	began, acks := c.now, len(o.acks)
 	c.run(20*clock.Second, nil)
-	must.Greater(c.t, acks+10, len(o.acks), must.Sprint("too few edits were acknowledged by the majority during the fault"))
-	must.Less(c.t, began+ContactFor+RelayedContactFor+clock.Second/2, max(o.lastConfirmed[m.name], 1), must.Sprint("the faulty member claimed contact for too long"))
+	must.Greater(c.t, acks+10, len(o.acks), must.Sprint("more than ten edits must be acknowledged by the majority during the fault"))
+	must.Less(c.t, began+ContactFor+RelayedContactFor+clock.Second/2, max(o.lastConfirmed[m.name], 1), must.Sprint("the faulty member must not report contact after its contact has expired"))
 	v.end(c, m)
 	for range 100 {
 		// The delayed frames arrive during this time, the newest last.
@@ -195,5 +196,5 @@
 		c.run(300, nil)
 	}
 	c.run(4*clock.Second, nil)
-	must.Greater(c.t, c.now-clock.Second, o.lastConfirmed[m.name], must.Sprint("the member has no contact after the end of the fault"))
+	must.Greater(c.t, c.now-clock.Second, o.lastConfirmed[m.name], must.Sprint("the member must have contact again after the end of the fault"))
 }
--- a/control/replica/edits_test.go
+++ b/control/replica/edits_test.go
@@ -1,5 +1,5 @@
-// Edits at a leader: two edits of one revision in one batch, repeated edits after an election and after a power loss,
-// a leader without a majority, and which messages contain the edit log.
+// Edits at a leader: two edits with the same revision in one batch, repeated edits after an election and after a power
+// loss, a leader without a majority, and which messages contain the edit log.
 
 package replica
 
@@ -17,8 +17,8 @@
 	"wallport/runtime/wire"
 )
 
-// routingEdit returns an edit that replaces the routing table by one of the given revision; limit makes tables
-// differ.
+// routingEdit returns an edit that replaces the routing table by a table of the given revision. Tables with different
+// limits differ in content.
 func routingEdit(t *testing.T, base, revision, limit int64) wire.Edit {
 	t.Helper()
 	b, err := proto.Marshal(&routingpb.RoutingEdit{
@@ -28,7 +28,8 @@
 	return wire.Edit{Op: "routing", Body: b}
 }
 
-// confirmHeartbeat sends the reply of a second voter, hence of a majority, to the newest heartbeat round.
+// confirmHeartbeat sends the reply of voter "a" to the newest heartbeat round. Together with the leader, a majority
+// has then answered it.
 func (c *core) confirmHeartbeat(g *Group) kernel.Output {
 	return c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Term: g.term, From: "a", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 }
@@ -57,7 +58,8 @@
 	must.Eq(t, map[uint64]string{2: "ok", 3: "lost_race", 4: "ok"}, replies(t, c.acceptProposal(g)))
 }
 
-// The next leader, elected after a change of leader or restarted after a power loss, knows the same edits.
+// A later leader knows the same edits, whether it is another replica that was elected or the same replica after a
+// power loss.
 func TestAcceptedEditsAreKnownToNextLeader(t *testing.T) {
 	_, was := leaderWithTwoEdits(t)
 	held := was.committed
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -26,7 +26,7 @@
 	must.Eq(t, candidate, g.role)
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true})
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "b", Granted: true})
-	must.Eq(t, candidate, g.role, must.Sprint("the candidate's own vote is not synced"))
+	must.Eq(t, candidate, g.role, must.Sprint("a candidate must not lead before its own vote is synced"))
 	c.sync(out)
 	must.Eq(t, leader, g.role)
 }
@@ -43,8 +43,8 @@
 		g.scheduleElection(out)
 		at = append(at, g.electionAt)
 	}
-	must.Between(t, ElectionTimeout, at[1], ElectionTimeout+ElectionJitter, must.Sprint("the ranking of partition 1 starts at the second voter"))
-	must.Between(t, ElectionTimeout+ElectionStagger, at[0], ElectionTimeout+ElectionStagger+ElectionJitter, must.Sprint("the lost leader takes no rank"))
+	must.Between(t, ElectionTimeout, at[1], ElectionTimeout+ElectionJitter, must.Sprint("the ranking of partition 1 must start at the second voter"))
+	must.Between(t, ElectionTimeout+ElectionStagger, at[0], ElectionTimeout+ElectionStagger+ElectionJitter, must.Sprint("the lost leader must be left out of the ranking"))
 }
 
 // A candidate that was down holds an older version than the voters: it commits their version again.
@@ -87,7 +87,7 @@
 	}
 }
 
-// campaign makes the core, which holds the given version, a candidate in partition 0 with its own vote synced.
+// campaign returns a core that holds the given version and is a candidate in partition 0. Its own vote is synced.
 func campaign(t *testing.T, mine wire.Versioned) (*core, *Group) {
 	t.Helper()
 	c := newCore(t, map[string][]byte{versionFile(mine.Version): diskfile.Pack(wire.Encode(&mine))})
@@ -101,21 +101,21 @@
 	return c, g
 }
 
-// A replica that was replaced holds an older version. A majority of the voters of that version does not elect it: it
-// needs a majority of the voters of the newest version.
+// A replica that was replaced holds an older version. To be elected, it needs a majority of the voters of the newest
+// version; a majority of the voters of its own version is not sufficient.
 func TestElectionCountsVotersOfNewestVersion(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
 	newest := version(4, 7)
 	newest.Voters = replicas("a", "d", "e")
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: newest})
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "b", Granted: true, Stored: version(3, 1)})
-	must.Eq(t, candidate, g.role, must.Sprint("votes of all voters of its own version, and of only one of the three voters of the newest version"))
+	must.Eq(t, candidate, g.role, must.Sprint("a candidate must not lead with the votes of all voters of its own version but of only one of the three voters of the newest version"))
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "d", Granted: true, Stored: newest})
 	must.Eq(t, leader, g.role)
 }
 
 // The version that a new leader adopted may be on its own disk only. Until a majority has synced it in the new term,
-// no reply may rest on it, whichever heartbeats were answered.
+// no reply may be based on it, even if heartbeats are answered.
 func TestNewLeaderServesAfterItsFirstCommit(t *testing.T) {
 	c, g := campaign(t, version(3, 1))
 	c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true, Stored: version(2, 1)})
@@ -136,7 +136,7 @@
 	}
 	must.Eq(t, leader, g.role)
 	for _, reply := range sent[wire.EditReply](t, out, wire.KindEditReply) {
-		must.Eq(t, "not_owner", reply.Code, must.Sprint("a majority answers heartbeats, but has not synced the leader's version"))
+		must.Eq(t, "not_owner", reply.Code, must.Sprint("the leader must not serve while a majority answers heartbeats but has not synced its version"))
 	}
 	must.Zero(t, c.pullAll(t).ContactMask)
 	must.Eq(t, string(stateNewLeader), c.partition0Status(t).State)
@@ -144,6 +144,6 @@
 	must.Eq(t, string(stateLeader), c.partition0Status(t).State)
 	c.send(wire.KindEdit, &wire.Edit{Op: wire.OpRead})
 	read := sent[wire.EditReply](t, c.replyToHeartbeat(g, 0), wire.KindEditReply)
-	must.Len(t, 2, read, must.Sprint("the queued edit is rejected and the read is answered"))
+	must.Len(t, 2, read, must.Sprint("the queued edit must be rejected and the read must be answered"))
 	must.Eq(t, "ok", read[1].Code)
 }
--- a/control/replica/fence_test.go
+++ b/control/replica/fence_test.go
@@ -1,4 +1,5 @@
-// Fencing: a replica that voted in a term accepts no version of an older one, and acknowledges only what is synced.
+// Fencing: a replica that voted in a term accepts no version of an older term, and acknowledges a version only after
+// it is synced.
 
 package replica
 
@@ -85,7 +86,7 @@
 	c := newCore(t, map[string][]byte{voteFile(0): promise})
 	must.False(t, acceptReply(t, c.send(wire.KindAccept, &wire.Accept{Term: 6, From: "b", Versioned: version(6, 1)})).OK)
 	out := c.send(wire.KindVote, &wire.Vote{Term: 7, From: "b"})
-	must.SliceEmpty(t, out.Writes, must.Sprint("a term is granted to one candidate only"))
+	must.SliceEmpty(t, out.Writes, must.Sprint("a term must be granted to one candidate only"))
 }
 
 func TestTornVersionFileIsSkipped(t *testing.T) {
@@ -124,7 +125,8 @@
 	must.Eq(t, "no space left on device", c.host.diskProblem)
 }
 
-// A machine that lost its disk runs a different replica at the same address.
+// A machine whose disk was lost runs a different replica at the same address, which must ignore messages for the old
+// replica.
 func TestMessageForAnotherReplicaIsIgnored(t *testing.T) {
 	c := newCore(t, nil)
 	out := c.send(wire.KindAccept, &wire.Accept{To: "lost", Term: 5, From: "a", Versioned: version(5, 1)})
--- a/control/replica/learner_test.go
+++ b/control/replica/learner_test.go
@@ -1,4 +1,4 @@
-// Learners that do not respond, changes whose reason no longer applies, and replicas that must not be chosen.
+// Learners that do not respond, changes whose reason no longer applies, and replicas that must not become learners.
 
 package replica
 
@@ -28,7 +28,7 @@
 	leaves(LearnerTimeout - 400*clock.Millisecond)
 	pull("d")
 	pull("e")
-	must.Eq(t, []string{"d"}, ids(g.change.learners), must.Sprint("the learner was abandoned before LearnerTimeout"))
+	must.Eq(t, []string{"d"}, ids(g.change.learners), must.Sprint("the learner must not be abandoned before LearnerTimeout"))
 	leaves(400 * clock.Millisecond)
 	c.syncLearners(t, g, "e")
 	must.Eq(t, []string{"a", "e", "me"}, ids(g.proposal.Voters))
@@ -55,7 +55,8 @@
 	c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	must.NotNil(t, g.change)
-	// The process of the leaving voter has ended; it returns as the same voter.
+	// The process of the leaving voter has ended before the voter was replaced. When it starts again, it continues as
+	// the same voter.
 	c.exchangeHeartbeats(g, LeaveRequestTimeout+TickInterval, "a", "b")
 	must.Nil(t, g.change)
 }
@@ -64,7 +65,7 @@
 	c := newCore(t, nil)
 	g := electLeader(t, c)
 	c.exchangeHeartbeats(g, 200*clock.Millisecond, "a", "b")
-	// Of two voters that answer, the one heard last would be chosen as the successor.
+	// Of two voters that answer, the voter that answered last is chosen as the successor, unless it is leaving.
 	c.now += 1 * clock.Millisecond
 	c.send(wire.KindLeaderHeartbeatReply, &wire.LeaderHeartbeatReply{Partition: g.partition, Term: g.term, From: "b", Round: g.heartbeatRound, Stored: g.accepted.Version, OK: true})
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
@@ -101,8 +102,7 @@
 	c.verify()
 }
 
-// A removed voter is sent the version that removed it and becomes a standby immediately; a delayed message from a
-// leader gets no reply.
+// A leaving voter is sent the version that removes it, so that it is no voter of any partition when its process ends.
 func TestRemovedVoterIsNotified(t *testing.T) {
 	c := newSimCluster(t, simShapes[1], 18)
 	c.run(2 * clock.Second)
--- a/control/replica/lease_test.go
+++ b/control/replica/lease_test.go
@@ -19,7 +19,8 @@
 	name    string
 	until   clock.Micros
 	granted int
-	// to returns the member that the holder sends its requests to as the leader; nil if there is none.
+	// to returns the member that the holder considers to be the leader and sends its requests to; nil if there is
+	// none.
 	to func() *member
 }
 
@@ -40,8 +41,8 @@
 	})
 }
 
-// TestLeaseHasOneHolderAcrossLeaderFaults has one process request the lease from the old leader, like a process on
-// its side of a network partition, and another process request it from the current leader.
+// TestLeaseHasOneHolderAcrossLeaderFaults has one process request the lease from the old leader, as a process on the
+// old leader's side of a network partition would, and another process request it from the current leader.
 func TestLeaseHasOneHolderAcrossLeaderFaults(t *testing.T) {
 	leaderFaults := map[string]struct{ begin, end func(c *cluster, m *member) }{
 		"cut":    {func(c *cluster, m *member) { c.isolate(m) }, func(c *cluster, m *member) { c.heal() }},
@@ -70,7 +71,7 @@
 					must.Positive(t, kept.granted)
 					f.begin(c, old)
 					c.run(20*clock.Second, check)
-					must.Positive(t, other.granted, must.Sprint("the other process never got the lease"))
+					must.Positive(t, other.granted, must.Sprint("the other process must be granted the lease during the fault"))
 					f.end(c, old)
 					c.run(3*clock.Second, check)
 				})
--- a/control/replica/leave_test.go
+++ b/control/replica/leave_test.go
@@ -60,7 +60,7 @@
 // awaitExit runs until a machine's process has ended, and returns how long that took.
 func (c *simCluster) awaitExit(m *simMachine) clock.Micros {
 	c.t.Helper()
-	return c.runUntil("the process ends", LeaveTimeout+100*clock.Millisecond, func() bool { return !m.up })
+	return c.runUntil("the process must end", LeaveTimeout+100*clock.Millisecond, func() bool { return !m.up })
 }
 
 func TestLeavingVoterIsMovedOut(t *testing.T) {
@@ -77,11 +77,11 @@
 				must.True(t, c.isVoterAnywhere(id))
 				leaving.terminate()
 				must.Less(t, 1*clock.Second, c.awaitExit(leaving))
-				must.False(t, c.isVoterAnywhere(id), must.Sprint("the voter was not replaced before its process ended"))
+				must.False(t, c.isVoterAnywhere(id), must.Sprint("the voter must be replaced before its process ends"))
 				for _, m := range c.secondVictims() {
 					m.kill()
 				}
-				c.awaitAck("an edit is acknowledged after a loss that follows the replacement", simServeWithin)
+				c.awaitAck("an edit must be acknowledged after a loss that follows the replacement", simServeWithin)
 			})
 		}
 	}
@@ -94,15 +94,15 @@
 	id := leaving.host.replicaID
 	leaving.terminate()
 	c.run(200 * clock.Millisecond)
-	must.False(t, leaving.host.Leads(0), must.Sprint("a stopping leader did not transfer its leadership"))
-	c.awaitAck("an edit is acknowledged by another leader", 500*clock.Millisecond)
+	must.False(t, leaving.host.Leads(0), must.Sprint("a stopping leader must transfer its leadership"))
+	c.awaitAck("an edit must be acknowledged by another leader", 500*clock.Millisecond)
 	must.GreaterEq(t, LeaveTimeout-1*clock.Second, c.awaitExit(leaving))
 	must.True(t, c.isVoterAnywhere(id))
 	must.Eq(t, 3, len(c.newestOf(0).Voters))
 	leaving.start()
 	c.run(1 * clock.Second)
 	must.True(t, c.isVoterAnywhere(id))
-	c.awaitAck("an edit is acknowledged once all cores run again", simServeWithin)
+	c.awaitAck("an edit must be acknowledged once all cores run again", simServeWithin)
 }
 
 func TestLeavingVotersAreMovedOneByOne(t *testing.T) {
@@ -121,13 +121,13 @@
 			}
 			for _, g := range m.host.groups {
 				if g.role == leader && g.proposal != nil {
-					must.LessEq(t, 1, changedVoters(*g.proposal), must.Sprint("more than one voter is added at a time"))
+					must.LessEq(t, 1, changedVoters(*g.proposal), must.Sprint("only one voter may be added at a time"))
 				}
 			}
 		}
 	}
 	must.False(t, c.isVoterAnywhere(first.host.replicaID) || c.isVoterAnywhere(second.host.replicaID))
-	c.awaitAck("an edit is acknowledged after both voters were replaced", 500*clock.Millisecond)
+	c.awaitAck("an edit must be acknowledged after both voters were replaced", 500*clock.Millisecond)
 }
 
 // changedVoters counts the voters that a version adds.
@@ -158,7 +158,7 @@
 	must.False(t, c.isVoterAnywhere(standby.host.replicaID))
 	must.True(t, c.isVoterAnywhere(leaving.host.replicaID), must.Sprint("the leaving voter must remain, since the only standby is leaving too"))
 	leaving.start()
-	c.awaitAck("an edit is acknowledged once all cores run again", simServeWithin)
+	c.awaitAck("an edit must be acknowledged once all cores run again", simServeWithin)
 }
 
 func TestDeadStandbyBecomesNoVoter(t *testing.T) {
@@ -180,7 +180,7 @@
 		c.run(100 * clock.Millisecond)
 		must.False(t, c.isVoterAnywhere(id))
 	}
-	// Whichever of the two returns first completes the group.
+	// Of the two stopped machines, the machine that starts first becomes the missing voter.
 	standby.start()
 	c.run(3 * clock.Second)
 	must.True(t, c.isVoterAnywhere(id))
@@ -196,11 +196,11 @@
 			for _, m := range c.machines {
 				m.terminate()
 				c.startWhenEnded(m)
-				c.runUntil("the machine is running again", 10*clock.Second, func() bool {
+				c.runUntil("the machine must be running again", 10*clock.Second, func() bool {
 					must.True(t, c.hasMajorities())
 					return m.up && !m.stopping
 				})
-				c.awaitAck("an edit is acknowledged after the replacement", 1500*clock.Millisecond)
+				c.awaitAck("an edit must be acknowledged after the replacement", 1500*clock.Millisecond)
 				c.run(1300 * clock.Millisecond)
 			}
 			c.verify()
--- a/control/replica/membership_test.go
+++ b/control/replica/membership_test.go
@@ -53,7 +53,7 @@
 // replicas. Nothing may be proposed before that.
 func (c *core) syncLearners(t *testing.T, g *Group, from ...string) {
 	t.Helper()
-	must.Nil(t, g.proposal, must.Sprint("the change was proposed before its learners had caught up"))
+	must.Nil(t, g.proposal, must.Sprint("the change must not be proposed before its learners have caught up"))
 	must.NotNil(t, g.change)
 	must.Eq(t, from, ids(g.change.learners))
 	for _, id := range from {
@@ -99,7 +99,7 @@
 	pullAsStandby := func() { c.send(wire.KindPull, &wire.Pull{Addr: "10.0.0.9:1", Replica: "d", Zone: "z4"}) }
 	pullAsStandby()
 	c.exchangeHeartbeats(g, ReplaceAfter-200*clock.Millisecond, "a")
-	must.Nil(t, g.proposal, must.Sprint("the voter was replaced before ReplaceAfter"))
+	must.Nil(t, g.proposal, must.Sprint("the voter must not be replaced before ReplaceAfter"))
 	pullAsStandby()
 	c.exchangeHeartbeats(g, 300*clock.Millisecond, "a")
 	c.syncLearners(t, g, "d")
@@ -162,7 +162,7 @@
 	}
 	pull("d")
 	c.exchangeHeartbeats(g, RebalanceAfter, "a", "b")
-	must.Nil(t, g.proposal, must.Sprint("four voters tolerate no more losses than three"))
+	must.Nil(t, g.proposal, must.Sprint("a single voter must not be added: four voters tolerate no more losses than three"))
 	pull("d")
 	pull("e")
 	c.exchangeHeartbeats(g, TickInterval, "a", "b")
--- a/control/replica/narrow_links_test.go
+++ b/control/replica/narrow_links_test.go
@@ -1,4 +1,4 @@
-// A group of cores in simulated time, with links of limited bandwidth and a disk each.
+// A group of cores in simulated time. Each core has its own disk and a link of limited bandwidth.
 
 package replica
 
@@ -80,7 +80,7 @@
 	c.step(m, kernel.Start{})
 }
 
-// stop ends a core like a power loss: writes that are not synced are lost.
+// stop ends a core as a power loss would: writes that are not synced are lost.
 func (c *bandwidthCluster) stop(id string) {
 	m := c.members[id]
 	m.up = false
--- a/control/replica/old_members_test.go
+++ b/control/replica/old_members_test.go
@@ -10,8 +10,8 @@
 	"wallport/runtime/clock"
 )
 
-// replaceVoters replaces a majority of partition 0's voters, one after the other, leaves the replaced ones stopped
-// and returns them.
+// replaceVoters replaces a majority of partition 0's voters, one after the other, leaves the replaced voters stopped
+// and returns their machines.
 func replaceVoters(c *simCluster, planned bool) []*simMachine {
 	original := c.voters(0)
 	removed := original[:len(original)/2+1]
@@ -22,8 +22,8 @@
 		} else {
 			m.kill()
 		}
-		c.runUntil("the stopped voter is replaced", 8*clock.Second, func() bool { return !m.up && !c.isVoterAnywhere(id) })
-		c.awaitAck("an edit is acknowledged after the replacement", simServeWithin)
+		c.runUntil("the stopped voter must be replaced", 8*clock.Second, func() bool { return !m.up && !c.isVoterAnywhere(id) })
+		c.awaitAck("an edit must be acknowledged after the replacement", simServeWithin)
 		c.run(500 * clock.Millisecond)
 	}
 	return removed
@@ -54,7 +54,7 @@
 				for _, m := range c.machines {
 					m.start()
 				}
-				c.awaitAck("an edit is acknowledged once all cores run again", simServeWithin)
+				c.awaitAck("an edit must be acknowledged once all cores run again", simServeWithin)
 				c.run(3 * clock.Second)
 				c.verify()
 			})
@@ -87,7 +87,8 @@
 	return true
 }
 
-// TestReplacementToleratesNextLossAfterSync measures, for each kind of loss, when the membership is stable again.
+// TestReplacementToleratesNextLossAfterSync measures, for each kind of loss, how long it takes until the membership is
+// stable again; the limit is simSyncTimeAllowed.
 func TestReplacementToleratesNextLossAfterSync(t *testing.T) {
 	for _, shape := range simShapes {
 		for _, loss := range simLosses {
@@ -101,8 +102,8 @@
 						loss.inject(c, m)
 					}
 					c.run(50 * clock.Millisecond)
-					c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.runningAtLeast(running) })
-					took := c.runUntil("the membership of all groups is stable", simSyncTimeAllowed, c.membershipStable)
+					c.runUntil("the lost machines or their successors must run", 10*clock.Second, func() bool { return c.runningAtLeast(running) })
+					took := c.runUntil("the membership of all groups must become stable", simSyncTimeAllowed, c.membershipStable)
 					worst = max(worst, took)
 					c.verify()
 				}
--- a/control/replica/proposals_test.go
+++ b/control/replica/proposals_test.go
@@ -1,5 +1,5 @@
-// Replies of a leader while a proposal is in flight: none rests on an uncommitted version, and no rejection is sent
-// before a majority has confirmed the leader.
+// Replies of a leader while a proposal is in flight: no reply is based on an uncommitted version, and no rejection is
+// sent before a majority has confirmed the leader.
 
 package replica
 
@@ -31,7 +31,7 @@
 	return g
 }
 
-// acceptProposal acknowledges the proposal from replicas "a" and "b".
+// acceptProposal sends the acknowledgements of replicas "a" and "b" for the proposal, if there is one.
 func (c *core) acceptProposal(g *Group) kernel.Output {
 	if g.proposal == nil {
 		return kernel.Output{}
@@ -72,7 +72,7 @@
 	must.MapEmpty(t, replies(t, c.edit(2, empty)))
 	must.MapEmpty(t, replies(t, c.edit(3, empty)))
 	must.MapEmpty(t, replies(t, c.edit(4, other)))
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("the reply to the repeated edit would rest on an uncommitted version"))
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("the repeated edit must not be answered on the basis of an uncommitted version"))
 	must.Eq(t, map[uint64]string{2: "ok", 3: "ok", 4: "conflict"}, replies(t, c.acceptProposal(g)))
 }
 
@@ -87,8 +87,8 @@
 	must.Eq(t, map[uint64]string{2: "unknown", 3: "unknown"}, replies(t, out))
 }
 
-// A partitioned leader might reject an edit because of a state that was replaced long ago: it may reject only once a
-// majority has answered.
+// A leader that is cut off by a network partition might reject an edit because of an outdated state. A leader may
+// therefore reject an edit only after a majority has answered a heartbeat.
 func TestRejectionsAreConfirmedByMajority(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
--- a/control/replica/pull_large_test.go
+++ b/control/replica/pull_large_test.go
@@ -29,7 +29,7 @@
 		return parts, r.Partial
 	}
 	parts, partial := pull()
-	must.Eq(t, []int{0, 2}, parts, must.Sprint("two large versions do not fit into one message"))
+	must.Eq(t, []int{0, 2}, parts, must.Sprint("the reply must omit the second large version, because two do not fit into one message"))
 	must.True(t, partial)
 	parts, partial = pull()
 	must.Eq(t, []int{1, 2}, parts)
--- a/control/replica/quorum_test.go
+++ b/control/replica/quorum_test.go
@@ -24,8 +24,8 @@
 	}
 	must.True(t, quorum(v, of("a", "b")))
 	must.True(t, quorum(v, of("a", "c", "d")))
-	must.False(t, quorum(v, of("b", "d")), must.Sprint("a majority of the new voters only"))
-	must.False(t, quorum(v, of("a", "c")), must.Sprint("a majority of the old voters only"))
-	must.False(t, quorum(wire.Versioned{}, of("a")), must.Sprint("a version without voters has no quorum"))
+	must.False(t, quorum(v, of("b", "d")), must.Sprint("a majority of only the new voters must not be a quorum"))
+	must.False(t, quorum(v, of("a", "c")), must.Sprint("a majority of only the old voters must not be a quorum"))
+	must.False(t, quorum(wire.Versioned{}, of("a")), must.Sprint("a version without voters must not have a quorum"))
 	must.Len(t, 4, allVoters(v))
 }
--- a/control/replica/second_loss_test.go
+++ b/control/replica/second_loss_test.go
@@ -1,5 +1,6 @@
-// A second loss, at every quarter of a second after a repair or a replacement: no acknowledged edit is lost, and once
-// the sync time has passed the cluster keeps serving through the second loss.
+// A second loss that follows a repair or a replacement after a delay, which varies in steps of a quarter of a second:
+// no acknowledged edit is lost, and if the sync time has passed, the cluster continues to serve during the second
+// loss.
 
 package replica
 
@@ -14,8 +15,8 @@
 )
 
 const (
-	// simSyncTimeAllowed is the platform's sync_time_s: for this long after it runs again, or after its successor has
-	// started, a machine still counts as lost.
+	// simSyncTimeAllowed is the platform's sync_time_s: a machine still counts as lost for this time after it, or its
+	// successor, has started.
 	simSyncTimeAllowed = 4 * clock.Second
 	simLossStep        = 250 * clock.Millisecond
 	simDownFor         = 1 * clock.Second
@@ -72,7 +73,7 @@
 	}},
 }
 
-// startWhenEnded starts a machine again a while after its planned stop has ended.
+// startWhenEnded starts a machine again a quarter of simDownFor after its planned stop has ended.
 func (c *simCluster) startWhenEnded(m *simMachine) {
 	if m.up && m.stopping {
 		c.after(10*clock.Millisecond, func() { c.startWhenEnded(m) })
@@ -81,8 +82,8 @@
 	c.after(simDownFor/4, m.start)
 }
 
-// victims returns as many machines as may be lost together. The order is that of the voters, with the leader first or
-// left out; for the loss of a zone they are all running machines in the zone of the first one.
+// victims returns the machines that are lost together: as many voters as may be lost, with the leader first or left
+// out, or, for the loss of a zone, all running machines in the zone of the first such voter.
 func (c *simCluster) victims(loss simLoss, leaderFirst bool) (out []*simMachine) {
 	voters := c.voters(0)
 	leader := c.leader(0)
@@ -152,21 +153,21 @@
 		first.inject(c, m)
 	}
 	c.run(100 * clock.Millisecond)
-	c.runUntil("the lost machines or their successors run", 10*clock.Second, func() bool { return c.runningAtLeast(running) })
+	c.runUntil("the lost machines or their successors must run", 10*clock.Second, func() bool { return c.runningAtLeast(running) })
 	c.run(gap)
 	second := c.secondVictims()
 	for _, m := range second {
 		m.kill()
 	}
 	if gap >= simSyncTimeAllowed {
-		c.awaitAck("an edit is acknowledged after a loss that must be tolerated", simServeWithin)
+		c.awaitAck("an edit must be acknowledged after a loss that must be tolerated", simServeWithin)
 	} else {
 		c.run(simDownFor)
 	}
 	for _, m := range second {
 		m.start()
 	}
-	c.awaitAck("an edit is acknowledged once all machines run again", simServeWithin)
+	c.awaitAck("an edit must be acknowledged once all machines run again", simServeWithin)
 	c.run(1 * clock.Second)
 	c.verify()
 	must.NotNil(t, c.leader(0))
--- a/control/replica/snapshot_test.go
+++ b/control/replica/snapshot_test.go
@@ -1,5 +1,5 @@
 // Versions larger than a frame: they are committed, sent to every replica and adopted by the next leader. An edit
-// whose outcome is too large is rejected before it is proposed.
+// whose result is too large is rejected before it is proposed.
 
 package replica
 
@@ -111,7 +111,8 @@
 	must.LessEq(t, diskBytes*2/3, total)
 }
 
-// A leader that hears a majority of voters whose disks never sync must not keep its edits forever.
+// A leader that receives heartbeat replies from a majority, but whose proposal is never synced by a majority, must not
+// keep its edits forever.
 func TestLeaderStepsDownWithoutAcks(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
@@ -144,7 +145,8 @@
 	}
 }
 
-// A version committed before a change of leader is served afterwards, committed again in the new leader's term.
+// A version that was committed before a change of leader is committed again in the new leader's term and served
+// afterwards.
 func TestNextLeaderRecommitsLargeVersion(t *testing.T) {
 	c := newBandwidthCluster(t, linkOf10Mbit)
 	revision := c.grow(1_500_000)
@@ -156,7 +158,7 @@
 	took := c.run(30*clock.Second, "another core leads", func() bool { l := c.leader(); return l != nil && l != old })
 	moved := c.bytesIn() - before
 	t.Logf("new leader after %d ms, %d KB transferred", took/1000, moved/1000)
-	must.LessEq(t, 100_000, moved, must.Sprint("both remaining cores already hold the body"))
+	must.LessEq(t, 100_000, moved, must.Sprint("the body must not be sent again, because both remaining cores already hold it"))
 	now := c.lead().committed()
 	must.Greater(t, was.Version.Term, now.Version.Term)
 	must.True(t, bytes.Equal(was.Body, now.Body))
@@ -170,7 +172,7 @@
 	must.Eq(t, "ok", c.edit(pools(revision, 10, "next"), 20*clock.Second).Code)
 }
 
-// A replica that was down is designated as the successor by a leader that stops: it must not lead with its older
+// A leader that stops designates a replica that was down as its successor. The successor must not lead with its older
 // state.
 func TestNamedSuccessorAdoptsNewestVersion(t *testing.T) {
 	c := newBandwidthCluster(t, linkOf10Mbit)
--- a/control/replica/status_test.go
+++ b/control/replica/status_test.go
@@ -36,7 +36,7 @@
 	must.Eq(t, 3, s.Voters)
 	c.now += ContactFor + 1
 	must.False(t, c.partition0Status(t).InContact)
-	must.Eq(t, string(stateLeader), c.partition0Status(t).State, must.Sprint("the leader steps down only at the next tick"))
+	must.Eq(t, string(stateLeader), c.partition0Status(t).State, must.Sprint("the leader must not step down before the next tick"))
 	c.tick()
 	must.Eq(t, string(stateFollower), c.partition0Status(t).State)
 }
@@ -49,8 +49,8 @@
 	c.send(wire.KindLeave, &wire.Leave{To: "me", From: "b"})
 	must.Eq(t, string(reasonLeaving), c.partition0Status(t).Change)
 	c.syncLearners(t, g, "d")
-	must.Eq(t, string(changeAwaitingCommit), c.partition0Status(t).Change, must.Sprint("the joint version is proposed"))
-	must.Eq(t, 3, c.partition0Status(t).Voters, must.Sprint("counted by the version on the leader's disk, which is not the joint one yet"))
+	must.Eq(t, string(changeAwaitingCommit), c.partition0Status(t).Change, must.Sprint("the change must be shown as awaiting its commit once the joint version is proposed"))
+	must.Eq(t, 3, c.partition0Status(t).Voters, must.Sprint("the voters must be counted by the version on the leader's disk, which is not the joint version yet"))
 }
 
 func TestStatusOfStandbyAndDamagedDisk(t *testing.T) {
--- a/control/replica/storage_test.go
+++ b/control/replica/storage_test.go
@@ -18,7 +18,7 @@
 	g := electLeader(t, c)
 	c.exchangeHeartbeats(g, 200*clock.Millisecond, "a", "b")
 	c.edit(1, wire.Edit{Op: "empty", Name: "z0"})
-	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("two of three voters have synced the edit"))
+	must.Eq(t, map[uint64]string{1: "ok"}, replies(t, c.acceptProposal(g)), must.Sprint("the edit must be acknowledged, because two of three voters have synced it"))
 	c.exchangeHeartbeats(g, SlowDiskAfter+2*TickInterval, "a", "b")
 	must.Eq(t, "stalled", c.host.diskProblem)
 	must.Eq(t, follower, g.role)
@@ -60,7 +60,7 @@
 	c.now += DiskCheckInterval
 	out = c.tick()
 	must.Len(t, 1, out.Writes)
-	must.SliceEmpty(t, c.tick().Writes, must.Sprint("only one test write at a time"))
+	must.SliceEmpty(t, c.tick().Writes, must.Sprint("only one test write may be in progress at a time"))
 	c.sync(out)
 	must.Eq(t, "", c.host.diskProblem)
 	// The version that the replica missed is sent again and synced.
@@ -82,7 +82,7 @@
 	must.NotEq(t, "", c.host.ReplicaID())
 }
 
-// A replica that lacks the newest version is sent it, but not after every heartbeat.
+// A leader sends the newest version to a replica that lacks it, but not after every heartbeat reply.
 func TestCatchUpIsRateLimited(t *testing.T) {
 	c := newCore(t, nil)
 	g := electLeader(t, c)
--- a/control/replica/stored_change_test.go
+++ b/control/replica/stored_change_test.go
@@ -25,7 +25,7 @@
 	must.Eq(t, wire.Version{Term: 3, Seq: 11}, c.host.CommittedVersion(0))
 	must.Eq(t, []string{storedReplica, "a", "b2"}, ids(c.host.VotersOf(0)))
 	must.Eq(t, []string{storedReplica, "a", "b2"}, ids(g.committed.PreviousVoters))
-	// Edits from before the change are still known, and new ones need the new voters only.
+	// Edits from before the change are still known, and new edits need a majority of the new voters only.
 	c.checkReplies(g, []string{"b2"}, []storedReply{
 		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 1, 2},
 		{"second routing table repeated", routingEdit(t, 5, 7, 1), "ok", 1, 5},
@@ -44,18 +44,19 @@
 			c := startStored(t, readStored(t, "joint"))
 			g := c.preVote(0)
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: alone, Pre: true, Granted: true})
-			must.Eq(t, preCandidate, g.role, must.Sprint("votes from only one of the two majorities"))
+			must.Eq(t, preCandidate, g.role, must.Sprint("votes from only one of the two majorities must not be sufficient"))
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Pre: true, Granted: true})
 			must.Eq(t, candidate, g.role)
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: alone, Granted: true})
-			must.Eq(t, candidate, g.role, must.Sprint("votes from only one of the two majorities"))
+			must.Eq(t, candidate, g.role, must.Sprint("votes from only one of the two majorities must not be sufficient"))
 			c.send(wire.KindVoteReply, &wire.VoteReply{Term: g.term, From: "a", Granted: true})
 			must.Eq(t, leader, g.role)
 		})
 	}
 }
 
-// Another voter may continue as the leader: this replica then accepts the versions after the joint one by their base.
+// Another voter may become the leader and complete the change. This replica then accepts a version without its body if
+// it holds the version with the same body (Base).
 func TestStoredMembershipChangeIsFollowed(t *testing.T) {
 	c := startStored(t, readStored(t, "joint"))
 	held := c.host.groups[0].accepted
--- a/control/replica/stored_driver_test.go
+++ b/control/replica/stored_driver_test.go
@@ -1,5 +1,5 @@
-// A core on a data folder: every write is executed immediately and in order, on the files that the next process
-// starts with.
+// A core that runs on the files of a data folder. Every write is executed immediately and in order, and the next
+// process can start on the resulting files.
 
 package replica
 
@@ -19,7 +19,8 @@
 
 const storedFolder = "testdata/stored"
 
-// storedCore is a core whose files are kept; its peers are the replicas "a", "b" and those that join.
+// storedCore is a core whose files are kept, so that another process can start on them; its peers are the replicas
+// "a", "b" and those that join.
 type storedCore struct {
 	t     *testing.T
 	k     *kernel.Kernel
@@ -89,7 +90,8 @@
 	return g
 }
 
-// lead makes the core win the next term of a partition with the votes of others that hold nothing newer.
+// lead makes the core win the next term of a partition with the votes of the given voters, which hold no newer
+// version.
 func (c *storedCore) lead(partition int, voters ...string) *Group {
 	c.t.Helper()
 	g := c.preVote(partition)
--- a/control/replica/stored_make_test.go
+++ b/control/replica/stored_make_test.go
@@ -1,5 +1,5 @@
-// How the folders of testdata/stored were created: by running the process where this release still writes the same
-// data, otherwise field by field as the earlier release wrote them.
+// The folders of testdata/stored and how they were created. If this release still writes the same data, a folder was
+// created by running the process; otherwise it was written field by field, as the earlier release wrote it.
 
 package replica
 
@@ -86,7 +86,7 @@
 	ok(g, wire.Edit{Op: "empty", Name: "z9", EditID: "drain-1"})
 	ok(g, wire.Edit{Op: "empty", Name: "z8", EditID: "drain-2"})
 	must.Eq(t, 7, g.committed.Version.Seq)
-	must.Eq(t, []string{"b1"}, storedConfig(t, g.committed).ActiveBookings, must.Sprint("the voters' clocks agree that the booking has started"))
+	must.Eq(t, []string{"b1"}, storedConfig(t, g.committed).ActiveBookings, must.Sprint("the booking must be active, because the voters' clocks agree that it has started"))
 	c.send(wire.KindVote, &wire.Vote{Partition: 2, Term: 6, From: "b"})
 	v := wire.Versioned{Version: wire.Version{Partition: 3, Term: 4, Seq: 9}, Voters: bootstrap.Voters, PreviousVoters: bootstrap.Voters, Body: wire.Encode(&wire.IndexBody{
 		ShardMaps: map[string]wire.ShardMap{"maps": {Name: "m1", Shards: 3}},
@@ -114,8 +114,8 @@
 	return c
 }
 
-// makeJoint returns that core after replica "b2", on the emptied disk of "b", has caught up, so that the joint
-// version is the newest.
+// makeJoint returns the core of makeCommitted after replica "b2", which runs on the emptied disk of "b", has caught
+// up. Its newest version is the joint version.
 func makeJoint(t *testing.T) *storedCore {
 	t.Helper()
 	c := startStored(t, makeCommitted(t).files)
@@ -130,8 +130,8 @@
 	return c
 }
 
-// makeBeforeRelease3 creates a folder of release 1: the bootstrap does not name its proposer, and the bodies contain
-// what has been in the edit log since release 3.
+// makeBeforeRelease3 returns a core that starts on files as release 1 wrote them: the bootstrap does not name its
+// proposer, and the bodies contain the data that is part of the edit log since release 3.
 func makeBeforeRelease3(t *testing.T) *storedCore {
 	t.Helper()
 	own := "0123456789abcdef"
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -115,7 +115,7 @@
 func TestStoredBodiesWithoutEditLogAreAdopted(t *testing.T) {
 	c := startStored(t, readStored(t, "before-release-3"))
 	must.Eq(t, "0123456789abcdef", c.host.ReplicaID())
-	must.Eq(t, "0123456789abcdef", c.host.bootstrap.Proposer.ID, must.Sprint("the first voter is taken as the proposer"))
+	must.Eq(t, "0123456789abcdef", c.host.bootstrap.Proposer.ID, must.Sprint("the first voter must be taken as the proposer"))
 	g := c.lead(0, "a")
 	c.checkReplies(g, []string{"a"}, []storedReply{
 		{"first configuration repeated", storedPut(wire.Version{}, 100, "sheet-1"), "ok", 2, 2},
--- a/control/replica/timeline_test.go
+++ b/control/replica/timeline_test.go
@@ -48,7 +48,7 @@
 	events  eventQueue
 }
 
-// after schedules do to run after d.
+// after schedules do to run after the duration d has passed.
 func (l *timeline) after(d clock.Micros, do func()) {
 	l.nextSeq++
 	l.events.add(event{l.now + max(d, 0), l.nextSeq, do})
--- a/control/replica/vote_version_test.go
+++ b/control/replica/vote_version_test.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/wire"
 )
 
-// A replica that holds an older version is not elected while one with a newer version is running.
+// A replica that holds an older version is not elected while a replica with a newer version is running.
 func TestCandidateWithOlderVersionIsNotElected(t *testing.T) {
 	newer := version(4, 7)
 	c := newCore(t, nil)
@@ -21,7 +21,7 @@
 	must.False(t, ask(version(4, 6).Version))
 	must.True(t, ask(newer.Version))
 	c.host.stopping = true
-	must.True(t, ask(version(4, 6).Version), must.Sprint("a stopping replica starts no election itself, so it grants the pre-vote"))
+	must.True(t, ask(version(4, 6).Version), must.Sprint("a stopping replica must grant the pre-vote, because it starts no election itself"))
 }
 
 // A vote reply contains the body only for a candidate that lacks it.
@@ -97,5 +97,5 @@
 	must.Eq(t, "b", sentAgain[0].To)
 	must.Eq(t, g.proposal.Body, sentAgain[0].Versioned.Body)
 	out = c.send(wire.KindAcceptReply, &wire.AcceptReply{Term: g.term, From: "b", Version: wire.Version{Term: 1}, LacksBase: true})
-	must.SliceEmpty(t, sent[wire.Accept](t, out, wire.KindAccept), must.Sprint("the reply is not about the version in flight"))
+	must.SliceEmpty(t, sent[wire.Accept](t, out, wire.KindAccept), must.Sprint("a reply about a version that is not in flight must be ignored"))
 }
