--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -21,7 +21,7 @@
 const (
 	reasonFenced        stepDownReason = "fenced by a newer term"
 	reasonVotedForOther stepDownReason = "voted for another candidate"
-	reasonOtherLeader   stepDownReason = "heard from another leader"
+	reasonOtherLeader   stepDownReason = "another leader"
 	reasonNoContact     stepDownReason = "no majority answers"
 	reasonNotCommitted  stepDownReason = "the proposal was not committed in time"
 	reasonSuperseded    stepDownReason = "another group has committed a newer version"
--- a/control/replica/member_change.go
+++ b/control/replica/member_change.go
@@ -41,7 +41,7 @@
 
 // Causes for abandoning a change, as logged.
 const (
-	causeNotDue         = "the reason for the change no longer applies"
+	causeNotDue         = "no longer due"
 	causeLearnerSlow    = "learner too slow"
 	causeLearnerRefused = "learner refused: "
 )
