--- a/cluster/mesh/announce.go
+++ b/cluster/mesh/announce.go
@@ -18,8 +18,8 @@
 	m.flood(ctx, entry, 0)
 }
 
-// AnnounceVersion stores a committed version of a partition and floods it, unless the mesh already
-// has that version or a newer one. Any process may announce a version.
+// AnnounceVersion stores a committed version of a partition and floods it, unless this process has
+// already stored that version or a newer one. Any process may announce a version.
 func (m *Mesh) AnnounceVersion(ctx *kernel.Context, v wire.Versioned) {
 	if entry := m.storeVersion(ctx, v); entry != nil {
 		m.flood(ctx, entry, 0)
@@ -30,8 +30,8 @@
 // lack the version receive it by anti-entropy.
 func (m *Mesh) StoreVersion(ctx *kernel.Context, v wire.Versioned) { m.storeVersion(ctx, v) }
 
-// storeVersion signs and stores a version as an entry, which it returns. It returns nil if the version
-// is not newer than the stored one.
+// storeVersion signs a version as an entry of this process, stores the entry and returns it. It returns
+// nil if the version is not newer than the stored one.
 func (m *Mesh) storeVersion(ctx *kernel.Context, v wire.Versioned) *wire.Entry {
 	if held, ok := m.store.partitions[v.Version.Partition]; ok && !Newer(v.Version, held.Version) {
 		return nil
--- a/cluster/mesh/antientropy.go
+++ b/cluster/mesh/antientropy.go
@@ -6,24 +6,25 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of anti-entropy.
+// Digest buckets and request intervals of the anti-entropy synchronization.
 const (
-	// DigestBuckets is the number of buckets into which origins are hashed. A scope has one bit for
-	// each bucket and, above them, partitionsBit for the versions of the partitions.
+	// DigestBuckets is the number of buckets into which origins are hashed. A scope is a bit set: one
+	// bit for each bucket and, above these, partitionsBit for the versions of the partitions.
 	DigestBuckets = 63
 	partitionsBit = 1 << DigestBuckets
 	allBuckets    = ^uint64(0)
-	// SyncInterval is the least time between two requests to one peer, and between requests to
-	// different peers.
+	// SyncInterval is the least time between two anti-entropy requests, to the same peer or to different
+	// peers.
 	SyncInterval = 400 * clock.Millisecond
 	// SyncIntervalReceiving replaces SyncInterval while a large message is being received, since that
-	// message may be the difference between the stores.
+	// message may contain the entries that this process lacks.
 	SyncIntervalReceiving = 4 * clock.Second
 	// SyncRetryInterval is the least time between two requests to one peer while its replies still
 	// bring new entries.
 	SyncRetryInterval = 60 * clock.Millisecond
-	// QuietPeriod is how long the store must have been unchanged before the first difference from
-	// a peer's digest causes a request: a new entry is probably still being flooded.
+	// QuietPeriod is how long the store must have been unchanged before the first difference from a
+	// peer's digest causes a request. Before that, the difference is probably due to a new entry that is
+	// still being flooded.
 	QuietPeriod = 300 * clock.Millisecond
 	// MaxSyncBytes bounds the bytes of entries sent in reply to one message of summaries.
 	MaxSyncBytes = 96 << 10
@@ -39,13 +40,14 @@
 	// progressed reports whether anti-entropy with this peer brought a new entry since the last
 	// request, retryDue whether a timer for another request is set.
 	progressed, retryDue bool
-	// syncedLocal and syncedRemote are a pair of digests, this process's and the peer's. They differ
-	// although neither process lacks an entry that the other has.
+	// syncedLocal and syncedRemote are the digests of this process and of the peer when their summaries
+	// last showed that neither lacked an entry that the other had. While both digests are unchanged, a
+	// difference between them causes no request.
 	syncedLocal, syncedRemote uint64
 }
 
-// digest returns the digest of the store that heartbeats carry. It is never 0, which means that there
-// is no digest.
+// digest returns the digest of the store that heartbeats carry. It is never 0, since 0 in a heartbeat
+// means that there is no digest.
 func (m *Mesh) digest() uint64 {
 	d := mix(m.store.versionsHash) | 1
 	for _, b := range m.store.buckets {
@@ -83,9 +85,9 @@
 	}
 }
 
-// digestDiffers requests anti-entropy from a peer with a different digest. It does not if neither side
-// is known to lack an entry, if the missing entries are probably being sent already, or if the last
-// request was too recent.
+// digestDiffers requests anti-entropy from a peer whose digest differs. It sends no request if an
+// earlier comparison of these two digests showed that neither process lacks an entry, if the missing
+// entries are probably being sent already, or if the last request was too recent.
 func (m *Mesh) digestDiffers(ctx *kernel.Context, peer *peerConn, theirs uint64) {
 	first := !peer.differed
 	peer.differed = true
@@ -140,9 +142,9 @@
 	}
 }
 
-// requestSyncSoon sends another request to a peer whose last reply was not complete, SyncRetryInterval
-// after the last request at the earliest. Without that interval requests would follow each other
-// directly during a flood, when some entry is always missing.
+// requestSyncSoon sends another request to a peer whose last reply was incomplete, but not before
+// SyncRetryInterval has passed since the last request. Without that interval, requests would directly
+// follow each other during a flood, when some entry is always missing.
 func (m *Mesh) requestSyncSoon(ctx *kernel.Context, peer *peerConn) {
 	wait := peer.requestedAt + SyncRetryInterval - ctx.Now
 	switch {
@@ -244,9 +246,9 @@
 }
 
 // sendMissingEntries sends the entries of an origin that a peer lacks and returns their size in bytes.
-// It stops once it has sent most bytes. If the peer's highest count is lower, it sends the entries
-// above that count; if the counts are equal but the sums differ, it sends all entries. If the peer's
-// highest count is higher, it sends none, since the peer is the one that has newer entries.
+// It stops when that size reaches the limit most. If the peer's highest count is lower, it sends the
+// entries above that count; if the counts are equal but the sums differ, it sends all entries. If the
+// peer's highest count is higher, it sends none, since the peer has the newer entries.
 func (m *Mesh) sendMissingEntries(ctx *kernel.Context, peer *peerConn, origin *originState, theirs wire.OriginSummary, most int) (sent int) {
 	if origin.sum == theirs.Sum || len(origin.entries) == 0 || origin.maxCount < theirs.Max {
 		return 0
--- a/cluster/mesh/doc.go
+++ b/cluster/mesh/doc.go
@@ -1,5 +1,5 @@
 // Package mesh is the gossip mesh that connects all processes of a fleet. It floods signed entries,
-// keeps the newest entry of each id and origin, and determines which origins are live.
+// keeps the newest entry of each type, id and origin, and determines which origins are live.
 //
 // The design follows the paper "Gossip Mesh (AgentDNS)": flooding with a hop bound and a seen-set,
 // Ed25519 signatures, heartbeats with peer addresses, seeds with backoff, a cap on peers. This
@@ -8,16 +8,17 @@
 //
 // # Concepts
 //
-// An origin is the key that signs entries, named by its fingerprint. It numbers its entries with a
-// count; of two entries with the same id and origin, the one with the higher count wins. The order
-// does not depend on clocks. A restarted process has a new key and is a new origin. Versions of a
-// partition belong to no origin: the higher version (term, sequence) wins, regardless of its sender.
+// An origin is a process, identified by the key that signs its entries and named by the key's
+// fingerprint. It numbers its entries with an increasing count; of two entries with the same type, id
+// and origin, the one with the higher count wins. This order does not depend on clocks. A restarted
+// process has a new key and is a new origin. Versions of a partition belong to no origin: the higher
+// version (term, sequence) wins, regardless of its sender.
 //
 // Each concept has its own file:
 //
 //   - announce.go: entries of this process.
-//   - flood.go: receiving and forwarding an entry: seen-set, signature, origin, hop bound, rate
-//     limit, store, forward. outbox.go batches forwarded entries.
+//   - flood.go: the steps in which an entry is received and forwarded: seen-set, signature, origin,
+//     hop bound, rate limit, store, forward. outbox.go batches forwarded entries.
 //   - notice.go: for a large entry, only a notice is flooded. A process that lacks the entry requests it.
 //   - heartbeat.go, antientropy.go: heartbeats carry a digest of the store. If two digests differ,
 //     the processes compare bucket sums, then summaries of origins, and send the missing entries.
--- a/cluster/mesh/entry.go
+++ b/cluster/mesh/entry.go
@@ -1,6 +1,6 @@
 package mesh
 
-// Types of the entries that the mesh carries. Their text is on the wire.
+// Types of the entries that the mesh carries. These texts are sent on the wire.
 const (
 	// EntryMember is a process's description of itself. Its id is the process's fingerprint.
 	EntryMember = "member"
@@ -8,8 +8,8 @@
 	EntryLinks = "links"
 	// EntryPartition is a committed version of a partition's state. It belongs to no origin.
 	EntryPartition = "part"
-	// EntryBackendList is the platform's list of backends, announced when it differs from the last one
-	// announced, and again after an interval.
+	// EntryBackendList is the platform's list of backends. It is announced when it differs from the list
+	// that was announced last, and repeated at an interval.
 	EntryBackendList = "listing"
 	// EntryPolled reports that the platform's list was polled and is unchanged or could not be read.
 	EntryPolled = "polled"
--- a/cluster/mesh/fleet_test.go
+++ b/cluster/mesh/fleet_test.go
@@ -34,13 +34,13 @@
 	dead := f.procs[25]
 	fp := dead.m.self
 	f.kill(dead)
-	must.LessEq(t, LivenessTimeout, f.waitFor(5_000_000, func() bool { return f.live(dead, fp) == 0 }), must.Sprint("killed"))
+	must.LessEq(t, LivenessTimeout, f.waitFor(5_000_000, func() bool { return f.live(dead, fp) == 0 }), must.Sprint("all processes must detect in time that a process was killed"))
 	f.procs = append(f.procs[:25], f.procs[26:]...)
 	frozen := f.procs[20]
 	frozen.frozen = true
-	must.LessEq(t, LivenessTimeout+200_000, f.waitFor(5_000_000, func() bool { return f.live(frozen, frozen.m.self) == 0 }), must.Sprint("frozen"))
+	must.LessEq(t, LivenessTimeout+200_000, f.waitFor(5_000_000, func() bool { return f.live(frozen, frozen.m.self) == 0 }), must.Sprint("all processes must detect in time that a process is frozen"))
 	f.unfreeze(frozen, 4_000_000)
-	must.Less(t, 5_000_000, f.waitFor(6_000_000, func() bool { return f.live(frozen, frozen.m.self) == len(f.procs)-1 }), must.Sprint("live again after the freeze"))
+	must.Less(t, 5_000_000, f.waitFor(6_000_000, func() bool { return f.live(frozen, frozen.m.self) == len(f.procs)-1 }), must.Sprint("after a freeze, the process must become live for all others in time"))
 }
 
 func TestIsolatedProcessIsUnreachableInBothDirections(t *testing.T) {
@@ -136,10 +136,10 @@
 	requestsAfterNoticeFrom := func(ch uint64) int {
 		return len(r.feed(kernel.Received{Conn: ch, Data: wire.Seal(wire.KindNotice, 0, &n)}).Sends)
 	}
-	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("an unknown entry is requested"))
-	must.Eq(t, 0, requestsAfterNoticeFrom(8), must.Sprint("no second request while the first is in flight"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("an unknown entry must be requested"))
+	must.Eq(t, 0, requestsAfterNoticeFrom(8), must.Sprint("no second request may be sent while the first is in flight"))
 	r.now += EntryRequestTimeout
-	must.Eq(t, 1, requestsAfterNoticeFrom(8), must.Sprint("requested from another peer after the time-out"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(8), must.Sprint("the entry must be requested from another peer after the time-out"))
 	n.Count = 4
-	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("a newer entry of the same id is requested separately"))
+	must.Eq(t, 1, requestsAfterNoticeFrom(7), must.Sprint("a newer entry of the same id must be requested separately"))
 }
--- a/cluster/mesh/flood.go
+++ b/cluster/mesh/flood.go
@@ -7,11 +7,11 @@
 	"wallport/runtime/wire"
 )
 
-// deliveryPath identifies the mechanism by which an entry was sent. It is the message id in the
+// deliveryPath identifies the mechanism by which an entry was sent. It is sent as the message id in the
 // frame's envelope.
 //
-// A process floods an entry that it received by anti-entropy only if it was in sync before. If it
-// has just joined, its neighbours already have the entry.
+// A process floods an entry that it received by anti-entropy only if it was in sync before. A process
+// that has not yet been in sync has just started or thawed, and its neighbours already have the entry.
 type deliveryPath uint64
 
 const (
@@ -121,8 +121,9 @@
 
 // checkOrigin reports whether the signer may announce an entry, and counts the entry as dropped if not.
 // A process may announce a description and links only for itself, and a received entry must not carry
-// this process's own key. Entries of a forgotten origin are dropped until a higher heartbeat, a link or a
-// connection shows that the origin is running again: a peer that has not forgotten it yet must not restore it.
+// this process's own key. Entries of a forgotten origin are dropped until a higher heartbeat count, a
+// link or a connection shows that the origin is running again. Otherwise a peer that has not forgotten
+// the origin yet would restore it.
 func (m *Mesh) checkOrigin(ctx *kernel.Context, entry *wire.Entry, fp string) bool {
 	if fp == m.self || (entry.Type == EntryMember || entry.Type == EntryLinks) && entry.ID != fp {
 		ctx.Counts.Add("mesh_dropped_origin", 1)
@@ -146,7 +147,8 @@
 	return m.store.putVersion(entry)
 }
 
-// observeEntry updates the mesh's own state from an entry that was stored.
+// observeEntry updates the mesh's own state from a stored entry: the pending request for the entry, the
+// origin's links and the origin's description.
 func (m *Mesh) observeEntry(ctx *kernel.Context, origin *originState, entry *wire.Entry) {
 	if len(entry.Body) > NoticeThreshold {
 		n := noticeOf(entry)
@@ -173,15 +175,16 @@
 	}
 }
 
-// dropMalformed closes the connection to a peer that sent a frame that cannot be decoded.
+// dropMalformed counts and logs a frame that cannot be decoded, and closes the connection to the peer
+// that sent it.
 func (m *Mesh) dropMalformed(ctx *kernel.Context, peer *peerConn, frame string) {
 	ctx.Counts.Add("mesh_dropped_malformed", 1)
 	ctx.Log(kernel.LevelWarn, "mesh_malformed", "frame", frame, "peer", peer.key)
 	ctx.Drop(peer.conn)
 }
 
-// flood sends an entry, or a notice of a large one, to all peers except the one on the connection
-// named by except; 0 excludes none.
+// flood sends an entry, or a notice of a large entry, to all peers except the one on the connection with
+// the id except; 0 excludes no peer.
 func (m *Mesh) flood(ctx *kernel.Context, entry *wire.Entry, except uint64) {
 	if entry.Hops+1 > MaxHops {
 		return
--- a/cluster/mesh/golden_test.go
+++ b/cluster/mesh/golden_test.go
@@ -29,7 +29,7 @@
 }
 
 // Anti-entropy compares sums of these hashes, so processes of different releases must compute the same
-// ones.
+// hashes.
 func TestEntrySumsMatchEarlierReleases(t *testing.T) {
 	must.Eq(t, uint64(17336033463086723998), entryHash(newEntry(key(2), EntryHealthReport, "s1", 9)))
 	must.Eq(t, uint64(3932436095915900766), hash("0011223344556677"))
--- a/cluster/mesh/heartbeat.go
+++ b/cluster/mesh/heartbeat.go
@@ -17,7 +17,8 @@
 	for _, id := range sortedKeys(m.peers) {
 		peer := m.peers[id]
 		if peer == nil {
-			// An earlier call of losePeer closed this connection: it may also close others than its own.
+			// The loss of another peer has closed this connection: losePeer maintains the overlay, which
+			// may close a surplus connection.
 			continue
 		}
 		silence := ctx.Now - peer.lastSeen
@@ -63,8 +64,8 @@
 	}
 }
 
-// handleHeartbeat handles a peer's heartbeat. A heartbeat without a digest is of release 1 and carries
-// the summaries of all origins.
+// handleHeartbeat handles a peer's heartbeat. A heartbeat without a digest comes from a process of
+// release 1 and carries the summaries of all origins.
 func (m *Mesh) handleHeartbeat(ctx *kernel.Context, peer *peerConn, hb *wire.Heartbeat) {
 	for _, a := range hb.Addrs {
 		m.addAddr(a)
@@ -80,8 +81,8 @@
 	complete.Scope, complete.Echo = allBuckets, false
 	m.handleSummaries(ctx, peer, &complete)
 	if hb.Echo {
-		// This is sent after the missing entries on the same connection, so a peer that receives it has
-		// received all of them.
+		// The reply is sent after the missing entries on the same connection, so a peer that has
+		// received the reply has received all of these entries.
 		ctx.Send(peer.conn, wire.KindHeartbeat, 0, m.legacyHeartbeat())
 	}
 }
--- a/cluster/mesh/heartbeat_test.go
+++ b/cluster/mesh/heartbeat_test.go
@@ -22,7 +22,7 @@
 	r := newRig(t)
 	dead := kernel.Fingerprint(key(3).Public)
 	r.receiveSummary(summary(key(3), 4))
-	must.False(t, r.m.Live(dead, r.now), must.Sprint("a relayed count alone does not prove that the origin still runs"))
+	must.False(t, r.m.Live(dead, r.now), must.Sprint("a relayed count alone must not make the origin live"))
 	r.receiveSummary(summary(key(3), 5))
 	must.True(t, r.m.Live(dead, r.now))
 	r.now += LivenessTimeout + 1
@@ -43,7 +43,7 @@
 	}
 	must.Eq(t, 3, r.count("mesh_dropped_beat"))
 	r.receiveSummary(summary(key(3), 6))
-	must.True(t, r.m.Live(dead, r.now), must.Sprint("the origin's own next heartbeat"))
+	must.True(t, r.m.Live(dead, r.now), must.Sprint("the origin's own next heartbeat must make it live again"))
 }
 
 func TestUnsignedHeartbeatsAcceptedOnlyDuringUpgrade(t *testing.T) {
--- a/cluster/mesh/large_test.go
+++ b/cluster/mesh/large_test.go
@@ -11,8 +11,8 @@
 	"wallport/runtime/wire"
 )
 
-// linkDelay returns how long a frame waits until the link of its process has sent it and the frames
-// before it.
+// linkDelay returns the time until the link of the sending process has transmitted a frame of the given
+// size and all frames before it.
 func (f *fleet) linkDelay(p *process, size int) clock.Micros {
 	if f.bytesPerSecond == 0 {
 		return 0
@@ -34,7 +34,7 @@
 	return n
 }
 
-// converged reports whether every process reaches every other.
+// converged reports whether every running process reaches all processes of the fleet.
 func (f *fleet) converged() bool {
 	for _, p := range f.procs {
 		if p.up && p.k.Counts.Of("mesh_reached").Load() < int64(len(f.procs)) {
@@ -62,7 +62,7 @@
 	before := f.bytesIn()
 	f.commit(f.procs[0], wire.Versioned{Version: at, Body: make([]byte, size)})
 	took := f.waitFor(60_000_000, func() bool {
-		must.True(t, f.converged(), must.Sprint("every process stays reachable during the transfer"))
+		must.True(t, f.converged(), must.Sprint("every process must stay reachable during the transfer"))
 		return f.processesAt(at) == processes
 	})
 	copies := float64(f.bytesIn()-before) / size
--- a/cluster/mesh/legacy.go
+++ b/cluster/mesh/legacy.go
@@ -41,7 +41,8 @@
 }
 
 // applySignedHeartbeat stores the heartbeat count of an origin if it is higher than the stored one and
-// its signature is valid. from is the peer that sent the count, for itself or on behalf of the origin.
+// its signature is valid. from is the fingerprint of the peer that sent the count: the origin itself or
+// a peer that relays the count.
 func (m *Mesh) applySignedHeartbeat(ctx *kernel.Context, from string, summary wire.OriginSummary) {
 	if summary.Origin == m.self || summary.Heartbeat == 0 {
 		return
--- a/cluster/mesh/links.go
+++ b/cluster/mesh/links.go
@@ -10,21 +10,22 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of links.
+// Times and bounds of links and their announcements.
 const (
 	// LinkGracePeriod is how long a link remains after its connection is closed, since the connection
 	// may be reopened.
 	LinkGracePeriod = 700 * clock.Millisecond
 	// LinkBatchDelay is how long the announcement of a new link is delayed, to batch it with others.
 	LinkBatchDelay = 100 * clock.Millisecond
-	// LinkAnnounceInterval is the least time from an announcement to the next one of new links,
-	// LossAnnounceInterval the least time to the next one of a lost link.
+	// LinkAnnounceInterval is the least time between an announcement and a later one that only adds
+	// links, LossAnnounceInterval the least time between an announcement and a later one that reports a
+	// lost link or must repeat the links, for example to refute a suspicion.
 	LinkAnnounceInterval = 1 * clock.Second
 	LossAnnounceInterval = 100 * clock.Millisecond
-	// MaxLostLinks bounds the lost links in one announcement.
+	// MaxLostLinks bounds the suspected peers in one announcement.
 	MaxLostLinks = 64
 
-	// fingerprintBytes is the length of a fingerprint in an entry.
+	// fingerprintBytes is the length of a fingerprint in an entry, in bytes.
 	fingerprintBytes = 8
 	// lostSeparator separates the current from the lost peers in linkState.announced.
 	lostSeparator = "|"
@@ -50,8 +51,8 @@
 }
 
 // directPeers returns the sorted fingerprints of the peers from which a message arrived within
-// LivenessTimeout, including those of connections closed within LinkGracePeriod. It suspects the
-// peers of closed connections for which either period has passed.
+// LivenessTimeout, including those of connections closed within LinkGracePeriod. Once either period has
+// passed for a closed connection, directPeers marks its peer as suspected.
 func (m *Mesh) directPeers(ctx *kernel.Context) []string {
 	var out []string
 	open := map[string]bool{}
@@ -84,7 +85,7 @@
 	}
 }
 
-// updateLinks evaluates this process's links and announces them if they changed.
+// updateLinks recomputes this process's links and announces them if they changed.
 func (m *Mesh) updateLinks(ctx *kernel.Context) {
 	was := m.links.current
 	m.links.current = m.directPeers(ctx)
@@ -185,8 +186,8 @@
 	m.scheduleReach(ctx)
 }
 
-// handleSuspicion handles the suspicion of a process that another process announced. If this process
-// is the suspect, it refutes the suspicion by announcing its links again with a new count.
+// handleSuspicion handles a suspicion that another process announced. If this process is the suspect, it
+// refutes the suspicion by announcing its links again with a new count.
 func (m *Mesh) handleSuspicion(ctx *kernel.Context, s wire.Suspect) {
 	if s.Origin == m.self {
 		if s.Count >= m.count {
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -9,9 +9,9 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of the protocol. docs/mesh.md gives the reasons for their values.
+// Times and bounds of the mesh protocol. docs/mesh.md gives the reasons for their values.
 const (
-	// MaxHops bounds the hops of an entry.
+	// MaxHops bounds the number of hops over which an entry is forwarded.
 	MaxHops = 16
 	// MaxPeers bounds the open mesh connections of a process.
 	MaxPeers = 15
@@ -24,7 +24,7 @@
 	PeerTimeout = 4 * clock.Second
 	// ForgetAfter is how long an origin must be unreachable before its entries are dropped.
 	ForgetAfter = 30 * clock.Second
-	// SeedInterval is the time between two dials of every seed that is not connected.
+	// SeedInterval is how often every process dials the seeds at whose address it reaches no process.
 	SeedInterval = 30 * clock.Second
 	// MinBackoff and MaxBackoff bound the wait between two dials of one address. For a seed,
 	// MaxSeedBackoff is the upper bound.
@@ -57,8 +57,8 @@
 	timerDial      = "dial"
 )
 
-// Stored is emitted when an entry has been stored. An entry is stored only if it is newer than the
-// stored one. Local reports whether this process announced it.
+// Stored is emitted when an entry has been stored. An entry is stored only if it is newer than the one
+// that it replaces. Local reports whether this process announced it.
 type Stored struct {
 	Entry  *wire.Entry
 	Origin string
@@ -69,11 +69,12 @@
 // ForgetAfter.
 type Forgotten struct{ Origin string }
 
-// CaughtUp is emitted when a peer's digest or summaries show that this process lacks no entry of the peer.
+// CaughtUp is emitted when a peer's digest or summaries show that this process lacks no entry that the
+// peer has.
 type CaughtUp struct{}
 
-// LivenessUpdated is emitted with each heartbeat and whenever the set of reachable origins has
-// changed.
+// LivenessUpdated is emitted whenever this process has sent its heartbeats, and whenever the set of
+// reachable origins has changed.
 type LivenessUpdated struct{}
 
 // peerConn is an open mesh connection and the peer at its other end.
@@ -111,7 +112,7 @@
 	reachGeneration uint64
 	// legacy reports whether a process of release 1 was connected or reachable at the last heartbeat.
 	legacy bool
-	// inSync reports whether, at some time since its start or last thaw, this process had every entry
+	// inSync reports whether, since its start or its last thaw, this process has once had every entry
 	// that one of its peers had.
 	inSync bool
 	// changedAt is when an entry was last received or announced, and syncRequestedAt when anti-entropy last
@@ -124,7 +125,8 @@
 	syncTokensAt clock.Micros
 	// prunedAt is when a surplus connection was last closed.
 	prunedAt clock.Micros
-	// forwardedAt is when entries were last forwarded. A stopping process forwards without batching.
+	// forwardedAt is when entries were last forwarded, and forwardScheduled is set while a timer for the
+	// next batch is set. A stopping process forwards without batching.
 	forwardedAt      clock.Micros
 	forwardScheduled bool
 	stopping         bool
@@ -206,7 +208,7 @@
 }
 
 // thawed handles the end of a freeze that lasted for gap: it excludes the gap from all time-outs, and
-// requests the entries that were missed from every peer.
+// requests from every peer the entries that this process missed.
 func (m *Mesh) thawed(ctx *kernel.Context, gap clock.Micros) {
 	for _, peer := range m.peers {
 		peer.lastSeen = ctx.Now
--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -58,7 +58,7 @@
 	out := r.gossip(newEntry(key(2), EntryHealthReport, "s1", 1))
 	must.Eq(t, 1, r.storedEntries(EntryHealthReport))
 	must.Len(t, 1, out.Sends)
-	must.Eq(t, uint64(8), out.Sends[0].Conn, must.Sprint("forwarded to all but the sender"))
+	must.Eq(t, uint64(8), out.Sends[0].Conn, must.Sprint("the entry must be forwarded to all peers except its sender"))
 }
 
 func TestBadEntriesAreDroppedAndCounted(t *testing.T) {
@@ -110,7 +110,7 @@
 			out := r.gossip(entry)
 			must.Eq(t, 1, r.count(c.count))
 			must.Eq(t, before, r.storedEntries(EntryHealthReport))
-			must.SliceEmpty(t, out.Sends, must.Sprint("not forwarded"))
+			must.SliceEmpty(t, out.Sends, must.Sprint("a dropped entry must not be forwarded"))
 		})
 	}
 }
@@ -156,10 +156,10 @@
 		return len(out.Sends)
 	}
 	origin := r.m.store.origins[fp]
-	must.Eq(t, 0, entriesSentFor(3, origin.sum), must.Sprint("equal sums: nothing is sent"))
-	must.Eq(t, 1, entriesSentFor(2, origin.sum+1), must.Sprint("the peer's count is lower: the entries above it are sent"))
-	must.Eq(t, 3, entriesSentFor(3, origin.sum+1), must.Sprint("equal counts, different sums: all entries are sent"))
-	must.Eq(t, 0, entriesSentFor(9, 0), must.Sprint("the peer's count is higher: nothing is sent"))
+	must.Eq(t, 0, entriesSentFor(3, origin.sum), must.Sprint("if the sums are equal, no entry must be sent"))
+	must.Eq(t, 1, entriesSentFor(2, origin.sum+1), must.Sprint("if the peer's count is lower, the entries above it must be sent"))
+	must.Eq(t, 3, entriesSentFor(3, origin.sum+1), must.Sprint("if the counts are equal and the sums differ, all entries must be sent"))
+	must.Eq(t, 0, entriesSentFor(9, 0), must.Sprint("if the peer's count is higher, no entry must be sent"))
 }
 
 func TestForgottenOriginIsNotRestoredByStalePeer(t *testing.T) {
@@ -180,7 +180,7 @@
 	must.False(t, r.m.Live(fp, r.now))
 	heartbeat(6)
 	r.gossip(newEntry(key(3), EntryHealthReport, "s1", 3))
-	must.Eq(t, 1, r.storedEntries(EntryHealthReport), must.Sprint("a higher heartbeat count restores the origin"))
+	must.Eq(t, 1, r.storedEntries(EntryHealthReport), must.Sprint("a higher heartbeat count must restore the origin"))
 }
 
 func TestMaxPeersEvictsLeastRecentlySeen(t *testing.T) {
@@ -199,7 +199,7 @@
 	out := r.feed(kernel.ConnUp{Conn: 9, Addr: "self", Peer: r.m.self, Dialed: true, Mesh: true})
 	must.Eq(t, []uint64{9}, out.Drops)
 	out = r.feed(kernel.ConnUp{Conn: 10, Addr: "10.0.0.2:1", Peer: kernel.Fingerprint(key(2).Public), Dialed: true, Mesh: true})
-	must.Len(t, 1, out.Drops, must.Sprint("one of two connections to the same peer is closed"))
+	must.Len(t, 1, out.Drops, must.Sprint("one of two connections to the same peer must be closed"))
 	must.Eq(t, 1, r.m.Peers())
 }
 
--- a/cluster/mesh/net_test.go
+++ b/cluster/mesh/net_test.go
@@ -72,7 +72,7 @@
 	linkFreeAt int64
 }
 
-// connEnd is the other end of a connection.
+// connEnd is the other end of a connection: its process, and the id of the connection in that process.
 type connEnd struct {
 	p     *process
 	other uint64
@@ -237,7 +237,7 @@
 }
 
 // waitFor runs the fleet until ok holds, and returns how long that took in microseconds. It fails the
-// test if that takes longer than most.
+// test if ok still does not hold after the time limit most.
 func (f *fleet) waitFor(most clock.Micros, ok func() bool) clock.Micros {
 	f.t.Helper()
 	began := f.now
--- a/cluster/mesh/notice.go
+++ b/cluster/mesh/notice.go
@@ -6,7 +6,7 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of large entries.
+// Sizes, times and bounds of notices and of requests for large entries.
 const (
 	// NoticeThreshold is the size of a body, in bytes, beyond which a notice is flooded instead of
 	// the entry.
@@ -14,7 +14,8 @@
 	// EntryRequestTimeout is how long a peer has to send a requested entry before the entry may be
 	// requested from another peer.
 	EntryRequestTimeout = 400 * clock.Millisecond
-	// MaxEntryRequests bounds the recorded requests.
+	// MaxEntryRequests bounds the requests that a process remembers. It forgets all of them when the
+	// bound is reached.
 	MaxEntryRequests = 256
 	// MaxLargeSends is the number of destinations to which a process sends large messages at the same
 	// time. It ignores requests for large entries beyond that, since other neighbours of the requester
@@ -48,7 +49,8 @@
 	return wire.Notice{Type: entry.Type, ID: entry.ID, Origin: kernel.Fingerprint(entry.Origin), Count: entry.Count}
 }
 
-// handleNotice requests an entry that this process lacks, or sends one that a peer requests.
+// handleNotice handles a notice: it requests the entry if this process lacks it or, if the notice is a
+// peer's request, sends the entry.
 func (m *Mesh) handleNotice(ctx *kernel.Context, peer *peerConn, n wire.Notice) {
 	entry := m.lookup(n)
 	if n.Want {
@@ -74,7 +76,8 @@
 	ctx.Send(peer.conn, wire.KindNotice, 0, &n)
 }
 
-// lookup returns the stored entry that a notice identifies, or a newer one; nil if there is none.
+// lookup returns the stored entry that a notice identifies, or a newer stored entry of the same id or
+// partition. It returns nil if there is neither.
 func (m *Mesh) lookup(n wire.Notice) *wire.Entry {
 	if n.Type == EntryPartition {
 		if entry := m.store.partitions[n.Version.Partition]; entry != nil && !Newer(n.Version, entry.Version) {
--- a/cluster/mesh/outbox.go
+++ b/cluster/mesh/outbox.go
@@ -13,7 +13,8 @@
 const ForwardInterval = 20 * clock.Millisecond
 
 // outbox holds the entries that wait to be forwarded to one peer, by their key in the seen-set. keys
-// is their order; it may contain keys that are no longer waiting.
+// lists the keys in the order in which they were added; it may contain keys of entries that are no
+// longer waiting.
 type outbox struct {
 	keys    []uint64
 	waiting map[uint64]*wire.Entry
@@ -36,7 +37,7 @@
 	return ok
 }
 
-// forward sends an entry to all peers except the one on the connection named by except, either
+// forward sends an entry to all peers except the one on the connection with the id except, either
 // immediately or with the next batch.
 func (m *Mesh) forward(ctx *kernel.Context, entry *wire.Entry, except uint64) {
 	now := m.stopping || ctx.Now-m.forwardedAt >= ForwardInterval
--- a/cluster/mesh/outbox_test.go
+++ b/cluster/mesh/outbox_test.go
@@ -14,7 +14,7 @@
 	secondPeer uint64 = 8
 )
 
-// newTwoPeerRig returns a mesh with two peers that has just forwarded an entry.
+// newTwoPeerRig returns a mesh that has two peers and has just forwarded an entry.
 func newTwoPeerRig(t testing.TB) *rig {
 	t.Helper()
 	r := newRig(t)
@@ -37,14 +37,14 @@
 	second, third := newEntry(key(2), EntryHealthReport, "second", 2), newEntry(key(2), EntryHealthReport, "third", 3)
 	out := r.gossip(second)
 	must.SliceEmpty(t, out.Sends)
-	must.Len(t, 1, out.Timers, must.Sprint("one timer for the batch"))
+	must.Len(t, 1, out.Timers, must.Sprint("one timer must be set for the batch"))
 	must.SliceEmpty(t, r.gossip(third).Timers)
 	sends := r.forwardTick().Sends
 	must.Len(t, 2, sends)
 	for _, s := range sends {
 		must.Eq(t, secondPeer, s.Conn)
 	}
-	must.SliceEmpty(t, r.forwardTick().Sends, must.Sprint("each entry is forwarded once"))
+	must.SliceEmpty(t, r.forwardTick().Sends, must.Sprint("each entry must be forwarded only once"))
 }
 
 func TestEntryIsNotForwardedToAPeerThatSentIt(t *testing.T) {
@@ -80,7 +80,7 @@
 	changed := *entry
 	changed.Body = []byte("y")
 	_, ok := r.m.seen.entryOfFrame(r.m.seen.frameHash(wire.Encode(&changed)), r.now)
-	must.False(t, ok, must.Sprint("a frame with another body has another hash"))
+	must.False(t, ok, must.Sprint("a frame with another body must have another hash"))
 }
 
 func TestFrameHashesExpireWithTheirEntries(t *testing.T) {
@@ -95,8 +95,9 @@
 	must.MapEmpty(t, s.frames)
 }
 
-// Guards against sending most duplicates in a burst of entries from all processes of a fleet, such as
-// when a configuration takes effect. Batching lets a process skip the peers that sent the entry first.
+// Guards against a flood of duplicates when all processes of a fleet announce entries in a burst, for
+// example when a configuration takes effect. Batching lets a process skip the peers that have sent the
+// entry in the meantime.
 func TestBurstOfAllProcessesSendsFewDuplicates(t *testing.T) {
 	const processes, entries = 32, 5
 	f := convergedFleet(t, processes, 4, 6)
@@ -116,7 +117,7 @@
 		after += p.frames
 		must.Eq(t, processes, int64(len(p.m.store.origins)))
 		for _, origin := range p.m.store.origins {
-			must.MapLen(t, 1+1+entries, origin.entries, must.Sprint("every process has all entries of every origin"))
+			must.MapLen(t, 1+1+entries, origin.entries, must.Sprint("every process must have all entries of every origin"))
 		}
 	}
 	copies := float64(after-before) / (processes * processes * entries)
--- a/cluster/mesh/overlay.go
+++ b/cluster/mesh/overlay.go
@@ -8,10 +8,10 @@
 	"wallport/runtime/kernel"
 )
 
-// Constants of the overlay.
+// Numbers of connections that a process maintains, and times between changes of the overlay.
 const (
-	// MinPeers is the number of connections that a process tries to maintain, MinZonePeers the number
-	// of them within its zone.
+	// MinPeers is the least number of connections that a process tries to maintain, MinZonePeers the
+	// least number of them within its zone.
 	MinPeers     = 4
 	MinZonePeers = 3
 	// SoftMaxPeers is the number of connections up to which a process dials further processes of its
@@ -19,10 +19,10 @@
 	SoftMaxPeers = 7
 	// Bridges is the number of processes of a zone that maintain a connection to each of the other zones.
 	Bridges = 2
-	// BridgeDelay is how long after its start a process that has a connection dials no bridges: until
-	// it knows the other processes of its zone, it ranks itself first among them.
+	// BridgeDelay is how long after its start a process that has a connection dials no bridges to other
+	// zones. Until it knows the other processes of its own zone, it would rank itself first among them.
 	BridgeDelay = 3 * clock.Second
-	// LostDialers is the number of processes that dial an address of a process that is not reached.
+	// LostDialers is how many processes dial the same address when the process there is not reached.
 	LostDialers = 3
 	// PruneInterval is the least time between closing two surplus connections, MinPeerAge the least
 	// age of a connection that is closed as surplus.
@@ -96,8 +96,8 @@
 	return view
 }
 
-// ranksAmong reports whether this process ranks among the first most processes in the rendezvous
-// order for a topic, of the set that consists of itself and the given ones.
+// ranksAmong ranks this process and the given ones in the rendezvous order for a topic. It reports
+// whether the number of processes that rank before this one is below the limit most.
 func (m *Mesh) ranksAmong(of []*originState, topic uint64, most int) bool {
 	own, above := mix(hash(m.self)^topic), 0
 	for _, origin := range of {
@@ -131,7 +131,7 @@
 	m.pruneLinks(ctx, view, linksByZone)
 }
 
-// countLinks counts the connections that are open or being dialled, by zone and in all.
+// countLinks counts the connections that are open or being dialled, by zone and in total.
 func (m *Mesh) countLinks(view fleetView) (byZone map[string]int, total int) {
 	byZone = map[string]int{}
 	for _, peer := range m.peers {
@@ -159,8 +159,9 @@
 	return peer.zone
 }
 
-// dialOne dials a process of a set: the one with the fewest links among up to dialCandidates processes
-// that may be dialled, counted from a random position. It reports whether it dialled.
+// dialOne dials one process of a set. Starting at a random position, it considers up to dialCandidates
+// processes that may be dialled, and chooses the one with the fewest links. It reports whether it
+// dialled.
 func (m *Mesh) dialOne(ctx *kernel.Context, of []*originState) bool {
 	var best *originState
 	from := ctx.Rand.IntN(max(1, len(of)))
@@ -209,7 +210,7 @@
 
 // dialSeeds dials the seeds at whose address no process is reached. LostDialers processes do so at each
 // call, and every process does so once per SeedInterval: a process that restarts at a seed's address,
-// perhaps with an empty disk, must connect to this fleet before it bootstraps another one.
+// perhaps with an empty disk, must connect to this fleet before it bootstraps another fleet.
 func (m *Mesh) dialSeeds(ctx *kernel.Context, view fleetView) {
 	all := ctx.Now-m.lastSeed >= SeedInterval || len(m.peers) == 0
 	if all {
@@ -225,8 +226,8 @@
 	}
 }
 
-// dialLost dials one of the processes that are known but not reached. It may be on the other side of a
-// network partition that has healed.
+// dialLost dials one of the processes that are known but not reached. Such a process may be on the other
+// side of a network partition that has healed.
 func (m *Mesh) dialLost(ctx *kernel.Context, view fleetView) {
 	from := ctx.Rand.IntN(max(1, len(view.lost)))
 	for i := range view.lost {
--- a/cluster/mesh/peers.go
+++ b/cluster/mesh/peers.go
@@ -28,8 +28,8 @@
 	m.dials[addr] = &dialState{backoff: MinBackoff}
 }
 
-// forgetAddr drops a known address to make room for another one. It chooses the one with the most
-// failed dials that is neither connected, nor being dialled, nor a seed.
+// forgetAddr drops a known address to make room for another one. Among the addresses that are neither
+// connected, nor being dialled, nor seeds, it chooses the one with the most failed dials in a row.
 func (m *Mesh) forgetAddr() {
 	for _, a := range slices.SortedFunc(maps.Keys(m.dials), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m.dials[b].failures, m.dials[a].failures), cmp.Compare(a, b))
@@ -41,12 +41,12 @@
 	}
 }
 
-// Numbers of addresses that a message carries in addition to the sender's own.
+// Numbers of addresses that a message carries in addition to the sender's own address.
 const (
 	// heartbeatAddrs is the number in a periodic heartbeat.
 	heartbeatAddrs = 2
-	// greetingAddrs is the number in an anti-entropy request, which is also the first message on a
-	// dialled connection, and in the last message before a surplus connection is closed.
+	// greetingAddrs is the number in an anti-entropy request and in the last message before a surplus
+	// connection is closed. An anti-entropy request is also the first message on a dialled connection.
 	greetingAddrs = 12
 )
 
@@ -190,8 +190,8 @@
 	m.maintainLinks(ctx)
 }
 
-// closePeer closes a surplus connection. Its last heartbeat carries addresses that the peer can dial
-// instead.
+// closePeer closes a surplus connection. The last heartbeat on it carries addresses that the peer can
+// dial instead.
 func (m *Mesh) closePeer(ctx *kernel.Context, peer *peerConn) {
 	delete(m.peers, peer.conn)
 	ctx.Log(kernel.LevelDebug, "mesh_peer_left", "peer", peer.key, "addr", peer.addr, "peers", len(m.peers))
--- a/cluster/mesh/reachability.go
+++ b/cluster/mesh/reachability.go
@@ -8,12 +8,13 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of reachability.
+// Times and bounds of the evaluation of reachability.
 const (
-	// ReachDelay is how long the evaluation of received links is delayed, to include others that
-	// follow.
+	// ReachDelay is how long the evaluation of reachability is delayed after links were received, so
+	// that it includes links that arrive shortly afterwards.
 	ReachDelay = 20 * clock.Millisecond
-	// ReachInterval is the least time from an evaluation to the next one that received links cause.
+	// ReachInterval is the least time between an evaluation and the next one that is caused by received
+	// links.
 	ReachInterval = 60 * clock.Millisecond
 	// SuspicionTimeout is how long a suspect has to refute the suspicion.
 	SuspicionTimeout = 1 * clock.Second
@@ -50,9 +51,9 @@
 	}
 }
 
-// updateReachability determines the reached origins by a breadth-first search of the graph of links
-// from this process. This process's own links always count; any other link counts if both ends announce
-// it and it does not lead to a suspect that has not refuted the suspicion in time.
+// updateReachability determines the reached origins by a breadth-first search of the graph of links from
+// this process. This process's own links always count. Any other link counts only if both of its ends
+// announce it and the process that it leads to has no expired suspicion.
 func (m *Mesh) updateReachability(ctx *kernel.Context) {
 	m.lastReach = ctx.Now
 	m.reachGeneration++
--- a/cluster/mesh/seeds_test.go
+++ b/cluster/mesh/seeds_test.go
@@ -18,9 +18,9 @@
 	r.feed(kernel.ConnDown{Addr: "10.0.0.9:1", Mesh: true})
 	r.now += MinBackoff * 2
 	out = r.feed(kernel.Tick{Plugin: pluginName, Key: timerHeartbeat})
-	must.SliceContains(t, out.Dials, "10.0.0.8:1", must.Sprint("a seed that could not be reached is dialled again"))
+	must.SliceContains(t, out.Dials, "10.0.0.8:1", must.Sprint("a seed that could not be reached must be dialled again"))
 	out = r.feed(kernel.SeedsChanged{Seeds: []string{"10.0.0.9:1"}})
-	must.False(t, slices.Contains(out.Dials, "10.0.0.8:1"), must.Sprint("a former seed with a dial in flight is not dialled again"))
+	must.False(t, slices.Contains(out.Dials, "10.0.0.8:1"), must.Sprint("a former seed with a dial in flight must not be dialled again"))
 }
 
 func TestChangedSeedsReplaceKnownAddresses(t *testing.T) {
--- a/cluster/mesh/seen.go
+++ b/cluster/mesh/seen.go
@@ -16,8 +16,8 @@
 	oldestFirst []uint64
 	seed        maphash.Seed
 	frames      map[uint64]uint64
-	// framesOf maps the key of an entry to its frame hash: the latest, if the entry was signed more
-	// than once.
+	// framesOf maps the key of an entry to the hash of its frame, or of the latest of its frames if the
+	// entry was signed more than once.
 	framesOf map[uint64]uint64
 }
 
--- a/cluster/mesh/store.go
+++ b/cluster/mesh/store.go
@@ -17,8 +17,8 @@
 	MaxEntries = 4096
 	// TombstoneTTL is how long the tombstone of a withdrawn entry is kept.
 	TombstoneTTL = 60 * clock.Second
-	// sameCauseWindow is the time within which two origins must be forgotten to count as forgotten for
-	// the same cause.
+	// Two origins that are forgotten less than sameCauseWindow apart are assumed to have been separated
+	// by the same network partition.
 	sameCauseWindow = 3 * clock.Second
 )
 
@@ -27,17 +27,19 @@
 	// fingerprint is the fingerprint of the origin's key. hash is a hash of it, which selects the bucket.
 	fingerprint string
 	hash        uint64
-	// maxCount is the highest count of its entries. sum is the XOR of the hashes of those that are not
-	// withdrawn.
+	// maxCount is the highest count of the origin's entries. sum is the XOR of the hashes of its entries
+	// that are not withdrawn.
 	maxCount uint64
 	sum      uint64
-	// heartbeat is the origin's newest heartbeat count, heartbeatAt when it was received, and key and sig
-	// prove it. Only processes of release 1 rely on it; see legacy.go.
+	// heartbeat is the origin's newest heartbeat count and heartbeatAt when it was received; key and sig
+	// are the public key and the signature that prove it. Only processes of release 1 rely on it; see
+	// legacy.go.
 	heartbeat   uint64
 	heartbeatAt clock.Micros
 	key         []byte
 	sig         []byte
-	// tokens is how many entries OriginRate allows now, as of tokensAt.
+	// tokens is the content of the origin's token bucket at tokensAt. It is refilled at OriginRate, and
+	// each accepted entry takes one token.
 	tokens   float64
 	tokensAt clock.Micros
 	// entries maps each entryKey to the newest entry. tombstones lists the withdrawn entries, oldest
@@ -54,14 +56,15 @@
 	withdrawnAt clock.Micros
 }
 
-// store holds the newest entry of each id and origin, the newest version of each partition, and the
-// sums by which two stores are compared. Its size is bounded.
+// store holds the newest entry of each type, id and origin, the newest version of each partition, and
+// the sums by which two stores are compared. Its size is bounded.
 type store struct {
 	origins    map[string]*originState
 	partitions map[int]*wire.Entry
 	forgotten  map[string]forgottenOrigin
-	// buckets holds the sums of the origins, combined by the hash of their fingerprint. versionsHash
-	// is the XOR of the hashes of the partitions' versions.
+	// buckets holds, for each bucket, the XOR of bucketSum over its origins; an origin's bucket follows
+	// from the hash of its fingerprint. versionsHash is the XOR of the hashes of the partitions'
+	// versions.
 	buckets      [DigestBuckets]uint64
 	versionsHash uint64
 }
@@ -149,7 +152,8 @@
 	origin.sum = sum
 }
 
-// bucketSum returns the origin's contribution to its bucket: 0 if it has no entries.
+// bucketSum returns the origin's contribution to its bucket: 0 if the origin's sum is 0, as it is
+// without entries.
 func (o *originState) bucketSum() uint64 { return mix(o.hash^o.sum) * nonzero(o.sum) }
 
 func nonzero(x uint64) uint64 { return min(x, 1) }
@@ -184,9 +188,9 @@
 	delete(s.origins, fp)
 }
 
-// restore deletes the record of a forgotten origin that is running again, and of those that were
-// forgotten within sameCauseWindow of it, since the same network partition separated them. It reports
-// whether the origin had been forgotten.
+// restore deletes the record of a forgotten origin that is running again. It also deletes the records of
+// the origins that were forgotten within sameCauseWindow of it, since the same network partition
+// probably separated them. It reports whether the origin had been forgotten.
 func (s *store) restore(fp string) bool {
 	g, ok := s.forgotten[fp]
 	if !ok {
