--- a/runtime/wire/bodies.go
+++ b/runtime/wire/bodies.go
@@ -2,7 +2,7 @@
 
 // The bodies of the mesh's entries.
 
-// Member is the description of itself that a process announces.
+// Member describes the process that announces it.
 type Member struct {
 	Name string `msg:"n"`
 	// Role is "node" or "core".
@@ -27,7 +27,7 @@
 	Mesh int `msg:"v,omitempty"`
 }
 
-// Backend is one backend as the platform lists it. The JSON form is that of a list file.
+// Backend is one backend as the platform lists it. Its JSON form is used in files that contain a list of backends.
 type Backend struct {
 	ID          string `msg:"i" json:"id"`
 	Addr        string `msg:"a" json:"addr"`
@@ -45,7 +45,7 @@
 	WarmUpRemaining int64 `msg:"w,omitempty" json:"cold_us,omitempty"`
 }
 
-// BackendList is the platform's list of backends as read once.
+// BackendList is the platform's list of backends, as returned by one reading.
 type BackendList struct {
 	Backends []Backend `msg:"s" json:"servers"`
 	// LeaseID is the lease under which the list was read. It is the fencing token of the discovery task.
@@ -95,7 +95,7 @@
 	// Sum is a digest of the request, and Base the revision that it was based on.
 	Sum  uint64 `msg:"s"`
 	Base int64  `msg:"b"`
-	// Version is the version that applied it.
+	// Version is the version that applied the routing table.
 	Version Version `msg:"t"`
 }
 
@@ -121,7 +121,7 @@
 	LegacyEdits []LegacyEdit `msg:"r,omitempty"`
 }
 
-// ShardMap is the set of shards that an index is served from, and the next one while the index is resharded.
+// ShardMap is the set of shards that an index is served from, and the next set while the index is resharded.
 type ShardMap struct {
 	Name       string `msg:"n"`
 	Shards     int    `msg:"s"`
--- a/runtime/wire/calls.go
+++ b/runtime/wire/calls.go
@@ -16,10 +16,11 @@
 	// Partial reports whether newer versions were omitted because they are already being sent or are too
 	// large for one reply.
 	Partial bool `msg:"pa,omitempty"`
-	// ContactMask has a bit for each partition of which the sender itself is in contact with a majority and
-	// the receiver now has everything that was acknowledged before that contact.
+	// ContactMask has a bit for each partition for which two conditions hold: the sender itself is in contact
+	// with a majority, and the receiver now has everything that was acknowledged before that contact.
 	ContactMask uint32 `msg:"c,omitempty"`
-	// RelayedMask has a bit for each partition for which another core recently reported this to the sender.
+	// RelayedMask has a bit for each partition for which another core recently reported such a contact to the
+	// sender.
 	RelayedMask uint32 `msg:"r,omitempty"`
 }
 
@@ -34,15 +35,15 @@
 //msgp:shim Code as:string using:string/Code
 //msgp:ignore Code
 
-// Edit is an operator's change, or a read, for a partition's leader.
+// Edit asks a partition's leader to apply an operator's change to the partition, or to read the partition.
 type Edit struct {
 	Partition int `msg:"p"`
 	// EditID makes the edit idempotent: a repeated edit with the same id gets the reply to the first one.
 	EditID string `msg:"e"`
-	// Op is one of the operations, and Name its target: a zone, an index or a version.
+	// Op is one of the Op constants, and Name its target: a zone, an index or a version.
 	Op   string `msg:"o"`
 	Name string `msg:"n"`
-	// Base is the version that the edit is based on. Strict is set if the caller must state it. Only the process
+	// Base is the version that the edit is based on. Strict is set if the caller must state a base. Only the process
 	// that receives the call reads Strict: a leader checks the base of every edit, according to its operation.
 	Base   Version `msg:"b"`
 	Strict bool    `msg:"s"`
@@ -51,8 +52,9 @@
 	By string `msg:"by"`
 }
 
-// EditReply is the result of an edit, with the version that applied the edit or, otherwise, the one in force. Addr is
-// the address of the leader if the sender is not the leader, and Body the result of a read.
+// EditReply is the result of an edit. Version is the version that applied the edit or, if the edit was not applied,
+// the version in force. Addr is the address of the leader if the sender is not the leader, and Body the result of a
+// read.
 type EditReply struct {
 	Code     Code      `msg:"c"`
 	Version  Version   `msg:"s"`
--- a/runtime/wire/chunks.go
+++ b/runtime/wire/chunks.go
@@ -27,7 +27,7 @@
 }
 
 // ChunkAck acknowledges the bytes of a transfer that have arrived in order: Next is the next offset that the receiver
-// expects. 0 requests the message from its start.
+// expects. A Next of 0 requests the message from its start.
 type ChunkAck struct {
 	Transfer uint64 `msg:"t"`
 	Next     int    `msg:"x"`
--- a/runtime/wire/doc.go
+++ b/runtime/wire/doc.go
@@ -1,9 +1,9 @@
 // Package wire defines the messages that wallport's processes exchange, and the frames that carry them.
 //
-// A frame has an envelope of the wire format, the kind and an id, followed by the message, encoded as msgp. On TCP each
-// frame is preceded by its length in four big-endian bytes and has at most [MaxFrame] bytes; larger messages are sent
-// in chunks. The package also defines the bodies of the mesh's entries and of the partitions' versions, which are
-// encoded the same way and stored on disk.
+// A frame starts with an envelope, which holds the version of the wire format, the kind and an id. The message follows,
+// encoded as msgp. On TCP each frame is preceded by its length in four big-endian bytes and has at most [MaxFrame]
+// bytes; larger messages are sent in chunks. The package also defines the bodies of the mesh's entries and of the
+// partitions' versions, which are encoded the same way and stored on disk.
 //
 // The msg tags, the numbers of the kinds and the texts of codes are fixed: processes of several releases run at the
 // same time and read each other's files. The golden test compares the bytes of each message. A field may be renamed if
@@ -12,5 +12,5 @@
 // Times and durations are int64 microseconds, as everywhere in wallport. They have no named type here, since the
 // generated encoders depend on the declared types.
 //
-// Run generate.sh after a change.
+// Run generate.sh after a change to the message types.
 package wire
--- a/runtime/wire/edit_codes.go
+++ b/runtime/wire/edit_codes.go
@@ -1,6 +1,7 @@
 package wire
 
-// Operations of an Edit that only read. After a read arrives, the leader confirms it with a majority before replying.
+// Operations of an Edit that only read. The leader replies to a read only after a majority has confirmed its
+// leadership since the read arrived.
 const (
 	// OpRead returns the partition's body.
 	OpRead = "read"
@@ -46,11 +47,11 @@
 	CodeInvalid Code = "invalid"
 	// CodeConflict rejects an edit whose id was used for another edit. Nothing was changed.
 	CodeConflict Code = "conflict"
-	// CodeLostRace rejects an edit that is based on a version which is no longer in force. Nothing was changed.
+	// CodeLostRace rejects an edit whose base is a version that is no longer in force. Nothing was changed.
 	CodeLostRace Code = "lost_race"
-	// CodeOverloaded reports that certainly no leader has applied the edit, or that no leader could be read from.
+	// CodeOverloaded reports that certainly no leader has applied the edit, or that no leader could serve the read.
 	CodeOverloaded Code = "shed"
-	// CodeUnknown reports that the edit may have been applied or may still be.
+	// CodeUnknown reports that the outcome is unknown: the edit may have been applied, or may yet be applied.
 	CodeUnknown Code = "unknown"
 )
 
@@ -61,7 +62,7 @@
 	CodeNotLeader Code = "not_owner"
 	// CodeVersion is the result of OpZoneVersion.
 	CodeVersion Code = "version"
-	// CodeStale rejects a command about a zone that is bound to a version other than the one in force.
-	// Nothing was changed.
+	// CodeStale rejects a command about a zone if the command is bound to a version other than the one in
+	// force. Nothing was changed.
 	CodeStale Code = "stale"
 )
--- a/runtime/wire/edit_log.go
+++ b/runtime/wire/edit_log.go
@@ -1,8 +1,8 @@
 package wire
 
-// EditLog is stored by the replicas of a partition in addition to its body: the applied edits, so that a repeated edit
-// is recognised, and the earlier configurations. It is replicated and synced with the body, and never sent to a
-// process that only reads the body.
+// EditLog is stored by the replicas of a partition in addition to the partition's body. It holds the applied edits, so
+// that a repeated edit is recognised, and the earlier configurations. It is replicated and synced with the body, and
+// never sent to a process that only reads the body.
 type EditLog struct {
 	// RoutingEdits are the applied changes of the routing table, oldest first.
 	RoutingEdits []RoutingEdit `msg:"o,omitempty"`
@@ -12,7 +12,7 @@
 	History []PastConfig `msg:"h,omitempty"`
 	// Zones are the versions in which the last command about each zone was applied, oldest first.
 	Zones []ZoneVersion `msg:"z,omitempty"`
-	// ZoneFloor is the version of every zone that Zones does not list.
+	// ZoneFloor counts as the version of every zone that Zones does not list.
 	ZoneFloor Version `msg:"f"`
 }
 
--- a/runtime/wire/golden_test.go
+++ b/runtime/wire/golden_test.go
@@ -26,7 +26,7 @@
 	msgp.Unmarshaler
 }
 
-// framed are the messages that travel in a frame of their own kind.
+// framed are the messages that are sent as a frame of their own kind.
 var framed = []struct {
 	kind  uint8
 	label string
@@ -91,7 +91,8 @@
 	decode func([]byte, message) error
 }
 
-// encodings returns all lines in the order of the file: for each message one with all fields set and one without.
+// encodings returns all lines in the order of the file: for each message one line with all fields set and one line
+// with no field set.
 func encodings() (all []encoding) {
 	add := func(label string, empty message, encode func(message) []byte, decode func([]byte, message) error) {
 		f := &filler{}
@@ -176,7 +177,7 @@
 			decoded := newMessage(e.value)
 			must.NoError(t, e.decode(stored, decoded))
 			must.Eq(t, hex.EncodeToString(stored), hex.EncodeToString(e.encode(decoded)), must.Sprint("decoding and encoding must keep the bytes"))
-			must.Eq(t, hex.EncodeToString(stored), hex.EncodeToString(e.encode(e.value)), must.Sprint("encoding the fields must give the bytes of the golden file"))
+			must.Eq(t, hex.EncodeToString(stored), hex.EncodeToString(e.encode(e.value)), must.Sprint("encoding the fields must produce the bytes of the golden file"))
 			if strings.HasSuffix(e.label, " filled") {
 				must.True(t, reflect.DeepEqual(e.value, decoded), must.Sprintf("want %+v, got %+v", e.value, decoded))
 			}
--- a/runtime/wire/groups.go
+++ b/runtime/wire/groups.go
@@ -7,10 +7,10 @@
 	Seq       uint64 `msg:"s"`
 }
 
-// Versioned is one value of a partition, with the voters of the group that it is replicated to. PreviousVoters are
-// the voters of the version before it. Committing the version needs a majority of each set. The two sets are equal
-// unless this version changes the voters; one majority is then enough. PreviousVoters is empty in the versions of a
-// bootstrap or rebuild.
+// Versioned is one value of a partition, with the voters of the group that replicates it. PreviousVoters are the
+// voters of the previous version. Committing the version needs a majority of each of the two sets. If this version
+// does not change the voters, the sets are equal, and one majority is enough. PreviousVoters is empty in the versions
+// of a bootstrap or rebuild.
 type Versioned struct {
 	Version        Version   `msg:"st"`
 	Voters         []Replica `msg:"se"`
@@ -34,9 +34,9 @@
 	Term      uint64 `msg:"t"`
 	From      string `msg:"f"`
 	Pre       bool   `msg:"e"`
-	// Designated is set when the outgoing leader named this successor.
+	// Designated is set when the outgoing leader named the candidate as its successor.
 	Designated bool `msg:"n"`
-	// Stored is the newest version that the candidate has stored; a voter with a newer one returns it.
+	// Stored is the newest version that the candidate has stored; a voter that has stored a newer version returns it.
 	Stored Version `msg:"h"`
 }
 
@@ -108,13 +108,13 @@
 	DiskProblem bool  `msg:"s"`
 	// Clock is the sender's monotonic clock in microseconds, from an origin drawn at random at each start of its process.
 	Clock int64 `msg:"c,omitempty"`
-	// Successor is the replica that now runs at the address of the one that the heartbeat was sent to, and Zone
-	// its zone.
+	// Successor is set if the replica To of the heartbeat no longer runs at its address: Successor is the replica
+	// that runs there now, and Zone its zone.
 	Successor string `msg:"in,omitempty"`
 	Zone      string `msg:"z,omitempty"`
 }
 
-// Leave is the request of a stopping voter to be moved out of the group.
+// Leave is the request of a stopping voter to be removed from the group.
 type Leave struct {
 	To        string `msg:"to"`
 	Partition int    `msg:"p"`
--- a/runtime/wire/keys.go
+++ b/runtime/wire/keys.go
@@ -64,12 +64,12 @@
 	Seen bool   `msg:"b"`
 }
 
-// Outcome tells an owner of a key the outcome of the request that was admitted under the key.
+// Outcome reports to an owner of a key the outcome of the request that was admitted under the key.
 type Outcome struct {
 	Key    string `msg:"k"`
 	Code   string `msg:"c"`
 	Status int    `msg:"st"`
 	Body   []byte `msg:"b"`
-	// Attempted reports whether a backend was sent the request and refused it.
+	// Attempted reports whether the request was sent to a backend, which refused it.
 	Attempted bool `msg:"t"`
 }
--- a/runtime/wire/messages.go
+++ b/runtime/wire/messages.go
@@ -45,7 +45,8 @@
 	Proof []byte `msg:"p"`
 }
 
-// OriginSummary summarizes the entries of one origin that a process has: the highest count and a digest.
+// OriginSummary summarizes the entries of one origin that a process has stored: their highest count and a digest of
+// them.
 type OriginSummary struct {
 	Origin    string `msg:"o"`
 	Max       uint64 `msg:"m"`
