--- a/runtime/asynclog/asynclog_test.go
+++ b/runtime/asynclog/asynclog_test.go
@@ -33,7 +33,8 @@
 	return g.text.String()
 }
 
-// until polls until a condition holds. It fails the test after one minute, which only a hang reaches.
+// until polls until a condition holds. It fails the test after one minute, a time that passes only if
+// the writer hangs.
 func until(t *testing.T, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/runtime/chunk/assembler.go
+++ b/runtime/chunk/assembler.go
@@ -16,7 +16,7 @@
 	// IdleTimeout is how long an assembly waits for its next chunk. It exceeds the time for which the
 	// sender continues without an acknowledgement.
 	IdleTimeout = ProgressTimeout + RetryInterval
-	// MaxAssemblies bounds the connections with an assembly, complete or not.
+	// MaxAssemblies bounds the number of connections that have an assembly, complete or not.
 	MaxAssemblies = 256
 )
 
@@ -151,8 +151,8 @@
 }
 
 // reserve reserves n more buffer bytes for an assembly, and reports whether it succeeded. If the buffer
-// is full, only the incomplete assembly that started first continues: it evicts those that started
-// last. The senders of the others retry.
+// is full, only the incomplete assembly that started first succeeds: it evicts the incomplete assemblies
+// that started last. The senders of the evicted and the unsuccessful assemblies retry.
 func (a *Assembler) reserve(as *assembly, n int) bool {
 	for a.buffered+n > MaxBufferedBytes {
 		conn, last := uint64(0), as
@@ -187,7 +187,7 @@
 	return accepted, nil
 }
 
-// Closed drops the assembly of a connection that has been closed.
+// Closed drops the assembly of a connection, for example because the connection has been closed.
 func (a *Assembler) Closed(conn uint64) {
 	if as := a.byConn[conn]; as != nil {
 		a.buffered -= len(as.data)
--- a/runtime/chunk/sender.go
+++ b/runtime/chunk/sender.go
@@ -17,7 +17,8 @@
 	RetryInterval = 1 * clock.Second
 	// ProgressTimeout is how long a transfer may go without progress before it is abandoned.
 	ProgressTimeout = 5 * clock.Second
-	// MaxRestarts is how often the receiver may restart a transfer from its start.
+	// MaxRestarts is how many times the receiver may restart a transfer from offset 0 before the
+	// transfer is abandoned.
 	MaxRestarts = 4
 	// MaxQueued bounds the messages queued for one destination, including the one in flight.
 	MaxQueued = 16
@@ -25,7 +26,8 @@
 	MaxQueuedBytes = 32 << 20
 )
 
-// Destination is an open connection, or the address of a direct one.
+// Destination identifies an open connection by Conn, or a direct connection by the address Addr of the
+// other process.
 type Destination struct {
 	Conn uint64
 	Addr string
@@ -182,8 +184,8 @@
 
 // Expire marks the bytes that were not acknowledged in time to be resent by the next Pump, and abandons
 // the transfers without progress for ProgressTimeout. It returns the number of abandoned transfers. It
-// also ends a transfer to an unresponsive destination for which a newer message with the same key is
-// queued; that one is not counted.
+// also ends a transfer to an unresponsive destination if a newer message with the same key is queued,
+// without counting the transfer as abandoned.
 func (s *Sender) Expire(now clock.Micros) (abandoned int) {
 	for _, to := range append([]Destination(nil), s.destinations...) {
 		q := s.queues[to]
--- a/runtime/chunk/sender_test.go
+++ b/runtime/chunk/sender_test.go
@@ -62,7 +62,7 @@
 	s.Enqueue(0, Message{To: to, Data: message(2, 100_000)})
 	first := s.Pump(0)[0].Chunk.Transfer
 	must.Eq(t, 0, s.Expire(RetryInterval))
-	must.Eq(t, first, s.Pump(RetryInterval)[0].Chunk.Transfer, must.Sprint("the same transfer is resent"))
+	must.Eq(t, first, s.Pump(RetryInterval)[0].Chunk.Transfer, must.Sprint("the chunks of the same transfer must be resent"))
 	must.Eq(t, 1, s.Expire(ProgressTimeout))
 	must.NotEq(t, first, s.Pump(ProgressTimeout)[0].Chunk.Transfer)
 	must.Eq(t, 1, s.Expire(2*ProgressTimeout))
@@ -79,7 +79,7 @@
 	must.False(t, s.Enqueue(0, Message{To: to, Data: message(99, 70_000)}))
 	must.False(t, s.Enqueue(0, Message{To: Destination{Addr: "b"}, Data: make([]byte, wire.MaxMessage+1)}))
 	s.Closed(0)
-	must.True(t, s.Busy(), must.Sprint("messages to an address remain when a connection is closed"))
+	must.True(t, s.Busy(), must.Sprint("messages to an address must remain queued when a connection is closed"))
 }
 
 func TestUnresponsiveDestinationIsSentNewestMessageOnly(t *testing.T) {
--- a/runtime/chunk/transfer_test.go
+++ b/runtime/chunk/transfer_test.go
@@ -131,13 +131,13 @@
 					must.True(t, x.sender.Enqueue(x.now, Message{To: Destination{Conn: 1}, Data: m}))
 				}
 				x.run(600 * clock.Second)
-				must.False(t, x.sender.Busy(), must.Sprintf("seed %d", seed))
-				must.Eq(t, 0, x.sender.queuedBytes, must.Sprintf("seed %d", seed))
+				must.False(t, x.sender.Busy(), must.Sprintf("seed %d: all transfers must end within the time limit", seed))
+				must.Eq(t, 0, x.sender.queuedBytes, must.Sprintf("seed %d: no bytes must remain queued", seed))
 				for _, m := range x.arrived {
 					must.True(t, sent[sha256.Sum256(m)], must.Sprintf("seed %d: received a message that was not sent", seed))
 				}
 				if f.reconnect == 0 && f.lose == 0 {
-					must.Len(t, 4, x.arrived, must.Sprintf("seed %d", seed))
+					must.Len(t, 4, x.arrived, must.Sprintf("seed %d: every message must arrive", seed))
 				}
 				arrived += len(x.arrived)
 			}
@@ -174,7 +174,7 @@
 	// A chunk of the next transfer arrives before the current one is complete, then a late chunk of the current one.
 	must.Eq(t, wire.ChunkAck{Transfer: 2, Next: 0}, accept(2, chunkOf(2, a, wire.ChunkBytes)).Ack)
 	accept(2, chunkOf(2, a, 0))
-	must.False(t, accept(2, chunkOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("a late chunk of an earlier transfer is not acknowledged"))
+	must.False(t, accept(2, chunkOf(1, b, wire.ChunkBytes)).Reply, must.Sprint("a late chunk of an earlier transfer must not be acknowledged"))
 	accept(2, chunkOf(2, a, wire.ChunkBytes))
 	equalMessages(t, [][]byte{a}, [][]byte{accept(2, chunkOf(2, a, 2*wire.ChunkBytes)).Message})
 
--- a/runtime/clock/clock.go
+++ b/runtime/clock/clock.go
@@ -8,7 +8,7 @@
 import "time"
 
 // Micros is a time or a duration in whole microseconds. Times count from the start of the process's
-// monotonic clock or, if the name contains wall, from the Unix epoch.
+// monotonic clock or, if the variable's name contains wall, from the Unix epoch.
 //
 // It is an alias so that the int64 fields of the encoded messages need no conversion.
 type Micros = int64
--- a/runtime/diskfile/diskfile.go
+++ b/runtime/diskfile/diskfile.go
@@ -1,7 +1,7 @@
 // Package diskfile defines the format of files on disk: a magic string, the version of the format, a
-// SHA-256 digest, the content. [Unpack] detects files that are incomplete, altered or not wallport's. It
-// rejects the format of a newer release with an error that says so, since it would misread the content.
-// The package does not access files.
+// SHA-256 digest, and the content. [Unpack] detects files that are incomplete, altered or not written by
+// wallport. It rejects a file in the format of a newer release with an error that names both formats,
+// since it would misread the content. The package does not access files.
 package diskfile
 
 import (
@@ -16,7 +16,7 @@
 
 const magic = "wallport"
 
-// ErrCorrupt is returned for a file that is incomplete, altered or not wallport's.
+// ErrCorrupt is returned for a file that is incomplete, altered or not written by wallport.
 var ErrCorrupt = errors.New("file is incomplete, altered or not a wallport file")
 
 // FutureFormatError is returned for a file that a newer release wrote.
--- a/runtime/invariant/invariant.go
+++ b/runtime/invariant/invariant.go
@@ -14,17 +14,19 @@
 // Name is the name of an invariant in counters and logs.
 type Name string
 
-// The invariants of the request path. A backend "may have run" a request once a byte of it was sent.
+// The invariants of the request path. A backend "may have run" a request once a byte of the request has
+// been sent to it.
 const (
 	// AtMostOnce: a request that is not idempotent is not sent while an earlier attempt at it may have run.
 	AtMostOnce Name = "runs_once"
-	// RejectedNotRun: a request that is not idempotent is rejected only if no backend has it or may have run it.
+	// RejectedNotRun: a request that is not idempotent is rejected only if no backend is processing it
+	// or may have run it.
 	RejectedNotRun Name = "refused_not_run"
-	// SuccessSealed: a success is a backend's success, with its seal.
+	// SuccessSealed: a request succeeds only with a backend's successful response that carries a seal.
 	SuccessSealed Name = "success_sealed"
 	// ShardsComplete: a merged success has responses from enough shards, each with a seal of its own.
 	ShardsComplete Name = "parts_complete"
-	// NoSendAfterOutcome: no attempt is sent for a request that has its outcome.
+	// NoSendAfterOutcome: once a request has its outcome, no further attempt is sent.
 	NoSendAfterOutcome Name = "no_ask_after_end"
 	// BackendsWithinRoute: a request is sent to no more backends of a pool than its route allows.
 	BackendsWithinRoute Name = "backends_within_route"
@@ -36,11 +38,12 @@
 
 // The invariants of the control state.
 const (
-	// OneLeader: a replica receives messages of one leader in each term.
+	// OneLeader: in each term, a replica receives messages of only one leader.
 	OneLeader Name = "one_leader"
-	// LeaderInItsTerm: a leader commits only while it has voted in no later term than its own.
+	// LeaderInItsTerm: a leader commits only versions of its own term, and only while it has voted in no
+	// later term.
 	LeaderInItsTerm Name = "leader_in_its_term"
-	// OneContentPerVersion: two replicas with the same version have the same content.
+	// OneContentPerVersion: two replicas that have stored the same version have the same body for it.
 	OneContentPerVersion Name = "version_content"
 	// RevisionIncreases: the revision of the routing table increases from one committed version to the next.
 	RevisionIncreases Name = "revision_rises"
--- a/runtime/invariant/invariant_test.go
+++ b/runtime/invariant/invariant_test.go
@@ -16,12 +16,12 @@
 		defer func() {
 			v, ok := recover().(Violation)
 			must.True(t, ok)
-			must.EqError(t, v, "runs_once: request 7 again")
+			must.EqError(t, v, "runs_once: request 7 is sent again")
 		}()
-		r.Violated(AtMostOnce, "request %d again", 7)
+		r.Violated(AtMostOnce, "request %d is sent again", 7)
 	}()
 	must.Eq(t, `invariant_violations{invariant="runs_once"}`, counted)
-	must.Eq(t, "runs_once request 7 again", logged)
+	must.Eq(t, "runs_once request 7 is sent again", logged)
 }
 
 func TestNamesAreUnique(t *testing.T) {
--- a/runtime/kernel/chunks.go
+++ b/runtime/kernel/chunks.go
@@ -10,8 +10,9 @@
 // transferTimer is the plug-in name in the Ticks of the transfer timer; no plug-in has this name.
 const transferTimer = "pieces"
 
-// chunks sends and receives the messages that are larger than a frame. It replaces them by chunks in a
-// step's sends and reassembles received ones, so plug-ins handle complete messages only.
+// chunks sends and receives the messages that are larger than a frame. It replaces each large message in
+// a step's sends by chunks and assembles messages from received chunks, so plug-ins handle complete
+// messages only.
 type chunks struct {
 	sender    *chunk.Sender
 	assembler *chunk.Assembler
@@ -69,8 +70,8 @@
 	c.timerSet = true
 }
 
-// tick drops transfers that have timed out in either direction and marks unacknowledged chunks for
-// resending; these are sent at the end of the step.
+// tick drops the transfers that have timed out, in either direction, and marks unacknowledged chunks for
+// resending. They are resent at the end of the step.
 func (c *chunks) tick(ctx *Context) {
 	c.timerSet = false
 	if abandoned := c.sender.Expire(ctx.Now); abandoned > 0 {
--- a/runtime/kernel/chunks_test.go
+++ b/runtime/kernel/chunks_test.go
@@ -34,8 +34,8 @@
 	return k, r
 }
 
-// exchange delivers frames between two kernels until neither sends any, and returns how many frames
-// the first one sent. Both number the connection 1.
+// exchange delivers frames between two kernels until neither sends any, and returns how many frames the
+// first kernel sent. In both kernels the connection has the id 1.
 func exchange(t *testing.T, now clock.Micros, from, to *Kernel, out Output) (frames int) {
 	t.Helper()
 	for len(out.Sends) > 0 {
@@ -75,7 +75,7 @@
 	for _, s := range large.Sends {
 		size += len(s.Data)
 	}
-	must.LessEq(t, 2*wire.ChunkBytes+512, size, must.Sprint("bytes queued ahead of a heartbeat"))
+	must.LessEq(t, 2*wire.ChunkBytes+512, size, must.Sprint("no more than two chunks and their envelopes may be queued ahead of a heartbeat"))
 	beat := a.sendNow(0, wire.KindLeaderHeartbeat, &wire.LeaderHeartbeat{})
 	exchange(t, 0, a, b, beat)
 	must.Len(t, 1, got.received)
--- a/runtime/kernel/context.go
+++ b/runtime/kernel/context.go
@@ -34,7 +34,8 @@
 	ctx.Output.Sends = append(ctx.Output.Sends, Send{Addr: addr, Data: wire.Seal(kind, id, m)})
 }
 
-// SendLatest is Send for a message that makes earlier ones with the same replaceKey obsolete: it replaces one that is still queued.
+// SendLatest is Send for a message that makes earlier ones with the same replaceKey obsolete: it
+// replaces an earlier one that is still queued.
 func (ctx *Context) SendLatest(conn uint64, kind uint8, m msgp.Marshaler, replaceKey string) {
 	ctx.Output.Sends = append(ctx.Output.Sends, Send{Conn: conn, Data: wire.Seal(kind, 0, m), ReplaceKey: replaceKey})
 }
@@ -63,7 +64,8 @@
 	ctx.Output.Timers = append(ctx.Output.Timers, Timer{At: ctx.Now + delay, Tick: tick})
 }
 
-// Write requests a durable file; nil data removes it. With a key, a [Written] reports the result.
+// Write requests that a file be written durably, or removed if data is nil. If key is not empty, a
+// [Written] reports the result.
 func (ctx *Context) Write(plugin, key, file string, data []byte) {
 	ctx.Output.Writes = append(ctx.Output.Writes, Write{Plugin: plugin, Key: key, File: file, Data: data})
 }
@@ -83,8 +85,8 @@
 	ctx.Output.LogEvents = append(ctx.Output.LogEvents, LogEvent{Level: level, Event: event, Fields: kv})
 }
 
-// ReportViolation counts and logs an invariant that does not hold, and panics where violations are
-// fatal; detail describes the violation.
+// ReportViolation counts and logs the violation of an invariant, and panics if violations are fatal;
+// detail describes the violation.
 func (ctx *Context) ReportViolation(name invariant.Name, detail string) {
 	ctx.Counts.Add(invariant.Counter(name), 1)
 	ctx.Log(LevelError, invariant.Event, "invariant", string(name), "detail", detail)
--- a/runtime/kernel/counters.go
+++ b/runtime/kernel/counters.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 )
 
-// Counts is a process's named counters and gauges. It is safe for concurrent use; the metrics page,
+// Counts holds a process's named counters and gauges. It is safe for concurrent use; the metrics page,
 // the simulator and the tests read it.
 type Counts struct{ byName sync.Map }
 
-// NewCounts returns an empty set.
+// NewCounts returns a Counts without any counter.
 func NewCounts() *Counts { return &Counts{} }
 
 // Of returns the counter with the given name and creates it on first use.
--- a/runtime/kernel/inputs.go
+++ b/runtime/kernel/inputs.go
@@ -9,9 +9,10 @@
 type (
 	// Start is the first input of a process.
 	Start struct{}
-	// ConnUp reports a new mesh connection. Peer is the fingerprint of the other side's key, as proved by TLS.
-	// Dialed reports whether this process opened it, and Addr is then the address that was dialled. Direct
-	// connections, which [Context.SendTo] opens, are not reported; Mesh is always set.
+	// ConnUp reports a new mesh connection. Peer is the fingerprint of the other side's key, as proved by
+	// TLS. Dialed reports whether this process opened the connection. Addr is the address that was dialled
+	// or, on an accepted connection, the mesh address that the peer stated. Direct connections, which
+	// [Context.SendTo] opens, are not reported; Mesh is always set.
 	ConnUp struct {
 		Conn   uint64
 		Addr   string
@@ -33,22 +34,22 @@
 		Conn uint64
 		Data []byte
 	}
-	// Message is a frame whose envelope was decoded. It goes to the plug-in that registered its kind. ID is the
-	// request id that the sender chose; the reply carries the same id, and 0 means that there is none.
+	// Message is a frame whose envelope was decoded. It goes to the plug-in that registered its kind. ID is
+	// the request id that the sender chose; the reply carries the same id. 0 means that the frame has no id.
 	Message struct {
 		Conn uint64
 		Kind uint8
 		ID   uint64
 		Body []byte
 	}
-	// Tick is a timer that is due. Key names a timer of the plug-in as a whole; ID identifies the operation in
-	// flight that the timer belongs to.
+	// Tick reports that a timer is due. Key names a timer of the plug-in as a whole; ID identifies the
+	// operation in flight that the timer belongs to.
 	Tick struct {
 		Plugin string
 		Key    string
 		ID     uint64
 	}
-	// Written is the result of a [Write] with a key: the file is durable, or Err says why not.
+	// Written is the result of a [Write] with a key: the file is durable, or Err states why it is not.
 	Written struct{ Plugin, Key, Err string }
 	// Fetched is the result of a [Fetch].
 	Fetched struct {
@@ -57,7 +58,7 @@
 		Body        []byte
 		Err         string
 	}
-	// Call is a request of this process's own API side. A plug-in responds with [Context.Reply].
+	// Call is a request from this process's own API. A plug-in responds with [Context.Reply].
 	Call struct {
 		Plugin  string
 		ID      uint64
@@ -70,11 +71,11 @@
 		ID     uint64
 	}
 	// Thawed reports that the process did not run for Gap (more than process.FreezeGap), so that its view of
-	// others is out of date. It is delivered before all inputs that were received during the gap.
+	// other processes is out of date. It is delivered before all inputs that were received during the gap.
 	Thawed struct{ Gap clock.Micros }
 	// Stopping reports that a graceful shutdown has begun.
 	Stopping struct{}
 	// SeedsChanged carries the seeds' mesh addresses after a change of the settings. They replace the earlier
-	// ones; any of these processes may be down, or new and without state.
+	// seeds. Any process at these addresses may be down, or may be new and without state.
 	SeedsChanged struct{ Seeds []string }
 )
--- a/runtime/kernel/kernel.go
+++ b/runtime/kernel/kernel.go
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// deliver passes a message to the plug-in that receives its kind.
+// deliver passes a message to the plug-in that registered its kind.
 func (k *Kernel) deliver(ctx *Context, conn uint64, frame wire.Frame) {
 	p, ok := k.byKind[frame.Kind]
 	if !ok {
--- a/runtime/kernel/key.go
+++ b/runtime/kernel/key.go
@@ -5,7 +5,7 @@
 	"encoding/hex"
 )
 
-// Key is the Ed25519 key pair that identifies a process. A process has a new one after each start.
+// Key is the Ed25519 key pair that identifies a process. A process has a new key pair after each start.
 type Key struct {
 	Public  ed25519.PublicKey
 	Private ed25519.PrivateKey
@@ -17,7 +17,8 @@
 	return Key{Public: private.Public().(ed25519.PublicKey), Private: private}
 }
 
-// Fingerprint identifies a public key in logs and tables: its first 8 bytes in hex, or "" for a shorter key.
+// Fingerprint returns the text that identifies a public key in logs and tables: its first 8 bytes in
+// hex, or "" for a shorter key.
 func Fingerprint(public []byte) string {
 	const size = 8
 	if len(public) < size {
--- a/runtime/kernel/outputs.go
+++ b/runtime/kernel/outputs.go
@@ -3,7 +3,8 @@
 import "wallport/runtime/clock"
 
 type (
-	// Send is a frame for an open connection or, by Addr, for a direct one that is opened on demand.
+	// Send is a frame for the open connection Conn or, if Addr is set, for the direct connection to that
+	// address, which is opened on demand.
 	Send struct {
 		Conn uint64
 		Addr string
@@ -16,12 +17,13 @@
 		At clock.Micros
 		Tick
 	}
-	// Write requests that a file be written durably; nil data removes it. A [Written] follows if Key is set.
+	// Write requests that a file be written durably, or removed if Data is nil. A [Written] follows if
+	// Key is set.
 	Write struct {
 		Plugin, Key, File string
 		Data              []byte
 	}
-	// Fetch requests one small HTTP GET, which ends in a [Fetched].
+	// Fetch requests one small HTTP GET. A [Fetched] reports the result.
 	Fetch struct {
 		Plugin, Key, URL string
 		Timeout          clock.Micros
--- a/runtime/process/blocked_test.go
+++ b/runtime/process/blocked_test.go
@@ -12,7 +12,8 @@
 	"wallport/runtime/settings"
 )
 
-// hangTimeout is how long a test waits for a function that must not block. Only a hang reaches it.
+// hangTimeout is how long a test waits for a function that must not block. The time passes only if the
+// function hangs.
 const hangTimeout = 10 * time.Second
 
 // blockLoop blocks the loop of a process until the test ends, and fills its inbox.
--- a/runtime/process/call.go
+++ b/runtime/process/call.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// postWithin is Post that gives up when the context ends or the process stops.
+// postWithin queues an input as Post does, but fails when the context ends or the process stops.
 func (p *Process) postWithin(ctx context.Context, in kernel.Input) error {
 	select {
 	case p.inbox <- in:
--- a/runtime/process/handshake.go
+++ b/runtime/process/handshake.go
@@ -115,7 +115,8 @@
 	return theirs, nil
 }
 
-// register assigns an id to a connection and adds it to the open ones. It fails after the transport was closed.
+// register assigns an id to a connection and adds it to the open connections. It fails if the transport has been
+// closed.
 func (tr *transport) register(pc *peerConn) error {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -137,7 +138,7 @@
 }
 
 // fleetProof returns the HMAC-SHA-256 that proves knowledge of the fleet's secret on one connection. It covers the
-// fingerprints of the sender's and the receiver's key.
+// fingerprints of the sender's and the receiver's keys.
 func fleetProof(secret, from, to string) []byte {
 	h := hmac.New(sha256.New, []byte(secret))
 	h.Write([]byte("wallport " + from + " " + to))
--- a/runtime/process/log.go
+++ b/runtime/process/log.go
@@ -16,18 +16,18 @@
 	eventsPerLine   = 100
 )
 
-// sampled limits the number of lines that a log writes per event. The counters have the full numbers.
+// sampled limits the number of lines that a log writes per event. The counters still count every occurrence.
 func sampled(log *zap.Logger) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, time.Second, eventsPerSecond, eventsPerLine)
 	}))
 }
 
-// Sampled returns the log for events that clients and peers can cause. It limits the lines per event
-// and second.
+// Sampled returns the log for events that clients and peers can cause. It limits the number of lines per
+// event and second.
 func (p *Process) Sampled() *zap.Logger { return p.sampledLog }
 
-// zapLevels are zap's levels, from kernel.LevelDebug on.
+// zapLevels maps the levels of log events, starting with kernel.LevelDebug, to zap's levels.
 var zapLevels = []zapcore.Level{zapcore.DebugLevel, zapcore.InfoLevel, zapcore.WarnLevel, zapcore.ErrorLevel}
 
 func (p *Process) logEvent(event kernel.LogEvent) {
--- a/runtime/process/peer_conn.go
+++ b/runtime/process/peer_conn.go
@@ -11,8 +11,8 @@
 	"wallport/runtime/wire"
 )
 
-// The bounds of a connection's backlog. If the backlog is full, the peer is too slow and the connection
-// is closed. If the connection is not open yet, only the frame is dropped.
+// The bounds of a connection's backlog. If the backlog of an open connection is full, the peer is too slow
+// and the connection is closed. If the connection is not open yet, only the new frame is dropped.
 const (
 	maxBacklogFrames = 4096
 	maxBacklogBytes  = 16 << 20
@@ -165,7 +165,8 @@
 	}
 }
 
-// close closes the connection once. It posts to the loop, so the loop itself must not call it.
+// close closes the connection; further calls do nothing. It posts to the loop's inbox, which may be full, so
+// the loop itself must not call it.
 func (pc *peerConn) close() {
 	pc.once.Do(func() {
 		close(pc.closed)
--- a/runtime/process/process.go
+++ b/runtime/process/process.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// FreezeGap is how long the loop must not have run before the process counts as frozen.
+	// FreezeGap is how long the loop may go without running before the process counts as frozen.
 	FreezeGap = 1 * clock.Second
 	// maxInbox bounds the inputs that are queued for the loop.
 	maxInbox = 8192
-	// maxFetches bounds the fetches in flight. Fetches are small and few, so more than that indicate that
+	// maxFetches bounds the fetches in flight. Fetches are small and few, so a larger number indicates that
 	// they hang.
 	maxFetches = 128
 )
 
-// Process is a running kernel.
+// Process is a kernel that runs on this machine's clock, network and disk.
 type Process struct {
 	Kernel *kernel.Kernel
 	Log    *zap.Logger
--- a/runtime/process/process_test.go
+++ b/runtime/process/process_test.go
@@ -35,7 +35,7 @@
 	return p
 }
 
-// until polls until a condition holds. It fails the test after 2 minutes, which only a hang reaches.
+// until polls until a condition holds. It fails the test after 2 minutes, a time that passes only if a process hangs.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
@@ -70,7 +70,7 @@
 	until(t, "both have one peer", func() bool { return a.peers() == 1 && b.peers() == 1 })
 	host, _, err := net.SplitHostPort(<-sources)
 	must.NoError(t, err)
-	must.Eq(t, "127.0.0.2", host, must.Sprint("the source address of connections is the one that the mesh listens on"))
+	must.Eq(t, "127.0.0.2", host, must.Sprint("connections must leave from the IP that the mesh listens on"))
 }
 
 // forwardTo forwards connections to an address and sends their source addresses to a channel.
@@ -103,7 +103,8 @@
 }
 
 func TestFleetSecretRotatesWithoutDowntime(t *testing.T) {
-	// Both secrets are accepted during the rotation, so processes can change from the old to the new one at a time.
+	// Both secrets are accepted during the rotation, so the processes can be moved from the old secret to the new
+	// secret one by one.
 	steps := [][2]settings.Settings{
 		{{FleetSecret: "old", SecondFleetSecret: "new"}, {FleetSecret: "old"}},
 		{{FleetSecret: "new", SecondFleetSecret: "old"}, {FleetSecret: "old", SecondFleetSecret: "new"}},
--- a/runtime/process/transport.go
+++ b/runtime/process/transport.go
@@ -21,7 +21,7 @@
 	helloTimeout = 2 * time.Second
 	writeTimeout = 5 * time.Second
 	readTimeout  = 90 * time.Second
-	// dialBackoff is how long an address is not dialed again after a failure.
+	// dialBackoff is how long after a failure no direct connection to the same address is dialed.
 	dialBackoff = 200 * clock.Millisecond
 	// acceptRetryDelay is the pause after a failed accept, for example when no file descriptor is free.
 	acceptRetryDelay = 50 * time.Millisecond
@@ -47,7 +47,7 @@
 	// dialAllowedAt maps an address that could not be reached to the time from which it may be dialed again.
 	dialAllowedAt map[string]clock.Micros
 
-	// The totals of all connections, without the overhead of TLS.
+	// Total numbers of frames and bytes on all connections, without the overhead of TLS.
 	framesIn, bytesIn, framesOut, bytesOut *atomic.Int64
 }
 
@@ -181,8 +181,8 @@
 	pc := tr.open[id]
 	tr.mu.Unlock()
 	if pc != nil {
-		// Close in a goroutine: it posts the end of the connection to the loop, whose inbox may be full and
-		// which is itself the caller of drop.
+		// Close in a goroutine: close posts the end of the connection to the loop. The loop is the
+		// caller of drop, so it would wait for itself if its inbox were full.
 		go pc.close()
 	}
 }
--- a/runtime/process/user_timeout.go
+++ b/runtime/process/user_timeout.go
@@ -13,7 +13,8 @@
 // is available again.
 const userTimeout = 1500 * time.Millisecond
 
-// setUserTimeout sets the TCP user timeout of a connection. If that fails, writeTimeout bounds the wait.
+// setUserTimeout sets the TCP user timeout of a connection. If that fails, only writeTimeout limits how long
+// a write to an unresponsive peer may block.
 func setUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/runtime/random/random.go
+++ b/runtime/random/random.go
@@ -1,4 +1,4 @@
-// Package random is a small source of pseudo-random numbers for use by one goroutine: SplitMix64 (Steele,
+// Package random provides a small source of pseudo-random numbers for use by one goroutine: SplitMix64 (Steele,
 // Lea and Flood, "Fast splittable pseudorandom number generators", 2014). It allocates nothing, and equal
 // seeds produce equal numbers. It is not suitable for secrets.
 package random
--- a/runtime/settings/file.go
+++ b/runtime/settings/file.go
@@ -17,8 +17,9 @@
 	}
 }
 
-// readFile sets the fields that the flags left empty from the lines of EnvFile, and returns the errors
-// in them. Each key may occur only once, except seed; seeds in the file are ignored if the flags set any.
+// readFile sets the fields that the flags left empty from the lines of EnvFile, and returns the errors that
+// it finds in the file. Each key may occur only once, except seed; seeds in the file are ignored if the flags
+// set any.
 func (s *Settings) readFile() (found Findings) {
 	f, err := os.Open(s.EnvFile)
 	if err != nil {
--- a/runtime/settings/settings_test.go
+++ b/runtime/settings/settings_test.go
@@ -46,7 +46,7 @@
 	e, found := load(t, "node", good, Settings{})
 	must.SliceEmpty(t, found)
 	must.Eq(t, "10.0.0.1:4001", e.ListenAddress())
-	must.False(t, e.SourceIP().IsValid(), must.Sprint("the operating system chooses the source address"))
+	must.False(t, e.SourceIP().IsValid(), must.Sprint("the operating system must choose the source address"))
 	e, found = load(t, "node", good+"mesh-listen=192.168.7.1:4002\n", Settings{})
 	must.SliceEmpty(t, found)
 	must.Eq(t, "192.168.7.1:4002", e.ListenAddress())
