--- a/control/config/check.go
+++ b/control/config/check.go
@@ -19,7 +19,7 @@
 	maxSlowStart = 10 * maxSpan
 )
 
-// Check returns a finding for every fault of a configuration. A configuration without findings may be put in force.
+// Check returns a finding for every error in a configuration. A configuration without findings may be put in force.
 func Check(configuration *configpb.Sheet) []wire.Finding {
 	c := &collector{}
 	services := map[string]int{}
@@ -122,7 +122,7 @@
 	}
 }
 
-// checkOverlaps checks that the bookings of an index never add up to more than its capacity. The sum only rises
+// checkOverlaps checks that the bookings of an index never add up to more than its capacity. Their total rises only
 // when a booking starts, so it is sufficient to check the start times.
 func (c *collector) checkOverlaps(reservations []*configpb.Booking) {
 	for i, booking := range reservations {
--- a/control/config/config.go
+++ b/control/config/config.go
@@ -1,5 +1,6 @@
 // Package config reads, checks, edits and compares the operators' configuration, which the API calls a
-// sheet: the services (indexes), the quota rows of their requests and the bookings of their capacity.
+// sheet: the services (indexes), the quotas on their requests (table rows) and the reservations of their
+// capacity (table bookings).
 //
 // The input is JSON sent by an operator; the output is the protobuf message [configpb.Sheet] and a list of
 // findings. Each finding names the table, row and field that it refers to. All findings for an input are
@@ -50,14 +51,14 @@
 	}
 }
 
-// quotaKey identifies a quota row among those of a configuration.
+// quotaKey returns the key of a quota row, which is unique in a configuration: its index and kind.
 func quotaKey(row *configpb.Row) string { return row.Index + "\x00" + row.Kind }
 
 // VersionText formats a version as TERM.SEQUENCE, the form for operators and HTTP headers.
 func VersionText(version wire.Version) string { return fmt.Sprintf("%d.%d", version.Term, version.Seq) }
 
-// ParseVersion parses the output of VersionText, with or without double quotes. ok is false if the text is
-// not a version.
+// ParseVersion parses the output of VersionText, with or without double quotes, as a version of a partition.
+// ok is false if the text is not a version.
 func ParseVersion(partition int, text string) (version wire.Version, ok bool) {
 	version.Partition = partition
 	n, err := fmt.Sscanf(strings.Trim(text, `"`), "%d.%d", &version.Term, &version.Seq)
--- a/control/config/config_test.go
+++ b/control/config/config_test.go
@@ -87,7 +87,7 @@
 	must.SliceEmpty(t, Check(out))
 	must.Eq(t, 3, len(out.Rows))
 	must.Eq(t, 0, len(out.Bookings))
-	must.Eq(t, before, s.String(), must.Sprint("the configuration it is based on is unchanged"))
+	must.Eq(t, before, s.String(), must.Sprint("Apply must not change the configuration that it is given"))
 	_, found = Apply(s, []byte(`[{"op":"set","table":"rows","row":{"index":"a","kind":"read","share":20}},
 		{"op":"remove","table":"bookings","row":{"id":"nope"}},{"op":"paint","table":"rows","row":{}},{"op":"set","table":"rows","row":{"q":1}}]`))
 	must.Eq(t, "edits[1].row edits[2] edits[3].row.q", findingPaths(found))
--- a/control/config/conflicts.go
+++ b/control/config/conflicts.go
@@ -10,10 +10,10 @@
 	"wallport/runtime/wire"
 )
 
-// Conflicts lists the rows in a JSON list of row edits that have changed between base, the configuration that the
-// edits are based on, and the current one. Concurrent edits of different rows both succeed. Of concurrent edits
-// of the same row only one succeeds, and the findings tell the other operator what has changed. Edits that cannot
-// be decoded have no conflicts; Apply reports them.
+// Conflicts compares base, the configuration that a JSON list of row edits is based on, with current, the
+// configuration in force. It returns a finding for each edited row that differs between them. Concurrent edits of
+// different rows therefore both succeed. Of concurrent edits of the same row only one succeeds, and the findings tell
+// the other operator what has changed. Edits that cannot be decoded have no conflicts; Apply reports them.
 func Conflicts(base, current *configpb.Sheet, body []byte) []wire.Finding {
 	var edits []RowEdit
 	if json.Unmarshal(body, &edits) != nil {
--- a/control/config/diff.go
+++ b/control/config/diff.go
@@ -10,7 +10,8 @@
 	"wallport/api/configpb"
 )
 
-// rowsByKey maps the table name and key fields of each row, in the form shown to operators, to the row.
+// rowsByKey returns the rows of a configuration by key. A key consists of the table name and the row's key fields,
+// separated by spaces, and is shown to operators in this form.
 func rowsByKey(configuration *configpb.Sheet) map[string]proto.Message {
 	rows := map[string]proto.Message{}
 	for _, row := range configuration.Services {
--- a/control/config/edit.go
+++ b/control/config/edit.go
@@ -54,8 +54,8 @@
 	return edited, c.found
 }
 
-// editTable applies one edit. Its row is the only row in decoded. ok is false if the row to be removed does not
-// exist.
+// editTable applies one edit to the configuration edited. decoded contains only the row of that edit. ok is false
+// if the row to be removed does not exist.
 func editTable(edited, decoded *configpb.Sheet, edit RowEdit) (ok bool) {
 	switch edit.Table {
 	case tableServices:
--- a/control/routing/check.go
+++ b/control/routing/check.go
@@ -16,7 +16,7 @@
 	pools map[string]bool
 }
 
-// Check returns a finding, with its path, for every fault of a routing table. A table without findings may be put
+// Check returns a finding, with its path, for every error in a routing table. A table without findings may be put
 // in force. Unset fields are reported only if they are required.
 func Check(table *routingpb.RoutingTable) []wire.Finding {
 	c := &checker{pools: map[string]bool{}}
--- a/control/routing/edit.go
+++ b/control/routing/edit.go
@@ -40,7 +40,7 @@
 	return merged
 }
 
-// Digest returns the digest of an edit, which covers its base and revision. Identical edits have the same digest.
+// Digest returns the digest of a whole edit, including its base and revision. Identical edits have the same digest.
 func Digest(edit *routingpb.RoutingEdit) [sha256.Size]byte {
 	return sha256.Sum256(encode(edit))
 }
--- a/control/routing/routing.go
+++ b/control/routing/routing.go
@@ -26,7 +26,7 @@
 	hosts map[string][]*Route
 }
 
-// Route is a route with the values derived from it.
+// Route is a compiled route: the route from the table, with values derived from it.
 type Route struct {
 	*routingpb.Route
 	// weights has the weights of PoolWeights, and total is their sum.
