--- a/control/configsync/confirmation.go
+++ b/control/configsync/confirmation.go
@@ -9,36 +9,36 @@
 	"wallport/runtime/wire"
 )
 
-// Bounds of the wait for confirmed state.
+// Bounds of the time for which a process that has just started waits until a core confirms its state.
 const (
 	// UnconfirmedTimeout is how long a process that has just started waits for a core in contact with a majority,
 	// counted from when it first has state to serve. There may be no such core: the disks of a majority may be lost.
 	UnconfirmedTimeout = 5 * clock.Second
 	// NewCoreTimeout is the minimum time for which the wait continues after a core has been discovered.
 	NewCoreTimeout = 2 * clock.Second
-	// MaxUnconfirmedWait bounds the wait, even if more cores are discovered.
+	// MaxUnconfirmedWait bounds the whole wait, counted like UnconfirmedTimeout, even if more cores are discovered.
 	MaxUnconfirmedWait = 8 * clock.Second
-	// MaxReplyAge is the longest time between a pull and its reply for which the reply confirms anything. A later
-	// reply may have been delayed by a network partition during which the state was replaced.
+	// MaxReplyAge is the maximum time between a pull and a reply that can confirm state. A later reply may have been
+	// delayed by a network partition during which the state was replaced.
 	MaxReplyAge = 2 * clock.Second
 	// StartupPullInterval is the interval between pulls until the configuration is confirmed.
 	StartupPullInterval = 200 * clock.Millisecond
-	// StartupPullFanout is the number of cores that each of these pulls is sent to. The first pull is sent to only
-	// one core, because its reply contains all versions and one reply is usually enough.
+	// StartupPullFanout is the number of cores that each pull is sent to until the configuration is confirmed. The
+	// first pull is sent to only one core, because its reply contains all versions and one reply is usually enough.
 	StartupPullFanout = 2
 )
 
-// contact is the state of the wait for a core that replies that it is in contact with a majority.
+// contact is the state of the wait for a reply from a core that is in contact with a majority.
 type contact struct {
 	// confirmed has a bit for each partition that a core in contact with a majority has confirmed.
 	confirmed uint32
-	// firstStoredAt is when the first version was stored in this process, or 0 if there is none yet.
+	// firstStoredAt is when the first version was stored in this process, or 0 if none has been stored yet.
 	firstStoredAt clock.Micros
 	// coreDiscoveredAt is when a core was last discovered.
 	coreDiscoveredAt clock.Micros
-	// withoutContact has the cores whose last reply did not confirm contact for the configuration partition.
+	// withoutContact has the addresses of the cores whose last reply did not confirm contact for the configuration partition.
 	withoutContact map[string]bool
-	// rotation counts the pulls sent by startupCores, which cycles through the cores.
+	// rotation counts the cores selected by startupCores, which cycles through the candidates.
 	rotation int
 }
 
--- a/control/configsync/confirmation_test.go
+++ b/control/configsync/confirmation_test.go
@@ -18,6 +18,6 @@
 	must.False(t, p.Confirmed(0, stored+UnconfirmedTimeout))
 	must.True(t, p.Confirmed(0, p.contact.coreDiscoveredAt+NewCoreTimeout))
 	p.contact.coreDiscoveredAt = stored + MaxUnconfirmedWait - 1
-	must.True(t, p.Confirmed(0, stored+MaxUnconfirmedWait), must.Sprint("the wait ends"))
-	must.False(t, (&Sync{}).Confirmed(0, 1<<40), must.Sprint("no version is stored yet"))
+	must.True(t, p.Confirmed(0, stored+MaxUnconfirmedWait), must.Sprint("the wait must end after MaxUnconfirmedWait"))
+	must.False(t, (&Sync{}).Confirmed(0, 1<<40), must.Sprint("must not be confirmed while no version is stored"))
 }
--- a/control/configsync/core_selection.go
+++ b/control/configsync/core_selection.go
@@ -10,7 +10,7 @@
 	"wallport/runtime/settings"
 )
 
-// Bounds of the selection of a core.
+// Bounds of the set of known cores, and how the pulls are distributed over them.
 const (
 	// maxKnownCores bounds the number of known cores. A core that is no longer live is forgotten after keepCoreFor.
 	maxKnownCores = 16
@@ -27,10 +27,10 @@
 	unresponsivePullEvery = 6
 )
 
-// candidateCores returns the addresses of the cores that pulls may be sent to, which are the cores that were live
-// recently. During a network partition all members expire, so the known cores are kept while no core is live. The
-// seeds are also candidates while no core is known, while this core has no state or while this process is starting,
-// because seeds know of cores.
+// candidateCores returns the addresses that pulls may be sent to: those of the known cores, which were live recently.
+// During a network partition all members expire, so the known cores are kept while no core is live. The seeds are also
+// candidates while no core is known, while this process is a core without state or while it is starting, because seeds
+// know of other cores.
 func (p *Sync) candidateCores(now clock.Micros) []string {
 	p.updateKnown(now)
 	if len(p.known) > 0 && !p.hasNoState() && !p.starting(now) {
@@ -76,8 +76,8 @@
 	delete(p.contact.withoutContact, addr)
 }
 
-// forgetExcess removes cores until maxKnownCores are left, the least recently live first. Among equals it removes the
-// last in the order of compareCores.
+// forgetExcess removes the least recently live cores until maxKnownCores are left. Of cores that were last live at the
+// same time it first removes the last in the order of compareCores.
 func (p *Sync) forgetExcess() {
 	for len(p.known) > maxKnownCores {
 		last := slices.MinFunc(p.known, func(a, b string) int {
@@ -106,7 +106,8 @@
 }
 
 // chooseCore selects the core for the next pull: usually one in this process's zone, every remotePullEvery-th time one
-// in another zone, and every unresponsivePullEvery-th time an avoided one. It returns nil if there is no candidate.
+// in another zone, and every unresponsivePullEvery-th time an avoided one. It returns one address, or nil if there is no
+// candidate.
 func (p *Sync) chooseCore(ctx *kernel.Context, candidates []string) []string {
 	if len(candidates) == 0 {
 		return nil
--- a/control/configsync/core_selection_test.go
+++ b/control/configsync/core_selection_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// countChoices counts the zones and cores that chooseCore selects for 1000 pulls.
+// countChoices counts how often chooseCore selects each zone and each core for 1000 pulls.
 func (p *Sync) countChoices(now clock.Micros) (byZone, byCore map[string]int) {
 	ctx := &kernel.Context{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
 	byZone, byCore = map[string]int{}, map[string]int{}
@@ -56,7 +56,7 @@
 	must.Eq(t, 166, byCore["z1a"])
 	p.unansweredSince["z2a"] = 1
 	_, byCore = p.countChoices(unresponsiveAfter + 2)
-	must.Eq(t, 1000, byCore["z1a"]+byCore["z2a"], must.Sprint("if no core responds, every core gets pulls"))
+	must.Eq(t, 1000, byCore["z1a"]+byCore["z2a"], must.Sprint("if no core responds, pulls must go to all cores"))
 	must.Greater(t, 300, byCore["z1a"])
 }
 
--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -15,7 +15,7 @@
 	PullInterval = 450 * clock.Millisecond
 	// EmptyPullInterval is the interval between pulls of a core that has no version yet.
 	EmptyPullInterval = 200 * clock.Millisecond
-	// leaderTimeout is how long a leader that a core has reported is considered current.
+	// leaderTimeout is how long a leader is considered current after a core has reported it.
 	leaderTimeout = 2 * clock.Second
 	// maxPendingPulls bounds the number of unanswered pulls that are tracked.
 	maxPendingPulls = 64
@@ -34,7 +34,7 @@
 	// Contact has a bit for each partition for which the core itself is in contact with a majority of the voters.
 	Contact uint32
 	// Confirmed has the bits of Contact and those of the partitions for which another core has recently reported
-	// contact to the core.
+	// contact to the core that replied.
 	Confirmed uint32
 }
 
@@ -60,7 +60,7 @@
 	liveAt map[string]clock.Micros
 	// zones maps the addresses of the known cores to their zones.
 	zones map[string]string
-	// unansweredSince is when the first pull was sent to a core after its last reply.
+	// unansweredSince maps the address of a core that has not answered the latest pulls to when the first of them was sent.
 	unansweredSince map[string]clock.Micros
 	// selections counts the cores selected by chooseCore.
 	selections int
@@ -97,7 +97,7 @@
 // Leader returns the address of the last reported leader of a partition, or "" if none has been reported.
 func (p *Sync) Leader(partition int) string { return p.leaders[partition].Addr }
 
-// HearsLeader reports whether a core that this process reaches has named a leader of the partition within leaderTimeout.
+// HearsLeader reports whether a core has reported a leader of the partition to this process within the last leaderTimeout.
 func (p *Sync) HearsLeader(partition int, now clock.Micros) bool {
 	return p.leaderReportedAt[partition] > 0 && now-p.leaderReportedAt[partition] < leaderTimeout
 }
@@ -143,8 +143,8 @@
 	}
 }
 
-// pullReplied handles a core's reply to a pull. The versions and leaders in it are used no matter how late it arrives;
-// the contact that it reports counts only if the pull is still pending.
+// pullReplied handles a core's reply to a pull. It uses the versions and leaders in the reply no matter how late the
+// reply arrives, but the contact that the reply reports only if the pull is still pending.
 func (p *Sync) pullReplied(ctx *kernel.Context, message kernel.Message) {
 	var reply wire.PullReply
 	if wire.Decode(message.Body, &reply) != nil {
@@ -176,7 +176,7 @@
 	p.leaders[partition], p.leaderReportedAt[partition] = leader, now
 }
 
-// versions returns the versions that this process has, by partition.
+// versions returns the stored versions, at most one for each partition, in the order of the partitions.
 func (p *Sync) versions() []wire.Version {
 	var versions []wire.Version
 	for partition := range state.Partitions {
