--- a/control/operations/call.go
+++ b/control/operations/call.go
@@ -31,12 +31,12 @@
 	AwaitInForce bool
 	// AwaitTimeout bounds that delay; 0 means [InForceTimeout].
 	AwaitTimeout clock.Micros
-	// Timeout bounds the whole call, including the delay. If it is 0, the reply is bounded by [CallTimeout] and the
-	// delay comes in addition.
+	// Timeout bounds the whole call, including the delay. If it is 0, [CallTimeout] bounds the time until the leader's
+	// reply, and the delay is not included.
 	Timeout clock.Micros
 }
 
-// Result answers [Submit] and [Rebuild]. Reply.Code is one of the codes that the operators' APIs return, or
+// Result is the answer to [Submit] and [Rebuild]. Reply.Code is one of the codes that the operators' APIs return, or
 // [CodeUnknownZone].
 type Result struct {
 	Reply wire.EditReply
@@ -53,23 +53,23 @@
 	Timeout clock.Micros
 }
 
-// Routing answers [ReadRouting].
+// Routing is the answer to [ReadRouting].
 type Routing struct {
 	// Table is nil if no table has ever been set.
 	Table *routingpb.RoutingTable
-	// Code is [wire.CodeOK], or [wire.CodeOverloaded] where no leader could be read from.
+	// Code is [wire.CodeOK], or [wire.CodeOverloaded] if the table could not be read from a leader.
 	Code wire.Code
 }
 
-// ReadHistory reads the earlier configurations. After the call has arrived, a majority confirms that they
-// are current. The call is answered with a [History].
+// ReadHistory reads the history of the configurations, including the one in force. After the call has arrived,
+// a majority confirms that the history is current. The call is answered with a [History].
 type ReadHistory struct{}
 
-// History answers [ReadHistory].
+// History is the answer to [ReadHistory].
 type History struct {
 	// Configurations are sorted from the oldest to the newest.
 	Configurations []wire.PastConfig
-	// Code is [wire.CodeOK], or [wire.CodeOverloaded] where no leader could be read from.
+	// Code is [wire.CodeOK], or [wire.CodeOverloaded] if the history could not be read from a leader.
 	Code wire.Code
 }
 
@@ -79,7 +79,8 @@
 	startedAt clock.Micros
 	attempts  int
 	redirects int
-	// undeclined counts the edits sent that may still take effect because no receiver has declined them.
+	// undeclined counts how often the edit was sent without being declined by the receiver. While it is not 0,
+	// the edit may still take effect.
 	undeclined int
 	// reply is the leader's final reply, and repliedAt when it arrived. reply is nil until then.
 	reply     *wire.EditReply
@@ -101,7 +102,7 @@
 // could take effect after the caller was informed that it did not.
 func (c *call) expired(now clock.Micros) bool { return now-c.startedAt >= c.timeout() }
 
-// awaitTimeout returns how long after the leader's reply the call waits for the nodes.
+// awaitTimeout returns how long the call waits for the nodes after the leader's reply.
 func (c *call) awaitTimeout() clock.Micros {
 	timeout := c.command.AwaitTimeout
 	if timeout == 0 {
--- a/control/operations/operations.go
+++ b/control/operations/operations.go
@@ -25,7 +25,7 @@
 	host *replica.Host
 	// zoneRegions maps the zones in the settings to their regions. It is empty if the settings list no zones.
 	zoneRegions map[string]string
-	// targetVoters is how many voters a group should have.
+	// targetVoters is the number of voters that a rebuilt group should have.
 	targetVoters int
 
 	// The calls in flight, by call id.
--- a/control/operations/rebuild.go
+++ b/control/operations/rebuild.go
@@ -19,7 +19,8 @@
 
 // Bounds of a rebuild.
 const (
-	// StepTimeout is the time-out for the cores' replies in each step.
+	// StepTimeout is the time-out for the cores' replies to the query for their versions, and for the voters' replies
+	// after they have stored the version.
 	StepTimeout = 1500 * clock.Millisecond
 	// FetchTimeout is the time-out for the newest version to arrive from a core.
 	FetchTimeout = 8 * clock.Second
@@ -113,8 +114,8 @@
 	}
 }
 
-// recordFetched records the fetched version, which is the newest stored by a core. If the mesh has a newer version, only
-// the edit log is kept, because the mesh does not carry edit logs.
+// recordFetched records the fetched version, which is the newest stored by a core. If the version from the mesh is newer,
+// only the edit log of the fetched version is kept, because the mesh does not carry edit logs.
 func (rebuild *rebuildState) recordFetched(stored wire.Versioned) {
 	rebuild.fetching, rebuild.fetched, rebuild.editLog = false, true, stored.EditLog
 	if mesh.Newer(stored.Version, rebuild.versioned.Version) {
@@ -148,8 +149,9 @@
 	return replica.PickVoters(cores, n)
 }
 
-// endRebuildStep starts the next step of a rebuild: after the query for the stored versions the fetch of the newest one,
-// then its storage by the voters, and finally the answer.
+// endRebuildStep ends the current step of a rebuild and starts the next one. The steps are the query for the stored
+// versions, the fetch of the newest version and its storage by the voters. If a step has failed, and after the last one,
+// endRebuildStep answers the call.
 func (s *Service) endRebuildStep(ctx *kernel.Context, id uint64, rebuild *rebuildState) {
 	if rebuild.applying {
 		if 2*len(rebuild.agreed) > len(rebuild.voters) {
--- a/control/operations/rebuild_fetch_test.go
+++ b/control/operations/rebuild_fetch_test.go
@@ -25,7 +25,7 @@
 	for _, m := range []wire.RebuildReply{storedReply("s1", 7, ""), storedReply("s2", 9, ""), storedReply("s3", 8, "")} {
 		n.receive(wire.KindRebuildReply, 1, &m)
 	}
-	must.Eq(t, wire.Version{}, r.versioned.Version, must.Sprint("a version without a body is not used"))
+	must.Eq(t, wire.Version{}, r.versioned.Version, must.Sprint("a version without a body must not be used"))
 	n.advance(StepTimeout)
 	must.True(t, r.fetching)
 	must.Eq(t, "s2", r.newestReplica)
--- a/control/operations/rebuild_test.go
+++ b/control/operations/rebuild_test.go
@@ -37,7 +37,7 @@
 		zones := map[string]int{}
 		for _, voter := range got {
 			zones[voter.Zone]++
-			must.LessEq(t, (v.voters-1)/2, zones[voter.Zone], must.Sprint("a majority survives the loss of a zone"))
+			must.LessEq(t, (v.voters-1)/2, zones[voter.Zone], must.Sprint("a majority must survive the loss of a zone"))
 		}
 	}
 }
--- a/control/operations/status.go
+++ b/control/operations/status.go
@@ -20,7 +20,7 @@
 // replied or [StatusTimeout] has passed. The state is collected only on request.
 type ReadStatus struct{}
 
-// Status answers [ReadStatus], with one entry for each known core, ordered by name.
+// Status is the answer to [ReadStatus], with one entry for each known core, ordered by name.
 type Status struct{ Cores []CoreStatus }
 
 // CoreStatus is the report of one core.
@@ -54,7 +54,7 @@
 }
 
 // knownCores returns the cores among the members, one for each address. If an earlier incarnation of a restarted core
-// is still a member, the live incarnation is returned.
+// is still a member, only the live incarnation is returned.
 func knownCores(all []membership.Member) []membership.Member {
 	var cores []membership.Member
 	at := map[string]int{}
--- a/control/operations/status_test.go
+++ b/control/operations/status_test.go
@@ -62,7 +62,7 @@
 	must.False(t, status.Cores[1].Responded)
 	n.statusReply(1, "b", 8)
 	again, _ := n.status(1)
-	must.Eq(t, status, again, must.Sprint("a late reply changes nothing"))
+	must.Eq(t, status, again, must.Sprint("a late reply must change nothing"))
 }
 
 func TestStatusWithoutCoresIsEmpty(t *testing.T) {
--- a/control/operations/submit.go
+++ b/control/operations/submit.go
@@ -112,7 +112,7 @@
 	case wire.CodeOverloaded:
 		c.undeclined--
 	case wire.CodeUnknown:
-		// The next attempt has the same edit id, so its reply tells the outcome of this one.
+		// The next attempt has the same edit id, so the reply to it reports the outcome of this attempt.
 	default:
 		s.recordReply(ctx, id, c, reply)
 	}
--- a/control/operations/submit_test.go
+++ b/control/operations/submit_test.go
@@ -20,7 +20,7 @@
 	now     clock.Micros
 	timers  []kernel.Timer
 	answers map[uint64]any
-	// edits has the addresses that edits were sent to, and frames those edits.
+	// edits has the addresses that edits were sent to, and frames the edits themselves.
 	edits  []string
 	frames []sentEdit
 }
@@ -109,7 +109,7 @@
 	must.Eq(t, "", n.code(1))
 	n.advance(1)
 	must.Eq(t, wire.CodeUnknown, n.code(1))
-	must.Eq(t, 5, len(n.edits), must.Sprint("attempts until the time-out"))
+	must.Eq(t, 5, len(n.edits), must.Sprint("the edit must be sent five times before the time-out"))
 }
 
 func TestSubmitWithoutCoresIsOverloaded(t *testing.T) {
@@ -134,7 +134,7 @@
 	n.call(2, Submit{Edit: routingEdit(), Timeout: 800 * clock.Millisecond})
 	n.reply(2, wire.EditReply{Code: wire.CodeNotLeader})
 	n.advance(800 * clock.Millisecond)
-	must.Eq(t, wire.CodeUnknown, n.code(2), must.Sprint("the later attempts were not declined"))
+	must.Eq(t, wire.CodeUnknown, n.code(2), must.Sprint("the outcome must be unknown, because the later attempts were not declined"))
 }
 
 func TestSubmitFollowsRedirectsToLeader(t *testing.T) {
@@ -199,7 +199,7 @@
 	must.Eq(t, 7, got.Table.Revision)
 	n.call(2, ReadRouting{Timeout: 800 * clock.Millisecond})
 	n.reply(2, wire.EditReply{Code: wire.CodeOK})
-	must.Eq(t, Routing{Code: wire.CodeOK}, n.answers[2].(Routing), must.Sprint("no table has ever been set"))
+	must.Eq(t, Routing{Code: wire.CodeOK}, n.answers[2].(Routing), must.Sprint("the table must be nil if none has ever been set"))
 	n.call(3, ReadRouting{Timeout: 800 * clock.Millisecond})
 	n.advance(800 * clock.Millisecond)
 	must.Eq(t, Routing{Code: wire.CodeOverloaded}, n.answers[3].(Routing))
--- a/control/operations/zone_version_test.go
+++ b/control/operations/zone_version_test.go
@@ -42,17 +42,17 @@
 	n.reply(n.lastFrame().id, zoneVersionReply(8))
 	second := n.lastFrame()
 	must.Eq(t, uint64(8), second.edit.Base.Seq)
-	must.Eq(t, first.edit.EditID, second.edit.EditID, must.Sprint("the edit id of the command is kept"))
+	must.Eq(t, first.edit.EditID, second.edit.EditID, must.Sprint("a command that is sent again must keep its edit id"))
 	n.reply(second.id, wire.EditReply{Code: wire.CodeStale})
 	n.advance(800 * clock.Millisecond)
-	must.Eq(t, wire.CodeOverloaded, n.code(1), must.Sprint("each edit sent was declined"))
+	must.Eq(t, wire.CodeOverloaded, n.code(1), must.Sprint("the call must be overloaded, because every command that was sent was declined"))
 }
 
 // A process that was frozen, or that receives a reply late, must not send anything for a call whose caller no longer waits.
 func TestNoFrameIsSentForFinishedCall(t *testing.T) {
 	for name, endCall := range map[string]func(n *node){
-		"old":       func(n *node) { n.now += 800 * clock.Millisecond },
-		"abandoned": func(n *node) { n.step(kernel.Canceled{Plugin: PluginName, ID: 1}) },
+		"expired":  func(n *node) { n.now += 800 * clock.Millisecond },
+		"canceled": func(n *node) { n.step(kernel.Canceled{Plugin: PluginName, ID: 1}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newNode(t)
@@ -70,7 +70,7 @@
 			sent := len(n.frames)
 			n.reply(command.id, wire.EditReply{Code: wire.CodeStale})
 			n.reply(command.id, wire.EditReply{Code: wire.CodeNotLeader, Addr: "other"})
-			if name == "abandoned" {
+			if name == "canceled" {
 				n.advance(5 * clock.Second)
 			}
 			must.Eq(t, sent, len(n.frames))
@@ -78,7 +78,7 @@
 	}
 }
 
-// A leader of a release before 3 does not know the query and accepts commands without a base.
+// A leader of a release before 3 does not know the query for a zone's version and accepts commands without a base.
 func TestZoneCommandToLeaderOfEarlierRelease(t *testing.T) {
 	n := newNode(t)
 	n.call(1, Submit{Edit: drainEdit(), Timeout: 800 * clock.Millisecond})
@@ -128,12 +128,12 @@
 		zone   string
 		refuse bool
 	}{
-		{"nothing known", wire.BackendList{}, "empty", "z9", false},
+		{"no list", wire.BackendList{}, "empty", "z9", false},
 		{"an incomplete list", wire.BackendList{Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z9", false},
-		{"nothing there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z9", true},
-		{"a backend there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z2", false},
-		{"a member there", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z1", false},
-		{"restored", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "refill", "z9", false},
+		{"zone not in a complete list", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z9", true},
+		{"zone of a backend", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z2", false},
+		{"zone of a member", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "empty", "z1", false},
+		{"restore of an unknown zone", wire.BackendList{Complete: true, Backends: []wire.Backend{{Zone: "z2"}}}, "refill", "z9", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(t)
--- a/control/operations/zones.go
+++ b/control/operations/zones.go
@@ -8,7 +8,7 @@
 	"wallport/runtime/wire"
 )
 
-// CodeUnknownZone is the code of a drain command for an unknown zone, which is refused without being sent.
+// CodeUnknownZone is the reply code for a drain command for an unknown zone. The command is refused without being sent.
 const CodeUnknownZone wire.Code = "unknown_zone"
 
 // zoneMayExist reports whether a zone may exist: it is in the settings, a member or a listed backend is in it, or
