--- a/control/state/editlog.go
+++ b/control/state/editlog.go
@@ -18,7 +18,7 @@
 	maxRoutingEdits = 2048
 	maxEdits        = 2048
 	maxHistory      = 32
-	// maxHistoryBytes bounds the total size of the configurations in the history. The one in force is always kept.
+	// maxHistoryBytes bounds the total size of the configurations in the history. The configuration in force is always kept.
 	maxHistoryBytes = 256 << 10
 )
 
@@ -35,7 +35,7 @@
 	return editLog, err
 }
 
-// migrateEdits adds the edits that a release before 3 recorded in the body to the edit log, as the oldest ones.
+// migrateEdits adds the edits that a release before 3 recorded in the body to the edit log, as its oldest entries.
 func migrateEdits(editLog *wire.EditLog, legacy []wire.LegacyEdit) {
 	var edits []wire.AppliedEdit
 	for _, edit := range legacy {
@@ -62,8 +62,8 @@
 	return entries[max(0, len(entries)-limit):]
 }
 
-// boundHistory returns the newest entries of a history, within maxHistory and maxHistoryBytes. The last entry is
-// always kept.
+// boundHistory returns the newest entries of a history, within maxHistory and maxHistoryBytes. The last entry,
+// the configuration in force, is always kept.
 func boundHistory(history []wire.PastConfig) []wire.PastConfig {
 	history = newest(history, maxHistory)
 	size := 0
--- a/control/state/editlog_test.go
+++ b/control/state/editlog_test.go
@@ -81,7 +81,7 @@
 		must.Eq(t, repeat.original.Version, repeat.repeated.Version, must.Sprint(repeat.name))
 	}
 	must.Eq(t, "conflict", p.applyZone("refill", "z", "first").Code)
-	must.Eq(t, before, p.value, must.Sprint("a repeated edit changes nothing"))
+	must.Eq(t, before, p.value, must.Sprint("a repeated edit must change nothing"))
 }
 
 // Refusals are not recorded: a refused edit that is sent again is validated against the state in force at that time.
@@ -91,9 +91,9 @@
 	routeToLatePool := func(base, revision int64) *routingpb.RoutingEdit {
 		return &routingpb.RoutingEdit{Base: base, Revision: revision, Upsert: &routingpb.RoutingTable{Routes: []*routingpb.Route{route("c", "/c/", "late")}}}
 	}
-	must.Eq(t, "invalid", p.applyRouting(routeToLatePool(1, 9)).Code, must.Sprint("no such pool"))
+	must.Eq(t, "invalid", p.applyRouting(routeToLatePool(1, 9)).Code, must.Sprint("an edit with an unknown pool must be refused"))
 	ahead := routePatch(2, 10, 5)
-	must.Eq(t, "lost_race", p.applyRouting(ahead).Code, must.Sprint("based on a revision that does not exist yet"))
+	must.Eq(t, "lost_race", p.applyRouting(ahead).Code, must.Sprint("an edit based on a revision that does not exist yet must be refused"))
 	late := &routingpb.RoutingTable{Pools: []*routingpb.Pool{{Name: "late"}}}
 	must.Eq(t, "ok", p.applyRouting(&routingpb.RoutingEdit{Base: 1, Revision: 2, Upsert: late}).Code)
 	must.Eq(t, "ok", p.applyRouting(ahead).Code)
@@ -101,7 +101,7 @@
 
 	refused := p.applyConfiguration(wire.Version{Term: 8, Seq: 8}, 100, "sheet")
 	must.Eq(t, "lost_race", refused.Code)
-	must.Eq(t, "ok", p.applyConfiguration(wire.Version{}, 100, "sheet").Code, must.Sprint("the same id, sent again with the current base"))
+	must.Eq(t, "ok", p.applyConfiguration(wire.Version{}, 100, "sheet").Code, must.Sprint("a refused edit must be applied if it is sent again with the current base"))
 }
 
 // An edit that a network partition delays until newer edits have been applied must not take effect.
@@ -110,10 +110,10 @@
 	must.Eq(t, "ok", p.applyRouting(putTable(0, 1)).Code)
 	base := p.zoneVersion("z")
 	late := wire.Edit{Op: "empty", Name: "z", EditID: "late", Base: base}
-	must.Eq(t, "ok", p.applyZone("refill", "z", "newer").Code, must.Sprint("acknowledged although it changes nothing"))
+	must.Eq(t, "ok", p.applyZone("refill", "z", "newer").Code, must.Sprint("an edit that changes nothing must be acknowledged"))
 	must.Eq(t, wire.CodeStale, p.apply(&late).Code)
 	must.SliceEmpty(t, p.drainedZones())
-	must.Eq(t, "ok", p.applyZone("empty", "other", "of another zone").Code)
+	must.Eq(t, "ok", p.applyZone("empty", "other", "drain of another zone").Code)
 	must.Eq(t, wire.CodeStale, p.apply(&late).Code)
 	must.Eq(t, []string{"other"}, p.drainedZones())
 
@@ -159,7 +159,7 @@
 		must.Eq(t, "zone", r.Findings[0].Path)
 	}
 	must.Eq(t, before, p.value)
-	must.Eq(t, "ok", p.applyZone("empty", "zone-0", "bad").Code, must.Sprint("the next edit is applied"))
+	must.Eq(t, "ok", p.applyZone("empty", "zone-0", "bad").Code, must.Sprint("a valid edit must be applied although refused edits had the same id"))
 }
 
 // Edits that a release before 3 recorded in the body are still recognized after the migration.
@@ -194,7 +194,7 @@
 	must.Eq(t, "ok", p.applyRouting(putTable(1, 2)).Code)
 	check()
 	c := p.body()
-	must.True(t, c.LegacyEdits == nil && c.LegacyHistory == nil && c.LegacyRevisions == nil, must.Sprint("moved to the edit log"))
+	must.True(t, c.LegacyEdits == nil && c.LegacyHistory == nil && c.LegacyRevisions == nil, must.Sprint("the legacy fields must be moved to the edit log"))
 }
 
 // The size of the body depends on the state in force, not on the number of edits, and the edit log is bounded.
@@ -227,7 +227,7 @@
 	for i := range 5 {
 		history = boundHistory(append(history, wire.PastConfig{Version: wire.Version{Seq: uint64(i)}, Config: big}))
 		must.Len(t, 1, history)
-		must.Eq(t, uint64(i), history[0].Version.Seq, must.Sprint("the configuration in force is kept"))
+		must.Eq(t, uint64(i), history[0].Version.Seq, must.Sprint("the configuration in force must be kept"))
 	}
 	for i := range maxHistory + 3 {
 		history = boundHistory(append(history, wire.PastConfig{Version: wire.Version{Seq: uint64(i)}}))
--- a/control/state/harness_test.go
+++ b/control/state/harness_test.go
@@ -41,7 +41,8 @@
 	return editLog
 }
 
-// applyZone applies an edit of a zone. Like a core, it sets the base to the zone's current version.
+// applyZone applies an edit of a zone. Like the process that an operator calls, it sets the base to the zone's current
+// version.
 func (p *configPartition) applyZone(op, zone, id string) wire.EditReply {
 	p.t.Helper()
 	return p.apply(&wire.Edit{Op: op, Name: zone, EditID: id, Base: p.zoneVersion(zone)})
--- a/control/state/index.go
+++ b/control/state/index.go
@@ -7,8 +7,8 @@
 	"wallport/runtime/wire"
 )
 
-// indexMachine applies edits to the body of an index partition: the shard map of each index, the shard map that
-// the index is being moved to, and the holder of each singleton task's lease.
+// indexMachine applies edits to the body of an index partition. The body contains the shard map of each index, the
+// shard map that the index is being moved to, if any, and the holder of each singleton task's lease.
 type indexMachine struct{ body wire.IndexBody }
 
 // ReadIndex decodes the body of an index partition; nil decodes to an empty body. The maps of the result are
@@ -70,8 +70,8 @@
 	return wire.EditReply{Code: wire.CodeOK}
 }
 
-// switchShardMap puts the next shard map of an index in force if the current move is the one that the edit
-// names. A repeated or delayed switch is refused with wire.CodeLostRace.
+// switchShardMap puts the next shard map of an index in force if the edit names the move that is in progress.
+// A repeated or delayed switch is refused with wire.CodeLostRace.
 func switchShardMap(body *wire.IndexBody, edit *wire.Edit) wire.EditReply {
 	var expected wire.ShardMap
 	live := body.ShardMaps[edit.Name]
--- a/control/state/limits.go
+++ b/control/state/limits.go
@@ -37,7 +37,8 @@
 }
 
 // TooLarge reports whether an edit makes the body or the edit log of a partition exceed its bound, and returns
-// the reply that refuses the edit. If it exceeded the bound before, an edit may only make it smaller.
+// the reply that refuses the edit. A body or edit log that exceeded its bound before the edit may only become
+// smaller.
 func TooLarge(partition int, before, after Value) (refusal wire.EditReply, tooLarge bool) {
 	subject := "configuration"
 	if partition != ConfigPartition {
--- a/control/state/routing_test.go
+++ b/control/state/routing_test.go
@@ -34,12 +34,12 @@
 	must.Eq(t, "{a}", string(p.routingTable().Routes[0].Source))
 	must.Eq(t, "ok", p.applyRouting(putTable(3, 9)).Code)
 	again := p.applyRouting(putTable(0, 3))
-	must.Eq(t, "ok", again.Code, must.Sprint("an identical edit was applied before"))
+	must.Eq(t, "ok", again.Code, must.Sprint("an edit that was applied before must be acknowledged again"))
 	must.Eq(t, r.Version, again.Version)
 	must.Eq(t, 9, p.routingTable().Revision)
 	other := putTable(0, 3)
 	other.Whole.Routes[0].TimeoutUs = 2
-	must.Eq(t, "lost_race", p.applyRouting(other).Code, must.Sprint("a different edit with the same base and revision"))
+	must.Eq(t, "lost_race", p.applyRouting(other).Code, must.Sprint("a different edit with the same base and revision must be refused"))
 	must.Eq(t, "lost_race", p.applyRouting(putTable(1, 3)).Code)
 }
 
@@ -71,7 +71,7 @@
 			Routes: []*routingpb.Route{route("c", "/c/", "r"), route("a", "/a2/", "r")},
 			Pools:  []*routingpb.Pool{{Name: "r", Source: []byte("{r}")}},
 		},
-		WithdrawRoutes: []string{"b", "never there"}, WithdrawPools: []string{"q"},
+		WithdrawRoutes: []string{"b", "unknown"}, WithdrawPools: []string{"q"},
 	})
 	must.Eq(t, "ok", r.Code)
 	got := p.routingTable()
@@ -79,9 +79,9 @@
 	must.Eq(t, "{r}", string(got.Pools[1].Source))
 	must.Eq(t, "{p}", string(got.Pools[0].Source))
 	r = p.applyRouting(&routingpb.RoutingEdit{Base: 2, Revision: 3, WithdrawPools: []string{"p"}})
-	must.Eq(t, "ok", r.Code, must.Sprint("no route refers to the pool any more"))
+	must.Eq(t, "ok", r.Code, must.Sprint("a pool that no route refers to may be withdrawn"))
 	r = p.applyRouting(&routingpb.RoutingEdit{Base: 3, Revision: 4, WithdrawPools: []string{"r"}})
-	must.Eq(t, "invalid", r.Code, must.Sprint("the resulting table is checked as a whole"))
+	must.Eq(t, "invalid", r.Code, must.Sprint("the resulting table must be checked as a whole"))
 	must.Len(t, 2, r.Findings)
 	must.Eq(t, "ok", p.applyRouting(&routingpb.RoutingEdit{Base: 3, Revision: 4, Upsert: &routingpb.RoutingTable{Limits: &routingpb.Limits{MaxBodyBytes: 7}}}).Code)
 	must.Eq(t, 7, p.routingTable().Limits.MaxBodyBytes)
@@ -97,35 +97,35 @@
 
 func TestInvalidRoutingTablesAreRefused(t *testing.T) {
 	for name, invalidate := range map[string]func(*routingpb.RoutingTable, *routingpb.Route){
-		"unknown pool":           func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "x" },
-		"unknown weighted pool":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0, "x", 0.0) },
-		"unknown gathered pool":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "x") },
-		"same host and prefix":   func(t *routingpb.RoutingTable, r *routingpb.Route) { r.Host, r.Prefix = "H.example", "/b/" },
-		"same route name":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Name = "b" },
-		"same pool name":         func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[1].Name, t.Routes[1].Pool = "p", "p" },
-		"no name":                func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Name = "" },
-		"no host":                func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Host = "" },
-		"prefix without start":   func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "a/" },
-		"prefix without end":     func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "/a" },
-		"weights of 0":           func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 0.0, "q", 0.0) },
-		"negative weight":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 2.0, "q", -1.0) },
-		"weight not a number":    func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0, "q", math.NaN()) },
-		"timeout of 0":           func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TimeoutUs = 0 },
-		"no pool":                func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "" },
-		"two targets":            func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0); r.Pool = "p" },
-		"coverage above 1":       func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MinCoverage = 1.01 },
-		"coverage below 0":       func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MinCoverage = -0.1 },
-		"negative backends":      func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MaxBackends = -1 },
-		"negative target":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TargetLatencyUs = -1 },
-		"negative limit":         func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.ResultLimit = -1 },
-		"negative priority":      func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Priority = -1 },
-		"negative connections":   func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].MaxConnections = -1 },
-		"negative slow start":    func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].SlowStartUs = -1 },
-		"negative ramp":          func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].RampPerS = -1 },
-		"negative limits":        func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Limits = &routingpb.Limits{IdleTimeoutUs: -1} },
-		"gathered, run once":     func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "q"); r.Repeatable = false },
-		"pool without a name":    func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools = append(t.Pools, &routingpb.Pool{}) },
-		"ramp that has no bound": func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].RampPerS = math.Inf(1) },
+		"unknown pool":             func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "x" },
+		"unknown weighted pool":    func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0, "x", 0.0) },
+		"unknown fan-out pool":     func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "x") },
+		"same host and prefix":     func(t *routingpb.RoutingTable, r *routingpb.Route) { r.Host, r.Prefix = "H.example", "/b/" },
+		"same route name":          func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Name = "b" },
+		"same pool name":           func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[1].Name, t.Routes[1].Pool = "p", "p" },
+		"no name":                  func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Name = "" },
+		"no host":                  func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Host = "" },
+		"no leading slash":         func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "a/" },
+		"no trailing slash":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "/a" },
+		"weights of 0":             func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 0.0, "q", 0.0) },
+		"negative weight":          func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 2.0, "q", -1.0) },
+		"weight not a number":      func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0, "q", math.NaN()) },
+		"timeout of 0":             func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TimeoutUs = 0 },
+		"no pool":                  func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "" },
+		"pool and weighted pools":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 1.0); r.Pool = "p" },
+		"coverage above 1":         func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MinCoverage = 1.01 },
+		"coverage below 0":         func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MinCoverage = -0.1 },
+		"negative max_backends":    func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.MaxBackends = -1 },
+		"negative target latency":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TargetLatencyUs = -1 },
+		"negative result limit":    func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.ResultLimit = -1 },
+		"negative priority":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Priority = -1 },
+		"negative max_connections": func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].MaxConnections = -1 },
+		"negative slow start":      func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].SlowStartUs = -1 },
+		"negative ramp":            func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].RampPerS = -1 },
+		"negative limits":          func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Limits = &routingpb.Limits{IdleTimeoutUs: -1} },
+		"fan-out, not repeatable":  func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "q"); r.Repeatable = false },
+		"pool without a name":      func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools = append(t.Pools, &routingpb.Pool{}) },
+		"infinite ramp":            func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Pools[0].RampPerS = math.Inf(1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &configPartition{t: t}
@@ -142,15 +142,15 @@
 
 func TestUnsetRoutingFieldsAreAccepted(t *testing.T) {
 	for name, change := range map[string]func(*routingpb.RoutingTable, *routingpb.Route){
-		"a weight of 0":               func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 0.0, "q", 3.0) },
-		"gathered":                    func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "q") },
-		"full coverage":               func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p"); r.MinCoverage = 1 },
-		"a pool that no route names":  func(t *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "q" },
-		"the same prefix, other host": func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Host, r.Prefix = "other.example", "/b/" },
-		"a prefix inside another":     func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "/b/c/" },
-		"the root":                    func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "/" },
-		"no routes":                   func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Routes = nil },
-		"a deadline past the timeout": func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TargetLatencyUs = 5 },
+		"a weight of 0":                      func(_ *routingpb.RoutingTable, r *routingpb.Route) { setPoolWeights(r, "p", 0.0, "q", 3.0) },
+		"fan-out":                            func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p", "q") },
+		"full coverage":                      func(_ *routingpb.RoutingTable, r *routingpb.Route) { setFanout(r, "p"); r.MinCoverage = 1 },
+		"a pool that no route names":         func(t *routingpb.RoutingTable, r *routingpb.Route) { r.Pool = "q" },
+		"the same prefix, other host":        func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Host, r.Prefix = "other.example", "/b/" },
+		"a prefix inside another":            func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "/b/c/" },
+		"the prefix /":                       func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.Prefix = "/" },
+		"no routes":                          func(t *routingpb.RoutingTable, _ *routingpb.Route) { t.Routes = nil },
+		"a target latency above the timeout": func(_ *routingpb.RoutingTable, r *routingpb.Route) { r.TargetLatencyUs = 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := putTable(0, 1)
@@ -185,7 +185,7 @@
 		must.Eq(t, "ok", p.applyZone("empty", "z", id).Code)
 	}
 	must.Eq(t, "ok", p.applyZone("refill", "z", "three").Code)
-	must.Eq(t, "ok", p.applyZone("empty", "z", "two").Code, must.Sprint("a repetition of an older edit"))
+	must.Eq(t, "ok", p.applyZone("empty", "z", "two").Code, must.Sprint("a repeated older edit must be acknowledged"))
 	must.SliceEmpty(t, p.drainedZones())
 	must.Eq(t, 1, p.routingTable().Revision)
 }
--- a/control/state/state.go
+++ b/control/state/state.go
@@ -13,7 +13,7 @@
 // ConfigPartition is the partition that holds the configuration; all others hold indexes.
 const ConfigPartition = 0
 
-// PartitionOf returns the partition that holds an index or another named service. The mapping must not
+// PartitionOf returns the partition that holds an index or the lease of a singleton task. The mapping must not
 // change between releases, because stored data is located by it.
 func PartitionOf(name string) int {
 	h := fnv.New32a()
--- a/control/state/zones.go
+++ b/control/state/zones.go
@@ -56,7 +56,7 @@
 	return []wire.Finding{{Path: "zone", Text: text}}
 }
 
-// zoneVersion returns the version of the last edit of a zone, or the floor if the zone is not listed.
+// zoneVersion returns the version of the last edit of a zone, or the floor (see setZoneVersion) if the zone is not listed.
 func zoneVersion(editLog *wire.EditLog, zone string) wire.Version {
 	for _, v := range editLog.Zones {
 		if v.Zone == zone {
