--- a/cluster/loadreport/loadreport.go
+++ b/cluster/loadreport/loadreport.go
@@ -35,7 +35,7 @@
 	// to become the new rate without smoothing. Such an increase is not noise: callers have moved
 	// to this node.
 	minJump = 5
-	// reportScale is the number of units of a reported rate per request per second.
+	// reportScale converts a rate in requests per second to a reported rate, which is an integer.
 	reportScale = 10
 )
 
@@ -76,7 +76,7 @@
 
 // LocalLimit returns this node's part of a fleet-wide limit, in requests per second. The limit is
 // divided in proportion to the nodes' rates, or equally while no rate is known. In addition each
-// node may use half of the unused part of the limit, for callers that have just moved to it.
+// node may use half of the unused part of the limit, for callers that have just moved to that node.
 func (m *Meter) LocalLimit(limit float64, nodes int) float64 {
 	local, remote := float64(m.localRate.Load())/reportScale, float64(m.remoteRate.Load())/reportScale
 	if local+remote < 1.0/reportScale {
@@ -98,7 +98,7 @@
 	}})
 }
 
-// Meter returns the meter of an index and kind. It is created on first use. Any goroutine may call
+// Meter returns the meter of an index and kind, and creates it on first use. Any goroutine may call
 // Meter.
 func (r *Reporter) Meter(index, kind string) *Meter {
 	key := index + "\x00" + kind
--- a/cluster/loadreport/loadreport_test.go
+++ b/cluster/loadreport/loadreport_test.go
@@ -37,7 +37,8 @@
 	n.kernel.Step(n.now, n.now, kernel.Tick{Plugin: pluginName, Key: timerReport})
 }
 
-// reported returns the count of the mesh entry with this node's last report, and the rate in it.
+// reported returns the Count field of the mesh entry that holds this node's last report, and the
+// reported rate.
 func (n *node) reported(t *testing.T) (count uint64, rate int64) {
 	t.Helper()
 	kernel.Find[*mesh.Mesh](n.kernel).Each(mesh.EntryLoadReport, func(entry *wire.Entry, _ string) {
@@ -52,10 +53,10 @@
 	n := newNode()
 	n.advanceSecond(100)
 	first, rate := n.reported(t)
-	must.Eq(t, 100*reportScale, rate, must.Sprint("a jump becomes the rate without smoothing"))
+	must.Eq(t, 100*reportScale, rate, must.Sprint("a jump must become the rate without smoothing"))
 	n.advanceSecond(130)
 	count, _ := n.reported(t)
-	must.Eq(t, first, count, must.Sprint("a change of 15 in 100 is not reported"))
+	must.Eq(t, first, count, must.Sprint("a change of 15 in 100 must not be reported"))
 	n.advanceSecond(150)
 	count, rate = n.reported(t)
 	must.Greater(t, first, count)
@@ -69,7 +70,7 @@
 	n.reporter.Meter("i", "k").SetLimits(0, 120)
 	n.advanceSecond(116)
 	count, rate := n.reported(t)
-	must.Greater(t, first, count, must.Sprint("a change of 8 in 100 is reported near a limit"))
+	must.Greater(t, first, count, must.Sprint("a change of 8 in 100 must be reported near a limit"))
 	must.Eq(t, 108*reportScale, rate)
 }
 
@@ -80,9 +81,9 @@
 		want          float64
 	}{
 		{"no rate is known: an equal part", 0, 0, 25},
-		{"all of the fleet's rate and half of what is unused", 60, 0, 100 + 20},
-		{"a quarter of a rate at the limit", 25, 75, 25},
-		{"a quarter of a rate beyond the limit", 50, 150, 25},
+		{"all of the fleet's rate, and half of the unused limit", 60, 0, 100 + 20},
+		{"a quarter of the fleet's rate, which is at the limit", 25, 75, 25},
+		{"a quarter of the fleet's rate, which exceeds the limit", 50, 150, 25},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			meter := &Meter{}
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -26,7 +26,7 @@
 	Live   bool
 }
 
-// Members is the plug-in. It emits no events; other plug-ins query it.
+// Members is the plug-in that maintains the list of members. It emits no events; other plug-ins query it.
 type Members struct {
 	k           *kernel.Kernel
 	mesh        *mesh.Mesh
@@ -39,7 +39,7 @@
 	announceDue clock.Micros
 	byOrigin    map[string]*wire.Member
 	// sortedOrigins caches the result of sorted. It is nil if a member was added, changed or removed
-	// since.
+	// after the last call.
 	sortedOrigins []string
 	// peak is the number of nodes by which fleet-wide allowances are divided (see Divisor), and
 	// peakAt is when it was last set.
@@ -59,9 +59,9 @@
 	smallFleet                = 32
 	announceIntervalPerMember = 100 * clock.Millisecond
 	maxAnnounceInterval       = 10 * clock.Second
-	// startupDelay is the minimum interval between such announcements during the first startupDelay
-	// after the start of a process: it receives several versions in that time and does not know the
-	// size of the fleet yet.
+	// startupDelay is the time after the start of a process during which the interval before such an
+	// announcement is startupDelay too: the process receives several versions in that time and does
+	// not know the size of the fleet yet.
 	startupDelay = 1 * clock.Second
 )
 
@@ -70,8 +70,8 @@
 	timerAnnounce = "tell"
 )
 
-// PeakTTL is how long the previous size of a fleet that has shrunk remains the divisor of
-// allowances.
+// PeakTTL is how long fleet-wide allowances are still divided by the previous number of nodes after a
+// fleet has shrunk (see Divisor).
 const PeakTTL = 10 * clock.Minute
 
 func init() {
@@ -149,8 +149,8 @@
 	}
 }
 
-// announceDelay returns the minimum time from the last announcement to the announcement of the
-// changes since.
+// announceDelay returns the minimum time between the last announcement and the next one, which
+// depends on what has changed since the last one.
 func (m *Members) announceDelay(now clock.Micros) clock.Micros {
 	lastAnnounced, current := m.announced, m.local
 	lastAnnounced.InForce, current.InForce = nil, nil
@@ -229,8 +229,8 @@
 	return n
 }
 
-// Replica returns the live core that has the replica with that id. The result is false if there is
-// none.
+// Replica returns the live core that has the replica with that id. The Boolean result is false if
+// there is none.
 func (m *Members) Replica(id string, now clock.Micros) (Member, bool) {
 	for _, origin := range m.sorted() {
 		if m.byOrigin[origin].Replica == id && m.mesh.Live(origin, now) {
@@ -241,6 +241,6 @@
 }
 
 // Divisor returns the number of nodes by which a fleet-wide allowance is divided. It is the greatest
-// number of live nodes within PeakTTL, less the drained nodes that were removed, so that neither a
-// shrinking fleet nor an isolated node uses the shares of nodes that it does not see.
+// number of live nodes within PeakTTL, minus the drained nodes that were removed. A node that is
+// isolated or whose fleet shrinks therefore does not use the shares of nodes that it no longer sees.
 func (m *Members) Divisor() int { return max(1, m.peak) }
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -13,7 +13,7 @@
 	"wallport/runtime/wire"
 )
 
-// process is a process of which the test uses only the mesh and the members.
+// process is a process of whose plug-ins the tests use only the mesh and the members.
 type process struct {
 	k   *kernel.Kernel
 	m   *Members
@@ -66,9 +66,9 @@
 		p.update(version(1))
 		p.update(version(2))
 		must.Between(t, want, p.announcedWithin(20_000_000), want+20_000, must.Sprint(others, " others"))
-		must.Eq(t, -1, p.announcedWithin(20_000_000), must.Sprint("announced only once"))
+		must.Eq(t, -1, p.announcedWithin(20_000_000), must.Sprint("must be announced only once"))
 		p.update(version(3))
-		must.Eq(t, p.now, p.m.announcedAt, must.Sprint("announced immediately after a pause"))
+		must.Eq(t, p.now, p.m.announcedAt, must.Sprint("must be announced immediately after a pause"))
 	}
 }
 
