--- a/cmd/lab/cover.go
+++ b/cmd/lab/cover.go
@@ -1,4 +1,5 @@
-// Coverage of a series of random days: how often each kind of fault, each of its modes, and each rule was tested.
+// Coverage of a series of random days, which are generated scenarios on the users' platform: how often each kind of fault
+// or planned work, each mode of a kind, and each rule was tested.
 
 package main
 
@@ -9,7 +10,7 @@
 	"wallport/lab/rules"
 )
 
-// printCoverage prints how often each kind, mode and rule was tested, and returns those that never were.
+// printCoverage prints how often each kind, mode and rule was tested, and returns those that were never tested.
 func printCoverage(sums, tested map[string]int64) (unmet []string) {
 	print := func(title, prefix string, names []string, from map[string]int64) {
 		fmt.Println(title)
--- a/cmd/lab/draw.go
+++ b/cmd/lab/draw.go
@@ -1,5 +1,5 @@
-// Random scenarios: generating them, shrinking one that fails, and the matrix of
-// the failures that were combined.
+// Random scenarios: their generation, the shrinking of a failing scenario, and the matrix
+// that shows how often each pair of failures was combined.
 
 package main
 
@@ -13,8 +13,8 @@
 	"wallport/lab/sim"
 )
 
-// drawJobs generates random scenarios. If no shape is set, odd and even numbers run on the two deployments alternately,
-// in an order that changes after each round of all pairs of failures.
+// drawJobs generates random scenarios and returns a job for each. Scenarios of failures for which no shape is set alternate
+// between the two deployments by their numbers. The alternation is reversed after each round of all pairs of failures.
 func (c *simCmd) drawJobs() ([]simJob, error) {
 	var jobs []simJob
 	pairCounts := map[string]map[string]int{}
@@ -34,7 +34,7 @@
 		}
 		shape := c.Shape
 		if shape == "" {
-			// Every pair of failures runs on both shapes within two rounds of all pairs.
+			// With this order, every pair of failures runs on both shapes within two rounds of all pairs.
 			shape = []string{"trust", "registry"}[(n+n/uint64(len(draw.Pairs())))%2]
 		}
 		d := draw.Make(n, fleet.Shapes[shape], c.Rate)
@@ -61,7 +61,8 @@
 	return jobs, nil
 }
 
-// printMatrix prints how often each pair of failures was combined. The diagonal counts the scenarios with each failure.
+// printMatrix prints how often each pair of failures was combined. The diagonal shows
+// the number of scenarios with each failure.
 func printMatrix(pairCounts map[string]map[string]int) {
 	names := draw.Names()
 	never, least, most := 0, 1<<30, 0
@@ -87,8 +88,8 @@
 	fmt.Printf("pairs=%d never=%d least=%d most=%d\n", len(draw.Pairs()), never, least, most)
 }
 
-// shrinkFailure returns the scenario of a failing run without the lines that the failure does not need. It returns an
-// empty string without --shrink.
+// shrinkFailure returns the scenario of a failing run without the lines that are not needed to reproduce the failure. It
+// returns an empty string without --shrink.
 func (c *simCmd) shrinkFailure(j simJob, r sim.Result) string {
 	if !c.Shrink {
 		return ""
--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -1,4 +1,4 @@
-// The command load: load runs on real processes.
+// The command load: runs of real processes under load, alternately with those of another build if one is given.
 
 package main
 
--- a/cmd/lab/model.go
+++ b/cmd/lab/model.go
@@ -1,5 +1,5 @@
-// The command model: the model checker explores every configuration up to a bound,
-// then makes random walks beyond it.
+// The command model: the model checker explores each selected configuration up to a bound,
+// then makes random walks, which may go beyond that bound.
 
 package main
 
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -81,8 +81,8 @@
 	return os.RemoveAll(dir)
 }
 
-// runSimulated prints counts of what a process does in each phase. It fails if a count grows
-// faster than the square root of the fleet's size.
+// runSimulated prints the numbers of frames, bytes and steps of a process in each phase. It fails if
+// one of these counts grows faster than the square root of the fleet's size.
 func (c *scaleCmd) runSimulated() error {
 	var sizes []sim.Growth
 	for _, n := range c.Nodes {
--- a/cmd/lab/sim.go
+++ b/cmd/lab/sim.go
@@ -1,6 +1,6 @@
-// The command sim: one simulated run, or a run for each of several seeds. It prints
-// each failing seed with the command that replays it. Runs have the scenarios' own
-// sizes or the full size of a deployment.
+// The command sim: simulated runs of scenarios, each with one seed or several. It prints
+// each failing seed with the command that replays it. The fleet has the size that the
+// scenario sets or the full size of a deployment.
 
 package main
 
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// fileJobs reads the scenario files, and sets them to the full size of a deployment if one is named.
+// fileJobs reads the scenario files and returns their jobs. With --shape, the scenarios run at the full size of that
+// deployment.
 func (c *simCmd) fileJobs() ([]simJob, error) {
 	var jobs []simJob
 	for _, f := range c.Args.Files {
@@ -123,7 +124,7 @@
 	return jobs, nil
 }
 
-// runJobs runs all jobs on all processors and calls done with each result, for one result at a time.
+// runJobs runs all jobs on all processors and calls done with each result. The calls of done do not overlap.
 func (c *simCmd) runJobs(jobs []simJob, done func(j simJob, r sim.Result)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -1,4 +1,5 @@
-// The command soak: real processes in the users' platform's set-up under overlapping faults, one run for each seed.
+// The command soak: runs of real processes, configured as on the users' platform, under overlapping faults. There is one
+// run for each seed.
 // The folder of a failing run is kept.
 
 package main
@@ -67,7 +68,7 @@
 	return filepath.Join(c.Dir, fmt.Sprintf("seed-%d", seed))
 }
 
-// runSeed carries out the run of one seed and writes its schedule to events.txt in the folder of its logs.
+// runSeed carries out the run of one seed and writes its schedule and its findings to events.txt in the folder of the run.
 func (c *soakCmd) runSeed(ctx context.Context, seed uint64) (*soak.Report, error) {
 	dir := c.seedFolder(seed)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/cmd/lab/tail.go
+++ b/cmd/lab/tail.go
@@ -1,4 +1,4 @@
-// The command tail: the tail latency of requests that wait for many parts, on random times from a seed.
+// The command tail: the tail latency of requests that wait for many parts, on random times drawn from a seed.
 
 package main
 
--- a/cmd/wallport/admin.go
+++ b/cmd/wallport/admin.go
@@ -114,7 +114,7 @@
 	By      string `long:"by" description:"who, for the audit" env:"USER"`
 }
 
-// baseVersion returns the version that the edit is based on: that of --based-on or, without it, the one in force.
+// baseVersion returns the version that the edit is based on: that of --based-on or, without it, the version in force.
 func (e editFlags) baseVersion(ctx context.Context, c *operator.Client) (*string, error) {
 	if e.BasedOn != "" {
 		return &e.BasedOn, nil
--- a/cmd/wallport/daemon.go
+++ b/cmd/wallport/daemon.go
@@ -45,7 +45,7 @@
 	return runDaemon(c.Settings, role)
 }
 
-// checkEnvCmd checks a settings file and prints the findings.
+// checkEnvCmd checks an env file or the platform's settings file and prints the findings.
 type checkEnvCmd struct {
 	Role       string `long:"role" choice:"node" choice:"core" default:"node" description:"the role it is for"`
 	OnPlatform bool   `long:"on-platform" description:"FILE is the platform's settings file"`
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// runDaemon runs a role with the settings of the command line and its env file until it receives SIGTERM or SIGINT, or
-// until a listener fails.
+// runDaemon runs a role with the settings of the command line and of the env file, if one is named. It returns when the
+// process receives SIGTERM or SIGINT, or when a listener fails.
 func runDaemon(set settings.Settings, role string) error {
 	if found := settings.Load(&set, role); len(found) > 0 {
 		return exitError{exitInvalid, found.Error()}
--- a/cmd/wallport/hangup.go
+++ b/cmd/wallport/hangup.go
@@ -1,6 +1,6 @@
 // The platform sends SIGHUP when the settings file has changed. The signal may arrive before the Go runtime and the
-// packages are initialised, when its default action would end the process. It is therefore ignored until its handler is
-// installed. No change is missed, because the file is read only after that.
+// packages are initialised. Its default action would then end the process, so it is ignored until its handler is
+// installed. No change is missed, because the settings file is read only after that.
 
 package main
 
--- a/cmd/wallport/leave.go
+++ b/cmd/wallport/leave.go
@@ -12,7 +12,7 @@
 const (
 	// leavePollInterval is the interval at which a stopping core checks whether it has left its replica groups.
 	leavePollInterval = 10 * time.Millisecond
-	// finalSendDelay is the time that the last frames have to be sent before the process ends.
+	// finalSendDelay is how long a process waits before it ends, so that its last frames are sent.
 	finalSendDelay = 50 * time.Millisecond
 )
 
--- a/cmd/wallport/platform.go
+++ b/cmd/wallport/platform.go
@@ -30,7 +30,7 @@
 	watchInterval = time.Second
 )
 
-// limitRuntime limits the processors and the memory that this process uses.
+// limitRuntime limits this process to one processor, and its memory to heapShare of the machine's memory if that is known.
 func limitRuntime(machine settings.Machine) {
 	runtime.GOMAXPROCS(1)
 	if machine.MemoryMB > 0 {
@@ -60,12 +60,13 @@
 	failed             chan error
 }
 
-// runOnPlatform runs a role with the platform's settings until it receives SIGTERM or SIGINT, or until a listener fails.
+// runOnPlatform runs a role with the platform's settings until the process receives SIGTERM or SIGINT, or until a listener
+// fails.
 func runOnPlatform(role string, flags platformFlags) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	path := platform.SettingsPath()
-	// The watch starts before the file is read, so that a change in between is noticed.
+	// The watch starts before the file is read, so that no change after the read is missed.
 	watch := platform.NewSettingsWatch(path)
 	configured, found := platform.ReadSettings(path, role)
 	if len(found) > 0 {
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// openRoleListeners opens the addresses that the platform calls: on a node those for clients and readiness checks, on a
-// core the control address.
+// openRoleListeners opens the listeners for the platform: on a node those for clients and readiness checks, on a core the
+// one for the control address. They are open until stop is called.
 func (d *platformDaemon) openRoleListeners(configured platform.ProcessSettings) (stop func(), err error) {
 	if d.role == settings.RoleCore {
 		control := &platform.Control{Call: d.process.Call, Log: platform.AuditLog(d.process.Log)}
