--- a/api/design/caller.go
+++ b/api/design/caller.go
@@ -51,8 +51,8 @@
 	Attribute("key", String, "Inquiry key: the same for every sending of one inquiry", func() { MaxLength(128) })
 }
 
-// firstTry adds the caller's statement that it never sent the key before. With it a key is
-// admitted even if the records of earlier attempts may have been lost.
+// firstTry adds a field in which the caller states that it has never sent the key before. The
+// request is then admitted even if the records of earlier attempts may have been lost.
 func firstTry() {
 	Attribute("first_try", Boolean, "The caller's word that it never sent this key before")
 }
--- a/api/design/operator.go
+++ b/api/design/operator.go
@@ -4,7 +4,7 @@
 
 import . "goa.design/goa/v3/dsl"
 
-// Taken is the result of a committed change, with the nodes that have it in force.
+// Taken is the result of a committed change, with the number of nodes that have the change in force.
 var Taken = Type("Taken", func() {
 	Attribute("stamp", String, "Stamp of the change")
 	Attribute("in_force", Int, "Nodes that have it in force")
--- a/api/design/status.go
+++ b/api/design/status.go
@@ -1,4 +1,4 @@
-// Schema of the state of the control state's replicas, as operators see it.
+// Schema of the status of the control state's replicas, which is shown to operators.
 
 package design
 
