--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -59,9 +59,9 @@
 	smallFleet                = 32
 	announceIntervalPerMember = 100 * clock.Millisecond
 	maxAnnounceInterval       = 10 * clock.Second
-	// startupDelay is the time after the start of a process during which the interval before such an
-	// announcement is startupDelay too: the process receives several versions in that time and does
-	// not know the size of the fleet yet.
+	// During the first startupDelay after the start of a process, the interval before such an
+	// announcement is startupDelay: the process receives several versions in that time and does not
+	// know the size of the fleet yet.
 	startupDelay = 1 * clock.Second
 )
 
