--- a/request/dispatch/state_machine_test.go
+++ b/request/dispatch/state_machine_test.go
@@ -45,7 +45,7 @@
 		one("read", &routingpb.Route{Pool: "p0", Repeatable: true, MaxBackends: 2}),
 		one("split", &routingpb.Route{Repeatable: true, MaxBackends: 2, PoolWeights: []*routingpb.PoolWeight{{Pool: "p0", Weight: 0}, {Pool: "p1", Weight: 1}, {Pool: "p2", Weight: 1}}}),
 	}
-	f.snap = &snapshot.Snapshot{At: startTime, Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
+	f.snap = &snapshot.Snapshot{At: startTime, Complete: true, Zone: "z0", Divisor: 1, LiveNodeCount: 1, Pools: map[string]*snapshot.Pool{}}
 	for _, p := range f.table.Pools {
 		q := &snapshot.Pool{Pool: p}
 		for i := range backends {
--- a/request/dispatch/world_test.go
+++ b/request/dispatch/world_test.go
@@ -187,7 +187,7 @@
 			live++
 		}
 	}
-	snap := &snapshot.Snapshot{At: w.now, Zone: n.zone, Divisor: max(live, w.deployment.nodes), Peers: live, Routing: n.table, Pools: map[string]*snapshot.Pool{}, Complete: true}
+	snap := &snapshot.Snapshot{At: w.now, Zone: n.zone, Divisor: max(live, w.deployment.nodes), LiveNodeCount: live, Routing: n.table, Pools: map[string]*snapshot.Pool{}, Complete: true}
 	for name, p := range n.table.Pools {
 		snap.Pools[name] = &snapshot.Pool{Pool: p}
 	}
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -42,7 +42,7 @@
 // pool. Each pool has four backends.
 func benchTable(shards int, addrs []string) *snapshot.Snapshot {
 	src := &routingpb.RoutingTable{Revision: 1, Limits: &routingpb.Limits{}}
-	snap := &snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Pools: map[string]*snapshot.Pool{}}
+	snap := &snapshot.Snapshot{Complete: true, Divisor: 1, LiveNodeCount: 1, Pools: map[string]*snapshot.Pool{}}
 	var names []string
 	for i := range len(addrs) / 4 {
 		name := fmt.Sprint("pool-", i)
--- a/request/gateway/once_test.go
+++ b/request/gateway/once_test.go
@@ -51,7 +51,7 @@
 		s.Gauge = gauges.Of(s.ID)
 		pool.Backends = append(pool.Backends, &s)
 	}
-	w.snapshot.Store(&snapshot.Snapshot{Complete: true, Divisor: 1, Peers: 1, Routing: compiled, Pools: map[string]*snapshot.Pool{"desk": pool}})
+	w.snapshot.Store(&snapshot.Snapshot{Complete: true, Divisor: 1, LiveNodeCount: 1, Routing: compiled, Pools: map[string]*snapshot.Pool{"desk": pool}})
 	return w
 }
 
--- a/request/idempotency/model_node_test.go
+++ b/request/idempotency/model_node_test.go
@@ -63,7 +63,7 @@
 	}
 	n.peak = max(n.peak, live)
 	n.view = &snapshot.Snapshot{
-		KeyOwners: owners, Roster: owners, Peers: live, Divisor: n.peak,
+		KeyOwners: owners, Roster: owners, LiveNodeCount: live, Divisor: n.peak,
 		Configuration: &configpb.Sheet{Services: []*configpb.Service{{MaxDeadlineUs: 5 * second}}},
 	}
 }
--- a/request/idempotency/owners.go
+++ b/request/idempotency/owners.go
@@ -69,7 +69,7 @@
 // contact with the leader of state.ConfigPartition may admit keys: a majority of the cores follows that leader,
 // so at most one side has such a leader.
 func (c *Coordinator) inMinority(current *snapshot.Snapshot, now clock.Micros) bool {
-	votes := 2 * current.Peers
+	votes := 2 * current.LiveNodeCount
 	if c.configSync.HearsLeader(state.ConfigPartition, now) {
 		votes++
 	}
--- a/request/reshard/reshard_test.go
+++ b/request/reshard/reshard_test.go
@@ -14,7 +14,7 @@
 func TestReady(t *testing.T) {
 	const now, slowStart = 100 * clock.Second, 10 * clock.Second
 	backend := func(health snapshot.HealthState, age clock.Micros) *snapshot.Backend {
-		return &snapshot.Backend{Backend: wire.Backend{Incarnation: 1}, Health: health, Born: now - age}
+		return &snapshot.Backend{Backend: wire.Backend{Incarnation: 1}, Health: health, IncarnationStartedAt: now - age}
 	}
 	warm := backend(snapshot.Healthy, slowStart/2)
 	cold := backend(snapshot.Healthy, slowStart/2-clock.Second)
--- a/request/search/limits.go
+++ b/request/search/limits.go
@@ -84,10 +84,10 @@
 	own := limiters.kinds[kind]
 	kindMeter.SetLimits(limit.RateLimit, limit.Share+limit.Reserved)
 	indexMeter.SetLimits(index.Capacity, 0)
-	if limit.RateLimit > 0 && !own.rate.allow(now, limit.RateLimit, kindMeter, snap.Peers, false) {
+	if limit.RateLimit > 0 && !own.rate.allow(now, limit.RateLimit, kindMeter, snap.LiveNodeCount, false) {
 		return false, limitRate
 	}
-	if limit.Reserved > 0 && own.reserved.allow(now, limit.Reserved, kindMeter, snap.Peers, false) {
+	if limit.Reserved > 0 && own.reserved.allow(now, limit.Reserved, kindMeter, snap.LiveNodeCount, false) {
 		return true, limitReserved
 	}
 	// Reserved capacity stays with its kind even when unused; only the remainder is shared.
@@ -95,11 +95,11 @@
 	for _, other := range index.Limits {
 		unreserved -= other.Reserved
 	}
-	if own.quota.allow(now, limit.Share, kindMeter, snap.Peers, false) {
-		limiters.unreserved.allow(now, unreserved, indexMeter, snap.Peers, true)
+	if own.quota.allow(now, limit.Share, kindMeter, snap.LiveNodeCount, false) {
+		limiters.unreserved.allow(now, unreserved, indexMeter, snap.LiveNodeCount, true)
 		return true, limitQuota
 	}
-	if limiters.unreserved.allow(now, unreserved, indexMeter, snap.Peers, false) {
+	if limiters.unreserved.allow(now, unreserved, indexMeter, snap.LiveNodeCount, false) {
 		return true, limitUnreserved
 	}
 	return false, limitPool
--- a/request/search/selection_test.go
+++ b/request/search/selection_test.go
@@ -27,7 +27,7 @@
 func TestSlowStartBackendIsSelectedByItsWarmth(t *testing.T) {
 	snap := newSnapshot(10, 1)
 	backends := snap.Indexes["a"].Shards[0]
-	backends[0].Born = 0
+	backends[0].IncarnationStartedAt = 0
 	for _, s := range backends {
 		s.Zone = "z0"
 	}
@@ -47,7 +47,7 @@
 func TestShardInSlowStartIsServedAtOnce(t *testing.T) {
 	snap := newSnapshot(4, 1)
 	for _, s := range snap.Indexes["a"].Shards[0] {
-		s.Born = 0
+		s.IncarnationStartedAt = 0
 	}
 	r := random.Source(7)
 	seen := map[string]int{}
--- a/request/search/state_machine_test.go
+++ b/request/search/state_machine_test.go
@@ -23,11 +23,11 @@
 	for sh := range shards {
 		var backends []*snapshot.Backend
 		for i := range perShard {
-			backends = append(backends, &snapshot.Backend{Backend: wire.Backend{ID: fmt.Sprintf("s%d-%d", sh, i), Zone: fmt.Sprintf("z%d", i%2), Incarnation: 1}, Born: -10 * clock.Second, Gauge: &snapshot.Gauge{}})
+			backends = append(backends, &snapshot.Backend{Backend: wire.Backend{ID: fmt.Sprintf("s%d-%d", sh, i), Zone: fmt.Sprintf("z%d", i%2), Incarnation: 1}, IncarnationStartedAt: -10 * clock.Second, Gauge: &snapshot.Gauge{}})
 		}
 		x.Shards = append(x.Shards, backends)
 	}
-	return &snapshot.Snapshot{Complete: true, Zone: "z0", Divisor: 1, Peers: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*snapshot.Index{"a": x}}
+	return &snapshot.Snapshot{Complete: true, Zone: "z0", Divisor: 1, LiveNodeCount: 1, Version: wire.Version{Term: 1, Seq: 1}, Indexes: map[string]*snapshot.Index{"a": x}}
 }
 
 // newTestDispatcher returns the dispatcher of a node that started 100 s ago.
--- a/request/snapshot/health.go
+++ b/request/snapshot/health.go
@@ -83,7 +83,7 @@
 			backend.Health = counts.healthState()
 			uptime = counts.uptime
 		}
-		table.setBorn(ctx, backend, uptime)
+		table.setIncarnationStart(ctx, backend, uptime)
 		if drained, ok := table.drainingIncarnation[row.ID]; ok && (row.State == stateDraining || row.Incarnation <= drained) {
 			backend.Health = Draining
 		} else if slices.Contains(snap.Config.DrainedZones, row.Zone) {
@@ -94,13 +94,13 @@
 	return out
 }
 
-// setBorn sets when the backend's incarnation started, on this process's clock. The time is determined
+// setIncarnationStart sets when the backend's incarnation started, on this process's clock. The time is determined
 // when the incarnation is first seen and does not change afterwards.
-func (table *Table) setBorn(ctx *kernel.Context, backend *Backend, uptime clock.Micros) {
-	known, ok := table.births[backend.ID]
+func (table *Table) setIncarnationStart(ctx *kernel.Context, backend *Backend, uptime clock.Micros) {
+	known, ok := table.incarnationStarts[backend.ID]
 	if !ok || known.incarnation < backend.Incarnation {
-		known = birth{backend.Incarnation, ctx.Now - uptime}
-		table.births[backend.ID] = known
+		known = incarnationStart{backend.Incarnation, ctx.Now - uptime}
+		table.incarnationStarts[backend.ID] = known
 	}
-	backend.Born = known.born
+	backend.IncarnationStartedAt = known.startedAt
 }
--- a/request/snapshot/snapshot.go
+++ b/request/snapshot/snapshot.go
@@ -43,9 +43,9 @@
 	wire.Backend
 	// Health is the merged health state.
 	Health HealthState
-	// Born is when the incarnation started, on this process's clock.
-	Born  clock.Micros
-	Gauge *Gauge
+	// IncarnationStartedAt is when the incarnation started, on this process's clock.
+	IncarnationStartedAt clock.Micros
+	Gauge                *Gauge
 	// CloseAfterUse says that connections to the backend are closed after use instead of being kept idle.
 	CloseAfterUse bool
 }
@@ -56,7 +56,7 @@
 	if slowStart <= 0 || s.Incarnation == 0 {
 		return fullShare
 	}
-	return max(MinSlowStartShare, min(fullShare, (now-s.Born)*fullShare/slowStart))
+	return max(MinSlowStartShare, min(fullShare, (now-s.IncarnationStartedAt)*fullShare/slowStart))
 }
 
 // Shares of a backend's full traffic during slow start, in thousandths.
@@ -125,9 +125,9 @@
 	ZoneDrained bool
 	// Draining says that this process is shutting down.
 	Draining bool
-	// Peers is the number of live nodes, including this one.
-	Peers    int
-	Backends []*Backend
+	// LiveNodeCount is the number of live nodes, including this one.
+	LiveNodeCount int
+	Backends      []*Backend
 	// Routing is the current routing table, nil before the first; Pools holds its pools by name.
 	Routing *routing.Table
 	Pools   map[string]*Pool
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -56,9 +56,9 @@
 	// drainingIncarnation is the newest incarnation of each backend that was listed as draining.
 	drainingIncarnation map[string]int64
 	// absentSince is when each backend was first missing from an incomplete list.
-	absentSince   map[string]clock.Micros
-	births        map[string]birth
-	healthReports healthReports
+	absentSince       map[string]clock.Micros
+	incarnationStarts map[string]incarnationStart
+	healthReports     healthReports
 
 	// lastLive is when each node was last live, by origin. liveHash is the result of updateLive at the
 	// last build.
@@ -79,10 +79,10 @@
 
 func (s staleness) active(now clock.Micros) bool { return now < s.until && !(s.mesh && s.pulled) }
 
-// birth is an incarnation of a backend and when it started, on this process's clock.
-type birth struct {
+// incarnationStart holds an incarnation of a backend and when it started, on this process's clock.
+type incarnationStart struct {
 	incarnation int64
-	born        clock.Micros
+	startedAt   clock.Micros
 }
 
 func init() {
@@ -90,7 +90,7 @@
 		return &Table{
 			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
 			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, absentSince: map[string]clock.Micros{},
-			births: map[string]birth{}, healthReports: healthReports{}, lastLive: map[string]clock.Micros{}, servedShardMaps: map[string]wire.ShardMap{},
+			incarnationStarts: map[string]incarnationStart{}, healthReports: healthReports{}, lastLive: map[string]clock.Micros{}, servedShardMaps: map[string]wire.ShardMap{},
 		}
 	}})
 }
@@ -241,7 +241,7 @@
 	snap.ZoneDrained = slices.Contains(snap.Config.DrainedZones, snap.Zone)
 	snap.Roster = table.roster(ctx)
 	snap.KeyOwners = keyOwners(snap.Roster)
-	snap.Peers = table.members.Count(ctx.Now, settings.RoleNode)
+	snap.LiveNodeCount = table.members.Count(ctx.Now, settings.RoleNode)
 	snap.Backends = table.evaluateBackends(ctx, snap)
 	if snap.Configuration != nil {
 		for _, service := range snap.Configuration.Services {
