--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -55,7 +55,7 @@
 	name string
 	p    *process.Process
 	// table is nil on a core.
-	table *snapshot.Table
+	table *snapshot.Builder
 	ended atomic.Bool
 }
 
@@ -101,7 +101,7 @@
 			last = err
 			continue
 		}
-		return &hollowNode{name: e.Name, p: p, table: kernel.Find[*snapshot.Table](p.Kernel)}, nil
+		return &hollowNode{name: e.Name, p: p, table: kernel.Find[*snapshot.Builder](p.Kernel)}, nil
 	}
 	return nil, oops.In("hollow").With("name", e.Name).Wrapf(last, "cannot start the hollow process")
 }
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -49,7 +49,7 @@
 	startedAt   clock.Micros
 	skew        clock.Micros
 	kernel      *kernel.Kernel
-	snapshots   *snapshot.Table
+	snapshots   *snapshot.Builder
 	replicas    *replica.Host
 	dispatcher  *search.Dispatcher
 	disk        *disk
@@ -118,7 +118,7 @@
 	w.Checker.Restarted(p.name)
 	w.logEvent(p.name + " starts")
 	if p.role == roleNode {
-		p.snapshots = kernel.Find[*snapshot.Table](p.kernel)
+		p.snapshots = kernel.Find[*snapshot.Builder](p.kernel)
 	}
 	switch {
 	case p.role == roleNode && w.day != nil:
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -38,9 +38,9 @@
 	os.Exit(m.Run())
 }
 
-// benchTable returns a snapshot with a fan-out route over the given number of shards and a route to a single
+// benchSnapshot returns a snapshot with a fan-out route over the given number of shards and a route to a single
 // pool. Each pool has four backends.
-func benchTable(shards int, addrs []string) *snapshot.Snapshot {
+func benchSnapshot(shards int, addrs []string) *snapshot.Snapshot {
 	src := &routingpb.RoutingTable{Revision: 1, Limits: &routingpb.Limits{}}
 	snap := &snapshot.Snapshot{Complete: true, Divisor: 1, LiveNodeCount: 1, Pools: map[string]*snapshot.Pool{}}
 	var names []string
@@ -93,7 +93,7 @@
 	must.NoError(b, from.Decode(&addrs))
 
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	snap, counts, began := benchTable(shards, addrs), kernel.NewCounts(), time.Now()
+	snap, counts, began := benchSnapshot(shards, addrs), kernel.NewCounts(), time.Now()
 	now := func() int64 { return time.Since(began).Microseconds() }
 	get := func() *snapshot.Snapshot { return snap }
 	dispatcher := dispatch.NewDispatcher(dispatch.Config{Snapshot: get, Counts: counts, Seed: 1, Retry: dispatch.RetryConfig{Ratio: 0.2, Allowance: 60}})
--- a/request/healthcheck/healthcheck.go
+++ b/request/healthcheck/healthcheck.go
@@ -81,8 +81,8 @@
 
 // Checker is the plug-in that checks backends and reports their health.
 type Checker struct {
-	mesh  *mesh.Mesh
-	table *snapshot.Table
+	mesh    *mesh.Mesh
+	builder *snapshot.Builder
 	// passive says that this node checks only the backends that it has ejected.
 	passive bool
 	states  map[string]*checkState
@@ -92,7 +92,7 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 70, Roles: []string{settings.RoleNode}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Checker{mesh: kernel.Find[*mesh.Mesh](k), table: kernel.Find[*snapshot.Table](k), passive: k.Boot.Settings.PassiveHealth, states: map[string]*checkState{}}
+		return &Checker{mesh: kernel.Find[*mesh.Mesh](k), builder: kernel.Find[*snapshot.Builder](k), passive: k.Boot.Settings.PassiveHealth, states: map[string]*checkState{}}
 	}})
 }
 
@@ -121,7 +121,7 @@
 
 // checkAll starts the checks that are due and announces the reports that have changed.
 func (c *Checker) checkAll(ctx *kernel.Context) {
-	snap := c.table.Current()
+	snap := c.builder.Current()
 	if snap == nil {
 		return
 	}
@@ -210,7 +210,7 @@
 		return
 	}
 	state.inFlight = false
-	gauge := c.table.Gauges.Of(v.Key)
+	gauge := c.builder.Gauges.Of(v.Key)
 	var response Response
 	if v.Err != "" || v.Status != http.StatusOK || json.Unmarshal(v.Body, &response) != nil || response.ID != v.Key {
 		state.missed++
@@ -242,7 +242,7 @@
 	report.State = string(observed)
 	unchanged := report.State == state.reported.State && report.Incarnation == state.reported.Incarnation
 	reporting := state.assigned && report.Incarnation != 0 ||
-		observed != snapshot.ReportHealthy && (state.reporting || c.table.CountAgreeing(backend.ID, report, ctx.Now) < EnoughReporters)
+		observed != snapshot.ReportHealthy && (state.reporting || c.builder.CountAgreeing(backend.ID, report, ctx.Now) < EnoughReporters)
 	if reporting == state.reporting && (unchanged || !reporting) || ctx.Now-state.reportedAt < ReportInterval {
 		return
 	}
--- a/request/healthcheck/healthcheck_test.go
+++ b/request/healthcheck/healthcheck_test.go
@@ -16,7 +16,7 @@
 
 const unhealthy = "s1"
 
-// node is a process with the mesh, snapshot table and health check plug-ins, and simulated peers.
+// node is a process with the mesh, snapshot builder and health check plug-ins, and simulated peers.
 type node struct {
 	k   *kernel.Kernel
 	now int64
@@ -65,7 +65,7 @@
 // setFailures sets the number of consecutive failures that the node has counted for the backend, and makes the node
 // evaluate its backends.
 func (n *node) setFailures(fails int64) {
-	kernel.Find[*snapshot.Table](n.k).Gauges.Of(unhealthy).Failures.Store(fails)
+	kernel.Find[*snapshot.Builder](n.k).Gauges.Of(unhealthy).Failures.Store(fails)
 	n.evaluate()
 }
 
@@ -84,7 +84,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(EnoughReporters + 3)
-			must.Eq(t, 1, len(kernel.Find[*snapshot.Table](n.k).Current().Backends))
+			must.Eq(t, 1, len(kernel.Find[*snapshot.Builder](n.k).Current().Backends))
 			for i := range c.agree {
 				n.receiveEntry(i+1, mesh.EntryHealthReport, unhealthy, &wire.HealthReport{State: c.state})
 			}
--- a/request/httpapi/node.go
+++ b/request/httpapi/node.go
@@ -19,7 +19,7 @@
 type Node struct {
 	process    *process.Process
 	dispatcher *search.Dispatcher
-	table      *snapshot.Table
+	builder    *snapshot.Builder
 	client     *backendClient
 	authorizer *authorizer
 	// platformTrace finds the trace of a request from a platform's client by the request's id.
@@ -28,10 +28,10 @@
 
 // NewNode returns the request path of a running process.
 func NewNode(p *process.Process) *Node {
-	table := kernel.Find[*snapshot.Table](p.Kernel)
-	n := &Node{process: p, table: table, client: newBackendClient()}
+	builder := kernel.Find[*snapshot.Builder](p.Kernel)
+	n := &Node{process: p, builder: builder, client: newBackendClient()}
 	n.dispatcher = search.NewDispatcher(search.Config{
-		Snapshots: table, LoadReport: kernel.Find[*loadreport.Reporter](p.Kernel), Counts: p.Kernel.Counts,
+		Snapshots: builder, LoadReport: kernel.Find[*loadreport.Reporter](p.Kernel), Counts: p.Kernel.Counts,
 		Name: p.Kernel.Boot.Settings.Name, Seed: p.Kernel.Boot.Seed, Now: p.Now(),
 	})
 	return n
--- a/request/httpapi/operator.go
+++ b/request/httpapi/operator.go
@@ -43,7 +43,7 @@
 func (a operatorAPI) submitEdit(ctx context.Context, params editParams, edit wire.Edit) (*operator.Taken, error) {
 	scope, indexes := config.ScopeAll, []string(nil)
 	if edit.Op == wire.OpEditRows {
-		scope, indexes = config.ScopeRows, config.EditedIndexes(a.node.table.Current().Configuration, edit.Body)
+		scope, indexes = config.ScopeRows, config.EditedIndexes(a.node.builder.Current().Configuration, edit.Body)
 	}
 	who, err := a.node.authorizer.authorize(params.token, scope, indexes)
 	if err != nil {
@@ -90,7 +90,7 @@
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	snapshot := a.node.table.Current()
+	snapshot := a.node.builder.Current()
 	if snapshot.Version.Term == 0 {
 		return nil, newFailure(FailureOverloaded, "this node has no configuration yet")
 	}
@@ -195,7 +195,7 @@
 	if err := a.allowed(p.Token); err != nil {
 		return nil, err
 	}
-	snapshot := a.node.table.Current()
+	snapshot := a.node.builder.Current()
 	list := []*operator.ServerStatus{}
 	for _, backend := range snapshot.Backends {
 		var slowStart clock.Micros
--- a/request/httpapi/server.go
+++ b/request/httpapi/server.go
@@ -160,7 +160,7 @@
 
 // openCaller opens the caller API once the routing snapshot is ready.
 func (s *Server) openCaller(h http.Handler) {
-	for !s.node.table.Current().Ready() {
+	for !s.node.builder.Current().Ready() {
 		select {
 		case <-s.stopping:
 			return
@@ -199,7 +199,7 @@
 func (s *Server) condition(w http.ResponseWriter, _ *http.Request) {
 	ready, why, version := true, "", ""
 	if s.node != nil {
-		current := s.node.table.Current()
+		current := s.node.builder.Current()
 		version = config.VersionText(current.Version)
 		switch {
 		case s.draining.Load():
@@ -238,8 +238,8 @@
 	return err
 }
 
-// ExplainBy sets the function that finds the trace of a request of a platform's client by its id.
-func (s *Server) ExplainBy(find func(id string) (any, bool)) {
+// SetTraceFinder sets the function that finds the trace of a request of a platform's client by its id.
+func (s *Server) SetTraceFinder(find func(id string) (any, bool)) {
 	if s.node != nil {
 		s.node.platformTrace.Store(&find)
 	}
--- a/request/idempotency/fresh_test.go
+++ b/request/idempotency/fresh_test.go
@@ -16,7 +16,7 @@
 	now := int64(1_000_000)
 	k.Step(now, now, kernel.Start{})
 	k.Step(now, now, kernel.Tick{Plugin: "table", Key: "build"})
-	must.Len(t, 1, c.table.Current().KeyOwners, must.Sprint("a node that has just started knows only itself"))
+	must.Len(t, 1, c.builder.Current().KeyOwners, must.Sprint("a node that has just started knows only itself"))
 	k.Step(now, now, kernel.Call{Plugin: "idempotency", ID: 1, Request: Admit{Key: "k", FirstAttempt: true, Timeout: 5_000_000}})
 	must.MapLen(t, 1, c.admissions)
 	for n, w := range c.admissions {
--- a/request/idempotency/idempotency.go
+++ b/request/idempotency/idempotency.go
@@ -108,9 +108,9 @@
 // acts as an owner of keys for all nodes.
 type Coordinator struct {
 	mesh       *mesh.Mesh
-	table      *snapshot.Table
+	builder    *snapshot.Builder
 	configSync *configsync.Sync
-	// snapshot returns the table's newest snapshot.
+	// snapshot returns the builder's newest snapshot.
 	snapshot func() *snapshot.Snapshot
 	records  map[string]*record
 	// recordOrder lists the keys of records, oldest first.
@@ -136,9 +136,9 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 80, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		built := kernel.Find[*snapshot.Table](k)
+		builder := kernel.Find[*snapshot.Builder](k)
 		return &Coordinator{
-			mesh: kernel.Find[*mesh.Mesh](k), table: built, configSync: kernel.Find[*configsync.Sync](k), snapshot: built.Current,
+			mesh: kernel.Find[*mesh.Mesh](k), builder: builder, configSync: kernel.Find[*configsync.Sync](k), snapshot: builder.Current,
 			records: map[string]*record{}, admissions: map[uint64]*admission{}, recent: recentKeys{seenAt: map[string]clock.Micros{}}, initialIndexes: map[int]map[string]bool{},
 		}
 	}})
--- a/request/idempotency/owner.go
+++ b/request/idempotency/owner.go
@@ -34,7 +34,7 @@
 	return r
 }
 
-func (c *Coordinator) name() string { return c.table.Self() }
+func (c *Coordinator) name() string { return c.builder.Self() }
 
 // updateRecord applies an outcome, or a record that another owner handed over, to the records.
 func (c *Coordinator) updateRecord(ctx *kernel.Context, m wire.Outcome) {
--- a/request/idempotency/roster_test.go
+++ b/request/idempotency/roster_test.go
@@ -29,7 +29,7 @@
 	n := &node{k: k, c: kernel.Find[*Coordinator](k), now: 1_000_000}
 	n.step(kernel.Start{})
 	n.step(kernel.Tick{Plugin: "table", Key: "build"})
-	must.Len(t, 1, n.c.table.Current().KeyOwners)
+	must.Len(t, 1, n.c.builder.Current().KeyOwners)
 	return n
 }
 
@@ -51,7 +51,7 @@
 }
 
 // self returns the node under test as it appears in its own roster.
-func (n *node) self() snapshot.Node { return n.c.table.Current().KeyOwners[0] }
+func (n *node) self() snapshot.Node { return n.c.builder.Current().KeyOwners[0] }
 
 // startAdmission starts an admission for a caller's first attempt, with the node under test and the given nodes as
 // owners, and returns its id.
--- a/request/reshard/reshard.go
+++ b/request/reshard/reshard.go
@@ -41,7 +41,7 @@
 	mesh       *mesh.Mesh
 	members    *membership.Members
 	configSync *configsync.Sync
-	table      *snapshot.Table
+	builder    *snapshot.Builder
 	// checks counts the checks. It determines which node requests the switch.
 	checks         int
 	checkScheduled bool
@@ -51,7 +51,7 @@
 	kernel.Register(kernel.Registration{Rank: 90, Roles: []string{"node"}, Make: func(k *kernel.Kernel) kernel.Plugin {
 		return &Resharder{
 			mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
-			configSync: kernel.Find[*configsync.Sync](k), table: kernel.Find[*snapshot.Table](k),
+			configSync: kernel.Find[*configsync.Sync](k), builder: kernel.Find[*snapshot.Builder](k),
 		}
 	}})
 }
@@ -79,7 +79,7 @@
 	if r.checkScheduled {
 		return
 	}
-	for _, index := range r.table.Current().Indexes {
+	for _, index := range r.builder.Current().Indexes {
 		if index.ShardMap.Next != "" {
 			r.checkScheduled = true
 			ctx.After(CheckInterval, pluginName, timerCheck)
@@ -90,7 +90,7 @@
 
 // requestSwitches requests the switch of every index whose next shard map is ready.
 func (r *Resharder) requestSwitches(ctx *kernel.Context) {
-	current := r.table.Current()
+	current := r.builder.Current()
 	if current == nil || current.Configuration == nil || current.Draining {
 		return
 	}
--- a/request/search/dispatcher.go
+++ b/request/search/dispatcher.go
@@ -32,7 +32,7 @@
 
 // Config holds the dependencies and parameters of a dispatcher.
 type Config struct {
-	Snapshots  *snapshot.Table
+	Snapshots  *snapshot.Builder
 	LoadReport *loadreport.Reporter
 	Counts     *kernel.Counts
 	Name       string
--- a/request/snapshot/doc.go
+++ b/request/snapshot/doc.go
@@ -5,7 +5,7 @@
 // backend, the current limits and the nodes of the fleet. It is complete when it is published and is
 // never modified, so that a request that holds one sees a consistent state.
 //
-// [Table] is the plug-in that builds the snapshots. Its inputs are the entries of the mesh (versions of
+// [Builder] is the plug-in that builds the snapshots. Its inputs are the entries of the mesh (versions of
 // partitions of the control state, the platform's list, health reports, members), the configuration sync
 // and the load reports. A new version of a partition or a new list triggers a build immediately, other
 // changes do so after a short delay; without changes no snapshot is built. A process that has just
--- a/request/snapshot/health.go
+++ b/request/snapshot/health.go
@@ -18,16 +18,16 @@
 }
 
 // countReports counts the reports of live nodes on a backend. It returns nil if there are none.
-func (table *Table) countReports(backend string, now clock.Micros) *reportCounts {
+func (builder *Builder) countReports(backend string, now clock.Micros) *reportCounts {
 	var counts *reportCounts
-	for _, report := range table.healthReports[backend] {
-		if !table.mesh.Live(report.origin, now) {
+	for _, report := range builder.healthReports[backend] {
+		if !builder.mesh.Live(report.origin, now) {
 			continue
 		}
 		if counts == nil {
 			counts = &reportCounts{}
 		}
-		counts.add(report, report.origin == table.mesh.Self())
+		counts.add(report, report.origin == builder.mesh.Self())
 	}
 	return counts
 }
@@ -73,18 +73,18 @@
 }
 
 // evaluateBackends returns the backends of the platform's list with their health.
-func (table *Table) evaluateBackends(ctx *kernel.Context, snap *Snapshot) []*Backend {
-	out := make([]*Backend, 0, len(table.backendList.Backends))
-	for _, row := range table.backendList.Backends {
-		backend := &Backend{Backend: row, Gauge: table.Gauges.Of(row.ID)}
+func (builder *Builder) evaluateBackends(ctx *kernel.Context, snap *Snapshot) []*Backend {
+	out := make([]*Backend, 0, len(builder.backendList.Backends))
+	for _, row := range builder.backendList.Backends {
+		backend := &Backend{Backend: row, Gauge: builder.Gauges.Of(row.ID)}
 		uptime := clock.Micros(0)
-		if counts := table.countReports(row.ID, ctx.Now); counts != nil {
+		if counts := builder.countReports(row.ID, ctx.Now); counts != nil {
 			backend.Incarnation = max(backend.Incarnation, counts.incarnation)
 			backend.Health = counts.healthState()
 			uptime = counts.uptime
 		}
-		table.setIncarnationStart(ctx, backend, uptime)
-		if drained, ok := table.drainingIncarnation[row.ID]; ok && (row.State == stateDraining || row.Incarnation <= drained) {
+		builder.setIncarnationStart(ctx, backend, uptime)
+		if drained, ok := builder.drainingIncarnation[row.ID]; ok && (row.State == stateDraining || row.Incarnation <= drained) {
 			backend.Health = Draining
 		} else if slices.Contains(snap.Config.DrainedZones, row.Zone) {
 			backend.Health = ZoneDrained
@@ -96,11 +96,11 @@
 
 // setIncarnationStart sets when the backend's incarnation started, on this process's clock. The time is determined
 // when the incarnation is first seen and does not change afterwards.
-func (table *Table) setIncarnationStart(ctx *kernel.Context, backend *Backend, uptime clock.Micros) {
-	known, ok := table.incarnationStarts[backend.ID]
+func (builder *Builder) setIncarnationStart(ctx *kernel.Context, backend *Backend, uptime clock.Micros) {
+	known, ok := builder.incarnationStarts[backend.ID]
 	if !ok || known.incarnation < backend.Incarnation {
 		known = incarnationStart{backend.Incarnation, ctx.Now - uptime}
-		table.incarnationStarts[backend.ID] = known
+		builder.incarnationStarts[backend.ID] = known
 	}
 	backend.IncarnationStartedAt = known.startedAt
 }
--- a/request/snapshot/healthreports.go
+++ b/request/snapshot/healthreports.go
@@ -53,9 +53,9 @@
 
 // CountAgreeing returns the number of other live nodes that report the same state of a backend as report, for
 // the same or a newer incarnation.
-func (table *Table) CountAgreeing(backend string, report wire.HealthReport, now clock.Micros) (n int) {
-	for _, other := range table.healthReports[backend] {
-		if other.State == report.State && other.Incarnation >= report.Incarnation && other.origin != table.mesh.Self() && table.mesh.Live(other.origin, now) {
+func (builder *Builder) CountAgreeing(backend string, report wire.HealthReport, now clock.Micros) (n int) {
+	for _, other := range builder.healthReports[backend] {
+		if other.State == report.State && other.Incarnation >= report.Incarnation && other.origin != builder.mesh.Self() && builder.mesh.Live(other.origin, now) {
 			n++
 		}
 	}
--- a/request/snapshot/index.go
+++ b/request/snapshot/index.go
@@ -9,14 +9,14 @@
 )
 
 // buildIndex builds the index that a service of the configuration describes.
-func (table *Table) buildIndex(snap *Snapshot, service *configpb.Service) *Index {
+func (builder *Builder) buildIndex(snap *Snapshot, service *configpb.Service) *Index {
 	index := &Index{Name: service.Index, Service: service, Capacity: float64(service.Capacity)}
-	if v, ok := table.mesh.Partition(state.PartitionOf(service.Index)); ok {
+	if v, ok := builder.mesh.Partition(state.PartitionOf(service.Index)); ok {
 		if body, err := state.ReadIndex(v.Body); err == nil {
 			index.ShardMap = body.ShardMaps[service.Index]
 		}
 	}
-	index.ShardMap = table.servable(snap.Backends, service.Index, index.ShardMap)
+	index.ShardMap = builder.servable(snap.Backends, service.Index, index.ShardMap)
 	index.Shards = shards(snap.Backends, service.Index, index.ShardMap.Name, index.ShardMap.Shards)
 	index.NextShards = shards(snap.Backends, service.Index, index.ShardMap.Next, index.ShardMap.NextShards)
 	index.Limits = limits(snap, index)
@@ -53,10 +53,10 @@
 // servable returns the shard map to serve from, normally the live shard map. It returns the map served before
 // as long as this node knows a usable backend for each shard of that map but not for each shard of the live
 // map, since a new shard map may arrive before the platform's list with its backends.
-func (table *Table) servable(all []*Backend, index string, live wire.ShardMap) wire.ShardMap {
-	was := table.servedShardMaps[index]
+func (builder *Builder) servable(all []*Backend, index string, live wire.ShardMap) wire.ShardMap {
+	was := builder.servedShardMaps[index]
 	if was.Name == live.Name || was.Name == "" || servesAll(all, index, live) || !servesAll(all, index, was) {
-		table.servedShardMaps[index] = live
+		builder.servedShardMaps[index] = live
 		return live
 	}
 	return wire.ShardMap{Name: was.Name, Shards: was.Shards, Next: live.Name, NextShards: live.Shards}
--- a/request/snapshot/invariants_test.go
+++ b/request/snapshot/invariants_test.go
@@ -12,10 +12,10 @@
 )
 
 func TestConfigVersionGoingBackIsReported(t *testing.T) {
-	table := &Table{config: configState{version: wire.Version{Term: 3, Seq: 9}}}
+	builder := &Builder{config: configState{version: wire.Version{Term: 3, Seq: 9}}}
 	step := &kernel.Context{Counts: kernel.NewCounts()}
 	violationOf := func(term, seq uint64) invariant.Name {
-		return violation.By(func() { table.checkVersionRises(step, wire.Version{Term: term, Seq: seq}) })
+		return violation.By(func() { builder.checkVersionRises(step, wire.Version{Term: term, Seq: seq}) })
 	}
 	must.Eq(t, "", violationOf(4, 10))
 	must.Eq(t, invariant.ConfigIncreases, violationOf(3, 8))
--- a/request/snapshot/pools.go
+++ b/request/snapshot/pools.go
@@ -9,11 +9,11 @@
 
 // buildPools sets the snapshot's routing table and the pools of that table. The routing table is compiled only
 // once for each version.
-func (table *Table) buildPools(snap *Snapshot) {
+func (builder *Builder) buildPools(snap *Snapshot) {
 	if len(snap.Config.Routing) == 0 {
 		return
 	}
-	if was := table.current.Load(); was != nil && was.Routing != nil && was.Version == snap.Version {
+	if was := builder.current.Load(); was != nil && was.Routing != nil && was.Version == snap.Version {
 		snap.Routing = was.Routing
 	} else {
 		source := new(routingpb.RoutingTable)
@@ -31,7 +31,7 @@
 			pool.Backends = append(pool.Backends, backend)
 		}
 	}
-	self := subsetNode{name: table.Self(), zone: snap.Zone, nodes: snap.Divisor}
+	self := subsetNode{name: builder.Self(), zone: snap.Zone, nodes: snap.Divisor}
 	for _, node := range snap.Roster {
 		if node.Zone == snap.Zone {
 			self.zoneNodes++
@@ -43,4 +43,4 @@
 }
 
 // Self returns the name of this process.
-func (table *Table) Self() string { return table.k.Boot.Settings.Name }
+func (builder *Builder) Self() string { return builder.k.Boot.Settings.Name }
--- a/request/snapshot/ready_test.go
+++ b/request/snapshot/ready_test.go
@@ -54,13 +54,13 @@
 
 // node is one node's process. The test simulates the platform and the cores, which cores holds by address.
 type node struct {
-	t      *testing.T
-	kernel *kernel.Kernel
-	table  *Table
-	now    int64
-	timers timers
-	later  map[int64][]func()
-	cores  map[string]*fakeCore
+	t       *testing.T
+	kernel  *kernel.Kernel
+	builder *Builder
+	now     int64
+	timers  timers
+	later   map[int64][]func()
+	cores   map[string]*fakeCore
 }
 
 func startNode(t *testing.T, cores map[string]*fakeCore) *node {
@@ -69,7 +69,7 @@
 	e.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	n := &node{t: t, cores: cores, later: map[int64][]func(){}, now: second}
 	n.kernel = kernel.New(kernel.Boot{Settings: e, Role: "node", Seed: 1, Key: kernel.KeyFrom(bytes.Repeat([]byte{1}, 32))})
-	n.table = kernel.Find[*Table](n.kernel)
+	n.builder = kernel.Find[*Builder](n.kernel)
 	n.feed(kernel.Start{})
 	return n
 }
@@ -126,7 +126,7 @@
 // readyWithin returns the time until the node is ready to serve, or a time above most if it takes longer.
 func (n *node) readyWithin(most int64) int64 {
 	for began := n.now; ; n.run(10_000) {
-		if n.table.Current().Ready() || n.now-began > most {
+		if n.builder.Current().Ready() || n.now-began > most {
 			return n.now - began
 		}
 	}
@@ -151,7 +151,7 @@
 		cores[partitioned] = old
 		n := startNode(t, cores)
 		must.Less(t, second, n.readyWithin(2*second))
-		must.Eq(t, 9, n.table.Current().Routing.Revision)
+		must.Eq(t, 9, n.builder.Current().Routing.Revision)
 		n.run(10 * second)
 		must.Less(t, 10, old.requested, must.Sprint("the node seldom pulls from a core that is not in contact with a majority"))
 	}
@@ -169,7 +169,7 @@
 		cores[inContact] = &fakeCore{term: 4, revision: 9, contact: 1}
 		n := startNode(t, cores)
 		must.Less(t, second, n.readyWithin(2*second))
-		must.Eq(t, 9, n.table.Current().Routing.Revision)
+		must.Eq(t, 9, n.builder.Current().Routing.Revision)
 	}
 }
 
@@ -206,7 +206,7 @@
 	must.Greater(t, 4*second, n.readyWithin(4*second))
 	inContact.unresponsive = false
 	must.Less(t, configsync.UnconfirmedTimeout-4*second, n.readyWithin(4*second))
-	must.Eq(t, 9, n.table.Current().Routing.Revision)
+	must.Eq(t, 9, n.builder.Current().Routing.Revision)
 	must.Zero(t, n.kernel.Counts.Of("table_unconfirmed").Load())
 }
 
@@ -219,11 +219,11 @@
 	must.Less(t, second, n.readyWithin(second))
 	core.relayed = 0
 	n.run(30 * second)
-	must.True(t, n.table.Current().Ready())
+	must.True(t, n.builder.Current().Ready())
 	// The node accepts a newer version from any core, since a majority has committed it.
 	core.term, core.revision = 5, 8
 	n.run(5 * second)
-	must.Eq(t, 8, n.table.Current().Routing.Revision)
+	must.Eq(t, 8, n.builder.Current().Routing.Revision)
 }
 
 // TestThawedNodeWaitsForCoreInContact checks that after a freeze the state counts as stale until a core in
@@ -235,8 +235,8 @@
 	core.contact = 0
 	n.feed(kernel.Thawed{Gap: 5 * second})
 	n.run(second / 2)
-	must.False(t, n.table.staleness.pulled)
+	must.False(t, n.builder.staleness.pulled)
 	core.contact = 1
 	n.run(second / 2)
-	must.True(t, n.table.staleness.pulled)
+	must.True(t, n.builder.staleness.pulled)
 }
--- a/request/snapshot/roster.go
+++ b/request/snapshot/roster.go
@@ -57,13 +57,13 @@
 }
 
 // roster returns the nodes, including those that were live within the last RosterTTL, sorted by name.
-func (table *Table) roster(ctx *kernel.Context) []Node {
+func (builder *Builder) roster(ctx *kernel.Context) []Node {
 	var out []Node
-	table.members.Each(ctx.Now, func(origin string, r *wire.Member, live bool) {
+	builder.members.Each(ctx.Now, func(origin string, r *wire.Member, live bool) {
 		if r.Role != settings.RoleNode {
 			return
 		}
-		at, ok := table.lastLive[origin]
+		at, ok := builder.lastLive[origin]
 		if !ok || ctx.Now-at > RosterTTL {
 			return
 		}
@@ -84,17 +84,17 @@
 // updateLive records which nodes are live. It returns a hash of the snapshot's inputs that can change
 // without a new entry, by the passage of time alone: the live nodes, the possible key owners and the size
 // of the fleet.
-func (table *Table) updateLive(now clock.Micros) uint64 {
-	h := uint64(table.members.Divisor())
-	table.members.Each(now, func(origin string, _ *wire.Member, live bool) {
-		at, ok := table.lastLive[origin]
+func (builder *Builder) updateLive(now clock.Micros) uint64 {
+	h := uint64(builder.members.Divisor())
+	builder.members.Each(now, func(origin string, _ *wire.Member, live bool) {
+		at, ok := builder.lastLive[origin]
 		if !live && (!ok || now-at > RosterTTL) {
 			return
 		}
 		x := fnv.New64a()
 		x.Write([]byte(origin))
 		if live {
-			table.lastLive[origin] = now
+			builder.lastLive[origin] = now
 			h += x.Sum64()
 			return
 		}
--- a/request/snapshot/table.go
+++ b/request/snapshot/table.go
@@ -33,8 +33,8 @@
 	timerAwait = "await"
 )
 
-// Table is the plug-in that builds and publishes the snapshots.
-type Table struct {
+// Builder is the plug-in that builds and publishes the snapshots.
+type Builder struct {
 	k          *kernel.Kernel
 	mesh       *mesh.Mesh
 	members    *membership.Members
@@ -87,7 +87,7 @@
 
 func init() {
 	kernel.Register(kernel.Registration{Rank: 60, Roles: []string{settings.RoleNode}, Make: func(k *kernel.Kernel) kernel.Plugin {
-		return &Table{
+		return &Builder{
 			k: k, mesh: kernel.Find[*mesh.Mesh](k), members: kernel.Find[*membership.Members](k),
 			configSync: kernel.Find[*configsync.Sync](k), Gauges: &Gauges{}, drainingIncarnation: map[string]int64{}, absentSince: map[string]clock.Micros{},
 			incarnationStarts: map[string]incarnationStart{}, healthReports: healthReports{}, lastLive: map[string]clock.Micros{}, servedShardMaps: map[string]wire.ShardMap{},
@@ -96,102 +96,102 @@
 }
 
 // Name returns the plug-in's name.
-func (table *Table) Name() string { return pluginName }
+func (builder *Builder) Name() string { return pluginName }
 
 // Kinds returns the kinds of frames that the plug-in handles: none.
-func (table *Table) Kinds() []uint8 { return nil }
+func (builder *Builder) Kinds() []uint8 { return nil }
 
 // Current returns the newest snapshot, or nil before the first. It is safe for concurrent use.
-func (table *Table) Current() *Snapshot { return table.current.Load() }
+func (builder *Builder) Current() *Snapshot { return builder.current.Load() }
 
 // Step handles one input of the kernel.
-func (table *Table) Step(ctx *kernel.Context, in kernel.Input) {
+func (builder *Builder) Step(ctx *kernel.Context, in kernel.Input) {
 	switch v := in.(type) {
 	case kernel.Start:
 		ctx.After(configsync.UnconfirmedTimeout, pluginName, timerAwait)
-		table.build(ctx)
+		builder.build(ctx)
 	case kernel.Tick:
 		if v.Key == timerAwait {
-			table.awaitConfirmed(ctx)
+			builder.awaitConfirmed(ctx)
 			return
 		}
-		table.buildScheduled = table.buildScheduled && v.Key != timerBuild
-		table.build(ctx)
+		builder.buildScheduled = builder.buildScheduled && v.Key != timerBuild
+		builder.build(ctx)
 	case kernel.Thawed:
-		table.staleness = staleness{until: ctx.Now + MaxStale}
-		table.build(ctx)
+		builder.staleness = staleness{until: ctx.Now + MaxStale}
+		builder.build(ctx)
 		ctx.After(MaxStale, pluginName, timerStale)
 	case mesh.CaughtUp:
-		table.updateStaleness(ctx, func(s *staleness) { s.mesh = true })
+		builder.updateStaleness(ctx, func(s *staleness) { s.mesh = true })
 	case configsync.Pulled:
-		table.handlePulled(ctx, v)
+		builder.handlePulled(ctx, v)
 	case kernel.Stopping:
-		table.build(ctx)
+		builder.build(ctx)
 	case mesh.LivenessUpdated:
-		if table.updateLive(ctx.Now) != table.liveHash {
-			table.build(ctx)
+		if builder.updateLive(ctx.Now) != builder.liveHash {
+			builder.build(ctx)
 		}
 	case mesh.Forgotten:
-		delete(table.lastLive, v.Origin)
-		table.healthReports.forget(v.Origin)
-		table.scheduleBuild(ctx)
-		table.reannounceBackendList(ctx, v.Origin)
+		delete(builder.lastLive, v.Origin)
+		builder.healthReports.forget(v.Origin)
+		builder.scheduleBuild(ctx)
+		builder.reannounceBackendList(ctx, v.Origin)
 	case mesh.Stored:
 		switch v.Entry.Type {
 		case mesh.EntryPartition:
-			table.build(ctx)
+			builder.build(ctx)
 		case mesh.EntryBackendList:
-			table.applyBackendList(ctx, v)
+			builder.applyBackendList(ctx, v)
 		case mesh.EntryHealthReport:
-			table.healthReports.apply(v)
-			table.scheduleBuild(ctx)
+			builder.healthReports.apply(v)
+			builder.scheduleBuild(ctx)
 		case mesh.EntryMember:
-			table.scheduleBuild(ctx)
+			builder.scheduleBuild(ctx)
 		}
 	}
 }
 
 // scheduleBuild schedules a build unless a build is already scheduled. That build covers all changes up to the
 // time at which it runs.
-func (table *Table) scheduleBuild(ctx *kernel.Context) {
-	if !table.buildScheduled {
-		table.buildScheduled = true
-		ctx.After(max(BuildDelay, table.builtAt+BuildInterval-ctx.Now), pluginName, timerBuild)
+func (builder *Builder) scheduleBuild(ctx *kernel.Context) {
+	if !builder.buildScheduled {
+		builder.buildScheduled = true
+		ctx.After(max(BuildDelay, builder.builtAt+BuildInterval-ctx.Now), pluginName, timerBuild)
 	}
 }
 
 // updateStaleness calls f, which records that a thawed process has caught up with one source of changes. If the
 // process has now caught up with all sources, it builds a snapshot.
-func (table *Table) updateStaleness(ctx *kernel.Context, f func(s *staleness)) {
-	if !table.staleness.active(ctx.Now) {
+func (builder *Builder) updateStaleness(ctx *kernel.Context, f func(s *staleness)) {
+	if !builder.staleness.active(ctx.Now) {
 		return
 	}
-	f(&table.staleness)
-	if !table.staleness.active(ctx.Now) {
-		table.build(ctx)
+	f(&builder.staleness)
+	if !builder.staleness.active(ctx.Now) {
+		builder.build(ctx)
 	}
 }
 
 // handlePulled handles a core's reply to a pull. A process that has just started or was thawed needs a reply
 // from a core in contact with a majority, so other replies are ignored.
-func (table *Table) handlePulled(ctx *kernel.Context, v configsync.Pulled) {
+func (builder *Builder) handlePulled(ctx *kernel.Context, v configsync.Pulled) {
 	if v.Confirmed == 0 {
 		return
 	}
-	table.updateStaleness(ctx, func(s *staleness) { s.pulled = true })
-	if !table.current.Load().Complete {
-		table.build(ctx)
+	builder.updateStaleness(ctx, func(s *staleness) { s.pulled = true })
+	if !builder.current.Load().Complete {
+		builder.build(ctx)
 	}
 }
 
 // applyBackendList applies an announced version of the platform's list unless a newer list is known. A list is
 // newer if it has a higher lease id or, among lists of the same origin, if its entry has a higher count.
-func (table *Table) applyBackendList(ctx *kernel.Context, v mesh.Stored) {
+func (builder *Builder) applyBackendList(ctx *kernel.Context, v mesh.Stored) {
 	var list wire.BackendList
-	if wire.Decode(v.Entry.Body, &list) != nil || list.LeaseID < table.backendList.LeaseID {
+	if wire.Decode(v.Entry.Body, &list) != nil || list.LeaseID < builder.backendList.LeaseID {
 		return
 	}
-	if v.Origin == table.backendListOrigin && v.Entry.Count < table.backendListCount {
+	if v.Origin == builder.backendListOrigin && v.Entry.Count < builder.backendListCount {
 		return
 	}
 	listed := map[string]bool{}
@@ -200,30 +200,30 @@
 		if backend.State == stateDraining {
 			// An incarnation that has been listed as draining never serves again, even if a later list
 			// shows another state.
-			table.drainingIncarnation[backend.ID] = max(table.drainingIncarnation[backend.ID], backend.Incarnation)
+			builder.drainingIncarnation[backend.ID] = max(builder.drainingIncarnation[backend.ID], backend.Incarnation)
 		}
 	}
 	if !list.Complete {
-		list.Backends = append(list.Backends, table.keepAbsent(ctx, listed)...)
+		list.Backends = append(list.Backends, builder.keepAbsent(ctx, listed)...)
 	}
 	for id := range listed {
-		delete(table.absentSince, id)
+		delete(builder.absentSince, id)
 	}
-	table.backendList, table.backendListOrigin, table.backendListCount = list, v.Origin, v.Entry.Count
-	table.build(ctx)
+	builder.backendList, builder.backendListOrigin, builder.backendListCount = list, v.Origin, v.Entry.Count
+	builder.build(ctx)
 }
 
 // keepAbsent returns the known backends that are missing from an incomplete list and have been absent for
 // less than AbsentTTL, since a backend may still exist although an incomplete list lacks it.
-func (table *Table) keepAbsent(ctx *kernel.Context, listed map[string]bool) (kept []wire.Backend) {
-	for _, backend := range table.backendList.Backends {
+func (builder *Builder) keepAbsent(ctx *kernel.Context, listed map[string]bool) (kept []wire.Backend) {
+	for _, backend := range builder.backendList.Backends {
 		if listed[backend.ID] {
 			continue
 		}
-		if _, ok := table.absentSince[backend.ID]; !ok {
-			table.absentSince[backend.ID] = ctx.Now
+		if _, ok := builder.absentSince[backend.ID]; !ok {
+			builder.absentSince[backend.ID] = ctx.Now
 		}
-		if ctx.Now-table.absentSince[backend.ID] < AbsentTTL {
+		if ctx.Now-builder.absentSince[backend.ID] < AbsentTTL {
 			kept = append(kept, backend)
 		}
 	}
@@ -231,28 +231,28 @@
 }
 
 // build builds and publishes a snapshot.
-func (table *Table) build(ctx *kernel.Context) {
+func (builder *Builder) build(ctx *kernel.Context) {
 	snap := &Snapshot{
-		At: ctx.Now, Indexes: map[string]*Index{}, Zone: table.k.Boot.Settings.Zone, Divisor: table.members.Divisor(),
-		Draining: table.members.Local().Draining, Stale: table.staleness.active(ctx.Now),
+		At: ctx.Now, Indexes: map[string]*Index{}, Zone: builder.k.Boot.Settings.Zone, Divisor: builder.members.Divisor(),
+		Draining: builder.members.Local().Draining, Stale: builder.staleness.active(ctx.Now),
 	}
-	table.loadConfig(ctx, snap)
-	table.liveHash = table.updateLive(ctx.Now)
+	builder.loadConfig(ctx, snap)
+	builder.liveHash = builder.updateLive(ctx.Now)
 	snap.ZoneDrained = slices.Contains(snap.Config.DrainedZones, snap.Zone)
-	snap.Roster = table.roster(ctx)
+	snap.Roster = builder.roster(ctx)
 	snap.KeyOwners = keyOwners(snap.Roster)
-	snap.LiveNodeCount = table.members.Count(ctx.Now, settings.RoleNode)
-	snap.Backends = table.evaluateBackends(ctx, snap)
+	snap.LiveNodeCount = builder.members.Count(ctx.Now, settings.RoleNode)
+	snap.Backends = builder.evaluateBackends(ctx, snap)
 	if snap.Configuration != nil {
 		for _, service := range snap.Configuration.Services {
-			snap.Indexes[service.Index] = table.buildIndex(snap, service)
+			snap.Indexes[service.Index] = builder.buildIndex(snap, service)
 		}
 	}
-	table.buildPools(snap)
-	snap.Complete = table.complete(ctx, snap)
-	table.logUnconfirmed(ctx, snap)
-	table.current.Store(snap)
-	table.builtAt = ctx.Now
+	builder.buildPools(snap)
+	snap.Complete = builder.complete(ctx, snap)
+	builder.logUnconfirmed(ctx, snap)
+	builder.current.Store(snap)
+	builder.builtAt = ctx.Now
 	ctx.Emit(Built{})
 }
 
@@ -261,9 +261,9 @@
 
 // reannounceBackendList announces the current list again if the node that had announced it was forgotten,
 // so that nodes that start later receive it. Only the first live node by name announces it.
-func (table *Table) reannounceBackendList(ctx *kernel.Context, forgotten string) {
-	live := table.members.Live(ctx.Now, settings.RoleNode)
-	if forgotten == table.backendListOrigin && len(live) > 0 && live[0].Origin == table.mesh.Self() {
-		table.mesh.Announce(ctx, mesh.EntryBackendList, discovery.LeaseTask, wire.Encode(&table.backendList), false)
+func (builder *Builder) reannounceBackendList(ctx *kernel.Context, forgotten string) {
+	live := builder.members.Live(ctx.Now, settings.RoleNode)
+	if forgotten == builder.backendListOrigin && len(live) > 0 && live[0].Origin == builder.mesh.Self() {
+		builder.mesh.Announce(ctx, mesh.EntryBackendList, discovery.LeaseTask, wire.Encode(&builder.backendList), false)
 	}
 }
