--- a/lab/model/action.go
+++ b/lab/model/action.go
@@ -1,18 +1,18 @@
-// The actions that a schedule consists of.
+// Actions, which are the steps of a schedule.
 
 package model
 
 import "fmt"
 
-// ActionKind is the kind of one step.
+// ActionKind says what an action does, for instance deliver a message or crash a replica.
 type ActionKind uint8
 
-// Kinds of actions.
+// Kinds of actions. Replica, Peer and Argument below are the fields of the Action.
 const (
 	// Deliver delivers the first message from Replica to Peer.
 	Deliver ActionKind = iota
-	// Lose drops that message, Double delivers it and appends a copy to the end of the queue, Delay moves it to
-	// the end of the queue.
+	// Lose drops the first message from Replica to Peer, Double delivers it and appends a copy to the end of the
+	// queue, Delay moves it to the end of the queue.
 	Lose
 	Double
 	Delay
@@ -20,15 +20,15 @@
 	Sync
 	// Elapse advances time by Argument microseconds and fires the timers of the replicas that run.
 	Elapse
-	// Crash kills Replica and restarts it after the first Argument of its pending writes were synced. Answers in
-	// flight on its connections are lost. Requests that wait for a new connection reach its next incarnation;
-	// with CrashAlone they are lost too.
+	// Crash syncs the first Argument pending writes of Replica, then kills and restarts it. Answers in flight to
+	// Replica and its outstanding answers to operators are lost; requests in flight to its address reach its next
+	// incarnation. CrashAlone does the same but loses these requests too.
 	Crash
 	CrashAlone
 	// LoseDisk kills Replica and restarts it with an empty disk.
 	LoseDisk
-	// Isolate partitions Replica from all others. Rejoin ends the partition: with Argument 0 the messages queued
-	// in the meantime are delivered late, with 1 the connections broke and these messages are lost.
+	// Isolate partitions Replica from all others. Rejoin ends the partition: with Argument 0 the messages queued in
+	// the meantime are delivered late, with 1 the connections are broken and these messages are lost.
 	Isolate
 	Rejoin
 	// Freeze suspends the process of Replica, Thaw resumes it.
@@ -40,7 +40,8 @@
 	Stop
 	// Call sends the operator command with index Argument to Replica.
 	Call
-	// Hold pauses the source with index Argument (see Explorer.sources), Release resumes it.
+	// Hold pauses the source with index Argument, which is a disk or a message queue (see Explorer.sources); Release
+	// resumes it.
 	Hold
 	Release
 )
--- a/lab/model/apply.go
+++ b/lab/model/apply.go
@@ -13,7 +13,7 @@
 // noSource means that an action consumes nothing from a source.
 const noSource = -1
 
-// messagesLost is the argument of a Rejoin after which the connections are broken.
+// messagesLost is the Argument of a Rejoin that breaks the connections and loses the queued messages.
 const messagesLost = 1
 
 var errNotEnabled = errors.New("the action is not enabled")
@@ -44,7 +44,8 @@
 	}
 }
 
-// touches returns the replica whose process or connections an action changes, or everyReplica.
+// touches returns the replica whose process or connections an action changes, or everyReplica if the action does not
+// change exactly one replica.
 func (a Action) touches() int {
 	switch a.Kind {
 	case Deliver, Double, Announce:
@@ -108,7 +109,7 @@
 	return errNotEnabled
 }
 
-// transferMessage delivers, drops, doubles or delays the first message between two replicas.
+// transferMessage delivers, drops, doubles or delays the first message from a.Replica to a.Peer.
 func (x *Explorer) transferMessage(s *system, a Action) error {
 	at := a.Replica*x.replicas + a.Peer
 	m, rest := s.queues[at][0], slices.Clone(s.queues[at][1:])
@@ -138,8 +139,8 @@
 	return x.feed(s, i, kernel.Written{Plugin: pluginName, Key: wr.key})
 }
 
-// write writes one file to a replica's disk. If the file holds a version newer than any that the disk's identity
-// has synced before, write records that version.
+// write writes one file to a replica's disk. If the file holds a newer version than any synced before under the
+// identity stored on the disk, write records that version.
 func (x *Explorer) write(s *system, i int, wr pendingWrite) error {
 	s.disks[i] = s.disks[i].with(wr)
 	v, ok := versionIn(wr.file, wr.data)
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// crash syncs the first kept pending writes of a replica, then kills and restarts it.
+// crash syncs the first pending writes of a replica, kept in number, then kills and restarts the replica.
 func (x *Explorer) crash(s *system, i, kept int, alone bool) error {
 	for _, wr := range s.processes[i].writes[:kept] {
 		if err := x.write(s, i, wr); err != nil {
--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -1,4 +1,4 @@
-// The configurations of the exploration.
+// The configurations of the bounded exploration and of the random walks.
 
 package model
 
@@ -10,11 +10,12 @@
 	heartbeatSpan = int(160 * clock.Millisecond)
 	quietSpan     = int(480 * clock.Millisecond)
 	electionSpan  = int(560 * clock.Millisecond)
-	// splitVoteSpan, elapsed twice from the start, makes two of three replicas candidates.
+	// If splitVoteSpan elapses twice from the start, two of three replicas become candidates.
 	splitVoteSpan = int(270 * clock.Millisecond)
 )
 
-// change returns a command that adds an item with the given name to the version with revision base.
+// change returns a command that adds an item with the given name to the configuration with revision base. The
+// resulting configuration has the given revision.
 func change(name string, base, revision int64) Command {
 	return Command{Name: name, Kind: ChangeCommand, Base: base, Revision: revision}
 }
@@ -30,8 +31,7 @@
 	reader := [][]Command{{change("a1", 0, 1)}, {read("b-read"), read("b-again")}}
 	drains := [][]Command{{{Name: "a-drain", Kind: DrainCommand, Zone: "zone-1"}}, {read("b-read")}}
 	election, both, quiet := []int{electionSpan}, []int{heartbeatSpan, electionSpan}, []int{quietSpan}
-	// In silent, a standby announces itself while a voter is isolated, almost long enough for the voter to be
-	// replaced.
+	// In silent, a voter has been isolated for almost long enough to be replaced when a standby announces itself.
 	pass := Action{Kind: Elapse, Argument: quietSpan}
 	silent := []Action{pass, pass, pass, {Kind: Announce, Replica: 3, Peer: 0}}
 	// In replaced, the first replica is partitioned long enough for another replica to become leader.
@@ -73,12 +73,13 @@
 			*n += by
 		}
 	}
-	// A group of three tolerates one lost disk.
+	// A group of three voters tolerates the loss of only one disk.
 	b.LostDisks = min(b.LostDisks, 1)
 	return c
 }
 
-// Everything returns the configuration for random walks: all kinds of faults, most of them several times.
+// Everything returns the configuration for random walks, with the given number of replicas. Its budget allows every
+// kind of fault, most kinds several times.
 func Everything(replicas int) Config {
 	return Config{
 		Name: "everything", Voters: 3, Standbys: max(0, replicas-3), Spans: []int{heartbeatSpan, quietSpan, electionSpan},
--- a/lab/model/enabled.go
+++ b/lab/model/enabled.go
@@ -1,10 +1,10 @@
-// Which actions a state allows. A source is a replica's disk, whose first pending write may be synced, or the
+// The actions that a state allows. A source is a replica's disk, whose first pending write may be synced, or the
 // queue from one replica to another, whose first message may be delivered. There are two modes. With
-// AllInterleavings, any source may be served next. Otherwise sources are served in round-robin order, and a
-// schedule departs from that order a bounded number of times by pausing a source: a paused source can be released
-// once no other source is ready, or at any later such point. In the second mode a replica's faults are enabled only
-// right after a step of that replica or of no single replica, or when no source is ready; at other times they commute
-// with the steps of other replicas.
+// AllInterleavings, any source may be served next. Otherwise sources are served in round-robin order, and a schedule
+// departs from that order a bounded number of times by pausing a source: a paused source can be released whenever no
+// other source is ready. In the second mode a replica's faults are enabled only right after a step that affected that
+// replica or no single replica, or when no source is ready; at other times a fault would commute with the steps of
+// the other replicas.
 
 package model
 
@@ -16,7 +16,7 @@
 // AllInterleavings is the value of Budget.Holds with which any source may be served next.
 const AllInterleavings = -1
 
-// sources returns the number of sources. Their indexes are those of the disks, then those of the queues.
+// sources returns the number of sources. Sources are numbered from 0, the disks first, then the queues.
 func (x *Explorer) sources() int { return x.replicas + x.replicas*x.replicas }
 
 func (x *Explorer) sourceName(source int) string {
@@ -166,7 +166,8 @@
 	return false
 }
 
-// announceActions adds the announcements of standbys to each voter.
+// announceActions adds, for each standby and each voter, the announcement of the standby to the voter, unless one of
+// them is frozen.
 func (x *Explorer) announceActions(s *system, actions []Action) []Action {
 	if s.left.Announces == 0 {
 		return actions
--- a/lab/model/explore.go
+++ b/lab/model/explore.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Bound limits an exploration by depth and number of states. It is not limited by time, so that the result is the
-// same on every machine.
+// Bound limits an exploration by depth and number of states. An exploration has no time limit, so that its result is
+// the same on every machine.
 type Bound struct{ Depth, States int }
 
 // Report is the outcome of an exploration.
@@ -26,11 +26,11 @@
 }
 
 func (r Report) String() string {
-	extent := "whole"
+	extent := "complete"
 	if !r.Complete {
-		extent = "cut short"
+		extent = "stopped at the bound on states"
 	}
-	return fmt.Sprintf("%d states, %d transitions, depth %d, %s; %d states of single replicas, %d steps of the product's code, %d to rebuild",
+	return fmt.Sprintf("%d states, %d transitions, depth %d, %s; %d states of single replicas, %d steps of the product's code, %d steps repeated to rebuild processes",
 		r.States, r.Transitions, r.Depth, extent, r.Processes, r.Steps, r.Replayed)
 }
 
--- a/lab/model/invariants.go
+++ b/lab/model/invariants.go
@@ -1,4 +1,4 @@
-// The invariants. Each is checked after every step that changes the data it depends on.
+// The invariants. Each is checked after every step that changes the data on which the invariant depends.
 
 package model
 
@@ -13,7 +13,7 @@
 // Invariant is the name of a property that must hold in every state.
 type Invariant string
 
-// The invariants.
+// Invariants of the replicated configuration and of the answers to operators.
 const (
 	InvariantOneVersion     Invariant = "one version for each term and sequence"
 	InvariantOneLeader      Invariant = "one leader for each term"
@@ -93,7 +93,7 @@
 		return violation(InvariantReadable, "committed version %s has a body that cannot be read", versionText(p.committed))
 	}
 	if known := x.proposal(s, p.committed); known != nil && string(known.Body) != string(p.body) {
-		return violation(InvariantCommittedSame, "version %s is committed with another body than was proposed", versionText(p.committed))
+		return violation(InvariantCommittedSame, "version %s is committed with a different body than was proposed", versionText(p.committed))
 	}
 	s.record = s.record.withCommitted(p.committed)
 	x.Seen.Commits++
@@ -110,13 +110,13 @@
 	return x.checkChain(s)
 }
 
-// proposal returns the proposed version, nil if this schedule has not recorded it.
+// proposal returns the content that was proposed as version v, nil if the schedule has recorded no proposal of v.
 func (x *Explorer) proposal(s *system, v wire.Version) *knownVersion {
 	return x.versions[s.record.versions[v]]
 }
 
-// includes reports whether contents include a command. It returns false for commands that a later command may undo;
-// the linearizability check covers those.
+// includes reports whether contents include a command. It returns false for reads and for commands that another
+// command may undo; the linearizability check covers these commands.
 func (x *Explorer) includes(c contents, number int) bool {
 	o := &x.commands[number]
 	if o.Kind == ChangeCommand {
@@ -125,14 +125,15 @@
 	return o.Kind == DrainCommand && !x.restores[o.Zone] && slices.Contains(c.drained, o.Zone)
 }
 
-// irreversible reports whether no other command of the configuration can undo a command.
+// irreversible reports whether a command is a change, or a drain of a zone that no other command of the configuration
+// restores.
 func (x *Explorer) irreversible(number int) bool {
 	o := &x.commands[number]
 	return o.Kind == ChangeCommand || o.Kind == DrainCommand && !x.restores[o.Zone]
 }
 
-// checkIncluded checks that a version committed at or after the version of a command's acknowledgement includes the
-// command.
+// checkIncluded checks that a committed version includes an irreversible command if the command was acknowledged at
+// that version or at an older one.
 func (x *Explorer) checkIncluded(number int, at, committed wire.Version, c contents) error {
 	if x.irreversible(number) && !newer(at, committed) && !x.includes(c, number) {
 		return violation(InvariantDurableCommand, "%s was acknowledged at %s and is not in %s", x.commands[number].Name, versionText(at), versionText(committed))
@@ -191,8 +192,8 @@
 	return nil
 }
 
-// syncedByMajority reports whether the newest synced version of a majority of the voters is v or a later version.
-// For an irreversible command that version must also include the command.
+// syncedByMajority reports whether, on a majority of the voters, the newest version synced to disk is v or a newer
+// version. For an irreversible command, that newest version must also include the command.
 func (x *Explorer) syncedByMajority(s *system, v *knownVersion, voters []wire.Replica, number int) bool {
 	n := 0
 	for _, voter := range voters {
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -1,4 +1,4 @@
-// The bounded exploration that CI runs. cmd/lab runs longer ones.
+// The bounded exploration and the random walks that CI runs. cmd/lab runs longer explorations and walks.
 
 package model
 
@@ -11,9 +11,9 @@
 	"wallport/runtime/kernel"
 )
 
-// maxStates bounds the exploration of each configuration; all configurations are explored completely within it. A
-// short run, which CI does with the race detector in addition to the full run, explores only the first
-// maxStatesShort states.
+// maxStates bounds the exploration of each configuration; all configurations are explored completely within it. With
+// -short, which CI uses for an additional run under the race detector, only the first maxStatesShort states are
+// explored.
 const (
 	maxStates      = 100_000
 	maxStatesShort = 1_500
@@ -39,14 +39,14 @@
 			if testing.Short() {
 				return
 			}
-			must.True(t, r.Complete, must.Sprint("the exploration stopped at the bound of states"))
+			must.True(t, r.Complete, must.Sprint("the exploration must be complete, but it stopped at the bound on states"))
 			assertProvoked(t, x)
 		})
 	}
 }
 
-// assertProvoked fails if an exploration never reached the events that its configuration is meant to provoke: it
-// would pass without having tested them.
+// assertProvoked fails if an exploration never reached the events that its configuration is meant to provoke: the
+// test would otherwise pass without having tested these events.
 func assertProvoked(t *testing.T, x *Explorer) {
 	t.Helper()
 	must.Positive(t, x.Seen.Leaders)
@@ -87,8 +87,8 @@
 	must.Eq(t, a.schedule(), b.schedule())
 }
 
-// Two histories that are merged into one state of a replica must have the same continuation. If they differ, the
-// fingerprint omits something that matters.
+// Two histories that are merged into one state of a replica must have the same continuation. If the continuations
+// differ, the fingerprint omits a field that affects the replica's behaviour.
 func TestEqualFingerprintsBehaveAlike(t *testing.T) {
 	c := Configs()[4]
 	x := NewWorld(c)
--- a/lab/model/operators.go
+++ b/lab/model/operators.go
@@ -1,5 +1,5 @@
-// The operators. Each has a list of commands and sends one at a time, to any voter; it retries a command until a
-// final answer arrives.
+// The operators. Each has a list of commands and sends one command at a time, to any voter. It sends a command again
+// until a final answer arrives, but at most callsPerCommand times in total.
 
 package model
 
@@ -59,9 +59,9 @@
 
 func replicaConnection(replica int) uint64 { return uint64(100 + replica) }
 
-// callActions adds the calls that operators may make now. An operator's next command waits until the previous one
-// has ended, so that a change is sent only once its base was acknowledged; after a refused command the operator
-// sends none of its later ones.
+// callActions adds the calls that operators may make now. An operator's next command waits until the previous one has
+// ended, so that a change is sent only after its base was acknowledged. After a refused command the operator sends no
+// further commands.
 func (x *Explorer) callActions(s *system, actions []Action) []Action {
 	if s.left.Calls == 0 {
 		return actions
@@ -86,7 +86,7 @@
 	return actions
 }
 
-// callReplicas adds a call of a command to each voter on which it would have an effect.
+// callReplicas adds the calls that send a command to a voter, for each voter on which the call would have an effect.
 func (x *Explorer) callReplicas(s *system, number int, actions []Action) []Action {
 	for to := range x.voters {
 		if s.frozenAt[to] == 0 && s.calls[number].open&(1<<to) == 0 && x.hasEffect(s, number, to) {
@@ -96,8 +96,8 @@
 	return actions
 }
 
-// hasEffect reports whether a call does anything other than return an immediate, non-final answer from a replica
-// that is not leader.
+// hasEffect reports whether a call does more than return one non-final answer and leave the replica's state
+// unchanged, as a call to a replica that is not leader does.
 func (x *Explorer) hasEffect(s *system, number, to int) bool {
 	e := x.runtime.step(s.processes[to], s.now, x.callInput(number, to))
 	if e.next != s.processes[to] || len(e.sends) != 1 {
@@ -112,7 +112,8 @@
 	return kernel.Received{Conn: x.callConnection(number, to), Data: commandFrame(uint64(number)+1, &x.commands[number])}
 }
 
-// callConnection returns the id of the connection for a command to a replica. Each such pair has its own.
+// callConnection returns the id of the connection over which a command is sent to a replica. Each pair of a command
+// and a replica has its own connection.
 func (x *Explorer) callConnection(number, replica int) uint64 {
 	return clientConnection + uint64(number*x.replicas+replica)
 }
@@ -161,7 +162,8 @@
 	return nil
 }
 
-// valueOf returns the name of the command that wrote the configuration that a read returned, "" for the initial one.
+// valueOf returns the name of the command that wrote the configuration in the answer to a read, "" for the initial
+// configuration.
 func (x *Explorer) valueOf(c contents) string {
 	for _, o := range x.commands {
 		if o.Kind == ChangeCommand && o.Revision == c.revision && slices.Contains(c.commands, o.Name) {
@@ -174,7 +176,7 @@
 	return fmt.Sprint("unknown revision ", c.revision)
 }
 
-// changeOf returns a command that is not a read as an operation of the history.
+// changeOf converts a command other than a read to an operation of the history.
 func (x *Explorer) changeOf(number int) history.Operation {
 	o := &x.commands[number]
 	op := history.Operation{Register: history.Configuration, Client: x.operatorOf[number], ID: o.Name}
@@ -189,7 +191,8 @@
 	return op
 }
 
-// readsOf returns a read as operations of the history, one for each register.
+// readsOf converts the answer to a read to operations of the history: one read of the configuration and one of each
+// zone.
 func (x *Explorer) readsOf(number int, got *reading) []history.Operation {
 	read := history.Operation{Register: history.Configuration, Client: x.operatorOf[number], Kind: history.Read, Value: got.configuration}
 	all := []history.Operation{read}
--- a/lab/model/process.go
+++ b/lab/model/process.go
@@ -46,7 +46,7 @@
 	body []byte
 }
 
-// effects holds the process that results from a step, and what the step requested.
+// effects holds the process that results from a step, and the sends and file deletions that the step requested.
 type effects struct {
 	next  *process
 	sends []kernel.Send
@@ -73,7 +73,7 @@
 	merged func(known, other *process)
 }
 
-// maxCachedKernels is the maximum number of kernels that are kept running.
+// maxCachedKernels is the maximum number of kernels that are kept for the next steps of their processes.
 const maxCachedKernels = 512
 
 func newRuntime() *runtime {
@@ -82,7 +82,7 @@
 	}
 }
 
-// start boots a replica on the files of its disk.
+// start boots a replica with the files of its disk.
 func (r *runtime) start(replica, incarnation int, at clock.Micros, files map[string][]byte) *effects {
 	key := digestOf(append(filesBytes(files), fmt.Sprint(replica, incarnation, at)...))
 	if e := r.starts[key]; e != nil {
@@ -129,7 +129,8 @@
 	return k
 }
 
-// run steps a kernel by the input of next and determines which process results.
+// run applies the input of next to a kernel and returns the effects. If an earlier history led to the same state, the
+// effects refer to the known process instead of next.
 func (r *runtime) run(next *process, k *kernel.Kernel, before *process) *effects {
 	r.Steps++
 	fixRandom(k, next.replica, next.incarnation)
@@ -158,7 +159,8 @@
 	return e
 }
 
-// cache keeps a kernel for the next step of its process and evicts the oldest one above maxCachedKernels.
+// cache keeps a kernel for the next step of its process. Above maxCachedKernels it evicts the kernel that was cached
+// first.
 func (r *runtime) cache(id int32, k *kernel.Kernel) {
 	if r.cached[id] != nil {
 		return
@@ -185,7 +187,8 @@
 	return writes
 }
 
-// nextTimers removes the timer that fired, and adds the requested ones.
+// nextTimers returns the timers after a step: without the timer that fired, and with the timers that the step
+// requested.
 func nextTimers(next *process, out kernel.Output) []timer {
 	timers := slices.Clone(next.timers)
 	if v, ok := next.input.(kernel.Tick); ok {
@@ -202,7 +205,7 @@
 	return timers
 }
 
-// bytes returns everything on which a process's future depends.
+// bytes returns an encoding of everything on which the further behaviour of a process depends.
 func (p *process) bytes(fingerprint []byte) []byte {
 	b := append(fingerprint, byte(p.replica), byte(p.incarnation))
 	for _, w := range p.writes {
--- a/lab/model/product.go
+++ b/lab/model/product.go
@@ -1,5 +1,5 @@
-// The adapter to the product: the package of the replicated state machine, its messages, files and commands. Other
-// files of this package do not depend on them.
+// The adapter to the product: it boots replicas, reads their state and files, and encodes announcements and commands.
+// No other file of this package imports the package of the replicated state machine.
 
 package model
 
@@ -55,8 +55,8 @@
 	return append(fingerprint(replicaOf(k)), fingerprint(kernel.Find[*membership.Members](k))...)
 }
 
-// fixRandom reseeds a process's random numbers, so that the next step does not depend on how many numbers earlier
-// steps drew. Otherwise two histories that lead to the same state could have different continuations.
+// fixRandom reseeds a process's random number generator, so that the next step does not depend on how many numbers
+// earlier steps drew. Otherwise two histories that lead to the same state could have different continuations.
 func fixRandom(k *kernel.Kernel, replica, incarnation int) {
 	k.Rand = rand.New(rand.NewPCG(uint64(replica), uint64(incarnation)))
 }
@@ -89,7 +89,7 @@
 	return map[string][]byte{"seat": diskfile.Pack([]byte(replicaName(replica)))}
 }
 
-// versionIn returns the version of the configuration that a file holds, false if it holds none.
+// versionIn returns the version of the configuration in a file, false if the file does not hold one.
 func versionIn(file string, data []byte) (wire.Versioned, bool) {
 	var v wire.Versioned
 	if !strings.HasPrefix(file, fmt.Sprintf("part-%d.stamp-", state.ConfigPartition)) {
@@ -149,8 +149,8 @@
 	}
 }
 
-// contents holds the effects of commands on a version's body: the pool names, which are the names of the changes,
-// the revision in force, and the drained zones.
+// contents holds the effects of commands on a version's body: the revision, the names of the pools (each change adds
+// a pool under its own name) and the drained zones.
 type contents struct {
 	revision int64
 	commands []string
--- a/lab/model/record.go
+++ b/lab/model/record.go
@@ -12,13 +12,14 @@
 	"wallport/runtime/wire"
 )
 
-// reading is what a read returned.
+// reading is the result of a read: the name of the command that wrote the configuration, and the drained zones.
 type reading struct {
 	configuration string
 	drained       []string
 }
 
-// event is the begin or the end of a command. A record lists events in the order in which operators observed them.
+// event is the beginning or the end of a command. A record lists events in the order in which operators observed
+// them.
 type event struct {
 	command  int
 	end      bool
--- a/lab/model/system.go
+++ b/lab/model/system.go
@@ -68,7 +68,7 @@
 	action Action
 }
 
-// everyReplica means that the last step affected all replicas or none.
+// everyReplica is the value of system.touched after a step that did not affect exactly one replica.
 const everyReplica = -1
 
 // system is one state of the whole system. States share their unchanged parts.
@@ -87,7 +87,7 @@
 	order []uint8
 	// pausedSources has a bit for each paused source.
 	pausedSources uint64
-	// isolated has a bit for each partitioned replica.
+	// isolated has a bit for each replica that is partitioned from the others.
 	isolated uint64
 	// touched is the replica that the last step affected, or everyReplica.
 	touched int
--- a/lab/model/walk.go
+++ b/lab/model/walk.go
@@ -53,7 +53,8 @@
 	return actions[0]
 }
 
-// Walks runs random schedules with consecutive seeds until one fails, and shrinks the failing schedule.
+// Walks runs random schedules of at most length actions, with consecutive seeds, until one of them fails or their
+// number reaches walks. It shrinks the failing schedule.
 func (c Config) Walks(first uint64, walks, length int) (WalkReport, error) {
 	var r WalkReport
 	var x *Explorer
@@ -79,7 +80,7 @@
 
 const walksPerExplorer = 50
 
-// Shrink removes actions from a failing schedule as long as the rest violates the same invariant.
+// Shrink removes actions from a failing schedule as long as the remaining actions violate the same invariant.
 func (x *Explorer) Shrink(f *Failure) *Failure {
 	best := f
 	for size := len(best.Schedule) / 2; size > 0; {
@@ -94,8 +95,8 @@
 	return best
 }
 
-// without tries to remove one run of size consecutive actions. It returns the remaining failure, nil if there is
-// no such run.
+// without looks for size consecutive actions whose removal leaves a shorter schedule that violates the same
+// invariant. It returns the failure of the shorter schedule, nil if there is none.
 func (x *Explorer) without(f *Failure, size int) *Failure {
 	for from := 0; from+size <= len(f.Schedule); from += size {
 		rest := append(append([]Action(nil), f.Schedule[:from]...), f.Schedule[from+size:]...)
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -18,14 +18,14 @@
 	// Voters is the number of replicas that form the group at the start, Standbys the number of further processes
 	// that are not voters.
 	Voters, Standbys int
-	// Settled starts with an elected leader instead of a group that has just been bootstrapped.
+	// Settled makes every schedule start with an elected leader; otherwise the group has just been bootstrapped.
 	Settled bool
 	// IsolatedAtStart lists the replicas that are partitioned from the others at the start.
 	IsolatedAtStart []int
 	// Faulty lists the replicas on which faults (crashes, freezes, partitions, stops) may be injected; empty means
 	// all.
 	Faulty []int
-	// SlowDisks restricts holds to disks; message queues are not paused.
+	// SlowDisks restricts Hold actions to disks; message queues are not paused.
 	SlowDisks bool
 	// Prelude lists actions that run before the exploration. After each of them, syncs and deliveries run until
 	// none is pending.
@@ -63,8 +63,8 @@
 // Seen counts the events that schedules provoked, over all states.
 type Seen struct{ Leaders, Commits, Acknowledged, Refused, Reads, MemberChanges int }
 
-// FreezeGap is the time for which a process must have been frozen before it receives a Thawed input. It matches the
-// event loop of a real process.
+// FreezeGap is the longest freeze after which a process receives no Thawed input. The event loop of a real process
+// uses the same limit.
 const FreezeGap = clock.Second
 
 // begin is the monotonic time at the start of a schedule.
@@ -115,7 +115,8 @@
 	return x.runPrelude(s)
 }
 
-// elect lets time pass until the first replica is elected, without lost or delayed messages.
+// elect advances the clock by four heartbeat spans, after which the first replica has been elected. All writes and
+// messages complete after each span; none is lost or delayed.
 func (x *Explorer) elect(s *system) (*system, error) {
 	const rounds = 4
 	for range rounds {
@@ -208,7 +209,8 @@
 	return x.checkCommitted(s, e.next)
 }
 
-// handleSend appends a sent frame to the receiver's queue, or passes an answer to its operator.
+// handleSend appends a sent frame to the receiver's queue, or processes it as the answer to an operator's call. It
+// drops ignored frames and frames to processes other than the replicas.
 func (x *Explorer) handleSend(s *system, from int, send kernel.Send) error {
 	f := openFrame(send.Data)
 	switch {
