--- a/lab/rules/check.go
+++ b/lab/rules/check.go
@@ -83,7 +83,8 @@
 	return false
 }
 
-// mayBeInForce reports whether a version may be in force at a moment: it was sent, is valid, and was not refused.
+// mayBeInForce reports whether a version may be in force at a time: it was sent at or before that time, is valid and
+// was never refused.
 func (version *Version) mayBeInForce(at clock.Micros) bool {
 	return version.Table != nil && !version.Invalid && version.Refused == Never && version.Sent <= at
 }
--- a/lab/rules/config.go
+++ b/lab/rules/config.go
@@ -12,8 +12,9 @@
 	"wallport/runtime/clock"
 )
 
-// possible returns the versions by which a machine may handle a request: those that may be in force when the
-// request ends, except versions older than the newest one that had to be in force when the request was sent.
+// possible returns the versions according to which a machine may handle an attempt: the versions that may be in force
+// when the attempt ends, except those older than the newest version that had to be in force on the machine when the
+// attempt was sent.
 func (j *Journal) possible(attempt *Attempt, machine string) []*Version {
 	least := int64(0)
 	for _, version := range j.Versions {
@@ -33,7 +34,8 @@
 	return out
 }
 
-// route checks ROUTE: a service runs only requests that some configuration routes to it.
+// route checks ROUTE: a backend runs only requests that some configuration, sent before the request arrived, routes
+// to its pool.
 func route(j *Journal) {
 	for _, a := range j.Arrivals {
 		attempt := j.attempts[a.Attempt]
@@ -49,7 +51,8 @@
 	}
 }
 
-// configHandled checks CONFIG: each request is handled as allowed by some version that may still be in force.
+// configHandled checks CONFIG: each request is handled in a way that some version allows, out of the versions that
+// may be in force at that time.
 func configHandled(j *Journal) {
 	for _, attempt := range j.Attempts {
 		if attempt.Status == 0 && len(j.arrivalsByAttempt[attempt.ID]) == 0 {
@@ -77,12 +80,12 @@
 	}
 }
 
-// configInForce checks CONFIG: the configuration in force at a node is recent enough, was not rejected, and its
-// revision never decreases.
+// configInForce checks CONFIG: the configuration in force at a node is new enough and was not rejected, and its
+// revision never decreases while the node's process runs.
 func configInForce(j *Journal) {
 	byRevision := map[int64]*Version{}
 	for _, version := range j.Versions {
-		// If two versions share a revision, the one that was not refused counts.
+		// If several versions share a revision, one that was not refused takes precedence.
 		if was := byRevision[version.Revision]; was == nil || was.Refused != Never {
 			byRevision[version.Revision] = version
 		}
@@ -115,8 +118,8 @@
 	}
 }
 
-// configRaces checks CONFIG: of several changes based on the same version at most one is acknowledged, and an
-// invalid change never is.
+// configRaces checks CONFIG: of several changes based on the same version at most one is acknowledged, and no invalid
+// change is acknowledged.
 func configRaces(j *Journal) {
 	byBase := map[int64]*Version{}
 	for _, version := range j.Versions {
@@ -134,8 +137,9 @@
 	}
 }
 
-// configRead checks CONFIG: a configuration that is read back is recent enough and equals what was sent under its
-// revision. After the closing fault, a configuration that is too old or missing breaks LOST.
+// configRead checks CONFIG: a configuration that is read back is at least as new as the newest one that was
+// acknowledged before the read, and it equals what was sent under its revision. In a journal with a closing fault, a
+// configuration that is too old or missing breaks LOST instead of CONFIG.
 func configRead(j *Journal) {
 	if len(j.Versions) == 0 {
 		return
@@ -177,14 +181,15 @@
 	return proto.Equal(sorted(a), sorted(b))
 }
 
-// acks checks ACKS: a valid command is acknowledged before the core has been settled for longer than the bound
-// without interruption.
+// acks checks ACKS: if the core has been settled without interruption for longer than AckUs since a valid command was
+// sent, the command has been acknowledged. A valid change that is based on the newest version and has no concurrent
+// change is not refused.
 func acks(j *Journal) {
 	c := j.Bounds.ContactUs
 	check := func(what string, sent, acked clock.Micros) {
 		j.tested(Acks)
-		// from is the start of the current settled span since the command was sent. Everything that unsettles the
-		// core ends a span; the next one begins ContactUs after the core is settled again.
+		// from is the start of the current settled span; the first span starts when the command is sent. Every event
+		// that unsettles the core ends a span, and the next span starts ContactUs after the end of the event.
 		from := sent
 		end := min(acked, j.End)
 		for _, s := range j.Faults.Unsettled {
--- a/lab/rules/fault_spans.go
+++ b/lab/rules/fault_spans.go
@@ -1,5 +1,6 @@
-// The times at which machines were in contact with the core. Rules with a time bound apply to machines that have had
-// no fault of their own for a while, as long as the core was settled.
+// The spans of time in which machines were faulty or the core was unsettled. A rule with a time bound does not apply
+// to a machine that had a fault within the last ContactUs. If the core was unsettled within that time, the rule
+// either does not apply or has a longer bound.
 
 package rules
 
@@ -9,7 +10,7 @@
 	"wallport/runtime/clock"
 )
 
-// Span is a closed time interval; To is Never while it lasts. From equals To for an event without duration.
+// Span is a closed time interval; To is Never while the span is open. From equals To for an event without duration.
 type Span struct{ From, To clock.Micros }
 
 // Spans is a list of spans in chronological order.
@@ -59,19 +60,20 @@
 type FaultSpans struct {
 	// Machines holds each machine's own faults: faults of its processes, disk, clock and links to the core.
 	Machines map[string]*Spans
-	// Unsettled holds the events that unsettle the core. NoMajority holds the spans in which half of the core or
-	// less was running, connected and not slowed.
+	// Unsettled holds the events that unsettle the core. NoMajority holds the spans in which at most half of the core
+	// was running, connected and not slowed.
 	Unsettled, NoMajority Spans
-	// Unplanned holds all faults of any machine that are not planned work, Planned the planned work.
+	// Unplanned holds the faults of all machines, except planned work; Planned holds the planned work.
 	Unplanned, Planned Spans
 }
 
-// plannedWorkTailUs is the time for which a version still counts as planned work after it had to be in force on all
-// nodes.
+// plannedWorkTailUs is the time for which a new version still counts as planned work after the time by which it has
+// to be in force on all nodes.
 const plannedWorkTailUs = clock.Second
 
 // planned returns the spans of all planned work: the work on machines, and each configuration that may be in force,
-// from the time it was sent until plannedWorkTailUs after it has to be in force on all nodes.
+// from the time at which it was sent until plannedWorkTailUs after the time by which it has to be in force on all
+// nodes.
 func (j *Journal) planned() Spans {
 	spans := slices.Clone(j.Faults.Planned)
 	for _, version := range j.Versions {
@@ -99,18 +101,19 @@
 	return s
 }
 
-// Settled reports whether the core was settled without interruption from contact before a until b.
+// Settled reports whether no event unsettled the core from a-contact to b, both included.
 func (t *FaultSpans) Settled(a, b, contact int64) bool { return !t.Unsettled.Hit(a-contact, b) }
 
-// InContact reports whether a machine is in contact at a time: neither the machine had a fault nor was the core
-// unsettled for the time contact before it.
+// InContact reports whether a machine is in contact with the core at a time: from at-contact to at, the machine had
+// no fault and no event unsettled the core.
 func (t *FaultSpans) InContact(machine string, at, contact clock.Micros) bool {
 	return !t.Of(machine).Hit(at-contact, at) && !t.Unsettled.Hit(at-contact, at)
 }
 
-// bound returns the time that a machine may take after an acknowledgement at acked, as seen at the given time: the
-// bound itself if the machine is in contact, and StretchUs more if the core is unsettled. It returns false if there
-// is no bound, because the machine itself is faulty or the core lost its majority at some time since acked.
+// bound returns how long after an acknowledgement at acked a machine may take to apply the acknowledged command, as
+// judged at the given time: the given bound if the core was settled for the last ContactUs, and StretchUs more
+// otherwise. It returns false if there is no bound, because the machine itself had a fault within the last ContactUs,
+// or because the core was not settled and had no majority at some time since ContactUs before acked.
 func (j *Journal) bound(machine string, acked, at, bound clock.Micros) (int64, bool) {
 	c := j.Bounds.ContactUs
 	switch {
--- a/lab/rules/histories.go
+++ b/lab/rules/histories.go
@@ -11,7 +11,7 @@
 	"wallport/runtime/clock"
 )
 
-// History is the name of the rule.
+// History is the name of the rule that the operators' histories are linearizable.
 const History = "HISTORY"
 
 func histories(j *Journal) {
@@ -61,7 +61,8 @@
 	return fmt.Sprintf("revision %d, sent as number %d", version.Revision, i)
 }
 
-// between sets the begin, end and outcome of an operation; acked and refused are Never if no such answer came.
+// between sets the begin, end and outcome of an operation. acked is Never if there was no acknowledgement, refused is
+// Never if there was no refusal.
 func between(op history.Operation, sent, acked, refused clock.Micros) history.Operation {
 	op.Begin = sent
 	switch {
@@ -103,7 +104,7 @@
 	return slices.Compact(zones)
 }
 
-// valueOf returns the id of the version with the revision and content of a reading, "" for the initial one.
+// valueOf returns the id of the version with the revision and content of a reading, "" for the initial version.
 func (j *Journal) valueOf(r ConfirmedReading) string {
 	if r.Table.GetRevision() == 0 {
 		return ""
--- a/lab/rules/journal.go
+++ b/lab/rules/journal.go
@@ -30,16 +30,18 @@
 
 // Parts of rules that are counted separately, so that a sweep can check that they were tested.
 const (
-	// LostPlanned counts requests near planned work to which LOST was applied.
+	// LostPlanned counts the requests during planned work to which LOST was applied.
 	LostPlanned = "LOST near planned work"
 	// MixedFailure counts failures that carry a backend's seal; their status must equal that backend's status.
 	MixedFailure = "MIXED in failures"
-	// ConfigRepeat counts retries of acknowledged changes, ConfigNumber pairs of changes with the same revision.
+	// ConfigRepeat counts acknowledged changes that were retried, ConfigNumber valid changes whose revision an
+	// earlier valid change has already.
 	ConfigRepeat = "CONFIG of repeats"
 	ConfigNumber = "CONFIG of one number"
 	// BudgetAttempt counts attempts that ran on more than one backend of a service.
 	BudgetAttempt = "BUDGET of one try"
-	// DrainUnsettled counts arrivals at draining backends whose time to drain overlapped an unsettled core.
+	// DrainUnsettled counts the arrivals to which DRAIN was applied although the core was unsettled at some time
+	// within the DrainUs after the backend was first shown as leaving.
 	DrainUnsettled = "DRAIN over an unsettled core"
 )
 
--- a/lab/rules/load.go
+++ b/lab/rules/load.go
@@ -9,8 +9,8 @@
 	"wallport/runtime/clock"
 )
 
-// drain checks DRAIN: a backend receives no request later than the bound after the platform's list first showed it
-// as leaving.
+// drain checks DRAIN: a backend receives no request later than DrainUs after the platform's list first showed the
+// backend as leaving.
 func drain(j *Journal) {
 	for _, a := range j.Arrivals {
 		b := a.Backend
@@ -27,7 +27,8 @@
 	}
 }
 
-// evac checks EVAC: an evacuated zone receives no request later than the bound after the acknowledgement.
+// evac checks EVAC: a zone receives no request later than EvacuateUs after its evacuation was acknowledged, until the
+// operator requests the end of the evacuation. If the core was unsettled, StretchUs is added to EvacuateUs.
 func evac(j *Journal) {
 	for _, evacuation := range j.Evacuations {
 		if evacuation.Acked == Never {
@@ -51,7 +52,8 @@
 }
 
 // budget checks BUDGET: in any window of RetryWindowUs, a service receives at most RetryRatio extra arrivals per
-// request plus RetryAllowance. An extra arrival is any arrival of an attempt at a service after the first one.
+// request plus RetryAllowance. An extra arrival is any arrival of an attempt at a service after the attempt's first
+// arrival there.
 func budget(j *Journal) {
 	extras, requests := map[string][]int64{}, map[string][]int64{}
 	seen := map[string]bool{}
@@ -81,7 +83,8 @@
 		slices.Sort(extra)
 		slices.Sort(first)
 		for i := range extra {
-			// It is enough to check windows that begin with an extra arrival: no other window holds more of them.
+			// It is enough to check windows that begin with an extra arrival: no other window holds more extra
+			// arrivals.
 			from := extra[i]
 			n := count(extra, from, from+w)
 			most := max(count(first, from, from+w), count(first, from-w/2, from+w/2), count(first, from-w, from))
@@ -94,15 +97,15 @@
 	}
 }
 
-// count returns the number of the sorted times in [a, b).
+// count returns how many of the sorted times are in [a, b).
 func count(at []clock.Micros, a, b int64) int {
 	i, _ := slices.BinarySearch(at, a)
 	k, _ := slices.BinarySearch(at, b)
 	return k - i
 }
 
-// failback checks FAILBACK: during its slow start a backend receives no more requests in any second than it can
-// handle.
+// failback checks FAILBACK: in any second of its slow start a backend receives at most SlowStartPerS times
+// SlowStartOverrun plus SlowStartTolerance requests.
 func failback(j *Journal) {
 	arrivalsByBackend := map[*Backend][]int64{}
 	for _, a := range j.Arrivals {
@@ -124,9 +127,10 @@
 	}
 }
 
-// recovered checks RECOVER: from RecoverUs after the machines run again at the end of the closing fault, at least a
-// quarter of the requests is served, if that was so before the fault. It also checks LOST: each node still considers
-// a zone evacuated whose evacuation was acknowledged before the closing fault and never ended.
+// recovered checks RECOVER: of the requests sent later than RecoverUs after the machines run again, at least a
+// quarter is served. It also checks LOST: if the evacuation of a zone was acknowledged before the closing fault and
+// its end was never requested, each node still considers the zone evacuated. Neither rule is checked if less than a
+// quarter of the requests was served before the fault.
 func recovered(j *Journal) {
 	if j.Closing == nil {
 		return
--- a/lab/rules/planned_test.go
+++ b/lab/rules/planned_test.go
@@ -1,4 +1,4 @@
-// Tests of the spans of planned work, and that LOST is checked for requests during planned work.
+// Tests that the spans of planned work are correct and that LOST is checked for requests during planned work.
 
 package rules
 
@@ -19,8 +19,8 @@
 	must.True(t, planned.Hit(20*second, 20*second))
 	must.True(t, planned.Hit(24*second, 24*second))
 	must.False(t, planned.Hit(24*second+1001, 24*second+1001))
-	must.False(t, planned.Hit(40*second, 45*second), must.Sprint("a refused version is in force on no node"))
-	must.True(t, planned.Hit(59*second, 59*second), must.Sprint("a version without a final answer may be in force"))
+	must.False(t, planned.Hit(40*second, 45*second), must.Sprint("a refused version must not count as planned work: it is in force on no node"))
+	must.True(t, planned.Hit(59*second, 59*second), must.Sprint("a version without a final answer must count as planned work: it may be in force"))
 }
 
 func TestRequestAbortedDuringPlannedWorkIsLost(t *testing.T) {
--- a/lab/rules/repeats.go
+++ b/lab/rules/repeats.go
@@ -1,4 +1,5 @@
-// The rules on repetition: reused revisions, retries of changes, and the number of backends of one attempt.
+// The rules on repetition: reused revisions, retries of changes, and the number of backends on which one attempt
+// runs.
 
 package rules
 
--- a/lab/rules/repeats_test.go
+++ b/lab/rules/repeats_test.go
@@ -1,5 +1,5 @@
-// Tests of the rules on retries, revisions, further backends and read-backs: each on a valid journal and on one that
-// breaks it.
+// Tests of the rules on retries, revisions, further backends and read-backs: each on a journal that obeys the rule
+// and on one that breaks it.
 
 package rules
 
@@ -74,7 +74,7 @@
 	j.Versions = append(j.Versions, loser)
 	addSecondBackendRuns(j, maxOverRouteLimit)
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("a retry acknowledged again, one of two changes with the same revision refused, three attempts over the route's limit"))
+	must.Eq(t, nil, j.Findings, must.Sprint("no rule may forbid a retry that is acknowledged again, the refusal of one of two changes with the same revision, or three attempts over the route's limit"))
 	must.Positive(t, j.Tested[ConfigRepeat])
 	must.Positive(t, j.Tested[ConfigNumber])
 	must.Eq(t, maxOverRouteLimit, j.Tested[BudgetAttempt])
@@ -85,17 +85,17 @@
 	addSecondBackendRuns(j, maxOverRouteLimit+1)
 	j.Backends[len(j.Backends)-1].Ended = 30 * second
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("a backend that ended before the attempt did does not count"))
+	must.Eq(t, nil, j.Findings, must.Sprint("a backend that ended before the attempt did must not count"))
 
 	j = validJournal()
 	j.Versions = append(j.Versions, version(9, 3, 58*second+900*clock.Millisecond, table(9, "q")))
 	j.ReadBack[0].RequestedAt = 58 * second
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("the version was acknowledged after the read was requested"))
+	must.Eq(t, nil, j.Findings, must.Sprint("a read need not return a version that was acknowledged after the read was requested"))
 
 	j = validJournal()
 	j.Backends[0].Shown = 6 * second
 	j.Arrivals[0].Held = true
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("a network partition delayed the request"))
+	must.Eq(t, nil, j.Findings, must.Sprint("DRAIN must not apply to a request that a network partition delayed"))
 }
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -28,8 +28,8 @@
 	return bytes.Join(all, nil)
 }
 
-// mixed checks MIXED: a success is one backend's complete successful response to the same attempt, or a merge of
-// such responses.
+// mixed checks MIXED: a successful response is one backend's complete successful response to the same attempt, or a
+// merge of such responses.
 func mixed(j *Journal) {
 	bySeal := map[string]*Arrival{}
 	for _, a := range j.Arrivals {
@@ -65,8 +65,9 @@
 	}
 }
 
-// checkFanout checks a response that names several backends' seals: it is the merge of these backends' successful
-// parts, and the parts with the missing ones make up the shards of some version's route.
+// checkFanout checks a response that names the seals of its parts: each part is a backend's successful response to
+// the attempt, the response is the merge of the parts, and the parts together with the missing parts are the shards
+// of the route in some version.
 func (j *Journal) checkFanout(attempt *Attempt, bySeal map[string]*Arrival) {
 	var parts [][]byte
 	pools := map[string]bool{}
@@ -130,7 +131,7 @@
 	}
 }
 
-// ran returns how often an attempt ran on backends, and when it last did.
+// ran returns how often an attempt ran on backends, and the time at which its last run arrived.
 func (j *Journal) ran(attempt *Attempt) (n int, at clock.Micros) {
 	for _, a := range j.arrivalsByAttempt[attempt.ID] {
 		if a.Ran {
@@ -156,7 +157,8 @@
 	}
 }
 
-// refused checks REFUSED: a request whose status guarantees that it has not run and never will does not run.
+// refused checks REFUSED: if the response to a request that is not idempotent has a status which guarantees that the
+// request has not run and never will, the request does not run.
 func refused(j *Journal) {
 	for _, attempt := range j.Attempts {
 		if attempt.Repeatable || !promisesNotRun(attempt.Status) {
@@ -169,8 +171,9 @@
 	}
 }
 
-// denied checks DENIED: with few exceptions, a node does not itself answer a request that has a route with a 3xx or
-// 4xx status, except a status that guarantees that the request has not run.
+// denied checks DENIED: if a request has a route, a node does not itself answer the request with a 3xx or 4xx status,
+// except with a status that guarantees that the request has not run. Up to five such answers, and one more for every
+// 500 attempts, are tolerated.
 func denied(j *Journal) {
 	n, at := 0, int64(0)
 	for _, attempt := range j.Attempts {
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -1,4 +1,5 @@
-// Tests that each rule holds on a small valid journal and is reported as broken on a journal that breaks it.
+// Tests that no rule is reported as broken on a small valid journal, and that each rule is reported as broken on a
+// journal that breaks it.
 
 package rules
 
@@ -31,8 +32,8 @@
 	return &Backend{ID: id, Pool: pool, Zone: "z", Ended: Never, Shown: Never}
 }
 
-// validJournal returns a journal that breaks no rule: two versions, one request to a pool of each, a fanout request
-// and a read-back.
+// validJournal returns a journal that breaks no rule: two versions, one request to the pool of each version, a fanout
+// request and a read-back.
 func validJournal() *Journal {
 	j := &Journal{
 		Bounds: Bounds{
@@ -203,19 +204,19 @@
 	j.Faults.Of("m").Open(18 * second)
 	j.Faults.Of("m").Close(22 * second)
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("the machine was not in contact with the core"))
+	must.Eq(t, nil, j.Findings, must.Sprint("CONFIG must not apply to a machine that was not in contact with the core"))
 
 	j = validJournal()
 	j.addRequest("t9", 24*second, 0)
 	j.Faults.Unsettled.Moment(22 * second)
 	j.Check()
-	must.Eq(t, nil, j.Findings, must.Sprint("the core was unsettled, so the bound is longer"))
+	must.Eq(t, nil, j.Findings, must.Sprint("the bound must be longer while the core is unsettled"))
 
 	j = validJournal()
 	j.addRequest("t9", 39*second, 0)
 	j.Faults.Unsettled.Moment(36 * second)
 	j.Check()
-	must.Eq(t, 1, j.Broken[Config], must.Sprint("an unsettled core does not excuse more than the longer bound"))
+	must.Eq(t, 1, j.Broken[Config], must.Sprint("an unsettled core must not excuse more than the longer bound"))
 }
 
 func TestSpans(t *testing.T) {
