--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -8,7 +8,7 @@
 	"wallport/runtime/clock"
 )
 
-// Points are the names of the events that must never happen, in the order of the brief.
+// Names of the rules, each for an event that must never happen, in the order of the brief.
 const (
 	Twice              = "ran_twice"
 	RanRefused         = "ran_after_refusal"
@@ -45,14 +45,14 @@
 	Text  string       `json:"text"`
 }
 
-// Checker collects violations and counts how often each point was tested.
+// Checker collects violations and counts how often each rule was checked.
 type Checker struct {
 	Violations []Violation
 	Tested     map[string]int64
 	Counts     map[string]int64
 	// CommandsPossible is the time since which operators' calls can be carried out.
 	CommandsPossible clock.Micros
-	// ClocksAgree is the time since which, in addition, a majority of the disk machines agrees on the time.
+	// ClocksAgree is the time since which, in addition, the clocks of a majority of the cores agree.
 	ClocksAgree clock.Micros
 
 	ran           map[string]int
@@ -95,8 +95,8 @@
 // Count adds to a named count.
 func (c *Checker) Count(name string, n int64) { c.Counts[name] += n }
 
-// Value returns a count by name: a count of Count, the tests of a point ("tested.POINT"), the violations of a point
-// ("violations.POINT") or the number of recorded violations ("violations").
+// Value returns a count by name: a count that Count added to, the number of checks of a rule ("tested.RULE"), the
+// number of violations of a rule ("violations.RULE") or the number of recorded violations ("violations").
 func (c *Checker) Value(name string) int64 {
 	if n, ok := c.Tested[trim(name, "tested.")]; ok && len(name) > 7 && name[:7] == "tested." {
 		return n
@@ -177,8 +177,9 @@
 // IsZoneDrained reports whether an operator has requested to drain a zone.
 func (c *Checker) IsZoneDrained(zone string) bool { _, ok := c.zoneDrainedAt[zone]; return ok }
 
-// RequestFromIsolated records a request from an isolated node. Such a node reads the platform's list itself once it
-// has noticed the isolation, for which it has IsolatedWithin; from then on it must not use draining servers.
+// RequestFromIsolated records a request from an isolated node. Such a node has IsolatedWithin to notice that it is
+// isolated, and then reads the platform's list itself. From then on it must not use a server later than
+// DrainingWithin after the list first showed the server as leaving.
 func (c *Checker) RequestFromIsolated(server string, at, isolatedFor int64) {
 	if t, ok := c.drainingSince[server]; ok && isolatedFor > IsolatedWithin {
 		c.tested(DrainingWork)
@@ -189,8 +190,8 @@
 	}
 }
 
-// Request records one request sent to a server. extra marks an extra attempt, which counts against the retry budget;
-// a replacement is counted neither as a first nor as an extra attempt.
+// Request records one request sent to a server. If extra is true, the request is an extra attempt, which counts
+// against the retry budget. A replacement counts neither as a first nor as an extra attempt.
 func (c *Checker) Request(pool, server, zone string, at clock.Micros, extra, replacement bool) {
 	if t, ok := c.drainingSince[server]; ok {
 		c.tested(DrainingWork)
@@ -217,5 +218,5 @@
 	m[pool][at/clock.Second]++
 }
 
-// Idle counts a test of a point: a draining server or zone was observed to be idle.
+// Idle counts a check of a rule: a draining server or zone was observed to be idle.
 func (c *Checker) Idle(point string) { c.tested(point) }
--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -1,6 +1,7 @@
-// Checks of configurations: acknowledged ones are in force in time, no node goes back to an older one, rejected ones
-// (including those that lost a race) never take effect, and the accepted edits form one chain in which each edit is
-// based on the previous one (the history of a compare-and-set register, checked exactly).
+// Checks of configurations: acknowledged configurations are in force in time, no node goes back to an older
+// configuration, rejected configurations (including those that lost a race) never take effect, and the accepted edits
+// form one chain in which each edit is based on the previous one. The chain is the history of a compare-and-set
+// register and is checked exactly.
 
 package check
 
@@ -56,8 +57,8 @@
 	}
 }
 
-// EditEnded records the answer to an edit or to a retry with the same id. Once an edit was acknowledged, later answers
-// do not change its outcome.
+// EditEnded records the answer to an edit or to a retry with the same id. Once an edit has been acknowledged, later
+// answers do not change its outcome.
 func (c *Checker) EditEnded(t Edit) {
 	s := &c.edits
 	c.EditBegan(t)
@@ -132,7 +133,8 @@
 // configurations in time.
 func (c *Checker) Restarted(node string) { delete(c.edits.node, node) }
 
-// Chain checks the complete history at the end of a run: linearizability, real-time order and the chain of bases.
+// Chain checks the complete history at the end of a run: that it is linearizable, that an edit that ended before
+// another began has the older version, and that each accepted edit is based on the accepted edit before it.
 func (c *Checker) Chain() {
 	c.linearizable()
 	s := &c.edits
--- a/lab/check/doc.go
+++ b/lab/check/doc.go
@@ -1,5 +1,5 @@
 // Package check holds the twelve invariants of the brief: events that must never happen, checked on observations from
-// outside. The simulator and the fleet of real processes report the same events to a [Checker], which keeps the record
-// and collects violations. It also counts how often each point was tested, so that a run without such tests is not
-// mistaken for a pass.
+// outside. The simulator and the fleet of real processes report the same events to a [Checker], which keeps the
+// record and collects violations. It also counts how often each rule was checked, so that a run that never checked a
+// rule is not mistaken for a pass.
 package check
--- a/lab/check/first_test.go
+++ b/lab/check/first_test.go
@@ -17,6 +17,6 @@
 			c.BeganWith(wire.Version{Term: 1, Seq: 9})
 		}
 		c.EditBegan(Edit{Mark: 7, Base: wire.Version{Term: 1, Seq: 2}, Version: wire.Version{Term: 1, Seq: 3}, Began: 10, Ended: 20, Code: "ok"})
-		must.Eq(t, began, len(c.History().Check()) == 0, must.Sprint("began ", began))
+		must.Eq(t, began, len(c.History().Check()) == 0, must.Sprint("BeganWith was called: ", began))
 	}
 }
--- a/lab/check/histories.go
+++ b/lab/check/histories.go
@@ -11,11 +11,10 @@
 	"wallport/runtime/wire"
 )
 
-// NotLinearizable is the point for a history in which no sequential order of the operators' calls explains their
-// answers.
+// NotLinearizable is the name of the rule that some sequential order of the operators' calls explains their answers.
 const NotLinearizable = "not_linearizable"
 
-// History returns the operators' calls on the configuration and their answers.
+// History returns the operators' calls on the configuration and on zones, with the outcomes of the calls.
 func (c *Checker) History() *history.History {
 	s := &c.edits
 	seenAt := map[int64]wire.Version{}
@@ -100,7 +99,7 @@
 	}
 }
 
-// outcomeOf classifies an answer; possible is false where the command certainly never reached a leader.
+// outcomeOf classifies an answer; possible is false if the command certainly never reached a leader.
 func outcomeOf(code wire.Code) (outcome history.Outcome, possible bool) {
 	switch code {
 	case wire.CodeOK:
--- a/lab/check/limits.go
+++ b/lab/check/limits.go
@@ -11,13 +11,13 @@
 	"wallport/runtime/clock"
 )
 
-// OverLimit and UnderLimit are the points for admitting too many and too few requests.
+// OverLimit and UnderLimit are the names of the rules against admitting too many and too few requests.
 const (
 	OverLimit  = "over_limit"
 	UnderLimit = "under_limit"
 )
 
-// Limits holds the limits of a configuration, in requests per second; shares include booked slices.
+// Limits holds the limits of a configuration, in requests per second. Shares, by kind, include booked slices.
 type Limits struct {
 	From     clock.Micros
 	Capacity float64
--- a/lab/check/load.go
+++ b/lab/check/load.go
@@ -11,8 +11,9 @@
 	"wallport/runtime/clock"
 )
 
-// Search checks that a merged response is exact: it names a known shard map, accounts for all of its shards, has the
-// required share of them in percent, and equals the merge of their records.
+// Search checks that a merged response is exact: it names a known shard map, lists each of the map's shards once as
+// present or missing, has at least the required percentage of the shards, and equals the merge of the records of the
+// present shards.
 func (c *Checker) Search(index, query string, limit, required int, o *search.Outcome, shards map[string]int, at clock.Micros) {
 	c.tested(BadMerge)
 	n, ok := shards[o.Cut]
@@ -46,8 +47,8 @@
 	}
 }
 
-// Budgets checks the retry budget of every pool: in any ten seconds, at most a fifth of the first attempts plus 60
-// extra attempts.
+// Budgets checks the retry budget of every pool: in any ten seconds the number of extra attempts is at most 60 plus a
+// fifth of the number of first attempts.
 func (c *Checker) Budgets() {
 	for pool, extraAttempts := range c.extraAttempts {
 		for sec := range extraAttempts {
@@ -76,9 +77,9 @@
 // SlowStartSlot is the width of the time slots in which the requests to a server in slow start are counted.
 const SlowStartSlot = 500 * clock.Millisecond
 
-// SlowStart records a request to a shard that has a server in slow start since began, for the given duration. toServer
-// reports whether the request went to that server; fair is the share of the request, in thousandths, that the server
-// would get if it were warm.
+// SlowStart records a request to a shard of which one server has been in slow start since began; the slow start lasts
+// for the given duration. toServer reports whether the request went to that server; fair is the share of the request,
+// in thousandths, that the server would get if it were warm.
 func (c *Checker) SlowStart(server string, began, duration int64, at clock.Micros, toServer bool, fair int64) {
 	k := c.slowStarts[server]
 	if k == nil || k.began != began {
@@ -102,7 +103,8 @@
 	ramp := 0.0
 	defer func() {
 		if ramp > 0 {
-			// The sum over all servers in slow start, in which random variation averages out.
+			// The percentage is computed from the sums over all servers in slow start, in which random variation
+			// averages out.
 			c.Counts["cold_percent_of_ramp"] = int64(float64(all) * 100 / ramp)
 		}
 	}()
@@ -123,8 +125,8 @@
 // Served records a successful response.
 func (c *Checker) Served(at clock.Micros) { c.servedPerSecond[at/clock.Second]++ }
 
-// Recovers checks that after a total loss the rate of successful responses is back to at least a quarter of its former
-// level in time. It compares four seconds before the loss with the four seconds from RecoverWithin after back.
+// Recovers checks that after a total loss the rate of successful responses is back in time to at least a quarter of
+// its former level. It compares four seconds before the loss with the four seconds from RecoverWithin after back.
 func (c *Checker) Recovers(lost, back clock.Micros) {
 	c.tested(SlowBack)
 	var normal, now int64
@@ -159,6 +161,6 @@
 func (c *Checker) Aborted(node string, at clock.Micros, planned bool) {
 	c.tested(ReadAborted)
 	if planned {
-		c.Fail(ReadAborted, at, "%s aborted, during its planned stop, a request that it had read", node)
+		c.Fail(ReadAborted, at, "%s aborted a request that it had read, during its planned stop", node)
 	}
 }
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -1,5 +1,5 @@
-// Checking a history, each register separately. The search is bounded by steps, not by time, so that the result is
-// the same on every machine.
+// The linearizability check of a history, separately for each register. The search is bounded by steps, not by time,
+// so that the result is the same on every machine.
 
 package history
 
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -50,8 +50,8 @@
 	Kind     Kind
 	// ID is the value that the operation writes. Operations with equal IDs are retries of the same command.
 	ID string
-	// Version is the name by which later changes refer to the result in Base, "" for the same as ID. Different
-	// changes may have the same Version.
+	// Version is the name by which later changes refer in Base to the result of this change; "" means that the name
+	// is ID. Different changes may have the same Version.
 	Version string
 	// Base is the version on which a change is based; "" is the empty register.
 	Base string
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -92,8 +92,8 @@
 	must.Eq(t, 1, undecided.Steps)
 }
 
-// A day has several hundred changes. Here every change has a concurrent rival on the same base, and every tenth answer
-// is lost; the search must still be decided within its bound.
+// The history of a day has several hundred changes. In this one, every change has a concurrent rival on the same
+// base, and every tenth answer is lost; the search must still reach a decision within its bound on steps.
 func TestLongHistoryIsDecided(t *testing.T) {
 	h := &History{}
 	last := ""
--- a/lab/history/register.go
+++ b/lab/history/register.go
@@ -28,8 +28,8 @@
 	limit    int
 }
 
-// newRegister determines which changes were sent more than once. The state records only for these whether they were
-// applied, so that states with the same future compare equal.
+// newRegister determines which changes were sent more than once. Only for these changes does the state record whether
+// they were applied, so that states that allow the same further operations compare equal.
 func newRegister(operations []Operation, limit int) *register {
 	r := &register{repeated: map[string]bool{}, limit: limit}
 	sent := map[string]bool{}
@@ -66,7 +66,7 @@
 	}
 }
 
-// change applies a compare-and-set command. A change with unknown outcome always takes effect where it is applicable:
+// change applies a compare-and-set command. A change with an unknown outcome always takes effect if it is applicable:
 // since the search may also place it after all other operations, this covers the case that it had no effect.
 func (r *register) change(v value, op *Operation) (bool, any) {
 	applies := !op.Invalid && op.Base == v.version && !v.hasApplied(op.ID)
--- a/lab/violation/violation.go
+++ b/lab/violation/violation.go
@@ -3,7 +3,8 @@
 
 import "wallport/runtime/invariant"
 
-// By calls f and returns the name of the invariant that f violated, "" for none. Other panics are passed on.
+// By calls f and returns the name of the invariant that f violated, "" if f violated none. By does not recover other
+// panics.
 func By(f func()) (name invariant.Name) {
 	defer func() {
 		switch v := recover().(type) {
