--- a/lab/scale/counts.go
+++ b/lab/scale/counts.go
@@ -1,6 +1,6 @@
-// The verdict from simulated time: the frames and bytes that a process sends and receives, its steps and its open
-// channels, counted for fleets of increasing size, must not grow faster than the square root of the fleet size. The
-// counts are a function of sizes and seed, so the verdict is reproducible.
+// The verdict on growth, from a simulation: the frames and bytes that a process sends and receives, its steps and its
+// open channels, counted for fleets of increasing size, must not grow faster than the square root of the fleet size.
+// The counts are a function of sizes and seed, so the verdict is reproducible.
 
 package scale
 
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s n^%.2f", s, v.Exponent)
 }
 
-// checkedCounts are the counts, each of which may grow with the square root of the fleet at most.
+// checkedCounts are the counts that may grow at most with the square root of the fleet size.
 var checkedCounts = []struct {
 	name string
 	of   func(r sim.Rates) float64
--- a/lab/scale/events.go
+++ b/lab/scale/events.go
@@ -50,7 +50,7 @@
 // inForce computes the times of changes: from sending to acknowledgement, from acknowledgement to being in force on
 // each node, and the maximum of the latter for each change. A node has a change in force once it has that or a newer
 // version; if that is before the acknowledgement, the time counts as 0. never is the number of pairs of a node and a
-// change that was not in force at the end.
+// change such that the change was not in force on the node at the end.
 func inForce(edits []EditResult, seen []Observation) (ack, every, all Times, never int) {
 	nodes := map[string][]Observation{}
 	for _, s := range seen {
@@ -80,8 +80,8 @@
 	return timesOf(acks), timesOf(each), timesOf(last), never
 }
 
-// detectionTimes computes the times from a given time until each node first observed the member about as live (or as
-// not live), and the number of nodes that never did.
+// detectionTimes computes the times from a given time until each node first observed that the member named by about
+// is live (or not live, if live is false), and the number of nodes that never observed it.
 func detectionTimes(from int64, about string, live bool, nodes int, seen []Observation) (Times, int) {
 	at := map[string]int64{}
 	for _, s := range seen {
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -92,7 +92,8 @@
 	return exponent
 }
 
-// Quantile returns the q-quantile of the values: of the sorted values the one with rank ceil(q n), 0 without values.
+// Quantile returns the q-quantile of the values: the value with rank ceil(q n) among the n sorted values, 0 if there
+// are none.
 func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -76,7 +76,8 @@
 	return h, nil
 }
 
-// maxPortAttempts is the number of ports tried for one hollow process: another process may take a free port first.
+// maxPortAttempts is the number of ports tried for one hollow process: another process may take a port before the
+// hollow process listens on it.
 const maxPortAttempts = 8
 
 func (h *Hollow) start(i int) (*hollowNode, error) {
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -1,6 +1,6 @@
-// Tests with a hollow fleet of six nodes, three cores and its own backends in this process: the fleet forms, accepts a
-// configuration and a change, and loses a node; the counters are checked. The system chooses the ports. Waits end on
-// events; their time limit is only reached by a hang.
+// Tests with a hollow fleet of six nodes, three cores and its own backends in this process: the fleet forms, accepts
+// a configuration and a change, and loses a node; the counters are checked. The system chooses the ports. A wait ends
+// as soon as its condition holds; its time limit is reached only if the fleet hangs.
 
 package scale
 
@@ -101,13 +101,13 @@
 	waitUntil(t, "the change is in force on all nodes", func() bool { return h.allHaveVersion(change.Stamp) })
 	lostAt := wallUs()
 	must.Eq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err)
-	must.NotEq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err, must.Sprint("the node has already been stopped"))
+	must.NotEq(t, "", h.Do(HostRequest{Op: "kill", Name: "node-5"}).Err, must.Sprint("killing a node that has already been stopped must return an error"))
 	waitUntil(t, "no other node considers node-5 live", func() bool { return h.liveAt("node-5") == 0 })
 	seen := h.Do(HostRequest{Op: "seen"}).Seen
 
 	ack, every, _, never := inForce([]EditResult{change}, seen)
 	must.Eq(t, 1, ack.N)
-	must.Eq(t, nodes, every.N+never, must.Sprint("the stopped node may not have been observed in time"))
+	must.Eq(t, nodes, every.N+never, must.Sprint("every node must count as in force or as never in force; the latter is possible for the node that was stopped"))
 	must.LessEq(t, 1, never)
 	lost, silent := detectionTimes(lostAt, "node-5", false, nodes-1, seen)
 	must.Eq(t, 0, silent)
@@ -119,7 +119,7 @@
 	for _, name := range []string{"steps", "frames_in", "frames_out", "frame_bytes_in", "frame_bytes_out", "condition_probes", "mesh_heartbeats_in"} {
 		must.Positive(t, s.Counts[name], must.Sprint(name))
 	}
-	must.NotEq(t, "", h.Do(HostRequest{Op: "seen"}).Err, must.Sprint("the watch has been stopped"))
+	must.NotEq(t, "", h.Do(HostRequest{Op: "seen"}).Err, must.Sprint("reading observations after the watch has been stopped must return an error"))
 	must.NotEq(t, "", h.Do(HostRequest{Op: "dance"}).Err)
 }
 
--- a/lab/scale/phases.go
+++ b/lab/scale/phases.go
@@ -10,7 +10,7 @@
 
 var classes = []string{"node", "core", "hollow"}
 
-// phase runs do as a named phase and records the resources that the processes used during it.
+// phase runs do as the phase with the given name and records the resources that the processes used during the phase.
 func (f *run) phase(ctx context.Context, name string, do func() error) error {
 	from := f.sampleAll(ctx)
 	if err := do(); err != nil {
@@ -153,8 +153,8 @@
 	return n
 }
 
-// watch starts recording the observations of the hollow nodes; with a name it also records the liveness of that
-// member. observations ends the recording.
+// watch starts recording the observations of the hollow nodes. If about is not empty, the nodes' views of that
+// member's liveness are recorded too. The method observations ends the recording.
 func (f *run) watch(ctx context.Context, about string) error {
 	return forEach(f.hosts, func(c *child) error {
 		_, err := c.ask(ctx, HostRequest{Op: "watch", Name: about})
--- a/lab/scale/rates.go
+++ b/lab/scale/rates.go
@@ -96,7 +96,7 @@
 	return s, nil
 }
 
-// rates returns the rates of a class between two samples, over the children that are in both.
+// rates returns the rates of a class between two samples, over the children that are in both samples.
 func rates(class string, from, to map[*child]childSample) (r Rates) {
 	for c, b := range to {
 		a, ok := from[c]
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -33,8 +33,8 @@
 	// Settle is the waiting time after the start, Rest the duration of the measured idle phase.
 	Settle, Rest time.Duration
 	Changes      int
-	// Within is the time limit for the start, Most that for the whole run. MemoryMost is the limit for the resident
-	// memory of all processes of the run together, in bytes.
+	// Within is the time limit for the start, Most the time limit for the whole run. MemoryMost is the limit for the
+	// resident memory of all processes of the run together, in bytes.
 	Within, Most time.Duration
 	MemoryMost   int64
 	Log          io.Writer
@@ -57,9 +57,9 @@
 	AckUs, InForceUs, AllUs Times
 	// NeverInForce counts the pairs of a node and a change that was not in force on the node at the end.
 	NeverInForce int
-	// LostUs are the times from killing a node until each hollow node considers it not live, MetUs those from its
-	// restart until each considers it live. LostSilent and MetSilent count the nodes that did not observe this in
-	// time.
+	// LostUs are the times from killing a node until each hollow node considers it not live, MetUs the times from its
+	// restart until each hollow node considers it live. LostSilent and MetSilent count the hollow nodes that did not
+	// observe the loss or the restart in time.
 	LostUs, MetUs         Times
 	LostSilent, MetSilent int
 	// LagUs is the longest time that an event loop took to process an input, over all samples.
@@ -108,7 +108,7 @@
 	memory   atomic.Int64
 }
 
-// Run measures one fleet size. It returns the results so far if it fails.
+// Run measures one fleet size. If it fails, it also returns the results measured so far.
 func Run(ctx context.Context, nodes int, o Options) (m Measured, err error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, o.Most, fmt.Errorf("the run exceeded its time limit of %v", o.Most))
 	defer cancel()
--- a/lab/scale/tail.go
+++ b/lab/scale/tail.go
@@ -18,15 +18,16 @@
 	return -math.Expm1(math.Log1p(-requests) / float64(parts))
 }
 
-// SlowMostTwice returns the same share if each slow part is hedged with a request to another backend, which is slow
-// independently and with the same probability: 1 - (1-p^2)^parts = requests.
+// SlowMostTwice returns the same share as SlowMost if each slow part is hedged with a request to another backend,
+// which is slow independently and with the same probability: 1 - (1-p^2)^parts = requests.
 func SlowMostTwice(parts int, requests float64) float64 {
 	return math.Sqrt(SlowMost(parts, requests))
 }
 
-// Part is the distribution of the duration of one exchange with a backend: a lognormal with a median and the sigma of
-// its logarithm; a pause of PauseUs that a backend makes every PauseEveryUs, whose remainder an exchange waits for; and
-// a share SlowShare that takes SlowUs longer for another reason. Times are in microseconds.
+// Part is the distribution of the duration of one exchange with a backend, in microseconds. The base duration is
+// lognormal, with median MedianUs and standard deviation Sigma of its logarithm. A backend pauses for PauseUs every
+// PauseEveryUs; an exchange that arrives during a pause also waits for the remainder of the pause. A share SlowShare
+// of the exchanges takes SlowUs longer for another reason.
 type Part struct {
 	MedianUs, Sigma       float64
 	PauseUs, PauseEveryUs float64
@@ -55,9 +56,9 @@
 	AnswerUs   float64
 }
 
-// Tail is the result of a simulation of many requests under a policy. Extra is the number of hedged requests per part,
-// Within the share of requests that took at most the wanted time, Whole the share of complete answers, and MeanParts the
-// mean share of parts in an answer.
+// Tail is the result of a simulation of many requests under a policy. Extra is the number of hedged requests per
+// part, Within the share of requests that took at most the target latency, Whole the share of complete answers, and
+// MeanParts the mean share of parts in an answer.
 type Tail struct {
 	Policy
 	// AgainUs is the delay after which a part is hedged, in microseconds.
--- a/lab/scale/tail_test.go
+++ b/lab/scale/tail_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestDrawnTailAgreesWithTheFormula(t *testing.T) {
-	// A thousandth of the parts is slow; nothing else varies.
+	// One in a thousand parts is slow; all other parts take the same time.
 	p := Part{MedianUs: 1000, SlowShare: 0.001, SlowUs: 99_000}
 	got := DrawTail(p, 140, 20_000, 50_000, []Policy{{AskAgainAt: 1}, {AskAgainAt: 0.99}}, 1)
 	want := math.Pow(0.999, 140)
@@ -30,7 +30,7 @@
 	must.Eq(t, 0, got[0].Extra)
 	must.InDelta(t, 0.001, got[1].Extra, 0.0002)
 	must.InDelta(t, 1-140e-6, got[1].Within, 0.001)
-	must.Eq(t, 2000, got[1].P99, must.Sprint("hedged after 1 ms, answered 1 ms later"))
+	must.Eq(t, 2000, got[1].P99, must.Sprint("a slow part must be hedged after 1 ms and answered 1 ms later"))
 }
 
 func TestDrawTailIncludesPauses(t *testing.T) {
--- a/lab/scale/usage.go
+++ b/lab/scale/usage.go
@@ -88,7 +88,7 @@
 	return 0
 }
 
-// resetPeakMemory makes the kernel measure a process's peak memory from now on.
+// resetPeakMemory resets a process's peak memory, as recorded by the OS kernel, to its current memory.
 func resetPeakMemory(pid int) error {
 	return os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", pid), []byte("5"), 0)
 }
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -1,5 +1,5 @@
-// Recording the times at which hollow nodes put a configuration in force and at which they consider a member live or not
-// live. Both are read from the nodes' snapshots, which is what requests would use.
+// The watch records when hollow nodes put a configuration in force and when they start or stop considering a member
+// live. Both are read from the nodes' snapshots, which requests would use as well.
 
 package scale
 
--- a/lab/scale/worker.go
+++ b/lab/scale/worker.go
@@ -34,7 +34,8 @@
 	operator, mesh string
 }
 
-// start starts the child. If piped, it can be sent requests over its standard input and output.
+// start starts the child. If piped is true, the child receives requests on its standard input and answers them on its
+// standard output.
 func (c *child) start(dir string, piped bool) error {
 	logs, err := os.OpenFile(filepath.Join(dir, c.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
