--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -29,7 +29,7 @@
 	SlowBack           = "slow_recovery"
 )
 
-// Time bounds of the brief.
+// Time bounds that the brief sets for these rules.
 const (
 	DrainingWithin  = 3 * clock.Second
 	ConfigWithin    = 3 * clock.Second
@@ -60,7 +60,8 @@
 	drainingSince map[string]int64
 	zoneDrainedAt map[string]int64
 	edits         editLog
-	// otherOperations holds the operations of histories other than edits of the configuration.
+	// otherOperations holds the recorded operations other than edits: reads of the configuration, and operations on
+	// zones.
 	otherOperations   []history.Operation
 	firstAttempts     map[string]map[int64]int64
 	extraAttempts     map[string]map[int64]int64
--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -48,7 +48,8 @@
 
 func newer(a, b wire.Version) bool { return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq }
 
-// EditBegan records the start of an edit. Each edit id has its own mark.
+// EditBegan records the start of an edit. An edit is identified by its mark; retries with the same edit id have the
+// same mark.
 func (c *Checker) EditBegan(t Edit) {
 	s := &c.edits
 	if s.byMark[t.Mark] == nil {
@@ -93,7 +94,8 @@
 }
 
 // InForce records the configuration that a node has in force. A reachable node must apply an acknowledged
-// configuration within ConfigWithin. since is the time from which the node is reachable, negative if it is not.
+// configuration within ConfigWithin. since is the time since which the node has been reachable, negative if the node
+// is not reachable.
 func (c *Checker) InForce(node string, version wire.Version, mark int64, at, since clock.Micros) {
 	s := &c.edits
 	if was := s.node[node]; newer(was.version, version) {
--- a/lab/rules/histories.go
+++ b/lab/rules/histories.go
@@ -1,5 +1,5 @@
 // The rule on histories: the answers to operators' calls are linearizable, for the configuration and for each zone.
-// The users' pages have no rule of this name; CONFIG, LOST and EVAC imply it.
+// The platform's documentation has no rule of this name; CONFIG, LOST and EVAC imply this rule.
 
 package rules
 
--- a/lab/rules/journal.go
+++ b/lab/rules/journal.go
@@ -28,7 +28,7 @@
 	Acks     = "ACKS"
 )
 
-// Parts of rules that are counted separately, so that a sweep can check that they were tested.
+// Parts of rules that are counted separately, so that a set of runs can be checked for having tested each part.
 const (
 	// LostPlanned counts the requests during planned work to which LOST was applied.
 	LostPlanned = "LOST near planned work"
