--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -1,6 +1,7 @@
-// Checks of configurations: acknowledged ones are in force in time, no node goes back to an older one, rejected ones
-// (including those that lost a race) never take effect, and the accepted edits form one chain in which each edit is
-// based on the previous one (the history of a compare-and-set register, checked exactly).
+// Checks of configurations: acknowledged configurations are in force in time, no node goes back to an older
+// configuration, rejected configurations (including those that lost a race) never take effect, and the accepted edits
+// form one chain in which each edit is based on the previous one. The chain is the history of a compare-and-set
+// register and is checked exactly.
 
 package check
 
@@ -47,7 +48,8 @@
 
 func newer(a, b wire.Version) bool { return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq }
 
-// EditBegan records the start of an edit. Each edit id has its own mark.
+// EditBegan records the start of an edit. An edit is identified by its mark; retries with the same edit id have the
+// same mark.
 func (c *Checker) EditBegan(t Edit) {
 	s := &c.edits
 	if s.byMark[t.Mark] == nil {
@@ -56,8 +58,8 @@
 	}
 }
 
-// EditEnded records the answer to an edit or to a retry with the same id. Once an edit was acknowledged, later answers
-// do not change its outcome.
+// EditEnded records the answer to an edit or to a retry with the same id. Once an edit has been acknowledged, later
+// answers do not change its outcome.
 func (c *Checker) EditEnded(t Edit) {
 	s := &c.edits
 	c.EditBegan(t)
@@ -92,7 +94,8 @@
 }
 
 // InForce records the configuration that a node has in force. A reachable node must apply an acknowledged
-// configuration within ConfigWithin. since is the time from which the node is reachable, negative if it is not.
+// configuration within ConfigWithin. since is the time since which the node has been reachable, negative if the node
+// is not reachable.
 func (c *Checker) InForce(node string, version wire.Version, mark int64, at, since clock.Micros) {
 	s := &c.edits
 	if was := s.node[node]; newer(was.version, version) {
@@ -132,7 +135,8 @@
 // configurations in time.
 func (c *Checker) Restarted(node string) { delete(c.edits.node, node) }
 
-// Chain checks the complete history at the end of a run: linearizability, real-time order and the chain of bases.
+// Chain checks the complete history at the end of a run: that it is linearizable, that an edit that ended before
+// another began has the older version, and that each accepted edit is based on the accepted edit before it.
 func (c *Checker) Chain() {
 	c.linearizable()
 	s := &c.edits
