--- a/lab/soak/backend.go
+++ b/lab/soak/backend.go
@@ -21,13 +21,14 @@
 
 // behaviour configures how a backend misbehaves; the zero value is healthy.
 type behaviour struct {
-	// slow multiplies the processing time of every request; the other fields apply to this share of the requests.
+	// slow multiplies the processing time of every request. share is the share of the requests to which the other
+	// fields apply.
 	slow  int
 	share float64
-	// hangs sends no response, reset resets the connection, garbled sends invalid HTTP, truncated ends in the middle
-	// of the body, surplus sends a second response on the connection, unsealed omits the seal, rejects fails with
-	// status 500, misdirected responds with status 421 as if the request were meant for another backend, early
-	// responds before the request's body is read.
+	// hangs delays the response by a minute, which is longer than any client waits, reset resets the connection,
+	// garbled sends invalid HTTP, truncated ends in the middle of the body, surplus sends a second response on the
+	// connection, unsealed omits the seal, rejects fails with status 500, misdirected responds with status 421 as if
+	// the request were meant for another backend, early responds before the request's body is read.
 	hangs, reset, garbled, truncated, surplus, unsealed, rejects, misdirected, early bool
 }
 
@@ -175,7 +176,7 @@
 	b.respond(w, status, body, seal, m)
 }
 
-// health responds to a health check: status 503 if the backend drains or hangs.
+// health responds to a health check: status 503 if the backend is draining or hangs.
 func (b *backend) health(w http.ResponseWriter) {
 	w.Header().Set(platform.HeaderMember, b.id)
 	if b.draining.Load() || b.behaviour.Load().hangs {
--- a/lab/soak/backend_faults.go
+++ b/lab/soak/backend_faults.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// anyPool draws a pool. In a third of the cases it is the pool of non-idempotent requests, which otherwise has the same
-// chance as any other pool.
+// anyPool draws a pool. A third of the draws return the pool of non-idempotent requests; the other draws return any
+// pool, including that pool, with the same probability.
 func anyPool(rng *rand.Rand) string {
 	if rng.IntN(3) == 0 {
 		return poolDispatch
@@ -71,7 +71,8 @@
 	startReplacement(r, b.pool, "")
 }
 
-// backendCrashPool crashes all backends of a pool and starts as many after the fault.
+// backendCrashPool crashes all backends of a pool and starts the same number of new backends after half of the
+// duration.
 func backendCrashPool(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
 	pool := anyPool(rng)
 	all := r.fleet.running(pool)
@@ -150,7 +151,7 @@
 	}
 }
 
-// slotsOf returns the number of concurrent requests of each of a pool's backends.
+// slotsOf returns the number of requests that each backend of a pool processes concurrently.
 func slotsOf(pool string) int {
 	if pool == poolDispatch || pool == poolOther {
 		return 6
--- a/lab/soak/bootstrap_faults.go
+++ b/lab/soak/bootstrap_faults.go
@@ -11,7 +11,7 @@
 )
 
 // maxBootstrapFaults bounds the number of faults during a first start. They are injected one after another, each after
-// a pause of at most maxBootstrapGap, which is also how long a freeze or a partition lasts.
+// a pause of at most maxBootstrapGap. A freeze or a partition lasts maxBootstrapGap.
 const (
 	maxBootstrapFaults = 4
 	maxBootstrapGap    = 400 * time.Millisecond
@@ -32,7 +32,7 @@
 				other.signal(syscall.SIGHUP)
 			}
 		case 1:
-			// The process restarts immediately, still with the settings of the first start.
+			// The process restarts after restartAfter, still with bootstrap set in its settings.
 			d.signal(syscall.SIGKILL)
 		case 2:
 			d.signal(syscall.SIGSTOP)
--- a/lab/soak/calm.go
+++ b/lab/soak/calm.go
@@ -49,7 +49,7 @@
 	return true
 }
 
-// release gives the right back; the loss counts as a fault that ends now.
+// release ends the loss of a core's data; the loss counts as a fault that ends now.
 func (c *coreFaultGate) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -20,8 +20,8 @@
 	"wallport/runtime/clock"
 )
 
-// requestKind is a kind of request: its route's path, deadline and body size, whether it may be retried after it may
-// have run, and its share of all requests.
+// requestKind is a kind of request: its route's path, deadline and body size, whether it may be retried although an
+// earlier attempt may have run, and its share of all requests.
 type requestKind struct {
 	name, method, path string
 	repeatable         bool
@@ -34,15 +34,15 @@
 const (
 	maxRetries     = 2
 	connectTimeout = time.Second
-	// abandonShare is the share of attempts whose client may close the connection before the response. slowShare is
-	// the share of attempts that are sent slowly, reuseShare that of first attempts that may reuse a connection.
+	// abandonShare is the share of attempts whose client may close the connection before the response. slowShare is the
+	// share of attempts that are sent slowly, reuseShare is the share of first attempts that may reuse a connection.
 	abandonShare     = 0.02
 	slowShare        = 0.005
 	reuseShare       = 0.9
 	maxResponseBytes = 1 << 20
 )
 
-// requestKinds are the kinds of requests in a run. The route of "changing" is modified by every change.
+// requestKinds are the kinds of requests in a run. Every configuration change modifies the route of "changing".
 var requestKinds = []requestKind{
 	{"search", "GET", "/search/", true, 800 * time.Millisecond, 0, 0.4},
 	{"read", "GET", "/read/", true, 1500 * time.Millisecond, 0, 0.2},
@@ -130,7 +130,7 @@
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
-// attemptAt sends one attempt at a request of a kind to a machine.
+// attemptAt sends a single attempt of a kind to a machine, without retries.
 func (c *clients) attemptAt(k requestKind, machine string) *rules.Attempt {
 	return c.sendAttempt(k, machine, 0, time.Now().Add(k.deadline))
 }
@@ -207,7 +207,8 @@
 	}
 }
 
-// connect returns a reused connection, if that is allowed and drawn, or a new one, nil if it cannot be opened.
+// connect returns an idle connection if mayReuse is set, reuse is drawn and a usable idle connection exists. Otherwise
+// it opens a new connection, and returns nil if that fails.
 func (c *clients) connect(attempt *rules.Attempt, mayReuse bool, deadline time.Time) *idleConn {
 	if mayReuse && rand.Float64() < reuseShare {
 		c.mu.Lock()
@@ -229,7 +230,8 @@
 	return &idleConn{conn: conn, r: bufio.NewReader(conn)}
 }
 
-// releaseConn returns a connection to the pool, or closes it if the server closes it or has sent unexpected bytes.
+// releaseConn adds a connection to the idle connections, or closes it if the response announces that the server closes
+// the connection or if the server has sent more bytes than the response.
 func (c *clients) releaseConn(machine string, k *idleConn, resp *http.Response) {
 	if resp.Close || k.r.Buffered() > 0 {
 		k.conn.Close()
--- a/lab/soak/closing.go
+++ b/lab/soak/closing.go
@@ -18,7 +18,8 @@
 	closingKindCount
 )
 
-// injectClosingFault injects the closing fault that is drawn for the run, if any, and heals.
+// injectClosingFault injects the closing fault that is drawn for the run, if any, and then waits until the deployment
+// has recovered.
 func (r *run) injectClosingFault(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.options.Seed, 0x636c6f73))
 	kind, wiped, outage := rng.IntN(closingKindCount), anyCore(r, rng), time.Duration(200+rng.IntN(1200))*time.Millisecond
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -29,7 +29,7 @@
 }
 
 // changingRoute returns the route that every change modifies. The serial number makes all changes different, because
-// an identical change is recognised as a repeat of the earlier one.
+// the cores treat an identical change as a retry of the earlier change.
 func changingRoute(revision, serial int64) string {
 	pool := poolDispatch
 	if revision%2 == 0 {
@@ -79,7 +79,7 @@
 	return strings.Replace(completeText(revision, serial), `"pool":"`+poolDispatch+`"`, `"pool":"nobody"`, 1)
 }
 
-// applied returns the table that results from applying a change to the table before, nil if the change is invalid.
+// applied returns the routing table that results from applying a change to before, or nil if the change is invalid.
 func applied(before *routingpb.RoutingTable, text string, base int64, patch bool) *routingpb.RoutingTable {
 	read := platform.ReadFull
 	if patch {
@@ -92,5 +92,6 @@
 	return routing.Apply(before, edit)
 }
 
-// readTable parses a configuration that was read from a core, nil if it is invalid.
+// readTable returns the routing table of a configuration that was read from a core, or nil if the configuration is
+// invalid.
 func readTable(text []byte) *routingpb.RoutingTable { return applied(nil, string(text), 0, false) }
--- a/lab/soak/core_faults.go
+++ b/lab/soak/core_faults.go
@@ -48,7 +48,7 @@
 	})
 }
 
-// diskFull makes all writes of a core fail.
+// diskFull makes a core's writes to its disk fail by limiting the size of its files to 1 byte.
 func diskFull(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
 	d := anyCore(r, rng)
 	r.withFault(faultSpan{disruptsCores: true}, func() {
@@ -59,7 +59,7 @@
 	})
 }
 
-// limitFiles sets the maximal size of the files that a process may write.
+// limitFiles sets the maximum size of the files that a process may write.
 func limitFiles(d *daemon, maxBytes uint64) {
 	if pid := d.pid(); pid > 0 {
 		unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: maxBytes, Max: unix.RLIM_INFINITY}, nil)
@@ -87,7 +87,7 @@
 	})
 }
 
-// maxPreparedFiles is the number of versions after the newest one for which a stalled disk has pipes.
+// maxPreparedFiles is the number of versions after each stored version for which diskStall creates pipes.
 const maxPreparedFiles = 6
 
 // nextFiles returns the names of the files that a core writes next: the probe file, the existing files that are
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -1,4 +1,5 @@
-// The stand-in backends of a run, and the platform's list of them, which is paginated, lags and is rate-limited.
+// The stand-in backends of a run, and the platform's list of these backends. The list is paginated and rate-limited,
+// and shows changes after a lag.
 
 package soak
 
@@ -16,7 +17,7 @@
 
 const (
 	healthPath = "/health"
-	// pageSize is the maximal number of members on a page of the list.
+	// pageSize is the maximum number of members on a page of the list.
 	pageSize = 7
 	// delistAfter is the time for which a crashed backend stays on the list.
 	delistAfter = 3 * time.Second
@@ -58,7 +59,7 @@
 	addr      string
 }
 
-// publishedList is the state of the list from a point in time on.
+// publishedList is a state of the list and the time at which the list entered that state.
 type publishedList struct {
 	at      time.Time
 	members []member
@@ -124,7 +125,7 @@
 	f.publish()
 }
 
-// remove removes a backend from the running ones; the caller holds the lock.
+// remove removes a backend from the running backends; the caller holds the lock.
 func (f *fleet) remove(b *backend) {
 	for i, other := range f.backends {
 		if other == b {
@@ -133,8 +134,8 @@
 	}
 }
 
-// drain marks a backend as draining on the list. The backend continues to serve for drainMs, within which
-// nodes must stop sending to it, and for 2 s more.
+// drain marks a backend as draining on the list. The backend continues to serve for drainMs, within which nodes must
+// stop sending requests to it, and for 2 s more. After that it is stopped and delisted.
 func (f *fleet) drain(b *backend) {
 	f.mu.Lock()
 	m := f.members[b.id]
@@ -174,7 +175,7 @@
 	f.published = append(f.published, newest)
 }
 
-// lagged returns the list as it was one lag ago; the caller holds the lock.
+// lagged returns the list as it was listLagMs before now; the caller holds the lock.
 func (f *fleet) lagged(now time.Time) []member {
 	for len(f.published) > 1 && now.Sub(f.published[1].at) >= listLagMs*time.Millisecond {
 		f.published = f.published[1:]
@@ -227,7 +228,7 @@
 	w.Write(text)
 }
 
-// close stops the list and all backends that are not draining.
+// close closes the server of the backend list and crashes all backends that are not draining.
 func (f *fleet) close() {
 	f.server.Close()
 	for _, b := range f.running("") {
--- a/lab/soak/exchange.go
+++ b/lab/soak/exchange.go
@@ -52,7 +52,7 @@
 	return resp, body, err
 }
 
-// splitSeals returns the seals of a gathered response's parts from the values of the header.
+// splitSeals splits the values of platform.HeaderPartSeals into the seals of a gathered response's parts.
 func splitSeals(values []string) (out []string) {
 	for _, v := range values {
 		for _, seal := range strings.Split(v, ",") {
--- a/lab/soak/healing.go
+++ b/lab/soak/healing.go
@@ -15,7 +15,7 @@
 	"wallport/lab/rules"
 )
 
-// writeSettings writes a process's settings file and records its seeds; nil means the seeds that it has.
+// writeSettings writes a process's settings file and records its seeds; nil seeds keep the present seeds.
 func (r *run) writeSettings(d *daemon, seeds []int, bootstrap, torn bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,12 +29,13 @@
 // rewriteSettings writes a process's settings file during the run; an error becomes a finding.
 func (r *run) rewriteSettings(d *daemon, seeds []int, torn bool) {
 	if err := r.writeSettings(d, seeds, false, torn); err != nil {
-		r.addFinding("settings of %s: %v", d.name, err)
+		r.addFinding("writing the settings of %s failed: %v", d.name, err)
 	}
 }
 
-// recordTorn records that a process's settings file is incomplete. For the remaining run the process may exit because
-// of that: an incarnation that started while the file was incomplete may exit at any later time.
+// recordTorn records that a process's settings file is incomplete. Until the end of the run, exits of the process
+// because of its settings are expected: an incarnation that started while the file was incomplete may exit at any later
+// time.
 func (r *run) recordTorn(d *daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,8 +76,8 @@
 	r.operators.refresh(ctx)
 }
 
-// heal repairs all faults and waits until every node serves every kind of request and the cores accept a change. What
-// does not recover within startupTimeout becomes a finding.
+// heal repairs all faults and waits until every node serves every kind of request and the cores accept a change. Each
+// node, kind of request or change that still fails after startupTimeout becomes a finding.
 func (r *run) heal(ctx context.Context) {
 	r.network.HealAll()
 	seeds := r.coreMachines()
@@ -156,8 +157,8 @@
 	return false
 }
 
-// awaitChangeAccepted waits until a change is acknowledged and then reads the configuration back; no acknowledgements
-// are lost any more. False means that the context ended first or that the read failed.
+// awaitChangeAccepted first stops the simulated loss of acknowledgements, then waits until a change is acknowledged and
+// reads the configuration back. False means that the context ended first or that the read failed.
 func (r *run) awaitChangeAccepted(ctx context.Context) bool {
 	r.operators.acksToLose.Store(0)
 	r.operators.refresh(ctx)
@@ -176,7 +177,8 @@
 	return false
 }
 
-// readBack reads the final configuration from a core and records it for the rules.
+// readBack reads the final configuration from a core and records it, so that the rules check it against the
+// acknowledged changes.
 func (r *run) readBack(ctx context.Context) bool {
 	sentAt := r.journal.now()
 	got := r.operators.sendUntilFinal(ctx, http.MethodGet, configPath, "", "", func(int64) {})
--- a/lab/soak/journal.go
+++ b/lab/soak/journal.go
@@ -11,8 +11,8 @@
 	"wallport/runtime/clock"
 )
 
-// journal collects observations. Its own methods may be called from any goroutine; the embedded journal is accessed
-// under the lock.
+// journal collects observations. Its own methods may be called from any goroutine; the embedded journal may be accessed
+// only under the lock.
 type journal struct {
 	mu    sync.Mutex
 	began time.Time
--- a/lab/soak/network_faults.go
+++ b/lab/soak/network_faults.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// Names at the relays: nodes and cores by their mesh addresses, machines by their client addresses.
+// The endpoints' names at the relays: nodeName and coreName name mesh addresses, machineName names the address that
+// clients connect to.
 func nodeName(n int) string    { return fmt.Sprintf("%s-%d", roleNode, n) }
 func coreName(n int) string    { return fmt.Sprintf("%s-%d", roleCore, n) }
 func machineName(n int) string { return fmt.Sprintf("edge-%d", n) }
--- a/lab/soak/operator_faults.go
+++ b/lab/soak/operator_faults.go
@@ -29,8 +29,8 @@
 // stormChanges is the number of changes in a storm.
 const stormChanges = 8
 
-// configStorm sends changes without a pause. As for all commands in this file, a command is repeated until its
-// response is final even if the fault ends earlier.
+// configStorm sends changes without a pause. Like all commands in this file, each change is repeated until its response
+// is final, even if the context ends earlier.
 func configStorm(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
 	for n := 0; n < stormChanges && ctx.Err() == nil; n++ {
 		r.changeOnce(context.WithoutCancel(ctx), rng.IntN(2) == 0, false)
@@ -41,7 +41,7 @@
 	r.changeOnce(context.WithoutCancel(ctx), false, true)
 }
 
-// loseAcks discards most responses to operators: 700 in a thousand more than usual.
+// loseAcks discards most responses to operators: it raises the share of lost responses by 700 in a thousand.
 func loseAcks(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
 	r.operators.acksToLose.Add(700)
 	defer r.operators.acksToLose.Add(-700)
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -1,5 +1,5 @@
-// Operators: they change the configuration sequentially and concurrently, evacuate zones and read. Each command is
-// repeated unchanged, at any core, until its response is final. Some responses are lost.
+// Operators: they change the configuration sequentially and concurrently, read the configuration and evacuate zones.
+// Each command is repeated unchanged, at any core, until its response is final. Some responses are lost.
 
 package soak
 
@@ -26,12 +26,12 @@
 	client  *http.Client
 	// acksToLose is the share of the responses that are lost, in thousandths.
 	acksToLose atomic.Int64
-	// serial counts the changes, so that each one is different.
+	// serial counts the changes. Each change contains its serial number, so that no two changes are identical.
 	serial atomic.Int64
 
 	mu sync.Mutex
-	// newestRevision is the newest revision that is known to be committed, table its routing table. lastRevision is
-	// the highest revision that was read or was used by a change without concurrent changes.
+	// newestRevision is the newest revision that is known to be committed, and table is the routing table of that
+	// revision. lastRevision is the highest revision that was read or was used by a change without concurrent changes.
 	newestRevision int64
 	table          *routingpb.RoutingTable
 	lastRevision   int64
@@ -74,8 +74,8 @@
 	return o.addrs[rand.IntN(len(o.addrs))]
 }
 
-// reply is the outcome of a call. Status 0 means that the core did not respond; lost means that it responded, but that
-// the operator does not receive the response.
+// reply is the outcome of a call. Status 0 means that the core did not respond; lost means that the core responded, but
+// that the run treats the response as lost on the way to the operator.
 type reply struct {
 	status int
 	body   []byte
--- a/lab/soak/process_faults.go
+++ b/lab/soak/process_faults.go
@@ -139,8 +139,9 @@
 	}
 }
 
-// settingsBroken makes a settings file incomplete for some time, and sends SIGHUP during and after it. A process that
-// starts during that time fails, and must start again when the file is complete.
+// settingsBroken makes a settings file incomplete for half of the duration. It sends SIGHUP when the file becomes
+// incomplete and when it is complete again. A process that starts in between fails, and must start again when the file
+// is complete.
 func settingsBroken(ctx context.Context, r *run, rng *rand.Rand, duration time.Duration) {
 	d := r.daemons[rng.IntN(len(r.daemons))]
 	r.recordTorn(d)
--- a/lab/soak/processes.go
+++ b/lab/soak/processes.go
@@ -45,7 +45,8 @@
 	// killed reports that the incarnation was sent SIGKILL, so that it cannot stop gracefully.
 	killed       bool
 	incarnations int
-	// unexpectedExits describes the incarnations that ended without a reason from the run.
+	// unexpectedExits describes the incarnations that ended although the run neither stopped nor killed them, or that
+	// failed to stop gracefully.
 	unexpectedExits []string
 	closed          bool
 	ended           chan struct{}
@@ -65,7 +66,7 @@
 	return d
 }
 
-// run starts the process, and restarts it whenever it ends and may run, until it is closed.
+// run starts the process, and restarts it after each exit unless down is set, until the process is closed.
 func (d *daemon) run() {
 	defer close(d.ended)
 	for {
@@ -83,9 +84,9 @@
 	}
 }
 
-// expectedExit reports whether an incarnation ended as the run made it: it was killed, or was sent SIGTERM and then
-// either stopped gracefully or, if it had not yet installed its handler, was terminated by the signal. The caller holds
-// the lock.
+// expectedExit reports whether the run caused an incarnation's exit: the incarnation was killed, or was sent SIGTERM
+// and then either stopped gracefully or, if it had not yet installed its handler, was terminated by the signal. The
+// caller holds the lock.
 func (d *daemon) expectedExit(err error) bool {
 	return d.killed || d.stopRequested && (err == nil || err.Error() == "signal: terminated")
 }
--- a/lab/soak/replace_faults.go
+++ b/lab/soak/replace_faults.go
@@ -1,5 +1,5 @@
 // The permanent replacement of a core: its machine is removed, and a core on another machine, with an empty disk and
-// another address, takes its role.
+// another address, replaces it.
 
 package soak
 
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -33,11 +33,11 @@
 // never is the time of events that have not happened.
 const never = rules.Never
 
-// undecidedMark is a part of the history checker's message for a history that it gave up on, because too many commands
+// undecidedMark occurs in the message of the history checker if it could not decide a history because too many commands
 // without a final response overlapped.
 const undecidedMark = "undecided after"
 
-// untimedRules are the rules without time bounds, which hold on a busy machine too.
+// untimedRules are the rules without time bounds, which must hold even on a busy machine.
 var untimedRules = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "HISTORY"}
 
 // report checks the run. Violations of rules with time bounds are findings only with Options.Timed, and are logged
@@ -86,7 +86,7 @@
 	return out
 }
 
-// setArrivalMachines sets the machine of each arrival to the one to which the client sent the attempt.
+// setArrivalMachines sets the machine of each arrival to the machine to which the client sent the attempt.
 func (r *run) setArrivalMachines() {
 	at := map[string]string{}
 	for _, attempt := range r.journal.Attempts {
@@ -97,8 +97,8 @@
 	}
 }
 
-// unexcusedFaults returns the faults that a process's logs and exits show, except exits because of an incomplete
-// settings file.
+// unexcusedFaults returns the faults that a process's logs and exits show, except exits that an incomplete settings
+// file caused.
 func (r *run) unexcusedFaults(d *daemon) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/soak/responses.go
+++ b/lab/soak/responses.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// surplusTimeout bounds how long surplus waits for the next request and sends its response.
+// surplusTimeout bounds the time in which surplus reads the next request and sends its response.
 const surplusTimeout = 2 * time.Second
 
 // surplus reads the next request on the connection and responds to it with another response to the earlier request,
@@ -88,7 +88,7 @@
 const recordSize = 16
 
 // responseBody returns the response of a pool's backends to an attempt: unsorted records and a remainder that is
-// shorter than a record. It is a function of its arguments.
+// shorter than a record. The same arguments always return the same body.
 func responseBody(attempt, pool string) []byte {
 	h := fnv.New64a()
 	io.WriteString(h, attempt+" "+pool)
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// startupTimeout bounds the start and the recovery of all processes. Only a hang takes so long.
+// startupTimeout bounds the start and the recovery of all processes. Only a process that hangs exceeds it.
 const startupTimeout = 2 * time.Minute
 
 // begin starts the backends and the processes, sends the first configuration and waits until every node is ready.
@@ -188,9 +188,9 @@
 		}
 		all.Go(func() {
 			rng := rand.New(rand.NewPCG(t.seed, 1))
-			r.logf("begins %s for %v", t.kind, t.duration.Round(time.Millisecond))
+			r.logf("fault %s begins, duration %v", t.kind, t.duration.Round(time.Millisecond))
 			kindNamed(t.kind).do(ctx, r, rng, t.duration)
-			r.logf("ends %s", t.kind)
+			r.logf("fault %s ends", t.kind)
 		})
 	}
 	all.Wait()
--- a/lab/soak/signals.go
+++ b/lab/soak/signals.go
@@ -91,8 +91,8 @@
 	return d.frozen || d.frozenAt.After(at)
 }
 
-// stop stops a process gracefully with SIGTERM and, as the platform does, kills it after graceS seconds. It reports
-// whether the process is to blame for exceeding the limit: a process that was suspended during the stop is not.
+// stop stops a process gracefully with SIGTERM and, as the platform does, kills it after graceS seconds. It returns
+// true if the process exceeded that limit, unless the process was suspended during the stop.
 func (d *daemon) stop() (overdue bool) {
 	pid := d.pid()
 	if pid == 0 {
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -24,8 +24,8 @@
 	Gap time.Duration
 	// Only lists the kinds of faults that may be drawn; empty means all.
 	Only []string
-	// Timed also checks the rules with time bounds, which depend on the machine's speed: on a busy machine they
-	// report violations that are not the product's fault.
+	// Timed also counts violations of rules with time bounds as findings. Such rules depend on the machine's speed: a
+	// busy machine causes violations that are not the product's fault.
 	Timed bool
 	// Log, if not nil, is called with each line of the run's log.
 	Log func(line string)
@@ -105,7 +105,7 @@
 	return fmt.Sprintf("%s.%d", p.network, 100+n)
 }
 
-// standInIP returns the IP of the stand-ins.
+// standInIP returns the IP at which the backends, the platform's list of backends and the relays for clients listen.
 func (p *layout) standInIP() string { return p.network + ".200" }
 
 // at returns the address, as ip:port, of one of a machine's ports.
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -1,5 +1,5 @@
-// A short soak run with one seed and overlapping faults, checked by the rules that hold on a busy machine too, and
-// tests of the run's own parts.
+// A short soak run with one seed and overlapping faults, checked by the rules without time bounds, and tests of single
+// functions of the package.
 
 package soak
 
@@ -76,7 +76,7 @@
 	c.begin()
 	must.False(t, c.tryAcquire())
 	c.end()
-	must.False(t, c.tryAcquire(), must.Sprint("another core was faulty within syncTime"))
+	must.False(t, c.tryAcquire(), must.Sprint("acquired although a core was faulty within syncTime"))
 	c.endedAt = time.Now().Add(-2 * syncTime)
 	must.True(t, c.tryAcquire())
 	must.False(t, c.tryAcquire())
@@ -104,12 +104,12 @@
 		writeAborted(j)
 		j.setFault(faultSpan{machines: []string{"m"}}, true)
 	})
-	must.StrNotContains(t, strings.Join(r.Findings, "\n"), "CUT", must.Sprint("the node had an unplanned fault"))
+	must.StrNotContains(t, strings.Join(r.Findings, "\n"), "CUT", must.Sprint("an abort during an unplanned fault of the node must not be a finding"))
 	r = reportFor(t, func(j *journal) {
 		writeAborted(j)
 		j.setFault(faultSpan{machines: []string{"m"}, planned: true}, true)
 	})
-	must.StrContains(t, strings.Join(r.Findings, "\n"), "CUT", must.Sprint("a planned stop must not abort requests"))
+	must.StrContains(t, strings.Join(r.Findings, "\n"), "CUT", must.Sprint("an abort during a planned stop of the node must be a finding"))
 }
 
 func TestReadMetrics(t *testing.T) {
