--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -213,7 +213,7 @@
 	return free[0], nil
 }
 
-// Backends starts n backends of a shard map, on addrs or, if there are too few, on free ports.
+// Backends starts n backends of a shard map, on addrs or, if addrs has fewer than n addresses, on free ports.
 func (f *Fleet) Backends(shardMap string, shards, n int, addrs []string) error {
 	s := f.options.Shape
 	if len(addrs) < n {
--- a/lab/fleet/gather.go
+++ b/lab/fleet/gather.go
@@ -13,8 +13,8 @@
 	"wallport/lab/backend"
 )
 
-// CountRuns returns how often each key was executed, by the journals of all backends, and the reports of the
-// backends that respond.
+// CountRuns returns the number of executions of each key according to the journals of all backends, and the reports of
+// the backends that respond.
 func (f *Fleet) CountRuns() (ran map[string]int, reports map[string]backend.Report) {
 	ran, reports = map[string]int{}, map[string]backend.Report{}
 	for _, s := range f.backends {
--- a/lab/fleet/load.go
+++ b/lab/fleet/load.go
@@ -1,6 +1,6 @@
-// Load measurements on real processes: the same fleet shape under several loads and faults, each in a new fleet. If
-// a second build is given, the runs alternate between the two builds, so that both are measured under the same
-// conditions of the machine.
+// Load measurements on real processes: the same fleet shape under several loads and faults, each in a new fleet. If a
+// second build is given, the runs alternate between the two builds, so that both are measured while the machine is in
+// the same condition.
 
 package fleet
 
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -1,6 +1,7 @@
 // Operators of a real fleet: they edit the configuration, one edit after another or concurrently, while faults are
-// injected, and poll every node ten times a second. Package check evaluates the record as it does for the simulator.
-// As in the simulator, each edit sets a unique ramp_us, the mark by which its configuration is recognised.
+// injected, and poll every node ten times a second. Package check evaluates the recorded observations, as it does for
+// the simulator. As in the simulator, each edit sets a unique ramp_us, the mark by which its configuration is
+// recognised.
 
 package fleet
 
@@ -32,7 +33,8 @@
 	mark    int64
 	wait    sync.WaitGroup
 	upSince map[string]int64
-	// lostAt and restoredAt are the times at which all processes were killed and were started again.
+	// lostAt and restoredAt are the times at which all processes were killed and restarted; 0 means that this has not
+	// happened.
 	lostAt, restoredAt atomic.Int64
 }
 
@@ -54,7 +56,8 @@
 	} `json:"sheet"`
 }
 
-// mark returns the ramp by which a configuration is recognised, 0 if it has none.
+// mark returns the ramp_us of a configuration's first service, by which the configuration is recognised; 0 if there is
+// none.
 func (s configInForce) mark() (mark int64) {
 	if len(s.Config.Services) > 0 {
 		fmt.Sscan(fmt.Sprint(s.Config.Services[0]["ramp_us"]), &mark)
@@ -82,8 +85,9 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// sendEdits sends n complete configurations in the background, one every gap and without waiting for responses. In a
-// race all are based on the same version; otherwise each is based on the version that its node then applies.
+// sendEdits sends n complete configurations in the background, one every gap and without waiting for responses. If race
+// is set, all edits are based on the same version; otherwise each edit is based on the version that its target node
+// applies at that time.
 func (o *operators) sendEdits(ctx context.Context, n int, gap time.Duration, race bool) {
 	o.wait.Go(func() {
 		base, err := o.readConfig("node-1")
@@ -167,8 +171,8 @@
 	}
 }
 
-// observe passes the configuration that a node applies to the checker. A node that does not respond in time counts
-// as down; the checker holds it to acknowledged configurations again from its next response.
+// observe passes the configuration that a node applies to the checker. A node that does not respond in time counts as
+// down; after its next response the checker again requires it to apply acknowledged configurations.
 func (o *operators) observe(c *check.Checker, node string, s configInForce, err error, sentAt int64) {
 	if err != nil || len(s.Config.Services) == 0 {
 		if o.upSince[node] > 0 {
@@ -184,8 +188,9 @@
 	c.InForce(node, version, s.mark(), sentAt, o.upSince[node])
 }
 
-// recordServed passes the callers' successful responses to the checker. The keys of seconds are seconds since from.
-// After a total loss it also lets the checker test the recovery.
+// recordServed passes the callers' successful responses to the checker. Each key of seconds is a number of seconds
+// since from, its value the number of responses in that second. If all processes were killed and restarted, the checker
+// also tests the recovery.
 func (o *operators) recordServed(from clock.Micros, seconds map[string]int) {
 	for k, n := range seconds {
 		var s int64
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -15,7 +15,8 @@
 	"wallport/runtime/wire"
 )
 
-// Client numbers in the history for operators that do not edit the configuration.
+// Client numbers in the history: readingClient for all reads, zoneClient for the first zone command and the following
+// numbers for the later ones.
 const (
 	readingClient = 1_000_000
 	zoneClient    = 2_000_000
@@ -130,9 +131,9 @@
 	})
 }
 
-// readZone reads a zone's state through a node that has applied everything that was acknowledged before the read. To
-// ensure that, it first sends a command without effect, whose acknowledgement lists the nodes that have not applied
-// it yet, and retries until none is listed.
+// readZone reads a zone's state through a node that has applied every command that was acknowledged before the read. To
+// ensure that, it first sends a command without effect. The acknowledgement lists the nodes that have not applied the
+// command yet; readZone retries until the list is empty.
 func (o *operators) readZone(ctx context.Context, zone string) error {
 	began := o.now()
 	var ack struct {
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -14,7 +14,7 @@
 const unsignedHeartbeatsFlag = "--unsigned-beats"
 
 // switchRelease stops a process gracefully and restarts it with the current program if newer is true, otherwise with
-// the earlier release's.
+// the earlier release's program.
 func (f *Fleet) switchRelease(name string, newer bool) error {
 	if f.options.Before == "" {
 		return fmt.Errorf("verbs upgrade and downgrade need --before, the folder of an earlier release's programs")
--- a/lab/fleet/replace.go
+++ b/lab/fleet/replace.go
@@ -46,8 +46,8 @@
 	return best
 }
 
-// fileLimit makes a process's writes fail, as on a full disk, where they would extend a file beyond maxBytes; 0
-// removes the limit.
+// fileLimit makes a process's writes fail, as on a full disk, if they would extend a file beyond maxBytes; 0 removes
+// the limit.
 func (f *Fleet) fileLimit(name string, maxBytes uint64) error {
 	f.mu.Lock()
 	p := f.processes[name]
--- a/lab/fleet/run.go
+++ b/lab/fleet/run.go
@@ -12,8 +12,8 @@
 	"wallport/lab/script"
 )
 
-// RunOptions are the options of a run. Rate is in requests per second; with Stay the fleet runs on until the context
-// ends; UpWithin bounds the time until all nodes are ready.
+// RunOptions are the options of a run. Rate is in requests per second; with Stay the fleet keeps running until the
+// context ends; UpWithin bounds the time until all nodes are ready.
 type RunOptions struct {
 	Options
 	Rate     float64
@@ -25,7 +25,8 @@
 	UpWithin time.Duration
 }
 
-// zonesReadWithin bounds the time at the end of a run until every node has applied what was acknowledged.
+// zonesReadWithin bounds the time of readZones, which waits at the end of a run until every node has applied the
+// acknowledged commands.
 const zonesReadWithin = 30 * time.Second
 
 // Result is the outcome of a run.
@@ -107,7 +108,7 @@
 	}
 }
 
-// check passes the observations of the stand-ins to the checker, which is the simulator's too, and fills in the
+// check passes the observations of the stand-ins to the checker, which the simulator uses too, and fills in the
 // result's violations and counts.
 func (f *Fleet) check(r *Result) {
 	c := f.operators.checker
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -1,7 +1,7 @@
 // Package fleet starts a fleet of real processes in the shape of one of the deployments, injects a scenario's faults,
-// and checks the outcome. [Run] performs one run by its [RunOptions], [Load] a series of measurements by its
-// [LoadOptions]. The package owns the processes, their data folders and their ports. It is a test tool: the product
-// itself starts no processes.
+// and checks the outcome. [Run] performs one run with the given [RunOptions], [Load] performs a series of measurements
+// with the given [LoadOptions]. The package owns the processes, their data folders and their ports. It is a test tool:
+// the product itself starts no processes.
 package fleet
 
 import (
--- a/lab/fleet/verbs.go
+++ b/lab/fleet/verbs.go
@@ -116,10 +116,10 @@
 	case "replace-core":
 		return f.replaceCore(arg(0), arg(1))
 	case "file-limit":
-		// Writes beyond this size of a file fail from now on; 0 removes the limit.
+		// Writes that would extend a file beyond this size fail from now on; 0 removes the limit.
 		maxBytes, err := strconv.ParseUint(arg(0), 10, 64)
 		if err != nil {
-			return fmt.Errorf("file-limit BYTES NAME...: %w", err)
+			return fmt.Errorf("usage: file-limit BYTES NAME [NAME ...]: %w", err)
 		}
 		for _, n := range f.expandNames(st.Args[1:]) {
 			if err := f.fileLimit(n, maxBytes); err != nil {
@@ -138,7 +138,7 @@
 const platformLag = 300 * time.Millisecond
 
 // expandNames expands a step's arguments to names of processes: "zone:z1" to everything in the zone, "core-*" to all
-// running processes with the prefix, "owner" to the leading core.
+// running processes with the prefix, "owner" to the core that leadingCore returns.
 func (f *Fleet) expandNames(args []string) []string {
 	var out []string
 	f.mu.Lock()
