--- a/review/lab/client.go
+++ b/review/lab/client.go
@@ -23,12 +23,12 @@
 	machine int
 	raw     net.Conn
 	reader  *bufio.Reader
-	// served counts the requests that were answered on this connection. It is -1 after the node has announced that
-	// it closes the connection.
+	// served counts the responses on this connection. If a response announces that the node closes the connection, send
+	// sets served to -1 and then counts that response, so that served is 0 when send returns.
 	served int
 }
 
-// answer is the response to a client's request; the status is 0 if there was none.
+// answer is the response to a client's request; the status is 0 if no response was received.
 type answer struct {
 	id     string
 	status int
@@ -89,7 +89,8 @@
 	return a, nil
 }
 
-// closed reports whether the node has announced that it closes the connection.
+// closed reports whether served is negative. It returns false even after the node has announced that it closes the
+// connection, because served is 0 then.
 func (k *conn) closed() bool { return k.served < 0 }
 
 // once sends one request on a new connection.
--- a/review/lab/first_start_one.go
+++ b/review/lab/first_start_one.go
@@ -22,9 +22,9 @@
 )
 
 // firstStartOneKilled starts a new fleet of three machines and kills one core during this first start. The core is
-// restarted with the settings in effect then, in which bootstrap is false. The operator's first configuration is
-// acknowledged. After the killed core has been back for longer than sync_time_s, another machine loses its disk. The
-// rule is broken if the acknowledged configuration cannot be read back afterwards.
+// restarted with the settings that are in effect at that time, in which bootstrap is false. The operator's first
+// configuration is acknowledged. After the killed core has been back for longer than sync_time_s, another machine loses
+// its disk. The rule is broken if the acknowledged configuration cannot be read back afterwards.
 func firstStartOneKilled(f *fleet, disrupt bool) error {
 	start := func(machine int) error { return f.startMachine(machine, true) }
 	if err := start(2); err != nil {
@@ -50,8 +50,8 @@
 	}
 	time.Sleep(time.Until(back.Add(syncTime + 500*time.Millisecond)))
 	if disrupt {
-		// Neither of the other two machines was disrupted before. The one that has stored more is chosen, in the
-		// same way as for the mode "leader" of a day's faults.
+		// Neither of the other two machines was disrupted before. The machine that has stored more data is chosen, in
+		// the same way as for the mode "leader" of a day's faults.
 		victim := f.fullestDisk(0, 1)
 		f.kill(victim, roleCore)
 		f.kill(victim, roleNode)
--- a/review/lab/first_start_seed.go
+++ b/review/lab/first_start_seed.go
@@ -11,8 +11,9 @@
 func init() { cases["first-start-seed-killed"] = firstStartSeedKilled }
 
 // firstStartSeedKilled starts a new fleet of three machines within 0.3 s and kills the core of the first machine, a
-// seed, during this first start. The core is restarted half a second later with the settings in effect then, in which
-// bootstrap is false. The operator sends its first configuration until it is acknowledged, and clients send requests.
+// seed, during this first start. The core is restarted half a second later with the settings that are in effect at that
+// time, in which bootstrap is false. The operator sends its first configuration until it is acknowledged, and clients
+// send requests.
 func firstStartSeedKilled(f *fleet, disrupt bool) error {
 	if err := serveOneBackend(f); err != nil {
 		return err
--- a/review/lab/fleet.go
+++ b/review/lab/fleet.go
@@ -220,7 +220,7 @@
 	return os.RemoveAll(f.dataDir(machine))
 }
 
-// fullestDisk returns the machine, of those given, that has the most bytes in its data folder.
+// fullestDisk returns the one of the given machines that has the most bytes in its data folder.
 func (f *fleet) fullestDisk(machines ...int) int {
 	best, bestSize := machines[0], int64(-1)
 	for _, machine := range machines {
--- a/review/lab/main.go
+++ b/review/lab/main.go
@@ -1,8 +1,8 @@
 // Command lab runs the cases of the review against the project's own processes, on loopback addresses.
 //
 // Its arguments are the name of the case, the program to run (target/wallport) and the path of the record file. It
-// exits with 1 if the rule was broken, 0 if the rule held and 2 if the case could not run. With TROUBLE=0 in the
-// environment, the case is run without its disruption.
+// exits with 1 if the processes broke the rule that the case tests, with 0 if the rule held and with 2 if the case
+// could not run. With TROUBLE=0 in the environment, the case is run without its disruption.
 package main
 
 import (
--- a/review/lab/ramp.go
+++ b/review/lab/ramp.go
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// keepSending sends a request every 50 ms on a keep-alive connection until stop is closed. It counts the requests in
-// sent, and in lost those that got no response on a reused connection.
+// keepSending sends a request every 50 ms on a keep-alive connection until stop is closed. It counts all requests in
+// sent, and in lost the requests that got no response on a reused connection.
 func keepSending(c *client, machine int, stop chan struct{}, sent, lost *atomic.Int64) {
 	var k *conn
 	for {
--- a/review/lab/shards.go
+++ b/review/lab/shards.go
@@ -24,7 +24,7 @@
 		revision, strings.Join(shards, `","`), strings.Join(pools, ","))
 }
 
-// records returns the records of a shard, five of 16 bytes each. All backends of the shard have the same records.
+// records returns the five records of a shard, each of 16 bytes. All backends of the shard have the same records.
 func records(pool string) string {
 	var b strings.Builder
 	for i := range 5 {
@@ -46,8 +46,8 @@
 	return strings.Join(all[:min(limit, len(all))], "")
 }
 
-// shardNamedTwice has the operator set a configuration whose gathered route names one shard twice. No page says that
-// such a configuration is invalid. If it is refused, the rule holds.
+// shardNamedTwice has the operator set a configuration whose gathered route names one shard twice. No page of the
+// documentation says that such a configuration is invalid. If it is refused, the rule holds.
 func shardNamedTwice(f *fleet, disrupt bool) error {
 	p, c, o := &platform{}, &client{f: f}, newOperator(f)
 	if err := p.serve(f.platformAddress()); err != nil {
--- a/review/lab/standins.go
+++ b/review/lab/standins.go
@@ -72,8 +72,8 @@
 	work func() time.Duration
 	// pool and body are set if the backend serves a shard: pool is the service named in its seals, body its records.
 	pool, body string
-	// slots, if set, limits the requests that run at the same time to its capacity. As many more are queued; further
-	// ones are rejected.
+	// slots, if set, limits the requests that run at the same time to its capacity. The same number of requests can be
+	// queued; further requests are rejected.
 	slots   chan struct{}
 	waiting atomic.Int64
 	// ran maps the id of each attempt to the number of times that the backend ran it.
