--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -1,5 +1,5 @@
-// Tests of which failures are accepted and which are reported, on events in the
-// form of go test -json.
+// Tests that knownred accepts the listed failures and reports all others. The events have the form in which go test
+// -json prints them.
 
 package main
 
@@ -54,7 +54,7 @@
 		{"the listed test terminates the test binary", listedLine, true, []string{`{"Action":"output","Package":"wallport/a","Test":"TestKnown","Output":"panic: boom\n"}`, fails, packageFails},
 			[]string{"package wallport/a failed"}},
 		{"a package does not build", listedLine, true, []string{fails, packageFails, endEvent(failed, "wallport/b", "")}, []string{"package wallport/b failed"}},
-		{"no package builds", "", true, []string{"some text"}, []string{"go test failed before any test ran", "no test ran in 0 failed packages"}},
+		{"no package builds", "", true, []string{"some text"}, []string{"go test failed before any test ran", "no test ran, and 0 packages failed"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			must.Eq(t, c.want, problemsOf(t, c.list, c.nonZeroExit, c.events...))
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -77,7 +77,7 @@
 		fmt.Fprintln(out, "knownred:", w)
 	}
 	if len(problems) > 0 {
-		return fmt.Errorf("%d findings", len(problems))
+		return fmt.Errorf("%d problems", len(problems))
 	}
 	return nil
 }
--- a/tools/knownred/outcome.go
+++ b/tools/knownred/outcome.go
@@ -28,7 +28,8 @@
 type outcome struct {
 	// tests maps each top-level test, PACKAGE.TestName, to its last action.
 	tests map[string]string
-	// packages contains the failed packages, crashed those in which a test terminated the whole test binary.
+	// packages contains the failed packages, crashed contains the packages in which a test terminated the whole test
+	// binary.
 	packages, crashed map[string]bool
 }
 
@@ -108,7 +109,7 @@
 
 // findProblems returns the problems of a run: failed tests that are not listed as known, and listed tests that passed
 // or did not run. A failed package is a problem unless a known failure explains it and no test terminated its test
-// binary. nonZeroExit tells whether go test exited with an error.
+// binary. nonZeroExit is true if go test exited with an error.
 func (o *outcome) findProblems(known []entry, nonZeroExit bool) []string {
 	var problems []string
 	listed := map[string]bool{}
@@ -141,7 +142,7 @@
 		problems = append(problems, "go test failed before any test ran")
 	}
 	if len(o.tests) == 0 {
-		problems = append(problems, fmt.Sprintf("no test ran in %d failed packages", len(o.packages)))
+		problems = append(problems, fmt.Sprintf("no test ran, and %d packages failed", len(o.packages)))
 	}
 	return problems
 }
--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -2,10 +2,9 @@
 // mutant it removes one guard from a copy of the source tree, and runs the test
 // that must fail or the scenario in which a check must report a violation.
 //
-// The mutants are listed in tools/mutate/*.txt. An entry has the title of the
-// guard, the file, the old and the new code, and either the scenario with the
-// point that must be violated or the arguments of go test. With an argument,
-// only mutants whose title contains it are run.
+// The mutants are listed in tools/mutate/*.txt. An entry has the title of the guard, the file, the old and the new
+// code, and either a scenario with the point of the checker that must be violated or the arguments of go test. If
+// mutate has an argument, it runs only the mutants whose title contains the argument.
 package main
 
 import (
@@ -85,8 +84,8 @@
 }
 
 // try applies the mutant to a copy of the source tree, runs its test or scenario, and reports whether the mutant was
-// caught. It builds with -trimpath: the path of the copy does not enter the build, so that unchanged packages are
-// built only once for all mutants.
+// caught. It builds with -trimpath, so that the build does not depend on the path of the copy and unchanged packages
+// are built only once for all mutants.
 func try(m mutant, seeds string) (bool, error) {
 	dir, err := os.MkdirTemp("", "wallport-mutant-")
 	if err != nil {
--- a/tools/pages/doc.go
+++ b/tools/pages/doc.go
@@ -1,3 +1,3 @@
-// Package pages has tests of the documentation: what it names must exist in the source tree, and every scenario, fleet
-// script, mutant and checked point must be named in it.
+// Package pages has tests of the documentation: every name of code in it must exist in the source tree, and it must
+// name every scenario, fleet script, mutant and checked point.
 package pages
--- a/tools/pages/pages_test.go
+++ b/tools/pages/pages_test.go
@@ -26,7 +26,8 @@
 	return string(b)
 }
 
-// existingNames returns what the source tree contains, as KIND/NAME.
+// existingNames returns the names of the scenarios, fleet scripts, mutants, checked points and tests in the source
+// tree, as KIND/NAME.
 func existingNames(t *testing.T) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
--- a/tools/pages/references_test.go
+++ b/tools/pages/references_test.go
@@ -14,13 +14,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// areas matches the top-level folders that references to code begin with.
+// areas matches the top-level folders with which references to code begin.
 const areas = `(?:api|cluster|cmd|control|lab|platform|request|runtime|scenarios|smoke|surface|tools)`
 
 var (
 	// declaration matches a reference to a declaration, such as `request/dispatch.StateMachine.Step`.
 	declaration = regexp.MustCompile("`(" + areas + `(?:/\w+)*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)` + "(?:\\([^`]*\\))?`")
-	// fileExtension has the extensions by which a file name is distinguished from the name of a declaration.
+	// fileExtension has the extensions of file names. They distinguish a file name from the name of a declaration.
 	fileExtension = map[string]bool{"go": true, "json": true, "md": true, "proto": true, "sh": true, "toml": true, "txt": true}
 	// sourceFile matches a reference to a file, such as `request/dispatch/retry.go`.
 	sourceFile = regexp.MustCompile("`(" + areas + `(?:/[\w-]+)*\.(?:go|txt|proto|sh))` + "`")
@@ -28,8 +28,8 @@
 	link = regexp.MustCompile(`\]\(([^):#]+\.md)(?:#[^)]*)?\)`)
 )
 
-// pagesOf returns the pages of the documentation, without the reports of past incidents: these name the code as it was
-// at the time of the incident.
+// pagesOf returns the pages of the documentation, without the reports of past incidents. These refer to the code as it
+// was at the time of the incident.
 func pagesOf(t *testing.T) []string {
 	t.Helper()
 	out := []string{"README.md", "DEVELOPERS.md"}
@@ -128,11 +128,11 @@
 				continue // a file name without a folder: the page's text names the folder
 			}
 			_, err := os.Stat(filepath.Join(root, m[1]))
-			must.NoError(t, err, must.Sprintf("%s names the file %s", page, m[1]))
+			must.NoError(t, err, must.Sprintf("%s names the file %s, which must exist", page, m[1]))
 		}
 		for _, m := range link.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(filepath.Join(root, filepath.Dir(page), m[1]))
-			must.NoError(t, err, must.Sprintf("%s links to %s", page, m[1]))
+			must.NoError(t, err, must.Sprintf("%s links to %s, which must exist", page, m[1]))
 		}
 	}
 	must.Greater(t, 10, len(packages))
