--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -1,6 +1,7 @@
 // Package caller is a load generator that stands in for many callers. It sends searches, reads, corrections and part
-// fetches at a constant rate and repeats some of them with the same idempotency key through another node. Every response
-// is checked exactly.
+// fetches at a constant rate and sends some of them a second time with the same idempotency key through a randomly
+// chosen node. Every response is checked; a successful response must contain exactly the expected records, unless it is
+// the recorded response to a request that was sent a second time.
 package caller
 
 import (
@@ -139,7 +140,8 @@
 	}
 }
 
-// request is one request. nodes are the node that it is sent to and the node for its repeat.
+// request is a request with its options. nodes[0] is the node to which it is sent first, nodes[1] the node to which it
+// is sent a second time if repeat is set.
 type request struct {
 	kind               search.Kind
 	key, record, query string
@@ -149,8 +151,8 @@
 	nodes              [2]platform.Node
 }
 
-// drawRequest draws the n-th request: two thirds of all are searches, a sixth reads, a twelfth each corrections and
-// part fetches.
+// drawRequest draws the n-th request: two thirds of all requests are searches, a sixth are reads, a twelfth are
+// corrections and a twelfth are part fetches.
 func (k *Caller) drawRequest(n int) request {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -175,7 +177,7 @@
 	return o
 }
 
-// send sends a request and, if drawn, its repeat.
+// send sends a request and, if its field repeat is set, sends it a second time.
 func (k *Caller) send(o request) {
 	k.sendOnce(o, o.nodes[0])
 	if o.repeat {
--- a/lab/caller/check.go
+++ b/lab/caller/check.go
@@ -1,4 +1,4 @@
-// Checks every response exactly.
+// Checks of the responses: form, error code, and the records of successful responses.
 
 package caller
 
@@ -32,7 +32,7 @@
 	Repeat   bool          `json:"repeat"`
 }
 
-// errorResponse is the body of a response with another status than 200.
+// errorResponse is the body of a response with a status other than 200.
 type errorResponse struct {
 	Name, Message, Ran string
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-// recordWrong counts a wrong response and keeps the texts of the first 20.
+// recordWrong counts a wrong response and keeps the descriptions of the first 20.
 func (k *Caller) recordWrong(text string, args ...any) {
 	k.summary.WrongN++
 	if len(k.summary.Wrong) < 20 {
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/wire"
 )
 
-// Config holds the platform's options: LagMs is the lag of the list, Allowed the maximal number of calls to the list in
+// Config holds the platform's options: LagMs is the lag of the list, Allowed the maximum number of calls to the list in
 // 10 s.
 type Config struct {
 	Addr    string `long:"addr" required:"yes" description:"IP:port"`
@@ -28,7 +28,7 @@
 	Ready  bool   `json:"ready"`
 }
 
-// publishedList is a list of backends and the time from which it is the current one.
+// publishedList is a list of backends and the time at which the platform received it.
 type publishedList struct {
 	at   time.Time
 	list wire.BackendList
--- a/lab/records/records.go
+++ b/lab/records/records.go
@@ -1,5 +1,5 @@
-// Package records generates the content of the stand-in indexes. Scores are a function of index, query and record, so
-// that any response can be checked exactly.
+// Package records generates the content of the stand-in indexes. A score depends only on the index, the query and the
+// record, so that any response can be checked exactly.
 package records
 
 import (
@@ -35,7 +35,7 @@
 	shard, shards int
 }
 
-// maxCached is the number of sorted lists from which on no more are cached.
+// maxCached is the number of sorted lists after which no further list is cached.
 const maxCached = 8192
 
 var (
--- a/lab/relay/ends.go
+++ b/lab/relay/ends.go
@@ -1,4 +1,4 @@
-// Ends connections: both directions by a reset, or one direction.
+// Functions that end a connection: with a TCP reset, or in the sending direction only.
 
 package relay
 
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// bufferSize is the maximal number of bytes that a relay forwards at a time.
+// bufferSize is the maximum number of bytes that a relay forwards at a time.
 const bufferSize = 16 << 10
 
 // Network holds the processes' addresses, the partitions between them and the relayed connections. Its methods
@@ -21,7 +21,7 @@
 	partitioned map[[2]string]bool
 	// links holds the connections that are being relayed.
 	links map[*link]bool
-	// closed reports that the network was closed; nothing is held back any more.
+	// closed reports that the network was closed. Partitions hold nothing back from then on.
 	closed    bool
 	listeners []net.Listener
 }
@@ -30,7 +30,7 @@
 type link struct {
 	caller, name string
 	from, to     net.Conn
-	// halfOpen reports that nothing is forwarded any more, although both sides take the connection for established.
+	// halfOpen reports that nothing is forwarded any more, although both sides consider the connection established.
 	halfOpen bool
 }
 
@@ -118,7 +118,8 @@
 }
 
 // forward forwards bytes in one direction until either side closes it. While that direction is partitioned the bytes
-// wait. The end of the direction is forwarded as such, any other error as a reset.
+// wait. If the sender ends its direction, forward ends the same direction towards the receiver; after any other read
+// error it resets the connection to the receiver.
 func (n *Network) forward(l *link, to, from net.Conn, sender, receiver string) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -214,7 +215,7 @@
 	}
 }
 
-// HalfOpen makes the present connections between two processes half-open: both sides take them for established, but
+// HalfOpen makes the present connections between two processes half-open: both sides consider them established, but
 // nothing is forwarded any more. New connections are not affected.
 func (n *Network) HalfOpen(a, b string) {
 	n.mu.Lock()
--- a/lab/relay/relay_test.go
+++ b/lab/relay/relay_test.go
@@ -1,4 +1,4 @@
-// Tests what relays forward, and when, under partitions, resets and half-open connections.
+// Tests of which bytes and connections relays forward, and when, under partitions, resets and half-open connections.
 
 package relay
 
@@ -64,7 +64,7 @@
 	a.dialAndSend(t, b, 'a')
 	c.dialAndSend(t, b, 'c')
 	_, first := b.acceptAndRead(t)
-	must.Eq(t, 'c', first, must.Sprint("only the connection of c, which is not partitioned from b, arrives"))
+	must.Eq(t, 'c', first, must.Sprint("only the connection of c, which is not partitioned from b, must arrive"))
 	n.SetPartition([]string{"b"}, []string{"a"}, false)
 	_, second := b.acceptAndRead(t)
 	must.Eq(t, 'a', second)
@@ -152,5 +152,5 @@
 	must.Eq(t, '3', got)
 	n.Close()
 	_, err = atB.Read(make([]byte, 1))
-	must.Error(t, err, must.Sprint("bytes held back by the half-open connection are lost"))
+	must.Error(t, err, must.Sprint("bytes held back by the half-open connection must be lost"))
 }
