--- a/surface/commands_test.go
+++ b/surface/commands_test.go
@@ -18,7 +18,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// startTimeout bounds the wait for a fleet's files. It is generous: only a hang reaches it.
+// startTimeout bounds the wait for a fleet's files. It is generous: only a core that hangs reaches it.
 const startTimeout = time.Minute
 
 // run returns the output of a command, which runs without the test's environment. The command may exit with an error.
@@ -107,9 +107,9 @@
 
 var digits = regexp.MustCompile(`[0-9]+`)
 
-// fleet starts three cores, waits until they have written files of all kinds, the last of which holds
-// the content of a partition, and compares the files' names. It also compares the names of the
-// metrics that a core exports from its start.
+// fleet starts three cores, waits until they have written a version (part-N.stamp-N-N) and a vote (part-N.promise) of a
+// partition, and compares the names of all files. It also compares the names of the metrics that a core exports from
+// its start.
 func fleet(t *testing.T, bin string) {
 	ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
 	defer cancel()
@@ -135,7 +135,8 @@
 		case <-tick.C:
 		}
 	}
-	// A core writes a probe file if its disk was slow. Whether the file exists therefore depends on the machine.
+	// A core writes a probe file if its disk was slow. Whether the file exists therefore depends on the machine, and
+	// its name is always added.
 	goldenSet(t, "files.txt", append(names, "probe"))
 	resp, err := http.Get("http://" + at[cores] + "/metrics")
 	must.NoError(t, err)
--- a/surface/names_test.go
+++ b/surface/names_test.go
@@ -26,9 +26,8 @@
 	goldenLines(t, "json_tags.txt", names)
 }
 
-// TestMetricNamesAreUnchanged collects the first arguments of the methods and functions that access
-// counters. "of" is the name of such a method in packages with their own counters; one of these
-// puts backend_ before the name.
+// TestMetricNamesAreUnchanged collects the first arguments of the methods and functions that access counters. "of" is
+// the name of such a method in packages with their own counters; one of these packages puts backend_ before the name.
 func TestMetricNamesAreUnchanged(t *testing.T) {
 	_, product := sources(t)
 	goldenSet(t, "metrics.txt", matching(firstArguments(product, "Add", "Of", "Set", "of"), `^[a-z0-9_]+(\{.*)?$`))
@@ -45,8 +44,9 @@
 	goldenSet(t, "headers.txt", names)
 }
 
-// TestWordsAreUnchanged collects every literal without a space. It covers names that the other lists
-// miss, such as setting keys, fields, codes, paths, file names and the events of log lines.
+// TestWordsAreUnchanged collects the string literals that consist of printable ASCII without a space, or of an HTTP
+// method, a space and such a text, and that contain two adjacent letters. It covers names that the other lists miss,
+// such as setting keys, fields, codes, paths, file names and the events of log lines.
 func TestWordsAreUnchanged(t *testing.T) {
 	_, product := sources(t)
 	var words []string
--- a/surface/schema_test.go
+++ b/surface/schema_test.go
@@ -17,12 +17,12 @@
 	_ "wallport/api/routingpb"
 )
 
-// apiProse has the keys of an OpenAPI description on which callers do not depend.
+// apiProse lists the keys of an OpenAPI description on which callers do not depend.
 var apiProse = []string{"description", "summary", "operationId", "tags", "example", "examples"}
 
-// apiLines flattens a part of an OpenAPI description. It resolves references, because the names of
-// the schemas are derived from Go's type names. named tells that the keys of v are names that the
-// API defines and not keywords of OpenAPI.
+// apiLines flattens a part of an OpenAPI description to lines. It resolves references, because the names of the schemas
+// are derived from Go's type names. named is true if the keys of v are names that the API defines rather than OpenAPI
+// keywords.
 func apiLines(at string, v any, schemas map[string]any, named bool) []string {
 	var out []string
 	switch v := v.(type) {
@@ -72,17 +72,17 @@
 	goldenSet(t, "api.txt", lines)
 }
 
-// TestProtobufIsUnchanged lists the messages that are not nested in another message. A message's name
-// is left out, because it occurs neither in the encoding nor in JSON. The fields of a nested message
-// are listed below the field that holds it.
+// TestProtobufIsUnchanged lists the messages that are not the type of a field of another message. A message's name is
+// left out, because it occurs neither in the encoding nor in JSON. If a field's type is a message, the fields of that
+// message are listed below the field.
 func TestProtobufIsUnchanged(t *testing.T) {
 	var all []protoreflect.MessageDescriptor
 	inner := map[protoreflect.FullName]bool{}
 	protoregistry.GlobalFiles.RangeFilesByPackage("wallport", func(f protoreflect.FileDescriptor) bool {
-		must.Zero(t, f.Enums().Len(), must.Sprint("enums are not listed yet"))
+		must.Zero(t, f.Enums().Len(), must.Sprint("this test does not support enums"))
 		for i := range f.Messages().Len() {
 			m := f.Messages().Get(i)
-			must.Zero(t, m.Messages().Len()+m.Enums().Len(), must.Sprint("inner types are not listed yet"))
+			must.Zero(t, m.Messages().Len()+m.Enums().Len(), must.Sprint("this test does not support nested types"))
 			all = append(all, m)
 			for j := range m.Fields().Len() {
 				if v := m.Fields().Get(j).Message(); v != nil {
