--- a/smoke/api_test.go
+++ b/smoke/api_test.go
@@ -1,5 +1,5 @@
-// Tests of the APIs and of the operator's commands with a small fleet of real
-// processes: the status, form and exit code for valid and invalid input.
+// Tests of the APIs and of the operator's commands with a small fleet of real processes: the status and form of
+// responses and the exit codes of commands, for valid and invalid input.
 
 package smoke
 
--- a/smoke/ceiling_test.go
+++ b/smoke/ceiling_test.go
@@ -1,4 +1,4 @@
-// Tests of the ceiling of a request kind, and of the explain command, with real processes.
+// Tests of the ceiling (the rate limit) of a request kind, and of the explain command, with real processes.
 
 package smoke
 
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// ceiling lowers the ceiling of a request kind and checks that requests over it get status 429 and Retry-After. It then
-// removes the ceiling and checks that a request succeeds.
+// ceiling lowers the ceiling of a request kind and checks that requests over the ceiling get status 429 and
+// Retry-After. It then removes the ceiling and checks that a request succeeds.
 func (r rig) ceiling() {
 	file := filepath.Join(r.dir, "rows.json")
 	rows := func(ceiling string) {
--- a/smoke/platform_test.go
+++ b/smoke/platform_test.go
@@ -95,7 +95,8 @@
 	return o.b.String()
 }
 
-// waitFor polls a condition until it holds. Its timeout of two minutes is generous: only a hang reaches it.
+// waitFor polls a condition until it holds. Its timeout of two minutes is generous: only a process that hangs reaches
+// it.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
--- a/smoke/replicas_test.go
+++ b/smoke/replicas_test.go
@@ -12,8 +12,8 @@
 	"wallport/control/state"
 )
 
-// Number of tries, and the pause between them, until every partition has a leader: on a loaded machine, an election may
-// be in progress.
+// replicaTries bounds the number of checks until every partition has a leader, replicaPause is the pause between two
+// checks. On a loaded machine an election may still be in progress.
 const (
 	replicaTries = 100
 	replicaPause = 200 * time.Millisecond
--- a/smoke/smoke_test.go
+++ b/smoke/smoke_test.go
@@ -1,6 +1,5 @@
-// Package smoke tests a small fleet of real processes with real TLS, HTTP, disks
-// and signals, on ports that the system assigns. The tests wait for conditions
-// with generous timeouts, which only a hang reaches.
+// Package smoke tests a small fleet of real processes with real TLS, HTTP, disks and signals, on ports that the system
+// assigns. The tests wait for conditions with generous timeouts, which only a process that hangs reaches.
 package smoke
 
 import (
@@ -46,9 +45,8 @@
 	must.Positive(t, r.Callers.Outcomes["search ok"])
 	must.Positive(t, r.Callers.Outcomes["read ok"])
 	must.Positive(t, r.Callers.Outcomes["correct ok"]+r.Callers.Outcomes["part ok"])
-	// A graceful restart does not abort any request that the node has read: the
-	// nodes have read exactly as many requests as the callers got responses. A
-	// request that was aborted on a closing connection was never read.
+	// A graceful restart must not abort a request that the node has read: the nodes must have read exactly as many
+	// requests as the callers got responses. A request that was aborted on a closing connection was never read.
 	answered := r.Callers.Sent - r.Callers.Aborted
-	must.Eq(t, int64(answered), r.Counts["inquiries_read"], must.Sprintf("%d of %d requests were aborted on a closed connection", r.Callers.Aborted, r.Callers.Sent))
+	must.Eq(t, int64(answered), r.Counts["inquiries_read"], must.Sprintf("nodes must read as many requests as callers got responses to; %d of %d requests were aborted on a closed connection", r.Callers.Aborted, r.Callers.Sent))
 }
