--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -17,7 +17,8 @@
 	ElectionTimeout = 500 * clock.Millisecond
 	ElectionStagger = 150 * clock.Millisecond
 	ElectionJitter  = 60 * clock.Millisecond
-	// ElectionTimeoutAtStart replaces ElectionTimeout during the StartPeriod of a process on a platform.
+	// ElectionTimeoutAtStart replaces ElectionTimeout on a platform within StartPeriod of the start of the process, as
+	// long as no leader is known.
 	ElectionTimeoutAtStart = 60 * clock.Millisecond
 	StartPeriod            = 3 * clock.Second
 	// ListenBeforeElection is how long a process that has just started waits before it starts an election: by then it
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -1,4 +1,4 @@
-// Elections: a candidate does not lead before its own vote is synced, votes are counted against the voters of the
+// Elections: a candidate does not lead before its own vote is synced, a majority must come from the voters of the
 // newest version, and a new leader adopts that version.
 
 package replica
--- a/control/replica/stored_resume_test.go
+++ b/control/replica/stored_resume_test.go
@@ -1,4 +1,4 @@
-// A process on stored data: it replies to known edits, honours its stored votes, and accepts new edits.
+// A process that starts from stored data: it replies to known edits, honours its stored votes, and accepts new edits.
 
 package replica
 
