--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -199,8 +199,8 @@
 	return f.Start(p)
 }
 
-// uniqueAddress returns a free port on a loopback IP that no other core or node uses: relays identify processes by
-// their IP.
+// uniqueAddress returns a free address, as ip:port, on a loopback IP that no other core or node uses: relays identify
+// processes by their IP.
 func (f *Fleet) uniqueAddress() (string, error) {
 	f.mu.Lock()
 	f.uniqueAddressCount++
--- a/lab/fleet/gather.go
+++ b/lab/fleet/gather.go
@@ -30,7 +30,7 @@
 		}
 		reports[s.ID] = r
 	}
-	// Executions are counted from the journal files because these survive a killed backend.
+	// Executions are counted from the journal files because the files remain after a backend is killed.
 	for _, s := range f.backends {
 		b, err := os.ReadFile(filepath.Join(f.options.Dir, s.ID+".ran"))
 		if err != nil {
--- a/lab/soak/journal.go
+++ b/lab/soak/journal.go
@@ -17,7 +17,8 @@
 	mu    sync.Mutex
 	began time.Time
 	rules.Journal
-	// unplannedOnly holds each machine's faults that are not planned work; only during these may requests be aborted.
+	// unplannedOnly holds each machine's faults that are not planned work. Requests may be aborted only during these
+	// faults.
 	unplannedOnly rules.FaultSpans
 }
 
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -20,13 +20,14 @@
 	Seed uint64
 	// Findings are the violations of rules and all other failures.
 	Findings []string
-	// Tested counts by rule how often the rule was applied.
+	// Tested counts how often each rule was applied.
 	Tested map[string]int64
 	// Undecided describes histories that the checker could not decide within its bound: they count neither as passed
 	// nor as findings.
 	Undecided []string
-	// Requests counts the attempts of clients, Served those that were served, Arrivals the requests that reached
-	// backends, Changes the configuration changes, Acked those that were acknowledged, Starts the incarnations.
+	// Requests is the number of clients' attempts, Served the number of attempts that were served, Arrivals the number
+	// of requests that reached backends, Changes the number of configuration changes, Acked the number of acknowledged
+	// changes, and Starts the number of incarnations.
 	Requests, Served, Arrivals, Changes, Acked, Starts int
 }
 
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// withFault calls f and records the fault for that time. A fault that affects the cores also prevents the loss of
-// disks for that time.
+// withFault calls f and records that the fault is active while f runs. If the fault affects the cores, no disk may be
+// lost while f runs.
 func (r *run) withFault(s faultSpan, f func()) {
 	if s.disruptsCores {
 		r.coreGate.begin()
@@ -213,7 +213,7 @@
 	r.recordFault(s, f)
 }
 
-// recordFault calls f and records the fault for that time.
+// recordFault calls f and records that the fault is active while f runs.
 func (r *run) recordFault(s faultSpan, f func()) {
 	r.journal.beginFault(s)
 	defer r.journal.endFault(s)
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -56,7 +56,7 @@
 	portControl
 )
 
-// Bounds of the rules. Those that the processes must observe too are written to their settings.
+// The bounds that the rules check. The bounds that also apply to the processes are written to their settings.
 const (
 	contactMs      = 4000
 	ackMs          = 5000
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -59,7 +59,7 @@
 			overlaps++
 		}
 	}
-	must.Greater(t, len(a)/2, overlaps, must.Sprint("at most half of the faults overlap the previous one"))
+	must.Greater(t, len(a)/2, overlaps, must.Sprint("more than half of the faults must overlap the previous fault"))
 	for _, k := range faultKinds() {
 		must.True(t, seen[k.name], must.Sprintf("%s is never drawn in ten minutes", k.name))
 	}
--- a/surface/commands_test.go
+++ b/surface/commands_test.go
@@ -131,7 +131,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("no files of a partition were written within %s, only: %v", startTimeout, names)
+			t.Fatalf("no version and vote of a partition were written within %s; got the files %v", startTimeout, names)
 		case <-tick.C:
 		}
 	}
