--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -199,8 +199,8 @@
 	return f.Start(p)
 }
 
-// uniqueAddress returns a free port on a loopback IP that no other core or node uses: relays identify processes by
-// their IP.
+// uniqueAddress returns a free address, as ip:port, on a loopback IP that no other core or node uses: relays identify
+// processes by their IP.
 func (f *Fleet) uniqueAddress() (string, error) {
 	f.mu.Lock()
 	f.uniqueAddressCount++
@@ -213,7 +213,7 @@
 	return free[0], nil
 }
 
-// Backends starts n backends of a shard map, on addrs or, if there are too few, on free ports.
+// Backends starts n backends of a shard map, on addrs or, if addrs has fewer than n addresses, on free ports.
 func (f *Fleet) Backends(shardMap string, shards, n int, addrs []string) error {
 	s := f.options.Shape
 	if len(addrs) < n {
--- a/lab/soak/journal.go
+++ b/lab/soak/journal.go
@@ -11,13 +11,14 @@
 	"wallport/runtime/clock"
 )
 
-// journal collects observations. Its own methods may be called from any goroutine; the embedded journal is accessed
-// under the lock.
+// journal collects observations. Its own methods may be called from any goroutine; the embedded journal may be accessed
+// only under the lock.
 type journal struct {
 	mu    sync.Mutex
 	began time.Time
 	rules.Journal
-	// unplannedOnly holds each machine's faults that are not planned work; only during these may requests be aborted.
+	// unplannedOnly holds each machine's faults that are not planned work. Requests may be aborted only during these
+	// faults.
 	unplannedOnly rules.FaultSpans
 }
 
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -20,24 +20,25 @@
 	Seed uint64
 	// Findings are the violations of rules and all other failures.
 	Findings []string
-	// Tested counts by rule how often the rule was applied.
+	// Tested counts how often each rule was applied.
 	Tested map[string]int64
 	// Undecided describes histories that the checker could not decide within its bound: they count neither as passed
 	// nor as findings.
 	Undecided []string
-	// Requests counts the attempts of clients, Served those that were served, Arrivals the requests that reached
-	// backends, Changes the configuration changes, Acked those that were acknowledged, Starts the incarnations.
+	// Requests is the number of clients' attempts, Served the number of attempts that were served, Arrivals the number
+	// of requests that reached backends, Changes the number of configuration changes, Acked the number of acknowledged
+	// changes, and Starts the number of incarnations.
 	Requests, Served, Arrivals, Changes, Acked, Starts int
 }
 
 // never is the time of events that have not happened.
 const never = rules.Never
 
-// undecidedMark is a part of the history checker's message for a history that it gave up on, because too many commands
+// undecidedMark occurs in the message of the history checker if it could not decide a history because too many commands
 // without a final response overlapped.
 const undecidedMark = "undecided after"
 
-// untimedRules are the rules without time bounds, which hold on a busy machine too.
+// untimedRules are the rules without time bounds, which must hold even on a busy machine.
 var untimedRules = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "HISTORY"}
 
 // report checks the run. Violations of rules with time bounds are findings only with Options.Timed, and are logged
@@ -86,7 +87,7 @@
 	return out
 }
 
-// setArrivalMachines sets the machine of each arrival to the one to which the client sent the attempt.
+// setArrivalMachines sets the machine of each arrival to the machine to which the client sent the attempt.
 func (r *run) setArrivalMachines() {
 	at := map[string]string{}
 	for _, attempt := range r.journal.Attempts {
@@ -97,8 +98,8 @@
 	}
 }
 
-// unexcusedFaults returns the faults that a process's logs and exits show, except exits because of an incomplete
-// settings file.
+// unexcusedFaults returns the faults that a process's logs and exits show, except exits that an incomplete settings
+// file caused.
 func (r *run) unexcusedFaults(d *daemon) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
