--- a/lab/draw/day.go
+++ b/lab/draw/day.go
@@ -38,7 +38,7 @@
 		}
 		d.used[k.name] = true
 		names = append(names, k.name)
-		times := 1 + d.n(repeatsMost)
+		times := 1 + d.n(maxRepeats)
 		if k.name == "reshard" {
 			times = 1
 		}
@@ -67,8 +67,8 @@
 	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Faults: names}
 }
 
-// repeatsMost is how often one kind may come in a day.
-const repeatsMost = 2
+// maxRepeats is how often one kind may come in a day.
+const maxRepeats = 2
 
 // entry writes one step of a kind at a moment.
 func (d *drawing) entry(k *dayKind, line string, at float64) {
--- a/lab/draw/day_faults.go
+++ b/lab/draw/day_faults.go
@@ -26,22 +26,22 @@
 	{name: "answer_lost", line: func(d *drawing) string { return fmt.Sprintf("share=0.5 x=%.3f for=4s", d.f(0.02, 0.06)) }},
 	{name: "replace_with_reuse", modes: []string{"", "drain", "dark"}, line: lasting(0.1, 0.2, 2, 5)},
 	{name: "cold_return", modes: []string{"", "dark"}, line: during(1, 5)},
-	{name: "node_kill", modes: []string{"", "power", "reader", "seed"}, follows: true, line: lasting(0.1, 0.3, 1, 4)},
-	{name: "node_kill", modes: []string{"", "leader", "power,leader", "power", "reader", "seed"}, follows: true, line: func(d *drawing) string {
+	{name: "node_kill", modes: []string{"", "power", "reader", "seed"}, hasFollowUp: true, line: lasting(0.1, 0.3, 1, 4)},
+	{name: "node_kill", modes: []string{"", "leader", "power,leader", "power", "reader", "seed"}, hasFollowUp: true, line: func(d *drawing) string {
 		return fmt.Sprintf("on=core for=%.1fs", d.f(0.5, 4))
 	}},
-	{name: "node_freeze", modes: []string{"", "leader"}, follows: true, line: func(d *drawing) string { return fmt.Sprintf("on=core for=%.1fs", d.f(1, 5)) }},
+	{name: "node_freeze", modes: []string{"", "leader"}, hasFollowUp: true, line: func(d *drawing) string { return fmt.Sprintf("on=core for=%.1fs", d.f(1, 5)) }},
 	{name: "node_freeze", modes: []string{"", "reader"}, line: lasting(0.1, 0.3, 0.5, 5)},
-	{name: "node_slow", modes: []string{"", "leader"}, follows: true, line: func(d *drawing) string {
+	{name: "node_slow", modes: []string{"", "leader"}, hasFollowUp: true, line: func(d *drawing) string {
 		return fmt.Sprintf("on=core x=%d for=%.1fs", 3+d.n(12), d.f(1, 6))
 	}},
 	{name: "node_slow", line: lasting(0.1, 0.3, 1, 6)},
 	{name: "herd_kill", modes: []string{"", "power"}, line: func(d *drawing) string { return fmt.Sprintf("share=%.2f for=1s", d.f(0.3, 0.7)) }},
 	{name: "herd_kill", modes: []string{"", "power", "taken"}, line: text("on=core for=1s")},
-	{name: "after_ack_kill", modes: []string{"", "kill", "timed", "timed,kill", "taken"}, follows: true, line: func(d *drawing) string {
+	{name: "after_ack_kill", modes: []string{"", "kill", "timed", "timed,kill", "taken"}, hasFollowUp: true, line: func(d *drawing) string {
 		return fmt.Sprintf("count=%d for=%.1fs", 1+d.n(2), d.f(0.3, 4))
 	}},
-	{name: "after_ack_wipe", modes: []string{"", "timed", "taken"}, follows: true, line: during(0.3, 4)},
+	{name: "after_ack_wipe", modes: []string{"", "timed", "taken"}, hasFollowUp: true, line: during(0.3, 4)},
 	{name: "disk_stall", modes: []string{"", "leader"}, line: during(1, 5)},
 	{name: "disk_full", modes: []string{"", "leader"}, line: during(1, 5)},
 	{name: "disk_slow", modes: []string{"", "leader"}, line: func(d *drawing) string { return fmt.Sprintf("x=%d for=%.1fs", 5+d.n(100), d.f(1, 5)) }},
@@ -50,11 +50,11 @@
 	}},
 	{name: "core_cut", modes: []string{
 		"", "leader", "leader,one_way", "one_way", "reset", "refuse", "seeds", "seeds,leader", "both", "both,leader", "leader,reset",
-	}, follows: true, line: during(1, 20)},
+	}, hasFollowUp: true, line: during(1, 20)},
 	{name: "node_cut", modes: []string{"", "servers", "reset", "refuse"}, line: lasting(0.1, 0.25, 2, 6)},
-	{name: "reset_conns", modes: []string{"", "leader"}, follows: true, line: func(d *drawing) string {
+	{name: "reset_conns", modes: []string{"", "leader"}, hasFollowUp: true, line: func(d *drawing) string {
 		return fmt.Sprintf("share=%.2f x=%.2f", d.f(0.1, 0.5), d.f(0.3, 1)) + []string{"", " on=core"}[d.n(2)]
 	}},
-	{name: "zone_loss", follows: true, line: during(1, 5)},
-	{name: "zone_cut", modes: []string{"", "reset"}, follows: true, line: during(1, 8)},
+	{name: "zone_loss", hasFollowUp: true, line: during(1, 5)},
+	{name: "zone_cut", modes: []string{"", "reset"}, hasFollowUp: true, line: during(1, 8)},
 }
--- a/lab/draw/day_test.go
+++ b/lab/draw/day_test.go
@@ -11,30 +11,30 @@
 	"wallport/lab/script"
 )
 
-// enoughDays is how many days in a row hold everything.
-const enoughDays = 400
+// daysForCoverage is how many days in a row hold everything.
+const daysForCoverage = 400
 
 func TestDrawnDaysCoverEveryKindAndMode(t *testing.T) {
-	met := map[string]int{}
-	for n := range uint64(enoughDays) {
+	seen := map[string]int{}
+	for n := range uint64(daysForCoverage) {
 		s, err := script.Parse("day", Day(n, "").Text)
 		must.NoError(t, err)
 		for _, step := range s.Steps {
-			met[step.Verb]++
+			seen[step.Verb]++
 			for _, arg := range step.Args {
 				how, ok := strings.CutPrefix(arg, "how=")
 				if !ok {
 					continue
 				}
-				for way := range strings.SplitSeq(how, ",") {
-					met[step.Verb+"."+way]++
+				for mode := range strings.SplitSeq(how, ",") {
+					seen[step.Verb+"."+mode]++
 				}
 			}
 		}
 	}
-	kinds, ways := DayKinds()
-	for _, name := range append(kinds, ways...) {
-		must.Positive(t, met[name], must.Sprint(name))
+	kinds, modes := DayKinds()
+	for _, name := range append(kinds, modes...) {
+		must.Positive(t, seen[name], must.Sprint(name))
 	}
 }
 
--- a/lab/draw/draw.go
+++ b/lab/draw/draw.go
@@ -139,7 +139,7 @@
 	for _, name := range picked {
 		faultKinds[name](d)
 	}
-	d.besides()
+	d.operatorActions()
 	head := []string{
 		fmt.Sprintf("# Drawn, number %d: %s.", n, strings.Join(picked, ", ")),
 		"set shape " + shape.Name, fmt.Sprintf("set seconds %d", endAt/1000), fmt.Sprintf("set rate %d", rate),
@@ -151,8 +151,8 @@
 	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Faults: picked}
 }
 
-// besides draws what operators do meanwhile.
-func (d *drawing) besides() {
+// operatorActions draws what operators do meanwhile.
+func (d *drawing) operatorActions() {
 	d.at(12_500+d.n(1000), "storm %d %d", 10+d.n(50), 300_000+d.n(500_000))
 	for range d.n(3) {
 		d.at(firstAt+d.n(overAt-firstAt), "race %d %s", 2+d.n(5), []string{"put", "rows"}[d.n(2)])
@@ -175,10 +175,10 @@
 			if !strings.HasPrefix(lines[i], "at ") {
 				continue
 			}
-			less := append(append([]string{}, lines[:i]...), lines[i+1:]...)
-			s, err := script.Parse("shrunk", strings.Join(less, "\n"))
+			shorter := append(append([]string{}, lines[:i]...), lines[i+1:]...)
+			s, err := script.Parse("shrunk", strings.Join(shorter, "\n"))
 			if err == nil && fails(s) {
-				lines, again = less, true
+				lines, again = shorter, true
 			}
 		}
 	}
--- a/lab/draw/faults.go
+++ b/lab/draw/faults.go
@@ -71,7 +71,7 @@
 	"nodes_rolled":   func(d *drawing) { d.roll("node", d.shape.Nodes, 4) },
 	"zone_lost":      (*drawing).zoneLost,
 	"zone_emptied":   func(d *drawing) { z := d.zone(); d.span(6000, 14_000, "zone empty "+z, "zone refill "+z) },
-	"index_recut":    (*drawing).recut,
+	"index_recut":    (*drawing).reshard,
 	"everything":     func(d *drawing) { d.span(500, 3000, "lose-all", "start-all") },
 	"seeds_swapped":  (*drawing).seeds,
 	"network_slow":   func(d *drawing) { d.span(1000, 8000, fmt.Sprintf("delay %d", 5000+d.n(60_000)), "delay 0") },
@@ -132,7 +132,7 @@
 	d.at(to, "restart zone:%s", z)
 }
 
-func (d *drawing) recut() {
+func (d *drawing) reshard() {
 	at := firstAt + d.n(6000)
 	d.at(at, "backends c2 6 %d", max(2, d.shape.PerShard*d.shape.Shards/6))
 	d.at(at+500+d.n(2000), "cut c2 6")
--- a/lab/draw/kinds.go
+++ b/lab/draw/kinds.go
@@ -12,13 +12,13 @@
 type dayKind struct {
 	name  string
 	modes []string
-	// follows reports that a change, or draining backends, may meet the machine afterwards.
-	follows bool
-	line    func(d *drawing) string
+	// hasFollowUp reports that a change, or draining backends, may meet the machine afterwards.
+	hasFollowUp bool
+	line        func(d *drawing) string
 }
 
-// follows are the modes of what meets a machine as it returns, and during a partition.
-var follows = []string{"", "", "meet", "race", "hard", "hard,race", "drain", "meet,drain"}
+// followUps are the modes of what meets a machine as it returns, and during a partition.
+var followUps = []string{"", "", "meet", "race", "hard", "hard,race", "drain", "meet,drain"}
 
 func text(s string) func(d *drawing) string { return func(*drawing) string { return s } }
 
@@ -36,15 +36,15 @@
 
 // drawInTurn makes a step's line with the mode and the follow-up whose turn it is.
 func (k *dayKind) drawInTurn(d *drawing, turn uint64) string {
-	return k.with(d, int(turn), int(turn))
+	return k.lineWith(d, int(turn), int(turn))
 }
 
 // draw makes a step's line with a random mode.
 func (k *dayKind) draw(d *drawing) string {
-	return k.with(d, d.n(max(1, len(k.modes))), d.n(len(follows)))
+	return k.lineWith(d, d.n(max(1, len(k.modes))), d.n(len(followUps)))
 }
 
-func (k *dayKind) with(d *drawing, mode, follow int) string {
+func (k *dayKind) lineWith(d *drawing, mode, followUp int) string {
 	line := k.name
 	if k.line != nil {
 		line += " " + k.line(d)
@@ -53,8 +53,8 @@
 	if len(k.modes) > 0 {
 		how = append(how, k.modes[mode%len(k.modes)])
 	}
-	if k.follows {
-		how = append(how, follows[follow%len(follows)])
+	if k.hasFollowUp {
+		how = append(how, followUps[followUp%len(followUps)])
 	}
 	how = slices.DeleteFunc(how, func(s string) bool { return s == "" })
 	if len(how) > 0 {
@@ -69,7 +69,7 @@
 		return fmt.Sprintf("count=%d gap=%.2fs x=%d", 1+d.n(3), d.f(0.6, 1.6), 2+d.n(3))
 	}},
 	{name: "config_storm", line: func(d *drawing) string { return fmt.Sprintf("for=4s gap=%.2fs", d.f(0.1, 0.4)) }},
-	{name: "roll_term", modes: []string{"", "busy", "remove"}, follows: true, line: func(d *drawing) string {
+	{name: "roll_term", modes: []string{"", "busy", "remove"}, hasFollowUp: true, line: func(d *drawing) string {
 		return fmt.Sprintf("share=%.2f x=1 gap=%.2fs", d.f(0.2, 1), d.f(0.8, 1.6))
 	}},
 	{name: "seed_turnover"},
@@ -96,23 +96,23 @@
 }
 
 // DayKinds returns every kind, and every mode of one as KIND.MODE.
-func DayKinds() (kinds, ways []string) {
+func DayKinds() (kinds, modes []string) {
 	for _, k := range slices.Concat(planned, dayFaults) {
 		kinds = append(kinds, k.name)
-		for _, way := range k.modes {
-			for w := range strings.SplitSeq(way, ",") {
+		for _, mode := range k.modes {
+			for w := range strings.SplitSeq(mode, ",") {
 				if w != "" {
-					ways = append(ways, k.name+"."+w)
+					modes = append(modes, k.name+"."+w)
 				}
 			}
 		}
-		for _, way := range follows {
-			if k.follows && way != "" && !strings.Contains(way, ",") {
-				ways = append(ways, k.name+"."+way)
+		for _, mode := range followUps {
+			if k.hasFollowUp && mode != "" && !strings.Contains(mode, ",") {
+				modes = append(modes, k.name+"."+mode)
 			}
 		}
 	}
 	slices.Sort(kinds)
-	slices.Sort(ways)
-	return slices.Compact(kinds), slices.Compact(ways)
+	slices.Sort(modes)
+	return slices.Compact(kinds), slices.Compact(modes)
 }
--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -53,7 +53,7 @@
 // Parse parses a scenario.
 func Parse(name, text string) (*Script, error) {
 	s := &Script{Name: name, Set: map[string]string{}}
-	var faults []string
+	var errs []string
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		f := strings.Fields(line)
@@ -61,11 +61,11 @@
 			continue
 		}
 		if err := s.line(i+1, f); err != nil {
-			faults = append(faults, fmt.Sprintf("%s:%d: %v", name, i+1, err))
+			errs = append(errs, fmt.Sprintf("%s:%d: %v", name, i+1, err))
 		}
 	}
-	if len(faults) > 0 {
-		return nil, fmt.Errorf("%s", strings.Join(faults, "\n"))
+	if len(errs) > 0 {
+		return nil, fmt.Errorf("%s", strings.Join(errs, "\n"))
 	}
 	slices.SortStableFunc(s.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return s, nil
@@ -97,21 +97,21 @@
 }
 
 // Int returns the setting as a number, or other if it is not set.
-func (s *Script) Int(name string, other int64) int64 {
+func (s *Script) Int(name string, fallback int64) int64 {
 	if v, ok := s.Set[name]; ok {
 		if n, err := strconv.ParseInt(v, 10, 64); err == nil {
 			return n
 		}
 	}
-	return other
+	return fallback
 }
 
 // Text returns the setting, or other if it is not set.
-func (s *Script) Text(name, other string) string {
+func (s *Script) Text(name, fallback string) string {
 	if v, ok := s.Set[name]; ok {
 		return v
 	}
-	return other
+	return fallback
 }
 
 // Met reports whether a count satisfies the expectation.
--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -14,11 +14,11 @@
 	"wallport/runtime/settings"
 )
 
-// leadUs is the time from the start of the machines to the start of the traffic.
-const leadUs = 10 * clock.Second
+// trafficStartUs is the time from the start of the machines to the start of the traffic.
+const trafficStartUs = 10 * clock.Second
 
 type day struct {
-	world          *World
+	sim            *Simulation
 	site           siteShape
 	settings       settings.Settings
 	journal        *rules.Journal
@@ -28,7 +28,7 @@
 	zonePartitions map[string]bool
 	refusedLinks   map[string]bool
 	listReader     *machine
-	armedTakes     []armedTake
+	acceptHooks    []acceptHook
 	seeds          []string
 	publishedCores []publishedCoreList
 
@@ -38,12 +38,12 @@
 	commands commands
 }
 
-func newDay(w *World, name string) *day {
+func newDay(sim *Simulation, name string) *day {
 	site, ok := siteOf(name)
 	if !ok {
-		panic(fmt.Sprintf("%s: no site %q", w.Script.Name, name))
+		panic(fmt.Sprintf("%s: no site %q", sim.Script.Name, name))
 	}
-	d := &day{world: w, site: site, byName: map[string]*machine{}, partitions: map[string]bool{}, zonePartitions: map[string]bool{}, refusedLinks: map[string]bool{}, gateways: map[*process]*gateway{}}
+	d := &day{sim: sim, site: site, byName: map[string]*machine{}, partitions: map[string]bool{}, zonePartitions: map[string]bool{}, refusedLinks: map[string]bool{}, gateways: map[*process]*gateway{}}
 	b := rules.Bounds{
 		ContactUs: 4 * clock.Second, AckUs: 5 * clock.Second, DrainUs: 3 * clock.Second, GraceUs: 6 * clock.Second, LossUs: 200 * clock.Millisecond, ApplyUs: 3 * clock.Second,
 		StretchUs: 12 * clock.Second, EvacuateUs: 5 * clock.Second, RecoverUs: 12 * clock.Second, RetryRatio: 0.2, RetryAllowance: site.allowance,
@@ -56,7 +56,7 @@
 		Machine: settings.Machine{CPUShare: 0.4, MemoryMB: 284, MaxFds: 4100, LinkMbps: 1000, DiskMB: 64},
 		Bounds: settings.Bounds{
 			DrainTimeout: b.DrainUs, GracePeriod: b.GraceUs, ConfigApply: b.ApplyUs, ZoneDrain: b.EvacuateUs, AckTimeout: b.AckUs, ContactTime: b.ContactUs,
-			SyncTime: 4 * clock.Second, AddressReuse: reuseUs, LossSlack: b.LossUs, RecoveryTime: b.RecoverUs, SeedLag: 3 * clock.Second, ListLag: listLagUs,
+			SyncTime: 4 * clock.Second, AddressReuse: addressReuseUs, LossSlack: b.LossUs, RecoveryTime: b.RecoverUs, SeedLag: 3 * clock.Second, ListLag: listLagUs,
 		},
 		Retries:   settings.Retries{Ratio: b.RetryRatio, Allowance: b.RetryAllowance, Window: b.RetryWindowUs},
 		SlowStart: settings.SlowStart{Overrun: b.SlowStartOverrun, Tolerance: b.SlowStartTolerance},
@@ -70,42 +70,42 @@
 // end returns when the day ends, on the world's clock. After a closing fault traffic continues through the
 // recovery.
 func (d *day) end() clock.Micros {
-	s := d.world.Script.Int("seconds", 24)
-	if at := d.world.Script.Int("closing_at_s", 0); at > 0 {
+	s := d.sim.Script.Int("seconds", 24)
+	if at := d.sim.Script.Int("closing_at_s", 0); at > 0 {
 		s = at + 20
 	}
-	return leadUs + s*clock.Second
+	return trafficStartUs + s*clock.Second
 }
 
-// worldTime converts a time of the scenario, which counts from the start of the traffic, to the world's clock.
-func (d *day) worldTime(at clock.Micros) clock.Micros { return leadUs + at }
+// simTime converts a time of the scenario, which counts from the start of the traffic, to the world's clock.
+func (d *day) simTime(at clock.Micros) clock.Micros { return trafficStartUs + at }
 
 func (d *day) build() {
-	w := d.world
+	sim := d.sim
 	d.buildMachines()
 	d.backends.begin()
 	for _, m := range d.machines {
-		w.after(w.rng.Int64N(200*clock.Millisecond), m.start)
+		sim.after(sim.rng.Int64N(200*clock.Millisecond), m.start)
 	}
-	w.after(clock.Second, func() { d.settings.Bootstrap = false })
-	for _, st := range w.Script.Steps {
-		w.at(d.worldTime(st.At)+w.shift(st), func() {
-			w.logEvent("step " + st.Verb + " " + fmt.Sprint(st.Args))
-			w.Checker.Count("steps", 1)
+	sim.after(clock.Second, func() { d.settings.Bootstrap = false })
+	for _, st := range sim.Script.Steps {
+		sim.at(d.simTime(st.At)+sim.scheduledDelay(st), func() {
+			sim.logEvent("step " + st.Verb + " " + fmt.Sprint(st.Args))
+			sim.Checker.Count("steps", 1)
 			d.runStep(st)
 		})
 	}
 	d.commands.begin()
 	d.clients.begin()
-	if at := w.Script.Int("closing_at_s", 0); at > 0 {
-		w.at(d.worldTime(at*clock.Second), func() { d.closingFault(w.now) })
+	if at := sim.Script.Int("closing_at_s", 0); at > 0 {
+		sim.at(d.simTime(at*clock.Second), func() { d.scheduleClosingFault(sim.now) })
 	}
-	w.at(100*clock.Millisecond, d.sample)
+	sim.at(100*clock.Millisecond, d.sample)
 }
 
 // sample records ten times a second which configuration every node has in force.
 func (d *day) sample() {
-	d.world.after(100*clock.Millisecond, d.sample)
+	d.sim.after(100*clock.Millisecond, d.sample)
 	d.updateFaultSpans()
 	for _, m := range d.machines {
 		p := m.node
@@ -113,15 +113,15 @@
 			continue
 		}
 		if cp := p.snapshots.Current(); cp != nil && cp.Routing != nil {
-			d.journal.InForce = append(d.journal.InForce, rules.InForce{Machine: m.name, Incarnation: p.incarnation, At: d.world.now, Revision: cp.Routing.Revision})
+			d.journal.InForce = append(d.journal.InForce, rules.InForce{Machine: m.name, Incarnation: p.incarnation, At: d.sim.now, Revision: cp.Routing.Revision})
 		}
 	}
 }
 
 // finish checks the day's journal and copies its findings into the world's checker.
 func (d *day) finish() {
-	j, judge := d.journal, d.world.Checker
-	j.End = d.world.now
+	j, checker := d.journal, d.sim.Checker
+	j.End = d.sim.now
 	d.clients.finish()
 	d.commands.finish()
 	if c := j.Closing; c != nil {
@@ -134,18 +134,18 @@
 	}
 	j.Check()
 	for _, f := range j.Findings {
-		judge.Fail(f.Rule, f.At, "%s", f.Text)
+		checker.Fail(f.Rule, f.At, "%s", f.Text)
 	}
 	for rule, n := range j.Broken {
-		judge.Count("broken."+rule, n)
+		checker.Count("broken."+rule, n)
 	}
 	for rule, n := range j.Tested {
-		judge.Tested[rule] += n
+		checker.Tested[rule] += n
 	}
 	for _, m := range d.machines {
 		for _, p := range m.processes() {
 			if p.kernel != nil {
-				p.kernel.Counts.Each(func(name string, n int64) { judge.Count("sum."+name, n) })
+				p.kernel.Counts.Each(func(name string, n int64) { checker.Count("sum."+name, n) })
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 	default:
 		us = 500
 	}
-	return us + d.world.rng.Int64N(us/4+40)
+	return us + d.sim.rng.Int64N(us/4+40)
 }
 
 func (d *day) region(zone string) string {
@@ -173,16 +173,16 @@
 	return ""
 }
 
-// drawAround draws a positive, log-normally distributed value with the given mean; share is its sigma.
-func (d *day) drawAround(mean clock.Micros, share float64) clock.Micros {
-	x := math.Exp(share*d.world.rng.NormFloat64() - share*share/2)
+// drawLogNormal draws a positive, log-normally distributed value with the given mean; sigma is its shape parameter.
+func (d *day) drawLogNormal(mean clock.Micros, sigma float64) clock.Micros {
+	x := math.Exp(sigma*d.sim.rng.NormFloat64() - sigma*sigma/2)
 	return max(1, int64(float64(mean)*x))
 }
 
 // drawWork draws how long one request of a kind takes at a backend.
 func (d *day) drawWork(kind *requestShape) clock.Micros {
-	us := d.drawAround(kind.workUs, 0.45)
-	if d.world.rng.IntN(100) < kind.tailPct {
+	us := d.drawLogNormal(kind.workUs, 0.45)
+	if d.sim.rng.IntN(100) < kind.tailPct {
 		us *= 4
 	}
 	return min(us, 6*kind.workUs)
--- a/lab/sim/day_armed_faults.go
+++ b/lab/sim/day_armed_faults.go
@@ -5,46 +5,48 @@
 
 import "wallport/runtime/clock"
 
-// armedTake is called with the core member that has accepted a request which may run only once.
-type armedTake func(m *machine)
+// acceptHook is called with the core member that has accepted a request which may run only once.
+type acceptHook func(m *machine)
 
-// arm defers a fault until its event.
-func (d *day) arm(step *dayStep) {
+// deferFault defers a fault until its event.
+func (d *day) deferFault(step *dayStep) {
 	switch {
 	case step.has("timed"):
-		d.commands.sentArmed = append(d.commands.sentArmed, func() {
-			d.world.after(d.drawArmedDelay(), func() {
+		d.commands.sendHooks = append(d.commands.sendHooks, func() {
+			d.sim.after(d.drawDelayAfterSend(), func() {
 				if m := d.leader(); m != nil {
-					d.strikeAfterAck(step, m)
+					d.failAfterAck(step, m)
 				}
 			})
 		})
 	case step.has("taken"):
-		d.armTaken(func(m *machine) { d.strikeAfterAck(step, m) })
+		d.onNextAccept(func(m *machine) { d.failAfterAck(step, m) })
 	default:
-		d.commands.armed = append(d.commands.armed, func(m *machine) { d.strikeAfterAck(step, m) })
+		d.commands.ackHooks = append(d.commands.ackHooks, func(m *machine) { d.failAfterAck(step, m) })
 	}
 }
 
-// drawArmedDelay draws a delay shortly after a change was sent, acknowledged or not.
-func (d *day) drawArmedDelay() clock.Micros { return 5000 + d.world.rng.Int64N(395*clock.Millisecond) }
+// drawDelayAfterSend draws a delay shortly after a change was sent, acknowledged or not.
+func (d *day) drawDelayAfterSend() clock.Micros {
+	return 5000 + d.sim.rng.Int64N(395*clock.Millisecond)
+}
 
-func (d *day) armTaken(f armedTake) { d.armedTakes = append(d.armedTakes, f) }
+func (d *day) onNextAccept(f acceptHook) { d.acceptHooks = append(d.acceptHooks, f) }
 
-// machineTookRequest is called when a machine has read a client's request.
-func (d *day) machineTookRequest(m *machine, repeatable bool) {
-	if repeatable || !m.coreMember() || len(d.armedTakes) == 0 {
+// machineAcceptedRequest is called when a machine has read a client's request.
+func (d *day) machineAcceptedRequest(m *machine, repeatable bool) {
+	if repeatable || !m.coreMember() || len(d.acceptHooks) == 0 {
 		return
 	}
-	armed := d.armedTakes
-	d.armedTakes = nil
-	for _, f := range armed {
-		d.world.after(d.world.rng.Int64N(4000), func() { f(m) })
+	hooks := d.acceptHooks
+	d.acceptHooks = nil
+	for _, f := range hooks {
+		d.sim.after(d.sim.rng.Int64N(4000), func() { f(m) })
 	}
 }
 
-// strikeFurther hits further core members beside the one that acknowledged, as many as the deployment tolerates.
-func (d *day) strikeFurther(step *dayStep) {
+// failFurtherMembers hits further core members beside the one that acknowledged, as many as the deployment tolerates.
+func (d *day) failFurtherMembers(step *dayStep) {
 	for range step.count - 1 {
 		m := d.drawCoreMember(&dayStep{})
 		if m == nil || d.toleratedFaults(nil) < 1 {
--- a/lab/sim/day_backend_faults.go
+++ b/lab/sim/day_backend_faults.go
@@ -15,7 +15,7 @@
 	service := step.service
 	if service == "" {
 		service = d.site.pools[0].name
-		if d.world.rng.IntN(3) == 0 {
+		if d.sim.rng.IntN(3) == 0 {
 			service = d.site.kinds[len(d.site.kinds)-1].pool
 		}
 	}
@@ -29,7 +29,7 @@
 		}
 		if p := d.site.pool(service); p != nil && p.shards > 0 {
 			// All of one shard.
-			return b.of(all[d.world.rng.IntN(len(all))].row.Pool)
+			return b.of(all[d.sim.rng.IntN(len(all))].row.Pool)
 		}
 		return all
 	}
@@ -37,12 +37,12 @@
 	if n == 0 {
 		n = max(1, int(share*float64(len(all))+0.5))
 	}
-	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	d.sim.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	var out []*incarnation
-	hit := map[string]int{}
+	perPool := map[string]int{}
 	for _, inc := range all {
-		if len(out) < n && (hit[inc.row.Pool] == 0 || hit[inc.row.Pool]+1 < len(b.of(inc.row.Pool))) && len(b.of(inc.row.Pool)) > 1 {
-			hit[inc.row.Pool]++
+		if len(out) < n && (perPool[inc.row.Pool] == 0 || perPool[inc.row.Pool]+1 < len(b.of(inc.row.Pool))) && len(b.of(inc.row.Pool)) > 1 {
+			perPool[inc.row.Pool]++
 			out = append(out, inc)
 		}
 	}
@@ -52,14 +52,14 @@
 // backendFault runs the step if it is a backend fault, and reports whether it is.
 func (d *day) backendFault(step *dayStep) bool {
 	set := func(share float64, on, off func(inc *incarnation)) {
-		lives := d.drawBackends(step, step.shareOr(share))
-		d.world.Checker.Count("troubled."+step.verb, int64(len(lives)))
+		targets := d.drawBackends(step, step.shareOr(share))
+		d.sim.Checker.Count("troubled."+step.verb, int64(len(targets)))
 		d.recordUnplanned(step.forUs)
-		for _, inc := range lives {
+		for _, inc := range targets {
 			on(inc)
 		}
-		d.world.after(step.forUs, func() {
-			for _, inc := range lives {
+		d.sim.after(step.forUs, func() {
+			for _, inc := range targets {
 				off(inc)
 			}
 		})
@@ -75,9 +75,11 @@
 	case "srv_slow":
 		set(0.15, func(inc *incarnation) { inc.slowdown = int64(step.factorOr(4) * 1000) }, func(inc *incarnation) { inc.slowdown = 0 })
 	case "srv_grey":
-		set(0.15, func(inc *incarnation) { inc.grey = greyOf(step) }, func(inc *incarnation) { inc.grey = grey{} })
+		set(0.15, func(inc *incarnation) { inc.partialFailure = partialFailureOf(step) }, func(inc *incarnation) { inc.partialFailure = partialFailure{} })
 	case "srv_lying_health":
-		set(0.15, func(inc *incarnation) { inc.grey, inc.reportsUnhealthy = lying(step), step.has("bad") }, func(inc *incarnation) { inc.grey, inc.reportsUnhealthy = grey{}, false })
+		set(0.15, func(inc *incarnation) {
+			inc.partialFailure, inc.reportsUnhealthy = misreportedHealthOf(step), step.has("bad")
+		}, func(inc *incarnation) { inc.partialFailure, inc.reportsUnhealthy = partialFailure{}, false })
 	case "idle_race":
 		set(0.5, func(inc *incarnation) { inc.connTimeout = int64(step.factorOr(300) * 1000) }, func(inc *incarnation) { inc.connTimeout = 0 })
 	case "garble":
@@ -94,11 +96,11 @@
 		d.reuse(step)
 	case "cold_return":
 		d.recordUnplanned(step.forUs)
-		d.world.Checker.Count("troubled.cold_return", 1)
+		d.sim.Checker.Count("troubled.cold_return", 1)
 		d.downZone(d.drawZone(step), step.forUs, step.has("dark"))
 	case "srv_flap":
 		d.recordUnplanned(step.forUs)
-		d.flap(step, d.drawBackends(step, step.shareOr(0.15)), d.world.now+step.forUs)
+		d.flap(step, d.drawBackends(step, step.shareOr(0.15)), d.sim.now+step.forUs)
 	default:
 		return false
 	}
@@ -106,16 +108,16 @@
 }
 
 // flap makes backends crash and start alternately until the given time.
-func (d *day) flap(step *dayStep, lives []*incarnation, until clock.Micros) {
-	if d.world.now >= until {
+func (d *day) flap(step *dayStep, targets []*incarnation, until clock.Micros) {
+	if d.sim.now >= until {
 		return
 	}
-	for i, inc := range lives {
+	for i, inc := range targets {
 		inc.crash(false)
-		d.world.after(step.gapUs, func() {
-			lives[i] = d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
+		d.sim.after(step.gapUs, func() {
+			targets[i] = d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 			d.backends.publish()
 		})
 	}
-	d.world.after(2*step.gapUs, func() { d.flap(step, slices.Clone(lives), until) })
+	d.sim.after(2*step.gapUs, func() { d.flap(step, slices.Clone(targets), until) })
 }
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -17,14 +17,14 @@
 
 // Constants of the platform and of backends.
 const (
-	listLagUs   = 800 * clock.Millisecond
-	pageSize    = 50
-	listPerS    = 44
-	reuseUs     = 2 * clock.Second
-	crashedFor  = 3 * clock.Second
-	warmUpUs    = 3 * clock.Second
-	warmUpX     = 1600
-	pausePeriod = 4 * clock.Second
+	listLagUs      = 800 * clock.Millisecond
+	pageSize       = 50
+	listPerS       = 44
+	addressReuseUs = 2 * clock.Second
+	crashDelistUs  = 3 * clock.Second
+	warmUpUs       = 3 * clock.Second
+	coldWorkFactor = 1600
+	pausePeriod    = 4 * clock.Second
 )
 
 type backends struct {
@@ -38,8 +38,8 @@
 	// free holds the addresses of backends that have ended, and when they may be used again.
 	free []freeAddr
 	mode string
-	// reuses makes every new incarnation take a free address of another pool where there is one.
-	reuses bool
+	// preferReuse makes every new incarnation take a free address of another pool where there is one.
+	preferReuse bool
 }
 
 type freeAddr struct {
@@ -75,7 +75,7 @@
 // begin starts the initial backends, already warm.
 func (b *backends) begin() {
 	for i := range b.day.site.pools {
-		if p := &b.day.site.pools[i]; !p.later {
+		if p := &b.day.site.pools[i]; !p.afterReshard {
 			b.startPool(p)
 		}
 	}
@@ -98,16 +98,16 @@
 func (b *backends) start(p *poolShape, pool, zone string) *incarnation {
 	d := b.day
 	b.nextID++
-	inc := &incarnation{day: d, shape: p, warmAt: d.world.now + warmUpUs, up: true, listed: true}
+	inc := &incarnation{day: d, shape: p, warmAt: d.sim.now + warmUpUs, up: true, listed: true}
 	inc.row = wire.Backend{ID: fmt.Sprintf("i-%04d", b.nextID), Zone: zone, Pool: pool, State: "ready", Incarnation: 1, Slots: p.slots}
 	inc.row.Addr = b.address(pool, zone)
-	inc.record = &rules.Backend{ID: inc.row.ID, Pool: pool, Zone: zone, Born: d.world.now, Ended: rules.Never, Shown: rules.Never, SlowStartPerS: p.slowStartPerS}
-	inc.speed = 90 + d.world.rng.Int64N(21)
-	inc.phase = d.world.rng.Int64N(pausePeriod)
-	if d.world.now == 0 {
+	inc.record = &rules.Backend{ID: inc.row.ID, Pool: pool, Zone: zone, Born: d.sim.now, Ended: rules.Never, Shown: rules.Never, SlowStartPerS: p.slowStartPerS}
+	inc.speed = 90 + d.sim.rng.Int64N(21)
+	inc.phase = d.sim.rng.Int64N(pausePeriod)
+	if d.sim.now == 0 {
 		inc.warmAt = 0
 	} else {
-		inc.record.SlowStart = rules.Spans{{From: d.world.now, To: inc.warmAt}}
+		inc.record.SlowStart = rules.Spans{{From: d.sim.now, To: inc.warmAt}}
 	}
 	b.all = append(b.all, inc)
 	b.byAddr[inc.row.Addr] = inc
@@ -117,11 +117,11 @@
 
 // address returns a fresh address, or a free one of a backend of another pool.
 func (b *backends) address(pool, zone string) string {
-	i := slices.IndexFunc(b.free, func(f freeAddr) bool { return f.zone == zone && f.pool != pool && f.at <= b.day.world.now })
-	if i >= 0 && (b.reuses || b.day.world.rng.IntN(2) == 0) {
+	i := slices.IndexFunc(b.free, func(f freeAddr) bool { return f.zone == zone && f.pool != pool && f.at <= b.day.sim.now })
+	if i >= 0 && (b.preferReuse || b.day.sim.rng.IntN(2) == 0) {
 		addr := b.free[i].addr
 		b.free = slices.Delete(b.free, i, i+1)
-		b.day.world.Checker.Count("addresses_reused", 1)
+		b.day.sim.Checker.Count("addresses_reused", 1)
 		return addr
 	}
 	b.nextAddr++
@@ -130,7 +130,7 @@
 
 // publish records the current backends at the platform, which shows them after its lag.
 func (b *backends) publish() {
-	now := b.day.world.now
+	now := b.day.sim.now
 	list := wire.BackendList{Complete: true, Backends: []wire.Backend{}}
 	for _, inc := range b.all {
 		if !inc.listed {
@@ -145,31 +145,31 @@
 
 // serveList reads the complete list, which costs as many calls as it has pages.
 func (b *backends) serveList() (int, []byte) {
-	w := b.day.world
-	for len(b.calls) > 0 && w.now-b.calls[0] >= clock.Second {
+	sim := b.day.sim
+	for len(b.calls) > 0 && sim.now-b.calls[0] >= clock.Second {
 		b.calls = b.calls[1:]
 	}
 	var out wire.BackendList
 	for _, l := range b.published {
-		if w.now-l.at >= listLagUs || l.at == 0 {
+		if sim.now-l.at >= listLagUs || l.at == 0 {
 			out = l.list
 		}
 	}
 	out.Backends = slices.Clone(out.Backends)
 	out.Calls = int64(len(out.Backends)/pageSize + 1)
-	w.Checker.Count("platform_calls", out.Calls)
+	sim.Checker.Count("platform_calls", out.Calls)
 	if len(b.calls)+int(out.Calls) > listPerS {
-		w.Checker.Count("platform_shed", 1)
+		sim.Checker.Count("platform_shed", 1)
 		return 429, nil
 	}
 	for range out.Calls {
-		b.calls = append(b.calls, w.now)
+		b.calls = append(b.calls, sim.now)
 	}
 	if b.mode == "fail" {
 		return 500, nil
 	}
 	for i := range out.Backends {
-		out.Backends[i].WarmUpRemaining = max(0, out.Backends[i].WarmUpRemaining-w.now)
+		out.Backends[i].WarmUpRemaining = max(0, out.Backends[i].WarmUpRemaining-sim.now)
 	}
 	body, err := json.Marshal(&out)
 	if err != nil {
@@ -185,10 +185,10 @@
 	if platform {
 		d.listReader = p.machine
 		status, body := d.backends.serveList()
-		answer(1000+d.world.rng.Int64N(1000), kernel.Fetched{Status: status, Body: body})
+		answer(1000+d.sim.rng.Int64N(1000), kernel.Fetched{Status: status, Body: body})
 		return
 	}
-	d.world.Checker.Count("probes", 1)
+	d.sim.Checker.Count("probes", 1)
 	inc := d.backends.byAddr[addr]
 	rtt := 2 * d.latency(p.settings.Zone, zoneOf(inc, p))
 	switch {
@@ -197,7 +197,7 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 	default:
 		inc.healthCheck(func(status int) {
-			r := healthcheck.Response{ID: inc.row.ID, Incarnation: 1, Usage: int64(inc.running + len(inc.queue)), SlowStart: max(0, inc.warmAt-d.world.now)}
+			r := healthcheck.Response{ID: inc.row.ID, Incarnation: 1, Usage: int64(inc.running + len(inc.queue)), SlowStart: max(0, inc.warmAt-d.sim.now)}
 			body, err := json.Marshal(&r)
 			if err == nil {
 				answer(rtt, kernel.Fetched{Status: status, Body: body})
--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -9,29 +9,29 @@
 	"wallport/lab/rules"
 )
 
-// badModes are the defects that an invalid configuration can have, as the platform names them.
-var badModes = []string{
+// configDefects are the defects that an invalid configuration can have, as the platform names them.
+var configDefects = []string{
 	"cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key",
 }
 
 // sendBad sends invalid configurations: each defect in turn, or the one that the step names.
 func (c *commands) sendBad(step *dayStep) {
 	for i := range max(1, step.count) {
-		c.day.world.after(int64(i)*step.gapUs, func() {
-			way := badModes[c.day.world.rng.IntN(len(badModes))]
-			for _, w := range badModes {
-				if step.has(w) {
-					way = w
+		c.day.sim.after(int64(i)*step.gapUs, func() {
+			defect := configDefects[c.day.sim.rng.IntN(len(configDefects))]
+			for _, candidate := range configDefects {
+				if step.has(candidate) {
+					defect = candidate
 				}
 			}
-			c.enqueue(func() { c.putBad(way) })
+			c.enqueue(func() { c.putInvalid(defect) })
 		})
 	}
 }
 
-func (c *commands) putBad(defect string) {
+func (c *commands) putInvalid(defect string) {
 	d, base := c.day, c.base
-	df := draft{routes: []*routingpb.Route{c.badRoute(defect)}, invalid: true}
+	df := draft{routes: []*routingpb.Route{c.invalidRoute(defect)}, invalid: true}
 	switch defect {
 	case "cut_short":
 		df.truncated = true
@@ -42,10 +42,10 @@
 	case "shared_key":
 		// Two items of one list have the same name.
 		df.complete = true
-		twin := proto.Clone(df.routes[0]).(*routingpb.Route)
-		twin.Prefix = prefixOf("twin")
+		duplicate := proto.Clone(df.routes[0]).(*routingpb.Route)
+		duplicate.Prefix = prefixOf("twin")
 		base = &rules.Version{Revision: base.Revision, Table: proto.Clone(base.Table).(*routingpb.RoutingTable)}
-		base.Table.Routes = append(base.Table.Routes, twin)
+		base.Table.Routes = append(base.Table.Routes, duplicate)
 	case "stale_match":
 		// Valid in itself, but based on a version that does not exist.
 		df.invalid = false
@@ -55,14 +55,14 @@
 			base = &rules.Version{Revision: base.Revision - 1, Table: base.Table}
 		}
 	}
-	d.world.Checker.Count("way.bad_config."+defect, 1)
+	d.sim.Checker.Count("way.bad_config."+defect, 1)
 	c.put(base, df, false, c.runNext)
 }
 
-// badRoute returns a changed route with the named defect.
-func (c *commands) badRoute(defect string) *routingpb.Route {
-	now := c.base.Table
-	r := c.edited(now, now.Routes[c.day.world.rng.IntN(len(now.Routes))])
+// invalidRoute returns a changed route with the named defect.
+func (c *commands) invalidRoute(defect string) *routingpb.Route {
+	table := c.base.Table
+	r := c.edited(table, table.Routes[c.day.sim.rng.IntN(len(table.Routes))])
 	switch defect {
 	case "unknown_service":
 		r.Pool, r.PoolWeights, r.FanoutPools = "nowhere", nil, nil
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -17,10 +17,10 @@
 const (
 	clientsPerZone      = 30
 	connectUs           = clock.Second
-	readyEvery          = clock.Second
-	missesMost          = 2
+	readinessInterval   = clock.Second
+	maxMisses           = 2
 	waveUs              = 11 * clock.Second
-	probeEvery          = 400 * clock.Millisecond
+	probeInterval       = 400 * clock.Millisecond
 	defaultEagerRetries = 2
 )
 
@@ -34,11 +34,11 @@
 	eager  int
 	// eagerRetries is the number of additional retries of clients that do not wait as told.
 	eagerRetries int
-	owed         map[string]float64
+	offered      map[string]float64
 	earned       map[string]float64
 	phases       []float64
-	// pressure holds the load factors of zones and of kinds of requests.
-	pressure map[string]float64
+	// loadFactors holds the load factors of zones and of kinds of requests.
+	loadFactors map[string]float64
 }
 
 // nodeConn is a client's connection to one incarnation of a node.
@@ -47,8 +47,8 @@
 	incarnation int
 }
 
-// wantedRequest is one logical request of a client, which may take several attempts.
-type wantedRequest struct {
+// clientCall is one logical request of a client, which may take several attempts.
+type clientCall struct {
 	kind                  *requestShape
 	zone, client          string
 	began, end            clock.Micros
@@ -62,29 +62,29 @@
 
 func (c *clients) init(d *day) {
 	c.day, c.misses, c.conns = d, map[*machine]int{}, map[string]nodeConn{}
-	c.pressure = map[string]float64{}
+	c.loadFactors = map[string]float64{}
 	c.eagerRetries = defaultEagerRetries
-	c.rate = float64(d.world.Script.Int("rate_percent", 20)) / 100
-	c.eager = int(d.world.Script.Int("eager_percent", 5))
-	c.owed, c.earned = map[string]float64{}, map[string]float64{}
+	c.rate = float64(d.sim.Script.Int("rate_percent", 20)) / 100
+	c.eager = int(d.sim.Script.Int("eager_percent", 5))
+	c.offered, c.earned = map[string]float64{}, map[string]float64{}
 	for range d.site.zones {
-		c.phases = append(c.phases, d.world.rng.Float64())
+		c.phases = append(c.phases, d.sim.rng.Float64())
 	}
 }
 
 func (c *clients) begin() {
 	c.until = c.day.end() - clock.Second
-	c.day.world.at(100*clock.Millisecond, c.checkReady)
+	c.day.sim.at(100*clock.Millisecond, c.checkReady)
 	for i := range c.day.site.zones {
-		c.day.world.at(leadUs, func() { c.next(i) })
+		c.day.sim.at(trafficStartUs, func() { c.sendNext(i) })
 	}
-	c.day.world.at(leadUs, c.sendProbe)
+	c.day.sim.at(trafficStartUs, c.sendProbe)
 }
 
-// next sends a request of a zone's clients and schedules the following one.
-func (c *clients) next(zi int) {
+// sendNext sends a request of a zone's clients and schedules the following one.
+func (c *clients) sendNext(zi int) {
 	d := c.day
-	if d.world.now >= c.until || c.rate <= 0 {
+	if d.sim.now >= c.until || c.rate <= 0 {
 		return
 	}
 	z := d.site.zones[zi]
@@ -95,10 +95,10 @@
 	for i := range d.site.kinds {
 		perS += c.perSecond(&d.site.kinds[i])
 	}
-	wave := 1 + 0.15*math.Sin(2*math.Pi*(float64(d.world.now)/float64(waveUs)+c.phases[zi]))
-	rate := perS * c.rate * c.pressureOn(z.name) * z.weight / sum * wave
-	d.world.after(int64(d.world.rng.ExpFloat64()*1e6/rate)+1, func() { c.next(zi) })
-	pick := d.world.rng.Float64() * perS
+	wave := 1 + 0.15*math.Sin(2*math.Pi*(float64(d.sim.now)/float64(waveUs)+c.phases[zi]))
+	rate := perS * c.rate * c.loadFactor(z.name) * z.weight / sum * wave
+	d.sim.after(int64(d.sim.rng.ExpFloat64()*1e6/rate)+1, func() { c.sendNext(zi) })
+	pick := d.sim.rng.Float64() * perS
 	kind := &d.site.kinds[0]
 	for i := range d.site.kinds {
 		if pick -= c.perSecond(&d.site.kinds[i]); pick < 0 {
@@ -107,19 +107,19 @@
 		}
 	}
 	c.sent++
-	wanted := &wantedRequest{
-		kind: kind, zone: z.name, client: fmt.Sprintf("%s/%d", z.name, d.world.rng.IntN(clientsPerZone)), began: d.world.now, end: d.world.now + kind.deadlineUs,
-		attemptsLeft: 1 + kind.retries, path: fmt.Sprintf("%sx%d", prefixOf(kind.name), c.sent), eager: d.world.rng.IntN(100) < c.eager,
+	call := &clientCall{
+		kind: kind, zone: z.name, client: fmt.Sprintf("%s/%d", z.name, d.sim.rng.IntN(clientsPerZone)), began: d.sim.now, end: d.sim.now + kind.deadlineUs,
+		attemptsLeft: 1 + kind.retries, path: fmt.Sprintf("%sx%d", prefixOf(kind.name), c.sent), eager: d.sim.rng.IntN(100) < c.eager,
 	}
-	if wanted.eager {
-		wanted.attemptsLeft += c.eagerRetries
+	if call.eager {
+		call.attemptsLeft += c.eagerRetries
 	}
 	for range kind.bodyBytes {
-		wanted.body = append(wanted.body, byte(d.world.rng.Uint32()))
+		call.body = append(call.body, byte(d.sim.rng.Uint32()))
 	}
-	c.owed[kind.name] += kind.value
-	d.world.Checker.Count("requests", 1)
-	c.sendAttempt(wanted)
+	c.offered[kind.name] += kind.value
+	d.sim.Checker.Count("requests", 1)
+	c.sendAttempt(call)
 }
 
 func prefixOf(name string) string { return "/" + name + "/" }
@@ -127,117 +127,117 @@
 const host = "wall.example"
 
 // sendAttempt makes one attempt at a request.
-func (c *clients) sendAttempt(wanted *wantedRequest) {
+func (c *clients) sendAttempt(call *clientCall) {
 	d := c.day
-	wanted.attemptsLeft--
-	wanted.attempt++
-	d.world.nextID++
+	call.attemptsLeft--
+	call.attempt++
+	d.sim.nextID++
 	attempt := &rules.Attempt{
-		ID: fmt.Sprintf("t-%x", d.world.nextID), Class: wanted.kind.name, Client: wanted.client, Zone: wanted.zone, Host: host, Method: "GET", Path: wanted.path,
-		Target: wanted.path + "?q=1", Body: wanted.body, Repeatable: wanted.kind.repeatable, Sent: d.world.now, Ended: rules.Never, Deadline: wanted.end, Further: wanted.attempt > 1,
+		ID: fmt.Sprintf("t-%x", d.sim.nextID), Class: call.kind.name, Client: call.client, Zone: call.zone, Host: host, Method: "GET", Path: call.path,
+		Target: call.path + "?q=1", Body: call.body, Repeatable: call.kind.repeatable, Sent: d.sim.now, Ended: rules.Never, Deadline: call.end, Further: call.attempt > 1,
 	}
-	if len(wanted.body) > 0 {
+	if len(call.body) > 0 {
 		attempt.Method = "POST"
 	}
 	d.journal.Attempts = append(d.journal.Attempts, attempt)
-	to, ok := c.conns[wanted.client]
-	if ok && (wanted.attempt > 1 || !to.machine.node.up || to.machine.node.incarnation != to.incarnation || c.day.gateways[to.machine.node].draining) {
-		delete(c.conns, wanted.client)
+	to, ok := c.conns[call.client]
+	if ok && (call.attempt > 1 || !to.machine.node.up || to.machine.node.incarnation != to.incarnation || c.day.gateways[to.machine.node].draining) {
+		delete(c.conns, call.client)
 		ok = false
 	}
 	if !ok {
-		to.machine = c.pickNode(wanted.zone, wanted.client, wanted.attempt+d.world.rng.IntN(2))
+		to.machine = c.pickNode(call.zone, call.client, call.attempt+d.sim.rng.IntN(2))
 		if to.machine == nil {
-			c.ended(wanted, attempt, false)
+			c.ended(call, attempt, false)
 			return
 		}
 		to.incarnation = to.machine.node.incarnation
 	}
 	attempt.Machine = to.machine.name
-	c.connect(wanted, attempt, to, !ok)
+	c.connect(call, attempt, to, !ok)
 }
 
 // connect opens a connection unless one is kept, and sends the request.
-func (c *clients) connect(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, fresh bool) {
+func (c *clients) connect(call *clientCall, attempt *rules.Attempt, to nodeConn, fresh bool) {
 	d := c.day
-	there := d.site.clientUs + d.world.rng.Int64N(200)
-	wait := there
+	latency := d.site.clientUs + d.sim.rng.Int64N(200)
+	wait := latency
 	if fresh {
-		wait = 3 * there
+		wait = 3 * latency
 		g := d.gateways[to.machine.node]
 		switch {
 		case to.machine.poweredOff:
-			d.world.after(connectUs, func() { c.ended(wanted, attempt, true) })
+			d.sim.after(connectUs, func() { c.ended(call, attempt, true) })
 			return
 		case g == nil || !g.accepts():
-			d.world.after(2*there, func() { c.ended(wanted, attempt, true) })
+			d.sim.after(2*latency, func() { c.ended(call, attempt, true) })
 			return
 		}
 	}
-	d.world.after(wait, func() { c.send(wanted, attempt, to, there) })
-	d.world.at(wanted.end, func() { c.giveUp(wanted, attempt) })
+	d.sim.after(wait, func() { c.send(call, attempt, to, latency) })
+	d.sim.at(call.end, func() { c.giveUp(call, attempt) })
 }
 
 // giveUp ends the attempt at the client's deadline.
-func (c *clients) giveUp(wanted *wantedRequest, attempt *rules.Attempt) {
+func (c *clients) giveUp(call *clientCall, attempt *rules.Attempt) {
 	if attempt.Ended == rules.Never {
 		attempt.GaveUp = true
-		c.ended(wanted, attempt, false)
+		c.ended(call, attempt, false)
 	}
 }
 
 // send delivers the request to the node once its last byte is there.
-func (c *clients) send(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, there int64) {
+func (c *clients) send(call *clientCall, attempt *rules.Attempt, to nodeConn, latency int64) {
 	d := c.day
 	if attempt.Ended != rules.Never {
 		return
 	}
 	p := to.machine.node
 	if !p.up || p.incarnation != to.incarnation {
-		d.world.after(there, func() { c.ended(wanted, attempt, !to.machine.poweredOff) })
+		d.sim.after(latency, func() { c.ended(call, attempt, !to.machine.poweredOff) })
 		return
 	}
 	g := d.gateways[p]
-	request := g.accept(attempt, wanted.kind, func(o *dispatch.Outcome) {
+	request := g.accept(attempt, call.kind, func(o *dispatch.Outcome) {
 		if o == nil {
-			dark := to.machine.poweredOff
+			poweredOff := to.machine.poweredOff
 			attempt.Aborted = attempt.Read > 0 && !attempt.GaveUp && attempt.Ended == rules.Never
-			if !dark {
-				d.world.after(there, func() { c.ended(wanted, attempt, attempt.Read == 0) })
+			if !poweredOff {
+				d.sim.after(latency, func() { c.ended(call, attempt, attempt.Read == 0) })
 			}
 			return
 		}
-		d.world.after(there, func() { c.responded(wanted, attempt, to, o) })
+		d.sim.after(latency, func() { c.responded(call, attempt, to, o) })
 	})
-	request.hangUp = func() {
+	request.disconnect = func() {
 		attempt.GaveUp = true
 		g.clientGone(request)
-		d.world.after(there, func() { c.ended(wanted, attempt, attempt.Read == 0) })
+		d.sim.after(latency, func() { c.ended(call, attempt, attempt.Read == 0) })
 	}
 	if attempt.Repeatable {
 		// An idempotent request that the node has not read after a while is given up.
-		d.world.after(min(clock.Second, (wanted.end-d.world.now)/3), func() {
+		d.sim.after(min(clock.Second, (call.end-d.sim.now)/3), func() {
 			if attempt.Read == 0 && attempt.Ended == rules.Never {
 				attempt.GaveUp = true
 				g.clientGone(request)
-				c.ended(wanted, attempt, true)
+				c.ended(call, attempt, true)
 			}
 		})
 	}
-	d.world.at(wanted.end, func() { g.clientGone(request) })
+	d.sim.at(call.end, func() { g.clientGone(request) })
 }
 
 func (c *clients) finish() {
-	var owed, earned float64
+	var offered, earned float64
 	for _, k := range c.day.site.kinds {
-		owed += c.owed[k.name]
+		offered += c.offered[k.name]
 		earned += c.earned[k.name]
-		if c.owed[k.name] > 0 {
-			c.day.world.Checker.Count("earned_percent."+k.name, int64(100*c.earned[k.name]/c.owed[k.name]))
+		if c.offered[k.name] > 0 {
+			c.day.sim.Checker.Count("earned_percent."+k.name, int64(100*c.earned[k.name]/c.offered[k.name]))
 		}
 	}
-	if owed > 0 {
-		c.day.world.Checker.Count("earned_percent", int64(100*earned/owed))
+	if offered > 0 {
+		c.day.sim.Checker.Count("earned_percent", int64(100*earned/offered))
 	}
 	ready := 0
 	for _, m := range c.day.machines {
@@ -245,7 +245,7 @@
 			ready++
 		}
 	}
-	c.day.world.Checker.Count("ready_at_end", int64(ready))
+	c.day.sim.Checker.Count("ready_at_end", int64(ready))
 }
 
 // burst multiplies the traffic of a zone, of a kind of requests, or all, for a while.
@@ -258,20 +258,20 @@
 	by := func(x float64) {
 		for _, name := range names {
 			if name != "" {
-				c.pressure[name] = c.pressureOn(name) * x
+				c.loadFactors[name] = c.loadFactor(name) * x
 			}
 		}
 	}
 	by(x)
-	c.day.world.after(step.forUs, func() { by(1 / x) })
+	c.day.sim.after(step.forUs, func() { by(1 / x) })
 }
 
 // allTraffic stands for all zones and kinds.
 const allTraffic = "*"
 
-// pressureOn returns the load factor of a zone or of a kind.
-func (c *clients) pressureOn(name string) float64 {
-	if x := c.pressure[name]; x > 0 {
+// loadFactor returns the load factor of a zone or of a kind.
+func (c *clients) loadFactor(name string) float64 {
+	if x := c.loadFactors[name]; x > 0 {
 		return x
 	}
 	return 1
@@ -279,12 +279,12 @@
 
 // perSecond returns how many requests of a kind arrive in a second, before the day's rate is applied.
 func (c *clients) perSecond(kind *requestShape) float64 {
-	return kind.perSecond * c.pressureOn(kind.name) * c.pressureOn(allTraffic)
+	return kind.perSecond * c.loadFactor(kind.name) * c.loadFactor(allTraffic)
 }
 
 // checkReady asks every node each second for its readiness; one that misses twice gets no new connections.
 func (c *clients) checkReady() {
-	c.day.world.after(readyEvery, c.checkReady)
+	c.day.sim.after(readinessInterval, c.checkReady)
 	for _, m := range c.day.machines {
 		if g := c.day.gateways[m.node]; g != nil && m.node.running() && !m.poweredOff && g.ready() {
 			c.misses[m] = 0
@@ -294,12 +294,12 @@
 	}
 }
 
-// in returns a zone's nodes that get new connections.
-func (c *clients) in(zone string) (out, all []*machine) {
+// nodesIn returns a zone's nodes that get new connections.
+func (c *clients) nodesIn(zone string) (out, all []*machine) {
 	for _, m := range c.day.machines {
 		if m.zone == zone && !m.removed {
 			all = append(all, m)
-			if c.misses[m] < missesMost {
+			if c.misses[m] < maxMisses {
 				out = append(out, m)
 			}
 		}
@@ -309,11 +309,11 @@
 
 // pickNode chooses the node of a new connection by a hash of the client, another one for each attempt.
 func (c *clients) pickNode(zone, client string, attempt int) *machine {
-	list, all := c.in(zone)
+	list, all := c.nodesIn(zone)
 	if len(list) == 0 {
 		// None is ready: fall back to the nodes of the other zones.
 		for _, z := range c.day.site.zones {
-			if l, _ := c.in(z.name); len(l) > 0 {
+			if l, _ := c.nodesIn(z.name); len(l) > 0 {
 				list = l
 				break
 			}
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -28,11 +28,11 @@
 	switch step.verb {
 	case "same_number":
 		for i := range max(1, step.count) {
-			d.world.after(int64(i)*step.gapUs, d.commands.sameNumber)
+			d.sim.after(int64(i)*step.gapUs, d.commands.sameNumber)
 		}
 	case "sent_again":
 		for i := range max(1, step.count) {
-			d.world.after(int64(i)*step.gapUs, d.commands.sentAgain)
+			d.sim.after(int64(i)*step.gapUs, d.commands.sentAgain)
 		}
 	case "late_evacuate":
 		d.lateEvacuate(step)
@@ -50,17 +50,17 @@
 			changed := c.draft(how)
 			edit, table := c.editOf(base, changed, revision)
 			version := &rules.Version{Revision: revision, Base: base.Revision, Table: table}
-			c.open++
-			c.day.world.after(c.day.world.rng.Int64N(30*clock.Millisecond), func() {
-				c.open--
+			c.inFlight++
+			c.day.sim.after(c.day.sim.rng.Int64N(30*clock.Millisecond), func() {
+				c.inFlight--
 				c.sendVersion(edit, version, draft{}, func() {
 					if version.Acked != rules.Never {
 						acked++
 					}
 					if acked > 1 {
-						c.day.world.Checker.Fail(pointOneNumber, c.day.world.now, "revision %d was acknowledged for two changes", revision)
+						c.day.sim.Checker.Fail(pointOneNumber, c.day.sim.now, "revision %d was acknowledged for two changes", revision)
 					}
-					c.day.world.Checker.Count("same_number.answered", 1)
+					c.day.sim.Checker.Count("same_number.answered", 1)
 					c.runNext()
 				})
 			})
@@ -73,13 +73,13 @@
 	if len(c.accepted) == 0 {
 		return
 	}
-	again := c.accepted[c.day.world.rng.IntN(len(c.accepted))]
+	change := c.accepted[c.day.sim.rng.IntN(len(c.accepted))]
 	for range 2 {
-		again.version.Repeats++
-		c.carry(again.edit, pin{}, nil, func(code wire.Code, _ *machine) {
-			c.day.world.Checker.Count("sent_again."+string(code), 1)
+		change.version.Repeats++
+		c.sendEdit(change.edit, pin{}, nil, func(code wire.Code, _ *machine) {
+			c.day.sim.Checker.Count("sent_again."+string(code), 1)
 			if code != wire.CodeOK {
-				c.day.world.Checker.Fail(pointSentAgain, c.day.world.now, "a change that was acknowledged was answered %s when it was sent again", code)
+				c.day.sim.Checker.Fail(pointSentAgain, c.day.sim.now, "a change that was acknowledged was answered %s when it was sent again", code)
 			}
 		})
 	}
@@ -90,17 +90,17 @@
 // a moment later; otherwise the command reaches it when the partition heals.
 func (d *day) lateEvacuate(step *dayStep) {
 	list := d.listedCores()
-	m := list[d.world.rng.IntN(len(list))]
+	m := list[d.sim.rng.IntN(len(list))]
 	// Its outcome is never known.
-	d.journal.ZoneCalls = append(d.journal.ZoneCalls, &rules.ZoneCall{Zone: step.zone, Drains: true, Sent: d.world.now, Acked: rules.Never})
-	give := func() {
+	d.journal.ZoneCalls = append(d.journal.ZoneCalls, &rules.ZoneCall{Zone: step.zone, Drains: true, Sent: d.sim.now, Acked: rules.Never})
+	deliverCommand := func() {
 		p := m.core
 		if !p.running() {
 			return
 		}
-		d.world.Checker.Count("late_evacuate.given", 1)
+		d.sim.Checker.Count("late_evacuate.given", 1)
 		p.deliver(func() {
-			p.call("operate", operations.Submit{Edit: wire.Edit{Op: "empty", Name: step.zone}, AwaitInForce: true, AwaitTimeout: waitUs, Timeout: answerUs}, nil)
+			p.call("operate", operations.Submit{Edit: wire.Edit{Op: "empty", Name: step.zone}, AwaitInForce: true, AwaitTimeout: awaitInForceUs, Timeout: answerTimeoutUs}, nil)
 			id := p.nextCall
 			// The end of the connection follows the command at once where the operator has gone.
 			after := int64(commandTimeoutUs)
@@ -111,20 +111,20 @@
 		})
 	}
 	if step.has("core") {
-		give()
-		d.world.after(d.world.rng.Int64N(8*clock.Millisecond), func() { d.partitionMachine(m, step.forUs) })
+		deliverCommand()
+		d.sim.after(d.sim.rng.Int64N(8*clock.Millisecond), func() { d.partitionMachine(m, step.forUs) })
 	} else {
-		d.world.after(step.forUs, give)
+		d.sim.after(step.forUs, deliverCommand)
 	}
-	d.world.after(step.forUs/2, func() {
-		back := &rules.ZoneCall{Zone: step.zone, Sent: d.world.now, Acked: rules.Never}
-		d.journal.ZoneCalls = append(d.journal.ZoneCalls, back)
-		d.commands.carry(wire.Edit{Op: "refill", Name: step.zone}, pin{}, nil, func(code wire.Code, _ *machine) {
-			d.world.Checker.Count("late_evacuate.taken_back."+string(code), 1)
+	d.sim.after(step.forUs/2, func() {
+		restore := &rules.ZoneCall{Zone: step.zone, Sent: d.sim.now, Acked: rules.Never}
+		d.journal.ZoneCalls = append(d.journal.ZoneCalls, restore)
+		d.commands.sendEdit(wire.Edit{Op: "refill", Name: step.zone}, pin{}, nil, func(code wire.Code, _ *machine) {
+			d.sim.Checker.Count("late_evacuate.taken_back."+string(code), 1)
 			if code == wire.CodeOK {
-				back.Acked = d.world.now
+				restore.Acked = d.sim.now
 			}
-			d.world.after(step.forUs+zoneSettleUs, func() { d.checkZoneRestored(step.zone) })
+			d.sim.after(step.forUs+zoneSettleUs, func() { d.checkZoneRestored(step.zone) })
 		})
 	})
 }
@@ -141,7 +141,7 @@
 	d.setPartitioned(links, true, false)
 	m.recordEvent()
 	d.updateFaultSpans()
-	d.world.after(forUs, func() { d.setPartitioned(links, false, false); m.recordEvent(); d.updateFaultSpans() })
+	d.sim.after(forUs, func() { d.setPartitioned(links, false, false); m.recordEvent(); d.updateFaultSpans() })
 }
 
 func (d *day) checkZoneRestored(zone string) {
@@ -150,9 +150,9 @@
 		if !p.running() || p.snapshots.Current() == nil {
 			continue
 		}
-		d.world.Checker.Count("late_evacuate.looked", 1)
+		d.sim.Checker.Count("late_evacuate.looked", 1)
 		if slices.Contains(p.snapshots.Current().Config.DrainedZones, zone) {
-			d.world.Checker.Fail(pointLateCommand, d.world.now, "%s has %s drained, which was taken back after that order was given", m.name, zone)
+			d.sim.Checker.Fail(pointLateCommand, d.sim.now, "%s has %s drained, which was taken back after that order was given", m.name, zone)
 		}
 	}
 }
--- a/lab/sim/day_commands.go
+++ b/lab/sim/day_commands.go
@@ -22,8 +22,8 @@
 	commandTimeoutUs = clock.Second
 	backoffUs        = 50 * clock.Millisecond
 	backoffMaxUs     = clock.Second
-	answerUs         = 800 * clock.Millisecond
-	waitUs           = 300 * clock.Millisecond
+	answerTimeoutUs  = 800 * clock.Millisecond
+	awaitInForceUs   = 300 * clock.Millisecond
 	controlLatencyUs = 1000
 )
 
@@ -33,15 +33,15 @@
 	base     *rules.Version
 	revision int64
 	queue    []func()
-	open     int
+	inFlight int
 	nextIdle int
-	// armed are called at the next acknowledgement.
-	armed []func(m *machine)
+	// ackHooks are called at the next acknowledgement.
+	ackHooks []func(m *machine)
 	// last is the machine that sent the latest acknowledgement.
-	last  *machine
-	zones map[string]*rules.Evacuation
-	// sentArmed are called when the next configuration is sent.
-	sentArmed []func()
+	lastAcked *machine
+	zones     map[string]*rules.Evacuation
+	// sendHooks are called when the next configuration is sent.
+	sendHooks []func()
 	races     int
 	ackLoss   ackLoss
 	accepted  []acceptedChange
@@ -65,78 +65,78 @@
 // send calls some core; only a final answer ends the command.
 func (c *commands) send(cmd *command) {
 	d := c.day
-	again := func() {
+	retry := func() {
 		cmd.backoff = min(backoffMaxUs, max(backoffUs, cmd.backoff*3/2))
-		d.world.after(cmd.backoff, func() { c.send(cmd) })
+		d.sim.after(cmd.backoff, func() { c.send(cmd) })
 	}
-	if cmd.until > 0 && d.world.now >= cmd.until {
+	if cmd.until > 0 && d.sim.now >= cmd.until {
 		return
 	}
 	m := c.target(cmd)
 	if m == nil {
-		again()
+		retry()
 		return
 	}
 	cmd.avoid = m
-	over := false
+	ended := false
 	p := m.core
 	next := func() {
-		if !over {
-			over = true
-			again()
+		if !ended {
+			ended = true
+			retry()
 		}
 	}
 	switch {
 	case m.poweredOff:
 	case !p.up:
-		d.world.after(2*controlLatencyUs, next)
+		d.sim.after(2*controlLatencyUs, next)
 		return
 	default:
-		life := p.incarnation
-		d.world.after(controlLatencyUs, func() {
+		started := p.incarnation
+		d.sim.after(controlLatencyUs, func() {
 			p.deliver(func() {
-				c.hangUp(p, &over, p.nextCall+1)
+				c.disconnectOperator(p, &ended, p.nextCall+1)
 				p.call("operate", cmd.request(), func(v any) {
 					code := cmd.code(v)
 					lost := c.losesAck(cmd, code)
-					d.world.after(controlLatencyUs, func() {
-						if over || lost || m.poweredOff || p.incarnation != life {
+					d.sim.after(controlLatencyUs, func() {
+						if ended || lost || m.poweredOff || p.incarnation != started {
 							return
 						}
 						if code == wire.CodeOverloaded || code == wire.CodeUnknown {
-							d.world.Checker.Count("orders."+string(code), 1)
+							d.sim.Checker.Count("orders."+string(code), 1)
 							cmd.pin = pin{}
 							next()
 							return
 						}
-						over = true
+						ended = true
 						cmd.done(code, m)
 					})
 				})
 			})
 		})
 	}
-	d.world.after(commandTimeoutUs, next)
+	d.sim.after(commandTimeoutUs, next)
 }
 
 func editCode(v any) wire.Code { return (v.(operations.Result).Reply.Code) }
 
-// carry sends a command that changes something.
-func (c *commands) carry(e wire.Edit, at pin, left func(), done func(code wire.Code, m *machine)) {
+// sendEdit sends a command that changes something.
+func (c *commands) sendEdit(e wire.Edit, at pin, acknowledged func(), done func(code wire.Code, m *machine)) {
 	c.send(&command{
 		request: func() any {
-			return operations.Submit{Edit: e, AwaitInForce: true, AwaitTimeout: waitUs, Timeout: answerUs}
+			return operations.Submit{Edit: e, AwaitInForce: true, AwaitTimeout: awaitInForceUs, Timeout: answerTimeoutUs}
 		},
-		code: editCode, done: done, pin: at, acknowledged: left,
+		code: editCode, done: done, pin: at, acknowledged: acknowledged,
 	})
 }
 
 // sendVersion sends a configuration; a truncated one lacks its last byte.
 func (c *commands) sendVersion(e *routingpb.RoutingEdit, version *rules.Version, df draft, done func()) {
 	d := c.day
-	version.Sent, version.Acked, version.Refused = d.world.now, rules.Never, rules.Never
+	version.Sent, version.Acked, version.Refused = d.sim.now, rules.Never, rules.Never
 	d.journal.Versions = append(d.journal.Versions, version)
-	d.world.Checker.Count("versions", 1)
+	d.sim.Checker.Count("versions", 1)
 	body, err := proto.Marshal(e)
 	if err != nil {
 		panic(err)
@@ -144,34 +144,34 @@
 	if df.truncated {
 		body = body[:len(body)-1]
 	}
-	c.open++
-	d.world.logEvent(fmt.Sprintf("order of revision %d on %d is sent", version.Revision, version.Base))
+	c.inFlight++
+	d.sim.logEvent(fmt.Sprintf("order of revision %d on %d is sent", version.Revision, version.Base))
 	edit := wire.Edit{Op: "routing", Body: body}
-	c.announce()
-	c.carry(edit, df.pin, firstTime(&version.FirstAcked, &d.world.now), func(code wire.Code, m *machine) {
-		c.open--
-		d.world.Checker.Count("versions."+string(code), 1)
-		d.world.logEvent(fmt.Sprintf("order of revision %d on %d: %s from %s", version.Revision, version.Base, code, m.name))
+	c.runSendHooks()
+	c.sendEdit(edit, df.pin, firstTime(&version.FirstAcked, &d.sim.now), func(code wire.Code, m *machine) {
+		c.inFlight--
+		d.sim.Checker.Count("versions."+string(code), 1)
+		d.sim.logEvent(fmt.Sprintf("order of revision %d on %d: %s from %s", version.Revision, version.Base, code, m.name))
 		if code == wire.CodeOK {
-			version.Acked = d.world.now
+			version.Acked = d.sim.now
 			c.accepted = append(c.accepted, acceptedChange{edit, version})
 			if c.base == nil || version.Revision > c.base.Revision && !version.Invalid {
 				c.base = version
 			}
-			c.acked(m)
+			c.recordAck(m)
 		} else {
-			version.Refused = d.world.now
+			version.Refused = d.sim.now
 		}
 		done()
 	})
 }
 
-// acked calls what waits for an acknowledgement.
-func (c *commands) acked(m *machine) {
-	c.last = m
-	armed := c.armed
-	c.armed = nil
-	for _, f := range armed {
+// recordAck calls what waits for an acknowledgement.
+func (c *commands) recordAck(m *machine) {
+	c.lastAcked = m
+	hooks := c.ackHooks
+	c.ackHooks = nil
+	for _, f := range hooks {
 		f(m)
 	}
 }
@@ -183,7 +183,7 @@
 }
 
 func (c *commands) runNext() {
-	if c.open > 0 || len(c.queue) == 0 {
+	if c.inFlight > 0 || len(c.queue) == 0 {
 		return
 	}
 	f := c.queue[0]
@@ -195,21 +195,21 @@
 func (c *commands) evacuate(zone string, on bool) {
 	d := c.day
 	if !slices.ContainsFunc(d.site.zones, func(z zoneShape) bool { return z.name == zone }) {
-		d.world.Checker.Count("evacuations.of_no_zone", 1)
+		d.sim.Checker.Count("evacuations.of_no_zone", 1)
 		return
 	}
 	if on {
 		if v := c.zones[zone]; v != nil && v.RestoreSent == rules.Never {
 			return
 		}
-		v := &rules.Evacuation{Zone: zone, Sent: d.world.now, Acked: rules.Never, RestoreSent: rules.Never, RestoreAcked: rules.Never}
+		v := &rules.Evacuation{Zone: zone, Sent: d.sim.now, Acked: rules.Never, RestoreSent: rules.Never, RestoreAcked: rules.Never}
 		c.zones[zone] = v
 		d.journal.Evacuations = append(d.journal.Evacuations, v)
-		c.carry(wire.Edit{Op: "empty", Name: zone}, pin{}, firstTime(&v.FirstAcked, &d.world.now), func(code wire.Code, m *machine) {
-			d.world.Checker.Count("evacuations."+string(code), 1)
+		c.sendEdit(wire.Edit{Op: "empty", Name: zone}, pin{}, firstTime(&v.FirstAcked, &d.sim.now), func(code wire.Code, m *machine) {
+			d.sim.Checker.Count("evacuations."+string(code), 1)
 			if code == wire.CodeOK {
-				v.Acked = d.world.now
-				c.acked(m)
+				v.Acked = d.sim.now
+				c.recordAck(m)
 			}
 		})
 		return
@@ -219,14 +219,14 @@
 		return
 	}
 	if v.Acked == rules.Never {
-		d.world.after(100*clock.Millisecond, func() { c.evacuate(zone, false) })
+		d.sim.after(100*clock.Millisecond, func() { c.evacuate(zone, false) })
 		return
 	}
-	v.RestoreSent = d.world.now
-	c.carry(wire.Edit{Op: "refill", Name: zone}, pin{}, firstTime(&v.RestoreFirstAcked, &d.world.now), func(code wire.Code, _ *machine) {
-		d.world.Checker.Count("evacuations."+string(code), 1)
+	v.RestoreSent = d.sim.now
+	c.sendEdit(wire.Edit{Op: "refill", Name: zone}, pin{}, firstTime(&v.RestoreFirstAcked, &d.sim.now), func(code wire.Code, _ *machine) {
+		d.sim.Checker.Count("evacuations."+string(code), 1)
 		if code == wire.CodeOK {
-			v.RestoreAcked = d.world.now
+			v.RestoreAcked = d.sim.now
 		}
 	})
 }
@@ -235,15 +235,15 @@
 func (c *commands) readBack() {
 	d := c.day
 	var got *routingpb.RoutingTable
-	asked := d.world.now
+	requestedAt := d.sim.now
 	c.send(&command{
-		request: func() any { asked = d.world.now; return operations.ReadRouting{Timeout: answerUs} }, until: d.end(),
+		request: func() any { requestedAt = d.sim.now; return operations.ReadRouting{Timeout: answerTimeoutUs} }, until: d.end(),
 		code: func(v any) wire.Code { got = v.(operations.Routing).Table; return v.(operations.Routing).Code },
 		done: func(wire.Code, *machine) {
-			d.world.Checker.Count("read_back", 1)
-			d.world.logEvent(fmt.Sprintf("revision %d is read back", got.GetRevision()))
-			d.journal.ReadBack = append(d.journal.ReadBack, rules.Reading{RequestedAt: asked, At: d.world.now, Table: got})
-			d.world.after(500*clock.Millisecond, c.readBack)
+			d.sim.Checker.Count("read_back", 1)
+			d.sim.logEvent(fmt.Sprintf("revision %d is read back", got.GetRevision()))
+			d.journal.ReadBack = append(d.journal.ReadBack, rules.Reading{RequestedAt: requestedAt, At: d.sim.now, Table: got})
+			d.sim.after(500*clock.Millisecond, c.readBack)
 		},
 	})
 }
@@ -278,10 +278,10 @@
 	if len(list) == 0 {
 		return nil
 	}
-	m := list[c.day.world.rng.IntN(len(list))]
+	m := list[c.day.sim.rng.IntN(len(list))]
 	for range 4 {
 		if m == cmd.avoid {
-			m = list[c.day.world.rng.IntN(len(list))]
+			m = list[c.day.sim.rng.IntN(len(list))]
 		}
 	}
 	return m
@@ -293,10 +293,10 @@
 		return false
 	}
 	cmd.acknowledged()
-	if c.day.world.now >= c.ackLoss.until || c.day.world.rng.Float64() >= c.ackLoss.share {
+	if c.day.sim.now >= c.ackLoss.until || c.day.sim.rng.Float64() >= c.ackLoss.share {
 		return false
 	}
-	c.day.world.Checker.Count("acks_lost", 1)
+	c.day.sim.Checker.Count("acks_lost", 1)
 	return true
 }
 
@@ -311,41 +311,41 @@
 
 // loseAcks drops a share of the acknowledgements for a while.
 func (c *commands) loseAcks(step *dayStep) {
-	c.ackLoss = ackLoss{c.day.world.now + step.forUs, step.factorOr(0.7)}
+	c.ackLoss = ackLoss{c.day.sim.now + step.forUs, step.factorOr(0.7)}
 }
 
 // resend repeats the latest acknowledged changes, unchanged, several at a time.
 func (c *commands) resend(n int) {
 	d := c.day
 	for _, change := range c.accepted[max(0, len(c.accepted)-n):] {
-		d.world.after(d.world.rng.Int64N(300*clock.Millisecond), func() {
-			c.carry(change.edit, pin{}, nil, func(code wire.Code, _ *machine) {
-				d.world.Checker.Count("resent."+string(code), 1)
+		d.sim.after(d.sim.rng.Int64N(300*clock.Millisecond), func() {
+			c.sendEdit(change.edit, pin{}, nil, func(code wire.Code, _ *machine) {
+				d.sim.Checker.Count("resent."+string(code), 1)
 				change.version.Repeats++
 				if code != wire.CodeOK && change.version.RefusedAgain == 0 {
-					change.version.RefusedAgain = d.world.now
+					change.version.RefusedAgain = d.sim.now
 				}
 			})
 		})
 	}
 }
 
-// announce calls what waits for a configuration to be sent.
-func (c *commands) announce() {
-	armed := c.sentArmed
-	c.sentArmed = nil
-	for _, f := range armed {
+// runSendHooks calls what waits for a configuration to be sent.
+func (c *commands) runSendHooks() {
+	hooks := c.sendHooks
+	c.sendHooks = nil
+	for _, f := range hooks {
 		f()
 	}
 }
 
-// hangUp closes the operator's connection to a process whose answer it no longer waits for.
-func (c *commands) hangUp(p *process, over *bool, id uint64) {
-	sent := c.day.world.now
+// disconnectOperator closes the operator's connection to a process whose answer it no longer waits for.
+func (c *commands) disconnectOperator(p *process, ended *bool, id uint64) {
+	sent := c.day.sim.now
 	p.deliverAfter(commandTimeoutUs+controlLatencyUs, func() {
-		if *over && p.calls[id] != nil {
-			c.day.world.Checker.Count("orders.abandoned", 1)
-			p.world.logEvent(fmt.Sprintf("%s: the operator that called at %d us has gone", p.name, sent))
+		if *ended && p.calls[id] != nil {
+			c.day.sim.Checker.Count("orders.abandoned", 1)
+			p.sim.logEvent(fmt.Sprintf("%s: the operator that called at %d us has gone", p.name, sent))
 			p.step(kernel.Canceled{Plugin: "operate", ID: id})
 		}
 	})
--- a/lab/sim/day_configs.go
+++ b/lab/sim/day_configs.go
@@ -13,12 +13,12 @@
 	"wallport/runtime/clock"
 )
 
-const idleRoutesMost = 24
+const maxIdleRoutes = 24
 
 func idleName(n int) string { return fmt.Sprintf("idle-%d", n) }
 
-// firstConfig returns the configuration that is sent before the traffic starts.
-func (c *commands) firstConfig() *routingpb.RoutingTable {
+// initialConfig returns the configuration that is sent before the traffic starts.
+func (c *commands) initialConfig() *routingpb.RoutingTable {
 	s := &c.day.site
 	t := &routingpb.RoutingTable{Limits: &routingpb.Limits{
 		MaxHeaderBytes: 16384, MaxBodyBytes: 262144, HeaderTimeoutUs: 3 * clock.Second, IdleTimeoutUs: 15 * clock.Second, Source: []byte("limits"),
@@ -76,7 +76,7 @@
 	c.nextIdle++
 	return &routingpb.Route{
 		Name: name, Host: host, Prefix: prefixOf(name), Repeatable: true, TimeoutUs: kind.deadlineUs, TargetLatencyUs: kind.targetUs,
-		Priority: 2, MaxBackends: 2, Pool: pools[c.day.world.rng.IntN(len(pools))], Source: []byte(name),
+		Priority: 2, MaxBackends: 2, Pool: pools[c.day.sim.rng.IntN(len(pools))], Source: []byte(name),
 	}
 }
 
@@ -90,17 +90,17 @@
 
 // begin sends the first configuration, before the traffic.
 func (c *commands) begin() {
-	c.day.world.at(500*clock.Millisecond, func() {
+	c.day.sim.at(500*clock.Millisecond, func() {
 		c.enqueue(func() {
-			c.revision = 1 + c.day.world.rng.Int64N(5)
-			t := c.firstConfig()
+			c.revision = 1 + c.day.sim.rng.Int64N(5)
+			t := c.initialConfig()
 			t.Revision = c.revision
 			version := &rules.Version{Revision: t.Revision, Table: t, Alone: true}
 			c.sendVersion(&routingpb.RoutingEdit{Revision: t.Revision, Whole: withoutRevision(t)}, version, draft{}, c.runNext)
 		})
 	})
-	c.day.world.at(c.day.end()-4*clock.Second, c.readBack)
-	c.day.world.after(confirmedReadUs, c.readConfirmed)
+	c.day.sim.at(c.day.end()-4*clock.Second, c.readBack)
+	c.day.sim.after(confirmedReadUs, c.readConfirmed)
 }
 
 func withoutRevision(t *routingpb.RoutingTable) *routingpb.RoutingTable {
@@ -110,12 +110,12 @@
 }
 
 func (c *commands) finish() {
-	c.day.world.Checker.Count("orders_open", int64(c.open))
+	c.day.sim.Checker.Count("orders_open", int64(c.inFlight))
 }
 
 // nextRevision returns the next revision; revisions go up in uneven steps.
 func (c *commands) nextRevision() int64 {
-	c.revision = max(c.revision, c.base.Revision) + 1 + c.day.world.rng.Int64N(3)
+	c.revision = max(c.revision, c.base.Revision) + 1 + c.day.sim.rng.Int64N(3)
 	return c.revision
 }
 
@@ -149,19 +149,19 @@
 func (c *commands) raceAt(n int, at pin) {
 	c.enqueue(func() {
 		base, number := c.base, int64(0)
-		hows := []string{"idle", "route", "timeout", "weights"}
+		kinds := []string{"idle", "route", "timeout", "weights"}
 		c.races++
 		if c.races%2 == 0 {
-			number, hows = c.nextRevision(), []string{"route", "timeout", "weights", "timeout"}
-			c.day.world.Checker.Count("races_under_one_number", 1)
+			number, kinds = c.nextRevision(), []string{"route", "timeout", "weights", "timeout"}
+			c.day.sim.Checker.Count("races_under_one_number", 1)
 		}
 		for i := range n {
-			c.open++
-			how := hows[(i+c.day.world.rng.IntN(2))%4]
+			c.inFlight++
+			how := kinds[(i+c.day.sim.rng.IntN(2))%4]
 			df := c.draft(how)
 			df.number, df.pin = number, at
-			c.day.world.after(c.day.world.rng.Int64N(30*clock.Millisecond), func() {
-				c.open--
+			c.day.sim.after(c.day.sim.rng.Int64N(30*clock.Millisecond), func() {
+				c.inFlight--
 				c.put(base, df, false, c.runNext)
 			})
 		}
@@ -182,7 +182,7 @@
 	table := apply(base.Table, df)
 	table.Revision = revision
 	edit := &routingpb.RoutingEdit{Base: base.Revision, Revision: revision}
-	if c.day.world.rng.IntN(2) == 0 || df.complete {
+	if c.day.sim.rng.IntN(2) == 0 || df.complete {
 		edit.Whole = withoutRevision(table)
 	} else {
 		edit.Upsert, edit.WithdrawRoutes = &routingpb.RoutingTable{Routes: df.routes}, df.withdraw
@@ -191,8 +191,8 @@
 }
 
 // apply returns the table that an operator expects a change to result in.
-func apply(on *routingpb.RoutingTable, df draft) *routingpb.RoutingTable {
-	t := proto.Clone(on).(*routingpb.RoutingTable)
+func apply(base *routingpb.RoutingTable, df draft) *routingpb.RoutingTable {
+	t := proto.Clone(base).(*routingpb.RoutingTable)
 	for _, r := range df.routes {
 		if i := slices.IndexFunc(t.Routes, func(v *routingpb.Route) bool { return v.Name == r.Name }); i >= 0 {
 			t.Routes[i] = r
--- a/lab/sim/day_drafts.go
+++ b/lab/sim/day_drafts.go
@@ -14,17 +14,17 @@
 
 // draft drafts a change of the newest version.
 func (c *commands) draft(how string) draft {
-	d, now := c.day, c.base.Table
-	rnd := d.world.rng
+	d, table := c.day, c.base.Table
+	rnd := d.sim.rng
 	switch how {
 	case "route", "weights":
-		return draft{routes: []*routingpb.Route{c.moved(now, how == "weights")}}
+		return draft{routes: []*routingpb.Route{c.reroute(table, how == "weights")}}
 	case "timeout":
-		r := c.edited(now, now.Routes[rnd.IntN(len(now.Routes))])
+		r := c.edited(table, table.Routes[rnd.IntN(len(table.Routes))])
 		r.TimeoutUs = r.TimeoutUs*9/10 + rnd.Int64N(r.TimeoutUs/5+1)
 		return draft{routes: []*routingpb.Route{r}}
 	case "invalid":
-		r := c.edited(now, now.Routes[rnd.IntN(len(now.Routes))])
+		r := c.edited(table, table.Routes[rnd.IntN(len(table.Routes))])
 		switch rnd.IntN(3) {
 		case 0:
 			r.Pool, r.PoolWeights, r.FanoutPools = "nowhere", nil, nil
@@ -35,25 +35,25 @@
 		}
 		return draft{routes: []*routingpb.Route{r}, invalid: true}
 	}
-	return c.idleDraft(now)
+	return c.idleDraft(table)
 }
 
-func (c *commands) edited(on *routingpb.RoutingTable, r *routingpb.Route) *routingpb.Route {
+func (c *commands) edited(base *routingpb.RoutingTable, r *routingpb.Route) *routingpb.Route {
 	changed := proto.Clone(r).(*routingpb.Route)
-	changed.Source = fmt.Appendf(nil, "%s after %d, %d", r.Name, on.Revision, c.day.world.rng.Int64N(1000))
+	changed.Source = fmt.Appendf(nil, "%s after %d, %d", r.Name, base.Revision, c.day.sim.rng.Int64N(1000))
 	return changed
 }
 
-// moved moves a route from one pool to the other, or splits it.
-func (c *commands) moved(on *routingpb.RoutingTable, split bool) *routingpb.Route {
-	var of []*routingpb.Route
-	for _, r := range on.Routes {
+// reroute moves a route from one pool to the other, or splits it.
+func (c *commands) reroute(base *routingpb.RoutingTable, split bool) *routingpb.Route {
+	var candidates []*routingpb.Route
+	for _, r := range base.Routes {
 		if len(r.FanoutPools) == 0 {
-			of = append(of, r)
+			candidates = append(candidates, r)
 		}
 	}
-	rnd, pools := c.day.world.rng, c.day.unshardedPools()
-	r := c.edited(on, of[rnd.IntN(len(of))])
+	rnd, pools := c.day.sim.rng, c.day.unshardedPools()
+	r := c.edited(base, candidates[rnd.IntN(len(candidates))])
 	if split {
 		r.Pool, r.PoolWeights = "", nil
 		for _, p := range pools {
@@ -61,32 +61,32 @@
 		}
 		return r
 	}
-	was := r.Pool
+	previous := r.Pool
 	r.PoolWeights, r.Pool = nil, pools[rnd.IntN(len(pools))]
-	for len(pools) > 1 && r.Pool == was {
+	for len(pools) > 1 && r.Pool == previous {
 		r.Pool = pools[rnd.IntN(len(pools))]
 	}
 	return r
 }
 
 // idleDraft adds, removes or moves an idle route.
-func (c *commands) idleDraft(on *routingpb.RoutingTable) draft {
+func (c *commands) idleDraft(base *routingpb.RoutingTable) draft {
 	var idle []*routingpb.Route
-	for _, r := range on.Routes {
+	for _, r := range base.Routes {
 		if strings.HasPrefix(r.Name, "idle-") {
 			idle = append(idle, r)
 		}
 	}
-	rnd := c.day.world.rng
+	rnd := c.day.sim.rng
 	switch pick := rnd.IntN(3); {
-	case len(idle) == 0 || len(idle) < idleRoutesMost && pick == 0:
+	case len(idle) == 0 || len(idle) < maxIdleRoutes && pick == 0:
 		return draft{routes: []*routingpb.Route{c.newIdleRoute()}}
 	case pick == 1:
 		return draft{withdraw: []string{idle[rnd.IntN(len(idle))].Name}}
 	default:
-		r := c.edited(on, idle[rnd.IntN(len(idle))])
+		r := c.edited(base, idle[rnd.IntN(len(idle))])
 		pools := c.day.unshardedPools()
-		for r.Pool, r.PoolWeights = "", nil; r.Pool == "" || len(pools) > 1 && r.Pool == routeNamed(on, r.Name).Pool; {
+		for r.Pool, r.PoolWeights = "", nil; r.Pool == "" || len(pools) > 1 && r.Pool == routeNamed(base, r.Name).Pool; {
 			r.Pool = pools[rnd.IntN(len(pools))]
 		}
 		return draft{routes: []*routingpb.Route{r}}
@@ -108,11 +108,11 @@
 	c := &d.commands
 	for i := range d.site.pools {
 		p := &d.site.pools[i]
-		if p.shards > 0 && !p.later {
+		if p.shards > 0 && !p.afterReshard {
 			next := &d.site.pools[i+1]
 			d.backends.startPool(next)
 			d.backends.publish()
-			d.world.after(after, func() { c.enqueue(func() { c.reshardDraft(p, next) }) })
+			d.sim.after(after, func() { c.enqueue(func() { c.reshardDraft(p, next) }) })
 		}
 	}
 }
@@ -128,7 +128,7 @@
 		}
 	}
 	c.put(c.base, df, true, func() {
-		d.world.after(d.journal.Bounds.ApplyUs, func() {
+		d.sim.after(d.journal.Bounds.ApplyUs, func() {
 			for _, inc := range d.backends.of(old.name) {
 				inc.drain()
 			}
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -14,11 +14,11 @@
 
 // Constants of connections to backends.
 const (
-	handshakeUs   = 1000
-	dialWithin    = 400 * clock.Millisecond
-	idleMost      = 15 * clock.Second
-	idleConnsMost = 16
-	surplusAfter  = 3000
+	handshakeUs  = 1000
+	dialTimeout  = 400 * clock.Millisecond
+	maxIdle      = 15 * clock.Second
+	maxIdleConns = 16
+	surplusDelay = 3000
 )
 
 // conn is a pooled connection; surplusAt is when bytes that belong to no request arrive on it, 0 for never.
@@ -74,20 +74,20 @@
 	}
 	inc := d.backends.byAddr[s.Addr]
 	zone := s.Zone
-	there := d.latency(g.process.settings.Zone, zone)
+	latency := d.latency(g.process.settings.Zone, zone)
 	switch {
 	case inc != nil && (inc.silent || d.unreachable(g.process.machine, inc)):
-		g.process.deliverAfter(min(dialWithin, a.Timeout), func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "dial timed out"}) })
+		g.process.deliverAfter(min(dialTimeout, a.Timeout), func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "dial timed out"}) })
 	case inc == nil || !inc.up:
-		g.process.deliverAfter(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection refused"}) })
+		g.process.deliverAfter(2*latency, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection refused"}) })
 	case inc.conns >= inc.shape.connections:
-		d.world.Checker.Count("connections_refused", 1)
-		g.process.deliverAfter(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"}) })
+		d.sim.Checker.Count("connections_refused", 1)
+		g.process.deliverAfter(2*latency, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"}) })
 	default:
 		inc.conns++
-		d.world.Checker.Count("handshakes", 1)
+		d.sim.Checker.Count("handshakes", 1)
 		x.conn = &conn{backend: inc}
-		g.process.deliverAfter(2*there+handshakeUs, func() {
+		g.process.deliverAfter(2*latency+handshakeUs, func() {
 			if x.ended {
 				inc.conns--
 				return
@@ -111,12 +111,12 @@
 // takeIdleConn takes a pooled connection to a backend, the newest first, and closes those that expired or hold
 // surplus bytes.
 func (g *gateway) takeIdleConn(s *snapshot.Backend) *conn {
-	now := g.day.world.now
+	now := g.day.sim.now
 	all := g.idleConns[s.ID]
 	for len(all) > 0 {
 		c := all[len(all)-1]
 		all = all[:len(all)-1]
-		if c.backend.up && now-c.idleSince < idleMost && (c.surplusAt == 0 || c.surplusAt > now) {
+		if c.backend.up && now-c.idleSince < maxIdle && (c.surplusAt == 0 || c.surplusAt > now) {
 			g.idleConns[s.ID] = all
 			return c
 		}
@@ -131,8 +131,8 @@
 	if c == nil {
 		return
 	}
-	c.idleSince = g.day.world.now
-	if all := g.idleConns[x.action.Backend.ID]; len(all) < idleConnsMost && c.backend.up {
+	c.idleSince = g.day.sim.now
+	if all := g.idleConns[x.action.Backend.ID]; len(all) < maxIdleConns && c.backend.up {
 		g.idleConns[x.action.Backend.ID] = append(all, c)
 		return
 	}
@@ -143,12 +143,12 @@
 func (x *exchange) send(inc *incarnation) {
 	d, a := x.gateway.day, &x.action
 	x.backend, x.sent = inc, true
-	sent := d.world.now
+	sent := d.sim.now
 	work := d.drawWork(x.kind)
 	within := max(1000, a.Timeout)
 	if x.conn.surplusAt > 0 {
 		// A surplus response comes where this request's own is expected; its id shows it.
-		d.world.Checker.Count("surplus_met", 1)
+		d.sim.Checker.Count("surplus_met", 1)
 		x.gateway.process.deliverAfter(max(0, x.conn.surplusAt-sent), func() {
 			x.end(dispatch.Result{Class: dispatch.ClassInvalid, ReusedConn: true, Reason: "another request's answer"})
 		})
@@ -156,11 +156,11 @@
 	rested := sent - x.conn.idleSince
 	if x.conn.reset || x.reused && inc.connTimeout > 0 && rested > inc.connTimeout {
 		// The backend's end of the connection is closed, so it never reads the request.
-		d.world.Checker.Count("sent_on_reset", 1)
+		d.sim.Checker.Count("sent_on_reset", 1)
 		x.failed("reset")
 		return
 	}
-	d.world.after(d.latency(x.gateway.process.settings.Zone, inc.row.Zone), func() {
+	d.sim.after(d.latency(x.gateway.process.settings.Zone, inc.row.Zone), func() {
 		d.whenReachable(x.gateway.process.machine, inc, sent, func(held bool) { x.arrive(inc, sent, work, within, held) })
 	})
 }
@@ -168,7 +168,7 @@
 // arrive is called when the request's last byte is at the backend; held reports that a partition delayed it.
 func (x *exchange) arrive(inc *incarnation, sent, work, within clock.Micros, held bool) {
 	d, a := x.gateway.day, &x.action
-	if x.ended && d.world.rng.IntN(2) == 0 {
+	if x.ended && d.sim.rng.IntN(2) == 0 {
 		// The connection was closed before the backend read the request.
 		return
 	}
@@ -180,7 +180,7 @@
 	}
 	req := a.Request
 	inc.arrive(x, a.Backend.ID, &rules.Arrival{
-		Attempt: req.ID, Backend: inc.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.world.now,
+		Attempt: req.ID, Backend: inc.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.sim.now,
 		Held: held,
 	}, work, within)
 }
@@ -217,25 +217,25 @@
 	}
 	if x.job != nil {
 		j := x.job
-		g.day.world.after(g.day.latency(g.process.settings.Zone, j.backend.row.Zone), j.connClosed)
+		g.day.sim.after(g.day.latency(g.process.settings.Zone, j.backend.row.Zone), j.connClosed)
 	}
 }
 
 // deliverReply delivers what the backend sent to the node after the network latency.
 func (x *exchange) deliverReply(f func()) {
 	d, inc := x.gateway.day, x.backend
-	d.world.after(d.latency(inc.row.Zone, x.gateway.process.settings.Zone), func() {
-		d.whenReachable(x.gateway.process.machine, inc, d.world.now, func(bool) { x.gateway.process.deliver(f) })
+	d.sim.after(d.latency(inc.row.Zone, x.gateway.process.settings.Zone), func() {
+		d.whenReachable(x.gateway.process.machine, inc, d.sim.now, func(bool) { x.gateway.process.deliver(f) })
 	})
 }
 
-func (x *exchange) rejected(inc *incarnation, status int, why string) {
-	r := dispatch.Result{Class: dispatch.ClassRejected, Status: status, Load: inc.load(), WrongBackend: status == 421, Draining: inc.draining, Reason: why}
+func (x *exchange) rejected(inc *incarnation, status int, reason string) {
+	r := dispatch.Result{Class: dispatch.ClassRejected, Status: status, Load: inc.load(), WrongBackend: status == 421, Draining: inc.draining, Reason: reason}
 	x.deliverReply(func() { x.end(r) })
 }
 
-func (x *exchange) failed(why string) {
-	x.deliverReply(func() { x.end(dispatch.Result{Class: dispatch.ClassFailed, ReusedConn: x.reused, Reason: why}) })
+func (x *exchange) failed(reason string) {
+	x.deliverReply(func() { x.end(dispatch.Result{Class: dispatch.ClassFailed, ReusedConn: x.reused, Reason: reason}) })
 }
 
 func (x *exchange) garbled(short bool) {
@@ -252,8 +252,8 @@
 		ReusedConn: x.reused,
 	}
 	if surplus && x.conn != nil {
-		x.gateway.day.world.Checker.Count("surplus_answers", 1)
-		x.conn.surplusAt = x.gateway.day.world.now + x.gateway.day.world.rng.Int64N(2*surplusAfter)
+		x.gateway.day.sim.Checker.Count("surplus_answers", 1)
+		x.conn.surplusAt = x.gateway.day.sim.now + x.gateway.day.sim.rng.Int64N(2*surplusDelay)
 	}
 	x.deliverReply(func() { x.end(r) })
 }
--- a/lab/sim/day_fault_spans.go
+++ b/lab/sim/day_fault_spans.go
@@ -6,7 +6,7 @@
 
 // partitioned reports whether no frame gets from one process to another.
 func (d *day) partitioned(a, b string) bool {
-	p, q := d.world.processes[a], d.world.processes[b]
+	p, q := d.sim.processes[a], d.sim.processes[b]
 	if p == nil || q == nil {
 		return false
 	}
@@ -29,7 +29,7 @@
 
 // updateFaultSpans recomputes which machines are faulty and whether the core is settled.
 func (d *day) updateFaultSpans() {
-	now, t := d.world.now, &d.journal.Faults
+	now, t := d.sim.now, &d.journal.Faults
 	var core []*machine
 	for _, m := range d.machines {
 		if m.coreMember() {
@@ -49,46 +49,46 @@
 		}
 		return n
 	}
-	whole, slowed := false, false
+	hasMajority, unhealthy := false, false
 	for _, c := range core {
-		well := (c.core.disk == nil || c.core.disk.mode == diskOK && c.core.disk.extraDelay == 0) && c.core.inputDelay == 0
-		whole = whole || up(c) && well && 2*reach(c) > len(core)
-		slowed = slowed || !well
+		diskHealthy := (c.core.disk == nil || c.core.disk.mode == diskOK && c.core.disk.extraDelay == 0) && c.core.inputDelay == 0
+		hasMajority = hasMajority || up(c) && diskHealthy && 2*reach(c) > len(core)
+		unhealthy = unhealthy || !diskHealthy
 	}
-	t.NoMajority.Set(now, !whole)
-	if slowed || !whole {
+	t.NoMajority.Set(now, !hasMajority)
+	if unhealthy || !hasMajority {
 		t.Unsettled.Open(now)
 	} else {
 		t.Unsettled.Close(now)
 	}
 	for _, m := range d.machines {
-		bad := !up(m) || m.draining || m.node.inputDelay > 0 || m.core != nil && m.core.disk != nil && (m.core.disk.mode != diskOK || m.core.disk.extraDelay != 0)
+		isFaulty := !up(m) || m.draining || m.node.inputDelay > 0 || m.core != nil && m.core.disk != nil && (m.core.disk.mode != diskOK || m.core.disk.extraDelay != 0)
 		for _, c := range core {
 			if c != m && up(c) && 2*reach(c) > len(core) && !linked(m, c) {
-				bad = true
+				isFaulty = true
 			}
 		}
-		t.Of(m.name).Set(now, bad)
+		t.Of(m.name).Set(now, isFaulty)
 	}
 }
 
 // publishCores records the running core machines for the operators' list, which lags.
 func (d *day) publishCores() {
-	var now []*machine
+	var running []*machine
 	for _, m := range d.machines {
 		if m.core != nil && !m.removed && !m.poweredOff {
-			now = append(now, m)
+			running = append(running, m)
 		}
 	}
-	d.publishedCores = append(d.publishedCores, publishedCoreList{d.world.now, now})
-	d.world.after(500*clock.Millisecond, d.publishCores)
+	d.publishedCores = append(d.publishedCores, publishedCoreList{d.sim.now, running})
+	d.sim.after(500*clock.Millisecond, d.publishCores)
 }
 
 // listedCores returns that list as it stood 3 s ago.
 func (d *day) listedCores() []*machine {
 	out := d.publishedCores[0].cores
 	for _, s := range d.publishedCores {
-		if s.at <= d.world.now-3*clock.Second {
+		if s.at <= d.sim.now-3*clock.Second {
 			out = s.cores
 		}
 	}
--- a/lab/sim/day_follow_up.go
+++ b/lab/sim/day_follow_up.go
@@ -6,25 +6,25 @@
 import "wallport/runtime/clock"
 
 // endFaultAfter ends a machine's fault after a while, then sends it what the step has for its return.
-func (d *day) endFaultAfter(step *dayStep, m *machine, in int64, end func()) {
-	d.world.after(in, func() {
+func (d *day) endFaultAfter(step *dayStep, m *machine, delay int64, end func()) {
+	d.sim.after(delay, func() {
 		end()
 		d.updateFaultSpans()
-		d.meetReturned(step, m)
+		d.sendAfterReturn(step, m)
 	})
 }
 
-// meetReturned sends a machine that is back what the step asks for.
-func (d *day) meetReturned(step *dayStep, m *machine) {
+// sendAfterReturn sends a machine that is back what the step asks for.
+func (d *day) sendAfterReturn(step *dayStep, m *machine) {
 	d.sendChangeTo(step, m)
 	if step.has("drain") {
-		d.world.after(d.world.rng.Int64N(clock.Second), func() { d.drainSome(&dayStep{count: 2, zone: m.zone, gapUs: clock.Second}) })
+		d.sim.after(d.sim.rng.Int64N(clock.Second), func() { d.drainSome(&dayStep{count: 2, zone: m.zone, gapUs: clock.Second}) })
 	}
 }
 
-// meetDuring does so while the machine is partitioned.
-func (d *day) meetDuring(step *dayStep, m *machine) {
-	d.world.after(d.world.rng.Int64N(step.forUs/2+1), func() { d.sendChangeTo(step, m) })
+// sendDuringPartition does so while the machine is partitioned.
+func (d *day) sendDuringPartition(step *dayStep, m *machine) {
+	d.sim.after(d.sim.rng.Int64N(step.forUs/2+1), func() { d.sendChangeTo(step, m) })
 }
 
 // sendChangeTo sends a change to a machine, or two at once (race), repeatedly until it answers (hard).
@@ -35,10 +35,10 @@
 	at := pin{m, step.has("hard")}
 	switch {
 	case step.has("race"):
-		d.world.Checker.Count("met.race", 1)
+		d.sim.Checker.Count("met.race", 1)
 		d.commands.raceAt(2, at)
 	case step.has("meet"), step.has("hard"):
-		d.world.Checker.Count("met.change", 1)
+		d.sim.Checker.Count("met.change", 1)
 		d.commands.changeAt("route", at)
 	}
 }
@@ -70,8 +70,8 @@
 
 // countStep counts a step by its verb and by each of its modes.
 func (d *day) countStep(step *dayStep) {
-	d.world.Checker.Count("kind."+step.verb, 1)
-	for _, way := range step.modes() {
-		d.world.Checker.Count("way."+step.verb+"."+way, 1)
+	d.sim.Checker.Count("kind."+step.verb, 1)
+	for _, mode := range step.modes() {
+		d.sim.Checker.Count("way."+step.verb+"."+mode, 1)
 	}
 }
--- a/lab/sim/day_gateway.go
+++ b/lab/sim/day_gateway.go
@@ -14,8 +14,8 @@
 
 // Times of the clients' server, as in the product.
 const (
-	acceptsFor = 2200 * clock.Millisecond
-	stopEvery  = 20 * clock.Millisecond
+	acceptWindow     = 2200 * clock.Millisecond
+	stopPollInterval = 20 * clock.Millisecond
 )
 
 type gateway struct {
@@ -37,8 +37,8 @@
 	wakeups      uint64
 	done         func(o *dispatch.Outcome)
 	ended        bool
-	// hangUp ends the client's connection at once.
-	hangUp func()
+	// disconnect ends the client's connection at once.
+	disconnect func()
 }
 
 // newGateway opens the request path of a node that has just started.
@@ -59,7 +59,7 @@
 		g.opened = true
 		return
 	}
-	g.process.deliverAfter(stopEvery, g.openWhenReady)
+	g.process.deliverAfter(stopPollInterval, g.openWhenReady)
 }
 
 // ready reports what the node answers to a readiness check.
@@ -79,8 +79,8 @@
 		if request.ended {
 			return
 		}
-		attempt.Read = g.day.world.now
-		g.day.machineTookRequest(g.process.machine, attempt.Repeatable || attempt.Probe)
+		attempt.Read = g.day.sim.now
+		g.day.machineAcceptedRequest(g.process.machine, attempt.Repeatable || attempt.Probe)
 		req := dispatch.Request{
 			ID: attempt.ID, Method: attempt.Method, Target: attempt.Target, Path: attempt.Path, Host: attempt.Host, Body: attempt.Body,
 			Timeout: attempt.Deadline - attempt.Sent,
@@ -180,9 +180,9 @@
 func (g *gateway) stop() {
 	p := g.process
 	p.draining, g.draining = true, true
-	p.world.logEvent(p.name + " drains")
+	p.sim.logEvent(p.name + " drains")
 	p.step(stopping)
-	p.deliverAfter(acceptsFor, func() {
+	p.deliverAfter(acceptWindow, func() {
 		g.closed = true
 		g.endWhenIdle()
 	})
@@ -190,7 +190,7 @@
 
 func (g *gateway) endWhenIdle() {
 	if len(g.requests) > 0 {
-		g.process.deliverAfter(stopEvery, g.endWhenIdle)
+		g.process.deliverAfter(stopPollInterval, g.endWhenIdle)
 		return
 	}
 	g.process.kill()
--- a/lab/sim/day_incarnation.go
+++ b/lab/sim/day_incarnation.go
@@ -19,9 +19,9 @@
 	record *rules.Backend
 
 	up, silent, draining, listed bool
-	// grey is how a share of its requests fail; reportsUnhealthy makes its health checks fail; connections that
+	// partialFailure is how a share of its requests fail; reportsUnhealthy makes its health checks fail; connections that
 	// were idle for longer than connTimeout are dropped without notice, 0 for never.
-	grey             grey
+	partialFailure   partialFailure
 	reportsUnhealthy bool
 	connTimeout      clock.Micros
 	// unreachable reports whether nothing gets from a machine to a backend.
@@ -47,10 +47,10 @@
 	ended    bool
 	work     clock.Micros
 	// mode is how a grey backend fails it.
-	mode greyMode
+	mode failureMode
 }
 
-func (inc *incarnation) now() clock.Micros { return inc.day.world.now }
+func (inc *incarnation) now() clock.Micros { return inc.day.sim.now }
 
 // pauseLeft returns how much of the current pause is left.
 func (inc *incarnation) pauseLeft() clock.Micros {
@@ -71,20 +71,20 @@
 		x.rejected(inc, 421, "another backend has the address")
 		return
 	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue:
-		d.world.Checker.Count("backend_full", 1)
+		d.sim.Checker.Count("backend_full", 1)
 		x.rejected(inc, 503, "full")
 		return
 	}
 	j := &job{backend: inc, exchange: x, arrival: a, until: inc.now() + within, work: work}
-	if inc.grey.meets(d, x.gateway.process.settings.Zone) {
-		j.mode = inc.grey.mode
+	if inc.partialFailure.drawFails(d, x.gateway.process.settings.Zone) {
+		j.mode = inc.partialFailure.mode
 		if inc.rejectsEarly(x, j) {
 			return
 		}
 	}
 	x.job = j
 	inc.queue = append(inc.queue, j)
-	d.world.after(within, func() { j.expire() })
+	d.sim.after(within, func() { j.expire() })
 	inc.startNext()
 }
 
@@ -99,14 +99,14 @@
 		j.started = true
 		j.arrival.Ran = true
 		inc.running++
-		us := j.work * inc.speed / 100 * inc.grey.factor(j)
+		us := j.work * inc.speed / 100 * inc.partialFailure.factor(j)
 		if inc.slowdown > 0 {
 			us = us * inc.slowdown / 1000
 		}
 		if inc.now() < inc.warmAt {
-			us = us * warmUpX / 1000
+			us = us * coldWorkFactor / 1000
 		}
-		inc.day.world.after(us+inc.pauseLeft(), j.finishWork)
+		inc.day.sim.after(us+inc.pauseLeft(), j.finishWork)
 	}
 }
 
@@ -115,18 +115,18 @@
 		return
 	}
 	if left := j.backend.pauseLeft(); left > 0 {
-		j.backend.day.world.after(left, j.finishWork)
+		j.backend.day.sim.after(left, j.finishWork)
 		return
 	}
-	if j.mode == greyHang {
+	if j.mode == failByHanging {
 		// It keeps the slot and never answers.
 		return
 	}
 	j.end()
 	switch j.mode {
-	case greyErrors:
+	case failWithErrors:
 		j.respond(500)
-	case greyReset:
+	case failByReset:
 		j.exchange.failed("reset")
 	default:
 		j.respond(200)
@@ -144,7 +144,7 @@
 		return
 	}
 	j.end()
-	if j.mode != greyHang {
+	if j.mode != failByHanging {
 		j.respond(504)
 	}
 }
@@ -164,7 +164,7 @@
 		j.ended = true
 		return
 	}
-	if j.backend.day.world.rng.IntN(10) > 0 {
+	if j.backend.day.sim.rng.IntN(10) > 0 {
 		j.end()
 	}
 }
@@ -176,17 +176,17 @@
 	if status != 200 {
 		body = []byte("failed")
 	}
-	d.world.nextID++
+	d.sim.nextID++
 	h := fnv.New32a()
 	h.Write(body)
 	j.arrival.Status, j.arrival.Answer = status, body
-	j.arrival.Seal = fmt.Sprintf("%s.%x.%x.%d.%d.%08x", inc.row.ID, d.world.nextID, len(body), status, 0, h.Sum32())
-	roll := d.world.rng.Float64()
+	j.arrival.Seal = fmt.Sprintf("%s.%x.%x.%d.%d.%08x", inc.row.ID, d.sim.nextID, len(body), status, 0, h.Sum32())
+	roll := d.sim.rng.Float64()
 	switch {
 	case roll < inc.lostShare:
 		j.exchange.failed("reset")
 	case roll < inc.lostShare+inc.garbledShare:
-		j.exchange.garbled(d.world.rng.IntN(2) == 0)
+		j.exchange.garbled(d.sim.rng.IntN(2) == 0)
 	default:
 		j.exchange.responded(inc, j.arrival, roll > 1-inc.surplusShare)
 	}
@@ -198,7 +198,7 @@
 	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue, inc.draining, inc.reportsUnhealthy:
 		done(503)
 	default:
-		inc.day.world.after(1000+inc.pauseLeft()+int64(len(inc.queue))*5000/int64(inc.shape.slots), func() {
+		inc.day.sim.after(1000+inc.pauseLeft()+int64(len(inc.queue))*5000/int64(inc.shape.slots), func() {
 			if inc.up {
 				done(200)
 			}
@@ -236,24 +236,24 @@
 }
 
 // crash ends an incarnation; a silent one sends no resets.
-func (inc *incarnation) crash(dark bool) {
+func (inc *incarnation) crash(silent bool) {
 	if !inc.up {
 		return
 	}
 	d := inc.day
-	inc.up, inc.silent = false, dark
+	inc.up, inc.silent = false, silent
 	inc.record.Ended = inc.now()
-	d.world.logEvent(inc.row.ID + " of " + inc.row.Pool + " ends")
+	d.sim.logEvent(inc.row.ID + " of " + inc.row.Pool + " ends")
 	for _, x := range d.exchangesOf(inc) {
-		if !dark {
+		if !silent {
 			x.failed("reset")
 		}
 	}
 	inc.queue, inc.running = nil, 0
 	b := &d.backends
-	b.free = append(b.free, freeAddr{inc.row.Addr, inc.row.Zone, inc.row.Pool, inc.now() + reuseUs})
-	d.world.after(reuseUs, func() { inc.silent = inc.silent && b.byAddr[inc.row.Addr] == inc })
-	d.world.after(crashedFor, func() { inc.listed = false; b.publish() })
+	b.free = append(b.free, freeAddr{inc.row.Addr, inc.row.Zone, inc.row.Pool, inc.now() + addressReuseUs})
+	d.sim.after(addressReuseUs, func() { inc.silent = inc.silent && b.byAddr[inc.row.Addr] == inc })
+	d.sim.after(crashDelistUs, func() { inc.listed = false; b.publish() })
 }
 
 // restartSlowStart makes the incarnation cold again.
@@ -271,7 +271,7 @@
 	inc.draining, inc.row.State = true, "leaving"
 	inc.record.Shown = inc.now() + listLagUs
 	d.backends.publish()
-	d.world.after(listLagUs+d.journal.Bounds.DrainUs+300*clock.Millisecond, func() {
+	d.sim.after(listLagUs+d.journal.Bounds.DrainUs+300*clock.Millisecond, func() {
 		if inc.up {
 			inc.crash(false)
 			inc.listed = false
--- a/lab/sim/day_machine_faults.go
+++ b/lab/sim/day_machine_faults.go
@@ -13,7 +13,7 @@
 
 // faulty reports whether a machine counts as lost: it is faulty now or was until a moment ago.
 func (d *day) faulty(m *machine) bool {
-	return d.journal.Faults.Of(m.name).Hit(d.world.now-d.settings.Bounds.SyncTime, d.world.now)
+	return d.journal.Faults.Of(m.name).Hit(d.sim.now-d.settings.Bounds.SyncTime, d.sim.now)
 }
 
 // toleratedFaults returns how many more core members may be lost beside those that are.
@@ -29,7 +29,7 @@
 
 // leader returns the machine that acknowledged last, or else the one that leads partition 0.
 func (d *day) leader() *machine {
-	if m := d.commands.last; m != nil && m.coreMember() && !d.faulty(m) {
+	if m := d.commands.lastAcked; m != nil && m.coreMember() && !d.faulty(m) {
 		return m
 	}
 	for _, m := range d.machines {
@@ -45,26 +45,26 @@
 	if m := d.namedMachine(step); m != nil && m.coreMember() && !d.faulty(m) {
 		return m
 	}
-	var well []*machine
+	var healthy []*machine
 	for _, m := range d.machines {
 		if m.coreMember() && !d.faulty(m) {
-			well = append(well, m)
+			healthy = append(healthy, m)
 		}
 	}
-	if len(well) == 0 {
+	if len(healthy) == 0 {
 		return nil
 	}
-	return well[d.world.rng.IntN(len(well))]
+	return healthy[d.sim.rng.IntN(len(healthy))]
 }
 
 // onCoreMember applies f to a core member once the deployment tolerates one more loss.
 func (d *day) onCoreMember(step *dayStep, f func(m *machine)) {
 	m := d.drawCoreMember(step)
 	if m == nil || d.toleratedFaults(nil) < 1 {
-		d.world.after(faultRetryUs, func() { d.onCoreMember(step, f) })
+		d.sim.after(faultRetryUs, func() { d.onCoreMember(step, f) })
 		return
 	}
-	d.world.Checker.Count("troubled."+step.verb, 1)
+	d.sim.Checker.Count("troubled."+step.verb, 1)
 	f(m)
 	d.updateFaultSpans()
 }
@@ -77,7 +77,7 @@
 			all = append(all, m)
 		}
 	}
-	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	d.sim.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	if i := slices.Index(all, d.namedMachine(step)); i > 0 {
 		all[0], all[i] = all[i], all[0]
 	}
@@ -95,13 +95,13 @@
 func (d *day) machineFault(step *dayStep) bool {
 	switch step.verb {
 	case "node_kill", "node_freeze", "node_slow", "herd_kill":
-		d.strike(step)
+		d.failMachines(step)
 	case "after_ack_kill", "after_ack_wipe":
-		d.arm(step)
+		d.deferFault(step)
 	case "reset_conns":
 		d.resetConns(step)
 	case "zone_loss":
-		d.loseZone(step)
+		d.powerOffZone(step)
 	case "zone_cut":
 		d.partitionZone(step)
 	case "disk_full", "disk_stall", "disk_slow":
@@ -116,8 +116,8 @@
 	return true
 }
 
-func (d *day) strike(step *dayStep) {
-	hit := func(m *machine) {
+func (d *day) failMachines(step *dayStep) {
+	inject := func(m *machine) {
 		// It may have waited until now.
 		d.recordUnplanned(step.forUs)
 		switch {
@@ -137,39 +137,39 @@
 	}
 	switch {
 	case step.verb == "herd_kill" && step.has("taken"):
-		d.armTaken(func(*machine) {
+		d.onNextAccept(func(*machine) {
 			d.recordUnplanned(step.forUs)
 			d.eachCoreMember(func(m *machine) { m.powerOff(); d.endFaultAfter(step, m, restartUs, m.powerOn) })
 		})
 	case step.verb == "herd_kill" && step.on == "core":
-		d.eachCoreMember(hit)
+		d.eachCoreMember(inject)
 	case step.verb == "herd_kill":
 		// All processes at the same moment, or a share of them; they restart at once.
 		for _, m := range d.machines {
-			if step.share == 0 || d.world.rng.Float64() < step.share {
-				hit(m)
+			if step.share == 0 || d.sim.rng.Float64() < step.share {
+				inject(m)
 			}
 		}
 	case step.on == "core":
 		for range max(1, step.count) {
-			d.onCoreMember(step, hit)
+			d.onCoreMember(step, inject)
 		}
 	default:
 		for _, m := range d.drawOthers(step, d.machineCount(step, 0.1)) {
-			hit(m)
+			inject(m)
 		}
 	}
 }
 
-// strikeAfterAck takes the power from the machine that has just acknowledged, a moment later.
-func (d *day) strikeAfterAck(step *dayStep, m *machine) {
-	d.world.after(d.world.rng.Int64N(4000), func() {
+// failAfterAck takes the power from the machine that has just acknowledged, a moment later.
+func (d *day) failAfterAck(step *dayStep, m *machine) {
+	d.sim.after(d.sim.rng.Int64N(4000), func() {
 		if d.toleratedFaults(m) < 1 || m.poweredOff || m.draining {
-			d.arm(step)
+			d.deferFault(step)
 			return
 		}
 		d.recordUnplanned(step.forUs)
-		d.world.Checker.Count("troubled."+step.verb, 1)
+		d.sim.Checker.Count("troubled."+step.verb, 1)
 		if step.has("kill") {
 			m.kill()
 			d.endFaultAfter(step, m, max(restartUs, step.forUs), m.start)
@@ -180,7 +180,7 @@
 			m.wipe()
 		}
 		d.endFaultAfter(step, m, step.forUs, m.powerOn)
-		d.strikeFurther(step)
+		d.failFurtherMembers(step)
 	})
 }
 
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -57,10 +57,10 @@
 }
 
 func (m *machine) add(role, addr string) *process {
-	w := m.day.world
+	sim := m.day.sim
 	e := m.day.settings
 	e.Name, e.Zone, e.Mesh, e.Operator = m.name+"/"+role, m.zone, addr, addr+"0"
-	p := &process{world: w, name: e.Name, role: role, settings: e, index: int64(len(w.names)), machine: m}
+	p := &process{sim: sim, name: e.Name, role: role, settings: e, index: int64(len(sim.names)), machine: m}
 	if role == roleCore {
 		p.settings.PlatformURL = ""
 		if m.hasDisk {
@@ -69,9 +69,9 @@
 			p.disk.syncTime = m.day.site.syncUs
 		}
 	}
-	w.processes[p.name] = p
-	w.names = append(w.names, p.name)
-	w.processesByAddr[addr] = p
+	sim.processes[p.name] = p
+	sim.names = append(sim.names, p.name)
+	sim.processesByAddr[addr] = p
 	return p
 }
 
@@ -127,12 +127,12 @@
 // while.
 func (m *machine) recordEvent() {
 	d := m.day
-	if d.world.now < leadUs/4 && d.settings.Bootstrap {
+	if d.sim.now < trafficStartUs/4 && d.settings.Bootstrap {
 		return
 	}
-	d.journal.Faults.Of(m.name).Moment(d.world.now)
+	d.journal.Faults.Of(m.name).Moment(d.sim.now)
 	if m.coreMember() {
-		d.journal.Faults.Unsettled.Moment(d.world.now)
+		d.journal.Faults.Unsettled.Moment(d.sim.now)
 	}
 }
 
@@ -165,7 +165,7 @@
 func (m *machine) wipe() {
 	if m.core != nil && m.core.disk != nil {
 		m.core.disk.wipe()
-		m.day.world.logEvent(m.name + " loses its disk")
+		m.day.sim.logEvent(m.name + " loses its disk")
 	}
 }
 
@@ -181,39 +181,39 @@
 	m.day.updateFaultSpans()
 }
 
-// afterGrace is how long after a graceful shutdown's time limit its work still counts as planned.
-const afterGrace = clock.Second
+// graceSlack is how long after a graceful shutdown's time limit its work still counts as planned.
+const graceSlack = clock.Second
 
 // stop is the graceful shutdown: each process ends by itself, or is killed when the time limit is over.
-func (m *machine) stop(then func()) {
+func (m *machine) stop(done func()) {
 	if m.draining || m.poweredOff || m.removed {
 		return
 	}
 	m.recordEvent()
 	m.draining = true
-	m.day.recordPlanned(m.day.journal.Bounds.GraceUs + afterGrace)
-	w := m.day.world
+	m.day.recordPlanned(m.day.journal.Bounds.GraceUs + graceSlack)
+	sim := m.day.sim
 	for _, p := range m.processes() {
 		if !p.running() {
 			continue
 		}
-		life := p.incarnation
+		started := p.incarnation
 		if p.role == roleNode {
 			m.day.gateways[p].stop()
 		} else {
 			p.draining = true
-			w.logEvent(p.name + " drains")
+			sim.logEvent(p.name + " drains")
 			p.step(stopping)
-			p.leaveGroups(w.now + replica.LeaveTimeout)
+			p.leaveGroups(sim.now + replica.LeaveTimeout)
 		}
-		w.after(m.day.journal.Bounds.GraceUs, func() {
-			if p.up && p.incarnation == life {
-				w.Checker.Count("ended_after_grace", 1)
+		sim.after(m.day.journal.Bounds.GraceUs, func() {
+			if p.up && p.incarnation == started {
+				sim.Checker.Count("ended_after_grace", 1)
 				p.kill()
 			}
 		})
 	}
-	m.whenStopped(then)
+	m.whenStopped(done)
 }
 
 // lastFramesUs is the time in which the last frames of a stopping core leave it.
@@ -221,7 +221,7 @@
 
 // leaveGroups ends a core once it leads no group and is a voter of none, or at the given time.
 func (p *process) leaveGroups(until clock.Micros) {
-	if !p.replicas.HasLeft() && p.world.now < until {
+	if !p.replicas.HasLeft() && p.sim.now < until {
 		p.deliverAfter(10*clock.Millisecond, func() { p.leaveGroups(until) })
 		return
 	}
@@ -229,14 +229,14 @@
 }
 
 // whenStopped calls then once both processes have ended.
-func (m *machine) whenStopped(then func()) {
+func (m *machine) whenStopped(done func()) {
 	for _, p := range m.processes() {
 		if p.up {
-			m.day.world.after(50*clock.Millisecond, func() { m.whenStopped(then) })
+			m.day.sim.after(50*clock.Millisecond, func() { m.whenStopped(done) })
 			return
 		}
 	}
 	m.recordEvent()
 	m.draining = false
-	then()
+	done()
 }
--- a/lab/sim/day_partitions.go
+++ b/lab/sim/day_partitions.go
@@ -15,17 +15,17 @@
 	if step.has("back") {
 		us = -us
 	}
-	var hit []*machine
+	var targets []*machine
 	if m := d.leader(); step.has("leader") && m != nil {
-		hit = append(hit, m)
+		targets = append(targets, m)
 	}
 	for _, m := range d.machines {
-		if d.world.rng.Float64() < step.shareOr(0.3) && (len(hit) == 0 || m != hit[0]) {
-			hit = append(hit, m)
+		if d.sim.rng.Float64() < step.shareOr(0.3) && (len(targets) == 0 || m != targets[0]) {
+			targets = append(targets, m)
 		}
 	}
-	shift := func(us clock.Micros) {
-		for _, m := range hit {
+	stepClocks := func(us clock.Micros) {
+		for _, m := range targets {
 			m.skew += us
 			m.recordEvent()
 			for _, p := range m.processes() {
@@ -33,13 +33,13 @@
 			}
 		}
 	}
-	shift(us)
-	d.world.after(step.forUs, func() { shift(-us) })
+	stepClocks(us)
+	d.sim.after(step.forUs, func() { stepClocks(-us) })
 }
 
 // partitionMachines partitions core members from each other, or other machines from the core members.
 func (d *day) partitionMachines(step *dayStep) {
-	cut := func(m *machine) {
+	partition := func(m *machine) {
 		// It may have waited until now.
 		d.recordUnplanned(step.forUs)
 		var links []string
@@ -56,7 +56,7 @@
 		d.setRefused(links, step.has("refuse"))
 		m.recordEvent()
 		d.restartAroundPartition(step, m)
-		d.meetDuring(step, m)
+		d.sendDuringPartition(step, m)
 		d.endFaultAfter(step, m, step.forUs, func() {
 			d.setPartitioned(links, false, false)
 			d.setRefused(links, false)
@@ -65,7 +65,7 @@
 		})
 	}
 	if step.verb == "core_cut" {
-		d.onCoreMember(step, cut)
+		d.onCoreMember(step, partition)
 		return
 	}
 	if step.has("servers") {
@@ -74,17 +74,17 @@
 		return
 	}
 	for _, m := range d.drawOthers(step, d.machineCount(step, 0.1)) {
-		cut(m)
+		partition(m)
 	}
 }
 
 // setPartitioned blocks or opens links; with reset their connections end at once.
 func (d *day) setPartitioned(links []string, on, reset bool) {
-	for _, way := range links {
-		d.partitions[way] = on
+	for _, mode := range links {
+		d.partitions[mode] = on
 	}
 	if reset {
-		d.world.net.closePartitioned()
+		d.sim.net.closePartitioned()
 	}
-	d.world.logEvent(fmt.Sprint("cuts ", on, " ", links))
+	d.sim.logEvent(fmt.Sprint("cuts ", on, " ", links))
 }
--- a/lab/sim/day_planned_work.go
+++ b/lab/sim/day_planned_work.go
@@ -17,29 +17,29 @@
 // roll stops machines one after another and starts them again, or not.
 func (d *day) roll(step *dayStep) {
 	all := append([]*machine(nil), d.machines...)
-	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	d.sim.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	n := max(1, int(step.shareOr(1)*float64(len(all))+0.5))
-	step.until = d.world.now + busyWithin*int64(n)
+	step.until = d.sim.now + maxBusyWait*int64(n)
 	d.rollNext(step, all[:min(n, len(all))])
 }
 
-func (d *day) rollNext(step *dayStep, rest []*machine) {
-	if len(rest) == 0 {
+func (d *day) rollNext(step *dayStep, remaining []*machine) {
+	if len(remaining) == 0 {
 		return
 	}
-	m := rest[0]
+	m := remaining[0]
 	if m.coreMember() && d.toleratedFaults(m) < 1 || m.poweredOff || m.removed || m.draining || !m.node.running() {
 		if m.removed {
-			rest = rest[1:]
+			remaining = remaining[1:]
 		}
-		d.world.after(faultRetryUs, func() { d.rollNext(step, rest) })
+		d.sim.after(faultRetryUs, func() { d.rollNext(step, remaining) })
 		return
 	}
-	if step.has("busy") && len(d.gateways[m.node].requests) == 0 && d.world.now < step.until {
-		d.world.after(1000, func() { d.rollNext(step, rest) })
+	if step.has("busy") && len(d.gateways[m.node].requests) == 0 && d.sim.now < step.until {
+		d.sim.after(1000, func() { d.rollNext(step, remaining) })
 		return
 	}
-	d.world.Checker.Count("rolled", 1)
+	d.sim.Checker.Count("rolled", 1)
 	m.stop(func() {
 		if step.has("remove") && !m.coreMember() {
 			m.removed = true
@@ -48,7 +48,7 @@
 		d.endFaultAfter(step, m, restartUs, m.start)
 	})
 	d.updateFaultSpans()
-	d.world.after(step.gapUs, func() { d.rollNext(step, rest[1:]) })
+	d.sim.after(step.gapUs, func() { d.rollNext(step, remaining[1:]) })
 }
 
 // rotateSeeds makes other core machines the seeds; running processes read the change too.
@@ -58,7 +58,7 @@
 func (d *day) rotateSeedsTo(first *machine) {
 	var list []string
 	all := d.listedCores()
-	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	d.sim.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	if i := slices.Index(all, first); i > 0 {
 		all[0], all[i] = all[i], all[0]
 	}
@@ -71,7 +71,7 @@
 	for _, m := range d.machines {
 		m.setSeeds(list)
 		for _, p := range m.processes() {
-			p.deliverAfter(d.world.rng.Int64N(clock.Second), func() { p.step(kernel.SeedsChanged{Seeds: append([]string(nil), p.settings.Seeds...)}) })
+			p.deliverAfter(d.sim.rng.Int64N(clock.Second), func() { p.step(kernel.SeedsChanged{Seeds: append([]string(nil), p.settings.Seeds...)}) })
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		case step.has("planned"):
 			// The new one starts first, then the old one is stopped.
 			d.newCore(m)
-			d.world.after(int64(step.factorOr(1)*1e6), func() { m.stop(func() { m.removed = true; d.updateFaultSpans() }) })
+			d.sim.after(int64(step.factorOr(1)*1e6), func() { m.stop(func() { m.removed = true; d.updateFaultSpans() }) })
 			return
 		case step.has("term"):
 			m.stop(add)
@@ -95,7 +95,7 @@
 		}
 		d.recordUnplanned(step.forUs)
 		m.powerOff()
-		d.world.after(int64(step.factorOr(1)*1e6), add)
+		d.sim.after(int64(step.factorOr(1)*1e6), add)
 	})
 }
 
@@ -109,44 +109,44 @@
 	d.updateFaultSpans()
 }
 
-// closingWait bounds how long a closing fault that takes disks waits behind other losses; after that it takes
+// maxClosingWait bounds how long a closing fault that takes disks waits behind other losses; after that it takes
 // fewer.
-const closingWait = 4 * clock.Second
+const maxClosingWait = 4 * clock.Second
 
-// closingFault injects the fault at a day's end, right after one more change was acknowledged. One that would
+// scheduleClosingFault injects the fault at a day's end, right after one more change was acknowledged. One that would
 // take more core members at once than the deployment tolerates waits, as all faults do.
-func (d *day) closingFault(since clock.Micros) {
+func (d *day) scheduleClosingFault(since clock.Micros) {
 	c := &d.commands
-	wipes := d.world.Script.Text("closing", "") == "wipe_after_ack"
-	if wipes && d.toleratedFaults(nil) < d.site.tolerance[0] && d.world.now-since < closingWait {
-		d.world.after(faultRetryUs, func() { d.closingFault(since) })
+	wipes := d.sim.Script.Text("closing", "") == "wipe_after_ack"
+	if wipes && d.toleratedFaults(nil) < d.site.tolerance[0] && d.sim.now-since < maxClosingWait {
+		d.sim.after(faultRetryUs, func() { d.scheduleClosingFault(since) })
 		return
 	}
-	how := d.world.Script.Text("closing_how", "")
+	how := d.sim.Script.Text("closing_how", "")
 	switch how {
 	case "taken":
-		d.armTaken(d.strikeAll)
+		d.onNextAccept(d.injectClosingFault)
 		return
 	case "timed":
-		c.sentArmed = append(c.sentArmed, func() { d.world.after(d.drawArmedDelay(), func() { d.strikeAll(d.leader()) }) })
+		c.sendHooks = append(c.sendHooks, func() { d.sim.after(d.drawDelayAfterSend(), func() { d.injectClosingFault(d.leader()) }) })
 	default:
-		c.armed = append(c.armed, func(m *machine) { d.world.after(d.world.rng.Int64N(4000), func() { d.strikeAll(m) }) })
+		c.ackHooks = append(c.ackHooks, func(m *machine) { d.sim.after(d.sim.rng.Int64N(4000), func() { d.injectClosingFault(m) }) })
 	}
 	c.change("route")
 }
 
-func (d *day) strikeAll(acked *machine) {
-	w := d.world
-	kind, down := w.Script.Text("closing", "power_off_all"), w.Script.Int("down_ms", 1500)*clock.Millisecond
-	d.recordUnplanned(rules.Never - w.now)
-	w.logEvent("closing fault " + kind)
-	w.Checker.Count("closing."+kind, 1)
-	var on []*machine
+func (d *day) injectClosingFault(acked *machine) {
+	sim := d.sim
+	kind, down := sim.Script.Text("closing", "power_off_all"), sim.Script.Int("down_ms", 1500)*clock.Millisecond
+	d.recordUnplanned(rules.Never - sim.now)
+	sim.logEvent("closing fault " + kind)
+	sim.Checker.Count("closing."+kind, 1)
+	var restarted []*machine
 	switch kind {
 	case "kill_all":
 		for _, m := range d.machines {
 			m.kill()
-			on = append(on, m)
+			restarted = append(restarted, m)
 		}
 	case "wipe_after_ack":
 		// As many as the deployment tolerates lose their disks, the one that acknowledged among them; the other
@@ -160,23 +160,23 @@
 				lost++
 				m.powerOff()
 				m.wipe()
-				on = append(on, m)
-			} else if w.Script.Text("closing_how", "") == "power" {
+				restarted = append(restarted, m)
+			} else if sim.Script.Text("closing_how", "") == "power" {
 				m.powerOff()
-				on = append(on, m)
+				restarted = append(restarted, m)
 			}
 		}
 	default:
 		for _, m := range d.machines {
 			m.powerOff()
-			on = append(on, m)
+			restarted = append(restarted, m)
 		}
 	}
-	c := &rules.Closing{At: w.now, Back: w.now + down}
+	c := &rules.Closing{At: sim.now, Back: sim.now + down}
 	d.journal.Closing = c
-	w.after(down, func() {
-		for _, m := range on {
-			w.after(w.rng.Int64N(100*clock.Millisecond), func() { m.poweredOff = false; m.start(); d.updateFaultSpans() })
+	sim.after(down, func() {
+		for _, m := range restarted {
+			sim.after(sim.rng.Int64N(100*clock.Millisecond), func() { m.poweredOff = false; m.start(); d.updateFaultSpans() })
 		}
 	})
 	d.updateFaultSpans()
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -18,38 +18,38 @@
 // itself, and the next one begins.
 func (c *commands) readConfirmed() {
 	d := c.day
-	d.world.after(confirmedReadUs, c.readConfirmed)
+	d.sim.after(confirmedReadUs, c.readConfirmed)
 	list := d.listedCores()
 	if len(list) == 0 {
 		return
 	}
-	m := list[d.world.rng.IntN(len(list))]
+	m := list[d.sim.rng.IntN(len(list))]
 	p := m.core
 	if m.poweredOff || !p.up {
 		return
 	}
-	sent := d.world.now
-	ask := operations.Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: "read"}, Timeout: answerUs}
+	sent := d.sim.now
+	request := operations.Submit{Edit: wire.Edit{Partition: state.ConfigPartition, Op: "read"}, Timeout: answerTimeoutUs}
 	p.deliver(func() {
-		p.call("operate", ask, func(v any) { c.confirmed(sent, v.(operations.Result).Reply) })
+		p.call("operate", request, func(v any) { c.recordConfirmedRead(sent, v.(operations.Result).Reply) })
 	})
 }
 
-func (c *commands) confirmed(sent clock.Micros, r wire.EditReply) {
+func (c *commands) recordConfirmedRead(sent clock.Micros, r wire.EditReply) {
 	d := c.day
 	if r.Code != wire.CodeOK {
 		return
 	}
 	config, err := state.ReadConfig(r.Body)
 	if err != nil {
-		d.world.Checker.Fail(rules.History, d.world.now, "a body that was read cannot be: %v", err)
+		d.sim.Checker.Fail(rules.History, d.sim.now, "a body that was read cannot be: %v", err)
 		return
 	}
 	table, err := state.RoutingOf(config)
 	if err != nil {
-		d.world.Checker.Fail(rules.History, d.world.now, "a table that was read cannot be: %v", err)
+		d.sim.Checker.Fail(rules.History, d.sim.now, "a table that was read cannot be: %v", err)
 		return
 	}
-	d.world.Checker.Count("confirmed_reads", 1)
-	d.journal.Confirmed = append(d.journal.Confirmed, rules.ConfirmedReading{Sent: sent, At: d.world.now, Table: table, Drained: config.DrainedZones})
+	d.sim.Checker.Count("confirmed_reads", 1)
+	d.journal.Confirmed = append(d.journal.Confirmed, rules.ConfirmedReading{Sent: sent, At: d.sim.now, Table: table, Drained: config.DrainedZones})
 }
--- a/lab/sim/day_responses.go
+++ b/lab/sim/day_responses.go
@@ -10,7 +10,7 @@
 )
 
 // responded is called when the response's last byte is at the client.
-func (c *clients) responded(wanted *wantedRequest, attempt *rules.Attempt, to nodeConn, o *dispatch.Outcome) {
+func (c *clients) responded(call *clientCall, attempt *rules.Attempt, to nodeConn, o *dispatch.Outcome) {
 	d := c.day
 	if attempt.Ended != rules.Never {
 		return
@@ -24,52 +24,52 @@
 	default:
 		attempt.Generated = true
 	}
-	d.world.logEvent(attempt.Machine + " " + attempt.ID + " " + attempt.Class + " " + string(o.Code) + " " + o.Reason)
-	d.world.Checker.Count("outcome."+string(o.Code), 1)
-	if g := d.gateways[to.machine.node]; g != nil && !g.draining && !g.closed && !attempt.Probe && d.world.rng.IntN(3) > 0 {
-		c.conns[wanted.client] = to
+	d.sim.logEvent(attempt.Machine + " " + attempt.ID + " " + attempt.Class + " " + string(o.Code) + " " + o.Reason)
+	d.sim.Checker.Count("outcome."+string(o.Code), 1)
+	if g := d.gateways[to.machine.node]; g != nil && !g.draining && !g.closed && !attempt.Probe && d.sim.rng.IntN(3) > 0 {
+		c.conns[call.client] = to
 	} else {
-		delete(c.conns, wanted.client)
+		delete(c.conns, call.client)
 	}
-	c.ended(wanted, attempt, false)
+	c.ended(call, attempt, false)
 }
 
 // ended is called when an attempt ends; unread reports that the client knows that the node has not read it.
-func (c *clients) ended(wanted *wantedRequest, attempt *rules.Attempt, unread bool) {
+func (c *clients) ended(call *clientCall, attempt *rules.Attempt, unread bool) {
 	d := c.day
 	if attempt.Ended != rules.Never {
 		return
 	}
-	attempt.Ended = d.world.now
-	if attempt.Probe || wanted.ended {
+	attempt.Ended = d.sim.now
+	if attempt.Probe || call.ended {
 		return
 	}
 	if attempt.Served() {
-		wanted.ended = true
-		c.creditValue(wanted, attempt)
+		call.ended = true
+		c.creditValue(call, attempt)
 		return
 	}
 	if attempt.Status == 0 {
-		d.world.Checker.Count("outcome.none", 1)
+		d.sim.Checker.Count("outcome.none", 1)
 	}
-	left := wanted.end - d.world.now
-	again := left > 0 && wanted.attemptsLeft > 0 && (attempt.Status == 0 || retried(attempt.Status))
+	left := call.end - d.sim.now
+	willRetry := left > 0 && call.attemptsLeft > 0 && (attempt.Status == 0 || retried(attempt.Status))
 	if !attempt.Repeatable {
-		again = again && (unread || attempt.Status == 429 || attempt.Status == 503 || attempt.Status == 408 || attempt.Status == 421)
+		willRetry = willRetry && (unread || attempt.Status == 429 || attempt.Status == 503 || attempt.Status == 408 || attempt.Status == 421)
 	}
-	if !again {
-		wanted.ended = true
-		d.world.Checker.Count("unserved", 1)
+	if !willRetry {
+		call.ended = true
+		d.sim.Checker.Count("unserved", 1)
 		return
 	}
 	wait := min(attempt.RetryAfterUs, left/3)
-	if wanted.eager {
+	if call.eager {
 		wait = 0
 	}
-	if attempt.Status == 503 && wanted.refusedAt == 0 {
-		wanted.refusedAt = d.world.now
+	if attempt.Status == 503 && call.refusedAt == 0 {
+		call.refusedAt = d.sim.now
 	}
-	d.world.after(wait, func() { c.sendAttempt(wanted) })
+	d.sim.after(wait, func() { c.sendAttempt(call) })
 }
 
 // retried reports whether a status may be retried at all.
@@ -82,31 +82,31 @@
 }
 
 // creditValue counts the value of a response.
-func (c *clients) creditValue(wanted *wantedRequest, attempt *rules.Attempt) {
+func (c *clients) creditValue(call *clientCall, attempt *rules.Attempt) {
 	d := c.day
-	d.world.Checker.Count("served", 1)
-	worth := wanted.kind.late
-	if d.world.now-wanted.began <= wanted.kind.targetUs {
-		worth = wanted.kind.value
-		d.world.Checker.Count("in_aim", 1)
+	d.sim.Checker.Count("served", 1)
+	value := call.kind.lateValue
+	if d.sim.now-call.began <= call.kind.targetUs {
+		value = call.kind.value
+		d.sim.Checker.Count("in_aim", 1)
 	}
 	if n := len(attempt.Seals); n > 0 {
 		if attempt.Missing > 0 {
-			d.world.Checker.Count("partial", 1)
+			d.sim.Checker.Count("partial", 1)
 		}
 		share := float64(n) / float64(n+attempt.Missing)
-		worth *= share * share
+		value *= share * share
 	}
-	c.earned[wanted.kind.name] += worth
+	c.earned[call.kind.name] += value
 }
 
 // sendProbe asks every node that is ready or gets clients for routes that were added, removed or never existed.
 func (c *clients) sendProbe() {
 	d := c.day
-	if d.world.now >= c.until {
+	if d.sim.now >= c.until {
 		return
 	}
-	d.world.after(probeEvery, c.sendProbe)
+	d.sim.after(probeInterval, c.sendProbe)
 	names := d.commands.idleNames()
 	if len(names) == 0 {
 		return
@@ -116,16 +116,16 @@
 		if c.misses[m] > 0 || !m.node.up || m.poweredOff {
 			continue
 		}
-		path := prefixOf(names[d.world.rng.IntN(len(names))])
-		wanted := &wantedRequest{kind: kind, zone: m.zone, client: "probe", began: d.world.now, end: d.world.now + kind.deadlineUs, path: path}
-		d.world.nextID++
+		path := prefixOf(names[d.sim.rng.IntN(len(names))])
+		call := &clientCall{kind: kind, zone: m.zone, client: "probe", began: d.sim.now, end: d.sim.now + kind.deadlineUs, path: path}
+		d.sim.nextID++
 		attempt := &rules.Attempt{
-			ID: idOf(d.world.nextID), Class: "probe", Client: "probe", Zone: m.zone, Machine: m.name, Host: host, Method: "GET", Path: path, Target: path,
-			Repeatable: true, Probe: true, Sent: d.world.now, Ended: rules.Never, Deadline: wanted.end,
+			ID: idOf(d.sim.nextID), Class: "probe", Client: "probe", Zone: m.zone, Machine: m.name, Host: host, Method: "GET", Path: path, Target: path,
+			Repeatable: true, Probe: true, Sent: d.sim.now, Ended: rules.Never, Deadline: call.end,
 		}
 		d.journal.Attempts = append(d.journal.Attempts, attempt)
-		d.world.Checker.Count("probes_of_routes", 1)
-		c.connect(wanted, attempt, nodeConn{m, m.node.incarnation}, true)
+		d.sim.Checker.Count("probes_of_routes", 1)
+		c.connect(call, attempt, nodeConn{m, m.node.incarnation}, true)
 	}
 }
 
--- a/lab/sim/day_scaling.go
+++ b/lab/sim/day_scaling.go
@@ -4,15 +4,15 @@
 
 import "wallport/runtime/clock"
 
-// scaled runs the step if it is a release, a change of the number of backends or of the load, and reports
+// scalingStep runs the step if it is a release, a change of the number of backends or of the load, and reports
 // whether it is.
-func (d *day) scaled(step *dayStep) bool {
+func (d *day) scalingStep(step *dayStep) bool {
 	switch step.verb {
 	case "release":
 		d.release(step)
 	case "scale_out":
-		for i, inc := range d.some(step, 0.3) {
-			d.world.after(int64(i)*step.gapUs/8, func() {
+		for i, inc := range d.drawShare(step, 0.3) {
+			d.sim.after(int64(i)*step.gapUs/8, func() {
 				d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 				d.backends.publish()
 			})
@@ -22,53 +22,53 @@
 	case "burst":
 		d.clients.burst(step)
 	case "retry_abuse":
-		c, was := &d.clients, d.clients.eager
+		c, previous := &d.clients, d.clients.eager
 		c.eager, c.eagerRetries = int(100*step.shareOr(0.5)), int(step.factorOr(2))
-		d.world.after(step.forUs, func() { c.eager, c.eagerRetries = was, defaultEagerRetries })
+		d.sim.after(step.forUs, func() { c.eager, c.eagerRetries = previous, defaultEagerRetries })
 	default:
 		return false
 	}
 	return true
 }
 
-// some draws a share of all backends, but never all of a pool.
-func (d *day) some(step *dayStep, share float64) []*incarnation {
+// drawShare draws a share of all backends, but never all of a pool.
+func (d *day) drawShare(step *dayStep, share float64) []*incarnation {
 	how := "across"
 	if step.service != "" {
 		how = ""
 	}
-	lives := d.drawBackends(&dayStep{service: step.service, how: how, count: step.count}, step.shareOr(share))
-	d.world.Checker.Count("troubled."+step.verb, int64(len(lives)))
-	return lives
+	targets := d.drawBackends(&dayStep{service: step.service, how: how, count: step.count}, step.shareOr(share))
+	d.sim.Checker.Count("troubled."+step.verb, int64(len(targets)))
+	return targets
 }
 
 // release replaces backends a few at a time: the new one starts first, then the old one drains.
 func (d *day) release(step *dayStep) {
-	at := max(1, int(step.factorOr(1)))
-	for i, inc := range d.some(step, 0.5) {
-		d.world.after(int64(i/at)*step.gapUs, func() {
+	batch := max(1, int(step.factorOr(1)))
+	for i, inc := range d.drawShare(step, 0.5) {
+		d.sim.after(int64(i/batch)*step.gapUs, func() {
 			d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 			d.backends.publish()
-			d.world.after(warmUpUs, inc.drain)
+			d.sim.after(warmUpUs, inc.drain)
 		})
 	}
 }
 
-// spotBack is how long after a spot backend's end its replacement starts.
-const spotBack = 4 * clock.Second
+// spotReplaceDelay is how long after a spot backend's end its replacement starts.
+const spotReplaceDelay = 4 * clock.Second
 
 // scaleIn drains backends; spot ones end a moment after the notice.
 func (d *day) scaleIn(step *dayStep) {
 	if step.has("spot") {
 		d.recordUnplanned(int64(step.factorOr(2) * 1e6))
 	}
-	for _, inc := range d.some(step, 0.15) {
+	for _, inc := range d.drawShare(step, 0.15) {
 		inc.drain()
 		if !step.has("spot") {
 			continue
 		}
-		d.world.after(int64(step.factorOr(2)*1e6), func() { inc.crash(false) })
-		d.world.after(int64(step.factorOr(2)*1e6)+spotBack, func() {
+		d.sim.after(int64(step.factorOr(2)*1e6), func() { inc.crash(false) })
+		d.sim.after(int64(step.factorOr(2)*1e6)+spotReplaceDelay, func() {
 			d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 			d.backends.publish()
 		})
@@ -79,30 +79,30 @@
 func (d *day) reuse(step *dayStep) {
 	d.recordUnplanned(step.forUs)
 	b := &d.backends
-	for _, inc := range d.some(step, 0.15) {
+	for _, inc := range d.drawShare(step, 0.15) {
 		d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
-		in := reuseUs
+		delay := addressReuseUs
 		if step.has("drain") {
 			inc.drain()
-			in += listLagUs + d.journal.Bounds.DrainUs + 400*clock.Millisecond
+			delay += listLagUs + d.journal.Bounds.DrainUs + 400*clock.Millisecond
 		} else {
 			inc.crash(step.has("dark"))
 		}
-		d.world.after(in+clock.Millisecond, func() { d.reuseAt(inc) })
+		d.sim.after(delay+clock.Millisecond, func() { d.reuseAt(inc) })
 	}
 	b.publish()
 }
 
 // reuseAt starts a backend of another service at the address of one that has ended.
-func (d *day) reuseAt(was *incarnation) {
+func (d *day) reuseAt(previous *incarnation) {
 	b := &d.backends
 	for _, name := range d.unshardedPools() {
-		if name == was.row.Pool {
+		if name == previous.row.Pool {
 			continue
 		}
-		b.reuses = true
-		b.start(d.site.pool(name), name, was.row.Zone)
-		b.reuses = false
+		b.preferReuse = true
+		b.start(d.site.pool(name), name, previous.row.Zone)
+		b.preferReuse = false
 		b.publish()
 		return
 	}
--- a/lab/sim/day_shift.go
+++ b/lab/sim/day_shift.go
@@ -12,13 +12,13 @@
 	"wallport/runtime/clock"
 )
 
-// shiftedStep marks a step that is delayed by the setting shift_ms.
-const shiftedStep = "shifted=yes"
+// delayedStep marks a step that is delayed by the setting shift_ms.
+const delayedStep = "shifted=yes"
 
-// shift returns how much a step is delayed.
-func (w *World) shift(st script.Step) clock.Micros {
-	if slices.Contains(st.Args, shiftedStep) {
-		return w.Script.Int("shift_ms", 0) * clock.Millisecond
+// scheduledDelay returns how much a step is delayed.
+func (sim *Simulation) scheduledDelay(st script.Step) clock.Micros {
+	if slices.Contains(st.Args, delayedStep) {
+		return sim.Script.Int("shift_ms", 0) * clock.Millisecond
 	}
 	return 0
 }
--- a/lab/sim/day_sites.go
+++ b/lab/sim/day_sites.go
@@ -21,7 +21,7 @@
 	connections   int64
 	pauseUs       clock.Micros
 	slowStartPerS float64
-	later         bool
+	afterReshard  bool
 }
 
 // requestShape is a kind of requests.
@@ -30,7 +30,7 @@
 	perSecond                    float64
 	workUs, targetUs, deadlineUs clock.Micros
 	tailPct                      int
-	value, late                  float64
+	value, lateValue             float64
 	repeatable                   bool
 	backends, priority           int32
 	records                      int32
@@ -51,10 +51,10 @@
 	coreShare float64
 }
 
-func shards(name, later string, n, m, slots int, conns, pause int64, perZone ...int) []poolShape {
+func shards(name, afterReshard string, n, m, slots int, conns, pause int64, perZone ...int) []poolShape {
 	p := poolShape{name: name, shards: n, perZone: perZone, slots: slots, queue: 4 * slots, connections: conns, pauseUs: pause}
 	q := p
-	q.name, q.shards, q.later = later, m, true
+	q.name, q.shards, q.afterReshard = afterReshard, m, true
 	return []poolShape{p, q}
 }
 
@@ -65,19 +65,19 @@
 // trustKinds are the requests of a score service, registryKinds those of a register of tenancies.
 func trustKinds() []requestShape {
 	return []requestShape{
-		{name: "score-query", pool: "lookup", also: "catalog", perSecond: 255, workUs: 7500, tailPct: 2, targetUs: 80 * clock.Millisecond, deadlineUs: 400 * clock.Millisecond, value: 2, late: 0.6, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
-		{name: "incipit-probe", pool: "lookup", also: "catalog", perSecond: 102, workUs: 2500, tailPct: 2, targetUs: 40 * clock.Millisecond, deadlineUs: 250 * clock.Millisecond, value: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
-		{name: "part-fetch", pool: "engrave", also: "archive", perSecond: 153, workUs: 60 * clock.Millisecond, targetUs: 250 * clock.Millisecond, deadlineUs: 1500 * clock.Millisecond, value: 3, late: 0.3, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
-		{name: "credits-lookup", pool: "engrave", also: "archive", perSecond: 25.5, workUs: 60 * clock.Millisecond, targetUs: 250 * clock.Millisecond, deadlineUs: 1500 * clock.Millisecond, value: 1, late: 0.3, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
+		{name: "score-query", pool: "lookup", also: "catalog", perSecond: 255, workUs: 7500, tailPct: 2, targetUs: 80 * clock.Millisecond, deadlineUs: 400 * clock.Millisecond, value: 2, lateValue: 0.6, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
+		{name: "incipit-probe", pool: "lookup", also: "catalog", perSecond: 102, workUs: 2500, tailPct: 2, targetUs: 40 * clock.Millisecond, deadlineUs: 250 * clock.Millisecond, value: 1, lateValue: 0.3, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
+		{name: "part-fetch", pool: "engrave", also: "archive", perSecond: 153, workUs: 60 * clock.Millisecond, targetUs: 250 * clock.Millisecond, deadlineUs: 1500 * clock.Millisecond, value: 3, lateValue: 0.3, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
+		{name: "credits-lookup", pool: "engrave", also: "archive", perSecond: 25.5, workUs: 60 * clock.Millisecond, targetUs: 250 * clock.Millisecond, deadlineUs: 1500 * clock.Millisecond, value: 1, lateValue: 0.3, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
 	}
 }
 
 func registryKinds() []requestShape {
 	return []requestShape{
-		{name: "full-screen", pool: "screening", also: "portal", perSecond: 255, workUs: 15 * clock.Millisecond, tailPct: 2, targetUs: 120 * clock.Millisecond, deadlineUs: 1200 * clock.Millisecond, value: 2, late: 1, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
-		{name: "quick-check", pool: "screening", also: "portal", perSecond: 102, workUs: 5000, tailPct: 2, targetUs: 60 * clock.Millisecond, deadlineUs: 600 * clock.Millisecond, value: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
-		{name: "record-fix", pool: "dispute", also: "notices", perSecond: 153, workUs: 120 * clock.Millisecond, targetUs: 500 * clock.Millisecond, deadlineUs: 5 * clock.Second, value: 3, late: 0.5, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
-		{name: "file-view", pool: "dispute", also: "notices", perSecond: 25.5, workUs: 120 * clock.Millisecond, targetUs: 500 * clock.Millisecond, deadlineUs: 5 * clock.Second, value: 1, late: 0.5, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
+		{name: "full-screen", pool: "screening", also: "portal", perSecond: 255, workUs: 15 * clock.Millisecond, tailPct: 2, targetUs: 120 * clock.Millisecond, deadlineUs: 1200 * clock.Millisecond, value: 2, lateValue: 1, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
+		{name: "quick-check", pool: "screening", also: "portal", perSecond: 102, workUs: 5000, tailPct: 2, targetUs: 60 * clock.Millisecond, deadlineUs: 600 * clock.Millisecond, value: 1, lateValue: 0.5, repeatable: true, backends: 2, priority: 2, records: 5, coverage: 0.5, responseBytes: 160, retries: 1},
+		{name: "record-fix", pool: "dispute", also: "notices", perSecond: 153, workUs: 120 * clock.Millisecond, targetUs: 500 * clock.Millisecond, deadlineUs: 5 * clock.Second, value: 3, lateValue: 0.5, backends: 1, responseBytes: 48, bodyBytes: 24, retries: 1},
+		{name: "file-view", pool: "dispute", also: "notices", perSecond: 25.5, workUs: 120 * clock.Millisecond, targetUs: 500 * clock.Millisecond, deadlineUs: 5 * clock.Second, value: 1, lateValue: 0.5, repeatable: true, backends: 2, priority: 2, responseBytes: 48, retries: 1},
 	}
 }
 
@@ -175,7 +175,7 @@
 		p := &s.pools[i]
 		p.perZone = []int{2, 2, 2, 2}
 		switch {
-		case p.shards > 0 && p.later:
+		case p.shards > 0 && p.afterReshard:
 			p.shards = grownLater
 		case p.shards > 0:
 			p.shards = grownShards
--- a/lab/sim/day_verbs.go
+++ b/lab/sim/day_verbs.go
@@ -41,7 +41,7 @@
 		case "to_zone":
 			e.toZone = v
 		case "shifted":
-			// Only the step's time differs: see World.shift.
+			// Only the step's time differs: see Simulation.scheduledDelay.
 		case "class":
 			e.class = v
 		case "on":
@@ -104,11 +104,11 @@
 		}
 		for i := range n {
 			how := []string{"idle", "route", "timeout", "weights", "idle", "invalid"}[i%6]
-			d.world.after(int64(i)*step.gapUs, func() { c.change(how) })
+			d.sim.after(int64(i)*step.gapUs, func() { c.change(how) })
 		}
 	case "config_race":
 		for i := range max(1, step.count) {
-			d.world.after(int64(i)*step.gapUs, func() { c.race(max(2, int(step.factor))) })
+			d.sim.after(int64(i)*step.gapUs, func() { c.race(max(2, int(step.factor))) })
 		}
 	case "bad_config":
 		c.sendBad(step)
@@ -142,7 +142,7 @@
 	case "rate":
 		d.clients.rate *= step.factorOr(1)
 	default:
-		return d.scaled(step) || d.commandFault(step)
+		return d.scalingStep(step) || d.commandFault(step)
 	}
 	return true
 }
@@ -150,7 +150,7 @@
 func (d *day) runStep(st script.Step) {
 	e, err := parseDayStep(st)
 	if err != nil {
-		panic(fmt.Sprintf("%s:%d: %v", d.world.Script.Name, st.Line, err))
+		panic(fmt.Sprintf("%s:%d: %v", d.sim.Script.Name, st.Line, err))
 	}
 	d.countStep(&e)
 	if d.plannedWork(&e) {
@@ -168,11 +168,11 @@
 	}
 	wait := int64(0)
 	if e.has("race") || e.has("meet") {
-		wait = d.world.rng.Int64N(25 * clock.Millisecond)
+		wait = d.sim.rng.Int64N(25 * clock.Millisecond)
 	}
-	d.world.after(wait, func() {
+	d.sim.after(wait, func() {
 		if !d.backendFault(&e) && !d.machineFault(&e) {
-			panic(fmt.Sprintf("%s:%d: no verb %q", d.world.Script.Name, st.Line, e.verb))
+			panic(fmt.Sprintf("%s:%d: no verb %q", d.sim.Script.Name, st.Line, e.verb))
 		}
 		d.updateFaultSpans()
 	})
@@ -181,13 +181,13 @@
 // recordUnplanned records an unplanned fault that lasts for forUs from now on.
 func (d *day) recordUnplanned(forUs clock.Micros) {
 	t := &d.journal.Faults
-	t.Unplanned = append(t.Unplanned, rules.Span{From: d.world.now, To: d.world.now + forUs})
+	t.Unplanned = append(t.Unplanned, rules.Span{From: d.sim.now, To: d.sim.now + forUs})
 }
 
 // recordPlanned records planned work that lasts for forUs from now on.
 func (d *day) recordPlanned(forUs clock.Micros) {
 	t := &d.journal.Faults
-	t.Planned = append(t.Planned, rules.Span{From: d.world.now, To: d.world.now + forUs})
+	t.Planned = append(t.Planned, rules.Span{From: d.sim.now, To: d.sim.now + forUs})
 }
 
 // drainSome drains backends, each replaced by a new one.
@@ -197,9 +197,9 @@
 		all = slices.DeleteFunc(all, func(inc *incarnation) bool { return inc.row.Zone != step.zone })
 	}
 	n := max(1, step.count, int(step.share*float64(len(all))))
-	d.world.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	d.sim.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for i, inc := range all[:min(n, len(all))] {
-		d.world.after(int64(i)*step.gapUs/4, func() {
+		d.sim.after(int64(i)*step.gapUs/4, func() {
 			if inc.up {
 				d.backends.start(inc.shape, inc.row.Pool, inc.row.Zone)
 				inc.drain()
--- a/lab/sim/day_zones.go
+++ b/lab/sim/day_zones.go
@@ -13,15 +13,15 @@
 	if step.zone != "" {
 		return step.zone
 	}
-	return d.site.zones[d.world.rng.IntN(len(d.site.zones))].name
+	return d.site.zones[d.sim.rng.IntN(len(d.site.zones))].name
 }
 
 // toleratesZoneLoss reports whether a zone may be lost beside what is lost already.
 func (d *day) toleratesZoneLoss(zone string) bool {
-	in, lostElsewhere := 0, false
+	membersInZone, lostElsewhere := 0, false
 	for _, m := range d.machines {
 		if m.coreMember() && m.zone == zone {
-			in++
+			membersInZone++
 		} else if m.coreMember() {
 			lostElsewhere = lostElsewhere || d.faulty(m)
 		}
@@ -29,32 +29,32 @@
 	if len(d.site.zones) < 2 || len(d.zonePartitions) > 0 {
 		return false
 	}
-	return in == 0 || !lostElsewhere && (d.site.tolerance[1] > 0 || in <= d.site.tolerance[0])
+	return membersInZone == 0 || !lostElsewhere && (d.site.tolerance[1] > 0 || membersInZone <= d.site.tolerance[0])
 }
 
 // onZone applies f to a zone once that zone may be lost.
 func (d *day) onZone(step *dayStep, f func(zone string)) {
 	zone := d.drawZone(step)
 	if !d.toleratesZoneLoss(zone) {
-		d.world.after(faultRetryUs, func() { d.onZone(step, f) })
+		d.sim.after(faultRetryUs, func() { d.onZone(step, f) })
 		return
 	}
 	d.recordUnplanned(step.forUs)
-	d.world.Checker.Count("troubled."+step.verb, 1)
+	d.sim.Checker.Count("troubled."+step.verb, 1)
 	f(zone)
 	d.updateFaultSpans()
 }
 
-// zoneBackWithin is the time in which a zone's machines and backends come back one by one.
-const zoneBackWithin = 1500 * clock.Millisecond
+// zoneRestoreWindow is the time in which a zone's machines and backends come back one by one.
+const zoneRestoreWindow = 1500 * clock.Millisecond
 
-// loseZone takes the power from a zone's machines and backends.
-func (d *day) loseZone(step *dayStep) {
+// powerOffZone takes the power from a zone's machines and backends.
+func (d *day) powerOffZone(step *dayStep) {
 	d.onZone(step, func(zone string) {
 		for _, m := range d.machines {
 			if m.zone == zone && !m.removed && !m.poweredOff {
 				m.powerOff()
-				d.endFaultAfter(step, m, step.forUs+d.world.rng.Int64N(zoneBackWithin), m.powerOn)
+				d.endFaultAfter(step, m, step.forUs+d.sim.rng.Int64N(zoneRestoreWindow), m.powerOn)
 			}
 		}
 		d.downZone(zone, step.forUs, true)
@@ -62,13 +62,13 @@
 }
 
 // downZone ends a zone's backends; they come back together, cold.
-func (d *day) downZone(zone string, forUs clock.Micros, dark bool) {
+func (d *day) downZone(zone string, forUs clock.Micros, silent bool) {
 	for _, inc := range d.backends.of("*") {
 		if inc.row.Zone != zone {
 			continue
 		}
-		inc.crash(dark)
-		d.world.after(forUs+d.world.rng.Int64N(zoneBackWithin), func() {
+		inc.crash(silent)
+		d.sim.after(forUs+d.sim.rng.Int64N(zoneRestoreWindow), func() {
 			d.backends.start(inc.shape, inc.row.Pool, zone)
 			d.backends.publish()
 		})
@@ -87,29 +87,29 @@
 			}
 		}
 		if step.has("reset") {
-			d.world.net.closePartitioned()
+			d.sim.net.closePartitioned()
 		}
 		events()
 		first := slices.IndexFunc(d.machines, func(m *machine) bool { return m.coreMember() && m.zone == zone })
 		end := func() { delete(d.zonePartitions, zone); events() }
 		if first < 0 {
-			d.world.after(step.forUs, func() { end(); d.updateFaultSpans() })
+			d.sim.after(step.forUs, func() { end(); d.updateFaultSpans() })
 			return
 		}
-		d.meetDuring(step, d.machines[first])
+		d.sendDuringPartition(step, d.machines[first])
 		d.endFaultAfter(step, d.machines[first], step.forUs, end)
 	})
 }
 
 // partitionBackends partitions backends from all machines.
 func (d *day) partitionBackends(step *dayStep) {
-	lives := d.drawBackends(&dayStep{how: "across"}, step.shareOr(0.1))
-	d.world.Checker.Count("troubled.node_cut", int64(len(lives)))
-	for _, inc := range lives {
+	targets := d.drawBackends(&dayStep{how: "across"}, step.shareOr(0.1))
+	d.sim.Checker.Count("troubled.node_cut", int64(len(targets)))
+	for _, inc := range targets {
 		inc.unreachable = true
 	}
-	d.world.after(step.forUs, func() {
-		for _, inc := range lives {
+	d.sim.after(step.forUs, func() {
+		for _, inc := range targets {
 			inc.unreachable = false
 		}
 	})
@@ -125,9 +125,9 @@
 func (d *day) whenReachable(m *machine, inc *incarnation, since clock.Micros, f func(held bool)) {
 	switch {
 	case !d.unreachable(m, inc):
-		f(d.world.now-since > partitionRetryUs)
-	case d.world.now-since < stallTimeout:
-		d.world.after(partitionRetryUs, func() { d.whenReachable(m, inc, since, f) })
+		f(d.sim.now-since > partitionRetryUs)
+	case d.sim.now-since < stallTimeout:
+		d.sim.after(partitionRetryUs, func() { d.whenReachable(m, inc, since, f) })
 	}
 }
 
--- a/lab/sim/doc.go
+++ b/lab/sim/doc.go
@@ -7,7 +7,7 @@
 // replays exactly. Output is a [Result]: counts, the digest of all events, and
 // what the checks found.
 //
-// A [World] owns the event queue, the processes with their kernels, disks and
+// A [Simulation] owns the event queue, the processes with their kernels, disks and
 // clocks, and the network between them. It has two uses:
 //
 //   - a fleet of search nodes (files world_*.go) with stand-ins for servers, the
--- a/lab/sim/judge_healing.go
+++ b/lab/sim/judge_healing.go
@@ -14,40 +14,40 @@
 
 const notHealed = "not_healed"
 
-func (w *World) healedFrom() clock.Micros { return w.Script.Int("healed_from_us", 0) }
+func (sim *Simulation) healedFrom() clock.Micros { return sim.Script.Int("healed_from_us", 0) }
 
 // countHealed counts a request that came after the time by which the fleet must be healed.
-func (w *World) countHealed(o *search.Outcome, sent clock.Micros) {
-	if from := w.healedFrom(); from == 0 || sent < from {
+func (sim *Simulation) countHealed(o *search.Outcome, sent clock.Micros) {
+	if from := sim.healedFrom(); from == 0 || sent < from {
 		return
 	}
-	w.afterHealing.arrived++
+	sim.afterHealing.arrived++
 	switch o.Code {
 	case search.CodeOK, search.CodeConflict:
-		w.afterHealing.answered++
+		sim.afterHealing.answered++
 	case search.CodeUnavailable, search.CodeRateLimited:
-		w.afterHealing.rejected++
+		sim.afterHealing.rejected++
 	}
 }
 
-func (w *World) checkHealed() {
-	if w.healedFrom() == 0 {
+func (sim *Simulation) checkHealed() {
+	if sim.healedFrom() == 0 {
 		return
 	}
-	fail := func(text string, args ...any) { w.Checker.Fail(notHealed, w.now, text, args...) }
-	w.Checker.Idle(notHealed)
-	h := w.afterHealing
+	fail := func(text string, args ...any) { sim.Checker.Fail(notHealed, sim.now, text, args...) }
+	sim.Checker.Idle(notHealed)
+	h := sim.afterHealing
 	if h.arrived == 0 || h.answered*1000 < h.arrived*995 || h.rejected > 0 {
 		fail("of %d inquiries %d were answered well and %d refused", h.arrived, h.answered, h.rejected)
 	}
-	if w.callers.open > 0 {
-		fail("%d inquiries were never answered", w.callers.open)
+	if sim.callers.inFlight > 0 {
+		fail("%d inquiries were never answered", sim.callers.inFlight)
 	}
 	live := map[string]bool{}
-	owners := map[int]int{}
+	leaders := map[int]int{}
 	var newest wire.Version
-	for _, name := range w.names {
-		p := w.processes[name]
+	for _, name := range sim.names {
+		p := sim.processes[name]
 		switch {
 		case p.replaced:
 		case !p.running():
@@ -56,19 +56,19 @@
 			live[p.replicas.ReplicaID()] = true
 			for part := range state.Partitions {
 				if p.replicas.Leads(part) {
-					owners[part]++
+					leaders[part]++
 				}
 			}
 		default:
-			if s := w.versionInForce(p); s.Term > newest.Term || s.Term == newest.Term && s.Seq > newest.Seq {
+			if s := sim.versionInForce(p); s.Term > newest.Term || s.Term == newest.Term && s.Seq > newest.Seq {
 				newest = s
 			}
 		}
 	}
-	for _, name := range w.names {
-		p := w.processes[name]
-		if p.role == roleNode && p.running() && w.versionInForce(p) != newest {
-			fail("%s has %v in force, others %v", name, w.versionInForce(p), newest)
+	for _, name := range sim.names {
+		p := sim.processes[name]
+		if p.role == roleNode && p.running() && sim.versionInForce(p) != newest {
+			fail("%s has %v in force, others %v", name, sim.versionInForce(p), newest)
 		}
 		if p.role != roleCore || !p.running() {
 			continue
@@ -80,7 +80,7 @@
 			if n := len(p.replicas.VotersOf(part)); n != 3 {
 				fail("part %d has %d seats", part, n)
 			}
-			if zones := w.countZones(p.replicas.VotersOf(part)); zones < 3 && w.coreZones() >= 3 {
+			if zones := sim.countZones(p.replicas.VotersOf(part)); zones < 3 && sim.coreZones() >= 3 {
 				fail("part %d has its seats in %d zones", part, zones)
 			}
 			for _, s := range p.replicas.VotersOf(part) {
@@ -91,13 +91,13 @@
 		}
 	}
 	for part := range state.Partitions {
-		if owners[part] != 1 {
-			fail("part %d has %d owners", part, owners[part])
+		if leaders[part] != 1 {
+			fail("part %d has %d owners", part, leaders[part])
 		}
 	}
 }
 
-func (w *World) countZones(voters []wire.Replica) int {
+func (sim *Simulation) countZones(voters []wire.Replica) int {
 	zones := map[string]bool{}
 	for _, s := range voters {
 		zones[s.Zone] = true
@@ -106,9 +106,9 @@
 }
 
 // coreZones counts the zones that have a running core.
-func (w *World) coreZones() int {
+func (sim *Simulation) coreZones() int {
 	zones := map[string]bool{}
-	for _, p := range w.processes {
+	for _, p := range sim.processes {
 		if p.role == roleCore && p.running() {
 			zones[p.settings.Zone] = true
 		}
--- a/lab/sim/judge_replicas.go
+++ b/lab/sim/judge_replicas.go
@@ -9,23 +9,23 @@
 )
 
 // countBehind counts, over all partitions, the voters that lack the newest committed version.
-func (w *World) countBehind() {
+func (sim *Simulation) countBehind() {
 	for part := range state.Partitions {
 		var newest wire.Version
 		var voters []wire.Replica
-		for _, name := range w.names {
-			if p := w.processes[name]; p.replicas != nil && p.up && mesh.Newer(p.replicas.CommittedVersion(part), newest) {
+		for _, name := range sim.names {
+			if p := sim.processes[name]; p.replicas != nil && p.up && mesh.Newer(p.replicas.CommittedVersion(part), newest) {
 				newest, voters = p.replicas.CommittedVersion(part), p.replicas.VotersOf(part)
 			}
 		}
-		for _, name := range w.names {
-			p := w.processes[name]
+		for _, name := range sim.names {
+			p := sim.processes[name]
 			if p.replicas == nil || !p.up {
 				continue
 			}
 			for _, v := range voters {
 				if v.ID == p.replicas.ReplicaID() && p.replicas.CommittedVersion(part) != newest {
-					w.Checker.Count("replicas_behind", 1)
+					sim.Checker.Count("replicas_behind", 1)
 				}
 			}
 		}
--- a/lab/sim/measure_growth.go
+++ b/lab/sim/measure_growth.go
@@ -68,47 +68,47 @@
 	if err != nil {
 		return Grown{}, err
 	}
-	w := New(s, g.Seed)
+	sim := New(s, g.Seed)
 	r := Grown{Growth: g, LostUs: -1, MetUs: -1, ReadyUs: -1}
-	w.measurePhase(&r, "start", 0, 20*clock.Second)
-	w.measurePhase(&r, "rest", 20*clock.Second, 30*clock.Second)
-	w.recordDelay(0, func() bool { return len(w.platform.ready()) == g.Nodes }, &r.ReadyUs)
+	sim.measurePhase(&r, "start", 0, 20*clock.Second)
+	sim.measurePhase(&r, "rest", 20*clock.Second, 30*clock.Second)
+	sim.recordDelay(0, func() bool { return len(sim.platform.ready()) == g.Nodes }, &r.ReadyUs)
 	if !g.Brief {
-		w.measurePhase(&r, "changes", 30*clock.Second, 40*clock.Second)
+		sim.measurePhase(&r, "changes", 30*clock.Second, 40*clock.Second)
 		for i := range int64(5) {
-			w.at(30*clock.Second+i*2*clock.Second, func() { w.timeChange(&r.InForceUs) })
+			sim.at(30*clock.Second+i*2*clock.Second, func() { sim.timeChange(&r.InForceUs) })
 		}
 		last := fmt.Sprintf("node-%d", g.Nodes-1)
-		w.measurePhase(&r, "loss", 42*clock.Second, 52*clock.Second)
-		w.at(42*clock.Second, func() {
-			w.applyProcessVerb("kill", w.processes[last])
-			w.recordDelay(w.now, func() bool { return w.nodesSeeingLive(last) == 0 }, &r.LostUs)
+		sim.measurePhase(&r, "loss", 42*clock.Second, 52*clock.Second)
+		sim.at(42*clock.Second, func() {
+			sim.applyProcessVerb("kill", sim.processes[last])
+			sim.recordDelay(sim.now, func() bool { return sim.nodesSeeingLive(last) == 0 }, &r.LostUs)
 		})
-		w.measurePhase(&r, "join", 60*clock.Second, 75*clock.Second)
-		w.at(60*clock.Second, func() {
-			w.applyProcessVerb("restart", w.processes[last])
-			w.recordDelay(w.now, func() bool { return w.nodesSeeingLive(last) == g.Nodes-1 }, &r.MetUs)
+		sim.measurePhase(&r, "join", 60*clock.Second, 75*clock.Second)
+		sim.at(60*clock.Second, func() {
+			sim.applyProcessVerb("restart", sim.processes[last])
+			sim.recordDelay(sim.now, func() bool { return sim.nodesSeeingLive(last) == g.Nodes-1 }, &r.MetUs)
 		})
 	}
-	w.Run()
+	sim.Run()
 	if len(r.Phases) < 2 || r.ReadyUs < 0 {
-		return r, fmt.Errorf("%d of %d nodes were ready", len(w.platform.ready()), g.Nodes)
+		return r, fmt.Errorf("%d of %d nodes were ready", len(sim.platform.ready()), g.Nodes)
 	}
 	return r, nil
 }
 
 // recordDelay stores in us how long after from the condition became true.
-func (w *World) recordDelay(from clock.Micros, ok func() bool, us *clock.Micros) {
+func (sim *Simulation) recordDelay(from clock.Micros, ok func() bool, us *clock.Micros) {
 	if ok() {
-		*us = w.now - from
+		*us = sim.now - from
 		return
 	}
-	w.after(20*clock.Millisecond, func() { w.recordDelay(from, ok, us) })
+	sim.after(20*clock.Millisecond, func() { sim.recordDelay(from, ok, us) })
 }
 
 // nodesSeeingLive counts the other nodes that take a node for live.
-func (w *World) nodesSeeingLive(name string) (n int) {
-	for _, p := range w.processes {
+func (sim *Simulation) nodesSeeingLive(name string) (n int) {
+	for _, p := range sim.processes {
 		if p.role != roleNode || !p.running() || p.name == name || p.snapshots.Current() == nil {
 			continue
 		}
@@ -122,56 +122,56 @@
 }
 
 // measurePhase measures from one moment to another.
-func (w *World) measurePhase(r *Grown, name string, from, to clock.Micros) {
-	var was map[string]Traffic
+func (sim *Simulation) measurePhase(r *Grown, name string, from, to clock.Micros) {
+	var previous map[string]Traffic
 	var peakIn, peakOut map[string]int64
 	var cpu float64
-	w.at(from, func() {
+	sim.at(from, func() {
 		cpu = cpuSeconds()
-		was, peakIn, peakOut = w.traffic(), map[string]int64{}, map[string]int64{}
-		w.measurePeakSeconds(to, was, peakIn, peakOut)
+		previous, peakIn, peakOut = sim.traffic(), map[string]int64{}, map[string]int64{}
+		sim.measurePeakSeconds(to, previous, peakIn, peakOut)
 	})
-	w.at(to, func() {
-		now := w.traffic()
+	sim.at(to, func() {
+		now := sim.traffic()
 		span := float64(to-from) / 1e6
-		p := Phase{Name: name, From: from, To: to, CPU: (cpuSeconds() - cpu) / span / float64(len(w.processes))}
-		p.Node = w.rates(roleNode, was, now, span, peakIn, peakOut)
-		p.Core = w.rates(roleCore, was, now, span, peakIn, peakOut)
+		p := Phase{Name: name, From: from, To: to, CPU: (cpuSeconds() - cpu) / span / float64(len(sim.processes))}
+		p.Node = sim.rates(roleNode, previous, now, span, peakIn, peakOut)
+		p.Core = sim.rates(roleCore, previous, now, span, peakIn, peakOut)
 		r.Phases = append(r.Phases, p)
 	})
 }
 
 // measurePeakSeconds records the busiest second of each process.
-func (w *World) measurePeakSeconds(to clock.Micros, was map[string]Traffic, in, out map[string]int64) {
-	if w.now+clock.Second > to {
+func (sim *Simulation) measurePeakSeconds(to clock.Micros, previous map[string]Traffic, in, out map[string]int64) {
+	if sim.now+clock.Second > to {
 		return
 	}
-	w.after(clock.Second, func() {
-		now := w.traffic()
+	sim.after(clock.Second, func() {
+		now := sim.traffic()
 		for name, t := range now {
-			in[name] = max(in[name], sum(t.In).Bytes-sum(was[name].In).Bytes)
-			out[name] = max(out[name], sum(t.Out).Bytes-sum(was[name].Out).Bytes)
+			in[name] = max(in[name], sum(t.In).Bytes-sum(previous[name].In).Bytes)
+			out[name] = max(out[name], sum(t.Out).Bytes-sum(previous[name].Out).Bytes)
 		}
-		w.measurePeakSeconds(to, now, in, out)
+		sim.measurePeakSeconds(to, now, in, out)
 	})
 }
 
-func (w *World) traffic() map[string]Traffic {
-	out := make(map[string]Traffic, len(w.processes))
-	for name, p := range w.processes {
+func (sim *Simulation) traffic() map[string]Traffic {
+	out := make(map[string]Traffic, len(sim.processes))
+	for name, p := range sim.processes {
 		out[name] = p.traffic
 	}
 	return out
 }
 
-func (w *World) rates(role string, was, now map[string]Traffic, span float64, peakIn, peakOut map[string]int64) (r Rates) {
-	for _, name := range w.names {
-		p := w.processes[name]
+func (sim *Simulation) rates(role string, previous, now map[string]Traffic, span float64, peakIn, peakOut map[string]int64) (r Rates) {
+	for _, name := range sim.names {
+		p := sim.processes[name]
 		if p.role != role || !p.up {
 			continue
 		}
 		r.Processes++
-		a, b := was[name], now[name]
+		a, b := previous[name], now[name]
 		in, out := sum(b.In).Bytes-sum(a.In).Bytes, sum(b.Out).Bytes-sum(a.Out).Bytes
 		r.BytesIn += float64(in) / span
 		r.BytesOut += float64(out) / span
@@ -192,7 +192,7 @@
 		r.Origins += float64(p.kernel.Counts.Of("mesh_origins").Load())
 	}
 	// The network may have opened a direct connection twice, of which one is used.
-	for _, l := range w.net.links {
+	for _, l := range sim.net.links {
 		if !l.mesh {
 			continue
 		}
@@ -202,7 +202,7 @@
 			}
 		}
 	}
-	for _, l := range w.net.direct {
+	for _, l := range sim.net.direct {
 		for _, s := range l.ends {
 			if !l.closed && s.process.role == role && s.process.up && s.process.incarnation == s.incarnation {
 				r.Channels++
--- a/lab/sim/measure_scale.go
+++ b/lab/sim/measure_scale.go
@@ -29,32 +29,32 @@
 	if err != nil {
 		return Scaled{}, err
 	}
-	w := New(s, seed)
+	sim := New(s, seed)
 	r := Scaled{Nodes: nodes}
-	procs := float64(nodes + w.Shape.Cores)
+	procs := float64(nodes + sim.Shape.Cores)
 	var frames, bytes int64
 	var took []int64
-	w.at(20*clock.Second, func() { frames, bytes = w.net.frames, w.net.bytes })
-	w.at(30*clock.Second, func() {
-		r.RestPerNode = float64(w.net.frames-frames) / procs / 10
-		r.BytesPerNode = float64(w.net.bytes-bytes) / procs / 10
+	sim.at(20*clock.Second, func() { frames, bytes = sim.net.frames, sim.net.bytes })
+	sim.at(30*clock.Second, func() {
+		r.RestPerNode = float64(sim.net.frames-frames) / procs / 10
+		r.BytesPerNode = float64(sim.net.bytes-bytes) / procs / 10
 	})
 	const changes = 10
 	for i := range changes {
-		w.at(30*clock.Second+int64(i)*2*clock.Second, func() { w.timeChange(&took) })
+		sim.at(30*clock.Second+int64(i)*2*clock.Second, func() { sim.timeChange(&took) })
 	}
 	var entries int64
-	w.at(30*clock.Second, func() { entries = w.net.partitionFrames })
-	w.at(30*clock.Second+changes*2*clock.Second, func() { r.ChangeFrames = float64(w.net.partitionFrames-entries) / changes })
+	sim.at(30*clock.Second, func() { entries = sim.net.partitionFrames })
+	sim.at(30*clock.Second+changes*2*clock.Second, func() { r.ChangeFrames = float64(sim.net.partitionFrames-entries) / changes })
 	// Half of the fleet is partitioned for 20 s, changes go on, and the cut heals.
-	half := w.halves()
-	w.at(52*clock.Second, func() { w.net.setBlocked(half, w.names, true, true); w.net.setBlocked(half, half, true, false) })
-	w.at(53*clock.Second, func() { w.operators.put(w.processes["core-0"].peerNode(), w.operators.current(), "put", 0, nil) })
-	w.at(72*clock.Second, func() {
-		w.net.setBlocked(half, w.names, true, false)
-		w.awaitAgreement(w.now, func(us clock.Micros) { r.HealUs = us })
+	half := sim.everySecondNode()
+	sim.at(52*clock.Second, func() { sim.net.setBlocked(half, sim.names, true, true); sim.net.setBlocked(half, half, true, false) })
+	sim.at(53*clock.Second, func() { sim.operators.put(sim.processes["core-0"].peerNode(), sim.operators.current(), "put", 0, nil) })
+	sim.at(72*clock.Second, func() {
+		sim.net.setBlocked(half, sim.names, true, false)
+		sim.awaitAgreement(sim.now, func(us clock.Micros) { r.HealUs = us })
 	})
-	w.Run()
+	sim.Run()
 	if len(took) < changes/2 {
 		return r, fmt.Errorf("only %d of %d changes were in force", len(took), changes)
 	}
@@ -67,49 +67,49 @@
 	return r, nil
 }
 
-// halves returns every second node.
-func (w *World) halves() []string {
+// everySecondNode returns every second node.
+func (sim *Simulation) everySecondNode() []string {
 	var out []string
-	for i := 1; i < w.Shape.Nodes; i += 2 {
+	for i := 1; i < sim.Shape.Nodes; i += 2 {
 		out = append(out, fmt.Sprintf("node-%d", i))
 	}
 	return out
 }
 
 // peerNode returns a node on the same side of the partition as the cores.
-func (p *process) peerNode() *process { return p.world.processes["node-0"] }
+func (p *process) peerNode() *process { return p.sim.processes["node-0"] }
 
 // timeChange sends one change and records how long it takes until every node has it in force.
-func (w *World) timeChange(took *[]clock.Micros) {
-	began := w.now
-	w.operators.put(w.processes["node-0"], w.operators.current(), "put", 0, func(code wire.Code) {
+func (sim *Simulation) timeChange(took *[]clock.Micros) {
+	began := sim.now
+	sim.operators.put(sim.processes["node-0"], sim.operators.current(), "put", 0, func(code wire.Code) {
 		if code == wire.CodeOK {
-			w.awaitAgreement(began, func(us clock.Micros) { *took = append(*took, us) })
+			sim.awaitAgreement(began, func(us clock.Micros) { *took = append(*took, us) })
 		}
 	})
 }
 
 // awaitAgreement waits until all nodes agree on the newest configuration.
-func (w *World) awaitAgreement(began clock.Micros, done func(us int64)) {
+func (sim *Simulation) awaitAgreement(began clock.Micros, done func(us int64)) {
 	var newest wire.Version
 	all := true
-	for _, name := range w.names {
-		if p := w.processes[name]; p.role == roleNode && p.snapshots.Current() != nil {
+	for _, name := range sim.names {
+		if p := sim.processes[name]; p.role == roleNode && p.snapshots.Current() != nil {
 			if at := p.snapshots.Current().Config.ConfigVersion; at.Term > newest.Term || at.Term == newest.Term && at.Seq > newest.Seq {
 				newest = at
 			}
 		}
 	}
-	for _, name := range w.names {
-		if p := w.processes[name]; p.role == roleNode {
+	for _, name := range sim.names {
+		if p := sim.processes[name]; p.role == roleNode {
 			all = all && p.snapshots.Current() != nil && p.snapshots.Current().Config.ConfigVersion == newest
 		}
 	}
 	if all {
-		done(w.now - began)
+		done(sim.now - began)
 		return
 	}
-	w.after(2*clock.Millisecond, func() { w.awaitAgreement(began, done) })
+	sim.after(2*clock.Millisecond, func() { sim.awaitAgreement(began, done) })
 }
 
 func (n *network) count(l *link, data []byte) {
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -38,8 +38,8 @@
 	return x
 }
 
-// World is one simulated fleet.
-type World struct {
+// Simulation is one simulated fleet.
+type Simulation struct {
 	Shape   fleet.Shape
 	Script  *script.Script
 	Seed    uint64
@@ -78,7 +78,7 @@
 }
 
 // New makes a world from a scenario and a seed.
-func New(s *script.Script, seed uint64) *World {
+func New(s *script.Script, seed uint64) *Simulation {
 	shape, ok := fleet.Shapes[s.Text("shape", "small")]
 	if !ok {
 		shape = fleet.Shapes["small"]
@@ -86,99 +86,99 @@
 	shape.Nodes = int(s.Int("nodes", int64(shape.Nodes)))
 	shape.Cores = int(s.Int("cores", int64(shape.Cores)))
 	shape.PerShard = int(s.Int("per_shard", int64(shape.PerShard)))
-	w := &World{
+	sim := &Simulation{
 		Shape: shape, Script: s, Seed: seed, Checker: check.New(), rng: rand.New(rand.NewPCG(seed, 0x73696d)),
 		processes: map[string]*process{}, processesByAddr: map[string]*process{}, servers: map[string]*server{}, serversByAddr: map[string]*server{},
 		shardMaps: map[string]int{"c1": shape.Shards}, lostAt: -1, restoredAt: -1, killed: map[string]bool{}, unservedAt: map[shardKey]int64{},
 	}
-	w.net.init(w)
-	w.platform.init(w)
-	w.operators.init(w)
-	w.callers.init(w)
+	sim.net.init(sim)
+	sim.platform.init(sim)
+	sim.operators.init(sim)
+	sim.callers.init(sim)
 	if site := s.Text("site", ""); site != "" {
-		w.day = newDay(w, site)
+		sim.day = newDay(sim, site)
 	}
-	return w
+	return sim
 }
 
-func (w *World) after(d clock.Micros, f func()) { w.at(w.now+max(d, 0), f) }
+func (sim *Simulation) after(d clock.Micros, f func()) { sim.at(sim.now+max(d, 0), f) }
 
-func (w *World) at(t int64, f func()) {
-	w.seq++
-	heap.Push(&w.queue, event{max(t, w.now), w.seq, f})
+func (sim *Simulation) at(t int64, f func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{max(t, sim.now), sim.seq, f})
 }
 
 // logEvent adds an event to the digest by which two runs are compared, and to the trace.
-func (w *World) logEvent(text string) {
+func (sim *Simulation) logEvent(text string) {
 	for i := range len(text) {
-		w.digest = (w.digest ^ uint64(text[i])) * 0x100000001b3
+		sim.digest = (sim.digest ^ uint64(text[i])) * 0x100000001b3
 	}
-	w.digest = (w.digest ^ uint64(w.now)) * 0x100000001b3
-	if w.Trace != nil {
-		w.Trace(w.now, text)
+	sim.digest = (sim.digest ^ uint64(sim.now)) * 0x100000001b3
+	if sim.Trace != nil {
+		sim.Trace(sim.now, text)
 	}
 }
 
 // Digest returns the hash of all events; equal runs have equal digests.
-func (w *World) Digest() uint64 { return w.digest }
+func (sim *Simulation) Digest() uint64 { return sim.digest }
 
 // Run plays the whole scenario.
-func (w *World) Run() {
-	w.build()
-	end := w.Script.Int("seconds", 30) * clock.Second
-	if w.day != nil {
-		end = w.day.end()
-	}
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+func (sim *Simulation) Run() {
+	sim.build()
+	end := sim.Script.Int("seconds", 30) * clock.Second
+	if sim.day != nil {
+		end = sim.day.end()
+	}
+	for len(sim.queue) > 0 && sim.queue[0].at <= end {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.run()
 	}
-	w.finish()
+	sim.finish()
 }
 
-func (w *World) build() {
-	if w.day != nil {
-		w.day.build()
+func (sim *Simulation) build() {
+	if sim.day != nil {
+		sim.day.build()
 		return
 	}
-	s := w.Shape
+	s := sim.Shape
 	for i := range s.Cores {
 		addr := coreAddr(i)
 		if i < 3 {
-			w.seeds = append(w.seeds, addr)
+			sim.seeds = append(sim.seeds, addr)
 		}
 	}
 	for i := range s.Cores {
-		w.add(roleCore, i, coreAddr(i))
+		sim.add(roleCore, i, coreAddr(i))
 	}
 	for i := range s.Nodes {
-		w.add(roleNode, i, nodeAddr(i))
+		sim.add(roleNode, i, nodeAddr(i))
 	}
 	for i := range s.PerShard * s.Shards {
-		w.addServer(s.Backend(i, "c1", s.Shards, ""), s.Shards)
+		sim.addServer(s.Backend(i, "c1", s.Shards, ""), s.Shards)
 	}
-	w.addOtherServers()
-	w.platform.publish()
-	for _, name := range w.names {
-		w.after(w.rng.Int64N(200*clock.Millisecond), func() { w.processes[name].start() })
+	sim.addOtherServers()
+	sim.platform.publish()
+	for _, name := range sim.names {
+		sim.after(sim.rng.Int64N(200*clock.Millisecond), func() { sim.processes[name].start() })
 	}
-	for _, st := range w.Script.Steps {
-		w.at(st.At, func() { w.runStep(st) })
+	for _, st := range sim.Script.Steps {
+		sim.at(st.At, func() { sim.runStep(st) })
 	}
-	w.operators.putFirst()
-	w.at(w.Script.Int("callers_from_us", 10*clock.Second), w.checkLimits)
-	w.callers.begin()
-	w.after(100*clock.Millisecond, w.sample)
+	sim.operators.putInitial()
+	sim.at(sim.Script.Int("callers_from_us", 10*clock.Second), sim.checkLimits)
+	sim.callers.begin()
+	sim.after(100*clock.Millisecond, sim.sample)
 }
 
 // sample records ten times a second which configuration every node has in force.
-func (w *World) sample() {
-	w.after(100*clock.Millisecond, w.sample)
-	w.updateReachability()
-	w.recordUnservedShards()
-	for _, name := range w.names {
-		p := w.processes[name]
+func (sim *Simulation) sample() {
+	sim.after(100*clock.Millisecond, sim.sample)
+	sim.updateReachability()
+	sim.recordUnservedShards()
+	for _, name := range sim.names {
+		p := sim.processes[name]
 		if p.role != roleNode || !p.running() {
 			continue
 		}
@@ -186,41 +186,41 @@
 		if cp == nil || cp.Version.Term == 0 {
 			continue
 		}
-		since := w.reachableSince(p)
+		since := sim.reachableSince(p)
 		mark := int64(0)
 		if cp.Configuration != nil && len(cp.Configuration.Services) > 0 {
 			mark = cp.Configuration.Services[0].RampUs
 		}
-		w.checkBookings(p, cp.Config.ActiveBookings, since)
-		w.Checker.InForce(name, cp.Config.ConfigVersion, mark, w.now, since)
+		sim.checkBookings(p, cp.Config.ActiveBookings, since)
+		sim.Checker.InForce(name, cp.Config.ConfigVersion, mark, sim.now, since)
 	}
 }
 
 // reachableSince returns since when a node has been up, running and connected; -1 if it is not.
-func (w *World) reachableSince(p *process) clock.Micros {
+func (sim *Simulation) reachableSince(p *process) clock.Micros {
 	if p.isolated || p.frozen {
 		return -1
 	}
 	return max(p.startedAt, p.reachedAt)
 }
 
-func (w *World) finish() {
-	if w.day != nil {
-		w.day.finish()
+func (sim *Simulation) finish() {
+	if sim.day != nil {
+		sim.day.finish()
 		return
 	}
-	w.Checker.Chain()
-	w.Checker.Budgets()
-	w.Checker.SlowStarts()
-	w.Checker.CheckLimits(w.callers.until)
-	w.callers.finish()
-	w.checkHealed()
-	if w.restoredAt >= 0 {
-		w.Checker.Recovers(w.lostAt, w.restoredAt)
-	}
-	w.countBehind()
-	for _, name := range w.names {
-		p := w.processes[name]
+	sim.Checker.Chain()
+	sim.Checker.Budgets()
+	sim.Checker.SlowStarts()
+	sim.Checker.CheckLimits(sim.callers.until)
+	sim.callers.finish()
+	sim.checkHealed()
+	if sim.restoredAt >= 0 {
+		sim.Checker.Recovers(sim.lostAt, sim.restoredAt)
+	}
+	sim.countBehind()
+	for _, name := range sim.names {
+		p := sim.processes[name]
 		if p.kernel == nil {
 			continue
 		}
@@ -231,14 +231,14 @@
 					n++
 				}
 			}
-			w.Checker.Counts["owned_by_one"] = max(w.Checker.Counts["owned_by_one"], n)
-			w.Checker.Count("owned", n)
+			sim.Checker.Counts["owned_by_one"] = max(sim.Checker.Counts["owned_by_one"], n)
+			sim.Checker.Count("owned", n)
 		}
-		p.kernel.Counts.Each(func(name string, n int64) { w.Checker.Count("sum."+name, n) })
+		p.kernel.Counts.Each(func(name string, n int64) { sim.Checker.Count("sum."+name, n) })
 	}
 }
 
-func (w *World) versionInForce(p *process) wire.Version {
+func (sim *Simulation) versionInForce(p *process) wire.Version {
 	if cp := p.snapshots.Current(); cp != nil {
 		return cp.Version
 	}
--- a/lab/sim/world_bookings.go
+++ b/lab/sim/world_bookings.go
@@ -24,33 +24,33 @@
 
 // book reserves a slice; from and to are seconds of simulated time.
 func (o *operators) book(id, kind string, slice, from, to int64) {
-	w := o.world
+	sim := o.sim
 	row, _ := json.Marshal(map[string]any{
-		"id": id, "index": w.Shape.Index, "kind": kind, "slice": slice,
+		"id": id, "index": sim.Shape.Index, "kind": kind, "slice": slice,
 		"starts_us": fmt.Sprint(epoch + from*clock.Second), "ends_us": fmt.Sprint(epoch + to*clock.Second),
 	})
 	body, _ := json.Marshal([]config.RowEdit{{Op: "set", Table: "bookings", Row: row}})
 	// Other edits go on meanwhile; only this operator edits the row, so they do not conflict with it.
 	o.sendUntil(func() wire.Edit { return wire.Edit{Op: "rows", Strict: true, Base: o.current().version, Body: body} }, func(code wire.Code) bool {
-		w.logEvent("booking " + id + " " + string(code))
-		w.Checker.Count("bookings."+string(code), 1)
+		sim.logEvent("booking " + id + " " + string(code))
+		sim.Checker.Count("bookings."+string(code), 1)
 		if code == wire.CodeOK {
 			b := booking{from * clock.Second, to * clock.Second, kind, slice}
 			o.bookings[id] = b
-			w.at(b.from, w.checkLimits)
-			w.at(b.to, w.checkLimits)
+			sim.at(b.from, sim.checkLimits)
+			sim.at(b.to, sim.checkLimits)
 		}
 		return code == wire.CodeOK || code == wire.CodeInvalid
 	})
 }
 
 // checkBookings checks which bookings a reachable node has running.
-func (w *World) checkBookings(p *process, running []string, since clock.Micros) {
-	if since < 0 || w.now-since < check.ConfigWithin {
+func (sim *Simulation) checkBookings(p *process, running []string, since clock.Micros) {
+	if since < 0 || sim.now-since < check.ConfigWithin {
 		return
 	}
-	for id, b := range w.operators.bookings {
-		w.Checker.Booking(p.name, id, slices.Contains(running, id), b.from, b.to, w.now)
+	for id, b := range sim.operators.bookings {
+		sim.Checker.Booking(p.name, id, slices.Contains(running, id), b.from, b.to, sim.now)
 	}
 }
 
@@ -69,8 +69,8 @@
 	p.deliver(func() {
 		p.call("operate", operations.Rebuild{Partition: partition}, func(v any) {
 			r := v.(operations.Result).Reply
-			o.world.logEvent(fmt.Sprint("rebuild ", partition, " ", r.Code, " ", r.Findings))
-			o.world.Checker.Count("rebuilds."+string(r.Code), 1)
+			o.sim.logEvent(fmt.Sprint("rebuild ", partition, " ", r.Code, " ", r.Findings))
+			o.sim.Checker.Count("rebuilds."+string(r.Code), 1)
 		})
 	})
 }
--- a/lab/sim/world_callers.go
+++ b/lab/sim/world_callers.go
@@ -13,7 +13,7 @@
 )
 
 type callers struct {
-	world  *World
+	sim    *Simulation
 	rate   int64
 	sent   int64
 	ready  []*process
@@ -26,52 +26,52 @@
 	// attempted holds keys, and keys with a shard, for which a server was asked.
 	attempted map[string]bool
 	// sends counts how often a key was read by some node; refused holds the keys that were answered as repeats.
-	sends   map[string]int
-	refused map[string]bool
-	open    int
-	until   clock.Micros
+	sends    map[string]int
+	refused  map[string]bool
+	inFlight int
+	until    clock.Micros
 }
 
-func (c *callers) init(w *World) {
-	c.world, c.rate, c.repeat = w, w.Script.Int("rate", 100), w.Script.Int("repeat_percent", 10)
-	c.skew, c.mix = w.Script.Int("skew", 0), []int64{8, 2, 1, 1}
-	c.repeatSearches, c.attempted = w.Script.Int("repeat_searches", 0), map[string]bool{}
+func (c *callers) init(sim *Simulation) {
+	c.sim, c.rate, c.repeat = sim, sim.Script.Int("rate", 100), sim.Script.Int("repeat_percent", 10)
+	c.skew, c.mix = sim.Script.Int("skew", 0), []int64{8, 2, 1, 1}
+	c.repeatSearches, c.attempted = sim.Script.Int("repeat_searches", 0), map[string]bool{}
 	c.sends, c.refused = map[string]int{}, map[string]bool{}
-	c.until = w.Script.Int("seconds", 30)*clock.Second - w.Shape.Most - clock.Second
+	c.until = sim.Script.Int("seconds", 30)*clock.Second - sim.Shape.Most - clock.Second
 }
 
 func (c *callers) begin() {
-	c.world.at(c.world.Script.Int("callers_from_us", 10*clock.Second), func() { c.next() })
+	c.sim.at(c.sim.Script.Int("callers_from_us", 10*clock.Second), func() { c.sendNext() })
 	c.refreshReady()
 }
 
 // refreshReady updates the ready nodes about three times a second.
 func (c *callers) refreshReady() {
-	c.world.after(300*clock.Millisecond, c.refreshReady)
-	if r := c.world.platform.ready(); len(r) > 0 {
+	c.sim.after(300*clock.Millisecond, c.refreshReady)
+	if r := c.sim.platform.ready(); len(r) > 0 {
 		c.ready = r
 	}
 }
 
-func (c *callers) next() {
-	if c.world.now >= c.until || c.rate <= 0 {
+func (c *callers) sendNext() {
+	if c.sim.now >= c.until || c.rate <= 0 {
 		return
 	}
 	gap := clock.Second / c.rate
-	c.world.after(gap/2+c.world.rng.Int64N(gap+1), c.next)
+	c.sim.after(gap/2+c.sim.rng.Int64N(gap+1), c.sendNext)
 	if len(c.ready) == 0 {
-		c.world.Checker.Count("callers_without_node", 1)
+		c.sim.Checker.Count("callers_without_node", 1)
 		return
 	}
 	c.sent++
-	rnd := c.world.rng
-	s := c.world.Shape
+	rnd := c.sim.rng
+	s := c.sim.Shape
 	in := search.Request{
 		Index: s.Index, Kind: search.KindSearch, Query: fmt.Sprintf("q%d", rnd.IntN(200)), Limit: 5 + rnd.IntN(20),
 		Record: records.ID(rnd.IntN(records.Size)), Deadline: s.Least + rnd.Int64N(s.Most-s.Least+1),
 	}
 	in.Kind = c.drawKind()
-	if other := c.world.otherIndex(); other != "" && rnd.IntN(3) == 0 {
+	if other := c.sim.otherIndex(); other != "" && rnd.IntN(3) == 0 {
 		in.Index = other
 	}
 	if in.AtMostOnce() {
@@ -80,7 +80,7 @@
 		in.Digest = search.RequestDigest(&in)
 	}
 	attempts := 1
-	in.FirstAttempt = in.AtMostOnce() && c.world.Script.Text("first_word", "") == "yes"
+	in.FirstAttempt = in.AtMostOnce() && c.sim.Script.Text("first_word", "") == "yes"
 	if in.AtMostOnce() && rnd.Int64N(100) < c.repeat {
 		attempts += 1 + rnd.IntN(3)
 	}
@@ -94,44 +94,44 @@
 // send asks a node. A caller that repeats uses the same key: eagerly, without waiting for the response, or after
 // a failure.
 func (c *callers) send(in search.Request, attempts int, eager bool) {
-	w := c.world
+	sim := c.sim
 	p := c.pickNode()
-	sent := w.now
-	c.open++
+	sent := sim.now
+	c.inFlight++
 	repeat := in
 	repeat.FirstAttempt = false
-	again := func(d clock.Micros) {
+	retry := func(d clock.Micros) {
 		if attempts > 1 {
-			w.after(d, func() { c.send(repeat, attempts-1, eager) })
+			sim.after(d, func() { c.send(repeat, attempts-1, eager) })
 		}
 	}
 	if eager {
-		again(w.rng.Int64N(c.world.Script.Int("eager_us", 300*clock.Millisecond)))
+		retry(sim.rng.Int64N(c.sim.Script.Int("eager_us", 300*clock.Millisecond)))
 	}
-	life := p.incarnation
-	w.after(w.net.latency(), func() {
-		if !p.up || p.incarnation != life || !p.snapshots.Current().Ready() || p.draining && !p.frozen && w.rng.IntN(2) == 0 {
-			c.open--
-			w.Checker.Count("callers_refused_connection", 1)
-			if in.Key != "" && w.now < c.until {
+	started := p.incarnation
+	sim.after(sim.net.latency(), func() {
+		if !p.up || p.incarnation != started || !p.snapshots.Current().Ready() || p.draining && !p.frozen && sim.rng.IntN(2) == 0 {
+			c.inFlight--
+			sim.Checker.Count("callers_refused_connection", 1)
+			if in.Key != "" && sim.now < c.until {
 				// Nobody read it: retry until somebody does.
-				w.after(200*clock.Millisecond+w.rng.Int64N(600*clock.Millisecond), func() { c.send(in, attempts, eager) })
+				sim.after(200*clock.Millisecond+sim.rng.Int64N(600*clock.Millisecond), func() { c.send(in, attempts, eager) })
 			}
 			return
 		}
 		planned := p.draining
 		c.sends[in.Key]++
-		read := w.now
+		read := sim.now
 		p.frontend.accept(in, func(o *search.Outcome) {
-			w.Checker.Arrived(string(in.Kind), read, o == nil || o.Code != search.CodeRateLimited || o.Why == search.ReasonRetryBudgetExhausted)
-			c.open--
+			sim.Checker.Arrived(string(in.Kind), read, o == nil || o.Code != search.CodeRateLimited || o.Why == search.ReasonRetryBudgetExhausted)
+			c.inFlight--
 			c.checkOutcome(p, &in, o, sent, planned || p.draining)
 			switch {
 			case o == nil && in.Key != "":
 				// Aborted without a response: every caller retries that.
-				w.after(500*clock.Millisecond, func() { c.send(repeat, max(attempts, 12), false) })
+				sim.after(500*clock.Millisecond, func() { c.send(repeat, max(attempts, 12), false) })
 			case !eager && (o == nil || o.Code != search.CodeOK):
-				again(500 * clock.Millisecond)
+				retry(500 * clock.Millisecond)
 			}
 		})
 	})
@@ -143,7 +143,7 @@
 	for _, n := range c.mix {
 		sum += n
 	}
-	r := c.world.rng.Int64N(sum)
+	r := c.sim.rng.Int64N(sum)
 	for i, n := range c.mix {
 		if r -= n; r < 0 {
 			return search.Kind(config.Kinds[i])
@@ -153,8 +153,8 @@
 }
 
 func (c *callers) pickNode() *process {
-	if c.skew > 0 && c.world.rng.Int64N(100) < c.skew {
-		return c.ready[c.world.rng.IntN(min(2, len(c.ready)))]
+	if c.skew > 0 && c.sim.rng.Int64N(100) < c.skew {
+		return c.ready[c.sim.rng.IntN(min(2, len(c.ready)))]
 	}
-	return c.ready[c.world.rng.IntN(len(c.ready))]
+	return c.ready[c.sim.rng.IntN(len(c.ready))]
 }
--- a/lab/sim/world_disk.go
+++ b/lab/sim/world_disk.go
@@ -56,13 +56,13 @@
 	if d.powerOffAtStep(d.queue[0]) {
 		return
 	}
-	took := 800 + d.process.world.rng.Int64N(3000) + d.extraDelay
+	duration := 800 + d.process.sim.rng.Int64N(3000) + d.extraDelay
 	if d.syncTime > 0 {
-		took = d.syncTime + d.process.world.rng.Int64N(d.syncTime/2) + d.extraDelay
+		duration = d.syncTime + d.process.sim.rng.Int64N(d.syncTime/2) + d.extraDelay
 	}
-	life := d.process.incarnation
-	d.process.world.after(took, func() {
-		if d.process.incarnation != life {
+	started := d.process.incarnation
+	d.process.sim.after(duration, func() {
+		if d.process.incarnation != started {
 			return
 		}
 		d.complete()
@@ -72,9 +72,9 @@
 // complete ends the write at the head, unless the disk stalled meanwhile.
 func (d *disk) complete() {
 	if d.mode == diskStalled {
-		life := d.process.incarnation
-		d.process.world.after(20*clock.Millisecond, func() {
-			if d.process.incarnation == life {
+		started := d.process.incarnation
+		d.process.sim.after(20*clock.Millisecond, func() {
+			if d.process.incarnation == started {
 				d.complete()
 			}
 		})
@@ -91,13 +91,13 @@
 		res.Err = "no space left on device"
 	default:
 		d.fsyncs += 2
-		d.process.world.Checker.Count("fsyncs", 2)
+		d.process.sim.Checker.Count("fsyncs", 2)
 		d.files[w.File] = w.Data
 	}
 	if w.Key != "" {
 		d.process.deliver(func() { d.process.step(res) })
 	}
-	d.powerOffIfArmed(w)
+	d.powerOffAfterAck(w)
 	d.startNext()
 }
 
@@ -106,11 +106,11 @@
 func (d *disk) powerLoss() {
 	if d.busy && len(d.queue) > 0 && d.queue[0].Data != nil {
 		w := d.queue[0]
-		switch d.process.world.rng.IntN(3) {
+		switch d.process.sim.rng.IntN(3) {
 		case 0:
 			if _, old := d.files[w.File]; !old {
-				d.files[w.File] = w.Data[:d.process.world.rng.IntN(len(w.Data))]
-				d.process.world.Checker.Count("torn_files", 1)
+				d.files[w.File] = w.Data[:d.process.sim.rng.IntN(len(w.Data))]
+				d.process.sim.Checker.Count("torn_files", 1)
 			}
 		case 1:
 			d.files[w.File] = w.Data
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -59,9 +59,9 @@
 	if at := f.process.freezeAt; at != "" && r.stateMachine.State() == at {
 		// The step's actions are carried out before the process freezes, or after it thaws.
 		f.process.freezeAt = ""
-		f.process.world.Checker.Count("frozen_at."+string(at), 1)
-		f.process.world.after(0, f.process.freeze)
-		f.process.world.after(f.process.freezeFor, f.process.thaw)
+		f.process.sim.Checker.Count("frozen_at."+string(at), 1)
+		f.process.sim.after(0, f.process.freeze)
+		f.process.sim.after(f.process.freezeFor, f.process.thaw)
 	}
 	for _, a := range acts {
 		f.perform(r, a)
@@ -73,9 +73,9 @@
 	switch v := a.(type) {
 	case search.Send:
 		f.checkRequest(&v)
-		life := p.incarnation
-		p.world.askServer(p, &v, func(rep search.Result) {
-			if p.incarnation == life {
+		started := p.incarnation
+		p.sim.sendToServer(p, &v, func(rep search.Result) {
+			if p.incarnation == started {
 				p.deliver(func() { f.step(r, search.AttemptDone{Attempt: v.Attempt, Result: rep}) })
 			}
 		})
@@ -107,38 +107,38 @@
 
 // checkRequest reports a request that leaves this node to the checker.
 func (f *frontend) checkRequest(a *search.Send) {
-	w := f.process.world
+	sim := f.process.sim
 	// Judged by what reaches the servers, not by what the node takes it for.
-	again := w.callers.recordAttempt(a) || a.Retry
+	isRetry := sim.callers.recordAttempt(a) || a.Retry
 	if f.process.isolated {
 		// It cannot hear of configurations and drained zones; it reads the platform's list itself.
-		w.Checker.Count("asks_of_isolated", 1)
-		if w.isolatedNodes == 1 && !w.net.partitioned(f.process.name, "platform") {
-			w.Checker.RequestFromIsolated(a.Backend.ID, w.now, w.now-f.process.isolatedAt)
+		sim.Checker.Count("asks_of_isolated", 1)
+		if sim.isolatedNodes == 1 && !sim.net.partitioned(f.process.name, "platform") {
+			sim.Checker.RequestFromIsolated(a.Backend.ID, sim.now, sim.now-f.process.isolatedAt)
 		}
 	} else {
-		w.Checker.Request(a.Request.Index, a.Backend.ID, a.Backend.Zone, w.now, again, a.Replacement)
+		sim.Checker.Request(a.Request.Index, a.Backend.ID, a.Backend.Zone, sim.now, isRetry, a.Replacement)
 	}
-	w.Checker.Count("asks", 1)
-	if again && !a.Replacement {
-		w.Checker.Count("extra_tries", 1)
+	sim.Checker.Count("asks", 1)
+	if isRetry && !a.Replacement {
+		sim.Checker.Count("extra_tries", 1)
 	}
-	w.checkSlowStart(f.process, a)
+	sim.checkSlowStart(f.process, a)
 }
 
 // checkSlowStart reports requests to a shard that has both warm and cold servers to the checker.
-func (w *World) checkSlowStart(node *process, a *search.Send) {
+func (sim *Simulation) checkSlowStart(node *process, a *search.Send) {
 	good, warm := 0, 0
 	zones := map[string]int{}
 	var cold []*server
-	for _, id := range w.serverIDs {
-		s := w.servers[id]
+	for _, id := range sim.serverIDs {
+		s := sim.servers[id]
 		if !s.up || s.row.ShardMap != a.ShardMap || s.row.Shard != a.Shard || s.mode != serverOK || s.row.State == "leaving" {
 			continue
 		}
 		good++
 		zones[s.row.Zone]++
-		if w.now-s.born >= slowStartUs {
+		if sim.now-s.born >= slowStartUs {
 			warm++
 		} else {
 			cold = append(cold, s)
@@ -148,17 +148,17 @@
 		return
 	}
 	for _, s := range cold {
-		w.Checker.SlowStart(s.row.ID, s.born, slowStartUs, w.now, s.row.ID == a.Backend.ID, fairShare(node.settings.Zone, s.row.Zone, zones, good))
+		sim.Checker.SlowStart(s.row.ID, s.born, slowStartUs, sim.now, s.row.ID == a.Backend.ID, fairShare(node.settings.Zone, s.row.Zone, zones, good))
 	}
 }
 
 // fairShare returns the share of one request that a warm server gets, in thousandths: of the two candidates that
 // are drawn one is in the node's own zone where it has any.
-func fairShare(mine, its string, zones map[string]int, good int) int64 {
-	switch n := zones[mine]; {
+func fairShare(nodeZone, serverZone string, zones map[string]int, good int) int64 {
+	switch n := zones[nodeZone]; {
 	case n == 0:
 		return 1000 / int64(good)
-	case mine == its:
+	case nodeZone == serverZone:
 		return 500/int64(n) + 500/int64(good)
 	default:
 		return 500 / int64(good)
--- a/lab/sim/world_load.go
+++ b/lab/sim/world_load.go
@@ -16,41 +16,41 @@
 var shares = map[search.Kind]float64{search.KindSearch: 60, search.KindRead: 20, search.KindCorrect: 10, search.KindPart: 10}
 
 // applyLoadVerb runs the verbs that change the load or the limits.
-func (w *World) applyLoadVerb(verb string, args []string) {
+func (sim *Simulation) applyLoadVerb(verb string, args []string) {
 	first := parseInt(args[0])
 	switch verb {
 	case "rate":
-		w.callers.rate = first
+		sim.callers.rate = first
 	case "skew":
 		// This percentage of the requests goes to two of the nodes.
-		w.callers.skew = first
+		sim.callers.skew = first
 	case "mix":
-		w.callers.mix = nil
+		sim.callers.mix = nil
 		for _, a := range args {
-			w.callers.mix = append(w.callers.mix, parseInt(a))
+			sim.callers.mix = append(sim.callers.mix, parseInt(a))
 		}
 	case "limits":
-		w.operators.capacity = first
-		w.operators.ceilings = map[string]float64{}
+		sim.operators.capacity = first
+		sim.operators.ceilings = map[string]float64{}
 		for _, a := range args[1:] {
 			kind, n, _ := strings.Cut(a, "=")
-			w.operators.ceilings[kind], _ = strconv.ParseFloat(n, 64)
+			sim.operators.ceilings[kind], _ = strconv.ParseFloat(n, 64)
 		}
-		w.operators.put(w.operators.pickNode(), w.operators.current(), "put", 0, nil)
+		sim.operators.put(sim.operators.pickNode(), sim.operators.current(), "put", 0, nil)
 	}
-	w.checkLimits()
+	sim.checkLimits()
 }
 
 // checkLimits tells the checker which limits hold from now on; a booking's start and end change them too.
-func (w *World) checkLimits() {
-	if w.Script.Text("judge_limits", "") == "" {
+func (sim *Simulation) checkLimits() {
+	if sim.Script.Text("judge_limits", "") == "" {
 		return
 	}
-	capacity := float64(w.operators.capacity)
-	l := check.Limits{From: w.now, Capacity: capacity, Shares: map[string]float64{}, Ceilings: maps.Clone(w.operators.ceilings), Spare: map[string]float64{}, Booked: map[string]bool{}}
+	capacity := float64(sim.operators.capacity)
+	l := check.Limits{From: sim.now, Capacity: capacity, Shares: map[string]float64{}, Ceilings: maps.Clone(sim.operators.ceilings), Spare: map[string]float64{}, Booked: map[string]bool{}}
 	booked, all := map[string]float64{}, 0.0
-	for _, b := range w.operators.bookings {
-		if b.from <= w.now && w.now < b.to {
+	for _, b := range sim.operators.bookings {
+		if b.from <= sim.now && sim.now < b.to {
 			booked[b.kind] += capacity * float64(b.slice) / 100
 			all += capacity * float64(b.slice) / 100
 		}
@@ -62,5 +62,5 @@
 		l.Shares[kind] = (capacity-all)*share/100 + booked[kind]
 		l.Spare[kind] = capacity - all + booked[kind]
 	}
-	w.Checker.Limit(l)
+	sim.Checker.Limit(l)
 }
--- a/lab/sim/world_machines.go
+++ b/lab/sim/world_machines.go
@@ -5,43 +5,43 @@
 import "wallport/runtime/clock"
 
 // startShardMap starts the servers of a new shard map, cold.
-func (w *World) startShardMap(shardMap string, shards, per int) {
+func (sim *Simulation) startShardMap(shardMap string, shards, per int) {
 	for i := range shards * per {
-		w.addServer(w.Shape.Backend(i, shardMap, shards, ""), shards)
+		sim.addServer(sim.Shape.Backend(i, shardMap, shards, ""), shards)
 	}
-	w.platform.publish()
+	sim.platform.publish()
 }
 
-func (w *World) powerOffAll() {
-	w.lostAt = w.now
-	for _, name := range w.names {
-		w.applyProcessVerb("power", w.processes[name])
+func (sim *Simulation) powerOffAll() {
+	sim.lostAt = sim.now
+	for _, name := range sim.names {
+		sim.applyProcessVerb("power", sim.processes[name])
 	}
-	for _, id := range w.serverIDs {
-		w.servers[id].kill()
+	for _, id := range sim.serverIDs {
+		sim.servers[id].kill()
 	}
 }
 
-func (w *World) startAll() {
-	w.restoredAt = w.now
-	for _, id := range w.serverIDs {
-		if w.servers[id].mode != serverVanished {
-			w.servers[id].boot()
+func (sim *Simulation) startAll() {
+	sim.restoredAt = sim.now
+	for _, id := range sim.serverIDs {
+		if sim.servers[id].mode != serverVanished {
+			sim.servers[id].boot()
 		}
 	}
-	for _, name := range w.names {
-		w.after(w.rng.Int64N(400*clock.Millisecond), func() { w.applyProcessVerb("restart", w.processes[name]) })
+	for _, name := range sim.names {
+		sim.after(sim.rng.Int64N(400*clock.Millisecond), func() { sim.applyProcessVerb("restart", sim.processes[name]) })
 	}
 }
 
 // replaceCore removes a core machine for good and adds an empty one at a new address.
-func (w *World) replaceCore(name string) {
-	for _, n := range w.match(name) {
-		w.applyProcessVerb("power", w.processes[n])
-		old := w.processes[n]
+func (sim *Simulation) replaceCore(name string) {
+	for _, n := range sim.match(name) {
+		sim.applyProcessVerb("power", sim.processes[n])
+		old := sim.processes[n]
 		old.replaced = true
-		i := len(w.names)
-		p := w.add(roleCore, 100+i, coreAddr(100+i))
+		i := len(sim.names)
+		p := sim.add(roleCore, 100+i, coreAddr(100+i))
 		p.settings.Zone = old.settings.Zone
 		p.start()
 	}
--- a/lab/sim/world_network.go
+++ b/lab/sim/world_network.go
@@ -29,7 +29,7 @@
 }
 
 type network struct {
-	world            *World
+	sim              *Simulation
 	lastID           uint64
 	links            map[uint64]*link
 	direct           map[string]*link
@@ -41,8 +41,8 @@
 	frames, bytes, partitionFrames int64
 }
 
-func (n *network) init(w *World) {
-	n.world, n.links, n.direct, n.blocked = w, map[uint64]*link{}, map[string]*link{}, map[string]bool{}
+func (n *network) init(sim *Simulation) {
+	n.sim, n.links, n.direct, n.blocked = sim, map[uint64]*link{}, map[string]*link{}, map[string]bool{}
 	n.isolated = map[string]bool{}
 }
 
@@ -52,20 +52,20 @@
 // partitioned reports whether no frame gets from a to b. An isolated process reaches no other process, later
 // ones included, but the platform and the servers.
 func (n *network) partitioned(a, b string) bool {
-	if n.world.day != nil {
-		return n.world.day.partitioned(a, b)
+	if n.sim.day != nil {
+		return n.sim.day.partitioned(a, b)
 	}
 	if n.blocked[a+">"+b] {
 		return true
 	}
-	return a != b && (n.isolated[a] || n.isolated[b]) && n.world.processes[a] != nil && n.world.processes[b] != nil
+	return a != b && (n.isolated[a] || n.isolated[b]) && n.sim.processes[a] != nil && n.sim.processes[b] != nil
 }
 
-func (n *network) latency() clock.Micros { return 150 + n.world.rng.Int64N(600) + n.extraDelay }
+func (n *network) latency() clock.Micros { return 150 + n.sim.rng.Int64N(600) + n.extraDelay }
 
 // dial opens a connection and passes it to then, or nil if that fails.
 func (n *network) dial(p *process, addr string, mesh bool, then func(l *link)) {
-	w := n.world
+	sim := n.sim
 	fail := func(d clock.Micros) {
 		p.deliverAfter(d, func() {
 			if mesh {
@@ -75,7 +75,7 @@
 			}
 		})
 	}
-	q := w.processesByAddr[addr]
+	q := sim.processesByAddr[addr]
 	if q == nil || !q.up {
 		fail(n.latency())
 		return
@@ -88,17 +88,17 @@
 		fail(2 * clock.Second)
 		return
 	}
-	plife, qlife := p.incarnation, q.incarnation
-	w.after(3*n.latency(), func() {
-		if p.incarnation != plife || !p.up {
+	pStarted, qStarted := p.incarnation, q.incarnation
+	sim.after(3*n.latency(), func() {
+		if p.incarnation != pStarted || !p.up {
 			return
 		}
-		if q.incarnation != qlife || !q.up {
+		if q.incarnation != qStarted || !q.up {
 			fail(0)
 			return
 		}
 		n.lastID += 2
-		l := &link{mesh: mesh, addr: addr, ends: [2]linkEnd{{p, n.lastID, plife}, {q, n.lastID + 1, qlife}}}
+		l := &link{mesh: mesh, addr: addr, ends: [2]linkEnd{{p, n.lastID, pStarted}, {q, n.lastID + 1, qStarted}}}
 		n.links[n.lastID], n.links[n.lastID+1] = l, l
 		if mesh {
 			p.connected(q, n.lastID, addr, true)
@@ -122,9 +122,9 @@
 		n.transmit(l, p, s.Data)
 		return
 	}
-	life := p.incarnation
+	started := p.incarnation
 	n.dial(p, s.Addr, false, func(l *link) {
-		if l == nil || p.incarnation != life {
+		if l == nil || p.incarnation != started {
 			return
 		}
 		if old := n.direct[key]; old != nil && !old.closed {
@@ -145,31 +145,31 @@
 	if l.ends[1].process == from {
 		i = 1
 	}
-	at := max(l.lastArrival[i], n.world.now+n.latency())
+	at := max(l.lastArrival[i], n.sim.now+n.latency())
 	l.lastArrival[i] = at
 	data = n.asLaterRelease(from, data)
 	n.count(l, data)
 	countFrame(from, l.ends[1-i].process, data)
-	n.world.at(at, func() { n.arrive(l, i, data, n.world.now) })
-	if l.mesh && n.duplicatePercent > 0 && n.world.rng.Int64N(100) < n.duplicatePercent {
-		n.world.at(at+n.latency(), func() { n.arrive(l, i, data, n.world.now) })
+	n.sim.at(at, func() { n.arrive(l, i, data, n.sim.now) })
+	if l.mesh && n.duplicatePercent > 0 && n.sim.rng.Int64N(100) < n.duplicatePercent {
+		n.sim.at(at+n.latency(), func() { n.arrive(l, i, data, n.sim.now) })
 	}
 }
 
 func (n *network) arrive(l *link, i int, data []byte, since clock.Micros) {
-	if l.closed || n.muted(l, data) {
+	if l.closed || n.pathDisabled(l, data) {
 		return
 	}
 	from, to := l.ends[i], l.ends[1-i]
-	if from.process.incarnation != from.incarnation && n.world.now-since > 0 {
+	if from.process.incarnation != from.incarnation && n.sim.now-since > 0 {
 		return
 	}
 	if n.partitioned(from.process.name, to.process.name) {
-		if n.world.now-since > stallTimeout {
+		if n.sim.now-since > stallTimeout {
 			n.closeLink(l)
 			return
 		}
-		n.world.after(100*clock.Millisecond, func() { n.arrive(l, i, data, since) })
+		n.sim.after(100*clock.Millisecond, func() { n.arrive(l, i, data, since) })
 		return
 	}
 	if !to.process.up || to.process.incarnation != to.incarnation {
@@ -185,22 +185,22 @@
 
 // asLaterRelease makes a frame look like one of a later release, which has one more field.
 func (n *network) asLaterRelease(from *process, data []byte) []byte {
-	every := n.world.Script.Int("newer_every", 0)
+	every := n.sim.Script.Int("newer_every", 0)
 	if every == 0 || from.index%every != 0 || len(data) < 11 || data[10]&0xf0 != 0x80 || data[10] == 0x8f {
 		return data
 	}
 	out := append([]byte(nil), data...)
 	out[10]++
-	n.world.Checker.Count("frames_of_later_release", 1)
+	n.sim.Checker.Count("frames_of_later_release", 1)
 	out = msgp.AppendString(out, "later")
 	return msgp.AppendMapStrStr(out, map[string]string{"of": "a later release"})
 }
 
-// muted reports whether the scenario has switched off the path, gossip or pull, by which this frame travels.
-func (n *network) muted(l *link, data []byte) bool {
-	off := func(name string) bool { at := n.world.Script.Int(name, 0); return at > 0 && n.world.now >= at }
+// pathDisabled reports whether the scenario has switched off the path, gossip or pull, by which this frame travels.
+func (n *network) pathDisabled(l *link, data []byte) bool {
+	disabled := func(name string) bool { at := n.sim.Script.Int(name, 0); return at > 0 && n.sim.now >= at }
 	f, err := wire.Open(data)
-	return err == nil && (l.mesh && off("mesh_off_us") || f.Kind == wire.KindPullReply && off("pulls_off_us"))
+	return err == nil && (l.mesh && disabled("mesh_off_us") || f.Kind == wire.KindPullReply && disabled("pulls_off_us"))
 }
 
 func (n *network) closeLink(l *link) {
@@ -254,7 +254,7 @@
 // partitionDialDelay returns how soon a dial over a partition fails: at once where the partition refuses
 // connections.
 func (n *network) partitionDialDelay(p, q *process) clock.Micros {
-	if p.machine != nil && n.world.day.refusedLinks[p.machine.name+">"+q.machine.name] {
+	if p.machine != nil && n.sim.day.refusedLinks[p.machine.name+">"+q.machine.name] {
 		return n.latency()
 	}
 	return clock.Second
@@ -264,7 +264,7 @@
 func (n *network) reset(m *machine, share float64) {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
-		if l != nil && !l.closed && (l.ends[0].process.machine == m || l.ends[1].process.machine == m) && n.world.rng.Float64() < share {
+		if l != nil && !l.closed && (l.ends[0].process.machine == m || l.ends[1].process.machine == m) && n.sim.rng.Float64() < share {
 			n.closeLink(l)
 		}
 	}
