--- a/lab/sim/world_operators.go
+++ b/lab/sim/world_operators.go
@@ -20,7 +20,7 @@
 const markBase = slowStartUs
 
 type operators struct {
-	world    *World
+	sim      *Simulation
 	mark     int64
 	bookings map[string]booking
 	// The limits in the configuration from the next put on.
@@ -31,29 +31,29 @@
 	shardMapCalls map[string]int
 }
 
-func (o *operators) init(w *World) {
-	o.world, o.mark, o.bookings, o.zoneCalls = w, markBase, map[string]booking{}, map[string]int{}
-	o.capacity, o.shardMapCalls = w.Script.Int("capacity", 2000), map[string]int{}
+func (o *operators) init(sim *Simulation) {
+	o.sim, o.mark, o.bookings, o.zoneCalls = sim, markBase, map[string]booking{}, map[string]int{}
+	o.capacity, o.shardMapCalls = sim.Script.Int("capacity", 2000), map[string]int{}
 }
 
 // pickNode picks a node for an operator's call; nil if none is up.
 func (o *operators) pickNode() *process {
 	var up []*process
-	for _, name := range o.world.names {
-		if p := o.world.processes[name]; p.role == roleNode && p.running() && !p.draining {
+	for _, name := range o.sim.names {
+		if p := o.sim.processes[name]; p.role == roleNode && p.running() && !p.draining {
 			up = append(up, p)
 		}
 	}
 	if len(up) == 0 {
 		return nil
 	}
-	return up[o.world.rng.IntN(len(up))]
+	return up[o.sim.rng.IntN(len(up))]
 }
 
 // buildConfig returns the shape's configuration under a new mark, with the bookings of the one it is based on.
-func (o *operators) buildConfig(mark int64, on *configpb.Sheet) []byte {
+func (o *operators) buildConfig(mark int64, base *configpb.Sheet) []byte {
 	var s map[string]any
-	if json.Unmarshal(o.world.Shape.Config(), &s) != nil {
+	if json.Unmarshal(o.sim.Shape.Config(), &s) != nil {
 		return nil
 	}
 	row := s["services"].([]any)[0].(map[string]any)
@@ -64,42 +64,42 @@
 			v.(map[string]any)["ceiling"] = c
 		}
 	}
-	o.world.addOtherConfig(s)
-	if on != nil {
-		var was map[string]any
-		if json.Unmarshal(config.JSON(on), &was) == nil {
-			s["bookings"] = was["bookings"]
+	o.sim.addOtherConfig(s)
+	if base != nil {
+		var previous map[string]any
+		if json.Unmarshal(config.JSON(base), &previous) == nil {
+			s["bookings"] = previous["bookings"]
 		}
 	}
 	b, _ := json.Marshal(s)
 	return b
 }
 
-// putFirst puts the first configuration and shard map as soon as a node accepts them.
-func (o *operators) putFirst() {
-	o.world.after(100*clock.Millisecond, func() {
+// putInitial puts the first configuration and shard map as soon as a node accepts them.
+func (o *operators) putInitial() {
+	o.sim.after(100*clock.Millisecond, func() {
 		p := o.pickNode()
 		if p == nil || p.snapshots.Current() == nil || p.snapshots.Current().Version.Term == 0 {
-			o.putFirst()
+			o.putInitial()
 			return
 		}
 		o.put(p, configReading{}, "first", 0, func(code wire.Code) {
 			if code != wire.CodeOK && code != wire.CodeLostRace {
-				o.putFirst()
+				o.putInitial()
 				return
 			}
 			// An edit whose outcome was unknown may have been accepted: then a later one loses to it.
-			o.setShardMap(o.world.Shape.Index, "c1", o.world.Shape.Shards)
-			if other := o.world.otherIndex(); other != "" {
-				o.setShardMap(other, otherShardMap, o.world.Shape.Shards)
+			o.setShardMap(o.sim.Shape.Index, "c1", o.sim.Shape.Shards)
+			if other := o.sim.otherIndex(); other != "" {
+				o.setShardMap(other, otherShardMap, o.sim.Shape.Shards)
 			}
 		})
 	})
 }
 
 // put sends a complete configuration based on a version; an invalid one must be rejected.
-func (o *operators) put(p *process, on configReading, kind string, mark int64, done func(code wire.Code)) {
-	w := o.world
+func (o *operators) put(p *process, base configReading, kind string, mark int64, done func(code wire.Code)) {
+	sim := o.sim
 	if p == nil {
 		return
 	}
@@ -107,10 +107,10 @@
 		o.mark++
 		mark = o.mark
 	}
-	e := wire.Edit{Op: "put", Strict: true, Base: on.version, Body: o.buildConfig(mark, on.config), EditID: fmt.Sprintf("edit-%d", mark)}
+	e := wire.Edit{Op: "put", Strict: true, Base: base.version, Body: o.buildConfig(mark, base.config), EditID: fmt.Sprintf("edit-%d", mark)}
 	switch kind {
 	case "invalid":
-		e.Body = []byte(fmt.Sprintf(`{"services":[{"index":"%s","ramp_us":%d}],"rows":[{"index":"x","share":-1}]}`, w.Shape.Index, mark))
+		e.Body = []byte(fmt.Sprintf(`{"services":[{"index":"%s","ramp_us":%d}],"rows":[{"index":"x","share":-1}]}`, sim.Shape.Index, mark))
 	case "rows":
 		e.Op = "rows"
 		var s struct{ Services []json.RawMessage }
@@ -119,15 +119,15 @@
 		}
 		e.Body, _ = json.Marshal([]map[string]any{{"op": "set", "table": "services", "row": s.Services[0]}})
 	}
-	t := check.Edit{Mark: mark, Base: on.version, Began: w.now, Ended: 1 << 62, Code: check.CodeOpen, EditID: e.EditID, Invalid: kind == "invalid"}
-	w.Checker.EditBegan(t)
+	t := check.Edit{Mark: mark, Base: base.version, Began: sim.now, Ended: 1 << 62, Code: check.CodeOpen, EditID: e.EditID, Invalid: kind == "invalid"}
+	sim.Checker.EditBegan(t)
 	p.deliver(func() {
 		p.call("operate", operations.Submit{Edit: e}, func(v any) {
 			r := v.(operations.Result).Reply
-			t.Ended, t.Code, t.Version = w.now, r.Code, r.Version
-			w.logEvent(fmt.Sprintf("edit %d %s %v", mark, r.Code, r.Version))
-			w.Checker.EditEnded(t)
-			w.Checker.Count("edits."+string(r.Code), 1)
+			t.Ended, t.Code, t.Version = sim.now, r.Code, r.Version
+			sim.logEvent(fmt.Sprintf("edit %d %s %v", mark, r.Code, r.Version))
+			sim.Checker.EditEnded(t)
+			sim.Checker.Count("edits."+string(r.Code), 1)
 			if done != nil {
 				done(r.Code)
 			}
@@ -154,14 +154,14 @@
 func (o *operators) race(n int, kind string) {
 	base := o.current()
 	for range n {
-		o.world.after(o.world.rng.Int64N(60*clock.Millisecond), func() { o.put(o.pickNode(), base, kind, 0, nil) })
+		o.sim.after(o.sim.rng.Int64N(60*clock.Millisecond), func() { o.put(o.pickNode(), base, kind, 0, nil) })
 	}
 }
 
 // storm sends edits one after another, each based on what is then in force.
 func (o *operators) storm(n int, every clock.Micros) {
 	for i := range n {
-		o.world.after(int64(i)*every, func() {
+		o.sim.after(int64(i)*every, func() {
 			kind := []string{"put", "rows", "put", "invalid"}[i%4]
 			o.put(o.pickNode(), o.current(), kind, 0, nil)
 		})
@@ -174,18 +174,18 @@
 	o.mark++
 	mark := o.mark
 	o.put(o.pickNode(), base, "put", mark, nil)
-	o.world.after(200*clock.Millisecond, func() { o.put(o.pickNode(), base, "put", mark, nil) })
+	o.sim.after(200*clock.Millisecond, func() { o.put(o.pickNode(), base, "put", mark, nil) })
 }
 
 // sendUntil sends an edit through one node after another, as an operator does who gets no answer or a temporary
 // rejection, until ended returns true.
 func (o *operators) sendUntil(make func() wire.Edit, ended func(code wire.Code) bool) {
-	w := o.world
+	sim := o.sim
 	p := o.pickNode()
 	answered := false
-	again := func(d clock.Micros) { w.after(d, func() { o.sendUntil(make, ended) }) }
+	retry := func(d clock.Micros) { sim.after(d, func() { o.sendUntil(make, ended) }) }
 	if p == nil {
-		again(200 * clock.Millisecond)
+		retry(200 * clock.Millisecond)
 		return
 	}
 	p.deliver(func() {
@@ -195,11 +195,11 @@
 			}
 			answered = true
 			if code := v.(operations.Result).Reply.Code; !ended(code) {
-				again(100 * clock.Millisecond)
+				retry(100 * clock.Millisecond)
 			}
 		})
 	})
-	w.after(operatorTimeout, func() {
+	sim.after(operatorTimeout, func() {
 		if !answered {
 			answered = true
 			o.sendUntil(make, ended)
@@ -211,32 +211,32 @@
 const operatorTimeout = 1500 * clock.Millisecond
 
 func (o *operators) setZone(action, zone string) {
-	w := o.world
+	sim := o.sim
 	if action == "empty" {
-		w.Checker.ZoneDrained(zone, w.now)
+		sim.Checker.ZoneDrained(zone, sim.now)
 	} else {
-		w.Checker.ZoneDrained(zone, -1)
+		sim.Checker.ZoneDrained(zone, -1)
 	}
 	o.zoneCalls[zone]++
 	mine := o.zoneCalls[zone]
 	e := wire.Edit{Op: action, Name: zone}
 	o.sendUntil(func() wire.Edit { return e }, func(code wire.Code) bool {
-		w.logEvent("zone " + action + " " + zone + " " + string(code))
-		w.Checker.Count("zones."+string(code), 1)
+		sim.logEvent("zone " + action + " " + zone + " " + string(code))
+		sim.Checker.Count("zones."+string(code), 1)
 		// A later call for the zone takes the place of this one.
 		return code == wire.CodeOK || o.zoneCalls[zone] != mine
 	})
 }
 
 func (o *operators) setShardMap(index, name string, shards int) {
-	w := o.world
-	w.shardMaps[name] = shards
+	sim := o.sim
+	sim.shardMaps[name] = shards
 	o.shardMapCalls[index]++
 	mine := o.shardMapCalls[index]
 	e := wire.Edit{Partition: state.PartitionOf(index), Op: "cut", Name: index, Body: wire.Encode(&wire.ShardMap{Next: name, NextShards: shards})}
 	o.sendUntil(func() wire.Edit { return e }, func(code wire.Code) bool {
-		w.logEvent("cut " + name + " " + string(code))
-		w.Checker.Count("cuts."+string(code), 1)
+		sim.logEvent("cut " + name + " " + string(code))
+		sim.Checker.Count("cuts."+string(code), 1)
 		return code == wire.CodeOK || o.shardMapCalls[index] != mine
 	})
 }
--- a/lab/sim/world_other_index.go
+++ b/lab/sim/world_other_index.go
@@ -13,24 +13,24 @@
 const otherShardMap = "d1"
 
 // otherIndex returns the name of the second index, "" without one.
-func (w *World) otherIndex() string { return w.Script.Text("other_index", "") }
+func (sim *Simulation) otherIndex() string { return sim.Script.Text("other_index", "") }
 
 // addOtherServers starts its servers, three a shard.
-func (w *World) addOtherServers() {
-	if w.otherIndex() == "" {
+func (sim *Simulation) addOtherServers() {
+	if sim.otherIndex() == "" {
 		return
 	}
-	w.shardMaps[otherShardMap] = w.Shape.Shards
-	for i := range 3 * w.Shape.Shards {
-		row := w.Shape.Backend(i, otherShardMap, w.Shape.Shards, "")
-		row.Index = w.otherIndex()
-		w.addServer(row, w.Shape.Shards)
+	sim.shardMaps[otherShardMap] = sim.Shape.Shards
+	for i := range 3 * sim.Shape.Shards {
+		row := sim.Shape.Backend(i, otherShardMap, sim.Shape.Shards, "")
+		row.Index = sim.otherIndex()
+		sim.addServer(row, sim.Shape.Shards)
 	}
 }
 
 // addOtherConfig adds a service and rows like those of the first index, with spare capacity.
-func (w *World) addOtherConfig(s map[string]any) {
-	if w.otherIndex() == "" {
+func (sim *Simulation) addOtherConfig(s map[string]any) {
+	if sim.otherIndex() == "" {
 		return
 	}
 	for _, table := range []string{"services", "rows"} {
@@ -40,7 +40,7 @@
 			if json.Unmarshal(b, &r) != nil {
 				return
 			}
-			r["index"] = w.otherIndex()
+			r["index"] = sim.otherIndex()
 			delete(r, "ceiling")
 			if table == "services" {
 				r["capacity"] = 2000
@@ -51,15 +51,15 @@
 }
 
 // countOtherPool counts the responses to callers of the second index.
-func (w *World) countOtherPool(in *search.Request, o *search.Outcome) {
-	if w.otherIndex() == "" || in.Index != w.otherIndex() {
+func (sim *Simulation) countOtherPool(in *search.Request, o *search.Outcome) {
+	if sim.otherIndex() == "" || in.Index != sim.otherIndex() {
 		return
 	}
 	switch {
 	case o.Code == search.CodeOK && len(o.Missing) == 0, o.Code == search.CodeConflict:
-		w.Checker.Count("other.good", 1)
+		sim.Checker.Count("other.good", 1)
 	default:
-		w.Checker.Count("other.bad", 1)
-		w.logEvent(fmt.Sprint("other pool felt it: ", o.Code, " ", o.Why, " ", o.Missing))
+		sim.Checker.Count("other.bad", 1)
+		sim.logEvent(fmt.Sprint("other pool felt it: ", o.Code, " ", o.Why, " ", o.Missing))
 	}
 }
--- a/lab/sim/world_platform.go
+++ b/lab/sim/world_platform.go
@@ -16,7 +16,7 @@
 }
 
 type platform struct {
-	world     *World
+	sim       *Simulation
 	published []publishedList
 	calls     []int64
 	lag       clock.Micros
@@ -24,33 +24,33 @@
 	mode      string
 }
 
-func (p *platform) init(w *World) {
-	p.world, p.lag, p.callLimit = w, w.Script.Int("lag_us", 300*clock.Millisecond), w.Script.Int("allowed_per_10s", 20)
+func (p *platform) init(sim *Simulation) {
+	p.sim, p.lag, p.callLimit = sim, sim.Script.Int("lag_us", 300*clock.Millisecond), sim.Script.Int("allowed_per_10s", 20)
 }
 
 // publish records the current servers at the platform, which shows them after its lag.
 func (p *platform) publish() {
 	l := wire.BackendList{}
-	for _, id := range p.world.serverIDs {
-		s := p.world.servers[id]
+	for _, id := range p.sim.serverIDs {
+		s := p.sim.servers[id]
 		row := s.row
 		// Rows are copied, so a published list does not change.
 		l.Backends = append(l.Backends, row)
 		if row.State == "leaving" {
-			p.world.Checker.BackendDrains(id, p.world.now+p.lag)
+			p.sim.Checker.BackendDrains(id, p.sim.now+p.lag)
 		}
 	}
-	p.published = append(p.published, publishedList{p.world.now, l})
+	p.published = append(p.published, publishedList{p.sim.now, l})
 }
 
 func (p *platform) serveList() (int, []byte) {
-	now := p.world.now
+	now := p.sim.now
 	for len(p.calls) > 0 && now-p.calls[0] > 10*clock.Second {
 		p.calls = p.calls[1:]
 	}
-	p.world.Checker.Count("platform_calls", 1)
+	p.sim.Checker.Count("platform_calls", 1)
 	if int64(len(p.calls)) >= p.callLimit {
-		p.world.Checker.Count("platform_shed", 1)
+		p.sim.Checker.Count("platform_shed", 1)
 		return 429, nil
 	}
 	p.calls = append(p.calls, now)
@@ -76,8 +76,8 @@
 // ready returns the nodes that the platform assigns to callers.
 func (p *platform) ready() []*process {
 	var out []*process
-	for _, name := range p.world.names {
-		q := p.world.processes[name]
+	for _, name := range p.sim.names {
+		q := p.sim.processes[name]
 		if q.role != roleNode || !q.running() || q.draining {
 			continue
 		}
--- a/lab/sim/world_power.go
+++ b/lab/sim/world_power.go
@@ -18,16 +18,16 @@
 // powerOffAtStep counts a write as it starts and cuts the power if it is the selected one; it reports whether
 // the process ended.
 func (d *disk) powerOffAtStep(w kernel.Write) bool {
-	world := d.process.world
-	if world.Script.Set["power_write"] == "" || world.now < world.Script.Int("power_from_us", 0) || w.Data == nil {
+	sim := d.process.sim
+	if sim.Script.Set["power_write"] == "" || sim.now < sim.Script.Int("power_from_us", 0) || w.Data == nil {
 		return false
 	}
-	world.diskWrites++
-	world.Checker.Count("writes_seen", 1)
-	if int64(world.diskWrites) != world.Script.Int("power_write", 0) {
+	sim.diskWrites++
+	sim.Checker.Count("writes_seen", 1)
+	if int64(sim.diskWrites) != sim.Script.Int("power_write", 0) {
 		return false
 	}
-	switch world.Script.Text("power_step", "") {
+	switch sim.Script.Text("power_step", "") {
 	case "aside", "synced":
 		// Written to a temporary file, synced or not: the file itself is unchanged.
 		d.powerOff()
@@ -42,8 +42,8 @@
 	return true
 }
 
-// powerOffIfArmed cuts the power right after the selected write was acknowledged.
-func (d *disk) powerOffIfArmed(w kernel.Write) {
+// powerOffAfterAck cuts the power right after the selected write was acknowledged.
+func (d *disk) powerOffAfterAck(w kernel.Write) {
 	if d.powerOffAfter != "" && d.powerOffAfter == w.File {
 		d.powerOffAfter = ""
 		d.powerOff()
@@ -51,16 +51,16 @@
 }
 
 func (d *disk) powerOff() {
-	world := d.process.world
-	world.Checker.Count("power_cuts", 1)
-	world.logEvent(d.process.name + " loses power")
-	world.killed[d.process.name] = true
+	sim := d.process.sim
+	sim.Checker.Count("power_cuts", 1)
+	sim.logEvent(d.process.name + " loses power")
+	sim.killed[d.process.name] = true
 	p := d.process
-	world.at(world.now, func() {
+	sim.at(sim.now, func() {
 		d.queue, d.busy = nil, false
 		p.kill()
 	})
-	world.after(1500*clock.Millisecond, func() { world.applyProcessVerb("restart", p) })
+	sim.after(1500*clock.Millisecond, func() { sim.applyProcessVerb("restart", p) })
 }
 
 // PowerScripts returns copies of a scenario, one for each step of each write that a run of it makes.
@@ -72,10 +72,10 @@
 		c.Name = fmt.Sprintf("%s, power lost at write %d, %s", s.Name, n, step)
 		return &c
 	}
-	w := New(with(0, ""), seed)
-	w.Run()
+	sim := New(with(0, ""), seed)
+	sim.Run()
 	var out []*script.Script
-	for n := int64(1); n <= w.Checker.Value("writes_seen"); n++ {
+	for n := int64(1); n <= sim.Checker.Value("writes_seen"); n++ {
 		for _, step := range PowerSteps {
 			out = append(out, with(n, step))
 		}
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -33,7 +33,7 @@
 )
 
 type process struct {
-	world       *World
+	sim         *Simulation
 	name        string
 	role        string
 	settings    settings.Settings
@@ -73,56 +73,56 @@
 	machine *machine
 }
 
-func (w *World) add(role string, i int, addr string) *process {
+func (sim *Simulation) add(role string, i int, addr string) *process {
 	name := fmt.Sprintf("%s-%d", role, i)
 	e := settings.Settings{
-		Name: name, Zone: w.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: w.seeds, FleetSecret: "sim",
-		PollsPer10s: w.platform.callLimit, LogLevel: "info",
+		Name: name, Zone: sim.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: sim.seeds, FleetSecret: "sim",
+		PollsPer10s: sim.platform.callLimit, LogLevel: "info",
 	}
-	p := &process{world: w, name: name, role: role, settings: e, index: int64(len(w.names))}
+	p := &process{sim: sim, name: name, role: role, settings: e, index: int64(len(sim.names))}
 	if role == roleNode {
 		p.settings.Caller, p.settings.PlatformURL = addr+"1", "http://platform/list"
 	} else {
 		p.settings.DataDir = "disk"
 		p.disk = newDisk(p)
 	}
-	w.processes[name] = p
-	w.names = append(w.names, name)
-	w.processesByAddr[addr] = p
+	sim.processes[name] = p
+	sim.names = append(sim.names, name)
+	sim.processesByAddr[addr] = p
 	return p
 }
 
 // running reports whether the process is up and not frozen.
 func (p *process) running() bool { return p.up && !p.frozen }
 
-func (p *process) now() clock.Micros { return p.world.now - p.startedAt }
+func (p *process) now() clock.Micros { return p.sim.now - p.startedAt }
 
 func (p *process) start() {
 	if p.up {
 		return
 	}
-	w := p.world
+	sim := p.sim
 	p.incarnation++
-	p.up, p.frozen, p.startedAt, p.reachedAt, p.draining = true, false, w.now, w.now, false
+	p.up, p.frozen, p.startedAt, p.reachedAt, p.draining = true, false, sim.now, sim.now, false
 	p.calls = map[uint64]func(any){}
 	p.waiting = nil
 	var seed [32]byte
 	for i := range seed {
-		seed[i] = byte(w.rng.Uint32())
+		seed[i] = byte(sim.rng.Uint32())
 	}
-	b := kernel.Boot{Settings: p.settings, Role: p.role, Seed: w.rng.Uint64(), Key: kernel.KeyFrom(seed[:]), Files: map[string][]byte{}}
+	b := kernel.Boot{Settings: p.settings, Role: p.role, Seed: sim.rng.Uint64(), Key: kernel.KeyFrom(seed[:]), Files: map[string][]byte{}}
 	if p.disk != nil {
 		b.Files = p.disk.load()
 	}
 	p.kernel = kernel.New(b)
-	w.Checker.Restarted(p.name)
-	w.logEvent(p.name + " starts")
+	sim.Checker.Restarted(p.name)
+	sim.logEvent(p.name + " starts")
 	if p.role == roleNode {
 		p.snapshots = kernel.Find[*snapshot.Table](p.kernel)
 	}
 	switch {
-	case p.role == roleNode && w.day != nil:
-		w.day.newGateway(p, b.Seed)
+	case p.role == roleNode && sim.day != nil:
+		sim.day.newGateway(p, b.Seed)
 	case p.role == roleNode:
 		p.dispatcher = search.NewDispatcher(search.Config{
 			Snapshots: p.snapshots, LoadReport: kernel.Find[*loadreport.Reporter](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
@@ -139,24 +139,24 @@
 	if !p.up {
 		return
 	}
-	p.world.logEvent(p.name + " dies")
+	p.sim.logEvent(p.name + " dies")
 	p.up, p.frozen = false, false
 	p.incarnation++
 	if p.machine == nil || !p.machine.poweredOff {
-		p.world.net.closeLinksOf(p)
+		p.sim.net.closeLinksOf(p)
 	}
 	if p.frontend != nil {
 		p.frontend.abort()
 	}
-	if p.machine != nil && p.world.day.gateways[p] != nil {
-		p.world.day.gateways[p].abort()
+	if p.machine != nil && p.sim.day.gateways[p] != nil {
+		p.sim.day.gateways[p].abort()
 	}
 }
 
 func (p *process) freeze() {
 	if p.running() {
-		p.frozen, p.frozenAt = true, p.world.now
-		p.world.logEvent(p.name + " freezes")
+		p.frozen, p.frozenAt = true, p.sim.now
+		p.sim.logEvent(p.name + " freezes")
 	}
 }
 
@@ -165,9 +165,9 @@
 		return
 	}
 	p.frozen = false
-	gap := p.world.now - p.frozenAt
-	p.reachedAt = p.world.now
-	p.world.logEvent(p.name + " thaws")
+	gap := p.sim.now - p.frozenAt
+	p.reachedAt = p.sim.now
+	p.sim.logEvent(p.name + " thaws")
 	if gap > clock.Second {
 		p.step(kernel.Thawed{Gap: gap})
 	}
@@ -180,18 +180,18 @@
 
 // deliver runs f in this incarnation of the process, or later if it is frozen or busy.
 func (p *process) deliver(f func()) {
-	life := p.incarnation
+	started := p.incarnation
 	g := func() {
-		if p.up && p.incarnation == life {
+		if p.up && p.incarnation == started {
 			f()
 		}
 	}
 	switch {
 	case p.up && p.frozen:
 		p.waiting = append(p.waiting, g)
-	case p.inputDelay > 0 || p.busyUntil > p.world.now:
-		p.busyUntil = max(p.busyUntil, p.world.now) + p.inputDelay
-		p.world.at(p.busyUntil, func() {
+	case p.inputDelay > 0 || p.busyUntil > p.sim.now:
+		p.busyUntil = max(p.busyUntil, p.sim.now) + p.inputDelay
+		p.sim.at(p.busyUntil, func() {
 			if p.frozen {
 				p.waiting = append(p.waiting, g)
 				return
@@ -205,9 +205,9 @@
 
 // deliverAfter delivers f after a while.
 func (p *process) deliverAfter(d clock.Micros, f func()) {
-	life := p.incarnation
-	p.world.after(d, func() {
-		if p.incarnation == life {
+	started := p.incarnation
+	p.sim.after(d, func() {
+		if p.incarnation == started {
 			p.deliver(f)
 		}
 	})
@@ -215,9 +215,9 @@
 
 func (p *process) step(in kernel.Input) {
 	p.traffic.Steps++
-	out := p.kernel.Step(p.now(), epoch+p.world.now+p.skew, in)
+	out := p.kernel.Step(p.now(), epoch+p.sim.now+p.skew, in)
 	for _, n := range out.LogEvents {
-		p.world.logEvent(p.name + " " + n.Event + " " + fmt.Sprint(n.Fields...))
+		p.sim.logEvent(p.name + " " + n.Event + " " + fmt.Sprint(n.Fields...))
 	}
 	for _, t := range out.Timers {
 		p.deliverAfter(t.At-p.now(), func() { p.step(t.Tick) })
@@ -226,17 +226,17 @@
 		p.write(wr)
 	}
 	for _, a := range out.Dials {
-		p.world.net.dial(p, a, true, nil)
+		p.sim.net.dial(p, a, true, nil)
 	}
 	for _, s := range out.Sends {
-		p.world.net.send(p, s)
+		p.sim.net.send(p, s)
 	}
 	for _, ch := range out.Drops {
-		p.world.net.drop(p, ch)
+		p.sim.net.drop(p, ch)
 	}
 	p.traffic.Fetches += int64(len(out.Fetches))
 	for _, f := range out.Fetches {
-		p.world.fetch(p, f)
+		p.sim.fetch(p, f)
 	}
 	for _, a := range out.Replies {
 		if f := p.calls[a.ID]; f != nil {
@@ -247,13 +247,13 @@
 }
 
 // call sends a request to a plug-in and passes the answer to f.
-func (p *process) call(plugin string, ask any, f func(any)) {
+func (p *process) call(plugin string, request any, f func(any)) {
 	p.nextCall++
 	id := p.nextCall
 	if f != nil {
 		p.calls[id] = f
 	}
-	p.step(kernel.Call{Plugin: plugin, ID: id, Request: ask})
+	p.step(kernel.Call{Plugin: plugin, ID: id, Request: request})
 }
 
 // stop is the graceful shutdown: nothing new is accepted, requests in flight are finished, then the process
@@ -263,14 +263,14 @@
 		return
 	}
 	p.draining = true
-	p.world.logEvent(p.name + " drains")
+	p.sim.logEvent(p.name + " drains")
 	p.step(kernel.Stopping{})
-	p.stopDeadline = p.world.now + replica.LeaveTimeout
+	p.stopDeadline = p.sim.now + replica.LeaveTimeout
 	p.deliverAfter(clock.Second, p.endWhenIdle)
 }
 
 func (p *process) endWhenIdle() {
-	leaving := p.replicas != nil && !p.replicas.HasLeft() && p.world.now < p.stopDeadline
+	leaving := p.replicas != nil && !p.replicas.HasLeft() && p.sim.now < p.stopDeadline
 	if leaving || p.frontend != nil && len(p.frontend.requests) > 0 {
 		p.deliverAfter(20*clock.Millisecond, p.endWhenIdle)
 		return
--- a/lab/sim/world_reachability.go
+++ b/lab/sim/world_reachability.go
@@ -14,34 +14,34 @@
 )
 
 // updateReachability recomputes both after every step and ten times a second.
-func (w *World) updateReachability() {
-	group := w.connectedGroups(w.names, func(p *process) bool { return p.running() })
-	w.isolatedNodes = 0
-	best := largestGroup(group, func(name string) int {
-		if w.processes[name].role == roleCore {
+func (sim *Simulation) updateReachability() {
+	group := sim.connectedGroups(sim.names, func(p *process) bool { return p.running() })
+	sim.isolatedNodes = 0
+	largest := largestGroup(group, func(name string) int {
+		if sim.processes[name].role == roleCore {
 			// The side that can change the control state is the fleet; without one the larger side is.
 			return 100
 		}
 		return 1
 	})
-	for _, name := range w.names {
-		p := w.processes[name]
-		off := p.running() && group[name] != best
-		if p.isolated && !off {
-			p.reachedAt = w.now
+	for _, name := range sim.names {
+		p := sim.processes[name]
+		isolated := p.running() && group[name] != largest
+		if p.isolated && !isolated {
+			p.reachedAt = sim.now
 		}
-		if off && !p.isolated {
-			p.isolatedAt = w.now
+		if isolated && !p.isolated {
+			p.isolatedAt = sim.now
 		}
-		p.isolated = off
-		if off && p.role == roleNode {
-			w.isolatedNodes++
+		p.isolated = isolated
+		if isolated && p.role == roleNode {
+			sim.isolatedNodes++
 		}
 	}
-	w.updateMajoritySince(&w.Checker.CommandsPossible, func(p *process) bool { return true })
+	sim.updateMajoritySince(&sim.Checker.CommandsPossible, func(p *process) bool { return true })
 	skews := map[int64]int{}
-	for _, name := range w.names {
-		if p := w.processes[name]; p.role == roleCore && !p.replaced {
+	for _, name := range sim.names {
+		if p := sim.processes[name]; p.role == roleCore && !p.replaced {
 			skews[p.skew]++
 		}
 	}
@@ -51,50 +51,50 @@
 			usual, most = skew, n
 		}
 	}
-	w.updateMajoritySince(&w.Checker.ClocksAgree, func(p *process) bool { return p.skew == usual })
+	sim.updateMajoritySince(&sim.Checker.ClocksAgree, func(p *process) bool { return p.skew == usual })
 }
 
 // updateMajoritySince sets *at to since when a majority of the matching disk machines has been up, healthy and
 // connected, or to MaxInt64.
-func (w *World) updateMajoritySince(at *clock.Micros, fits func(p *process) bool) {
-	cores := w.connectedGroups(w.names, func(p *process) bool { return p.role == roleCore && p.running() && p.disk.mode == diskOK && fits(p) })
-	in, all := 0, 0
-	most := largestGroup(cores, func(string) int { return 1 })
-	for _, name := range w.names {
-		if p := w.processes[name]; p.role == roleCore && !p.replaced {
-			all++
-			if g, ok := cores[name]; ok && g == most {
-				in++
+func (sim *Simulation) updateMajoritySince(at *clock.Micros, matches func(p *process) bool) {
+	connectedCores := sim.connectedGroups(sim.names, func(p *process) bool { return p.role == roleCore && p.running() && p.disk.mode == diskOK && matches(p) })
+	connected, total := 0, 0
+	most := largestGroup(connectedCores, func(string) int { return 1 })
+	for _, name := range sim.names {
+		if p := sim.processes[name]; p.role == roleCore && !p.replaced {
+			total++
+			if g, ok := connectedCores[name]; ok && g == most {
+				connected++
 			}
 		}
 	}
 	switch {
-	case 2*in <= all:
+	case 2*connected <= total:
 		*at = math.MaxInt64
 	case *at == math.MaxInt64:
-		*at = w.now
+		*at = sim.now
 	}
 }
 
 // connectedGroups numbers the groups of connected processes: two are in one group if a chain of processes joins
 // them in which each hears its neighbours both ways.
-func (w *World) connectedGroups(names []string, counts func(p *process) bool) map[string]int {
+func (sim *Simulation) connectedGroups(names []string, counts func(p *process) bool) map[string]int {
 	out := map[string]int{}
 	n := 0
 	for _, first := range names {
-		if _, seen := out[first]; seen || !counts(w.processes[first]) {
+		if _, seen := out[first]; seen || !counts(sim.processes[first]) {
 			continue
 		}
 		n++
 		out[first] = n
-		todo := []string{first}
-		for len(todo) > 0 {
-			a := todo[0]
-			todo = todo[1:]
+		pending := []string{first}
+		for len(pending) > 0 {
+			a := pending[0]
+			pending = pending[1:]
 			for _, b := range names {
-				if _, seen := out[b]; !seen && counts(w.processes[b]) && !w.net.partitioned(a, b) && !w.net.partitioned(b, a) {
+				if _, seen := out[b]; !seen && counts(sim.processes[b]) && !sim.net.partitioned(a, b) && !sim.net.partitioned(b, a) {
 					out[b] = n
-					todo = append(todo, b)
+					pending = append(pending, b)
 				}
 			}
 		}
@@ -118,11 +118,11 @@
 
 // lacksServer reports whether the world excuses an unanswered request: some time in the last seconds too few of
 // the needed shards had a reachable server that answers correctly.
-func (w *World) lacksServer(index string, shards, shard int) bool {
-	since := w.now - unservedWindow
+func (sim *Simulation) lacksServer(index string, shards, shard int) bool {
+	since := sim.now - unservedWindow
 	down := 0
 	for s := range shards {
-		if at, ok := w.unservedAt[shardKey{index, shards, s}]; ok && at >= since {
+		if at, ok := sim.unservedAt[shardKey{index, shards, s}]; ok && at >= since {
 			if s == shard {
 				return true
 			}
@@ -141,25 +141,25 @@
 }
 
 // recordUnservedShards records the shards that have no healthy server now.
-func (w *World) recordUnservedShards() {
-	good := map[shardKey]bool{}
-	for _, id := range w.serverIDs {
-		s := w.servers[id]
+func (sim *Simulation) recordUnservedShards() {
+	served := map[shardKey]bool{}
+	for _, id := range sim.serverIDs {
+		s := sim.servers[id]
 		k := shardKey{s.row.Index, s.shards, s.row.Shard}
-		ok := s.up && (s.mode == serverOK || s.mode == serverSlow && s.slowUs <= w.Shape.Least/4) && s.row.State != "leaving" && !w.Checker.IsZoneDrained(s.row.Zone)
-		good[k] = good[k] || ok
+		ok := s.up && (s.mode == serverOK || s.mode == serverSlow && s.slowUs <= sim.Shape.Least/4) && s.row.State != "leaving" && !sim.Checker.IsZoneDrained(s.row.Zone)
+		served[k] = served[k] || ok
 	}
-	for k, ok := range good {
+	for k, ok := range served {
 		if !ok {
-			w.unservedAt[k] = w.now
+			sim.unservedAt[k] = sim.now
 		}
 	}
 }
 
 // serverRefuses reports whether a server that the request could be sent to rejects by itself.
-func (w *World) serverRefuses(in *search.Request) bool {
-	for _, id := range w.serverIDs {
-		if s := w.servers[id]; s.mode == serverRejects && s.row.Index == in.Index && (in.Kind == search.KindSearch || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
+func (sim *Simulation) serverRefuses(in *search.Request) bool {
+	for _, id := range sim.serverIDs {
+		if s := sim.servers[id]; s.mode == serverRejects && s.row.Index == in.Index && (in.Kind == search.KindSearch || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
 			return true
 		}
 	}
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -30,7 +30,7 @@
 )
 
 type server struct {
-	world               *World
+	sim                 *Simulation
 	row                 wire.Backend
 	shards              int
 	up                  bool
@@ -46,48 +46,48 @@
 // slowStartUs is the length of the slow start in the simulated configuration.
 const slowStartUs = 3 * clock.Second
 
-func (w *World) addServer(row wire.Backend, shards int) *server {
-	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(w.servers)/200, len(w.servers)%200)
-	s := &server{world: w, row: row, shards: shards, serviceUs: w.Script.Int("server_us", 2000)}
+func (sim *Simulation) addServer(row wire.Backend, shards int) *server {
+	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(sim.servers)/200, len(sim.servers)%200)
+	s := &server{sim: sim, row: row, shards: shards, serviceUs: sim.Script.Int("server_us", 2000)}
 	// Initial servers are warm; later ones are cold.
 	s.boot()
-	if w.now == 0 {
+	if sim.now == 0 {
 		s.born = -10 * slowStartUs
 	}
-	w.servers[row.ID] = s
-	w.serverIDs = append(w.serverIDs, row.ID)
-	w.serversByAddr[row.Addr] = s
+	sim.servers[row.ID] = s
+	sim.serverIDs = append(sim.serverIDs, row.ID)
+	sim.serversByAddr[row.Addr] = s
 	return s
 }
 
 func (s *server) boot() {
-	s.up, s.born, s.running = true, s.world.now, 0
+	s.up, s.born, s.running = true, s.sim.now, 0
 	s.incarnation++
-	s.reportedIncarnation = epoch + s.world.now + int64(s.incarnation)
-	s.world.logEvent(s.row.ID + " boots")
+	s.reportedIncarnation = epoch + s.sim.now + int64(s.incarnation)
+	s.sim.logEvent(s.row.ID + " boots")
 }
 
-func (s *server) kill() { s.up = false; s.incarnation++; s.world.logEvent(s.row.ID + " dies") }
+func (s *server) kill() { s.up = false; s.incarnation++; s.sim.logEvent(s.row.ID + " dies") }
 
-func (w *World) fetch(p *process, f kernel.Fetch) {
-	if w.day != nil {
-		w.day.fetch(p, f)
+func (sim *Simulation) fetch(p *process, f kernel.Fetch) {
+	if sim.day != nil {
+		sim.day.fetch(p, f)
 		return
 	}
 	answer := p.answerFetch(f)
 	host, platform := hostOf(f.URL)
-	rtt := 2 * w.net.latency()
+	rtt := 2 * sim.net.latency()
 	if platform {
-		if w.net.partitioned(p.name, "platform") {
+		if sim.net.partitioned(p.name, "platform") {
 			return
 		}
-		status, body := w.platform.serveList()
+		status, body := sim.platform.serveList()
 		answer(rtt, kernel.Fetched{Status: status, Body: body})
 		return
 	}
-	s := w.serversByAddr[host]
+	s := sim.serversByAddr[host]
 	switch {
-	case s == nil || w.net.partitioned(p.name, s.row.ID) || s.mode == serverHangs || s.mode == serverPaused:
+	case s == nil || sim.net.partitioned(p.name, s.row.ID) || s.mode == serverHangs || s.mode == serverPaused:
 		return
 	case !s.up && s.mode == serverVanished:
 		return
@@ -95,28 +95,28 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 		return
 	}
-	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.reportedIncarnation, UpUs: w.now - s.born, Usage: s.running, ShardMap: s.row.ShardMap})
+	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.reportedIncarnation, UpUs: sim.now - s.born, Usage: s.running, ShardMap: s.row.ShardMap})
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
-// askServer carries one request to a server and the reply back; done gets what the node sees.
-func (w *World) askServer(p *process, a *search.Send, done func(search.Result)) {
-	s := w.serversByAddr[a.Backend.Addr]
-	there := w.net.latency()
+// sendToServer carries one request to a server and the reply back; done gets what the node sees.
+func (sim *Simulation) sendToServer(p *process, a *search.Send, done func(search.Result)) {
+	s := sim.serversByAddr[a.Backend.Addr]
+	latency := sim.net.latency()
 	if s == nil || !s.up && s.mode != serverVanished {
-		w.after(2*there, func() { done(search.Result{Class: search.ClassNotSent, Reason: "connection refused"}) })
+		sim.after(2*latency, func() { done(search.Result{Class: search.ClassNotSent, Reason: "connection refused"}) })
 		return
 	}
-	if !s.up || w.net.partitioned(p.name, s.row.ID) {
-		w.after(300*clock.Millisecond, func() { done(search.Result{Class: search.ClassNotSent, Reason: "timed out"}) })
+	if !s.up || sim.net.partitioned(p.name, s.row.ID) {
+		sim.after(300*clock.Millisecond, func() { done(search.Result{Class: search.ClassNotSent, Reason: "timed out"}) })
 		return
 	}
-	life := s.incarnation
-	w.after(there, func() {
+	started := s.incarnation
+	sim.after(latency, func() {
 		broken := func() {
-			w.after(there, func() { done(search.Result{Class: search.ClassFailed, Reason: "reset"}) })
+			sim.after(latency, func() { done(search.Result{Class: search.ClassFailed, Reason: "reset"}) })
 		}
-		if !s.up || s.incarnation != life {
+		if !s.up || s.incarnation != started {
 			broken()
 			return
 		}
@@ -124,10 +124,10 @@
 		took := s.drawServiceTime()
 		refuses := s.mode == serverRejects
 		if !refuses {
-			w.recordExecution(a)
+			sim.recordExecution(a)
 		}
-		w.after(took, func() {
-			if s.incarnation != life {
+		sim.after(took, func() {
+			if s.incarnation != started {
 				broken()
 				return
 			}
@@ -136,22 +136,22 @@
 				return
 			}
 			raw := s.respond(a, refuses)
-			back := there
-			if w.net.partitioned(s.row.ID, p.name) {
+			back := latency
+			if sim.net.partitioned(s.row.ID, p.name) {
 				return
 			}
-			w.after(back, func() { done(raw) })
+			sim.after(back, func() { done(raw) })
 		})
 	})
 }
 
 func (s *server) drawServiceTime() clock.Micros {
-	us := s.serviceUs + s.world.rng.Int64N(s.serviceUs)
+	us := s.serviceUs + s.sim.rng.Int64N(s.serviceUs)
 	if s.mode == serverSlow || s.mode == serverPaused {
-		us = s.slowUs + s.world.rng.Int64N(s.slowUs/4+1)
+		us = s.slowUs + s.sim.rng.Int64N(s.slowUs/4+1)
 	}
-	if up := s.world.now - s.born; up < slowStartUs {
-		us += s.world.Script.Int("cold_times", 4) * us * (slowStartUs - up) / slowStartUs
+	if up := s.sim.now - s.born; up < slowStartUs {
+		us += s.sim.Script.Int("cold_times", 4) * us * (slowStartUs - up) / slowStartUs
 	}
 	// More concurrent work than 16 requests slows all of it.
 	return us * (1 + s.running/16)
@@ -183,7 +183,7 @@
 }
 
 // recordExecution reports an execution that must happen at most once to the checker.
-func (w *World) recordExecution(a *search.Send) {
+func (sim *Simulation) recordExecution(a *search.Send) {
 	if !a.Request.AtMostOnce() {
 		return
 	}
@@ -191,5 +191,5 @@
 	if key == "" {
 		key = a.ID
 	}
-	w.Checker.Ran(key, w.now)
+	sim.Checker.Ran(key, sim.now)
 }
--- a/lab/sim/world_verbs.go
+++ b/lab/sim/world_verbs.go
@@ -17,26 +17,26 @@
 	return n
 }
 
-func (w *World) runStep(st script.Step) {
+func (sim *Simulation) runStep(st script.Step) {
 	arg := func(i int) string {
 		if i < len(st.Args) {
 			return st.Args[i]
 		}
 		return ""
 	}
-	w.logEvent("step " + st.Verb + " " + strings.Join(st.Args, " "))
-	w.Checker.Count("steps", 1)
-	defer func() { w.updateReachability(); w.recordUnservedShards() }()
+	sim.logEvent("step " + st.Verb + " " + strings.Join(st.Args, " "))
+	sim.Checker.Count("steps", 1)
+	defer func() { sim.updateReachability(); sim.recordUnservedShards() }()
 	switch st.Verb {
 	case "kill", "restart", "freeze", "thaw", "term", "lose-disk", "power":
 		for _, n := range st.Args {
-			for _, name := range w.match(n) {
-				w.applyProcessVerb(st.Verb, w.processes[name])
+			for _, name := range sim.match(n) {
+				sim.applyProcessVerb(st.Verb, sim.processes[name])
 			}
 		}
 	case "disk":
-		for _, name := range w.match(arg(0)) {
-			d := w.processes[name].disk
+		for _, name := range sim.match(arg(0)) {
+			d := sim.processes[name].disk
 			d.mode, d.extraDelay = diskMode(arg(1)), parseInt(arg(2))
 			if arg(1) == "ok" {
 				d.mode = diskOK
@@ -44,90 +44,90 @@
 			d.startNext()
 		}
 	case "clock":
-		for _, name := range w.match(arg(0)) {
-			w.processes[name].skew += parseInt(arg(1)) * clock.Second
+		for _, name := range sim.match(arg(0)) {
+			sim.processes[name].skew += parseInt(arg(1)) * clock.Second
 		}
 	case "isolate", "heal":
 		for _, n := range st.Args {
-			for _, name := range w.match(n) {
-				w.isolate(name, st.Verb == "isolate")
+			for _, name := range sim.match(n) {
+				sim.isolate(name, st.Verb == "isolate")
 			}
 		}
 	case "cut-off", "one-way", "join":
-		w.net.setBlocked(w.match(arg(0)), w.match(arg(1)), st.Verb != "one-way", st.Verb != "join")
+		sim.net.setBlocked(sim.match(arg(0)), sim.match(arg(1)), st.Verb != "one-way", st.Verb != "join")
 	case "delay":
-		w.net.extraDelay = parseInt(arg(0))
+		sim.net.extraDelay = parseInt(arg(0))
 	case "doubles":
-		w.net.duplicatePercent = parseInt(arg(0))
+		sim.net.duplicatePercent = parseInt(arg(0))
 	case "server":
-		for _, id := range w.matchServers(arg(0)) {
-			w.setServerMode(w.servers[id], arg(1), parseInt(arg(2)))
+		for _, id := range sim.matchServers(arg(0)) {
+			sim.setServerMode(sim.servers[id], arg(1), parseInt(arg(2)))
 		}
 	case "leave":
 		for _, n := range st.Args {
-			for _, id := range w.matchServers(n) {
-				w.servers[id].row.State = "leaving"
+			for _, id := range sim.matchServers(n) {
+				sim.servers[id].row.State = "leaving"
 			}
 		}
-		w.platform.publish()
+		sim.platform.publish()
 	case "platform":
-		w.platform.mode = arg(0)
+		sim.platform.mode = arg(0)
 	case "zone":
-		w.operators.setZone(arg(0), arg(1))
+		sim.operators.setZone(arg(0), arg(1))
 	case "race":
-		w.operators.race(int(parseInt(arg(0))), arg(1))
+		sim.operators.race(int(parseInt(arg(0))), arg(1))
 	case "storm":
-		w.operators.storm(int(parseInt(arg(0))), parseInt(arg(1)))
+		sim.operators.storm(int(parseInt(arg(0))), parseInt(arg(1)))
 	case "retry-edit":
-		w.operators.sendTwice()
+		sim.operators.sendTwice()
 	case "rebuild":
-		w.operators.rebuild(int(parseInt(arg(0))))
+		sim.operators.rebuild(int(parseInt(arg(0))))
 	case "book":
-		w.operators.book(arg(0), arg(1), parseInt(arg(2)), parseInt(arg(3)), parseInt(arg(4)))
+		sim.operators.book(arg(0), arg(1), parseInt(arg(2)), parseInt(arg(3)), parseInt(arg(4)))
 	case "seeds":
 		// Processes that start from now on are given other seeds.
-		w.seeds = nil
+		sim.seeds = nil
 		for _, n := range st.Args {
 			// A deployment may have fewer machines than the scenario names.
-			if p := w.processes[n]; p != nil {
-				w.seeds = append(w.seeds, p.settings.Mesh)
+			if p := sim.processes[n]; p != nil {
+				sim.seeds = append(sim.seeds, p.settings.Mesh)
 			}
 		}
-		for _, name := range w.names {
-			w.processes[name].settings.Seeds = w.seeds
+		for _, name := range sim.names {
+			sim.processes[name].settings.Seeds = sim.seeds
 		}
 	case "backends":
-		w.startShardMap(arg(0), int(parseInt(arg(1))), int(parseInt(arg(2))))
+		sim.startShardMap(arg(0), int(parseInt(arg(1))), int(parseInt(arg(2))))
 	case "cut":
-		w.operators.setShardMap(w.Shape.Index, arg(0), int(parseInt(arg(1))))
+		sim.operators.setShardMap(sim.Shape.Index, arg(0), int(parseInt(arg(1))))
 	case "freeze-at":
 		// Freezes a node, for the given milliseconds, as soon as a request there reaches a state.
-		p := w.processes[arg(0)]
+		p := sim.processes[arg(0)]
 		p.freezeAt, p.freezeFor = search.State(arg(1)), parseInt(arg(2))*clock.Millisecond
 	case "rate", "skew", "mix", "limits":
-		w.applyLoadVerb(st.Verb, st.Args)
+		sim.applyLoadVerb(st.Verb, st.Args)
 	case "lose-all":
-		w.powerOffAll()
+		sim.powerOffAll()
 	case "start-all":
-		w.startAll()
+		sim.startAll()
 	case "replace-core":
-		w.replaceCore(arg(0))
+		sim.replaceCore(arg(0))
 	case "return-core":
 		// A removed machine comes back with the disk it had.
 		for _, n := range st.Args {
-			w.processes[n].replaced = false
-			w.applyProcessVerb("restart", w.processes[n])
+			sim.processes[n].replaced = false
+			sim.applyProcessVerb("restart", sim.processes[n])
 		}
 	default:
-		panic(fmt.Sprintf("%s:%d: no verb %q", w.Script.Name, st.Line, st.Verb))
+		panic(fmt.Sprintf("%s:%d: no verb %q", sim.Script.Name, st.Line, st.Verb))
 	}
 }
 
 // match returns the processes that a name, a prefix with *, "zone:z1" or "owner" means.
-func (w *World) match(pattern string) []string {
+func (sim *Simulation) match(pattern string) []string {
 	var out []string
-	for _, name := range w.names {
-		p := w.processes[name]
+	for _, name := range sim.names {
+		p := sim.processes[name]
 		zone, byZone := strings.CutPrefix(pattern, "zone:")
 		switch {
 		case byZone && p.settings.Zone == zone, name == pattern,
@@ -139,8 +139,8 @@
 		out = append(out, pattern)
 	}
 	if pattern == "owner" {
-		for _, name := range w.names {
-			if p := w.processes[name]; p.replicas != nil && p.up && p.replicas.Leads(0) {
+		for _, name := range sim.names {
+			if p := sim.processes[name]; p.replicas != nil && p.up && p.replicas.Leads(0) {
 				return []string{name}
 			}
 		}
@@ -148,11 +148,11 @@
 	return out
 }
 
-func (w *World) matchServers(pattern string) []string {
+func (sim *Simulation) matchServers(pattern string) []string {
 	var out []string
 	zone, byZone := strings.CutPrefix(pattern, "zone:")
-	for _, id := range w.serverIDs {
-		if id == pattern || byZone && w.servers[id].row.Zone == zone ||
+	for _, id := range sim.serverIDs {
+		if id == pattern || byZone && sim.servers[id].row.Zone == zone ||
 			strings.HasSuffix(pattern, "*") && strings.HasPrefix(id, strings.TrimSuffix(pattern, "*")) {
 			out = append(out, id)
 		}
@@ -160,14 +160,14 @@
 	return out
 }
 
-func (w *World) applyProcessVerb(verb string, p *process) {
-	w.Checker.Moved(w.now)
+func (sim *Simulation) applyProcessVerb(verb string, p *process) {
+	sim.Checker.Moved(sim.now)
 	switch verb {
 	case "kill":
-		w.killed[p.name] = true
+		sim.killed[p.name] = true
 		p.kill()
 	case "power":
-		w.killed[p.name] = true
+		sim.killed[p.name] = true
 		if p.disk != nil {
 			p.disk.powerLoss()
 		}
@@ -176,7 +176,7 @@
 		if p.replaced {
 			return
 		}
-		delete(w.killed, p.name)
+		delete(sim.killed, p.name)
 		// A draining process is restarted once it has ended.
 		p.restartWhenStopped = p.up && p.draining
 		p.start()
@@ -192,11 +192,11 @@
 }
 
 // isolate partitions a process from every other process, but not from the platform and the servers.
-func (w *World) isolate(name string, on bool) {
-	w.net.isolated[name] = on
+func (sim *Simulation) isolate(name string, on bool) {
+	sim.net.isolated[name] = on
 }
 
-func (w *World) setServerMode(s *server, mode string, us clock.Micros) {
+func (sim *Simulation) setServerMode(s *server, mode string, us clock.Micros) {
 	switch mode {
 	case "kill":
 		s.kill()
