--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -1,7 +1,7 @@
-// A day on the users' platform: the product's kernels and request state machines among simulated machines,
-// backends, clients and operators that behave as the platform does. Everything that is visible from outside is
-// written to a journal, which the rules check at the end. A scenario asks for a day by "set site NAME"; its
-// times count from the start of the traffic.
+// A day on the users' platform: the product's kernels and request state machines run among simulated machines,
+// backends, clients and operators that behave like those of the platform. Everything that is visible from outside
+// is written to a journal, which package rules checks at the end. A scenario selects this mode by "set site NAME";
+// its times count from the start of the traffic.
 
 package sim
 
@@ -41,7 +41,7 @@
 func newDay(sim *Simulation, name string) *day {
 	site, ok := siteOf(name)
 	if !ok {
-		panic(fmt.Sprintf("%s: no site %q", sim.Script.Name, name))
+		panic(fmt.Sprintf("%s: unknown site %q", sim.Script.Name, name))
 	}
 	d := &day{sim: sim, site: site, byName: map[string]*machine{}, partitions: map[string]bool{}, zonePartitions: map[string]bool{}, refusedLinks: map[string]bool{}, gateways: map[*process]*gateway{}}
 	b := rules.Bounds{
@@ -67,8 +67,8 @@
 	return d
 }
 
-// end returns when the day ends, on the world's clock. After a closing fault traffic continues through the
-// recovery.
+// end returns when the day ends, in simulated time. After a closing fault the traffic continues for 20 s, through
+// the recovery.
 func (d *day) end() clock.Micros {
 	s := d.sim.Script.Int("seconds", 24)
 	if at := d.sim.Script.Int("closing_at_s", 0); at > 0 {
@@ -77,7 +77,7 @@
 	return trafficStartUs + s*clock.Second
 }
 
-// simTime converts a time of the scenario, which counts from the start of the traffic, to the world's clock.
+// simTime converts a time of the scenario, which counts from the start of the traffic, to simulated time.
 func (d *day) simTime(at clock.Micros) clock.Micros { return trafficStartUs + at }
 
 func (d *day) build() {
@@ -103,7 +103,7 @@
 	sim.at(100*clock.Millisecond, d.sample)
 }
 
-// sample records ten times a second which configuration every node has in force.
+// sample records in the journal, ten times a second, which configuration every node has in force.
 func (d *day) sample() {
 	d.sim.after(100*clock.Millisecond, d.sample)
 	d.updateFaultSpans()
@@ -118,7 +118,7 @@
 	}
 }
 
-// finish checks the day's journal and copies its findings into the world's checker.
+// finish checks the day's journal and copies the findings and counts into the simulation's checker.
 func (d *day) finish() {
 	j, checker := d.journal, d.sim.Checker
 	j.End = d.sim.now
@@ -151,7 +151,8 @@
 	}
 }
 
-// latency draws the one-way network latency between two zones.
+// latency draws the one-way network latency between two zones: from 100 us within a zone, 500 us within a region
+// and 12 ms between regions, plus up to a quarter and 40 us.
 func (d *day) latency(a, b string) clock.Micros {
 	us := int64(100)
 	switch {
@@ -179,7 +180,8 @@
 	return max(1, int64(float64(mean)*x))
 }
 
-// drawWork draws how long one request of a kind takes at a backend.
+// drawWork draws how long a backend works on one request of a kind: log-normal, four times as long for tailPct
+// percent of the requests, and at most six times the mean.
 func (d *day) drawWork(kind *requestShape) clock.Micros {
 	us := d.drawLogNormal(kind.workUs, 0.45)
 	if d.sim.rng.IntN(100) < kind.tailPct {
--- a/lab/sim/day_armed_faults.go
+++ b/lab/sim/day_armed_faults.go
@@ -1,14 +1,15 @@
-// Faults that wait for an event of the system: an acknowledgement, the sending of a change, or a request that a
-// machine has accepted.
+// Faults that are triggered by an event of the system: the acknowledgement of a change, the sending of a change, or
+// the acceptance of a client's request by a machine.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// acceptHook is called with the core member that has accepted a request which may run only once.
+// acceptHook is called with the core member that has accepted a client's request that may run only once.
 type acceptHook func(m *machine)
 
-// deferFault defers a fault until its event.
+// deferFault defers a fault until its triggering event: with "timed" the sending of the next configuration, with
+// "taken" the acceptance of a request, otherwise the next acknowledgement.
 func (d *day) deferFault(step *dayStep) {
 	switch {
 	case step.has("timed"):
@@ -26,14 +27,16 @@
 	}
 }
 
-// drawDelayAfterSend draws a delay shortly after a change was sent, acknowledged or not.
+// drawDelayAfterSend draws a delay of 5 to 400 ms after a change was sent, so that the fault comes before or after
+// its acknowledgement.
 func (d *day) drawDelayAfterSend() clock.Micros {
 	return 5000 + d.sim.rng.Int64N(395*clock.Millisecond)
 }
 
 func (d *day) onNextAccept(f acceptHook) { d.acceptHooks = append(d.acceptHooks, f) }
 
-// machineAcceptedRequest is called when a machine has read a client's request.
+// machineAcceptedRequest is called when a machine has read a client's request. If the request may run only once and
+// the machine is a core member, it calls the pending hooks within 4 ms.
 func (d *day) machineAcceptedRequest(m *machine, repeatable bool) {
 	if repeatable || !m.coreMember() || len(d.acceptHooks) == 0 {
 		return
@@ -45,7 +48,8 @@
 	}
 }
 
-// failFurtherMembers hits further core members beside the one that acknowledged, as many as the deployment tolerates.
+// failFurtherMembers cuts the power of step.count-1 more core members after the one that acknowledged, but of no
+// more than the deployment tolerates.
 func (d *day) failFurtherMembers(step *dayStep) {
 	for range step.count - 1 {
 		m := d.drawCoreMember(&dayStep{})
--- a/lab/sim/day_backend_faults.go
+++ b/lab/sim/day_backend_faults.go
@@ -1,4 +1,5 @@
-// Backend faults: crashes, slowness, garbled and lost responses, failures.
+// Backend faults: crashes, slowness, partial failures, wrong health reports, dropped idle connections, and garbled
+// and lost responses.
 
 package sim
 
@@ -8,8 +9,8 @@
 	"wallport/runtime/clock"
 )
 
-// drawBackends draws the backends that a fault hits: a share of one service, of all services (across), or all of
-// one pool (all). At least one backend of each pool stays healthy unless all are meant.
+// drawBackends draws the backends that a fault affects: a share of those of one service, or of all services
+// (across), or all backends of one pool (all). At least one backend of each pool is left out, except with all.
 func (d *day) drawBackends(step *dayStep, share float64) []*incarnation {
 	b := &d.backends
 	service := step.service
@@ -28,7 +29,7 @@
 			return all
 		}
 		if p := d.site.pool(service); p != nil && p.shards > 0 {
-			// All of one shard.
+			// All backends of one shard.
 			return b.of(all[d.sim.rng.IntN(len(all))].row.Pool)
 		}
 		return all
@@ -49,7 +50,7 @@
 	return out
 }
 
-// backendFault runs the step if it is a backend fault, and reports whether it is.
+// backendFault runs the step if it is a backend fault, and reports whether it was one.
 func (d *day) backendFault(step *dayStep) bool {
 	set := func(share float64, on, off func(inc *incarnation)) {
 		targets := d.drawBackends(step, step.shareOr(share))
@@ -107,7 +108,7 @@
 	return true
 }
 
-// flap makes backends crash and start alternately until the given time.
+// flap crashes and restarts backends alternately until the given time; each phase lasts step.gapUs.
 func (d *day) flap(step *dayStep, targets []*incarnation, until clock.Micros) {
 	if d.sim.now >= until {
 		return
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -1,5 +1,5 @@
-// The backends of a day: pools, incarnations and addresses, and the list by which the platform publishes them,
-// with a lag and a rate limit.
+// The backends of a day: pools, incarnations and addresses, and the platform's backend list, which lags and is
+// rate-limited.
 
 package sim
 
@@ -15,7 +15,10 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of the platform and of backends.
+// Constants of the platform and of backends. The list lags by listLagUs, has pages of pageSize backends and serves
+// listPerS pages a second. An address may be reused addressReuseUs after its backend ended, and a crashed backend
+// leaves the list after crashDelistUs. A cold backend needs coldWorkFactor thousandths of the usual work time for
+// warmUpUs. Pauses recur every pausePeriod.
 const (
 	listLagUs      = 800 * clock.Millisecond
 	pageSize       = 50
@@ -35,10 +38,11 @@
 	calls     []int64
 	nextID    int
 	nextAddr  int
-	// free holds the addresses of backends that have ended, and when they may be used again.
+	// free holds the addresses of backends that have ended.
 	free []freeAddr
 	mode string
-	// preferReuse makes every new incarnation take a free address of another pool where there is one.
+	// preferReuse makes every new incarnation take a free address that another pool had, if there is one; otherwise
+	// half of the incarnations do.
 	preferReuse bool
 }
 
@@ -51,7 +55,8 @@
 	b.day, b.byAddr = d, map[string]*incarnation{}
 }
 
-// poolNames returns the pools of a service: its own name, or the names of its shards.
+// poolNames returns the names of the pools of a service: the service's own name, or one name for each of its
+// shards.
 func (p *poolShape) poolNames() []string {
 	if p.shards == 0 {
 		return []string{p.name}
@@ -72,7 +77,7 @@
 	return nil
 }
 
-// begin starts the initial backends, already warm.
+// begin starts the initial backends, which are warm.
 func (b *backends) begin() {
 	for i := range b.day.site.pools {
 		if p := &b.day.site.pools[i]; !p.afterReshard {
@@ -85,7 +90,8 @@
 func (b *backends) startPool(p *poolShape) {
 	for k, name := range p.poolNames() {
 		for zi := range b.day.site.zones {
-			// Where a shard has fewer backends than there are zones, the shards take turns.
+			// The zones are rotated from shard to shard, so that shards with fewer backends than zones are spread
+			// over all zones.
 			z := b.day.site.zones[(zi+k)%len(b.day.site.zones)]
 			for range p.perZone[zi] {
 				b.start(p, name, z.name)
@@ -94,7 +100,7 @@
 	}
 }
 
-// start starts a new incarnation, possibly at an address that a backend of another pool had.
+// start starts a new incarnation, possibly at an address that a backend of another pool had before.
 func (b *backends) start(p *poolShape, pool, zone string) *incarnation {
 	d := b.day
 	b.nextID++
@@ -115,7 +121,7 @@
 	return inc
 }
 
-// address returns a fresh address, or a free one of a backend of another pool.
+// address returns a new address, or the free address of a former backend of another pool in the same zone.
 func (b *backends) address(pool, zone string) string {
 	i := slices.IndexFunc(b.free, func(f freeAddr) bool { return f.zone == zone && f.pool != pool && f.at <= b.day.sim.now })
 	if i >= 0 && (b.preferReuse || b.day.sim.rng.IntN(2) == 0) {
@@ -128,7 +134,7 @@
 	return fmt.Sprintf("10.128.%d.%d:8080", b.nextAddr/250, b.nextAddr%250)
 }
 
-// publish records the current backends at the platform, which shows them after its lag.
+// publish records the current backends; the platform lists them after its lag.
 func (b *backends) publish() {
 	now := b.day.sim.now
 	list := wire.BackendList{Complete: true, Backends: []wire.Backend{}}
@@ -143,7 +149,8 @@
 	b.published = append(b.published, publishedList{now, list})
 }
 
-// serveList reads the complete list, which costs as many calls as it has pages.
+// serveList serves the complete list. It costs as many calls as the list has pages, and returns 429 if they exceed
+// the rate limit.
 func (b *backends) serveList() (int, []byte) {
 	sim := b.day.sim
 	for len(b.calls) > 0 && sim.now-b.calls[0] >= clock.Second {
@@ -178,7 +185,7 @@
 	return 200, body
 }
 
-// fetch answers the requests of plug-ins to the platform and to backends' health pages.
+// fetch answers a plug-in's fetch of the platform's list or of a backend's health report.
 func (d *day) fetch(p *process, f kernel.Fetch) {
 	answer := p.answerFetch(f)
 	addr, platform := hostOf(f.URL)
@@ -213,7 +220,8 @@
 	return inc.row.Zone
 }
 
-// of returns the running incarnations that belong to a service or to one of its pools.
+// of returns the running incarnations, without draining ones, of a service or of one of its pools; "*" selects all
+// services.
 func (b *backends) of(service string) (out []*incarnation) {
 	for _, inc := range b.all {
 		if inc.up && !inc.draining && (service == "*" || inc.row.Pool == service || inc.shape.name == service) {
--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -1,4 +1,4 @@
-// Invalid configurations, each with one defect, which must be rejected.
+// Invalid configurations, each with one defect. They must be rejected.
 
 package sim
 
@@ -14,7 +14,8 @@
 	"cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key",
 }
 
-// sendBad sends invalid configurations: each defect in turn, or the one that the step names.
+// sendInvalid sends step.count invalid configurations, each with the defect that the step names or with a random
+// one.
 func (c *commands) sendBad(step *dayStep) {
 	for i := range max(1, step.count) {
 		c.day.sim.after(int64(i)*step.gapUs, func() {
@@ -40,14 +41,15 @@
 	case "same_version":
 		df.number = base.Revision
 	case "shared_key":
-		// Two items of one list have the same name.
+		// Two routes have the same name.
 		df.complete = true
 		duplicate := proto.Clone(df.routes[0]).(*routingpb.Route)
 		duplicate.Prefix = prefixOf("twin")
 		base = &rules.Version{Revision: base.Revision, Table: proto.Clone(base.Table).(*routingpb.RoutingTable)}
 		base.Table.Routes = append(base.Table.Routes, duplicate)
 	case "stale_match":
-		// Valid in itself, but based on a version that does not exist.
+		// The change is valid in itself, but based on an older version than the one in force, or on one that does
+		// not exist.
 		df.invalid = false
 		if len(c.accepted) > 1 {
 			base = c.accepted[len(c.accepted)-2].version
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -1,5 +1,5 @@
-// The clients of a day: kinds of requests by zone, new and kept connections, retries as the platform's pages ask
-// for them, and probes of the configuration in force.
+// The clients of a day: the load by zone and kind of request, new and kept-alive connections, and retries as the
+// platform's documentation requires them.
 
 package sim
 
@@ -13,7 +13,9 @@
 	"wallport/runtime/clock"
 )
 
-// Constants of clients.
+// Constants of clients. Each zone has clientsPerZone clients. A dial to a machine without power fails after
+// connectUs. A node that fails maxMisses readiness checks in a row gets no new connections. The load varies with
+// the period waveUs.
 const (
 	clientsPerZone      = 30
 	connectUs           = clock.Second
@@ -32,22 +34,23 @@
 	misses map[*machine]int
 	conns  map[string]nodeConn
 	eager  int
-	// eagerRetries is the number of additional retries of clients that do not wait as told.
+	// eagerRetries is the number of additional retries of eager clients, which do not observe Retry-After; eager is
+	// their percentage.
 	eagerRetries int
 	offered      map[string]float64
 	earned       map[string]float64
 	phases       []float64
-	// loadFactors holds the load factors of zones and of kinds of requests.
+	// loadFactors holds the load factors by name of a zone, of a kind of requests, or allTraffic.
 	loadFactors map[string]float64
 }
 
-// nodeConn is a client's connection to one incarnation of a node.
+// nodeConn is a client's connection to one incarnation of the node on a machine.
 type nodeConn struct {
 	machine     *machine
 	incarnation int
 }
 
-// clientCall is one logical request of a client, which may take several attempts.
+// clientCall is one logical request of a client, which may need several attempts.
 type clientCall struct {
 	kind                  *requestShape
 	zone, client          string
@@ -81,7 +84,8 @@
 	c.day.sim.at(trafficStartUs, c.sendProbe)
 }
 
-// sendNext sends a request of a zone's clients and schedules the following one.
+// sendNext sends one request from the clients of a zone and schedules the next one. The load varies by 15% with a
+// period of waveUs.
 func (c *clients) sendNext(zi int) {
 	d := c.day
 	if d.sim.now >= c.until || c.rate <= 0 {
@@ -126,7 +130,7 @@
 
 const host = "wall.example"
 
-// sendAttempt makes one attempt at a request.
+// sendAttempt makes one attempt at a request, on the client's kept connection if it is usable.
 func (c *clients) sendAttempt(call *clientCall) {
 	d := c.day
 	call.attemptsLeft--
@@ -157,7 +161,7 @@
 	c.connect(call, attempt, to, !ok)
 }
 
-// connect opens a connection unless one is kept, and sends the request.
+// connect opens a connection if fresh is set, and then sends the request.
 func (c *clients) connect(call *clientCall, attempt *rules.Attempt, to nodeConn, fresh bool) {
 	d := c.day
 	latency := d.site.clientUs + d.sim.rng.Int64N(200)
@@ -178,7 +182,7 @@
 	d.sim.at(call.end, func() { c.giveUp(call, attempt) })
 }
 
-// giveUp ends the attempt at the client's deadline.
+// giveUp ends an unfinished attempt at the client's deadline.
 func (c *clients) giveUp(call *clientCall, attempt *rules.Attempt) {
 	if attempt.Ended == rules.Never {
 		attempt.GaveUp = true
@@ -186,7 +190,7 @@
 	}
 }
 
-// send delivers the request to the node once its last byte is there.
+// send is called when the last byte of the request arrives at the node.
 func (c *clients) send(call *clientCall, attempt *rules.Attempt, to nodeConn, latency int64) {
 	d := c.day
 	if attempt.Ended != rules.Never {
@@ -215,7 +219,8 @@
 		d.sim.after(latency, func() { c.ended(call, attempt, attempt.Read == 0) })
 	}
 	if attempt.Repeatable {
-		// An idempotent request that the node has not read after a while is given up.
+		// The client gives up an idempotent request that the node has not read within a third of the remaining
+		// time, at most 1 s.
 		d.sim.after(min(clock.Second, (call.end-d.sim.now)/3), func() {
 			if attempt.Read == 0 && attempt.Ended == rules.Never {
 				attempt.GaveUp = true
@@ -248,7 +253,7 @@
 	c.day.sim.Checker.Count("ready_at_end", int64(ready))
 }
 
-// burst multiplies the traffic of a zone, of a kind of requests, or all, for a while.
+// burst multiplies the traffic of a zone, of a kind of requests, or all traffic, for step.forUs.
 func (c *clients) burst(step *dayStep) {
 	x := step.factorOr(3)
 	names := []string{step.zone, step.class}
@@ -266,10 +271,10 @@
 	c.day.sim.after(step.forUs, func() { by(1 / x) })
 }
 
-// allTraffic stands for all zones and kinds.
+// allTraffic is the name under which the load factor of all zones and kinds is stored.
 const allTraffic = "*"
 
-// loadFactor returns the load factor of a zone or of a kind.
+// loadFactor returns the load factor of a zone, of a kind, or of all traffic; 1 if none is set.
 func (c *clients) loadFactor(name string) float64 {
 	if x := c.loadFactors[name]; x > 0 {
 		return x
@@ -277,12 +282,13 @@
 	return 1
 }
 
-// perSecond returns how many requests of a kind arrive in a second, before the day's rate is applied.
+// perSecond returns the number of requests of a kind per second, before the day's rate is applied.
 func (c *clients) perSecond(kind *requestShape) float64 {
 	return kind.perSecond * c.loadFactor(kind.name) * c.loadFactor(allTraffic)
 }
 
-// checkReady asks every node each second for its readiness; one that misses twice gets no new connections.
+// checkReady checks the readiness of every node once a second. A node that is not ready twice in a row gets no new
+// connections.
 func (c *clients) checkReady() {
 	c.day.sim.after(readinessInterval, c.checkReady)
 	for _, m := range c.day.machines {
@@ -294,7 +300,7 @@
 	}
 }
 
-// nodesIn returns a zone's nodes that get new connections.
+// nodesIn returns the machines of a zone that get new connections, and all machines of the zone.
 func (c *clients) nodesIn(zone string) (out, all []*machine) {
 	for _, m := range c.day.machines {
 		if m.zone == zone && !m.removed {
@@ -307,11 +313,12 @@
 	return out, all
 }
 
-// pickNode chooses the node of a new connection by a hash of the client, another one for each attempt.
+// pickNode chooses the machine for a new connection by a hash of the client, and a different one for each attempt.
+// If less than half of the zone's nodes are ready, it chooses among all of them.
 func (c *clients) pickNode(zone, client string, attempt int) *machine {
 	list, all := c.nodesIn(zone)
 	if len(list) == 0 {
-		// None is ready: fall back to the nodes of the other zones.
+		// No node of the zone is ready: fall back to the first zone that has ready nodes.
 		for _, z := range c.day.site.zones {
 			if l, _ := c.nodesIn(z.name); len(l) > 0 {
 				list = l
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -1,5 +1,5 @@
-// Operators' commands that go wrong on their way: two under one revision, one sent again long after, and one
-// about a zone that a partition delays.
+// Faults of operators' commands: two changes under the same revision, a change that is sent again long after its
+// acknowledgement, and a command to evacuate a zone that a network partition delays.
 
 package sim
 
@@ -13,17 +13,17 @@
 	"wallport/runtime/wire"
 )
 
-// Names of the checks of these commands.
+// Names of the checks for these commands.
 const (
 	pointOneNumber   = "one_number_once"
 	pointSentAgain   = "sent_again_acknowledged"
 	pointLateCommand = "late_order_does_nothing"
 )
 
-// zoneSettleUs is how long after a late command the zone must be as it was.
+// zoneSettleUs is the time after a late command by which the command must have had no lasting effect on the zone.
 const zoneSettleUs = 3 * clock.Second
 
-// commandFault runs the step if it is a command fault, and reports whether it is.
+// commandFault runs the step if it is a command fault, and reports whether it was one.
 func (d *day) commandFault(step *dayStep) bool {
 	switch step.verb {
 	case "same_number":
@@ -42,7 +42,8 @@
 	return true
 }
 
-// sameNumber makes two operators choose one revision for different changes, complete or by items.
+// sameNumber makes two operators choose the same revision for different changes, each sent as a complete table or
+// by items. At most one of them may be acknowledged.
 func (c *commands) sameNumber() {
 	c.enqueue(func() {
 		base, revision, acked := c.base, c.nextRevision(), 0
@@ -58,7 +59,7 @@
 						acked++
 					}
 					if acked > 1 {
-						c.day.sim.Checker.Fail(pointOneNumber, c.day.sim.now, "revision %d was acknowledged for two changes", revision)
+						c.day.sim.Checker.Fail(pointOneNumber, c.day.sim.now, "revision %d was acknowledged for two different changes", revision)
 					}
 					c.day.sim.Checker.Count("same_number.answered", 1)
 					c.runNext()
@@ -68,7 +69,8 @@
 	})
 }
 
-// sentAgain repeats an acknowledged change at two machines at once.
+// sentAgain sends a random acknowledged change again, to two machines at the same time. It must be acknowledged
+// again.
 func (c *commands) sentAgain() {
 	if len(c.accepted) == 0 {
 		return
@@ -79,19 +81,20 @@
 		c.sendEdit(change.edit, pin{}, nil, func(code wire.Code, _ *machine) {
 			c.day.sim.Checker.Count("sent_again."+string(code), 1)
 			if code != wire.CodeOK {
-				c.day.sim.Checker.Fail(pointSentAgain, c.day.sim.now, "a change that was acknowledged was answered %s when it was sent again", code)
+				c.day.sim.Checker.Fail(pointSentAgain, c.day.sim.now, "an acknowledged change was answered %s when it was sent again", code)
 			}
 		})
 	}
 }
 
-// lateEvacuate sends one machine a command to evacuate a zone, which a partition delays; the operator gives up
-// and restores the zone elsewhere. With how=core the machine takes the command and is partitioned from the core
-// a moment later; otherwise the command reaches it when the partition heals.
+// lateEvacuate sends a machine a command to evacuate a zone, and a partition delays the command. Meanwhile the
+// operator gives up and restores the zone through another machine. With how=core the machine accepts the command
+// and is partitioned from all other machines up to 8 ms later; otherwise the command reaches the machine only when
+// the partition heals.
 func (d *day) lateEvacuate(step *dayStep) {
 	list := d.listedCores()
 	m := list[d.sim.rng.IntN(len(list))]
-	// Its outcome is never known.
+	// The operator never learns the outcome of this command.
 	d.journal.ZoneCalls = append(d.journal.ZoneCalls, &rules.ZoneCall{Zone: step.zone, Drains: true, Sent: d.sim.now, Acked: rules.Never})
 	deliverCommand := func() {
 		p := m.core
@@ -102,7 +105,7 @@
 		p.deliver(func() {
 			p.call("operate", operations.Submit{Edit: wire.Edit{Op: "empty", Name: step.zone}, AwaitInForce: true, AwaitTimeout: awaitInForceUs, Timeout: answerTimeoutUs}, nil)
 			id := p.nextCall
-			// The end of the connection follows the command at once where the operator has gone.
+			// If the operator has already given up, the end of the connection arrives right after the command.
 			after := int64(commandTimeoutUs)
 			if !step.has("core") {
 				after = 100
@@ -129,7 +132,7 @@
 	})
 }
 
-// partitionMachine partitions a machine from all others for a while.
+// partitionMachine partitions a machine from all other machines for forUs.
 func (d *day) partitionMachine(m *machine, forUs clock.Micros) {
 	d.recordUnplanned(forUs)
 	var links []string
@@ -152,7 +155,7 @@
 		}
 		d.sim.Checker.Count("late_evacuate.looked", 1)
 		if slices.Contains(p.snapshots.Current().Config.DrainedZones, zone) {
-			d.sim.Checker.Fail(pointLateCommand, d.sim.now, "%s has %s drained, which was taken back after that order was given", m.name, zone)
+			d.sim.Checker.Fail(pointLateCommand, d.sim.now, "node %s has zone %s drained, although the zone was restored after the command to drain it was sent", m.name, zone)
 		}
 	}
 }
--- a/lab/sim/day_commands.go
+++ b/lab/sim/day_commands.go
@@ -1,5 +1,5 @@
-// The operators of a day: each command goes unchanged to one core after another until the answer is final.
-// Acknowledgements can be lost, and acknowledged changes sent again.
+// The operators of a day. Each command is sent unchanged to one core after another until an answer is final.
+// Acknowledgements can be lost, and acknowledged changes can be sent again.
 
 package sim
 
@@ -17,7 +17,7 @@
 	"wallport/runtime/wire"
 )
 
-// Time-outs and backoff of operators' calls, as the platform's control address has them.
+// Time-outs, backoff and latency of operators' calls, as on the platform's control address.
 const (
 	commandTimeoutUs = clock.Second
 	backoffUs        = 50 * clock.Millisecond
@@ -29,25 +29,26 @@
 
 type commands struct {
 	day *day
-	// base is the newest acknowledged version, on which the next one is based.
+	// base is the newest acknowledged version, on which the next change is based.
 	base     *rules.Version
 	revision int64
 	queue    []func()
 	inFlight int
 	nextIdle int
-	// ackHooks are called at the next acknowledgement.
+	// ackHooks are called once, at the next acknowledgement, with the machine that sent it.
 	ackHooks []func(m *machine)
-	// last is the machine that sent the latest acknowledgement.
+	// lastAcked is the machine that sent the most recent acknowledgement.
 	lastAcked *machine
 	zones     map[string]*rules.Evacuation
-	// sendHooks are called when the next configuration is sent.
+	// sendHooks are called once, when the next configuration is sent.
 	sendHooks []func()
 	races     int
 	ackLoss   ackLoss
 	accepted  []acceptedChange
 }
 
-// command is one call of an operator, repeated until its answer is final.
+// command is one call of an operator, which is repeated until its answer is final or, if until is set, until that
+// time.
 type command struct {
 	request func() any
 	code    func(v any) wire.Code
@@ -56,13 +57,13 @@
 	avoid   *machine
 	until   clock.Micros
 	pin     pin
-	// acknowledged is called for each acknowledgement that leaves a machine, even if it is lost on its way.
+	// acknowledged is called for each acknowledgement that a machine sends, even if the acknowledgement is lost.
 	acknowledged func()
 }
 
 func (c *commands) init(d *day) { c.day, c.zones = d, map[string]*rules.Evacuation{} }
 
-// send calls some core; only a final answer ends the command.
+// send sends the command to a core. Without a final answer it tries again, with exponential backoff.
 func (c *commands) send(cmd *command) {
 	d := c.day
 	retry := func() {
@@ -92,7 +93,7 @@
 		d.sim.after(2*controlLatencyUs, next)
 		return
 	default:
-		started := p.incarnation
+		incarnation := p.incarnation
 		d.sim.after(controlLatencyUs, func() {
 			p.deliver(func() {
 				c.disconnectOperator(p, &ended, p.nextCall+1)
@@ -100,7 +101,7 @@
 					code := cmd.code(v)
 					lost := c.losesAck(cmd, code)
 					d.sim.after(controlLatencyUs, func() {
-						if ended || lost || m.poweredOff || p.incarnation != started {
+						if ended || lost || m.poweredOff || p.incarnation != incarnation {
 							return
 						}
 						if code == wire.CodeOverloaded || code == wire.CodeUnknown {
@@ -121,7 +122,7 @@
 
 func editCode(v any) wire.Code { return (v.(operations.Result).Reply.Code) }
 
-// sendEdit sends a command that changes something.
+// sendEdit sends a command that changes the control state.
 func (c *commands) sendEdit(e wire.Edit, at pin, acknowledged func(), done func(code wire.Code, m *machine)) {
 	c.send(&command{
 		request: func() any {
@@ -131,7 +132,7 @@
 	})
 }
 
-// sendVersion sends a configuration; a truncated one lacks its last byte.
+// sendVersion sends a configuration and records it in the journal; a truncated draft is sent without its last byte.
 func (c *commands) sendVersion(e *routingpb.RoutingEdit, version *rules.Version, df draft, done func()) {
 	d := c.day
 	version.Sent, version.Acked, version.Refused = d.sim.now, rules.Never, rules.Never
@@ -145,13 +146,13 @@
 		body = body[:len(body)-1]
 	}
 	c.inFlight++
-	d.sim.logEvent(fmt.Sprintf("order of revision %d on %d is sent", version.Revision, version.Base))
+	d.sim.logEvent(fmt.Sprintf("revision %d based on %d is sent", version.Revision, version.Base))
 	edit := wire.Edit{Op: "routing", Body: body}
 	c.runSendHooks()
 	c.sendEdit(edit, df.pin, firstTime(&version.FirstAcked, &d.sim.now), func(code wire.Code, m *machine) {
 		c.inFlight--
 		d.sim.Checker.Count("versions."+string(code), 1)
-		d.sim.logEvent(fmt.Sprintf("order of revision %d on %d: %s from %s", version.Revision, version.Base, code, m.name))
+		d.sim.logEvent(fmt.Sprintf("revision %d based on %d: %s from %s", version.Revision, version.Base, code, m.name))
 		if code == wire.CodeOK {
 			version.Acked = d.sim.now
 			c.accepted = append(c.accepted, acceptedChange{edit, version})
@@ -166,7 +167,7 @@
 	})
 }
 
-// recordAck calls what waits for an acknowledgement.
+// recordAck records the machine that acknowledged and calls the hooks that wait for an acknowledgement.
 func (c *commands) recordAck(m *machine) {
 	c.lastAcked = m
 	hooks := c.ackHooks
@@ -176,7 +177,7 @@
 	}
 }
 
-// enqueue runs f once no configuration is in flight, first come, first served.
+// enqueue runs f once no configuration is in flight, in the order of the calls.
 func (c *commands) enqueue(f func()) {
 	c.queue = append(c.queue, f)
 	c.runNext()
@@ -231,7 +232,7 @@
 	})
 }
 
-// readBack reads the configuration back, repeatedly until the day ends.
+// readBack reads the configuration back every 500 ms until the day ends.
 func (c *commands) readBack() {
 	d := c.day
 	var got *routingpb.RoutingTable
@@ -248,13 +249,14 @@
 	})
 }
 
-// pin is the machine that a command goes to first; with only it goes nowhere else until that machine answers.
+// pin is the machine to which a command is sent first. With only set, it is sent to no other machine until that
+// machine answers.
 type pin struct {
 	machine *machine
 	only    bool
 }
 
-// ackLoss is the share of acknowledgements that are lost, and until when.
+// ackLoss is the share of acknowledgements that are lost until a given time.
 type ackLoss struct {
 	until clock.Micros
 	share float64
@@ -266,7 +268,8 @@
 	version *rules.Version
 }
 
-// target chooses the machine for a command, preferably another one than the last time.
+// target chooses the machine for a command: its pinned machine, or a random one, preferably not the one of the
+// previous try.
 func (c *commands) target(cmd *command) *machine {
 	if m := cmd.pin.machine; m != nil && !m.removed {
 		if !cmd.pin.only {
@@ -287,7 +290,7 @@
 	return m
 }
 
-// losesAck records an acknowledgement that leaves a machine, and reports whether it is lost on its way.
+// losesAck records an acknowledgement that a machine sends, and reports whether it is lost.
 func (c *commands) losesAck(cmd *command, code wire.Code) bool {
 	if code != wire.CodeOK || cmd.acknowledged == nil {
 		return false
@@ -309,12 +312,12 @@
 	}
 }
 
-// loseAcks drops a share of the acknowledgements for a while.
+// loseAcks starts to drop a share of the acknowledgements, for step.forUs.
 func (c *commands) loseAcks(step *dayStep) {
 	c.ackLoss = ackLoss{c.day.sim.now + step.forUs, step.factorOr(0.7)}
 }
 
-// resend repeats the latest acknowledged changes, unchanged, several at a time.
+// resend sends the n most recent acknowledged changes again, unchanged and within 300 ms.
 func (c *commands) resend(n int) {
 	d := c.day
 	for _, change := range c.accepted[max(0, len(c.accepted)-n):] {
@@ -330,7 +333,7 @@
 	}
 }
 
-// runSendHooks calls what waits for a configuration to be sent.
+// runSendHooks calls the hooks that wait for a configuration to be sent.
 func (c *commands) runSendHooks() {
 	hooks := c.sendHooks
 	c.sendHooks = nil
@@ -339,13 +342,14 @@
 	}
 }
 
-// disconnectOperator closes the operator's connection to a process whose answer it no longer waits for.
+// disconnectOperator closes the operator's connection to a process after the time-out of its call, if the call is
+// still open there.
 func (c *commands) disconnectOperator(p *process, ended *bool, id uint64) {
 	sent := c.day.sim.now
 	p.deliverAfter(commandTimeoutUs+controlLatencyUs, func() {
 		if *ended && p.calls[id] != nil {
 			c.day.sim.Checker.Count("orders.abandoned", 1)
-			p.sim.logEvent(fmt.Sprintf("%s: the operator that called at %d us has gone", p.name, sent))
+			p.sim.logEvent(fmt.Sprintf("%s: the operator disconnects from its call of %d us", p.name, sent))
 			p.step(kernel.Canceled{Plugin: "operate", ID: id})
 		}
 	})
--- a/lab/sim/day_configs.go
+++ b/lab/sim/day_configs.go
@@ -1,4 +1,4 @@
-// The configurations of a day: the first one and the changes that operators make to it.
+// The configurations of a day: the initial configuration and the changes that operators make to it.
 
 package sim
 
@@ -50,7 +50,7 @@
 	return t
 }
 
-// unshardedPools returns the pools that are not shards.
+// unshardedPools returns the names of the pools that are not shards.
 func (d *day) unshardedPools() (out []string) {
 	for i := range d.site.pools {
 		if p := &d.site.pools[i]; p.shards == 0 {
@@ -69,7 +69,7 @@
 	return &d.site.kinds[0]
 }
 
-// newIdleRoute returns a new route that only probes use.
+// newIdleRoute returns a new idle route: a route that gets no traffic but probes.
 func (c *commands) newIdleRoute() *routingpb.Route {
 	kind, pools := c.day.idleKind(), c.day.unshardedPools()
 	name := idleName(c.nextIdle)
@@ -80,7 +80,8 @@
 	}
 }
 
-// idleNames returns idle routes to probe: recent ones, present or removed, and one that never existed.
+// idleNames returns the names of idle routes to probe: the last eight that were added, which may have been removed
+// since, and one that has never existed.
 func (c *commands) idleNames() (out []string) {
 	for n := max(0, c.nextIdle-8); n <= c.nextIdle; n++ {
 		out = append(out, idleName(n))
@@ -88,7 +89,7 @@
 	return out
 }
 
-// begin sends the first configuration, before the traffic.
+// begin sends the initial configuration 500 ms after the start, and starts the reads.
 func (c *commands) begin() {
 	c.day.sim.at(500*clock.Millisecond, func() {
 		c.enqueue(func() {
@@ -113,25 +114,26 @@
 	c.day.sim.Checker.Count("orders_open", int64(c.inFlight))
 }
 
-// nextRevision returns the next revision; revisions go up in uneven steps.
+// nextRevision returns the next revision, 1 to 3 higher than the highest so far.
 func (c *commands) nextRevision() int64 {
 	c.revision = max(c.revision, c.base.Revision) + 1 + c.day.sim.rng.Int64N(3)
 	return c.revision
 }
 
-// draft is a change of the newest version: new or changed routes, and routes to withdraw.
+// draft is a change of a version: new or changed routes, and the names of routes to withdraw.
 type draft struct {
 	routes   []*routingpb.Route
 	withdraw []string
 	invalid  bool
-	// number is the revision, 0 for the next one; truncated drops the last byte of what is sent.
+	// number is the revision, 0 for the next one. truncated drops the last byte of the encoded edit. complete sends
+	// the whole table in place of the changed items.
 	number    int64
 	truncated bool
 	complete  bool
 	pin       pin
 }
 
-// change sends a change based on the newest acknowledged version.
+// change sends a change of the given kind, based on the newest acknowledged version.
 func (c *commands) change(how string) { c.changeAt(how, pin{}) }
 
 func (c *commands) changeAt(how string, at pin) {
@@ -142,10 +144,10 @@
 	})
 }
 
-// race sends n changes based on the same version at about the same time.
+// race sends n changes based on the same version within 30 ms.
 func (c *commands) race(n int) { c.raceAt(n, pin{}) }
 
-// raceAt does so at one machine or anywhere; in every second race all rivals use the same revision.
+// raceAt is race with a pinned machine. In every second race all changes use the same revision.
 func (c *commands) raceAt(n int, at pin) {
 	c.enqueue(func() {
 		base, number := c.base, int64(0)
@@ -177,7 +179,8 @@
 	c.sendVersion(e, &rules.Version{Revision: rev, Base: base.Revision, Table: t, Invalid: df.invalid, Alone: alone}, df, done)
 }
 
-// editOf returns the edit that sends a draft under a revision, complete or by items, and the resulting table.
+// editOf returns the edit that carries a draft under a revision, as a complete table or by items, and the table
+// that results from it.
 func (c *commands) editOf(base *rules.Version, df draft, revision int64) (*routingpb.RoutingEdit, *routingpb.RoutingTable) {
 	table := apply(base.Table, df)
 	table.Revision = revision
@@ -190,7 +193,7 @@
 	return edit, table
 }
 
-// apply returns the table that an operator expects a change to result in.
+// apply returns the table that must result when a draft is applied to a table.
 func apply(base *routingpb.RoutingTable, df draft) *routingpb.RoutingTable {
 	t := proto.Clone(base).(*routingpb.RoutingTable)
 	for _, r := range df.routes {
--- a/lab/sim/day_connection_faults.go
+++ b/lab/sim/day_connection_faults.go
@@ -1,5 +1,5 @@
-// Faults of connections and of single machines' speed: resets, refused dials, partitions with restarts, slow
-// processes, settings that are read again.
+// Faults of connections and of the speed of single machines: connection resets, refused dials, restarts during a
+// partition, slow processes, and settings that are reread.
 
 package sim
 
@@ -11,13 +11,13 @@
 )
 
 const (
-	// slowStepUs is the time that an input takes in a slowed process, per unit of slowness.
+	// slowStepUs is the time that a slowed process takes for an input, per unit of the slowdown factor.
 	slowStepUs = 60
-	// maxBusyWait bounds how long a machine that is to be stopped waits until it has a request in flight.
+	// maxBusyWait bounds how long the stop of a machine is delayed until the machine has a request in flight.
 	maxBusyWait = 2 * clock.Second
 )
 
-// slow makes each input of the machine's processes take the given time; 0 restores the usual speed.
+// slow makes the machine's processes take the given time for each input; 0 restores the normal speed.
 func (m *machine) slow(us clock.Micros) {
 	m.recordEvent()
 	for _, p := range m.processes() {
@@ -26,7 +26,7 @@
 	m.day.updateFaultSpans()
 }
 
-// resetConns resets a share of the connections of some machines.
+// resetConns resets a share of the connections of random machines, which may include a core member.
 func (d *day) resetConns(step *dayStep) {
 	d.recordUnplanned(0)
 	targets := d.drawOthers(step, d.machineCount(step, 0.1))
@@ -44,7 +44,7 @@
 	}
 }
 
-// resetConns closes a share of a node's connections with clients and backends.
+// resetConns resets a share of a node's connections to clients and backends, including idle ones.
 func (g *gateway) resetConns(share float64) {
 	rnd := g.day.sim.rng
 	for _, x := range slices.Clone(g.exchanges) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// restartAroundPartition restarts machines, or changes the seeds, around a partitioned machine.
+// restartAroundPartition restarts machines while machine m is partitioned: with "seeds", m becomes the first seed
+// and three other machines restart; with "both", m and then the other core members restart.
 func (d *day) restartAroundPartition(step *dayStep, m *machine) {
 	restart := func(o *machine, delay int64) {
 		d.sim.after(delay, func() {
@@ -94,14 +95,14 @@
 	}
 }
 
-// setRefused makes dials over the given partitioned links fail at once instead of timing out.
+// setRefused makes dials over the given partitioned links be refused instead of timing out.
 func (d *day) setRefused(links []string, on bool) {
 	for _, mode := range links {
 		d.refusedLinks[mode] = on
 	}
 }
 
-// rereadSettings makes machines read their settings again.
+// rereadSettings makes a share of the machines reread their settings, as a SIGHUP does.
 func (d *day) rereadSettings(step *dayStep) {
 	all := slices.Clone(d.machines)
 	d.sim.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
--- a/lab/sim/day_drafts.go
+++ b/lab/sim/day_drafts.go
@@ -1,5 +1,5 @@
-// The changes that operators draft: idle routes, routes' pools, weights, time-outs, the shards of an index, and
-// changes that must be rejected.
+// The changes that operators make: idle routes, pools and weights of routes, time-outs, the set of shards of an
+// index, and changes that must be rejected.
 
 package sim
 
@@ -12,7 +12,7 @@
 	"wallport/api/routingpb"
 )
 
-// draft drafts a change of the newest version.
+// draft returns a random change of the newest acknowledged version; how selects its kind.
 func (c *commands) draft(how string) draft {
 	d, table := c.day, c.base.Table
 	rnd := d.sim.rng
@@ -44,7 +44,7 @@
 	return changed
 }
 
-// reroute moves a route from one pool to the other, or splits it.
+// reroute moves a random unsharded route to another pool, or splits it by weights over all unsharded pools.
 func (c *commands) reroute(base *routingpb.RoutingTable, split bool) *routingpb.Route {
 	var candidates []*routingpb.Route
 	for _, r := range base.Routes {
@@ -69,7 +69,7 @@
 	return r
 }
 
-// idleDraft adds, removes or moves an idle route.
+// idleDraft returns a change that adds, removes or moves an idle route.
 func (c *commands) idleDraft(base *routingpb.RoutingTable) draft {
 	var idle []*routingpb.Route
 	for _, r := range base.Routes {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// reshard starts the backends of the next set of shards; after a while a version names them, and once that is
-// due everywhere the old ones drain.
+// reshard starts the backends of the next set of shards. After a delay it sends a configuration that routes to
+// them, and once that must be in force everywhere the old backends drain.
 func (d *day) reshard(after int64) {
 	c := &d.commands
 	for i := range d.site.pools {
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -1,5 +1,5 @@
-// One exchange between a node and a backend over pooled connections, as the product's backend client carries it
-// out, and what it reports to the request state machine.
+// An exchange between a node and a backend over pooled connections, modelled on the product's backend client, and
+// the results that it reports to the request state machine.
 
 package sim
 
@@ -12,7 +12,9 @@
 	"wallport/runtime/clock"
 )
 
-// Constants of connections to backends.
+// Constants of connections to backends: a connection set-up takes handshakeUs plus a round trip, a dial fails after
+// dialTimeout, an idle connection is usable for maxIdle, and a node keeps maxIdleConns of them for each backend.
+// Surplus bytes arrive within twice surplusDelay.
 const (
 	handshakeUs  = 1000
 	dialTimeout  = 400 * clock.Millisecond
@@ -21,12 +23,12 @@
 	surplusDelay = 3000
 )
 
-// conn is a pooled connection; surplusAt is when bytes that belong to no request arrive on it, 0 for never.
+// conn is a pooled connection. surplusAt is when bytes that belong to no request arrive on it, 0 for never.
 type conn struct {
 	backend   *incarnation
 	idleSince clock.Micros
 	surplusAt clock.Micros
-	// reset reports that the backend's end is closed and the node does not know it yet.
+	// reset means that the backend has closed its end and the node has not noticed yet.
 	reset bool
 }
 
@@ -39,7 +41,7 @@
 	kind    *requestShape
 	action  dispatch.Send
 	conn    *conn
-	// reused reports that the connection had served before; sent that bytes were written.
+	// reused means that the connection has carried an exchange before, sent that bytes of the request were written.
 	reused, sent, ended bool
 }
 
@@ -57,7 +59,7 @@
 	return out
 }
 
-// startExchange begins an exchange.
+// startExchange starts an exchange on a pooled connection, or on a new one if there is none.
 func (g *gateway) startExchange(request *clientRequest, a dispatch.Send) {
 	d := g.day
 	x := &exchange{gateway: g, request: request, attempt: a.N, action: a, kind: request.kind}
@@ -108,8 +110,8 @@
 	return dispatch.ClassNotSent
 }
 
-// takeIdleConn takes a pooled connection to a backend, the newest first, and closes those that expired or hold
-// surplus bytes.
+// takeIdleConn returns the most recently used idle connection to a backend, or nil if there is none. It closes
+// connections that have expired or hold surplus bytes.
 func (g *gateway) takeIdleConn(s *snapshot.Backend) *conn {
 	now := g.day.sim.now
 	all := g.idleConns[s.ID]
@@ -139,7 +141,7 @@
 	c.backend.conns--
 }
 
-// send writes the request, which arrives at the backend one network latency later.
+// send writes the request, which arrives at the backend after the network latency.
 func (x *exchange) send(inc *incarnation) {
 	d, a := x.gateway.day, &x.action
 	x.backend, x.sent = inc, true
@@ -147,7 +149,7 @@
 	work := d.drawWork(x.kind)
 	within := max(1000, a.Timeout)
 	if x.conn.surplusAt > 0 {
-		// A surplus response comes where this request's own is expected; its id shows it.
+		// A surplus response arrives in place of the response to this request; the node recognises it by its id.
 		d.sim.Checker.Count("surplus_met", 1)
 		x.gateway.process.deliverAfter(max(0, x.conn.surplusAt-sent), func() {
 			x.end(dispatch.Result{Class: dispatch.ClassInvalid, ReusedConn: true, Reason: "another request's answer"})
@@ -155,7 +157,7 @@
 	}
 	rested := sent - x.conn.idleSince
 	if x.conn.reset || x.reused && inc.connTimeout > 0 && rested > inc.connTimeout {
-		// The backend's end of the connection is closed, so it never reads the request.
+		// The backend has closed its end of the connection, so it never reads the request.
 		d.sim.Checker.Count("sent_on_reset", 1)
 		x.failed("reset")
 		return
@@ -165,11 +167,11 @@
 	})
 }
 
-// arrive is called when the request's last byte is at the backend; held reports that a partition delayed it.
+// arrive is called when the last byte of the request arrives at the backend; held is set if a partition delayed it.
 func (x *exchange) arrive(inc *incarnation, sent, work, within clock.Micros, held bool) {
 	d, a := x.gateway.day, &x.action
 	if x.ended && d.sim.rng.IntN(2) == 0 {
-		// The connection was closed before the backend read the request.
+		// The node closed the connection before the backend read the request.
 		return
 	}
 	if !inc.up {
@@ -185,7 +187,7 @@
 	}, work, within)
 }
 
-// end reports the reply to the request state machine, once.
+// end ends the exchange and reports its result to the request state machine. Later calls have no effect.
 func (x *exchange) end(r dispatch.Result) {
 	if x.ended {
 		return
@@ -204,7 +206,7 @@
 	g.step(x.request, dispatch.AttemptDone{N: x.attempt, Result: r})
 }
 
-// cancel closes the exchange's connection.
+// cancel ends the exchange without a result and closes its connection.
 func (x *exchange) cancel() {
 	if x.ended {
 		return
@@ -221,7 +223,7 @@
 	}
 }
 
-// deliverReply delivers what the backend sent to the node after the network latency.
+// deliverReply runs f on the node when a reply that the backend sends now has arrived.
 func (x *exchange) deliverReply(f func()) {
 	d, inc := x.gateway.day, x.backend
 	d.sim.after(d.latency(inc.row.Zone, x.gateway.process.settings.Zone), func() {
@@ -239,9 +241,9 @@
 }
 
 func (x *exchange) garbled(short bool) {
-	r := dispatch.Result{Class: dispatch.ClassInvalid, Reason: "bytes that are no answer"}
+	r := dispatch.Result{Class: dispatch.ClassInvalid, Reason: "malformed response"}
 	if short {
-		r = dispatch.Result{Class: dispatch.ClassFailed, Reason: "the answer was cut off"}
+		r = dispatch.Result{Class: dispatch.ClassFailed, Reason: "response truncated"}
 	}
 	x.deliverReply(func() { x.end(r) })
 }
--- a/lab/sim/day_fault_spans.go
+++ b/lab/sim/day_fault_spans.go
@@ -1,10 +1,10 @@
-// Reachability between the machines of a day, and the spans in which each machine counts as faulty.
+// Reachability between the machines of a day, and the time spans in which a machine counts as faulty.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// partitioned reports whether no frame gets from one process to another.
+// partitioned reports whether frames from process a cannot reach process b.
 func (d *day) partitioned(a, b string) bool {
 	p, q := d.sim.processes[a], d.sim.processes[b]
 	if p == nil || q == nil {
@@ -17,7 +17,7 @@
 	return d.machinesPartitioned(m, n)
 }
 
-// machinesPartitioned reports whether no frame gets from one machine to another.
+// machinesPartitioned reports whether frames from machine m cannot reach machine n.
 func (d *day) machinesPartitioned(m, n *machine) bool {
 	return m != n && (d.partitions[m.name+">"+n.name] || d.zonesPartitioned(m.zone, n.zone))
 }
@@ -27,7 +27,8 @@
 	return a != b && (d.zonePartitions[a] || d.zonePartitions[b])
 }
 
-// updateFaultSpans recomputes which machines are faulty and whether the core is settled.
+// updateFaultSpans records in the journal which machines are faulty now, whether a majority of the core members is
+// up, healthy and connected, and whether the core is unsettled.
 func (d *day) updateFaultSpans() {
 	now, t := d.sim.now, &d.journal.Faults
 	var core []*machine
@@ -40,7 +41,7 @@
 	up := func(m *machine) bool {
 		return !m.poweredOff && !m.removed && m.node.running() && (m.core == nil || m.core.running())
 	}
-	// reach counts the core members that a machine reaches, itself included.
+	// reach returns the number of running core members that a machine reaches, including itself.
 	reach := func(m *machine) (n int) {
 		for _, c := range core {
 			if up(c) && up(m) && (c == m || linked(c, m)) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// publishCores records the running core machines for the operators' list, which lags.
+// publishCores records, every 500 ms, the core machines that have power, for the list that operators see.
 func (d *day) publishCores() {
 	var running []*machine
 	for _, m := range d.machines {
@@ -84,7 +85,7 @@
 	d.sim.after(500*clock.Millisecond, d.publishCores)
 }
 
-// listedCores returns that list as it stood 3 s ago.
+// listedCores returns the operators' list of core machines, which lags by 3 s.
 func (d *day) listedCores() []*machine {
 	out := d.publishedCores[0].cores
 	for _, s := range d.publishedCores {
--- a/lab/sim/day_follow_up.go
+++ b/lab/sim/day_follow_up.go
@@ -1,11 +1,11 @@
-// What follows a machine's fault: changes that meet it as it returns or while it is partitioned, backends of its
-// zone that drain, and the machines that a step names.
+// Follow-ups of a machine's fault: configuration changes that are sent to the machine as soon as it returns or
+// while it is partitioned, and draining backends in its zone. Also the selection of machines by their role.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// endFaultAfter ends a machine's fault after a while, then sends it what the step has for its return.
+// endFaultAfter ends a machine's fault after a delay and then starts the follow-ups that the step asks for.
 func (d *day) endFaultAfter(step *dayStep, m *machine, delay int64, end func()) {
 	d.sim.after(delay, func() {
 		end()
@@ -14,7 +14,8 @@
 	})
 }
 
-// sendAfterReturn sends a machine that is back what the step asks for.
+// sendAfterReturn sends the changes that the step asks for to a machine that has returned, and with "drain" drains
+// two backends in its zone.
 func (d *day) sendAfterReturn(step *dayStep, m *machine) {
 	d.sendChangeTo(step, m)
 	if step.has("drain") {
@@ -22,12 +23,13 @@
 	}
 }
 
-// sendDuringPartition does so while the machine is partitioned.
+// sendDuringPartition sends the changes that the step asks for to a machine during the first half of its partition.
 func (d *day) sendDuringPartition(step *dayStep, m *machine) {
 	d.sim.after(d.sim.rng.Int64N(step.forUs/2+1), func() { d.sendChangeTo(step, m) })
 }
 
-// sendChangeTo sends a change to a machine, or two at once (race), repeatedly until it answers (hard).
+// sendChangeTo sends a change to a machine, or with "race" two concurrent changes. With "hard" they go to no other
+// machine until this one answers.
 func (d *day) sendChangeTo(step *dayStep, m *machine) {
 	if m.core == nil || m.removed {
 		return
@@ -43,7 +45,8 @@
 	}
 }
 
-// namedMachine returns the machine that a step names by its role: the leader, a reader of the list, a seed.
+// namedMachine returns the machine that a step names by its role: the leader, the machine that last read the
+// platform's list, or the first seed. It returns nil if the step names none.
 func (d *day) namedMachine(step *dayStep) *machine {
 	switch {
 	case step.has("leader"):
@@ -68,7 +71,7 @@
 	}
 }
 
-// countStep counts a step by its verb and by each of its modes.
+// countStep counts a step by its verb, and by its verb with each of its modes.
 func (d *day) countStep(step *dayStep) {
 	d.sim.Checker.Count("kind."+step.verb, 1)
 	for _, mode := range step.modes() {
--- a/lab/sim/day_gateway.go
+++ b/lab/sim/day_gateway.go
@@ -1,5 +1,5 @@
-// The clients' side of a simulated node: the product's request state machines, their actions carried out on the
-// simulated network, readiness, and the graceful shutdown.
+// The client-facing side of a simulated node: the product's request state machines, whose actions are carried out
+// on the simulated network, the readiness check and the graceful shutdown.
 
 package sim
 
@@ -12,7 +12,8 @@
 	"wallport/runtime/clock"
 )
 
-// Times of the clients' server, as in the product.
+// Times of the server for clients, as in the product: it accepts connections for acceptWindow after a shutdown
+// began, and polls every stopPollInterval until all requests have ended.
 const (
 	acceptWindow     = 2200 * clock.Millisecond
 	stopPollInterval = 20 * clock.Millisecond
@@ -25,11 +26,11 @@
 	requests   []*clientRequest
 	exchanges  []*exchange
 	idleConns  map[string][]*conn
-	// opened reports that the clients' port is open; closed that it is closed again.
+	// opened means that the port for clients has been opened, closed that it has been closed again.
 	opened, closed, draining bool
 }
 
-// clientRequest is one request in a node.
+// clientRequest is a request in flight in a node.
 type clientRequest struct {
 	attempt      *rules.Attempt
 	kind         *requestShape
@@ -37,11 +38,11 @@
 	wakeups      uint64
 	done         func(o *dispatch.Outcome)
 	ended        bool
-	// disconnect ends the client's connection at once.
+	// disconnect resets the client's connection.
 	disconnect func()
 }
 
-// newGateway opens the request path of a node that has just started.
+// newGateway creates the request path of a node that has just started.
 func (d *day) newGateway(p *process, seed uint64) {
 	r := p.settings.Retries
 	g := &gateway{day: d, process: p, idleConns: map[string][]*conn{}}
@@ -53,7 +54,7 @@
 	g.openWhenReady()
 }
 
-// openWhenReady opens the clients' port once the node has a routing table.
+// openWhenReady opens the port for clients once the node is ready, which requires a routing table.
 func (g *gateway) openWhenReady() {
 	if g.ready() {
 		g.opened = true
@@ -62,16 +63,17 @@
 	g.process.deliverAfter(stopPollInterval, g.openWhenReady)
 }
 
-// ready reports what the node answers to a readiness check.
+// ready reports whether the node passes a readiness check.
 func (g *gateway) ready() bool {
 	cp := g.process.snapshots.Current()
 	return g.process.up && !g.draining && cp.Ready() && cp.Routing != nil
 }
 
-// accepts reports whether a new connection is accepted.
+// accepts reports whether the node accepts new connections of clients.
 func (g *gateway) accepts() bool { return g.process.up && g.opened && !g.closed }
 
-// accept starts a request that was read completely; done gets its outcome, or nil if it was aborted.
+// accept starts a request that has arrived completely. done is called with the outcome, or with nil if the request
+// is aborted.
 func (g *gateway) accept(attempt *rules.Attempt, kind *requestShape, done func(o *dispatch.Outcome)) *clientRequest {
 	request := &clientRequest{attempt: attempt, kind: kind, done: done}
 	g.requests = append(g.requests, request)
@@ -108,7 +110,7 @@
 	case dispatch.Cancel:
 		g.cancel(request, v.N)
 	case dispatch.Abandon:
-		// The exchange ends by itself.
+		// The exchange goes on and its result is ignored.
 	case dispatch.SetTimer:
 		request.wakeups++
 		mine := request.wakeups
@@ -141,7 +143,7 @@
 	request.done(o)
 }
 
-// clientGone is called when the client has closed its connection.
+// clientGone is called when the client of a request has closed its connection.
 func (g *gateway) clientGone(request *clientRequest) {
 	if request.ended {
 		return
@@ -153,7 +155,7 @@
 	})
 }
 
-// abort ends the gateway with its process: every request in flight is aborted.
+// abort aborts every request in flight and closes all connections when the process ends.
 func (g *gateway) abort() {
 	g.closed = true
 	runs := g.requests
@@ -175,8 +177,8 @@
 	g.idleConns = map[string][]*conn{}
 }
 
-// stop is the graceful shutdown: not ready at once, new connections for a while yet, then the requests in flight
-// are finished.
+// stop begins the graceful shutdown. The node fails readiness checks from now on, but accepts new connections for
+// acceptWindow; then it finishes the requests in flight and ends.
 func (g *gateway) stop() {
 	p := g.process
 	p.draining, g.draining = true, true
--- a/lab/sim/day_grey.go
+++ b/lab/sim/day_grey.go
@@ -1,11 +1,11 @@
-// Backends that fail a share of their requests while their health checks pass (grey failures).
+// Partial ("grey") failures: backends that fail a share of their requests while their health checks pass.
 
 package sim
 
-// failureMode is how a grey backend fails a request.
+// failureMode is how a partially failing backend fails a request.
 type failureMode string
 
-// The modes of grey failures, as the platform names them.
+// Modes of partial failures; the texts are the platform's names.
 const (
 	failWithErrors  failureMode = "errors"
 	failWithRejects failureMode = "shed"
@@ -16,7 +16,8 @@
 	failBySlowness  failureMode = "slow"
 )
 
-// partialFailure is a backend's grey failure: the share of its requests that fail, of all callers or of those in one zone.
+// partialFailure describes a backend's partial failure: how requests fail, and the share of them that fail, either
+// of all nodes or only of the nodes in one zone.
 type partialFailure struct {
 	mode  failureMode
 	share float64
@@ -40,7 +41,8 @@
 	return g
 }
 
-// misreportedHealthOf fails every request while health checks pass, or none while they fail.
+// misreportedHealthOf returns the failure of a backend whose health checks mislead: every request fails although
+// the checks pass, or with "bad" no request fails although the checks fail.
 func misreportedHealthOf(step *dayStep) partialFailure {
 	if step.has("bad") {
 		return partialFailure{}
@@ -50,12 +52,12 @@
 	return g
 }
 
-// drawFails draws whether a request fails.
+// drawFails draws whether a request from a node in the given zone fails.
 func (g *partialFailure) drawFails(d *day, zone string) bool {
 	return g.share > 0 && (g.zone == "" || g.zone == zone) && d.sim.rng.Float64() < g.share
 }
 
-// factor returns how many times as long a request's work takes.
+// factor returns the factor by which the failure lengthens the work on a request.
 func (g *partialFailure) factor(j *job) int64 {
 	if j.mode == failBySlowness {
 		return max(1, g.slow)
@@ -63,7 +65,7 @@
 	return 1
 }
 
-// rejectsEarly ends a request that a grey backend does not even start, and reports whether it did.
+// rejectsEarly handles a request that fails before the backend starts to work on it, and reports whether it is one.
 func (inc *incarnation) rejectsEarly(x *exchange, j *job) bool {
 	switch j.mode {
 	case failWithRejects:
@@ -71,7 +73,7 @@
 	case failWithBusy:
 		x.rejected(inc, 429, "busy")
 	case failSilently:
-		// It is read, and never answered.
+		// The request is read and never answered.
 		inc.day.sim.Checker.Count("muted_requests", 1)
 	default:
 		return false
--- a/lab/sim/day_incarnation.go
+++ b/lab/sim/day_incarnation.go
@@ -1,4 +1,4 @@
-// One incarnation of a backend: slots, a queue, pauses, and the faults of its responses.
+// One incarnation of a backend: its slots and queue, its pauses, and faults of its responses.
 
 package sim
 
@@ -19,25 +19,25 @@
 	record *rules.Backend
 
 	up, silent, draining, listed bool
-	// partialFailure is how a share of its requests fail; reportsUnhealthy makes its health checks fail; connections that
-	// were idle for longer than connTimeout are dropped without notice, 0 for never.
+	// partialFailure is how a share of the requests fails. reportsUnhealthy makes the health checks fail.
+	// Connections that have been idle for longer than connTimeout are dropped without notice; 0 disables this.
 	partialFailure   partialFailure
 	reportsUnhealthy bool
 	connTimeout      clock.Micros
-	// unreachable reports whether nothing gets from a machine to a backend.
+	// unreachable means that a partition separates the backend from all machines.
 	unreachable  bool
 	warmAt       clock.Micros
 	speed, phase int64
 	running      int
 	queue        []*job
 	conns        int64
-	// slowdown multiplies the work, in thousandths, 0 for none; garbledShare and surplusShare are the shares of
-	// responses that are garbled or followed by another one, lostShare of those that are never sent.
+	// slowdown is the factor of the work time in thousandths, 0 for none. garbledShare, surplusShare and lostShare
+	// are the shares of the responses that are garbled, followed by a surplus response, or never sent.
 	slowdown                              int64
 	garbledShare, surplusShare, lostShare float64
 }
 
-// job is a request at a backend.
+// job is a request that a backend has received.
 type job struct {
 	backend  *incarnation
 	exchange *exchange
@@ -46,13 +46,13 @@
 	started  bool
 	ended    bool
 	work     clock.Micros
-	// mode is how a grey backend fails it.
+	// mode is how a partially failing backend fails the request; empty if it does not.
 	mode failureMode
 }
 
 func (inc *incarnation) now() clock.Micros { return inc.day.sim.now }
 
-// pauseLeft returns how much of the current pause is left.
+// pauseLeft returns how long the current pause still lasts, 0 outside pauses.
 func (inc *incarnation) pauseLeft() clock.Micros {
 	if inc.shape.pauseUs == 0 {
 		return 0
@@ -61,7 +61,7 @@
 	return max(0, inc.shape.pauseUs-at)
 }
 
-// arrive is called when a request's last byte is there. The exchange carries the response back.
+// arrive is called when the last byte of a request arrives. The exchange carries the response back.
 func (inc *incarnation) arrive(x *exchange, target string, a *rules.Arrival, work, within clock.Micros) {
 	d := inc.day
 	d.journal.Arrivals = append(d.journal.Arrivals, a)
@@ -119,7 +119,7 @@
 		return
 	}
 	if j.mode == failByHanging {
-		// It keeps the slot and never answers.
+		// The request keeps its slot and is never answered.
 		return
 	}
 	j.end()
@@ -133,14 +133,14 @@
 	}
 }
 
-// expire ends the request at the deadline that the backend was given.
+// expire ends the request at the deadline that it carried.
 func (j *job) expire() {
 	if j.ended || !j.backend.up {
 		return
 	}
 	if !j.started {
 		j.ended = true
-		j.exchange.rejected(j.backend, 503, "too late")
+		j.exchange.rejected(j.backend, 503, "deadline passed in the queue")
 		return
 	}
 	j.end()
@@ -155,7 +155,8 @@
 	j.backend.startNext()
 }
 
-// connClosed is called when the connection ends: most backends then stop the work.
+// connClosed is called when the node closes the connection. A queued request is dropped; work that has started is
+// stopped in nine of ten cases.
 func (j *job) connClosed() {
 	if j.ended || !j.backend.up {
 		return
@@ -169,7 +170,7 @@
 	}
 }
 
-// respond seals the response and applies the response faults.
+// respond sends a sealed response, subject to the response faults.
 func (j *job) respond(status int) {
 	inc, d := j.backend, j.backend.day
 	body := d.responseBody(j.arrival.Attempt, inc.row.Pool, j.exchange.kind)
@@ -192,7 +193,7 @@
 	}
 }
 
-// healthCheck waits for a slot or is rejected, as a request is.
+// healthCheck handles a health check, which waits for a slot or is rejected like a request.
 func (inc *incarnation) healthCheck(done func(status int)) {
 	switch {
 	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue, inc.draining, inc.reportsUnhealthy:
@@ -206,8 +207,8 @@
 	}
 }
 
-// responseBody returns what a backend of a pool responds to an attempt: records in no order where responses are
-// gathered, some of them equal, and a remainder that is no record.
+// responseBody returns the body of a pool's response to an attempt: 16-byte records in random order, some of which
+// start with the same 8 bytes, and a remainder that is too short for a record.
 func (d *day) responseBody(attempt, pool string, kind *requestShape) []byte {
 	h := fnv.New64a()
 	h.Write([]byte(attempt))
@@ -235,7 +236,7 @@
 	return out
 }
 
-// crash ends an incarnation; a silent one sends no resets.
+// crash ends an incarnation. If it is silent, no connection is reset and dials time out.
 func (inc *incarnation) crash(silent bool) {
 	if !inc.up {
 		return
@@ -256,13 +257,14 @@
 	d.sim.after(crashDelistUs, func() { inc.listed = false; b.publish() })
 }
 
-// restartSlowStart makes the incarnation cold again.
+// restartSlowStart makes the incarnation cold, as if it had just started.
 func (inc *incarnation) restartSlowStart() {
 	inc.warmAt = inc.now() + warmUpUs
 	inc.record.SlowStart = append(inc.record.SlowStart, rules.Span{From: inc.now(), To: inc.warmAt})
 }
 
-// drain is the planned end: the list shows it, and the backend serves on for a while.
+// drain begins the planned end of an incarnation: the list shows it as leaving, and the backend goes on serving
+// until the nodes must have stopped using it.
 func (inc *incarnation) drain() {
 	if !inc.up || inc.draining {
 		return
--- a/lab/sim/day_machine_faults.go
+++ b/lab/sim/day_machine_faults.go
@@ -1,5 +1,6 @@
-// Machine faults: kills, lost power, lost disks, freezes, rolling restarts, partitions, disks and clocks. A
-// fault that would take more core members at once than the deployment tolerates waits.
+// Machine faults: kills, power loss, lost disks, freezes, slow processes, network partitions, and faults of disks
+// and clocks. A fault waits as long as it would make more core members faulty at the same time than the deployment
+// tolerates.
 
 package sim
 
@@ -11,12 +12,13 @@
 
 const faultRetryUs = 300 * clock.Millisecond
 
-// faulty reports whether a machine counts as lost: it is faulty now or was until a moment ago.
+// faulty reports whether a machine counts as lost: it is faulty now or was so within the last SyncTime.
 func (d *day) faulty(m *machine) bool {
 	return d.journal.Faults.Of(m.name).Hit(d.sim.now-d.settings.Bounds.SyncTime, d.sim.now)
 }
 
-// toleratedFaults returns how many more core members may be lost beside those that are.
+// toleratedFaults returns how many more core members may be lost in addition to those that are lost now; the
+// machine except counts as healthy.
 func (d *day) toleratedFaults(except *machine) int {
 	n := d.site.tolerance[0]
 	for _, m := range d.machines {
@@ -27,7 +29,8 @@
 	return n
 }
 
-// leader returns the machine that acknowledged last, or else the one that leads partition 0.
+// leader returns the machine that sent the last acknowledgement if it is a healthy core member, otherwise the
+// leader of partition 0 of the control state, or nil if there is none.
 func (d *day) leader() *machine {
 	if m := d.commands.lastAcked; m != nil && m.coreMember() && !d.faulty(m) {
 		return m
@@ -40,7 +43,7 @@
 	return nil
 }
 
-// drawCoreMember draws a healthy core member.
+// drawCoreMember returns the core member that the step names by its role, or a random one; nil if none is healthy.
 func (d *day) drawCoreMember(step *dayStep) *machine {
 	if m := d.namedMachine(step); m != nil && m.coreMember() && !d.faulty(m) {
 		return m
@@ -57,7 +60,7 @@
 	return healthy[d.sim.rng.IntN(len(healthy))]
 }
 
-// onCoreMember applies f to a core member once the deployment tolerates one more loss.
+// onCoreMember applies f to a healthy core member once the deployment tolerates one more loss.
 func (d *day) onCoreMember(step *dayStep, f func(m *machine)) {
 	m := d.drawCoreMember(step)
 	if m == nil || d.toleratedFaults(nil) < 1 {
@@ -69,7 +72,8 @@
 	d.updateFaultSpans()
 }
 
-// drawOthers draws machines that are not core members.
+// drawOthers draws up to n healthy machines that are not core members. A machine that the step names by its role
+// comes first.
 func (d *day) drawOthers(step *dayStep, n int) (out []*machine) {
 	var all []*machine
 	for _, m := range d.machines {
@@ -91,7 +95,7 @@
 	return max(1, int(step.shareOr(share)*float64(len(d.machines))+0.5))
 }
 
-// machineFault runs the step if it is a machine fault, and reports whether it is.
+// machineFault runs the step if it is a machine fault, and reports whether it was one.
 func (d *day) machineFault(step *dayStep) bool {
 	switch step.verb {
 	case "node_kill", "node_freeze", "node_slow", "herd_kill":
@@ -118,7 +122,7 @@
 
 func (d *day) failMachines(step *dayStep) {
 	inject := func(m *machine) {
-		// It may have waited until now.
+		// The fault is recorded only now because it may have been delayed.
 		d.recordUnplanned(step.forUs)
 		switch {
 		case step.verb == "node_freeze":
@@ -144,7 +148,7 @@
 	case step.verb == "herd_kill" && step.on == "core":
 		d.eachCoreMember(inject)
 	case step.verb == "herd_kill":
-		// All processes at the same moment, or a share of them; they restart at once.
+		// The processes of all machines, or of a share of them, are killed at the same moment and restart soon.
 		for _, m := range d.machines {
 			if step.share == 0 || d.sim.rng.Float64() < step.share {
 				inject(m)
@@ -161,7 +165,8 @@
 	}
 }
 
-// failAfterAck takes the power from the machine that has just acknowledged, a moment later.
+// failAfterAck kills the machine that has just acknowledged or cuts its power, within 4 ms, and may wipe its disk.
+// If the deployment does not tolerate the loss at that time, the fault is deferred again.
 func (d *day) failAfterAck(step *dayStep, m *machine) {
 	d.sim.after(d.sim.rng.Int64N(4000), func() {
 		if d.toleratedFaults(m) < 1 || m.poweredOff || m.draining {
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -1,5 +1,5 @@
-// The machines of a day: a node on each, a core on the first of each zone, one disk for both. What happens to a
-// machine happens to both processes.
+// The machines of a day. Each runs a node, and the first machines of each zone also run a core, which uses the disk
+// if the machine has one. A fault of a machine affects both processes.
 
 package sim
 
@@ -11,7 +11,7 @@
 	"wallport/runtime/clock"
 )
 
-// restartUs is how soon an ended process is restarted.
+// restartUs is the time after which a process that has ended is restarted.
 const restartUs = 250 * clock.Millisecond
 
 type machine struct {
@@ -82,7 +82,8 @@
 	return []*process{m.node, m.core}
 }
 
-// coreMember reports whether the machine is one of the core.
+// coreMember reports whether the machine runs a core that can be a voter: one with a disk, or any core if no core
+// machine has a disk.
 func (m *machine) coreMember() bool {
 	return m.core != nil && (m.hasDisk || !m.day.anyDisk()) && !m.removed
 }
@@ -107,7 +108,7 @@
 	}
 }
 
-// start starts the processes that do not run, unless the machine has no power.
+// start starts the processes that are not running, unless the machine is removed or has no power.
 func (m *machine) start() {
 	if m.removed || m.poweredOff {
 		return
@@ -123,8 +124,8 @@
 	}
 }
 
-// recordEvent records an event that unsettles the core, and after which the machine counts as faulty for a
-// while.
+// recordEvent records an event after which the machine counts as faulty, and if it is a core member the core as
+// unsettled, for some time. Events of the first start are not recorded.
 func (m *machine) recordEvent() {
 	d := m.day
 	if d.sim.now < trafficStartUs/4 && d.settings.Bootstrap {
@@ -136,7 +137,7 @@
 	}
 }
 
-// kill ends both processes at once.
+// kill ends both processes without a shutdown.
 func (m *machine) kill() {
 	m.recordEvent()
 	for _, p := range m.processes() {
@@ -145,7 +146,7 @@
 	m.day.updateFaultSpans()
 }
 
-// powerOff ends both processes without notice to anyone; the disk keeps what was synced.
+// powerOff ends both processes without closing their connections. The disk keeps what was synced.
 func (m *machine) powerOff() {
 	m.poweredOff = true
 	for _, p := range m.processes() {
@@ -181,10 +182,12 @@
 	m.day.updateFaultSpans()
 }
 
-// graceSlack is how long after a graceful shutdown's time limit its work still counts as planned.
+// graceSlack is the time after the time limit of a graceful shutdown for which the shutdown still counts as planned
+// work.
 const graceSlack = clock.Second
 
-// stop is the graceful shutdown: each process ends by itself, or is killed when the time limit is over.
+// stop begins the graceful shutdown of both processes and calls done when they have ended. A process that has not
+// ended by the time limit is killed.
 func (m *machine) stop(done func()) {
 	if m.draining || m.poweredOff || m.removed {
 		return
@@ -197,7 +200,7 @@
 		if !p.running() {
 			continue
 		}
-		started := p.incarnation
+		incarnation := p.incarnation
 		if p.role == roleNode {
 			m.day.gateways[p].stop()
 		} else {
@@ -207,7 +210,7 @@
 			p.leaveGroups(sim.now + replica.LeaveTimeout)
 		}
 		sim.after(m.day.journal.Bounds.GraceUs, func() {
-			if p.up && p.incarnation == started {
+			if p.up && p.incarnation == incarnation {
 				sim.Checker.Count("ended_after_grace", 1)
 				p.kill()
 			}
@@ -216,10 +219,11 @@
 	m.whenStopped(done)
 }
 
-// lastFramesUs is the time in which the last frames of a stopping core leave it.
+// lastFramesUs is the time that a stopping core has to send its last frames.
 const lastFramesUs = 50 * clock.Millisecond
 
-// leaveGroups ends a core once it leads no group and is a voter of none, or at the given time.
+// leaveGroups ends a core once it leads no replica group and is a voter of none, but at the given time at the
+// latest.
 func (p *process) leaveGroups(until clock.Micros) {
 	if !p.replicas.HasLeft() && p.sim.now < until {
 		p.deliverAfter(10*clock.Millisecond, func() { p.leaveGroups(until) })
@@ -228,7 +232,7 @@
 	p.deliverAfter(lastFramesUs, p.kill)
 }
 
-// whenStopped calls then once both processes have ended.
+// whenStopped calls done once both processes have ended.
 func (m *machine) whenStopped(done func()) {
 	for _, p := range m.processes() {
 		if p.up {
--- a/lab/sim/day_partitions.go
+++ b/lab/sim/day_partitions.go
@@ -1,4 +1,4 @@
-// Clocks that step, and partitioned machines.
+// Wall clocks that are stepped, and network partitions of machines.
 
 package sim
 
@@ -8,7 +8,7 @@
 	"wallport/runtime/clock"
 )
 
-// clockFault steps the wall clock of some machines, and back later.
+// clockFault steps the wall clocks of random machines, and steps them back after step.forUs.
 func (d *day) clockFault(step *dayStep) {
 	d.recordUnplanned(step.forUs)
 	us := int64(step.factorOr(2000) * 1000)
@@ -37,10 +37,11 @@
 	d.sim.after(step.forUs, func() { stepClocks(-us) })
 }
 
-// partitionMachines partitions core members from each other, or other machines from the core members.
+// partitionMachines partitions a core member from the other core members (core_cut), or other machines from the
+// core members (node_cut).
 func (d *day) partitionMachines(step *dayStep) {
 	partition := func(m *machine) {
-		// It may have waited until now.
+		// The fault is recorded only now because it may have been delayed.
 		d.recordUnplanned(step.forUs)
 		var links []string
 		for _, c := range d.machines {
@@ -78,7 +79,7 @@
 	}
 }
 
-// setPartitioned blocks or opens links; with reset their connections end at once.
+// setPartitioned blocks or unblocks links; with reset it also closes the connections over all blocked links.
 func (d *day) setPartitioned(links []string, on, reset bool) {
 	for _, mode := range links {
 		d.partitions[mode] = on
@@ -86,5 +87,5 @@
 	if reset {
 		d.sim.net.closePartitioned()
 	}
-	d.sim.logEvent(fmt.Sprint("cuts ", on, " ", links))
+	d.sim.logEvent(fmt.Sprint("links blocked: ", on, " ", links))
 }
--- a/lab/sim/day_planned_work.go
+++ b/lab/sim/day_planned_work.go
@@ -1,5 +1,5 @@
-// Planned work on machines: rolling restarts, cores replaced by empty machines at other addresses, other seeds;
-// and the faults that close a day.
+// Planned work on machines: rolling restarts, replacement of cores by empty machines at other addresses, and
+// changes of the seeds. Also the closing faults, which end a day.
 
 package sim
 
@@ -14,7 +14,7 @@
 
 var stopping = kernel.Stopping{}
 
-// roll stops machines one after another and starts them again, or not.
+// roll stops machines one after another and starts them again, except those that "remove" removes.
 func (d *day) roll(step *dayStep) {
 	all := append([]*machine(nil), d.machines...)
 	d.sim.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -51,10 +51,10 @@
 	d.sim.after(step.gapUs, func() { d.rollNext(step, remaining[1:]) })
 }
 
-// rotateSeeds makes other core machines the seeds; running processes read the change too.
+// rotateSeeds makes random core machines the seeds. Running processes learn of the change within 1 s.
 func (d *day) rotateSeeds() { d.rotateSeedsTo(nil) }
 
-// rotateSeedsTo does so and puts one machine first.
+// rotateSeedsTo is rotateSeeds with the given machine as the first seed.
 func (d *day) rotateSeedsTo(first *machine) {
 	var list []string
 	all := d.listedCores()
@@ -76,7 +76,7 @@
 	}
 }
 
-// replace removes a core member for good and adds an empty machine at another address.
+// replace removes a core member for good and adds a machine with an empty disk at another address.
 func (d *day) replace(step *dayStep) {
 	d.onCoreMember(step, func(m *machine) {
 		add := func() {
@@ -85,7 +85,7 @@
 		}
 		switch {
 		case step.has("planned"):
-			// The new one starts first, then the old one is stopped.
+			// The new machine starts first; then the old one is stopped.
 			d.newCore(m)
 			d.sim.after(int64(step.factorOr(1)*1e6), func() { m.stop(func() { m.removed = true; d.updateFaultSpans() }) })
 			return
@@ -99,7 +99,7 @@
 	})
 }
 
-// newCore adds an empty core machine beside a core member or in its place.
+// newCore adds a core machine with an empty disk in the zone of m.
 func (d *day) newCore(m *machine) {
 	n := d.addMachine(fmt.Sprintf("%s-%d", m.zone, 50+len(d.machines)), m.zone, fmt.Sprintf("10.9.0.%d", len(d.machines)), true, m.hasDisk)
 	d.rotateSeeds()
@@ -109,12 +109,13 @@
 	d.updateFaultSpans()
 }
 
-// maxClosingWait bounds how long a closing fault that takes disks waits behind other losses; after that it takes
-// fewer.
+// maxClosingWait bounds how long a closing fault that wipes disks waits for earlier losses to end; after that it
+// wipes fewer disks.
 const maxClosingWait = 4 * clock.Second
 
-// scheduleClosingFault injects the fault at a day's end, right after one more change was acknowledged. One that would
-// take more core members at once than the deployment tolerates waits, as all faults do.
+// scheduleClosingFault sends one more change and makes its acknowledgement, its sending or the next accepted
+// request trigger the closing fault. A fault that wipes disks first waits for earlier losses to end, up to
+// maxClosingWait.
 func (d *day) scheduleClosingFault(since clock.Micros) {
 	c := &d.commands
 	wipes := d.sim.Script.Text("closing", "") == "wipe_after_ack"
@@ -149,8 +150,8 @@
 			restarted = append(restarted, m)
 		}
 	case "wipe_after_ack":
-		// As many as the deployment tolerates lose their disks, the one that acknowledged among them; the other
-		// core members lose power if closing_how is "power".
+		// As many core members as the deployment tolerates lose their disks, the one that acknowledged first. The
+		// other core members lose power if closing_how is "power".
 		lost := d.site.tolerance[0] - max(0, d.toleratedFaults(nil))
 		for _, m := range append([]*machine{acked}, d.machines...) {
 			if m == nil || !m.coreMember() || m.poweredOff || m.removed {
--- a/lab/sim/day_reads.go
+++ b/lab/sim/day_reads.go
@@ -1,5 +1,5 @@
-// Confirmed reads of a day: the configuration and the drained zones are read through some core at intervals, for
-// the histories.
+// Confirmed reads of a day: at intervals the configuration and the drained zones are read through a core, for the
+// history check of package rules.
 
 package sim
 
@@ -11,11 +11,11 @@
 	"wallport/runtime/wire"
 )
 
-// confirmedReadUs is the interval between reads, and the time of the first.
+// confirmedReadUs is the interval between reads, and the time of the first read.
 const confirmedReadUs = 2 * clock.Second
 
-// readConfirmed reads once, and again a while after the answer. A read without an answer is given up by the core
-// itself, and the next one begins.
+// readConfirmed reads once and schedules the next read. The core itself gives up a read that it cannot answer
+// within the time-out; the next read does not wait for it.
 func (c *commands) readConfirmed() {
 	d := c.day
 	d.sim.after(confirmedReadUs, c.readConfirmed)
@@ -42,12 +42,12 @@
 	}
 	config, err := state.ReadConfig(r.Body)
 	if err != nil {
-		d.sim.Checker.Fail(rules.History, d.sim.now, "a body that was read cannot be: %v", err)
+		d.sim.Checker.Fail(rules.History, d.sim.now, "the body of a confirmed read cannot be decoded: %v", err)
 		return
 	}
 	table, err := state.RoutingOf(config)
 	if err != nil {
-		d.sim.Checker.Fail(rules.History, d.sim.now, "a table that was read cannot be: %v", err)
+		d.sim.Checker.Fail(rules.History, d.sim.now, "the routing table of a confirmed read cannot be decoded: %v", err)
 		return
 	}
 	d.sim.Checker.Count("confirmed_reads", 1)
--- a/lab/sim/day_responses.go
+++ b/lab/sim/day_responses.go
@@ -1,4 +1,4 @@
-// What clients do with their responses: the value they credit, and whether they retry.
+// How clients handle responses: the value that they credit, and whether they retry. Also the probes of routes.
 
 package sim
 
@@ -9,7 +9,7 @@
 	"wallport/request/dispatch"
 )
 
-// responded is called when the response's last byte is at the client.
+// responded is called when the last byte of a response arrives at the client.
 func (c *clients) responded(call *clientCall, attempt *rules.Attempt, to nodeConn, o *dispatch.Outcome) {
 	d := c.day
 	if attempt.Ended != rules.Never {
@@ -34,7 +34,8 @@
 	c.ended(call, attempt, false)
 }
 
-// ended is called when an attempt ends; unread reports that the client knows that the node has not read it.
+// ended is called when an attempt ends. unread is set if the client knows that the node has not read the request,
+// so that even a request that may run only once can be retried.
 func (c *clients) ended(call *clientCall, attempt *rules.Attempt, unread bool) {
 	d := c.day
 	if attempt.Ended != rules.Never {
@@ -72,7 +73,7 @@
 	d.sim.after(wait, func() { c.sendAttempt(call) })
 }
 
-// retried reports whether a status may be retried at all.
+// retried reports whether a response with this status may be retried.
 func retried(status int) bool {
 	switch status {
 	case 400, 401, 404, 413, 431:
@@ -81,7 +82,8 @@
 	return status >= 300
 }
 
-// creditValue counts the value of a response.
+// creditValue credits the value of a response. A response after the target latency has a lower value, and a partial
+// one is worth the square of its share of the shards.
 func (c *clients) creditValue(call *clientCall, attempt *rules.Attempt) {
 	d := c.day
 	d.sim.Checker.Count("served", 1)
@@ -100,7 +102,8 @@
 	c.earned[call.kind.name] += value
 }
 
-// sendProbe asks every node that is ready or gets clients for routes that were added, removed or never existed.
+// sendProbe sends every ready node a request for a random idle route: one that was added, one that has been
+// removed, or one that has never existed.
 func (c *clients) sendProbe() {
 	d := c.day
 	if d.sim.now >= c.until {
--- a/lab/sim/day_scaling.go
+++ b/lab/sim/day_scaling.go
@@ -1,11 +1,11 @@
-// Changes of the number of backends, planned and unplanned, and of the clients' load.
+// Releases, planned and unplanned changes of the number of backends, and changes of the clients' load.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// scalingStep runs the step if it is a release, a change of the number of backends or of the load, and reports
-// whether it is.
+// scalingStep runs the step if it is a release or a change of the number of backends or of the load, and reports
+// whether it was one.
 func (d *day) scalingStep(step *dayStep) bool {
 	switch step.verb {
 	case "release":
@@ -31,7 +31,7 @@
 	return true
 }
 
-// drawShare draws a share of all backends, but never all of a pool.
+// drawShare draws a share of the backends of a service or of all services, but never all backends of a pool.
 func (d *day) drawShare(step *dayStep, share float64) []*incarnation {
 	how := "across"
 	if step.service != "" {
@@ -42,7 +42,7 @@
 	return targets
 }
 
-// release replaces backends a few at a time: the new one starts first, then the old one drains.
+// release replaces backends in batches. A new backend starts, and once it is warm the old one drains.
 func (d *day) release(step *dayStep) {
 	batch := max(1, int(step.factorOr(1)))
 	for i, inc := range d.drawShare(step, 0.5) {
@@ -54,10 +54,11 @@
 	}
 }
 
-// spotReplaceDelay is how long after a spot backend's end its replacement starts.
+// spotReplaceDelay is the time after the end of a spot backend at which its replacement starts.
 const spotReplaceDelay = 4 * clock.Second
 
-// scaleIn drains backends; spot ones end a moment after the notice.
+// scaleIn drains backends. Spot backends are ended a given time after the notice, finished or not, and replaced
+// later.
 func (d *day) scaleIn(step *dayStep) {
 	if step.has("spot") {
 		d.recordUnplanned(int64(step.factorOr(2) * 1e6))
@@ -75,7 +76,8 @@
 	}
 }
 
-// reuse ends backends for good; their addresses go to another service, and others take over their work.
+// reuse ends backends for good and starts replacements at other addresses. Once the old addresses may be reused,
+// backends of another service start there.
 func (d *day) reuse(step *dayStep) {
 	d.recordUnplanned(step.forUs)
 	b := &d.backends
@@ -93,7 +95,7 @@
 	b.publish()
 }
 
-// reuseAt starts a backend of another service at the address of one that has ended.
+// reuseAt starts a backend of another service at a free address in the zone of a backend that has ended.
 func (d *day) reuseAt(previous *incarnation) {
 	b := &d.backends
 	for _, name := range d.unshardedPools() {
--- a/lab/sim/day_shift.go
+++ b/lab/sim/day_shift.go
@@ -1,5 +1,5 @@
-// Scenarios that are run once for each moment at which some of their steps may come, such as a second loss at
-// every quarter of a second after a repair.
+// Scenarios that are run several times with some of their steps delayed by different amounts, such as a second loss
+// at every quarter of a second after a repair.
 
 package sim
 
@@ -12,10 +12,10 @@
 	"wallport/runtime/clock"
 )
 
-// delayedStep marks a step that is delayed by the setting shift_ms.
+// delayedStep is the argument that marks a step which the setting shift_ms delays.
 const delayedStep = "shifted=yes"
 
-// scheduledDelay returns how much a step is delayed.
+// scheduledDelay returns the delay of a step: shift_ms if the step is marked, otherwise 0.
 func (sim *Simulation) scheduledDelay(st script.Step) clock.Micros {
 	if slices.Contains(st.Args, delayedStep) {
 		return sim.Script.Int("shift_ms", 0) * clock.Millisecond
@@ -23,7 +23,7 @@
 	return 0
 }
 
-// ShiftScripts returns copies of a scenario, one for each shift from 0 to mostMs in steps of everyMs.
+// ShiftScripts returns copies of a scenario, one for each shift_ms from 0 to mostMs in steps of everyMs.
 func ShiftScripts(s *script.Script, everyMs, mostMs int64) []*script.Script {
 	var out []*script.Script
 	for at := int64(0); at <= mostMs; at += everyMs {
--- a/lab/sim/day_sites.go
+++ b/lab/sim/day_sites.go
@@ -1,18 +1,19 @@
-// The shapes of days on the users' platform: machines, pools and kinds of requests of both small sites, and
-// shapes of our own that stress them.
+// The sites of days on the users' platform: machines, pools and kinds of requests of the platform's two small sites
+// (trust and registry), and variants of them that stress particular conditions.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// zoneShape is a zone with its machines; the first of them have a disk.
+// zoneShape is a zone with its machines, of which the first have a disk. weight is its share of the traffic.
 type zoneShape struct {
 	name, region    string
 	machines, disks int
 	weight          float64
 }
 
-// poolShape is a service: one pool, or one for each of its shards.
+// poolShape is a service: one pool, or one pool for each of its shards. afterReshard marks the set of shards that a
+// reshard switches to.
 type poolShape struct {
 	name          string
 	shards        int
@@ -24,7 +25,8 @@
 	afterReshard  bool
 }
 
-// requestShape is a kind of requests.
+// requestShape is a kind of requests. value is the credit for a response within targetUs, lateValue for a later
+// one.
 type requestShape struct {
 	name, pool, also             string
 	perSecond                    float64
@@ -62,7 +64,7 @@
 	return poolShape{name: name, perZone: perZone, slots: slots, queue: 4 * slots, connections: conns}
 }
 
-// trustKinds are the requests of a score service, registryKinds those of a register of tenancies.
+// trustKinds are the kinds of requests of a music score service, registryKinds those of a register of tenancies.
 func trustKinds() []requestShape {
 	return []requestShape{
 		{name: "score-query", pool: "lookup", also: "catalog", perSecond: 255, workUs: 7500, tailPct: 2, targetUs: 80 * clock.Millisecond, deadlineUs: 400 * clock.Millisecond, value: 2, lateValue: 0.6, repeatable: true, backends: 2, priority: 1, records: 20, coverage: 0.75, responseBytes: 640, retries: 1},
@@ -101,7 +103,7 @@
 	}
 }
 
-// siteOf returns a site by its name. Those beyond trust and registry are our own.
+// siteOf returns a site by its name. All sites but trust and registry are variants for tests.
 func siteOf(name string) (siteShape, bool) {
 	s := trustSite()
 	switch name {
@@ -109,7 +111,7 @@
 	case "registry":
 		s = registrySite()
 	case "one_zone":
-		// Everything is in one zone, so that only machines can be lost.
+		// All machines and backends are in one zone, so that only single machines can be lost.
 		s.zones = []zoneShape{{"z1", "r1", 13, 3, 1}}
 		for i := range s.pools {
 			s.pools[i].perZone = []int{4}
@@ -118,11 +120,12 @@
 	case "two_regions":
 		s.zones[2].region, s.zones[3].region = "r2", "r2"
 		for i := range s.kinds {
-			// Even requests that may run only once may be sent to a second backend if they have not run.
+			// Three backends per request allow even a request that may run only once to be sent to another backend
+			// if it has not run.
 			s.kinds[i].backends = 3
 		}
 	case "one_backend":
-		// One backend a shard, each in another zone: no second choice at all.
+		// Each shard has one backend, each in another zone, so that there is no alternative backend.
 		for i := range s.pools {
 			s.pools[i].perZone = []int{1, 0, 0, 0}
 			if s.pools[i].shards == 0 {
@@ -133,10 +136,10 @@
 	case "forty_shards":
 		s.pools[0].shards, s.pools[1].shards = 40, 44
 	case "bare_zone":
-		// One zone has no disk, and its core is not a voter.
+		// One zone has no disk; its core is not a voter.
 		s.zones[3].disks = 0
 	case "two_a_zone":
-		// Eight machines with a disk, two in each zone, of which two may be lost at once.
+		// Eight machines have a disk, two in each zone. Two of them may be lost at the same time.
 		for i := range s.zones {
 			s.zones[i].machines, s.zones[i].disks = 4, 2
 		}
@@ -158,7 +161,8 @@
 	return s, true
 }
 
-// Sizes of a grown deployment; it has 16 or 20 other machines a zone.
+// Sizes of a grown site. A grown deployment of the platform has 16 or 20 machines without a disk in each zone; the
+// simulated one has grownOthers.
 const (
 	grownDisks  = 2
 	grownOthers = 1
@@ -166,7 +170,7 @@
 	grownLater  = 9
 )
 
-// grow enlarges a site.
+// grow changes a site to the sizes of a grown deployment.
 func (s *siteShape) grow() {
 	for i := range s.zones {
 		s.zones[i].machines, s.zones[i].disks = grownDisks+grownOthers, grownDisks
--- a/lab/sim/day_verbs.go
+++ b/lab/sim/day_verbs.go
@@ -1,5 +1,5 @@
-// The steps of a day's scenario. Verbs are the faults and the planned work as the platform's pages name them;
-// arguments are NAME=VALUE.
+// The steps of a day's scenario. The verbs are the platform's names for faults and planned work; arguments have the
+// form NAME=VALUE.
 
 package sim
 
@@ -22,7 +22,7 @@
 	forUs, gapUs                 clock.Micros
 	share, factor                float64
 	count                        int
-	// until is when planned work no longer waits for its moment.
+	// until is the time after which a rolling restart with "busy" no longer waits for requests in flight.
 	until clock.Micros
 }
 
@@ -31,7 +31,7 @@
 	for _, a := range st.Args {
 		k, v, ok := strings.Cut(a, "=")
 		if !ok {
-			return e, fmt.Errorf("%q is not NAME=VALUE", a)
+			return e, fmt.Errorf("argument %q does not have the form NAME=VALUE", a)
 		}
 		switch k {
 		case "service":
@@ -41,7 +41,7 @@
 		case "to_zone":
 			e.toZone = v
 		case "shifted":
-			// Only the step's time differs: see Simulation.scheduledDelay.
+			// The argument affects only the time of the step: see Simulation.scheduledDelay.
 		case "class":
 			e.class = v
 		case "on":
@@ -63,7 +63,7 @@
 		case "count":
 			e.count, err = strconv.Atoi(v)
 		default:
-			err = fmt.Errorf("no argument %q", k)
+			err = fmt.Errorf("unknown argument %q", k)
 		}
 		if err != nil {
 			return e, err
@@ -74,7 +74,7 @@
 
 func (step *dayStep) has(word string) bool { return strings.Contains(" "+step.how+" ", " "+word+" ") }
 
-// modes returns the words of how.
+// modes returns the modes that the argument how lists.
 func (step *dayStep) modes() []string { return strings.Fields(step.how) }
 
 func (step *dayStep) shareOr(v float64) float64 {
@@ -91,7 +91,7 @@
 	return v
 }
 
-// plannedWork runs the step if operators or the platform do it, and reports whether it is such a step.
+// plannedWork runs the step if it is work of the operators or of the platform, and reports whether it was.
 func (d *day) plannedWork(step *dayStep) bool {
 	c := &d.commands
 	switch step.verb {
@@ -124,7 +124,7 @@
 		c.evacuate(step.zone, true)
 	case "take_back":
 		for _, inc := range d.backends.of("*") {
-			// The zone's backends became cold shortly before.
+			// Without "warm", the zone's backends have become cold again shortly before.
 			if inc.row.Zone == step.zone && !step.has("warm") {
 				inc.restartSlowStart()
 			}
@@ -172,25 +172,25 @@
 	}
 	d.sim.after(wait, func() {
 		if !d.backendFault(&e) && !d.machineFault(&e) {
-			panic(fmt.Sprintf("%s:%d: no verb %q", d.sim.Script.Name, st.Line, e.verb))
+			panic(fmt.Sprintf("%s:%d: unknown verb %q", d.sim.Script.Name, st.Line, e.verb))
 		}
 		d.updateFaultSpans()
 	})
 }
 
-// recordUnplanned records an unplanned fault that lasts for forUs from now on.
+// recordUnplanned records an unplanned fault from now until forUs later.
 func (d *day) recordUnplanned(forUs clock.Micros) {
 	t := &d.journal.Faults
 	t.Unplanned = append(t.Unplanned, rules.Span{From: d.sim.now, To: d.sim.now + forUs})
 }
 
-// recordPlanned records planned work that lasts for forUs from now on.
+// recordPlanned records planned work from now until forUs later.
 func (d *day) recordPlanned(forUs clock.Micros) {
 	t := &d.journal.Faults
 	t.Planned = append(t.Planned, rules.Span{From: d.sim.now, To: d.sim.now + forUs})
 }
 
-// drainSome drains backends, each replaced by a new one.
+// drainSome drains random backends; a replacement for each starts first.
 func (d *day) drainSome(step *dayStep) {
 	all := d.backends.of(orAll(step.service))
 	if step.zone != "" {
--- a/lab/sim/day_zones.go
+++ b/lab/sim/day_zones.go
@@ -1,4 +1,4 @@
-// Faults of complete zones, and backends that no machine reaches.
+// Faults of whole zones, and backends that no machine reaches.
 
 package sim
 
@@ -8,7 +8,7 @@
 	"wallport/runtime/clock"
 )
 
-// drawZone returns the zone that a step names, or draws one.
+// drawZone returns the zone that a step names, or a random one.
 func (d *day) drawZone(step *dayStep) string {
 	if step.zone != "" {
 		return step.zone
@@ -16,7 +16,7 @@
 	return d.site.zones[d.sim.rng.IntN(len(d.site.zones))].name
 }
 
-// toleratesZoneLoss reports whether a zone may be lost beside what is lost already.
+// toleratesZoneLoss reports whether the deployment tolerates the loss of a zone in addition to the losses so far.
 func (d *day) toleratesZoneLoss(zone string) bool {
 	membersInZone, lostElsewhere := 0, false
 	for _, m := range d.machines {
@@ -32,7 +32,7 @@
 	return membersInZone == 0 || !lostElsewhere && (d.site.tolerance[1] > 0 || membersInZone <= d.site.tolerance[0])
 }
 
-// onZone applies f to a zone once that zone may be lost.
+// onZone applies f to a zone once the deployment tolerates its loss.
 func (d *day) onZone(step *dayStep, f func(zone string)) {
 	zone := d.drawZone(step)
 	if !d.toleratesZoneLoss(zone) {
@@ -45,10 +45,10 @@
 	d.updateFaultSpans()
 }
 
-// zoneRestoreWindow is the time in which a zone's machines and backends come back one by one.
+// zoneRestoreWindow is the time over which the machines and backends of a lost zone return.
 const zoneRestoreWindow = 1500 * clock.Millisecond
 
-// powerOffZone takes the power from a zone's machines and backends.
+// powerOffZone cuts the power of a zone's machines and backends.
 func (d *day) powerOffZone(step *dayStep) {
 	d.onZone(step, func(zone string) {
 		for _, m := range d.machines {
@@ -61,7 +61,8 @@
 	})
 }
 
-// downZone ends a zone's backends; they come back together, cold.
+// downZone crashes a zone's backends. After forUs they are replaced within zoneRestoreWindow; the replacements are
+// cold.
 func (d *day) downZone(zone string, forUs clock.Micros, silent bool) {
 	for _, inc := range d.backends.of("*") {
 		if inc.row.Zone != zone {
@@ -75,7 +76,7 @@
 	}
 }
 
-// partitionZone partitions a zone from the others; clients still reach it.
+// partitionZone partitions a zone from the other zones; clients still reach it.
 func (d *day) partitionZone(step *dayStep) {
 	d.onZone(step, func(zone string) {
 		d.zonePartitions[zone] = true
@@ -101,7 +102,7 @@
 	})
 }
 
-// partitionBackends partitions backends from all machines.
+// partitionBackends partitions random backends from all machines for step.forUs.
 func (d *day) partitionBackends(step *dayStep) {
 	targets := d.drawBackends(&dayStep{how: "across"}, step.shareOr(0.1))
 	d.sim.Checker.Count("troubled.node_cut", int64(len(targets)))
@@ -115,13 +116,13 @@
 	})
 }
 
-// unreachable reports whether nothing gets from a machine to a backend.
+// unreachable reports whether a machine and a backend are partitioned from each other.
 func (d *day) unreachable(m *machine, inc *incarnation) bool {
 	return inc.unreachable || d.zonesPartitioned(m.zone, inc.row.Zone)
 }
 
-// whenReachable calls f once the machine reaches the backend; what waits longer than a connection's time-out is
-// lost.
+// whenReachable calls f once the machine reaches the backend, with held set if that took longer than
+// partitionRetryUs. After stallTimeout the data is lost and f is not called.
 func (d *day) whenReachable(m *machine, inc *incarnation, since clock.Micros, f func(held bool)) {
 	switch {
 	case !d.unreachable(m, inc):
@@ -131,5 +132,5 @@
 	}
 }
 
-// partitionRetryUs is the interval at which delayed frames are tried again.
+// partitionRetryUs is the interval at which data delayed by a partition is tried again.
 const partitionRetryUs = 100 * clock.Millisecond
--- a/lab/sim/days_test.go
+++ b/lab/sim/days_test.go
@@ -1,4 +1,4 @@
-// A few drawn days, one for each shape; lab sim --draw 400 --days --cover goes on.
+// Runs one drawn day for each entry of draw.Sites; "lab sim --draw 400 --days --cover" runs more.
 
 package sim
 
@@ -15,7 +15,8 @@
 func TestDrawnDays(t *testing.T) {
 	days := len(draw.Sites)
 	if testing.Short() {
-		// The race run is for the code rather than the luck.
+		// With -short, under the race detector, one day is enough: it looks for data races in the code, not for
+		// rare schedules.
 		days = 1
 	}
 	for n := range uint64(days) {
--- a/lab/sim/doc.go
+++ b/lab/sim/doc.go
@@ -1,25 +1,25 @@
-// Package sim runs the product's own state machines on simulated time, network,
-// disks and clocks.
+// Package sim is a deterministic simulator: it runs the product's own state
+// machines on simulated time, network, disks and clocks.
 //
-// Input is a scenario (package script) and a seed. A run is a function of the
-// two: every random number comes from the seed, events run one at a time in the
-// order of their time and number, and nothing depends on the machine, so a run
-// replays exactly. Output is a [Result]: counts, the digest of all events, and
-// what the checks found.
+// The input is a scenario (package script) and a seed. A run depends only on
+// these two: every random number comes from the seed, events run one at a time
+// in the order of their time and sequence number, and nothing depends on the
+// machine. A run can therefore be replayed exactly. The output is a [Result]:
+// counts, the digest of all events, and the violations that the checks found.
 //
-// A [Simulation] owns the event queue, the processes with their kernels, disks and
-// clocks, and the network between them. It has two uses:
+// A [Simulation] owns the event queue, the processes with their kernels, disks
+// and clocks, and the network between them. It has two modes:
 //
-//   - a fleet of search nodes (files world_*.go) with stand-ins for servers, the
-//     platform, callers and operators, checked by package check as it runs;
-//   - a day on the users' platform (files day_*.go; a scenario asks for it by
-//     "set site NAME") with machines, backends, clients and operators that
-//     behave as the platform does. It writes a journal, which package rules
-//     checks at the end.
+//   - a fleet of search nodes (files world_*.go) with models of servers, the
+//     platform, callers and operators, which package check checks as it runs;
+//   - a day on the users' platform (files day_*.go, selected by "set site NAME"
+//     in the scenario) with machines, backends, clients and operators that
+//     behave like those of the platform. It writes a journal, which package
+//     rules checks at the end.
 //
-// The files judge_*.go hold checks that need the simulator's own knowledge, such
-// as which processes are running; measure_*.go count frames, bytes and delays of
-// fleets of different sizes.
+// The files judge_*.go contain checks that need the simulator's own knowledge,
+// such as which processes are running. The files measure_*.go measure frames,
+// bytes and delays in fleets of different sizes.
 //
 // The method is deterministic simulation testing, as in FoundationDB ("Testing
 // Distributed Systems w/ Deterministic Simulation", Will Wilson, 2014).
--- a/lab/sim/judge_healing.go
+++ b/lab/sim/judge_healing.go
@@ -1,5 +1,6 @@
-// The check of healing: some time after the last fault every process runs, every node has the newest
-// configuration in force, every partition has one leader and living voters, and callers are served as before.
+// The healing check: some time after the last fault all processes run, all nodes have the newest configuration in
+// force, each partition of the control state has one leader and only running voters, and callers are served as
+// before the fault.
 
 package sim
 
@@ -16,7 +17,7 @@
 
 func (sim *Simulation) healedFrom() clock.Micros { return sim.Script.Int("healed_from_us", 0) }
 
-// countHealed counts a request that came after the time by which the fleet must be healed.
+// countHealed counts the outcome of a request that was sent after the time by which the fleet must have healed.
 func (sim *Simulation) countHealed(o *search.Outcome, sent clock.Micros) {
 	if from := sim.healedFrom(); from == 0 || sent < from {
 		return
@@ -38,10 +39,10 @@
 	sim.Checker.Idle(notHealed)
 	h := sim.afterHealing
 	if h.arrived == 0 || h.answered*1000 < h.arrived*995 || h.rejected > 0 {
-		fail("of %d inquiries %d were answered well and %d refused", h.arrived, h.answered, h.rejected)
+		fail("of %d requests that were sent after healing %d were answered correctly and %d rejected; want at least 99.5%% and none rejected", h.arrived, h.answered, h.rejected)
 	}
 	if sim.callers.inFlight > 0 {
-		fail("%d inquiries were never answered", sim.callers.inFlight)
+		fail("%d requests were never answered", sim.callers.inFlight)
 	}
 	live := map[string]bool{}
 	leaders := map[int]int{}
@@ -51,7 +52,7 @@
 		switch {
 		case p.replaced:
 		case !p.running():
-			fail("%s does not run", name)
+			fail("%s is not running after healing", name)
 		case p.role == roleCore:
 			live[p.replicas.ReplicaID()] = true
 			for part := range state.Partitions {
@@ -68,7 +69,7 @@
 	for _, name := range sim.names {
 		p := sim.processes[name]
 		if p.role == roleNode && p.running() && sim.versionInForce(p) != newest {
-			fail("%s has %v in force, others %v", name, sim.versionInForce(p), newest)
+			fail("node %s has version %v in force, the newest in force is %v", name, sim.versionInForce(p), newest)
 		}
 		if p.role != roleCore || !p.running() {
 			continue
@@ -78,21 +79,21 @@
 				continue
 			}
 			if n := len(p.replicas.VotersOf(part)); n != 3 {
-				fail("part %d has %d seats", part, n)
+				fail("partition %d has %d voters, want 3", part, n)
 			}
 			if zones := sim.countZones(p.replicas.VotersOf(part)); zones < 3 && sim.coreZones() >= 3 {
-				fail("part %d has its seats in %d zones", part, zones)
+				fail("the voters of partition %d are in only %d zones, want 3", part, zones)
 			}
 			for _, s := range p.replicas.VotersOf(part) {
 				if !live[s.ID] {
-					fail("part %d has a seat that is gone: %s at %s", part, s.ID, s.Addr)
+					fail("a voter of partition %d is not running: %s at %s", part, s.ID, s.Addr)
 				}
 			}
 		}
 	}
 	for part := range state.Partitions {
 		if leaders[part] != 1 {
-			fail("part %d has %d owners", part, leaders[part])
+			fail("partition %d has %d leaders, want 1", part, leaders[part])
 		}
 	}
 }
@@ -105,7 +106,7 @@
 	return len(zones)
 }
 
-// coreZones counts the zones that have a running core.
+// coreZones returns the number of zones that have a running core.
 func (sim *Simulation) coreZones() int {
 	zones := map[string]bool{}
 	for _, p := range sim.processes {
--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -1,4 +1,4 @@
-// Checks of the responses that the simulated callers get.
+// Checks of the outcomes that the simulated callers get.
 
 package sim
 
@@ -53,14 +53,15 @@
 	sim.Checker.Search(in.Index, in.Query, in.Limit, 75, o, sim.shardMaps, sim.now)
 }
 
-// soleAttempt reports whether no other attempt with the same key can be in flight or have run: only then does a
-// rejection bind the key.
+// soleAttempt reports whether no other attempt with the same key can be in flight or have run. Only then does an
+// outcome that says "not run" hold for the key and not just for this attempt.
 func (c *callers) soleAttempt(in *search.Request) bool {
 	return c.repeat == 0 && c.sends[in.Key] <= 1 || in.Kind == search.KindSearch
 }
 
-// allowedRejectionReason returns why the world excuses a rejection, or "": the scenario says so, a needed shard has no
-// server, or the owners of the key cannot confirm it.
+// allowedRejectionReason returns why the fleet may reject a request, or "" if it may not. Reasons are that the
+// scenario allows it, that a needed shard has no server, that a server rejects by itself, that a repeat exceeds the
+// retry budget, or that too few owners of the key can confirm it.
 func (c *callers) allowedRejectionReason(in *search.Request, o *search.Outcome) string {
 	sim := c.sim
 	if sim.Script.Text("may_refuse", "") != "" {
@@ -74,7 +75,7 @@
 		return "repeat"
 	}
 	if strings.HasSuffix(o.Why, "; "+string(search.ClassRejected)) && sim.serverRefuses(in) {
-		// A server's own rejection with no budget left for another server: two rules meet here.
+		// The server itself rejected the request, and no retry budget is left to try another server.
 		return "server"
 	}
 	for _, n := range sim.shardMaps {
@@ -89,7 +90,8 @@
 	return ""
 }
 
-// recordAttempt records that a server was asked, and reports whether one was asked the same before.
+// recordAttempt records that a request was sent to a server, and reports whether a request with the same key was
+// sent to the same shard before.
 func (c *callers) recordAttempt(a *search.Send) bool {
 	key := a.Request.Key
 	if key == "" {
@@ -105,7 +107,7 @@
 func (c *callers) finish() {
 	for _, key := range slices.Sorted(maps.Keys(c.refused)) {
 		if !c.attempted[key] {
-			c.sim.Checker.Fail(check.ProperRejected, c.sim.now, "%s was refused as a repeat and no server was ever asked", key)
+			c.sim.Checker.Fail(check.ProperRejected, c.sim.now, "%s was rejected as a repeat, but no request with this key was ever sent to a server", key)
 		}
 	}
 	c.sim.Checker.Count("callers_sent", c.sent)
--- a/lab/sim/judge_replicas.go
+++ b/lab/sim/judge_replicas.go
@@ -1,4 +1,4 @@
-// The check for stale replicas at the end of a run: one that was away must have caught up.
+// The check for stale replicas at the end of a run: a voter that was down or partitioned must have caught up.
 
 package sim
 
@@ -8,7 +8,8 @@
 	"wallport/runtime/wire"
 )
 
-// countBehind counts, over all partitions, the voters that lack the newest committed version.
+// countBehind counts, over all partitions of the control state, the running voters that lack the newest committed
+// version.
 func (sim *Simulation) countBehind() {
 	for part := range state.Partitions {
 		var newest wire.Version
--- a/lab/sim/measure_growth.go
+++ b/lab/sim/measure_growth.go
@@ -1,6 +1,6 @@
-// Measurements of what each process of a fleet sends, receives and does, on simulated time: frames and bytes by
-// kind, steps and fetches, at rest, at start-up, at configuration changes, and when a node is lost or joins.
-// Counts are a function of the options alone, so that two builds can be compared.
+// Measurements, in simulated time, of the traffic and work of each process of a fleet: frames and bytes by kind,
+// steps and fetches. They cover start-up, the idle fleet, configuration changes, and the loss and the join of a
+// node. The counts depend only on the options, so that two builds can be compared.
 
 package sim
 
@@ -13,16 +13,17 @@
 	"wallport/runtime/kernel"
 )
 
-// Growth holds the options of a simulation.
+// Growth holds the options of a measurement.
 type Growth struct {
 	Nodes, Cores, Servers int
 	Seed                  uint64
-	// Brief leaves out all but the start and the rest.
+	// Brief limits the measurement to the start-up and the idle fleet.
 	Brief bool
 }
 
-// Rates is what a process of a role does in a second of a phase, averaged over its processes; MostIn is the
-// highest number of bytes received by one process.
+// Rates holds what a process of a role does per second of a phase, averaged over the processes of the role. MostIn
+// is the highest average number of bytes per second that one process received. PeakSecondIn and PeakSecondOut are
+// the most bytes that one process received and sent in one second.
 type Rates struct {
 	Processes                   int
 	FramesIn, FramesOut         float64
@@ -33,31 +34,31 @@
 	PeakSecondIn, PeakSecondOut float64
 }
 
-// Phase is one stretch of the run.
+// Phase holds the measurements of one time span of the run.
 type Phase struct {
 	Name       string
 	From, To   clock.Micros
 	Node, Core Rates
-	// CPU is the processor time that this program spent on the phase, in cores for each
-	// process: a measurement of this machine, not a count that repeats.
+	// CPU is the processor time that the simulator spent on the phase, in processor cores per simulated process.
+	// Unlike the counts it depends on the machine and differs between runs.
 	CPU float64
 }
 
-// Grown is a run's result; times are in simulated microseconds.
+// Grown is the result of a measurement; times are in simulated microseconds.
 type Grown struct {
 	Growth
 	Phases []Phase
-	// InForceUs is, for each change, from its acknowledgement by the owner of the
-	// configuration until every node has it in force.
+	// InForceUs holds, for each change that was acknowledged, the time from sending it until every node has it in
+	// force.
 	InForceUs []clock.Micros
-	// LostUs is from a node's end until no other node takes it for live; MetUs from a
-	// node's start until every other takes it for live.
+	// LostUs is the time from the end of a node until no other node considers it live. MetUs is the time from the
+	// start of the node until every other node considers it live. Both are -1 if that did not happen.
 	LostUs, MetUs clock.Micros
-	// ReadyUs is from the first start until every node may serve.
+	// ReadyUs is the time from the start of the run until every node is ready, -1 if that did not happen.
 	ReadyUs clock.Micros
 }
 
-// Grow simulates a fleet without requests.
+// Grow measures a fleet without client requests.
 func Grow(g Growth) (Grown, error) {
 	end := int64(76 * clock.Second)
 	if g.Brief {
@@ -92,12 +93,12 @@
 	}
 	sim.Run()
 	if len(r.Phases) < 2 || r.ReadyUs < 0 {
-		return r, fmt.Errorf("%d of %d nodes were ready", len(sim.platform.ready()), g.Nodes)
+		return r, fmt.Errorf("only %d of %d nodes were ready at the end of the run", len(sim.platform.ready()), g.Nodes)
 	}
 	return r, nil
 }
 
-// recordDelay stores in us how long after from the condition became true.
+// recordDelay stores in us the time from the given moment until the condition is true, to within 20 ms.
 func (sim *Simulation) recordDelay(from clock.Micros, ok func() bool, us *clock.Micros) {
 	if ok() {
 		*us = sim.now - from
@@ -106,7 +107,7 @@
 	sim.after(20*clock.Millisecond, func() { sim.recordDelay(from, ok, us) })
 }
 
-// nodesSeeingLive counts the other nodes that take a node for live.
+// nodesSeeingLive returns the number of other running nodes that consider a node live.
 func (sim *Simulation) nodesSeeingLive(name string) (n int) {
 	for _, p := range sim.processes {
 		if p.role != roleNode || !p.running() || p.name == name || p.snapshots.Current() == nil {
@@ -121,7 +122,7 @@
 	return n
 }
 
-// measurePhase measures from one moment to another.
+// measurePhase adds the measurements of a time span to r.
 func (sim *Simulation) measurePhase(r *Grown, name string, from, to clock.Micros) {
 	var previous map[string]Traffic
 	var peakIn, peakOut map[string]int64
@@ -141,7 +142,7 @@
 	})
 }
 
-// measurePeakSeconds records the busiest second of each process.
+// measurePeakSeconds records, for each process, the most bytes received and sent in one second.
 func (sim *Simulation) measurePeakSeconds(to clock.Micros, previous map[string]Traffic, in, out map[string]int64) {
 	if sim.now+clock.Second > to {
 		return
@@ -191,7 +192,8 @@
 		r.Peers += float64(kernel.Find[*mesh.Mesh](p.kernel).Peers())
 		r.Origins += float64(p.kernel.Counts.Of("mesh_origins").Load())
 	}
-	// The network may have opened a direct connection twice, of which one is used.
+	// Two processes may have two direct connections, of which one is used; only that one is in direct. A mesh
+	// connection is listed in links under both of its ends, so each listing counts half.
 	for _, l := range sim.net.links {
 		if !l.mesh {
 			continue
--- a/lab/sim/measure_scale.go
+++ b/lab/sim/measure_scale.go
@@ -1,5 +1,5 @@
-// Measurements of how the control plane scales: the mesh's traffic at rest, what one configuration change costs,
-// and how long it takes to be in force everywhere, for fleets of different sizes.
+// Measurements of how the control plane scales with the number of nodes: the mesh traffic of an idle fleet, the
+// frames that one configuration change causes, and the time until the change is in force everywhere.
 
 package sim
 
@@ -11,7 +11,9 @@
 	"wallport/runtime/wire"
 )
 
-// Scaled is the measurement of one fleet size.
+// Scaled holds the measurements of one fleet size. RestPerNode and BytesPerNode are mesh frames and bytes per
+// second and process of an idle fleet, ChangeFrames the gossip frames per change, and HealUs the time from the end
+// of a network partition until all nodes agree.
 type Scaled struct {
 	Nodes        int
 	RestPerNode  float64
@@ -22,7 +24,7 @@
 	HealUs       clock.Micros
 }
 
-// Scale measures a fleet of so many nodes.
+// Scale measures a fleet with the given number of nodes.
 func Scale(nodes int, seed uint64) (Scaled, error) {
 	text := fmt.Sprintf("set shape trust\nset nodes %d\nset seconds 110\nset rate 0\n", nodes)
 	s, err := script.Parse("scale", text)
@@ -46,7 +48,8 @@
 	var entries int64
 	sim.at(30*clock.Second, func() { entries = sim.net.partitionFrames })
 	sim.at(30*clock.Second+changes*2*clock.Second, func() { r.ChangeFrames = float64(sim.net.partitionFrames-entries) / changes })
-	// Half of the fleet is partitioned for 20 s, changes go on, and the cut heals.
+	// Half of the nodes are partitioned from the rest for 20 s. A change is sent during the partition, and then the
+	// partition heals.
 	half := sim.everySecondNode()
 	sim.at(52*clock.Second, func() { sim.net.setBlocked(half, sim.names, true, true); sim.net.setBlocked(half, half, true, false) })
 	sim.at(53*clock.Second, func() { sim.operators.put(sim.processes["core-0"].peerNode(), sim.operators.current(), "put", 0, nil) })
@@ -56,7 +59,7 @@
 	})
 	sim.Run()
 	if len(took) < changes/2 {
-		return r, fmt.Errorf("only %d of %d changes were in force", len(took), changes)
+		return r, fmt.Errorf("only %d of %d configuration changes came into force on all nodes", len(took), changes)
 	}
 	for i := range took {
 		for j := i; j > 0 && took[j] < took[j-1]; j-- {
@@ -67,7 +70,7 @@
 	return r, nil
 }
 
-// everySecondNode returns every second node.
+// everySecondNode returns the names of the nodes with odd numbers.
 func (sim *Simulation) everySecondNode() []string {
 	var out []string
 	for i := 1; i < sim.Shape.Nodes; i += 2 {
@@ -76,10 +79,11 @@
 	return out
 }
 
-// peerNode returns a node on the same side of the partition as the cores.
+// peerNode returns a node that is on the same side of the partition as the cores.
 func (p *process) peerNode() *process { return p.sim.processes["node-0"] }
 
-// timeChange sends one change and records how long it takes until every node has it in force.
+// timeChange sends one change and, if it is accepted, appends to took the time from sending it until every node has
+// it in force.
 func (sim *Simulation) timeChange(took *[]clock.Micros) {
 	began := sim.now
 	sim.operators.put(sim.processes["node-0"], sim.operators.current(), "put", 0, func(code wire.Code) {
@@ -89,7 +93,7 @@
 	})
 }
 
-// awaitAgreement waits until all nodes agree on the newest configuration.
+// awaitAgreement calls done with the time since began once all nodes have the newest configuration in force.
 func (sim *Simulation) awaitAgreement(began clock.Micros, done func(us int64)) {
 	var newest wire.Version
 	all := true
--- a/lab/sim/measure_traffic.go
+++ b/lab/sim/measure_traffic.go
@@ -1,5 +1,5 @@
-// What a process sends and receives, by kind of frame with its name, and this program's
-// own processor time.
+// Counts of the frames that a process sends and receives, by kind of frame, and the processor time of the simulator
+// itself.
 
 package sim
 
@@ -10,13 +10,13 @@
 	"wallport/runtime/wire"
 )
 
-// Kinds is more than the number of frame kinds.
+// Kinds is an upper bound for the number of frame kinds.
 const Kinds = 32
 
-// Flow is a number of frames and their bytes, without the transport's own.
+// Flow is a number of frames and their total bytes, without the overhead of the transport.
 type Flow struct{ Frames, Bytes int64 }
 
-// Traffic counts what one process did.
+// Traffic counts the frames, steps and fetches of one process.
 type Traffic struct {
 	In, Out [Kinds]Flow
 	Steps   int64
@@ -43,7 +43,7 @@
 	to.traffic.In[k].Bytes += n
 }
 
-// KindNames are the names of the kinds of frames.
+// KindNames holds the names of the frame kinds.
 var KindNames = map[uint8]string{
 	wire.KindHeartbeat: "heartbeat", wire.KindGossip: "gossip", wire.KindVote: "vote", wire.KindVoteReply: "vote_reply",
 	wire.KindAccept: "accept", wire.KindAcceptReply: "accept_reply", wire.KindLeaderHeartbeat: "beat", wire.KindLeaderHeartbeatReply: "beat_reply",
@@ -55,7 +55,7 @@
 	wire.KindStatusRequest: "status_request", wire.KindStatusReply: "status_reply",
 }
 
-// cpuSeconds returns the processor time that this program has used so far.
+// cpuSeconds returns the user and system processor time of the simulator so far, in seconds.
 func cpuSeconds() float64 {
 	var u unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &u) != nil {
@@ -64,7 +64,7 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// connected tells the process that a mesh connection to another one has opened.
+// connected delivers to the process the event that a mesh connection to process q has been opened.
 func (p *process) connected(q *process, id uint64, addr string, dialed bool) {
 	in := kernel.ConnUp{Conn: id, Addr: addr, Peer: kernel.Fingerprint(q.kernel.Boot.Key.Public), Zone: q.settings.Zone, Dialed: dialed, Mesh: true}
 	p.deliver(func() { p.step(in) })
--- a/lab/sim/play.go
+++ b/lab/sim/play.go
@@ -1,4 +1,4 @@
-// Running a scenario under a seed, and comparing the outcome with what it expects.
+// Runs a scenario under a seed and compares the counts with the scenario's expectations.
 
 package sim
 
@@ -9,7 +9,8 @@
 	"wallport/runtime/invariant"
 )
 
-// Result is the outcome of one run.
+// Result is the outcome of one run. Counts and Lines hold the counters, Tested how often each check was exercised,
+// and Faults the violations and unmet expectations.
 type Result struct {
 	Scenario string
 	Seed     uint64
@@ -20,8 +21,8 @@
 	Faults   []string
 }
 
-// runToViolation runs the world to its end, or to the first invariant of the running code that does
-// not hold, which it returns.
+// runToViolation runs the simulation to its end or to the first violated invariant of the product's code, which it
+// returns as text; empty if there is none.
 func (sim *Simulation) runToViolation() (violated string) {
 	defer func() {
 		switch v := recover().(type) {
@@ -36,7 +37,7 @@
 	return ""
 }
 
-// Play runs a scenario under a seed and checks it.
+// Play runs a scenario under a seed and returns its result. trace, if not nil, is called for every event.
 func Play(s *script.Script, seed uint64, trace func(at int64, text string)) Result {
 	invariant.SetFatal()
 	sim := New(s, seed)
@@ -51,7 +52,7 @@
 	}
 	for _, e := range s.Expects {
 		if got := sim.Checker.Value(e.Name); !e.Met(got) {
-			r.Faults = append(r.Faults, fmt.Sprintf("%s:%d: expected %s %s %d, saw %d", s.Name, e.Line, e.Name, e.Op, e.Want, got))
+			r.Faults = append(r.Faults, fmt.Sprintf("%s:%d: expected %s %s %d, got %d", s.Name, e.Line, e.Name, e.Op, e.Want, got))
 		}
 	}
 	return r
--- a/lab/sim/shift_test.go
+++ b/lab/sim/shift_test.go
@@ -1,5 +1,5 @@
-// A second loss comes a while after each kind of repair: here after each second
-// of four; lab sim --shift 250 goes through every quarter of a second.
+// Tests a second loss at different times after each kind of repair: here delayed by 1 to 4 s in steps of 1 s; "lab
+// sim --shift 250" goes in steps of a quarter of a second.
 
 package sim
 
@@ -20,7 +20,7 @@
 		if testing.Short() {
 			every = 4000
 		}
-		// The unshifted one is among all scenarios.
+		// The scenario without a delay is part of TestScenarios.
 		for _, one := range ShiftScripts(s, every, 4000)[1:] {
 			t.Run(fmt.Sprintf("%s/shift=%sms", name, one.Set["shift_ms"]), func(t *testing.T) {
 				t.Parallel()
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -1,5 +1,5 @@
-// Every scenario under a few fixed seeds, and the proof that a run replays.
-// Longer sweeps are a command of their own: lab sim --seeds.
+// Runs every scenario under a few fixed seeds, and tests that a run can be replayed. "lab sim --seeds" runs more
+// seeds.
 
 package sim
 
@@ -22,8 +22,9 @@
 		must.NoError(t, err)
 		seeds := uint64(s.Int("ci_seeds", 2))
 		if testing.Short() {
-			// The race run is for the code rather than the luck: one seed each, and not
-			// those that only take longer on the same code.
+			// With -short, under the race detector, each scenario runs under one seed, because the run looks for
+			// data races and not for rare schedules. Scenarios that only take longer on the same code (set race no)
+			// are left out.
 			seeds = 1
 			if s.Text("race", "") == "no" {
 				continue
@@ -51,7 +52,8 @@
 	must.NotEq(t, a.Digest, c.Digest)
 }
 
-// TestPowerLostAtWrites goes through a part of the steps; lab sim --power through all.
+// TestPowerLostAtWrites cuts the power at every ninth of all steps of all writes, or every 61st with -short; "lab
+// sim --power" runs all of them.
 func TestPowerLostAtWrites(t *testing.T) {
 	s, err := script.Load("../../scenarios/power_step.txt")
 	must.NoError(t, err)
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -1,4 +1,4 @@
-// The simulated world: its event queue, its set-up and its end.
+// The simulation: its event queue, its set-up, and the checks at its end.
 
 package sim
 
@@ -38,7 +38,7 @@
 	return x
 }
 
-// Simulation is one simulated fleet.
+// Simulation is one run of a simulated fleet.
 type Simulation struct {
 	Shape   fleet.Shape
 	Script  *script.Script
@@ -69,15 +69,16 @@
 	killed          map[string]bool
 	unservedAt      map[shardKey]int64
 	afterHealing    healedCounts
-	// day is set if the scenario plays a day on the users' platform.
+	// day is set if the scenario simulates a day on the users' platform.
 	day *day
-	// isolatedNodes counts the nodes that are partitioned from the greater part of the fleet.
+	// isolatedNodes counts the running nodes that are partitioned from the main group of the fleet: see
+	// updateReachability.
 	isolatedNodes int
-	// diskWrites counts the writes of all disks, for scenarios that lose power at one of them.
+	// diskWrites counts the writes of all disks, for scenarios that cut the power at a given write.
 	diskWrites int
 }
 
-// New makes a world from a scenario and a seed.
+// New returns a simulation of a scenario under a seed.
 func New(s *script.Script, seed uint64) *Simulation {
 	shape, ok := fleet.Shapes[s.Text("shape", "small")]
 	if !ok {
@@ -108,7 +109,7 @@
 	heap.Push(&sim.queue, event{max(t, sim.now), sim.seq, f})
 }
 
-// logEvent adds an event to the digest by which two runs are compared, and to the trace.
+// logEvent adds an event to the digest, by which two runs are compared, and to the trace.
 func (sim *Simulation) logEvent(text string) {
 	for i := range len(text) {
 		sim.digest = (sim.digest ^ uint64(text[i])) * 0x100000001b3
@@ -119,10 +120,10 @@
 	}
 }
 
-// Digest returns the hash of all events; equal runs have equal digests.
+// Digest returns the hash of all events and their times; identical runs have equal digests.
 func (sim *Simulation) Digest() uint64 { return sim.digest }
 
-// Run plays the whole scenario.
+// Run runs the scenario to its end and then the final checks.
 func (sim *Simulation) Run() {
 	sim.build()
 	end := sim.Script.Int("seconds", 30) * clock.Second
@@ -172,7 +173,8 @@
 	sim.after(100*clock.Millisecond, sim.sample)
 }
 
-// sample records ten times a second which configuration every node has in force.
+// sample runs ten times a second. It reports to the checker which configuration and which bookings every running
+// node has in force.
 func (sim *Simulation) sample() {
 	sim.after(100*clock.Millisecond, sim.sample)
 	sim.updateReachability()
@@ -196,7 +198,8 @@
 	}
 }
 
-// reachableSince returns since when a node has been up, running and connected; -1 if it is not.
+// reachableSince returns the time since which a node has been up, not frozen and not isolated; -1 if it is isolated
+// or frozen.
 func (sim *Simulation) reachableSince(p *process) clock.Micros {
 	if p.isolated || p.frozen {
 		return -1
--- a/lab/sim/world_bookings.go
+++ b/lab/sim/world_bookings.go
@@ -1,5 +1,5 @@
-// Simulated bookings: an operator reserves a slice for a window, and every
-// reachable node has it running in that window and at no other time.
+// Simulated bookings: an operator reserves a slice of the capacity for a time window. The check is that the booking
+// is active on every reachable node during that window and at no other time.
 
 package sim
 
@@ -22,7 +22,8 @@
 	slice    int64
 }
 
-// book reserves a slice; from and to are seconds of simulated time.
+// book reserves a slice of the capacity, in percent, from one time to another; both are in seconds of simulated
+// time. It repeats the edit until it is accepted or found invalid.
 func (o *operators) book(id, kind string, slice, from, to int64) {
 	sim := o.sim
 	row, _ := json.Marshal(map[string]any{
@@ -30,7 +31,8 @@
 		"starts_us": fmt.Sprint(epoch + from*clock.Second), "ends_us": fmt.Sprint(epoch + to*clock.Second),
 	})
 	body, _ := json.Marshal([]config.RowEdit{{Op: "set", Table: "bookings", Row: row}})
-	// Other edits go on meanwhile; only this operator edits the row, so they do not conflict with it.
+	// Other operators send edits at the same time. They do not conflict with this one, because no other edit
+	// changes this row.
 	o.sendUntil(func() wire.Edit { return wire.Edit{Op: "rows", Strict: true, Base: o.current().version, Body: body} }, func(code wire.Code) bool {
 		sim.logEvent("booking " + id + " " + string(code))
 		sim.Checker.Count("bookings."+string(code), 1)
@@ -44,7 +46,8 @@
 	})
 }
 
-// checkBookings checks which bookings a reachable node has running.
+// checkBookings checks which bookings a reachable node has active. A node that became reachable less than
+// check.ConfigWithin ago is not checked.
 func (sim *Simulation) checkBookings(p *process, running []string, since clock.Micros) {
 	if since < 0 || sim.now-since < check.ConfigWithin {
 		return
@@ -54,7 +57,8 @@
 	}
 }
 
-// rebuild makes an operator order a partition's group to be rebuilt; -1 means all partitions.
+// rebuild sends the operator command that rebuilds the replica group of a partition of the control state; -1 means
+// all partitions.
 func (o *operators) rebuild(partition int) {
 	if partition < 0 {
 		for p := range state.Partitions {
--- a/lab/sim/world_callers.go
+++ b/lab/sim/world_callers.go
@@ -1,5 +1,5 @@
-// Simulated callers: searches, reads, corrections and part fetches at a steady
-// rate; some repeat, under the same key, through another node.
+// Simulated callers send searches, reads, corrections and part fetches at a steady rate. Some of them repeat a
+// request under the same idempotency key, possibly through another node.
 
 package sim
 
@@ -18,14 +18,17 @@
 	sent   int64
 	ready  []*process
 	repeat int64
-	// repeatSearches is the share of searches and reads that are sent again, under a key.
+	// repeatSearches is the percentage of searches and reads that carry a key and are repeated.
 	repeatSearches int64
-	// skew is the share that goes to two nodes; mix weighs the kinds.
+	// skew is the percentage of the requests that goes to the first two ready nodes; mix holds the weights of the
+	// kinds, in the order of config.Kinds.
 	skew int64
 	mix  []int64
-	// attempted holds keys, and keys with a shard, for which a server was asked.
+	// attempted holds the keys for which a request was sent to a server, and the same keys with the shard
+	// ("KEY/SHARD").
 	attempted map[string]bool
-	// sends counts how often a key was read by some node; refused holds the keys that were answered as repeats.
+	// sends counts, for each key, how many requests with it were read by a node; refused holds the keys of which a
+	// request was rejected as a repeat for lack of retry budget.
 	sends    map[string]int
 	refused  map[string]bool
 	inFlight int
@@ -45,7 +48,8 @@
 	c.refreshReady()
 }
 
-// refreshReady updates the ready nodes about three times a second.
+// refreshReady updates the list of ready nodes about three times a second; it keeps the previous list if no node is
+// ready.
 func (c *callers) refreshReady() {
 	c.sim.after(300*clock.Millisecond, c.refreshReady)
 	if r := c.sim.platform.ready(); len(r) > 0 {
@@ -91,8 +95,8 @@
 	c.send(in, attempts, rnd.Int64N(2) == 0)
 }
 
-// send asks a node. A caller that repeats uses the same key: eagerly, without waiting for the response, or after
-// a failure.
+// send sends a request to a node. A caller that repeats the request uses the same key. An eager caller repeats
+// without waiting for the response, the others after a failure.
 func (c *callers) send(in search.Request, attempts int, eager bool) {
 	sim := c.sim
 	p := c.pickNode()
@@ -108,13 +112,13 @@
 	if eager {
 		retry(sim.rng.Int64N(c.sim.Script.Int("eager_us", 300*clock.Millisecond)))
 	}
-	started := p.incarnation
+	incarnation := p.incarnation
 	sim.after(sim.net.latency(), func() {
-		if !p.up || p.incarnation != started || !p.snapshots.Current().Ready() || p.draining && !p.frozen && sim.rng.IntN(2) == 0 {
+		if !p.up || p.incarnation != incarnation || !p.snapshots.Current().Ready() || p.draining && !p.frozen && sim.rng.IntN(2) == 0 {
 			c.inFlight--
 			sim.Checker.Count("callers_refused_connection", 1)
 			if in.Key != "" && sim.now < c.until {
-				// Nobody read it: retry until somebody does.
+				// No node has read the request, so it is sent again until one does.
 				sim.after(200*clock.Millisecond+sim.rng.Int64N(600*clock.Millisecond), func() { c.send(in, attempts, eager) })
 			}
 			return
@@ -128,7 +132,7 @@
 			c.checkOutcome(p, &in, o, sent, planned || p.draining)
 			switch {
 			case o == nil && in.Key != "":
-				// Aborted without a response: every caller retries that.
+				// The request was aborted without a response; every caller retries in that case.
 				sim.after(500*clock.Millisecond, func() { c.send(repeat, max(attempts, 12), false) })
 			case !eager && (o == nil || o.Code != search.CodeOK):
 				retry(500 * clock.Millisecond)
@@ -137,7 +141,8 @@
 	})
 }
 
-// drawKind draws a kind by the mix: two thirds are searches unless the scenario says otherwise.
+// drawKind draws a kind of request by the weights of mix: two thirds are searches unless the scenario sets other
+// weights.
 func (c *callers) drawKind() search.Kind {
 	sum := int64(0)
 	for _, n := range c.mix {
--- a/lab/sim/world_disk.go
+++ b/lab/sim/world_disk.go
@@ -1,5 +1,5 @@
-// A simulated disk: writes take time and complete in order; a power loss keeps only what was synced, and may
-// leave a write in flight torn, undone or complete.
+// A simulated disk: writes take time and complete in order. A power loss keeps only what was synced; the write in
+// flight may end up torn, not applied or complete.
 
 package sim
 
@@ -8,10 +8,10 @@
 	"wallport/runtime/kernel"
 )
 
-// diskMode is how a disk behaves; scenarios name the modes by their text.
+// diskMode is how a disk behaves. Scenarios use the text as the name of the mode.
 type diskMode string
 
-// Modes of disks: writes succeed, hang, or fail for lack of space.
+// Modes of disks: writes succeed, do not complete, or fail for lack of space.
 const (
 	diskOK      diskMode = ""
 	diskStalled diskMode = "stalled"
@@ -26,9 +26,10 @@
 	mode       diskMode
 	extraDelay clock.Micros
 	fsyncs     int64
-	// syncTime is the least duration of a sync; 0 selects the default distribution.
+	// syncTime is the shortest duration of a write and its sync; a write takes up to one and a half times as long.
+	// 0 selects the default distribution, 0.8 to 3.8 ms.
 	syncTime clock.Micros
-	// powerOffAfter is the file whose next completed write is followed by a power loss.
+	// powerOffAfter is the file after whose next completed write the power is cut; empty for none.
 	powerOffAfter string
 }
 
@@ -60,21 +61,22 @@
 	if d.syncTime > 0 {
 		duration = d.syncTime + d.process.sim.rng.Int64N(d.syncTime/2) + d.extraDelay
 	}
-	started := d.process.incarnation
+	incarnation := d.process.incarnation
 	d.process.sim.after(duration, func() {
-		if d.process.incarnation != started {
+		if d.process.incarnation != incarnation {
 			return
 		}
 		d.complete()
 	})
 }
 
-// complete ends the write at the head, unless the disk stalled meanwhile.
+// complete ends the first write of the queue. If the disk has stalled since the write began, it checks again every
+// 20 ms.
 func (d *disk) complete() {
 	if d.mode == diskStalled {
-		started := d.process.incarnation
+		incarnation := d.process.incarnation
 		d.process.sim.after(20*clock.Millisecond, func() {
-			if d.process.incarnation == started {
+			if d.process.incarnation == incarnation {
 				d.complete()
 			}
 		})
@@ -101,8 +103,8 @@
 	d.startNext()
 }
 
-// powerLoss ends the process with the power: writes that were not synced are dropped, undone, or leave a torn
-// file.
+// powerLoss applies a power loss to the disk. Queued writes are dropped; the write in flight is dropped, complete,
+// or leaves a torn file if the file did not exist before.
 func (d *disk) powerLoss() {
 	if d.busy && len(d.queue) > 0 && d.queue[0].Data != nil {
 		w := d.queue[0]
@@ -121,7 +123,7 @@
 
 func (d *disk) wipe() { d.files = map[string][]byte{} }
 
-// write enqueues a write at the disk; without a disk it fails.
+// write enqueues a write at the process's disk; without a disk the write fails.
 func (p *process) write(wr kernel.Write) {
 	if p.disk != nil {
 		p.disk.enqueue(wr)
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -1,4 +1,4 @@
-// The request path of a simulated node: the product's search state machine, its actions carried out on the
+// The request path of a simulated node: the product's search state machine, whose actions are carried out on the
 // simulated network.
 
 package sim
@@ -27,10 +27,11 @@
 	return &frontend{process: p, requests: map[*searchRequest]bool{}}
 }
 
-// accept starts a request that was read completely; done gets its outcome, or nil if it was aborted.
+// accept starts a request that the node has read completely. done is called with the outcome, or with nil if the
+// request is aborted.
 func (f *frontend) accept(in search.Request, done func(o *search.Outcome)) {
 	r := &searchRequest{in: &in, done: done}
-	// In a frozen process it waits, unread, until the process thaws or ends.
+	// In a frozen process the request stays unread until the process thaws or ends.
 	f.requests[r] = true
 	f.ordered = append(f.ordered, r)
 	f.process.deliver(func() {
@@ -39,7 +40,7 @@
 	})
 }
 
-// abort ends the frontend with its process: every request in flight is aborted.
+// abort aborts every request in flight when the process ends.
 func (f *frontend) abort() {
 	list := f.ordered
 	f.ordered = nil
@@ -57,7 +58,8 @@
 	}
 	acts := r.stateMachine.Step(f.process.now(), ev)
 	if at := f.process.freezeAt; at != "" && r.stateMachine.State() == at {
-		// The step's actions are carried out before the process freezes, or after it thaws.
+		// The actions of this step are carried out before the process freezes; their results are delivered after it
+		// thaws.
 		f.process.freezeAt = ""
 		f.process.sim.Checker.Count("frozen_at."+string(at), 1)
 		f.process.sim.after(0, f.process.freeze)
@@ -73,9 +75,9 @@
 	switch v := a.(type) {
 	case search.Send:
 		f.checkRequest(&v)
-		started := p.incarnation
+		incarnation := p.incarnation
 		p.sim.sendToServer(p, &v, func(rep search.Result) {
-			if p.incarnation == started {
+			if p.incarnation == incarnation {
 				p.deliver(func() { f.step(r, search.AttemptDone{Attempt: v.Attempt, Result: rep}) })
 			}
 		})
@@ -105,13 +107,15 @@
 	}
 }
 
-// checkRequest reports a request that leaves this node to the checker.
+// checkRequest reports to the checker a request that this node sends to a server.
 func (f *frontend) checkRequest(a *search.Send) {
 	sim := f.process.sim
-	// Judged by what reaches the servers, not by what the node takes it for.
+	// A request counts as a retry if a server was sent the same key and shard before, by any node, even if this
+	// node treats it as a first attempt.
 	isRetry := sim.callers.recordAttempt(a) || a.Retry
 	if f.process.isolated {
-		// It cannot hear of configurations and drained zones; it reads the platform's list itself.
+		// An isolated node does not learn of new configurations and drained zones, and it reads the platform's list
+		// itself.
 		sim.Checker.Count("asks_of_isolated", 1)
 		if sim.isolatedNodes == 1 && !sim.net.partitioned(f.process.name, "platform") {
 			sim.Checker.RequestFromIsolated(a.Backend.ID, sim.now, sim.now-f.process.isolatedAt)
@@ -126,7 +130,7 @@
 	sim.checkSlowStart(f.process, a)
 }
 
-// checkSlowStart reports requests to a shard that has both warm and cold servers to the checker.
+// checkSlowStart reports to the checker a request to a shard that has both warm and cold servers.
 func (sim *Simulation) checkSlowStart(node *process, a *search.Send) {
 	good, warm := 0, 0
 	zones := map[string]int{}
@@ -152,8 +156,9 @@
 	}
 }
 
-// fairShare returns the share of one request that a warm server gets, in thousandths: of the two candidates that
-// are drawn one is in the node's own zone where it has any.
+// fairShare returns the expected share of one request, in thousandths, that a warm server gets from a node. zones
+// counts the healthy servers by zone, and good all of them. A node draws two candidates, one of them from its own
+// zone if that zone has any.
 func fairShare(nodeZone, serverZone string, zones map[string]int, good int) int64 {
 	switch n := zones[nodeZone]; {
 	case n == 0:
--- a/lab/sim/world_load.go
+++ b/lab/sim/world_load.go
@@ -1,5 +1,5 @@
-// The verbs for limits and load: capacity and ceilings of the configuration, the rate, the mix of kinds, and
-// callers that crowd on a few nodes.
+// The scenario verbs for limits and load: capacity and ceilings of the configuration, request rate, mix of kinds,
+// and skew of the callers towards a few nodes.
 
 package sim
 
@@ -12,17 +12,17 @@
 	"wallport/request/search"
 )
 
-// shares are the quota shares in the shape's configuration, in percent.
+// shares holds the quota share of each kind in the shape's configuration, in percent.
 var shares = map[search.Kind]float64{search.KindSearch: 60, search.KindRead: 20, search.KindCorrect: 10, search.KindPart: 10}
 
-// applyLoadVerb runs the verbs that change the load or the limits.
+// applyLoadVerb runs a verb that changes the load or the limits.
 func (sim *Simulation) applyLoadVerb(verb string, args []string) {
 	first := parseInt(args[0])
 	switch verb {
 	case "rate":
 		sim.callers.rate = first
 	case "skew":
-		// This percentage of the requests goes to two of the nodes.
+		// The argument is the percentage of the requests that goes to two of the nodes.
 		sim.callers.skew = first
 	case "mix":
 		sim.callers.mix = nil
@@ -41,7 +41,8 @@
 	sim.checkLimits()
 }
 
-// checkLimits tells the checker which limits hold from now on; a booking's start and end change them too.
+// checkLimits reports to the checker the limits that hold from now on. They change with the configuration and when
+// a booking starts or ends.
 func (sim *Simulation) checkLimits() {
 	if sim.Script.Text("judge_limits", "") == "" {
 		return
--- a/lab/sim/world_machines.go
+++ b/lab/sim/world_machines.go
@@ -1,10 +1,11 @@
-// Faults of many machines at once: the servers of a new shard map, a total loss, and replaced cores.
+// Events that affect many machines: the start of the servers of a new shard map, total power loss and its end, and
+// the replacement of cores.
 
 package sim
 
 import "wallport/runtime/clock"
 
-// startShardMap starts the servers of a new shard map, cold.
+// startShardMap starts the servers of a new shard map; they are cold.
 func (sim *Simulation) startShardMap(shardMap string, shards, per int) {
 	for i := range shards * per {
 		sim.addServer(sim.Shape.Backend(i, shardMap, shards, ""), shards)
@@ -34,7 +35,7 @@
 	}
 }
 
-// replaceCore removes a core machine for good and adds an empty one at a new address.
+// replaceCore removes a core machine for good and adds one with an empty disk at a new address in the same zone.
 func (sim *Simulation) replaceCore(name string) {
 	for _, n := range sim.match(name) {
 		sim.applyProcessVerb("power", sim.processes[n])
--- a/lab/sim/world_network.go
+++ b/lab/sim/world_network.go
@@ -1,5 +1,5 @@
-// The simulated network between processes: ordered connections with latency, partitions in one or both
-// directions, broken connections, and duplicate delivery on the mesh.
+// The simulated network between processes: connections that deliver frames in order and with latency, partitions in
+// one or both directions, closed connections, and duplicate delivery on the mesh.
 
 package sim
 
@@ -37,7 +37,8 @@
 	isolated         map[string]bool
 	extraDelay       clock.Micros
 	duplicatePercent int64
-	// For measurements: frames and bytes on mesh connections, and the frames that carry a partition's version.
+	// For measurements: the frames and bytes on mesh connections, and the gossip frames that carry a version of
+	// partition 0 of the control state.
 	frames, bytes, partitionFrames int64
 }
 
@@ -46,11 +47,11 @@
 	n.isolated = map[string]bool{}
 }
 
-// stallTimeout is how long a connection survives a partition: the writer's time-out.
+// stallTimeout is how long a connection survives a network partition: the write time-out of the sender.
 const stallTimeout = 5 * clock.Second
 
-// partitioned reports whether no frame gets from a to b. An isolated process reaches no other process, later
-// ones included, but the platform and the servers.
+// partitioned reports whether frames from a cannot reach b. An isolated process reaches the platform and the
+// servers but no other process, including processes that are added later.
 func (n *network) partitioned(a, b string) bool {
 	if n.sim.day != nil {
 		return n.sim.day.partitioned(a, b)
@@ -63,7 +64,8 @@
 
 func (n *network) latency() clock.Micros { return 150 + n.sim.rng.Int64N(600) + n.extraDelay }
 
-// dial opens a connection and passes it to then, or nil if that fails.
+// dial opens a connection. It calls then with the connection, or with nil if the dial of a direct connection fails;
+// the process learns of a failed mesh dial by a ConnDown input.
 func (n *network) dial(p *process, addr string, mesh bool, then func(l *link)) {
 	sim := n.sim
 	fail := func(d clock.Micros) {
@@ -88,17 +90,17 @@
 		fail(2 * clock.Second)
 		return
 	}
-	pStarted, qStarted := p.incarnation, q.incarnation
+	pIncarnation, qIncarnation := p.incarnation, q.incarnation
 	sim.after(3*n.latency(), func() {
-		if p.incarnation != pStarted || !p.up {
+		if p.incarnation != pIncarnation || !p.up {
 			return
 		}
-		if q.incarnation != qStarted || !q.up {
+		if q.incarnation != qIncarnation || !q.up {
 			fail(0)
 			return
 		}
 		n.lastID += 2
-		l := &link{mesh: mesh, addr: addr, ends: [2]linkEnd{{p, n.lastID, pStarted}, {q, n.lastID + 1, qStarted}}}
+		l := &link{mesh: mesh, addr: addr, ends: [2]linkEnd{{p, n.lastID, pIncarnation}, {q, n.lastID + 1, qIncarnation}}}
 		n.links[n.lastID], n.links[n.lastID+1] = l, l
 		if mesh {
 			p.connected(q, n.lastID, addr, true)
@@ -122,9 +124,9 @@
 		n.transmit(l, p, s.Data)
 		return
 	}
-	started := p.incarnation
+	incarnation := p.incarnation
 	n.dial(p, s.Addr, false, func(l *link) {
-		if l == nil || p.incarnation != started {
+		if l == nil || p.incarnation != incarnation {
 			return
 		}
 		if old := n.direct[key]; old != nil && !old.closed {
@@ -136,7 +138,8 @@
 	})
 }
 
-// transmit delivers a frame; a partition delays it and closes the connection in the end.
+// transmit sends a frame on a connection. A partition delays the frame, and closes the connection after
+// stallTimeout.
 func (n *network) transmit(l *link, from *process, data []byte) {
 	if l.closed {
 		return
@@ -183,7 +186,8 @@
 	})
 }
 
-// asLaterRelease makes a frame look like one of a later release, which has one more field.
+// asLaterRelease adds a field to a frame from every n-th process (newer_every), as a later release of the software
+// would.
 func (n *network) asLaterRelease(from *process, data []byte) []byte {
 	every := n.sim.Script.Int("newer_every", 0)
 	if every == 0 || from.index%every != 0 || len(data) < 11 || data[10]&0xf0 != 0x80 || data[10] == 0x8f {
@@ -196,7 +200,8 @@
 	return msgp.AppendMapStrStr(out, map[string]string{"of": "a later release"})
 }
 
-// pathDisabled reports whether the scenario has switched off the path, gossip or pull, by which this frame travels.
+// pathDisabled reports whether the scenario has switched off the path by which this frame travels: all frames of
+// the mesh (mesh_off_us), or replies to pulls (pulls_off_us).
 func (n *network) pathDisabled(l *link, data []byte) bool {
 	disabled := func(name string) bool { at := n.sim.Script.Int(name, 0); return at > 0 && n.sim.now >= at }
 	f, err := wire.Open(data)
@@ -226,7 +231,7 @@
 	}
 }
 
-// closeLinksOf closes every connection of a process that died.
+// closeLinksOf closes every connection of a process that has ended.
 func (n *network) closeLinksOf(p *process) {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
@@ -236,7 +241,8 @@
 	}
 }
 
-// setBlocked partitions or joins two groups of processes, one way or both.
+// setBlocked blocks or unblocks frames from one group of processes to another, and with both also in the other
+// direction.
 func (n *network) setBlocked(from, to []string, both, on bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -251,8 +257,8 @@
 	}
 }
 
-// partitionDialDelay returns how soon a dial over a partition fails: at once where the partition refuses
-// connections.
+// partitionDialDelay returns the time after which a dial over a partition fails: one network latency if the
+// partition refuses connections, 1 s otherwise.
 func (n *network) partitionDialDelay(p, q *process) clock.Micros {
 	if p.machine != nil && n.sim.day.refusedLinks[p.machine.name+">"+q.machine.name] {
 		return n.latency()
@@ -260,7 +266,7 @@
 	return clock.Second
 }
 
-// reset closes a share of a machine's connections at once.
+// reset closes each connection of a machine with probability share.
 func (n *network) reset(m *machine, share float64) {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
@@ -270,7 +276,7 @@
 	}
 }
 
-// closePartitioned closes at once the connections that cross a partition.
+// closePartitioned closes the connections that cross a partition, without waiting for their time-out.
 func (n *network) closePartitioned() {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
--- a/lab/sim/world_operators.go
+++ b/lab/sim/world_operators.go
@@ -1,6 +1,7 @@
-// Simulated operators: complete configurations and row edits, single, racing, in storms, invalid ones and
-// retries; zones and shard maps. Each configuration carries a mark in its ramp, a few microseconds longer than
-// the last one, by which it is recognised wherever it is seen.
+// Simulated operators. They send complete configurations and row edits, one at a time, concurrently or in quick
+// succession, including invalid edits and retries, and they drain zones and switch shard maps. Each configuration
+// has a slow-start time (ramp_us) that is one microsecond longer than that of the configuration before it. This
+// mark identifies the configuration wherever it is in force.
 
 package sim
 
@@ -23,10 +24,11 @@
 	sim      *Simulation
 	mark     int64
 	bookings map[string]booking
-	// The limits in the configuration from the next put on.
+	// capacity and ceilings are the limits in every configuration that is sent from now on.
 	capacity int64
 	ceilings map[string]float64
-	// Calls are counted so that a later one for the same thing replaces an earlier one.
+	// zoneCalls and shardMapCalls count the calls for each zone and index; a call stops repeating itself once a
+	// later call for the same zone or index has been made.
 	zoneCalls     map[string]int
 	shardMapCalls map[string]int
 }
@@ -36,7 +38,7 @@
 	o.capacity, o.shardMapCalls = sim.Script.Int("capacity", 2000), map[string]int{}
 }
 
-// pickNode picks a node for an operator's call; nil if none is up.
+// pickNode picks a random running node that is not draining, for an operator's call; nil if there is none.
 func (o *operators) pickNode() *process {
 	var up []*process
 	for _, name := range o.sim.names {
@@ -50,7 +52,8 @@
 	return up[o.sim.rng.IntN(len(up))]
 }
 
-// buildConfig returns the shape's configuration under a new mark, with the bookings of the one it is based on.
+// buildConfig returns the shape's configuration with the given mark and the bookings of the configuration that it
+// is based on.
 func (o *operators) buildConfig(mark int64, base *configpb.Sheet) []byte {
 	var s map[string]any
 	if json.Unmarshal(o.sim.Shape.Config(), &s) != nil {
@@ -75,7 +78,8 @@
 	return b
 }
 
-// putInitial puts the first configuration and shard map as soon as a node accepts them.
+// putInitial sends the first configuration and the first shard maps as soon as a node has a snapshot of the control
+// state, and repeats the configuration until it is accepted.
 func (o *operators) putInitial() {
 	o.sim.after(100*clock.Millisecond, func() {
 		p := o.pickNode()
@@ -88,7 +92,8 @@
 				o.putInitial()
 				return
 			}
-			// An edit whose outcome was unknown may have been accepted: then a later one loses to it.
+			// CodeLostRace also counts as success: an earlier attempt whose outcome was unknown may have been
+			// accepted, and then a later one loses to it.
 			o.setShardMap(o.sim.Shape.Index, "c1", o.sim.Shape.Shards)
 			if other := o.sim.otherIndex(); other != "" {
 				o.setShardMap(other, otherShardMap, o.sim.Shape.Shards)
@@ -97,7 +102,9 @@
 	})
 }
 
-// put sends a complete configuration based on a version; an invalid one must be rejected.
+// put sends a configuration edit based on a version, through a node: a complete configuration, or one row (kind
+// "rows"), or an invalid configuration (kind "invalid"), which must be rejected. A mark of 0 selects the next one.
+// done may be nil.
 func (o *operators) put(p *process, base configReading, kind string, mark int64, done func(code wire.Code)) {
 	sim := o.sim
 	if p == nil {
@@ -135,7 +142,7 @@
 	})
 }
 
-// configReading is a configuration as an operator read it from some node.
+// configReading is the configuration, with its version, that an operator has read from a node.
 type configReading struct {
 	version wire.Version
 	config  *configpb.Sheet
@@ -150,7 +157,7 @@
 	return configReading{cp.Config.ConfigVersion, cp.Configuration}
 }
 
-// race sends n edits based on one version through different nodes at about the same time.
+// race sends n edits based on one version, through random nodes and within 60 ms.
 func (o *operators) race(n int, kind string) {
 	base := o.current()
 	for range n {
@@ -158,7 +165,8 @@
 	}
 }
 
-// storm sends edits one after another, each based on what is then in force.
+// storm sends n edits at a fixed interval, each based on the configuration that is in force when it is sent. Every
+// fourth one is invalid.
 func (o *operators) storm(n int, every clock.Micros) {
 	for i := range n {
 		o.sim.after(int64(i)*every, func() {
@@ -168,7 +176,7 @@
 	}
 }
 
-// sendTwice sends one edit twice under one id, as an operator does whose answer was lost.
+// sendTwice sends one edit twice under the same id, like an operator who did not get the answer.
 func (o *operators) sendTwice() {
 	base := o.current()
 	o.mark++
@@ -177,8 +185,8 @@
 	o.sim.after(200*clock.Millisecond, func() { o.put(o.pickNode(), base, "put", mark, nil) })
 }
 
-// sendUntil sends an edit through one node after another, as an operator does who gets no answer or a temporary
-// rejection, until ended returns true.
+// sendUntil sends an edit through one random node after another until ended returns true for an answer, like an
+// operator who gets no answer or a temporary rejection.
 func (o *operators) sendUntil(make func() wire.Edit, ended func(code wire.Code) bool) {
 	sim := o.sim
 	p := o.pickNode()
@@ -223,7 +231,7 @@
 	o.sendUntil(func() wire.Edit { return e }, func(code wire.Code) bool {
 		sim.logEvent("zone " + action + " " + zone + " " + string(code))
 		sim.Checker.Count("zones."+string(code), 1)
-		// A later call for the zone takes the place of this one.
+		// A later call for the zone replaces this one.
 		return code == wire.CodeOK || o.zoneCalls[zone] != mine
 	})
 }
--- a/lab/sim/world_other_index.go
+++ b/lab/sim/world_other_index.go
@@ -1,5 +1,5 @@
-// A second index on the same fleet, "set other_index NAME": its pool has its own servers, service and shard map,
-// and faults of the first pool must not affect it.
+// A second index on the same fleet ("set other_index NAME"). It has its own servers, service and shard map, and
+// faults of the first index must not affect its callers.
 
 package sim
 
@@ -12,10 +12,10 @@
 
 const otherShardMap = "d1"
 
-// otherIndex returns the name of the second index, "" without one.
+// otherIndex returns the name of the second index, or "" if there is none.
 func (sim *Simulation) otherIndex() string { return sim.Script.Text("other_index", "") }
 
-// addOtherServers starts its servers, three a shard.
+// addOtherServers starts the servers of the second index, three for each shard.
 func (sim *Simulation) addOtherServers() {
 	if sim.otherIndex() == "" {
 		return
@@ -28,7 +28,8 @@
 	}
 }
 
-// addOtherConfig adds a service and rows like those of the first index, with spare capacity.
+// addOtherConfig adds to a configuration a service and rows like those of the first index, but with ample capacity
+// and no ceilings.
 func (sim *Simulation) addOtherConfig(s map[string]any) {
 	if sim.otherIndex() == "" {
 		return
@@ -50,7 +51,7 @@
 	}
 }
 
-// countOtherPool counts the responses to callers of the second index.
+// countOtherPool counts the good and bad responses to callers of the second index.
 func (sim *Simulation) countOtherPool(in *search.Request, o *search.Outcome) {
 	if sim.otherIndex() == "" || in.Index != sim.otherIndex() {
 		return
@@ -60,6 +61,6 @@
 		sim.Checker.Count("other.good", 1)
 	default:
 		sim.Checker.Count("other.bad", 1)
-		sim.logEvent(fmt.Sprint("other pool felt it: ", o.Code, " ", o.Why, " ", o.Missing))
+		sim.logEvent(fmt.Sprint("request of the second index failed or was partial: ", o.Code, " ", o.Why, " ", o.Missing))
 	}
 }
--- a/lab/sim/world_platform.go
+++ b/lab/sim/world_platform.go
@@ -1,5 +1,5 @@
-// The simulated platform: a lagging, rate-limited endpoint list, and the assignment of ready nodes to callers,
-// with a lag too.
+// The simulated platform: an endpoint list that lags and is rate-limited, and the list of the ready nodes that
+// callers may use.
 
 package sim
 
@@ -28,13 +28,13 @@
 	p.sim, p.lag, p.callLimit = sim, sim.Script.Int("lag_us", 300*clock.Millisecond), sim.Script.Int("allowed_per_10s", 20)
 }
 
-// publish records the current servers at the platform, which shows them after its lag.
+// publish records the current servers; the platform lists them after its lag.
 func (p *platform) publish() {
 	l := wire.BackendList{}
 	for _, id := range p.sim.serverIDs {
 		s := p.sim.servers[id]
 		row := s.row
-		// Rows are copied, so a published list does not change.
+		// The row is copied because a published list must not change later.
 		l.Backends = append(l.Backends, row)
 		if row.State == "leaving" {
 			p.sim.Checker.BackendDrains(id, p.sim.now+p.lag)
@@ -73,7 +73,8 @@
 	return 200, b
 }
 
-// ready returns the nodes that the platform assigns to callers.
+// ready returns the nodes that the platform assigns to callers: running, ready, not draining and not in a drained
+// zone.
 func (p *platform) ready() []*process {
 	var out []*process
 	for _, name := range p.sim.names {
--- a/lab/sim/world_power.go
+++ b/lab/sim/world_power.go
@@ -1,5 +1,5 @@
-// Power loss at one step of one write, so that a sweep can cover every step of every write: "set power_write K"
-// selects the K-th write of the fleet's disks after "power_from_us", "set power_step" the step.
+// Power loss at a given step of a given write, so that a sweep can cover every step of every write. "set
+// power_write K" selects the K-th write of all disks after "power_from_us", and "set power_step" the step.
 
 package sim
 
@@ -12,11 +12,12 @@
 	"wallport/runtime/kernel"
 )
 
-// PowerSteps are the moments of a write at which the power can go.
+// PowerSteps are the steps of a write at which the power can be cut: written to a temporary file, synced, renamed,
+// acknowledged.
 var PowerSteps = []string{"aside", "synced", "renamed", "answered"}
 
-// powerOffAtStep counts a write as it starts and cuts the power if it is the selected one; it reports whether
-// the process ended.
+// powerOffAtStep counts a write that starts and, if it is the selected one, cuts the power at the selected step. It
+// reports whether the power was cut; a power cut after the acknowledgement comes later.
 func (d *disk) powerOffAtStep(w kernel.Write) bool {
 	sim := d.process.sim
 	if sim.Script.Set["power_write"] == "" || sim.now < sim.Script.Int("power_from_us", 0) || w.Data == nil {
@@ -29,10 +30,10 @@
 	}
 	switch sim.Script.Text("power_step", "") {
 	case "aside", "synced":
-		// Written to a temporary file, synced or not: the file itself is unchanged.
+		// The data is in a temporary file, synced or not; the file itself is unchanged.
 		d.powerOff()
 	case "renamed":
-		// Renamed and synced, but not acknowledged.
+		// The temporary file is renamed and synced, but the write is not acknowledged.
 		d.files[w.File] = w.Data
 		d.powerOff()
 	case "answered":
@@ -42,7 +43,7 @@
 	return true
 }
 
-// powerOffAfterAck cuts the power right after the selected write was acknowledged.
+// powerOffAfterAck cuts the power right after the selected write has been acknowledged, if its step is "answered".
 func (d *disk) powerOffAfterAck(w kernel.Write) {
 	if d.powerOffAfter != "" && d.powerOffAfter == w.File {
 		d.powerOffAfter = ""
@@ -63,7 +64,7 @@
 	sim.after(1500*clock.Millisecond, func() { sim.applyProcessVerb("restart", p) })
 }
 
-// PowerScripts returns copies of a scenario, one for each step of each write that a run of it makes.
+// PowerScripts runs a scenario once to count its writes, and returns copies of it, one for each step of each write.
 func PowerScripts(s *script.Script, seed uint64) []*script.Script {
 	with := func(n int64, step string) *script.Script {
 		c := *s
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -1,4 +1,4 @@
-// A simulated process: one kernel with its own clocks, disk and connections, and on a node the request path.
+// A simulated process: a kernel with its own clocks, disk and connections, and on a node also the request path.
 
 package sim
 
@@ -26,7 +26,7 @@
 
 const epoch = int64(1700000000 * clock.Second)
 
-// Roles of processes, as in their names and settings.
+// Roles of processes; the texts are part of the process names.
 const (
 	roleNode = "node"
 	roleCore = "core"
@@ -58,18 +58,18 @@
 	calls       map[uint64]func(any)
 	nextCall    uint64
 	draining    bool
-	// stopDeadline is when a draining core ends though it is still a voter.
+	// stopDeadline is when a draining core ends even if it is still a voter.
 	stopDeadline       clock.Micros
 	restartWhenStopped bool
-	// traffic counts what the process sent, received and stepped.
+	// traffic counts the frames that the process has sent and received, and its steps and fetches.
 	traffic Traffic
-	// freezeAt is the state of a request at which this node freezes.
+	// freezeAt is the request state on whose entry this node freezes, for freezeFor; empty for none.
 	freezeAt  search.State
 	freezeFor clock.Micros
-	// inputDelay is how long a slowed process takes for each input, 0 otherwise; busyUntil is when it is done
-	// with the last one.
+	// inputDelay is the time that a slowed process takes for each input, 0 for a process of normal speed. busyUntil
+	// is when it has processed the last input.
 	inputDelay, busyUntil clock.Micros
-	// machine is the process's machine on a day, nil otherwise.
+	// machine is the machine that the process runs on in a day's simulation, nil otherwise.
 	machine *machine
 }
 
@@ -134,7 +134,7 @@
 	p.step(kernel.Start{})
 }
 
-// kill ends the process at once; its memory is lost.
+// kill ends the process without a shutdown; its memory is lost.
 func (p *process) kill() {
 	if !p.up {
 		return
@@ -178,11 +178,11 @@
 	}
 }
 
-// deliver runs f in this incarnation of the process, or later if it is frozen or busy.
+// deliver runs f unless this incarnation of the process has ended. If the process is frozen or busy, f runs later.
 func (p *process) deliver(f func()) {
-	started := p.incarnation
+	incarnation := p.incarnation
 	g := func() {
-		if p.up && p.incarnation == started {
+		if p.up && p.incarnation == incarnation {
 			f()
 		}
 	}
@@ -203,11 +203,11 @@
 	}
 }
 
-// deliverAfter delivers f after a while.
+// deliverAfter delivers f after a delay, unless this incarnation of the process has ended by then.
 func (p *process) deliverAfter(d clock.Micros, f func()) {
-	started := p.incarnation
+	incarnation := p.incarnation
 	p.sim.after(d, func() {
-		if p.incarnation == started {
+		if p.incarnation == incarnation {
 			p.deliver(f)
 		}
 	})
@@ -246,7 +246,7 @@
 	}
 }
 
-// call sends a request to a plug-in and passes the answer to f.
+// call sends a request to a plug-in and passes the answer to f, if f is not nil.
 func (p *process) call(plugin string, request any, f func(any)) {
 	p.nextCall++
 	id := p.nextCall
@@ -256,8 +256,8 @@
 	p.step(kernel.Call{Plugin: plugin, ID: id, Request: request})
 }
 
-// stop is the graceful shutdown: nothing new is accepted, requests in flight are finished, then the process
-// ends.
+// stop begins the graceful shutdown: the process accepts no new requests, finishes those in flight, and ends. A
+// core also waits, until stopDeadline, until it has left its replica groups.
 func (p *process) stop() {
 	if !p.running() {
 		return
@@ -282,8 +282,8 @@
 	}
 }
 
-// answerFetch returns a function that answers a plug-in's fetch after a while. Only the first answer counts; the
-// fetch times out by itself.
+// answerFetch returns a function that answers a plug-in's fetch after a delay. Only the first answer is delivered;
+// without one the fetch times out.
 func (p *process) answerFetch(f kernel.Fetch) func(after clock.Micros, r kernel.Fetched) {
 	done := false
 	answer := func(after clock.Micros, r kernel.Fetched) {
@@ -299,7 +299,7 @@
 	return answer
 }
 
-// hostOf returns the host and port of a URL, and whether they are the platform's.
+// hostOf returns the host and port of a URL, and whether it is the platform's address.
 func hostOf(url string) (host string, platform bool) {
 	host, _, _ = strings.Cut(strings.TrimPrefix(url, "http://"), "/")
 	return host, host == "platform"
--- a/lab/sim/world_reachability.go
+++ b/lab/sim/world_reachability.go
@@ -1,6 +1,6 @@
-// Reachability. The checks bind a node only while a path through running processes connects it to the greater
-// part of the fleet, and operators' calls only while a majority of the disk machines is up, healthy and
-// connected. Both are computed from the network's state, not from the scenario.
+// Reachability. The checks apply to a node only while a path through running processes connects it to the main
+// group of the fleet, and to operators' calls only while a majority of the cores is up, healthy and connected. Both
+// conditions are computed from the state of the network and the processes, not from the scenario.
 
 package sim
 
@@ -13,13 +13,15 @@
 	"wallport/runtime/clock"
 )
 
-// updateReachability recomputes both after every step and ten times a second.
+// updateReachability recomputes which processes are isolated and since when a majority of the cores is available.
+// It runs after every step of the scenario and ten times a second.
 func (sim *Simulation) updateReachability() {
 	group := sim.connectedGroups(sim.names, func(p *process) bool { return p.running() })
 	sim.isolatedNodes = 0
 	largest := largestGroup(group, func(name string) int {
 		if sim.processes[name].role == roleCore {
-			// The side that can change the control state is the fleet; without one the larger side is.
+			// The group with the most cores counts as the fleet, because only a majority of the cores can change
+			// the control state; among groups with equally many cores it is the largest one.
 			return 100
 		}
 		return 1
@@ -54,8 +56,8 @@
 	sim.updateMajoritySince(&sim.Checker.ClocksAgree, func(p *process) bool { return p.skew == usual })
 }
 
-// updateMajoritySince sets *at to since when a majority of the matching disk machines has been up, healthy and
-// connected, or to MaxInt64.
+// updateMajoritySince sets *at to the time since which a majority of the cores has matched and been up, healthy and
+// connected, or to MaxInt64 if there is no such majority now.
 func (sim *Simulation) updateMajoritySince(at *clock.Micros, matches func(p *process) bool) {
 	connectedCores := sim.connectedGroups(sim.names, func(p *process) bool { return p.role == roleCore && p.running() && p.disk.mode == diskOK && matches(p) })
 	connected, total := 0, 0
@@ -76,8 +78,9 @@
 	}
 }
 
-// connectedGroups numbers the groups of connected processes: two are in one group if a chain of processes joins
-// them in which each hears its neighbours both ways.
+// connectedGroups numbers the groups of connected processes, among those for which counts returns true. Two
+// processes are in one group if a chain of processes joins them in which frames pass in both directions between
+// neighbours.
 func (sim *Simulation) connectedGroups(names []string, counts func(p *process) bool) map[string]int {
 	out := map[string]int{}
 	n := 0
@@ -116,8 +119,9 @@
 	return best
 }
 
-// lacksServer reports whether the world excuses an unanswered request: some time in the last seconds too few of
-// the needed shards had a reachable server that answers correctly.
+// lacksServer reports whether a request may go unanswered for lack of servers: at some time within unservedWindow,
+// the needed shard, or for a search (shard -1) more than a quarter of the shards, had no server that answers
+// correctly.
 func (sim *Simulation) lacksServer(index string, shards, shard int) bool {
 	since := sim.now - unservedWindow
 	down := 0
@@ -132,7 +136,7 @@
 	return shard < 0 && (shards-down)*100 < 75*shards
 }
 
-// unservedWindow is how long nodes may take to notice that a shard is served again.
+// unservedWindow is the time within which nodes must notice that a shard has a healthy server again.
 const unservedWindow = 3 * clock.Second
 
 type shardKey struct {
@@ -140,7 +144,7 @@
 	shards, shard int
 }
 
-// recordUnservedShards records the shards that have no healthy server now.
+// recordUnservedShards records, for every shard that has no healthy server now, the current time.
 func (sim *Simulation) recordUnservedShards() {
 	served := map[shardKey]bool{}
 	for _, id := range sim.serverIDs {
@@ -156,7 +160,8 @@
 	}
 }
 
-// serverRefuses reports whether a server that the request could be sent to rejects by itself.
+// serverRefuses reports whether a server to which the request could be sent is in the mode in which it rejects all
+// requests.
 func (sim *Simulation) serverRefuses(in *search.Request) bool {
 	for _, id := range sim.serverIDs {
 		if s := sim.servers[id]; s.mode == serverRejects && s.row.Index == in.Index && (in.Kind == search.KindSearch || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -1,4 +1,5 @@
-// Simulated backends, and the answers to fetches of health reports and of the platform's list.
+// Simulated backends ("servers" in scenarios), and the answers to fetches of health reports and of the platform's
+// endpoint list.
 
 package sim
 
@@ -15,11 +16,11 @@
 	"wallport/runtime/wire"
 )
 
-// serverMode is how a server misbehaves. Scenarios name the modes by their text; further ones, which spoil
-// responses, are those of backend.Spoil.
+// serverMode is how a server misbehaves. Scenarios use the text as the name of the mode. All other texts are modes
+// of backend.Spoil, which corrupts responses.
 type serverMode string
 
-// Modes of servers. A vanished one is down and does not even refuse connections.
+// Modes of servers. A vanished server is down and does not refuse connections: dials to it time out.
 const (
 	serverOK       serverMode = ""
 	serverSlow     serverMode = "slow"
@@ -43,13 +44,13 @@
 	serviceUs           clock.Micros
 }
 
-// slowStartUs is the length of the slow start in the simulated configuration.
+// slowStartUs is the slow-start time in the simulated configuration.
 const slowStartUs = 3 * clock.Second
 
 func (sim *Simulation) addServer(row wire.Backend, shards int) *server {
 	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(sim.servers)/200, len(sim.servers)%200)
 	s := &server{sim: sim, row: row, shards: shards, serviceUs: sim.Script.Int("server_us", 2000)}
-	// Initial servers are warm; later ones are cold.
+	// Servers that exist at the start are warm; servers that are added later are cold.
 	s.boot()
 	if sim.now == 0 {
 		s.born = -10 * slowStartUs
@@ -99,7 +100,8 @@
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
-// sendToServer carries one request to a server and the reply back; done gets what the node sees.
+// sendToServer sends one request to a server and calls done with the result that the node sees. If the server hangs
+// or the way back is partitioned, done is never called.
 func (sim *Simulation) sendToServer(p *process, a *search.Send, done func(search.Result)) {
 	s := sim.serversByAddr[a.Backend.Addr]
 	latency := sim.net.latency()
@@ -111,12 +113,12 @@
 		sim.after(300*clock.Millisecond, func() { done(search.Result{Class: search.ClassNotSent, Reason: "timed out"}) })
 		return
 	}
-	started := s.incarnation
+	incarnation := s.incarnation
 	sim.after(latency, func() {
 		broken := func() {
 			sim.after(latency, func() { done(search.Result{Class: search.ClassFailed, Reason: "reset"}) })
 		}
-		if !s.up || s.incarnation != started {
+		if !s.up || s.incarnation != incarnation {
 			broken()
 			return
 		}
@@ -127,7 +129,7 @@
 			sim.recordExecution(a)
 		}
 		sim.after(took, func() {
-			if s.incarnation != started {
+			if s.incarnation != incarnation {
 				broken()
 				return
 			}
@@ -153,11 +155,12 @@
 	if up := s.sim.now - s.born; up < slowStartUs {
 		us += s.sim.Script.Int("cold_times", 4) * us * (slowStartUs - up) / slowStartUs
 	}
-	// More concurrent work than 16 requests slows all of it.
+	// Every 16 concurrent requests add the base time once more.
 	return us * (1 + s.running/16)
 }
 
-// respond makes the body that the real stand-in would send, and checks it as a node does.
+// respond builds the response body that the real test backend (lab/backend) would send, and checks it as a node
+// does.
 func (s *server) respond(a *search.Send, refuses bool) search.Result {
 	in := a.Request
 	sealed := search.BackendResponse{RequestID: a.ID, ShardMap: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.reportedIncarnation, Load: s.running}
@@ -182,7 +185,7 @@
 	return search.CheckResponse(a, raw)
 }
 
-// recordExecution reports an execution that must happen at most once to the checker.
+// recordExecution reports to the checker the execution of a request that must run at most once.
 func (sim *Simulation) recordExecution(a *search.Send) {
 	if !a.Request.AtMostOnce() {
 		return
--- a/lab/sim/world_verbs.go
+++ b/lab/sim/world_verbs.go
@@ -1,4 +1,4 @@
-// The verbs of scenarios for the world.
+// The verbs of scenarios that simulate a fleet.
 
 package sim
 
@@ -85,10 +85,10 @@
 	case "book":
 		sim.operators.book(arg(0), arg(1), parseInt(arg(2)), parseInt(arg(3)), parseInt(arg(4)))
 	case "seeds":
-		// Processes that start from now on are given other seeds.
+		// Processes that start from now on use other seeds.
 		sim.seeds = nil
 		for _, n := range st.Args {
-			// A deployment may have fewer machines than the scenario names.
+			// The shape may have fewer processes than the scenario names.
 			if p := sim.processes[n]; p != nil {
 				sim.seeds = append(sim.seeds, p.settings.Mesh)
 			}
@@ -101,7 +101,7 @@
 	case "cut":
 		sim.operators.setShardMap(sim.Shape.Index, arg(0), int(parseInt(arg(1))))
 	case "freeze-at":
-		// Freezes a node, for the given milliseconds, as soon as a request there reaches a state.
+		// Freezes a node for the given number of milliseconds as soon as a request on it enters the given state.
 		p := sim.processes[arg(0)]
 		p.freezeAt, p.freezeFor = search.State(arg(1)), parseInt(arg(2))*clock.Millisecond
 	case "rate", "skew", "mix", "limits":
@@ -113,17 +113,18 @@
 	case "replace-core":
 		sim.replaceCore(arg(0))
 	case "return-core":
-		// A removed machine comes back with the disk it had.
+		// A replaced core starts again with the disk that it had.
 		for _, n := range st.Args {
 			sim.processes[n].replaced = false
 			sim.applyProcessVerb("restart", sim.processes[n])
 		}
 	default:
-		panic(fmt.Sprintf("%s:%d: no verb %q", sim.Script.Name, st.Line, st.Verb))
+		panic(fmt.Sprintf("%s:%d: unknown verb %q", sim.Script.Name, st.Line, st.Verb))
 	}
 }
 
-// match returns the processes that a name, a prefix with *, "zone:z1" or "owner" means.
+// match returns the names of the processes that match a pattern: a name, a prefix followed by *, a zone
+// ("zone:z1"), "platform", or "owner", the leader of partition 0.
 func (sim *Simulation) match(pattern string) []string {
 	var out []string
 	for _, name := range sim.names {
@@ -177,7 +178,7 @@
 			return
 		}
 		delete(sim.killed, p.name)
-		// A draining process is restarted once it has ended.
+		// A draining process starts again once it has ended.
 		p.restartWhenStopped = p.up && p.draining
 		p.start()
 	case "freeze":
@@ -191,7 +192,8 @@
 	}
 }
 
-// isolate partitions a process from every other process, but not from the platform and the servers.
+// isolate partitions a process from every other process, but not from the platform and the servers, or ends that
+// partition.
 func (sim *Simulation) isolate(name string, on bool) {
 	sim.net.isolated[name] = on
 }
