--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -12,7 +12,7 @@
 	"wallport/runtime/clock"
 )
 
-// Step is an action at a moment; At is in microseconds.
+// Step is an action at a given time. At is in microseconds from the start of the scenario.
 type Step struct {
 	Line int
 	At   clock.Micros
@@ -20,7 +20,7 @@
 	Args []string
 }
 
-// Expect is a bound on a count at the end of a run.
+// Expect is an expectation about a counter at the end of a run. Op is ==, <= or >=.
 type Expect struct {
 	Line int
 	Name string
@@ -36,12 +36,12 @@
 	Expects []Expect
 }
 
-// Uses reports whether a step has a verb; a nil script has none.
+// Uses reports whether any step has the given verb; a nil script has no steps.
 func (s *Script) Uses(verb string) bool {
 	return s != nil && slices.ContainsFunc(s.Steps, func(step Step) bool { return step.Verb == verb })
 }
 
-// Load reads a scenario file; errors name the line.
+// Load reads and parses a scenario file.
 func Load(path string) (*Script, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -50,7 +50,8 @@
 	return Parse(path, string(b))
 }
 
-// Parse parses a scenario.
+// Parse parses a scenario. Its steps are sorted by time. The error lists all invalid lines, each with name and line
+// number.
 func Parse(name, text string) (*Script, error) {
 	s := &Script{Name: name, Set: map[string]string{}}
 	var errs []string
@@ -87,16 +88,16 @@
 			return err
 		}
 		if f[2] != "==" && f[2] != "<=" && f[2] != ">=" {
-			return fmt.Errorf("%q is not one of ==, <=, >=", f[2])
+			return fmt.Errorf("operator %q is not one of ==, <=, >=", f[2])
 		}
 		s.Expects = append(s.Expects, Expect{Line: n, Name: f[1], Op: f[2], Want: v})
 	default:
-		return fmt.Errorf("neither set NAME VALUE, at TIME VERB ARGS nor expect NAME OP VALUE")
+		return fmt.Errorf("line is neither set NAME VALUE, at TIME VERB ARGS nor expect NAME OP VALUE")
 	}
 	return nil
 }
 
-// Int returns the setting as a number, or other if it is not set.
+// Int returns a setting as an integer, or fallback if it is not set or not an integer.
 func (s *Script) Int(name string, fallback int64) int64 {
 	if v, ok := s.Set[name]; ok {
 		if n, err := strconv.ParseInt(v, 10, 64); err == nil {
@@ -106,7 +107,7 @@
 	return fallback
 }
 
-// Text returns the setting, or other if it is not set.
+// Text returns a setting, or fallback if it is not set.
 func (s *Script) Text(name, fallback string) string {
 	if v, ok := s.Set[name]; ok {
 		return v
@@ -114,7 +115,7 @@
 	return fallback
 }
 
-// Met reports whether a count satisfies the expectation.
+// Met reports whether a counter's value satisfies the expectation.
 func (e Expect) Met(got int64) bool {
 	switch e.Op {
 	case "==":
