--- a/lab/draw/day.go
+++ b/lab/draw/day.go
@@ -1,5 +1,5 @@
-// Random days on the users' platform: planned work, a few of the faults that the platform's pages name, and in
-// half of the days a closing fault.
+// Random days on the users' platform: planned work, some of the faults that the platform's documentation lists, and
+// a closing fault on half of the days.
 
 package draw
 
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// oneZone is the shape whose machines and backends are all in one zone.
+// oneZone is the site that has all machines and backends in one zone.
 const oneZone = "one_zone"
 
-// Sites are the sites that are drawn in turn.
+// Sites holds the sites that drawn days use in turn.
 var Sites = []string{"trust", "registry", "trust", "registry", "one_zone", "two_regions", "bare_zone", "one_backend", "ramped", "trust_grown", "registry_grown"}
 
 func (d *drawing) f(least, most float64) float64 { return least + d.rnd.Float64()*(most-least) }
 
-// Day draws day number n; an empty site takes the sites in turn. Its first planned work and its first fault go
-// through all kinds and modes in turn; the others are random.
+// Day draws day number n. If site is empty, the days go through Sites in turn. The first planned work and the first
+// fault of the days go through all kinds and modes in turn; the others are random.
 func Day(n uint64, site string) Scenario {
 	if site == "" {
 		site = Sites[int(n)%len(Sites)]
@@ -67,16 +67,16 @@
 	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Faults: names}
 }
 
-// maxRepeats is how often one kind may come in a day.
+// maxRepeats is how many times a drawn kind may be repeated in succession.
 const maxRepeats = 2
 
-// entry writes one step of a kind at a moment.
+// entry adds the line of a step at a time in seconds, and the steps that must accompany it.
 func (d *drawing) entry(k *dayKind, line string, at float64) {
 	ms := int(1000 * at)
 	d.at(ms, "%s", line)
 	switch {
 	case k.name == "evacuate" && (d.n(2) == 0 || d.site == oneZone):
-		// Nothing can be served while the only zone is drained.
+		// The only zone must be restored, because nothing can be served while it is drained.
 		d.at(ms+7000, "take_back zone=z1%s", d.how("", "warm"))
 	case k.name == "ack_lost", k.name == "resend":
 		d.at(max(0, ms-300), "config_change how=route")
@@ -88,7 +88,7 @@
 	}
 }
 
-// how draws one of the words.
+// how draws one of the modes and returns it as an argument, or "" for an empty mode.
 func (d *drawing) how(all ...string) string {
 	if v := all[d.n(len(all))]; v != "" {
 		return " how=" + v
--- a/lab/draw/day_faults.go
+++ b/lab/draw/day_faults.go
@@ -1,4 +1,4 @@
-// The faults among a day's kinds of steps.
+// The kinds of faults of a day, with the ranges from which their arguments are drawn.
 
 package draw
 
--- a/lab/draw/day_test.go
+++ b/lab/draw/day_test.go
@@ -1,4 +1,5 @@
-// Drawn days hold every kind of trouble that the platform lists, and every way.
+// Tests that drawn days contain every kind of step and every mode that the platform lists, and that a day is
+// determined by its number.
 
 package draw
 
@@ -11,7 +12,7 @@
 	"wallport/lab/script"
 )
 
-// daysForCoverage is how many days in a row hold everything.
+// daysForCoverage is the number of consecutive days that together contain every kind and mode.
 const daysForCoverage = 400
 
 func TestDrawnDaysCoverEveryKindAndMode(t *testing.T) {
--- a/lab/draw/doc.go
+++ b/lab/draw/doc.go
@@ -1,5 +1,5 @@
-// Package draw generates random scenarios: a few overlapping faults out of the brief's complete list, together
-// with load, configuration edits, races, bookings, zone calls and reshardings; and days on the users' platform.
-// Every fault is repaired before the end, so that healing can be checked too. A scenario is a function of its
-// number.
+// Package draw generates random scenarios for the simulator. There are two kinds: scenarios of a fleet with a few
+// overlapping faults, load, configuration edits, concurrent edits, bookings, zone commands and resharding, and days
+// on the users' platform. Every fault is repaired before the end, so that recovery can be checked as well. A
+// scenario depends only on its number.
 package draw
--- a/lab/draw/draw.go
+++ b/lab/draw/draw.go
@@ -15,12 +15,12 @@
 	firstAt = 14_000
 	lastAt  = 22_000
 	overAt  = 33_000
-	// HealedAt is when the last failure has been over for long enough.
+	// HealedAt is the time, some time after the last repair, by which the fleet must have healed.
 	HealedAt = 45_000
 	endAt    = 56_000
 )
 
-// Scenario is a random scenario, with the names of its faults.
+// Scenario is a random scenario and the names of its faults and planned work.
 type Scenario struct {
 	Text   string
 	Faults []string
@@ -31,13 +31,13 @@
 	shape fleet.Shape
 	lines []string
 	used  map[string]bool
-	// site is the shape of a day on the users' platform.
+	// site is the name of the site of a day on the users' platform.
 	site string
 }
 
 func (d *drawing) n(most int) int { return d.rnd.IntN(most) }
 
-// during draws the time in which a fault lasts.
+// during draws the start and the end of a fault that lasts from least to most milliseconds.
 func (d *drawing) during(least, most int) (from, to int) {
 	from = firstAt + d.n(lastAt-firstAt)
 	return from, min(overAt, from+least+d.n(most-least+1))
@@ -47,7 +47,7 @@
 	d.lines = append(d.lines, fmt.Sprintf("at %dms %s", ms, fmt.Sprintf(text, args...)))
 }
 
-// span adds one line at the start of a time and another one at its end.
+// span adds the line that begins a fault and the line that ends it, from least to most milliseconds later.
 func (d *drawing) span(least, most int, begin, end string) {
 	from, to := d.during(least, most)
 	d.at(from, "%s", begin)
@@ -58,7 +58,7 @@
 func (d *drawing) node() string { return fmt.Sprintf("node-%d", d.n(d.shape.Nodes)) }
 func (d *drawing) zone() string { return fmt.Sprintf("z%d", 1+d.n(d.shape.Zones)) }
 
-// nodes draws n different nodes.
+// nodes draws n different nodes and returns their names, separated by spaces.
 func (d *drawing) nodes(n int) string {
 	var out []string
 	for _, i := range d.rnd.Perm(d.shape.Nodes)[:n] {
@@ -67,7 +67,7 @@
 	return strings.Join(out, " ")
 }
 
-// servers draws n different servers of one shard, or of any.
+// servers draws the names of n different servers of one shard, or of random shards if shard is negative.
 func (d *drawing) servers(n, shard int) []string {
 	var out []string
 	for _, i := range d.rnd.Perm(d.shape.PerShard)[:n] {
@@ -80,7 +80,7 @@
 	return out
 }
 
-// Names returns every rule and every separately counted part.
+// Names returns the sorted names of all kinds of faults.
 func Names() []string {
 	var out []string
 	for name := range faultKinds {
@@ -90,7 +90,7 @@
 	return out
 }
 
-// Pairs returns the number of pairs of faults that may be combined.
+// Pairs returns the pairs of faults that may be combined.
 func Pairs() [][2]string {
 	var out [][2]string
 	names := Names()
@@ -104,23 +104,24 @@
 	return out
 }
 
-// disks are the faults that lose a disk: at most one disk of a group may be lost in a run, as a second one would
-// lose a majority.
+// disks holds the faults that lose a disk. At most one disk of a replica group may be lost in a run, because losing
+// a second one would lose the majority.
 var disks = map[string]bool{"disk_lost": true, "core_replaced": true}
 
-// discovery are the faults of the endpoint list: a server that leaves while the list itself fails is not yet
-// shown so.
+// discovery holds the faults of the endpoint list. They are not combined, because a failing list does not show that
+// a server is leaving.
 var discovery = map[string]bool{"platform_fails": true, "platform_empty": true, "servers_leave": true}
 
 func compatible(a, b string) bool {
 	return !(disks[a] && disks[b]) && !(discovery[a] && discovery[b])
 }
 
-// Make draws scenario number n: its first two faults go through all pairs in turn, up to two more are random.
+// Make draws scenario number n. The first two faults go through all pairs in turn, and up to two more are random;
+// every seventh scenario has only one fault.
 func Make(n uint64, shape fleet.Shape, rate int) Scenario {
 	d := &drawing{rnd: rand.New(rand.NewPCG(n, 0x64726177)), shape: shape, used: map[string]bool{}}
 	pairs, names := Pairs(), Names()
-	// In a shuffled order, so that any few hundred scenarios cover all kinds.
+	// The pairs are shuffled so that any few hundred consecutive scenarios cover all kinds of faults.
 	p := pairs[rand.New(rand.NewPCG(1, 1)).Perm(len(pairs))[int(n%uint64(len(pairs)))]]
 	picked := []string{p[0], p[1]}
 	for range d.n(3) {
@@ -151,7 +152,8 @@
 	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Faults: picked}
 }
 
-// operatorActions draws what operators do meanwhile.
+// operatorActions draws what operators do during the faults: a series of edits, concurrent edits, a booking and a
+// repeated edit.
 func (d *drawing) operatorActions() {
 	d.at(12_500+d.n(1000), "storm %d %d", 10+d.n(50), 300_000+d.n(500_000))
 	for range d.n(3) {
@@ -166,7 +168,8 @@
 	}
 }
 
-// Shrink removes lines from a failing scenario as long as it keeps failing.
+// Shrink removes steps from a failing scenario as long as it keeps failing, and returns the shortest text that it
+// finds.
 func Shrink(text string, fails func(s *script.Script) bool) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	for again := true; again; {
--- a/lab/draw/faults.go
+++ b/lab/draw/faults.go
@@ -1,4 +1,4 @@
-// The faults of the brief, each as the lines that inject it and the lines that repair it.
+// The kinds of faults of a fleet, each with the lines that inject it and the lines that repair it.
 
 package draw
 
@@ -8,7 +8,7 @@
 )
 
 var faultKinds = map[string]func(d *drawing){
-	// Back ends.
+	// Backends.
 	"servers_crash": func(d *drawing) {
 		for _, s := range d.servers(1+d.n(4), -1) {
 			d.span(500, 5000, "server "+s+" kill", "server "+s+" boot")
@@ -113,7 +113,7 @@
 
 func (d *drawing) skew() int { return []int{3600, -3600, 86400, -7200, 9}[d.n(5)] }
 
-// roll restarts processes gracefully, one after another, a few seconds apart.
+// roll restarts up to most processes of a role gracefully, one every 3.6 s.
 func (d *drawing) roll(role string, all, most int) {
 	at := firstAt + d.n(3000)
 	for _, i := range d.rnd.Perm(all)[:min(all, most)] {
@@ -137,7 +137,7 @@
 	d.at(at, "backends c2 6 %d", max(2, d.shape.PerShard*d.shape.Shards/6))
 	d.at(at+500+d.n(2000), "cut c2 6")
 	if d.n(3) == 0 {
-		// Another operator calls it off again, in a race.
+		// Another operator switches back to the old shard map, possibly before the new one is in force.
 		d.at(at+700+d.n(4000), "cut c1 %d", d.shape.Shards)
 	}
 }
--- a/lab/draw/kinds.go
+++ b/lab/draw/kinds.go
@@ -1,4 +1,5 @@
-// The kinds of faults and of planned work of a day, as the platform lists them, each with its modes.
+// The kinds of planned work of a day as the platform lists them, each with its modes, and the composition of their
+// lines. The kinds of faults are in day_faults.go.
 
 package draw
 
@@ -8,38 +9,40 @@
 	"strings"
 )
 
-// dayKind is one kind of step: its modes, of which one is drawn, and how the rest of its line is drawn.
+// dayKind is a kind of step: its modes, of which one is drawn, and the function that draws its other arguments.
 type dayKind struct {
 	name  string
 	modes []string
-	// hasFollowUp reports that a change, or draining backends, may meet the machine afterwards.
+	// hasFollowUp allows a follow-up of the fault: a change that is sent to the machine, or draining backends in
+	// its zone.
 	hasFollowUp bool
 	line        func(d *drawing) string
 }
 
-// followUps are the modes of what meets a machine as it returns, and during a partition.
+// followUps holds the modes of follow-ups, which reach a machine as it returns or during its partition. The empty
+// ones mean that there is none.
 var followUps = []string{"", "", "meet", "race", "hard", "hard,race", "drain", "meet,drain"}
 
 func text(s string) func(d *drawing) string { return func(*drawing) string { return s } }
 
-// lasting draws a share of the targets, for a while.
+// lasting draws a share of the targets and a duration in seconds.
 func lasting(shareLeast, shareMost, least, most float64) func(d *drawing) string {
 	return func(d *drawing) string {
 		return fmt.Sprintf("share=%.2f for=%.1fs", d.f(shareLeast, shareMost), d.f(least, most))
 	}
 }
 
-// during draws only a duration.
+// during draws a duration in seconds.
 func during(least, most float64) func(d *drawing) string {
 	return func(d *drawing) string { return fmt.Sprintf("for=%.1fs", d.f(least, most)) }
 }
 
-// drawInTurn makes a step's line with the mode and the follow-up whose turn it is.
+// drawInTurn returns a step's line with the mode and the follow-up of the given turn.
 func (k *dayKind) drawInTurn(d *drawing, turn uint64) string {
 	return k.lineWith(d, int(turn), int(turn))
 }
 
-// draw makes a step's line with a random mode.
+// draw returns a step's line with a random mode and a random follow-up.
 func (k *dayKind) draw(d *drawing) string {
 	return k.lineWith(d, d.n(max(1, len(k.modes))), d.n(len(followUps)))
 }
@@ -95,7 +98,7 @@
 	}},
 }
 
-// DayKinds returns every kind, and every mode of one as KIND.MODE.
+// DayKinds returns the names of all kinds of steps, and their modes as KIND.MODE.
 func DayKinds() (kinds, modes []string) {
 	for _, k := range slices.Concat(planned, dayFaults) {
 		kinds = append(kinds, k.name)
