--- a/lab/sim/day_gateway.go
+++ b/lab/sim/day_gateway.go
@@ -110,7 +110,7 @@
 	case dispatch.Cancel:
 		g.cancel(request, v.N)
 	case dispatch.Abandon:
-		// The exchange goes on and its result is ignored.
+		// Nothing is cancelled: the exchange goes on until it ends by itself.
 	case dispatch.SetTimer:
 		request.wakeups++
 		mine := request.wakeups
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -257,7 +257,7 @@
 }
 
 // stop begins the graceful shutdown: the process accepts no new requests, finishes those in flight, and ends. A
-// core also waits, until stopDeadline, until it has left its replica groups.
+// core first leaves its replica groups; it waits for that until stopDeadline at most.
 func (p *process) stop() {
 	if !p.running() {
 		return
