--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -1,5 +1,5 @@
-// One exchange between a node and a backend over pooled connections, as the product's backend client carries it
-// out, and what it reports to the request state machine.
+// An exchange between a node and a backend over pooled connections, modelled on the product's backend client, and
+// the results that it reports to the request state machine.
 
 package sim
 
@@ -12,21 +12,23 @@
 	"wallport/runtime/clock"
 )
 
-// Constants of connections to backends.
+// Constants of connections to backends: a connection set-up takes handshakeUs plus a round trip, a dial fails after
+// dialTimeout, an idle connection is usable for maxIdle, and a node keeps maxIdleConns of them for each backend.
+// Surplus bytes arrive within twice surplusDelay.
 const (
-	handshakeUs   = 1000
-	dialWithin    = 400 * clock.Millisecond
-	idleMost      = 15 * clock.Second
-	idleConnsMost = 16
-	surplusAfter  = 3000
+	handshakeUs  = 1000
+	dialTimeout  = 400 * clock.Millisecond
+	maxIdle      = 15 * clock.Second
+	maxIdleConns = 16
+	surplusDelay = 3000
 )
 
-// conn is a pooled connection; surplusAt is when bytes that belong to no request arrive on it, 0 for never.
+// conn is a pooled connection. surplusAt is when bytes that belong to no request arrive on it, 0 for never.
 type conn struct {
 	backend   *incarnation
 	idleSince clock.Micros
 	surplusAt clock.Micros
-	// reset reports that the backend's end is closed and the node does not know it yet.
+	// reset means that the backend has closed its end and the node has not noticed yet.
 	reset bool
 }
 
@@ -39,7 +41,7 @@
 	kind    *requestShape
 	action  dispatch.Send
 	conn    *conn
-	// reused reports that the connection had served before; sent that bytes were written.
+	// reused means that the connection has carried an exchange before, sent that bytes of the request were written.
 	reused, sent, ended bool
 }
 
@@ -57,7 +59,7 @@
 	return out
 }
 
-// startExchange begins an exchange.
+// startExchange starts an exchange on a pooled connection, or on a new one if there is none.
 func (g *gateway) startExchange(request *clientRequest, a dispatch.Send) {
 	d := g.day
 	x := &exchange{gateway: g, request: request, attempt: a.N, action: a, kind: request.kind}
@@ -74,20 +76,20 @@
 	}
 	inc := d.backends.byAddr[s.Addr]
 	zone := s.Zone
-	there := d.latency(g.process.settings.Zone, zone)
+	latency := d.latency(g.process.settings.Zone, zone)
 	switch {
 	case inc != nil && (inc.silent || d.unreachable(g.process.machine, inc)):
-		g.process.deliverAfter(min(dialWithin, a.Timeout), func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "dial timed out"}) })
+		g.process.deliverAfter(min(dialTimeout, a.Timeout), func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "dial timed out"}) })
 	case inc == nil || !inc.up:
-		g.process.deliverAfter(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection refused"}) })
+		g.process.deliverAfter(2*latency, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection refused"}) })
 	case inc.conns >= inc.shape.connections:
-		d.world.Checker.Count("connections_refused", 1)
-		g.process.deliverAfter(2*there, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"}) })
+		d.sim.Checker.Count("connections_refused", 1)
+		g.process.deliverAfter(2*latency, func() { x.end(dispatch.Result{Class: dispatch.ClassNotSent, Reason: "connection reset"}) })
 	default:
 		inc.conns++
-		d.world.Checker.Count("handshakes", 1)
+		d.sim.Checker.Count("handshakes", 1)
 		x.conn = &conn{backend: inc}
-		g.process.deliverAfter(2*there+handshakeUs, func() {
+		g.process.deliverAfter(2*latency+handshakeUs, func() {
 			if x.ended {
 				inc.conns--
 				return
@@ -108,15 +110,15 @@
 	return dispatch.ClassNotSent
 }
 
-// takeIdleConn takes a pooled connection to a backend, the newest first, and closes those that expired or hold
-// surplus bytes.
+// takeIdleConn returns the most recently used idle connection to a backend, or nil if there is none. It closes
+// connections that have expired or hold surplus bytes.
 func (g *gateway) takeIdleConn(s *snapshot.Backend) *conn {
-	now := g.day.world.now
+	now := g.day.sim.now
 	all := g.idleConns[s.ID]
 	for len(all) > 0 {
 		c := all[len(all)-1]
 		all = all[:len(all)-1]
-		if c.backend.up && now-c.idleSince < idleMost && (c.surplusAt == 0 || c.surplusAt > now) {
+		if c.backend.up && now-c.idleSince < maxIdle && (c.surplusAt == 0 || c.surplusAt > now) {
 			g.idleConns[s.ID] = all
 			return c
 		}
@@ -131,45 +133,45 @@
 	if c == nil {
 		return
 	}
-	c.idleSince = g.day.world.now
-	if all := g.idleConns[x.action.Backend.ID]; len(all) < idleConnsMost && c.backend.up {
+	c.idleSince = g.day.sim.now
+	if all := g.idleConns[x.action.Backend.ID]; len(all) < maxIdleConns && c.backend.up {
 		g.idleConns[x.action.Backend.ID] = append(all, c)
 		return
 	}
 	c.backend.conns--
 }
 
-// send writes the request, which arrives at the backend one network latency later.
+// send writes the request, which arrives at the backend after the network latency.
 func (x *exchange) send(inc *incarnation) {
 	d, a := x.gateway.day, &x.action
 	x.backend, x.sent = inc, true
-	sent := d.world.now
+	sent := d.sim.now
 	work := d.drawWork(x.kind)
 	within := max(1000, a.Timeout)
 	if x.conn.surplusAt > 0 {
-		// A surplus response comes where this request's own is expected; its id shows it.
-		d.world.Checker.Count("surplus_met", 1)
+		// A surplus response arrives in place of the response to this request; the node recognises it by its id.
+		d.sim.Checker.Count("surplus_met", 1)
 		x.gateway.process.deliverAfter(max(0, x.conn.surplusAt-sent), func() {
 			x.end(dispatch.Result{Class: dispatch.ClassInvalid, ReusedConn: true, Reason: "another request's answer"})
 		})
 	}
 	rested := sent - x.conn.idleSince
 	if x.conn.reset || x.reused && inc.connTimeout > 0 && rested > inc.connTimeout {
-		// The backend's end of the connection is closed, so it never reads the request.
-		d.world.Checker.Count("sent_on_reset", 1)
+		// The backend has closed its end of the connection, so it never reads the request.
+		d.sim.Checker.Count("sent_on_reset", 1)
 		x.failed("reset")
 		return
 	}
-	d.world.after(d.latency(x.gateway.process.settings.Zone, inc.row.Zone), func() {
+	d.sim.after(d.latency(x.gateway.process.settings.Zone, inc.row.Zone), func() {
 		d.whenReachable(x.gateway.process.machine, inc, sent, func(held bool) { x.arrive(inc, sent, work, within, held) })
 	})
 }
 
-// arrive is called when the request's last byte is at the backend; held reports that a partition delayed it.
+// arrive is called when the last byte of the request arrives at the backend; held is set if a partition delayed it.
 func (x *exchange) arrive(inc *incarnation, sent, work, within clock.Micros, held bool) {
 	d, a := x.gateway.day, &x.action
-	if x.ended && d.world.rng.IntN(2) == 0 {
-		// The connection was closed before the backend read the request.
+	if x.ended && d.sim.rng.IntN(2) == 0 {
+		// The node closed the connection before the backend read the request.
 		return
 	}
 	if !inc.up {
@@ -180,12 +182,12 @@
 	}
 	req := a.Request
 	inc.arrive(x, a.Backend.ID, &rules.Arrival{
-		Attempt: req.ID, Backend: inc.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.world.now,
+		Attempt: req.ID, Backend: inc.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.sim.now,
 		Held: held,
 	}, work, within)
 }
 
-// end reports the reply to the request state machine, once.
+// end ends the exchange and reports its result to the request state machine. Later calls have no effect.
 func (x *exchange) end(r dispatch.Result) {
 	if x.ended {
 		return
@@ -204,7 +206,7 @@
 	g.step(x.request, dispatch.AttemptDone{N: x.attempt, Result: r})
 }
 
-// cancel closes the exchange's connection.
+// cancel ends the exchange without a result and closes its connection.
 func (x *exchange) cancel() {
 	if x.ended {
 		return
@@ -217,31 +219,31 @@
 	}
 	if x.job != nil {
 		j := x.job
-		g.day.world.after(g.day.latency(g.process.settings.Zone, j.backend.row.Zone), j.connClosed)
+		g.day.sim.after(g.day.latency(g.process.settings.Zone, j.backend.row.Zone), j.connClosed)
 	}
 }
 
-// deliverReply delivers what the backend sent to the node after the network latency.
+// deliverReply runs f on the node when a reply that the backend sends now has arrived.
 func (x *exchange) deliverReply(f func()) {
 	d, inc := x.gateway.day, x.backend
-	d.world.after(d.latency(inc.row.Zone, x.gateway.process.settings.Zone), func() {
-		d.whenReachable(x.gateway.process.machine, inc, d.world.now, func(bool) { x.gateway.process.deliver(f) })
+	d.sim.after(d.latency(inc.row.Zone, x.gateway.process.settings.Zone), func() {
+		d.whenReachable(x.gateway.process.machine, inc, d.sim.now, func(bool) { x.gateway.process.deliver(f) })
 	})
 }
 
-func (x *exchange) rejected(inc *incarnation, status int, why string) {
-	r := dispatch.Result{Class: dispatch.ClassRejected, Status: status, Load: inc.load(), WrongBackend: status == 421, Draining: inc.draining, Reason: why}
+func (x *exchange) rejected(inc *incarnation, status int, reason string) {
+	r := dispatch.Result{Class: dispatch.ClassRejected, Status: status, Load: inc.load(), WrongBackend: status == 421, Draining: inc.draining, Reason: reason}
 	x.deliverReply(func() { x.end(r) })
 }
 
-func (x *exchange) failed(why string) {
-	x.deliverReply(func() { x.end(dispatch.Result{Class: dispatch.ClassFailed, ReusedConn: x.reused, Reason: why}) })
+func (x *exchange) failed(reason string) {
+	x.deliverReply(func() { x.end(dispatch.Result{Class: dispatch.ClassFailed, ReusedConn: x.reused, Reason: reason}) })
 }
 
 func (x *exchange) garbled(short bool) {
-	r := dispatch.Result{Class: dispatch.ClassInvalid, Reason: "bytes that are no answer"}
+	r := dispatch.Result{Class: dispatch.ClassInvalid, Reason: "malformed response"}
 	if short {
-		r = dispatch.Result{Class: dispatch.ClassFailed, Reason: "the answer was cut off"}
+		r = dispatch.Result{Class: dispatch.ClassFailed, Reason: "response truncated"}
 	}
 	x.deliverReply(func() { x.end(r) })
 }
@@ -252,8 +254,8 @@
 		ReusedConn: x.reused,
 	}
 	if surplus && x.conn != nil {
-		x.gateway.day.world.Checker.Count("surplus_answers", 1)
-		x.conn.surplusAt = x.gateway.day.world.now + x.gateway.day.world.rng.Int64N(2*surplusAfter)
+		x.gateway.day.sim.Checker.Count("surplus_answers", 1)
+		x.conn.surplusAt = x.gateway.day.sim.now + x.gateway.day.sim.rng.Int64N(2*surplusDelay)
 	}
 	x.deliverReply(func() { x.end(r) })
 }
--- a/lab/sim/day_grey.go
+++ b/lab/sim/day_grey.go
@@ -1,37 +1,38 @@
-// Backends that fail a share of their requests while their health checks pass (grey failures).
+// Partial ("grey") failures: backends that fail a share of their requests while their health checks pass.
 
 package sim
 
-// greyMode is how a grey backend fails a request.
-type greyMode string
+// failureMode is how a partially failing backend fails a request.
+type failureMode string
 
-// The modes of grey failures, as the platform names them.
+// Modes of partial failures; the texts are the platform's names.
 const (
-	greyErrors  greyMode = "errors"
-	greyRejects greyMode = "shed"
-	greyBusy    greyMode = "busy"
-	greyHang    greyMode = "hang"
-	greyReset   greyMode = "reset"
-	greyMute    greyMode = "mute"
-	greySlow    greyMode = "slow"
+	failWithErrors  failureMode = "errors"
+	failWithRejects failureMode = "shed"
+	failWithBusy    failureMode = "busy"
+	failByHanging   failureMode = "hang"
+	failByReset     failureMode = "reset"
+	failSilently    failureMode = "mute"
+	failBySlowness  failureMode = "slow"
 )
 
-// grey is a backend's grey failure: the share of its requests that fail, of all callers or of those in one zone.
-type grey struct {
-	mode  greyMode
+// partialFailure describes a backend's partial failure: how requests fail, and the share of them that fail, either
+// of all nodes or only of the nodes in one zone.
+type partialFailure struct {
+	mode  failureMode
 	share float64
 	slow  int64
 	zone  string
 }
 
-func greyOf(step *dayStep) grey {
-	g := grey{mode: greyErrors, share: step.factorOr(0.4)}
-	for _, way := range []greyMode{greyErrors, greyRejects, greyBusy, greyHang, greyReset, greyMute, greySlow} {
-		if step.has(string(way)) {
-			g.mode = way
+func partialFailureOf(step *dayStep) partialFailure {
+	g := partialFailure{mode: failWithErrors, share: step.factorOr(0.4)}
+	for _, mode := range []failureMode{failWithErrors, failWithRejects, failWithBusy, failByHanging, failByReset, failSilently, failBySlowness} {
+		if step.has(string(mode)) {
+			g.mode = mode
 		}
 	}
-	if g.mode == greySlow {
+	if g.mode == failBySlowness {
 		g.share, g.slow = 1, int64(step.factorOr(8))
 	}
 	if step.has("one_zone") {
@@ -40,39 +41,40 @@
 	return g
 }
 
-// lying fails every request while health checks pass, or none while they fail.
-func lying(step *dayStep) grey {
+// misreportedHealthOf returns the failure of a backend whose health checks mislead: every request fails although
+// the checks pass, or with "bad" no request fails although the checks fail.
+func misreportedHealthOf(step *dayStep) partialFailure {
 	if step.has("bad") {
-		return grey{}
+		return partialFailure{}
 	}
-	g := greyOf(step)
+	g := partialFailureOf(step)
 	g.share = 1
 	return g
 }
 
-// meets draws whether a request fails.
-func (g *grey) meets(d *day, zone string) bool {
-	return g.share > 0 && (g.zone == "" || g.zone == zone) && d.world.rng.Float64() < g.share
+// drawFails draws whether a request from a node in the given zone fails.
+func (g *partialFailure) drawFails(d *day, zone string) bool {
+	return g.share > 0 && (g.zone == "" || g.zone == zone) && d.sim.rng.Float64() < g.share
 }
 
-// factor returns how many times as long a request's work takes.
-func (g *grey) factor(j *job) int64 {
-	if j.mode == greySlow {
+// factor returns the factor by which the failure lengthens the work on a request.
+func (g *partialFailure) factor(j *job) int64 {
+	if j.mode == failBySlowness {
 		return max(1, g.slow)
 	}
 	return 1
 }
 
-// rejectsEarly ends a request that a grey backend does not even start, and reports whether it did.
+// rejectsEarly handles a request that fails before the backend starts to work on it, and reports whether it is one.
 func (inc *incarnation) rejectsEarly(x *exchange, j *job) bool {
 	switch j.mode {
-	case greyRejects:
+	case failWithRejects:
 		x.rejected(inc, 503, "full")
-	case greyBusy:
+	case failWithBusy:
 		x.rejected(inc, 429, "busy")
-	case greyMute:
-		// It is read, and never answered.
-		inc.day.world.Checker.Count("muted_requests", 1)
+	case failSilently:
+		// The request is read and never answered.
+		inc.day.sim.Checker.Count("muted_requests", 1)
 	default:
 		return false
 	}
--- a/lab/sim/day_incarnation.go
+++ b/lab/sim/day_incarnation.go
@@ -1,4 +1,4 @@
-// One incarnation of a backend: slots, a queue, pauses, and the faults of its responses.
+// One incarnation of a backend: its slots and queue, its pauses, and faults of its responses.
 
 package sim
 
@@ -19,25 +19,25 @@
 	record *rules.Backend
 
 	up, silent, draining, listed bool
-	// grey is how a share of its requests fail; reportsUnhealthy makes its health checks fail; connections that
-	// were idle for longer than connTimeout are dropped without notice, 0 for never.
-	grey             grey
+	// partialFailure is how a share of the requests fails. reportsUnhealthy makes the health checks fail.
+	// Connections that have been idle for longer than connTimeout are dropped without notice; 0 disables this.
+	partialFailure   partialFailure
 	reportsUnhealthy bool
 	connTimeout      clock.Micros
-	// unreachable reports whether nothing gets from a machine to a backend.
+	// unreachable means that a partition separates the backend from all machines.
 	unreachable  bool
 	warmAt       clock.Micros
 	speed, phase int64
 	running      int
 	queue        []*job
 	conns        int64
-	// slowdown multiplies the work, in thousandths, 0 for none; garbledShare and surplusShare are the shares of
-	// responses that are garbled or followed by another one, lostShare of those that are never sent.
+	// slowdown is the factor of the work time in thousandths, 0 for none. garbledShare, surplusShare and lostShare
+	// are the shares of the responses that are garbled, followed by a surplus response, or never sent.
 	slowdown                              int64
 	garbledShare, surplusShare, lostShare float64
 }
 
-// job is a request at a backend.
+// job is a request that a backend has received.
 type job struct {
 	backend  *incarnation
 	exchange *exchange
@@ -46,13 +46,13 @@
 	started  bool
 	ended    bool
 	work     clock.Micros
-	// mode is how a grey backend fails it.
-	mode greyMode
+	// mode is how a partially failing backend fails the request; empty if it does not.
+	mode failureMode
 }
 
-func (inc *incarnation) now() clock.Micros { return inc.day.world.now }
+func (inc *incarnation) now() clock.Micros { return inc.day.sim.now }
 
-// pauseLeft returns how much of the current pause is left.
+// pauseLeft returns how long the current pause still lasts, 0 outside pauses.
 func (inc *incarnation) pauseLeft() clock.Micros {
 	if inc.shape.pauseUs == 0 {
 		return 0
@@ -61,7 +61,7 @@
 	return max(0, inc.shape.pauseUs-at)
 }
 
-// arrive is called when a request's last byte is there. The exchange carries the response back.
+// arrive is called when the last byte of a request arrives. The exchange carries the response back.
 func (inc *incarnation) arrive(x *exchange, target string, a *rules.Arrival, work, within clock.Micros) {
 	d := inc.day
 	d.journal.Arrivals = append(d.journal.Arrivals, a)
@@ -71,20 +71,20 @@
 		x.rejected(inc, 421, "another backend has the address")
 		return
 	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue:
-		d.world.Checker.Count("backend_full", 1)
+		d.sim.Checker.Count("backend_full", 1)
 		x.rejected(inc, 503, "full")
 		return
 	}
 	j := &job{backend: inc, exchange: x, arrival: a, until: inc.now() + within, work: work}
-	if inc.grey.meets(d, x.gateway.process.settings.Zone) {
-		j.mode = inc.grey.mode
+	if inc.partialFailure.drawFails(d, x.gateway.process.settings.Zone) {
+		j.mode = inc.partialFailure.mode
 		if inc.rejectsEarly(x, j) {
 			return
 		}
 	}
 	x.job = j
 	inc.queue = append(inc.queue, j)
-	d.world.after(within, func() { j.expire() })
+	d.sim.after(within, func() { j.expire() })
 	inc.startNext()
 }
 
@@ -99,14 +99,14 @@
 		j.started = true
 		j.arrival.Ran = true
 		inc.running++
-		us := j.work * inc.speed / 100 * inc.grey.factor(j)
+		us := j.work * inc.speed / 100 * inc.partialFailure.factor(j)
 		if inc.slowdown > 0 {
 			us = us * inc.slowdown / 1000
 		}
 		if inc.now() < inc.warmAt {
-			us = us * warmUpX / 1000
+			us = us * coldWorkFactor / 1000
 		}
-		inc.day.world.after(us+inc.pauseLeft(), j.finishWork)
+		inc.day.sim.after(us+inc.pauseLeft(), j.finishWork)
 	}
 }
 
@@ -115,36 +115,36 @@
 		return
 	}
 	if left := j.backend.pauseLeft(); left > 0 {
-		j.backend.day.world.after(left, j.finishWork)
+		j.backend.day.sim.after(left, j.finishWork)
 		return
 	}
-	if j.mode == greyHang {
-		// It keeps the slot and never answers.
+	if j.mode == failByHanging {
+		// The request keeps its slot and is never answered.
 		return
 	}
 	j.end()
 	switch j.mode {
-	case greyErrors:
+	case failWithErrors:
 		j.respond(500)
-	case greyReset:
+	case failByReset:
 		j.exchange.failed("reset")
 	default:
 		j.respond(200)
 	}
 }
 
-// expire ends the request at the deadline that the backend was given.
+// expire ends the request at the deadline that it carried.
 func (j *job) expire() {
 	if j.ended || !j.backend.up {
 		return
 	}
 	if !j.started {
 		j.ended = true
-		j.exchange.rejected(j.backend, 503, "too late")
+		j.exchange.rejected(j.backend, 503, "deadline passed in the queue")
 		return
 	}
 	j.end()
-	if j.mode != greyHang {
+	if j.mode != failByHanging {
 		j.respond(504)
 	}
 }
@@ -155,7 +155,8 @@
 	j.backend.startNext()
 }
 
-// connClosed is called when the connection ends: most backends then stop the work.
+// connClosed is called when the node closes the connection. A queued request is dropped; work that has started is
+// stopped in nine of ten cases.
 func (j *job) connClosed() {
 	if j.ended || !j.backend.up {
 		return
@@ -164,41 +165,41 @@
 		j.ended = true
 		return
 	}
-	if j.backend.day.world.rng.IntN(10) > 0 {
+	if j.backend.day.sim.rng.IntN(10) > 0 {
 		j.end()
 	}
 }
 
-// respond seals the response and applies the response faults.
+// respond sends a sealed response, subject to the response faults.
 func (j *job) respond(status int) {
 	inc, d := j.backend, j.backend.day
 	body := d.responseBody(j.arrival.Attempt, inc.row.Pool, j.exchange.kind)
 	if status != 200 {
 		body = []byte("failed")
 	}
-	d.world.nextID++
+	d.sim.nextID++
 	h := fnv.New32a()
 	h.Write(body)
 	j.arrival.Status, j.arrival.Answer = status, body
-	j.arrival.Seal = fmt.Sprintf("%s.%x.%x.%d.%d.%08x", inc.row.ID, d.world.nextID, len(body), status, 0, h.Sum32())
-	roll := d.world.rng.Float64()
+	j.arrival.Seal = fmt.Sprintf("%s.%x.%x.%d.%d.%08x", inc.row.ID, d.sim.nextID, len(body), status, 0, h.Sum32())
+	roll := d.sim.rng.Float64()
 	switch {
 	case roll < inc.lostShare:
 		j.exchange.failed("reset")
 	case roll < inc.lostShare+inc.garbledShare:
-		j.exchange.garbled(d.world.rng.IntN(2) == 0)
+		j.exchange.garbled(d.sim.rng.IntN(2) == 0)
 	default:
 		j.exchange.responded(inc, j.arrival, roll > 1-inc.surplusShare)
 	}
 }
 
-// healthCheck waits for a slot or is rejected, as a request is.
+// healthCheck handles a health check, which waits for a slot or is rejected like a request.
 func (inc *incarnation) healthCheck(done func(status int)) {
 	switch {
 	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue, inc.draining, inc.reportsUnhealthy:
 		done(503)
 	default:
-		inc.day.world.after(1000+inc.pauseLeft()+int64(len(inc.queue))*5000/int64(inc.shape.slots), func() {
+		inc.day.sim.after(1000+inc.pauseLeft()+int64(len(inc.queue))*5000/int64(inc.shape.slots), func() {
 			if inc.up {
 				done(200)
 			}
@@ -206,8 +207,8 @@
 	}
 }
 
-// responseBody returns what a backend of a pool responds to an attempt: records in no order where responses are
-// gathered, some of them equal, and a remainder that is no record.
+// responseBody returns the body of a pool's response to an attempt: 16-byte records in random order, some of which
+// start with the same 8 bytes, and a remainder that is too short for a record.
 func (d *day) responseBody(attempt, pool string, kind *requestShape) []byte {
 	h := fnv.New64a()
 	h.Write([]byte(attempt))
@@ -235,34 +236,35 @@
 	return out
 }
 
-// crash ends an incarnation; a silent one sends no resets.
-func (inc *incarnation) crash(dark bool) {
+// crash ends an incarnation. If it is silent, no connection is reset and dials time out.
+func (inc *incarnation) crash(silent bool) {
 	if !inc.up {
 		return
 	}
 	d := inc.day
-	inc.up, inc.silent = false, dark
+	inc.up, inc.silent = false, silent
 	inc.record.Ended = inc.now()
-	d.world.logEvent(inc.row.ID + " of " + inc.row.Pool + " ends")
+	d.sim.logEvent(inc.row.ID + " of " + inc.row.Pool + " ends")
 	for _, x := range d.exchangesOf(inc) {
-		if !dark {
+		if !silent {
 			x.failed("reset")
 		}
 	}
 	inc.queue, inc.running = nil, 0
 	b := &d.backends
-	b.free = append(b.free, freeAddr{inc.row.Addr, inc.row.Zone, inc.row.Pool, inc.now() + reuseUs})
-	d.world.after(reuseUs, func() { inc.silent = inc.silent && b.byAddr[inc.row.Addr] == inc })
-	d.world.after(crashedFor, func() { inc.listed = false; b.publish() })
+	b.free = append(b.free, freeAddr{inc.row.Addr, inc.row.Zone, inc.row.Pool, inc.now() + addressReuseUs})
+	d.sim.after(addressReuseUs, func() { inc.silent = inc.silent && b.byAddr[inc.row.Addr] == inc })
+	d.sim.after(crashDelistUs, func() { inc.listed = false; b.publish() })
 }
 
-// restartSlowStart makes the incarnation cold again.
+// restartSlowStart makes the incarnation cold, as if it had just started.
 func (inc *incarnation) restartSlowStart() {
 	inc.warmAt = inc.now() + warmUpUs
 	inc.record.SlowStart = append(inc.record.SlowStart, rules.Span{From: inc.now(), To: inc.warmAt})
 }
 
-// drain is the planned end: the list shows it, and the backend serves on for a while.
+// drain begins the planned end of an incarnation: the list shows it as leaving, and the backend goes on serving
+// until the nodes must have stopped using it.
 func (inc *incarnation) drain() {
 	if !inc.up || inc.draining {
 		return
@@ -271,7 +273,7 @@
 	inc.draining, inc.row.State = true, "leaving"
 	inc.record.Shown = inc.now() + listLagUs
 	d.backends.publish()
-	d.world.after(listLagUs+d.journal.Bounds.DrainUs+300*clock.Millisecond, func() {
+	d.sim.after(listLagUs+d.journal.Bounds.DrainUs+300*clock.Millisecond, func() {
 		if inc.up {
 			inc.crash(false)
 			inc.listed = false
--- a/lab/sim/day_partitions.go
+++ b/lab/sim/day_partitions.go
@@ -1,4 +1,4 @@
-// Clocks that step, and partitioned machines.
+// Wall clocks that are stepped, and network partitions of machines.
 
 package sim
 
@@ -8,24 +8,24 @@
 	"wallport/runtime/clock"
 )
 
-// clockFault steps the wall clock of some machines, and back later.
+// clockFault steps the wall clocks of random machines, and steps them back after step.forUs.
 func (d *day) clockFault(step *dayStep) {
 	d.recordUnplanned(step.forUs)
 	us := int64(step.factorOr(2000) * 1000)
 	if step.has("back") {
 		us = -us
 	}
-	var hit []*machine
+	var targets []*machine
 	if m := d.leader(); step.has("leader") && m != nil {
-		hit = append(hit, m)
+		targets = append(targets, m)
 	}
 	for _, m := range d.machines {
-		if d.world.rng.Float64() < step.shareOr(0.3) && (len(hit) == 0 || m != hit[0]) {
-			hit = append(hit, m)
+		if d.sim.rng.Float64() < step.shareOr(0.3) && (len(targets) == 0 || m != targets[0]) {
+			targets = append(targets, m)
 		}
 	}
-	shift := func(us clock.Micros) {
-		for _, m := range hit {
+	stepClocks := func(us clock.Micros) {
+		for _, m := range targets {
 			m.skew += us
 			m.recordEvent()
 			for _, p := range m.processes() {
@@ -33,14 +33,15 @@
 			}
 		}
 	}
-	shift(us)
-	d.world.after(step.forUs, func() { shift(-us) })
+	stepClocks(us)
+	d.sim.after(step.forUs, func() { stepClocks(-us) })
 }
 
-// partitionMachines partitions core members from each other, or other machines from the core members.
+// partitionMachines partitions a core member from the other core members (core_cut), or other machines from the
+// core members (node_cut).
 func (d *day) partitionMachines(step *dayStep) {
-	cut := func(m *machine) {
-		// It may have waited until now.
+	partition := func(m *machine) {
+		// The fault is recorded only now because it may have been delayed.
 		d.recordUnplanned(step.forUs)
 		var links []string
 		for _, c := range d.machines {
@@ -56,7 +57,7 @@
 		d.setRefused(links, step.has("refuse"))
 		m.recordEvent()
 		d.restartAroundPartition(step, m)
-		d.meetDuring(step, m)
+		d.sendDuringPartition(step, m)
 		d.endFaultAfter(step, m, step.forUs, func() {
 			d.setPartitioned(links, false, false)
 			d.setRefused(links, false)
@@ -65,7 +66,7 @@
 		})
 	}
 	if step.verb == "core_cut" {
-		d.onCoreMember(step, cut)
+		d.onCoreMember(step, partition)
 		return
 	}
 	if step.has("servers") {
@@ -74,17 +75,17 @@
 		return
 	}
 	for _, m := range d.drawOthers(step, d.machineCount(step, 0.1)) {
-		cut(m)
+		partition(m)
 	}
 }
 
-// setPartitioned blocks or opens links; with reset their connections end at once.
+// setPartitioned blocks or unblocks links; with reset it also closes the connections over all blocked links.
 func (d *day) setPartitioned(links []string, on, reset bool) {
-	for _, way := range links {
-		d.partitions[way] = on
+	for _, mode := range links {
+		d.partitions[mode] = on
 	}
 	if reset {
-		d.world.net.closePartitioned()
+		d.sim.net.closePartitioned()
 	}
-	d.world.logEvent(fmt.Sprint("cuts ", on, " ", links))
+	d.sim.logEvent(fmt.Sprint("links blocked: ", on, " ", links))
 }
--- a/lab/sim/measure_growth.go
+++ b/lab/sim/measure_growth.go
@@ -1,6 +1,6 @@
-// Measurements of what each process of a fleet sends, receives and does, on simulated time: frames and bytes by
-// kind, steps and fetches, at rest, at start-up, at configuration changes, and when a node is lost or joins.
-// Counts are a function of the options alone, so that two builds can be compared.
+// Measurements, in simulated time, of the traffic and work of each process of a fleet: frames and bytes by kind,
+// steps and fetches. They cover start-up, the idle fleet, configuration changes, and the loss and the join of a
+// node. The counts depend only on the options, so that two builds can be compared.
 
 package sim
 
@@ -13,16 +13,17 @@
 	"wallport/runtime/kernel"
 )
 
-// Growth holds the options of a simulation.
+// Growth holds the options of a measurement.
 type Growth struct {
 	Nodes, Cores, Servers int
 	Seed                  uint64
-	// Brief leaves out all but the start and the rest.
+	// Brief limits the measurement to the start-up and the idle fleet.
 	Brief bool
 }
 
-// Rates is what a process of a role does in a second of a phase, averaged over its processes; MostIn is the
-// highest number of bytes received by one process.
+// Rates holds what a process of a role does per second of a phase, averaged over the processes of the role. MostIn
+// is the highest average number of bytes per second that one process received. PeakSecondIn and PeakSecondOut are
+// the most bytes that one process received and sent in one second.
 type Rates struct {
 	Processes                   int
 	FramesIn, FramesOut         float64
@@ -33,31 +34,31 @@
 	PeakSecondIn, PeakSecondOut float64
 }
 
-// Phase is one stretch of the run.
+// Phase holds the measurements of one time span of the run.
 type Phase struct {
 	Name       string
 	From, To   clock.Micros
 	Node, Core Rates
-	// CPU is the processor time that this program spent on the phase, in cores for each
-	// process: a measurement of this machine, not a count that repeats.
+	// CPU is the processor time that the simulator spent on the phase, in processor cores per simulated process.
+	// Unlike the counts it depends on the machine and differs between runs.
 	CPU float64
 }
 
-// Grown is a run's result; times are in simulated microseconds.
+// Grown is the result of a measurement; times are in simulated microseconds.
 type Grown struct {
 	Growth
 	Phases []Phase
-	// InForceUs is, for each change, from its acknowledgement by the owner of the
-	// configuration until every node has it in force.
+	// InForceUs holds, for each change that was acknowledged, the time from sending it until every node has it in
+	// force.
 	InForceUs []clock.Micros
-	// LostUs is from a node's end until no other node takes it for live; MetUs from a
-	// node's start until every other takes it for live.
+	// LostUs is the time from the end of a node until no other node considers it live. MetUs is the time from the
+	// start of the node until every other node considers it live. Both are -1 if that did not happen.
 	LostUs, MetUs clock.Micros
-	// ReadyUs is from the first start until every node may serve.
+	// ReadyUs is the time from the start of the run until every node is ready, -1 if that did not happen.
 	ReadyUs clock.Micros
 }
 
-// Grow simulates a fleet without requests.
+// Grow measures a fleet without client requests.
 func Grow(g Growth) (Grown, error) {
 	end := int64(76 * clock.Second)
 	if g.Brief {
@@ -68,47 +69,47 @@
 	if err != nil {
 		return Grown{}, err
 	}
-	w := New(s, g.Seed)
+	sim := New(s, g.Seed)
 	r := Grown{Growth: g, LostUs: -1, MetUs: -1, ReadyUs: -1}
-	w.measurePhase(&r, "start", 0, 20*clock.Second)
-	w.measurePhase(&r, "rest", 20*clock.Second, 30*clock.Second)
-	w.recordDelay(0, func() bool { return len(w.platform.ready()) == g.Nodes }, &r.ReadyUs)
+	sim.measurePhase(&r, "start", 0, 20*clock.Second)
+	sim.measurePhase(&r, "rest", 20*clock.Second, 30*clock.Second)
+	sim.recordDelay(0, func() bool { return len(sim.platform.ready()) == g.Nodes }, &r.ReadyUs)
 	if !g.Brief {
-		w.measurePhase(&r, "changes", 30*clock.Second, 40*clock.Second)
+		sim.measurePhase(&r, "changes", 30*clock.Second, 40*clock.Second)
 		for i := range int64(5) {
-			w.at(30*clock.Second+i*2*clock.Second, func() { w.timeChange(&r.InForceUs) })
+			sim.at(30*clock.Second+i*2*clock.Second, func() { sim.timeChange(&r.InForceUs) })
 		}
 		last := fmt.Sprintf("node-%d", g.Nodes-1)
-		w.measurePhase(&r, "loss", 42*clock.Second, 52*clock.Second)
-		w.at(42*clock.Second, func() {
-			w.applyProcessVerb("kill", w.processes[last])
-			w.recordDelay(w.now, func() bool { return w.nodesSeeingLive(last) == 0 }, &r.LostUs)
+		sim.measurePhase(&r, "loss", 42*clock.Second, 52*clock.Second)
+		sim.at(42*clock.Second, func() {
+			sim.applyProcessVerb("kill", sim.processes[last])
+			sim.recordDelay(sim.now, func() bool { return sim.nodesSeeingLive(last) == 0 }, &r.LostUs)
 		})
-		w.measurePhase(&r, "join", 60*clock.Second, 75*clock.Second)
-		w.at(60*clock.Second, func() {
-			w.applyProcessVerb("restart", w.processes[last])
-			w.recordDelay(w.now, func() bool { return w.nodesSeeingLive(last) == g.Nodes-1 }, &r.MetUs)
+		sim.measurePhase(&r, "join", 60*clock.Second, 75*clock.Second)
+		sim.at(60*clock.Second, func() {
+			sim.applyProcessVerb("restart", sim.processes[last])
+			sim.recordDelay(sim.now, func() bool { return sim.nodesSeeingLive(last) == g.Nodes-1 }, &r.MetUs)
 		})
 	}
-	w.Run()
+	sim.Run()
 	if len(r.Phases) < 2 || r.ReadyUs < 0 {
-		return r, fmt.Errorf("%d of %d nodes were ready", len(w.platform.ready()), g.Nodes)
+		return r, fmt.Errorf("only %d of %d nodes were ready at the end of the run", len(sim.platform.ready()), g.Nodes)
 	}
 	return r, nil
 }
 
-// recordDelay stores in us how long after from the condition became true.
-func (w *World) recordDelay(from clock.Micros, ok func() bool, us *clock.Micros) {
+// recordDelay stores in us the time from the given moment until the condition is true, to within 20 ms.
+func (sim *Simulation) recordDelay(from clock.Micros, ok func() bool, us *clock.Micros) {
 	if ok() {
-		*us = w.now - from
+		*us = sim.now - from
 		return
 	}
-	w.after(20*clock.Millisecond, func() { w.recordDelay(from, ok, us) })
+	sim.after(20*clock.Millisecond, func() { sim.recordDelay(from, ok, us) })
 }
 
-// nodesSeeingLive counts the other nodes that take a node for live.
-func (w *World) nodesSeeingLive(name string) (n int) {
-	for _, p := range w.processes {
+// nodesSeeingLive returns the number of other running nodes that consider a node live.
+func (sim *Simulation) nodesSeeingLive(name string) (n int) {
+	for _, p := range sim.processes {
 		if p.role != roleNode || !p.running() || p.name == name || p.snapshots.Current() == nil {
 			continue
 		}
@@ -121,57 +122,57 @@
 	return n
 }
 
-// measurePhase measures from one moment to another.
-func (w *World) measurePhase(r *Grown, name string, from, to clock.Micros) {
-	var was map[string]Traffic
+// measurePhase adds the measurements of a time span to r.
+func (sim *Simulation) measurePhase(r *Grown, name string, from, to clock.Micros) {
+	var previous map[string]Traffic
 	var peakIn, peakOut map[string]int64
 	var cpu float64
-	w.at(from, func() {
+	sim.at(from, func() {
 		cpu = cpuSeconds()
-		was, peakIn, peakOut = w.traffic(), map[string]int64{}, map[string]int64{}
-		w.measurePeakSeconds(to, was, peakIn, peakOut)
+		previous, peakIn, peakOut = sim.traffic(), map[string]int64{}, map[string]int64{}
+		sim.measurePeakSeconds(to, previous, peakIn, peakOut)
 	})
-	w.at(to, func() {
-		now := w.traffic()
+	sim.at(to, func() {
+		now := sim.traffic()
 		span := float64(to-from) / 1e6
-		p := Phase{Name: name, From: from, To: to, CPU: (cpuSeconds() - cpu) / span / float64(len(w.processes))}
-		p.Node = w.rates(roleNode, was, now, span, peakIn, peakOut)
-		p.Core = w.rates(roleCore, was, now, span, peakIn, peakOut)
+		p := Phase{Name: name, From: from, To: to, CPU: (cpuSeconds() - cpu) / span / float64(len(sim.processes))}
+		p.Node = sim.rates(roleNode, previous, now, span, peakIn, peakOut)
+		p.Core = sim.rates(roleCore, previous, now, span, peakIn, peakOut)
 		r.Phases = append(r.Phases, p)
 	})
 }
 
-// measurePeakSeconds records the busiest second of each process.
-func (w *World) measurePeakSeconds(to clock.Micros, was map[string]Traffic, in, out map[string]int64) {
-	if w.now+clock.Second > to {
+// measurePeakSeconds records, for each process, the most bytes received and sent in one second.
+func (sim *Simulation) measurePeakSeconds(to clock.Micros, previous map[string]Traffic, in, out map[string]int64) {
+	if sim.now+clock.Second > to {
 		return
 	}
-	w.after(clock.Second, func() {
-		now := w.traffic()
+	sim.after(clock.Second, func() {
+		now := sim.traffic()
 		for name, t := range now {
-			in[name] = max(in[name], sum(t.In).Bytes-sum(was[name].In).Bytes)
-			out[name] = max(out[name], sum(t.Out).Bytes-sum(was[name].Out).Bytes)
+			in[name] = max(in[name], sum(t.In).Bytes-sum(previous[name].In).Bytes)
+			out[name] = max(out[name], sum(t.Out).Bytes-sum(previous[name].Out).Bytes)
 		}
-		w.measurePeakSeconds(to, now, in, out)
+		sim.measurePeakSeconds(to, now, in, out)
 	})
 }
 
-func (w *World) traffic() map[string]Traffic {
-	out := make(map[string]Traffic, len(w.processes))
-	for name, p := range w.processes {
+func (sim *Simulation) traffic() map[string]Traffic {
+	out := make(map[string]Traffic, len(sim.processes))
+	for name, p := range sim.processes {
 		out[name] = p.traffic
 	}
 	return out
 }
 
-func (w *World) rates(role string, was, now map[string]Traffic, span float64, peakIn, peakOut map[string]int64) (r Rates) {
-	for _, name := range w.names {
-		p := w.processes[name]
+func (sim *Simulation) rates(role string, previous, now map[string]Traffic, span float64, peakIn, peakOut map[string]int64) (r Rates) {
+	for _, name := range sim.names {
+		p := sim.processes[name]
 		if p.role != role || !p.up {
 			continue
 		}
 		r.Processes++
-		a, b := was[name], now[name]
+		a, b := previous[name], now[name]
 		in, out := sum(b.In).Bytes-sum(a.In).Bytes, sum(b.Out).Bytes-sum(a.Out).Bytes
 		r.BytesIn += float64(in) / span
 		r.BytesOut += float64(out) / span
@@ -191,8 +192,9 @@
 		r.Peers += float64(kernel.Find[*mesh.Mesh](p.kernel).Peers())
 		r.Origins += float64(p.kernel.Counts.Of("mesh_origins").Load())
 	}
-	// The network may have opened a direct connection twice, of which one is used.
-	for _, l := range w.net.links {
+	// Two processes may have two direct connections, of which one is used; only that one is in direct. A mesh
+	// connection is listed in links under both of its ends, so each listing counts half.
+	for _, l := range sim.net.links {
 		if !l.mesh {
 			continue
 		}
@@ -202,7 +204,7 @@
 			}
 		}
 	}
-	for _, l := range w.net.direct {
+	for _, l := range sim.net.direct {
 		for _, s := range l.ends {
 			if !l.closed && s.process.role == role && s.process.up && s.process.incarnation == s.incarnation {
 				r.Channels++
--- a/lab/sim/world_disk.go
+++ b/lab/sim/world_disk.go
@@ -1,5 +1,5 @@
-// A simulated disk: writes take time and complete in order; a power loss keeps only what was synced, and may
-// leave a write in flight torn, undone or complete.
+// A simulated disk: writes take time and complete in order. A power loss keeps only what was synced; the write in
+// flight may end up torn, not applied or complete.
 
 package sim
 
@@ -8,10 +8,10 @@
 	"wallport/runtime/kernel"
 )
 
-// diskMode is how a disk behaves; scenarios name the modes by their text.
+// diskMode is how a disk behaves. Scenarios use the text as the name of the mode.
 type diskMode string
 
-// Modes of disks: writes succeed, hang, or fail for lack of space.
+// Modes of disks: writes succeed, do not complete, or fail for lack of space.
 const (
 	diskOK      diskMode = ""
 	diskStalled diskMode = "stalled"
@@ -26,9 +26,10 @@
 	mode       diskMode
 	extraDelay clock.Micros
 	fsyncs     int64
-	// syncTime is the least duration of a sync; 0 selects the default distribution.
+	// syncTime is the shortest duration of a write and its sync; a write takes up to one and a half times as long.
+	// 0 selects the default distribution, 0.8 to 3.8 ms.
 	syncTime clock.Micros
-	// powerOffAfter is the file whose next completed write is followed by a power loss.
+	// powerOffAfter is the file after whose next completed write the power is cut; empty for none.
 	powerOffAfter string
 }
 
@@ -56,25 +57,26 @@
 	if d.powerOffAtStep(d.queue[0]) {
 		return
 	}
-	took := 800 + d.process.world.rng.Int64N(3000) + d.extraDelay
+	duration := 800 + d.process.sim.rng.Int64N(3000) + d.extraDelay
 	if d.syncTime > 0 {
-		took = d.syncTime + d.process.world.rng.Int64N(d.syncTime/2) + d.extraDelay
+		duration = d.syncTime + d.process.sim.rng.Int64N(d.syncTime/2) + d.extraDelay
 	}
-	life := d.process.incarnation
-	d.process.world.after(took, func() {
-		if d.process.incarnation != life {
+	incarnation := d.process.incarnation
+	d.process.sim.after(duration, func() {
+		if d.process.incarnation != incarnation {
 			return
 		}
 		d.complete()
 	})
 }
 
-// complete ends the write at the head, unless the disk stalled meanwhile.
+// complete ends the first write of the queue. If the disk has stalled since the write began, it checks again every
+// 20 ms.
 func (d *disk) complete() {
 	if d.mode == diskStalled {
-		life := d.process.incarnation
-		d.process.world.after(20*clock.Millisecond, func() {
-			if d.process.incarnation == life {
+		incarnation := d.process.incarnation
+		d.process.sim.after(20*clock.Millisecond, func() {
+			if d.process.incarnation == incarnation {
 				d.complete()
 			}
 		})
@@ -91,26 +93,26 @@
 		res.Err = "no space left on device"
 	default:
 		d.fsyncs += 2
-		d.process.world.Checker.Count("fsyncs", 2)
+		d.process.sim.Checker.Count("fsyncs", 2)
 		d.files[w.File] = w.Data
 	}
 	if w.Key != "" {
 		d.process.deliver(func() { d.process.step(res) })
 	}
-	d.powerOffIfArmed(w)
+	d.powerOffAfterAck(w)
 	d.startNext()
 }
 
-// powerLoss ends the process with the power: writes that were not synced are dropped, undone, or leave a torn
-// file.
+// powerLoss applies a power loss to the disk. Queued writes are dropped; the write in flight is dropped, complete,
+// or leaves a torn file if the file did not exist before.
 func (d *disk) powerLoss() {
 	if d.busy && len(d.queue) > 0 && d.queue[0].Data != nil {
 		w := d.queue[0]
-		switch d.process.world.rng.IntN(3) {
+		switch d.process.sim.rng.IntN(3) {
 		case 0:
 			if _, old := d.files[w.File]; !old {
-				d.files[w.File] = w.Data[:d.process.world.rng.IntN(len(w.Data))]
-				d.process.world.Checker.Count("torn_files", 1)
+				d.files[w.File] = w.Data[:d.process.sim.rng.IntN(len(w.Data))]
+				d.process.sim.Checker.Count("torn_files", 1)
 			}
 		case 1:
 			d.files[w.File] = w.Data
@@ -121,7 +123,7 @@
 
 func (d *disk) wipe() { d.files = map[string][]byte{} }
 
-// write enqueues a write at the disk; without a disk it fails.
+// write enqueues a write at the process's disk; without a disk the write fails.
 func (p *process) write(wr kernel.Write) {
 	if p.disk != nil {
 		p.disk.enqueue(wr)
--- a/lab/sim/world_network.go
+++ b/lab/sim/world_network.go
@@ -1,5 +1,5 @@
-// The simulated network between processes: ordered connections with latency, partitions in one or both
-// directions, broken connections, and duplicate delivery on the mesh.
+// The simulated network between processes: connections that deliver frames in order and with latency, partitions in
+// one or both directions, closed connections, and duplicate delivery on the mesh.
 
 package sim
 
@@ -29,7 +29,7 @@
 }
 
 type network struct {
-	world            *World
+	sim              *Simulation
 	lastID           uint64
 	links            map[uint64]*link
 	direct           map[string]*link
@@ -37,35 +37,37 @@
 	isolated         map[string]bool
 	extraDelay       clock.Micros
 	duplicatePercent int64
-	// For measurements: frames and bytes on mesh connections, and the frames that carry a partition's version.
+	// For measurements: the frames and bytes on mesh connections, and the gossip frames that carry a version of
+	// partition 0 of the control state.
 	frames, bytes, partitionFrames int64
 }
 
-func (n *network) init(w *World) {
-	n.world, n.links, n.direct, n.blocked = w, map[uint64]*link{}, map[string]*link{}, map[string]bool{}
+func (n *network) init(sim *Simulation) {
+	n.sim, n.links, n.direct, n.blocked = sim, map[uint64]*link{}, map[string]*link{}, map[string]bool{}
 	n.isolated = map[string]bool{}
 }
 
-// stallTimeout is how long a connection survives a partition: the writer's time-out.
+// stallTimeout is how long a connection survives a network partition: the write time-out of the sender.
 const stallTimeout = 5 * clock.Second
 
-// partitioned reports whether no frame gets from a to b. An isolated process reaches no other process, later
-// ones included, but the platform and the servers.
+// partitioned reports whether frames from a cannot reach b. An isolated process reaches the platform and the
+// servers but no other process, including processes that are added later.
 func (n *network) partitioned(a, b string) bool {
-	if n.world.day != nil {
-		return n.world.day.partitioned(a, b)
+	if n.sim.day != nil {
+		return n.sim.day.partitioned(a, b)
 	}
 	if n.blocked[a+">"+b] {
 		return true
 	}
-	return a != b && (n.isolated[a] || n.isolated[b]) && n.world.processes[a] != nil && n.world.processes[b] != nil
+	return a != b && (n.isolated[a] || n.isolated[b]) && n.sim.processes[a] != nil && n.sim.processes[b] != nil
 }
 
-func (n *network) latency() clock.Micros { return 150 + n.world.rng.Int64N(600) + n.extraDelay }
+func (n *network) latency() clock.Micros { return 150 + n.sim.rng.Int64N(600) + n.extraDelay }
 
-// dial opens a connection and passes it to then, or nil if that fails.
+// dial opens a connection. It calls then with the connection, or with nil if the dial of a direct connection fails;
+// the process learns of a failed mesh dial by a ConnDown input.
 func (n *network) dial(p *process, addr string, mesh bool, then func(l *link)) {
-	w := n.world
+	sim := n.sim
 	fail := func(d clock.Micros) {
 		p.deliverAfter(d, func() {
 			if mesh {
@@ -75,7 +77,7 @@
 			}
 		})
 	}
-	q := w.processesByAddr[addr]
+	q := sim.processesByAddr[addr]
 	if q == nil || !q.up {
 		fail(n.latency())
 		return
@@ -88,17 +90,17 @@
 		fail(2 * clock.Second)
 		return
 	}
-	plife, qlife := p.incarnation, q.incarnation
-	w.after(3*n.latency(), func() {
-		if p.incarnation != plife || !p.up {
+	pIncarnation, qIncarnation := p.incarnation, q.incarnation
+	sim.after(3*n.latency(), func() {
+		if p.incarnation != pIncarnation || !p.up {
 			return
 		}
-		if q.incarnation != qlife || !q.up {
+		if q.incarnation != qIncarnation || !q.up {
 			fail(0)
 			return
 		}
 		n.lastID += 2
-		l := &link{mesh: mesh, addr: addr, ends: [2]linkEnd{{p, n.lastID, plife}, {q, n.lastID + 1, qlife}}}
+		l := &link{mesh: mesh, addr: addr, ends: [2]linkEnd{{p, n.lastID, pIncarnation}, {q, n.lastID + 1, qIncarnation}}}
 		n.links[n.lastID], n.links[n.lastID+1] = l, l
 		if mesh {
 			p.connected(q, n.lastID, addr, true)
@@ -122,9 +124,9 @@
 		n.transmit(l, p, s.Data)
 		return
 	}
-	life := p.incarnation
+	incarnation := p.incarnation
 	n.dial(p, s.Addr, false, func(l *link) {
-		if l == nil || p.incarnation != life {
+		if l == nil || p.incarnation != incarnation {
 			return
 		}
 		if old := n.direct[key]; old != nil && !old.closed {
@@ -136,7 +138,8 @@
 	})
 }
 
-// transmit delivers a frame; a partition delays it and closes the connection in the end.
+// transmit sends a frame on a connection. A partition delays the frame, and closes the connection after
+// stallTimeout.
 func (n *network) transmit(l *link, from *process, data []byte) {
 	if l.closed {
 		return
@@ -145,31 +148,31 @@
 	if l.ends[1].process == from {
 		i = 1
 	}
-	at := max(l.lastArrival[i], n.world.now+n.latency())
+	at := max(l.lastArrival[i], n.sim.now+n.latency())
 	l.lastArrival[i] = at
 	data = n.asLaterRelease(from, data)
 	n.count(l, data)
 	countFrame(from, l.ends[1-i].process, data)
-	n.world.at(at, func() { n.arrive(l, i, data, n.world.now) })
-	if l.mesh && n.duplicatePercent > 0 && n.world.rng.Int64N(100) < n.duplicatePercent {
-		n.world.at(at+n.latency(), func() { n.arrive(l, i, data, n.world.now) })
+	n.sim.at(at, func() { n.arrive(l, i, data, n.sim.now) })
+	if l.mesh && n.duplicatePercent > 0 && n.sim.rng.Int64N(100) < n.duplicatePercent {
+		n.sim.at(at+n.latency(), func() { n.arrive(l, i, data, n.sim.now) })
 	}
 }
 
 func (n *network) arrive(l *link, i int, data []byte, since clock.Micros) {
-	if l.closed || n.muted(l, data) {
+	if l.closed || n.pathDisabled(l, data) {
 		return
 	}
 	from, to := l.ends[i], l.ends[1-i]
-	if from.process.incarnation != from.incarnation && n.world.now-since > 0 {
+	if from.process.incarnation != from.incarnation && n.sim.now-since > 0 {
 		return
 	}
 	if n.partitioned(from.process.name, to.process.name) {
-		if n.world.now-since > stallTimeout {
+		if n.sim.now-since > stallTimeout {
 			n.closeLink(l)
 			return
 		}
-		n.world.after(100*clock.Millisecond, func() { n.arrive(l, i, data, since) })
+		n.sim.after(100*clock.Millisecond, func() { n.arrive(l, i, data, since) })
 		return
 	}
 	if !to.process.up || to.process.incarnation != to.incarnation {
@@ -183,24 +186,26 @@
 	})
 }
 
-// asLaterRelease makes a frame look like one of a later release, which has one more field.
+// asLaterRelease adds a field to a frame from every n-th process (newer_every), as a later release of the software
+// would.
 func (n *network) asLaterRelease(from *process, data []byte) []byte {
-	every := n.world.Script.Int("newer_every", 0)
+	every := n.sim.Script.Int("newer_every", 0)
 	if every == 0 || from.index%every != 0 || len(data) < 11 || data[10]&0xf0 != 0x80 || data[10] == 0x8f {
 		return data
 	}
 	out := append([]byte(nil), data...)
 	out[10]++
-	n.world.Checker.Count("frames_of_later_release", 1)
+	n.sim.Checker.Count("frames_of_later_release", 1)
 	out = msgp.AppendString(out, "later")
 	return msgp.AppendMapStrStr(out, map[string]string{"of": "a later release"})
 }
 
-// muted reports whether the scenario has switched off the path, gossip or pull, by which this frame travels.
-func (n *network) muted(l *link, data []byte) bool {
-	off := func(name string) bool { at := n.world.Script.Int(name, 0); return at > 0 && n.world.now >= at }
+// pathDisabled reports whether the scenario has switched off the path by which this frame travels: all frames of
+// the mesh (mesh_off_us), or replies to pulls (pulls_off_us).
+func (n *network) pathDisabled(l *link, data []byte) bool {
+	disabled := func(name string) bool { at := n.sim.Script.Int(name, 0); return at > 0 && n.sim.now >= at }
 	f, err := wire.Open(data)
-	return err == nil && (l.mesh && off("mesh_off_us") || f.Kind == wire.KindPullReply && off("pulls_off_us"))
+	return err == nil && (l.mesh && disabled("mesh_off_us") || f.Kind == wire.KindPullReply && disabled("pulls_off_us"))
 }
 
 func (n *network) closeLink(l *link) {
@@ -226,7 +231,7 @@
 	}
 }
 
-// closeLinksOf closes every connection of a process that died.
+// closeLinksOf closes every connection of a process that has ended.
 func (n *network) closeLinksOf(p *process) {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
@@ -236,7 +241,8 @@
 	}
 }
 
-// setBlocked partitions or joins two groups of processes, one way or both.
+// setBlocked blocks or unblocks frames from one group of processes to another, and with both also in the other
+// direction.
 func (n *network) setBlocked(from, to []string, both, on bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -251,26 +257,26 @@
 	}
 }
 
-// partitionDialDelay returns how soon a dial over a partition fails: at once where the partition refuses
-// connections.
+// partitionDialDelay returns the time after which a dial over a partition fails: one network latency if the
+// partition refuses connections, 1 s otherwise.
 func (n *network) partitionDialDelay(p, q *process) clock.Micros {
-	if p.machine != nil && n.world.day.refusedLinks[p.machine.name+">"+q.machine.name] {
+	if p.machine != nil && n.sim.day.refusedLinks[p.machine.name+">"+q.machine.name] {
 		return n.latency()
 	}
 	return clock.Second
 }
 
-// reset closes a share of a machine's connections at once.
+// reset closes each connection of a machine with probability share.
 func (n *network) reset(m *machine, share float64) {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
-		if l != nil && !l.closed && (l.ends[0].process.machine == m || l.ends[1].process.machine == m) && n.world.rng.Float64() < share {
+		if l != nil && !l.closed && (l.ends[0].process.machine == m || l.ends[1].process.machine == m) && n.sim.rng.Float64() < share {
 			n.closeLink(l)
 		}
 	}
 }
 
-// closePartitioned closes at once the connections that cross a partition.
+// closePartitioned closes the connections that cross a partition, without waiting for their time-out.
 func (n *network) closePartitioned() {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[id]
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -1,4 +1,4 @@
-// A simulated process: one kernel with its own clocks, disk and connections, and on a node the request path.
+// A simulated process: a kernel with its own clocks, disk and connections, and on a node also the request path.
 
 package sim
 
@@ -26,14 +26,14 @@
 
 const epoch = int64(1700000000 * clock.Second)
 
-// Roles of processes, as in their names and settings.
+// Roles of processes; the texts are part of the process names.
 const (
 	roleNode = "node"
 	roleCore = "core"
 )
 
 type process struct {
-	world       *World
+	sim         *Simulation
 	name        string
 	role        string
 	settings    settings.Settings
@@ -58,71 +58,71 @@
 	calls       map[uint64]func(any)
 	nextCall    uint64
 	draining    bool
-	// stopDeadline is when a draining core ends though it is still a voter.
+	// stopDeadline is when a draining core ends even if it is still a voter.
 	stopDeadline       clock.Micros
 	restartWhenStopped bool
-	// traffic counts what the process sent, received and stepped.
+	// traffic counts the frames that the process has sent and received, and its steps and fetches.
 	traffic Traffic
-	// freezeAt is the state of a request at which this node freezes.
+	// freezeAt is the request state on whose entry this node freezes, for freezeFor; empty for none.
 	freezeAt  search.State
 	freezeFor clock.Micros
-	// inputDelay is how long a slowed process takes for each input, 0 otherwise; busyUntil is when it is done
-	// with the last one.
+	// inputDelay is the time that a slowed process takes for each input, 0 for a process of normal speed. busyUntil
+	// is when it has processed the last input.
 	inputDelay, busyUntil clock.Micros
-	// machine is the process's machine on a day, nil otherwise.
+	// machine is the machine that the process runs on in a day's simulation, nil otherwise.
 	machine *machine
 }
 
-func (w *World) add(role string, i int, addr string) *process {
+func (sim *Simulation) add(role string, i int, addr string) *process {
 	name := fmt.Sprintf("%s-%d", role, i)
 	e := settings.Settings{
-		Name: name, Zone: w.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: w.seeds, FleetSecret: "sim",
-		PollsPer10s: w.platform.callLimit, LogLevel: "info",
+		Name: name, Zone: sim.Shape.Zone(i), Mesh: addr, Operator: addr + "0", Seeds: sim.seeds, FleetSecret: "sim",
+		PollsPer10s: sim.platform.callLimit, LogLevel: "info",
 	}
-	p := &process{world: w, name: name, role: role, settings: e, index: int64(len(w.names))}
+	p := &process{sim: sim, name: name, role: role, settings: e, index: int64(len(sim.names))}
 	if role == roleNode {
 		p.settings.Caller, p.settings.PlatformURL = addr+"1", "http://platform/list"
 	} else {
 		p.settings.DataDir = "disk"
 		p.disk = newDisk(p)
 	}
-	w.processes[name] = p
-	w.names = append(w.names, name)
-	w.processesByAddr[addr] = p
+	sim.processes[name] = p
+	sim.names = append(sim.names, name)
+	sim.processesByAddr[addr] = p
 	return p
 }
 
 // running reports whether the process is up and not frozen.
 func (p *process) running() bool { return p.up && !p.frozen }
 
-func (p *process) now() clock.Micros { return p.world.now - p.startedAt }
+func (p *process) now() clock.Micros { return p.sim.now - p.startedAt }
 
 func (p *process) start() {
 	if p.up {
 		return
 	}
-	w := p.world
+	sim := p.sim
 	p.incarnation++
-	p.up, p.frozen, p.startedAt, p.reachedAt, p.draining = true, false, w.now, w.now, false
+	p.up, p.frozen, p.startedAt, p.reachedAt, p.draining = true, false, sim.now, sim.now, false
 	p.calls = map[uint64]func(any){}
 	p.waiting = nil
 	var seed [32]byte
 	for i := range seed {
-		seed[i] = byte(w.rng.Uint32())
+		seed[i] = byte(sim.rng.Uint32())
 	}
-	b := kernel.Boot{Settings: p.settings, Role: p.role, Seed: w.rng.Uint64(), Key: kernel.KeyFrom(seed[:]), Files: map[string][]byte{}}
+	b := kernel.Boot{Settings: p.settings, Role: p.role, Seed: sim.rng.Uint64(), Key: kernel.KeyFrom(seed[:]), Files: map[string][]byte{}}
 	if p.disk != nil {
 		b.Files = p.disk.load()
 	}
 	p.kernel = kernel.New(b)
-	w.Checker.Restarted(p.name)
-	w.logEvent(p.name + " starts")
+	sim.Checker.Restarted(p.name)
+	sim.logEvent(p.name + " starts")
 	if p.role == roleNode {
 		p.snapshots = kernel.Find[*snapshot.Builder](p.kernel)
 	}
 	switch {
-	case p.role == roleNode && w.day != nil:
-		w.day.newGateway(p, b.Seed)
+	case p.role == roleNode && sim.day != nil:
+		sim.day.newGateway(p, b.Seed)
 	case p.role == roleNode:
 		p.dispatcher = search.NewDispatcher(search.Config{
 			Snapshots: p.snapshots, LoadReport: kernel.Find[*loadreport.Reporter](p.kernel), Counts: p.kernel.Counts, Name: p.name, Seed: b.Seed, Now: 0,
@@ -134,29 +134,29 @@
 	p.step(kernel.Start{})
 }
 
-// kill ends the process at once; its memory is lost.
+// kill ends the process without a shutdown; its memory is lost.
 func (p *process) kill() {
 	if !p.up {
 		return
 	}
-	p.world.logEvent(p.name + " dies")
+	p.sim.logEvent(p.name + " dies")
 	p.up, p.frozen = false, false
 	p.incarnation++
 	if p.machine == nil || !p.machine.poweredOff {
-		p.world.net.closeLinksOf(p)
+		p.sim.net.closeLinksOf(p)
 	}
 	if p.frontend != nil {
 		p.frontend.abort()
 	}
-	if p.machine != nil && p.world.day.gateways[p] != nil {
-		p.world.day.gateways[p].abort()
+	if p.machine != nil && p.sim.day.gateways[p] != nil {
+		p.sim.day.gateways[p].abort()
 	}
 }
 
 func (p *process) freeze() {
 	if p.running() {
-		p.frozen, p.frozenAt = true, p.world.now
-		p.world.logEvent(p.name + " freezes")
+		p.frozen, p.frozenAt = true, p.sim.now
+		p.sim.logEvent(p.name + " freezes")
 	}
 }
 
@@ -165,9 +165,9 @@
 		return
 	}
 	p.frozen = false
-	gap := p.world.now - p.frozenAt
-	p.reachedAt = p.world.now
-	p.world.logEvent(p.name + " thaws")
+	gap := p.sim.now - p.frozenAt
+	p.reachedAt = p.sim.now
+	p.sim.logEvent(p.name + " thaws")
 	if gap > clock.Second {
 		p.step(kernel.Thawed{Gap: gap})
 	}
@@ -178,20 +178,20 @@
 	}
 }
 
-// deliver runs f in this incarnation of the process, or later if it is frozen or busy.
+// deliver runs f unless this incarnation of the process has ended. If the process is frozen or busy, f runs later.
 func (p *process) deliver(f func()) {
-	life := p.incarnation
+	incarnation := p.incarnation
 	g := func() {
-		if p.up && p.incarnation == life {
+		if p.up && p.incarnation == incarnation {
 			f()
 		}
 	}
 	switch {
 	case p.up && p.frozen:
 		p.waiting = append(p.waiting, g)
-	case p.inputDelay > 0 || p.busyUntil > p.world.now:
-		p.busyUntil = max(p.busyUntil, p.world.now) + p.inputDelay
-		p.world.at(p.busyUntil, func() {
+	case p.inputDelay > 0 || p.busyUntil > p.sim.now:
+		p.busyUntil = max(p.busyUntil, p.sim.now) + p.inputDelay
+		p.sim.at(p.busyUntil, func() {
 			if p.frozen {
 				p.waiting = append(p.waiting, g)
 				return
@@ -203,11 +203,11 @@
 	}
 }
 
-// deliverAfter delivers f after a while.
+// deliverAfter delivers f after a delay, unless this incarnation of the process has ended by then.
 func (p *process) deliverAfter(d clock.Micros, f func()) {
-	life := p.incarnation
-	p.world.after(d, func() {
-		if p.incarnation == life {
+	incarnation := p.incarnation
+	p.sim.after(d, func() {
+		if p.incarnation == incarnation {
 			p.deliver(f)
 		}
 	})
@@ -215,9 +215,9 @@
 
 func (p *process) step(in kernel.Input) {
 	p.traffic.Steps++
-	out := p.kernel.Step(p.now(), epoch+p.world.now+p.skew, in)
+	out := p.kernel.Step(p.now(), epoch+p.sim.now+p.skew, in)
 	for _, n := range out.LogEvents {
-		p.world.logEvent(p.name + " " + n.Event + " " + fmt.Sprint(n.Fields...))
+		p.sim.logEvent(p.name + " " + n.Event + " " + fmt.Sprint(n.Fields...))
 	}
 	for _, t := range out.Timers {
 		p.deliverAfter(t.At-p.now(), func() { p.step(t.Tick) })
@@ -226,17 +226,17 @@
 		p.write(wr)
 	}
 	for _, a := range out.Dials {
-		p.world.net.dial(p, a, true, nil)
+		p.sim.net.dial(p, a, true, nil)
 	}
 	for _, s := range out.Sends {
-		p.world.net.send(p, s)
+		p.sim.net.send(p, s)
 	}
 	for _, ch := range out.Drops {
-		p.world.net.drop(p, ch)
+		p.sim.net.drop(p, ch)
 	}
 	p.traffic.Fetches += int64(len(out.Fetches))
 	for _, f := range out.Fetches {
-		p.world.fetch(p, f)
+		p.sim.fetch(p, f)
 	}
 	for _, a := range out.Replies {
 		if f := p.calls[a.ID]; f != nil {
@@ -246,31 +246,31 @@
 	}
 }
 
-// call sends a request to a plug-in and passes the answer to f.
-func (p *process) call(plugin string, ask any, f func(any)) {
+// call sends a request to a plug-in and passes the answer to f, if f is not nil.
+func (p *process) call(plugin string, request any, f func(any)) {
 	p.nextCall++
 	id := p.nextCall
 	if f != nil {
 		p.calls[id] = f
 	}
-	p.step(kernel.Call{Plugin: plugin, ID: id, Request: ask})
+	p.step(kernel.Call{Plugin: plugin, ID: id, Request: request})
 }
 
-// stop is the graceful shutdown: nothing new is accepted, requests in flight are finished, then the process
-// ends.
+// stop begins the graceful shutdown: the process accepts no new requests, finishes those in flight, and ends. A
+// core first leaves its replica groups; it waits for that until stopDeadline at most.
 func (p *process) stop() {
 	if !p.running() {
 		return
 	}
 	p.draining = true
-	p.world.logEvent(p.name + " drains")
+	p.sim.logEvent(p.name + " drains")
 	p.step(kernel.Stopping{})
-	p.stopDeadline = p.world.now + replica.LeaveTimeout
+	p.stopDeadline = p.sim.now + replica.LeaveTimeout
 	p.deliverAfter(clock.Second, p.endWhenIdle)
 }
 
 func (p *process) endWhenIdle() {
-	leaving := p.replicas != nil && !p.replicas.HasLeft() && p.world.now < p.stopDeadline
+	leaving := p.replicas != nil && !p.replicas.HasLeft() && p.sim.now < p.stopDeadline
 	if leaving || p.frontend != nil && len(p.frontend.requests) > 0 {
 		p.deliverAfter(20*clock.Millisecond, p.endWhenIdle)
 		return
@@ -282,8 +282,8 @@
 	}
 }
 
-// answerFetch returns a function that answers a plug-in's fetch after a while. Only the first answer counts; the
-// fetch times out by itself.
+// answerFetch returns a function that answers a plug-in's fetch after a delay. Only the first answer is delivered;
+// without one the fetch times out.
 func (p *process) answerFetch(f kernel.Fetch) func(after clock.Micros, r kernel.Fetched) {
 	done := false
 	answer := func(after clock.Micros, r kernel.Fetched) {
@@ -299,7 +299,7 @@
 	return answer
 }
 
-// hostOf returns the host and port of a URL, and whether they are the platform's.
+// hostOf returns the host and port of a URL, and whether it is the platform's address.
 func hostOf(url string) (host string, platform bool) {
 	host, _, _ = strings.Cut(strings.TrimPrefix(url, "http://"), "/")
 	return host, host == "platform"
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -1,4 +1,5 @@
-// Simulated backends, and the answers to fetches of health reports and of the platform's list.
+// Simulated backends ("servers" in scenarios), and the answers to fetches of health reports and of the platform's
+// endpoint list.
 
 package sim
 
@@ -15,11 +16,11 @@
 	"wallport/runtime/wire"
 )
 
-// serverMode is how a server misbehaves. Scenarios name the modes by their text; further ones, which spoil
-// responses, are those of backend.Spoil.
+// serverMode is how a server misbehaves. Scenarios use the text as the name of the mode. All other texts are modes
+// of backend.Spoil, which corrupts responses.
 type serverMode string
 
-// Modes of servers. A vanished one is down and does not even refuse connections.
+// Modes of servers. A vanished server is down and does not refuse connections: dials to it time out.
 const (
 	serverOK       serverMode = ""
 	serverSlow     serverMode = "slow"
@@ -30,7 +31,7 @@
 )
 
 type server struct {
-	world               *World
+	sim                 *Simulation
 	row                 wire.Backend
 	shards              int
 	up                  bool
@@ -43,51 +44,51 @@
 	serviceUs           clock.Micros
 }
 
-// slowStartUs is the length of the slow start in the simulated configuration.
+// slowStartUs is the slow-start time in the simulated configuration.
 const slowStartUs = 3 * clock.Second
 
-func (w *World) addServer(row wire.Backend, shards int) *server {
-	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(w.servers)/200, len(w.servers)%200)
-	s := &server{world: w, row: row, shards: shards, serviceUs: w.Script.Int("server_us", 2000)}
-	// Initial servers are warm; later ones are cold.
+func (sim *Simulation) addServer(row wire.Backend, shards int) *server {
+	row.Addr = fmt.Sprintf("10.1.%d.%d:80", len(sim.servers)/200, len(sim.servers)%200)
+	s := &server{sim: sim, row: row, shards: shards, serviceUs: sim.Script.Int("server_us", 2000)}
+	// Servers that exist at the start are warm; servers that are added later are cold.
 	s.boot()
-	if w.now == 0 {
+	if sim.now == 0 {
 		s.born = -10 * slowStartUs
 	}
-	w.servers[row.ID] = s
-	w.serverIDs = append(w.serverIDs, row.ID)
-	w.serversByAddr[row.Addr] = s
+	sim.servers[row.ID] = s
+	sim.serverIDs = append(sim.serverIDs, row.ID)
+	sim.serversByAddr[row.Addr] = s
 	return s
 }
 
 func (s *server) boot() {
-	s.up, s.born, s.running = true, s.world.now, 0
+	s.up, s.born, s.running = true, s.sim.now, 0
 	s.incarnation++
-	s.reportedIncarnation = epoch + s.world.now + int64(s.incarnation)
-	s.world.logEvent(s.row.ID + " boots")
+	s.reportedIncarnation = epoch + s.sim.now + int64(s.incarnation)
+	s.sim.logEvent(s.row.ID + " boots")
 }
 
-func (s *server) kill() { s.up = false; s.incarnation++; s.world.logEvent(s.row.ID + " dies") }
+func (s *server) kill() { s.up = false; s.incarnation++; s.sim.logEvent(s.row.ID + " dies") }
 
-func (w *World) fetch(p *process, f kernel.Fetch) {
-	if w.day != nil {
-		w.day.fetch(p, f)
+func (sim *Simulation) fetch(p *process, f kernel.Fetch) {
+	if sim.day != nil {
+		sim.day.fetch(p, f)
 		return
 	}
 	answer := p.answerFetch(f)
 	host, platform := hostOf(f.URL)
-	rtt := 2 * w.net.latency()
+	rtt := 2 * sim.net.latency()
 	if platform {
-		if w.net.partitioned(p.name, "platform") {
+		if sim.net.partitioned(p.name, "platform") {
 			return
 		}
-		status, body := w.platform.serveList()
+		status, body := sim.platform.serveList()
 		answer(rtt, kernel.Fetched{Status: status, Body: body})
 		return
 	}
-	s := w.serversByAddr[host]
+	s := sim.serversByAddr[host]
 	switch {
-	case s == nil || w.net.partitioned(p.name, s.row.ID) || s.mode == serverHangs || s.mode == serverPaused:
+	case s == nil || sim.net.partitioned(p.name, s.row.ID) || s.mode == serverHangs || s.mode == serverPaused:
 		return
 	case !s.up && s.mode == serverVanished:
 		return
@@ -95,28 +96,29 @@
 		answer(rtt, kernel.Fetched{Err: "connection refused"})
 		return
 	}
-	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.reportedIncarnation, UpUs: w.now - s.born, Usage: s.running, ShardMap: s.row.ShardMap})
+	b, _ := json.Marshal(healthcheck.Response{ID: s.row.ID, Incarnation: s.reportedIncarnation, UpUs: sim.now - s.born, Usage: s.running, ShardMap: s.row.ShardMap})
 	answer(rtt, kernel.Fetched{Status: 200, Body: b})
 }
 
-// askServer carries one request to a server and the reply back; done gets what the node sees.
-func (w *World) askServer(p *process, a *search.Send, done func(search.Result)) {
-	s := w.serversByAddr[a.Backend.Addr]
-	there := w.net.latency()
+// sendToServer sends one request to a server and calls done with the result that the node sees. If the server hangs
+// or the way back is partitioned, done is never called.
+func (sim *Simulation) sendToServer(p *process, a *search.Send, done func(search.Result)) {
+	s := sim.serversByAddr[a.Backend.Addr]
+	latency := sim.net.latency()
 	if s == nil || !s.up && s.mode != serverVanished {
-		w.after(2*there, func() { done(search.Result{Class: search.ClassNotSent, Reason: "connection refused"}) })
+		sim.after(2*latency, func() { done(search.Result{Class: search.ClassNotSent, Reason: "connection refused"}) })
 		return
 	}
-	if !s.up || w.net.partitioned(p.name, s.row.ID) {
-		w.after(300*clock.Millisecond, func() { done(search.Result{Class: search.ClassNotSent, Reason: "timed out"}) })
+	if !s.up || sim.net.partitioned(p.name, s.row.ID) {
+		sim.after(300*clock.Millisecond, func() { done(search.Result{Class: search.ClassNotSent, Reason: "timed out"}) })
 		return
 	}
-	life := s.incarnation
-	w.after(there, func() {
+	incarnation := s.incarnation
+	sim.after(latency, func() {
 		broken := func() {
-			w.after(there, func() { done(search.Result{Class: search.ClassFailed, Reason: "reset"}) })
+			sim.after(latency, func() { done(search.Result{Class: search.ClassFailed, Reason: "reset"}) })
 		}
-		if !s.up || s.incarnation != life {
+		if !s.up || s.incarnation != incarnation {
 			broken()
 			return
 		}
@@ -124,10 +126,10 @@
 		took := s.drawServiceTime()
 		refuses := s.mode == serverRejects
 		if !refuses {
-			w.recordExecution(a)
+			sim.recordExecution(a)
 		}
-		w.after(took, func() {
-			if s.incarnation != life {
+		sim.after(took, func() {
+			if s.incarnation != incarnation {
 				broken()
 				return
 			}
@@ -136,28 +138,29 @@
 				return
 			}
 			raw := s.respond(a, refuses)
-			back := there
-			if w.net.partitioned(s.row.ID, p.name) {
+			back := latency
+			if sim.net.partitioned(s.row.ID, p.name) {
 				return
 			}
-			w.after(back, func() { done(raw) })
+			sim.after(back, func() { done(raw) })
 		})
 	})
 }
 
 func (s *server) drawServiceTime() clock.Micros {
-	us := s.serviceUs + s.world.rng.Int64N(s.serviceUs)
+	us := s.serviceUs + s.sim.rng.Int64N(s.serviceUs)
 	if s.mode == serverSlow || s.mode == serverPaused {
-		us = s.slowUs + s.world.rng.Int64N(s.slowUs/4+1)
+		us = s.slowUs + s.sim.rng.Int64N(s.slowUs/4+1)
 	}
-	if up := s.world.now - s.born; up < slowStartUs {
-		us += s.world.Script.Int("cold_times", 4) * us * (slowStartUs - up) / slowStartUs
+	if up := s.sim.now - s.born; up < slowStartUs {
+		us += s.sim.Script.Int("cold_times", 4) * us * (slowStartUs - up) / slowStartUs
 	}
-	// More concurrent work than 16 requests slows all of it.
+	// Every 16 concurrent requests add the base time once more.
 	return us * (1 + s.running/16)
 }
 
-// respond makes the body that the real stand-in would send, and checks it as a node does.
+// respond builds the response body that the real test backend (lab/backend) would send, and checks it as a node
+// does.
 func (s *server) respond(a *search.Send, refuses bool) search.Result {
 	in := a.Request
 	sealed := search.BackendResponse{RequestID: a.ID, ShardMap: s.row.ShardMap, Shard: s.row.Shard, Incarnation: s.reportedIncarnation, Load: s.running}
@@ -182,8 +185,8 @@
 	return search.CheckResponse(a, raw)
 }
 
-// recordExecution reports an execution that must happen at most once to the checker.
-func (w *World) recordExecution(a *search.Send) {
+// recordExecution reports to the checker the execution of a request that must run at most once.
+func (sim *Simulation) recordExecution(a *search.Send) {
 	if !a.Request.AtMostOnce() {
 		return
 	}
@@ -191,5 +194,5 @@
 	if key == "" {
 		key = a.ID
 	}
-	w.Checker.Ran(key, w.now)
+	sim.Checker.Ran(key, sim.now)
 }
