--- a/control/configsync/sync.go
+++ b/control/configsync/sync.go
@@ -97,8 +97,8 @@
 // Leader returns the address of the last reported leader of a partition, or "" if none has been reported.
 func (p *Sync) Leader(partition int) string { return p.leaders[partition].Addr }
 
-// HearsLeader reports whether a core has reported a leader of the partition to this process within the last leaderTimeout.
-func (p *Sync) HearsLeader(partition int, now clock.Micros) bool {
+// HasCurrentLeader reports whether a core has reported a leader of the partition to this process within the last leaderTimeout.
+func (p *Sync) HasCurrentLeader(partition int, now clock.Micros) bool {
 	return p.leaderReportedAt[partition] > 0 && now-p.leaderReportedAt[partition] < leaderTimeout
 }
 
--- a/request/idempotency/owners.go
+++ b/request/idempotency/owners.go
@@ -70,7 +70,7 @@
 // so at most one side has such a leader.
 func (c *Coordinator) inMinority(current *snapshot.Snapshot, now clock.Micros) bool {
 	votes := 2 * current.LiveNodeCount
-	if c.configSync.HearsLeader(state.ConfigPartition, now) {
+	if c.configSync.HasCurrentLeader(state.ConfigPartition, now) {
 		votes++
 	}
 	return votes <= current.Divisor && current.Divisor > 1
