--- a/cluster/mesh/antientropy.go
+++ b/cluster/mesh/antientropy.go
@@ -69,7 +69,7 @@
 	case hb.Digest == mine:
 		peer.differed = false
 		m.markInSync(ctx)
-		if hb.Echo {
+		if hb.WantReply {
 			ctx.SendLatest(peer.conn, wire.KindHeartbeat, &wire.Heartbeat{Digest: mine}, "answer")
 		}
 	case len(hb.Buckets) == DigestBuckets:
@@ -106,12 +106,12 @@
 func (m *Mesh) requestSync(ctx *kernel.Context, peer *peerConn) {
 	peer.requestedAt, m.syncRequestedAt, peer.progressed, peer.retryDue = ctx.Now, ctx.Now, false, false
 	ctx.Counts.Add("mesh_asked", 1)
-	hb := &wire.Heartbeat{Addrs: m.sampleAddrs(ctx, peer.zone, greetingAddrs), Digest: m.digest(), Buckets: m.store.buckets[:], Echo: true}
+	hb := &wire.Heartbeat{Addrs: m.sampleAddrs(ctx, peer.zone, greetingAddrs), Digest: m.digest(), Buckets: m.store.buckets[:], WantReply: true}
 	ctx.SendLatest(peer.conn, wire.KindHeartbeat, hb, "buckets")
 }
 
 // handleSummaries sends the entries that the peer lacks according to its summaries. If the peer set
-// Echo, this process's summaries are sent after the entries, so a peer that receives the summaries
+// WantReply, this process's summaries are sent after the entries, so a peer that receives the summaries
 // has received all of the entries.
 func (m *Mesh) handleSummaries(ctx *kernel.Context, peer *peerConn, hb *wire.Heartbeat) {
 	theirs := make(map[string]wire.OriginSummary, len(hb.Summaries))
@@ -135,7 +135,7 @@
 		}
 	}
 	switch {
-	case hb.Echo:
+	case hb.WantReply:
 		m.sendSummaries(ctx, peer, hb.Scope, behind)
 	case behind && peer.progressed && !peer.legacy:
 		m.requestSyncSoon(ctx, peer)
@@ -166,9 +166,9 @@
 }
 
 // sendSummaries sends the highest count and the sum of each origin in the scope's buckets, and the
-// versions of all partitions. With echo set, the peer replies with its own summaries.
-func (m *Mesh) sendSummaries(ctx *kernel.Context, peer *peerConn, scope uint64, echo bool) {
-	hb := &wire.Heartbeat{Digest: m.digest(), Scope: scope, Echo: echo, Partitions: m.versions()}
+// versions of all partitions. With wantReply set, the peer replies with its own summaries.
+func (m *Mesh) sendSummaries(ctx *kernel.Context, peer *peerConn, scope uint64, wantReply bool) {
+	hb := &wire.Heartbeat{Digest: m.digest(), Scope: scope, WantReply: wantReply, Partitions: m.versions()}
 	for _, fp := range sortedKeys(m.store.origins) {
 		if origin := m.store.origins[fp]; scope&bucketBit(fp) != 0 && origin.maxCount > 0 {
 			hb.Summaries = append(hb.Summaries, wire.OriginSummary{Origin: fp, Max: origin.maxCount, Sum: origin.sum})
--- a/cluster/mesh/heartbeat.go
+++ b/cluster/mesh/heartbeat.go
@@ -78,9 +78,9 @@
 		return
 	}
 	complete := *hb
-	complete.Scope, complete.Echo = allBuckets, false
+	complete.Scope, complete.WantReply = allBuckets, false
 	m.handleSummaries(ctx, peer, &complete)
-	if hb.Echo {
+	if hb.WantReply {
 		// The reply is sent after the missing entries on the same connection, so a peer that has
 		// received the reply has received all of these entries.
 		ctx.Send(peer.conn, wire.KindHeartbeat, 0, m.legacyHeartbeat())
--- a/cluster/mesh/mesh.go
+++ b/cluster/mesh/mesh.go
@@ -222,7 +222,7 @@
 	for _, id := range sortedKeys(m.peers) {
 		if m.legacy {
 			hb := m.legacyHeartbeat()
-			hb.Echo = true
+			hb.WantReply = true
 			ctx.SendLatest(id, wire.KindHeartbeat, hb, "echo")
 			continue
 		}
--- a/runtime/process/handshake.go
+++ b/runtime/process/handshake.go
@@ -20,7 +20,7 @@
 	"wallport/runtime/wire"
 )
 
-// The purposes of a connection. The Fleet field of a hello carries the purpose.
+// The purposes of a connection. The Purpose field of a hello carries the purpose.
 const (
 	purposeMesh   = "mesh"
 	purposeDirect = "direct"
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if !dialed {
-		mesh, addr = theirs.Fleet == purposeMesh, theirs.Addr
+		mesh, addr = theirs.Purpose == purposeMesh, theirs.Addr
 	}
 	pc := newPeerConn(tr, conn, addr, mesh, dialed)
 	if err := tr.register(pc); err != nil {
@@ -94,7 +94,7 @@
 		purpose = purposeMesh
 	}
 	conn.SetDeadline(time.Now().Add(helloTimeout))
-	hello := wire.Hello{Addr: own.Mesh, Zone: own.Zone, Fleet: purpose, Proof: fleetProof(own.FleetSecret, self, peer)}
+	hello := wire.Hello{Addr: own.Mesh, Zone: own.Zone, Purpose: purpose, Proof: fleetProof(own.FleetSecret, self, peer)}
 	if err := wire.WriteTo(conn, wire.Seal(wire.KindHello, 0, &hello)); err != nil {
 		return theirs, fmt.Errorf("cannot send the hello: %w", err)
 	}
--- a/runtime/wire/messages.go
+++ b/runtime/wire/messages.go
@@ -36,13 +36,13 @@
 	KindStatusReply
 )
 
-// Hello is the first frame on a connection, in both directions. Addr is the sender's mesh address, Fleet the purpose of
-// the connection, and Proof shows that the sender knows the fleet's secret.
+// Hello is the first frame on a connection, in both directions. Addr is the sender's mesh address, Purpose is what the
+// connection is for, and Proof shows that the sender knows the fleet's secret.
 type Hello struct {
-	Addr  string `msg:"a"`
-	Zone  string `msg:"z,omitempty"`
-	Fleet string `msg:"f"`
-	Proof []byte `msg:"p"`
+	Addr    string `msg:"a"`
+	Zone    string `msg:"z,omitempty"`
+	Purpose string `msg:"f"`
+	Proof   []byte `msg:"p"`
 }
 
 // OriginSummary summarizes the entries of one origin that a process has stored: their highest count and a digest of
@@ -62,8 +62,8 @@
 	Addrs      []string        `msg:"a,omitempty"`
 	Summaries  []OriginSummary `msg:"m,omitempty"`
 	Partitions []Version       `msg:"p,omitempty"`
-	// Echo requests the entries that the sender lacks, followed directly by the receiver's summaries.
-	Echo bool `msg:"e,omitempty"`
+	// WantReply requests the entries that the sender lacks, followed directly by the receiver's summaries.
+	WantReply bool `msg:"e,omitempty"`
 	// Digest covers all entries that the sender has. A sender of a release without digests leaves it 0; Summaries
 	// and Partitions then cover all of its entries.
 	Digest uint64 `msg:"d,omitempty"`
--- a/runtime/wire/messages_gen.go
+++ b/runtime/wire/messages_gen.go
@@ -414,9 +414,9 @@
 				}
 			}
 		case "e":
-			z.Echo, err = dc.ReadBool()
+			z.WantReply, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Echo")
+				err = msgp.WrapError(err, "WantReply")
 				return
 			}
 		case "d":
@@ -479,7 +479,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Echo == false {
+	if z.WantReply == false {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
@@ -566,9 +566,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Echo)
+			err = en.WriteBool(z.WantReply)
 			if err != nil {
-				err = msgp.WrapError(err, "Echo")
+				err = msgp.WrapError(err, "WantReply")
 				return
 			}
 		}
@@ -638,7 +638,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Echo == false {
+	if z.WantReply == false {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
@@ -694,7 +694,7 @@
 		if (zb0001Mask & 0x8) == 0 { // if not omitted
 			// string "e"
 			o = append(o, 0xa1, 0x65)
-			o = msgp.AppendBool(o, z.Echo)
+			o = msgp.AppendBool(o, z.WantReply)
 		}
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "d"
@@ -794,9 +794,9 @@
 				}
 			}
 		case "e":
-			z.Echo, bts, err = msgp.ReadBoolBytes(bts)
+			z.WantReply, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Echo")
+				err = msgp.WrapError(err, "WantReply")
 				return
 			}
 		case "d":
@@ -891,9 +891,9 @@
 				return
 			}
 		case "f":
-			z.Fleet, err = dc.ReadString()
+			z.Purpose, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Fleet")
+				err = msgp.WrapError(err, "Purpose")
 				return
 			}
 		case "p":
@@ -958,9 +958,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Fleet)
+		err = en.WriteString(z.Purpose)
 		if err != nil {
-			err = msgp.WrapError(err, "Fleet")
+			err = msgp.WrapError(err, "Purpose")
 			return
 		}
 		// write "p"
@@ -1003,7 +1003,7 @@
 		}
 		// string "f"
 		o = append(o, 0xa1, 0x66)
-		o = msgp.AppendString(o, z.Fleet)
+		o = msgp.AppendString(o, z.Purpose)
 		// string "p"
 		o = append(o, 0xa1, 0x70)
 		o = msgp.AppendBytes(o, z.Proof)
@@ -1042,9 +1042,9 @@
 				return
 			}
 		case "f":
-			z.Fleet, bts, err = msgp.ReadStringBytes(bts)
+			z.Purpose, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Fleet")
+				err = msgp.WrapError(err, "Purpose")
 				return
 			}
 		case "p":
@@ -1067,7 +1067,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Hello) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Fleet) + 2 + msgp.BytesPrefixSize + len(z.Proof)
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Purpose) + 2 + msgp.BytesPrefixSize + len(z.Proof)
 	return
 }
 
