--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -54,9 +54,9 @@
 type hollowNode struct {
 	name string
 	p    *process.Process
-	// table is nil on a core.
-	table *snapshot.Builder
-	ended atomic.Bool
+	// builder is nil on a core.
+	builder *snapshot.Builder
+	ended   atomic.Bool
 }
 
 // Endpoint is the name and the mesh address of a hollow process.
@@ -102,7 +102,7 @@
 			last = err
 			continue
 		}
-		return &hollowNode{name: e.Name, p: p, table: kernel.Find[*snapshot.Builder](p.Kernel)}, nil
+		return &hollowNode{name: e.Name, p: p, builder: kernel.Find[*snapshot.Builder](p.Kernel)}, nil
 	}
 	return nil, oops.In("hollow").With("name", e.Name).Wrapf(last, "cannot start the hollow process")
 }
--- a/lab/scale/hollow_sample.go
+++ b/lab/scale/hollow_sample.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		s.Processes++
-		if n.table == nil || n.table.Current().Ready() {
+		if n.builder == nil || n.builder.Current().Ready() {
 			s.Ready++
 		}
 		n.p.Kernel.Counts.Each(func(name string, v int64) { s.Counts[name] += v })
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -54,7 +54,7 @@
 // allHaveVersion reports whether all running nodes have a version in force.
 func (h *Hollow) allHaveVersion(s wire.Version) bool {
 	for _, n := range h.nodes {
-		if cp := n.table.Current(); !n.ended.Load() && (cp == nil || cp.Config.ConfigVersion != s) {
+		if cp := n.builder.Current(); !n.ended.Load() && (cp == nil || cp.Config.ConfigVersion != s) {
 			return false
 		}
 	}
@@ -64,7 +64,7 @@
 // liveAt returns the number of running nodes that consider a member live.
 func (h *Hollow) liveAt(name string) (n int) {
 	for _, v := range h.nodes {
-		for _, m := range v.table.Current().Roster {
+		for _, m := range v.builder.Current().Roster {
 			if !v.ended.Load() && m.Name == name && m.Live {
 				n++
 			}
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -74,7 +74,7 @@
 	var out []Observation
 	var all []*nodeWatcher
 	for _, n := range nodes {
-		if n.table != nil {
+		if n.builder != nil {
 			all = append(all, &nodeWatcher{n: n, live: map[string]bool{}})
 		}
 	}
@@ -110,7 +110,7 @@
 	if e.n.ended.Load() {
 		return nil
 	}
-	cp := e.n.table.Current()
+	cp := e.n.builder.Current()
 	if cp == e.last || cp == nil {
 		return nil
 	}
@@ -144,7 +144,7 @@
 			return HostResponse{Err: err.Error()}
 		}
 		e = wire.Edit{Partition: state.PartitionOf(a.Name), Op: "cut", Name: a.Name, Body: wire.Encode(&wire.ShardMap{Next: cut.Name, NextShards: cut.Shards})}
-	} else if cp := n.table.Current(); cp != nil {
+	} else if cp := n.builder.Current(); cp != nil {
 		e.Base = cp.Config.ConfigVersion
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), editTimeout)
