--- a/cmd/lab/model.go
+++ b/cmd/lab/model.go
@@ -27,7 +27,7 @@
 	failed := 0
 	for _, config := range model.Configs() {
 		if c.States > 0 && strings.Contains(config.Name, c.Config) {
-			failed += c.explore(config.Deeper(c.Deeper))
+			failed += c.explore(config.WithMoreFaults(c.Deeper))
 		}
 	}
 	failed += c.walk()
@@ -40,7 +40,7 @@
 // explore explores one configuration, prints the result and returns the number of failures.
 func (c *modelCmd) explore(config model.Config) int {
 	began := time.Now()
-	w := model.NewWorld(config)
+	w := model.NewExplorer(config)
 	r := w.Explore(model.Bound{Depth: c.Depth, States: c.States})
 	fmt.Printf("%v\n   %v\n   counted %+v in %.1f s\n", w, r, w.Seen, time.Since(began).Seconds())
 	return printFailure(r.Failure)
@@ -48,7 +48,7 @@
 
 func (c *modelCmd) walk() int {
 	began := time.Now()
-	r, err := model.Everything(c.Replicas).Walks(c.Seed, c.Seeds, c.Length)
+	r, err := model.RandomWalkConfig(c.Replicas).Walks(c.Seed, c.Seeds, c.Length)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
--- a/lab/model/configs.go
+++ b/lab/model/configs.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Deeper returns a copy of the configuration with each nonzero budget increased by the given number, for a longer
-// exploration.
-func (c Config) Deeper(by int) Config {
+// WithMoreFaults returns a copy of the configuration with each nonzero budget increased by the given number, for a
+// longer exploration.
+func (c Config) WithMoreFaults(by int) Config {
 	b := &c.Budget
 	for _, n := range []*int{
 		&b.Elapses, &b.Losses, &b.Doubles, &b.Delays, &b.Crashes, &b.LostDisks, &b.Isolations, &b.Freezes, &b.Announces, &b.Stops, &b.Calls, &b.Holds,
@@ -78,9 +78,9 @@
 	return c
 }
 
-// Everything returns the configuration for random walks, with the given number of replicas. Its budget allows every
-// kind of fault, most kinds several times.
-func Everything(replicas int) Config {
+// RandomWalkConfig returns the configuration for random walks, with the given number of replicas. Its budget allows
+// every kind of fault, most kinds several times.
+func RandomWalkConfig(replicas int) Config {
 	return Config{
 		Name: "everything", Voters: 3, Standbys: max(0, replicas-3), Spans: []int{heartbeatSpan, quietSpan, electionSpan},
 		Operators: [][]Command{
--- a/lab/model/world.go
+++ b/lab/model/explorer.go
@@ -70,8 +70,8 @@
 // begin is the monotonic time at the start of a schedule.
 const begin = clock.Second
 
-// NewWorld returns an explorer for a configuration.
-func NewWorld(c Config) *Explorer {
+// NewExplorer returns an explorer for a configuration.
+func NewExplorer(c Config) *Explorer {
 	x := &Explorer{
 		Config: c, replicas: c.Voters + c.Standbys, voters: c.Voters, operators: c.Operators, restores: map[string]bool{},
 		runtime: newRuntime(), messages: map[digest]*message{}, versions: map[digest]*knownVersion{}, histories: map[digest]error{},
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -26,7 +26,7 @@
 	for _, c := range Configs() {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			x := NewWorld(c)
+			x := NewExplorer(c)
 			bound := Bound{Depth: unlimitedDepth, States: maxStates}
 			if testing.Short() {
 				bound.States = maxStatesShort
@@ -65,11 +65,11 @@
 func TestExplorationReplays(t *testing.T) {
 	c := Configs()[0]
 	bound := Bound{Depth: unlimitedDepth, States: maxStates}
-	must.Eq(t, NewWorld(c).Explore(bound), NewWorld(c).Explore(bound))
+	must.Eq(t, NewExplorer(c).Explore(bound), NewExplorer(c).Explore(bound))
 }
 
 func TestRandomWalks(t *testing.T) {
-	r, err := Everything(4).Walks(1, 20, 300)
+	r, err := RandomWalkConfig(4).Walks(1, 20, 300)
 	must.NoError(t, err)
 	t.Logf("%d walks, %d steps", r.Walks, r.Steps)
 	if r.Failure != nil {
@@ -78,8 +78,8 @@
 }
 
 func TestWalkReplays(t *testing.T) {
-	c := Everything(4)
-	first, second := NewWorld(c), NewWorld(c)
+	c := RandomWalkConfig(4)
+	first, second := NewExplorer(c), NewExplorer(c)
 	a, err := first.walkTo(7, 200)
 	must.NoError(t, err)
 	b, err := second.walkTo(7, 200)
@@ -91,7 +91,7 @@
 // differ, the fingerprint omits a field that affects the replica's behaviour.
 func TestEqualFingerprintsBehaveAlike(t *testing.T) {
 	c := Configs()[4]
-	x := NewWorld(c)
+	x := NewExplorer(c)
 	checked := 0
 	x.runtime.merged = func(known, other *process) {
 		checked++
--- a/lab/model/walk.go
+++ b/lab/model/walk.go
@@ -61,7 +61,7 @@
 	for i := range walks {
 		// An explorer caches every process it has encountered: replacing it regularly bounds the memory.
 		if i%walksPerExplorer == 0 {
-			x = NewWorld(c)
+			x = NewExplorer(c)
 		}
 		seed := first + uint64(i)
 		s, err := x.walkTo(seed, length)
