--- a/lab/rules/config.go
+++ b/lab/rules/config.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		for _, a := range j.arrivalsByAttempt[attempt.ID] {
-			if a.Wrong || !a.Ran || a.Machine != attempt.Machine {
+			if a.Misrouted || !a.Ran || a.Machine != attempt.Machine {
 				continue
 			}
 			j.tested(Config)
@@ -138,7 +138,7 @@
 }
 
 // configRead checks CONFIG: a configuration that is read back is at least as new as the newest one that was
-// acknowledged before the read, and it equals what was sent under its revision. In a journal with a closing fault, a
+// acknowledged before the read, and it equals what was sent under its revision. In a journal with a final fault, a
 // configuration that is too old or missing breaks LOST instead of CONFIG.
 func configRead(j *Journal) {
 	if len(j.Versions) == 0 {
@@ -146,7 +146,7 @@
 	}
 	newest := j.newestAcked(j.End)
 	rule := Config
-	if j.Closing != nil {
+	if j.FinalFault != nil {
 		rule = Lost
 	}
 	if len(j.ReadBack) == 0 {
@@ -209,7 +209,7 @@
 		}
 	}
 	for _, version := range j.Versions {
-		if version.Alone && !version.Invalid && version.Refused != Never {
+		if version.Uncontested && !version.Invalid && version.Refused != Never {
 			j.fail(Acks, version.Refused, "revision %d, based on the newest version and without a concurrent change, was refused", version.Revision)
 		}
 		if !version.Invalid && version.Refused == Never {
--- a/lab/rules/fault_spans.go
+++ b/lab/rules/fault_spans.go
@@ -39,15 +39,15 @@
 	}
 }
 
-// Moment records an event without duration, unless it falls into an open span.
-func (s *Spans) Moment(at clock.Micros) {
+// Instant records an event without duration, unless it falls into an open span.
+func (s *Spans) Instant(at clock.Micros) {
 	if n := len(*s); n == 0 || (*s)[n-1].To != Never {
 		*s = append(*s, Span{at, at})
 	}
 }
 
-// Hit reports whether any span overlaps the time from a to b, both included.
-func (s Spans) Hit(a, b int64) bool {
+// Overlaps reports whether any span overlaps the time from a to b, both included.
+func (s Spans) Overlaps(a, b int64) bool {
 	for _, v := range s {
 		if v.From <= b && v.To >= a {
 			return true
@@ -102,12 +102,12 @@
 }
 
 // Settled reports whether no event unsettled the core from a-contact to b, both included.
-func (t *FaultSpans) Settled(a, b, contact int64) bool { return !t.Unsettled.Hit(a-contact, b) }
+func (t *FaultSpans) Settled(a, b, contact int64) bool { return !t.Unsettled.Overlaps(a-contact, b) }
 
 // InContact reports whether a machine is in contact with the core at a time: from at-contact to at, the machine had
 // no fault and no event unsettled the core.
 func (t *FaultSpans) InContact(machine string, at, contact clock.Micros) bool {
-	return !t.Of(machine).Hit(at-contact, at) && !t.Unsettled.Hit(at-contact, at)
+	return !t.Of(machine).Overlaps(at-contact, at) && !t.Unsettled.Overlaps(at-contact, at)
 }
 
 // bound returns how long after an acknowledgement at acked a machine may take to apply the acknowledged command, as
@@ -117,11 +117,11 @@
 func (j *Journal) bound(machine string, acked, at, bound clock.Micros) (int64, bool) {
 	c := j.Bounds.ContactUs
 	switch {
-	case j.Faults.Of(machine).Hit(at-c, at):
+	case j.Faults.Of(machine).Overlaps(at-c, at):
 		return 0, false
-	case !j.Faults.Unsettled.Hit(at-c, at):
+	case !j.Faults.Unsettled.Overlaps(at-c, at):
 		return bound, true
-	case j.Faults.NoMajority.Hit(acked-c, at):
+	case j.Faults.NoMajority.Overlaps(acked-c, at):
 		return 0, false
 	}
 	return bound + j.Bounds.StretchUs, true
--- a/lab/rules/journal.go
+++ b/lab/rules/journal.go
@@ -70,16 +70,16 @@
 	Sent, Read, Ended, Deadline      clock.Micros
 	// Status is the HTTP status that the client received, 0 if none. Generated reports that the node itself, not a
 	// backend, produced the response.
-	Status          int
-	Generated       bool
-	Seal            string
-	Seals           []string
-	Missing         int
-	Answer          []byte
-	RetryAfterUs    clock.Micros
-	Aborted, GaveUp bool
-	AfterStop       bool
-	Late, Further   bool
+	Status            int
+	Generated         bool
+	Seal              string
+	Seals             []string
+	Missing           int
+	Answer            []byte
+	RetryAfterUs      clock.Micros
+	Aborted, Canceled bool
+	AfterStop         bool
+	Late, Further     bool
 }
 
 // Served reports whether the client received a success status.
@@ -93,20 +93,20 @@
 	Method, Target string
 	Body           []byte
 	Sent, At       clock.Micros
-	// Ran reports that the backend began to process the request, Wrong that the backend was not the intended one,
-	// and Held that a network partition delayed the request.
-	Ran, Wrong, Held bool
-	Status           int
-	Seal             string
-	Answer           []byte
+	// Ran reports that the backend began to process the request, Misrouted that the backend was not the intended one,
+	// and DelayedByPartition that a network partition delayed the request.
+	Ran, Misrouted, DelayedByPartition bool
+	Status                             int
+	Seal                               string
+	Answer                             []byte
 }
 
 // Backend is one incarnation of a backend.
 type Backend struct {
-	ID, Pool, Zone string
-	Born, Ended    clock.Micros
-	// Shown is the time at which the platform's list first showed the backend as leaving.
-	Shown clock.Micros
+	ID, Pool, Zone   string
+	StartedAt, Ended clock.Micros
+	// DrainingSince is the time at which the platform's list first showed the backend as leaving.
+	DrainingSince clock.Micros
 	// SlowStart holds the spans in which the backend can handle only SlowStartPerS requests per second; 0 means no
 	// limit.
 	SlowStart     Spans
@@ -126,8 +126,8 @@
 	FirstAcked, RefusedAgain clock.Micros
 	Repeats                  int64
 	Invalid                  bool
-	// Alone reports that the version was based on the newest one and that no concurrent change had the same base.
-	Alone bool
+	// Uncontested reports that the version was based on the newest one and that no concurrent change had the same base.
+	Uncontested bool
 }
 
 // Evacuation is a planned evacuation of a zone. Acked is the time at which it was acknowledged, RestoreSent the time
@@ -175,9 +175,9 @@
 	TableOnly bool
 }
 
-// Closing is the fault at the end of a day: At is the time of the fault, Back the time at which the machines were
+// FinalFault is the fault at the end of a day: At is the time of the fault, Back the time at which the machines were
 // running again.
-type Closing struct{ At, Back clock.Micros }
+type FinalFault struct{ At, Back clock.Micros }
 
 // Journal holds all observations of a day and the findings of the rules.
 type Journal struct {
@@ -193,8 +193,8 @@
 	InForce   []InForce
 	ReadBack  []Reading
 	// Confirmed holds the readings for the linearizability check.
-	Confirmed []ConfirmedReading
-	Closing   *Closing
+	Confirmed  []ConfirmedReading
+	FinalFault *FinalFault
 	// Drained holds, by machine, the zones that its node considers evacuated at the end.
 	Drained map[string][]string
 	End     clock.Micros
--- a/lab/rules/load.go
+++ b/lab/rules/load.go
@@ -14,15 +14,15 @@
 func drain(j *Journal) {
 	for _, a := range j.Arrivals {
 		b := a.Backend
-		if a.Wrong || a.Held || b.Shown == Never || a.At < b.Shown || !j.Faults.InContact(a.Machine, a.Sent, j.Bounds.ContactUs) {
+		if a.Misrouted || a.DelayedByPartition || b.DrainingSince == Never || a.At < b.DrainingSince || !j.Faults.InContact(a.Machine, a.Sent, j.Bounds.ContactUs) {
 			continue
 		}
 		j.tested(Drain)
-		if j.Faults.Unsettled.Hit(b.Shown, b.Shown+j.Bounds.DrainUs) {
+		if j.Faults.Unsettled.Overlaps(b.DrainingSince, b.DrainingSince+j.Bounds.DrainUs) {
 			j.tested(DrainUnsettled)
 		}
-		if a.At > b.Shown+j.Bounds.DrainUs {
-			j.fail(Drain, a.At, "%s sent %s to %s %d us after the platform listed that backend as leaving", a.Machine, a.Attempt, b.ID, a.At-b.Shown)
+		if a.At > b.DrainingSince+j.Bounds.DrainUs {
+			j.fail(Drain, a.At, "%s sent %s to %s %d us after the platform listed that backend as leaving", a.Machine, a.Attempt, b.ID, a.At-b.DrainingSince)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 			continue
 		}
 		for _, a := range j.Arrivals {
-			if a.Wrong || a.Held || a.At <= evacuation.Acked || a.At >= evacuation.RestoreSent {
+			if a.Misrouted || a.DelayedByPartition || a.At <= evacuation.Acked || a.At >= evacuation.RestoreSent {
 				continue
 			}
 			bound, ok := j.bound(a.Machine, evacuation.Acked, a.Sent, j.Bounds.EvacuateUs)
@@ -109,7 +109,7 @@
 func failback(j *Journal) {
 	arrivalsByBackend := map[*Backend][]int64{}
 	for _, a := range j.Arrivals {
-		if b := a.Backend; b.SlowStartPerS > 0 && !a.Wrong && b.SlowStart.Hit(a.At, a.At) {
+		if b := a.Backend; b.SlowStartPerS > 0 && !a.Misrouted && b.SlowStart.Overlaps(a.At, a.At) {
 			arrivalsByBackend[b] = append(arrivalsByBackend[b], a.At)
 		}
 	}
@@ -128,11 +128,11 @@
 }
 
 // recovered checks RECOVER: of the requests sent later than RecoverUs after the machines run again, at least a
-// quarter is served. It also checks LOST: if the evacuation of a zone was acknowledged before the closing fault and
+// quarter is served. It also checks LOST: if the evacuation of a zone was acknowledged before the final fault and
 // its end was never requested, each node still considers the zone evacuated. Neither rule is checked if less than a
 // quarter of the requests was served before the fault.
 func recovered(j *Journal) {
-	if j.Closing == nil {
+	if j.FinalFault == nil {
 		return
 	}
 	share := func(from, to clock.Micros) (served, all int) {
@@ -146,16 +146,16 @@
 		}
 		return served, all
 	}
-	before, all := share(0, j.Closing.At)
+	before, all := share(0, j.FinalFault.At)
 	if 4*before < all {
 		return
 	}
 	j.tested(Recover)
-	if served, all := share(j.Closing.Back+j.Bounds.RecoverUs, j.End); 4*served < all {
+	if served, all := share(j.FinalFault.Back+j.Bounds.RecoverUs, j.End); 4*served < all {
 		j.fail(Recover, j.End, "of %d requests after the time to recover only %d were served", all, served)
 	}
 	for _, evacuation := range j.Evacuations {
-		if evacuation.Acked > j.Closing.At || evacuation.RestoreSent != Never {
+		if evacuation.Acked > j.FinalFault.At || evacuation.RestoreSent != Never {
 			continue
 		}
 		for _, m := range slices.Sorted(maps.Keys(j.Drained)) {
--- a/lab/rules/planned_test.go
+++ b/lab/rules/planned_test.go
@@ -16,11 +16,11 @@
 	unanswered.Acked = Never
 	j.Versions = append(j.Versions, refused, unanswered)
 	planned := j.planned()
-	must.True(t, planned.Hit(20*second, 20*second))
-	must.True(t, planned.Hit(24*second, 24*second))
-	must.False(t, planned.Hit(24*second+1001, 24*second+1001))
-	must.False(t, planned.Hit(40*second, 45*second), must.Sprint("a refused version must not count as planned work: it is in force on no node"))
-	must.True(t, planned.Hit(59*second, 59*second), must.Sprint("a version without a final answer must count as planned work: it may be in force"))
+	must.True(t, planned.Overlaps(20*second, 20*second))
+	must.True(t, planned.Overlaps(24*second, 24*second))
+	must.False(t, planned.Overlaps(24*second+1001, 24*second+1001))
+	must.False(t, planned.Overlaps(40*second, 45*second), must.Sprint("a refused version must not count as planned work: it is in force on no node"))
+	must.True(t, planned.Overlaps(59*second, 59*second), must.Sprint("a version without a final answer must count as planned work: it may be in force"))
 }
 
 func TestRequestAbortedDuringPlannedWorkIsLost(t *testing.T) {
--- a/lab/rules/repeats_test.go
+++ b/lab/rules/repeats_test.go
@@ -32,7 +32,7 @@
 	}{
 		{Config, "a change refused after its acknowledgement was lost", func(j *Journal) {
 			ver := version(4, 3, 35*second, table(4, "p"))
-			ver.Alone, ver.FirstAcked, ver.Acked, ver.Refused = false, 35*second+500, Never, 37*second
+			ver.Uncontested, ver.FirstAcked, ver.Acked, ver.Refused = false, 35*second+500, Never, 37*second
 			j.Versions = append(j.Versions, ver)
 		}},
 		{Config, "a retry of an acknowledged change refused", func(j *Journal) {
@@ -52,7 +52,7 @@
 			j.Attempts[0].Status, j.Arrivals[0].Status = 502, 500
 		}},
 		{Drain, "request to a backend that drained while the core was unsettled", func(j *Journal) {
-			j.Backends[1].Shown = 22 * second
+			j.Backends[1].DrainingSince = 22 * second
 			j.Faults.Unsettled = Spans{{22 * second, 25 * second}}
 		}},
 	} {
@@ -70,7 +70,7 @@
 	ver := j.Versions[1]
 	ver.FirstAcked, ver.Acked, ver.Repeats = ver.Acked, ver.Acked+2*second, 2
 	loser := version(3, 1, 20*second, table(3, "p"))
-	loser.Alone, loser.Acked, loser.Refused = false, Never, 21*second
+	loser.Uncontested, loser.Acked, loser.Refused = false, Never, 21*second
 	j.Versions = append(j.Versions, loser)
 	addSecondBackendRuns(j, maxOverRouteLimit)
 	j.Check()
@@ -94,8 +94,8 @@
 	must.Eq(t, nil, j.Findings, must.Sprint("a read need not return a version that was acknowledged after the read was requested"))
 
 	j = validJournal()
-	j.Backends[0].Shown = 6 * second
-	j.Arrivals[0].Held = true
+	j.Backends[0].DrainingSince = 6 * second
+	j.Arrivals[0].DelayedByPartition = true
 	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("DRAIN must not apply to a request that a network partition delayed"))
 }
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -198,15 +198,15 @@
 func lost(j *Journal) {
 	planned := j.planned()
 	for _, attempt := range j.Attempts {
-		if attempt.Read == 0 || j.Faults.Unplanned.Hit(attempt.Sent-j.Bounds.ContactUs, attempt.Ended) {
+		if attempt.Read == 0 || j.Faults.Unplanned.Overlaps(attempt.Sent-j.Bounds.ContactUs, attempt.Ended) {
 			continue
 		}
 		j.tested(Lost)
-		if planned.Hit(attempt.Sent, attempt.Ended) {
+		if planned.Overlaps(attempt.Sent, attempt.Ended) {
 			j.tested(LostPlanned)
 		}
 		offered := len(j.arrivalsByAttempt[attempt.ID]) > 0
-		if attempt.Aborted && !attempt.GaveUp && !attempt.AfterStop && (offered || attempt.Ended-attempt.Sent > j.Bounds.LossUs) {
+		if attempt.Aborted && !attempt.Canceled && !attempt.AfterStop && (offered || attempt.Ended-attempt.Sent > j.Bounds.LossUs) {
 			j.fail(Lost, attempt.Ended, "%s was read by %s, and its connection ended before a complete answer", attempt.ID, attempt.Machine)
 		}
 	}
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -25,11 +25,11 @@
 }
 
 func version(rev, base, sent int64, t *routingpb.RoutingTable) *Version {
-	return &Version{Revision: rev, Base: base, Table: t, Sent: sent, Acked: sent + 1000, Refused: Never, Alone: true}
+	return &Version{Revision: rev, Base: base, Table: t, Sent: sent, Acked: sent + 1000, Refused: Never, Uncontested: true}
 }
 
 func backend(id, pool string) *Backend {
-	return &Backend{ID: id, Pool: pool, Zone: "z", Ended: Never, Shown: Never}
+	return &Backend{ID: id, Pool: pool, Zone: "z", Ended: Never, DrainingSince: Never}
 }
 
 // validJournal returns a journal that breaks no rule: two versions, one request to the pool of each version, a fanout
@@ -123,7 +123,7 @@
 			}
 		}},
 		{Route, "a pool that no version names", func(j *Journal) { j.Arrivals[0].Backend = backend("bx", "x") }},
-		{Drain, "a request to a draining backend", func(j *Journal) { j.Backends[0].Shown = 6 * second }},
+		{Drain, "a request to a draining backend", func(j *Journal) { j.Backends[0].DrainingSince = 6 * second }},
 		{Lost, "a response that never arrived", func(j *Journal) {
 			j.Attempts[0].Status, j.Attempts[0].Seal, j.Attempts[0].Aborted = 0, "", true
 		}},
@@ -134,7 +134,7 @@
 		}},
 		{Config, "a refused version in force", func(j *Journal) {
 			ver := version(4, 3, 35*second, table(4, "p"))
-			ver.Refused, ver.Acked, ver.Alone = 36*second, Never, false
+			ver.Refused, ver.Acked, ver.Uncontested = 36*second, Never, false
 			j.Versions = append(j.Versions, ver)
 			j.InForce = append(j.InForce, InForce{"m", 1, 52 * second, 4})
 		}},
@@ -149,11 +149,11 @@
 		{Config, "different content read back", func(j *Journal) { j.ReadBack[0].Table = table(3, "p") }},
 		{Config, "nothing read back", func(j *Journal) { j.ReadBack = nil }},
 		{Lost, "an older version read back after the closing fault", func(j *Journal) {
-			j.Closing = &Closing{At: 25 * second, Back: 26 * second}
+			j.FinalFault = &FinalFault{At: 25 * second, Back: 26 * second}
 			j.ReadBack[0].Table = table(1, "p")
 		}},
 		{Lost, "an evacuation forgotten after the closing fault", func(j *Journal) {
-			j.Closing = &Closing{At: 25 * second, Back: 26 * second}
+			j.FinalFault = &FinalFault{At: 25 * second, Back: 26 * second}
 			j.Evacuations = []*Evacuation{{Zone: "z9", Sent: 1, Acked: 2, RestoreSent: Never, RestoreAcked: Never}}
 			j.Drained = map[string][]string{"m": nil}
 		}},
@@ -182,7 +182,7 @@
 			j.Evacuations = []*Evacuation{{Zone: "z", Sent: second, Acked: 2 * second, RestoreSent: Never, RestoreAcked: Never}}
 		}},
 		{Recover, "little served after the closing fault", func(j *Journal) {
-			j.Closing = &Closing{At: 32 * second, Back: 33 * second}
+			j.FinalFault = &FinalFault{At: 32 * second, Back: 33 * second}
 			for i := range 4 {
 				v := j.addRequest(fmt.Sprint("r", i), 50*second, 1)
 				v.Status, v.Seal = 0, ""
@@ -208,13 +208,13 @@
 
 	j = validJournal()
 	j.addRequest("t9", 24*second, 0)
-	j.Faults.Unsettled.Moment(22 * second)
+	j.Faults.Unsettled.Instant(22 * second)
 	j.Check()
 	must.Eq(t, nil, j.Findings, must.Sprint("the bound must be longer while the core is unsettled"))
 
 	j = validJournal()
 	j.addRequest("t9", 39*second, 0)
-	j.Faults.Unsettled.Moment(36 * second)
+	j.Faults.Unsettled.Instant(36 * second)
 	j.Check()
 	must.Eq(t, 1, j.Broken[Config], must.Sprint("an unsettled core must not excuse more than the longer bound"))
 }
@@ -224,11 +224,11 @@
 	s.Open(10)
 	s.Open(11)
 	s.Close(20)
-	s.Moment(30)
-	must.True(t, s.Hit(0, 10))
-	must.True(t, s.Hit(15, 16))
-	must.True(t, s.Hit(20, 29))
-	must.False(t, s.Hit(21, 29))
-	must.True(t, s.Hit(30, 30))
-	must.False(t, s.Hit(31, 99))
+	s.Instant(30)
+	must.True(t, s.Overlaps(0, 10))
+	must.True(t, s.Overlaps(15, 16))
+	must.True(t, s.Overlaps(20, 29))
+	must.False(t, s.Overlaps(21, 29))
+	must.True(t, s.Overlaps(30, 30))
+	must.False(t, s.Overlaps(31, 99))
 }
--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -124,7 +124,7 @@
 	j.End = d.sim.now
 	d.clients.finish()
 	d.commands.finish()
-	if c := j.Closing; c != nil {
+	if c := j.FinalFault; c != nil {
 		j.Drained = map[string][]string{}
 		for _, m := range d.machines {
 			if p := m.node; p.running() && p.snapshots.Current() != nil {
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -107,7 +107,7 @@
 	inc := &incarnation{day: d, shape: p, warmAt: d.sim.now + warmUpUs, up: true, listed: true}
 	inc.row = wire.Backend{ID: fmt.Sprintf("i-%04d", b.nextID), Zone: zone, Pool: pool, State: "ready", Incarnation: 1, Slots: p.slots}
 	inc.row.Addr = b.address(pool, zone)
-	inc.record = &rules.Backend{ID: inc.row.ID, Pool: pool, Zone: zone, Born: d.sim.now, Ended: rules.Never, Shown: rules.Never, SlowStartPerS: p.slowStartPerS}
+	inc.record = &rules.Backend{ID: inc.row.ID, Pool: pool, Zone: zone, StartedAt: d.sim.now, Ended: rules.Never, DrainingSince: rules.Never, SlowStartPerS: p.slowStartPerS}
 	inc.speed = 90 + d.sim.rng.Int64N(21)
 	inc.phase = d.sim.rng.Int64N(pausePeriod)
 	if d.sim.now == 0 {
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -185,7 +185,7 @@
 // giveUp ends an unfinished attempt at the client's deadline.
 func (c *clients) giveUp(call *clientCall, attempt *rules.Attempt) {
 	if attempt.Ended == rules.Never {
-		attempt.GaveUp = true
+		attempt.Canceled = true
 		c.ended(call, attempt, false)
 	}
 }
@@ -205,7 +205,7 @@
 	request := g.accept(attempt, call.kind, func(o *dispatch.Outcome) {
 		if o == nil {
 			poweredOff := to.machine.poweredOff
-			attempt.Aborted = attempt.Read > 0 && !attempt.GaveUp && attempt.Ended == rules.Never
+			attempt.Aborted = attempt.Read > 0 && !attempt.Canceled && attempt.Ended == rules.Never
 			if !poweredOff {
 				d.sim.after(latency, func() { c.ended(call, attempt, attempt.Read == 0) })
 			}
@@ -214,7 +214,7 @@
 		d.sim.after(latency, func() { c.responded(call, attempt, to, o) })
 	})
 	request.disconnect = func() {
-		attempt.GaveUp = true
+		attempt.Canceled = true
 		g.clientGone(request)
 		d.sim.after(latency, func() { c.ended(call, attempt, attempt.Read == 0) })
 	}
@@ -223,7 +223,7 @@
 		// time, at most 1 s.
 		d.sim.after(min(clock.Second, (call.end-d.sim.now)/3), func() {
 			if attempt.Read == 0 && attempt.Ended == rules.Never {
-				attempt.GaveUp = true
+				attempt.Canceled = true
 				g.clientGone(request)
 				c.ended(call, attempt, true)
 			}
--- a/lab/sim/day_configs.go
+++ b/lab/sim/day_configs.go
@@ -96,7 +96,7 @@
 			c.revision = 1 + c.day.sim.rng.Int64N(5)
 			t := c.initialConfig()
 			t.Revision = c.revision
-			version := &rules.Version{Revision: t.Revision, Table: t, Alone: true}
+			version := &rules.Version{Revision: t.Revision, Table: t, Uncontested: true}
 			c.sendVersion(&routingpb.RoutingEdit{Revision: t.Revision, Whole: withoutRevision(t)}, version, draft{}, c.runNext)
 		})
 	})
@@ -176,7 +176,7 @@
 		rev = c.nextRevision()
 	}
 	e, t := c.editOf(base, df, rev)
-	c.sendVersion(e, &rules.Version{Revision: rev, Base: base.Revision, Table: t, Invalid: df.invalid, Alone: alone}, df, done)
+	c.sendVersion(e, &rules.Version{Revision: rev, Base: base.Revision, Table: t, Invalid: df.invalid, Uncontested: alone}, df, done)
 }
 
 // editOf returns the edit that carries a draft under a revision, as a complete table or by items, and the table
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -183,7 +183,7 @@
 	req := a.Request
 	inc.arrive(x, a.Backend.ID, &rules.Arrival{
 		Attempt: req.ID, Backend: inc.record, Machine: x.gateway.process.machine.name, Method: req.Method, Target: req.Target, Body: req.Body, Sent: sent, At: d.sim.now,
-		Held: held,
+		DelayedByPartition: held,
 	}, work, within)
 }
 
--- a/lab/sim/day_incarnation.go
+++ b/lab/sim/day_incarnation.go
@@ -67,7 +67,7 @@
 	d.journal.Arrivals = append(d.journal.Arrivals, a)
 	switch {
 	case target != inc.row.ID:
-		a.Wrong, a.Status = true, 421
+		a.Misrouted, a.Status = true, 421
 		x.rejected(inc, 421, "another backend has the address")
 		return
 	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue:
@@ -271,7 +271,7 @@
 	}
 	d := inc.day
 	inc.draining, inc.row.State = true, "leaving"
-	inc.record.Shown = inc.now() + listLagUs
+	inc.record.DrainingSince = inc.now() + listLagUs
 	d.backends.publish()
 	d.sim.after(listLagUs+d.journal.Bounds.DrainUs+300*clock.Millisecond, func() {
 		if inc.up {
--- a/lab/sim/day_machine_faults.go
+++ b/lab/sim/day_machine_faults.go
@@ -14,7 +14,7 @@
 
 // faulty reports whether a machine counts as lost: it is faulty now or was so within the last SyncTime.
 func (d *day) faulty(m *machine) bool {
-	return d.journal.Faults.Of(m.name).Hit(d.sim.now-d.settings.Bounds.SyncTime, d.sim.now)
+	return d.journal.Faults.Of(m.name).Overlaps(d.sim.now-d.settings.Bounds.SyncTime, d.sim.now)
 }
 
 // toleratedFaults returns how many more core members may be lost in addition to those that are lost now; the
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -131,9 +131,9 @@
 	if d.sim.now < trafficStartUs/4 && d.settings.Bootstrap {
 		return
 	}
-	d.journal.Faults.Of(m.name).Moment(d.sim.now)
+	d.journal.Faults.Of(m.name).Instant(d.sim.now)
 	if m.coreMember() {
-		d.journal.Faults.Unsettled.Moment(d.sim.now)
+		d.journal.Faults.Unsettled.Instant(d.sim.now)
 	}
 }
 
--- a/lab/sim/day_planned_work.go
+++ b/lab/sim/day_planned_work.go
@@ -173,8 +173,8 @@
 			restarted = append(restarted, m)
 		}
 	}
-	c := &rules.Closing{At: sim.now, Back: sim.now + down}
-	d.journal.Closing = c
+	c := &rules.FinalFault{At: sim.now, Back: sim.now + down}
+	d.journal.FinalFault = c
 	sim.after(down, func() {
 		for _, m := range restarted {
 			sim.after(sim.rng.Int64N(100*clock.Millisecond), func() { m.poweredOff = false; m.start(); d.updateFaultSpans() })
--- a/lab/soak/backend.go
+++ b/lab/soak/backend.go
@@ -64,7 +64,7 @@
 	}
 	b := &backend{
 		journal: j, id: id, pool: pool, zone: zone, addr: l.Addr().String(), slots: make(chan struct{}, slots), work: work, listener: l,
-		record: &rules.Backend{ID: id, Pool: pool, Zone: zone, Born: j.now(), Ended: rules.Never, Shown: rules.Never},
+		record: &rules.Backend{ID: id, Pool: pool, Zone: zone, StartedAt: j.now(), Ended: rules.Never, DrainingSince: rules.Never},
 	}
 	b.behaviour.Store(&behaviour{})
 	j.withLock(func() { j.Backends = append(j.Backends, b.record) })
@@ -108,7 +108,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if r.Header.Get(platform.HeaderTarget) != b.id || m.misdirected {
-		b.journal.withLock(func() { a.Wrong, a.Status = true, http.StatusMisdirectedRequest })
+		b.journal.withLock(func() { a.Misrouted, a.Status = true, http.StatusMisdirectedRequest })
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -114,7 +114,7 @@
 	deadline := time.Now().Add(k.deadline)
 	for n := 0; n <= maxRetries && time.Until(deadline) > 20*time.Millisecond; n++ {
 		attempt := c.sendAttempt(k, c.names[rand.IntN(len(c.names))], n, deadline)
-		if attempt.Served() || attempt.GaveUp {
+		if attempt.Served() || attempt.Canceled {
 			return
 		}
 		if !k.repeatable && !promisesNotRun(attempt.Status) && attempt.Read > 0 {
@@ -165,7 +165,7 @@
 	abandons := rand.Float64() < abandonShare
 	if abandons {
 		early := time.AfterFunc(time.Duration(rand.Int64N(int64(k.deadline/8))), func() {
-			c.journal.withLock(func() { attempt.GaveUp = attempt.Ended == rules.Never })
+			c.journal.withLock(func() { attempt.Canceled = attempt.Ended == rules.Never })
 			conn.conn.Close()
 		})
 		defer early.Stop()
@@ -182,7 +182,7 @@
 	case err != nil:
 		conn.conn.Close()
 		late := time.Now().After(deadline)
-		c.end(attempt, func() { attempt.GaveUp = attempt.GaveUp || late; attempt.Aborted = !attempt.GaveUp })
+		c.end(attempt, func() { attempt.Canceled = attempt.Canceled || late; attempt.Aborted = !attempt.Canceled })
 	default:
 		c.end(attempt, func() { recordResponse(attempt, resp, body) })
 		c.releaseConn(attempt.Machine, conn, resp)
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -147,7 +147,7 @@
 	// Readers of the list see the change after the list's lag.
 	time.AfterFunc(listLagMs*time.Millisecond, func() {
 		at := f.journal.now()
-		f.journal.withLock(func() { b.record.Shown = at })
+		f.journal.withLock(func() { b.record.DrainingSince = at })
 	})
 	time.AfterFunc(drainMs*time.Millisecond+2*time.Second, func() {
 		f.mu.Lock()
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -149,7 +149,7 @@
 	if patch {
 		method = http.MethodPatch
 	}
-	version := &rules.Version{Revision: revision, Base: base, Sent: o.journal.now(), Acked: rules.Never, Refused: rules.Never, Invalid: invalid, Alone: alone}
+	version := &rules.Version{Revision: revision, Base: base, Sent: o.journal.now(), Acked: rules.Never, Refused: rules.Never, Invalid: invalid, Uncontested: alone}
 	version.Table = applied(before, body, base, patch)
 	o.journal.withLock(func() { o.journal.Versions = append(o.journal.Versions, version) })
 	r := o.sendUntilFinal(ctx, method, configPath, strconv.FormatInt(base, 10), body, func(at clock.Micros) {
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -122,7 +122,7 @@
 	}
 	c := r.journal.Bounds.ContactUs
 	for _, attempt := range r.journal.Attempts {
-		if !attempt.Aborted || !ran[attempt.ID] || r.journal.unplannedOnly.Of(attempt.Machine).Hit(attempt.Sent-c, attempt.Ended) {
+		if !attempt.Aborted || !ran[attempt.ID] || r.journal.unplannedOnly.Of(attempt.Machine).Overlaps(attempt.Sent-c, attempt.Ended) {
 			continue
 		}
 		out = append(out, fmt.Sprintf("CUT at %.3f s: %s ran and %s ended its connection without an answer", float64(attempt.Ended)/float64(clock.Second), attempt.ID, attempt.Machine))
--- a/lab/soak/resource_faults.go
+++ b/lab/soak/resource_faults.go
@@ -121,7 +121,7 @@
 	k := requestKinds[1]
 	for ctx.Err() == nil {
 		attempt := r.clients.newAttempt(k, "", 1, time.Now().Add(k.deadline))
-		r.clients.end(attempt, func() { attempt.GaveUp = true })
+		r.clients.end(attempt, func() { attempt.Canceled = true })
 		if _, err := conn.Write(requestText(attempt, k.deadline)); err != nil {
 			return
 		}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -94,7 +94,7 @@
 
 func TestAbortedRequestThatRanIsFound(t *testing.T) {
 	writeAborted := func(j *journal) {
-		b := &rules.Backend{ID: "b", Ended: rules.Never, Shown: rules.Never}
+		b := &rules.Backend{ID: "b", Ended: rules.Never, DrainingSince: rules.Never}
 		j.Attempts = []*rules.Attempt{{ID: "t", Machine: "m", Repeatable: true, Read: 1, Sent: 10 * clock.Second, Ended: 11 * clock.Second, Aborted: true}}
 		j.Arrivals = []*rules.Arrival{{Attempt: "t", Backend: b, Ran: true, Status: 200, Answer: []byte("x"), At: 10 * clock.Second}}
 	}
