--- a/lab/check/config_edits.go
+++ b/lab/check/config_edits.go
@@ -73,7 +73,7 @@
 		}
 		c.tested(RetryDiffers)
 		if t.Code == wire.CodeOK && t.Version != was.Version {
-			c.Fail(BothWon, t.Ended, "edit %d was answered %v and then %v", t.Mark, was.Version, t.Version)
+			c.Fail(BothAccepted, t.Ended, "edit %d was answered %v and then %v", t.Mark, was.Version, t.Version)
 		}
 		return
 	}
@@ -83,9 +83,9 @@
 	if t.Code != wire.CodeOK {
 		return
 	}
-	c.tested(BothWon)
+	c.tested(BothAccepted)
 	if other, taken := s.byBase[t.Base]; taken && other != t.Mark {
-		c.Fail(BothWon, t.Ended, "edits %d and %d, both based on %v, were accepted", other, t.Mark, t.Base)
+		c.Fail(BothAccepted, t.Ended, "edits %d and %d, both based on %v, were accepted", other, t.Mark, t.Base)
 	}
 	s.byBase[t.Base] = t.Mark
 	if n := len(s.acked); n == 0 || newer(t.Version, s.acked[n-1].version) {
@@ -135,9 +135,9 @@
 // configurations in time.
 func (c *Checker) Restarted(node string) { delete(c.edits.node, node) }
 
-// Chain checks the complete history at the end of a run: that it is linearizable, that an edit that ended before
+// CheckChain checks the complete history at the end of a run: that it is linearizable, that an edit that ended before
 // another began has the older version, and that each accepted edit is based on the accepted edit before it.
-func (c *Checker) Chain() {
+func (c *Checker) CheckChain() {
 	c.linearizable()
 	s := &c.edits
 	for i, a := range s.order {
@@ -155,10 +155,10 @@
 				first, second = tb, ta
 			}
 			if second.Ended < first.Began {
-				c.Fail(BothWon, second.Ended, "edit %d ended before edit %d began but has the newer version", second.Mark, first.Mark)
+				c.Fail(BothAccepted, second.Ended, "edit %d ended before edit %d began but has the newer version", second.Mark, first.Mark)
 			}
 			if newer(first.Version, second.Base) {
-				c.Fail(BothWon, second.Ended, "edit %d with version %v is based on %v, which is older than the accepted version %v of edit %d", second.Mark, second.Version, second.Base, first.Version, first.Mark)
+				c.Fail(BothAccepted, second.Ended, "edit %d with version %v is based on %v, which is older than the accepted version %v of edit %d", second.Mark, second.Version, second.Base, first.Version, first.Mark)
 			}
 		}
 	}
@@ -176,14 +176,14 @@
 	}
 	switch {
 	case at > from+BookingSlack && at < to:
-		c.tested(BookedWrong)
+		c.tested(BookingOutsideWindow)
 		if !runs {
-			c.Fail(BookedWrong, at, "%s does not have booking %s running, %d us into its window", node, id, at-from)
+			c.Fail(BookingOutsideWindow, at, "%s does not have booking %s running, %d us into its window", node, id, at-from)
 		}
 	case at < from || at > to+BookingSlack:
-		c.tested(BookedWrong)
+		c.tested(BookingOutsideWindow)
 		if runs {
-			c.Fail(BookedWrong, at, "%s has booking %s running outside its window", node, id)
+			c.Fail(BookingOutsideWindow, at, "%s has booking %s running outside its window", node, id)
 		}
 	}
 }
--- a/lab/check/histories.go
+++ b/lab/check/histories.go
@@ -92,8 +92,8 @@
 
 func editName(mark int64) string { return fmt.Sprint("edit ", mark) }
 
-// BeganWith sets the version that was in force before the first edit; later calls have no effect.
-func (c *Checker) BeganWith(at wire.Version) {
+// SetInitialVersion sets the version that was in force before the first edit; later calls have no effect.
+func (c *Checker) SetInitialVersion(at wire.Version) {
 	if c.edits.first.Term == 0 {
 		c.edits.first = at
 	}
--- a/lab/check/histories_test.go
+++ b/lab/check/histories_test.go
@@ -31,7 +31,7 @@
 	)
 	c.InForce("n", at(9), 4, 10, -1)
 	c.EditEnded(Edit{Mark: 6, Base: at(9), Version: at(12), Began: 11, Ended: 12, Code: "ok"})
-	c.Chain()
+	c.CheckChain()
 	must.SliceEmpty(t, c.Violations)
 }
 
@@ -93,7 +93,7 @@
 
 func TestReadsWithoutEditsStartFromFirstConfig(t *testing.T) {
 	c := New()
-	c.BeganWith(at(2))
+	c.SetInitialVersion(at(2))
 	c.ConfigRead(9, at(2), 3_000_000, 3, 5)
 	c.linearizable()
 	must.SliceEmpty(t, c.Violations)
--- a/lab/check/limits.go
+++ b/lab/check/limits.go
@@ -54,9 +54,11 @@
 // Limit sets the limits from l.From on. A change of the load is reported the same way, as it also suspends the checks.
 func (c *Checker) Limit(l Limits) { c.limits = append(c.limits, l) }
 
-// Moved records that nodes joined or left and that load moved with them. For LimitSettles after that, capacity may be
-// left unused, but no limit may be exceeded.
-func (c *Checker) Moved(at clock.Micros) { c.membershipChanges = append(c.membershipChanges, at) }
+// MembershipChanged records that nodes joined or left and that load moved with them. For LimitSettles after that,
+// capacity may be left unused, but no limit may be exceeded.
+func (c *Checker) MembershipChanged(at clock.Micros) {
+	c.membershipChanges = append(c.membershipChanges, at)
+}
 
 // CheckLimits checks every window of ten seconds, starting at each full second, that ends by the given time.
 func (c *Checker) CheckLimits(end clock.Micros) {
--- a/lab/check/load.go
+++ b/lab/check/load.go
@@ -128,7 +128,7 @@
 // Recovers checks that after a total loss the rate of successful responses is back in time to at least a quarter of
 // its former level. It compares four seconds before the loss with the four seconds from RecoverWithin after back.
 func (c *Checker) Recovers(lost, back clock.Micros) {
-	c.tested(SlowBack)
+	c.tested(SlowRecovery)
 	var normal, now int64
 	from := lost/clock.Second - 5
 	for s := from; s < from+4; s++ {
@@ -139,13 +139,13 @@
 		now += c.servedPerSecond[s]
 	}
 	if normal == 0 || now*4 < normal {
-		c.Fail(SlowBack, back+RecoverWithin, "%d successful responses in 4 s after the time to recover, %d in 4 s before the loss", now, normal)
+		c.Fail(SlowRecovery, back+RecoverWithin, "%d successful responses in 4 s after the time to recover, %d in 4 s before the loss", now, normal)
 	}
 }
 
-// Proper checks that a request within the limits is not rejected by the product. If why is not empty, it names an
-// excuse, and a rejection is only counted under that name.
-func (c *Checker) Proper(o *search.Outcome, at clock.Micros, why string) {
+// CheckNotRejected checks that a request within the limits is not rejected by the product. If why is not empty, it
+// names an excuse, and a rejection is only counted under that name.
+func (c *Checker) CheckNotRejected(o *search.Outcome, at clock.Micros, why string) {
 	c.tested(ProperRejected)
 	if o.Code != search.CodeUnavailable && o.Code != search.CodeRateLimited {
 		return
--- a/lab/fleet/registers.go
+++ b/lab/fleet/registers.go
@@ -70,7 +70,7 @@
 			return err
 		}
 		version, _ := config.ParseVersion(0, first.Version)
-		o.withChecker(func(c *check.Checker) { c.BeganWith(version) })
+		o.withChecker(func(c *check.Checker) { c.SetInitialVersion(version) })
 		return nil
 	})
 }
--- a/lab/fleet/run.go
+++ b/lab/fleet/run.go
@@ -112,7 +112,7 @@
 // result's violations and counts.
 func (f *Fleet) check(r *Result) {
 	c := f.operators.checker
-	c.Chain()
+	c.CheckChain()
 	ran, reports := f.CountRuns()
 	for key, n := range ran {
 		c.RanTimes(key, n)
--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -34,7 +34,7 @@
 	}
 	sim.countHealed(o, sent)
 	sim.countOtherPool(in, o)
-	sim.Checker.Proper(o, sim.now, c.allowedRejectionReason(in, o))
+	sim.Checker.CheckNotRejected(o, sim.now, c.allowedRejectionReason(in, o))
 	if o.Code != search.CodeOK {
 		return
 	}
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -212,7 +212,7 @@
 		sim.day.finish()
 		return
 	}
-	sim.Checker.Chain()
+	sim.Checker.CheckChain()
 	sim.Checker.Budgets()
 	sim.Checker.SlowStarts()
 	sim.Checker.CheckLimits(sim.callers.until)
--- a/lab/sim/world_verbs.go
+++ b/lab/sim/world_verbs.go
@@ -162,7 +162,7 @@
 }
 
 func (sim *Simulation) applyProcessVerb(verb string, p *process) {
-	sim.Checker.Moved(sim.now)
+	sim.Checker.MembershipChanged(sim.now)
 	switch verb {
 	case "kill":
 		sim.killed[p.name] = true
