--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -94,7 +94,7 @@
 	}
 	over := 0
 	for _, v := range scale.Verdicts(all) {
-		if v.Over() {
+		if v.Exceeds() {
 			over++
 		}
 	}
--- a/cmd/lab/tail.go
+++ b/cmd/lab/tail.go
@@ -20,7 +20,7 @@
 
 func (c *tailCmd) Execute([]string) error {
 	fmt.Printf("one request in a hundred is late if a fraction of %.3g of the parts takes more than %.0f ms; %.3g with a second attempt for each slow part\n",
-		scale.SlowMost(c.Parts, 0.01), c.WithinMs, scale.SlowMostTwice(c.Parts, 0.01))
+		scale.MaxSlowFraction(c.Parts, 0.01), c.WithinMs, scale.MaxSlowFractionWithHedge(c.Parts, 0.01))
 	part := scale.Part{MedianUs: c.WorkMs * 1e3, Sigma: c.Sigma}
 	kinds := []scale.Part{part, part, part, part}
 	kinds[1].PauseUs, kinds[1].PauseEveryUs = 40_000, 4_000_000
@@ -28,8 +28,8 @@
 	kinds[3].PauseUs, kinds[3].PauseEveryUs, kinds[3].SlowShare, kinds[3].SlowUs = 40_000, 4_000_000, 0.001, 500_000
 	within := c.WithinMs * 1e3
 	policies := []scale.Policy{
-		{AskAgainAt: 1}, {AskAgainAt: 0.999}, {AskAgainAt: 0.99}, {AskAgainAt: 0.95}, {AskAgainAt: 0.9}, {AskAgainAt: 0.8},
-		{AskAgainAt: 1, AnswerUs: 0.9 * within}, {AskAgainAt: 0.95, AnswerUs: 0.9 * within},
+		{HedgeQuantile: 1}, {HedgeQuantile: 0.999}, {HedgeQuantile: 0.99}, {HedgeQuantile: 0.95}, {HedgeQuantile: 0.9}, {HedgeQuantile: 0.8},
+		{HedgeQuantile: 1, PartialAnswerUs: 0.9 * within}, {HedgeQuantile: 0.95, PartialAnswerUs: 0.9 * within},
 	}
 	for _, p := range kinds {
 		fmt.Println()
--- a/lab/scale/counts.go
+++ b/lab/scale/counts.go
@@ -23,8 +23,8 @@
 	Exponent float64
 }
 
-// Over reports whether the count grows faster than allowed.
-func (v Verdict) Over() bool { return v.Exponent > MaxExponent }
+// Exceeds reports whether the count grows faster than allowed.
+func (v Verdict) Exceeds() bool { return v.Exponent > MaxExponent }
 
 // String returns the name of the count, its values and its exponent.
 func (v Verdict) String() string {
@@ -101,7 +101,7 @@
 			fmt.Fprintf(w, "\t%.4g", p.Y)
 		}
 		mark := ""
-		if v.Over() {
+		if v.Exceeds() {
 			mark = "over"
 		}
 		fmt.Fprintf(w, "\tn^%.2f\t%s\n", v.Exponent, mark)
--- a/lab/scale/counts_test.go
+++ b/lab/scale/counts_test.go
@@ -19,7 +19,7 @@
 	all := []sim.Grown{grown(10, 100, 10), grown(40, 200, 10), grown(90, 500, 11)}
 	over := map[string]float64{}
 	for _, v := range Verdicts(all) {
-		if v.Over() {
+		if v.Exceeds() {
 			over[v.Name] = v.Exponent
 		}
 	}
--- a/lab/scale/tail.go
+++ b/lab/scale/tail.go
@@ -12,16 +12,16 @@
 	"text/tabwriter"
 )
 
-// SlowMost returns the greatest share p of parts that may be slow if the given share of requests, each over the given
-// number of parts, may be slow: 1 - (1-p)^parts = requests.
-func SlowMost(parts int, requests float64) float64 {
+// MaxSlowFraction returns the greatest share p of parts that may be slow if the given share of requests, each over
+// the given number of parts, may be slow: 1 - (1-p)^parts = requests.
+func MaxSlowFraction(parts int, requests float64) float64 {
 	return -math.Expm1(math.Log1p(-requests) / float64(parts))
 }
 
-// SlowMostTwice returns the same share as SlowMost if each slow part is hedged with a request to another backend,
-// which is slow independently and with the same probability: 1 - (1-p^2)^parts = requests.
-func SlowMostTwice(parts int, requests float64) float64 {
-	return math.Sqrt(SlowMost(parts, requests))
+// MaxSlowFractionWithHedge returns the same share as MaxSlowFraction if each slow part is hedged with a request to
+// another backend, which is slow independently and with the same probability: 1 - (1-p^2)^parts = requests.
+func MaxSlowFractionWithHedge(parts int, requests float64) float64 {
+	return math.Sqrt(MaxSlowFraction(parts, requests))
 }
 
 // Part is the distribution of the duration of one exchange with a backend, in microseconds. The base duration is
@@ -48,12 +48,12 @@
 	return us
 }
 
-// Policy is a hedging policy. AskAgainAt is the delay after which a part is requested from another backend, as a quantile
-// of the parts' durations; 1 means never. AnswerUs is the time after which a request is answered without the missing
-// parts; 0 means never.
+// Policy is a hedging policy. HedgeQuantile is the delay after which a part is requested from another backend, as a
+// quantile of the parts' durations; 1 means never. PartialAnswerUs is the time after which a request is answered
+// without the missing parts; 0 means never.
 type Policy struct {
-	AskAgainAt float64
-	AnswerUs   float64
+	HedgeQuantile   float64
+	PartialAnswerUs float64
 }
 
 // Tail is the result of a simulation of many requests under a policy. Extra is the number of hedged requests per
@@ -79,8 +79,8 @@
 	}
 	for _, pol := range all {
 		t := Tail{Policy: pol, AgainUs: math.Inf(1)}
-		if pol.AskAgainAt < 1 {
-			t.AgainUs = Quantile(sample, pol.AskAgainAt)
+		if pol.HedgeQuantile < 1 {
+			t.AgainUs = Quantile(sample, pol.HedgeQuantile)
 		}
 		took := make([]float64, requests)
 		var extra, in, whole, ok float64
@@ -92,9 +92,9 @@
 					extra++
 					us = min(us, t.AgainUs+p.draw(r))
 				}
-				if pol.AnswerUs > 0 && us > pol.AnswerUs {
+				if pol.PartialAnswerUs > 0 && us > pol.PartialAnswerUs {
 					missing++
-					us = pol.AnswerUs
+					us = pol.PartialAnswerUs
 				}
 				took[i] = max(took[i], us)
 			}
@@ -122,11 +122,11 @@
 	fmt.Fprintln(w, "hedged at quantile\thedge delay, ms\textra requests\tp50, ms\tp99, ms\tp99.9, ms\twithin target\tcomplete answers\tshare of parts")
 	for _, t := range DrawTail(p, parts, requests, within, all, seed) {
 		at, again := "never", "-"
-		if t.AskAgainAt < 1 {
-			at, again = fmt.Sprintf("%.4g", t.AskAgainAt), fmt.Sprintf("%.1f", t.AgainUs/1e3)
+		if t.HedgeQuantile < 1 {
+			at, again = fmt.Sprintf("%.4g", t.HedgeQuantile), fmt.Sprintf("%.1f", t.AgainUs/1e3)
 		}
-		if t.AnswerUs > 0 {
-			at += fmt.Sprintf(", answered at %.0f ms", t.AnswerUs/1e3)
+		if t.PartialAnswerUs > 0 {
+			at += fmt.Sprintf(", answered at %.0f ms", t.PartialAnswerUs/1e3)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%.4f\t%.1f\t%.1f\t%.1f\t%.4f\t%.4f\t%.5f\n", at, again, t.Extra, t.P50/1e3, t.P99/1e3, t.P999/1e3, t.Within, t.Whole, t.MeanParts)
 	}
