--- a/cmd/lab/draw.go
+++ b/cmd/lab/draw.go
@@ -21,7 +21,7 @@
 	for i := range c.Draw {
 		n := c.Seed + i
 		if c.Days || c.Site != "" {
-			d := draw.Day(n, c.Site)
+			d := draw.DayScenario(n, c.Site)
 			if c.Show {
 				fmt.Print(d.Text)
 			}
@@ -35,9 +35,9 @@
 		shape := c.Shape
 		if shape == "" {
 			// With this order, every pair of failures runs on both shapes within two rounds of all pairs.
-			shape = []string{"trust", "registry"}[(n+n/uint64(len(draw.Pairs())))%2]
+			shape = []string{"trust", "registry"}[(n+n/uint64(len(draw.FaultPairs())))%2]
 		}
-		d := draw.Make(n, fleet.Shapes[shape], c.Rate)
+		d := draw.FleetScenario(n, fleet.Shapes[shape], c.Rate)
 		if c.Show {
 			fmt.Print(d.Text)
 		}
@@ -64,7 +64,7 @@
 // printMatrix prints how often each pair of failures was combined. The diagonal shows
 // the number of scenarios with each failure.
 func printMatrix(pairCounts map[string]map[string]int) {
-	names := draw.Names()
+	names := draw.FaultNames()
 	never, least, most := 0, 1<<30, 0
 	fmt.Printf("%-16s", "")
 	for i := range names {
@@ -78,14 +78,14 @@
 		}
 		fmt.Println()
 	}
-	for _, p := range draw.Pairs() {
+	for _, p := range draw.FaultPairs() {
 		n := pairCounts[p[0]][p[1]]
 		least, most = min(least, n), max(most, n)
 		if n == 0 {
 			never++
 		}
 	}
-	fmt.Printf("pairs=%d never=%d least=%d most=%d\n", len(draw.Pairs()), never, least, most)
+	fmt.Printf("pairs=%d never=%d least=%d most=%d\n", len(draw.FaultPairs()), never, least, most)
 }
 
 // shrinkFailure returns the scenario of a failing run without the lines that are not needed to reproduce the failure. It
--- a/lab/draw/day.go
+++ b/lab/draw/day.go
@@ -17,9 +17,9 @@
 
 func (d *drawing) f(least, most float64) float64 { return least + d.rnd.Float64()*(most-least) }
 
-// Day draws day number n. If site is empty, the days go through Sites in turn. The first planned work and the first
-// fault of the days go through all kinds and modes in turn; the others are random.
-func Day(n uint64, site string) Scenario {
+// DayScenario draws day number n. If site is empty, the days go through Sites in turn. The first planned work and the
+// first fault of the days go through all kinds and modes in turn; the others are random.
+func DayScenario(n uint64, site string) Scenario {
 	if site == "" {
 		site = Sites[int(n)%len(Sites)]
 	}
--- a/lab/draw/day_test.go
+++ b/lab/draw/day_test.go
@@ -18,7 +18,7 @@
 func TestDrawnDaysCoverEveryKindAndMode(t *testing.T) {
 	seen := map[string]int{}
 	for n := range uint64(daysForCoverage) {
-		s, err := script.Parse("day", Day(n, "").Text)
+		s, err := script.Parse("day", DayScenario(n, "").Text)
 		must.NoError(t, err)
 		for _, step := range s.Steps {
 			seen[step.Verb]++
@@ -40,6 +40,6 @@
 }
 
 func TestDayIsAFunctionOfItsNumber(t *testing.T) {
-	must.Eq(t, Day(7, "").Text, Day(7, "").Text)
-	must.NotEq(t, Day(7, "").Text, Day(8, "").Text)
+	must.Eq(t, DayScenario(7, "").Text, DayScenario(7, "").Text)
+	must.NotEq(t, DayScenario(7, "").Text, DayScenario(8, "").Text)
 }
--- a/lab/draw/draw.go
+++ b/lab/draw/draw.go
@@ -80,8 +80,8 @@
 	return out
 }
 
-// Names returns the sorted names of all kinds of faults.
-func Names() []string {
+// FaultNames returns the sorted names of all kinds of faults.
+func FaultNames() []string {
 	var out []string
 	for name := range faultKinds {
 		out = append(out, name)
@@ -90,10 +90,10 @@
 	return out
 }
 
-// Pairs returns the pairs of faults that may be combined.
-func Pairs() [][2]string {
+// FaultPairs returns the pairs of faults that may be combined.
+func FaultPairs() [][2]string {
 	var out [][2]string
-	names := Names()
+	names := FaultNames()
 	for i, a := range names {
 		for _, b := range names[i:] {
 			if a != b && compatible(a, b) {
@@ -116,11 +116,11 @@
 	return !(disks[a] && disks[b]) && !(discovery[a] && discovery[b])
 }
 
-// Make draws scenario number n. The first two faults go through all pairs in turn, and up to two more are random;
-// every seventh scenario has only one fault.
-func Make(n uint64, shape fleet.Shape, rate int) Scenario {
+// FleetScenario draws scenario number n. The first two faults go through all pairs in turn, and up to two more are
+// random; every seventh scenario has only one fault.
+func FleetScenario(n uint64, shape fleet.Shape, rate int) Scenario {
 	d := &drawing{rnd: rand.New(rand.NewPCG(n, 0x64726177)), shape: shape, used: map[string]bool{}}
-	pairs, names := Pairs(), Names()
+	pairs, names := FaultPairs(), FaultNames()
 	// The pairs are shuffled so that any few hundred consecutive scenarios cover all kinds of faults.
 	p := pairs[rand.New(rand.NewPCG(1, 1)).Perm(len(pairs))[int(n%uint64(len(pairs)))]]
 	picked := []string{p[0], p[1]}
--- a/lab/sim/days_test.go
+++ b/lab/sim/days_test.go
@@ -20,7 +20,7 @@
 		days = 1
 	}
 	for n := range uint64(days) {
-		s, err := script.Parse(fmt.Sprintf("day-%d", n), draw.Day(n, "").Text)
+		s, err := script.Parse(fmt.Sprintf("day-%d", n), draw.DayScenario(n, "").Text)
 		must.NoError(t, err)
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
