--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -35,7 +35,7 @@
 	defer stop()
 	fmt.Fprintln(os.Stderr, "cases:", len(fleet.Cases), "rounds:", c.Rounds)
 	return fleet.Load(ctx, fleet.LoadOptions{
-		Options: fleet.Options{Shape: fleet.Shapes[c.Shape], Dir: dir, Bin: filepath.Dir(self)},
-		Against: c.Against, Rate: c.Rate, Seconds: c.Seconds, Rounds: c.Rounds, Only: c.Only,
+		Options:  fleet.Options{Shape: fleet.Shapes[c.Shape], Dir: dir, Bin: filepath.Dir(self)},
+		OtherBin: c.Against, Rate: c.Rate, Seconds: c.Seconds, Rounds: c.Rounds, Only: c.Only,
 	}, os.Stdout)
 }
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -89,8 +89,8 @@
 		}
 	}
 	r, err := fleet.Run(ctx, fleet.RunOptions{
-		Options: fleet.Options{Shape: fleet.Shapes[c.Shape], Dir: c.Dir, Bin: c.Bin, Before: c.Before, Log: os.Stderr},
-		Rate:    c.Rate, Seconds: c.Seconds, Repeat: c.Repeat, Seed: c.Seed, Script: sc, Stay: c.Stay, UpWithin: 60 * time.Second,
+		Options: fleet.Options{Shape: fleet.Shapes[c.Shape], Dir: c.Dir, Bin: c.Bin, EarlierBin: c.Before, Log: os.Stderr},
+		Rate:    c.Rate, Seconds: c.Seconds, Repeat: c.Repeat, Seed: c.Seed, Script: sc, KeepRunning: c.Stay, StartupTimeout: 60 * time.Second,
 	})
 	if err != nil {
 		return fmt.Errorf("%w (logs are in %s)", err, c.Dir)
--- a/cmd/lab/sim.go
+++ b/cmd/lab/sim.go
@@ -106,7 +106,7 @@
 			return nil, err
 		}
 		if c.Shape != "" {
-			fleet.Shapes[c.Shape].Full(s)
+			fleet.Shapes[c.Shape].ApplyFullSize(s)
 		}
 		for i := range c.Seeds {
 			all := []*script.Script{s}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -24,9 +24,9 @@
 	Shape Shape
 	Dir   string
 	Bin   string
-	// Before is the folder of an earlier release's programs; if set, cores and nodes start from it instead of Bin.
-	Before string
-	Log    io.Writer
+	// EarlierBin is the folder of an earlier release's programs; if set, cores and nodes start from it instead of Bin.
+	EarlierBin string
+	Log        io.Writer
 	// Token is the operator token of the nodes.
 	Token string
 	// Tokens is the path of a file of scoped operator tokens for the nodes.
@@ -166,8 +166,8 @@
 // daemon starts a core or a node.
 func (f *Fleet) daemon(role, name, zone, mesh, oper string, more ...string) error {
 	bin := f.options.Bin
-	if f.options.Before != "" {
-		bin = f.options.Before
+	if f.options.EarlierBin != "" {
+		bin = f.options.EarlierBin
 	}
 	args := []string{filepath.Join(bin, "wallport"), role, "--name", name, "--zone", zone, "--mesh", mesh, "--operator", oper}
 	if f.options.Relays {
--- a/lab/fleet/load.go
+++ b/lab/fleet/load.go
@@ -35,15 +35,15 @@
 	{"retrying callers", 1, 0.9, ""},
 }
 
-// LoadOptions are the options of a load measurement. Against is the folder of the second build, Rate the normal rate
+// LoadOptions are the options of a load measurement. OtherBin is the folder of the second build, Rate the normal rate
 // in requests per second.
 type LoadOptions struct {
 	Options
-	Against string
-	Rate    float64
-	Seconds float64
-	Rounds  int
-	Only    string
+	OtherBin string
+	Rate     float64
+	Seconds  float64
+	Rounds   int
+	Only     string
 }
 
 // CaseResult holds one run's measurements; latencies are in microseconds.
@@ -58,8 +58,8 @@
 	fmt.Fprintln(w, "case\tbuild\tgood/s\tp50 us\tp99 us\textra tries\trefused\tunknown\tpartial\tbusiest/mean\tviolations")
 	builds := map[string]string{"this": o.Bin}
 	order := []string{"this"}
-	if o.Against != "" {
-		builds["against"] = o.Against
+	if o.OtherBin != "" {
+		builds["against"] = o.OtherBin
 		order = []string{"against", "this"}
 	}
 	for _, c := range Cases {
@@ -96,7 +96,7 @@
 	if abs, err := filepath.Abs(bin); err == nil {
 		run.Bin = abs
 	}
-	r, err := Run(ctx, RunOptions{Options: run, Rate: o.Rate * c.LoadFactor, Seconds: o.Seconds, Repeat: c.Repeat, Seed: seed, Script: s, UpWithin: time.Minute})
+	r, err := Run(ctx, RunOptions{Options: run, Rate: o.Rate * c.LoadFactor, Seconds: o.Seconds, Repeat: c.Repeat, Seed: seed, Script: s, StartupTimeout: time.Minute})
 	if err != nil {
 		return CaseResult{}, err
 	}
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -16,7 +16,7 @@
 // switchRelease stops a process gracefully and restarts it with the current program if newer is true, otherwise with
 // the earlier release's program.
 func (f *Fleet) switchRelease(name string, newer bool) error {
-	if f.options.Before == "" {
+	if f.options.EarlierBin == "" {
 		return fmt.Errorf("verbs upgrade and downgrade need --before, the folder of an earlier release's programs")
 	}
 	if err := f.Signal(name, syscall.SIGTERM); err != nil {
@@ -27,7 +27,7 @@
 	f.mu.Unlock()
 	<-p.done
 	p.args = slices.DeleteFunc(slices.Clone(p.args), func(a string) bool { return a == unsignedHeartbeatsFlag })
-	p.args[0] = filepath.Join(f.options.Before, "wallport")
+	p.args[0] = filepath.Join(f.options.EarlierBin, "wallport")
 	if newer {
 		p.args[0] = filepath.Join(f.options.Bin, "wallport")
 		p.args = append(p.args, unsignedHeartbeatsFlag)
--- a/lab/fleet/run.go
+++ b/lab/fleet/run.go
@@ -12,17 +12,17 @@
 	"wallport/lab/script"
 )
 
-// RunOptions are the options of a run. Rate is in requests per second; with Stay the fleet keeps running until the
-// context ends; UpWithin bounds the time until all nodes are ready.
+// RunOptions are the options of a run. Rate is in requests per second; with KeepRunning the fleet keeps running until
+// the context ends; StartupTimeout bounds the time until all nodes are ready.
 type RunOptions struct {
 	Options
-	Rate     float64
-	Seconds  float64
-	Repeat   float64
-	Seed     uint64
-	Script   *script.Script
-	Stay     bool
-	UpWithin time.Duration
+	Rate           float64
+	Seconds        float64
+	Repeat         float64
+	Seed           uint64
+	Script         *script.Script
+	KeepRunning    bool
+	StartupTimeout time.Duration
 }
 
 // zonesReadWithin bounds the time of readZones, which waits at the end of a run until every node has applied the
@@ -46,13 +46,13 @@
 	f := New(o.Options)
 	defer f.Down()
 	began := time.Now()
-	upCtx, cancel := context.WithTimeout(ctx, o.UpWithin)
+	upCtx, cancel := context.WithTimeout(ctx, o.StartupTimeout)
 	defer cancel()
 	if err := f.Up(upCtx); err != nil {
 		return nil, err
 	}
 	r := &Result{Shape: o.Shape.Name, UpMs: time.Since(began).Milliseconds(), Counts: map[string]int64{}, Violations: []string{}}
-	if o.Stay {
+	if o.KeepRunning {
 		f.announce()
 	}
 	before := f.Metric("inquiries_read")
@@ -68,7 +68,7 @@
 		go func() { played <- f.Play(ctx, o.Script) }()
 		r.Callers = caller.New(caller.Config{
 			Platform: f.Platform, Index: o.Shape.Index, Rate: o.Rate, Seconds: o.Seconds, Repeat: o.Repeat, Seed: o.Seed,
-			MinDeadline: o.Shape.Least, MaxDeadline: o.Shape.Most,
+			MinDeadline: o.Shape.MinDeadline, MaxDeadline: o.Shape.MaxDeadline,
 		}).Run(ctx)
 		stopWatching()
 		f.operators.wait.Wait()
@@ -82,7 +82,7 @@
 	}
 	f.check(r)
 	r.Counts["inquiries_read"] = f.Metric("inquiries_read") + f.readByStoppedNodes() - before
-	if o.Stay {
+	if o.KeepRunning {
 		<-ctx.Done()
 	}
 	return r, nil
--- a/lab/fleet/shape.go
+++ b/lab/fleet/shape.go
@@ -15,18 +15,18 @@
 	"wallport/runtime/wire"
 )
 
-// Shape is the size of a deployment. PerShard is the number of backends per shard; Least and Most are the callers'
-// shortest and longest deadlines.
+// Shape is the size of a deployment. PerShard is the number of backends per shard; MinDeadline and MaxDeadline are
+// the callers' shortest and longest deadlines.
 type Shape struct {
-	Name     string
-	Index    string
-	Zones    int
-	Nodes    int
-	Cores    int
-	PerShard int
-	Shards   int
-	Least    clock.Micros
-	Most     clock.Micros
+	Name        string
+	Index       string
+	Zones       int
+	Nodes       int
+	Cores       int
+	PerShard    int
+	Shards      int
+	MinDeadline clock.Micros
+	MaxDeadline clock.Micros
 }
 
 // Shapes are the known deployments and a small shape for quick tests.
@@ -58,7 +58,7 @@
 	}
 	b, err := json.Marshal(map[string]any{
 		"services": []map[string]any{{
-			"index": s.Index, "capacity": 1000, "required_share": 75, "deadline_us": s.Most / 2, "max_deadline_us": s.Most,
+			"index": s.Index, "capacity": 1000, "required_share": 75, "deadline_us": s.MaxDeadline / 2, "max_deadline_us": s.MaxDeadline,
 			"hedge_us": 40000, "ramp_us": 3000000,
 		}},
 		"rows": kinds,
@@ -75,9 +75,9 @@
 // FullRate is the present load of a deployment, in requests per second.
 const FullRate = 530
 
-// Full changes a scenario to the full size of the shape: its machines, zones, cores, backends and deadlines, at
-// FullRate. The configured capacity is scaled with the rate.
-func (s Shape) Full(sc *script.Script) {
+// ApplyFullSize changes a scenario to the full size of the shape: its machines, zones, cores, backends and deadlines,
+// at FullRate. The configured capacity is scaled with the rate.
+func (s Shape) ApplyFullSize(sc *script.Script) {
 	rate := sc.Int("rate", 100)
 	if c := sc.Int("capacity", 0); c > 0 && rate > 0 {
 		sc.Set["capacity"] = fmt.Sprint(max(c, c*FullRate/rate))
--- a/lab/sim/world_callers.go
+++ b/lab/sim/world_callers.go
@@ -40,7 +40,7 @@
 	c.skew, c.mix = sim.Script.Int("skew", 0), []int64{8, 2, 1, 1}
 	c.repeatSearches, c.attempted = sim.Script.Int("repeat_searches", 0), map[string]bool{}
 	c.sends, c.refused = map[string]int{}, map[string]bool{}
-	c.until = sim.Script.Int("seconds", 30)*clock.Second - sim.Shape.Most - clock.Second
+	c.until = sim.Script.Int("seconds", 30)*clock.Second - sim.Shape.MaxDeadline - clock.Second
 }
 
 func (c *callers) begin() {
@@ -72,7 +72,7 @@
 	s := c.sim.Shape
 	in := search.Request{
 		Index: s.Index, Kind: search.KindSearch, Query: fmt.Sprintf("q%d", rnd.IntN(200)), Limit: 5 + rnd.IntN(20),
-		Record: records.ID(rnd.IntN(records.Size)), Deadline: s.Least + rnd.Int64N(s.Most-s.Least+1),
+		Record: records.ID(rnd.IntN(records.Size)), Deadline: s.MinDeadline + rnd.Int64N(s.MaxDeadline-s.MinDeadline+1),
 	}
 	in.Kind = c.drawKind()
 	if other := c.sim.otherIndex(); other != "" && rnd.IntN(3) == 0 {
--- a/lab/sim/world_reachability.go
+++ b/lab/sim/world_reachability.go
@@ -150,7 +150,7 @@
 	for _, id := range sim.serverIDs {
 		s := sim.servers[id]
 		k := shardKey{s.row.Index, s.shards, s.row.Shard}
-		ok := s.up && (s.mode == serverOK || s.mode == serverSlow && s.slowUs <= sim.Shape.Least/4) && s.row.State != "leaving" && !sim.Checker.IsZoneDrained(s.row.Zone)
+		ok := s.up && (s.mode == serverOK || s.mode == serverSlow && s.slowUs <= sim.Shape.MinDeadline/4) && s.row.State != "leaving" && !sim.Checker.IsZoneDrained(s.row.Zone)
 		served[k] = served[k] || ok
 	}
 	for k, ok := range served {
--- a/smoke/smoke_test.go
+++ b/smoke/smoke_test.go
@@ -37,7 +37,7 @@
 	defer cancel()
 	r, err := fleet.Run(ctx, fleet.RunOptions{
 		Options: fleet.Options{Shape: fleet.Shapes["small"], Dir: t.TempDir(), Bin: build(t)},
-		Rate:    60, Seconds: 16, Repeat: 0.3, Seed: 5, Script: s, UpWithin: 2 * time.Minute,
+		Rate:    60, Seconds: 16, Repeat: 0.3, Seed: 5, Script: s, StartupTimeout: 2 * time.Minute,
 	})
 	must.NoError(t, err)
 	must.SliceEmpty(t, r.Violations, must.Sprint(r.Violations))
