--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -198,7 +198,7 @@
 
 // send sends a response without records and with the given status.
 func (s *Server) send(w http.ResponseWriter, status int, m *httpapi.BackendRequest) {
-	raw, _ := Spoil("", status, s.newResponse(m, nil))
+	raw, _ := EncodeWithDefect("", status, s.newResponse(m, nil))
 	w.Header().Set("Content-Digest", raw.Digest)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(raw.Status)
@@ -207,7 +207,7 @@
 
 // sendWithDefect sends a response with the given records and with the defect that the fault's mode names.
 func (s *Server) sendWithDefect(w http.ResponseWriter, f *Fault, m *httpapi.BackendRequest, recs []search.Record) {
-	raw, closed := Spoil(f.Mode, 200, s.newResponse(m, recs))
+	raw, closed := EncodeWithDefect(f.Mode, 200, s.newResponse(m, recs))
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if raw.Digest != "" {
--- a/lab/backend/spoil.go
+++ b/lab/backend/defects.go
@@ -10,9 +10,9 @@
 	"wallport/request/search"
 )
 
-// Spoil encodes a response with the defect that mode names. If mode does not name a defect of responses, the response
-// is intact. closed reports that the connection must be closed before the announced length is sent.
-func Spoil(mode string, status int, s search.BackendResponse) (raw search.RawResponse, closed bool) {
+// EncodeWithDefect encodes a response with the defect that mode names. If mode does not name a defect of responses,
+// the response is intact. closed reports that the connection must be closed before the announced length is sent.
+func EncodeWithDefect(mode string, status int, s search.BackendResponse) (raw search.RawResponse, closed bool) {
 	switch mode {
 	case "foreign":
 		s.RequestID = "somebody-else-1.aa"
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -17,7 +17,7 @@
 )
 
 // serverMode is how a server misbehaves. Scenarios use the text as the name of the mode. All other texts are modes
-// of backend.Spoil, which corrupts responses.
+// of backend.EncodeWithDefect, which corrupts responses.
 type serverMode string
 
 // Modes of servers. A vanished server is down and does not refuse connections: dials to it time out.
@@ -178,7 +178,7 @@
 		}
 		sealed.Records = []search.Record{r}
 	}
-	raw, closed := backend.Spoil(string(s.mode), status, sealed)
+	raw, closed := backend.EncodeWithDefect(string(s.mode), status, sealed)
 	if closed {
 		return search.Result{Class: search.ClassFailed, Reason: "cut short"}
 	}
