--- a/lab/backend/backend.go
+++ b/lab/backend/backend.go
@@ -170,7 +170,7 @@
 		s.sendWithDefect(w, f, &m, records.Top(m.Index, m.Query, m.Limit, m.Shard, s.config.Shards))
 		return
 	}
-	rec, ok := records.Of(m.Record)
+	rec, ok := records.Lookup(m.Record)
 	if !ok || search.ShardOf(m.Record, s.config.Shards) != s.config.Shard {
 		s.send(w, 404, &m)
 		return
--- a/lab/caller/check.go
+++ b/lab/caller/check.go
@@ -75,7 +75,7 @@
 		k.summary.Outcomes[string(o.kind)+" repeat"]++
 		return
 	}
-	if want, _ := records.Of(o.record); s.Record != want {
+	if want, _ := records.Lookup(o.record); s.Record != want {
 		k.recordWrong("%s of %s: unexpected record %+v", o.kind, o.record, s.Record)
 	}
 }
--- a/lab/check/load.go
+++ b/lab/check/load.go
@@ -41,7 +41,7 @@
 // Single checks that the response to a single request is exact.
 func (c *Checker) Single(record string, o *search.Outcome, at clock.Micros) {
 	c.tested(NotComplete)
-	want, ok := records.Of(record)
+	want, ok := records.Lookup(record)
 	if !ok || len(o.Records) != 1 || o.Records[0] != want {
 		c.Fail(NotComplete, at, "%s for record %s got %v, not exactly that record", o.ID, record, o.Records)
 	}
--- a/lab/records/records.go
+++ b/lab/records/records.go
@@ -75,8 +75,8 @@
 	return out[:min(limit, len(out))]
 }
 
-// Of returns the stored record with an id, false if there is none.
-func Of(id string) (search.Record, bool) {
+// Lookup returns the stored record with an id, false if there is none.
+func Lookup(id string) (search.Record, bool) {
 	for n := range Size {
 		if ID(n) == id {
 			return search.Record{ID: id, Score: int64(n), Body: "body of " + id}, true
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -171,7 +171,7 @@
 	case in.Kind == search.KindSearch:
 		sealed.Records = records.Top(in.Index, in.Query, in.Limit, a.Shard, s.shards)
 	default:
-		r, ok := records.Of(in.Record)
+		r, ok := records.Lookup(in.Record)
 		if !ok || search.ShardOf(in.Record, s.shards) != s.row.Shard {
 			status = 404
 			break
