--- a/cmd/lab/draw.go
+++ b/cmd/lab/draw.go
@@ -96,7 +96,7 @@
 	}
 	point, _, _ := strings.Cut(r.Faults[0], " at ")
 	return draw.Shrink(j.text, func(s *script.Script) bool {
-		for _, f := range sim.Play(s, j.seed, nil).Faults {
+		for _, f := range sim.Run(s, j.seed, nil).Faults {
 			if strings.HasPrefix(f, point+" at ") {
 				return true
 			}
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -84,9 +84,9 @@
 // runSimulated prints the numbers of frames, bytes and steps of a process in each phase. It fails if
 // one of these counts grows faster than the square root of the fleet's size.
 func (c *scaleCmd) runSimulated() error {
-	var sizes []sim.Growth
+	var sizes []sim.FleetOptions
 	for _, n := range c.Nodes {
-		sizes = append(sizes, sim.Growth{Nodes: n, Cores: c.Cores, Servers: int(float64(n) * c.Servers), Seed: c.Seed, Brief: c.Brief})
+		sizes = append(sizes, sim.FleetOptions{Nodes: n, Cores: c.Cores, Servers: int(float64(n) * c.Servers), Seed: c.Seed, Brief: c.Brief})
 	}
 	all, err := scale.Counts(sizes)
 	if err := errors.Join(err, scale.ReportCounts(os.Stdout, all)); err != nil {
@@ -110,7 +110,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "nodes\tmesh frames/s per process\tbytes/s per process\tframes per change\tin force, median ms\tworst ms\tagreement after a healed partition, ms")
 	for _, n := range c.Nodes {
-		r, err := sim.Scale(n, c.Seed)
+		r, err := sim.MeasureScaling(n, c.Seed)
 		if err != nil {
 			return err
 		}
--- a/cmd/lab/sim.go
+++ b/cmd/lab/sim.go
@@ -111,10 +111,10 @@
 		for i := range c.Seeds {
 			all := []*script.Script{s}
 			if c.Power {
-				all = sim.PowerScripts(s, c.Seed+i)
+				all = sim.PowerLossScripts(s, c.Seed+i)
 			}
 			if c.Shift > 0 {
-				all = sim.ShiftScripts(s, c.Shift, c.ShiftTo)
+				all = sim.DelayedScripts(s, c.Shift, c.ShiftTo)
 			}
 			for _, one := range all {
 				jobs = append(jobs, simJob{s: one, seed: c.Seed + i})
@@ -136,7 +136,7 @@
 				if c.Trace {
 					trace = func(at int64, text string) { fmt.Printf("%12.6f %s\n", float64(at)/1e6, text) }
 				}
-				r := sim.Play(j.s, j.seed, trace)
+				r := sim.Run(j.s, j.seed, trace)
 				mu.Lock()
 				done(j, r)
 				mu.Unlock()
--- a/lab/scale/counts.go
+++ b/lab/scale/counts.go
@@ -52,9 +52,9 @@
 }
 
 // Counts runs the simulation for each size.
-func Counts(sizes []sim.Growth) (all []sim.Grown, err error) {
+func Counts(sizes []sim.FleetOptions) (all []sim.FleetMeasurement, err error) {
 	for _, g := range sizes {
-		r, err := sim.Grow(g)
+		r, err := sim.MeasureFleet(g)
 		if err != nil {
 			return all, fmt.Errorf("%d nodes: %w", g.Nodes, err)
 		}
@@ -64,7 +64,7 @@
 }
 
 // Verdicts returns the verdict on every count of every phase and role.
-func Verdicts(all []sim.Grown) (out []Verdict) {
+func Verdicts(all []sim.FleetMeasurement) (out []Verdict) {
 	if len(all) == 0 {
 		return nil
 	}
@@ -88,7 +88,7 @@
 }
 
 // ReportCounts writes the counts, the traffic by kind of frame and the verdicts.
-func ReportCounts(out io.Writer, all []sim.Grown) error {
+func ReportCounts(out io.Writer, all []sim.FleetMeasurement) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "phase\trole\tcount")
 	for _, g := range all {
@@ -127,7 +127,7 @@
 }
 
 // reportKinds writes the incoming frames and bytes per second of each kind of frame.
-func reportKinds(w io.Writer, all []sim.Grown) {
+func reportKinds(w io.Writer, all []sim.FleetMeasurement) {
 	for i, p := range all[0].Phases {
 		for k := range sim.Kinds {
 			for _, role := range []string{"node", "core"} {
--- a/lab/scale/counts_test.go
+++ b/lab/scale/counts_test.go
@@ -12,11 +12,11 @@
 )
 
 func TestVerdicts(t *testing.T) {
-	grown := func(n int, bytes, steps float64) sim.Grown {
+	grown := func(n int, bytes, steps float64) sim.FleetMeasurement {
 		r := sim.Rates{BytesIn: bytes, Steps: steps}
-		return sim.Grown{Growth: sim.Growth{Nodes: n - 1, Cores: 1}, Phases: []sim.Phase{{Name: "rest", Node: r}}}
+		return sim.FleetMeasurement{FleetOptions: sim.FleetOptions{Nodes: n - 1, Cores: 1}, Phases: []sim.Phase{{Name: "rest", Node: r}}}
 	}
-	all := []sim.Grown{grown(10, 100, 10), grown(40, 200, 10), grown(90, 500, 11)}
+	all := []sim.FleetMeasurement{grown(10, 100, 10), grown(40, 200, 10), grown(90, 500, 11)}
 	over := map[string]float64{}
 	for _, v := range Verdicts(all) {
 		if v.Exceeds() {
--- a/lab/sim/day_shift.go
+++ b/lab/sim/day_delayed_steps.go
@@ -23,8 +23,8 @@
 	return 0
 }
 
-// ShiftScripts returns copies of a scenario, one for each shift_ms from 0 to mostMs in steps of everyMs.
-func ShiftScripts(s *script.Script, everyMs, mostMs int64) []*script.Script {
+// DelayedScripts returns copies of a scenario, one for each shift_ms from 0 to mostMs in steps of everyMs.
+func DelayedScripts(s *script.Script, everyMs, mostMs int64) []*script.Script {
 	var out []*script.Script
 	for at := int64(0); at <= mostMs; at += everyMs {
 		one := *s
--- a/lab/sim/shift_test.go
+++ b/lab/sim/day_delayed_steps_test.go
@@ -21,10 +21,10 @@
 			every = 4000
 		}
 		// The scenario without a delay is part of TestScenarios.
-		for _, one := range ShiftScripts(s, every, 4000)[1:] {
+		for _, one := range DelayedScripts(s, every, 4000)[1:] {
 			t.Run(fmt.Sprintf("%s/shift=%sms", name, one.Set["shift_ms"]), func(t *testing.T) {
 				t.Parallel()
-				for _, v := range Play(one, 1, nil).Faults {
+				for _, v := range Run(one, 1, nil).Faults {
 					t.Error(v)
 				}
 			})
--- a/lab/sim/days_test.go
+++ b/lab/sim/days_test.go
@@ -24,7 +24,7 @@
 		must.NoError(t, err)
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			for _, v := range Play(s, n, nil).Faults {
+			for _, v := range Run(s, n, nil).Faults {
 				t.Error(v)
 			}
 		})
--- a/lab/sim/doc.go
+++ b/lab/sim/doc.go
@@ -10,14 +10,14 @@
 // A [Simulation] owns the event queue, the processes with their kernels, disks
 // and clocks, and the network between them. It has two modes:
 //
-//   - a fleet of search nodes (files world_*.go) with models of servers, the
+//   - a fleet of search nodes (files fleet_*.go) with models of servers, the
 //     platform, callers and operators, which package check checks as it runs;
 //   - a day on the users' platform (files day_*.go, selected by "set site NAME"
 //     in the scenario) with machines, backends, clients and operators that
 //     behave like those of the platform. It writes a journal, which package
 //     rules checks at the end.
 //
-// The files judge_*.go contain checks that need the simulator's own knowledge,
+// The files check_*.go contain checks that need the simulator's own knowledge,
 // such as which processes are running. The files measure_*.go measure frames,
 // bytes and delays in fleets of different sizes.
 //
--- a/lab/sim/world_power.go
+++ b/lab/sim/fleet_power.go
@@ -64,8 +64,8 @@
 	sim.after(1500*clock.Millisecond, func() { sim.applyProcessVerb("restart", p) })
 }
 
-// PowerScripts runs a scenario once to count its writes, and returns copies of it, one for each step of each write.
-func PowerScripts(s *script.Script, seed uint64) []*script.Script {
+// PowerLossScripts runs a scenario once to count its writes, and returns copies of it, one for each step of each write.
+func PowerLossScripts(s *script.Script, seed uint64) []*script.Script {
 	with := func(n int64, step string) *script.Script {
 		c := *s
 		c.Set = maps.Clone(s.Set)
--- a/lab/sim/measure_growth.go
+++ b/lab/sim/measure_growth.go
@@ -13,8 +13,8 @@
 	"wallport/runtime/kernel"
 )
 
-// Growth holds the options of a measurement.
-type Growth struct {
+// FleetOptions holds the options of a measurement.
+type FleetOptions struct {
 	Nodes, Cores, Servers int
 	Seed                  uint64
 	// Brief limits the measurement to the start-up and the idle fleet.
@@ -44,9 +44,9 @@
 	CPU float64
 }
 
-// Grown is the result of a measurement; times are in simulated microseconds.
-type Grown struct {
-	Growth
+// FleetMeasurement is the result of a measurement; times are in simulated microseconds.
+type FleetMeasurement struct {
+	FleetOptions
 	Phases []Phase
 	// InForceUs holds, for each change that was acknowledged, the time from sending it until every node has it in
 	// force.
@@ -58,8 +58,8 @@
 	ReadyUs clock.Micros
 }
 
-// Grow measures a fleet without client requests.
-func Grow(g Growth) (Grown, error) {
+// MeasureFleet measures a fleet without client requests.
+func MeasureFleet(g FleetOptions) (FleetMeasurement, error) {
 	end := int64(76 * clock.Second)
 	if g.Brief {
 		end = 30 * clock.Second
@@ -67,10 +67,10 @@
 	s, err := script.Parse("growth", fmt.Sprintf("set shape trust\nset nodes %d\nset cores %d\nset per_shard %d\nset seconds %d\nset rate 0\n",
 		g.Nodes, g.Cores, max(1, g.Servers/4), end/clock.Second))
 	if err != nil {
-		return Grown{}, err
+		return FleetMeasurement{}, err
 	}
 	sim := New(s, g.Seed)
-	r := Grown{Growth: g, LostUs: -1, MetUs: -1, ReadyUs: -1}
+	r := FleetMeasurement{FleetOptions: g, LostUs: -1, MetUs: -1, ReadyUs: -1}
 	sim.measurePhase(&r, "start", 0, 20*clock.Second)
 	sim.measurePhase(&r, "rest", 20*clock.Second, 30*clock.Second)
 	sim.recordDelay(0, func() bool { return len(sim.platform.ready()) == g.Nodes }, &r.ReadyUs)
@@ -123,7 +123,7 @@
 }
 
 // measurePhase adds the measurements of a time span to r.
-func (sim *Simulation) measurePhase(r *Grown, name string, from, to clock.Micros) {
+func (sim *Simulation) measurePhase(r *FleetMeasurement, name string, from, to clock.Micros) {
 	var previous map[string]Traffic
 	var peakIn, peakOut map[string]int64
 	var cpu float64
--- a/lab/sim/measure_scale.go
+++ b/lab/sim/measure_scale.go
@@ -11,10 +11,10 @@
 	"wallport/runtime/wire"
 )
 
-// Scaled holds the measurements of one fleet size. RestPerNode and BytesPerNode are mesh frames and bytes per
-// second and process of an idle fleet, ChangeFrames the gossip frames per change, and HealUs the time from the end
-// of a network partition until all nodes agree.
-type Scaled struct {
+// ScalingMeasurement holds the measurements of one fleet size. RestPerNode and BytesPerNode are mesh frames and bytes
+// per second and process of an idle fleet, ChangeFrames the gossip frames per change, and HealUs the time from the
+// end of a network partition until all nodes agree.
+type ScalingMeasurement struct {
 	Nodes        int
 	RestPerNode  float64
 	BytesPerNode float64
@@ -24,15 +24,15 @@
 	HealUs       clock.Micros
 }
 
-// Scale measures a fleet with the given number of nodes.
-func Scale(nodes int, seed uint64) (Scaled, error) {
+// MeasureScaling measures a fleet with the given number of nodes.
+func MeasureScaling(nodes int, seed uint64) (ScalingMeasurement, error) {
 	text := fmt.Sprintf("set shape trust\nset nodes %d\nset seconds 110\nset rate 0\n", nodes)
 	s, err := script.Parse("scale", text)
 	if err != nil {
-		return Scaled{}, err
+		return ScalingMeasurement{}, err
 	}
 	sim := New(s, seed)
-	r := Scaled{Nodes: nodes}
+	r := ScalingMeasurement{Nodes: nodes}
 	procs := float64(nodes + sim.Shape.Cores)
 	var frames, bytes int64
 	var took []int64
--- a/lab/sim/play.go
+++ b/lab/sim/play.go
@@ -37,8 +37,8 @@
 	return ""
 }
 
-// Play runs a scenario under a seed and returns its result. trace, if not nil, is called for every event.
-func Play(s *script.Script, seed uint64, trace func(at int64, text string)) Result {
+// Run runs a scenario under a seed and returns its result. trace, if not nil, is called for every event.
+func Run(s *script.Script, seed uint64, trace func(at int64, text string)) Result {
 	invariant.SetFatal()
 	sim := New(s, seed)
 	sim.Trace = trace
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -33,7 +33,7 @@
 		for seed := uint64(1); seed <= seeds; seed++ {
 			t.Run(fmt.Sprintf("%s/seed=%d", filepath.Base(f), seed), func(t *testing.T) {
 				t.Parallel()
-				r := Play(s, seed, nil)
+				r := Run(s, seed, nil)
 				for _, v := range r.Faults {
 					t.Error(v)
 				}
@@ -46,7 +46,7 @@
 	t.Parallel()
 	s, err := script.Load("../../scenarios/plain.txt")
 	must.NoError(t, err)
-	a, b, c := Play(s, 11, nil), Play(s, 11, nil), Play(s, 12, nil)
+	a, b, c := Run(s, 11, nil), Run(s, 11, nil), Run(s, 12, nil)
 	must.Eq(t, a.Digest, b.Digest)
 	must.Eq(t, a.Lines, b.Lines)
 	must.NotEq(t, a.Digest, c.Digest)
@@ -57,7 +57,7 @@
 func TestPowerLostAtWrites(t *testing.T) {
 	s, err := script.Load("../../scenarios/power_step.txt")
 	must.NoError(t, err)
-	all := PowerScripts(s, 1)
+	all := PowerLossScripts(s, 1)
 	must.Greater(t, 100, len(all))
 	every := 9
 	if testing.Short() {
@@ -67,7 +67,7 @@
 		one := all[i]
 		t.Run(fmt.Sprintf("write=%s/step=%s", one.Set["power_write"], one.Set["power_step"]), func(t *testing.T) {
 			t.Parallel()
-			for _, v := range Play(one, 1, nil).Faults {
+			for _, v := range Run(one, 1, nil).Faults {
 				t.Error(v)
 			}
 		})
