--- a/lab/scale/counts.go
+++ b/lab/scale/counts.go
@@ -23,8 +23,8 @@
 	Exponent float64
 }
 
-// Over reports whether the count grows faster than allowed.
-func (v Verdict) Over() bool { return v.Exponent > MaxExponent }
+// Exceeds reports whether the count grows faster than allowed.
+func (v Verdict) Exceeds() bool { return v.Exponent > MaxExponent }
 
 // String returns the name of the count, its values and its exponent.
 func (v Verdict) String() string {
@@ -52,9 +52,9 @@
 }
 
 // Counts runs the simulation for each size.
-func Counts(sizes []sim.Growth) (all []sim.Grown, err error) {
+func Counts(sizes []sim.FleetOptions) (all []sim.FleetMeasurement, err error) {
 	for _, g := range sizes {
-		r, err := sim.Grow(g)
+		r, err := sim.MeasureFleet(g)
 		if err != nil {
 			return all, fmt.Errorf("%d nodes: %w", g.Nodes, err)
 		}
@@ -64,7 +64,7 @@
 }
 
 // Verdicts returns the verdict on every count of every phase and role.
-func Verdicts(all []sim.Grown) (out []Verdict) {
+func Verdicts(all []sim.FleetMeasurement) (out []Verdict) {
 	if len(all) == 0 {
 		return nil
 	}
@@ -88,7 +88,7 @@
 }
 
 // ReportCounts writes the counts, the traffic by kind of frame and the verdicts.
-func ReportCounts(out io.Writer, all []sim.Grown) error {
+func ReportCounts(out io.Writer, all []sim.FleetMeasurement) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "phase\trole\tcount")
 	for _, g := range all {
@@ -101,7 +101,7 @@
 			fmt.Fprintf(w, "\t%.4g", p.Y)
 		}
 		mark := ""
-		if v.Over() {
+		if v.Exceeds() {
 			mark = "over"
 		}
 		fmt.Fprintf(w, "\tn^%.2f\t%s\n", v.Exponent, mark)
@@ -127,7 +127,7 @@
 }
 
 // reportKinds writes the incoming frames and bytes per second of each kind of frame.
-func reportKinds(w io.Writer, all []sim.Grown) {
+func reportKinds(w io.Writer, all []sim.FleetMeasurement) {
 	for i, p := range all[0].Phases {
 		for k := range sim.Kinds {
 			for _, role := range []string{"node", "core"} {
--- a/lab/sim/world_server.go
+++ b/lab/sim/fleet_server.go
@@ -17,7 +17,7 @@
 )
 
 // serverMode is how a server misbehaves. Scenarios use the text as the name of the mode. All other texts are modes
-// of backend.Spoil, which corrupts responses.
+// of backend.EncodeWithDefect, which corrupts responses.
 type serverMode string
 
 // Modes of servers. A vanished server is down and does not refuse connections: dials to it time out.
@@ -171,14 +171,14 @@
 	case in.Kind == search.KindSearch:
 		sealed.Records = records.Top(in.Index, in.Query, in.Limit, a.Shard, s.shards)
 	default:
-		r, ok := records.Of(in.Record)
+		r, ok := records.Lookup(in.Record)
 		if !ok || search.ShardOf(in.Record, s.shards) != s.row.Shard {
 			status = 404
 			break
 		}
 		sealed.Records = []search.Record{r}
 	}
-	raw, closed := backend.Spoil(string(s.mode), status, sealed)
+	raw, closed := backend.EncodeWithDefect(string(s.mode), status, sealed)
 	if closed {
 		return search.Result{Class: search.ClassFailed, Reason: "cut short"}
 	}
