--- a/cluster/mesh/mesh_test.go
+++ b/cluster/mesh/mesh_test.go
@@ -142,7 +142,7 @@
 	for n := uint64(OriginBurst + 1); n <= OriginBurst+50; n++ {
 		r.gossip(newEntry(key(2), EntryHealthReport, string(rune('a'+n)), n))
 	}
-	must.Eq(t, OriginBurst+50, r.storedEntries(EntryHealthReport), must.Sprint("entries dropped by the rate limit are accepted when they are sent again"))
+	must.Eq(t, OriginBurst+50, r.storedEntries(EntryHealthReport), must.Sprint("entries dropped by the rate limit must be accepted when they are sent again"))
 }
 
 func TestAntiEntropySendsMissingEntries(t *testing.T) {
--- a/cluster/mesh/overlay.go
+++ b/cluster/mesh/overlay.go
@@ -96,8 +96,8 @@
 	return view
 }
 
-// ranksAmong ranks this process and the given ones in the rendezvous order for a topic. It reports
-// whether the number of processes that rank before this one is below the limit most.
+// ranksAmong reports whether fewer than most of the given processes precede this process in the
+// rendezvous order for a topic.
 func (m *Mesh) ranksAmong(of []*originState, topic uint64, most int) bool {
 	own, above := mix(hash(m.self)^topic), 0
 	for _, origin := range of {
--- a/request/gateway/connections.go
+++ b/request/gateway/connections.go
@@ -26,7 +26,8 @@
 	closed      chan struct{}
 }
 
-// serverLimits are the limits of one http.Server.
+// serverLimits bounds the time to read a request's head, the idle time of a connection and the size of a request's head
+// on one http.Server.
 type serverLimits struct {
 	headTimeout, idleTimeout time.Duration
 	maxHeaderBytes           int
--- a/request/gateway/response.go
+++ b/request/gateway/response.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// writeResponse writes a response whose other header fields are already set.
+// writeResponse writes a response whose header fields are set, except for Content-Length. It sets Content-Length except
+// in responses to HEAD and with the statuses 204 and 304, and sends no Content-Type if none is set.
 func writeResponse(w http.ResponseWriter, r *http.Request, status int, body []byte) {
 	head := w.Header()
 	if _, set := head["Content-Type"]; !set {
--- a/runtime/chunk/queue.go
+++ b/runtime/chunk/queue.go
@@ -44,7 +44,8 @@
 	return -1
 }
 
-// unresponsive reports whether no byte of the message in flight has been acknowledged for RetryInterval.
+// unresponsive reports whether no part of the message in flight is acknowledged and its transfer has made no progress
+// for at least RetryInterval.
 func (q *queue) unresponsive(now clock.Micros) bool {
 	return q.acked == 0 && now-q.progressAt >= RetryInterval
 }
--- a/runtime/kernel/counters.go
+++ b/runtime/kernel/counters.go
@@ -25,7 +25,7 @@
 // Add adds n to a counter.
 func (c *Counts) Add(name string, n int64) { c.Of(name).Add(n) }
 
-// Set sets a gauge.
+// Set sets a gauge to n. Counters and gauges share one set of names.
 func (c *Counts) Set(name string, n int64) { c.Of(name).Store(n) }
 
 // Each calls visit for each counter, sorted by name.
--- a/runtime/process/handshake.go
+++ b/runtime/process/handshake.go
@@ -137,8 +137,8 @@
 		own.SecondFleetSecret != "" && hmac.Equal(proof, fleetProof(own.SecondFleetSecret, from, to))
 }
 
-// fleetProof returns the HMAC-SHA-256 that proves knowledge of the fleet's secret on one connection. It covers the
-// fingerprints of the sender's and the receiver's keys.
+// fleetProof returns the HMAC-SHA-256 by which a process proves to one peer that it knows the fleet's secret. It covers
+// the fingerprints of the sender's and the receiver's keys, so it is valid only from this sender to this receiver.
 func fleetProof(secret, from, to string) []byte {
 	h := hmac.New(sha256.New, []byte(secret))
 	h.Write([]byte("wallport " + from + " " + to))
--- a/runtime/process/log.go
+++ b/runtime/process/log.go
@@ -16,7 +16,8 @@
 	eventsPerLine   = 100
 )
 
-// sampled limits the number of lines that a log writes per event. The counters still count every occurrence.
+// sampled returns a log that writes, per event and second, the first eventsPerSecond lines and then one of every
+// eventsPerLine. The counters still count every occurrence.
 func sampled(log *zap.Logger) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, time.Second, eventsPerSecond, eventsPerLine)
