--- a/lab/draw/day.go
+++ b/lab/draw/day.go
@@ -18,7 +18,7 @@
 func (d *drawing) f(least, most float64) float64 { return least + d.rnd.Float64()*(most-least) }
 
 // Day draws day number n. If site is empty, the days go through Sites in turn. The first planned work and the first
-// fault of the days go through all kinds and modes in turn; the others are random.
+// fault of each day are taken from all kinds and modes in turn, by the day's number; all others are random.
 func Day(n uint64, site string) Scenario {
 	if site == "" {
 		site = Sites[int(n)%len(Sites)]
@@ -67,7 +67,7 @@
 	return Scenario{Text: strings.Join(append(head, d.lines...), "\n") + "\n", Faults: names}
 }
 
-// maxRepeats is how many times a drawn kind may be repeated in succession.
+// maxRepeats is the greatest number of steps that one additional draw of a kind adds.
 const maxRepeats = 2
 
 // entry adds the line of a step at a time in seconds, and the steps that must accompany it.
--- a/lab/draw/draw.go
+++ b/lab/draw/draw.go
@@ -10,7 +10,8 @@
 	"wallport/lab/script"
 )
 
-// Times of a drawn scenario, in milliseconds.
+// Times of a drawn scenario, in milliseconds. The faults that the method during times begin from firstAt until
+// lastAt and end by overAt.
 const (
 	firstAt = 14_000
 	lastAt  = 22_000
@@ -31,13 +32,14 @@
 	shape fleet.Shape
 	lines []string
 	used  map[string]bool
-	// site is the name of the site of a day on the users' platform.
+	// site is the name of the simulated layout of zones, pools and requests that a drawn day uses; empty for other
+	// scenarios.
 	site string
 }
 
 func (d *drawing) n(most int) int { return d.rnd.IntN(most) }
 
-// during draws the start and the end of a fault that lasts from least to most milliseconds.
+// during draws the start and the end of a fault that lasts from least to most milliseconds, but ends by overAt.
 func (d *drawing) during(least, most int) (from, to int) {
 	from = firstAt + d.n(lastAt-firstAt)
 	return from, min(overAt, from+least+d.n(most-least+1))
--- a/lab/draw/faults.go
+++ b/lab/draw/faults.go
@@ -1,4 +1,5 @@
-// The kinds of faults of a fleet, each with the lines that inject it and the lines that repair it.
+// The kinds of faults of a fleet, each with the lines that inject it and, unless it is permanent, the lines that repair
+// it.
 
 package draw
 
--- a/lab/draw/kinds.go
+++ b/lab/draw/kinds.go
@@ -1,5 +1,5 @@
-// The kinds of planned work of a day as the platform lists them, each with its modes, and the composition of their
-// lines. The kinds of faults are in day_faults.go.
+// The kinds of planned work of a day, as the platform lists them, each with its modes; and the functions that draw the
+// scenario line of a step. The kinds of faults are in day_faults.go.
 
 package draw
 
@@ -13,14 +13,14 @@
 type dayKind struct {
 	name  string
 	modes []string
-	// hasFollowUp allows a follow-up of the fault: a change that is sent to the machine, or draining backends in
-	// its zone.
+	// hasFollowUp allows a follow-up to the step: a change that is sent to the affected machine, or a drain of backends
+	// in its zone.
 	hasFollowUp bool
 	line        func(d *drawing) string
 }
 
-// followUps holds the modes of follow-ups, which reach a machine as it returns or during its partition. The empty
-// ones mean that there is none.
+// followUps holds the modes of follow-ups, which begin when a machine returns or while it is partitioned. An empty
+// entry means that there is no follow-up.
 var followUps = []string{"", "", "meet", "race", "hard", "hard,race", "drain", "meet,drain"}
 
 func text(s string) func(d *drawing) string { return func(*drawing) string { return s } }
@@ -37,7 +37,7 @@
 	return func(d *drawing) string { return fmt.Sprintf("for=%.1fs", d.f(least, most)) }
 }
 
-// drawInTurn returns a step's line with the mode and the follow-up of the given turn.
+// drawInTurn returns a step's line. The number turn selects the mode and the follow-up, both modulo their count.
 func (k *dayKind) drawInTurn(d *drawing, turn uint64) string {
 	return k.lineWith(d, int(turn), int(turn))
 }
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -48,7 +48,7 @@
 		"an unknown change that had no effect":               historyOf(change("a", "", 1, 2, Unknown), read("", 3, 4), change("b", "", 5, 6, Accepted)),
 		"an unknown change that took effect late":            historyOf(change("a", "", 1, 2, Unknown), read("", 3, 4), read("a", 5, 6)),
 		"a retry of an accepted change":                      historyOf(change("a", "", 1, 2, Accepted), change("b", "a", 3, 4, Accepted), change("a", "", 5, 6, Accepted), read("b", 7, 8)),
-		"refused, then valid":                                historyOf(change("b", "a", 1, 2, Refused), change("a", "", 3, 4, Accepted), change("b", "a", 5, 6, Accepted)),
+		"a change refused, then accepted on its base":        historyOf(change("b", "a", 1, 2, Refused), change("a", "", 3, 4, Accepted), change("b", "a", 5, 6, Accepted)),
 		"invalid on the current version":                     historyOf(Operation{Register: Configuration, Kind: Change, ID: "x", Invalid: true, Begin: 1, End: 2, Outcome: Refused}, read("", 3, 4)),
 		"a zone drained and restored":                        historyOf(setZone("z", Drained, 1, 2, Accepted), readZone("z", Drained, 3, 4), setZone("z", Restored, 5, 6, Accepted), readZone("z", Restored, 7, 8)),
 		"registers are checked separately":                   historyOf(change("a", "", 1, 2, Accepted), setZone("z", Drained, 1, 2, Accepted), readZone("y", Restored, 3, 4), read("a", 3, 4)),
--- a/lab/rules/fault_spans.go
+++ b/lab/rules/fault_spans.go
@@ -60,8 +60,9 @@
 type FaultSpans struct {
 	// Machines holds each machine's own faults: faults of its processes, disk, clock and links to the core.
 	Machines map[string]*Spans
-	// Unsettled holds the events that unsettle the core. NoMajority holds the spans in which at most half of the core
-	// was running, connected and not slowed.
+	// Unsettled holds the events that unsettle the core. In simulated days, NoMajority holds the spans in
+	// which no core member with an unimpaired disk and normal speed reached a majority of running core members; in soak
+	// tests, the spans of the faults that disrupt cores.
 	Unsettled, NoMajority Spans
 	// Unplanned holds the faults of all machines, except planned work; Planned holds the planned work.
 	Unplanned, Planned Spans
--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -50,8 +50,8 @@
 	return Parse(path, string(b))
 }
 
-// Parse parses a scenario. Its steps are sorted by time. The error lists all invalid lines, each with name and line
-// number.
+// Parse parses a scenario. Its steps are sorted by time. The error lists all invalid lines, each with the scenario's
+// name and the line number.
 func Parse(name, text string) (*Script, error) {
 	s := &Script{Name: name, Set: map[string]string{}}
 	var errs []string
