--- a/lab/sim/days_test.go
+++ b/lab/sim/days_test.go
@@ -15,8 +15,8 @@
 func TestDrawnDays(t *testing.T) {
 	days := len(draw.Sites)
 	if testing.Short() {
-		// With -short, under the race detector, one day is enough: it looks for data races in the code, not for
-		// rare schedules.
+		// With -short, under the race detector, one day is enough, because the test then looks for data races and not
+		// for rare schedules.
 		days = 1
 	}
 	for n := range uint64(days) {
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -22,9 +22,9 @@
 		must.NoError(t, err)
 		seeds := uint64(s.Int("ci_seeds", 2))
 		if testing.Short() {
-			// With -short, under the race detector, each scenario runs under one seed, because the run looks for
-			// data races and not for rare schedules. Scenarios that only take longer on the same code (set race no)
-			// are left out.
+			// With -short, under the race detector, each scenario runs under one seed, because the test then
+			// looks for data races and not for rare schedules. Scenarios that run the same code as others, only for
+			// longer ("set race no"), are left out.
 			seeds = 1
 			if s.Text("race", "") == "no" {
 				continue
@@ -52,8 +52,8 @@
 	must.NotEq(t, a.Digest, c.Digest)
 }
 
-// TestPowerLostAtWrites cuts the power at every ninth of all steps of all writes, or every 61st with -short; "lab
-// sim --power" runs all of them.
+// TestPowerLostAtWrites cuts the power at every ninth step of the steps of all writes, or at every 61st step with -short;
+// "lab sim --power" cuts the power at all of them.
 func TestPowerLostAtWrites(t *testing.T) {
 	s, err := script.Load("../../scenarios/power_step.txt")
 	must.NoError(t, err)
