--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -67,8 +67,8 @@
 	return d
 }
 
-// end returns when the day ends, in simulated time. After a closing fault the traffic continues for 20 s, through
-// the recovery.
+// end returns the simulated time at which the day ends. After a closing fault the traffic continues for 20 s, so that
+// the recovery is part of the day.
 func (d *day) end() clock.Micros {
 	s := d.sim.Script.Int("seconds", 24)
 	if at := d.sim.Script.Int("closing_at_s", 0); at > 0 {
@@ -103,7 +103,8 @@
 	sim.at(100*clock.Millisecond, d.sample)
 }
 
-// sample records in the journal, ten times a second, which configuration every node has in force.
+// sample runs ten times a second. It updates the fault spans and records in the journal which configuration each
+// running node has in force.
 func (d *day) sample() {
 	d.sim.after(100*clock.Millisecond, d.sample)
 	d.updateFaultSpans()
@@ -151,8 +152,8 @@
 	}
 }
 
-// latency draws the one-way network latency between two zones: from 100 us within a zone, 500 us within a region
-// and 12 ms between regions, plus up to a quarter and 40 us.
+// latency draws the one-way network latency between two zones: 100 us within a zone, 500 us within a region or 12 ms
+// between regions, plus a random part of up to a quarter of that value plus 40 us.
 func (d *day) latency(a, b string) clock.Micros {
 	us := int64(100)
 	switch {
--- a/lab/sim/day_armed_faults.go
+++ b/lab/sim/day_armed_faults.go
@@ -5,11 +5,12 @@
 
 import "wallport/runtime/clock"
 
-// acceptHook is called with the core member that has accepted a client's request that may run only once.
+// acceptHook is called with a core member's machine after the machine has accepted a client's request that may run
+// only once.
 type acceptHook func(m *machine)
 
-// deferFault defers a fault until its triggering event: with "timed" the sending of the next configuration, with
-// "taken" the acceptance of a request, otherwise the next acknowledgement.
+// deferFault defers a fault until an event triggers it: with "timed", the sending of the next configuration; with
+// "taken", the acceptance of a request; otherwise, the next acknowledgement.
 func (d *day) deferFault(step *dayStep) {
 	switch {
 	case step.has("timed"):
@@ -48,8 +49,8 @@
 	}
 }
 
-// failFurtherMembers cuts the power of step.count-1 more core members after the one that acknowledged, but of no
-// more than the deployment tolerates.
+// failFurtherMembers cuts the power of up to step.count-1 more core members, and with after_ack_wipe also wipes their
+// disks. It stops when the deployment tolerates no further loss.
 func (d *day) failFurtherMembers(step *dayStep) {
 	for range step.count - 1 {
 		m := d.drawCoreMember(&dayStep{})
--- a/lab/sim/day_backend_faults.go
+++ b/lab/sim/day_backend_faults.go
@@ -9,8 +9,9 @@
 	"wallport/runtime/clock"
 )
 
-// drawBackends draws the backends that a fault affects: a share of those of one service, or of all services
-// (across), or all backends of one pool (all). At least one backend of each pool is left out, except with all.
+// drawBackends draws the backends that a fault affects: step.count backends, or a share of the backends, of one
+// service, or with "across" of all services. It leaves out at least one backend of each pool. With "all" it returns
+// all backends of one pool, and with "all" and "across" all backends.
 func (d *day) drawBackends(step *dayStep, share float64) []*incarnation {
 	b := &d.backends
 	service := step.service
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -15,8 +15,8 @@
 	"wallport/runtime/wire"
 )
 
-// Constants of the platform and of backends. The list lags by listLagUs, has pages of pageSize backends and serves
-// listPerS pages a second. An address may be reused addressReuseUs after its backend ended, and a crashed backend
+// Times and limits of the platform's backend list and of backends. The list shows a change after listLagUs, has pages
+// of pageSize backends and serves listPerS pages a second. An address may be reused addressReuseUs after its backend ended, and a crashed backend
 // leaves the list after crashDelistUs. A cold backend needs coldWorkFactor thousandths of the usual work time for
 // warmUpUs. Pauses recur every pausePeriod.
 const (
@@ -134,7 +134,7 @@
 	return fmt.Sprintf("10.128.%d.%d:8080", b.nextAddr/250, b.nextAddr%250)
 }
 
-// publish records the current backends; the platform lists them after its lag.
+// publish records the current backends; the platform's list shows them after listLagUs.
 func (b *backends) publish() {
 	now := b.day.sim.now
 	list := wire.BackendList{Complete: true, Backends: []wire.Backend{}}
@@ -149,8 +149,8 @@
 	b.published = append(b.published, publishedList{now, list})
 }
 
-// serveList serves the complete list. It costs as many calls as the list has pages, and returns 429 if they exceed
-// the rate limit.
+// serveList returns the status and the body of the platform's response to a request for the complete list. The
+// request costs as many calls as the list has pages; the status is 429 if these calls exceed the rate limit.
 func (b *backends) serveList() (int, []byte) {
 	sim := b.day.sim
 	for len(b.calls) > 0 && sim.now-b.calls[0] >= clock.Second {
@@ -220,7 +220,7 @@
 	return inc.row.Zone
 }
 
-// of returns the running incarnations, without draining ones, of a service or of one of its pools; "*" selects all
+// of returns the incarnations of a service, or of one of its pools, that are running and not draining; "*" selects all
 // services.
 func (b *backends) of(service string) (out []*incarnation) {
 	for _, inc := range b.all {
--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -9,7 +9,7 @@
 	"wallport/lab/rules"
 )
 
-// configDefects are the defects that an invalid configuration can have, as the platform names them.
+// configDefects lists the platform's names of the defects that an invalid configuration can have.
 var configDefects = []string{
 	"cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key",
 }
@@ -48,8 +48,8 @@
 		base = &rules.Version{Revision: base.Revision, Table: proto.Clone(base.Table).(*routingpb.RoutingTable)}
 		base.Table.Routes = append(base.Table.Routes, duplicate)
 	case "stale_match":
-		// The change is valid in itself, but based on an older version than the one in force, or on one that does
-		// not exist.
+		// The change itself is valid, but it is based on an older version than the one in force, or on a version that
+		// does not exist.
 		df.invalid = false
 		if len(c.accepted) > 1 {
 			base = c.accepted[len(c.accepted)-2].version
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -13,7 +13,7 @@
 	"wallport/runtime/clock"
 )
 
-// Constants of clients. Each zone has clientsPerZone clients. A dial to a machine without power fails after
+// Parameters of the simulated clients. Each zone has clientsPerZone clients. A dial to a machine without power fails after
 // connectUs. A node that fails maxMisses readiness checks in a row gets no new connections. The load varies with
 // the period waveUs.
 const (
@@ -34,13 +34,13 @@
 	misses map[*machine]int
 	conns  map[string]nodeConn
 	eager  int
-	// eagerRetries is the number of additional retries of eager clients, which do not observe Retry-After; eager is
-	// their percentage.
+	// eagerRetries is the number of additional retries of eager clients, which do not observe Retry-After; eager is the
+	// percentage of the requests that eager clients send.
 	eagerRetries int
 	offered      map[string]float64
 	earned       map[string]float64
 	phases       []float64
-	// loadFactors holds the load factors by name of a zone, of a kind of requests, or allTraffic.
+	// loadFactors maps the name of a zone, the name of a kind of requests, or allTraffic to its load factor.
 	loadFactors map[string]float64
 }
 
@@ -130,7 +130,8 @@
 
 const host = "wall.example"
 
-// sendAttempt makes one attempt at a request, on the client's kept connection if it is usable.
+// sendAttempt makes one attempt at a request, on the client's kept-alive connection if that is usable, otherwise on a
+// new one.
 func (c *clients) sendAttempt(call *clientCall) {
 	d := c.day
 	call.attemptsLeft--
@@ -161,7 +162,7 @@
 	c.connect(call, attempt, to, !ok)
 }
 
-// connect opens a connection if fresh is set, and then sends the request.
+// connect sends the request. If fresh is set, it first opens a connection, and ends the attempt if that fails.
 func (c *clients) connect(call *clientCall, attempt *rules.Attempt, to nodeConn, fresh bool) {
 	d := c.day
 	latency := d.site.clientUs + d.sim.rng.Int64N(200)
@@ -219,8 +220,8 @@
 		d.sim.after(latency, func() { c.ended(call, attempt, attempt.Read == 0) })
 	}
 	if attempt.Repeatable {
-		// The client gives up an idempotent request that the node has not read within a third of the remaining
-		// time, at most 1 s.
+		// The client gives up an idempotent request if the node does not read it within a third of the time that
+		// remains until the deadline, or within 1 s if that is shorter.
 		d.sim.after(min(clock.Second, (call.end-d.sim.now)/3), func() {
 			if attempt.Read == 0 && attempt.Ended == rules.Never {
 				attempt.GaveUp = true
@@ -253,7 +254,8 @@
 	c.day.sim.Checker.Count("ready_at_end", int64(ready))
 }
 
-// burst multiplies the traffic of a zone, of a kind of requests, or all traffic, for step.forUs.
+// burst multiplies, for step.forUs, the traffic of the zone and of the kind of requests that the step names, or all
+// traffic if the step names neither.
 func (c *clients) burst(step *dayStep) {
 	x := step.factorOr(3)
 	names := []string{step.zone, step.class}
@@ -313,8 +315,8 @@
 	return out, all
 }
 
-// pickNode chooses the machine for a new connection by a hash of the client, and a different one for each attempt.
-// If less than half of the zone's nodes are ready, it chooses among all of them.
+// pickNode chooses the machine for a new connection by a hash of the client, and a different machine for each attempt.
+// If less than half of the zone's nodes are ready, it chooses among all nodes of the zone.
 func (c *clients) pickNode(zone, client string, attempt int) *machine {
 	list, all := c.nodesIn(zone)
 	if len(list) == 0 {
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -1,5 +1,5 @@
 // Faults of operators' commands: two changes under the same revision, a change that is sent again long after its
-// acknowledgement, and a command to evacuate a zone that a network partition delays.
+// acknowledgement, and an evacuation command that a network partition delays.
 
 package sim
 
@@ -13,14 +13,15 @@
 	"wallport/runtime/wire"
 )
 
-// Names of the checks for these commands.
+// Names under which violations that these commands reveal are reported.
 const (
 	pointOneNumber   = "one_number_once"
 	pointSentAgain   = "sent_again_acknowledged"
 	pointLateCommand = "late_order_does_nothing"
 )
 
-// zoneSettleUs is the time after a late command by which the command must have had no lasting effect on the zone.
+// zoneSettleUs is added to step.forUs: that long after the answer to the command that restores the zone, no node may
+// have the zone drained.
 const zoneSettleUs = 3 * clock.Second
 
 // commandFault runs the step if it is a command fault, and reports whether it was one.
@@ -42,8 +43,9 @@
 	return true
 }
 
-// sameNumber makes two operators choose the same revision for different changes, each sent as a complete table or
-// by items. At most one of them may be acknowledged.
+// sameNumber sends two different changes under the same revision, as if two operators had chosen it independently. Each
+// change is sent either with a complete table or with only the changed routes. At most one of the changes may be
+// acknowledged.
 func (c *commands) sameNumber() {
 	c.enqueue(func() {
 		base, revision, acked := c.base, c.nextRevision(), 0
@@ -69,8 +71,7 @@
 	})
 }
 
-// sentAgain sends a random acknowledged change again, to two machines at the same time. It must be acknowledged
-// again.
+// sentAgain sends a random acknowledged change again, in two calls at the same time. Both calls must be acknowledged.
 func (c *commands) sentAgain() {
 	if len(c.accepted) == 0 {
 		return
@@ -87,10 +88,10 @@
 	}
 }
 
-// lateEvacuate sends a machine a command to evacuate a zone, and a partition delays the command. Meanwhile the
-// operator gives up and restores the zone through another machine. With how=core the machine accepts the command
-// and is partitioned from all other machines up to 8 ms later; otherwise the command reaches the machine only when
-// the partition heals.
+// lateEvacuate sends a command to evacuate a zone to a random machine, and a partition delays the command or its
+// effect. The operator gives up and restores the zone after half of step.forUs. With how=core the machine receives
+// the command and is partitioned from all other machines up to 8 ms later; otherwise the command reaches the machine
+// only after step.forUs, when the partition heals.
 func (d *day) lateEvacuate(step *dayStep) {
 	list := d.listedCores()
 	m := list[d.sim.rng.IntN(len(list))]
--- a/lab/sim/day_commands.go
+++ b/lab/sim/day_commands.go
@@ -17,7 +17,8 @@
 	"wallport/runtime/wire"
 )
 
-// Time-outs, backoff and latency of operators' calls, as on the platform's control address.
+// Time-outs, backoff and latency of operators' calls. answerTimeoutUs and awaitInForceUs equal operationTimeout and
+// nodesTimeout of package platform.
 const (
 	commandTimeoutUs = clock.Second
 	backoffUs        = 50 * clock.Millisecond
@@ -47,7 +48,7 @@
 	accepted  []acceptedChange
 }
 
-// command is one call of an operator, which is repeated until its answer is final or, if until is set, until that
+// command is one call of an operator. The call is repeated until its answer is final or, if until is set, until that
 // time.
 type command struct {
 	request func() any
@@ -167,7 +168,7 @@
 	})
 }
 
-// recordAck records the machine that acknowledged and calls the hooks that wait for an acknowledgement.
+// recordAck records the machine that sent an acknowledgement, and calls the hooks that wait for one.
 func (c *commands) recordAck(m *machine) {
 	c.lastAcked = m
 	hooks := c.ackHooks
@@ -192,7 +193,7 @@
 	f()
 }
 
-// evacuate drains a zone, or restores it.
+// evacuate drains a zone if on is set; otherwise it restores the zone once the drain is acknowledged.
 func (c *commands) evacuate(zone string, on bool) {
 	d := c.day
 	if !slices.ContainsFunc(d.site.zones, func(z zoneShape) bool { return z.name == zone }) {
@@ -268,8 +269,8 @@
 	version *rules.Version
 }
 
-// target chooses the machine for a command: its pinned machine, or a random one, preferably not the one of the
-// previous try.
+// target chooses the machine for a command: the pinned machine, or a random listed core machine, preferably not the
+// machine of the previous attempt. It returns nil if no core machine is listed.
 func (c *commands) target(cmd *command) *machine {
 	if m := cmd.pin.machine; m != nil && !m.removed {
 		if !cmd.pin.only {
@@ -290,7 +291,8 @@
 	return m
 }
 
-// losesAck records an acknowledgement that a machine sends, and reports whether it is lost.
+// losesAck calls cmd.acknowledged if a machine's answer is an acknowledgement, and reports whether the
+// acknowledgement is lost on its way to the operator.
 func (c *commands) losesAck(cmd *command, code wire.Code) bool {
 	if code != wire.CodeOK || cmd.acknowledged == nil {
 		return false
@@ -312,7 +314,7 @@
 	}
 }
 
-// loseAcks starts to drop a share of the acknowledgements, for step.forUs.
+// loseAcks causes a share of the acknowledgements to be lost from now on, for step.forUs.
 func (c *commands) loseAcks(step *dayStep) {
 	c.ackLoss = ackLoss{c.day.sim.now + step.forUs, step.factorOr(0.7)}
 }
@@ -342,8 +344,8 @@
 	}
 }
 
-// disconnectOperator closes the operator's connection to a process after the time-out of its call, if the call is
-// still open there.
+// disconnectOperator closes the operator's connection to a process after the call's time-out, if the process has not
+// answered the call by then.
 func (c *commands) disconnectOperator(p *process, ended *bool, id uint64) {
 	sent := c.day.sim.now
 	p.deliverAfter(commandTimeoutUs+controlLatencyUs, func() {
--- a/lab/sim/day_configs.go
+++ b/lab/sim/day_configs.go
@@ -120,13 +120,13 @@
 	return c.revision
 }
 
-// draft is a change of a version: new or changed routes, and the names of routes to withdraw.
+// draft is a change to a configuration: new or changed routes, and the names of routes to withdraw.
 type draft struct {
 	routes   []*routingpb.Route
 	withdraw []string
 	invalid  bool
-	// number is the revision, 0 for the next one. truncated drops the last byte of the encoded edit. complete sends
-	// the whole table in place of the changed items.
+	// number is the revision, 0 for the next one. truncated drops the last byte of the encoded edit. complete
+	// makes the edit carry the whole table and not only the changes.
 	number    int64
 	truncated bool
 	complete  bool
@@ -147,7 +147,8 @@
 // race sends n changes based on the same version within 30 ms.
 func (c *commands) race(n int) { c.raceAt(n, pin{}) }
 
-// raceAt is race with a pinned machine. In every second race all changes use the same revision.
+// raceAt is like race, but sends the changes first to the machine of the pin, if it has one. In every second race all
+// changes use the same revision.
 func (c *commands) raceAt(n int, at pin) {
 	c.enqueue(func() {
 		base, number := c.base, int64(0)
@@ -179,8 +180,8 @@
 	c.sendVersion(e, &rules.Version{Revision: rev, Base: base.Revision, Table: t, Invalid: df.invalid, Alone: alone}, df, done)
 }
 
-// editOf returns the edit that carries a draft under a revision, as a complete table or by items, and the table
-// that results from it.
+// editOf returns an edit that makes a draft's changes under a new revision, either with a complete table or with only
+// the changed routes, and the resulting table.
 func (c *commands) editOf(base *rules.Version, df draft, revision int64) (*routingpb.RoutingEdit, *routingpb.RoutingTable) {
 	table := apply(base.Table, df)
 	table.Revision = revision
--- a/lab/sim/day_connection_faults.go
+++ b/lab/sim/day_connection_faults.go
@@ -13,7 +13,8 @@
 const (
 	// slowStepUs is the time that a slowed process takes for an input, per unit of the slowdown factor.
 	slowStepUs = 60
-	// maxBusyWait bounds how long the stop of a machine is delayed until the machine has a request in flight.
+	// maxBusyWait, times the number of machines, bounds how long a rolling restart with "busy" waits in total for
+	// machines to have a request in flight.
 	maxBusyWait = 2 * clock.Second
 )
 
@@ -65,8 +66,8 @@
 	}
 }
 
-// restartAroundPartition restarts machines while machine m is partitioned: with "seeds", m becomes the first seed
-// and three other machines restart; with "both", m and then the other core members restart.
+// restartAroundPartition restarts machines while machine m is partitioned. With "seeds", m becomes the first seed and
+// up to three machines that are not core members restart. With "both", m and then the other core members restart.
 func (d *day) restartAroundPartition(step *dayStep, m *machine) {
 	restart := func(o *machine, delay int64) {
 		d.sim.after(delay, func() {
@@ -95,7 +96,7 @@
 	}
 }
 
-// setRefused makes dials over the given partitioned links be refused instead of timing out.
+// setRefused sets whether dials over the given links, while these are partitioned, are refused or time out.
 func (d *day) setRefused(links []string, on bool) {
 	for _, mode := range links {
 		d.refusedLinks[mode] = on
--- a/lab/sim/day_drafts.go
+++ b/lab/sim/day_drafts.go
@@ -69,7 +69,7 @@
 	return r
 }
 
-// idleDraft returns a change that adds, removes or moves an idle route.
+// idleDraft returns a change that adds or removes an idle route, or moves one to another pool.
 func (c *commands) idleDraft(base *routingpb.RoutingTable) draft {
 	var idle []*routingpb.Route
 	for _, r := range base.Routes {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// reshard starts the backends of the next set of shards. After a delay it sends a configuration that routes to
-// them, and once that must be in force everywhere the old backends drain.
+// reshard starts the backends of the next set of shards and, after a delay, sends a configuration that routes to
+// them. The old backends drain once this configuration must be in force on all nodes.
 func (d *day) reshard(after int64) {
 	c := &d.commands
 	for i := range d.site.pools {
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -13,7 +13,8 @@
 )
 
 // Constants of connections to backends: a connection set-up takes handshakeUs plus a round trip, a dial fails after
-// dialTimeout, an idle connection is usable for maxIdle, and a node keeps maxIdleConns of them for each backend.
+// dialTimeout, an idle connection is usable for maxIdle, and a node keeps at most maxIdleConns idle connections for each
+// backend.
 // Surplus bytes arrive within twice surplusDelay.
 const (
 	handshakeUs  = 1000
@@ -41,7 +42,7 @@
 	kind    *requestShape
 	action  dispatch.Send
 	conn    *conn
-	// reused means that the connection has carried an exchange before, sent that bytes of the request were written.
+	// reused means that the connection has carried an exchange before; sent means that the request has been written.
 	reused, sent, ended bool
 }
 
@@ -111,7 +112,7 @@
 }
 
 // takeIdleConn returns the most recently used idle connection to a backend, or nil if there is none. It closes
-// connections that have expired or hold surplus bytes.
+// connections that have expired, hold surplus bytes or lead to a backend that has ended.
 func (g *gateway) takeIdleConn(s *snapshot.Backend) *conn {
 	now := g.day.sim.now
 	all := g.idleConns[s.ID]
@@ -149,7 +150,7 @@
 	work := d.drawWork(x.kind)
 	within := max(1000, a.Timeout)
 	if x.conn.surplusAt > 0 {
-		// A surplus response arrives in place of the response to this request; the node recognises it by its id.
+		// A surplus response to an earlier request arrives first; the node detects it by its request id.
 		d.sim.Checker.Count("surplus_met", 1)
 		x.gateway.process.deliverAfter(max(0, x.conn.surplusAt-sent), func() {
 			x.end(dispatch.Result{Class: dispatch.ClassInvalid, ReusedConn: true, Reason: "another request's answer"})
--- a/lab/sim/day_fault_spans.go
+++ b/lab/sim/day_fault_spans.go
@@ -27,8 +27,9 @@
 	return a != b && (d.zonePartitions[a] || d.zonePartitions[b])
 }
 
-// updateFaultSpans records in the journal which machines are faulty now, whether a majority of the core members is
-// up, healthy and connected, and whether the core is unsettled.
+// updateFaultSpans records in the journal which machines are faulty now, whether no healthy core member reaches a
+// majority of running core members, and whether the core is unsettled: it has no such majority, or the disk or the
+// processing of some core member is impaired.
 func (d *day) updateFaultSpans() {
 	now, t := d.sim.now, &d.journal.Faults
 	var core []*machine
--- a/lab/sim/day_follow_up.go
+++ b/lab/sim/day_follow_up.go
@@ -1,5 +1,5 @@
 // Follow-ups of a machine's fault: configuration changes that are sent to the machine as soon as it returns or
-// while it is partitioned, and draining backends in its zone. Also the selection of machines by their role.
+// while it is partitioned, and drains of backends in its zone. The file also selects machines by their role.
 
 package sim
 
--- a/lab/sim/day_gateway.go
+++ b/lab/sim/day_gateway.go
@@ -12,8 +12,8 @@
 	"wallport/runtime/clock"
 )
 
-// Times of the server for clients, as in the product: it accepts connections for acceptWindow after a shutdown
-// began, and polls every stopPollInterval until all requests have ended.
+// Times of the node's HTTP server for clients, as in the product. After a shutdown has begun, the server accepts new
+// connections for acceptWindow, and then checks every stopPollInterval whether all requests have ended.
 const (
 	acceptWindow     = 2200 * clock.Millisecond
 	stopPollInterval = 20 * clock.Millisecond
@@ -26,7 +26,7 @@
 	requests   []*clientRequest
 	exchanges  []*exchange
 	idleConns  map[string][]*conn
-	// opened means that the port for clients has been opened, closed that it has been closed again.
+	// opened means that the port for clients has been opened; closed means that it has been closed again.
 	opened, closed, draining bool
 }
 
--- a/lab/sim/day_grey.go
+++ b/lab/sim/day_grey.go
@@ -16,8 +16,9 @@
 	failBySlowness  failureMode = "slow"
 )
 
-// partialFailure describes a backend's partial failure: how requests fail, and the share of them that fail, either
-// of all nodes or only of the nodes in one zone.
+// partialFailure describes a backend's partial failure: how requests fail, and which share of the requests fails. If
+// zone is set, only requests from nodes in that zone fail. slow is the factor by which failBySlowness lengthens the
+// work.
 type partialFailure struct {
 	mode  failureMode
 	share float64
@@ -65,7 +66,8 @@
 	return 1
 }
 
-// rejectsEarly handles a request that fails before the backend starts to work on it, and reports whether it is one.
+// rejectsEarly rejects or ignores a request if its failure mode takes effect before the backend starts to work on it,
+// and reports whether it did so.
 func (inc *incarnation) rejectsEarly(x *exchange, j *job) bool {
 	switch j.mode {
 	case failWithRejects:
--- a/lab/sim/day_incarnation.go
+++ b/lab/sim/day_incarnation.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// respond sends a sealed response, subject to the response faults.
+// respond sends a response with its seal, or lets a response fault drop or garble it.
 func (j *job) respond(status int) {
 	inc, d := j.backend, j.backend.day
 	body := d.responseBody(j.arrival.Attempt, inc.row.Pool, j.exchange.kind)
@@ -193,7 +193,8 @@
 	}
 }
 
-// healthCheck handles a health check, which waits for a slot or is rejected like a request.
+// healthCheck answers a health check with status 503 if all slots and the queue are full, or if the backend is draining
+// or reports itself unhealthy; otherwise with status 200, after a delay that grows with the queue.
 func (inc *incarnation) healthCheck(done func(status int)) {
 	switch {
 	case inc.running >= inc.shape.slots && len(inc.queue) >= inc.shape.queue, inc.draining, inc.reportsUnhealthy:
@@ -236,7 +237,7 @@
 	return out
 }
 
-// crash ends an incarnation. If it is silent, no connection is reset and dials time out.
+// crash ends an incarnation. If silent is set, no connection is reset and dials time out.
 func (inc *incarnation) crash(silent bool) {
 	if !inc.up {
 		return
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -124,8 +124,9 @@
 	}
 }
 
-// recordEvent records an event after which the machine counts as faulty, and if it is a core member the core as
-// unsettled, for some time. Events of the first start are not recorded.
+// recordEvent records an event, such as a restart, after which the machine counts as faulty for some time. If the
+// machine is a core member, the core also counts as unsettled for some time. Events of the first start are not
+// recorded.
 func (m *machine) recordEvent() {
 	d := m.day
 	if d.sim.now < trafficStartUs/4 && d.settings.Bootstrap {
@@ -222,8 +223,7 @@
 // lastFramesUs is the time that a stopping core has to send its last frames.
 const lastFramesUs = 50 * clock.Millisecond
 
-// leaveGroups ends a core once it leads no replica group and is a voter of none, but at the given time at the
-// latest.
+// leaveGroups ends a core once it leads no replica group and is a voter of none, or when the given time has come.
 func (p *process) leaveGroups(until clock.Micros) {
 	if !p.replicas.HasLeft() && p.sim.now < until {
 		p.deliverAfter(10*clock.Millisecond, func() { p.leaveGroups(until) })
--- a/lab/sim/day_planned_work.go
+++ b/lab/sim/day_planned_work.go
@@ -14,7 +14,8 @@
 
 var stopping = kernel.Stopping{}
 
-// roll stops machines one after another and starts them again, except those that "remove" removes.
+// roll gracefully stops random machines one after another and starts them again. With "remove", machines that are not
+// core members are removed and not started again.
 func (d *day) roll(step *dayStep) {
 	all := append([]*machine(nil), d.machines...)
 	d.sim.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -54,7 +55,7 @@
 // rotateSeeds makes random core machines the seeds. Running processes learn of the change within 1 s.
 func (d *day) rotateSeeds() { d.rotateSeedsTo(nil) }
 
-// rotateSeedsTo is rotateSeeds with the given machine as the first seed.
+// rotateSeedsTo is like rotateSeeds, but makes the given machine the first seed.
 func (d *day) rotateSeedsTo(first *machine) {
 	var list []string
 	all := d.listedCores()
@@ -113,9 +114,9 @@
 // wipes fewer disks.
 const maxClosingWait = 4 * clock.Second
 
-// scheduleClosingFault sends one more change and makes its acknowledgement, its sending or the next accepted
-// request trigger the closing fault. A fault that wipes disks first waits for earlier losses to end, up to
-// maxClosingWait.
+// scheduleClosingFault sets the event that triggers the closing fault: the next accepted request, or the sending or the
+// acknowledgement of one more change, which it then sends. A fault that wipes disks first waits for earlier losses to
+// end, up to maxClosingWait.
 func (d *day) scheduleClosingFault(since clock.Micros) {
 	c := &d.commands
 	wipes := d.sim.Script.Text("closing", "") == "wipe_after_ack"
@@ -150,8 +151,8 @@
 			restarted = append(restarted, m)
 		}
 	case "wipe_after_ack":
-		// As many core members as the deployment tolerates lose their disks, the one that acknowledged first. The
-		// other core members lose power if closing_how is "power".
+		// As many core members as the deployment tolerates lose their disks, starting with the one that acknowledged.
+		// The other core members lose power if closing_how is "power".
 		lost := d.site.tolerance[0] - max(0, d.toleratedFaults(nil))
 		for _, m := range append([]*machine{acked}, d.machines...) {
 			if m == nil || !m.coreMember() || m.poweredOff || m.removed {
--- a/lab/sim/day_responses.go
+++ b/lab/sim/day_responses.go
@@ -1,4 +1,5 @@
-// How clients handle responses: the value that they credit, and whether they retry. Also the probes of routes.
+// How clients handle responses: the value that they credit, and whether they retry. The file also sends the probes of
+// idle routes.
 
 package sim
 
--- a/lab/sim/day_scaling.go
+++ b/lab/sim/day_scaling.go
@@ -57,8 +57,8 @@
 // spotReplaceDelay is the time after the end of a spot backend at which its replacement starts.
 const spotReplaceDelay = 4 * clock.Second
 
-// scaleIn drains backends. Spot backends are ended a given time after the notice, finished or not, and replaced
-// later.
+// scaleIn drains backends. With "spot" it ends them a given time after the drain began, even if they still have requests
+// in flight, and starts replacements spotReplaceDelay later.
 func (d *day) scaleIn(step *dayStep) {
 	if step.has("spot") {
 		d.recordUnplanned(int64(step.factorOr(2) * 1e6))
--- a/lab/sim/day_shift.go
+++ b/lab/sim/day_shift.go
@@ -1,5 +1,5 @@
-// Scenarios that are run several times with some of their steps delayed by different amounts, such as a second loss
-// at every quarter of a second after a repair.
+// Scenarios that are run several times with some of their steps delayed by different amounts, for example with a second
+// loss at each quarter of a second after a repair.
 
 package sim
 
@@ -12,7 +12,7 @@
 	"wallport/runtime/clock"
 )
 
-// delayedStep is the argument that marks a step which the setting shift_ms delays.
+// delayedStep is the argument of the steps that the setting shift_ms delays.
 const delayedStep = "shifted=yes"
 
 // scheduledDelay returns the delay of a step: shift_ms if the step is marked, otherwise 0.
--- a/lab/sim/day_sites.go
+++ b/lab/sim/day_sites.go
@@ -5,7 +5,8 @@
 
 import "wallport/runtime/clock"
 
-// zoneShape is a zone with its machines, of which the first have a disk. weight is its share of the traffic.
+// zoneShape is a zone with its machines; disks is the number of machines that have a disk. weight is proportional to
+// the zone's share of the traffic.
 type zoneShape struct {
 	name, region    string
 	machines, disks int
@@ -25,8 +26,8 @@
 	afterReshard  bool
 }
 
-// requestShape is a kind of requests. value is the credit for a response within targetUs, lateValue for a later
-// one.
+// requestShape is a kind of requests. value is the credit for a response within targetUs, lateValue the credit for a
+// later response.
 type requestShape struct {
 	name, pool, also             string
 	perSecond                    float64
@@ -125,7 +126,8 @@
 			s.kinds[i].backends = 3
 		}
 	case "one_backend":
-		// Each shard has one backend, each in another zone, so that there is no alternative backend.
+		// Each shard has only one backend, so that its requests have no alternative backend. The backends of the shards
+		// are spread over the zones.
 		for i := range s.pools {
 			s.pools[i].perZone = []int{1, 0, 0, 0}
 			if s.pools[i].shards == 0 {
--- a/lab/sim/day_verbs.go
+++ b/lab/sim/day_verbs.go
@@ -91,7 +91,7 @@
 	return v
 }
 
-// plannedWork runs the step if it is work of the operators or of the platform, and reports whether it was.
+// plannedWork runs the step if it is work of the operators or of the platform, and reports whether it was such work.
 func (d *day) plannedWork(step *dayStep) bool {
 	c := &d.commands
 	switch step.verb {
@@ -124,7 +124,7 @@
 		c.evacuate(step.zone, true)
 	case "take_back":
 		for _, inc := range d.backends.of("*") {
-			// Without "warm", the zone's backends have become cold again shortly before.
+			// Without "warm", the backends of the zone are cold when the zone is restored.
 			if inc.row.Zone == step.zone && !step.has("warm") {
 				inc.restartSlowStart()
 			}
--- a/lab/sim/day_zones.go
+++ b/lab/sim/day_zones.go
@@ -132,5 +132,5 @@
 	}
 }
 
-// partitionRetryUs is the interval at which data delayed by a partition is tried again.
+// partitionRetryUs is the interval at which the delivery of data that a partition delays is tried again.
 const partitionRetryUs = 100 * clock.Millisecond
--- a/lab/sim/judge_outcomes.go
+++ b/lab/sim/judge_outcomes.go
@@ -59,9 +59,9 @@
 	return c.repeat == 0 && c.sends[in.Key] <= 1 || in.Kind == search.KindSearch
 }
 
-// allowedRejectionReason returns why the fleet may reject a request, or "" if it may not. Reasons are that the
-// scenario allows it, that a needed shard has no server, that a server rejects by itself, that a repeat exceeds the
-// retry budget, or that too few owners of the key can confirm it.
+// allowedRejectionReason returns why the fleet may reject a request, or "" if it may not. It may if the scenario allows
+// rejections, if a needed shard has no server, if a server itself rejects the request, if a repeated request exceeds
+// the retry budget, or if too few owners of the idempotency key can confirm the key.
 func (c *callers) allowedRejectionReason(in *search.Request, o *search.Outcome) string {
 	sim := c.sim
 	if sim.Script.Text("may_refuse", "") != "" {
@@ -107,7 +107,7 @@
 func (c *callers) finish() {
 	for _, key := range slices.Sorted(maps.Keys(c.refused)) {
 		if !c.attempted[key] {
-			c.sim.Checker.Fail(check.ProperRejected, c.sim.now, "%s was rejected as a repeat, but no request with this key was ever sent to a server", key)
+			c.sim.Checker.Fail(check.ProperRejected, c.sim.now, "%s was rejected as a repeated request, but no request with this key was ever sent to a server", key)
 		}
 	}
 	c.sim.Checker.Count("callers_sent", c.sent)
--- a/lab/sim/measure_scale.go
+++ b/lab/sim/measure_scale.go
@@ -12,8 +12,9 @@
 )
 
 // Scaled holds the measurements of one fleet size. RestPerNode and BytesPerNode are mesh frames and bytes per
-// second and process of an idle fleet, ChangeFrames the gossip frames per change, and HealUs the time from the end
-// of a network partition until all nodes agree.
+// second and process of an idle fleet, and ChangeFrames the gossip frames per change. MedianUs and WorstUs are the
+// median and the longest time until a change is in force on all nodes. HealUs is the time from the end of a network
+// partition until all nodes have the newest configuration in force.
 type Scaled struct {
 	Nodes        int
 	RestPerNode  float64
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -109,7 +109,7 @@
 	heap.Push(&sim.queue, event{max(t, sim.now), sim.seq, f})
 }
 
-// logEvent adds an event to the digest, by which two runs are compared, and to the trace.
+// logEvent adds an event to the trace and to the digest, which shows whether two runs were identical.
 func (sim *Simulation) logEvent(text string) {
 	for i := range len(text) {
 		sim.digest = (sim.digest ^ uint64(text[i])) * 0x100000001b3
@@ -173,8 +173,8 @@
 	sim.after(100*clock.Millisecond, sim.sample)
 }
 
-// sample runs ten times a second. It reports to the checker which configuration and which bookings every running
-// node has in force.
+// sample runs ten times a second. It reports to the checker which configuration every running node has in force
+// and which bookings are active on it.
 func (sim *Simulation) sample() {
 	sim.after(100*clock.Millisecond, sim.sample)
 	sim.updateReachability()
--- a/lab/sim/world_callers.go
+++ b/lab/sim/world_callers.go
@@ -24,11 +24,11 @@
 	// kinds, in the order of config.Kinds.
 	skew int64
 	mix  []int64
-	// attempted holds the keys for which a request was sent to a server, and the same keys with the shard
-	// ("KEY/SHARD").
+	// attempted holds the keys of requests that were sent to a server and, as "KEY/SHARD", the keys with the shards to
+	// which they were sent.
 	attempted map[string]bool
-	// sends counts, for each key, how many requests with it were read by a node; refused holds the keys of which a
-	// request was rejected as a repeat for lack of retry budget.
+	// sends counts, for each key, the requests with this key that a node has read. refused holds the keys of repeated
+	// requests that were rejected because the retry budget was exhausted.
 	sends    map[string]int
 	refused  map[string]bool
 	inFlight int
@@ -95,8 +95,8 @@
 	c.send(in, attempts, rnd.Int64N(2) == 0)
 }
 
-// send sends a request to a node. A caller that repeats the request uses the same key. An eager caller repeats
-// without waiting for the response, the others after a failure.
+// send sends a request to a node. A caller that repeats the request uses the same key. An eager caller repeats the
+// request without waiting for the response; other callers repeat it after a failure.
 func (c *callers) send(in search.Request, attempts int, eager bool) {
 	sim := c.sim
 	p := c.pickNode()
@@ -118,7 +118,7 @@
 			c.inFlight--
 			sim.Checker.Count("callers_refused_connection", 1)
 			if in.Key != "" && sim.now < c.until {
-				// No node has read the request, so it is sent again until one does.
+				// No node has read the request, so it is sent again until a node reads it.
 				sim.after(200*clock.Millisecond+sim.rng.Int64N(600*clock.Millisecond), func() { c.send(in, attempts, eager) })
 			}
 			return
--- a/lab/sim/world_disk.go
+++ b/lab/sim/world_disk.go
@@ -1,5 +1,5 @@
-// A simulated disk: writes take time and complete in order. A power loss keeps only what was synced; the write in
-// flight may end up torn, not applied or complete.
+// A simulated disk: writes take time and complete in order. After a power loss only synced data is left; the
+// write in flight may be torn, not applied or complete.
 
 package sim
 
@@ -123,7 +123,7 @@
 
 func (d *disk) wipe() { d.files = map[string][]byte{} }
 
-// write enqueues a write at the process's disk; without a disk the write fails.
+// write enqueues a write on the process's disk; if the process has no disk, the write fails.
 func (p *process) write(wr kernel.Write) {
 	if p.disk != nil {
 		p.disk.enqueue(wr)
--- a/lab/sim/world_frontend.go
+++ b/lab/sim/world_frontend.go
@@ -110,8 +110,8 @@
 // checkRequest reports to the checker a request that this node sends to a server.
 func (f *frontend) checkRequest(a *search.Send) {
 	sim := f.process.sim
-	// A request counts as a retry if a server was sent the same key and shard before, by any node, even if this
-	// node treats it as a first attempt.
+	// A request counts as a retry if any node has sent a request with the same key for the same shard before, even if
+	// this node treats the request as a first attempt.
 	isRetry := sim.callers.recordAttempt(a) || a.Retry
 	if f.process.isolated {
 		// An isolated node does not learn of new configurations and drained zones, and it reads the platform's list
@@ -157,8 +157,8 @@
 }
 
 // fairShare returns the expected share of one request, in thousandths, that a warm server gets from a node. zones
-// counts the healthy servers by zone, and good all of them. A node draws two candidates, one of them from its own
-// zone if that zone has any.
+// holds the number of healthy servers by zone, and good their total number. A node draws two candidates, one of them
+// from its own zone if that zone has healthy servers.
 func fairShare(nodeZone, serverZone string, zones map[string]int, good int) int64 {
 	switch n := zones[nodeZone]; {
 	case n == 0:
--- a/lab/sim/world_network.go
+++ b/lab/sim/world_network.go
@@ -64,8 +64,8 @@
 
 func (n *network) latency() clock.Micros { return 150 + n.sim.rng.Int64N(600) + n.extraDelay }
 
-// dial opens a connection. It calls then with the connection, or with nil if the dial of a direct connection fails;
-// the process learns of a failed mesh dial by a ConnDown input.
+// dial opens a connection and passes it to the function then, if that is not nil. If the dial of a direct connection
+// fails, the function gets nil; if a mesh dial fails, the process gets a ConnDown input.
 func (n *network) dial(p *process, addr string, mesh bool, then func(l *link)) {
 	sim := n.sim
 	fail := func(d clock.Micros) {
--- a/lab/sim/world_operators.go
+++ b/lab/sim/world_operators.go
@@ -27,8 +27,8 @@
 	// capacity and ceilings are the limits in every configuration that is sent from now on.
 	capacity int64
 	ceilings map[string]float64
-	// zoneCalls and shardMapCalls count the calls for each zone and index; a call stops repeating itself once a
-	// later call for the same zone or index has been made.
+	// zoneCalls and shardMapCalls count the calls for each zone and index; a call is no longer repeated once a later
+	// call for the same zone or index has been made.
 	zoneCalls     map[string]int
 	shardMapCalls map[string]int
 }
@@ -93,7 +93,7 @@
 				return
 			}
 			// CodeLostRace also counts as success: an earlier attempt whose outcome was unknown may have been
-			// accepted, and then a later one loses to it.
+			// accepted, and then a later attempt gets this code.
 			o.setShardMap(o.sim.Shape.Index, "c1", o.sim.Shape.Shards)
 			if other := o.sim.otherIndex(); other != "" {
 				o.setShardMap(other, otherShardMap, o.sim.Shape.Shards)
@@ -166,7 +166,7 @@
 }
 
 // storm sends n edits at a fixed interval, each based on the configuration that is in force when it is sent. Every
-// fourth one is invalid.
+// fourth edit is invalid.
 func (o *operators) storm(n int, every clock.Micros) {
 	for i := range n {
 		o.sim.after(int64(i)*every, func() {
@@ -215,7 +215,7 @@
 	})
 }
 
-// operatorTimeout is how long an operator waits for a node's answer before asking another.
+// operatorTimeout is how long an operator waits for a node's answer before sending the edit through another node.
 const operatorTimeout = 1500 * clock.Millisecond
 
 func (o *operators) setZone(action, zone string) {
--- a/lab/sim/world_power.go
+++ b/lab/sim/world_power.go
@@ -17,7 +17,7 @@
 var PowerSteps = []string{"aside", "synced", "renamed", "answered"}
 
 // powerOffAtStep counts a write that starts and, if it is the selected one, cuts the power at the selected step. It
-// reports whether the power was cut; a power cut after the acknowledgement comes later.
+// reports whether it cut the power. For the step "answered", powerOffAfterAck cuts the power later.
 func (d *disk) powerOffAtStep(w kernel.Write) bool {
 	sim := d.process.sim
 	if sim.Script.Set["power_write"] == "" || sim.now < sim.Script.Int("power_from_us", 0) || w.Data == nil {
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -63,11 +63,11 @@
 	restartWhenStopped bool
 	// traffic counts the frames that the process has sent and received, and its steps and fetches.
 	traffic Traffic
-	// freezeAt is the request state on whose entry this node freezes, for freezeFor; empty for none.
+	// When a request on this node enters the state freezeAt, the node freezes for freezeFor; empty for none.
 	freezeAt  search.State
 	freezeFor clock.Micros
 	// inputDelay is the time that a slowed process takes for each input, 0 for a process of normal speed. busyUntil
-	// is when it has processed the last input.
+	// is the time at which the process will have processed the last input that it has received.
 	inputDelay, busyUntil clock.Micros
 	// machine is the machine that the process runs on in a day's simulation, nil otherwise.
 	machine *machine
--- a/lab/sim/world_reachability.go
+++ b/lab/sim/world_reachability.go
@@ -21,7 +21,7 @@
 	largest := largestGroup(group, func(name string) int {
 		if sim.processes[name].role == roleCore {
 			// The group with the most cores counts as the fleet, because only a majority of the cores can change
-			// the control state; among groups with equally many cores it is the largest one.
+			// the control state. Among groups with equally many cores, the largest group counts.
 			return 100
 		}
 		return 1
@@ -56,8 +56,8 @@
 	sim.updateMajoritySince(&sim.Checker.ClocksAgree, func(p *process) bool { return p.skew == usual })
 }
 
-// updateMajoritySince sets *at to the time since which a majority of the cores has matched and been up, healthy and
-// connected, or to MaxInt64 if there is no such majority now.
+// updateMajoritySince sets *at to the time since which a majority of the cores has been up, healthy and connected, or
+// to MaxInt64 if there is no such majority now. It counts only cores for which matches returns true.
 func (sim *Simulation) updateMajoritySince(at *clock.Micros, matches func(p *process) bool) {
 	connectedCores := sim.connectedGroups(sim.names, func(p *process) bool { return p.role == roleCore && p.running() && p.disk.mode == diskOK && matches(p) })
 	connected, total := 0, 0
@@ -78,9 +78,9 @@
 	}
 }
 
-// connectedGroups numbers the groups of connected processes, among those for which counts returns true. Two
-// processes are in one group if a chain of processes joins them in which frames pass in both directions between
-// neighbours.
+// connectedGroups assigns a group number to each process for which counts returns true. Two processes have the same
+// number if a chain of such processes connects them and frames pass in both directions between neighbours in the
+// chain.
 func (sim *Simulation) connectedGroups(names []string, counts func(p *process) bool) map[string]int {
 	out := map[string]int{}
 	n := 0
@@ -119,8 +119,8 @@
 	return best
 }
 
-// lacksServer reports whether a request may go unanswered for lack of servers: at some time within unservedWindow,
-// the needed shard, or for a search (shard -1) more than a quarter of the shards, had no server that answers
+// lacksServer reports whether a request may go unanswered for lack of servers: during the last unservedWindow, the
+// needed shard, or for a search (shard -1) more than a quarter of the shards, had at some time no server that answers
 // correctly.
 func (sim *Simulation) lacksServer(index string, shards, shard int) bool {
 	since := sim.now - unservedWindow
@@ -160,8 +160,7 @@
 	}
 }
 
-// serverRefuses reports whether a server to which the request could be sent is in the mode in which it rejects all
-// requests.
+// serverRefuses reports whether any server to which the request could be sent rejects all requests.
 func (sim *Simulation) serverRefuses(in *search.Request) bool {
 	for _, id := range sim.serverIDs {
 		if s := sim.servers[id]; s.mode == serverRejects && s.row.Index == in.Index && (in.Kind == search.KindSearch || s.row.Shard == search.ShardOf(in.Record, s.shards)) {
--- a/lab/sim/world_server.go
+++ b/lab/sim/world_server.go
@@ -16,8 +16,8 @@
 	"wallport/runtime/wire"
 )
 
-// serverMode is how a server misbehaves. Scenarios use the text as the name of the mode. All other texts are modes
-// of backend.Spoil, which corrupts responses.
+// serverMode is how a server misbehaves. Scenarios use the text as the name of the mode. A text that is none of the
+// constants below is a mode of backend.Spoil, which corrupts responses.
 type serverMode string
 
 // Modes of servers. A vanished server is down and does not refuse connections: dials to it time out.
