--- a/lab/sim/day.go
+++ b/lab/sim/day.go
@@ -153,7 +153,7 @@
 }
 
 // latency draws the one-way network latency between two zones: 100 us within a zone, 500 us within a region or 12 ms
-// between regions, plus a random part of up to a quarter of that value plus 40 us.
+// between regions, plus a random part below the sum of a quarter of that value and 40 us.
 func (d *day) latency(a, b string) clock.Micros {
 	us := int64(100)
 	switch {
--- a/lab/sim/day_armed_faults.go
+++ b/lab/sim/day_armed_faults.go
@@ -37,7 +37,7 @@
 func (d *day) onNextAccept(f acceptHook) { d.acceptHooks = append(d.acceptHooks, f) }
 
 // machineAcceptedRequest is called when a machine has read a client's request. If the request may run only once and
-// the machine is a core member, it calls the pending hooks within 4 ms.
+// the machine is a core member, the pending hooks are called within 4 ms.
 func (d *day) machineAcceptedRequest(m *machine, repeatable bool) {
 	if repeatable || !m.coreMember() || len(d.acceptHooks) == 0 {
 		return
--- a/lab/sim/day_backends.go
+++ b/lab/sim/day_backends.go
@@ -16,9 +16,9 @@
 )
 
 // Times and limits of the platform's backend list and of backends. The list shows a change after listLagUs, has pages
-// of pageSize backends and serves listPerS pages a second. An address may be reused addressReuseUs after its backend ended, and a crashed backend
-// leaves the list after crashDelistUs. A cold backend needs coldWorkFactor thousandths of the usual work time for
-// warmUpUs. Pauses recur every pausePeriod.
+// of pageSize backends and serves listPerS pages a second. An address may be reused addressReuseUs after its backend
+// ended, and a crashed backend leaves the list after crashDelistUs. A cold backend needs coldWorkFactor thousandths of
+// the usual work time for warmUpUs. Pauses recur every pausePeriod.
 const (
 	listLagUs      = 800 * clock.Millisecond
 	pageSize       = 50
--- a/lab/sim/day_clients.go
+++ b/lab/sim/day_clients.go
@@ -13,8 +13,8 @@
 	"wallport/runtime/clock"
 )
 
-// Parameters of the simulated clients. Each zone has clientsPerZone clients. A dial to a machine without power fails after
-// connectUs. A node that fails maxMisses readiness checks in a row gets no new connections. The load varies with
+// Parameters of the simulated clients. Each zone has clientsPerZone clients. A dial to a machine without power fails
+// after connectUs. A node that fails maxMisses readiness checks in a row gets no new connections. The load varies with
 // the period waveUs.
 const (
 	clientsPerZone      = 30
--- a/lab/sim/day_command_faults.go
+++ b/lab/sim/day_command_faults.go
@@ -13,7 +13,7 @@
 	"wallport/runtime/wire"
 )
 
-// Names under which violations that these commands reveal are reported.
+// Names under which violations of the rules for these commands are reported.
 const (
 	pointOneNumber   = "one_number_once"
 	pointSentAgain   = "sent_again_acknowledged"
@@ -91,7 +91,7 @@
 // lateEvacuate sends a command to evacuate a zone to a random machine, and a partition delays the command or its
 // effect. The operator gives up and restores the zone after half of step.forUs. With how=core the machine receives
 // the command and is partitioned from all other machines up to 8 ms later; otherwise the command reaches the machine
-// only after step.forUs, when the partition heals.
+// only after step.forUs, as if a partition had held it back.
 func (d *day) lateEvacuate(step *dayStep) {
 	list := d.listedCores()
 	m := list[d.sim.rng.IntN(len(list))]
--- a/lab/sim/day_exchange.go
+++ b/lab/sim/day_exchange.go
@@ -12,10 +12,9 @@
 	"wallport/runtime/clock"
 )
 
-// Constants of connections to backends: a connection set-up takes handshakeUs plus a round trip, a dial fails after
-// dialTimeout, an idle connection is usable for maxIdle, and a node keeps at most maxIdleConns idle connections for each
-// backend.
-// Surplus bytes arrive within twice surplusDelay.
+// Times and limits of connections to backends. A connection set-up takes handshakeUs plus a round trip, and a dial fails
+// after dialTimeout. An idle connection is usable for maxIdle, and a node keeps at most maxIdleConns idle connections
+// for each backend. Surplus bytes arrive within twice surplusDelay.
 const (
 	handshakeUs  = 1000
 	dialTimeout  = 400 * clock.Millisecond
@@ -224,7 +223,7 @@
 	}
 }
 
-// deliverReply runs f on the node when a reply that the backend sends now has arrived.
+// deliverReply runs f on the node at the time at which a reply that the backend sends now arrives there.
 func (x *exchange) deliverReply(f func()) {
 	d, inc := x.gateway.day, x.backend
 	d.sim.after(d.latency(inc.row.Zone, x.gateway.process.settings.Zone), func() {
--- a/lab/sim/day_machine_faults.go
+++ b/lab/sim/day_machine_faults.go
@@ -166,7 +166,8 @@
 }
 
 // failAfterAck kills the given machine or cuts its power within 4 ms, and with after_ack_wipe also wipes its disk. It is
-// called at the event that triggers the fault, such as the machine's acknowledgement of a change. If the deployment does not tolerate the loss at that time, the fault is deferred again.
+// called at the event that triggers the fault, such as the machine's acknowledgement of a change. If the deployment
+// does not tolerate the loss at that time, the fault is deferred again.
 func (d *day) failAfterAck(step *dayStep, m *machine) {
 	d.sim.after(d.sim.rng.Int64N(4000), func() {
 		if d.toleratedFaults(m) < 1 || m.poweredOff || m.draining {
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -82,8 +82,8 @@
 	return []*process{m.node, m.core}
 }
 
-// coreMember reports whether the machine runs a core that can be a voter: one with a disk, or any core if no core
-// machine has a disk.
+// coreMember reports whether the machine has not been removed and runs a core that can be a voter: a core with a disk,
+// or any core if no core machine has a disk.
 func (m *machine) coreMember() bool {
 	return m.core != nil && (m.hasDisk || !m.day.anyDisk()) && !m.removed
 }
@@ -147,7 +147,7 @@
 	m.day.updateFaultSpans()
 }
 
-// powerOff ends both processes without closing their connections. The disk keeps what was synced.
+// powerOff ends both processes without closing their connections. The disk keeps the synced data.
 func (m *machine) powerOff() {
 	m.poweredOff = true
 	for _, p := range m.processes() {
--- a/lab/sim/day_partitions.go
+++ b/lab/sim/day_partitions.go
@@ -37,8 +37,8 @@
 	d.sim.after(step.forUs, func() { stepClocks(-us) })
 }
 
-// partitionMachines partitions a core member from the other core members (core_cut), or other machines from the
-// core members (node_cut).
+// partitionMachines partitions a core member from the other core members (core_cut), or other machines from the core
+// members (node_cut). For node_cut with "servers" it partitions backends from all machines instead.
 func (d *day) partitionMachines(step *dayStep) {
 	partition := func(m *machine) {
 		// The fault is recorded only now because it may have been delayed.
--- a/lab/sim/day_sites.go
+++ b/lab/sim/day_sites.go
@@ -5,8 +5,8 @@
 
 import "wallport/runtime/clock"
 
-// zoneShape is a zone with its machines; disks is the number of machines that have a disk. weight is proportional to
-// the zone's share of the traffic.
+// zoneShape is a zone. Of its machines, numbered from 1, only those up to the number disks have a disk. weight is
+// proportional to the zone's share of the traffic.
 type zoneShape struct {
 	name, region    string
 	machines, disks int
--- a/lab/sim/day_verbs.go
+++ b/lab/sim/day_verbs.go
@@ -190,7 +190,7 @@
 	t.Planned = append(t.Planned, rules.Span{From: d.sim.now, To: d.sim.now + forUs})
 }
 
-// drainSome drains random backends; a replacement for each starts first.
+// drainSome drains random backends, each after it has started a replacement for it.
 func (d *day) drainSome(step *dayStep) {
 	all := d.backends.of(orAll(step.service))
 	if step.zone != "" {
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -52,8 +52,8 @@
 	must.NotEq(t, a.Digest, c.Digest)
 }
 
-// TestPowerLostAtWrites cuts the power at every ninth step of the steps of all writes, or at every 61st step with -short;
-// "lab sim --power" cuts the power at all of them.
+// TestPowerLostAtWrites cuts the power at every ninth of the steps of all writes, or at every 61st with -short; "lab sim
+// --power" cuts the power at every step.
 func TestPowerLostAtWrites(t *testing.T) {
 	s, err := script.Load("../../scenarios/power_step.txt")
 	must.NoError(t, err)
--- a/lab/sim/world_platform.go
+++ b/lab/sim/world_platform.go
@@ -28,7 +28,7 @@
 	p.sim, p.lag, p.callLimit = sim, sim.Script.Int("lag_us", 300*clock.Millisecond), sim.Script.Int("allowed_per_10s", 20)
 }
 
-// publish records the current servers; the platform lists them after its lag.
+// publish records the current servers; the platform's list shows them after the lag.
 func (p *platform) publish() {
 	l := wire.BackendList{}
 	for _, id := range p.sim.serverIDs {
--- a/lab/sim/world_process.go
+++ b/lab/sim/world_process.go
@@ -63,7 +63,8 @@
 	restartWhenStopped bool
 	// traffic counts the frames that the process has sent and received, and its steps and fetches.
 	traffic Traffic
-	// When a request on this node enters the state freezeAt, the node freezes for freezeFor; empty for none.
+	// When a request on this node enters the state freezeAt, the node freezes for freezeFor. An empty freezeAt means
+	// never.
 	freezeAt  search.State
 	freezeFor clock.Micros
 	// inputDelay is the time that a slowed process takes for each input, 0 for a process of normal speed. busyUntil
