--- a/lab/sim/day_deferred_faults.go
+++ b/lab/sim/day_deferred_faults.go
@@ -5,11 +5,12 @@
 
 import "wallport/runtime/clock"
 
-// acceptHook is called with the core member that has accepted a client's request that may run only once.
+// acceptHook is called with a core member's machine after the machine has accepted a client's request that may run
+// only once.
 type acceptHook func(m *machine)
 
-// deferFault defers a fault until its triggering event: with "timed" the sending of the next configuration, with
-// "taken" the acceptance of a request, otherwise the next acknowledgement.
+// deferFault defers a fault until an event triggers it: with "timed", the sending of the next configuration; with
+// "taken", the acceptance of a request; otherwise, the next acknowledgement.
 func (d *day) deferFault(step *dayStep) {
 	switch {
 	case step.has("timed"):
@@ -36,7 +37,7 @@
 func (d *day) onNextAccept(f acceptHook) { d.acceptHooks = append(d.acceptHooks, f) }
 
 // machineAcceptedRequest is called when a machine has read a client's request. If the request may run only once and
-// the machine is a core member, it calls the pending hooks within 4 ms.
+// the machine is a core member, the pending hooks are called within 4 ms.
 func (d *day) machineAcceptedRequest(m *machine, repeatable bool) {
 	if repeatable || !m.coreMember() || len(d.acceptHooks) == 0 {
 		return
@@ -48,8 +49,8 @@
 	}
 }
 
-// failFurtherMembers cuts the power of step.count-1 more core members after the one that acknowledged, but of no
-// more than the deployment tolerates.
+// failFurtherMembers cuts the power of up to step.count-1 more core members, and with after_ack_wipe also wipes their
+// disks. It stops when the deployment tolerates no further loss.
 func (d *day) failFurtherMembers(step *dayStep) {
 	for range step.count - 1 {
 		m := d.drawCoreMember(&dayStep{})
--- a/lab/sim/day_machines.go
+++ b/lab/sim/day_machines.go
@@ -82,8 +82,8 @@
 	return []*process{m.node, m.core}
 }
 
-// coreMember reports whether the machine runs a core that can be a voter: one with a disk, or any core if no core
-// machine has a disk.
+// coreMember reports whether the machine has not been removed and runs a core that can be a voter: a core with a disk,
+// or any core if no core machine has a disk.
 func (m *machine) coreMember() bool {
 	return m.core != nil && (m.hasDisk || !m.day.anyDisk()) && !m.removed
 }
@@ -124,8 +124,9 @@
 	}
 }
 
-// recordEvent records an event after which the machine counts as faulty, and if it is a core member the core as
-// unsettled, for some time. Events of the first start are not recorded.
+// recordEvent records an event, such as a restart, after which the machine counts as faulty for some time. If the
+// machine is a core member, the core also counts as unsettled for some time. Events of the first start are not
+// recorded.
 func (m *machine) recordEvent() {
 	d := m.day
 	if d.sim.now < trafficStartUs/4 && d.settings.Bootstrap {
@@ -146,7 +147,7 @@
 	m.day.updateFaultSpans()
 }
 
-// powerOff ends both processes without closing their connections. The disk keeps what was synced.
+// powerOff ends both processes without closing their connections. The disk keeps the synced data.
 func (m *machine) powerOff() {
 	m.poweredOff = true
 	for _, p := range m.processes() {
@@ -222,8 +223,7 @@
 // lastFramesUs is the time that a stopping core has to send its last frames.
 const lastFramesUs = 50 * clock.Millisecond
 
-// leaveGroups ends a core once it leads no replica group and is a voter of none, but at the given time at the
-// latest.
+// leaveGroups ends a core once it leads no replica group and is a voter of none, or when the given time has come.
 func (p *process) leaveGroups(until clock.Micros) {
 	if !p.replicas.HasLeft() && p.sim.now < until {
 		p.deliverAfter(10*clock.Millisecond, func() { p.leaveGroups(until) })
