--- a/lab/sim/day_bad_configs.go
+++ b/lab/sim/day_bad_configs.go
@@ -16,7 +16,7 @@
 
 // sendInvalid sends step.count invalid configurations, each with the defect that the step names or with a random
 // one.
-func (c *commands) sendBad(step *dayStep) {
+func (c *commands) sendInvalid(step *dayStep) {
 	for i := range max(1, step.count) {
 		c.day.sim.after(int64(i)*step.gapUs, func() {
 			defect := configDefects[c.day.sim.rng.IntN(len(configDefects))]
--- a/lab/sim/day_verbs.go
+++ b/lab/sim/day_verbs.go
@@ -111,7 +111,7 @@
 			d.sim.after(int64(i)*step.gapUs, func() { c.race(max(2, int(step.factor))) })
 		}
 	case "bad_config":
-		c.sendBad(step)
+		c.sendInvalid(step)
 	case "ack_lost":
 		c.loseAcks(step)
 	case "resend":
